--- a/lapisway/interface.py
+++ b/lapisway/interface.py
@@ -248,7 +248,8 @@
 @dataclass(slots=True)
 class Committed:
     """A request can't be sent again, for one of A6's two reasons: its answer has begun to pass on, or a part
-    of its body is held no more."""
+    of its body is held no more.
+    """
 
     request: int
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -61,7 +61,8 @@
 
 def pytest_configure() -> None:
     """A sidecar of a band needs both halves of a port that it was given one of, so no two bands that are
-    played at the same time share addresses."""
+    played at the same time share addresses.
+    """
     band.NET = 1 + int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
 
 
--- a/tests/control/test_plan_calls.py
+++ b/tests/control/test_plan_calls.py
@@ -1,5 +1,6 @@
 """The operators' calls about the fleet's plan: what is offered is whole or not there, and each call is
-answered."""
+answered.
+"""
 
 from __future__ import annotations
 
--- a/tests/draws.py
+++ b/tests/draws.py
@@ -42,7 +42,8 @@
 
 class Nodes:
     """Twelve nodes and Poisson requests. From 3 s until `until` the nodes named bad are bad in one way, for a
-    share of calls, and if `every` is given only in every other such time."""
+    share of calls, and if `every` is given only in every other such time.
+    """
 
     def __init__(
         self,
--- a/tests/ends/attempts.py
+++ b/tests/ends/attempts.py
@@ -15,7 +15,8 @@
 
 def submit(world: World, name: str = "unsafe", dialling: bool = True) -> tuple[Job, list[Answer]]:
     """Called in the reactor. When it returns, the connect of the first attempt is under way, or its request
-    has been handed to a kept connection and none of it has left."""
+    has been handed to a kept connection and none of it has left.
+    """
     job = Job("late", name, world.sidecar.clock.now() + 6, LATE)
     answers: list[Answer] = []
 
--- a/tests/ends/test_endpoint.py
+++ b/tests/ends/test_endpoint.py
@@ -76,7 +76,8 @@
     make: Make, how: str, code: str, name: str
 ) -> None:
     """It lies in the system's buffer while the request is handed to the connection, and nothing has left: the
-    request goes out on another connection, as the same attempt."""
+    request goes out on another connection, as the same attempt.
+    """
     world = make()
     wire = kept(world, world.caller())
 
--- a/tests/ends/test_no_names.py
+++ b/tests/ends/test_no_names.py
@@ -24,7 +24,8 @@
 
 def test_no_class_tier_kind_or_zone_is_known_by_name() -> None:
     """The lab and its commands are left out: the service path never imports them, and their load and bench
-    have an example's class by default."""
+    have an example's class by default.
+    """
     files = [path for top in ("lapisway", "wheatring") for path in (ROOT / top).rglob("*.py")]
     files = [path for path in files if "lab" not in path.parts and not path.name.startswith("lab")]
     files += [ROOT / "deploy" / "balancer.toml", ROOT / "deploy" / "operator.properties"]
--- a/tests/ends/test_repeats.py
+++ b/tests/ends/test_repeats.py
@@ -52,7 +52,8 @@
     world: World, monkeypatch: pytest.MonkeyPatch, window: float, then: Callable[[], None]
 ) -> list[Claim]:
     """The window of `order` ends once its further attempt has been begun, before a byte of it can be
-    written; `then` is called at that instant. The further attempts."""
+    written; `then` is called at that instant. The further attempts.
+    """
     sidecar = world.sidecar
     classes, exchange, clock = sidecar.serving.balancer.classes, sidecar.exchange, sidecar.clock
     classes["order"] = replace(classes["order"], window=window)
--- a/tests/ends/test_start.py
+++ b/tests/ends/test_start.py
@@ -1,5 +1,6 @@
 """What a start costs: many processes may start on one machine at once, and nine in ten of them have to be
-ready soon. Held by counts, as a clock would tell more of the machine than of the program."""
+ready soon. Held by counts, as a clock would tell more of the machine than of the program.
+"""
 
 from __future__ import annotations
 
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -19,7 +19,8 @@
 
 class Fleet:
     """So many sidecars, started at once with no list, before a service of `rate` calls a second, in virtual
-    time. It opens at `opens`."""
+    time. It opens at `opens`.
+    """
 
     def __init__(self, copies: int, rate: float, seed: int, opens: float = 0.0) -> None:
         self.time = Time(0.0)
--- a/tests/lab/peers.py
+++ b/tests/lab/peers.py
@@ -167,7 +167,8 @@
 
     def serve(self, *steps: Callable[[Scripted], None], reads: bool = True) -> None:
         """The sidecar is a script: what it does when something has come on its first, second, ... connection,
-        and on all further ones."""
+        and on all further ones.
+        """
 
         def build(addr: object) -> Scripted:
             self.lines.append(Scripted(steps[min(len(self.lines), len(steps) - 1)]))
--- a/tests/lab/study_runner.py
+++ b/tests/lab/study_runner.py
@@ -30,7 +30,8 @@
 
 def play(job: Job) -> Outcome:
     """Settings: `gain` is added to g, `noise` is what sides of a pair do not share; `die`, `hang`, `raise`,
-    `broken` and `odd` name the one seed that does it; `log` is a file that each run adds its seed to."""
+    `broken` and `odd` name the one seed that does it; `log` is a file that each run adds its seed to.
+    """
     sets = {name: value_of(value) for name, value in job.settings.sets}
     if "log" in sets:
         with open(str(sets["log"]), "a") as file:
--- a/tests/limits_world.py
+++ b/tests/limits_world.py
@@ -20,7 +20,8 @@
 
 class PoolWorld:
     """`arrivals` are (jobs a second, caller, class); `slower` is a factor on the time that a job takes beside
-    its work, which no queue explains. Jobs not answered within `patience` are left, their work goes on."""
+    its work, which no queue explains. Jobs not answered within `patience` are left, their work goes on.
+    """
 
     def __init__(self, limits: PoolLimits, *, seed: int = 1, cv: float = 1.0, patience: float = 0.5) -> None:
         self.time = VirtualTime()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -27,7 +27,8 @@
 
 def keep(copy: Copy, concurrent: int, latency: float, seconds: float, silent: str = "") -> int:
     """Have so many calls at a time, if they are let in, each answered after that latency but by one that is
-    silent; how many are not let in."""
+    silent; how many are not let in.
+    """
     refused = 0
     out = deque(
         (copy.now, i.Send(each.ident, each.attempts[0].entry.endpoint, 1.0))
--- a/tests/tier/edge.py
+++ b/tests/tier/edge.py
@@ -1,7 +1,8 @@
 """Endpoints and clients on the simulated network, around real sidecars.
 
 An endpoint answers as its script says: one behaviour for each request that it reads, the last one for all
-others. It keeps what it ran, so that a test can look for what must not have run, or not twice."""
+others. It keeps what it ran, so that a test can look for what must not have run, or not twice.
+"""
 
 from __future__ import annotations
 
@@ -111,7 +112,8 @@
         self, message: Message, ident: bytes, signature: bytes, behaviour: str, argument: str
     ) -> None:
         """`stream:N` sends N events; `break:N` breaks off within the event behind N; `cut:N` behind N whole
-        ones."""
+        ones.
+        """
         count = int(argument)
         write = self.transport.write
         write(self._head(200, ident, signature) + b"Transfer-Encoding: chunked\r\n\r\n")
--- a/tests/tier/hostile.py
+++ b/tests/tier/hostile.py
@@ -1,6 +1,7 @@
 """Endpoints and clients that behave as badly as the operators' pages allow, and the oracle for them.
 
-What an answer holds names the request that it belongs to, so whoever gets another's can be told at once."""
+What an answer holds names the request that it belongs to, so whoever gets another's can be told at once.
+"""
 
 from __future__ import annotations
 
--- a/tests/tier/scenario.py
+++ b/tests/tier/scenario.py
@@ -10,7 +10,8 @@
     ...
 
 Every event runs by itself: one that waits does not hold up the next. Lines that end in `-> WORD` check the
-outcome. After the last event everything is healed and started, and what was acknowledged is read back."""
+outcome. After the last event everything is healed and started, and what was acknowledged is read back.
+"""
 
 from __future__ import annotations
 
--- a/tests/tier/virtual_loop.py
+++ b/tests/tier/virtual_loop.py
@@ -2,7 +2,8 @@
 
 Nothing sleeps: when no callback is due, the clock jumps to the next timer. Connections are pairs of in-memory
 transports whose bytes arrive after a delay, unless the way between two hosts is cut. What runs in an executor
-is called at once and its result handed over after the disk's delay."""
+is called at once and its result handed over after the disk's delay.
+"""
 
 from __future__ import annotations
 
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -2,7 +2,8 @@
 what an operator and programs do to them, and the checks that hold on every run.
 
 Controllers are c1, c2, ...; storage machines s1, s2, ...; readers and writers of turns w1, w2, .... A host's
-name is its address."""
+name is its address.
+"""
 
 from __future__ import annotations
 
@@ -247,7 +248,8 @@
 
     async def update(self, generation: int) -> int:
         """Set a route of that generation, and drop the first of several, on the newest acknowledged
-        configuration."""
+        configuration.
+        """
         base = max(self.acknowledged, default=0)
         current = json.loads(self.acknowledged.get(base, configuration(0)))
         routes = {route["name"]: route for route in current["routes"]}
--- a/wheatring/__main__.py
+++ b/wheatring/__main__.py
@@ -10,7 +10,8 @@
 
 def plain(words: Sequence[str]) -> tuple[str | None, bool, str | None] | None:
     """The operators' file, whether to capture, and the project's own file, where nothing else is said. None:
-    it takes the parser, for which a sidecar that starts anew should not wait."""
+    it takes the parser, for which a sidecar that starts anew should not wait.
+    """
     file, capture, own, rest = None, False, None, list(words)
     while rest:
         word = rest.pop(0)
--- a/wheatring/budgets/budgets.py
+++ b/wheatring/budgets/budgets.py
@@ -3,7 +3,8 @@
 A turn first reserves the most that it may generate at a write quorum, and in the same exchange reads the
 program's entries from a read quorum. Of two turns that reserve at one time at least one sees the other, so
 together they never pass the budget. A turn that has ended is settled at what was handed out; one whose
-sidecar has died stays at its most."""
+sidecar has died stays at its most.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +29,8 @@
 
     async def reserve(self, program: str, turn: str, most: int, budget: int, seconds: float) -> None:
         """Reserve `most` tokens of a program's budget for one turn. Raises BudgetSpent or NotSure. However it
-        ends, the caller settles the turn afterwards."""
+        ends, the caller settles the turn afterwards.
+        """
         entry = BudgetEntry(program=program, turn=turn, tokens=most)
         entries = await self._store.write_budget(entry, seconds)
         others = sum(other.tokens for other in entries if other.turn != turn)
--- a/wheatring/config/file.py
+++ b/wheatring/config/file.py
@@ -225,7 +225,8 @@
 
 def keys(name: str | None) -> list[bytes]:
     """The keys of a key file, one a line in hexadecimal, 16 to 64 bytes each. KeysError where it can't be
-    used; what it holds is not said."""
+    used; what it holds is not said.
+    """
     if name is None:
         return []
     try:
--- a/wheatring/consensus/electorate.py
+++ b/wheatring/consensus/electorate.py
@@ -2,7 +2,8 @@
 
 While the voters change, an entry names two sets, and a quorum needs a majority of each (joint consensus, Raft
 section 6). Any quorum of one entry then overlaps with any quorum of the entry before it and of the one behind
-it, whatever the two sets are and whichever replicas have been lost."""
+it, whatever the two sets are and whichever replicas have been lost.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +58,8 @@
 
 def change_voters(entry: Entry, voters: Iterable[Member]) -> None:
     """Name new voters in an entry that holds the present ones. Where other replicas come to vote, the present
-    ones stay beside them until the entry is committed, and the one behind it ends the change."""
+    ones stay beside them until the entry is committed, and the one behind it ends the change.
+    """
     present = list(entry.voters)
     wanted = list(voters)
     del entry.voters[:]
--- a/wheatring/consensus/replica.py
+++ b/wheatring/consensus/replica.py
@@ -11,7 +11,8 @@
 The class takes events and the time (seconds on any steady clock) and returns effects. It does no I/O and
 reads no clock. States: FOLLOWER -> (PRE_CANDIDATE ->) CANDIDATE -> LEADER; any message with a higher term
 leads back to FOLLOWER. What must never hold: two leaders of one term; a message sent before the record that
-it speaks of is synced. Why that is enough is written in docs/design/control-safety.md."""
+it speaks of is synced. Why that is enough is written in docs/design/control-safety.md.
+"""
 
 from __future__ import annotations
 
@@ -87,7 +88,8 @@
     ) -> tuple[Position, Effects]:
         """Replace the state. Only where `can_propose`; the result is known once that position is committed.
         With other voters than now, the entry is a joint one, and the entry that ends the change follows it by
-        itself."""
+        itself.
+        """
         if not self.can_propose:
             raise RuntimeError("not a leader that is free to propose")
         entry = self._following_entry()
--- a/wheatring/consensus/replication.py
+++ b/wheatring/consensus/replication.py
@@ -37,7 +37,8 @@
 
     def confirm(self, now: float) -> tuple[int, Effects]:
         """Start a round of heartbeats; once `confirmed_round` has reached its number, this replica was still
-        the leader after the call."""
+        the leader after the call.
+        """
         effects = Effects()
         self._broadcast(now, effects)
         return self.round, effects
@@ -78,7 +79,8 @@
 
     def _look_after_disk(self, now: float, effects: Effects) -> None:
         """A leader's own write that has failed is begun again; one that takes long means that another replica
-        should lead. Entries are committed without this disk meanwhile, by those of a quorum of the others."""
+        should lead. Entries are committed without this disk meanwhile, by those of a quorum of the others.
+        """
         target = entry_position(self.entry)
         if self.on_disk >= target:
             return
@@ -169,7 +171,8 @@
     def _note_contact(self, request: AppendRequest, commit: Position) -> None:
         """The leader had this replica's reply in hand when it sent the request, so the request is no older
         than that reply, however long it may have waited here. What is proved by it: all that was acknowledged
-        before the leader's newest quorum round began is committed here."""
+        before the leader's newest quorum round began is committed here.
+        """
         sent_at = self._replies_sent.get(request.echo)
         ready = commit[0] == request.term and self._committed_position >= commit
         if sent_at is None or not ready:
--- a/wheatring/consensus/state.py
+++ b/wheatring/consensus/state.py
@@ -81,14 +81,16 @@
         """For how many seconds there may have been acknowledgements of which this replica knows nothing.
 
         A leader counts from the newest round that a quorum has answered; a follower from the moment at which
-        it is sure to have heard from such a leader, less the age of that leader's own round."""
+        it is sure to have heard from such a leader, less the age of that leader's own round.
+        """
         if self.is_ready_leader:
             return now - max(self.confirmed_at, self.contact_at)
         return now - self.contact_at
 
     def clone(self) -> Self:
         """An independent copy, for those who look through states. Messages and entries are never changed once
-        they are made, and are shared."""
+        they are made, and are shared.
+        """
         twin = object.__new__(type(self))
         twin.__dict__.update(self.__dict__)
         twin.progress = {replica_id: replace(progress) for replica_id, progress in self.progress.items()}
@@ -120,7 +122,8 @@
 
     def _reset_election(self, now: float) -> None:
         """Until a leader is known for the first time there is nobody to be disturbed, and most likely all
-        have started together; pre-votes lost then are soon repeated."""
+        have started together; pre-votes lost then are soon repeated.
+        """
         started = self.leader is None and self.leader_heard_at < 0
         timeout = self.timing.first_election if started else self.timing.election
         self._election_at = now + timeout * (1 + self.random.random())
--- a/wheatring/consensus/types.py
+++ b/wheatring/consensus/types.py
@@ -1,5 +1,6 @@
 """What a consensus replica takes and gives: its messages, the writes it asks for, and what it knows of
-others."""
+others.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +34,8 @@
 @dataclass(frozen=True, slots=True)
 class Timing:
     """Seconds. An election timeout is drawn between `election` and twice that, and between `first_election`
-    and twice that until a leader is known for the first time."""
+    and twice that until a leader is known for the first time.
+    """
 
     heartbeat: float = 0.1
     election: float = 0.5
--- a/wheatring/control/desk.py
+++ b/wheatring/control/desk.py
@@ -66,7 +66,8 @@
 
 class Desk:
     """`places` are all that one sidecar may hold; `held` tells what this process does now, `resize` how many
-    it may from now on. `open_door` lets callers in."""
+    it may from now on. `open_door` lets callers in.
+    """
 
     def __init__(
         self,
--- a/wheatring/controller/command_queue.py
+++ b/wheatring/controller/command_queue.py
@@ -2,7 +2,8 @@
 
 A batch is applied to the newest committed state. If it has changed that, the new state is committed before
 anyone is answered; if not, a majority has to answer a heartbeat that was sent afterwards. So an answer is
-never taken back."""
+never taken back.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/controller/commands.py
+++ b/wheatring/controller/commands.py
@@ -6,7 +6,8 @@
 
 The state does not grow with its history: of configurations that were replaced, and of retirements that are
 over, only the newest few are known. A repeat of an order that is older than those is told neither that it was
-accepted nor that it was refused."""
+accepted nor that it was refused.
+"""
 
 from __future__ import annotations
 
@@ -141,7 +142,8 @@
     """A change that builds on a version which is not current.
 
     What was taken builds on an earlier generation than its own, so a repeat of one that is forgotten has a
-    base below the newest forgotten generation. What cannot be read was never taken."""
+    base below the newest forgotten generation. What cannot be read was never taken.
+    """
     if command.base >= state.forgotten_generation:
         return Conflict(f"version {state.generation} is current")
     from wheatring.controller.configuration import InvalidConfiguration, parse
@@ -208,7 +210,8 @@
 
 def _forget_retirements(state: ControlState) -> None:
     """Keep those under way and the newest of the completed ones. An order to retire may be repeated for a few
-    seconds only, so a repeat never meets one that is forgotten."""
+    seconds only, so a repeat never meets one that is forgotten.
+    """
     completed = [index for index, retirement in enumerate(state.retirements) if retirement.completed]
     for index in reversed(completed[: max(0, len(completed) - MAX_RETIRED)]):
         del state.retirements[index]
--- a/wheatring/controller/configuration.py
+++ b/wheatring/controller/configuration.py
@@ -1,7 +1,8 @@
 """The operator's configuration: its typed form, and the checks that it has to pass.
 
 Fields that are not known are skipped, because later platforms may add some. Everything that is known is
-checked for its kind and range; the first fault found is told with its path."""
+checked for its kind and range; the first fault found is told with its path.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/controller/host.py
+++ b/wheatring/controller/host.py
@@ -125,7 +125,8 @@
 
     def _keep_list(self) -> None:
         """Have the endpoint list on disk: after a loss of power sidecars need one before the platform is
-        asked."""
+        asked.
+        """
         core = self.core
         if core.soft_state == self._kept_list:
             return
--- a/wheatring/controller/members.py
+++ b/wheatring/controller/members.py
@@ -9,7 +9,8 @@
 size of the set, and never answers; if it is still there, it is taken in anew.
 
 That a report of a whole member may be old does no harm: what it says stays true for as long as the member's
-disk exists, and a disk lost since then is one of those that a set may lack."""
+disk exists, and a disk lost since then is one of those that a set may lack.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +51,8 @@
     """The set of members that there should be.
 
     What was lost is made good before the set grows, so that a repair waits for no other copy than its own. A
-    member that is being retired stays until enough others are there, also if one of them was lost since."""
+    member that is being retired stays until enough others are there, also if one of them was lost since.
+    """
     placement = state.placement
     current = [member for member in placement.current if not member.lost]
     held = {member.replica_id for member in current}
@@ -113,7 +115,8 @@
     state: ControlState, reported: Mapping[str, Reported], losses: int, waited: float, led: float
 ) -> Placement | None:
     """The placement to change to, or None. `waited` is how long storage replicas have been known, `led` how
-    long this controller has led (seconds)."""
+    long this controller has led (seconds).
+    """
     placement = state.placement
     if not placement.epoch:
         return _first(reported, losses, waited)
@@ -137,7 +140,8 @@
     led: float,
 ) -> Placement | None:
     """What becomes of a change that is under way: it is completed, goes on (None), gets another aim, or is
-    given up."""
+    given up.
+    """
     placement = state.placement
     behind = [m for m in placement.next if not _is_whole(reported.get(m.replica_id), placement.epoch)]
     if not behind:
@@ -165,7 +169,8 @@
     placement: Placement, reported: Mapping[str, Reported], losses: int, led: float, silence: float
 ) -> bool:
     """Whether enough members of the current set are left for a new copy to be complete: their disks are not
-    known to be lost, and they have been heard within `silence` seconds."""
+    known to be lost, and they have been heard within `silence` seconds.
+    """
     left = [
         member
         for member in placement.current
@@ -178,7 +183,8 @@
 
 def _completed(placement: Placement, lost: Sequence[StorageMember]) -> Placement:
     """The set aimed at as the current one. Members that are behind stay in it, marked as lost, so that its
-    quorums are those under which it was written; nobody asks them again, even if they are still there."""
+    quorums are those under which it was written; nobody asks them again, even if they are still there.
+    """
     done = Placement(epoch=placement.epoch + 1, current=placement.next)
     lost_ids = {member.replica_id for member in lost}
     for member in done.current:
@@ -208,7 +214,8 @@
 
 def complete_retirements(state: ControlState, voting_nodes: Collection[str]) -> bool:
     """Mark those as completed whose machine holds no member of the placement, whatever disk it has now, and
-    has no vote. Returns whether there were any."""
+    has no vote. Returns whether there were any.
+    """
     nodes = {member.node for member in (*state.placement.current, *state.placement.next)}
     changed = False
     for retirement in state.retirements:
--- a/wheatring/controller/node.py
+++ b/wheatring/controller/node.py
@@ -73,7 +73,8 @@
 
     async def stop(self) -> None:
         """Give leadership and vote away where there is somebody to take them, and send the subscribers
-        elsewhere."""
+        elsewhere.
+        """
         if self.core.state is State.LEADER:
             self.host.apply(self.core.transfer(self.host.now()))
         self.subscribers.stop()
--- a/wheatring/controller/process.py
+++ b/wheatring/controller/process.py
@@ -1,7 +1,8 @@
 """The process of one controller: its node and its HTTP server on one event loop.
 
 The node starts first, and the libraries of the operator's API are loaded by a thread afterwards: after a loss
-of power sidecars wait for a leader, and the operator can wait."""
+of power sidecars wait for a leader, and the operator can wait.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/controller/update.py
+++ b/wheatring/controller/update.py
@@ -2,7 +2,8 @@
 
 An update holds its `generation`, under `upsert` lists of items that are added or replace the item of the same
 name, and under `remove` lists of names. All else of the configuration stays as it is, fields that this
-project does not know included. Source: the operator's API, `POST /config/update`."""
+project does not know included. Source: the operator's API, `POST /config/update`.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +21,8 @@
     """The configuration that an update makes of the current one, empty bytes where there is none yet.
 
     Raises InvalidConfiguration where the update cannot be read or does not fit the current items. The result
-    is still to be checked as any configuration is."""
+    is still to be checked as any configuration is.
+    """
     changes = read_update(update)
     values = json.loads(current) if current else dict(EMPTY_CONFIGURATION)
     upserts, removals = changes.get(UPSERT, {}), changes.get(REMOVE, {})
--- a/wheatring/controller/voters.py
+++ b/wheatring/controller/voters.py
@@ -6,7 +6,8 @@
 - A voter whose disk was lost comes back at its address as another replica, and takes the lost one's place.
 - A voter on a machine that is being retired, or that does not answer, goes where another replica waits to
   take its place.
-- Missing voters are added, and those beyond the number that is wanted go if they are of no use."""
+- Missing voters are added, and those beyond the number that is wanted go if they are of no use.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +37,8 @@
 ) -> list[Member] | None:
     """The voters to change to, or None. `unheard` tells for how many seconds the leader `me` has not heard
     from each other voter; `target` is the number of voters wanted; `leaving` are nodes that are being
-    retired. The leader itself goes only with its machine."""
+    retired. The leader itself goes only with its machine.
+    """
     known = {voter.replica_id for voter in voters}
     waiting = [
         candidate.member
@@ -62,7 +64,8 @@
 
 def _with_successors(voters: Sequence[Member], waiting: list[Member]) -> list[Member]:
     """Each lost voter's place is taken by the replica that has come at its address; that one then waits no
-    more."""
+    more.
+    """
     wanted = []
     for voter in voters:
         successor = next((member for member in waiting if member.address == voter.address), None)
--- a/wheatring/core/body.py
+++ b/wheatring/core/body.py
@@ -22,7 +22,8 @@
 
 class Room:
     """The memory that all bodies share. Each may hold a window beside it, or those that came late would stand
-    still until others have gone."""
+    still until others have gone.
+    """
 
     def __init__(self, size: int) -> None:
         self.size = size
--- a/wheatring/core/clock.py
+++ b/wheatring/core/clock.py
@@ -15,7 +15,8 @@
 
 class Clock:
     """Instants are seconds of the reactor's clock, which the daemon sets to the monotonic one: steps of the
-    system's time must not move deadlines. Both times are handed in, so that they can be others."""
+    system's time must not move deadlines. Both times are handed in, so that they can be others.
+    """
 
     def __init__(self, reactor: Any, unix: Callable[[], float] = time.time) -> None:
         self.reactor = reactor
--- a/wheatring/core/exchange.py
+++ b/wheatring/core/exchange.py
@@ -211,7 +211,8 @@
 
     def in_time(self, claim: Claim) -> bool:
         """To be asked at the instant of the first byte: one that is too late, or whose time is up though its
-        timer has not yet been called, ends as never run. While its job still comes, that has not begun."""
+        timer has not yet been called, ends as never run. While its job still comes, that has not begun.
+        """
         now = self.clock.now()
         if now < claim.begin_by and (now < claim.give_up or claim.job.deadline == inf):
             return True
--- a/wheatring/daemon.py
+++ b/wheatring/daemon.py
@@ -35,7 +35,8 @@
 
 class Sidecar:
     """All parts of one sidecar, wired on the reactor that is handed in. Time is that reactor's, Unix time
-    (seconds) what `unix` says."""
+    (seconds) what `unix` says.
+    """
 
     def __init__(
         self,
@@ -219,7 +220,8 @@
 
     def open_late(self, until: float) -> None:
         """One that starts in a window is in it before it takes a request, or after a bound serves by the
-        file's weights."""
+        file's weights.
+        """
         assert self.part is not None
         now = self.clock.now()
         if self.part.ready or now >= until:
--- a/wheatring/discovery/platform_list.py
+++ b/wheatring/discovery/platform_list.py
@@ -1,7 +1,8 @@
 """Reads the platform's endpoint list, page by page.
 
 httpx is imported by a thread when the list is first read, so that a controller that starts can take part in
-an election meanwhile."""
+an election meanwhile.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/durable/committer.py
+++ b/wheatring/durable/committer.py
@@ -1,7 +1,8 @@
 """The one owner of a record file inside an event loop: a queue of batches, written by a thread of its own.
 
 While one batch is on its way to the disk, all that is asked for meanwhile gathers into the next one, so the
-number of syncs follows the disk and not the load."""
+number of syncs follows the disk and not the load.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +20,8 @@
 
     def __init__(self, file: RecordFile, live_records: Callable[[], list[bytes]], rewrite_above: int) -> None:
         """`live_records` gives what a rewritten file holds; a file is rewritten once it is longer than
-        `rewrite_above` bytes and twice as long as after the last time."""
+        `rewrite_above` bytes and twice as long as after the last time.
+        """
         self._file = file
         self._live_records = live_records
         self._rewrite_above = rewrite_above
--- a/wheatring/durable/record_file.py
+++ b/wheatring/durable/record_file.py
@@ -3,7 +3,8 @@
 Each frame is a marker, the payload's length, the number of its batch and a CRC-32 over both and the payload.
 A batch is written by one write and synced before the next one begins, so only the last batch of a file can be
 torn by a loss of power. A damaged frame with frames of a later batch behind it is therefore a fault of the
-disk, which is reported and never skipped."""
+disk, which is reported and never skipped.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/errors.py
+++ b/wheatring/errors.py
@@ -11,7 +11,8 @@
 
 class Told(Exception):
     """`code` is what logs and answers name it by; `do` is one sentence on what an operator can do. The text
-    says what happened, on one line, with names and figures."""
+    says what happened, on one line, with names and figures.
+    """
 
     code: ClassVar[str] = ""
     do: ClassVar[str] = ""
--- a/wheatring/http1/caller.py
+++ b/wheatring/http1/caller.py
@@ -158,7 +158,8 @@
         """The present answer is the last on its connection, which it says: to be asked as it is written. What
         is still to come of its request would be taken for the next one; what has been read of the next one is
         answered first, or it would be lost with the sending side shut. And one that asks on and reads nothing
-        must not fill the memory."""
+        must not fill the memory.
+        """
         leaving = self.server.parting and not self.reader.started
         if leaving or self.upload is not None or self.behind > BEHIND:
             self.keep_alive = False
@@ -311,7 +312,8 @@
 
     def stream(self, message: Message, flow: Body, mark: bytes) -> None:
         """Pass an open answer on. Where nobody knows its length it goes in chunks or, to a caller that can't
-        read these, until the close; an end before its end is a reset, so the caller can tell."""
+        read these, until the close; an end before its end is a reset, so the caller can tell.
+        """
         if not self.alive:
             flow.cancel()
             return
@@ -377,7 +379,8 @@
 
     def close(self, code: str) -> None:
         """All is said. What is read from now on is thrown away, so nothing is until the sending side is shut:
-        a request that was read before would be one that was taken."""
+        a request that was read before would be one that was taken.
+        """
         if self.alive and not self.code:
             self.code = code
             self.reader.buffer.clear()
--- a/wheatring/http1/claim.py
+++ b/wheatring/http1/claim.py
@@ -44,7 +44,8 @@
 
 class ClaimConnection(Connection):
     """It is kept for the next claim only while clean. An answer larger than what is held of one is passed on
-    as it comes, as a body that somebody takes: `flow`, until its end."""
+    as it comes, as a body that somebody takes: `flow`, until its end.
+    """
 
     kind = "claim-connection"
 
@@ -189,7 +190,8 @@
 
     def elsewhere(self) -> None:
         """Nothing of the request has left, so it is still this attempt that another connection carries; to an
-        endpoint that was told away since the choice, none does."""
+        endpoint that was told away since the choice, none does.
+        """
         claim, self.claim = self.claim, None
         self.stop_sending()
         if claim is not None and claim.wanted and not self.pool.fits(self.place):
@@ -242,7 +244,8 @@
 
     def look(self, flow: Body, came: int = -1) -> None:
         """The caller's time is over. If it has all that came, and no more has, it is the node's end that is
-        missing."""
+        missing.
+        """
         if self.flow is not flow:
             return
         now, later = self.pool.clock.now(), LOOK
--- a/wheatring/http1/client.py
+++ b/wheatring/http1/client.py
@@ -95,7 +95,8 @@
 
 class Pool:
     """Starts claims, and keeps clean connections for the next ones; of those that have rested, the last one
-    used goes out first."""
+    used goes out first.
+    """
 
     def __init__(
         self,
@@ -177,7 +178,8 @@
 
     def listed(self, view: View) -> None:
         """What counts is the list at the first byte, not at the choice: a connect may take longer than sends
-        may go on to a node that drains, and its address may be another's by then."""
+        may go on to a node that drains, and its address may be another's by then.
+        """
         take(self.ready, view)
         for dial in [dial for dial in self.dials if not self.fits(dial.place)]:
             dial.connector.stopConnecting()
--- a/wheatring/http1/connection.py
+++ b/wheatring/http1/connection.py
@@ -54,7 +54,8 @@
 
 def undelivered(transport: Transport) -> bool:
     """Whether a part of what was written has not come to the peer's system, which confirms with all that it
-    sends what had come before."""
+    sends what had come before.
+    """
     import termios  # a start does without
 
     try:
@@ -66,7 +67,8 @@
 
 def after_a_look(reactor: Any, call: Callable[..., object], *args: Any, later: float = 0.0) -> None:
     """Call it once all that the system holds by now, or by so many seconds later, has been read. Between two
-    turns of the reactor it looks at all sockets; before the first one it may not."""
+    turns of the reactor it looks at all sockets; before the first one it may not.
+    """
     reactor.callLater(later, reactor.callLater, 0, call, *args)
 
 
--- a/wheatring/http1/door.py
+++ b/wheatring/http1/door.py
@@ -43,7 +43,8 @@
     def draw(self) -> bool:
         """Have all new connections come to the second of two doors, for which this one stands. The first
         one's queue runs dry then, and nobody is lost in it when it is closed; once one is alone, the answer
-        names no door, and the kernel goes by its own rule. False: it won't be told, and goes by hash."""
+        names no door, and the kernel goes by its own rule. False: it won't be told, and goes by hash.
+        """
         program = array("B", struct.pack("HBBI", RETURN, 0, 0, SECOND))
         address, _ = program.buffer_info()
         try:
--- a/wheatring/http1/machine_list.py
+++ b/wheatring/http1/machine_list.py
@@ -118,7 +118,8 @@
     def move(self, address: tuple[str, int]) -> None:
         """Discovery is elsewhere now. Its versions may be others there, so the whole list comes first; until
         it has come, what is held stands, and what the old one has still to tell counts: a call that is out
-        there is left to its end, lest a word be lost that was written already."""
+        there is left to its end, lest a word be lost that was written already.
+        """
         if address == self.address:
             return
         out, waits = self.watcher.done is not None, self.version is not None
@@ -248,7 +249,8 @@
 
     def ask(self, now: float) -> None:
         """Lay the watch anew on a connection of its own. Its first answer holds all that the old one has kept
-        back; while there is nothing, it waits as long as that, so that it costs discovery no turn."""
+        back; while there is nothing, it waits as long as that, so that it costs discovery no turn.
+        """
         nodes, empty = self.freshness.struck, not self.freshness.serving
         if self.freshness.suspect is not None:
             log.line("list-suspect", nodes=nodes, empty=int(empty))
@@ -262,7 +264,8 @@
 
     def renewed(self, version: int | None) -> None:
         """The second has its connection: it is the watch from now on, and the old one, which may be one to
-        nobody, is over."""
+        nobody, is over.
+        """
         assert self.second is not None
         old, self.watcher, self.second = self.watcher, self.second, None
         self.called = self.clock.now()
@@ -288,7 +291,8 @@
 
     def read(self, answer: Any, whole: bool = False) -> bool:
         """Pass on what a call brought; a call that failed or can't be read is one FAILED view. What answers a
-        call for the whole list is one, whatever it says of itself."""
+        call for the whole list is one, whatever it says of itself.
+        """
         try:
             if answer is None:
                 raise ListError("the call failed")
--- a/wheatring/http1/parser.py
+++ b/wheatring/http1/parser.py
@@ -69,7 +69,8 @@
 @dataclass(slots=True)
 class Request:
     """What of a job travels on to an execute node: the head up to the time left, and the body. That of a
-    large one is in `rest`."""
+    large one is in `rest`.
+    """
 
     head: bytes
     body: bytes
@@ -96,7 +97,8 @@
 
 class Reader:
     """The messages of one connection, cut from its one buffer. The buffer grows as needed, and what has
-    been read is cut from its front in place."""
+    been read is cut from its front in place.
+    """
 
     def __init__(self, *, responses: bool, max_body: int = HOLD, hold: int | None = None) -> None:
         """Without `hold`, all messages come whole."""
@@ -272,7 +274,8 @@
 
     def _chunks(self) -> bool:
         """The body gathers at the front of the buffer: each chunk moves down to the end of the last, and what
-        was read of the framing is cut out behind them in one go."""
+        was read of the framing is cut out behind them in one go.
+        """
         buffer, at = self.buffer, self.got
         try:
             while True:
--- a/wheatring/http1/server.py
+++ b/wheatring/http1/server.py
@@ -226,7 +226,8 @@
 
     def shed(self, keep: int, rested: float = 0.0) -> None:
         """Close connections between requests until no more than `keep` are left of those that stand now; none
-        that has not stood for `rested` seconds, as its caller may ask again at any moment."""
+        that has not stood for `rested` seconds, as its caller may ask again at any moment.
+        """
         standing = self.standing()
         before = self.clock.now() - rested
         for connection in standing[: max(0, len(standing) - keep)]:
@@ -255,7 +256,8 @@
 
     def close_between(self, patient: bool = False, late: bool = False) -> None:
         """Nobody else comes: close the connections that have no request under way, and those of callers that
-        take too long to send one, unless `patient` with them, or to read its answer."""
+        take too long to send one, unless `patient` with them, or to read its answer.
+        """
         now = self.clock.now()
         for connection in list(self.connections):
             match connection.state:
--- a/wheatring/http1/states.py
+++ b/wheatring/http1/states.py
@@ -45,7 +45,8 @@
 
 class Arrivals:
     """The pieces that wait behind a request that is being answered, in their order, each with the instant at
-    which it was read. What a caller gives a request runs from then on: it has waited since."""
+    which it was read. What a caller gives a request runs from then on: it has waited since.
+    """
 
     __slots__ = ("pieces", "size")
 
@@ -61,7 +62,8 @@
 
     def left(self, size: int, since: float) -> float:
         """So many bytes wait still. The instant at which the last one that does not was read, and `since` for
-        one that has never waited."""
+        one that has never waited.
+        """
         while self.size > size:
             length, since = self.pieces.popleft()
             self.size -= length
--- a/wheatring/lab/agree_plan.py
+++ b/wheatring/lab/agree_plan.py
@@ -86,7 +86,8 @@
 
 class World:
     """`judged`: seconds of each stage of a scripted judge; None: there is no judge. `unable` members cannot
-    go by any plan, as that judge knows."""
+    go by any plan, as that judge knows.
+    """
 
     def __init__(
         self,
--- a/wheatring/lab/agree_pusher.py
+++ b/wheatring/lab/agree_pusher.py
@@ -44,7 +44,8 @@
 
 class Toy:
     """A plan as this lab compiles it: the route whose path or prefix is that of the request. `odd`: a program
-    that takes a prefix without its segments' borders."""
+    that takes a prefix without its segments' borders.
+    """
 
     def __init__(self, plan: Plan, odd: bool = False) -> None:
         self.plan = plan
--- a/wheatring/lab/book.py
+++ b/wheatring/lab/book.py
@@ -39,7 +39,8 @@
         written: float | None = None,
     ) -> None:
         """Its caller has the last byte of an answer. `stamp` is the body of a served one, else "". `written`:
-        when its first byte left the sidecar, where that is known."""
+        when its first byte left the sidecar, where that is known.
+        """
 
     def lost(self, sidecar: str, ident: str, why: str) -> None:
         """The connection ended without a whole answer, or what came can't be read."""
@@ -65,7 +66,8 @@
 
     def arrived(self, sidecar: str, node: str, ident: str, sent: float | None = None) -> None:
         """The last byte of an attempt is at the node: it may run from now on. `sent`: when its first byte
-        left the sidecar, as told by `sending`, where that is known."""
+        left the sidecar, as told by `sending`, where that is known.
+        """
 
     def turned_away(self, node: str, ident: str) -> None:
         """The node has answered that it never ran."""
@@ -108,7 +110,8 @@
 
     def unheard(self, sidecar: str, failed: bool = False) -> None:
         """A call of the sidecar to discovery has ended: answered, given up, or `failed`, ended by discovery
-        without an answer."""
+        without an answer.
+        """
 
     # All
 
--- a/wheatring/lab/control/check.py
+++ b/wheatring/lab/control/check.py
@@ -1,6 +1,7 @@
 """All that the control side is held to: exhaustive searches, walks, and faults planted in both models.
 
-Work is shared out over processes."""
+Work is shared out over processes.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/lab/control/model.py
+++ b/wheatring/lab/control/model.py
@@ -2,7 +2,8 @@
 order changes, repeat them and read them back.
 
 An action is a line of words (`tick A`, `deliver A B VoteReply`, `wipe C`), so a way through the states is a
-text that can be played again (`trace.py`)."""
+text that can be played again (`trace.py`).
+"""
 
 from __future__ import annotations
 
@@ -63,7 +64,8 @@
 
 def orders_on(base: int, operator: int) -> list[ReplaceConfiguration | UpdateConfiguration]:
     """A replacement by one operator and an update by another one, on the same version; each kind is first in
-    turn."""
+    turn.
+    """
     replacement = ReplaceConfiguration(base, body_of(base + 1, operator))
     update = UpdateConfiguration(
         base, b'{"generation":%d,"upsert":{"services":[{"name":"s","by":%d}]}}' % (base + 1, operator)
--- a/wheatring/lab/control/search.py
+++ b/wheatring/lab/control/search.py
@@ -115,7 +115,8 @@
 
 def exhaustive(rules: Rules, beginning: str, depth: int, most: int) -> Found:
     """Every way of so many steps from one of the BEGINNINGS, up to a number of states. A broken way is told
-    from the beginning on."""
+    from the beginning on.
+    """
     began = time.monotonic()
     found = Found()
     start = begin(rules, beginning)
@@ -165,7 +166,8 @@
 
 def walk(rules: Rules, seed: int, length: int, beginning: str = "") -> Found:
     """One random way. From an empty system, everything works again after it and has to come to rest; from
-    one of the BEGINNINGS, it only tries many short orders of events."""
+    one of the BEGINNINGS, it only tries many short orders of events.
+    """
     random = Random(seed)
     model = begin(rules, beginning) if beginning else Model(rules)
     found = Found()
@@ -193,7 +195,8 @@
 @dataclass(frozen=True, slots=True)
 class Weather:
     """What goes wrong for a while: machines that are cut off from the others, machines that stand still, and
-    how often things happen in their order."""
+    how often things happen in their order.
+    """
 
     cut: frozenset[str] = frozenset()
     still: frozenset[str] = frozenset()
--- a/wheatring/lab/control/storage_model.py
+++ b/wheatring/lab/control/storage_model.py
@@ -3,7 +3,8 @@
 The deciders are the real ones: `next_placement`, `place`, `RecordTable`, `needs_no_copy` and
 `sources_needed`. What stands between them (the fence, the sync before an acknowledgement, the copy) follows
 `storage/replica.py` and `storage/repair.py`. The table of placements itself is agreed, as the other model
-shows: here it only moves on."""
+shows: here it only moves on.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/lab/control/storage_planted.py
+++ b/wheatring/lab/control/storage_planted.py
@@ -24,7 +24,8 @@
 
 def restart_while_retiring(rules: StorageRules) -> Found:
     """One of four machines is retired; once the copies are made, two that were fenced lose power, and a
-    writer that has heard of no change yet writes to them."""
+    writer that has heard of no change yet writes to them.
+    """
     model = StorageModel(rules, Random(0))
     model.begin_with(4)
     key = next(f"t{n}" for n in range(100) if _is_held_by(model, f"t{n}", {"s1", "s2", "s3"}))
--- a/wheatring/lab/control/trace.py
+++ b/wheatring/lab/control/trace.py
@@ -1,7 +1,8 @@
 """Ways through the states as text: one action a line, which the tests and the command play again.
 
 A line may hold a comment behind `#`, and `-> broken` as the last line says that the way has to end in a
-broken invariant."""
+broken invariant.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/lab/demo/model_server.py
+++ b/wheatring/lab/demo/model_server.py
@@ -1,5 +1,6 @@
 """A stand-in for an endpoint that runs a model: answers each prompt with a few events that tell its
-length."""
+length.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/lab/demo/play.py
+++ b/wheatring/lab/demo/play.py
@@ -1,5 +1,6 @@
 """Starts three controllers, three storage replicas, two sidecars and two endpoints, and plays a
-conversation."""
+conversation.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/lab/direct/links.py
+++ b/wheatring/lab/direct/links.py
@@ -23,7 +23,8 @@
 
     def send(self, least: float, call: Callable[..., object], *args: Any) -> float:
         """Call once what is sent now has arrived, not before the instant `least`, at which what was sent
-        earlier arrives. Gives the instant of the arrival, or `least` while that is not known."""
+        earlier arrives. Gives the instant of the arrival, or `least` while that is not known.
+        """
 
 
 class Links(Protocol):
@@ -119,7 +120,8 @@
 
     def cut(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
         """What goes from `hosts` to `others` waits, and the other way too unless `one_way`, until some time
-        after `heal`, which takes the same arguments."""
+        after `heal`, which takes the same arguments.
+        """
         self.cuts.append((tuple(hosts), tuple(others), one_way))
         self._rewire()
 
--- a/wheatring/lab/direct/machine_list.py
+++ b/wheatring/lab/direct/machine_list.py
@@ -29,7 +29,8 @@
 
     def call(self, sidecar: str, index: int | None, wait: float, done: Callable[[Any], None]) -> Pending:
         """A call has arrived: for the whole list, or for what is newer than a version, which waits up to so
-        many seconds. `done`, never called from within, gets the answer, or None where the call fails."""
+        many seconds. `done`, never called from within, gets the answer, or None where the call fails.
+        """
 
 
 class _Out:
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -23,7 +23,8 @@
 
 class Machine(Protocol):
     """What is needed of a node's model. It makes its replies by `visit.reply`, also from within `visit`, and
-    tells the book of all that becomes of a visit but that it arrived and that it was turned away."""
+    tells the book of all that becomes of a visit but that it arrived and that it was turned away.
+    """
 
     name: str
     running: bool
--- a/wheatring/lab/direct/way.py
+++ b/wheatring/lab/direct/way.py
@@ -119,7 +119,8 @@
 
 class DirectWay:
     """Carries requests to the sidecars that run. `hosts`: for each sidecar, its callers' host and its own;
-    `most`: for some, the connections that their callers open at once at most."""
+    `most`: for some, the connections that their callers open at once at most.
+    """
 
     def __init__(
         self,
--- a/wheatring/lab/drawn.py
+++ b/wheatring/lab/drawn.py
@@ -129,7 +129,8 @@
 
 def plan_of(day: dict[str, Any], seed: int) -> Plan:
     """The plan of a drawn day. Left out: fronts that come late, zones' skew, tenants, keys, load reports,
-    probes, hints of work."""
+    probes, hints of work.
+    """
     names = [f"{server['tier']}-{number}" for number, server in enumerate(day["servers"])]
     nodes = tuple(
         NodePlan(
--- a/wheatring/lab/hunt.py
+++ b/wheatring/lab/hunt.py
@@ -46,7 +46,8 @@
     names: Sequence[str], seeds: Sequence[int], grain: str, workers: int, say: Callable[[str], object]
 ) -> int:
     """Say of each fault whether and how it is found. The exit status: 0 if at most one in ten is missed and
-    the code without a fault shows no breach on the seeds that were needed."""
+    the code without a fault shows no breach on the seeds that were needed.
+    """
     known = {fault.name: fault for fault in FAULTS if grain in fault.grains}
     for name in names:
         if name not in known:
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -41,7 +41,8 @@
 
 class Cluster:
     """`changed` is called with each change of office, right as it happens; `after` after each event of a
-    process. `pieces` makes the further deciders of a process."""
+    process. `pieces` makes the further deciders of a process.
+    """
 
     def __init__(
         self,
--- a/wheatring/lab/leases/days.py
+++ b/wheatring/lab/leases/days.py
@@ -171,7 +171,8 @@
 
     def act(self, node: Node, start: int) -> None:
         """A holder acts again and again, as long as it is in office. Each act takes a while to arrive, and
-        one that is stopped in the middle of it goes on when the process does."""
+        one that is stopped in the middle of it goes on when the process does.
+        """
         if node.fleet is None or node.starts != start:
             return
         if node.stopped:
--- a/wheatring/lab/leases/search.py
+++ b/wheatring/lab/leases/search.py
@@ -18,7 +18,8 @@
 
 def search(model: Model, most: int) -> Found:
     """Breadth first, up to `most` states. States are known by a hash of 64 bits: of 10 million, two are taken
-    for one with a chance of 3 in a million."""
+    for one with a chance of 3 in a million.
+    """
     began = time.monotonic()
     first = model.start()
     seen = {hash(first.key())}
--- a/wheatring/lab/live/agreed.py
+++ b/wheatring/lab/live/agreed.py
@@ -228,7 +228,8 @@
 
 def play(cases: list[str], size: int, seed: int, term: float) -> Iterator[Measured]:
     """Start a band that agrees, and play cases one after the other. ProcessError where something does not
-    come."""
+    come.
+    """
     random = Random(f"{seed}:agreed")
     fleet, control = {"view": "true"}, range(7)
     with (
--- a/wheatring/lab/live/band.py
+++ b/wheatring/lab/live/band.py
@@ -51,7 +51,8 @@
 
 class Band(Ended):
     """`duty` are keys of the duty's table that stand over its own, as TOML values; `fleet` of `[fleet]`;
-    `plan` of `[plan]`, None: they have none. Those of one member may be changed in `own_plan`."""
+    `plan` of `[plan]`, None: they have none. Those of one member may be changed in `own_plan`.
+    """
 
     def __init__(
         self,
--- a/wheatring/lab/live/duties.py
+++ b/wheatring/lab/live/duties.py
@@ -199,7 +199,8 @@
 
 def lists(size: int, seed: int, term: float, shared: bool) -> Iterator[Measured]:
     """What the list service is asked, cold and warm, and how old what sidecars go by is. `shared`: one of
-    them watches for all."""
+    them watches for all.
+    """
     how = "one watches for all" if shared else "each watches for itself"
     register = Register(PER_S)
     duty = {"work": '"list"' if shared else '"none"', "call": "", "every": ""}
--- a/wheatring/lab/live/links/pipe.py
+++ b/wheatring/lab/live/links/pipe.py
@@ -173,7 +173,8 @@
 
 def _bound(host: str) -> socket.socket:
     """A socket on a port of the kernel's choice, which it keeps: the kernel takes back one that was not asked
-    for by its number once the socket no longer listens."""
+    for by its number once the socket no longer listens.
+    """
     with socket.socket() as first:
         first.bind((host, 0))
         port = first.getsockname()[1]
@@ -192,7 +193,8 @@
 class Door(ServerFactory):
     """Where a link's connections come in. Its port is the kernel's choice, and bound all the time, so that
     nobody else gets it while the door is closed. It listens and accepts itself: what the reactor's own ports
-    offer takes a turn to end, and can't leave connects hanging."""
+    offer takes a turn to end, and can't leave connects hanging.
+    """
 
     noisy = False
 
@@ -263,7 +265,8 @@
 
     def _turn(self) -> None:
         """Let in who comes, or leave them hanging: with its queue full of connections that nobody accepts the
-        kernel drops what further ones send, and who connects hears nothing, as from a machine cut off."""
+        kernel drops what further ones send, and who connects hears nothing, as from a machine cut off.
+        """
         if self.state.connects:
             self.bound.listen(BACKLOG)
             self.reactor.addReader(self)
--- a/wheatring/lab/live/links/relay.py
+++ b/wheatring/lab/live/links/relay.py
@@ -25,7 +25,8 @@
 class Order(Struct, forbid_unknown_fields=True):
     """reserve: `doors` are links and the hosts of their doors; answered with the port of each. datagrams: the
     same, of parties. open: `targets` are links, or parties, and where they lead. close: refuse connects. set,
-    set-datagrams: what they do from now on. reset: what is open."""
+    set-datagrams: what they do from now on. reset: what is open.
+    """
 
     do: Literal["reserve", "datagrams", "open", "close", "set", "set-datagrams", "reset", "stats"]
     doors: dict[str, str] = field(default_factory=dict)
--- a/wheatring/lab/live/links/wires.py
+++ b/wheatring/lab/live/links/wires.py
@@ -22,7 +22,8 @@
 
 class Wires:
     """Links by name, `FROM>TO`. `hosts` gives the address of each party: who connects has its doors there,
-    and events name them by it. Which relay carries a link goes by who connects."""
+    and events name them by it. Which relay carries a link goes by who connects.
+    """
 
     def __init__(self, seed: int, hosts: Mapping[str, str], net: NetPlan, relays: int) -> None:
         self.hosts = hosts
@@ -44,7 +45,8 @@
 
     def reserve(self, links: Iterable[str]) -> None:
         """Make doors, which refuse connects until they lead somewhere. Waits for the relays; ProcessError
-        where one does not answer."""
+        where one does not answer.
+        """
         self._reserve(links, "reserve")
 
     def _reserve(self, links: Iterable[str], do: Literal["reserve", "datagrams"]) -> None:
@@ -64,7 +66,8 @@
 
     def reserve_datagrams(self, parties: Iterable[str]) -> None:
         """Doors by which these parties are reached. Where each is itself is told by `lead`, by its name, and
-        anew when that has changed."""
+        anew when that has changed.
+        """
         assert len(self.relays) == 1
         self._reserve(parties, "datagrams")
 
--- a/wheatring/lab/live/planned.py
+++ b/wheatring/lab/live/planned.py
@@ -237,7 +237,8 @@
 
 def play(cases: list[str], size: int, seed: int, term: float) -> Iterator[Measured]:
     """Start a band that goes by one plan, and play cases one after the other. ProcessError where something
-    does not come."""
+    does not come.
+    """
     random = Random(f"{seed}:planned")
     fleet = {"view": "true"}
     with (
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -60,7 +60,8 @@
 
 class LiveOutcome(Outcome):
     """An outcome as any other, and what was seen of the processes. The lab's own is `lab`: it plays nodes,
-    discovery and clients, and where it was late (`late_ms`, p99), latencies and breaches say little."""
+    discovery and clients, and where it was late (`late_ms`, p99), latencies and breaches say little.
+    """
 
     watched: list[Watched] = field(default_factory=list)
     late_ms: float = 0.0
@@ -270,7 +271,8 @@
 
 def play(plan: Plan, say: Callable[[str], None], wired: bool = False) -> LiveOutcome:
     """Play a plan, with links between its processes if it needs them, or if told to. ProcessError if it
-    can't be; all its processes have ended then, however it ends."""
+    can't be; all its processes have ended then, however it ends.
+    """
     with TemporaryDirectory() as folder:
         return Play(plan, Path(folder), say, wired).run()
 
--- a/wheatring/lab/live/process.py
+++ b/wheatring/lab/live/process.py
@@ -115,7 +115,8 @@
 
     def line(self, start: str, by: float, after: int = 0) -> str:
         """Wait for a line that starts so, `after` lines left out, until an instant of the monotonic clock.
-        ProcessError if none comes."""
+        ProcessError if none comes.
+        """
         with self.said:
             while True:
                 for line in self.lines[after:]:
--- a/wheatring/lab/live/scale.py
+++ b/wheatring/lab/live/scale.py
@@ -32,7 +32,8 @@
 def scaled(plan: Plan, scale: float) -> Plan:
     """The day at `scale` (above 0, at most 1) of its machines and sidecars, at least one of each, at a rate
     that uses its scarcest tier as the whole day would. Troubles fall on as large a part of the machines;
-    drains, kills and starts stay with the machines that are left. ValueError where there is no such scale."""
+    drains, kills and starts stay with the machines that are left. ValueError where there is no such scale.
+    """
     if not 0 < scale <= 1:
         raise ValueError(f"scale: must be above 0 and at most 1, is {scale:g}")
     if scale == 1:
@@ -55,7 +56,8 @@
 
 def _lives(events: Iterable[EventPlan], scale: float, left: set[str]) -> tuple[list[EventPlan], set[str]]:
     """The events, of which drains and kills are those of nodes that are left and starts as many as the scale
-    leaves, and all nodes that are left then, those that come later among them."""
+    leaves, and all nodes that are left then, those that come later among them.
+    """
     left = set(left)
     kept = []
     newcomers = 0.0
--- a/wheatring/lab/live/seats.py
+++ b/wheatring/lab/live/seats.py
@@ -78,7 +78,8 @@
 class Seats:
     """Starts and ends sidecars, and tells the book, the watch, and whoever else wants to know: `came` once
     one listens, `stops` when it is told to, `went` when it has ended, `failed` when it did so before it
-    listened."""
+    listened.
+    """
 
     def __init__(
         self,
@@ -217,7 +218,8 @@
 
     def _tell(self, seat: Seat) -> None:
         """Have it read where discovery is, if that is not what it was told. One that does not listen yet is
-        told once it does: until it heeds SIGHUP it would end by it."""
+        told once it does: until it heeds SIGHUP it would end by it.
+        """
         if seat.up and seat.process is not None and seat.told_moves != seat.moves:
             seat.process.write(self.told(seat))
             seat.process.send(signal.SIGHUP)
--- a/wheatring/lab/live/sidecar.py
+++ b/wheatring/lab/live/sidecar.py
@@ -46,7 +46,8 @@
 
 class Sidecar(Process):
     """One start of a sidecar. Its files, rewritten at each start, lie in `folder` under its name; `own` is
-    the project's own configuration file, if it is to have one."""
+    the project's own configuration file, if it is to have one.
+    """
 
     def __init__(
         self,
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -27,7 +27,8 @@
 
 class Clients:
     """All clients of the day. What one of them does is drawn as it arrives, so that two runs of a plan with
-    other sidecars differ in their answers alone."""
+    other sidecars differ in their answers alone.
+    """
 
     def __init__(
         self, plan: Plan, timers: Timers, random: Random, origins: Origins, book: Book, front: Front, way: Way
--- a/wheatring/lab/models/cold.py
+++ b/wheatring/lab/models/cold.py
@@ -66,7 +66,8 @@
 
     def offer(self, now: float, work: float, capacity: float) -> bool:
         """So much work arrives. `capacity` is what the process can do at present, in work a second; the
-        window is open at its far end. True: it is too much."""
+        window is open at its far end. True: it is too much.
+        """
         at, largest = self.at, self.largest
         at.append((now, work))
         self.total += work
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -143,7 +143,8 @@
 
     def call(self, sidecar: str, index: int | None, wait: float, done: Done) -> Call:
         """Ask for the whole list (`index` None), or for what is newer than a version, for which the call may
-        wait so many seconds. `done` is never called from within this."""
+        wait so many seconds. `done` is never called from within this.
+        """
         now = self.timers.now()
         wait = min(max(0.0, wait), MOST_WAIT)
         listing = self.knowledge.listing(self.tiers.get(sidecar, 0))
--- a/wheatring/lab/models/front.py
+++ b/wheatring/lab/models/front.py
@@ -12,7 +12,8 @@
 
 class Front:
     """Admits a sidecar once it is up. A dead one is noticed `notice` seconds after its end, and a request
-    that is sent to it meanwhile finds nobody."""
+    that is sent to it meanwhile finds nobody.
+    """
 
     def __init__(self, timers: Timers, random: Random, notice: float) -> None:
         self.timers = timers
--- a/wheatring/lab/models/listing.py
+++ b/wheatring/lab/models/listing.py
@@ -34,7 +34,8 @@
 
 class Listing:
     """Versions are counted from 1, which is what was listed at the start; each publication that changes
-    anything makes the next."""
+    anything makes the next.
+    """
 
     def __init__(self, kept: int = KEPT) -> None:
         self.kept = kept
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -102,7 +102,8 @@
 
     def stop(self) -> None:
         """Its process ends at once. What it had is forgotten without a reply: its connections are reset by
-        what attaches it, which still tells of each connection's end by `disconnect`."""
+        what attaches it, which still tells of each connection's end by `disconnect`.
+        """
         if not self.running:
             return
         self.running = False
@@ -131,7 +132,8 @@
 
     def connect(self) -> float | None:
         """A connection is to be accepted. Gives the seconds that its first request loses to the handshake
-        beside the round trips; None: it is not accepted, and `disconnect` is not called for it."""
+        beside the round trips; None: it is not accepted, and `disconnect` is not called for it.
+        """
         if not self.running or not self.pace.connect():
             return None
         work = self.tier.handshake_work
--- a/wheatring/lab/models/troubles.py
+++ b/wheatring/lab/models/troubles.py
@@ -26,7 +26,8 @@
 
 class Neighbour:
     """Another program on the machine, on and off: each phase is drawn between half and one and a half times
-    the mean. It begins with one that is on."""
+    the mean. It begins with one that is on.
+    """
 
     def __init__(
         self, timers: Timers, random: Random, event: EventPlan, turned: Callable[[], object]
--- a/wheatring/lab/models/way.py
+++ b/wheatring/lab/models/way.py
@@ -29,4 +29,5 @@
         self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
     ) -> Asked:
         """Ask a sidecar. `index` is the class's place in the plan, `left` the seconds that the caller will
-        wait (it leaves by itself when they are over: the way does not). `done` comes later."""
+        wait (it leaves by itself when they are over: the way does not). `done` comes later.
+        """
--- a/wheatring/lab/net/links.py
+++ b/wheatring/lab/net/links.py
@@ -29,7 +29,8 @@
 
 class Link:
     """The way from one host to another. A delay is a floor and an exponential part above it: the mean and the
-    cv are as asked, and as on a real network nothing is much faster, but some is much slower."""
+    cv are as asked, and as on a real network nothing is much faster, but some is much slower.
+    """
 
     __slots__ = (
         "_floor",
@@ -77,7 +78,8 @@
 
 class Stream:
     """One direction of one connection. `used` bytes of its window are on the way, unread, or read without the
-    sender knowing of it yet."""
+    sender knowing of it yet.
+    """
 
     __slots__ = (
         "_armed", "_credits", "_held", "_held_since", "_last", "_owed", "_owed_since", "_waiting", "back",
@@ -153,7 +155,8 @@
 
     def reset(self) -> None:
         """Break it off: what is on the wire still arrives, and then the reset. One that is lost is not sent
-        again, but bytes from the other end bring about another."""
+        again, but bytes from the other end bring about another.
+        """
         if not self.over:
             self.lose()
             if not self.link.silent:
--- a/wheatring/lab/net/network.py
+++ b/wheatring/lab/net/network.py
@@ -54,7 +54,8 @@
 
 class Network:
     """`zone_of` gives a host's zone, "" for one of the clients'. Unix time is `epoch` at the start of time.
-    A connection whose bytes find no way for `give_up` seconds ends by a time-out."""
+    A connection whose bytes find no way for `give_up` seconds ends by a time-out.
+    """
 
     def __init__(
         self,
@@ -138,7 +139,8 @@
 
     def cut(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
         """What goes from `hosts` to `others` is lost, and the other way too unless `one_way`. TCP sends it
-        again, so that it arrives some time after `heal`, which takes the same arguments."""
+        again, so that it arrives some time after `heal`, which takes the same arguments.
+        """
         self._cuts.append((tuple(hosts), tuple(others), one_way))
         self._rewire()
 
--- a/wheatring/lab/net/process.py
+++ b/wheatring/lab/net/process.py
@@ -329,7 +329,8 @@
 
     def kill(self) -> None:
         """End as by SIGKILL: the kernel closes its sockets. To a peer that is a FIN, or a reset where bytes
-        were unread; what was sent is delivered first, and what it sends later is answered with a reset."""
+        were unread; what was sent is delivered first, and what it sends later is answered with a reset.
+        """
         if self.alive:
             self.alive = False
             self.soon.clear()
--- a/wheatring/lab/origins.py
+++ b/wheatring/lab/origins.py
@@ -26,7 +26,8 @@
 
 class Origins:
     """Correlation ids and their origins. An id is fresh for each try and for each call of a node. The oldest
-    are forgotten, long after all of theirs is over."""
+    are forgotten, long after all of theirs is over.
+    """
 
     def __init__(self, random: Random) -> None:
         self.random = random
--- a/wheatring/lab/rules/cold.py
+++ b/wheatring/lab/rules/cold.py
@@ -20,7 +20,8 @@
 
 class ColdStart:
     """A start that is watched. `offers` are those of the window: when, how much, and whether by one who was
-    told of the start."""
+    told of the start.
+    """
 
     __slots__ = ("capacity", "offers", "pressure", "since", "until")
 
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -143,7 +143,8 @@
 
     def outcome(self, grain: str, at: float, wall_s: float, waste: float, choke_price: float) -> Outcome:
         """The figures of a day that was finished. `waste`: work for no answer over work asked for;
-        `choke_price`: what choked machines take off G."""
+        `choke_price`: what choked machines take off G.
+        """
         plan, goal = self.plan, self.plan.goal
         worth = sum([second.worth for second in self.seconds])
         whole = sum([second.earned for second in self.seconds]) / worth if worth > 0 else 1.0
--- a/wheatring/lab/rules/ledger.py
+++ b/wheatring/lab/rules/ledger.py
@@ -76,7 +76,8 @@
 
     def begin(self, at: float) -> None:
         """The day begins only now: for a world whose start takes nobody knows how long. All told before
-        must have been told with a `start` yet to come."""
+        must have been told with a `start` yet to come.
+        """
         figures = self.figures
         self.start = self.breaches.start = self.links.start = figures.start = self.away_from.start = at
         figures.until = at + 1.0
--- a/wheatring/lab/rules/links.py
+++ b/wheatring/lab/rules/links.py
@@ -13,7 +13,8 @@
     """Reckoned from the plan: the mean delay of the slowest link with 25 times its spread, lengthened by
     whatever latency is planned. Ends are names: nodes, each with its own sidecar, the front's sidecars, and
     ELSEWHERE. What was sent while a cut was on may arrive long after it has healed (TCP
-    waits up to as long again before it tries anew), or never: nobody is held to have read it."""
+    waits up to as long again before it tries anew), or never: nobody is held to have read it.
+    """
 
     def __init__(self, plan: Plan, start: float) -> None:
         net = plan.net
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -5,7 +5,8 @@
 
 writes one JSON object a line: `{"generation": G, "at": T}` once the last of its sidecars has a configuration
 in force (T in seconds of the machine's steady clock), and at its end, on SIGTERM, what it has received and
-done."""
+done.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/lab/scale/run.py
+++ b/wheatring/lab/scale/run.py
@@ -163,7 +163,8 @@
 
     async def _turns_taken(self) -> tuple[float, dict[str, float]]:
         """Storage replicas' processor time (ms) while programs take turns, and what those told at their
-        end."""
+        end.
+        """
         programs = self.system.start_hollow(0, 1, self._turns)
         await asyncio.sleep(SETTLE_SECONDS)
         before = self.system.used("storage")
--- a/wheatring/lab/wire/caller.py
+++ b/wheatring/lab/wire/caller.py
@@ -180,7 +180,8 @@
 
     def unread(self) -> bool:
         """Whether the sidecar has ended the connection before it read the request. A network that can tell
-        does; on another one, that a kept connection ended without a byte has to stand for it."""
+        does; on another one, that a kept connection ended without a byte has to stand for it.
+        """
         if self.peer_read is None:
             return self.kept
         return self.peer_read() < self.written
--- a/wheatring/lab/wire/discovery.py
+++ b/wheatring/lab/wire/discovery.py
@@ -127,7 +127,8 @@
 class DiscoveryPeer(ServerFactory):
     """Listens for the registry by `listen`, which opens a port for a factory. While the registry is down, the
     port is closed. Which sidecar a connection belongs to is told by its host (`whose`). `address` says where
-    its sidecars find a node, where that is not the address that the registry knows."""
+    its sidecars find a node, where that is not the address that the registry knows.
+    """
 
     noisy = False
 
--- a/wheatring/lab/wire/node.py
+++ b/wheatring/lab/wire/node.py
@@ -26,7 +26,8 @@
 
 class Node(Protocol):
     """The part of a machine's model that is used here; it tells the book what becomes of a visit itself, but
-    that it arrived and that it was turned away."""
+    that it arrived and that it was turned away.
+    """
 
     name: str
 
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -51,7 +51,8 @@
 def collected_seldom() -> Iterator[None]:
     """While a day is played little is left in cycles, and what stands before it stands until its end:
     the collector would look through all of it again and again, and find nothing. So it looks at what is new
-    only, and seldom."""
+    only, and seldom.
+    """
     before, idle = gc.get_threshold(), gc.get_freeze_count() == 0
     if idle:
         gc.freeze()
@@ -248,7 +249,8 @@
 
     def raised(self, event: Mapping[str, Any]) -> None:
         """What callbacks of programs raise ends in Twisted's log. A sidecar's is a breach. Ours ends the day,
-        or what the models no longer do would be taken for what the sidecars did."""
+        or what the models no longer do would be taken for what the sidecars did.
+        """
         failure = event.get("log_failure") or event.get("failure")
         if failure is None:
             return
--- a/wheatring/late.py
+++ b/wheatring/late.py
@@ -1,5 +1,6 @@
 """Modules that the service path never uses, though what it imports does: they are loaded once they are asked
-for anything."""
+for anything.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/lease/claimant.py
+++ b/wheatring/lease/claimant.py
@@ -24,7 +24,8 @@
 
 class Claimant:
     """`who` and `start` name this process. `rank` is its place in the line of those who would hold the duty:
-    each waits a moment longer than the one before; None: it does not want to."""
+    each waits a moment longer than the one before; None: it does not want to.
+    """
 
     def __init__(
         self, lease: str, who: str, start: int, terms: Terms, voters: Voters, random: Random
@@ -56,7 +57,8 @@
 
     def act(self, now: float) -> int | None:
         """The epoch to act in; None: it is not in office. To be asked right before every act, each time with
-        a clock read after all that the act needs was at hand."""
+        a clock read after all that the act needs was at hand.
+        """
         return self.epoch if self.holds(now) else None
 
     # What it does
--- a/wheatring/lease/duty.py
+++ b/wheatring/lease/duty.py
@@ -24,7 +24,8 @@
 
 class Duty:
     """`idle` is for how long it may be held with no act done: then it is given back, and left to others for a
-    while. Acts are reported by `acted`."""
+    while. Acts are reported by `acted`.
+    """
 
     def __init__(
         self,
@@ -64,7 +65,8 @@
 
     def in_line(self, now: float, rank: int | None) -> list[Out]:
         """Its place in the line from now on; None: it leaves it. One that holds a place stays, unless it is
-        None."""
+        None.
+        """
         if now < self.away:
             rank = None
         if rank == self.rank:
@@ -127,7 +129,8 @@
 
     def _settle(self, now: float) -> list[Out]:
         """One place is enough: once it holds one it leaves the lines for the others, and lines up for all
-        again when it has lost it."""
+        again when it has lost it.
+        """
         out: list[Out] = []
         if self.held is not None and not self.held.holds(now):
             self.held = None
--- a/wheatring/lease/fence.py
+++ b/wheatring/lease/fence.py
@@ -5,7 +5,8 @@
 
 class Fence:
     """One for each duty, wherever its acts arrive. An act that was under way when its term ended does no harm
-    behind it: by then the next holder has acted, or it was the last to act."""
+    behind it: by then the next holder has acted, or it was the last to act.
+    """
 
     def __init__(self) -> None:
         self.seen = 0
--- a/wheatring/lease/fleet.py
+++ b/wheatring/lease/fleet.py
@@ -32,7 +32,8 @@
 
 class Instant(NamedTuple):
     """One instant on the clocks there are. `now`: monotonic, seconds. `boot`: the same and goes on while the
-    machine is suspended; terms are measured on it. `wall`: Unix time in ms, for the order of epochs only."""
+    machine is suspended; terms are measured on it. `wall`: Unix time in ms, for the order of epochs only.
+    """
 
     now: float
     boot: float
@@ -41,7 +42,8 @@
 
 class DutyPlan(NamedTuple):
     """`near`: whoever is in the holder's zone comes first when it is given back or lost. `idle`: seconds for
-    which it may be held with nothing done. `asked`: only those that are told to stand in line for it."""
+    which it may be held with nothing done. `asked`: only those that are told to stand in line for it.
+    """
 
     name: str
     places: int = 1
@@ -61,7 +63,8 @@
 
 class Piece(Protocol):
     """A further decider of the same sidecar: views, plans, the fleet's time. `hears` are the types of its own
-    words. What is wanted of others' bodies goes to `Fleet.fetches`."""
+    words. What is wanted of others' bodies goes to `Fleet.fetches`.
+    """
 
     hears: tuple[type, ...]
 
@@ -79,7 +82,8 @@
 
 class Fleet:
     """`start` tells this process from earlier ones of its name. `changes` is for whoever acts on duties, and
-    is emptied there."""
+    is emptied there.
+    """
 
     def __init__(
         self,
@@ -220,7 +224,8 @@
     def spread(self, word: Any, among: Collection[str] | None = None) -> list[Out]:
         """Tell all of the tier a word that has a `to`, by some who tell some others: two steps, and nobody
         has many to tell. Who tells whom is drawn anew each time, so that one who is stopped keeps nobody in
-        the dark for long. `among`: only those."""
+        the dark for long. `among`: only those.
+        """
         others = [who.name for who in self.members.alive() if who.name != self.me.name]
         others = [name for name in others if among is None or name in among]
         self.random.shuffle(others)
--- a/wheatring/lease/register.py
+++ b/wheatring/lease/register.py
@@ -58,7 +58,8 @@
 
 class Register:
     """`chosen_now` is called with each entry that this sidecar comes to know chosen *and* whose body it has.
-    `chosen` is the newest known, `have` the newest of which the body is there too."""
+    `chosen` is the newest known, `have` the newest of which the body is there too.
+    """
 
     hears = get_args(RegisterWord)
 
@@ -338,7 +339,8 @@
 
     def _try_again(self, at: Instant) -> list[Out]:
         """It was not to be had where it was said to be. Who says once more that it is chosen has it; whoever
-        said so first may have it by now."""
+        said so first may have it by now.
+        """
         self.retry = at.now + RETRY * (0.5 + self.fleet.random.random())
         self.fleet.fetches.append(Fetch(self.where, self.chosen.digest))
         others = [who for who in self.fleet.members.alive() if who.name != self.fleet.me.name]
--- a/wheatring/lease/terms.py
+++ b/wheatring/lease/terms.py
@@ -23,13 +23,15 @@
     @property
     def abstain(self) -> float:
         """For how long a voter that starts grants nothing: whatever it has forgotten is over by then. A
-        round, from the first word to the term's end, lasts `hold` on the claimant's clock at most."""
+        round, from the first word to the term's end, lasts `hold` on the claimant's clock at most.
+        """
         return self.term
 
     @property
     def renew(self) -> float:
         """From the last round's begin to the next. A holder that is heard and hears nothing keeps the others
-        waiting for this long and a term."""
+        waiting for this long and a term.
+        """
         return self.hold / 4
 
     @property
--- a/wheatring/lease/views.py
+++ b/wheatring/lease/views.py
@@ -51,7 +51,8 @@
 
 class Views:
     """A piece, and beside it its `register`, another. `plan` is told by whoever knows the newest plan's
-    number, for the stamps. `moved` counts the views that this sidecar has stood in."""
+    number, for the stamps. `moved` counts the views that this sidecar has stood in.
+    """
 
     hears = get_args(AnyViewWord)
 
@@ -372,7 +373,8 @@
     def _tell_strangers(self, was: View, change: Change) -> list[Out]:
         """What is chosen is spread by opinion of who is there. A leader tells those of the view itself whom
         its opinion does not have: they came just now, or were taken for dead a moment ago. And those who
-        went, who may still hear."""
+        went, who may still hear.
+        """
         rows = self.fleet.members.table.rows
         strangers = [
             placed.who
--- a/wheatring/lease/voter.py
+++ b/wheatring/lease/voter.py
@@ -52,7 +52,8 @@
 
     def hear(self, now: float, wall: int, word: ToVoter) -> FromVoter | None:
         """`now` on the clock that terms are measured on. `wall` is Unix time in milliseconds: it orders
-        epochs where all that knew the last one are gone, and decides nothing else."""
+        epochs where all that knew the last one are gone, and decides nothing else.
+        """
         place = self.places.get(word.lease)
         if place is None or word.voters != self.voters.digest:
             if isinstance(word, Release) or place is None:
@@ -106,7 +107,8 @@
     def change(self, now: float, voters: Voters, taken: bool = False) -> str:
         """Go by other voters from now on; "" or why it does not. It abstains anew: what it has granted before
         may stand for a term yet. `taken`: another sidecar goes by them already, so it has seen a term in
-        force by the step before; one that does not vote, or was late, may never see one itself."""
+        force by the step before; one that does not vote, or was late, may never see one itself.
+        """
         if voters == self.voters:
             return ""
         if why := self.voters.unsafe(voters, self.voters.digest if taken else self.in_force):
--- a/wheatring/lease/words.py
+++ b/wheatring/lease/words.py
@@ -87,7 +87,8 @@
 
 class Beat(Struct, frozen=True, array_like=True, tag_field="w", tag="beat"):
     """Of the holder of the duty `list`, to all: the generation of its list, `age` seconds ago, and nodes that
-    drain or have gone by it. `to`: members that whoever hears it tells as well."""
+    drain or have gone by it. `to`: members that whoever hears it tells as well.
+    """
 
     duty: str
     epoch: int
@@ -103,7 +104,8 @@
 
 class Entry(NamedTuple):
     """Of one number only one digest is ever chosen. `epoch`: of the leader that put it, `size` the bytes of
-    the body that the digest stands for, `inline` that body where it is small."""
+    the body that the digest stands for, `inline` that body where it is small.
+    """
 
     number: int
     epoch: int
@@ -139,7 +141,8 @@
 
 class Kept(OfRegister, frozen=True, tag="kept"):
     """From a voter, to either: what it has now, and the epoch that it has promised. An `epoch` above the
-    asker's: it is led by another."""
+    asker's: it is led by another.
+    """
 
     entry: Entry
     promised: int
@@ -155,7 +158,8 @@
 
 class Newest(OfRegister, frozen=True, tag="newest"):
     """To anybody: tell me what you know chosen, if it is above `number`. `all`: I am a voter that has
-    started, tell me also what you keep."""
+    started, tell me also what you keep.
+    """
 
     number: int
     all: bool = False
--- a/wheatring/lifecycle/asking.py
+++ b/wheatring/lifecycle/asking.py
@@ -65,7 +65,8 @@
 
 class Asking:
     """One sidecar's timetable. `copies` ask, and this one is `number` of them, from 0; `within` is the
-    platform's time (seconds) in which one that sends must have asked; 0 where lists are pushed."""
+    platform's time (seconds) in which one that sends must have asked; 0 where lists are pushed.
+    """
 
     def __init__(
         self, copies: int, number: int, within: float, random: Random, now: float, pace: Pace = DEFAULT
@@ -148,7 +149,8 @@
     ) -> None:
         """A call has failed, or was given up, after so many seconds. `part`: so many since its answer had
         begun, for which it had had its turn. `taken`: there was a connection, so that somebody has it.
-        `waits`: for news."""
+        `waits`: for news.
+        """
         if heard(waits, took):
             # It ended as all others did that stood, which is no sign of a line.
             self.settled, took = True, part or 0.0
@@ -163,13 +165,12 @@
             self.twice = True
             self.after = now + self.length(self.round) / 2
             return
-        else:
-            self.twice = False
-            ended = self.origin + self.length(self.round)
-            # One that had its turn saw that the line is not long: no slower, and rather one round back.
-            self.round = min(self.round, max(1, self.round - 1)) if part is not None else self.round + 1
-            # One that has fallen behind the timetable (a stall, a call that took long) goes by its own.
-            self.origin = max(ended, now)
+        self.twice = False
+        ended = self.origin + self.length(self.round)
+        # One that had its turn saw that the line is not long: no slower, and rather one round back.
+        self.round = min(self.round, max(1, self.round - 1)) if part is not None else self.round + 1
+        # One that has fallen behind the timetable (a stall, a call that took long) goes by its own.
+        self.origin = max(ended, now)
         self.after = now + _least(self.round) / 2
 
     def again(self, now: float, stood: bool) -> None:
@@ -191,7 +192,8 @@
 
 def heard(waits: bool, took: float) -> bool:
     """Whether a call that ends after so many seconds was out of the line, so that it would have told news up
-    to its end. `waits`: for news."""
+    to its end. `waits`: for news.
+    """
     return waits and took > PATIENT
 
 
--- a/wheatring/lifecycle/handover.py
+++ b/wheatring/lifecycle/handover.py
@@ -34,7 +34,8 @@
 
 class Folder:
     """What the processes of the sidecar `name` share in `folder`. This one lives `since`: process ids say
-    nothing, each may have a name space of its own."""
+    nothing, each may have a name space of its own.
+    """
 
     def __init__(self, folder: str, name: str, since: int) -> None:
         self.folder = Path(folder)
@@ -88,7 +89,8 @@
 
     def settle(self, ceiling: Callable[[bool, list[int]], int]) -> tuple[int, list[Other]]:
         """State this process's ceiling, which `ceiling` finds from whether it is the newest and from those of
-        the others; all of it in one go. Also the others."""
+        the others; all of it in one go. Also the others.
+        """
         try:
             with self._locked():
                 others = self._others()
--- a/wheatring/lifecycle/leaving.py
+++ b/wheatring/lifecycle/leaving.py
@@ -89,7 +89,8 @@
 
 class Leaving:
     """One departure. `told` is the instant of SIGTERM; `usual` is not asked again later, or what is given up
-    to be back sooner would hang on what the last moments brought."""
+    to be back sooner would hang on what the last moments brought.
+    """
 
     def __init__(
         self,
@@ -113,7 +114,8 @@
 
     def shut(self, now: float, came: float, full: bool) -> bool:
         """Whether the door is to be shut; `came` is the instant of the last new connection, `full` that more
-        callers may wait at the door, who are not turned away."""
+        callers may wait at the door, who are not turned away.
+        """
         since = now - self.told
         if full:
             return now >= self.last
--- a/wheatring/lifecycle/told.py
+++ b/wheatring/lifecycle/told.py
@@ -36,7 +36,8 @@
 
 class Told:
     """What this sidecar's calls say of the next one. `within` is the platform's time for asking, 0 where
-    lists are pushed."""
+    lists are pushed.
+    """
 
     __slots__ = ("began", "failed_at", "last", "out", "wait", "within")
 
@@ -66,7 +67,8 @@
 
     def moved(self, now: float, began: float) -> None:
         """Discovery is elsewhere, and what was out since `began` (inf: nothing) has been given up. With
-        nothing out, a call that is owed is no less so: moves in a row must not put it off for ever."""
+        nothing out, a call that is owed is no less so: moves in a row must not put it off for ever.
+        """
         self.out = inf
         if began < inf or self.failed_at == inf:
             self.failed(now, min(began, now))
--- a/wheatring/members/cuts.py
+++ b/wheatring/members/cuts.py
@@ -165,7 +165,8 @@
     ) -> tuple[list[Placed], list[tuple[Placed, float, float]]]:
         """Who comes in now, all in one change; and who has to wait yet: how long, and what going out has
         cost it. A change gives subjects new observers, who begin anew: so nobody comes while somebody is
-        about to go, for `HOLD` at most."""
+        about to go, for `HOLD` at most.
+        """
         self.knocks = {
             name: (at, placed)
             for name, (at, placed) in self.knocks.items()
@@ -195,7 +196,8 @@
 
     def came(self, placed: Iterable[Placed]) -> None:
         """A change has let these in: what was said of earlier processes of their names, by them or others,
-        says nothing of them. One that left and came back at once would else be taken out again."""
+        says nothing of them. One that left and came back at once would else be taken out again.
+        """
         names = {one.who.name for one in placed}
         self.reports = {
             observer: report._replace(silent={n: s for n, s in report.silent.items() if n not in names})
--- a/wheatring/members/members.py
+++ b/wheatring/members/members.py
@@ -57,7 +57,8 @@
 
 class Members:
     """`changed` holds names whose state has changed since it was last emptied, `fresh` news that came.
-    `keys` are those that news may have."""
+    `keys` are those that news may have.
+    """
 
     def __init__(
         self,
--- a/wheatring/members/pace.py
+++ b/wheatring/members/pace.py
@@ -25,7 +25,8 @@
 
     def suspicion(self, members: int, confirmed: int) -> float:
         """How long a suspect has to refute, of so many members, when so many others suspect it too:
-        Lifeguard's dynamic suspicion."""
+        Lifeguard's dynamic suspicion.
+        """
         least = self.least(members)
         wanted = min(self.confirmations, max(0, members - 2))
         if confirmed >= wanted:
--- a/wheatring/members/rumours.py
+++ b/wheatring/members/rumours.py
@@ -27,7 +27,8 @@
 
 class Rumours:
     """`levels[n]` holds those that were told n times, who came there first first: so that what goes along
-    with a word is found without a look at all of them."""
+    with a word is found without a look at all of them.
+    """
 
     def __init__(self) -> None:
         self.told: dict[str, int] = {}  # of whom: how often it was told
@@ -64,7 +65,8 @@
     def heard(self, rumour: Rumour, times: int) -> None:
         """Somebody else tells it too: that is as good as having told it. With rumours that all know by now
         nobody goes on for long (feedback and counter, of Demers et al., "Epidemic Algorithms for Replicated
-        Database Maintenance", 1987)."""
+        Database Maintenance", 1987).
+        """
         name = rumour.who.name
         if name not in self.told:
             return
--- a/wheatring/members/table.py
+++ b/wheatring/members/table.py
@@ -36,7 +36,8 @@
 class Seen(NamedTuple):
     """A member as the view tells it. `sure`, 0 to 1: how well that is founded. Alive: 1 where it has answered
     this member within a round of probes, 0.5 where that is hearsay. Suspect: the part of its time to refute
-    that is gone. Left and dead: 1."""
+    that is gone. Left and dead: 1.
+    """
 
     who: Who
     state: int
@@ -54,7 +55,8 @@
 
     def learn(self, now: float, rumour: Rumour) -> tuple[Row, bool, bool] | None:
         """The row that a rumour is about; whether its state is news, or the rumour only confirms a suspicion;
-        whether it is of a newer incarnation. None: it says nothing that counts."""
+        whether it is of a newer incarnation. None: it says nothing that counts.
+        """
         name, state = rumour.who.name, rumour.state
         row = self.rows.get(name)
         if row is None:
--- a/wheatring/members/view.py
+++ b/wheatring/members/view.py
@@ -21,7 +21,8 @@
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
     """What makes a view of the one before: the body of an entry of the register `view`. `before` and `after`
-    are the digests of the members' lists."""
+    are the digests of the members' lists.
+    """
 
     before: bytes
     after: bytes
--- a/wheatring/members/watch.py
+++ b/wheatring/members/watch.py
@@ -103,7 +103,8 @@
 
     def hurry(self, now: float, spread: bool) -> None:
         """Where one is missed, others may be: who died together is to be found at one time, for one cut. Not
-        only by those who share a subject with it: those that are looked at hurry too, one step far."""
+        only by those who share a subject with it: those that are looked at hurry too, one step far.
+        """
         if now < self.hurried + EACH:
             return
         self.hurried = now
@@ -144,14 +145,16 @@
 
     def alone(self, now: float) -> bool:
         """Whether it is rather itself that is not reached: nobody has answered it for a while, though more
-        than one was asked."""
+        than one was asked.
+        """
         if len(self.subjects) < 2 or now - self.answered < ALONE:
             return False
         return all(subject.looks for subject in self.subjects.values())
 
     def asks_others(self, now: float) -> bool:
         """Whether it has to ask others than its subjects if it is heard: none of these answers, and all of
-        them may be gone."""
+        them may be gone.
+        """
         if now < self.next_self or now - self.answered < ALONE / 2 or len(self.subjects) < 2:
             return False
         if not all(subject.looks >= MISSED for subject in self.subjects.values()):
--- a/wheatring/members/words.py
+++ b/wheatring/members/words.py
@@ -24,7 +24,8 @@
 
 class Rumour(NamedTuple):
     """What is said of a member. A higher incarnation, which only the member itself makes, overrules a lower
-    one; of the same, left and dead overrule suspect, and suspect alive."""
+    one; of the same, left and dead overrule suspect, and suspect alive.
+    """
 
     who: Who
     incarnation: int
@@ -105,7 +106,8 @@
 
 class Look(Word, frozen=True, tag="look"):
     """Are you there? `view`: the number of the view in which whoever says a word stands; 0: in none. `hurry`:
-    somebody is missed, look at your own subjects now."""
+    somebody is missed, look at your own subjects now.
+    """
 
     view: int = 0
     hurry: bool = False
@@ -131,7 +133,8 @@
 
 class Report(ViewWord, frozen=True, tag="report"):
     """To the voters: all of my subjects that do not answer me, and for how long, seconds. My own name: I
-    leave."""
+    leave.
+    """
 
     silent: tuple[tuple[str, float], ...] = ()
 
--- a/wheatring/ops/capture/ring.py
+++ b/wheatring/ops/capture/ring.py
@@ -31,7 +31,8 @@
 
 class Ring:
     """`shared`: another process of this sidecar may be writing. Then this one begins a file of its own; the
-    older one ends its record when it would begin the next."""
+    older one ends its record when it would begin the next.
+    """
 
     def __init__(
         self, folder: str, name: str, files: int, size: int, clock: Clock, shared: bool = False
--- a/wheatring/peers/begin.py
+++ b/wheatring/peers/begin.py
@@ -32,7 +32,8 @@
     weigh: Callable[[str, Mapping[str, int]], None] | None = None,
 ) -> tuple[Part, Listing | None]:
     """Not in the fleet yet: that is `Part.begin`. `on_view` is whom a list is told that others watch, if that
-    is a duty; `weigh` whoever goes by a route's weights. FileError where the key file can't be used."""
+    is a duty; `weigh` whoever goes by a route's weights. FileError where the key file can't be used.
+    """
     fleet = said.fleet
     assert fleet is not None
     settings = told.settings
@@ -90,7 +91,8 @@
 
 def reload(part: Part, said: file.File) -> None:
     """Put into effect what may change while it runs: the voters and the keys; or nothing of it. RestartOnly,
-    VotersKept; KeysError where the key file can't be used."""
+    VotersKept; KeysError where the key file can't be used.
+    """
     fleet = said.fleet
     if fleet is None:
         raise config.RestartOnly("fleet: is left by a restart only")
@@ -133,7 +135,8 @@
 
 class Duties(NamedTuple):
     """What the operators' calls ask of duties. `turn` gives the seconds to wait for a turn to be out of
-    service; 0: it has one, or none is needed."""
+    service; 0: it has one, or none is needed.
+    """
 
     seen: Callable[[], dict[str, Any]]
     release: Callable[[str], bool | None]
--- a/wheatring/peers/listing.py
+++ b/wheatring/peers/listing.py
@@ -96,7 +96,8 @@
 
     def look(self) -> None:
         """See to it that it watches if it is to, and does not if not. What was written by now on a watch
-        that is out still counts."""
+        that is out still counts.
+        """
         if self.over or self.machine_list is None:
             return
         self.timer = self.clock.at(self.clock.now() + LOOK, self.look)
--- a/wheatring/peers/part.py
+++ b/wheatring/peers/part.py
@@ -38,7 +38,8 @@
 
 class Part:
     """`works` carry out duties, by their names. `listen` is the socket's address, `me` what others reach it
-    by. `view`: it stands in agreed views; `plan`: it goes by the fleet's plan too."""
+    by. `view`: it stands in agreed views; `plan`: it goes by the fleet's plan too.
+    """
 
     def __init__(
         self,
@@ -102,7 +103,8 @@
 
     def begin(self) -> None:
         """Have the port, and be a member from then on. While another process has it, name and vote are that
-        one's: two at a time would be two voters of one name that know nothing of each other."""
+        one's: two at a time would be two voters of one name that know nothing of each other.
+        """
         from twisted.internet.error import CannotListenError
 
         if self.over:
@@ -183,7 +185,8 @@
 
     def say(self, out: list[Out]) -> None:
         """Send what is to be said, carry out what has changed, and see to the next thing due. What it says
-        to itself takes no socket."""
+        to itself takes no socket.
+        """
         fleet = self.fleet
         assert fleet is not None
         own = (self.me.host, self.me.port)
--- a/wheatring/peers/planned.py
+++ b/wheatring/peers/planned.py
@@ -34,7 +34,8 @@
 class Planned:
     """A piece: it wakes for the edges. `weigh` is called with each route's weights as they come into force,
     `tell` with what is to be logged. `formats`: those that this sidecar is held to; None: all it knows.
-    `first`: a plan that it offers, if it votes, where the fleet has none yet; b"": none."""
+    `first`: a plan that it offers, if it votes, where the fleet has none yet; b"": none.
+    """
 
     hears: tuple[type, ...] = ()
 
@@ -104,7 +105,8 @@
 
     def confirmed(self, now: float) -> float:
         """Seconds since the plan that it has surely was the newest; infinite where there is a newer one, or
-        it is not known."""
+        it is not known.
+        """
         register = self.plans.register
         if register.have != register.chosen or self.views.stamp.plan > register.have.number:
             return inf
@@ -135,7 +137,8 @@
 
     def _unfit(self, at: Instant) -> list[Out]:
         """One that can't read what is settled lets nobody in: it leaves the lead to another voter that stands
-        in the view, if there is one."""
+        in the view, if there is one.
+        """
         if self.fleet.duties[LEAD].act(at.boot) is None or not self.skew.own():
             return []
         voters = {*self.fleet.voters.all}
--- a/wheatring/peers/seal.py
+++ b/wheatring/peers/seal.py
@@ -68,7 +68,8 @@
 
 class Seal:
     """For one process of one fleet. The first key seals, any of them opens; none: datagrams are not sealed,
-    and sealed ones not taken. `words` are the types of words that are known."""
+    and sealed ones not taken. `words` are the types of words that are known.
+    """
 
     def __init__(
         self, fleet: str, name: str, start: int, keys: Sequence[bytes], words: Any = AnyWord
--- a/wheatring/placement/placement.py
+++ b/wheatring/placement/placement.py
@@ -2,7 +2,8 @@
 
 Members are ranked for each key by rendezvous hashing, taken from different zones first, so a change of the
 members moves only the keys of those that came or went. While a placement has a `next` set, writes and reads
-that find nothing need quorums of both sets."""
+that find nothing need quorums of both sets.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +27,8 @@
     """For so many members, where `losses` of them may be gone at one time.
 
     A write stands on `losses + 1` disks. A read that finds nothing overlaps with every write that was
-    acknowledged."""
+    acknowledged.
+    """
     copies = min(members, 2 * losses + 1)
     write = losses + 1
     return Quorums(copies=copies, write=write, read=max(1, copies - write + 1))
@@ -69,7 +71,8 @@
 class KeyPlacement:
     """Who holds one key. While a change is under way there are two groups, and what is written or said to be
     absent needs a quorum of each: a write under the placement after the change reaches members of the next
-    set only, and a reader that has not heard of that placement yet must not overlook it."""
+    set only, and a reader that has not heard of that placement yet must not overlook it.
+    """
 
     members: tuple[StorageMember, ...]
     groups: tuple[Group, ...]
--- a/wheatring/plan/judge.py
+++ b/wheatring/plan/judge.py
@@ -23,7 +23,8 @@
 
 class Reason(NamedTuple):
     """Why a plan is refused or not settled yet: which member ("": the plan itself), the code of an error,
-    what is the matter, and what would do."""
+    what is the matter, and what would do.
+    """
 
     member: str
     code: str
@@ -41,7 +42,8 @@
 
 class Judge(Protocol):
     """Leads the survey and the trial of one plan at a time, at the sidecar that leads. What it says to the
-    members goes out with its own ticks and words: it is a piece of the fleet besides."""
+    members goes out with its own ticks and words: it is a piece of the fleet besides.
+    """
 
     def begin(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
         """Judge these bytes anew."""
--- a/wheatring/plan/lead.py
+++ b/wheatring/plan/lead.py
@@ -184,7 +184,8 @@
 
     def _kept(self, push: Push) -> list[Out]:
         """The voters keep it, and the register does not say so: somebody has told meanwhile of a plan of a
-        higher number, which all the voters had forgotten. Both are settled, and all go by the higher."""
+        higher number, which all the voters had forgotten. Both are settled, and all go by the higher.
+        """
         over = self.register.ready and self.register.chosen.number > push.number
         return self._over(SETTLED) if over else []
 
@@ -257,7 +258,8 @@
 
     def _spread(self, at: Instant, push: Push) -> list[Out]:
         """Ask those that do not hold it to fetch it. Not all at once: the leader gives the first of them the
-        body, and these the others."""
+        body, and these the others.
+        """
         assert self.epoch is not None
         out: list[Out] = []
         room = ceil(len(push.view.members) / STEPS)
--- a/wheatring/plan/messages.py
+++ b/wheatring/plan/messages.py
@@ -37,7 +37,8 @@
 class Offer(PlanWord, frozen=True, tag="plan-offer"):
     """To the leader, until it is answered: take this plan. `id` is the push's, `size` the body's in bytes,
     `base` the number of the plan that was settled, as far as was known where it is offered. `epoch`: of the
-    leader that it is for, so that a word that is late begins nothing at the next one."""
+    leader that it is for, so that a word that is late begins nothing at the next one.
+    """
 
     epoch: int
     id: int
@@ -47,7 +48,8 @@
 
 class Pushed(PlanWord, frozen=True, tag="plan-pushed"):
     """From the leader: how far the push is. `number`: of the entry, once it is settled. `asked` members of
-    `of` hold it. `more` reasons had no room."""
+    `of` hold it. `more` reasons had no room.
+    """
 
     epoch: int
     id: int
--- a/wheatring/plan/push.py
+++ b/wheatring/plan/push.py
@@ -85,7 +85,8 @@
 
 class Plans:
     """A piece, and beside it its `register`, another. `taken` is called with each plan that it goes by from
-    then on: newer than the one before, whole. `lead.judge` may be put in before the first tick."""
+    then on: newer than the one before, whole. `lead.judge` may be put in before the first tick.
+    """
 
     hears = get_args(PushWord)
 
@@ -110,7 +111,8 @@
 
     def offer(self, at: Instant, body: bytes) -> int:
         """Push a plan: its number among the pushes, for `pushes`. It goes out with the next tick, which is
-        due at once. Raises Told where it is refused right here."""
+        due at once. Raises Told where it is refused right here.
+        """
         if len(body) > LARGEST:
             raise PlanTooLarge(f"{len(body)} bytes, {LARGEST} at most")
         plan = read(body)
@@ -184,7 +186,8 @@
 
     def _met(self) -> list[Who] | None:
         """Whom a voter that has started asks for what it has forgotten. Voters that start together hold only
-        each other for there at first; that they have a view again, they have from the others."""
+        each other for there at first; that they have a view again, they have from the others.
+        """
         view = self.views.view
         return [placed.who for placed in view.members] if view.number else None
 
--- a/wheatring/plan/read.py
+++ b/wheatring/plan/read.py
@@ -63,7 +63,8 @@
 
 def read(body: bytes) -> Plan:
     """The document that a body (JSON, UTF-8) spells. Raises PlanTooLarge, PlanUnreadable, PlanFormatUnknown
-    or PlanFormatTooLow."""
+    or PlanFormatTooLow.
+    """
     if len(body) > LARGEST:
         raise PlanTooLarge(f"{len(body)} bytes, {LARGEST} at most")
     try:
@@ -162,7 +163,8 @@
 
 def compiled(plan: Plan) -> Compiled:
     """What a plan means. Raises PlanUnreadable, PlanWeightsEmpty, PlanRoutesClash, PlanWindowsClash,
-    PlanWindowUnknownRoute or PlanWindowUnknownPool for what cannot stand together."""
+    PlanWindowUnknownRoute or PlanWindowUnknownPool for what cannot stand together.
+    """
     routes: dict[str, Route] = {}
     for number, said in enumerate(plan.routes):
         if said.name in routes:
--- a/wheatring/plan/words.py
+++ b/wheatring/plan/words.py
@@ -62,7 +62,8 @@
     """Format 2. `start` is local time in `zone`, `YYYY-MM-DDTHH:MM:SS`; `length` seconds; `rrule` as RFC 5545
     spells it, "" for once; `except_` starts that are left out. Of those open at the same instant the
     highest priority counts. `when_cut`: whether one that is cut off goes by its timetable, or enters only
-    windows that were confirmed within the lease before."""
+    windows that were confirmed within the lease before.
+    """
 
     name: _Name
     route: _Name
@@ -79,7 +80,8 @@
 
 class Trial(Part, frozen=True, kw_only=True):
     """A request whose way every sidecar has to find alike before the plan is settled. `at`: an instant, Unix
-    seconds, at which it is asked; None: outside all windows."""
+    seconds, at which it is asked; None: outside all windows.
+    """
 
     method: _Text = "GET"
     target: _Text
--- a/wheatring/pool.py
+++ b/wheatring/pool.py
@@ -24,7 +24,8 @@
 
 class ServingPool:
     """`seed` is the decision module's; the list's timetables draw from seeds that begin with its text. `most`
-    is how many connections to nodes it may hold; `room` is what bodies may take, over all pools."""
+    is how many connections to nodes it may hold; `room` is what bodies may take, over all pools.
+    """
 
     __slots__ = ("asking", "balancer", "clock", "driver", "freshness", "machine_list", "pool", "reactor")
 
--- a/wheatring/pools/selection.py
+++ b/wheatring/pools/selection.py
@@ -31,7 +31,8 @@
 
     def of(self, view: View) -> View:
         """What the pool is told of news of the list. Each is passed on, though it be empty: that there was
-        an answer, or none, is news too."""
+        an answer, or none, is news too.
+        """
         if view.kind is ViewKind.FAILED:
             return view
         if view.kind is not ViewKind.DELTA:
--- a/wheatring/pools/serve.py
+++ b/wheatring/pools/serve.py
@@ -64,7 +64,8 @@
 
 class Pools:
     """`home` is the plain pool, which keeps the one list and is sent no jobs; `claims` how many connections
-    to nodes all pools may hold; `where` the file's name, for errors."""
+    to nodes all pools may hold; `where` the file's name, for errors.
+    """
 
     def __init__(
         self,
@@ -140,7 +141,8 @@
 
     def change_weights(self, name: str, weights: Mapping[str, int]) -> None:
         """Go by these weights of a route from its next request on, until they are changed again or a file is
-        put in force. UnknownRoute, UnknownPool, BadWeights: nothing is changed."""
+        put in force. UnknownRoute, UnknownPool, BadWeights: nothing is changed.
+        """
         way = self.ways.get(name)
         if way is None:
             raise UnknownRoute(f"no route {name!r} is in force")
--- a/wheatring/pools/shares.py
+++ b/wheatring/pools/shares.py
@@ -42,7 +42,8 @@
 
     def retire(self, pool: SharedPool) -> bool:
         """Have the connection closed that stood idle longest, of the pool itself and of those that hold more
-        than is their own. False: there is none."""
+        than is their own. False: there is none.
+        """
         found = None
         for each in self.least:
             if each is not pool and (count := each.places_held()).held <= count.least:
@@ -67,7 +68,8 @@
 
     def places_held(self) -> Held:
         """One that has been told to close gives its place already: it is gone within this turn or the next,
-        and counted it would have two more closed in its stead."""
+        and counted it would have two more closed in its stead.
+        """
         held = len(self.connections) - len(self.retired) + len(self.dials)
         return Held(held, self.places.least[self])
 
--- a/wheatring/routes/adaptive.py
+++ b/wheatring/routes/adaptive.py
@@ -81,7 +81,8 @@
 
     def gave_up(self, now: float, waited: float, out: int) -> None:
         """A job has ended without an answer: had there been one, it would have taken longer than that. Guards
-        against windows in which only the quick ones count."""
+        against windows in which only the quick ones count.
+        """
         if waited > self.base > 0.0:
             self._sample(now, waited, out, 1)
 
@@ -140,7 +141,8 @@
 
     def _lost_most(self, now: float, usual: float) -> None:
         """Few of a window got an answer. What they waited for may be work that nobody wants any more, of
-        which no limit knows: fewer, until it is done. Nothing is learnt of the base."""
+        which no limit knows: fewer, until it is done. Nothing is learnt of the base.
+        """
         if self.probing and self.limit == self.law.floor:
             self._end(now, self.size)
         elif self.probing:
--- a/wheatring/routes/callers.py
+++ b/wheatring/routes/callers.py
@@ -25,7 +25,8 @@
 
 class Caller:
     """`asks` and `takes` are counts that fade with time, as of `at`, when it last asked; `out` jobs are in
-    flight, exactly."""
+    flight, exactly.
+    """
 
     __slots__ = ("asks", "at", "full", "jobs", "known", "name", "out", "since", "takes", "turn", "weight")
 
@@ -51,7 +52,8 @@
 
 class Callers:
     """At most `table.known + table.strangers` entries, of which strangers have what the known don't take, and
-    two that stand for many."""
+    two that stand for many.
+    """
 
     __slots__ = (
         "_level", "_level_at", "_mean", "all", "known", "over", "rest", "strangers", "table",
@@ -122,7 +124,8 @@
 
     def over_share(self, caller: Caller, now: float) -> bool:
         """It asks for more than its fair share, and is ahead of it: the most that all who want more could
-        have alike, for their weight. A stranger is so as well if all strangers together are."""
+        have alike, for their weight. A stranger is so as well if all strangers together are.
+        """
         if now >= self._level_at:
             self._level_at = now + LEVEL_EVERY
             self._level = self._reckon(now)
@@ -135,7 +138,8 @@
 
     def above_others(self, caller: Caller) -> bool:
         """It asks for more than its fair share, and has had more than the mean of those who do so: what it
-        leaves, others take. To be asked after `over_share`, in the same instant."""
+        leaves, others take. To be asked after `over_share`, in the same instant.
+        """
         if not caller.known:
             caller = self.unknown
         share = caller.weight * self._level
@@ -147,7 +151,8 @@
 
     def _served(self, caller: Caller, now: float) -> None:
         """A share's worth of time goes by for each job: a caller's turn runs ahead of the time if it has
-        more. What it had more is held against it for as long as use is measured, no longer."""
+        more. What it had more is held against it for as long as use is measured, no longer.
+        """
         share = caller.weight * self._level
         if share < inf:
             turn = caller.turn if caller.turn > now else now
--- a/wheatring/routes/gates.py
+++ b/wheatring/routes/gates.py
@@ -114,7 +114,8 @@
 
 class Pool(Gate):
     """A pool's limits and what counts for them. `claims` is the sum of what each job holds in attempts: those
-    it has in flight, one at least until it is over."""
+    it has in flight, one at least until it is over.
+    """
 
     __slots__ = ("_at", "_comers", "_taken", "claims", "knee", "other", "pool", "random", "standings")
 
@@ -210,7 +211,8 @@
 
     def advice(self, least: float, comers: float, taken: float) -> float:
         """A Retry-After of `least` or more, drawn so that those turned away come back spread over the time in
-        which so many are taken."""
+        which so many are taken.
+        """
         told = self.pool.advice
         low = max(told.least, min(least, 0.5 * told.most))
         spread = FLOW * (comers - taken) / max(1.0, taken)
--- a/wheatring/routes/limits.py
+++ b/wheatring/routes/limits.py
@@ -28,7 +28,8 @@
 
 class Refusal:
     """Turned away: 429 for what the caller has too much of, 503 for what there is too little of. `why` is a
-    reason code, `retry_after` seconds."""
+    reason code, `retry_after` seconds.
+    """
 
     __slots__ = ("retry_after", "status", "why")
 
@@ -58,7 +59,8 @@
 
     def claim(self, now: float) -> bool:
         """Whether one more attempt may go out now. True: it counts from here on, to `claim_ended`. A job that
-        is not over and has none in flight may always send one."""
+        is not over and has none in flight may always send one.
+        """
         pool = self._pool
         if self._over:
             return False
--- a/wheatring/routes/table.py
+++ b/wheatring/routes/table.py
@@ -60,7 +60,8 @@
 
 class _Leaf:
     """The routes of one host and path. Where they are many, those that want a header's whole value are found
-    by it, each under the rarest value that it wants."""
+    by it, each under the rarest value that it wants.
+    """
 
     __slots__ = ("by_value", "walked")
 
--- a/wheatring/routes/tiers.py
+++ b/wheatring/routes/tiers.py
@@ -40,7 +40,8 @@
 
 class Tier:
     """`short`: it hands part of its load on. `since`: from when on it has been on the far side of the bound
-    that would change this; inf while it is not."""
+    that would change this; inf while it is not.
+    """
 
     __slots__ = ("capacity", "credit", "seen", "share", "short", "since")
 
--- a/wheatring/routes/values.py
+++ b/wheatring/routes/values.py
@@ -45,7 +45,8 @@
 class Table:
     """How many callers are kept apart. Who comes new is among the strangers at first, and is known once it
     has been there for `prove` and has had two jobs taken. Who is known stays so until idle for `keep`.
-    Strangers have `strangers` places, and those of `known` that nobody holds."""
+    Strangers have `strangers` places, and those of `known` that nobody holds.
+    """
 
     known: int = 1000
     strangers: int = 250
@@ -62,7 +63,8 @@
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
     """What one caller may have. A caller that found no place of its own in the table shares one of these with
-    all others of its kind."""
+    all others of its kind.
+    """
 
     in_flight: int = 0
     rate: Rate | None = None
@@ -82,7 +84,8 @@
 @dataclass(frozen=True, slots=True)
 class Shares:
     """Fair shares between callers. Once a pool is full but for the part `room`, only callers under their
-    share are taken. All strangers together have the weight `strangers`."""
+    share are taken. All strangers together have the weight `strangers`.
+    """
 
     over: float = 1.0  # use is measured over about so long
     room: float = 0.4
@@ -100,7 +103,8 @@
 @dataclass(frozen=True, slots=True)
 class Worth:
     """A class's standing in its pool. It is taken while the pool is filled to less than the part `fill`, and
-    in any case while it has less than the part `floor` itself: whole places, rounded down."""
+    in any case while it has less than the part `floor` itself: whole places, rounded down.
+    """
 
     name: str
     fill: float = 1.0
@@ -116,7 +120,8 @@
 @dataclass(frozen=True, slots=True)
 class Adaptive:
     """A limit on jobs in flight that follows the knee: it falls while jobs take longer than `tolerance` times
-    what they take without a queue, and else grows by the part `step` while it is in play."""
+    what they take without a queue, and else grows by the part `step` while it is in play.
+    """
 
     floor: int = 4
     ceiling: int = 1000
@@ -139,7 +144,8 @@
 @dataclass(frozen=True, slots=True)
 class Claims:
     """Attempts in flight at a pool. Each job has one place for sure; `reserve` of them are kept from new
-    jobs, for second copies and for repeats beside an attempt that is not over."""
+    jobs, for second copies and for repeats beside an attempt that is not over.
+    """
 
     most: int
     reserve: int = 0
@@ -204,7 +210,8 @@
 @dataclass(frozen=True, slots=True)
 class TierLaw:
     """When a tier of a pool hands part of its load on. It falls short once less than the part `enough` of it
-    has been ready for `fall_after`, and is whole again once `back` or more has been for `rise_after`."""
+    has been ready for `fall_after`, and is whole again once `back` or more has been for `rise_after`.
+    """
 
     enough: float = 0.7
     back: float = 0.85
--- a/wheatring/schedule/edges.py
+++ b/wheatring/schedule/edges.py
@@ -70,13 +70,15 @@
 
     def settle(self, now: float, number: int, table: Timetable, since: float | None) -> None:
         """A plan was settled: at `since` by the fleet's time, as all know it (Unix seconds). None: that is
-        not told, and it counts from the next look with a sure time. One that is not newer is none."""
+        not told, and it counts from the next look with a sure time. One that is not newer is none.
+        """
         if number > max([self.plan, *(one.number for one in self.queue)]):
             self.queue.append(_Settled(number, table, since, now))
 
     def look(self, now: float, time: Reading, age: float) -> Look:
         """`age`: seconds since the newest plan that this sidecar has surely was the newest; infinite: never,
-        or there is a newer one."""
+        or there is a newer one.
+        """
         lines: list[Line] = []
         self._switch(now, time, lines)
         wanted = self._wanted(now, time, age, lines)
--- a/wheatring/schedule/fleet_time.py
+++ b/wheatring/schedule/fleet_time.py
@@ -77,7 +77,8 @@
 
 def agreed(spans: dict[str, Span], voters: Voters) -> tuple[float, float] | None:
     """From the first to the last instant that lies within the spans of a majority, or None: no majority
-    meets. While voters are being changed, of a majority of both."""
+    meets. While voters are being changed, of a majority of both.
+    """
     ends = sorted({end for span in spans.values() for end in (span.low, span.high)})
     held = [
         end
@@ -211,7 +212,8 @@
 
     def _resumed(self, at: Instant) -> None:
         """The monotonic clock stands while a machine is suspended. What was asked before is answered as if it
-        had taken no time, so it counts no more."""
+        had taken no time, so it counts no more.
+        """
         by = at.boot - at.now - self.suspended
         if by <= JUMP:
             return
--- a/wheatring/schedule/rules.py
+++ b/wheatring/schedule/rules.py
@@ -56,7 +56,8 @@
 
 class Rule(NamedTuple):
     """`parts`: what `rrule` is made with. `times`: its COUNT. `until`: Unix seconds. `a_day`: openings in one
-    day at most."""
+    day at most.
+    """
 
     frequency: str
     parts: dict[str, Any]
@@ -68,7 +69,8 @@
     def walk(self, start: datetime, after: datetime, before: datetime) -> Iterator[datetime]:
         """Local times that the rule names, from a `start` on: all that are after `after`, and maybe some
         before. A `start` that the rule does not name itself is none of them. Raises `Searched` once as many
-        days were looked at as there are up to `before` and some; a year is looked at whole."""
+        days were looked at as there are up to `before` and some; a year is looked at whole.
+        """
         if self.times is None and after > start:
             start = self._nearer(start, after)
         made = rrule(
@@ -87,7 +89,8 @@
         """A start that is later by whole intervals, so that what is long past is not walked through. What
         `rrule` takes from the start (month, day, weekday, time) stays the same but for the hour of an hourly
         rule, which is none of it. One interval is kept before, as positions in the week of the start itself
-        are counted from the start."""
+        are counted from the start.
+        """
         unit = {"WEEKLY": 7 * 24, "DAILY": 24, "HOURLY": 1}.get(self.frequency)
         if unit is not None:
             whole = timedelta(hours=unit * self.interval)
--- a/wheatring/schedule/timetable.py
+++ b/wheatring/schedule/timetable.py
@@ -49,7 +49,8 @@
 def blend(below: Mapping[str, int], above: Mapping[str, int], part: int, of: int) -> Weights:
     """`part` of `of` of all goes by `above`, the rest by `below`, whatever numbers either is written in.
     Exact in the smallest whole numbers, or to the millionth where these were larger; the largest remainders
-    are rounded up, the first by name of equal ones."""
+    are rounded up, the first by name of equal ones.
+    """
     one, other = sum(below.values()), sum(above.values())
     names = [*below, *(name for name in above if name not in below)]
     mixed = [below.get(n, 0) * other * (of - part) + above.get(n, 0) * one * part for n in names]
@@ -80,7 +81,8 @@
 
     def weights(self, route: str, at: float, without: frozenset[tuple[str, float]] = frozenset()) -> Weights:
         """Weights by pool at an instant, Unix seconds. `without`: openings, by window and instant, as if they
-        were not there. KeyError: there is no such route."""
+        were not there. KeyError: there is no such route.
+        """
         if route not in self.routes:
             return self.base[route]
         step = self.step(route, at)
@@ -91,14 +93,16 @@
 
     def step(self, route: str, at: float) -> Step:
         """The step that an instant is in. A day begins one anew, so `at` of it may be a day's begin. Only of
-        a route that has windows."""
+        a route that has windows.
+        """
         instant = _micro(at)
         starts, steps = self._day(instant // DAY)[route]
         return steps[bisect_right(starts, instant) - 1]
 
     def edges(self, after: float, before: float) -> Iterator[Step]:
         """All changes of weights after `after` and before `before`, Unix seconds, in order, and by the names
-        of routes where they are at one instant."""
+        of routes where they are at one instant.
+        """
         first, last = _micro(after), _micro(before)
         was = {route: self.step(route, after).weights for route in self.routes}
         for day in range(first // DAY, (last - 1) // DAY + 1):
@@ -119,7 +123,8 @@
 
     def next_mark(self, at: float) -> float:
         """The next instant after `at` at which anything may change, also what lies below an open window: when
-        whoever leaves a window out has to look again. A day's begin at the latest."""
+        whoever leaves a window out has to look again. A day's begin at the latest.
+        """
         instant = _micro(at)
         day = instant // DAY
         marks = [(day + 1) * DAY]
--- a/wheatring/schedule/windows.py
+++ b/wheatring/schedule/windows.py
@@ -72,7 +72,8 @@
 
     def named(self, after: float, before: float) -> Iterator[tuple[int, datetime]]:
         """Instants and local times that the rule names with an instant from `after` to just before `before`,
-        Unix seconds; those that are left out are among them. In the order of local times."""
+        Unix seconds; those that are left out are among them. In the order of local times.
+        """
         since = local(max(after, 0.0), self.zone) - GAP
         until = local(max(before, 0.0), self.zone) + GAP
         for found in self._locals(since, until):
@@ -120,7 +121,8 @@
 
     def within(self, after: float, before: float) -> list[Opening]:
         """As `openings`, out of blocks that are kept. Where they begin differs from window to window, so that
-        not all of a plan's windows are worked out anew on one day."""
+        not all of a plan's windows are worked out anew on one day.
+        """
         found: list[Opening] = []
         shift = crc32(self.plan.name.encode()) % BLOCK
         for block in range((int(after) + shift) // BLOCK, (int(before) + shift) // BLOCK + 1):
--- a/wheatring/schedule/zones.py
+++ b/wheatring/schedule/zones.py
@@ -31,7 +31,8 @@
 
 def instant(local: datetime, of: ZoneInfo) -> int:
     """The Unix second of a local time. One that a clock change repeats is the first of the two, one that it
-    skips is read with the offset before the gap (RFC 5545, 3.3.5): so says `fold` 0 (PEP 495)."""
+    skips is read with the offset before the gap (RFC 5545, 3.3.5): so says `fold` 0 (PEP 495).
+    """
     offset = local.replace(tzinfo=of, fold=0).utcoffset()
     assert offset is not None
     return round((local - EPOCH - offset).total_seconds())
--- a/wheatring/serving.py
+++ b/wheatring/serving.py
@@ -15,7 +15,8 @@
 
 def serve(file: str | None, capture: bool, own: str | None = None) -> int:
     """Serve until told to stop; `file` is the operators', `own` the project's. The exit status: 2 where it
-    could not start."""
+    could not start.
+    """
     gc.disable()  # nearly all that a start makes stays, and many may start on one machine at once
     try:
         sidecar = started(file, capture, own)
--- a/wheatring/settings/process.py
+++ b/wheatring/settings/process.py
@@ -1,7 +1,8 @@
 """The settings file of one process of the tier, named by the environment, read whole and checked.
 
 Fields that are not known are skipped. A value that is missing or of the wrong kind is one line that names the
-file and the key."""
+file and the key.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/sidecar/client_connection.py
+++ b/wheatring/sidecar/client_connection.py
@@ -71,7 +71,8 @@
 
     def eof_received(self) -> bool:
         """The client has closed: nobody waits for an answer any more, and what is under way ends. A client
-        that closes one half only is not known to the operators' pages, and rule GONE counts what runs on."""
+        that closes one half only is not known to the operators' pages, and rule GONE counts what runs on.
+        """
         if self._task is not None:
             self._task.cancel()
         return False
--- a/wheatring/sidecar/decisions.py
+++ b/wheatring/sidecar/decisions.py
@@ -3,7 +3,8 @@
 
 The retry policy is the module's own (gRFC A6). What the tier adds: the attempt limit of the route, admission
 by the places that endpoints say they have, and, for endpoints that run a model, the prefix that they have
-cached."""
+cached.
+"""
 
 from __future__ import annotations
 
@@ -69,7 +70,8 @@
 
     def judge(self, now: float, endpoint: Endpoint, outcome: i.Outcome) -> None:
         """Only failures have an endpoint left alone. How long an answer takes follows from its length here,
-        and counts in the burden alone."""
+        and counts in the burden alone.
+        """
         slow, endpoint.slow = endpoint.slow, 0.0
         super().judge(now, endpoint, outcome)
         if endpoint.heard:
@@ -90,7 +92,8 @@
 
     def pick(self, now: float, request: Request) -> tuple[Endpoint | None, list[Endpoint]]:
         """The lighter of a few, to which those are added that hold the longest part of the prompt, and the
-        one where its line is at home."""
+        one where its line is at home.
+        """
         best, drawn = super().pick(now, request)
         parts = self.parts.get(request.ident)
         if best is None or not parts or len(self.ready) < 2:
@@ -211,7 +214,8 @@
     def head_time(self, route: Route) -> float:
         """Seconds after which a stream that can be resumed is tried elsewhere, if nothing has come of it.
 
-        Without end where a retry would not be granted, or too little is known of what is usual."""
+        Without end where a retry would not be granted, or too little is known of what is usual.
+        """
         heads = self._heads
         granted = self.balancer.tokens > MAX_TOKENS / 2
         if not self.balancer.policy.head_patience or heads.count < KNOWN_ANSWERS or not granted:
--- a/wheatring/sidecar/forwarder.py
+++ b/wheatring/sidecar/forwarder.py
@@ -97,7 +97,8 @@
 
     async def next_answer(self) -> Answer:
         """The head of an answer that is no failure. Raises Rejected where there will be none; `failure` then
-        holds the endpoint's own words, if it had any."""
+        holds the endpoint's own words, if it had any.
+        """
         while True:
             step = await self._next_step()
             if isinstance(step, i.Send):
--- a/wheatring/sidecar/policy.py
+++ b/wheatring/sidecar/policy.py
@@ -1,7 +1,8 @@
 """The figures by which a sidecar decides, one field for each mechanism, with its default.
 
 A file may set other ones (`sidecar --policy FILE`, TOML, the names of the fields as keys), so that what a
-mechanism is worth can be measured without a change of the program."""
+mechanism is worth can be measured without a change of the program.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/sidecar/process.py
+++ b/wheatring/sidecar/process.py
@@ -1,5 +1,6 @@
 """The process of one sidecar: follows the control state, listens for clients, and says whether it is
-ready."""
+ready.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/sidecar/prompt_placement.py
+++ b/wheatring/sidecar/prompt_placement.py
@@ -7,7 +7,8 @@
 
 The first part of a prompt is shared by many lines. The second one belongs to a line; prompts of sub-agents
 begin with it and add a part of their own. Sub-agents begin many at once, so they are spread over the first
-few endpoints in their parent's order."""
+few endpoints in their parent's order.
+"""
 
 from __future__ import annotations
 
@@ -35,7 +36,8 @@
 def home_of(parts: Sequence[PromptPart], endpoints: Collection[str], spread: int) -> str | None:
     """The endpoint at which a prompt's line is at home; None where there is no line or no endpoint.
 
-    `spread` is over how many endpoints the sub-agents of a line are spread."""
+    `spread` is over how many endpoints the sub-agents of a line are spread.
+    """
     if len(parts) <= LINE_PART or not endpoints:
         return None
     line = parts[LINE_PART].ident
@@ -68,7 +70,8 @@
 
     def missing(self, now: float, endpoint: str, parts: Sequence[PromptPart]) -> int:
         """Tokens of a prompt that an endpoint would have to read: those behind the first part that it does
-        not hold."""
+        not hold.
+        """
         tokens = sum(part.tokens for part in parts)
         for part in parts:
             read_at = self._read_at.get(part.ident, {}).get(endpoint)
--- a/wheatring/sidecar/routes.py
+++ b/wheatring/sidecar/routes.py
@@ -123,7 +123,8 @@
 
 class EvenSpread:
     """Places between 0 and 1 that are spread evenly however many of them are taken (multiples of the golden
-    ratio), so that each part of a split gets its share of few requests too."""
+    ratio), so that each part of a split gets its share of few requests too.
+    """
 
     STEP = (5**0.5 - 1) / 2
 
--- a/wheatring/sidecar/service.py
+++ b/wheatring/sidecar/service.py
@@ -1,5 +1,6 @@
 """Serves one request of a client: its route, its turn and budget where it has them, and the way to an
-endpoint."""
+endpoint.
+"""
 
 from __future__ import annotations
 
@@ -169,7 +170,8 @@
 
     async def _pass_on(self, client: ClientConnection, forwarding: Forwarding, answer: Answer) -> bool:
         """Pass a plain answer on once it is whole, or in pieces where it is large. Raises AttemptFailed where
-        it has broken off before anything of it was passed on."""
+        it has broken off before anything of it was passed on.
+        """
         message = answer.message
         body = message.body
         whole = not message.open
@@ -302,7 +304,8 @@
         self, request: OutgoingRequest, forwarding: Forwarding, answer: Answer, failed: AttemptFailed
     ) -> None:
         """A stream has broken off: go on elsewhere where the route allows it. Raises AttemptFailed
-        otherwise."""
+        otherwise.
+        """
         forwarding.failed(answer.endpoint, answer.begun, failed)
         if not request.route.resumable:
             raise failed
--- a/wheatring/sidecar/upstream.py
+++ b/wheatring/sidecar/upstream.py
@@ -2,7 +2,8 @@
 
 An answer is told by the id of its request, which every answer carries: one that answers another request is
 read to its end and dropped, and one without an id is no answer to anybody. What a connection cannot be sure
-of ends it."""
+of ends it.
+"""
 
 from __future__ import annotations
 
@@ -120,7 +121,8 @@
 
     async def more(self, message: Message) -> tuple[bytes, bool]:
         """More of an open answer's body, and whether that was all. Raises AttemptFailed where it breaks
-        off."""
+        off.
+        """
         while True:
             try:
                 data, whole = self._reader.more()
--- a/wheatring/skew/floor.py
+++ b/wheatring/skew/floor.py
@@ -66,7 +66,8 @@
 
 def raise_to(format: int, floor: int, settled: Needs | None, known: Sequence[tuple[str, Abilities]]) -> bytes:
     """The body of the entry that moves the floor. `known`: what all members of the view can. Raises
-    FloorUnknown, FloorInUse, BelowFloor."""
+    FloorUnknown, FloorInUse, BelowFloor.
+    """
     if not OLDEST <= format <= NEWEST:
         raise FloorUnknown(f"floor {format}, this program knows formats {OLDEST} to {NEWEST}")
     if format < floor and settled is not None and settled.format > format:
@@ -101,7 +102,8 @@
 
     def abilities(self, now: float, placed: Placed) -> Abilities | None:
         """What that process can; None: it is asked first. One that does not answer for `OLD` seconds though
-        it goes on being asked about is held to be OLDER: it reads format 1."""
+        it goes on being asked about is held to be OLDER: it reads format 1.
+        """
         key = (placed.who.name, placed.start)
         if key in self.known:
             return self.known[key]
--- a/wheatring/skew/judge.py
+++ b/wheatring/skew/judge.py
@@ -35,7 +35,8 @@
 
 class Skew:
     """A `lease.fleet.Piece` and a `plan.judge.Judge`. `abilities` are its own (`needs.own_abilities`),
-    `compiles` reads and compiles a body, `view_still` and `plan_still` as above."""
+    `compiles` reads and compiles a body, `view_still` and `plan_still` as above.
+    """
 
     hears = (*get_args(SkewWord), Knock)
     leads: type[Push] = Push
@@ -144,7 +145,8 @@
 
     def floor_to(self, at: Instant, format: int, view: View) -> bytes:
         """The body of an entry that moves the floor, for the leader to put. Raises FloorNotLeading,
-        FloorUnknown, FloorInUse, BelowFloor; Unsurveyed while members are still being asked."""
+        FloorUnknown, FloorInUse, BelowFloor; Unsurveyed while members are still being asked.
+        """
         if not (self.view_still() and self.plan_still()):
             raise FloorNotLeading(f"floor {format} asked of {self.fleet.me.name}")
         pairs = [(placed, self.book.abilities(at.now, placed)) for placed in view.members]
--- a/wheatring/skew/needs.py
+++ b/wheatring/skew/needs.py
@@ -34,7 +34,8 @@
 
 class Needs(NamedTuple):
     """`format`: the least in which the same could be said; `written`: that in which it is. Counts of routes,
-    windows and expressions, bytes of the body. `rules`: what has to mean the same everywhere."""
+    windows and expressions, bytes of the body. `rules`: what has to mean the same everywhere.
+    """
 
     format: int = OLDEST
     written: int = OLDEST
@@ -146,7 +147,8 @@
     version: Callable[[str], str] = installed,
 ) -> Abilities:
     """What this program can, by what is installed. `formats` holds it back to these (`[plan] formats`, as a
-    canary's neighbour needs); None: all that it knows. Raises FormatsUnknown."""
+    canary's neighbour needs); None: all that it knows. Raises FormatsUnknown.
+    """
     known = range(OLDEST, NEWEST + 1)
     held = sorted({*known} if formats is None else {*formats})
     if not held or not {*held} <= {*known}:
--- a/wheatring/skew/trials.py
+++ b/wheatring/skew/trials.py
@@ -37,7 +37,8 @@
 
     def way(self, trial: Trial) -> str:
         """The route that a request finds and its weights at `trial.at`, or why it is turned away; for a
-        route that splits by customers also the pool. In one spelling for all."""
+        route that splits by customers also the pool. In one spelling for all.
+        """
 
     def weights(self, route: str, at: float) -> Mapping[str, int]:
         """Weights by pool, at an instant in Unix seconds."""
@@ -164,7 +165,8 @@
 
 def trials(plan: Plan, ruled: Ruled, day: int) -> Iterator[Asked]:
     """All trials of a plan in their order, 27,000 at most. `day`: the Unix day from which the calendar
-    is looked at."""
+    is looked at.
+    """
     for trial in plan.trials:
         yield Asked(trial)
     each = max(1, MOST_REQUESTS // max(1, len(plan.routes)))
--- a/wheatring/skew/words.py
+++ b/wheatring/skew/words.py
@@ -23,7 +23,8 @@
 class Abilities(Struct, frozen=True, array_like=True):
     """What one process can. `formats`: ranges that it reads, first and last. `routes`, `windows` and
     `expressions` are counts, `bytes` is of a whole body: the most that it takes. `versions`: of what gives
-    rules their meaning, (name, version), by name."""
+    rules their meaning, (name, version), by name.
+    """
 
     formats: tuple[tuple[int, int], ...] = ()
     features: frozenset[str] = frozenset()
@@ -46,7 +47,8 @@
 
 class Survey(Struct, frozen=True, array_like=True, tag_field="w", tag="survey"):
     """From the leader: what can you? `push` is drawn for each push, and 0 where somebody knocks. `digest` and
-    `size` (bytes) are those of the plan that it is about."""
+    `size` (bytes) are those of the plan that it is about.
+    """
 
     push: int
     digest: bytes = b""
@@ -63,7 +65,8 @@
 
 class Try(Struct, frozen=True, array_like=True, tag_field="w", tag="try"):
     """From the leader: have the body, compile it, and answer its trials. `day`: the Unix day from which on
-    the trials look at the calendar; the leader's, so that all ask the same."""
+    the trials look at the calendar; the leader's, so that all ask the same.
+    """
 
     push: int
     digest: bytes
--- a/wheatring/storage/quorum.py
+++ b/wheatring/storage/quorum.py
@@ -1,7 +1,8 @@
 """Reads and writes records by quorum, from a sidecar.
 
 The nearest members that are enough are asked first; others follow where those take long or fail. Every record
-may be written again without harm, so an exchange simply starts anew under a newer placement."""
+may be written again without harm, so an exchange simply starts anew under a newer placement.
+"""
 
 from __future__ import annotations
 
@@ -73,7 +74,8 @@
         adopt: Callable[[Placement], None],
     ) -> None:
         """`placement` gives the newest one that is known here, `adopt` takes a newer one that a member
-        told."""
+        told.
+        """
         self._clients = clients
         self._losses = losses
         self._zone = zone
@@ -101,7 +103,8 @@
         """A turn with those of its ancestors that its replicas hold; None where there certainly is no such
         turn.
 
-        Raises NotSure."""
+        Raises NotSure.
+        """
         request = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known=known)
 
         def found(replies: Replies) -> list[Turn]:
@@ -118,7 +121,8 @@
 
     def touch(self, turn_ids: Sequence[str], seconds_kept: float) -> None:
         """Have turns kept for longer on all members, without waiting for it. Only where members hold
-        different turns: else the members that hold the newest turn hold its ancestors too."""
+        different turns: else the members that hold the newest turn hold its ancestors too.
+        """
         placement = self._placement()
         if len(placement.current) <= 2 * self._losses + 1:
             return
@@ -166,7 +170,8 @@
         first: int,
     ) -> Replies | None:
         """The same under one placement; None where it has become stale or the members asked were not
-        enough."""
+        enough.
+        """
         loop = asyncio.get_running_loop()
         key_placement = place(key, placement, self._losses)
         order = self._ordered(key_placement.members, loop.time())
--- a/wheatring/storage/repair.py
+++ b/wheatring/storage/repair.py
@@ -2,7 +2,8 @@
 
 Nearly every record is held by several sources, and a turn is large beside its id. So sources list the turns
 that they hold, and each turn that is lacking is fetched from one of them, from the first to name it. One that
-is here already is kept for its full time again, since this replica may have missed that it was touched."""
+is here already is kept for its full time again, since this replica may have missed that it was touched.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +37,8 @@
 
     Where every current member is a replica of every key, those that lack an acknowledged write are fewer than
     a read quorum of the current set. They stay fewer than one of the next set if that is no smaller; else a
-    member that lacks a write could answer alone that it does not exist."""
+    member that lacks a write could answer alone that it does not exist.
+    """
     in_current = any(member.replica_id == identity and not member.lost for member in placement.current)
     now = quorums(len(placement.current), losses)
     following = quorums(len(placement.next), losses)
@@ -90,7 +92,8 @@
         """Fence older epochs, copy what is lacking, and note that this replica is whole.
 
         Every member of the next set fences itself, also one that lacks nothing: once that set is the current
-        one, nobody can read or write under the epoch before the change with its help."""
+        one, nobody can read or write under the epoch before the change with its help.
+        """
         epoch = placement.epoch
         await self._until_on_disk(lambda: self._replica.raise_fence(epoch))
         if not needs_no_copy(self._replica.identity, placement, self._losses):
@@ -150,7 +153,8 @@
         self, member: StorageMember, placement: Placement, lacking: set[str], fetching: set[str]
     ) -> None:
         """Have all of these turns here, those from this source that no other one is sending. A source that
-        fails leaves them to the others for a while."""
+        fails leaves them to the others for a while.
+        """
         table = self._replica.table
         seconds = FETCH_SECONDS
         while lacking:
--- a/wheatring/storage/replica.py
+++ b/wheatring/storage/replica.py
@@ -3,7 +3,8 @@
 
 The identity is drawn with the disk. A request for another identity, as one for a disk that was lost, is
 refused, and so is one under an epoch older than the newest that this replica has been shown (the fence, which
-is on disk before a scan under that epoch is answered). A write is answered after its sync."""
+is on disk before a scan under that epoch is answered). A write is answered after its sync.
+"""
 
 from __future__ import annotations
 
@@ -86,7 +87,8 @@
 
     async def _write(self, payloads: list[bytes]) -> None:
         """Sync records, and with them all that an earlier write has failed to. An empty batch waits behind
-        those under way. Raises DiskError."""
+        those under way. Raises DiskError.
+        """
         batch = self._unwritten + payloads
         self._unwritten = []
         try:
@@ -97,7 +99,8 @@
 
     def renew(self, turn_id: str) -> bool:
         """Another replica holds a turn: keep it here as long as one that comes now. Returns whether it is
-        here."""
+        here.
+        """
         return self.table.renew(turn_id, self._clock())
 
     async def raise_fence(self, epoch: int) -> None:
--- a/wheatring/storage/table.py
+++ b/wheatring/storage/table.py
@@ -2,7 +2,8 @@
 
 Turns never change. Of the entries for one turn of a program a settled one replaces a reserved one, and of two
 equal kinds the larger counts. Times are seconds on a steady clock; a replica that has restarted keeps
-everything for its full time again, because it cannot know how long it was down."""
+everything for its full time again, because it cannot know how long it was down.
+"""
 
 from __future__ import annotations
 
@@ -142,7 +143,8 @@
         self, after: int, limit_bytes: int, wanted: Callable[[Key], bool]
     ) -> tuple[list[bytes], int, bool]:
         """Records changed after a place in the order: the records, the place reached, whether that was
-        all."""
+        all.
+        """
         found: list[bytes] = []
         size = 0
         position = after
--- a/wheatring/subscription/client.py
+++ b/wheatring/subscription/client.py
@@ -1,7 +1,8 @@
 """The subscriber's side: stays connected to one controller that is in touch with the others.
 
 A controller that falls silent, or says that it has lost the quorum, is left for another one. Nothing older
-than what is held is ever applied, so a subscriber cannot go back within its life."""
+than what is held is ever applied, so a subscriber cannot go back within its life.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/subscription/server.py
+++ b/wheatring/subscription/server.py
@@ -1,5 +1,6 @@
 """The controller's side: tells each subscriber the committed state and the endpoint list, once for each
-change, and in between that it is alive and how long it has been without a quorum."""
+change, and in between that it is alive and how long it has been without a quorum.
+"""
 
 from __future__ import annotations
 
--- a/wheatring/tier/__main__.py
+++ b/wheatring/tier/__main__.py
@@ -79,7 +79,8 @@
 @click.option("--json", "as_json", is_flag=True, help="for the page's table")
 def scale(sidecars: str, turns: float, as_json: bool) -> None:
     """Measure how the cost of control grows: real controllers and storage beside hollow sidecars on
-    loopback."""
+    loopback.
+    """
     import asyncio
 
     from wheatring.lab.scale.run import measure, report
--- a/wheatring/tier/start.py
+++ b/wheatring/tier/start.py
@@ -9,7 +9,8 @@
 
 def main() -> None:
     """A single word that names a role runs it, a sidecar with `--policy FILE` too; everything else is for
-    the command line."""
+    the command line.
+    """
     match sys.argv[1:]:
         case [name] if name in ROLES:
             ROLES[name]()
