--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 .PHONY: build test lint run lab bench system proto tier
 
 build: .venv/built
-	$(BIN)/python -m compileall -q lapisway wheatring
+	$(BIN)/python -m compileall -q wheatring
 
 test: .venv/dev
 	$(BIN)/python -m pytest -n $(JOBS) --dist loadscope
@@ -56,7 +56,7 @@
 	test target/deps/.built -nt requirements-tier.txt || { $(PYTHON) -m pip install -q --upgrade --target target/deps \
 	  -r requirements-tier.txt && $(PYTHON) -m compileall -q target/deps; touch target/deps/.built; }
 	rm -rf target/app && mkdir -p target/app
-	cp -r wheatring lapisway target/app/
+	cp -r wheatring target/app/
 	cp deploy/tier.py target/app/tier.py
 	$(PYTHON) -m compileall -q target/app
 
--- a/lapisway/__init__.py
+++ /dev/null
@@ -1,3 +0,0 @@
-"""lapisway: the decisions of a load balancer for services that call services."""
-
-__version__ = "0.1.0"
--- a/tests/agree/test_plan.py
+++ b/tests/agree/test_plan.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lab.agree_plan import Scripted, World, body_of
 from wheatring.lab.agree_plan_days import PLANTED, find, play
 from wheatring.lab.leases.cluster import CUT
@@ -368,7 +368,7 @@
         made.offer("n4", body_of(f"plan {number}"))
     with pytest.raises(PlanPushUnderWay):
         made.offer("n4", body_of("one more"))
-    with pytest.raises(Told, match="not JSON"):
+    with pytest.raises(OperatorError, match="not JSON"):
         made.offer("n3", b"{")
 
 
--- a/tests/agree/test_plan_read.py
+++ b/tests/agree/test_plan_read.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.errors import Told, kinds
+from wheatring.errors import OperatorError, kinds
 from wheatring.lease.bodies import LARGEST
 from wheatring.plan import errors
 from wheatring.plan.read import canonical, compiled, read
@@ -38,7 +38,7 @@
 
 
 def refused(body: bytes) -> tuple[str, str]:
-    with pytest.raises(Told) as told:
+    with pytest.raises(OperatorError) as told:
         compiled(read(body))
     assert told.value.do and "\n" not in str(told.value)
     return told.value.code, told.value.what
@@ -134,7 +134,7 @@
     try:
         plan = read(body)
         compiled(plan)
-    except Told as told:
+    except OperatorError as told:
         assert told.code and "\n" not in str(told) and len(str(told)) < 600
     else:
         assert read(canonical(plan)) == plan
--- a/tests/agree/test_pools.py
+++ b/tests/agree/test_pools.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from lapisway import interface as i
-from lapisway import policy
 from tests.agree.pools_world import TWO, PoolsWorld
 from tests.virtual import Virtual
 from tests.world import Loopback, Peer, entry, list_body
 from wheatring import log
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
 from wheatring.core.exchange import Answer, Final
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.http1.parser import HOLD, Request
 from wheatring.pools import serve
 from wheatring.pools.errors import BadWeights, UnknownPool, UnknownRoute
@@ -94,7 +94,7 @@
     def change(route: str, **weights: int) -> None:
         world.run(lambda: world.pools.change_weights(route, weights))
 
-    refusals: list[tuple[type[Told], str, dict[str, int]]] = [
+    refusals: list[tuple[type[OperatorError], str, dict[str, int]]] = [
         (UnknownRoute, "al", {"old": 1}), (UnknownPool, "all", {"old": 1, "nev": 1}),
         (BadWeights, "all", {"old": 0}), (BadWeights, "all", {"old": -1}), (BadWeights, "all", {}),
     ]  # fmt: skip
--- a/tests/agree/test_pools_deciders.py
+++ b/tests/agree/test_pools_deciders.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapisway.interface import EndpointEntry, EndpointState, View, ViewKind
+from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
 from wheatring.config.file import PoolTable
 from wheatring.lifecycle.byhand import Word
 from wheatring.pools.selection import Selection
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,14 +12,14 @@
 from xdist.remote import Producer
 from xdist.scheduler import LoadScopeScheduling
 
-from lapisway import interface as i
-from lapisway import policy
-from lapisway.policy import Balancer
 from tests.virtual import Virtual
 from tests.world import NO_OPERATORS, Loopback, World
 from wheatring import log
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
+from wheatring.balancer.policy import Balancer
 from wheatring.lab.live import band
-from wheatring.operators import Operators
+from wheatring.operator_properties import Operators
 
 # No verdict by the machine's speed: what a test costs is told by --durations.
 settings.register_profile("counts", deadline=None)
--- a/tests/control/test_calls.py
+++ b/tests/control/test_calls.py
@@ -9,12 +9,12 @@
 
 import pytest
 
-from lapisway import interface as i
-from lapisway import policy
 from tests.conftest import Copy, entries
 from tests.world import FAR, Loopback, Wire, World, entry, list_body
 from wheatring import log
-from wheatring.control import door as doors
+from wheatring.admin import door as doors
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
 
 Make = Callable[..., World]
 
--- a/tests/control/test_deciders.py
+++ b/tests/control/test_deciders.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapisway.interface import EndpointEntry, EndpointState, View, ViewKind
+from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
 from wheatring.lifecycle.byhand import ByHand
 from wheatring.lifecycle.drain import EMPTY, Drain
 from wheatring.lifecycle.handover import Folder
--- a/tests/control/test_plan_calls.py
+++ b/tests/control/test_plan_calls.py
@@ -12,7 +12,7 @@
 
 from tests.control.test_calls import call, dial, make  # noqa: F401
 from tests.world import World
-from wheatring.control import calls
+from wheatring.admin import calls
 
 
 class Plans:
--- a/tests/draws.py
+++ b/tests/draws.py
@@ -11,8 +11,8 @@
 from itertools import product
 from random import Random
 
-from lapisway import interface as i
 from tests.conftest import Copy, entries
+from wheatring.balancer import interface as i
 
 O = i.Outcome
 KINDS = ("refused", "failing", "full", "reset", "hanging", "slow")
--- a/tests/duties/test_listing.py
+++ b/tests/duties/test_listing.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapisway.interface import EndpointEntry, EndpointState, View, ViewKind
+from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
 from wheatring.core.clock import Clock
 from wheatring.lab.live.band import Band
 from wheatring.lab.live.register import Register
--- a/tests/ends/cold_fleet.py
+++ b/tests/ends/cold_fleet.py
@@ -15,8 +15,8 @@
 from math import inf, sqrt
 from random import Random
 
-from lapisway import interface as i
-from lapisway.policy import Balancer
+from wheatring.balancer import interface as i
+from wheatring.balancer.policy import Balancer
 
 CLASS = i.RequestClass("read", aim=1.0, deadline=2.0, effect=i.Effect.SAFE, late_worth=0.5)
 BASE = 0.01  # seconds that a call takes beside the endpoint's work
--- a/tests/ends/test_caller.py
+++ b/tests/ends/test_caller.py
@@ -16,11 +16,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapisway import policy
 from tests.test_process import begin
 from tests.test_process import until as told
 from tests.virtual import Virtual
 from tests.world import FAR, Loopback, Peer, Wire, World, entry, list_body
+from wheatring.balancer import policy
 from wheatring.http1 import caller
 from wheatring.http1.states import Arrivals, State
 
--- a/tests/ends/test_cold.py
+++ b/tests/ends/test_cold.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from lapisway import interface as i
 from tests.conftest import CONTRACT, SAFE, Copy, entries
 from tests.ends.cold_fleet import Fleet, drawn
+from wheatring.balancer import interface as i
 
 O = i.Outcome
 
--- a/tests/ends/test_endpoint.py
+++ b/tests/ends/test_endpoint.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from lapisway.interface import Outcome
 from tests.agree.pools_world import TWO, PoolsWorld
 from tests.agree.test_pools import begun
 from tests.ends.attempts import kept, listed, reads, submit
 from tests.world import Peer, World, entry
+from wheatring.balancer.interface import Outcome
 from wheatring.core.exchange import Answer, Claim, Final, Job
 from wheatring.http1 import client
 
--- a/tests/ends/test_no_names.py
+++ b/tests/ends/test_no_names.py
@@ -26,7 +26,7 @@
     """The lab and its commands are left out: the service path never imports them, and their load and bench
     have an example's class by default.
     """
-    files = [path for top in ("lapisway", "wheatring") for path in (ROOT / top).rglob("*.py")]
+    files = list((ROOT / "wheatring").rglob("*.py"))
     files = [path for path in files if "lab" not in path.parts and not path.name.startswith("lab")]
     files += [ROOT / "deploy" / "balancer.toml", ROOT / "deploy" / "operator.properties"]
     common = {"quote", "chart", "tariff"}  # words of one deployment that are words of the language too
--- a/tests/ends/test_repeats.py
+++ b/tests/ends/test_repeats.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from lapisway import interface as i
-from lapisway import policy
 from tests.conftest import Copy
 from tests.ends.attempts import kept
 from tests.world import World
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
 from wheatring.core.exchange import Claim
 from wheatring.http1 import client
 from wheatring.http1.claim import ClaimConnection
--- a/tests/ends/test_settings.py
+++ b/tests/ends/test_settings.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from lapisway import benchlink
 from tests.test_process import told
-from wheatring import config, late, log, serving
+from wheatring import config, lazy_imports, log, serving
 from wheatring.__main__ import main
+from wheatring.balancer import benchlink
 
 HUGE = 10**400  # a whole number that no float holds
 DEEP: Any = []  # as deep as JSON is read
@@ -117,7 +117,7 @@
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "c.json"))
     monkeypatch.setattr(serving, "Sidecar", taken)
     monkeypatch.setattr(log, "not_blocking", lambda: None)
-    monkeypatch.setattr(late, "put_off", lambda: None)
+    monkeypatch.setattr(lazy_imports, "put_off", lambda: None)
 
 
 @pytest.mark.parametrize("name", KEYS)
--- a/tests/ends/test_start.py
+++ b/tests/ends/test_start.py
@@ -15,7 +15,7 @@
 
 from tests.test_process import told, until
 from tests.world import FAR, Peer, Wire, entry
-from wheatring import late
+from wheatring import lazy_imports
 
 ROOT = Path(__file__).parents[2]
 # Runs the program as `run` does, and tells on standard error what it had done when it bound its socket, and
@@ -85,5 +85,5 @@
     assert done["compile"] <= COMPILED, done["compile"]
     files = [Path(name).name for name in done["open"] if not name.endswith((".py", ".pyc"))]
     assert sorted(files) == ["c.json", "capture-n1-000001.log", "null", "operator.properties"]
-    assert set(late.UNUSED) <= {*done["modules"]}, "a name that nothing imports any more"
+    assert set(lazy_imports.UNUSED) <= {*done["modules"]}, "a name that nothing imports any more"
     assert not {"_ssl", "_pickle", "argparse", "wheatring.config.file"} & {*done["modules"]}
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -13,8 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapisway import interface as i
 from tests.conftest import Copy, entries
+from wheatring.balancer import interface as i
 from wheatring.http1.list_calls import DIAL, WAIT
 from wheatring.lifecycle import asking
 from wheatring.lifecycle.asking import Asking
--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from lapisway.interface import Effect, Limits, Outcome, RequestClass, Settings
+from wheatring.balancer.interface import Effect, Limits, Outcome, RequestClass, Settings
 from wheatring.core.exchange import Claim
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lapisway.interface import Outcome, View, ViewKind
 from tests.lab.direct_world import LINK, Script, World
+from wheatring.balancer.interface import Outcome, View, ViewKind
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.way import DirectWay
 from wheatring.lab.models.discovery import Answer, Line, Listed
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -23,6 +23,9 @@
 from wheatring.lab.study.jobs import Ended, Job, build_at, seeds_of
 from wheatring.lab.study.settings import Settings
 
+POLICY = "wheatring.balancer.policy"
+ABSENT = "wheatring.balancer.polcy"
+
 QUIET = Console(file=io.StringIO(), width=200)
 
 SWEEP = """
@@ -129,7 +132,7 @@
 
 
 def test_patches_reach_the_sidecar_and_no_other_run(tmp_path: Path) -> None:
-    patched = Settings(patches=(("lapisway.policy:LEARN", "0.3"),))
+    patched = Settings(patches=(("wheatring.balancer.policy:LEARN", "0.3"),))
     swept = play(tmp_path / "runs.sqlite", [job(1), job(1, patched), job(2), job(2, patched)], workers=1)
     plain, more, *_ = [row.g for row in swept.rows]
     assert plain is not None and more is not None and more - plain == pytest.approx(0.1)
@@ -139,10 +142,10 @@
 @pytest.mark.parametrize(
     ("patch", "why"),
     [
-        ("lapisway.policy:LERN=0.3", "--patch lapisway.policy:LERN: lapisway.policy has no LERN"),
-        ("lapisway.polcy:LEARN=0.3", "--patch lapisway.polcy:LEARN: there is no module lapisway.polcy"),
-        ("lapisway.policy:NEAR=2.5", "--patch lapisway.policy:NEAR: must be int like 5, not 2.5"),
-        ("os:name=x", "--patch os:name: os is no module of wheatring or lapisway"),
+        (f"{POLICY}:LERN=0.3", f"--patch {POLICY}:LERN: {POLICY} has no LERN"),
+        (f"{ABSENT}:LEARN=0.3", f"--patch {ABSENT}:LEARN: there is no module {ABSENT}"),
+        (f"{POLICY}:NEAR=2.5", f"--patch {POLICY}:NEAR: must be int like 5, not 2.5"),
+        ("os:name=x", "--patch os:name: os is no module of wheatring"),
         ("LEARN=1", "--patch LEARN: not MODULE:NAME"),
     ],
 )
@@ -176,11 +179,11 @@
 
 
 def test_a_build_is_known_by_what_runs_depend_on(tmp_path: Path) -> None:
-    for name in ("wheatring/lab/study", "lapisway"):
+    for name in ("wheatring/lab/study", "wheatring/balancer"):
         (tmp_path / name).mkdir(parents=True)
     first = build_at(tmp_path).ident
     (tmp_path / "wheatring/lab/study/a.py").write_text("1")
     assert build_at(tmp_path).ident == first
-    (tmp_path / "lapisway/policy.py").write_text("1")
+    (tmp_path / "wheatring/balancer/policy.py").write_text("1")
     assert build_at(tmp_path).ident != first
     assert msgspec.json.decode(msgspec.json.encode(build_at(tmp_path)))["folder"] == str(tmp_path)
--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/test_study_commands.py
@@ -15,6 +15,8 @@
 from wheatring.lab.study.asked import found, jobs
 from wheatring.lab.study.settings import Settings
 
+POLICY = "wheatring.balancer.policy"
+
 
 @pytest.fixture(autouse=True)
 def place(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -50,7 +52,7 @@
 @pytest.mark.parametrize(
     ("words", "why"),
     [
-        (["--patch", "lapisway.policy:LERN=1"], "--patch lapisway.policy:LERN: lapisway.policy has no LERN"),
+        (["--patch", f"{POLICY}:LERN=1"], f"--patch {POLICY}:LERN: {POLICY} has no LERN"),
         (["--set", "clients.retry=1"], "calm.toml: clients.retry: "),
         (["--set", "clients.retries=many"], "calm.toml: clients.retries: "),
         (["--set", "tier.nave.calls=2"], "calm.toml: --set tier.nave.calls: there is no nave"),
@@ -74,9 +76,8 @@
     """The stand-in's g follows a constant of the policy, which the other checkout has 0.05 higher."""
     root = Path(HERE.folder)
     other = tmp_path / "other"
-    shutil.copytree(root / "lapisway", other / "lapisway")
-    (other / "wheatring").symlink_to(root / "wheatring")
-    policy = other / "lapisway" / "policy.py"
+    shutil.copytree(root / "wheatring", other / "wheatring", ignore=shutil.ignore_patterns("__pycache__"))
+    policy = other / "wheatring" / "balancer" / "policy.py"
     policy.write_text(policy.read_text().replace("\nLEARN = 0.2 ", "\nLEARN = 0.25 "))
     monkeypatch.chdir(root)  # this checkout must not come first in the other's processes
     store = str(tmp_path / "runs.sqlite")
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -13,7 +13,7 @@
 
 from tests.test_process import begin, until
 from tests.world import FAR, Wire
-from wheatring import log, operators
+from wheatring import log, operator_properties
 from wheatring.__main__ import main
 from wheatring.core.clock import Clock
 from wheatring.ops import audit
@@ -212,8 +212,13 @@
 
 def test_only_changed_keys_are_told(capfd: pytest.CaptureFixture[str]) -> None:
     kept = audit.Audit("n3", Clock(Reactor()), "")
-    one, two = (operators.parse(f"drill.key = {key}\ntokens.key.k1 = aa") for key in ("aa", "bb"))
-    for old, new in ((operators.Operators(), one), (one, one), (one, two), (two, operators.Operators())):
+    one, two = (operator_properties.parse(f"drill.key = {key}\ntokens.key.k1 = aa") for key in ("aa", "bb"))
+    for old, new in (
+        (operator_properties.Operators(), one),
+        (one, one),
+        (one, two),
+        (two, operator_properties.Operators()),
+    ):
         kept.keys(old, new)
     told = [(fields(line)["key"], fields(line)["change"]) for line in capfd.readouterr().err.splitlines()]
     both = ("drill.key", "tokens.key.k1")
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -19,12 +19,12 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
-from lapisway import interface as i
-from lapisway.policy import Balancer
 from tests.test_process import begin, told, until
 from tests.world import FAR, SETTINGS, Peer, Wire, World, entry, list_body
-from wheatring import operators
+from wheatring import operator_properties
 from wheatring.__main__ import main
+from wheatring.balancer import interface as i
+from wheatring.balancer.policy import Balancer
 from wheatring.config import settings_in
 from wheatring.core.clock import Clock
 from wheatring.ops.capture import record, ring
@@ -269,7 +269,7 @@
     when: str, make: Make, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder = tmp_path if when == "later" else tmp_path / "none"
-    world = make(1, operators.parse(f"capture.dir = {folder}"), True)
+    world = make(1, operator_properties.parse(f"capture.dir = {folder}"), True)
     flush(world)
 
     def full(file: int, data: bytes) -> int:
@@ -289,7 +289,7 @@
 def test_a_sidecar_s_own_record_replays(
     make: Make, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    world = make(2, operators.parse(f"capture.dir = {tmp_path}"), True)
+    world = make(2, operator_properties.parse(f"capture.dir = {tmp_path}"), True)
     watch = world.discovery.accept()
     watch.read()
     items = [entry("n0", world.nodes[0], lifecycle="DRAINING"), entry("odd: 1/2", world.nodes[1])]
--- a/tests/test_drills.py
+++ b/tests/test_drills.py
@@ -15,7 +15,7 @@
 
 from tests.test_process import begin, until
 from tests.world import FAR, Wire, World
-from wheatring import operators
+from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.ops import drills
 
@@ -25,9 +25,9 @@
 LONG = "drill.share = 100\ndrill.delay.ms = 100000"
 
 
-def settings(more: str, plan: str = PLAN) -> operators.Operators:
-    drill = operators.parse(f"drill.key = {KEY}\ndrill.plan = {plan}\n{more}").drill
-    return operators.Operators(replace(drill, plan=drills.signed(drill)))
+def settings(more: str, plan: str = PLAN) -> operator_properties.Operators:
+    drill = operator_properties.parse(f"drill.key = {KEY}\ndrill.plan = {plan}\n{more}").drill
+    return operator_properties.Operators(replace(drill, plan=drills.signed(drill)))
 
 
 def served(node: Wire, caller: Wire) -> dict[str, str]:
@@ -58,7 +58,7 @@
     lines = [values for event, values in world.lines if event == "drill"]
     assert [(v["drill"], v["drill_requests_total"]) for v in lines] == [(1, n) for n in range(1, 7)]
     assert lines[0]["job"] == "c4"
-    world.run(lambda: world.sidecar.switch(operators.Operators()))
+    world.run(lambda: world.sidecar.switch(operator_properties.Operators()))
     for _ in range(10):
         assert "x-drill" not in served(node, world.ask("menu", caller))
 
@@ -150,7 +150,7 @@
     if plan and "sign" not in warning:
         assert drill.key is not None
         drill = replace(drill, plan=f"{plan};sig={drills.signature(drill.key, plan)}")
-    world = make(1, operators.Operators(drill))
+    world = make(1, operator_properties.Operators(drill))
     assert [v["warning"] for event, v in world.lines if event == "drill-off"] == [warning]
     caller = world.ask()
     assert "x-drill" not in served(world.nodes[0].accept(), caller)
@@ -171,7 +171,7 @@
     assert capsys.readouterr().out.strip() == signed
     world = make(1)
     assert world.sidecar.drills is None
-    world.run(lambda: world.sidecar.switch(operators.read(str(file))))
+    world.run(lambda: world.sidecar.switch(operator_properties.read(str(file))))
     assert world.ask().read()[1]["x-drill"] == "1"
 
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,7 +13,7 @@
 import pytest
 
 import wheatring
-from wheatring import config, errors, operators
+from wheatring import config, errors, operator_properties
 from wheatring.config import file
 from wheatring.lease.voters import Voters, first
 from wheatring.ops import tokens
@@ -23,7 +23,7 @@
 ROW = re.compile(r"\| `([a-z0-9-]+)` \| (.+?) \| (.+?) \|")
 
 
-def every() -> list[type[errors.Told]]:
+def every() -> list[type[errors.OperatorError]]:
     """All kinds that there are outside the lab, whichever module holds them."""
     for found in pkgutil.walk_packages(wheatring.__path__, "wheatring."):
         if not found.name.startswith("wheatring.lab") and not found.name.endswith("__main__"):
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize("kind", every(), ids=lambda kind: str(kind.code))
-def test_a_code_is_plain_and_what_to_do_is_one_sentence(kind: type[errors.Told]) -> None:
+def test_a_code_is_plain_and_what_to_do_is_one_sentence(kind: type[errors.OperatorError]) -> None:
     assert re.fullmatch(r"[a-z][a-z0-9]*(-[a-z0-9]+)*", kind.code)
     assert re.fullmatch(r"[A-Z`].*[^.]\.", kind.do) and not re.search(r"[.!?] +[A-Z]", kind.do)
     assert "|" not in kind.do and kind.do.isprintable()
@@ -65,7 +65,7 @@
 
 def test_whatever_can_be_raised_has_a_code() -> None:
     """A kind without one is there for others to be kinds of."""
-    left, found = [errors.Told], every()
+    left, found = [errors.OperatorError], every()
     while left:
         kind = left.pop()
         below = [one for one in kind.__subclasses__() if one.__module__.startswith("wheatring.")]
@@ -74,7 +74,7 @@
 
 
 def test_its_text_is_one_line_with_the_code_what_happened_and_what_to_do() -> None:
-    class Full(errors.Told):
+    class Full(errors.OperatorError):
         code = "too-full"
         do = "Take something out."
 
@@ -94,9 +94,9 @@
     with pytest.raises(ValueError, match=r"^LB_CONFIG: not set$") as unset:
         config.read({})
     with pytest.raises(ValueError, match=r"^--operators: No such file or directory: ") as lost:
-        operators.read(str(tmp_path / "none.properties"))
+        operator_properties.read(str(tmp_path / "none.properties"))
     with pytest.raises(ValueError, match=r"^forged$") as forged:
-        tokens.rights(operators.Tokens(), b"a", 0.0)
+        tokens.rights(operator_properties.Tokens(), b"a", 0.0)
     raised = [key, unread, keys, unset, lost, forged]
     assert [getattr(one.value, "code", "") for one in raised] == [
         "file-key", "file-unreadable", "key-file", "config-unreadable", "operators-unreadable",
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lapisway.interface import Outcome
+from wheatring.balancer.interface import Outcome
 from wheatring.lifecycle import freshness
 from wheatring.lifecycle.freshness import CEILING, EMPTY, FLOOR, MEMORY, NEED, QUIET, RATE, Freshness
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from lapisway import interface as i
-from lapisway import policy
 from tests.conftest import Copy, entries
 from tests.draws import NODES
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
 
 O = i.Outcome
 CHEAP = i.RequestClass("cheap", aim=1.0, deadline=4.0, worth=1.0, effect=i.Effect.SAFE)
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapisway import interface as i
-from lapisway import policy
 from tests.conftest import Copy, entries
 from tests.draws import CORES, GET, NODES, QUICK, WORK, Nodes
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
 
 O = i.Outcome
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -24,7 +24,8 @@
     ("wheatring.placement", 2),
     ("wheatring.discovery", 2),
     ("wheatring.durable", 1),
-    ("wheatring.settings", 1),
+    ("wheatring.boot_settings", 1),
+    ("wheatring.balancer", 1),
     ("wheatring.transport", 1),
     ("wheatring.lab.control", 6),
     ("wheatring.lab.demo", 6),
@@ -35,7 +36,7 @@
     ("wheatring.plugin", 5),
     ("wheatring.pool", 5),
     ("wheatring.pools", 5),
-    ("wheatring.control", 4),
+    ("wheatring.admin", 4),
     ("wheatring.http1", 4),
     ("wheatring.peers", 4),
     ("wheatring.core", 3),
@@ -48,13 +49,12 @@
     ("wheatring.skew", 2),
     ("wheatring.schedule", 2),
     ("wheatring.config", 1),
-    ("wheatring.operators", 1),
-    ("wheatring.late", 1),
+    ("wheatring.operator_properties", 1),
+    ("wheatring.lazy_imports", 1),
     ("wheatring.errors", 1),
     ("wheatring.log", 1),
     ("wheatring.address", 1),
     ("wheatring", 0),
-    ("lapisway", 1),
 )
 # Stated by name, so that a new one is a decision: who may import it, and what.
 STATED = {
@@ -74,11 +74,11 @@
     ("wheatring.schedule", "wheatring.members"),  # addresses
     ("wheatring.schedule", "wheatring.lease"),  # the fleet that a piece is of, and its voters
     ("wheatring.config", "wheatring.errors"),
-    ("wheatring.operators", "wheatring.errors"),
+    ("wheatring.operator_properties", "wheatring.errors"),
     ("wheatring.peers", "wheatring.http1.parser"),
-    ("wheatring.control", "wheatring.http1.parser"),  # the operators' calls are HTTP too
-    ("wheatring.config", "lapisway"),
-    ("wheatring.operators", "wheatring.config"),
+    ("wheatring.admin", "wheatring.http1.parser"),  # the operators' calls are HTTP too
+    ("wheatring.config", "wheatring.balancer"),
+    ("wheatring.operator_properties", "wheatring.config"),
     ("wheatring.lab.control", "wheatring.controller"),  # the model checker drives its deciders
     ("wheatring.lab.demo", "wheatring.lab.scale"),  # the processes of a small system
     ("wheatring.daemon", "wheatring.pool"),
@@ -120,11 +120,11 @@
                 inner = ROOT / Path(*node.module.split(".")) / alias.name
                 whole = inner.is_dir() or inner.with_suffix(".py").exists()
                 found.add(f"{node.module}.{alias.name}" if whole else node.module)
-    return {name for name in found if name.partition(".")[0] in ("wheatring", "lapisway")}
+    return {name for name in found if name.partition(".")[0] == "wheatring"}
 
 
 def sources() -> list[Path]:
-    return sorted(p for top in ("wheatring", "lapisway") for p in (ROOT / top).rglob("*.py"))
+    return sorted((ROOT / "wheatring").rglob("*.py"))
 
 
 @pytest.mark.parametrize("path", sources(), ids=lambda path: str(path.relative_to(ROOT)))
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapisway.interface import Effect, RequestClass
+from wheatring.balancer.interface import Effect, RequestClass
 from wheatring.lifecycle.leaving import (
     AHEAD,
     ARRIVING,
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from lapisway import interface as i
+from wheatring.balancer import interface as i
 
-MODULE = Path(__file__).parent.parent / "lapisway" / "policy.py"
+MODULE = Path(__file__).parent.parent / "wheatring" / "balancer" / "policy.py"
 
 
 def test_the_module_is_short_enough_to_read_aloud() -> None:
@@ -21,12 +21,12 @@
 
 def test_the_module_names_its_interface_first_and_imports_nothing_else() -> None:
     tree = ast.parse(MODULE.read_text(encoding="utf-8"))
-    assert "lapisway/interface.py" in (ast.get_docstring(tree) or "").splitlines()[0]
+    assert "wheatring/balancer/interface.py" in (ast.get_docstring(tree) or "").splitlines()[0]
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             assert all(name.name in sys.stdlib_module_names for name in node.names)
         if isinstance(node, ast.ImportFrom):
-            assert node.module == "lapisway.interface" or node.module in sys.stdlib_module_names
+            assert node.module == "wheatring.balancer.interface" or node.module in sys.stdlib_module_names
     names = {node.id for node in ast.walk(tree) if isinstance(node, ast.Name)}
     assert not names & {"open", "input", "print", "globals", "eval", "exec"}
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -11,7 +11,7 @@
 
 from tests.test_process import begin, told, until
 from tests.world import FAR
-from wheatring import operators
+from wheatring import operator_properties
 from wheatring.__main__ import main
 
 SECRET = "5ec2e7"
@@ -56,42 +56,44 @@
 def test_a_file_that_was_named_must_be_readable(kind: str, tmp_path: Path) -> None:
     if kind == "not-utf-8":
         (tmp_path / "o").write_bytes(b"\xff\xfe")
-    with pytest.raises(operators.OperatorsError, match="--operators: "):
-        operators.read(str(tmp_path / "o"))
+    with pytest.raises(operator_properties.OperatorsError, match="--operators: "):
+        operator_properties.read(str(tmp_path / "o"))
 
 
 def test_the_default_file_is_read_where_none_is_named_and_need_not_be_there(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
-    assert operators.find(None) is None
-    assert operators.read(None) == operators.Operators()
+    assert operator_properties.find(None) is None
+    assert operator_properties.read(None) == operator_properties.Operators()
     (tmp_path / "deploy").mkdir()
-    (tmp_path / operators.DEFAULT).write_text("# nothing\n", encoding="utf-8")
-    assert operators.find(None) == operators.DEFAULT
-    assert operators.find("named") == "named"
+    (tmp_path / operator_properties.DEFAULT).write_text("# nothing\n", encoding="utf-8")
+    assert operator_properties.find(None) == operator_properties.DEFAULT
+    assert operator_properties.find("named") == "named"
 
 
 def test_each_setting_is_read_and_no_secret_is_shown() -> None:
     plan = "class=menu;from=1;until=2;sig=ab"
-    read = operators.parse(
+    read = operator_properties.parse(
         f"drill.key = {SECRET}\n\n drill.plan={plan} \ndrill.share = 2.5\n"
         "drill.delay.ms = 250\ndrill.abort = true"
     )
     key = bytes.fromhex(SECRET)
-    assert read.drill == operators.Drill(key, plan, 2_500_000, 0.25, True)
-    assert not read.audit.on and operators.parse("audit.on = true").audit.on
-    assert operators.parse("audit.file = a=b").audit == operators.Audit(True, "a=b")
-    assert operators.parse("capture.files=11\ncapture.dir=/x").capture == operators.Capture(11, 196608, "/x")
-    held = operators.parse(f"tokens.key.k1={SECRET}\ntokens.issue.kid = k1\ntokens.skew.s = 5")
-    assert held.tokens == operators.Tokens({"k1": key}, "k1", 5)
-    read = operators.Operators(read.drill, tokens=held.tokens)
+    assert read.drill == operator_properties.Drill(key, plan, 2_500_000, 0.25, True)
+    assert not read.audit.on and operator_properties.parse("audit.on = true").audit.on
+    assert operator_properties.parse("audit.file = a=b").audit == operator_properties.Audit(True, "a=b")
+    assert operator_properties.parse(
+        "capture.files=11\ncapture.dir=/x"
+    ).capture == operator_properties.Capture(11, 196608, "/x")
+    held = operator_properties.parse(f"tokens.key.k1={SECRET}\ntokens.issue.kid = k1\ntokens.skew.s = 5")
+    assert held.tokens == operator_properties.Tokens({"k1": key}, "k1", 5)
+    read = operator_properties.Operators(read.drill, tokens=held.tokens)
     assert SECRET not in repr(read) and repr(key) not in repr(read)
 
 
 def test_the_file_in_the_repository_turns_nothing_on() -> None:
-    file = Path(__file__).parent.parent / operators.DEFAULT
-    assert operators.read(str(file)) == operators.Operators()
+    file = Path(__file__).parent.parent / operator_properties.DEFAULT
+    assert operator_properties.read(str(file)) == operator_properties.Operators()
 
 
 def test_nothing_of_a_feature_that_is_off_is_imported(tmp_path: Path) -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lapisway import interface as i
 from tests.conftest import CONTRACT, Copy, entries
+from wheatring.balancer import interface as i
 
 O = i.Outcome
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.world import FAR, SETTINGS, Peer, Wire, entry, list_body
-from wheatring import commands, config, late
+from wheatring import commands, config, lazy_imports
 from wheatring.__main__ import main, plain
 
 
@@ -152,7 +152,7 @@
 
 
 def test_a_module_that_is_put_off_loads_at_its_first_use() -> None:
-    late.put_off(("wsgiref.util",))
+    lazy_imports.put_off(("wsgiref.util",))
     import wsgiref.util
 
     assert "guess_scheme" not in vars(wsgiref.util)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapisway import interface as i
 from tests.conftest import CELL, KEYED, SAFE, UNSAFE, ZONE, Copy
+from wheatring.balancer import interface as i
 
 O = i.Outcome
 S = i.EndpointState
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from lapisway import interface as i
-from lapisway import policy
 from tests.conftest import Copy, entries
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
 
 O = i.Outcome
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -9,9 +9,9 @@
 import pytest
 from twisted.logger import globalLogPublisher
 
-from lapisway import interface as i
 from tests.world import Loopback, World, entry, list_body
 from wheatring import log
+from wheatring.balancer import interface as i
 from wheatring.core.exchange import Job
 from wheatring.http1 import caller, claim
 from wheatring.http1.parser import Request
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from unittest.mock import patch
 
-from lapisway import interface as i
-from lapisway import policy
 from tests.conftest import Copy, entries
 from tests.draws import NODES
 from tests.test_gate import CHEAP, DEAR, admitted, keep
+from wheatring.balancer import interface as i
+from wheatring.balancer import policy
 
 O = i.Outcome
 GET = i.RequestClass("get", aim=2.0, deadline=6.0, effect=i.Effect.SAFE)
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.world import Wire, World
-from wheatring import operators
+from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.ops import tokens
 
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def world(make: Make) -> World:
-    made = make(1, operators.parse(FILE))
+    made = make(1, operator_properties.parse(FILE))
     made.sidecar.clock.unix = lambda: float(NOW)
     return made
 
@@ -105,11 +105,13 @@
     old = token(f"kid=k1;holder=a;rights=menu;exp={NOW}", OLD)
     served(world, f"Bearer {old}")
     served(world, f"Bearer {good()}")
-    world.run(lambda: world.sidecar.switch(operators.parse(f"tokens.key.k2 = {NEW}\ntokens.skew.s = 0")))
+    world.run(
+        lambda: world.sidecar.switch(operator_properties.parse(f"tokens.key.k2 = {NEW}\ntokens.skew.s = 0"))
+    )
     assert ask(world, f"Bearer {old}").read()[2] == b"token forged"
     assert ask(world, f"Bearer {good(exp=NOW - 1)}").read()[2] == b"token expired"
     served(world, f"Bearer {good()}")
-    world.run(lambda: world.sidecar.switch(operators.Operators()))
+    world.run(lambda: world.sidecar.switch(operator_properties.Operators()))
     served(world, "")
 
 
@@ -121,8 +123,8 @@
     issue = ["token", "issue", "--operators", str(file), "--holder", "courier-17", "--rights"]
     assert main([*issue, "menu,order", "--ttl", "3600"]) == 0
     made = capsys.readouterr().out.strip()
-    served(make(1, operators.read(str(file))), f"Bearer {made}")
-    told = operators.read(str(file)).tokens
+    served(make(1, operator_properties.read(str(file))), f"Bearer {made}")
+    told = operator_properties.read(str(file)).tokens
     assert tokens.rights(told, made.encode(), NOW) == {"menu", "order"}
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lapisway.policy import Balancer
+from wheatring.balancer.policy import Balancer
 
 BEGIN = (
     "BEGIN 7 classes.count=2 classes.0.name=read classes.0.slo=1000000 classes.0.deadline=4000000 "
@@ -23,7 +23,7 @@
 
 def run(*lines: str, hash_seed: str = "0") -> tuple[int, list[str], str]:
     done = subprocess.run(
-        [sys.executable, "-m", "lapisway.benchlink"],
+        [sys.executable, "-m", "wheatring.balancer.benchlink"],
         input="".join(f"{line}\n" for line in lines),
         capture_output=True,
         text=True,
@@ -167,7 +167,7 @@
 def test_a_bug_in_the_module_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     import io
 
-    from lapisway import benchlink
+    from wheatring.balancer import benchlink
 
     def bug(*_: object) -> None:
         raise RuntimeError("two\nlines")
--- a/tests/tier/test_prompt_placement.py
+++ b/tests/tier/test_prompt_placement.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapisway import interface as i
+from wheatring.balancer import interface as i
 from wheatring.sidecar.decisions import ServiceDecisions, TierBalancer, are_even
 from wheatring.sidecar.policy import DEFAULT_POLICY, PolicyError, SidecarPolicy, read_policy
 from wheatring.sidecar.prompt_placement import PromptCaches, PromptPart, home_of
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -18,11 +18,11 @@
 from typing import Any
 
 from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
+from wheatring.boot_settings.process import Address, Settings, Tolerance
 from wheatring.budgets.budgets import Budgets, BudgetSpent
 from wheatring.consensus.types import State
 from wheatring.controller.api import Orders
 from wheatring.controller.node import Controller
-from wheatring.settings.process import Address, Settings, Tolerance
 from wheatring.sidecar.process import Sidecar
 from wheatring.storage.process import StorageProcess
 from wheatring.storage.quorum import NotSure, QuorumClient
--- a/tests/world.py
+++ b/tests/world.py
@@ -24,7 +24,7 @@
 from wheatring import log
 from wheatring.config import Config, settings_in
 from wheatring.daemon import Sidecar
-from wheatring.operators import Operators
+from wheatring.operator_properties import Operators
 
 reactor: Any = installed
 T = TypeVar("T")
--- a/wheatring/__init__.py
+++ b/wheatring/__init__.py
@@ -1,1 +1,8 @@
-"""wheatring: a sidecar load balancer on real sockets around the decision module in lapisway/."""
+"""A load balancer in two programs.
+
+One is a sidecar that stands beside each caller of a tier (`wheatring.daemon`). The other is a serving tier
+for agent programs: sidecars, controllers and storage replicas (`wheatring.tier`). Both decide by the module
+in `wheatring.balancer`.
+"""
+
+__version__ = "0.1.0"
--- a/wheatring/__main__.py
+++ b/wheatring/__main__.py
@@ -5,7 +5,7 @@
 import sys
 from collections.abc import Sequence
 
-from wheatring import operators, serving
+from wheatring import operator_properties, serving
 
 
 def plain(words: Sequence[str]) -> tuple[str | None, bool, str | None] | None:
@@ -30,7 +30,7 @@
     words = sys.argv[1:] if argv is None else argv
     told = plain(words)
     if told is not None:
-        return serving.serve(operators.find(told[0]), told[1], told[2])
+        return serving.serve(operator_properties.find(told[0]), told[1], told[2])
     from wheatring import commands
 
     args = commands.parser().parse_args(words)
--- a/wheatring/control/door.py
+++ b/wheatring/admin/door.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from wheatring import log
-from wheatring.control.calls import Desk, Said, answer
+from wheatring.admin.calls import Desk, Said, answer
 from wheatring.core.clock import Clock, Timer
 from wheatring.http1.parser import BadMessage, Reader
 
--- a/lapisway/policy.py
+++ b/wheatring/balancer/policy.py
@@ -1,4 +1,4 @@
-"""The decisions of one balancer copy. Its words (settings, events, actions) stand in lapisway/interface.py.
+"""The decisions of one balancer copy. Its messages stand in wheatring/balancer/interface.py.
 
 Ordinary path, after gRFC A6: the lighter of two random endpoints by own calls in flight; a failure is
 retried after a randomised exponential backoff while the token count is above half, attempts are capped,
@@ -13,7 +13,7 @@
 from random import Random
 
 # fmt: off
-from lapisway.interface import (
+from wheatring.balancer.interface import (
     Action, AttemptEnded, ClientGone, Committed, Drawn, Effect, EndpointEntry, EndpointState, Event, Fail,
     Group, NewRequest, Outcome, Refuse, RequestClass, Send, SetTimer, Settings, Subscribe,
     TimerDue, View, ViewKind,
@@ -206,8 +206,7 @@
     def admits(self, now: float, request: Request) -> bool:
         """When every server slows, first sends would pass unchecked and all end late; and what crowds servers
         for long slows them further. So the front refuses what goes beyond what they are known to bear, once
-        that slows them; low worth is left less room than high.
-        """
+        that slows them; low worth is left less room than high."""
         if self.settings.tier or not self.ready:
             return True
         most_ill = self.most_ill()  # then it is the load
@@ -388,8 +387,7 @@
 
     def alone(self, now: float, endpoint: Endpoint) -> bool:
         """Whether an ill endpoint is left alone. Where more than half are and some do serve, it is for one
-        turn at most: rather than the fleet, it is this copy's own way that is bad.
-        """
+        turn at most: rather than the fleet, it is this copy's own way that is bad."""
         since, until, till = endpoint.left
         if self.most_ill() and now - self.served_at < 1:
             until = min(until, since + 1)
@@ -509,8 +507,7 @@
 
     def draw_subset(self, now: float) -> None:
         """Few endpoints with room for few connections can't take one from every copy: each draws from a
-        stable arc of the sorted ids, placed by its own number so that all are covered evenly.
-        """
+        stable arc of the sorted ids, placed by its own number so that all are covered evenly."""
         self.ready = [self.endpoints[k] for k in sorted(self.endpoints)]
         self.progress = max([e.progress for e in self.ready], default=0.0)
         local = [e for e in self.ready if e.entry.zone == self.settings.zone]
--- a/wheatring/settings/watch.py
+++ b/wheatring/boot_settings/watch.py
@@ -5,8 +5,8 @@
 import asyncio
 import os
 
-from wheatring.settings.events import log_event
-from wheatring.settings.process import Settings, SettingsError, read_settings
+from wheatring.boot_settings.events import log_event
+from wheatring.boot_settings.process import Settings, SettingsError, read_settings
 
 LOOK_SECONDS = 1.0
 
--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from wheatring import operators
+from wheatring import operator_properties
 from wheatring.commands import fleet, lab
 
 
@@ -17,7 +17,7 @@
     file = argparse.ArgumentParser(add_help=False)
     file.add_argument(
         "--operators", metavar="FILE", default=argparse.SUPPRESS,
-        help=f"the operators' file (default: {operators.DEFAULT}, if it is there)",
+        help=f"the operators' file (default: {operator_properties.DEFAULT}, if it is there)",
     )  # fmt: skip
     top = argparse.ArgumentParser(
         prog="wheatring", parents=[file], description="A sidecar load balancer. Without a command, it serves."
@@ -64,7 +64,7 @@
 
 
 def operators_file(args: argparse.Namespace) -> str | None:
-    return operators.find(getattr(args, "operators", None))
+    return operator_properties.find(getattr(args, "operators", None))
 
 
 def config_check(args: argparse.Namespace) -> int:
@@ -83,7 +83,7 @@
 def drill_sign(args: argparse.Namespace) -> int:
     from wheatring.ops import drills
 
-    told = operators.read(operators_file(args)).drill
+    told = operator_properties.read(operators_file(args)).drill
     print(drills.signed(told if args.plan is None else replace(told, plan=args.plan)))
     return 0
 
@@ -103,7 +103,7 @@
 
     if args.ttl < 1:
         raise tokens.NotIssued("--ttl: must be 1 or more")
-    told = operators.read(operators_file(args)).tokens
+    told = operator_properties.read(operators_file(args)).tokens
     print(tokens.issue(told, args.holder, args.rights, int(time.time()) + args.ttl))
     return 0
 
@@ -118,7 +118,7 @@
     """Carry out a command; what can't be done is one line and status 2."""
     try:
         status: int = args.call(args)
-    except (operators.OperatorsError, OSError) as bad:
+    except (operator_properties.OperatorsError, OSError) as bad:
         print(f"wheatring: {bad}", file=sys.stderr)
         return 2
     return status
--- a/wheatring/config/__init__.py
+++ b/wheatring/config/__init__.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lapisway.benchlink import Nested, settings_from, shown
-from lapisway.interface import Effect, Settings
 from wheatring import address
-from wheatring.errors import Plain
+from wheatring.balancer.benchlink import Nested, settings_from, shown
+from wheatring.balancer.interface import Effect, Settings
+from wheatring.errors import UncodedError
 
 SOCKETS = 1024
 MEMORY_MB = 192
@@ -31,7 +31,7 @@
 }  # fmt: skip
 
 
-class ConfigError(Plain, ValueError):
+class ConfigError(UncodedError, ValueError):
     """A configuration that can't be used; the text begins with the key at fault."""
 
     code = "config-key"
@@ -49,7 +49,7 @@
     do = "Let LB_CONFIG name a file that this process may read and that holds one JSON object."
 
 
-class FileError(Plain, ValueError):
+class FileError(UncodedError, ValueError):
     """The project's own file can't be used; the text is one line. It is read in `file`."""
 
     code = "file-key"
--- a/wheatring/controller/api.py
+++ b/wheatring/controller/api.py
@@ -11,6 +11,7 @@
 import uvicorn
 from litestar import Litestar, MediaType, Request, Response, get, post
 
+from wheatring.boot_settings.process import Address
 from wheatring.controller.command_queue import NoLeader
 from wheatring.controller.commands import (
     Command,
@@ -27,7 +28,6 @@
     UpdateConfiguration,
 )
 from wheatring.controller.node import Controller
-from wheatring.settings.process import Address
 from wheatring.transport.client import Unreachable
 from wheatring.transport.messages_pb2 import OperatorReply, OperatorRequest
 
--- a/wheatring/controller/node.py
+++ b/wheatring/controller/node.py
@@ -5,6 +5,8 @@
 import asyncio
 from random import Random
 
+from wheatring.boot_settings.events import log_event
+from wheatring.boot_settings.process import Settings
 from wheatring.consensus.types import State, entry_position
 from wheatring.controller.command_queue import FIND_LEADER_SECONDS, CommandQueue
 from wheatring.controller.commands import Command, Outcome
@@ -14,8 +16,6 @@
 from wheatring.controller.presences import News, Presences, member_of
 from wheatring.controller.voters import Candidate, next_voters
 from wheatring.discovery.platform_list import ListReader
-from wheatring.settings.events import log_event
-from wheatring.settings.process import Settings
 from wheatring.subscription.server import SUBSCRIBER_HEARTBEAT, Subscribers
 from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
 from wheatring.transport.messages_pb2 import (
--- a/wheatring/controller/process.py
+++ b/wheatring/controller/process.py
@@ -11,10 +11,10 @@
 from random import Random
 from typing import Any
 
+from wheatring.boot_settings.process import Settings
+from wheatring.boot_settings.watch import SettingsWatch
 from wheatring.controller.node import Controller
 from wheatring.discovery.platform_list import PlatformList
-from wheatring.settings.process import Settings
-from wheatring.settings.watch import SettingsWatch
 
 TAKE_SETTINGS_SECONDS = 0.5
 LEADER_SECONDS = 0.5  # for an election to end, before the libraries are loaded
--- a/wheatring/core/driver.py
+++ b/wheatring/core/driver.py
@@ -5,8 +5,8 @@
 from collections import deque
 from typing import Protocol
 
-from lapisway import interface as i
 from wheatring import log
+from wheatring.balancer import interface as i
 from wheatring.core.clock import Clock
 from wheatring.core.exchange import Answer, Claim, Exchange, Final, Job
 
--- a/wheatring/core/exchange.py
+++ b/wheatring/core/exchange.py
@@ -12,8 +12,8 @@
 
 from twisted.internet.defer import Deferred
 
-from lapisway.interface import Outcome, View
 from wheatring import log
+from wheatring.balancer.interface import Outcome, View
 from wheatring.core.clock import Clock, Timer
 from wheatring.lifecycle.leaving import Leaving, Open, Usual
 
--- a/wheatring/daemon.py
+++ b/wheatring/daemon.py
@@ -9,14 +9,14 @@
 from contextlib import ExitStack
 from typing import TYPE_CHECKING, Any
 
-from wheatring import config, log, operators
+from wheatring import config, log, operator_properties
 from wheatring.lifecycle.leaving import Leaving
 
 if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
-    from lapisway.interface import View
+    from wheatring.admin.desk import Desk
+    from wheatring.admin.door import Door
+    from wheatring.balancer.interface import View
     from wheatring.config.file import File
-    from wheatring.control.desk import Desk
-    from wheatring.control.door import Door
     from wheatring.core.body import Room
     from wheatring.lifecycle.asking import Pace
     from wheatring.ops.audit import Audit
@@ -42,7 +42,7 @@
         self,
         reactor: Any,
         told: config.Config,
-        asked: operators.Operators,
+        asked: operator_properties.Operators,
         capture: bool = False,
         unix: Callable[[], float] = time.time,
         own: str | None = None,
@@ -58,7 +58,7 @@
         self.reactor = reactor
         self.told = told
         self.own = own
-        self.asked = operators.Operators()  # by the operators, and in effect
+        self.asked = operator_properties.Operators()  # by the operators, and in effect
         self.first_asked = asked
         self.clock = Clock(reactor, unix)
         self.exchange = Exchange(self.clock, settings.contract.answer_slack)
@@ -119,8 +119,8 @@
 
     def open_desk(self, control: tuple[str, int], on_view: Callable[[View], None]) -> Callable[[View], None]:
         """What operators call goes to the desk, and what discovery says through what they have ordered."""
-        from wheatring.control.desk import Desk
-        from wheatring.control.door import Door
+        from wheatring.admin.desk import Desk
+        from wheatring.admin.door import Door
         from wheatring.lifecycle.byhand import ByHand
         from wheatring.lifecycle.handover import Folder
 
@@ -153,7 +153,7 @@
 
     def join_fleet(self, said: File, on_view: Callable[[View], None]) -> Callable[[View], None]:
         """Talk to the other sidecars, and carry out what duties it comes to hold. Whom the list is told."""
-        from wheatring.control.calls import PLAN
+        from wheatring.admin.calls import PLAN
         from wheatring.peers.begin import Plans, begin, duties_of
 
         weigh = None if self.pools is None else self.pools.weigh
@@ -249,7 +249,7 @@
         if self.audit is not None:
             self.audit.record(event, actor)
 
-    def switch(self, asked: operators.Operators) -> None:
+    def switch(self, asked: operator_properties.Operators) -> None:
         """Put into effect what the operators may change while it serves."""
         if self.audit is not None:
             self.audit.keys(self.asked, asked)
@@ -272,8 +272,8 @@
     def reload(self, environment: Mapping[str, str], file: str | None) -> None:
         """Read both files again. One that can't be used changes nothing of what it is for."""
         try:
-            asked = operators.read(file)
-        except operators.OperatorsError as bad:
+            asked = operator_properties.read(file)
+        except operator_properties.OperatorsError as bad:
             log.line("operators-not-reloaded", why=str(bad), code=bad.code)
         else:
             if file is not None:
--- a/wheatring/errors.py
+++ b/wheatring/errors.py
@@ -9,7 +9,7 @@
 from typing import ClassVar
 
 
-class Told(Exception):
+class OperatorError(Exception):
     """`code` is what logs and answers name it by; `do` is one sentence on what an operator can do. The text
     says what happened, on one line, with names and figures.
     """
@@ -25,14 +25,14 @@
         return f"{self.code}: {self.what}. {self.do}"
 
 
-class Plain(Told):
+class UncodedError(OperatorError):
     """One whose line was there before codes were: its text is what happened alone."""
 
     def __str__(self) -> str:
         return self.what
 
 
-def kinds(of: type[Told] = Told) -> list[type[Told]]:
+def kinds(of: type[OperatorError] = OperatorError) -> list[type[OperatorError]]:
     """All kinds that have a code and are imported by now, by their codes."""
     found = [kind for below in of.__subclasses__() for kind in kinds(below)]
     if of.code:
--- a/wheatring/http1/claim.py
+++ b/wheatring/http1/claim.py
@@ -5,8 +5,8 @@
 from math import inf
 from typing import TYPE_CHECKING, NamedTuple
 
-from lapisway.interface import Outcome
 from wheatring import log
+from wheatring.balancer.interface import Outcome
 from wheatring.core.body import Body, nothing
 from wheatring.core.clock import Timer
 from wheatring.core.exchange import Claim
--- a/wheatring/http1/client.py
+++ b/wheatring/http1/client.py
@@ -12,8 +12,8 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from lapisway.interface import EndpointState, Outcome, View, ViewKind
 from wheatring import log
+from wheatring.balancer.interface import EndpointState, Outcome, View, ViewKind
 from wheatring.core.body import Room
 from wheatring.core.clock import Clock, Timer
 from wheatring.core.exchange import Claim, Exchange
--- a/wheatring/http1/list_lines.py
+++ b/wheatring/http1/list_lines.py
@@ -6,8 +6,8 @@
 from math import isfinite
 from typing import Any
 
-from lapisway.interface import EndpointEntry, EndpointState
 from wheatring import address
+from wheatring.balancer.interface import EndpointEntry, EndpointState
 from wheatring.core.clock import Clock
 
 STATES = {
--- a/wheatring/http1/machine_list.py
+++ b/wheatring/http1/machine_list.py
@@ -8,8 +8,8 @@
 from math import inf
 from typing import Any
 
-from lapisway.interface import EndpointState, Outcome, View, ViewKind
 from wheatring import log
+from wheatring.balancer.interface import EndpointState, Outcome, View, ViewKind
 from wheatring.core.clock import Clock, Timer
 from wheatring.http1.list_calls import WAIT, WHOLE, Caller, HttpCaller
 from wheatring.http1.list_lines import ListError, entry_from
--- a/wheatring/http1/server.py
+++ b/wheatring/http1/server.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.protocol import ServerFactory
 
-from lapisway.interface import Effect, RequestClass
+from wheatring.balancer.interface import Effect, RequestClass
 from wheatring.core.body import Body, Room
 from wheatring.core.clock import Clock, Timer
 from wheatring.core.exchange import Exchange, Job
--- a/wheatring/lab/agree_plan_days.py
+++ b/wheatring/lab/agree_plan_days.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import NamedTuple
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lab.agree_plan import VOTERS, Seen, World, body_of
 from wheatring.lab.leases.cluster import CUT, Node
 from wheatring.lab.live.links.state import State
@@ -90,7 +90,7 @@
         for number, node in enumerate(nodes):
             other = number and self.random.random() < 0.6
             body = body_of(f"{title}{'-b' if other else ''}", 3000 if len(title) % 2 else 0)
-            with suppress(Told):  # it stands in no view at that moment
+            with suppress(OperatorError):  # it stands in no view at that moment
                 self.world.offer(node.name, body)
 
     # Troubles
--- a/wheatring/lab/agree_pusher.py
+++ b/wheatring/lab/agree_pusher.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lease.fleet import Fleet, Instant, Out, Piece
 from wheatring.lease.register import LEAD, Register
 from wheatring.lease.views import Views
@@ -120,7 +120,7 @@
     def move_floor(self, at: Instant, format: int) -> list[Out]:
         try:
             body = self.skew.floor_to(at, format, self.views.view)
-        except Told as bad:
+        except OperatorError as bad:
             self.book.counts[f"floor: {bad.code}"] += 1
             return []
         self.book.counts["floor: put"] += 1
--- a/wheatring/lab/direct/machine_list.py
+++ b/wheatring/lab/direct/machine_list.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from lapisway.interface import View
+from wheatring.balancer.interface import View
 from wheatring.core.clock import Timer
 from wheatring.http1.list_calls import DIAL, WAIT, Caller, Done
 from wheatring.http1.machine_list import MachineList
--- a/wheatring/lab/direct/pool.py
+++ b/wheatring/lab/direct/pool.py
@@ -8,8 +8,8 @@
 from collections import deque
 from collections.abc import Mapping
 
-from lapisway.interface import Outcome, View
 from wheatring import log
+from wheatring.balancer.interface import Outcome, View
 from wheatring.core.clock import Timer
 from wheatring.core.exchange import Claim, Exchange
 from wheatring.http1.claim import Place
--- a/wheatring/lab/live/bench/run.py
+++ b/wheatring/lab/live/bench/run.py
@@ -15,7 +15,7 @@
 from msgspec import Struct, field
 from twisted import __version__ as twisted_version
 
-import lapisway
+import wheatring
 from wheatring.lab.live.bench import upstream
 from wheatring.lab.live.cores import Cores
 from wheatring.lab.live.load import Ask, Load, Result, play
@@ -235,7 +235,7 @@
                 model = line.partition(":")[2].strip()
                 break
     return {
-        "version": lapisway.__version__,
+        "version": wheatring.__version__,
         "python": platform.python_version(),
         "twisted": twisted_version,
         "kernel": platform.release(),
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -17,8 +17,8 @@
 import time
 from random import Random
 
+from wheatring.boot_settings.process import Settings, read_settings
 from wheatring.budgets.budgets import Budgets, BudgetSpent
-from wheatring.settings.process import Settings, read_settings
 from wheatring.storage.quorum import NotSure, QuorumClient
 from wheatring.subscription.client import Subscription
 from wheatring.transport.client import ClientTable
--- a/wheatring/lab/study/jobs.py
+++ b/wheatring/lab/study/jobs.py
@@ -66,9 +66,9 @@
     """Raises StudyError where there is no project."""
     root = folder.resolve()
     total = hashlib.sha256()
-    if not (root / "wheatring" / "lab").is_dir() or not (root / "lapisway").is_dir():
+    if not (root / "wheatring" / "lab").is_dir():
         raise StudyError(f"{folder}: no checkout of the project with a lab")
-    for package in ("lapisway", "wheatring"):
+    for package in ("lapisway", "wheatring"):  # the decision module of builds before it moved into wheatring
         for file in sorted((root / package).rglob("*.py")):
             name = file.relative_to(root).as_posix()
             if not name.startswith(UNHASHED):
--- a/wheatring/lab/study/settings.py
+++ b/wheatring/lab/study/settings.py
@@ -14,7 +14,7 @@
 from wheatring.lab.faults import FAULTS, planted
 from wheatring.lab.study import StudyError
 
-PACKAGES = ("wheatring", "lapisway")  # a patch reaches nothing else
+PACKAGES = ("wheatring",)  # a patch reaches nothing else
 
 _planted = ExitStack()  # for the life of the process
 
--- a/wheatring/lab/wire/ground.py
+++ b/wheatring/lab/wire/ground.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import TYPE_CHECKING
 
-from lapisway.interface import TimerDue
+from wheatring.balancer.interface import TimerDue
 from wheatring.config import Config
 from wheatring.daemon import Sidecar
 from wheatring.lab.models.below import Calls
@@ -27,7 +27,7 @@
     side_hosts,
     zones,
 )
-from wheatring.operators import Operators
+from wheatring.operator_properties import Operators
 
 if TYPE_CHECKING:
     from wheatring.lab.world.world import World
--- a/wheatring/lifecycle/byhand.py
+++ b/wheatring/lifecycle/byhand.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from lapisway.interface import EndpointEntry, EndpointState, View, ViewKind
+from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
 
 READY, GONE = EndpointState.READY, EndpointState.GONE
 
--- a/wheatring/lifecycle/freshness.py
+++ b/wheatring/lifecycle/freshness.py
@@ -25,7 +25,7 @@
 from math import inf
 from random import Random
 
-from lapisway.interface import Outcome, Settings
+from wheatring.balancer.interface import Outcome, Settings
 from wheatring.lifecycle.asking import DEFAULT, Asking, Pace
 from wheatring.lifecycle.told import HANG, Told
 
--- a/wheatring/lifecycle/leaving.py
+++ b/wheatring/lifecycle/leaving.py
@@ -27,7 +27,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from lapisway.interface import Effect, RequestClass
+from wheatring.balancer.interface import Effect, RequestClass
 
 ARRIVING = 0.42  # seconds after SIGTERM in which new connections may come; the platform says 0.4
 QUIET = 0.05  # and since the last that came
--- a/wheatring/operators.py
+++ b/wheatring/operator_properties.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import TypeVar
 
-from wheatring.errors import Plain
+from wheatring.errors import UncodedError
 
 T = TypeVar("T")
 
@@ -26,7 +26,7 @@
 _PERCENT = re.compile(r"([0-9]{1,3})(?:\.([0-9]{1,6}))?")
 
 
-class OperatorsError(Plain, ValueError):
+class OperatorsError(UncodedError, ValueError):
     """An operators' file that can't be used; the text begins with the key at fault."""
 
     code = "operators-key"
--- a/wheatring/ops/audit.py
+++ b/wheatring/ops/audit.py
@@ -19,7 +19,7 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.operators import Operators
+from wheatring.operator_properties import Operators
 
 MOST = 1000  # lines that wait for a reader of standard error
 RETRY = 0.05  # seconds between tries while it reads nothing
--- a/wheatring/ops/capture/record.py
+++ b/wheatring/ops/capture/record.py
@@ -24,8 +24,8 @@
 from typing import Any, NamedTuple
 from urllib.parse import quote
 
-from lapisway import interface as i
-from lapisway.policy import Balancer
+from wheatring.balancer import interface as i
+from wheatring.balancer.policy import Balancer
 
 REPORT = ("in_flight", "queue", "utilization", "latency", "rate", "error_rate")
 
--- a/wheatring/ops/capture/replay.py
+++ b/wheatring/ops/capture/replay.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from urllib.parse import unquote
 
-from lapisway import interface as i
-from lapisway.benchlink import Nested, settings_from
-from lapisway.policy import Balancer
+from wheatring.balancer import interface as i
+from wheatring.balancer.benchlink import Nested, settings_from
+from wheatring.balancer.policy import Balancer
 from wheatring.ops.capture.record import REPORT, Recorder
 from wheatring.ops.capture.ring import CUT, files_in
 
--- a/wheatring/ops/drills.py
+++ b/wheatring/ops/drills.py
@@ -12,12 +12,12 @@
 from collections.abc import Callable, Mapping
 from typing import NamedTuple
 
-from lapisway.interface import Limits, RequestClass
-from lapisway.policy import STAY_AWAY
 from wheatring import log
+from wheatring.balancer.interface import Limits, RequestClass
+from wheatring.balancer.policy import STAY_AWAY
 from wheatring.core.clock import Clock, Timer
 from wheatring.core.exchange import Answer, Exchange, Final, Job
-from wheatring.operators import PERCENT, Drill, OperatorsError
+from wheatring.operator_properties import PERCENT, Drill, OperatorsError
 
 MARGIN = 0.25  # seconds before its deadline, or a quarter of its time left, at which no job is held any more
 LOOK = 5.0  # seconds between looks at the time at least, which may be set anew
--- a/wheatring/ops/tokens.py
+++ b/wheatring/ops/tokens.py
@@ -15,8 +15,8 @@
 
 from wheatring.core.clock import Clock
 from wheatring.core.refused import Refused
-from wheatring.errors import Plain
-from wheatring.operators import OperatorsError, Tokens
+from wheatring.errors import UncodedError
+from wheatring.operator_properties import OperatorsError, Tokens
 
 _BEARER = re.compile(rb"bearer +(\S.*)", re.IGNORECASE)
 _CODED = re.compile(rb"[A-Za-z0-9_-]+")
@@ -33,7 +33,7 @@
     do = "Correct the word or the key that the line names, and issue it again."
 
 
-class TokenError(Plain, ValueError):
+class TokenError(UncodedError, ValueError):
     """A token that counts for nothing."""
 
 
--- a/wheatring/peers/begin.py
+++ b/wheatring/peers/begin.py
@@ -10,8 +10,8 @@
 
 from msgspec import structs
 
-from lapisway.interface import View
 from wheatring import address, config, log
+from wheatring.balancer.interface import View
 from wheatring.config import file
 from wheatring.core.clock import Clock
 from wheatring.lease.fleet import DutyPlan
--- a/wheatring/peers/listing.py
+++ b/wheatring/peers/listing.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from lapisway.interface import EndpointState, View, ViewKind
 from wheatring import log
+from wheatring.balancer.interface import EndpointState, View, ViewKind
 from wheatring.core.clock import Clock, Timer
 from wheatring.lease.words import Beat
 from wheatring.lifecycle.byhand import ByHand
--- a/wheatring/peers/planned.py
+++ b/wheatring/peers/planned.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Any
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lease.fleet import Fleet, Instant, Out, Piece
 from wheatring.lease.register import LEAD, Register
 from wheatring.lease.views import Views
@@ -171,7 +171,7 @@
         try:
             ruled(body)  # what would be refused by all is refused right here
             number = self.plans.offer(at, body)
-        except Told as bad:
+        except OperatorError as bad:
             return 409 if bad.code == "plan-push-under-way" else 400, refused(bad)
         return 202, {"push": number, "state": self.plans.pushes[number].state}
 
@@ -180,7 +180,7 @@
         try:
             body = self.skew.floor_to(at, least, self.views.view)
             out = self.floors.put(at, body)
-        except Told as bad:
+        except OperatorError as bad:
             return 409, refused(bad), []
         except ValueError as bad:
             return 503, {"code": "not-ready", "what": str(bad), "do": "Ask again in a second"}, []
@@ -209,5 +209,5 @@
         }  # fmt: skip
 
 
-def refused(bad: Told) -> dict[str, Any]:
+def refused(bad: OperatorError) -> dict[str, Any]:
     return {"code": bad.code, "what": bad.what, "do": bad.do}
--- a/wheatring/peers/ruled.py
+++ b/wheatring/peers/ruled.py
@@ -20,7 +20,7 @@
 
 
 def ruled(body: bytes) -> tuple[Plan, Ruled]:
-    """Raises errors.Told for what can't be read, or can't stand together."""
+    """Raises errors.OperatorError for what can't be read, or can't stand together."""
     plan = read(body)
     found = compiled(plan)
     check(plan)
--- a/wheatring/plan/errors.py
+++ b/wheatring/plan/errors.py
@@ -2,99 +2,99 @@
 
 from __future__ import annotations
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 
 
-class PlanUnreadable(Told):
+class PlanUnreadable(OperatorError):
     code = "plan-unreadable"
     do = "Correct the key that is named and push again."
 
 
-class PlanTooLarge(Told):
+class PlanTooLarge(OperatorError):
     code = "plan-too-large"
     do = "Leave out routes, windows or trials until it fits."
 
 
-class PlanFormatUnknown(Told):
+class PlanFormatUnknown(OperatorError):
     code = "plan-format-unknown"
     do = "Write it in a format that all sidecars read, or bring the older ones up to date first."
 
 
-class PlanFormatTooLow(Told):
+class PlanFormatTooLow(OperatorError):
     code = "plan-format-too-low"
     do = "State the format that the key needs, or leave the key out."
 
 
-class PlanRoutesClash(Told):
+class PlanRoutesClash(OperatorError):
     code = "plan-routes-clash"
     do = "Give each route a name and conditions of its own."
 
 
-class PlanWeightsEmpty(Told):
+class PlanWeightsEmpty(OperatorError):
     code = "plan-weights-empty"
     do = "Give one pool at least a weight above 0."
 
 
-class PlanWindowUnknownRoute(Told):
+class PlanWindowUnknownRoute(OperatorError):
     code = "plan-window-unknown-route"
     do = "Name a route of the same plan in the window."
 
 
-class PlanWindowUnknownPool(Told):
+class PlanWindowUnknownPool(OperatorError):
     code = "plan-window-unknown-pool"
     do = "Name only pools that the window's route has; one that is to get nothing else there has weight 0."
 
 
-class PlanWindowsClash(Told):
+class PlanWindowsClash(OperatorError):
     code = "plan-windows-clash"
     do = "Give each window a name of its own."
 
 
-class PlanPushUnderWay(Told):
+class PlanPushUnderWay(OperatorError):
     code = "plan-push-under-way"
     do = "Wait until that one is settled or refused, then look at the plan and push again."
 
 
-class PlanOvertaken(Told):
+class PlanOvertaken(OperatorError):
     code = "plan-overtaken"
     do = "Look at the plan that is settled now, and push again if yours is to take its place."
 
 
-class PlanNotFetched(Told):
+class PlanNotFetched(OperatorError):
     code = "plan-not-fetched"
     do = "Look whether the leader reaches the sidecar it was pushed at; push again, at another one if not."
 
 
-class PlanNotWhole(Told):
+class PlanNotWhole(OperatorError):
     code = "plan-not-whole"
     do = "Look at the sidecars named, take out or bring back those that are gone, and push again."
 
 
-class PlanMembersLost(Told):
+class PlanMembersLost(OperatorError):
     code = "plan-members-lost"
     do = "Find out why so many went, then push again to those that are there."
 
 
-class PlanNotJudged(Told):
+class PlanNotJudged(OperatorError):
     code = "plan-not-judged"
     do = "Look at the sidecars that have not answered, and push again."
 
 
-class PlanViewMovedTooOften(Told):
+class PlanViewMovedTooOften(OperatorError):
     code = "plan-view-moved-too-often"
     do = "Wait until the members stay as they are, and push again."
 
 
-class PlanNoView(Told):
+class PlanNoView(OperatorError):
     code = "plan-no-view"
     do = "Wait until this sidecar stands in a view (`fleet show`), or push at one that does."
 
 
-class PlanNotKept(Told):
+class PlanNotKept(OperatorError):
     code = "plan-not-kept"
     do = "It may settle yet; bring back a majority of the voters and look again."
 
 
-class PlanLeaderLost(Told):
+class PlanLeaderLost(OperatorError):
     code = "plan-leader-lost"
     do = "Look at the plan's number first, as it may have been settled; push again if it was not."
--- a/wheatring/plan/lead.py
+++ b/wheatring/plan/lead.py
@@ -25,7 +25,7 @@
 from collections import OrderedDict
 from math import ceil
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lease.bodies import LARGEST, Fetch
 from wheatring.lease.fleet import Fleet, Instant, Out
 from wheatring.lease.register import LEAD, Register
@@ -124,7 +124,7 @@
         self.push.offers[by] = address
         return [(address, self._word(self.push, word.id, []))]
 
-    def _no(self, by: tuple[str, int], address: Address, word: Offer, why: Told) -> list[Out]:
+    def _no(self, by: tuple[str, int], address: Address, word: Offer, why: OperatorError) -> list[Out]:
         whys, more = packed([reason(why)])
         told = Pushed(word.digest, word.epoch, word.id, REFUSED, whys=whys, more=more)
         return self._answer(by, address, told)
@@ -203,7 +203,7 @@
             try:
                 push.plan = read(body)
                 compiled(push.plan)
-            except Told as bad:
+            except OperatorError as bad:
                 return self._over(REFUSED, [reason(bad)])
             self.fleet.bodies.keep("plan/push", push.digest)
         if not self.views.inside:
--- a/wheatring/plan/one.py
+++ b/wheatring/plan/one.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.members.members import Address
 from wheatring.members.view import View
 from wheatring.members.words import Placed
@@ -13,7 +13,7 @@
 from wheatring.plan.words import Plan
 
 
-def reason(told: Told, member: str = "") -> Reason:
+def reason(told: OperatorError, member: str = "") -> Reason:
     return Reason(member, told.code, told.what, told.do)
 
 
--- a/wheatring/plan/push.py
+++ b/wheatring/plan/push.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from typing import Any, get_args
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lease.bodies import LARGEST, Fetch
 from wheatring.lease.fleet import Fleet, Instant, Out
 from wheatring.lease.register import LEAD, Register
@@ -103,7 +103,7 @@
         self.compiled: Compiled | None = None  # of the current one
         self.unread: Reason | None = None  # why the newest settled one is not gone by
         self.pushes: OrderedDict[int, Pushing] = OrderedDict()  # offered here
-        self.understood: OrderedDict[bytes, Compiled | Told] = OrderedDict()
+        self.understood: OrderedDict[bytes, Compiled | OperatorError] = OrderedDict()
         self.holding: tuple[Hold, Address] | None = None  # what a leader wants held, and who that is
         self.next = self.next_ask = at.now
 
@@ -111,7 +111,7 @@
 
     def offer(self, at: Instant, body: bytes) -> int:
         """Push a plan: its number among the pushes, for `pushes`. It goes out with the next tick, which is
-        due at once. Raises Told where it is refused right here.
+        due at once. Raises OperatorError where it is refused right here.
         """
         if len(body) > LARGEST:
             raise PlanTooLarge(f"{len(body)} bytes, {LARGEST} at most")
@@ -240,15 +240,17 @@
             return []
         self.fleet.bodies.keep("plan/held", word.digest)
         found = self._read(word.digest, body)
-        why = (found.code, cut(found.what), cut(found.do)) if isinstance(found, Told) else ("", "", "")
+        why = (
+            (found.code, cut(found.what), cut(found.do)) if isinstance(found, OperatorError) else ("", "", "")
+        )
         return [(address, Holds(word.digest, word.epoch, self.fleet.start, *why))]
 
-    def _read(self, digest: bytes, body: bytes) -> Compiled | Told:
+    def _read(self, digest: bytes, body: bytes) -> Compiled | OperatorError:
         found = self.understood.get(digest)
         if found is None:
             try:
                 found = compiled(read(body))
-            except Told as bad:
+            except OperatorError as bad:
                 found = bad
             self.understood[digest] = found
             while len(self.understood) > READ:
@@ -264,7 +266,7 @@
                 push.number, push.reasons = entry.number, ()
                 self._ends(push, SETTLED)
         found = self._read(entry.digest, body)
-        if isinstance(found, Told):  # by a program that knows less than those who settled it
+        if isinstance(found, OperatorError):  # by a program that knows less than those who settled it
             self.unread = reason(found, self.fleet.me.name)
             return out
         was, self.unread = self.current, None
--- a/wheatring/pools/errors.py
+++ b/wheatring/pools/errors.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 
 
-class UnknownRoute(Told):
+class UnknownRoute(OperatorError):
     code = "unknown-route"
     do = "Name a route of the file that is in force."
 
 
-class UnknownPool(Told):
+class UnknownPool(OperatorError):
     code = "unknown-pool"
     do = "Name pools of the file that is in force."
 
 
-class BadWeights(Told):
+class BadWeights(OperatorError):
     code = "bad-weights"
     do = "Give whole numbers from 0 to 1,000,000, one of them above 0."
--- a/wheatring/pools/hands.py
+++ b/wheatring/pools/hands.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from lapisway.interface import View
+from wheatring.balancer.interface import View
 from wheatring.lifecycle.byhand import ByHand
 
 if TYPE_CHECKING:
--- a/wheatring/pools/member.py
+++ b/wheatring/pools/member.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import Any
 
-from lapisway.interface import Action, Event, Outcome, Settings, View, ViewKind
+from wheatring.balancer.interface import Action, Event, Outcome, Settings, View, ViewKind
 from wheatring.config.file import PoolTable
 from wheatring.core.body import Room
 from wheatring.core.clock import Clock
--- a/wheatring/pools/selection.py
+++ b/wheatring/pools/selection.py
@@ -8,7 +8,7 @@
 
 from dataclasses import replace
 
-from lapisway.interface import EndpointEntry, EndpointState, View, ViewKind
+from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
 from wheatring.config.file import PoolTable
 
 GONE = EndpointState.GONE
--- a/wheatring/pools/serve.py
+++ b/wheatring/pools/serve.py
@@ -15,15 +15,15 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
-from lapisway.interface import Settings, View
 from wheatring import log
+from wheatring.balancer.interface import Settings, View
 from wheatring.config import FileError
 from wheatring.config.file import File, PoolTable
 from wheatring.core.body import Room
 from wheatring.core.clock import Clock
 from wheatring.core.exchange import Claim, Exchange, Job
 from wheatring.core.refused import Refused
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.http1.parser import Message
 from wheatring.lifecycle.asking import Pace
 from wheatring.lifecycle.byhand import Word
@@ -159,7 +159,7 @@
         """The same for the fleet's plan, whose routes and pools the file may lack."""
         try:
             self.change_weights(name, weights)
-        except Told as bad:
+        except OperatorError as bad:
             log.line("plan-weights", route=name, code=bad.code, why=bad.what)
 
     # The one list, and nodes out by hand
--- a/wheatring/schedule/errors.py
+++ b/wheatring/schedule/errors.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 
 
-class WindowError(Told):
+class WindowError(OperatorError):
     """What all of these are: a plan whose windows are refused."""
 
 
--- a/wheatring/serving.py
+++ b/wheatring/serving.py
@@ -9,7 +9,7 @@
 import time
 from typing import Any
 
-from wheatring import config, late, log, operators
+from wheatring import config, lazy_imports, log, operator_properties
 from wheatring.daemon import Sidecar, read_own
 
 
@@ -37,12 +37,12 @@
     try:
         said = read_own(own)
         told = config.read(os.environ)
-        asked = operators.read(file)
-    except (config.ConfigError, operators.OperatorsError, config.FileError) as bad:
+        asked = operator_properties.read(file)
+    except (config.ConfigError, operator_properties.OperatorsError, config.FileError) as bad:
         print(f"wheatring: {bad}", file=sys.stderr)
         return None
     log.not_blocking()
-    late.put_off()
+    lazy_imports.put_off()
     from twisted.internet import error
     from twisted.internet import reactor as installed
 
--- a/wheatring/sidecar/client_connection.py
+++ b/wheatring/sidecar/client_connection.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from wheatring.boot_settings.events import log_event
 from wheatring.http1.answers import REASONS, response
 from wheatring.http1.parser import BadMessage, Message, Reader
-from wheatring.settings.events import log_event
 from wheatring.sidecar.routes import Limits
 
 MAX_WAITING_BYTES = 256 * 1024  # that a client may send ahead while a request is under way
--- a/wheatring/sidecar/decisions.py
+++ b/wheatring/sidecar/decisions.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from lapisway import interface as i
-from lapisway.policy import MAX_TOKENS, Balancer, Endpoint, Norm, Request
+from wheatring.balancer import interface as i
+from wheatring.balancer.policy import MAX_TOKENS, Balancer, Endpoint, Norm, Request
 from wheatring.sidecar.policy import SidecarPolicy
 from wheatring.sidecar.prompt_placement import LINE_PART, PromptCaches, PromptPart, home_of
 from wheatring.sidecar.routes import Route
--- a/wheatring/sidecar/forwarder.py
+++ b/wheatring/sidecar/forwarder.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from lapisway import interface as i
+from wheatring.balancer import interface as i
 from wheatring.http1.parser import Message
 from wheatring.sidecar import headers
 from wheatring.sidecar.decisions import Call, ServiceDecisions
--- a/wheatring/sidecar/process.py
+++ b/wheatring/sidecar/process.py
@@ -8,12 +8,12 @@
 from functools import partial
 from random import Random
 
-from lapisway.interface import EndpointEntry, EndpointState
+from wheatring.balancer.interface import EndpointEntry, EndpointState
+from wheatring.boot_settings.events import log_event
+from wheatring.boot_settings.process import Settings
+from wheatring.boot_settings.watch import SettingsWatch
 from wheatring.budgets.budgets import Budgets
 from wheatring.http1.parser import Message
-from wheatring.settings.events import log_event
-from wheatring.settings.process import Settings
-from wheatring.settings.watch import SettingsWatch
 from wheatring.sidecar.client_connection import ClientConnection, ConnectionSettings, Handler
 from wheatring.sidecar.decisions import ServiceDecisions
 from wheatring.sidecar.policy import DEFAULT_POLICY, SidecarPolicy
--- a/wheatring/sidecar/routes.py
+++ b/wheatring/sidecar/routes.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from lapisway.interface import Effect
+from wheatring.balancer.interface import Effect
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheatring/sidecar/service.py
+++ b/wheatring/sidecar/service.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lapisway.interface import Outcome
+from wheatring.balancer.interface import Outcome
+from wheatring.boot_settings.events import log_event
 from wheatring.budgets.budgets import Budgets, BudgetSpent
 from wheatring.http1.parser import Message
-from wheatring.settings.events import log_event
 from wheatring.sidecar import headers
 from wheatring.sidecar.client_connection import ClientConnection
 from wheatring.sidecar.decisions import ServiceDecisions
--- a/wheatring/sidecar/upstream.py
+++ b/wheatring/sidecar/upstream.py
@@ -12,7 +12,7 @@
 from collections import deque
 from typing import Any
 
-from lapisway.interface import Outcome
+from wheatring.balancer.interface import Outcome
 from wheatring.http1.parser import BadMessage, Message, Reader
 from wheatring.sidecar.headers import KEEP_ALIVE, REQUEST_ID
 from wheatring.sidecar.verdict import AttemptFailed, Verdict
--- a/wheatring/sidecar/verdict.py
+++ b/wheatring/sidecar/verdict.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lapisway.interface import Outcome
+from wheatring.balancer.interface import Outcome
 
 
 class Verdict(Enum):
--- a/wheatring/skew/member.py
+++ b/wheatring/skew/member.py
@@ -16,7 +16,7 @@
 from collections.abc import Callable
 from math import inf
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lease.bodies import Fetch
 from wheatring.lease.fleet import Fleet, Instant, Out
 from wheatring.members.members import Address
@@ -24,7 +24,7 @@
 from wheatring.skew.trials import Answers, Ruled
 from wheatring.skew.words import Abilities, Able, Show, Shown, Survey, Tried, Try
 
-Compile = Callable[[bytes], tuple[Plan, Ruled]]  # raises Told or ValueError for what it can't read
+Compile = Callable[[bytes], tuple[Plan, Ruled]]  # raises OperatorError or ValueError for what it can't read
 KEEP = 60.0  # seconds for which a trial is kept after anybody asked about it
 MOST = 2  # trials at once: those of a leader that was and of the one that is
 FEW = 100  # requests answered in one go: about 2 ms
@@ -116,7 +116,7 @@
             return []
         try:
             plan, ruled = self.compiles(body)
-        except (Told, ValueError) as bad:
+        except (OperatorError, ValueError) as bad:
             trial.error = short(" ".join(str(bad).split())) or type(bad).__name__
             trial.done = True
             return self._tell(trial)
--- a/wheatring/skew/needs.py
+++ b/wheatring/skew/needs.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
-from wheatring.errors import Told
+from wheatring.errors import OperatorError
 from wheatring.lease.bodies import LARGEST
 from wheatring.plan.judge import Reason
 from wheatring.plan.words import NEWEST, OLDEST, Plan, PlanRoute, PlanWindow
@@ -77,7 +77,7 @@
     )
 
 
-def reason(member: str, kind: type[Told], what: str, do: str = "") -> Reason:
+def reason(member: str, kind: type[OperatorError], what: str, do: str = "") -> Reason:
     """A refusal of this kind, about one member ("": the plan itself)."""
     return Reason(member, kind.code, what, do or kind.do)
 
@@ -99,7 +99,7 @@
         do = f"Upgrade it to a program that knows format {FEATURES[name]}"
         do += f" and has {libraries}" if libraries else ""
         out.append(reason(member, Unable, f"it lacks {name}", f"{do}, or push a plan without {name}."))
-    limits: tuple[tuple[type[Told], str, int, int], ...] = (
+    limits: tuple[tuple[type[OperatorError], str, int, int], ...] = (
         (TooManyRoutes, "routes", needs.routes, abilities.routes),
         (TooManyWindows, "windows", needs.windows, abilities.windows),
         (TooManyExpressions, "expressions", needs.expressions, abilities.expressions),
