--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -54,6 +54,7 @@
     ("wheatring.errors", 1),
     ("wheatring.log", 1),
     ("wheatring.address", 1),
+    ("wheatring.event_log", 0),
     ("wheatring", 0),
 )
 # Stated by name, so that a new one is a decision: who may import it, and what.
--- a/tests/tier/test_command_line.py
+++ b/tests/tier/test_command_line.py
@@ -12,7 +12,7 @@
 import pytest
 from click.testing import CliRunner
 
-from wheatring.boot_settings.process import SettingsError, read_settings
+from wheatring.boot_settings.settings import SettingsError, read_settings
 from wheatring.tier.__main__ import main
 
 SOUND: dict[str, Any] = {
--- a/tests/tier/test_placement.py
+++ b/tests/tier/test_placement.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.controller.members import Reported, complete_retirements, next_placement
+from wheatring.controller.storage_membership import Reported, complete_retirements, next_placement
 from wheatring.placement.placement import place, quorums, replicas_for
 from wheatring.storage.repair import needs_no_copy, sources_needed
 from wheatring.transport.messages_pb2 import ControlState, Placement, StorageMember
--- a/tests/tier/test_voters.py
+++ b/tests/tier/test_voters.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from wheatring.consensus.electorate import change_voters, finish_change, has_quorum
-from wheatring.controller.voters import Candidate, next_voters
+from wheatring.controller.voter_selection import Candidate, next_voters
 from wheatring.transport.messages_pb2 import Entry, Member
 
 
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
-from wheatring.boot_settings.process import Address, Settings, Tolerance
+from wheatring.boot_settings.settings import Address, Settings, Tolerance
 from wheatring.budgets.budgets import Budgets, BudgetSpent
 from wheatring.consensus.types import State
 from wheatring.controller.api import Orders
--- a/wheatring/boot_settings/watch.py
+++ b/wheatring/boot_settings/watch.py
@@ -5,8 +5,8 @@
 import asyncio
 import os
 
-from wheatring.boot_settings.events import log_event
-from wheatring.boot_settings.process import Settings, SettingsError, read_settings
+from wheatring.boot_settings.settings import Settings, SettingsError, read_settings
+from wheatring.event_log import log_event
 
 LOOK_SECONDS = 1.0
 
--- a/wheatring/budgets/budgets.py
+++ b/wheatring/budgets/budgets.py
@@ -10,7 +10,7 @@
 
 import asyncio
 
-from wheatring.boot_settings.events import log_event
+from wheatring.event_log import log_event
 from wheatring.storage.quorum import NotSure, QuorumClient
 from wheatring.transport.messages_pb2 import BudgetEntry, StorageRecord
 
--- a/wheatring/controller/api.py
+++ b/wheatring/controller/api.py
@@ -11,7 +11,7 @@
 import uvicorn
 from litestar import Litestar, MediaType, Request, Response, get, post
 
-from wheatring.boot_settings.process import Address
+from wheatring.boot_settings.settings import Address
 from wheatring.controller.command_queue import NoLeader
 from wheatring.controller.commands import (
     Command,
--- a/wheatring/controller/command_queue.py
+++ b/wheatring/controller/command_queue.py
@@ -13,7 +13,7 @@
 
 from wheatring.consensus.types import State
 from wheatring.controller.commands import Command, Outcome, apply_batch
-from wheatring.controller.host import ConsensusHost
+from wheatring.controller.consensus_host import ConsensusHost
 
 FIND_LEADER_SECONDS = 0.7  # for a leader to be known, before an order is answered 503
 CERTAIN_SECONDS = 2.0  # for a change to be committed, before its outcome is told to be unclear
--- a/wheatring/controller/commands.py
+++ b/wheatring/controller/commands.py
@@ -95,7 +95,9 @@
 
     def result(self, current: bytes) -> bytes:
         """The configuration afterwards. Raises InvalidConfiguration."""
-        from wheatring.controller.update import merge  # brings cattrs, see _change_configuration
+        from wheatring.controller.configuration_update import (
+            merge,  # brings cattrs, see _change_configuration
+        )
 
         return merge(current, self.body)
 
@@ -147,7 +149,7 @@
     if command.base >= state.forgotten_generation:
         return Conflict(f"version {state.generation} is current")
     from wheatring.controller.configuration import InvalidConfiguration, parse
-    from wheatring.controller.update import read_update
+    from wheatring.controller.configuration_update import read_update
 
     read = parse if isinstance(command, ReplaceConfiguration) else read_update
     try:
--- a/wheatring/controller/host.py
+++ b/wheatring/controller/consensus_host.py
@@ -8,12 +8,12 @@
 from pathlib import Path
 from random import Random
 
-from wheatring.boot_settings.events import log_event
-from wheatring.boot_settings.process import Settings
+from wheatring.boot_settings.settings import Settings
 from wheatring.consensus.replica import Replica
 from wheatring.consensus.types import Effects, Message, Position, State, Timing, Write, entry_position
-from wheatring.controller.store import Store
+from wheatring.controller.consensus_store import Store
 from wheatring.durable.record_file import DiskError
+from wheatring.event_log import log_event
 from wheatring.transport.client import ClientTable
 from wheatring.transport.messages_pb2 import ConsensusRecord, Envelope, HardState, Member
 
--- a/wheatring/controller/list_keeper.py
+++ b/wheatring/controller/endpoint_list_poller.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from wheatring.boot_settings.events import log_event
 from wheatring.consensus.types import State
-from wheatring.controller.host import ConsensusHost
+from wheatring.controller.consensus_host import ConsensusHost
 from wheatring.discovery.platform_list import ListReader, ListUnavailable
+from wheatring.event_log import log_event
 
 PAUSE_PART = 0.42  # of the time in which sends to a leaving endpoint have to end
 LEAST_PAUSE = 0.3  # seconds
--- a/wheatring/controller/node.py
+++ b/wheatring/controller/node.py
@@ -5,17 +5,17 @@
 import asyncio
 from random import Random
 
-from wheatring.boot_settings.events import log_event
-from wheatring.boot_settings.process import Settings
+from wheatring.boot_settings.settings import Settings
 from wheatring.consensus.types import State, entry_position
 from wheatring.controller.command_queue import FIND_LEADER_SECONDS, CommandQueue
 from wheatring.controller.commands import Command, Outcome
-from wheatring.controller.host import CONSENSUS_MESSAGES, RECENT_QUORUM_SECONDS, ConsensusHost
-from wheatring.controller.list_keeper import ListKeeper
-from wheatring.controller.members import complete_retirements, next_placement
-from wheatring.controller.presences import News, Presences, member_of
-from wheatring.controller.voters import Candidate, next_voters
+from wheatring.controller.consensus_host import CONSENSUS_MESSAGES, RECENT_QUORUM_SECONDS, ConsensusHost
+from wheatring.controller.endpoint_list_poller import ListKeeper
+from wheatring.controller.presence_table import News, Presences, member_of
+from wheatring.controller.storage_membership import complete_retirements, next_placement
+from wheatring.controller.voter_selection import Candidate, next_voters
 from wheatring.discovery.platform_list import ListReader
+from wheatring.event_log import log_event
 from wheatring.subscription.server import SUBSCRIBER_HEARTBEAT, Subscribers
 from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
 from wheatring.transport.messages_pb2 import (
--- a/wheatring/controller/presences.py
+++ b/wheatring/controller/presence_table.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from wheatring.controller.members import Reported
+from wheatring.controller.storage_membership import Reported
 from wheatring.transport.messages_pb2 import ROLE_CONTROLLER, ROLE_STORAGE, Member, Presence, StorageMember
 
 FORWARD_SECONDS = 0.3  # between two words of one process that are passed on to the leader
--- a/wheatring/controller/process.py
+++ b/wheatring/controller/process.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from wheatring.boot_settings.process import Settings
+from wheatring.boot_settings.settings import Settings
 from wheatring.boot_settings.watch import SettingsWatch
 from wheatring.controller.node import Controller
 from wheatring.discovery.platform_list import PlatformList
--- a/wheatring/lab/control/model.py
+++ b/wheatring/lab/control/model.py
@@ -20,8 +20,8 @@
     UpdateConfiguration,
     apply_batch,
 )
-from wheatring.controller.store import first_entry, seed_member
-from wheatring.controller.voters import Candidate, next_voters
+from wheatring.controller.consensus_store import first_entry, seed_member
+from wheatring.controller.voter_selection import Candidate, next_voters
 from wheatring.lab.control.invariants import Acknowledged, Broken, History, generation_of
 from wheatring.lab.control.machine import Disk, Flight, Machine, MakeReplica
 from wheatring.transport.messages_pb2 import Entry, HardState
--- a/wheatring/lab/control/storage_model.py
+++ b/wheatring/lab/control/storage_model.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from wheatring.controller.commands import StartRetirement
-from wheatring.controller.members import Reported, complete_retirements, next_placement
+from wheatring.controller.storage_membership import Reported, complete_retirements, next_placement
 from wheatring.lab.control.invariants import Broken
 from wheatring.lab.control.search import Found
 from wheatring.placement.placement import KeyPlacement, place, quorums, replicas_for
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -17,7 +17,7 @@
 import time
 from random import Random
 
-from wheatring.boot_settings.process import Settings, read_settings
+from wheatring.boot_settings.settings import Settings, read_settings
 from wheatring.budgets.budgets import Budgets, BudgetSpent
 from wheatring.storage.quorum import NotSure, QuorumClient
 from wheatring.subscription.client import Subscription
--- a/wheatring/sidecar/client_connection.py
+++ b/wheatring/sidecar/client_connection.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wheatring.boot_settings.events import log_event
+from wheatring.event_log import log_event
 from wheatring.http1.answers import REASONS, response
 from wheatring.http1.parser import BadMessage, Message, Reader
 from wheatring.sidecar.routes import Limits
--- a/wheatring/sidecar/process.py
+++ b/wheatring/sidecar/process.py
@@ -8,11 +8,11 @@
 from functools import partial
 from random import Random
 
-from wheatring.balancer.interface import EndpointEntry, EndpointState
-from wheatring.boot_settings.events import log_event
-from wheatring.boot_settings.process import Settings
+from lapisway.interface import EndpointEntry, EndpointState
+from wheatring.boot_settings.settings import Settings
 from wheatring.boot_settings.watch import SettingsWatch
 from wheatring.budgets.budgets import Budgets
+from wheatring.event_log import log_event
 from wheatring.http1.parser import Message
 from wheatring.sidecar.client_connection import ClientConnection, ConnectionSettings, Handler
 from wheatring.sidecar.decisions import ServiceDecisions
--- a/wheatring/sidecar/service.py
+++ b/wheatring/sidecar/service.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from wheatring.balancer.interface import Outcome
-from wheatring.boot_settings.events import log_event
+from lapisway.interface import Outcome
 from wheatring.budgets.budgets import Budgets, BudgetSpent
+from wheatring.event_log import log_event
 from wheatring.http1.parser import Message
 from wheatring.sidecar import headers
 from wheatring.sidecar.client_connection import ClientConnection
--- a/wheatring/storage/process.py
+++ b/wheatring/storage/process.py
@@ -6,9 +6,9 @@
 from pathlib import Path
 from random import Random
 
-from wheatring.boot_settings.events import log_event
-from wheatring.boot_settings.process import Settings
+from wheatring.boot_settings.settings import Settings
 from wheatring.boot_settings.watch import SettingsWatch
+from wheatring.event_log import log_event
 from wheatring.storage.repair import Repair
 from wheatring.storage.replica import Replica
 from wheatring.subscription.client import Subscription
--- a/wheatring/storage/repair.py
+++ b/wheatring/storage/repair.py
@@ -11,8 +11,8 @@
 from collections.abc import Awaitable, Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from wheatring.boot_settings.events import log_event
 from wheatring.durable.record_file import DiskError
+from wheatring.event_log import log_event
 from wheatring.placement.placement import quorums
 from wheatring.storage.replica import Replica
 from wheatring.transport.client import ClientTable, Unreachable
--- a/wheatring/subscription/client.py
+++ b/wheatring/subscription/client.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from wheatring.boot_settings.events import log_event
+from wheatring.event_log import log_event
 from wheatring.transport.client import Client
 from wheatring.transport.messages_pb2 import Envelope, Member, Placement, Presence, Subscribe, Update
 
--- a/wheatring/tier/__main__.py
+++ b/wheatring/tier/__main__.py
@@ -28,7 +28,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def check(file: str) -> None:
     """Check a settings file or an operator's configuration; every error is one line with its path."""
-    from wheatring.boot_settings.process import SettingsError, read_settings
+    from wheatring.boot_settings.settings import SettingsError, read_settings
     from wheatring.controller.configuration import InvalidConfiguration, parse
 
     with open(file, "rb") as opened:
--- a/wheatring/tier/run.py
+++ b/wheatring/tier/run.py
@@ -11,9 +11,9 @@
 from random import Random
 from typing import Protocol
 
-from wheatring.boot_settings.events import log_event, start_logging
-from wheatring.boot_settings.process import Settings, SettingsError, read_settings, settings_path
+from wheatring.boot_settings.settings import Settings, SettingsError, read_settings, settings_path
 from wheatring.durable.record_file import DiskError
+from wheatring.event_log import log_event, start_logging
 
 STATUS_CANNOT_START = 2
 
