--- a/tests/tier/test_commands.py
+++ b/tests/tier/test_commands.py
@@ -1,4 +1,4 @@
-"""Orders on the control state: what is taken, what is refused, and what a repeat is answered."""
+"""OperatorApi on the control state: what is taken, what is refused, and what a repeat is answered."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from wheatring.controller.commands import (
-    MAX_RETIRED,
-    MAX_TAKEN,
+    MAX_COMPLETED_RETIREMENTS,
+    MAX_REMEMBERED_CONFIGURATIONS,
+    Accepted,
     Conflict,
-    Done,
+    Indeterminate,
     Invalid,
     ReplaceConfiguration,
     StartRetirement,
-    Unclear,
 )
-from wheatring.controller.configuration import InvalidConfiguration, parse
+from wheatring.controller.configuration import parse
+from wheatring.controller.exceptions import InvalidConfigurationError
 from wheatring.transport.messages_pb2 import ControlState
 
 
@@ -84,7 +85,7 @@
 
 @pytest.mark.parametrize("name", BAD)
 def test_an_invalid_configuration_is_refused_and_changes_nothing(name: str) -> None:
-    with pytest.raises(InvalidConfiguration):
+    with pytest.raises(InvalidConfigurationError):
         parse(BAD[name])
     state = ControlState()
     assert isinstance(ReplaceConfiguration(0, BAD[name]).apply(state), Invalid)
@@ -96,43 +97,43 @@
     sizes = {}
     for number in range(1, 2001):
         order = ReplaceConfiguration(state.generation, body(sound(1_000_000 + number)))
-        assert order.apply(state) == Done()
+        assert order.apply(state) == Accepted()
         sizes[number] = state.ByteSize()
-    assert sizes[2000] <= sizes[MAX_TAKEN] + 8
-    assert sizes[2000] - sizes[1] <= MAX_TAKEN * 26
+    assert sizes[2000] <= sizes[MAX_REMEMBERED_CONFIGURATIONS] + 8
+    assert sizes[2000] - sizes[1] <= MAX_REMEMBERED_CONFIGURATIONS * 26
 
 
 def test_a_repeat_is_never_refused_however_late_it_comes() -> None:
     state = ControlState()
     orders = []
-    for number in range(1, 3 * MAX_TAKEN):
+    for number in range(1, 3 * MAX_REMEMBERED_CONFIGURATIONS):
         orders.append(ReplaceConfiguration(state.generation, body(sound(number))))
-        assert orders[-1].apply(state) == Done()
+        assert orders[-1].apply(state) == Accepted()
     outcomes = [order.apply(state) for order in orders]
-    assert outcomes[-MAX_TAKEN:] == [Done()] * MAX_TAKEN
-    assert all(isinstance(outcome, Unclear) for outcome in outcomes[:-MAX_TAKEN])
+    assert outcomes[-MAX_REMEMBERED_CONFIGURATIONS:] == [Accepted()] * MAX_REMEMBERED_CONFIGURATIONS
+    assert all(isinstance(outcome, Indeterminate) for outcome in outcomes[:-MAX_REMEMBERED_CONFIGURATIONS])
 
 
 def test_what_lost_a_race_a_while_ago_is_refused_as_long_as_that_is_certain() -> None:
     state = ControlState()
-    assert ReplaceConfiguration(0, body(sound(1))).apply(state) == Done()
-    for number in range(2, MAX_TAKEN):
-        assert ReplaceConfiguration(number - 1, body(sound(number))).apply(state) == Done()
+    assert ReplaceConfiguration(0, body(sound(1))).apply(state) == Accepted()
+    for number in range(2, MAX_REMEMBERED_CONFIGURATIONS):
+        assert ReplaceConfiguration(number - 1, body(sound(number))).apply(state) == Accepted()
     loser = ReplaceConfiguration(1, body(sound(2, name="r-other")))
     assert isinstance(loser.apply(state), Conflict)
 
 
 def test_retirements_that_are_over_are_forgotten_one_day() -> None:
     state = ControlState()
-    for number in range(3 * MAX_RETIRED):
+    for number in range(3 * MAX_COMPLETED_RETIREMENTS):
         member = state.placement.current.add(replica_id=f"r{number}", node=f"s{number}")
-        assert StartRetirement(member.node, 0).apply(state) == Done()
-        assert StartRetirement(member.node, 0).apply(state) == Done()  # a repeat
+        assert StartRetirement(member.node, 0).apply(state) == Accepted()
+        assert StartRetirement(member.node, 0).apply(state) == Accepted()  # a repeat
         state.retirements[-1].completed = True
         del state.placement.current[:]
-        assert StartRetirement(member.node, 0).apply(state) == Done()  # once its machine has gone
-    assert len(state.retirements) <= MAX_RETIRED + 1
-    assert state.retirements[-1].node == f"s{3 * MAX_RETIRED - 1}"
+        assert StartRetirement(member.node, 0).apply(state) == Accepted()  # once its machine has gone
+    assert len(state.retirements) <= MAX_COMPLETED_RETIREMENTS + 1
+    assert state.retirements[-1].node == f"s{3 * MAX_COMPLETED_RETIREMENTS - 1}"
 
 
 class OrdersMachine(RuleBasedStateMachine):
@@ -153,13 +154,13 @@
         order = ReplaceConfiguration(base, body(sound(generation, name=f"r-{operator}")))
         outcome = order.apply(self.state)
         if (base, generation, operator) in self.taken:
-            assert outcome == Done()
+            assert outcome == Accepted()
         elif base != self.current:
             assert isinstance(outcome, Conflict) and outcome.status == 412
         elif generation <= self.current:
             assert isinstance(outcome, Invalid)
         else:
-            assert outcome == Done()
+            assert outcome == Accepted()
             self.taken.append((base, generation, operator))
 
     @rule()
--- a/tests/tier/test_placement.py
+++ b/tests/tier/test_placement.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.controller.storage_membership import Reported, complete_retirements, next_placement
+from wheatring.controller.storage_membership import StorageReport, complete_retirements, next_placement
 from wheatring.placement.placement import place, quorums, replicas_for
 from wheatring.storage.repair import needs_no_copy, sources_needed
 from wheatring.transport.messages_pb2 import ControlState, Placement, StorageMember
@@ -108,8 +108,8 @@
         assert all(written & read for read in read_quorums(lacking, key, losses))
 
 
-def reported(*numbers: int, whole: int = 0, age: float = 0.1) -> dict[str, Reported]:
-    return {m.replica_id: Reported(m, whole, age) for m in members(*numbers)}
+def reported(*numbers: int, whole: int = 0, age: float = 0.1) -> dict[str, StorageReport]:
+    return {m.replica_id: StorageReport(m, whole, age) for m in members(*numbers)}
 
 
 def state_with(placement: Placement) -> ControlState:
@@ -128,12 +128,12 @@
 def test_a_lost_disk_is_replaced_by_the_replica_that_came_in_its_place() -> None:
     state = state_with(Placement(epoch=1, current=members(1, 2, 3)))
     fresh = StorageMember(replica_id="new", node="s1", address="a1", zone="z1")
-    now = reported(2, 3) | {"new": Reported(fresh, 0, 0.1)}
+    now = reported(2, 3) | {"new": StorageReport(fresh, 0, 0.1)}
     joint = next_placement(state, now, 1, 9.0, 9.0)
     assert joint is not None and {m.replica_id for m in joint.next} == {"new", "r2", "r3"}
     state.placement.CopyFrom(joint)
     assert next_placement(state, now, 1, 9.0, 9.0) is None  # not whole yet
-    whole = reported(2, 3, whole=joint.epoch) | {"new": Reported(fresh, joint.epoch, 0.1)}
+    whole = reported(2, 3, whole=joint.epoch) | {"new": StorageReport(fresh, joint.epoch, 0.1)}
     done = next_placement(state, whole, 1, 9.0, 9.0)
     assert done is not None and not done.next and {m.replica_id for m in done.current} == {"new", "r2", "r3"}
 
@@ -158,7 +158,7 @@
 
 
 def test_a_member_that_ends_hands_over_where_enough_others_are() -> None:
-    ending = {"r2": Reported(members(2)[0], 0, 0.1, leaving=True)}
+    ending = {"r2": StorageReport(members(2)[0], 0, 0.1, leaving=True)}
     four = state_with(Placement(epoch=1, current=members(1, 2, 3, 4)))
     smaller = next_placement(four, reported(1, 3, 4) | ending, 1, 9.0, 9.0)
     assert smaller is not None and {m.replica_id for m in smaller.next} == {"r1", "r3", "r4"}
@@ -192,7 +192,7 @@
     """A second disk goes before the first repair is committed: the copy that was made still counts."""
     state, fresh = joint_state()
     second = StorageMember(replica_id="new2", node="s2", address="a2", zone="z2")
-    now = reported(3, whole=2) | {"new": Reported(fresh, 2, 0.1), "new2": Reported(second, 0, 0.1)}
+    now = reported(3, whole=2) | {"new": StorageReport(fresh, 2, 0.1), "new2": StorageReport(second, 0, 0.1)}
     done = next_placement(state, now, 1, 9.0, 9.0)
     assert done is not None and not done.next
     assert [(m.replica_id, m.lost) for m in done.current] == [("new", False), ("r2", True), ("r3", False)]
@@ -205,7 +205,7 @@
 def test_a_second_disk_lost_during_a_repair_waits_for_it() -> None:
     state, fresh = joint_state()
     second = StorageMember(replica_id="new2", node="s2", address="a2", zone="z2")
-    now = reported(3, whole=2) | {"new": Reported(fresh, 0, 0.1), "new2": Reported(second, 0, 0.1)}
+    now = reported(3, whole=2) | {"new": StorageReport(fresh, 0, 0.1), "new2": StorageReport(second, 0, 0.1)}
     assert next_placement(state, now, 1, 9.0, 9.0) is None
 
 
@@ -214,9 +214,9 @@
     second = StorageMember(replica_id="new2", node="s2", address="a2", zone="z2")
     third = StorageMember(replica_id="new3", node="s3", address="a3", zone="z0")
     now = {
-        "new": Reported(fresh, 2, 0.1),
-        "new2": Reported(second, 0, 0.1),
-        "new3": Reported(third, 0, 0.1),
+        "new": StorageReport(fresh, 2, 0.1),
+        "new2": StorageReport(second, 0, 0.1),
+        "new3": StorageReport(third, 0, 0.1),
     }
     done = next_placement(state, now, 1, 9.0, 9.0)
     assert done is None or done.next
@@ -235,7 +235,7 @@
 def test_an_old_report_of_a_whole_member_completes_a_change() -> None:
     """What it says stays true as long as the disk; waiting for a newer one would undo the other copies."""
     state, fresh = joint_state()
-    now = reported(2, 3, whole=2) | {"new": Reported(fresh, 2, 25.0)}
+    now = reported(2, 3, whole=2) | {"new": StorageReport(fresh, 2, 25.0)}
     done = next_placement(state, now, 1, 9.0, 9.0)
     assert done is not None and not done.next and not any(member.lost for member in done.current)
 
@@ -251,7 +251,7 @@
     state = state_with(Placement(epoch=1, current=members(1, 2, 3, 4)))
     state.retirements.add(node="s1", replica_id="r1")
     fresh = StorageMember(replica_id="new", node="s1", address="a1", zone="z1")
-    joint = next_placement(state, reported(2, 3, 4) | {"new": Reported(fresh, 0, 0.1)}, 1, 9.0, 9.0)
+    joint = next_placement(state, reported(2, 3, 4) | {"new": StorageReport(fresh, 0, 0.1)}, 1, 9.0, 9.0)
     assert joint is not None and {m.replica_id for m in joint.next} == {"r2", "r3", "r4"}
     state.placement.CopyFrom(joint)
     assert not complete_retirements(state, ())  # as long as its replica stands in the current set
--- a/tests/tier/test_sweeps.py
+++ b/tests/tier/test_sweeps.py
@@ -61,10 +61,10 @@
     def watch() -> None:
         now = world.loop.time()
         leader = world.hosts[world.leader()].process
-        if now > 4.3 and leader is not None and leader.core.committed is not None:
-            addresses = {v.address: v.replica_id for v in leader.core.voters}
+        if now > 4.3 and leader is not None and leader.replica.committed is not None:
+            addresses = {v.address: v.replica_id for v in leader.replica.voters}
             placement = leader.subscribers.published.state.placement
-            if "c1" in addresses and addresses["c1"] != "seed-c1" and leader.core.can_propose:
+            if "c1" in addresses and addresses["c1"] != "seed-c1" and leader.replica.can_propose:
                 repaired.setdefault("voter", now)
             s1 = world.hosts["s1"].process
             current = {member.replica_id for member in placement.current}
--- a/tests/tier/test_update.py
+++ b/tests/tier/test_update.py
@@ -14,14 +14,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
 from wheatring.controller.commands import (
-    MAX_TAKEN,
+    MAX_REMEMBERED_CONFIGURATIONS,
+    Accepted,
     Command,
     Conflict,
-    Done,
+    Indeterminate,
     Invalid,
     Outcome,
     ReplaceConfiguration,
-    Unclear,
     UpdateConfiguration,
 )
 from wheatring.transport.messages_pb2 import ControlState
@@ -43,7 +43,7 @@
 
 def state_with(*routes: dict[str, Any]) -> ControlState:
     state = ControlState()
-    assert ReplaceConfiguration(0, body(whole(3, *routes))).apply(state) == Done()
+    assert ReplaceConfiguration(0, body(whole(3, *routes))).apply(state) == Accepted()
     return state
 
 
@@ -56,7 +56,7 @@
     order = update(
         3, 9, upsert={"routes": [route("d"), route("b", "t", timeoutMs=5)]}, remove={"routes": ["a"]}
     )
-    assert order.apply(state) == Done()
+    assert order.apply(state) == Accepted()
     expected = whole(9, route("b", "t", timeoutMs=5), route("c"), route("d"))
     assert json.loads(state.configuration) == expected
     assert state.generation == 9
@@ -65,24 +65,24 @@
 def test_services_are_set_before_routes_are_checked() -> None:
     state = state_with(route("a"))
     order = update(3, 4, upsert={"services": [{"name": "u"}], "routes": [route("a", "u")]})
-    assert order.apply(state) == Done()
+    assert order.apply(state) == Accepted()
     swap = update(4, 5, remove={"services": ["u", "t"]}, upsert={"routes": [route("a")]})
-    assert swap.apply(state) == Done()
+    assert swap.apply(state) == Accepted()
     assert [service["name"] for service in json.loads(state.configuration)["services"]] == ["s"]
 
 
 def test_lists_that_this_project_does_not_know_are_merged_too() -> None:
     state = ControlState()
     tenants = whole(3, route("a")) | {"tenants": [{"name": "k", "quota": 1}]}
-    assert ReplaceConfiguration(0, body(tenants)).apply(state) == Done()
-    assert update(3, 4, upsert={"tenants": [{"name": "k", "quota": 2}]}).apply(state) == Done()
+    assert ReplaceConfiguration(0, body(tenants)).apply(state) == Accepted()
+    assert update(3, 4, upsert={"tenants": [{"name": "k", "quota": 2}]}).apply(state) == Accepted()
     assert json.loads(state.configuration)["tenants"] == [{"name": "k", "quota": 2}]
 
 
 def test_large_bodies_are_merged() -> None:
     state = state_with(route("a"))
     routes = [route(f"r{number}", note="x" * 13_000) for number in range(300)]
-    assert update(3, 4, upsert={"routes": routes}).apply(state) == Done()
+    assert update(3, 4, upsert={"routes": routes}).apply(state) == Accepted()
     assert len(state.configuration) > 3_900_000
     assert json.loads(state.configuration)["routes"][1:] == routes
 
@@ -129,28 +129,28 @@
 def test_an_order_of_the_other_kind_with_the_same_bytes_is_another_order() -> None:
     state = ControlState()
     both = body(whole(3) | {"upsert": {"routes": [route("u")]}})
-    assert ReplaceConfiguration(0, both).apply(state) == Done()
+    assert ReplaceConfiguration(0, both).apply(state) == Accepted()
     assert isinstance(UpdateConfiguration(0, both).apply(state), Conflict)
-    assert ReplaceConfiguration(0, both).apply(state) == Done()
+    assert ReplaceConfiguration(0, both).apply(state) == Accepted()
 
 
 def test_a_repeat_is_acknowledged_once_more_and_applied_once() -> None:
     state = state_with(route("a"))
     order = update(3, 5, upsert={"routes": [route("b")]})
-    assert order.apply(state) == Done()
+    assert order.apply(state) == Accepted()
     after = state.configuration
-    assert order.apply(state) == Done()
+    assert order.apply(state) == Accepted()
     assert state.configuration == after
     assert isinstance(replace(order, base=4).apply(state), Conflict)
 
 
 def test_what_cannot_be_read_is_invalid_however_old_its_base_is() -> None:
     state = state_with(route("a"))
-    for number in range(4, 3 * MAX_TAKEN):
-        assert update(number - 1, number).apply(state) == Done()
+    for number in range(4, 3 * MAX_REMEMBERED_CONFIGURATIONS):
+        assert update(number - 1, number).apply(state) == Accepted()
     assert isinstance(UpdateConfiguration(1, b'{"generation').apply(state), Invalid)
     assert isinstance(ReplaceConfiguration(1, b'{"generation').apply(state), Invalid)
-    assert isinstance(update(1, 2).apply(state), Unclear)
+    assert isinstance(update(1, 2).apply(state), Indeterminate)
 
 
 def test_two_thousand_updates_of_three_hundred_routes_leave_the_state_as_small() -> None:
@@ -158,9 +158,9 @@
     sizes = []
     for number in range(2000):
         changed = {"routes": [route(f"r{number % 300}")]}
-        assert update(number + 3, number + 4, upsert=changed).apply(state) == Done()
+        assert update(number + 3, number + 4, upsert=changed).apply(state) == Accepted()
         sizes.append(state.ByteSize())
-    assert sizes[-1] <= sizes[2 * MAX_TAKEN] + 8
+    assert sizes[-1] <= sizes[2 * MAX_REMEMBERED_CONFIGURATIONS] + 8
 
 
 class Oracle:
@@ -178,13 +178,13 @@
         values = json.loads(command.body)
         outcome = self.apply(command, self.state)
         if command in self.taken:
-            assert outcome == Done()
+            assert outcome == Accepted()
         elif command.base != self.generation:
             assert isinstance(outcome, Conflict)
         elif not self._fits(command, values):
             assert isinstance(outcome, Invalid)
         else:
-            assert outcome == Done()
+            assert outcome == Accepted()
             self._take(command, values)
         if self.generation:
             read = json.loads(self.state.configuration)
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -21,7 +21,7 @@
 from wheatring.boot_settings.settings import Address, Settings, Tolerance
 from wheatring.budgets.budgets import Budgets, BudgetSpent
 from wheatring.consensus.types import State
-from wheatring.controller.api import Orders
+from wheatring.controller.api import OperatorApi
 from wheatring.controller.node import Controller
 from wheatring.sidecar.process import Sidecar
 from wheatring.storage.process import StorageProcess
@@ -49,7 +49,7 @@
     bootstrap: bool
     life: Life | None = None
     process: Any = None
-    orders: Orders | None = None
+    orders: OperatorApi | None = None
 
 
 @dataclass
@@ -155,7 +155,7 @@
             settings = self._settings(host)
             if name.startswith("c"):
                 host.process = Controller(settings, random, self.platform)
-                host.orders = Orders(host.process)
+                host.orders = OperatorApi(host.process)
             elif name.startswith("e"):
                 host.process = Sidecar(settings, random)
             else:
@@ -208,9 +208,11 @@
     def leader(self) -> str:
         """The controller that leads, by its own opinion; the one with the newest term."""
         leading = [
-            (host.process.core.term, name)
+            (host.process.replica.term, name)
             for name, host in self.hosts.items()
-            if host.process is not None and name.startswith("c") and host.process.core.state is State.LEADER
+            if host.process is not None
+            and name.startswith("c")
+            and host.process.replica.state is State.LEADER
         ]
         return max(leading)[1] if leading else self.running("c")[0]
 
@@ -324,7 +326,7 @@
             port=INTERNAL_PORT,
             zone="z1",
             presence=lambda: Presence(role=ROLE_SIDECAR, replica_id=name, node=name, address=name),
-            presence_pause=2.0,
+            presence_interval=2.0,
             changed=changed,
             random=Random(self.random.getrandbits(32)),
         )
@@ -394,11 +396,11 @@
         for name, host in self.hosts.items():
             if not name.startswith("c") or host.process is None:
                 continue
-            core = host.process.core
-            if core.state is State.LEADER:
-                other = leaders.setdefault(core.term, name)
+            replica = host.process.replica
+            if replica.state is State.LEADER:
+                other = leaders.setdefault(replica.term, name)
                 if other != name:
-                    raise BrokenRule(f"{name} and {other} both lead term {core.term}")
+                    raise BrokenRule(f"{name} and {other} both lead term {replica.term}")
         for fault in self.loop.faults:
             error = fault.get("exception")
             if error is not None and not isinstance(error, asyncio.CancelledError):
--- a/wheatring/boot_settings/settings.py
+++ b/wheatring/boot_settings/settings.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-VARIABLE = "WHEATRING_BOOT"
+SETTINGS_VARIABLE = "WHEATRING_BOOT"
 
 
 class SettingsError(Exception):
@@ -179,7 +179,7 @@
 
 def settings_path() -> str:
     """The file that the environment names. Raises SettingsError."""
-    path = os.environ.get(VARIABLE, "")
+    path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise SettingsError(f"{VARIABLE}: names no settings file")
+        raise SettingsError(f"{SETTINGS_VARIABLE}: names no settings file")
     return path
--- a/wheatring/boot_settings/watch.py
+++ b/wheatring/boot_settings/watch.py
@@ -8,7 +8,7 @@
 from wheatring.boot_settings.settings import Settings, SettingsError, read_settings
 from wheatring.event_log import log_event
 
-LOOK_SECONDS = 1.0
+POLL_SECONDS = 1.0
 
 
 class SettingsWatch:
@@ -36,7 +36,7 @@
     async def run(self) -> None:
         """Look for changes, for as long as the process runs."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
             stamp = self._read_stamp()
             if stamp != self._stamp:
                 self._stamp = stamp
--- a/wheatring/consensus/__init__.py
+++ b/wheatring/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement on the control state: elections, replication and changes of the voters, free of I/O."""
+"""Consensus on the control state: elections, replication and membership changes, free of I/O."""
--- a/wheatring/consensus/election.py
+++ b/wheatring/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and what a replica does once it has been elected."""
+"""Elections: pre-votes, votes, and the first steps of an elected leader."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Election(Replication):
-    """A replica's part in elections."""
+    """A replica's part in elections: it campaigns, votes, and counts votes."""
 
     def _campaign(self, now: float, effects: Effects, *, pre_vote: bool, transfer: bool = False) -> None:
         self.state = State.PRE_CANDIDATE if pre_vote else State.CANDIDATE
         self.leader = None
         self._votes = {self.me.replica_id}
-        term = self.term + 1
+        term = self.term + 1  # of the election; a pre-vote leaves the replica's own term as it is
         others = [voter for voter in self.members if voter.replica_id != self.me.replica_id]
         requests = [
             Outgoing(voter, self._vote_request(voter, term, pre_vote=pre_vote, transfer=transfer))
@@ -49,28 +49,30 @@
         elif self.state is State.CANDIDATE:
             self._become_leader(now, effects)
 
-    def _on_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
+    def _handle_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
         if not self.entry.voters and not self.entry.index:
             return  # an empty replica knows of no cluster that it could vote in
-        newer = (request.last_term, request.last_index) >= entry_position(self.entry)
-        led = self.state is State.LEADER or now - self.leader_heard_at < self.timing.election
+        is_up_to_date = (request.last_term, request.last_index) >= entry_position(self.entry)
+        has_leader = self.state is State.LEADER or (
+            now - self.leader_contact_at < self.timing.election_seconds
+        )
         if request.pre_vote:
-            granted = request.term > self.term and newer and not led
+            granted = request.term > self.term and is_up_to_date and not has_leader
             term = request.term if granted else self.term
             effects.messages.append(self._vote_reply(request, term, granted))
             return
-        if led and not request.transfer and request.term > self.term:
-            return  # its leader is alive: the candidate was cut off
+        if has_leader and not request.transfer and request.term > self.term:
+            return  # its leader is alive: the candidate was partitioned away
         if request.term > self.term:
             self._set_term(request.term, voted_for="")
             self._become_follower(now, None)
-        free = self.voted_for in ("", request.candidate.replica_id)
-        standing = self.state in (State.CANDIDATE, State.LEADER)
-        granted = request.term == self.term and newer and free and not standing
+        is_vote_free = self.voted_for in ("", request.candidate.replica_id)
+        is_contending = self.state in (State.CANDIDATE, State.LEADER)
+        granted = request.term == self.term and is_up_to_date and is_vote_free and not is_contending
         if granted:
             self.voted_for = request.candidate.replica_id
             self._reset_election(now)
-        # Also where nothing changes: an earlier write of the same vote may still be under way.
+        # Also where nothing changes: an earlier write of the same vote may still be in flight.
         reply = self._vote_reply(request, self.term, granted)
         effects.writes.append(Write(self._hard_state_record(), [reply]))
 
@@ -84,13 +86,13 @@
         )
         return Outgoing(request.candidate, reply)
 
-    def _on_vote_reply(self, now: float, reply: VoteReply, effects: Effects) -> None:
+    def _handle_vote_reply(self, now: float, reply: VoteReply, effects: Effects) -> None:
         if reply.term > self.term and not (reply.pre_vote and reply.granted):
             self._observe_term(now, reply.term, effects)
             return
-        wanted = State.PRE_CANDIDATE if reply.pre_vote else State.CANDIDATE
-        expected = self.term + 1 if reply.pre_vote else self.term
-        if self.state is wanted and reply.granted and reply.term == expected:
+        expected_state = State.PRE_CANDIDATE if reply.pre_vote else State.CANDIDATE
+        expected_term = self.term + 1 if reply.pre_vote else self.term
+        if self.state is expected_state and reply.granted and reply.term == expected_term:
             self._votes.add(reply.voter)
             self._count_votes(now, effects)
 
@@ -103,4 +105,4 @@
         self.progress = {}
         # Versions of the soft state rise with the term, so that an older leader's is never taken for newer.
         self.soft_version = max(self.soft_version, self.term << 32)
-        self._accept_own(now, self._following_entry(), effects)
+        self._append_entry(now, self._next_entry(), effects)
--- a/wheatring/consensus/electorate.py
+++ b/wheatring/consensus/electorate.py
@@ -1,8 +1,8 @@
-"""Who votes under an entry, and which replicas are a quorum of it.
+"""The voters of an entry, and which replicas form a quorum of it.
 
 While the voters change, an entry names two sets, and a quorum needs a majority of each (joint consensus, Raft
-section 6). Any quorum of one entry then overlaps with any quorum of the entry before it and of the one behind
-it, whatever the two sets are and whichever replicas have been lost.
+section 6). Any quorum of one entry therefore overlaps with any quorum of the entry before it and of the entry
+behind it, whatever the two sets are and whichever replicas have been lost.
 """
 
 from __future__ import annotations
@@ -13,35 +13,43 @@
 
 
 def member_ids(members: Iterable[Member]) -> set[str]:
-    """The identities of members."""
+    """Return the replica identities of members."""
     return {member.replica_id for member in members}
 
 
 def is_joint(entry: Entry) -> bool:
-    """Whether the entry belongs to a change of the voters that is under way."""
+    """Tell whether the entry belongs to a voter change that is in progress."""
     return bool(entry.old_voters)
 
 
 def all_voters(entry: Entry) -> list[Member]:
-    """The members of both sets, each once."""
-    known = {member.replica_id: member for member in (*entry.old_voters, *entry.voters)}
-    return list(known.values())
+    """Return the voters of both sets, each once, the old set first."""
+    by_id = {member.replica_id: member for member in (*entry.old_voters, *entry.voters)}
+    return list(by_id.values())
 
 
 def majority(count: int) -> int:
-    """The least number of so many voters that is more than half."""
+    """Return the smallest number of voters that is more than half of `count`."""
     return count // 2 + 1
 
 
 def has_quorum(entry: Entry, replica_ids: Collection[str]) -> bool:
-    """Whether these replicas are a majority of each set of voters of an entry."""
+    """Tell whether these replicas are a majority of each voter set of an entry."""
     return all(
         len(member_ids(voters) & set(replica_ids)) >= majority(len(voters)) for voters in _voter_sets(entry)
     )
 
 
 def quorum_value(entry: Entry, value_of: Callable[[str], int]) -> int:
-    """The largest number that a quorum has reached; `value_of` gives the number that one replica has."""
+    """Return the largest number that a quorum of an entry has reached.
+
+    Parameters
+    ----------
+    entry
+        The entry whose voters count.
+    value_of
+        Gives the number that one replica, named by its identity, has reached.
+    """
     reached = []
     for voters in _voter_sets(entry):
         values = sorted((value_of(voter.replica_id) for voter in voters), reverse=True)
@@ -57,8 +65,10 @@
 
 
 def change_voters(entry: Entry, voters: Iterable[Member]) -> None:
-    """Name new voters in an entry that holds the present ones. Where other replicas come to vote, the present
-    ones stay beside them until the entry is committed, and the one behind it ends the change.
+    """Replace the voters of an entry that names the present ones.
+
+    Where other replicas come to vote, the present voters stay as the entry's old set until it is committed,
+    and the entry behind it ends the change. New descriptions of the same replicas need no joint entry.
     """
     present = list(entry.voters)
     wanted = list(voters)
@@ -69,5 +79,5 @@
 
 
 def finish_change(entry: Entry) -> None:
-    """Drop the set before from an entry that follows a committed joint one."""
+    """Drop the old voter set from an entry that follows a committed joint one."""
     del entry.old_voters[:]
--- a/wheatring/consensus/replication.py
+++ b/wheatring/consensus/replication.py
@@ -1,4 +1,4 @@
-"""How a leader brings its entry and its heartbeats to the others, what they answer, and what is committed."""
+"""Replication: how a leader sends its entry and heartbeats, what followers reply, and what is committed."""
 
 from __future__ import annotations
 
@@ -15,15 +15,19 @@
 )
 from wheatring.transport.messages_pb2 import AppendReply, AppendRequest, Entry, TimeoutNow
 
-RESEND_HEARTBEATS = 3  # after so many without an answer, an entry is sent once more
-REPLIES_REMEMBERED = 32  # numbers of replies that a leader may still send back
+RESEND_AFTER_HEARTBEATS = 3  # an entry not acknowledged after so many heartbeats is sent once more
+MAX_TRACKED_REPLIES = 32  # newest replies whose echo by the leader still counts
 
 
 class Replication(ReplicaState):
-    """A leader's and a follower's part in replication."""
+    """A leader's and a follower's part in replication.
+
+    Beside the entry, a leader passes on a *soft state*: a value that is broadcast and not voted on or synced
+    before it counts. The controllers use it for the endpoint list.
+    """
 
     def set_soft_state(self, now: float, state: bytes) -> Effects:
-        """Replace the state that is passed on without a disk."""
+        """Replace the soft state and broadcast it."""
         self.soft_version += 1
         self.soft_state = state
         effects = Effects()
@@ -31,35 +35,37 @@
         return effects
 
     def restore_soft_state(self, version: int, state: bytes) -> None:
-        """Begin with the soft state of an earlier life; whatever a leader sends is newer."""
+        """Start with the soft state of an earlier incarnation; whatever a leader sends is newer."""
         self.soft_version = version
         self.soft_state = state
 
     def confirm(self, now: float) -> tuple[int, Effects]:
-        """Start a round of heartbeats; once `confirmed_round` has reached its number, this replica was still
-        the leader after the call.
+        """Start a round of heartbeats (Raft's read index).
+
+        Once `confirmed_round` has reached the number returned, this replica was still the leader after the
+        call.
         """
         effects = Effects()
         self._broadcast(now, effects)
         return self.round, effects
 
-    def transfer(self, now: float) -> Effects:
-        """Have the most advanced other voter stand for election at once."""
+    def transfer(self) -> Effects:
+        """Have the voter heard from last, of those with the newest entry on disk, stand for election."""
         effects = Effects()
         if self.state is not State.LEADER:
             return effects
         target = entry_position(self.entry)
         voters = {voter.replica_id for voter in self.entry.voters}
-        fit = [p for i, p in self.progress.items() if i in voters and p.on_disk == target]
-        if fit:
-            best = max(fit, key=lambda p: p.heard_at)
-            request = TimeoutNow(to=best.member.replica_id, term=self.term)
-            effects.messages.append(Outgoing(best.member, request))
+        caught_up = [p for i, p in self.progress.items() if i in voters and p.on_disk == target]
+        if caught_up:
+            successor = max(caught_up, key=lambda progress: progress.last_reply_at)
+            request = TimeoutNow(to=successor.member.replica_id, term=self.term)
+            effects.messages.append(Outgoing(successor.member, request))
         return effects
 
     # The leader's entry
 
-    def _accept_own(self, now: float, entry: Entry, effects: Effects) -> None:
+    def _append_entry(self, now: float, entry: Entry, effects: Effects) -> None:
         self.entry = entry
         self._accepted_at = now
         self._update_progress()
@@ -67,43 +73,44 @@
         self._broadcast(now, effects)
 
     def _write_own(self, effects: Effects) -> None:
-        self._writing = entry_position(self.entry)
-        effects.writes.append(Write(self._entry_record(self.entry), position=self._writing))
+        self._write_position = entry_position(self.entry)
+        effects.writes.append(Write(self._entry_record(self.entry), position=self._write_position))
 
-    def _following_entry(self) -> Entry:
-        """The entry behind the present one, with the same state and voters, in this leader's term."""
+    def _next_entry(self) -> Entry:
+        """Return a new entry behind the present one, with its state and voters, in this leader's term."""
         entry = Entry(term=self.term, index=self.entry.index + 1, data=self.entry.data)
         entry.voters.extend(self.entry.voters)
         entry.old_voters.extend(self.entry.old_voters)
         return entry
 
-    def _look_after_disk(self, now: float, effects: Effects) -> None:
-        """A leader's own write that has failed is begun again; one that takes long means that another replica
-        should lead. Entries are committed without this disk meanwhile, by those of a quorum of the others.
+    def _retry_own_write(self, now: float, effects: Effects) -> None:
+        """Restart a leader's own write that has failed; hand the leadership over where it takes too long.
+
+        Entries are meanwhile committed without this disk, by those of a quorum of the others.
         """
         target = entry_position(self.entry)
         if self.on_disk >= target:
             return
-        if self._writing < target:
+        if self._write_position < target:
             self._write_own(effects)
-        if now - self._accepted_at > self.timing.election:
-            effects.messages.extend(self.transfer(now).messages)
+        if now - self._accepted_at > self.timing.election_seconds:
+            effects.messages.extend(self.transfer().messages)
 
     # Heartbeats
 
     def _update_progress(self) -> None:
-        wanted = {member.replica_id: member for member in (*self.learners.values(), *self.members)}
-        wanted.pop(self.me.replica_id, None)
-        for replica_id in [known for known in self.progress if known not in wanted]:
+        others = {member.replica_id: member for member in (*self.learners.values(), *self.members)}
+        others.pop(self.me.replica_id, None)
+        for replica_id in [replica_id for replica_id in self.progress if replica_id not in others]:
             del self.progress[replica_id]
-        for replica_id, member in wanted.items():
+        for replica_id, member in others.items():
             if replica_id not in self.progress:
                 self.progress[replica_id] = Progress(member)
 
     def _broadcast(self, now: float, effects: Effects) -> None:
         self.round += 1
         self.round_started[self.round] = now
-        self._heartbeat_at = now + self.timing.heartbeat
+        self._heartbeat_at = now + self.timing.heartbeat_seconds
         for progress in self.progress.values():
             self._send_append(now, progress, effects)
         self._advance_round()
@@ -123,17 +130,17 @@
         if self.committed is not None:
             request.commit_term, request.commit_index = entry_position(self.committed)
         target = entry_position(self.entry)
-        overdue = now - progress.sent_at > RESEND_HEARTBEATS * self.timing.heartbeat
+        overdue = now - progress.sent_at > RESEND_AFTER_HEARTBEATS * self.timing.heartbeat_seconds
         if progress.on_disk != target and (progress.sent != target or overdue):
             request.entry.CopyFrom(self.entry)
             progress.sent, progress.sent_at = target, now
-        if progress.soft_version != self.soft_version and progress.heard_at >= 0:
+        if progress.soft_version != self.soft_version and progress.last_reply_at >= 0:
             request.soft_state = self.soft_state
         effects.messages.append(Outgoing(progress.member, request))
 
     # The follower's side
 
-    def _on_append_request(self, now: float, request: AppendRequest, effects: Effects) -> None:
+    def _handle_append_request(self, now: float, request: AppendRequest, effects: Effects) -> None:
         if request.term < self.term:
             reply = AppendReply(to=request.leader.replica_id, replica_id=self.me.replica_id, term=self.term)
             effects.messages.append(Outgoing(request.leader, reply))
@@ -142,49 +149,58 @@
             self._set_term(request.term, voted_for="")
             effects.writes.append(Write(self._hard_state_record()))
         self._become_follower(now, request.leader)
-        self.leader_heard_at = now
+        self.leader_contact_at = now
         self._reset_election(now)
         if request.soft_state or request.soft_version == self.soft_version:
             self.soft_version = request.soft_version
             self.soft_state = request.soft_state or self.soft_state
         commit = (request.commit_term, request.commit_index)
-        self._learn_commit(commit)
+        self._update_committed(commit)  # of the entry held before this request
+        self._accept_entry(now, request, effects)
+        self._update_committed(commit)
+        self._record_contact(request, commit)
+
+    def _accept_entry(self, now: float, request: AppendRequest, effects: Effects) -> None:
+        """Take over the leader's entry if it is news here, and reply; after the sync where it is written."""
         position = entry_position(request.entry)
-        newer = position > entry_position(self.entry)
-        lost = position == entry_position(self.entry) and max(self.on_disk, self._writing) < position
-        if request.HasField("entry") and (newer or lost):
+        is_newer = position > entry_position(self.entry)
+        # The same entry again, whose write has failed here: without another write it would never count.
+        is_write_lost = (
+            position == entry_position(self.entry) and max(self.on_disk, self._write_position) < position
+        )
+        if request.HasField("entry") and (is_newer or is_write_lost):
             self.entry = request.entry
-            self._writing = position
+            self._write_position = position
             write = Write(self._entry_record(self.entry), position=position)
-            write.then.append(Outgoing(request.leader, self._append_reply(now, request, position)))
+            write.on_synced.append(Outgoing(request.leader, self._append_reply(now, request, position)))
             effects.writes.append(write)
         else:
             reply = self._append_reply(now, request, self.on_disk)
             effects.messages.append(Outgoing(request.leader, reply))
-        self._learn_commit(commit)
-        self._note_contact(request, commit)
 
-    def _learn_commit(self, commit: Position) -> None:
+    def _update_committed(self, commit: Position) -> None:
         if commit == entry_position(self.entry) and commit != self._committed_position:
             self.committed = self.entry
 
-    def _note_contact(self, request: AppendRequest, commit: Position) -> None:
-        """The leader had this replica's reply in hand when it sent the request, so the request is no older
-        than that reply, however long it may have waited here. What is proved by it: all that was acknowledged
-        before the leader's newest quorum round began is committed here.
+    def _record_contact(self, request: AppendRequest, commit: Position) -> None:
+        """Take a request as proof of contact with a quorum.
+
+        The leader had received the reply that the request echoes when it sent the request, so the request is
+        no older than that reply, however long it may have waited here. It proves that all that was
+        acknowledged before the leader's newest quorum round began is committed here.
         """
-        sent_at = self._replies_sent.get(request.echo)
-        ready = commit[0] == request.term and self._committed_position >= commit
-        if sent_at is None or not ready:
+        sent_at = self._reply_sent_at.get(request.echo)
+        has_leaders_commit = commit[0] == request.term and self._committed_position >= commit
+        if sent_at is None or not has_leaders_commit:
             return
         self.contact_at = max(self.contact_at, sent_at - request.quorum_age_us / 1e6)
-        for number in [number for number in self._replies_sent if number < request.echo]:
-            del self._replies_sent[number]
+        for number in [number for number in self._reply_sent_at if number < request.echo]:
+            del self._reply_sent_at[number]
 
     def _append_reply(self, now: float, request: AppendRequest, on_disk: Position) -> AppendReply:
         self._reply_number += 1
-        self._replies_sent[self._reply_number] = now
-        self._replies_sent.pop(self._reply_number - REPLIES_REMEMBERED, None)
+        self._reply_sent_at[self._reply_number] = now
+        self._reply_sent_at.pop(self._reply_number - MAX_TRACKED_REPLIES, None)
         return AppendReply(
             to=request.leader.replica_id,
             replica_id=self.me.replica_id,
@@ -198,34 +214,34 @@
 
     # The leader's side
 
-    def _on_append_reply(self, now: float, reply: AppendReply, effects: Effects) -> None:
+    def _handle_append_reply(self, now: float, reply: AppendReply, effects: Effects) -> None:
         if reply.term > self.term:
             self._observe_term(now, reply.term, effects)
             return
         progress = self.progress.get(reply.replica_id)
         if self.state is not State.LEADER or reply.term != self.term or progress is None:
             return
-        first = progress.heard_at < 0
-        progress.heard_at = now
+        is_first_reply = progress.last_reply_at < 0
+        progress.last_reply_at = now
         progress.round = max(progress.round, reply.round)
         progress.soft_version = reply.soft_version
         progress.reply_number = reply.number
         progress.on_disk = max(progress.on_disk, (reply.entry_term, reply.entry_index))
         self._advance_round()
         self._advance_commit(now, effects)
-        if first and self.state is State.LEADER and reply.replica_id in self.progress:
+        if is_first_reply and self.state is State.LEADER and reply.replica_id in self.progress:
             self._send_append(now, progress, effects)
 
     def _advance_round(self) -> None:
-        """The newest round that a quorum, this replica included, has answered."""
+        """Update the newest round that a quorum, this replica included, has answered."""
 
-        def answered(replica_id: str) -> int:
+        def answered_round(replica_id: str) -> int:
             if replica_id == self.me.replica_id:
                 return self.round
             progress = self.progress.get(replica_id)
             return progress.round if progress is not None else 0
 
-        confirmed = quorum_value(self.entry, answered)
+        confirmed = quorum_value(self.entry, answered_round)
         if confirmed > self.confirmed_round:
             self.confirmed_round = confirmed
             self.confirmed_at = max(self.confirmed_at, self.round_started.get(confirmed, self.confirmed_at))
@@ -233,16 +249,16 @@
                 del self.round_started[old]
 
     def _advance_commit(self, now: float, effects: Effects) -> None:
-        """Commit the newest entry, if it is of this term and a quorum of its voters has it on disk."""
+        """Commit the newest entry if it is of this term and a quorum of its voters has it on disk."""
         if self.state is not State.LEADER:
             return
         target = entry_position(self.entry)
         if self.entry.term != self.term or target == self._committed_position:
             return
-        holding = {i for i, progress in self.progress.items() if progress.on_disk == target}
+        synced_ids = {i for i, progress in self.progress.items() if progress.on_disk == target}
         if self.on_disk == target:
-            holding.add(self.me.replica_id)
-        if not has_quorum(self.entry, holding):
+            synced_ids.add(self.me.replica_id)
+        if not has_quorum(self.entry, synced_ids):
             return
         self.committed = self.entry
         if is_joint(self.entry):
@@ -250,10 +266,10 @@
         else:
             self._broadcast(now, effects)
             if not self.is_voter:
-                self._become_follower(now, None)  # it has led the change that has taken its own vote
+                self._become_follower(now, None)  # it has led the change that removed its own vote
 
     def _leave_joint(self, now: float, effects: Effects) -> None:
-        """Both sets hold the change: from the next entry on the new one decides alone."""
-        entry = self._following_entry()
+        """End a voter change that both sets have on disk: from the next entry on the new set decides."""
+        entry = self._next_entry()
         finish_change(entry)
-        self._accept_own(now, entry, effects)
+        self._append_entry(now, entry, effects)
--- a/wheatring/consensus/types.py
+++ b/wheatring/consensus/types.py
@@ -1,6 +1,4 @@
-"""What a consensus replica takes and gives: its messages, the writes it asks for, and what it knows of
-others.
-"""
+"""The messages, effects and bookkeeping types of a consensus replica."""
 
 from __future__ import annotations
 
@@ -21,9 +19,11 @@
 Message = VoteRequest | VoteReply | AppendRequest | AppendReply | TimeoutNow
 Position = tuple[int, int]  # term and index of an entry
 
+NEVER_SECONDS = -1e9  # on any steady clock: before anything that has happened
+
 
 class State(Enum):
-    """What a replica is at."""
+    """The role of a replica in its current term."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre-candidate"
@@ -33,23 +33,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Seconds. An election timeout is drawn between `election` and twice that, and between `first_election`
-    and twice that until a leader is known for the first time.
+    """The time-outs of a replica, in seconds.
+
+    An election time-out is drawn between `election_seconds` and twice that. Until a leader is known for the
+    first time, it is drawn between `first_election_seconds` and twice that.
     """
 
-    heartbeat: float = 0.1
-    election: float = 0.5
-    first_election: float = 0.08
+    heartbeat_seconds: float = 0.1
+    election_seconds: float = 0.5
+    first_election_seconds: float = 0.08
 
     @property
-    def quorum_timeout(self) -> float:
-        """How long a leader stays one without an answer from a majority."""
-        return 2 * self.election
+    def quorum_timeout_seconds(self) -> float:
+        """How long a leader remains leader without an answer from a quorum (check-quorum)."""
+        return 2 * self.election_seconds
 
 
 @dataclass(slots=True)
 class Outgoing:
-    """A message for one member."""
+    """A message and the member that it is addressed to."""
 
     to: Member
     message: Message
@@ -57,16 +59,23 @@
 
 @dataclass(slots=True)
 class Write:
-    """A record to be synced; `then` goes out afterwards, and `position` is on disk from then on."""
+    """A record to be appended to the disk and synced.
+
+    The messages in `on_synced` speak of the record, so they may leave only once it is on disk. From then on
+    `position` is durable on this replica.
+    """
 
     record: ConsensusRecord
-    then: list[Outgoing] = field(default_factory=list)
+    on_synced: list[Outgoing] = field(default_factory=list)
     position: Position | None = None
 
 
 @dataclass(slots=True)
 class Effects:
-    """What the host has to do, in this order: send `messages`, and start `writes` one after the other."""
+    """What the host of a replica has to carry out, in this order.
+
+    It sends `messages` at once, then starts `writes` one after the other.
+    """
 
     messages: list[Outgoing] = field(default_factory=list)
     writes: list[Write] = field(default_factory=list)
@@ -78,14 +87,14 @@
 
     member: Member
     on_disk: Position = (0, 0)
-    sent: Position = (0, 0)  # the entry last sent, and when
-    sent_at: float = 0.0
-    heard_at: float = -1e9
-    round: int = 0
+    sent: Position = (0, 0)  # the entry sent last
+    sent_at: float = 0.0  # when it was sent
+    last_reply_at: float = NEVER_SECONDS
+    round: int = 0  # the newest heartbeat round that it has answered
     soft_version: int = 0
-    reply_number: int = 0  # of the newest reply, sent back so that the replica can tell its age
+    reply_number: int = 0  # of the newest reply, echoed so that the replica can tell the reply's age
 
 
 def entry_position(entry: Entry) -> Position:
-    """Term and index."""
+    """Return the term and index of an entry, which order all entries."""
     return entry.term, entry.index
--- a/wheatring/controller/api.py
+++ b/wheatring/controller/api.py
@@ -5,28 +5,27 @@
 import contextlib
 import json
 from collections.abc import Iterator
-from dataclasses import dataclass
 from typing import Any
 
 import uvicorn
 from litestar import Litestar, MediaType, Request, Response, get, post
 
 from wheatring.boot_settings.settings import Address
-from wheatring.controller.command_queue import NoLeader
 from wheatring.controller.commands import (
+    Accepted,
     Command,
     Conflict,
     DescribeConfiguration,
     DescribeRetirement,
-    Done,
+    Indeterminate,
     Invalid,
     NotFound,
     Outcome,
     ReplaceConfiguration,
     StartRetirement,
-    Unclear,
     UpdateConfiguration,
 )
+from wheatring.controller.exceptions import InvalidRequestError, NoLeaderError
 from wheatring.controller.node import Controller
 from wheatring.transport.client import Unreachable
 from wheatring.transport.messages_pb2 import OperatorReply, OperatorRequest
@@ -36,21 +35,13 @@
 RETIRE, START, DESCRIBE = "retire", "start", "describe"
 
 
-@dataclass(frozen=True, slots=True)
-class BadOrder(Exception):
-    """An order that cannot be read."""
-
-    status: int
-    reason: str
-
-
 def _error(reason: str) -> bytes:
     return json.dumps({"error": reason}).encode()
 
 
 def _reply(outcome: Outcome) -> OperatorReply:
     match outcome:
-        case Done(body):
+        case Accepted(body):
             return OperatorReply(status=200, body=body)
         case Conflict(reason, status):
             return OperatorReply(status=status, body=_error(reason))
@@ -58,18 +49,18 @@
             return OperatorReply(status=400, body=_error(reason))
         case NotFound(reason):
             return OperatorReply(status=404, body=_error(reason))
-        case Unclear(reason):
+        case Indeterminate(reason):
             return OperatorReply(status=503, body=_error(reason))
 
 
 def _base_of(request: OperatorRequest) -> int:
-    """The version that a change builds on. Raises BadOrder."""
+    """The version that a change builds on. Raises InvalidRequestError."""
     if not request.base_revision.isdigit():
-        raise BadOrder(400, f"{BASE_HEADER} must be a whole number")
+        raise InvalidRequestError(400, f"{BASE_HEADER} must be a whole number")
     return int(request.base_revision)
 
 
-class Orders:
+class OperatorApi:
     """Turns the operator's orders into commands, here or at the leader."""
 
     def __init__(self, controller: Controller) -> None:
@@ -80,13 +71,13 @@
         """An order has come from outside."""
         try:
             self._command(request)
-        except BadOrder as bad:
+        except InvalidRequestError as bad:
             return OperatorReply(status=bad.status, body=_error(bad.reason))
         controller = self._controller
         address = await controller.leader_address()
         if not address:
             return OperatorReply(status=503, body=_error("no leader with a quorum"))
-        if address == controller.core.me.address:
+        if address == controller.replica.me.address:
             return await self.apply(request)
         try:
             return await controller.forward(address, request)
@@ -98,9 +89,9 @@
         try:
             command = self._command(request)
             return _reply(await self._controller.submit(command))
-        except BadOrder as bad:
+        except InvalidRequestError as bad:
             return OperatorReply(status=bad.status, body=_error(bad.reason))
-        except NoLeader as error:
+        except NoLeaderError as error:
             return OperatorReply(status=503, body=_error(str(error)))
 
     def _command(self, request: OperatorRequest) -> Command:
@@ -115,11 +106,11 @@
             return StartRetirement(parts[1], self._controller.retirement_needs())
         if len(parts) == 3 and parts[0] == RETIRE and parts[2] == DESCRIBE:
             return DescribeRetirement(parts[1])
-        raise BadOrder(404, "no such order")
+        raise InvalidRequestError(404, "no such order")
 
 
 async def _order(request: Request[Any, Any, Any]) -> Response[bytes]:
-    orders: Orders = request.app.state.orders
+    orders: OperatorApi = request.app.state.orders
     order = OperatorRequest(
         method=request.method,
         path=request.url.path,
@@ -192,7 +183,7 @@
         logging_config=None,
         request_max_body_size=MAX_BODY_BYTES,
     )
-    app.state.orders = Orders(controller)
+    app.state.orders = OperatorApi(controller)
     app.state.controller = controller
     config = uvicorn.Config(
         app,
--- a/wheatring/controller/command_queue.py
+++ b/wheatring/controller/command_queue.py
@@ -14,17 +14,14 @@
 from wheatring.consensus.types import State
 from wheatring.controller.commands import Command, Outcome, apply_batch
 from wheatring.controller.consensus_host import ConsensusHost
+from wheatring.controller.exceptions import NoLeaderError
 
-FIND_LEADER_SECONDS = 0.7  # for a leader to be known, before an order is answered 503
-CERTAIN_SECONDS = 2.0  # for a change to be committed, before its outcome is told to be unclear
-
-
-class NoLeader(Exception):
-    """The order cannot be applied here and now; whether it was applied before is unclear."""
+LEADER_WAIT_SECONDS = 0.7  # for a leader to be known, before an order is answered 503
+COMMIT_TIMEOUT_SECONDS = 2.0  # for a change to be committed, before its outcome is told to be unclear
 
 
 @dataclass(slots=True)
-class Queued:
+class QueuedCommand:
     """A command and who waits for its outcome."""
 
     command: Command
@@ -36,17 +33,17 @@
 
     def __init__(self, host: ConsensusHost) -> None:
         self._host = host
-        self._queue: list[Queued] = []
+        self._queue: list[QueuedCommand] = []
         self._queued = asyncio.Event()
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         return not self._queue
 
     async def submit(self, command: Command) -> Outcome:
-        """Have a command applied by this controller as the leader. Raises NoLeader."""
+        """Have a command applied by this controller as the leader. Raises NoLeaderError."""
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        self._queue.append(Queued(command, future))
+        self._queue.append(QueuedCommand(command, future))
         self._queued.set()
         return await future
 
@@ -57,51 +54,51 @@
             await self._queued.wait()
             self._queued.clear()
             while self._queue:
-                if not await host.until(lambda: host.core.can_propose, FIND_LEADER_SECONDS):
-                    self._fail_queue()
+                if not await host.wait_until(lambda: host.replica.can_propose, LEADER_WAIT_SECONDS):
+                    self._reject_queue()
                     break
                 batch, self._queue = self._queue, []
                 try:
                     await self._apply_batch(batch)
-                except NoLeader as error:
-                    _fail(batch, error)
+                except NoLeaderError as error:
+                    _reject(batch, error)
 
-    def _fail_queue(self) -> None:
+    def _reject_queue(self) -> None:
         batch, self._queue = self._queue, []
-        _fail(batch, NoLeader("no leader with a quorum"))
+        _reject(batch, NoLeaderError("no leader with a quorum"))
 
-    async def _apply_batch(self, batch: list[Queued]) -> None:
+    async def _apply_batch(self, batch: list[QueuedCommand]) -> None:
         """Apply commands to the committed state and tell their outcomes once that state is certain."""
-        core = self._host.core
-        assert core.committed is not None
-        applied = apply_batch(core.committed.data, [queued.command for queued in batch])
+        replica = self._host.replica
+        assert replica.committed is not None
+        applied = apply_batch(replica.committed.data, [queued.command for queued in batch])
         now = self._host.now()
-        term = core.term
-        if applied.changed is None:
-            number, effects = core.confirm(now)
+        term = replica.term
+        if applied.new_state is None:
+            number, effects = replica.confirm(now)
             self._host.apply(effects)
-            await self._certain(term, lambda: core.confirmed_round >= number)
+            await self._wait_until_confirmed(term, lambda: replica.confirmed_round >= number)
         else:
-            position, effects = core.propose(now, applied.changed)
+            position, effects = replica.propose(now, applied.new_state)
             self._host.apply(effects)
-            await self._certain(term, lambda: self._host.committed_position >= position)
+            await self._wait_until_confirmed(term, lambda: self._host.committed_position >= position)
         for queued, outcome in zip(batch, applied.outcomes, strict=True):
             if not queued.outcome.done():
                 queued.outcome.set_result(outcome)
 
-    async def _certain(self, term: int, reached: Callable[[], bool]) -> None:
-        """Wait until something holds in this term. Raises NoLeader once the leadership is lost."""
-        core = self._host.core
+    async def _wait_until_confirmed(self, term: int, reached: Callable[[], bool]) -> None:
+        """Wait until something holds in this term. Raises NoLeaderError once the leadership is lost."""
+        replica = self._host.replica
 
         def settled() -> bool:
-            return reached() or core.state is not State.LEADER or core.term != term
+            return reached() or replica.state is not State.LEADER or replica.term != term
 
-        await self._host.until(settled, CERTAIN_SECONDS)
-        if core.state is not State.LEADER or core.term != term or not reached():
-            raise NoLeader("the leadership was lost before the change was certain")
+        await self._host.wait_until(settled, COMMIT_TIMEOUT_SECONDS)
+        if replica.state is not State.LEADER or replica.term != term or not reached():
+            raise NoLeaderError("the leadership was lost before the change was certain")
 
 
-def _fail(batch: list[Queued], error: Exception) -> None:
+def _reject(batch: list[QueuedCommand], error: Exception) -> None:
     for queued in batch:
         if not queued.outcome.done():
             queued.outcome.set_exception(error)
--- a/wheatring/controller/commands.py
+++ b/wheatring/controller/commands.py
@@ -15,14 +15,15 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+from wheatring.controller.exceptions import InvalidConfigurationError
 from wheatring.transport.messages_pb2 import ControlState, Retirement
 
-MAX_TAKEN = 128  # configurations remembered, so that a repeat is acknowledged again
-MAX_RETIRED = 32  # completed retirements remembered
+MAX_REMEMBERED_CONFIGURATIONS = 128  # configurations remembered, so that a repeat is acknowledged again
+MAX_COMPLETED_RETIREMENTS = 32  # completed retirements remembered
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class Accepted:
     """Accepted, now or before."""
 
     body: bytes = b"{}"
@@ -51,13 +52,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unclear:
+class Indeterminate:
     """It cannot be told any more whether the order was accepted."""
 
     reason: str
 
 
-Outcome = Done | Conflict | Invalid | NotFound | Unclear
+Outcome = Accepted | Conflict | Invalid | NotFound | Indeterminate
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +95,7 @@
         return _digest(b"update %d\n%s" % (self.base, self.body))
 
     def result(self, current: bytes) -> bytes:
-        """The configuration afterwards. Raises InvalidConfiguration."""
+        """The configuration afterwards. Raises InvalidConfigurationError."""
         from wheatring.controller.configuration_update import (
             merge,  # brings cattrs, see _change_configuration
         )
@@ -116,31 +117,31 @@
     """Acknowledge a repeat, and take a change of the current version that leads to a valid one."""
     digest = command.digest
     if any(taken.digest == digest for taken in state.taken):
-        return Done()
+        return Accepted()
     if command.base != state.generation:
-        return _on_another_base(state, command)
+        return _outcome_for_stale_base(state, command)
     # Imported when it is first needed: cattrs takes a tenth of a second, and no start waits for that.
-    from wheatring.controller.configuration import InvalidConfiguration, parse
+    from wheatring.controller.configuration import parse
 
     try:
         body = command.result(state.configuration)
         configuration = parse(body)
-    except InvalidConfiguration as error:
+    except InvalidConfigurationError as error:
         return Invalid(str(error))
     if configuration.generation <= state.generation:
         return Invalid(f"generation: must be above {state.generation}")
     state.generation = configuration.generation
     state.configuration = body
     state.taken.add(generation=configuration.generation, digest=digest)
-    while len(state.taken) > MAX_TAKEN:
+    while len(state.taken) > MAX_REMEMBERED_CONFIGURATIONS:
         state.forgotten_generation = state.taken[0].generation
         del state.taken[0]
-    return Done()
+    return Accepted()
 
 
-def _on_another_base(
+def _outcome_for_stale_base(
     state: ControlState, command: ReplaceConfiguration | UpdateConfiguration
-) -> Conflict | Invalid | Unclear:
+) -> Conflict | Invalid | Indeterminate:
     """A change that builds on a version which is not current.
 
     What was taken builds on an earlier generation than its own, so a repeat of one that is forgotten has a
@@ -148,15 +149,15 @@
     """
     if command.base >= state.forgotten_generation:
         return Conflict(f"version {state.generation} is current")
-    from wheatring.controller.configuration import InvalidConfiguration, parse
+    from wheatring.controller.configuration import parse
     from wheatring.controller.configuration_update import read_update
 
     read = parse if isinstance(command, ReplaceConfiguration) else read_update
     try:
         read(command.body)
-    except InvalidConfiguration as error:
+    except InvalidConfigurationError as error:
         return Invalid(str(error))
-    return Unclear(f"version {command.base} was replaced too long ago to know by what")
+    return Indeterminate(f"version {command.base} was replaced too long ago to know by what")
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,7 +168,7 @@
         """Nothing changes."""
         if not state.generation:
             return NotFound("no configuration has been taken yet")
-        return Done(state.configuration)
+        return Accepted(state.configuration)
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,7 +181,7 @@
     def apply(self, state: ControlState) -> Outcome:
         """The members change later, once the others hold what this one does."""
         if _retirement_of(state, self.node) is not None:
-            return Done()
+            return Accepted()
         members = [m for m in state.placement.next or state.placement.current if not m.lost]
         leaving = [member for member in members if member.node == self.node]
         if not leaving:
@@ -192,8 +193,8 @@
                 f"{len(left)} storage machines would be left, {self.needed} are needed", status=409
             )
         state.retirements.add(node=self.node, replica_id=leaving[0].replica_id)
-        _forget_retirements(state)
-        return Done()
+        _drop_oldest_retirements(state)
+        return Accepted()
 
 
 @dataclass(frozen=True, slots=True)
@@ -207,15 +208,15 @@
         retirement = _retirement_of(state, self.node)
         if retirement is None:
             return NotFound(f"{self.node} is not being retired")
-        return Done(b'{"state":"completed"}' if retirement.completed else b'{"state":"running"}')
+        return Accepted(b'{"state":"completed"}' if retirement.completed else b'{"state":"running"}')
 
 
-def _forget_retirements(state: ControlState) -> None:
+def _drop_oldest_retirements(state: ControlState) -> None:
     """Keep those under way and the newest of the completed ones. An order to retire may be repeated for a few
     seconds only, so a repeat never meets one that is forgotten.
     """
     completed = [index for index, retirement in enumerate(state.retirements) if retirement.completed]
-    for index in reversed(completed[: max(0, len(completed) - MAX_RETIRED)]):
+    for index in reversed(completed[: max(0, len(completed) - MAX_COMPLETED_RETIREMENTS)]):
         del state.retirements[index]
 
 
@@ -239,16 +240,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Batch:
+class BatchResult:
     """What came of commands that were applied one after the other to one state."""
 
     outcomes: tuple[Outcome, ...]
-    changed: bytes | None  # the state behind them, None where it is the same
+    new_state: bytes | None  # serialized; None where the commands change nothing
 
 
-def apply_batch(data: bytes, commands: Sequence[Command]) -> Batch:
+def apply_batch(data: bytes, commands: Sequence[Command]) -> BatchResult:
     """Apply commands to a serialized state, which stays as it is."""
     state = ControlState.FromString(data)
     outcomes = tuple(command.apply(state) for command in commands)
     same = ControlState.FromString(data) == state
-    return Batch(outcomes, None if same else state.SerializeToString())
+    return BatchResult(outcomes, None if same else state.SerializeToString())
--- a/wheatring/controller/configuration.py
+++ b/wheatring/controller/configuration.py
@@ -14,9 +14,7 @@
 import cattrs
 from cattrs.errors import BaseValidationError
 
-
-class InvalidConfiguration(Exception):
-    """The configuration cannot be taken; the text says where and why."""
+from wheatring.controller.exceptions import InvalidConfigurationError
 
 
 class RouteType(Enum):
@@ -95,41 +93,41 @@
 def _without_repeated_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     found = dict(pairs)
     if len(found) != len(pairs):
-        raise InvalidConfiguration("a key stands twice in one object")
+        raise InvalidConfigurationError("a key stands twice in one object")
     return found
 
 
 def _not_a_number(text: str) -> float:
-    raise InvalidConfiguration(f"{text} is no number")
+    raise InvalidConfigurationError(f"{text} is no number")
 
 
 def require(condition: bool, where: str, what: str) -> None:
-    """Raises InvalidConfiguration, which tells the place and the fault, unless a condition holds."""
+    """Raises InvalidConfigurationError, which tells the place and the fault, unless a condition holds."""
     if not condition:
-        raise InvalidConfiguration(f"{where}: {what}")
+        raise InvalidConfigurationError(f"{where}: {what}")
 
 
 def parse(body: bytes) -> Configuration:
-    """Read and check a configuration. Raises InvalidConfiguration."""
+    """Read and check a configuration. Raises InvalidConfigurationError."""
     values = read_object(body)
     try:
         configuration = _CONVERTER.structure(values, Configuration)
     except BaseValidationError as error:
-        raise InvalidConfiguration("; ".join(cattrs.transform_error(error))[:300]) from error
+        raise InvalidConfigurationError("; ".join(cattrs.transform_error(error))[:300]) from error
     except (TypeError, ValueError, KeyError, OverflowError) as error:
-        raise InvalidConfiguration(str(error)[:300]) from error
+        raise InvalidConfigurationError(str(error)[:300]) from error
     _check(configuration)
     return configuration
 
 
 def read_object(body: bytes) -> dict[str, Any]:
-    """Read a JSON object in which no key stands twice. Raises InvalidConfiguration."""
+    """Read a JSON object in which no key stands twice. Raises InvalidConfigurationError."""
     try:
         values = json.loads(body, object_pairs_hook=_without_repeated_keys, parse_constant=_not_a_number)
     except (ValueError, RecursionError) as error:
-        raise InvalidConfiguration(f"cannot be read whole: {error}") from error
+        raise InvalidConfigurationError(f"cannot be read whole: {error}") from error
     if not isinstance(values, dict):
-        raise InvalidConfiguration("must be an object")
+        raise InvalidConfigurationError("must be an object")
     return values
 
 
--- a/wheatring/controller/configuration_update.py
+++ b/wheatring/controller/configuration_update.py
@@ -11,7 +11,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from wheatring.controller.configuration import InvalidConfiguration, read_object, require
+from wheatring.controller.configuration import read_object, require
+from wheatring.controller.exceptions import InvalidConfigurationError
 
 GENERATION, UPSERT, REMOVE, NAME = "generation", "upsert", "remove", "name"
 EMPTY_CONFIGURATION: Mapping[str, Any] = {"routes": [], "services": []}
@@ -20,9 +21,8 @@
 def merge(current: bytes, update: bytes) -> bytes:
     """The configuration that an update makes of the current one, empty bytes where there is none yet.
 
-    Raises InvalidConfiguration where the update cannot be read or does not fit the current items. The result
-    is still to be checked as any configuration is.
-    """
+    Raises InvalidConfigurationError where the update cannot be read or does not fit the current items. What
+    results is still to be checked as any configuration is."""
     changes = read_update(update)
     values = json.loads(current) if current else dict(EMPTY_CONFIGURATION)
     upserts, removals = changes.get(UPSERT, {}), changes.get(REMOVE, {})
@@ -35,7 +35,7 @@
 
 
 def read_update(update: bytes) -> dict[str, Any]:
-    """The update by itself, without the configuration that it changes. Raises InvalidConfiguration."""
+    """The update by itself, without the configuration that it changes. Raises InvalidConfigurationError."""
     changes = read_object(update)
     require(GENERATION in changes, GENERATION, "is missing")
     for part in (UPSERT, REMOVE):
@@ -65,7 +65,7 @@
 def _name_of(where: str, item: Any) -> str:
     name = item.get(NAME) if isinstance(item, dict) else None
     if not isinstance(name, str) or not name:
-        raise InvalidConfiguration(f"{where}: an item has no name")
+        raise InvalidConfigurationError(f"{where}: an item has no name")
     return name
 
 
--- a/wheatring/controller/consensus_host.py
+++ b/wheatring/controller/consensus_host.py
@@ -11,7 +11,7 @@
 from wheatring.boot_settings.settings import Settings
 from wheatring.consensus.replica import Replica
 from wheatring.consensus.types import Effects, Message, Position, State, Timing, Write, entry_position
-from wheatring.controller.consensus_store import Store
+from wheatring.controller.consensus_store import ConsensusStore
 from wheatring.durable.record_file import DiskError
 from wheatring.event_log import log_event
 from wheatring.transport.client import ClientTable
@@ -35,15 +35,15 @@
     def __init__(self, settings: Settings, random: Random, changed: Callable[[], None]) -> None:
         """`changed` is called after every event of the replica. Raises DiskError."""
         self._changed = changed
-        self._store = Store(Path(settings.data_folder or "."))
+        self._store = ConsensusStore(Path(settings.data_folder or "."))
         seeds = [seed.host for seed in settings.seeds]
         loaded = self._store.open(settings.ip, seeds, settings.bootstrap, self._live_record)
         me = Member(replica_id=loaded.replica_id, node=settings.node, address=settings.ip, zone=settings.zone)
-        self.core = Replica(me, loaded.hard_state, loaded.entry, random, self.now(), Timing())
-        self.core.restore_soft_state(loaded.soft_version, loaded.soft_state)
-        self._kept_list = loaded.soft_state
+        self.replica = Replica(me, loaded.hard_state, loaded.entry, random, self.now(), Timing())
+        self.replica.restore_soft_state(loaded.soft_version, loaded.soft_state)
+        self._persisted_endpoint_list = loaded.soft_state
         self.peers = ClientTable(settings.controller_port)
-        self.advanced = asyncio.Event()  # set after every event
+        self.changed_event = asyncio.Event()  # set after every event
         self._timer: asyncio.TimerHandle | None = None
         self._was_leader = False
 
@@ -58,31 +58,31 @@
 
     def receive(self, message: Message) -> None:
         """A message for the replica has come."""
-        self.apply(self.core.receive(self.now(), message))
+        self.apply(self.replica.receive(self.now(), message))
 
     @property
-    def leads_with_quorum(self) -> bool:
+    def is_leader_with_quorum(self) -> bool:
         """Leads, is ready, and a majority has answered lately."""
-        return self.core.is_ready_leader and self.core.silence(self.now()) < RECENT_QUORUM_SECONDS
+        return self.replica.is_ready_leader and self.replica.staleness(self.now()) < RECENT_QUORUM_SECONDS
 
     @property
     def committed_position(self) -> Position:
         """Of the newest entry that is known to be committed."""
-        return entry_position(self.core.committed) if self.core.committed is not None else (0, 0)
+        return entry_position(self.replica.committed) if self.replica.committed is not None else (0, 0)
 
     def _live_record(self) -> bytes:
-        core = self.core
-        hard_state = HardState(term=core.term, voted_for=core.voted_for)
+        replica = self.replica
+        hard_state = HardState(term=replica.term, voted_for=replica.voted_for)
         record = ConsensusRecord(
             hard_state=hard_state,
-            entry=core.entry,
-            soft_version=core.soft_version,
-            soft_state=core.soft_state,
+            entry=replica.entry,
+            soft_version=replica.soft_version,
+            soft_state=replica.soft_state,
         )
         return record.SerializeToString()
 
     def _arm(self) -> None:
-        due = self.core.next_event()
+        due = self.replica.next_deadline()
         if self._timer is not None:
             if self._timer.when() <= due:
                 return  # it fires earlier, and is armed anew then
@@ -92,8 +92,8 @@
     def _tick(self) -> None:
         self._timer = None
         now = self.now()
-        if now >= self.core.next_event():
-            self.apply(self.core.tick(now))
+        if now >= self.replica.next_deadline():
+            self.apply(self.replica.tick(now))
         self._arm()
 
     def apply(self, effects: Effects) -> None:
@@ -103,7 +103,7 @@
         for write in effects.writes:
             future = self._store.committer.append([write.record.SerializeToString()])
             future.add_done_callback(partial(self._written, write))
-        self._pass_on()
+        self._notify()
         self._arm()
 
     def _written(self, write: Write, done: asyncio.Future[None]) -> None:
@@ -111,9 +111,9 @@
             return
         error = done.exception()
         if error is None:
-            self.apply(self.core.written(self.now(), write))
+            self.apply(self.replica.written(self.now(), write))
             return
-        self.core.write_failed(write)
+        self.replica.write_failed(write)
         if isinstance(error, DiskError):
             log_event("disk-failed", error=str(error))
 
@@ -123,44 +123,43 @@
         getattr(envelope, name).CopyFrom(message)
         self.peers.to(to.address).send(envelope)
 
-    def _keep_list(self) -> None:
+    def _persist_endpoint_list(self) -> None:
         """Have the endpoint list on disk: after a loss of power sidecars need one before the platform is
-        asked.
-        """
-        core = self.core
-        if core.soft_state == self._kept_list:
+        asked."""
+        replica = self.replica
+        if replica.soft_state == self._persisted_endpoint_list:
             return
-        self._kept_list = core.soft_state
-        record = ConsensusRecord(soft_version=core.soft_version, soft_state=core.soft_state)
+        self._persisted_endpoint_list = replica.soft_state
+        record = ConsensusRecord(soft_version=replica.soft_version, soft_state=replica.soft_state)
         self._store.committer.append([record.SerializeToString()])
 
-    async def until(self, holds: Callable[[], bool], seconds: float) -> bool:
-        """Wait until something holds, for so long at most."""
+    async def wait_until(self, holds: Callable[[], bool], seconds: float) -> bool:
+        """Wait wait_until something holds, for so long at most."""
         deadline = self.now() + seconds
         while not holds():
             left = deadline - self.now()
             if left <= 0:
                 return False
-            self.advanced.clear()
+            self.changed_event.clear()
             try:
                 async with asyncio.timeout(left):
-                    await self.advanced.wait()
+                    await self.changed_event.wait()
             except TimeoutError:
                 return holds()
         return True
 
     async def wait_for_leader(self, seconds: float) -> None:
         """Until a leader is known, for so long at most."""
-        await self.until(lambda: self.core.leader is not None, seconds)
+        await self.wait_until(lambda: self.replica.leader is not None, seconds)
 
-    def _pass_on(self) -> None:
+    def _notify(self) -> None:
         """Tell the owner and whoever waits."""
-        core = self.core
-        if core.soft_version and core.soft_state:
-            self._keep_list()
-        leads = core.state is State.LEADER
+        replica = self.replica
+        if replica.soft_version and replica.soft_state:
+            self._persist_endpoint_list()
+        leads = replica.state is State.LEADER
         if leads != self._was_leader:
             self._was_leader = leads
-            log_event("leader" if leads else "follower", term=core.term)
+            log_event("leader" if leads else "follower", term=replica.term)
         self._changed()
-        self.advanced.set()
+        self.changed_event.set()
--- a/wheatring/controller/consensus_store.py
+++ b/wheatring/controller/consensus_store.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class StoredState:
     """What was found."""
 
     replica_id: str
@@ -41,7 +41,7 @@
     return entry
 
 
-class Store:
+class ConsensusStore:
     """The file of one controller."""
 
     def __init__(self, folder: Path) -> None:
@@ -49,11 +49,13 @@
         self._file: RecordFile
         self.committer: Committer
 
-    def open(self, address: str, seeds: Sequence[str], bootstrap: bool, live: Callable[[], bytes]) -> Loaded:
+    def open(
+        self, address: str, seeds: Sequence[str], bootstrap: bool, live: Callable[[], bytes]
+    ) -> StoredState:
         """Read the file, or begin a new one. A damaged file counts as a lost disk. Raises DiskError."""
         opened = open_or_set_aside(self._path)
         self._file = opened.file
-        loaded = Loaded("", HardState(), Entry())
+        loaded = StoredState("", HardState(), Entry())
         for payload in opened.payloads:
             record = ConsensusRecord.FromString(payload)
             loaded.replica_id = record.replica_id or loaded.replica_id
@@ -64,7 +66,7 @@
             if record.soft_state:
                 loaded.soft_version, loaded.soft_state = record.soft_version, record.soft_state
         if not loaded.replica_id:
-            loaded = self._begin(address, seeds, bootstrap and not opened.damaged)
+            loaded = self._initialize(address, seeds, bootstrap and not opened.damaged)
         replica_id = loaded.replica_id
         self.committer = Committer(
             self._file,
@@ -73,10 +75,10 @@
         )
         return loaded
 
-    def _begin(self, address: str, seeds: Sequence[str], bootstrap: bool) -> Loaded:
+    def _initialize(self, address: str, seeds: Sequence[str], bootstrap: bool) -> StoredState:
         record = ConsensusRecord(replica_id=secrets.token_hex(8))
         if bootstrap and address in seeds:
             record.replica_id = seed_member(address).replica_id
             record.entry.CopyFrom(first_entry(seeds))
         self._file.append([record.SerializeToString()])
-        return Loaded(record.replica_id, HardState(), record.entry)
+        return StoredState(record.replica_id, HardState(), record.entry)
--- a/wheatring/controller/endpoint_list_poller.py
+++ b/wheatring/controller/endpoint_list_poller.py
@@ -6,49 +6,49 @@
 
 from wheatring.consensus.types import State
 from wheatring.controller.consensus_host import ConsensusHost
-from wheatring.discovery.platform_list import ListReader, ListUnavailable
+from wheatring.discovery.platform_list import EndpointListReader, EndpointListUnavailableError
 from wheatring.event_log import log_event
 
-PAUSE_PART = 0.42  # of the time in which sends to a leaving endpoint have to end
-LEAST_PAUSE = 0.3  # seconds
+POLL_FRACTION_OF_DRAIN = 0.42  # of the time in which sends to a leaving endpoint have to end
+MIN_POLL_SECONDS = 0.3  # seconds
 RETRY_SECONDS = 0.25
-LEADER_LOOK_SECONDS = 0.05  # between looks whether this controller leads by now
-MAX_FAILURES = 3  # calls in vain, after which another controller is to lead
+LEADERSHIP_POLL_SECONDS = 0.05  # between looks whether this controller leads by now
+MAX_CONSECUTIVE_FAILURES = 3  # calls in vain, after which another controller is to lead
 
 
-class ListKeeper:
+class EndpointListPoller:
     """The one reader of the list."""
 
-    def __init__(self, host: ConsensusHost, reader: ListReader, drain_seconds: float) -> None:
+    def __init__(self, host: ConsensusHost, reader: EndpointListReader, drain_seconds: float) -> None:
         self._host = host
         self._reader = reader
-        self._pause = max(drain_seconds * PAUSE_PART, LEAST_PAUSE)
+        self._pause = max(drain_seconds * POLL_FRACTION_OF_DRAIN, MIN_POLL_SECONDS)
 
     async def run(self) -> None:
         """Read whenever this controller leads, for as long as the process runs."""
         host = self._host
         failures = 0
         while True:
-            if not host.leads_with_quorum:
+            if not host.is_leader_with_quorum:
                 failures = 0
-                await asyncio.sleep(LEADER_LOOK_SECONDS)
+                await asyncio.sleep(LEADERSHIP_POLL_SECONDS)
                 continue
             try:
                 endpoint_list = await self._reader.read()
                 failures = 0
-            except ListUnavailable as error:
+            except EndpointListUnavailableError as error:
                 failures += 1
                 log_event("list-unavailable", error=str(error), failures=failures)
-                if failures >= MAX_FAILURES:
+                if failures >= MAX_CONSECUTIVE_FAILURES:
                     failures = 0
-                    host.apply(host.core.transfer(host.now()))
+                    host.apply(host.replica.transfer())
                 await asyncio.sleep(RETRY_SECONDS)
                 continue
             self._take(endpoint_list.SerializeToString())
             await asyncio.sleep(self._pause)
 
     def _take(self, data: bytes) -> None:
-        core = self._host.core
-        changed = data != core.soft_state or not core.soft_version
-        if changed and core.state is State.LEADER:
-            self._host.apply(core.set_soft_state(self._host.now(), data))
+        replica = self._host.replica
+        changed = data != replica.soft_state or not replica.soft_version
+        if changed and replica.state is State.LEADER:
+            self._host.apply(replica.set_soft_state(self._host.now(), data))
--- a/wheatring/controller/node.py
+++ b/wheatring/controller/node.py
@@ -7,16 +7,16 @@
 
 from wheatring.boot_settings.settings import Settings
 from wheatring.consensus.types import State, entry_position
-from wheatring.controller.command_queue import FIND_LEADER_SECONDS, CommandQueue
+from wheatring.controller.command_queue import LEADER_WAIT_SECONDS, CommandQueue
 from wheatring.controller.commands import Command, Outcome
 from wheatring.controller.consensus_host import CONSENSUS_MESSAGES, RECENT_QUORUM_SECONDS, ConsensusHost
-from wheatring.controller.endpoint_list_poller import ListKeeper
-from wheatring.controller.presence_table import News, Presences, member_of
+from wheatring.controller.endpoint_list_poller import EndpointListPoller
+from wheatring.controller.presence_table import PresenceChange, PresenceTable, member_of
 from wheatring.controller.storage_membership import complete_retirements, next_placement
 from wheatring.controller.voter_selection import Candidate, next_voters
-from wheatring.discovery.platform_list import ListReader
+from wheatring.discovery.platform_list import EndpointListReader
 from wheatring.event_log import log_event
-from wheatring.subscription.server import SUBSCRIBER_HEARTBEAT, Subscribers
+from wheatring.subscription.server import SUBSCRIBER_HEARTBEAT_SECONDS, Subscribers
 from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
 from wheatring.transport.messages_pb2 import (
     ROLE_CONTROLLER,
@@ -40,18 +40,18 @@
 class Controller:
     """The owner of all state of one controller process."""
 
-    def __init__(self, settings: Settings, random: Random, reader: ListReader | None) -> None:
+    def __init__(self, settings: Settings, random: Random, reader: EndpointListReader | None) -> None:
         """`reader` reads the platform's list; None where the platform has none. Raises DiskError."""
         self.settings = settings
         self.losses = settings.tolerance.losses
         self.host = ConsensusHost(settings, random, self._publish)
-        self.core = self.host.core
+        self.replica = self.host.replica
         self.peers = self.host.peers
         self.commands = CommandQueue(self.host)
-        self.subscribers = Subscribers(lambda: self.core.silence(self.host.now()))
+        self.subscribers = Subscribers(lambda: self.replica.staleness(self.host.now()))
         self.server = EnvelopeServer(self._on_envelope, self.subscribers.remove)
-        self._list = ListKeeper(self.host, reader, settings.drain) if reader is not None else None
-        self._presences = Presences()
+        self._list = EndpointListPoller(self.host, reader, settings.drain) if reader is not None else None
+        self._presences = PresenceTable()
         self._answering: set[asyncio.Task[None]] = set()
         self._members_changed = asyncio.Event()
         self._leaving = False
@@ -64,7 +64,7 @@
     async def start(self) -> None:
         """Listen and begin to take part. Raises OSError."""
         await self.server.listen(self.settings.ip, self.settings.controller_port)
-        log_event("controller-started", replica=self.core.me.replica_id, term=self.core.term)
+        log_event("controller-started", replica=self.replica.me.replica_id, term=self.replica.term)
         jobs = [self.commands.run(), self._maintain(), self._beat()]
         if self._list is not None:
             jobs.append(self._list.run())
@@ -73,14 +73,13 @@
 
     async def stop(self) -> None:
         """Give leadership and vote away where there is somebody to take them, and send the subscribers
-        elsewhere.
-        """
-        if self.core.state is State.LEADER:
-            self.host.apply(self.core.transfer(self.host.now()))
+        elsewhere."""
+        if self.replica.state is State.LEADER:
+            self.host.apply(self.replica.transfer())
         self.subscribers.stop()
         self._leaving = True
         deadline = self.host.now() + LEAVE_SECONDS
-        while self.core.is_voter and self.host.now() < deadline:
+        while self.replica.is_voter and self.host.now() < deadline:
             self._announce(self.host.now())
             await asyncio.sleep(LAST_WORDS_SECONDS)
         for task in self._tasks:
@@ -94,11 +93,11 @@
 
     def _publish(self) -> None:
         """Something has happened at the replica: pass on what is new."""
-        core = self.core
-        if core.committed is not None and self.subscribers.publish_state(core.committed):
+        replica = self.replica
+        if replica.committed is not None and self.subscribers.publish_state(replica.committed):
             self._members_changed.set()  # what was decided may ask for more
-        if core.soft_version and core.soft_state:
-            self.subscribers.publish_list(core.soft_version, core.soft_state)
+        if replica.soft_version and replica.soft_state:
+            self.subscribers.publish_list(replica.soft_version, replica.soft_state)
 
     # Envelopes
 
@@ -108,7 +107,7 @@
             self.host.receive(getattr(envelope, kind))
         elif kind == "presence":
             self._on_presence(envelope.presence)
-            self.subscribers.heard(connection, envelope.presence)
+            self.subscribers.update_presence(connection, envelope.presence)
         elif kind == "subscribe":
             self._on_presence(envelope.subscribe.presence)
             self.subscribers.add(connection, envelope.subscribe)
@@ -120,9 +119,9 @@
     def _on_presence(self, presence: Presence) -> None:
         now = self.host.now()
         news = self._presences.heard(presence, now)
-        if news is not News.NONE:
+        if news is not PresenceChange.NONE:
             self._forward_presences(now)
-        if news is News.CHANGE:
+        if news is PresenceChange.CHANGE:
             self._members_changed.set()
 
     # Members
@@ -137,9 +136,9 @@
             if now - announced > ANNOUNCE_SECONDS:
                 announced = now
                 self._announce(now)
-            if self.core.state is State.LEADER:
+            if self.replica.state is State.LEADER:
                 self._update_learners(now)
-                if self.core.can_propose and self.commands.empty:
+                if self.replica.can_propose and self.commands.is_empty:
                     self._propose_members(now)
             await self._wait_for_members()
 
@@ -153,7 +152,7 @@
         self._members_changed.clear()
 
     def _own_presence(self) -> Presence:
-        me = self.core.me
+        me = self.replica.me
         return Presence(
             role=ROLE_CONTROLLER,
             replica_id=me.replica_id,
@@ -165,37 +164,37 @@
 
     def _announce(self, now: float) -> None:
         """Tell the leader of this controller; without one, tell all that are known."""
-        core = self.core
-        if core.state is State.LEADER:
+        replica = self.replica
+        if replica.state is State.LEADER:
             return
         envelope = Envelope(presence=self._own_presence())
-        if core.leader is not None and now - core.leader_heard_at < LEADERLESS_SECONDS:
-            self.peers.to(core.leader.address).send(envelope)
+        if replica.leader is not None and now - replica.leader_contact_at < LEADERLESS_SECONDS:
+            self.peers.to(replica.leader.address).send(envelope)
             return
-        hosts = {seed.host for seed in self.settings.seeds} | {voter.address for voter in core.members}
+        hosts = {seed.host for seed in self.settings.seeds} | {voter.address for voter in replica.members}
         for host in sorted(hosts - {self.settings.ip}):
             self.peers.to(host).send(envelope)
 
     def _forward_presences(self, now: float) -> None:
         """Pass on to the leader what others have said here."""
-        core = self.core
-        if core.state is State.LEADER or core.leader is None:
+        replica = self.replica
+        if replica.state is State.LEADER or replica.leader is None:
             return
         for presence in self._presences.to_forward(now):
-            self.peers.to(core.leader.address).send(Envelope(presence=presence))
+            self.peers.to(replica.leader.address).send(Envelope(presence=presence))
 
     def _update_learners(self, now: float) -> None:
         """Controllers without a vote are kept up to date."""
-        voters = {voter.replica_id for voter in self.core.members} | {self.core.me.replica_id}
+        voters = {voter.replica_id for voter in self.replica.members} | {self.replica.me.replica_id}
         learners = {i: member for i, member in self._presences.controllers(now).items() if i not in voters}
-        if learners.keys() != self.core.learners.keys():
-            self.core.set_learners(learners)
+        if learners.keys() != self.replica.learners.keys():
+            self.replica.set_learners(learners)
 
     def _propose_members(self, now: float) -> None:
         """Propose the next change of voters, placement or retirements, if there is one."""
-        core = self.core
-        assert core.committed is not None
-        state = ControlState.FromString(core.committed.data)
+        replica = self.replica
+        assert replica.committed is not None
+        state = ControlState.FromString(replica.committed.data)
         voters = self._next_voters(now, state)
         if voters is not None:
             self._propose_voters(now, voters)
@@ -211,60 +210,62 @@
                 current=[member.node for member in placement.current],
                 next=[member.node for member in placement.next],
             )
-        voting_nodes = {voter.node for voter in core.voters}
+        voting_nodes = {voter.node for voter in replica.voters}
         if not complete_retirements(state, voting_nodes) and placement is None:
             return
-        _, effects = core.propose(now, state.SerializeToString())
+        _, effects = replica.propose(now, state.SerializeToString())
         self.host.apply(effects)
 
     def _propose_voters(self, now: float, voters: list[Member]) -> None:
-        core = self.core
-        if all(voter.replica_id != core.me.replica_id for voter in voters):
-            self.host.apply(core.transfer(now))  # another one removes this replica
+        replica = self.replica
+        if all(voter.replica_id != replica.me.replica_id for voter in voters):
+            self.host.apply(replica.transfer())  # another one removes this replica
             return
         log_event("voters", replicas=[voter.replica_id for voter in voters])
-        _, effects = core.propose(now, core.entry.data, voters)
+        _, effects = replica.propose(now, replica.entry.data, voters)
         self.host.apply(effects)
 
     def _next_voters(self, now: float, state: ControlState) -> list[Member] | None:
-        core = self.core
+        replica = self.replica
         described = self._described_voters()
         if described is not None:
             return described
-        newest = entry_position(core.entry)
+        newest = entry_position(replica.entry)
         candidates = [
-            Candidate(learner, core.progress[i].on_disk == newest)
-            for i, learner in core.learners.items()
-            if i in core.progress and now - core.progress[i].heard_at < CANDIDATE_SECONDS
+            Candidate(learner, replica.progress[i].on_disk == newest)
+            for i, learner in replica.learners.items()
+            if i in replica.progress and now - replica.progress[i].last_reply_at < CANDIDATE_SECONDS
         ]
         leaving = {retirement.node for retirement in state.retirements if not retirement.completed}
         leaving |= self._presences.leaving_controllers(now)
         target = 2 * self.losses + 1
-        return next_voters(core.me.replica_id, core.voters, candidates, self._unheard(now), target, leaving)
+        return next_voters(
+            replica.me.replica_id, replica.voters, candidates, self._unheard(now), target, leaving
+        )
 
     def _unheard(self, now: float) -> dict[str, float]:
         """For how long each other voter has not answered; at most since this replica leads."""
-        core = self.core
+        replica = self.replica
         led_since = self._led_since(now)
         return {
-            voter.replica_id: now - max(core.progress[voter.replica_id].heard_at, led_since)
-            for voter in core.voters
-            if voter.replica_id in core.progress
+            voter.replica_id: now - max(replica.progress[voter.replica_id].last_reply_at, led_since)
+            for voter in replica.voters
+            if voter.replica_id in replica.progress
         }
 
     def _led_since(self, now: float) -> float:
         """When this replica was first seen to lead in its term."""
-        if self._led_term != self.core.term:
-            self._led_term, self._led_at = self.core.term, now
+        if self._led_term != self.replica.term:
+            self._led_term, self._led_at = self.replica.term, now
         return self._led_at
 
     def _described_voters(self) -> list[Member] | None:
         """The voters with node and zone, where those were not known when they were added."""
         described = []
         changed = False
-        for voter in self.core.voters:
+        for voter in self.replica.voters:
             presence = self._presences.get(voter.replica_id)
-            member = self.core.me if voter.replica_id == self.core.me.replica_id else voter
+            member = self.replica.me if voter.replica_id == self.replica.me.replica_id else voter
             if presence is not None and not member.node:
                 member = member_of(presence)
             changed |= member.node != voter.node
@@ -274,22 +275,22 @@
     # The operator's orders
 
     async def submit(self, command: Command) -> Outcome:
-        """Have a command applied by this controller as the leader. Raises NoLeader."""
+        """Have a command applied by this controller as the leader. Raises NoLeaderError."""
         return await self.commands.submit(command)
 
     async def leader_address(self) -> str:
         """Where the leader is; empty where none is known in time."""
-        core = self.core
+        replica = self.replica
 
         def known() -> bool:
-            recent = core.silence(self.host.now()) < RECENT_QUORUM_SECONDS
-            return recent and (core.state is State.LEADER or core.leader is not None)
+            recent = replica.staleness(self.host.now()) < RECENT_QUORUM_SECONDS
+            return recent and (replica.state is State.LEADER or replica.leader is not None)
 
-        if not await self.host.until(known, FIND_LEADER_SECONDS):
+        if not await self.host.wait_until(known, LEADER_WAIT_SECONDS):
             return ""
-        if core.state is State.LEADER:
-            return core.me.address
-        return core.leader.address if core.leader is not None else ""
+        if replica.state is State.LEADER:
+            return replica.me.address
+        return replica.leader.address if replica.leader is not None else ""
 
     async def forward(self, address: str, request: OperatorRequest) -> OperatorReply:
         """Pass an order on to the leader. Raises Unreachable: then it is unclear what became of it."""
@@ -313,25 +314,27 @@
 
     async def _beat(self) -> None:
         while True:
-            await asyncio.sleep(SUBSCRIBER_HEARTBEAT)
+            await asyncio.sleep(SUBSCRIBER_HEARTBEAT_SECONDS)
             self.subscribers.heartbeat()
 
     def status(self) -> dict[str, object]:
         """What an operator wants to see of this controller."""
-        core = self.core
+        replica = self.replica
         now = self.host.now()
         state = self.subscribers.published.state
         return {
             "node": self.settings.node,
-            "replica": core.me.replica_id,
-            "state": core.state.value,
-            "term": core.term,
-            "leader": core.leader.address if core.leader is not None else None,
-            "silence_s": round(core.silence(now), 3),
+            "replica": replica.me.replica_id,
+            "state": replica.state.value,
+            "term": replica.term,
+            "leader": replica.leader.address if replica.leader is not None else None,
+            "silence_s": round(replica.staleness(now), 3),
             "committed": list(self.host.committed_position),
-            "voters": [{"replica": v.replica_id, "node": v.node, "address": v.address} for v in core.voters],
+            "voters": [
+                {"replica": v.replica_id, "node": v.node, "address": v.address} for v in replica.voters
+            ],
             "generation": state.generation,
-            "list_version": core.soft_version,
+            "list_version": replica.soft_version,
             "storage_epoch": state.placement.epoch,
             "storage": [m.node for m in state.placement.current],
             "storage_next": [m.node for m in state.placement.next],
--- a/wheatring/controller/presence_table.py
+++ b/wheatring/controller/presence_table.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from wheatring.controller.storage_membership import Reported
+from wheatring.controller.storage_membership import StorageReport
 from wheatring.transport.messages_pb2 import ROLE_CONTROLLER, ROLE_STORAGE, Member, Presence, StorageMember
 
-FORWARD_SECONDS = 0.3  # between two words of one process that are passed on to the leader
-SILENT_SECONDS = 3.0  # after which a process is not passed on, and a learner is given up
-FORGET_SECONDS = 30.0
+FORWARD_INTERVAL_SECONDS = 0.3  # between two words of one process that are passed on to the leader
+PRESENCE_TIMEOUT_SECONDS = 3.0  # after which a process is not passed on, and a learner is given up
+EXPIRY_SECONDS = 30.0
 
 
-class News(Enum):
+class PresenceChange(Enum):
     """What a presence has brought."""
 
     NONE = "older than what was known"
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class PresenceRecord:
     """A presence and when it came here."""
 
     presence: Presence
@@ -45,31 +45,31 @@
     )
 
 
-class Presences:
+class PresenceTable:
     """The newest word of each process."""
 
     def __init__(self) -> None:
-        self._known: dict[str, Known] = {}
+        self._known: dict[str, PresenceRecord] = {}
         self._storage_since: float | None = None
 
-    def heard(self, presence: Presence, now: float) -> News:
+    def heard(self, presence: Presence, now: float) -> PresenceChange:
         """Take a presence in."""
         if presence.role not in (ROLE_CONTROLLER, ROLE_STORAGE):
-            return News.NONE
+            return PresenceChange.NONE
         if presence.role == ROLE_STORAGE and self._storage_since is None:
             self._storage_since = now
         known = self._known.get(presence.replica_id)
         spoken_at = now - presence.age_ms / 1000
         if known is not None and spoken_at <= now - known.age(now):
-            return News.NONE
+            return PresenceChange.NONE
         changed = (
             known is None
             or known.presence.whole_epoch != presence.whole_epoch
             or known.presence.leaving != presence.leaving
         )
         forwarded_at = -1e9 if changed or known is None else known.forwarded_at
-        self._known[presence.replica_id] = Known(presence, now, forwarded_at)
-        return News.CHANGE if changed else News.WORD
+        self._known[presence.replica_id] = PresenceRecord(presence, now, forwarded_at)
+        return PresenceChange.CHANGE if changed else PresenceChange.WORD
 
     def get(self, replica_id: str) -> Presence | None:
         """What a process has said last."""
@@ -78,14 +78,14 @@
 
     def forget_old(self, now: float) -> None:
         """Drop those that have not spoken for long."""
-        for replica_id in [i for i, known in self._known.items() if known.age(now) > FORGET_SECONDS]:
+        for replica_id in [i for i, known in self._known.items() if known.age(now) > EXPIRY_SECONDS]:
             del self._known[replica_id]
 
     def to_forward(self, now: float) -> Iterator[Presence]:
         """Words that the leader has not been told yet, each with its age."""
         for known in self._known.values():
-            told = known.at <= known.forwarded_at or now - known.forwarded_at < FORWARD_SECONDS
-            if told or known.age(now) > SILENT_SECONDS:
+            told = known.at <= known.forwarded_at or now - known.forwarded_at < FORWARD_INTERVAL_SECONDS
+            if told or known.age(now) > PRESENCE_TIMEOUT_SECONDS:
                 continue
             known.forwarded_at = now
             presence = Presence()
@@ -99,7 +99,7 @@
             replica_id: member_of(known.presence)
             for replica_id, known in self._known.items()
             if known.presence.role == ROLE_CONTROLLER
-            and known.age(now) < SILENT_SECONDS
+            and known.age(now) < PRESENCE_TIMEOUT_SECONDS
             and not known.presence.leaving
         }
 
@@ -110,16 +110,16 @@
             for known in self._known.values()
             if known.presence.role == ROLE_CONTROLLER
             and known.presence.leaving
-            and known.age(now) < SILENT_SECONDS
+            and known.age(now) < PRESENCE_TIMEOUT_SECONDS
         }
 
     def storage_known_for(self, now: float) -> float:
         """Seconds since the first storage replica has spoken here."""
         return now - self._storage_since if self._storage_since is not None else 0.0
 
-    def storage(self, now: float) -> dict[str, Reported]:
+    def storage(self, now: float) -> dict[str, StorageReport]:
         """Storage replicas; of two at one address the one that spoke last is there."""
-        newest: dict[str, Reported] = {}
+        newest: dict[str, StorageReport] = {}
         for replica_id, known in self._known.items():
             presence = known.presence
             if presence.role != ROLE_STORAGE:
@@ -127,7 +127,7 @@
             member = StorageMember(
                 replica_id=replica_id, node=presence.node, address=presence.address, zone=presence.zone
             )
-            report = Reported(member, presence.whole_epoch, known.age(now), presence.leaving)
+            report = StorageReport(member, presence.whole_epoch, known.age(now), presence.leaving)
             other = newest.get(member.address)
             if other is None or report.age < other.age:
                 newest[member.address] = report
--- a/wheatring/controller/process.py
+++ b/wheatring/controller/process.py
@@ -14,10 +14,10 @@
 from wheatring.boot_settings.settings import Settings
 from wheatring.boot_settings.watch import SettingsWatch
 from wheatring.controller.node import Controller
-from wheatring.discovery.platform_list import PlatformList
+from wheatring.discovery.platform_list import PlatformListReader
 
-TAKE_SETTINGS_SECONDS = 0.5
-LEADER_SECONDS = 0.5  # for an election to end, before the libraries are loaded
+SETTINGS_POLL_SECONDS = 0.5
+ELECTION_WAIT_SECONDS = 0.5  # for an election to end, before the libraries are loaded
 
 
 class ControllerProcess:
@@ -25,7 +25,9 @@
 
     def __init__(self, settings: Settings, random: Random) -> None:
         platform = settings.platform
-        self._reader = PlatformList(str(platform.address), platform.calls_per_second) if platform else None
+        self._reader = (
+            PlatformListReader(str(platform.address), platform.calls_per_second) if platform else None
+        )
         self.controller = Controller(settings, random, self._reader)
         self._address = settings.listen["control"]
         self._watch = SettingsWatch(settings)
@@ -35,11 +37,11 @@
     async def start(self) -> None:
         """Listen and take part. Raises OSError."""
         await self.controller.start()
-        jobs = (self._serve_operator(), self._watch.run(), self._take_settings())
+        jobs = (self._serve_operator(), self._watch.run(), self._follow_settings())
         self._tasks = [asyncio.create_task(job) for job in jobs]
 
     async def _serve_operator(self) -> None:
-        await self.controller.wait_for_leader(LEADER_SECONDS)
+        await self.controller.wait_for_leader(ELECTION_WAIT_SECONDS)
         if self._reader is not None:
             await self._reader.prepare()
         loop = asyncio.get_running_loop()
@@ -47,9 +49,9 @@
         self._server = api.make_server(self.controller, self._address)
         await self._server.serve()
 
-    async def _take_settings(self) -> None:
+    async def _follow_settings(self) -> None:
         while True:
-            await asyncio.sleep(TAKE_SETTINGS_SECONDS)
+            await asyncio.sleep(SETTINGS_POLL_SECONDS)
             self.controller.settings = self._watch.settings
 
     async def stop(self) -> None:
--- a/wheatring/controller/storage_membership.py
+++ b/wheatring/controller/storage_membership.py
@@ -19,15 +19,17 @@
 
 from wheatring.transport.messages_pb2 import ControlState, Placement, StorageMember
 
-UNREACHABLE_SECONDS = 2.0  # after which a member is replaced, where another replica waits
-LEAVING_SECONDS = 1.0  # for which a word that a member is about to end counts
-GONE_SECONDS = 3.0  # after which one goes without a successor, where enough others are left
-ABANDON_SECONDS = 8.0  # after which a member is taken for lost where too few others are left to copy from
-BOOTSTRAP_SECONDS = 1.5  # after the first storage replica has come, for the others to come
+REPLACE_AFTER_SECONDS = 2.0  # after which a member is replaced, where another replica waits
+LEAVING_NOTICE_SECONDS = 1.0  # for which a word that a member is about to end counts
+REMOVE_AFTER_SECONDS = 3.0  # after which one goes without a successor, where enough others are left
+DECLARE_LOST_AFTER_SECONDS = (
+    8.0  # after which a member is taken for lost where too few others are left to copy from
+)
+BOOTSTRAP_WAIT_SECONDS = 1.5  # after the first storage replica has come, for the others to come
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
+class StorageReport:
     """A storage replica as it last said, and how long ago (seconds)."""
 
     member: StorageMember
@@ -36,17 +38,17 @@
     leaving: bool = False
 
 
-def _first(reported: Mapping[str, Reported], losses: int, waited: float) -> Placement | None:
+def _initial_placement(reported: Mapping[str, StorageReport], losses: int, waited: float) -> Placement | None:
     """The placement of a new system: nothing has been written yet, so all that are there hold everything."""
     wanted = 2 * losses + 1
-    if len(reported) < wanted and (waited < BOOTSTRAP_SECONDS or len(reported) < losses + 1):
+    if len(reported) < wanted and (waited < BOOTSTRAP_WAIT_SECONDS or len(reported) < losses + 1):
         return None
     members = sorted((r.member for r in reported.values()), key=lambda member: member.replica_id)
     return Placement(epoch=1, current=members)
 
 
-def _aim(
-    state: ControlState, reported: Mapping[str, Reported], losses: int, led: float
+def _target_members(
+    state: ControlState, reported: Mapping[str, StorageReport], losses: int, led: float
 ) -> list[StorageMember]:
     """The set of members that there should be.
 
@@ -57,16 +59,16 @@
     current = [member for member in placement.current if not member.lost]
     held = {member.replica_id for member in current}
     retiring = _retiring_nodes(state)
-    alive = {i: r for i, r in reported.items() if r.age <= UNREACHABLE_SECONDS}
+    alive = {i: r for i, r in reported.items() if r.age <= REPLACE_AFTER_SECONDS}
     retired = {retirement.replica_id for retirement in state.retirements}
     waiting = [
         report.member
         for replica_id, report in alive.items()
         if replica_id not in held | retired and report.member.node not in retiring and not report.leaving
     ]
-    successors = [member for member in waiting if _at_place_of(member, placement.current)]
+    successors = [member for member in waiting if _shares_machine_with(member, placement.current)]
     others = [member for member in waiting if member not in successors]
-    present = [member for member in current if not _at_place_of(member, successors)]
+    present = [member for member in current if not _shares_machine_with(member, successors)]
     staying = [member for member in present if member.node not in retiring]
     leaving = [m for m in present if m.node in retiring and not _is_superseded(m, reported)]
     wanted = min(2 * losses + 1, len(placement.current))
@@ -76,12 +78,12 @@
     aim += leaving[: max(0, wanted - len(aim))]
     for member in staying:
         report = reported.get(member.replica_id)
-        if len(aim) > 2 * losses + 1 and _may_go(report, bool(joining), led):
+        if len(aim) > 2 * losses + 1 and _is_removable(report, bool(joining), led):
             aim.remove(member)
     return sorted(aim, key=lambda member: member.replica_id)
 
 
-def _at_place_of(member: StorageMember, members: Sequence[StorageMember]) -> bool:
+def _shares_machine_with(member: StorageMember, members: Sequence[StorageMember]) -> bool:
     """Whether one of these is on the same machine."""
     return any(member.address == other.address or member.node == other.node for other in members)
 
@@ -91,14 +93,14 @@
     return {retirement.node for retirement in state.retirements if not retirement.completed}
 
 
-def _may_go(report: Reported | None, replaced: bool, led: float) -> bool:
+def _is_removable(report: StorageReport | None, replaced: bool, led: float) -> bool:
     """Whether a member is gone, or about to go."""
-    if report is not None and report.leaving and report.age < LEAVING_SECONDS:
+    if report is not None and report.leaving and report.age < LEAVING_NOTICE_SECONDS:
         return True
-    return _silence(report, led) > (UNREACHABLE_SECONDS if replaced else GONE_SECONDS)
+    return _unheard_seconds(report, led) > (REPLACE_AFTER_SECONDS if replaced else REMOVE_AFTER_SECONDS)
 
 
-def _silence(report: Reported | None, led: float) -> float:
+def _unheard_seconds(report: StorageReport | None, led: float) -> float:
     """For how many seconds a member has not been heard; a new leader has not heard from all of them yet."""
     return led if report is None else min(report.age, led)
 
@@ -112,19 +114,19 @@
 
 
 def next_placement(
-    state: ControlState, reported: Mapping[str, Reported], losses: int, waited: float, led: float
+    state: ControlState, reported: Mapping[str, StorageReport], losses: int, waited: float, led: float
 ) -> Placement | None:
     """The placement to change to, or None. `waited` is how long storage replicas have been known, `led` how
     long this controller has led (seconds).
     """
     placement = state.placement
     if not placement.epoch:
-        return _first(reported, losses, waited)
-    aim = _aim(state, reported, losses, led)
+        return _initial_placement(reported, losses, waited)
+    aim = _target_members(state, reported, losses, led)
     if len(aim) < losses + 1:
         return None
     if placement.next:
-        return _next_in_change(state, aim, reported, losses, led)
+        return _next_step_of_change(state, aim, reported, losses, led)
     lacking = len(aim) < min(2 * losses + 1, len(placement.current))
     lost = any(member.lost for member in placement.current)
     if _ids(aim) == _present_ids(placement.current) and (lacking or not lost):
@@ -132,10 +134,10 @@
     return Placement(epoch=placement.epoch + 1, current=placement.current, next=aim)
 
 
-def _next_in_change(
+def _next_step_of_change(
     state: ControlState,
     aim: Sequence[StorageMember],
-    reported: Mapping[str, Reported],
+    reported: Mapping[str, StorageReport],
     losses: int,
     led: float,
 ) -> Placement | None:
@@ -143,14 +145,14 @@
     given up.
     """
     placement = state.placement
-    behind = [m for m in placement.next if not _is_whole(reported.get(m.replica_id), placement.epoch)]
+    behind = [m for m in placement.next if not _is_complete(reported.get(m.replica_id), placement.epoch)]
     if not behind:
-        return _completed(placement, behind)
-    if not _has_sources(placement, reported, losses, led, ABANDON_SECONDS):
-        return _completed(placement, behind) if len(behind) <= losses else None
-    if not _has_sources(placement, reported, losses, led, UNREACHABLE_SECONDS):
+        return _completed_change(placement, behind)
+    if not _has_sources(placement, reported, losses, led, DECLARE_LOST_AFTER_SECONDS):
+        return _completed_change(placement, behind) if len(behind) <= losses else None
+    if not _has_sources(placement, reported, losses, led, REPLACE_AFTER_SECONDS):
         return None  # another set could not be copied to either, for now
-    under_way = all(_may_finish(member, reported, state) for member in behind)
+    under_way = all(_is_still_copying(member, reported, state) for member in behind)
     if _ids(aim) == _ids(placement.next) or under_way:
         return None
     if _ids(aim) != _present_ids(placement.current):
@@ -160,13 +162,13 @@
     return None  # to give the change up would give up the copies that were made for those that are gone
 
 
-def _is_alive(member: StorageMember, reported: Mapping[str, Reported]) -> bool:
+def _is_alive(member: StorageMember, reported: Mapping[str, StorageReport]) -> bool:
     report = reported.get(member.replica_id)
-    return report is not None and report.age <= UNREACHABLE_SECONDS
+    return report is not None and report.age <= REPLACE_AFTER_SECONDS
 
 
 def _has_sources(
-    placement: Placement, reported: Mapping[str, Reported], losses: int, led: float, silence: float
+    placement: Placement, reported: Mapping[str, StorageReport], losses: int, led: float, silence: float
 ) -> bool:
     """Whether enough members of the current set are left for a new copy to be complete: their disks are not
     known to be lost, and they have been heard within `silence` seconds.
@@ -176,12 +178,12 @@
         for member in placement.current
         if not member.lost
         and not _is_superseded(member, reported)
-        and _silence(reported.get(member.replica_id), led) <= silence
+        and _unheard_seconds(reported.get(member.replica_id), led) <= silence
     ]
     return len(left) >= len(placement.current) - losses
 
 
-def _completed(placement: Placement, lost: Sequence[StorageMember]) -> Placement:
+def _completed_change(placement: Placement, lost: Sequence[StorageMember]) -> Placement:
     """The set aimed at as the current one. Members that are behind stay in it, marked as lost, so that its
     quorums are those under which it was written; nobody asks them again, even if they are still there.
     """
@@ -192,24 +194,26 @@
     return done
 
 
-def _is_whole(report: Reported | None, epoch: int) -> bool:
+def _is_complete(report: StorageReport | None, epoch: int) -> bool:
     return report is not None and report.whole_epoch >= epoch
 
 
-def _is_superseded(member: StorageMember, reported: Mapping[str, Reported]) -> bool:
+def _is_superseded(member: StorageMember, reported: Mapping[str, StorageReport]) -> bool:
     """Whether another replica has come in a member's place: its disk is lost."""
     if member.replica_id in reported:
         return False
     return any(report.member.address == member.address for report in reported.values())
 
 
-def _may_finish(member: StorageMember, reported: Mapping[str, Reported], state: ControlState) -> bool:
+def _is_still_copying(
+    member: StorageMember, reported: Mapping[str, StorageReport], state: ControlState
+) -> bool:
     """Whether a member that is behind is still at its copy."""
     report = reported.get(member.replica_id)
     if report is None:
         return False
     staying = not report.leaving and member.node not in _retiring_nodes(state)
-    return report.age <= UNREACHABLE_SECONDS and staying
+    return report.age <= REPLACE_AFTER_SECONDS and staying
 
 
 def complete_retirements(state: ControlState, voting_nodes: Collection[str]) -> bool:
--- a/wheatring/controller/voter_selection.py
+++ b/wheatring/controller/voter_selection.py
@@ -16,7 +16,7 @@
 
 from wheatring.transport.messages_pb2 import Member
 
-UNREACHABLE_SECONDS = 1.5
+UNREACHABLE_AFTER_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
     def is_useful(voter: Member) -> bool:
         if voter.node in leaving:
             return False
-        return voter.replica_id == me or unheard.get(voter.replica_id, 0.0) <= UNREACHABLE_SECONDS
+        return voter.replica_id == me or unheard.get(voter.replica_id, 0.0) <= UNREACHABLE_AFTER_SECONDS
 
     wanted = _with_successors(voters, waiting)
     wanted = _with_replacements(wanted, waiting, target, is_useful)
--- a/wheatring/discovery/platform_list.py
+++ b/wheatring/discovery/platform_list.py
@@ -15,20 +15,20 @@
 if TYPE_CHECKING:
     import httpx
 
-CALL_SECONDS = 0.8
+CALL_TIMEOUT_SECONDS = 0.8
 MAX_PAGES = 200
 DRAINING = "draining"
 
 
-class ListUnavailable(Exception):
+class EndpointListUnavailableError(Exception):
     """The list could not be read whole."""
 
 
-class ListReader(Protocol):
+class EndpointListReader(Protocol):
     """Whoever reads the list."""
 
     async def read(self) -> EndpointList:
-        """All of it. Raises ListUnavailable."""
+        """All of it. Raises EndpointListUnavailableError."""
 
 
 def _endpoint(values: dict[str, Any]) -> Endpoint:
@@ -44,7 +44,7 @@
     )
 
 
-class PlatformList:
+class PlatformListReader:
     """Calls the platform. One process of the system does so at a time."""
 
     def __init__(self, address: str, calls_per_second: float) -> None:
@@ -56,11 +56,11 @@
         """Load the library and make the client, once."""
         if self._client is None:
             module = await asyncio.get_running_loop().run_in_executor(None, importlib.import_module, "httpx")
-            self._client = module.AsyncClient(timeout=CALL_SECONDS, trust_env=False)
+            self._client = module.AsyncClient(timeout=CALL_TIMEOUT_SECONDS, trust_env=False)
         return self._client
 
     async def read(self) -> EndpointList:
-        """All pages. Raises ListUnavailable."""
+        """All pages. Raises EndpointListUnavailableError."""
         endpoints: list[Endpoint] = []
         token: str | None = None
         for _ in range(MAX_PAGES):
@@ -69,11 +69,11 @@
                 endpoints.extend(_endpoint(values) for values in page["instances"])
                 token = page.get("nextPageToken")
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                raise ListUnavailable(f"a page cannot be read: {error!r}") from error
+                raise EndpointListUnavailableError(f"a page cannot be read: {error!r}") from error
             if not token:
                 return EndpointList(endpoints=endpoints)
             await asyncio.sleep(self._pause)
-        raise ListUnavailable("the list has no end")
+        raise EndpointListUnavailableError("the list has no end")
 
     async def _page(self, token: str | None) -> Any:
         client = await self.prepare()
@@ -82,10 +82,10 @@
         try:
             response = await client.get(self._url, params={"pageToken": token} if token else None)
             if response.status_code != httpx.codes.OK:
-                raise ListUnavailable(f"status {response.status_code}")
+                raise EndpointListUnavailableError(f"status {response.status_code}")
             return response.json()
         except (httpx.HTTPError, ValueError) as error:
-            raise ListUnavailable(repr(error)) from error
+            raise EndpointListUnavailableError(repr(error)) from error
 
     async def close(self) -> None:
         """End the connections."""
--- a/wheatring/lab/control/model.py
+++ b/wheatring/lab/control/model.py
@@ -13,10 +13,10 @@
 from wheatring.consensus.replica import Replica
 from wheatring.consensus.types import Effects, Position, State, entry_position
 from wheatring.controller.commands import (
+    Accepted,
     Conflict,
-    Done,
+    Indeterminate,
     ReplaceConfiguration,
-    Unclear,
     UpdateConfiguration,
     apply_batch,
 )
@@ -109,8 +109,8 @@
         progress = tuple(
             (i, p.on_disk, p.sent, replica.round - p.round) for i, p in sorted(replica.progress.items())
         )
-        led = round(min(self.now - replica.leader_heard_at, replica.timing.election), 2)
-        due = round(replica.next_event() - self.now, 2)
+        led = round(min(self.now - replica.leader_contact_at, replica.timing.election_seconds), 2)
+        due = round(replica.next_deadline() - self.now, 2)
         committed = entry_position(replica.committed) if replica.committed is not None else None
         disk_key = (disk.replica_id, disk.hard_state.term, disk.hard_state.voted_for, _entry_key(disk.entry))
         pending = tuple(write.record.SerializeToString() for write in machine.pending)
@@ -188,7 +188,7 @@
     def _do_tick(self, name: str) -> bool:
         """A timer fires; time is as late as that for all."""
         machine = self.machines[name]
-        self.now = max(self.now, machine.replica.next_event())
+        self.now = max(self.now, machine.replica.next_deadline())
         return self._carry_out(machine, machine.replica.tick(self.now))
 
     def _do_elapse(self, seconds: str) -> bool:
@@ -276,9 +276,12 @@
         base = generation_of(replica.committed.data)
         orders = orders_on(base, replica.term)
         applied = apply_batch(replica.committed.data, orders)
-        if [type(outcome) for outcome in applied.outcomes] != [Done, Conflict] or applied.changed is None:
+        if [type(outcome) for outcome in applied.outcomes] != [
+            Accepted,
+            Conflict,
+        ] or applied.new_state is None:
             raise Broken(f"two orders on generation {base} were told {applied.outcomes}")
-        data = applied.changed if self.rules.history_is_known else _forgetful(applied.changed)
+        data = applied.new_state if self.rules.history_is_known else _forgetful(applied.new_state)
         position, effects = replica.propose(self.now, data)
         change = Acknowledged(position, orders[0], base + 1, orders[0].digest, at=self.now)
         self.waiting.append(WaitingOrder(name, machine.life, replica.term, position, 0, change))
@@ -292,9 +295,9 @@
             return False
         order = self.history.acknowledged[-1].order
         applied = apply_batch(replica.committed.data, [order])
-        if applied.changed is not None:
+        if applied.new_state is not None:
             return False  # taken anew by a leader that cannot commit it any more
-        if not isinstance(applied.outcomes[0], Done | Unclear):
+        if not isinstance(applied.outcomes[0], Accepted | Indeterminate):
             number, effects = replica.confirm(self.now)
             waiting = WaitingOrder(name, machine.life, replica.term, None, number, None, -1, 0)
             self.waiting.append(waiting)
@@ -347,7 +350,7 @@
 
     def _do_transfer(self, name: str) -> bool:
         machine = self.machines[name]
-        effects = machine.replica.transfer(self.now)
+        effects = machine.replica.transfer()
         return bool(effects.messages) and self._carry_out(machine, effects)
 
     # Checks
@@ -363,7 +366,7 @@
         self._answer_operators()
 
     def _check_claim(self, name: str, replica: Replica) -> None:
-        silence = replica.silence(self.now)
+        silence = replica.staleness(self.now)
         if replica.committed is not None and silence < VOUCHED_SECONDS:
             self.history.saw_claim(name, generation_of(replica.committed.data), self.now - silence)
 
--- a/wheatring/lab/control/planted.py
+++ b/wheatring/lab/control/planted.py
@@ -45,23 +45,23 @@
 class TellsVotesUnsynced(Replica):
     """Sends its vote before it is on disk."""
 
-    def _on_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
-        super()._on_vote_request(now, request, effects)
+    def _handle_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
+        super()._handle_vote_request(now, request, effects)
         _send_at_once(effects)
 
 
 class CountsEntriesUnsynced(Replica):
     """Tells the leader of an entry before it is on disk."""
 
-    def _on_append_request(self, now: float, request: AppendRequest, effects: Effects) -> None:
-        super()._on_append_request(now, request, effects)
+    def _handle_append_request(self, now: float, request: AppendRequest, effects: Effects) -> None:
+        super()._handle_append_request(now, request, effects)
         _send_at_once(effects)
 
 
 def _send_at_once(effects: Effects) -> None:
     for write in effects.writes:
-        effects.messages.extend(write.then)
-        write.then = []
+        effects.messages.extend(write.on_synced)
+        write.on_synced = []
 
 
 class CommitsOlderTerms(Replica):
@@ -72,7 +72,7 @@
         super()._become_leader(now, effects)
         if found.index > 1:
             self.entry = found
-            self._writing = self.on_disk
+            self._write_position = self.on_disk
             self.committed = None
             effects.writes[:] = [write for write in effects.writes if write.position is None]
             effects.messages.clear()
@@ -103,38 +103,38 @@
         self, now: float, data: bytes, voters: Iterable[Member] | None = None
     ) -> tuple[Position, Effects]:
         """On top of an entry that is not committed, and without the set before."""
-        entry = self._following_entry()
+        entry = self._next_entry()
         entry.data = data
         if voters is not None:
             del entry.voters[:]
             entry.voters.extend(voters)
         finish_change(entry)
         effects = Effects()
-        self._accept_own(now, entry, effects)
+        self._append_entry(now, entry, effects)
         return entry_position(entry), effects
 
 
 class BelievesOldReplies(Replica):
     """Takes replies to an earlier leadership, or an earlier life, for replies to this one."""
 
-    def _on_append_reply(self, now: float, reply: AppendReply, effects: Effects) -> None:
+    def _handle_append_reply(self, now: float, reply: AppendReply, effects: Effects) -> None:
         current = AppendReply()
         current.CopyFrom(reply)
         if reply.term < self.term and self.state is State.LEADER:
             current.term = self.term
             current.round = self.round
             current.entry_term, current.entry_index = entry_position(self.entry)
-        super()._on_append_reply(now, current, effects)
+        super()._handle_append_reply(now, current, effects)
 
 
 class CountsFromLastWord(Replica):
     """Takes the arrival of any message of a leader for contact with a quorum."""
 
-    def silence(self, now: float) -> float:
+    def staleness(self, now: float) -> float:
         """Since the leader's last message came."""
         if self.state is State.LEADER:
             return now - self.confirmed_at
-        return now - self.leader_heard_at
+        return now - self.leader_contact_at
 
 
 class ForgetsItsVote(Replica):
@@ -149,11 +149,11 @@
 class VotesForOlderEntries(Replica):
     """Does not ask how new a candidate's entry is."""
 
-    def _on_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
+    def _handle_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
         blind = VoteRequest()
         blind.CopyFrom(request)
         blind.last_term, blind.last_index = 1 << 40, 0
-        super()._on_vote_request(now, blind, effects)
+        super()._handle_vote_request(now, blind, effects)
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheatring/lab/control/search.py
+++ b/wheatring/lab/control/search.py
@@ -264,7 +264,7 @@
         if leader is not None:
             model.apply(f"members {leader.name}")
         if not _orderly(model):
-            due = min(model.machines.values(), key=lambda machine: machine.replica.next_event())
+            due = min(model.machines.values(), key=lambda machine: machine.replica.next_deadline())
             model.apply(f"tick {due.name}")
 
 
--- a/wheatring/lab/control/storage_model.py
+++ b/wheatring/lab/control/storage_model.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from wheatring.controller.commands import StartRetirement
-from wheatring.controller.storage_membership import Reported, complete_retirements, next_placement
+from wheatring.controller.storage_membership import StorageReport, complete_retirements, next_placement
 from wheatring.lab.control.invariants import Broken
 from wheatring.lab.control.search import Found
 from wheatring.placement.placement import KeyPlacement, place, quorums, replicas_for
@@ -107,7 +107,9 @@
         first = Placement(epoch=1, current=[store.member() for store in self.stores.values()])
         self.placements = [first]
         self.state.placement.CopyFrom(first)
-        self.reports = {store.replica_id: Reported(store.member(), 0, 0.1) for store in self.stores.values()}
+        self.reports = {
+            store.replica_id: StorageReport(store.member(), 0, 0.1) for store in self.stores.values()
+        }
 
     @property
     def placement_now(self) -> Placement:
@@ -274,13 +276,13 @@
         """The leader hears from a store; what it heard of another replica at its address is gone."""
         for replica_id in [i for i, r in self.reports.items() if r.member.address == store.name]:
             del self.reports[replica_id]
-        self.reports[store.replica_id] = Reported(store.member(), store.whole_epoch, 0.1)
+        self.reports[store.replica_id] = StorageReport(store.member(), store.whole_epoch, 0.1)
 
     def _grow_old(self) -> None:
         """Some reports are not repeated for long."""
         for replica_id, report in list(self.reports.items()):
             if self.random.random() < 0.3:
-                self.reports[replica_id] = Reported(report.member, report.whole_epoch, OLD_REPORT)
+                self.reports[replica_id] = StorageReport(report.member, report.whole_epoch, OLD_REPORT)
 
     def _decide(self) -> None:
         self.decide()
@@ -290,7 +292,7 @@
         reported = self.reports
         if not self.rules.change_needs_whole and self.placement.next:
             reported = {
-                i: Reported(r.member, max(r.whole_epoch, self.placement.epoch), r.age)
+                i: StorageReport(r.member, max(r.whole_epoch, self.placement.epoch), r.age)
                 for i, r in reported.items()
             }
         placement = next_placement(self.state, reported, self.rules.losses, 99.0, 99.0)
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -42,7 +42,7 @@
             port=settings.controller_port,
             zone=settings.zone,
             presence=lambda: Presence(role=ROLE_SIDECAR, replica_id=name, node=name, address="127.0.0.1"),
-            presence_pause=2.0,
+            presence_interval=2.0,
             changed=self._changed,
             random=random,
         )
--- a/wheatring/sidecar/process.py
+++ b/wheatring/sidecar/process.py
@@ -8,7 +8,7 @@
 from functools import partial
 from random import Random
 
-from lapisway.interface import EndpointEntry, EndpointState
+from wheatring.balancer.interface import EndpointEntry, EndpointState
 from wheatring.boot_settings.settings import Settings
 from wheatring.boot_settings.watch import SettingsWatch
 from wheatring.budgets.budgets import Budgets
@@ -47,7 +47,7 @@
             port=settings.controller_port,
             zone=settings.zone,
             presence=self._presence,
-            presence_pause=PRESENCE_SECONDS,
+            presence_interval=PRESENCE_SECONDS,
             changed=self._changed,
             random=random,
         )
--- a/wheatring/sidecar/service.py
+++ b/wheatring/sidecar/service.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lapisway.interface import Outcome
+from wheatring.balancer.interface import Outcome
 from wheatring.budgets.budgets import Budgets, BudgetSpent
 from wheatring.event_log import log_event
 from wheatring.http1.parser import Message
--- a/wheatring/storage/process.py
+++ b/wheatring/storage/process.py
@@ -40,7 +40,7 @@
             port=settings.controller_port,
             zone=settings.zone,
             presence=self._presence,
-            presence_pause=PRESENCE_SECONDS,
+            presence_interval=PRESENCE_SECONDS,
             changed=self._changed,
             random=random,
         )
@@ -66,7 +66,7 @@
         loop = asyncio.get_running_loop()
         self._leaving = True
         began = loop.time()
-        self.subscription.send_now()
+        self.subscription.announce_now()
         while loop.time() - began < self.settings.grace - STOP_MARGIN:
             await asyncio.sleep(STOP_LOOK_SECONDS)
             if not self._is_handed_over(loop.time() - began):
@@ -114,7 +114,7 @@
             await asyncio.sleep(0.05)
             if self.repair.whole_epoch != self._told_epoch:
                 self._told_epoch = self.repair.whole_epoch
-                self.subscription.send_now()
+                self.subscription.announce_now()
 
     def _on_envelope(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
         kind = envelope.WhichOneof("body")
--- a/wheatring/subscription/client.py
+++ b/wheatring/subscription/client.py
@@ -15,14 +15,16 @@
 from wheatring.transport.client import Client
 from wheatring.transport.messages_pb2 import Envelope, Member, Placement, Presence, Subscribe, Update
 
-SILENT_SECONDS = 0.8  # without an update from the controller; it sends one every SUBSCRIBER_HEARTBEAT
-STALE_MS = 900  # a controller that has been without a quorum for longer is not believed to be current
-FIRST_SECONDS = 0.5  # for the first update to come
-LEAST_STAY_SECONDS = 0.6  # with a stale controller, before the next one is tried
+UPDATE_TIMEOUT_SECONDS = (
+    0.8  # without an update from the controller; it sends one every SUBSCRIBER_HEARTBEAT_SECONDS
+)
+MAX_STALENESS_MS = 900  # a controller that has been without a quorum for longer is not believed to be current
+FIRST_UPDATE_TIMEOUT_SECONDS = 0.5  # for the first update to come
+MIN_STAY_SECONDS = 0.6  # with a stale controller, before the next one is tried
 
 
 @dataclass(slots=True)
-class View:
+class ControlView:
     """What a subscriber holds."""
 
     position: tuple[int, int] = (0, 0)
@@ -45,16 +47,16 @@
         port: int,
         zone: str,
         presence: Callable[[], Presence],
-        presence_pause: float,
+        presence_interval: float,
         changed: Callable[[], None],
         random: Random,
     ) -> None:
-        self.view = View()
+        self.view = ControlView()
         self._seeds = seeds
         self._port = port
         self._zone = zone
         self._presence = presence
-        self._presence_pause = presence_pause
+        self._presence_pause = presence_interval
         self._changed = changed
         self._random = random
         self._client: Client | None = None
@@ -75,7 +77,7 @@
         while True:
             host = self._choose(tried)
             tried.append(host)
-            if await self._stay_with(host):
+            if await self._follow(host):
                 tried = [host]
 
     def _choose(self, tried: list[str]) -> str:
@@ -91,7 +93,7 @@
             return fresh[0]
         return self._random.choice(fresh)
 
-    async def _stay_with(self, host: str) -> bool:
+    async def _follow(self, host: str) -> bool:
         """Subscribe and follow until the controller is no good any more. Returns whether it ever was."""
         loop = asyncio.get_running_loop()
         client = self._client = Client(host, self._port, self._on_envelope)
@@ -120,10 +122,10 @@
                     pass
                 now = loop.time()
                 good = good or not self._stale
-                allowed = SILENT_SECONDS if self._updated_at > began else FIRST_SECONDS
+                allowed = UPDATE_TIMEOUT_SECONDS if self._updated_at > began else FIRST_UPDATE_TIMEOUT_SECONDS
                 if now - self._updated_at > allowed or not client.is_up(began, now):
                     return good
-                if self._stopping or (self._stale and now - began > LEAST_STAY_SECONDS):
+                if self._stopping or (self._stale and now - began > MIN_STAY_SECONDS):
                     return good
                 if now >= next_presence:
                     next_presence = now + self._presence_pause
@@ -138,7 +140,7 @@
     def _apply(self, update: Update) -> None:
         loop = asyncio.get_running_loop()
         self._updated_at = now = loop.time()
-        self._stale = update.silence_ms > STALE_MS
+        self._stale = update.silence_ms > MAX_STALENESS_MS
         self._stopping = update.stopping
         view = self.view
         changed = False
@@ -165,7 +167,7 @@
         if changed:
             self._changed()
 
-    def send_now(self) -> None:
+    def announce_now(self) -> None:
         """Tell the controller at once how this process is."""
         if self._client is not None:
             self._client.send(Envelope(presence=self._presence()))
--- a/wheatring/subscription/server.py
+++ b/wheatring/subscription/server.py
@@ -18,7 +18,7 @@
     Update,
 )
 
-SUBSCRIBER_HEARTBEAT = 0.3  # seconds between updates without news
+SUBSCRIBER_HEARTBEAT_SECONDS = 0.3  # seconds between updates without news
 
 
 @dataclass(slots=True)
@@ -72,7 +72,7 @@
         self._subscribers[connection] = subscriber
         self._send(subscriber)
 
-    def heard(self, connection: EnvelopeConnection, presence: Presence) -> None:
+    def update_presence(self, connection: EnvelopeConnection, presence: Presence) -> None:
         """A subscriber says how it is."""
         subscriber = self._subscribers.get(connection)
         if subscriber is not None:
--- a/wheatring/tier/__main__.py
+++ b/wheatring/tier/__main__.py
@@ -29,7 +29,8 @@
 def check(file: str) -> None:
     """Check a settings file or an operator's configuration; every error is one line with its path."""
     from wheatring.boot_settings.settings import SettingsError, read_settings
-    from wheatring.controller.configuration import InvalidConfiguration, parse
+    from wheatring.controller.configuration import parse
+    from wheatring.controller.exceptions import InvalidConfigurationError
 
     with open(file, "rb") as opened:
         body = opened.read()
@@ -38,7 +39,7 @@
             parse(body)
         else:
             read_settings(file)
-    except InvalidConfiguration as error:
+    except InvalidConfigurationError as error:
         raise click.ClickException(f"{file}: {error}") from error
     except SettingsError as error:
         raise click.ClickException(str(error)) from error
