--- /dev/null
+++ b/tests/rollout/previous.py
@@ -0,0 +1,32 @@
+"""The program as it was before its names were changed, taken from the project's own history."""
+
+from __future__ import annotations
+
+import io
+import subprocess
+import tarfile
+from pathlib import Path
+
+PREVIOUS = "c345874a1bc05b6b4f7226a2004bd636dfc6f00f"
+ROOT = Path(__file__).resolve().parents[2]
+
+
+def is_known() -> bool:
+    """Whether this checkout has the history that the previous program is taken from."""
+    found = subprocess.run(
+        ["git", "cat-file", "-e", f"{PREVIOUS}^{{commit}}"], cwd=ROOT, capture_output=True, check=False
+    )
+    return found.returncode == 0
+
+
+def unpack(folder: Path) -> Path:
+    """Write the previous program's packages below a folder; returns it."""
+    packed = subprocess.run(
+        ["git", "archive", "--format=tar", PREVIOUS, "wheatring", "lapisway"],
+        cwd=ROOT,
+        capture_output=True,
+        check=True,
+    ).stdout
+    with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
+        archive.extractall(folder, filter="data")
+    return folder
--- /dev/null
+++ b/tests/rollout/test_mixed_versions.py
@@ -0,0 +1,88 @@
+"""Processes of the previous program and of this one side by side, as during a rollout."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import subprocess
+import sys
+import time
+from collections.abc import Iterator
+from pathlib import Path
+
+import pytest
+
+from tests.rollout.previous import is_known, unpack
+from wheatring.lab.demo import play
+from wheatring.lab.live import process
+from wheatring.lab.live.band import Band, faults
+from wheatring.lab.scale.system import Running, System
+
+PREVIOUS_IN_TIER = ("controller-1", "storage-2", "sidecar-1")
+PREVIOUS_IN_FLEET = ("d0", "d3")
+MEMBERS = ("d0", "d1", "d2", "d3", "d4")
+TERM_SECONDS = 1.0
+
+pytestmark = pytest.mark.skipif(not is_known(), reason="this checkout has no history")
+
+
+@pytest.fixture(scope="module")
+def previous(tmp_path_factory: pytest.TempPathFactory) -> Path:
+    return unpack(tmp_path_factory.mktemp("previous"))
+
+
+def test_a_tier_of_both_versions_keeps_a_conversation(
+    previous: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """Each turn goes through the other sidecar than the one before, and a replica is killed half way."""
+    started: dict[str, bool] = {}
+
+    class MixedSystem(System):
+        def _start(self, name: str, role: str, arguments: list[str], more: dict[str, str]) -> Running:
+            started[name] = name in PREVIOUS_IN_TIER
+            if started[name]:
+                more = more | {"PYTHONPATH": str(previous), "PYTHONSAFEPATH": "1"}
+            return super()._start(name, role, arguments, more)
+
+    monkeypatch.setattr(play, "System", MixedSystem)
+    asyncio.run(play.play())
+    assert sum(started.values()) == len(PREVIOUS_IN_TIER) and len(started) == 8
+    assert "the conversation was kept whole" in capsys.readouterr().out
+
+
+@pytest.fixture
+def fleet(tmp_path: Path, previous: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Band]:
+    with Band(tmp_path, len(MEMBERS), TERM_SECONDS, fleet={"view": "true"}) as band:
+        band.begin([name for name in MEMBERS if name not in PREVIOUS_IN_FLEET])
+        with monkeypatch.context() as patched:
+            patched.setattr(process, "HOME", str(previous))
+            for name in PREVIOUS_IN_FLEET:
+                band.start(name)
+        yield band
+        assert faults(band.resource.snapshot()) == []
+        assert not [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
+
+
+def test_a_fleet_of_both_versions_agrees_on_its_view_and_passes_a_duty_on(fleet: Band) -> None:
+    def agreed() -> bool:
+        views = [fleet.seen(name)["view"] for name in MEMBERS]
+        names = [tuple(view["names"]) for view in views if view["inside"]]
+        return names == [MEMBERS] * len(MEMBERS) and len({view["number"] for view in views}) == 1
+
+    fleet.until(agreed, "one view of all members")
+    first = fleet.holder()
+    since = time.monotonic()
+    fleet.kill(first.holder)
+    second = fleet.holder(first.holder, since)
+    assert second.epoch > first.epoch
+
+
+def test_the_previous_program_is_the_one_that_runs(previous: Path) -> None:
+    shown = subprocess.run(
+        [sys.executable, "-P", "-c", "import wheatring, json; print(json.dumps(wheatring.__file__))"],
+        env={"PYTHONPATH": str(previous)},
+        capture_output=True,
+        check=True,
+        text=True,
+    ).stdout
+    assert json.loads(shown).startswith(str(previous))
