--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -55,6 +55,7 @@
     ("wheatring.log", 1),
     ("wheatring.address", 1),
     ("wheatring.event_log", 0),
+    ("wheatring.role_process", 2),  # below the three roles
     ("wheatring", 0),
 )
 # Stated by name, so that a new one is a decision: who may import it, and what.
--- a/wheatring/controller/process.py
+++ b/wheatring/controller/process.py
@@ -12,33 +12,34 @@
 from typing import Any
 
 from wheatring.boot_settings.settings import Settings
-from wheatring.boot_settings.watch import SettingsWatch
 from wheatring.controller.node import Controller
 from wheatring.discovery.platform_list import PlatformListReader
+from wheatring.role_process import RoleProcess
 
 SETTINGS_POLL_SECONDS = 0.5
 ELECTION_WAIT_SECONDS = 0.5  # for an election to end, before the libraries are loaded
+SERVER_STOP_SECONDS = 0.1  # for the HTTP server to send the answers that are ready
 
 
-class ControllerProcess:
+class ControllerProcess(RoleProcess):
     """Starts and stops a controller."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
+        """Build the controller. Raises DiskError, and KeyError where no control address is set."""
+        super().__init__(settings)
         platform = settings.platform
         self._reader = (
             PlatformListReader(str(platform.address), platform.calls_per_second) if platform else None
         )
         self.controller = Controller(settings, random, self._reader)
         self._address = settings.listen["control"]
-        self._watch = SettingsWatch(settings)
-        self._server: Any = None
-        self._tasks: list[asyncio.Task[None]] = []
+        self._server: Any = None  # a uvicorn.Server, whose library is loaded late
 
     async def start(self) -> None:
-        """Listen and take part. Raises OSError."""
+        """Listen and take part in the consensus. Raises OSError."""
         await self.controller.start()
-        jobs = (self._serve_operator(), self._watch.run(), self._follow_settings())
-        self._tasks = [asyncio.create_task(job) for job in jobs]
+        for work in (self._serve_operator(), self._watch.run(), self._follow_settings()):
+            self._start_task(work)
 
     async def _serve_operator(self) -> None:
         await self.controller.wait_for_leader(ELECTION_WAIT_SECONDS)
@@ -55,12 +56,8 @@
             self.controller.settings = self._watch.settings
 
     async def stop(self) -> None:
-        """Give the leadership away, answer what was read and end."""
+        """Hand the leadership over, answer the requests that were read, and end."""
         await self.controller.stop()
         if self._server is not None:
             self._server.should_exit = True
-        await asyncio.sleep(0.1)
-
-    def reload(self) -> None:
-        """The settings file may have changed."""
-        self._watch.reload()
+        await asyncio.sleep(SERVER_STOP_SECONDS)
--- a/wheatring/tier/run.py
+++ b/wheatring/tier/run.py
@@ -15,46 +15,51 @@
 from wheatring.durable.record_file import DiskError
 from wheatring.event_log import log_event, start_logging
 
-STATUS_CANNOT_START = 2
+STATUS_CANNOT_START = 2  # exit status
 
 
 class Process(Protocol):
-    """What each role provides."""
+    """What the process of each role provides; `wheatring.role_process` is its common base."""
 
     async def start(self) -> None:
         """Begin to serve."""
 
     async def stop(self) -> None:
-        """End in good order."""
+        """Shut down gracefully."""
 
     def reload(self) -> None:
-        """Read the settings again."""
+        """Read the settings file again."""
 
 
-Factory = Callable[[Settings, Random], Process]
+ProcessFactory = Callable[[Settings, Random], Process]
 
 
-async def _serve(make: Factory, settings: Settings) -> int:
+async def _serve(make_process: ProcessFactory, settings: Settings) -> int:
+    """Serve until SIGTERM or SIGINT; return the exit status."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
     try:
-        process = make(settings, Random())
+        process = make_process(settings, Random())
         loop.add_signal_handler(signal.SIGHUP, process.reload)
         await process.start()
     except (OSError, DiskError, KeyError) as error:
         print(f"wheatring: cannot start: {error}", file=sys.stderr)
         return STATUS_CANNOT_START
-    gc.freeze()
+    gc.freeze()  # what is loaded by now stays; collections need not visit it
     await stopping.wait()
     log_event("stopping")
     await process.stop()
     return 0
 
 
-def run(make: Factory) -> None:
-    """Run one process until it is told to stop; ends the interpreter."""
+def run(make_process: ProcessFactory) -> None:
+    """Run one process until a signal ends it; never returns.
+
+    The interpreter is left by `os._exit`, so that no thread of a library can hold the end up.
+    """
+    # Until the handler of the process stands, a SIGHUP would end it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         settings = read_settings(settings_path())
@@ -62,6 +67,6 @@
         print(f"wheatring: {error}", file=sys.stderr)
         sys.exit(STATUS_CANNOT_START)
     start_logging(settings.node)
-    status = asyncio.run(_serve(make, settings))
+    status = asyncio.run(_serve(make_process, settings))
     sys.stdout.flush()
     os._exit(status)
