--- a/tests/ends/test_endpoint.py
+++ b/tests/ends/test_endpoint.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from tests.agree.pools_world import TWO, PoolsWorld
-from tests.agree.test_pools import begun
 from tests.ends.attempts import kept, listed, reads, submit
+from tests.pools.pools_world import TWO, PoolsWorld
+from tests.pools.test_pool_set import begun
 from tests.world import Peer, World, entry
 from wheatring.balancer.interface import Outcome
 from wheatring.core.exchange import Answer, Claim, Final, Job
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,7 +23,7 @@
 from tests.virtual import Virtual
 from wheatring import log
 from wheatring.config import Config, settings_in
-from wheatring.daemon import Sidecar
+from wheatring.daemon.sidecar import Sidecar
 from wheatring.operator_properties import Operators
 
 reactor: Any = installed
--- a/wheatring/__main__.py
+++ b/wheatring/__main__.py
@@ -8,7 +8,7 @@
 from wheatring import operator_properties, serving
 
 
-def plain(words: Sequence[str]) -> tuple[str | None, bool, str | None] | None:
+def parse_simple(words: Sequence[str]) -> tuple[str | None, bool, str | None] | None:
     """The operators' file, whether to capture, and the project's own file, where nothing else is said. None:
     it takes the parser, for which a sidecar that starts anew should not wait.
     """
@@ -28,7 +28,7 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     words = sys.argv[1:] if argv is None else argv
-    told = plain(words)
+    told = parse_simple(words)
     if told is not None:
         return serving.serve(operator_properties.find(told[0]), told[1], told[2])
     from wheatring import commands
--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -69,10 +69,10 @@
 
 def config_check(args: argparse.Namespace) -> int:
     from wheatring.config import FileError
-    from wheatring.daemon import read_own
+    from wheatring.daemon.sidecar import read_configuration
 
     try:
-        read_own(args.file)
+        read_configuration(args.file)
     except FileError as bad:
         print(f"wheatring: {bad}", file=sys.stderr)
         return 2
--- a/wheatring/daemon.py
+++ b/wheatring/daemon/sidecar.py
@@ -22,15 +22,19 @@
     from wheatring.ops.audit import Audit
     from wheatring.ops.capture.ring import Ring
     from wheatring.ops.drills import Drills
-    from wheatring.peers.listing import Listing
-    from wheatring.peers.part import Part
-    from wheatring.pools.serve import Pools
+    from wheatring.peers.fleet_runtime import FleetRuntime
+    from wheatring.peers.list_sharing import ListSharing
+    from wheatring.pools.pool_set import PoolSet
 
-RESERVE = 24  # descriptors kept for the log, the reactor, the door, the configuration and calls to discovery
-CALLS = 32  # and, where operators call, for their door and its calls, and the files that two processes share
-CLAIMS = 0.4  # part of the rest that is for claims: callers' requests may hold a third, and others are idle
-WEIGHTS = 6.0  # seconds for which the door waits for a fleet's plan, which has a bound of its own
-LOOK = 0.02  # seconds between looks at what is still to be done before it ends
+RESERVED_DESCRIPTORS = 24  # for the log, the reactor, the door, the configuration and calls to discovery
+ADMIN_DESCRIPTORS = (
+    32  # and, where operators call, for their door, calls, and the files that two processes share
+)
+NODE_CONNECTION_SHARE = (
+    0.4  # part of the rest for claims: callers' requests may hold a third, others are idle
+)
+PLAN_WAIT_SECONDS = 6.0  # seconds for which the door waits for a fleet's plan, which has a bound of its own
+SHUTDOWN_POLL_SECONDS = 0.02  # seconds between looks at what is still to be done before it ends
 
 
 class Sidecar:
@@ -52,7 +56,7 @@
         from wheatring.core.clock import Clock
         from wheatring.core.exchange import Exchange
         from wheatring.http1.server import Server
-        from wheatring.pool import ServingPool
+        from wheatring.serving_pool import ServingPool
 
         settings = told.settings
         self.reactor = reactor
@@ -63,9 +67,9 @@
         self.clock = Clock(reactor, unix)
         self.exchange = Exchange(self.clock, settings.contract.answer_slack)
         room = room_in(told.memory_mb, 2 if told.control else 1)
-        self.places = told.sockets - RESERVE - (CALLS if told.control else 0)
-        claims = int(self.places * CLAIMS)
-        pace = () if said is None else (pace_of(said),)
+        self.places = told.sockets - RESERVED_DESCRIPTORS - (ADMIN_DESCRIPTORS if told.control else 0)
+        claims = int(self.places * NODE_CONNECTION_SHARE)
+        pace = () if said is None else (list_pace(said),)
         self.serving = ServingPool(
             reactor, self.clock, self.exchange, settings, told.seed, claims, room, *pace
         )
@@ -73,7 +77,7 @@
         self.pool = self.serving.pool
         self.server = Server(reactor, self.clock, self.exchange, settings.classes, self.places - claims, room)
         on_view: Callable[[View], None] = self.driver.feed
-        self.pools: Pools | None = None
+        self.pools: PoolSet | None = None
         self.status = 0  # with which the process ends
         self.ends = ExitStack()  # of optional parts, in the reverse of the order in which they were put in
         self.desk: Desk | None = None
@@ -81,8 +85,8 @@
         self.ring: Ring | None = None
         self.audit: Audit | None = None
         self.drills: Drills | None = None
-        self.part: Part | None = None
-        self.listing: Listing | None = None
+        self.part: FleetRuntime | None = None
+        self.listing: ListSharing | None = None
         if said is not None and said.route:
             on_view = self.share_out(said, claims, room, capture)
         if told.control is not None:
@@ -95,13 +99,13 @@
         if asked.audit.on:
             self.keep_audit()
         if self.listing is not None:
-            self.listing.begin(self.machine_list)
+            self.listing.start(self.machine_list)
 
     # Optional parts. Each is one method here: it imports the part, puts it in, and leaves its end in `ends`.
 
     def share_out(self, said: File, claims: int, room: Room, capture: bool) -> Callable[[View], None]:
         """Several pools, and routes to them. The one list goes to all that go by it."""
-        from wheatring.pools.serve import Pools
+        from wheatring.pools.pool_set import PoolSet
 
         assert self.own is not None
         if capture:
@@ -109,13 +113,13 @@
                 f"{self.own}: route: not with --capture, which records one pool's decisions"
             )
         told = self.told
-        pools = self.pools = Pools(
+        pools = self.pools = PoolSet(
             self.reactor, self.clock, self.exchange, self.server, self.serving, told.settings, told.seed,
-            claims, room, pace_of(said), self.own,
+            claims, room, list_pace(said), self.own,
         )  # fmt: skip
         pools.start(said)
         self.ends.callback(pools.stop)
-        return pools.view
+        return pools.on_list
 
     def open_desk(self, control: tuple[str, int], on_view: Callable[[View], None]) -> Callable[[View], None]:
         """What operators call goes to the desk, and what discovery says through what they have ordered."""
@@ -127,12 +131,19 @@
         if self.pools is None:
             by_hand = ByHand(on_view)
         else:
-            from wheatring.pools.hands import Hands
+            from wheatring.pools.manual_overrides import AllPoolsOverrides
 
-            by_hand = Hands(on_view, self.pools)
-        folder = Folder(temporary(), self.told.name, round(self.clock.now() * 1e9))
+            by_hand = AllPoolsOverrides(on_view, self.pools)
+        folder = Folder(temporary_folder(), self.told.name, round(self.clock.now() * 1e9))
         desk = self.desk = Desk(
-            self.clock, folder, by_hand, self.server, self.places, self.held, self.resize, self.listen
+            self.clock,
+            folder,
+            by_hand,
+            self.server,
+            self.places,
+            self.connections_in_use,
+            self.set_connection_limit,
+            self.listen,
         )
         door = self.door = Door(self.reactor, self.clock, desk)
 
@@ -154,28 +165,28 @@
     def join_fleet(self, said: File, on_view: Callable[[View], None]) -> Callable[[View], None]:
         """Talk to the other sidecars, and carry out what duties it comes to hold. Whom the list is told."""
         from wheatring.admin.calls import PLAN
-        from wheatring.peers.begin import Plans, begin, duties_of
+        from wheatring.peers.assembly import PlanCalls, build_fleet, duty_calls
 
         weigh = None if self.pools is None else self.pools.weigh
-        part, self.listing = begin(self.reactor, self.clock, self.told, said, on_view, weigh)
+        part, self.listing = build_fleet(self.reactor, self.clock, self.told, said, on_view, weigh)
         self.part = part
         if self.desk is not None:
-            self.desk.fleet = duties_of(part, said)
+            self.desk.fleet = duty_calls(part, said)
             if said.plan is not None and self.door is not None:
-                self.desk.plans = Plans(part)
+                self.desk.plans = PlanCalls(part)
                 self.door.body = PLAN
         self.ends.callback(part.close)
-        return on_view if self.listing is None else self.listing.view
+        return on_view if self.listing is None else self.listing.on_list
 
-    def held(self) -> int:
+    def connections_in_use(self) -> int:
         """Places taken now, by callers and claims."""
         claims = len(self.pool.connections) + len(self.pool.dials)
         if self.pools is not None:
-            claims += self.pools.places.held()
+            claims += self.pools.places.in_use()
         return len(self.server.connections) + claims
 
-    def resize(self, places: int) -> None:
-        self.pool.most = int(places * CLAIMS)
+    def set_connection_limit(self, places: int) -> None:
+        self.pool.most = int(places * NODE_CONNECTION_SHARE)
         if self.pools is not None:
             self.pools.places.total = self.pool.most
         self.server.resize(places - self.pool.most)
@@ -185,7 +196,7 @@
         from wheatring.ops.capture.ring import Ring
 
         asked, told, clock = self.first_asked.capture, self.told, self.clock
-        folder = asked.folder or temporary()
+        folder = asked.folder or temporary_folder()
         self.ring = Ring(folder, told.name, asked.files, asked.size, clock, shared=told.control is not None)
         self.ends.callback(self.ring.close)
         for line in record.header(told.name, told.seed, clock.unix_offset, told.given):
@@ -201,16 +212,16 @@
         if self.pools is not None:
             self.pools.known()
         if self.part is not None and not self.part.ready:
-            self.part.begin()
-            self.open_late(self.clock.now() + WEIGHTS)
+            self.part.start()
+            self.open_late(self.clock.now() + PLAN_WAIT_SECONDS)
         else:
             self.open()
             if self.part is not None:
-                self.part.begin()
+                self.part.start()
         self.record("start", "platform")
         self.record("config", "platform")
         self.record("config", "operators")
-        self.switch(self.first_asked)
+        self.apply_operators(self.first_asked)
 
     def open(self) -> None:
         if self.desk is not None:
@@ -227,7 +238,7 @@
         if self.part.ready or now >= until:
             self.open()
         elif not self.server.stopping:
-            self.clock.at(now + LOOK, self.open_late, until)
+            self.clock.at(now + SHUTDOWN_POLL_SECONDS, self.open_late, until)
 
     def listen(self) -> None:
         """Let callers in."""
@@ -249,7 +260,7 @@
         if self.audit is not None:
             self.audit.record(event, actor)
 
-    def switch(self, asked: operator_properties.Operators) -> None:
+    def apply_operators(self, asked: operator_properties.Operators) -> None:
         """Put into effect what the operators may change while it serves."""
         if self.audit is not None:
             self.audit.keys(self.asked, asked)
@@ -280,8 +291,8 @@
                 self.record("config", "operators")
             if asked != self.asked:
                 log.line("operators-reloaded")
-                self.switch(asked)
-        self.reload_own()
+                self.apply_operators(asked)
+        self.reload_configuration()
         try:
             told = config.read(environment, again=True)
         except config.ConfigError as bad:
@@ -292,17 +303,17 @@
         if not self.server.stopping:
             self.machine_list.move(told.discovery)
 
-    def reload_own(self) -> None:
+    def reload_configuration(self) -> None:
         """Read the project's own file again, where there is one."""
         try:
-            said = read_own(self.own)
+            said = read_configuration(self.own)
             if said is None:
                 return
             self.reload_parts(said)
         except config.FileError as bad:
             log.line("config-not-reloaded", why=str(bad), code=bad.code)
         else:
-            self.machine_list.asking.pace = pace_of(said)
+            self.machine_list.asking.pace = list_pace(said)
             log.line("config-reloaded")
 
     def reload_parts(self, said: File) -> None:
@@ -313,13 +324,13 @@
         if pools is not None and (why := pools.wrong(said)):  # before the fleet has changed anything
             raise config.FileError(why)
         if self.part is not None:
-            from wheatring.peers.begin import reload
+            from wheatring.peers.assembly import reload_fleet
 
-            reload(self.part, said)
+            reload_fleet(self.part, said)
         elif said.fleet is not None:
             raise config.RestartOnly("fleet: is taken up by a start only")
         if pools is not None:
-            pools.reload(said, pace_of(said))
+            pools.reload(said, list_pace(said))
 
     def stop(self) -> None:
         """Answer what has come and what still arrives, as far as that is worth its time, then exit."""
@@ -361,7 +372,7 @@
             server.shut()
         else:
             server.shed(leaving.keep(now), leaving.rested)
-        self.clock.at(now + LOOK, self.leave)
+        self.clock.at(now + SHUTDOWN_POLL_SECONDS, self.leave)
 
     def finish(self) -> None:
         self.machine_list.unsubscribe()
@@ -371,30 +382,30 @@
         self.clock.at(self.clock.now(), self.reactor.stop)  # once these connections have had their lines
 
 
-def temporary() -> str:
+def temporary_folder() -> str:
     """The folder that the platform gives, the same for two processes of one sidecar."""
     return os.environ.get("TMPDIR") or "/tmp"
 
 
-def read_own(own: str | None) -> File | None:
+def read_configuration(own: str | None) -> File | None:
     """The project's own file; None: there is none. FileError where it can't be used."""
     if own is None:
         return None
     from wheatring.config import file
 
-    return file.read(own, routes_wrong)
+    return file.read(own, first_invalid_route)
 
 
-def routes_wrong(said: File) -> tuple[str, str] | None:
+def first_invalid_route(said: File) -> tuple[str, str] | None:
     """The first key of a route that the table of routes does not take, and why."""
     if not said.route:
         return None
-    from wheatring.pools.tables import wrong
+    from wheatring.pools.route_tables import first_invalid_key
 
-    return wrong(said)
+    return first_invalid_key(said)
 
 
-def pace_of(said: File) -> Pace:
+def list_pace(said: File) -> Pace:
     """What the file says of the asking for the list."""
     from wheatring.lifecycle.asking import Pace
 
--- a/wheatring/lab/agree/fleet.py
+++ b/wheatring/lab/agree/fleet.py
@@ -14,13 +14,13 @@
 from wheatring.lease.voters import Voters, first
 from wheatring.members.pace import Pace
 from wheatring.members.view import View
-from wheatring.peers.pieces import LEADS, Agreed
+from wheatring.peers.agreement import LEADER_DUTY, Agreement
 
 Makes = Callable[[Instant, Fleet], list[Piece]]
 
 
 def agreed(at: Instant, fleet: Fleet) -> list[Piece]:
-    return Agreed(at, fleet).pieces
+    return Agreement(at, fleet).deciders
 
 
 def cluster(seed: int, size: int, voters: int = 3, makes: Makes = agreed, term: float = 3.0) -> Cluster:
@@ -29,7 +29,7 @@
         seed,
         size,
         Voters(first(voters)),
-        [LEADS],
+        [LEADER_DUTY],
         Terms(term),
         Pace(),
         zones=2,
--- a/wheatring/lab/agree/planted.py
+++ b/wheatring/lab/agree/planted.py
@@ -15,7 +15,7 @@
 from wheatring.members.cuts import Cuts
 from wheatring.members.view import Rings, View
 from wheatring.members.words import Here
-from wheatring.peers.pieces import Agreed
+from wheatring.peers.agreement import Agreement
 
 
 class Fickle(Register):
@@ -99,15 +99,15 @@
 
 
 def rash(at: Instant, fleet: Fleet) -> list[Piece]:
-    agreed = Agreed(at, fleet)
+    agreed = Agreement(at, fleet)
     agreed.views.cuts = Rash()
-    return agreed.pieces
+    return agreed.deciders
 
 
 def blind(at: Instant, fleet: Fleet) -> list[Piece]:
-    agreed = Agreed(at, fleet)
+    agreed = Agreement(at, fleet)
     agreed.views.cuts = Blind()
-    return agreed.pieces
+    return agreed.deciders
 
 
 def late(at: Instant, fleet: Fleet) -> list[Piece]:
--- a/wheatring/lab/wire/ground.py
+++ b/wheatring/lab/wire/ground.py
@@ -8,7 +8,7 @@
 
 from wheatring.balancer.interface import TimerDue
 from wheatring.config import Config
-from wheatring.daemon import Sidecar
+from wheatring.daemon.sidecar import Sidecar
 from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
--- a/wheatring/lazy_imports.py
+++ b/wheatring/lazy_imports.py
@@ -12,13 +12,13 @@
 
 # Twisted, or what it imports, passes them on as names of its own: HTTP clients and mail, TLS, child
 # processes, datagrams, Unix sockets. A feature that does use one has it from its first use.
-UNUSED = (
+DEFERRED = (
     "asyncio.sslproto", "asyncio.staggered", "http.cookiejar", "locale", "pickle", "ssl", "textwrap",
     "twisted.internet.process", "twisted.internet.ssl", "twisted.internet.udp", "twisted.internet.unix",
 )  # fmt: skip
 
 
-class Late(ModuleType):
+class DeferredModule(ModuleType):
     """One that has not been asked for anything yet."""
 
     def __getattr__(self, name: str) -> object:
@@ -41,7 +41,7 @@
 
     def exec_module(self, module: ModuleType) -> None:
         module.__dict__["loads"] = self.loads
-        module.__class__ = Late
+        module.__class__ = DeferredModule
 
 
 class _Finder:
@@ -55,6 +55,6 @@
         return spec
 
 
-def put_off(names: tuple[str, ...] = UNUSED) -> None:
+def defer(names: tuple[str, ...] = DEFERRED) -> None:
     """From now on, importing one of these gives a module that loads itself at the first use."""
     sys.meta_path.insert(0, _Finder(names))
--- a/wheatring/log.py
+++ b/wheatring/log.py
@@ -10,17 +10,17 @@
 
 Sink = Callable[[str, Mapping[str, object]], None]
 
-LONGEST = 160  # of a value: what peers send must not flood the log
+MAX_VALUE_CHARACTERS = 160  # of a value: what peers send must not flood the log
 
 
 def _shown(value: object) -> str:
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
-    if len(text) > LONGEST:
-        text = text[:LONGEST] + "..."
+    if len(text) > MAX_VALUE_CHARACTERS:
+        text = text[:MAX_VALUE_CHARACTERS] + "..."
     return text if text.isprintable() and text and not {" ", '"', "="} & set(text) else ascii(text)
 
 
-def shown(event: str, values: Mapping[str, object]) -> str:
+def format_entry(event: str, values: Mapping[str, object]) -> str:
     """One entry as it stands in the log, without its line's end."""
     pairs = "".join(f" {name}={_shown(value)}" for name, value in values.items())
     return f"{event}{pairs}"
@@ -30,7 +30,7 @@
     # A log that nobody reads must neither end the process nor stop it. One write a line: on a pipe it is
     # whole or, when nobody reads and the pipe is full, fails at once.
     with suppress(OSError):
-        os.write(1, f"{shown(event, values)}\n".encode("ascii", "backslashreplace"))
+        os.write(1, f"{format_entry(event, values)}\n".encode("ascii", "backslashreplace"))
 
 
 _sink: Sink = _out
@@ -41,7 +41,7 @@
 
 
 @contextmanager
-def diverted(sink: Sink) -> Iterator[None]:
+def redirected(sink: Sink) -> Iterator[None]:
     """All entries go to `sink` instead: many sidecars in one process would write into one another's log."""
     global _sink
     before, _sink = _sink, sink
@@ -51,14 +51,14 @@
         _sink = before
 
 
-def not_blocking() -> None:
+def set_non_blocking() -> None:
     """Guards against a reader that stalls: a full pipe would hold up the jobs, so its lines are dropped."""
     if S_ISFIFO(os.fstat(1).st_mode):  # a terminal is shared with the shell, which needs it as it is
         os.set_blocking(1, False)
 
 
-def twisted_failures(event: Mapping[str, Any]) -> None:
+def log_twisted_failure(event: Mapping[str, Any]) -> None:
     """An observer for Twisted's own log: it catches what our callbacks raise, which must not go unseen."""
     failure = event.get("log_failure") or event.get("failure")  # the latter of a transport's callback
     if failure is not None:
-        line("unexpected", why=repr(failure.value), where=failure.getTraceback()[-LONGEST:])
+        line("unexpected", why=repr(failure.value), where=failure.getTraceback()[-MAX_VALUE_CHARACTERS:])
--- a/wheatring/peers/pieces.py
+++ b/wheatring/peers/agreement.py
@@ -15,22 +15,22 @@
 from wheatring.members.words import AnyViewWord
 
 if TYPE_CHECKING:  # what belongs to plans is imported with them
-    from wheatring.peers.planned import Planned
+    from wheatring.peers.plan_coordinator import PlanCoordinator
 
-LEADS = DutyPlan(LEAD, voters=True)
-WORDS: Any = AnyWord | RegisterWord | AnyViewWord
+LEADER_DUTY = DutyPlan(LEAD, voters=True)
+VIEW_MESSAGES: Any = AnyWord | RegisterWord | AnyViewWord
 
 
-def words_of_plans() -> Any:
+def messages_with_plans() -> Any:
     """Those, and the words on plans."""
     from wheatring.plan.messages import PushWord
     from wheatring.schedule.words import ScheduleWord
     from wheatring.skew.words import SkewWord
 
-    return WORDS | PushWord | SkewWord | ScheduleWord
+    return VIEW_MESSAGES | PushWord | SkewWord | ScheduleWord
 
 
-class PlanPart(NamedTuple):
+class PlanOptions(NamedTuple):
     """What a sidecar that goes by the fleet's plan needs besides; see `planned.Planned`."""
 
     formats: tuple[int, ...] | None
@@ -39,27 +39,27 @@
     first: bytes = b""
 
 
-class Agreed:
+class Agreement:
     """What one sidecar has of all that is agreed. `plan` None: who is there, and nothing else."""
 
-    def __init__(self, at: Instant, fleet: Fleet, plan: PlanPart | None = None) -> None:
+    def __init__(self, at: Instant, fleet: Fleet, plan: PlanOptions | None = None) -> None:
         self.views = Views(at, fleet)
-        self.planned: Planned | None = None
+        self.planned: PlanCoordinator | None = None
         if plan is not None:
-            from wheatring.peers.planned import Planned
+            from wheatring.peers.plan_coordinator import PlanCoordinator
 
-            self.planned = Planned(at, fleet, self.views, *plan)
-        fleet.pieces += self.pieces
+            self.planned = PlanCoordinator(at, fleet, self.views, *plan)
+        fleet.pieces += self.deciders
 
     @property
-    def pieces(self) -> list[Piece]:
-        more = [] if self.planned is None else self.planned.pieces
+    def deciders(self) -> list[Piece]:
+        more = [] if self.planned is None else self.planned.deciders
         return [self.views, self.views.register, *more]
 
     def leave(self, at: Instant) -> list[Any]:
         return self.views.leave(at)
 
-    def seen(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
         """For `GET /control/duties`."""
         views = self.views
         age, wait = views.age(now), views.told_wait
--- a/wheatring/peers/begin.py
+++ b/wheatring/peers/assembly.py
@@ -18,19 +18,19 @@
 from wheatring.lease.terms import Terms
 from wheatring.lease.voters import Voters, first
 from wheatring.members.words import Who
-from wheatring.peers.listing import Listing
-from wheatring.peers.part import Part
-from wheatring.peers.work import Calls, Nothing, Work
+from wheatring.peers.duty_workers import DutyWorker, HttpDutyWorker, PassiveWorker
+from wheatring.peers.fleet_runtime import FleetRuntime
+from wheatring.peers.list_sharing import ListSharing
 
 
-def begin(
+def build_fleet(
     reactor: Any,
     clock: Clock,
     told: config.Config,
     said: file.File,
     on_view: Callable[[View], None],
     weigh: Callable[[str, Mapping[str, int]], None] | None = None,
-) -> tuple[Part, Listing | None]:
+) -> tuple[FleetRuntime, ListSharing | None]:
     """Not in the fleet yet: that is `Part.begin`. `on_view` is whom a list is told that others watch, if that
     is a duty; `weigh` whoever goes by a route's weights. FileError where the key file can't be used.
     """
@@ -45,39 +45,41 @@
         for name, duty in said.duty.items()
     ]
     if fleet.view:
-        from wheatring.peers.pieces import LEADS
+        from wheatring.peers.agreement import LEADER_DUTY
 
-        plans.append(LEADS)
+        plans.append(LEADER_DUTY)
     plan = None
     if said.plan is not None:
-        from wheatring.peers.pieces import PlanPart
+        from wheatring.peers.agreement import PlanOptions
 
         def tell(event: str, fields: dict[str, Any]) -> None:
             log.line(event, **fields)
 
         formats = None if said.plan.formats is None else tuple(said.plan.formats)
         first = b"" if said.plan.file is None else file.plan_body(said.plan.file)
-        plan = PlanPart(formats, weigh or (lambda route, weights: None), tell, first)
-    part = Part(
+        plan = PlanOptions(formats, weigh or (lambda route, weights: None), tell, first)
+    part = FleetRuntime(
         reactor, clock, fleet.name, me, address.parse(fleet.listen),
         [address.parse(seed) for seed in fleet.seeds], voters, plans, Terms(fleet.term),
         file.keys(fleet.key_file), Random(f"{told.seed}:fleet"), view=fleet.view, plan=plan,
     )  # fmt: skip
-    works: dict[str, Work] = {}
+    works: dict[str, DutyWorker] = {}
     listing = None
     for name, duty in said.duty.items():
         if duty.work == "list":
-            listing = works[name] = Listing(clock, part, name, settings.copies, settings.number, on_view)
+            listing = works[name] = ListSharing(clock, part, name, settings.copies, settings.number, on_view)
         else:
-            works[name] = work_of(reactor, clock, part, name, duty)
+            works[name] = duty_worker(reactor, clock, part, name, duty)
     part.works, part.said = works, said
     return part, listing
 
 
-def work_of(reactor: Any, clock: Clock, part: Part, name: str, duty: file.DutyTable) -> Work:
+def duty_worker(
+    reactor: Any, clock: Clock, part: FleetRuntime, name: str, duty: file.DutyTable
+) -> DutyWorker:
     if duty.call is None:
-        return Nothing()
-    return Calls(reactor, clock, part, name, address.parse(duty.call), duty.path, duty.every)
+        return PassiveWorker()
+    return HttpDutyWorker(reactor, clock, part, name, address.parse(duty.call), duty.path, duty.every)
 
 
 def voters_of(fleet: file.FleetTable) -> Voters:
@@ -89,7 +91,7 @@
     return Voters(names(fleet.voters), names(fleet.voters_next))
 
 
-def reload(part: Part, said: file.File) -> None:
+def reload_fleet(part: FleetRuntime, said: file.File) -> None:
     """Put into effect what may change while it runs: the voters and the keys; or nothing of it. RestartOnly,
     VotersKept; KeysError where the key file can't be used.
     """
@@ -101,7 +103,7 @@
     keys = file.keys(fleet.key_file)
     voters = voters_of(fleet)
     changed = part.fleet is not None and voters != part.fleet.voters
-    if changed and (why := part.vote_by(voters)):
+    if changed and (why := part.change_voters(voters)):
         raise config.VotersKept(f"fleet.voters: {why}")
     part.seal.keys = keys
 
@@ -116,10 +118,10 @@
     return "" if before.duty == said.duty else "duty: duties change by a restart only"
 
 
-class Plans(NamedTuple):
+class PlanCalls(NamedTuple):
     """What the operators' calls ask of the fleet's plan."""
 
-    part: Part
+    part: FleetRuntime
 
     def seen(self) -> dict[str, Any]:
         return self.part.plan_seen()
@@ -133,7 +135,7 @@
         return status, json.dumps(said)
 
 
-class Duties(NamedTuple):
+class DutyCalls(NamedTuple):
     """What the operators' calls ask of duties. `turn` gives the seconds to wait for a turn to be out of
     service; 0: it has one, or none is needed.
     """
@@ -144,7 +146,7 @@
     back: Callable[[], None]
 
 
-def duties_of(part: Part, said: file.File) -> Duties:
+def duty_calls(part: FleetRuntime, said: file.File) -> DutyCalls:
     turns = next((name for name, duty in said.duty.items() if duty.work == "turns"), "")
 
     def release(name: str) -> bool | None:
@@ -160,4 +162,4 @@
         if turns:
             part.want(turns, False)
 
-    return Duties(part.seen, release, turn, back)
+    return DutyCalls(part.seen, release, turn, back)
--- a/wheatring/peers/stream.py
+++ b/wheatring/peers/body_transfer.py
@@ -23,8 +23,8 @@
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
 from wheatring.lease.bodies import LARGEST, Fetch, digest
-from wheatring.peers.seal import LARGEST as DATAGRAM
-from wheatring.peers.seal import Dropped, Seal
+from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES as DATAGRAM
+from wheatring.peers.datagram_codec import DatagramCodec, DatagramRejectedError
 
 PATIENCE = 5.0  # seconds for one body
 GIVEN, ASKED = 12, 4  # connections at once: to give bodies, and to ask for them
@@ -32,7 +32,7 @@
 _ASK, _GIVE = Packed(">H"), Packed(">BI")
 
 
-class Want(Struct, frozen=True, array_like=True, tag_field="w", tag="want"):
+class BodyRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="want"):
     digest: bytes
 
 
@@ -41,7 +41,7 @@
 
     transport: Any
 
-    def __init__(self, streams: Streams) -> None:
+    def __init__(self, streams: BodyTransfers) -> None:
         self.streams = streams
         self.taken = bytearray()
         self.late: Timer | None = None
@@ -85,14 +85,14 @@
 
 
 class _Asker(_Line):
-    def __init__(self, streams: Streams, fetch: Fetch) -> None:
+    def __init__(self, streams: BodyTransfers, fetch: Fetch) -> None:
         super().__init__(streams)
         self.fetch = fetch
         self.body: bytes | None = None
 
     def connectionMade(self) -> None:
         super().connectionMade()
-        word = self.streams.seal.close(Want(self.fetch.digest))
+        word = self.streams.seal.encode(BodyRequest(self.fetch.digest))
         self.transport.write(_ASK.pack(len(word)) + word)
 
     def dataReceived(self, data: bytes) -> None:
@@ -113,7 +113,7 @@
         self.streams.done(self.fetch, self.body)
 
 
-class Streams(protocol.ServerFactory):
+class BodyTransfers(protocol.ServerFactory):
     """`held` gives a body, `came` is told what came of each fetch."""
 
     noisy = False
@@ -122,7 +122,7 @@
         self,
         reactor: Any,
         clock: Clock,
-        seal: Seal,
+        seal: DatagramCodec,
         held: Callable[[bytes], bytes | None],
         came: Callable[[bytes, bytes | None], object],
     ) -> None:
@@ -148,8 +148,8 @@
 
     def given(self, sealed: bytes) -> bytes | None:
         try:
-            _, word = self.seal.open(self.clock.now(), sealed)
-        except Dropped as bad:
+            _, word = self.seal.decode(self.clock.now(), sealed)
+        except DatagramRejectedError as bad:
             log.line("peer-dropped", cause=bad.cause, peer="stream", so_far=1)
             return None
         body = self.held(word.digest)
--- a/wheatring/peers/ruled.py
+++ b/wheatring/peers/compiled_plan.py
@@ -19,15 +19,15 @@
 from wheatring.schedule.timetable import Timetable
 
 
-def ruled(body: bytes) -> tuple[Plan, Ruled]:
+def compile_plan(body: bytes) -> tuple[Plan, CompiledPlan]:
     """Raises errors.OperatorError for what can't be read, or can't stand together."""
     plan = read(body)
     found = compiled(plan)
     check(plan)
-    return plan, Ruled(found)
+    return plan, CompiledPlan(found)
 
 
-class Ruled:
+class CompiledPlan:
     """A `skew.trials.Ruled`."""
 
     def __init__(self, found: Compiled) -> None:
--- a/wheatring/peers/seal.py
+++ b/wheatring/peers/datagram_codec.py
@@ -25,10 +25,12 @@
 
 VERSION = 1
 MAC = 16
-LARGEST = 1400  # bytes of a datagram: one packet on any common link
-WINDOW = 256  # datagrams of a sender that may overtake one another
-SENDERS = 4000
-SILENT = 5.0  # seconds after which a sender's earlier start may come back: its clock was set back
+MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: one packet on any common link
+REPLAY_WINDOW = 256  # datagrams of a sender that may overtake one another
+MAX_SENDERS = 4000
+CLOCK_SET_BACK_SECONDS = (
+    5.0  # seconds after which a sender's earlier start may come back: its clock was set back
+)
 
 
 Words = TypeVar("Words")
@@ -39,7 +41,7 @@
     sender: str
     start: int
     seq: int
-    word: Words
+    message: Words
 
 
 class Tagged(Struct, array_like=True, frozen=True):
@@ -48,7 +50,7 @@
     tag: str
 
 
-class Dropped(ValueError):
+class DatagramRejectedError(ValueError):
     """A datagram that is not taken; `cause` is one of a few words."""
 
     def __init__(self, cause: str) -> None:
@@ -66,7 +68,7 @@
         self.at = 0.0
 
 
-class Seal:
+class DatagramCodec:
     """For one process of one fleet. The first key seals, any of them opens; none: datagrams are not sealed,
     and sealed ones not taken. `words` are the types of words that are known.
     """
@@ -85,37 +87,37 @@
         self.loose: Any = msgspec.msgpack.Decoder(Frame[Tagged])
         self.tags = _tags(words)
 
-    def close(self, word: Any) -> bytes:
+    def encode(self, word: Any) -> bytes:
         """A datagram. Dropped where it would be too large."""
         self.seq += 1
         body = self.encoder.encode(Frame(self.fleet, self.name, self.start, self.seq, word))
         mac = self._mac(self.keys[0], body) if self.keys else b""
-        if 2 + len(mac) + len(body) > LARGEST:
-            raise Dropped("too-large")
+        if 2 + len(mac) + len(body) > MAX_DATAGRAM_BYTES:
+            raise DatagramRejectedError("too-large")
         return bytes((VERSION, len(mac))) + mac + body
 
-    def open(self, now: float, data: bytes) -> tuple[str, Any]:
+    def decode(self, now: float, data: bytes) -> tuple[str, Any]:
         """The sender's name, and its word. Dropped where it is not to be taken."""
-        if len(data) > LARGEST:
-            raise Dropped("too-large")
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise DatagramRejectedError("too-large")
         if len(data) < 3 or data[0] != VERSION:
-            raise Dropped("version")
+            raise DatagramRejectedError("version")
         length = data[1]
         if length != (MAC if self.keys else 0):
-            raise Dropped("key")
+            raise DatagramRejectedError("key")
         mac, body = data[2 : 2 + length], data[2 + length :]
         if self.keys and not any(hmac.compare_digest(mac, self._mac(key, body)) for key in self.keys):
-            raise Dropped("key")
+            raise DatagramRejectedError("key")
         try:
             frame: Frame[Any] = self.decoder.decode(body)
         except (msgspec.DecodeError, RecursionError):
-            raise Dropped(self._strange(body)) from None
+            raise DatagramRejectedError(self._strange(body)) from None
         if frame.fleet != self.fleet:
-            raise Dropped("fleet")
+            raise DatagramRejectedError("fleet")
         if frame.sender == self.name or not frame.sender:
-            raise Dropped("name")  # somebody else goes by the name of this one
+            raise DatagramRejectedError("name")  # somebody else goes by the name of this one
         self._once(now, frame)
-        return frame.sender, frame.word
+        return frame.sender, frame.message
 
     def _strange(self, body: bytes) -> str:
         """Why a frame can't be read: a newer program's word is no fault of anybody."""
@@ -131,24 +133,24 @@
     def _once(self, now: float, frame: Frame[Any]) -> None:
         heard = self.heard.get(frame.sender)
         if heard is None or (heard.start != frame.start and self._newer(now, heard, frame.start)):
-            if heard is None and len(self.heard) >= SENDERS:
+            if heard is None and len(self.heard) >= MAX_SENDERS:
                 self.heard.popitem(last=False)
             heard = self.heard[frame.sender] = _Heard(frame.start)
         elif heard.start != frame.start:
-            raise Dropped("old-start")
+            raise DatagramRejectedError("old-start")
         ahead = frame.seq - heard.highest
         if ahead > 0:
-            heard.bits = ((heard.bits << min(ahead, WINDOW)) | 1) & ((1 << WINDOW) - 1)
+            heard.bits = ((heard.bits << min(ahead, REPLAY_WINDOW)) | 1) & ((1 << REPLAY_WINDOW) - 1)
             heard.highest = frame.seq
-        elif -ahead >= WINDOW or heard.bits >> -ahead & 1:
-            raise Dropped("replayed")
+        elif -ahead >= REPLAY_WINDOW or heard.bits >> -ahead & 1:
+            raise DatagramRejectedError("replayed")
         else:
             heard.bits |= 1 << -ahead
         heard.at = now
         self.heard.move_to_end(frame.sender)
 
     def _newer(self, now: float, heard: _Heard, start: int) -> bool:
-        return start > heard.start or now - heard.at > SILENT
+        return start > heard.start or now - heard.at > CLOCK_SET_BACK_SECONDS
 
 
 def _tags(words: Any) -> frozenset[str]:
--- a/wheatring/peers/door.py
+++ b/wheatring/peers/datagram_socket.py
@@ -11,17 +11,19 @@
 from wheatring import log
 from wheatring.core.clock import Clock
 from wheatring.members.members import Address
-from wheatring.peers.seal import Dropped, Seal
+from wheatring.peers.datagram_codec import DatagramCodec, DatagramRejectedError
 
 APART = 60.0  # seconds between two log lines of one cause
 
 
-class Door(protocol.DatagramProtocol):
+class DatagramSocket(protocol.DatagramProtocol):
     """`heard` is called with what is taken: the sender's name, its address, its word."""
 
     transport: Any
 
-    def __init__(self, clock: Clock, seal: Seal, heard: Callable[[str, Address, Any], object]) -> None:
+    def __init__(
+        self, clock: Clock, seal: DatagramCodec, heard: Callable[[str, Address, Any], object]
+    ) -> None:
         self.clock = clock
         self.seal = seal
         self.heard = heard
@@ -31,8 +33,8 @@
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:
         try:
-            sender, word = self.seal.open(self.clock.now(), data)
-        except Dropped as bad:
+            sender, word = self.seal.decode(self.clock.now(), data)
+        except DatagramRejectedError as bad:
             self.drop(bad.cause, f"{addr[0]}:{addr[1]}")
             return
         self.taken += 1
@@ -50,8 +52,8 @@
         if self.transport is None:
             return
         try:
-            data = self.seal.close(word)
-        except Dropped as bad:
+            data = self.seal.encode(word)
+        except DatagramRejectedError as bad:
             self.drop(bad.cause, f"{address[0]}:{address[1]}")
             return
         self.sent += 1
--- a/wheatring/peers/work.py
+++ b/wheatring/peers/duty_workers.py
@@ -25,7 +25,7 @@
 ANSWER = 16_384  # bytes of an answer's body
 
 
-class Office(Protocol):
+class DutyHolder(Protocol):
     """What tells whether this sidecar is in office."""
 
     @property
@@ -38,7 +38,7 @@
     def outdated(self, duty: str, epoch: int) -> None: ...
 
 
-class Work(Protocol):
+class DutyWorker(Protocol):
     def office(self, epoch: int | None) -> None:
         """It has come into office, or left it."""
 
@@ -48,7 +48,7 @@
 class _Call(protocol.Protocol):
     transport: Any
 
-    def __init__(self, work: Calls) -> None:
+    def __init__(self, work: HttpDutyWorker) -> None:
         self.work = work
         self.reader = Reader(responses=True, max_body=ANSWER)
         self.done = False
@@ -92,11 +92,11 @@
         self.work.ended(self)
 
 
-class Calls:
+class HttpDutyWorker:
     """Calls `host:port` each `every` seconds while in office, one call at a time."""
 
     def __init__(
-        self, reactor: Any, clock: Clock, part: Office, duty: str, address: tuple[str, int], path: str,
+        self, reactor: Any, clock: Clock, part: DutyHolder, duty: str, address: tuple[str, int], path: str,
         every: float,
     ) -> None:  # fmt: skip
         self.reactor = reactor
@@ -152,7 +152,7 @@
             self.call.transport.abortConnection()
 
 
-class Nothing:
+class PassiveWorker:
     """A duty whose work is elsewhere: that it is held is all that it does."""
 
     def office(self, epoch: int | None) -> None:
--- a/wheatring/peers/part.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -18,14 +18,14 @@
 from wheatring.members.members import Address
 from wheatring.members.pace import Pace
 from wheatring.members.words import STATES, Who
-from wheatring.peers.door import Door
-from wheatring.peers.listing import Listing
-from wheatring.peers.seal import LARGEST, Seal
-from wheatring.peers.work import Work
+from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES, DatagramCodec
+from wheatring.peers.datagram_socket import DatagramSocket
+from wheatring.peers.duty_workers import DutyWorker
+from wheatring.peers.list_sharing import ListSharing
 
 if TYPE_CHECKING:  # what belongs to agreed views is imported with them
-    from wheatring.peers.pieces import Agreed, PlanPart
-    from wheatring.peers.stream import Streams
+    from wheatring.peers.agreement import Agreement, PlanOptions
+    from wheatring.peers.body_transfer import BodyTransfers
 
 AGAIN = 0.1  # seconds until it tries again to have its port, which an older process of this name may hold
 BUSY = 0.001  # seconds at least between two looks at what is due
@@ -36,7 +36,7 @@
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-class Part:
+class FleetRuntime:
     """`works` carry out duties, by their names. `listen` is the socket's address, `me` what others reach it
     by. `view`: it stands in agreed views; `plan`: it goes by the fleet's plan too.
     """
@@ -56,7 +56,7 @@
         random: Random,
         boot: Callable[[], float] = boot,
         view: bool = False,
-        plan: PlanPart | None = None,
+        plan: PlanOptions | None = None,
     ) -> None:
         self.reactor = reactor
         self.clock = clock
@@ -65,22 +65,22 @@
         self.me = me
         self.terms = terms
         self.given = (seeds, voters, plans, terms, random)
-        self.start = round(clock.unix() * 1000)
+        self.start_ms = round(clock.unix() * 1000)
         words: Any = AnyWord
-        self.streams: Streams | None = None
-        self.agreed: Agreed | None = None
-        self.make_agreed: Callable[[Instant, Fleet], Agreed] | None = None
+        self.streams: BodyTransfers | None = None
+        self.agreed: Agreement | None = None
+        self.make_agreed: Callable[[Instant, Fleet], Agreement] | None = None
         if view:
-            from wheatring.peers.pieces import WORDS, Agreed, words_of_plans
-            from wheatring.peers.stream import Streams, Want
-
-            words = WORDS if plan is None else words_of_plans()
-            self.make_agreed = partial(Agreed, plan=plan)
-            seal = Seal(fleet, me.name, self.start, keys, Want)
-            self.streams = Streams(reactor, clock, seal, self.body_of, self.came)
-        self.seal = Seal(fleet, me.name, self.start, keys, words)
-        self.door = Door(clock, self.seal, self.heard)
-        self.works: Mapping[str, Work] = {}
+            from wheatring.peers.agreement import VIEW_MESSAGES, Agreement, messages_with_plans
+            from wheatring.peers.body_transfer import BodyRequest, BodyTransfers
+
+            words = VIEW_MESSAGES if plan is None else messages_with_plans()
+            self.make_agreed = partial(Agreement, plan=plan)
+            seal = DatagramCodec(fleet, me.name, self.start_ms, keys, BodyRequest)
+            self.streams = BodyTransfers(reactor, clock, seal, self.body_of, self.came)
+        self.seal = DatagramCodec(fleet, me.name, self.start_ms, keys, words)
+        self.door = DatagramSocket(clock, self.seal, self.heard)
+        self.works: Mapping[str, DutyWorker] = {}
         self.said: Any = None  # the file that it began with
         self.fleet: Fleet | None = None  # once it has its port
         self.port: Any = None
@@ -101,7 +101,7 @@
 
     # Life
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Have the port, and be a member from then on. While another process has it, name and vote are that
         one's: two at a time would be two voters of one name that know nothing of each other.
         """
@@ -111,7 +111,7 @@
             return
         try:
             self.port = self.reactor.listenUDP(
-                self.listen[1], self.door, interface=self.listen[0], maxPacketSize=LARGEST + 1
+                self.listen[1], self.door, interface=self.listen[0], maxPacketSize=MAX_DATAGRAM_BYTES + 1
             )
         except CannotListenError as bad:
             self._taken(bad)
@@ -129,7 +129,7 @@
             self.me = self.me._replace(port=where.port)
         seeds, voters, plans, terms, random = self.given
         at = self.instant()
-        self.fleet = Fleet(at, self.me, self.start, seeds, voters, plans, terms, Pace(), random)
+        self.fleet = Fleet(at, self.me, self.start_ms, seeds, voters, plans, terms, Pace(), random)
         if self.make_agreed is not None:
             self.agreed = self.make_agreed(at, self.fleet)
         log.line("fleet-listening", host=where.host, port=where.port, votes=int(self.fleet.votes()))
@@ -140,7 +140,7 @@
         if not self.said_taken:
             self.said_taken = True
             log.line("fleet-waits", why=str(bad))
-        self.timer = self.clock.at(self.clock.now() + AGAIN, self.begin)
+        self.timer = self.clock.at(self.clock.now() + AGAIN, self.start)
 
     def leave(self) -> None:
         """Give all duties back and say so; the port is let go."""
@@ -204,8 +204,8 @@
         beats, fleet.beats = fleet.beats, []
         for beat in beats:
             work = self.works.get(beat.duty)
-            if isinstance(work, Listing):
-                work.told(beat)
+            if isinstance(work, ListSharing):
+                work.on_announcement(beat)
         changes, fleet.changes = fleet.changes, []
         for change in changes:
             if change.why:
@@ -232,7 +232,7 @@
                 log.line("member", name=name, state=STATES[row.state], incarnation=row.incarnation)
         fleet.members.changed.clear()
 
-    def tell_view(self, agreed: Agreed) -> None:
+    def tell_view(self, agreed: Agreement) -> None:
         """A new view, and whether it may be counted on."""
         views, now = agreed.views, self.clock.now()
         if self.shown_view != (views.view.number, views.inside):
@@ -281,7 +281,7 @@
         """Move the least format that members have to read."""
         if self.agreed is None or self.agreed.planned is None:
             return 503, {"what": "not in the fleet yet"}
-        status, said, out = self.agreed.planned.floor(self.instant(), least)
+        status, said, out = self.agreed.planned.set_format_floor(self.instant(), least)
         self.say(out)
         return status, said
 
@@ -296,7 +296,7 @@
     def plan_seen(self) -> dict[str, Any]:
         if self.agreed is None or self.agreed.planned is None:
             return {"waits": "not in the fleet yet"}
-        return self.agreed.planned.seen(self.instant())
+        return self.agreed.planned.status(self.instant())
 
     def release(self, duty: str) -> bool:
         """False: it is not held here."""
@@ -309,7 +309,7 @@
         if self.fleet is not None and not self.over:
             self.say(self.fleet.want(self.instant(), duty, wanted))
 
-    def vote_by(self, voters: Voters) -> str:
+    def change_voters(self, voters: Voters) -> str:
         """Go by other voters from now on; why not, if it does not."""
         if self.fleet is None or self.over:
             return "it is not in the fleet yet"
@@ -352,10 +352,12 @@
             "votes": fleet.votes(),
             "abstains_s": round(max(0.0, fleet.voter.silent - at.boot), 2),
             "health": fleet.members.health.score,
-            "view": None if self.agreed is None else self.agreed.seen(at.now),
+            "view": None if self.agreed is None else self.agreed.status(at.now),
             "members": members,
             "duties": duties,
-            "lists": {name: work.seen() for name, work in self.works.items() if isinstance(work, Listing)},
+            "lists": {
+                name: work.status() for name, work in self.works.items() if isinstance(work, ListSharing)
+            },
             "datagrams": {
                 "sent": door.sent, "sent_bytes": door.sent_bytes,
                 "taken": door.taken, "taken_bytes": door.taken_bytes, "dropped": dict(door.dropped),
--- a/wheatring/peers/listing.py
+++ b/wheatring/peers/list_sharing.py
@@ -22,7 +22,7 @@
 SINCE = 60.0  # seconds for which a node that has gone is told of
 
 
-class List(Protocol):
+class EndpointList(Protocol):
     """What is steered of the machine list."""
 
     version: int | None
@@ -35,7 +35,7 @@
     def rest(self) -> None: ...
 
 
-class Teller(Protocol):
+class ListDutyHolder(Protocol):
     def act(self, duty: str) -> int | None: ...
 
     def acted(self, duty: str) -> None: ...
@@ -43,11 +43,11 @@
     def beat(self, beat: Beat) -> None: ...
 
 
-class Listing:
+class ListSharing:
     """Stands between the machine list, which calls `view`, and `on_view`."""
 
     def __init__(
-        self, clock: Clock, part: Teller, duty: str, copies: int, number: int,
+        self, clock: Clock, part: ListDutyHolder, duty: str, copies: int, number: int,
         on_view: Callable[[View], None],
     ) -> None:  # fmt: skip
         self.clock = clock
@@ -55,7 +55,7 @@
         self.duty = duty
         self.following = Following(copies, number)
         self.overlay = ByHand(on_view)
-        self.machine_list: List | None = None
+        self.machine_list: EndpointList | None = None
         self.gone: dict[str, float] = {}  # nodes that drain or have gone, by the own list, and since when
         self.held: frozenset[str] = frozenset()  # those that the holder tells of, laid over the own list
         self.epoch: int | None = None  # in office
@@ -64,14 +64,14 @@
         self.timer: Timer | None = None
         self.over = False
 
-    def begin(self, machine_list: List) -> None:
+    def start(self, machine_list: EndpointList) -> None:
         self.machine_list = machine_list
         machine_list.goes_on = self.asks
         self.look()
 
     # The own list
 
-    def view(self, view: View) -> None:
+    def on_list(self, view: View) -> None:
         now = self.clock.now()
         if view.kind is not ViewKind.FAILED:
             if view.kind is not ViewKind.DELTA:
@@ -132,7 +132,7 @@
 
     # Following
 
-    def told(self, beat: Beat) -> None:
+    def on_announcement(self, beat: Beat) -> None:
         """A word of the holder. An older one than was heard is none."""
         if self.over or self.machine_list is None or (beat.epoch, beat.seq) <= self.heard:
             return
@@ -151,7 +151,7 @@
             log.line("list-held-back", nodes=",".join(new), generation=self.following.generation)
         self.overlay.put(self.clock.now(), names)
 
-    def seen(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         listed = self.machine_list
         return {
             "generation": listed.version if listed is not None else None,
--- a/wheatring/peers/planned.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -16,7 +16,7 @@
 from wheatring.lease.words import Entry
 from wheatring.members.members import Address
 from wheatring.members.words import Placed
-from wheatring.peers.ruled import ruled
+from wheatring.peers.compiled_plan import compile_plan
 from wheatring.plan.push import Plans
 from wheatring.plan.words import Settled
 from wheatring.schedule.edges import Edges
@@ -31,7 +31,7 @@
 Tell = Callable[[str, dict[str, Any]], None]
 
 
-class Planned:
+class PlanCoordinator:
     """A piece: it wakes for the edges. `weigh` is called with each route's weights as they come into force,
     `tell` with what is to be logged. `formats`: those that this sidecar is held to; None: all it knows.
     `first`: a plan that it offers, if it votes, where the fleet has none yet; b"": none.
@@ -55,7 +55,7 @@
         self.tell = tell
         self.plans = Plans(at, fleet, views, taken=self._taken)
         self.floors = Register(at, "floor", fleet, self._floor)
-        self.skew = Skew(fleet, own_abilities(formats), ruled, self._view_still, self._plan_still)
+        self.skew = Skew(fleet, own_abilities(formats), compile_plan, self._view_still, self._plan_still)
         self.plans.lead.judge = self.skew
         self.time = FleetTime(at, fleet)
         self.edges = Edges(at.now)
@@ -67,7 +67,7 @@
         self.plans.register.when = self._when
 
     @property
-    def pieces(self) -> list[Piece]:
+    def deciders(self) -> list[Piece]:
         return [self.time, self.skew, self.plans, self.plans.register, self.floors, self]
 
     # Between the deciders
@@ -169,24 +169,24 @@
     def offer(self, at: Instant, body: bytes) -> tuple[int, dict[str, Any]]:
         """The answer's status, and what it says."""
         try:
-            ruled(body)  # what would be refused by all is refused right here
+            compile_plan(body)  # what would be refused by all is refused right here
             number = self.plans.offer(at, body)
         except OperatorError as bad:
-            return 409 if bad.code == "plan-push-under-way" else 400, refused(bad)
+            return 409 if bad.code == "plan-push-under-way" else 400, error_body(bad)
         return 202, {"push": number, "state": self.plans.pushes[number].state}
 
-    def floor(self, at: Instant, least: int) -> tuple[int, dict[str, Any], list[Out]]:
+    def set_format_floor(self, at: Instant, least: int) -> tuple[int, dict[str, Any], list[Out]]:
         """Moves the floor, at the sidecar that leads."""
         try:
             body = self.skew.floor_to(at, least, self.views.view)
             out = self.floors.put(at, body)
         except OperatorError as bad:
-            return 409, refused(bad), []
+            return 409, error_body(bad), []
         except ValueError as bad:
             return 503, {"code": "not-ready", "what": str(bad), "do": "Ask again in a second"}, []
         return 202, {"floor": least}, out
 
-    def seen(self, at: Instant) -> dict[str, Any]:
+    def status(self, at: Instant) -> dict[str, Any]:
         """For `GET /control/plan`."""
         reading, edges = self.time.now(at), self.edges
         judge = self.skew.verdict(at.now)
@@ -209,5 +209,5 @@
         }  # fmt: skip
 
 
-def refused(bad: OperatorError) -> dict[str, Any]:
+def error_body(bad: OperatorError) -> dict[str, Any]:
     return {"code": bad.code, "what": bad.what, "do": bad.do}
--- a/wheatring/pools/way.py
+++ b/wheatring/pools/active_route.py
@@ -7,27 +7,27 @@
 from typing import Any
 
 from wheatring.core.exchange import Job
-from wheatring.pools.member import Member
+from wheatring.pools.routed_pool import RoutedPool
 from wheatring.routes.split import split
 from wheatring.routes.words import Route
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class Routed(Job):
+class RoutedRequest(Job):
     """A job, and the pool that it stays in."""
 
-    pool: Member
+    pool: RoutedPool
 
 
-class Way:
+class ActiveRoute:
     """A route in force."""
 
-    def __init__(self, told: Route, pools: Mapping[str, Member]) -> None:
+    def __init__(self, told: Route, pools: Mapping[str, RoutedPool]) -> None:
         self.route = told
         self.pools = pools
         self.class_name = told.class_from.fixed.encode("latin-1")
         self.deadline = told.deadline
         self.split = split(told)
 
-    def job(self, fields: Mapping[bytes, bytes], **told: Any) -> Routed:
-        return Routed(pool=self.pools[self.split.pick(fields)], **told)
+    def job(self, fields: Mapping[bytes, bytes], **told: Any) -> RoutedRequest:
+        return RoutedRequest(pool=self.pools[self.split.pick(fields)], **told)
--- a/wheatring/pools/shares.py
+++ b/wheatring/pools/connection_budget.py
@@ -15,38 +15,38 @@
 from wheatring.http1.client import Pool
 
 
-class Held(NamedTuple):
+class ConnectionUsage(NamedTuple):
     """One pool's connections, those under way among them, and how many are its own in any case."""
 
-    held: int
-    least: int
+    in_use: int
+    reserved: int
 
 
-def most(total: int, others: Iterable[Held]) -> int:
+def available(total: int, others: Iterable[ConnectionUsage]) -> int:
     """How many a pool may hold, beside these others."""
-    return total - sum([max(other.held, other.least) for other in others])
+    return total - sum([max(other.in_use, other.reserved) for other in others])
 
 
-class Places:
+class ConnectionBudget:
     """The connections of all pools. `total` may change while it runs; a lower one is reached as they end."""
 
     def __init__(self, total: int) -> None:
         self.total = total
-        self.least: dict[SharedPool, int] = {}  # in the order in which they came
+        self.least: dict[BudgetedPool, int] = {}  # in the order in which they came
 
-    def held(self) -> int:
+    def in_use(self) -> int:
         return sum([len(pool.connections) + len(pool.dials) for pool in self.least])
 
-    def most_of(self, pool: SharedPool) -> int:
-        return most(self.total, [other.places_held() for other in self.least if other is not pool])
+    def limit_of(self, pool: BudgetedPool) -> int:
+        return available(self.total, [other.places_held() for other in self.least if other is not pool])
 
-    def retire(self, pool: SharedPool) -> bool:
+    def retire(self, pool: BudgetedPool) -> bool:
         """Have the connection closed that stood idle longest, of the pool itself and of those that hold more
         than is their own. False: there is none.
         """
         found = None
         for each in self.least:
-            if each is not pool and (count := each.places_held()).held <= count.least:
+            if each is not pool and (count := each.places_held()).in_use <= count.reserved:
                 continue
             oldest = each.oldest_idle()
             if oldest is not None and (found is None or oldest.idle_since < found[1].idle_since):
@@ -57,21 +57,21 @@
         return True
 
 
-class SharedPool(Pool):
+class BudgetedPool(Pool):
     """A pool's connections, as many as the places let it have by now."""
 
-    def __init__(self, places: Places, *told: Any) -> None:
+    def __init__(self, places: ConnectionBudget, *told: Any) -> None:
         self.places = places
         self.retired: set[ClaimConnection] = set()
         super().__init__(*told)
         places.least[self] = 0
 
-    def places_held(self) -> Held:
+    def places_held(self) -> ConnectionUsage:
         """One that has been told to close gives its place already: it is gone within this turn or the next,
         and counted it would have two more closed in its stead.
         """
         held = len(self.connections) - len(self.retired) + len(self.dials)
-        return Held(held, self.places.least[self])
+        return ConnectionUsage(held, self.places.least[self])
 
     def retire(self, connection: ClaimConnection, code: str) -> None:
         self.retired.add(connection)
@@ -82,7 +82,7 @@
         super().gone(connection)
 
     def start(self, claim: Claim) -> None:
-        self.most = self.places.most_of(self)
+        self.most = self.places.limit_of(self)
         super().start(claim)
 
     def retire_oldest(self) -> bool:
--- a/wheatring/pools/selection.py
+++ b/wheatring/pools/endpoint_selection.py
@@ -14,14 +14,14 @@
 GONE = EndpointState.GONE
 
 
-class Selection:
+class EndpointSelection:
     """`table` says what the entries must state; what it leaves out may be anything."""
 
     def __init__(self, table: PoolTable) -> None:
         self.table = table
         self.names: set[str] = set()  # in the pool by now, draining ones among them
 
-    def fits(self, entry: EndpointEntry) -> bool:
+    def matches(self, entry: EndpointEntry) -> bool:
         told = self.table
         return (
             (told.zone is None or told.zone == entry.zone)
@@ -29,7 +29,7 @@
             and (told.cell is None or told.cell == entry.cell)
         )
 
-    def of(self, view: View) -> View:
+    def select(self, view: View) -> View:
         """What the pool is told of news of the list. Each is passed on, though it be empty: that there was
         an answer, or none, is news too.
         """
@@ -40,7 +40,7 @@
         kept = []
         for entry in view.entries:
             name = entry.endpoint
-            if entry.state is not GONE and self.fits(entry):
+            if entry.state is not GONE and self.matches(entry):
                 self.names.add(name)
                 kept.append(entry)
             elif name in self.names:
--- a/wheatring/pools/hands.py
+++ b/wheatring/pools/manual_overrides.py
@@ -9,13 +9,13 @@
 from wheatring.lifecycle.byhand import ByHand
 
 if TYPE_CHECKING:
-    from wheatring.pools.serve import Pools
+    from wheatring.pools.pool_set import PoolSet
 
 
-class Hands(ByHand):
+class AllPoolsOverrides(ByHand):
     """The operators' word over all lists: the platform's as ever, and those that pools have of their own."""
 
-    def __init__(self, on_view: Callable[[View], None], pools: Pools) -> None:
+    def __init__(self, on_view: Callable[[View], None], pools: PoolSet) -> None:
         super().__init__(on_view)
         self.pools = pools
 
@@ -24,4 +24,4 @@
 
     def put(self, now: float, out: frozenset[str]) -> None:
         super().put(now, out)
-        self.pools.put(now, out)
+        self.pools.take_out(now, out)
--- a/wheatring/pools/tables.py
+++ b/wheatring/pools/route_tables.py
@@ -8,7 +8,7 @@
 from wheatring.routes.words import ClassFrom, Header, Match, Route, Weighted
 
 
-def route(name: str, told: RouteTable) -> Route:
+def route_from(name: str, told: RouteTable) -> Route:
     """ValueError, beginning with the route and the field, for one that can't be meant."""
     match = Match(
         told.host, told.path, told.prefix, told.expression, told.methods,
@@ -19,12 +19,12 @@
     return Route(name, match, pools, source, told.deadline, split_by=told.split_by)
 
 
-def wrong(said: File) -> Wrong | None:
+def first_invalid_key(said: File) -> Wrong | None:
     """The first key of the routes that is not taken, and why: each by itself, then all together."""
     made = []
     for name, told in said.route.items():
         try:
-            made.append(route(name, told))
+            made.append(route_from(name, told))
             split(made[-1])
             Table(made[-1:])
         except ValueError as bad:
--- a/wheatring/serving.py
+++ b/wheatring/serving.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from wheatring import config, lazy_imports, log, operator_properties
-from wheatring.daemon import Sidecar, read_own
+from wheatring.daemon.sidecar import Sidecar, read_configuration
 
 
 def serve(file: str | None, capture: bool, own: str | None = None) -> int:
@@ -19,7 +19,7 @@
     """
     gc.disable()  # nearly all that a start makes stays, and many may start on one machine at once
     try:
-        sidecar = started(file, capture, own)
+        sidecar = start_sidecar(file, capture, own)
     finally:
         gc.enable()
     if sidecar is None:
@@ -31,18 +31,18 @@
     os._exit(sidecar.status)
 
 
-def started(file: str | None, capture: bool, own: str | None) -> Sidecar | None:
+def start_sidecar(file: str | None, capture: bool, own: str | None) -> Sidecar | None:
     """One that listens, and hears signals. None: it could not, and has said why."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload, it must not end us
     try:
-        said = read_own(own)
+        said = read_configuration(own)
         told = config.read(os.environ)
         asked = operator_properties.read(file)
     except (config.ConfigError, operator_properties.OperatorsError, config.FileError) as bad:
         print(f"wheatring: {bad}", file=sys.stderr)
         return None
-    log.not_blocking()
-    lazy_imports.put_off()
+    log.set_non_blocking()
+    lazy_imports.defer()
     from twisted.internet import error
     from twisted.internet import reactor as installed
 
@@ -51,7 +51,7 @@
 
     reactor.seconds = time.monotonic  # or a step of the system's time would hold up or hurry all timers
 
-    observers: Any = [log.twisted_failures]
+    observers: Any = [log.log_twisted_failure]
     globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False)
     try:
         sidecar = Sidecar(reactor, told, asked, capture, own=own, said=said)
