--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -49,7 +49,7 @@
     bootstrap: bool
     life: Life | None = None
     process: Any = None
-    orders: OperatorApi | None = None
+    operator_api: OperatorApi | None = None
 
 
 @dataclass
@@ -155,7 +155,7 @@
             settings = self._settings(host)
             if name.startswith("c"):
                 host.process = Controller(settings, random, self.platform)
-                host.orders = OperatorApi(host.process)
+                host.operator_api = OperatorApi(host.process)
             elif name.startswith("e"):
                 host.process = Sidecar(settings, random)
             else:
@@ -171,7 +171,7 @@
         if host.life is not None:
             host.life.alive = False
             host.life = None
-            host.process = host.orders = None
+            host.process = host.operator_api = None
         self.loop.network.kill(name)
         if wipe:
             shutil.rmtree(host.folder, ignore_errors=True)
@@ -232,10 +232,10 @@
 
     async def _order_at(self, name: str, method: str, path: str, base: int, body: bytes) -> tuple[int, bytes]:
         host = self.hosts[name]
-        if host.life is None or host.orders is None:
+        if host.life is None or host.operator_api is None:
             return 0, b""
         request = OperatorRequest(method=method, path=path, base_revision=str(base), body=body)
-        task = self.run_as(host.life, lambda: host.orders.take(request))  # type: ignore[union-attr]
+        task = self.run_as(host.life, lambda: host.operator_api.handle(request))  # type: ignore[union-attr]
         done, _ = await asyncio.wait([task], timeout=ORDER_SECONDS)
         if not done:
             return 0, b""
--- a/wheatring/controller/__init__.py
+++ b/wheatring/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controllers: the replicated control state, the operator's API and what they tell the others."""
+"""The controllers: they agree on the control state, take the operator's commands and serve subscribers."""
--- a/wheatring/controller/api.py
+++ b/wheatring/controller/api.py
@@ -1,4 +1,4 @@
-"""The operator's API over HTTP. Any controller takes an order; the leader applies it."""
+"""The operator's API over HTTP. Any controller takes a request; the leader applies it."""
 
 from __future__ import annotations
 
@@ -54,25 +54,25 @@
 
 
 def _base_of(request: OperatorRequest) -> int:
-    """The version that a change builds on. Raises InvalidRequestError."""
+    """Return the version that a change builds on. Raises InvalidRequestError."""
     if not request.base_revision.isdigit():
         raise InvalidRequestError(400, f"{BASE_HEADER} must be a whole number")
     return int(request.base_revision)
 
 
 class OperatorApi:
-    """Turns the operator's orders into commands, here or at the leader."""
+    """Turns the operator's requests into commands, applied here or by the leader."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
-        controller.on_order = self.apply  # type: ignore[method-assign]
+        controller.set_operator_handler(self.apply)
 
-    async def take(self, request: OperatorRequest) -> OperatorReply:
-        """An order has come from outside."""
+    async def handle(self, request: OperatorRequest) -> OperatorReply:
+        """Answer a request of the operator: apply it as the leader, or forward it to the leader."""
         try:
             self._command(request)
-        except InvalidRequestError as bad:
-            return OperatorReply(status=bad.status, body=_error(bad.reason))
+        except InvalidRequestError as error:
+            return OperatorReply(status=error.status, body=_error(error.reason))
         controller = self._controller
         address = await controller.leader_address()
         if not address:
@@ -85,90 +85,91 @@
             return OperatorReply(status=503, body=_error("the leader does not answer"))
 
     async def apply(self, request: OperatorRequest) -> OperatorReply:
-        """Apply an order as the leader."""
+        """Apply a request as the leader."""
         try:
             command = self._command(request)
             return _reply(await self._controller.submit(command))
-        except InvalidRequestError as bad:
-            return OperatorReply(status=bad.status, body=_error(bad.reason))
+        except InvalidRequestError as error:
+            return OperatorReply(status=error.status, body=_error(error.reason))
         except NoLeaderError as error:
             return OperatorReply(status=503, body=_error(str(error)))
 
     def _command(self, request: OperatorRequest) -> Command:
-        parts = request.path.strip("/").split("/")
-        if parts == ["config", "replace"]:
+        """Return the command that a request asks for. Raises InvalidRequestError."""
+        segments = request.path.strip("/").split("/")
+        if segments == ["config", "replace"]:
             return ReplaceConfiguration(_base_of(request), request.body)
-        if parts == ["config", "update"]:
+        if segments == ["config", "update"]:
             return UpdateConfiguration(_base_of(request), request.body)
-        if parts == ["config", "describe"]:
+        if segments == ["config", "describe"]:
             return DescribeConfiguration()
-        if len(parts) == 3 and parts[0] == RETIRE and parts[2] == START:
-            return StartRetirement(parts[1], self._controller.retirement_needs())
-        if len(parts) == 3 and parts[0] == RETIRE and parts[2] == DESCRIBE:
-            return DescribeRetirement(parts[1])
+        if len(segments) == 3 and segments[0] == RETIRE and segments[2] == START:
+            return StartRetirement(segments[1], self._controller.retirement_needs())
+        if len(segments) == 3 and segments[0] == RETIRE and segments[2] == DESCRIBE:
+            return DescribeRetirement(segments[1])
         raise InvalidRequestError(404, "no such order")
 
 
-async def _order(request: Request[Any, Any, Any]) -> Response[bytes]:
-    orders: OperatorApi = request.app.state.orders
-    order = OperatorRequest(
-        method=request.method,
-        path=request.url.path,
-        base_revision=request.headers.get(BASE_HEADER, "0"),
-        body=await request.body() if request.method == "POST" else b"",
+async def _answer(http_request: Request[Any, Any, Any]) -> Response[bytes]:
+    operator_api: OperatorApi = http_request.app.state.operator_api
+    request = OperatorRequest(
+        method=http_request.method,
+        path=http_request.url.path,
+        base_revision=http_request.headers.get(BASE_HEADER, "0"),
+        body=await http_request.body() if http_request.method == "POST" else b"",
     )
-    reply = await orders.take(order)
+    reply = await operator_api.handle(request)
     return Response(reply.body, status_code=reply.status, media_type=MediaType.JSON)
 
 
 @post("/config/replace")
 async def replace_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
-    """Put a whole configuration in place."""
-    return await _order(request)
+    """Put a complete configuration in place."""
+    return await _answer(request)
 
 
 @post("/config/update")
 async def update_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
     """Set and remove named items of the configuration."""
-    return await _order(request)
+    return await _answer(request)
 
 
 @get("/config/describe")
 async def describe_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
-    """The newest configuration."""
-    return await _order(request)
+    """Return the newest configuration."""
+    return await _answer(request)
 
 
 @post("/retire/{node:str}/start")
-async def start_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:
-    """Have a storage machine emptied."""
-    return await _order(request)
+async def start_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:  # noqa: ARG001 - of the path
+    """Drain a storage machine."""
+    return await _answer(request)
 
 
 @get("/retire/{node:str}/describe")
-async def describe_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:
-    """How far that is."""
-    return await _order(request)
+async def describe_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:  # noqa: ARG001 - of the path
+    """Return the state of a retirement."""
+    return await _answer(request)
 
 
 @get("/status")
 async def status(request: Request[Any, Any, Any]) -> dict[str, object]:
-    """This controller's own view, for people and tools."""
+    """Return this controller's own view, for operators and tools."""
     controller: Controller = request.app.state.controller
     return controller.status()
 
 
 class _Server(uvicorn.Server):
-    """Leaves the signals to the process."""
+    """A server that leaves the signals to the process."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """The process has handlers of its own."""
+        """Install no handlers: the process has its own."""
         yield
 
 
 def make_server(controller: Controller, address: Address) -> uvicorn.Server:
-    """The HTTP server of one controller, to be run inside the process's event loop."""
+    """Return the HTTP server of one controller, to be run inside the process's event loop."""
     handlers = [
         replace_configuration,
         update_configuration,
@@ -183,7 +184,7 @@
         logging_config=None,
         request_max_body_size=MAX_BODY_BYTES,
     )
-    app.state.orders = OperatorApi(controller)
+    app.state.operator_api = OperatorApi(controller)
     app.state.controller = controller
     config = uvicorn.Config(
         app,
@@ -195,6 +196,6 @@
         http="h11",
         ws="none",
         loop="asyncio",
-        timeout_graceful_shutdown=2,
+        timeout_graceful_shutdown=2,  # seconds
     )
     return _Server(config)
--- a/wheatring/controller/command_queue.py
+++ b/wheatring/controller/command_queue.py
@@ -1,8 +1,8 @@
 """The queue of commands on the control state, and the one task that works through it.
 
-A batch is applied to the newest committed state. If it has changed that, the new state is committed before
-anyone is answered; if not, a majority has to answer a heartbeat that was sent afterwards. So an answer is
-never taken back.
+A batch is applied to the newest committed state. If that changes the state, the new state is committed before
+anyone is answered; if not, a quorum has to answer a heartbeat that was sent afterwards. So an answer is never
+taken back.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from wheatring.controller.consensus_host import ConsensusHost
 from wheatring.controller.exceptions import NoLeaderError
 
-LEADER_WAIT_SECONDS = 0.7  # for a leader to be known, before an order is answered 503
-COMMIT_TIMEOUT_SECONDS = 2.0  # for a change to be committed, before its outcome is told to be unclear
+LEADER_WAIT_SECONDS = 0.7  # for a leader to be known, before a request is answered 503
+COMMIT_TIMEOUT_SECONDS = 2.0  # for a change to be committed, before its outcome is called indeterminate
 
 
 @dataclass(slots=True)
 class QueuedCommand:
-    """A command and who waits for its outcome."""
+    """A command and the future of its outcome."""
 
     command: Command
     outcome: asyncio.Future[Outcome]
 
 
 class CommandQueue:
-    """Applies commands on a leader."""
+    """Applies commands on a leader, batch by batch."""
 
     def __init__(self, host: ConsensusHost) -> None:
         self._host = host
@@ -38,17 +38,24 @@
 
     @property
     def is_empty(self) -> bool:
+        """Whether no command waits to be applied."""
         return not self._queue
 
     async def submit(self, command: Command) -> Outcome:
-        """Have a command applied by this controller as the leader. Raises NoLeaderError."""
+        """Apply a command as the leader and return its outcome, once that is certain.
+
+        Raises
+        ------
+        NoLeaderError
+            This controller does not lead, or lost the leadership before the outcome was certain.
+        """
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         self._queue.append(QueuedCommand(command, future))
         self._queued.set()
         return await future
 
     async def run(self) -> None:
-        """The one place where commands are applied: batch by batch, each committed before it is answered."""
+        """Apply commands for as long as the process runs, each batch certain before the next one begins."""
         host = self._host
         while True:
             await self._queued.wait()
@@ -68,7 +75,7 @@
         _reject(batch, NoLeaderError("no leader with a quorum"))
 
     async def _apply_batch(self, batch: list[QueuedCommand]) -> None:
-        """Apply commands to the committed state and tell their outcomes once that state is certain."""
+        """Apply commands to the committed state and deliver their outcomes once that state is certain."""
         replica = self._host.replica
         assert replica.committed is not None
         applied = apply_batch(replica.committed.data, [queued.command for queued in batch])
@@ -86,20 +93,20 @@
             if not queued.outcome.done():
                 queued.outcome.set_result(outcome)
 
-    async def _wait_until_confirmed(self, term: int, reached: Callable[[], bool]) -> None:
-        """Wait until something holds in this term. Raises NoLeaderError once the leadership is lost."""
+    async def _wait_until_confirmed(self, term: int, is_reached: Callable[[], bool]) -> None:
+        """Wait until something is reached in this term. Raises NoLeaderError where that is uncertain."""
         replica = self._host.replica
 
-        def settled() -> bool:
-            return reached() or replica.state is not State.LEADER or replica.term != term
+        def is_decided() -> bool:
+            return is_reached() or replica.state is not State.LEADER or replica.term != term
 
-        await self._host.wait_until(settled, COMMIT_TIMEOUT_SECONDS)
-        if replica.state is not State.LEADER or replica.term != term or not reached():
+        await self._host.wait_until(is_decided, COMMIT_TIMEOUT_SECONDS)
+        if replica.state is not State.LEADER or replica.term != term or not is_reached():
             raise NoLeaderError("the leadership was lost before the change was certain")
 
 
-def _reject(batch: list[QueuedCommand], error: Exception) -> None:
+def _reject(batch: list[QueuedCommand], error: NoLeaderError) -> None:
     for queued in batch:
         if not queued.outcome.done():
             queued.outcome.set_exception(error)
-            queued.outcome.exception()
+            queued.outcome.exception()  # retrieved here, since the caller may have gone
--- a/wheatring/controller/commands.py
+++ b/wheatring/controller/commands.py
@@ -1,12 +1,10 @@
-"""What may be done to the control state, as functions from one state to the next.
+"""The operator's commands on the control state, as functions from one state to the next.
 
-Each command is applied by the leader to the newest committed state. It returns an outcome, and changes the
-state that it is given where it has succeeded; the caller has the change committed before it tells the
-outcome.
+The leader applies each command to the newest committed state. A command returns an outcome, and changes the
+state that it is given where it succeeds; the caller commits the change before it delivers the outcome.
 
-The state does not grow with its history: of configurations that were replaced, and of retirements that are
-over, only the newest few are known. A repeat of an order that is older than those is told neither that it was
-accepted nor that it was refused.
+The state does not grow with its history: of replaced configurations and completed retirements it remembers
+only the newest few. The outcome of a retried command that is older than those is indeterminate.
 """
 
 from __future__ import annotations
@@ -18,20 +16,20 @@
 from wheatring.controller.exceptions import InvalidConfigurationError
 from wheatring.transport.messages_pb2 import ControlState, Retirement
 
-MAX_REMEMBERED_CONFIGURATIONS = 128  # configurations remembered, so that a repeat is acknowledged again
-MAX_COMPLETED_RETIREMENTS = 32  # completed retirements remembered
+MAX_REMEMBERED_CONFIGURATIONS = 128  # accepted ones, by their digests, so that a retry is accepted again
+MAX_COMPLETED_RETIREMENTS = 32  # that are remembered
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """Accepted, now or before."""
+    """The command was accepted, now or before; `body` is the JSON of the answer."""
 
     body: bytes = b"{}"
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another version is current, or too few machines would be left."""
+    """Another version is current, or too few machines would be left; `status` is the HTTP status."""
 
     reason: str
     status: int = 412
@@ -39,21 +37,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """Can never be accepted."""
+    """The command can never be accepted."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class NotFound:
-    """There is no such thing."""
+    """The configuration, machine or retirement that the command names does not exist."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Indeterminate:
-    """It cannot be told any more whether the order was accepted."""
+    """Whether the command was accepted is no longer known."""
 
     reason: str
 
@@ -63,64 +61,63 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceConfiguration:
-    """Put a whole configuration in the place of the one that it builds on."""
+    """Put a complete configuration in the place of the version `base`."""
 
     base: int
     body: bytes
 
     @property
     def digest(self) -> bytes:
-        """Tells a repeat of an order from another order."""
+        """The identity of the command: a retry has the same one."""
         return _digest(b"%d\n%s" % (self.base, self.body))
 
-    def result(self, current: bytes) -> bytes:
-        """The configuration afterwards."""
+    def result(self, current: bytes) -> bytes:  # noqa: ARG002 - the one form of both changes
+        """Return the configuration afterwards, which does not depend on the current one."""
         return self.body
 
     def apply(self, state: ControlState) -> Outcome:
-        """Check against the current version, which is the only one that may be replaced."""
+        """Replace the configuration if `base` is the current version."""
         return _change_configuration(state, self)
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateConfiguration:
-    """Set and remove named items of the configuration that it builds on."""
+    """Set and remove named items of the configuration of the version `base`."""
 
     base: int
     body: bytes
 
     @property
     def digest(self) -> bytes:
-        """Tells a repeat of an order from another order, a replacement with the same body included."""
+        """The identity of the command, distinct from that of a replacement with the same body."""
         return _digest(b"update %d\n%s" % (self.base, self.body))
 
     def result(self, current: bytes) -> bytes:
-        """The configuration afterwards. Raises InvalidConfigurationError."""
-        from wheatring.controller.configuration_update import (
-            merge,  # brings cattrs, see _change_configuration
-        )
+        """Return the configuration afterwards. Raises InvalidConfigurationError."""
+        # Imported late for cattrs, as in _change_configuration.
+        from wheatring.controller.configuration_update import merge
 
         return merge(current, self.body)
 
     def apply(self, state: ControlState) -> Outcome:
-        """Check against the current version, which is the only one that may be changed."""
+        """Update the configuration if `base` is the current version."""
         return _change_configuration(state, self)
 
 
-def _digest(order: bytes) -> bytes:
-    return hashlib.blake2b(order, digest_size=16).digest()
+def _digest(data: bytes) -> bytes:
+    return hashlib.blake2b(data, digest_size=16).digest()
 
 
 def _change_configuration(
     state: ControlState, command: ReplaceConfiguration | UpdateConfiguration
 ) -> Outcome:
-    """Acknowledge a repeat, and take a change of the current version that leads to a valid one."""
+    """Accept a retry again, and a change of the current version that leads to a valid one."""
     digest = command.digest
     if any(taken.digest == digest for taken in state.taken):
         return Accepted()
     if command.base != state.generation:
         return _outcome_for_stale_base(state, command)
-    # Imported when it is first needed: cattrs takes a tenth of a second, and no start waits for that.
+    # Imported when it is first needed: cattrs takes a tenth of a second, for which no start should wait.
     from wheatring.controller.configuration import parse
 
     try:
@@ -142,10 +139,10 @@
 def _outcome_for_stale_base(
     state: ControlState, command: ReplaceConfiguration | UpdateConfiguration
 ) -> Conflict | Invalid | Indeterminate:
-    """A change that builds on a version which is not current.
+    """Return the outcome of a change that builds on a version which is not current.
 
-    What was taken builds on an earlier generation than its own, so a repeat of one that is forgotten has a
-    base below the newest forgotten generation. What cannot be read was never taken.
+    An accepted change builds on an earlier generation than its own, so a retry of one that is no longer
+    remembered has a base below the newest forgotten generation. What cannot be read was never accepted.
     """
     if command.base >= state.forgotten_generation:
         return Conflict(f"version {state.generation} is current")
@@ -165,7 +162,7 @@
     """Read the newest configuration."""
 
     def apply(self, state: ControlState) -> Outcome:
-        """Nothing changes."""
+        """Return the configuration; the state stays as it is."""
         if not state.generation:
             return NotFound("no configuration has been taken yet")
         return Accepted(state.configuration)
@@ -173,13 +170,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRetirement:
-    """Empty a storage machine."""
+    """Drain a storage machine: have others take over its records and its vote."""
 
     node: str
-    needed: int  # members that have to be left
+    needed: int  # storage machines that have to remain
 
     def apply(self, state: ControlState) -> Outcome:
-        """The members change later, once the others hold what this one does."""
+        """Note the retirement.
+
+        The placement changes later, when the other members have copied what this one stores.
+        """
         if _retirement_of(state, self.node) is not None:
             return Accepted()
         members = [m for m in state.placement.next or state.placement.current if not m.lost]
@@ -187,10 +187,10 @@
         if not leaving:
             return NotFound(f"no storage machine {self.node}")
         retiring = {retirement.replica_id for retirement in state.retirements if not retirement.completed}
-        left = [m for m in members if m.node != self.node and m.replica_id not in retiring]
-        if len(left) < self.needed:
+        remaining = [m for m in members if m.node != self.node and m.replica_id not in retiring]
+        if len(remaining) < self.needed:
             return Conflict(
-                f"{len(left)} storage machines would be left, {self.needed} are needed", status=409
+                f"{len(remaining)} storage machines would be left, {self.needed} are needed", status=409
             )
         state.retirements.add(node=self.node, replica_id=leaving[0].replica_id)
         _drop_oldest_retirements(state)
@@ -199,12 +199,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DescribeRetirement:
-    """Read how far a retirement is."""
+    """Read the state of a retirement."""
 
     node: str
 
     def apply(self, state: ControlState) -> Outcome:
-        """Nothing changes."""
+        """Return the retirement's state; the control state stays as it is."""
         retirement = _retirement_of(state, self.node)
         if retirement is None:
             return NotFound(f"{self.node} is not being retired")
@@ -212,8 +212,9 @@
 
 
 def _drop_oldest_retirements(state: ControlState) -> None:
-    """Keep those under way and the newest of the completed ones. An order to retire may be repeated for a few
-    seconds only, so a repeat never meets one that is forgotten.
+    """Keep the retirements in progress and the newest of the completed ones.
+
+    A command to retire is retried for a few seconds only, so a retry never meets one that is forgotten.
     """
     completed = [index for index, retirement in enumerate(state.retirements) if retirement.completed]
     for index in reversed(completed[: max(0, len(completed) - MAX_COMPLETED_RETIREMENTS)]):
@@ -221,7 +222,7 @@
 
 
 def _retirement_of(state: ControlState, node: str) -> Retirement | None:
-    """The newest one of a node that has not come back with another disk since."""
+    """Return the newest retirement of a node, unless the node has come back with another disk since."""
     members = {
         member.replica_id
         for member in (*state.placement.current, *state.placement.next)
@@ -229,8 +230,8 @@
     }
     for retirement in reversed(state.retirements):
         if retirement.node == node:
-            back = retirement.completed and bool(members - {retirement.replica_id})
-            return None if back else retirement
+            has_returned = retirement.completed and bool(members - {retirement.replica_id})
+            return None if has_returned else retirement
     return None
 
 
@@ -241,15 +242,15 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchResult:
-    """What came of commands that were applied one after the other to one state."""
+    """The result of commands that were applied one after the other to one state."""
 
     outcomes: tuple[Outcome, ...]
     new_state: bytes | None  # serialized; None where the commands change nothing
 
 
 def apply_batch(data: bytes, commands: Sequence[Command]) -> BatchResult:
-    """Apply commands to a serialized state, which stays as it is."""
+    """Apply commands to a copy of a serialized state."""
     state = ControlState.FromString(data)
     outcomes = tuple(command.apply(state) for command in commands)
-    same = ControlState.FromString(data) == state
-    return BatchResult(outcomes, None if same else state.SerializeToString())
+    is_unchanged = ControlState.FromString(data) == state
+    return BatchResult(outcomes, None if is_unchanged else state.SerializeToString())
--- a/wheatring/controller/configuration.py
+++ b/wheatring/controller/configuration.py
@@ -1,7 +1,7 @@
 """The operator's configuration: its typed form, and the checks that it has to pass.
 
 Fields that are not known are skipped, because later platforms may add some. Everything that is known is
-checked for its kind and range; the first fault found is told with its path.
+checked for its kind and range; the first fault found is reported with its path.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class RouteType(Enum):
-    """What may be repeated on a route."""
+    """Which requests of a route may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -27,7 +27,7 @@
 
 @attrs.frozen
 class SplitPart:
-    """One service of a route that is split by weight."""
+    """One service of a route whose traffic is split by weight."""
 
     backend: str
     weight: float
@@ -35,20 +35,24 @@
 
 @attrs.frozen
 class Route:
-    """Requests of one host and path prefix."""
+    """The rules for requests of one host and path prefix.
+
+    Fields have the names of the operator's keys, because cattrs reports a fault by the path of the field.
+    Durations are in ms, or in s where the name ends in `S`.
+    """
 
     name: str
     hostname: str
-    pathPrefix: str
-    routeType: RouteType
-    timeoutMs: float
+    pathPrefix: str  # noqa: N815 - the key
+    routeType: RouteType  # noqa: N815 - the key
+    timeoutMs: float  # noqa: N815 - the key
     backend: str | None = None
-    trafficSplit: tuple[SplitPart, ...] | None = None
-    maxAttempts: int = 1
-    targetLatencyMs: float = 0
+    trafficSplit: tuple[SplitPart, ...] | None = None  # noqa: N815 - the key
+    maxAttempts: int = 1  # noqa: N815 - the key
+    targetLatencyMs: float = 0  # noqa: N815 - the key
     priority: int = 0
     retained: bool = False
-    retentionS: float = 0
+    retentionS: float = 0  # noqa: N815 - the key
     resumable: bool = False
 
 
@@ -61,7 +65,7 @@
 
 @attrs.frozen
 class Configuration:
-    """A whole configuration."""
+    """A complete configuration, checked."""
 
     generation: int
     routes: tuple[Route, ...]
@@ -91,24 +95,24 @@
 
 
 def _without_repeated_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    found = dict(pairs)
-    if len(found) != len(pairs):
+    values = dict(pairs)
+    if len(values) != len(pairs):
         raise InvalidConfigurationError("a key stands twice in one object")
-    return found
+    return values
 
 
 def _not_a_number(text: str) -> float:
     raise InvalidConfigurationError(f"{text} is no number")
 
 
-def require(condition: bool, where: str, what: str) -> None:
-    """Raises InvalidConfigurationError, which tells the place and the fault, unless a condition holds."""
+def require(condition: bool, path: str, fault: str) -> None:
+    """Raise InvalidConfigurationError, with the path and the fault, unless a condition holds."""
     if not condition:
-        raise InvalidConfigurationError(f"{where}: {what}")
+        raise InvalidConfigurationError(f"{path}: {fault}")
 
 
 def parse(body: bytes) -> Configuration:
-    """Read and check a configuration. Raises InvalidConfigurationError."""
+    """Parse and check a configuration. Raises InvalidConfigurationError."""
     values = read_object(body)
     try:
         configuration = _CONVERTER.structure(values, Configuration)
@@ -121,7 +125,7 @@
 
 
 def read_object(body: bytes) -> dict[str, Any]:
-    """Read a JSON object in which no key stands twice. Raises InvalidConfigurationError."""
+    """Parse a JSON object that has no key twice. Raises InvalidConfigurationError."""
     try:
         values = json.loads(body, object_pairs_hook=_without_repeated_keys, parse_constant=_not_a_number)
     except (ValueError, RecursionError) as error:
@@ -139,32 +143,32 @@
     services = set(names)
     route_names = [route.name for route in configuration.routes]
     require(len(set(route_names)) == len(route_names), "routes", "a name stands twice")
-    places: set[tuple[str, str]] = set()
+    matched: set[tuple[str, str]] = set()
     for number, route in enumerate(configuration.routes):
-        where = f"routes[{number}]"
-        _check_route(where, route, services)
-        place = (route.hostname.lower(), route.pathPrefix)
-        require(place not in places, where, f"shares host and prefix with another route: {place}")
-        places.add(place)
+        path = f"routes[{number}]"
+        _check_route(path, route, services)
+        match = (route.hostname.lower(), route.pathPrefix)
+        require(match not in matched, path, f"shares host and prefix with another route: {match}")
+        matched.add(match)
 
 
-def _check_route(where: str, route: Route, services: set[str]) -> None:
-    require(bool(route.hostname), f"{where}.hostname", "is empty")
+def _check_route(path: str, route: Route, services: set[str]) -> None:
+    require(bool(route.hostname), f"{path}.hostname", "is empty")
     prefix = route.pathPrefix
-    bounded = prefix.startswith("/") and prefix.endswith("/")
-    require(bounded, f"{where}.pathPrefix", "must begin and end with /")
-    require(route.timeoutMs > 0, f"{where}.timeoutMs", "must be above 0")
-    require(route.maxAttempts >= 1, f"{where}.maxAttempts", "must be 1 or more")
-    require(route.retentionS >= 0, f"{where}.retentionS", "must not be negative")
+    is_bounded = prefix.startswith("/") and prefix.endswith("/")
+    require(is_bounded, f"{path}.pathPrefix", "must begin and end with /")
+    require(route.timeoutMs > 0, f"{path}.timeoutMs", "must be above 0")
+    require(route.maxAttempts >= 1, f"{path}.maxAttempts", "must be 1 or more")
+    require(route.retentionS >= 0, f"{path}.retentionS", "must not be negative")
     if route.backend is not None or route.trafficSplit is None:
-        require(route.backend is not None, where, "names no service")
-        require(route.backend in services, f"{where}.backend", f"unknown service {route.backend!r}")
+        require(route.backend is not None, path, "names no service")
+        require(route.backend in services, f"{path}.backend", f"unknown service {route.backend!r}")
     if route.trafficSplit is not None:
-        _check_split(f"{where}.trafficSplit", route.trafficSplit, services)
+        _check_split(f"{path}.trafficSplit", route.trafficSplit, services)
 
 
-def _check_split(where: str, parts: tuple[SplitPart, ...], services: set[str]) -> None:
+def _check_split(path: str, parts: tuple[SplitPart, ...], services: set[str]) -> None:
     for part in parts:
-        require(part.backend in services, where, f"unknown service {part.backend!r}")
-        require(part.weight >= 0, where, "a weight is negative")
-    require(sum(part.weight for part in parts) > 0, where, "the weights add up to 0")
+        require(part.backend in services, path, f"unknown service {part.backend!r}")
+        require(part.weight >= 0, path, "a weight is negative")
+    require(sum(part.weight for part in parts) > 0, path, "the weights add up to 0")
--- a/wheatring/controller/configuration_update.py
+++ b/wheatring/controller/configuration_update.py
@@ -1,6 +1,6 @@
-"""A configuration changed by named items: the merge of an operator's update into the configuration in force.
+"""A configuration changed by named items: the merge of an operator's update into the current configuration.
 
-An update holds its `generation`, under `upsert` lists of items that are added or replace the item of the same
+An update has its `generation`, under `upsert` lists of items that are added or replace the item of the same
 name, and under `remove` lists of names. All else of the configuration stays as it is, fields that this
 project does not know included. Source: the operator's API, `POST /config/update`.
 """
@@ -19,10 +19,24 @@
 
 
 def merge(current: bytes, update: bytes) -> bytes:
-    """The configuration that an update makes of the current one, empty bytes where there is none yet.
-
-    Raises InvalidConfigurationError where the update cannot be read or does not fit the current items. What
-    results is still to be checked as any configuration is."""
+    """Merge an update into the current configuration.
+
+    Parameters
+    ----------
+    current
+        The current configuration as JSON, empty where there is none yet.
+    update
+        The operator's update as JSON.
+
+    Returns
+    -------
+    The new configuration as JSON. It is still to be checked as any configuration is.
+
+    Raises
+    ------
+    InvalidConfigurationError
+        The update cannot be read, or does not fit the current items.
+    """
     changes = read_update(update)
     values = json.loads(current) if current else dict(EMPTY_CONFIGURATION)
     upserts, removals = changes.get(UPSERT, {}), changes.get(REMOVE, {})
@@ -35,14 +49,14 @@
 
 
 def read_update(update: bytes) -> dict[str, Any]:
-    """The update by itself, without the configuration that it changes. Raises InvalidConfigurationError."""
+    """Read an update without the configuration that it changes. Raises InvalidConfigurationError."""
     changes = read_object(update)
     require(GENERATION in changes, GENERATION, "is missing")
-    for part in (UPSERT, REMOVE):
-        lists = changes.get(part, {})
-        require(isinstance(lists, dict), part, "must be an object")
+    for section in (UPSERT, REMOVE):
+        lists = changes.get(section, {})
+        require(isinstance(lists, dict), section, "must be an object")
         for key, items in lists.items():
-            require(isinstance(items, list), f"{part}.{key}", "must be a list")
+            require(isinstance(items, list), f"{section}.{key}", "must be a list")
     for key, items in changes.get(UPSERT, {}).items():
         _require_distinct(f"{UPSERT}.{key}", [_name_of(f"{UPSERT}.{key}", item) for item in items])
     for key, names in changes.get(REMOVE, {}).items():
@@ -52,22 +66,22 @@
 
 
 def _merged_items(key: str, items: list[Any], upserts: list[Any], removals: list[str]) -> list[Any]:
-    """The items of one list: those replaced keep their place, new ones come last."""
+    """Return the items of one list: replaced items keep their position, new ones come last."""
     merged = {_name_of(key, item): item for item in items}
-    replaced = {item[NAME]: item for item in upserts}
+    replacements = {item[NAME]: item for item in upserts}
     for name in removals:
         require(name in merged, f"{REMOVE}.{key}", f"there is no {name!r:.80}")
-        require(name not in replaced, f"{REMOVE}.{key}", f"{name!r:.80} is set too")
+        require(name not in replacements, f"{REMOVE}.{key}", f"{name!r:.80} is set too")
         del merged[name]
-    return list((merged | replaced).values())
+    return list((merged | replacements).values())
 
 
-def _name_of(where: str, item: Any) -> str:
+def _name_of(path: str, item: Any) -> str:
     name = item.get(NAME) if isinstance(item, dict) else None
     if not isinstance(name, str) or not name:
-        raise InvalidConfigurationError(f"{where}: an item has no name")
+        raise InvalidConfigurationError(f"{path}: an item has no name")
     return name
 
 
-def _require_distinct(where: str, names: list[str]) -> None:
-    require(len(set(names)) == len(names), where, "a name stands twice")
+def _require_distinct(path: str, names: list[str]) -> None:
+    require(len(set(names)) == len(names), path, "a name stands twice")
--- a/wheatring/controller/consensus_host.py
+++ b/wheatring/controller/consensus_host.py
@@ -17,58 +17,74 @@
 from wheatring.transport.client import ClientTable
 from wheatring.transport.messages_pb2 import ConsensusRecord, Envelope, HardState, Member
 
-RECENT_QUORUM_SECONDS = 1.0  # since a majority has answered, past which a leader may not be one any more
+RECENT_QUORUM_SECONDS = 1.0  # without an answer of a quorum, after which a leader may be deposed already
 
-_FIELDS = {
+_ENVELOPE_FIELDS = {
     "VoteRequest": "vote_request",
     "VoteReply": "vote_reply",
     "AppendRequest": "append_request",
     "AppendReply": "append_reply",
     "TimeoutNow": "timeout_now",
 }
-CONSENSUS_MESSAGES = frozenset(_FIELDS.values())  # kinds of envelopes that are for the replica
+CONSENSUS_MESSAGES = frozenset(_ENVELOPE_FIELDS.values())  # kinds of envelopes that are for the replica
 
 
 class ConsensusHost:
     """The owner of a replica, its file and its connections to the other controllers."""
 
-    def __init__(self, settings: Settings, random: Random, changed: Callable[[], None]) -> None:
-        """`changed` is called after every event of the replica. Raises DiskError."""
-        self._changed = changed
+    def __init__(self, settings: Settings, random: Random, on_change: Callable[[], None]) -> None:
+        """Read the file and build the replica.
+
+        Parameters
+        ----------
+        settings
+            The settings of the process.
+        random
+            Draws the replica's time-outs.
+        on_change
+            Called after every event of the replica.
+
+        Raises
+        ------
+        DiskError
+            The file cannot be read or created.
+        """
+        self._on_change = on_change
         self._store = ConsensusStore(Path(settings.data_folder or "."))
         seeds = [seed.host for seed in settings.seeds]
-        loaded = self._store.open(settings.ip, seeds, settings.bootstrap, self._live_record)
-        me = Member(replica_id=loaded.replica_id, node=settings.node, address=settings.ip, zone=settings.zone)
-        self.replica = Replica(me, loaded.hard_state, loaded.entry, random, self.now(), Timing())
-        self.replica.restore_soft_state(loaded.soft_version, loaded.soft_state)
-        self._persisted_endpoint_list = loaded.soft_state
+        stored = self._store.open(settings.ip, seeds, settings.bootstrap, self._live_record)
+        me = Member(replica_id=stored.replica_id, node=settings.node, address=settings.ip, zone=settings.zone)
+        self.replica = Replica(me, stored.hard_state, stored.entry, random, self.now(), Timing())
+        self.replica.restore_soft_state(stored.soft_version, stored.soft_state)
+        self._persisted_endpoint_list = stored.soft_state
         self.peers = ClientTable(settings.controller_port)
-        self.changed_event = asyncio.Event()  # set after every event
+        self.changed_event = asyncio.Event()  # set after every event of the replica
         self._timer: asyncio.TimerHandle | None = None
         self._was_leader = False
 
     @staticmethod
     def now() -> float:
-        """The steady clock of the event loop, in seconds."""
+        """Return the steady clock of the event loop, in seconds."""
         return asyncio.get_running_loop().time()
 
     def start(self) -> None:
-        """Begin to take part."""
-        self._arm()
+        """Begin to take part in the consensus."""
+        self._arm_timer()
 
     def receive(self, message: Message) -> None:
-        """A message for the replica has come."""
+        """Deliver a message to the replica."""
         self.apply(self.replica.receive(self.now(), message))
 
     @property
     def is_leader_with_quorum(self) -> bool:
-        """Leads, is ready, and a majority has answered lately."""
+        """Whether this replica is a ready leader that a quorum has answered recently."""
         return self.replica.is_ready_leader and self.replica.staleness(self.now()) < RECENT_QUORUM_SECONDS
 
     @property
     def committed_position(self) -> Position:
-        """Of the newest entry that is known to be committed."""
-        return entry_position(self.replica.committed) if self.replica.committed is not None else (0, 0)
+        """The position of the newest entry that is known to be committed."""
+        committed = self.replica.committed
+        return entry_position(committed) if committed is not None else (0, 0)
 
     def _live_record(self) -> bytes:
         replica = self.replica
@@ -81,7 +97,7 @@
         )
         return record.SerializeToString()
 
-    def _arm(self) -> None:
+    def _arm_timer(self) -> None:
         due = self.replica.next_deadline()
         if self._timer is not None:
             if self._timer.when() <= due:
@@ -94,19 +110,19 @@
         now = self.now()
         if now >= self.replica.next_deadline():
             self.apply(self.replica.tick(now))
-        self._arm()
+        self._arm_timer()
 
     def apply(self, effects: Effects) -> None:
-        """Carry out what the replica wants, and pass on what has changed."""
+        """Carry out effects of the replica, and notify whoever follows its state."""
         for outgoing in effects.messages:
             self._send(outgoing.to, outgoing.message)
         for write in effects.writes:
             future = self._store.committer.append([write.record.SerializeToString()])
-            future.add_done_callback(partial(self._written, write))
+            future.add_done_callback(partial(self._on_written, write))
         self._notify()
-        self._arm()
+        self._arm_timer()
 
-    def _written(self, write: Write, done: asyncio.Future[None]) -> None:
+    def _on_written(self, write: Write, done: asyncio.Future[None]) -> None:
         if done.cancelled():
             return
         error = done.exception()
@@ -117,15 +133,17 @@
         if isinstance(error, DiskError):
             log_event("disk-failed", error=str(error))
 
-    def _send(self, to: Member, message: object) -> None:
+    def _send(self, to: Member, message: Message) -> None:
         envelope = Envelope()
-        name = _FIELDS[type(message).__name__]
-        getattr(envelope, name).CopyFrom(message)
+        field_name = _ENVELOPE_FIELDS[type(message).__name__]
+        getattr(envelope, field_name).CopyFrom(message)
         self.peers.to(to.address).send(envelope)
 
     def _persist_endpoint_list(self) -> None:
-        """Have the endpoint list on disk: after a loss of power sidecars need one before the platform is
-        asked."""
+        """Write a new endpoint list to the disk.
+
+        After a loss of power sidecars need one before the platform can be asked.
+        """
         replica = self.replica
         if replica.soft_state == self._persisted_endpoint_list:
             return
@@ -134,32 +152,32 @@
         self._store.committer.append([record.SerializeToString()])
 
     async def wait_until(self, holds: Callable[[], bool], seconds: float) -> bool:
-        """Wait wait_until something holds, for so long at most."""
+        """Wait until a condition on the replica holds, at most `seconds`; return whether it does."""
         deadline = self.now() + seconds
         while not holds():
-            left = deadline - self.now()
-            if left <= 0:
+            remaining = deadline - self.now()
+            if remaining <= 0:
                 return False
             self.changed_event.clear()
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await self.changed_event.wait()
             except TimeoutError:
                 return holds()
         return True
 
     async def wait_for_leader(self, seconds: float) -> None:
-        """Until a leader is known, for so long at most."""
+        """Wait until a leader is known, at most `seconds`."""
         await self.wait_until(lambda: self.replica.leader is not None, seconds)
 
     def _notify(self) -> None:
-        """Tell the owner and whoever waits."""
+        """Log a change of role, and wake the owner and all that wait."""
         replica = self.replica
         if replica.soft_version and replica.soft_state:
             self._persist_endpoint_list()
-        leads = replica.state is State.LEADER
-        if leads != self._was_leader:
-            self._was_leader = leads
-            log_event("leader" if leads else "follower", term=replica.term)
-        self._changed()
+        is_leader = replica.state is State.LEADER
+        if is_leader != self._was_leader:
+            self._was_leader = is_leader
+            log_event("leader" if is_leader else "follower", term=replica.term)
+        self._on_change()
         self.changed_event.set()
--- a/wheatring/controller/consensus_store.py
+++ b/wheatring/controller/consensus_store.py
@@ -1,4 +1,4 @@
-"""What a controller keeps on its disk: its identity, term, vote and newest entry."""
+"""The consensus file of a controller: its identity, term, vote and newest entry."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from wheatring.transport.messages_pb2 import ConsensusRecord, ControlState, Entry, HardState, Member
 
 FILE_NAME = "consensus"
-REWRITE_ABOVE = 4 * 1024 * 1024  # bytes
+REWRITE_ABOVE_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(slots=True)
 class StoredState:
-    """What was found."""
+    """What the file held, the newest record of each kind."""
 
     replica_id: str
     hard_state: HardState
@@ -28,12 +28,12 @@
 
 
 def seed_member(address: str) -> Member:
-    """The identity of a seed in a new system, the same for all that know its address."""
+    """Return the identity of a seed in a new system, the same for all that know its address."""
     return Member(replica_id=f"seed-{address}", address=address)
 
 
 def first_entry(seeds: Sequence[str]) -> Entry:
-    """The entry that all seeds of a new system begin with."""
+    """Return the entry with which all seeds of a new system start."""
     ordered = sorted(seeds)
     cluster_id = hashlib.blake2b("\n".join(ordered).encode(), digest_size=8).hexdigest()
     entry = Entry(term=0, index=1, data=ControlState(cluster_id=cluster_id).SerializeToString())
@@ -42,7 +42,7 @@
 
 
 class ConsensusStore:
-    """The file of one controller."""
+    """The owner of the consensus file of one controller."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / FILE_NAME
@@ -50,32 +50,50 @@
         self.committer: Committer
 
     def open(
-        self, address: str, seeds: Sequence[str], bootstrap: bool, live: Callable[[], bytes]
+        self, address: str, seeds: Sequence[str], bootstrap: bool, live_record: Callable[[], bytes]
     ) -> StoredState:
-        """Read the file, or begin a new one. A damaged file counts as a lost disk. Raises DiskError."""
+        """Read the file, or start a new one. A damaged file counts as a lost disk.
+
+        Parameters
+        ----------
+        address
+            The IP address of this controller.
+        seeds
+            The IP addresses of the seeds.
+        bootstrap
+            Whether the system is new, so that a seed without a file may start from the first entry.
+        live_record
+            Gives the newest state as a record, for a rewrite of the file.
+
+        Raises
+        ------
+        DiskError
+            The file cannot be read or created.
+        """
         opened = open_or_set_aside(self._path)
         self._file = opened.file
-        loaded = StoredState("", HardState(), Entry())
+        stored = StoredState("", HardState(), Entry())
         for payload in opened.payloads:
             record = ConsensusRecord.FromString(payload)
-            loaded.replica_id = record.replica_id or loaded.replica_id
+            stored.replica_id = record.replica_id or stored.replica_id
             if record.HasField("hard_state"):
-                loaded.hard_state = record.hard_state
+                stored.hard_state = record.hard_state
             if record.HasField("entry"):
-                loaded.entry = record.entry
+                stored.entry = record.entry
             if record.soft_state:
-                loaded.soft_version, loaded.soft_state = record.soft_version, record.soft_state
-        if not loaded.replica_id:
-            loaded = self._initialize(address, seeds, bootstrap and not opened.damaged)
-        replica_id = loaded.replica_id
+                stored.soft_version, stored.soft_state = record.soft_version, record.soft_state
+        if not stored.replica_id:
+            stored = self._initialize(address, seeds, bootstrap and not opened.damaged)
+        replica_id = stored.replica_id
         self.committer = Committer(
             self._file,
-            lambda: [ConsensusRecord(replica_id=replica_id).SerializeToString(), live()],
-            REWRITE_ABOVE,
+            lambda: [ConsensusRecord(replica_id=replica_id).SerializeToString(), live_record()],
+            REWRITE_ABOVE_BYTES,
         )
-        return loaded
+        return stored
 
     def _initialize(self, address: str, seeds: Sequence[str], bootstrap: bool) -> StoredState:
+        """Write a new identity. It is on disk before this replica speaks to another one."""
         record = ConsensusRecord(replica_id=secrets.token_hex(8))
         if bootstrap and address in seeds:
             record.replica_id = seed_member(address).replica_id
--- a/wheatring/controller/presence_table.py
+++ b/wheatring/controller/presence_table.py
@@ -1,4 +1,4 @@
-"""What processes have said of themselves: storage replicas, controllers without a vote, and others."""
+"""The newest presence message of each controller and storage replica: who is there, and in what condition."""
 
 from __future__ import annotations
 
@@ -6,37 +6,38 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from wheatring.consensus.types import NEVER_SECONDS
 from wheatring.controller.storage_membership import StorageReport
 from wheatring.transport.messages_pb2 import ROLE_CONTROLLER, ROLE_STORAGE, Member, Presence, StorageMember
 
-FORWARD_INTERVAL_SECONDS = 0.3  # between two words of one process that are passed on to the leader
-PRESENCE_TIMEOUT_SECONDS = 3.0  # after which a process is not passed on, and a learner is given up
-EXPIRY_SECONDS = 30.0
+FORWARD_INTERVAL_SECONDS = 0.3  # between two unchanged presences of one process sent on to the leader
+PRESENCE_TIMEOUT_SECONDS = 3.0  # after which a presence is not forwarded, and a learner is removed
+EXPIRY_SECONDS = 30.0  # after which a process is forgotten
 
 
 class PresenceChange(Enum):
-    """What a presence has brought."""
+    """What a presence message has brought."""
 
     NONE = "older than what was known"
-    WORD = "the process still speaks"
-    CHANGE = "the process is new, whole for another epoch, or about to end"
+    REFRESH = "the process is still there"
+    CHANGE = "the process is new, complete for another epoch, or about to shut down"
 
 
 @dataclass(slots=True)
 class PresenceRecord:
-    """A presence and when it came here."""
+    """A presence message and when it was received and forwarded."""
 
     presence: Presence
-    at: float
-    forwarded_at: float = -1e9
+    received_at: float
+    forwarded_at: float = NEVER_SECONDS
 
     def age(self, now: float) -> float:
-        """Seconds since the process itself spoke."""
-        return now - self.at + self.presence.age_ms / 1000
+        """Return the seconds since the process itself sent the message."""
+        return now - self.received_at + self.presence.age_ms / 1000
 
 
 def member_of(presence: Presence) -> Member:
-    """A controller as it has described itself."""
+    """Return a controller as it has described itself."""
     return Member(
         replica_id=presence.replica_id,
         node=presence.node,
@@ -46,88 +47,95 @@
 
 
 class PresenceTable:
-    """The newest word of each process."""
+    """The newest presence of each process, by replica identity.
+
+    Every controller has one. Those that follow forward what they receive to the leader, since a process
+    sends its presence to one controller only. Times are seconds on the steady clock of the event loop.
+    """
 
     def __init__(self) -> None:
-        self._known: dict[str, PresenceRecord] = {}
+        self._records: dict[str, PresenceRecord] = {}
         self._storage_since: float | None = None
 
-    def heard(self, presence: Presence, now: float) -> PresenceChange:
-        """Take a presence in."""
+    def update(self, presence: Presence, now: float) -> PresenceChange:
+        """Take in a presence message, unless a newer one of the process is known."""
         if presence.role not in (ROLE_CONTROLLER, ROLE_STORAGE):
             return PresenceChange.NONE
         if presence.role == ROLE_STORAGE and self._storage_since is None:
             self._storage_since = now
-        known = self._known.get(presence.replica_id)
-        spoken_at = now - presence.age_ms / 1000
-        if known is not None and spoken_at <= now - known.age(now):
+        known = self._records.get(presence.replica_id)
+        sent_at = now - presence.age_ms / 1000
+        if known is not None and sent_at <= now - known.age(now):
             return PresenceChange.NONE
-        changed = (
+        is_changed = (
             known is None
             or known.presence.whole_epoch != presence.whole_epoch
             or known.presence.leaving != presence.leaving
         )
-        forwarded_at = -1e9 if changed or known is None else known.forwarded_at
-        self._known[presence.replica_id] = PresenceRecord(presence, now, forwarded_at)
-        return PresenceChange.CHANGE if changed else PresenceChange.WORD
+        forwarded_at = NEVER_SECONDS if is_changed or known is None else known.forwarded_at
+        self._records[presence.replica_id] = PresenceRecord(presence, now, forwarded_at)
+        return PresenceChange.CHANGE if is_changed else PresenceChange.REFRESH
 
     def get(self, replica_id: str) -> Presence | None:
-        """What a process has said last."""
-        known = self._known.get(replica_id)
+        """Return the newest presence of a process, or None."""
+        known = self._records.get(replica_id)
         return known.presence if known is not None else None
 
-    def forget_old(self, now: float) -> None:
-        """Drop those that have not spoken for long."""
-        for replica_id in [i for i, known in self._known.items() if known.age(now) > EXPIRY_SECONDS]:
-            del self._known[replica_id]
-
-    def to_forward(self, now: float) -> Iterator[Presence]:
-        """Words that the leader has not been told yet, each with its age."""
-        for known in self._known.values():
-            told = known.at <= known.forwarded_at or now - known.forwarded_at < FORWARD_INTERVAL_SECONDS
-            if told or known.age(now) > PRESENCE_TIMEOUT_SECONDS:
+    def expire(self, now: float) -> None:
+        """Forget the processes that have sent nothing for a long time."""
+        for replica_id in [i for i, record in self._records.items() if record.age(now) > EXPIRY_SECONDS]:
+            del self._records[replica_id]
+
+    def due_for_forwarding(self, now: float) -> Iterator[Presence]:
+        """Yield the presences that the leader is to be sent now, each with its age; notes them as sent."""
+        for record in self._records.values():
+            is_forwarded = (
+                record.received_at <= record.forwarded_at
+                or now - record.forwarded_at < FORWARD_INTERVAL_SECONDS
+            )
+            if is_forwarded or record.age(now) > PRESENCE_TIMEOUT_SECONDS:
                 continue
-            known.forwarded_at = now
+            record.forwarded_at = now
             presence = Presence()
-            presence.CopyFrom(known.presence)
-            presence.age_ms = int(known.age(now) * 1000)
+            presence.CopyFrom(record.presence)
+            presence.age_ms = int(record.age(now) * 1000)
             yield presence
 
     def controllers(self, now: float) -> dict[str, Member]:
-        """Controllers that have spoken lately."""
+        """Return the controllers that are there and stay, by identity."""
         return {
-            replica_id: member_of(known.presence)
-            for replica_id, known in self._known.items()
-            if known.presence.role == ROLE_CONTROLLER
-            and known.age(now) < PRESENCE_TIMEOUT_SECONDS
-            and not known.presence.leaving
+            replica_id: member_of(record.presence)
+            for replica_id, record in self._records.items()
+            if record.presence.role == ROLE_CONTROLLER
+            and record.age(now) < PRESENCE_TIMEOUT_SECONDS
+            and not record.presence.leaving
         }
 
     def leaving_controllers(self, now: float) -> set[str]:
-        """Nodes whose controllers have said that they are about to end."""
+        """Return the nodes whose controllers have announced that they are about to shut down."""
         return {
-            known.presence.node
-            for known in self._known.values()
-            if known.presence.role == ROLE_CONTROLLER
-            and known.presence.leaving
-            and known.age(now) < PRESENCE_TIMEOUT_SECONDS
+            record.presence.node
+            for record in self._records.values()
+            if record.presence.role == ROLE_CONTROLLER
+            and record.presence.leaving
+            and record.age(now) < PRESENCE_TIMEOUT_SECONDS
         }
 
     def storage_known_for(self, now: float) -> float:
-        """Seconds since the first storage replica has spoken here."""
+        """Return the seconds since the first storage replica was heard from; 0 before that."""
         return now - self._storage_since if self._storage_since is not None else 0.0
 
     def storage(self, now: float) -> dict[str, StorageReport]:
-        """Storage replicas; of two at one address the one that spoke last is there."""
+        """Return the storage replicas by identity; of two at one address, the one heard from last."""
         newest: dict[str, StorageReport] = {}
-        for replica_id, known in self._known.items():
-            presence = known.presence
+        for replica_id, record in self._records.items():
+            presence = record.presence
             if presence.role != ROLE_STORAGE:
                 continue
             member = StorageMember(
                 replica_id=replica_id, node=presence.node, address=presence.address, zone=presence.zone
             )
-            report = StorageReport(member, presence.whole_epoch, known.age(now), presence.leaving)
+            report = StorageReport(member, presence.whole_epoch, record.age(now), presence.leaving)
             other = newest.get(member.address)
             if other is None or report.age < other.age:
                 newest[member.address] = report
--- a/wheatring/lab/control/storage_model.py
+++ b/wheatring/lab/control/storage_model.py
@@ -55,7 +55,7 @@
     unsynced: list[StorageRecord] = field(default_factory=list)
     fence: int = 0
     synced_fence: int = 0
-    whole_epoch: int = 0
+    complete_epoch: int = 0
     placement: Placement = field(default_factory=Placement)  # the newest that it has heard of
     copied_epoch: int = 0  # the epoch of the copy under way
     copied_from: set[str] = field(default_factory=set)
@@ -225,12 +225,12 @@
         """A store does the next step that the newest placement it knows asks of it."""
         placement = store.placement
         named = any(member.replica_id == store.replica_id for member in placement.next)
-        if not named or store.whole_epoch >= placement.epoch:
+        if not named or store.complete_epoch >= placement.epoch:
             return
         if store.fence < placement.epoch:
             self._fence(store, placement.epoch)
         if needs_no_copy(store.replica_id, placement, self.rules.losses):
-            store.whole_epoch = placement.epoch
+            store.complete_epoch = placement.epoch
             return
         if store.copied_epoch != placement.epoch:
             store.copied_epoch, store.copied_from = placement.epoch, set()
@@ -242,7 +242,7 @@
             store.copied_from.add(source.replica_id)
         if len(store.copied_from) >= needed:
             store.sync()
-            store.whole_epoch = placement.epoch
+            store.complete_epoch = placement.epoch
 
     def _fence(self, store: Store, epoch: int) -> None:
         store.fence = epoch
@@ -276,13 +276,13 @@
         """The leader hears from a store; what it heard of another replica at its address is gone."""
         for replica_id in [i for i, r in self.reports.items() if r.member.address == store.name]:
             del self.reports[replica_id]
-        self.reports[store.replica_id] = StorageReport(store.member(), store.whole_epoch, 0.1)
+        self.reports[store.replica_id] = StorageReport(store.member(), store.complete_epoch, 0.1)
 
     def _grow_old(self) -> None:
         """Some reports are not repeated for long."""
         for replica_id, report in list(self.reports.items()):
             if self.random.random() < 0.3:
-                self.reports[replica_id] = StorageReport(report.member, report.whole_epoch, OLD_REPORT)
+                self.reports[replica_id] = StorageReport(report.member, report.complete_epoch, OLD_REPORT)
 
     def _decide(self) -> None:
         self.decide()
@@ -292,7 +292,7 @@
         reported = self.reports
         if not self.rules.change_needs_whole and self.placement.next:
             reported = {
-                i: StorageReport(r.member, max(r.whole_epoch, self.placement.epoch), r.age)
+                i: StorageReport(r.member, max(r.complete_epoch, self.placement.epoch), r.age)
                 for i, r in reported.items()
             }
         placement = next_placement(self.state, reported, self.rules.losses, 99.0, 99.0)
@@ -314,7 +314,7 @@
 
     def crash(self, store: Store) -> None:
         """Power is lost and comes back: what was not synced is gone."""
-        fresh = Store(store.name, store.replica_id, synced=store.synced, whole_epoch=store.whole_epoch)
+        fresh = Store(store.name, store.replica_id, synced=store.synced, complete_epoch=store.complete_epoch)
         fresh.fence = fresh.synced_fence = store.synced_fence
         for record in fresh.synced:
             fresh.table.apply(record, 0.0)
@@ -339,7 +339,7 @@
         if not placement.next:
             return any(m.replica_id == store.replica_id and not m.lost for m in placement.current)
         whole = all(
-            self._is_present(m) and self.stores[m.address].whole_epoch >= placement.epoch
+            self._is_present(m) and self.stores[m.address].complete_epoch >= placement.epoch
             for m in placement.next
         )
         return whole and any(m.replica_id == store.replica_id for m in placement.next)
