--- /dev/null
+++ b/tests/peers/test_recorded_frames.py
@@ -0,0 +1,92 @@
+"""The wire format between sidecars, against frames recorded from the version of 1 December."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from wheatring.core.clock import Clock
+from wheatring.lease.bodies import digest
+from wheatring.lease.words import Ask, Ballot, Beat
+from wheatring.members.words import SUSPECT, News, Ping, Rumour, Who
+from wheatring.peers.body_transfer import _REPLY_HEAD, _REQUEST_HEAD, BodyRequest, BodyTransfers
+from wheatring.peers.datagram_codec import DatagramCodec
+
+RECORDED = json.loads((Path(__file__).parent / "data" / "recorded_frames.json").read_text(encoding="utf-8"))
+KEY = bytes(range(32))
+START_MS = 1764600000000
+BODY = b"a plan of the fleet"
+MESSAGES = {
+    "Ping": Ping(
+        7,
+        (Rumour(Who("c", "10.0.0.3", 7003, 2, 1, "z1", 99), 4, SUSPECT, "a"),),
+        (News("list/0", 12, "a"),),
+    ),
+    "Ask": Ask("list/0", Ballot(3, "a", START_MS), 2, 77),
+    "Beat": Beat("list", 12, 5, 901, ("n1", "n2"), 0.25, ("c", "d")),
+}
+
+
+def codec(name: str, *keys: bytes, messages: Any = None) -> DatagramCodec:
+    if messages is None:
+        return DatagramCodec("fleet-1", name, START_MS, keys)
+    return DatagramCodec("fleet-1", name, START_MS, keys, messages)
+
+
+@pytest.mark.parametrize("has_key", [True, False])
+def test_a_recorded_datagram_is_encoded_and_decoded_alike(has_key: bool) -> None:
+    keys = (KEY,) if has_key else ()
+    sender, receiver = codec("a", *keys), codec("b", *keys)
+    recorded = [each for each in RECORDED["datagrams"] if each["sealed_with_key"] == has_key]
+    assert [each["kind"] for each in recorded] == list(MESSAGES)
+    for each in recorded:
+        data, message = bytes.fromhex(each["datagram"]), MESSAGES[each["kind"]]
+        assert receiver.decode(0.0, data) == ("a", message)
+        assert sender.encode(message) == data
+
+
+def test_a_recorded_body_request_is_encoded_and_answered_alike() -> None:
+    request = bytes.fromhex(RECORDED["body_request"])
+    encoded = codec("a", KEY, messages=BodyRequest).encode(BodyRequest(digest(BODY)))
+    assert _REQUEST_HEAD.pack(len(encoded)) + encoded == request
+    receiver = codec("b", KEY, messages=BodyRequest)
+    transfers = BodyTransfers(None, Clock(_Reactor()), receiver, {digest(BODY): BODY}.get, lambda *_: None)
+    sender = transfers.buildProtocol(None)
+    sender.transport = _Transport()
+    sender.connectionMade()
+    sender.dataReceived(request)
+    assert sender.transport.written == bytes.fromhex(RECORDED["body_reply"])
+
+
+def test_a_recorded_reply_has_its_head_and_body() -> None:
+    reply = bytes.fromhex(RECORDED["body_reply"])
+    assert _REPLY_HEAD.unpack_from(reply) == (1, len(BODY)) and reply[_REPLY_HEAD.size :] == BODY
+    assert _REPLY_HEAD.pack(0, 0) == bytes.fromhex(RECORDED["no_body_reply"])
+
+
+class _Reactor:
+    def seconds(self) -> float:
+        return 0.0
+
+    def callLater(self, *_: object) -> object:
+        return None
+
+
+class _Transport:
+    def __init__(self) -> None:
+        self.written = b""
+
+    def setTcpNoDelay(self, enabled: bool) -> None:
+        assert enabled
+
+    def write(self, data: bytes) -> None:
+        self.written += data
+
+    def loseConnection(self) -> None:
+        return
+
+    def abortConnection(self) -> None:
+        raise AssertionError("it was rejected")
--- a/wheatring/__main__.py
+++ b/wheatring/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wheatring`: serves, or carries out the command that is named."""
+"""`python -m wheatring`: serves, or runs the command that is named."""
 
 from __future__ import annotations
 
@@ -9,28 +9,36 @@
 
 
 def parse_simple(words: Sequence[str]) -> tuple[str | None, bool, str | None] | None:
-    """The operators' file, whether to capture, and the project's own file, where nothing else is said. None:
-    it takes the parser, for which a sidecar that starts anew should not wait.
+    """Read the arguments of a sidecar that serves, where they are written plainly.
+
+    Returns
+    -------
+    tuple[str | None, bool, str | None] | None
+        The path of the operators' file, whether to capture, and the path of the project's own file; a class
+        of its own would cost each start its compilation. None: it takes the parser, whose import a sidecar
+        that restarts should not wait for.
     """
-    file, capture, own, rest = None, False, None, list(words)
+    operators_path, capture, configuration_path, rest = None, False, None, list(words)
     while rest:
         word = rest.pop(0)
         if word == "--capture":
             capture = True
         elif word == "--operators" and rest and not rest[0].startswith("-"):
-            file = rest.pop(0)
+            operators_path = rest.pop(0)
         elif word == "--config" and rest and not rest[0].startswith("-"):
-            own = rest.pop(0)
+            configuration_path = rest.pop(0)
         else:
             return None
-    return file, capture, own
+    return operators_path, capture, configuration_path
 
 
 def main(argv: Sequence[str] | None = None) -> int:
+    """Run the program; return its exit status."""
     words = sys.argv[1:] if argv is None else argv
-    told = parse_simple(words)
-    if told is not None:
-        return serving.serve(operator_properties.find(told[0]), told[1], told[2])
+    simple = parse_simple(words)
+    if simple is not None:
+        operators_path, capture, configuration_path = simple
+        return serving.serve(operator_properties.find(operators_path), capture, configuration_path)
     from wheatring import commands
 
     args = commands.parser().parse_args(words)
--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -69,7 +69,7 @@
 
 def config_check(args: argparse.Namespace) -> int:
     from wheatring.config import FileError
-    from wheatring.daemon.sidecar import read_configuration
+    from wheatring.daemon.configuration import read_configuration
 
     try:
         read_configuration(args.file)
--- /dev/null
+++ b/wheatring/daemon/configuration.py
@@ -0,0 +1,119 @@
+"""Reads the files of one sidecar: the project's own one at the start, and all of them again at SIGHUP.
+
+A file that can't be used changes nothing of what it is for.
+"""
+
+from __future__ import annotations
+
+import os
+from collections.abc import Mapping
+from typing import TYPE_CHECKING
+
+from wheatring import config, log, operator_properties
+
+if TYPE_CHECKING:  # imported only where there is a file
+    from wheatring.config.file import File
+    from wheatring.daemon.sidecar import Sidecar
+    from wheatring.lifecycle.asking import Pace
+
+
+def read_configuration(path: str | None) -> File | None:
+    """Read the configuration file; None where there is none.
+
+    Raises
+    ------
+    config.FileError
+        It can't be used.
+    """
+    if path is None:
+        return None
+    from wheatring.config import file
+
+    return file.read(path, first_invalid_route)
+
+
+def first_invalid_route(configuration: File) -> tuple[str, str] | None:
+    """Return the first key of a route that the routing table rejects, and why; None where there is none."""
+    if not configuration.route:
+        return None
+    from wheatring.pools.route_tables import first_invalid_key
+
+    return first_invalid_key(configuration)
+
+
+def list_pace(configuration: File) -> Pace:
+    """Return how often the endpoint list may be asked for, as the file says."""
+    from wheatring.lifecycle.asking import Pace
+
+    asking = configuration.list
+    return Pace(asking.first_per_s, asking.first_longest, asking.per_s, asking.likely_per_s)
+
+
+def temporary_folder() -> str:
+    """Return the folder that the platform gives, the same for two processes of one sidecar."""
+    return os.environ.get("TMPDIR") or "/tmp"
+
+
+def reload_all(sidecar: Sidecar, environment: Mapping[str, str], operators_path: str | None) -> None:
+    """Read the operators', the project's and the platform's file again, in this order."""
+    reload_operators(sidecar, operators_path)
+    reload_configuration(sidecar)
+    reload_platform(sidecar, environment)
+
+
+def reload_operators(sidecar: Sidecar, path: str | None) -> None:
+    """Read the operators' file again."""
+    try:
+        properties = operator_properties.read(path)
+    except operator_properties.OperatorsError as error:
+        log.line("operators-not-reloaded", why=str(error), code=error.code)
+        return
+    if path is not None:
+        sidecar.record("config", "operators")
+    if properties != sidecar.operators:
+        log.line("operators-reloaded")
+        sidecar.apply_operators(properties)
+
+
+def reload_configuration(sidecar: Sidecar) -> None:
+    """Read the project's own file again, where there is one."""
+    try:
+        configuration = read_configuration(sidecar.configuration_path)
+        if configuration is None:
+            return
+        _reload_features(sidecar, configuration)
+    except config.FileError as error:
+        log.line("config-not-reloaded", why=str(error), code=error.code)
+    else:
+        sidecar.machine_list.asking.pace = list_pace(configuration)
+        log.line("config-reloaded")
+
+
+def _reload_features(sidecar: Sidecar, configuration: File) -> None:
+    """Let pools and fleet take up the file; FileError where they take up nothing of it."""
+    pools = sidecar.pools
+    if (pools is None) != (not configuration.route):
+        raise config.RestartOnly("route: routes are taken up, and given up, by a start only")
+    if pools is not None and (why := pools.rejection(configuration)):  # before the fleet has changed anything
+        raise config.FileError(why)
+    if sidecar.fleet is not None:
+        from wheatring.peers.reload import reload_fleet
+
+        reload_fleet(sidecar.fleet, configuration)
+    elif configuration.fleet is not None:
+        raise config.RestartOnly("fleet: is taken up by a start only")
+    if pools is not None:
+        pools.reload(configuration, list_pace(configuration))
+
+
+def reload_platform(sidecar: Sidecar, environment: Mapping[str, str]) -> None:
+    """Read the platform's file again: of it, only the address of discovery changes without a restart."""
+    try:
+        platform = config.read(environment, again=True)
+    except config.ConfigError as error:
+        log.line("not-reloaded", why=str(error), code=error.code)
+        return
+    sidecar.record("config", "platform")
+    log.line("reloaded", discovery=":".join(map(str, platform.discovery)))
+    if not sidecar.server.stopping:
+        sidecar.machine_list.move(platform.discovery)
--- /dev/null
+++ b/wheatring/daemon/features.py
@@ -0,0 +1,126 @@
+"""The optional parts of a sidecar.
+
+Each function adds one: it imports the part, so that a sidecar without it loads nothing of it, sets it in the
+sidecar, and registers its end in `Sidecar.cleanup`. Those that stand between the endpoint list and its
+receiver return the new receiver.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+from wheatring import config
+from wheatring.daemon.configuration import list_pace, temporary_folder
+
+if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
+    from wheatring.balancer.interface import View
+    from wheatring.config.file import File
+    from wheatring.core.body import Room
+    from wheatring.daemon.sidecar import Sidecar
+
+    OnView = Callable[[View], None]
+
+
+def add_pools(
+    sidecar: Sidecar, configuration: File, max_node_connections: int, body_room: Room, capture: bool
+) -> OnView:
+    """Serve by several pools, and routes to them. The one endpoint list goes to all that use it.
+
+    Raises
+    ------
+    config.FileError
+        The routes don't go with the rest.
+    """
+    from wheatring.pools.connection_budget import ConnectionBudget
+    from wheatring.pools.pool_set import PoolSet
+    from wheatring.pools.routed_pool import PoolEnvironment
+
+    path = sidecar.configuration_path
+    assert path is not None
+    if capture:
+        raise config.FileError(f"{path}: route: not with --capture, which records one pool's decisions")
+    platform = sidecar.platform
+    environment = PoolEnvironment(
+        reactor=sidecar.reactor,
+        clock=sidecar.clock,
+        front=sidecar.exchange,
+        settings=platform.settings,
+        seed=platform.seed,
+        plain=sidecar.serving,
+        budget=ConnectionBudget(max_node_connections),
+        body_room=body_room,
+    )
+    pools = sidecar.pools = PoolSet(environment, sidecar.server, list_pace(configuration), path)
+    pools.start(configuration)
+    sidecar.cleanup.callback(pools.stop)
+    return pools.on_list
+
+
+def add_admin(sidecar: Sidecar, on_view: OnView) -> OnView:
+    """Let operators call this sidecar; what discovery says of endpoints passes what they have ordered."""
+    from wheatring.admin.desk import Desk
+    from wheatring.admin.door import Door
+    from wheatring.lifecycle.byhand import ByHand
+    from wheatring.lifecycle.handover import Folder
+
+    if sidecar.pools is None:
+        overrides = ByHand(on_view)
+    else:
+        from wheatring.pools.manual_overrides import AllPoolsOverrides
+
+        overrides = AllPoolsOverrides(on_view, sidecar.pools)
+    folder = Folder(temporary_folder(), sidecar.platform.name, round(sidecar.clock.now() * 1e9))
+    desk = sidecar.desk = Desk(
+        sidecar.clock, folder, overrides, sidecar.server, sidecar.connection_limit,
+        sidecar.connections_in_use, sidecar.set_connection_limit, sidecar.listen,
+    )  # fmt: skip
+    door = sidecar.door = Door(sidecar.reactor, sidecar.clock, desk)
+    sidecar.cleanup.callback(desk.stop)
+    sidecar.cleanup.callback(door.close)
+    return overrides.view
+
+
+def add_audit(sidecar: Sidecar) -> None:
+    """Keep the audit log."""
+    from wheatring.ops.audit import Audit
+
+    sidecar.audit = Audit(sidecar.platform.name, sidecar.clock, sidecar.first_operators.audit.file)
+    sidecar.cleanup.callback(sidecar.audit.close)
+
+
+def add_fleet(sidecar: Sidecar, configuration: File, on_view: OnView) -> OnView:
+    """Exchange messages with the other sidecars, and carry out the duties that this one acquires."""
+    from wheatring.admin.calls import PLAN
+    from wheatring.peers.assembly import build_fleet
+    from wheatring.peers.operator_calls import PlanCalls, duty_calls
+
+    set_weights = None if sidecar.pools is None else sidecar.pools.router.apply_plan_weights
+    fleet, sharing = build_fleet(
+        sidecar.reactor, sidecar.clock, sidecar.platform, configuration, on_view, set_weights
+    )
+    sidecar.fleet, sidecar.list_sharing = fleet, sharing
+    if sidecar.desk is not None:
+        sidecar.desk.fleet = duty_calls(fleet, configuration)
+        if configuration.plan is not None and sidecar.door is not None:
+            sidecar.desk.plans = PlanCalls(fleet)
+            sidecar.door.body = PLAN
+    sidecar.cleanup.callback(fleet.close)
+    return on_view if sharing is None else sharing.on_list
+
+
+def add_capture(sidecar: Sidecar) -> None:
+    """Record all decisions, with what they were made from."""
+    from wheatring.ops.capture import record
+    from wheatring.ops.capture.ring import Ring
+
+    options, platform, clock = sidecar.first_operators.capture, sidecar.platform, sidecar.clock
+    folder = options.folder or temporary_folder()
+    is_shared = platform.control is not None
+    ring = sidecar.ring = Ring(folder, platform.name, options.files, options.size, clock, shared=is_shared)
+    sidecar.cleanup.callback(ring.close)
+    for line in record.header(platform.name, platform.seed, clock.unix_offset, platform.given):
+        ring.write(line)
+    sidecar.driver.balancer = record.Recorder(
+        sidecar.serving.balancer, clock.unix_offset, ring.write, sidecar.driver.ident, sidecar.pool.idle_at
+    )
--- /dev/null
+++ b/wheatring/daemon/shutdown.py
@@ -0,0 +1,64 @@
+"""The graceful shutdown of one sidecar: what has arrived is answered, as far as that is worth its time."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from wheatring import log
+from wheatring.lifecycle.leaving import Leaving
+
+if TYPE_CHECKING:
+    from wheatring.daemon.sidecar import Sidecar
+
+SHUTDOWN_POLL_SECONDS = 0.02  # between two looks at what is still to be done before the process ends
+
+
+class GracefulShutdown:
+    """Runs from the stop signal to the end of the process. `leaving` decides, this carries out."""
+
+    def __init__(self, sidecar: Sidecar) -> None:
+        self.sidecar = sidecar
+        desk = sidecar.desk
+        settings = sidecar.platform.settings
+        self.leaving = Leaving(
+            sidecar.clock.now(),
+            settings.classes,
+            settings.copies,
+            sidecar.exchange.usual,
+            len(sidecar.server.standing()),
+            followed=desk is not None and desk.followed,
+        )
+
+    def run(self) -> None:
+        """Do what is due by now, and again after a moment, until nothing is open."""
+        sidecar, leaving, server = self.sidecar, self.leaving, self.sidecar.server
+        now = sidecar.clock.now()
+        if server.port is None:
+            self._close_connections(now)
+            if not leaving.goes_on(now, sidecar.exchange.left(now)):
+                self._cut_short(now)
+                if not server.connections:
+                    sidecar.finish()
+                    return
+        elif leaving.shut(now, server.came_at, server.full):
+            server.shut()
+        else:
+            server.shed(leaving.keep(now), leaving.rested)
+        sidecar.clock.at(now + SHUTDOWN_POLL_SECONDS, self.run)
+
+    def _close_connections(self, now: float) -> None:
+        """Close callers' connections between requests, all of them once the time is up."""
+        leaving, server = self.leaving, self.sidecar.server
+        if keep := leaving.keep(now):
+            server.shed(keep, leaving.rested)
+        else:
+            is_late = now >= leaving.last
+            server.close_between(patient=leaving.followed and not is_late, late=is_late)
+
+    def _cut_short(self, now: float) -> None:
+        """Give up the requests that are still open."""
+        exchange, leaving = self.sidecar.exchange, self.leaving
+        if exchange.open:
+            log.line("cut-short", open=exchange.open, after=now - leaving.told)
+            self.sidecar.server.cut_short = True
+            exchange.give_up(leaving)
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -11,7 +11,8 @@
 from wheatring.balancer.policy import Balancer
 from wheatring.core.driver import Driver
 from wheatring.core.exchange import Exchange, Job
-from wheatring.daemon.sidecar import NODE_CONNECTION_SHARE, RESERVED_DESCRIPTORS, SHUTDOWN_POLL_SECONDS
+from wheatring.daemon.shutdown import SHUTDOWN_POLL_SECONDS
+from wheatring.daemon.sidecar import NODE_CONNECTION_SHARE, RESERVED_DESCRIPTORS
 from wheatring.lab.book import Book
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
--- a/wheatring/lazy_imports.py
+++ b/wheatring/lazy_imports.py
@@ -1,5 +1,6 @@
-"""Modules that the service path never uses, though what it imports does: they are loaded once they are asked
-for anything.
+"""Defers the import of modules that what the service path imports uses, but the service path itself never.
+
+They are loaded at their first use.
 """
 
 from __future__ import annotations
@@ -19,10 +20,11 @@
 
 
 class DeferredModule(ModuleType):
-    """One that has not been asked for anything yet."""
+    """A module of which nothing has been used yet; the first use makes it an ordinary one."""
 
     def __getattr__(self, name: str) -> object:
-        spec, loader = self.__spec__, self.__dict__.pop("loads")
+        """Load the module, and return what is used of it."""
+        spec, loader = self.__spec__, self.__dict__.pop("deferred_loader")
         assert spec is not None
         self.__class__ = ModuleType  # type: ignore[assignment]  # an ordinary one from now on
         self.__loader__ = spec.loader = loader
@@ -31,16 +33,16 @@
 
 
 class _Loader:
-    """Makes the module, and leaves the rest for later."""
+    """Makes a module and leaves its execution to the first use. `loader` is the real one."""
 
-    def __init__(self, loads: Any) -> None:
-        self.loads = loads
+    def __init__(self, loader: Any) -> None:
+        self.loader = loader
 
-    def create_module(self, spec: ModuleSpec) -> None:
-        return None  # an ordinary one: to give it its names, the import asks it for some
+    def create_module(self, spec: ModuleSpec) -> None:  # noqa: ARG002 - the import system's signature
+        return None  # an ordinary one: to give it its names, the import uses some of its attributes
 
     def exec_module(self, module: ModuleType) -> None:
-        module.__dict__["loads"] = self.loads
+        module.__dict__["deferred_loader"] = self.loader
         module.__class__ = DeferredModule
 
 
@@ -48,7 +50,12 @@
     def __init__(self, names: tuple[str, ...]) -> None:
         self.names = names
 
-    def find_spec(self, name: str, path: Sequence[str] | None, target: object = None) -> ModuleSpec | None:
+    def find_spec(
+        self,
+        name: str,
+        path: Sequence[str] | None,
+        target: object = None,  # noqa: ARG002 - the import system's signature
+    ) -> ModuleSpec | None:
         spec = PathFinder.find_spec(name, path) if name in self.names else None
         if spec is not None and spec.loader is not None:
             spec.loader = _Loader(spec.loader)  # type: ignore[assignment]  # all that the import needs of one
@@ -56,5 +63,5 @@
 
 
 def defer(names: tuple[str, ...] = DEFERRED) -> None:
-    """From now on, importing one of these gives a module that loads itself at the first use."""
+    """Let imports of these modules, from now on, load them at their first use only."""
     sys.meta_path.insert(0, _Finder(names))
--- a/wheatring/log.py
+++ b/wheatring/log.py
@@ -1,4 +1,4 @@
-"""The log on standard output: one short line an entry, a code first, then name=value pairs."""
+"""The log on standard output: one short line an entry, its code first, then name=value pairs."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 Sink = Callable[[str, Mapping[str, object]], None]
 
-MAX_VALUE_CHARACTERS = 160  # of a value: what peers send must not flood the log
+MAX_VALUE_CHARACTERS = 160  # what peers send must not flood the log
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     if len(text) > MAX_VALUE_CHARACTERS:
         text = text[:MAX_VALUE_CHARACTERS] + "..."
@@ -21,28 +21,29 @@
 
 
 def format_entry(event: str, values: Mapping[str, object]) -> str:
-    """One entry as it stands in the log, without its line's end."""
-    pairs = "".join(f" {name}={_shown(value)}" for name, value in values.items())
+    """Format one entry, without its line's end."""
+    pairs = "".join(f" {name}={_format_value(value)}" for name, value in values.items())
     return f"{event}{pairs}"
 
 
-def _out(event: str, values: Mapping[str, object]) -> None:
+def _write(event: str, values: Mapping[str, object]) -> None:
     # A log that nobody reads must neither end the process nor stop it. One write a line: on a pipe it is
-    # whole or, when nobody reads and the pipe is full, fails at once.
+    # complete or, when nobody reads and the pipe is full, fails at once.
     with suppress(OSError):
         os.write(1, f"{format_entry(event, values)}\n".encode("ascii", "backslashreplace"))
 
 
-_sink: Sink = _out
+_sink: Sink = _write
 
 
 def line(event: str, /, **values: object) -> None:
+    """Log an entry: its code, and what it is about."""
     _sink(event, values)
 
 
 @contextmanager
 def redirected(sink: Sink) -> Iterator[None]:
-    """All entries go to `sink` instead: many sidecars in one process would write into one another's log."""
+    """Send all entries to `sink` meanwhile: many sidecars in one process would share one log."""
     global _sink
     before, _sink = _sink, sink
     try:
@@ -52,13 +53,13 @@
 
 
 def set_non_blocking() -> None:
-    """Guards against a reader that stalls: a full pipe would hold up the jobs, so its lines are dropped."""
+    """Drop lines when a reader stalls: a full pipe would otherwise block the requests."""
     if S_ISFIFO(os.fstat(1).st_mode):  # a terminal is shared with the shell, which needs it as it is
         os.set_blocking(1, False)
 
 
 def log_twisted_failure(event: Mapping[str, Any]) -> None:
-    """An observer for Twisted's own log: it catches what our callbacks raise, which must not go unseen."""
+    """Log what a callback of ours raised; an observer of Twisted's own log, which catches it."""
     failure = event.get("log_failure") or event.get("failure")  # the latter of a transport's callback
     if failure is not None:
         line("unexpected", why=repr(failure.value), where=failure.getTraceback()[-MAX_VALUE_CHARACTERS:])
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -1,28 +1,30 @@
-"""Puts the further deciders of one sidecar together: the same for the daemon and for the virtual fleet.
+"""Puts together the deciders of what a fleet agrees on: the same for the daemon and for the virtual fleet.
 
 Imported only with `[fleet] view = true`. No I/O.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
 
-from wheatring.lease.fleet import AnyWord, DutyPlan, Fleet, Instant, Piece
+from wheatring.lease.fleet import AnyWord, DutyPlan, Fleet, Instant, Out, Piece
 from wheatring.lease.register import LEAD
 from wheatring.lease.views import Views
 from wheatring.lease.words import RegisterWord
 from wheatring.members.words import AnyViewWord
+from wheatring.peers.options import PlanOptions
+from wheatring.peers.status_values import shown_age
 
 if TYPE_CHECKING:  # what belongs to plans is imported with them
     from wheatring.peers.plan_coordinator import PlanCoordinator
 
 LEADER_DUTY = DutyPlan(LEAD, voters=True)
 VIEW_MESSAGES: Any = AnyWord | RegisterWord | AnyViewWord
+UNREACHED_SECONDS = 3.0  # without an answer, after which a watched member is listed as not answering
 
 
 def messages_with_plans() -> Any:
-    """Those, and the words on plans."""
+    """Return the union of all message types, those of plans among them."""
     from wheatring.plan.messages import PushWord
     from wheatring.schedule.words import ScheduleWord
     from wheatring.skew.words import SkewWord
@@ -30,37 +32,33 @@
     return VIEW_MESSAGES | PushWord | SkewWord | ScheduleWord
 
 
-class PlanOptions(NamedTuple):
-    """What a sidecar that goes by the fleet's plan needs besides; see `planned.Planned`."""
-
-    formats: tuple[int, ...] | None
-    weigh: Callable[[str, Mapping[str, int]], None]
-    tell: Callable[[str, dict[str, Any]], None]
-    first: bytes = b""
-
-
 class Agreement:
-    """What one sidecar has of all that is agreed. `plan` None: who is there, and nothing else."""
+    """One sidecar's share in what the fleet agrees on: the view of its members, and its plan if there is one.
+
+    It adds its deciders to those of `fleet`.
+    """
 
     def __init__(self, at: Instant, fleet: Fleet, plan: PlanOptions | None = None) -> None:
         self.views = Views(at, fleet)
-        self.planned: PlanCoordinator | None = None
+        self.plan: PlanCoordinator | None = None
         if plan is not None:
             from wheatring.peers.plan_coordinator import PlanCoordinator
 
-            self.planned = PlanCoordinator(at, fleet, self.views, *plan)
+            self.plan = PlanCoordinator(at, fleet, self.views, plan)
         fleet.pieces += self.deciders
 
     @property
     def deciders(self) -> list[Piece]:
-        more = [] if self.planned is None else self.planned.deciders
-        return [self.views, self.views.register, *more]
+        """The deciders, in the order in which they receive events."""
+        of_plan = [] if self.plan is None else self.plan.deciders
+        return [self.views, self.views.register, *of_plan]
 
-    def leave(self, at: Instant) -> list[Any]:
+    def leave(self, at: Instant) -> list[Out]:
+        """Announce that this sidecar leaves the view."""
         return self.views.leave(at)
 
     def status(self, now: float) -> dict[str, Any]:
-        """For `GET /control/duties`."""
+        """Describe the view for `GET /control/duties`."""
         views = self.views
         age, wait = views.age(now), views.told_wait
         return {
@@ -70,7 +68,7 @@
             "names": sorted(views.view.names),
             "inside": views.inside,
             "sure": views.sure(now),
-            "age_s": None if age > 1e6 else round(age, 1),
+            "age_s": shown_age(age),
             "for_s": round(now - views.since, 1),
             "moved": views.moved,
             "leads": views.register.ready,
@@ -79,6 +77,6 @@
             "deaf": sorted(
                 name
                 for name, subject in views.watch.subjects.items()
-                if subject.looks > 2 and now - views.sides.get(name, -1e9) < 3.0
+                if subject.looks > 2 and now - views.sides.get(name, -1e9) < UNREACHED_SECONDS
             ),
         }
--- a/wheatring/peers/body_transfer.py
+++ b/wheatring/peers/body_transfer.py
@@ -1,11 +1,11 @@
-"""Bodies between sidecars: TCP, on the address and port that datagrams go to.
+"""Transfers bodies between sidecars, over TCP on the address and port that the datagrams go to.
 
-    asker   2 bytes length, then a sealed `Want`
-    giver   1 byte: 1 here it is, 0 I have none; then 4 bytes length, and the body
+    requester   2 bytes length, then an authenticated `BodyRequest`
+    sender      1 byte: 1 the body follows, 0 it has none; then 4 bytes length, and the body
 
-The digest that is asked for tells whether the body that comes is the right one, whole. A connection serves
-one body. Who asks is known by its seal; a seal of its own, so that a body that waits is not taken for an old
-datagram.
+The digest that is requested verifies that the body received is the right one and complete. A connection
+transfers one body. Requests are authenticated by a codec of their own: its sequence numbers are apart from
+those of the datagrams, so a request that queues for a connection is not taken for a replayed datagram.
 """
 
 from __future__ import annotations
@@ -23,98 +23,112 @@
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
 from wheatring.lease.bodies import LARGEST, Fetch, digest
-from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES as DATAGRAM
-from wheatring.peers.datagram_codec import DatagramCodec, DatagramRejectedError
+from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES, DatagramCodec
+from wheatring.peers.exceptions import DatagramRejectedError
 
-PATIENCE = 5.0  # seconds for one body
-GIVEN, ASKED = 12, 4  # connections at once: to give bodies, and to ask for them
-WAITING = 16  # fetches that wait for a place
-_ASK, _GIVE = Packed(">H"), Packed(">BI")
+TRANSFER_TIMEOUT_SECONDS = 5.0  # for one body
+MAX_SENDERS, MAX_REQUESTERS = 12, 4  # connections at once, by direction
+MAX_QUEUED = 16  # fetches that wait for a connection; more are left to their callers' next try
+_REQUEST_HEAD, _REPLY_HEAD = Packed(">H"), Packed(">BI")
 
 
 class BodyRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="want"):
+    """Asks a member for the body that a digest stands for."""
+
     digest: bytes
 
 
-class _Line(protocol.Protocol):
-    """What both ends are: bounded in time and bytes."""
+class _BodyConnection(protocol.Protocol):
+    """One end of a transfer, aborted when it exceeds `TRANSFER_TIMEOUT_SECONDS`."""
 
     transport: Any
 
-    def __init__(self, streams: BodyTransfers) -> None:
-        self.streams = streams
-        self.taken = bytearray()
-        self.late: Timer | None = None
+    def __init__(self, transfers: BodyTransfers) -> None:
+        self.transfers = transfers
+        self.buffer = bytearray()
+        self.timeout: Timer | None = None
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         self.transport.setTcpNoDelay(True)
-        clock = self.streams.clock
-        self.late = clock.at(clock.now() + PATIENCE, self.transport.abortConnection)
+        clock = self.transfers.clock
+        self.timeout = clock.at(clock.now() + TRANSFER_TIMEOUT_SECONDS, self.transport.abortConnection)
+
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's
+        if self.timeout is not None and self.timeout.active():
+            self.timeout.cancel()
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        if self.late is not None and self.late.active():
-            self.late.cancel()
 
+class _BodySender(_BodyConnection):
+    """The accepting end: reads one request, writes one reply."""
 
-class _Giver(_Line):
-    def connectionMade(self) -> None:
-        if len(self.streams.givers) >= GIVEN:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        if len(self.transfers.senders) >= MAX_SENDERS:
             self.transport.abortConnection()
             return
-        self.streams.givers.add(self)
+        self.transfers.senders.add(self)
         super().connectionMade()
 
-    def dataReceived(self, data: bytes) -> None:
-        self.taken += data
-        if len(self.taken) < _ASK.size:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        self.buffer += data
+        if len(self.buffer) < _REQUEST_HEAD.size:
             return
-        (length,) = _ASK.unpack_from(self.taken)
-        if length > DATAGRAM or len(self.taken) > _ASK.size + length:
+        (length,) = _REQUEST_HEAD.unpack_from(self.buffer)
+        if length > MAX_DATAGRAM_BYTES or len(self.buffer) > _REQUEST_HEAD.size + length:
             self.transport.abortConnection()
-        elif len(self.taken) == _ASK.size + length:
-            body = self.streams.given(bytes(self.taken[_ASK.size :]))
+        elif len(self.buffer) == _REQUEST_HEAD.size + length:
+            body = self.transfers.requested_body(bytes(self.buffer[_REQUEST_HEAD.size :]))
             if body is None:
-                self.transport.write(_GIVE.pack(0, 0))
+                self.transport.write(_REPLY_HEAD.pack(0, 0))
             else:
-                self.transport.write(_GIVE.pack(1, len(body)) + body)
+                self.transport.write(_REPLY_HEAD.pack(1, len(body)) + body)
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
         super().connectionLost(reason)
-        self.streams.givers.discard(self)
+        self.transfers.senders.discard(self)
 
 
-class _Asker(_Line):
-    def __init__(self, streams: BodyTransfers, fetch: Fetch) -> None:
-        super().__init__(streams)
+class _BodyRequester(_BodyConnection):
+    """The connecting end: writes one request, reads one reply."""
+
+    def __init__(self, transfers: BodyTransfers, fetch: Fetch) -> None:
+        super().__init__(transfers)
         self.fetch = fetch
         self.body: bytes | None = None
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         super().connectionMade()
-        word = self.streams.seal.encode(BodyRequest(self.fetch.digest))
-        self.transport.write(_ASK.pack(len(word)) + word)
+        request = self.transfers.codec.encode(BodyRequest(self.fetch.digest))
+        self.transport.write(_REQUEST_HEAD.pack(len(request)) + request)
 
-    def dataReceived(self, data: bytes) -> None:
-        self.taken += data
-        if len(self.taken) < _GIVE.size:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        self.buffer += data
+        if len(self.buffer) < _REPLY_HEAD.size:
             return
-        there, length = _GIVE.unpack_from(self.taken)
-        if not there or length > LARGEST or len(self.taken) > _GIVE.size + length:
+        has_body, length = _REPLY_HEAD.unpack_from(self.buffer)
+        if not has_body or length > LARGEST or len(self.buffer) > _REPLY_HEAD.size + length:
             self.transport.abortConnection()
-        elif len(self.taken) == _GIVE.size + length:
-            body = bytes(self.taken[_GIVE.size :])
+        elif len(self.buffer) == _REPLY_HEAD.size + length:
+            body = bytes(self.buffer[_REPLY_HEAD.size :])
             if digest(body) == self.fetch.digest:
                 self.body = body
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
         super().connectionLost(reason)
-        self.streams.done(self.fetch, self.body)
+        self.transfers.finish(self.fetch, self.body)
 
 
 class BodyTransfers(protocol.ServerFactory):
-    """`held` gives a body, `came` is told what came of each fetch."""
+    """Sends bodies that other sidecars request, and fetches those that this one lacks.
+
+    Parameters
+    ----------
+    body_of : Callable[[bytes], bytes | None]
+        Returns the body of a digest; None where this sidecar doesn't have it.
+    on_fetched : Callable[[bytes, bytes | None], object]
+        Called once a fetch with its digest, and the body or None.
+    """
 
     noisy = False
 
@@ -122,68 +136,72 @@
         self,
         reactor: Any,
         clock: Clock,
-        seal: DatagramCodec,
-        held: Callable[[bytes], bytes | None],
-        came: Callable[[bytes, bytes | None], object],
+        codec: DatagramCodec,
+        body_of: Callable[[bytes], bytes | None],
+        on_fetched: Callable[[bytes, bytes | None], object],
     ) -> None:
         self.reactor = reactor
         self.clock = clock
-        self.seal = seal
-        self.held = held
-        self.came = came
-        self.givers: set[_Giver] = set()
-        self.asking: dict[bytes, Fetch] = {}
-        self.waiting: dict[bytes, Fetch] = {}
+        self.codec = codec
+        self.body_of = body_of
+        self.on_fetched = on_fetched
+        self.senders: set[_BodySender] = set()
+        self.fetching: dict[bytes, Fetch] = {}  # by digest
+        self.queued: dict[bytes, Fetch] = {}  # by digest, in the order in which they came
         self.port: Any = None
         self.host = ""
-        self.over = False
-        self.taken = self.given_bytes = 0
+        self.is_closed = False
+        self.fetched_bytes = self.sent_bytes = 0
 
-    def buildProtocol(self, addr: object) -> _Giver:
-        return _Giver(self)
+    def buildProtocol(self, addr: object) -> _BodySender:  # noqa: N802, ARG002 - Twisted's name and argument
+        """Make the accepting end of a new connection."""
+        return _BodySender(self)
 
     def listen(self, host: str, port: int) -> None:
+        """Accept requests; CannotListenError where the port is taken."""
         self.host = host
         self.port = self.reactor.listenTCP(port, self, interface=host)
 
-    def given(self, sealed: bytes) -> bytes | None:
+    def requested_body(self, sealed_request: bytes) -> bytes | None:
+        """Return the body that a request asks for; None where it fails its check or there is no body."""
         try:
-            _, word = self.seal.decode(self.clock.now(), sealed)
-        except DatagramRejectedError as bad:
-            log.line("peer-dropped", cause=bad.cause, peer="stream", so_far=1)
+            _, request = self.codec.decode(self.clock.now(), sealed_request)
+        except DatagramRejectedError as rejected:
+            log.line("peer-dropped", cause=rejected.cause, peer="stream", so_far=1)
             return None
-        body = self.held(word.digest)
-        self.given_bytes += len(body or b"")
+        body = self.body_of(request.digest)
+        self.sent_bytes += len(body or b"")
         return body
 
     def fetch(self, fetch: Fetch) -> None:
-        """Ask for a body. One that is asked for already is not asked for twice."""
-        if self.over or fetch.digest in self.asking or fetch.digest in self.waiting:
+        """Fetch a body, now or once a connection is free; a fetch under way is not started twice."""
+        if self.is_closed or fetch.digest in self.fetching or fetch.digest in self.queued:
             return
-        if len(self.asking) >= ASKED:
-            if len(self.waiting) < WAITING:
-                self.waiting[fetch.digest] = fetch
+        if len(self.fetching) >= MAX_REQUESTERS:
+            if len(self.queued) < MAX_QUEUED:
+                self.queued[fetch.digest] = fetch
             return
-        self.asking[fetch.digest] = fetch
-        line = _Asker(self, fetch)
-        point = TCP4ClientEndpoint(
-            self.reactor, *fetch.address, timeout=int(PATIENCE), bindAddress=(self.host, 0)
+        self.fetching[fetch.digest] = fetch
+        endpoint = TCP4ClientEndpoint(
+            self.reactor, *fetch.address, timeout=int(TRANSFER_TIMEOUT_SECONDS), bindAddress=(self.host, 0)
         )
-        made: Deferred[Any] = connectProtocol(point, line)  # type: ignore[no-untyped-call]
-        made.addErrback(lambda why: self.done(fetch, None))
+        connected: Deferred[Any] = connectProtocol(endpoint, _BodyRequester(self, fetch))  # type: ignore[no-untyped-call]
+        connected.addErrback(lambda _: self.finish(fetch, None))
 
-    def done(self, fetch: Fetch, body: bytes | None) -> None:
-        if self.asking.pop(fetch.digest, None) is None or self.over:
+    def finish(self, fetch: Fetch, body: bytes | None) -> None:
+        """Report what a fetch brought, and start the next one queued."""
+        if self.fetching.pop(fetch.digest, None) is None or self.is_closed:
             return
-        self.taken += len(body or b"")
-        if self.waiting:
-            self.fetch(self.waiting.pop(next(iter(self.waiting))))
-        self.came(fetch.digest, body)
+        self.fetched_bytes += len(body or b"")
+        if self.queued:
+            self.fetch(self.queued.pop(next(iter(self.queued))))
+        self.on_fetched(fetch.digest, body)
 
     def close(self) -> None:
-        self.over = True
+        """Stop listening and abort what is being sent; no fetch is reported any more."""
+        self.is_closed = True
         if self.port is not None:
             self.port.stopListening()
             self.port = None
-        for giver in list(self.givers):
-            giver.transport.abortConnection()
+        for sender in list(self.senders):
+            sender.transport.abortConnection()
--- a/wheatring/peers/compiled_plan.py
+++ b/wheatring/peers/compiled_plan.py
@@ -1,7 +1,7 @@
-"""What a plan means here: the way of a request, weights at an instant, windows' edges. No I/O.
+"""A plan compiled by this program's rules: the route of a request, weights at an instant, edges of windows.
 
-Made of a plan's routes (`plan/`, `routes/`) and its calendar (`schedule/`): the same that serves is what is
-tried before a plan is settled.
+Made of a plan's routes (`plan/`, `routes/`) and its calendar (`schedule/`): the same that serves requests is
+what the compatibility check tries before a plan is committed. No I/O.
 """
 
 from __future__ import annotations
@@ -20,44 +20,57 @@
 
 
 def compile_plan(body: bytes) -> tuple[Plan, CompiledPlan]:
-    """Raises errors.OperatorError for what can't be read, or can't stand together."""
+    """Read a plan and compile it.
+
+    Raises
+    ------
+    errors.OperatorError
+        It can't be read, or its parts contradict one another.
+    """
     plan = read(body)
-    found = compiled(plan)
+    routes = compiled(plan)
     check(plan)
-    return plan, CompiledPlan(found)
+    return plan, CompiledPlan(routes)
 
 
 class CompiledPlan:
-    """A `skew.trials.Ruled`."""
+    """A `skew.trials.Ruled`: answers the compatibility check's trials."""
 
-    def __init__(self, found: Compiled) -> None:
-        self.table = found.table
-        self.routes = found.routes
-        self.timetable = Timetable(found.plan)
+    def __init__(self, compiled: Compiled) -> None:
+        self.table = compiled.table
+        self.routes = compiled.routes
+        self.timetable = Timetable(compiled.plan)
 
     def way(self, trial: Trial) -> str:
+        """Describe the route that a trial's request takes, with its weights at the trial's instant.
+
+        One spelling for all programs: their answers are compared as text.
+        """
         fields = {name.lower().encode(): value.encode() for name, value in trial.headers.items()}
         if trial.host:
             fields[b"host"] = trial.host.encode()
         try:
-            hit = self.table.route(trial.method.encode(), trial.target.encode(), fields, frozenset())
-        except TurnedAway as why:
-            return f"turned away: {why}"
-        if hit is None:
+            match = self.table.route(trial.method.encode(), trial.target.encode(), fields, frozenset())
+        except TurnedAway as error:
+            return f"turned away: {error}"
+        if match is None:
             return "no route"
-        name = hit.route.name
+        name = match.route.name
         weights = self.weights(name, trial.at) if trial.at is not None else self.timetable.base[name]
         shown = " ".join(f"{pool}={weight}" for pool, weight in sorted(weights.items()))
-        if not hit.route.split_by:
+        if not match.route.split_by:
             return f"{name} {shown}"
-        taking = [Weighted(pool, weight) for pool, weight in sorted(weights.items())]
-        return f"{name} {shown} to {ByCustomer(hit.route.split_by, taking).pick(fields)}"
+        pools = [Weighted(pool, weight) for pool, weight in sorted(weights.items())]
+        return f"{name} {shown} to {ByCustomer(match.route.split_by, pools).pick(fields)}"
 
     def weights(self, route: str, at: float) -> Mapping[str, int]:
+        """Return a route's weights by pool, at an instant in Unix seconds."""
         return self.timetable.weights(route, at)
 
     def zone(self, name: str) -> tzinfo:
+        """Return a time zone by its IANA name, with the rules that windows go by."""
         return zones.zone(name)
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:
+        """Return when a window opens, closes or steps within these instants, ascending, in Unix seconds."""
         return self.timetable.marks(window, after, before)
--- a/wheatring/peers/datagram_codec.py
+++ b/wheatring/peers/datagram_codec.py
@@ -1,13 +1,13 @@
-"""Datagrams between sidecars: sealed, opened, and dropped where there is any doubt.
+"""Encodes and authenticates the datagrams between sidecars, and rejects those that fail any check.
 
-    1 byte    version of the form
-    1 byte    length of the mac: 16, or 0 where no key is told
+    1 byte    version of the format
+    1 byte    length of the MAC: 16, or 0 where no key is configured
     16 bytes  keyed BLAKE2b (RFC 7693) over all that follows
-    rest      MessagePack: fleet, sender, the sender's start, sequence, word
+    rest      MessagePack: fleet, sender, the sender's start, sequence number, message
 
-Each start of a process numbers its datagrams anew, so one that comes again is known. After a restart of the
-receiver an old one may be taken once more: it can only say what its sender once said, and terms and
-membership are made for words that come late or twice.
+Each start of a process numbers its datagrams anew, so a replayed one is recognized. After a restart of the
+receiver an old one may be accepted once more: it can only repeat what its sender once sent, and leases and
+membership tolerate messages that arrive late or twice.
 """
 
 from __future__ import annotations
@@ -22,137 +22,168 @@
 from msgspec import Struct
 
 from wheatring.lease.fleet import AnyWord
+from wheatring.peers.exceptions import DatagramRejectedError
 
-VERSION = 1
-MAC = 16
-MAX_DATAGRAM_BYTES = 1400  # bytes of a datagram: one packet on any common link
-REPLAY_WINDOW = 256  # datagrams of a sender that may overtake one another
-MAX_SENDERS = 4000
+FORMAT_VERSION = 1
+MAC_BYTES = 16
+MAX_DATAGRAM_BYTES = 1400  # one packet on any common link
+REPLAY_WINDOW = 256  # datagrams of one sender that may overtake one another
+MAX_SENDERS = 4000  # whose replay windows are kept; the least recently heard is forgotten first
 CLOCK_SET_BACK_SECONDS = (
-    5.0  # seconds after which a sender's earlier start may come back: its clock was set back
+    5.0  # of silence after which an earlier start is accepted: the sender's clock was set back
 )
 
 
-Words = TypeVar("Words")
+Messages = TypeVar("Messages")
 
 
-class Frame(Struct, Generic[Words], array_like=True, frozen=True):
+class Frame(Struct, Generic[Messages], array_like=True, frozen=True):
+    """The authenticated part of a datagram.
+
+    It is encoded as an array, so the order of the fields is the wire format.
+    """
+
     fleet: str
     sender: str
     start: int
     seq: int
-    message: Words
+    message: Messages
 
 
-class Tagged(Struct, array_like=True, frozen=True):
-    """Of any word: which it is."""
+class TaggedMessage(Struct, array_like=True, frozen=True):
+    """The tag of a message of any type, known to this program or not."""
 
     tag: str
 
 
-class DatagramRejectedError(ValueError):
-    """A datagram that is not taken; `cause` is one of a few words."""
-
-    def __init__(self, cause: str) -> None:
-        super().__init__(cause)
-        self.cause = cause
+class _ReplayWindow:
+    """Which sequence numbers of one sender's process have been received.
 
+    `bits` has one bit a number below and including `highest`; `received_at` is in monotonic seconds.
+    """
 
-class _Heard:
-    __slots__ = ("at", "bits", "highest", "start")
+    __slots__ = ("bits", "highest", "received_at", "start")
 
     def __init__(self, start: int) -> None:
         self.start = start
         self.highest = -1
         self.bits = 0
-        self.at = 0.0
+        self.received_at = 0.0
 
 
 class DatagramCodec:
-    """For one process of one fleet. The first key seals, any of them opens; none: datagrams are not sealed,
-    and sealed ones not taken. `words` are the types of words that are known.
+    """Encodes the datagrams of one process of a fleet, and decodes those of the others.
+
+    Parameters
+    ----------
+    fleet, name : str
+        The fleet, and this sidecar's name in it.
+    start : int
+        The incarnation of this process: Unix time of its start in ms.
+    keys : Sequence[bytes]
+        The first key authenticates what is sent, any of them what is received. None: datagrams carry no MAC,
+        and those that carry one are rejected.
+    messages : Any
+        The union of message types that this program knows.
     """
 
     def __init__(
-        self, fleet: str, name: str, start: int, keys: Sequence[bytes], words: Any = AnyWord
+        self, fleet: str, name: str, start: int, keys: Sequence[bytes], messages: Any = AnyWord
     ) -> None:
         self.fleet = fleet
         self.name = name
         self.start = start
         self.keys = keys
         self.seq = 0
-        self.heard: OrderedDict[str, _Heard] = OrderedDict()
+        self.senders: OrderedDict[str, _ReplayWindow] = OrderedDict()  # least recently heard first
         self.encoder = msgspec.msgpack.Encoder()
-        self.decoder: Any = msgspec.msgpack.Decoder(Frame[words])
-        self.loose: Any = msgspec.msgpack.Decoder(Frame[Tagged])
-        self.tags = _tags(words)
-
-    def encode(self, word: Any) -> bytes:
-        """A datagram. Dropped where it would be too large."""
+        self.decoder: Any = msgspec.msgpack.Decoder(Frame[messages])
+        self.tag_decoder: Any = msgspec.msgpack.Decoder(Frame[TaggedMessage])
+        self.tags = _tags(messages)
+
+    def encode(self, message: Any) -> bytes:
+        """Encode and authenticate a message as a datagram.
+
+        Raises
+        ------
+        DatagramRejectedError
+            It would be larger than `MAX_DATAGRAM_BYTES`. Its sequence number is used up.
+        """
         self.seq += 1
-        body = self.encoder.encode(Frame(self.fleet, self.name, self.start, self.seq, word))
+        body = self.encoder.encode(Frame(self.fleet, self.name, self.start, self.seq, message))
         mac = self._mac(self.keys[0], body) if self.keys else b""
         if 2 + len(mac) + len(body) > MAX_DATAGRAM_BYTES:
             raise DatagramRejectedError("too-large")
-        return bytes((VERSION, len(mac))) + mac + body
+        return bytes((FORMAT_VERSION, len(mac))) + mac + body
 
     def decode(self, now: float, data: bytes) -> tuple[str, Any]:
-        """The sender's name, and its word. Dropped where it is not to be taken."""
-        if len(data) > MAX_DATAGRAM_BYTES:
-            raise DatagramRejectedError("too-large")
-        if len(data) < 3 or data[0] != VERSION:
-            raise DatagramRejectedError("version")
-        length = data[1]
-        if length != (MAC if self.keys else 0):
-            raise DatagramRejectedError("key")
-        mac, body = data[2 : 2 + length], data[2 + length :]
-        if self.keys and not any(hmac.compare_digest(mac, self._mac(key, body)) for key in self.keys):
-            raise DatagramRejectedError("key")
+        """Check a datagram received at monotonic `now`, in seconds; return its sender's name and its message.
+
+        Raises
+        ------
+        DatagramRejectedError
+            It fails a check.
+        """
+        body = self._authenticated_body(data)
         try:
             frame: Frame[Any] = self.decoder.decode(body)
         except (msgspec.DecodeError, RecursionError):
-            raise DatagramRejectedError(self._strange(body)) from None
+            raise DatagramRejectedError(self._decode_failure(body)) from None
         if frame.fleet != self.fleet:
             raise DatagramRejectedError("fleet")
         if frame.sender == self.name or not frame.sender:
-            raise DatagramRejectedError("name")  # somebody else goes by the name of this one
-        self._once(now, frame)
+            raise DatagramRejectedError("name")  # another process uses this one's name
+        self._check_replay(now, frame)
         return frame.sender, frame.message
 
-    def _strange(self, body: bytes) -> str:
-        """Why a frame can't be read: a newer program's word is no fault of anybody."""
+    def _authenticated_body(self, data: bytes) -> bytes:
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise DatagramRejectedError("too-large")
+        if len(data) < 3 or data[0] != FORMAT_VERSION:
+            raise DatagramRejectedError("version")
+        mac_length = data[1]
+        if mac_length != (MAC_BYTES if self.keys else 0):
+            raise DatagramRejectedError("key")
+        mac, body = data[2 : 2 + mac_length], data[2 + mac_length :]
+        if self.keys and not any(hmac.compare_digest(mac, self._mac(key, body)) for key in self.keys):
+            raise DatagramRejectedError("key")
+        return body
+
+    def _decode_failure(self, body: bytes) -> str:
+        """Tell a message of a newer program, which is nobody's fault, from a malformed one."""
         try:
-            tag = self.loose.decode(body).word.tag
+            tag = self.tag_decoder.decode(body).message.tag
         except (msgspec.DecodeError, RecursionError):
             return "form"
         return "form" if tag in self.tags else "unknown-word"
 
     def _mac(self, key: bytes, body: bytes) -> bytes:
-        return blake2b(body, digest_size=MAC, key=key, person=b"wheatring").digest()
-
-    def _once(self, now: float, frame: Frame[Any]) -> None:
-        heard = self.heard.get(frame.sender)
-        if heard is None or (heard.start != frame.start and self._newer(now, heard, frame.start)):
-            if heard is None and len(self.heard) >= MAX_SENDERS:
-                self.heard.popitem(last=False)
-            heard = self.heard[frame.sender] = _Heard(frame.start)
-        elif heard.start != frame.start:
+        return blake2b(body, digest_size=MAC_BYTES, key=key, person=b"wheatring").digest()
+
+    def _check_replay(self, now: float, frame: Frame[Any]) -> None:
+        """Record the frame's sequence number; raise DatagramRejectedError where it was received before."""
+        window = self.senders.get(frame.sender)
+        if window is None or (window.start != frame.start and self._supersedes(now, window, frame.start)):
+            if window is None and len(self.senders) >= MAX_SENDERS:
+                self.senders.popitem(last=False)
+            window = self.senders[frame.sender] = _ReplayWindow(frame.start)
+        elif window.start != frame.start:
             raise DatagramRejectedError("old-start")
-        ahead = frame.seq - heard.highest
+        ahead = frame.seq - window.highest
         if ahead > 0:
-            heard.bits = ((heard.bits << min(ahead, REPLAY_WINDOW)) | 1) & ((1 << REPLAY_WINDOW) - 1)
-            heard.highest = frame.seq
-        elif -ahead >= REPLAY_WINDOW or heard.bits >> -ahead & 1:
+            window.bits = ((window.bits << min(ahead, REPLAY_WINDOW)) | 1) & ((1 << REPLAY_WINDOW) - 1)
+            window.highest = frame.seq
+        elif -ahead >= REPLAY_WINDOW or window.bits >> -ahead & 1:
             raise DatagramRejectedError("replayed")
         else:
-            heard.bits |= 1 << -ahead
-        heard.at = now
-        self.heard.move_to_end(frame.sender)
+            window.bits |= 1 << -ahead
+        window.received_at = now
+        self.senders.move_to_end(frame.sender)
 
-    def _newer(self, now: float, heard: _Heard, start: int) -> bool:
-        return start > heard.start or now - heard.at > CLOCK_SET_BACK_SECONDS
+    def _supersedes(self, now: float, window: _ReplayWindow, start: int) -> bool:
+        return start > window.start or now - window.received_at > CLOCK_SET_BACK_SECONDS
 
 
-def _tags(words: Any) -> frozenset[str]:
-    """The tags of a union of words."""
-    return frozenset(str(kind.__struct_config__.tag) for kind in get_args(words) or (words,))
+def _tags(messages: Any) -> frozenset[str]:
+    """Collect the tags of a union of message types."""
+    return frozenset(str(kind.__struct_config__.tag) for kind in get_args(messages) or (messages,))
--- a/wheatring/peers/datagram_socket.py
+++ b/wheatring/peers/datagram_socket.py
@@ -1,4 +1,4 @@
-"""The datagram socket of one sidecar, and its counts."""
+"""The UDP socket of one sidecar, and its counts."""
 
 from __future__ import annotations
 
@@ -11,57 +11,64 @@
 from wheatring import log
 from wheatring.core.clock import Clock
 from wheatring.members.members import Address
-from wheatring.peers.datagram_codec import DatagramCodec, DatagramRejectedError
+from wheatring.peers.datagram_codec import DatagramCodec
+from wheatring.peers.exceptions import DatagramRejectedError
 
-APART = 60.0  # seconds between two log lines of one cause
+LOG_INTERVAL_SECONDS = 60.0  # between two log lines of one cause
 
 
 class DatagramSocket(protocol.DatagramProtocol):
-    """`heard` is called with what is taken: the sender's name, its address, its word."""
+    """Sends and receives the datagrams of one sidecar; counts them, and those dropped by cause.
+
+    `on_message` is called with each message accepted: its sender's name, its source address, the message.
+    """
 
     transport: Any
 
     def __init__(
-        self, clock: Clock, seal: DatagramCodec, heard: Callable[[str, Address, Any], object]
+        self, clock: Clock, codec: DatagramCodec, on_message: Callable[[str, Address, Any], object]
     ) -> None:
         self.clock = clock
-        self.seal = seal
-        self.heard = heard
-        self.dropped: Counter[str] = Counter()
-        self.said: dict[str, float] = {}
-        self.sent = self.sent_bytes = self.taken = self.taken_bytes = 0
+        self.codec = codec
+        self.on_message = on_message
+        self.dropped: Counter[str] = Counter()  # datagrams, by cause
+        self.logged_at: dict[str, float] = {}  # monotonic seconds of the last log line, by cause
+        self.sent = self.sent_bytes = self.received = self.received_bytes = 0
 
-    def datagramReceived(self, data: bytes, addr: Address) -> None:
+    def datagramReceived(self, data: bytes, addr: Address) -> None:  # noqa: N802 - Twisted's name
+        """Decode a datagram and hand its message on, or count why not."""
         try:
-            sender, word = self.seal.decode(self.clock.now(), data)
-        except DatagramRejectedError as bad:
-            self.drop(bad.cause, f"{addr[0]}:{addr[1]}")
+            sender, message = self.codec.decode(self.clock.now(), data)
+        except DatagramRejectedError as rejected:
+            self.drop(rejected.cause, f"{addr[0]}:{addr[1]}")
             return
-        self.taken += 1
-        self.taken_bytes += len(data)
-        self.heard(sender, addr, word)
+        self.received += 1
+        self.received_bytes += len(data)
+        self.on_message(sender, addr, message)
 
     def drop(self, cause: str, peer: str) -> None:
+        """Count a datagram that is dropped; log it unless one of the same cause was logged a moment ago."""
         self.dropped[cause] += 1
         now = self.clock.now()
-        if now - self.said.get(cause, -APART) >= APART:
-            self.said[cause] = now
+        if now - self.logged_at.get(cause, -LOG_INTERVAL_SECONDS) >= LOG_INTERVAL_SECONDS:
+            self.logged_at[cause] = now
             log.line("peer-dropped", cause=cause, peer=peer, so_far=self.dropped[cause])
 
-    def send(self, address: Address, word: Any) -> None:
+    def send(self, address: Address, message: Any) -> None:
+        """Send a message, unless the socket is closed or the message too large: senders expect losses."""
         if self.transport is None:
             return
         try:
-            data = self.seal.encode(word)
-        except DatagramRejectedError as bad:
-            self.drop(bad.cause, f"{address[0]}:{address[1]}")
+            data = self.codec.encode(message)
+        except DatagramRejectedError as rejected:
+            self.drop(rejected.cause, f"{address[0]}:{address[1]}")
             return
         self.sent += 1
         self.sent_bytes += len(data)
         try:
             self.transport.write(data, address)
-        except OSError as bad:  # the network is away, or the buffer full: as good as lost on the way
-            self.drop("unsent", f"{address[0]}:{address[1]}: {bad.strerror}")
+        except OSError as error:  # no network, or a full buffer: the same to the receiver as a lost datagram
+            self.drop("unsent", f"{address[0]}:{address[1]}: {error.strerror}")
 
-    def connectionRefused(self) -> None:
-        """Nobody is there any more: the membership finds that out by itself."""
+    def connectionRefused(self) -> None:  # noqa: N802 - Twisted's name
+        """Ignore that a peer's port is closed: the membership finds that out by itself."""
--- a/wheatring/peers/duty_workers.py
+++ b/wheatring/peers/duty_workers.py
@@ -1,11 +1,12 @@
-"""The work of a duty: a call to an address that the configuration names, by one sidecar at a time.
+"""The work of a duty: HTTP calls to an address that the configuration names, by one sidecar at a time.
 
     POST PATH HTTP/1.1
     Duty: NAME
     Duty-Holder: NAME OF THE SIDECAR
     Duty-Epoch: EPOCH
 
-Whoever is called keeps the highest epoch it has seen, and answers 409 with it in `Duty-Epoch` to a lower one.
+The epoch is a fencing token: the server that is called keeps the highest one it has received, and answers
+409, with that one in `Duty-Epoch`, to a call with a lower one.
 """
 
 from __future__ import annotations
@@ -21,142 +22,167 @@
 from wheatring.core.clock import Clock, Timer
 from wheatring.http1.parser import BadMessage, Reader
 
-PATIENCE = 2.0  # seconds with one call
-ANSWER = 16_384  # bytes of an answer's body
+CALL_TIMEOUT_SECONDS = 2.0  # for one call, and for its connection before that
+MAX_ANSWER_BYTES = 16_384  # of an answer's body
+MAX_EPOCH_DIGITS = 18  # of an answer's header that are read: the rest can't be an epoch of this fleet
 
 
 class DutyHolder(Protocol):
-    """What tells whether this sidecar is in office."""
+    """The fleet, as a worker asks it whether this sidecar holds a duty."""
 
     @property
-    def name(self) -> str: ...
+    def name(self) -> str:
+        """The name of this sidecar in the fleet."""
 
-    def act(self, duty: str) -> int | None: ...
+    def active_epoch(self, duty: str) -> int | None:
+        """Return the epoch to act in, asked for right before each action; None: the duty isn't held here."""
 
-    def acted(self, duty: str) -> None: ...
+    def record_action(self, duty: str) -> None:
+        """Note that the duty's work was done now: a holder that does nothing gives the duty back."""
 
-    def outdated(self, duty: str, epoch: int) -> None: ...
+    def on_newer_epoch(self, duty: str, epoch: int) -> None:
+        """Give the duty back, as a receiver has seen this higher epoch."""
 
 
 class DutyWorker(Protocol):
-    def office(self, epoch: int | None) -> None:
-        """It has come into office, or left it."""
+    """Whatever carries a duty out while this sidecar holds it."""
 
-    def stop(self) -> None: ...
+    def on_epoch_changed(self, epoch: int | None) -> None:
+        """Begin to work in this epoch, as this sidecar has acquired the duty; None: end, as it is lost."""
+
+    def stop(self) -> None:
+        """End for good."""
 
 
 class _Call(protocol.Protocol):
+    """One call on a connection of its own."""
+
     transport: Any
 
-    def __init__(self, work: HttpDutyWorker) -> None:
-        self.work = work
-        self.reader = Reader(responses=True, max_body=ANSWER)
-        self.done = False
-        self.late: Timer | None = None
+    def __init__(self, worker: HttpDutyWorker) -> None:
+        self.worker = worker
+        self.reader = Reader(responses=True, max_body=MAX_ANSWER_BYTES)
+        self.is_answered = False
+        self.timeout: Timer | None = None
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         self.transport.setTcpNoDelay(True)
-        work = self.work
-        self.late = work.clock.at(work.clock.now() + PATIENCE, self.transport.abortConnection)
-        # Now, and not when the call was due: connecting may have taken longer than the term lasts.
-        epoch = work.part.act(work.duty)
+        worker = self.worker
+        self.timeout = worker.clock.at(
+            worker.clock.now() + CALL_TIMEOUT_SECONDS, self.transport.abortConnection
+        )
+        # Now, and not when the call was due: connecting may have taken longer than the lease lasts.
+        epoch = worker.holder.active_epoch(worker.duty)
         if epoch is None:
             self.transport.abortConnection()
             return
         head = (
-            f"POST {work.path} HTTP/1.1\r\nHost: {work.host}:{work.port}\r\n"
-            f"Duty: {work.duty}\r\nDuty-Holder: {work.part.name}\r\n"
+            f"POST {worker.path} HTTP/1.1\r\nHost: {worker.host}:{worker.port}\r\n"
+            f"Duty: {worker.duty}\r\nDuty-Holder: {worker.holder.name}\r\n"
             f"Duty-Epoch: {epoch}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         )
         self.transport.write(head.encode("latin-1"))
 
-    def dataReceived(self, data: bytes) -> None:
-        if self.done:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        if self.is_answered:
             return
         self.reader.feed(data)
         try:
             message = self.reader.next()
-        except BadMessage as bad:
-            self.done = True
-            log.line("duty-call", duty=self.work.duty, code="bad-answer", why=str(bad))
+        except BadMessage as error:
+            self.is_answered = True
+            log.line("duty-call", duty=self.worker.duty, code="bad-answer", why=str(error))
             self.transport.abortConnection()
             return
         if message is not None:
-            self.done = True
-            self.work.answered(int(message.first[0]), message.fields.get(b"duty-epoch", b""))
+            self.is_answered = True
+            self.worker.on_answer(int(message.first[0]), message.fields.get(b"duty-epoch", b""))
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        if self.late is not None and self.late.active():
-            self.late.cancel()
-        self.work.ended(self)
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's
+        if self.timeout is not None and self.timeout.active():
+            self.timeout.cancel()
+        self.worker.on_call_ended(self)
 
 
 class HttpDutyWorker:
-    """Calls `host:port` each `every` seconds while in office, one call at a time."""
+    """Calls `address` at `path` each `interval` seconds while the duty is held here, one call at a time."""
 
     def __init__(
-        self, reactor: Any, clock: Clock, part: DutyHolder, duty: str, address: tuple[str, int], path: str,
-        every: float,
-    ) -> None:  # fmt: skip
+        self,
+        reactor: Any,
+        clock: Clock,
+        holder: DutyHolder,
+        duty: str,
+        address: tuple[str, int],
+        path: str,
+        interval: float,
+    ) -> None:
         self.reactor = reactor
         self.clock = clock
-        self.part = part
+        self.holder = holder
         self.duty = duty
         self.host, self.port = address
         self.path = path
-        self.every = every
+        self.interval = interval
         self.call: _Call | None = None
         self.timer: Timer | None = None
-        self.over = False
+        self.is_stopped = False
 
-    def office(self, epoch: int | None) -> None:
+    def on_epoch_changed(self, epoch: int | None) -> None:
+        """Begin to call, or end."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
-        if epoch is not None and not self.over:
-            self.turn(self.clock.now())
+        if epoch is not None and not self.is_stopped:
+            self.run_due(self.clock.now())
 
-    def turn(self, due: float) -> None:
-        if self.over or self.part.act(self.duty) is None:
+    def run_due(self, due: float) -> None:
+        """Make the call that is due at this monotonic instant, unless one is under way; schedule the next."""
+        if self.is_stopped or self.holder.active_epoch(self.duty) is None:
             return
-        following = max(due + self.every, self.clock.now())
-        self.timer = self.clock.at(following, self.turn, following)
+        next_due = max(due + self.interval, self.clock.now())
+        self.timer = self.clock.at(next_due, self.run_due, next_due)
         if self.call is None:
             self.call = _Call(self)
-            point = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=PATIENCE)
-            made: Deferred[Any] = connectProtocol(point, self.call)  # type: ignore[no-untyped-call]
-            made.addErrback(self.failed, self.call)
+            endpoint = TCP4ClientEndpoint(self.reactor, self.host, self.port, timeout=CALL_TIMEOUT_SECONDS)
+            connected: Deferred[Any] = connectProtocol(endpoint, self.call)  # type: ignore[no-untyped-call]
+            connected.addErrback(self.on_connect_failed, self.call)
 
-    def failed(self, why: Failure, call: _Call) -> None:
-        log.line("duty-call", duty=self.duty, code="connect-failed", why=str(why.value))
-        self.ended(call)
+    def on_connect_failed(self, failure: Failure, call: _Call) -> None:
+        """Log a call that found no server."""
+        log.line("duty-call", duty=self.duty, code="connect-failed", why=str(failure.value))
+        self.on_call_ended(call)
 
-    def ended(self, call: _Call) -> None:
+    def on_call_ended(self, call: _Call) -> None:
+        """Let the next call be made."""
         if self.call is call:
             self.call = None
 
-    def answered(self, status: int, epoch: bytes) -> None:
+    def on_answer(self, status: int, epoch: bytes) -> None:
+        """Act on an answer's status and its header `Duty-Epoch`."""
         if status == 409 and epoch.isdigit():
-            log.line("duty-call", duty=self.duty, code="outdated", epoch=int(epoch[:18]))
-            self.part.outdated(self.duty, int(epoch[:18]))
+            newer = int(epoch[:MAX_EPOCH_DIGITS])
+            log.line("duty-call", duty=self.duty, code="outdated", epoch=newer)
+            self.holder.on_newer_epoch(self.duty, newer)
         elif status < 300:
-            self.part.acted(self.duty)
+            self.holder.record_action(self.duty)
         else:
             log.line("duty-call", duty=self.duty, code=f"answered-{status}")
 
     def stop(self) -> None:
-        self.over = True
-        self.office(None)
+        """End for good, with the call under way."""
+        self.is_stopped = True
+        self.on_epoch_changed(None)
         if self.call is not None and self.call.transport is not None:
             self.call.transport.abortConnection()
 
 
 class PassiveWorker:
-    """A duty whose work is elsewhere: that it is held is all that it does."""
+    """The worker of a duty that others carry out: this sidecar only holds it."""
 
-    def office(self, epoch: int | None) -> None:
-        return
+    def on_epoch_changed(self, epoch: int | None) -> None:
+        """Do nothing."""
 
     def stop(self) -> None:
-        return
+        """Do nothing."""
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -1,365 +1,349 @@
-"""One sidecar's part in the fleet, on the reactor: the deciders, their socket, clocks and work."""
+"""Runs the fleet's deciders of one sidecar on the reactor: gives them sockets, clocks and duty workers."""
 
 from __future__ import annotations
 
 import time
 from collections import deque
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Callable, Mapping
 from functools import partial
 from random import Random
 from typing import TYPE_CHECKING, Any
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.lease.fleet import AnyWord, DutyPlan, Fleet, Instant, Out
-from wheatring.lease.terms import Terms
+from wheatring.lease.fleet import AnyWord, Change, Fleet, Instant, Out
 from wheatring.lease.voters import Voters
 from wheatring.lease.words import Beat
 from wheatring.members.members import Address
 from wheatring.members.pace import Pace
-from wheatring.members.words import STATES, Who
+from wheatring.peers import fleet_status
+from wheatring.peers.change_log import ChangeLog
 from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES, DatagramCodec
 from wheatring.peers.datagram_socket import DatagramSocket
 from wheatring.peers.duty_workers import DutyWorker
 from wheatring.peers.list_sharing import ListSharing
+from wheatring.peers.options import FleetOptions
 
 if TYPE_CHECKING:  # what belongs to agreed views is imported with them
-    from wheatring.peers.agreement import Agreement, PlanOptions
+    from wheatring.config.file import File
+    from wheatring.peers.agreement import Agreement
     from wheatring.peers.body_transfer import BodyTransfers
 
-AGAIN = 0.1  # seconds until it tries again to have its port, which an older process of this name may hold
-BUSY = 0.001  # seconds at least between two looks at what is due
+PORT_RETRY_SECONDS = 0.1  # until the next try to bind the port, which an older process of this name may have
+MIN_TIMER_SECONDS = 0.001  # between two calls of the deciders' clockwork
+NOT_JOINED = "not in the fleet yet"
 
 
-def boot() -> float:
-    """Seconds that go on while the machine is suspended: who wakes must know that its term is over."""
+def boot_clock() -> float:
+    """Read the clock that goes on while the machine is suspended, in seconds.
+
+    Leases are measured on it: a sidecar that wakes must know that its lease has ended.
+    """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class FleetRuntime:
-    """`works` carry out duties, by their names. `listen` is the socket's address, `me` what others reach it
-    by. `view`: it stands in agreed views; `plan`: it goes by the fleet's plan too.
+    """One sidecar's membership, votes and duties, from its start to its end.
+
+    Messages and instants go to the decider (`lease.fleet.Fleet`); what that returns is carried out here.
+    `workers` carry out the duties, by their names; `started_with` is the configuration file of the start.
     """
 
     def __init__(
         self,
         reactor: Any,
         clock: Clock,
-        fleet: str,
-        me: Who,
-        listen: Address,
-        seeds: list[Address],
-        voters: Voters,
-        plans: Sequence[DutyPlan],
-        terms: Terms,
-        keys: Sequence[bytes],
+        options: FleetOptions,
         random: Random,
-        boot: Callable[[], float] = boot,
-        view: bool = False,
-        plan: PlanOptions | None = None,
+        boot: Callable[[], float] = boot_clock,
     ) -> None:
         self.reactor = reactor
         self.clock = clock
-        self.listen = listen
+        self.options = options
+        self.random = random
         self.boot = boot
-        self.me = me
-        self.terms = terms
-        self.given = (seeds, voters, plans, terms, random)
+        self.me = options.me
+        self.terms = options.terms
         self.start_ms = round(clock.unix() * 1000)
-        words: Any = AnyWord
-        self.streams: BodyTransfers | None = None
-        self.agreed: Agreement | None = None
-        self.make_agreed: Callable[[Instant, Fleet], Agreement] | None = None
-        if view:
-            from wheatring.peers.agreement import VIEW_MESSAGES, Agreement, messages_with_plans
-            from wheatring.peers.body_transfer import BodyRequest, BodyTransfers
-
-            words = VIEW_MESSAGES if plan is None else messages_with_plans()
-            self.make_agreed = partial(Agreement, plan=plan)
-            seal = DatagramCodec(fleet, me.name, self.start_ms, keys, BodyRequest)
-            self.streams = BodyTransfers(reactor, clock, seal, self.body_of, self.came)
-        self.seal = DatagramCodec(fleet, me.name, self.start_ms, keys, words)
-        self.door = DatagramSocket(clock, self.seal, self.heard)
-        self.works: Mapping[str, DutyWorker] = {}
-        self.said: Any = None  # the file that it began with
+        self.transfers: BodyTransfers | None = None
+        self.agreement: Agreement | None = None  # once it has its port
+        self.make_agreement: Callable[[Instant, Fleet], Agreement] | None = None
+        messages: Any = self._prepare_agreement() if options.view else AnyWord
+        self.codec = DatagramCodec(options.fleet, self.me.name, self.start_ms, options.keys, messages)
+        self.socket = DatagramSocket(clock, self.codec, self.on_message)
+        self.workers: Mapping[str, DutyWorker] = {}
+        self.started_with: File | None = None
         self.fleet: Fleet | None = None  # once it has its port
         self.port: Any = None
         self.timer: Timer | None = None
-        self.over = False
-        self.said_taken = False
-        self.has_plan = plan is not None
-        self.shown_states: dict[str, int] = {}
-        self.shown_view = (0, False)
-        self.shown_standing = (False, "")
+        self.is_closed = False
+        self.has_logged_wait = False
+        self.change_log = ChangeLog()
+
+    def _prepare_agreement(self) -> Any:
+        """Make what agreed views and plans need; return the messages that it knows by them."""
+        from wheatring.peers.agreement import VIEW_MESSAGES, Agreement, messages_with_plans
+        from wheatring.peers.body_transfer import BodyRequest, BodyTransfers
+
+        options = self.options
+        self.make_agreement = partial(Agreement, plan=options.plan)
+        codec = DatagramCodec(options.fleet, self.me.name, self.start_ms, options.keys, BodyRequest)
+        self.transfers = BodyTransfers(self.reactor, self.clock, codec, self.body_of, self.on_body_fetched)
+        return VIEW_MESSAGES if options.plan is None else messages_with_plans()
 
     def instant(self) -> Instant:
+        """Read all clocks at once."""
         return Instant(self.clock.now(), self.boot(), round(self.clock.unix() * 1000))
 
     @property
     def name(self) -> str:
+        """The name of this sidecar in the fleet."""
         return self.me.name
 
-    # Life
+    # Start and end
 
     def start(self) -> None:
-        """Have the port, and be a member from then on. While another process has it, name and vote are that
-        one's: two at a time would be two voters of one name that know nothing of each other.
+        """Bind the port, and be a member from then on; as long as the port is taken, try again.
+
+        While another process has the port, name and vote are that one's: two at a time would be two voters
+        of one name that know nothing of each other.
         """
         from twisted.internet.error import CannotListenError
 
-        if self.over:
+        if self.is_closed:
             return
         try:
-            self.port = self.reactor.listenUDP(
-                self.listen[1], self.door, interface=self.listen[0], maxPacketSize=MAX_DATAGRAM_BYTES + 1
-            )
-        except CannotListenError as bad:
-            self._taken(bad)
+            self._bind()
+        except CannotListenError as error:
+            self._retry(error)
             return
         where = self.port.getHost()
-        if self.streams is not None:
-            try:
-                self.streams.listen(where.host, where.port)
-            except CannotListenError as bad:  # the other half of the port is somebody's
-                self.port.stopListening()
-                self.port = None
-                self._taken(bad)
-                return
         if not self.me.port:
             self.me = self.me._replace(port=where.port)
-        seeds, voters, plans, terms, random = self.given
-        at = self.instant()
-        self.fleet = Fleet(at, self.me, self.start_ms, seeds, voters, plans, terms, Pace(), random)
-        if self.make_agreed is not None:
-            self.agreed = self.make_agreed(at, self.fleet)
+        options, at = self.options, self.instant()
+        self.fleet = Fleet(
+            at, self.me, self.start_ms, options.seeds, options.voters, options.duties, options.terms,
+            Pace(), self.random,
+        )  # fmt: skip
+        if self.make_agreement is not None:
+            self.agreement = self.make_agreement(at, self.fleet)
         log.line("fleet-listening", host=where.host, port=where.port, votes=int(self.fleet.votes()))
         self.timer = None
         self.tick()
 
-    def _taken(self, bad: Exception) -> None:
-        if not self.said_taken:
-            self.said_taken = True
-            log.line("fleet-waits", why=str(bad))
-        self.timer = self.clock.at(self.clock.now() + AGAIN, self.start)
+    def _bind(self) -> None:
+        """Bind the port for datagrams, and for streams too where there are any."""
+        from twisted.internet.error import CannotListenError
+
+        host, number = self.options.listen
+        self.port = self.reactor.listenUDP(
+            number, self.socket, interface=host, maxPacketSize=MAX_DATAGRAM_BYTES + 1
+        )
+        if self.transfers is None:
+            return
+        where = self.port.getHost()
+        try:
+            self.transfers.listen(where.host, where.port)
+        except CannotListenError:  # another process has the TCP half of the port
+            self.port.stopListening()
+            self.port = None
+            raise
+
+    def _retry(self, error: Exception) -> None:
+        if not self.has_logged_wait:
+            self.has_logged_wait = True
+            log.line("fleet-waits", why=str(error))
+        self.timer = self.clock.at(self.clock.now() + PORT_RETRY_SECONDS, self.start)
 
     def leave(self) -> None:
-        """Give all duties back and say so; the port is let go."""
-        if self.over:
+        """Give all duties back, announce the leave, and release the port."""
+        if self.is_closed:
             return
         if self.fleet is not None:
-            if self.agreed is not None:
-                self.say(self.agreed.leave(self.instant()))
-            self.say(self.fleet.leave(self.instant()))
+            if self.agreement is not None:
+                self.dispatch(self.agreement.leave(self.instant()))
+            self.dispatch(self.fleet.leave(self.instant()))
         self.close()
 
     def close(self) -> None:
-        self.over = True
+        """Release the port and stop the workers, with nothing said to the others."""
+        self.is_closed = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        for work in self.works.values():
-            work.stop()
+        for worker in self.workers.values():
+            worker.stop()
         if self.port is not None:
             self.port.stopListening()
             self.port = None
-        if self.streams is not None:
-            self.streams.close()
+        if self.transfers is not None:
+            self.transfers.close()
 
     # Bodies
 
     def body_of(self, digest: bytes) -> bytes | None:
+        """Return the body of a digest, for another sidecar; None: it isn't known here."""
         return None if self.fleet is None else self.fleet.bodies.get(digest)
 
-    def came(self, digest: bytes, body: bytes | None) -> None:
-        if self.fleet is not None and not self.over:
-            self.say(self.fleet.body(self.instant(), digest, body))
+    def on_body_fetched(self, digest: bytes, body: bytes | None) -> None:
+        """Hand a body that was fetched, or None for a failed fetch, to the decider."""
+        if self.fleet is not None and not self.is_closed:
+            self.dispatch(self.fleet.body(self.instant(), digest, body))
 
-    # Events
+    # Events, and what the decider returns for them
 
     def tick(self) -> None:
-        if self.fleet is not None and not self.over:
-            self.say(self.fleet.tick(self.instant()))
+        """Let the decider do what is due by now."""
+        if self.fleet is not None and not self.is_closed:
+            self.dispatch(self.fleet.tick(self.instant()))
 
-    def heard(self, sender: str, address: Address, word: Any) -> None:
-        if self.fleet is not None and not self.over:
-            self.say(self.fleet.hear(self.instant(), sender, address, word))
+    def on_message(self, sender: str, address: Address, message: Any) -> None:
+        """Hand a message of another sidecar to the decider."""
+        if self.fleet is not None and not self.is_closed:
+            self.dispatch(self.fleet.hear(self.instant(), sender, address, message))
 
-    def say(self, out: list[Out]) -> None:
-        """Send what is to be said, carry out what has changed, and see to the next thing due. What it says
-        to itself takes no socket.
-        """
+    def dispatch(self, outgoing: list[Out]) -> None:
+        """Send messages, carry out what else the decider wants, and set the timer for what is due next."""
         fleet = self.fleet
         assert fleet is not None
-        own = (self.me.host, self.me.port)
-        words = deque(out)
-        while words:
-            address, word = words.popleft()
-            if address == own:
-                words += fleet.hear(self.instant(), self.me.name, own, word)
-            else:
-                self.door.send(address, word)
+        self._send(fleet, outgoing)
         fetches, fleet.fetches = fleet.fetches, []
         for fetch in fetches:
-            if self.streams is not None:
-                self.streams.fetch(fetch)
-        beats, fleet.beats = fleet.beats, []
-        for beat in beats:
-            work = self.works.get(beat.duty)
-            if isinstance(work, ListSharing):
-                work.on_announcement(beat)
+            if self.transfers is not None:
+                self.transfers.fetch(fetch)
+        announcements, fleet.beats = fleet.beats, []
+        for announcement in announcements:
+            worker = self.workers.get(announcement.duty)
+            if isinstance(worker, ListSharing):
+                worker.on_announcement(announcement)
         changes, fleet.changes = fleet.changes, []
         for change in changes:
-            if change.why:
-                log.line("duty-over", duty=change.duty, epoch=change.epoch)
+            self._on_duty_changed(change)
+        self.change_log.log_members(fleet)
+        if self.agreement is not None:
+            self.change_log.log_view(self.agreement.views, self.clock.now())
+        self._set_timer(fleet)
+
+    def _send(self, fleet: Fleet, outgoing: list[Out]) -> None:
+        """Send messages; those to itself go to the decider at once, and take no socket."""
+        own = (self.me.host, self.me.port)
+        queue = deque(outgoing)
+        while queue:
+            address, message = queue.popleft()
+            if address == own:
+                queue += fleet.hear(self.instant(), self.me.name, own, message)
             else:
-                log.line("duty-held", duty=change.duty, epoch=change.epoch, by=self.me.name)
-            work = self.works.get(change.duty)
-            if work is not None:
-                work.office(None if change.why else change.epoch)
-        self.tell_members(fleet)
-        if self.agreed is not None:
-            self.tell_view(self.agreed)
+                self.socket.send(address, message)
+
+    def _on_duty_changed(self, change: Change) -> None:
+        if change.why:
+            log.line("duty-over", duty=change.duty, epoch=change.epoch)
+        else:
+            log.line("duty-held", duty=change.duty, epoch=change.epoch, by=self.me.name)
+        worker = self.workers.get(change.duty)
+        if worker is not None:
+            worker.on_epoch_changed(None if change.why else change.epoch)
+
+    def _set_timer(self, fleet: Fleet) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        if not self.over:
-            wait = max(BUSY, fleet.wait(self.instant()))
+        if not self.is_closed:
+            wait = max(MIN_TIMER_SECONDS, fleet.wait(self.instant()))
             self.timer = self.clock.at(self.clock.now() + wait, self.tick)
 
-    def tell_members(self, fleet: Fleet) -> None:
-        for name in fleet.members.changed:
-            row = fleet.members.table.rows.get(name)
-            if row is not None and self.shown_states.get(name) != row.state:
-                self.shown_states[name] = row.state
-                log.line("member", name=name, state=STATES[row.state], incarnation=row.incarnation)
-        fleet.members.changed.clear()
-
-    def tell_view(self, agreed: Agreement) -> None:
-        """A new view, and whether it may be counted on."""
-        views, now = agreed.views, self.clock.now()
-        if self.shown_view != (views.view.number, views.inside):
-            self.shown_view = (views.view.number, views.inside)
-            view = views.view
-            log.line("view", number=view.number, members=len(view.members), inside=int(views.inside))
-        standing = (views.sure(now), views.side(now))
-        if self.shown_standing != standing and views.view.number:
-            self.shown_standing = standing
-            log.line("view-standing", sure=int(standing[0]), side=standing[1] or "whole")
-
-    # What is asked of it
-
-    def act(self, duty: str) -> int | None:
-        """The epoch to act in, to be asked right before every act. None: it is not in office."""
-        if self.fleet is None or self.over:
+    # Duties, for their workers
+
+    def active_epoch(self, duty: str) -> int | None:
+        """Return the epoch to act in, asked for right before each action; None: the duty isn't held here."""
+        if self.fleet is None or self.is_closed:
             return None
         return self.fleet.duties[duty].act(self.boot())
 
-    def acted(self, duty: str) -> None:
+    def record_action(self, duty: str) -> None:
+        """Note that a duty's work was done now."""
         if self.fleet is not None:
             self.fleet.duties[duty].acted(self.boot())
 
-    def outdated(self, duty: str, epoch: int) -> None:
-        """A receiver has seen a newer term than this one: give it back, and ask for one that is higher."""
+    def on_newer_epoch(self, duty: str, epoch: int) -> None:
+        """Give a duty back, as a receiver has seen this higher epoch, and compete for a still higher one."""
         fleet = self.fleet
-        if fleet is None or self.over:
+        if fleet is None or self.is_closed:
             return
         for claimant in fleet.duties[duty].claimants:
             claimant.heard(epoch)
-        self.say(fleet.release(self.instant(), duty, 0.0))
-
-    def beat(self, beat: Beat) -> None:
-        if self.fleet is not None and not self.over:
-            self.say(self.fleet.spread(beat))
-
-    def offer(self, body: bytes) -> tuple[int, dict[str, Any]]:
-        """Push a plan: the answer's status, and what it says."""
-        if self.agreed is None or self.agreed.planned is None:
-            return 503, {"what": "not in the fleet yet"}
-        status, said = self.agreed.planned.offer(self.instant(), body)
-        self.say([])  # it is due now
-        return status, said
-
-    def floor(self, least: int) -> tuple[int, dict[str, Any]]:
-        """Move the least format that members have to read."""
-        if self.agreed is None or self.agreed.planned is None:
-            return 503, {"what": "not in the fleet yet"}
-        status, said, out = self.agreed.planned.set_format_floor(self.instant(), least)
-        self.say(out)
-        return status, said
+        self.dispatch(fleet.release(self.instant(), duty, 0.0))
+
+    def announce(self, announcement: Beat) -> None:
+        """Send a holder's announcement to all sidecars of the tier."""
+        if self.fleet is not None and not self.is_closed:
+            self.dispatch(self.fleet.spread(announcement))
+
+    # Requests of operators and of the configuration
+
+    def offer_plan(self, body: bytes) -> tuple[int, dict[str, Any]]:
+        """Propose a plan to the fleet; return the HTTP status and the JSON body of the answer."""
+        if self.agreement is None or self.agreement.plan is None:
+            return 503, {"what": NOT_JOINED}
+        http_status, answer = self.agreement.plan.offer(self.instant(), body)
+        self.dispatch([])  # the proposal is due now
+        return http_status, answer
+
+    def set_format_floor(self, least_format: int) -> tuple[int, dict[str, Any]]:
+        """Set the lowest plan format that members have to read; return HTTP status and JSON body."""
+        if self.agreement is None or self.agreement.plan is None:
+            return 503, {"what": NOT_JOINED}
+        http_status, answer, outgoing = self.agreement.plan.set_format_floor(self.instant(), least_format)
+        self.dispatch(outgoing)
+        return http_status, answer
 
     @property
-    def ready(self) -> bool:
-        """Whether it knows by which weights to serve, or goes by the file's for good reason."""
-        if self.make_agreed is None or not self.has_plan:
+    def is_ready(self) -> bool:
+        """Whether it is known by which weights to serve: the fleet's, or with good reason the file's."""
+        if self.make_agreement is None or self.options.plan is None:
             return True
-        planned = None if self.agreed is None else self.agreed.planned
-        return planned is not None and planned.edges.ready
-
-    def plan_seen(self) -> dict[str, Any]:
-        if self.agreed is None or self.agreed.planned is None:
-            return {"waits": "not in the fleet yet"}
-        return self.agreed.planned.status(self.instant())
-
-    def release(self, duty: str) -> bool:
-        """False: it is not held here."""
-        if self.fleet is None or self.over or self.act(duty) is None:
+        plan = None if self.agreement is None else self.agreement.plan
+        return plan is not None and plan.edges.ready
+
+    def plan_status(self) -> dict[str, Any]:
+        """Describe the fleet's plan for `GET /control/plan`."""
+        if self.agreement is None or self.agreement.plan is None:
+            return {"waits": NOT_JOINED}
+        return self.agreement.plan.status(self.instant())
+
+    def release_duty(self, duty: str) -> bool:
+        """Give a duty back, and keep out of the queue for it a while; False: it isn't held here."""
+        if self.fleet is None or self.is_closed or self.active_epoch(duty) is None:
             return False
-        self.say(self.fleet.release(self.instant(), duty))
+        self.dispatch(self.fleet.release(self.instant(), duty))
         return True
 
-    def want(self, duty: str, wanted: bool) -> None:
-        if self.fleet is not None and not self.over:
-            self.say(self.fleet.want(self.instant(), duty, wanted))
+    def set_wanted(self, duty: str, is_wanted: bool) -> None:
+        """Queue for a duty that only those who want it compete for, or leave the queue."""
+        if self.fleet is not None and not self.is_closed:
+            self.dispatch(self.fleet.want(self.instant(), duty, is_wanted))
 
     def change_voters(self, voters: Voters) -> str:
-        """Go by other voters from now on; why not, if it does not."""
-        if self.fleet is None or self.over:
+        """Go by other voters from now on; return why not, or "" where it does."""
+        if self.fleet is None or self.is_closed:
             return "it is not in the fleet yet"
-        why, out = self.fleet.vote_by(self.instant(), voters)
-        self.say(out)
+        why, outgoing = self.fleet.vote_by(self.instant(), voters)
+        self.dispatch(outgoing)
         return why
 
-    def seen(self) -> dict[str, Any]:
-        """All that is known, plainly."""
+    def status(self) -> dict[str, Any]:
+        """Describe all that is known, for `GET /control/duties`."""
         fleet, at = self.fleet, self.instant()
         if fleet is None:
             return {"name": self.me.name, "waits": "its port is taken"}
-        members = [
-            {
-                "name": seen.who.name, "state": STATES[seen.state], "for_s": round(at.now - seen.since, 1),
-                "sure": round(seen.sure, 2), "number": seen.who.number, "tier": seen.who.tier,
-                "zone": seen.who.zone, "address": f"{seen.who.host}:{seen.who.port}",
-                "same_voters": seen.who.votes == fleet.voters.digest,
-            }
-            for seen in fleet.members.seen(at.now)
-        ]  # fmt: skip
-        duties = []
-        for name, plan in fleet.plans.items():
-            for place in range(plan.places):
-                whose, epoch = fleet.holder(name, place)
-                held = fleet.duties[name].held
-                here = held is not None and held.lease == f"{name}/{place}"
-                left = held.until - at.boot if held is not None and here else None
-                duties.append(
-                    {
-                        "duty": name, "place": place, "holder": whose, "epoch": epoch, "here": here,
-                        "left_s": None if left is None else round(left, 2),
-                        "rank": fleet.duties[name].rank,
-                    }
-                )  # fmt: skip
-        door = self.door
+        sharing = {name: worker for name, worker in self.workers.items() if isinstance(worker, ListSharing)}
         return {
             "name": self.me.name,
             "voters": fleet.voters.all,
             "votes": fleet.votes(),
             "abstains_s": round(max(0.0, fleet.voter.silent - at.boot), 2),
             "health": fleet.members.health.score,
-            "view": None if self.agreed is None else self.agreed.status(at.now),
-            "members": members,
-            "duties": duties,
-            "lists": {
-                name: work.status() for name, work in self.works.items() if isinstance(work, ListSharing)
-            },
-            "datagrams": {
-                "sent": door.sent, "sent_bytes": door.sent_bytes,
-                "taken": door.taken, "taken_bytes": door.taken_bytes, "dropped": dict(door.dropped),
-            },
-        }  # fmt: skip
+            "view": None if self.agreement is None else self.agreement.status(at.now),
+            "members": fleet_status.member_rows(fleet, at),
+            "duties": fleet_status.duty_rows(fleet, at),
+            "lists": {name: worker.status() for name, worker in sharing.items()},
+            "datagrams": fleet_status.datagram_counts(self.socket),
+        }
--- /dev/null
+++ b/wheatring/peers/operator_calls.py
@@ -0,0 +1,67 @@
+"""The fleet as the operators' calls see it: its duties and its plan."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from wheatring.config import file
+from wheatring.peers.fleet_runtime import FleetRuntime
+
+MIN_WAIT_SECONDS = 1.0  # that an operator is told to wait for a turn to be out of service
+
+
+class PlanCalls(NamedTuple):
+    """Calls on the fleet's plan. Each returns the HTTP status and the JSON text of the answer."""
+
+    runtime: FleetRuntime
+
+    def seen(self) -> dict[str, Any]:
+        """Describe the plan."""
+        return self.runtime.plan_status()
+
+    def offer(self, body: bytes) -> tuple[int, str]:
+        """Propose a plan."""
+        http_status, answer = self.runtime.offer_plan(body)
+        return http_status, json.dumps(answer)
+
+    def floor(self, least: int) -> tuple[int, str]:
+        """Set the lowest plan format that members have to read."""
+        http_status, answer = self.runtime.set_format_floor(least)
+        return http_status, json.dumps(answer)
+
+
+class DutyCalls(NamedTuple):
+    """Calls on duties.
+
+    `turn` returns the seconds to wait for a turn to be out of service; 0: this sidecar has it, or needs none.
+    `back` gives the turn back.
+    """
+
+    seen: Callable[[], dict[str, Any]]
+    release: Callable[[str], bool | None]
+    turn: Callable[[], float]
+    back: Callable[[], None]
+
+
+def duty_calls(runtime: FleetRuntime, configuration: file.File) -> DutyCalls:
+    """Make the calls on the duties that the file names."""
+    turns = next((name for name, duty in configuration.duty.items() if duty.work == "turns"), "")
+
+    def release(name: str) -> bool | None:
+        return runtime.release_duty(name) if name in runtime.workers else None
+
+    def turn() -> float:
+        if not turns or runtime.active_epoch(turns) is not None:
+            return 0.0
+        runtime.set_wanted(turns, True)
+        if runtime.active_epoch(turns) is not None:
+            return 0.0
+        return max(MIN_WAIT_SECONDS, runtime.terms.term / 3)
+
+    def back() -> None:
+        if turns:
+            runtime.set_wanted(turns, False)
+
+    return DutyCalls(runtime.status, release, turn, back)
--- /dev/null
+++ b/wheatring/peers/options.py
@@ -0,0 +1,47 @@
+"""What one sidecar is configured to be in its fleet."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any, NamedTuple
+
+from wheatring.lease.fleet import DutyPlan
+from wheatring.lease.terms import Terms
+from wheatring.lease.voters import Voters
+from wheatring.members.members import Address
+from wheatring.members.words import Who
+
+
+class PlanOptions(NamedTuple):
+    """What a sidecar that follows the fleet's plan needs besides.
+
+    `formats` are the plan formats that it is restricted to; None: all that the program knows. `set_weights`
+    is called with each route's weights by pool as they come into force, `log` with an event and its fields.
+    `first_plan` is proposed by a voter where the fleet has no plan yet; b"": none.
+    """
+
+    formats: tuple[int, ...] | None
+    set_weights: Callable[[str, Mapping[str, int]], None]
+    log: Callable[[str, dict[str, Any]], None]
+    first_plan: bytes = b""
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class FleetOptions:
+    """One sidecar's place in its fleet, as the configuration states it.
+
+    `listen` is the address of its sockets, `me` has the one that others reach it by. With `view` it takes
+    part in agreed views; with `plan` it follows the fleet's plan too.
+    """
+
+    fleet: str
+    me: Who
+    listen: Address
+    seeds: list[Address]
+    voters: Voters
+    duties: Sequence[DutyPlan]
+    terms: Terms
+    keys: Sequence[bytes]
+    view: bool = False
+    plan: PlanOptions | None = None
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -1,11 +1,10 @@
-"""The fleet's plan at one sidecar, put together: pushed, judged, settled, and in force by the fleet's time.
+"""The fleet's plan at one sidecar: proposed, checked, committed, and in force by the fleet's time.
 
-Decides nothing itself: it hands what one decider has found to the next. Imported only with `[plan]`. No I/O.
+Decides nothing itself: it hands the results of one decider to the next. Imported only with `[plan]`. No I/O.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
 from math import inf
 from typing import Any
 
@@ -17,6 +16,8 @@
 from wheatring.members.members import Address
 from wheatring.members.words import Placed
 from wheatring.peers.compiled_plan import compile_plan
+from wheatring.peers.options import PlanOptions
+from wheatring.peers.status_values import shown_age
 from wheatring.plan.push import Plans
 from wheatring.plan.words import Settled
 from wheatring.schedule.edges import Edges
@@ -25,171 +26,181 @@
 from wheatring.skew.judge import Skew
 from wheatring.skew.needs import own_abilities
 
-AWAY = 10.0  # terms for which one that is unfit to lead keeps out of the line
-FIRST = 5.0  # seconds from one offer of the first plan to the next
-Weigh = Callable[[str, Mapping[str, int]], None]
-Tell = Callable[[str, dict[str, Any]], None]
+KEEP_OUT_TERMS = 10.0  # lease terms for which one that is unfit to lead keeps out of the queue
+FIRST_PLAN_RETRY_SECONDS = 5.0
+MAX_REASONS_SHOWN = 50  # of a compatibility check, in the status
+MAX_REASONS_OF_REJECTION = 2  # that a member which isn't admitted is told
 
 
 class PlanCoordinator:
-    """A piece: it wakes for the edges. `weigh` is called with each route's weights as they come into force,
-    `tell` with what is to be logged. `formats`: those that this sidecar is held to; None: all it knows.
-    `first`: a plan that it offers, if it votes, where the fleet has none yet; b"": none.
+    """A decider of the fleet among others: it wakes for the plan's edges (instants at which weights change).
+
+    It is where plans meet the sidecar: weights in force and what is to be logged go to `options`.
     """
 
     hears: tuple[type, ...] = ()
 
-    def __init__(
-        self,
-        at: Instant,
-        fleet: Fleet,
-        views: Views,
-        formats: tuple[int, ...] | None,
-        weigh: Weigh,
-        tell: Tell,
-        first: bytes = b"",
-    ) -> None:
+    def __init__(self, at: Instant, fleet: Fleet, views: Views, options: PlanOptions) -> None:
         self.fleet = fleet
         self.views = views
-        self.weigh = weigh
-        self.tell = tell
-        self.plans = Plans(at, fleet, views, taken=self._taken)
-        self.floors = Register(at, "floor", fleet, self._floor)
-        self.skew = Skew(fleet, own_abilities(formats), compile_plan, self._view_still, self._plan_still)
+        self.set_weights = options.set_weights
+        self.log = options.log
+        self.plans = Plans(at, fleet, views, taken=self._on_committed)
+        self.floors = Register(at, "floor", fleet, self._on_floor)
+        abilities = own_abilities(options.formats)
+        self.skew = Skew(fleet, abilities, compile_plan, self._is_view_settled, self._is_plan_settled)
         self.plans.lead.judge = self.skew
         self.time = FleetTime(at, fleet)
         self.edges = Edges(at.now)
-        self.first = first
-        self.next_first = at.now + FIRST
-        self.next = at.now
+        self.first_plan = options.first_plan
+        self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
+        self.next_edge = at.now
         views.admits = self._admits
-        # What a leader puts bears the instant by the fleet's time, so that all take it up together.
-        self.plans.register.when = self._when
+        # What a leader commits carries the instant by the fleet's time, so that all put it in force together.
+        self.plans.register.when = self._commit_instant
 
     @property
     def deciders(self) -> list[Piece]:
+        """The deciders of plans, in the order in which they receive events."""
         return [self.time, self.skew, self.plans, self.plans.register, self.floors, self]
 
     # Between the deciders
 
-    def _view_still(self) -> bool:
+    def _is_view_settled(self) -> bool:
         return self.views.register.still and self.views.held is None
 
-    def _plan_still(self) -> bool:
+    def _is_plan_settled(self) -> bool:
         return self.plans.register.still and self.floors.still
 
     def _admits(self, at: Instant, placed: Placed) -> str:
-        reasons = self.skew.admits(at, placed)
-        return "; ".join(f"{one.code}: {one.what}. {one.do}" for one in reasons[:2])
+        reasons = self.skew.admits(at, placed)[:MAX_REASONS_OF_REJECTION]
+        return "; ".join(f"{reason.code}: {reason.what}. {reason.do}" for reason in reasons)
 
-    def _when(self, at: Instant) -> int:
+    def _commit_instant(self, at: Instant) -> int:
         reading = self.time.now(at)
         return round(reading.unix * 1000) if reading.sure else 0
 
-    def _floor(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:
+    def _on_floor(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:  # noqa: ARG002 - a callback's
         self.skew.took_floor(body)
-        self.tell("plan-floor", {"format": self.skew.floor})
+        self.log("plan-floor", {"format": self.skew.floor})
         return []
 
-    def _taken(self, at: Instant, settled: Settled) -> list[Out]:
+    def _on_committed(self, at: Instant, settled: Settled) -> list[Out]:
         body = self.fleet.bodies.get(settled.digest)
         assert body is not None
         self.skew.took(settled.plan, body)
         when = self.plans.register.have.when
         since = when / 1000 if when else None
         self.edges.settle(at.now, settled.number, Timetable(settled.plan), since)
-        self.next = at.now
+        self.next_edge = at.now
         fields = {"number": settled.number, "epoch": settled.epoch, "digest": settled.digest.hex()}
-        self.tell("plan", {**fields, "format": settled.plan.format})
+        self.log("plan", {**fields, "format": settled.plan.format})
         return []
 
-    def confirmed(self, now: float) -> float:
-        """Seconds since the plan that it has surely was the newest; infinite where there is a newer one, or
-        it is not known.
+    def confirmed_age(self, now: float) -> float:
+        """Return the seconds since the own plan was surely the newest one.
+
+        Infinite where there is a newer one, or it isn't known.
         """
         register = self.plans.register
         if register.have != register.chosen or self.views.stamp.plan > register.have.number:
             return inf
         return self.views.age(now)
 
-    # The clockwork
+    # The decider
 
     @property
     def due(self) -> float:
-        return self.next
+        """When the next edge is, in monotonic seconds."""
+        return self.next_edge
 
     def tick(self, at: Instant) -> list[Out]:
-        unread = self.plans.unread
-        if unread is not None and not self.skew.blind:
-            self.skew.took(None, self.fleet.bodies.get(self.plans.register.have.digest) or b"")
-            self.tell("plan-unread", {"code": unread.code, "why": unread.what})
-        if self.first and at.now >= self.next_first:
-            self._offer_first(at)
-        out = self._unfit(at)
-        look = self.edges.look(at.now, self.time.now(at), self.confirmed(at.now))
-        self.next = look.due
+        """Put weights in force that are due, and propose the first plan if there is none."""
+        self._note_unreadable()
+        if self.first_plan and at.now >= self.next_proposal:
+            self._propose_first(at)
+        outgoing = self._give_up_lead_if_unfit(at)
+        look = self.edges.look(at.now, self.time.now(at), self.confirmed_age(at.now))
+        self.next_edge = look.due
         for line in [*self.time.lines, *look.lines]:
-            self.tell(line.event, line.fields)
+            self.log(line.event, line.fields)
         self.time.lines.clear()
         for route, weights in look.changed.items():
-            self.weigh(route, weights)
-        return out
+            self.set_weights(route, weights)
+        return outgoing
+
+    def _note_unreadable(self) -> None:
+        """Report a committed plan that this program can't read."""
+        unread = self.plans.unread
+        if unread is not None and not self.skew.blind:
+            self.skew.took(None, self.fleet.bodies.get(self.plans.register.have.digest) or b"")
+            self.log("plan-unread", {"code": unread.code, "why": unread.what})
 
-    def _unfit(self, at: Instant) -> list[Out]:
-        """One that can't read what is settled lets nobody in: it leaves the lead to another voter that stands
-        in the view, if there is one.
+    def _give_up_lead_if_unfit(self, at: Instant) -> list[Out]:
+        """Leave the lead to another voter in the view, if there is one, where the plan can't be read here.
+
+        A leader that can't read what is committed admits nobody to the view.
         """
         if self.fleet.duties[LEAD].act(at.boot) is None or not self.skew.own():
             return []
         voters = {*self.fleet.voters.all}
-        others = [one.who for one in self.views.view.members if one.who.name != self.fleet.me.name]
+        own = self.fleet.me.name
+        others = [member.who for member in self.views.view.members if member.who.name != own]
         if not any({*self.fleet.names(who)} & voters for who in others):
             return []
-        self.tell("plan-lead-left", {"why": self.skew.own()[0].what})
-        return self.fleet.release(at, LEAD, AWAY)
+        self.log("plan-lead-left", {"why": self.skew.own()[0].what})
+        return self.fleet.release(at, LEAD, KEEP_OUT_TERMS)
 
-    def _offer_first(self, at: Instant) -> None:
-        self.next_first = at.now + FIRST
+    def _propose_first(self, at: Instant) -> None:
+        self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         if self.plans.register.chosen.number or self.views.stamp.plan:
-            self.first = b""
+            self.first_plan = b""
         elif self.fleet.votes() and self.views.sure(at.now):
-            status, said = self.offer(at, self.first)
-            if status == 400:  # by this very program: it will not be better later
-                self.first = b""
-                self.tell("plan-not-offered", said)
+            http_status, answer = self.offer(at, self.first_plan)
+            if http_status == 400:  # rejected by this very program: another try won't help
+                self.first_plan = b""
+                self.log("plan-not-offered", answer)
 
-    def hear(self, at: Instant, sender: str, address: Address, word: Any) -> list[Out]:
+    def hear(self, at: Instant, sender: str, address: Address, word: Any) -> list[Out]:  # noqa: ARG002 - a Piece's
+        """Do nothing: no message is for this decider."""
         return []
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:  # noqa: ARG002 - a Piece's
+        """Do nothing: this decider wants no bodies."""
         return []
 
-    # What operators ask
+    # Requests of operators
 
     def offer(self, at: Instant, body: bytes) -> tuple[int, dict[str, Any]]:
-        """The answer's status, and what it says."""
+        """Propose a plan to the fleet; return the HTTP status and the JSON body of the answer."""
         try:
-            compile_plan(body)  # what would be refused by all is refused right here
+            compile_plan(body)  # what all would reject is rejected before it is sent
             number = self.plans.offer(at, body)
-        except OperatorError as bad:
-            return 409 if bad.code == "plan-push-under-way" else 400, error_body(bad)
+        except OperatorError as error:
+            return 409 if error.code == "plan-push-under-way" else 400, error_body(error)
         return 202, {"push": number, "state": self.plans.pushes[number].state}
 
-    def set_format_floor(self, at: Instant, least: int) -> tuple[int, dict[str, Any], list[Out]]:
-        """Moves the floor, at the sidecar that leads."""
+    def set_format_floor(self, at: Instant, least_format: int) -> tuple[int, dict[str, Any], list[Out]]:
+        """Set the lowest plan format that members have to read; only at the sidecar that leads.
+
+        Returns
+        -------
+        tuple[int, dict[str, Any], list[Out]]
+            The HTTP status and the JSON body of the answer, and messages to send.
+        """
         try:
-            body = self.skew.floor_to(at, least, self.views.view)
-            out = self.floors.put(at, body)
-        except OperatorError as bad:
-            return 409, error_body(bad), []
-        except ValueError as bad:
-            return 503, {"code": "not-ready", "what": str(bad), "do": "Ask again in a second"}, []
-        return 202, {"floor": least}, out
+            body = self.skew.floor_to(at, least_format, self.views.view)
+            outgoing = self.floors.put(at, body)
+        except OperatorError as error:
+            return 409, error_body(error), []
+        except ValueError as error:
+            return 503, {"code": "not-ready", "what": str(error), "do": "Ask again in a second"}, []
+        return 202, {"floor": least_format}, outgoing
 
     def status(self, at: Instant) -> dict[str, Any]:
-        """For `GET /control/plan`."""
+        """Describe the plan for `GET /control/plan`."""
         reading, edges = self.time.now(at), self.edges
-        judge = self.skew.verdict(at.now)
+        verdict = self.skew.verdict(at.now)
         return {
             **self.plans.seen(at.now),
             "in_force": edges.plan,
@@ -199,15 +210,17 @@
                 "unix": round(reading.unix, 3), "sure": reading.sure,
                 "uncertain_s": None if reading.uncertain == inf else round(reading.uncertain, 4),
             },
-            "confirmed_s": None if self.confirmed(at.now) > 1e6 else round(self.confirmed(at.now), 1),
+            "confirmed_s": shown_age(self.confirmed_age(at.now)),
             "floor": self.skew.floor,
-            "unfit": [one._asdict() for one in self.skew.own()],
+            "unfit": [reason._asdict() for reason in self.skew.own()],
             "judged": {
-                "stage": judge.stage.value, "view": judge.view, "answered": judge.asked, "of": judge.of,
-                "reasons": [one._asdict() for one in judge.reasons[:50]],
+                "stage": verdict.stage.value, "view": verdict.view, "answered": verdict.asked,
+                "of": verdict.of,
+                "reasons": [reason._asdict() for reason in verdict.reasons[:MAX_REASONS_SHOWN]],
             },
         }  # fmt: skip
 
 
-def error_body(bad: OperatorError) -> dict[str, Any]:
-    return {"code": bad.code, "what": bad.what, "do": bad.do}
+def error_body(error: OperatorError) -> dict[str, Any]:
+    """Describe an operator's error as the JSON body of an answer."""
+    return {"code": error.code, "what": error.what, "do": error.do}
--- /dev/null
+++ b/wheatring/peers/reload.py
@@ -0,0 +1,48 @@
+"""Puts a configuration file that was read again into effect at a fleet that runs."""
+
+from __future__ import annotations
+
+from msgspec import structs
+
+from wheatring import config
+from wheatring.config import file
+from wheatring.peers.assembly import voters_of
+from wheatring.peers.fleet_runtime import FleetRuntime
+
+RELOADABLE_KEYS = frozenset({"voters", "voters_next", "key_file"})  # of the table `[fleet]`
+
+
+def reload_fleet(runtime: FleetRuntime, configuration: file.File) -> None:
+    """Put the file's voters and keys into effect, or nothing of it.
+
+    Raises
+    ------
+    config.RestartOnly
+        Something else of the fleet has changed.
+    config.VotersKept
+        The fleet can't go by these voters now.
+    config.KeysError
+        The key file can't be used.
+    """
+    fleet = configuration.fleet
+    if fleet is None:
+        raise config.RestartOnly("fleet: is left by a restart only")
+    assert runtime.started_with is not None
+    if why := restart_reason(runtime.started_with, configuration):
+        raise config.RestartOnly(why)
+    keys = file.keys(fleet.key_file)
+    voters = voters_of(fleet)
+    has_changed = runtime.fleet is not None and voters != runtime.fleet.voters
+    if has_changed and (why := runtime.change_voters(voters)):
+        raise config.VotersKept(f"fleet.voters: {why}")
+    runtime.codec.keys = keys
+
+
+def restart_reason(before: file.File, after: file.File) -> str:
+    """Name the first key that has changed and takes effect by a restart only; "" where there is none."""
+    assert before.fleet is not None and after.fleet is not None
+    old, new = structs.asdict(before.fleet), structs.asdict(after.fleet)
+    for key in sorted(old.keys() - RELOADABLE_KEYS):
+        if old[key] != new[key]:
+            return f"fleet.{key}: changes by a restart only"
+    return "" if before.duty == after.duty else "duty: duties change by a restart only"
--- a/wheatring/pools/active_route.py
+++ b/wheatring/pools/active_route.py
@@ -1,4 +1,4 @@
-"""A route in force, and the jobs that come by it. Guards that a job's pool is chosen once."""
+"""A route in force, and the requests that arrive by it. Guards that a request's pool is chosen once."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class RoutedRequest(Job):
-    """A job, and the pool that it stays in."""
+    """A request, and the pool that it stays in."""
 
     pool: RoutedPool
 
 
 class ActiveRoute:
-    """A route in force."""
+    """A route in force, with the pools that it may choose from, by name."""
 
-    def __init__(self, told: Route, pools: Mapping[str, RoutedPool]) -> None:
-        self.route = told
+    def __init__(self, route: Route, pools: Mapping[str, RoutedPool]) -> None:
+        self.route = route
         self.pools = pools
-        self.class_name = told.class_from.fixed.encode("latin-1")
-        self.deadline = told.deadline
-        self.split = split(told)
+        self.class_name = route.class_from.fixed.encode("latin-1")
+        self.deadline = route.deadline
+        self.split = split(route)
 
-    def job(self, fields: Mapping[bytes, bytes], **told: Any) -> RoutedRequest:
-        return RoutedRequest(pool=self.pools[self.split.pick(fields)], **told)
+    def job(self, fields: Mapping[bytes, bytes], **arguments: Any) -> RoutedRequest:
+        """Make a request with these header fields, and choose its pool."""
+        return RoutedRequest(pool=self.pools[self.split.pick(fields)], **arguments)
--- a/wheatring/pools/connection_budget.py
+++ b/wheatring/pools/connection_budget.py
@@ -1,8 +1,9 @@
-"""Connections to nodes, shared between pools by need: each has some of its own, the rest goes by need.
+"""Connections to nodes, shared between pools by need: each has some reserved, the rest goes by need.
 
-A pool may grow as long as all others keep what they hold, and their own ones free. So, while the total stays,
-what all hold together is never above it, and a pool below its own number can always grow: no pool that is
-flooded takes another's last connection. Idle ones above a pool's own number give way to need elsewhere.
+A pool may grow as long as all others keep what they use, and what is reserved for them stays free. So, while
+the total stays, what all use together never exceeds it, and a pool below its reserve can always grow: no
+overloaded pool takes another's last connection. Idle connections above a pool's reserve are closed for those
+that need one.
 """
 
 from __future__ import annotations
@@ -16,41 +17,50 @@
 
 
 class ConnectionUsage(NamedTuple):
-    """One pool's connections, those under way among them, and how many are its own in any case."""
+    """One pool's connections in use, those being made among them, and how many are reserved for it."""
 
     in_use: int
     reserved: int
 
 
 def available(total: int, others: Iterable[ConnectionUsage]) -> int:
-    """How many a pool may hold, beside these others."""
+    """Return how many connections a pool may use beside these others."""
     return total - sum([max(other.in_use, other.reserved) for other in others])
 
 
 class ConnectionBudget:
-    """The connections of all pools. `total` may change while it runs; a lower one is reached as they end."""
+    """The connections of all pools.
+
+    `total` may change while it runs; a lower one is reached as connections end.
+    """
 
     def __init__(self, total: int) -> None:
         self.total = total
-        self.least: dict[BudgetedPool, int] = {}  # in the order in which they came
+        self.reserved: dict[BudgetedPool, int] = {}  # by pool, in the order in which they came
 
     def in_use(self) -> int:
-        return sum([len(pool.connections) + len(pool.dials) for pool in self.least])
+        """Count the connections of all pools, those being made among them."""
+        return sum([len(pool.connections) + len(pool.dials) for pool in self.reserved])
 
     def limit_of(self, pool: BudgetedPool) -> int:
-        return available(self.total, [other.places_held() for other in self.least if other is not pool])
+        """Return how many connections a pool may use now."""
+        return available(self.total, [other.usage() for other in self.reserved if other is not pool])
+
+    def close_idle_for(self, pool: BudgetedPool) -> bool:
+        """Close the longest idle connection of the pool itself or of one that uses more than its reserve.
 
-    def retire(self, pool: BudgetedPool) -> bool:
-        """Have the connection closed that stood idle longest, of the pool itself and of those that hold more
-        than is their own. False: there is none.
+        Returns
+        -------
+        bool
+            False where there is none.
         """
-        found = None
-        for each in self.least:
-            if each is not pool and (count := each.places_held()).in_use <= count.reserved:
+        found: tuple[BudgetedPool, ClaimConnection] | None = None
+        for candidate in self.reserved:
+            if candidate is not pool and (usage := candidate.usage()).in_use <= usage.reserved:
                 continue
-            oldest = each.oldest_idle()
+            oldest = candidate.oldest_idle()
             if oldest is not None and (found is None or oldest.idle_since < found[1].idle_since):
-                found = each, oldest
+                found = candidate, oldest
         if found is None:
             return False
         found[0].retire(found[1], "pool-full")
@@ -58,39 +68,44 @@
 
 
 class BudgetedPool(Pool):
-    """A pool's connections, as many as the places let it have by now."""
+    """One pool's connections, as many as the budget allows."""
 
-    def __init__(self, places: ConnectionBudget, *told: Any) -> None:
-        self.places = places
+    def __init__(self, budget: ConnectionBudget, *arguments: Any) -> None:
+        self.budget = budget
         self.retired: set[ClaimConnection] = set()
-        super().__init__(*told)
-        places.least[self] = 0
+        super().__init__(*arguments)
+        budget.reserved[self] = 0
+
+    def usage(self) -> ConnectionUsage:
+        """Count the connections, but those that are being closed.
 
-    def places_held(self) -> ConnectionUsage:
-        """One that has been told to close gives its place already: it is gone within this turn or the next,
-        and counted it would have two more closed in its stead.
+        These are gone within this turn of the reactor or the next; counted, each would have one more closed.
         """
-        held = len(self.connections) - len(self.retired) + len(self.dials)
-        return ConnectionUsage(held, self.places.least[self])
+        in_use = len(self.connections) - len(self.retired) + len(self.dials)
+        return ConnectionUsage(in_use, self.budget.reserved[self])
 
     def retire(self, connection: ClaimConnection, code: str) -> None:
+        """Close a connection that carries nothing."""
         self.retired.add(connection)
         super().retire(connection, code)
 
     def gone(self, connection: ClaimConnection) -> None:
+        """Forget a connection that is closed."""
         self.retired.discard(connection)
         super().gone(connection)
 
     def start(self, claim: Claim) -> None:
-        self.most = self.places.limit_of(self)
+        """Send an attempt, on a new connection if the budget allows one."""
+        self.most = self.budget.limit_of(self)
         super().start(claim)
 
     def retire_oldest(self) -> bool:
-        return self.places.retire(self)
+        """Close an idle connection of any pool that may lose one; False where there is none."""
+        return self.budget.close_idle_for(self)
 
     def leave(self, code: str) -> None:
-        """Nobody asks for it any more: nothing is kept, and what is on its way up is not waited for."""
+        """Close all, and stop all that are being made, as no request needs them any more."""
         for dial in list(self.dials):
             dial.connector.stopConnecting()
         self.close(code)
-        del self.places.least[self]
+        del self.budget.reserved[self]
--- a/wheatring/pools/endpoint_selection.py
+++ b/wheatring/pools/endpoint_selection.py
@@ -1,7 +1,7 @@
-"""One pool's part of a list that several go by.
+"""One pool's part of an endpoint list that several pools use. Free of I/O and clocks.
 
-A decider, free of I/O and clocks. Guards that a node which stops to fit is gone from the pool, and that a
-word of one that never fitted is not told there.
+Guards that an endpoint which no longer matches is gone from the pool, and that the pool never hears of one
+that never matched.
 """
 
 from __future__ import annotations
@@ -15,35 +15,37 @@
 
 
 class EndpointSelection:
-    """`table` says what the entries must state; what it leaves out may be anything."""
+    """Selects the endpoints whose zone, machine kind and cell are those that `table` states."""
 
     def __init__(self, table: PoolTable) -> None:
         self.table = table
-        self.names: set[str] = set()  # in the pool by now, draining ones among them
+        self.names: set[str] = set()  # of the endpoints in the pool now, draining ones among them
 
     def matches(self, entry: EndpointEntry) -> bool:
-        told = self.table
+        """Whether an entry of the list belongs to the pool."""
+        table = self.table
         return (
-            (told.zone is None or told.zone == entry.zone)
-            and (told.machine is None or told.machine == entry.kind)
-            and (told.cell is None or told.cell == entry.cell)
+            (table.zone is None or table.zone == entry.zone)
+            and (table.machine is None or table.machine == entry.kind)
+            and (table.cell is None or table.cell == entry.cell)
         )
 
     def select(self, view: View) -> View:
-        """What the pool is told of news of the list. Each is passed on, though it be empty: that there was
-        an answer, or none, is news too.
+        """Return the pool's part of an update of the list.
+
+        Each update is passed on, even an empty one: that there was an answer, or none, is information too.
         """
         if view.kind is ViewKind.FAILED:
             return view
         if view.kind is not ViewKind.DELTA:
             self.names.clear()
-        kept = []
+        selected = []
         for entry in view.entries:
             name = entry.endpoint
             if entry.state is not GONE and self.matches(entry):
                 self.names.add(name)
-                kept.append(entry)
+                selected.append(entry)
             elif name in self.names:
                 self.names.discard(name)
-                kept.append(replace(entry, state=GONE))
-        return View(view.kind, tuple(kept), view.version)
+                selected.append(replace(entry, state=GONE))
+        return View(view.kind, tuple(selected), view.version)
--- a/wheatring/pools/manual_overrides.py
+++ b/wheatring/pools/manual_overrides.py
@@ -1,4 +1,4 @@
-"""Endpoints out by hand where there are many lists. Guards that an operator's word holds in each of them."""
+"""Endpoints that operators have taken out of service, where there are many endpoint lists."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 
 
 class AllPoolsOverrides(ByHand):
-    """The operators' word over all lists: the platform's as ever, and those that pools have of their own."""
+    """The operators' orders over all lists: the platform's, and those that pools have of their own."""
 
     def __init__(self, on_view: Callable[[View], None], pools: PoolSet) -> None:
         super().__init__(on_view)
         self.pools = pools
 
     def knows(self, name: str) -> bool:
-        return super().knows(name) or any(member.by_hand.knows(name) for member in self.pools.all())
+        """Whether any list has, or any order names, this endpoint."""
+        return super().knows(name) or any(pool.overrides.knows(name) for pool in self.pools.all())
 
     def put(self, now: float, out: frozenset[str]) -> None:
+        """Take these endpoints out in each list, and no others."""
         super().put(now, out)
         self.pools.take_out(now, out)
--- a/wheatring/pools/route_tables.py
+++ b/wheatring/pools/route_tables.py
@@ -1,4 +1,4 @@
-"""The file's routes as the table of routes takes them. Guards that `check` and a start take the same."""
+"""Makes routes of the configuration file's tables. Guards that `check` and a start accept the same files."""
 
 from __future__ import annotations
 
@@ -8,37 +8,43 @@
 from wheatring.routes.words import ClassFrom, Header, Match, Route, Weighted
 
 
-def route_from(name: str, told: RouteTable) -> Route:
-    """ValueError, beginning with the route and the field, for one that can't be meant."""
+def route_from(name: str, table: RouteTable) -> Route:
+    """Make a route of its table.
+
+    Raises
+    ------
+    ValueError
+        The table contradicts itself; the text begins with the route and the field.
+    """
     match = Match(
-        told.host, told.path, told.prefix, told.expression, told.methods,
-        tuple([Header(one.name, one.exact, one.prefix) for one in told.headers]),
+        table.host, table.path, table.prefix, table.expression, table.methods,
+        tuple([Header(header.name, header.exact, header.prefix) for header in table.headers]),
     )  # fmt: skip
-    pools = tuple([Weighted(pool, weight) for pool, weight in told.weights.items()])
-    source = ClassFrom(fixed=told.class_name) if told.class_name else ClassFrom(first_part=True)
-    return Route(name, match, pools, source, told.deadline, split_by=told.split_by)
+    pools = tuple([Weighted(pool, weight) for pool, weight in table.weights.items()])
+    source = ClassFrom(fixed=table.class_name) if table.class_name else ClassFrom(first_part=True)
+    return Route(name, match, pools, source, table.deadline, split_by=table.split_by)
 
 
-def first_invalid_key(said: File) -> Wrong | None:
-    """The first key of the routes that is not taken, and why: each by itself, then all together."""
-    made = []
-    for name, told in said.route.items():
+def first_invalid_key(configuration: File) -> Wrong | None:
+    """Return the first key that is rejected, and why: of each route by itself, then of all together."""
+    routes = []
+    for name, table in configuration.route.items():
         try:
-            made.append(route_from(name, told))
-            split(made[-1])
-            Table(made[-1:])
-        except ValueError as bad:
-            return _key(name, told, str(bad))
+            routes.append(route_from(name, table))
+            split(routes[-1])
+            Table(routes[-1:])
+        except ValueError as error:
+            return _key_and_reason(name, table, str(error))
     try:
-        Table(made)
-    except ValueError as bad:
-        return "route", str(bad).removeprefix("route ")
+        Table(routes)
+    except ValueError as error:
+        return "route", str(error).removeprefix("route ")
     return None
 
 
-def _key(name: str, told: RouteTable, why: str) -> Wrong:
-    field, colon, what = why.removeprefix(f"route {name}: ").partition(": ")
+def _key_and_reason(name: str, table: RouteTable, text: str) -> Wrong:
+    field, colon, reason = text.removeprefix(f"route {name}: ").partition(": ")
     field = {"fixed": "class_name"}.get(field, field)
-    if colon and field in type(told).__struct_fields__:
-        return f"route.{name}.{field}", what
-    return f"route.{name}", why.removeprefix(f"route {name}: ")
+    if colon and field in type(table).__struct_fields__:
+        return f"route.{name}.{field}", reason
+    return f"route.{name}", text.removeprefix(f"route {name}: ")
--- a/wheatring/pools/routed_pool.py
+++ b/wheatring/pools/routed_pool.py
@@ -1,17 +1,18 @@
-"""One pool of several: where its list comes from, whether it may be sent to, and how it goes away.
+"""One pool of several: where its endpoint list comes from, whether it may get requests, and how it ends.
 
-States, moved by `Pools` alone, but for `ready`, which the list moves:
+States, moved by `PoolSet` alone, but for `is_ready`, which the list moves:
 
-- *made*: it has its parts and hears its list. No job is its own.
-- *ready*: its list was told once. The routes may name it.
-- *leaving*: no route names it; its jobs go on, and it still hears who drains.
+- *made*: it has its parts and hears its list. No request is its own.
+- *ready*: its list was received once. The routes may name it.
+- *leaving*: no route names it; its requests go on, and it still hears which endpoints drain.
 - *closed*: nothing is its own any more: no list, no connection, no timer that starts another.
 
-What must never hold: a job in a closed pool.
+What must never be: a request in a closed pool.
 """
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from functools import partial
 from random import Random
 from typing import Any
@@ -27,105 +28,124 @@
 from wheatring.pools.endpoint_selection import EndpointSelection
 from wheatring.serving_pool import ServingPool
 
-NONE = {"generation": 0, "instances": []}  # the list of a pool that has just been made
+EMPTY_LIST = {"generation": 0, "instances": []}  # of a pool that has just been made
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class PoolEnvironment:
+    """What all pools of one sidecar share.
+
+    `front` is the callers' exchange: identifiers and usual durations are the same for all pools. `plain` is
+    the pool that has the one endpoint list, and gets no requests.
+    """
+
+    reactor: Any
+    clock: Clock
+    front: Exchange
+    settings: Settings
+    seed: int
+    plain: ServingPool
+    budget: ConnectionBudget
+    body_room: Room
 
 
 class InertBalancer:
     """Decides nothing any more: a timer of a closed pool must not start the next."""
 
-    def handle(self, now: float, event: Event) -> list[Action]:
+    def handle(self, now: float, event: Event) -> list[Action]:  # noqa: ARG002 - the balancer's signature
+        """Return no action."""
         return []
 
 
 class SharedListClient:
-    """The one list, as a pool's driver knows it: the plain pool has it asked for, and doubts are shared."""
+    """The one endpoint list as the driver of a pool knows it.
 
-    def __init__(self, home: ServingPool) -> None:
-        self.home = home
+    The plain pool asks for it, and all pools share what makes its entries doubtful.
+    """
+
+    def __init__(self, plain: ServingPool) -> None:
+        self.plain = plain
 
     def subscribe(self) -> None:
-        """The plain pool hears the same of the list, and sees to it."""
+        """Do nothing: the plain pool decides the same of the list, and watches it."""
 
     def unsubscribe(self) -> None:
-        """Others go by it."""
+        """Do nothing: other pools use the list."""
 
     def fetch(self) -> None:
-        self.home.machine_list.fetch()
+        """Ask for the list again."""
+        self.plain.machine_list.fetch()
 
     def seen(self, now: float, node: str, outcome: Outcome) -> None:
-        self.home.machine_list.seen(now, node, outcome)
+        """Report how an attempt at a node ended."""
+        self.plain.machine_list.seen(now, node, outcome)
 
 
 class RoutedPool:
-    """`front` is the callers' exchange: ids and what is usual are one for all pools."""
-
-    def __init__(
-        self,
-        name: str,
-        table: PoolTable,
-        reactor: Any,
-        clock: Clock,
-        front: Exchange,
-        settings: Settings,
-        seed: int,
-        places: ConnectionBudget,
-        room: Room,
-        pace: Pace,
-        home: ServingPool,
-    ) -> None:
+    """A pool that the configuration file names."""
+
+    def __init__(self, name: str, table: PoolTable, environment: PoolEnvironment, pace: Pace) -> None:
         self.name = name
         self.table = table
-        own = Exchange(clock, front.grace)
-        own.idents, own.usual = front.idents, front.usual
-        # Decisions, and the list's timetable, drawn apart from any other pool's.
-        number = Random(f"{seed}:pool:{name}").getrandbits(63)
-        self.serving = ServingPool(
-            reactor, clock, own, settings, number, 0, room, pace, partial(BudgetedPool, places)
-        )
+        self.serving = _serving_pool(name, environment, pace)
         self.driver = self.serving.driver
         self.pool = self.serving.pool
         assert isinstance(self.pool, BudgetedPool)
         self.connections: BudgetedPool = self.pool
-        self.ready = self.closed = False
-        self.selection: EndpointSelection | None = None
-        self.by_hand = ByHand(self.driver.feed)  # over its own list
+        self.is_ready = self.is_closed = False
+        self.selection: EndpointSelection | None = None  # None: it has a list of its own
+        self.overrides = ByHand(self.driver.feed)  # over its own list
         if table.discovery is None:
             self.selection = EndpointSelection(table)
-            self.driver.machine_list = SharedListClient(home)
-            self.connections.addresses = home.pool.addresses
+            self.driver.machine_list = SharedListClient(environment.plain)
+            self.connections.addresses = environment.plain.pool.addresses
         else:
             host, _, port = table.discovery.rpartition(":")
-            self.serving.list_from((host, int(port)), self.own_view)
+            self.serving.list_from((host, int(port)), self.on_own_list)
 
-    def start(self, word: Word) -> None:
+    def start(self, shared_list: Word) -> None:
         """Hear the list from now on."""
         if self.selection is None:
-            self.serving.machine_list.known(NONE)
+            self.serving.machine_list.known(EMPTY_LIST)
         else:
-            self.view(word.whole())
+            self.on_shared_list(shared_list.whole())
 
-    def view(self, view: View) -> None:
-        """News of the one list."""
-        if self.selection is not None and not self.closed:
-            self.ready = True
+    def on_shared_list(self, view: View) -> None:
+        """Take up an update of the one list."""
+        if self.selection is not None and not self.is_closed:
+            self.is_ready = True
             self.driver.feed(self.selection.select(view))
 
-    def own_view(self, view: View) -> None:
-        """News of its own list."""
+    def on_own_list(self, view: View) -> None:
+        """Take up an update of its own list."""
         if view.kind in (ViewKind.FULL, ViewKind.DELTA):
-            self.ready = True
-        self.by_hand.view(view)
+            self.is_ready = True
+        self.overrides.view(view)
 
-    def repace(self, pace: Pace) -> None:
+    def set_pace(self, pace: Pace) -> None:
+        """Ask for its own list, if it has one, as often as this says."""
         if self.selection is None:
             self.serving.machine_list.asking.pace = pace
 
     def close(self, code: str) -> None:
-        """It has no jobs, or the sidecar ends."""
-        if self.closed:
+        """End it, as it has no requests, or the sidecar ends."""
+        if self.is_closed:
             return
-        self.closed = True
+        self.is_closed = True
         if self.selection is None:
             self.serving.machine_list.unsubscribe()
         self.connections.leave(code)
         self.driver.balancer = InertBalancer()
+
+
+def _serving_pool(name: str, environment: PoolEnvironment, pace: Pace) -> ServingPool:
+    """Make the parts of a pool, with an exchange of its own."""
+    front = environment.front
+    exchange = Exchange(environment.clock, front.grace)
+    exchange.idents, exchange.usual = front.idents, front.usual
+    # Decisions, and the list's timetable, drawn apart from any other pool's.
+    seed = Random(f"{environment.seed}:pool:{name}").getrandbits(63)
+    return ServingPool(
+        environment.reactor, environment.clock, exchange, environment.settings, seed, 0,
+        environment.body_room, pace, partial(BudgetedPool, environment.budget),
+    )  # fmt: skip
--- a/wheatring/serving.py
+++ b/wheatring/serving.py
@@ -1,4 +1,4 @@
-"""The process of one sidecar: reads what it is told, takes the signals, runs the reactor."""
+"""The process of one sidecar: reads its files, handles signals, runs the reactor."""
 
 from __future__ import annotations
 
@@ -10,68 +10,90 @@
 from typing import Any
 
 from wheatring import config, lazy_imports, log, operator_properties
-from wheatring.daemon.sidecar import Sidecar, read_configuration
+from wheatring.daemon.configuration import read_configuration
+from wheatring.daemon.sidecar import Sidecar
 
+START_FAILED = 2  # exit status
 
-def serve(file: str | None, capture: bool, own: str | None = None) -> int:
-    """Serve until told to stop; `file` is the operators', `own` the project's. The exit status: 2 where it
-    could not start.
+
+def serve(operators_path: str | None, capture: bool, configuration_path: str | None = None) -> int:
+    """Serve until a signal ends it.
+
+    Returns
+    -------
+    int
+        The exit status, where it could not start. Else the process ends here.
     """
     gc.disable()  # nearly all that a start makes stays, and many may start on one machine at once
     try:
-        sidecar = start_sidecar(file, capture, own)
+        sidecar = start_sidecar(operators_path, capture, configuration_path)
     finally:
         gc.enable()
     if sidecar is None:
-        return 2
+        return START_FAILED
     sidecar.reactor.run(installSignalHandlers=False)
     sys.stdout.flush()
     sys.stderr.flush()
-    # The follower starts once this process is gone, and all that the interpreter would take apart is too.
-    os._exit(sidecar.status)
+    # The next process starts once this one is gone, and all that the interpreter would take apart is too.
+    os._exit(sidecar.exit_status)
 
 
-def start_sidecar(file: str | None, capture: bool, own: str | None) -> Sidecar | None:
-    """One that listens, and hears signals. None: it could not, and has said why."""
+def start_sidecar(
+    operators_path: str | None, capture: bool, configuration_path: str | None
+) -> Sidecar | None:
+    """Start a sidecar that listens and handles signals; None where it can't, which is reported on stderr."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload, it must not end us
     try:
-        said = read_configuration(own)
-        told = config.read(os.environ)
-        asked = operator_properties.read(file)
-    except (config.ConfigError, operator_properties.OperatorsError, config.FileError) as bad:
-        print(f"wheatring: {bad}", file=sys.stderr)
+        configuration = read_configuration(configuration_path)
+        platform = config.read(os.environ)
+        operators = operator_properties.read(operators_path)
+    except (config.ConfigError, operator_properties.OperatorsError, config.FileError) as error:
+        print(f"wheatring: {error}", file=sys.stderr)
         return None
     log.set_non_blocking()
     lazy_imports.defer()
-    from twisted.internet import error
-    from twisted.internet import reactor as installed
+    reactor = _prepared_reactor()
+    try:
+        sidecar = Sidecar(
+            reactor, platform, operators, capture, configuration_path=configuration_path,
+            configuration=configuration,
+        )  # fmt: skip
+    except config.FileError as error:  # the key file that the project's own file names
+        print(f"wheatring: {error}", file=sys.stderr)
+        return None
+    # Before it logs that it listens, from when on all of these may come.
+    _handle_signals(sidecar, operators_path)
+    from twisted.internet.error import CannotListenError
 
-    reactor: Any = installed  # Twisted's own type lacks half of its methods
+    try:
+        sidecar.start()
+    except CannotListenError as error:
+        print(f"wheatring: listen: {error}", file=sys.stderr)
+        return None
+    return sidecar
+
+
+def _prepared_reactor() -> Any:
+    """Import Twisted's reactor; set its clock and its log."""
+    from twisted.internet import reactor as installed
     from twisted.logger import globalLogBeginner
 
+    reactor: Any = installed  # Twisted's own type lacks half of its methods
     reactor.seconds = time.monotonic  # or a step of the system's time would hold up or hurry all timers
-
     observers: Any = [log.log_twisted_failure]
     globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False)
-    try:
-        sidecar = Sidecar(reactor, told, asked, capture, own=own, said=said)
-    except config.FileError as bad:  # the key file that the project's own file names
-        print(f"wheatring: {bad}", file=sys.stderr)
-        return None
+    return reactor
+
 
-    def told_to_stop(number: int, frame: object) -> None:
+def _handle_signals(sidecar: Sidecar, operators_path: str | None) -> None:
+    reactor = sidecar.reactor
+
+    def stop(_number: int, _frame: object) -> None:
         reactor.callFromThread(sidecar.stop)
 
-    def told_to_reload(number: int, frame: object) -> None:
-        reactor.callFromThread(sidecar.reload, os.environ, file)
+    def reload(_number: int, _frame: object) -> None:
+        reactor.callFromThread(sidecar.reload, os.environ, operators_path)
 
-    # Before it says that it listens, from when on all of these may come.
-    signal.signal(signal.SIGHUP, told_to_reload)
-    signal.signal(signal.SIGTERM, told_to_stop)
-    signal.signal(signal.SIGINT, told_to_stop)
-    try:
-        sidecar.start()
-    except error.CannotListenError as bad:
-        print(f"wheatring: listen: {bad}", file=sys.stderr)
-        return None
-    return sidecar
+    signal.signal(signal.SIGHUP, reload)
+    signal.signal(signal.SIGTERM, stop)
+    signal.signal(signal.SIGINT, stop)
--- a/wheatring/serving_pool.py
+++ b/wheatring/serving_pool.py
@@ -1,7 +1,7 @@
-"""One pool that serves: its decision module, driver, kept connections and machine list.
+"""One pool that serves: its balancer, driver, connections to nodes, and endpoint list.
 
 The plain daemon has exactly one. Guards that the parts of one pool know each other and nothing of another's:
-what is decided, dialled, listed and doubted here stays here. Driver and connections hang themselves into the
+what is decided, connected, listed and doubted here stays here. Driver and connections register with the
 exchange that they are given, so no two pools may have the same one.
 """
 
@@ -23,8 +23,20 @@
 
 
 class ServingPool:
-    """`seed` is the decision module's; the list's timetables draw from seeds that begin with its text. `most`
-    is how many connections to nodes it may hold; `room` is what bodies may take, over all pools.
+    """The parts of one pool.
+
+    Parameters
+    ----------
+    seed : int
+        The balancer's; the list's timetables draw from seeds that begin with its text.
+    max_connections : int
+        To nodes, at once.
+    body_room : Room
+        The memory for bodies, shared by all pools.
+    pace : Pace
+        How often the endpoint list may be asked for.
+    connections : Callable[..., Pool]
+        Makes the connections to nodes.
     """
 
     __slots__ = ("asking", "balancer", "clock", "driver", "freshness", "machine_list", "pool", "reactor")
@@ -36,8 +48,8 @@
         exchange: Exchange,
         settings: Settings,
         seed: int,
-        most: int,
-        room: Room,
+        max_connections: int,
+        body_room: Room,
         pace: Pace = DEFAULT,
         connections: Callable[..., Pool] = Pool,
     ) -> None:
@@ -47,13 +59,21 @@
         self.balancer = Balancer(settings, seed)
         self.driver = Driver(self.balancer, exchange, clock)
         self.pool = connections(
-            reactor, clock, exchange, limits.connect_timeout, limits.idle_timeout, most, room
+            reactor, clock, exchange, limits.connect_timeout, limits.idle_timeout, max_connections, body_room
         )
         self.asking, self.freshness = deciders(settings, seed, clock.now(), pace)
         self.machine_list: MachineList
 
     def list_from(self, discovery: tuple[str, int], on_view: Callable[[View], None]) -> MachineList:
-        """Its own list, from that discovery; each view goes to `on_view`, which hands it to the driver."""
+        """Make its endpoint list's client.
+
+        Parameters
+        ----------
+        discovery : tuple[str, int]
+            Host and port of the service that answers it.
+        on_view : Callable[[View], None]
+            Receives each update, and hands it to the driver.
+        """
         self.machine_list = MachineList(
             self.reactor, self.clock, discovery, self.pool.addresses, on_view, self.freshness, self.asking,
             pushed=not self.balancer.settings.must_ask,
