--- a/tests/tier/scenario.py
+++ b/tests/tier/scenario.py
@@ -235,7 +235,7 @@
         self.world.kill(name, wipe=True)
         del self.world.hosts[name]
 
-    # OperatorApi and programs
+    # Orders and programs
 
     async def do_replace(self, generation: str) -> int:
         return await self.world.replace(int(generation))
--- a/tests/tier/test_commands.py
+++ b/tests/tier/test_commands.py
@@ -1,4 +1,4 @@
-"""OperatorApi on the control state: what is taken, what is refused, and what a repeat is answered."""
+"""Orders on the control state: what is taken, what is refused, and what a repeat is answered."""
 
 from __future__ import annotations
 
