--- a/tests/tier/edge.py
+++ b/tests/tier/edge.py
@@ -220,7 +220,7 @@
         status, _ = await self.order("POST", "/config/replace", 0, body)
         assert status == 200
         await self.settle(3.5)
-        assert self.hosts["e1"].process.ready
+        assert self.hosts["e1"].process.is_ready
 
     async def _listen(self, endpoint: StandIn) -> None:
         loop = asyncio.get_running_loop()
--- a/tests/tier/test_budget_replies.py
+++ b/tests/tier/test_budget_replies.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from tests.tier.virtual_loop import VirtualLoop
-from wheatring.budgets.budgets import Budgets
-from wheatring.storage.quorum import QuorumClient
+from wheatring.budgets.token_budgets import TokenBudgets
+from wheatring.storage.quorum_client import QuorumClient
 from wheatring.storage.replica import Replica
 from wheatring.transport.messages_pb2 import Envelope, Placement, StorageMember, StorageReply
 
@@ -19,11 +19,11 @@
         self._replica = replica
         self.replies: list[StorageReply] = []
 
-    def to(self, address: str) -> OneReplica:
+    def client_for(self, address: str) -> OneReplica:
         return self
 
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
-        reply = await self._replica.handle(envelope.storage_request)
+        reply = await self._replica.handle_request(envelope.storage_request)
         self.replies.append(reply)
         return Envelope(storage_reply=reply)
 
@@ -38,7 +38,7 @@
         placement = Placement(epoch=1, current=[member])
         clients = OneReplica(replica)
         store = QuorumClient(clients, 0, "z", lambda: placement, lambda newer: None)  # type: ignore[arg-type]
-        budgets = Budgets(store)
+        budgets = TokenBudgets(store)
         await budgets.reserve("program", "t1", 60, 100, 1.0)
         budgets.settle("program", "t1", 10)
         await asyncio.sleep(0.1)
--- a/tests/tier/test_placement.py
+++ b/tests/tier/test_placement.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from wheatring.controller.storage_membership import StorageReport, complete_retirements, next_placement
-from wheatring.placement.placement import place, quorums, replicas_for
-from wheatring.storage.repair import needs_no_copy, sources_needed
+from wheatring.placement.key_placement import place_key, quorum_sizes, replicas_for
+from wheatring.storage.repair import can_skip_copy, copy_sources_required
 from wheatring.transport.messages_pb2 import ControlState, Placement, StorageMember
 
 
@@ -24,7 +24,7 @@
 def test_reads_overlap_with_writes(count: int, losses: int) -> None:
     if count < losses + 1:
         return
-    figures = quorums(count, losses)
+    figures = quorum_sizes(count, losses)
     assert figures.write == losses + 1
     assert figures.read + figures.write > figures.copies
     assert figures.read <= figures.copies
@@ -52,14 +52,14 @@
 
 def read_quorums(placement: Placement, key: str, losses: int) -> list[set[str]]:
     """All least sets of members whose replies say that nothing was acknowledged."""
-    at = place(key, placement, losses)
-    return _least_sets([m.replica_id for m in at.members], at.is_read)
+    at = place_key(key, placement, losses)
+    return _least_sets([m.replica_id for m in at.members], at.has_read_quorum)
 
 
 def write_quorums(placement: Placement, key: str, losses: int) -> list[set[str]]:
     """All least sets of members whose replies acknowledge a write."""
-    at = place(key, placement, losses)
-    return _least_sets([m.replica_id for m in at.members], at.is_written)
+    at = place_key(key, placement, losses)
+    return _least_sets([m.replica_id for m in at.members], at.has_write_quorum)
 
 
 def _least_sets(ids: list[str], is_enough: Callable[[set[str]], bool]) -> list[set[str]]:
@@ -103,7 +103,7 @@
     for member in gone:
         member.lost = True
     names = {member.replica_id for member in gone}
-    assert not any(names & {m.replica_id for m in place(key, lacking, losses).members} for _ in "x")
+    assert not any(names & {m.replica_id for m in place_key(key, lacking, losses).members} for _ in "x")
     for written in write_quorums(whole, key, losses):
         assert all(written & read for read in read_quorums(lacking, key, losses))
 
@@ -199,7 +199,7 @@
     state.placement.CopyFrom(done)
     joint = next_placement(state, now, 1, 9.0, 9.0)
     assert joint is not None and {m.replica_id for m in joint.next} == {"new", "new2", "r3"}
-    assert sources_needed(joint, 1) == 2  # which "new" and r3 are
+    assert copy_sources_required(joint, 1) == 2  # which "new" and r3 are
 
 
 def test_a_second_disk_lost_during_a_repair_waits_for_it() -> None:
@@ -229,7 +229,7 @@
     joint = next_placement(state_with(placement), reported(1, 2, 3, whole=3), 1, 9.0, 9.0)
     assert joint is not None and {m.replica_id for m in joint.next} == {"r1", "r2", "r3"}
     assert not any(member.lost for member in joint.next)
-    assert not needs_no_copy("r2", joint, 1) and needs_no_copy("r1", joint, 1)
+    assert not can_skip_copy("r2", joint, 1) and can_skip_copy("r1", joint, 1)
 
 
 def test_an_old_report_of_a_whole_member_completes_a_change() -> None:
--- a/tests/tier/test_prompt_placement.py
+++ b/tests/tier/test_prompt_placement.py
@@ -12,16 +12,16 @@
 from hypothesis import strategies as st
 
 from wheatring.balancer import interface as i
-from wheatring.sidecar.decisions import ServiceDecisions, TierBalancer, are_even
 from wheatring.sidecar.policy import DEFAULT_POLICY, PolicyError, SidecarPolicy, read_policy
-from wheatring.sidecar.prompt_placement import PromptCaches, PromptPart, home_of
+from wheatring.sidecar.prefix_placement import PrefixCacheTracker, PromptSegment, home_endpoint
+from wheatring.sidecar.service_balancer import ServiceBalancer, TierBalancer, are_zones_balanced
 
 ENDPOINTS = [f"i-{zone}{number}" for zone in "ab" for number in range(6)]
 
 
-def prompt(line: int, sub_agent: int | None = None, tokens: int = 1000) -> tuple[PromptPart, ...]:
-    parts = (PromptPart(b"shared", 500), PromptPart(b"line%d" % line, tokens))
-    return parts if sub_agent is None else (*parts, PromptPart(b"agent%d" % sub_agent, 200))
+def prompt(line: int, sub_agent: int | None = None, tokens: int = 1000) -> tuple[PromptSegment, ...]:
+    parts = (PromptSegment(b"shared", 500), PromptSegment(b"line%d" % line, tokens))
+    return parts if sub_agent is None else (*parts, PromptSegment(b"agent%d" % sub_agent, 200))
 
 
 def balancer(zone: str, seed: int, policy: SidecarPolicy = DEFAULT_POLICY) -> TierBalancer:
@@ -32,12 +32,12 @@
     found.slots = dict.fromkeys(ENDPOINTS, 6)
     entries = tuple(i.EndpointEntry(name, i.EndpointState.READY, zone=name[2]) for name in ENDPOINTS)
     found.handle(0.0, i.View(i.ViewKind.FULL, entries))
-    found.zones_carry_themselves = True
+    found.is_zone_local = True
     return found
 
 
-def sent_to(found: TierBalancer, now: float, number: int, parts: tuple[PromptPart, ...]) -> str:
-    found.parts[number] = parts
+def sent_to(found: TierBalancer, now: float, number: int, parts: tuple[PromptSegment, ...]) -> str:
+    found.prompt_segments[number] = parts
     sends = [a for a in found.handle(now, i.NewRequest(number, "stream", 3.0)) if isinstance(a, i.Send)]
     return sends[0].endpoint
 
@@ -46,7 +46,7 @@
     served = outcome is i.Outcome.SERVED
     found.handle(now, i.AttemptEnded(number, 0, outcome, endpoint, 0.2, served, None))
     if served:
-        found.caches.read(now, endpoint, found.parts[number])
+        found.prefix_caches.record_prefill(now, endpoint, found.prompt_segments[number])
 
 
 def test_sidecars_of_a_zone_send_a_line_to_one_endpoint_of_their_zone() -> None:
@@ -62,37 +62,37 @@
 
 @given(st.integers(0, 400), st.sampled_from(ENDPOINTS))
 def test_only_lines_at_home_there_move_when_an_endpoint_goes(line: int, gone: str) -> None:
-    before = home_of(prompt(line), ENDPOINTS, 2)
-    after = home_of(prompt(line), [endpoint for endpoint in ENDPOINTS if endpoint != gone], 2)
+    before = home_endpoint(prompt(line), ENDPOINTS, 2)
+    after = home_endpoint(prompt(line), [endpoint for endpoint in ENDPOINTS if endpoint != gone], 2)
     assert after == before or before == gone
 
 
 def test_lines_are_spread_evenly() -> None:
-    counts = Counter(home_of(prompt(line), ENDPOINTS, 2) for line in range(2400))
+    counts = Counter(home_endpoint(prompt(line), ENDPOINTS, 2) for line in range(2400))
     assert min(counts.values()) > 140 and max(counts.values()) < 260
 
 
 def test_sub_agents_are_spread_over_the_first_in_their_lines_order() -> None:
     for spread in (1, 2, 3):
-        homes = Counter(home_of(prompt(7, agent), ENDPOINTS, spread) for agent in range(60))
+        homes = Counter(home_endpoint(prompt(7, agent), ENDPOINTS, spread) for agent in range(60))
         assert len(homes) == spread
-        assert home_of(prompt(7), ENDPOINTS, spread) in homes
+        assert home_endpoint(prompt(7), ENDPOINTS, spread) in homes
 
 
 def test_a_prompt_without_a_line_has_no_home() -> None:
-    assert home_of(prompt(1)[:1], ENDPOINTS, 2) is None
-    assert home_of(prompt(1), [], 2) is None
+    assert home_endpoint(prompt(1)[:1], ENDPOINTS, 2) is None
+    assert home_endpoint(prompt(1), [], 2) is None
 
 
 def test_what_stands_behind_a_part_that_is_not_held_is_read_too() -> None:
-    caches = PromptCaches(seconds=20.0)
+    caches = PrefixCacheTracker(seconds=20.0)
     parts = prompt(1, 2)
-    assert caches.missing(0.0, "i", parts) == 1700
-    caches.read(0.0, "i", parts[2:])
-    assert caches.missing(1.0, "i", parts) == 1700
-    caches.read(0.0, "i", parts[:1])
-    assert caches.missing(1.0, "i", parts) == 1200
-    assert caches.missing(21.0, "i", parts) == 1700
+    assert caches.uncached_tokens(0.0, "i", parts) == 1700
+    caches.record_prefill(0.0, "i", parts[2:])
+    assert caches.uncached_tokens(1.0, "i", parts) == 1700
+    caches.record_prefill(0.0, "i", parts[:1])
+    assert caches.uncached_tokens(1.0, "i", parts) == 1200
+    assert caches.uncached_tokens(21.0, "i", parts) == 1700
 
 
 def test_another_one_is_chosen_right_after_a_failure_at_home() -> None:
@@ -121,13 +121,13 @@
 @pytest.mark.parametrize("counts", ENDPOINTS_BY_ZONE)
 def test_zones_carry_themselves_where_all_have_their_share(counts: tuple[int, ...]) -> None:
     by_zone = {f"z{number}": count for number, count in enumerate(counts)}
-    assert are_even(by_zone, DEFAULT_POLICY) is ENDPOINTS_BY_ZONE[counts]
+    assert are_zones_balanced(by_zone, DEFAULT_POLICY) is ENDPOINTS_BY_ZONE[counts]
 
 
 def test_lines_are_spread_over_all_zones_where_these_are_uneven() -> None:
     sidecars = [balancer(zone, seed) for seed, zone in enumerate("aabb")]
     for sidecar in sidecars:
-        sidecar.zones_carry_themselves = False
+        sidecar.is_zone_local = False
     chosen: Counter[str] = Counter()
     for line in range(40):
         at_home = {sent_to(sidecar, 1.0, line, prompt(line)) for sidecar in sidecars}
@@ -176,7 +176,7 @@
 
 def test_zones_are_known_though_the_first_list_holds_one_only() -> None:
     async def play() -> TierBalancer:
-        decisions = ServiceDecisions("a", 1, DEFAULT_POLICY)
+        decisions = ServiceBalancer("a", 1, DEFAULT_POLICY)
         listed = [
             (i.EndpointEntry(name, i.EndpointState.READY, zone=name[2]), f"{name}:80", 6)
             for name in ENDPOINTS
@@ -188,4 +188,4 @@
     found = asyncio.run(play())
     assert {endpoint.entry.zone for endpoint in found.near} == {"a"}
     assert {endpoint.entry.zone for endpoint in found.far} == {"a", "b"}
-    assert found.zones_carry_themselves
+    assert found.is_zone_local
--- a/tests/tier/test_record_file.py
+++ b/tests/tier/test_record_file.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from wheatring.durable.record_file import DamagedFile, DiskError, RecordFile
+from wheatring.durable.record_file import DamagedRecordFileError, DiskError, RecordFile
 
 PAYLOADS = st.lists(st.binary(max_size=60), min_size=1, max_size=4)
 
@@ -52,7 +52,7 @@
     @rule(payloads=PAYLOADS, data=st.data())
     def lose_power_within_a_batch(self, payloads: list[bytes], data: st.DataObject) -> None:
         """Of a batch that was not synced any part may be there, and the rest zeros or nothing."""
-        before = self.file.size
+        before = self.file.size_bytes
         self.file.append(payloads)
         self.file.close()
         whole = self.path.read_bytes()
@@ -71,7 +71,7 @@
     @invariant()
     def size_is_known(self) -> None:
         if hasattr(self, "file"):
-            assert self.file.size == os.path.getsize(self.path)
+            assert self.file.size_bytes == os.path.getsize(self.path)
 
 
 TestRecordFile = FileMachine.TestCase
@@ -84,16 +84,16 @@
     path = tmp_path_factory.mktemp("damage") / "records"
     file, _ = opened(path)
     file.append([b"first" * 10])
-    middle = file.size
+    middle = file.size_bytes
     file.append([b"second" * 10])
-    end = file.size
+    end = file.size_bytes
     for number in range(3):
         file.append([b"later%d" % number])
     file.close()
     data = bytearray(path.read_bytes())
     data[middle + flip % (end - middle)] ^= 0x40
     path.write_bytes(bytes(data))
-    with pytest.raises(DamagedFile):
+    with pytest.raises(DamagedRecordFileError):
         opened(path)
 
 
--- a/tests/tier/test_repair.py
+++ b/tests/tier/test_repair.py
@@ -11,9 +11,9 @@
 import pytest
 
 from tests.tier.virtual_loop import VirtualLoop
-from wheatring.storage.repair import FETCH_SECONDS, Repair
+from wheatring.storage.repair import FETCH_TIMEOUT_SECONDS, Repair
 from wheatring.storage.replica import Replica
-from wheatring.transport.client import Unreachable
+from wheatring.transport.client import PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
     BudgetEntry,
     Envelope,
@@ -39,8 +39,8 @@
         await asyncio.sleep(0.001)
         if self._fails(envelope):
             await asyncio.sleep(timeout)
-            raise Unreachable("silent")
-        reply = await self.replica.scan(envelope.scan_request)
+            raise PeerUnreachableError("silent")
+        reply = await self.replica.handle_scan(envelope.scan_request)
         self._sent.update(record.turn.id for record in reply.records if record.HasField("turn"))
         return Envelope(scan_reply=reply)
 
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self.by_address: dict[str, Source] = {}
 
-    def to(self, address: str) -> Source:
+    def client_for(self, address: str) -> Source:
         return self.by_address[address]
 
 
@@ -85,7 +85,7 @@
         following = [*members[:2], StorageMember(replica_id=new.identity, node="new", address="new")]
         repair = Repair(new, sources, 1)  # type: ignore[arg-type]
         began = loop.time()
-        repair.follow(Placement(epoch=2, current=members, next=following))
+        repair.on_placement(Placement(epoch=2, current=members, next=following))
         async with asyncio.timeout(30):
             while repair.whole_epoch < 2:
                 await asyncio.sleep(0.001)
@@ -101,8 +101,8 @@
 
 def test_each_turn_is_sent_once(tmp_path: Path) -> None:
     sent, replica, seconds = repaired(tmp_path, lambda name, envelope: False)
-    assert all(replica.table.holds_turn(turn) for turn in TURNS)
-    assert replica.table.budget("p")[0].tokens == 5
+    assert all(replica.table.has_turn(turn) for turn in TURNS)
+    assert replica.table.budget_entries("p")[0].tokens == 5
     assert set(sent.values()) == {1}
     assert seconds < 0.1
 
@@ -113,8 +113,8 @@
         return source == name and bool(envelope.scan_request.turn_ids)
 
     _, replica, seconds = repaired(tmp_path, fails)
-    assert all(replica.table.holds_turn(turn) for turn in TURNS)
-    assert seconds < FETCH_SECONDS + 0.1
+    assert all(replica.table.has_turn(turn) for turn in TURNS)
+    assert seconds < FETCH_TIMEOUT_SECONDS + 0.1
 
 
 def test_a_turn_that_is_here_already_is_kept_as_long_as_at_its_sources(tmp_path: Path) -> None:
@@ -134,13 +134,13 @@
         replica = sources.by_address["new"].replica
         clock[0] = 50.0
         for name in ("a", "b"):
-            sources.by_address[name].replica.table.touch("t1", 120.0)
+            sources.by_address[name].replica.table.extend_expiry("t1", 120.0)
         clock[0] = 60.0
         extra = [
             StorageMember(replica_id=f"x{n}", node=f"x{n}", address=f"x{n}", lost=True) for n in range(2)
         ]
         repair = Repair(replica, sources, 1)  # type: ignore[arg-type]
-        repair.follow(Placement(epoch=2, current=[*members, *extra], next=members))
+        repair.on_placement(Placement(epoch=2, current=[*members, *extra], next=members))
         async with asyncio.timeout(30):
             while repair.whole_epoch < 2:
                 await asyncio.sleep(0.001)
@@ -149,7 +149,7 @@
         return replica
 
     replica = run(loop, play)
-    assert replica.table.holds_turn("t1")
+    assert replica.table.has_turn("t1")
 
 
 def test_a_requester_that_does_not_list_turns_is_sent_them_whole(tmp_path: Path) -> None:
@@ -167,7 +167,7 @@
             limit_bytes=1 << 20,
             requester="new",
         )
-        return await replica.scan(request)
+        return await replica.handle_scan(request)
 
     reply = run(loop, play)
     assert [record.turn.id for record in reply.records if record.HasField("turn")] == TURNS
--- a/tests/tier/test_routes_split.py
+++ b/tests/tier/test_routes_split.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from wheatring.sidecar.routes import RouteTable
+from wheatring.sidecar.route_table import RouteTable
 
 
 def table(*weights: float) -> RouteTable:
--- a/tests/tier/test_sidecar.py
+++ b/tests/tier/test_sidecar.py
@@ -240,7 +240,7 @@
         assert host.life is not None
         stopping = world.run_as(host.life, host.process.stop)
         await world.settle(0.5)
-        assert not host.process.ready
+        assert not host.process.is_ready
         late = await world.request("/unsafe/x")
         assert late.status == 200 and late.headers[b"connection"] == b"close"
         got = await asking
--- a/tests/tier/test_transport_client.py
+++ b/tests/tier/test_transport_client.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
-from wheatring.transport.client import CONNECT_SECONDS, Client, Unreachable
+from wheatring.transport.client import CONNECT_TIMEOUT_SECONDS, EnvelopeClient, PeerUnreachableError
 from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
 from wheatring.transport.messages_pb2 import Envelope, StatusReply, StatusRequest
 
@@ -29,7 +29,7 @@
         LIFE.set(Life("caller"))
         loop.network.cut("caller", "peer")
         loop.call_later(silent_seconds, loop.network.heal, "caller", "peer")
-        client = Client("peer", PORT)
+        client = EnvelopeClient("peer", PORT)
         try:
             await client.call(Envelope(status_request=StatusRequest()), timeout)
         finally:
@@ -45,7 +45,7 @@
 
 
 def test_a_machine_that_stays_silent_is_given_up() -> None:
-    with pytest.raises(Unreachable):
+    with pytest.raises(PeerUnreachableError):
         asked(60.0, 5.0)
 
 
@@ -55,12 +55,12 @@
     async def play() -> float:
         LIFE.set(Life("caller"))
         loop.network.cut("caller", "peer")
-        client = Client("peer", PORT)
-        with pytest.raises(Unreachable):
+        client = EnvelopeClient("peer", PORT)
+        with pytest.raises(PeerUnreachableError):
             await client.call(Envelope(status_request=StatusRequest()), 5.0)
         return loop.time()
 
-    assert loop.run_until_complete(play()) == pytest.approx(CONNECT_SECONDS)
+    assert loop.run_until_complete(play()) == pytest.approx(CONNECT_TIMEOUT_SECONDS)
 
 
 def test_an_attempt_ends_with_its_client() -> None:
@@ -69,11 +69,11 @@
     async def play() -> None:
         LIFE.set(Life("caller"))
         loop.network.cut("caller", "peer")
-        client = Client("peer", PORT)
+        client = EnvelopeClient("peer", PORT)
         call = asyncio.ensure_future(client.call(Envelope(status_request=StatusRequest()), 5.0))
         await asyncio.sleep(0.15)
         client.close()
-        with pytest.raises(Unreachable):
+        with pytest.raises(PeerUnreachableError):
             await call
 
     loop.run_until_complete(play())
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -19,17 +19,17 @@
 
 from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
 from wheatring.boot_settings.settings import Address, Settings, Tolerance
-from wheatring.budgets.budgets import Budgets, BudgetSpent
+from wheatring.budgets.token_budgets import BudgetExceededError, TokenBudgets
 from wheatring.consensus.types import State
 from wheatring.controller.api import OperatorApi
 from wheatring.controller.node import Controller
-from wheatring.sidecar.process import Sidecar
+from wheatring.sidecar.process import SidecarProcess
 from wheatring.storage.process import StorageProcess
-from wheatring.storage.quorum import NotSure, QuorumClient
+from wheatring.storage.quorum_client import QuorumClient, QuorumNotReachedError
 from wheatring.subscription.client import Subscription
 from wheatring.transport.client import ClientTable
 from wheatring.transport.messages_pb2 import ROLE_SIDECAR, EndpointList, OperatorRequest, Presence, Turn
-from wheatring.turns.conversations import Conversations, NoSuchTurn
+from wheatring.turns.conversations import Conversations, TurnNotFoundError
 
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT = 8000, 7000, 8100
 ORDER_SECONDS = 1.0  # that an operator waits for one controller
@@ -59,7 +59,7 @@
     subscription: Subscription
     store: QuorumClient
     conversations: Conversations
-    budgets: Budgets
+    budgets: TokenBudgets
     generations: list[int] = field(default_factory=list)
 
 
@@ -157,7 +157,7 @@
                 host.process = Controller(settings, random, self.platform)
                 host.operator_api = OperatorApi(host.process)
             elif name.startswith("e"):
-                host.process = Sidecar(settings, random)
+                host.process = SidecarProcess(settings, random)
             else:
                 host.process = StorageProcess(settings, random)
             await host.process.start()
@@ -333,7 +333,7 @@
         store = QuorumClient(
             clients, self.losses, "z1", lambda: subscription.view.placement, subscription.adopt_placement
         )
-        writer = Writer(subscription, store, Conversations(store), Budgets(store))
+        writer = Writer(subscription, store, Conversations(store), TokenBudgets(store))
         self.writers[name] = writer
         self.hosts[name] = Host(name, self.folder / name, False, life)
         self.run_as(life, subscription.run)
@@ -352,7 +352,7 @@
         turn = Turn(id=turn_id, ancestors=ancestors, input=b"in " + turn_id.encode(), retention_ms=600_000)
         try:
             await self.as_writer(name, lambda writer: writer.conversations.record(turn, 2.0))
-        except NotSure:
+        except QuorumNotReachedError:
             return False
         self.recorded[turn_id] = turn
         return True
@@ -363,10 +363,10 @@
         writer.conversations.cache._turns.clear()
         writer.conversations.cache._size = 0
         try:
-            chain = await self.as_writer(name, lambda w: w.conversations.chain(turn_id, 2.0))
-        except NotSure:
+            chain = await self.as_writer(name, lambda w: w.conversations.read_chain(turn_id, 2.0))
+        except QuorumNotReachedError:
             return "not sure"
-        except NoSuchTurn:
+        except TurnNotFoundError:
             if turn_id in self.recorded:
                 raise BrokenRule(f"turn {turn_id} was recorded and is said not to exist") from None
             return "none"
@@ -379,9 +379,9 @@
         """Reserve tokens; checks the sum of what was granted. "granted", "spent" or "not sure"."""
         try:
             await self.as_writer(name, lambda w: w.budgets.reserve(program, turn, most, budget, 2.0))
-        except BudgetSpent:
+        except BudgetExceededError:
             return "spent"
-        except NotSure:
+        except QuorumNotReachedError:
             return "not sure"
         self.granted[program] = self.granted.get(program, 0) + most
         if self.granted[program] > budget:
--- a/wheatring/controller/api.py
+++ b/wheatring/controller/api.py
@@ -27,7 +27,7 @@
 )
 from wheatring.controller.exceptions import InvalidRequestError, NoLeaderError
 from wheatring.controller.node import Controller
-from wheatring.transport.client import Unreachable
+from wheatring.transport.client import PeerUnreachableError
 from wheatring.transport.messages_pb2 import OperatorReply, OperatorRequest
 
 BASE_HEADER = "Wheatring-Base-Revision"
@@ -81,7 +81,7 @@
             return await self.apply(request)
         try:
             return await controller.forward(address, request)
-        except Unreachable:
+        except PeerUnreachableError:
             return OperatorReply(status=503, body=_error("the leader does not answer"))
 
     async def apply(self, request: OperatorRequest) -> OperatorReply:
--- a/wheatring/controller/consensus_host.py
+++ b/wheatring/controller/consensus_host.py
@@ -137,7 +137,7 @@
         envelope = Envelope()
         field_name = _ENVELOPE_FIELDS[type(message).__name__]
         getattr(envelope, field_name).CopyFrom(message)
-        self.peers.to(to.address).send(envelope)
+        self.peers.client_for(to.address).send(envelope)
 
     def _persist_endpoint_list(self) -> None:
         """Write a new endpoint list to the disk.
--- a/wheatring/controller/consensus_store.py
+++ b/wheatring/controller/consensus_store.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from wheatring.durable.committer import Committer
-from wheatring.durable.record_file import RecordFile, open_or_set_aside
+from wheatring.durable.record_file import RecordFile, open_or_quarantine
 from wheatring.transport.messages_pb2 import ConsensusRecord, ControlState, Entry, HardState, Member
 
 FILE_NAME = "consensus"
@@ -70,7 +70,7 @@
         DiskError
             The file cannot be read or created.
         """
-        opened = open_or_set_aside(self._path)
+        opened = open_or_quarantine(self._path)
         self._file = opened.file
         stored = StoredState("", HardState(), Entry())
         for payload in opened.payloads:
@@ -83,7 +83,7 @@
             if record.soft_state:
                 stored.soft_version, stored.soft_state = record.soft_version, record.soft_state
         if not stored.replica_id:
-            stored = self._initialize(address, seeds, bootstrap and not opened.damaged)
+            stored = self._initialize(address, seeds, bootstrap and not opened.quarantined)
         replica_id = stored.replica_id
         self.committer = Committer(
             self._file,
--- a/wheatring/controller/membership_manager.py
+++ b/wheatring/controller/membership_manager.py
@@ -118,12 +118,12 @@
             return
         envelope = Envelope(presence=self._own_presence())
         if replica.leader is not None and now - replica.leader_contact_at < LEADERLESS_SECONDS:
-            self._peers.to(replica.leader.address).send(envelope)
+            self._peers.client_for(replica.leader.address).send(envelope)
             return
         settings = self._settings()
         hosts = {seed.host for seed in settings.seeds} | {voter.address for voter in replica.members}
         for host in sorted(hosts - {settings.ip}):
-            self._peers.to(host).send(envelope)
+            self._peers.client_for(host).send(envelope)
 
     def _forward_presences(self, now: float) -> None:
         """Forward to the leader what other processes have sent to this controller."""
@@ -131,7 +131,7 @@
         if replica.state is State.LEADER or replica.leader is None:
             return
         for presence in self._presences.due_for_forwarding(now):
-            self._peers.to(replica.leader.address).send(Envelope(presence=presence))
+            self._peers.client_for(replica.leader.address).send(Envelope(presence=presence))
 
     # The leader's side
 
--- a/wheatring/controller/node.py
+++ b/wheatring/controller/node.py
@@ -147,9 +147,9 @@
         return replica.leader.address if replica.leader is not None else ""
 
     async def forward(self, address: str, request: OperatorRequest) -> OperatorReply:
-        """Forward a request to the leader. Raises Unreachable: the outcome is then indeterminate."""
+        """Forward a request to the leader. Raises PeerUnreachableError: the outcome is then indeterminate."""
         envelope = Envelope(operator_request=request)
-        reply = await self.peers.to(address).call(envelope, FORWARD_TIMEOUT_SECONDS)
+        reply = await self.peers.client_for(address).call(envelope, FORWARD_TIMEOUT_SECONDS)
         return reply.operator_reply
 
     async def _answer_forwarded(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
--- a/wheatring/durable/committer.py
+++ b/wheatring/durable/committer.py
@@ -18,14 +18,16 @@
 class Committer:
     """Group commit over one record file."""
 
-    def __init__(self, file: RecordFile, live_records: Callable[[], list[bytes]], rewrite_above: int) -> None:
+    def __init__(
+        self, file: RecordFile, live_records: Callable[[], list[bytes]], compaction_threshold_bytes: int
+    ) -> None:
         """`live_records` gives what a rewritten file holds; a file is rewritten once it is longer than
-        `rewrite_above` bytes and twice as long as after the last time.
+        `compaction_threshold_bytes` and twice as long as after the last time.
         """
         self._file = file
         self._live_records = live_records
-        self._rewrite_above = rewrite_above
-        self._rewrite_at = max(rewrite_above, 2 * file.size)
+        self._rewrite_above = compaction_threshold_bytes
+        self._rewrite_at = max(compaction_threshold_bytes, 2 * file.size_bytes)
         self._pending: list[tuple[list[bytes], Waiter]] = []
         self._thread = ThreadPoolExecutor(1, "disk")
         self._running: asyncio.Task[None] | None = None
@@ -51,7 +53,7 @@
                     await self._rewrite_if_full()
                     continue
                 self._finish(batch, None)
-                if self._file.size > self._rewrite_at:
+                if self._file.size_bytes > self._rewrite_at:
                     await self._rewrite()
         finally:
             self._running = None
@@ -73,11 +75,11 @@
         try:
             await asyncio.get_running_loop().run_in_executor(self._thread, self._file.rewrite, records)
         except DiskError:
-            self._rewrite_at = 2 * self._file.size  # tried again once it has grown further
+            self._rewrite_at = 2 * self._file.size_bytes  # tried again once it has grown further
             return
-        self._rewrite_at = max(self._rewrite_above, 2 * self._file.size)
+        self._rewrite_at = max(self._rewrite_above, 2 * self._file.size_bytes)
 
     async def _rewrite_if_full(self) -> None:
         """A file that cannot grow may still hold records that are no longer needed."""
-        if self._file.size > self._rewrite_above:
+        if self._file.size_bytes > self._rewrite_above:
             await self._rewrite()
--- a/wheatring/durable/record_file.py
+++ b/wheatring/durable/record_file.py
@@ -24,7 +24,7 @@
     """A write did not reach the disk; the file is as it was before it, as far as its owner can tell."""
 
 
-class DamagedFile(Exception):
+class DamagedRecordFileError(Exception):
     """Records in the middle of a file cannot be read."""
 
     def __init__(self, path: Path, offset: int) -> None:
@@ -68,7 +68,7 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.size = 0  # bytes of sound frames
+        self.size_bytes = 0  # bytes of sound frames
         self._batch = 0
         self._descriptor = -1
 
@@ -86,8 +86,8 @@
             payload, self._batch, offset = frame
             records.append(payload)
         if offset < len(data) and _later_batch_follows(data, offset, self._batch):
-            raise DamagedFile(self.path, offset)
-        self.size = offset
+            raise DamagedRecordFileError(self.path, offset)
+        self.size_bytes = offset
         try:
             if offset < len(data):
                 os.ftruncate(self._descriptor, offset)
@@ -103,12 +103,12 @@
         self._batch += 1
         data = b"".join([_frame(payload, self._batch) for payload in payloads])
         try:
-            self._write(self._descriptor, data, self.size)
+            self._write(self._descriptor, data, self.size_bytes)
             os.fdatasync(self._descriptor)
         except OSError as error:
             self._undo()
             raise DiskError(f"{self.path}: {error}") from error
-        self.size += len(data)
+        self.size_bytes += len(data)
 
     def rewrite(self, payloads: Iterable[bytes]) -> None:
         """Replace the whole file by these records. Raises DiskError; the old file then stays."""
@@ -127,7 +127,7 @@
                 os.close(descriptor)
             raise DiskError(f"{self.path}: {error}") from error
         os.close(self._descriptor)
-        self._descriptor, self._batch, self.size = descriptor, batch, len(data)
+        self._descriptor, self._batch, self.size_bytes = descriptor, batch, len(data)
 
     def close(self) -> None:
         """Give the descriptor back."""
@@ -152,7 +152,7 @@
     def _undo(self) -> None:
         """Cut off what a failed batch has left. If that fails too, the next batch overwrites it."""
         try:
-            os.ftruncate(self._descriptor, self.size)
+            os.ftruncate(self._descriptor, self.size_bytes)
         except OSError:
             return
 
@@ -165,22 +165,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class OpenedRecordFile:
     """A file that is ready, what it held, and whether one that could not be read was set aside for it."""
 
     file: RecordFile
     payloads: list[bytes]
-    damaged: bool
+    quarantined: bool
 
 
-def open_or_set_aside(path: Path) -> Opened:
+def open_or_quarantine(path: Path) -> OpenedRecordFile:
     """Open a file; a damaged one is kept under another name and an empty one begun. Raises DiskError."""
     path.parent.mkdir(parents=True, exist_ok=True)
     file = RecordFile(path)
     try:
-        return Opened(file, file.open(), damaged=False)
-    except DamagedFile:
+        return OpenedRecordFile(file, file.open(), quarantined=False)
+    except DamagedRecordFileError:
         file.close()
         path.rename(path.with_suffix(".damaged"))
     file = RecordFile(path)
-    return Opened(file, file.open(), damaged=True)
+    return OpenedRecordFile(file, file.open(), quarantined=True)
--- a/wheatring/lab/control/storage_model.py
+++ b/wheatring/lab/control/storage_model.py
@@ -1,9 +1,9 @@
 """Storage replicas under placements that change, with writers and readers who may have heard of any of them.
 
-The deciders are the real ones: `next_placement`, `place`, `RecordTable`, `needs_no_copy` and
-`sources_needed`. What stands between them (the fence, the sync before an acknowledgement, the copy) follows
-`storage/replica.py` and `storage/repair.py`. The table of placements itself is agreed, as the other model
-shows: here it only moves on.
+The deciders are the real ones: `next_placement`, `place_key`, `RecordTable`, `can_skip_copy` and
+`copy_sources_required`. What stands between them (the fence, the sync before an acknowledgement, the copy)
+follows `storage/replica.py` and `storage/repair.py`. The table of placements itself is agreed, as the other
+model shows: here it only moves on.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from wheatring.controller.storage_membership import StorageReport, complete_retirements, next_placement
 from wheatring.lab.control.invariants import Broken
 from wheatring.lab.control.search import Found
-from wheatring.placement.placement import KeyPlacement, place, quorums, replicas_for
-from wheatring.storage.repair import needs_no_copy, sources_needed
-from wheatring.storage.table import RecordTable
+from wheatring.placement.key_placement import KeyPlacement, place_key, quorum_sizes, replicas_for
+from wheatring.storage.record_table import RecordTable
+from wheatring.storage.repair import can_skip_copy, copy_sources_required
 from wheatring.transport.messages_pb2 import (
     ControlState,
     Placement,
@@ -155,7 +155,7 @@
 
     def _begin(self, turn: str, writes: bool) -> None:
         known = self._known_to_client()
-        at = place(turn, known, self.rules.losses)
+        at = place_key(turn, known, self.rules.losses)
         operation = Operation(turn, known, writes, at, owed=turn in self.acknowledged)
         self.operations.append(operation)
         del self.operations[:-12]
@@ -185,7 +185,7 @@
         if self.rules.acknowledged_after_sync:
             store.sync()
         operation.replied.add(store.replica_id)
-        if operation.at.is_written(operation.replied):
+        if operation.at.has_write_quorum(operation.replied):
             self.acknowledged.add(operation.turn)
             self._end(operation)
             self._check_copies(operation)
@@ -207,7 +207,7 @@
         replied = operation.replied
         if not self.rules.absent_needs_whole:
             return bool(replied)
-        return operation.at.is_read(replied)
+        return operation.at.has_read_quorum(replied)
 
     def _check_copies(self, operation: Operation) -> None:
         """Every member that has acknowledged, and has not lost its disk since, has the turn on it."""
@@ -229,14 +229,14 @@
             return
         if store.fence < placement.epoch:
             self._fence(store, placement.epoch)
-        if needs_no_copy(store.replica_id, placement, self.rules.losses):
+        if can_skip_copy(store.replica_id, placement, self.rules.losses):
             store.complete_epoch = placement.epoch
             return
         if store.copied_epoch != placement.epoch:
             store.copied_epoch, store.copied_from = placement.epoch, set()
         present = [member for member in placement.current if not member.lost]
         others = [member for member in present if member.replica_id != store.replica_id]
-        needed = sources_needed(placement, self.rules.losses) - (len(present) - len(others))
+        needed = copy_sources_required(placement, self.rules.losses) - (len(present) - len(others))
         source = self.random.choice(others)
         if self._copy(store, source, placement):
             store.copied_from.add(source.replica_id)
@@ -258,7 +258,7 @@
         other.placement = placement
         if other.fence < placement.epoch:
             self._fence(other, placement.epoch)
-        copies = quorums(len(placement.next), self.rules.losses).copies
+        copies = quorum_sizes(len(placement.next), self.rules.losses).copies
         for payload in other.table.payloads():
             record = StorageRecord.FromString(payload)
             chosen = replicas_for(record.turn.id, placement.next, copies)
@@ -380,7 +380,7 @@
         for turn in self.acknowledged:
             holding = [
                 m
-                for m in place(turn, placement, self.rules.losses).members
+                for m in place_key(turn, placement, self.rules.losses).members
                 if any(r.turn.id == turn for r in self.stores[m.address].synced)
             ]
             if len(holding) < self.rules.losses + 1:
--- a/wheatring/lab/control/storage_planted.py
+++ b/wheatring/lab/control/storage_planted.py
@@ -10,7 +10,7 @@
 from wheatring.lab.control.invariants import Broken
 from wheatring.lab.control.search import Found
 from wheatring.lab.control.storage_model import Operation, StorageModel, StorageRules, walk
-from wheatring.placement.placement import place
+from wheatring.placement.key_placement import place_key
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
     model = StorageModel(rules, Random(0))
     model.begin_with(4)
     key = next(f"t{n}" for n in range(100) if _is_held_by(model, f"t{n}", {"s1", "s2", "s3"}))
-    writer = Operation(key, model.placement_now, True, place(key, model.placement_now, 1))
+    writer = Operation(key, model.placement_now, True, place_key(key, model.placement_now, 1))
     StartRetirement("s1", 3).apply(model.state)
     model.decide()
     for _ in range(40):
@@ -49,7 +49,7 @@
 
 
 def _is_held_by(model: StorageModel, key: str, names: set[str]) -> bool:
-    return {member.node for member in place(key, model.placement_now, 1).members} == names
+    return {member.node for member in place_key(key, model.placement_now, 1).members} == names
 
 
 IN_STORAGE = (
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -18,8 +18,8 @@
 from random import Random
 
 from wheatring.boot_settings.settings import Settings, read_settings
-from wheatring.budgets.budgets import Budgets, BudgetSpent
-from wheatring.storage.quorum import NotSure, QuorumClient
+from wheatring.budgets.token_budgets import BudgetExceededError, TokenBudgets
+from wheatring.storage.quorum_client import QuorumClient, QuorumNotReachedError
 from wheatring.subscription.client import Subscription
 from wheatring.transport.client import ClientTable
 from wheatring.transport.connection import TRAFFIC
@@ -94,8 +94,8 @@
         await stopping.wait()
         done = sorted(self.turn_seconds)
         summary = {
-            "received": TRAFFIC.received,
-            "sent": TRAFFIC.sent,
+            "received": TRAFFIC.received_bytes,
+            "sent": TRAFFIC.sent_bytes,
             "turns": self.turns,
             "failed": self.failed,
             "turn_p50_ms": round(done[len(done) // 2] * 1000, 2) if done else 0.0,
@@ -105,7 +105,7 @@
 
     @staticmethod
     def _tell_received() -> None:
-        print(json.dumps({"received": TRAFFIC.received}), flush=True)
+        print(json.dumps({"received": TRAFFIC.received_bytes}), flush=True)
 
     def _keep(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
@@ -123,7 +123,7 @@
 
     async def _program(self, sidecar: Hollow, number: int) -> None:
         """A conversation of several turns, each reserved, recorded and settled."""
-        conversations, budgets = Conversations(sidecar.store), Budgets(sidecar.store)
+        conversations, budgets = Conversations(sidecar.store), TokenBudgets(sidecar.store)
         program = f"{id(self)}-{number}"
         ancestors: list[str] = []
         for _ in range(TURNS_OF_A_PROGRAM):
@@ -140,7 +140,7 @@
             try:
                 await budgets.reserve(program, turn_id, TOKENS, 10**9, 2.0)
                 await conversations.record(turn, 2.0)
-            except (NotSure, BudgetSpent):
+            except (QuorumNotReachedError, BudgetExceededError):
                 self.failed += 1
                 continue
             budgets.settle(program, turn_id, TOKENS)
--- a/wheatring/placement/placement.py
+++ b/wheatring/placement/key_placement.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quorums:
+class QuorumSizes:
     """How many copies there are of each record, and how many replies a write and a read need."""
 
     copies: int
@@ -23,7 +23,7 @@
     read: int
 
 
-def quorums(members: int, losses: int) -> Quorums:
+def quorum_sizes(members: int, losses: int) -> QuorumSizes:
     """For so many members, where `losses` of them may be gone at one time.
 
     A write stands on `losses + 1` disks. A read that finds nothing overlaps with every write that was
@@ -31,7 +31,7 @@
     """
     copies = min(members, 2 * losses + 1)
     write = losses + 1
-    return Quorums(copies=copies, write=write, read=max(1, copies - write + 1))
+    return QuorumSizes(copies=copies, write=write, read=max(1, copies - write + 1))
 
 
 def _score(key: str, member: StorageMember) -> bytes:
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
+class ReplicaGroup:
     """The members of one set that hold one key, and how many of them make a quorum."""
 
     replica_ids: frozenset[str]
@@ -75,27 +75,27 @@
     """
 
     members: tuple[StorageMember, ...]
-    groups: tuple[Group, ...]
+    groups: tuple[ReplicaGroup, ...]
 
-    def is_written(self, acknowledged: set[str]) -> bool:
+    def has_write_quorum(self, acknowledged: set[str]) -> bool:
         """Whether these replicas make a write quorum of every group."""
         return all(len(group.replica_ids & acknowledged) >= group.write for group in self.groups)
 
-    def is_read(self, replied: set[str]) -> bool:
+    def has_read_quorum(self, replied: set[str]) -> bool:
         """Whether what none of these replicas holds has not been acknowledged."""
         return all(len(group.replica_ids & replied) >= group.read for group in self.groups)
 
 
-def place(key: str, placement: Placement, losses: int) -> KeyPlacement:
+def place_key(key: str, placement: Placement, losses: int) -> KeyPlacement:
     """Who holds a key under a placement. Members that are lost count in the quorums and are never asked."""
     groups = []
     members: dict[str, StorageMember] = {}
     for side in (placement.current, placement.next):
         if not side:
             continue
-        figures = quorums(len(side), losses)
+        figures = quorum_sizes(len(side), losses)
         chosen = [m for m in replicas_for(key, side, figures.copies) if not m.lost]
-        groups.append(Group(frozenset(m.replica_id for m in chosen), figures.write, figures.read))
+        groups.append(ReplicaGroup(frozenset(m.replica_id for m in chosen), figures.write, figures.read))
         for member in chosen:
             members.setdefault(member.replica_id, member)
     return KeyPlacement(tuple(members.values()), tuple(groups))
--- a/wheatring/sidecar/client_connection.py
+++ b/wheatring/sidecar/client_connection.py
@@ -10,11 +10,11 @@
 from wheatring.event_log import log_event
 from wheatring.http1.answers import REASONS, response
 from wheatring.http1.parser import BadMessage, Message, Reader
-from wheatring.sidecar.routes import Limits
+from wheatring.sidecar.route_table import Limits
 
-MAX_WAITING_BYTES = 256 * 1024  # that a client may send ahead while a request is under way
+MAX_PIPELINED_BYTES = 256 * 1024  # that a client may send ahead while a request is under way
 
-Handler = Callable[["ClientConnection", Message, float], Awaitable[None]]
+RequestHandler = Callable[["ClientConnection", Message, float], Awaitable[None]]
 
 
 @dataclass(slots=True)
@@ -22,7 +22,7 @@
     """What all client connections of a sidecar share; replaced as a whole when it changes."""
 
     limits: Limits
-    closing: bool = False  # every answer is the last one on its connection
+    is_closing: bool = False  # every answer is the last one on its connection
 
 
 class ClientConnection(asyncio.Protocol):
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        handler: Handler,
+        handler: RequestHandler,
         settings: Callable[[], ConnectionSettings],
         lost: Callable[[ClientConnection], None],
     ) -> None:
@@ -62,11 +62,11 @@
         begun = self._reader.started
         self._reader.feed(data)
         if self._task is not None:
-            if len(self._reader.buffer) > MAX_WAITING_BYTES:
+            if len(self._reader.buffer) > MAX_PIPELINED_BYTES:
                 self._transport.pause_reading()
             return
         if not begun:
-            self._set_timer(self._settings().limits.header_time, self._late)
+            self._set_timer(self._settings().limits.header_timeout_seconds, self._late)
         self._advance()
 
     def eof_received(self) -> bool:
@@ -97,7 +97,7 @@
     # Requests
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         return self._task is not None
 
     def _advance(self) -> None:
@@ -122,12 +122,12 @@
             return
         except Exception as error:  # a fault of ours must not leave the client without an end
             log_event("request-broken", error=repr(error))
-            self.break_off()
+            self.abort_response()
         finally:
             self._task = None
         if self._ended:
             return
-        if not self._keep_alive or self._settings().closing:
+        if not self._keep_alive or self._settings().is_closing:
             self.close()
             return
         self._transport.resume_reading()
@@ -136,7 +136,7 @@
             self._advance()
 
     def _wait_for_request(self) -> None:
-        self._set_timer(self._settings().limits.idle_time, self.close)
+        self._set_timer(self._settings().limits.idle_timeout_seconds, self.close)
 
     def _late(self) -> None:
         if self._reader.started:
@@ -164,11 +164,11 @@
         return self._ended
 
     def _closing_line(self) -> bytes:
-        if self._settings().closing and not self._reader.started:
+        if self._settings().is_closing and not self._reader.started:
             self._keep_alive = False
         return b"" if self._keep_alive else b"Connection: close\r\n"
 
-    def answer(self, status: int, fields: bytes = b"", body: bytes = b"") -> None:
+    def send_response(self, status: int, fields: bytes = b"", body: bytes = b"") -> None:
         """Write a whole answer; `fields` are finished header lines."""
         reason = REASONS.get(status, b"OK")
         closing = self._closing_line()
@@ -181,7 +181,7 @@
         )
         self._transport.write(head + body)
 
-    def begin_stream(self, status: int, fields: bytes, length: int | None = None) -> None:
+    def start_response(self, status: int, fields: bytes, length: int | None = None) -> None:
         """Write the head of an answer whose body follows in pieces."""
         reason = REASONS.get(status, b"OK")
         framing = b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
@@ -193,11 +193,11 @@
         if data:
             self._transport.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def write_raw(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """A piece of a body with a length."""
         self._transport.write(data)
 
-    def end_stream(self) -> None:
+    def finish_chunked_response(self) -> None:
         """The body without a length is whole."""
         self._transport.write(b"0\r\n\r\n")
 
@@ -205,7 +205,7 @@
         """Wait for a client that reads slowly."""
         await self._writable.wait()
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End the connection in the middle of an answer, so that it does not look whole."""
         self._keep_alive = False
         self.close()
--- a/wheatring/sidecar/upstream.py
+++ b/wheatring/sidecar/endpoint_connection.py
@@ -14,20 +14,20 @@
 
 from wheatring.balancer.interface import Outcome
 from wheatring.http1.parser import BadMessage, Message, Reader
+from wheatring.sidecar.exceptions import AttemptFailedError, ExecutionState
 from wheatring.sidecar.headers import KEEP_ALIVE, REQUEST_ID
-from wheatring.sidecar.verdict import AttemptFailed, Verdict
 
-CONNECT_SECONDS = 0.6
+CONNECT_TIMEOUT_SECONDS = 0.6
 MAX_BODY_BYTES = 256 * 1024 * 1024
-HIGH_WATER = 256 * 1024  # bytes of an answer that may wait here for a slow client
-UNTOLD_IDLE_SECONDS = 0.4  # how long a connection rests at most where the endpoint does not say
-IDLE_PART = 0.6  # of the time that it does say
-MAX_RESTING = 64  # connections to one endpoint
+HIGH_WATER_BYTES = 256 * 1024  # bytes of an answer that may wait here for a slow client
+DEFAULT_IDLE_SECONDS = 0.4  # how long a connection rests at most where the endpoint does not say
+IDLE_TIMEOUT_FRACTION = 0.6  # of the time that it does say
+MAX_IDLE_PER_ENDPOINT = 64  # connections to one endpoint
 
 _TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)")
 
 
-class UpstreamConnection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """One connection to one endpoint."""
 
     def __init__(self, endpoint: str, address: str) -> None:
@@ -41,7 +41,7 @@
         self._busy = False
         self._paused = False
         self._answered = False  # some byte of an answer has come for the present request
-        self.reusable = False
+        self.is_reusable = False
         self.idle_until = 0.0
 
     # Called by the event loop
@@ -57,7 +57,7 @@
             return
         self._answered = True
         self._reader.feed(data)
-        if len(self._reader.buffer) > HIGH_WATER and not self._paused:
+        if len(self._reader.buffer) > HIGH_WATER_BYTES and not self._paused:
             self._paused = True
             self._transport.pause_reading()
         self._wake()
@@ -75,7 +75,7 @@
     # For whoever sends a request
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return (
             not self._lost
             and not self._orderly
@@ -84,10 +84,10 @@
         )
 
     async def send(self, data: bytes, request_id: bytes) -> Message:
-        """Write a request and wait for the head of its answer. Raises AttemptFailed."""
+        """Write a request and wait for the head of its answer. Raises AttemptFailedError."""
         self._busy = True
         self._answered = False
-        self.reusable = False
+        self.is_reusable = False
         self._transport.write(data)
         while True:
             message = await self._next_head()
@@ -117,10 +117,10 @@
         """Read an answer to another request to its end."""
         whole = not message.open
         while not whole:
-            _, whole = await self.more(message)
+            _, whole = await self.read_body(message)
 
-    async def more(self, message: Message) -> tuple[bytes, bool]:
-        """More of an open answer's body, and whether that was all. Raises AttemptFailed where it breaks
+    async def read_body(self, message: Message) -> tuple[bytes, bool]:
+        """More of an open answer's body, and whether that was all. Raises AttemptFailedError where it breaks
         off.
         """
         while True:
@@ -146,20 +146,20 @@
         finally:
             self._waiter = None
 
-    def _failed(self, reason: str) -> AttemptFailed:
+    def _failed(self, reason: str) -> AttemptFailedError:
         self.abort()
-        return AttemptFailed(Verdict.MAY_HAVE_RUN, Outcome.RESET, reason)
+        return AttemptFailedError(ExecutionState.MAY_HAVE_RUN, Outcome.RESET, reason)
 
-    def finish(self, message: Message, now: float) -> None:
+    def finish_response(self, message: Message, now: float) -> None:
         """The answer has been read whole: the connection may rest."""
         self._busy = False
-        clean = message.keep_alive and not self._reader.started and self.usable
-        self.reusable = clean
+        clean = message.keep_alive and not self._reader.started and self.is_usable
+        self.is_reusable = clean
         if not clean:
             self.abort()
             return
         told = _TIMEOUT.search(message.fields.get(KEEP_ALIVE, b""))
-        rest = int(told.group(1)) * IDLE_PART if told is not None else UNTOLD_IDLE_SECONDS
+        rest = int(told.group(1)) * IDLE_TIMEOUT_FRACTION if told is not None else DEFAULT_IDLE_SECONDS
         self.idle_until = now + rest
 
     def abort(self) -> None:
@@ -173,48 +173,50 @@
             self._waiter.set_result(None)
 
 
-class Upstreams:
+class EndpointConnectionPool:
     """Resting connections by endpoint, and the connects for new ones."""
 
     def __init__(self) -> None:
-        self._resting: dict[str, deque[UpstreamConnection]] = {}
+        self._resting: dict[str, deque[EndpointConnection]] = {}
 
-    async def connect(self, endpoint: str, address: str, seconds: float) -> UpstreamConnection:
-        """A resting connection or a new one. Raises AttemptFailed, and then nothing was sent."""
+    async def acquire(self, endpoint: str, address: str, seconds: float) -> EndpointConnection:
+        """A resting connection or a new one. Raises AttemptFailedError, and then nothing was sent."""
         loop = asyncio.get_running_loop()
         now = loop.time()
         resting = self._resting.get(endpoint)
         while resting:
             connection = resting.pop()
-            if connection.usable and connection.address == address and now < connection.idle_until:
+            if connection.is_usable and connection.address == address and now < connection.idle_until:
                 return connection
             connection.abort()
         host, _, port = address.rpartition(":")
         try:
-            async with asyncio.timeout(min(seconds, CONNECT_SECONDS)):
+            async with asyncio.timeout(min(seconds, CONNECT_TIMEOUT_SECONDS)):
                 _, connection = await loop.create_connection(
-                    lambda: UpstreamConnection(endpoint, address), host, int(port)
+                    lambda: EndpointConnection(endpoint, address), host, int(port)
                 )
         except (OSError, TimeoutError) as error:
-            raise AttemptFailed(Verdict.NOT_RUN, Outcome.CONNECT_FAILED, f"connect: {error!r}") from error
+            raise AttemptFailedError(
+                ExecutionState.NOT_RUN, Outcome.CONNECT_FAILED, f"connect: {error!r}"
+            ) from error
         return connection
 
-    def release(self, connection: UpstreamConnection) -> None:
+    def release(self, connection: EndpointConnection) -> None:
         """A connection whose answer was read whole."""
-        if not connection.reusable:
+        if not connection.is_reusable:
             return
         resting = self._resting.setdefault(connection.endpoint, deque())
         resting.append(connection)
-        if len(resting) > MAX_RESTING:
+        if len(resting) > MAX_IDLE_PER_ENDPOINT:
             resting.popleft().abort()
 
-    def keep_only(self, endpoints: set[str]) -> None:
+    def retain_only(self, endpoints: set[str]) -> None:
         """Close what rests for endpoints that are gone or leaving."""
         for endpoint in [endpoint for endpoint in self._resting if endpoint not in endpoints]:
             for connection in self._resting.pop(endpoint):
                 connection.abort()
 
-    def sweep(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Close what has rested for too long."""
         for endpoint, resting in list(self._resting.items()):
             while resting and now >= resting[0].idle_until:
--- a/wheatring/sidecar/event_stream.py
+++ b/wheatring/sidecar/event_stream.py
@@ -10,7 +10,7 @@
     """One event: its bytes with the blank line behind them, its id where it has one, and its data."""
 
     raw: bytes
-    ident: int | None
+    event_id: int | None
     data: bytes
 
 
@@ -33,7 +33,7 @@
     return Event(raw, ident, b"\n".join(data))
 
 
-class EventCutter:
+class EventParser:
     """Bytes in, whole events out. What stands behind the last blank line is kept for later."""
 
     def __init__(self) -> None:
@@ -59,6 +59,6 @@
         return min(ends, default=0)
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes that make no whole event."""
         return bytes(self._buffer)
--- a/wheatring/sidecar/verdict.py
+++ b/wheatring/sidecar/exceptions.py
@@ -8,7 +8,7 @@
 from wheatring.balancer.interface import Outcome
 
 
-class Verdict(Enum):
+class ExecutionState(Enum):
     """Whether a request may have run."""
 
     NOT_RUN = "not run"  # it never reached an endpoint's work, and never will
@@ -17,18 +17,18 @@
 
 
 @dataclass(slots=True)
-class AttemptFailed(Exception):
+class AttemptFailedError(Exception):
     """One attempt at an endpoint has ended without a whole answer."""
 
-    verdict: Verdict
+    execution: ExecutionState
     outcome: Outcome  # in the words of the decision module
     reason: str
 
 
 @dataclass(slots=True)
-class Rejected(Exception):
+class RequestRejectedError(Exception):
     """The request ends here with an answer of the sidecar's own."""
 
     status: int
     reason: str
-    retry_after: float = 0.0  # seconds; 0: none is told
+    retry_after_seconds: float = 0.0  # seconds; 0: none is told
--- a/wheatring/sidecar/forwarder.py
+++ b/wheatring/sidecar/forwarder.py
@@ -9,13 +9,13 @@
 from wheatring.balancer import interface as i
 from wheatring.http1.parser import Message
 from wheatring.sidecar import headers
-from wheatring.sidecar.decisions import Call, ServiceDecisions
-from wheatring.sidecar.prompt_placement import PromptPart
-from wheatring.sidecar.routes import Route
-from wheatring.sidecar.upstream import UpstreamConnection, Upstreams
-from wheatring.sidecar.verdict import AttemptFailed, Rejected, Verdict
+from wheatring.sidecar.endpoint_connection import EndpointConnection, EndpointConnectionPool
+from wheatring.sidecar.exceptions import AttemptFailedError, ExecutionState, RequestRejectedError
+from wheatring.sidecar.prefix_placement import PromptSegment
+from wheatring.sidecar.route_table import Route
+from wheatring.sidecar.service_balancer import BalancedRequest, ServiceBalancer
 
-LEAST_RETRY_AFTER = 0.05  # seconds
+MIN_RETRY_AFTER_SECONDS = 0.05  # seconds
 
 _OWN_FIELDS = (headers.DEADLINE, headers.EXPECTED_INSTANCE, headers.PRIORITY, headers.LAST_EVENT_ID)
 
@@ -30,7 +30,7 @@
     route: Route
     deadline: float
     last_event_id: bytes = b""
-    parts: tuple[PromptPart, ...] = ()
+    prompt_segments: tuple[PromptSegment, ...] = ()
 
     def encode(self, endpoint: str, left: float) -> bytes:
         """The bytes for one endpoint."""
@@ -53,13 +53,13 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class EndpointResponse:
     """The head of an endpoint's answer and the connection that brings the rest."""
 
     message: Message
-    connection: UpstreamConnection
+    connection: EndpointConnection
     endpoint: str
-    begun: float
+    sent_at: float
 
     @property
     def status(self) -> int:
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Failure:
+class ErrorResponse:
     """An endpoint's own failure, kept to be passed on unchanged."""
 
     status: int
@@ -76,26 +76,28 @@
 
 
 @dataclass(slots=True)
-class Forwarding:
+class Forwarder:
     """One request on its way. `next_answer` may be called again after a stream broke off."""
 
     request: OutgoingRequest
-    decisions: ServiceDecisions
-    upstreams: Upstreams
-    call: Call = field(init=False)
+    balancer: ServiceBalancer
+    connections: EndpointConnectionPool
+    balanced_request: BalancedRequest = field(init=False)
     may_have_run: bool = False
-    failure: Failure | None = None
-    _answer: Answer | None = None
+    error_response: ErrorResponse | None = None
+    _answer: EndpointResponse | None = None
 
     def __post_init__(self) -> None:
         left = self.request.deadline - self._now()
-        self.call = self.decisions.begin(self.request.route, max(left, 0.001), self.request.parts)
+        self.balanced_request = self.balancer.start_request(
+            self.request.route, max(left, 0.001), self.request.prompt_segments
+        )
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    async def next_answer(self) -> Answer:
+    async def next_response(self) -> EndpointResponse:
         """The head of an answer that is no failure. Raises Rejected where there will be none; `failure` then
         holds the endpoint's own words, if it had any.
         """
@@ -106,26 +108,28 @@
                 if answer is not None:
                     return answer
             elif isinstance(step, i.Refuse) and not self.may_have_run:
-                raise Rejected(503, "no endpoint takes it", max(step.retry_after, LEAST_RETRY_AFTER))
+                raise RequestRejectedError(
+                    503, "no endpoint takes it", max(step.retry_after, MIN_RETRY_AFTER_SECONDS)
+                )
             else:
-                raise Rejected(504 if self._now() >= self.request.deadline else 502, "failed")
+                raise RequestRejectedError(504 if self._now() >= self.request.deadline else 502, "failed")
 
     async def _next_step(self) -> i.Action:
         """What the decision module wants next; it may wait for a backoff, but not beyond the deadline."""
-        steps = self.call.steps
+        steps = self.balanced_request.actions
         if not steps.empty():
             return steps.get_nowait()
         try:
             async with asyncio.timeout_at(self.request.deadline):
                 return await steps.get()
         except TimeoutError:
-            return i.Fail(self.call.number)
+            return i.Fail(self.balanced_request.number)
 
-    async def _attempt(self, step: i.Send) -> Answer | None:
+    async def _attempt(self, step: i.Send) -> EndpointResponse | None:
         """Send to one endpoint; None where that has failed and the decision module has been told."""
-        self.call.attempts += 1
+        self.balanced_request.attempt_count += 1
         begun = self._now()
-        connection: UpstreamConnection | None = None
+        connection: EndpointConnection | None = None
         give_up = min(self.request.deadline, begun + self._patience(step))
         try:
             async with asyncio.timeout_at(give_up):
@@ -133,18 +137,20 @@
                 left = self.request.deadline - self._now()
                 data = self.request.encode(step.endpoint, left)
                 message = await connection.send(data, self.request.request_id)
-                if self.request.route.streaming:
-                    self.decisions.head_came(self._now() - begun)
-                answer = Answer(message, connection, step.endpoint, begun)
+                if self.request.route.is_streaming:
+                    self.balancer.record_head_latency(self._now() - begun)
+                answer = EndpointResponse(message, connection, step.endpoint, begun)
                 return await self._judge(answer)
-        except AttemptFailed as failed:
-            self.failed(step.endpoint, begun, failed)
+        except AttemptFailedError as failed:
+            self.record_failure(step.endpoint, begun, failed)
         except TimeoutError:
-            verdict = Verdict.NOT_RUN if connection is None else Verdict.MAY_HAVE_RUN
+            verdict = ExecutionState.NOT_RUN if connection is None else ExecutionState.MAY_HAVE_RUN
             outcome = i.Outcome.CONNECT_FAILED if connection is None else i.Outcome.TIMED_OUT
             if connection is not None:
                 connection.abort()
-            self.failed(step.endpoint, begun, AttemptFailed(verdict, outcome, "no answer in time"))
+            self.record_failure(
+                step.endpoint, begun, AttemptFailedError(verdict, outcome, "no answer in time")
+            )
         except asyncio.CancelledError:
             if connection is not None:
                 connection.abort()
@@ -156,77 +162,87 @@
         route = self.request.route
         if route.kind == "safe":
             return step.timeout
-        last = self.call.attempts >= route.max_attempts
+        last = self.balanced_request.attempt_count >= route.max_attempts
         if route.effect is not i.Effect.SAFE or last:
             return inf
-        return self.decisions.head_time(route)
+        return self.balancer.head_timeout_seconds(route)
 
-    async def _connect(self, endpoint: str) -> UpstreamConnection:
-        address = self.decisions.addresses.get(endpoint)
+    async def _connect(self, endpoint: str) -> EndpointConnection:
+        address = self.balancer.addresses.get(endpoint)
         if address is None:
-            raise AttemptFailed(Verdict.NOT_RUN, i.Outcome.CONNECT_FAILED, "not on the list any more")
-        return await self.upstreams.connect(endpoint, address, self.request.deadline - self._now())
+            raise AttemptFailedError(
+                ExecutionState.NOT_RUN, i.Outcome.CONNECT_FAILED, "not on the list any more"
+            )
+        return await self.connections.acquire(endpoint, address, self.request.deadline - self._now())
 
-    async def _judge(self, answer: Answer) -> Answer | None:
-        """What an answer's head says of the request. Raises AttemptFailed."""
+    async def _judge(self, answer: EndpointResponse) -> EndpointResponse | None:
+        """What an answer's head says of the request. Raises AttemptFailedError."""
         message, status = answer.message, answer.status
         load = reported_load(message)
         if load is not None:
-            self.decisions.heard_load(answer.endpoint, load)
+            self.balancer.record_load(answer.endpoint, load)
         if status == 421 or headers.NOT_EXECUTED in message.fields:
-            await self.read_whole(answer)
-            raise AttemptFailed(Verdict.NOT_RUN, i.Outcome.REJECTED, f"refused with {status}")
+            await self.read_full_body(answer)
+            raise AttemptFailedError(ExecutionState.NOT_RUN, i.Outcome.REJECTED, f"refused with {status}")
         if headers.SIGNATURE not in message.fields:
             answer.connection.abort()
-            raise AttemptFailed(Verdict.MAY_HAVE_RUN, i.Outcome.RESET, f"status {status} without a signature")
+            raise AttemptFailedError(
+                ExecutionState.MAY_HAVE_RUN, i.Outcome.RESET, f"status {status} without a signature"
+            )
         if status >= 500:
-            body = await self.read_whole(answer)
-            self.failure = Failure(status, message.end_to_end(), body)
-            raise AttemptFailed(Verdict.RAN, i.Outcome.ERROR, f"status {status}")
+            body = await self.read_full_body(answer)
+            self.error_response = ErrorResponse(status, message.end_to_end(), body)
+            raise AttemptFailedError(ExecutionState.RAN, i.Outcome.ERROR, f"status {status}")
         self._answer = answer
         return answer
 
-    async def read_whole(self, answer: Answer) -> bytes:
-        """All of an answer's body. Raises AttemptFailed where it breaks off."""
+    async def read_full_body(self, answer: EndpointResponse) -> bytes:
+        """All of an answer's body. Raises AttemptFailedError where it breaks off."""
         pieces = [answer.message.body]
         whole = not answer.message.open
         while not whole:
-            data, whole = await answer.connection.more(answer.message)
+            data, whole = await answer.connection.read_body(answer.message)
             pieces.append(data)
         self._release(answer)
         return b"".join(pieces)
 
-    def _release(self, answer: Answer) -> None:
-        answer.connection.finish(answer.message, self._now())
-        self.upstreams.release(answer.connection)
+    def _release(self, answer: EndpointResponse) -> None:
+        answer.connection.finish_response(answer.message, self._now())
+        self.connections.release(answer.connection)
 
-    def failed(self, endpoint: str, begun: float, failed: AttemptFailed) -> None:
+    def record_failure(self, endpoint: str, begun: float, failed: AttemptFailedError) -> None:
         """An attempt has failed: tell the decision module, whose next step follows."""
         self._answer = None
-        if failed.verdict is not Verdict.NOT_RUN:
+        if failed.execution is not ExecutionState.NOT_RUN:
             self.may_have_run = True
-            if failed.verdict is Verdict.MAY_HAVE_RUN:
-                self.failure = None
-        self.decisions.ended(self.call, endpoint, failed.outcome, self._now() - begun, None)
+            if failed.execution is ExecutionState.MAY_HAVE_RUN:
+                self.error_response = None
+        self.balancer.finish_attempt(
+            self.balanced_request, endpoint, failed.outcome, self._now() - begun, None
+        )
 
-    def served(self, answer: Answer) -> None:
+    def record_success(self, answer: EndpointResponse) -> None:
         """The answer is whole."""
         self._answer = None
         self._release(answer)
-        latency = self._now() - answer.begun
-        if self.request.parts:
-            self.decisions.balancer.caches.read(self._now(), answer.endpoint, self.request.parts)
+        latency = self._now() - answer.sent_at
+        if self.request.prompt_segments:
+            self.balancer.balancer.prefix_caches.record_prefill(
+                self._now(), answer.endpoint, self.request.prompt_segments
+            )
         load = reported_load(answer.message)
-        self.decisions.ended(self.call, answer.endpoint, i.Outcome.SERVED, latency, load)
+        self.balancer.finish_attempt(self.balanced_request, answer.endpoint, i.Outcome.SERVED, latency, load)
 
     def close(self) -> None:
         """The request is over, in whatever way."""
         answer, self._answer = self._answer, None
         if answer is not None:
             answer.connection.abort()
-            latency = self._now() - answer.begun
-            self.decisions.ended(self.call, answer.endpoint, i.Outcome.CANCELLED, latency, None)
-        self.decisions.over(self.call)
+            latency = self._now() - answer.sent_at
+            self.balancer.finish_attempt(
+                self.balanced_request, answer.endpoint, i.Outcome.CANCELLED, latency, None
+            )
+        self.balancer.finish_request(self.balanced_request)
 
 
 def reported_load(message: Message) -> float | None:
--- a/wheatring/sidecar/headers.py
+++ b/wheatring/sidecar/headers.py
@@ -19,13 +19,13 @@
 KEEP_ALIVE = b"keep-alive"
 
 
-def whole_number(value: bytes | None) -> int | None:
+def parse_non_negative_int(value: bytes | None) -> int | None:
     """A header's value as a whole number of 0 or more; None where it is absent or something else."""
     if value is None or not value.isdigit() or len(value) > 15:
         return None
     return int(value)
 
 
-def text(value: bytes | None) -> str:
+def decode_text(value: bytes | None) -> str:
     """A header's value as text."""
     return value.decode("latin-1") if value else ""
--- a/wheatring/sidecar/prompt_placement.py
+++ b/wheatring/sidecar/prefix_placement.py
@@ -16,16 +16,16 @@
 from collections.abc import Collection, Sequence
 from dataclasses import dataclass
 
-MAX_PARTS = 20_000  # remembered; the oldest ones go first
-LINE_PART = 1  # index of the part that names a line
-SUB_AGENT_PART = 2  # index of a sub-agent's own part
+MAX_TRACKED_SEGMENTS = 20_000  # remembered; the oldest ones go first
+CONVERSATION_SEGMENT = 1  # index of the part that names a line
+SUB_AGENT_SEGMENT = 2  # index of a sub-agent's own part
 
 
 @dataclass(frozen=True, slots=True)
-class PromptPart:
+class PromptSegment:
     """A part of a prompt, and its size in tokens."""
 
-    ident: bytes
+    segment_id: bytes
     tokens: int
 
 
@@ -33,22 +33,22 @@
     return hashlib.blake2b(endpoint.encode(), key=ident[:64], digest_size=8).digest()
 
 
-def home_of(parts: Sequence[PromptPart], endpoints: Collection[str], spread: int) -> str | None:
+def home_endpoint(parts: Sequence[PromptSegment], endpoints: Collection[str], spread: int) -> str | None:
     """The endpoint at which a prompt's line is at home; None where there is no line or no endpoint.
 
     `spread` is over how many endpoints the sub-agents of a line are spread.
     """
-    if len(parts) <= LINE_PART or not endpoints:
+    if len(parts) <= CONVERSATION_SEGMENT or not endpoints:
         return None
-    line = parts[LINE_PART].ident
-    if len(parts) <= SUB_AGENT_PART or spread <= 1:
+    line = parts[CONVERSATION_SEGMENT].segment_id
+    if len(parts) <= SUB_AGENT_SEGMENT or spread <= 1:
         return max(endpoints, key=lambda endpoint: _score(line, endpoint))
     order = sorted(endpoints, key=lambda endpoint: _score(line, endpoint), reverse=True)[:spread]
-    own = hashlib.blake2b(parts[SUB_AGENT_PART].ident, digest_size=8).digest()
+    own = hashlib.blake2b(parts[SUB_AGENT_SEGMENT].segment_id, digest_size=8).digest()
     return order[int.from_bytes(own) % len(order)]
 
 
-class PromptCaches:
+class PrefixCacheTracker:
     """Which endpoints have read which parts of prompts, by this sidecar's own answers."""
 
     def __init__(self, seconds: float) -> None:
@@ -56,25 +56,25 @@
         self._seconds = seconds
         self._read_at: dict[bytes, dict[str, float]] = {}
 
-    def read(self, now: float, endpoint: str, parts: Sequence[PromptPart]) -> None:
+    def record_prefill(self, now: float, endpoint: str, parts: Sequence[PromptSegment]) -> None:
         """An endpoint has answered a prompt: it holds its parts now."""
         for part in parts:
-            self._read_at.setdefault(part.ident, {})[endpoint] = now
-        while len(self._read_at) > MAX_PARTS:
+            self._read_at.setdefault(part.segment_id, {})[endpoint] = now
+        while len(self._read_at) > MAX_TRACKED_SEGMENTS:
             del self._read_at[next(iter(self._read_at))]
 
-    def holders(self, now: float, part: PromptPart) -> list[str]:
+    def endpoints_caching(self, now: float, part: PromptSegment) -> list[str]:
         """Endpoints that hold a part."""
-        known = self._read_at.get(part.ident, {})
+        known = self._read_at.get(part.segment_id, {})
         return [endpoint for endpoint, read_at in known.items() if now - read_at < self._seconds]
 
-    def missing(self, now: float, endpoint: str, parts: Sequence[PromptPart]) -> int:
+    def uncached_tokens(self, now: float, endpoint: str, parts: Sequence[PromptSegment]) -> int:
         """Tokens of a prompt that an endpoint would have to read: those behind the first part that it does
         not hold.
         """
         tokens = sum(part.tokens for part in parts)
         for part in parts:
-            read_at = self._read_at.get(part.ident, {}).get(endpoint)
+            read_at = self._read_at.get(part.segment_id, {}).get(endpoint)
             if read_at is None or now - read_at >= self._seconds:
                 break
             tokens -= part.tokens
--- a/wheatring/sidecar/routes.py
+++ b/wheatring/sidecar/route_table.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Share:
+class WeightedService:
     """A service of a route and its weight among the route's services."""
 
     service: str
@@ -27,33 +27,33 @@
     hostname: str
     prefix: str
     kind: str  # safe, unsafe or streaming
-    timeout: float
-    target: float
+    timeout_seconds: float
+    latency_target_seconds: float
     priority: int
     max_attempts: int
-    retained: bool
-    retention: float
-    resumable: bool
-    shares: tuple[Share, ...]
+    is_retained: bool
+    retention_seconds: float
+    is_resumable: bool
+    weighted_services: tuple[WeightedService, ...]
 
     @property
-    def streaming(self) -> bool:
+    def is_streaming(self) -> bool:
         return self.kind == "streaming"
 
     @property
     def effect(self) -> Effect:
         """What running a request twice would do; a stream that can be resumed goes on where it broke off."""
-        repeatable = self.kind == "safe" or (self.streaming and self.resumable)
+        repeatable = self.kind == "safe" or (self.is_streaming and self.is_resumable)
         return Effect.SAFE if repeatable else Effect.UNSAFE
 
-    def service_at(self, place: float) -> str:
+    def service_at(self, position: float) -> str:
         """The service that a place between 0 and 1 belongs to, where each has as much room as its weight."""
-        left = place * sum(share.weight for share in self.shares)
-        for share in self.shares:
+        left = position * sum(share.weight for share in self.weighted_services)
+        for share in self.weighted_services:
             left -= share.weight
             if left < 0:
                 return share.service
-        return self.shares[-1].service
+        return self.weighted_services[-1].service
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,8 +62,8 @@
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
-    header_time: float = 3.0
-    idle_time: float = 15.0
+    header_timeout_seconds: float = 3.0
+    idle_timeout_seconds: float = 15.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,16 +71,16 @@
     """A service; `stride` is the number of tokens in each event of its streams, 0 where it has no engine."""
 
     name: str
-    stride: int
+    tokens_per_event: int
     slots: int
     max_connections: int
 
 
-def _shares(values: Mapping[str, Any]) -> tuple[Share, ...]:
+def _shares(values: Mapping[str, Any]) -> tuple[WeightedService, ...]:
     split = values.get("trafficSplit")
     if not split:
-        return (Share(str(values["backend"]), 1.0),)
-    parts = [Share(str(part["backend"]), float(part["weight"])) for part in split]
+        return (WeightedService(str(values["backend"]), 1.0),)
+    parts = [WeightedService(str(part["backend"]), float(part["weight"])) for part in split]
     return tuple(part for part in parts if part.weight > 0)
 
 
@@ -90,14 +90,14 @@
         hostname=str(values["hostname"]).lower(),
         prefix=str(values["pathPrefix"]),
         kind=str(values["routeType"]),
-        timeout=float(values["timeoutMs"]) / 1000,
-        target=float(values.get("targetLatencyMs") or values["timeoutMs"]) / 1000,
+        timeout_seconds=float(values["timeoutMs"]) / 1000,
+        latency_target_seconds=float(values.get("targetLatencyMs") or values["timeoutMs"]) / 1000,
         priority=int(values.get("priority") or 0),
         max_attempts=int(values.get("maxAttempts") or 1),
-        retained=bool(values.get("retained")),
-        retention=float(values.get("retentionS") or 0.0),
-        resumable=bool(values.get("resumable")),
-        shares=_shares(values),
+        is_retained=bool(values.get("retained")),
+        retention_seconds=float(values.get("retentionS") or 0.0),
+        is_resumable=bool(values.get("resumable")),
+        weighted_services=_shares(values),
     )
 
 
@@ -105,7 +105,7 @@
     engine = values.get("engine") or {}
     return Service(
         name=str(values["name"]),
-        stride=int(engine.get("stride") or 0),
+        tokens_per_event=int(engine.get("stride") or 0),
         slots=int(engine.get("slots") or 0),
         max_connections=int(values.get("maxConnections") or 0),
     )
@@ -116,12 +116,13 @@
     return Limits(
         header_bytes=int(values.get("maxHeaderBytes") or default.header_bytes),
         body_bytes=int(values.get("maxBodyBytes") or default.body_bytes),
-        header_time=float(values.get("headerTimeoutMs") or default.header_time * 1000) / 1000,
-        idle_time=float(values.get("idleTimeoutMs") or default.idle_time * 1000) / 1000,
+        header_timeout_seconds=float(values.get("headerTimeoutMs") or default.header_timeout_seconds * 1000)
+        / 1000,
+        idle_timeout_seconds=float(values.get("idleTimeoutMs") or default.idle_timeout_seconds * 1000) / 1000,
     )
 
 
-class EvenSpread:
+class GoldenRatioSequence:
     """Places between 0 and 1 that are spread evenly however many of them are taken (multiples of the golden
     ratio), so that each part of a split gets its share of few requests too.
     """
@@ -147,7 +148,7 @@
         self.services = {service.name: service for service in map(_service, values["services"])}
         self.limits = _limits(values.get("limits") or {})
         self._by_host: dict[str, list[Route]] = {}
-        self._spreads: dict[str, EvenSpread] = {}
+        self._spreads: dict[str, GoldenRatioSequence] = {}
         for route in sorted(self.routes, key=lambda route: len(route.prefix), reverse=True):
             self._by_host.setdefault(route.hostname, []).append(route)
 
@@ -163,5 +164,5 @@
         """The service for the next request of a route, by the weights of its split."""
         spread = self._spreads.get(route.name)
         if spread is None:
-            spread = self._spreads[route.name] = EvenSpread(random.random())
+            spread = self._spreads[route.name] = GoldenRatioSequence(random.random())
         return route.service_at(spread.next())
--- a/wheatring/sidecar/decisions.py
+++ b/wheatring/sidecar/service_balancer.py
@@ -18,27 +18,32 @@
 from wheatring.balancer import interface as i
 from wheatring.balancer.policy import MAX_TOKENS, Balancer, Endpoint, Norm, Request
 from wheatring.sidecar.policy import SidecarPolicy
-from wheatring.sidecar.prompt_placement import LINE_PART, PromptCaches, PromptPart, home_of
-from wheatring.sidecar.routes import Route
-
-MAX_RETRY_AFTER = 1.0  # seconds
-REPORT_SECONDS = 1.0  # for which an endpoint's word of its load counts
+from wheatring.sidecar.prefix_placement import (
+    CONVERSATION_SEGMENT,
+    PrefixCacheTracker,
+    PromptSegment,
+    home_endpoint,
+)
+from wheatring.sidecar.route_table import Route
+
+MAX_RETRY_AFTER_SECONDS = 1.0  # seconds
+LOAD_REPORT_TTL_SECONDS = 1.0  # for which an endpoint's word of its load counts
 MAX_ATTEMPTS = 5
-KNOWN_ANSWERS = 12  # of a route, from which what is usual on it is known
+MIN_LATENCY_SAMPLES = 12  # of a route, from which what is usual on it is known
 
 
 @dataclass(slots=True)
-class Call:
+class BalancedRequest:
     """One request under the decisions of one service."""
 
     number: int
     route: Route
-    parts: tuple[PromptPart, ...]
-    attempts: int = 0
-    steps: asyncio.Queue[i.Action] = field(default_factory=asyncio.Queue)
+    prompt_segments: tuple[PromptSegment, ...]
+    attempt_count: int = 0
+    actions: asyncio.Queue[i.Action] = field(default_factory=asyncio.Queue)
 
 
-def are_even(endpoints_by_zone: Mapping[str, int], policy: SidecarPolicy) -> bool:
+def are_zones_balanced(endpoints_by_zone: Mapping[str, int], policy: SidecarPolicy) -> bool:
     """Whether every zone can carry its own traffic: no zone has far less than its share of the endpoints."""
     least = min(endpoints_by_zone.values(), default=0)
     share = sum(endpoints_by_zone.values()) / max(len(endpoints_by_zone), 1)
@@ -53,9 +58,9 @@
         self.policy = policy
         self.max_attempts: dict[str, int] = {}  # by route
         self.slots: dict[str, int] = {}  # by endpoint
-        self.parts: dict[int, tuple[PromptPart, ...]] = {}  # by request
-        self.caches = PromptCaches(policy.prefix_seconds)
-        self.zones_carry_themselves = False  # so that prompts stay in their zone
+        self.prompt_segments: dict[int, tuple[PromptSegment, ...]] = {}  # by request
+        self.prefix_caches = PrefixCacheTracker(policy.prefix_seconds)
+        self.is_zone_local = False  # so that prompts stay in their zone
 
     def may_retry(self, now: float, request: Request, outcome: i.Outcome) -> bool:
         """The attempt limit is the route's."""
@@ -66,7 +71,7 @@
     def known(self, now: float, cls: i.RequestClass) -> bool:
         """Routes come and go while a sidecar runs, so what is usual is known for each by its own answers."""
         norm = self.norms.get(cls.name)
-        return norm is not None and norm.count >= KNOWN_ANSWERS
+        return norm is not None and norm.count >= MIN_LATENCY_SAMPLES
 
     def judge(self, now: float, endpoint: Endpoint, outcome: i.Outcome) -> None:
         """Only failures have an endpoint left alone. How long an answer takes follows from its length here,
@@ -86,7 +91,7 @@
 
     def occupancy(self, now: float, endpoint: Endpoint) -> float:
         """Requests at an endpoint, by its own word while that is new and by this sidecar's own otherwise."""
-        if endpoint.reported_at and now - endpoint.reported_at < REPORT_SECONDS:
+        if endpoint.reported_at and now - endpoint.reported_at < LOAD_REPORT_TTL_SECONDS:
             return max(endpoint.reported, endpoint.in_flight)
         return endpoint.in_flight
 
@@ -95,7 +100,7 @@
         one where its line is at home.
         """
         best, drawn = super().pick(now, request)
-        parts = self.parts.get(request.ident)
+        parts = self.prompt_segments.get(request.ident)
         if best is None or not parts or len(self.ready) < 2:
             return best, drawn
         home = self._home(parts) if self.policy.prompt_homes else None
@@ -116,31 +121,31 @@
             return True
         return not self.alone(now, endpoint) and endpoint.in_flight < endpoint.window
 
-    def _home(self, parts: Sequence[PromptPart]) -> Endpoint | None:
+    def _home(self, parts: Sequence[PromptSegment]) -> Endpoint | None:
         """Where a line of turns is at home: in this zone, where zones carry themselves."""
         pool = {e.entry.endpoint: e for e in self.ready if not self._is_far(e)}
-        name = home_of(parts, pool.keys(), self.policy.sub_agent_spread)
+        name = home_endpoint(parts, pool.keys(), self.policy.sub_agent_spread)
         return pool[name] if name is not None else None
 
     def _is_far(self, endpoint: Endpoint) -> bool:
-        return self.zones_carry_themselves and endpoint.entry.zone != self.settings.zone
+        return self.is_zone_local and endpoint.entry.zone != self.settings.zone
 
-    def _holders(self, now: float, parts: Sequence[PromptPart]) -> list[Endpoint]:
+    def _holders(self, now: float, parts: Sequence[PromptSegment]) -> list[Endpoint]:
         """Endpoints that hold the last part of a prompt that anyone is known to hold."""
         for part in reversed(parts):
-            known = self.caches.holders(now, part)
+            known = self.prefix_caches.endpoints_caching(now, part)
             found = [self.endpoints[name] for name in known if name in self.endpoints]
             usable = [endpoint for endpoint in found if self._usable(now, endpoint)]
             if usable:
                 return usable
         return []
 
-    def _cost(self, now: float, endpoint: Endpoint, parts: Sequence[PromptPart], is_home: bool) -> float:
+    def _cost(self, now: float, endpoint: Endpoint, parts: Sequence[PromptSegment], is_home: bool) -> float:
         """Load in requests, with what has to be read of the prompt counted as load too."""
         policy = self.policy
-        missing = self.caches.missing(now, endpoint.entry.endpoint, parts)
+        missing = self.prefix_caches.uncached_tokens(now, endpoint.entry.endpoint, parts)
         if is_home:
-            missing = min(missing, sum(part.tokens for part in parts[LINE_PART + 1 :]))
+            missing = min(missing, sum(part.tokens for part in parts[CONVERSATION_SEGMENT + 1 :]))
         slots = max(self.slots.get(endpoint.entry.endpoint, 1), 1)
         load = self.occupancy(now, endpoint) / slots
         far = policy.far_cost if self._is_far(endpoint) else 0.0
@@ -149,11 +154,13 @@
         return load + missing / policy.tokens_per_load + far + burden + failing
 
 
-class ServiceDecisions:
+class ServiceBalancer:
     """Hosts the balancer of one service: events in, each request's actions out into its own queue."""
 
     def __init__(self, zone: str, seed: int, policy: SidecarPolicy) -> None:
-        limits = i.Limits(max_attempts=MAX_ATTEMPTS, max_retry_after=MAX_RETRY_AFTER, retry_after=True)
+        limits = i.Limits(
+            max_attempts=MAX_ATTEMPTS, max_retry_after=MAX_RETRY_AFTER_SECONDS, retry_after=True
+        )
         settings = i.Settings(
             classes=(i.RequestClass("unknown", 1.0, 1.0, late_worth=0.3),),
             zone=zone,
@@ -162,7 +169,7 @@
         self.balancer = TierBalancer(settings, seed, policy)
         self.addresses: dict[str, str] = {}
         self._heads = Norm()  # time from a send to the head of a stream's answer
-        self._calls: dict[int, Call] = {}
+        self._calls: dict[int, BalancedRequest] = {}
         self._last = 0
 
     @property
@@ -175,77 +182,83 @@
         self.balancer.slots = {entry.endpoint: slots for entry, _, slots in entries}
         # The first list may hold the endpoints of one zone only, so zones are taken from each list anew.
         by_zone = Counter(entry.zone for entry, _, _ in entries)
-        even = are_even(by_zone, self.balancer.policy)
+        even = are_zones_balanced(by_zone, self.balancer.policy)
         zones = tuple(sorted(by_zone)) if even else ()
         self.balancer.settings = dataclasses.replace(self.balancer.settings, zones=zones)
-        self.balancer.zones_carry_themselves = even
+        self.balancer.is_zone_local = even
         self._feed(i.View(i.ViewKind.FULL, tuple(entry for entry, _, _ in entries)))
 
-    def begin(self, route: Route, time_left: float, parts: tuple[PromptPart, ...]) -> Call:
+    def start_request(
+        self, route: Route, timeout_seconds: float, parts: tuple[PromptSegment, ...]
+    ) -> BalancedRequest:
         """A request comes under the decisions; its first step is in its queue afterwards."""
         self._last += 1
-        call = Call(self._last, route, parts)
+        call = BalancedRequest(self._last, route, parts)
         self._calls[call.number] = call
         balancer = self.balancer
         balancer.max_attempts[route.name] = route.max_attempts
         known = balancer.classes.get(route.name)
-        if known is None or known.aim != route.target or known.effect is not route.effect:
+        if known is None or known.aim != route.latency_target_seconds or known.effect is not route.effect:
             self._learn_class(route)
         if parts:
-            balancer.parts[call.number] = parts
-        self._feed(i.NewRequest(call.number, route.name, time_left))
+            balancer.prompt_segments[call.number] = parts
+        self._feed(i.NewRequest(call.number, route.name, timeout_seconds))
         return call
 
     def _learn_class(self, route: Route) -> None:
         worth = 1.0 / (1 + route.priority)
-        deadline = max(route.timeout, route.target)
+        deadline = max(route.timeout_seconds, route.latency_target_seconds)
         cls = i.RequestClass(
             route.name,
-            route.target,
+            route.latency_target_seconds,
             deadline,
             worth=worth,
             late_worth=0.3,
             effect=route.effect,
-            stream=route.streaming,
+            stream=route.is_streaming,
         )
         self.balancer.classes[route.name] = cls
         self.balancer.norms.setdefault(route.name, type(self.balancer.norm)())
 
-    def head_time(self, route: Route) -> float:
+    def head_timeout_seconds(self, route: Route) -> float:
         """Seconds after which a stream that can be resumed is tried elsewhere, if nothing has come of it.
 
         Without end where a retry would not be granted, or too little is known of what is usual.
         """
         heads = self._heads
         granted = self.balancer.tokens > MAX_TOKENS / 2
-        if not self.balancer.policy.head_patience or heads.count < KNOWN_ANSWERS or not granted:
+        if not self.balancer.policy.head_patience or heads.count < MIN_LATENCY_SAMPLES or not granted:
             return inf
-        return max(route.target, heads.mean + self.balancer.policy.head_patience * heads.deviation)
+        return max(
+            route.latency_target_seconds, heads.mean + self.balancer.policy.head_patience * heads.deviation
+        )
 
-    def head_came(self, seconds: float) -> None:
+    def record_head_latency(self, seconds: float) -> None:
         """The head of a stream's answer has come so long after its request was sent."""
         self._heads.learn(seconds, known=True)
 
-    def ended(
-        self, call: Call, endpoint: str, outcome: i.Outcome, latency: float, load: float | None
+    def finish_attempt(
+        self, call: BalancedRequest, endpoint: str, outcome: i.Outcome, latency: float, load: float | None
     ) -> None:
         """An attempt has ended; unless the request was served, its next step is in its queue afterwards."""
         report = i.LoadReport(in_flight=load) if load is not None else None
         served = outcome is i.Outcome.SERVED
-        event = i.AttemptEnded(call.number, call.attempts - 1, outcome, endpoint, latency, served, report)
+        event = i.AttemptEnded(
+            call.number, call.attempt_count - 1, outcome, endpoint, latency, served, report
+        )
         self._feed(event)
 
-    def heard_load(self, endpoint: str, load: float) -> None:
+    def record_load(self, endpoint: str, load: float) -> None:
         """An endpoint tells its load at the head of an answer that goes on."""
         known = self.balancer.endpoints.get(endpoint)
         if known is not None:
             known.reported, known.reported_at = load, self.now
 
-    def over(self, call: Call) -> None:
+    def finish_request(self, call: BalancedRequest) -> None:
         """The request has its answer, or its client has gone."""
         self._feed(i.ClientGone(call.number))
         self._calls.pop(call.number, None)
-        self.balancer.parts.pop(call.number, None)
+        self.balancer.prompt_segments.pop(call.number, None)
 
     def _feed(self, event: i.Event) -> None:
         for action in self.balancer.handle(self.now, event):
@@ -255,4 +268,4 @@
             elif isinstance(action, i.Send | i.Refuse | i.Fail):
                 call = self._calls.get(action.request)
                 if call is not None:
-                    call.steps.put_nowait(action)
+                    call.actions.put_nowait(action)
--- a/wheatring/storage/process.py
+++ b/wheatring/storage/process.py
@@ -16,11 +16,11 @@
 from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
 from wheatring.transport.messages_pb2 import ROLE_STORAGE, Envelope, Presence
 
-PRESENCE_SECONDS = 0.4
-CLEAN_SECONDS = 5.0
-STOP_MARGIN = 1.5  # seconds before SIGKILL at which a replica ends in any case
-STOP_LOOK_SECONDS = 0.05
-TAKE_OVER_SECONDS = 0.5  # after which nobody is going to take over
+PRESENCE_INTERVAL_SECONDS = 0.4
+EXPIRY_INTERVAL_SECONDS = 5.0
+STOP_MARGIN_SECONDS = 1.5  # seconds before SIGKILL at which a replica ends in any case
+STOP_POLL_SECONDS = 0.05
+TAKEOVER_TIMEOUT_SECONDS = 0.5  # after which nobody is going to take over
 
 
 class StorageProcess:
@@ -40,7 +40,7 @@
             port=settings.controller_port,
             zone=settings.zone,
             presence=self._presence,
-            presence_interval=PRESENCE_SECONDS,
+            presence_interval=PRESENCE_INTERVAL_SECONDS,
             changed=self._changed,
             random=random,
         )
@@ -56,7 +56,7 @@
         for job in (
             self.subscription.run(),
             self._watch.run(),
-            self.replica.keep_clean(CLEAN_SECONDS),
+            self.replica.run_expirer(EXPIRY_INTERVAL_SECONDS),
             self._tell(),
         ):
             self._keep(asyncio.create_task(job))
@@ -67,8 +67,8 @@
         self._leaving = True
         began = loop.time()
         self.subscription.announce_now()
-        while loop.time() - began < self.settings.grace - STOP_MARGIN:
-            await asyncio.sleep(STOP_LOOK_SECONDS)
+        while loop.time() - began < self.settings.grace - STOP_MARGIN_SECONDS:
+            await asyncio.sleep(STOP_POLL_SECONDS)
             if not self._is_handed_over(loop.time() - began):
                 continue
             break
@@ -83,7 +83,7 @@
         if not in_current and not in_next:
             return True
         under_way = bool(placement.next) and not in_next
-        return not under_way and waited > TAKE_OVER_SECONDS
+        return not under_way and waited > TAKEOVER_TIMEOUT_SECONDS
 
     def reload(self) -> None:
         """The settings file may have changed."""
@@ -106,7 +106,7 @@
         )
 
     def _changed(self) -> None:
-        self.repair.follow(self.subscription.view.placement)
+        self.repair.on_placement(self.subscription.view.placement)
 
     async def _tell(self) -> None:
         """Have the controllers know at once when a copy is complete."""
@@ -124,10 +124,10 @@
             self._keep(asyncio.create_task(self._answer_scan(connection, envelope)))
 
     async def _answer(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
-        reply = await self.replica.handle(envelope.storage_request)
+        reply = await self.replica.handle_request(envelope.storage_request)
         if envelope.call:
             connection.send(Envelope(call=envelope.call, reply=True, storage_reply=reply))
 
     async def _answer_scan(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
-        reply = await self.replica.scan(envelope.scan_request)
+        reply = await self.replica.handle_scan(envelope.scan_request)
         connection.send(Envelope(call=envelope.call, reply=True, scan_reply=reply))
--- a/wheatring/storage/quorum.py
+++ b/wheatring/storage/quorum_client.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wheatring.placement.placement import KeyPlacement, place
-from wheatring.transport.client import ClientTable, Unreachable
+from wheatring.placement.key_placement import KeyPlacement, place_key
+from wheatring.transport.client import ClientTable, PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
     STORAGE_STATUS_DONE,
     STORAGE_STATUS_STALE_EPOCH,
@@ -26,13 +26,13 @@
     Turn,
 )
 
-HEDGE_SECONDS = 0.03  # without enough replies, before further members are asked
-CALL_SECONDS = 1.0  # for one member to reply
-RETRY_SECONDS = 0.05
+HEDGE_DELAY_SECONDS = 0.03  # without enough replies, before further members are asked
+CALL_TIMEOUT_SECONDS = 1.0  # for one member to reply
+RETRY_DELAY_SECONDS = 0.05
 SUSPECT_SECONDS = 2.0  # for which a member that did not answer is asked last
 
 
-class NotSure(Exception):
+class QuorumNotReachedError(Exception):
     """No quorum could be reached in time: nothing is known of the record."""
 
 
@@ -51,11 +51,11 @@
 
 
 def _written(key_placement: KeyPlacement, replies: Replies) -> bool:
-    return key_placement.is_written(replies.acknowledged)
+    return key_placement.has_write_quorum(replies.acknowledged)
 
 
 def _read(key_placement: KeyPlacement, replies: Replies) -> bool:
-    return key_placement.is_read(replies.acknowledged)
+    return key_placement.has_read_quorum(replies.acknowledged)
 
 
 def _read_and_written(key_placement: KeyPlacement, replies: Replies) -> bool:
@@ -86,26 +86,26 @@
 
     # What can be asked for
 
-    async def write(self, key: str, records: Sequence[StorageRecord], seconds: float) -> None:
-        """Have records on enough disks. Raises NotSure."""
+    async def write(self, key: str, records: Sequence[StorageRecord], timeout_seconds: float) -> None:
+        """Have records on enough disks. Raises QuorumNotReachedError."""
         request = StorageRequest(records=records)
-        await self._exchange(key, request, _written, seconds)
+        await self._exchange(key, request, _written, timeout_seconds)
 
-    async def write_budget(self, entry: BudgetEntry, seconds: float) -> list[BudgetEntry]:
-        """Have an entry on enough disks; returns all entries of its program. Raises NotSure."""
+    async def write_budget(self, entry: BudgetEntry, timeout_seconds: float) -> list[BudgetEntry]:
+        """Have an entry on enough disks; returns all entries of its program. Raises QuorumNotReachedError."""
         request = StorageRequest(records=[StorageRecord(budget=entry)], program=entry.program)
-        replies = await self._exchange(entry.program, request, _read_and_written, seconds)
+        replies = await self._exchange(entry.program, request, _read_and_written, timeout_seconds)
         return _merged([e for reply in replies.by_replica.values() for e in reply.budget])
 
     async def read_conversation(
-        self, turn_id: str, known: Sequence[str], seconds: float
+        self, turn_id: str, known_turn_ids: Sequence[str], timeout_seconds: float
     ) -> list[Turn] | None:
         """A turn with those of its ancestors that its replicas hold; None where there certainly is no such
         turn.
 
-        Raises NotSure.
+        Raises QuorumNotReachedError.
         """
-        request = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known=known)
+        request = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known=known_turn_ids)
 
         def found(replies: Replies) -> list[Turn]:
             for reply in replies.by_replica.values():
@@ -116,10 +116,10 @@
         def enough(key_placement: KeyPlacement, replies: Replies) -> bool:
             return bool(found(replies)) or _read(key_placement, replies)
 
-        replies = await self._exchange(turn_id, request, enough, seconds, first=1)
+        replies = await self._exchange(turn_id, request, enough, timeout_seconds, first=1)
         return found(replies) or None
 
-    def touch(self, turn_ids: Sequence[str], seconds_kept: float) -> None:
+    def extend_retention(self, turn_ids: Sequence[str], retention_seconds: float) -> None:
         """Have turns kept for longer on all members, without waiting for it. Only where members hold
         different turns: else the members that hold the newest turn hold its ancestors too.
         """
@@ -133,11 +133,11 @@
                 replica_id=member.replica_id,
                 epoch=placement.epoch,
                 touch=turn_ids,
-                touch_ms=int(seconds_kept * 1000),
+                touch_ms=int(retention_seconds * 1000),
             )
-            self._clients.to(member.address).send(Envelope(storage_request=request))
+            self._clients.client_for(member.address).send(Envelope(storage_request=request))
 
-    def in_background(self, work: asyncio.Task[Any]) -> None:
+    def run_in_background(self, work: asyncio.Task[Any]) -> None:
         """Keep a task until it has ended."""
         self._background.add(work)
         work.add_done_callback(self._background.discard)
@@ -156,9 +156,9 @@
                 replies = await self._under(placement, key, request, enough, deadline, first)
                 if replies is not None:
                     return replies
-            if loop.time() + RETRY_SECONDS >= deadline:
-                raise NotSure(f"no quorum of storage members for {key}")
-            await asyncio.sleep(RETRY_SECONDS)
+            if loop.time() + RETRY_DELAY_SECONDS >= deadline:
+                raise QuorumNotReachedError(f"no quorum of storage members for {key}")
+            await asyncio.sleep(RETRY_DELAY_SECONDS)
 
     async def _under(
         self,
@@ -173,7 +173,7 @@
         enough.
         """
         loop = asyncio.get_running_loop()
-        key_placement = place(key, placement, self._losses)
+        key_placement = place_key(key, placement, self._losses)
         order = self._ordered(key_placement.members, loop.time())
         replies = Replies()
         running: dict[asyncio.Task[StorageReply | None], StorageMember] = {}
@@ -186,7 +186,7 @@
                 left = deadline - loop.time()
                 if not running or left <= 0:
                     return None
-                pause = min(left, HEDGE_SECONDS) if order else left
+                pause = min(left, HEDGE_DELAY_SECONDS) if order else left
                 done, _ = await asyncio.wait(running, timeout=pause, return_when=asyncio.FIRST_COMPLETED)
                 if not done:
                     wanted += 1
@@ -215,7 +215,7 @@
     def _let_run_out(self, running: dict[asyncio.Task[StorageReply | None], StorageMember]) -> None:
         """What is under way to other members goes on: each copy more is one that need not be repaired."""
         for task in running:
-            self.in_background(task)
+            self.run_in_background(task)
 
     def _ordered(self, members: Sequence[StorageMember], now: float) -> list[StorageMember]:
         """Members that have answered lately first, and of these the ones in this zone."""
@@ -246,10 +246,12 @@
         mine.CopyFrom(request)
         mine.replica_id = member.replica_id
         mine.epoch = placement.epoch
-        seconds = min(CALL_SECONDS, deadline - asyncio.get_running_loop().time())
+        seconds = min(CALL_TIMEOUT_SECONDS, deadline - asyncio.get_running_loop().time())
         try:
-            envelope = await self._clients.to(member.address).call(Envelope(storage_request=mine), seconds)
-        except Unreachable:
+            envelope = await self._clients.client_for(member.address).call(
+                Envelope(storage_request=mine), seconds
+            )
+        except PeerUnreachableError:
             return None
         return envelope.storage_reply
 
--- a/wheatring/storage/table.py
+++ b/wheatring/storage/record_table.py
@@ -12,22 +12,22 @@
 
 from wheatring.transport.messages_pb2 import BudgetEntry, StorageRecord, Turn
 
-RETENTION_MARGIN = 10.0  # seconds beyond the retention that the route tells
-BUDGET_SECONDS = 600.0  # after the last entry of a program
+RETENTION_MARGIN_SECONDS = 10.0  # seconds beyond the retention that the route tells
+BUDGET_RETENTION_SECONDS = 600.0  # after the last entry of a program
 
-Key = tuple[str, str, str]  # kind, turn id or program, turn of the program
+RecordKey = tuple[str, str, str]  # kind, turn id or program, turn of the program
 
 
 @dataclass(slots=True)
-class Held:
+class StoredRecord:
     """One record, its place in the order of changes and when it may go."""
 
     sequence: int
     payload: bytes
-    expires: float
+    expires_at: float
 
 
-def key_of(record: StorageRecord) -> Key | None:
+def key_of(record: StorageRecord) -> RecordKey | None:
     """What identifies a record; None for those that speak of the replica itself."""
     kind = record.WhichOneof("kind")
     if kind == "turn":
@@ -37,7 +37,7 @@
     return None
 
 
-def placement_key(key: Key) -> str:
+def placement_key(key: RecordKey) -> str:
     """The name by which a record is placed on members."""
     return key[1]
 
@@ -46,8 +46,8 @@
     """The records of one replica."""
 
     def __init__(self) -> None:
-        self._held: dict[Key, Held] = {}
-        self._order: dict[int, Key] = {}
+        self._held: dict[RecordKey, StoredRecord] = {}
+        self._order: dict[int, RecordKey] = {}
         self._programs: dict[str, dict[str, BudgetEntry]] = {}
         self._sequence = 0
 
@@ -63,46 +63,46 @@
             return self._apply_turn(key, record, now)
         return self._apply_budget(key, record, now)
 
-    def _apply_turn(self, key: Key, record: StorageRecord, now: float) -> bool:
+    def _apply_turn(self, key: RecordKey, record: StorageRecord, now: float) -> bool:
         turn = record.turn
-        expires = now + turn.retention_ms / 1000 + RETENTION_MARGIN
+        expires = now + turn.retention_ms / 1000 + RETENTION_MARGIN_SECONDS
         for ancestor in turn.ancestors:
-            self.touch(ancestor, expires)
+            self.extend_expiry(ancestor, expires)
         if key in self._held:
-            self.touch(turn.id, expires)
+            self.extend_expiry(turn.id, expires)
             return False
         self._hold(key, record, expires)
         return True
 
-    def _apply_budget(self, key: Key, record: StorageRecord, now: float) -> bool:
+    def _apply_budget(self, key: RecordKey, record: StorageRecord, now: float) -> bool:
         entry = record.budget
         entries = self._programs.setdefault(entry.program, {})
         known = entries.get(entry.turn)
         if known is not None and (known.settled, known.tokens) >= (entry.settled, entry.tokens):
             return False
         entries[entry.turn] = BudgetEntry(turn=entry.turn, tokens=entry.tokens, settled=entry.settled)
-        self._hold(key, record, now + BUDGET_SECONDS)
+        self._hold(key, record, now + BUDGET_RETENTION_SECONDS)
         return True
 
-    def _hold(self, key: Key, record: StorageRecord, expires: float) -> None:
+    def _hold(self, key: RecordKey, record: StorageRecord, expires: float) -> None:
         known = self._held.pop(key, None)
         if known is not None:
             del self._order[known.sequence]
         self._sequence += 1
-        self._held[key] = Held(self._sequence, record.SerializeToString(), expires)
+        self._held[key] = StoredRecord(self._sequence, record.SerializeToString(), expires)
         self._order[self._sequence] = key
 
-    def touch(self, turn_id: str, expires: float) -> None:
+    def extend_expiry(self, turn_id: str, expires_at: float) -> None:
         """Keep a turn at least until then."""
         held = self._held.get(("turn", turn_id, ""))
         if held is not None:
-            held.expires = max(held.expires, expires)
+            held.expires_at = max(held.expires_at, expires_at)
 
-    def holds_turn(self, turn_id: str) -> bool:
+    def has_turn(self, turn_id: str) -> bool:
         """Whether a turn is here."""
         return ("turn", turn_id, "") in self._held
 
-    def renew(self, turn_id: str, now: float) -> bool:
+    def renew_turn(self, turn_id: str, now: float) -> bool:
         """Keep a turn and its ancestors for their full time from now on. Returns whether it is here."""
         key = ("turn", turn_id, "")
         held = self._held.get(key)
@@ -118,13 +118,13 @@
             return None
         return StorageRecord.FromString(held.payload).turn
 
-    def budget(self, program: str) -> list[BudgetEntry]:
+    def budget_entries(self, program: str) -> list[BudgetEntry]:
         """All entries of a program, which they do not name again: every turn is sent this list."""
         return list(self._programs.get(program, {}).values())
 
     def expire(self, now: float) -> int:
         """Drop what may go; returns how many records went."""
-        gone = [key for key, held in self._held.items() if held.expires <= now]
+        gone = [key for key, held in self._held.items() if held.expires_at <= now]
         for key in gone:
             held = self._held.pop(key)
             del self._order[held.sequence]
@@ -140,7 +140,7 @@
         return [self._held[key].payload for key in self._order.values()]
 
     def scan(
-        self, after: int, limit_bytes: int, wanted: Callable[[Key], bool]
+        self, after: int, limit_bytes: int, wanted: Callable[[RecordKey], bool]
     ) -> tuple[list[bytes], int, bool]:
         """Records changed after a place in the order: the records, the place reached, whether that was
         all.
@@ -159,5 +159,5 @@
                 return found, position, False
         return found, max(position, self._sequence), True
 
-    def _from(self, after: int) -> Iterator[tuple[int, Key]]:
+    def _from(self, after: int) -> Iterator[tuple[int, RecordKey]]:
         return ((sequence, key) for sequence, key in list(self._order.items()) if sequence > after)
--- a/wheatring/storage/repair.py
+++ b/wheatring/storage/repair.py
@@ -13,9 +13,9 @@
 
 from wheatring.durable.record_file import DiskError
 from wheatring.event_log import log_event
-from wheatring.placement.placement import quorums
+from wheatring.placement.key_placement import quorum_sizes
 from wheatring.storage.replica import Replica
-from wheatring.transport.client import ClientTable, Unreachable
+from wheatring.transport.client import ClientTable, PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
     STORAGE_STATUS_DONE,
     Envelope,
@@ -26,13 +26,13 @@
 )
 
 PAGE_BYTES = 512 * 1024
-PAGE_SECONDS = 1.5  # for one page to come
-RETRY_SECONDS = 0.2
-FETCH_SECONDS = 0.5  # for turns to come at the first try, while other sources wait to be asked for them
-FETCHED_ELSEWHERE_SECONDS = 0.005  # between looks at turns that are on their way from another source
+PAGE_TIMEOUT_SECONDS = 1.5  # for one page to come
+RETRY_DELAY_SECONDS = 0.2
+FETCH_TIMEOUT_SECONDS = 0.5  # for the first attempt, while other sources wait to be asked
+CONCURRENT_FETCH_POLL_SECONDS = 0.005  # between looks at turns that are on their way from another source
 
 
-def needs_no_copy(identity: str, placement: Placement, losses: int) -> bool:
+def can_skip_copy(identity: str, placement: Placement, losses: int) -> bool:
     """Whether a replica may stay as it is in the next set.
 
     Where every current member is a replica of every key, those that lack an acknowledged write are fewer than
@@ -40,12 +40,12 @@
     member that lacks a write could answer alone that it does not exist.
     """
     in_current = any(member.replica_id == identity and not member.lost for member in placement.current)
-    now = quorums(len(placement.current), losses)
-    following = quorums(len(placement.next), losses)
+    now = quorum_sizes(len(placement.current), losses)
+    following = quorum_sizes(len(placement.next), losses)
     return in_current and len(placement.current) <= now.copies and following.read >= now.read
 
 
-def sources_needed(placement: Placement, losses: int) -> int:
+def copy_sources_required(placement: Placement, losses: int) -> int:
     """Of how many current members a copy has to be complete: every acknowledged write is on one of them."""
     return max(1, len(placement.current) - losses)
 
@@ -73,9 +73,9 @@
         """The newest epoch for which the replica holds all that it is to hold."""
         return self._replica.whole_epoch
 
-    def follow(self, placement: Placement) -> None:
+    def on_placement(self, placement: Placement) -> None:
         """A placement is in force: begin what it asks of this replica."""
-        self._replica.learn_placement(placement)
+        self._replica.adopt_placement(placement)
         if placement.epoch <= self._epoch:
             return
         self._epoch = placement.epoch
@@ -96,17 +96,17 @@
         """
         epoch = placement.epoch
         await self._until_on_disk(lambda: self._replica.raise_fence(epoch))
-        if not needs_no_copy(self._replica.identity, placement, self._losses):
+        if not can_skip_copy(self._replica.identity, placement, self._losses):
             await self._copy(placement)
             log_event("repair-complete", epoch=epoch, records=len(self._replica.table))
-        await self._until_on_disk(lambda: self._replica.note_whole(epoch))
+        await self._until_on_disk(lambda: self._replica.record_complete_epoch(epoch))
 
     async def _copy(self, placement: Placement) -> None:
         """Run the copies side by side until enough are complete."""
         identity = self._replica.identity
         present = [member for member in placement.current if not member.lost]
         others = [member for member in present if member.replica_id != identity]
-        needed = sources_needed(placement, self._losses) - (len(present) - len(others))
+        needed = copy_sources_required(placement, self._losses) - (len(present) - len(others))
         progress = CopyProgress()
         tasks = [asyncio.create_task(self._copy_from(member, placement, progress)) for member in others]
         try:
@@ -122,16 +122,16 @@
                 await write()
                 return
             except DiskError:
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
 
     async def _copy_from(self, member: StorageMember, placement: Placement, progress: CopyProgress) -> None:
         """Copy page by page; a source that does not answer is asked again."""
         position, done = 0, False
         while not done:
             request = ScanRequest(after=position, limit_bytes=PAGE_BYTES, list_turns=True)
-            reply = await self._scan(member, placement, request, PAGE_SECONDS)
+            reply = await self._scan(member, placement, request, PAGE_TIMEOUT_SECONDS)
             if reply is None:
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
                 continue
             lacking = self._lacking(reply.turn_ids, progress)
             await self._fetch(member, placement, lacking, progress.fetching)
@@ -143,7 +143,7 @@
         for turn_id in turn_ids:
             if turn_id in progress.renewed:
                 continue
-            if self._replica.renew(turn_id):
+            if self._replica.renew_turn(turn_id):
                 progress.renewed.add(turn_id)
             else:
                 lacking.add(turn_id)
@@ -156,10 +156,10 @@
         fails leaves them to the others for a while.
         """
         table = self._replica.table
-        seconds = FETCH_SECONDS
+        seconds = FETCH_TIMEOUT_SECONDS
         while lacking:
             asked = lacking - fetching
-            pause = FETCHED_ELSEWHERE_SECONDS
+            pause = CONCURRENT_FETCH_POLL_SECONDS
             if asked:
                 fetching |= asked
                 try:
@@ -169,9 +169,9 @@
                 if reply is not None:
                     lacking -= asked  # what the source has dropped since it listed it has expired
                     continue
-                seconds, pause = PAGE_SECONDS, RETRY_SECONDS
+                seconds, pause = PAGE_TIMEOUT_SECONDS, RETRY_DELAY_SECONDS
             await asyncio.sleep(pause)
-            lacking = {turn_id for turn_id in lacking if not table.holds_turn(turn_id)}
+            lacking = {turn_id for turn_id in lacking if not table.has_turn(turn_id)}
 
     async def _scan(
         self, member: StorageMember, placement: Placement, request: ScanRequest, seconds: float
@@ -180,13 +180,13 @@
         request.replica_id = member.replica_id
         request.placement.CopyFrom(placement)
         request.requester = self._replica.identity
-        client = self._clients.to(member.address)
+        client = self._clients.client_for(member.address)
         try:
             envelope = await client.call(Envelope(scan_request=request), seconds)
             if envelope.scan_reply.status != STORAGE_STATUS_DONE:
                 return None
             await self._replica.store(list(envelope.scan_reply.records))
-        except (Unreachable, DiskError):
+        except (PeerUnreachableError, DiskError):
             return None
         return envelope.scan_reply
 
--- a/wheatring/storage/replica.py
+++ b/wheatring/storage/replica.py
@@ -14,9 +14,9 @@
 from pathlib import Path
 
 from wheatring.durable.committer import Committer
-from wheatring.durable.record_file import DiskError, open_or_set_aside
-from wheatring.placement.placement import quorums, replicas_for
-from wheatring.storage.table import Key, RecordTable, placement_key
+from wheatring.durable.record_file import DiskError, open_or_quarantine
+from wheatring.placement.key_placement import quorum_sizes, replicas_for
+from wheatring.storage.record_table import RecordKey, RecordTable, placement_key
 from wheatring.transport.messages_pb2 import (
     STORAGE_STATUS_DISK_FAILED,
     STORAGE_STATUS_DONE,
@@ -32,7 +32,7 @@
 )
 
 FILE_NAME = "records"
-REWRITE_ABOVE = 24 * 1024 * 1024  # bytes of the file, from which it is rewritten
+COMPACTION_THRESHOLD_BYTES = 24 * 1024 * 1024  # bytes of the file, from which it is rewritten
 MAX_ANCESTORS_BYTES = 32 * 1024 * 1024  # of a conversation sent in one reply
 
 
@@ -46,35 +46,35 @@
         self._committer: Committer
         self.table = RecordTable()
         self.identity = ""
-        self.fence = 0
+        self.fence_epoch = 0
         self.whole_epoch = 0  # the newest epoch whose copy is complete here, on disk
         self.placement = Placement()
         self._unwritten: list[bytes] = []  # taken in, but refused by the disk so far
 
     def open(self) -> None:
         """Read the file. A new or damaged one gets a new identity: it then counts as a lost disk."""
-        opened = open_or_set_aside(self._path)
+        opened = open_or_quarantine(self._path)
         now = self._clock()
         for payload in opened.payloads:
             record = StorageRecord.FromString(payload)
             if not self.table.apply(record, now):
                 self.identity = record.identity or self.identity
-                self.fence = max(self.fence, record.fence_epoch)
+                self.fence_epoch = max(self.fence_epoch, record.fence_epoch)
                 self.whole_epoch = max(self.whole_epoch, record.whole_epoch)
         if not self.identity:
             self.identity = secrets.token_hex(8)
             opened.file.append([StorageRecord(identity=self.identity).SerializeToString()])
-        self._committer = Committer(opened.file, self._live_records, REWRITE_ABOVE)
+        self._committer = Committer(opened.file, self._live_records, COMPACTION_THRESHOLD_BYTES)
 
     def _live_records(self) -> list[bytes]:
         own = [
             StorageRecord(identity=self.identity),
-            StorageRecord(fence_epoch=self.fence),
+            StorageRecord(fence_epoch=self.fence_epoch),
             StorageRecord(whole_epoch=self.whole_epoch),
         ]
         return [record.SerializeToString() for record in own] + self.table.payloads()
 
-    def learn_placement(self, placement: Placement) -> None:
+    def adopt_placement(self, placement: Placement) -> None:
         """A newer placement is in force."""
         if placement.epoch > self.placement.epoch:
             self.placement = placement
@@ -97,38 +97,38 @@
             self._unwritten = batch + self._unwritten
             raise
 
-    def renew(self, turn_id: str) -> bool:
+    def renew_turn(self, turn_id: str) -> bool:
         """Another replica holds a turn: keep it here as long as one that comes now. Returns whether it is
         here.
         """
-        return self.table.renew(turn_id, self._clock())
+        return self.table.renew_turn(turn_id, self._clock())
 
     async def raise_fence(self, epoch: int) -> None:
         """From now on, also after a restart, refuse older epochs. Raises DiskError."""
-        if epoch > self.fence:
-            self.fence = epoch
+        if epoch > self.fence_epoch:
+            self.fence_epoch = epoch
             await self._write([StorageRecord(fence_epoch=epoch).SerializeToString()])
         else:
             await self._write([])  # the same fence may still be on its way to the disk
 
-    async def note_whole(self, epoch: int) -> None:
+    async def record_complete_epoch(self, epoch: int) -> None:
         """The copy for an epoch is complete, and stays so for as long as this disk. Raises DiskError."""
         await self._write([StorageRecord(whole_epoch=epoch).SerializeToString()])
         self.whole_epoch = max(self.whole_epoch, epoch)
 
-    async def handle(self, request: StorageRequest) -> StorageReply:
+    async def handle_request(self, request: StorageRequest) -> StorageReply:
         """Answer a read, a write or both; the read sees the write."""
         if request.replica_id != self.identity:
             return StorageReply(status=STORAGE_STATUS_WRONG_REPLICA)
-        if request.epoch < max(self.fence, self.placement.epoch):
+        if request.epoch < max(self.fence_epoch, self.placement.epoch):
             return StorageReply(status=STORAGE_STATUS_STALE_EPOCH, placement=self.placement)
         now = self._clock()
         changed = [record.SerializeToString() for record in request.records if self.table.apply(record, now)]
         for turn_id in request.touch:
-            self.table.touch(turn_id, now + request.touch_ms / 1000)
+            self.table.extend_expiry(turn_id, now + request.touch_ms / 1000)
         reply = StorageReply(status=STORAGE_STATUS_DONE)
         if request.program:
-            reply.budget.extend(self.table.budget(request.program))
+            reply.budget.extend(self.table.budget_entries(request.program))
         self._add_turns(request, reply)
         if request.records:
             # An equal record that is known already may still be on its way to the disk: wait behind it.
@@ -164,11 +164,11 @@
             found.append(ancestor)
         return found
 
-    async def scan(self, request: ScanRequest) -> ScanReply:
+    async def handle_scan(self, request: ScanRequest) -> ScanReply:
         """Hand over what another replica is to hold, after fencing all older epochs."""
         if request.replica_id != self.identity:
             return ScanReply(status=STORAGE_STATUS_WRONG_REPLICA)
-        self.learn_placement(request.placement)
+        self.adopt_placement(request.placement)
         if request.placement.epoch < self.placement.epoch:
             return ScanReply(status=STORAGE_STATUS_STALE_EPOCH)
         try:
@@ -193,18 +193,18 @@
         records = [StorageRecord(turn=turn) for turn in turns if turn is not None]
         return ScanReply(status=STORAGE_STATUS_DONE, records=records, done=True)
 
-    def _wanted_by(self, request: ScanRequest) -> Callable[[Key], bool]:
+    def _wanted_by(self, request: ScanRequest) -> Callable[[RecordKey], bool]:
         members = list(request.placement.next)
-        copies = quorums(len(members), self._losses).copies
+        copies = quorum_sizes(len(members), self._losses).copies
 
-        def wanted(key: Key) -> bool:
+        def wanted(key: RecordKey) -> bool:
             chosen = replicas_for(placement_key(key), members, copies)
             return any(member.replica_id == request.requester for member in chosen)
 
         return wanted
 
-    async def keep_clean(self, pause: float) -> None:
+    async def run_expirer(self, interval_seconds: float) -> None:
         """Drop expired records, for as long as the process runs."""
         while True:
-            await asyncio.sleep(pause)
+            await asyncio.sleep(interval_seconds)
             self.table.expire(self._clock())
--- a/wheatring/subscription/client.py
+++ b/wheatring/subscription/client.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from wheatring.event_log import log_event
-from wheatring.transport.client import Client
+from wheatring.transport.client import EnvelopeClient
 from wheatring.transport.messages_pb2 import Envelope, Member, Placement, Presence, Subscribe, Update
 
 UPDATE_TIMEOUT_SECONDS = (
@@ -59,7 +59,7 @@
         self._presence_pause = presence_interval
         self._changed = changed
         self._random = random
-        self._client: Client | None = None
+        self._client: EnvelopeClient | None = None
         self._host = ""
         self._updated_at = 0.0
         self._stale = False
@@ -96,7 +96,7 @@
     async def _follow(self, host: str) -> bool:
         """Subscribe and follow until the controller is no good any more. Returns whether it ever was."""
         loop = asyncio.get_running_loop()
-        client = self._client = Client(host, self._port, self._on_envelope)
+        client = self._client = EnvelopeClient(host, self._port, self._on_envelope)
         self._host = host
         view = self.view
         subscribe = Subscribe(
@@ -123,7 +123,7 @@
                 now = loop.time()
                 good = good or not self._stale
                 allowed = UPDATE_TIMEOUT_SECONDS if self._updated_at > began else FIRST_UPDATE_TIMEOUT_SECONDS
-                if now - self._updated_at > allowed or not client.is_up(began, now):
+                if now - self._updated_at > allowed or not client.is_reachable(began, now):
                     return good
                 if self._stopping or (self._stale and now - began > MIN_STAY_SECONDS):
                     return good
--- a/wheatring/tier/roles.py
+++ b/wheatring/tier/roles.py
@@ -11,14 +11,14 @@
 def run_sidecar(policy: str | None = None) -> None:
     """Serve clients on an edge machine. `policy` is a file of figures to decide by."""
     from wheatring.sidecar.policy import DEFAULT_POLICY, PolicyError, read_policy
-    from wheatring.sidecar.process import Sidecar
+    from wheatring.sidecar.process import SidecarProcess
 
     try:
         chosen = read_policy(Path(policy)) if policy is not None else DEFAULT_POLICY
     except PolicyError as error:
         print(f"wheatring: {error}", file=sys.stderr)
         sys.exit(STATUS_CANNOT_START)
-    run(lambda settings, random: Sidecar(settings, random, chosen))
+    run(lambda settings, random: SidecarProcess(settings, random, chosen))
 
 
 def run_controller() -> None:
--- a/wheatring/transport/client.py
+++ b/wheatring/transport/client.py
@@ -10,17 +10,17 @@
 
 # For the attempts to connect, one after the other: an opening packet that was lost, as by a machine without
 # power, is sent again by the system after a second only. The last one leaves time for a distant peer.
-CONNECT_ATTEMPTS = (0.1, 0.1, 0.3)
-CONNECT_SECONDS = sum(CONNECT_ATTEMPTS)
-RETRY_SECONDS = 0.1  # pause after a failed connect
-SILENT_SECONDS = 1.2  # a call waiting for so long with no byte received ends the connection
+CONNECT_ATTEMPT_SECONDS = (0.1, 0.1, 0.3)
+CONNECT_TIMEOUT_SECONDS = sum(CONNECT_ATTEMPT_SECONDS)
+RECONNECT_DELAY_SECONDS = 0.1  # pause after a failed connect
+SILENCE_TIMEOUT_SECONDS = 1.2  # a call waiting for so long with no byte received ends the connection
 
 
-class Unreachable(Exception):
+class PeerUnreachableError(Exception):
     """No reply came: the peer may or may not have done what was asked."""
 
 
-class Client:
+class EnvelopeClient:
     """Sends envelopes to one address, with or without waiting for a reply."""
 
     def __init__(self, host: str, port: int, receive: Callable[[Envelope], None] | None = None) -> None:
@@ -39,7 +39,7 @@
 
     def send(self, envelope: Envelope) -> None:
         """Send without a reply. While there is no connection, only the newest few are kept."""
-        if self._connection is not None and self._connection.alive:
+        if self._connection is not None and self._connection.is_open:
             self._connection.send(envelope)
             return
         if len(self._unsent) >= 16 and not self._waiting:
@@ -48,7 +48,10 @@
         self._connect()
 
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
-        """Send and wait for the reply. Raises Unreachable after `timeout` seconds or a lost connection."""
+        """Send and wait for the reply.
+
+        Raises PeerUnreachableError after `timeout` seconds or a lost connection.
+        """
         loop = asyncio.get_running_loop()
         self._last_call += 1
         number = self._last_call
@@ -63,10 +66,10 @@
             timer.cancel()
             self._waiting.pop(number, None)
 
-    def is_up(self, since: float, now: float) -> bool:
+    def is_reachable(self, since: float, now: float) -> bool:
         """Connected, or still within the time that the first connect may take since then."""
         return self._connection is not None or (
-            self._connecting is not None and now - since < CONNECT_SECONDS
+            self._connecting is not None and now - since < CONNECT_TIMEOUT_SECONDS
         )
 
     def close(self) -> None:
@@ -81,9 +84,9 @@
     def _timed_out(self, number: int, since: float) -> None:
         future = self._waiting.get(number)
         if future is not None and not future.done():
-            future.set_exception(Unreachable(f"{self.host}:{self.port}: no reply in time"))
+            future.set_exception(PeerUnreachableError(f"{self.host}:{self.port}: no reply in time"))
         waited = asyncio.get_running_loop().time() - since
-        if waited >= SILENT_SECONDS and self._received_at < since and self._connection is not None:
+        if waited >= SILENCE_TIMEOUT_SECONDS and self._received_at < since and self._connection is not None:
             self._connection.abort()
 
     def _connect(self) -> None:
@@ -97,7 +100,7 @@
                 await asyncio.sleep(pause)
             connection = await self._connected()
         except (OSError, TimeoutError):
-            self._not_before = loop.time() + RETRY_SECONDS
+            self._not_before = loop.time() + RECONNECT_DELAY_SECONDS
             self._unsent.clear()
             self._fail_all()
             return
@@ -112,7 +115,7 @@
     async def _connected(self) -> EnvelopeConnection:
         """A connection that is up. Raises OSError or TimeoutError."""
         loop = asyncio.get_running_loop()
-        for number, seconds in enumerate(CONNECT_ATTEMPTS, 1):
+        for number, seconds in enumerate(CONNECT_ATTEMPT_SECONDS, 1):
             try:
                 async with asyncio.timeout(seconds):
                     _, connection = await loop.create_connection(
@@ -120,7 +123,7 @@
                     )
                 return connection
             except TimeoutError:
-                if number == len(CONNECT_ATTEMPTS):
+                if number == len(CONNECT_ATTEMPT_SECONDS):
                     raise
         raise AssertionError("there is at least one attempt")
 
@@ -142,7 +145,7 @@
     def _fail_all(self) -> None:
         for future in self._waiting.values():
             if not future.done():
-                future.set_exception(Unreachable(f"{self.host}:{self.port}: connection lost"))
+                future.set_exception(PeerUnreachableError(f"{self.host}:{self.port}: connection lost"))
 
 
 class ClientTable:
@@ -150,20 +153,20 @@
 
     def __init__(self, port: int) -> None:
         self._port = port
-        self._clients: dict[str, Client] = {}
+        self._clients: dict[str, EnvelopeClient] = {}
 
-    def to(self, host: str) -> Client:
+    def client_for(self, host: str) -> EnvelopeClient:
         """The client for an IP address, at the port that all processes of the role share."""
         client = self._clients.get(host)
         if client is None:
-            client = self._clients[host] = Client(host, self._port)
+            client = self._clients[host] = EnvelopeClient(host, self._port)
         return client
 
-    def keep_only(self, hosts: set[str]) -> None:
+    def retain_only(self, hosts: set[str]) -> None:
         """Close the clients for all other addresses."""
         for host in [host for host in self._clients if host not in hosts]:
             self._clients.pop(host).close()
 
     def close(self) -> None:
         """Close them all."""
-        self.keep_only(set())
+        self.retain_only(set())
--- a/wheatring/transport/connection.py
+++ b/wheatring/transport/connection.py
@@ -15,27 +15,27 @@
 
 _LENGTH = struct.Struct(">I")
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-UNACKNOWLEDGED_MS = 1500  # a peer that acknowledges nothing for so long is gone
+UNACKNOWLEDGED_TIMEOUT_MS = 1500  # a peer that acknowledges nothing for so long is gone
 MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a peer that reads nothing is cut off at this backlog
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficCounters:
     """Bytes of all envelope connections of this process, for those who measure."""
 
-    received: int = 0
-    sent: int = 0
+    received_bytes: int = 0
+    sent_bytes: int = 0
 
 
-TRAFFIC = Traffic()
+TRAFFIC = TrafficCounters()
 
-Receiver = Callable[["EnvelopeConnection", Envelope], None]
+EnvelopeHandler = Callable[["EnvelopeConnection", Envelope], None]
 
 
-def set_options(sock: socket.socket) -> None:
+def set_socket_options(sock: socket.socket) -> None:
     """No delay for small frames, and an early end for a connection whose peer has fallen silent."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
@@ -45,28 +45,28 @@
 class EnvelopeConnection(asyncio.Protocol):
     """Frames in, frames out. `on_lost` is called once, when the connection has ended."""
 
-    def __init__(self, on_envelope: Receiver, on_lost: Callable[[EnvelopeConnection], None]) -> None:
+    def __init__(self, on_envelope: EnvelopeHandler, on_lost: Callable[[EnvelopeConnection], None]) -> None:
         self._on_envelope = on_envelope
         self._on_lost = on_lost
         self._buffer = bytearray()
         self._transport: Any = None
-        self.alive = False
+        self.is_open = False
 
     def connection_made(self, transport: Any) -> None:
         """Called by the event loop."""
         self._transport = transport
-        self.alive = True
+        self.is_open = True
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            set_options(sock)
+            set_socket_options(sock)
 
     def data_received(self, data: bytes) -> None:
         """Cut the frames out and hand each one over."""
-        TRAFFIC.received += len(data)
+        TRAFFIC.received_bytes += len(data)
         buffer = self._buffer
         buffer += data
         offset = 0
-        while self.alive and len(buffer) - offset >= _LENGTH.size:
+        while self.is_open and len(buffer) - offset >= _LENGTH.size:
             (length,) = _LENGTH.unpack_from(buffer, offset)
             if length > MAX_FRAME_BYTES:
                 self.abort()
@@ -87,30 +87,30 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Called by the event loop."""
-        self.alive = False
+        self.is_open = False
         self._on_lost(self)
 
     def send(self, envelope: Envelope) -> None:
         """Queue one envelope; nothing happens on a connection that has ended."""
-        if not self.alive:
+        if not self.is_open:
             return
         payload = envelope.SerializeToString()
-        TRAFFIC.sent += len(payload) + _LENGTH.size
+        TRAFFIC.sent_bytes += len(payload) + _LENGTH.size
         self._transport.write(_LENGTH.pack(len(payload)) + payload)
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort()
 
     def abort(self) -> None:
         """End the connection at once."""
-        if self.alive:
-            self.alive = False
+        if self.is_open:
+            self.is_open = False
             self._transport.abort()
 
 
 class EnvelopeServer:
     """Accepts connections and hands their envelopes to one receiver."""
 
-    def __init__(self, receiver: Receiver, on_lost: Callable[[EnvelopeConnection], None]) -> None:
+    def __init__(self, receiver: EnvelopeHandler, on_lost: Callable[[EnvelopeConnection], None]) -> None:
         self._receiver = receiver
         self._on_lost = on_lost
         self._server: asyncio.Server | None = None
--- a/wheatring/turns/conversations.py
+++ b/wheatring/turns/conversations.py
@@ -5,13 +5,13 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-from wheatring.storage.quorum import NotSure, QuorumClient
+from wheatring.storage.quorum_client import QuorumClient, QuorumNotReachedError
 from wheatring.transport.messages_pb2 import StorageRecord, Turn
 
 CACHE_BYTES = 24 * 1024 * 1024  # of turns kept in a sidecar
 
 
-class NoSuchTurn(Exception):
+class TurnNotFoundError(Exception):
     """There certainly is no turn of that id."""
 
 
@@ -52,16 +52,16 @@
         self._store = store
         self.cache = TurnCache()
 
-    async def chain(self, turn_id: str, seconds: float) -> list[Turn]:
-        """A turn and all before it, oldest first. Raises NoSuchTurn or NotSure."""
+    async def read_chain(self, turn_id: str, timeout_seconds: float) -> list[Turn]:
+        """A turn and all before it, oldest first. Raises TurnNotFoundError or QuorumNotReachedError."""
         last = self.cache.get(turn_id)
         if last is None:
-            last = await self._read(turn_id, seconds)
+            last = await self._read(turn_id, timeout_seconds)
         turns: list[Turn] = []
         for ancestor_id in last.ancestors:
             ancestor = self.cache.get(ancestor_id)
             if ancestor is None:
-                ancestor = await self._read_ancestor(ancestor_id, seconds)
+                ancestor = await self._read_ancestor(ancestor_id, timeout_seconds)
             turns.append(ancestor)
         turns.append(last)
         return turns
@@ -69,7 +69,7 @@
     async def _read(self, turn_id: str, seconds: float) -> Turn:
         found = await self._store.read_conversation(turn_id, (), seconds)
         if found is None:
-            raise NoSuchTurn(turn_id)
+            raise TurnNotFoundError(turn_id)
         for turn in found:
             self.cache.put(turn)
         return next(turn for turn in found if turn.id == turn_id)
@@ -78,18 +78,21 @@
         """An ancestor of a turn that exists: that it is not found says nothing of that turn."""
         try:
             return await self._read(turn_id, seconds)
-        except NoSuchTurn as error:
-            raise NotSure(f"ancestor {turn_id} was not found") from error
+        except TurnNotFoundError as error:
+            raise QuorumNotReachedError(f"ancestor {turn_id} was not found") from error
 
-    async def record(self, turn: Turn, seconds: float) -> None:
-        """Have a turn on enough disks; it may be named as `Previous` from then on. Raises NotSure."""
-        await self._store.write(turn.id, [StorageRecord(turn=turn)], seconds)
+    async def record(self, turn: Turn, timeout_seconds: float) -> None:
+        """Have a turn on enough disks; it may be named as `Previous` from then on.
+
+        Raises QuorumNotReachedError.
+        """
+        await self._store.write(turn.id, [StorageRecord(turn=turn)], timeout_seconds)
         self.cache.put(turn)
         if turn.ancestors:
-            self._store.touch(list(turn.ancestors), turn.retention_ms / 1000)
+            self._store.extend_retention(list(turn.ancestors), turn.retention_ms / 1000)
 
 
-def body_of(chain: Sequence[Turn], new_input: bytes) -> bytes:
+def build_prompt_body(chain: Sequence[Turn], new_input: bytes) -> bytes:
     """What an endpoint gets: for each turn its input and its events' data, and the new input last."""
     parts: list[bytes] = []
     for turn in chain:
