--- /dev/null
+++ b/tests/storage/test_replica.py
@@ -0,0 +1,71 @@
+"""What a replica keeps on its disk, as the version before the clean-up of names wrote it."""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+import shutil
+from pathlib import Path
+
+import pytest
+
+from wheatring.storage.replica import Replica
+from wheatring.transport.messages_pb2 import BudgetEntry, StorageRecord, Turn
+
+WRITTEN_BY_C345874 = Path(__file__).parent / "data" / "records"
+IDENTITY = "0f1e2d3c4b5a6978"
+
+
+def turn(number: int, *ancestors: str) -> StorageRecord:
+    return StorageRecord(
+        turn=Turn(
+            id=f"t{number}",
+            ancestors=ancestors,
+            input=b"[input %d]" % number,
+            output=b"event %d\n" % number,
+            program="program-a",
+            retention_ms=60_000,
+        )
+    )
+
+
+def budget(turn_id: str, tokens: int, settled: bool = False) -> StorageRecord:
+    return StorageRecord(
+        budget=BudgetEntry(program="program-a", turn=turn_id, tokens=tokens, settled=settled)
+    )
+
+
+def opened(folder: Path) -> Replica:
+    replica = Replica(folder, 1, lambda: 100.0)
+    replica.open()
+    return replica
+
+
+def test_a_file_of_the_previous_version_is_read_whole(tmp_path: Path) -> None:
+    shutil.copy(WRITTEN_BY_C345874, tmp_path)
+    replica = opened(tmp_path)
+    assert replica.identity == IDENTITY
+    assert (replica.fence_epoch, replica.whole_epoch) == (7, 6)
+    for record in (turn(1), turn(2, "t1"), turn(3, "t1", "t2")):
+        assert replica.table.turn(record.turn.id) == record.turn
+    entries = {e.turn: (e.tokens, e.settled) for e in replica.table.budget_entries("program-a")}
+    assert entries == {"t1": (20, True), "t2": (30, False)}
+    assert len(replica.table) == 5
+
+
+def test_the_same_records_make_the_same_file_as_by_the_previous_version(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """So the previous version reads what this one writes, too."""
+    monkeypatch.setattr(secrets, "token_hex", lambda size: IDENTITY if size == 8 else "")
+
+    async def write() -> None:
+        replica = opened(tmp_path)
+        await replica.store([turn(1), turn(2, "t1")])
+        await replica.store([budget("t1", 50)])
+        await replica.raise_fence(7)
+        await replica.record_complete_epoch(6)
+        await replica.store([budget("t1", 20, settled=True), budget("t2", 30), turn(3, "t1", "t2")])
+
+    asyncio.run(write())
+    assert (tmp_path / "records").read_bytes() == WRITTEN_BY_C345874.read_bytes()
