--- a/tests/agree/test_plan.py
+++ b/tests/agree/test_plan.py
@@ -14,11 +14,19 @@
 from wheatring.lease.register import Phase
 from wheatring.lease.words import Entry, Newest
 from wheatring.members.view import View
-from wheatring.plan.errors import PlanFormatUnknown, PlanNoView, PlanPushUnderWay
-from wheatring.plan.judge import Reason
-from wheatring.plan.lead import BOUNDS
-from wheatring.plan.messages import Hold, Holds, Offer, Pushed, cut, packed, unpacked
-from wheatring.plan.push import OPEN, PATIENCE
+from wheatring.plan.agent import MAX_PENDING_PROPOSALS, PROPOSAL_TIMEOUT_SECONDS
+from wheatring.plan.compatibility import Reason
+from wheatring.plan.errors import PlanFormatUnknownError, PlanNoViewError, PlanRolloutInProgressError
+from wheatring.plan.leader import STATE_TIMEOUT_SECONDS
+from wheatring.plan.messages import (
+    PlanStored,
+    ProposePlan,
+    RolloutStatus,
+    StorePlan,
+    pack_reasons,
+    truncate,
+    unpack_reasons,
+)
 
 
 def world(size: int = 6, seed: int = 1, judged: float | None = None, **more: object) -> World:
@@ -31,21 +39,21 @@
 def numbers(made: World) -> set[int]:
     """Of the plans by which those that live go; 0: by none."""
     found = [made.plans[node.name].current for node in made.alive()]
-    return {current.number if current is not None else 0 for current in found}
+    return {current.version if current is not None else 0 for current in found}
 
 
 def settles(made: World, name: str, body: bytes, most: float = 60.0) -> int:
     """Push it; its number, once all go by it."""
     push = made.offer(name, body)
-    assert made.until(lambda: push.over, most) and push.state == "settled", (push.state, push.reasons)
-    assert made.until(lambda: numbers(made) == {push.number})
-    return push.number
+    assert made.until(lambda: push.is_final, most) and push.state == "settled", (push.state, push.reasons)
+    assert made.until(lambda: numbers(made) == {push.version})
+    return push.version
 
 
 def kept(made: World) -> None:
     """No rule was broken, and all came to one end."""
     made.cluster.run(made.cluster.now + 12)
-    made.until(made.over, PATIENCE)
+    made.until(made.over, PROPOSAL_TIMEOUT_SECONDS)
     made.judge_end()
     assert made.seen.breaches == []
 
@@ -69,7 +77,7 @@
     made = world()
     settles(made, "n5", body_of("same"))
     push = made.offer("n3", body_of("same"))
-    assert made.until(lambda: push.over, 2.0) and (push.state, push.number) == ("settled", 1)
+    assert made.until(lambda: push.is_final, 2.0) and (push.state, push.version) == ("settled", 1)
     kept(made)
 
 
@@ -77,9 +85,11 @@
     made = world(judged=1.0)
     leader = made.leader()
     push = made.offer(other_than(made, leader), body_of("first"))
-    assert made.until(lambda: (lead := made.plans[leader].lead.push) is not None and lead.state == "tried")
+    assert made.until(
+        lambda: (lead := made.plans[leader].leader.rollout) is not None and lead.state == "tried"
+    )
     made.cluster.kill(made.cluster.nodes[leader])
-    assert made.until(lambda: push.over) and (push.state, push.number) == ("settled", 1)
+    assert made.until(lambda: push.is_final) and (push.state, push.version) == ("settled", 1)
     made.cluster.start(made.cluster.nodes[leader])
     assert made.until(lambda: numbers(made) == {1}), "who starts anew gets it back"
     kept(made)
@@ -89,14 +99,16 @@
     made = world(judged=1.0)
     leader = made.leader()
     push = made.offer(other_than(made, leader), body_of("first"))
-    assert made.until(lambda: (lead := made.plans[leader].lead.push) is not None and lead.state == "tried")
+    assert made.until(
+        lambda: (lead := made.plans[leader].leader.rollout) is not None and lead.state == "tried"
+    )
     made.cluster.stop(made.cluster.nodes[leader])
-    assert made.until(lambda: push.over) and push.state == "settled"
+    assert made.until(lambda: push.is_final) and push.state == "settled"
     second = made.offer(other_than(made, leader), body_of("second"))
     made.cluster.run(made.cluster.now + 30)
-    assert second.state == "settled" and second.number == 2
+    assert second.state == "settled" and second.version == 2
     made.cluster.go_on(made.cluster.nodes[leader])
-    assert made.plans[leader].lead.push is None
+    assert made.plans[leader].leader.rollout is None
     assert made.until(lambda: numbers(made) == {2}, 20.0)
     kept(made)
 
@@ -104,7 +116,7 @@
 def test_of_two_pushes_at_two_sidecars_at_once_one_is_refused_and_told_of_the_other() -> None:
     made = world(judged=0.5)
     one, other = made.offer("n4", body_of("one")), made.offer("n5", body_of("other"))
-    assert made.until(lambda: one.over and other.over)
+    assert made.until(lambda: one.is_final and other.is_final)
     first, second = (one, other) if one.state == "settled" else (other, one)
     assert (first.state, second.state) == ("settled", "refused")
     (why,) = second.reasons
@@ -132,7 +144,7 @@
     made.cluster.start(made.cluster.nodes["n6"])
     assert made.until(lambda: made.plans["n0"].views.view.number > before, 4.0)
     made.cluster.go_on(made.cluster.nodes["n5"])
-    assert made.until(lambda: push.over, 5.0)
+    assert made.until(lambda: push.is_final, 5.0)
     assert push.state == "refused" and [why.member for why in push.reasons] == ["n6"]
     assert numbers(made) == {0}
     kept(made)
@@ -156,7 +168,9 @@
     third = ["n6", "n7", "n8"]
     made.cluster.cut_off(third, CUT)
     push = made.offer("n4", body_of("first"))
-    assert made.until(lambda: push.over, BOUNDS["offered"] + BOUNDS["surveyed"])
+    assert made.until(
+        lambda: push.is_final, STATE_TIMEOUT_SECONDS["offered"] + STATE_TIMEOUT_SECONDS["surveyed"]
+    )
     assert push.state == "refused" and sorted(why.member for why in push.reasons) == third
     assert numbers(made) == {0}
     made.cluster.mend()
@@ -169,7 +183,7 @@
     made = world(6)
     made.cluster.cut(["n5"], [made.leader()], CUT)  # its answers to the leader alone are lost
     push = made.offer("n4", body_of("first"))
-    assert made.until(lambda: push.over, 25.0) and push.state == "refused"
+    assert made.until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert {(why.member, why.code) for why in push.reasons} == {("n5", "plan-not-whole")}
     kept(made)
 
@@ -194,9 +208,11 @@
 def test_a_program_that_cannot_read_it_keeps_all_from_it() -> None:
     made = world(5)
     body = body_of("first")
-    made.plans["n4"].understood[digest(body)] = PlanFormatUnknown("format: 3, and this program reads 1 to 2")
+    made.plans["n4"].compiled_bodies[digest(body)] = PlanFormatUnknownError(
+        "format: 3, and this program reads 1 to 2"
+    )
     push = made.offer("n3", body)
-    assert made.until(lambda: push.over, 5.0) and push.state == "refused"
+    assert made.until(lambda: push.is_final, 5.0) and push.state == "refused"
     assert [(why.member, why.code) for why in push.reasons] == [("n4", "plan-format-unknown")]
     kept(made)
 
@@ -205,9 +221,9 @@
     made = world(5)
     made.cluster.cut_off(["n4"], CUT)
     push = made.offer("n4", body_of("first"))
-    made.cluster.run(made.cluster.now + PATIENCE - 2)
-    assert not push.over
-    assert made.until(lambda: push.over, 4.0) and push.state == "lost"
+    made.cluster.run(made.cluster.now + PROPOSAL_TIMEOUT_SECONDS - 2)
+    assert not push.is_final
+    assert made.until(lambda: push.is_final, 4.0) and push.state == "lost"
     assert [why.code for why in push.reasons] == ["plan-leader-lost"]
     made.cluster.mend()
     made.cluster.run(made.cluster.now + 20)
@@ -222,48 +238,50 @@
     node, epoch = made.cluster.nodes[made.leader()], leader.register.epoch
     assert epoch is not None
     first = digest(body_of("first"))
-    base = (Offer(first, epoch, 7, 90, 0), "plan-overtaken")
-    for late, told in (base, (Offer(first, epoch - 1, 8, 90, 2), "")):
+    base = (ProposePlan(first, epoch, 7, 90, 0), "plan-overtaken")
+    for late, told in (base, (ProposePlan(first, epoch - 1, 8, 90, 2), "")):
         out = leader.hear(made.cluster.instant(node), "n4", ("127.5.0.5", 7000), late)
-        codes = [why.code for _, word in out if isinstance(word, Pushed) for why in word.whys]
-        assert codes == ([told] if told else []) and leader.lead.push is None
+        codes = [why.code for _, word in out if isinstance(word, RolloutStatus) for why in word.reasons]
+        assert codes == ([told] if told else []) and leader.leader.rollout is None
 
 
 def test_an_offer_that_comes_twice_is_answered_twice_and_begun_once() -> None:
     made = world(5)
     body = body_of("first")
-    made.plans["n4"].understood[digest(body)] = PlanFormatUnknown("format: 3, and this program reads 1 to 2")
+    made.plans["n4"].compiled_bodies[digest(body)] = PlanFormatUnknownError(
+        "format: 3, and this program reads 1 to 2"
+    )
     push = made.offer("n3", body)
-    assert made.until(lambda: push.over, 5.0)
+    assert made.until(lambda: push.is_final, 5.0)
     leader, node = made.plans[made.leader()], made.cluster.nodes[made.leader()]
-    again = Offer(push.digest, push.epoch, push.id, push.size, push.base)
+    again = ProposePlan(push.digest, push.leader_epoch, push.proposal_id, push.size_bytes, push.base_version)
     ((_, word),) = leader.hear(made.cluster.instant(node), "n3", ("127.5.0.4", 7000), again)
-    assert isinstance(word, Pushed) and word.state == "refused" and leader.lead.push is None
+    assert isinstance(word, RolloutStatus) and word.state == "refused" and leader.leader.rollout is None
 
 
 def test_a_word_of_a_leader_that_another_has_followed_counts_no_more() -> None:
     made = world(5)
     plans, at = made.plans["n4"], made.cluster.instant(made.cluster.nodes["n4"])
     push = made.offer("n4", body_of("first"))
-    push.epoch = 100
-    plans.hear(at, "n0", ("127.5.0.1", 7000), Pushed(push.digest, 99, push.id, "refused"))
+    push.leader_epoch = 100
+    plans.hear(at, "n0", ("127.5.0.1", 7000), RolloutStatus(push.digest, 99, push.proposal_id, "refused"))
     assert push.state == "offered"
     where = ("127.5.0.1", 7000)
-    ((_, told),) = plans.hear(at, "n0", where, Hold(push.digest, 100, where))
-    assert isinstance(told, Holds) and told.start == plans.fleet.start and not told.code
-    assert plans.hear(at, "n1", where, Hold(b"other", 99, where)) == [] == plans.fleet.fetches
+    ((_, told),) = plans.hear(at, "n0", where, StorePlan(push.digest, 100, where))
+    assert isinstance(told, PlanStored) and told.start == plans.fleet.start and not told.code
+    assert plans.hear(at, "n1", where, StorePlan(b"other", 99, where)) == [] == plans.fleet.fetches
 
 
 class Sleepy(Scripted):
     """Does not notice that the view moves."""
 
-    def moved(self, at: Instant, view: View) -> list[Out]:
+    def view_changed(self, at: Instant, view: View) -> list[Out]:
         return []
 
 
 def test_a_verdict_on_another_view_is_none() -> None:
     made = world(7, judged=0.2, late=1)
-    made.plans[made.leader()].lead.judge = Sleepy(set(), 0.2)
+    made.plans[made.leader()].leader.check = Sleepy(set(), 0.2)
     before = made.plans["n0"].views.view.number
     made.cluster.stop(made.cluster.nodes["n5"])
     push = made.offer("n4", body_of("first"))
@@ -271,7 +289,7 @@
     made.cluster.start(made.cluster.nodes["n6"])
     assert made.until(lambda: made.plans["n0"].views.view.number > before, 4.0)
     made.cluster.go_on(made.cluster.nodes["n5"])
-    assert made.until(lambda: push.over, 25.0) and push.state == "refused"
+    assert made.until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert [why.code for why in push.reasons] == ["plan-not-judged"]
     assert numbers(made) == {0}
 
@@ -285,12 +303,12 @@
     made.cluster.run(made.cluster.now + 3)
     assert push.state == "tried"
     views.register.phase = Phase.READY
-    assert made.until(lambda: push.over, 2.0) and push.state == "settled"
+    assert made.until(lambda: push.is_final, 2.0) and push.state == "settled"
     views.next_mint = 1e9
     for plans in made.plans.values():  # nor is it told by others what was minted a moment ago
         plans.views.born = -1e9
     push = made.offer("n4", body_of("second"))
-    assert made.until(lambda: push.over, 25.0) and push.state == "refused"
+    assert made.until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert "plan-no-view" in [why.code for why in push.reasons]
     assert numbers(made) == {1}
 
@@ -304,7 +322,7 @@
     plans.views.stamp = plans.views.stamp._replace(plan=2)
     asked = [word for _, word in plans.tick(at) if isinstance(word, Newest)]
     assert asked and {(word.register, word.number) for word in asked} == {("plan", 1)}
-    assert not plans.seen(at.now)["sure"]
+    assert not plans.status(at.now)["sure"]
 
 
 def test_one_that_cannot_read_what_is_settled_says_so_and_goes_by_nothing_half_understood() -> None:
@@ -312,9 +330,11 @@
     body = body_of("first")
     settles(made, "n4", body)
     made.cluster.start(made.cluster.nodes["n6"])
-    made.plans["n6"].understood[digest(body)] = PlanFormatUnknown("format: 3, and this program reads 1 to 2")
-    assert made.until(lambda: bool(made.plans["n6"].unread), 15.0)
-    seen = made.plans["n6"].seen(made.cluster.now)
+    made.plans["n6"].compiled_bodies[digest(body)] = PlanFormatUnknownError(
+        "format: 3, and this program reads 1 to 2"
+    )
+    assert made.until(lambda: bool(made.plans["n6"].unreadable), 15.0)
+    seen = made.plans["n6"].status(made.cluster.now)
     assert (seen["number"], seen["newest"], seen["unread"][0]["code"]) == (0, 1, "plan-format-unknown")
 
 
@@ -341,18 +361,18 @@
     leader = made.leader()
     plans, epoch = made.plans[leader], made.plans[leader].register.epoch
     push = made.offer("n4", body_of("first"))
-    assert made.until(lambda: plans.lead.push is not None and plans.lead.push.state == "tried")
+    assert made.until(lambda: plans.leader.rollout is not None and plans.leader.rollout.state == "tried")
     others = [made.cluster.nodes[name] for name in ("n0", "n1", "n2") if name != leader]
     for node in others:
         made.cluster.stop(node)
-    assert made.until(lambda: plans.lead.push is not None and plans.lead.push.state == "putting")
+    assert made.until(lambda: plans.leader.rollout is not None and plans.leader.rollout.state == "putting")
     body = body_of("forgotten")
     entry = Entry(2, 1, digest(body), len(body), body)
     plans.register.learn(made.cluster.instant(made.cluster.nodes[leader]), ("127.5.0.4", 7000), entry)
     for node in others:
         made.cluster.go_on(node)
-    assert made.until(lambda: plans.lead.push is None, 1.0) and plans.lead.epoch == epoch
-    assert (push.state, push.number) == ("settled", 1)
+    assert made.until(lambda: plans.leader.rollout is None, 1.0) and plans.leader.epoch == epoch
+    assert (push.state, push.version) == ("settled", 1)
     assert made.until(lambda: numbers(made) == {2}, 15.0)
     assert settles(made, "n4", body_of("third")) == 3
 
@@ -360,13 +380,13 @@
 def test_what_is_refused_right_where_it_is_offered() -> None:
     made = World(1, 5)
     made.cluster.run(0.9)
-    with pytest.raises(PlanNoView, match="n0 stands in no view"):
+    with pytest.raises(PlanNoViewError, match="n0 stands in no view"):
         made.offer("n0", body_of("early"))
     made = world(5)
     made.cluster.cut_off(["n4"], CUT)
-    for number in range(OPEN):
+    for number in range(MAX_PENDING_PROPOSALS):
         made.offer("n4", body_of(f"plan {number}"))
-    with pytest.raises(PlanPushUnderWay):
+    with pytest.raises(PlanRolloutInProgressError):
         made.offer("n4", body_of("one more"))
     with pytest.raises(OperatorError, match="not JSON"):
         made.offer("n3", b"{")
@@ -379,14 +399,14 @@
     push = made.offer("n4", body_of("second"))
     made.cluster.run(made.cluster.now + 3)
     now, leader = made.cluster.now, made.leader()
-    led = made.plans[leader].seen(now)["leads"]
+    led = made.plans[leader].status(now)["leads"]
     assert (led["title"], led["state"], led["from"]) == ("second", "tried", "n4")
     assert led["holds"] == ["n0", "n1", "n2", "n3", "n4"]
     assert [(why["member"], why["code"]) for why in led["reasons"]] == [("n5", "plan-not-whole")]
-    seen = made.plans["n4"].seen(now)
+    seen = made.plans["n4"].status(now)
     assert (seen["number"], seen["title"], seen["format"]) == (1, "first", 1)
     first, second = seen["pushes"]
-    assert (first["state"], first["number"], second["id"]) == ("settled", 1, push.id)
+    assert (first["state"], first["number"], second["id"]) == ("settled", 1, push.proposal_id)
     assert (second["state"], second["hold"], second["members"]) == (push.state, 5, 6)
     made.cluster.go_on(made.cluster.nodes["n5"])
     assert made.until(lambda: numbers(made) == {2})
@@ -395,12 +415,12 @@
 
 def test_reasons_travel_as_far_as_there_is_room() -> None:
     few = [Reason(f"n{number}", "plan-not-whole", "what", "do") for number in range(40)]
-    whys, more = packed(few)
-    assert more == 0 and len(whys) == 1 and list(unpacked(whys)) == few
+    whys, more = pack_reasons(few)
+    assert more == 0 and len(whys) == 1 and list(unpack_reasons(whys)) == few
     many = [Reason(f"n{number}", "code", f"{number} " + "\N{SNOWMAN}" * 300, "do") for number in range(40)]
-    whys, more = packed(many)
-    assert more == 40 - len(unpacked(whys)) and 0 < len(whys) < 5
-    assert all(len(why.what.encode()) <= 240 and why.what == cut(why.what) for why in whys)
+    whys, more = pack_reasons(many)
+    assert more == 40 - len(unpack_reasons(whys)) and 0 < len(whys) < 5
+    assert all(len(why.what.encode()) <= 240 and why.what == truncate(why.what) for why in whys)
 
 
 def test_drawn_days_break_no_rule() -> None:
--- a/tests/agree/test_plan_read.py
+++ b/tests/agree/test_plan_read.py
@@ -12,8 +12,8 @@
 from wheatring.errors import OperatorError, kinds
 from wheatring.lease.bodies import LARGEST
 from wheatring.plan import errors
-from wheatring.plan.read import canonical, compiled, read
-from wheatring.plan.words import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
+from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
+from wheatring.plan.parser import compile_routes, encode_plan, parse_plan
 
 ROUTE: dict[str, Any] = {"name": "shop", "match": {"prefix": "/shop"}, "weights": {"blue": 9, "green": 1}}
 WINDOW: dict[str, Any] = {
@@ -39,13 +39,13 @@
 
 def refused(body: bytes) -> tuple[str, str]:
     with pytest.raises(OperatorError) as told:
-        compiled(read(body))
+        compile_routes(parse_plan(body))
     assert told.value.do and "\n" not in str(told.value)
     return told.value.code, told.value.what
 
 
 def test_bodies_of_each_format_are_read_and_mean_what_they_meant() -> None:
-    one, two, three = (compiled(read(body)) for body in (FIRST, SECOND, THIRD))
+    one, two, three = (compile_routes(parse_plan(body)) for body in (FIRST, SECOND, THIRD))
     assert (one.plan.format, one.plan.title, one.windows) == (1, "one", {})
     found = one.table.route(b"GET", b"/any/thing", {})
     assert found is not None and found.route.class_name(b"/any/thing", {}) == "any"
@@ -120,9 +120,9 @@
 @settings(max_examples=60, deadline=None)
 @given(plans())
 def test_what_is_written_is_read_as_it_was(plan: Plan) -> None:
-    body = canonical(plan)
-    assert read(body) == plan and canonical(read(body)) == body
-    found = compiled(plan)
+    body = encode_plan(plan)
+    assert parse_plan(body) == plan and encode_plan(parse_plan(body)) == body
+    found = compile_routes(plan)
     assert {*found.routes} == {route.name for route in plan.routes}
     assert sum(map(len, found.windows.values())) == len(plan.windows)
 
@@ -132,12 +132,12 @@
 def test_a_broken_body_is_refused_in_one_line_or_read_whole(at: int, put: bytes, cut: int) -> None:
     body = THIRD[:at] + put + THIRD[at + cut :]
     try:
-        plan = read(body)
-        compiled(plan)
+        plan = parse_plan(body)
+        compile_routes(plan)
     except OperatorError as told:
         assert told.code and "\n" not in str(told) and len(str(told)) < 600
     else:
-        assert read(canonical(plan)) == plan
+        assert parse_plan(encode_plan(plan)) == plan
 
 
 def test_each_refusal_has_a_code_and_says_what_to_do() -> None:
--- a/tests/agree/test_schedule.py
+++ b/tests/agree/test_schedule.py
@@ -12,10 +12,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.plan.words import Plan, PlanRoute, PlanWindow, Ramp
+from wheatring.plan.document import Plan, PlanRoute, PlanWindow, Ramp
 from wheatring.schedule import errors
-from wheatring.schedule.check import check
 from wheatring.schedule.timetable import Timetable, blend
+from wheatring.schedule.validation import validate_windows
 from wheatring.schedule.windows import openings
 
 BASE = {"a": 90, "b": 10}
@@ -55,7 +55,7 @@
 def test_an_hour_that_is_skipped_opens_once_and_not_twice() -> None:
     hourly = window(start="2026-03-29T00:00:00", length=60.0, zone="Europe/Dublin", rrule="FREQ=HOURLY")
     assert opens(hourly, "2026-03-29", "2026-03-29T03") == ["03-29T00:00", "03-29T01:00", "03-29T02:00"]
-    check(plan(hourly))
+    validate_windows(plan(hourly))
 
 
 def test_two_that_a_change_of_the_clocks_puts_out_of_order_open_in_order() -> None:
@@ -72,7 +72,7 @@
 def test_length_is_real_seconds_through_a_change_of_the_clocks() -> None:
     table = Timetable(plan(window(start="2026-10-25T00:30:00", length=7200.0, zone="Europe/Dublin")))
     begin = unix("2026-10-24T23:30")
-    assert [(e.at, e.weights) for e in table.edges(begin - 1, begin + 9000)] == [
+    assert [(e.at, e.weights) for e in table.changes(begin - 1, begin + 9000)] == [
         (begin, {"b": 1}),
         (begin + 7200, BASE),
     ]
@@ -87,7 +87,7 @@
 def test_a_window_of_one_second_and_two_that_touch() -> None:
     noon, later = unix("2026-12-02T10:00"), window("v", start="2026-12-02T10:00:01", weights={"c": 1})
     table = Timetable(both := plan(window(length=1.0), later))
-    check(both)
+    validate_windows(both)
     found = [table.weights("r", noon + at) for at in (-0.001, 0, 0.999, 1)]
     assert found == [BASE, {"b": 1}, {"b": 1}, {"c": 1}]
 
@@ -110,7 +110,7 @@
     ramp = window("top", priority=1, weights={"c": 1}, length=100.0, ramp=Ramp(steps=2, every=10.0))
     below = window("low", start="2026-12-02T10:00:05", weights={"b": 1}, length=90.0)
     at = unix("2026-12-02T10:00")
-    steps = [(e.at - at, e.weights) for e in Timetable(plan(ramp, below)).edges(at - 1, at + 200)]
+    steps = [(e.at - at, e.weights) for e in Timetable(plan(ramp, below)).changes(at - 1, at + 200)]
     assert steps == [
         (0, {"a": 9, "b": 1, "c": 10}),
         (5, {"b": 1, "c": 1}),
@@ -122,29 +122,29 @@
 
 
 REFUSED: list[tuple[type[errors.WindowError], list[PlanWindow]]] = [
-    (errors.RouteUnknown, [window(route="x")]),
-    (errors.TwoOfOneName, [window(), window()]),
-    (errors.NoWeights, [window(weights={"a": 0})]),
-    (errors.ZoneUnknown, [window(zone="Europe/Nowhere")]),
-    (errors.ZoneUnknown, [window(zone="../tzdata/zones")]),
-    (errors.StartUnreadable, [window(start="2026-02-30T10:00:00")]),
-    (errors.StartUnreadable, [window(start="9999-12-31T10:00:00")]),
-    (errors.RuleTooOften, [window(rrule="FREQ=SECONDLY")]),
-    (errors.RuleTooOften, [window(rrule="FREQ=HOURLY;BYMINUTE=0,10,20,30,40,50")]),
-    (errors.RuleTooLong, [window(rrule="FREQ=DAILY;COUNT=100000")]),
-    (errors.RuleTooLong, [window(rrule="FREQ=YEARLY;COUNT=200")]),
-    (errors.NeverOpens, [window(rrule="FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30")]),
-    (errors.NeverOpens, [window(rrule="FREQ=YEARLY;BYWEEKNO=53;BYMONTH=6;BYDAY=MO")]),
-    (errors.NeverOpens, [window(rrule="FREQ=HOURLY;BYMONTH=2;BYMONTHDAY=30")]),
-    (errors.NeverOpens, [window(rrule="FREQ=DAILY;UNTIL=20200101T000000Z")]),
-    (errors.NeverOpens, [window(except_=("2026-12-02T10:00:00",))]),
-    (errors.ExceptionUnreadable, [window(except_=("tomorrow",))]),
-    (errors.ExceptionIdle, [window(rrule="FREQ=DAILY", except_=("2026-12-03T10:00:01",))]),
-    (errors.Overlap, [window(), window("v", start="2026-12-02T10:59:59")]),
-    (errors.Overlap, [window(length=90_000.0, rrule="FREQ=DAILY")]),
-    (errors.Overlap, [window(rrule="FREQ=DAILY"), window("v", start="2030-01-01T10:30:00")]),
-    (errors.RampTooLong, [window(ramp=Ramp(steps=11, every=180.0))]),
-    (errors.TooBusy, [window(str(n), rrule="FREQ=HOURLY;BYMINUTE=0,15,30,45", length=60.0,
+    (errors.WindowRouteUnknownError, [window(route="x")]),
+    (errors.WindowNameDuplicateError, [window(), window()]),
+    (errors.WindowWeightsEmptyError, [window(weights={"a": 0})]),
+    (errors.WindowZoneUnknownError, [window(zone="Europe/Nowhere")]),
+    (errors.WindowZoneUnknownError, [window(zone="../tzdata/zones")]),
+    (errors.WindowStartUnreadableError, [window(start="2026-02-30T10:00:00")]),
+    (errors.WindowStartUnreadableError, [window(start="9999-12-31T10:00:00")]),
+    (errors.WindowRuleTooOftenError, [window(rrule="FREQ=SECONDLY")]),
+    (errors.WindowRuleTooOftenError, [window(rrule="FREQ=HOURLY;BYMINUTE=0,10,20,30,40,50")]),
+    (errors.WindowRuleTooLongError, [window(rrule="FREQ=DAILY;COUNT=100000")]),
+    (errors.WindowRuleTooLongError, [window(rrule="FREQ=YEARLY;COUNT=200")]),
+    (errors.WindowNeverOpensError, [window(rrule="FREQ=DAILY;BYMONTH=2;BYMONTHDAY=30")]),
+    (errors.WindowNeverOpensError, [window(rrule="FREQ=YEARLY;BYWEEKNO=53;BYMONTH=6;BYDAY=MO")]),
+    (errors.WindowNeverOpensError, [window(rrule="FREQ=HOURLY;BYMONTH=2;BYMONTHDAY=30")]),
+    (errors.WindowNeverOpensError, [window(rrule="FREQ=DAILY;UNTIL=20200101T000000Z")]),
+    (errors.WindowNeverOpensError, [window(except_=("2026-12-02T10:00:00",))]),
+    (errors.WindowExceptionUnreadableError, [window(except_=("tomorrow",))]),
+    (errors.WindowExceptionUnusedError, [window(rrule="FREQ=DAILY", except_=("2026-12-03T10:00:01",))]),
+    (errors.WindowOverlapError, [window(), window("v", start="2026-12-02T10:59:59")]),
+    (errors.WindowOverlapError, [window(length=90_000.0, rrule="FREQ=DAILY")]),
+    (errors.WindowOverlapError, [window(rrule="FREQ=DAILY"), window("v", start="2030-01-01T10:30:00")]),
+    (errors.WindowRampTooLongError, [window(ramp=Ramp(steps=11, every=180.0))]),
+    (errors.WindowsTooManyStepsError, [window(str(n), rrule="FREQ=HOURLY;BYMINUTE=0,15,30,45", length=60.0,
                              ramp=Ramp(steps=100, every=0.1)) for n in range(2)]),
 ]  # fmt: skip
 for text in (
@@ -155,24 +155,24 @@
     "FREQ=FORTNIGHTLY", "FREQ=MONTHLY;BYDAY=53SU", "FREQ=YEARLY;BYMONTH=6;BYDAY=6MO",
     "FREQ=YEARLY;BYWEEKNO=9", "FREQ=HOURLY;BYHOUR=5",
 ):  # fmt: skip
-    REFUSED.append((errors.RuleUnreadable, [window(rrule=text)]))
+    REFUSED.append((errors.WindowRuleUnreadableError, [window(rrule=text)]))
 
 
 @pytest.mark.parametrize(("kind", "windows"), REFUSED)
 def test_what_is_refused_and_why(kind: type[errors.WindowError], windows: list[PlanWindow]) -> None:
     with pytest.raises(errors.WindowError) as told:
-        check(plan(*windows))
+        validate_windows(plan(*windows))
     assert type(told.value) is kind and "\n" not in str(told.value) and windows[0].name in str(told.value)
 
 
 def test_windows_of_other_priorities_may_overlap_and_the_highest_counts() -> None:
     both = plan(window(), window("v", priority=2, weights={"c": 1}, length=60.0))
-    check(both)
+    validate_windows(both)
     noon = unix("2026-12-02T10:00")
     table = Timetable(both)
     assert [table.weights("r", noon + at) for at in (0, 59, 60)] == [{"c": 1}, {"c": 1}, {"b": 1}]
     assert table.weights("r", noon, frozenset({("v", noon)})) == {"b": 1}
-    assert table.next_edge(noon) == noon + 60 and table.next_edge(noon + 1e6) == inf
+    assert table.next_change(noon) == noon + 60 and table.next_change(noon + 1e6) == inf
 
 
 RULES = st.sampled_from([
@@ -235,10 +235,10 @@
 @settings(max_examples=15, deadline=None)
 @given(st.lists(drawn, min_size=1, max_size=4, unique_by=lambda w: w.name), st.integers(0, 59))
 def test_the_timetable_second_by_second_is_what_the_oracle_says(drawn: list[PlanWindow], minute: int) -> None:
-    check(one := plan(*drawn))
+    validate_windows(one := plan(*drawn))
     table = Timetable(one)
     begin = unix("2026-12-02T23:00") + 60 * minute
-    edges = {edge.at: edge.weights for edge in table.edges(begin - 1, begin + 250)}
+    edges = {edge.at: edge.weights for edge in table.changes(begin - 1, begin + 250)}
     now = table.weights("r", begin - 1)
     for second in range(250):
         at = begin + second
--- a/tests/agree/test_schedule_edges.py
+++ b/tests/agree/test_schedule_edges.py
@@ -9,10 +9,16 @@
 
 import pytest
 
-from wheatring.plan.words import Plan, PlanRoute, PlanWindow, Ramp
-from wheatring.schedule import edges as module
-from wheatring.schedule.edges import LEAD, LEASE, START, Edges, Look
-from wheatring.schedule.fleet_time import UNKNOWN, Reading
+from wheatring.plan.document import Plan, PlanRoute, PlanWindow, Ramp
+from wheatring.schedule import activation as module
+from wheatring.schedule.activation import (
+    CONFIRMATION_SECONDS,
+    LEAD_SECONDS,
+    START_SECONDS,
+    ScheduleUpdate,
+    WeightSchedule,
+)
+from wheatring.schedule.fleet_clock import UNKNOWN, Reading
 from wheatring.schedule.timetable import Timetable
 
 T0 = 1_800_000_000.0  # Unix seconds at which a story begins; its own clock reads 0 then
@@ -35,19 +41,19 @@
     """A sidecar that looks whenever it is due, with a time that is right unless told otherwise."""
 
     def __init__(self, *windows: PlanWindow) -> None:
-        self.edges = Edges(0.0)
-        self.edges.settle(0.0, 1, table(*windows), T0 - 100)
+        self.edges = WeightSchedule(0.0)
+        self.edges.plan_committed(0.0, 1, table(*windows), T0 - 100)
         self.due = 0.0
         self.confirmed = inf  # no later than this; -inf: never
         self.uncertain = 0.01
         self.changes: list[tuple[float, dict[str, int]]] = []
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
-    def look(self, now: float) -> Look:
+    def look(self, now: float) -> ScheduleUpdate:
         time = Reading(T0 + now, self.uncertain) if self.uncertain < inf else UNKNOWN
-        look = self.edges.look(now, time, now - min(now, self.confirmed))
+        look = self.edges.update(now, time, now - min(now, self.confirmed))
         self.changes += [(round(now, 2), weights) for weights in look.changed.values()]
-        self.lines += [(line.event, line.fields) for line in look.lines]
+        self.lines += [(line.event, line.fields) for line in look.events]
         self.due = look.due
         return look
 
@@ -73,27 +79,27 @@
 def test_who_starts_in_a_window_is_in_it_before_it_is_ready() -> None:
     one = One(window("w", -10, 100))
     one.uncertain = inf
-    one.run(START - 1)
-    assert not one.edges.ready and not one.changes
+    one.run(START_SECONDS - 1)
+    assert not one.edges.is_ready and not one.changes
     one.uncertain = 0.01
-    one.run(START)
-    assert one.edges.ready and [weights for _, weights in one.changes] == [INSIDE]
+    one.run(START_SECONDS)
+    assert one.edges.is_ready and [weights for _, weights in one.changes] == [INSIDE]
 
 
 def test_who_starts_without_the_time_serves_the_base_says_so_and_enters_once_it_knows() -> None:
     one = One(window("w", -10, 100))
     one.uncertain = inf
-    one.run(START + 1)
-    assert one.edges.ready and one.changes == [(START, BASE)]
+    one.run(START_SECONDS + 1)
+    assert one.edges.is_ready and one.changes == [(START_SECONDS, BASE)]
     assert one.lines[-1] == ("weights-by-base", {"without": "time", "plan": 1})
     one.uncertain = 0.01
-    one.run(START + 2)
+    one.run(START_SECONDS + 2)
     assert one.changes[-1][1] == INSIDE
 
 
 def test_cut_off_follow_goes_on_and_hold_enters_only_what_was_confirmed_within_the_lease() -> None:
     one = One(window("f", 30, 10), window("h", 50, 10, "hold"), window("later", 70, 10, "hold", priority=1))
-    one.confirmed = 50 - LEASE + 0.1
+    one.confirmed = 50 - CONFIRMATION_SECONDS + 0.1
     one.run(100)
     assert [fields["window"] for fields in one.events("window-entered")] == ["f", "h"]
     assert one.events("window-not-entered") == [
@@ -132,9 +138,9 @@
 def test_a_change_inside_the_lead_takes_effect_after_it_and_says_so() -> None:
     one = One(window("old", 12, 20))
     one.run(10)
-    one.edges.settle(10.0, 2, table(window("new", 16, 60, weights={"c": 1})), T0 + 10)
+    one.edges.plan_committed(10.0, 2, table(window("new", 16, 60, weights={"c": 1})), T0 + 10)
     one.run(100)
-    assert one.changes == [(0, BASE), (12, INSIDE), (10 + LEAD, {"c": 1}), (76, BASE)]
+    assert one.changes == [(0, BASE), (12, INSIDE), (10 + LEAD_SECONDS, {"c": 1}), (76, BASE)]
     assert one.events("window-inside-lead") == [{"window": "new", "plan": 2, "late_s": 9.0}]
 
 
@@ -145,9 +151,9 @@
         weights = {"r": {str(number): 1}}
         made = table()
         made.base = weights
-        one.edges.settle(at, number, made, T0 + at)
+        one.edges.plan_committed(at, number, made, T0 + at)
     one.run(100)
-    assert one.changes == [(0, BASE), (10 + LEAD, {"2": 1}), (14 + LEAD, {"3": 1})]
+    assert one.changes == [(0, BASE), (10 + LEAD_SECONDS, {"2": 1}), (14 + LEAD_SECONDS, {"3": 1})]
 
 
 def test_a_settling_that_is_told_wrongly_keeps_no_plan_out_for_longer_than_a_lead() -> None:
@@ -155,8 +161,8 @@
     one.run(10)
     made = table()
     made.base = {"r": {"c": 1}}
-    one.edges.settle(10.0, 2, made, T0 + 1e6)
-    assert one.run(60).changes[1][0] < 10 + LEAD + 6
+    one.edges.plan_committed(10.0, 2, made, T0 + 1e6)
+    assert one.run(60).changes[1][0] < 10 + LEAD_SECONDS + 6
 
 
 class Member:
@@ -166,7 +172,7 @@
         self.patience = random.uniform(10, 150)  # seconds cut off after which it is not
         self.cut = sorted(random.uniform(0, 400) for _ in range(4))
         self.stop = sorted(random.uniform(0, 400) for _ in range(2))
-        self.edges = Edges(0.0)
+        self.edges = WeightSchedule(0.0)
         self.due = 0.0
         self.told = 0.0
         self.number = 0  # of the newest plan that it has
@@ -194,11 +200,11 @@
                 self.stamp = (minted, number)
             if number > self.number and now > since + self.random.uniform(0, 2):
                 self.number = number
-                self.edges.settle(now, number, plan, T0 + since)
+                self.edges.plan_committed(now, number, plan, T0 + since)
         if self.stamp[1] == self.number:
             self.confirmed.append((self.stamp[0], self.number))
         age = now - self.stamp[0] if self.stamp[1] == self.number else inf
-        self.due = min(self.edges.look(now, self.reading(now), age).due, now + 1.0)
+        self.due = min(self.edges.update(now, self.reading(now), age).due, now + 1.0)
 
 
 class Day:
@@ -217,8 +223,8 @@
                 windows.append(window(name, begin, random.randint(10, 60), kind, **more))  # type: ignore[arg-type]
             windows = random.sample(windows, k=min(len(windows), 5))
             self.plans.append((number, at, table(*windows)))
-            at += random.uniform(LEAD + 5, 120)
-        self.edges = {one[1] + LEAD for one in self.plans}
+            at += random.uniform(LEAD_SECONDS + 5, 120)
+        self.edges = {one[1] + LEAD_SECONDS for one in self.plans}
         for _, _, plan in self.plans:
             self.edges |= {edge for one in plan.windows.values() for edge in self.ends(one.plan)}
         self.members = [Member(self, random) for _ in range(6)]
@@ -244,12 +250,12 @@
         return self
 
     def check(self, index: int, one: Member, now: float) -> None:
-        for key, opened in one.edges.inside.items():
-            last = opened.closes - T0 + one.reading(now).uncertain + 0.2
+        for key, opened in one.edges.entered.items():
+            last = opened.closes - T0 + one.reading(now).uncertainty + 0.2
             assert now <= last, f"{now}: left behind in {key}"
             if opened.hold and (index, key) not in self.entered:
-                least = opened.opens - T0 - LEASE - 0.4
-                held = any(at >= least for at, number in one.confirmed if number >= one.edges.plan)
+                least = opened.opens - T0 - CONFIRMATION_SECONDS - 0.4
+                held = any(at >= least for at, number in one.confirmed if number >= one.edges.plan_version)
                 assert held, f"{now}: {key} entered unconfirmed"
                 self.entered.add((index, key))
 
@@ -257,9 +263,9 @@
         """All that are neither cut off nor held up have one set of weights, but within 0.5 s of an edge."""
         if any(abs(now - edge) < 0.5 for edge in self.edges):
             return
-        lead = max(one[1] for one in self.plans if one[1] <= now) + LEAD
+        lead = max(one[1] for one in self.plans if one[1] <= now) + LEAD_SECONDS
         well = [one for one in self.members if now - one.since > 3]
-        well = [one for one in well if one.since < lead - LEAD or now > lead]
+        well = [one for one in well if one.since < lead - LEAD_SECONDS or now > lead]
         assert len({repr(one.edges.weights) for one in well}) <= 1, f"{now}: not alike"
         self.shared += len(well) > 1 and "a" not in well[0].edges.weights["r"]
 
@@ -272,16 +278,16 @@
     assert sum(len(day.entered) for day in days) > 50 and sum(day.shared for day in days) > 2000
 
 
-def stays(self: Edges, now: float, time: Reading, age: float, lines: list[Any]) -> Any:
+def stays(self: WeightSchedule, now: float, time: Reading, age: float, lines: list[Any]) -> Any:
     """While it is unsure it does nothing."""
-    return WANTED(self, now, time, age, lines) if time.sure else self.weights
+    return WANTED(self, now, time, age, lines) if time.is_sure else self.weights
 
 
-WANTED = Edges._wanted
+WANTED = WeightSchedule._wanted
 FAULTS: list[tuple[Any, str, Any, str]] = [
-    (module, "LEASE", 1e6, "unconfirmed"),
-    (module, "LEAD", -5.0, "not alike"),
-    (Edges, "_wanted", stays, "left behind"),
+    (module, "CONFIRMATION_SECONDS", 1e6, "unconfirmed"),
+    (module, "LEAD_SECONDS", -5.0, "not alike"),
+    (WeightSchedule, "_wanted", stays, "left behind"),
 ]
 
 
--- a/tests/agree/test_skew.py
+++ b/tests/agree/test_skew.py
@@ -15,16 +15,46 @@
 
 from wheatring.lab.agree_pusher import Toy, body_of
 from wheatring.members.words import Placed, Who
-from wheatring.plan.words import NEWEST, Plan, PlanHeader, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
-from wheatring.skew.errors import BelowFloor, FloorInUse, FloorUnknown, FormatsUnknown
-from wheatring.skew.floor import MOST, OLD, Book, floor_body, floor_of, may_enter, raise_to
-from wheatring.skew.hunt import Hunt, Side
-from wheatring.skew.leader import Push
-from wheatring.skew.needs import Needs, lacks, needs, own_abilities
-from wheatring.skew.trials import Answers, Asked, asked, clock_changes, trials
-from wheatring.skew.words import FEATURES, OLDER, Abilities, Able, SkewWord, Survey, Try
-
-ALL = own_abilities(version=str)
+from wheatring.plan.document import (
+    NEWEST_FORMAT,
+    Plan,
+    PlanHeader,
+    PlanMatch,
+    PlanRoute,
+    PlanWindow,
+    Ramp,
+    Trial,
+)
+from wheatring.skew.bisection import Bisection, PrefixAnswer
+from wheatring.skew.coordinator import CheckCoordinator
+from wheatring.skew.errors import (
+    BelowMinimumError,
+    FormatsUnknownError,
+    MinimumInUseError,
+    MinimumUnknownError,
+)
+from wheatring.skew.messages import (
+    FEATURE_FORMATS,
+    LEGACY_CAPABILITIES,
+    AnySkewMessage,
+    Capabilities,
+    CapabilityRequest,
+    CapabilityResponse,
+    TrialRequest,
+)
+from wheatring.skew.minimum_format import (
+    LEGACY_AFTER_SECONDS,
+    MAX_PROCESSES,
+    CapabilityTable,
+    admission_refusals,
+    change_minimum,
+    decode_minimum,
+    encode_minimum,
+)
+from wheatring.skew.requirements import Requirements, local_capabilities, requirements_of, unmet_requirements
+from wheatring.skew.trials import AnswerChain, TrialCase, clock_changes, describe_case, generate_cases
+
+ALL = local_capabilities(version=str)
 DAY = 20_700  # 4 September 2026
 WEIGHTS = {"blue": 3, "green": 1}
 
@@ -57,14 +87,14 @@
 )
 plans = st.builds(
     Plan,
-    format=st.integers(1, NEWEST),
+    format=st.integers(1, NEWEST_FORMAT),
     routes=st.lists(routes, max_size=4).map(tuple),
     windows=st.lists(windows, max_size=3).map(tuple),
 )
 
 
-def needed(plan: Plan) -> Needs:
-    return needs(plan, body_of(plan))
+def needed(plan: Plan) -> Requirements:
+    return requirements_of(plan, body_of(plan))
 
 
 # Needs
@@ -90,9 +120,9 @@
 
 
 abilities = st.builds(
-    Abilities,
+    Capabilities,
     st.sampled_from([((1, 1),), ((1, 2),), ((1, 3),), ((2, 3),), ((1, 1), (3, 3))]),
-    st.frozensets(st.sampled_from(sorted(FEATURES))),
+    st.frozensets(st.sampled_from(sorted(FEATURE_FORMATS))),
     st.integers(0, 4),
     st.integers(0, 3),
     st.integers(0, 1),
@@ -102,17 +132,17 @@
 
 @settings(max_examples=300)
 @given(plans, abilities)
-def test_nothing_is_lacking_iff_one_is_able(plan: Plan, can: Abilities) -> None:
+def test_nothing_is_lacking_iff_one_is_able(plan: Plan, can: Capabilities) -> None:
     need = needed(plan)
     able = (
-        can.reads(need.written)
+        can.can_read(need.written)
         and need.features <= can.features
         and need.routes <= can.routes
         and need.windows <= can.windows
         and need.expressions <= can.expressions
         and need.bytes <= can.bytes
     )
-    why = lacks(need, can, "n4")
+    why = unmet_requirements(need, can, "n4")
     assert (not why) == able
     assert all(one.member == "n4" and one.code and one.what and one.do.endswith(".") for one in why)
 
@@ -121,24 +151,31 @@
     window = PlanWindow(name="w", route="one", weights={"b": 1}, start="2026-10-25T01:30:00", length=1,
                         ramp=Ramp(steps=2, every=1))  # fmt: skip
     route = PlanRoute(name="one", weights=WEIGHTS)
-    told = {one.code: one for one in lacks(needed(Plan(format=3, routes=(route,), windows=(window,))), OLDER)}
+    told = {
+        one.code: one
+        for one in unmet_requirements(
+            needed(Plan(format=3, routes=(route,), windows=(window,))), LEGACY_CAPABILITIES
+        )
+    }
     assert "in format 3, it reads 1" in told["unreadable-format"].what
     assert "push a plan of format 1 without ramps, windows" in told["unreadable-format"].do
-    older = lacks(needed(Plan(format=3, routes=(route,))), OLDER)
+    older = unmet_requirements(needed(Plan(format=3, routes=(route,))), LEGACY_CAPABILITIES)
     assert [one.do for one in older] == ["Push the same plan in format 1, or upgrade it to read 3."]
     few = msgspec.structs.replace(ALL, routes=1)
-    assert lacks(needed(Plan(format=1, routes=(route, route))), few)[0].code == "too-many-routes"
+    assert unmet_requirements(needed(Plan(format=1, routes=(route, route))), few)[0].code == "too-many-routes"
 
 
 def test_own_abilities_are_those_of_what_is_installed_and_of_the_formats_it_is_held_to() -> None:
-    bare = own_abilities(version=lambda name: "")
+    bare = local_capabilities(version=lambda name: "")
     assert bare.features == {"headers", "holds", "ramps"} and bare.versions == ()
-    held = own_abilities([1, 3], version=lambda name: f"{name}-7")
-    assert held.formats == ((1, 1), (3, 3)) and not held.reads(2) and held.version("re2") == "google-re2-7"
-    assert "ramps" not in own_abilities([1, 2], version=str).features
+    held = local_capabilities([1, 3], version=lambda name: f"{name}-7")
+    assert (
+        held.formats == ((1, 1), (3, 3)) and not held.can_read(2) and held.version_of("re2") == "google-re2-7"
+    )
+    assert "ramps" not in local_capabilities([1, 2], version=str).features
     for wrong in ([], [1, 4]):
-        with pytest.raises(FormatsUnknown):
-            own_abilities(wrong)
+        with pytest.raises(FormatsUnknownError):
+            local_capabilities(wrong)
 
 
 # Trials
@@ -151,26 +188,26 @@
         super().__init__(plan)
         self.left = wrong
 
-    def way(self, trial: Trial) -> str:
+    def route(self, trial: Trial) -> str:
         self.left -= 1
-        return "other" if self.left == -1 else super().way(trial)
+        return "other" if self.left == -1 else super().route(trial)
 
 
-def answered(plan: Plan, ruled: Toy) -> Answers:
-    answers = Answers(plan, ruled, DAY)
-    while not answers.work(7):
+def answered(plan: Plan, ruled: Toy) -> AnswerChain:
+    answers = AnswerChain(plan, ruled, DAY)
+    while not answers.advance(7):
         pass
     return answers
 
 
-def hunted(one: Answers, other: Answers) -> tuple[Hunt, int]:
+def hunted(one: AnswerChain, other: AnswerChain) -> tuple[Bisection, int]:
     """A hunt that is over, and how many were asked for."""
-    hunt, asks = Hunt((one.count, other.count)), 0
-    while not hunt.done:
+    hunt, asks = Bisection((one.count, other.count)), 0
+    while not hunt.is_done:
         for side, answers in enumerate((one, other)):
-            if (upto := hunt.asks(side)) is not None:
+            if (upto := hunt.next_length(side)) is not None:
                 asks += 1
-                hunt.shown(side, upto, Side(answers.prefix(upto), *answers.shown(upto - 1)))
+                hunt.record(side, upto, PrefixAnswer(answers.prefix_digest(upto), *answers.show(upto - 1)))
     return hunt, asks
 
 
@@ -181,7 +218,7 @@
     usual = answered(plan, Toy(plan))
     wrong %= usual.count
     odd = answered(plan, Odd(plan, wrong))
-    assert odd.result != usual.result and odd.prefix(wrong) == usual.prefix(wrong)
+    assert odd.result != usual.result and odd.prefix_digest(wrong) == usual.prefix_digest(wrong)
     hunt, asks = hunted(odd, usual)
     assert hunt.high == wrong + 1 and asks <= 2 * (usual.count.bit_length() + 1)
 
@@ -191,7 +228,11 @@
     more = msgspec.structs.replace(plan, routes=(*plan.routes, PlanRoute(name="two", weights=WEIGHTS)))
     short, long = answered(plan, Toy(plan)), answered(more, Toy(plan))
     hunt, _ = hunted(long, short)
-    assert hunt.longer and hunt.low == short.count and hunt.first().endswith("instead of no more trials")
+    assert (
+        hunt.is_length_difference
+        and hunt.low == short.count
+        and hunt.describe_difference().endswith("instead of no more trials")
+    )
 
 
 def test_prefixes_are_tried_at_their_borders_and_windows_at_theirs() -> None:
@@ -200,7 +241,7 @@
     window = PlanWindow(name="w", route="one", weights={"b": 1}, start="2026-10-25T01:30:00", length=60,
                         zone="Europe/Dublin")  # fmt: skip
     plan = Plan(format=2, routes=(route,), windows=(window,))
-    found = list(trials(plan, Toy(plan), DAY))
+    found = list(generate_cases(plan, Toy(plan), DAY))
     requests = [one.trial for one in found if one.trial is not None]
     assert {"/a", "/a/", "/ax", "/a/x"} <= {trial.target for trial in requests}
     assert {"PUT", "GET"} == {trial.method for trial in requests}
@@ -239,9 +280,9 @@
     window = PlanWindow(name="w", route="r", weights=WEIGHTS, start="2026-10-25T01:30:00", length=60,
                         rrule="FREQ=DAILY", zone="Europe/Dublin")  # fmt: skip
     large = Plan(format=2, routes=(route,) * 10_000, windows=(window,) * 1000)
-    assert 25_000 < sum(1 for _ in trials(large, Toy(large), DAY)) <= 27_000
+    assert 25_000 < sum(1 for _ in generate_cases(large, Toy(large), DAY)) <= 27_000
     plan = Plan(format=2, routes=(route,), windows=(window,), trials=(Trial(target="/own"),))
-    assert next(trials(plan, Toy(plan), DAY)) == Asked(Trial(target="/own"))
+    assert next(generate_cases(plan, Toy(plan), DAY)) == TrialCase(Trial(target="/own"))
     code = (
         "import sys, msgspec; from wheatring.lab.agree_pusher import compiles\n"
         "from wheatring.skew.trials import Answers\n"
@@ -255,54 +296,69 @@
         told.add(subprocess.run(call, input=body_of(plan), check=True, capture_output=True, env=env).stdout)
     own = answered(plan, Toy(plan))
     assert told == {f"{own.count} {own.result.hex()}\n".encode()} and own.count > 100
-    assert asked(next(islice(trials(plan, Toy(plan), DAY), 1, None))) == "GET /a/x host=any.test"
+    assert (
+        describe_case(next(islice(generate_cases(plan, Toy(plan), DAY), 1, None))) == "GET /a/x host=any.test"
+    )
 
 
 # The floor
 
 
 def test_the_floor_rises_only_where_all_read_it_and_falls_only_where_no_plan_needs_it() -> None:
-    known = [("n1", ALL), ("n2", OLDER)]
-    with pytest.raises(BelowFloor, match=r"floor 2 is not read by 1 of 2: n2 \(1\)"):
-        raise_to(2, 1, None, known)
-    assert floor_of(raise_to(3, 1, None, known[:1])) == 3
-    settled = Needs(format=2, written=2)
-    with pytest.raises(FloorInUse):
-        raise_to(1, 3, settled, known[:1])
-    assert floor_of(raise_to(2, 3, settled, known[:1])) == 2
-    with pytest.raises(FloorUnknown):
-        raise_to(NEWEST + 1, 1, None, [])
-    assert floor_of(b"\xc1") is None and floor_of(floor_body(2)) == 2
+    known = [("n1", ALL), ("n2", LEGACY_CAPABILITIES)]
+    with pytest.raises(BelowMinimumError, match=r"floor 2 is not read by 1 of 2: n2 \(1\)"):
+        change_minimum(2, 1, None, known)
+    assert decode_minimum(change_minimum(3, 1, None, known[:1])) == 3
+    settled = Requirements(format=2, written=2)
+    with pytest.raises(MinimumInUseError):
+        change_minimum(1, 3, settled, known[:1])
+    assert decode_minimum(change_minimum(2, 3, settled, known[:1])) == 2
+    with pytest.raises(MinimumUnknownError):
+        change_minimum(NEWEST_FORMAT + 1, 1, None, [])
+    assert decode_minimum(b"\xc1") is None and decode_minimum(encode_minimum(2)) == 2
 
 
 def test_who_may_not_come_in_is_told_by_which_law() -> None:
-    settled = Needs(format=3, written=3, features=frozenset({"ramps"}))
-    assert may_enter(ALL, 3, settled) == []
-    codes = [why.code for why in may_enter(OLDER, 2, settled, "n9")]
+    settled = Requirements(format=3, written=3, features=frozenset({"ramps"}))
+    assert admission_refusals(ALL, 3, settled) == []
+    codes = [why.code for why in admission_refusals(LEGACY_CAPABILITIES, 2, settled, "n9")]
     assert codes == ["below-floor", "unreadable-format", "unable"]
     newer = msgspec.structs.replace(ALL, formats=((2, 3),))
-    assert "Raise the floor" in may_enter(newer, 1, None)[0].do
+    assert "Raise the floor" in admission_refusals(newer, 1, None)[0].do
 
 
 def test_what_is_known_of_processes_is_bounded_and_of_one_start_only() -> None:
-    book = Book()
+    book = CapabilityTable()
     one = Placed(Who("n1", "127.0.0.1", 1), 5)
-    assert book.abilities(0.0, one) is None and book.asks(0.0) == [one] and book.asks(0.1) == []
-    assert book.abilities(OLD - 0.1, one) is None and book.asks(OLD - 0.1) == [one]
-    assert book.abilities(OLD, one) == OLDER  # it goes on knocking, and has not these words
-    book.learn("n1", 5, ALL)
-    assert book.abilities(OLD, one) == ALL and book.abilities(OLD, one._replace(start=6)) is None
-    assert book.asks(3 * OLD) == [] and not book.asking  # it knocks no more
-    for number in range(MOST + 10):
-        book.learn(f"m{number}", 1, ALL)
-    assert len(book.known) == MOST and ("n1", 5) not in book.known
+    assert (
+        book.capabilities_of(0.0, one) is None
+        and book.requests_due(0.0) == [one]
+        and book.requests_due(0.1) == []
+    )
+    assert book.capabilities_of(LEGACY_AFTER_SECONDS - 0.1, one) is None and book.requests_due(
+        LEGACY_AFTER_SECONDS - 0.1
+    ) == [one]
+    assert (
+        book.capabilities_of(LEGACY_AFTER_SECONDS, one) == LEGACY_CAPABILITIES
+    )  # it goes on knocking, and has not these words
+    book.record("n1", 5, ALL)
+    assert (
+        book.capabilities_of(LEGACY_AFTER_SECONDS, one) == ALL
+        and book.capabilities_of(LEGACY_AFTER_SECONDS, one._replace(start=6)) is None
+    )
+    assert book.requests_due(3 * LEGACY_AFTER_SECONDS) == [] and not book.pending  # it knocks no more
+    for number in range(MAX_PROCESSES + 10):
+        book.record(f"m{number}", 1, ALL)
+    assert len(book.known) == MAX_PROCESSES and ("n1", 5) not in book.known
 
 
 def test_a_word_of_a_later_program_is_read_for_what_is_known_of_it() -> None:
-    words: msgspec.msgpack.Decoder[SkewWord] = msgspec.msgpack.Decoder(SkewWord)
-    own = msgspec.msgpack.decode(msgspec.msgpack.encode(Able(7, 5, ALL)))
+    words: msgspec.msgpack.Decoder[AnySkewMessage] = msgspec.msgpack.Decoder(AnySkewMessage)
+    own = msgspec.msgpack.decode(msgspec.msgpack.encode(CapabilityResponse(7, 5, ALL)))
     own[-1].append("what comes after the versions")
-    assert words.decode(msgspec.msgpack.encode([*own, "and after the abilities"])) == Able(7, 5, ALL)
+    assert words.decode(msgspec.msgpack.encode([*own, "and after the abilities"])) == CapabilityResponse(
+        7, 5, ALL
+    )
 
 
 # The leader of a push, by hand
@@ -312,13 +368,13 @@
     from wheatring.members.view import View
 
     view = View(1, 1, (Placed(Who("n1", "127.0.0.1", 1), 5),))
-    push = Push(0.0, 77, b"d" * 16, Needs(), DAY, view)
-    assert [type(word) for _, word in push.step(0.0)] == [Survey]
-    push.hear("n1", Able(77, 6, ALL))
-    push.hear("n1", Able(78, 5, ALL))
-    push.hear("n2", Able(77, 5, ALL))
+    push = CheckCoordinator(0.0, 77, b"d" * 16, Requirements(), DAY, view)
+    assert [type(word) for _, word in push.step(0.0)] == [CapabilityRequest]
+    push.handle("n1", CapabilityResponse(77, 6, ALL))
+    push.handle("n1", CapabilityResponse(78, 5, ALL))
+    push.handle("n2", CapabilityResponse(77, 5, ALL))
     push.step(0.1)
-    assert push.verdict(0.1, True).asked == 0
-    push.hear("n1", Able(77, 5, ALL))
+    assert push.verdict(0.1, True).answered == 0
+    push.handle("n1", CapabilityResponse(77, 5, ALL))
     push.step(0.2)
-    assert [type(word) for _, word in push.step(0.3)] == [Try]
+    assert [type(word) for _, word in push.step(0.3)] == [TrialRequest]
--- a/tests/agree/test_skew_fleet.py
+++ b/tests/agree/test_skew_fleet.py
@@ -14,15 +14,22 @@
 from wheatring.lab.live.links.state import State
 from wheatring.members.view import View
 from wheatring.members.words import Placed, Who
-from wheatring.plan.judge import Reason, Stage
-from wheatring.plan.words import Plan
-from wheatring.skew.floor import OLD
-from wheatring.skew.judge import Skew
-from wheatring.skew.leader import Push
-from wheatring.skew.needs import Needs, own_abilities
-from wheatring.skew.words import Abilities, Able, Show, Survey, Tried, Try
-
-NEWER, OLDER = own_abilities(version=str), own_abilities([1], version=str)
+from wheatring.plan.compatibility import CheckStage, Reason
+from wheatring.plan.document import Plan
+from wheatring.skew.checker import CompatibilityChecker
+from wheatring.skew.coordinator import CheckCoordinator
+from wheatring.skew.messages import (
+    AnswerRequest,
+    Capabilities,
+    CapabilityRequest,
+    CapabilityResponse,
+    TrialRequest,
+    TrialResult,
+)
+from wheatring.skew.minimum_format import LEGACY_AFTER_SECONDS
+from wheatring.skew.requirements import Requirements, local_capabilities
+
+NEWER, OLDER = local_capabilities(version=str), local_capabilities([1], version=str)
 
 
 def plan(format: int) -> Plan:
@@ -32,7 +39,13 @@
 class Fleet(Day):
     """`out` are not started with the rest; `count` counts words, by their types."""
 
-    def __init__(self, *out: str, size: int = 7, skew: type[Skew] = Skew, **next_: Abilities | None) -> None:
+    def __init__(
+        self,
+        *out: str,
+        size: int = 7,
+        skew: type[CompatibilityChecker] = CompatibilityChecker,
+        **next_: Capabilities | None,
+    ) -> None:
         super().__init__(5, size, skew)
         self.next |= next_
         self.count: Counter[str] = Counter()
@@ -60,7 +73,7 @@
             return "settled"
         return "refused" if self.refused else "open"
 
-    def start(self, name: str, abilities: Abilities | None) -> None:
+    def start(self, name: str, abilities: Capabilities | None) -> None:
         self.next[name] = abilities
         self.cluster.start(self.cluster.nodes[name])
 
@@ -75,23 +88,27 @@
 def test_a_plan_that_all_understand_is_settled_and_each_is_asked_once() -> None:
     fleet = Fleet()
     assert fleet.pushed(3, 1.0) == "settled" and not fleet.breaches
-    assert (fleet.count["Survey"], fleet.count["Try"], fleet.count["Tried"]) == (7, 7, 7)
+    assert (fleet.count["CapabilityRequest"], fleet.count["TrialRequest"], fleet.count["TrialResult"]) == (
+        7,
+        7,
+        7,
+    )
 
 
 def test_who_is_older_is_named_with_what_it_lacks_and_nothing_is_settled() -> None:
-    fleet = Fleet(n4=OLDER, n5=own_abilities([1, 2], version=str))
+    fleet = Fleet(n4=OLDER, n5=local_capabilities([1, 2], version=str))
     assert fleet.pushed(3) == "refused" and fleet.newest is None
     assert {name for name, _ in fleet.why()} == {"n4", "n5"}
     assert ("n4", "unable") in fleet.why() and ("n5", "unreadable-format") in fleet.why()
     assert fleet.pushed(1) == "settled"
 
 
-@pytest.mark.parametrize("skew", [Skew, SilentIsYes])
-def test_one_that_does_not_answer_is_refused_by_name(skew: type[Skew]) -> None:
+@pytest.mark.parametrize("skew", [CompatibilityChecker, SilentIsYes])
+def test_one_that_does_not_answer_is_refused_by_name(skew: type[CompatibilityChecker]) -> None:
     fleet = Fleet(skew=skew, n5=None)  # a program that has not these words
     fleet.push(plan(2))
     fleet.after(12.0)
-    if skew is Skew:
+    if skew is CompatibilityChecker:
         assert fleet.why() == [("n5", "silent")] and not fleet.breaches and fleet.newest is None
         assert "has not answered the survey for 8" in fleet.refused[0].what
     else:  # what the rule above guards against, and that it is seen
@@ -102,12 +119,12 @@
     fleet = Fleet()
     leader = fleet.leader()
     fleet.push(plan(1))
-    while leader.skew.verdict(fleet.cluster.now).stage is Stage.SURVEYED:
+    while leader.skew.verdict(fleet.cluster.now).stage is CheckStage.SURVEYING:
         fleet.after(0.005)
     fleet.cluster.stop(fleet.cluster.nodes["n6"])
     fleet.after(4.0)
     late = leader.skew.verdict(fleet.cluster.now)
-    assert (late.stage, late.asked, late.of) == (Stage.TRIED, 6, 7)
+    assert (late.stage, late.answered, late.members) == (CheckStage.TESTING, 6, 7)
     assert [(one.member, one.code) for one in late.reasons] == [("n6", "silent")]
     fleet.cluster.go_on(fleet.cluster.nodes["n6"])
     fleet.after(1.0)
@@ -129,7 +146,7 @@
         "it answers otherwise than 6 of 7: GET /r0x host=any.test: r0 instead of none; "
         "it has tzdata 2020.1 instead of tzdata"
     )
-    assert fleet.count["Show"] <= 2 * 10
+    assert fleet.count["AnswerRequest"] <= 2 * 10
 
 
 def test_who_can_not_compile_it_is_named_with_its_error() -> None:
@@ -145,7 +162,7 @@
     assert fleet.refused[0].what == "routes[0].match: no such thing"
 
 
-def joins(abilities: Abilities, skew: type[Skew] = Skew) -> Fleet:
+def joins(abilities: Capabilities, skew: type[CompatibilityChecker] = CompatibilityChecker) -> Fleet:
     """One comes in while a plan is pushed, and another is slow to answer."""
     fleet = Fleet("n6", skew=skew)
     fleet.cluster.stop(fleet.cluster.nodes["n5"])
@@ -161,7 +178,7 @@
 def test_who_comes_in_meanwhile_is_asked_too_and_nobody_twice() -> None:
     fleet = joins(NEWER)
     assert fleet.counts["settled"] == 1 and not fleet.breaches
-    assert fleet.count["Try"] == 7 and fleet.count["Survey"] <= 6 + 1 + 5
+    assert fleet.count["TrialRequest"] == 7 and fleet.count["CapabilityRequest"] <= 6 + 1 + 5
 
 
 def test_who_comes_in_meanwhile_and_is_older_keeps_the_plan_from_being_settled() -> None:
@@ -194,14 +211,14 @@
     fleet = Fleet("n6")
     assert fleet.pushed(1) == "settled"
     fleet.start("n6", None)
-    fleet.after(OLD - 1.0)
+    fleet.after(LEGACY_AFTER_SECONDS - 1.0)
     assert "n6" not in fleet.view.names
     fleet.after(4.0)
     assert "n6" in fleet.view.names
     fleet = Fleet("n6")
     assert fleet.pushed(3) == "settled"
     fleet.start("n6", None)
-    fleet.after(OLD + 5.0)
+    fleet.after(LEGACY_AFTER_SECONDS + 5.0)
     assert "n6" not in fleet.view.names
 
 
@@ -217,11 +234,11 @@
 def test_a_leader_that_can_not_read_what_is_settled_lets_nobody_in() -> None:
     fleet = Fleet()
     leader = fleet.leader()
-    leader.skew.took(None, b"x" * 9)
+    leader.skew.plan_committed(None, b"x" * 9)
     at = fleet.cluster.instant(fleet.cluster.nodes["n0"])
     placed = fleet.view.members[-1]
-    assert [one.code for one in leader.skew.admits(at, placed)] == ["settled-unreadable"]
-    assert [one.code for one in leader.skew.own()] == ["settled-unreadable"]
+    assert [one.code for one in leader.skew.admission_refusals(at, placed)] == ["settled-unreadable"]
+    assert [one.code for one in leader.skew.own_refusals()] == ["settled-unreadable"]
 
 
 def test_nobody_comes_in_while_a_plan_is_chosen_nor_a_plan_while_a_view_is() -> None:
@@ -229,15 +246,15 @@
     skew = fleet.leader().skew
     at = fleet.cluster.instant(fleet.cluster.nodes["n0"])
     placed = fleet.view.members[-1]
-    assert skew.admits(at, placed) == ()
-    skew.plan_still = lambda: False
-    assert [one.code for one in skew.admits(at, placed)] == ["unsurveyed"]
-    skew.view_still = lambda: False
+    assert skew.admission_refusals(at, placed) == ()
+    skew.is_plan_stable = lambda: False
+    assert [one.code for one in skew.admission_refusals(at, placed)] == ["unsurveyed"]
+    skew.is_view_stable = lambda: False
     fleet.push(plan(1))
     fleet.after(2.0)
-    assert skew.verdict(fleet.cluster.now).stage is Stage.TRIED and fleet.newest is None
-    skew.view_still = lambda: True
-    assert skew.verdict(fleet.cluster.now).stage is Stage.YES
+    assert skew.verdict(fleet.cluster.now).stage is CheckStage.TESTING and fleet.newest is None
+    skew.is_view_stable = lambda: True
+    assert skew.verdict(fleet.cluster.now).stage is CheckStage.COMPATIBLE
 
 
 def test_loss_of_a_third_delays_and_no_more() -> None:
@@ -247,12 +264,12 @@
 
 
 def test_the_floor_keeps_older_ones_out_and_moves_by_a_call_only() -> None:
-    fleet = Fleet("n6", n5=own_abilities([1, 2], version=str))
+    fleet = Fleet("n6", n5=local_capabilities([1, 2], version=str))
     for format in (3, 3, 2):  # at first nobody has been asked yet
         fleet.move_floor(format)
         fleet.after(1.0)
     assert fleet.counts["floor: unsurveyed"] == fleet.counts["floor: below-floor"] == 1
-    assert {pusher.skew.floor for name, pusher in fleet.pushers.items() if name != "n6"} == {2}
+    assert {pusher.skew.minimum_format for name, pusher in fleet.pushers.items() if name != "n6"} == {2}
     fleet.start("n6", OLDER)
     fleet.after(5.0)
     waits = fleet.pushers["n6"].views.told_wait
@@ -269,12 +286,12 @@
 # A push of a large fleet, by hand
 
 
-def large(size: int) -> Push:
+def large(size: int) -> CheckCoordinator:
     placed = tuple(Placed(Who(f"n{number:04}", "127.0.0.1", 1 + number), 9) for number in range(size))
-    return Push(0.0, 5, b"d" * 16, Needs(bytes=20_000), 20_700, View(1, 1, placed))
+    return CheckCoordinator(0.0, 5, b"d" * 16, Requirements(bytes=20_000), 20_700, View(1, 1, placed))
 
 
-def said(push: Push, now: float) -> list[Any]:
+def said(push: CheckCoordinator, now: float) -> list[Any]:
     return [word for _, word in push.step(now)]
 
 
@@ -282,25 +299,25 @@
     push, most, asked = large(1000), 0, 0
     for tick in range(60):
         out = push.step(tick * 0.05)
-        most, asked = max(most, len(out)), asked + sum(isinstance(word, Survey) for _, word in out)
+        most, asked = max(most, len(out)), asked + sum(isinstance(word, CapabilityRequest) for _, word in out)
         for (_, port), word in out:
-            if isinstance(word, Survey) and port > 10:
-                push.hear(f"n{port - 1:04}", Able(5, 9, NEWER))
-    assert most <= 26 + 10 and push.stage is Stage.SURVEYED
+            if isinstance(word, CapabilityRequest) and port > 10:
+                push.handle(f"n{port - 1:04}", CapabilityResponse(5, 9, NEWER))
+    assert most <= 26 + 10 and push.stage is CheckStage.SURVEYING
     assert 990 + 10 * 5 <= asked <= 990 + 10 * 6
 
 
 def test_a_hunt_goes_on_while_a_word_is_lost_and_is_given_up_at_last() -> None:
     push = large(3)
     said(push, 0.01)
-    for name, start in list(push.of):
-        push.hear(name, Able(5, start, NEWER))
+    for name, start in list(push.members):
+        push.handle(name, CapabilityResponse(5, start, NEWER))
     said(push, 0.05)
-    assert {type(word) for word in said(push, 0.1)} == {Try}
-    for number, (name, start) in enumerate(list(push.of)):
-        push.hear(name, Tried(5, start, b"odd" if number == 1 else b"rest", 100))
+    assert {type(word) for word in said(push, 0.1)} == {TrialRequest}
+    for number, (name, start) in enumerate(list(push.members)):
+        push.handle(name, TrialResult(5, start, b"odd" if number == 1 else b"rest", 100))
     shows = [word for now in (0.2, 0.3, 0.8) for word in said(push, now)]
-    assert shows == [Show(5, 100)] * 4  # both at once, and once more after half a second
+    assert shows == [AnswerRequest(5, 100)] * 4  # both at once, and once more after half a second
     push.step(6.0)
     verdict: tuple[Reason, ...] = push.verdict(6.0, True).reasons
     assert [(one.member, one.code) for one in verdict] == [("n0001", "disagrees")]
@@ -310,7 +327,7 @@
 def test_a_yes_is_of_its_view_and_who_is_new_in_the_next_is_asked_both() -> None:
     push = large(4)
     placed = push.view.members
-    push.moved(0.0, View(1, 1, placed[:2]))
+    push.view_changed(0.0, View(1, 1, placed[:2]))
 
     def answer(now: float) -> list[str]:
         """Whoever is asked answers; who was asked what."""
@@ -318,35 +335,45 @@
         for (_, port), word in push.step(now):
             name = f"n{port - 1:04}"
             asked.append(f"{name} {type(word).__name__}")
-            push.hear(name, Able(5, 9, NEWER) if isinstance(word, Survey) else Tried(5, 9, b"r", 3))
+            push.handle(
+                name,
+                CapabilityResponse(5, 9, NEWER)
+                if isinstance(word, CapabilityRequest)
+                else TrialResult(5, 9, b"r", 3),
+            )
         return asked
 
-    both = ["n0000 Survey", "n0001 Survey"]
-    assert [answer(now) for now in (0.1, 0.2)] == [both, []] and push.stage is Stage.TRIED
-    push.moved(0.2, View(2, 1, placed[:3]))  # in the midst of the trial
-    assert push.verdict(0.2, True)[:4] == (Stage.SURVEYED, 2, 2, 3)
-    assert [answer(now) for now in (0.3, 0.4)] == [["n0002 Survey"], []]
-    assert answer(0.5) == ["n0000 Try", "n0001 Try", "n0002 Try"]
+    both = ["n0000 CapabilityRequest", "n0001 CapabilityRequest"]
+    assert [answer(now) for now in (0.1, 0.2)] == [both, []] and push.stage is CheckStage.TESTING
+    push.view_changed(0.2, View(2, 1, placed[:3]))  # in the midst of the trial
+    assert push.verdict(0.2, True)[:4] == (CheckStage.SURVEYING, 2, 2, 3)
+    assert [answer(now) for now in (0.3, 0.4)] == [["n0002 CapabilityRequest"], []]
+    assert answer(0.5) == ["n0000 TrialRequest", "n0001 TrialRequest", "n0002 TrialRequest"]
     answer(0.6)
-    assert push.verdict(0.6, True)[:4] == (Stage.YES, 2, 3, 3)
-    push.moved(0.7, View(3, 1, placed))  # and after the verdict
-    assert push.verdict(0.7, True)[:4] == (Stage.SURVEYED, 3, 3, 4)
-    assert [answer(now) for now in (0.8, 0.9, 1.0, 1.1)] == [["n0003 Survey"], [], ["n0003 Try"], []]
-    assert push.verdict(1.1, True)[:2] == (Stage.YES, 3)
-    push.moved(1.2, View(4, 1, placed[1:]))  # nobody new: the same verdict, of the new view
+    assert push.verdict(0.6, True)[:4] == (CheckStage.COMPATIBLE, 2, 3, 3)
+    push.view_changed(0.7, View(3, 1, placed))  # and after the verdict
+    assert push.verdict(0.7, True)[:4] == (CheckStage.SURVEYING, 3, 3, 4)
+    assert [answer(now) for now in (0.8, 0.9, 1.0, 1.1)] == [
+        ["n0003 CapabilityRequest"],
+        [],
+        ["n0003 TrialRequest"],
+        [],
+    ]
+    assert push.verdict(1.1, True)[:2] == (CheckStage.COMPATIBLE, 3)
+    push.view_changed(1.2, View(4, 1, placed[1:]))  # nobody new: the same verdict, of the new view
     push.step(1.3)
-    assert push.verdict(1.3, True)[:4] == (Stage.YES, 4, 3, 3)
+    assert push.verdict(1.3, True)[:4] == (CheckStage.COMPATIBLE, 4, 3, 3)
 
 
 def test_who_went_no_longer_counts() -> None:
     push = large(3)
     said(push, 0.01)
-    for name, start in list(push.of)[:2]:
-        push.hear(name, Able(5, start, NEWER))
-    push.moved(1.0, View(2, 1, push.view.members[:2]))
+    for name, start in list(push.members)[:2]:
+        push.handle(name, CapabilityResponse(5, start, NEWER))
+    push.view_changed(1.0, View(2, 1, push.view.members[:2]))
     push.step(1.0)
-    assert push.verdict(1.0, True)[:4] == (Stage.TRIED, 2, 0, 2)
-    assert {type(word) for now in (1.1, 2.0) for word in said(push, now)} == {Try}
+    assert push.verdict(1.0, True)[:4] == (CheckStage.TESTING, 2, 0, 2)
+    assert {type(word) for now in (1.1, 2.0) for word in said(push, now)} == {TrialRequest}
 
 
 # Drawn days
--- a/tests/agree/test_time.py
+++ b/tests/agree/test_time.py
@@ -19,11 +19,11 @@
 from wheatring.members.members import Address
 from wheatring.members.pace import Pace
 from wheatring.peers.agreement import VIEW_MESSAGES
-from wheatring.plan.words import Plan, PlanRoute, PlanWindow
-from wheatring.schedule.edges import Edges
-from wheatring.schedule.fleet_time import UNKNOWN, FleetTime, Reading, Span, agreed
+from wheatring.plan.document import Plan, PlanRoute, PlanWindow
+from wheatring.schedule.activation import WeightSchedule
+from wheatring.schedule.fleet_clock import UNKNOWN, FleetClock, Reading, TimeInterval, majority_interval
+from wheatring.schedule.messages import AnyScheduleMessage, TimeRequest, TimeResponse
 from wheatring.schedule.timetable import Timetable
-from wheatring.schedule.words import AskTime, ScheduleWord, Time
 
 TRUE = YEAR / 1000  # Unix seconds at the cluster's 0
 OPENS = 120.0  # seconds from there
@@ -41,8 +41,8 @@
     """A piece that goes by `Edges`, and writes down when its weights changed, and all times told."""
 
     cluster: Cluster
-    time: FleetTime
-    edges: Edges
+    time: FleetClock
+    edges: WeightSchedule
     due: float
     hears: tuple[type, ...] = ()
     changes: list[tuple[float, bool]] = field(default_factory=list)
@@ -52,7 +52,7 @@
         reading = self.time.now(at)
         assert reading.unix >= self.last.unix
         self.last = reading
-        look = self.edges.look(at.now, reading, 0.0)
+        look = self.edges.update(at.now, reading, 0.0)
         if "r" in look.changed:
             self.changes.append((self.cluster.now, "b" in look.changed["r"]))
         self.due = look.due
@@ -78,8 +78,8 @@
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
 
     def pieces(self, at: Instant, fleet: Fleet) -> list[Piece]:
-        time, edges = FleetTime(at, fleet), Edges(at.now)
-        edges.settle(at.now, 1, self.table, None)
+        time, edges = FleetClock(at, fleet), WeightSchedule(at.now)
+        edges.plan_committed(at.now, 1, self.table, None)
         self.watchers[fleet.me.name] = watcher = Watcher(self.cluster, time, edges, at.now)
         return [time, watcher]
 
@@ -97,10 +97,10 @@
         for until in untils:
             self.cluster.run(until)
             for name in names or self.watchers:
-                assert self.reading(name).sure and abs(self.error(name)) <= self.reading(name).uncertain
+                assert self.reading(name).is_sure and abs(self.error(name)) <= self.reading(name).uncertainty
 
     def lines(self, name: str) -> list[str]:
-        return [line.event for line in self.watchers[name].time.lines]
+        return [line.event for line in self.watchers[name].time.events]
 
     def entered(self) -> list[float]:
         return [at for one in self.watchers.values() for at, inside in one.changes if inside]
@@ -133,7 +133,7 @@
     assert all("time-voters-differ" in world.lines(name) for name in world.watchers)
     world.cluster.run(1150)
     for name in world.watchers:
-        assert not world.reading(name).sure and world.lines(name)[-1] == "time-unsure"
+        assert not world.reading(name).is_sure and world.lines(name)[-1] == "time-unsure"
         assert abs(world.error(name)) < 0.1
 
 
@@ -156,9 +156,9 @@
         world.cluster.run(until)
         for name in world.watchers:
             readings.append(world.reading(name))
-            assert abs(world.error(name)) <= readings[-1].uncertain
+            assert abs(world.error(name)) <= readings[-1].uncertainty
     # Three answers in ten are lost both ways: now and then the last ones are a little too old.
-    assert sum(reading.sure for reading in readings) >= 0.95 * len(readings)
+    assert sum(reading.is_sure for reading in readings) >= 0.95 * len(readings)
 
 
 def test_links_that_become_slow_for_a_while_leave_a_quick_answer_standing() -> None:
@@ -174,7 +174,7 @@
     for name in ("n0", "n1"):
         world.cluster.kill(world.node(name))
     world.cluster.run(250)
-    assert world.watchers["n3"].time.fixed < 100 and not world.reading("n3").sure
+    assert world.watchers["n3"].time.fixed_at < 100 and not world.reading("n3").is_sure
 
 
 def test_a_third_that_is_stopped_and_goes_on() -> None:
@@ -202,7 +202,7 @@
     sure = []
     for tenth in range(600, 800):
         world.cluster.run(tenth / 10)
-        sure.append(world.reading("n3").sure)
+        sure.append(world.reading("n3").is_sure)
     assert 25 < sure.count(False) < 40 and sure[-1]  # 2 s at half the pace, less the bound
     assert "time-moved" in world.lines("n3") and abs(world.error("n3") + 2.0) < 0.03
 
@@ -212,11 +212,11 @@
     world.cluster.run(60)
     time, at = world.watchers["n3"].time, world.cluster.instant(world.node("n3"))
     before = time.now(at)
-    time.asked[time.seq] = (at.now, {"#0"})
+    time.pending[time.seq] = (at.now, {"#0"})
     woken = Instant(at.now, at.boot + 7200, at.wall)
     reading = time.now(woken)
-    assert abs(reading.unix - before.unix - 7200) < 1 and 72 < reading.uncertain < 74
-    assert not time.asked and time.due <= at.now and time.lines[-1].event == "time-suspended"
+    assert abs(reading.unix - before.unix - 7200) < 1 and 72 < reading.uncertainty < 74
+    assert not time.pending and time.due <= at.now and time.events[-1].event == "time-suspended"
 
 
 @pytest.mark.parametrize(("size", "delay", "aim"), [(200, 0.0005, 0.05), (60, 0.1, 0.15)])
@@ -231,7 +231,7 @@
         there, back = ([node.name], voters) if number % 2 else (voters, [node.name])
         world.cluster.cut(there, back, slow)
     world.cluster.run(13.5)
-    assert all(one.edges.ready for one in world.watchers.values()) and not world.entered()
+    assert all(one.edges.is_ready for one in world.watchers.values()) and not world.entered()
     world.cluster.run(19.5)
     assert len(world.entered()) == len(world.left()) == size
     for found, wanted in ((world.entered(), 14.0), (world.left(), 19.0)):
@@ -250,24 +250,31 @@
     count = len(drawn)
     right = data.draw(st.integers(count // 2 + 1, count))
     spans = {
-        f"#{n}": Span(0.0, min(a, true), max(a, true)) if n < right else Span(0.0, min(a, b), max(a, b))
+        f"#{n}": TimeInterval(0.0, min(a, true), max(a, true))
+        if n < right
+        else TimeInterval(0.0, min(a, b), max(a, b))
         for n, (a, b) in enumerate(drawn)
     }
-    met = agreed(spans, Voters(tuple(spans)))
+    met = majority_interval(spans, Voters(tuple(spans)))
     assert met is not None and met[0] <= true <= met[1]
 
 
 def test_the_words_are_told_from_all_others_and_a_field_more_is_skipped() -> None:
-    decoder = msgspec.msgpack.Decoder(VIEW_MESSAGES | ScheduleWord)
-    for word in (AskTime(7), Time(7, 1.5, 0.025)):
+    decoder = msgspec.msgpack.Decoder(VIEW_MESSAGES | AnyScheduleMessage)
+    for word in (TimeRequest(7), TimeResponse(7, 1.5, 0.025)):
         assert decoder.decode(msgspec.msgpack.encode(word)) == word
-    assert decoder.decode(msgspec.msgpack.encode(["time", 7, 1.5, 0.025, "new"])) == Time(7, 1.5, 0.025)
+    assert decoder.decode(msgspec.msgpack.encode(["time", 7, 1.5, 0.025, "new"])) == TimeResponse(
+        7, 1.5, 0.025
+    )
 
 
 def test_no_majority_or_only_one_of_two_sets_of_voters_agrees_on_nothing() -> None:
-    near, far = Span(0.0, 0.0, 1.0), Span(0.0, 3600.0, 3601.0)
-    assert agreed({"#0": near, "#1": far}, Voters(("#0", "#1", "#2"))) is None
-    assert agreed({}, Voters(("#0",))) is None
+    near, far = TimeInterval(0.0, 0.0, 1.0), TimeInterval(0.0, 3600.0, 3601.0)
+    assert majority_interval({"#0": near, "#1": far}, Voters(("#0", "#1", "#2"))) is None
+    assert majority_interval({}, Voters(("#0",))) is None
     both = Voters(("#0", "#1", "#2"), ("#3", "#4", "#5"))
     three = {"#0": near, "#1": near, "#3": near, "#4": far}
-    assert agreed(three, both) is None and agreed({**three, "#4": near}, both) == (0.0, 1.0)
+    assert majority_interval(three, both) is None and majority_interval({**three, "#4": near}, both) == (
+        0.0,
+        1.0,
+    )
--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -61,9 +61,9 @@
         status, said = self.planned(name).offer(self.cluster.instant(node), body)
         assert status == 202, said
         self.cluster.say(node, [])
-        push = self.planned(name).plans.pushes[said["push"]]
+        push = self.planned(name).plans.proposals[said["push"]]
         for _ in range(300):
-            if push.over:
+            if push.is_final:
                 break
             self.cluster.run(self.cluster.now + 0.1)
         return {"state": push.state, "members": {one.member for one in push.reasons}}
@@ -128,7 +128,7 @@
 
     while floor(2) != 202:  # members are asked first what they can
         assert made.cluster.now < 60
-    assert {made.planned(name).skew.floor for name in made.agreed} == {2}
+    assert {made.planned(name).skew.minimum_format for name in made.agreed} == {2}
     assert floor(1) == 409
     made.again("n5", (1,))
     made.cluster.run(made.cluster.now + 20)
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -66,12 +66,12 @@
     ("wheatring.plan", "wheatring.members"),
     ("wheatring.plan", "wheatring.lease"),
     ("wheatring.plan", "wheatring.routes"),
-    ("wheatring.skew", "wheatring.plan.words"),
-    ("wheatring.skew", "wheatring.plan.judge"),
+    ("wheatring.skew", "wheatring.plan.document"),
+    ("wheatring.skew", "wheatring.plan.compatibility"),
     ("wheatring.skew", "wheatring.members"),
     ("wheatring.skew", "wheatring.lease.fleet"),  # what a piece is
     ("wheatring.skew", "wheatring.lease.bodies"),
-    ("wheatring.schedule", "wheatring.plan.words"),
+    ("wheatring.schedule", "wheatring.plan.document"),
     ("wheatring.schedule", "wheatring.routes"),
     ("wheatring.schedule", "wheatring.members"),  # addresses
     ("wheatring.schedule", "wheatring.lease"),  # the fleet that a piece is of, and its voters
--- a/wheatring/lab/agree_plan.py
+++ b/wheatring/lab/agree_plan.py
@@ -18,12 +18,12 @@
 from wheatring.members.pace import Pace
 from wheatring.members.view import View
 from wheatring.peers.agreement import LEADER_DUTY
-from wheatring.plan.judge import Reason, Stage, Verdict
-from wheatring.plan.lead import Lead
-from wheatring.plan.messages import OVER, PUTTING, REFUSED, SETTLED
-from wheatring.plan.push import Plans, Pushing
-from wheatring.plan.read import canonical, read
-from wheatring.plan.words import Plan, PlanMatch, PlanRoute, Settled
+from wheatring.plan.agent import PlanAgent, Proposal
+from wheatring.plan.compatibility import CheckStage, Reason, Verdict
+from wheatring.plan.document import CommittedPlan, Plan, PlanMatch, PlanRoute
+from wheatring.plan.leader import RolloutLeader
+from wheatring.plan.messages import FINAL_STATES, PUTTING, REFUSED, SETTLED
+from wheatring.plan.parser import encode_plan, parse_plan
 
 VOTERS = 3
 TERMS = Terms()
@@ -32,9 +32,9 @@
 def body_of(title: str, size: int = 0) -> bytes:
     """A plan of that title, and of `size` bytes at least."""
     routes = [PlanRoute(name="all", weights={"blue": 1})]
-    each = len(canonical(Plan(format=1, routes=(_route(0),)))) - 20
+    each = len(encode_plan(Plan(format=1, routes=(_route(0),)))) - 20
     routes += [_route(number) for number in range(size // each + 1 if size else 0)]
-    return canonical(Plan(format=1, title=title, routes=tuple(routes)))
+    return encode_plan(Plan(format=1, title=title, routes=tuple(routes)))
 
 
 def _route(number: int) -> PlanRoute:
@@ -52,23 +52,23 @@
         self.began = inf
         self.ended = 0
 
-    def begin(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
+    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
         self.began, self.view = at.now, view
         return []
 
-    def moved(self, at: Instant, view: View) -> list[Out]:
-        return self.begin(at, b"", Plan(format=1, routes=()), view)
+    def view_changed(self, at: Instant, view: View) -> list[Out]:
+        return self.start_check(at, b"", Plan(format=1, routes=()), view)
 
     def verdict(self, now: float) -> Verdict:
         stage = int((now - self.began) / self.each) if now >= self.began else 0
         of, number = len(self.view.members), self.view.number
         if stage < 2:
-            return Verdict((Stage.SURVEYED, Stage.TRIED)[stage], number, 0, of)
+            return Verdict((CheckStage.SURVEYING, CheckStage.TESTING)[stage], number, 0, of)
         names = sorted(self.unable & self.view.names)
         no = tuple(Reason(name, "unable", "is not able", "-") for name in names)
-        return Verdict(Stage.NO if no else Stage.YES, number, of, of, no)
+        return Verdict(CheckStage.INCOMPATIBLE if no else CheckStage.COMPATIBLE, number, of, of, no)
 
-    def end(self) -> None:
+    def stop_check(self) -> None:
         self.began = inf
         self.ended += 1
 
@@ -93,21 +93,21 @@
         self,
         seed: int,
         size: int,
-        makes: type[Lead] = Lead,
+        makes: type[RolloutLeader] = RolloutLeader,
         judged: float | None = None,
         unable: set[str] | None = None,
         late: int = 0,
     ) -> None:
         self.makes, self.judged, self.unable = makes, judged, unable or set()
-        self.plans: dict[str, Plans] = {}
+        self.plans: dict[str, PlanAgent] = {}
         self.seen = Seen(seed)
-        self.took: dict[str, list[Settled]] = {}  # by process
-        self.current: dict[str, Settled] = {}
+        self.took: dict[str, list[CommittedPlan]] = {}  # by process
+        self.current: dict[str, CommittedPlan] = {}
         self.bodies: dict[bytes, bytes] = {}  # all that were offered
         self.held: set[tuple[str, int, bytes]] = set()  # who has had which
         self.kept: dict[tuple[int, int, bytes], set[str]] = {}  # which voters have kept what
         self.chosen: dict[int, bytes] = {}
-        self.pushed: list[tuple[str, int, Pushing]] = []
+        self.pushed: list[tuple[str, int, Proposal]] = []
         self.put: set[tuple[str, int, int]] = set()
         self.cluster = Cluster(
             seed, size, Voters(first(VOTERS)), [LEADER_DUTY], TERMS, Pace(), zones=2, pieces=self._pieces
@@ -122,12 +122,12 @@
         judge = Scripted(self.unable, self.judged) if self.judged is not None else None
         key = f"{name}/{fleet.start}"
 
-        def taken(at: Instant, settled: Settled) -> list[Out]:
+        def taken(at: Instant, settled: CommittedPlan) -> list[Out]:
             self._taken(name, key, settled)
             return []
 
-        plans = Plans(at, fleet, views, judge, taken)
-        plans.lead = self.makes(fleet, views, plans.register, judge)
+        plans = PlanAgent(at, fleet, views, judge, taken)
+        plans.leader = self.makes(fleet, views, plans.register, judge)
         self.plans[name] = plans
         self.current.pop(name, None)
         return [views, views.register, plans, plans.register]
@@ -165,12 +165,12 @@
         assert node.fleet is not None
         return node.fleet.duties[LEAD].act(self.cluster.instant(node).boot) is not None
 
-    def offer(self, name: str, body: bytes) -> Pushing:
+    def offer(self, name: str, body: bytes) -> Proposal:
         """Push a plan at that sidecar."""
         node, plans = self.cluster.nodes[name], self.plans[name]
         assert node.fleet is not None
         self.bodies[digest(body)] = body
-        push = plans.pushes[plans.offer(self.cluster.instant(node), body)]
+        push = plans.proposals[plans.propose(self.cluster.instant(node), body)]
         self.pushed.append((name, node.starts, push))
         self.cluster.plan(node)
         return push
@@ -192,10 +192,10 @@
             voters.add(node.name)
             if 2 * len(voters) > VOTERS:
                 self._is_chosen(entry.number, entry.digest)
-        push = plans.lead.push
+        push = plans.leader.rollout
         if push is not None and push.state == PUTTING and self.office(node):
-            assert plans.lead.epoch is not None
-            if (key3 := (node.name, plans.lead.epoch, push.number)) not in self.put:
+            assert plans.leader.epoch is not None
+            if (key3 := (node.name, plans.leader.epoch, push.version)) not in self.put:
                 self.put.add(key3)
                 self._is_put(node, plans.views.view, push.digest)
         if plans.current is not None and plans.current is not self.current.get(node.name):
@@ -213,29 +213,31 @@
             if placed.who.name in self.unable and self.judged is not None:
                 self._breach(f"{node.name} puts a plan that {placed.who.name} is not able to go by")
 
-    def _goes_by(self, node: Node, settled: Settled) -> None:
+    def _goes_by(self, node: Node, settled: CommittedPlan) -> None:
         assert node.fleet is not None
         was = self.current.get(node.name)
-        if was is not None and (settled.number, settled.epoch) <= (was.number, was.epoch):
-            self._breach(f"{node.name} goes from {was.number} of {was.epoch} to {settled.number}")
+        if was is not None and (settled.version, settled.epoch) <= (was.version, was.epoch):
+            self._breach(f"{node.name} goes from {was.version} of {was.epoch} to {settled.version}")
         self.current[node.name] = settled
         body = node.fleet.bodies.get(settled.digest)
-        if body is None or digest(body) != settled.digest or read(body) != settled.plan:
-            self._breach(f"{node.name} goes by plan {settled.number} and does not have it whole")
-        if self.chosen.get(settled.number) != settled.digest:
-            self._breach(f"{node.name} goes by plan {settled.number}, which was not chosen")
+        if body is None or digest(body) != settled.digest or parse_plan(body) != settled.plan:
+            self._breach(f"{node.name} goes by plan {settled.version} and does not have it whole")
+        if self.chosen.get(settled.version) != settled.digest:
+            self._breach(f"{node.name} goes by plan {settled.version}, which was not chosen")
 
-    def _taken(self, name: str, process: str, settled: Settled) -> None:
+    def _taken(self, name: str, process: str, settled: CommittedPlan) -> None:
         before = self.took.setdefault(process, [])
-        if before and settled.number <= before[-1].number:
-            self._breach(f"{name} takes {settled.number} after {before[-1].number}")
+        if before and settled.version <= before[-1].version:
+            self._breach(f"{name} takes {settled.version} after {before[-1].version}")
         before.append(settled)
         self.seen.taken += 1
 
     def over(self) -> bool:
         """Whether all that was offered is over, as far as anybody is left who could tell."""
         return all(
-            push.state in OVER or (node := self.cluster.nodes[name]).fleet is None or node.starts != starts
+            push.state in FINAL_STATES
+            or (node := self.cluster.nodes[name]).fleet is None
+            or node.starts != starts
             for name, starts, push in self.pushed
         )
 
@@ -257,5 +259,5 @@
         newest = max(self.chosen, default=0)
         for node in self.alive():
             current = self.plans[node.name].current
-            if (current.number if current is not None else 0) != newest:
-                self._breach(f"{node.name} goes by {current and current.number}, not by {newest}")
+            if (current.version if current is not None else 0) != newest:
+                self._breach(f"{node.name} goes by {current and current.version}, not by {newest}")
--- a/wheatring/lab/agree_plan_days.py
+++ b/wheatring/lab/agree_plan_days.py
@@ -20,9 +20,9 @@
 from wheatring.lab.live.links.state import State
 from wheatring.lease.fleet import Instant
 from wheatring.members.words import Placed
-from wheatring.plan.judge import Stage, Verdict
-from wheatring.plan.lead import Lead
-from wheatring.plan.one import Push
+from wheatring.plan.compatibility import CheckStage, Verdict
+from wheatring.plan.leader import RolloutLeader
+from wheatring.plan.rollout import Rollout
 
 SIZE, LATE = 7, 2  # sidecars, and of them those that come only with a trouble
 BEGIN, OFFERS = 15.0, 45.0  # seconds until the first push, and the last
@@ -64,7 +64,7 @@
 class Day:
     """Half of the days have a judge, by whom one of those that come late is not able to go by any plan."""
 
-    def __init__(self, seed: int, makes: type[Lead] = Lead) -> None:
+    def __init__(self, seed: int, makes: type[RolloutLeader] = RolloutLeader) -> None:
         self.random = Random(f"{seed}:day")
         judged = 0.1 + 0.5 * self.random.random() if self.random.random() < 0.6 else None
         unable = {f"n{SIZE - 1}"} if judged is not None else set()
@@ -153,34 +153,38 @@
             cluster.go_on(node)
 
 
-def play(seed: int, makes: type[Lead] = Lead) -> Seen:
+def play(seed: int, makes: type[RolloutLeader] = RolloutLeader) -> Seen:
     return Day(seed, makes).run()
 
 
 # Planted faults
 
 
-class Outlived(Lead):
+class Outlived(RolloutLeader):
     """Goes on by a verdict, whatever becomes of the view that it was of."""
 
-    def _verdict(self, at: Instant, push: Push) -> Verdict:
-        if push.verdict.stage is Stage.YES:
-            return push.verdict._replace(view=self.views.view.number)
-        return super()._verdict(at, push)
+    def _check_verdict(self, at: Instant, push: Rollout) -> Verdict:
+        if push.verdict.stage is CheckStage.COMPATIBLE:
+            return push.verdict._replace(view_number=self.views.view.number)
+        return super()._check_verdict(at, push)
 
 
-class Hopeful(Lead):
+class Hopeful(RolloutLeader):
     """Takes one that was asked twice and said nothing for one that holds it."""
 
-    def missing(self, push: Push) -> list[Placed]:
-        return [p for p in super().missing(push) if push.asked.get((p.who.name, p.start), inf) == inf]
+    def missing_members(self, push: Rollout) -> list[Placed]:
+        return [
+            p
+            for p in super().missing_members(push)
+            if push.requested_at.get((p.who.name, p.start), inf) == inf
+        ]
 
 
-class Hasty(Lead):
+class Hasty(RolloutLeader):
     """Puts once a majority of the view holds it."""
 
-    def missing(self, push: Push) -> list[Placed]:
-        missing = super().missing(push)
+    def missing_members(self, push: Rollout) -> list[Placed]:
+        missing = super().missing_members(push)
         return missing if 2 * len(missing) >= len(push.view.members) else []
 
 
--- a/wheatring/lab/agree_pusher.py
+++ b/wheatring/lab/agree_pusher.py
@@ -21,12 +21,12 @@
 from wheatring.lease.words import Entry
 from wheatring.members.view import View
 from wheatring.members.words import Placed
-from wheatring.plan.judge import Reason, Stage
-from wheatring.plan.words import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
-from wheatring.skew.judge import Skew
-from wheatring.skew.member import Compile
-from wheatring.skew.needs import lacks, needs
-from wheatring.skew.words import Abilities
+from wheatring.plan.compatibility import CheckStage, Reason
+from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
+from wheatring.skew.checker import CompatibilityChecker
+from wheatring.skew.messages import Capabilities
+from wheatring.skew.participant import CompilePlan
+from wheatring.skew.requirements import requirements_of, unmet_requirements
 
 LOOK = 0.1  # seconds from one look at a verdict to the next
 
@@ -51,7 +51,7 @@
         self.plan = plan
         self.odd = odd
 
-    def way(self, trial: Trial) -> str:
+    def route(self, trial: Trial) -> str:
         path = trial.target if self.odd else trial.target + "/"
         for route in self.plan.routes:
             if path.startswith(route.match.prefix + ("" if self.odd else "/")):
@@ -83,7 +83,13 @@
     hears: tuple[type, ...] = ()
 
     def __init__(
-        self, at: Instant, book: Book, fleet: Fleet, abilities: Abilities, skew: type[Skew], compiles: Compile
+        self,
+        at: Instant,
+        book: Book,
+        fleet: Fleet,
+        abilities: Capabilities,
+        skew: type[CompatibilityChecker],
+        compiles: CompilePlan,
     ) -> None:
         self.book, self.fleet, self.abilities = book, fleet, abilities
         self.views = Views(at, fleet)
@@ -101,25 +107,25 @@
         return [self.views, self.views.register, self.register, self.floors, self.skew, self]
 
     def _admits(self, at: Instant, placed: Placed) -> str:
-        why = self.skew.admits(at, placed)
+        why = self.skew.admission_refusals(at, placed)
         self.book.counts.update(f"shut out: {one.code}" for one in why)
         return why[0].what if why else ""
 
     def _chosen(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:
         plan = msgspec.json.decode(body, type=Plan)
-        blind = lacks(needs(plan, body), self.abilities)
-        self.skew.took(None if blind else plan, body)
+        blind = unmet_requirements(requirements_of(plan, body), self.abilities)
+        self.skew.plan_committed(None if blind else plan, body)
         self.book.settled(entry, plan, body)
         return []
 
     def _floor(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:
-        self.skew.took_floor(body)
-        self.book.floored(entry, self.skew.floor)
+        self.skew.minimum_committed(body)
+        self.book.floored(entry, self.skew.minimum_format)
         return []
 
     def move_floor(self, at: Instant, format: int) -> list[Out]:
         try:
-            body = self.skew.floor_to(at, format, self.views.view)
+            body = self.skew.prepare_minimum(at, format, self.views.view)
         except OperatorError as bad:
             self.book.counts[f"floor: {bad.code}"] += 1
             return []
@@ -133,11 +139,11 @@
     def begin(self, at: Instant, plan: Plan) -> list[Out]:
         self.body_pushed = body_of(plan)
         self.judged = self.views.view
-        return self.skew.begin(at, self.fleet.bodies.put(self.body_pushed), plan, self.judged)
+        return self.skew.start_check(at, self.fleet.bodies.put(self.body_pushed), plan, self.judged)
 
     def tick(self, at: Instant) -> list[Out]:
         self.due = at.now + LOOK
-        if self.leads(at) and self.skew.own():  # it could let nobody in
+        if self.leads(at) and self.skew.own_refusals():  # it could let nobody in
             self.book.counts["stepped back"] += 1
             return self.fleet.release(at, LEAD, 10.0)
         if self.body_pushed is None:
@@ -147,12 +153,12 @@
         out: list[Out] = []
         if self.views.view.number != self.judged.number:
             self.judged = self.views.view
-            out += self.skew.moved(at, self.judged)
+            out += self.skew.view_changed(at, self.judged)
         verdict = self.skew.verdict(at.now)
-        if verdict.stage is Stage.NO:
+        if verdict.stage is CheckStage.INCOMPATIBLE:
             self.book.refused += verdict.reasons
             return out + self._end("refused: " + " ".join(sorted({why.code for why in verdict.reasons})))
-        now_ = verdict.stage is Stage.YES and verdict.view == self.views.view.number
+        now_ = verdict.stage is CheckStage.COMPATIBLE and verdict.view_number == self.views.view.number
         if now_ and self.views.sure(at.now) and self.register.have == self.register.chosen:
             out += self.register.put(at, self.body_pushed)
             return out + self._end("put")
@@ -161,7 +167,7 @@
     def _end(self, what: str) -> list[Out]:
         self.book.counts[what] += 1
         self.body_pushed = None
-        self.skew.end()
+        self.skew.stop_check()
         return []
 
     def hear(self, at: Instant, sender: str, address: tuple[str, int], word: object) -> list[Out]:
--- a/wheatring/lab/agree_skew.py
+++ b/wheatring/lab/agree_skew.py
@@ -25,30 +25,32 @@
 from wheatring.members.view import View
 from wheatring.members.words import Placed
 from wheatring.peers.agreement import LEADER_DUTY
-from wheatring.plan.judge import Reason
-from wheatring.plan.words import Plan
-from wheatring.skew.judge import Skew
-from wheatring.skew.leader import Push
-from wheatring.skew.member import Compile
-from wheatring.skew.needs import lacks, needs, own_abilities
-from wheatring.skew.words import OLDER, Abilities, Tried
+from wheatring.plan.compatibility import Reason
+from wheatring.plan.document import Plan
+from wheatring.skew.checker import CompatibilityChecker
+from wheatring.skew.coordinator import CheckCoordinator
+from wheatring.skew.messages import LEGACY_CAPABILITIES, Capabilities, TrialResult
+from wheatring.skew.participant import CompilePlan
+from wheatring.skew.requirements import local_capabilities, requirements_of, unmet_requirements
 
 VOTERS = 3
-Programs = dict[tuple[str, int], Abilities | None]  # what each process can; None: it has not these words
+Programs = dict[tuple[str, int], Capabilities | None]  # what each process can; None: it has not these words
 
 
 class Day:
     """A fleet for a while. `counts` of what happened, `breaches` of what must never hold."""
 
-    def __init__(self, seed: int, size: int = 7, skew: type[Skew] = Skew) -> None:
+    def __init__(
+        self, seed: int, size: int = 7, skew: type[CompatibilityChecker] = CompatibilityChecker
+    ) -> None:
         self.random = Random(f"skew:{seed}")
         voters = Voters(first(VOTERS))
         self.cluster = Cluster(seed, size, voters, [LEADER_DUTY], Terms(), Pace(), pieces=self._pieces)
         self.cluster.after = self._after
         self.skew = skew
         self.programs: Programs = {}
-        self.next: dict[str, Abilities | None] = {}
-        self.compiles: dict[str, Compile] = {}  # of those who do it otherwise
+        self.next: dict[str, Capabilities | None] = {}
+        self.compiles: dict[str, CompilePlan] = {}  # of those who do it otherwise
         self.pushers: dict[str, Pusher] = {}
         self.counts: Counter[str] = Counter()
         self.refused: tuple[Reason, ...] = ()
@@ -57,8 +59,8 @@
         self.view = View()
         self.newest: tuple[Entry, Plan, bytes] | None = None
         self.floor = (0, 1)  # of the newest entry: its number, and the format
-        newer, middle, old = (own_abilities(range(1, last), version=str) for last in (4, 3, 2))
-        self.kinds: tuple[Abilities | None, ...] = (newer, newer, middle, old, None)
+        newer, middle, old = (local_capabilities(range(1, last), version=str) for last in (4, 3, 2))
+        self.kinds: tuple[Capabilities | None, ...] = (newer, newer, middle, old, None)
         for node in self.cluster.nodes.values():
             self.next[node.name] = newer
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
@@ -95,15 +97,15 @@
             self.judge()
 
     def judge(self) -> None:
-        needed = needs(*self.newest[1:]) if self.newest is not None else None
+        needed = requirements_of(*self.newest[1:]) if self.newest is not None else None
         for placed in self.view.members:
             name = placed.who.name
             fleet = self.cluster.nodes[name].fleet
             if fleet is None or fleet.start != placed.start:
                 continue
-            can = self.programs[name, placed.start] or OLDER
-            why = [one.what for one in lacks(needed, can, name)] if needed is not None else []
-            if not can.reads(self.floor[1]):
+            can = self.programs[name, placed.start] or LEGACY_CAPABILITIES
+            why = [one.what for one in unmet_requirements(needed, can, name)] if needed is not None else []
+            if not can.can_read(self.floor[1]):
                 why.append(f"it does not read the floor, {self.floor[1]}")
             for what in why:
                 self.breaches.append(f"{self.cluster.now:.2f} s: {name} in view {self.view.number}: {what}")
@@ -127,7 +129,7 @@
                 self.cluster.say(node, do(at, pusher))
                 return
 
-    def restart(self, name: str, abilities: Abilities | None, away: float = 0.2) -> None:
+    def restart(self, name: str, abilities: Capabilities | None, away: float = 0.2) -> None:
         node = self.cluster.nodes[name]
         self.cluster.kill(node)
         self.next[name] = abilities
@@ -169,7 +171,7 @@
         out = [node for node in cluster.nodes.values() if node.fleet is None]
         if not out:
             cluster.kill(cluster.nodes[name])
-        elif self.newest is not None and needs(*self.newest[1:]).format > 1:
+        elif self.newest is not None and requirements_of(*self.newest[1:]).format > 1:
             self.push(drawn(random, 1))  # so that older ones may come in at all
         elif out[0].name not in self.view.names:
             self.next[out[0].name] = random.choice(self.kinds[1:])
@@ -190,46 +192,46 @@
 # Planted
 
 
-class _OutlivesItsView(Push):
-    def moved(self, now: float, view: View) -> None:
-        before = dict(self.of)
-        super().moved(now, view)
+class _OutlivesItsView(CheckCoordinator):
+    def view_changed(self, now: float, view: View) -> None:
+        before = dict(self.members)
+        super().view_changed(now, view)
         if before:
-            self.of = {key: one for key, one in self.of.items() if key in before}
+            self.members = {key: one for key, one in self.members.items() if key in before}
 
 
-class _SilentIsYes(Push):
+class _SilentIsYes(CheckCoordinator):
     def step(self, now: float) -> list[Out]:
-        alike = next((one.tried for one in self.of.values() if one.tried is not None), None)
-        for one in self.of.values():
-            if self._open(one) and now >= one.since + 2.0:
-                if one.able is None:
-                    one.able = Abilities()
+        alike = next((one.result for one in self.members.values() if one.result is not None), None)
+        for one in self.members.values():
+            if self._is_pending(one) and now >= one.asked_at + 2.0:
+                if one.capabilities is None:
+                    one.capabilities = Capabilities()
                 elif alike is not None:
-                    one.tried = Tried(self.push, 0, alike.result, alike.count)
+                    one.result = TrialResult(self.check_id, 0, alike.result, alike.count)
         return super().step(now)
 
 
-class OutlivesItsView(Skew):
+class OutlivesItsView(CompatibilityChecker):
     """A verdict that outlives its view."""
 
-    leads = _OutlivesItsView
+    coordinator_type = _OutlivesItsView
 
 
-class SilentIsYes(Skew):
+class SilentIsYes(CompatibilityChecker):
     """One that does not answer is taken for able, and for alike."""
 
-    leads = _SilentIsYes
+    coordinator_type = _SilentIsYes
 
 
-class OpenGate(Skew):
+class OpenGate(CompatibilityChecker):
     """Whoever knocks comes in."""
 
-    def admits(self, at: Instant, placed: Placed) -> tuple[Reason, ...]:
+    def admission_refusals(self, at: Instant, placed: Placed) -> tuple[Reason, ...]:
         return ()
 
 
-FAULTS: tuple[type[Skew], ...] = (OutlivesItsView, SilentIsYes, OpenGate)
+FAULTS: tuple[type[CompatibilityChecker], ...] = (OutlivesItsView, SilentIsYes, OpenGate)
 
 
 def check(days: int, seconds: float = 60.0, seed: int = 0) -> Iterator[tuple[bool, str]]:
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -25,11 +25,11 @@
 
 def messages_with_plans() -> Any:
     """Return the union of all message types, those of plans among them."""
-    from wheatring.plan.messages import PushWord
-    from wheatring.schedule.words import ScheduleWord
-    from wheatring.skew.words import SkewWord
+    from wheatring.plan.messages import AnyPlanMessage
+    from wheatring.schedule.messages import AnyScheduleMessage
+    from wheatring.skew.messages import AnySkewMessage
 
-    return VIEW_MESSAGES | PushWord | SkewWord | ScheduleWord
+    return VIEW_MESSAGES | AnyPlanMessage | AnySkewMessage | AnyScheduleMessage
 
 
 class Agreement:
--- a/wheatring/peers/compiled_plan.py
+++ b/wheatring/peers/compiled_plan.py
@@ -9,14 +9,14 @@
 from collections.abc import Mapping, Sequence
 from datetime import tzinfo
 
-from wheatring.plan.read import Compiled, compiled, read
-from wheatring.plan.words import Plan, Trial
+from wheatring.plan.document import Plan, Trial
+from wheatring.plan.parser import CompiledRoutes, compile_routes, parse_plan
 from wheatring.routes.split import ByCustomer
 from wheatring.routes.target import TurnedAway
 from wheatring.routes.words import Weighted
 from wheatring.schedule import zones
-from wheatring.schedule.check import check
 from wheatring.schedule.timetable import Timetable
+from wheatring.schedule.validation import validate_windows
 
 
 def compile_plan(body: bytes) -> tuple[Plan, CompiledPlan]:
@@ -27,21 +27,21 @@
     errors.OperatorError
         It can't be read, or its parts contradict one another.
     """
-    plan = read(body)
-    routes = compiled(plan)
-    check(plan)
+    plan = parse_plan(body)
+    routes = compile_routes(plan)
+    validate_windows(plan)
     return plan, CompiledPlan(routes)
 
 
 class CompiledPlan:
-    """A `skew.trials.Ruled`: answers the compatibility check's trials."""
+    """A `skew.trials.PlanEvaluator`: answers the compatibility check's trials."""
 
-    def __init__(self, compiled: Compiled) -> None:
+    def __init__(self, compiled: CompiledRoutes) -> None:
         self.table = compiled.table
         self.routes = compiled.routes
         self.timetable = Timetable(compiled.plan)
 
-    def way(self, trial: Trial) -> str:
+    def route(self, trial: Trial) -> str:
         """Describe the route that a trial's request takes, with its weights at the trial's instant.
 
         One spelling for all programs: their answers are compared as text.
@@ -69,7 +69,7 @@
 
     def zone(self, name: str) -> tzinfo:
         """Return a time zone by its IANA name, with the rules that windows go by."""
-        return zones.zone(name)
+        return zones.load_zone(name)
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:
         """Return when a window opens, closes or steps within these instants, ascending, in Unix seconds."""
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -301,7 +301,7 @@
         if self.make_agreement is None or self.options.plan is None:
             return True
         plan = None if self.agreement is None else self.agreement.plan
-        return plan is not None and plan.edges.ready
+        return plan is not None and plan.edges.is_ready
 
     def plan_status(self) -> dict[str, Any]:
         """Describe the fleet's plan for `GET /control/plan`."""
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -18,13 +18,13 @@
 from wheatring.peers.compiled_plan import compile_plan
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.status_values import shown_age
-from wheatring.plan.push import Plans
-from wheatring.plan.words import Settled
-from wheatring.schedule.edges import Edges
-from wheatring.schedule.fleet_time import FleetTime
+from wheatring.plan.agent import PlanAgent
+from wheatring.plan.document import CommittedPlan
+from wheatring.schedule.activation import WeightSchedule
+from wheatring.schedule.fleet_clock import FleetClock
 from wheatring.schedule.timetable import Timetable
-from wheatring.skew.judge import Skew
-from wheatring.skew.needs import own_abilities
+from wheatring.skew.checker import CompatibilityChecker
+from wheatring.skew.requirements import local_capabilities
 
 KEEP_OUT_TERMS = 10.0  # lease terms for which one that is unfit to lead keeps out of the queue
 FIRST_PLAN_RETRY_SECONDS = 5.0
@@ -45,13 +45,15 @@
         self.views = views
         self.set_weights = options.set_weights
         self.log = options.log
-        self.plans = Plans(at, fleet, views, taken=self._on_committed)
+        self.plans = PlanAgent(at, fleet, views, on_commit=self._on_committed)
         self.floors = Register(at, "floor", fleet, self._on_floor)
-        abilities = own_abilities(options.formats)
-        self.skew = Skew(fleet, abilities, compile_plan, self._is_view_settled, self._is_plan_settled)
-        self.plans.lead.judge = self.skew
-        self.time = FleetTime(at, fleet)
-        self.edges = Edges(at.now)
+        capabilities = local_capabilities(options.formats)
+        self.skew = CompatibilityChecker(
+            fleet, capabilities, compile_plan, self._is_view_settled, self._is_plan_settled
+        )
+        self.plans.leader.check = self.skew
+        self.time = FleetClock(at, fleet)
+        self.edges = WeightSchedule(at.now)
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         self.next_edge = at.now
@@ -73,28 +75,28 @@
         return self.plans.register.still and self.floors.still
 
     def _admits(self, at: Instant, placed: Placed) -> str:
-        reasons = self.skew.admits(at, placed)[:MAX_REASONS_OF_REJECTION]
+        reasons = self.skew.admission_refusals(at, placed)[:MAX_REASONS_OF_REJECTION]
         return "; ".join(f"{reason.code}: {reason.what}. {reason.do}" for reason in reasons)
 
     def _commit_instant(self, at: Instant) -> int:
         reading = self.time.now(at)
-        return round(reading.unix * 1000) if reading.sure else 0
+        return round(reading.unix * 1000) if reading.is_sure else 0
 
     def _on_floor(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:  # noqa: ARG002 - a callback's
-        self.skew.took_floor(body)
-        self.log("plan-floor", {"format": self.skew.floor})
+        self.skew.minimum_committed(body)
+        self.log("plan-floor", {"format": self.skew.minimum_format})
         return []
 
-    def _on_committed(self, at: Instant, settled: Settled) -> list[Out]:
-        body = self.fleet.bodies.get(settled.digest)
+    def _on_committed(self, at: Instant, committed: CommittedPlan) -> list[Out]:
+        body = self.fleet.bodies.get(committed.digest)
         assert body is not None
-        self.skew.took(settled.plan, body)
+        self.skew.plan_committed(committed.plan, body)
         when = self.plans.register.have.when
         since = when / 1000 if when else None
-        self.edges.settle(at.now, settled.number, Timetable(settled.plan), since)
+        self.edges.plan_committed(at.now, committed.version, Timetable(committed.plan), since)
         self.next_edge = at.now
-        fields = {"number": settled.number, "epoch": settled.epoch, "digest": settled.digest.hex()}
-        self.log("plan", {**fields, "format": settled.plan.format})
+        fields = {"number": committed.version, "epoch": committed.epoch, "digest": committed.digest.hex()}
+        self.log("plan", {**fields, "format": committed.plan.format})
         return []
 
     def confirmed_age(self, now: float) -> float:
@@ -120,20 +122,20 @@
         if self.first_plan and at.now >= self.next_proposal:
             self._propose_first(at)
         outgoing = self._give_up_lead_if_unfit(at)
-        look = self.edges.look(at.now, self.time.now(at), self.confirmed_age(at.now))
-        self.next_edge = look.due
-        for line in [*self.time.lines, *look.lines]:
-            self.log(line.event, line.fields)
-        self.time.lines.clear()
-        for route, weights in look.changed.items():
+        update = self.edges.update(at.now, self.time.now(at), self.confirmed_age(at.now))
+        self.next_edge = update.due
+        for event in [*self.time.events, *update.events]:
+            self.log(event.event, event.fields)
+        self.time.events.clear()
+        for route, weights in update.changed.items():
             self.set_weights(route, weights)
         return outgoing
 
     def _note_unreadable(self) -> None:
         """Report a committed plan that this program can't read."""
-        unread = self.plans.unread
-        if unread is not None and not self.skew.blind:
-            self.skew.took(None, self.fleet.bodies.get(self.plans.register.have.digest) or b"")
+        unread = self.plans.unreadable
+        if unread is not None and not self.skew.unreadable:
+            self.skew.plan_committed(None, self.fleet.bodies.get(self.plans.register.have.digest) or b"")
             self.log("plan-unread", {"code": unread.code, "why": unread.what})
 
     def _give_up_lead_if_unfit(self, at: Instant) -> list[Out]:
@@ -141,14 +143,14 @@
 
         A leader that can't read what is committed admits nobody to the view.
         """
-        if self.fleet.duties[LEAD].act(at.boot) is None or not self.skew.own():
+        if self.fleet.duties[LEAD].act(at.boot) is None or not self.skew.own_refusals():
             return []
         voters = {*self.fleet.voters.all}
         own = self.fleet.me.name
         others = [member.who for member in self.views.view.members if member.who.name != own]
         if not any({*self.fleet.names(who)} & voters for who in others):
             return []
-        self.log("plan-lead-left", {"why": self.skew.own()[0].what})
+        self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
         return self.fleet.release(at, LEAD, KEEP_OUT_TERMS)
 
     def _propose_first(self, at: Instant) -> None:
@@ -175,10 +177,10 @@
         """Propose a plan to the fleet; return the HTTP status and the JSON body of the answer."""
         try:
             compile_plan(body)  # what all would reject is rejected before it is sent
-            number = self.plans.offer(at, body)
+            number = self.plans.propose(at, body)
         except OperatorError as error:
             return 409 if error.code == "plan-push-under-way" else 400, error_body(error)
-        return 202, {"push": number, "state": self.plans.pushes[number].state}
+        return 202, {"push": number, "state": self.plans.proposals[number].state}
 
     def set_format_floor(self, at: Instant, least_format: int) -> tuple[int, dict[str, Any], list[Out]]:
         """Set the lowest plan format that members have to read; only at the sidecar that leads.
@@ -189,7 +191,7 @@
             The HTTP status and the JSON body of the answer, and messages to send.
         """
         try:
-            body = self.skew.floor_to(at, least_format, self.views.view)
+            body = self.skew.prepare_minimum(at, least_format, self.views.view)
             outgoing = self.floors.put(at, body)
         except OperatorError as error:
             return 409, error_body(error), []
@@ -202,20 +204,20 @@
         reading, edges = self.time.now(at), self.edges
         verdict = self.skew.verdict(at.now)
         return {
-            **self.plans.seen(at.now),
-            "in_force": edges.plan,
+            **self.plans.status(at.now),
+            "in_force": edges.plan_version,
             "weights": edges.weights,
-            "windows": sorted({window for window, _ in edges.inside}),
+            "windows": sorted({window for window, _ in edges.entered}),
             "time": {
-                "unix": round(reading.unix, 3), "sure": reading.sure,
-                "uncertain_s": None if reading.uncertain == inf else round(reading.uncertain, 4),
+                "unix": round(reading.unix, 3), "sure": reading.is_sure,
+                "uncertain_s": None if reading.uncertainty == inf else round(reading.uncertainty, 4),
             },
             "confirmed_s": shown_age(self.confirmed_age(at.now)),
-            "floor": self.skew.floor,
-            "unfit": [reason._asdict() for reason in self.skew.own()],
+            "floor": self.skew.minimum_format,
+            "unfit": [reason._asdict() for reason in self.skew.own_refusals()],
             "judged": {
-                "stage": verdict.stage.value, "view": verdict.view, "answered": verdict.asked,
-                "of": verdict.of,
+                "stage": verdict.stage.value, "view": verdict.view_number, "answered": verdict.answered,
+                "of": verdict.members,
                 "reasons": [reason._asdict() for reason in verdict.reasons[:MAX_REASONS_SHOWN]],
             },
         }  # fmt: skip
--- a/wheatring/plan/judge.py
+++ b/wheatring/plan/compatibility.py
@@ -11,14 +11,14 @@
 
 from wheatring.lease.fleet import Instant, Out
 from wheatring.members.view import View
-from wheatring.plan.words import Plan
+from wheatring.plan.document import Plan
 
 
-class Stage(Enum):
-    SURVEYED = "surveyed"  # being: every member is asked what it can
-    TRIED = "tried"  # being: every member compiles it and answers its trials
-    YES = "yes"  # of all members of `view`
-    NO = "no"
+class CheckStage(Enum):
+    SURVEYING = "surveyed"  # being: every member is asked what it can
+    TESTING = "tried"  # being: every member compiles it and answers its trials
+    COMPATIBLE = "yes"  # of all members of `view`
+    INCOMPATIBLE = "no"
 
 
 class Reason(NamedTuple):
@@ -33,25 +33,25 @@
 
 
 class Verdict(NamedTuple):
-    stage: Stage
-    view: int  # the number of the view that it belongs to
-    asked: int = 0  # members that have answered in this stage,
-    of: int = 0  # of so many
+    stage: CheckStage
+    view_number: int  # the number of the view that it belongs to
+    answered: int = 0  # members that have answered in this stage,
+    members: int = 0  # of so many
     reasons: tuple[Reason, ...] = ()
 
 
-class Judge(Protocol):
+class CompatibilityCheck(Protocol):
     """Leads the survey and the trial of one plan at a time, at the sidecar that leads. What it says to the
     members goes out with its own ticks and words: it is a piece of the fleet besides.
     """
 
-    def begin(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
+    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
         """Judge these bytes anew."""
 
-    def moved(self, at: Instant, view: View) -> list[Out]:
+    def view_changed(self, at: Instant, view: View) -> list[Out]:
         """The view is another one now."""
 
     def verdict(self, now: float) -> Verdict: ...
 
-    def end(self) -> None:
+    def stop_check(self) -> None:
         """It is settled or withdrawn."""
--- a/wheatring/plan/words.py
+++ b/wheatring/plan/document.py
@@ -12,24 +12,24 @@
 
 from msgspec import Meta, Struct
 
-OLDEST, NEWEST = 1, 3  # formats that there are
+OLDEST_FORMAT, NEWEST_FORMAT = 1, 3  # formats that there are
 
 _Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Weight = Annotated[int, Meta(ge=0, le=1_000_000)]
 _Text = Annotated[str, Meta(max_length=1000)]
 
 
-class Part(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True):
+class DocumentPart(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True):
     """What all parts of a plan are."""
 
 
-class PlanHeader(Part, frozen=True, kw_only=True):
+class PlanHeader(DocumentPart, frozen=True, kw_only=True):
     name: _Text
     exact: _Text = ""
     prefix: _Text = ""
 
 
-class PlanMatch(Part, frozen=True, kw_only=True):
+class PlanMatch(DocumentPart, frozen=True, kw_only=True):
     """As `routes.words.Match`."""
 
     host: _Text = ""
@@ -40,7 +40,7 @@
     headers: tuple[PlanHeader, ...] = ()
 
 
-class PlanRoute(Part, frozen=True, kw_only=True):
+class PlanRoute(DocumentPart, frozen=True, kw_only=True):
     """`weights` by pool. `split_by` (format 3): the header that keeps a customer in one pool."""
 
     name: _Name
@@ -51,14 +51,14 @@
     split_by: _Text = ""
 
 
-class Ramp(Part, frozen=True, kw_only=True):
+class Ramp(DocumentPart, frozen=True, kw_only=True):
     """Format 3: from the weights before to the window's in equal steps, `every` seconds apart; and back."""
 
     steps: Annotated[int, Meta(ge=2, le=100)]
     every: Annotated[float, Meta(ge=0.1, le=3600)]
 
 
-class PlanWindow(Part, frozen=True, kw_only=True):
+class PlanWindow(DocumentPart, frozen=True, kw_only=True):
     """Format 2. `start` is local time in `zone`, `YYYY-MM-DDTHH:MM:SS`; `length` seconds; `rrule` as RFC 5545
     spells it, "" for once; `except_` starts that are left out. Of those open at the same instant the
     highest priority counts. `when_cut`: whether one that is cut off goes by its timetable, or enters only
@@ -78,7 +78,7 @@
     when_cut: Literal["follow", "hold"] = "follow"
 
 
-class Trial(Part, frozen=True, kw_only=True):
+class Trial(DocumentPart, frozen=True, kw_only=True):
     """A request whose way every sidecar has to find alike before the plan is settled. `at`: an instant, Unix
     seconds, at which it is asked; None: outside all windows.
     """
@@ -90,20 +90,20 @@
     at: Annotated[float, Meta(ge=0, le=253_402_300_799)] | None = None
 
 
-class Plan(Part, frozen=True, kw_only=True):
+class Plan(DocumentPart, frozen=True, kw_only=True):
     """The whole document."""
 
-    format: Annotated[int, Meta(ge=OLDEST, le=NEWEST)]
+    format: Annotated[int, Meta(ge=OLDEST_FORMAT, le=NEWEST_FORMAT)]
     title: Annotated[str, Meta(max_length=200)] = ""
     routes: Annotated[tuple[PlanRoute, ...], Meta(max_length=10_000)]
     windows: Annotated[tuple[PlanWindow, ...], Meta(max_length=2000)] = ()
     trials: Annotated[tuple[Trial, ...], Meta(max_length=1000)] = ()
 
 
-class Settled(NamedTuple):
+class CommittedPlan(NamedTuple):
     """What a sidecar goes by: an entry of the register `plan` with its document."""
 
-    number: int
+    version: int
     epoch: int
     digest: bytes
     plan: Plan
--- a/wheatring/plan/messages.py
+++ b/wheatring/plan/messages.py
@@ -12,16 +12,16 @@
 from msgspec import Struct
 
 from wheatring.members.members import Address
-from wheatring.plan.judge import Reason
+from wheatring.plan.compatibility import Reason
 
-ROOM = 800  # bytes of reasons in one word, reckoned high
-TEXT = 240  # bytes of one text
+MAX_REASONS_BYTES = 800  # bytes of reasons in one word, reckoned high
+MAX_TEXT_BYTES = 240  # bytes of one text
 OFFERED, SURVEYED, TRIED, PUTTING = "offered", "surveyed", "tried", "putting"
 SETTLED, REFUSED, LOST = "settled", "refused", "lost"
-OVER = (SETTLED, REFUSED, LOST)  # states that no push leaves
+FINAL_STATES = (SETTLED, REFUSED, LOST)  # states that no push leaves
 
 
-class Why(NamedTuple):
+class GroupedReason(NamedTuple):
     """Reasons that are alike but for the member."""
 
     code: str
@@ -30,45 +30,45 @@
     members: tuple[str, ...] = ()
 
 
-class PlanWord(Struct, frozen=True, array_like=True, tag_field="w"):
+class PlanMessage(Struct, frozen=True, array_like=True, tag_field="w"):
     digest: bytes
 
 
-class Offer(PlanWord, frozen=True, tag="plan-offer"):
+class ProposePlan(PlanMessage, frozen=True, tag="plan-offer"):
     """To the leader, until it is answered: take this plan. `id` is the push's, `size` the body's in bytes,
     `base` the number of the plan that was settled, as far as was known where it is offered. `epoch`: of the
     leader that it is for, so that a word that is late begins nothing at the next one.
     """
 
     epoch: int
-    id: int
-    size: int
-    base: int
+    proposal_id: int
+    size_bytes: int
+    base_version: int
 
 
-class Pushed(PlanWord, frozen=True, tag="plan-pushed"):
+class RolloutStatus(PlanMessage, frozen=True, tag="plan-pushed"):
     """From the leader: how far the push is. `number`: of the entry, once it is settled. `asked` members of
     `of` hold it. `more` reasons had no room.
     """
 
     epoch: int
-    id: int
+    proposal_id: int
     state: str
-    number: int = 0
-    asked: int = 0
-    of: int = 0
-    whys: tuple[Why, ...] = ()
-    more: int = 0
+    version: int = 0
+    stored: int = 0
+    members: int = 0
+    reasons: tuple[GroupedReason, ...] = ()
+    omitted: int = 0
 
 
-class Hold(PlanWord, frozen=True, tag="plan-hold"):
+class StorePlan(PlanMessage, frozen=True, tag="plan-hold"):
     """From the leader of that epoch: fetch the body from there, read it whole, keep it, and tell me."""
 
     epoch: int
     source: Address
 
 
-class Holds(PlanWord, frozen=True, tag="plan-holds"):
+class PlanStored(PlanMessage, frozen=True, tag="plan-holds"):
     """It is here, whole and readable; or (`code`) it cannot be read here. `start` of this process."""
 
     epoch: int
@@ -78,20 +78,20 @@
     do: str = ""
 
 
-PushWord = Offer | Pushed | Hold | Holds
+AnyPlanMessage = ProposePlan | RolloutStatus | StorePlan | PlanStored
 
 
-def cut(text: str) -> str:
+def truncate(text: str) -> str:
     """What of a text goes into a word."""
-    return text.encode("utf-8", "replace")[:TEXT].decode("utf-8", "ignore")
+    return text.encode("utf-8", "replace")[:MAX_TEXT_BYTES].decode("utf-8", "ignore")
 
 
-def packed(reasons: Iterable[Reason]) -> tuple[tuple[Why, ...], int]:
+def pack_reasons(reasons: Iterable[Reason]) -> tuple[tuple[GroupedReason, ...], int]:
     """As they travel, and how many had no room."""
     groups: dict[tuple[str, str, str], list[str]] = {}
-    room, more = ROOM, 0
+    room, more = MAX_REASONS_BYTES, 0
     for reason in reasons:
-        key = (reason.code, cut(reason.what), cut(reason.do))
+        key = (reason.code, truncate(reason.what), truncate(reason.do))
         texts = 0 if key in groups else 12 + sum(len(text.encode()) for text in key)
         size = texts + 2 + len(reason.member.encode())
         if size > room:
@@ -99,8 +99,8 @@
             continue
         room -= size
         groups.setdefault(key, []).append(reason.member)
-    return tuple(Why(*key, tuple(members)) for key, members in groups.items()), more
+    return tuple(GroupedReason(*key, tuple(members)) for key, members in groups.items()), more
 
 
-def unpacked(whys: Iterable[Why]) -> tuple[Reason, ...]:
+def unpack_reasons(whys: Iterable[GroupedReason]) -> tuple[Reason, ...]:
     return tuple(Reason(member, why.code, why.what, why.do) for why in whys for member in why.members)
--- a/wheatring/plan/read.py
+++ b/wheatring/plan/parser.py
@@ -15,22 +15,22 @@
 from msgspec import Struct
 
 from wheatring.lease.bodies import LARGEST
+from wheatring.plan.document import NEWEST_FORMAT, OLDEST_FORMAT, Plan, PlanRoute, PlanWindow, Weight
 from wheatring.plan.errors import (
-    PlanFormatTooLow,
-    PlanFormatUnknown,
-    PlanRoutesClash,
-    PlanTooLarge,
-    PlanUnreadable,
-    PlanWeightsEmpty,
-    PlanWindowsClash,
-    PlanWindowUnknownPool,
-    PlanWindowUnknownRoute,
+    PlanFormatTooLowError,
+    PlanFormatUnknownError,
+    PlanRoutesClashError,
+    PlanTooLargeError,
+    PlanUnreadableError,
+    PlanWeightsEmptyError,
+    PlanWindowsClashError,
+    PlanWindowUnknownPoolError,
+    PlanWindowUnknownRouteError,
 )
-from wheatring.plan.words import NEWEST, OLDEST, Plan, PlanRoute, PlanWindow, Weight
 from wheatring.routes.table import Table
 from wheatring.routes.words import ClassFrom, Header, Match, Route, Weighted
 
-LONG = 200  # characters of what a document says that are repeated in an error
+MAX_QUOTED_CHARACTERS = 200  # characters of what a document says that are repeated in an error
 
 
 class _Head(Struct):
@@ -43,7 +43,7 @@
     pass
 
 
-class Compiled(NamedTuple):
+class CompiledRoutes(NamedTuple):
     """A plan as it is gone by. `windows` by the name of their route, in the order of the document."""
 
     plan: Plan
@@ -56,32 +56,34 @@
 _plan: msgspec.json.Decoder[Plan] = msgspec.json.Decoder(Plan)
 
 
-def canonical(plan: Plan) -> bytes:
+def encode_plan(plan: Plan) -> bytes:
     """The body of a plan: keys in the order of the words, pools by their names, defaults left out."""
     return msgspec.json.encode(plan, order="deterministic")
 
 
-def read(body: bytes) -> Plan:
+def parse_plan(body: bytes) -> Plan:
     """The document that a body (JSON, UTF-8) spells. Raises PlanTooLarge, PlanUnreadable, PlanFormatUnknown
     or PlanFormatTooLow.
     """
     if len(body) > LARGEST:
-        raise PlanTooLarge(f"{len(body)} bytes, {LARGEST} at most")
+        raise PlanTooLargeError(f"{len(body)} bytes, {LARGEST} at most")
     try:
         found = _head.decode(body)
-        if not OLDEST <= found.format <= NEWEST:
-            raise PlanFormatUnknown(f"format: {found.format}, and this program reads {OLDEST} to {NEWEST}")
+        if not OLDEST_FORMAT <= found.format <= NEWEST_FORMAT:
+            raise PlanFormatUnknownError(
+                f"format: {found.format}, and this program reads {OLDEST_FORMAT} to {NEWEST_FORMAT}"
+            )
         plan = _plan.decode(body)
         json.loads(body, object_pairs_hook=_once)
     except msgspec.ValidationError as bad:
-        raise PlanUnreadable(_said(body, str(bad))) from None
+        raise PlanUnreadableError(_said(body, str(bad))) from None
     except _Twice as bad:
-        raise PlanUnreadable(f"{_short(str(bad))}: a key that stands twice in one object") from None
+        raise PlanUnreadableError(f"{_short(str(bad))}: a key that stands twice in one object") from None
     except (ValueError, RecursionError) as bad:
-        raise PlanUnreadable(f"not JSON: {_short(str(bad))}") from None
+        raise PlanUnreadableError(f"not JSON: {_short(str(bad))}") from None
     needs, key = _needed(plan)
     if needs > plan.format:
-        raise PlanFormatTooLow(f"{key}: is of format {needs}, and the plan says format {plan.format}")
+        raise PlanFormatTooLowError(f"{key}: is of format {needs}, and the plan says format {plan.format}")
     return plan
 
 
@@ -97,7 +99,7 @@
 def _short(text: str) -> str:
     """On one line, and no longer than an error may be."""
     text = text if text.isprintable() else repr(text)
-    return text if len(text) <= LONG else f"{text[:LONG]}..."
+    return text if len(text) <= MAX_QUOTED_CHARACTERS else f"{text[:MAX_QUOTED_CHARACTERS]}..."
 
 
 def _needed(plan: Plan) -> tuple[int, str]:
@@ -146,7 +148,7 @@
 
 def _route(number: int, route: PlanRoute) -> Route:
     if not any(route.weights.values()):
-        raise PlanWeightsEmpty(f"routes[{number}].weights: route {route.name} has no weight above 0")
+        raise PlanWeightsEmptyError(f"routes[{number}].weights: route {route.name} has no weight above 0")
     try:
         return Route(
             route.name,
@@ -158,25 +160,25 @@
             route.split_by,
         )
     except ValueError as bad:
-        raise PlanUnreadable(f"routes[{number}]: {_short(str(bad))}") from None
+        raise PlanUnreadableError(f"routes[{number}]: {_short(str(bad))}") from None
 
 
-def compiled(plan: Plan) -> Compiled:
+def compile_routes(plan: Plan) -> CompiledRoutes:
     """What a plan means. Raises PlanUnreadable, PlanWeightsEmpty, PlanRoutesClash, PlanWindowsClash,
     PlanWindowUnknownRoute or PlanWindowUnknownPool for what cannot stand together.
     """
     routes: dict[str, Route] = {}
     for number, said in enumerate(plan.routes):
         if said.name in routes:
-            raise PlanRoutesClash(f"routes[{number}].name: {said.name} is another route's name")
+            raise PlanRoutesClashError(f"routes[{number}].name: {said.name} is another route's name")
         routes[said.name] = _route(number, said)
     try:
         table = Table(tuple(routes.values()))
     except ValueError as bad:
         if "the same conditions as" in str(bad):
-            raise PlanRoutesClash(_short(str(bad))) from None
-        raise PlanUnreadable(f"routes: {_short(str(bad))}") from None
-    return Compiled(plan, table, routes, _windows(plan, routes))
+            raise PlanRoutesClashError(_short(str(bad))) from None
+        raise PlanUnreadableError(f"routes: {_short(str(bad))}") from None
+    return CompiledRoutes(plan, table, routes, _windows(plan, routes))
 
 
 def _windows(plan: Plan, routes: dict[str, Route]) -> dict[str, tuple[PlanWindow, ...]]:
@@ -185,15 +187,15 @@
     for number, window in enumerate(plan.windows):
         at = f"windows[{number}]"
         if window.name in names:
-            raise PlanWindowsClash(f"{at}.name: {window.name} is another window's name")
+            raise PlanWindowsClashError(f"{at}.name: {window.name} is another window's name")
         names.add(window.name)
         route = routes.get(window.route)
         if route is None:
-            raise PlanWindowUnknownRoute(f"{at}.route: {window.route} is no route of this plan")
+            raise PlanWindowUnknownRouteError(f"{at}.route: {window.route} is no route of this plan")
         pools = {weighted.pool for weighted in route.pools}
         if unknown := sorted(window.weights.keys() - pools):
-            raise PlanWindowUnknownPool(f"{at}.weights.{unknown[0]}: no pool of route {route.name}")
+            raise PlanWindowUnknownPoolError(f"{at}.weights.{unknown[0]}: no pool of route {route.name}")
         if not any(window.weights.values()):
-            raise PlanWeightsEmpty(f"{at}.weights: window {window.name} has no weight above 0")
+            raise PlanWeightsEmptyError(f"{at}.weights: window {window.name} has no weight above 0")
         found[window.route] = (*found.get(window.route, ()), window)
     return found
--- a/wheatring/schedule/lines.py
+++ b/wheatring/schedule/events.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 
-class Line(NamedTuple):
+class LogEvent(NamedTuple):
     """`event` lower-case-with-hyphens; `fields` by name, seconds in those that end in `_s`."""
 
     event: str
--- a/wheatring/schedule/fleet_time.py
+++ b/wheatring/schedule/fleet_clock.py
@@ -25,38 +25,42 @@
 from wheatring.lease.fleet import Fleet, Instant, Out
 from wheatring.lease.voters import Voters
 from wheatring.members.members import Address
-from wheatring.schedule.lines import Line
-from wheatring.schedule.words import AskTime, ScheduleWord, Time
-
-BOUND = 0.25  # seconds; who is less certain than this is treated as cut off
-SPREAD = 0.025  # seconds by which a voter's clock may be wrong, its reading in whole ms among it
-RATE = 0.01  # part of 1 by which a second of the own clock may be wrong, as in `Terms`
-STEADY = 200e-6  # part of 1 by which its rate may wander from what was measured
-EVERY, SOON, FIRST = 10.0, 1.0, 0.25  # seconds from asking to asking: as a rule, in need, at first
-KEEP = 35.0  # seconds for which an answer counts
-WAIT = 5.0  # seconds for an answer
-BASE = 60.0  # seconds between two fixes that the rate is measured by, at least,
-ANCHOR = 300.0  # and from one that is kept for it to the next
-JUMP = 0.1  # seconds more on the clock that counts suspends: it was suspended
-SLEW = 0.5
-_SLOW, _FAST = 1 / (1 + RATE), 1 / (1 - RATE)  # true seconds in one of the own clock
+from wheatring.schedule.events import LogEvent
+from wheatring.schedule.messages import AnyScheduleMessage, TimeRequest, TimeResponse
+
+MAX_UNCERTAINTY_SECONDS = 0.25  # seconds; who is less certain than this is treated as cut off
+VOTER_ERROR_SECONDS = 0.025  # seconds by which a voter's clock may be wrong, its reading in whole ms among it
+MAX_RATE_ERROR = 0.01  # part of 1 by which a second of the own clock may be wrong, as in `Terms`
+RATE_WANDER = 200e-6  # part of 1 by which its rate may wander from what was measured
+POLL_SECONDS, SOON_POLL_SECONDS, FIRST_POLL_SECONDS = (
+    10.0,
+    1.0,
+    0.25,
+)  # seconds from asking to asking: as a rule, in need, at first
+ANSWER_LIFETIME_SECONDS = 35.0  # seconds for which an answer counts
+ANSWER_TIMEOUT_SECONDS = 5.0  # seconds for an answer
+MIN_RATE_BASE_SECONDS = 60.0  # seconds between two fixes that the rate is measured by, at least,
+ANCHOR_SECONDS = 300.0  # and from one that is kept for it to the next
+SUSPEND_SECONDS = 0.1  # seconds more on the clock that counts suspends: it was suspended
+SLEW_RATE = 0.5
+_SLOW, _FAST = 1 / (1 + MAX_RATE_ERROR), 1 / (1 - MAX_RATE_ERROR)  # true seconds in one of the own clock
 
 
 class Reading(NamedTuple):
     """`unix` seconds, right to `uncertain` either way."""
 
     unix: float
-    uncertain: float
+    uncertainty: float
 
     @property
-    def sure(self) -> bool:
-        return self.uncertain <= BOUND
+    def is_sure(self) -> bool:
+        return self.uncertainty <= MAX_UNCERTAINTY_SECONDS
 
 
 UNKNOWN = Reading(0.0, inf)
 
 
-class Span(NamedTuple):
+class TimeInterval(NamedTuple):
     """At `at` on the monotonic clock it was from `low` to `high`, Unix seconds."""
 
     at: float
@@ -64,18 +68,18 @@
     high: float
 
     @property
-    def wide(self) -> float:
+    def width(self) -> float:
         return self.high - self.low
 
-    def later(self, now: float, rates: tuple[float, float]) -> Span:
+    def advanced(self, now: float, rates: tuple[float, float]) -> TimeInterval:
         past = max(0.0, now - self.at)
-        return Span(now, self.low + past * rates[0], self.high + past * rates[1])
+        return TimeInterval(now, self.low + past * rates[0], self.high + past * rates[1])
 
-    def meets(self, other: Span) -> bool:
+    def overlaps(self, other: TimeInterval) -> bool:
         return self.low <= other.high and other.low <= self.high
 
 
-def agreed(spans: dict[str, Span], voters: Voters) -> tuple[float, float] | None:
+def majority_interval(spans: dict[str, TimeInterval], voters: Voters) -> tuple[float, float] | None:
     """From the first to the last instant that lies within the spans of a majority, or None: no majority
     meets. While voters are being changed, of a majority of both.
     """
@@ -88,21 +92,21 @@
     return (held[0], held[-1]) if held else None
 
 
-class FleetTime:
+class FleetClock:
     """A piece. `lines` is for whoever logs, and is emptied there."""
 
-    hears: tuple[type, ...] = (AskTime, Time)
+    hears: tuple[type, ...] = (TimeRequest, TimeResponse)
 
     def __init__(self, at: Instant, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.lines: list[Line] = []
+        self.events: list[LogEvent] = []
         self.seq = 0
-        self.asked: dict[int, tuple[float, set[str]]] = {}  # when, and who has not answered yet
-        self.answers: dict[str, Span] = {}
-        self.fix: Span | None = None
-        self.fixed = -inf  # when a majority last met
+        self.pending: dict[int, tuple[float, set[str]]] = {}  # when, and who has not answered yet
+        self.answers: dict[str, TimeInterval] = {}
+        self.fix: TimeInterval | None = None
+        self.fixed_at = -inf  # when a majority last met
         self.rates = (_SLOW, _FAST)
-        self.anchors: list[Span] = []  # fixes of long ago, the oldest first
+        self.anchors: list[TimeInterval] = []  # fixes of long ago, the oldest first
         self.base = (at.now, -inf)  # what was told when the fix last changed
         self.suspended = at.boot - at.now
         self.due = at.now
@@ -118,11 +122,11 @@
     def _read(self, now: float) -> Reading:
         if self.fix is None:
             return UNKNOWN
-        span = self.fix.later(now, self.rates)
+        span = self.fix.advanced(now, self.rates)
         middle = (span.low + span.high) / 2
         since, told = self.base
-        unix = max(middle, told + SLEW * max(0.0, now - since))
-        return Reading(unix, span.wide / 2 + unix - middle)
+        unix = max(middle, told + SLEW_RATE * max(0.0, now - since))
+        return Reading(unix, span.width / 2 + unix - middle)
 
     # Time
 
@@ -132,33 +136,42 @@
         self._resumed(at)
         self.seq += 1
         names = self.fleet.voters.all
-        self.asked = {seq: one for seq, one in self.asked.items() if at.now - one[0] < WAIT}
-        self.asked[self.seq] = (at.now, {*names})
+        self.pending = {
+            seq: one for seq, one in self.pending.items() if at.now - one[0] < ANSWER_TIMEOUT_SECONDS
+        }
+        self.pending[self.seq] = (at.now, {*names})
         self.due = at.now + self._pause(at.now) * (0.9 + 0.2 * self.fleet.random.random())
         self._tell(at.now)
-        return self.fleet.to_voters([(name, AskTime(self.seq)) for name in names])
+        return self.fleet.to_voters([(name, TimeRequest(self.seq)) for name in names])
 
     def _pause(self, now: float) -> float:
         if self.seq <= 4:
-            return FIRST
-        needs = now - self.fixed > 2 * EVERY or self._read(now).uncertain > 0.6 * BOUND
-        return SOON if needs or self.seq <= 10 else EVERY
+            return FIRST_POLL_SECONDS
+        needs = (
+            now - self.fixed_at > 2 * POLL_SECONDS
+            or self._read(now).uncertainty > 0.6 * MAX_UNCERTAINTY_SECONDS
+        )
+        return SOON_POLL_SECONDS if needs or self.seq <= 10 else POLL_SECONDS
 
     # Words
 
-    def hear(self, at: Instant, sender: str, address: Address, word: ScheduleWord) -> list[Out]:
+    def hear(self, at: Instant, sender: str, address: Address, word: AnyScheduleMessage) -> list[Out]:
         self._resumed(at)
-        if isinstance(word, AskTime):
-            return [(address, Time(word.seq, at.wall / 1000, SPREAD))] if self.fleet.votes() else []
-        asked = self.asked.get(word.seq)
-        if asked is None or not isfinite(word.unix) or not 0 <= word.spread <= BOUND:
+        if isinstance(word, TimeRequest):
+            return (
+                [(address, TimeResponse(word.seq, at.wall / 1000, VOTER_ERROR_SECONDS))]
+                if self.fleet.votes()
+                else []
+            )
+        asked = self.pending.get(word.seq)
+        if asked is None or not isfinite(word.unix) or not 0 <= word.spread <= MAX_UNCERTAINTY_SECONDS:
             return []
         names = [name for name in self.fleet.names_of(sender) if name in asked[1]]
         if not names:
             return []
         asked[1].difference_update(names)
         took = max(0.0, at.now - asked[0]) * _FAST
-        span = Span(at.now, word.unix - word.spread, word.unix + word.spread + took)
+        span = TimeInterval(at.now, word.unix - word.spread, word.unix + word.spread + took)
         self.answers.update((name, span) for name in names)
         self._fix(at.now)
         return []
@@ -169,45 +182,47 @@
     def _fix(self, now: float) -> None:
         voters = self.fleet.voters
         self.answers = {
-            name: span for name, span in self.answers.items() if now - span.at < KEEP and name in voters.all
+            name: span
+            for name, span in self.answers.items()
+            if now - span.at < ANSWER_LIFETIME_SECONDS and name in voters.all
         }
-        spans = {name: span.later(now, self.rates) for name, span in self.answers.items()}
-        met = agreed(spans, voters)
+        spans = {name: span.advanced(now, self.rates) for name, span in self.answers.items()}
+        met = majority_interval(spans, voters)
         if met is None:
             if self.met and voters.enough([*spans]):
                 self.met = False
                 low = {name: round(span.low, 3) for name, span in sorted(spans.items())}
-                self.lines.append(Line("time-voters-differ", {"clocks": low}))
+                self.events.append(LogEvent("time-voters-differ", {"clocks": low}))
             return
-        self.met, self.fixed = True, now
-        new = Span(now, *met)
+        self.met, self.fixed_at = True, now
+        new = TimeInterval(now, *met)
         if self.fix is not None:
-            old = self.fix.later(now, self.rates)
-            if old.meets(new) and old.wide <= new.wide:
+            old = self.fix.advanced(now, self.rates)
+            if old.overlaps(new) and old.width <= new.width:
                 return  # that one was quicker
-            if not old.meets(new):
+            if not old.overlaps(new):
                 self._moved(old, new)
         self.base = (now, self._read(now).unix if self.fix is not None else -inf)
         self.fix = new
         self._measure(new)
         self._tell(now)
 
-    def _moved(self, old: Span, new: Span) -> None:
+    def _moved(self, old: TimeInterval, new: TimeInterval) -> None:
         """The voters' clocks were put right, or the own one ran otherwise than it was measured to."""
         by = (new.low + new.high - old.low - old.high) / 2
-        self.lines.append(Line("time-moved", {"by_s": round(by, 3)}))
+        self.events.append(LogEvent("time-moved", {"by_s": round(by, 3)}))
         self.rates = (_SLOW, _FAST)
         self.anchors.clear()
 
-    def _measure(self, new: Span) -> None:
+    def _measure(self, new: TimeInterval) -> None:
         """How fast the own clock goes, by this fix and one of long ago."""
-        if not self.anchors or new.at - self.anchors[-1].at >= ANCHOR:
+        if not self.anchors or new.at - self.anchors[-1].at >= ANCHOR_SECONDS:
             self.anchors = [*self.anchors[-2:], new]
         old = self.anchors[0]
         past = new.at - old.at
-        if past >= BASE:
-            slow = max(_SLOW, (new.low - old.high) / past - STEADY)
-            fast = min(_FAST, (new.high - old.low) / past + STEADY)
+        if past >= MIN_RATE_BASE_SECONDS:
+            slow = max(_SLOW, (new.low - old.high) / past - RATE_WANDER)
+            fast = min(_FAST, (new.high - old.low) / past + RATE_WANDER)
             self.rates = (slow, fast) if slow < fast else (_SLOW, _FAST)
 
     def _resumed(self, at: Instant) -> None:
@@ -215,23 +230,25 @@
         had taken no time, so it counts no more.
         """
         by = at.boot - at.now - self.suspended
-        if by <= JUMP:
+        if by <= SUSPEND_SECONDS:
             return
         self.suspended += by
-        self.asked.clear()
+        self.pending.clear()
         self.answers.clear()
         self.anchors.clear()
         self.due = at.now
-        self.lines.append(Line("time-suspended", {"for_s": round(by, 3)}))
+        self.events.append(LogEvent("time-suspended", {"for_s": round(by, 3)}))
         if self.fix is not None:
             told = self._read(at.now).unix
-            span = self.fix.later(at.now, self.rates)
+            span = self.fix.advanced(at.now, self.rates)
             self.base = (at.now, told)
-            self.fix = Span(at.now, span.low + by * _SLOW, span.high + by * _FAST)
+            self.fix = TimeInterval(at.now, span.low + by * _SLOW, span.high + by * _FAST)
 
     def _tell(self, now: float) -> None:
         reading = self._read(now)
-        if reading.sure != self.was_sure and (reading.sure or self.fix is not None or self.seq > 10):
-            self.was_sure = reading.sure
-            known = None if self.fix is None else round(reading.uncertain, 3)
-            self.lines.append(Line("time-sure" if reading.sure else "time-unsure", {"uncertain_s": known}))
+        if reading.is_sure != self.was_sure and (reading.is_sure or self.fix is not None or self.seq > 10):
+            self.was_sure = reading.is_sure
+            known = None if self.fix is None else round(reading.uncertainty, 3)
+            self.events.append(
+                LogEvent("time-sure" if reading.is_sure else "time-unsure", {"uncertain_s": known})
+            )
--- a/wheatring/schedule/words.py
+++ b/wheatring/schedule/messages.py
@@ -5,13 +5,13 @@
 from msgspec import Struct
 
 
-class AskTime(Struct, frozen=True, array_like=True, tag_field="w", tag="ask-time"):
+class TimeRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="ask-time"):
     """To a voter: what does your clock say?"""
 
     seq: int
 
 
-class Time(Struct, frozen=True, array_like=True, tag_field="w", tag="time"):
+class TimeResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="time"):
     """From a voter: Unix seconds on its clock as it was asked, right to `spread` seconds either way."""
 
     seq: int
@@ -19,4 +19,4 @@
     spread: float
 
 
-ScheduleWord = AskTime | Time
+AnyScheduleMessage = TimeRequest | TimeResponse
--- a/wheatring/schedule/rules.py
+++ b/wheatring/schedule/recurrence.py
@@ -14,31 +14,35 @@
 
 from dateutil.rrule import DAILY, HOURLY, MONTHLY, WEEKLY, YEARLY, rrule, weekday
 
-from wheatring.schedule.errors import RuleTooLong, RuleTooOften, RuleUnreadable
-
-MOST_A_DAY = 96  # openings of one window: one in a quarter of an hour
-MOST_COUNT = 1000
-MOST_LIST = 96  # values of one part
+from wheatring.schedule.errors import (
+    WindowRuleTooLongError,
+    WindowRuleTooOftenError,
+    WindowRuleUnreadableError,
+)
+
+MAX_OPENINGS_PER_DAY = 96  # openings of one window: one in a quarter of an hour
+MAX_COUNT = 1000
+MAX_LIST_VALUES = 96  # values of one part
 DAYS = ("MO", "TU", "WE", "TH", "FR", "SA", "SU")
-OFTEN = {"YEARLY": YEARLY, "MONTHLY": MONTHLY, "WEEKLY": WEEKLY, "DAILY": DAILY, "HOURLY": HOURLY}
+FREQUENCIES = {"YEARLY": YEARLY, "MONTHLY": MONTHLY, "WEEKLY": WEEKLY, "DAILY": DAILY, "HOURLY": HOURLY}
 
 # Least, most, whether below 0 counts from the end, and with which frequencies. RFC 5545 takes BYYEARDAY also
 # with HOURLY, and BYHOUR and BYSETPOS; such a rule can be had with YEARLY or DAILY and BYHOUR.
 _DATED = ("YEARLY", "MONTHLY", "DAILY", "HOURLY")
 _DAYS = ("YEARLY", "MONTHLY", "WEEKLY", "DAILY")
 _LISTS: dict[str, tuple[int, int, bool, tuple[str, ...]]] = {
-    "BYMONTH": (1, 12, False, tuple(OFTEN)),
+    "BYMONTH": (1, 12, False, tuple(FREQUENCIES)),
     "BYWEEKNO": (1, 53, True, ("YEARLY",)),
     "BYYEARDAY": (1, 366, True, ("YEARLY",)),
     "BYMONTHDAY": (1, 31, True, _DATED),
     "BYHOUR": (0, 23, False, _DAYS),
-    "BYMINUTE": (0, 59, False, tuple(OFTEN)),
-    "BYSECOND": (0, 59, False, tuple(OFTEN)),
+    "BYMINUTE": (0, 59, False, tuple(FREQUENCIES)),
+    "BYSECOND": (0, 59, False, tuple(FREQUENCIES)),
     "BYSETPOS": (1, 366, True, _DAYS),
 }
 
 
-class Searched(Exception):
+class SearchLimitError(Exception):
     """So many days were looked at, and no more are."""
 
 
@@ -50,11 +54,11 @@
     def __contains__(self, value: object) -> bool:
         self.left -= 1
         if self.left < 0:
-            raise Searched
+            raise SearchLimitError
         return super().__contains__(value)
 
 
-class Rule(NamedTuple):
+class RecurrenceRule(NamedTuple):
     """`parts`: what `rrule` is made with. `times`: its COUNT. `until`: Unix seconds. `a_day`: openings in one
     day at most.
     """
@@ -62,19 +66,23 @@
     frequency: str
     parts: dict[str, Any]
     interval: int
-    times: int | None
-    until: float | None
-    a_day: int
+    count_limit: int | None
+    until_unix: float | None
+    openings_per_day: int
 
-    def walk(self, start: datetime, after: datetime, before: datetime) -> Iterator[datetime]:
+    def occurrences(self, start: datetime, after: datetime, before: datetime) -> Iterator[datetime]:
         """Local times that the rule names, from a `start` on: all that are after `after`, and maybe some
         before. A `start` that the rule does not name itself is none of them. Raises `Searched` once as many
         days were looked at as there are up to `before` and some; a year is looked at whole.
         """
-        if self.times is None and after > start:
+        if self.count_limit is None and after > start:
             start = self._nearer(start, after)
         made = rrule(
-            OFTEN[self.frequency], dtstart=start, interval=self.interval, count=self.times, **self.parts
+            FREQUENCIES[self.frequency],
+            dtstart=start,
+            interval=self.interval,
+            count=self.count_limit,
+            **self.parts,
         )
         # Months are asked for first, and where there are none, weekdays are, unless it is a week of the year.
         if made._bymonth:
@@ -103,11 +111,11 @@
         return start.replace(year=year, month=month + 1)
 
 
-def read(where: str, text: str, start: datetime) -> Rule:
+def parse_rule(where: str, text: str, start: datetime) -> RecurrenceRule:
     """Raises RuleUnreadable, RuleTooOften, RuleTooLong; `where` names the window in them."""
 
-    def bad(what: str) -> RuleUnreadable:
-        return RuleUnreadable(f"{where}: rrule: {what}")
+    def bad(what: str) -> WindowRuleUnreadableError:
+        return WindowRuleUnreadableError(f"{where}: rrule: {what}")
 
     pairs: dict[str, str] = {}
     for part in text.split(";"):
@@ -117,13 +125,15 @@
         pairs[key] = value
     frequency = pairs.pop("FREQ", "")
     if frequency in ("SECONDLY", "MINUTELY"):
-        raise RuleTooOften(f"{where}: rrule: FREQ={frequency}, {MOST_A_DAY} openings a day are the most")
-    if frequency not in OFTEN:
-        raise bad(f"FREQ={frequency[:20]!r}, may be {', '.join(OFTEN)}")
+        raise WindowRuleTooOftenError(
+            f"{where}: rrule: FREQ={frequency}, {MAX_OPENINGS_PER_DAY} openings a day are the most"
+        )
+    if frequency not in FREQUENCIES:
+        raise bad(f"FREQ={frequency[:20]!r}, may be {', '.join(FREQUENCIES)}")
     interval = _number(bad, "INTERVAL", pairs.pop("INTERVAL", "1"), 1, 10_000)
     count = _number(bad, "COUNT", pairs.pop("COUNT"), 1, 10**9) if "COUNT" in pairs else None
-    if count is not None and count > MOST_COUNT:
-        raise RuleTooLong(f"{where}: rrule: COUNT={count}, {MOST_COUNT} are the most")
+    if count is not None and count > MAX_COUNT:
+        raise WindowRuleTooLongError(f"{where}: rrule: COUNT={count}, {MAX_COUNT} are the most")
     until = _until(bad, pairs.pop("UNTIL")) if "UNTIL" in pairs else None
     if count is not None and until is not None:
         raise bad("COUNT and UNTIL exclude each other")
@@ -149,11 +159,13 @@
     a_day = 1
     for key, given in (("byhour", 24 if frequency == "HOURLY" else 1), ("byminute", 1), ("bysecond", 1)):
         a_day *= len(parts[key]) if key in parts else given
-    if a_day > MOST_A_DAY:
-        raise RuleTooOften(f"{where}: rrule: {a_day} openings a day, {MOST_A_DAY} are the most")
-    rule = Rule(frequency, parts, interval, count, until, a_day)
+    if a_day > MAX_OPENINGS_PER_DAY:
+        raise WindowRuleTooOftenError(
+            f"{where}: rrule: {a_day} openings a day, {MAX_OPENINGS_PER_DAY} are the most"
+        )
+    rule = RecurrenceRule(frequency, parts, interval, count, until, a_day)
     try:
-        rrule(OFTEN[frequency], dtstart=start, interval=interval, **parts)
+        rrule(FREQUENCIES[frequency], dtstart=start, interval=interval, **parts)
     except ValueError as error:  # hours that no interval ever comes to
         raise bad(str(error)) from None
     return rule
@@ -167,8 +179,8 @@
 
 def _list(bad: Any, key: str, text: str, least: int, most: int, back: bool) -> tuple[int, ...]:
     found = {_number(bad, key, one, -most if back else least, most) for one in text.split(",")}
-    if (back and 0 in found) or len(found) > MOST_LIST:
-        raise bad(f"{key}={text[:20]}, counts from {least}, {MOST_LIST} values are the most")
+    if (back and 0 in found) or len(found) > MAX_LIST_VALUES:
+        raise bad(f"{key}={text[:20]}, counts from {least}, {MAX_LIST_VALUES} values are the most")
     return tuple(sorted(found))
 
 
--- a/wheatring/schedule/timetable.py
+++ b/wheatring/schedule/timetable.py
@@ -16,19 +16,21 @@
 from math import gcd, inf
 from typing import NamedTuple
 
-from wheatring.plan.words import Plan
+from wheatring.plan.document import Plan
 from wheatring.schedule.windows import Window
 
-MICRO = 1_000_000
-DAY = 86_400 * MICRO
-KEPT = 16  # days whose steps are kept
-AHEAD = 2 * 86_400.0  # seconds that `next_edge` looks ahead
-FINE = 1_000_000  # parts of the whole to which weights of a step are rounded, where they are not exact
+MICROSECONDS = 1_000_000
+DAY_MICROSECONDS = 86_400 * MICROSECONDS
+MAX_DAYS = 16  # days whose steps are kept
+LOOKAHEAD_SECONDS = 2 * 86_400.0  # seconds that `next_edge` looks ahead
+WEIGHT_PARTS = (
+    1_000_000  # parts of the whole to which weights of a step are rounded, where they are not exact
+)
 
 Weights = dict[str, int]
 
 
-class Open(NamedTuple):
+class OpenWindow(NamedTuple):
     """A window that is open, by its opening."""
 
     window: str
@@ -37,13 +39,13 @@
     hold: bool  # `when_cut`
 
 
-class Step(NamedTuple):
+class WeightStep(NamedTuple):
     """From `at` (Unix seconds) on a route has these weights, by these windows, the lowest first."""
 
     at: float
     route: str
     weights: Weights
-    open: tuple[Open, ...]
+    open: tuple[OpenWindow, ...]
 
 
 def blend(below: Mapping[str, int], above: Mapping[str, int], part: int, of: int) -> Weights:
@@ -57,11 +59,11 @@
     whole = gcd(*mixed) or 1
     mixed = [value // whole for value in mixed]
     total = sum(mixed)
-    if total > FINE:
+    if total > WEIGHT_PARTS:
         exact = mixed
-        mixed = [value * FINE // total for value in exact]
-        order = sorted(range(len(names)), key=lambda i: (-(exact[i] * FINE % total), names[i]))
-        for i in order[: FINE - sum(mixed)]:
+        mixed = [value * WEIGHT_PARTS // total for value in exact]
+        order = sorted(range(len(names)), key=lambda i: (-(exact[i] * WEIGHT_PARTS % total), names[i]))
+        for i in order[: WEIGHT_PARTS - sum(mixed)]:
             mixed[i] += 1
     return dict(zip(names, mixed, strict=True))
 
@@ -75,7 +77,7 @@
         self.routes: dict[str, list[Window]] = {}  # those that have windows
         for window in self.windows.values():
             self.routes.setdefault(window.plan.route, []).append(window)
-        self.days: dict[int, dict[str, tuple[list[int], list[Step]]]] = {}
+        self.days: dict[int, dict[str, tuple[list[int], list[WeightStep]]]] = {}
 
     # What it is asked
 
@@ -91,21 +93,21 @@
             return self._layers(route, _micro(step.at), left)
         return step.weights
 
-    def step(self, route: str, at: float) -> Step:
+    def step(self, route: str, at: float) -> WeightStep:
         """The step that an instant is in. A day begins one anew, so `at` of it may be a day's begin. Only of
         a route that has windows.
         """
         instant = _micro(at)
-        starts, steps = self._day(instant // DAY)[route]
+        starts, steps = self._day(instant // DAY_MICROSECONDS)[route]
         return steps[bisect_right(starts, instant) - 1]
 
-    def edges(self, after: float, before: float) -> Iterator[Step]:
+    def changes(self, after: float, before: float) -> Iterator[WeightStep]:
         """All changes of weights after `after` and before `before`, Unix seconds, in order, and by the names
         of routes where they are at one instant.
         """
         first, last = _micro(after), _micro(before)
         was = {route: self.step(route, after).weights for route in self.routes}
-        for day in range(first // DAY, (last - 1) // DAY + 1):
+        for day in range(first // DAY_MICROSECONDS, (last - 1) // DAY_MICROSECONDS + 1):
             found = [
                 (start, step)
                 for starts, steps in self._day(day).values()
@@ -117,68 +119,78 @@
                     was[step.route] = step.weights
                     yield step
 
-    def next_edge(self, at: float) -> float:
+    def next_change(self, at: float) -> float:
         """The next instant after `at` at which weights of any route change; infinite: none within `AHEAD`."""
-        return next((step.at for step in self.edges(at, at + AHEAD)), inf)
+        return next((step.at for step in self.changes(at, at + LOOKAHEAD_SECONDS)), inf)
 
     def next_mark(self, at: float) -> float:
         """The next instant after `at` at which anything may change, also what lies below an open window: when
         whoever leaves a window out has to look again. A day's begin at the latest.
         """
         instant = _micro(at)
-        day = instant // DAY
-        marks = [(day + 1) * DAY]
+        day = instant // DAY_MICROSECONDS
+        marks = [(day + 1) * DAY_MICROSECONDS]
         for starts, _ in self._day(day).values():
             marks += starts[bisect_right(starts, instant) :][:1]
-        return min(marks) / MICRO
+        return min(marks) / MICROSECONDS
 
     def marks(self, window: str, after: float, before: float) -> list[float]:
         """When that window opens, closes or steps within, upwards, Unix seconds."""
         one = self.windows[window]
         first, last = _micro(after), _micro(before)
         marks: set[int] = set()
-        for opening in one.openings((first - one.length) // MICRO, -(-last // MICRO)):
+        for opening in one.openings((first - one.length) // MICROSECONDS, -(-last // MICROSECONDS)):
             hold = one.plan.when_cut == "hold"
-            marks.update(self._marks(Open(window, opening.opens / MICRO, opening.closes / MICRO, hold)))
-        return [mark / MICRO for mark in sorted(marks) if first <= mark < last]
+            marks.update(
+                self._marks(
+                    OpenWindow(window, opening.opens / MICROSECONDS, opening.closes / MICROSECONDS, hold)
+                )
+            )
+        return [mark / MICROSECONDS for mark in sorted(marks) if first <= mark < last]
 
     # How it is worked out
 
-    def _day(self, day: int) -> dict[str, tuple[list[int], list[Step]]]:
+    def _day(self, day: int) -> dict[str, tuple[list[int], list[WeightStep]]]:
         found = self.days.get(day)
         if found is None:
-            while len(self.days) >= KEPT:
+            while len(self.days) >= MAX_DAYS:
                 del self.days[next(iter(self.days))]
-            found = self.days[day] = {route: self._steps(route, day * DAY) for route in self.routes}
+            found = self.days[day] = {
+                route: self._steps(route, day * DAY_MICROSECONDS) for route in self.routes
+            }
         return found
 
-    def _openings(self, route: str, after: int, before: int) -> list[Open]:
+    def _openings(self, route: str, after: int, before: int) -> list[OpenWindow]:
         """Those that have an instant from `after` to just before `before`, the lowest priority first."""
         found = [
             (window.plan.priority, opening.opens, window.plan.name, opening.closes)
             for window in self.routes[route]
-            for opening in window.within((after - window.length) // MICRO, -(-before // MICRO))
+            for opening in window.cached_openings(
+                (after - window.length) // MICROSECONDS, -(-before // MICROSECONDS)
+            )
             if opening.opens < before and opening.closes > after
         ]
         return [
-            Open(name, opens / MICRO, closes / MICRO, self.windows[name].plan.when_cut == "hold")
+            OpenWindow(
+                name, opens / MICROSECONDS, closes / MICROSECONDS, self.windows[name].plan.when_cut == "hold"
+            )
             for _, opens, name, closes in sorted(found)
         ]
 
-    def _steps(self, route: str, begin: int) -> tuple[list[int], list[Step]]:
-        end = begin + DAY
+    def _steps(self, route: str, begin: int) -> tuple[list[int], list[WeightStep]]:
+        end = begin + DAY_MICROSECONDS
         openings = self._openings(route, begin, end)
         marks = {begin}
         for one in openings:
             marks.update(mark for mark in self._marks(one) if begin < mark < end)
         starts = sorted(marks)
-        steps: list[Step] = []
+        steps: list[WeightStep] = []
         for start in starts:
             here = tuple(one for one in openings if _micro(one.opens) <= start < _micro(one.closes))
-            steps.append(Step(start / MICRO, route, self._layers(route, start, here), here))
+            steps.append(WeightStep(start / MICROSECONDS, route, self._layers(route, start, here), here))
         return starts, steps
 
-    def _marks(self, one: Open) -> list[int]:
+    def _marks(self, one: OpenWindow) -> list[int]:
         """All instants at which an opening changes anything."""
         opens, closes = _micro(one.opens), _micro(one.closes)
         marks = [opens, closes]
@@ -189,7 +201,7 @@
             marks += [closes - k * every for k in range(1, ramp.steps)]
         return marks
 
-    def _layers(self, route: str, instant: int, open_: Sequence[Open]) -> Weights:
+    def _layers(self, route: str, instant: int, open_: Sequence[OpenWindow]) -> Weights:
         weights = self.base[route]
         for one in open_:
             plan = self.windows[one.window].plan
@@ -204,4 +216,4 @@
 
 
 def _micro(unix: float) -> int:
-    return round(unix * MICRO)
+    return round(unix * MICROSECONDS)
--- a/wheatring/schedule/check.py
+++ b/wheatring/schedule/validation.py
@@ -12,27 +12,27 @@
 from datetime import timedelta
 from itertools import pairwise
 
-from wheatring.plan.words import Plan, PlanWindow
+from wheatring.plan.document import Plan, PlanWindow
 from wheatring.schedule.errors import (
-    ExceptionIdle,
-    NeverOpens,
-    NoWeights,
-    Overlap,
-    RampTooLong,
-    RouteUnknown,
-    TooBusy,
-    TwoOfOneName,
+    WindowExceptionUnusedError,
+    WindowNameDuplicateError,
+    WindowNeverOpensError,
+    WindowOverlapError,
+    WindowRampTooLongError,
+    WindowRouteUnknownError,
+    WindowsTooManyStepsError,
+    WindowWeightsEmptyError,
 )
-from wheatring.schedule.timetable import MICRO
-from wheatring.schedule.windows import SHAPE, YEARS, Opening, Window
-from wheatring.schedule.zones import instant
+from wheatring.schedule.timetable import MICROSECONDS
+from wheatring.schedule.windows import LOCAL_TIME_FORMAT, SEARCH_YEARS, Opening, Window
+from wheatring.schedule.zones import to_unix
 
-HORIZON = 400 * 86_400  # seconds
-MOST_STEPS = 20_000  # steps a day of all windows of a plan
-MOST_OPENINGS = 100_000  # openings looked at in one check
+OVERLAP_HORIZON_SECONDS = 400 * 86_400  # seconds
+MAX_STEPS_PER_DAY = 20_000  # steps a day of all windows of a plan
+MAX_OPENINGS = 100_000  # openings looked at in one check
 
 
-def check(plan: Plan) -> None:
+def validate_windows(plan: Plan) -> None:
     """Raises the first of `errors.WindowError`s, in the order of the plan's windows; overlaps come last."""
     names: set[str] = set()
     routes = {route.name: route for route in plan.routes}
@@ -40,23 +40,27 @@
     for one in plan.windows:
         where = f"windows.{one.name}"
         if one.name in names:
-            raise TwoOfOneName(f"{where}: two windows are called so")
+            raise WindowNameDuplicateError(f"{where}: two windows are called so")
         names.add(one.name)
         if one.route not in routes:
-            raise RouteUnknown(f"{where}: route: there is no route {one.route!r}")
+            raise WindowRouteUnknownError(f"{where}: route: there is no route {one.route!r}")
         if not any(one.weights.values()):
-            raise NoWeights(f"{where}: weights: {len(one.weights)} pools and none above 0")
+            raise WindowWeightsEmptyError(f"{where}: weights: {len(one.weights)} pools and none above 0")
         if not any(routes[one.route].weights.values()):
-            raise NoWeights(f"routes.{one.route}: weights: none above 0, and {one.name} goes back to them")
+            raise WindowWeightsEmptyError(
+                f"routes.{one.route}: weights: none above 0, and {one.name} goes back to them"
+            )
         _ramp(where, one)
         window = Window(one)
         _exceptions(where, window)
-        if not window.ever():
-            raise NeverOpens(f"{where}: {one.rrule or 'once'}: no opening within {YEARS} years of its start")
+        if not window.opens_ever():
+            raise WindowNeverOpensError(
+                f"{where}: {one.rrule or 'once'}: no opening within {SEARCH_YEARS} years of its start"
+            )
         windows.append(window)
     steps = sum(_steps(window) for window in windows)
-    if steps > MOST_STEPS:
-        raise TooBusy(f"windows: {steps} steps a day, {MOST_STEPS} are the most")
+    if steps > MAX_STEPS_PER_DAY:
+        raise WindowsTooManyStepsError(f"windows: {steps} steps a day, {MAX_STEPS_PER_DAY} are the most")
     _overlaps(windows)
 
 
@@ -65,20 +69,26 @@
         return
     both = 2 * (window.ramp.steps - 1) * window.ramp.every
     if both >= window.length:
-        raise RampTooLong(f"{where}: ramp: takes {both:g} s in and out, the window lasts {window.length:g} s")
+        raise WindowRampTooLongError(
+            f"{where}: ramp: takes {both:g} s in and out, the window lasts {window.length:g} s"
+        )
 
 
 def _exceptions(where: str, window: Window) -> None:
-    for text, left_out in zip(window.plan.except_, map(window.exception, window.plan.except_), strict=True):
-        unix = instant(left_out, window.zone)
-        if all(found != left_out for _, found in window.named(unix, unix + 1)):
-            raise ExceptionIdle(f"{where}: except_: it does not open at {text} in {window.plan.zone}")
+    for text, left_out in zip(
+        window.plan.except_, map(window.parse_exception, window.plan.except_), strict=True
+    ):
+        unix = to_unix(left_out, window.zone)
+        if all(found != left_out for _, found in window.occurrences(unix, unix + 1)):
+            raise WindowExceptionUnusedError(
+                f"{where}: except_: it does not open at {text} in {window.plan.zone}"
+            )
 
 
 def _steps(window: Window) -> int:
     """Of one day, at most."""
     ramp = window.plan.ramp
-    openings = 1 if window.rule is None else window.rule.a_day
+    openings = 1 if window.rule is None else window.rule.openings_per_day
     return openings * (2 if ramp is None else 2 * ramp.steps)
 
 
@@ -91,23 +101,25 @@
         if len(group) == 1 and _apart(group[0]):
             continue
         found: list[tuple[Opening, str]] = []
-        for after, before in _spans(sorted(window.first for window in group)):
+        for after, before in _spans(sorted(window.start_unix for window in group)):
             for window in group:
                 here = window.openings(after, before)
                 looked += len(here)
-                if looked > MOST_OPENINGS:
-                    raise TooBusy(f"windows: more than {MOST_OPENINGS} openings to look at for overlaps")
+                if looked > MAX_OPENINGS:
+                    raise WindowsTooManyStepsError(
+                        f"windows: more than {MAX_OPENINGS} openings to look at for overlaps"
+                    )
                 found += [(opening, window.plan.name) for opening in here]
         for (one, name), (other, with_) in pairwise(sorted(found)):
             if other.opens < one.closes:
                 both = f"{name} and {with_}" if name != with_ else f"{name} and itself"
-                at = f"{other.start.strftime(SHAPE)} ({(one.closes - other.opens) / MICRO:g} s)"
-                raise Overlap(f"windows: {both} overlap at {at}, with one priority on one route")
+                at = f"{other.start.strftime(LOCAL_TIME_FORMAT)} ({(one.closes - other.opens) / MICROSECONDS:g} s)"
+                raise WindowOverlapError(f"windows: {both} overlap at {at}, with one priority on one route")
 
 
 def _apart(window: Window) -> bool:
     """Whether it surely never meets itself: it opens once a day at most, at one local time."""
-    return window.rule is None or (window.rule.a_day == 1 and window.plan.length < 20 * 3600)
+    return window.rule is None or (window.rule.openings_per_day == 1 and window.plan.length < 20 * 3600)
 
 
 def _spans(firsts: list[int]) -> list[tuple[int, int]]:
@@ -116,7 +128,7 @@
     spans: list[tuple[int, int]] = []
     for first in firsts:
         if spans and first - day <= spans[-1][1]:
-            spans[-1] = spans[-1][0], first + HORIZON
+            spans[-1] = spans[-1][0], first + OVERLAP_HORIZON_SECONDS
         else:
-            spans.append((first - day, first + HORIZON))
+            spans.append((first - day, first + OVERLAP_HORIZON_SECONDS))
     return spans
--- a/wheatring/schedule/windows.py
+++ b/wheatring/schedule/windows.py
@@ -14,16 +14,21 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from wheatring.plan.words import PlanWindow
-from wheatring.schedule.errors import ExceptionUnreadable, RuleTooLong, StartUnreadable, ZoneUnknown
-from wheatring.schedule.rules import Rule, Searched, read
-from wheatring.schedule.zones import instant, local, zone
-
-YEARS = 12  # in which a window that ever opens does so: from 2096 to 2104 there is no leap day
-BLOCK = 64 * 86_400  # seconds of openings that are worked out at once
-SHAPE = "%Y-%m-%dT%H:%M:%S"
-COUNTED = timedelta(days=20 * 366)  # in which a rule with a COUNT is over
-GAP = timedelta(days=2)  # by more no zone's offset moves
+from wheatring.plan.document import PlanWindow
+from wheatring.schedule.errors import (
+    WindowExceptionUnreadableError,
+    WindowRuleTooLongError,
+    WindowStartUnreadableError,
+    WindowZoneUnknownError,
+)
+from wheatring.schedule.recurrence import RecurrenceRule, SearchLimitError, parse_rule
+from wheatring.schedule.zones import load_zone, to_local, to_unix
+
+SEARCH_YEARS = 12  # in which a window that ever opens does so: from 2096 to 2104 there is no leap day
+BLOCK_SECONDS = 64 * 86_400  # seconds of openings that are worked out at once
+LOCAL_TIME_FORMAT = "%Y-%m-%dT%H:%M:%S"
+COUNT_LIMIT = timedelta(days=20 * 366)  # in which a rule with a COUNT is over
+MAX_OFFSET_CHANGE = timedelta(days=2)  # by more no zone's offset moves
 
 
 class Opening(NamedTuple):
@@ -41,47 +46,47 @@
         self.plan = plan
         where = f"windows.{plan.name}"
         try:
-            self.zone = zone(plan.zone)
+            self.zone = load_zone(plan.zone)
         except KeyError:
-            raise ZoneUnknown(f"{where}: zone: there is no {plan.zone!r}") from None
+            raise WindowZoneUnknownError(f"{where}: zone: there is no {plan.zone!r}") from None
         try:
-            self.start = datetime.strptime(plan.start, SHAPE)
+            self.start = datetime.strptime(plan.start, LOCAL_TIME_FORMAT)
         except ValueError:
-            raise StartUnreadable(f"{where}: start: {plan.start!r} is no time") from None
+            raise WindowStartUnreadableError(f"{where}: start: {plan.start!r} is no time") from None
         if not 1970 <= self.start.year < 2200:
-            raise StartUnreadable(f"{where}: start: the year is {self.start.year}")
-        self.left_out: frozenset[datetime] = frozenset(self.exception(one) for one in plan.except_)
-        self.rule: Rule | None = read(where, plan.rrule, self.start) if plan.rrule else None
-        counts = self.rule is not None and self.rule.times is not None
+            raise WindowStartUnreadableError(f"{where}: start: the year is {self.start.year}")
+        self.exceptions: frozenset[datetime] = frozenset(self.parse_exception(one) for one in plan.except_)
+        self.rule: RecurrenceRule | None = parse_rule(where, plan.rrule, self.start) if plan.rrule else None
+        counts = self.rule is not None and self.rule.count_limit is not None
         self.counted = self._count(where, self.rule) if self.rule is not None and counts else ()
         self.blocks: dict[int, list[Opening]] = {}
         self.length = round(plan.length * 1_000_000)
 
-    def exception(self, text: str) -> datetime:
+    def parse_exception(self, text: str) -> datetime:
         try:
-            return datetime.strptime(text, SHAPE)
+            return datetime.strptime(text, LOCAL_TIME_FORMAT)
         except ValueError:
-            raise ExceptionUnreadable(
+            raise WindowExceptionUnreadableError(
                 f"windows.{self.plan.name}: except_: {text[:40]!r} is no time"
             ) from None
 
     @property
-    def first(self) -> int:
+    def start_unix(self) -> int:
         """Unix seconds of its start."""
-        return instant(self.start, self.zone)
+        return to_unix(self.start, self.zone)
 
-    def named(self, after: float, before: float) -> Iterator[tuple[int, datetime]]:
+    def occurrences(self, after: float, before: float) -> Iterator[tuple[int, datetime]]:
         """Instants and local times that the rule names with an instant from `after` to just before `before`,
         Unix seconds; those that are left out are among them. In the order of local times.
         """
-        since = local(max(after, 0.0), self.zone) - GAP
-        until = local(max(before, 0.0), self.zone) + GAP
+        since = to_local(max(after, 0.0), self.zone) - MAX_OFFSET_CHANGE
+        until = to_local(max(before, 0.0), self.zone) + MAX_OFFSET_CHANGE
         for found in self._locals(since, until):
             if found >= until:
                 return
-            unix = instant(found, self.zone)
-            if self.rule is not None and self.rule.until is not None and unix > self.rule.until:
-                if unix > self.rule.until + 86_400:
+            unix = to_unix(found, self.zone)
+            if self.rule is not None and self.rule.until_unix is not None and unix > self.rule.until_unix:
+                if unix > self.rule.until_unix + 86_400:
                     return
                 continue  # 02:00 may be before a 01:30 that was skipped
             if after <= unix < before:
@@ -90,54 +95,58 @@
     def _locals(self, since: datetime, until: datetime) -> Iterator[datetime]:
         if self.rule is None:
             yield self.start
-        elif self.rule.times is not None:
+        elif self.rule.count_limit is not None:
             yield from self.counted
         else:
             yield from self._walked(self.rule, since, until)
 
-    def _walked(self, rule: Rule, since: datetime, until: datetime) -> Iterator[datetime]:
+    def _walked(self, rule: RecurrenceRule, since: datetime, until: datetime) -> Iterator[datetime]:
         try:
-            yield from rule.walk(self.start, since, until)
-        except Searched:
+            yield from rule.occurrences(self.start, since, until)
+        except SearchLimitError:
             return  # there is none up to `until`
 
-    def _count(self, where: str, rule: Rule) -> tuple[datetime, ...]:
+    def _count(self, where: str, rule: RecurrenceRule) -> tuple[datetime, ...]:
         """All that a rule with a COUNT names: within 20 years, or it is refused."""
         found: list[datetime] = []
         try:
-            for one in rule.walk(self.start, self.start, self.start + COUNTED):
+            for one in rule.occurrences(self.start, self.start, self.start + COUNT_LIMIT):
                 found.append(one)
-        except Searched:
+        except SearchLimitError:
             if found:
-                raise RuleTooLong(f"{where}: rrule: COUNT={rule.times} is not over in 20 years") from None
+                raise WindowRuleTooLongError(
+                    f"{where}: rrule: COUNT={rule.count_limit} is not over in 20 years"
+                ) from None
         return tuple(found)
 
     def openings(self, after: float, before: float) -> list[Opening]:
         """Those that open from `after` to just before `before`, Unix seconds, in order."""
-        found = {unix: start for unix, start in self.named(after, before) if start not in self.left_out}
+        found = {
+            unix: start for unix, start in self.occurrences(after, before) if start not in self.exceptions
+        }
         return [
             Opening(unix * 1_000_000, unix * 1_000_000 + self.length, found[unix]) for unix in sorted(found)
         ]
 
-    def within(self, after: float, before: float) -> list[Opening]:
+    def cached_openings(self, after: float, before: float) -> list[Opening]:
         """As `openings`, out of blocks that are kept. Where they begin differs from window to window, so that
         not all of a plan's windows are worked out anew on one day.
         """
         found: list[Opening] = []
-        shift = crc32(self.plan.name.encode()) % BLOCK
-        for block in range((int(after) + shift) // BLOCK, (int(before) + shift) // BLOCK + 1):
+        shift = crc32(self.plan.name.encode()) % BLOCK_SECONDS
+        for block in range((int(after) + shift) // BLOCK_SECONDS, (int(before) + shift) // BLOCK_SECONDS + 1):
             if block not in self.blocks:
-                while len(self.blocks) > 3 + self.length // (BLOCK * 1_000_000):
+                while len(self.blocks) > 3 + self.length // (BLOCK_SECONDS * 1_000_000):
                     del self.blocks[min(self.blocks)]
-                begin = block * BLOCK - shift
-                self.blocks[block] = self.openings(begin, begin + BLOCK)
+                begin = block * BLOCK_SECONDS - shift
+                self.blocks[block] = self.openings(begin, begin + BLOCK_SECONDS)
             found += [one for one in self.blocks[block] if after <= one.opens / 1_000_000 < before]
         return found
 
-    def ever(self) -> bool:
+    def opens_ever(self) -> bool:
         """Whether it opens within `YEARS` of its start."""
-        far = self.first + YEARS * 366 * 86400
-        return any(start not in self.left_out for _, start in self.named(self.first, far))
+        far = self.start_unix + SEARCH_YEARS * 366 * 86400
+        return any(start not in self.exceptions for _, start in self.occurrences(self.start_unix, far))
 
 
 def openings(window: PlanWindow, after: float, before: float) -> list[Opening]:
--- a/wheatring/schedule/zones.py
+++ b/wheatring/schedule/zones.py
@@ -15,21 +15,21 @@
 
 
 @lru_cache(maxsize=1)
-def names() -> frozenset[str]:
+def zone_names() -> frozenset[str]:
     """All zones that there are."""
     return frozenset((files("tzdata") / "zones").read_text(encoding="utf-8").split())
 
 
 @lru_cache(maxsize=1024)
-def zone(name: str) -> ZoneInfo:
+def load_zone(name: str) -> ZoneInfo:
     """KeyError: there is none of that name."""
-    if name not in names():  # also keeps a name like ../x from being read as a path
+    if name not in zone_names():  # also keeps a name like ../x from being read as a path
         raise KeyError(name)
     with (files("tzdata") / "zoneinfo").joinpath(*name.split("/")).open("rb") as file:
         return ZoneInfo.from_file(file, key=name)
 
 
-def instant(local: datetime, of: ZoneInfo) -> int:
+def to_unix(local: datetime, of: ZoneInfo) -> int:
     """The Unix second of a local time. One that a clock change repeats is the first of the two, one that it
     skips is read with the offset before the gap (RFC 5545, 3.3.5): so says `fold` 0 (PEP 495).
     """
@@ -38,6 +38,6 @@
     return round((local - EPOCH - offset).total_seconds())
 
 
-def local(unix: float, of: ZoneInfo) -> datetime:
+def to_local(unix: float, of: ZoneInfo) -> datetime:
     """The local time of an instant, without its zone."""
     return datetime.fromtimestamp(unix, of).replace(tzinfo=None, fold=0)
--- a/wheatring/skew/member.py
+++ b/wheatring/skew/participant.py
@@ -20,11 +20,21 @@
 from wheatring.lease.bodies import Fetch
 from wheatring.lease.fleet import Fleet, Instant, Out
 from wheatring.members.members import Address
-from wheatring.plan.words import Plan
-from wheatring.skew.trials import Answers, Ruled
-from wheatring.skew.words import Abilities, Able, Show, Shown, Survey, Tried, Try
-
-Compile = Callable[[bytes], tuple[Plan, Ruled]]  # raises OperatorError or ValueError for what it can't read
+from wheatring.plan.document import Plan
+from wheatring.skew.messages import (
+    AnswerRequest,
+    AnswerResponse,
+    Capabilities,
+    CapabilityRequest,
+    CapabilityResponse,
+    TrialRequest,
+    TrialResult,
+)
+from wheatring.skew.trials import AnswerChain, PlanEvaluator
+
+CompilePlan = Callable[
+    [bytes], tuple[Plan, PlanEvaluator]
+]  # raises OperatorError or ValueError for what it can't read
 KEEP = 60.0  # seconds for which a trial is kept after anybody asked about it
 MOST = 2  # trials at once: those of a leader that was and of the one that is
 FEW = 100  # requests answered in one go: about 2 ms
@@ -39,22 +49,22 @@
 
 
 class _Trial:
-    def __init__(self, now: float, word: Try, address: Address) -> None:
-        self.push = word.push
+    def __init__(self, now: float, word: TrialRequest, address: Address) -> None:
+        self.push = word.check_id
         self.digest = word.digest
         self.day = word.day
         self.address = address  # of whoever asked last
         self.asked = now
         self.fetched = -inf
-        self.answers: Answers | None = None
+        self.answers: AnswerChain | None = None
         self.error = ""
         self.done = False
 
 
-class Member:
+class CheckParticipant:
     """`compiles` reads and compiles a body."""
 
-    def __init__(self, fleet: Fleet, abilities: Abilities, compiles: Compile) -> None:
+    def __init__(self, fleet: Fleet, abilities: Capabilities, compiles: CompilePlan) -> None:
         self.fleet = fleet
         self.abilities = abilities
         self.compiles = compiles
@@ -75,7 +85,7 @@
         self.next_work = inf
         for trial in self.trials.values():
             if trial.answers is not None and not trial.done:
-                if trial.answers.work(FEW):
+                if trial.answers.advance(FEW):
                     trial.done = True
                     out += self._tell(trial)
                 else:
@@ -83,23 +93,25 @@
                     break
         return out
 
-    def hear(self, at: Instant, address: Address, word: Survey | Try | Show) -> list[Out]:
+    def hear(
+        self, at: Instant, address: Address, word: CapabilityRequest | TrialRequest | AnswerRequest
+    ) -> list[Out]:
         match word:
-            case Survey():
-                return [(address, Able(word.push, self.fleet.start, self.abilities))]
-            case Try():
+            case CapabilityRequest():
+                return [(address, CapabilityResponse(word.check_id, self.fleet.start, self.abilities))]
+            case TrialRequest():
                 return self._try(at, address, word)
-            case Show():
+            case AnswerRequest():
                 return self._show(at, address, word)
 
-    def _try(self, at: Instant, address: Address, word: Try) -> list[Out]:
+    def _try(self, at: Instant, address: Address, word: TrialRequest) -> list[Out]:
         trial = self.trials.get((word.digest, word.day))
         if trial is None:
             trial = self.trials[word.digest, word.day] = _Trial(at.now, word, address)
             while len(self.trials) > MOST:
                 self.trials.popitem(last=False)
         self.trials.move_to_end((word.digest, word.day))
-        trial.push, trial.address, trial.asked = word.push, address, at.now
+        trial.push, trial.address, trial.asked = word.check_id, address, at.now
         if trial.done:
             return self._tell(trial)
         return self._begin(at, trial)
@@ -120,7 +132,7 @@
             trial.error = short(" ".join(str(bad).split())) or type(bad).__name__
             trial.done = True
             return self._tell(trial)
-        trial.answers = Answers(plan, ruled, trial.day)
+        trial.answers = AnswerChain(plan, ruled, trial.day)
         self.next_work = at.now
         return []
 
@@ -132,15 +144,22 @@
 
     def _tell(self, trial: _Trial) -> list[Out]:
         count, result = (trial.answers.count, trial.answers.result) if trial.answers else (0, b"")
-        word = Tried(trial.push, self.fleet.start, result, count, trial.error)
+        word = TrialResult(trial.push, self.fleet.start, result, count, trial.error)
         return [(trial.address, word)]
 
-    def _show(self, at: Instant, address: Address, word: Show) -> list[Out]:
+    def _show(self, at: Instant, address: Address, word: AnswerRequest) -> list[Out]:
         for trial in self.trials.values():
             answers = trial.answers
-            if trial.push == word.push and trial.done and answers and 0 < word.upto <= answers.count:
+            if (
+                trial.push == word.check_id
+                and trial.done
+                and answers
+                and 0 < word.prefix_length <= answers.count
+            ):
                 trial.asked = at.now
-                asked, answer = answers.shown(word.upto - 1)
-                shown = (answers.prefix(word.upto), short(asked), short(answer))
-                return [(address, Shown(word.push, self.fleet.start, word.upto, *shown))]
+                asked, answer = answers.show(word.prefix_length - 1)
+                shown = (answers.prefix_digest(word.prefix_length), short(asked), short(answer))
+                return [
+                    (address, AnswerResponse(word.check_id, self.fleet.start, word.prefix_length, *shown))
+                ]
         return []
