--- a/wheatring/skew/needs.py
+++ b/wheatring/skew/requirements.py
@@ -9,22 +9,22 @@
 
 from wheatring.errors import OperatorError
 from wheatring.lease.bodies import LARGEST
-from wheatring.plan.judge import Reason
-from wheatring.plan.words import NEWEST, OLDEST, Plan, PlanRoute, PlanWindow
+from wheatring.plan.compatibility import Reason
+from wheatring.plan.document import NEWEST_FORMAT, OLDEST_FORMAT, Plan, PlanRoute, PlanWindow
 from wheatring.skew.errors import (
-    FormatsUnknown,
-    TooManyBytes,
-    TooManyExpressions,
-    TooManyRoutes,
-    TooManyWindows,
-    Unable,
-    UnreadableFormat,
+    CapabilityMissingError,
+    FormatsUnknownError,
+    FormatUnreadableError,
+    TooManyBytesError,
+    TooManyExpressionsError,
+    TooManyRoutesError,
+    TooManyWindowsError,
 )
-from wheatring.skew.words import FEATURES, RE2, TZDATA, Abilities
+from wheatring.skew.messages import FEATURE_FORMATS, RE2, TZDATA, Capabilities
 
-MOST_ROUTES, MOST_WINDOWS, MOST_EXPRESSIONS = 10_000, 2000, 1000
+MAX_ROUTES, MAX_WINDOWS, MAX_EXPRESSIONS = 10_000, 2000, 1000
 # Which library each feature comes with; who has it not, lacks the feature.
-LIBRARIES = {
+FEATURE_LIBRARIES = {
     "expressions": ("google-re2",),
     "split_by": ("xxhash",),
     "windows": ("tzdata",),
@@ -32,13 +32,13 @@
 }
 
 
-class Needs(NamedTuple):
+class Requirements(NamedTuple):
     """`format`: the least in which the same could be said; `written`: that in which it is. Counts of routes,
     windows and expressions, bytes of the body. `rules`: what has to mean the same everywhere.
     """
 
-    format: int = OLDEST
-    written: int = OLDEST
+    format: int = OLDEST_FORMAT
+    written: int = OLDEST_FORMAT
     features: frozenset[str] = frozenset()
     routes: int = 0
     windows: int = 0
@@ -57,15 +57,15 @@
     return {"windows"} | {name for name, there in used.items() if there}
 
 
-def needs(plan: Plan, body: bytes) -> Needs:
+def requirements_of(plan: Plan, body: bytes) -> Requirements:
     """What this plan needs, whose bytes are `body`."""
     features = {name for route in plan.routes for name in _of_route(route)}
     features |= {name for window in plan.windows for name in _of_window(window)}
-    least = max((FEATURES[name] for name in features), default=OLDEST)
+    least = max((FEATURE_FORMATS[name] for name in features), default=OLDEST_FORMAT)
     rules = {RE2} if "expressions" in features else set()
     if "windows" in features:
         rules.add(TZDATA)
-    return Needs(
+    return Requirements(
         least,
         max(least, plan.format),
         frozenset(features),
@@ -77,58 +77,64 @@
     )
 
 
-def reason(member: str, kind: type[OperatorError], what: str, do: str = "") -> Reason:
+def refusal(member: str, kind: type[OperatorError], what: str, do: str = "") -> Reason:
     """A refusal of this kind, about one member ("": the plan itself)."""
     return Reason(member, kind.code, what, do or kind.do)
 
 
-def spelled(formats: Sequence[tuple[int, int]]) -> str:
+def describe_formats(formats: Sequence[tuple[int, int]]) -> str:
     """Ranges of formats as a person reads them: "1 to 3", "2"."""
     parts = [f"{first}" if first == last else f"{first} to {last}" for first, last in formats]
     return ", ".join(parts) or "none"
 
 
-def lacks(needs: Needs, abilities: Abilities, member: str = "") -> list[Reason]:
+def unmet_requirements(needs: Requirements, abilities: Capabilities, member: str = "") -> list[Reason]:
     """What one that can just this lacks for it, and what would do; [] iff it lacks nothing."""
     out: list[Reason] = []
-    if not abilities.reads(needs.written):
-        what = f"the plan is written in format {needs.written}, it reads {spelled(abilities.formats)}"
-        out.append(reason(member, UnreadableFormat, what, _formats(needs, abilities)))
+    if not abilities.can_read(needs.written):
+        what = (
+            f"the plan is written in format {needs.written}, it reads {describe_formats(abilities.formats)}"
+        )
+        out.append(refusal(member, FormatUnreadableError, what, _formats(needs, abilities)))
     for name in sorted(needs.features - abilities.features):
-        libraries = " and ".join(LIBRARIES.get(name, ()))
-        do = f"Upgrade it to a program that knows format {FEATURES[name]}"
+        libraries = " and ".join(FEATURE_LIBRARIES.get(name, ()))
+        do = f"Upgrade it to a program that knows format {FEATURE_FORMATS[name]}"
         do += f" and has {libraries}" if libraries else ""
-        out.append(reason(member, Unable, f"it lacks {name}", f"{do}, or push a plan without {name}."))
+        out.append(
+            refusal(
+                member, CapabilityMissingError, f"it lacks {name}", f"{do}, or push a plan without {name}."
+            )
+        )
     limits: tuple[tuple[type[OperatorError], str, int, int], ...] = (
-        (TooManyRoutes, "routes", needs.routes, abilities.routes),
-        (TooManyWindows, "windows", needs.windows, abilities.windows),
-        (TooManyExpressions, "expressions", needs.expressions, abilities.expressions),
-        (TooManyBytes, "bytes", needs.bytes, abilities.bytes),
+        (TooManyRoutesError, "routes", needs.routes, abilities.routes),
+        (TooManyWindowsError, "windows", needs.windows, abilities.windows),
+        (TooManyExpressionsError, "expressions", needs.expressions, abilities.expressions),
+        (TooManyBytesError, "bytes", needs.bytes, abilities.bytes),
     )
     for kind, name, wanted, most in limits:
         if wanted > most:
             do = f"Raise its limit of {name} to {wanted} or more, or push a plan of {most} at most."
-            out.append(reason(member, kind, f"the plan has {wanted} {name}, it takes {most} at most", do))
+            out.append(refusal(member, kind, f"the plan has {wanted} {name}, it takes {most} at most", do))
     return out
 
 
-def _formats(needs: Needs, abilities: Abilities) -> str:
-    other = [format for format in range(needs.format, NEWEST + 1) if abilities.reads(format)]
+def _formats(needs: Requirements, abilities: Capabilities) -> str:
+    other = [format for format in range(needs.format, NEWEST_FORMAT + 1) if abilities.can_read(format)]
     if other:
         return f"Push the same plan in format {other[0]}, or upgrade it to read {needs.written}."
     reads = max((last for _, last in abilities.formats), default=0)
-    dropped = ", ".join(sorted(name for name in needs.features if FEATURES[name] > reads))
+    dropped = ", ".join(sorted(name for name in needs.features if FEATURE_FORMATS[name] > reads))
     instead = f", or push a plan of format {reads} without {dropped}" if dropped and reads else ""
     return f"Upgrade it to a program that reads format {needs.written}{instead}."
 
 
-def differing(rules: frozenset[str], one: Abilities, other: Abilities) -> str:
+def describe_version_differences(rules: frozenset[str], one: Capabilities, other: Capabilities) -> str:
     """Which of these have other versions at the two, as a person reads it; "": none."""
-    pairs = [(name, one.version(name), other.version(name)) for name in sorted(rules)]
+    pairs = [(name, one.version_of(name), other.version_of(name)) for name in sorted(rules)]
     return ", ".join(f"{n} {a or 'none'} instead of {b or 'none'}" for n, a, b in pairs if a != b)
 
 
-def installed(name: str) -> str:
+def installed_version(name: str) -> str:
     """The version of a library that is installed; "": it is not."""
     from importlib.metadata import PackageNotFoundError, version  # only where plans are turned on
 
@@ -138,36 +144,38 @@
         return ""
 
 
-def own_abilities(
+def local_capabilities(
     formats: Sequence[int] | None = None,
-    routes: int = MOST_ROUTES,
-    windows: int = MOST_WINDOWS,
-    expressions: int = MOST_EXPRESSIONS,
+    routes: int = MAX_ROUTES,
+    windows: int = MAX_WINDOWS,
+    expressions: int = MAX_EXPRESSIONS,
     size: int = LARGEST,
-    version: Callable[[str], str] = installed,
-) -> Abilities:
+    version: Callable[[str], str] = installed_version,
+) -> Capabilities:
     """What this program can, by what is installed. `formats` holds it back to these (`[plan] formats`, as a
     canary's neighbour needs); None: all that it knows. Raises FormatsUnknown.
     """
-    known = range(OLDEST, NEWEST + 1)
+    known = range(OLDEST_FORMAT, NEWEST_FORMAT + 1)
     held = sorted({*known} if formats is None else {*formats})
     if not held or not {*held} <= {*known}:
         asked = ", ".join(map(str, held)) or "none"
-        raise FormatsUnknown(f"plan.formats: {asked}, this program knows {OLDEST} to {NEWEST}")
+        raise FormatsUnknownError(
+            f"plan.formats: {asked}, this program knows {OLDEST_FORMAT} to {NEWEST_FORMAT}"
+        )
     ranges: list[tuple[int, int]] = []
     for format in held:
         if ranges and ranges[-1][1] == format - 1:
             ranges[-1] = (ranges[-1][0], format)
         else:
             ranges.append((format, format))
-    there = {name: version(name) for names in LIBRARIES.values() for name in names}
+    there = {name: version(name) for names in FEATURE_LIBRARIES.values() for name in names}
     features = {
         name
-        for name, since in FEATURES.items()
-        if since <= held[-1] and all(there[library] for library in LIBRARIES.get(name, ()))
+        for name, since in FEATURE_FORMATS.items()
+        if since <= held[-1] and all(there[library] for library in FEATURE_LIBRARIES.get(name, ()))
     }
     versions = tuple((rule, there[name]) for rule, name in ((RE2, "google-re2"), (TZDATA, "tzdata")))
-    return Abilities(
+    return Capabilities(
         tuple(ranges),
         frozenset(features),
         routes,
--- a/wheatring/skew/trials.py
+++ b/wheatring/skew/trials.py
@@ -21,21 +21,21 @@
 
 import msgspec
 
-from wheatring.plan.words import Plan, PlanMatch, PlanRoute, PlanWindow, Trial
+from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Trial
 
 MOST_REQUESTS, MOST_INSTANTS = 20_000, 6000  # that are made of a plan
 COSTS = 10  # requests that one instant costs as much as
 EDGES = 32  # edges of one window
 AHEAD = 400  # days over which the calendar is looked at: each clock change of a year is among them
 WEEK = 8  # days on each of which a window that repeats is asked about, whatever its rule
-DAY = 86_400
+DAY_SECONDS = 86_400
 SIZE = 16  # bytes of a digest
 
 
-class Ruled(Protocol):
+class PlanEvaluator(Protocol):
     """A plan that has been compiled: `peers/pieces` makes it of `plan/`, `routes/` and `schedule/`."""
 
-    def way(self, trial: Trial) -> str:
+    def route(self, trial: Trial) -> str:
         """The route that a request finds and its weights at `trial.at`, or why it is turned away; for a
         route that splits by customers also the pool. In one spelling for all.
         """
@@ -50,7 +50,7 @@
         """When this window opens, closes or steps within, upwards, Unix seconds."""
 
 
-class Asked(NamedTuple):
+class TrialCase(NamedTuple):
     """One thing that is tried: a request, or the weights of a route at an instant."""
 
     trial: Trial | None
@@ -120,8 +120,8 @@
         return datetime.fromtimestamp(at, zone).utcoffset()
 
     out: list[int] = []
-    for low in range(day * DAY, (day + days) * DAY, DAY):
-        high = low + DAY
+    for low in range(day * DAY_SECONDS, (day + days) * DAY_SECONDS, DAY_SECONDS):
+        high = low + DAY_SECONDS
         if offset(low) == offset(high):
             continue
         while high - low > 1:
@@ -136,7 +136,7 @@
     start = datetime.fromisoformat(window.start)
     days = [start]
     if window.rrule:
-        today = datetime.fromtimestamp(day * DAY, UTC).replace(tzinfo=None)
+        today = datetime.fromtimestamp(day * DAY_SECONDS, UTC).replace(tzinfo=None)
         days += [today + timedelta(days=number) for number in range(WEEK)]
         for change in clock_changes(zone, day):
             there = datetime.fromtimestamp(change, zone).replace(tzinfo=None)
@@ -147,9 +147,9 @@
             yield local.replace(fold=fold).timestamp()
 
 
-def _instants(window: PlanWindow, ruled: Ruled, day: int, most: int) -> list[float]:
+def _instants(window: PlanWindow, ruled: PlanEvaluator, day: int, most: int) -> list[float]:
     """Around the edges of a window, and around the clock changes of its zone; upwards, `most` at most."""
-    after, before = day * DAY, (day + AHEAD) * DAY
+    after, before = day * DAY_SECONDS, (day + AHEAD) * DAY_SECONDS
     zone = ruled.zone(window.zone)
     opened = list(_openings(window, zone, day))
     found = {*opened, *(at + window.length for at in opened), *clock_changes(zone, day)}
@@ -163,26 +163,26 @@
     return around[::step]
 
 
-def trials(plan: Plan, ruled: Ruled, day: int) -> Iterator[Asked]:
+def generate_cases(plan: Plan, ruled: PlanEvaluator, day: int) -> Iterator[TrialCase]:
     """All trials of a plan in their order, 27,000 at most. `day`: the Unix day from which the calendar
     is looked at.
     """
     for trial in plan.trials:
-        yield Asked(trial)
+        yield TrialCase(trial)
     each = max(1, MOST_REQUESTS // max(1, len(plan.routes)))
     for route in plan.routes:
         for trial in _of_route(route)[:each]:
-            yield Asked(trial)
+            yield TrialCase(trial)
     each = max(1, MOST_INSTANTS // max(1, len(plan.windows)))
     for window in plan.windows:
         for at in _instants(window, ruled, day, each):
-            yield Asked(None, window.route, at)
+            yield TrialCase(None, window.route, at)
 
 
 # Answers
 
 
-def asked(one: Asked) -> str:
+def describe_case(one: TrialCase) -> str:
     """What is asked, as a person reads it."""
     if one.trial is None:
         return f"the weights of route {one.route} at {spelled(one.at)}"
@@ -197,24 +197,24 @@
     return whole.isoformat().replace("+00:00", "Z")
 
 
-def answer(one: Asked, ruled: Ruled) -> str:
+def evaluate(one: TrialCase, ruled: PlanEvaluator) -> str:
     if one.trial is not None:
         try:
-            return ruled.way(one.trial)
+            return ruled.route(one.trial)
         except ValueError as bad:  # a request that routes turn away is answered alike everywhere too
             return f"turned away: {bad}"
     weights = ruled.weights(one.route, one.at)
     return ", ".join(f"{pool} {weight}" for pool, weight in sorted(weights.items()))
 
 
-class Answers:
+class AnswerChain:
     """The answers of one compiled plan, worked out a few at a time so that nobody else is kept waiting."""
 
-    def __init__(self, plan: Plan, ruled: Ruled, day: int) -> None:
+    def __init__(self, plan: Plan, ruled: PlanEvaluator, day: int) -> None:
         self.plan = plan
         self.ruled = ruled
         self.day = day
-        self.left: Iterator[Asked] | None = trials(plan, ruled, day)
+        self.left: Iterator[TrialCase] | None = generate_cases(plan, ruled, day)
         self.chain = bytearray(SIZE)  # the digests of the first 0, 1, 2, ... answers
 
     @property
@@ -226,22 +226,22 @@
         """The digest of all so far."""
         return bytes(self.chain[-SIZE:])
 
-    def prefix(self, upto: int) -> bytes:
+    def prefix_digest(self, upto: int) -> bytes:
         return bytes(self.chain[upto * SIZE : (upto + 1) * SIZE])
 
-    def work(self, most: int) -> bool:
+    def advance(self, most: int) -> bool:
         """Answer so many requests more, or as many instants as cost the same; whether all are answered."""
         while self.left is not None and most > 0:
             one = next(self.left, None)
             if one is None:
                 self.left = None
                 break
-            text = f"{asked(one)}\n{answer(one, self.ruled)}".encode()
+            text = f"{describe_case(one)}\n{evaluate(one, self.ruled)}".encode()
             self.chain += blake2b(self.result + text, digest_size=SIZE, person=b"wheatring-trial").digest()
             most -= COSTS if one.trial is None else 1
         return self.left is None
 
-    def shown(self, number: int) -> tuple[str, str]:
+    def show(self, number: int) -> tuple[str, str]:
         """One of them, from 0: what is asked, and the answer."""
-        one = next(islice(trials(self.plan, self.ruled, self.day), number, None))
-        return asked(one), answer(one, self.ruled)
+        one = next(islice(generate_cases(self.plan, self.ruled, self.day), number, None))
+        return describe_case(one), evaluate(one, self.ruled)
