--- a/tests/agree/test_plan.py
+++ b/tests/agree/test_plan.py
@@ -14,19 +14,20 @@
 from wheatring.lease.register import Phase
 from wheatring.lease.words import Entry, Newest
 from wheatring.members.view import View
-from wheatring.plan.agent import MAX_PENDING_PROPOSALS, PROPOSAL_TIMEOUT_SECONDS
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.errors import PlanFormatUnknownError, PlanNoViewError, PlanRolloutInProgressError
 from wheatring.plan.leader import STATE_TIMEOUT_SECONDS
 from wheatring.plan.messages import (
     PlanStored,
     ProposePlan,
+    RolloutState,
     RolloutStatus,
     StorePlan,
     pack_reasons,
     truncate,
     unpack_reasons,
 )
+from wheatring.plan.proposals import MAX_PENDING_PROPOSALS, PROPOSAL_TIMEOUT_SECONDS
 
 
 def world(size: int = 6, seed: int = 1, judged: float | None = None, **more: object) -> World:
@@ -169,7 +170,8 @@
     made.cluster.cut_off(third, CUT)
     push = made.offer("n4", body_of("first"))
     assert made.until(
-        lambda: push.is_final, STATE_TIMEOUT_SECONDS["offered"] + STATE_TIMEOUT_SECONDS["surveyed"]
+        lambda: push.is_final,
+        STATE_TIMEOUT_SECONDS[RolloutState.PROPOSED] + STATE_TIMEOUT_SECONDS[RolloutState.SURVEYING],
     )
     assert push.state == "refused" and sorted(why.member for why in push.reasons) == third
     assert numbers(made) == {0}
--- a/tests/agree/test_plan_read.py
+++ b/tests/agree/test_plan_read.py
@@ -12,8 +12,9 @@
 from wheatring.errors import OperatorError, kinds
 from wheatring.lease.bodies import LARGEST
 from wheatring.plan import errors
+from wheatring.plan.compiler import compile_routes
 from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
-from wheatring.plan.parser import compile_routes, encode_plan, parse_plan
+from wheatring.plan.parser import encode_plan, parse_plan
 
 ROUTE: dict[str, Any] = {"name": "shop", "match": {"prefix": "/shop"}, "weights": {"blue": 9, "green": 1}}
 WINDOW: dict[str, Any] = {
--- a/tests/agree/test_schedule_edges.py
+++ b/tests/agree/test_schedule_edges.py
@@ -283,11 +283,11 @@
     return WANTED(self, now, time, age, lines) if time.is_sure else self.weights
 
 
-WANTED = WeightSchedule._wanted
+WANTED = WeightSchedule._wanted_weights
 FAULTS: list[tuple[Any, str, Any, str]] = [
     (module, "CONFIRMATION_SECONDS", 1e6, "unconfirmed"),
     (module, "LEAD_SECONDS", -5.0, "not alike"),
-    (WeightSchedule, "_wanted", stays, "left behind"),
+    (WeightSchedule, "_wanted_weights", stays, "left behind"),
 ]
 
 
--- a/tests/agree/test_skew.py
+++ b/tests/agree/test_skew.py
@@ -26,6 +26,8 @@
     Trial,
 )
 from wheatring.skew.bisection import Bisection, PrefixAnswer
+from wheatring.skew.capabilities import FEATURE_FORMATS, LEGACY_CAPABILITIES, Capabilities, local_capabilities
+from wheatring.skew.capability_table import LEGACY_AFTER_SECONDS, MAX_PROCESSES, CapabilityTable
 from wheatring.skew.coordinator import CheckCoordinator
 from wheatring.skew.errors import (
     BelowMinimumError,
@@ -33,25 +35,9 @@
     MinimumInUseError,
     MinimumUnknownError,
 )
-from wheatring.skew.messages import (
-    FEATURE_FORMATS,
-    LEGACY_CAPABILITIES,
-    AnySkewMessage,
-    Capabilities,
-    CapabilityRequest,
-    CapabilityResponse,
-    TrialRequest,
-)
-from wheatring.skew.minimum_format import (
-    LEGACY_AFTER_SECONDS,
-    MAX_PROCESSES,
-    CapabilityTable,
-    admission_refusals,
-    change_minimum,
-    decode_minimum,
-    encode_minimum,
-)
-from wheatring.skew.requirements import Requirements, local_capabilities, requirements_of, unmet_requirements
+from wheatring.skew.messages import AnySkewMessage, CapabilityRequest, CapabilityResponse, TrialRequest
+from wheatring.skew.minimum_format import admission_refusals, change_minimum, decode_minimum, encode_minimum
+from wheatring.skew.requirements import Requirements, requirements_of, unmet_requirements
 from wheatring.skew.trials import AnswerChain, TrialCase, clock_changes, describe_case, generate_cases
 
 ALL = local_capabilities(version=str)
@@ -285,8 +271,9 @@
     assert next(generate_cases(plan, Toy(plan), DAY)) == TrialCase(Trial(target="/own"))
     code = (
         "import sys, msgspec; from wheatring.lab.agree_pusher import compiles\n"
-        "from wheatring.skew.trials import Answers\n"
-        "answers = Answers(*compiles(sys.stdin.buffer.read()), int(sys.argv[1])); answers.work(10**6)\n"
+        "from wheatring.skew.trials import AnswerChain\n"
+        "answers = AnswerChain(*compiles(sys.stdin.buffer.read()), int(sys.argv[1]))\n"
+        "answers.advance(10**6)\n"
         "print(answers.count, answers.result.hex())"
     )
     told = set()
--- a/tests/agree/test_skew_fleet.py
+++ b/tests/agree/test_skew_fleet.py
@@ -16,18 +16,18 @@
 from wheatring.members.words import Placed, Who
 from wheatring.plan.compatibility import CheckStage, Reason
 from wheatring.plan.document import Plan
+from wheatring.skew.capabilities import Capabilities, local_capabilities
+from wheatring.skew.capability_table import LEGACY_AFTER_SECONDS
 from wheatring.skew.checker import CompatibilityChecker
 from wheatring.skew.coordinator import CheckCoordinator
 from wheatring.skew.messages import (
     AnswerRequest,
-    Capabilities,
     CapabilityRequest,
     CapabilityResponse,
     TrialRequest,
     TrialResult,
 )
-from wheatring.skew.minimum_format import LEGACY_AFTER_SECONDS
-from wheatring.skew.requirements import Requirements, local_capabilities
+from wheatring.skew.requirements import Requirements
 
 NEWER, OLDER = local_capabilities(version=str), local_capabilities([1], version=str)
 
--- a/tests/agree/test_time.py
+++ b/tests/agree/test_time.py
@@ -21,7 +21,14 @@
 from wheatring.peers.agreement import VIEW_MESSAGES
 from wheatring.plan.document import Plan, PlanRoute, PlanWindow
 from wheatring.schedule.activation import WeightSchedule
-from wheatring.schedule.fleet_clock import UNKNOWN, FleetClock, Reading, TimeInterval, majority_interval
+from wheatring.schedule.fleet_clock import (
+    UNKNOWN,
+    FleetClock,
+    PendingRequest,
+    Reading,
+    TimeInterval,
+    majority_interval,
+)
 from wheatring.schedule.messages import AnyScheduleMessage, TimeRequest, TimeResponse
 from wheatring.schedule.timetable import Timetable
 
@@ -212,7 +219,7 @@
     world.cluster.run(60)
     time, at = world.watchers["n3"].time, world.cluster.instant(world.node("n3"))
     before = time.now(at)
-    time.pending[time.seq] = (at.now, {"#0"})
+    time.pending[time.seq] = PendingRequest(at.now, {"#0"})
     woken = Instant(at.now, at.boot + 7200, at.wall)
     reading = time.now(woken)
     assert abs(reading.unix - before.unix - 7200) < 1 and 72 < reading.uncertainty < 74
--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -61,7 +61,7 @@
         status, said = self.planned(name).offer(self.cluster.instant(node), body)
         assert status == 202, said
         self.cluster.say(node, [])
-        push = self.planned(name).plans.proposals[said["push"]]
+        push = self.planned(name).plans.proposals.entries[said["push"]]
         for _ in range(300):
             if push.is_final:
                 break
--- a/wheatring/lab/agree_plan.py
+++ b/wheatring/lab/agree_plan.py
@@ -18,12 +18,13 @@
 from wheatring.members.pace import Pace
 from wheatring.members.view import View
 from wheatring.peers.agreement import LEADER_DUTY
-from wheatring.plan.agent import PlanAgent, Proposal
+from wheatring.plan.agent import PlanAgent
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.plan.document import CommittedPlan, Plan, PlanMatch, PlanRoute
 from wheatring.plan.leader import RolloutLeader
-from wheatring.plan.messages import FINAL_STATES, PUTTING, REFUSED, SETTLED
+from wheatring.plan.messages import FINAL_STATES, RolloutState
 from wheatring.plan.parser import encode_plan, parse_plan
+from wheatring.plan.proposals import Proposal
 
 VOTERS = 3
 TERMS = Terms()
@@ -170,7 +171,7 @@
         node, plans = self.cluster.nodes[name], self.plans[name]
         assert node.fleet is not None
         self.bodies[digest(body)] = body
-        push = plans.proposals[plans.propose(self.cluster.instant(node), body)]
+        push = plans.propose(self.cluster.instant(node), body)
         self.pushed.append((name, node.starts, push))
         self.cluster.plan(node)
         return push
@@ -193,7 +194,7 @@
             if 2 * len(voters) > VOTERS:
                 self._is_chosen(entry.number, entry.digest)
         push = plans.leader.rollout
-        if push is not None and push.state == PUTTING and self.office(node):
+        if push is not None and push.state == RolloutState.COMMITTING and self.office(node):
             assert plans.leader.epoch is not None
             if (key3 := (node.name, plans.leader.epoch, push.version)) not in self.put:
                 self.put.add(key3)
@@ -248,11 +249,11 @@
         for _, _, push in self.pushed:
             offered[push.digest] = offered.get(push.digest, 0) + 1
         for name, _, push in self.pushed:
-            self.seen.refused += push.state == REFUSED
+            self.seen.refused += push.state == RolloutState.REJECTED
             self.seen.lost += push.state == "lost"
-            if push.state == SETTLED and push.digest not in settled:
+            if push.state == RolloutState.COMMITTED and push.digest not in settled:
                 self._breach(f"{name} tells {push.title} as settled, and it was not")
-            if push.state == REFUSED and push.digest in settled and offered[push.digest] == 1:
+            if push.state == RolloutState.REJECTED and push.digest in settled and offered[push.digest] == 1:
                 self._breach(f"{name} tells {push.title} as refused, and it was settled")
         if not self.over():
             self._breach("it is not told what came of a push")
--- a/wheatring/lab/agree_pusher.py
+++ b/wheatring/lab/agree_pusher.py
@@ -23,8 +23,8 @@
 from wheatring.members.words import Placed
 from wheatring.plan.compatibility import CheckStage, Reason
 from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
+from wheatring.skew.capabilities import Capabilities
 from wheatring.skew.checker import CompatibilityChecker
-from wheatring.skew.messages import Capabilities
 from wheatring.skew.participant import CompilePlan
 from wheatring.skew.requirements import requirements_of, unmet_requirements
 
--- a/wheatring/lab/agree_skew.py
+++ b/wheatring/lab/agree_skew.py
@@ -27,11 +27,12 @@
 from wheatring.peers.agreement import LEADER_DUTY
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.document import Plan
+from wheatring.skew.capabilities import LEGACY_CAPABILITIES, Capabilities, local_capabilities
 from wheatring.skew.checker import CompatibilityChecker
 from wheatring.skew.coordinator import CheckCoordinator
-from wheatring.skew.messages import LEGACY_CAPABILITIES, Capabilities, TrialResult
+from wheatring.skew.messages import TrialResult
 from wheatring.skew.participant import CompilePlan
-from wheatring.skew.requirements import local_capabilities, requirements_of, unmet_requirements
+from wheatring.skew.requirements import requirements_of, unmet_requirements
 
 VOTERS = 3
 Programs = dict[tuple[str, int], Capabilities | None]  # what each process can; None: it has not these words
--- a/wheatring/peers/compiled_plan.py
+++ b/wheatring/peers/compiled_plan.py
@@ -9,8 +9,9 @@
 from collections.abc import Mapping, Sequence
 from datetime import tzinfo
 
+from wheatring.plan.compiler import CompiledRoutes, compile_routes
 from wheatring.plan.document import Plan, Trial
-from wheatring.plan.parser import CompiledRoutes, compile_routes, parse_plan
+from wheatring.plan.parser import parse_plan
 from wheatring.routes.split import ByCustomer
 from wheatring.routes.target import TurnedAway
 from wheatring.routes.words import Weighted
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -23,8 +23,8 @@
 from wheatring.schedule.activation import WeightSchedule
 from wheatring.schedule.fleet_clock import FleetClock
 from wheatring.schedule.timetable import Timetable
+from wheatring.skew.capabilities import local_capabilities
 from wheatring.skew.checker import CompatibilityChecker
-from wheatring.skew.requirements import local_capabilities
 
 KEEP_OUT_TERMS = 10.0  # lease terms for which one that is unfit to lead keeps out of the queue
 FIRST_PLAN_RETRY_SECONDS = 5.0
@@ -177,10 +177,10 @@
         """Propose a plan to the fleet; return the HTTP status and the JSON body of the answer."""
         try:
             compile_plan(body)  # what all would reject is rejected before it is sent
-            number = self.plans.propose(at, body)
+            proposal = self.plans.propose(at, body)
         except OperatorError as error:
             return 409 if error.code == "plan-push-under-way" else 400, error_body(error)
-        return 202, {"push": number, "state": self.plans.proposals[number].state}
+        return 202, {"push": proposal.proposal_id, "state": proposal.state}
 
     def set_format_floor(self, at: Instant, least_format: int) -> tuple[int, dict[str, Any], list[Out]]:
         """Set the lowest plan format that members have to read; only at the sidecar that leads.
--- a/wheatring/plan/compatibility.py
+++ b/wheatring/plan/compatibility.py
@@ -1,7 +1,7 @@
-"""What the push of a plan asks of whoever judges it: `skew` does, put in by `peers/pieces`.
+"""The interface between a rollout and its compatibility check, which `skew.checker` implements.
 
-A verdict belongs to one body and one view. If the view moves before the plan is settled, whoever is new is
-surveyed and tried too; who was asked before need not be asked again.
+A verdict belongs to one body and one view. If the view changes before the plan is committed, new members are
+checked too; members that have already answered are not asked again.
 """
 
 from __future__ import annotations
@@ -15,15 +15,19 @@
 
 
 class CheckStage(Enum):
-    SURVEYING = "surveyed"  # being: every member is asked what it can
-    TESTING = "tried"  # being: every member compiles it and answers its trials
-    COMPATIBLE = "yes"  # of all members of `view`
+    """How far a compatibility check is. The values are part of `GET /control/plan`."""
+
+    SURVEYING = "surveyed"  # members are asked for their capabilities
+    TESTING = "tried"  # members compile the plan and answer its trials
+    COMPATIBLE = "yes"  # every member of the verdict's view
     INCOMPATIBLE = "no"
 
 
 class Reason(NamedTuple):
-    """Why a plan is refused or not settled yet: which member ("": the plan itself), the code of an error,
-    what is the matter, and what would do.
+    """Why a plan is rejected or not committed yet.
+
+    `member` is "" where the plan itself is meant; `code`, `what` and `do` are those of an error: its code,
+    what happened, and what an operator can do. The names are keys of `GET /control/plan`.
     """
 
     member: str
@@ -33,25 +37,29 @@
 
 
 class Verdict(NamedTuple):
+    """The result so far: `answered` of `members` have finished the present stage, in view `view_number`."""
+
     stage: CheckStage
-    view_number: int  # the number of the view that it belongs to
-    answered: int = 0  # members that have answered in this stage,
-    members: int = 0  # of so many
+    view_number: int
+    answered: int = 0
+    members: int = 0
     reasons: tuple[Reason, ...] = ()
 
 
 class CompatibilityCheck(Protocol):
-    """Leads the survey and the trial of one plan at a time, at the sidecar that leads. What it says to the
-    members goes out with its own ticks and words: it is a piece of the fleet besides.
+    """Checks one plan at a time against all members, at the sidecar that leads.
+
+    Its messages to members go out with its own ticks: it is also a component of the fleet.
     """
 
     def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
-        """Judge these bytes anew."""
+        """Start a new check of the body with this digest."""
 
     def view_changed(self, at: Instant, view: View) -> list[Out]:
-        """The view is another one now."""
+        """Continue the check with the members of another view."""
 
-    def verdict(self, now: float) -> Verdict: ...
+    def verdict(self, now: float) -> Verdict:
+        """Return the result so far, at `now` on the monotonic clock."""
 
     def stop_check(self) -> None:
-        """It is settled or withdrawn."""
+        """Forget the check: the plan is committed or its rollout is over."""
--- /dev/null
+++ b/wheatring/plan/compiler.py
@@ -0,0 +1,95 @@
+"""From a plan's document to routes and windows that are consistent with one another."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from wheatring.plan.document import Plan, PlanRoute, PlanWindow
+from wheatring.plan.errors import (
+    PlanRoutesClashError,
+    PlanUnreadableError,
+    PlanWeightsEmptyError,
+    PlanWindowsClashError,
+    PlanWindowUnknownPoolError,
+    PlanWindowUnknownRouteError,
+)
+from wheatring.plan.parser import quote
+from wheatring.routes.table import Table
+from wheatring.routes.words import ClassFrom, Header, Match, Route, Weighted
+
+
+class CompiledRoutes(NamedTuple):
+    """A plan ready to be applied; `windows` by the name of their route, in the order of the document."""
+
+    plan: Plan
+    table: Table
+    routes: dict[str, Route]
+    windows: dict[str, tuple[PlanWindow, ...]]
+
+
+def compile_routes(plan: Plan) -> CompiledRoutes:
+    """Compile a plan's routes, and check its windows against them.
+
+    Raises
+    ------
+    PlanUnreadableError, PlanWeightsEmptyError, PlanRoutesClashError, PlanWindowsClashError
+        A part of the plan has no meaning, or two parts contradict each other.
+    PlanWindowUnknownRouteError, PlanWindowUnknownPoolError
+        A window refers to what the plan does not have.
+    """
+    routes: dict[str, Route] = {}
+    for index, route in enumerate(plan.routes):
+        if route.name in routes:
+            raise PlanRoutesClashError(f"routes[{index}].name: {route.name} is another route's name")
+        routes[route.name] = _compile_route(index, route)
+    try:
+        table = Table(tuple(routes.values()))
+    except ValueError as error:
+        if "the same conditions as" in str(error):
+            raise PlanRoutesClashError(quote(str(error))) from None
+        raise PlanUnreadableError(f"routes: {quote(str(error))}") from None
+    return CompiledRoutes(plan, table, routes, _group_windows(plan, routes))
+
+
+def _compile_route(index: int, route: PlanRoute) -> Route:
+    if not any(route.weights.values()):
+        raise PlanWeightsEmptyError(f"routes[{index}].weights: route {route.name} has no weight above 0")
+    try:
+        return Route(
+            route.name,
+            _compile_match(route),
+            tuple(Weighted(pool, weight) for pool, weight in sorted(route.weights.items())),
+            ClassFrom(fixed=route.class_name) if route.class_name else ClassFrom(first_part=True),
+            route.deadline,
+            (),
+            route.split_by,
+        )
+    except ValueError as error:
+        raise PlanUnreadableError(f"routes[{index}]: {quote(str(error))}") from None
+
+
+def _compile_match(route: PlanRoute) -> Match:
+    match = route.match
+    headers = tuple(Header(header.name, header.exact, header.prefix) for header in match.headers)
+    return Match(match.host, match.path, match.prefix, match.expression, match.methods, headers)
+
+
+def _group_windows(plan: Plan, routes: dict[str, Route]) -> dict[str, tuple[PlanWindow, ...]]:
+    """Return the windows by route; each has a name of its own, a known route, and pools of that route."""
+    names: set[str] = set()
+    found: dict[str, tuple[PlanWindow, ...]] = {}
+    for index, window in enumerate(plan.windows):
+        where = f"windows[{index}]"
+        if window.name in names:
+            raise PlanWindowsClashError(f"{where}.name: {window.name} is another window's name")
+        names.add(window.name)
+        route = routes.get(window.route)
+        if route is None:
+            raise PlanWindowUnknownRouteError(f"{where}.route: {window.route} is no route of this plan")
+        pools = {weighted.pool for weighted in route.pools}
+        if unknown := sorted(window.weights.keys() - pools):
+            raise PlanWindowUnknownPoolError(f"{where}.weights.{unknown[0]}: no pool of route {route.name}")
+        if not any(window.weights.values()):
+            raise PlanWeightsEmptyError(f"{where}.weights: window {window.name} has no weight above 0")
+        found[window.route] = (*found.get(window.route, ()), window)
+    return found
--- a/wheatring/plan/document.py
+++ b/wheatring/plan/document.py
@@ -1,9 +1,11 @@
-"""The plan's document, as its body spells it, and what sidecars say to each other about plans.
+"""The plan's document, as its JSON body spells it.
 
-A body is JSON, `lease.bodies.LARGEST` bytes at most. Its number and epoch are not in it: they belong to the
-register's entry, whose digest is that of the very bytes. Formats: 1 knows fixed weights, 2 also windows, 3
-also ramps and customers' splits. What a plan *needs* is computed from it (`skew.needs`), never taken from its
-word.
+A body is JSON of `lease.bodies.LARGEST` bytes at most. Version and epoch are not in it: they belong to the
+register's entry, whose digest is that of the body's very bytes. Three formats exist: 1 has fixed weights, 2
+adds windows, 3 adds ramps and splits by customer. What a plan requires of a member is computed from the
+document (`skew.requirements`) and never taken from its `format` key alone.
+
+Field names are the JSON keys of stored plans and don't change.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 from msgspec import Meta, Struct
 
-OLDEST_FORMAT, NEWEST_FORMAT = 1, 3  # formats that there are
+OLDEST_FORMAT, NEWEST_FORMAT = 1, 3
 
 _Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")]
 Weight = Annotated[int, Meta(ge=0, le=1_000_000)]
@@ -20,17 +22,19 @@
 
 
 class DocumentPart(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What all parts of a plan are."""
+    """Base of all parts of a document: immutable, strict when read, defaults left out when written."""
 
 
 class PlanHeader(DocumentPart, frozen=True, kw_only=True):
+    """A condition on one request header: an exact value or a prefix of it."""
+
     name: _Text
     exact: _Text = ""
     prefix: _Text = ""
 
 
 class PlanMatch(DocumentPart, frozen=True, kw_only=True):
-    """As `routes.words.Match`."""
+    """The conditions of a route, with the meaning that `routes` gives them."""
 
     host: _Text = ""
     path: _Text = ""
@@ -41,28 +45,34 @@
 
 
 class PlanRoute(DocumentPart, frozen=True, kw_only=True):
-    """`weights` by pool. `split_by` (format 3): the header that keeps a customer in one pool."""
+    """A route with its weights by pool.
+
+    `class_name` is a fixed request class; "" takes the first segment of the path. `deadline` is in seconds.
+    `split_by` (format 3) names the header whose value keeps a customer in one pool.
+    """
 
     name: _Name
     match: PlanMatch = PlanMatch()
     weights: dict[_Name, Weight]
-    class_name: _Text = ""  # fixed; "": the first part of the path
-    deadline: Annotated[float, Meta(gt=0, le=3600)] | None = None  # seconds
+    class_name: _Text = ""
+    deadline: Annotated[float, Meta(gt=0, le=3600)] | None = None
     split_by: _Text = ""
 
 
 class Ramp(DocumentPart, frozen=True, kw_only=True):
-    """Format 3: from the weights before to the window's in equal steps, `every` seconds apart; and back."""
+    """Format 3: equal steps, `every` seconds apart, from the weights below to the window's, and back."""
 
     steps: Annotated[int, Meta(ge=2, le=100)]
     every: Annotated[float, Meta(ge=0.1, le=3600)]
 
 
 class PlanWindow(DocumentPart, frozen=True, kw_only=True):
-    """Format 2. `start` is local time in `zone`, `YYYY-MM-DDTHH:MM:SS`; `length` seconds; `rrule` as RFC 5545
-    spells it, "" for once; `except_` starts that are left out. Of those open at the same instant the
-    highest priority counts. `when_cut`: whether one that is cut off goes by its timetable, or enters only
-    windows that were confirmed within the lease before.
+    """Format 2: a calendar window with weights of its own.
+
+    `start` is local time in `zone`, `length` is in seconds, `rrule` is an RFC 5545 rule ("" opens once) and
+    `except_` lists starts that are left out. Of the windows open at one instant the highest priority counts.
+    `when_cut` says what a sidecar does that is partitioned from the fleet: `follow` its calendar, or `hold`,
+    which enters only windows of a plan that was confirmed shortly before (`schedule.activation`).
     """
 
     name: _Name
@@ -79,8 +89,9 @@
 
 
 class Trial(DocumentPart, frozen=True, kw_only=True):
-    """A request whose way every sidecar has to find alike before the plan is settled. `at`: an instant, Unix
-    seconds, at which it is asked; None: outside all windows.
+    """A request that every member has to route alike before the plan is committed.
+
+    `at` is the instant at which it is evaluated, in Unix seconds; None is outside all windows.
     """
 
     method: _Text = "GET"
@@ -101,7 +112,7 @@
 
 
 class CommittedPlan(NamedTuple):
-    """What a sidecar goes by: an entry of the register `plan` with its document."""
+    """An entry of the register `plan` together with its document: what a sidecar applies."""
 
     version: int
     epoch: int
--- a/wheatring/plan/messages.py
+++ b/wheatring/plan/messages.py
@@ -1,12 +1,14 @@
-"""What sidecars say to each other about a push. A body never travels in a word: by its digest it is fetched.
+"""The messages of a rollout, and how reasons are packed into them.
 
-A word fits into a datagram (`peers.seal.LARGEST`), so reasons are told by what is the matter, each with the
-members that it is the matter with, as far as there is room.
+A body never travels in a message: it is fetched by its digest. A message fits into one datagram, so reasons
+are grouped by text, each with the members it is about, as far as there is room. The structs are encoded as
+arrays: tags and the order of fields are the wire format.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from enum import StrEnum
 from typing import NamedTuple
 
 from msgspec import Struct
@@ -14,15 +16,27 @@
 from wheatring.members.members import Address
 from wheatring.plan.compatibility import Reason
 
-MAX_REASONS_BYTES = 800  # bytes of reasons in one word, reckoned high
-MAX_TEXT_BYTES = 240  # bytes of one text
-OFFERED, SURVEYED, TRIED, PUTTING = "offered", "surveyed", "tried", "putting"
-SETTLED, REFUSED, LOST = "settled", "refused", "lost"
-FINAL_STATES = (SETTLED, REFUSED, LOST)  # states that no push leaves
+MAX_REASONS_BYTES = 800  # of all reasons in one message, estimated from above
+MAX_TEXT_BYTES = 240  # of one text in a reason
+
+
+class RolloutState(StrEnum):
+    """How far a rollout is. The values travel in messages and stand in `GET /control/plan`."""
+
+    PROPOSED = "offered"  # the leader fetches the body from the sidecar that proposed it
+    SURVEYING = "surveyed"  # members are asked for their capabilities, and fetch the body
+    TESTING = "tried"  # members compile the body and answer its trials
+    COMMITTING = "putting"  # put to the voters: it can no longer be withdrawn
+    COMMITTED = "settled"
+    REJECTED = "refused"
+    UNKNOWN = "lost"  # no leader has said how it ended
+
+
+FINAL_STATES = (RolloutState.COMMITTED, RolloutState.REJECTED, RolloutState.UNKNOWN)
 
 
 class GroupedReason(NamedTuple):
-    """Reasons that are alike but for the member."""
+    """Reasons that differ in the member only."""
 
     code: str
     what: str
@@ -31,13 +45,16 @@
 
 
 class PlanMessage(Struct, frozen=True, array_like=True, tag_field="w"):
+    """Base of all messages of a rollout: they name the body by its digest."""
+
     digest: bytes
 
 
 class ProposePlan(PlanMessage, frozen=True, tag="plan-offer"):
-    """To the leader, until it is answered: take this plan. `id` is the push's, `size` the body's in bytes,
-    `base` the number of the plan that was settled, as far as was known where it is offered. `epoch`: of the
-    leader that it is for, so that a word that is late begins nothing at the next one.
+    """To the leader, repeated until answered: roll out this plan.
+
+    `base_version` is the newest version known where it was proposed. `epoch` is that of the leader it is
+    addressed to, so that a delayed message starts nothing at the next leader.
     """
 
     epoch: int
@@ -47,8 +64,10 @@
 
 
 class RolloutStatus(PlanMessage, frozen=True, tag="plan-pushed"):
-    """From the leader: how far the push is. `number`: of the entry, once it is settled. `asked` members of
-    `of` hold it. `more` reasons had no room.
+    """From the leader to the proposer: how far the rollout is.
+
+    `state` is a `RolloutState`, or one that a later program has added. `version` is set once it is committed;
+    `stored` of `members` members hold the body; `omitted` reasons did not fit into the message.
     """
 
     epoch: int
@@ -62,14 +81,17 @@
 
 
 class StorePlan(PlanMessage, frozen=True, tag="plan-hold"):
-    """From the leader of that epoch: fetch the body from there, read it whole, keep it, and tell me."""
+    """From the leader of that epoch: fetch the body from `source`, parse it, keep it, and report that."""
 
     epoch: int
     source: Address
 
 
 class PlanStored(PlanMessage, frozen=True, tag="plan-holds"):
-    """It is here, whole and readable; or (`code`) it cannot be read here. `start` of this process."""
+    """From a member to the leader: the body is stored and readable, or (`code`) can't be read here.
+
+    `start` tells this process from earlier ones of its name.
+    """
 
     epoch: int
     start: int
@@ -82,25 +104,28 @@
 
 
 def truncate(text: str) -> str:
-    """What of a text goes into a word."""
+    """Return as much of a text as a message takes, cut at a character."""
     return text.encode("utf-8", "replace")[:MAX_TEXT_BYTES].decode("utf-8", "ignore")
 
 
 def pack_reasons(reasons: Iterable[Reason]) -> tuple[tuple[GroupedReason, ...], int]:
-    """As they travel, and how many had no room."""
+    """Group reasons by text for a message; return the groups and the number of reasons left out."""
     groups: dict[tuple[str, str, str], list[str]] = {}
-    room, more = MAX_REASONS_BYTES, 0
+    free, omitted = MAX_REASONS_BYTES, 0
     for reason in reasons:
         key = (reason.code, truncate(reason.what), truncate(reason.do))
         texts = 0 if key in groups else 12 + sum(len(text.encode()) for text in key)
         size = texts + 2 + len(reason.member.encode())
-        if size > room:
-            more += 1
+        if size > free:
+            omitted += 1
             continue
-        room -= size
+        free -= size
         groups.setdefault(key, []).append(reason.member)
-    return tuple(GroupedReason(*key, tuple(members)) for key, members in groups.items()), more
+    return tuple(GroupedReason(*key, tuple(members)) for key, members in groups.items()), omitted
 
 
-def unpack_reasons(whys: Iterable[GroupedReason]) -> tuple[Reason, ...]:
-    return tuple(Reason(member, why.code, why.what, why.do) for why in whys for member in why.members)
+def unpack_reasons(groups: Iterable[GroupedReason]) -> tuple[Reason, ...]:
+    """Return one reason for each member of each group."""
+    return tuple(
+        Reason(member, group.code, group.what, group.do) for group in groups for member in group.members
+    )
--- a/wheatring/schedule/__init__.py
+++ b/wheatring/schedule/__init__.py
@@ -1,1 +1,4 @@
-"""Weights by calendar, all at one instant of the fleet's time. No I/O; imported only with `[plan]`."""
+"""The plan's calendar: which weights are in force at which instant, by a time that the whole fleet agrees on.
+
+Does no I/O; imported only where the operator's file has a `[plan]` section.
+"""
--- a/wheatring/schedule/events.py
+++ b/wheatring/schedule/events.py
@@ -1,4 +1,4 @@
-"""What a decider of this package wants logged: it logs nothing itself."""
+"""What the deciders of this package want logged: they log nothing themselves."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogEvent(NamedTuple):
-    """`event` lower-case-with-hyphens; `fields` by name, seconds in those that end in `_s`."""
+    """One line of the log: `event` in lower case with hyphens, `fields` by name, seconds in those in `_s`."""
 
     event: str
     fields: dict[str, Any]
--- a/wheatring/schedule/messages.py
+++ b/wheatring/schedule/messages.py
@@ -1,4 +1,7 @@
-"""What sidecars and voters say to each other about the time."""
+"""The messages by which a sidecar reads the voters' clocks.
+
+They are encoded as arrays: tags and the order of fields are the wire format.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 
 class TimeRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="ask-time"):
-    """To a voter: what does your clock say?"""
+    """To a voter: report the time on your clock."""
 
     seq: int
 
--- a/wheatring/schedule/timetable.py
+++ b/wheatring/schedule/timetable.py
@@ -1,11 +1,11 @@
 """Which weights a route has at which instant: a pure function of the plan, so the same at every sidecar.
 
 Layers: the route's own weights lie below; each open window lies above those of lower priority. While a window
-ramps, its share of the whole is k of n steps and the rest is what lies below *at that instant*, so a change
-below shows through by what is left of it. Ramps are within the window: step 1 of n at its opening, the last
+ramps, its share of the whole is k of n steps and the rest is what lies below *at that instant*, so that a
+change below shows through in proportion. Ramps are within the window: step 1 of n is at its opening, the last
 `n - 1` steps of `every` before its close lead back, and at its close it is gone.
 
-Steps are kept by days of Unix time, each worked out when it is first asked for and found by bisection.
+Steps are cached by days of Unix time, each computed when it is first asked for, and found by bisection.
 Instants are whole microseconds inside, so that no rounding puts two sidecars on two sides of a step.
 """
 
@@ -17,30 +17,28 @@
 from typing import NamedTuple
 
 from wheatring.plan.document import Plan
-from wheatring.schedule.windows import Window
+from wheatring.schedule.windows import MICROSECONDS, Window
 
-MICROSECONDS = 1_000_000
 DAY_MICROSECONDS = 86_400 * MICROSECONDS
-MAX_DAYS = 16  # days whose steps are kept
-LOOKAHEAD_SECONDS = 2 * 86_400.0  # seconds that `next_edge` looks ahead
-WEIGHT_PARTS = (
-    1_000_000  # parts of the whole to which weights of a step are rounded, where they are not exact
-)
+MAX_DAYS = 16  # whose steps are cached
+LOOKAHEAD_SECONDS = 2 * 86_400.0  # of `next_change`
+WEIGHT_PARTS = 1_000_000  # of the whole, to which blended weights are rounded where they are not exact
 
 Weights = dict[str, int]
+OpeningKey = tuple[str, float]  # an opening: the window's name, and when it opens, Unix seconds
 
 
 class OpenWindow(NamedTuple):
-    """A window that is open, by its opening."""
+    """A window that is open, by its opening, in Unix seconds. `hold` is its `when_cut`."""
 
     window: str
-    opens: float  # Unix seconds
+    opens: float
     closes: float
-    hold: bool  # `when_cut`
+    hold: bool
 
 
 class WeightStep(NamedTuple):
-    """From `at` (Unix seconds) on a route has these weights, by these windows, the lowest first."""
+    """From `at` (Unix seconds) on a route has these weights, by the windows in `open`, the lowest first."""
 
     at: float
     route: str
@@ -48,16 +46,26 @@
     open: tuple[OpenWindow, ...]
 
 
+class _DaySteps(NamedTuple):
+    """The steps of a route in one day, and where they start, Unix microseconds."""
+
+    starts: list[int]
+    steps: list[WeightStep]
+
+
 def blend(below: Mapping[str, int], above: Mapping[str, int], part: int, of: int) -> Weights:
-    """`part` of `of` of all goes by `above`, the rest by `below`, whatever numbers either is written in.
-    Exact in the smallest whole numbers, or to the millionth where these were larger; the largest remainders
-    are rounded up, the first by name of equal ones.
+    """Return weights by which `part` of `of` of the whole goes by `above` and the rest by `below`.
+
+    The sums of the two need not be equal. Exact in the smallest whole numbers, or rounded to `WEIGHT_PARTS`
+    where these are larger: the largest remainders are rounded up, of equal ones the first by name.
     """
-    one, other = sum(below.values()), sum(above.values())
+    sum_below, sum_above = sum(below.values()), sum(above.values())
     names = [*below, *(name for name in above if name not in below)]
-    mixed = [below.get(n, 0) * other * (of - part) + above.get(n, 0) * one * part for n in names]
-    whole = gcd(*mixed) or 1
-    mixed = [value // whole for value in mixed]
+    mixed = [
+        below.get(name, 0) * sum_above * (of - part) + above.get(name, 0) * sum_below * part for name in names
+    ]
+    divisor = gcd(*mixed) or 1
+    mixed = [value // divisor for value in mixed]
     total = sum(mixed)
     if total > WEIGHT_PARTS:
         exact = mixed
@@ -69,7 +77,7 @@
 
 
 class Timetable:
-    """Of a plan that `check` let through."""
+    """The weights of a plan that `validation.validate_windows` has accepted."""
 
     def __init__(self, plan: Plan) -> None:
         self.base: dict[str, Weights] = {route.name: dict(route.weights) for route in plan.routes}
@@ -77,36 +85,39 @@
         self.routes: dict[str, list[Window]] = {}  # those that have windows
         for window in self.windows.values():
             self.routes.setdefault(window.plan.route, []).append(window)
-        self.days: dict[int, dict[str, tuple[list[int], list[WeightStep]]]] = {}
+        self.days: dict[int, dict[str, _DaySteps]] = {}
+
+    # Queries, in Unix seconds
 
-    # What it is asked
+    def weights(self, route: str, at: float, without: frozenset[OpeningKey] = frozenset()) -> Weights:
+        """Return weights by pool at an instant, as if the openings in `without` were not there.
 
-    def weights(self, route: str, at: float, without: frozenset[tuple[str, float]] = frozenset()) -> Weights:
-        """Weights by pool at an instant, Unix seconds. `without`: openings, by window and instant, as if they
-        were not there. KeyError: there is no such route.
+        Raises
+        ------
+        KeyError
+            There is no such route.
         """
         if route not in self.routes:
             return self.base[route]
         step = self.step(route, at)
-        if without and not without.isdisjoint((one.window, one.opens) for one in step.open):
-            left = [one for one in step.open if (one.window, one.opens) not in without]
-            return self._layers(route, _micro(step.at), left)
+        if without and not without.isdisjoint((opened.window, opened.opens) for opened in step.open):
+            remaining = [opened for opened in step.open if (opened.window, opened.opens) not in without]
+            return self._layer_weights(route, _to_microseconds(step.at), remaining)
         return step.weights
 
     def step(self, route: str, at: float) -> WeightStep:
-        """The step that an instant is in. A day begins one anew, so `at` of it may be a day's begin. Only of
-        a route that has windows.
+        """Return the step that an instant is in, of a route that has windows.
+
+        A day begins a new step, so its `at` may be the beginning of a day.
         """
-        instant = _micro(at)
+        instant = _to_microseconds(at)
         starts, steps = self._day(instant // DAY_MICROSECONDS)[route]
         return steps[bisect_right(starts, instant) - 1]
 
     def changes(self, after: float, before: float) -> Iterator[WeightStep]:
-        """All changes of weights after `after` and before `before`, Unix seconds, in order, and by the names
-        of routes where they are at one instant.
-        """
-        first, last = _micro(after), _micro(before)
-        was = {route: self.step(route, after).weights for route in self.routes}
+        """Yield all changes of weights after `after` and before `before`, in order of time and route."""
+        first, last = _to_microseconds(after), _to_microseconds(before)
+        current = {route: self.step(route, after).weights for route in self.routes}
         for day in range(first // DAY_MICROSECONDS, (last - 1) // DAY_MICROSECONDS + 1):
             found = [
                 (start, step)
@@ -114,20 +125,21 @@
                 for start, step in zip(starts, steps, strict=True)
                 if first < start < last
             ]
-            for _, step in sorted(found, key=lambda one: (one[0], one[1].route)):
-                if step.weights != was[step.route]:
-                    was[step.route] = step.weights
+            for _, step in sorted(found, key=lambda item: (item[0], item[1].route)):
+                if step.weights != current[step.route]:
+                    current[step.route] = step.weights
                     yield step
 
     def next_change(self, at: float) -> float:
-        """The next instant after `at` at which weights of any route change; infinite: none within `AHEAD`."""
+        """Return the next instant after `at` at which weights change, infinite beyond the lookahead."""
         return next((step.at for step in self.changes(at, at + LOOKAHEAD_SECONDS)), inf)
 
     def next_mark(self, at: float) -> float:
-        """The next instant after `at` at which anything may change, also what lies below an open window: when
-        whoever leaves a window out has to look again. A day's begin at the latest.
+        """Return the next instant after `at` at which anything may change, also below an open window.
+
+        Whoever leaves a window out has to look again then; the next day's beginning at the latest.
         """
-        instant = _micro(at)
+        instant = _to_microseconds(at)
         day = instant // DAY_MICROSECONDS
         marks = [(day + 1) * DAY_MICROSECONDS]
         for starts, _ in self._day(day).values():
@@ -135,33 +147,29 @@
         return min(marks) / MICROSECONDS
 
     def marks(self, window: str, after: float, before: float) -> list[float]:
-        """When that window opens, closes or steps within, upwards, Unix seconds."""
-        one = self.windows[window]
-        first, last = _micro(after), _micro(before)
+        """Return when a window opens, closes or steps in that interval, ascending."""
+        found = self.windows[window]
+        first, last = _to_microseconds(after), _to_microseconds(before)
         marks: set[int] = set()
-        for opening in one.openings((first - one.length) // MICROSECONDS, -(-last // MICROSECONDS)):
-            hold = one.plan.when_cut == "hold"
-            marks.update(
-                self._marks(
-                    OpenWindow(window, opening.opens / MICROSECONDS, opening.closes / MICROSECONDS, hold)
-                )
-            )
+        for opening in found.openings((first - found.length) // MICROSECONDS, -(-last // MICROSECONDS)):
+            hold = found.plan.when_cut == "hold"
+            opened = OpenWindow(window, opening.opens / MICROSECONDS, opening.closes / MICROSECONDS, hold)
+            marks.update(self._marks(opened))
         return [mark / MICROSECONDS for mark in sorted(marks) if first <= mark < last]
 
-    # How it is worked out
+    # Computation, in Unix microseconds
 
-    def _day(self, day: int) -> dict[str, tuple[list[int], list[WeightStep]]]:
+    def _day(self, day: int) -> dict[str, _DaySteps]:
         found = self.days.get(day)
         if found is None:
             while len(self.days) >= MAX_DAYS:
                 del self.days[next(iter(self.days))]
-            found = self.days[day] = {
-                route: self._steps(route, day * DAY_MICROSECONDS) for route in self.routes
-            }
+            begin = day * DAY_MICROSECONDS
+            found = self.days[day] = {route: self._day_steps(route, begin) for route in self.routes}
         return found
 
     def _openings(self, route: str, after: int, before: int) -> list[OpenWindow]:
-        """Those that have an instant from `after` to just before `before`, the lowest priority first."""
+        """Return openings with an instant from `after` to just before `before`, the lowest priority first."""
         found = [
             (window.plan.priority, opening.opens, window.plan.name, opening.closes)
             for window in self.routes[route]
@@ -172,48 +180,57 @@
         ]
         return [
             OpenWindow(
-                name, opens / MICROSECONDS, closes / MICROSECONDS, self.windows[name].plan.when_cut == "hold"
+                name,
+                opens / MICROSECONDS,
+                closes / MICROSECONDS,
+                self.windows[name].plan.when_cut == "hold",
             )
             for _, opens, name, closes in sorted(found)
         ]
 
-    def _steps(self, route: str, begin: int) -> tuple[list[int], list[WeightStep]]:
+    def _day_steps(self, route: str, begin: int) -> _DaySteps:
         end = begin + DAY_MICROSECONDS
         openings = self._openings(route, begin, end)
         marks = {begin}
-        for one in openings:
-            marks.update(mark for mark in self._marks(one) if begin < mark < end)
+        for opening in openings:
+            marks.update(mark for mark in self._marks(opening) if begin < mark < end)
         starts = sorted(marks)
         steps: list[WeightStep] = []
         for start in starts:
-            here = tuple(one for one in openings if _micro(one.opens) <= start < _micro(one.closes))
-            steps.append(WeightStep(start / MICROSECONDS, route, self._layers(route, start, here), here))
-        return starts, steps
+            opened = tuple(
+                opening
+                for opening in openings
+                if _to_microseconds(opening.opens) <= start < _to_microseconds(opening.closes)
+            )
+            weights = self._layer_weights(route, start, opened)
+            steps.append(WeightStep(start / MICROSECONDS, route, weights, opened))
+        return _DaySteps(starts, steps)
 
-    def _marks(self, one: OpenWindow) -> list[int]:
-        """All instants at which an opening changes anything."""
-        opens, closes = _micro(one.opens), _micro(one.closes)
+    def _marks(self, opening: OpenWindow) -> list[int]:
+        """Return all instants at which an opening changes anything."""
+        opens, closes = _to_microseconds(opening.opens), _to_microseconds(opening.closes)
         marks = [opens, closes]
-        ramp = self.windows[one.window].plan.ramp
+        ramp = self.windows[opening.window].plan.ramp
         if ramp is not None:
-            every = _micro(ramp.every)
+            every = _to_microseconds(ramp.every)
             marks += [opens + k * every for k in range(1, ramp.steps)]
             marks += [closes - k * every for k in range(1, ramp.steps)]
         return marks
 
-    def _layers(self, route: str, instant: int, open_: Sequence[OpenWindow]) -> Weights:
+    def _layer_weights(self, route: str, instant: int, opened: Sequence[OpenWindow]) -> Weights:
+        """Return the weights at an instant with these windows, each blended over those before it."""
         weights = self.base[route]
-        for one in open_:
-            plan = self.windows[one.window].plan
+        for opening in opened:
+            plan = self.windows[opening.window].plan
             level, of = 1, 1
             if plan.ramp is not None:
-                every, of = _micro(plan.ramp.every), plan.ramp.steps
-                in_ = (instant - _micro(one.opens)) // every + 1
-                out = -(-(_micro(one.closes) - instant) // every)
-                level = min(of, in_, out)
+                every, of = _to_microseconds(plan.ramp.every), plan.ramp.steps
+                steps_in = (instant - _to_microseconds(opening.opens)) // every + 1
+                steps_out = -(-(_to_microseconds(opening.closes) - instant) // every)
+                level = min(of, steps_in, steps_out)
             weights = dict(plan.weights) if level == of else blend(weights, plan.weights, level, of)
         return weights
 
 
-def _micro(unix: float) -> int:
+def _to_microseconds(unix: float) -> int:
     return round(unix * MICROSECONDS)
--- a/wheatring/schedule/validation.py
+++ b/wheatring/schedule/validation.py
@@ -1,9 +1,8 @@
-"""Whether the windows of a plan are in order. A function of the plan alone, so all sidecars find the same.
+"""Whether the windows of a plan are valid: a function of the plan alone, so that all sidecars find the same.
 
-Overlaps of one priority are looked for in what is open within `HORIZON` of any start of a window on the same
-route: rules that come back yearly are seen once. What would meet only later is not found, and then the one
-that opened first lies below. What this file guards besides: no plan may cost a sidecar more than so much
-work.
+Overlaps of one priority are looked for within `OVERLAP_HORIZON_SECONDS` of any start of a window on the same
+route: rules that recur yearly are seen once. An overlap that comes only later is not found; there the window
+that opened first lies below. Besides, no plan may cost a sidecar more than a bounded amount of work.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 from datetime import timedelta
 from itertools import pairwise
 
-from wheatring.plan.document import Plan, PlanWindow
+from wheatring.plan.document import Plan, PlanRoute, PlanWindow
 from wheatring.schedule.errors import (
     WindowExceptionUnusedError,
     WindowNameDuplicateError,
@@ -23,112 +22,127 @@
     WindowsTooManyStepsError,
     WindowWeightsEmptyError,
 )
-from wheatring.schedule.timetable import MICROSECONDS
-from wheatring.schedule.windows import LOCAL_TIME_FORMAT, SEARCH_YEARS, Opening, Window
+from wheatring.schedule.windows import LOCAL_TIME_FORMAT, MICROSECONDS, SEARCH_YEARS, Opening, Window
 from wheatring.schedule.zones import to_unix
 
-OVERLAP_HORIZON_SECONDS = 400 * 86_400  # seconds
-MAX_STEPS_PER_DAY = 20_000  # steps a day of all windows of a plan
-MAX_OPENINGS = 100_000  # openings looked at in one check
+OVERLAP_HORIZON_SECONDS = 400 * 86_400
+MAX_STEPS_PER_DAY = 20_000  # of all windows of a plan
+MAX_OPENINGS = 100_000  # that one validation looks at
+ONCE_A_DAY_SECONDS = 20 * 3600  # a daily window shorter than this never overlaps itself
 
 
 def validate_windows(plan: Plan) -> None:
-    """Raises the first of `errors.WindowError`s, in the order of the plan's windows; overlaps come last."""
+    """Check all windows of a plan, in their order; overlaps come last.
+
+    Raises
+    ------
+    WindowError
+        The first thing that is wrong.
+    """
     names: set[str] = set()
     routes = {route.name: route for route in plan.routes}
     windows: list[Window] = []
-    for one in plan.windows:
-        where = f"windows.{one.name}"
-        if one.name in names:
+    for planned in plan.windows:
+        where = f"windows.{planned.name}"
+        if planned.name in names:
             raise WindowNameDuplicateError(f"{where}: two windows are called so")
-        names.add(one.name)
-        if one.route not in routes:
-            raise WindowRouteUnknownError(f"{where}: route: there is no route {one.route!r}")
-        if not any(one.weights.values()):
-            raise WindowWeightsEmptyError(f"{where}: weights: {len(one.weights)} pools and none above 0")
-        if not any(routes[one.route].weights.values()):
-            raise WindowWeightsEmptyError(
-                f"routes.{one.route}: weights: none above 0, and {one.name} goes back to them"
-            )
-        _ramp(where, one)
-        window = Window(one)
-        _exceptions(where, window)
-        if not window.opens_ever():
-            raise WindowNeverOpensError(
-                f"{where}: {one.rrule or 'once'}: no opening within {SEARCH_YEARS} years of its start"
-            )
-        windows.append(window)
-    steps = sum(_steps(window) for window in windows)
+        names.add(planned.name)
+        windows.append(_validate_window(where, planned, routes))
+    steps = sum(_steps_per_day(window) for window in windows)
     if steps > MAX_STEPS_PER_DAY:
         raise WindowsTooManyStepsError(f"windows: {steps} steps a day, {MAX_STEPS_PER_DAY} are the most")
-    _overlaps(windows)
-
-
-def _ramp(where: str, window: PlanWindow) -> None:
+    _reject_overlaps(windows)
+
+
+def _validate_window(where: str, planned: PlanWindow, routes: dict[str, PlanRoute]) -> Window:
+    """Check one window by itself and against its route; return it parsed."""
+    if planned.route not in routes:
+        raise WindowRouteUnknownError(f"{where}: route: there is no route {planned.route!r}")
+    if not any(planned.weights.values()):
+        raise WindowWeightsEmptyError(f"{where}: weights: {len(planned.weights)} pools and none above 0")
+    if not any(routes[planned.route].weights.values()):
+        what = f"weights: none above 0, and {planned.name} goes back to them"
+        raise WindowWeightsEmptyError(f"routes.{planned.route}: {what}")
+    _validate_ramp(where, planned)
+    window = Window(planned)
+    _validate_exceptions(where, window)
+    if not window.opens_ever():
+        rule = planned.rrule or "once"
+        what = f"no opening within {SEARCH_YEARS} years of its start"
+        raise WindowNeverOpensError(f"{where}: {rule}: {what}")
+    return window
+
+
+def _validate_ramp(where: str, window: PlanWindow) -> None:
     if window.ramp is None:
         return
     both = 2 * (window.ramp.steps - 1) * window.ramp.every
     if both >= window.length:
-        raise WindowRampTooLongError(
-            f"{where}: ramp: takes {both:g} s in and out, the window lasts {window.length:g} s"
-        )
+        what = f"takes {both:g} s in and out, the window lasts {window.length:g} s"
+        raise WindowRampTooLongError(f"{where}: ramp: {what}")
 
 
-def _exceptions(where: str, window: Window) -> None:
-    for text, left_out in zip(
-        window.plan.except_, map(window.parse_exception, window.plan.except_), strict=True
-    ):
-        unix = to_unix(left_out, window.zone)
-        if all(found != left_out for _, found in window.occurrences(unix, unix + 1)):
-            raise WindowExceptionUnusedError(
-                f"{where}: except_: it does not open at {text} in {window.plan.zone}"
-            )
+def _validate_exceptions(where: str, window: Window) -> None:
+    """Check that each exception leaves out an opening: one that leaves out none is a mistake."""
+    texts = window.plan.except_
+    for text, exception in zip(texts, map(window.parse_exception, texts), strict=True):
+        unix = to_unix(exception, window.zone)
+        if all(found != exception for _, found in window.occurrences(unix, unix + 1)):
+            what = f"it does not open at {text} in {window.plan.zone}"
+            raise WindowExceptionUnusedError(f"{where}: except_: {what}")
 
 
-def _steps(window: Window) -> int:
-    """Of one day, at most."""
+def _steps_per_day(window: Window) -> int:
+    """Return how many changes of weights a window has in one day, at most."""
     ramp = window.plan.ramp
     openings = 1 if window.rule is None else window.rule.openings_per_day
     return openings * (2 if ramp is None else 2 * ramp.steps)
 
 
-def _overlaps(windows: Iterable[Window]) -> None:
+def _reject_overlaps(windows: Iterable[Window]) -> None:
     groups: dict[tuple[str, int], list[Window]] = {}
     for window in windows:
         groups.setdefault((window.plan.route, window.plan.priority), []).append(window)
-    looked = 0
+    seen = 0
     for group in groups.values():
-        if len(group) == 1 and _apart(group[0]):
+        if len(group) == 1 and _never_overlaps_itself(group[0]):
             continue
-        found: list[tuple[Opening, str]] = []
-        for after, before in _spans(sorted(window.start_unix for window in group)):
+        openings: list[tuple[Opening, str]] = []
+        for after, before in _search_spans(sorted(window.start_unix for window in group)):
             for window in group:
-                here = window.openings(after, before)
-                looked += len(here)
-                if looked > MAX_OPENINGS:
-                    raise WindowsTooManyStepsError(
-                        f"windows: more than {MAX_OPENINGS} openings to look at for overlaps"
-                    )
-                found += [(opening, window.plan.name) for opening in here]
-        for (one, name), (other, with_) in pairwise(sorted(found)):
-            if other.opens < one.closes:
-                both = f"{name} and {with_}" if name != with_ else f"{name} and itself"
-                at = f"{other.start.strftime(LOCAL_TIME_FORMAT)} ({(one.closes - other.opens) / MICROSECONDS:g} s)"
-                raise WindowOverlapError(f"windows: {both} overlap at {at}, with one priority on one route")
-
-
-def _apart(window: Window) -> bool:
-    """Whether it surely never meets itself: it opens once a day at most, at one local time."""
-    return window.rule is None or (window.rule.openings_per_day == 1 and window.plan.length < 20 * 3600)
-
-
-def _spans(firsts: list[int]) -> list[tuple[int, int]]:
-    """What is within the horizon of any of these, in pieces that do not touch."""
+                found = window.openings(after, before)
+                seen += len(found)
+                if seen > MAX_OPENINGS:
+                    what = f"more than {MAX_OPENINGS} openings to look at for overlaps"
+                    raise WindowsTooManyStepsError(f"windows: {what}")
+                openings += [(opening, window.plan.name) for opening in found]
+        _reject_overlap_in(sorted(openings))
+
+
+def _reject_overlap_in(openings: list[tuple[Opening, str]]) -> None:
+    """Raise for the first two openings, with the names of their windows, that overlap."""
+    for (earlier, name), (later, other_name) in pairwise(openings):
+        if later.opens < earlier.closes:
+            both = f"{name} and {other_name}" if name != other_name else f"{name} and itself"
+            seconds = (earlier.closes - later.opens) / MICROSECONDS
+            at = f"{later.start.strftime(LOCAL_TIME_FORMAT)} ({seconds:g} s)"
+            raise WindowOverlapError(f"windows: {both} overlap at {at}, with one priority on one route")
+
+
+def _never_overlaps_itself(window: Window) -> bool:
+    """Whether a window surely never overlaps itself: it opens once a day at most, at one local time."""
+    if window.rule is None:
+        return True
+    return window.rule.openings_per_day == 1 and window.plan.length < ONCE_A_DAY_SECONDS
+
+
+def _search_spans(starts: list[int]) -> list[tuple[int, int]]:
+    """Return the spans, Unix seconds, within the horizon of any of these ascending starts, merged."""
     day = round(timedelta(days=1).total_seconds())
     spans: list[tuple[int, int]] = []
-    for first in firsts:
-        if spans and first - day <= spans[-1][1]:
-            spans[-1] = spans[-1][0], first + OVERLAP_HORIZON_SECONDS
+    for start in starts:
+        if spans and start - day <= spans[-1][1]:
+            spans[-1] = spans[-1][0], start + OVERLAP_HORIZON_SECONDS
         else:
-            spans.append((first - day, first + OVERLAP_HORIZON_SECONDS))
+            spans.append((start - day, start + OVERLAP_HORIZON_SECONDS))
     return spans
--- a/wheatring/schedule/zones.py
+++ b/wheatring/schedule/zones.py
@@ -1,7 +1,7 @@
-"""Zones by the pinned `tzdata`, never by the machine's tables: sidecars on two images have one calendar.
+"""Time zones by the pinned `tzdata`, never by the machine's tables: all sidecars have one calendar.
 
-They are read straight from the package, so that the process's search path (`zoneinfo.TZPATH`) stays what it
-is for everybody else.
+They are read straight from the package, so that the process's search path (`zoneinfo.TZPATH`) is left as it
+is for everything else.
 """
 
 from __future__ import annotations
@@ -16,28 +16,36 @@
 
 @lru_cache(maxsize=1)
 def zone_names() -> frozenset[str]:
-    """All zones that there are."""
+    """Return the names of all zones."""
     return frozenset((files("tzdata") / "zones").read_text(encoding="utf-8").split())
 
 
 @lru_cache(maxsize=1024)
 def load_zone(name: str) -> ZoneInfo:
-    """KeyError: there is none of that name."""
+    """Return a zone by its IANA name.
+
+    Raises
+    ------
+    KeyError
+        There is no zone of that name.
+    """
     if name not in zone_names():  # also keeps a name like ../x from being read as a path
         raise KeyError(name)
     with (files("tzdata") / "zoneinfo").joinpath(*name.split("/")).open("rb") as file:
         return ZoneInfo.from_file(file, key=name)
 
 
-def to_unix(local: datetime, of: ZoneInfo) -> int:
-    """The Unix second of a local time. One that a clock change repeats is the first of the two, one that it
-    skips is read with the offset before the gap (RFC 5545, 3.3.5): so says `fold` 0 (PEP 495).
+def to_unix(local: datetime, zone: ZoneInfo) -> int:
+    """Return the Unix second of a local time.
+
+    A time that a clock change repeats is the first of the two, one that it skips is read with the offset
+    before the gap (RFC 5545, 3.3.5): that is what `fold` 0 means (PEP 495).
     """
-    offset = local.replace(tzinfo=of, fold=0).utcoffset()
+    offset = local.replace(tzinfo=zone, fold=0).utcoffset()
     assert offset is not None
     return round((local - EPOCH - offset).total_seconds())
 
 
-def to_local(unix: float, of: ZoneInfo) -> datetime:
-    """The local time of an instant, without its zone."""
-    return datetime.fromtimestamp(unix, of).replace(tzinfo=None, fold=0)
+def to_local(unix: float, zone: ZoneInfo) -> datetime:
+    """Return the local time of an instant in Unix seconds, as a datetime without a zone."""
+    return datetime.fromtimestamp(unix, zone).replace(tzinfo=None, fold=0)
--- a/wheatring/skew/bisection.py
+++ b/wheatring/skew/bisection.py
@@ -1,6 +1,6 @@
-"""Finds the first trial that two answer differently, by halving between digests of the first n.
+"""Finds the first trial that two members answer differently, by bisection over digests of prefixes.
 
-What must never hold: a trial is named before which the two already differ, or at which they do not.
+What must never happen: a trial is named before which the two already differ, or at which they do not.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class PrefixAnswer(NamedTuple):
-    """What one has shown of its first `upto` trials."""
+    """What one side reports of its first n trials: their digest, and the last one with its answer."""
 
     result: bytes
     trial: str
@@ -17,30 +17,31 @@
 
 
 class Bisection:
-    """Between two that have answered `counts` trials each, and whose results differ."""
+    """Between two members that have answered `counts` trials each, and whose results differ."""
 
     def __init__(self, counts: tuple[int, int]) -> None:
         self.counts = counts
-        self.low = 0  # so many are alike,
-        self.high = min(counts)  # and at so many it is known, or not yet, that they differ
-        self.at = self.high  # what both are asked about
+        self.low = 0  # prefixes of this length are equal,
+        self.high = min(counts)  # and at this one they differ, if they differ within the shorter list
+        self.at = self.high  # the length that both sides are asked about
         self.sides: list[dict[int, PrefixAnswer]] = [{}, {}]
-        self.is_length_difference = False  # all that both have are alike, and one has more
+        self.is_length_difference = False  # all trials that both have are equal, and one side has more
         if not self.high:
             self.is_length_difference = True
             self.at = 1
 
     def next_length(self, side: int) -> int | None:
-        """About how many this side is to be asked now; None: nothing."""
+        """Return the prefix length that this side is to be asked about now, or None."""
         if self.is_done or self.at in self.sides[side] or self.at > self.counts[side]:
             return None
         return self.at
 
-    def record(self, side: int, upto: int, shown: PrefixAnswer) -> None:
-        self.sides[side].setdefault(upto, shown)
+    def record(self, side: int, length: int, answer: PrefixAnswer) -> None:
+        """Take over an answer, and halve as far as both sides have answered."""
+        self.sides[side].setdefault(length, answer)
         while not self.is_done and all(self.at in known for known in self.sides):
-            one, other = (known[self.at] for known in self.sides)
-            if one.result == other.result:
+            first, second = (known[self.at] for known in self.sides)
+            if first.result == second.result:
                 self.low = self.at
             else:
                 self.high = self.at
@@ -52,15 +53,16 @@
 
     @property
     def is_done(self) -> bool:
+        """Whether the first difference is found."""
         if self.is_length_difference:
             longer = int(self.counts[1] > self.counts[0])
             return self.counts[0] == self.counts[1] or self.at in self.sides[longer]
         return self.high - self.low == 1 and all(self.high in known for known in self.sides)
 
     def describe_difference(self) -> str:
-        """The first that differs, once it is done: what side 0 answers, and what side 1."""
-        one, other = (known.get(self.at) for known in self.sides)
-        if one is not None and other is not None and one.trial == other.trial:
-            return f"{one.trial}: {one.answer or 'nothing'} instead of {other.answer or 'nothing'}"
-        told = [f"{side.trial}: {side.answer}" if side else "no more trials" for side in (one, other)]
-        return f"{told[0]} instead of {told[1]}"
+        """Return the first difference for an operator: what side 0 answers instead of side 1."""
+        first, second = (known.get(self.at) for known in self.sides)
+        if first is not None and second is not None and first.trial == second.trial:
+            return f"{first.trial}: {first.answer or 'nothing'} instead of {second.answer or 'nothing'}"
+        texts = [f"{side.trial}: {side.answer}" if side else "no more trials" for side in (first, second)]
+        return f"{texts[0]} instead of {texts[1]}"
--- /dev/null
+++ b/wheatring/skew/capabilities.py
@@ -0,0 +1,147 @@
+"""What one process can read of a plan: its capabilities, computed from what is installed."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from msgspec import Struct
+
+from wheatring.lease.bodies import LARGEST
+from wheatring.plan.document import NEWEST_FORMAT, OLDEST_FORMAT
+from wheatring.skew.errors import FormatsUnknownError
+
+# What a plan may use besides fixed weights by host, path and method, and the format that each came with.
+FEATURE_FORMATS = {
+    "expressions": 1,
+    "headers": 1,
+    "windows": 2,
+    "rrule": 2,
+    "holds": 2,
+    "ramps": 3,
+    "split_by": 3,
+}
+# The libraries that a feature needs; a process without one of them lacks the feature.
+FEATURE_LIBRARIES = {
+    "expressions": ("google-re2",),
+    "split_by": ("xxhash",),
+    "windows": ("tzdata",),
+    "rrule": ("tzdata", "python-dateutil"),
+}
+RE2, TZDATA = "re2", "tzdata"  # rule sets whose meaning may differ from version to version
+MAX_ROUTES, MAX_WINDOWS, MAX_EXPRESSIONS = 10_000, 2000, 1000
+
+
+class Capabilities(Struct, frozen=True, array_like=True):
+    """What one process can read; sent between members, so the order of fields is the wire format.
+
+    `formats` are ranges, first and last. `routes`, `windows` and `expressions` are counts and `bytes` the
+    size of a body: the most that it accepts. `versions` are (name, version) of the rule sets it has.
+    """
+
+    formats: tuple[tuple[int, int], ...] = ()
+    features: frozenset[str] = frozenset()
+    routes: int = 0
+    windows: int = 0
+    expressions: int = 0
+    bytes: int = 0
+    versions: tuple[tuple[str, str], ...] = ()
+
+    def can_read(self, format: int) -> bool:
+        """Whether this process reads plans of a format."""
+        return any(first <= format <= last for first, last in self.formats)
+
+    def version_of(self, name: str) -> str:
+        """Return the version of a rule set; "" where the process has none."""
+        return dict(self.versions).get(name, "")
+
+
+# Of a program from before these messages: it does not answer them, and reads format 1 alone.
+LEGACY_CAPABILITIES = Capabilities(((1, 1),), frozenset(), 10_000, 2000, 1000, 256 * 1024)
+
+
+def describe_formats(formats: Sequence[tuple[int, int]]) -> str:
+    """Return ranges of formats for an operator: "1 to 3", "2", "none"."""
+    parts = [f"{first}" if first == last else f"{first} to {last}" for first, last in formats]
+    return ", ".join(parts) or "none"
+
+
+def describe_version_differences(
+    rules: frozenset[str], capabilities: Capabilities, others: Capabilities
+) -> str:
+    """Return which of these rule sets have other versions at the two, for an operator; "" if none has."""
+    pairs = [(name, capabilities.version_of(name), others.version_of(name)) for name in sorted(rules)]
+    return ", ".join(
+        f"{name} {version or 'none'} instead of {other or 'none'}"
+        for name, version, other in pairs
+        if version != other
+    )
+
+
+def installed_version(name: str) -> str:
+    """Return the version of an installed library; "" if it is not installed."""
+    from importlib.metadata import PackageNotFoundError, version  # only where plans are turned on
+
+    try:
+        return version(name)
+    except PackageNotFoundError:
+        return ""
+
+
+def local_capabilities(
+    formats: Sequence[int] | None = None,
+    routes: int = MAX_ROUTES,
+    windows: int = MAX_WINDOWS,
+    expressions: int = MAX_EXPRESSIONS,
+    size: int = LARGEST,
+    version: Callable[[str], str] = installed_version,
+) -> Capabilities:
+    """Return the capabilities of this program with what is installed.
+
+    Parameters
+    ----------
+    formats
+        The formats that it is restricted to (`[plan] formats`, for a member beside a canary); None is all.
+    size
+        Bytes of the largest body that it accepts.
+    version
+        Gives the installed version of a library by its name, "" for none.
+
+    Raises
+    ------
+    FormatsUnknownError
+        No format is left, or one is not known.
+    """
+    known = range(OLDEST_FORMAT, NEWEST_FORMAT + 1)
+    readable = sorted({*known} if formats is None else {*formats})
+    if not readable or not {*readable} <= {*known}:
+        asked = ", ".join(map(str, readable)) or "none"
+        raise FormatsUnknownError(
+            f"plan.formats: {asked}, this program knows {OLDEST_FORMAT} to {NEWEST_FORMAT}"
+        )
+    installed = {name: version(name) for names in FEATURE_LIBRARIES.values() for name in names}
+    features = {
+        name
+        for name, since in FEATURE_FORMATS.items()
+        if since <= readable[-1] and all(installed[library] for library in FEATURE_LIBRARIES.get(name, ()))
+    }
+    versions = ((RE2, installed["google-re2"]), (TZDATA, installed["tzdata"]))
+    return Capabilities(
+        _ranges(readable),
+        frozenset(features),
+        routes,
+        windows,
+        expressions,
+        size,
+        tuple((rule, found) for rule, found in versions if found),
+    )
+
+
+def _ranges(formats: Sequence[int]) -> tuple[tuple[int, int], ...]:
+    """Return ascending formats as ranges, first and last."""
+    ranges: list[tuple[int, int]] = []
+    for format in formats:
+        if ranges and ranges[-1][1] == format - 1:
+            ranges[-1] = (ranges[-1][0], format)
+        else:
+            ranges.append((format, format))
+    return tuple(ranges)
--- a/wheatring/skew/checker.py
+++ b/wheatring/skew/checker.py
@@ -1,15 +1,17 @@
-"""The piece that holds a plan back until every sidecar of the view understands it.
+"""The compatibility check: holds a plan back until every member of the view reads it and means the same.
 
-It is a member's side (`member`), at the leader one push (`leader`), and the gate to the view (`floor`). What
-compiles a plan is handed in. What must never hold together, and who keeps it:
+It is made of a member's side (`participant`), the leader's side of one check (`coordinator`) and the
+admission to the view (`minimum_format`). What compiles a plan is passed in. Two things must never happen
+together:
 
-- a plan is put while another view is being chosen: `verdict` says YES only while `view_still` is so, and
-  whoever puts does it in the same event, for the view that the verdict names;
-- somebody is let in while another plan is being chosen: `admits` lets nobody in unless `plan_still` is so.
+- a plan is put while another view is being committed: `verdict` says COMPATIBLE only while `is_view_stable`,
+  and whoever puts the plan does it in the same event, for the view that the verdict names;
+- a process is admitted while another plan is being committed: `admission_refusals` admits nobody unless
+  `is_plan_stable`.
 
-Both registers are led by one sidecar, so that these two, looked at there, leave no order of events in which a
-member of the view is in a settled plan that it can't read. `still` of a register: it is `ready`, and has what
-is chosen.
+Both registers are led by one sidecar. As both conditions are checked there, no order of events leaves a
+member in the view that can't read the committed plan. A register is stable while this sidecar leads it, it is
+ready, and its newest entry is the one that is committed.
 """
 
 from __future__ import annotations
@@ -24,6 +26,8 @@
 from wheatring.members.words import Knock, Placed
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.plan.document import OLDEST_FORMAT, Plan
+from wheatring.skew.capabilities import Capabilities
+from wheatring.skew.capability_table import CapabilityTable
 from wheatring.skew.coordinator import STEP_SECONDS, CheckCoordinator
 from wheatring.skew.errors import (
     BodyMissingError,
@@ -35,18 +39,16 @@
     AnswerRequest,
     AnswerResponse,
     AnySkewMessage,
-    Capabilities,
     CapabilityRequest,
     CapabilityResponse,
     TrialRequest,
     TrialResult,
 )
 from wheatring.skew.minimum_format import (
-    CapabilityTable,
     admission_refusals,
+    capabilities_unknown,
     change_minimum,
     decode_minimum,
-    unsurveyed,
 )
 from wheatring.skew.participant import CheckParticipant, CompilePlan
 from wheatring.skew.requirements import Requirements, refusal, requirements_of
@@ -54,8 +56,16 @@
 
 
 class CompatibilityChecker:
-    """A `lease.fleet.Piece` and a `plan.judge.Judge`. `abilities` are its own (`needs.own_abilities`),
-    `compiles` reads and compiles a body, `view_still` and `plan_still` as above.
+    """A component of the fleet (`lease.fleet.Piece`) and a `plan.compatibility.CompatibilityCheck`.
+
+    Parameters
+    ----------
+    capabilities
+        Those of this process (`capabilities.local_capabilities`).
+    compile_plan
+        Parses and compiles a body.
+    is_view_stable, is_plan_stable
+        Whether the registers of views and of plans are stable here, see above.
     """
 
     hears = (*get_args(AnySkewMessage), Knock)
@@ -64,60 +74,65 @@
     def __init__(
         self,
         fleet: Fleet,
-        abilities: Capabilities,
-        compiles: CompilePlan,
-        view_still: Callable[[], bool],
-        plan_still: Callable[[], bool],
+        capabilities: Capabilities,
+        compile_plan: CompilePlan,
+        is_view_stable: Callable[[], bool],
+        is_plan_stable: Callable[[], bool],
     ) -> None:
         self.fleet = fleet
-        self.participant = CheckParticipant(fleet, abilities, compiles)
-        self.is_view_stable, self.is_plan_stable = view_still, plan_still
+        self.participant = CheckParticipant(fleet, capabilities, compile_plan)
+        self.is_view_stable, self.is_plan_stable = is_view_stable, is_plan_stable
         self.coordinator: CheckCoordinator | None = None
-        self.refused: Verdict | None = None  # what was refused before anybody was asked
+        self.refused: Verdict | None = None  # a check that ended before any member was asked
         self.next_step = inf
         self.capability_table = CapabilityTable()
         self.minimum_format = OLDEST_FORMAT
         self.committed: Requirements | None = None
-        self.unreadable = ""  # why this program can't read what is settled
+        self.unreadable = ""  # what is committed, if this program can't read it
 
-    # The judge
+    # The check of one plan
 
     def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
+        """Start to ask the members of a view about a plan."""
         self.stop_check()
         body = self.fleet.bodies.get(digest)
         if body is None:
-            why = refusal("", BodyMissingError, f"{digest.hex()} is not here")
-            self.refused = Verdict(CheckStage.INCOMPATIBLE, view.number, 0, len(view.members), (why,))
+            reason = refusal("", BodyMissingError, f"{digest.hex()} is not here")
+            stage = CheckStage.INCOMPATIBLE
+            self.refused = Verdict(stage, view.number, 0, len(view.members), (reason,))
             return []
         day = at.wall // (1000 * DAY_SECONDS)
-        number = 1 + self.fleet.random.getrandbits(62)
-        self.coordinator = self.coordinator_type(
-            at.now, number, digest, requirements_of(plan, body), day, view
-        )
+        check_id = 1 + self.fleet.random.getrandbits(62)
+        requirements = requirements_of(plan, body)
+        self.coordinator = self.coordinator_type(at.now, check_id, digest, requirements, day, view)
         return self._step(at)
 
     def view_changed(self, at: Instant, view: View) -> list[Out]:
+        """Continue the check with the members of another view."""
         if self.coordinator is None:
             return []
         self.coordinator.view_changed(at.now, view)
         return self._step(at)
 
     def verdict(self, now: float) -> Verdict:
-        """Before any `begin`: NO of nobody."""
+        """Return the result so far; before any check that nobody is compatible."""
         if self.coordinator is not None:
             return self.coordinator.verdict(now, self.is_view_stable())
         return self.refused or Verdict(CheckStage.INCOMPATIBLE, 0)
 
     def stop_check(self) -> None:
+        """Forget the check in progress, if there is one."""
         self.coordinator = self.refused = None
 
     # Time
 
     @property
     def due(self) -> float:
+        """When the next tick has something to do, on the monotonic clock."""
         return min(self.next_step, self.participant.due)
 
     def tick(self, at: Instant) -> list[Out]:
+        """Advance the member's side, and the leader's where a check is in progress."""
         out = self.participant.tick(at)
         return out + self._step(at) if at.now >= self.next_step else out
 
@@ -127,95 +142,100 @@
             out += self.coordinator.step(at.now)
         for placed in self.capability_table.requests_due(at.now):
             out.append(((placed.who.host, placed.who.port), CapabilityRequest(0)))
-        open_ = self.coordinator is not None and self.coordinator.stage in (
-            CheckStage.SURVEYING,
-            CheckStage.TESTING,
-        )
-        self.next_step = at.now + STEP_SECONDS if open_ or self.capability_table.pending else inf
+        stages = (CheckStage.SURVEYING, CheckStage.TESTING)
+        is_checking = self.coordinator is not None and self.coordinator.stage in stages
+        self.next_step = at.now + STEP_SECONDS if is_checking or self.capability_table.pending else inf
         return out
 
-    # Words
+    # Messages
 
     def hear(self, at: Instant, sender: str, address: Address, word: AnySkewMessage | Knock) -> list[Out]:
+        """Handle a message, as the leader or as a member."""
         match word:
             case Knock():
-                # Asked right then, so that the answer is there when those who knocked are let in.
-                if (
-                    word.me.who.name == sender
-                    and self.is_plan_stable()
-                    and self.admission_refusals(at, word.me)
-                ):
+                # Asked at once, so that the answer is there when those that want to enter are admitted.
+                is_own = word.me.who.name == sender
+                if is_own and self.is_plan_stable() and self.admission_refusals(at, word.me):
                     return self._step(at)
             case CapabilityRequest() | TrialRequest() | AnswerRequest():
                 return self.participant.hear(at, address, word)
             case CapabilityResponse():
-                pushed = self.coordinator is not None and (sender, word.start) in self.coordinator.members
-                if pushed or (sender, word.start) in self.capability_table.pending:
-                    self.capability_table.record(sender, word.start, word.capabilities)
-        if self.coordinator is not None and isinstance(
-            word, CapabilityResponse | TrialResult | AnswerResponse
+                self._record(sender, word)
+        if (
+            isinstance(word, CapabilityResponse | TrialResult | AnswerResponse)
+            and self.coordinator is not None
         ):
             self.coordinator.handle(sender, word)
         return []
 
+    def _record(self, sender: str, message: CapabilityResponse) -> None:
+        """Take over the capabilities of a process that was asked for them."""
+        key = (sender, message.start)
+        is_checked = self.coordinator is not None and key in self.coordinator.members
+        if is_checked or key in self.capability_table.pending:
+            self.capability_table.record(sender, message.start, message.capabilities)
+
     def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+        """Compile a body that has arrived, where its trials are wanted."""
         return self.participant.body(at, digest, body)
 
-    # What is settled, the floor, and who may come in
+    # What is committed, and admission to the view
 
     def plan_committed(self, plan: Plan | None, body: bytes) -> None:
-        """A plan is settled, by the register `plan`. None: this program can't read it."""
+        """Take over what the register `plan` has committed; None is a plan this program can't read."""
         self.committed = requirements_of(plan, body) if plan is not None else None
         self.unreadable = "" if plan is not None else f"a plan of {len(body)} bytes"
 
     def minimum_committed(self, body: bytes) -> None:
-        """An entry of the register `floor` is chosen."""
-        floor = decode_minimum(body)
-        if floor is not None:
-            self.minimum_format = floor
+        """Take over an entry that the register `floor` has committed."""
+        minimum = decode_minimum(body)
+        if minimum is not None:
+            self.minimum_format = minimum
 
     def prepare_minimum(self, at: Instant, format: int, view: View) -> bytes:
-        """The body of an entry that moves the floor, for the leader to put. Raises FloorNotLeading,
-        FloorUnknown, FloorInUse, BelowFloor; Unsurveyed while members are still being asked.
+        """Return the body of the entry that moves the minimum format, for the leader to put.
+
+        Raises
+        ------
+        MinimumNotLeadingError
+            This sidecar does not lead, or an entry is being committed.
+        MinimumUnknownError, MinimumInUseError, BelowMinimumError
+            The format is refused.
+        CapabilitiesUnknownError
+            Members are still being asked for their capabilities.
         """
         if not (self.is_view_stable() and self.is_plan_stable()):
             raise MinimumNotLeadingError(f"floor {format} asked of {self.fleet.me.name}")
-        pairs = [(placed, self.capability_table.capabilities_of(at.now, placed)) for placed in view.members]
-        unknown = [placed.who.name for placed, abilities in pairs if abilities is None]
+        table = self.capability_table
+        pairs = [(placed.who.name, table.capabilities_of(at.now, placed)) for placed in view.members]
+        unknown = [name for name, capabilities in pairs if capabilities is None]
         if unknown:
             self.next_step = at.now
-            raise unsurveyed(unknown)
-        known = [(placed.who.name, abilities) for placed, abilities in pairs if abilities is not None]
+            raise capabilities_unknown(unknown)
+        known = [(name, capabilities) for name, capabilities in pairs if capabilities is not None]
         return change_minimum(format, self.minimum_format, self.committed, known)
 
     def own_refusals(self) -> tuple[Reason, ...]:
-        """Why this process is not fit for the view, by what it knows itself; it should not lead then."""
+        """Return why this process itself is not fit for the view; it should not lead then."""
         name = self.fleet.me.name
         if self.unreadable:
-            return (
-                refusal(
-                    name, CommittedPlanUnreadableError, f"it can't read what is settled, {self.unreadable}"
-                ),
-            )
-        return tuple(
-            admission_refusals(self.participant.abilities, self.minimum_format, self.committed, name)
-        )
+            what = f"it can't read what is settled, {self.unreadable}"
+            return (refusal(name, CommittedPlanUnreadableError, what),)
+        capabilities = self.participant.capabilities
+        return tuple(admission_refusals(capabilities, self.minimum_format, self.committed, name))
 
     def admission_refusals(self, at: Instant, placed: Placed) -> tuple[Reason, ...]:
-        """Why one that knocks is not let into the view now; (): it may come in. Asked at the leader."""
+        """Return why a process is not admitted to the view now, () if it is; asked at the leader."""
         name = placed.who.name
         if self.unreadable:
-            return (
-                refusal(
-                    name, CommittedPlanUnreadableError, f"{self.fleet.me.name} can't read {self.unreadable}"
-                ),
-            )
+            what = f"{self.fleet.me.name} can't read {self.unreadable}"
+            return (refusal(name, CommittedPlanUnreadableError, what),)
         if not self.is_plan_stable():
             return (refusal(name, CapabilitiesUnknownError, "another plan is being chosen"),)
         if self.committed is None and self.minimum_format == OLDEST_FORMAT:
             return ()
-        abilities = self.capability_table.capabilities_of(at.now, placed)
-        if abilities is None:
+        capabilities = self.capability_table.capabilities_of(at.now, placed)
+        if capabilities is None:
             self.next_step = min(self.next_step, at.now)
             return (refusal(name, CapabilitiesUnknownError, "it has not told yet what it can"),)
-        return tuple(admission_refusals(abilities, self.minimum_format, self.committed, name))
+        return tuple(admission_refusals(capabilities, self.minimum_format, self.committed, name))
--- a/wheatring/skew/coordinator.py
+++ b/wheatring/skew/coordinator.py
@@ -1,15 +1,15 @@
-"""The leader's side of one push: which members are able, whose trials differ, and from what.
+"""The leader's side of one compatibility check: which members lack what, whose answers differ, and where.
 
-States, moved only by `step` and `moved`; the verdict belongs to the view that stands in `view`:
+Stages, changed by `step` and `view_changed` alone; the verdict belongs to the view in `view`:
 
-    SURVEYED  every member is asked what it can         -> TRIED once all are able
-    TRIED     every member answers the trials           -> YES once all answers are alike
-    YES       until the view has somebody new           -> SURVEYED for those who are new
-    NO        somebody is silent, not able, or differs  -> stays so
+    SURVEYING     every member is asked for its capabilities  -> TESTING once none lacks anything
+    TESTING       every member answers the trials             -> COMPATIBLE once all answers are equal
+    COMPATIBLE    until the view has a new member             -> SURVEYING for the new ones
+    INCOMPATIBLE  a member is silent, lacks something or answers differently; final
 
-What must never hold: YES while a member of `view` has not answered both, by the very process that stands in
-the view; somebody silent taken for able or alike; a member that left counted in a refusal. Whoever was asked
-under an earlier view of this push is not asked again.
+What must never happen: COMPATIBLE while a member of `view` has not answered both, by the very process that is
+in the view; a silent member counts as compatible; a member that has left is named in a refusal. A member that
+was asked under an earlier view of this check is not asked again.
 """
 
 from __future__ import annotations
@@ -21,80 +21,86 @@
 from wheatring.members.words import Placed
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.skew.bisection import Bisection, PrefixAnswer
+from wheatring.skew.capabilities import Capabilities, describe_version_differences
 from wheatring.skew.errors import AnswersDifferError, CompileFailedError, MemberSilentError
 from wheatring.skew.messages import (
     AnswerRequest,
     AnswerResponse,
-    Capabilities,
     CapabilityRequest,
     CapabilityResponse,
     TrialRequest,
     TrialResult,
 )
-from wheatring.skew.requirements import (
-    Requirements,
-    describe_version_differences,
-    refusal,
-    unmet_requirements,
-)
+from wheatring.skew.requirements import Requirements, refusal, unmet_requirements
 
-Key = tuple[str, int]  # a process: its name, its start
+ProcessKey = tuple[str, int]  # a member's process: its name, and its start
 
-STEP_SECONDS = 0.05  # seconds from one look at what is due to the next
-AGAIN = 0.5  # seconds until who has not answered is asked again
-SURVEY, TRIAL, HUNT = 8.0, 12.0, 5.0  # seconds after which the silent are refused; a hunt is given up
-GATHER = 2.0  # seconds for which others that may be refused too are waited for
-EACH = 0.002  # seconds from one member that is asked to the next: 1,000 answers come over 2 s
-RATE = 50e6  # bytes a second in which bodies are to leave the leader, at most
-HUNTS = 8  # answers that differ from the rest and are looked into
-LATE = 2.0  # seconds of silence that are told while the stage is still open
+STEP_SECONDS = 0.05  # from one step to the next
+RETRY_SECONDS = 0.5  # until a member that has not answered is asked again
+SURVEY_TIMEOUT_SECONDS = 8.0  # after which silent members are refused
+TRIAL_TIMEOUT_SECONDS = 12.0
+BISECTION_TIMEOUT_SECONDS = 5.0
+GATHER_SECONDS = 2.0  # for which other refusals are awaited after the first, to name them all at once
+REQUEST_SPACING_SECONDS = 0.002  # from one member to the next: 1,000 answers come over 2 s
+MAX_BYTES_PER_SECOND = 50e6  # of bodies that leave the leader
+MAX_BISECTIONS = 8  # groups of differing answers that are looked into
+LATE_SECONDS = 2.0  # of silence that the verdict reports while the stage still goes on
 
 
-class _Of:
-    """One member in this push."""
+class _MemberState:
+    """What one member has answered in this check. Instants are monotonic seconds."""
 
     __slots__ = ("asked_at", "capabilities", "due", "reasons", "result")
 
     def __init__(self, due: float) -> None:
-        self.due = self.asked_at = due  # of the next word to it, and of the first in this stage
+        self.due = self.asked_at = due  # of the next request, and of the first one in this stage
         self.capabilities: Capabilities | None = None
         self.result: TrialResult | None = None
         self.reasons: list[Reason] = []
 
 
-class _Pair:
-    """A hunt between one that differs and one of the rest."""
+class _Comparison:
+    """The search for the first answer in which a member differs from the majority."""
 
-    def __init__(self, odd: Key, rest: Key, counts: tuple[int, int]) -> None:
-        self.keys = (odd, rest)
-        self.hunt = Bisection(counts)
+    def __init__(self, differing: ProcessKey, usual: ProcessKey, counts: tuple[int, int]) -> None:
+        self.keys = (differing, usual)
+        self.bisection = Bisection(counts)
         self.due = -inf
 
 
 class CheckCoordinator:
-    """`push` is drawn anew for each, `needs` are the plan's, `day` is the Unix day its trials start from."""
+    """One check, from its first request to its verdict.
+
+    Parameters
+    ----------
+    check_id
+        Drawn anew for each check, so that delayed answers to earlier ones don't count.
+    day
+        The Unix day from which on the trials look at the calendar.
+    """
 
     def __init__(
-        self, now: float, push: int, digest: bytes, needs: Requirements, day: int, view: View
+        self, now: float, check_id: int, digest: bytes, requirements: Requirements, day: int, view: View
     ) -> None:
-        self.check_id, self.digest, self.requirements, self.day = push, digest, needs, day
+        self.check_id, self.digest, self.requirements, self.day = check_id, digest, requirements, day
         self.stage = CheckStage.SURVEYING
         self.view = view
-        self.members: dict[Key, _Of] = {}
-        self.placed: dict[Key, Placed] = {}
-        self.comparisons: list[_Pair] | None = None
-        self.pairs_until = inf
-        self.bad_since = inf  # when the first was found that is not able, or has not compiled it
-        self.over: tuple[Reason, ...] = ()
+        self.members: dict[ProcessKey, _MemberState] = {}
+        self.placed: dict[ProcessKey, Placed] = {}
+        self.comparisons: list[_Comparison] | None = None
+        self.comparison_deadline = inf
+        self.failed_since = inf  # when the first member was found that lacks something or fails to compile
+        self.reasons: tuple[Reason, ...] = ()  # of the final stage
         self.view_changed(now, view)
 
     def view_changed(self, now: float, view: View) -> None:
-        """The view is another one: whoever is new is asked, whoever went is forgotten."""
+        """Ask the members that are new in a view, and forget those that have left."""
         self.view = view
         self.placed = {(placed.who.name, placed.start): placed for placed in view.members}
         new = [key for key in self.placed if key not in self.members]
         kept = {key: self.members[key] for key in self.placed if key in self.members}
-        self.members = {**kept, **{key: _Of(now + number * EACH) for number, key in enumerate(new)}}
+        added = {key: _MemberState(now + index * REQUEST_SPACING_SECONDS) for index, key in enumerate(new)}
+        self.members = {**kept, **added}
         self.comparisons = None
         if self.stage is CheckStage.COMPATIBLE:
             self.stage = CheckStage.TESTING
@@ -103,153 +109,172 @@
 
     # Answers
 
-    def handle(self, sender: str, word: CapabilityResponse | TrialResult | AnswerResponse) -> None:
-        key = (sender, word.start)
-        one = self.members.get(key)
-        if word.check_id != self.check_id or one is None:
+    def handle(self, sender: str, message: CapabilityResponse | TrialResult | AnswerResponse) -> None:
+        """Take over an answer, if it is to this check and from a process of the view."""
+        key = (sender, message.start)
+        member = self.members.get(key)
+        if message.check_id != self.check_id or member is None:
             return
-        match word:
+        match message:
             case CapabilityResponse():
-                if one.capabilities is None:
-                    one.capabilities = word.capabilities
-                    one.reasons = unmet_requirements(self.requirements, word.capabilities, sender)
+                if member.capabilities is None:
+                    member.capabilities = message.capabilities
+                    member.reasons = unmet_requirements(self.requirements, message.capabilities, sender)
             case TrialResult():
-                if one.result is None and one.capabilities is not None:
-                    one.result = word
-                    one.reasons = [refusal(sender, CompileFailedError, word.error)] if word.error else []
+                if member.result is None and member.capabilities is not None:
+                    member.result = message
+                    failed = refusal(sender, CompileFailedError, message.error)
+                    member.reasons = [failed] if message.error else []
             case AnswerResponse():
-                for pair in self.comparisons or ():
-                    if key in pair.keys:
-                        side = PrefixAnswer(word.result, word.trial, word.answer)
-                        pair.hunt.record(pair.keys.index(key), word.prefix_length, side)
-                        pair.due = -inf
+                self._handle_answer(key, message)
+
+    def _handle_answer(self, key: ProcessKey, message: AnswerResponse) -> None:
+        for comparison in self.comparisons or ():
+            if key in comparison.keys:
+                answer = PrefixAnswer(message.result, message.trial, message.answer)
+                side = comparison.keys.index(key)
+                comparison.bisection.record(side, message.prefix_length, answer)
+                comparison.due = -inf
 
     # Time
 
     def step(self, now: float) -> list[Out]:
-        """Ask whoever has not answered, and see whether the stage is over."""
+        """Ask the members that have not answered, and end the stage when it is over."""
         if self.stage in (CheckStage.COMPATIBLE, CheckStage.INCOMPATIBLE):
             return []
-        bad = [why for one in self.members.values() for why in one.reasons]
-        self.bad_since = min(self.bad_since, now) if bad else inf
-        open_ = {key: one for key, one in self.members.items() if self._is_pending(one)}
-        late = [key for key, one in open_.items() if now >= one.asked_at + self._limit()]
-        if bad and (not open_ or len(late) == len(open_) or now >= self.bad_since + GATHER):
-            return self._no([*bad, *(self._silent(now, key) for key in late)])
-        if open_ and len(late) == len(open_):
-            return self._no([self._silent(now, key) for key in late])
-        if not open_ and self.members:
-            return self._next(now)
-        return [said for key, one in open_.items() if now >= one.due for said in self._ask(now, key, one)]
-
-    def _is_pending(self, one: _Of) -> bool:
-        """Whether it has not answered in this stage."""
-        return one.capabilities is None if self.stage is CheckStage.SURVEYING else one.result is None
-
-    def _limit(self) -> float:
-        return SURVEY if self.stage is CheckStage.SURVEYING else TRIAL
-
-    def _ask(self, now: float, key: Key, one: _Of) -> list[Out]:
-        one.due = now + AGAIN
-        word: CapabilityRequest | TrialRequest = CapabilityRequest(
-            self.check_id, self.digest, self.requirements.bytes
-        )
+        failures = [reason for member in self.members.values() for reason in member.reasons]
+        self.failed_since = min(self.failed_since, now) if failures else inf
+        pending = {key: member for key, member in self.members.items() if self._is_pending(member)}
+        limit = self._timeout_seconds()
+        late = [key for key, member in pending.items() if now >= member.asked_at + limit]
+        is_all_late = len(late) == len(pending)
+        if failures and (not pending or is_all_late or now >= self.failed_since + GATHER_SECONDS):
+            return self._refuse([*failures, *(self._silent(now, key) for key in late)])
+        if pending and is_all_late:
+            return self._refuse([self._silent(now, key) for key in late])
+        if not pending and self.members:
+            return self._end_stage(now)
+        return [self._ask(now, key, member) for key, member in pending.items() if now >= member.due]
+
+    def _is_pending(self, member: _MemberState) -> bool:
+        """Whether a member has not answered in this stage."""
+        if self.stage is CheckStage.SURVEYING:
+            return member.capabilities is None
+        return member.result is None
+
+    def _timeout_seconds(self) -> float:
+        return SURVEY_TIMEOUT_SECONDS if self.stage is CheckStage.SURVEYING else TRIAL_TIMEOUT_SECONDS
+
+    def _ask(self, now: float, key: ProcessKey, member: _MemberState) -> Out:
+        member.due = now + RETRY_SECONDS
+        size_bytes = self.requirements.bytes
         if self.stage is CheckStage.TESTING:
-            word = TrialRequest(self.check_id, self.digest, self.requirements.bytes, self.day)
-        return [self._to(key, word)]
+            return self._to(key, TrialRequest(self.check_id, self.digest, size_bytes, self.day))
+        return self._to(key, CapabilityRequest(self.check_id, self.digest, size_bytes))
 
-    def _to(self, key: Key, word: CapabilityRequest | TrialRequest | AnswerRequest) -> Out:
+    def _to(self, key: ProcessKey, message: CapabilityRequest | TrialRequest | AnswerRequest) -> Out:
         who = self.placed[key].who
-        return (who.host, who.port), word
+        return (who.host, who.port), message
 
-    def _next(self, now: float) -> list[Out]:
-        """All have answered in this stage, and nothing is amiss."""
+    def _end_stage(self, now: float) -> list[Out]:
+        """Go on once all members have answered in this stage and none was refused."""
         if self.stage is CheckStage.SURVEYING:
-            self.stage = CheckStage.TESTING
-            untried = [one for one in self.members.values() if one.result is None]
-            for number, one in enumerate(untried):
-                one.due = one.asked_at = now + number * max(EACH, self.requirements.bytes / RATE)
+            self._start_testing(now)
             return []
         if self.comparisons is None:
             self._compare(now)
         if not self.comparisons:
             self.stage = CheckStage.COMPATIBLE
             return []
-        if now >= self.pairs_until or all(pair.hunt.is_done for pair in self.comparisons):
-            return self._no(self._differ(self.comparisons))
-        out: list[Out] = []
-        for pair in self.comparisons:
-            if now >= pair.due:
-                pair.due = now + AGAIN
-                for side, key in enumerate(pair.keys):
-                    if (upto := pair.hunt.next_length(side)) is not None:
-                        out.append(self._to(key, AnswerRequest(self.check_id, upto)))
-        return out
-
-    # Who differs
-
-    def _groups(self) -> list[list[Key]]:
-        """Those with the same answers; the rest first: the most, of as many those with the first name."""
-        groups: dict[tuple[bytes, int], list[Key]] = {}
-        for key, one in sorted(self.members.items()):
-            assert one.result is not None
-            groups.setdefault((one.result.result, one.result.count), []).append(key)
+        is_done = all(comparison.bisection.is_done for comparison in self.comparisons)
+        if now >= self.comparison_deadline or is_done:
+            return self._refuse(self._differences(self.comparisons))
+        return self._ask_for_prefixes(now, self.comparisons)
+
+    def _start_testing(self, now: float) -> None:
+        """Start the trials, one member after another as fast as the leader can send the body."""
+        self.stage = CheckStage.TESTING
+        spacing = max(REQUEST_SPACING_SECONDS, self.requirements.bytes / MAX_BYTES_PER_SECOND)
+        untested = [member for member in self.members.values() if member.result is None]
+        for index, member in enumerate(untested):
+            member.due = member.asked_at = now + index * spacing
+
+    # Whose answers differ
+
+    def _groups(self) -> list[list[ProcessKey]]:
+        """Return the members by equal answers, the largest group first; of equal ones the first by name."""
+        groups: dict[tuple[bytes, int], list[ProcessKey]] = {}
+        for key, member in sorted(self.members.items()):
+            assert member.result is not None
+            groups.setdefault((member.result.result, member.result.count), []).append(key)
         return sorted(groups.values(), key=lambda group: (-len(group), group[0]))
 
     def _compare(self, now: float) -> None:
-        rest, *odd = self._groups()
-        self.pairs_until = now + HUNT
+        """Start to compare one member of each differing group with one of the largest."""
+        usual, *differing = self._groups()
+        self.comparison_deadline = now + BISECTION_TIMEOUT_SECONDS
         self.comparisons = [
-            _Pair(group[0], rest[0], (self._count(group[0]), self._count(rest[0]))) for group in odd[:HUNTS]
+            _Comparison(group[0], usual[0], (self._trial_count(group[0]), self._trial_count(usual[0])))
+            for group in differing[:MAX_BISECTIONS]
         ]
 
-    def _count(self, key: Key) -> int:
-        tried = self.members[key].result
-        return tried.count if tried is not None else 0
+    def _trial_count(self, key: ProcessKey) -> int:
+        result = self.members[key].result
+        return result.count if result is not None else 0
+
+    def _ask_for_prefixes(self, now: float, comparisons: list[_Comparison]) -> list[Out]:
+        out: list[Out] = []
+        for comparison in comparisons:
+            if now < comparison.due:
+                continue
+            comparison.due = now + RETRY_SECONDS
+            for side, key in enumerate(comparison.keys):
+                if (length := comparison.bisection.next_length(side)) is not None:
+                    out.append(self._to(key, AnswerRequest(self.check_id, length)))
+        return out
 
-    def _differ(self, pairs: list[_Pair]) -> list[Reason]:
-        rest, *odd = self._groups()
-        out: list[Reason] = []
-        usual = self.members[rest[0]].capabilities or Capabilities()
-        for number, group in enumerate(odd):
+    def _differences(self, comparisons: list[_Comparison]) -> list[Reason]:
+        """Return a reason for each member whose answers differ from those of the largest group."""
+        usual, *differing = self._groups()
+        reasons: list[Reason] = []
+        usual_capabilities = self.members[usual[0]].capabilities or Capabilities()
+        for index, group in enumerate(differing):
             first = "which trial is the first to differ was not found in time"
-            if number < len(pairs) and pairs[number].hunt.is_done:
-                first = pairs[number].hunt.describe_difference()
+            if index < len(comparisons) and comparisons[index].bisection.is_done:
+                first = comparisons[index].bisection.describe_difference()
+            what = f"it answers otherwise than {len(usual)} of {len(self.members)}: {first}"
             for key in group:
-                what = f"it answers otherwise than {len(rest)} of {len(self.members)}: {first}"
-                versions = describe_version_differences(
-                    self.requirements.rules, self.members[key].capabilities or Capabilities(), usual
-                )
-                out.append(
-                    refusal(key[0], AnswersDifferError, f"{what}; it has {versions}" if versions else what)
-                )
-        return out
+                capabilities = self.members[key].capabilities or Capabilities()
+                rules = self.requirements.rules
+                versions = describe_version_differences(rules, capabilities, usual_capabilities)
+                text = f"{what}; it has {versions}" if versions else what
+                reasons.append(refusal(key[0], AnswersDifferError, text))
+        return reasons
 
-    # What came of it
+    # The result
 
-    def _silent(self, now: float, key: Key) -> Reason:
+    def _silent(self, now: float, key: ProcessKey) -> Reason:
         what = "the survey" if self.stage is CheckStage.SURVEYING else "the trial"
-        return refusal(
-            key[0],
-            MemberSilentError,
-            f"it has not answered {what} for {now - self.members[key].asked_at:.1f} s",
-        )
-
-    def _no(self, why: list[Reason]) -> list[Out]:
-        self.stage, self.over = CheckStage.INCOMPATIBLE, tuple(sorted(why))
+        seconds = now - self.members[key].asked_at
+        return refusal(key[0], MemberSilentError, f"it has not answered {what} for {seconds:.1f} s")
+
+    def _refuse(self, reasons: list[Reason]) -> list[Out]:
+        self.stage, self.reasons = CheckStage.INCOMPATIBLE, tuple(sorted(reasons))
         return []
 
-    def verdict(self, now: float, still: bool) -> Verdict:
-        """`still`: no other view is about to be chosen; else nobody can say yes."""
-        stage = self.stage if still or self.stage is not CheckStage.COMPATIBLE else CheckStage.TESTING
-        asked = sum(not self._is_pending(one) for one in self.members.values())
-        why = self.over
+    def verdict(self, now: float, is_view_stable: bool) -> Verdict:
+        """Return the result so far; while another view is about to be committed nobody is compatible."""
+        stage = self.stage
+        if stage is CheckStage.COMPATIBLE and not is_view_stable:
+            stage = CheckStage.TESTING
+        answered = sum(not self._is_pending(member) for member in self.members.values())
+        reasons = self.reasons
         if stage in (CheckStage.SURVEYING, CheckStage.TESTING):
             late = [
                 key
-                for key, one in self.members.items()
-                if self._is_pending(one) and now >= one.asked_at + LATE
+                for key, member in self.members.items()
+                if self._is_pending(member) and now >= member.asked_at + LATE_SECONDS
             ]
-            why = (*(why for one in self.members.values() for why in one.reasons),
-                   *(self._silent(now, key) for key in late))  # fmt: skip
-        return Verdict(stage, self.view.number, asked, len(self.members), why)
+            failures = [reason for member in self.members.values() for reason in member.reasons]
+            reasons = (*failures, *(self._silent(now, key) for key in late))
+        return Verdict(stage, self.view.number, answered, len(self.members), reasons)
--- a/wheatring/skew/messages.py
+++ b/wheatring/skew/messages.py
@@ -1,55 +1,21 @@
-"""What a sidecar can, and what the leader and the members say about a plan before it is settled.
+"""The messages of a compatibility check between the leader and the members.
 
-A program without these words does not answer them. It counts as one that reads format 1 and nothing else.
+A program from before these messages does not answer them; it counts as one with `LEGACY_CAPABILITIES`. The
+structs are encoded as arrays: tags and the order of fields are the wire format.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-# What a plan may use besides fixed weights by host, path and method, and the format that each came with.
-FEATURE_FORMATS = {
-    "expressions": 1,
-    "headers": 1,
-    "windows": 2,
-    "rrule": 2,
-    "holds": 2,
-    "ramps": 3,
-    "split_by": 3,
-}
-RE2, TZDATA = "re2", "tzdata"  # what gives rules their meaning, and differs from version to version
-
-
-class Capabilities(Struct, frozen=True, array_like=True):
-    """What one process can. `formats`: ranges that it reads, first and last. `routes`, `windows` and
-    `expressions` are counts, `bytes` is of a whole body: the most that it takes. `versions`: of what gives
-    rules their meaning, (name, version), by name.
-    """
-
-    formats: tuple[tuple[int, int], ...] = ()
-    features: frozenset[str] = frozenset()
-    routes: int = 0
-    windows: int = 0
-    expressions: int = 0
-    bytes: int = 0
-    versions: tuple[tuple[str, str], ...] = ()
-
-    def can_read(self, format: int) -> bool:
-        return any(first <= format <= last for first, last in self.formats)
-
-    def version_of(self, name: str) -> str:
-        """Of one by its name; "" where it has none."""
-        return dict(self.versions).get(name, "")
-
-
-LEGACY_CAPABILITIES = Capabilities(
-    ((1, 1),), frozenset(), 10_000, 2000, 1000, 256 * 1024
-)  # a program without these words
+from wheatring.skew.capabilities import Capabilities
 
 
 class CapabilityRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="survey"):
-    """From the leader: what can you? `push` is drawn for each push, and 0 where somebody knocks. `digest` and
-    `size` (bytes) are those of the plan that it is about.
+    """From the leader: report your capabilities.
+
+    `check_id` is drawn anew for each check, and 0 where a process asks to enter the view. `digest` and
+    `size_bytes` are those of the plan that is checked.
     """
 
     check_id: int
@@ -58,7 +24,7 @@
 
 
 class CapabilityResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="able"):
-    """This can I. `start` tells the process from earlier ones of its name."""
+    """From a member; `start` tells its process from earlier ones of its name."""
 
     check_id: int
     start: int
@@ -66,8 +32,9 @@
 
 
 class TrialRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="try"):
-    """From the leader: have the body, compile it, and answer its trials. `day`: the Unix day from which on
-    the trials look at the calendar; the leader's, so that all ask the same.
+    """From the leader: fetch the body, compile it, and answer its trials.
+
+    `day` is the Unix day from which on the trials look at the calendar: the leader's, the same for all.
     """
 
     check_id: int
@@ -77,7 +44,7 @@
 
 
 class TrialResult(Struct, frozen=True, array_like=True, tag_field="w", tag="tried"):
-    """The digest of all `count` trials with their answers; or why there is none."""
+    """From a member: the digest of all `count` trials with their answers, or why there is none (`error`)."""
 
     check_id: int
     start: int
@@ -87,14 +54,14 @@
 
 
 class AnswerRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="show"):
-    """From the leader: the digest of your first `upto` trials, and the last of these."""
+    """From the leader: the digest of your first `prefix_length` trials, and the last of these."""
 
     check_id: int
     prefix_length: int
 
 
 class AnswerResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="shown"):
-    """What was asked (`trial`) and answered there, as a person reads it."""
+    """From a member: that digest, and what the last trial asks and its answer as a person reads them."""
 
     check_id: int
     start: int
--- a/wheatring/skew/minimum_format.py
+++ b/wheatring/skew/minimum_format.py
@@ -1,39 +1,32 @@
-"""The fleet's floor, and who may come into the view.
+"""The fleet's minimum format, and the admission of processes to the view.
 
-The floor is the least format that is still needed: every member reads it, and who starts older is told what
-it lacks. It is an entry of the register `floor`, so that it is the same for all and outlives a leader. It
-moves by a call only. Up: once all of the view read the new one. Down: while no settled plan needs it.
+The minimum is the lowest format that is still needed: every member reads it, and a process that starts with
+less is told what it lacks. It is an entry of the register `floor`, so that it is the same for all members and
+outlives a leader. It moves by an operator's call alone: up once all members of the view read the new one,
+down while no committed plan needs it.
 
-What must never hold: somebody is let in that can't read the settled plan; while the leader does not know what
-is settled (another entry is being chosen, or it can't read the plan itself) it lets nobody in.
+What must never happen: a process is admitted that can't read the committed plan. While the leader does not
+know what is committed (another entry is being put, or it can't read the plan itself) it admits nobody.
 """
 
 from __future__ import annotations
 
-from collections import OrderedDict
 from collections.abc import Sequence
-from typing import NamedTuple
 
 import msgspec
 
-from wheatring.members.words import Placed
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.document import NEWEST_FORMAT, OLDEST_FORMAT
+from wheatring.skew.capabilities import Capabilities, describe_formats
 from wheatring.skew.errors import (
     BelowMinimumError,
     CapabilitiesUnknownError,
     MinimumInUseError,
     MinimumUnknownError,
 )
-from wheatring.skew.messages import LEGACY_CAPABILITIES, Capabilities
-from wheatring.skew.requirements import Requirements, describe_formats, refusal, unmet_requirements
+from wheatring.skew.requirements import Requirements, refusal, unmet_requirements
 
-MAX_PROCESSES = 4000  # processes whose abilities are kept
-LEGACY_AFTER_SECONDS = (
-    10.0  # seconds of asking after which a process that goes on knocking is a program without these words
-)
-RETRY_SECONDS = 0.5  # seconds until it is asked again
-MAX_PENDING = 1000  # processes that are asked at once
+MAX_NAMED = 20  # members that one error names
 
 
 class MinimumFormat(msgspec.Struct, frozen=True, array_like=True):
@@ -47,11 +40,12 @@
 
 
 def encode_minimum(format: int) -> bytes:
+    """Return the body of an entry that sets the minimum."""
     return _encoder.encode(MinimumFormat(format))
 
 
 def decode_minimum(body: bytes) -> int | None:
-    """None: it is none."""
+    """Return the format that an entry sets; None if the body is not of that kind."""
     try:
         return _decoder.decode(body).format
     except msgspec.DecodeError:
@@ -59,86 +53,63 @@
 
 
 def admission_refusals(
-    abilities: Capabilities, floor: int, settled: Requirements | None, member: str = ""
+    capabilities: Capabilities, minimum: int, committed: Requirements | None, member: str = ""
 ) -> list[Reason]:
-    """Why one that can just this may not come into the view; []: it may."""
-    out: list[Reason] = []
-    if not abilities.can_read(floor):
-        what = f"it reads format {describe_formats(abilities.formats)}, the fleet's floor is {floor}"
-        newest = max((last for _, last in abilities.formats), default=0)
-        do = f"Upgrade it to a program that reads format {floor}."
-        if newest > floor:
-            do = f"Raise the floor to what it reads, or have it read format {floor} again."
-        out.append(refusal(member, BelowMinimumError, what, do))
-    return out + (unmet_requirements(settled, abilities, member) if settled is not None else [])
+    """Return why a process with these capabilities may not enter the view; [] if it may.
+
+    `committed` are the requirements of the committed plan, None while there is none.
+    """
+    reasons: list[Reason] = []
+    if not capabilities.can_read(minimum):
+        reads = describe_formats(capabilities.formats)
+        what = f"it reads format {reads}, the fleet's floor is {minimum}"
+        newest = max((last for _, last in capabilities.formats), default=0)
+        advice = f"Upgrade it to a program that reads format {minimum}."
+        if newest > minimum:
+            advice = f"Raise the floor to what it reads, or have it read format {minimum} again."
+        reasons.append(refusal(member, BelowMinimumError, what, advice))
+    if committed is None:
+        return reasons
+    return reasons + unmet_requirements(committed, capabilities, member)
 
 
 def change_minimum(
-    format: int, floor: int, settled: Requirements | None, known: Sequence[tuple[str, Capabilities]]
+    format: int, minimum: int, committed: Requirements | None, known: Sequence[tuple[str, Capabilities]]
 ) -> bytes:
-    """The body of the entry that moves the floor. `known`: what all members of the view can. Raises
-    FloorUnknown, FloorInUse, BelowFloor.
+    """Return the body of the entry that moves the minimum to `format`.
+
+    `known` are the names and capabilities of all members of the view.
+
+    Raises
+    ------
+    MinimumUnknownError
+        This program doesn't know the format.
+    MinimumInUseError
+        The committed plan needs a higher one.
+    BelowMinimumError
+        A member doesn't read it.
     """
     if not OLDEST_FORMAT <= format <= NEWEST_FORMAT:
-        raise MinimumUnknownError(
-            f"floor {format}, this program knows formats {OLDEST_FORMAT} to {NEWEST_FORMAT}"
-        )
-    if format < floor and settled is not None and settled.format > format:
-        raise MinimumInUseError(f"floor {format}, the settled plan needs format {settled.format}")
-    below = [f"{name} ({describe_formats(can.formats)})" for name, can in known if not can.can_read(format)]
+        formats = f"{OLDEST_FORMAT} to {NEWEST_FORMAT}"
+        raise MinimumUnknownError(f"floor {format}, this program knows formats {formats}")
+    if format < minimum and committed is not None and committed.format > format:
+        raise MinimumInUseError(f"floor {format}, the settled plan needs format {committed.format}")
+    below = [
+        f"{name} ({describe_formats(capabilities.formats)})"
+        for name, capabilities in known
+        if not capabilities.can_read(format)
+    ]
     if below:
-        named = ", ".join(below[:20]) + (f" and {len(below) - 20} more" if len(below) > 20 else "")
-        raise BelowMinimumError(f"floor {format} is not read by {len(below)} of {len(known)}: {named}")
+        what = f"floor {format} is not read by {len(below)} of {len(known)}"
+        raise BelowMinimumError(f"{what}: {_list_names(below)}")
     return encode_minimum(format)
 
 
-class _Knock(NamedTuple):
-    placed: Placed
-    since: float
-    due: float
-    seen: float
-
-
-class CapabilityTable:
-    """What processes can, by name and start, and whom to ask; the longest not heard of goes first."""
-
-    def __init__(self) -> None:
-        self.known: OrderedDict[tuple[str, int], Capabilities] = OrderedDict()
-        self.pending: dict[tuple[str, int], _Knock] = {}
-
-    def record(self, name: str, start: int, abilities: Capabilities) -> None:
-        self.pending.pop((name, start), None)
-        self.known[name, start] = abilities
-        self.known.move_to_end((name, start))
-        while len(self.known) > MAX_PROCESSES:
-            self.known.popitem(last=False)
-
-    def capabilities_of(self, now: float, placed: Placed) -> Capabilities | None:
-        """What that process can; None: it is asked first. One that does not answer for `OLD` seconds though
-        it goes on being asked about is held to be OLDER: it reads format 1.
-        """
-        key = (placed.who.name, placed.start)
-        if key in self.known:
-            return self.known[key]
-        knock = self.pending.get(key)
-        if knock is None:
-            if len(self.pending) < MAX_PENDING:
-                self.pending[key] = _Knock(placed, now, now, now)
-            return None
-        self.pending[key] = knock._replace(seen=now)
-        return LEGACY_CAPABILITIES if now >= knock.since + LEGACY_AFTER_SECONDS else None
-
-    def requests_due(self, now: float) -> list[Placed]:
-        """Whom to ask now. Who is not heard of for a while is not asked any more."""
-        self.pending = {
-            key: knock for key, knock in self.pending.items() if now - knock.seen < LEGACY_AFTER_SECONDS
-        }
-        due = [key for key, knock in self.pending.items() if now >= knock.due]
-        for key in due:
-            self.pending[key] = self.pending[key]._replace(due=now + RETRY_SECONDS)
-        return [self.pending[key].placed for key in due]
-
-
-def unsurveyed(names: Sequence[str]) -> CapabilitiesUnknownError:
-    named = ", ".join(names[:20]) + (f" and {len(names) - 20} more" if len(names) > 20 else "")
-    return CapabilitiesUnknownError(f"{len(names)} have not told yet what they can: {named}")
+def capabilities_unknown(names: Sequence[str]) -> CapabilitiesUnknownError:
+    """Return the error that these members have not reported their capabilities yet."""
+    return CapabilitiesUnknownError(f"{len(names)} have not told yet what they can: {_list_names(names)}")
+
+
+def _list_names(names: Sequence[str]) -> str:
+    more = f" and {len(names) - MAX_NAMED} more" if len(names) > MAX_NAMED else ""
+    return ", ".join(names[:MAX_NAMED]) + more
--- a/wheatring/skew/participant.py
+++ b/wheatring/skew/participant.py
@@ -1,13 +1,13 @@
-"""A member's side of survey and trial: tells what it can, has the body, compiles it, answers.
+"""A member's side of a compatibility check: reports capabilities, compiles the body, answers its trials.
 
-States of a trial, by its digest and day; only `hear`, `body` and `tick` move it:
+States of a run of trials, by its digest and day; changed by messages, bodies and ticks alone:
 
-    FETCHING  the body is wanted                            -> WORKING once it is here whole
-    WORKING   compiled; a few trials are answered each tick -> DONE
-    DONE      told to whoever asks, as often as it asks     -> forgotten after `KEEP`, or for a newer one
+    FETCHING   the body is wanted                            -> ANSWERING once it is here and compiled
+    ANSWERING  a few trials are answered in each tick        -> DONE
+    DONE       reported to whoever asks, as often as asked   -> dropped after a while, or for a newer run
 
-What must never hold: a result is told of other bytes than were asked about, or of answers that are not all
-there.
+What must never happen: a result is reported for other bytes than were asked about, or for answers that are
+not complete.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 from wheatring.lease.fleet import Fleet, Instant, Out
 from wheatring.members.members import Address
 from wheatring.plan.document import Plan
+from wheatring.skew.capabilities import Capabilities
 from wheatring.skew.messages import (
     AnswerRequest,
     AnswerResponse,
-    Capabilities,
     CapabilityRequest,
     CapabilityResponse,
     TrialRequest,
@@ -32,134 +32,139 @@
 )
 from wheatring.skew.trials import AnswerChain, PlanEvaluator
 
-CompilePlan = Callable[
-    [bytes], tuple[Plan, PlanEvaluator]
-]  # raises OperatorError or ValueError for what it can't read
-KEEP = 60.0  # seconds for which a trial is kept after anybody asked about it
-MOST = 2  # trials at once: those of a leader that was and of the one that is
-FEW = 100  # requests answered in one go: about 2 ms
-APART = 0.005  # seconds from one go to the next
-TEXT = 400  # bytes of a text in a word
-AGAIN = 1.0  # seconds until a body is asked for again
+CompilePlan = Callable[[bytes], tuple[Plan, PlanEvaluator]]
+"""Parses and compiles a body; raises OperatorError or ValueError for one that can't be read."""
 
+KEEP_SECONDS = 60.0  # for which a run is kept after the last request about it
+MAX_RUNS = 2  # of the present leader, and of the one before
+REQUESTS_PER_TICK = 100  # trials answered at a time: about 2 ms
+TICK_SECONDS = 0.005  # until the next ones
+MAX_TEXT_BYTES = 400  # of a text in a message
+REFETCH_SECONDS = 1.0  # until a body is asked for again
 
-def short(text: str) -> str:
-    """As much of it as surely goes into a word beside another."""
-    return text.encode()[:TEXT].decode(errors="ignore")
 
+def truncate(text: str) -> str:
+    """Return as much of a text as surely fits into a message beside another one."""
+    return text.encode()[:MAX_TEXT_BYTES].decode(errors="ignore")
 
-class _Trial:
-    def __init__(self, now: float, word: TrialRequest, address: Address) -> None:
-        self.push = word.check_id
-        self.digest = word.digest
-        self.day = word.day
+
+class _TrialRun:
+    """The trials of one body from one day on. Instants are monotonic seconds."""
+
+    def __init__(self, now: float, request: TrialRequest, address: Address) -> None:
+        self.check_id = request.check_id
+        self.digest = request.digest
+        self.day = request.day
         self.address = address  # of whoever asked last
-        self.asked = now
-        self.fetched = -inf
-        self.answers: AnswerChain | None = None
+        self.asked_at = now
+        self.fetched_at = -inf
+        self.answers: AnswerChain | None = None  # once the body is compiled
         self.error = ""
-        self.done = False
+        self.is_done = False
 
 
 class CheckParticipant:
-    """`compiles` reads and compiles a body."""
+    """Answers the leader's messages for this process. `compile_plan` parses and compiles a body."""
 
-    def __init__(self, fleet: Fleet, abilities: Capabilities, compiles: CompilePlan) -> None:
+    def __init__(self, fleet: Fleet, capabilities: Capabilities, compile_plan: CompilePlan) -> None:
         self.fleet = fleet
-        self.abilities = abilities
-        self.compiles = compiles
-        self.trials: OrderedDict[tuple[bytes, int], _Trial] = OrderedDict()
+        self.capabilities = capabilities
+        self.compile_plan = compile_plan
+        self.runs: OrderedDict[tuple[bytes, int], _TrialRun] = OrderedDict()
         self.next_work = inf
 
     @property
     def due(self) -> float:
-        kept = min((trial.asked + KEEP for trial in self.trials.values()), default=inf)
-        return min(self.next_work, kept)
+        """When the next tick has something to do, on the monotonic clock."""
+        expiry = min((run.asked_at + KEEP_SECONDS for run in self.runs.values()), default=inf)
+        return min(self.next_work, expiry)
 
     def tick(self, at: Instant) -> list[Out]:
-        for key in [key for key, trial in self.trials.items() if at.now >= trial.asked + KEEP]:
-            del self.trials[key]
+        """Drop old runs, and answer a few trials of the first run that is not done."""
+        for key in [key for key, run in self.runs.items() if at.now >= run.asked_at + KEEP_SECONDS]:
+            del self.runs[key]
         if at.now < self.next_work:
             return []
         out: list[Out] = []
         self.next_work = inf
-        for trial in self.trials.values():
-            if trial.answers is not None and not trial.done:
-                if trial.answers.advance(FEW):
-                    trial.done = True
-                    out += self._tell(trial)
-                else:
-                    self.next_work = at.now + APART
-                    break
+        for run in self.runs.values():
+            if run.answers is None or run.is_done:
+                continue
+            if not run.answers.advance(REQUESTS_PER_TICK):
+                self.next_work = at.now + TICK_SECONDS
+                break
+            run.is_done = True
+            out += self._report(run)
         return out
 
     def hear(
-        self, at: Instant, address: Address, word: CapabilityRequest | TrialRequest | AnswerRequest
+        self, at: Instant, address: Address, message: CapabilityRequest | TrialRequest | AnswerRequest
     ) -> list[Out]:
-        match word:
+        """Handle a message of a leader."""
+        match message:
             case CapabilityRequest():
-                return [(address, CapabilityResponse(word.check_id, self.fleet.start, self.abilities))]
+                return [(address, CapabilityResponse(message.check_id, self.fleet.start, self.capabilities))]
             case TrialRequest():
-                return self._try(at, address, word)
+                return self._handle_trial_request(at, address, message)
             case AnswerRequest():
-                return self._show(at, address, word)
-
-    def _try(self, at: Instant, address: Address, word: TrialRequest) -> list[Out]:
-        trial = self.trials.get((word.digest, word.day))
-        if trial is None:
-            trial = self.trials[word.digest, word.day] = _Trial(at.now, word, address)
-            while len(self.trials) > MOST:
-                self.trials.popitem(last=False)
-        self.trials.move_to_end((word.digest, word.day))
-        trial.push, trial.address, trial.asked = word.check_id, address, at.now
-        if trial.done:
-            return self._tell(trial)
-        return self._begin(at, trial)
-
-    def _begin(self, at: Instant, trial: _Trial) -> list[Out]:
-        """Compile it, or have its body first."""
-        if trial.answers is not None:
+                return self._handle_answer_request(at, address, message)
+
+    def _handle_trial_request(self, at: Instant, address: Address, message: TrialRequest) -> list[Out]:
+        key = (message.digest, message.day)
+        run = self.runs.get(key)
+        if run is None:
+            run = self.runs[key] = _TrialRun(at.now, message, address)
+            while len(self.runs) > MAX_RUNS:
+                self.runs.popitem(last=False)
+        self.runs.move_to_end(key)
+        run.check_id, run.address, run.asked_at = message.check_id, address, at.now
+        if run.is_done:
+            return self._report(run)
+        return self._start(at, run)
+
+    def _start(self, at: Instant, run: _TrialRun) -> list[Out]:
+        """Compile the body of a run, or fetch it first."""
+        if run.answers is not None:
             return []
-        body = self.fleet.bodies.get(trial.digest)
+        body = self.fleet.bodies.get(run.digest)
         if body is None:
-            if at.now >= trial.fetched + AGAIN:
-                trial.fetched = at.now
-                self.fleet.fetches.append(Fetch(trial.address, trial.digest))
+            if at.now >= run.fetched_at + REFETCH_SECONDS:
+                run.fetched_at = at.now
+                self.fleet.fetches.append(Fetch(run.address, run.digest))
             return []
         try:
-            plan, ruled = self.compiles(body)
-        except (OperatorError, ValueError) as bad:
-            trial.error = short(" ".join(str(bad).split())) or type(bad).__name__
-            trial.done = True
-            return self._tell(trial)
-        trial.answers = AnswerChain(plan, ruled, trial.day)
+            plan, evaluator = self.compile_plan(body)
+        except (OperatorError, ValueError) as error:
+            run.error = truncate(" ".join(str(error).split())) or type(error).__name__
+            run.is_done = True
+            return self._report(run)
+        run.answers = AnswerChain(plan, evaluator, run.day)
         self.next_work = at.now
         return []
 
     def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
-        if body is None:  # it is asked for again when the leader asks again
+        """Start the runs that have waited for a body; one that could not be had is asked for again later."""
+        if body is None:
             return []
-        waiting = [trial for trial in self.trials.values() if trial.digest == digest and not trial.done]
-        return [said for trial in waiting for said in self._begin(at, trial)]
-
-    def _tell(self, trial: _Trial) -> list[Out]:
-        count, result = (trial.answers.count, trial.answers.result) if trial.answers else (0, b"")
-        word = TrialResult(trial.push, self.fleet.start, result, count, trial.error)
-        return [(trial.address, word)]
-
-    def _show(self, at: Instant, address: Address, word: AnswerRequest) -> list[Out]:
-        for trial in self.trials.values():
-            answers = trial.answers
-            if (
-                trial.push == word.check_id
-                and trial.done
-                and answers
-                and 0 < word.prefix_length <= answers.count
-            ):
-                trial.asked = at.now
-                asked, answer = answers.show(word.prefix_length - 1)
-                shown = (answers.prefix_digest(word.prefix_length), short(asked), short(answer))
-                return [
-                    (address, AnswerResponse(word.check_id, self.fleet.start, word.prefix_length, *shown))
-                ]
+        waiting = [run for run in self.runs.values() if run.digest == digest and not run.is_done]
+        return [message for run in waiting for message in self._start(at, run)]
+
+    def _report(self, run: _TrialRun) -> list[Out]:
+        count, result = (run.answers.count, run.answers.result) if run.answers else (0, b"")
+        return [(run.address, TrialResult(run.check_id, self.fleet.start, result, count, run.error))]
+
+    def _handle_answer_request(self, at: Instant, address: Address, message: AnswerRequest) -> list[Out]:
+        """Show the digest of a prefix of the answers, and its last trial, where these are complete."""
+        length = message.prefix_length
+        for run in self.runs.values():
+            answers = run.answers
+            if run.check_id != message.check_id or not run.is_done or not answers:
+                continue
+            if 0 < length <= answers.count:
+                run.asked_at = at.now
+                trial, answer = answers.show(length - 1)
+                texts = (truncate(trial), truncate(answer))
+                digest = answers.prefix_digest(length)
+                response = AnswerResponse(message.check_id, self.fleet.start, length, digest, *texts)
+                return [(address, response)]
         return []
