--- a/tests/controller/test_consensus_store.py
+++ b/tests/controller/test_consensus_store.py
@@ -22,4 +22,6 @@
     assert (loaded.soft_version, loaded.soft_state) == (12, b"a list")
     state = ControlState.FromString(loaded.entry.data)
     assert state.generation == 7 and state.configuration.startswith(b'{"generation": 7')
-    assert [(taken.generation, taken.digest) for taken in state.taken] == [(7, b"0123456789abcdef")]
+    assert [(accepted.generation, accepted.digest) for accepted in state.accepted] == [
+        (7, b"0123456789abcdef")
+    ]
--- a/tests/storage/test_repair.py
+++ b/tests/storage/test_repair.py
@@ -87,7 +87,7 @@
         began = loop.time()
         repair.on_placement(Placement(epoch=2, current=members, next=following))
         async with asyncio.timeout(30):
-            while repair.whole_epoch < 2:
+            while repair.complete_epoch < 2:
                 await asyncio.sleep(0.001)
         return new, loop.time() - began
 
@@ -142,7 +142,7 @@
         repair = Repair(replica, sources, 1)  # type: ignore[arg-type]
         repair.on_placement(Placement(epoch=2, current=[*members, *extra], next=members))
         async with asyncio.timeout(30):
-            while repair.whole_epoch < 2:
+            while repair.complete_epoch < 2:
                 await asyncio.sleep(0.001)
         clock[0] = 100.0
         replica.table.expire(clock[0])
--- a/tests/storage/test_replica.py
+++ b/tests/storage/test_replica.py
@@ -45,7 +45,7 @@
     shutil.copy(WRITTEN_BY_C345874, tmp_path)
     replica = opened(tmp_path)
     assert replica.identity == IDENTITY
-    assert (replica.fence_epoch, replica.whole_epoch) == (7, 6)
+    assert (replica.fence_epoch, replica.complete_epoch) == (7, 6)
     for record in (turn(1), turn(2, "t1"), turn(3, "t1", "t2")):
         assert replica.table.turn(record.turn.id) == record.turn
     entries = {e.turn: (e.tokens, e.settled) for e in replica.table.budget_entries("program-a")}
--- a/tests/tier/test_update.py
+++ b/tests/tier/test_update.py
@@ -260,7 +260,7 @@
 
 
 def _forgetful(command: Command, state: ControlState) -> Outcome:
-    del state.taken[:]
+    del state.accepted[:]
     return command.apply(state)
 
 
@@ -271,7 +271,7 @@
 
 
 def _applied_twice(command: Command, state: ControlState) -> Outcome:
-    if isinstance(command, UpdateConfiguration) and any(t.digest == command.digest for t in state.taken):
+    if isinstance(command, UpdateConfiguration) and any(t.digest == command.digest for t in state.accepted):
         state.generation += 1
     return command.apply(state)
 
--- a/tests/transport/test_messages.py
+++ b/tests/transport/test_messages.py
@@ -14,7 +14,9 @@
 
 # By message and, where it has alternatives, the number of the one that is set. Names are those of c345874.
 GOLDEN: dict[str, str] = json.loads((Path(__file__).parent / "data" / "messages.json").read_text())
-RENAMED: dict[str, str] = {}  # old name of a message: new name; names are not on the wire
+RENAMED: dict[str, str] = {
+    "TakenConfiguration": "AcceptedConfiguration"
+}  # old name of a message: new name; names are not on the wire
 
 
 def scalar_value(field: Any) -> Any:
--- a/wheatring/controller/commands.py
+++ b/wheatring/controller/commands.py
@@ -113,7 +113,7 @@
 ) -> Outcome:
     """Accept a retry again, and a change of the current version that leads to a valid one."""
     digest = command.digest
-    if any(taken.digest == digest for taken in state.taken):
+    if any(accepted.digest == digest for accepted in state.accepted):
         return Accepted()
     if command.base != state.generation:
         return _outcome_for_stale_base(state, command)
@@ -129,10 +129,10 @@
         return Invalid(f"generation: must be above {state.generation}")
     state.generation = configuration.generation
     state.configuration = body
-    state.taken.add(generation=configuration.generation, digest=digest)
-    while len(state.taken) > MAX_REMEMBERED_CONFIGURATIONS:
-        state.forgotten_generation = state.taken[0].generation
-        del state.taken[0]
+    state.accepted.add(generation=configuration.generation, digest=digest)
+    while len(state.accepted) > MAX_REMEMBERED_CONFIGURATIONS:
+        state.forgotten_generation = state.accepted[0].generation
+        del state.accepted[0]
     return Accepted()
 
 
--- a/wheatring/controller/presence_table.py
+++ b/wheatring/controller/presence_table.py
@@ -69,7 +69,7 @@
             return PresenceChange.NONE
         is_changed = (
             known is None
-            or known.presence.whole_epoch != presence.whole_epoch
+            or known.presence.complete_epoch != presence.complete_epoch
             or known.presence.leaving != presence.leaving
         )
         forwarded_at = NEVER_SECONDS if is_changed or known is None else known.forwarded_at
@@ -135,7 +135,7 @@
             member = StorageMember(
                 replica_id=replica_id, node=presence.node, address=presence.address, zone=presence.zone
             )
-            report = StorageReport(member, presence.whole_epoch, record.age(now), presence.leaving)
+            report = StorageReport(member, presence.complete_epoch, record.age(now), presence.leaving)
             other = newest.get(member.address)
             if other is None or report.age < other.age:
                 newest[member.address] = report
--- a/wheatring/discovery/platform_list.py
+++ b/wheatring/discovery/platform_list.py
@@ -39,7 +39,7 @@
         zone=str(values.get("zone", "")),
         slots=max(0, int(values.get("slots") or 0)),
         draining=values.get("state") == DRAINING,
-        cold_ms=max(0, int(values.get("coldMs") or 0)),
+        warm_up_ms=max(0, int(values.get("coldMs") or 0)),
         version=str(values.get("generation", "")),
     )
 
--- a/wheatring/lab/control/invariants.py
+++ b/wheatring/lab/control/invariants.py
@@ -118,7 +118,7 @@
 @lru_cache(maxsize=4096)
 def _state(data: bytes) -> tuple[int, frozenset[bytes]]:
     state = ControlState.FromString(data)
-    return state.generation, frozenset(taken.digest for taken in state.taken)
+    return state.generation, frozenset(accepted.digest for accepted in state.accepted)
 
 
 def generation_of(data: bytes) -> int:
--- a/wheatring/lab/control/model.py
+++ b/wheatring/lab/control/model.py
@@ -406,5 +406,5 @@
     from wheatring.transport.messages_pb2 import ControlState
 
     state = ControlState.FromString(data)
-    del state.taken[:]
+    del state.accepted[:]
     return state.SerializeToString()
--- a/wheatring/storage/process.py
+++ b/wheatring/storage/process.py
@@ -101,7 +101,7 @@
             node=settings.node,
             address=settings.ip,
             zone=settings.zone,
-            whole_epoch=self.repair.whole_epoch,
+            complete_epoch=self.repair.complete_epoch,
             leaving=self._leaving,
         )
 
@@ -112,8 +112,8 @@
         """Have the controllers know at once when a copy is complete."""
         while True:
             await asyncio.sleep(0.05)
-            if self.repair.whole_epoch != self._told_epoch:
-                self._told_epoch = self.repair.whole_epoch
+            if self.repair.complete_epoch != self._told_epoch:
+                self._told_epoch = self.repair.complete_epoch
                 self.subscription.announce_now()
 
     def _on_envelope(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
--- a/wheatring/storage/quorum_client.py
+++ b/wheatring/storage/quorum_client.py
@@ -105,7 +105,7 @@
 
         Raises QuorumNotReachedError.
         """
-        request = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known=known_turn_ids)
+        request = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known_turn_ids=known_turn_ids)
 
         def found(replies: Replies) -> list[Turn]:
             for reply in replies.by_replica.values():
@@ -132,8 +132,8 @@
             request = StorageRequest(
                 replica_id=member.replica_id,
                 epoch=placement.epoch,
-                touch=turn_ids,
-                touch_ms=int(retention_seconds * 1000),
+                extended_turn_ids=turn_ids,
+                extension_ms=int(retention_seconds * 1000),
             )
             self._clients.client_for(member.address).send(Envelope(storage_request=request))
 
--- a/wheatring/storage/repair.py
+++ b/wheatring/storage/repair.py
@@ -69,9 +69,9 @@
         self._epoch = 0
 
     @property
-    def whole_epoch(self) -> int:
+    def complete_epoch(self) -> int:
         """The newest epoch for which the replica holds all that it is to hold."""
-        return self._replica.whole_epoch
+        return self._replica.complete_epoch
 
     def on_placement(self, placement: Placement) -> None:
         """A placement is in force: begin what it asks of this replica."""
@@ -84,7 +84,7 @@
             self._task = None
         if all(member.replica_id != self._replica.identity for member in placement.next):
             return
-        if self.whole_epoch >= placement.epoch:
+        if self.complete_epoch >= placement.epoch:
             return  # it was whole before this process began
         self._task = asyncio.get_running_loop().create_task(self._follow(placement))
 
--- a/wheatring/storage/replica.py
+++ b/wheatring/storage/replica.py
@@ -47,7 +47,7 @@
         self.table = RecordTable()
         self.identity = ""
         self.fence_epoch = 0
-        self.whole_epoch = 0  # the newest epoch whose copy is complete here, on disk
+        self.complete_epoch = 0  # the newest epoch whose copy is complete here, on disk
         self.placement = Placement()
         self._unwritten: list[bytes] = []  # taken in, but refused by the disk so far
 
@@ -60,7 +60,7 @@
             if not self.table.apply(record, now):
                 self.identity = record.identity or self.identity
                 self.fence_epoch = max(self.fence_epoch, record.fence_epoch)
-                self.whole_epoch = max(self.whole_epoch, record.whole_epoch)
+                self.complete_epoch = max(self.complete_epoch, record.complete_epoch)
         if not self.identity:
             self.identity = secrets.token_hex(8)
             opened.file.append([StorageRecord(identity=self.identity).SerializeToString()])
@@ -70,7 +70,7 @@
         own = [
             StorageRecord(identity=self.identity),
             StorageRecord(fence_epoch=self.fence_epoch),
-            StorageRecord(whole_epoch=self.whole_epoch),
+            StorageRecord(complete_epoch=self.complete_epoch),
         ]
         return [record.SerializeToString() for record in own] + self.table.payloads()
 
@@ -113,8 +113,8 @@
 
     async def record_complete_epoch(self, epoch: int) -> None:
         """The copy for an epoch is complete, and stays so for as long as this disk. Raises DiskError."""
-        await self._write([StorageRecord(whole_epoch=epoch).SerializeToString()])
-        self.whole_epoch = max(self.whole_epoch, epoch)
+        await self._write([StorageRecord(complete_epoch=epoch).SerializeToString()])
+        self.complete_epoch = max(self.complete_epoch, epoch)
 
     async def handle_request(self, request: StorageRequest) -> StorageReply:
         """Answer a read, a write or both; the read sees the write."""
@@ -124,8 +124,8 @@
             return StorageReply(status=STORAGE_STATUS_STALE_EPOCH, placement=self.placement)
         now = self._clock()
         changed = [record.SerializeToString() for record in request.records if self.table.apply(record, now)]
-        for turn_id in request.touch:
-            self.table.extend_expiry(turn_id, now + request.touch_ms / 1000)
+        for turn_id in request.extended_turn_ids:
+            self.table.extend_expiry(turn_id, now + request.extension_ms / 1000)
         reply = StorageReply(status=STORAGE_STATUS_DONE)
         if request.program:
             reply.budget.extend(self.table.budget_entries(request.program))
@@ -139,7 +139,7 @@
         return reply
 
     def _add_turns(self, request: StorageRequest, reply: StorageReply) -> None:
-        known = set(request.known)
+        known = set(request.known_turn_ids)
         for turn_id in request.turn_ids:
             turn = self.table.turn(turn_id)
             if turn is None:
--- a/wheatring/subscription/client.py
+++ b/wheatring/subscription/client.py
@@ -140,7 +140,7 @@
     def _apply(self, update: Update) -> None:
         loop = asyncio.get_running_loop()
         self._updated_at = now = loop.time()
-        self._stale = update.silence_ms > MAX_STALENESS_MS
+        self._stale = update.staleness_ms > MAX_STALENESS_MS
         self._stopping = update.stopping
         view = self.view
         changed = False
--- a/wheatring/subscription/server.py
+++ b/wheatring/subscription/server.py
@@ -119,7 +119,7 @@
             term=published.position[0],
             index=published.position[1],
             soft_version=published.soft_version,
-            silence_ms=min(int(self._silence() * 1000), 1_000_000),
+            staleness_ms=min(int(self._silence() * 1000), 1_000_000),
             stopping=self.stopping,
         )
         if published.position > subscriber.position:
