--- a/tests/tier/test_command_line.py
+++ b/tests/tier/test_command_line.py
@@ -12,7 +12,8 @@
 import pytest
 from click.testing import CliRunner
 
-from wheatring.boot_settings.settings import SettingsError, read_settings
+from wheatring.boot_settings.exceptions import SettingsError
+from wheatring.boot_settings.settings import read_settings
 from wheatring.tier.__main__ import main
 
 SOUND: dict[str, Any] = {
@@ -49,7 +50,7 @@
     path.write_text(json.dumps(SOUND), encoding="utf-8")
     settings = read_settings(str(path))
     assert settings.controller_port == 7000 and settings.storage_port == 7001
-    assert settings.tolerance.losses == 1 and settings.grace == 8.0 and settings.drain == 3.0
+    assert settings.tolerance.losses == 1 and settings.grace_seconds == 8.0 and settings.drain_seconds == 3.0
 
 
 @pytest.mark.parametrize(("key", "value", "what"), WRONG)
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -326,8 +326,8 @@
             port=INTERNAL_PORT,
             zone="z1",
             presence=lambda: Presence(role=ROLE_SIDECAR, replica_id=name, node=name, address=name),
-            presence_interval=2.0,
-            changed=changed,
+            presence_interval_seconds=2.0,
+            on_change=changed,
             random=Random(self.random.getrandbits(32)),
         )
         store = QuorumClient(
--- a/wheatring/boot_settings/__init__.py
+++ b/wheatring/boot_settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings file of a process, read and checked."""
+"""The settings that one process of the tier is started with: read, checked and followed."""
--- a/wheatring/boot_settings/settings.py
+++ b/wheatring/boot_settings/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of one process of the tier, named by the environment, read whole and checked.
+"""The settings file of one process of the tier, named by the environment, read completely and checked.
 
-Fields that are not known are skipped. A value that is missing or of the wrong kind is one line that names the
-file and the key.
+Fields that are not known are skipped. A value that is missing or of the wrong kind is reported by one line
+that names the file and the key.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 import json
 import os
 from dataclasses import dataclass
+from pathlib import Path
 from typing import Any
 
-SETTINGS_VARIABLE = "WHEATRING_BOOT"
-
+from wheatring.boot_settings.exceptions import SettingsError
 
-class SettingsError(Exception):
-    """The settings cannot be used; the text names file and key."""
+SETTINGS_VARIABLE = "WHEATRING_BOOT"
+MAX_PORT = 65535
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,12 +26,13 @@
     port: int
 
     def __str__(self) -> str:
+        """Return the form `host:port`, as settings and logs have it."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """How many losses at one time the system bears."""
+    """How many losses at one time the system tolerates."""
 
     machines: int
     zones: int
@@ -39,13 +40,13 @@
 
     @property
     def losses(self) -> int:
-        """Copies of a record, or voters, that may be gone at one time."""
+        """The number of copies of a record, or of voters, that may be lost at one time."""
         return max(self.machines, self.zones, self.regions)
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """Where the endpoint list is asked for."""
+    """Where the endpoint list is read, and how often at most."""
 
     address: Address
     calls_per_second: float
@@ -53,14 +54,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What one process is told. Durations are seconds."""
+    """The settings of one process, as the platform has written them.
+
+    Attributes
+    ----------
+    path
+        The file that they come from.
+    node
+        The name of the machine.
+    listen
+        Addresses to listen at, by their purpose: `control`, `front`, `ready`.
+    internal_ports
+        First and last port for what processes of the tier send to each other.
+    seeds
+        The addresses of the controllers to begin with.
+    bootstrap
+        Whether the system is new.
+    data_folder
+        Where files are kept; None for a role without any.
+    bounds
+        Figures of the contract in force, by name; the name ends in the unit.
+    """
 
     path: str
     node: str
     ip: str
     zone: str
     listen: dict[str, Address]
-    internal_ports: tuple[int, int]  # first and last port for what processes of the tier say to each other
+    internal_ports: tuple[int, int]
     seeds: tuple[Address, ...]
     bootstrap: bool
     data_folder: str | None
@@ -71,115 +92,122 @@
     bounds: dict[str, float]
 
     def bound(self, name: str, default: float) -> float:
-        """A figure of the contract in force, in the unit that its name tells."""
+        """Return a figure of the contract in force, in the unit in which its name ends."""
         return self.bounds.get(name, default)
 
     @property
-    def grace(self) -> float:
-        """Seconds from SIGTERM to SIGKILL."""
+    def grace_seconds(self) -> float:
+        """The time from SIGTERM to SIGKILL."""
         return self.bound("graceS", 8.0)
 
     @property
-    def drain(self) -> float:
-        """Seconds after which a draining endpoint may get nothing new."""
+    def drain_seconds(self) -> float:
+        """The time after which a draining endpoint may get nothing new."""
         return self.bound("drainMs", 3000.0) / 1000
 
     @property
     def controller_port(self) -> int:
+        """The port at which controllers listen for processes of the tier."""
         return self.internal_ports[0]
 
     @property
     def storage_port(self) -> int:
+        """The port at which storage replicas listen for processes of the tier."""
         return self.internal_ports[0] + 1
 
 
 class _Reader:
-    """Reads values by their keys, and says of each wrong one where it stands."""
+    """Reads values by their keys, and names the file and the key of each wrong one."""
 
     def __init__(self, path: str, values: dict[str, Any]) -> None:
         self.path = path
         self.values = values
 
-    def fail(self, key: str, what: str) -> SettingsError:
-        return SettingsError(f"{self.path}: {key}: {what}")
+    def error(self, key: str, fault: str) -> SettingsError:
+        """Return an error for a key, to be raised."""
+        return SettingsError(self.path, fault, key)
+
+    def value(self, key: str, kind: type | tuple[type, ...], default: Any = ...) -> Any:
+        """Return the value of a key, whose parts are joined by dots. Raises SettingsError.
 
-    def get(self, key: str, kind: type | tuple[type, ...], default: Any = ...) -> Any:
+        A missing value is replaced by the default, and is an error where there is none.
+        """
         value: Any = self.values
         for part in key.split("."):
             value = value.get(part) if isinstance(value, dict) else None
         if value is None and default is not ...:
             return default
-        wrong = not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool)
-        if wrong:
+        is_wrong = not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool)
+        if is_wrong:
             names = kind.__name__ if isinstance(kind, type) else " or ".join(k.__name__ for k in kind)
-            raise self.fail(key, "is missing" if value is None else f"must be {names}, is {value!r:.60}")
+            raise self.error(key, "is missing" if value is None else f"must be {names}, is {value!r:.60}")
         return value
 
     def address(self, key: str, text: object) -> Address:
+        """Return the address that a text of this key names. Raises SettingsError."""
         host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-        if not host or not port.isdigit() or not 0 < int(port) < 65536:
-            raise self.fail(key, f"must be an address and a port, is {text!r:.60}")
+        if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+            raise self.error(key, f"must be an address and a port, is {text!r:.60}")
         return Address(host, int(port))
 
 
 def _read_json(path: str) -> dict[str, Any]:
     try:
-        with open(path, encoding="utf-8") as file:
-            values = json.load(file)
+        values = json.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
-        raise SettingsError(f"{path}: {error.strerror or error}") from error
+        raise SettingsError(path, str(error.strerror or error)) from error
     except ValueError as error:
-        raise SettingsError(f"{path}: is no JSON: {error}") from error
+        raise SettingsError(path, f"is no JSON: {error}") from error
     if not isinstance(values, dict):
-        raise SettingsError(f"{path}: must hold an object")
+        raise SettingsError(path, "must hold an object")
     return values
 
 
-def _ports(reader: _Reader) -> tuple[int, int]:
-    ports = reader.get("portRange", list)
-    sound = len(ports) == 2 and all(type(port) is int and 0 < port < 65536 for port in ports)
-    if not sound or ports[0] >= ports[1]:
-        raise reader.fail("portRange", f"must be a first and a last port, is {ports!r:.60}")
+def _internal_ports(reader: _Reader) -> tuple[int, int]:
+    ports = reader.value("portRange", list)
+    are_ports = len(ports) == 2 and all(type(port) is int and 0 < port <= MAX_PORT for port in ports)
+    if not are_ports or ports[0] >= ports[1]:
+        raise reader.error("portRange", f"must be a first and a last port, is {ports!r:.60}")
     return ports[0], ports[1]
 
 
 def _platform(reader: _Reader) -> Platform | None:
-    if reader.get("cloud", dict, None) is None:
+    if reader.value("cloud", dict, None) is None:
         return None
-    address = reader.address("cloud.address", reader.get("cloud.address", str))
-    return Platform(address, float(reader.get("cloud.ratePerS", (int, float), 1.0)))
+    address = reader.address("cloud.address", reader.value("cloud.address", str))
+    return Platform(address, float(reader.value("cloud.ratePerS", (int, float), 1.0)))
 
 
 def read_settings(path: str) -> Settings:
-    """Read a settings file. Raises SettingsError."""
+    """Read and check a settings file. Raises SettingsError."""
     reader = _Reader(path, _read_json(path))
-    listen = reader.get("listen", dict, {})
-    bounds = reader.get("bounds", dict, {})
+    listen = reader.value("listen", dict, {})
+    bounds = reader.value("bounds", dict, {})
     return Settings(
         path=path,
-        node=reader.get("node", str),
-        ip=reader.get("ip", str),
-        zone=reader.get("zone", str, ""),
+        node=reader.value("node", str),
+        ip=reader.value("ip", str),
+        zone=reader.value("zone", str, ""),
         listen={name: reader.address(f"listen.{name}", text) for name, text in listen.items()},
-        internal_ports=_ports(reader),
-        seeds=tuple(reader.address("seeds", text) for text in reader.get("seeds", list)),
-        bootstrap=reader.get("bootstrap", bool, False),
-        data_folder=reader.get("dataDir", str, None),
-        memory_mb=reader.get("limits.memoryMb", int, 256),
-        disk_mb=reader.get("limits.diskMb", int, 0),
+        internal_ports=_internal_ports(reader),
+        seeds=tuple(reader.address("seeds", text) for text in reader.value("seeds", list)),
+        bootstrap=reader.value("bootstrap", bool, False),
+        data_folder=reader.value("dataDir", str, None),
+        memory_mb=reader.value("limits.memoryMb", int, 256),
+        disk_mb=reader.value("limits.diskMb", int, 0),
         tolerance=Tolerance(
-            machines=reader.get("faultTolerance.machines", int, 0),
-            zones=reader.get("faultTolerance.zones", int, 0),
-            regions=reader.get("faultTolerance.regions", int, 0),
+            machines=reader.value("faultTolerance.machines", int, 0),
+            zones=reader.value("faultTolerance.zones", int, 0),
+            regions=reader.value("faultTolerance.regions", int, 0),
         ),
         platform=_platform(reader),
-        bounds={name: float(v) for name, v in bounds.items() if isinstance(v, int | float)},
+        bounds={name: float(value) for name, value in bounds.items() if isinstance(value, int | float)},
     )
 
 
 def settings_path() -> str:
-    """The file that the environment names. Raises SettingsError."""
+    """Return the path of the file that the environment names. Raises SettingsError."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise SettingsError(f"{SETTINGS_VARIABLE}: names no settings file")
+        raise SettingsError(SETTINGS_VARIABLE, "names no settings file")
     return path
--- a/wheatring/boot_settings/watch.py
+++ b/wheatring/boot_settings/watch.py
@@ -3,30 +3,33 @@
 from __future__ import annotations
 
 import asyncio
-import os
+from pathlib import Path
 
-from wheatring.boot_settings.settings import Settings, SettingsError, read_settings
+from wheatring.boot_settings.exceptions import SettingsError
+from wheatring.boot_settings.settings import Settings, read_settings
 from wheatring.event_log import log_event
 
 POLL_SECONDS = 1.0
 
+FileStamp = tuple[int, int]  # time of the last change (ns) and size (bytes)
+
 
 class SettingsWatch:
-    """The newest settings that could be read."""
+    """The newest settings of a process that could be read."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self._stamp = self._read_stamp()
 
-    def _read_stamp(self) -> tuple[int, int]:
+    def _read_stamp(self) -> FileStamp:
         try:
-            found = os.stat(self.settings.path)
+            status = Path(self.settings.path).stat()
         except OSError:
-            return 0, 0
-        return found.st_mtime_ns, found.st_size
+            return 0, 0  # the file is being replaced, or gone; the settings stay
+        return status.st_mtime_ns, status.st_size
 
     def reload(self) -> None:
-        """Read the file anew; one that cannot be used is told and changes nothing."""
+        """Read the file again; one that cannot be used is logged and changes nothing."""
         try:
             self.settings = read_settings(self.settings.path)
             log_event("settings-read", seeds=[str(seed) for seed in self.settings.seeds])
@@ -34,7 +37,7 @@
             log_event("settings-refused", error=str(error))
 
     async def run(self) -> None:
-        """Look for changes, for as long as the process runs."""
+        """Check for a changed file, for as long as the process runs."""
         while True:
             await asyncio.sleep(POLL_SECONDS)
             stamp = self._read_stamp()
--- a/wheatring/controller/endpoint_list_poller.py
+++ b/wheatring/controller/endpoint_list_poller.py
@@ -6,7 +6,8 @@
 
 from wheatring.consensus.types import State
 from wheatring.controller.consensus_host import ConsensusHost
-from wheatring.discovery.platform_list import EndpointListReader, EndpointListUnavailableError
+from wheatring.discovery.exceptions import EndpointListUnavailableError
+from wheatring.discovery.platform_list import EndpointListReader
 from wheatring.event_log import log_event
 
 POLL_FRACTION_OF_DRAIN = 0.42  # of the time in which sends to a draining endpoint have to end
--- a/wheatring/controller/node.py
+++ b/wheatring/controller/node.py
@@ -59,7 +59,9 @@
         self.commands = CommandQueue(self.host)
         self.subscribers = Subscribers(lambda: self.replica.staleness(self.host.now()))
         self.server = EnvelopeServer(self._on_envelope, self.subscribers.remove)
-        self._poller = EndpointListPoller(self.host, reader, settings.drain) if reader is not None else None
+        self._poller = (
+            EndpointListPoller(self.host, reader, settings.drain_seconds) if reader is not None else None
+        )
         self._members = MembershipManager(
             self.host, self.losses, lambda: self.settings, lambda: self.commands.is_empty
         )
--- a/wheatring/discovery/__init__.py
+++ b/wheatring/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's endpoint list: its one reader and its form inside the tier."""
+"""Discovery of endpoints: the reader of the platform's endpoint list, and its form inside the tier."""
--- /dev/null
+++ b/wheatring/discovery/exceptions.py
@@ -0,0 +1,7 @@
+"""The errors of discovery."""
+
+from __future__ import annotations
+
+
+class EndpointListUnavailableError(Exception):
+    """The endpoint list could not be read completely."""
--- a/wheatring/discovery/platform_list.py
+++ b/wheatring/discovery/platform_list.py
@@ -10,6 +10,7 @@
 import importlib
 from typing import TYPE_CHECKING, Any, Protocol
 
+from wheatring.discovery.exceptions import EndpointListUnavailableError
 from wheatring.transport.messages_pb2 import Endpoint, EndpointList
 
 if TYPE_CHECKING:
@@ -17,21 +18,18 @@
 
 CALL_TIMEOUT_SECONDS = 0.8
 MAX_PAGES = 200
-DRAINING = "draining"
-
-
-class EndpointListUnavailableError(Exception):
-    """The list could not be read whole."""
+DRAINING = "draining"  # the state of an endpoint that is to get nothing new
 
 
 class EndpointListReader(Protocol):
-    """Whoever reads the list."""
+    """A source of the endpoint list."""
 
     async def read(self) -> EndpointList:
-        """All of it. Raises EndpointListUnavailableError."""
+        """Return the complete list. Raises EndpointListUnavailableError."""
 
 
 def _endpoint(values: dict[str, Any]) -> Endpoint:
+    """Return an endpoint from the platform's JSON object, whose keys are the platform's."""
     return Endpoint(
         id=str(values["id"]),
         service=str(values["backend"]),
@@ -45,11 +43,20 @@
 
 
 class PlatformListReader:
-    """Calls the platform. One process of the system does so at a time."""
+    """Reads the list from the platform. One process of the system does so at a time: the leader."""
 
     def __init__(self, address: str, calls_per_second: float) -> None:
+        """Set the reader up.
+
+        Parameters
+        ----------
+        address
+            The platform's IP address and port.
+        calls_per_second
+            The rate limit of the platform, for the pages of one read.
+        """
         self._url = f"http://{address}/instances"
-        self._pause = 1 / max(calls_per_second, 0.1)
+        self._page_interval_seconds = 1 / max(calls_per_second, 0.1)
         self._client: httpx.AsyncClient | None = None
 
     async def prepare(self) -> httpx.AsyncClient:
@@ -60,11 +67,11 @@
         return self._client
 
     async def read(self) -> EndpointList:
-        """All pages. Raises EndpointListUnavailableError."""
+        """Return the complete list, of all pages. Raises EndpointListUnavailableError."""
         endpoints: list[Endpoint] = []
         token: str | None = None
         for _ in range(MAX_PAGES):
-            page = await self._page(token)
+            page = await self._read_page(token)
             try:
                 endpoints.extend(_endpoint(values) for values in page["instances"])
                 token = page.get("nextPageToken")
@@ -72,10 +79,10 @@
                 raise EndpointListUnavailableError(f"a page cannot be read: {error!r}") from error
             if not token:
                 return EndpointList(endpoints=endpoints)
-            await asyncio.sleep(self._pause)
+            await asyncio.sleep(self._page_interval_seconds)
         raise EndpointListUnavailableError("the list has no end")
 
-    async def _page(self, token: str | None) -> Any:
+    async def _read_page(self, token: str | None) -> Any:
         client = await self.prepare()
         import httpx
 
@@ -86,8 +93,3 @@
             return response.json()
         except (httpx.HTTPError, ValueError) as error:
             raise EndpointListUnavailableError(repr(error)) from error
-
-    async def close(self) -> None:
-        """End the connections."""
-        if self._client is not None:
-            await self._client.aclose()
--- a/wheatring/event_log.py
+++ b/wheatring/event_log.py
@@ -13,29 +13,36 @@
 import picologging
 
 _LOGGER_NAME = "wheatring"
+_process_fields: dict[str, object] = {}  # in every line of this process
 
 
 class _JsonFormatter(picologging.Formatter):
-    """The message is the finished line."""
+    """Leaves the message as it is: a finished line."""
 
     def format(self, record: Any) -> str:
+        """Return the message."""
         return str(record.getMessage())
 
 
 def start_logging(node: str) -> None:
-    """Set the log up for this process; `node` stands in each line."""
+    """Set up the log of this process; each line names its `node`."""
     logger = picologging.getLogger(_LOGGER_NAME)
     handler = picologging.StreamHandler(sys.stdout)
     handler.setFormatter(_JsonFormatter())
     logger.addHandler(handler)
     logger.setLevel(picologging.INFO)
-    _fields["node"] = node
-
-
-_fields: dict[str, object] = {}
+    _process_fields["node"] = node
 
 
 def log_event(code: str, **fields: object) -> None:
-    """Write one entry. `code` names what happened; the fields say to whom and why."""
-    entry = {"at": round(time.time(), 3), "code": code, **_fields, **fields}
+    """Write one line.
+
+    Parameters
+    ----------
+    code
+        Names the event; docs/operate/tier/README.md lists the codes.
+    fields
+        What the event concerns, and why it came about.
+    """
+    entry = {"at": round(time.time(), 3), "code": code, **_process_fields, **fields}
     picologging.getLogger(_LOGGER_NAME).info(json.dumps(entry, default=str))
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -42,8 +42,8 @@
             port=settings.controller_port,
             zone=settings.zone,
             presence=lambda: Presence(role=ROLE_SIDECAR, replica_id=name, node=name, address="127.0.0.1"),
-            presence_interval=2.0,
-            changed=self._changed,
+            presence_interval_seconds=2.0,
+            on_change=self._changed,
             random=random,
         )
         self.store = QuorumClient(
--- a/wheatring/sidecar/process.py
+++ b/wheatring/sidecar/process.py
@@ -47,8 +47,8 @@
             port=settings.controller_port,
             zone=settings.zone,
             presence=self._presence,
-            presence_interval=PRESENCE_INTERVAL_SECONDS,
-            changed=self._changed,
+            presence_interval_seconds=PRESENCE_INTERVAL_SECONDS,
+            on_change=self._changed,
             random=random,
         )
         losses = settings.tolerance.losses
@@ -96,7 +96,7 @@
         began = loop.time()
         self._leaving = True
         self._connection_settings.is_closing = True
-        ends = began + self.settings.grace - STOP_MARGIN_SECONDS
+        ends = began + self.settings.grace_seconds - STOP_MARGIN_SECONDS
         await asyncio.sleep(DRAIN_ACCEPT_SECONDS)
         for server in self._servers:
             server.close()
@@ -149,7 +149,7 @@
         waited = asyncio.get_running_loop().time() - self._started_at
         return (
             self.service.table is not None
-            or self.subscription.view.fresh
+            or self.subscription.view.is_fresh
             or waited > UNCONFIRMED_CONFIGURATION_SECONDS
         )
 
--- a/wheatring/storage/process.py
+++ b/wheatring/storage/process.py
@@ -40,8 +40,8 @@
             port=settings.controller_port,
             zone=settings.zone,
             presence=self._presence,
-            presence_interval=PRESENCE_INTERVAL_SECONDS,
-            changed=self._changed,
+            presence_interval_seconds=PRESENCE_INTERVAL_SECONDS,
+            on_change=self._changed,
             random=random,
         )
         self._tasks: set[asyncio.Task[None]] = set()
@@ -67,7 +67,7 @@
         self._leaving = True
         began = loop.time()
         self.subscription.announce_now()
-        while loop.time() - began < self.settings.grace - STOP_MARGIN_SECONDS:
+        while loop.time() - began < self.settings.grace_seconds - STOP_MARGIN_SECONDS:
             await asyncio.sleep(STOP_POLL_SECONDS)
             if not self._is_handed_over(loop.time() - began):
                 continue
--- a/wheatring/subscription/__init__.py
+++ b/wheatring/subscription/__init__.py
@@ -1,1 +1,1 @@
-"""How sidecars and storage replicas learn the control state from a controller."""
+"""The subscription of sidecars and storage replicas to the control state, which a controller serves."""
--- a/wheatring/subscription/server.py
+++ b/wheatring/subscription/server.py
@@ -1,5 +1,7 @@
-"""The controller's side: tells each subscriber the committed state and the endpoint list, once for each
-change, and in between that it is alive and how long it has been without a quorum.
+"""The controller's side: sends each subscriber the committed state and the endpoint list.
+
+Each change is sent once. In between, heartbeats say that the controller is alive and how long it has been
+without a quorum.
 """
 
 from __future__ import annotations
@@ -18,12 +20,12 @@
     Update,
 )
 
-SUBSCRIBER_HEARTBEAT_SECONDS = 0.3  # seconds between updates without news
+SUBSCRIBER_HEARTBEAT_SECONDS = 0.3  # between updates without a change
 
 
 @dataclass(slots=True)
 class Subscriber:
-    """What one subscriber has been told."""
+    """A subscriber and what it has been sent."""
 
     connection: EnvelopeConnection
     presence: Presence
@@ -34,7 +36,7 @@
 
 @dataclass(slots=True)
 class Published:
-    """What this controller knows to be committed, ready to be sent."""
+    """The newest committed state that this controller knows, and the newest endpoint list."""
 
     position: tuple[int, int] = (0, 0)
     state: ControlState = field(default_factory=ControlState)
@@ -44,24 +46,27 @@
 
 
 class Subscribers:
-    """All subscribers of one controller."""
+    """All subscribers of one controller, by their connections."""
+
+    def __init__(self, staleness: Callable[[], float]) -> None:
+        """Start without subscribers.
 
-    def __init__(self, silence: Callable[[], float]) -> None:
-        """`silence` tells for how many seconds this controller has been without a quorum."""
-        self._silence = silence
+        Parameters
+        ----------
+        staleness
+            Gives the age in seconds up to which acknowledgements may be unknown to this controller.
+        """
+        self._staleness = staleness
         self._subscribers: dict[EnvelopeConnection, Subscriber] = {}
         self.published = Published()
-        self.stopping = False
-
-    def __len__(self) -> int:
-        return len(self._subscribers)
+        self.is_stopping = False
 
     def presences(self) -> list[Presence]:
-        """How the subscribers are, as they last said."""
+        """Return the newest presence of each subscriber."""
         return [subscriber.presence for subscriber in self._subscribers.values()]
 
     def add(self, connection: EnvelopeConnection, request: Subscribe) -> None:
-        """A process subscribes, and is told at once what it lacks."""
+        """Add a subscriber, and send it at once what it lacks."""
         subscriber = Subscriber(
             connection=connection,
             presence=request.presence,
@@ -73,17 +78,17 @@
         self._send(subscriber)
 
     def update_presence(self, connection: EnvelopeConnection, presence: Presence) -> None:
-        """A subscriber says how it is."""
+        """Take in a presence message of a subscriber."""
         subscriber = self._subscribers.get(connection)
         if subscriber is not None:
             subscriber.presence = presence
 
     def remove(self, connection: EnvelopeConnection) -> None:
-        """A connection has ended."""
+        """Remove the subscriber of a connection that has ended."""
         self._subscribers.pop(connection, None)
 
     def publish_state(self, entry: Entry) -> bool:
-        """A newer entry is committed. Returns whether it was news."""
+        """Send a committed entry to all subscribers, if it is newer; return whether it is."""
         position = (entry.term, entry.index)
         if position <= self.published.position:
             return False
@@ -94,19 +99,19 @@
         return True
 
     def publish_list(self, version: int, endpoint_list: bytes) -> None:
-        """A newer endpoint list has come."""
+        """Send an endpoint list to all subscribers, if it is another one."""
         if version != self.published.soft_version and endpoint_list:
             self.published.soft_version = version
             self.published.endpoint_list = endpoint_list
             self._send_to_all()
 
     def heartbeat(self) -> None:
-        """Tell everyone that this controller is alive."""
+        """Send a heartbeat to all subscribers."""
         self._send_to_all()
 
     def stop(self) -> None:
-        """This controller is about to end: subscribers go elsewhere."""
-        self.stopping = True
+        """Announce that this controller is about to stop, so that subscribers change to another one."""
+        self.is_stopping = True
         self._send_to_all()
 
     def _send_to_all(self) -> None:
@@ -119,8 +124,8 @@
             term=published.position[0],
             index=published.position[1],
             soft_version=published.soft_version,
-            staleness_ms=min(int(self._silence() * 1000), 1_000_000),
-            stopping=self.stopping,
+            staleness_ms=min(int(self._staleness() * 1000), 1_000_000),
+            stopping=self.is_stopping,
         )
         if published.position > subscriber.position:
             state = published.state
--- a/wheatring/tier/__init__.py
+++ b/wheatring/tier/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the serving tier."""
+"""The command line of the serving tier, and the start of its three roles."""
--- a/wheatring/tier/__main__.py
+++ b/wheatring/tier/__main__.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
+from pathlib import Path
+
 import click
 
 from wheatring.tier.roles import ROLES, run_sidecar
 
 
-@click.group()
+@click.group(help="The serving tier for agent programs.")
 def main() -> None:
-    """The serving tier for agent programs."""
+    """Run the command line of the tier."""
 
 
 for _name, _run in ROLES.items():
@@ -20,7 +22,7 @@
 @main.command(help=run_sidecar.__doc__)
 @click.option("--policy", type=click.Path(exists=True, dir_okay=False), help="figures to decide by, TOML")
 def sidecar(policy: str | None) -> None:
-    """See run_sidecar."""
+    """Run a sidecar; the help of the command is that of `run_sidecar`."""
     run_sidecar(policy)
 
 
@@ -28,12 +30,12 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def check(file: str) -> None:
     """Check a settings file or an operator's configuration; every error is one line with its path."""
-    from wheatring.boot_settings.settings import SettingsError, read_settings
+    from wheatring.boot_settings.exceptions import SettingsError
+    from wheatring.boot_settings.settings import read_settings
     from wheatring.controller.configuration import parse
     from wheatring.controller.exceptions import InvalidConfigurationError
 
-    with open(file, "rb") as opened:
-        body = opened.read()
+    body = Path(file).read_bytes()
     try:
         if b'"routes"' in body:
             parse(body)
@@ -79,9 +81,7 @@
 @click.option("--turns", default=20.0, help="turns a second, of all sidecars together")
 @click.option("--json", "as_json", is_flag=True, help="for the page's table")
 def scale(sidecars: str, turns: float, as_json: bool) -> None:
-    """Measure how the cost of control grows: real controllers and storage beside hollow sidecars on
-    loopback.
-    """
+    """Measure how the cost of control grows: real controllers and storage beside hollow sidecars."""
     import asyncio
 
     from wheatring.lab.scale.run import measure, report
--- a/wheatring/tier/roles.py
+++ b/wheatring/tier/roles.py
@@ -1,4 +1,4 @@
-"""The roles of the tier. Each is imported only where it runs."""
+"""The roles of the tier. Each role is imported only by the process that runs it."""
 
 from __future__ import annotations
 
--- a/wheatring/tier/run.py
+++ b/wheatring/tier/run.py
@@ -11,7 +11,8 @@
 from random import Random
 from typing import Protocol
 
-from wheatring.boot_settings.settings import Settings, SettingsError, read_settings, settings_path
+from wheatring.boot_settings.exceptions import SettingsError
+from wheatring.boot_settings.settings import Settings, read_settings, settings_path
 from wheatring.durable.record_file import DiskError
 from wheatring.event_log import log_event, start_logging
 
--- a/wheatring/tier/start.py
+++ b/wheatring/tier/start.py
@@ -8,8 +8,9 @@
 
 
 def main() -> None:
-    """A single word that names a role runs it, a sidecar with `--policy FILE` too; everything else is for
-    the command line.
+    """Run the role that the only argument names; leave everything else to the command line.
+
+    A sidecar is started here with `--policy FILE` too.
     """
     match sys.argv[1:]:
         case [name] if name in ROLES:
