--- a/tests/durable/test_record_file.py
+++ b/tests/durable/test_record_file.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from wheatring.durable.record_file import DamagedRecordFileError, DiskError, RecordFile
+from wheatring.durable.exceptions import DamagedRecordFileError, DiskError
+from wheatring.durable.record_file import RecordFile
 
 PAYLOADS = st.lists(st.binary(max_size=60), min_size=1, max_size=4)
 
--- a/tests/storage/test_repair.py
+++ b/tests/storage/test_repair.py
@@ -13,7 +13,7 @@
 from tests.tier.virtual_loop import VirtualLoop
 from wheatring.storage.repair import FETCH_TIMEOUT_SECONDS, Repair
 from wheatring.storage.replica import Replica
-from wheatring.transport.client import PeerUnreachableError
+from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
     BudgetEntry,
     Envelope,
@@ -39,7 +39,7 @@
         await asyncio.sleep(0.001)
         if self._fails(envelope):
             await asyncio.sleep(timeout)
-            raise PeerUnreachableError("silent")
+            raise PeerUnreachableError("source", "silent")
         reply = await self.replica.handle_scan(envelope.scan_request)
         self._sent.update(record.turn.id for record in reply.records if record.HasField("turn"))
         return Envelope(scan_reply=reply)
--- a/tests/tier/virtual_loop.py
+++ b/tests/tier/virtual_loop.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wheatring.durable.record_file import DiskError
+from wheatring.durable.exceptions import DiskError
 
 DEFAULT_DELAY = 0.001  # seconds one way
 DISK_DELAY = 0.0005  # seconds for a write and its sync
--- a/tests/transport/test_client.py
+++ b/tests/transport/test_client.py
@@ -7,9 +7,11 @@
 import pytest
 
 from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
-from wheatring.transport.client import CONNECT_TIMEOUT_SECONDS, EnvelopeClient, PeerUnreachableError
-from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
+from wheatring.transport.client import CONNECT_TIMEOUT_SECONDS, EnvelopeClient
+from wheatring.transport.connection import EnvelopeConnection
+from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import Envelope, StatusReply, StatusRequest
+from wheatring.transport.server import EnvelopeServer
 
 PORT = 7000
 
@@ -24,7 +26,7 @@
 
     async def play() -> float:
         LIFE.set(Life("peer"))
-        server = EnvelopeServer(answer, lambda connection: None)
+        server = EnvelopeServer(answer)
         await server.listen("peer", PORT)
         LIFE.set(Life("caller"))
         loop.network.cut("caller", "peer")
--- a/wheatring/controller/api.py
+++ b/wheatring/controller/api.py
@@ -27,7 +27,7 @@
 )
 from wheatring.controller.exceptions import InvalidRequestError, NoLeaderError
 from wheatring.controller.node import Controller
-from wheatring.transport.client import PeerUnreachableError
+from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import OperatorReply, OperatorRequest
 
 BASE_HEADER = "Wheatring-Base-Revision"
--- a/wheatring/controller/consensus_host.py
+++ b/wheatring/controller/consensus_host.py
@@ -12,7 +12,7 @@
 from wheatring.consensus.replica import Replica
 from wheatring.consensus.types import Effects, Message, Position, State, Timing, Write, entry_position
 from wheatring.controller.consensus_store import ConsensusStore
-from wheatring.durable.record_file import DiskError
+from wheatring.durable.exceptions import DiskError
 from wheatring.event_log import log_event
 from wheatring.transport.client import ClientTable
 from wheatring.transport.messages_pb2 import ConsensusRecord, Envelope, HardState, Member
--- a/wheatring/controller/node.py
+++ b/wheatring/controller/node.py
@@ -16,8 +16,9 @@
 from wheatring.discovery.platform_list import EndpointListReader
 from wheatring.event_log import log_event
 from wheatring.subscription.server import SUBSCRIBER_HEARTBEAT_SECONDS, Subscribers
-from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
+from wheatring.transport.connection import EnvelopeConnection
 from wheatring.transport.messages_pb2 import Envelope, OperatorReply, OperatorRequest
+from wheatring.transport.server import EnvelopeServer
 
 FORWARD_TIMEOUT_SECONDS = 0.8  # for the leader to answer a request that has come to another controller
 VOTE_HANDOVER_SECONDS = 0.6  # for another replica to be given the vote of one that shuts down
--- a/wheatring/durable/record_file.py
+++ b/wheatring/durable/record_file.py
@@ -14,57 +14,57 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
+
+from wheatring.durable.exceptions import DamagedRecordFileError, DiskError
 
 MARKER = b"\xc5WRr"
-_HEADER = struct.Struct(">4sIQI")  # marker, payload length (bytes), batch number, CRC-32
+_FRAME_HEADER = struct.Struct(">4sIQI")  # marker, payload length (bytes), batch number, CRC-32
 MAX_RECORD_BYTES = 64 * 1024 * 1024
+_READ_BYTES = 1024 * 1024
 
 
-class DiskError(Exception):
-    """A write did not reach the disk; the file is as it was before it, as far as its owner can tell."""
-
-
-class DamagedRecordFileError(Exception):
-    """Records in the middle of a file cannot be read."""
-
-    def __init__(self, path: Path, offset: int) -> None:
-        super().__init__(f"{path}: damaged record at byte {offset}, with later records behind it")
-        self.path = path
-        self.offset = offset
+class _Frame(NamedTuple):
+    payload: bytes
+    batch: int
+    end: int  # offset of the byte behind it
 
 
-def _frame(payload: bytes, batch: int) -> bytes:
+def _encode_frame(payload: bytes, batch: int) -> bytes:
     checksum = zlib.crc32(payload, zlib.crc32(struct.pack(">IQ", len(payload), batch)))
-    return _HEADER.pack(MARKER, len(payload), batch, checksum) + payload
+    return _FRAME_HEADER.pack(MARKER, len(payload), batch, checksum) + payload
 
 
-def _read_frame(data: bytes, offset: int) -> tuple[bytes, int, int] | None:
-    """The payload, batch number and end of the frame at an offset; None where there is no sound frame."""
-    if offset + _HEADER.size > len(data):
+def _decode_frame(data: bytes, offset: int) -> _Frame | None:
+    """Return the frame at an offset; None where there is no sound one."""
+    if offset + _FRAME_HEADER.size > len(data):
         return None
-    marker, length, batch, checksum = _HEADER.unpack_from(data, offset)
-    end = offset + _HEADER.size + length
+    marker, length, batch, checksum = _FRAME_HEADER.unpack_from(data, offset)
+    end = offset + _FRAME_HEADER.size + length
     if marker != MARKER or length > MAX_RECORD_BYTES or end > len(data):
         return None
-    payload = data[offset + _HEADER.size : end]
+    payload = data[offset + _FRAME_HEADER.size : end]
     if zlib.crc32(payload, zlib.crc32(struct.pack(">IQ", length, batch))) != checksum:
         return None
-    return payload, batch, end
+    return _Frame(payload, batch, end)
 
 
-def _later_batch_follows(data: bytes, offset: int, last_batch: int) -> bool:
-    """Whether a sound frame of a batch later than the torn one stands behind the offset."""
+def _has_later_batch(data: bytes, offset: int, last_batch: int) -> bool:
+    """Whether a sound frame of a batch later than the torn one follows the offset."""
     position = data.find(MARKER, offset + 1)
     while position >= 0:
-        frame = _read_frame(data, position)
-        if frame is not None and frame[1] > last_batch + 1:
+        frame = _decode_frame(data, position)
+        if frame is not None and frame.batch > last_batch + 1:
             return True
         position = data.find(MARKER, position + 1)
     return False
 
 
 class RecordFile:
-    """One file and its open descriptor. All methods block on the disk; one thread at a time may call them."""
+    """One file and its open descriptor.
+
+    All methods block on the disk; one thread at a time may call them.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -73,27 +73,35 @@
         self._descriptor = -1
 
     def open(self) -> list[bytes]:
-        """Read what is there, cut a torn tail off and return the records. Raises DamagedFile or DiskError."""
+        """Read what is there, cut a torn tail off and return the records, oldest first.
+
+        Raises
+        ------
+        DamagedRecordFileError
+            A record that cannot be read has later ones behind it: the disk has lost data.
+        DiskError
+            The file could not be read or created.
+        """
         try:
-            created = not self.path.exists()
+            is_new = not self.path.exists()
             self._descriptor = os.open(self.path, os.O_RDWR | os.O_CREAT, 0o644)
             data = self._read_all()
         except OSError as error:
             raise DiskError(f"{self.path}: {error}") from error
         records: list[bytes] = []
         offset = 0
-        while (frame := _read_frame(data, offset)) is not None:
-            payload, self._batch, offset = frame
-            records.append(payload)
-        if offset < len(data) and _later_batch_follows(data, offset, self._batch):
+        while (frame := _decode_frame(data, offset)) is not None:
+            records.append(frame.payload)
+            self._batch, offset = frame.batch, frame.end
+        if offset < len(data) and _has_later_batch(data, offset, self._batch):
             raise DamagedRecordFileError(self.path, offset)
         self.size_bytes = offset
         try:
             if offset < len(data):
                 os.ftruncate(self._descriptor, offset)
-            if created or offset < len(data):
+            if is_new or offset < len(data):
                 os.fsync(self._descriptor)
-                self._sync_folder()
+                self._sync_directory()
         except OSError as error:
             raise DiskError(f"{self.path}: {error}") from error
         return records
@@ -101,27 +109,27 @@
     def append(self, payloads: Iterable[bytes]) -> None:
         """Write one batch and sync it. Raises DiskError; the batch is then not part of the file."""
         self._batch += 1
-        data = b"".join([_frame(payload, self._batch) for payload in payloads])
+        data = b"".join([_encode_frame(payload, self._batch) for payload in payloads])
         try:
             self._write(self._descriptor, data, self.size_bytes)
             os.fdatasync(self._descriptor)
         except OSError as error:
-            self._undo()
+            self._truncate_failed_batch()
             raise DiskError(f"{self.path}: {error}") from error
         self.size_bytes += len(data)
 
     def rewrite(self, payloads: Iterable[bytes]) -> None:
         """Replace the whole file by these records. Raises DiskError; the old file then stays."""
-        fresh = self.path.with_suffix(".new")
+        replacement = self.path.with_suffix(".new")
         batch = self._batch + 1
-        data = b"".join([_frame(payload, batch) for payload in payloads])
+        data = b"".join([_encode_frame(payload, batch) for payload in payloads])
         descriptor = -1
         try:
-            descriptor = os.open(fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
+            descriptor = os.open(replacement, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
             self._write(descriptor, data, 0)
             os.fsync(descriptor)
-            os.rename(fresh, self.path)
-            self._sync_folder()
+            replacement.rename(self.path)
+            self._sync_directory()
         except OSError as error:
             if descriptor >= 0:
                 os.close(descriptor)
@@ -130,16 +138,16 @@
         self._descriptor, self._batch, self.size_bytes = descriptor, batch, len(data)
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the descriptor."""
         if self._descriptor >= 0:
             os.close(self._descriptor)
             self._descriptor = -1
 
     def _read_all(self) -> bytes:
-        pieces = []
-        while piece := os.read(self._descriptor, 1 << 20):
-            pieces.append(piece)
-        return b"".join(pieces)
+        chunks = []
+        while chunk := os.read(self._descriptor, _READ_BYTES):
+            chunks.append(chunk)
+        return b"".join(chunks)
 
     @staticmethod
     def _write(descriptor: int, data: bytes, offset: int) -> None:
@@ -149,32 +157,32 @@
             view = view[written:]
             offset += written
 
-    def _undo(self) -> None:
-        """Cut off what a failed batch has left. If that fails too, the next batch overwrites it."""
+    def _truncate_failed_batch(self) -> None:
+        """Cut off what a failed batch has left; if that fails too, the next batch overwrites it."""
         try:
             os.ftruncate(self._descriptor, self.size_bytes)
         except OSError:
             return
 
-    def _sync_folder(self) -> None:
-        folder = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
+    def _sync_directory(self) -> None:
+        directory = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
 
 
 @dataclass(frozen=True, slots=True)
 class OpenedRecordFile:
-    """A file that is ready, what it held, and whether one that could not be read was set aside for it."""
+    """A file that is ready, and the records that it held."""
 
     file: RecordFile
     payloads: list[bytes]
-    quarantined: bool
+    quarantined: bool  # a damaged file was moved aside, and this one is new
 
 
 def open_or_quarantine(path: Path) -> OpenedRecordFile:
-    """Open a file; a damaged one is kept under another name and an empty one begun. Raises DiskError."""
+    """Open a file; rename a damaged one to `.damaged` and begin an empty one. Raises DiskError."""
     path.parent.mkdir(parents=True, exist_ok=True)
     file = RecordFile(path)
     try:
--- a/wheatring/placement/__init__.py
+++ b/wheatring/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which storage members hold which key."""
+"""The rule by which keys are spread over storage members."""
--- a/wheatring/placement/key_placement.py
+++ b/wheatring/placement/key_placement.py
@@ -1,8 +1,8 @@
 """Which storage members hold the records of a key, and how many of them have to answer.
 
-Members are ranked for each key by rendezvous hashing, taken from different zones first, so a change of the
-members moves only the keys of those that came or went. While a placement has a `next` set, writes and reads
-that find nothing need quorums of both sets.
+Members are ranked for each key by rendezvous hashing (Thaler and Ravishankar, 1998), taken from different
+zones first, so a change of the members moves only the keys of those that came or went. While a placement has
+a `next` set, writes and reads that find nothing need quorums of both sets.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def quorum_sizes(members: int, losses: int) -> QuorumSizes:
-    """For so many members, where `losses` of them may be gone at one time.
+    """Return the sizes for a set of members of which `losses` may be gone at one time.
 
     A write stands on `losses + 1` disks. A read that finds nothing overlaps with every write that was
     acknowledged.
@@ -34,15 +34,15 @@
     return QuorumSizes(copies=copies, write=write, read=max(1, copies - write + 1))
 
 
-def _score(key: str, member: StorageMember) -> bytes:
+def _rendezvous_weight(key: str, member: StorageMember) -> bytes:
     return hashlib.blake2b(f"{key}\x00{member.replica_id}".encode(), digest_size=8).digest()
 
 
 def replicas_for(key: str, members: Sequence[StorageMember], copies: int) -> list[StorageMember]:
-    """The members that hold a key, best first."""
+    """Return the members that hold a key, the highest rank first, from as many zones as there are."""
     if len(members) <= copies:
         return list(members)
-    ranked = sorted(members, key=lambda member: _score(key, member), reverse=True)
+    ranked = sorted(members, key=lambda member: _rendezvous_weight(key, member), reverse=True)
     chosen: list[StorageMember] = []
     zones: set[str] = set()
     for member in ranked:
@@ -63,15 +63,17 @@
     """The members of one set that hold one key, and how many of them make a quorum."""
 
     replica_ids: frozenset[str]
-    write: int
-    read: int
+    write_quorum: int
+    read_quorum: int
 
 
 @dataclass(frozen=True, slots=True)
 class KeyPlacement:
-    """Who holds one key. While a change is under way there are two groups, and what is written or said to be
-    absent needs a quorum of each: a write under the placement after the change reaches members of the next
-    set only, and a reader that has not heard of that placement yet must not overlook it.
+    """Who holds one key.
+
+    While a change is under way there are two groups, and what is written or said to be absent needs a quorum
+    of each: a write under the placement after the change reaches members of the next set only, and a reader
+    that has not received that placement yet must not overlook it.
     """
 
     members: tuple[StorageMember, ...]
@@ -79,23 +81,24 @@
 
     def has_write_quorum(self, acknowledged: set[str]) -> bool:
         """Whether these replicas make a write quorum of every group."""
-        return all(len(group.replica_ids & acknowledged) >= group.write for group in self.groups)
+        return all(len(group.replica_ids & acknowledged) >= group.write_quorum for group in self.groups)
 
     def has_read_quorum(self, replied: set[str]) -> bool:
         """Whether what none of these replicas holds has not been acknowledged."""
-        return all(len(group.replica_ids & replied) >= group.read for group in self.groups)
+        return all(len(group.replica_ids & replied) >= group.read_quorum for group in self.groups)
 
 
 def place_key(key: str, placement: Placement, losses: int) -> KeyPlacement:
-    """Who holds a key under a placement. Members that are lost count in the quorums and are never asked."""
+    """Return who holds a key; lost members count in the quorums and are never called."""
     groups = []
     members: dict[str, StorageMember] = {}
-    for side in (placement.current, placement.next):
-        if not side:
+    for member_set in (placement.current, placement.next):
+        if not member_set:
             continue
-        figures = quorum_sizes(len(side), losses)
-        chosen = [m for m in replicas_for(key, side, figures.copies) if not m.lost]
-        groups.append(ReplicaGroup(frozenset(m.replica_id for m in chosen), figures.write, figures.read))
-        for member in chosen:
+        sizes = quorum_sizes(len(member_set), losses)
+        replicas = [member for member in replicas_for(key, member_set, sizes.copies) if not member.lost]
+        replica_ids = frozenset(member.replica_id for member in replicas)
+        groups.append(ReplicaGroup(replica_ids, sizes.write, sizes.read))
+        for member in replicas:
             members.setdefault(member.replica_id, member)
     return KeyPlacement(tuple(members.values()), tuple(groups))
--- a/wheatring/storage/process.py
+++ b/wheatring/storage/process.py
@@ -13,8 +13,9 @@
 from wheatring.storage.replica import Replica
 from wheatring.subscription.client import Subscription
 from wheatring.transport.client import ClientTable
-from wheatring.transport.connection import EnvelopeConnection, EnvelopeServer
+from wheatring.transport.connection import EnvelopeConnection
 from wheatring.transport.messages_pb2 import ROLE_STORAGE, Envelope, Presence
+from wheatring.transport.server import EnvelopeServer
 
 PRESENCE_INTERVAL_SECONDS = 0.4
 EXPIRY_INTERVAL_SECONDS = 5.0
--- a/wheatring/storage/quorum_client.py
+++ b/wheatring/storage/quorum_client.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from wheatring.placement.key_placement import KeyPlacement, place_key
-from wheatring.transport.client import ClientTable, PeerUnreachableError
+from wheatring.transport.client import ClientTable
+from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
     STORAGE_STATUS_DONE,
     STORAGE_STATUS_STALE_EPOCH,
--- a/wheatring/storage/repair.py
+++ b/wheatring/storage/repair.py
@@ -11,11 +11,12 @@
 from collections.abc import Awaitable, Callable, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from wheatring.durable.record_file import DiskError
+from wheatring.durable.exceptions import DiskError
 from wheatring.event_log import log_event
 from wheatring.placement.key_placement import quorum_sizes
 from wheatring.storage.replica import Replica
-from wheatring.transport.client import ClientTable, PeerUnreachableError
+from wheatring.transport.client import ClientTable
+from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
     STORAGE_STATUS_DONE,
     Envelope,
--- a/wheatring/storage/replica.py
+++ b/wheatring/storage/replica.py
@@ -14,7 +14,8 @@
 from pathlib import Path
 
 from wheatring.durable.committer import Committer
-from wheatring.durable.record_file import DiskError, open_or_quarantine
+from wheatring.durable.exceptions import DiskError
+from wheatring.durable.record_file import open_or_quarantine
 from wheatring.placement.key_placement import quorum_sizes, replicas_for
 from wheatring.storage.record_table import RecordKey, RecordTable, placement_key
 from wheatring.transport.messages_pb2 import (
--- a/wheatring/tier/run.py
+++ b/wheatring/tier/run.py
@@ -13,7 +13,7 @@
 
 from wheatring.boot_settings.exceptions import SettingsError
 from wheatring.boot_settings.settings import Settings, read_settings, settings_path
-from wheatring.durable.record_file import DiskError
+from wheatring.durable.exceptions import DiskError
 from wheatring.event_log import log_event, start_logging
 
 STATUS_CANNOT_START = 2  # exit status
--- a/wheatring/transport/connection.py
+++ b/wheatring/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries length-prefixed envelopes, and the listener for them."""
+"""One TCP connection that carries length-prefixed envelopes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from wheatring.transport.messages_pb2 import Envelope
 
-_LENGTH = struct.Struct(">I")
+_LENGTH_PREFIX = struct.Struct(">I")
 MAX_FRAME_BYTES = 64 * 1024 * 1024
 UNACKNOWLEDGED_TIMEOUT_MS = 1500  # a peer that acknowledges nothing for so long is gone
 MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a peer that reads nothing is cut off at this backlog
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Bytes of all envelope connections of this process, for those who measure."""
+    """Bytes of all envelope connections of this process, for measurements."""
 
     received_bytes: int = 0
     sent_bytes: int = 0
@@ -33,7 +33,11 @@
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """No delay for small frames, and an early end for a connection whose peer has fallen silent."""
+    """Send small frames at once, and end a connection whose peer has fallen silent early.
+
+    Without the time-out of unacknowledged data a connection to a machine without power would stay open for
+    minutes, and calls on it would wait.
+    """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -43,7 +47,10 @@
 
 
 class EnvelopeConnection(asyncio.Protocol):
-    """Frames in, frames out. `on_lost` is called once, when the connection has ended."""
+    """Decodes frames as they arrive and encodes those to be sent.
+
+    `on_lost` is called once, when the connection has ended.
+    """
 
     def __init__(self, on_envelope: EnvelopeHandler, on_lost: Callable[[EnvelopeConnection], None]) -> None:
         self._on_envelope = on_envelope
@@ -53,7 +60,7 @@
         self.is_open = False
 
     def connection_made(self, transport: Any) -> None:
-        """Called by the event loop."""
+        """Keep the transport and set the options of its socket; the event loop calls this."""
         self._transport = transport
         self.is_open = True
         sock = transport.get_extra_info("socket")
@@ -61,22 +68,22 @@
             set_socket_options(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Cut the frames out and hand each one over."""
+        """Decode the frames that are complete and hand each one over."""
         TRAFFIC.received_bytes += len(data)
         buffer = self._buffer
         buffer += data
         offset = 0
-        while self.is_open and len(buffer) - offset >= _LENGTH.size:
-            (length,) = _LENGTH.unpack_from(buffer, offset)
+        while self.is_open and len(buffer) - offset >= _LENGTH_PREFIX.size:
+            (length,) = _LENGTH_PREFIX.unpack_from(buffer, offset)
             if length > MAX_FRAME_BYTES:
                 self.abort()
                 return
-            end = offset + _LENGTH.size + length
+            end = offset + _LENGTH_PREFIX.size + length
             if end > len(buffer):
                 break
             envelope = Envelope()
             try:
-                envelope.ParseFromString(bytes(buffer[offset + _LENGTH.size : end]))
+                envelope.ParseFromString(bytes(buffer[offset + _LENGTH_PREFIX.size : end]))
             except DecodeError:
                 self.abort()
                 return
@@ -85,18 +92,18 @@
         if offset:
             del buffer[:offset]
 
-    def connection_lost(self, error: Exception | None) -> None:
-        """Called by the event loop."""
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
+        """Report the end of the connection; the event loop calls this."""
         self.is_open = False
         self._on_lost(self)
 
     def send(self, envelope: Envelope) -> None:
-        """Queue one envelope; nothing happens on a connection that has ended."""
+        """Queue one envelope; on a connection that has ended do nothing."""
         if not self.is_open:
             return
         payload = envelope.SerializeToString()
-        TRAFFIC.sent_bytes += len(payload) + _LENGTH.size
-        self._transport.write(_LENGTH.pack(len(payload)) + payload)
+        TRAFFIC.sent_bytes += len(payload) + _LENGTH_PREFIX.size
+        self._transport.write(_LENGTH_PREFIX.pack(len(payload)) + payload)
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.abort()
 
@@ -105,34 +112,3 @@
         if self.is_open:
             self.is_open = False
             self._transport.abort()
-
-
-class EnvelopeServer:
-    """Accepts connections and hands their envelopes to one receiver."""
-
-    def __init__(self, receiver: EnvelopeHandler, on_lost: Callable[[EnvelopeConnection], None]) -> None:
-        self._receiver = receiver
-        self._on_lost = on_lost
-        self._server: asyncio.Server | None = None
-        self.connections: set[EnvelopeConnection] = set()
-
-    async def listen(self, host: str, port: int) -> None:
-        """Start to accept. Raises OSError where the address is taken."""
-        loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._accept, host, port, backlog=256)
-
-    def _accept(self) -> EnvelopeConnection:
-        connection = EnvelopeConnection(self._receiver, self._lost)
-        self.connections.add(connection)
-        return connection
-
-    def _lost(self, connection: EnvelopeConnection) -> None:
-        self.connections.discard(connection)
-        self._on_lost(connection)
-
-    def close(self) -> None:
-        """Stop to accept and end all connections."""
-        if self._server is not None:
-            self._server.close()
-        for connection in list(self.connections):
-            connection.abort()
