--- a/tests/agree/test_register_orders.py
+++ b/tests/agree/test_register_orders.py
@@ -7,7 +7,7 @@
 from wheatring.lab.agree.check import in_register, in_views
 from wheatring.lab.agree.orders import Order, walk
 from wheatring.lab.agree.planted import IN_REGISTER, IN_VIEWS
-from wheatring.lease.register import Register
+from wheatring.lease.replicated_register import ReplicatedRegister
 
 
 def test_of_one_number_there_is_one_entry_whatever_the_order_of_words() -> None:
@@ -33,7 +33,7 @@
     for name in names:
         order.start(name)
     began = order.now
-    while not all(order.registers[name].awake for name in names):
+    while not all(order.registers[name].has_recovered for name in names):
         assert order.now - began < 15
         order.now += 0.05
         for name in order.names:
@@ -44,19 +44,19 @@
 
 
 def test_a_voter_that_starts_says_nothing_until_it_has_heard_what_it_kept() -> None:
-    order = Order(1, Register)
+    order = Order(1, ReplicatedRegister)
     order.walk()
-    kept = order.registers["v1"].kept
-    assert wakes(order, "v0") >= order.grounds["v0"].terms.abstain
-    assert order.registers["v0"].kept.number >= kept.number
+    kept = order.registers["v1"].accepted
+    assert wakes(order, "v0") >= order.grounds["v0"].timing.abstain_seconds
+    assert order.registers["v0"].accepted.number >= kept.number
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
 def test_voters_that_all_start_anew_keep_what_any_member_knows_chosen(seed: int) -> None:
-    order = Order(seed, Register)
+    order = Order(seed, ReplicatedRegister)
     order.walk()
-    known = order.registers["m0"].have
+    known = order.registers["m0"].applied
     assert known.number
     order.lost = order.untold = order.late = 0.1  # what they promise is for members that they reach
     wakes(order, "v0", "v1", "v2")
-    assert all(order.registers[name].kept.number >= known.number for name in ("v0", "v1", "v2"))
+    assert all(order.registers[name].accepted.number >= known.number for name in ("v0", "v1", "v2"))
--- a/tests/agree/test_views_fleet.py
+++ b/tests/agree/test_views_fleet.py
@@ -10,7 +10,7 @@
 from wheatring.lab.agree.cases import Measured, Scene, measure
 from wheatring.lab.agree.fleet import views
 from wheatring.lab.leases.cluster import CUT
-from wheatring.members.watch import HURRY, Watch
+from wheatring.members.edge_monitor import EARLY_CHECK_SECONDS, EdgeMonitor
 
 SIZE = 15
 
@@ -65,10 +65,10 @@
     scene.stop(scene.names[8:10], 5.0)
     scene.fleet.run(26)
     found = [one for node in scene.fleet.nodes.values() if (one := views(node)) is not None]
-    assert any(one.errands.under_way for one in found)
+    assert any(one.indirect_checks.active for one in found)
     scene.fleet.run(35)
     assert not any(
-        one is not None and one.errands.under_way for one in map(views, scene.fleet.nodes.values())
+        one is not None and one.indirect_checks.active for one in map(views, scene.fleet.nodes.values())
     )
 
 
@@ -82,7 +82,7 @@
     cut_off, rest = views(fleet.nodes["n9"]), views(fleet.nodes["n4"])
     assert cut_off is not None and rest is not None
     assert cut_off.view.number == before < rest.view.number
-    assert not cut_off.sure(40) and rest.sure(40)
+    assert not cut_off.is_current(40) and rest.is_current(40)
     fleet.mend()
     assert scene.follow.run_until_whole(scene.names, 10) >= 0
 
@@ -118,27 +118,27 @@
 
 def test_one_that_has_just_started_looks_at_all_early_too_where_one_is_missed() -> None:
     """Or who died together then would be missed seconds apart, and go in two changes."""
-    watch = Watch(0.0, Random(1))
-    watch.watch(0.0, ["a", "b"])
-    for name, seq, _ in watch.looks(HURRY):
-        watch.here(HURRY, name, seq)
-    assert min(one.due for one in watch.subjects.values()) > 2 * HURRY
-    watch.kick(HURRY, "a")
-    assert max(one.due for one in watch.subjects.values()) <= 2 * HURRY
+    watch = EdgeMonitor(0.0, Random(1))
+    watch.set_subjects(0.0, ["a", "b"])
+    for name, seq, _ in watch.due_checks(EARLY_CHECK_SECONDS):
+        watch.receive_response(EARLY_CHECK_SECONDS, name, seq)
+    assert min(one.due for one in watch.subjects.values()) > 2 * EARLY_CHECK_SECONDS
+    watch.check_early(EARLY_CHECK_SECONDS, "a")
+    assert max(one.due for one in watch.subjects.values()) <= 2 * EARLY_CHECK_SECONDS
 
 
 def test_who_missed_one_takes_that_back_at_once() -> None:
-    watch = Watch(0.0, Random(1))
-    watch.watch(0.0, ["a", "b"])
+    watch = EdgeMonitor(0.0, Random(1))
+    watch.set_subjects(0.0, ["a", "b"])
     seen: list[int] = []
     now = 0.0
-    while not watch.told:
+    while not watch.last_report:
         now += 0.05
-        for name, seq, _ in watch.looks(now):
+        for name, seq, _ in watch.due_checks(now):
             if name == "a":
-                watch.here(now, name, seq)
+                watch.receive_response(now, name, seq)
             else:
                 seen.append(seq)
-        watch.report(now)
-    assert watch.here(now + 0.01, "b", seen[-1]) is not None
-    assert watch.report(now + 0.01) == ()
+        watch.due_report(now)
+    assert watch.receive_response(now + 0.01, "b", seen[-1]) is not None
+    assert watch.due_report(now + 0.01) == ()
--- a/tests/duties/test_lease.py
+++ b/tests/duties/test_lease.py
@@ -11,16 +11,16 @@
 from wheatring.lab.leases.model import Bounds, Model
 from wheatring.lab.leases.planted import PLANTED, Planted
 from wheatring.lab.leases.search import search
-from wheatring.lease.claimant import Claimant, Out
-from wheatring.lease.duty import Duty
-from wheatring.lease.fence import Fence
-from wheatring.lease.terms import Terms
-from wheatring.lease.voter import Voter
-from wheatring.lease.voters import Voters
-from wheatring.lease.words import Ask, Ballot, Claim, Grant, Promise, Refusal, Release
-
-TERMS = Terms()
-THREE = Voters(("v1", "v2", "v3"))
+from wheatring.lease.acceptor import Acceptor
+from wheatring.lease.fencing import FencingGuard
+from wheatring.lease.messages import Accepted, Prepare, Promise, ProposalNumber, Propose, Rejection, Release
+from wheatring.lease.proposer import AddressedRequest, Proposer
+from wheatring.lease.singleton_role import SingletonRole
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet
+
+TERMS = LeaseTiming()
+THREE = VoterSet(("v1", "v2", "v3"))
 PLACE = "duty/0"
 
 
@@ -51,7 +51,7 @@
 
 def test_a_day_finds_a_voter_that_does_not_abstain(monkeypatch: pytest.MonkeyPatch) -> None:
     """The days see what is planted, too."""
-    monkeypatch.setattr(Terms, "abstain", property(lambda self: 0.0))
+    monkeypatch.setattr(LeaseTiming, "abstain_seconds", property(lambda self: 0.0))
     assert any(days.play(seed).breaches for seed in range(1, 200))
 
 
@@ -59,56 +59,60 @@
 def test_the_next_holder_comes_in_time_and_after_the_last_one_has_stopped(how: str) -> None:
     for seed in range(1, 16):
         took, apart = handover(seed, how)  # type: ignore[arg-type]
-        assert took <= (0.3 if how == "release" else 1.5 * TERMS.term) and apart > 0
+        assert took <= (0.3 if how == "release" else 1.5 * TERMS.lease_seconds) and apart > 0
 
 
-def voter(now: float = -100.0) -> Voter:
-    return Voter(now, TERMS, THREE, [PLACE])
+def voter(now: float = -100.0) -> Acceptor:
+    return Acceptor(now, TERMS, THREE, [PLACE])
 
 
-def ask(who: str, number: int = 1, start: int = 1) -> Ask:
-    return Ask(PLACE, Ballot(number, who, start), 1, THREE.digest)
+def ask(who: str, number: int = 1, start: int = 1) -> Prepare:
+    return Prepare(PLACE, ProposalNumber(number, who, start), 1, THREE.digest)
 
 
-def claim(who: str, number: int = 1, epoch: int = 5, term: float = 3.0, start: int = 1) -> Claim:
-    return Claim(PLACE, Ballot(number, who, start), 1, THREE.digest, epoch, term)
+def claim(who: str, number: int = 1, epoch: int = 5, term: float = 3.0, start: int = 1) -> Propose:
+    return Propose(PLACE, ProposalNumber(number, who, start), 1, THREE.digest, epoch, term)
 
 
 def test_a_voter_that_has_started_abstains_for_a_whole_term() -> None:
     fresh = voter(now=10.0)
-    answer = fresh.hear(10.0 + TERMS.term - 0.01, 0, ask("a"))
-    assert isinstance(answer, Refusal) and answer.why == "starting" and 0 < answer.left <= 0.011
-    assert isinstance(fresh.hear(10.0 + TERMS.term, 0, ask("a")), Promise)
+    answer = fresh.receive(10.0 + TERMS.lease_seconds - 0.01, 0, ask("a"))
+    assert (
+        isinstance(answer, Rejection)
+        and answer.reason == "starting"
+        and 0 < answer.retry_after_seconds <= 0.011
+    )
+    assert isinstance(fresh.receive(10.0 + TERMS.lease_seconds, 0, ask("a")), Promise)
 
 
 def test_a_grant_keeps_others_out_and_a_restarted_claimant_is_another() -> None:
     one = voter()
-    assert isinstance(one.hear(0, 0, claim("a")), Grant)
+    assert isinstance(one.receive(0, 0, claim("a")), Accepted)
     for other in (ask("b", 9), ask("a", 9, start=2)):
-        answer = one.hear(2.9, 0, other)
-        assert isinstance(answer, Refusal) and answer.why == "held" and answer.epoch == 5
-    assert isinstance(one.hear(2.9, 0, ask("a", 2)), Promise)
-    assert isinstance(one.hear(3.0, 0, ask("b", 9)), Promise)
+        answer = one.receive(2.9, 0, other)
+        assert isinstance(answer, Rejection) and answer.reason == "held" and answer.epoch == 5
+    assert isinstance(one.receive(2.9, 0, ask("a", 2)), Promise)
+    assert isinstance(one.receive(3.0, 0, ask("b", 9)), Promise)
 
 
 def test_a_late_release_of_an_earlier_term_does_not_end_this_one() -> None:
     one = voter()
-    one.hear(0, 0, claim("a", 1))
-    one.hear(1, 0, claim("a", 2))
-    one.hear(1.1, 0, Release(PLACE, Ballot(1, "a", 1), 9, THREE.digest))
-    assert one.holder(1.2, PLACE) is not None
-    one.hear(1.3, 0, Release(PLACE, Ballot(2, "a", 1), 9, THREE.digest))
-    assert one.holder(1.4, PLACE) is None
+    one.receive(0, 0, claim("a", 1))
+    one.receive(1, 0, claim("a", 2))
+    one.receive(1.1, 0, Release(PLACE, ProposalNumber(1, "a", 1), 9, THREE.digest))
+    assert one.holder_of(1.2, PLACE) is not None
+    one.receive(1.3, 0, Release(PLACE, ProposalNumber(2, "a", 1), 9, THREE.digest))
+    assert one.holder_of(1.4, PLACE) is None
 
 
 def test_a_claim_that_is_said_again_lasts_no_longer_and_a_new_round_does() -> None:
     one = voter()
-    one.hear(0, 0, claim("a"))
-    assert isinstance(one.hear(2.0, 0, claim("a")), Grant)
-    found = one.holder(2.0, PLACE)
+    one.receive(0, 0, claim("a"))
+    assert isinstance(one.receive(2.0, 0, claim("a")), Accepted)
+    found = one.holder_of(2.0, PLACE)
     assert found is not None and found[2] == pytest.approx(1.0)
-    one.hear(2.0, 0, Claim(PLACE, Ballot(1, "a", 1), 2, THREE.digest, 5, 3.0, True))
-    found = one.holder(2.0, PLACE)
+    one.receive(2.0, 0, Propose(PLACE, ProposalNumber(1, "a", 1), 2, THREE.digest, 5, 3.0, True))
+    found = one.holder_of(2.0, PLACE)
     assert found is not None and found[2] == pytest.approx(3.0)
 
 
@@ -116,123 +120,127 @@
     claimant = elected(0.0)
     claimant.tick(claimant.due)
     number, said = claimant.round, 0
-    while claimant.holds(claimant.due):
+    while claimant.is_holder(claimant.due):
         said += len(claimant.tick(claimant.due))
         assert claimant.round == number
     assert said > 30
     over = claimant.due
-    assert claimant.tick(over) == [] and claimant.due >= over + TERMS.term / 2
+    assert claimant.tick(over) == [] and claimant.due >= over + TERMS.lease_seconds / 2
 
 
 def test_a_claim_for_longer_than_the_voter_abstains_is_refused() -> None:
-    assert isinstance(voter().hear(0, 0, claim("a", term=3.1)), Refusal)
+    assert isinstance(voter().receive(0, 0, claim("a", term=3.1)), Rejection)
 
 
 def test_epochs_grow_though_all_have_forgotten_and_one_clock_is_behind() -> None:
     """A claimant takes the highest of what a majority says."""
-    claimant = Claimant(PLACE, "a", 1, TERMS, THREE, Random(1))
-    claimant.want(0, 0)
+    claimant = Proposer(PLACE, "a", 1, TERMS, THREE, Random(1))
+    claimant.set_rank(0, 0)
     asked = claimant.tick(0)
     walls = {"v1": 1_000, "v2": 5_000_000}
-    told: list[Out] = []
+    told: list[AddressedRequest] = []
     for name, word in asked:
         if name in walls:
-            answer = voter().hear(0, walls[name], word)
+            answer = voter().receive(0, walls[name], word)
             assert answer is not None
-            told = claimant.hear(0, name, answer) or told
-    assert {word.epoch for _, word in told if isinstance(word, Claim)} == {5_000_001}
+            told = claimant.receive(0, name, answer) or told
+    assert {word.epoch for _, word in told if isinstance(word, Propose)} == {5_000_001}
 
 
-def elected(now: float = 0.0) -> Claimant:
-    claimant = Claimant(PLACE, "a", 1, TERMS, THREE, Random(1))
-    claimant.want(now, 0)
+def elected(now: float = 0.0) -> Proposer:
+    claimant = Proposer(PLACE, "a", 1, TERMS, THREE, Random(1))
+    claimant.set_rank(now, 0)
     claimant.tick(now)
     for name in ("v1", "v2"):
-        claimant.hear(now, name, Promise(PLACE, claimant.ballot, claimant.round, 7))
+        claimant.receive(now, name, Promise(PLACE, claimant.proposal, claimant.round, 7))
     for name in ("v1", "v2"):
-        claimant.hear(now + 0.5, name, Grant(PLACE, claimant.ballot, claimant.round))
+        claimant.receive(now + 0.5, name, Accepted(PLACE, claimant.proposal, claimant.round))
     return claimant
 
 
 def test_a_term_runs_from_before_it_was_asked_for() -> None:
     claimant = elected(10.0)
-    assert claimant.act(10.0 + TERMS.hold - 0.01) == 8
-    assert claimant.act(10.0 + TERMS.hold) is None
+    assert claimant.epoch_to_act(10.0 + TERMS.holder_seconds - 0.01) == 8
+    assert claimant.epoch_to_act(10.0 + TERMS.holder_seconds) is None
 
 
 def test_a_holder_that_was_stopped_gets_no_further_term_by_its_late_renewal() -> None:
     claimant = elected(0.0)
-    claimant.tick(TERMS.renew)
-    ballot, number = claimant.ballot, claimant.round
-    later = TERMS.renew + TERMS.hold - 0.1  # the renewal would still count, the term is over
+    claimant.tick(TERMS.renew_seconds)
+    ballot, number = claimant.proposal, claimant.round
+    later = (
+        TERMS.renew_seconds + TERMS.holder_seconds - 0.1
+    )  # the renewal would still count, the term is over
     for name in ("v1", "v2", "v3"):
-        claimant.hear(later, name, Grant(PLACE, ballot, number))
-    assert claimant.act(later) is None
+        claimant.receive(later, name, Accepted(PLACE, ballot, number))
+    assert claimant.epoch_to_act(later) is None
     claimant.tick(later)
     for name in ("v1", "v2"):
-        claimant.hear(later, name, Promise(PLACE, claimant.ballot, claimant.round, 8))
+        claimant.receive(later, name, Promise(PLACE, claimant.proposal, claimant.round, 8))
     assert claimant.epoch == 9
 
 
 def test_answers_to_another_round_or_from_a_stranger_do_not_count() -> None:
-    claimant = Claimant(PLACE, "a", 1, TERMS, THREE, Random(1))
-    claimant.want(0, 0)
+    claimant = Proposer(PLACE, "a", 1, TERMS, THREE, Random(1))
+    claimant.set_rank(0, 0)
     claimant.tick(0)
     for name in ("v1", "v2"):
-        assert not claimant.hear(0, name, Promise(PLACE, claimant.ballot, claimant.round - 1, 7))
-        assert not claimant.hear(0, f"not-{name}", Promise(PLACE, claimant.ballot, claimant.round, 7))
-    assert claimant.hear(0, "v1", Promise(PLACE, claimant.ballot, claimant.round, 7)) == []
-    assert claimant.hear(0, "v2", Promise(PLACE, claimant.ballot, claimant.round, 7))
+        assert not claimant.receive(0, name, Promise(PLACE, claimant.proposal, claimant.round - 1, 7))
+        assert not claimant.receive(0, f"not-{name}", Promise(PLACE, claimant.proposal, claimant.round, 7))
+    assert claimant.receive(0, "v1", Promise(PLACE, claimant.proposal, claimant.round, 7)) == []
+    assert claimant.receive(0, "v2", Promise(PLACE, claimant.proposal, claimant.round, 7))
 
 
 def test_a_receiver_refuses_an_older_term() -> None:
-    fence = Fence()
+    fence = FencingGuard()
     assert [fence.admit(epoch) for epoch in (3, 3, 5, 3, 5, 6)] == [True, True, True, False, True, True]
-    assert fence.refused == 1
+    assert fence.rejected_count == 1
 
 
 def test_one_that_holds_and_does_nothing_gives_it_back_and_keeps_out() -> None:
-    duty = Duty("duty", 1, "a", 1, TERMS, THREE, Random(1), idle=1.0)
-    duty.in_line(0, 0)
-    claimant = duty.claimants[0]
+    duty = SingletonRole("duty", 1, "a", 1, TERMS, THREE, Random(1), idle_seconds=1.0)
+    duty.set_rank(0, 0)
+    claimant = duty.proposers[0]
     duty.tick(0)
     for name in ("v1", "v2"):
-        duty.hear(0, name, Promise(PLACE, claimant.ballot, claimant.round, 1))
+        duty.receive(0, name, Promise(PLACE, claimant.proposal, claimant.round, 1))
     for name in ("v1", "v2"):
-        duty.hear(0, name, Grant(PLACE, claimant.ballot, claimant.round))
-    assert duty.act(0.1) is not None
-    duty.acted(1.0)
+        duty.receive(0, name, Accepted(PLACE, claimant.proposal, claimant.round))
+    assert duty.epoch_to_act(0.1) is not None
+    duty.note_activity(1.0)
     assert not [word for _, word in duty.tick(1.9) if isinstance(word, Release)]
     assert [word for _, word in duty.tick(2.0) if isinstance(word, Release)]
-    assert duty.act(2.0) is None
-    duty.in_line(31.9, 0)
+    assert duty.epoch_to_act(2.0) is None
+    duty.set_rank(31.9, 0)
     assert duty.rank is None
-    duty.in_line(32.0, 0)
+    duty.set_rank(32.0, 0)
     assert duty.rank == 0
 
 
 def test_voters_are_changed_in_two_steps_and_the_second_waits_for_the_first() -> None:
     old, both, new = (
-        Voters(("a", "b", "c")),
-        Voters(("a", "b", "c"), ("d", "e", "f")),
-        Voters(("d", "e", "f")),
+        VoterSet(("a", "b", "c")),
+        VoterSet(("a", "b", "c"), ("d", "e", "f")),
+        VoterSet(("d", "e", "f")),
     )
-    one = Voter(-100, TERMS, old, [PLACE])
-    assert "two steps" in one.change(0, new)
-    assert one.change(0, both) == ""
-    assert one.change(0, new) != "" and one.voters == both
-    late = Voter(-100, TERMS, both, [PLACE])
-    assert late.change(0, new, taken=True) == "" and late.voters == new
-    assert Voter(-100, TERMS, old, [PLACE]).change(0, new, taken=True) != ""
-    refused = one.hear(0.1, 0, Ask(PLACE, Ballot(1, "x", 1), 1, old.digest))
-    assert isinstance(refused, Refusal) and refused.why == "voters"
-    one.hear(10, 0, Claim(PLACE, Ballot(1, "x", 1), 1, both.digest, 5, 3.0, chosen=True))
-    assert one.change(11, new) == ""
-    answer = one.hear(11.1, 0, Ask(PLACE, Ballot(1, "x", 1), 1, new.digest))
-    assert isinstance(answer, Refusal) and answer.why == "starting"
+    one = Acceptor(-100, TERMS, old, [PLACE])
+    assert "two steps" in one.change_voters(0, new)
+    assert one.change_voters(0, both) == ""
+    assert one.change_voters(0, new) != "" and one.voters == both
+    late = Acceptor(-100, TERMS, both, [PLACE])
+    assert late.change_voters(0, new, adopted_elsewhere=True) == "" and late.voters == new
+    assert Acceptor(-100, TERMS, old, [PLACE]).change_voters(0, new, adopted_elsewhere=True) != ""
+    refused = one.receive(0.1, 0, Prepare(PLACE, ProposalNumber(1, "x", 1), 1, old.digest))
+    assert isinstance(refused, Rejection) and refused.reason == "voters"
+    one.receive(10, 0, Propose(PLACE, ProposalNumber(1, "x", 1), 1, both.digest, 5, 3.0, is_renewal=True))
+    assert one.change_voters(11, new) == ""
+    answer = one.receive(11.1, 0, Prepare(PLACE, ProposalNumber(1, "x", 1), 1, new.digest))
+    assert isinstance(answer, Rejection) and answer.reason == "starting"
 
 
 def test_a_majority_of_both_is_needed_while_voters_change() -> None:
-    both = Voters(("a", "b", "c"), ("c", "d", "e"))
-    assert both.enough(["a", "c", "d"]) and not both.enough(["a", "b", "c"])
-    assert both.digest == Voters(("c", "b", "a"), ("e", "d", "c")).digest != Voters(("a", "b", "c")).digest
+    both = VoterSet(("a", "b", "c"), ("c", "d", "e"))
+    assert both.has_majority(["a", "c", "d"]) and not both.has_majority(["a", "b", "c"])
+    assert (
+        both.digest == VoterSet(("c", "b", "a"), ("e", "d", "c")).digest != VoterSet(("a", "b", "c")).digest
+    )
--- a/tests/duties/test_members.py
+++ b/tests/duties/test_members.py
@@ -9,32 +9,32 @@
 
 from wheatring.lab.leases.cluster import CUT, Cluster
 from wheatring.lab.live.links.state import State
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters
-from wheatring.members.members import Members
-from wheatring.members.news import Board
-from wheatring.members.pace import Pace
-from wheatring.members.rumours import ROOM, Rumours
-from wheatring.members.table import MOST, Table
-from wheatring.members.words import (
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet
+from wheatring.members.facts import FactStore
+from wheatring.members.member_table import MAX_MEMBERS, MemberTable
+from wheatring.members.membership import Membership
+from wheatring.members.messages import (
     ALIVE,
     DEAD,
     LEFT,
     SUSPECT,
     Ack,
-    Join,
-    Known,
-    News,
+    Fact,
+    MemberInfo,
+    MemberUpdate,
     Ping,
-    Rumour,
-    Who,
+    SyncRequest,
+    SyncResponse,
 )
+from wheatring.members.timing import SwimTiming
+from wheatring.members.update_queue import PIGGYBACK_BYTES, UpdateQueue
 
-PACE = Pace()
+PACE = SwimTiming()
 
 
 def fleet(size: int, seed: int = 1, over: float = 1.0) -> Cluster:
-    cluster = Cluster(seed, size, Voters(("#0", "#1", "#2")), [], Terms(), PACE)
+    cluster = Cluster(seed, size, VoterSet(("#0", "#1", "#2")), [], LeaseTiming(), PACE)
     for node in cluster.nodes.values():
         cluster.call(cluster.random.random() * over, cluster.start, node)
     return cluster
@@ -45,7 +45,7 @@
     return [
         row.state
         for node in cluster.nodes.values()
-        if node.fleet is not None and (row := node.fleet.members.table.rows.get(of)) is not None
+        if node.fleet is not None and (row := node.fleet.members.table.records.get(of)) is not None
     ]
 
 
@@ -53,7 +53,7 @@
     cluster = fleet(60)
     cluster.run(30)
     for node in cluster.nodes.values():
-        assert node.fleet is not None and len(node.fleet.members.alive()) == 60
+        assert node.fleet is not None and len(node.fleet.members.alive_members()) == 60
 
 
 def test_a_third_that_leaves_without_a_word_is_found_and_nobody_else() -> None:
@@ -65,8 +65,8 @@
     cluster.run(50)
     for node in cluster.nodes.values():
         if node.fleet is not None:
-            assert [who.name for who in node.fleet.members.alive() if who.name in gone] == []
-            assert len(node.fleet.members.alive()) == 20
+            assert [who.name for who in node.fleet.members.alive_members() if who.name in gone] == []
+            assert len(node.fleet.members.alive_members()) == 20
 
 
 def test_one_that_says_that_it_leaves_is_left_and_not_dead() -> None:
@@ -90,10 +90,10 @@
     assert DEAD in states(cluster, "n3")
     cluster.go_on(node)
     assert node.fleet is not None
-    assert all(row.state != DEAD for row in node.fleet.members.table.rows.values())
+    assert all(row.state != DEAD for row in node.fleet.members.table.records.values())
     cluster.run(75)
     assert set(states(cluster, "n3")) == {ALIVE}
-    assert len(node.fleet.members.alive()) == 16
+    assert len(node.fleet.members.alive_members()) == 16
 
 
 def test_two_halves_that_lost_each_other_meet_again() -> None:
@@ -120,41 +120,45 @@
     assert DEAD not in states(cluster, "n5")
 
 
-def lone(seeds: int = 1) -> Members:
+def lone(seeds: int = 1) -> Membership:
     where = [("127.0.0.9", 1 + n) for n in range(seeds)]
-    return Members(0.0, Who("me", "127.0.0.1", 7), 100, where, PACE, Random(1), ["duty/0"])
+    return Membership(0.0, MemberInfo("me", "127.0.0.1", 7), 100, where, PACE, Random(1), ["duty/0"])
 
 
 def test_it_refutes_what_is_said_of_it_and_trusts_itself_less() -> None:
     me = lone()
-    rumour = Rumour(me.me, 100, SUSPECT, "x")
-    answer = me.hear(1.0, "x", ("127.0.0.2", 1), Ping(5, (rumour,)))[0]
+    rumour = MemberUpdate(me.me, 100, SUSPECT, "x")
+    answer = me.receive(1.0, "x", ("127.0.0.2", 1), Ping(5, (rumour,)))[0]
     assert me.incarnation == 101 and me.health.score == 1
-    assert isinstance(answer[1], Ack) and Rumour(me.me, 101) in answer[1].rumours
+    assert isinstance(answer[1], Ack) and MemberUpdate(me.me, 101) in answer[1].updates
 
 
 def test_a_tick_that_comes_late_gives_suspects_the_time_that_was_missed() -> None:
     me = lone()
-    who = Who("x", "127.0.0.2", 1)
-    me.hear(1.0, "y", ("127.0.0.3", 1), Ping(1, (Rumour(who, 5), Rumour(who, 5, SUSPECT, "y"))))
-    ends = me.table.rows["x"].ends
+    who = MemberInfo("x", "127.0.0.2", 1)
+    me.receive(
+        1.0, "y", ("127.0.0.3", 1), Ping(1, (MemberUpdate(who, 5), MemberUpdate(who, 5, SUSPECT, "y")))
+    )
+    ends = me.table.records["x"].suspicion_ends
     me.tick(min(me.due, 1.2))
     me.tick(ends + 30)  # held up for far longer than the suspect has
-    assert me.table.rows["x"].state == SUSPECT and me.table.rows["x"].ends > ends + 20
+    assert me.table.records["x"].state == SUSPECT and me.table.records["x"].suspicion_ends > ends + 20
 
 
 def test_one_of_whom_no_rumour_came_by_is_asked_itself() -> None:
     me = lone()
-    out = me.hear(1.0, "x", ("127.0.0.2", 1), Ping(5))
-    assert [type(word) for _, word in out] == [Ack, Join]
-    me.hear(1.1, "x", ("127.0.0.2", 1), Known(0, (Rumour(Who("x", "127.0.0.2", 1), 3),)))
-    assert [type(word) for _, word in me.hear(1.2, "x", ("127.0.0.2", 1), Ping(6))] == [Ack]
+    out = me.receive(1.0, "x", ("127.0.0.2", 1), Ping(5))
+    assert [type(word) for _, word in out] == [Ack, SyncRequest]
+    me.receive(
+        1.1, "x", ("127.0.0.2", 1), SyncResponse(0, (MemberUpdate(MemberInfo("x", "127.0.0.2", 1), 3),))
+    )
+    assert [type(word) for _, word in me.receive(1.2, "x", ("127.0.0.2", 1), Ping(6))] == [Ack]
 
 
 def test_more_that_suspect_leave_it_less_time() -> None:
-    times = [PACE.suspicion(100, confirmed) for confirmed in range(4)]
-    assert times == sorted(times, reverse=True) and times[2] == times[3] == PACE.least(100)
-    assert times[0] == PACE.least(100) * PACE.most_patience
+    times = [PACE.suspicion_seconds(100, confirmed) for confirmed in range(4)]
+    assert times == sorted(times, reverse=True) and times[2] == times[3] == PACE.min_suspicion_seconds(100)
+    assert times[0] == PACE.min_suspicion_seconds(100) * PACE.max_suspicion_multiplier
 
 
 def test_it_joins_by_the_seeds_one_after_the_other_and_ever_more_seldom() -> None:
@@ -163,16 +167,16 @@
     now = 0.0
     while now < 60:
         now = me.due
-        asked += [(now, where) for where, word in me.tick(now) if isinstance(word, Join)]
+        asked += [(now, where) for where, word in me.tick(now) if isinstance(word, SyncRequest)]
     assert len({where for _, where in asked}) == 2 and 4 <= len(asked) <= 14
-    me.hear(now, "x", ("127.0.0.9", 1), Known(0))
-    assert me.joined and me.next_join > 1e9
+    me.receive(now, "x", ("127.0.0.9", 1), SyncResponse(0))
+    assert me.has_joined and me.next_join > 1e9
 
 
 names = st.sampled_from(["a", "b", "me"])
 rumours = st.builds(
-    Rumour,
-    st.builds(Who, names, st.just("127.0.0.2"), st.integers(1, 3)),
+    MemberUpdate,
+    st.builds(MemberInfo, names, st.just("127.0.0.2"), st.integers(1, 3)),
     st.integers(98, 103),
     st.integers(ALIVE, LEFT),
     st.sampled_from(["", "x", "y"]),
@@ -181,35 +185,38 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(rumours, max_size=30))
-def test_what_is_held_never_goes_back_to_an_older_incarnation(told: list[Rumour]) -> None:
+def test_what_is_held_never_goes_back_to_an_older_incarnation(told: list[MemberUpdate]) -> None:
     me = lone()
     highest: dict[str, int] = {}
     for number, rumour in enumerate(told):
-        me.hear(number * 0.01, "x", ("127.0.0.2", 1), Known(0, (rumour,)))
-        for name, row in me.table.rows.items():
+        me.receive(number * 0.01, "x", ("127.0.0.2", 1), SyncResponse(0, (rumour,)))
+        for name, row in me.table.records.items():
             assert row.incarnation >= highest.get(name, 0)
             highest[name] = row.incarnation
-        assert "me" not in me.table.rows and (me.incarnation > rumour.incarnation or rumour.who.name != "me"
-                                              or rumour.state == ALIVE)  # fmt: skip
+        assert "me" not in me.table.records and (
+            me.incarnation > rumour.incarnation or rumour.member.name != "me" or rumour.state == ALIVE
+        )
 
 
 def test_the_table_and_the_rumours_are_bounded_whatever_arrives() -> None:
-    table, kept = Table(), Rumours()
-    for number in range(MOST + 50):
-        rumour = Rumour(Who(f"m{number}", "127.0.0.2", 1), 1)
-        table.learn(0.0, rumour)
+    table, kept = MemberTable(), UpdateQueue()
+    for number in range(MAX_MEMBERS + 50):
+        rumour = MemberUpdate(MemberInfo(f"m{number}", "127.0.0.2", 1), 1)
+        table.apply(0.0, rumour)
         kept.add(rumour)
-    assert len(table.rows) == MOST and table.dropped == 50 and len(kept.of) == 500
-    assert sum(rumour.size for rumour in kept.take(3)) <= ROOM
+    assert len(table.records) == MAX_MEMBERS and table.dropped_updates == 50 and len(kept.pending) == 500
+    assert sum(rumour.encoded_bytes for rumour in kept.next_batch(3)) <= PIGGYBACK_BYTES
 
 
 def test_news_of_unknown_keys_or_older_are_not_kept() -> None:
-    board = Board(["duty/0"])
-    assert board.learn(News("duty/0", 5, "a")) and not board.learn(News("duty/0", 5, "b"))
-    assert not board.learn(News("other", 9, "a")) and not board.learn(News("duty/0", 9, "x" * 200))
-    assert board.take(2) == board.take(2) == (News("duty/0", 5, "a"),) and board.take(2) == ()
-    board.again()
-    assert board.take(2)
+    board = FactStore(["duty/0"])
+    assert board.apply(Fact("duty/0", 5, "a")) and not board.apply(Fact("duty/0", 5, "b"))
+    assert not board.apply(Fact("other", 9, "a")) and not board.apply(Fact("duty/0", 9, "x" * 200))
+    assert (
+        board.next_batch(2) == board.next_batch(2) == (Fact("duty/0", 5, "a"),) and board.next_batch(2) == ()
+    )
+    board.restart_transmission()
+    assert board.next_batch(2)
 
 
 def test_what_a_member_sends_does_not_grow_with_their_number() -> None:
--- a/tests/peers/test_datagram_codec.py
+++ b/tests/peers/test_datagram_codec.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.lease.words import Ask, Ballot
-from wheatring.members.words import Known, Ping, Rumour, Who
+from wheatring.lease.messages import Prepare, ProposalNumber
+from wheatring.members.messages import MemberInfo, MemberUpdate, Ping, SyncResponse
 from wheatring.peers.datagram_codec import (
     CLOCK_SET_BACK_SECONDS,
     MAX_DATAGRAM_BYTES,
@@ -31,7 +31,7 @@
 
 
 def test_a_datagram_is_decoded_with_its_sender() -> None:
-    message = Ask("duty/0", Ballot(3, "a", 9), 2, 77)
+    message = Prepare("duty/0", ProposalNumber(3, "a", 9), 2, 77)
     assert codec("b", "f", 1, KEY).decode(0.0, codec("a", "f", 9, KEY).encode(message)) == ("a", message)
     assert codec("b").decode(0.0, codec("a").encode(Ping(5))) == ("a", Ping(5))
 
@@ -76,9 +76,9 @@
 
 
 def test_an_oversized_message_is_not_encoded_and_senders_are_bounded() -> None:
-    many = tuple(Rumour(Who(f"member-{number}", "127.0.0.1", 1), 1) for number in range(100))
+    many = tuple(MemberUpdate(MemberInfo(f"member-{number}", "127.0.0.1", 1), 1) for number in range(100))
     with pytest.raises(DatagramRejectedError, match="too-large"):
-        codec("a").encode(Known(0, many))
+        codec("a").encode(SyncResponse(0, many))
     own = codec("b")
     for number in range(MAX_SENDERS + 5):
         own.decode(0.0, codec(f"a{number}").encode(Ping(1)))
@@ -96,7 +96,7 @@
 @settings(max_examples=100, deadline=None)
 @given(st.integers(0, 200), st.integers(1, 255))
 def test_a_changed_byte_is_never_accepted(place: int, change: int) -> None:
-    data = bytearray(codec("a", "f", 1, KEY).encode(Ask("duty/0", Ballot(1, "a", 1), 1, 1)))
+    data = bytearray(codec("a", "f", 1, KEY).encode(Prepare("duty/0", ProposalNumber(1, "a", 1), 1, 1)))
     data[place % len(data)] ^= change
     with pytest.raises(DatagramRejectedError):
         codec("b", "f", 1, KEY).decode(0.0, bytes(data))
--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from wheatring.lab.leases.cluster import YEAR, Cluster, Node
-from wheatring.lease.fleet import Fleet, Instant, Piece
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters, first
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.timing import SwimTiming
 from wheatring.peers.agreement import LEADER_DUTY, Agreement
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.plan_coordinator import PlanCoordinator
@@ -28,12 +28,14 @@
         self.agreed: dict[str, Agreement] = {}
         self.told: list[tuple[float, str, str, dict[str, Any]]] = []
         self.weights: dict[str, dict[str, Mapping[str, int]]] = {}
-        self.cluster = Cluster(1, size, Voters(first(3)), [LEADER_DUTY], Terms(), Pace(), pieces=self.pieces)
+        self.cluster = Cluster(
+            1, size, VoterSet(first_voters(3)), [LEADER_DUTY], LeaseTiming(), SwimTiming(), pieces=self.pieces
+        )
         for node in self.cluster.nodes.values():
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
         self.cluster.run(14)
 
-    def pieces(self, at: Instant, fleet: Fleet) -> list[Piece]:
+    def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         name = fleet.me.name
 
         def weigh(route: str, weights: Mapping[str, int]) -> None:
@@ -45,7 +47,7 @@
         self.agreed[name] = Agreement(
             at, fleet, PlanOptions(self.formats.get(name), weigh, tell, self.offered)
         )
-        return fleet.pieces
+        return fleet.components
 
     def planned(self, name: str) -> PlanCoordinator:
         found = self.agreed[name].plan
@@ -77,7 +79,7 @@
         self.cluster.start(self.node(name))
 
     def numbers(self) -> set[int]:
-        return {self.planned(name).plans.register.have.number for name in self.agreed}
+        return {self.planned(name).plans.register.applied.number for name in self.agreed}
 
 
 def plan(window: float | None = None) -> bytes:
@@ -116,7 +118,7 @@
 def test_the_floor_keeps_out_who_reads_less_and_stays_where_a_plan_needs_it() -> None:
     made = World(6)
     assert made.offer("n4", plan(window=400))["state"] == "settled"
-    leader = next(name for name in made.agreed if made.agreed[name].views.register.ready)
+    leader = next(name for name in made.agreed if made.agreed[name].views.register.is_ready)
     node = made.node(leader)
     planned = made.planned(leader)
 
@@ -133,7 +135,11 @@
     made.again("n5", (1,))
     made.cluster.run(made.cluster.now + 20)
     views = made.agreed["n5"].views
-    assert not views.inside and views.told_wait is not None and "below-floor" in views.told_wait.why
+    assert (
+        not views.is_member
+        and views.join_deferral is not None
+        and "below-floor" in views.join_deferral.reason
+    )
 
 
 def test_a_leader_that_comes_back_older_than_the_plan_does_not_lead() -> None:
@@ -141,8 +147,8 @@
     assert made.offer("n4", plan(window=400))["state"] == "settled"
     made.again("n0", (1,))
     made.cluster.run(made.cluster.now + 40)
-    assert not made.agreed["n0"].views.register.ready and not made.agreed["n0"].views.inside
-    assert any(made.agreed[name].views.register.ready for name in ("n1", "n2"))
+    assert not made.agreed["n0"].views.register.is_ready and not made.agreed["n0"].views.is_member
+    assert any(made.agreed[name].views.register.is_ready for name in ("n1", "n2"))
     made.again("n5", None)  # and those who can are let in
     made.cluster.run(made.cluster.now + 20)
-    assert made.agreed["n5"].views.inside
+    assert made.agreed["n5"].views.is_member
--- a/tests/peers/test_recorded_frames.py
+++ b/tests/peers/test_recorded_frames.py
@@ -9,9 +9,9 @@
 import pytest
 
 from wheatring.core.clock import Clock
-from wheatring.lease.bodies import digest
-from wheatring.lease.words import Ask, Ballot, Beat
-from wheatring.members.words import SUSPECT, News, Ping, Rumour, Who
+from wheatring.lease.messages import Heartbeat, Prepare, ProposalNumber
+from wheatring.lease.payloads import digest
+from wheatring.members.messages import SUSPECT, Fact, MemberInfo, MemberUpdate, Ping
 from wheatring.peers.body_transfer import _REPLY_HEAD, _REQUEST_HEAD, BodyRequest, BodyTransfers
 from wheatring.peers.datagram_codec import DatagramCodec
 
@@ -22,11 +22,11 @@
 MESSAGES = {
     "Ping": Ping(
         7,
-        (Rumour(Who("c", "10.0.0.3", 7003, 2, 1, "z1", 99), 4, SUSPECT, "a"),),
-        (News("list/0", 12, "a"),),
+        (MemberUpdate(MemberInfo("c", "10.0.0.3", 7003, 2, 1, "z1", 99), 4, SUSPECT, "a"),),
+        (Fact("list/0", 12, "a"),),
     ),
-    "Ask": Ask("list/0", Ballot(3, "a", START_MS), 2, 77),
-    "Beat": Beat("list", 12, 5, 901, ("n1", "n2"), 0.25, ("c", "d")),
+    "Ask": Prepare("list/0", ProposalNumber(3, "a", START_MS), 2, 77),
+    "Beat": Heartbeat("list", 12, 5, 901, ("n1", "n2"), 0.25, ("c", "d")),
 }
 
 
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -9,10 +9,10 @@
 from wheatring.lab.agree_plan_days import PLANTED, find, play
 from wheatring.lab.leases.cluster import CUT
 from wheatring.lab.live.links.state import State
-from wheatring.lease.bodies import digest
-from wheatring.lease.fleet import Instant, Out
-from wheatring.lease.register import Phase
-from wheatring.lease.words import Entry, Newest
+from wheatring.lease.fleet import Instant, Outgoing
+from wheatring.lease.messages import Entry, NewestQuery
+from wheatring.lease.payloads import digest
+from wheatring.lease.replicated_register import Phase
 from wheatring.members.view import View
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.errors import PlanFormatUnknownError, PlanNoViewError, PlanRolloutInProgressError
@@ -242,7 +242,7 @@
     first = digest(body_of("first"))
     base = (ProposePlan(first, epoch, 7, 90, 0), "plan-overtaken")
     for late, told in (base, (ProposePlan(first, epoch - 1, 8, 90, 2), "")):
-        out = leader.hear(made.cluster.instant(node), "n4", ("127.5.0.5", 7000), late)
+        out = leader.receive(made.cluster.instant(node), "n4", ("127.5.0.5", 7000), late)
         codes = [why.code for _, word in out if isinstance(word, RolloutStatus) for why in word.reasons]
         assert codes == ([told] if told else []) and leader.leader.rollout is None
 
@@ -257,7 +257,7 @@
     assert made.until(lambda: push.is_final, 5.0)
     leader, node = made.plans[made.leader()], made.cluster.nodes[made.leader()]
     again = ProposePlan(push.digest, push.leader_epoch, push.proposal_id, push.size_bytes, push.base_version)
-    ((_, word),) = leader.hear(made.cluster.instant(node), "n3", ("127.5.0.4", 7000), again)
+    ((_, word),) = leader.receive(made.cluster.instant(node), "n3", ("127.5.0.4", 7000), again)
     assert isinstance(word, RolloutStatus) and word.state == "refused" and leader.leader.rollout is None
 
 
@@ -266,18 +266,18 @@
     plans, at = made.plans["n4"], made.cluster.instant(made.cluster.nodes["n4"])
     push = made.offer("n4", body_of("first"))
     push.leader_epoch = 100
-    plans.hear(at, "n0", ("127.5.0.1", 7000), RolloutStatus(push.digest, 99, push.proposal_id, "refused"))
+    plans.receive(at, "n0", ("127.5.0.1", 7000), RolloutStatus(push.digest, 99, push.proposal_id, "refused"))
     assert push.state == "offered"
     where = ("127.5.0.1", 7000)
-    ((_, told),) = plans.hear(at, "n0", where, StorePlan(push.digest, 100, where))
-    assert isinstance(told, PlanStored) and told.start == plans.fleet.start and not told.code
-    assert plans.hear(at, "n1", where, StorePlan(b"other", 99, where)) == [] == plans.fleet.fetches
+    ((_, told),) = plans.receive(at, "n0", where, StorePlan(push.digest, 100, where))
+    assert isinstance(told, PlanStored) and told.start == plans.fleet.incarnation and not told.code
+    assert plans.receive(at, "n1", where, StorePlan(b"other", 99, where)) == [] == plans.fleet.fetch_requests
 
 
 class Sleepy(Scripted):
     """Does not notice that the view moves."""
 
-    def view_changed(self, at: Instant, view: View) -> list[Out]:
+    def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
         return []
 
 
@@ -300,15 +300,15 @@
     made = world(5)
     leader = made.leader()
     views = made.plans[leader].views
-    views.register.phase = Phase.PUTTING  # of a view that no voter answers
+    views.register.phase = Phase.ACCEPTING  # of a view that no voter answers
     push = made.offer("n4", body_of("first"))
     made.cluster.run(made.cluster.now + 3)
     assert push.state == "tried"
     views.register.phase = Phase.READY
     assert made.until(lambda: push.is_final, 2.0) and push.state == "settled"
-    views.next_mint = 1e9
+    views.next_stamp = 1e9
     for plans in made.plans.values():  # nor is it told by others what was minted a moment ago
-        plans.views.born = -1e9
+        plans.views.stamp_time = -1e9
     push = made.offer("n4", body_of("second"))
     assert made.until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert "plan-no-view" in [why.code for why in push.reasons]
@@ -320,9 +320,9 @@
     settles(made, "n4", body_of("first"))
     assert made.until(lambda: all(plans.views.stamp.plan == 1 for plans in made.plans.values()), 10.0)
     plans, at = made.plans["n4"], made.cluster.instant(made.cluster.nodes["n4"])
-    assert not [word for _, word in plans.tick(at) if isinstance(word, Newest)]
+    assert not [word for _, word in plans.tick(at) if isinstance(word, NewestQuery)]
     plans.views.stamp = plans.views.stamp._replace(plan=2)
-    asked = [word for _, word in plans.tick(at) if isinstance(word, Newest)]
+    asked = [word for _, word in plans.tick(at) if isinstance(word, NewestQuery)]
     assert asked and {(word.register, word.number) for word in asked} == {("plan", 1)}
     assert not plans.status(at.now)["sure"]
 
--- a/tests/plan/test_messages.py
+++ b/tests/plan/test_messages.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from wheatring.lease.bodies import digest
+from wheatring.lease.payloads import digest
 from wheatring.peers.compiled_plan import compile_plan
 from wheatring.plan.document import Plan, PlanHeader, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
 from wheatring.plan.messages import (
--- a/tests/plan/test_parser.py
+++ b/tests/plan/test_parser.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from wheatring.errors import OperatorError, kinds
-from wheatring.lease.bodies import LARGEST
+from wheatring.lease.payloads import MAX_PAYLOAD_BYTES
 from wheatring.plan import errors
 from wheatring.plan.compiler import compile_routes
 from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
@@ -68,10 +68,10 @@
         (document(trials=[{"target": "/", "headers": {"a": 1}}]), "unreadable", "trials[0].headers.a: "),
         (document(trials=[{"target": "/", "at": 1e300}]), "unreadable", "trials[0].at: "),
         (b'{"format":1,"routes":[],"routes":[]}', "unreadable", "routes: a key that stands twice"),
-        (b"[" * LARGEST, "unreadable", "the document: expected `object`"),
+        (b"[" * MAX_PAYLOAD_BYTES, "unreadable", "the document: expected `object`"),
         (b'{"format":1,"x":' + b"[" * 100_000, "unreadable", "not JSON: "),
         (b"\xff", "unreadable", "not JSON: "),
-        (b" " * (LARGEST + 1), "too-large", f"{LARGEST + 1} bytes"),
+        (b" " * (MAX_PAYLOAD_BYTES + 1), "too-large", f"{MAX_PAYLOAD_BYTES + 1} bytes"),
         (document(format=4), "format-unknown", "format: 4, and this program reads 1 to 3"),
         (document(format=1), "format-too-low", "windows: is of format 2"),
         (THIRD.replace(b'"format":3', b'"format":2'), "format-too-low", "windows[0].ramp: is of format 3"),
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -13,11 +13,11 @@
 
 from wheatring.lab.leases.cluster import CUT, YEAR, Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Fleet, Instant, Out, Piece
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters
-from wheatring.members.members import Address
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet
+from wheatring.members.membership import Address
+from wheatring.members.timing import SwimTiming
 from wheatring.peers.agreement import VIEW_MESSAGES
 from wheatring.plan.document import Plan, PlanRoute, PlanWindow
 from wheatring.schedule.activation import WeightSchedule
@@ -51,11 +51,11 @@
     time: FleetClock
     edges: WeightSchedule
     due: float
-    hears: tuple[type, ...] = ()
+    message_types: tuple[type, ...] = ()
     changes: list[tuple[float, bool]] = field(default_factory=list)
     last: Reading = UNKNOWN
 
-    def tick(self, at: Instant) -> list[Out]:
+    def tick(self, at: Instant) -> list[Outgoing]:
         reading = self.time.now(at)
         assert reading.unix >= self.last.unix
         self.last = reading
@@ -65,10 +65,10 @@
         self.due = look.due
         return []
 
-    def hear(self, at: Instant, sender: str, address: Address, word: object) -> list[Out]:
+    def receive(self, at: Instant, sender: str, address: Address, word: object) -> list[Outgoing]:
         return []
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         return []
 
 
@@ -76,7 +76,9 @@
     """Sidecars whose time and weights are watched; the first three vote."""
 
     def __init__(self, size: int, link: State | None = None, opens: float = OPENS) -> None:
-        self.cluster = Cluster(1, size, Voters(("#0", "#1", "#2")), [], Terms(), Pace(), pieces=self.pieces)
+        self.cluster = Cluster(
+            1, size, VoterSet(("#0", "#1", "#2")), [], LeaseTiming(), SwimTiming(), pieces=self.pieces
+        )
         self.table = Timetable(plan(opens))
         if link is not None:
             self.cluster.net = link
@@ -84,7 +86,7 @@
         for node in self.cluster.nodes.values():
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
 
-    def pieces(self, at: Instant, fleet: Fleet) -> list[Piece]:
+    def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         time, edges = FleetClock(at, fleet), WeightSchedule(at.now)
         edges.plan_committed(at.now, 1, self.table, None)
         self.watchers[fleet.me.name] = watcher = Watcher(self.cluster, time, edges, at.now)
@@ -262,7 +264,7 @@
         else TimeInterval(0.0, min(a, b), max(a, b))
         for n, (a, b) in enumerate(drawn)
     }
-    met = majority_interval(spans, Voters(tuple(spans)))
+    met = majority_interval(spans, VoterSet(tuple(spans)))
     assert met is not None and met[0] <= true <= met[1]
 
 
@@ -277,9 +279,9 @@
 
 def test_no_majority_or_only_one_of_two_sets_of_voters_agrees_on_nothing() -> None:
     near, far = TimeInterval(0.0, 0.0, 1.0), TimeInterval(0.0, 3600.0, 3601.0)
-    assert majority_interval({"#0": near, "#1": far}, Voters(("#0", "#1", "#2"))) is None
-    assert majority_interval({}, Voters(("#0",))) is None
-    both = Voters(("#0", "#1", "#2"), ("#3", "#4", "#5"))
+    assert majority_interval({"#0": near, "#1": far}, VoterSet(("#0", "#1", "#2"))) is None
+    assert majority_interval({}, VoterSet(("#0",))) is None
+    both = VoterSet(("#0", "#1", "#2"), ("#3", "#4", "#5"))
     three = {"#0": near, "#1": near, "#3": near, "#4": far}
     assert majority_interval(three, both) is None and majority_interval({**three, "#4": near}, both) == (
         0.0,
--- a/tests/skew/test_checker.py
+++ b/tests/skew/test_checker.py
@@ -12,8 +12,8 @@
 from wheatring.lab.agree_pusher import Pusher, Toy, drawn
 from wheatring.lab.agree_skew import Day, OpenGate, OutlivesItsView, SilentIsYes
 from wheatring.lab.live.links.state import State
+from wheatring.members.messages import MemberInfo, ViewMember
 from wheatring.members.view import View
-from wheatring.members.words import Placed, Who
 from wheatring.plan.compatibility import CheckStage, Reason
 from wheatring.plan.document import Plan
 from wheatring.skew.capabilities import Capabilities, local_capabilities
@@ -192,8 +192,8 @@
     assert fleet.pushed(3) == "settled"
     fleet.start("n6", OLDER)
     fleet.after(5.0)
-    waits = fleet.pushers["n6"].views.told_wait
-    assert "n6" not in fleet.view.names and waits is not None and "in format 3, it reads 1" in waits.why
+    waits = fleet.pushers["n6"].views.join_deferral
+    assert "n6" not in fleet.view.names and waits is not None and "in format 3, it reads 1" in waits.reason
     assert fleet.pushed(1) == "settled"
     fleet.after(2.0)
     assert "n6" in fleet.view.names and not fleet.breaches
@@ -272,8 +272,8 @@
     assert {pusher.skew.minimum_format for name, pusher in fleet.pushers.items() if name != "n6"} == {2}
     fleet.start("n6", OLDER)
     fleet.after(5.0)
-    waits = fleet.pushers["n6"].views.told_wait
-    assert "n6" not in fleet.view.names and waits is not None and "the fleet's floor is 2" in waits.why
+    waits = fleet.pushers["n6"].views.join_deferral
+    assert "n6" not in fleet.view.names and waits is not None and "the fleet's floor is 2" in waits.reason
     assert fleet.pushed(2) == "settled"
     fleet.move_floor(1)
     fleet.after(1.0)
@@ -287,7 +287,9 @@
 
 
 def large(size: int) -> CheckCoordinator:
-    placed = tuple(Placed(Who(f"n{number:04}", "127.0.0.1", 1 + number), 9) for number in range(size))
+    placed = tuple(
+        ViewMember(MemberInfo(f"n{number:04}", "127.0.0.1", 1 + number), 9) for number in range(size)
+    )
     return CheckCoordinator(0.0, 5, b"d" * 16, Requirements(bytes=20_000), 20_700, View(1, 1, placed))
 
 
--- a/tests/skew/test_requirements_and_trials.py
+++ b/tests/skew/test_requirements_and_trials.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from wheatring.lab.agree_pusher import Toy, body_of
-from wheatring.members.words import Placed, Who
+from wheatring.members.messages import MemberInfo, ViewMember
 from wheatring.plan.document import (
     NEWEST_FORMAT,
     Plan,
@@ -316,7 +316,7 @@
 
 def test_what_is_known_of_processes_is_bounded_and_of_one_start_only() -> None:
     book = CapabilityTable()
-    one = Placed(Who("n1", "127.0.0.1", 1), 5)
+    one = ViewMember(MemberInfo("n1", "127.0.0.1", 1), 5)
     assert (
         book.capabilities_of(0.0, one) is None
         and book.requests_due(0.0) == [one]
@@ -331,7 +331,7 @@
     book.record("n1", 5, ALL)
     assert (
         book.capabilities_of(LEGACY_AFTER_SECONDS, one) == ALL
-        and book.capabilities_of(LEGACY_AFTER_SECONDS, one._replace(start=6)) is None
+        and book.capabilities_of(LEGACY_AFTER_SECONDS, one._replace(incarnation=6)) is None
     )
     assert book.requests_due(3 * LEGACY_AFTER_SECONDS) == [] and not book.pending  # it knocks no more
     for number in range(MAX_PROCESSES + 10):
@@ -354,7 +354,7 @@
 def test_words_of_another_process_or_push_count_for_nobody() -> None:
     from wheatring.members.view import View
 
-    view = View(1, 1, (Placed(Who("n1", "127.0.0.1", 1), 5),))
+    view = View(1, 1, (ViewMember(MemberInfo("n1", "127.0.0.1", 1), 5),))
     push = CheckCoordinator(0.0, 77, b"d" * 16, Requirements(), DAY, view)
     assert [type(word) for _, word in push.step(0.0)] == [CapabilityRequest]
     push.handle("n1", CapabilityResponse(77, 6, ALL))
--- a/tests/stories/conftest.py
+++ b/tests/stories/conftest.py
@@ -177,7 +177,7 @@
     names = fleet.who(who)
     took = fleet.within(
         float(seconds),
-        lambda: not any(fleet.views_of(name).sure(fleet.cluster.now) for name in names),
+        lambda: not any(fleet.views_of(name).is_current(fleet.cluster.now) for name in names),
     )
     assert took is not None, fleet.standing()
 
@@ -193,7 +193,7 @@
 def then_one_sided(tale: Tale, who: str, seconds: str, side: str) -> None:
     fleet = tale.fleet
     (name,) = fleet.who(who)
-    took = fleet.within(float(seconds), lambda: fleet.views_of(name).side(fleet.cluster.now) == side)
+    took = fleet.within(float(seconds), lambda: fleet.views_of(name).isolation(fleet.cluster.now) == side)
     assert took is not None, fleet.standing()
 
 
@@ -210,7 +210,7 @@
     (name,) = fleet.who(who)
 
     def told() -> bool:
-        word = fleet.views_of(name).told_wait
-        return word is not None and word.left > 0 and "again and again" in word.why
+        word = fleet.views_of(name).join_deferral
+        return word is not None and word.retry_after_seconds > 0 and "again and again" in word.reason
 
     assert fleet.within(float(seconds), told) is not None, fleet.standing()
--- a/tests/stories/fleet.py
+++ b/tests/stories/fleet.py
@@ -13,11 +13,11 @@
 
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Fleet, Instant, Piece
-from wheatring.lease.terms import Terms
-from wheatring.lease.views import Views
-from wheatring.lease.voters import Voters, first
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
 from wheatring.peers.agreement import LEADER_DUTY, Agreement
 
@@ -29,7 +29,13 @@
 
     def __init__(self, size: int, voters: int, seed: int) -> None:
         self.cluster = Cluster(
-            seed, size, Voters(first(voters)), [LEADER_DUTY], Terms(), Pace(), pieces=self.pieces
+            seed,
+            size,
+            VoterSet(first_voters(voters)),
+            [LEADER_DUTY],
+            LeaseTiming(),
+            SwimTiming(),
+            pieces=self.pieces,
         )
         self.cluster.after = self.after
         self.random = Random(seed)
@@ -41,11 +47,11 @@
         self.mark = 0  # the number from which on changes are counted
         self.broken: list[str] = []
 
-    def pieces(self, at: Instant, fleet: Fleet) -> list[Piece]:
+    def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         """What the daemon has, put together by the same code."""
         self.agreed[fleet.me.name] = Agreement(at, fleet)
         self.known.pop(fleet.me.name, None)
-        return fleet.pieces
+        return fleet.components
 
     def after(self, node: Node) -> None:
         view = self.agreed[node.name].views.view
@@ -63,15 +69,15 @@
 
     @property
     def running(self) -> list[str]:
-        return [name for name, node in self.cluster.nodes.items() if node.fleet and not node.fleet.leaving]
+        return [name for name, node in self.cluster.nodes.items() if node.fleet and not node.fleet.is_leaving]
 
     @property
     def leader(self) -> str:
         """The one that leads in the highest epoch."""
-        leads = [name for name in self.running if self.views_of(name).register.ready]
+        leads = [name for name in self.running if self.views_of(name).register.is_ready]
         return max(leads, key=lambda name: self.views_of(name).register.epoch or 0, default="")
 
-    def views_of(self, name: str) -> Views:
+    def views_of(self, name: str) -> MembershipViews:
         return self.agreed[name].views
 
     def who(self, said: str) -> list[str]:
@@ -153,7 +159,7 @@
         return (
             len(one) == 1
             and next(iter(one))[1] == {*members}
-            and all(view.sure(self.cluster.now) for view in views)
+            and all(view.is_current(self.cluster.now) for view in views)
         )
 
     def changes(self) -> int:
@@ -164,7 +170,8 @@
     def standing(self) -> str:
         """What everybody thinks, for a failure's text."""
         return "; ".join(
-            f"{name} {view.view.number}:{len(view.view.members)}{'' if view.sure(self.cluster.now) else '?'}"
+            f"{name} {view.view.number}:{len(view.view.members)}"
+            f"{'' if view.is_current(self.cluster.now) else '?'}"
             for name in self.running
             if (view := self.views_of(name))
         )
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,7 +15,7 @@
 import wheatring
 from wheatring import config, errors, operator_properties
 from wheatring.config import file
-from wheatring.lease.voters import Voters, first
+from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.ops import tokens
 from wheatring.peers.reload import reload_fleet
 
@@ -110,11 +110,11 @@
         own.write_text(f'[fleet]\nname = "f"\nlisten = "127.0.0.1:7"\nseeds = ["127.0.0.1:7"]\n{fleet}\n')
         return file.read(str(own))
 
-    def kept(voters: Voters) -> str:
-        return "" if voters.now == first(3) else "not in one step"
+    def kept(voters: VoterSet) -> str:
+        return "" if voters.current == first_voters(3) else "not in one step"
 
     before = said("voters = 3")
-    fleet = SimpleNamespace(voters=Voters(first(3)))
+    fleet = SimpleNamespace(voters=VoterSet(first_voters(3)))
     part: Any = SimpleNamespace(
         started_with=before, fleet=fleet, change_voters=kept, codec=SimpleNamespace(keys=[b"old"])
     )
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -70,7 +70,7 @@
     ("wheatring.skew", "wheatring.plan.compatibility"),
     ("wheatring.skew", "wheatring.members"),
     ("wheatring.skew", "wheatring.lease.fleet"),  # what a piece is
-    ("wheatring.skew", "wheatring.lease.bodies"),
+    ("wheatring.skew", "wheatring.lease.payloads"),
     ("wheatring.schedule", "wheatring.plan.document"),
     ("wheatring.schedule", "wheatring.routes"),
     ("wheatring.schedule", "wheatring.members"),  # addresses
--- a/wheatring/lab/agree/cases.py
+++ b/wheatring/lab/agree/cases.py
@@ -71,7 +71,7 @@
     def lead(self) -> str:
         for node in self.fleet.nodes.values():
             found = views(node)
-            if found is not None and found.register.ready:
+            if found is not None and found.register.is_ready:
                 return node.name
         return self.names[0]
 
@@ -230,7 +230,7 @@
     while scene.fleet.now - began < span:
         found = [views(node) for node in scene.follow.healthy()]
         if (
-            all(one is not None and one.inside for one in found)
+            all(one is not None and one.is_member for one in found)
             and scene.follow.moves
             and len({one.view.number for one in found if one is not None}) == 1
         ):
--- a/wheatring/lab/agree/days.py
+++ b/wheatring/lab/agree/days.py
@@ -22,14 +22,14 @@
 from wheatring.lab.agree.fleet import Makes, agreed, cluster, views
 from wheatring.lab.leases.cluster import CUT, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.terms import Terms
-from wheatring.lease.views import SURE
+from wheatring.lease.membership_views import STAMP_VALID_SECONDS
+from wheatring.lease.timing import LeaseTiming
 
 Kind = Literal["mixed", "together", "half", "late"]
 KINDS: tuple[Kind, ...] = ("mixed", "together", "half", "late")
 QUIET = 15.0  # seconds from the start to the first fault
 AFTER = 75.0  # seconds from the last fault's end to the day's: who went out often waits up to 60
-TERMS = Terms()
+TERMS = LeaseTiming()
 ILL = 20.0  # seconds after a fault's end for which it may still take somebody out
 
 
@@ -69,7 +69,7 @@
             ["kill", "again", "stall", "cut", "one-way", "split", "loss", "late", "voters", "leader"]
         )
         length = random.choice([0.5, 3.0, 6.0, 12.0, 25.0]) * (0.5 + random.random())
-        length = 10 * TERMS.term if what == "leader" else length
+        length = 10 * TERMS.lease_seconds if what == "leader" else length
         some = tuple(sorted(random.sample(names, random.choice([1, 1, 2, len(names) // 3]))))
         faults.append(Fault(at, what, length, some, random.random()))
         # Voters that start anew find out what they kept from whom they reach: no link is bad by then.
@@ -93,7 +93,7 @@
         self.ill: dict[str, float] = {}  # until when a fault may take one out
         self.changes = 0  # that took somebody out, since the faults began
         for node in self.fleet.nodes.values():
-            node.fast = TERMS.rate * (2 * random.random() - 1)
+            node.fast = TERMS.max_clock_drift * (2 * random.random() - 1)
             self.fleet.call(random.random(), self.fleet.start, node)
         faults = draw(seed, kind, list(self.fleet.nodes), self.voters)
         for fault in faults:
@@ -108,7 +108,7 @@
             found = views(node)
             if found is None:
                 continue
-            sure = found.sure(self.fleet.instant(node).now)
+            sure = found.is_current(self.fleet.instant(node).now)
             if found.view.number != max(self.names) or found.view.names != here or not sure:
                 view = f"view {found.view.number} of {len(found.view.names)}, sure {sure}"
                 self.breach(f"{node.name} ends in {view}; there are {len(here)}")
@@ -126,7 +126,7 @@
     def leader(self) -> str:
         for node in self.fleet.nodes.values():
             found = views(node)
-            if found is not None and not node.stopped and found.register.ready:
+            if found is not None and not node.stopped and found.register.is_ready:
                 return node.name
         return "n0"
 
@@ -216,10 +216,10 @@
         if (view.number, view.epoch) < self.knows.get(stands, (0, 0)):
             self.breach(f"{node.name} goes back from {self.knows[stands]} to {view.number}, {view.epoch}")
         self.knows[stands] = (view.number, view.epoch)
-        entry, members = self.digests.get(view.number, (found.register.have.digest, b""))
-        if members not in (b"", view.body):
+        entry, members = self.digests.get(view.number, (found.register.applied.digest, b""))
+        if members not in (b"", view.payload):
             self.breach(f"{node.name} stands in another view {view.number}")
-        self.digests[view.number] = (entry, view.body)
+        self.digests[view.number] = (entry, view.payload)
         if view.number not in self.names:
             self.names[view.number] = view.names
             self.since[view.number] = self.fleet.now
@@ -237,10 +237,12 @@
     def counts(self, node: Node) -> None:
         """Nobody counts on what is over for long. Clocks may be `rate` apart from true time."""
         found = views(node)
-        if found is None or node.stopped or not found.sure(self.fleet.instant(node).now):
+        if found is None or node.stopped or not found.is_current(self.fleet.instant(node).now):
             return
         newer = self.since.get(found.view.number + 1)
-        if newer is not None and self.fleet.now - newer > SURE * (1 + 2 * TERMS.rate):
+        if newer is not None and self.fleet.now - newer > STAMP_VALID_SECONDS * (
+            1 + 2 * TERMS.max_clock_drift
+        ):
             late = self.fleet.now - newer
             self.breach(f"{node.name} counts on {found.view.number}, {late:.1f} s after the next was chosen")
 
--- a/wheatring/lab/agree/fleet.py
+++ b/wheatring/lab/agree/fleet.py
@@ -8,18 +8,18 @@
 
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.leases.membership import size_of
-from wheatring.lease.fleet import Fleet, Instant, Piece
-from wheatring.lease.terms import Terms
-from wheatring.lease.views import Views
-from wheatring.lease.voters import Voters, first
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
 from wheatring.peers.agreement import LEADER_DUTY, Agreement
 
-Makes = Callable[[Instant, Fleet], list[Piece]]
+Makes = Callable[[Instant, Fleet], list[FleetComponent]]
 
 
-def agreed(at: Instant, fleet: Fleet) -> list[Piece]:
+def agreed(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     return Agreement(at, fleet).deciders
 
 
@@ -28,22 +28,22 @@
     return Cluster(
         seed,
         size,
-        Voters(first(voters)),
+        VoterSet(first_voters(voters)),
         [LEADER_DUTY],
-        Terms(term),
-        Pace(),
+        LeaseTiming(term),
+        SwimTiming(),
         zones=2,
         size_of=size_of,
         pieces=makes,
     )
 
 
-def views(node: Node) -> Views | None:
+def views(node: Node) -> MembershipViews | None:
     """None: no process runs there."""
     if node.fleet is None:
         return None
-    piece = node.fleet.pieces[0]
-    assert isinstance(piece, Views)
+    piece = node.fleet.components[0]
+    assert isinstance(piece, MembershipViews)
     return piece
 
 
@@ -96,7 +96,7 @@
 
     def sample(self) -> None:
         found = [one for node in self.healthy() if (one := views(node)) is not None]
-        numbers = {one.view.number for one in found if self.view.of(one.fleet.me.name) == one.placed}
+        numbers = {one.view.number for one in found if self.view.member(one.fleet.me.name) == one.self_member}
         self.samples += 1
         self.same += len(numbers) <= 1
         self.fleet.call(self.fleet.now + self.every, self.sample)
@@ -113,7 +113,9 @@
         """Whether each healthy one stands in one view of just these."""
         want = frozenset(names)
         found = [views(node) for node in self.healthy()]
-        return bool(found) and all(one is not None and one.inside and one.view.names == want for one in found)
+        return bool(found) and all(
+            one is not None and one.is_member and one.view.names == want for one in found
+        )
 
     def run_until_whole(self, names: Iterable[str], longest: float) -> float:
         """Seconds until each healthy one stands in a view of just these; -1: not within `longest`."""
--- a/wheatring/lab/agree/orders.py
+++ b/wheatring/lab/agree/orders.py
@@ -13,14 +13,14 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from wheatring.lease.bodies import Bodies, Fetch
 from wheatring.lease.fleet import Instant
-from wheatring.lease.register import LEAD, Register
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters
-from wheatring.lease.words import Chosen, Entry
-from wheatring.members.members import Address
-from wheatring.members.words import Who
+from wheatring.lease.messages import Entry, EntryChosen
+from wheatring.lease.payloads import FetchRequest, PayloadStore
+from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet
+from wheatring.members.membership import Address
+from wheatring.members.messages import MemberInfo
 
 STEPS = 500
 STEP = 0.05  # seconds
@@ -31,7 +31,7 @@
 LOST, UNTOLD, LATE, ENDS = (0.1, 0.3), (0.1, 0.9), (0.05, 0.4), (0.02, 0.05)
 LATER = 8.0  # seconds by which a late word is late, at most
 
-Makes = Callable[..., Register]
+Makes = Callable[..., ReplicatedRegister]
 
 
 class Ground:
@@ -39,39 +39,39 @@
 
     def __init__(self, name: str, order: Order) -> None:
         self.order = order
-        self.me = Who(name, name, 1)
+        self.me = MemberInfo(name, name, 1)
         self.voters = order.voters
-        self.terms = Terms()
-        self.bodies = Bodies()
-        self.fetches: list[Fetch] = []
+        self.timing = LeaseTiming()
+        self.payloads = PayloadStore()
+        self.fetch_requests: list[FetchRequest] = []
         self.random = Random(f"{order.seed}:{name}")
-        self.duties = {LEAD: self}
-        self.members = SimpleNamespace(alive=lambda: [Who(one, one, 1) for one in order.names])
+        self.roles = {LEADER_ROLE: self}
+        self.members = SimpleNamespace(alive_members=lambda: [MemberInfo(one, one, 1) for one in order.names])
 
     @property
-    def held(self) -> Any:
-        epoch = self.act(0.0)
+    def held_lease(self) -> Any:
+        epoch = self.epoch_to_act(0.0)
         return None if epoch is None else SimpleNamespace(epoch=epoch)
 
-    def act(self, now: float) -> int | None:
+    def epoch_to_act(self, now: float) -> int | None:
         return self.order.epoch if self.order.leader == self.me.name else None
 
-    def votes(self) -> bool:
-        return self.me.name in self.voters.all
+    def is_voter(self) -> bool:
+        return self.me.name in self.voters.names
 
-    def names(self, who: Who) -> tuple[str, ...]:
+    def voter_names(self, who: MemberInfo) -> tuple[str, ...]:
         return (who.name,)
 
-    def names_of(self, sender: str) -> tuple[str, ...]:
+    def voter_names_of_sender(self, sender: str) -> tuple[str, ...]:
         return (sender,)
 
     def to_voters(self, said: list[tuple[str, Any]]) -> list[tuple[Address, Any]]:
         return [((name, 1), word) for name, word in said]
 
-    def spread(self, word: Any, among: Any = None) -> list[tuple[Address, Any]]:
+    def broadcast(self, word: Any, audience: Any = None) -> list[tuple[Address, Any]]:
         return [((name, 1), word) for name in self.order.names if name != self.me.name]
 
-    def pass_on(self, word: Any) -> list[tuple[Address, Any]]:
+    def relay(self, word: Any) -> list[tuple[Address, Any]]:
         return []
 
 
@@ -94,7 +94,7 @@
             self.random.choice(each) for each in (LOST, UNTOLD, LATE, ENDS)
         )
         self.names = ["v0", "v1", "v2", "m0"]
-        self.voters = Voters(("v0", "v1", "v2"))
+        self.voters = VoterSet(("v0", "v1", "v2"))
         self.now = 0.0
         self.leader, self.epoch = "", 0
         self.words: list[tuple[float, str, str, Any]] = []  # from when on it may arrive, from whom, to whom
@@ -102,14 +102,14 @@
         self.knows: dict[str, tuple[int, int]] = dict.fromkeys(self.names, (0, 0))
         self.restarts = 0
         self.breach = ""
-        self.registers: dict[str, Register] = {}
+        self.registers: dict[str, ReplicatedRegister] = {}
         self.grounds: dict[str, Ground] = {}
         for name in self.names:
             self.start(name)
         self.now = STARTED
         for name in self.names:
             self.registers[name].tick(self.at)
-            self.registers[name].awake = True
+            self.registers[name].has_recovered = True
 
     @property
     def at(self) -> Instant:
@@ -128,12 +128,12 @@
             terms += self.office()
             if self.random.random() < AGAIN and self.awake():
                 self.restarts += 1
-                self.start(self.random.choice(self.voters.all))
+                self.start(self.random.choice(self.voters.names))
             for name in self.names:
                 register = self.registers[name]
                 if self.now >= register.due:
                     self.say(name, register.tick(self.at))
-                if register.ready and self.random.random() < PUTS:
+                if register.is_ready and self.random.random() < PUTS:
                     number = register.chosen.number + 1
                     self.say(name, register.put(self.at, f"{self.epoch}:{number}:{name}".encode(), number))
             self.deliver()
@@ -142,7 +142,7 @@
         return Walked(self.seed, len(self.digests), terms, self.restarts, self.breach)
 
     def awake(self) -> bool:
-        return all(self.registers[name].awake for name in self.voters.all)
+        return all(self.registers[name].has_recovered for name in self.voters.names)
 
     def office(self) -> int:
         """Terms end at any time; the next one begins some steps later, with a higher epoch."""
@@ -164,22 +164,22 @@
             _, source, target, word = may.pop()
             if self.random.random() < TWICE:
                 self.words.append((self.now + LATER * self.random.random(), source, target, word))
-            self.say(target, self.registers[target].hear(self.at, source, (source, 1), word))
+            self.say(target, self.registers[target].receive(self.at, source, (source, 1), word))
         self.words += may
 
     def say(self, name: str, out: list[Any]) -> None:
         for address, word in out:
-            if self.random.random() >= (self.untold if isinstance(word, Chosen) else self.lost):
+            if self.random.random() >= (self.untold if isinstance(word, EntryChosen) else self.lost):
                 late = LATER * self.random.random() if self.random.random() < self.late else 0.0
                 self.words.append((self.now + late, name, address[0], word))
         del self.words[:-400]
         ground = self.grounds[name]
-        fetches, ground.fetches = ground.fetches, []
+        fetches, ground.fetch_requests = ground.fetch_requests, []
         for fetch in fetches:
-            body = self.grounds[fetch.address[0]].bodies.get(fetch.digest)
+            body = self.grounds[fetch.address[0]].payloads.get(fetch.digest)
             if body is not None:
-                ground.bodies.put(body)
-            self.say(name, self.registers[name].body(self.at, fetch.digest, body))
+                ground.payloads.put(body)
+            self.say(name, self.registers[name].receive_payload(self.at, fetch.digest, body))
         self.judge(name, self.registers[name].chosen)
 
     def judge(self, name: str, entry: Entry) -> None:
@@ -193,5 +193,5 @@
         self.knows[name] = (entry.number, entry.epoch)
 
 
-def walk(seed: int, makes: Makes = Register) -> Walked:
+def walk(seed: int, makes: Makes = ReplicatedRegister) -> Walked:
     return Order(seed, makes).walk()
--- a/wheatring/lab/agree/planted.py
+++ b/wheatring/lab/agree/planted.py
@@ -8,51 +8,55 @@
 from wheatring.lab.agree import days
 from wheatring.lab.agree.fleet import Makes as FleetMakes
 from wheatring.lab.agree.orders import Makes
-from wheatring.lease.fleet import Fleet, Instant, Out, Piece
-from wheatring.lease.register import Phase, Register
-from wheatring.lease.views import Views
-from wheatring.lease.words import NOTHING, Put, Which
-from wheatring.members.cuts import Cuts
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import NO_ENTRY, RegisterAccept, RegisterPrepare
+from wheatring.lease.replicated_register import Phase, ReplicatedRegister
+from wheatring.members.cut_detector import CutDetector
+from wheatring.members.messages import HealthCheckResponse
 from wheatring.members.view import Rings, View
-from wheatring.members.words import Here
 from wheatring.peers.agreement import Agreement
 
 
-class Fickle(Register):
+class Fickle(ReplicatedRegister):
     """Takes an epoch that is lower than what it promised."""
 
-    def _asked(self, at: Instant, address: Any, word: Which | Put) -> list[Out]:
-        self.promised = min(self.promised, word.epoch)
-        if isinstance(word, Put) and word.epoch < self.kept.epoch:
-            self.kept = NOTHING
-        return super()._asked(at, address, word)
+    def _on_leader_request(
+        self, at: Instant, address: Any, word: RegisterPrepare | RegisterAccept
+    ) -> list[Outgoing]:
+        self.promised_epoch = min(self.promised_epoch, word.epoch)
+        if isinstance(word, RegisterAccept) and word.epoch < self.accepted.epoch:
+            self.accepted = NO_ENTRY
+        return super()._on_leader_request(at, address, word)
 
 
-class Hasty(Register):
+class Hasty(ReplicatedRegister):
     """Puts nothing again of what it found."""
 
-    def _begins(self, at: Instant) -> list[Out]:
-        self.phase, self.again = Phase.READY, inf
+    def _finish_preparing(self, at: Instant) -> list[Outgoing]:
+        self.phase, self.next_retransmit = Phase.READY, inf
         return []
 
 
-class Sleepless(Register):
+class Sleepless(ReplicatedRegister):
     """Answers at once after a start."""
 
-    def tick(self, at: Instant) -> list[Out]:
-        self.awake = True
+    def tick(self, at: Instant) -> list[Outgoing]:
+        self.has_recovered = True
         return super().tick(at)
 
-    def _asked(self, at: Instant, address: Any, word: Which | Put) -> list[Out]:
-        self.awake = True
-        return super()._asked(at, address, word)
+    def _on_leader_request(
+        self, at: Instant, address: Any, word: RegisterPrepare | RegisterAccept
+    ) -> list[Outgoing]:
+        self.has_recovered = True
+        return super()._on_leader_request(at, address, word)
 
 
-class Backward(Register):
+class Backward(ReplicatedRegister):
     """Goes by whatever it is told last."""
 
-    def learn(self, at: Instant, address: Any, entry: Any) -> list[Out]:
-        self.chosen = NOTHING
+    def learn(self, at: Instant, address: Any, entry: Any) -> list[Outgoing]:
+        self.chosen = NO_ENTRY
         return super().learn(at, address, entry)
 
 
@@ -72,45 +76,47 @@
 # In views
 
 
-class Rash(Cuts):
+class Rash(CutDetector):
     """Takes out whoever is down, whoever else is unsure."""
 
-    def going(self, now: float, view: View, rings: Rings) -> list[str]:
-        self.waits = -inf
-        return super().going(now, view, rings)
+    def members_to_remove(self, now: float, view: View, rings: Rings) -> list[str]:
+        self.waiting_since = -inf
+        return super().members_to_remove(now, view, rings)
 
 
-class Blind(Cuts):
+class Blind(CutDetector):
     """Takes nobody's word that one who is to go was reached."""
 
-    def reaches(self, now: float, names: Any) -> None:
+    def note_reached(self, now: float, names: Any) -> None:
         pass
 
 
-class Late(Views):
+class Late(MembershipViews):
     """Counts a stamp's age from when it arrived."""
 
-    def _here(self, at: Instant, sender: str, address: Any, word: Here) -> list[Out]:
+    def _on_health_response(
+        self, at: Instant, sender: str, address: Any, word: HealthCheckResponse
+    ) -> list[Outgoing]:
         before = self.stamp[:2]
-        out = super()._here(at, sender, address, word)
+        out = super()._on_health_response(at, sender, address, word)
         if self.stamp[:2] != before:
-            self.born = at.now - word.age
+            self.stamp_time = at.now - word.age_seconds
         return out
 
 
-def rash(at: Instant, fleet: Fleet) -> list[Piece]:
+def rash(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     agreed = Agreement(at, fleet)
-    agreed.views.cuts = Rash()
+    agreed.views.cut_detector = Rash()
     return agreed.deciders
 
 
-def blind(at: Instant, fleet: Fleet) -> list[Piece]:
+def blind(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     agreed = Agreement(at, fleet)
-    agreed.views.cuts = Blind()
+    agreed.views.cut_detector = Blind()
     return agreed.deciders
 
 
-def late(at: Instant, fleet: Fleet) -> list[Piece]:
+def late(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     views = Late(at, fleet)
     return [views, views.register]
 
--- a/wheatring/lab/agree_plan.py
+++ b/wheatring/lab/agree_plan.py
@@ -9,13 +9,13 @@
 from msgspec import Struct, field
 
 from wheatring.lab.leases.cluster import Cluster, Node
-from wheatring.lease.bodies import digest
-from wheatring.lease.fleet import Fleet, Instant, Out, Piece
-from wheatring.lease.register import LEAD
-from wheatring.lease.terms import Terms
-from wheatring.lease.views import Views
-from wheatring.lease.voters import Voters, first
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.payloads import digest
+from wheatring.lease.replicated_register import LEADER_ROLE
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
 from wheatring.peers.agreement import LEADER_DUTY
 from wheatring.plan.agent import PlanAgent
@@ -27,7 +27,7 @@
 from wheatring.plan.proposals import Proposal
 
 VOTERS = 3
-TERMS = Terms()
+TERMS = LeaseTiming()
 
 
 def body_of(title: str, size: int = 0) -> bytes:
@@ -53,11 +53,11 @@
         self.began = inf
         self.ended = 0
 
-    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
+    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
         self.began, self.view = at.now, view
         return []
 
-    def view_changed(self, at: Instant, view: View) -> list[Out]:
+    def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
         return self.start_check(at, b"", Plan(format=1, routes=()), view)
 
     def verdict(self, now: float) -> Verdict:
@@ -111,19 +111,26 @@
         self.pushed: list[tuple[str, int, Proposal]] = []
         self.put: set[tuple[str, int, int]] = set()
         self.cluster = Cluster(
-            seed, size, Voters(first(VOTERS)), [LEADER_DUTY], TERMS, Pace(), zones=2, pieces=self._pieces
+            seed,
+            size,
+            VoterSet(first_voters(VOTERS)),
+            [LEADER_DUTY],
+            TERMS,
+            SwimTiming(),
+            zones=2,
+            pieces=self._pieces,
         )
         self.cluster.after = self.after
         for node in list(self.cluster.nodes.values())[: size - late]:
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
 
-    def _pieces(self, at: Instant, fleet: Fleet) -> list[Piece]:
+    def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         name = fleet.me.name
-        views = Views(at, fleet)
+        views = MembershipViews(at, fleet)
         judge = Scripted(self.unable, self.judged) if self.judged is not None else None
-        key = f"{name}/{fleet.start}"
+        key = f"{name}/{fleet.incarnation}"
 
-        def taken(at: Instant, settled: CommittedPlan) -> list[Out]:
+        def taken(at: Instant, settled: CommittedPlan) -> list[Outgoing]:
             self._taken(name, key, settled)
             return []
 
@@ -151,20 +158,20 @@
         names = {node.name for node in alive}
         return all(
             self.plans[node.name].views.view.names == names
-            and self.plans[node.name].views.sure(self.cluster.instant(node).now)
+            and self.plans[node.name].views.is_current(self.cluster.instant(node).now)
             for node in alive
         )
 
     def leader(self) -> str:
         """Who leads and may put a plan; "": nobody at the moment."""
         for node in self.alive():
-            if self.plans[node.name].register.ready and self.office(node):
+            if self.plans[node.name].register.is_ready and self.office(node):
                 return node.name
         return ""
 
     def office(self, node: Node) -> bool:
         assert node.fleet is not None
-        return node.fleet.duties[LEAD].act(self.cluster.instant(node).boot) is not None
+        return node.fleet.roles[LEADER_ROLE].epoch_to_act(self.cluster.instant(node).boot) is not None
 
     def offer(self, name: str, body: bytes) -> Proposal:
         """Push a plan at that sidecar."""
@@ -185,10 +192,10 @@
         assert node.fleet is not None
         plans = self.plans[node.name]
         for key in self.bodies:
-            if node.fleet.bodies.get(key) is not None:
-                self.held.add((node.name, node.fleet.start, key))
-        if node.number < VOTERS and plans.register.kept.number:
-            entry = plans.register.kept
+            if node.fleet.payloads.get(key) is not None:
+                self.held.add((node.name, node.fleet.incarnation, key))
+        if node.number < VOTERS and plans.register.accepted.number:
+            entry = plans.register.accepted
             voters = self.kept.setdefault((entry.number, entry.epoch, entry.digest), set())
             voters.add(node.name)
             if 2 * len(voters) > VOTERS:
@@ -209,10 +216,10 @@
 
     def _is_put(self, node: Node, view: View, key: bytes) -> None:
         for placed in view.members:
-            if (placed.who.name, placed.start, key) not in self.held:
-                self._breach(f"{node.name} puts a plan that {placed.who.name} never held")
-            if placed.who.name in self.unable and self.judged is not None:
-                self._breach(f"{node.name} puts a plan that {placed.who.name} is not able to go by")
+            if (placed.member.name, placed.incarnation, key) not in self.held:
+                self._breach(f"{node.name} puts a plan that {placed.member.name} never held")
+            if placed.member.name in self.unable and self.judged is not None:
+                self._breach(f"{node.name} puts a plan that {placed.member.name} is not able to go by")
 
     def _goes_by(self, node: Node, settled: CommittedPlan) -> None:
         assert node.fleet is not None
@@ -220,7 +227,7 @@
         if was is not None and (settled.version, settled.epoch) <= (was.version, was.epoch):
             self._breach(f"{node.name} goes from {was.version} of {was.epoch} to {settled.version}")
         self.current[node.name] = settled
-        body = node.fleet.bodies.get(settled.digest)
+        body = node.fleet.payloads.get(settled.digest)
         if body is None or digest(body) != settled.digest or parse_plan(body) != settled.plan:
             self._breach(f"{node.name} goes by plan {settled.version} and does not have it whole")
         if self.chosen.get(settled.version) != settled.digest:
--- a/wheatring/lab/agree_plan_days.py
+++ b/wheatring/lab/agree_plan_days.py
@@ -19,7 +19,7 @@
 from wheatring.lab.leases.cluster import CUT, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.fleet import Instant
-from wheatring.members.words import Placed
+from wheatring.members.messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Verdict
 from wheatring.plan.leader import RolloutLeader
 from wheatring.plan.rollout import Rollout
@@ -172,18 +172,18 @@
 class Hopeful(RolloutLeader):
     """Takes one that was asked twice and said nothing for one that holds it."""
 
-    def missing_members(self, push: Rollout) -> list[Placed]:
+    def missing_members(self, push: Rollout) -> list[ViewMember]:
         return [
             p
             for p in super().missing_members(push)
-            if push.requested_at.get((p.who.name, p.start), inf) == inf
+            if push.requested_at.get((p.member.name, p.incarnation), inf) == inf
         ]
 
 
 class Hasty(RolloutLeader):
     """Puts once a majority of the view holds it."""
 
-    def missing_members(self, push: Rollout) -> list[Placed]:
+    def missing_members(self, push: Rollout) -> list[ViewMember]:
         missing = super().missing_members(push)
         return missing if 2 * len(missing) >= len(push.view.members) else []
 
--- a/wheatring/lab/agree_pusher.py
+++ b/wheatring/lab/agree_pusher.py
@@ -15,12 +15,12 @@
 import msgspec
 
 from wheatring.errors import OperatorError
-from wheatring.lease.fleet import Fleet, Instant, Out, Piece
-from wheatring.lease.register import LEAD, Register
-from wheatring.lease.views import Views
-from wheatring.lease.words import Entry
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import Entry
+from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.members.messages import ViewMember
 from wheatring.members.view import View
-from wheatring.members.words import Placed
 from wheatring.plan.compatibility import CheckStage, Reason
 from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
 from wheatring.skew.capabilities import Capabilities
@@ -80,7 +80,7 @@
 class Pusher:
     """Pushes one plan at a time, as the plan's own part does: begins, tells the judge of views, puts."""
 
-    hears: tuple[type, ...] = ()
+    message_types: tuple[type, ...] = ()
 
     def __init__(
         self,
@@ -92,38 +92,38 @@
         compiles: CompilePlan,
     ) -> None:
         self.book, self.fleet, self.abilities = book, fleet, abilities
-        self.views = Views(at, fleet)
-        self.register = Register(at, "plan", fleet, self._chosen)
-        self.floors = Register(at, "floor", fleet, self._floor)
+        self.views = MembershipViews(at, fleet)
+        self.register = ReplicatedRegister(at, "plan", fleet, self._chosen)
+        self.floors = ReplicatedRegister(at, "floor", fleet, self._floor)
         stills = Still(self.views.register), Still(self.register, self.floors)
         self.skew = skew(fleet, abilities, compiles, *stills)
-        self.views.admits = self._admits
+        self.views.admission_objection = self._admits
         self.body_pushed: bytes | None = None
         self.judged = View()
         self.due = at.now
 
     @property
-    def pieces(self) -> list[Piece]:
+    def pieces(self) -> list[FleetComponent]:
         return [self.views, self.views.register, self.register, self.floors, self.skew, self]
 
-    def _admits(self, at: Instant, placed: Placed) -> str:
+    def _admits(self, at: Instant, placed: ViewMember) -> str:
         why = self.skew.admission_refusals(at, placed)
         self.book.counts.update(f"shut out: {one.code}" for one in why)
         return why[0].what if why else ""
 
-    def _chosen(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:
+    def _chosen(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         plan = msgspec.json.decode(body, type=Plan)
         blind = unmet_requirements(requirements_of(plan, body), self.abilities)
         self.skew.plan_committed(None if blind else plan, body)
         self.book.settled(entry, plan, body)
         return []
 
-    def _floor(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:
+    def _floor(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         self.skew.minimum_committed(body)
         self.book.floored(entry, self.skew.minimum_format)
         return []
 
-    def move_floor(self, at: Instant, format: int) -> list[Out]:
+    def move_floor(self, at: Instant, format: int) -> list[Outgoing]:
         try:
             body = self.skew.prepare_minimum(at, format, self.views.view)
         except OperatorError as bad:
@@ -133,24 +133,24 @@
         return self.floors.put(at, body)
 
     def leads(self, at: Instant) -> bool:
-        epoch = self.fleet.duties[LEAD].act(at.boot)
-        return self.register.ready and epoch is not None and epoch == self.register.epoch
+        epoch = self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot)
+        return self.register.is_ready and epoch is not None and epoch == self.register.epoch
 
-    def begin(self, at: Instant, plan: Plan) -> list[Out]:
+    def begin(self, at: Instant, plan: Plan) -> list[Outgoing]:
         self.body_pushed = body_of(plan)
         self.judged = self.views.view
-        return self.skew.start_check(at, self.fleet.bodies.put(self.body_pushed), plan, self.judged)
+        return self.skew.start_check(at, self.fleet.payloads.put(self.body_pushed), plan, self.judged)
 
-    def tick(self, at: Instant) -> list[Out]:
+    def tick(self, at: Instant) -> list[Outgoing]:
         self.due = at.now + LOOK
         if self.leads(at) and self.skew.own_refusals():  # it could let nobody in
             self.book.counts["stepped back"] += 1
-            return self.fleet.release(at, LEAD, 10.0)
+            return self.fleet.release_role(at, LEADER_ROLE, 10.0)
         if self.body_pushed is None:
             return []
         if not self.leads(at):
             return self._end("leader lost")
-        out: list[Out] = []
+        out: list[Outgoing] = []
         if self.views.view.number != self.judged.number:
             self.judged = self.views.view
             out += self.skew.view_changed(at, self.judged)
@@ -159,32 +159,32 @@
             self.book.refused += verdict.reasons
             return out + self._end("refused: " + " ".join(sorted({why.code for why in verdict.reasons})))
         now_ = verdict.stage is CheckStage.COMPATIBLE and verdict.view_number == self.views.view.number
-        if now_ and self.views.sure(at.now) and self.register.have == self.register.chosen:
+        if now_ and self.views.is_current(at.now) and self.register.applied == self.register.chosen:
             out += self.register.put(at, self.body_pushed)
             return out + self._end("put")
         return out
 
-    def _end(self, what: str) -> list[Out]:
+    def _end(self, what: str) -> list[Outgoing]:
         self.book.counts[what] += 1
         self.body_pushed = None
         self.skew.stop_check()
         return []
 
-    def hear(self, at: Instant, sender: str, address: tuple[str, int], word: object) -> list[Out]:
+    def receive(self, at: Instant, sender: str, address: tuple[str, int], word: object) -> list[Outgoing]:
         return []
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         return []
 
 
 class Still:
     """Whether this sidecar leads these registers, and no entry of theirs is being chosen."""
 
-    def __init__(self, *registers: Register) -> None:
+    def __init__(self, *registers: ReplicatedRegister) -> None:
         self.registers = registers
 
     def __call__(self) -> bool:
-        return all(register.ready and register.have == register.chosen for register in self.registers)
+        return all(register.is_ready and register.applied == register.chosen for register in self.registers)
 
 
 def drawn(random: Random, format: int = 0) -> Plan:
--- a/wheatring/lab/agree_skew.py
+++ b/wheatring/lab/agree_skew.py
@@ -16,14 +16,14 @@
 from wheatring.lab.agree_pusher import Pusher, compiles, drawn
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Fleet, Instant, Out, Piece
-from wheatring.lease.terms import Terms
-from wheatring.lease.views import Views
-from wheatring.lease.voters import Voters, first
-from wheatring.lease.words import Entry
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import Entry
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.messages import ViewMember
+from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
-from wheatring.members.words import Placed
 from wheatring.peers.agreement import LEADER_DUTY
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.document import Plan
@@ -45,8 +45,10 @@
         self, seed: int, size: int = 7, skew: type[CompatibilityChecker] = CompatibilityChecker
     ) -> None:
         self.random = Random(f"skew:{seed}")
-        voters = Voters(first(VOTERS))
-        self.cluster = Cluster(seed, size, voters, [LEADER_DUTY], Terms(), Pace(), pieces=self._pieces)
+        voters = VoterSet(first_voters(VOTERS))
+        self.cluster = Cluster(
+            seed, size, voters, [LEADER_DUTY], LeaseTiming(), SwimTiming(), pieces=self._pieces
+        )
         self.cluster.after = self._after
         self.skew = skew
         self.programs: Programs = {}
@@ -66,12 +68,12 @@
             self.next[node.name] = newer
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
 
-    def _pieces(self, at: Instant, fleet: Fleet) -> list[Piece]:
+    def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         abilities = self.next[fleet.me.name]
-        self.programs[fleet.me.name, fleet.start] = abilities
+        self.programs[fleet.me.name, fleet.incarnation] = abilities
         self.pushers.pop(fleet.me.name, None)
         if abilities is None:
-            views = Views(at, fleet)
+            views = MembershipViews(at, fleet)
             return [views, views.register]
         pusher = self.pushers[fleet.me.name] = Pusher(
             at, self, fleet, abilities, self.skew, self.compiles.get(fleet.me.name, compiles)
@@ -100,11 +102,11 @@
     def judge(self) -> None:
         needed = requirements_of(*self.newest[1:]) if self.newest is not None else None
         for placed in self.view.members:
-            name = placed.who.name
+            name = placed.member.name
             fleet = self.cluster.nodes[name].fleet
-            if fleet is None or fleet.start != placed.start:
+            if fleet is None or fleet.incarnation != placed.incarnation:
                 continue
-            can = self.programs[name, placed.start] or LEGACY_CAPABILITIES
+            can = self.programs[name, placed.incarnation] or LEGACY_CAPABILITIES
             why = [one.what for one in unmet_requirements(needed, can, name)] if needed is not None else []
             if not can.can_read(self.floor[1]):
                 why.append(f"it does not read the floor, {self.floor[1]}")
@@ -120,7 +122,7 @@
     def move_floor(self, format: int) -> None:
         self._at_leader(lambda at, pusher: pusher.move_floor(at, format))
 
-    def _at_leader(self, do: Callable[[Instant, Pusher], list[Out]]) -> None:
+    def _at_leader(self, do: Callable[[Instant, Pusher], list[Outgoing]]) -> None:
         for name, pusher in self.pushers.items():
             node = self.cluster.nodes[name]
             at = self.cluster.instant(node)
@@ -202,7 +204,7 @@
 
 
 class _SilentIsYes(CheckCoordinator):
-    def step(self, now: float) -> list[Out]:
+    def step(self, now: float) -> list[Outgoing]:
         alike = next((one.result for one in self.members.values() if one.result is not None), None)
         for one in self.members.values():
             if self._is_pending(one) and now >= one.asked_at + 2.0:
@@ -228,7 +230,7 @@
 class OpenGate(CompatibilityChecker):
     """Whoever knocks comes in."""
 
-    def admission_refusals(self, at: Instant, placed: Placed) -> tuple[Reason, ...]:
+    def admission_refusals(self, at: Instant, placed: ViewMember) -> tuple[Reason, ...]:
         return ()
 
 
--- a/wheatring/lab/leases/check.py
+++ b/wheatring/lab/leases/check.py
@@ -78,7 +78,7 @@
 
 
 def _handovers(pool: ProcessPoolExecutor, fail: Callable[[], object]) -> Iterator[str]:
-    term = days.TERMS.term
+    term = days.TERMS.lease_seconds
     for how in HOWS:
         found = list(pool.map(partial(handover, how=how), range(1, 101)))
         took, apart = sorted(each[0] for each in found), min(each[1] for each in found)
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from wheatring.lab.live.links.state import State, datagram
-from wheatring.lease.bodies import Fetch
-from wheatring.lease.fleet import Change, DutyPlan, Fleet, Instant, Out, Piece
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters
-from wheatring.members.members import Address
-from wheatring.members.pace import Pace
-from wheatring.members.words import Who
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing, RoleChange, RoleSettings
+from wheatring.lease.payloads import FetchRequest
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet
+from wheatring.members.membership import Address
+from wheatring.members.messages import MemberInfo
+from wheatring.members.timing import SwimTiming
 
 YEAR = 1_700_000_000_000  # Unix time, ms, at which days begin
 STREAM = 2.0  # seconds after which a body that does not come is given up
@@ -48,13 +48,13 @@
         self,
         seed: int,
         size: int,
-        voters: Voters,
-        plans: Sequence[DutyPlan],
-        terms: Terms,
-        pace: Pace,
+        voters: VoterSet,
+        plans: Sequence[RoleSettings],
+        terms: LeaseTiming,
+        pace: SwimTiming,
         zones: int = 1,
         size_of: Callable[[Any], int] | None = None,
-        pieces: Callable[[Instant, Fleet], list[Piece]] | None = None,
+        pieces: Callable[[Instant, Fleet], list[FleetComponent]] | None = None,
     ) -> None:
         self.random = Random(seed)
         self.now = 0.0
@@ -66,7 +66,7 @@
         self.size_of = size_of
         self.pieces = pieces
         self.after: Callable[[Node], None] = lambda node: None
-        self.changed: Callable[[Node, Change], None] = lambda node, change: None
+        self.changed: Callable[[Node, RoleChange], None] = lambda node, change: None
         self.nodes: dict[str, Node] = {}
         self.at: dict[Address, Node] = {}
         for number in range(size):
@@ -97,13 +97,13 @@
             return
         node.starts += 1
         at = self.instant(node)
-        who = Who(node.name, *node.address, node.number, 0, node.zone, self.voters.digest)
+        who = MemberInfo(node.name, *node.address, node.number, 0, node.zone, self.voters.digest)
         random = Random(f"{self.random.random()}:{node.name}")
         node.fleet = Fleet(
             at, who, at.wall, self.seeds, self.voters, self.plans, self.terms, self.pace, random
         )
         if self.pieces is not None:
-            node.fleet.pieces = self.pieces(at, node.fleet)
+            node.fleet.components = self.pieces(at, node.fleet)
         self.plan(node)
 
     def kill(self, node: Node) -> None:
@@ -127,7 +127,7 @@
     def plan(self, node: Node) -> None:
         assert node.fleet is not None
         node.wake += 1
-        wait = node.fleet.wait(self.instant(node)) / (1 + node.fast)
+        wait = node.fleet.seconds_until_due(self.instant(node)) / (1 + node.fast)
         self.call(self.now + max(wait, 0.0005), self.tick, node, node.wake)
 
     def tick(self, node: Node, wake: int) -> None:
@@ -135,7 +135,7 @@
             return
         self.say(node, node.fleet.tick(self.instant(node)))
 
-    def say(self, node: Node, out: list[Out]) -> None:
+    def say(self, node: Node, out: list[Outgoing]) -> None:
         """Send what a process has to say, and tell what changed; called after each of its events."""
         assert node.fleet is not None
         for address, word in out:
@@ -148,11 +148,11 @@
             state = self.links.get((node.name, target.name), self.net)
             for due in datagram(self.now, state, True, self.random) if target is not node else [self.now]:
                 self.call(due, self.arrive, target, node.name, word)
-        changes, node.fleet.changes = node.fleet.changes, []
+        changes, node.fleet.role_changes = node.fleet.role_changes, []
         for change in changes:
             self.changed(node, change)
         if node.fleet is not None:
-            fetches, node.fleet.fetches = node.fleet.fetches, []
+            fetches, node.fleet.fetch_requests = node.fleet.fetch_requests, []
             for fetch in fetches:
                 self.call(self.now + 4 * self.net.delay, self.carry, node, node.starts, fetch)
             self.after(node)
@@ -160,7 +160,7 @@
 
     # Bodies
 
-    def carry(self, node: Node, start: int, fetch: Fetch) -> None:
+    def carry(self, node: Node, start: int, fetch: FetchRequest) -> None:
         """One asks another for a body over a connection, which a cut either way keeps from coming up."""
         other = self.at.get(fetch.address)
         body = None
@@ -168,19 +168,19 @@
             pairs = ((node.name, other.name), (other.name, node.name))
             both = [self.links.get(pair, self.net) for pair in pairs]
             if all(state.there for state in both):
-                body = other.fleet.bodies.get(fetch.digest)
+                body = other.fleet.payloads.get(fetch.digest)
                 late = sum(state.delay + state.jitter * self.random.random() for state in both)
                 self.call(self.now + late, self.carried, node, start, fetch, body)
                 return
         self.call(self.now + STREAM, self.carried, node, start, fetch, None)
 
-    def carried(self, node: Node, start: int, fetch: Fetch, body: bytes | None) -> None:
+    def carried(self, node: Node, start: int, fetch: FetchRequest, body: bytes | None) -> None:
         if node.fleet is None or node.starts != start:
             return
         if node.stopped:
             self.call(self.now + 0.05, self.carried, node, start, fetch, body)
             return
-        self.say(node, node.fleet.body(self.instant(node), fetch.digest, body))
+        self.say(node, node.fleet.receive_payload(self.instant(node), fetch.digest, body))
 
     def arrive(self, node: Node, sender: str, word: Any) -> None:
         if node.fleet is None:
@@ -195,7 +195,7 @@
         if node.fleet is None:
             return
         where = self.nodes[sender].address
-        self.say(node, node.fleet.hear(self.instant(node), sender, where, word))
+        self.say(node, node.fleet.receive(self.instant(node), sender, where, word))
 
     # Links
 
--- a/wheatring/lab/leases/days.py
+++ b/wheatring/lab/leases/days.py
@@ -12,15 +12,15 @@
 
 from wheatring.lab.leases.cluster import CUT, Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fence import Fence
-from wheatring.lease.fleet import Change, DutyPlan
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters, first
-from wheatring.members.pace import Pace
+from wheatring.lease.fencing import FencingGuard
+from wheatring.lease.fleet import RoleChange, RoleSettings
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.timing import SwimTiming
 
 DUTY = "duty"
 LENGTH = 60.0  # seconds
-TERMS = Terms()
+TERMS = LeaseTiming()
 ACT = 0.2  # seconds between two acts of a holder
 HOUR = 3_600_000
 
@@ -55,7 +55,7 @@
             ["kill", "stall", "stall", "cut", "one-way", "split", "late", "lossy", "wall", "release",
              "voters", "again"]
         )  # fmt: skip
-        length = random.choice([0.1, 0.5, 1.0, 2.0, 3.5, 10.0]) * TERMS.term * random.random()
+        length = random.choice([0.1, 0.5, 1.0, 2.0, 3.5, 10.0]) * TERMS.lease_seconds * random.random()
         at = 5 + random.random() * (LENGTH - 20)
         nodes = random.sample(names, random.choice([1, 1, 1, 2, size // 2]))
         if random.random() < 0.5:
@@ -69,16 +69,18 @@
 class Play:
     def __init__(self, seed: int, size: int = 5, voters: int = 3) -> None:
         self.random = Random(f"{seed}:day")
-        plan = DutyPlan(DUTY, 1)
-        self.cluster = Cluster(seed, size, Voters(first(voters)), [plan], TERMS, Pace(), zones=2)
+        plan = RoleSettings(DUTY, 1)
+        self.cluster = Cluster(
+            seed, size, VoterSet(first_voters(voters)), [plan], TERMS, SwimTiming(), zones=2
+        )
         self.cluster.changed = self.changed
         self.day = Day(seed)
-        self.fence = Fence()
+        self.fence = FencingGuard()
         self.office: set[str] = set()  # who has come into office, and was not seen to go
         self.last = 0  # the newest term's epoch
         self.lost: float | None = None  # when the holder was killed or stopped
         for node in self.cluster.nodes.values():
-            node.fast = TERMS.rate * (2 * self.random.random() - 1)
+            node.fast = TERMS.max_clock_drift * (2 * self.random.random() - 1)
             node.wall = -HOUR if node.name == "n0" and seed % 4 == 0 else 0
             self.cluster.call(self.random.random() * 0.5, self.cluster.start, node)
         for fault in draw(seed, size):
@@ -121,7 +123,10 @@
                 cluster.call(over, cluster.mend)
             case "late":
                 state = State(
-                    delay=3 * TERMS.term * fault.size, jitter=TERMS.term, duplicate=0.5, reorder=0.5
+                    delay=3 * TERMS.lease_seconds * fault.size,
+                    jitter=TERMS.lease_seconds,
+                    duplicate=0.5,
+                    reorder=0.5,
                 )
                 cluster.cut(names, others, state)
                 cluster.call(over, cluster.mend)
@@ -133,7 +138,7 @@
             case "release":
                 node = cluster.nodes[holder]
                 if node.fleet is not None and not node.stopped:
-                    cluster.say(node, node.fleet.release(cluster.instant(node), DUTY))
+                    cluster.say(node, node.fleet.release_role(cluster.instant(node), DUTY))
 
     def down(self, name: str) -> None:
         node = self.cluster.nodes[name]
@@ -148,12 +153,12 @@
         """In office at this true instant, by the very clock it would read."""
         if node.fleet is None:
             return False
-        return node.fleet.duties[DUTY].act(self.cluster.instant(node).boot) is not None
+        return node.fleet.roles[DUTY].epoch_to_act(self.cluster.instant(node).boot) is not None
 
-    def changed(self, node: Node, change: Change) -> None:
+    def changed(self, node: Node, change: RoleChange) -> None:
         now, day = self.cluster.now, self.day
         assert node.fleet is not None
-        if change.why:
+        if change.reason:
             self.office.discard(node.name)
             return
         for name in sorted(self.office):
@@ -178,7 +183,7 @@
         if node.stopped:
             self.cluster.call(self.cluster.now + ACT, self.act, node, start)
             return
-        epoch = node.fleet.duties[DUTY].act(self.cluster.instant(node).boot)
+        epoch = node.fleet.roles[DUTY].epoch_to_act(self.cluster.instant(node).boot)
         if epoch is None:
             return
         self.day.held += ACT
@@ -195,7 +200,7 @@
         self.cluster.call(self.cluster.now + (self.random.random() * 9 if slow else 0.001), self.lands, epoch)
 
     def lands(self, epoch: int) -> None:
-        before = self.fence.seen
+        before = self.fence.highest_token
         if not self.fence.admit(epoch):
             self.day.refused += 1
             return
--- a/wheatring/lab/leases/handover.py
+++ b/wheatring/lab/leases/handover.py
@@ -7,10 +7,10 @@
 from typing import Literal
 
 from wheatring.lab.leases.cluster import CUT, Cluster, Node
-from wheatring.lease.fleet import Change, DutyPlan
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters, first
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import RoleChange, RoleSettings
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.timing import SwimTiming
 
 How = Literal["kill", "stall", "cut", "deaf", "unheard", "release"]
 HOWS: tuple[How, ...] = ("kill", "stall", "cut", "deaf", "unheard", "release")
@@ -18,29 +18,29 @@
 LOST = 12.0  # when the holder is lost, at the earliest
 
 
-def handover(seed: int, how: How, size: int = 5, terms: Terms | None = None) -> tuple[float, float]:
+def handover(seed: int, how: How, size: int = 5, terms: LeaseTiming | None = None) -> tuple[float, float]:
     """Seconds from when the holder is lost to the next term, and from the end of its term to that."""
-    terms = terms or Terms()
+    terms = terms or LeaseTiming()
     random = Random(f"{seed}:handover")
-    voters = Voters(first(3))
-    cluster = Cluster(seed, size, voters, [DutyPlan(DUTY)], terms, Pace(), zones=2)
+    voters = VoterSet(first_voters(3))
+    cluster = Cluster(seed, size, voters, [RoleSettings(DUTY)], terms, SwimTiming(), zones=2)
     took: list[tuple[str, float]] = []
 
-    def changed(node: Node, change: Change) -> None:
-        if not change.why:
+    def changed(node: Node, change: RoleChange) -> None:
+        if not change.reason:
             took.append((node.name, cluster.now))
 
     cluster.changed = changed
     for node in cluster.nodes.values():
-        node.fast = terms.rate * (2 * random.random() - 1)
+        node.fast = terms.max_clock_drift * (2 * random.random() - 1)
         cluster.call(random.random(), cluster.start, node)
-    at = LOST + 3 * terms.term * random.random()
+    at = LOST + 3 * terms.lease_seconds * random.random()
     cluster.run(at)
     name = took[-1][0]
     holder = cluster.nodes[name]
     assert holder.fleet is not None
-    held = holder.fleet.duties[DUTY].held
-    ends = held.until / (1 + holder.fast) if held is not None else at
+    held = holder.fleet.roles[DUTY].held_lease
+    ends = held.held_until / (1 + holder.fast) if held is not None else at
     match how:
         case "kill":
             cluster.kill(holder)
@@ -54,8 +54,8 @@
                 cluster.cut(others, [name], CUT)
         case "release":
             ends = at
-            cluster.say(holder, holder.fleet.release(cluster.instant(holder), DUTY))
+            cluster.say(holder, holder.fleet.release_role(cluster.instant(holder), DUTY))
     before = len(took)
-    cluster.run(at + 5 * terms.term)
+    cluster.run(at + 5 * terms.lease_seconds)
     after = took[before][1] if len(took) > before else inf
     return after - at, after - ends
--- a/wheatring/lab/leases/membership.py
+++ b/wheatring/lab/leases/membership.py
@@ -10,11 +10,11 @@
 
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import AnyWord
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters, first
-from wheatring.members.pace import Pace
-from wheatring.members.words import ALIVE, DEAD, SUSPECT
+from wheatring.lease.fleet import FleetMessage
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.messages import ALIVE, DEAD, SUSPECT
+from wheatring.members.timing import SwimTiming
 
 FRAME = 50  # bytes of a datagram besides its word
 JOINED = 40.0  # seconds from the start until it is looked at
@@ -27,12 +27,12 @@
     return msgspec.msgpack.Encoder()
 
 
-def size_of(word: AnyWord) -> int:
+def size_of(word: FleetMessage) -> int:
     return FRAME + len(_encoder().encode(word))
 
 
 def fleet(seed: int, size: int, loss: float = 0.0) -> Cluster:
-    cluster = Cluster(seed, size, Voters(first(3)), [], Terms(), Pace(), size_of=size_of)
+    cluster = Cluster(seed, size, VoterSet(first_voters(3)), [], LeaseTiming(), SwimTiming(), size_of=size_of)
     if loss:
         cluster.net = State(delay=0.0005, jitter=0.0005, drop=loss)
     for node in cluster.nodes.values():
@@ -47,13 +47,13 @@
         row.state == state and name in here
         for node in cluster.nodes.values()
         if node.fleet is not None
-        for name, row in node.fleet.members.table.rows.items()
+        for name, row in node.fleet.members.table.records.items()
     )
 
 
 def _known(cluster: Cluster, gone: set[str]) -> float:
     """The part of all views in which those who are gone are held to be gone."""
-    views = [node.fleet.members.table.rows for node in cluster.nodes.values() if node.fleet is not None]
+    views = [node.fleet.members.table.records for node in cluster.nodes.values() if node.fleet is not None]
     right = sum(name not in rows or rows[name].state == DEAD for rows in views for name in gone)
     return right / max(1, len(views) * len(gone))
 
@@ -63,7 +63,7 @@
     cluster = fleet(seed, size)
     cluster.run(JOINED)
     nodes = list(cluster.nodes.values())
-    knows = [len(node.fleet.members.alive()) for node in nodes if node.fleet is not None]
+    knows = [len(node.fleet.members.alive_members()) for node in nodes if node.fleet is not None]
     yield f"{size} members that start within a second: after {JOINED:g} s each knows {min(knows)} at least"
     for node in nodes:
         node.sent = node.sent_bytes = 0
@@ -94,7 +94,7 @@
     for node in cluster.nodes.values():
         assert node.fleet is not None
         table = node.fleet.members.table
-        node.fleet.members.table.learn = _counting(cluster, node, table.learn, counted)  # type: ignore[method-assign]
+        node.fleet.members.table.apply = _counting(cluster, node, table.apply, counted)  # type: ignore[method-assign]
     ill: list[Node] = cluster.random.sample(list(cluster.nodes.values()), round(size * stalled))
     for node in ill:
         at = cluster.now + cluster.random.random() * 30
@@ -114,7 +114,7 @@
     def counts(now: float, rumour: Any) -> Any:
         found = learn(now, rumour)
         own = rumour.state in (SUSPECT, DEAD) and rumour.source == node.name
-        there = cluster.nodes[rumour.who.name]
+        there = cluster.nodes[rumour.member.name]
         if own and found is not None and found[1] and there.fleet is not None and not there.stopped:
             counted[rumour.state] += 1
         return found
--- a/wheatring/lab/leases/model.py
+++ b/wheatring/lab/leases/model.py
@@ -25,11 +25,11 @@
 
 from msgspec import structs
 
-from wheatring.lease.claimant import Claimant
-from wheatring.lease.fence import Fence
-from wheatring.lease.terms import Terms
-from wheatring.lease.voter import Voter
-from wheatring.lease.voters import Voters
+from wheatring.lease.acceptor import Acceptor
+from wheatring.lease.fencing import FencingGuard
+from wheatring.lease.proposer import Proposer
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet
 
 LEASE = "duty/0"
 OLD = 100.0  # ticks that the voters have been up for at the start
@@ -63,10 +63,10 @@
 class Makes(NamedTuple):
     """The deciders that are looked at: the real ones, or some with a fault planted."""
 
-    terms: Terms = Terms(term=6.0, rate=0.1)
-    voter: type[Voter] = Voter
-    claimant: type[Claimant] = Claimant
-    fence: type[Fence] = Fence
+    terms: LeaseTiming = LeaseTiming(lease_seconds=6.0, max_clock_drift=0.1)
+    voter: type[Acceptor] = Acceptor
+    claimant: type[Proposer] = Proposer
+    fence: type[FencingGuard] = FencingGuard
 
 
 class Word(NamedTuple):
@@ -89,7 +89,7 @@
         self.time = 0
         self.faults = 0
         names = [f"v{number + 1}" for number in range(bounds.voters)]
-        voters = Voters(tuple(names))
+        voters = VoterSet(tuple(names))
         self.voters = {name: makes.voter(-OLD, makes.terms, voters, [LEASE]) for name in names}
         still: Any = Still()
         self.claimants = {
@@ -97,7 +97,7 @@
             for name in "abc"[: bounds.claimants]
         }
         for number, claimant in enumerate(self.claimants.values()):
-            claimant.want(0.0, 0 if bounds.together else number * LATER)
+            claimant.set_rank(0.0, 0 if bounds.together else number * LATER)
         self.words: frozenset[Word] = frozenset()
         self.stopped: frozenset[str] = frozenset()
         self.fence = makes.fence()
@@ -122,19 +122,21 @@
                 of[word.source].append((word.target, word.word, word.late))
         voters = []
         for name, v in self.voters.items():
-            place = v.places[LEASE]
-            answers = tuple((c.yes.get(name, -1), c.no.get(name, -1)) for c in self.claimants.values())
-            voters.append((v.silent, place.promised, place.holder, place.until, place.epoch,
+            place = v.leases[LEASE]
+            answers = tuple(
+                (c.granted_by.get(name, -1), c.rejected_by.get(name, -1)) for c in self.claimants.values()
+            )
+            voters.append((v.abstains_until, place.promised, place.holder, place.held_until, place.epoch,
                            place.round, name in self.stopped, answers,
                            hash(frozenset(of[name]))))  # fmt: skip
         voters.sort()
         claimants = tuple(
-            (c.start, c.due, c.ballot, c.round, c.began, c.asking, c.claiming, c.renewing,
-             c.passed, c.epoch, c.known, c.until, name in self.stopped)
+            (c.incarnation, c.due, c.proposal, c.round, c.round_started, c.is_preparing, c.is_proposing,
+             c.is_renewing, c.highest_promised, c.epoch, c.highest_epoch, c.held_until, name in self.stopped)
             for name, c in self.claimants.items()
         )  # fmt: skip
-        return (self.time, self.faults, frozenset(acts), self.elected, self.fence.seen, tuple(voters),
-                claimants)  # fmt: skip
+        return (self.time, self.faults, frozenset(acts), self.elected,
+                self.fence.highest_token, tuple(voters), claimants)  # fmt: skip
 
 
 class Broken(Exception):
@@ -174,14 +176,14 @@
                 yield from self._befalls(step)
             return
         for name, claimant in state.claimants.items():
-            epoch = claimant.act(now)
+            epoch = claimant.epoch_to_act(now)
             if epoch is None or name in state.stopped:
                 continue
             if left and not any(word.target == RESOURCE for word in state.words):
                 yield self._acts(state, name, late=True)
             if left:
                 yield self._releases(state, name)
-            if epoch != state.fence.seen:
+            if epoch != state.fence.highest_token:
                 yield self._acts(state, name)
                 return
         if state.time < self.bounds.ticks:
@@ -232,12 +234,12 @@
         else:
             was = state.claimants[name]
             new = after.claimants[name] = self.makes.claimant(
-                LEASE, name, was.start + 1, self.makes.terms, was.voters, was.random
+                LEASE, name, was.incarnation + 1, self.makes.terms, was.voters, was.random
             )
-            new.want(self.of_claimant(state), 0)
+            new.set_rank(self.of_claimant(state), 0)
         return f"{name} is killed and starts anew", after
 
-    def _new_voter(self, state: State, name: str) -> Voter:
+    def _new_voter(self, state: State, name: str) -> Acceptor:
         voters = state.voters[name].voters
         return self.makes.voter(self.of_voter(state), self.makes.terms, voters, [LEASE])
 
@@ -254,7 +256,7 @@
 
     def _acts(self, state: State, name: str, late: bool = False) -> tuple[str, State]:
         now, claimant = self.of_claimant(state), state.claimants[name]
-        word = Word(name, RESOURCE, (claimant.act(now), claimant.until > now), late)
+        word = Word(name, RESOURCE, (claimant.epoch_to_act(now), claimant.held_until > now), late)
         after = state.fork()
         if late:
             after.faults += 1
@@ -279,7 +281,7 @@
         text = f"late: {word.target} hears {word.source}: {_said(word.word)}"
         if word.target in state.voters:
             voter = after.voters[word.target] = forked(state.voters[word.target])
-            answer = voter.hear(self.of_voter(state), state.time, word.word)
+            answer = voter.receive(self.of_voter(state), state.time, word.word)
             if answer is not None:
                 after.words |= {Word(word.target, word.source, answer)}
             return text, after
@@ -324,7 +326,7 @@
             rest = [other for other in words if other is not word]
             after = state.fork()
             voter = after.voters[name] = forked(state.voters[name])
-            answer = voter.hear(self.of_voter(state), state.time, word.word)
+            answer = voter.receive(self.of_voter(state), state.time, word.word)
             text = f"{name} hears {word.source}: {_said(word.word)}"
             back = [Word(name, word.source, answer)] if answer is not None else []
             if answer is not None:
@@ -353,17 +355,17 @@
                 after.words |= {word}
                 continue
             claimant = after.claimants[word.target] = forked(after.claimants[word.target])
-            before = claimant.holds(now)
-            told = claimant.hear(now, word.source, word.word)
+            before = claimant.is_holder(now)
+            told = claimant.receive(now, word.source, word.word)
             after.words |= {Word(word.target, voter, one) for voter, one in told}
-            if claimant.holds(now) and not before:
+            if claimant.is_holder(now) and not before:
                 text = f"{text}; {word.target} holds term {claimant.epoch}"
             self._held(after, text)
         return text, after
 
     def _lands(self, after: State, word: Word) -> tuple[str, State]:
         epoch, in_office = word.word
-        before = after.fence.seen
+        before = after.fence.highest_token
         after.fence = copy.copy(after.fence)
         text = f"the act of {word.source} in term {epoch} arrives"
         if after.fence.admit(epoch):
@@ -376,12 +378,12 @@
     def _held(self, state: State, text: str) -> State:
         """The rules, after a step of a claimant."""
         now = self.of_claimant(state)
-        holders = [name for name, claimant in state.claimants.items() if claimant.holds(now)]
+        holders = [name for name, claimant in state.claimants.items() if claimant.is_holder(now)]
         if len(holders) > 1:
             raise Broken(f"{text}: {' and '.join(holders)} hold it at the same time")
         for name in holders:
             claimant = state.claimants[name]
-            term = (claimant.epoch, name, claimant.start)
+            term = (claimant.epoch, name, claimant.incarnation)
             if term == state.elected:
                 continue
             if claimant.epoch <= state.elected[0]:
@@ -393,23 +395,24 @@
 def forked(decider: Any) -> Any:
     """A copy that shares nothing which either of the two changes."""
     other = copy.copy(decider)
-    if isinstance(decider, Voter):
-        other.places = {lease: copy.copy(place) for lease, place in decider.places.items()}
+    if isinstance(decider, Acceptor):
+        other.leases = {lease: copy.copy(state) for lease, state in decider.leases.items()}
     else:
-        other.yes, other.no = dict(decider.yes), dict(decider.no)
+        other.granted_by = dict(decider.granted_by)
+        other.rejected_by = dict(decider.rejected_by)
     return other
 
 
 def _said(word: Any) -> str:
     values = structs.asdict(word)
-    shown = f"{type(word).__name__.lower()} {word.ballot.who}{word.ballot.number}"
+    shown = f"{type(word).__name__.lower()} {word.proposal.proposer}{word.proposal.number}"
     if "epoch" in values and word.epoch:
         shown += f" term {word.epoch}"
-    return f"{shown} {values['why']}" if "why" in values else shown
+    return f"{shown} {values['reason']}" if "reason" in values else shown
 
 
 def _order(word: Word) -> tuple[Any, ...]:
     """The same order in every run."""
     if word.target == RESOURCE:
         return word.source, word.target, "", word.word, 0, word.late
-    return word.source, word.target, type(word.word).__name__, word.word.ballot, word.word.round, word.late
+    return word.source, word.target, type(word.word).__name__, word.word.proposal, word.word.round, word.late
--- a/wheatring/lab/leases/planted.py
+++ b/wheatring/lab/leases/planted.py
@@ -8,52 +8,52 @@
 
 from wheatring.lab.leases.model import Bounds, Makes, Model
 from wheatring.lab.leases.search import Found, search
-from wheatring.lease.claimant import Claimant, Out
-from wheatring.lease.fence import Fence
-from wheatring.lease.terms import Terms
-from wheatring.lease.voter import Voter
-from wheatring.lease.words import FromVoter, Promise, Release, ToVoter
+from wheatring.lease.acceptor import Acceptor
+from wheatring.lease.fencing import FencingGuard
+from wheatring.lease.messages import AcceptorRequest, AcceptorResponse, Promise, Release
+from wheatring.lease.proposer import AddressedRequest, Proposer
+from wheatring.lease.timing import LeaseTiming
 
 
-class Hasty(Voter):
+class Hasty(Acceptor):
     """Does not abstain."""
 
-    def hear(self, now: float, wall: int, word: ToVoter) -> FromVoter | None:
-        self.silent = -inf
-        return super().hear(now, wall, word)
+    def receive(self, now: float, wall: int, word: AcceptorRequest) -> AcceptorResponse | None:
+        self.abstains_until = -inf
+        return super().receive(now, wall, word)
 
 
-class Fickle(Voter):
+class Fickle(Acceptor):
     """Promises a lower ballot after a higher one."""
 
-    def hear(self, now: float, wall: int, word: ToVoter) -> FromVoter | None:
-        place = self.places[word.lease]
+    def receive(self, now: float, wall: int, word: AcceptorRequest) -> AcceptorResponse | None:
+        place = self.leases[word.lease]
         if not isinstance(word, Release):
-            place.promised = min(place.promised, word.ballot)
-        return super().hear(now, wall, word)
+            place.promised = min(place.promised, word.proposal)
+        return super().receive(now, wall, word)
 
 
-class Trusting(Claimant):
+class Trusting(Proposer):
     """Reads its clock after the act: it acts as it was in office when it last looked."""
 
-    def act(self, now: float) -> int | None:
-        return self.epoch if self.until > -inf else None
+    def epoch_to_act(self, now: float) -> int | None:
+        return self.epoch if self.held_until > -inf else None
 
 
-class Repeating(Claimant):
+class Repeating(Proposer):
     """Its epoch is the highest that it hears of, and not above it."""
 
-    def hear(self, now: float, voter: str, word: FromVoter) -> list[Out]:
+    def receive(self, now: float, voter: str, word: AcceptorResponse) -> list[AddressedRequest]:
         if isinstance(word, Promise):
-            word = Promise(word.lease, word.ballot, word.round, max(0, word.epoch - 1))
-        return super().hear(now, voter, word)
+            word = Promise(word.lease, word.proposal, word.round, max(0, word.epoch - 1))
+        return super().receive(now, voter, word)
 
 
-class Open(Fence):
+class Open(FencingGuard):
     """Lets everything in."""
 
-    def admit(self, epoch: int) -> bool:
-        self.seen = max(self.seen, epoch)
+    def admit(self, token: int) -> bool:
+        self.highest_token = max(self.highest_token, token)
         return True
 
 
@@ -63,12 +63,12 @@
     bounds: Bounds = Bounds()
 
 
-class NoBound(Terms):
+class NoBound(LeaseTiming):
     """The holder's term is as long as the voter's, whatever the clocks."""
 
     @property
-    def hold(self) -> float:
-        return self.term
+    def holder_seconds(self) -> float:
+        return self.lease_seconds
 
 
 EARLY = Bounds(ticks=2, faults=2)
@@ -80,7 +80,7 @@
     Planted("a receiver that lets older terms in", Makes(fence=Open), Bounds(faults=2)),
     Planted(
         "no bound on how far clocks differ",
-        Makes(terms=NoBound(term=6.0, rate=0.1)),
+        Makes(terms=NoBound(lease_seconds=6.0, max_clock_drift=0.1)),
         Bounds(faults=2, claimants_fast=-0.1, voters_fast=0.1),
     ),
 )
--- a/wheatring/lab/live/resource.py
+++ b/wheatring/lab/live/resource.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 from wheatring.lab.live.stand_in import Handler, StandIn
-from wheatring.lease.fence import Fence
+from wheatring.lease.fencing import FencingGuard
 
 
 class Act(NamedTuple):
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self.acts: list[Act] = []
         self.lock = threading.Lock()
-        self.fence = Fence()
+        self.fence = FencingGuard()
         self.status = 200
         resource = self
 
@@ -44,7 +44,7 @@
             epoch = int(headers["Duty-Epoch"])
             let_in = self.fence.admit(epoch)
             self.acts.append(Act(time.monotonic(), epoch, headers["Duty-Holder"], let_in))
-            return (self.status if let_in else 409), self.fence.seen
+            return (self.status if let_in else 409), self.fence.highest_token
 
     def snapshot(self) -> list[Act]:
         with self.lock:
--- a/wheatring/lease/fleet.py
+++ b/wheatring/lease/fleet.py
@@ -13,21 +13,43 @@
 
 from msgspec import structs
 
-from wheatring.lease.bodies import Bodies, Fetch
-from wheatring.lease.duty import Duty, leases
-from wheatring.lease.terms import Terms
-from wheatring.lease.voter import Voter
-from wheatring.lease.voters import Voters, numbered
-from wheatring.lease.words import Ask, Beat, Claim, Free, FromVoter, Grant, Promise, Refusal, Release, ToVoter
-from wheatring.members.members import Address, Members
-from wheatring.members.pace import Pace
-from wheatring.members.words import LEFT, Ack, Indirect, Join, Known, MemberWord, Nack, News, Ping, Who
-
-LINE = 5  # sidecars that stand in line for a duty
-PASS = 64  # members whom one tells what it heard, at most
-LOOK = 0.5  # seconds between looks at who is in line
-AnyWord = MemberWord | ToVoter | FromVoter | Free | Beat
-Out = tuple[Address, Any]  # AnyWord, or a word of a piece
+from wheatring.lease.acceptor import Acceptor
+from wheatring.lease.messages import (
+    Accepted,
+    AcceptorRequest,
+    AcceptorResponse,
+    Heartbeat,
+    LeaseReleased,
+    Prepare,
+    Promise,
+    Propose,
+    Rejection,
+    Release,
+)
+from wheatring.lease.payloads import FetchRequest, PayloadStore
+from wheatring.lease.singleton_role import SingletonRole, lease_names
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, numbered_voter
+from wheatring.members.membership import Address, Membership
+from wheatring.members.messages import (
+    LEFT,
+    Ack,
+    Fact,
+    MemberInfo,
+    Nack,
+    Ping,
+    PingRequest,
+    SwimMessage,
+    SyncRequest,
+    SyncResponse,
+)
+from wheatring.members.timing import SwimTiming
+
+MAX_CANDIDATES = 5  # sidecars that stand in line for a duty
+MAX_RELAY_TARGETS = 64  # members whom one tells what it heard, at most
+CANDIDACY_INTERVAL_SECONDS = 0.5  # seconds between looks at who is in line
+FleetMessage = SwimMessage | AcceptorRequest | AcceptorResponse | LeaseReleased | Heartbeat
+Outgoing = tuple[Address, Any]  # AnyWord, or a word of a piece
 
 
 class Instant(NamedTuple):
@@ -40,43 +62,43 @@
     wall: int
 
 
-class DutyPlan(NamedTuple):
+class RoleSettings(NamedTuple):
     """`near`: whoever is in the holder's zone comes first when it is given back or lost. `idle`: seconds for
     which it may be held with nothing done. `asked`: only those that are told to stand in line for it.
     """
 
     name: str
-    places: int = 1
-    near: bool = False
-    idle: float = inf
-    asked: bool = False
-    voters: bool = False
+    slots: int = 1
+    prefers_zone: bool = False
+    idle_seconds: float = inf
+    on_request: bool = False
+    voters_only: bool = False
 
 
-class Change(NamedTuple):
+class RoleChange(NamedTuple):
     """A place of a duty came to this sidecar (`epoch`), or went (`why`)."""
 
-    duty: str
+    role: str
     epoch: int
-    why: str = ""
+    reason: str = ""
 
 
-class Piece(Protocol):
+class FleetComponent(Protocol):
     """A further decider of the same sidecar: views, plans, the fleet's time. `hears` are the types of its own
     words. What is wanted of others' bodies goes to `Fleet.fetches`.
     """
 
-    hears: tuple[type, ...]
+    message_types: tuple[type, ...]
 
     @property
     def due(self) -> float:
         """When `tick` has something to do, on the monotonic clock."""
 
-    def tick(self, at: Instant) -> list[Out]: ...
+    def tick(self, at: Instant) -> list[Outgoing]: ...
 
-    def hear(self, at: Instant, sender: str, address: Address, word: Any) -> list[Out]: ...
+    def receive(self, at: Instant, sender: str, address: Address, word: Any) -> list[Outgoing]: ...
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         """A body that was fetched, by whichever piece; None: it could not be had there."""
 
 
@@ -88,266 +110,276 @@
     def __init__(
         self,
         at: Instant,
-        me: Who,
-        start: int,
+        me: MemberInfo,
+        incarnation: int,
         seeds: list[Address],
-        voters: Voters,
-        plans: Sequence[DutyPlan],
-        terms: Terms,
-        pace: Pace,
+        voters: VoterSet,
+        role_settings: Sequence[RoleSettings],
+        timing: LeaseTiming,
+        swim_timing: SwimTiming,
         random: Random,
     ) -> None:
         self.me = me
-        self.start = start
-        self.terms = terms
+        self.incarnation = incarnation
+        self.timing = timing
         self.random = random
-        self.plans = {plan.name: plan for plan in plans}
-        places = [lease for plan in plans for lease in leases(plan.name, plan.places)]
-        self.members = Members(at.now, me, start, seeds, pace, random, places)
-        self.voter = Voter(at.boot, terms, voters, places)
-        self.duties = {
-            plan.name: Duty(plan.name, plan.places, me.name, start, terms, voters, random, plan.idle)
-            for plan in plans
+        self.role_settings = {plan.name: plan for plan in role_settings}
+        places = [lease for plan in role_settings for lease in lease_names(plan.name, plan.slots)]
+        self.members = Membership(at.now, me, incarnation, seeds, swim_timing, random, places)
+        self.acceptor = Acceptor(at.boot, timing, voters, places)
+        self.roles = {
+            plan.name: SingletonRole(
+                plan.name, plan.slots, me.name, incarnation, timing, voters, random, plan.idle_seconds
+            )
+            for plan in role_settings
         }
-        self.wanted: set[str] = {plan.name for plan in plans if not plan.asked}
-        self.holding: dict[str, int] = {}  # the epochs of duties held, as far as it was told
-        self.changes: list[Change] = []
-        self.beats: list[Beat] = []  # of holders, for whoever follows them, and emptied there
-        self.next_look = at.now
-        self.leaving = False
-        self.pieces: list[Piece] = []
-        self.bodies = Bodies()
-        self.fetches: list[Fetch] = []  # bodies that are wanted, for whoever carries them, and emptied there
+        self.requested_roles: set[str] = {plan.name for plan in role_settings if not plan.on_request}
+        self.held_epochs: dict[str, int] = {}  # the epochs of duties held, as far as it was told
+        self.role_changes: list[RoleChange] = []
+        self.heartbeats: list[Heartbeat] = []  # of holders, for whoever follows them, and emptied there
+        self.next_candidacy = at.now
+        self.is_leaving = False
+        self.components: list[FleetComponent] = []
+        self.payloads = PayloadStore()
+        self.fetch_requests: list[
+            FetchRequest
+        ] = []  # bodies that are wanted, for whoever carries them, and emptied there
 
     @property
-    def voters(self) -> Voters:
-        return self.voter.voters
+    def voters(self) -> VoterSet:
+        return self.acceptor.voters
 
-    def votes(self) -> bool:
-        return not self.leaving and bool({*self.voters.all} & {*self.names(self.me)})
+    def is_voter(self) -> bool:
+        return not self.is_leaving and bool({*self.voters.names} & {*self.voter_names(self.me)})
 
-    def names(self, who: Who) -> tuple[str, str]:
+    def voter_names(self, who: MemberInfo) -> tuple[str, str]:
         """As which a member may be named among the voters: by its address, or by its number."""
-        return f"{who.host}:{who.port}", numbered(who.number)
+        return f"{who.host}:{who.port}", numbered_voter(who.number)
 
-    def _voter_at(self, name: str) -> Address | None:
+    def _voter_address(self, name: str) -> Address | None:
         if not name.startswith("#"):
             host, _, port = name.rpartition(":")
             return host, int(port)
-        if name == numbered(self.me.number):
+        if name == numbered_voter(self.me.number):
             return self.me.host, self.me.port
         # Whoever is suspected is asked too: one that hears nothing suspects all others, and is believed.
-        rows = [row for row in self.members.table.rows.values() if row.state != LEFT]
-        rows = [row for row in rows if row.who.tier == self.me.tier and numbered(row.who.number) == name]
-        return max(rows, key=lambda row: row.incarnation).place if rows else None
+        rows = [row for row in self.members.table.records.values() if row.state != LEFT]
+        rows = [
+            row
+            for row in rows
+            if row.member.tier == self.me.tier and numbered_voter(row.member.number) == name
+        ]
+        return max(rows, key=lambda row: row.incarnation).address if rows else None
 
     # Time
 
-    def wait(self, at: Instant) -> float:
+    def seconds_until_due(self, at: Instant) -> float:
         """Seconds until `tick` has something to do."""
-        duties = min((duty.due for duty in self.duties.values()), default=inf) - at.boot
-        pieces = min((piece.due for piece in self.pieces), default=inf) - at.now
-        return max(0.0, min(self.members.due - at.now, self.next_look - at.now, duties, pieces))
+        duties = min((duty.due for duty in self.roles.values()), default=inf) - at.boot
+        pieces = min((piece.due for piece in self.components), default=inf) - at.now
+        return max(0.0, min(self.members.due - at.now, self.next_candidacy - at.now, duties, pieces))
 
-    def tick(self, at: Instant) -> list[Out]:
-        if self.leaving:
+    def tick(self, at: Instant) -> list[Outgoing]:
+        if self.is_leaving:
             return []
-        out: list[Out] = list(self.members.tick(at.now))
-        if at.now >= self.next_look:
-            self.next_look = at.now + LOOK
-            out += self._line_up(at)
-        for duty in self.duties.values():
+        out: list[Outgoing] = list(self.members.tick(at.now))
+        if at.now >= self.next_candidacy:
+            self.next_candidacy = at.now + CANDIDACY_INTERVAL_SECONDS
+            out += self._update_candidacies(at)
+        for duty in self.roles.values():
             out += self.to_voters(duty.tick(at.boot))
-        for piece in self.pieces:
+        for piece in self.components:
             if at.now >= piece.due:
                 out += piece.tick(at)
-        self._settle(at)
+        self._report_role_changes(at)
         return out
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         """What came of a fetch: the whole body, or nothing."""
         if body is not None:
-            self.bodies.put(body)
-        out = [said for piece in self.pieces for said in piece.body(at, digest, body)]
-        self._settle(at)
+            self.payloads.put(body)
+        out = [said for piece in self.components for said in piece.receive_payload(at, digest, body)]
+        self._report_role_changes(at)
         return out
 
-    def hear(self, at: Instant, sender: str, address: Address, word: Any) -> list[Out]:
+    def receive(self, at: Instant, sender: str, address: Address, word: Any) -> list[Outgoing]:
         """A word whose sender is known to be one of the fleet."""
-        out: list[Out] = []
+        out: list[Outgoing] = []
         match word:
-            case Ask() | Claim() | Release():
-                if word.ballot.who == sender and self.votes():
-                    answer = self.voter.hear(at.boot, at.wall, word)
+            case Prepare() | Propose() | Release():
+                if word.proposal.proposer == sender and self.is_voter():
+                    answer = self.acceptor.receive(at.boot, at.wall, word)
                     out = [(address, answer)] if answer is not None else []
-            case Promise() | Grant() | Refusal():
-                out = self._answered(at, sender, word)
-            case Free():
-                if (duty := self._duty(word.lease)) is not None:
-                    duty.heard(word.lease, word.epoch)
-                    duty.free(at.boot, word.lease, word.next == self.me.name)
-            case Beat():
-                out = self._passed_on(word)
-            case Ping() | Ack() | Indirect() | Nack() | Join() | Known():
-                out = list(self.members.hear(at.now, sender, address, word))
+            case Promise() | Accepted() | Rejection():
+                out = self._on_acceptor_response(at, sender, word)
+            case LeaseReleased():
+                if (duty := self._role_of_lease(word.lease)) is not None:
+                    duty.note_epoch(word.lease, word.epoch)
+                    duty.note_released(at.boot, word.lease, word.next_holder == self.me.name)
+            case Heartbeat():
+                out = self._on_heartbeat(word)
+            case Ping() | Ack() | PingRequest() | Nack() | SyncRequest() | SyncResponse():
+                out = list(self.members.receive(at.now, sender, address, word))
             case _:
-                for piece in self.pieces:
-                    if isinstance(word, piece.hears):
-                        out += piece.hear(at, sender, address, word)
-        for news in self.members.fresh:
-            if (duty := self._duty(news.key)) is not None:
-                duty.heard(news.key, news.version)
-        self.members.fresh.clear()
-        self._settle(at)
+                for piece in self.components:
+                    if isinstance(word, piece.message_types):
+                        out += piece.receive(at, sender, address, word)
+        for news in self.members.new_facts:
+            if (duty := self._role_of_lease(news.key)) is not None:
+                duty.note_epoch(news.key, news.version)
+        self.members.new_facts.clear()
+        self._report_role_changes(at)
         return out
 
-    def _duty(self, lease: str) -> Duty | None:
+    def _role_of_lease(self, lease: str) -> SingletonRole | None:
         """The duty that a place is of."""
-        return self.duties.get(lease.partition("/")[0])
+        return self.roles.get(lease.partition("/")[0])
 
-    def _answered(self, at: Instant, sender: str, word: FromVoter) -> list[Out]:
-        duty = self._duty(word.lease)
-        if duty is None or word.ballot[1:] != (self.me.name, self.start):
+    def _on_acceptor_response(self, at: Instant, sender: str, word: AcceptorResponse) -> list[Outgoing]:
+        duty = self._role_of_lease(word.lease)
+        if duty is None or word.proposal[1:] != (self.me.name, self.incarnation):
             return []
-        for name in self.names_of(sender):
-            if name in self.voters.all:
-                return self.to_voters(duty.hear(at.boot, name, word))
+        for name in self.voter_names_of_sender(sender):
+            if name in self.voters.names:
+                return self.to_voters(duty.receive(at.boot, name, word))
         return []
 
-    def names_of(self, sender: str) -> tuple[str, ...]:
+    def voter_names_of_sender(self, sender: str) -> tuple[str, ...]:
         """As which a sender may be named among the voters; (): it is not known yet, and is asked again."""
         if sender == self.me.name:
-            return self.names(self.me)
-        row = self.members.table.rows.get(sender)
-        return self.names(row.who) if row is not None else ()
+            return self.voter_names(self.me)
+        row = self.members.table.records.get(sender)
+        return self.voter_names(row.member) if row is not None else ()
 
-    def spread(self, word: Any, among: Collection[str] | None = None) -> list[Out]:
+    def broadcast(self, word: Any, audience: Collection[str] | None = None) -> list[Outgoing]:
         """Tell all of the tier a word that has a `to`, by some who tell some others: two steps, and nobody
         has many to tell. Who tells whom is drawn anew each time, so that one who is stopped keeps nobody in
         the dark for long. `among`: only those.
         """
-        others = [who.name for who in self.members.alive() if who.name != self.me.name]
-        others = [name for name in others if among is None or name in among]
+        others = [who.name for who in self.members.alive_members() if who.name != self.me.name]
+        others = [name for name in others if audience is None or name in audience]
         self.random.shuffle(others)
         branches = isqrt(len(others)) or 1
-        out: list[Out] = []
+        out: list[Outgoing] = []
         for number in range(min(branches, len(others))):
             first, *rest = others[number::branches]
-            out += self._to(first, structs.replace(word, to=tuple(rest)))
+            out += self._to_member(first, structs.replace(word, to=tuple(rest)))
         return out
 
-    def pass_on(self, word: Any) -> list[Out]:
+    def relay(self, word: Any) -> list[Outgoing]:
         """What whoever hears such a word owes to those named in it."""
         plain = structs.replace(word, to=())
-        return [said for name in word.to[:PASS] for said in self._to(name, plain)]
+        return [said for name in word.to[:MAX_RELAY_TARGETS] for said in self._to_member(name, plain)]
 
-    def _passed_on(self, beat: Beat) -> list[Out]:
-        self.beats.append(structs.replace(beat, to=()))
-        return self.pass_on(beat)
+    def _on_heartbeat(self, beat: Heartbeat) -> list[Outgoing]:
+        self.heartbeats.append(structs.replace(beat, to=()))
+        return self.relay(beat)
 
-    def _to(self, name: str, word: Any) -> list[Out]:
+    def _to_member(self, name: str, word: Any) -> list[Outgoing]:
         where = self.members.address(name)
         return [(where, word)] if where is not None else []
 
-    def to_voters(self, said: Sequence[tuple[str, Any]]) -> list[Out]:
+    def to_voters(self, requests: Sequence[tuple[str, Any]]) -> list[Outgoing]:
         """What voters are told, with where they are. Its own vote takes the same way as all."""
-        out: list[Out] = []
-        for name, word in said:
-            where = self._voter_at(name)
+        out: list[Outgoing] = []
+        for name, word in requests:
+            where = self._voter_address(name)
             if where is not None:
                 out.append((where, word))
         return out
 
     # The line
 
-    def _line_up(self, at: Instant) -> list[Out]:
-        out: list[Out] = []
-        for name, duty in self.duties.items():
+    def _update_candidacies(self, at: Instant) -> list[Outgoing]:
+        out: list[Outgoing] = []
+        for name, duty in self.roles.items():
             rank: int | None = None
-            if name in self.wanted:
-                if self.plans[name].asked:
+            if name in self.requested_roles:
+                if self.role_settings[name].on_request:
                     rank = 0
-                elif not self.plans[name].voters or self.votes():  # else it is in no such line
-                    names = [who.name for who in self.line(name)]
-                    place = names.index(self.me.name) if self.me.name in names else LINE
-                    rank = place if place < LINE or duty.held is not None else None
-            out += self.to_voters(duty.in_line(at.boot, rank))
+                elif (
+                    not self.role_settings[name].voters_only or self.is_voter()
+                ):  # else it is in no such line
+                    names = [who.name for who in self.candidates(name)]
+                    place = names.index(self.me.name) if self.me.name in names else MAX_CANDIDATES
+                    rank = place if place < MAX_CANDIDATES or duty.held_lease is not None else None
+            out += self.to_voters(duty.set_rank(at.boot, rank))
         return out
 
-    def line(self, name: str) -> list[Who]:
+    def candidates(self, name: str) -> list[MemberInfo]:
         """Who would hold a duty, the first first: by number, those near the last holder before others."""
-        alive = self.members.alive()
-        if self.plans[name].voters:
-            voters = {*self.voters.all}
-            alive = [who for who in alive if not voters.isdisjoint(self.names(who))]
-        if not self.plans[name].near:
+        alive = self.members.alive_members()
+        if self.role_settings[name].voters_only:
+            voters = {*self.voters.names}
+            alive = [who for who in alive if not voters.isdisjoint(self.voter_names(who))]
+        if not self.role_settings[name].prefers_zone:
             return alive
-        zone = next((who.zone for who in alive if who.name == self.holder(name)[0]), "")
+        zone = next((who.zone for who in alive if who.name == self.last_known_holder(name)[0]), "")
         return sorted(alive, key=lambda who: (who.zone != zone, who.number, who.name))
 
-    def holder(self, name: str, place: int = 0) -> tuple[str, int]:
+    def last_known_holder(self, name: str, slot: int = 0) -> tuple[str, int]:
         """Who holds or last held a place, by what was heard, and in which epoch."""
-        news = self.members.board.held.get(f"{name}/{place}")
+        news = self.members.facts.facts.get(f"{name}/{slot}")
         return (news.value, news.version) if news is not None else ("", 0)
 
-    def _settle(self, at: Instant) -> None:
+    def _report_role_changes(self, at: Instant) -> None:
         """Tell of what it has come to hold, or holds no more."""
-        for name, duty in self.duties.items():
-            epoch = duty.act(at.boot)
-            was = self.holding.get(name)
+        for name, duty in self.roles.items():
+            epoch = duty.epoch_to_act(at.boot)
+            was = self.held_epochs.get(name)
             if epoch == was:
                 continue
             if was is not None:
-                del self.holding[name]
-                self.changes.append(Change(name, was, "over"))
-            if epoch is not None and duty.held is not None:
-                self.holding[name] = epoch
-                self.changes.append(Change(name, epoch))
-                self.members.tell(News(duty.held.lease, epoch, self.me.name))
+                del self.held_epochs[name]
+                self.role_changes.append(RoleChange(name, was, "over"))
+            if epoch is not None and duty.held_lease is not None:
+                self.held_epochs[name] = epoch
+                self.role_changes.append(RoleChange(name, epoch))
+                self.members.publish(Fact(duty.held_lease.lease, epoch, self.me.name))
 
     # What it is told
 
-    def want(self, at: Instant, name: str, wanted: bool) -> list[Out]:
+    def request_role(self, at: Instant, name: str, is_requested: bool) -> list[Outgoing]:
         """Stand in line for a duty that only those told do, or leave the line."""
-        if wanted:
-            self.wanted.add(name)
-            out = self.to_voters(self.duties[name].in_line(at.boot, 0))
-            self._settle(at)
+        if is_requested:
+            self.requested_roles.add(name)
+            out = self.to_voters(self.roles[name].set_rank(at.boot, 0))
+            self._report_role_changes(at)
             return out
-        self.wanted.discard(name)
-        return self.release(at, name, 0.0)
+        self.requested_roles.discard(name)
+        return self.release_role(at, name, 0.0)
 
-    def release(self, at: Instant, name: str, keep_out: float = 1.0) -> list[Out]:
+    def release_role(self, at: Instant, name: str, exclusion_leases: float = 1.0) -> list[Outgoing]:
         """Give a duty back; the next in line hears of it. Keep out of the line for so many terms."""
-        duty = self.duties[name]
-        held = duty.held
-        out = self.to_voters(duty.give_back(at.boot, keep_out * self.terms.term))
-        self._settle(at)
+        duty = self.roles[name]
+        held = duty.held_lease
+        out = self.to_voters(duty.step_down(at.boot, exclusion_leases * self.timing.lease_seconds))
+        self._report_role_changes(at)
         if held is None:
             return out
-        others = [who for who in self.line(name) if who.name != self.me.name][:LINE]
+        others = [who for who in self.candidates(name) if who.name != self.me.name][:MAX_CANDIDATES]
         for who in others:
-            out.append(((who.host, who.port), Free(held.lease, held.epoch, others[0].name)))
+            out.append(((who.host, who.port), LeaseReleased(held.lease, held.epoch, others[0].name)))
         return out
 
-    def vote_by(self, at: Instant, voters: Voters) -> tuple[str, list[Out]]:
+    def change_voters(self, at: Instant, voters: VoterSet) -> tuple[str, list[Outgoing]]:
         """Go by other voters; why not, if it does not."""
-        others = {row.who.votes for row in self.members.table.rows.values() if row.here}
-        if why := self.voter.change(at.boot, voters, voters.digest in others):
+        others = {row.member.voters_digest for row in self.members.table.records.values() if row.is_present}
+        if why := self.acceptor.change_voters(at.boot, voters, voters.digest in others):
             return why, []
-        out: list[Out] = []
-        for duty in self.duties.values():
-            out += self.to_voters(duty.vote_by(at.boot, voters))
-        self.me = self.me._replace(votes=voters.digest)
-        self.members.renamed(self.me)
-        self._settle(at)
+        out: list[Outgoing] = []
+        for duty in self.roles.values():
+            out += self.to_voters(duty.change_voters(at.boot, voters))
+        self.me = self.me._replace(voters_digest=voters.digest)
+        self.members.update_identity(self.me)
+        self._report_role_changes(at)
         return "", out
 
-    def leave(self, at: Instant) -> list[Out]:
+    def leave(self, at: Instant) -> list[Outgoing]:
         """Give all back, and say that it leaves."""
-        out: list[Out] = []
-        for name, plan in self.plans.items():
-            if not plan.asked:  # else it is kept while this one is away, as long as the term lasts
-                out += self.release(at, name)
-        self.leaving = True
+        out: list[Outgoing] = []
+        for name, plan in self.role_settings.items():
+            if not plan.on_request:  # else it is kept while this one is away, as long as the term lasts
+                out += self.release_role(at, name)
+        self.is_leaving = True
         return out + list(self.members.leave(at.now))
--- a/wheatring/lease/terms.py
+++ b/wheatring/lease/timing.py
@@ -11,35 +11,35 @@
 from typing import NamedTuple
 
 
-class Terms(NamedTuple):
-    term: float = 3.0
-    rate: float = 0.01
+class LeaseTiming(NamedTuple):
+    lease_seconds: float = 3.0
+    max_clock_drift: float = 0.01
 
     @property
-    def hold(self) -> float:
+    def holder_seconds(self) -> float:
         """What a holder counts on, from before it asked or claimed."""
-        return self.term * (1 - self.rate) / (1 + self.rate)
+        return self.lease_seconds * (1 - self.max_clock_drift) / (1 + self.max_clock_drift)
 
     @property
-    def abstain(self) -> float:
+    def abstain_seconds(self) -> float:
         """For how long a voter that starts grants nothing: whatever it has forgotten is over by then. A
         round, from the first word to the term's end, lasts `hold` on the claimant's clock at most.
         """
-        return self.term
+        return self.lease_seconds
 
     @property
-    def renew(self) -> float:
+    def renew_seconds(self) -> float:
         """From the last round's begin to the next. A holder that is heard and hears nothing keeps the others
         waiting for this long and a term.
         """
-        return self.hold / 4
+        return self.holder_seconds / 4
 
     @property
-    def again(self) -> float:
+    def retransmit_seconds(self) -> float:
         """Until a word that was not answered is said again; and from one rank in the line to the next."""
-        return self.term / 30
+        return self.lease_seconds / 30
 
     @property
-    def patience(self) -> float:
+    def round_timeout_seconds(self) -> float:
         """With one round of asking or claiming."""
-        return self.term / 5
+        return self.lease_seconds / 5
--- a/wheatring/lease/voters.py
+++ b/wheatring/lease/voters.py
@@ -13,43 +13,43 @@
 from typing import NamedTuple
 
 
-def numbered(number: int) -> str:
+def numbered_voter(number: int) -> str:
     """The name of a voter that is told by its number."""
     return f"#{number}"
 
 
-def first(count: int) -> tuple[str, ...]:
+def first_voters(count: int) -> tuple[str, ...]:
     """The names of so many voters of the lowest numbers."""
-    return tuple(numbered(number) for number in range(count))
+    return tuple(numbered_voter(number) for number in range(count))
 
 
-class Voters(NamedTuple):
+class VoterSet(NamedTuple):
     """Names of voters: `now`, and where they are being changed also `then`."""
 
-    now: tuple[str, ...]
-    then: tuple[str, ...] = ()
+    current: tuple[str, ...]
+    next: tuple[str, ...] = ()
 
     @property
-    def all(self) -> list[str]:
-        return sorted({*self.now, *self.then})
+    def names(self) -> list[str]:
+        return sorted({*self.current, *self.next})
 
     @property
     def digest(self) -> int:
         """The same for the same names, in whatever order; never 0."""
-        text = "\n".join([*sorted(self.now), "", *sorted(self.then)])
+        text = "\n".join([*sorted(self.current), "", *sorted(self.next)])
         return 1 + int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
 
-    def enough(self, names: Collection[str]) -> bool:
+    def has_majority(self, names: Collection[str]) -> bool:
         """A majority of each."""
-        return all(2 * len({*part} & {*names}) > len(part) for part in (self.now, self.then) if part)
+        return all(2 * len({*part} & {*names}) > len(part) for part in (self.current, self.next) if part)
 
-    def unsafe(self, other: Voters, in_force: int) -> str:
+    def objection_to(self, other: VoterSet, in_force: int) -> str:
         """Why one who goes by these may not go by others; "": it may."""
-        if {*other.now} == {*self.now} and not self.then:
+        if {*other.current} == {*self.current} and not self.next:
             return ""  # the first step
-        if self.then and {*other.now} == {*self.now} and not other.then:
+        if self.next and {*other.current} == {*self.current} and not other.next:
             return ""  # back from it: both took a majority of these
-        if self.then and {*other.now} == {*self.then} and not other.then:
+        if self.next and {*other.current} == {*self.next} and not other.next:
             if in_force == self.digest:
                 return ""
             return "no term has been seen yet that both the old and the new voters granted"
--- a/wheatring/members/health.py
+++ b/wheatring/members/local_health.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-WORST = 8
+MAX_SCORE = 8
 
 
-class Health:
+class LocalHealth:
     """0 is well. Probes take and give `score + 1` times as long."""
 
     def __init__(self) -> None:
         self.score = 0
 
-    def worse(self) -> None:
-        self.score = min(WORST, self.score + 1)
+    def degrade(self) -> None:
+        self.score = min(MAX_SCORE, self.score + 1)
 
-    def better(self) -> None:
+    def recover(self) -> None:
         self.score = max(0, self.score - 1)
 
     def scaled(self, seconds: float) -> float:
--- a/wheatring/members/words.py
+++ b/wheatring/members/messages.py
@@ -10,7 +10,7 @@
 STATES = ("alive", "suspect", "dead", "left")
 
 
-class Who(NamedTuple):
+class MemberInfo(NamedTuple):
     """One sidecar, as it says of itself. `number` of its tier; `votes` is the digest of its voters' names."""
 
     name: str
@@ -19,26 +19,26 @@
     number: int = 0
     tier: int = 0
     zone: str = ""
-    votes: int = 0
+    voters_digest: int = 0
 
 
-class Rumour(NamedTuple):
+class MemberUpdate(NamedTuple):
     """What is said of a member. A higher incarnation, which only the member itself makes, overrules a lower
     one; of the same, left and dead overrule suspect, and suspect alive.
     """
 
-    who: Who
+    member: MemberInfo
     incarnation: int
     state: int = ALIVE
     source: str = ""  # suspect: who says so
 
     @property
-    def size(self) -> int:
+    def encoded_bytes(self) -> int:
         """Bytes that it takes, reckoned high."""
-        return 40 + len(self.who.name) + len(self.who.host) + len(self.who.zone) + len(self.source)
+        return 40 + len(self.member.name) + len(self.member.host) + len(self.member.zone) + len(self.source)
 
 
-class News(NamedTuple):
+class Fact(NamedTuple):
     """A small fact that all are to know. Of one key the highest version holds."""
 
     key: str
@@ -46,92 +46,92 @@
     value: str
 
     @property
-    def size(self) -> int:
+    def encoded_bytes(self) -> int:
         return 12 + len(self.key) + len(self.value)
 
 
-class Word(Struct, frozen=True, array_like=True, tag_field="w"):
+class GossipMessage(Struct, frozen=True, array_like=True, tag_field="w"):
     seq: int
-    rumours: tuple[Rumour, ...] = ()
-    news: tuple[News, ...] = ()
+    updates: tuple[MemberUpdate, ...] = ()
+    facts: tuple[Fact, ...] = ()
 
 
-class Ping(Word, frozen=True, tag="ping"):
+class Ping(GossipMessage, frozen=True, tag="ping"):
     pass
 
 
-class Ack(Word, frozen=True, tag="ack"):
+class Ack(GossipMessage, frozen=True, tag="ack"):
     pass
 
 
-class Indirect(Word, frozen=True, tag="indirect"):
+class PingRequest(GossipMessage, frozen=True, tag="indirect"):
     """Ping that one for me, and tell me: an ack if it answers, a nack if it does not in good time."""
 
     target: str = ""
 
 
-class Nack(Word, frozen=True, tag="nack"):
+class Nack(GossipMessage, frozen=True, tag="nack"):
     pass
 
 
-class Join(Word, frozen=True, tag="join"):
+class SyncRequest(GossipMessage, frozen=True, tag="join"):
     """Tell me all that you know. Whoever joins says this, and members to each other from time to time."""
 
 
-class Known(Word, frozen=True, tag="known"):
+class SyncResponse(GossipMessage, frozen=True, tag="known"):
     """A part of the answer to it."""
 
 
-MemberWord = Ping | Ack | Indirect | Nack | Join | Known
+SwimMessage = Ping | Ack | PingRequest | Nack | SyncRequest | SyncResponse
 
 
 # The view: agreed, numbered, the same for all. See docs/design/fleet-agrees.md.
 
 
-class Placed(NamedTuple):
+class ViewMember(NamedTuple):
     """A member of a view. `start` tells its process from earlier ones of its name."""
 
-    who: Who
-    start: int
+    member: MemberInfo
+    incarnation: int
 
 
-class Stamp(NamedTuple):
+class LeaderStamp(NamedTuple):
     """Minted by a leader: of which epoch, the how-manieth, and by which entries it stood then."""
 
     epoch: int
-    seq: int
+    sequence: int
     view: int = 0
     plan: int = 0
 
 
-class Look(Word, frozen=True, tag="look"):
+class HealthCheck(GossipMessage, frozen=True, tag="look"):
     """Are you there? `view`: the number of the view in which whoever says a word stands; 0: in none. `hurry`:
     somebody is missed, look at your own subjects now.
     """
 
     view: int = 0
-    hurry: bool = False
+    check_early: bool = False
 
 
-class Here(Word, frozen=True, tag="here"):
+class HealthCheckResponse(GossipMessage, frozen=True, tag="here"):
     """I am. The newest stamp that I know, and how old it is at most, seconds."""
 
     view: int = 0
-    stamp: Stamp = Stamp(0, 0)
-    age: float = 0.0
+    stamp: LeaderStamp = LeaderStamp(0, 0)
+    age_seconds: float = 0.0
 
 
-class ViewWord(Struct, frozen=True, array_like=True, tag_field="w"):
+class ViewMessageBase(Struct, frozen=True, array_like=True, tag_field="w"):
     view: int
 
 
-class Miss(ViewWord, frozen=True, tag="miss"):
+class MissedCheck(ViewMessageBase, frozen=True, tag="miss"):
     """To the others that watch it: that one does not answer me; look at it now."""
 
     name: str
 
 
-class Report(ViewWord, frozen=True, tag="report"):
+class SilenceReport(ViewMessageBase, frozen=True, tag="report"):
     """To the voters: all of my subjects that do not answer me, and for how long, seconds. My own name: I
     leave.
     """
@@ -139,31 +139,40 @@
     silent: tuple[tuple[str, float], ...] = ()
 
 
-class Knock(ViewWord, frozen=True, tag="knock"):
+class JoinRequest(ViewMessageBase, frozen=True, tag="knock"):
     """To the voters: let me in."""
 
-    me: Placed
+    member: ViewMember
 
 
-class Wait(ViewWord, frozen=True, tag="wait"):
+class JoinDeferred(ViewMessageBase, frozen=True, tag="wait"):
     """From the leader, to one that knocked: not yet, and why."""
 
-    left: float
-    why: str
+    retry_after_seconds: float
+    reason: str
 
 
-class Doubt(ViewWord, frozen=True, tag="doubt"):
+class IndirectCheckRequest(ViewMessageBase, frozen=True, tag="doubt"):
     """From the leader: look whether you reach these, before they go."""
 
     seq: int
     names: tuple[str, ...]
 
 
-class Reached(ViewWord, frozen=True, tag="reached"):
+class IndirectCheckResult(ViewMessageBase, frozen=True, tag="reached"):
     """I have been answered by these."""
 
     seq: int
     names: tuple[str, ...]
 
 
-AnyViewWord = Look | Here | Miss | Report | Knock | Wait | Doubt | Reached
+ViewMessage = (
+    HealthCheck
+    | HealthCheckResponse
+    | MissedCheck
+    | SilenceReport
+    | JoinRequest
+    | JoinDeferred
+    | IndirectCheckRequest
+    | IndirectCheckResult
+)
--- a/wheatring/members/view.py
+++ b/wheatring/members/view.py
@@ -14,26 +14,26 @@
 
 import msgspec
 
-from wheatring.members.words import Placed
+from wheatring.members.messages import ViewMember
 
-RINGS = 6
+RING_COUNT = 6
 
 
-class Change(msgspec.Struct, frozen=True, array_like=True):
+class ViewChange(msgspec.Struct, frozen=True, array_like=True):
     """What makes a view of the one before: the body of an entry of the register `view`. `before` and `after`
     are the digests of the members' lists.
     """
 
     before: bytes
     after: bytes
-    came: tuple[Placed, ...] = ()
-    went: tuple[str, ...] = ()
-    why: str = ""
+    added: tuple[ViewMember, ...] = ()
+    removed: tuple[str, ...] = ()
+    reason: str = ""
 
 
 _encoder = msgspec.msgpack.Encoder()
-_change: msgspec.msgpack.Decoder[Change] = msgspec.msgpack.Decoder(Change)
-_members: msgspec.msgpack.Decoder[tuple[Placed, ...]] = msgspec.msgpack.Decoder(tuple[Placed, ...])
+_change: msgspec.msgpack.Decoder[ViewChange] = msgspec.msgpack.Decoder(ViewChange)
+_members: msgspec.msgpack.Decoder[tuple[ViewMember, ...]] = msgspec.msgpack.Decoder(tuple[ViewMember, ...])
 
 
 @dataclass(frozen=True)
@@ -42,52 +42,54 @@
 
     number: int = 0
     epoch: int = 0
-    members: tuple[Placed, ...] = ()
+    members: tuple[ViewMember, ...] = ()
 
     @cached_property
-    def body(self) -> bytes:
+    def payload(self) -> bytes:
         """The members, as the body that a change's digests are of."""
         return _encoder.encode(self.members)
 
     @cached_property
-    def _by_name(self) -> dict[str, Placed]:
-        return {placed.who.name: placed for placed in self.members}
+    def _by_name(self) -> dict[str, ViewMember]:
+        return {placed.member.name: placed for placed in self.members}
 
     @cached_property
     def names(self) -> frozenset[str]:
         return frozenset(self._by_name)
 
-    def of(self, name: str) -> Placed | None:
+    def member(self, name: str) -> ViewMember | None:
         return self._by_name.get(name)
 
-    def after(self, number: int, epoch: int, came: Iterable[Placed], went: Iterable[str]) -> View:
-        gone = {*went}
+    def with_changes(
+        self, number: int, epoch: int, added: Iterable[ViewMember], removed: Iterable[str]
+    ) -> View:
+        gone = {*removed}
         left = {name: placed for name, placed in self._by_name.items() if name not in gone}
-        left.update((placed.who.name, placed) for placed in came)
+        left.update((placed.member.name, placed) for placed in added)
         return View(number, epoch, tuple(left[name] for name in sorted(left)))
 
 
-def change_body(change: Change) -> bytes:
+def encode_change(change: ViewChange) -> bytes:
     return _encoder.encode(change)
 
 
-def change_of(body: bytes) -> Change | None:
+def decode_change(payload: bytes) -> ViewChange | None:
     """None: it is none."""
     try:
-        return _change.decode(body)
+        return _change.decode(payload)
     except msgspec.DecodeError:
         return None
 
 
-def members_of(body: bytes) -> tuple[Placed, ...] | None:
+def decode_members(payload: bytes) -> tuple[ViewMember, ...] | None:
     try:
-        return _members.decode(body)
+        return _members.decode(payload)
     except msgspec.DecodeError:
         return None
 
 
-@lru_cache(maxsize=RINGS * 8192)
-def _place(ring: int, name: str) -> bytes:
+@lru_cache(maxsize=RING_COUNT * 8192)
+def _ring_position(ring: int, name: str) -> bytes:
     return blake2b(name.encode(), digest_size=8, salt=bytes([ring])).digest()
 
 
@@ -95,18 +97,18 @@
     """Who watches whom in one view."""
 
     def __init__(self, names: Iterable[str]) -> None:
-        self.watched: dict[str, list[str]] = {}  # by whom: its subjects,
-        self.watching: dict[str, list[str]] = {}  # and of whom: its observers
+        self.subjects_by_observer: dict[str, list[str]] = {}  # by whom: its subjects,
+        self.observers_by_subject: dict[str, list[str]] = {}  # and of whom: its observers
         all_ = sorted(names)
-        for ring in range(RINGS):
-            order = sorted(all_, key=lambda name: _place(ring, name))
+        for ring in range(RING_COUNT):
+            order = sorted(all_, key=lambda name: _ring_position(ring, name))
             for name, other in zip(order, order[1:] + order[:1], strict=True):
-                if name != other and other not in self.watched.setdefault(name, []):
-                    self.watched[name].append(other)
-                    self.watching.setdefault(other, []).append(name)
+                if name != other and other not in self.subjects_by_observer.setdefault(name, []):
+                    self.subjects_by_observer[name].append(other)
+                    self.observers_by_subject.setdefault(other, []).append(name)
 
     def subjects(self, name: str) -> list[str]:
-        return self.watched.get(name, [])
+        return self.subjects_by_observer.get(name, [])
 
     def observers(self, name: str) -> list[str]:
-        return self.watching.get(name, [])
+        return self.observers_by_subject.get(name, [])
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -7,19 +7,19 @@
 
 from typing import TYPE_CHECKING, Any
 
-from wheatring.lease.fleet import AnyWord, DutyPlan, Fleet, Instant, Out, Piece
-from wheatring.lease.register import LEAD
-from wheatring.lease.views import Views
-from wheatring.lease.words import RegisterWord
-from wheatring.members.words import AnyViewWord
+from wheatring.lease.fleet import Fleet, FleetComponent, FleetMessage, Instant, Outgoing, RoleSettings
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import RegisterMessage
+from wheatring.lease.replicated_register import LEADER_ROLE
+from wheatring.members.messages import ViewMessage
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.status_values import shown_age
 
 if TYPE_CHECKING:  # what belongs to plans is imported with them
     from wheatring.peers.plan_coordinator import PlanCoordinator
 
-LEADER_DUTY = DutyPlan(LEAD, voters=True)
-VIEW_MESSAGES: Any = AnyWord | RegisterWord | AnyViewWord
+LEADER_DUTY = RoleSettings(LEADER_ROLE, voters_only=True)
+VIEW_MESSAGES: Any = FleetMessage | RegisterMessage | ViewMessage
 UNREACHED_SECONDS = 3.0  # without an answer, after which a watched member is listed as not answering
 
 
@@ -39,44 +39,47 @@
     """
 
     def __init__(self, at: Instant, fleet: Fleet, plan: PlanOptions | None = None) -> None:
-        self.views = Views(at, fleet)
+        self.views = MembershipViews(at, fleet)
         self.plan: PlanCoordinator | None = None
         if plan is not None:
             from wheatring.peers.plan_coordinator import PlanCoordinator
 
             self.plan = PlanCoordinator(at, fleet, self.views, plan)
-        fleet.pieces += self.deciders
+        fleet.components += self.deciders
 
     @property
-    def deciders(self) -> list[Piece]:
+    def deciders(self) -> list[FleetComponent]:
         """The deciders, in the order in which they receive events."""
         of_plan = [] if self.plan is None else self.plan.deciders
         return [self.views, self.views.register, *of_plan]
 
-    def leave(self, at: Instant) -> list[Out]:
+    def leave(self, at: Instant) -> list[Outgoing]:
         """Announce that this sidecar leaves the view."""
         return self.views.leave(at)
 
     def status(self, now: float) -> dict[str, Any]:
         """Describe the view for `GET /control/duties`."""
         views = self.views
-        age, wait = views.age(now), views.told_wait
+        age, wait = views.stamp_age_seconds(now), views.join_deferral
         return {
             "number": views.view.number,
             "epoch": views.view.epoch,
             "members": len(views.view.members),
             "names": sorted(views.view.names),
-            "inside": views.inside,
-            "sure": views.sure(now),
+            "inside": views.is_member,
+            "sure": views.is_current(now),
             "age_s": shown_age(age),
-            "for_s": round(now - views.since, 1),
-            "moved": views.moved,
-            "leads": views.register.ready,
-            "side": views.side(now),
-            "waits": None if wait is None or views.inside else [round(wait.left, 1), wait.why],
+            "for_s": round(now - views.changed_at, 1),
+            "moved": views.change_count,
+            "leads": views.register.is_ready,
+            "side": views.isolation(now),
+            "waits": None
+            if wait is None or views.is_member
+            else [round(wait.retry_after_seconds, 1), wait.reason],
             "deaf": sorted(
                 name
-                for name, subject in views.watch.subjects.items()
-                if subject.looks > 2 and now - views.sides.get(name, -1e9) < UNREACHED_SECONDS
+                for name, subject in views.monitor.subjects.items()
+                if subject.missed_checks > 2
+                and now - views.last_heard_from.get(name, -1e9) < UNREACHED_SECONDS
             ),
         }
--- a/wheatring/peers/assembly.py
+++ b/wheatring/peers/assembly.py
@@ -11,10 +11,10 @@
 from wheatring.balancer.interface import View
 from wheatring.config import file
 from wheatring.core.clock import Clock
-from wheatring.lease.fleet import DutyPlan
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters, first
-from wheatring.members.words import Who
+from wheatring.lease.fleet import RoleSettings
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet, first_voters
+from wheatring.members.messages import MemberInfo
 from wheatring.peers.duty_workers import DutyWorker, HttpDutyWorker, PassiveWorker
 from wheatring.peers.fleet_runtime import FleetRuntime
 from wheatring.peers.list_sharing import ListSharing
@@ -69,7 +69,7 @@
     voters = voters_of(fleet)
     own_address = address.parse(fleet.address or fleet.listen)
     duties = [
-        DutyPlan(name, duty.places, duty.near, duty.idle or inf, asked=duty.work == "turns")
+        RoleSettings(name, duty.places, duty.near, duty.idle or inf, on_request=duty.work == "turns")
         for name, duty in configuration.duty.items()
     ]
     if fleet.view:
@@ -79,12 +79,12 @@
     plan = None if configuration.plan is None else plan_options(configuration.plan, set_weights)
     return FleetOptions(
         fleet=fleet.name,
-        me=Who(platform.name, *own_address, platform.settings.number, 0, fleet.zone, voters.digest),
+        me=MemberInfo(platform.name, *own_address, platform.settings.number, 0, fleet.zone, voters.digest),
         listen=address.parse(fleet.listen),
         seeds=[address.parse(seed) for seed in fleet.seeds],
         voters=voters,
         duties=duties,
-        terms=Terms(fleet.term),
+        terms=LeaseTiming(fleet.term),
         keys=file.keys(fleet.key_file),
         view=fleet.view,
         plan=plan,
@@ -111,12 +111,12 @@
     return HttpDutyWorker(reactor, clock, runtime, name, address.parse(duty.call), duty.path, duty.every)
 
 
-def voters_of(fleet: file.FleetTable) -> Voters:
+def voters_of(fleet: file.FleetTable) -> VoterSet:
     """Read the voters, and those of a change under way, from the file's table."""
 
     def names(value: int | list[str] | None) -> tuple[str, ...]:
         if isinstance(value, int):
-            return first(value)
+            return first_voters(value)
         return tuple(value or ())
 
-    return Voters(names(fleet.voters), names(fleet.voters_next))
+    return VoterSet(names(fleet.voters), names(fleet.voters_next))
--- a/wheatring/peers/body_transfer.py
+++ b/wheatring/peers/body_transfer.py
@@ -22,7 +22,7 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.lease.bodies import LARGEST, Fetch, digest
+from wheatring.lease.payloads import MAX_PAYLOAD_BYTES, FetchRequest, digest
 from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES, DatagramCodec
 from wheatring.peers.exceptions import DatagramRejectedError
 
@@ -91,7 +91,7 @@
 class _BodyRequester(_BodyConnection):
     """The connecting end: writes one request, reads one reply."""
 
-    def __init__(self, transfers: BodyTransfers, fetch: Fetch) -> None:
+    def __init__(self, transfers: BodyTransfers, fetch: FetchRequest) -> None:
         super().__init__(transfers)
         self.fetch = fetch
         self.body: bytes | None = None
@@ -106,7 +106,7 @@
         if len(self.buffer) < _REPLY_HEAD.size:
             return
         has_body, length = _REPLY_HEAD.unpack_from(self.buffer)
-        if not has_body or length > LARGEST or len(self.buffer) > _REPLY_HEAD.size + length:
+        if not has_body or length > MAX_PAYLOAD_BYTES or len(self.buffer) > _REPLY_HEAD.size + length:
             self.transport.abortConnection()
         elif len(self.buffer) == _REPLY_HEAD.size + length:
             body = bytes(self.buffer[_REPLY_HEAD.size :])
@@ -146,8 +146,8 @@
         self.body_of = body_of
         self.on_fetched = on_fetched
         self.senders: set[_BodySender] = set()
-        self.fetching: dict[bytes, Fetch] = {}  # by digest
-        self.queued: dict[bytes, Fetch] = {}  # by digest, in the order in which they came
+        self.fetching: dict[bytes, FetchRequest] = {}  # by digest
+        self.queued: dict[bytes, FetchRequest] = {}  # by digest, in the order in which they came
         self.port: Any = None
         self.host = ""
         self.is_closed = False
@@ -173,7 +173,7 @@
         self.sent_bytes += len(body or b"")
         return body
 
-    def fetch(self, fetch: Fetch) -> None:
+    def fetch(self, fetch: FetchRequest) -> None:
         """Fetch a body, now or once a connection is free; a fetch under way is not started twice."""
         if self.is_closed or fetch.digest in self.fetching or fetch.digest in self.queued:
             return
@@ -188,7 +188,7 @@
         connected: Deferred[Any] = connectProtocol(endpoint, _BodyRequester(self, fetch))  # type: ignore[no-untyped-call]
         connected.addErrback(lambda _: self.finish(fetch, None))
 
-    def finish(self, fetch: Fetch, body: bytes | None) -> None:
+    def finish(self, fetch: FetchRequest, body: bytes | None) -> None:
         """Report what a fetch brought, and start the next one queued."""
         if self.fetching.pop(fetch.digest, None) is None or self.is_closed:
             return
--- a/wheatring/peers/change_log.py
+++ b/wheatring/peers/change_log.py
@@ -6,10 +6,10 @@
 
 from wheatring import log
 from wheatring.lease.fleet import Fleet
-from wheatring.members.words import STATES
+from wheatring.members.messages import STATES
 
 if TYPE_CHECKING:  # what belongs to agreed views is imported with them
-    from wheatring.lease.views import Views
+    from wheatring.lease.membership_views import MembershipViews
 
 
 class ChangeLog:
@@ -22,20 +22,20 @@
 
     def log_members(self, fleet: Fleet) -> None:
         """Log each member whose state has changed."""
-        for name in fleet.members.changed:
-            row = fleet.members.table.rows.get(name)
+        for name in fleet.members.changed_names:
+            row = fleet.members.table.records.get(name)
             if row is not None and self.states.get(name) != row.state:
                 self.states[name] = row.state
                 log.line("member", name=name, state=STATES[row.state], incarnation=row.incarnation)
-        fleet.members.changed.clear()
+        fleet.members.changed_names.clear()
 
-    def log_view(self, views: Views, now: float) -> None:
+    def log_view(self, views: MembershipViews, now: float) -> None:
         """Log a new view, and whether it may be relied on."""
-        if self.view != (views.view.number, views.inside):
-            self.view = (views.view.number, views.inside)
+        if self.view != (views.view.number, views.is_member):
+            self.view = (views.view.number, views.is_member)
             view = views.view
-            log.line("view", number=view.number, members=len(view.members), inside=int(views.inside))
-        standing = (views.sure(now), views.side(now))
+            log.line("view", number=view.number, members=len(view.members), inside=int(views.is_member))
+        standing = (views.is_current(now), views.isolation(now))
         if self.standing != standing and views.view.number:
             self.standing = standing
             log.line("view-standing", sure=int(standing[0]), side=standing[1] or "whole")
--- a/wheatring/peers/datagram_codec.py
+++ b/wheatring/peers/datagram_codec.py
@@ -21,7 +21,7 @@
 import msgspec
 from msgspec import Struct
 
-from wheatring.lease.fleet import AnyWord
+from wheatring.lease.fleet import FleetMessage
 from wheatring.peers.exceptions import DatagramRejectedError
 
 FORMAT_VERSION = 1
@@ -88,7 +88,7 @@
     """
 
     def __init__(
-        self, fleet: str, name: str, start: int, keys: Sequence[bytes], messages: Any = AnyWord
+        self, fleet: str, name: str, start: int, keys: Sequence[bytes], messages: Any = FleetMessage
     ) -> None:
         self.fleet = fleet
         self.name = name
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -11,11 +11,11 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.lease.fleet import AnyWord, Change, Fleet, Instant, Out
-from wheatring.lease.voters import Voters
-from wheatring.lease.words import Beat
-from wheatring.members.members import Address
-from wheatring.members.pace import Pace
+from wheatring.lease.fleet import Fleet, FleetMessage, Instant, Outgoing, RoleChange
+from wheatring.lease.messages import Heartbeat
+from wheatring.lease.voters import VoterSet
+from wheatring.members.membership import Address
+from wheatring.members.timing import SwimTiming
 from wheatring.peers import fleet_status
 from wheatring.peers.change_log import ChangeLog
 from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES, DatagramCodec
@@ -68,7 +68,7 @@
         self.transfers: BodyTransfers | None = None
         self.agreement: Agreement | None = None  # once it has its port
         self.make_agreement: Callable[[Instant, Fleet], Agreement] | None = None
-        messages: Any = self._prepare_agreement() if options.view else AnyWord
+        messages: Any = self._prepare_agreement() if options.view else FleetMessage
         self.codec = DatagramCodec(options.fleet, self.me.name, self.start_ms, options.keys, messages)
         self.socket = DatagramSocket(clock, self.codec, self.on_message)
         self.workers: Mapping[str, DutyWorker] = {}
@@ -123,11 +123,11 @@
         options, at = self.options, self.instant()
         self.fleet = Fleet(
             at, self.me, self.start_ms, options.seeds, options.voters, options.duties, options.terms,
-            Pace(), self.random,
+            SwimTiming(), self.random,
         )  # fmt: skip
         if self.make_agreement is not None:
             self.agreement = self.make_agreement(at, self.fleet)
-        log.line("fleet-listening", host=where.host, port=where.port, votes=int(self.fleet.votes()))
+        log.line("fleet-listening", host=where.host, port=where.port, votes=int(self.fleet.is_voter()))
         self.timer = None
         self.tick()
 
@@ -182,12 +182,12 @@
 
     def body_of(self, digest: bytes) -> bytes | None:
         """Return the body of a digest, for another sidecar; None: it isn't known here."""
-        return None if self.fleet is None else self.fleet.bodies.get(digest)
+        return None if self.fleet is None else self.fleet.payloads.get(digest)
 
     def on_body_fetched(self, digest: bytes, body: bytes | None) -> None:
         """Hand a body that was fetched, or None for a failed fetch, to the decider."""
         if self.fleet is not None and not self.is_closed:
-            self.dispatch(self.fleet.body(self.instant(), digest, body))
+            self.dispatch(self.fleet.receive_payload(self.instant(), digest, body))
 
     # Events, and what the decider returns for them
 
@@ -199,23 +199,23 @@
     def on_message(self, sender: str, address: Address, message: Any) -> None:
         """Hand a message of another sidecar to the decider."""
         if self.fleet is not None and not self.is_closed:
-            self.dispatch(self.fleet.hear(self.instant(), sender, address, message))
+            self.dispatch(self.fleet.receive(self.instant(), sender, address, message))
 
-    def dispatch(self, outgoing: list[Out]) -> None:
+    def dispatch(self, outgoing: list[Outgoing]) -> None:
         """Send messages, carry out what else the decider wants, and set the timer for what is due next."""
         fleet = self.fleet
         assert fleet is not None
         self._send(fleet, outgoing)
-        fetches, fleet.fetches = fleet.fetches, []
+        fetches, fleet.fetch_requests = fleet.fetch_requests, []
         for fetch in fetches:
             if self.transfers is not None:
                 self.transfers.fetch(fetch)
-        announcements, fleet.beats = fleet.beats, []
+        announcements, fleet.heartbeats = fleet.heartbeats, []
         for announcement in announcements:
-            worker = self.workers.get(announcement.duty)
+            worker = self.workers.get(announcement.role)
             if isinstance(worker, ListSharing):
                 worker.on_announcement(announcement)
-        changes, fleet.changes = fleet.changes, []
+        changes, fleet.role_changes = fleet.role_changes, []
         for change in changes:
             self._on_duty_changed(change)
         self.change_log.log_members(fleet)
@@ -223,31 +223,31 @@
             self.change_log.log_view(self.agreement.views, self.clock.now())
         self._set_timer(fleet)
 
-    def _send(self, fleet: Fleet, outgoing: list[Out]) -> None:
+    def _send(self, fleet: Fleet, outgoing: list[Outgoing]) -> None:
         """Send messages; those to itself go to the decider at once, and take no socket."""
         own = (self.me.host, self.me.port)
         queue = deque(outgoing)
         while queue:
             address, message = queue.popleft()
             if address == own:
-                queue += fleet.hear(self.instant(), self.me.name, own, message)
+                queue += fleet.receive(self.instant(), self.me.name, own, message)
             else:
                 self.socket.send(address, message)
 
-    def _on_duty_changed(self, change: Change) -> None:
-        if change.why:
-            log.line("duty-over", duty=change.duty, epoch=change.epoch)
+    def _on_duty_changed(self, change: RoleChange) -> None:
+        if change.reason:
+            log.line("duty-over", duty=change.role, epoch=change.epoch)
         else:
-            log.line("duty-held", duty=change.duty, epoch=change.epoch, by=self.me.name)
-        worker = self.workers.get(change.duty)
+            log.line("duty-held", duty=change.role, epoch=change.epoch, by=self.me.name)
+        worker = self.workers.get(change.role)
         if worker is not None:
-            worker.on_epoch_changed(None if change.why else change.epoch)
+            worker.on_epoch_changed(None if change.reason else change.epoch)
 
     def _set_timer(self, fleet: Fleet) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         if not self.is_closed:
-            wait = max(MIN_TIMER_SECONDS, fleet.wait(self.instant()))
+            wait = max(MIN_TIMER_SECONDS, fleet.seconds_until_due(self.instant()))
             self.timer = self.clock.at(self.clock.now() + wait, self.tick)
 
     # Duties, for their workers
@@ -256,26 +256,26 @@
         """Return the epoch to act in, asked for right before each action; None: the duty isn't held here."""
         if self.fleet is None or self.is_closed:
             return None
-        return self.fleet.duties[duty].act(self.boot())
+        return self.fleet.roles[duty].epoch_to_act(self.boot())
 
     def record_action(self, duty: str) -> None:
         """Note that a duty's work was done now."""
         if self.fleet is not None:
-            self.fleet.duties[duty].acted(self.boot())
+            self.fleet.roles[duty].note_activity(self.boot())
 
     def on_newer_epoch(self, duty: str, epoch: int) -> None:
         """Give a duty back, as a receiver has seen this higher epoch, and compete for a still higher one."""
         fleet = self.fleet
         if fleet is None or self.is_closed:
             return
-        for claimant in fleet.duties[duty].claimants:
-            claimant.heard(epoch)
-        self.dispatch(fleet.release(self.instant(), duty, 0.0))
+        for claimant in fleet.roles[duty].proposers:
+            claimant.note_epoch(epoch)
+        self.dispatch(fleet.release_role(self.instant(), duty, 0.0))
 
-    def announce(self, announcement: Beat) -> None:
+    def announce(self, announcement: Heartbeat) -> None:
         """Send a holder's announcement to all sidecars of the tier."""
         if self.fleet is not None and not self.is_closed:
-            self.dispatch(self.fleet.spread(announcement))
+            self.dispatch(self.fleet.broadcast(announcement))
 
     # Requests of operators and of the configuration
 
@@ -313,19 +313,19 @@
         """Give a duty back, and keep out of the queue for it a while; False: it isn't held here."""
         if self.fleet is None or self.is_closed or self.active_epoch(duty) is None:
             return False
-        self.dispatch(self.fleet.release(self.instant(), duty))
+        self.dispatch(self.fleet.release_role(self.instant(), duty))
         return True
 
     def set_wanted(self, duty: str, is_wanted: bool) -> None:
         """Queue for a duty that only those who want it compete for, or leave the queue."""
         if self.fleet is not None and not self.is_closed:
-            self.dispatch(self.fleet.want(self.instant(), duty, is_wanted))
+            self.dispatch(self.fleet.request_role(self.instant(), duty, is_wanted))
 
-    def change_voters(self, voters: Voters) -> str:
+    def change_voters(self, voters: VoterSet) -> str:
         """Go by other voters from now on; return why not, or "" where it does."""
         if self.fleet is None or self.is_closed:
             return "it is not in the fleet yet"
-        why, outgoing = self.fleet.vote_by(self.instant(), voters)
+        why, outgoing = self.fleet.change_voters(self.instant(), voters)
         self.dispatch(outgoing)
         return why
 
@@ -337,9 +337,9 @@
         sharing = {name: worker for name, worker in self.workers.items() if isinstance(worker, ListSharing)}
         return {
             "name": self.me.name,
-            "voters": fleet.voters.all,
-            "votes": fleet.votes(),
-            "abstains_s": round(max(0.0, fleet.voter.silent - at.boot), 2),
+            "voters": fleet.voters.names,
+            "votes": fleet.is_voter(),
+            "abstains_s": round(max(0.0, fleet.acceptor.abstains_until - at.boot), 2),
             "health": fleet.members.health.score,
             "view": None if self.agreement is None else self.agreement.status(at.now),
             "members": fleet_status.member_rows(fleet, at),
