--- a/wheatring/peers/fleet_status.py
+++ b/wheatring/peers/fleet_status.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from wheatring.lease.fleet import Fleet, Instant
-from wheatring.members.words import STATES
+from wheatring.members.messages import STATES
 from wheatring.peers.datagram_socket import DatagramSocket
 
 
@@ -13,25 +13,25 @@
     """Describe each member of the fleet; `for_s` are the seconds since its state last changed."""
     return [
         {
-            "name": seen.who.name, "state": STATES[seen.state], "for_s": round(at.now - seen.since, 1),
-            "sure": round(seen.sure, 2), "number": seen.who.number, "tier": seen.who.tier,
-            "zone": seen.who.zone, "address": f"{seen.who.host}:{seen.who.port}",
-            "same_voters": seen.who.votes == fleet.voters.digest,
+            "name": seen.member.name, "state": STATES[seen.state], "for_s": round(at.now - seen.since, 1),
+            "sure": round(seen.confidence, 2), "number": seen.member.number, "tier": seen.member.tier,
+            "zone": seen.member.zone, "address": f"{seen.member.host}:{seen.member.port}",
+            "same_voters": seen.member.voters_digest == fleet.voters.digest,
         }
-        for seen in fleet.members.seen(at.now)
+        for seen in fleet.members.statuses(at.now)
     ]  # fmt: skip
 
 
 def duty_rows(fleet: Fleet, at: Instant) -> list[dict[str, Any]]:
     """Describe each place of each duty; `left_s` are the seconds until the lease held here ends."""
     rows = []
-    for name, plan in fleet.plans.items():
-        duty = fleet.duties[name]
-        for place in range(plan.places):
-            holder, epoch = fleet.holder(name, place)
-            lease = duty.held
+    for name, plan in fleet.role_settings.items():
+        duty = fleet.roles[name]
+        for place in range(plan.slots):
+            holder, epoch = fleet.last_known_holder(name, place)
+            lease = duty.held_lease
             is_here = lease is not None and lease.lease == f"{name}/{place}"
-            left = lease.until - at.boot if lease is not None and is_here else None
+            left = lease.held_until - at.boot if lease is not None and is_here else None
             rows.append(
                 {
                     "duty": name, "place": place, "holder": holder, "epoch": epoch, "here": is_here,
--- a/wheatring/peers/list_sharing.py
+++ b/wheatring/peers/list_sharing.py
@@ -12,7 +12,7 @@
 from wheatring import log
 from wheatring.balancer.interface import EndpointState, View, ViewKind
 from wheatring.core.clock import Clock, Timer
-from wheatring.lease.words import Beat
+from wheatring.lease.messages import Heartbeat
 from wheatring.lifecycle.byhand import ByHand
 from wheatring.lifecycle.following import Following
 
@@ -46,7 +46,7 @@
     def record_action(self, duty: str) -> None:
         """Note that the duty's work was done now."""
 
-    def announce(self, announcement: Beat) -> None:
+    def announce(self, announcement: Heartbeat) -> None:
         """Send an announcement to all sidecars of the tier."""
 
 
@@ -151,20 +151,20 @@
         nodes = tuple(newest_first[:MAX_ANNOUNCED_NODES])
         self.seq += 1
         self.fleet.record_action(self.duty)
-        self.fleet.announce(Beat(self.duty, epoch, self.seq, endpoint_list.version, nodes))
+        self.fleet.announce(Heartbeat(self.duty, epoch, self.seq, endpoint_list.version, nodes))
 
     # As a follower
 
-    def on_announcement(self, announcement: Beat) -> None:
+    def on_announcement(self, announcement: Heartbeat) -> None:
         """Take up an announcement of the holder, unless a newer one was received."""
-        order = (announcement.epoch, announcement.seq)
+        order = (announcement.epoch, announcement.sequence)
         if self.is_stopped or self.endpoint_list is None or order <= self.newest_heard:
             return
         self.newest_heard = order
         own = self.endpoint_list.version
-        self.following.beat(self.clock.now(), announcement.age, announcement.generation, own)
+        self.following.beat(self.clock.now(), announcement.age_seconds, announcement.generation, own)
         is_newer = own is not None and announcement.generation > own
-        self.hold_back(frozenset(announcement.gone if is_newer else ()))
+        self.hold_back(frozenset(announcement.withdrawn if is_newer else ()))
 
     def hold_back(self, nodes: frozenset[str]) -> None:
         """Show these nodes as draining, and no others, whatever the own list says of them."""
--- a/wheatring/peers/operator_calls.py
+++ b/wheatring/peers/operator_calls.py
@@ -58,7 +58,7 @@
         runtime.set_wanted(turns, True)
         if runtime.active_epoch(turns) is not None:
             return 0.0
-        return max(MIN_WAIT_SECONDS, runtime.terms.term / 3)
+        return max(MIN_WAIT_SECONDS, runtime.terms.lease_seconds / 3)
 
     def back() -> None:
         if turns:
--- a/wheatring/peers/options.py
+++ b/wheatring/peers/options.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from wheatring.lease.fleet import DutyPlan
-from wheatring.lease.terms import Terms
-from wheatring.lease.voters import Voters
-from wheatring.members.members import Address
-from wheatring.members.words import Who
+from wheatring.lease.fleet import RoleSettings
+from wheatring.lease.timing import LeaseTiming
+from wheatring.lease.voters import VoterSet
+from wheatring.members.membership import Address
+from wheatring.members.messages import MemberInfo
 
 
 class PlanOptions(NamedTuple):
@@ -36,12 +36,12 @@
     """
 
     fleet: str
-    me: Who
+    me: MemberInfo
     listen: Address
     seeds: list[Address]
-    voters: Voters
-    duties: Sequence[DutyPlan]
-    terms: Terms
+    voters: VoterSet
+    duties: Sequence[RoleSettings]
+    terms: LeaseTiming
     keys: Sequence[bytes]
     view: bool = False
     plan: PlanOptions | None = None
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from wheatring.errors import OperatorError
-from wheatring.lease.fleet import Fleet, Instant, Out, Piece
-from wheatring.lease.register import LEAD, Register
-from wheatring.lease.views import Views
-from wheatring.lease.words import Entry
-from wheatring.members.members import Address
-from wheatring.members.words import Placed
+from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import Entry
+from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.members.membership import Address
+from wheatring.members.messages import ViewMember
 from wheatring.peers.compiled_plan import compile_plan
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.status_values import shown_age
@@ -38,15 +38,15 @@
     It is where plans meet the sidecar: weights in force and what is to be logged go to `options`.
     """
 
-    hears: tuple[type, ...] = ()
+    message_types: tuple[type, ...] = ()
 
-    def __init__(self, at: Instant, fleet: Fleet, views: Views, options: PlanOptions) -> None:
+    def __init__(self, at: Instant, fleet: Fleet, views: MembershipViews, options: PlanOptions) -> None:
         self.fleet = fleet
         self.views = views
         self.set_weights = options.set_weights
         self.log = options.log
         self.plans = PlanAgent(at, fleet, views, on_commit=self._on_committed)
-        self.floors = Register(at, "floor", fleet, self._on_floor)
+        self.floors = ReplicatedRegister(at, "floor", fleet, self._on_floor)
         capabilities = local_capabilities(options.formats)
         self.skew = CompatibilityChecker(
             fleet, capabilities, compile_plan, self._is_view_settled, self._is_plan_settled
@@ -57,24 +57,24 @@
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         self.next_edge = at.now
-        views.admits = self._admits
+        views.admission_objection = self._admits
         # What a leader commits carries the instant by the fleet's time, so that all put it in force together.
-        self.plans.register.when = self._commit_instant
+        self.plans.register.timestamp_ms = self._commit_instant
 
     @property
-    def deciders(self) -> list[Piece]:
+    def deciders(self) -> list[FleetComponent]:
         """The deciders of plans, in the order in which they receive events."""
         return [self.time, self.skew, self.plans, self.plans.register, self.floors, self]
 
     # Between the deciders
 
     def _is_view_settled(self) -> bool:
-        return self.views.register.still and self.views.held is None
+        return self.views.register.is_settled and self.views.pending_change is None
 
     def _is_plan_settled(self) -> bool:
-        return self.plans.register.still and self.floors.still
+        return self.plans.register.is_settled and self.floors.is_settled
 
-    def _admits(self, at: Instant, placed: Placed) -> str:
+    def _admits(self, at: Instant, placed: ViewMember) -> str:
         reasons = self.skew.admission_refusals(at, placed)[:MAX_REASONS_OF_REJECTION]
         return "; ".join(f"{reason.code}: {reason.what}. {reason.do}" for reason in reasons)
 
@@ -82,16 +82,16 @@
         reading = self.time.now(at)
         return round(reading.unix * 1000) if reading.is_sure else 0
 
-    def _on_floor(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:  # noqa: ARG002 - a callback's
+    def _on_floor(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - a callback's
         self.skew.minimum_committed(body)
         self.log("plan-floor", {"format": self.skew.minimum_format})
         return []
 
-    def _on_committed(self, at: Instant, committed: CommittedPlan) -> list[Out]:
-        body = self.fleet.bodies.get(committed.digest)
+    def _on_committed(self, at: Instant, committed: CommittedPlan) -> list[Outgoing]:
+        body = self.fleet.payloads.get(committed.digest)
         assert body is not None
         self.skew.plan_committed(committed.plan, body)
-        when = self.plans.register.have.when
+        when = self.plans.register.applied.put_at_ms
         since = when / 1000 if when else None
         self.edges.plan_committed(at.now, committed.version, Timetable(committed.plan), since)
         self.next_edge = at.now
@@ -105,9 +105,9 @@
         Infinite where there is a newer one, or it isn't known.
         """
         register = self.plans.register
-        if register.have != register.chosen or self.views.stamp.plan > register.have.number:
+        if register.applied != register.chosen or self.views.stamp.plan > register.applied.number:
             return inf
-        return self.views.age(now)
+        return self.views.stamp_age_seconds(now)
 
     # The decider
 
@@ -116,7 +116,7 @@
         """When the next edge is, in monotonic seconds."""
         return self.next_edge
 
-    def tick(self, at: Instant) -> list[Out]:
+    def tick(self, at: Instant) -> list[Outgoing]:
         """Put weights in force that are due, and propose the first plan if there is none."""
         self._note_unreadable()
         if self.first_plan and at.now >= self.next_proposal:
@@ -135,39 +135,39 @@
         """Report a committed plan that this program can't read."""
         unread = self.plans.unreadable
         if unread is not None and not self.skew.unreadable:
-            self.skew.plan_committed(None, self.fleet.bodies.get(self.plans.register.have.digest) or b"")
+            self.skew.plan_committed(None, self.fleet.payloads.get(self.plans.register.applied.digest) or b"")
             self.log("plan-unread", {"code": unread.code, "why": unread.what})
 
-    def _give_up_lead_if_unfit(self, at: Instant) -> list[Out]:
+    def _give_up_lead_if_unfit(self, at: Instant) -> list[Outgoing]:
         """Leave the lead to another voter in the view, if there is one, where the plan can't be read here.
 
         A leader that can't read what is committed admits nobody to the view.
         """
-        if self.fleet.duties[LEAD].act(at.boot) is None or not self.skew.own_refusals():
+        if self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot) is None or not self.skew.own_refusals():
             return []
-        voters = {*self.fleet.voters.all}
+        voters = {*self.fleet.voters.names}
         own = self.fleet.me.name
-        others = [member.who for member in self.views.view.members if member.who.name != own]
-        if not any({*self.fleet.names(who)} & voters for who in others):
+        others = [member.member for member in self.views.view.members if member.member.name != own]
+        if not any({*self.fleet.voter_names(who)} & voters for who in others):
             return []
         self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
-        return self.fleet.release(at, LEAD, KEEP_OUT_TERMS)
+        return self.fleet.release_role(at, LEADER_ROLE, KEEP_OUT_TERMS)
 
     def _propose_first(self, at: Instant) -> None:
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         if self.plans.register.chosen.number or self.views.stamp.plan:
             self.first_plan = b""
-        elif self.fleet.votes() and self.views.sure(at.now):
+        elif self.fleet.is_voter() and self.views.is_current(at.now):
             http_status, answer = self.offer(at, self.first_plan)
             if http_status == 400:  # rejected by this very program: another try won't help
                 self.first_plan = b""
                 self.log("plan-not-offered", answer)
 
-    def hear(self, at: Instant, sender: str, address: Address, word: Any) -> list[Out]:  # noqa: ARG002 - a Piece's
+    def receive(self, at: Instant, sender: str, address: Address, word: Any) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
         """Do nothing: no message is for this decider."""
         return []
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:  # noqa: ARG002 - a Piece's
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
         """Do nothing: this decider wants no bodies."""
         return []
 
@@ -182,7 +182,7 @@
             return 409 if error.code == "plan-push-under-way" else 400, error_body(error)
         return 202, {"push": proposal.proposal_id, "state": proposal.state}
 
-    def set_format_floor(self, at: Instant, least_format: int) -> tuple[int, dict[str, Any], list[Out]]:
+    def set_format_floor(self, at: Instant, least_format: int) -> tuple[int, dict[str, Any], list[Outgoing]]:
         """Set the lowest plan format that members have to read; only at the sidecar that leads.
 
         Returns
--- a/wheatring/plan/agent.py
+++ b/wheatring/plan/agent.py
@@ -16,13 +16,13 @@
 from typing import Any, get_args
 
 from wheatring.errors import OperatorError
-from wheatring.lease.bodies import Fetch
-from wheatring.lease.fleet import Fleet, Instant, Out
-from wheatring.lease.register import Register
-from wheatring.lease.views import Views
-from wheatring.lease.words import Entry
-from wheatring.members.members import Address
-from wheatring.members.words import Who
+from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import Entry
+from wheatring.lease.payloads import FetchRequest
+from wheatring.lease.replicated_register import ReplicatedRegister
+from wheatring.members.membership import Address
+from wheatring.members.messages import MemberInfo
 from wheatring.plan.compatibility import CompatibilityCheck, Reason
 from wheatring.plan.compiler import CompiledRoutes, compile_routes
 from wheatring.plan.document import CommittedPlan
@@ -44,31 +44,31 @@
 IDLE_SECONDS = 0.5  # between ticks without a rollout
 MAX_COMPILED_BODIES = 4
 
-CommitCallback = Callable[[Instant, CommittedPlan], list[Out]]
+CommitCallback = Callable[[Instant, CommittedPlan], list[Outgoing]]
 
 
 class PlanAgent:
-    """A component of the fleet (`lease.fleet.Piece`), with its `register` as another beside it.
+    """A component of the fleet (`lease.fleet.FleetComponent`), with its `register` as another beside it.
 
     `on_commit` is called with each plan that is applied from then on: complete, and newer than the one
     before. `leader.check` may be set before the first tick.
     """
 
-    hears = get_args(AnyPlanMessage)
+    message_types = get_args(AnyPlanMessage)
 
     def __init__(
         self,
         at: Instant,
         fleet: Fleet,
-        views: Views,
+        views: MembershipViews,
         check: CompatibilityCheck | None = None,
         on_commit: CommitCallback | None = None,
     ) -> None:
         self.fleet = fleet
         self.views = views
         self.on_commit: CommitCallback = on_commit or (lambda _at, _committed: [])
-        self.register = Register(at, "plan", fleet, self._entry_committed)
-        self.register.met = self._known_members
+        self.register = ReplicatedRegister(at, "plan", fleet, self._entry_committed)
+        self.register.known_peers = self._known_members
         self.leader = RolloutLeader(fleet, views, self.register, check)
         self.proposals = ProposalLog(fleet, views, self.register)
         self.current: CommittedPlan | None = None
@@ -99,9 +99,9 @@
         """When the next tick has something to do, on the monotonic clock."""
         return self.next
 
-    def tick(self, at: Instant) -> list[Out]:
+    def tick(self, at: Instant) -> list[Outgoing]:
         """Advance the rollout that is led here, and send what is due."""
-        self.views.plan = self.register.chosen.number
+        self.views.plan_number = self.register.chosen.number
         out = self.leader.step(at) + self.proposals.messages_due(at)
         self.next = at.now + (STEP_SECONDS if self.leader.rollout is not None else IDLE_SECONDS)
         if self.views.stamp.plan > self.register.chosen.number and at.now >= self.next_ask:
@@ -109,28 +109,28 @@
             out += self._ask_for_newest()
         return out
 
-    def _known_members(self) -> list[Who] | None:
+    def _known_members(self) -> list[MemberInfo] | None:
         """Return whom a voter that has restarted asks for what it has forgotten; None if not known yet.
 
         Voters that restart together know only each other at first. That they are in a view again they have
         from the other members, so the view names these.
         """
         view = self.views.view
-        return [placed.who for placed in view.members] if view.number else None
+        return [placed.member for placed in view.members] if view.number else None
 
-    def _ask_for_newest(self) -> list[Out]:
+    def _ask_for_newest(self) -> list[Outgoing]:
         """Ask for a plan that a stamp names and that was missed here: the leader, and one other member."""
         me = self.fleet.me.name
-        others = [who for who in self.fleet.members.alive() if who.name != me]
+        others = [who for who in self.fleet.members.alive_members() if who.name != me]
         asked = [(who.host, who.port) for who in [self.fleet.random.choice(others)]] if others else []
         leader = find_leader(self.fleet)
         if leader.name != me and leader.address is not None:
             asked.append(leader.address)
-        return [(address, self.register.newest()) for address in dict.fromkeys(asked)]
+        return [(address, self.register.newest_query()) for address in dict.fromkeys(asked)]
 
     # Messages
 
-    def hear(self, at: Instant, sender: str, address: Address, word: AnyPlanMessage) -> list[Out]:
+    def receive(self, at: Instant, sender: str, address: Address, word: AnyPlanMessage) -> list[Outgoing]:
         """Handle a message, as the leader or as a member."""
         match word:
             case ProposePlan():
@@ -146,32 +146,32 @@
                 self.leader.handle_stored(at, sender, word)
         return []
 
-    def _handle_store_request(self, address: Address, message: StorePlan) -> list[Out]:
+    def _handle_store_request(self, address: Address, message: StorePlan) -> list[Outgoing]:
         if self.store_request is not None and message.epoch < self.store_request[0].epoch:
             return []  # of a leader that another one has followed
         self.store_request = (message, address)
-        if self.fleet.bodies.get(message.digest) is not None:
+        if self.fleet.payloads.get(message.digest) is not None:
             return self._report_stored(message, address)
-        self.fleet.fetches.append(Fetch(message.source, message.digest))
+        self.fleet.fetch_requests.append(FetchRequest(message.source, message.digest))
         return []
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:  # noqa: ARG002 - the protocol's
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
         """Report a body that has arrived to the leader that wants it stored."""
         if body is None or self.store_request is None or self.store_request[0].digest != digest:
             return []  # the leader asks again
         return self._report_stored(*self.store_request)
 
-    def _report_stored(self, message: StorePlan, address: Address) -> list[Out]:
+    def _report_stored(self, message: StorePlan, address: Address) -> list[Outgoing]:
         """Keep the body and tell the leader whether it can be read here."""
-        body = self.fleet.bodies.get(message.digest)
+        body = self.fleet.payloads.get(message.digest)
         if body is None:
             return []
-        self.fleet.bodies.keep("plan/held", message.digest)
+        self.fleet.payloads.pin("plan/held", message.digest)
         found = self._compile(message.digest, body)
         texts = ("", "", "")
         if isinstance(found, OperatorError):
             texts = (found.code, truncate(found.what), truncate(found.do))
-        return [(address, PlanStored(message.digest, message.epoch, self.fleet.start, *texts))]
+        return [(address, PlanStored(message.digest, message.epoch, self.fleet.incarnation, *texts))]
 
     def _compile(self, digest: bytes, body: bytes) -> CompiledRoutes | OperatorError:
         """Return a compiled body, or the error that it can't be compiled for, from the cache if possible."""
@@ -188,7 +188,7 @@
 
     # What is committed
 
-    def _entry_committed(self, at: Instant, entry: Entry, body: bytes) -> list[Out]:
+    def _entry_committed(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         """Apply a committed plan; called by the register once the body is here too."""
         out = self.leader.entry_committed(entry)
         self.proposals.entry_committed(entry)
@@ -205,12 +205,12 @@
 
     def status(self, now: float) -> dict[str, Any]:
         """Return the rollout's part of `GET /control/plan`; `now` is monotonic seconds."""
-        is_newest = self.views.stamp.plan <= self.register.have.number
+        is_newest = self.views.stamp.plan <= self.register.applied.number
         return {
             **committed_status(self.current),
             "newest": self.register.chosen.number,
             "unread": reason_records([self.unreadable]) if self.unreadable is not None else [],
-            "sure": self.views.sure(now) and is_newest,
+            "sure": self.views.is_current(now) and is_newest,
             "leads": leader_status(self.leader, now),
             "pushes": [proposal_status(proposal, now) for proposal in self.proposals.entries.values()],
         }
--- a/wheatring/plan/compatibility.py
+++ b/wheatring/plan/compatibility.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from wheatring.lease.fleet import Instant, Out
+from wheatring.lease.fleet import Instant, Outgoing
 from wheatring.members.view import View
 from wheatring.plan.document import Plan
 
@@ -52,10 +52,10 @@
     Its messages to members go out with its own ticks: it is also a component of the fleet.
     """
 
-    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
+    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
         """Start a new check of the body with this digest."""
 
-    def view_changed(self, at: Instant, view: View) -> list[Out]:
+    def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
         """Continue the check with the members of another view."""
 
     def verdict(self, now: float) -> Verdict:
--- a/wheatring/plan/distribution.py
+++ b/wheatring/plan/distribution.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from math import ceil
 
-from wheatring.lease.fleet import Fleet, Out
-from wheatring.members.words import Placed
+from wheatring.lease.fleet import Fleet, Outgoing
+from wheatring.members.messages import ViewMember
 from wheatring.plan.messages import StorePlan
 from wheatring.plan.rollout import Rollout, process_key
 
@@ -19,17 +19,17 @@
 
 
 def request_storage(
-    fleet: Fleet, rollout: Rollout, missing: Sequence[Placed], epoch: int, now: float
-) -> list[Out]:
+    fleet: Fleet, rollout: Rollout, missing: Sequence[ViewMember], epoch: int, now: float
+) -> list[Outgoing]:
     """Ask members that have not stored the body to fetch it, so many a step, and again after a while.
 
     A member asked again is sent to the leader itself, as the peer it was first sent to may have failed.
     """
-    out: list[Out] = []
+    out: list[Outgoing] = []
     first_requests_left = ceil(len(rollout.view.members) / DISTRIBUTION_STEPS)
     own_address = (fleet.me.host, fleet.me.port)
     sources = [
-        (placed.who.host, placed.who.port)
+        (placed.member.host, placed.member.port)
         for placed in rollout.view.members
         if process_key(placed) in rollout.stored_by
     ] or [own_address]
@@ -43,5 +43,5 @@
             continue
         rollout.requested_at[process_key(placed)] = now
         source = fleet.random.choice(sources) if last is None else own_address
-        out.append(((placed.who.host, placed.who.port), StorePlan(rollout.digest, epoch, source)))
+        out.append(((placed.member.host, placed.member.port), StorePlan(rollout.digest, epoch, source)))
     return out
--- a/wheatring/plan/document.py
+++ b/wheatring/plan/document.py
@@ -1,7 +1,7 @@
 """The plan's document, as its JSON body spells it.
 
-A body is JSON of `lease.bodies.LARGEST` bytes at most. Version and epoch are not in it: they belong to the
-register's entry, whose digest is that of the body's very bytes. Three formats exist: 1 has fixed weights, 2
+A body is JSON, `lease.payloads.MAX_PAYLOAD_BYTES` at most. Version and epoch are not in it: they belong to
+the register's entry, whose digest is that of the body's bytes. Three formats exist: 1 has fixed weights, 2
 adds windows, 3 adds ramps and splits by customer. What a plan requires of a member is computed from the
 document (`skew.requirements`) and never taken from its `format` key alone.
 
--- a/wheatring/plan/explanations.py
+++ b/wheatring/plan/explanations.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from wheatring.members.words import Placed
+from wheatring.members.messages import ViewMember
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.errors import (
     PlanMembersLostError,
@@ -21,7 +21,7 @@
 MAX_VIEW_CHANGES = 3  # from so many on, the changes of the view are named as what kept a plan back
 
 
-def explain_lost_members(rollout: Rollout, missing: Sequence[Placed]) -> list[Reason]:
+def explain_lost_members(rollout: Rollout, missing: Sequence[ViewMember]) -> list[Reason]:
     """Return why too many members left during the rollout; [] while few enough did.
 
     Members that stay but have not stored the plan (`missing`) are named too.
@@ -34,12 +34,12 @@
     not_stored = PlanNotStoredError("had not told by then that it holds the plan")
     return [
         *(reason_from(left, name) for name in lost),
-        *(reason_from(not_stored, placed.who.name) for placed in missing),
+        *(reason_from(not_stored, placed.member.name) for placed in missing),
     ]
 
 
 def explain_timeout(
-    rollout: Rollout, missing: Sequence[Placed], is_view_sure: bool, view_number: int, now: float
+    rollout: Rollout, missing: Sequence[ViewMember], is_view_sure: bool, view_number: int, now: float
 ) -> list[Reason]:
     """Return why the rollout was not committed by the deadline of its state."""
     reasons = list(rollout.verdict.reasons)
@@ -47,7 +47,7 @@
         reasons.append(reason_from(PlanViewUnstableError(f"{rollout.view_changes} views came meanwhile")))
     within = f"within {now - rollout.started_at:.0f} s"
     not_stored = PlanNotStoredError(f"has not told {within} that it holds the plan")
-    reasons += [reason_from(not_stored, placed.who.name) for placed in missing]
+    reasons += [reason_from(not_stored, placed.member.name) for placed in missing]
     if not is_view_sure:
         reasons.append(reason_from(PlanNoViewError("the leader does not count on its view")))
     if not reasons:
@@ -58,10 +58,10 @@
     return reasons
 
 
-def explain_pending(rollout: Rollout, missing: Sequence[Placed]) -> list[Reason]:
+def explain_pending(rollout: Rollout, missing: Sequence[ViewMember]) -> list[Reason]:
     """Return why a rollout that is not put to the voters yet has to wait."""
     waiting = reason_from(PlanNotStoredError("does not hold the plan yet"))
-    names = [placed.who.name for placed in missing] if rollout.state != RolloutState.PROPOSED else []
+    names = [placed.member.name for placed in missing] if rollout.state != RolloutState.PROPOSED else []
     return [*rollout.verdict.reasons, *(waiting._replace(member=name) for name in names)]
 
 
--- a/wheatring/plan/leader.py
+++ b/wheatring/plan/leader.py
@@ -26,13 +26,13 @@
 from collections import OrderedDict
 
 from wheatring.errors import OperatorError
-from wheatring.lease.bodies import LARGEST, Fetch
-from wheatring.lease.fleet import Fleet, Instant, Out
-from wheatring.lease.register import LEAD, Register
-from wheatring.lease.views import Views
-from wheatring.lease.words import Entry
-from wheatring.members.members import Address
-from wheatring.members.words import Placed
+from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import Entry
+from wheatring.lease.payloads import MAX_PAYLOAD_BYTES, FetchRequest
+from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.members.membership import Address
+from wheatring.members.messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, CompatibilityCheck, Reason, Verdict
 from wheatring.plan.compiler import compile_routes
 from wheatring.plan.distribution import RETRY_SECONDS, request_storage
@@ -70,7 +70,11 @@
     """
 
     def __init__(
-        self, fleet: Fleet, views: Views, register: Register, check: CompatibilityCheck | None
+        self,
+        fleet: Fleet,
+        views: MembershipViews,
+        register: ReplicatedRegister,
+        check: CompatibilityCheck | None,
     ) -> None:
         self.fleet = fleet
         self.views = views
@@ -82,7 +86,7 @@
 
     def is_leading(self, at: Instant) -> bool:
         """Whether this sidecar leads at this instant; what was begun in another term is dropped here."""
-        epoch = self.fleet.duties[LEAD].act(at.boot)
+        epoch = self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot)
         if epoch != self.epoch:
             if self.rollout is not None and self.check is not None:
                 self.check.stop_check()
@@ -92,7 +96,9 @@
 
     # Messages and commits
 
-    def handle_proposal(self, at: Instant, sender: str, address: Address, message: ProposePlan) -> list[Out]:
+    def handle_proposal(
+        self, at: Instant, sender: str, address: Address, message: ProposePlan
+    ) -> list[Outgoing]:
         """Start a rollout, or answer how far the one in progress is or why none is started.
 
         The same proposal arrives again and again until it is answered, so every answer can be repeated.
@@ -111,15 +117,15 @@
             title = rollout.title or rollout.digest.hex()
             what = f"the push of {title!r} from {rollout.proposer} is {rollout.state}"
             return self._reject(key, address, message, PlanRolloutInProgressError(what))
-        if not self.register.ready:
+        if not self.register.is_ready:
             return []  # the voters may have committed this very plan; it is proposed again
         return self._start(at, key, address, message)
 
-    def _start(self, at: Instant, key: ProposalKey, address: Address, message: ProposePlan) -> list[Out]:
+    def _start(self, at: Instant, key: ProposalKey, address: Address, message: ProposePlan) -> list[Outgoing]:
         """Start the rollout of a proposal that is based on the committed version."""
         committed = self.register.chosen
         if message.base_version > committed.number:
-            return [(address, self.register.newest())]
+            return [(address, self.register.newest_query())]
         if committed.number and committed.digest == message.digest:
             state, version = RolloutState.COMMITTED, committed.number
             status = RolloutStatus(message.digest, message.epoch, message.proposal_id, state, version)
@@ -127,8 +133,8 @@
         if message.base_version < committed.number:
             what = f"plan {committed.number} was settled, and this one was offered knowing"
             return self._reject(key, address, message, PlanOvertakenError(f"{what} {message.base_version}"))
-        if message.size_bytes > LARGEST:
-            what = f"{message.size_bytes} bytes, {LARGEST} at most"
+        if message.size_bytes > MAX_PAYLOAD_BYTES:
+            what = f"{message.size_bytes} bytes, {MAX_PAYLOAD_BYTES} at most"
             return self._reject(key, address, message, PlanTooLargeError(what))
         view, deadline = self.views.view, at.now + STATE_TIMEOUT_SECONDS[RolloutState.PROPOSED]
         self.rollout = Rollout(message.digest, address, key[0], at.now, deadline, view, view)
@@ -148,7 +154,7 @@
         else:
             rollout.stored_by.add((sender, message.start))
 
-    def entry_committed(self, entry: Entry) -> list[Out]:
+    def entry_committed(self, entry: Entry) -> list[Outgoing]:
         """Finish the rollout if the register has committed its plan."""
         rollout = self.rollout
         if rollout is None or rollout.state != RolloutState.COMMITTING:
@@ -159,7 +165,7 @@
 
     # Steps
 
-    def step(self, at: Instant) -> list[Out]:
+    def step(self, at: Instant) -> list[Outgoing]:
         """Move the rollout on as far as its state, its time limit and the members' answers allow."""
         if not self.is_leading(at) or (rollout := self.rollout) is None:
             return []
@@ -169,18 +175,18 @@
             return self._prepare(at, rollout)
         return self._advance_check(at, rollout)
 
-    def _finish_if_overtaken(self, rollout: Rollout) -> list[Out]:
+    def _finish_if_overtaken(self, rollout: Rollout) -> list[Outgoing]:
         """Finish a rollout whose commit the register does not report.
 
         The voters have committed it, but meanwhile a member reported a plan of a higher version, which all
         voters had forgotten. Both are committed, and every sidecar applies the higher one.
         """
-        overtaken = self.register.ready and self.register.chosen.number > rollout.version
+        overtaken = self.register.is_ready and self.register.chosen.number > rollout.version
         return self._finish(RolloutState.COMMITTED) if overtaken else []
 
-    def _prepare(self, at: Instant, rollout: Rollout) -> list[Out]:
+    def _prepare(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
         """Fetch and parse the body, then begin to survey the members of the view."""
-        body = self.fleet.bodies.get(rollout.digest)
+        body = self.fleet.payloads.get(rollout.digest)
         if body is None:
             return self._fetch(at, rollout)
         if rollout.plan is None:
@@ -189,13 +195,13 @@
                 compile_routes(rollout.plan)
             except OperatorError as error:
                 return self._finish(RolloutState.REJECTED, [reason_from(error)])
-            self.fleet.bodies.keep("plan/push", rollout.digest)
-        if not self.views.inside:
+            self.fleet.payloads.pin("plan/push", rollout.digest)
+        if not self.views.is_member:
             if at.now >= rollout.deadline:
                 outside = PlanNoViewError("the leader stands in none")
                 return self._finish(RolloutState.REJECTED, [reason_from(outside)])
             return []
-        rollout.stored_by.add((self.fleet.me.name, self.fleet.start))
+        rollout.stored_by.add((self.fleet.me.name, self.fleet.incarnation))
         rollout.state = RolloutState.SURVEYING
         rollout.deadline = at.now + STATE_TIMEOUT_SECONDS[RolloutState.SURVEYING]
         rollout.initial_view = rollout.view = self.views.view
@@ -203,7 +209,7 @@
             return []
         return self.check.start_check(at, rollout.digest, rollout.plan, rollout.view)
 
-    def _fetch(self, at: Instant, rollout: Rollout) -> list[Out]:
+    def _fetch(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
         """Ask the proposer for the body, again and again until the time is over."""
         if at.now >= rollout.deadline:
             seconds = STATE_TIMEOUT_SECONDS[RolloutState.PROPOSED]
@@ -211,12 +217,12 @@
             return self._finish(RolloutState.REJECTED, [reason_from(PlanNotFetchedError(what))])
         if at.now >= rollout.fetched_at + RETRY_SECONDS:
             rollout.fetched_at = at.now
-            self.fleet.fetches.append(Fetch(rollout.source, rollout.digest))
+            self.fleet.fetch_requests.append(FetchRequest(rollout.source, rollout.digest))
         return []
 
-    def _advance_check(self, at: Instant, rollout: Rollout) -> list[Out]:
+    def _advance_check(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
         """Follow the view and the compatibility check; put the plan once every member is ready for it."""
-        out: list[Out] = []
+        out: list[Outgoing] = []
         if self.views.view.number != rollout.view.number:
             out = self._follow_view(at, rollout)
         if reasons := self._member_rejections(rollout):
@@ -229,13 +235,13 @@
             return out + self._commit(at, rollout)
         missing = self.missing_members(rollout)
         if at.now >= rollout.deadline:
-            sure, number = self.views.sure(at.now), self.views.view.number
+            sure, number = self.views.is_current(at.now), self.views.view.number
             reasons = explain_timeout(rollout, missing, sure, number, at.now)
             return out + self._finish(RolloutState.REJECTED, reasons)
         assert self.epoch is not None
         return out + request_storage(self.fleet, rollout, missing, self.epoch, at.now)
 
-    def _follow_view(self, at: Instant, rollout: Rollout) -> list[Out]:
+    def _follow_view(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
         rollout.view = self.views.view
         rollout.view_changes += 1
         return self.check.view_changed(at, rollout.view) if self.check is not None else []
@@ -263,7 +269,7 @@
             rollout.was_testing = True
         rollout.state = state
 
-    def missing_members(self, rollout: Rollout) -> list[Placed]:
+    def missing_members(self, rollout: Rollout) -> list[ViewMember]:
         """Return the members of the view that have not reported that they have stored the body."""
         return [placed for placed in rollout.view.members if process_key(placed) not in rollout.stored_by]
 
@@ -274,12 +280,17 @@
         if self.missing_members(rollout):
             return False
         # A view that is being committed may be in force before the plan is: its new members were not asked.
-        is_newest = views.register.ready and views.register.have.number == views.view.number
-        return is_newest and views.sure(at.now) and self.register.ready and self.register.epoch == self.epoch
+        is_newest = views.register.is_ready and views.register.applied.number == views.view.number
+        return (
+            is_newest
+            and views.is_current(at.now)
+            and self.register.is_ready
+            and self.register.epoch == self.epoch
+        )
 
-    def _commit(self, at: Instant, rollout: Rollout) -> list[Out]:
+    def _commit(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
         """Put the plan to the voters as the next version."""
-        body = self.fleet.bodies.get(rollout.digest)
+        body = self.fleet.payloads.get(rollout.digest)
         assert body is not None  # kept since it was parsed
         rollout.version = self.register.chosen.number + 1
         rollout.state = RolloutState.COMMITTING
@@ -294,12 +305,12 @@
             return explain_pending(rollout, self.missing_members(rollout))
         if now < rollout.deadline:
             return []
-        accepted, voters = len(self.register.yes), len(self.fleet.voters.all)
+        accepted, voters = len(self.register.acknowledged_by), len(self.fleet.voters.names)
         return explain_uncommitted(accepted, voters, STATE_TIMEOUT_SECONDS[RolloutState.COMMITTING])
 
     def _reject(
         self, key: ProposalKey, address: Address, message: ProposePlan, error: OperatorError
-    ) -> list[Out]:
+    ) -> list[Outgoing]:
         """Answer that no rollout is started for a proposal."""
         groups, omitted = pack_reasons([reason_from(error)])
         status = RolloutStatus(
@@ -312,7 +323,7 @@
         )
         return self._answer(key, address, status)
 
-    def _answer(self, key: ProposalKey, address: Address, status: RolloutStatus) -> list[Out]:
+    def _answer(self, key: ProposalKey, address: Address, status: RolloutStatus) -> list[Outgoing]:
         """Answer a proposal for good, and remember the answer for when it is repeated."""
         self.outcomes[key] = status
         while len(self.outcomes) > MAX_OUTCOMES:
@@ -329,14 +340,14 @@
             rollout.digest, self.epoch, proposal_id, rollout.state, version, stored, members, groups, omitted
         )
 
-    def _finish(self, state: RolloutState, reasons: list[Reason] | None = None) -> list[Out]:
+    def _finish(self, state: RolloutState, reasons: list[Reason] | None = None) -> list[Outgoing]:
         """End the rollout in a final state and tell everyone who proposed its plan."""
         rollout, self.rollout = self.rollout, None
         assert rollout is not None
         rollout.state = state
         if self.check is not None:
             self.check.stop_check()
-        out: list[Out] = []
+        out: list[Outgoing] = []
         for key, address in rollout.proposals.items():
             out += self._answer(key, address, self._status(rollout, key[1], reasons or []))
         return out
--- a/wheatring/plan/parser.py
+++ b/wheatring/plan/parser.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from wheatring.lease.bodies import LARGEST
+from wheatring.lease.payloads import MAX_PAYLOAD_BYTES
 from wheatring.plan.document import NEWEST_FORMAT, OLDEST_FORMAT, Plan, Weight
 from wheatring.plan.errors import (
     PlanFormatTooLowError,
@@ -53,8 +53,8 @@
     PlanTooLargeError, PlanUnreadableError, PlanFormatUnknownError, PlanFormatTooLowError
         The body is refused; the error names the key.
     """
-    if len(body) > LARGEST:
-        raise PlanTooLargeError(f"{len(body)} bytes, {LARGEST} at most")
+    if len(body) > MAX_PAYLOAD_BYTES:
+        raise PlanTooLargeError(f"{len(body)} bytes, {MAX_PAYLOAD_BYTES} at most")
     try:
         header = _header_decoder.decode(body)
         if not OLDEST_FORMAT <= header.format <= NEWEST_FORMAT:
--- a/wheatring/plan/proposals.py
+++ b/wheatring/plan/proposals.py
@@ -16,12 +16,12 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from wheatring.lease.bodies import LARGEST
-from wheatring.lease.fleet import Fleet, Instant, Out
-from wheatring.lease.register import LEAD, Register
-from wheatring.lease.views import Views
-from wheatring.lease.words import Entry
-from wheatring.members.members import Address
+from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.messages import Entry
+from wheatring.lease.payloads import MAX_PAYLOAD_BYTES
+from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.members.membership import Address
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.compiler import compile_routes
 from wheatring.plan.errors import (
@@ -56,7 +56,7 @@
 
 def find_leader(fleet: Fleet) -> KnownLeader:
     """Return who holds the duty `lead`, and where it can be reached."""
-    name, epoch = fleet.holder(LEAD)
+    name, epoch = fleet.last_known_holder(LEADER_ROLE)
     if name == fleet.me.name:
         return KnownLeader(name, epoch, (fleet.me.host, fleet.me.port))
     return KnownLeader(name, epoch, fleet.members.address(name) if name else None)
@@ -93,7 +93,7 @@
 class ProposalLog:
     """The proposals of one sidecar, by their numbers, the oldest first."""
 
-    def __init__(self, fleet: Fleet, views: Views, register: Register) -> None:
+    def __init__(self, fleet: Fleet, views: MembershipViews, register: ReplicatedRegister) -> None:
         self.fleet = fleet
         self.views = views
         self.register = register
@@ -107,18 +107,18 @@
         OperatorError
             The plan is refused here: it can't be read, this sidecar is in no view, or too many are pending.
         """
-        if len(body) > LARGEST:
-            raise PlanTooLargeError(f"{len(body)} bytes, {LARGEST} at most")
+        if len(body) > MAX_PAYLOAD_BYTES:
+            raise PlanTooLargeError(f"{len(body)} bytes, {MAX_PAYLOAD_BYTES} at most")
         plan = parse_plan(body)
         compile_routes(plan)
-        if not self.views.inside:
+        if not self.views.is_member:
             raise PlanNoViewError(f"{self.fleet.me.name} stands in no view")
         pending = sum(not proposal.is_final for proposal in self.entries.values())
         if pending >= MAX_PENDING_PROPOSALS:
             what = f"{pending} pushes of {self.fleet.me.name} are not over, {MAX_PENDING_PROPOSALS} at most"
             raise PlanRolloutInProgressError(what)
-        digest, proposal_id = self.fleet.bodies.put(body), self.fleet.random.getrandbits(31)
-        self.fleet.bodies.keep(_retention_key(proposal_id), digest)
+        digest, proposal_id = self.fleet.payloads.put(body), self.fleet.random.getrandbits(31)
+        self.fleet.payloads.pin(_retention_key(proposal_id), digest)
         base_version = self.register.chosen.number
         proposal = Proposal(
             proposal_id, digest, plan.title, len(body), base_version, proposed_at=at.now, next_send_at=at.now
@@ -132,9 +132,9 @@
             oldest = next(key for key, proposal in self.entries.items() if proposal.is_final)
             del self.entries[oldest]
 
-    def messages_due(self, at: Instant) -> list[Out]:
+    def messages_due(self, at: Instant) -> list[Outgoing]:
         """Return the proposals to send now to whoever leads; those past their timeout end here."""
-        out: list[Out] = []
+        out: list[Outgoing] = []
         for proposal in self.entries.values():
             if proposal.is_final or at.now < proposal.next_send_at:
                 continue
@@ -148,7 +148,7 @@
             out += self._send(proposal)
         return out
 
-    def _send(self, proposal: Proposal) -> list[Out]:
+    def _send(self, proposal: Proposal) -> list[Outgoing]:
         leader = find_leader(self.fleet)
         if leader.address is None or leader.epoch < proposal.leader_epoch:
             return []
@@ -186,7 +186,7 @@
     def _set_state(self, proposal: Proposal, state: str) -> None:
         proposal.state = state
         if proposal.is_final:
-            self.fleet.bodies.kept.pop(_retention_key(proposal.proposal_id), None)
+            self.fleet.payloads.pinned.pop(_retention_key(proposal.proposal_id), None)
 
 
 def _retention_key(proposal_id: int) -> str:
--- a/wheatring/plan/rollout.py
+++ b/wheatring/plan/rollout.py
@@ -6,9 +6,9 @@
 from math import inf
 
 from wheatring.errors import OperatorError
-from wheatring.members.members import Address
+from wheatring.members.membership import Address
+from wheatring.members.messages import ViewMember
 from wheatring.members.view import View
-from wheatring.members.words import Placed
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.plan.document import Plan
 from wheatring.plan.messages import RolloutState
@@ -46,9 +46,9 @@
         return self.plan.title if self.plan is not None else ""
 
 
-def process_key(placed: Placed) -> ProcessKey:
+def process_key(placed: ViewMember) -> ProcessKey:
     """Return the key of a member's process, which a restarted member does not share with the earlier one."""
-    return placed.who.name, placed.start
+    return placed.member.name, placed.incarnation
 
 
 def reason_from(error: OperatorError, member: str = "") -> Reason:
--- a/wheatring/plan/status.py
+++ b/wheatring/plan/status.py
@@ -27,7 +27,7 @@
     rollout = leader.rollout
     if rollout is None:
         return None
-    missing = {placed.who.name for placed in leader.missing_members(rollout)}
+    missing = {placed.member.name for placed in leader.missing_members(rollout)}
     return {
         "digest": rollout.digest.hex(),
         "title": rollout.title,
@@ -36,7 +36,7 @@
         "for_s": round(now - rollout.started_at, 1),
         "view": rollout.view.number,
         "members": len(rollout.view.members),
-        "holds": sorted({placed.who.name for placed in rollout.view.members} - missing),
+        "holds": sorted({placed.member.name for placed in rollout.view.members} - missing),
         "reasons": reason_records(leader.pending_reasons(rollout, now)),
     }
 
--- a/wheatring/schedule/fleet_clock.py
+++ b/wheatring/schedule/fleet_clock.py
@@ -24,9 +24,9 @@
 from math import inf, isfinite
 from typing import NamedTuple
 
-from wheatring.lease.fleet import Fleet, Instant, Out
-from wheatring.lease.voters import Voters
-from wheatring.members.members import Address
+from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.voters import VoterSet
+from wheatring.members.membership import Address
 from wheatring.schedule.events import LogEvent
 from wheatring.schedule.messages import AnyScheduleMessage, TimeRequest, TimeResponse
 
@@ -104,7 +104,7 @@
     names: set[str]  # of voters that have not answered yet
 
 
-def majority_interval(intervals: dict[str, TimeInterval], voters: Voters) -> tuple[float, float] | None:
+def majority_interval(intervals: dict[str, TimeInterval], voters: VoterSet) -> tuple[float, float] | None:
     """Return the first and the last instant in the intervals of a majority, by voter; None if there is none.
 
     While the voters are being changed, a majority of the old ones and of the new ones is needed.
@@ -113,15 +113,15 @@
     agreed = [
         end
         for end in ends
-        if voters.enough([name for name, found in intervals.items() if found.low <= end <= found.high])
+        if voters.has_majority([name for name, found in intervals.items() if found.low <= end <= found.high])
     ]
     return (agreed[0], agreed[-1]) if agreed else None
 
 
 class FleetClock:
-    """A component of the fleet (`lease.fleet.Piece`). `events` are for the caller to log and to clear."""
+    """A fleet component (`lease.fleet.FleetComponent`). `events` are for the caller to log and to clear."""
 
-    hears: tuple[type, ...] = (TimeRequest, TimeResponse)
+    message_types: tuple[type, ...] = (TimeRequest, TimeResponse)
 
     def __init__(self, at: Instant, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -154,13 +154,13 @@
 
     # Time
 
-    def tick(self, at: Instant) -> list[Out]:
+    def tick(self, at: Instant) -> list[Outgoing]:
         """Ask the voters for their clocks when it is time."""
         if at.now < self.due:
             return []
         self._detect_suspension(at)
         self.seq += 1
-        names = self.fleet.voters.all
+        names = self.fleet.voters.names
         self.pending = {
             seq: request
             for seq, request in self.pending.items()
@@ -180,13 +180,13 @@
 
     # Messages
 
-    def hear(self, at: Instant, sender: str, address: Address, word: AnyScheduleMessage) -> list[Out]:
+    def receive(self, at: Instant, sender: str, address: Address, word: AnyScheduleMessage) -> list[Outgoing]:
         """Answer with the own wall clock where this sidecar votes, or take over a voter's answer."""
         self._detect_suspension(at)
         if isinstance(word, TimeResponse):
             self._handle_response(at, sender, word)
             return []
-        if not self.fleet.votes():
+        if not self.fleet.is_voter():
             return []
         return [(address, TimeResponse(word.seq, at.wall / 1000, VOTER_ERROR_SECONDS))]
 
@@ -196,7 +196,7 @@
             return
         if not 0 <= response.spread <= MAX_UNCERTAINTY_SECONDS:
             return
-        names = [name for name in self.fleet.names_of(sender) if name in request.names]
+        names = [name for name in self.fleet.voter_names_of_sender(sender) if name in request.names]
         if not names:
             return
         request.names.difference_update(names)
@@ -206,7 +206,7 @@
         self.answers.update((name, interval) for name in names)
         self._update_fix(at.now)
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:  # noqa: ARG002 - the protocol's
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
         """Ignore bodies: the fleet's time needs none."""
         return []
 
@@ -216,7 +216,7 @@
         self.answers = {
             name: answer
             for name, answer in self.answers.items()
-            if now - answer.at < ANSWER_LIFETIME_SECONDS and name in voters.all
+            if now - answer.at < ANSWER_LIFETIME_SECONDS and name in voters.names
         }
         intervals = {name: answer.advanced(now, self.rates) for name, answer in self.answers.items()}
         agreed = majority_interval(intervals, voters)
@@ -238,7 +238,7 @@
 
     def _report_disagreement(self, intervals: dict[str, TimeInterval]) -> None:
         """Report once that the voters' clocks differ too much for a majority."""
-        if self.has_majority and self.fleet.voters.enough([*intervals]):
+        if self.has_majority and self.fleet.voters.has_majority([*intervals]):
             self.has_majority = False
             clocks = {name: round(interval.low, 3) for name, interval in sorted(intervals.items())}
             self.events.append(LogEvent("time-voters-differ", {"clocks": clocks}))
--- a/wheatring/skew/capabilities.py
+++ b/wheatring/skew/capabilities.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from wheatring.lease.bodies import LARGEST
+from wheatring.lease.payloads import MAX_PAYLOAD_BYTES
 from wheatring.plan.document import NEWEST_FORMAT, OLDEST_FORMAT
 from wheatring.skew.errors import FormatsUnknownError
 
@@ -92,7 +92,7 @@
     routes: int = MAX_ROUTES,
     windows: int = MAX_WINDOWS,
     expressions: int = MAX_EXPRESSIONS,
-    size: int = LARGEST,
+    size: int = MAX_PAYLOAD_BYTES,
     version: Callable[[str], str] = installed_version,
 ) -> Capabilities:
     """Return the capabilities of this program with what is installed.
--- a/wheatring/skew/capability_table.py
+++ b/wheatring/skew/capability_table.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from wheatring.members.words import Placed
+from wheatring.members.messages import ViewMember
 from wheatring.skew.capabilities import LEGACY_CAPABILITIES, Capabilities
 
 MAX_PROCESSES = 4000  # whose capabilities are kept
@@ -17,7 +17,7 @@
 class _PendingRequest(NamedTuple):
     """A process that is asked; instants are monotonic seconds."""
 
-    placed: Placed
+    placed: ViewMember
     since: float
     due: float
     seen: float  # when its capabilities were last wanted
@@ -38,13 +38,13 @@
         while len(self.known) > MAX_PROCESSES:
             self.known.popitem(last=False)
 
-    def capabilities_of(self, now: float, placed: Placed) -> Capabilities | None:
+    def capabilities_of(self, now: float, placed: ViewMember) -> Capabilities | None:
         """Return what a process can read, or None and have it asked.
 
         A process that has not answered for `LEGACY_AFTER_SECONDS`, though it goes on asking to enter the
         view, counts as one of a program from before these messages: it reads format 1.
         """
-        key = (placed.who.name, placed.start)
+        key = (placed.member.name, placed.incarnation)
         if key in self.known:
             return self.known[key]
         request = self.pending.get(key)
@@ -55,7 +55,7 @@
         self.pending[key] = request._replace(seen=now)
         return LEGACY_CAPABILITIES if now >= request.since + LEGACY_AFTER_SECONDS else None
 
-    def requests_due(self, now: float) -> list[Placed]:
+    def requests_due(self, now: float) -> list[ViewMember]:
         """Return whom to ask now; a process that no longer wants to enter is dropped."""
         self.pending = {
             key: request for key, request in self.pending.items() if now - request.seen < LEGACY_AFTER_SECONDS
--- a/wheatring/skew/checker.py
+++ b/wheatring/skew/checker.py
@@ -20,10 +20,10 @@
 from math import inf
 from typing import get_args
 
-from wheatring.lease.fleet import Fleet, Instant, Out
-from wheatring.members.members import Address
+from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.members.membership import Address
+from wheatring.members.messages import JoinRequest, ViewMember
 from wheatring.members.view import View
-from wheatring.members.words import Knock, Placed
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.plan.document import OLDEST_FORMAT, Plan
 from wheatring.skew.capabilities import Capabilities
@@ -56,7 +56,7 @@
 
 
 class CompatibilityChecker:
-    """A component of the fleet (`lease.fleet.Piece`) and a `plan.compatibility.CompatibilityCheck`.
+    """A component of the fleet (`lease.fleet.FleetComponent`) and a `plan.compatibility.CompatibilityCheck`.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
         Whether the registers of views and of plans are stable here, see above.
     """
 
-    hears = (*get_args(AnySkewMessage), Knock)
+    message_types = (*get_args(AnySkewMessage), JoinRequest)
     coordinator_type: type[CheckCoordinator] = CheckCoordinator
 
     def __init__(
@@ -92,10 +92,10 @@
 
     # The check of one plan
 
-    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Out]:
+    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
         """Start to ask the members of a view about a plan."""
         self.stop_check()
-        body = self.fleet.bodies.get(digest)
+        body = self.fleet.payloads.get(digest)
         if body is None:
             reason = refusal("", BodyMissingError, f"{digest.hex()} is not here")
             stage = CheckStage.INCOMPATIBLE
@@ -107,7 +107,7 @@
         self.coordinator = self.coordinator_type(at.now, check_id, digest, requirements, day, view)
         return self._step(at)
 
-    def view_changed(self, at: Instant, view: View) -> list[Out]:
+    def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
         """Continue the check with the members of another view."""
         if self.coordinator is None:
             return []
@@ -131,17 +131,17 @@
         """When the next tick has something to do, on the monotonic clock."""
         return min(self.next_step, self.participant.due)
 
-    def tick(self, at: Instant) -> list[Out]:
+    def tick(self, at: Instant) -> list[Outgoing]:
         """Advance the member's side, and the leader's where a check is in progress."""
         out = self.participant.tick(at)
         return out + self._step(at) if at.now >= self.next_step else out
 
-    def _step(self, at: Instant) -> list[Out]:
-        out: list[Out] = []
+    def _step(self, at: Instant) -> list[Outgoing]:
+        out: list[Outgoing] = []
         if self.coordinator is not None:
             out += self.coordinator.step(at.now)
         for placed in self.capability_table.requests_due(at.now):
-            out.append(((placed.who.host, placed.who.port), CapabilityRequest(0)))
+            out.append(((placed.member.host, placed.member.port), CapabilityRequest(0)))
         stages = (CheckStage.SURVEYING, CheckStage.TESTING)
         is_checking = self.coordinator is not None and self.coordinator.stage in stages
         self.next_step = at.now + STEP_SECONDS if is_checking or self.capability_table.pending else inf
@@ -149,13 +149,15 @@
 
     # Messages
 
-    def hear(self, at: Instant, sender: str, address: Address, word: AnySkewMessage | Knock) -> list[Out]:
+    def receive(
+        self, at: Instant, sender: str, address: Address, word: AnySkewMessage | JoinRequest
+    ) -> list[Outgoing]:
         """Handle a message, as the leader or as a member."""
         match word:
-            case Knock():
+            case JoinRequest():
                 # Asked at once, so that the answer is there when those that want to enter are admitted.
-                is_own = word.me.who.name == sender
-                if is_own and self.is_plan_stable() and self.admission_refusals(at, word.me):
+                is_own = word.member.member.name == sender
+                if is_own and self.is_plan_stable() and self.admission_refusals(at, word.member):
                     return self._step(at)
             case CapabilityRequest() | TrialRequest() | AnswerRequest():
                 return self.participant.hear(at, address, word)
@@ -175,7 +177,7 @@
         if is_checked or key in self.capability_table.pending:
             self.capability_table.record(sender, message.start, message.capabilities)
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         """Compile a body that has arrived, where its trials are wanted."""
         return self.participant.body(at, digest, body)
 
@@ -207,7 +209,7 @@
         if not (self.is_view_stable() and self.is_plan_stable()):
             raise MinimumNotLeadingError(f"floor {format} asked of {self.fleet.me.name}")
         table = self.capability_table
-        pairs = [(placed.who.name, table.capabilities_of(at.now, placed)) for placed in view.members]
+        pairs = [(placed.member.name, table.capabilities_of(at.now, placed)) for placed in view.members]
         unknown = [name for name, capabilities in pairs if capabilities is None]
         if unknown:
             self.next_step = at.now
@@ -224,9 +226,9 @@
         capabilities = self.participant.capabilities
         return tuple(admission_refusals(capabilities, self.minimum_format, self.committed, name))
 
-    def admission_refusals(self, at: Instant, placed: Placed) -> tuple[Reason, ...]:
+    def admission_refusals(self, at: Instant, placed: ViewMember) -> tuple[Reason, ...]:
         """Return why a process is not admitted to the view now, () if it is; asked at the leader."""
-        name = placed.who.name
+        name = placed.member.name
         if self.unreadable:
             what = f"{self.fleet.me.name} can't read {self.unreadable}"
             return (refusal(name, CommittedPlanUnreadableError, what),)
--- a/wheatring/skew/coordinator.py
+++ b/wheatring/skew/coordinator.py
@@ -16,9 +16,9 @@
 
 from math import inf
 
-from wheatring.lease.fleet import Out
+from wheatring.lease.fleet import Outgoing
+from wheatring.members.messages import ViewMember
 from wheatring.members.view import View
-from wheatring.members.words import Placed
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.skew.bisection import Bisection, PrefixAnswer
 from wheatring.skew.capabilities import Capabilities, describe_version_differences
@@ -86,7 +86,7 @@
         self.stage = CheckStage.SURVEYING
         self.view = view
         self.members: dict[ProcessKey, _MemberState] = {}
-        self.placed: dict[ProcessKey, Placed] = {}
+        self.placed: dict[ProcessKey, ViewMember] = {}
         self.comparisons: list[_Comparison] | None = None
         self.comparison_deadline = inf
         self.failed_since = inf  # when the first member was found that lacks something or fails to compile
@@ -96,7 +96,7 @@
     def view_changed(self, now: float, view: View) -> None:
         """Ask the members that are new in a view, and forget those that have left."""
         self.view = view
-        self.placed = {(placed.who.name, placed.start): placed for placed in view.members}
+        self.placed = {(placed.member.name, placed.incarnation): placed for placed in view.members}
         new = [key for key in self.placed if key not in self.members]
         kept = {key: self.members[key] for key in self.placed if key in self.members}
         added = {key: _MemberState(now + index * REQUEST_SPACING_SECONDS) for index, key in enumerate(new)}
@@ -138,7 +138,7 @@
 
     # Time
 
-    def step(self, now: float) -> list[Out]:
+    def step(self, now: float) -> list[Outgoing]:
         """Ask the members that have not answered, and end the stage when it is over."""
         if self.stage in (CheckStage.COMPATIBLE, CheckStage.INCOMPATIBLE):
             return []
@@ -165,18 +165,18 @@
     def _timeout_seconds(self) -> float:
         return SURVEY_TIMEOUT_SECONDS if self.stage is CheckStage.SURVEYING else TRIAL_TIMEOUT_SECONDS
 
-    def _ask(self, now: float, key: ProcessKey, member: _MemberState) -> Out:
+    def _ask(self, now: float, key: ProcessKey, member: _MemberState) -> Outgoing:
         member.due = now + RETRY_SECONDS
         size_bytes = self.requirements.bytes
         if self.stage is CheckStage.TESTING:
             return self._to(key, TrialRequest(self.check_id, self.digest, size_bytes, self.day))
         return self._to(key, CapabilityRequest(self.check_id, self.digest, size_bytes))
 
-    def _to(self, key: ProcessKey, message: CapabilityRequest | TrialRequest | AnswerRequest) -> Out:
-        who = self.placed[key].who
+    def _to(self, key: ProcessKey, message: CapabilityRequest | TrialRequest | AnswerRequest) -> Outgoing:
+        who = self.placed[key].member
         return (who.host, who.port), message
 
-    def _end_stage(self, now: float) -> list[Out]:
+    def _end_stage(self, now: float) -> list[Outgoing]:
         """Go on once all members have answered in this stage and none was refused."""
         if self.stage is CheckStage.SURVEYING:
             self._start_testing(now)
@@ -222,8 +222,8 @@
         result = self.members[key].result
         return result.count if result is not None else 0
 
-    def _ask_for_prefixes(self, now: float, comparisons: list[_Comparison]) -> list[Out]:
-        out: list[Out] = []
+    def _ask_for_prefixes(self, now: float, comparisons: list[_Comparison]) -> list[Outgoing]:
+        out: list[Outgoing] = []
         for comparison in comparisons:
             if now < comparison.due:
                 continue
@@ -258,7 +258,7 @@
         seconds = now - self.members[key].asked_at
         return refusal(key[0], MemberSilentError, f"it has not answered {what} for {seconds:.1f} s")
 
-    def _refuse(self, reasons: list[Reason]) -> list[Out]:
+    def _refuse(self, reasons: list[Reason]) -> list[Outgoing]:
         self.stage, self.reasons = CheckStage.INCOMPATIBLE, tuple(sorted(reasons))
         return []
 
--- a/wheatring/skew/participant.py
+++ b/wheatring/skew/participant.py
@@ -17,9 +17,9 @@
 from math import inf
 
 from wheatring.errors import OperatorError
-from wheatring.lease.bodies import Fetch
-from wheatring.lease.fleet import Fleet, Instant, Out
-from wheatring.members.members import Address
+from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.payloads import FetchRequest
+from wheatring.members.membership import Address
 from wheatring.plan.document import Plan
 from wheatring.skew.capabilities import Capabilities
 from wheatring.skew.messages import (
@@ -79,13 +79,13 @@
         expiry = min((run.asked_at + KEEP_SECONDS for run in self.runs.values()), default=inf)
         return min(self.next_work, expiry)
 
-    def tick(self, at: Instant) -> list[Out]:
+    def tick(self, at: Instant) -> list[Outgoing]:
         """Drop old runs, and answer a few trials of the first run that is not done."""
         for key in [key for key, run in self.runs.items() if at.now >= run.asked_at + KEEP_SECONDS]:
             del self.runs[key]
         if at.now < self.next_work:
             return []
-        out: list[Out] = []
+        out: list[Outgoing] = []
         self.next_work = inf
         for run in self.runs.values():
             if run.answers is None or run.is_done:
@@ -99,17 +99,19 @@
 
     def hear(
         self, at: Instant, address: Address, message: CapabilityRequest | TrialRequest | AnswerRequest
-    ) -> list[Out]:
+    ) -> list[Outgoing]:
         """Handle a message of a leader."""
         match message:
             case CapabilityRequest():
-                return [(address, CapabilityResponse(message.check_id, self.fleet.start, self.capabilities))]
+                return [
+                    (address, CapabilityResponse(message.check_id, self.fleet.incarnation, self.capabilities))
+                ]
             case TrialRequest():
                 return self._handle_trial_request(at, address, message)
             case AnswerRequest():
                 return self._handle_answer_request(at, address, message)
 
-    def _handle_trial_request(self, at: Instant, address: Address, message: TrialRequest) -> list[Out]:
+    def _handle_trial_request(self, at: Instant, address: Address, message: TrialRequest) -> list[Outgoing]:
         key = (message.digest, message.day)
         run = self.runs.get(key)
         if run is None:
@@ -122,15 +124,15 @@
             return self._report(run)
         return self._start(at, run)
 
-    def _start(self, at: Instant, run: _TrialRun) -> list[Out]:
+    def _start(self, at: Instant, run: _TrialRun) -> list[Outgoing]:
         """Compile the body of a run, or fetch it first."""
         if run.answers is not None:
             return []
-        body = self.fleet.bodies.get(run.digest)
+        body = self.fleet.payloads.get(run.digest)
         if body is None:
             if at.now >= run.fetched_at + REFETCH_SECONDS:
                 run.fetched_at = at.now
-                self.fleet.fetches.append(Fetch(run.address, run.digest))
+                self.fleet.fetch_requests.append(FetchRequest(run.address, run.digest))
             return []
         try:
             plan, evaluator = self.compile_plan(body)
@@ -142,18 +144,18 @@
         self.next_work = at.now
         return []
 
-    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Out]:
+    def body(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         """Start the runs that have waited for a body; one that could not be had is asked for again later."""
         if body is None:
             return []
         waiting = [run for run in self.runs.values() if run.digest == digest and not run.is_done]
         return [message for run in waiting for message in self._start(at, run)]
 
-    def _report(self, run: _TrialRun) -> list[Out]:
+    def _report(self, run: _TrialRun) -> list[Outgoing]:
         count, result = (run.answers.count, run.answers.result) if run.answers else (0, b"")
-        return [(run.address, TrialResult(run.check_id, self.fleet.start, result, count, run.error))]
+        return [(run.address, TrialResult(run.check_id, self.fleet.incarnation, result, count, run.error))]
 
-    def _handle_answer_request(self, at: Instant, address: Address, message: AnswerRequest) -> list[Out]:
+    def _handle_answer_request(self, at: Instant, address: Address, message: AnswerRequest) -> list[Outgoing]:
         """Show the digest of a prefix of the answers, and its last trial, where these are complete."""
         length = message.prefix_length
         for run in self.runs.values():
@@ -165,6 +167,6 @@
                 trial, answer = answers.show(length - 1)
                 texts = (truncate(trial), truncate(answer))
                 digest = answers.prefix_digest(length)
-                response = AnswerResponse(message.check_id, self.fleet.start, length, digest, *texts)
+                response = AnswerResponse(message.check_id, self.fleet.incarnation, length, digest, *texts)
                 return [(address, response)]
         return []
