--- a/wheatring/config/file.py
+++ b/wheatring/config/file.py
@@ -85,7 +85,7 @@
 
 
 class RouteTable(Table, frozen=True, kw_only=True):
-    """`[route.NAME]`: which requests, and the pools that they go to. `routes.words` checks the texts."""
+    """`[route.NAME]`: which requests, and the pools that they go to. `routes` checks the texts."""
 
     host: str = ""
     path: str = ""
--- a/wheatring/peers/compiled_plan.py
+++ b/wheatring/peers/compiled_plan.py
@@ -12,9 +12,9 @@
 from wheatring.plan.compiler import CompiledRoutes, compile_routes
 from wheatring.plan.document import Plan, Trial
 from wheatring.plan.parser import parse_plan
-from wheatring.routes.split import ByCustomer
-from wheatring.routes.target import TurnedAway
-from wheatring.routes.words import Weighted
+from wheatring.routes.definitions import WeightedPool
+from wheatring.routes.exceptions import InvalidRequestError
+from wheatring.routes.split import RendezvousSplit
 from wheatring.schedule import zones
 from wheatring.schedule.timetable import Timetable
 from wheatring.schedule.validation import validate_windows
@@ -51,8 +51,8 @@
         if trial.host:
             fields[b"host"] = trial.host.encode()
         try:
-            match = self.table.route(trial.method.encode(), trial.target.encode(), fields, frozenset())
-        except TurnedAway as error:
+            match = self.table.resolve(trial.method.encode(), trial.target.encode(), fields, frozenset())
+        except InvalidRequestError as error:
             return f"turned away: {error}"
         if match is None:
             return "no route"
@@ -61,8 +61,8 @@
         shown = " ".join(f"{pool}={weight}" for pool, weight in sorted(weights.items()))
         if not match.route.split_by:
             return f"{name} {shown}"
-        pools = [Weighted(pool, weight) for pool, weight in sorted(weights.items())]
-        return f"{name} {shown} to {ByCustomer(match.route.split_by, pools).pick(fields)}"
+        pools = [WeightedPool(pool, weight) for pool, weight in sorted(weights.items())]
+        return f"{name} {shown} to {RendezvousSplit(match.route.split_by, pools).pick(fields)}"
 
     def weights(self, route: str, at: float) -> Mapping[str, int]:
         """Return a route's weights by pool, at an instant in Unix seconds."""
--- a/wheatring/plan/compiler.py
+++ b/wheatring/plan/compiler.py
@@ -14,15 +14,15 @@
     PlanWindowUnknownRouteError,
 )
 from wheatring.plan.parser import quote
-from wheatring.routes.table import Table
-from wheatring.routes.words import ClassFrom, Header, Match, Route, Weighted
+from wheatring.routes.definitions import ClassSource, HeaderMatch, Route, RouteMatch, WeightedPool
+from wheatring.routes.table import RoutingTable
 
 
 class CompiledRoutes(NamedTuple):
     """A plan ready to be applied; `windows` by the name of their route, in the order of the document."""
 
     plan: Plan
-    table: Table
+    table: RoutingTable
     routes: dict[str, Route]
     windows: dict[str, tuple[PlanWindow, ...]]
 
@@ -43,7 +43,7 @@
             raise PlanRoutesClashError(f"routes[{index}].name: {route.name} is another route's name")
         routes[route.name] = _compile_route(index, route)
     try:
-        table = Table(tuple(routes.values()))
+        table = RoutingTable(tuple(routes.values()))
     except ValueError as error:
         if "the same conditions as" in str(error):
             raise PlanRoutesClashError(quote(str(error))) from None
@@ -58,8 +58,8 @@
         return Route(
             route.name,
             _compile_match(route),
-            tuple(Weighted(pool, weight) for pool, weight in sorted(route.weights.items())),
-            ClassFrom(fixed=route.class_name) if route.class_name else ClassFrom(first_part=True),
+            tuple(WeightedPool(pool, weight) for pool, weight in sorted(route.weights.items())),
+            ClassSource(fixed=route.class_name) if route.class_name else ClassSource(first_part=True),
             route.deadline,
             (),
             route.split_by,
@@ -68,10 +68,10 @@
         raise PlanUnreadableError(f"routes[{index}]: {quote(str(error))}") from None
 
 
-def _compile_match(route: PlanRoute) -> Match:
+def _compile_match(route: PlanRoute) -> RouteMatch:
     match = route.match
-    headers = tuple(Header(header.name, header.exact, header.prefix) for header in match.headers)
-    return Match(match.host, match.path, match.prefix, match.expression, match.methods, headers)
+    headers = tuple(HeaderMatch(header.name, header.exact, header.prefix) for header in match.headers)
+    return RouteMatch(match.host, match.path, match.prefix, match.expression, match.methods, headers)
 
 
 def _group_windows(plan: Plan, routes: dict[str, Route]) -> dict[str, tuple[PlanWindow, ...]]:
--- a/wheatring/pools/active_route.py
+++ b/wheatring/pools/active_route.py
@@ -8,8 +8,8 @@
 
 from wheatring.core.exchange import Job
 from wheatring.pools.routed_pool import RoutedPool
-from wheatring.routes.split import split
-from wheatring.routes.words import Route
+from wheatring.routes.definitions import Route
+from wheatring.routes.split import split_for
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
@@ -25,9 +25,9 @@
     def __init__(self, route: Route, pools: Mapping[str, RoutedPool]) -> None:
         self.route = route
         self.pools = pools
-        self.class_name = route.class_from.fixed.encode("latin-1")
-        self.deadline = route.deadline
-        self.split = split(route)
+        self.class_name = route.class_source.fixed.encode("latin-1")
+        self.deadline = route.deadline_seconds
+        self.split = split_for(route)
 
     def job(self, fields: Mapping[bytes, bytes], **arguments: Any) -> RoutedRequest:
         """Make a request with these header fields, and choose its pool."""
--- a/wheatring/pools/request_router.py
+++ b/wheatring/pools/request_router.py
@@ -18,9 +18,9 @@
 from wheatring.pools.active_route import ActiveRoute, RoutedRequest
 from wheatring.pools.exceptions import BadWeightsError, UnknownPoolError, UnknownRouteError
 from wheatring.pools.routed_pool import RoutedPool
-from wheatring.routes.table import Table
-from wheatring.routes.target import TurnedAway
-from wheatring.routes.words import Route, Weighted
+from wheatring.routes.definitions import Route, WeightedPool
+from wheatring.routes.exceptions import InvalidRequestError
+from wheatring.routes.table import RoutingTable
 
 LOG_INTERVAL_SECONDS = 1.0  # between two log lines on requests rejected for one reason
 
@@ -32,7 +32,7 @@
         self.clock = clock
         self.pools: dict[str, RoutedPool] = {}
         self.routes: dict[str, ActiveRoute] = {}
-        self.table = Table(())
+        self.table = RoutingTable(())
         self.rejections: dict[str, tuple[float, int]] = {}  # by reason: when to log next, how many since
         front.on_job = lambda job: pool_of(job).driver.job_came(job)
         front.on_left = lambda job: pool_of(job).driver.job_left(job)
@@ -53,8 +53,8 @@
         """
         method, target = message.first
         try:
-            match = self.table.route(method, target, message.fields, message.repeated)
-        except TurnedAway as error:
+            match = self.table.resolve(method, target, message.fields, message.repeated)
+        except InvalidRequestError as error:
             self._log_rejection(400, str(error))
             raise Refused(400, str(error)) from None
         if match is None:
@@ -78,9 +78,9 @@
         for name, new in active.items():
             old = self.routes.get(name)
             if old is not None and old.route.split_by == new.route.split_by:
-                old.split.change(new.route.pools)
+                old.split.update_weights(new.route.pools)
                 new.split = old.split
-        table = Table(routes)
+        table = RoutingTable(routes)
         self.pools, self.routes, self.table = pools, active, table
 
     def change_weights(self, name: str, weights: Mapping[str, int]) -> None:
@@ -98,7 +98,7 @@
         if unknown:
             raise UnknownPoolError(f"route {name}: no pool {unknown[0]!r} is in force")
         try:
-            route.split.change([Weighted(pool, weight) for pool, weight in weights.items()])
+            route.split.update_weights([WeightedPool(pool, weight) for pool, weight in weights.items()])
         except ValueError as error:
             raise BadWeightsError(f"route {name}: {error}") from None
         log.line("weights", route=name, **{f"pool_{pool}": weight for pool, weight in weights.items()})
--- a/wheatring/pools/route_tables.py
+++ b/wheatring/pools/route_tables.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from wheatring.config.file import File, RouteTable, Wrong
-from wheatring.routes.split import split
-from wheatring.routes.table import Table
-from wheatring.routes.words import ClassFrom, Header, Match, Route, Weighted
+from wheatring.routes.definitions import ClassSource, HeaderMatch, Route, RouteMatch, WeightedPool
+from wheatring.routes.split import split_for
+from wheatring.routes.table import RoutingTable
 
 
 def route_from(name: str, table: RouteTable) -> Route:
@@ -16,12 +16,12 @@
     ValueError
         The table contradicts itself; the text begins with the route and the field.
     """
-    match = Match(
+    match = RouteMatch(
         table.host, table.path, table.prefix, table.expression, table.methods,
-        tuple([Header(header.name, header.exact, header.prefix) for header in table.headers]),
+        tuple([HeaderMatch(header.name, header.exact, header.prefix) for header in table.headers]),
     )  # fmt: skip
-    pools = tuple([Weighted(pool, weight) for pool, weight in table.weights.items()])
-    source = ClassFrom(fixed=table.class_name) if table.class_name else ClassFrom(first_part=True)
+    pools = tuple([WeightedPool(pool, weight) for pool, weight in table.weights.items()])
+    source = ClassSource(fixed=table.class_name) if table.class_name else ClassSource(first_part=True)
     return Route(name, match, pools, source, table.deadline, split_by=table.split_by)
 
 
@@ -31,12 +31,12 @@
     for name, table in configuration.route.items():
         try:
             routes.append(route_from(name, table))
-            split(routes[-1])
-            Table(routes[-1:])
+            split_for(routes[-1])
+            RoutingTable(routes[-1:])
         except ValueError as error:
             return _key_and_reason(name, table, str(error))
     try:
-        Table(routes)
+        RoutingTable(routes)
     except ValueError as error:
         return "route", str(error).removeprefix("route ")
     return None
--- a/wheatring/routes/__init__.py
+++ b/wheatring/routes/__init__.py
@@ -1,6 +1,6 @@
-"""Which pool a request goes to, and whether it is taken at all: decided before there is a job.
+"""Which pool a request goes to, and whether it is admitted: decided before the request gets a place.
 
-Deciders, free of I/O, clocks and randomness but what is handed in: the table of routes, the split of one
-route over pools, tiers within a pool, and limits. May import the log's and the decision module's words, and
-nothing of the core or the protocols.
+The decisions are pure: no I/O, no clock and no randomness except what is passed in. The package holds the
+routing table (`table`), the split of one route's requests over pools (`split`), priority tiers within a pool
+(`tiers`) and admission limits (`admission`). It imports nothing of the core or of the protocols.
 """
--- a/wheatring/routes/callers.py
+++ b/wheatring/routes/callers.py
@@ -1,8 +1,9 @@
 """The callers of a route or pool, a bounded number of them, and their fair shares.
 
-A caller is a string: a token's holder, a header, an address. Two tables: who has proved to come again is
-known, and can't be pushed out while it comes; all others are strangers, in a table that a crowd of names runs
-through. Strangers are reckoned with as one caller, too, so that names can be made up without gain.
+A caller is a string: a token's holder, a header, an address. There are two tables, as in a segmented LRU
+cache: a caller that has proved to come again is known, and can't be evicted while it comes; all others are
+strangers, in a table that a crowd of names passes through. Strangers are also counted as one caller, so that
+names can be made up without gain.
 """
 
 from __future__ import annotations
@@ -11,206 +12,244 @@
 from collections.abc import Iterator, Mapping
 from math import exp, inf
 
-from wheatring.routes.rate import LONG_AGO
-from wheatring.routes.values import Shares, Table
+from wheatring.routes.gcra import NEVER_USED
+from wheatring.routes.limit_settings import CallerTableSettings, FairShareSettings
 
-TRIES = 8  # entries with jobs out that are passed over in search of one to drop
-FADED = 1e-3  # jobs: less than that counts as none
-THERE = 0.5  # seconds over which it is measured what there is to share: a pool takes more under pressure
-MUCH = 1.1  # so many times what is taken must be asked for, or chance would put callers over their share
-BEYOND = 1.02  # times the mean is above it
-AHEAD = 4.0  # jobs that a caller may be ahead of its share
-LEVEL_EVERY = 0.1  # seconds between two reckonings of the fair level
+MAX_EVICTION_ATTEMPTS = 8  # entries with requests in flight that are passed over in search of one to evict
+NEGLIGIBLE_REQUESTS = 1e-3  # fewer count as none
+THROUGHPUT_WINDOW_SECONDS = 0.5  # over which the throughput to share is measured: it rises under pressure
+PRESSURE_RATIO = 1.1  # of requests to admissions; with less, chance would put callers over their share
+ABOVE_MEAN_RATIO = 1.02
+MAX_REQUESTS_AHEAD = 4.0  # that a caller may be ahead of its share
+LEVEL_INTERVAL_SECONDS = 0.1  # between two computations of the fair level
 
 
 class Caller:
-    """`asks` and `takes` are counts that fade with time, as of `at`, when it last asked; `out` jobs are in
-    flight, exactly.
+    """One caller's counts.
+
+    `requests` and `admissions` fade with time, as of `updated_at`, when it last asked. `in_flight` is exact.
     """
 
-    __slots__ = ("asks", "at", "full", "jobs", "known", "name", "out", "since", "takes", "turn", "weight")
+    __slots__ = (
+        "admissions", "admitted_total", "first_seen_at", "in_flight", "is_known", "name", "next_turn",
+        "requests", "theoretical_arrival", "updated_at", "weight",
+    )  # fmt: skip
 
     def __init__(self, name: str, weight: float, now: float) -> None:
         self.name = name
         self.weight = weight
-        self.out = 0
-        self.jobs = 0  # taken in all
-        self.full = LONG_AGO  # of its rate
-        self.asks = 0.0
-        self.takes = 0.0
-        self.turn = now  # at which it would be level with its share
-        self.at = self.since = now
-        self.known = False
-
-    def fade(self, now: float, over: float) -> None:
-        if now > self.at:
-            left = exp((self.at - now) / over)
-            self.asks *= left
-            self.takes *= left
-            self.at = now
-
-
-class Callers:
-    """At most `table.known + table.strangers` entries, of which strangers have what the known don't take, and
-    two that stand for many.
+        self.in_flight = 0
+        self.admitted_total = 0
+        self.theoretical_arrival = NEVER_USED  # of its rate limit, see `gcra`
+        self.requests = 0.0
+        self.admissions = 0.0
+        self.next_turn = now  # the instant at which it would be level with its share
+        self.updated_at = self.first_seen_at = now
+        self.is_known = False
+
+    def fade(self, now: float, window_seconds: float) -> None:
+        """Let the counts decay up to an instant, by the factor e in each window."""
+        if now > self.updated_at:
+            remaining = exp((self.updated_at - now) / window_seconds)
+            self.requests *= remaining
+            self.admissions *= remaining
+            self.updated_at = now
+
+
+class CallerTable:
+    """The callers that are told apart, and which of them are over their fair share.
+
+    There are at most `settings.known + settings.strangers` entries, of which strangers have what the known
+    ones leave, and three that stand for many.
     """
 
     __slots__ = (
-        "_level", "_level_at", "_mean", "all", "known", "over", "rest", "strangers", "table",
-        "unknown", "weight",
+        "_fair_level", "_level_due_at", "_mean_use", "all_callers", "all_strangers", "known", "overflow",
+        "settings", "strangers", "weights", "window_seconds",
     )  # fmt: skip
 
-    def __init__(self, table: Table, shares: Shares | None, now: float) -> None:
-        self.known: OrderedDict[str, Caller] = OrderedDict()  # both: the one that asked longest ago first
+    def __init__(self, settings: CallerTableSettings, shares: FairShareSettings | None, now: float) -> None:
+        # Both tables are in the order of the last request, the oldest first.
+        self.known: OrderedDict[str, Caller] = OrderedDict()
         self.strangers: OrderedDict[str, Caller] = OrderedDict()
-        self.unknown = Caller("", 1.0, now)  # all strangers together
-        self.rest = Caller("", 1.0, now)  # the stranger that stands for those that found no entry
-        self.all = Caller("", 1.0, now)
-        self._level = inf
-        self._mean = inf  # use for each weight, of those who want more than the level
-        self._level_at = now
-        self.change(table, shares)
-
-    def change(self, table: Table, shares: Shares | None) -> None:
-        """Other settings from now on; who is there stays."""
-        shares = shares or Shares()
-        self.table = table
-        self.over = shares.over
-        self.weight: Mapping[str, float] = shares.weight
-        self.unknown.weight = shares.strangers
+        self.all_strangers = Caller("", 1.0, now)
+        self.overflow = Caller("", 1.0, now)  # stands for the strangers that found no entry
+        self.all_callers = Caller("", 1.0, now)
+        self._fair_level = inf
+        self._mean_use = inf  # for each weight, of the callers that want more than the level
+        self._level_due_at = now
+        self.update_settings(settings, shares)
+
+    def update_settings(self, settings: CallerTableSettings, shares: FairShareSettings | None) -> None:
+        """Go by other settings from now on; the entries stay."""
+        shares = shares or FairShareSettings()
+        self.settings = settings
+        self.window_seconds = shares.over
+        self.weights: Mapping[str, float] = shares.weight
+        self.all_strangers.weight = shares.strangers
         for callers in (self.known, self.strangers):
             for caller in callers.values():
-                caller.weight = self.weight.get(caller.name, 1.0)
+                caller.weight = self.weights.get(caller.name, 1.0)
 
-    def each(self) -> Iterator[Caller]:
+    def entries(self) -> Iterator[Caller]:
+        """Yield all entries that requests are counted in."""
         yield from self.known.values()
         yield from self.strangers.values()
-        yield self.rest
+        yield self.overflow
 
-    def ask(self, name: str, now: float) -> Caller:
-        """A job of this caller has come. `now` must not go back."""
+    def record_request(self, name: str, now: float) -> Caller:
+        """Count a request of a caller, and return the entry. `now` must not go back."""
         caller = self.known.get(name)
         if caller is not None:
             self.known.move_to_end(name)
         else:
-            caller = self.strangers.get(name)
-            if caller is None:
-                caller = self._stranger(name, now)
-            elif caller.jobs >= 2 and now - caller.since >= self.table.prove and self._room(now):
-                del self.strangers[name]
-                self.known[name] = caller
-                caller.known = True
-            else:
-                self.strangers.move_to_end(name)
-            if not caller.known:
-                self.unknown.fade(now, self.over)
-                self.unknown.asks += 1.0
-        caller.fade(now, self.over)
-        caller.asks += 1.0
-        self.all.fade(now, THERE)
-        self.all.asks += 1.0
+            caller = self._record_stranger(name, now)
+        caller.fade(now, self.window_seconds)
+        caller.requests += 1.0
+        self.all_callers.fade(now, THROUGHPUT_WINDOW_SECONDS)
+        self.all_callers.requests += 1.0
+        return caller
+
+    def _record_stranger(self, name: str, now: float) -> Caller:
+        """Return the entry of a stranger, which may become known by this request."""
+        caller = self.strangers.get(name)
+        if caller is None:
+            caller = self._add_stranger(name, now)
+        elif self._has_proved(caller, now) and self._make_room_for_known(now):
+            del self.strangers[name]
+            self.known[name] = caller
+            caller.is_known = True
+        else:
+            self.strangers.move_to_end(name)
+        if not caller.is_known:
+            self.all_strangers.fade(now, self.window_seconds)
+            self.all_strangers.requests += 1.0
         return caller
 
-    def take(self, caller: Caller, now: float) -> None:
-        """What was just asked for is taken."""
-        caller.out += 1
-        caller.jobs += 1
-        caller.takes += 1.0
-        self._served(caller, now)
-        if not caller.known:
-            self.unknown.takes += 1.0
-            self._served(self.unknown, now)
-        self.all.takes += 1.0
-
-    def over_share(self, caller: Caller, now: float) -> bool:
-        """It asks for more than its fair share, and is ahead of it: the most that all who want more could
-        have alike, for their weight. A stranger is so as well if all strangers together are.
+    def _has_proved(self, caller: Caller, now: float) -> bool:
+        return caller.admitted_total >= 2 and now - caller.first_seen_at >= self.settings.prove
+
+    def record_admission(self, caller: Caller, now: float) -> None:
+        """Count the request that was just recorded as admitted."""
+        caller.in_flight += 1
+        caller.admitted_total += 1
+        caller.admissions += 1.0
+        self._advance_turn(caller, now)
+        if not caller.is_known:
+            self.all_strangers.admissions += 1.0
+            self._advance_turn(self.all_strangers, now)
+        self.all_callers.admissions += 1.0
+
+    def is_over_share(self, caller: Caller, now: float) -> bool:
+        """Return whether a caller asks for more than its fair share, and is ahead of it.
+
+        The share is the most that all callers that want more could have alike, for their weight. A stranger
+        is over its share as well if all strangers together are.
         """
-        if now >= self._level_at:
-            self._level_at = now + LEVEL_EVERY
-            self._level = self._reckon(now)
-        if self._ahead(caller, now):
+        if now >= self._level_due_at:
+            self._level_due_at = now + LEVEL_INTERVAL_SECONDS
+            self._fair_level = self._compute_level(now)
+        if self._is_ahead(caller, now):
             return True
-        if caller.known:
+        if caller.is_known:
             return False
-        self.unknown.fade(now, self.over)
-        return self._ahead(self.unknown, now)
+        self.all_strangers.fade(now, self.window_seconds)
+        return self._is_ahead(self.all_strangers, now)
+
+    def is_above_mean(self, caller: Caller) -> bool:
+        """Return whether it wants more than its fair share and has had more than the mean of those who do.
 
-    def above_others(self, caller: Caller) -> bool:
-        """It asks for more than its fair share, and has had more than the mean of those who do so: what it
-        leaves, others take. To be asked after `over_share`, in the same instant.
+        What it leaves, the others take. Only valid after `is_over_share`, for the same instant.
         """
-        if not caller.known:
-            caller = self.unknown
-        share = caller.weight * self._level
-        return caller.asks > share and caller.takes > BEYOND * caller.weight * self._mean
-
-    def _ahead(self, caller: Caller, now: float) -> bool:
-        share = caller.weight * self._level
-        return caller.asks > share and (caller.turn - now) * share > AHEAD * self.over
-
-    def _served(self, caller: Caller, now: float) -> None:
-        """A share's worth of time goes by for each job: a caller's turn runs ahead of the time if it has
-        more. What it had more is held against it for as long as use is measured, no longer.
+        if not caller.is_known:
+            caller = self.all_strangers
+        share = caller.weight * self._fair_level
+        most = ABOVE_MEAN_RATIO * caller.weight * self._mean_use
+        return caller.requests > share and caller.admissions > most
+
+    def _is_ahead(self, caller: Caller, now: float) -> bool:
+        share = caller.weight * self._fair_level
+        requests_ahead = (caller.next_turn - now) * share
+        return caller.requests > share and requests_ahead > MAX_REQUESTS_AHEAD * self.window_seconds
+
+    def _advance_turn(self, caller: Caller, now: float) -> None:
+        """Let a share's worth of time pass for one request of a caller.
+
+        Its turn runs ahead of the time if it has more than its share. The excess counts against it for as
+        long as use is measured, no longer.
         """
-        share = caller.weight * self._level
+        share = caller.weight * self._fair_level
         if share < inf:
-            turn = caller.turn if caller.turn > now else now
-            caller.turn = min(turn + self.over / share, now + self.over) if share else now + self.over
-
-    def _reckon(self, now: float) -> float:
-        """Max-min: the level to which all wants can be filled, out of what was taken of late."""
-        over = self.over
-        self.all.fade(now, THERE)
-        self.unknown.fade(now, over)
-        crowd = [(self.unknown.asks, self.unknown.takes, self.unknown.weight)]
+            window = self.window_seconds
+            turn = caller.next_turn if caller.next_turn > now else now
+            caller.next_turn = min(turn + window / share, now + window) if share else now + window
+
+    def _compute_level(self, now: float) -> float:
+        """Return the max-min fair level: up to it all wants can be filled out of the recent throughput."""
+        window = self.window_seconds
+        self.all_callers.fade(now, THROUGHPUT_WINDOW_SECONDS)
+        self.all_strangers.fade(now, window)
+        strangers = self.all_strangers
+        crowd = [(strangers.requests, strangers.admissions, strangers.weight)]
         for caller in self.known.values():
-            left = exp((caller.at - now) / over)  # `at` stays when it last asked
-            if caller.asks * left > FADED:
-                crowd.append((caller.asks * left, caller.takes * left, caller.weight))
-        there = self.all.takes * over / THERE
-        self._mean = inf
-        wanted = sum(asks for asks, _, _ in crowd)
-        if wanted <= MUCH * there or self.all.asks <= MUCH * self.all.takes:
+            remaining = exp((caller.updated_at - now) / window)  # the entry stays as of its last request
+            if caller.requests * remaining > NEGLIGIBLE_REQUESTS:
+                crowd.append((caller.requests * remaining, caller.admissions * remaining, caller.weight))
+        throughput = self.all_callers.admissions * window / THROUGHPUT_WINDOW_SECONDS
+        self._mean_use = inf
+        wanted = sum(requests for requests, _, _ in crowd)
+        is_pressed = self.all_callers.requests > PRESSURE_RATIO * self.all_callers.admissions
+        if wanted <= PRESSURE_RATIO * throughput or not is_pressed:
             return inf
-        found = level([(asks, weight) for asks, _, weight in crowd], there)
-        more = [(takes, weight) for asks, takes, weight in crowd if asks > weight * found]
-        if len(more) > 1:
-            self._mean = sum(takes for takes, _ in more) / sum(weight for _, weight in more)
-        return found
-
-    def _stranger(self, name: str, now: float) -> Caller:
+        level = max_min_level([(requests, weight) for requests, _, weight in crowd], throughput)
+        above = [(admissions, weight) for requests, admissions, weight in crowd if requests > weight * level]
+        if len(above) > 1:
+            total_weight = sum(weight for _, weight in above)
+            self._mean_use = sum(admissions for admissions, _ in above) / total_weight
+        return level
+
+    def _add_stranger(self, name: str, now: float) -> Caller:
         strangers = self.strangers
-        room = self.table.known + self.table.strangers - len(self.known)
-        if len(strangers) >= room and not self._drop(strangers, inf):
-            return self.rest
-        caller = strangers[name] = Caller(name, self.weight.get(name, 1.0), now)
+        room = self.settings.known + self.settings.strangers - len(self.known)
+        if len(strangers) >= room and not self._evict_idle(strangers, inf):
+            return self.overflow
+        caller = strangers[name] = Caller(name, self.weights.get(name, 1.0), now)
         return caller
 
-    def _room(self, now: float) -> bool:
-        return len(self.known) < self.table.known or self._drop(self.known, now - self.table.keep)
+    def _make_room_for_known(self, now: float) -> bool:
+        has_room = len(self.known) < self.settings.known
+        return has_room or self._evict_idle(self.known, now - self.settings.keep)
 
     @staticmethod
-    def _drop(callers: OrderedDict[str, Caller], before: float) -> bool:
-        """Make room by dropping who asked last before an instant and has nothing out."""
-        for _ in range(min(TRIES, len(callers))):
+    def _evict_idle(callers: OrderedDict[str, Caller], before: float) -> bool:
+        """Evict a caller that asked last before an instant and has nothing in flight."""
+        for _ in range(min(MAX_EVICTION_ATTEMPTS, len(callers))):
             name, caller = next(iter(callers.items()))
-            if caller.at > before:
+            if caller.updated_at > before:
                 return False
-            if not caller.out:
+            if not caller.in_flight:
                 del callers[name]
                 return True
-            callers.move_to_end(name)  # a job out must find its entry again, or its count would be lost
+            # A request in flight must find its entry again, or its count would be lost.
+            callers.move_to_end(name)
         return False
 
 
-def level(wants: list[tuple[float, float]], there: float) -> float:
-    """The level f at which the sum of min(want, weight * f) is all that is there; inf if it suffices."""
+def max_min_level(wants: list[tuple[float, float]], supply: float) -> float:
+    """Return the level f at which the sum of min(want, weight * f) is the supply; infinite if it suffices.
+
+    Parameters
+    ----------
+    wants
+        Pairs of want and weight. The list is sorted in place.
+    supply
+        What there is to share, in the unit of the wants.
+    """
     wants.sort(key=lambda pair: pair[0] / pair[1])
     weights = sum(weight for _, weight in wants)
     for want, weight in wants:
-        if want * weights > there * weight:
-            return max(0.0, there) / weights
-        there -= want
+        if want * weights > supply * weight:
+            return max(0.0, supply) / weights
+        supply -= want
         weights -= weight
     return inf
--- a/wheatring/routes/match.py
+++ b/wheatring/routes/match.py
@@ -1,17 +1,17 @@
-"""The order of routes, and whether a request meets a route's conditions.
+"""The precedence of routes, and whether a request meets a route's conditions.
 
-The order, stated once. Of all routes whose conditions a request meets, the first in this order gets it:
+The precedence, stated once. Of all routes whose conditions a request meets, the first in this order gets it:
 
 1. host: an exact one, then `*.NAME`, the longest first, then none;
 2. path: an exact one, then a prefix, the longest first, then an expression, then none;
 3. method: named, then not;
-4. headers: more exact ones first, then more prefixes, then more that need only be there, then the longer
+4. headers: more exact ones first, then more prefixes, then more that need only be present, then the longer
    prefixes, all their lengths added up;
-5. the place in the file.
+5. the position in the file.
 
 So the host goes before the path: a path has its meaning within its host only. Expressions have no length
-that says how much they take in, so among them what follows decides. An exact host whose routes all fail
-does not end the search: those of `*.NAME` and of no host come next.
+that says how much they match, so among them what follows decides. An exact host whose routes all fail does
+not end the search: those of `*.NAME` and of no host come next.
 """
 
 from __future__ import annotations
@@ -19,42 +19,51 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
+from wheatring.routes.definitions import HeaderMatch, RouteMatch
 from wheatring.routes.target import Target
-from wheatring.routes.words import Header, Match
 
-Rank = tuple[int, ...]
+Precedence = tuple[int, ...]
 
 
-class Miss(NamedTuple):
+class Mismatch(NamedTuple):
     """A condition that a request does not meet."""
 
-    part: str  # host, path, methods or headers
-    clause: str
+    condition: str  # host, path, methods or headers
+    reason: str  # a clause of a sentence
 
 
-def rank(match: Match) -> Rank:
-    """Less goes first; the place in the file is left to who sorts, as sorting keeps it."""
-    host = (2, 0) if not match.host else (1, -len(match.host)) if match.host[0] == "*" else (0, 0)
+def precedence(match: RouteMatch) -> Precedence:
+    """Return the sort key of a route's conditions: the lower goes first.
+
+    The position in the file is left to whoever sorts, as sorting is stable.
+    """
+    if not match.host:
+        host = (2, 0)
+    elif match.host[0] == "*":
+        host = (1, -len(match.host))
+    else:
+        host = (0, 0)
     if match.path:
         path = (0, 0)
     elif match.prefix:
         path = (1, -len(match.prefix.rstrip("/")))
     else:
         path = (2, 0) if match.expression else (3, 0)
-    exact = sum(bool(h.exact) for h in match.headers)
-    prefixes = [len(h.prefix) for h in match.headers if h.prefix]
-    there = len(match.headers) - exact - len(prefixes)
-    return (*host, *path, 0 if match.methods else 1, -exact, -len(prefixes), -there, -sum(prefixes))
+    exact = sum(bool(header.exact) for header in match.headers)
+    prefix_lengths = [len(header.prefix) for header in match.headers if header.prefix]
+    present = len(match.headers) - exact - len(prefix_lengths)
+    method = 0 if match.methods else 1
+    return (*host, *path, method, -exact, -len(prefix_lengths), -present, -sum(prefix_lengths))
 
 
-def conditions(match: Match) -> tuple[object, ...]:
-    """What it asks for, alike for two that ask for the same."""
-    headers = frozenset((h.name.lower(), h.exact, h.prefix) for h in match.headers)
+def condition_key(match: RouteMatch) -> tuple[object, ...]:
+    """Return a key that is equal for two matches that ask for the same."""
+    headers = frozenset((header.name.lower(), header.exact, header.prefix) for header in match.headers)
     prefix = match.prefix and match.prefix.rstrip("/") + "/"
     return match.host, match.path, prefix, match.expression, frozenset(match.methods), headers
 
 
-def _header(header: Header, fields: Mapping[bytes, bytes]) -> str:
+def _header_mismatch(header: HeaderMatch, fields: Mapping[bytes, bytes]) -> str:
     value = fields.get(header.name.lower().encode())
     if value is None:
         return f"it wants the header {header.name}, which is not there"
@@ -65,34 +74,42 @@
     return ""
 
 
-def _host(match: Match, host: str) -> str:
-    if not match.host or match.host == host or (match.host[0] == "*" and host.endswith(match.host[1:])):
+def _host_mismatch(match: RouteMatch, host: str) -> str:
+    is_suffix = bool(match.host) and match.host[0] == "*" and host.endswith(match.host[1:])
+    if not match.host or match.host == host or is_suffix:
         return ""
     return f"its host is {match.host}, not {host or 'none'}"
 
 
-def _path(match: Match, path: str, expressed: bool) -> str:
+def _path_mismatch(match: RouteMatch, path: str, is_expression_met: bool) -> str:
     if match.path and match.path != path:
         return f"its path is {match.path}, not {path}"
     if match.prefix and not (path + "/").startswith(match.prefix.rstrip("/") + "/"):
         return f"its prefix is {match.prefix}, and {path} is not below it"
-    if match.expression and not expressed:
+    if match.expression and not is_expression_met:
         return f"its expression {match.expression} does not take in {path}"
     return ""
 
 
-def misses(
-    match: Match, method: bytes, target: Target, fields: Mapping[bytes, bytes], expressed: bool
-) -> tuple[Miss, ...]:
-    """Why a request does not meet these conditions; none: it does.
+def mismatches(
+    match: RouteMatch, method: bytes, target: Target, fields: Mapping[bytes, bytes], is_expression_met: bool
+) -> tuple[Mismatch, ...]:
+    """Return the conditions that a request does not meet; empty if it meets them all.
 
-    `expressed`: the route's expression, if it has one, takes the path in.
+    Parameters
+    ----------
+    match
+        The conditions.
+    method, target, fields
+        The request; header names in lower case.
+    is_expression_met
+        Whether the expression of these conditions, if there is one, matches the path.
     """
-    told = [
-        Miss("host", _host(match, target.host.decode())),
-        Miss("path", _path(match, target.path.decode(), expressed)),
+    found = [
+        Mismatch("host", _host_mismatch(match, target.host.decode())),
+        Mismatch("path", _path_mismatch(match, target.path.decode(), is_expression_met)),
     ]
     if match.methods and method.decode("latin-1") not in match.methods:
-        told.append(Miss("methods", f"its methods are {', '.join(match.methods)}"))
-    told += [Miss("headers", _header(header, fields)) for header in match.headers]
-    return tuple(miss for miss in told if miss.clause)
+        found.append(Mismatch("methods", f"its methods are {', '.join(match.methods)}"))
+    found += [Mismatch("headers", _header_mismatch(header, fields)) for header in match.headers]
+    return tuple(mismatch for mismatch in found if mismatch.reason)
--- a/wheatring/routes/split.py
+++ b/wheatring/routes/split.py
@@ -1,4 +1,4 @@
-"""A route's requests shared out over its pools: counted, or by customer. No random numbers in either."""
+"""The split of a route's requests over its pools: counted, or by customer. Neither draws random numbers."""
 
 from __future__ import annotations
 
@@ -6,86 +6,91 @@
 from math import log
 from typing import Protocol
 
-from wheatring.routes.words import Route, Weighted
+from wheatring.routes.definitions import Route, WeightedPool
 
-FINE = 1 << 20  # parts of a request in which a debt is kept when weights change
+DEFICIT_RESOLUTION = 1 << 20  # parts of a request in which a deficit is kept when weights change
+HASH_BITS = 53  # of a customer's hash that are used: as many as a float keeps exactly
 
 Fields = Mapping[bytes, bytes]
 
 
-class Split(Protocol):
-    """Names a pool for each request. Weights may change while it runs."""
+class TrafficSplit(Protocol):
+    """Chooses a pool for each request. Weights may change while it runs."""
 
-    def pick(self, fields: Fields) -> str:
-        """The pool of the next request."""
+    def pick(self, fields: Fields, /) -> str:
+        """Return the pool of the next request, which has these header fields."""
 
-    def change(self, pools: Sequence[Weighted]) -> None:
+    def update_weights(self, pools: Sequence[WeightedPool]) -> None:
         """Go by these weights from the next request on."""
 
 
-class Turns:
-    """Counted: Tijdeman's rule for the chairman's assignment, in whole numbers.
+class CountedSplit:
+    """Counts requests: Tijdeman's rule for the chairman assignment problem, in whole numbers.
 
     With k pools of a weight above 0, of the first n requests each has its share to within 1 - 1/(2k - 2),
-    and of any n in a row to within twice that: for two pools, to within one. Taking the largest debt
+    and of any n in a row to within twice that: for two pools, to within one. Serving the largest deficit
     instead would come to more than one with many pools, and the usual smooth round robin does so as well.
 
-    When weights change, what each pool is still owed goes along, so that a shift in many small steps
-    comes out as its shares say and not with the first pool ahead at each step. What was owed to a pool
-    that leaves goes to the others, by their shares.
+    When weights change, the deficits of the pools are kept, so that a shift in many small steps comes out as
+    its shares say and not with the first pool ahead at each step. The deficit of a pool that leaves goes to
+    the others, by their shares.
     """
 
-    def __init__(self, pools: Sequence[Weighted]) -> None:
+    def __init__(self, pools: Sequence[WeightedPool]) -> None:
         self.names: list[str] = []
         self.weights: list[int] = []
-        self.owed: list[int] = []  # in parts of a request, `one` to a request; they add up to 0
-        self.one = 1
-        self.change(pools)
-
-    def change(self, pools: Sequence[Weighted]) -> None:
-        taking = [w for w in pools if w.weight]
-        if not taking:
+        self.deficits: list[int] = []  # `request_unit` to a request; they add up to 0
+        self.request_unit = 1
+        self.update_weights(pools)
+
+    def update_weights(self, pools: Sequence[WeightedPool]) -> None:
+        """Go by these weights from the next request on. Raises ValueError where none is above 0."""
+        active = [pool for pool in pools if pool.weight]
+        if not active:
             raise ValueError("pools: none with a weight above 0")
-        before = dict(zip(self.names, self.owed, strict=True))
-        total = sum(w.weight for w in taking)
-        one = total * FINE
-        owed = [before.get(w.pool, 0) * one // self.one for w in taking]
-        rest = -sum(owed)
-        for i, weighted in enumerate(taking):
-            owed[i] += rest * weighted.weight // total
-        owed[0] -= sum(owed)
-        self.names = [w.pool for w in taking]
-        self.weights = [w.weight * FINE for w in taking]
-        self.owed, self.one = owed, one
-
-    def pick(self, fields: Fields) -> str:
-        weights, owed, one = self.weights, self.owed, self.one
-        if len(owed) == 1:
+        previous = dict(zip(self.names, self.deficits, strict=True))
+        total = sum(pool.weight for pool in active)
+        unit = total * DEFICIT_RESOLUTION
+        deficits = [previous.get(pool.pool, 0) * unit // self.request_unit for pool in active]
+        rest = -sum(deficits)
+        for i, pool in enumerate(active):
+            deficits[i] += rest * pool.weight // total
+        deficits[0] -= sum(deficits)
+        self.names = [pool.pool for pool in active]
+        self.weights = [pool.weight * DEFICIT_RESOLUTION for pool in active]
+        self.deficits, self.request_unit = deficits, unit
+
+    def pick(self, _fields: Fields, /) -> str:
+        """Return the pool of the next request."""
+        weights, deficits, unit = self.weights, self.deficits, self.request_unit
+        if len(deficits) == 1:
             return self.names[0]
-        parts = 2 * len(owed) - 2
-        best, ahead = -1, 0
+        parts = 2 * len(deficits) - 2
+        best, best_slack = -1, 0
         for i, weight in enumerate(weights):
-            owed[i] += weight
-            # Who is owed less may not have it yet; of the others, the first that would be owed too much.
-            if owed[i] * parts >= one:
-                left = (parts - 1) * one - parts * owed[i]
-                if best < 0 or left * weights[best] < ahead * weight:
-                    best, ahead = i, left
-        owed[best] -= one
+            deficits[i] += weight
+            # A pool with a smaller deficit may not have the request yet; of the others, the first whose
+            # deficit would become too large.
+            if deficits[i] * parts >= unit:
+                slack = (parts - 1) * unit - parts * deficits[i]
+                if best < 0 or slack * weights[best] < best_slack * weight:
+                    best, best_slack = i, slack
+        deficits[best] -= unit
         return self.names[best]
 
 
-class ByCustomer:
-    """By a header's value: the same value goes to the same pool, in every sidecar and after a restart.
+class RendezvousSplit:
+    """Splits by a header's value: the same value goes to the same pool, in every sidecar and after a restart.
+
+    Weighted rendezvous hashing: each pool has a score for each customer, from a hash of both, that is
+    distributed as its weight says; the lowest score wins. When one pool's weight changes, only it gains
+    customers or only it loses them, and just as many as its share changes by, which is the least that can
+    move. With two pools that holds for any change. A request without the header is counted.
 
-    Each pool draws a number for each customer, from a hash of both, that grows with its weight as a
-    drawing of lots does; the highest has it (weighted rendezvous hashing). When one pool's weight
-    changes, only it gains customers or only it loses them, and just as many as its share changes by,
-    which is the least that can move. With two pools that holds for any change. A request without the
-    header is counted (Turns).
+    Raises ValueError where the extra `routes` is not installed.
     """
 
-    def __init__(self, header: str, pools: Sequence[Weighted]) -> None:
+    def __init__(self, header: str, pools: Sequence[WeightedPool]) -> None:
         try:
             from xxhash import xxh3_64_intdigest  # of the extra `routes`, and only where customers are split
         except ImportError:
@@ -94,27 +99,32 @@
             ) from None
         self.digest = xxh3_64_intdigest
         self.header = header.lower().encode()
-        self.nameless = Turns(pools)
+        self.without_header = CountedSplit(pools)
         self.pools: list[tuple[str, int, int]] = []  # name, seed of its hash, weight
-        self.change(pools)
+        self.update_weights(pools)
 
-    def change(self, pools: Sequence[Weighted]) -> None:
-        self.nameless.change(pools)
-        self.pools = [(w.pool, self.digest(w.pool.encode()), w.weight) for w in pools if w.weight]
+    def update_weights(self, pools: Sequence[WeightedPool]) -> None:
+        """Go by these weights from the next request on. Raises ValueError where none is above 0."""
+        self.without_header.update_weights(pools)
+        self.pools = [
+            (pool.pool, self.digest(pool.pool.encode()), pool.weight) for pool in pools if pool.weight
+        ]
 
-    def pick(self, fields: Fields) -> str:
+    def pick(self, fields: Fields, /) -> str:
+        """Return the pool of the customer that these header fields name."""
         customer = fields.get(self.header)
         if not customer:
-            return self.nameless.pick(fields)
-        best, least = "", float("inf")
+            return self.without_header.pick(fields)
+        best, best_score = "", float("inf")
         for name, seed, weight in self.pools:
-            # Never 0 and never 1: a logarithm is taken. Of two that draw alike the first has it.
-            drawn = ((self.digest(customer, seed) >> 11) + 0.5) / (1 << 53)
-            late = -log(drawn) / weight
-            if late < least:
-                best, least = name, late
+            # Never 0 and never 1: a logarithm is taken. Of two equal scores the first pool wins.
+            uniform = ((self.digest(customer, seed) >> (64 - HASH_BITS)) + 0.5) / (1 << HASH_BITS)
+            score = -log(uniform) / weight
+            if score < best_score:
+                best, best_score = name, score
         return best
 
 
-def split(route: Route) -> Split:
-    return ByCustomer(route.split_by, route.pools) if route.split_by else Turns(route.pools)
+def split_for(route: Route) -> TrafficSplit:
+    """Return the split that a route asks for. Raises ValueError where the extra it needs is missing."""
+    return RendezvousSplit(route.split_by, route.pools) if route.split_by else CountedSplit(route.pools)
--- a/wheatring/routes/table.py
+++ b/wheatring/routes/table.py
@@ -1,10 +1,9 @@
-"""The table: finds the first route, in the order that `match` states, in time that hardly grows with their
-number.
+"""The routing table: finds the first route, in the order that `match` states, in nearly constant time.
 
-By host, then by path, each through a dict; prefixes by one look for each known length at a segment's
+By host, then by path, each through a dict; prefixes by one lookup for each known length at a segment's
 border; expressions all at once; and where many routes share host and path, by the value of a header that
-they want. What is walked one by one is routes that differ by nothing but methods, beginnings of headers or
-their presence.
+they want. What is scanned linearly is routes that differ by nothing but methods, prefixes of headers or their
+presence.
 """
 
 from __future__ import annotations
@@ -13,197 +12,241 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from wheatring.routes.expressions import Expressions
-from wheatring.routes.match import conditions, rank
-from wheatring.routes.target import Spelling, Target, TurnedAway, read
-from wheatring.routes.words import Route
+from wheatring.routes.definitions import Route
+from wheatring.routes.exceptions import InvalidRequestError
+from wheatring.routes.expressions import ExpressionSet
+from wheatring.routes.match import condition_key, precedence
+from wheatring.routes.target import Strictness, Target, normalize_target
 
-FEW = 8  # routes that are walked sooner than looked up
+MAX_SCANNED_ROUTES = 8  # of one host and path; more are indexed by the value of a header
 
 Fields = Mapping[bytes, bytes]  # by name in lower case
 
 
-class Found(NamedTuple):
+class ResolvedRoute(NamedTuple):
+    """The route of a request, and its target in the normal form that was matched."""
+
     route: Route
     target: Target
 
 
 class _Entry:
-    """A route at its place in the order, its conditions past host and path ready for use."""
+    """A route at its position in the order, its conditions after host and path ready for use."""
 
-    __slots__ = ("methods", "place", "route", "texts", "there")
+    __slots__ = ("header_conditions", "is_unconditional", "methods", "position", "route")
 
-    def __init__(self, place: int, route: Route) -> None:
+    def __init__(self, position: int, route: Route) -> None:
         match = route.match
-        self.place = place
+        self.position = position
         self.route = route
-        self.methods = frozenset(m.encode() for m in match.methods)
+        self.methods = frozenset(method.encode() for method in match.methods)
         exact = [(h.name.lower().encode(), True, h.exact.encode()) for h in match.headers if h.exact]
-        self.texts = tuple(exact + [(h.name.lower().encode(), False, h.prefix.encode())
-                                    for h in match.headers if not h.exact])  # fmt: skip
-        self.there = not self.methods and not self.texts
+        prefix = [(h.name.lower().encode(), False, h.prefix.encode()) for h in match.headers if not h.exact]
+        self.header_conditions = tuple(exact + prefix)  # name, whether it is exact, text
+        self.is_unconditional = not self.methods and not self.header_conditions
 
-    def fits(self, method: bytes, fields: Fields) -> bool:
-        if self.there:
+    def matches(self, method: bytes, fields: Fields) -> bool:
+        """Return whether a request of this host and path meets the other conditions."""
+        if self.is_unconditional:
             return True
         if self.methods and method not in self.methods:
             return False
-        for name, whole, text in self.texts:
+        for name, is_exact, text in self.header_conditions:
             value = fields.get(name)
-            if value is None or (value != text if whole else not value.startswith(text)):
+            if value is None or (value != text if is_exact else not value.startswith(text)):
                 return False
         return True
 
-    def values(self) -> list[tuple[bytes, bytes]]:
-        return [(name, text) for name, whole, text in self.texts if whole]
+    def exact_headers(self) -> list[tuple[bytes, bytes]]:
+        """Return name and text of the headers that are wanted exactly."""
+        return [(name, text) for name, is_exact, text in self.header_conditions if is_exact]
+
 
+class _EntryIndex:
+    """The routes of one host and path.
 
-class _Leaf:
-    """The routes of one host and path. Where they are many, those that want a header's whole value are found
-    by it, each under the rarest value that it wants.
+    Where they are many, those that want a header's exact value are found by it, each under the rarest value
+    that it wants.
     """
 
-    __slots__ = ("by_value", "walked")
+    __slots__ = ("by_header", "scanned")
 
     def __init__(self, entries: Sequence[_Entry]) -> None:
-        self.walked: list[_Entry] = []
-        self.by_value: dict[bytes, dict[bytes, list[_Entry]]] = {}
-        many = len(entries) > FEW
-        often = Counter(value for entry in entries for value in entry.values()) if many else {}
+        self.scanned: list[_Entry] = []
+        self.by_header: dict[bytes, dict[bytes, list[_Entry]]] = {}
+        is_indexed = len(entries) > MAX_SCANNED_ROUTES
+        counts = (
+            Counter(header for entry in entries for header in entry.exact_headers()) if is_indexed else {}
+        )
         for entry in entries:
-            values = entry.values() if many else []
-            if values:
-                name, text = min(values, key=lambda value: (often[value], value))
-                self.by_value.setdefault(name, {}).setdefault(text, []).append(entry)
+            headers = entry.exact_headers() if is_indexed else []
+            if headers:
+                name, text = min(headers, key=lambda header: (counts[header], header))
+                self.by_header.setdefault(name, {}).setdefault(text, []).append(entry)
             else:
-                self.walked.append(entry)
+                self.scanned.append(entry)
 
     def find(self, method: bytes, fields: Fields) -> _Entry | None:
+        """Return the first entry that matches."""
         best = None
-        for entry in self.walked:
-            if entry.fits(method, fields):
+        for entry in self.scanned:
+            if entry.matches(method, fields):
                 best = entry
                 break
-        for name, values in self.by_value.items():
+        for name, values in self.by_header.items():
             for entry in values.get(fields.get(name, b""), ()):
-                if best is not None and best.place < entry.place:
+                if best is not None and best.position < entry.position:
                     break
-                if entry.fits(method, fields):
+                if entry.matches(method, fields):
                     best = entry
                     break
         return best
 
 
-def _leaves(entries: Sequence[_Entry], key: str) -> dict[bytes, _Leaf]:
-    """Leaves by the text of one kind of path, in the order in which these texts come."""
+def _index_by_path(entries: Sequence[_Entry], kind: str) -> dict[bytes, _EntryIndex]:
+    """Index entries by one kind of path condition, in the order in which their texts come."""
     groups: dict[bytes, list[_Entry]] = {}
     for entry in entries:
-        text: str = getattr(entry.route.match, key)
+        text: str = getattr(entry.route.match, kind)
         if text:
             groups.setdefault(text.encode(), []).append(entry)
-    return {text: _Leaf(group) for text, group in groups.items()}
+    return {text: _EntryIndex(group) for text, group in groups.items()}
 
 
-class _Paths:
-    """The routes of one host."""
+class _HostIndex:
+    """The routes of one host, indexed by path."""
 
-    __slots__ = ("exact", "expressed", "expressions", "lengths", "longest", "prefixes", "rest")
+    __slots__ = (
+        "any_path", "by_expression", "by_path", "by_prefix", "expressions", "longest_prefix",
+        "prefix_lengths",
+    )  # fmt: skip
 
     def __init__(self, entries: Sequence[_Entry]) -> None:
-        self.exact = _leaves(entries, "path")
+        self.by_path = _index_by_path(entries, "path")
         prefixes: dict[bytes, list[_Entry]] = {}
         for entry in entries:
             if entry.route.match.prefix:
                 prefixes.setdefault(entry.route.match.prefix.rstrip("/").encode(), []).append(entry)
-        self.prefixes = {text: _Leaf(group) for text, group in prefixes.items()}
-        self.lengths = frozenset(map(len, prefixes))
-        self.longest = max(self.lengths, default=-1)
-        expressed = _leaves(entries, "expression")
-        self.expressed = list(expressed.values())
-        self.expressions = Expressions([text.decode() for text in expressed]) if expressed else None
-        match = [(e, e.route.match) for e in entries]
-        self.rest = _Leaf([e for e, m in match if not (m.path or m.prefix or m.expression)])
+        self.by_prefix = {text: _EntryIndex(group) for text, group in prefixes.items()}
+        self.prefix_lengths = frozenset(map(len, prefixes))
+        self.longest_prefix = max(self.prefix_lengths, default=-1)
+        by_expression = _index_by_path(entries, "expression")
+        self.by_expression = list(by_expression.values())
+        texts = [text.decode() for text in by_expression]
+        self.expressions = ExpressionSet(texts) if by_expression else None
+        with_match = [(entry, entry.route.match) for entry in entries]
+        self.any_path = _EntryIndex([e for e, m in with_match if not (m.path or m.prefix or m.expression)])
 
     def find(self, path: bytes, method: bytes, fields: Fields) -> _Entry | None:
-        leaf = self.exact.get(path)
-        best = leaf.find(method, fields) if leaf is not None else None
-        if best is None and self.prefixes:
-            best = self._below(path, method, fields)
+        """Return the first entry that matches. Raises InvalidRequestError for a path that is too long."""
+        index = self.by_path.get(path)
+        best = index.find(method, fields) if index is not None else None
+        if best is None and self.by_prefix:
+            best = self._find_by_prefix(path, method, fields)
         if best is None and self.expressions is not None:
             for number in self.expressions.matching(path):
-                entry = self.expressed[number].find(method, fields)
-                if entry is not None and (best is None or entry.place < best.place):
+                entry = self.by_expression[number].find(method, fields)
+                if entry is not None and (best is None or entry.position < best.position):
                     best = entry
-        return best or self.rest.find(method, fields)
+        return best or self.any_path.find(method, fields)
+
+    def _find_by_prefix(self, path: bytes, method: bytes, fields: Fields) -> _Entry | None:
+        """Try the longest prefix first.
 
-    def _below(self, path: bytes, method: bytes, fields: Fields) -> _Entry | None:
-        """The longest prefix first. A path of many segments costs looks only up to the longest one known."""
+        A path of many segments costs lookups only up to the longest prefix known.
+        """
         end = len(path)
-        if end > self.longest:
-            end = path.rfind(b"/", 0, self.longest + 1)
+        if end > self.longest_prefix:
+            end = path.rfind(b"/", 0, self.longest_prefix + 1)
         while end >= 0:
-            if end in self.lengths:
-                leaf = self.prefixes.get(path[:end])
-                entry = leaf.find(method, fields) if leaf is not None else None
+            if end in self.prefix_lengths:
+                index = self.by_prefix.get(path[:end])
+                entry = index.find(method, fields) if index is not None else None
                 if entry is not None:
                     return entry
             end = path.rfind(b"/", 0, end)
         return None
 
 
-class Table:
-    """Routes, and how strictly targets are taken. Raises ValueError for routes that can't stand together."""
+class RoutingTable:
+    """The routes of one sidecar, indexed.
 
-    def __init__(self, routes: Sequence[Route], spelling: Spelling = Spelling.PLAIN) -> None:
-        self.spelling = spelling
+    Parameters
+    ----------
+    routes
+        In the order of the file. ValueError for two with one name, or with the same conditions.
+    strictness
+        Which spellings of a target are accepted.
+    """
+
+    def __init__(self, routes: Sequence[Route], strictness: Strictness = Strictness.PLAIN) -> None:
+        self.strictness = strictness
         names: dict[str, Route] = {}
-        asked: dict[tuple[object, ...], Route] = {}
+        by_conditions: dict[tuple[object, ...], Route] = {}
         for route in routes:
             if names.setdefault(route.name, route) is not route:
                 raise ValueError(f"route {route.name}: a name that another route has")
-            other = asked.setdefault(conditions(route.match), route)
+            other = by_conditions.setdefault(condition_key(route.match), route)
             if other is not route:
                 raise ValueError(f"route {route.name}: the same conditions as {other.name}")
-        self.routes = tuple(sorted(routes, key=lambda route: rank(route.match)))
-        self.deciding = frozenset(name.encode() for route in routes for name in route.headers())
-        hosts: dict[str, list[_Entry]] = {}
-        for place, route in enumerate(self.routes):
-            hosts.setdefault(route.match.host, []).append(_Entry(place, route))
-        paths = {host.encode(): _Paths(entries) for host, entries in hosts.items()}
-        self.anywhere = paths.pop(b"", None)
-        self.below = {host[1:]: found for host, found in paths.items() if host[:1] == b"*"}
-        self.hosts = {host: found for host, found in paths.items() if host[:1] != b"*"}
-
-    def route(
+        self.routes = tuple(sorted(routes, key=lambda route: precedence(route.match)))
+        self.deciding_headers = frozenset(
+            name.encode() for route in routes for name in route.deciding_headers()
+        )
+        by_host: dict[str, list[_Entry]] = {}
+        for position, route in enumerate(self.routes):
+            by_host.setdefault(route.match.host, []).append(_Entry(position, route))
+        indexes = {host.encode(): _HostIndex(entries) for host, entries in by_host.items()}
+        self.any_host = indexes.pop(b"", None)
+        self.by_host_suffix = {host[1:]: index for host, index in indexes.items() if host[:1] == b"*"}
+        self.by_host = {host: index for host, index in indexes.items() if host[:1] != b"*"}
+
+    def resolve(
         self, method: bytes, target: bytes, fields: Fields, repeated: frozenset[bytes] = frozenset()
-    ) -> Found | None:
-        """The route of a request as it came; None: 404. Raises TurnedAway for what is answered with 400."""
-        plain = self.target(method, target, fields)
-        if not self.deciding.isdisjoint(repeated):
-            # A node may go by the first of them or the last, and we go by both.
-            raise TurnedAway("a header more than once that decides about the route")
-        route = self.find(method, plain, fields)
-        return None if route is None else Found(route, plain)
-
-    def target(self, method: bytes, target: bytes, fields: Fields) -> Target:
-        """The plain form that is matched. Raises TurnedAway."""
-        return read(method, target, fields.get(b"host"), self.spelling)
+    ) -> ResolvedRoute | None:
+        """Return the route of a request as it came; None: it is answered with 404.
+
+        Parameters
+        ----------
+        method, target, fields
+            The request line and the header fields.
+        repeated
+            The names of header fields that came more than once.
+
+        Raises
+        ------
+        InvalidRequestError
+            The request is answered with 400.
+        """
+        normal = self.normalize(method, target, fields)
+        if not self.deciding_headers.isdisjoint(repeated):
+            # An endpoint may go by the first of them or the last, and the table goes by both joined.
+            raise InvalidRequestError("a header more than once that decides about the route")
+        route = self.find(method, normal, fields)
+        return None if route is None else ResolvedRoute(route, normal)
+
+    def normalize(self, method: bytes, target: bytes, fields: Fields) -> Target:
+        """Return the normal form that is matched. Raises InvalidRequestError."""
+        return normalize_target(method, target, fields.get(b"host"), self.strictness)
 
     def find(self, method: bytes, target: Target, fields: Fields) -> Route | None:
-        """The route of a request whose target is in its plain form. Raises TurnedAway, as above."""
+        """Return the route of a request whose target is in its normal form.
+
+        Raises InvalidRequestError for a path that is too long where expressions decide.
+        """
         host, path = target
         if host:
-            paths = self.hosts.get(host)
-            entry = paths.find(path, method, fields) if paths is not None else None
+            index = self.by_host.get(host)
+            entry = index.find(path, method, fields) if index is not None else None
             if entry is not None:
                 return entry.route
-            if self.below:
+            if self.by_host_suffix:
                 dot = host.find(b".")
                 while dot >= 0:
-                    paths = self.below.get(host[dot:])
-                    entry = paths.find(path, method, fields) if paths is not None else None
+                    index = self.by_host_suffix.get(host[dot:])
+                    entry = index.find(path, method, fields) if index is not None else None
                     if entry is not None:
                         return entry.route
                     dot = host.find(b".", dot + 1)
-        entry = self.anywhere.find(path, method, fields) if self.anywhere is not None else None
+        entry = self.any_host.find(path, method, fields) if self.any_host is not None else None
         return None if entry is None else entry.route
