--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,21 +25,47 @@
 settings.register_profile("counts", deadline=None)
 settings.load_profile("counts")
 
-SAFE = i.RequestClass("read", aim=1.0, deadline=4.0, effect=i.Effect.SAFE, late_worth=0.5)
+SAFE = i.RequestClass(
+    "read", latency_target=1.0, deadline=4.0, idempotency=i.Idempotency.IDEMPOTENT, late_value=0.5
+)
 KEYED = i.RequestClass(
-    "book", aim=1.0, deadline=4.0, worth=8.0, effect=i.Effect.KEYED, window=2.0, late_worth=0.5
+    "book",
+    latency_target=1.0,
+    deadline=4.0,
+    value=8.0,
+    idempotency=i.Idempotency.KEYED,
+    repeat_window=2.0,
+    late_value=0.5,
+)
+CELL = i.RequestClass(
+    "pay",
+    1.0,
+    4.0,
+    idempotency=i.Idempotency.KEYED,
+    repeat_scope=i.RepeatScope.CELL,
+    repeat_window=2.0,
+    late_value=0.5,
+)
+ZONE = i.RequestClass(
+    "move",
+    1.0,
+    4.0,
+    idempotency=i.Idempotency.KEYED,
+    repeat_scope=i.RepeatScope.ZONE,
+    repeat_window=2.0,
+    late_value=0.5,
+)
+UNSAFE = i.RequestClass(
+    "order", latency_target=1.0, deadline=4.0, idempotency=i.Idempotency.NOT_IDEMPOTENT, late_value=0.5
 )
-CELL = i.RequestClass("pay", 1.0, 4.0, effect=i.Effect.KEYED, group=i.Group.CELL, window=2.0, late_worth=0.5)
-ZONE = i.RequestClass("move", 1.0, 4.0, effect=i.Effect.KEYED, group=i.Group.ZONE, window=2.0, late_worth=0.5)
-UNSAFE = i.RequestClass("order", aim=1.0, deadline=4.0, effect=i.Effect.UNSAFE, late_worth=0.5)
 CONTRACT = i.Contract(
-    answer_slack=0.02,
+    answer_grace=0.02,
     drain_grace=0.25,
-    ask_within=10.0,
-    cold_from=0.2,
-    cold=20.0,
-    fall_multiple=3.0,
-    fall_time=1.0,
+    subscribe_within=10.0,
+    initial_capacity=0.2,
+    warm_up=20.0,
+    overload_multiple=3.0,
+    overload_time=1.0,
 )
 
 
@@ -106,7 +132,7 @@
     def serve(self, count: int, name: str = "read", latency: float = 0.1) -> None:
         """Requests answered one after the other, so that the copy has its norms and its tokens."""
         for _ in range(count):
-            self.end(self.send(name), i.Outcome.SERVED, after=latency, closed=True)
+            self.end(self.send(name), i.Outcome.SERVED, after=latency, is_request_over=True)
 
 
 def entries(*names: str, **more: Any) -> tuple[i.EndpointEntry, ...]:
--- a/tests/control/test_calls.py
+++ b/tests/control/test_calls.py
@@ -172,9 +172,11 @@
 
 
 def test_the_next_call_goes_to_one_put_back_and_other_copies_wait_their_turn() -> None:
-    back = entries("d", started_at=1000.0, owed=True)
+    back = entries("d", started_at=1000.0, is_reinstated=True)
     for number, first in ((0, True), (50, False)):
-        copy = Copy(copies=100, number=number, contract=i.Contract(cold_from=0.01, cold=1e6))
+        copy = Copy(
+            balancer_count=100, balancer_index=number, contract=i.Contract(initial_capacity=0.01, warm_up=1e6)
+        )
         copy.view(*entries("a", "b", "c"))
         copy.view(*back, kind=i.ViewKind.DELTA)
         assert (copy.send().endpoint == "d") is first
--- a/tests/control/test_deciders.py
+++ b/tests/control/test_deciders.py
@@ -62,7 +62,7 @@
             else:
                 assert shown.state is EndpointState.READY
                 assert shown.started_at == max(e.started_at, back.get(name, 0))
-                assert shown.owed == (back.get(name, 0) > e.started_at)
+                assert shown.is_reinstated == (back.get(name, 0) > e.started_at)
         for name, shown in seen.items():
             assert name in word or shown.state is not EndpointState.READY
 
--- a/tests/draws.py
+++ b/tests/draws.py
@@ -20,7 +20,7 @@
 CORES = 4  # of a node, each doing one call at a time
 WORK = 0.1  # mean seconds of a call
 NODES = tuple(f"n{n:02}" for n in range(12))
-GET = i.RequestClass("get", aim=1.0, deadline=4.0, effect=i.Effect.SAFE)
+GET = i.RequestClass("get", latency_target=1.0, deadline=4.0, idempotency=i.Idempotency.IDEMPOTENT)
 
 
 @dataclass
@@ -116,7 +116,7 @@
             else:
                 event = heappop(self.due)[2]
             self.copy.now = now
-            if isinstance(event, i.AttemptEnded) and event.closed:
+            if isinstance(event, i.AttemptEnded) and event.is_request_over:
                 self.answers.append((now, event.request, True))
             for action in self.copy.do(event):
                 match action:
@@ -124,7 +124,7 @@
                         self.attempt(now, action)
                     case i.SetTimer(token, delay):
                         self.push(now + delay, i.TimerDue(token))
-                    case i.Refuse(ident) | i.Fail(ident):
+                    case i.Reject(ident) | i.Fail(ident):
                         self.answers.append((now, ident, False))
 
     def told(self, since: float, until: float = 1e9) -> Played:
--- a/tests/ends/cold_fleet.py
+++ b/tests/ends/cold_fleet.py
@@ -18,7 +18,9 @@
 from wheatring.balancer import interface as i
 from wheatring.balancer.policy import Balancer
 
-CLASS = i.RequestClass("read", aim=1.0, deadline=2.0, effect=i.Effect.SAFE, late_worth=0.5)
+CLASS = i.RequestClass(
+    "read", latency_target=1.0, deadline=2.0, idempotency=i.Idempotency.IDEMPOTENT, late_value=0.5
+)
 BASE = 0.01  # seconds that a call takes beside the endpoint's work
 WAIT = 0.5  # seconds of its work that an endpoint lets wait
 BEFORE = 2.0  # seconds played before the start
@@ -99,10 +101,10 @@
         for name in rest[: round(case.failing * len(rest))]:
             self.endpoints[name].failing = True
         contract = i.Contract(0.02, 1.0, 10.0, case.cold_from, case.cold, case.multiple, case.window)
-        limits = i.Limits(max_attempts=5, retry_after=True, max_retry_after=1.0)
+        limits = i.Limits(max_attempts=5, sends_retry_after=True, max_retry_after=1.0)
         self.copies = [
             Balancer(
-                i.Settings((CLASS,), number=n, copies=case.copies, contract=contract, limits=limits,
+                i.Settings((CLASS,), case.copies, n, contract=contract, limits=limits,
                            zones=self.zones, zone=self.zones[n % case.zones] if self.zones else ""),
                 self.random.getrandbits(60),
             )
@@ -142,7 +144,9 @@
         new = []
         for name in names:
             old = self.endpoints.pop(name)
-            entry = replace(old.entry, endpoint=f"{name}-new", started_at=self.now, owed=self.case.owed)
+            entry = replace(
+                old.entry, endpoint=f"{name}-new", started_at=self.now, is_reinstated=self.case.owed
+            )
             self.endpoints[entry.endpoint] = Endpoint(entry)
             new.append(entry)
         for n in range(self.case.copies):
@@ -183,7 +187,7 @@
                     self.send(n, action)
                 case i.SetTimer(token, delay):
                     self.at(delay, partial(self.do, n, i.TimerDue(token)))
-                case i.Refuse(ident):
+                case i.Reject(ident):
                     self.counts["refused"] += 1
                     if tries := self.tries.pop(ident):
                         self.at(REFUSED * (1 + self.random.random()), partial(self.ask, n, tries - 1))
@@ -214,7 +218,7 @@
 
     def end(self, n: int, send: i.Send, attempt: int, outcome: i.Outcome, took: float) -> None:
         ended = i.AttemptEnded(
-            send.request, attempt, outcome, send.endpoint, took, closed=outcome is i.Outcome.SERVED
+            send.request, attempt, outcome, send.endpoint, took, is_request_over=outcome is i.Outcome.SERVED
         )
         self.at(took, partial(self.do, n, ended))
 
--- a/tests/ends/test_cold.py
+++ b/tests/ends/test_cold.py
@@ -51,17 +51,19 @@
 def test_each_copy_calls_one_put_back_within_3_s_where_it_bears_that(copies: int, cold: float) -> None:
     """The sixth call of a cold one comes in its third window; a warm one bears all."""
     for number in range(copies):
-        copy = Copy(number, number=number, copies=copies, contract=replace(CONTRACT, cold=cold))
+        copy = Copy(
+            number, balancer_index=number, balancer_count=copies, contract=replace(CONTRACT, warm_up=cold)
+        )
         copy.view(*entries(*(f"e{n:02}" for n in range(40))))
-        copy.view(i.EndpointEntry("back", started_at=copy.now, owed=True), kind=i.ViewKind.DELTA)
+        copy.view(i.EndpointEntry("back", started_at=copy.now, is_reinstated=True), kind=i.ViewKind.DELTA)
         assert "back" in [send.endpoint for _ in range(30) for send in sends(ask(copy, 0.1))]
 
 
 def test_one_put_back_waits_for_no_later_one() -> None:
-    copy = Copy(number=5, copies=6)  # its calls are due after 2.5 s
+    copy = Copy(balancer_index=5, balancer_count=6)  # its calls are due after 2.5 s
     copy.view(*entries(*(f"e{n:02}" for n in range(40))))
     for name in ("first", "second"):
-        copy.view(i.EndpointEntry(name, started_at=copy.now, owed=True), kind=i.ViewKind.DELTA)
+        copy.view(i.EndpointEntry(name, started_at=copy.now, is_reinstated=True), kind=i.ViewKind.DELTA)
         copy.now += 1
     assert [sends(ask(copy, after))[0].endpoint for after in (0.55, 1.0)] == ["first", "second"]
 
@@ -76,7 +78,9 @@
                 break
             cold = sent[0].endpoint.startswith("cold")
             count += cold
-            actions = copy.end(sent[0], O.SERVED if cold else outcome, attempt, after=0.0, closed=cold)
+            actions = copy.end(
+                sent[0], O.SERVED if cold else outcome, attempt, after=0.0, is_request_over=cold
+            )
     return count
 
 
@@ -86,7 +90,9 @@
     for seed in range(5):
         copy = Copy(seed)
         copy.view(*entries("a", "b", "c", "d"), i.EndpointEntry("cold", started_at=copy.now))
-        share = CONTRACT.cold_from + (1 - CONTRACT.cold_from) * 3 / CONTRACT.cold  # the most in 3 s
+        share = (
+            CONTRACT.initial_capacity + (1 - CONTRACT.initial_capacity) * 3 / CONTRACT.warm_up
+        )  # the most in 3 s
         assert cold_sends(copy, 300, outcome) <= 300 / 4.2 * share + 1
 
 
@@ -95,7 +101,9 @@
     """Three of five are new. Of the turns that would come with the sends they get less than half."""
     copy = Copy()
     copy.view(*entries("a", "b"), *(i.EndpointEntry(f"cold-{n}", started_at=copy.now) for n in range(3)))
-    share = CONTRACT.cold_from + (1 - CONTRACT.cold_from) * 5 / CONTRACT.cold  # the mean over 10 s
+    share = (
+        CONTRACT.initial_capacity + (1 - CONTRACT.initial_capacity) * 5 / CONTRACT.warm_up
+    )  # the mean over 10 s
     assert 0 < cold_sends(copy, 1000, outcome) < 3 * 1000 / (5 / 1.5) * share / 2
 
 
@@ -103,12 +111,12 @@
     names = [f"e{n:02}" for n in range(40)]
     senders: dict[str, set[int]] = {}
     for number in range(20):
-        copy = Copy(number, number=number, copies=20)
+        copy = Copy(number, balancer_index=number, balancer_count=20)
         copy.view(*(i.EndpointEntry(name, started_at=copy.now) for name in names))
         for _ in range(200):
             for send in sends(ask(copy, 0.01)):
                 senders.setdefault(send.endpoint, set()).add(number)
-                copy.end(send, O.SERVED, after=0.0, closed=True)
+                copy.end(send, O.SERVED, after=0.0, is_request_over=True)
     assert set(senders) == set(names)
     assert max(map(len, senders.values())) <= 3
 
@@ -116,7 +124,7 @@
 def test_copies_whose_subset_a_cold_endpoint_enters_do_not_all_send_at_once() -> None:
     sent = 0
     for number in range(60):
-        copy = Copy(number, number=number, copies=60, classes=(SAFE,))
+        copy = Copy(number, balancer_index=number, balancer_count=60, classes=(SAFE,))
         cold = i.EndpointEntry("cold", started_at=copy.now)
         copy.view(*entries(*(f"e{n:02}" for n in range(40))), cold)
         copy.serve(60, latency=0.01)
--- a/tests/ends/test_repeats.py
+++ b/tests/ends/test_repeats.py
@@ -27,15 +27,15 @@
 def test_a_further_attempt_of_a_keyed_request_may_begin_only_in_what_is_left_of_the_window(
     copy: Copy, name: str
 ) -> None:
-    window = copy.balancer.classes[name].window
+    window = copy.balancer.classes[name].repeat_window
     first = copy.send(name)
-    assert first.begin_within == inf
+    assert first.start_within == inf
     (timer,) = copy.end(first, i.Outcome.ERROR, after=0.5)
     assert isinstance(timer, i.SetTimer)
     (second,) = copy.do(i.TimerDue(timer.token), after=timer.delay)
     assert isinstance(second, i.Send)
-    assert second.begin_within == pytest.approx(window - 0.5 - timer.delay)
-    copy.end(second, i.Outcome.CONNECT_FAILED, attempt=1, after=second.begin_within)
+    assert second.start_within == pytest.approx(window - 0.5 - timer.delay)
+    copy.end(second, i.Outcome.CONNECT_FAILED, attempt=1, after=second.start_within)
     assert not copy.balancer.requests  # answered as failed
 
 
@@ -45,7 +45,7 @@
         (action,) = copy.end(first, outcome, after=0.2)
         if isinstance(action, i.SetTimer):
             (action,) = copy.do(i.TimerDue(action.token), after=action.delay)
-        assert isinstance(action, i.Send) and action.begin_within == inf
+        assert isinstance(action, i.Send) and action.start_within == inf
 
 
 def crossing(
@@ -56,7 +56,7 @@
     """
     sidecar = world.sidecar
     classes, exchange, clock = sidecar.serving.balancer.classes, sidecar.exchange, sidecar.clock
-    classes["order"] = replace(classes["order"], window=window)
+    classes["order"] = replace(classes["order"], repeat_window=window)
     start, now, further = exchange.start_claim, clock.now, []
 
     def start_and_pass(claim: Claim) -> None:
--- a/tests/ends/test_settings.py
+++ b/tests/ends/test_settings.py
@@ -152,8 +152,8 @@
 
         return ask
 
-    for way in ("get", "need"):
-        monkeypatch.setattr(benchlink.Nested, way, asking(getattr(benchlink.Nested, way)))
+    for way in ("get", "require"):
+        monkeypatch.setattr(benchlink.JsonSettings, way, asking(getattr(benchlink.JsonSettings, way)))
     config.settings_in(WHOLE["settings"])
     tried = {name.removeprefix("settings.") for name in KEYS}
     one = re.compile(r"\.\d+\.")  # of several
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -233,7 +233,7 @@
 
 
 def test_the_module_subscribes_again_after_an_hour_without_discovery() -> None:
-    copy = Copy(1, must_ask=True)
+    copy = Copy(1, must_subscribe=True)
     (timer,) = copy.view(*entries("a"), kind=i.ViewKind.CACHED)
     for _ in range(1500):
         assert isinstance(timer, i.SetTimer) and timer.delay <= AGAIN
--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from wheatring.balancer.interface import Effect, Limits, Outcome, RequestClass, Settings
+from wheatring.balancer.interface import Idempotency, Limits, Outcome, RequestClass, Settings
 from wheatring.core.exchange import Claim
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
@@ -19,7 +19,7 @@
 from wheatring.lab.plan import NetPlan, TierPlan
 
 LINK = 0.001  # seconds from any host to any other, drawn without jitter
-EFFECTS = (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NOT_IDEMPOTENT)
 
 
 class Time(VirtualTime):
@@ -130,15 +130,17 @@
         self.nodes = {"m:1": self.node}
         self.registry = Registry()
         self.way = DirectWay(self.time, self.links, book, {"s": ("c", "h")})
-        classes = tuple(RequestClass(e.value, 1.0, 2.0, 1.0, 1.0, effect=e, window=10.0) for e in EFFECTS)
+        classes = tuple(
+            RequestClass(e.value, 1.0, 2.0, 1.0, 1.0, idempotency=e, repeat_window=10.0) for e in EFFECTS
+        )
         limits = Limits(
             max_attempts=attempts,
             connect_timeout=0.25,
             idle_timeout=30.0,
-            retry_after=True,
+            sends_retry_after=True,
             max_retry_after=0.2,
         )
-        self.settings = Settings(classes, limits=limits, must_ask=True)
+        self.settings = Settings(classes, limits=limits, must_subscribe=True)
         self.claims: list[Claim] = []
         self.replies: list[tuple[str, float]] = []
         self.sidecar = self.start()
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -345,7 +345,7 @@
 
     heard: list[type] = []
     world.run(all_of_it)
-    assert heard == [i.NewRequest, i.Committed, i.ClientGone]
+    assert heard == [i.NewRequest, i.Committed, i.RequestAbandoned]
 
 
 def test_a_job_that_ends_above_its_pool_ends_in_it_and_leaves_no_dial_behind(make: Make) -> None:
--- a/tests/sidecar/test_prefix_placement.py
+++ b/tests/sidecar/test_prefix_placement.py
@@ -25,8 +25,10 @@
 
 
 def balancer(zone: str, seed: int, policy: SidecarPolicy = DEFAULT_POLICY) -> TierBalancer:
-    limits = i.Limits(max_attempts=5, max_retry_after=1.0, retry_after=True)
-    cls = i.RequestClass("stream", 0.2, 3.0, late_worth=0.3, effect=i.Effect.UNSAFE, stream=True)
+    limits = i.Limits(max_attempts=5, max_retry_after=1.0, sends_retry_after=True)
+    cls = i.RequestClass(
+        "stream", 0.2, 3.0, late_value=0.3, idempotency=i.Idempotency.NOT_IDEMPOTENT, is_streaming=True
+    )
     found = TierBalancer(i.Settings((cls,), zone=zone, zones=("a", "b"), limits=limits), seed, policy)
     found.max_attempts["stream"] = 2
     found.slots = dict.fromkeys(ENDPOINTS, 6)
@@ -55,7 +57,7 @@
         chosen = {sent_to(sidecar, 1.0, line, prompt(line)) for sidecar in sidecars}
         assert len(chosen) == 1 and chosen.pop()[2] == "a"
         for sidecar in sidecars:
-            sidecar.handle(1.0, i.ClientGone(line))
+            sidecar.handle(1.0, i.RequestAbandoned(line))
             for endpoint in sidecar.endpoints.values():
                 endpoint.in_flight = 0
 
@@ -104,8 +106,8 @@
         assert elsewhere != home
         end(found, 1.3, 2 * number + 1, elsewhere, i.Outcome.SERVED)
         for endpoint in found.endpoints.values():
-            endpoint.evidence = endpoint.failed = 0.0
-            endpoint.ill = 0
+            endpoint.evidence = endpoint.failures = 0.0
+            endpoint.ejections = 0
 
 
 ENDPOINTS_BY_ZONE = {
@@ -134,7 +136,7 @@
         assert len(at_home) == 1
         chosen.update(endpoint[2] for endpoint in at_home)
         for sidecar in sidecars:
-            sidecar.handle(1.0, i.ClientGone(line))
+            sidecar.handle(1.0, i.RequestAbandoned(line))
             for endpoint in sidecar.endpoints.values():
                 endpoint.in_flight = 0
     assert min(chosen["a"], chosen["b"]) > 10
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -73,7 +73,7 @@
         what = draw.random()
         if what < 0.4:
             name = draw.choice(["menu", "order", "unsafe", "un known"])
-            event = i.NewRequest(number, name, draw.random() * 6, client_retry=what < 0.1)
+            event = i.NewRequest(number, name, draw.random() * 6, is_client_retry=what < 0.1)
         elif what < 0.85 and out:
             send, attempt = out.pop(draw.randrange(len(out)))
             report = i.LoadReport(in_flight=draw.random()) if what < 0.6 else None
@@ -83,7 +83,7 @@
         elif what < 0.95 and timers:
             event = i.TimerDue(timers.pop())
         elif what < 0.98:
-            event = i.ClientGone(draw.randrange(number))
+            event = i.RequestAbandoned(draw.randrange(number))
         else:
             event = view(draw.choice([*kept, i.ViewKind.DELTA, i.ViewKind.FAILED]))
     to.close()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -13,8 +13,12 @@
 from wheatring.balancer import policy
 
 O = i.Outcome
-CHEAP = i.RequestClass("cheap", aim=1.0, deadline=4.0, worth=1.0, effect=i.Effect.SAFE)
-DEAR = i.RequestClass("dear", aim=1.0, deadline=4.0, worth=9.0, effect=i.Effect.SAFE)
+CHEAP = i.RequestClass(
+    "cheap", latency_target=1.0, deadline=4.0, value=1.0, idempotency=i.Idempotency.IDEMPOTENT
+)
+DEAR = i.RequestClass(
+    "dear", latency_target=1.0, deadline=4.0, value=9.0, idempotency=i.Idempotency.IDEMPOTENT
+)
 
 
 def loaded(tier: int = 0, concurrent: int = 48, latency: float = 0.1, seconds: float = 4.0) -> Copy:
@@ -31,7 +35,7 @@
     """
     refused = 0
     out = deque(
-        (copy.now, i.Send(each.ident, each.attempts[0].entry.endpoint, 1.0))
+        (copy.now, i.Send(each.request_id, each.attempts[0].entry.endpoint, 1.0))
         for each in copy.balancer.requests.values()
     )
     for n in range(round(concurrent * seconds / latency)):
@@ -44,7 +48,9 @@
         while out and out[0][0] <= copy.now:
             send = out.popleft()[1]
             if send.endpoint != silent:
-                copy.do(i.AttemptEnded(send.request, 0, O.SERVED, send.endpoint, latency, closed=True))
+                copy.do(
+                    i.AttemptEnded(send.request, 0, O.SERVED, send.endpoint, latency, is_request_over=True)
+                )
     return refused
 
 
@@ -65,7 +71,7 @@
 def test_a_refusal_of_the_gate_tells_the_client_that_it_may_try_again() -> None:
     copy = loaded()
     admitted(copy, "cheap")
-    assert isinstance(copy.ask("cheap")[0], i.Refuse)
+    assert isinstance(copy.ask("cheap")[0], i.Reject)
 
 
 def test_deeper_tiers_do_not_refuse_what_upper_ones_have_worked_for() -> None:
@@ -97,7 +103,7 @@
 def test_with_no_server_all_is_refused_at_once_and_with_the_first_one_it_goes_on() -> None:
     copy = loaded()
     copy.view()
-    assert isinstance(copy.ask("dear")[0], i.Refuse)
+    assert isinstance(copy.ask("dear")[0], i.Reject)
     copy.view(*entries("new"))
     assert isinstance(copy.ask("dear")[0], i.Send)
 
@@ -110,12 +116,12 @@
 
 
 def test_the_first_answers_are_the_fastest_and_do_not_say_what_is_usual() -> None:
-    norm = policy.Norm()
+    norm = policy.LatencyEstimate()
     for latency in [0.01, *[0.6] * 9]:
         norm.learn(latency, False)
-    assert norm.base > 0.3
+    assert norm.unloaded > 0.3
     norm.learn(60.0, True)  # nor does one that is slow
-    assert norm.base < 0.6
+    assert norm.unloaded < 0.6
 
 
 def test_what_a_silent_endpoint_holds_shuts_nobody_out() -> None:
@@ -137,32 +143,38 @@
 def test_the_aim_is_the_front_s_deadline_where_late_answers_are_worth_nothing(
     late_worth: float, tier: int, seconds: float
 ) -> None:
-    cls = i.RequestClass("get", aim=1.0, deadline=4.0, late_worth=late_worth, effect=i.Effect.SAFE)
+    cls = i.RequestClass(
+        "get", latency_target=1.0, deadline=4.0, late_value=late_worth, idempotency=i.Idempotency.IDEMPOTENT
+    )
     copy = Copy(classes=(cls,), tier=tier, tiers=("front", "back"))
     copy.view(*entries("a", "b"))
     assert copy.send("get", left=3.0).timeout == pytest.approx(seconds)
 
 
 def test_a_client_s_repeat_has_spent_part_of_its_aim() -> None:
-    copy = Copy(classes=(i.RequestClass("get", aim=1.0, deadline=4.0, effect=i.Effect.SAFE),))
+    copy = Copy(
+        classes=(
+            i.RequestClass("get", latency_target=1.0, deadline=4.0, idempotency=i.Idempotency.IDEMPOTENT),
+        )
+    )
     copy.view(*entries("a", "b"))
-    assert copy.send("get", left=3.4, client_retry=True).timeout == pytest.approx(0.4)
-    assert isinstance(copy.ask("get", left=2.9, client_retry=True)[0], i.Refuse)
+    assert copy.send("get", left=3.4, is_client_retry=True).timeout == pytest.approx(0.4)
+    assert isinstance(copy.ask("get", left=2.9, is_client_retry=True)[0], i.Reject)
 
 
 def test_nothing_is_sent_with_less_time_left_than_its_work_could_take(copy: Copy) -> None:
     copy.serve(40, latency=0.2)
-    assert isinstance(copy.ask(left=0.05)[0], i.Refuse)
+    assert isinstance(copy.ask(left=0.05)[0], i.Reject)
     assert isinstance(copy.ask(left=0.5)[0], i.Send)
 
 
 @pytest.mark.parametrize(("cap", "told"), [(2.0, True), (0.01, True), (2.0, False)])
 def test_a_refused_client_is_told_when_to_come_back(cap: float, told: bool) -> None:
-    copy = Copy(limits=i.Limits(retry_after=told, max_retry_after=cap))  # and no endpoint to send to
+    copy = Copy(limits=i.Limits(sends_retry_after=told, max_retry_after=cap))  # and no endpoint to send to
     waits = []
     for _ in range(50):
         (action,) = copy.ask()
-        assert isinstance(action, i.Refuse)
+        assert isinstance(action, i.Reject)
         waits.append(action.retry_after)
     if not told:
         assert waits == [0.0] * 50
@@ -173,8 +185,8 @@
 
 def test_where_nothing_is_worth_anything_all_have_the_same_room() -> None:
     """Worths of 0 can be settings of another customer; a ratio of two of them is none."""
-    free = replace(CHEAP, worth=0.0)
-    copy = Copy(classes=(free, replace(DEAR, worth=0.0)), tier=0, tiers=("front", "back"))
+    free = replace(CHEAP, value=0.0)
+    copy = Copy(classes=(free, replace(DEAR, value=0.0)), tier=0, tiers=("front", "back"))
     copy.view(*entries(*NODES))
     keep(copy, 48, 0.1, 4.0)
     assert 0 < admitted(copy, "cheap") < 400
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -78,14 +78,14 @@
         while isinstance(actions[0], i.Send):
             send = actions[0]
             attempt = len(copy.balancer.requests[send.request].attempts) - 1
-            actions = copy.end(send, outcome, attempt, after=after / 5, closed=outcome is O.SERVED)
+            actions = copy.end(send, outcome, attempt, after=after / 5, is_request_over=outcome is O.SERVED)
             if not actions or isinstance(actions[0], i.SetTimer):
-                copy.do(i.ClientGone(send.request))
+                copy.do(i.RequestAbandoned(send.request))
                 break
     assert not copy.in_flight
     copy.balancer.turns += 1.0  # an even share for each
     copy.balancer.served_at = copy.now
-    alone = [e for e in copy.balancer.ready if e.ill and copy.balancer.alone(copy.now, e)]
+    alone = [e for e in copy.balancer.ready if e.ejections and copy.balancer.alone(copy.now, e)]
     assert 2 * len(alone) <= count
     assert isinstance(copy.ask("get")[0], i.Send)
 
@@ -98,31 +98,33 @@
         send = copy.send("get")
         got += send.endpoint == "cold"
         outcome = O.RESET if send.endpoint == "cold" and got < 9 else O.SERVED
-        copy.end(send, outcome, after=0.0, closed=True)
+        copy.end(send, outcome, after=0.0, is_request_over=True)
     assert got <= 29  # as a well one: 0.2 to 0.22 of a warm one's 125
 
 
 def test_a_restarted_node_is_well_again(copy: Copy) -> None:
     for _ in range(40):
         send = copy.send()
-        copy.end(send, O.CONNECT_FAILED if send.endpoint == "a" else O.SERVED, after=0.0, closed=True)
-    assert copy.balancer.endpoints["a"].ill
+        copy.end(
+            send, O.CONNECT_FAILED if send.endpoint == "a" else O.SERVED, after=0.0, is_request_over=True
+        )
+    assert copy.balancer.endpoints["a"].ejections
     copy.view(i.EndpointEntry("a", started_at=copy.now - 0.5), kind=i.ViewKind.DELTA)
-    assert not copy.balancer.endpoints["a"].ill and not copy.balancer.most_ill()
+    assert not copy.balancer.endpoints["a"].ejections and not copy.balancer.most_ill()
 
 
 def test_the_way_back_is_one_call_then_one_more_with_each_answer_until_it_is_well(copy: Copy) -> None:
     for endpoint in copy.balancer.ready:
         if endpoint.entry.endpoint != "a":
-            endpoint.slow, endpoint.seen = 1e9, copy.now  # so that it is always preferred
+            endpoint.excess_latency, endpoint.updated_at = 1e9, copy.now  # so that it is always preferred
     copy.end(copy.send(), O.CONNECT_FAILED)
     record = copy.balancer.endpoints["a"]
-    assert record.ill
+    assert record.ejections
     copy.balancer.turns += 100.0
     held: list[int] = []
-    while record.ill:
+    while record.ejections:
         sends = [send for send in (copy.send() for _ in range(12)) if send.endpoint == "a"]
         held.append(len(sends))
         for send in sends:
-            copy.end(send, O.SERVED, after=0.0, closed=True)
+            copy.end(send, O.SERVED, after=0.0, is_request_over=True)
     assert held[:3] == [1, 2, 4] and len(held) == 4
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wheatring.balancer.interface import Effect, RequestClass
+from wheatring.balancer.interface import Idempotency, RequestClass
 from wheatring.lifecycle.leaving import (
     AHEAD,
     ARRIVING,
@@ -26,8 +26,8 @@
 )  # fmt: skip
 
 CLASSES = (
-    RequestClass("menu", 2.0, 6.0, worth=1.0, late_worth=0.25, effect=Effect.SAFE),
-    RequestClass("order", 1.0, 2.0, worth=5.0, effect=Effect.KEYED),
+    RequestClass("menu", 2.0, 6.0, value=1.0, late_value=0.25, idempotency=Idempotency.IDEMPOTENT),
+    RequestClass("order", 1.0, 2.0, value=5.0, idempotency=Idempotency.KEYED),
 )
 TIMES = st.floats(0.0, 8.0)
 HISTORY = st.lists(st.tuples(st.sampled_from(("menu", "order")), st.floats(0.0, 0.5), st.floats(0.001, 3.0)))
@@ -68,15 +68,15 @@
                 stamps.append(at)
         stamps = stamps[-KEPT:]
         if len(stamps) > 1 and told > stamps[0]:
-            cost += each.worth * (len(stamps) - 1) / (told - stamps[0]) * min(1.0, UNSERVED / copies)
+            cost += each.value * (len(stamps) - 1) / (told - stamps[0]) * min(1.0, UNSERVED / copies)
     assert isclose(leaving.cost, cost)
     worth = dict.fromkeys(AHEAD, 0.0)
     for job in jobs:
         each = next(c for c in CLASSES if c.name == job.class_name)
         for ahead in AHEAD:
-            in_time = likely(history, job, min(ahead, job.left, each.aim - job.age))
+            in_time = likely(history, job, min(ahead, job.left, each.latency_target - job.age))
             at_all = likely(history, job, min(ahead, job.left))
-            worth[ahead] += each.worth * (in_time + each.late_worth * (at_all - in_time))
+            worth[ahead] += each.value * (in_time + each.late_value * (at_all - in_time))
     margins = [worth[ahead] - cost * ahead for ahead in AHEAD]
     if any(abs(margin) < 1e-6 * (1 + cost) for margin in margins):
         return  # either is right
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -28,9 +28,11 @@
     busy = Counter[str]()
     passed_over = 0
     for send in sends:
-        assert send.endpoint in {drawn.endpoint for drawn in send.drawn} <= {"a", "b"}
-        assert all((drawn.in_flight, drawn.report) == (busy[drawn.endpoint], None) for drawn in send.drawn)
-        lightest = min(send.drawn, key=lambda drawn: drawn.in_flight)
+        assert send.endpoint in {drawn.endpoint for drawn in send.candidates} <= {"a", "b"}
+        assert all(
+            (drawn.in_flight, drawn.reported) == (busy[drawn.endpoint], None) for drawn in send.candidates
+        )
+        lightest = min(send.candidates, key=lambda drawn: drawn.in_flight)
         passed_over += lightest.endpoint != send.endpoint  # cold, and it is not its turn yet
         busy[send.endpoint] += 1
     assert passed_over
@@ -47,11 +49,11 @@
             if n >= 100:
                 got += send.endpoint == "bad"
             if send.endpoint != "bad" or n < 40:
-                copy.end(send, O.SERVED, closed=True)
+                copy.end(send, O.SERVED, is_request_over=True)
             elif spoil == "slow":
-                copy.end(send, O.SERVED, after=1.0, closed=True)
+                copy.end(send, O.SERVED, after=1.0, is_request_over=True)
             elif spoil == "failing":
-                copy.end(send, O.ERROR, after=0.001, closed=True)
+                copy.end(send, O.ERROR, after=0.001, is_request_over=True)
             else:
                 stuck += 1
         return got / 300
@@ -63,9 +65,9 @@
 def test_what_is_held_against_an_endpoint_fades() -> None:
     copy = Copy()
     copy.view(*entries("a", "b"))
-    while not copy.balancer.endpoints["a"].failed:
+    while not copy.balancer.endpoints["a"].failures:
         send = copy.send()
-        copy.end(send, O.ERROR if send.endpoint == "a" else O.SERVED, closed=True)
+        copy.end(send, O.ERROR if send.endpoint == "a" else O.SERVED, is_request_over=True)
     bad = copy.balancer.burden(copy.now, copy.balancer.endpoints["a"])
     copy.now += 60
     assert copy.balancer.burden(copy.now, copy.balancer.endpoints["a"]) < 0.5 * bad
@@ -80,7 +82,7 @@
             sends.append(copy.send())
         for send in sends:
             report = i.LoadReport(in_flight=20.0 if send.endpoint == "a" else 2.0)
-            copy.end(send, O.SERVED, after=0.05, closed=True, report=report)
+            copy.end(send, O.SERVED, after=0.05, is_request_over=True, report=report)
     a, b = (copy.balancer.endpoints[name] for name in "ab")
     fresh = copy.balancer.burden(copy.now, a) / copy.balancer.burden(copy.now, b)
     copy.now += 30
@@ -99,7 +101,7 @@
     names = [f"e{n:03}" for n in range(60)]
     cover: Counter[str] = Counter()
     for number in range(40):
-        copy = Copy(copies=40, number=number)
+        copy = Copy(balancer_count=40, balancer_index=number)
         copy.view(*entries(*reversed(names)))
         near = [e.entry.endpoint for e in copy.balancer.near]
         assert len(near) < 15
@@ -112,10 +114,10 @@
 
 
 def test_the_draw_goes_wider_when_the_subset_is_unfit() -> None:
-    copy = Copy(copies=40)
+    copy = Copy(balancer_count=40)
     copy.view(*entries(*(f"e{n:03}" for n in range(60))))
     for endpoint in copy.balancer.near:
-        endpoint.failed, endpoint.heard, endpoint.seen = 9.0, 9.0, copy.now
+        endpoint.failures, endpoint.outcomes, endpoint.updated_at = 9.0, 9.0, copy.now
     near = {e.entry.endpoint for e in copy.balancer.near}
     sent = [copy.send().endpoint for _ in range(20)]
     assert sum(name in near for name in sent) <= 4
@@ -134,9 +136,9 @@
 
 def test_no_endpoint_at_all_is_a_refusal_at_once() -> None:
     copy = Copy()
-    assert isinstance(copy.ask()[0], i.Refuse)
+    assert isinstance(copy.ask()[0], i.Reject)
     copy.view()
-    assert isinstance(copy.ask("order")[0], i.Refuse)
+    assert isinstance(copy.ask("order")[0], i.Reject)
 
 
 # Rule 3: drains are kept.
@@ -153,7 +155,7 @@
     (retry,) = copy.do(i.TimerDue(timer.token), timer.delay)
     assert isinstance(retry, i.Send) and retry.endpoint == "b"
     copy.view(i.EndpointEntry("b", state), kind=i.ViewKind.DELTA)
-    assert isinstance(copy.ask()[0], i.Refuse)
+    assert isinstance(copy.ask()[0], i.Reject)
 
 
 @pytest.mark.parametrize("kind", [i.ViewKind.FULL, i.ViewKind.CACHED])
@@ -172,14 +174,14 @@
 def test_copies_that_must_ask_subscribe_soon_and_again_after_failures() -> None:
     delays = []
     for seed in range(20):
-        copy = Copy(seed, must_ask=True)
+        copy = Copy(seed, must_subscribe=True)
         (timer,) = copy.view(*entries("a"), kind=i.ViewKind.CACHED)
-        assert isinstance(timer, i.SetTimer) and timer.delay < CONTRACT.ask_within / 2
+        assert isinstance(timer, i.SetTimer) and timer.delay < CONTRACT.subscribe_within / 2
         delays.append(timer.delay)
         assert copy.do(i.TimerDue(timer.token), timer.delay) == [i.Subscribe()]
         for _ in range(8):
             (timer,) = copy.view(kind=i.ViewKind.FAILED)
-            assert isinstance(timer, i.SetTimer) and timer.delay < CONTRACT.ask_within / 2
+            assert isinstance(timer, i.SetTimer) and timer.delay < CONTRACT.subscribe_within / 2
             assert copy.view(kind=i.ViewKind.FAILED) == []  # one call at a time
             assert copy.do(i.TimerDue(timer.token), timer.delay) == [i.Subscribe()]
         assert copy.view(*entries("a")) == []
@@ -201,7 +203,7 @@
         for action in copy.ask():
             if isinstance(action, i.Send):
                 got += action.endpoint == name
-                copy.end(action, O.SERVED, after=0.0, closed=True)
+                copy.end(action, O.SERVED, after=0.0, is_request_over=True)
     return got
 
 
@@ -228,11 +230,11 @@
     copy = Copy()
     copy.view(*entries("a", "b"))
     record = copy.balancer.endpoints["a"]
-    record.failed = 1.0
+    record.failures = 1.0
     copy.now += 5
     copy.view(i.EndpointEntry("a", started_at=copy.now - 0.5), kind=i.ViewKind.DELTA)
     fresh = copy.balancer.endpoints["a"]
-    assert fresh.failed == 0 and fresh.in_flight == 0
+    assert fresh.failures == 0 and fresh.in_flight == 0
     assert copy.balancer.warmth(copy.now, fresh) < 0.25
 
 
@@ -246,6 +248,6 @@
         for action in copy.ask():
             if isinstance(action, i.Send):
                 sent += 1
-                copy.end(action, O.SERVED, after=0.0, closed=True)
+                copy.end(action, O.SERVED, after=0.0, is_request_over=True)
     # the even share is 100 each: no more than 1.5 x 0.22 of it, and a turn that was open
     assert sent <= 4 * (1.5 * 0.22 * 100 + 1)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -233,4 +233,4 @@
     assert (read.listen, read.discovery) == (("127.0.0.2", 81), ("127.0.0.1", 9))
     assert read.seed == 0x8C1F30D27A5BE964
     assert read.settings.limits.connect_timeout == 20.0
-    assert read.settings.must_ask and read.settings.classes[1].name == "order"
+    assert read.settings.must_subscribe and read.settings.classes[1].name == "order"
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -35,7 +35,12 @@
     def __init__(self, seed: int, must_ask: bool, tier: int) -> None:
         self.random = Random(seed)
         self.copy = Copy(
-            seed, must_ask=must_ask, tier=tier, tiers=("a", "b"), limits=i.Limits(max_attempts=4), zone="x"
+            seed,
+            must_subscribe=must_ask,
+            tier=tier,
+            tiers=("a", "b"),
+            limits=i.Limits(max_attempts=4),
+            zone="x",
         )
         self.requests: dict[int, Tracked] = {}
         self.list: dict[str, i.EndpointEntry] = {}
@@ -53,8 +58,8 @@
             assert action.delay >= 0
             self.timers.append((now + action.delay, action.token))
             return
-        if not isinstance(action, i.Send | i.Refuse | i.Fail):
-            assert self.copy.settings.must_ask and isinstance(action, i.Subscribe)
+        if not isinstance(action, i.Send | i.Reject | i.Fail):
+            assert self.copy.settings.must_subscribe and isinstance(action, i.Subscribe)
             return
         request = self.requests[action.request]
         assert not request.over and not request.answered, "something sent for a request that is over"
@@ -71,18 +76,23 @@
             request.sends.append((now, entry))
             return
         request.answered = request.over = True
-        if isinstance(action, i.Refuse) and (request.ran is not None or request.out):
-            keyed_all = request.cls.effect is i.Effect.KEYED and request.cls.group is i.Group.ALL
-            assert request.cls.effect is i.Effect.SAFE or keyed_all, "refused what may have run"
+        if isinstance(action, i.Reject) and (request.ran is not None or request.out):
+            keyed_all = (
+                request.cls.idempotency is i.Idempotency.KEYED
+                and request.cls.repeat_scope is i.RepeatScope.ALL
+            )
+            assert request.cls.idempotency is i.Idempotency.IDEMPOTENT or keyed_all, (
+                "refused what may have run"
+            )
 
     def check_repeat(self, request: Tracked, entry: i.EndpointEntry) -> None:
         assert request.ran is not None
-        assert request.cls.effect is not i.Effect.UNSAFE, "an unsafe request was repeated"
-        if request.cls.effect is i.Effect.KEYED:
+        assert request.cls.idempotency is not i.Idempotency.NOT_IDEMPOTENT, "an unsafe request was repeated"
+        if request.cls.idempotency is i.Idempotency.KEYED:
             sent, first = request.ran
-            assert self.copy.now <= sent + request.cls.window, "repeated past its window"
-            assert request.cls.group is not i.Group.CELL or entry.cell == first.cell
-            assert request.cls.group is not i.Group.ZONE or entry.zone == first.zone
+            assert self.copy.now <= sent + request.cls.repeat_window, "repeated past its window"
+            assert request.cls.repeat_scope is not i.RepeatScope.CELL or entry.cell == first.cell
+            assert request.cls.repeat_scope is not i.RepeatScope.ZONE or entry.zone == first.zone
 
     # Events
 
@@ -122,7 +132,7 @@
         request = self.requests[ident]
         del request.out[attempt]
         sent, entry = request.sends[attempt]
-        if not outcome.never_ran and request.ran is None:
+        if not outcome.has_not_run and request.ran is None:
             request.ran = (sent, entry)
         request.over = request.over or outcome is O.SERVED
         report = self.random.choice([None, i.LoadReport(in_flight=3.0), i.LoadReport(queue=1.0, latency=0.1)])
@@ -141,10 +151,10 @@
         elif roll < 0.85 and out:
             ident, _ = draw.choice(out)
             self.requests[ident].over = True
-            self.feed(i.ClientGone(ident))
+            self.feed(i.RequestAbandoned(ident))
         elif roll < 0.95:
             self.view(draw.choice([i.ViewKind.DELTA, i.ViewKind.DELTA, i.ViewKind.FULL]))
-        elif self.copy.settings.must_ask:
+        elif self.copy.settings.must_subscribe:
             self.view(i.ViewKind.FAILED)
 
     def advance(self, span: float) -> None:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -33,7 +33,7 @@
     for _ in range(30):
         (again,) = copy.end(copy.send("order"), O.REJECTED)
         assert isinstance(again, i.Send)
-        copy.end(again, O.SERVED, attempt=1, closed=True)
+        copy.end(again, O.SERVED, attempt=1, is_request_over=True)
     assert copy.balancer.tokens > policy.MAX_TOKENS / 2
     copy.balancer.tokens = policy.MAX_TOKENS
     (again,) = copy.end(copy.send("order"), O.REJECTED)
@@ -69,7 +69,7 @@
         while isinstance(action, i.Send):
             sends += 1
             action = retry(copy, action, O.CONNECT_FAILED, sends - 1)
-        assert sends == expected and isinstance(action, i.Refuse)
+        assert sends == expected and isinstance(action, i.Reject)
 
 
 def test_retries_stop_at_half_the_tokens_and_the_failure_returns_at_once(copy: Copy) -> None:
@@ -78,7 +78,7 @@
         (action,) = copy.end(copy.send(), O.ERROR)
         resent += isinstance(action, i.SetTimer)
         if not isinstance(action, i.SetTimer):
-            assert isinstance(action, i.Refuse)
+            assert isinstance(action, i.Reject)
     # each failure costs a whole token: the count falls to half after so many
     assert resent == policy.MAX_TOKENS / 2 - 1
     assert copy.balancer.tokens == 0
@@ -108,14 +108,14 @@
         again = retry(copy, send, O.ERROR)
         assert isinstance(again, i.Send)
         other += again.endpoint != send.endpoint
-        copy.end(again, O.SERVED, 1, closed=True)
+        copy.end(again, O.SERVED, 1, is_request_over=True)
     assert other >= 36
 
 
 def test_no_retry_that_could_not_be_answered_in_time(copy: Copy) -> None:
     copy.serve(20, latency=0.5)
     (action,) = copy.end(copy.send(left=0.6), O.ERROR, after=0.5)
-    assert isinstance(action, i.Refuse)
+    assert isinstance(action, i.Reject)
 
 
 def test_a_time_out_never_outlasts_the_deadline(copy: Copy) -> None:
@@ -136,7 +136,7 @@
     (timer,) = copy.end(copy.send(left=1.0), O.ERROR)
     assert isinstance(timer, i.SetTimer)
     (action,) = copy.do(i.TimerDue(timer.token), 2.0)
-    assert isinstance(action, i.Refuse)
+    assert isinstance(action, i.Reject)
 
 
 @pytest.mark.parametrize("name", ["order", "a class nobody named"])
@@ -218,38 +218,38 @@
 def test_an_answer_that_began_is_never_retried(copy: Copy) -> None:
     send = copy.send()
     copy.do(i.Committed(send.request))
-    assert isinstance(copy.end(send, O.RESET)[0], i.Refuse)
+    assert isinstance(copy.end(send, O.RESET)[0], i.Reject)
 
 
 def test_nothing_is_sent_for_a_request_that_is_over(copy: Copy) -> None:
     send = copy.send()
     (timer,) = copy.end(send, O.ERROR)
     assert isinstance(timer, i.SetTimer)
-    copy.do(i.ClientGone(send.request))
+    copy.do(i.RequestAbandoned(send.request))
     assert copy.do(i.TimerDue(timer.token), timer.delay) == []
     gone = copy.send()
-    copy.do(i.ClientGone(gone.request))
+    copy.do(i.RequestAbandoned(gone.request))
     assert copy.end(gone, O.ERROR) == []
     closed = copy.send()
-    assert copy.end(closed, O.TIMED_OUT, closed=True) == []
+    assert copy.end(closed, O.TIMED_OUT, is_request_over=True) == []
     assert copy.balancer.requests == {}
 
 
 def test_strays_are_harmless(copy: Copy) -> None:
     send = copy.send()
-    copy.end(send, O.SERVED, closed=True)
+    copy.end(send, O.SERVED, is_request_over=True)
     before = (copy.in_flight, copy.balancer.tokens)
     assert copy.end(send, O.ERROR) == []
     assert copy.end(i.Send(999, "a", 1.0), O.ERROR) == []
     assert copy.end(copy.send(), O.ERROR, attempt=7) == []
     assert copy.do(i.TimerDue(12345)) == []
-    assert copy.do(i.ClientGone(999)) == []
+    assert copy.do(i.RequestAbandoned(999)) == []
     assert copy.do(i.Committed(999)) == []
-    assert copy.do(i.ProbeEnded("nobody", O.SERVED, 0.1)) == []
+    assert copy.do(i.HealthCheckEnded("nobody", O.SERVED, 0.1)) == []
     assert copy.do(i.PeerMessage(3, b"x")) == []
     assert copy.in_flight == before[0] + 1
 
 
 def test_a_request_that_was_never_sent_fits_a_refusal(copy: Copy) -> None:
     (action,) = copy.end(copy.send("order"), O.NOT_SENT)
-    assert isinstance(action, i.Refuse)
+    assert isinstance(action, i.Reject)
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -527,7 +527,7 @@
     driver = world.sidecar.driver
     world.run(lambda: driver.carry_out(i.CloseIdle("n0")))
     assert node.at_end()
-    world.run(lambda: driver.carry_out(i.FetchList()))
+    world.run(lambda: driver.carry_out(i.FetchEndpointList()))
     fetch = world.discovery.accept()
     assert fetch.read()[0] == "GET /v1/servers HTTP/1.1"
     fetch.answer(200, list_body(8, entry("n0", world.nodes[0]), reset=True))
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -12,7 +12,7 @@
 from wheatring.balancer import policy
 
 O = i.Outcome
-GET = i.RequestClass("get", aim=2.0, deadline=6.0, effect=i.Effect.SAFE)
+GET = i.RequestClass("get", latency_target=2.0, deadline=6.0, idempotency=i.Idempotency.IDEMPOTENT)
 
 
 FIVE = NODES[:5]
@@ -20,7 +20,7 @@
 
 def settled() -> Copy:
     """A copy of ten that knows what is usual: a tenth of a second."""
-    copy = Copy(classes=(GET,), copies=10)
+    copy = Copy(classes=(GET,), balancer_count=10)
     copy.view(*entries(*FIVE))
     copy.serve(60, "get")
     return copy
@@ -31,7 +31,7 @@
     record = copy.balancer.endpoints[node]
     with patch.object(copy.balancer, "pick", return_value=(record, [record])):
         send = copy.send("get")
-    copy.end(send, O.SERVED, after=latency, closed=True)
+    copy.end(send, O.SERVED, after=latency, is_request_over=True)
 
 
 def test_a_few_slow_answers_seconds_apart_tell() -> None:
@@ -48,21 +48,21 @@
     crowded = copy.balancer.endpoints[NODES[0]]
     copy.now += 20.0
     visit(copy, NODES[0], 1.0)
-    assert not crowded.ill  # one answer may be long by chance
+    assert not crowded.ejections  # one answer may be long by chance
     visit(copy, NODES[0], 1.0)
-    assert crowded.ill
+    assert crowded.ejections
     until = copy.now + policy.REST
     seen: Counter[str] = Counter()
     while copy.now + 0.1 < until:
         send = copy.send("get")
         seen[send.endpoint] += 1
-        copy.end(send, O.SERVED, after=0.02, closed=True)
+        copy.end(send, O.SERVED, after=0.02, is_request_over=True)
     assert not seen[NODES[0]], seen
     assert sum(seen.values()) > 100
     copy.now = until
     visit(copy, NODES[0], 0.1)
-    assert crowded.ill and crowded.window == 2
-    while crowded.ill:
+    assert crowded.ejections and crowded.probation_limit == 2
+    while crowded.ejections:
         visit(copy, NODES[0], 0.1)
 
 
@@ -79,7 +79,7 @@
 
 
 def test_of_two_that_may_be_sent_to_the_lighter_one_is_even_where_most_wait_for_their_turn() -> None:
-    copy = Copy(classes=(GET,), copies=10)
+    copy = Copy(classes=(GET,), balancer_count=10)
     cold = [i.EndpointEntry(f"cold-{n}", started_at=copy.now) for n in range(8)]
     copy.view(*entries("jammed", "free"), *cold)
     jammed = copy.balancer.endpoints["jammed"]
@@ -88,7 +88,7 @@
     for _ in range(100):
         send = copy.send("get")
         got[send.endpoint] += 1
-        copy.end(send, O.SERVED, after=0.01, closed=True)
+        copy.end(send, O.SERVED, after=0.01, is_request_over=True)
     assert got["free"] > 10 * got["jammed"]
 
 
@@ -107,7 +107,7 @@
 
 def test_calls_too_few_to_tell_anything_are_counted_over_all_copies() -> None:
     def most(copies: int) -> int:
-        copy = Copy(classes=(CHEAP, DEAR), copies=copies)
+        copy = Copy(classes=(CHEAP, DEAR), balancer_count=copies)
         copy.view(*entries("a", "b"))
         keep(copy, 1, 0.01, 3.0)
         return admitted(copy, "cheap")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -174,7 +174,7 @@
 
     monkeypatch.setattr(Balancer, "handle", bug)
     out = io.StringIO()
-    benchlink.Host(["BATCH 1 1\n", *(f"{line}\n" for line in start()), "OVER_TO_YOU\n"], out).run()
+    benchlink.SimulatorHost(["BATCH 1 1\n", *(f"{line}\n" for line in start()), "OVER_TO_YOU\n"], out).run()
     assert out.getvalue() == "ON_BEHALF sidecar_0\nCRASH RuntimeError: two lines\nDONE 1\n"
 
 
--- a/wheatring/balancer/benchlink.py
+++ b/wheatring/balancer/benchlink.py
@@ -18,7 +18,11 @@
 US = 1_000_000
 T = TypeVar("T")
 
-EFFECTS = {"pure": i.Effect.SAFE, "token": i.Effect.KEYED, "side_effect": i.Effect.UNSAFE}
+EFFECTS = {
+    "pure": i.Idempotency.IDEMPOTENT,
+    "token": i.Idempotency.KEYED,
+    "side_effect": i.Idempotency.NOT_IDEMPOTENT,
+}
 OUTCOMES = {
     "GOOD": i.Outcome.SERVED,
     "BAD": i.Outcome.ERROR,
@@ -51,7 +55,7 @@
 }
 
 
-class WireError(ValueError):
+class WireFormatError(ValueError):
     """A line that cannot be read, or settings that lack something needed."""
 
 
@@ -60,7 +64,7 @@
         return True
     if text in ("0", "false"):
         return False
-    raise WireError(f"not a bool: {text!r}")
+    raise WireFormatError(f"not a bool: {text!r}")
 
 
 def _list(text: str) -> tuple[str, ...]:
@@ -75,7 +79,7 @@
     return int(text) / US
 
 
-class Pairs:
+class SettingPairs:
     """The path=value settings of one instance; unknown ones are left alone."""
 
     def __init__(self, pairs: Iterable[str]) -> None:
@@ -83,25 +87,25 @@
         for pair in pairs:
             path, equals, value = pair.partition("=")
             if not equals:
-                raise WireError(f"a setting without '=': {pair!r}")
+                raise WireFormatError(f"a setting without '=': {pair!r}")
             self.values[path] = value
 
     def get(self, path: str, read: Callable[[str], T], default: T) -> T:
-        return self.need(path, read) if path in self.values else default
+        return self.require(path, read) if path in self.values else default
 
-    def need(self, path: str, read: Callable[[str], T]) -> T:
+    def require(self, path: str, read: Callable[[str], T]) -> T:
         if path not in self.values:
-            raise WireError(f"missing setting {path}")
+            raise WireFormatError(f"missing setting {path}")
         try:
-            return read(self.text(self.values[path], read))
+            return read(self.as_text(self.values[path], read))
         except (ValueError, KeyError, OverflowError) as bad:
-            raise WireError(f"setting {path}: cannot read {shown(self.values[path])}") from bad
+            raise WireFormatError(f"setting {path}: cannot read {describe_value(self.values[path])}") from bad
 
-    def within(self, path: str) -> list[str]:
+    def paths_below(self, path: str) -> list[str]:
         """The paths of all that stands there by names that are not known beforehand."""
         return [inner for inner in self.values if inner.startswith(f"{path}.")]
 
-    def text(self, value: Any, read: Callable[[str], object]) -> str:
+    def as_text(self, value: Any, read: Callable[[str], object]) -> str:
         """What is to be read."""
         return str(value)
 
@@ -109,7 +113,7 @@
         return self.get(f"{path}.count", int, 0)
 
 
-class Nested(Pairs):
+class JsonSettings(SettingPairs):
     """The same as JSON objects, whose values have types: none is taken for another. null: not there."""
 
     def __init__(self, given: object) -> None:
@@ -127,7 +131,7 @@
                 inner = enumerate(value)
             left += [(f"{path}.{key}" if path else str(key), one) for key, one in inner if one is not None]
 
-    def text(self, value: Any, read: Callable[[str], object]) -> str:
+    def as_text(self, value: Any, read: Callable[[str], object]) -> str:
         form = FORMS.get(read, str)
         if form is list and isinstance(value, list) and all(isinstance(one, str) for one in value):
             value = ",".join(value)
@@ -144,17 +148,17 @@
 
     def get(self, path: str, read: Callable[[str], T], default: T) -> T:
         if path not in self.values:
-            self.within(path.rpartition(".")[0])
+            self.paths_below(path.rpartition(".")[0])
         return super().get(path, read, default)
 
-    def within(self, path: str) -> list[str]:
+    def paths_below(self, path: str) -> list[str]:
         if not isinstance(self.values.get(path, {}), dict):
-            raise WireError(f"setting {path}: not an object: {shown(self.values[path])}")
-        return super().within(path)
+            raise WireFormatError(f"setting {path}: not an object: {describe_value(self.values[path])}")
+        return super().paths_below(path)
 
     def count(self, path: str) -> int:
         if path in self.values and f"{path}.count" not in self.values:
-            raise WireError(f"setting {path}: not a list: {shown(self.values[path])}")
+            raise WireFormatError(f"setting {path}: not a list: {describe_value(self.values[path])}")
         return super().count(path)
 
 
@@ -164,36 +168,36 @@
 }  # fmt: skip
 
 
-def shown(value: object) -> str:
+def describe_value(value: object) -> str:
     """A value in little room, on one line."""
     if isinstance(value, dict | list):
         return "a list" if isinstance(value, list) else "an object"
     return repr(value)[:60]
 
 
-def settings_from(has: Pairs) -> i.Settings:
+def settings_from(has: SettingPairs) -> i.Settings:
     """The module's settings from the wire's; missing optional ones keep the interface's defaults."""
     classes = []
-    for n in range(has.need("classes.count", int)):
+    for n in range(has.require("classes.count", int)):
         at = f"classes.{n}"
         classes.append(
             i.RequestClass(
-                name=has.need(f"{at}.name", str),
-                aim=has.need(f"{at}.slo", _seconds),
-                deadline=has.need(f"{at}.deadline", _seconds),
-                worth=has.get(f"{at}.value", float, 1.0),
-                late_worth=has.get(f"{at}.late_worth", float, 0.0),
-                aim_stretch=has.get(f"{at}.aim_stretch", float, 0.0),
-                effect=has.get(f"{at}.effect", EFFECTS.__getitem__, i.Effect.UNSAFE),
-                group=has.get(f"{at}.group", i.Group, i.Group.ALL),
-                window=has.get(f"{at}.memory_span", _seconds, 0.0),
-                stream=has.get(f"{at}.stream", _bool, False),
+                name=has.require(f"{at}.name", str),
+                latency_target=has.require(f"{at}.slo", _seconds),
+                deadline=has.require(f"{at}.deadline", _seconds),
+                value=has.get(f"{at}.value", float, 1.0),
+                late_value=has.get(f"{at}.late_worth", float, 0.0),
+                latency_target_stretch=has.get(f"{at}.aim_stretch", float, 0.0),
+                idempotency=has.get(f"{at}.effect", EFFECTS.__getitem__, i.Idempotency.NOT_IDEMPOTENT),
+                repeat_scope=has.get(f"{at}.group", i.RepeatScope, i.RepeatScope.ALL),
+                repeat_window=has.get(f"{at}.memory_span", _seconds, 0.0),
+                is_streaming=has.get(f"{at}.stream", _bool, False),
             )
         )
     tenants = [
         i.Tenant(
-            name=has.need(f"tenants.{n}.name", str),
-            quota_per_s=has.get(f"tenants.{n}.allowance_per_s", float, float("inf")),
+            name=has.require(f"tenants.{n}.name", str),
+            quota_per_second=has.get(f"tenants.{n}.allowance_per_s", float, float("inf")),
             share=has.get(f"tenants.{n}.share", float, 1.0),
         )
         for n in range(has.count("tenants"))
@@ -204,53 +208,53 @@
         idle_timeout=has.get("limits.keepalive", _seconds, float("inf")),
         streams_per_connection=has.get("limits.streams_per_conn", int, 1),
         max_retry_after=has.get("limits.max_retry_after", _seconds, 0.0),
-        retry_after=has.get("limits.retry_after", _bool, False),
-        cancel=has.get("limits.may_cancel", _bool, False),
-        second_copies=has.get("limits.second_copies", _bool, False),
-        probes=has.get("limits.may_probe", _bool, False),
-        peers=has.get("limits.peers", _bool, False),
-        max_open=has.get("limits.open_cap", float, float("inf")),
-        cpu_per_s=has.get("limits.cpu_us_per_s", float, float("inf")) / US,
+        sends_retry_after=has.get("limits.retry_after", _bool, False),
+        may_cancel=has.get("limits.may_cancel", _bool, False),
+        may_hedge=has.get("limits.second_copies", _bool, False),
+        may_check_health=has.get("limits.may_probe", _bool, False),
+        may_message_peers=has.get("limits.peers", _bool, False),
+        max_open_requests=has.get("limits.open_cap", float, float("inf")),
+        cpu_per_second=has.get("limits.cpu_us_per_s", float, float("inf")) / US,
         cpu_per_request=has.get("limits.cpu_us_per_request", float, 0.0) / US,
     )
     contract = i.Contract(
-        answer_slack=has.need("contract.grace_to_answer", _seconds),
-        drain_grace=has.need("contract.stop_sending_within", _seconds),
-        ask_within=has.get("contract.must_ask_in", _seconds, float("inf")),
-        cold_from=has.need("contract.cold_from", float),
-        cold=has.need("contract.cold", _seconds),
-        fall_multiple=has.need("contract.fall_multiple", float),
-        fall_time=has.need("contract.overload_for", _seconds),
+        answer_grace=has.require("contract.grace_to_answer", _seconds),
+        drain_grace=has.require("contract.stop_sending_within", _seconds),
+        subscribe_within=has.get("contract.must_ask_in", _seconds, float("inf")),
+        initial_capacity=has.require("contract.cold_from", float),
+        warm_up=has.require("contract.cold", _seconds),
+        overload_multiple=has.require("contract.fall_multiple", float),
+        overload_time=has.require("contract.overload_for", _seconds),
     )
     goal = i.Goal(
-        whole=has.get("goal.whole", float, 1.0),
+        overall=has.get("goal.whole", float, 1.0),
         worst_window=has.get("goal.worst_window", float, 0.0),
         worst_class=has.get("goal.worst_class", float, 0.0),
         worst_tenant=has.get("goal.worst_tenant", float, 0.0),
     )
     return i.Settings(
         classes=tuple(classes),
-        copies=has.need("peers_total", int),
-        number=has.need("slot_no", int),
+        balancer_count=has.require("peers_total", int),
+        balancer_index=has.require("slot_no", int),
         tier=has.get("tier", int, 0),
         tiers=has.get("tiers", _list, ("servers",)),
         zone=has.get("zone", str, ""),
         zones=has.get("zones", _list, ()),
         tenants=tuple(tenants),
-        over_quota_worth=has.get("over_share_worth", float, 1.0),
-        worth_by_work=has.get("worth_by", str, "request") == "work",
-        must_ask=has.get("discovery", MUST_ASK.__getitem__, False),
-        passes_deadline=has.get("extra.passes_deadline", _bool, True),
-        warm_keys=has.get("extra.warm_keys", _bool, False),
-        rated=has.get("weight_source", str, "none") != "none",
+        over_quota_value=has.get("over_share_worth", float, 1.0),
+        value_per_work=has.get("worth_by", str, "request") == "work",
+        must_subscribe=has.get("discovery", MUST_ASK.__getitem__, False),
+        propagates_deadline=has.get("extra.passes_deadline", _bool, True),
+        key_affinity=has.get("extra.warm_keys", _bool, False),
+        has_ratings=has.get("weight_source", str, "none") != "none",
         report_fields=has.get("report.columns", _fields, ()),
         report_source=has.get("report.source", str, "none"),
         tick=has.get("step", _seconds, 0.001),
-        marks_retries=has.get("callers.marks_retry", _bool, False),
+        clients_mark_retries=has.get("callers.marks_retry", _bool, False),
         limits=limits,
         contract=contract,
         goal=goal,
-        prices={path.removeprefix("prices."): has.need(path, float) for path in has.within("prices")},
+        prices={path.removeprefix("prices."): has.require(path, float) for path in has.paths_below("prices")},
     )
 
 
@@ -261,7 +265,7 @@
     for pair in text.split(","):
         name, colon, value = pair.partition(":")
         if not colon:
-            raise WireError(f"a load report without ':': {pair!r}")
+            raise WireFormatError(f"a load report without ':': {pair!r}")
         amount = float(value)
         if name == "lat_ms":
             report.latency = amount / 1000
@@ -273,12 +277,12 @@
 def entry_from(part: Sequence[str]) -> i.EndpointEntry:
     word, endpoint, zone, kind, cell, state, rating, started = part
     if word != "ITEM":
-        raise WireError(f"ITEM expected, not {word}")
+        raise WireFormatError(f"ITEM expected, not {word}")
     return i.EndpointEntry(
         endpoint=endpoint,
         state=STATES[state],
         zone="" if zone == "-" else zone,
-        kind="" if kind == "-" else kind,
+        machine_type="" if kind == "-" else kind,
         cell=0 if cell == "-" else int(cell),
         rating=1.0 if rating == "-" else float(rating),
         started_at=0.0 if started == "-" else int(started) / US,
@@ -315,12 +319,12 @@
 
 def probed(part: Sequence[str]) -> i.Event:
     _, endpoint, how, latency, usage = part
-    return i.ProbeEnded(endpoint, OUTCOMES[how], int(latency) / US, report_from(usage))
+    return i.HealthCheckEnded(endpoint, OUTCOMES[how], int(latency) / US, report_from(usage))
 
 
 def abandoned(part: Sequence[str]) -> i.Event:
     _, request = part
-    return i.ClientGone(int(request))
+    return i.RequestAbandoned(int(request))
 
 
 def tick_due(part: Sequence[str]) -> i.Event:
@@ -356,7 +360,7 @@
             return f"FORWARD {request} {endpoint} {max(1, _us(timeout))}"
         case i.SetTimer(token, delay):
             return f"SET_TIMER {token} {max(0, _us(delay))}"
-        case i.Refuse(request, retry_after):
+        case i.Reject(request, retry_after):
             return f"DENY {request} {_us(retry_after)}"
         case i.Fail(request):
             return f"FAIL {request}"
@@ -364,19 +368,19 @@
             return f"ABANDON {request} {attempt}"
         case i.Subscribe(on):
             return f"TRACK {int(on)}"
-        case i.FetchList():
+        case i.FetchEndpointList():
             return "PULL"
-        case i.Probe(endpoint):
+        case i.CheckHealth(endpoint):
             return f"SAMPLE {endpoint}"
         case i.CloseIdle(endpoint):
             return f"SHUT_IDLE {endpoint}"
-        case i.TellPeer(peer, data):
+        case i.SendPeerMessage(peer, data):
             return f"NOTIFY {'all' if peer is None else peer} {data.hex() or '-'}"
         case i.Log(text):
             return f"SAY_LOG {' '.join(text.split())}"
 
 
-class Host:
+class SimulatorHost:
     """Hosts the instances of one process and answers batches for them. They share nothing but this loop."""
 
     def __init__(self, lines: Iterable[str], out: TextIO) -> None:
@@ -393,7 +397,7 @@
             self.line = line
             parts = text.rstrip("\r\n").split(" ")
             if parts[0] != "BATCH":
-                raise WireError(f"BATCH expected, not {parts[0]!r}")
+                raise WireFormatError(f"BATCH expected, not {parts[0]!r}")
             _, clock, number = parts
             now = int(clock) / US
             int(number)
@@ -405,7 +409,7 @@
         for line, text in self.lines:
             self.line = line
             return text.rstrip("\r\n").split(" ")
-        raise WireError("the input ends inside a batch")
+        raise WireFormatError("the input ends inside a batch")
 
     def reply_to_batch(self, now: float) -> list[str]:
         reply: list[str] = []
@@ -425,9 +429,9 @@
                 _, name = parts
                 continue
             if not name:
-                raise WireError(f"{word} before any SWITCH_TO")
+                raise WireFormatError(f"{word} before any SWITCH_TO")
             if word == "BEGIN":
-                self.balancers[name] = Balancer(settings_from(Pairs(parts[2:])), int(parts[1]))
+                self.balancers[name] = Balancer(settings_from(SettingPairs(parts[2:])), int(parts[1]))
                 continue
             if word == "STOP":
                 (_,) = parts
@@ -438,9 +442,9 @@
             elif read is not None:
                 event = read(parts)
             else:
-                raise WireError(f"unknown event {word!r}")
+                raise WireFormatError(f"unknown event {word!r}")
             if name not in self.balancers:
-                raise WireError(f"{word} for {name}, which has not begun")
+                raise WireFormatError(f"{word} for {name}, which has not begun")
             try:
                 actions = self.balancers[name].handle(now, event)
             except Exception as bug:  # reported, as the wire asks: the day ends with this text
@@ -463,7 +467,7 @@
 def main() -> int:
     for stream in (sys.stdin, sys.stdout):
         stream.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    host = Host(sys.stdin, sys.stdout)
+    host = SimulatorHost(sys.stdin, sys.stdout)
     try:
         host.run()
     except (ValueError, KeyError) as bad:
--- a/wheatring/balancer/interface.py
+++ b/wheatring/balancer/interface.py
@@ -13,15 +13,15 @@
 from typing import NamedTuple
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What running a request twice would do."""
 
-    SAFE = "safe"  # nothing: it may be repeated anywhere
+    IDEMPOTENT = "safe"  # nothing: it may be repeated anywhere
     KEYED = "keyed"  # nothing, inside the group of endpoints and the window that drop repeats
-    UNSAFE = "unsafe"  # harm: it may be repeated only if it is known not to have run
+    NOT_IDEMPOTENT = "unsafe"  # harm: it may be repeated only if it is known not to have run
 
 
-class Group(Enum):
+class RepeatScope(Enum):
     """Which endpoints drop repeats of one keyed request."""
 
     ALL = "all"
@@ -42,7 +42,7 @@
     NOT_SENT = "not_sent"  # the request was over, or out of time or attempts: it never ran
 
     @property
-    def never_ran(self) -> bool:
+    def has_not_run(self) -> bool:
         """True where the outcome proves that the request had no effect."""
         return self in _NEVER_RAN
 
@@ -75,22 +75,24 @@
     """One class of request, as the operator describes it."""
 
     name: str
-    aim: float  # an answer within this time earns the full worth
+    latency_target: float  # an answer within this time earns the full worth
     deadline: float  # the time that a client waits, over all its tries
-    worth: float = 1.0
-    late_worth: float = 0.0  # part of the worth paid for an answer after the aim
-    aim_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
-    effect: Effect = Effect.UNSAFE
-    group: Group = Group.ALL  # keyed only
-    window: float = 0.0  # keyed only: how long a repeat is dropped, from the first send that may have run
-    stream: bool = False  # the answer comes as a stream
+    value: float = 1.0
+    late_value: float = 0.0  # part of the worth paid for an answer after the aim
+    latency_target_stretch: float = 0.0  # the aim grows by this multiple of the request's own work
+    idempotency: Idempotency = Idempotency.NOT_IDEMPOTENT
+    repeat_scope: RepeatScope = RepeatScope.ALL  # keyed only
+    repeat_window: float = (
+        0.0  # keyed only: how long a repeat is dropped, from the first send that may have run
+    )
+    is_streaming: bool = False  # the answer comes as a stream
 
     def __post_init__(self) -> None:
         name = f"class {self.name[:40]}"  # the key has to stand in a line of a log
-        _require(self.aim > 0, f"{name}: aim", "must be above 0")
-        _require(self.deadline >= self.aim, f"{name}: deadline", "must not be below the aim")
-        _require(self.worth >= 0, f"{name}: worth", "must not be negative")
-        _require(self.window >= 0, f"{name}: window", "must not be negative")
+        _require(self.latency_target > 0, f"{name}: latency_target", "must be above 0")
+        _require(self.deadline >= self.latency_target, f"{name}: deadline", "must not be below the aim")
+        _require(self.value >= 0, f"{name}: value", "must not be negative")
+        _require(self.repeat_window >= 0, f"{name}: repeat_window", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,11 +100,13 @@
     """One tenant, and what is its own."""
 
     name: str
-    quota_per_s: float = inf  # requests per second within its share, over all copies together
+    quota_per_second: float = inf  # requests per second within its share, over all copies together
     share: float = 1.0
 
     def __post_init__(self) -> None:
-        _require(self.quota_per_s >= 0, f"tenant {self.name[:40]}: quota_per_s", "must not be negative")
+        _require(
+            self.quota_per_second >= 0, f"tenant {self.name[:40]}: quota_per_second", "must not be negative"
+        )
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,13 +118,13 @@
     idle_timeout: float = inf  # idle connections close after this time
     streams_per_connection: int = 1  # attempts that share one connection
     max_retry_after: float = 0.0  # the longest advice to stay away that clients follow
-    retry_after: bool = False  # clients are told that advice
-    cancel: bool = False
-    second_copies: bool = False
-    probes: bool = False
-    peers: bool = False
-    max_open: float = inf  # requests that a copy may hold; more are turned away before it
-    cpu_per_s: float = inf  # CPU seconds per second for decisions
+    sends_retry_after: bool = False  # clients are told that advice
+    may_cancel: bool = False
+    may_hedge: bool = False
+    may_check_health: bool = False
+    may_message_peers: bool = False
+    max_open_requests: float = inf  # requests that a copy may hold; more are turned away before it
+    cpu_per_second: float = inf  # CPU seconds per second for decisions
     cpu_per_request: float = 0.0  # CPU seconds for one request and its outcomes; 0: no such limit
 
     def __post_init__(self) -> None:
@@ -132,25 +136,25 @@
 class Contract:
     """The figures of the four rules."""
 
-    answer_slack: float = 0.0  # how long after the client's deadline a final answer still counts
+    answer_grace: float = 0.0  # how long after the client's deadline a final answer still counts
     drain_grace: float = 0.0  # how long sends to a draining endpoint may go on
-    ask_within: float = inf  # unsubscribed and silent for longer, a copy counts as told
-    cold_from: float = 1.0  # an endpoint starts at this part of its capacity, or above
-    cold: float = 0.0  # and is warm after this time at the latest
-    fall_multiple: float = inf  # sent more than this multiple of its present capacity
-    fall_time: float = inf  # for this time, a cold endpoint falls over
+    subscribe_within: float = inf  # unsubscribed and silent for longer, a copy counts as told
+    initial_capacity: float = 1.0  # an endpoint starts at this part of its capacity, or above
+    warm_up: float = 0.0  # and is warm after this time at the latest
+    overload_multiple: float = inf  # sent more than this multiple of its present capacity
+    overload_time: float = inf  # for this time, a cold endpoint falls over
 
     def __post_init__(self) -> None:
-        _require(0 < self.cold_from <= 1, "contract.cold_from", "must be above 0 and at most 1")
-        _require(self.cold >= 0, "contract.cold", "must not be negative")
-        _require(self.fall_multiple > 0, "contract.fall_multiple", "must be above 0")
+        _require(0 < self.initial_capacity <= 1, "contract.cold_from", "must be above 0 and at most 1")
+        _require(self.warm_up >= 0, "contract.cold", "must not be negative")
+        _require(self.overload_multiple > 0, "contract.fall_multiple", "must be above 0")
 
 
 @dataclass(frozen=True, slots=True)
 class Goal:
     """How the operator weighs the parts of the result."""
 
-    whole: float = 1.0
+    overall: float = 1.0
     worst_window: float = 0.0
     worst_class: float = 0.0
     worst_tenant: float = 0.0
@@ -161,23 +165,23 @@
     """All that a copy is told at its start."""
 
     classes: tuple[RequestClass, ...]
-    copies: int = 1  # how many copies of the balancer send into this tier
-    number: int = 0  # which of them this one is, from 0
+    balancer_count: int = 1  # how many copies of the balancer send into this tier
+    balancer_index: int = 0  # which of them this one is, from 0
     tier: int = 0  # the tier that this copy sends into, from 0 at the front
     tiers: tuple[str, ...] = ("servers",)
     zone: str = ""
     zones: tuple[str, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    over_quota_worth: float = 1.0  # worth of a request past its tenant's quota, as a part of its class's
-    worth_by_work: bool = False  # worth is reckoned for each unit of work instead of each request
-    must_ask: bool = False  # changes of the list come only to copies that have asked
-    passes_deadline: bool = True  # a call carries its caller's time left, not its class's whole deadline
-    warm_keys: bool = False  # an endpoint that lately served a key serves it with less work
-    rated: bool = False  # endpoint ratings say something about their size
+    over_quota_value: float = 1.0  # worth of a request past its tenant's quota, as a part of its class's
+    value_per_work: bool = False  # worth is reckoned for each unit of work instead of each request
+    must_subscribe: bool = False  # changes of the list come only to copies that have asked
+    propagates_deadline: bool = True  # a call carries its caller's time left, not its class's whole deadline
+    key_affinity: bool = False  # an endpoint that lately served a key serves it with less work
+    has_ratings: bool = False  # endpoint ratings say something about their size
     report_fields: tuple[str, ...] = ()
     report_source: str = "none"  # "answers", "probe" or "none"
     tick: float = 0.001  # the least time between two batches of events
-    marks_retries: bool = False  # clients mark their repeats
+    clients_mark_retries: bool = False  # clients mark their repeats
     limits: Limits = field(default_factory=Limits)
     contract: Contract = field(default_factory=Contract)
     goal: Goal = field(default_factory=Goal)
@@ -187,8 +191,8 @@
         _require(len(self.classes) > 0, "classes", "at least one is needed")
         names = {cls.name for cls in self.classes}
         _require(len(names) == len(self.classes), "classes: name", "must not stand there twice")
-        _require(self.copies >= 1, "copies", "must be 1 or more")
-        _require(self.number >= 0, "number", "must not be negative")
+        _require(self.balancer_count >= 1, "balancer_count", "must be 1 or more")
+        _require(self.balancer_index >= 0, "balancer_index", "must not be negative")
         _require(self.tier >= 0, "tier", "must not be negative")
         _require(isfinite(self.tick) and self.tick >= 0, "tick", "must be a time")
 
@@ -200,11 +204,11 @@
     endpoint: str
     state: EndpointState = EndpointState.READY
     zone: str = ""
-    kind: str = ""
+    machine_type: str = ""
     cell: int = 0  # endpoints of one cell share what they know of keys
     rating: float = 1.0  # relative size, where the deployment rates its endpoints
     started_at: float = 0.0  # when it last started; 0 or less: long ago
-    owed: bool = False  # its operators have put it back, and look for calls to it
+    is_reinstated: bool = False  # its operators have put it back, and look for calls to it
 
 
 @dataclass(slots=True)
@@ -237,12 +241,12 @@
 
     request: int
     class_name: str
-    time_left: float  # until the client gives this try up
+    time_remaining: float  # until the client gives this try up
     tenant: str | None = None
     key: int | None = None
     work_hint: float | None = None  # expected work on a standard core, rough
-    client_retry: bool = False  # marked by the client as a repeat
-    write: bool = False
+    is_client_retry: bool = False  # marked by the client as a repeat
+    is_write: bool = False
 
 
 @dataclass(slots=True)
@@ -263,12 +267,12 @@
     outcome: Outcome
     endpoint: str
     latency: float  # since the send
-    closed: bool = False  # the request is over: the copy owes no answer any more
+    is_request_over: bool = False  # the request is over: the copy owes no answer any more
     report: LoadReport | None = None
 
 
 @dataclass(slots=True)
-class ClientGone:
+class RequestAbandoned:
     """A client waits no longer."""
 
     request: int
@@ -282,7 +286,7 @@
 
 
 @dataclass(slots=True)
-class ProbeEnded:
+class HealthCheckEnded:
     """What came of a probe."""
 
     endpoint: str
@@ -299,18 +303,27 @@
     data: bytes
 
 
-Event = View | NewRequest | Committed | AttemptEnded | ClientGone | TimerDue | ProbeEnded | PeerMessage
+Event = (
+    View
+    | NewRequest
+    | Committed
+    | AttemptEnded
+    | RequestAbandoned
+    | TimerDue
+    | HealthCheckEnded
+    | PeerMessage
+)
 
 
 # Actions
 
 
-class Drawn(NamedTuple):
+class Candidate(NamedTuple):
     """One that was drawn for a pick, as the copy saw it then."""
 
     endpoint: str
     in_flight: int  # this copy's own calls
-    report: float | None  # requests that it last said it held
+    reported: float | None  # requests that it last said it held
 
 
 @dataclass(slots=True)
@@ -320,8 +333,8 @@
     request: int
     endpoint: str
     timeout: float
-    drawn: tuple[Drawn, ...] = ()  # for records: nothing is to be done with it
-    begin_within: float = inf  # past that it must not be begun, whatever it still waits for: CONNECT_FAILED
+    candidates: tuple[Candidate, ...] = ()  # for records: nothing is to be done with it
+    start_within: float = inf  # past that it must not be begun, whatever it still waits for: CONNECT_FAILED
 
 
 @dataclass(slots=True)
@@ -333,7 +346,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: not done, trying again is harmless."""
 
     request: int
@@ -363,12 +376,12 @@
 
 
 @dataclass(slots=True)
-class FetchList:
+class FetchEndpointList:
     """Ask discovery once for the complete list."""
 
 
 @dataclass(slots=True)
-class Probe:
+class CheckHealth:
     """Look how an endpoint does."""
 
     endpoint: str
@@ -382,7 +395,7 @@
 
 
 @dataclass(slots=True)
-class TellPeer:
+class SendPeerMessage:
     """Send a message to one copy or all."""
 
     peer: int | None  # None: every peer
@@ -396,4 +409,16 @@
     text: str
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Subscribe | FetchList | Probe | CloseIdle | TellPeer | Log
+Action = (
+    Send
+    | Cancel
+    | Reject
+    | Fail
+    | SetTimer
+    | Subscribe
+    | FetchEndpointList
+    | CheckHealth
+    | CloseIdle
+    | SendPeerMessage
+    | Log
+)
--- a/wheatring/balancer/policy.py
+++ b/wheatring/balancer/policy.py
@@ -14,8 +14,8 @@
 
 # fmt: off
 from wheatring.balancer.interface import (
-    Action, AttemptEnded, ClientGone, Committed, Drawn, Effect, EndpointEntry, EndpointState, Event, Fail,
-    Group, NewRequest, Outcome, Refuse, RequestClass, Send, SetTimer, Settings, Subscribe,
+    Action, AttemptEnded, RequestAbandoned, Committed, Candidate, Idempotency, EndpointEntry, EndpointState, Event, Fail,
+    RepeatScope, NewRequest, Outcome, Reject, RequestClass, Send, SetTimer, Settings, Subscribe,
     TimerDue, View, ViewKind,
 )
 # fmt: on
@@ -29,7 +29,7 @@
 TOKEN_RATIO = 0.1
 # Looked up once, not for each attempt: an enum takes its time.
 SERVED, TIMED_OUT, REJECTED = Outcome.SERVED, Outcome.TIMED_OUT, Outcome.REJECTED
-UNSAFE, KEYED = Effect.UNSAFE, Effect.KEYED
+UNSAFE, KEYED = Idempotency.NOT_IDEMPOTENT, Idempotency.KEYED
 new = tuple.__new__  # a named tuple's own would be a call more
 # Failed connections are resent too, but outside the token count.
 RETRYABLE = (Outcome.ERROR, REJECTED, TIMED_OUT, Outcome.RESET)
@@ -73,56 +73,58 @@
     """What this copy knows of one endpoint since its last start."""
 
     entry: EndpointEntry
-    turn: float = inf  # cold: not to be sent to before this turn of the ramp
+    next_turn: float = inf  # cold: not to be sent to before this turn of the ramp
     in_flight: int = 0
-    heard: float = 0.0  # outcomes remembered, each less the older it is; of these:
-    slow: float = 0.0  # the sum of latencies against the norm of their class, less 1
-    failed: float = 0.0  # failures
+    outcomes: float = 0.0  # outcomes remembered, each less the older it is; of these:
+    excess_latency: float = 0.0  # the sum of latencies against the norm of their class, less 1
+    failures: float = 0.0  # failures
     evidence: float = 0.0  # of failures since it last served: 1 has it left alone
-    ill: int = 0  # how often it was since it was well
-    window: int = 1  # calls that it may hold while it is ill: a trickle, then one more with each answer
+    ejections: int = 0  # how often it was since it was well
+    probation_limit: int = (
+        1  # calls that it may hold while it is ill: a trickle, then one more with each answer
+    )
     left: tuple[float, float, float] = (-inf, -inf, -inf)  # alone: from which turn to which, and till when
-    seen: float = 0.0  # when these three were last updated
-    progress: float = 0.0  # when it last answered or, if idle then, got work
-    reported: float = 0.0  # requests it said it held
+    updated_at: float = 0.0  # when these three were last updated
+    progressed_at: float = 0.0  # when it last answered or, if idle then, got work
+    reported_in_flight: float = 0.0  # requests it said it held
     reported_at: float = 0.0
 
 
 @dataclass(slots=True)
-class Norm:
+class LatencyEstimate:
     """Typical latency of a class at this copy: mean and mean deviation, as TCP keeps its round trips."""
 
     mean: float = 0.0
     deviation: float = 0.0
-    slow: float = 0.0  # mean over more answers, with less noise
-    base: float = 0.0  # that when unloaded: follows it down, and up only in minutes, once it is known
+    smoothed: float = 0.0  # mean over more answers, with less noise
+    unloaded: float = 0.0  # that when unloaded: follows it down, and up only in minutes, once it is known
     count: int = 0
 
-    def learn(self, latency: float, known: bool) -> None:
+    def learn(self, latency: float, is_known: bool) -> None:
         self.count += 1
         if not self.mean:
             self.mean, self.deviation = latency, latency / 2
         self.deviation += LEARN / 2 * (abs(latency - self.mean) - self.deviation)
         self.mean += LEARN / 2 * (latency - self.mean)
-        self.slow += max(1 / self.count, LEARN / 10) * (latency - self.slow)
-        gap = self.slow - self.base
-        self.base += (1.0 if not known else LEARN / 10 if gap < 0 else LEARN / 2000) * gap
+        self.smoothed += max(1 / self.count, LEARN / 10) * (latency - self.smoothed)
+        gap = self.smoothed - self.unloaded
+        self.unloaded += (1.0 if not is_known else LEARN / 10 if gap < 0 else LEARN / 2000) * gap
 
 
 @dataclass(slots=True)
-class Request:
-    ident: int
-    cls: RequestClass
-    norm: Norm
+class ActiveRequest:
+    request_id: int
+    request_class: RequestClass
+    latency: LatencyEstimate
     deadline: float
     attempts: list[Endpoint] = field(default_factory=list)
     sent_at: float = 0.0
     may_have_run: tuple[float, Endpoint] | None = None  # send and endpoint of the first attempt that may have
     outstanding: int = 0
     retries: int = 0
-    over: bool = False
-    unseen: bool = False  # an attempt was turned away unseen
-    committed: bool = False  # its answer has begun, or its body is held no more: A6 retries it no more
+    is_over: bool = False
+    was_rejected: bool = False  # an attempt was turned away unseen
+    is_committed: bool = False  # its answer has begun, or its body is held no more: A6 retries it no more
 
 
 class Balancer:
@@ -132,15 +134,15 @@
         self.settings = settings
         self.random = Random(seed)
         self.classes = {c.name: c for c in settings.classes}
-        self.norms = {c.name: Norm() for c in settings.classes}
-        self.norm = Norm()
+        self.latencies = {c.name: LatencyEstimate() for c in settings.classes}
+        self.norm = LatencyEstimate()
         self.endpoints: dict[str, Endpoint] = {}  # ready ones only
         self.near: list[Endpoint] = []
         self.far: list[Endpoint] = []
         self.ready: list[Endpoint] = []
         self.progress = 0.0  # the last of any ready one
         self.owed: list[tuple[float, Endpoint]] = []  # put back by the operators, called from then on
-        self.requests: dict[int, Request] = {}
+        self.requests: dict[int, ActiveRequest] = {}
         self.timers: dict[int, int] = {}
         self.next_timer = 1
         self.most_attempts = min(MAX_ATTEMPTS, settings.limits.max_attempts)
@@ -175,10 +177,10 @@
                 self.send(now, request, out)  # it has waited out its backoff, and is not over
             case View():
                 self.view(now, event, out)
-            case ClientGone(ident) if ident in self.requests:
+            case RequestAbandoned(ident) if ident in self.requests:
                 self.close(self.requests[ident])
             case Committed(ident) if ident in self.requests:
-                self.requests[ident].committed = True
+                self.requests[ident].is_committed = True
         return out
 
     # Requests
@@ -188,56 +190,68 @@
         name = event.class_name
         cls = self.classes.get(name)
         if cls is None:  # unknown classes are unsafe ones
-            span = max(event.time_left, 1e-3)
+            span = max(event.time_remaining, 1e-3)
             cls = self.classes[name] = RequestClass(name, span, span)
-            self.norms[name] = Norm()
-        left = event.time_left
-        if not self.settings.tier and not cls.late_worth and not cls.aim_stretch:
+            self.latencies[name] = LatencyEstimate()
+        left = event.time_remaining
+        if not self.settings.tier and not cls.late_value and not cls.latency_target_stretch:
             # An answer past its aim is worth nothing but holds slots all down the chain, so the aim is the
             # deadline. A client's repeat comes with what earlier tries have left of its class's deadline.
-            left = min(left, cls.aim - (cls.deadline - left if event.client_retry else 0.0))
-        request = Request(event.request, cls, self.norms[name], now + left)
+            left = min(left, cls.latency_target - (cls.deadline - left if event.is_client_retry else 0.0))
+        request = ActiveRequest(event.request, cls, self.latencies[name], now + left)
         self.requests[event.request] = request
         if self.admits(now, request):
             self.send(now, request, out)
         else:
             self.answer(request, out)
 
-    def admits(self, now: float, request: Request) -> bool:
+    def admits(self, now: float, request: ActiveRequest) -> bool:
         """When every server slows, first sends would pass unchecked and all end late; and what crowds servers
         for long slows them further. So the front refuses what goes beyond what they are known to bear, once
         that slows them; low worth is left less room than high."""
         if self.settings.tier or not self.ready:
             return True
         most_ill = self.most_ill()  # then it is the load
-        open_ones = [e for e in self.ready if most_ill or not e.ill or not self.alone(now, e)]
+        open_ones = [e for e in self.ready if most_ill or not e.ejections or not self.alone(now, e)]
         count = sum([self.warmth(now, e) for e in open_ones]) or 1.0  # in warm ones
         # What an endpoint holds that is quiet while others answer or idle is no queue for what these get.
-        quiet = (self.progress if all(e.in_flight for e in self.ready) else now) - request.cls.aim
-        in_flight: float = sum([e.in_flight for e in open_ones if e.progress > quiet])
+        quiet = (
+            self.progress if all(e.in_flight for e in self.ready) else now
+        ) - request.request_class.latency_target
+        in_flight: float = sum([e.in_flight for e in open_ones if e.progressed_at > quiet])
         passed, self.gauged = min(now - self.gauged, 1.0), now
         self.held = self.held * exp(-passed) + in_flight * passed
         rate = self.served * exp(self.served_at - now)
         self.bore = max(count, self.bore * exp(-passed) + count * passed)  # those that served at that rate
         self.best = max(self.best * exp(-passed / FORGET), rate / self.bore)
         congestion = self.held / rate if rate else 0.0  # how many times the unloaded latency is taken
-        copies = self.settings.copies
+        copies = self.settings.balancer_count
         in_flight = min(in_flight, max(self.held, in_flight - CHANCE * sqrt(in_flight) * (1 - 1 / copies)))
-        if in_flight * copies < FEW or congestion < CALM or not self.known(now, request.cls):
+        if (
+            in_flight * copies < FEW
+            or congestion < CALM
+            or not self.is_latency_known(now, request.request_class)
+        ):
             return True
-        part = 0.4 + 0.6 * self.density(request.cls) / (max(map(self.density, self.settings.classes)) or 1.0)
+        part = 0.4 + 0.6 * self.density(request.request_class) / (
+            max(map(self.density, self.settings.classes)) or 1.0
+        )
         most = count * (GROWTH * self.best + SLACK / copies * part)
         return in_flight <= most * max(LEAST, min(1.0, JAM / congestion))
 
-    def known(self, now: float, cls: RequestClass) -> bool:
+    def is_latency_known(self, now: float, request_class: RequestClass) -> bool:
         """Whether this copy is old enough to know what is usual: the first answers are the fastest."""
-        return now - self.started > cls.aim
+        return now - self.started > request_class.latency_target
 
     def density(self, cls: RequestClass) -> float:
         """Worth for each unit of work; typical latency stands for the work."""
-        return cls.worth if self.settings.worth_by_work else cls.worth / (self.norms[cls.name].base or 1.0)
+        return (
+            cls.value
+            if self.settings.value_per_work
+            else cls.value / (self.latencies[cls.name].unloaded or 1.0)
+        )
 
-    def send(self, now: float, request: Request, out: list[Action]) -> None:
+    def send(self, now: float, request: ActiveRequest, out: list[Action]) -> None:
         self.turns += 1 / self.capacity
         if not request.attempts:  # repeats grow with trouble, what an endpoint bears doesn't
             turn = len(self.near) / self.capacity / max(len(self.subset), 1)  # the far get their part of it
@@ -245,25 +259,25 @@
             self.ramp, self.credit = self.ramp + step, max(self.credit - step, 0.0)
         endpoint, drawn = self.pick(now, request)
         timeout = left = request.deadline - now
-        hopeless = left <= request.norm.base / 2  # work for it would be wasted here and below
+        hopeless = left <= request.latency.unloaded / 2  # work for it would be wasted here and below
         if endpoint is None or hopeless or now >= (until := self.repeatable_until(request)):
             self.answer(request, out)
             return
-        if request.cls.effect is not UNSAFE and (mean := request.norm.mean):
+        if request.request_class.idempotency is not UNSAFE and (mean := request.latency.mean):
             # A silent endpoint never answers: give the attempt up while there is time for another.
-            patience = mean + PATIENCE * request.norm.deviation
+            patience = mean + PATIENCE * request.latency.deviation
             if patience + mean < left and len(request.attempts) + 1 < self.most_attempts:
                 timeout = patience
-        seen = tuple([new(Drawn, (e.entry.endpoint, e.in_flight, e.reported if e.reported_at else None))
+        seen = tuple([new(Candidate, (e.entry.endpoint, e.in_flight, e.reported_in_flight if e.reported_at else None))
                       for e in drawn])  # fmt: skip
         request.attempts.append(endpoint)
         request.sent_at = now
         request.outstanding += 1
         if not endpoint.in_flight:
-            endpoint.progress = self.progress = now
+            endpoint.progressed_at = self.progress = now
         endpoint.in_flight += 1
-        endpoint.turn = self.ramp + 1 / self.warmth(now, endpoint)
-        out.append(Send(request.ident, endpoint.entry.endpoint, timeout, seen, until - now))
+        endpoint.next_turn = self.ramp + 1 / self.warmth(now, endpoint)
+        out.append(Send(request.request_id, endpoint.entry.endpoint, timeout, seen, until - now))
 
     def attempt_ended(self, now: float, event: AttemptEnded, out: list[Action]) -> None:
         request = self.requests.get(event.request)
@@ -273,117 +287,125 @@
         request.outstanding -= 1
         endpoint.in_flight -= 1
         self.observe(now, request, endpoint, event)
-        if event.closed or request.over:
+        if event.is_request_over or request.is_over:
             self.close(request)
             return
         outcome = event.outcome
-        if not outcome.never_ran and request.may_have_run is None:
+        if not outcome.has_not_run and request.may_have_run is None:
             request.may_have_run = (request.sent_at, endpoint)
-        if request.committed or not self.may_retry(now, request, outcome):
+        if request.is_committed or not self.may_retry(now, request, outcome):
             self.answer(request, out)
-        elif outcome is Outcome.CONNECT_FAILED or (outcome is REJECTED and not request.unseen):
+        elif outcome is Outcome.CONNECT_FAILED or (outcome is REJECTED and not request.was_rejected):
             # Never reached the server, or was turned away unseen for the first time: A6 resends these at once
             # and counts neither, or a server that drains would empty the bucket.
-            request.unseen |= outcome is REJECTED
+            request.was_rejected |= outcome is REJECTED
             self.send(now, request, out)
         elif self.tokens > MAX_TOKENS / 2:
             ceiling = INITIAL_BACKOFF * BACKOFF_MULTIPLIER**request.retries
-            delay = self.random.random() * min(ceiling, MAX_BACKOFF) * request.cls.aim
+            delay = self.random.random() * min(ceiling, MAX_BACKOFF) * request.request_class.latency_target
             request.retries += 1
             resent = now + delay
-            if resent + request.norm.mean / 2 >= request.deadline or resent >= self.repeatable_until(request):
+            if resent + request.latency.mean / 2 >= request.deadline or resent >= self.repeatable_until(
+                request
+            ):
                 self.answer(request, out)
                 return
-            self.timers[self.next_timer] = request.ident
+            self.timers[self.next_timer] = request.request_id
             out.append(SetTimer(self.next_timer, delay))
             self.next_timer += 1
         else:
             self.answer(request, out)
 
-    def may_retry(self, now: float, request: Request, outcome: Outcome) -> bool:
+    def may_retry(self, now: float, request: ActiveRequest, outcome: Outcome) -> bool:
         more = len(request.attempts) < self.most_attempts and outcome in EVIDENCE
         return more and now < self.repeatable_until(request)
 
-    def repeatable_until(self, request: Request) -> float:
+    def repeatable_until(self, request: ActiveRequest) -> float:
         """No effect twice: what may have run goes out again only as its class allows."""
-        if request.may_have_run is None or request.cls.effect is Effect.SAFE:
+        if request.may_have_run is None or request.request_class.idempotency is Idempotency.IDEMPOTENT:
             return inf
-        return request.may_have_run[0] + request.cls.window if request.cls.effect is KEYED else -inf
+        return (
+            request.may_have_run[0] + request.request_class.repeat_window
+            if request.request_class.idempotency is KEYED
+            else -inf
+        )
 
-    def answer(self, request: Request, out: list[Action]) -> None:
+    def answer(self, request: ActiveRequest, out: list[Action]) -> None:
         """The one final answer. A refusal says that trying again is harmless."""
-        if request.may_have_run is None or request.cls.effect is Effect.SAFE:
-            out.append(Refuse(request.ident, self.stay_away(request)))
+        if request.may_have_run is None or request.request_class.idempotency is Idempotency.IDEMPOTENT:
+            out.append(Reject(request.request_id, self.stay_away(request)))
         else:
-            out.append(Fail(request.ident))
+            out.append(Fail(request.request_id))
         self.close(request)
 
-    def stay_away(self, request: Request) -> float:
+    def stay_away(self, request: ActiveRequest) -> float:
         """When a refused client should come again: spread out, or those refused together return together."""
-        most = self.settings.limits.max_retry_after if self.settings.limits.retry_after else 0.0
-        return min(STAY_AWAY * (1 + self.random.random()) * request.cls.aim, most)
+        most = self.settings.limits.max_retry_after if self.settings.limits.sends_retry_after else 0.0
+        return min(STAY_AWAY * (1 + self.random.random()) * request.request_class.latency_target, most)
 
-    def close(self, request: Request) -> None:
-        request.over = True
+    def close(self, request: ActiveRequest) -> None:
+        request.is_over = True
         if not request.outstanding:
-            self.requests.pop(request.ident, None)
+            self.requests.pop(request.request_id, None)
 
-    def observe(self, now: float, request: Request, endpoint: Endpoint, event: AttemptEnded) -> None:
+    def observe(self, now: float, request: ActiveRequest, endpoint: Endpoint, event: AttemptEnded) -> None:
         """Keep the token count, the norms and what is held against the endpoint."""
         outcome = event.outcome
         fade = self.fade(now, endpoint)
-        endpoint.seen = now
+        endpoint.updated_at = now
         # An outcome weighs as one of those remembered: by a fixed weight, thin traffic would never tell.
-        fade *= min(1.0, MOST_HEARD / (endpoint.heard * fade + 1))
-        endpoint.heard = endpoint.heard * fade + 1
-        endpoint.failed = endpoint.failed * fade + (outcome is not SERVED)
-        endpoint.slow *= fade
+        fade *= min(1.0, MOST_HEARD / (endpoint.outcomes * fade + 1))
+        endpoint.outcomes = endpoint.outcomes * fade + 1
+        endpoint.failures = endpoint.failures * fade + (outcome is not SERVED)
+        endpoint.excess_latency *= fade
         said = event.report
         held = None if said is None else said.queue if said.in_flight is None else said.in_flight
         if held is not None:
-            endpoint.reported, endpoint.reported_at = held, now
+            endpoint.reported_in_flight, endpoint.reported_at = held, now
             self.mean_report += LEARN / 4 * (held - self.mean_report)
         if outcome is SERVED or outcome is TIMED_OUT:
-            if request.norm.mean:
-                longer = min(event.latency / request.norm.base, UNFIT) - 1
-                endpoint.slow += longer
+            if request.latency.mean:
+                longer = min(event.latency / request.latency.unloaded, UNFIT) - 1
+                endpoint.excess_latency += longer
                 self.usual += LEARN / 4 * (1 + longer - self.usual)
-            for norm in (request.norm, self.norm):
-                norm.learn(event.latency, self.known(now, request.cls))
+            for norm in (request.latency, self.norm):
+                norm.learn(event.latency, self.is_latency_known(now, request.request_class))
         if outcome is SERVED:
             self.tokens = min(MAX_TOKENS, self.tokens + TOKEN_RATIO)
             carried = 1 / self.warmth(now, endpoint) / max(len(self.subset), 1)  # by a warm one of the subset
             self.credit = min(CARRIED, self.credit + CARRIED * carried)
-            self.served = self.served * exp(self.served_at - now) + request.norm.base
+            self.served = self.served * exp(self.served_at - now) + request.latency.unloaded
             self.served_at = now
-        elif outcome in RETRYABLE and (outcome is not REJECTED or request.unseen):
+        elif outcome in RETRYABLE and (outcome is not REJECTED or request.was_rejected):
             self.tokens = max(0.0, self.tokens - 1)
         if outcome not in UNMOVED:
-            endpoint.progress = now
+            endpoint.progressed_at = now
             if self.endpoints.get(endpoint.entry.endpoint) is endpoint:
                 self.progress = now
         self.judge(now, endpoint, outcome)
 
     def judge(self, now: float, endpoint: Endpoint, outcome: Outcome) -> None:
         """Whether an endpoint is to be left alone, and its way back: one call, then as many as it answers."""
-        crowded = endpoint.slow >= (CROWDED - 1) * (endpoint.heard + DOUBT)
+        crowded = endpoint.excess_latency >= (CROWDED - 1) * (endpoint.outcomes + DOUBT)
         if outcome is SERVED and not crowded:
             endpoint.evidence = 0.0
-            endpoint.window += endpoint.ill > 0
-            if endpoint.window > WELL:
-                endpoint.ill = 0
+            endpoint.probation_limit += endpoint.ejections > 0
+            if endpoint.probation_limit > WELL:
+                endpoint.ejections = 0
             return
         weight = 1.0 if crowded else EVIDENCE.get(outcome, 0.0)
         if not weight or self.alone(now, endpoint):
             return  # what was sent before it was left alone says nothing new
         endpoint.evidence += weight
-        endpoint.window //= 2
-        if endpoint.evidence >= 1 or (endpoint.ill and not endpoint.window):
-            endpoint.ill, endpoint.window = min(endpoint.ill + 1, LONGEST), 1
-            turns, rest = (inf, REST) if crowded else (2.0**endpoint.ill, ALONE)
+        endpoint.probation_limit //= 2
+        if endpoint.evidence >= 1 or (endpoint.ejections and not endpoint.probation_limit):
+            endpoint.ejections, endpoint.probation_limit = min(endpoint.ejections + 1, LONGEST), 1
+            turns, rest = (inf, REST) if crowded else (2.0**endpoint.ejections, ALONE)
             endpoint.left = (self.turns, self.turns + turns, now + rest)
-            endpoint.heard = endpoint.slow = endpoint.failed = endpoint.evidence = 0.0  # it comes back new
-        endpoint.window = max(endpoint.window, 1)
+            endpoint.outcomes = endpoint.excess_latency = endpoint.failures = endpoint.evidence = (
+                0.0  # it comes back new
+            )
+        endpoint.probation_limit = max(endpoint.probation_limit, 1)
 
     def alone(self, now: float, endpoint: Endpoint) -> bool:
         """Whether an ill endpoint is left alone. Where more than half are and some do serve, it is for one
@@ -394,19 +416,23 @@
         return self.turns < until and now < till
 
     def most_ill(self) -> bool:
-        return 2 * sum([e.ill > 0 for e in self.ready]) > len(self.ready)
+        return 2 * sum([e.ejections > 0 for e in self.ready]) > len(self.ready)
 
     # Placement
 
-    def pick(self, now: float, request: Request) -> tuple[Endpoint | None, list[Endpoint]]:
+    def pick(self, now: float, request: ActiveRequest) -> tuple[Endpoint | None, list[Endpoint]]:
         """The lighter of two random ready endpoints, drawn wider while no fit one came up; and all drawn."""
         while self.owed and not request.attempts and now >= self.owed[0][0]:
             _, owed = self.owed.pop(0)
-            if self.endpoints.get(owed.entry.endpoint) is owed and not owed.progress:
+            if self.endpoints.get(owed.entry.endpoint) is owed and not owed.progressed_at:
                 return owed, [owed]
         pools = [self.near, self.near, self.ready, self.ready, self.ready]
-        if request.may_have_run and request.cls.effect is KEYED and request.cls.group is not Group.ALL:
-            first, group = request.may_have_run[1].entry, request.cls.group.value
+        if (
+            request.may_have_run
+            and request.request_class.idempotency is KEYED
+            and request.request_class.repeat_scope is not RepeatScope.ALL
+        ):
+            first, group = request.may_have_run[1].entry, request.request_class.repeat_scope.value
             pools = [[e for e in self.ready if getattr(e.entry, group) == getattr(first, group)]] * 3
         best, least, fit, usable, seen = None, 0.0, False, 0, {}
         for n, pool in enumerate(pools, 1):
@@ -415,11 +441,11 @@
                 if drawn.entry.endpoint in seen:
                     continue
                 seen[drawn.entry.endpoint] = drawn
-                early = self.ramp < drawn.turn or drawn.entry.endpoint not in self.subset
+                early = self.ramp < drawn.next_turn or drawn.entry.endpoint not in self.subset
                 if early and self.warmth(now, drawn) < 1:
                     continue
-                if drawn.ill:
-                    full = drawn.in_flight >= drawn.window and not self.most_ill()
+                if drawn.ejections:
+                    full = drawn.in_flight >= drawn.probation_limit and not self.most_ill()
                     if full or self.alone(now, drawn):
                         continue
                 burden = self.burden(now, drawn)
@@ -446,31 +472,31 @@
     def burden(self, now: float, endpoint: Endpoint) -> float:
         """What an endpoint's calls in flight are scaled by: it is slow, fails, or has gone silent."""
         fade = self.fade(now, endpoint)
-        known = endpoint.heard * fade + DOUBT  # of one little heard of, what is usual is expected
-        slow = 1 + (endpoint.slow * fade + DOUBT * (self.usual - 1)) / known
+        known = endpoint.outcomes * fade + DOUBT  # of one little heard of, what is usual is expected
+        slow = 1 + (endpoint.excess_latency * fade + DOUBT * (self.usual - 1)) / known
         slowness = max(slow / self.usual, self.silence(now, endpoint) / SILENT)
         crowd = (1 + self.others(now, endpoint)) / (1 + self.mean_report) / (endpoint.entry.rating or 1.0)
-        return slowness * crowd * (1 + FAIL_WEIGHT * endpoint.failed * fade / known)
+        return slowness * crowd * (1 + FAIL_WEIGHT * endpoint.failures * fade / known)
 
     def silence(self, now: float, endpoint: Endpoint) -> float:
         """Answers that should have come from an endpoint since its last one."""
-        return (now - endpoint.progress) * endpoint.in_flight / (self.norm.mean or inf)
+        return (now - endpoint.progressed_at) * endpoint.in_flight / (self.norm.mean or inf)
 
     def others(self, now: float, endpoint: Endpoint) -> float:
         """Work of other copies by the endpoint's last report; an old one says no more than the mean."""
         fade = exp(endpoint.reported_at - now) if endpoint.reported_at else 0.0
-        return self.mean_report + (endpoint.reported - self.mean_report) * fade
+        return self.mean_report + (endpoint.reported_in_flight - self.mean_report) * fade
 
     def fade(self, now: float, endpoint: Endpoint) -> float:
-        return exp((endpoint.seen - now) / MEMORY)
+        return exp((endpoint.updated_at - now) / MEMORY)
 
     def warmth(self, now: float, endpoint: Endpoint) -> float:
         """Least part of its capacity that an endpoint has by now."""
         contract = self.settings.contract
         age = now - endpoint.entry.started_at
-        if endpoint.entry.started_at <= 0 or age >= contract.cold:
+        if endpoint.entry.started_at <= 0 or age >= contract.warm_up:
             return 1.0
-        return contract.cold_from + (1 - contract.cold_from) * max(age, 0.0) / contract.cold
+        return contract.initial_capacity + (1 - contract.initial_capacity) * max(age, 0.0) / contract.warm_up
 
     # Discovery
 
@@ -483,10 +509,14 @@
             for entry in event.entries:
                 self.update(now, entry)
             self.draw_subset(now)
-        if self.settings.must_ask and event.kind in (ViewKind.CACHED, ViewKind.FAILED) and not self.asking:
+        if (
+            self.settings.must_subscribe
+            and event.kind in (ViewKind.CACHED, ViewKind.FAILED)
+            and not self.asking
+        ):
             # Copies that ask together fail together again; but what one misses counts as told within seconds.
             self.asking = True
-            spread = min(self.settings.contract.ask_within / 4, 2.5, 0.5 * 2**self.ask_failures)
+            spread = min(self.settings.contract.subscribe_within / 4, 2.5, 0.5 * 2**self.ask_failures)
             self.ask_failures += event.kind is ViewKind.FAILED and self.ask_failures < 3
             out.append(SetTimer(0, self.random.random() * spread))
 
@@ -499,17 +529,17 @@
             known.entry = entry
             return
         self.endpoints[entry.endpoint] = fresh = Endpoint(entry)  # nothing from before is held against it
-        if entry.owed:  # a cold one bears two calls in a window beyond its ramp, of all copies
-            pause, window = OWED / self.settings.copies, self.settings.contract.fall_time
+        if entry.is_reinstated:  # a cold one bears two calls in a window beyond its ramp, of all copies
+            pause, window = OWED / self.settings.balancer_count, self.settings.contract.overload_time
             if self.warmth(now, fresh) < 1 and window < inf:
                 pause = max(pause, window / 2)
-            self.owed.append((now + pause * self.settings.number, fresh))
+            self.owed.append((now + pause * self.settings.balancer_index, fresh))
 
     def draw_subset(self, now: float) -> None:
         """Few endpoints with room for few connections can't take one from every copy: each draws from a
         stable arc of the sorted ids, placed by its own number so that all are covered evenly."""
         self.ready = [self.endpoints[k] for k in sorted(self.endpoints)]
-        self.progress = max([e.progress for e in self.ready], default=0.0)
+        self.progress = max([e.progressed_at for e in self.ready], default=0.0)
         local = [e for e in self.ready if e.entry.zone == self.settings.zone]
         split = 2 * len(local) * max(1, len(self.settings.zones)) >= len(self.ready) > len(local)
         self.near = self.arc(local if split else self.ready)
@@ -520,9 +550,9 @@
         before, self.subset = self.subset, {e.entry.endpoint: e for e in self.near + self.far}
         for name, e in self.subset.items():
             if before.get(name) is not e:  # its first turn is drawn, or copies told together would all send
-                e.turn = self.ramp + self.random.random() / self.warmth(now, e)
+                e.next_turn = self.ramp + self.random.random() / self.warmth(now, e)
 
     def arc(self, pool: list[Endpoint]) -> list[Endpoint]:
-        size, copies = len(pool), self.settings.copies
-        start = self.settings.number * size // copies
+        size, copies = len(pool), self.settings.balancer_count
+        start = self.settings.balancer_index * size // copies
         return (pool + pool)[start : start + min(size, max(NEAR, ceil(size * SHARERS / copies)))]
--- a/wheatring/config/__init__.py
+++ b/wheatring/config/__init__.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 from wheatring import address
-from wheatring.balancer.benchlink import Nested, settings_from, shown
-from wheatring.balancer.interface import Effect, Settings
+from wheatring.balancer.benchlink import JsonSettings, describe_value, settings_from
+from wheatring.balancer.interface import Idempotency, Settings
 from wheatring.errors import UncodedError
 
 SOCKETS = 1024
@@ -25,9 +25,9 @@
 
 # The settings' own names for what the module's vocabulary calls otherwise, so that errors name the key.
 WIRE_NAMES = {
-    "aim": "slo", "worth": "value", "window": "memory_span", "quota_per_s": "allowance_per_s",
-    "streams_per_connection": "streams_per_conn", "copies": "peers_total", "number": "slot_no",
-    "tick": "step",
+    "latency_target": "slo", "repeat_window": "memory_span", "quota_per_second": "allowance_per_s",
+    "streams_per_connection": "streams_per_conn", "balancer_count": "peers_total",
+    "balancer_index": "slot_no", "tick": "step",
 }  # fmt: skip
 
 
@@ -102,7 +102,7 @@
 
 def _address(key: str, text: object) -> tuple[str, int]:
     try:
-        return address.parse(text if isinstance(text, str) else shown(text))
+        return address.parse(text if isinstance(text, str) else describe_value(text))
     except ValueError as bad:
         raise ConfigError(f"{key}: {bad}") from bad
 
@@ -110,7 +110,7 @@
 def settings_in(given: object) -> Settings:
     """What the platform's `settings` say."""
     try:
-        read = settings_from(Nested(given))
+        read = settings_from(JsonSettings(given))
     except ValueError as bad:
         key = re.sub(r"\w+(?=: must )", lambda word: WIRE_NAMES.get(word[0], word[0]), str(bad))
         raise ConfigError(f"settings: {key}") from bad
@@ -123,29 +123,40 @@
 def _rules(read: Settings) -> Iterator[tuple[str, bool, str]]:
     """What is asked of a sidecar's settings beyond what the decisions themselves can't do without."""
     limits, contract = read.limits, read.contract
-    yield "slot_no", read.number < read.copies, f"be below peers_total, which is {read.copies}"
+    yield (
+        "slot_no",
+        read.balancer_index < read.balancer_count,
+        f"be below peers_total, which is {read.balancer_count}",
+    )
     for each in read.classes:
         at = f"class {each.name[:40]}"
         yield f"{at}: name", each.name != "", "not be empty"
-        yield f"{at}: memory_span", each.effect is not Effect.KEYED or each.window > 0, "be above 0"
-        yield f"{at}: late_worth", each.late_worth >= 0, "not be negative"
-        yield f"{at}: aim_stretch", each.aim_stretch >= 0, "not be negative"
+        yield (
+            f"{at}: memory_span",
+            each.idempotency is not Idempotency.KEYED or each.repeat_window > 0,
+            "be above 0",
+        )
+        yield f"{at}: late_worth", each.late_value >= 0, "not be negative"
+        yield f"{at}: aim_stretch", each.latency_target_stretch >= 0, "not be negative"
     names = [each.name for each in read.tenants]
     yield "tenants: name", len(set(names)) == len(names), "not stand there twice"
     yield "tenants: share", all(each.share >= 0 for each in read.tenants), "not be negative"
     yield "limits.dial_timeout", limits.connect_timeout >= 1e-3, "be 1000 us or more"
     yield "limits.keepalive", limits.idle_timeout >= 1e-3, "be 1000 us or more"
     yield "limits.max_retry_after", limits.max_retry_after >= 0, "be 0 us or more"
-    yield "limits.open_cap", limits.max_open >= 1, "be 1 or more"
-    yield "limits.cpu_us_per_s", limits.cpu_per_s > 0, "be above 0"
+    yield "limits.open_cap", limits.max_open_requests >= 1, "be 1 or more"
+    yield "limits.cpu_us_per_s", limits.cpu_per_second > 0, "be above 0"
     yield "limits.cpu_us_per_request", limits.cpu_per_request >= 0, "not be negative"
-    yield "contract.grace_to_answer", contract.answer_slack >= 0, "be 0 us or more"
+    yield "contract.grace_to_answer", contract.answer_grace >= 0, "be 0 us or more"
     yield "contract.stop_sending_within", contract.drain_grace >= 0, "not be negative"
-    yield "contract.must_ask_in", contract.ask_within > 0 or not read.must_ask, "be above 0"
-    yield "contract.overload_for", contract.fall_time > 0, "be above 0"
-    yield "over_share_worth", read.over_quota_worth >= 0, "not be negative"
-    for key in ("whole", "worst_window", "worst_class", "worst_tenant"):
-        yield f"goal.{key}", getattr(read.goal, key) >= 0, "not be negative"
+    yield "contract.must_ask_in", contract.subscribe_within > 0 or not read.must_subscribe, "be above 0"
+    yield "contract.overload_for", contract.overload_time > 0, "be above 0"
+    yield "over_share_worth", read.over_quota_value >= 0, "not be negative"
+    goal = read.goal
+    yield "goal.whole", goal.overall >= 0, "not be negative"
+    yield "goal.worst_window", goal.worst_window >= 0, "not be negative"
+    yield "goal.worst_class", goal.worst_class >= 0, "not be negative"
+    yield "goal.worst_tenant", goal.worst_tenant >= 0, "not be negative"
     for name, price in read.prices.items():
         yield f"prices.{name[:40]}", price >= 0, "not be negative"
 
@@ -184,21 +195,21 @@
     if not isinstance(name, str) or not name:
         raise ConfigError("name: missing")
     if not name.isprintable():
-        raise ConfigError(f"name: not to be printed: {shown(name)}")
+        raise ConfigError(f"name: not to be printed: {describe_value(name)}")
     seed = data.get("seed", "0")
     try:
         number = seed if type(seed) is int else int(seed, 16)
     except (TypeError, ValueError) as bad:
-        raise ConfigError(f"seed: not a hexadecimal number: {shown(seed)}") from bad
+        raise ConfigError(f"seed: not a hexadecimal number: {describe_value(seed)}") from bad
     limits = data.get("limits", {})
     if not isinstance(limits, dict):
         raise ConfigError("limits: not an object")
     sockets = limits.get("sockets", SOCKETS)
     if type(sockets) is not int or not 64 <= sockets <= MOST:
-        raise ConfigError(f"limits.sockets: not a whole number of 64 or more: {shown(sockets)}")
+        raise ConfigError(f"limits.sockets: not a whole number of 64 or more: {describe_value(sockets)}")
     memory = limits.get("memory_mb", MEMORY_MB)
     if isinstance(memory, bool) or not isinstance(memory, int | float) or not 1 <= memory <= MOST:
-        raise ConfigError(f"limits.memory_mb: not a number of 1 or more: {shown(memory)}")
+        raise ConfigError(f"limits.memory_mb: not a number of 1 or more: {describe_value(memory)}")
     control = told("control")
     known = data.get("known", {"generation": 0, "instances": []})
     if not isinstance(known, dict) or not isinstance(known.get("instances"), list):
--- a/wheatring/core/driver.py
+++ b/wheatring/core/driver.py
@@ -56,12 +56,12 @@
         left = min(job.deadline - self.clock.now(), job.allowed)
         event = i.NewRequest(number, job.class_name, left)
         if job.repeat:
-            event.client_retry = True
+            event.is_client_retry = True
         self.feed(event)
 
     def job_left(self, job: Job) -> None:
         if job.number:  # the module knows of it
-            self.feed(i.ClientGone(job.number))
+            self.feed(i.RequestAbandoned(job.number))
 
     def job_committed(self, job: Job) -> None:
         self.feed(i.Committed(job.number))
@@ -132,10 +132,10 @@
         match action:
             case i.Send(request, endpoint, timeout):
                 job, now = self.jobs[request], self.clock.now()
-                claim = self.exchange.claim(job, endpoint, now + timeout, now + action.begin_within)
+                claim = self.exchange.claim(job, endpoint, now + timeout, now + action.start_within)
                 if claim.outcome is NOT_SENT:
                     self.claim_ended(claim)
-            case i.Refuse(request, retry_after):
+            case i.Reject(request, retry_after):
                 self.answer(request, Answer(Final.REFUSED, retry_after=retry_after))
             case i.Fail(request):
                 self.answer(request, Answer(Final.FAILED))
@@ -148,7 +148,7 @@
                     self.machine_list.subscribe()
                 else:
                     self.machine_list.unsubscribe()
-            case i.FetchList():
+            case i.FetchEndpointList():
                 self.machine_list.fetch()
             case i.CloseIdle(endpoint):
                 self.exchange.close_idle(endpoint)
--- a/wheatring/core/exchange.py
+++ b/wheatring/core/exchange.py
@@ -75,7 +75,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        return self.written and (self.outcome is None or not self.outcome.never_ran)
+        return self.written and (self.outcome is None or not self.outcome.has_not_run)
 
     @property
     def wanted(self) -> bool:
--- a/wheatring/daemon/shutdown.py
+++ b/wheatring/daemon/shutdown.py
@@ -23,7 +23,7 @@
         self.leaving = Leaving(
             sidecar.clock.now(),
             settings.classes,
-            settings.copies,
+            settings.balancer_count,
             sidecar.exchange.usual,
             len(sidecar.server.standing()),
             followed=desk is not None and desk.followed,
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -108,7 +108,7 @@
 
         platform, settings = self.platform, self.platform.settings
         has_admin = platform.control is not None
-        self.exchange = Exchange(self.clock, settings.contract.answer_slack)
+        self.exchange = Exchange(self.clock, settings.contract.answer_grace)
         body_room = room_in(platform.memory_mb, 2 if has_admin else 1)
         reserved = RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if has_admin else 0)
         self.connection_limit = platform.sockets - reserved
--- a/wheatring/http1/list_lines.py
+++ b/wheatring/http1/list_lines.py
@@ -57,7 +57,7 @@
         endpoint=name,
         state=state,
         zone=str(item.get("zone") or ""),
-        kind=str(item.get("machineType") or ""),
+        machine_type=str(item.get("machineType") or ""),
         cell=int(_number(item, "cell", 0)),
         rating=_number(item, "weight", 1.0) or 1.0,
         started_at=clock.from_unix_ms(_number(item, "startedAtMs", 0)),
--- a/wheatring/http1/server.py
+++ b/wheatring/http1/server.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.protocol import ServerFactory
 
-from wheatring.balancer.interface import Effect, RequestClass
+from wheatring.balancer.interface import Idempotency, RequestClass
 from wheatring.core.body import Body, Room
 from wheatring.core.clock import Clock, Timer
 from wheatring.core.exchange import Exchange, Job
@@ -36,7 +36,7 @@
 _DIGITS = re.compile(rb"[0-9]{1,12}")
 _ONCE = frozenset((b"x-correlation-id", b"x-service-class", b"x-time-left-ms", b"idempotency-key"))
 
-SAFE = Effect.SAFE  # looked up once: an enum takes its time
+SAFE = Idempotency.IDEMPOTENT  # looked up once: an enum takes its time
 
 JOBLESS = frozenset((State.RESTING, State.READING, State.CLOSING, State.SHUT))
 UNANSWERED = frozenset((State.RESTING, State.READING, State.UPLOADING))  # nothing is written for this request
@@ -177,7 +177,7 @@
             raise Refused(404, "class")
         if rights is not None and known.name not in rights:
             raise Refused(403, "rights", body=b"class not in rights")
-        allowed = b"GET" if known.effect is SAFE else b"POST"
+        allowed = b"GET" if known.idempotency is SAFE else b"POST"
         if method != allowed:
             raise Refused(405, "method", b"Allow: %s\r\n" % allowed)
         ident = fields.get(b"x-correlation-id", b"")
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -60,7 +60,7 @@
         self.way = way
         self.on_end = on_end
         self.clock = DirectClock(time, unix)
-        self.exchange = Exchange(self.clock, settings.contract.answer_slack)
+        self.exchange = Exchange(self.clock, settings.contract.answer_grace)
         self.driver = Driver(Balancer(settings, seed), self.exchange, self.clock)
         places = sockets - RESERVED_DESCRIPTORS
         claims = int(places * NODE_CONNECTION_SHARE)
@@ -72,11 +72,11 @@
         asking, freshness = deciders(settings, seed, self.clock.now())
         self.machine_list = DirectList(
             self.clock, name, host, discovery, registry, links, self.pool.addresses, self.driver.feed,
-            freshness, asking, not settings.must_ask,
+            freshness, asking, not settings.must_subscribe,
         )  # fmt: skip
         self.driver.machine_list = self.machine_list
         self.classes = settings.classes
-        self.copies = settings.copies
+        self.copies = settings.balancer_count
         self.came_at = -inf  # the last request
         self.most = places - claims  # callers at once; more wait at the door
         self.held: dict[DirectAsked, None] = {}  # taken and not answered, in the order in which they came
--- a/wheatring/lifecycle/byhand.py
+++ b/wheatring/lifecycle/byhand.py
@@ -81,5 +81,5 @@
             return replace(entry, state=EndpointState.DRAINING)
         at = self.back.get(name)
         if at is not None and entry.started_at < at:
-            return replace(entry, started_at=at, owed=True)
+            return replace(entry, started_at=at, is_reinstated=True)
         return entry
--- a/wheatring/lifecycle/freshness.py
+++ b/wheatring/lifecycle/freshness.py
@@ -178,8 +178,12 @@
 
 def deciders(settings: Settings, seed: int, now: float, pace: Pace = DEFAULT) -> tuple[Asking, Freshness]:
     """When one sidecar asks for its list, by one law for both: in the daemon and in all that plays it."""
-    copies, number, within = settings.copies, settings.number, settings.contract.ask_within
-    if not settings.must_ask:  # the lists are pushed to an agent, which this sidecar asks alone
+    copies, number, within = (
+        settings.balancer_count,
+        settings.balancer_index,
+        settings.contract.subscribe_within,
+    )
+    if not settings.must_subscribe:  # the lists are pushed to an agent, which this sidecar asks alone
         copies, number, within = 1, 0, 0.0
     asking = Asking(copies, number, within, Random(f"{seed}:asking"), now, pace)
     return asking, Freshness(copies, number, Random(f"{seed}:list"), now, asking.told)
--- a/wheatring/lifecycle/leaving.py
+++ b/wheatring/lifecycle/leaving.py
@@ -27,7 +27,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import NamedTuple
 
-from wheatring.balancer.interface import Effect, RequestClass
+from wheatring.balancer.interface import Idempotency, RequestClass
 
 ARRIVING = 0.42  # seconds after SIGTERM in which new connections may come; the platform says 0.4
 QUIET = 0.05  # and since the last that came
@@ -109,7 +109,7 @@
         longest = max([each.deadline for each in self.classes.values()], default=0.0)
         self.last = told + min(longest, LONGEST) + KILL - LAST
         self.latencies = {name: usual.latencies(name) for name in self.classes}
-        served = sum([each.worth * usual.rate(name, told) for name, each in self.classes.items()])
+        served = sum([each.value * usual.rate(name, told) for name, each in self.classes.items()])
         self.cost = served * min(1.0, UNSERVED / copies)  # of a second away, in worth
 
     def shut(self, now: float, came: float, full: bool) -> bool:
@@ -141,12 +141,12 @@
             each = self.classes[name]
             latencies = self.latencies[name]
             reach = min(ahead, left)
-            in_time = chance(latencies, age, min(reach, each.aim - age))
-            total += each.worth * in_time
-            if each.late_worth and age + reach > each.aim:
-                total += each.worth * each.late_worth * (chance(latencies, age, reach) - in_time)
+            in_time = chance(latencies, age, min(reach, each.latency_target - age))
+            total += each.value * in_time
+            if each.late_value and age + reach > each.latency_target:
+                total += each.value * each.late_value * (chance(latencies, age, reach) - in_time)
         return total
 
     def may_refuse(self, class_name: str, may_have_run: bool) -> bool:
         """Whether what is given up may be called refused, which says that trying again is harmless."""
-        return not may_have_run or self.classes[class_name].effect is Effect.SAFE
+        return not may_have_run or self.classes[class_name].idempotency is Idempotency.IDEMPOTENT
--- a/wheatring/ops/capture/record.py
+++ b/wheatring/ops/capture/record.py
@@ -39,8 +39,8 @@
 
 
 def _entry(entry: i.EndpointEntry) -> str:
-    words = (word(entry.endpoint), entry.state.value, word(entry.zone), word(entry.kind))
-    owed = ("owed",) if entry.owed else ()
+    words = (word(entry.endpoint), entry.state.value, word(entry.zone), word(entry.machine_type))
+    owed = ("owed",) if entry.is_reinstated else ()
     return ",".join((*words, f"{entry.cell}", _number(entry.rating), _number(entry.started_at), *owed))
 
 
@@ -76,7 +76,7 @@
         ms = round((now + self.offset) * 1000)
         self.write(self.event(f"{ms} {now!r}", event))
         if isinstance(event, i.NewRequest):
-            deadline = now + event.time_left
+            deadline = now + event.time_remaining
             self.asked[event.request] = _Asked(self.ident(event.request), event.class_name, deadline)
         number = getattr(event, "request", 0)
         try:
@@ -93,7 +93,7 @@
                 left = max(0, round((asked.deadline - now) * 1000))
                 candidates, chosen = "", "-"
                 if isinstance(action, i.Send):
-                    candidates = "".join(map(self.candidate, action.drawn))
+                    candidates = "".join(map(self.candidate, action.candidates))
                     chosen = word(action.endpoint)
                 about = f"{ms} {word(asked.ident)} {word(asked.class_name)} {left}"
                 self.write(f"d {about}{candidates} {chosen} {self.action(action)}")
@@ -103,19 +103,19 @@
             self.asked.pop(number, None)
         return actions
 
-    def candidate(self, drawn: i.Drawn) -> str:
-        report = _number(drawn.report)
+    def candidate(self, drawn: i.Candidate) -> str:
+        report = _number(drawn.reported)
         return f" {word(drawn.endpoint)}:{drawn.in_flight}/{self.idle(drawn.endpoint)}/{report}"
 
     def event(self, when: str, event: i.Event) -> str:
         match event:
             case i.NewRequest(number, name, left):
                 about = f"{number} {word(self.ident(number))} {word(name)}"
-                return f"r {when} {about} {left!r} {event.client_retry:d}"
+                return f"r {when} {about} {left!r} {event.is_client_retry:d}"
             case i.AttemptEnded(number, attempt, outcome, node, latency, closed, report):
                 about = f"{number} {attempt} {outcome.value} {word(node)} {latency!r} {closed:d}"
                 return f"o {when} {about} {_report(report)}"
-            case i.ClientGone(number):
+            case i.RequestAbandoned(number):
                 return f"g {when} {number}"
             case i.Committed(number):
                 return f"m {when} {number}"
@@ -129,7 +129,7 @@
         match action:
             case i.Send(_, _, timeout):
                 return f"send {timeout!r}"
-            case i.Refuse(_, retry_after):
+            case i.Reject(_, retry_after):
                 return f"refuse {retry_after!r}"
             case i.Fail():
                 return "fail"
--- a/wheatring/ops/capture/replay.py
+++ b/wheatring/ops/capture/replay.py
@@ -11,7 +11,7 @@
 from urllib.parse import unquote
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.benchlink import Nested, settings_from
+from wheatring.balancer.benchlink import JsonSettings, settings_from
 from wheatring.balancer.policy import Balancer
 from wheatring.ops.capture.record import REPORT, Recorder
 from wheatring.ops.capture.ring import CUT, files_in
@@ -42,14 +42,14 @@
 def _event(kind: str, parts: list[str]) -> i.Event:
     match kind, parts:
         case "r", [number, _, name, left, repeat]:
-            return i.NewRequest(int(number), _word(name), float(left), client_retry=repeat == "1")
+            return i.NewRequest(int(number), _word(name), float(left), is_client_retry=repeat == "1")
         case "o", [number, attempt, outcome, node, latency, closed, report]:
             return i.AttemptEnded(
                 int(number), int(attempt), i.Outcome(outcome), _word(node), float(latency), closed == "1",
                 _report(report),
             )  # fmt: skip
         case "g", [number]:
-            return i.ClientGone(int(number))
+            return i.RequestAbandoned(int(number))
         case "m", [number]:
             return i.Committed(int(number))
         case "t", [token]:
@@ -119,7 +119,7 @@
 
     def begin(self, offset: float, settings: object) -> None:
         assert self.seed is not None
-        balancer = Balancer(settings_from(Nested(settings)), self.seed)
+        balancer = Balancer(settings_from(JsonSettings(settings)), self.seed)
         self.seed = None
         self.idents.clear()
         self.due.clear()
--- a/wheatring/ops/drills.py
+++ b/wheatring/ops/drills.py
@@ -166,8 +166,8 @@
 
     def stay_away(self, job: Job) -> float:
         """The module's least advice. Its random numbers are its own, and jobs due for a drill are apart."""
-        advice = STAY_AWAY * self.classes[job.class_name].aim
-        return min(advice, self.limits.max_retry_after) if self.limits.retry_after else 0.0
+        advice = STAY_AWAY * self.classes[job.class_name].latency_target
+        return min(advice, self.limits.max_retry_after) if self.limits.sends_retry_after else 0.0
 
     def stop(self) -> None:
         if self.next_look is not None and self.next_look.active():
--- a/wheatring/peers/assembly.py
+++ b/wheatring/peers/assembly.py
@@ -52,7 +52,9 @@
     sharing = None
     for name, duty in configuration.duty.items():
         if duty.work == "list":
-            sharing = ListSharing(clock, runtime, name, settings.copies, settings.number, on_view)
+            sharing = ListSharing(
+                clock, runtime, name, settings.balancer_count, settings.balancer_index, on_view
+            )
             workers[name] = sharing
         else:
             workers[name] = duty_worker(reactor, clock, runtime, name, duty)
@@ -79,7 +81,9 @@
     plan = None if configuration.plan is None else plan_options(configuration.plan, set_weights)
     return FleetOptions(
         fleet=fleet.name,
-        me=MemberInfo(platform.name, *own_address, platform.settings.number, 0, fleet.zone, voters.digest),
+        me=MemberInfo(
+            platform.name, *own_address, platform.settings.balancer_index, 0, fleet.zone, voters.digest
+        ),
         listen=address.parse(fleet.listen),
         seeds=[address.parse(seed) for seed in fleet.seeds],
         voters=voters,
--- a/wheatring/pools/endpoint_selection.py
+++ b/wheatring/pools/endpoint_selection.py
@@ -26,7 +26,7 @@
         table = self.table
         return (
             (table.zone is None or table.zone == entry.zone)
-            and (table.machine is None or table.machine == entry.kind)
+            and (table.machine is None or table.machine == entry.machine_type)
             and (table.cell is None or table.cell == entry.cell)
         )
 
--- a/wheatring/serving_pool.py
+++ b/wheatring/serving_pool.py
@@ -76,7 +76,7 @@
         """
         self.machine_list = MachineList(
             self.reactor, self.clock, discovery, self.pool.addresses, on_view, self.freshness, self.asking,
-            pushed=not self.balancer.settings.must_ask,
+            pushed=not self.balancer.settings.must_subscribe,
         )  # fmt: skip
         self.driver.machine_list = self.machine_list
         return self.machine_list
--- a/wheatring/sidecar/forwarder.py
+++ b/wheatring/sidecar/forwarder.py
@@ -107,7 +107,7 @@
                 answer = await self._attempt(step)
                 if answer is not None:
                     return answer
-            elif isinstance(step, i.Refuse) and not self.may_have_run:
+            elif isinstance(step, i.Reject) and not self.may_have_run:
                 raise RequestRejectedError(
                     503, "no endpoint takes it", max(step.retry_after, MIN_RETRY_AFTER_SECONDS)
                 )
@@ -163,7 +163,7 @@
         if route.kind == "safe":
             return step.timeout
         last = self.balanced_request.attempt_count >= route.max_attempts
-        if route.effect is not i.Effect.SAFE or last:
+        if route.effect is not i.Idempotency.IDEMPOTENT or last:
             return inf
         return self.balancer.head_timeout_seconds(route)
 
--- a/wheatring/sidecar/route_table.py
+++ b/wheatring/sidecar/route_table.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from wheatring.balancer.interface import Effect
+from wheatring.balancer.interface import Idempotency
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,10 @@
         return self.kind == "streaming"
 
     @property
-    def effect(self) -> Effect:
+    def effect(self) -> Idempotency:
         """What running a request twice would do; a stream that can be resumed goes on where it broke off."""
         repeatable = self.kind == "safe" or (self.is_streaming and self.is_resumable)
-        return Effect.SAFE if repeatable else Effect.UNSAFE
+        return Idempotency.IDEMPOTENT if repeatable else Idempotency.NOT_IDEMPOTENT
 
     def service_at(self, position: float) -> str:
         """The service that a place between 0 and 1 belongs to, where each has as much room as its weight."""
--- a/wheatring/sidecar/service_balancer.py
+++ b/wheatring/sidecar/service_balancer.py
@@ -16,7 +16,7 @@
 from math import inf
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.policy import MAX_TOKENS, Balancer, Endpoint, Norm, Request
+from wheatring.balancer.policy import MAX_TOKENS, ActiveRequest, Balancer, Endpoint, LatencyEstimate
 from wheatring.sidecar.policy import SidecarPolicy
 from wheatring.sidecar.prefix_placement import (
     CONVERSATION_SEGMENT,
@@ -62,27 +62,27 @@
         self.prefix_caches = PrefixCacheTracker(policy.prefix_seconds)
         self.is_zone_local = False  # so that prompts stay in their zone
 
-    def may_retry(self, now: float, request: Request, outcome: i.Outcome) -> bool:
+    def may_retry(self, now: float, request: ActiveRequest, outcome: i.Outcome) -> bool:
         """The attempt limit is the route's."""
-        if len(request.attempts) >= self.max_attempts.get(request.cls.name, MAX_ATTEMPTS):
+        if len(request.attempts) >= self.max_attempts.get(request.request_class.name, MAX_ATTEMPTS):
             return False
         return super().may_retry(now, request, outcome)
 
-    def known(self, now: float, cls: i.RequestClass) -> bool:
+    def is_latency_known(self, now: float, request_class: i.RequestClass) -> bool:
         """Routes come and go while a sidecar runs, so what is usual is known for each by its own answers."""
-        norm = self.norms.get(cls.name)
+        norm = self.latencies.get(request_class.name)
         return norm is not None and norm.count >= MIN_LATENCY_SAMPLES
 
     def judge(self, now: float, endpoint: Endpoint, outcome: i.Outcome) -> None:
         """Only failures have an endpoint left alone. How long an answer takes follows from its length here,
         and counts in the burden alone.
         """
-        slow, endpoint.slow = endpoint.slow, 0.0
+        slow, endpoint.excess_latency = endpoint.excess_latency, 0.0
         super().judge(now, endpoint, outcome)
-        if endpoint.heard:
-            endpoint.slow = slow
+        if endpoint.outcomes:
+            endpoint.excess_latency = slow
 
-    def admits(self, now: float, request: Request) -> bool:
+    def admits(self, now: float, request: ActiveRequest) -> bool:
         """Nothing is refused while an endpoint has a free place."""
         return super().admits(now, request) or any(
             self.occupancy(now, endpoint) < self.slots.get(endpoint.entry.endpoint, 0)
@@ -92,15 +92,15 @@
     def occupancy(self, now: float, endpoint: Endpoint) -> float:
         """Requests at an endpoint, by its own word while that is new and by this sidecar's own otherwise."""
         if endpoint.reported_at and now - endpoint.reported_at < LOAD_REPORT_TTL_SECONDS:
-            return max(endpoint.reported, endpoint.in_flight)
+            return max(endpoint.reported_in_flight, endpoint.in_flight)
         return endpoint.in_flight
 
-    def pick(self, now: float, request: Request) -> tuple[Endpoint | None, list[Endpoint]]:
+    def pick(self, now: float, request: ActiveRequest) -> tuple[Endpoint | None, list[Endpoint]]:
         """The lighter of a few, to which those are added that hold the longest part of the prompt, and the
         one where its line is at home.
         """
         best, drawn = super().pick(now, request)
-        parts = self.prompt_segments.get(request.ident)
+        parts = self.prompt_segments.get(request.request_id)
         if best is None or not parts or len(self.ready) < 2:
             return best, drawn
         home = self._home(parts) if self.policy.prompt_homes else None
@@ -117,9 +117,9 @@
 
     def _usable(self, now: float, endpoint: Endpoint) -> bool:
         """Whether an endpoint is well, or is due to be tried again."""
-        if not endpoint.ill:
+        if not endpoint.ejections:
             return True
-        return not self.alone(now, endpoint) and endpoint.in_flight < endpoint.window
+        return not self.alone(now, endpoint) and endpoint.in_flight < endpoint.probation_limit
 
     def _home(self, parts: Sequence[PromptSegment]) -> Endpoint | None:
         """Where a line of turns is at home: in this zone, where zones carry themselves."""
@@ -159,16 +159,16 @@
 
     def __init__(self, zone: str, seed: int, policy: SidecarPolicy) -> None:
         limits = i.Limits(
-            max_attempts=MAX_ATTEMPTS, max_retry_after=MAX_RETRY_AFTER_SECONDS, retry_after=True
+            max_attempts=MAX_ATTEMPTS, max_retry_after=MAX_RETRY_AFTER_SECONDS, sends_retry_after=True
         )
         settings = i.Settings(
-            classes=(i.RequestClass("unknown", 1.0, 1.0, late_worth=0.3),),
+            classes=(i.RequestClass("unknown", 1.0, 1.0, late_value=0.3),),
             zone=zone,
             limits=limits,
         )
         self.balancer = TierBalancer(settings, seed, policy)
         self.addresses: dict[str, str] = {}
-        self._heads = Norm()  # time from a send to the head of a stream's answer
+        self._heads = LatencyEstimate()  # time from a send to the head of a stream's answer
         self._calls: dict[int, BalancedRequest] = {}
         self._last = 0
 
@@ -198,7 +198,11 @@
         balancer = self.balancer
         balancer.max_attempts[route.name] = route.max_attempts
         known = balancer.classes.get(route.name)
-        if known is None or known.aim != route.latency_target_seconds or known.effect is not route.effect:
+        if (
+            known is None
+            or known.latency_target != route.latency_target_seconds
+            or known.idempotency is not route.effect
+        ):
             self._learn_class(route)
         if parts:
             balancer.prompt_segments[call.number] = parts
@@ -212,13 +216,13 @@
             route.name,
             route.latency_target_seconds,
             deadline,
-            worth=worth,
-            late_worth=0.3,
-            effect=route.effect,
-            stream=route.is_streaming,
+            value=worth,
+            late_value=0.3,
+            idempotency=route.effect,
+            is_streaming=route.is_streaming,
         )
         self.balancer.classes[route.name] = cls
-        self.balancer.norms.setdefault(route.name, type(self.balancer.norm)())
+        self.balancer.latencies.setdefault(route.name, type(self.balancer.norm)())
 
     def head_timeout_seconds(self, route: Route) -> float:
         """Seconds after which a stream that can be resumed is tried elsewhere, if nothing has come of it.
@@ -235,7 +239,7 @@
 
     def record_head_latency(self, seconds: float) -> None:
         """The head of a stream's answer has come so long after its request was sent."""
-        self._heads.learn(seconds, known=True)
+        self._heads.learn(seconds, is_known=True)
 
     def finish_attempt(
         self, call: BalancedRequest, endpoint: str, outcome: i.Outcome, latency: float, load: float | None
@@ -252,11 +256,11 @@
         """An endpoint tells its load at the head of an answer that goes on."""
         known = self.balancer.endpoints.get(endpoint)
         if known is not None:
-            known.reported, known.reported_at = load, self.now
+            known.reported_in_flight, known.reported_at = load, self.now
 
     def finish_request(self, call: BalancedRequest) -> None:
         """The request has its answer, or its client has gone."""
-        self._feed(i.ClientGone(call.number))
+        self._feed(i.RequestAbandoned(call.number))
         self._calls.pop(call.number, None)
         self.balancer.prompt_segments.pop(call.number, None)
 
@@ -265,7 +269,7 @@
             if isinstance(action, i.SetTimer):
                 loop = asyncio.get_running_loop()
                 loop.call_later(action.delay, self._feed, i.TimerDue(action.token))
-            elif isinstance(action, i.Send | i.Refuse | i.Fail):
+            elif isinstance(action, i.Send | i.Reject | i.Fail):
                 call = self._calls.get(action.request)
                 if call is not None:
                     call.actions.put_nowait(action)
