--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,9 +15,9 @@
 from tests.virtual import Virtual
 from tests.world import NO_OPERATORS, Loopback, World
 from wheatring import log
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
-from wheatring.balancer.policy import Balancer
+from wheatring.balancer.balancer import Balancer
 from wheatring.lab.live import band
 from wheatring.operator_properties import Operators
 
--- a/tests/control/test_calls.py
+++ b/tests/control/test_calls.py
@@ -13,8 +13,8 @@
 from tests.world import FAR, Loopback, Wire, World, entry, list_body
 from wheatring import log
 from wheatring.admin import door as doors
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
 
 Make = Callable[..., World]
 
--- a/tests/ends/cold_fleet.py
+++ b/tests/ends/cold_fleet.py
@@ -16,7 +16,7 @@
 from random import Random
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.policy import Balancer
+from wheatring.balancer.balancer import Balancer
 
 CLASS = i.RequestClass(
     "read", latency_target=1.0, deadline=2.0, idempotency=i.Idempotency.IDEMPOTENT, late_value=0.5
--- a/tests/ends/test_caller.py
+++ b/tests/ends/test_caller.py
@@ -20,7 +20,7 @@
 from tests.test_process import until as told
 from tests.virtual import Virtual
 from tests.world import FAR, Loopback, Peer, Wire, World, entry, list_body
-from wheatring.balancer import policy
+from wheatring.balancer import balancer as policy
 from wheatring.http1 import caller
 from wheatring.http1.states import Arrivals, State
 
--- a/tests/ends/test_repeats.py
+++ b/tests/ends/test_repeats.py
@@ -11,8 +11,8 @@
 from tests.conftest import Copy
 from tests.ends.attempts import kept
 from tests.world import World
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
 from wheatring.core.exchange import Claim
 from wheatring.http1 import client
 from wheatring.http1.claim import ClaimConnection
--- a/tests/lab/study_runner.py
+++ b/tests/lab/study_runner.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from wheatring.balancer import policy
+from wheatring.balancer import balancer as policy
 from wheatring.lab.outcome import Breach, ClassFigures, Outcome, Second
 from wheatring.lab.study.jobs import Build, Job, build_at, hashed
 from wheatring.lab.study.settings import Settings, value_of
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -23,7 +23,7 @@
 from wheatring.lab.study.jobs import Ended, Job, build_at, seeds_of
 from wheatring.lab.study.settings import Settings
 
-POLICY = "wheatring.balancer.policy"
+POLICY = "wheatring.balancer.balancer"
 ABSENT = "wheatring.balancer.polcy"
 
 QUIET = Console(file=io.StringIO(), width=200)
@@ -132,7 +132,7 @@
 
 
 def test_patches_reach_the_sidecar_and_no_other_run(tmp_path: Path) -> None:
-    patched = Settings(patches=(("wheatring.balancer.policy:LEARN", "0.3"),))
+    patched = Settings(patches=(("wheatring.balancer.balancer:LEARN", "0.3"),))
     swept = play(tmp_path / "runs.sqlite", [job(1), job(1, patched), job(2), job(2, patched)], workers=1)
     plain, more, *_ = [row.g for row in swept.rows]
     assert plain is not None and more is not None and more - plain == pytest.approx(0.1)
@@ -184,6 +184,6 @@
     first = build_at(tmp_path).ident
     (tmp_path / "wheatring/lab/study/a.py").write_text("1")
     assert build_at(tmp_path).ident == first
-    (tmp_path / "wheatring/balancer/policy.py").write_text("1")
+    (tmp_path / "wheatring/balancer/balancer.py").write_text("1")
     assert build_at(tmp_path).ident != first
     assert msgspec.json.decode(msgspec.json.encode(build_at(tmp_path)))["folder"] == str(tmp_path)
--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/test_study_commands.py
@@ -15,7 +15,7 @@
 from wheatring.lab.study.asked import found, jobs
 from wheatring.lab.study.settings import Settings
 
-POLICY = "wheatring.balancer.policy"
+POLICY = "wheatring.balancer.balancer"
 
 
 @pytest.fixture(autouse=True)
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -14,8 +14,8 @@
 from tests.virtual import Virtual
 from tests.world import Loopback, Peer, entry, list_body
 from wheatring import log
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
 from wheatring.core.exchange import Answer, Final
 from wheatring.errors import OperatorError
 from wheatring.http1.parser import HOLD, Request
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -24,7 +24,7 @@
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.balancer import interface as i
-from wheatring.balancer.policy import Balancer
+from wheatring.balancer.balancer import Balancer
 from wheatring.config import settings_in
 from wheatring.core.clock import Clock
 from wheatring.ops.capture import record, ring
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,8 +9,8 @@
 
 from tests.conftest import Copy, entries
 from tests.draws import NODES
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
 
 O = i.Outcome
 CHEAP = i.RequestClass(
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -8,8 +8,8 @@
 
 from tests.conftest import Copy, entries
 from tests.draws import CORES, GET, NODES, QUICK, WORK, Nodes
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
 
 O = i.Outcome
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -10,7 +10,7 @@
 
 from wheatring.balancer import interface as i
 
-MODULE = Path(__file__).parent.parent / "wheatring" / "balancer" / "policy.py"
+MODULE = Path(__file__).parent.parent / "wheatring" / "balancer" / "balancer.py"
 
 
 def test_the_module_is_short_enough_to_read_aloud() -> None:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -5,8 +5,8 @@
 import pytest
 
 from tests.conftest import Copy, entries
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
 
 O = i.Outcome
 
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -8,8 +8,8 @@
 from tests.conftest import Copy, entries
 from tests.draws import NODES
 from tests.test_gate import CHEAP, DEAR, admitted, keep
+from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
-from wheatring.balancer import policy
 
 O = i.Outcome
 GET = i.RequestClass("get", latency_target=2.0, deadline=6.0, idempotency=i.Idempotency.IDEMPOTENT)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from wheatring.balancer.policy import Balancer
+from wheatring.balancer.balancer import Balancer
 
 BEGIN = (
     "BEGIN 7 classes.count=2 classes.0.name=read classes.0.slo=1000000 classes.0.deadline=4000000 "
@@ -23,7 +23,7 @@
 
 def run(*lines: str, hash_seed: str = "0") -> tuple[int, list[str], str]:
     done = subprocess.run(
-        [sys.executable, "-m", "wheatring.balancer.benchlink"],
+        [sys.executable, "-m", "wheatring.balancer.simulator"],
         input="".join(f"{line}\n" for line in lines),
         capture_output=True,
         text=True,
@@ -167,14 +167,14 @@
 def test_a_bug_in_the_module_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     import io
 
-    from wheatring.balancer import benchlink
+    from wheatring.balancer import simulator
 
     def bug(*_: object) -> None:
         raise RuntimeError("two\nlines")
 
     monkeypatch.setattr(Balancer, "handle", bug)
     out = io.StringIO()
-    benchlink.SimulatorHost(["BATCH 1 1\n", *(f"{line}\n" for line in start()), "OVER_TO_YOU\n"], out).run()
+    simulator.SimulatorHost(["BATCH 1 1\n", *(f"{line}\n" for line in start()), "OVER_TO_YOU\n"], out).run()
     assert out.getvalue() == "ON_BEHALF sidecar_0\nCRASH RuntimeError: two lines\nDONE 1\n"
 
 
--- a/wheatring/balancer/benchlink.py
+++ b/wheatring/balancer/simulator.py
@@ -1,6 +1,6 @@
 """The adapter between the bench's wire and the decision module. It translates and hosts; it decides nothing.
 
-    python -m wheatring.balancer.benchlink
+    python -m wheatring.balancer.simulator
 
 reads batches of events on standard input and writes one reply to each on standard output. A batch that
 cannot be read ends the process with one line on standard error and status 2.
@@ -13,7 +13,7 @@
 from typing import Any, TextIO, TypeVar
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.policy import Balancer
+from wheatring.balancer.balancer import Balancer
 
 US = 1_000_000
 T = TypeVar("T")
--- a/wheatring/config/__init__.py
+++ b/wheatring/config/__init__.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 from wheatring import address
-from wheatring.balancer.benchlink import JsonSettings, describe_value, settings_from
 from wheatring.balancer.interface import Idempotency, Settings
+from wheatring.balancer.simulator import JsonSettings, describe_value, settings_from
 from wheatring.errors import UncodedError
 
 SOCKETS = 1024
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -7,8 +7,8 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
+from wheatring.balancer.balancer import Balancer
 from wheatring.balancer.interface import Settings
-from wheatring.balancer.policy import Balancer
 from wheatring.core.driver import Driver
 from wheatring.core.exchange import Exchange, Job
 from wheatring.daemon.shutdown import SHUTDOWN_POLL_SECONDS
--- a/wheatring/lab/faults.py
+++ b/wheatring/lab/faults.py
@@ -51,7 +51,7 @@
     Fault(
         "drain-ignored",
         "a node that drains goes on getting new work",
-        "wheatring.balancer.policy:Balancer.update",
+        "wheatring.balancer.balancer:Balancer.update",
         "if entry.state is not EndpointState.READY:",
         "if entry.state is EndpointState.GONE:",
         "faults",
@@ -75,7 +75,7 @@
     Fault(
         "unsafe-repeated",
         "what may have run is sent again though that does harm",
-        "wheatring.balancer.policy:Balancer.repeatable_until",
+        "wheatring.balancer.balancer:Balancer.repeatable_until",
         "if request.may_have_run is None or request.request_class.idempotency is Idempotency.IDEMPOTENT:",
         "if True:",
         "faults",
@@ -92,7 +92,7 @@
     Fault(
         "cold-as-warm",
         "a cold node gets its even share at once",
-        "wheatring.balancer.policy:Balancer.warmth",
+        "wheatring.balancer.balancer:Balancer.warmth",
         "if endpoint.entry.started_at <= 0 or age >= contract.warm_up:",
         "if True:",
         "faults",
--- a/wheatring/ops/capture/record.py
+++ b/wheatring/ops/capture/record.py
@@ -25,7 +25,7 @@
 from urllib.parse import quote
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.policy import Balancer
+from wheatring.balancer.balancer import Balancer
 
 REPORT = ("in_flight", "queue", "utilization", "latency", "rate", "error_rate")
 
--- a/wheatring/ops/capture/replay.py
+++ b/wheatring/ops/capture/replay.py
@@ -11,8 +11,8 @@
 from urllib.parse import unquote
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.benchlink import JsonSettings, settings_from
-from wheatring.balancer.policy import Balancer
+from wheatring.balancer.balancer import Balancer
+from wheatring.balancer.simulator import JsonSettings, settings_from
 from wheatring.ops.capture.record import REPORT, Recorder
 from wheatring.ops.capture.ring import CUT, files_in
 
--- a/wheatring/ops/drills.py
+++ b/wheatring/ops/drills.py
@@ -13,8 +13,8 @@
 from typing import NamedTuple
 
 from wheatring import log
+from wheatring.balancer.balancer import STAY_AWAY
 from wheatring.balancer.interface import Limits, RequestClass
-from wheatring.balancer.policy import STAY_AWAY
 from wheatring.core.clock import Clock, Timer
 from wheatring.core.exchange import Answer, Exchange, Final, Job
 from wheatring.operator_properties import PERCENT, Drill, OperatorsError
--- a/wheatring/serving_pool.py
+++ b/wheatring/serving_pool.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
+from wheatring.balancer.balancer import Balancer
 from wheatring.balancer.interface import Settings, View
-from wheatring.balancer.policy import Balancer
 from wheatring.core.body import Room
 from wheatring.core.clock import Clock
 from wheatring.core.driver import Driver
--- a/wheatring/sidecar/service_balancer.py
+++ b/wheatring/sidecar/service_balancer.py
@@ -16,7 +16,7 @@
 from math import inf
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.policy import MAX_TOKENS, ActiveRequest, Balancer, Endpoint, LatencyEstimate
+from wheatring.balancer.balancer import MAX_TOKENS, ActiveRequest, Balancer, Endpoint, LatencyEstimate
 from wheatring.sidecar.policy import SidecarPolicy
 from wheatring.sidecar.prefix_placement import (
     CONVERSATION_SEGMENT,
