--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 from tests.virtual import Virtual
 from tests.world import NO_OPERATORS, Loopback, World
 from wheatring import log
-from wheatring.balancer import balancer as policy
+from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
 from wheatring.balancer.balancer import Balancer
 from wheatring.lab.live import band
@@ -164,7 +164,7 @@
         request.getfixturevalue("running")
         ground = Loopback
     # A scripted peer on a busy machine must not be given up: after one quick answer that is soon done.
-    monkeypatch.setattr(policy, "PATIENCE", 1e9)
+    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)  # the world sets its own; this puts the real one back
     worlds: list[World] = []
 
--- a/tests/control/test_calls.py
+++ b/tests/control/test_calls.py
@@ -13,8 +13,9 @@
 from tests.world import FAR, Loopback, Wire, World, entry, list_body
 from wheatring import log
 from wheatring.admin import door as doors
-from wheatring.balancer import balancer as policy
+from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
+from wheatring.balancer.endpoint_pool import REINSTATED_SPREAD_SECONDS
 
 Make = Callable[..., World]
 
@@ -22,7 +23,7 @@
 @pytest.fixture
 def make(running: None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Make]:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    monkeypatch.setattr(policy, "PATIENCE", 1e9)
+    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)
     worlds: list[World] = []
 
@@ -180,7 +181,7 @@
         copy.view(*entries("a", "b", "c"))
         copy.view(*back, kind=i.ViewKind.DELTA)
         assert (copy.send().endpoint == "d") is first
-        copy.now += policy.OWED / 2
+        copy.now += REINSTATED_SPREAD_SECONDS / 2
         assert (copy.send().endpoint == "d") is not first
         assert copy.send().endpoint != "d"  # it is cold, and owed no more
 
--- a/tests/ends/test_caller.py
+++ b/tests/ends/test_caller.py
@@ -20,7 +20,7 @@
 from tests.test_process import until as told
 from tests.virtual import Virtual
 from tests.world import FAR, Loopback, Peer, Wire, World, entry, list_body
-from wheatring.balancer import balancer as policy
+from wheatring.balancer import backoff
 from wheatring.http1 import caller
 from wheatring.http1.states import Arrivals, State
 
@@ -462,7 +462,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     for name in ("INITIAL_BACKOFF", "MAX_BACKOFF"):
-        monkeypatch.setattr(policy, name, 0.4)  # parts of the aim: a second at most
+        monkeypatch.setattr(backoff, name, 0.4)  # parts of the aim: a second at most
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
--- a/tests/ends/test_repeats.py
+++ b/tests/ends/test_repeats.py
@@ -11,7 +11,7 @@
 from tests.conftest import Copy
 from tests.ends.attempts import kept
 from tests.world import World
-from wheatring.balancer import balancer as policy
+from wheatring.balancer import backoff
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Claim
 from wheatring.http1 import client
@@ -66,7 +66,7 @@
             clock.now = lambda: now() + window
             then()
 
-    monkeypatch.setattr(policy, "INITIAL_BACKOFF", 0.0)
+    monkeypatch.setattr(backoff, "INITIAL_BACKOFF", 0.0)
     exchange.start_claim = start_and_pass
     return further
 
@@ -132,7 +132,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """It goes out at once, and on a connection that is up: the close must have left the process before."""
-    monkeypatch.setattr(policy, "INITIAL_BACKOFF", 0.0)
+    monkeypatch.setattr(backoff, "INITIAL_BACKOFF", 0.0)
     world = make()
     caller, other = world.ask("menu"), world.caller()
     first = world.nodes[0].accept()
@@ -179,7 +179,7 @@
 def test_what_ends_after_its_last_byte_may_have_run_whatever_came_of_an_answer(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str, name: str
 ) -> None:
-    monkeypatch.setattr(policy, "INITIAL_BACKOFF", 0.0)
+    monkeypatch.setattr(backoff, "INITIAL_BACKOFF", 0.0)
     world = make()
     caller = world.ask(name)
     wire = world.nodes[0].accept()
--- a/tests/ends/test_settings.py
+++ b/tests/ends/test_settings.py
@@ -15,7 +15,7 @@
 from tests.test_process import told
 from wheatring import config, lazy_imports, log, serving
 from wheatring.__main__ import main
-from wheatring.balancer import simulator
+from wheatring.balancer.settings_reader import JsonSettings
 
 HUGE = 10**400  # a whole number that no float holds
 DEEP: Any = []  # as deep as JSON is read
@@ -153,7 +153,7 @@
         return ask
 
     for way in ("get", "require"):
-        monkeypatch.setattr(simulator.JsonSettings, way, asking(getattr(simulator.JsonSettings, way)))
+        monkeypatch.setattr(JsonSettings, way, asking(getattr(JsonSettings, way)))
     config.settings_in(WHOLE["settings"])
     tried = {name.removeprefix("settings.") for name in KEYS}
     one = re.compile(r"\.\d+\.")  # of several
--- a/tests/lab/study_runner.py
+++ b/tests/lab/study_runner.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from wheatring.balancer import balancer as policy
+from wheatring.balancer import latency_estimate
 from wheatring.lab.outcome import Breach, ClassFigures, Outcome, Second
 from wheatring.lab.study.jobs import Build, Job, build_at, hashed
 from wheatring.lab.study.settings import Settings, value_of
@@ -52,7 +52,7 @@
     noise, gain = float(str(sets.get("noise", 0.0))), float(str(sets.get("gain", 0.0)))
     if sets.get("odd") == job.seed:
         gain = float("nan")
-    g = 0.7 + shared.gauss(0.0, 0.1) + own.gauss(0.0, noise) + gain + (policy.LEARN - 0.2)
+    g = 0.7 + shared.gauss(0.0, 0.1) + own.gauss(0.0, noise) + gain + (latency_estimate.LEARNING_RATE - 0.2)
     seconds = [_second(shared, 20 <= at < 30) for at in range(60)]
     held = HdrHistogram(1, 60_000, 3)
     for _ in range(200):
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -23,7 +23,8 @@
 from wheatring.lab.study.jobs import Ended, Job, build_at, seeds_of
 from wheatring.lab.study.settings import Settings
 
-POLICY = "wheatring.balancer.balancer"
+POLICY = "wheatring.balancer.latency_estimate"
+POOL = "wheatring.balancer.endpoint_pool"
 ABSENT = "wheatring.balancer.polcy"
 
 QUIET = Console(file=io.StringIO(), width=200)
@@ -132,7 +133,7 @@
 
 
 def test_patches_reach_the_sidecar_and_no_other_run(tmp_path: Path) -> None:
-    patched = Settings(patches=(("wheatring.balancer.balancer:LEARN", "0.3"),))
+    patched = Settings(patches=(("wheatring.balancer.latency_estimate:LEARNING_RATE", "0.3"),))
     swept = play(tmp_path / "runs.sqlite", [job(1), job(1, patched), job(2), job(2, patched)], workers=1)
     plain, more, *_ = [row.g for row in swept.rows]
     assert plain is not None and more is not None and more - plain == pytest.approx(0.1)
@@ -144,7 +145,7 @@
     [
         (f"{POLICY}:LERN=0.3", f"--patch {POLICY}:LERN: {POLICY} has no LERN"),
         (f"{ABSENT}:LEARN=0.3", f"--patch {ABSENT}:LEARN: there is no module {ABSENT}"),
-        (f"{POLICY}:NEAR=2.5", f"--patch {POLICY}:NEAR: must be int like 5, not 2.5"),
+        (f"{POOL}:MIN_SUBSET_SIZE=2.5", f"--patch {POOL}:MIN_SUBSET_SIZE: must be int like 5, not 2.5"),
         ("os:name=x", "--patch os:name: os is no module of wheatring"),
         ("LEARN=1", "--patch LEARN: not MODULE:NAME"),
     ],
--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/test_study_commands.py
@@ -15,7 +15,7 @@
 from wheatring.lab.study.asked import found, jobs
 from wheatring.lab.study.settings import Settings
 
-POLICY = "wheatring.balancer.balancer"
+POLICY = "wheatring.balancer.latency_estimate"
 
 
 @pytest.fixture(autouse=True)
@@ -77,8 +77,8 @@
     root = Path(HERE.folder)
     other = tmp_path / "other"
     shutil.copytree(root / "wheatring", other / "wheatring", ignore=shutil.ignore_patterns("__pycache__"))
-    policy = other / "wheatring" / "balancer" / "policy.py"
-    policy.write_text(policy.read_text().replace("\nLEARN = 0.2 ", "\nLEARN = 0.25 "))
+    policy = other / "wheatring" / "balancer" / "latency_estimate.py"
+    policy.write_text(policy.read_text().replace("\nLEARNING_RATE = 0.2 ", "\nLEARNING_RATE = 0.25 "))
     monkeypatch.chdir(root)  # this checkout must not come first in the other's processes
     store = str(tmp_path / "runs.sqlite")
     words = ("compare", "calm", "--seeds", "1-4", "--figure", "latency.99", "--store", store)
--- a/tests/pools/test_endpoint_selection.py
+++ b/tests/pools/test_endpoint_selection.py
@@ -46,7 +46,7 @@
     st.sampled_from("abcd"),
     st.sampled_from(EndpointState),
     zone=st.sampled_from(["", "z", "y"]),
-    kind=st.sampled_from(["", "m"]),
+    machine_type=st.sampled_from(["", "m"]),
     cell=st.integers(0, 1),
 )
 VIEWS = st.lists(
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -14,7 +14,7 @@
 from tests.virtual import Virtual
 from tests.world import Loopback, Peer, entry, list_body
 from wheatring import log
-from wheatring.balancer import balancer as policy
+from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Answer, Final
 from wheatring.errors import OperatorError
@@ -30,7 +30,7 @@
 
 @pytest.fixture(params=["loopback", "virtual"])
 def ground(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Loopback | Virtual:
-    monkeypatch.setattr(policy, "PATIENCE", 1e9)
+    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)
     if request.param == "virtual":
         return Virtual()
@@ -165,7 +165,7 @@
     watch.read()
     watch.answer(200, list_body(8, {**entry("n0", world.nodes[0], zone="a"), "lifecycle": "DRAINING"}))
     watch.read()
-    assert not leaving.serving.balancer.endpoints  # what still goes on there is told of drains
+    assert not leaving.serving.balancer.pool.endpoints  # what still goes on there is told of drains
     later = world.call()
     world.at(1).answer(200, b"new")
     assert later.read()[2] == b"new"
@@ -374,7 +374,9 @@
     nobody.close()
     world.reload(own_list(nobody.port, nobody.port))
     dropped = world.run(lambda: world.pools.all()[2:])
-    world.met(lambda: all(m.serving.balancer.asking for m in dropped))  # each has a timer out, to ask again
+    world.met(
+        lambda: all(m.serving.balancer.is_subscribing for m in dropped)
+    )  # each has a timer out, to ask again
     world.reload(TWO)
     assert all(m.is_closed for m in dropped) and len(dropped) == 2
     for member in dropped:
--- a/tests/sidecar/test_prefix_placement.py
+++ b/tests/sidecar/test_prefix_placement.py
@@ -58,7 +58,7 @@
         assert len(chosen) == 1 and chosen.pop()[2] == "a"
         for sidecar in sidecars:
             sidecar.handle(1.0, i.RequestAbandoned(line))
-            for endpoint in sidecar.endpoints.values():
+            for endpoint in sidecar.pool.endpoints.values():
                 endpoint.in_flight = 0
 
 
@@ -105,7 +105,7 @@
         elsewhere = sent_to(found, 1.2, 2 * number + 1, prompt(number))
         assert elsewhere != home
         end(found, 1.3, 2 * number + 1, elsewhere, i.Outcome.SERVED)
-        for endpoint in found.endpoints.values():
+        for endpoint in found.pool.endpoints.values():
             endpoint.evidence = endpoint.failures = 0.0
             endpoint.ejections = 0
 
@@ -137,7 +137,7 @@
         chosen.update(endpoint[2] for endpoint in at_home)
         for sidecar in sidecars:
             sidecar.handle(1.0, i.RequestAbandoned(line))
-            for endpoint in sidecar.endpoints.values():
+            for endpoint in sidecar.pool.endpoints.values():
                 endpoint.in_flight = 0
     assert min(chosen["a"], chosen["b"]) > 10
 
@@ -188,6 +188,6 @@
         return decisions.balancer
 
     found = asyncio.run(play())
-    assert {endpoint.entry.zone for endpoint in found.near} == {"a"}
-    assert {endpoint.entry.zone for endpoint in found.far} == {"a", "b"}
+    assert {endpoint.entry.zone for endpoint in found.pool.local} == {"a"}
+    assert {endpoint.entry.zone for endpoint in found.pool.remote} == {"a", "b"}
     assert found.is_zone_local
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,8 +9,9 @@
 
 from tests.conftest import Copy, entries
 from tests.draws import NODES
-from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
+from wheatring.balancer.admission import MIN_IN_FLIGHT
+from wheatring.balancer.latency_estimate import LatencyEstimate
 
 O = i.Outcome
 CHEAP = i.RequestClass(
@@ -56,7 +57,7 @@
 
 def admitted(copy: Copy, name: str, most: int = 400) -> int:
     """Calls in flight at which it refuses, where calls come over a time in which none is answered."""
-    copy.balancer.held = 10 * copy.balancer.served  # as if they had taken long
+    copy.balancer.admission.in_flight = 10 * copy.balancer.throughput.served  # as if they had taken long
     for _ in range(most):
         if not isinstance(copy.ask(name)[0], i.Send):
             return copy.in_flight
@@ -112,11 +113,11 @@
     copy = Copy(classes=(CHEAP, DEAR))
     copy.view(*entries("a", "b"))
     keep(copy, 1, 0.01, 3.0)
-    assert policy.FEW <= admitted(copy, "cheap") < 30
+    assert MIN_IN_FLIGHT <= admitted(copy, "cheap") < 30
 
 
 def test_the_first_answers_are_the_fastest_and_do_not_say_what_is_usual() -> None:
-    norm = policy.LatencyEstimate()
+    norm = LatencyEstimate()
     for latency in [0.01, *[0.6] * 9]:
         norm.learn(latency, False)
     assert norm.unloaded > 0.3
@@ -126,7 +127,7 @@
 
 def test_what_a_silent_endpoint_holds_shuts_nobody_out() -> None:
     copy = loaded()
-    silent = copy.balancer.endpoints[NODES[0]]
+    silent = copy.balancer.pool.endpoints[NODES[0]]
     silent.in_flight += 200
     keep(copy, 48, 0.1, 3.0, silent=NODES[0])
     assert silent.in_flight >= 200 and keep(copy, 48, 0.1, 2.0, silent=NODES[0]) == 0
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -8,8 +8,8 @@
 
 from tests.conftest import Copy, entries
 from tests.draws import CORES, GET, NODES, QUICK, WORK, Nodes
-from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
+from wheatring.balancer.outlier_ejection import EVIDENCE
 
 O = i.Outcome
 
@@ -63,7 +63,7 @@
     assert max(ill) < 0.06 and min(well) > 0.15
 
 
-OUTCOMES = st.sampled_from([O.SERVED, *policy.EVIDENCE])
+OUTCOMES = st.sampled_from([O.SERVED, *EVIDENCE])
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -83,9 +83,11 @@
                 copy.do(i.RequestAbandoned(send.request))
                 break
     assert not copy.in_flight
-    copy.balancer.turns += 1.0  # an even share for each
-    copy.balancer.served_at = copy.now
-    alone = [e for e in copy.balancer.ready if e.ejections and copy.balancer.alone(copy.now, e)]
+    copy.balancer.ejector.turns += 1.0  # an even share for each
+    copy.balancer.throughput.served_at = copy.now
+    alone = [
+        e for e in copy.balancer.pool.ready if e.ejections and copy.balancer.ejector.is_ejected(copy.now, e)
+    ]
     assert 2 * len(alone) <= count
     assert isinstance(copy.ask("get")[0], i.Send)
 
@@ -108,19 +110,19 @@
         copy.end(
             send, O.CONNECT_FAILED if send.endpoint == "a" else O.SERVED, after=0.0, is_request_over=True
         )
-    assert copy.balancer.endpoints["a"].ejections
+    assert copy.balancer.pool.endpoints["a"].ejections
     copy.view(i.EndpointEntry("a", started_at=copy.now - 0.5), kind=i.ViewKind.DELTA)
-    assert not copy.balancer.endpoints["a"].ejections and not copy.balancer.most_ill()
+    assert not copy.balancer.pool.endpoints["a"].ejections and not copy.balancer.ejector.are_most_unhealthy()
 
 
 def test_the_way_back_is_one_call_then_one_more_with_each_answer_until_it_is_well(copy: Copy) -> None:
-    for endpoint in copy.balancer.ready:
+    for endpoint in copy.balancer.pool.ready:
         if endpoint.entry.endpoint != "a":
             endpoint.excess_latency, endpoint.updated_at = 1e9, copy.now  # so that it is always preferred
     copy.end(copy.send(), O.CONNECT_FAILED)
-    record = copy.balancer.endpoints["a"]
+    record = copy.balancer.pool.endpoints["a"]
     assert record.ejections
-    copy.balancer.turns += 100.0
+    copy.balancer.ejector.turns += 100.0
     held: list[int] = []
     while record.ejections:
         sends = [send for send in (copy.send() for _ in range(12)) if send.endpoint == "a"]
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,32 +1,51 @@
-"""What holds for the text of the module and for its settings."""
+"""What holds for the text of the modules that decide, and for their settings."""
 
 from __future__ import annotations
 
 import ast
 import sys
+import tomllib
 from pathlib import Path
 
 import pytest
 
 from wheatring.balancer import interface as i
 
-MODULE = Path(__file__).parent.parent / "wheatring" / "balancer" / "balancer.py"
+PACKAGE = Path(__file__).parent.parent / "wheatring" / "balancer"
+ADAPTERS = {"simulator", "simulator_messages", "settings_reader"}  # they read streams and JSON
+MESSAGES = {"actions", "endpoint_list", "events", "exceptions", "interface", "outcomes", "settings"}
+DECIDERS = sorted(path for path in PACKAGE.glob("*.py") if path.stem not in ADAPTERS)
 
 
-def test_the_module_is_short_enough_to_read_aloud() -> None:
-    lines = MODULE.read_text(encoding="utf-8").splitlines()
+def test_the_deployment_file_lists_every_module_that_decides() -> None:
+    listed = tomllib.loads((PACKAGE.parents[1] / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+    decides = {path for path in DECIDERS if path.stem not in {"__init__", *MESSAGES}}
+    assert set(listed["policy"]) == {f"wheatring/balancer/{path.name}" for path in decides}
+    assert len(listed["policy"]) == len(set(listed["policy"])) > 10
+
+
+@pytest.mark.parametrize("path", DECIDERS, ids=lambda path: path.stem)
+def test_each_module_is_short_enough_to_read_aloud(path: Path) -> None:
+    lines = path.read_text(encoding="utf-8").splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 480
     assert max(map(len, lines)) <= 110
 
 
-def test_the_module_names_its_interface_first_and_imports_nothing_else() -> None:
-    tree = ast.parse(MODULE.read_text(encoding="utf-8"))
-    assert "wheatring/balancer/interface.py" in (ast.get_docstring(tree) or "").splitlines()[0]
+def test_the_balancer_names_its_interface_in_its_docstring() -> None:
+    tree = ast.parse((PACKAGE / "balancer.py").read_text(encoding="utf-8"))
+    assert "`interface`" in (ast.get_docstring(tree) or "").splitlines()[0]
+
+
+@pytest.mark.parametrize("path", DECIDERS, ids=lambda path: path.stem)
+def test_what_decides_imports_nothing_but_its_own_package_and_reaches_nothing(path: Path) -> None:
+    tree = ast.parse(path.read_text(encoding="utf-8"))
+    own = {f"wheatring.balancer.{each.stem}" for each in DECIDERS}
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             assert all(name.name in sys.stdlib_module_names for name in node.names)
         if isinstance(node, ast.ImportFrom):
-            assert node.module == "wheatring.balancer.interface" or node.module in sys.stdlib_module_names
+            module = node.module or ""
+            assert module in own or module.partition(".")[0] in sys.stdlib_module_names
     names = {node.id for node in ast.walk(tree) if isinstance(node, ast.Name)}
     assert not names & {"open", "input", "print", "globals", "eval", "exec"}
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -65,12 +65,12 @@
 def test_what_is_held_against_an_endpoint_fades() -> None:
     copy = Copy()
     copy.view(*entries("a", "b"))
-    while not copy.balancer.endpoints["a"].failures:
+    while not copy.balancer.pool.endpoints["a"].failures:
         send = copy.send()
         copy.end(send, O.ERROR if send.endpoint == "a" else O.SERVED, is_request_over=True)
-    bad = copy.balancer.burden(copy.now, copy.balancer.endpoints["a"])
+    bad = copy.balancer.load.burden(copy.now, copy.balancer.pool.endpoints["a"])
     copy.now += 60
-    assert copy.balancer.burden(copy.now, copy.balancer.endpoints["a"]) < 0.5 * bad
+    assert copy.balancer.load.burden(copy.now, copy.balancer.pool.endpoints["a"]) < 0.5 * bad
 
 
 def test_load_reports_scale_and_grow_old() -> None:
@@ -83,10 +83,10 @@
         for send in sends:
             report = i.LoadReport(in_flight=20.0 if send.endpoint == "a" else 2.0)
             copy.end(send, O.SERVED, after=0.05, is_request_over=True, report=report)
-    a, b = (copy.balancer.endpoints[name] for name in "ab")
-    fresh = copy.balancer.burden(copy.now, a) / copy.balancer.burden(copy.now, b)
+    a, b = (copy.balancer.pool.endpoints[name] for name in "ab")
+    fresh = copy.balancer.load.burden(copy.now, a) / copy.balancer.load.burden(copy.now, b)
     copy.now += 30
-    old = copy.balancer.burden(copy.now, a) / copy.balancer.burden(copy.now, b)
+    old = copy.balancer.load.burden(copy.now, a) / copy.balancer.load.burden(copy.now, b)
     assert fresh > 2 and abs(old - 1) < 0.2
 
 
@@ -103,11 +103,11 @@
     for number in range(40):
         copy = Copy(balancer_count=40, balancer_index=number)
         copy.view(*entries(*reversed(names)))
-        near = [e.entry.endpoint for e in copy.balancer.near]
+        near = [e.entry.endpoint for e in copy.balancer.pool.local]
         assert len(near) < 15
         cover.update(near)
         copy.view(i.EndpointEntry(names[5], i.EndpointState.GONE), kind=i.ViewKind.DELTA)
-        after = {e.entry.endpoint for e in copy.balancer.near}
+        after = {e.entry.endpoint for e in copy.balancer.pool.local}
         assert len(set(near) & after) >= len(near) - 2
     assert set(cover) == set(names)
     assert max(cover.values()) <= 2 * min(cover.values())
@@ -116,9 +116,9 @@
 def test_the_draw_goes_wider_when_the_subset_is_unfit() -> None:
     copy = Copy(balancer_count=40)
     copy.view(*entries(*(f"e{n:03}" for n in range(60))))
-    for endpoint in copy.balancer.near:
+    for endpoint in copy.balancer.pool.local:
         endpoint.failures, endpoint.outcomes, endpoint.updated_at = 9.0, 9.0, copy.now
-    near = {e.entry.endpoint for e in copy.balancer.near}
+    near = {e.entry.endpoint for e in copy.balancer.pool.local}
     sent = [copy.send().endpoint for _ in range(20)]
     assert sum(name in near for name in sent) <= 4
 
@@ -229,13 +229,13 @@
 def test_a_restarted_endpoint_is_cold_and_its_record_is_forgotten() -> None:
     copy = Copy()
     copy.view(*entries("a", "b"))
-    record = copy.balancer.endpoints["a"]
+    record = copy.balancer.pool.endpoints["a"]
     record.failures = 1.0
     copy.now += 5
     copy.view(i.EndpointEntry("a", started_at=copy.now - 0.5), kind=i.ViewKind.DELTA)
-    fresh = copy.balancer.endpoints["a"]
+    fresh = copy.balancer.pool.endpoints["a"]
     assert fresh.failures == 0 and fresh.in_flight == 0
-    assert copy.balancer.warmth(copy.now, fresh) < 0.25
+    assert copy.balancer.slow_start.capacity(copy.now, fresh) < 0.25
 
 
 def test_a_fleet_that_restarts_as_one_is_not_pushed_over() -> None:
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -180,7 +180,7 @@
         """Let all time-outs and timers come due: every request must have had its answer."""
         self.advance(10.0)
         assert all(request.over for request in self.requests.values())
-        assert not any(endpoint.in_flight for endpoint in self.copy.balancer.endpoints.values())
+        assert not any(endpoint.in_flight for endpoint in self.copy.balancer.pool.endpoints.values())
         assert not self.copy.balancer.requests and not self.copy.balancer.timers
 
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -5,8 +5,10 @@
 import pytest
 
 from tests.conftest import Copy, entries
-from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
+from wheatring.balancer.backoff import BACKOFF_MULTIPLIER, INITIAL_BACKOFF, MAX_BACKOFF
+from wheatring.balancer.balancer import MAX_ATTEMPTS
+from wheatring.balancer.token_bucket import MAX_TOKENS, TOKEN_RATIO
 
 O = i.Outcome
 
@@ -22,24 +24,24 @@
 @pytest.mark.parametrize("outcome", [O.ERROR, O.TIMED_OUT, O.RESET])
 def test_a_retryable_failure_is_resent_after_a_random_backoff(copy: Copy, outcome: i.Outcome) -> None:
     (timer,) = copy.end(copy.send(), outcome)
-    assert isinstance(timer, i.SetTimer) and 0 <= timer.delay <= policy.INITIAL_BACKOFF
+    assert isinstance(timer, i.SetTimer) and 0 <= timer.delay <= INITIAL_BACKOFF
     (resend,) = copy.do(i.TimerDue(timer.token), timer.delay)
     assert isinstance(resend, i.Send)
 
 
 def test_what_is_turned_away_unseen_is_resent_once_at_once_and_costs_no_token(copy: Copy) -> None:
     """A server that drains turns all away within a moment: it must not empty the bucket for the others."""
-    copy.balancer.tokens = policy.MAX_TOKENS / 2  # no retry that the bucket has a say in
+    copy.balancer.retry_tokens.tokens = MAX_TOKENS / 2  # no retry that the bucket has a say in
     for _ in range(30):
         (again,) = copy.end(copy.send("order"), O.REJECTED)
         assert isinstance(again, i.Send)
         copy.end(again, O.SERVED, attempt=1, is_request_over=True)
-    assert copy.balancer.tokens > policy.MAX_TOKENS / 2
-    copy.balancer.tokens = policy.MAX_TOKENS
+    assert copy.balancer.retry_tokens.tokens > MAX_TOKENS / 2
+    copy.balancer.retry_tokens.tokens = MAX_TOKENS
     (again,) = copy.end(copy.send("order"), O.REJECTED)
-    assert isinstance(again, i.Send) and copy.balancer.tokens == policy.MAX_TOKENS
+    assert isinstance(again, i.Send) and copy.balancer.retry_tokens.tokens == MAX_TOKENS
     (timer,) = copy.end(again, O.REJECTED, attempt=1)  # from then on by the policy
-    assert isinstance(timer, i.SetTimer) and copy.balancer.tokens == policy.MAX_TOKENS - 1
+    assert isinstance(timer, i.SetTimer) and copy.balancer.retry_tokens.tokens == MAX_TOKENS - 1
 
 
 def test_backoffs_grow_up_to_their_maximum_and_are_random() -> None:
@@ -47,7 +49,7 @@
     for seed in range(200):
         copy = Copy(seed, limits=i.Limits(max_attempts=9))
         copy.view(*entries("a", "b"))
-        copy.balancer.tokens = policy.MAX_TOKENS
+        copy.balancer.retry_tokens.tokens = MAX_TOKENS
         send = copy.send()
         for n in range(4):
             (timer,) = copy.end(send, O.ERROR, n)
@@ -56,12 +58,12 @@
             (again,) = copy.do(i.TimerDue(timer.token), timer.delay)
             assert isinstance(again, i.Send)
     for n, seen in enumerate(longest):
-        ceiling = min(policy.INITIAL_BACKOFF * policy.BACKOFF_MULTIPLIER**n, policy.MAX_BACKOFF)
+        ceiling = min(INITIAL_BACKOFF * BACKOFF_MULTIPLIER**n, MAX_BACKOFF)
         assert 0.9 * ceiling < seen <= ceiling
 
 
 def test_attempts_are_capped_by_the_limit_and_by_a6() -> None:
-    for limit, expected in ((2, 2), (3, 3), (9, policy.MAX_ATTEMPTS)):
+    for limit, expected in ((2, 2), (3, 3), (9, MAX_ATTEMPTS)):
         copy = Copy(limits=i.Limits(max_attempts=limit))
         copy.view(*entries(*"abcdefghij"))
         action: i.Send | i.Action = copy.send()
@@ -80,30 +82,30 @@
         if not isinstance(action, i.SetTimer):
             assert isinstance(action, i.Reject)
     # each failure costs a whole token: the count falls to half after so many
-    assert resent == policy.MAX_TOKENS / 2 - 1
-    assert copy.balancer.tokens == 0
+    assert resent == MAX_TOKENS / 2 - 1
+    assert copy.balancer.retry_tokens.tokens == 0
 
 
 def test_a_served_attempt_returns_a_fraction_of_a_token(copy: Copy) -> None:
-    copy.balancer.tokens = policy.MAX_TOKENS / 2
+    copy.balancer.retry_tokens.tokens = MAX_TOKENS / 2
     copy.serve(3)
-    assert copy.balancer.tokens == pytest.approx(policy.MAX_TOKENS / 2 + 3 * policy.TOKEN_RATIO)
-    copy.balancer.tokens = policy.MAX_TOKENS
+    assert copy.balancer.retry_tokens.tokens == pytest.approx(MAX_TOKENS / 2 + 3 * TOKEN_RATIO)
+    copy.balancer.retry_tokens.tokens = MAX_TOKENS
     copy.serve(1)
-    assert copy.balancer.tokens == policy.MAX_TOKENS
+    assert copy.balancer.retry_tokens.tokens == MAX_TOKENS
 
 
 def test_a_failed_connection_costs_no_token_and_skips_the_gate(copy: Copy) -> None:
-    copy.balancer.tokens = 0.0
+    copy.balancer.retry_tokens.tokens = 0.0
     (action,) = copy.end(copy.send(), O.CONNECT_FAILED)
     assert isinstance(action, i.Send)
-    assert copy.balancer.tokens == 0.0
+    assert copy.balancer.retry_tokens.tokens == 0.0
 
 
 def test_a_retry_prefers_another_endpoint(copy: Copy) -> None:
     other = 0
     for _ in range(40):
-        copy.balancer.tokens = policy.MAX_TOKENS
+        copy.balancer.retry_tokens.tokens = MAX_TOKENS
         send = copy.send()
         again = retry(copy, send, O.ERROR)
         assert isinstance(again, i.Send)
@@ -238,7 +240,7 @@
 def test_strays_are_harmless(copy: Copy) -> None:
     send = copy.send()
     copy.end(send, O.SERVED, is_request_over=True)
-    before = (copy.in_flight, copy.balancer.tokens)
+    before = (copy.in_flight, copy.balancer.retry_tokens.tokens)
     assert copy.end(send, O.ERROR) == []
     assert copy.end(i.Send(999, "a", 1.0), O.ERROR) == []
     assert copy.end(copy.send(), O.ERROR, attempt=7) == []
--- a/tests/test_thin_traffic.py
+++ b/tests/test_thin_traffic.py
@@ -8,8 +8,8 @@
 from tests.conftest import Copy, entries
 from tests.draws import NODES
 from tests.test_gate import CHEAP, DEAR, admitted, keep
-from wheatring.balancer import balancer as policy
 from wheatring.balancer import interface as i
+from wheatring.balancer.outlier_ejection import OVERLOAD_REST_SECONDS
 
 O = i.Outcome
 GET = i.RequestClass("get", latency_target=2.0, deadline=6.0, idempotency=i.Idempotency.IDEMPOTENT)
@@ -28,7 +28,7 @@
 
 def visit(copy: Copy, node: str, latency: float) -> None:
     """Have one call at that node answered after so long."""
-    record = copy.balancer.endpoints[node]
+    record = copy.balancer.pool.endpoints[node]
     with patch.object(copy.balancer, "pick", return_value=(record, [record])):
         send = copy.send("get")
     copy.end(send, O.SERVED, after=latency, is_request_over=True)
@@ -36,22 +36,22 @@
 
 def test_a_few_slow_answers_seconds_apart_tell() -> None:
     copy = settled()
-    slow, other = (copy.balancer.endpoints[name] for name in NODES[:2])
+    slow, other = (copy.balancer.pool.endpoints[name] for name in NODES[:2])
     for _ in range(3):
         copy.now += 2.0
         visit(copy, slow.entry.endpoint, 0.23)
-    assert copy.balancer.burden(copy.now, slow) > 1.5 * copy.balancer.burden(copy.now, other)
+    assert copy.balancer.load.burden(copy.now, slow) > 1.5 * copy.balancer.load.burden(copy.now, other)
 
 
 def test_a_crowded_node_is_let_rest_and_comes_back_by_a_trickle() -> None:
     copy = settled()
-    crowded = copy.balancer.endpoints[NODES[0]]
+    crowded = copy.balancer.pool.endpoints[NODES[0]]
     copy.now += 20.0
     visit(copy, NODES[0], 1.0)
     assert not crowded.ejections  # one answer may be long by chance
     visit(copy, NODES[0], 1.0)
     assert crowded.ejections
-    until = copy.now + policy.REST
+    until = copy.now + OVERLOAD_REST_SECONDS
     seen: Counter[str] = Counter()
     while copy.now + 0.1 < until:
         send = copy.send("get")
@@ -71,9 +71,9 @@
     copy.now += 20.0
     for name in FIVE:
         for _ in range(2):
-            if not copy.balancer.most_ill():
+            if not copy.balancer.ejector.are_most_unhealthy():
                 visit(copy, name, 1.0)
-    assert copy.balancer.most_ill()
+    assert copy.balancer.ejector.are_most_unhealthy()
     sent = Counter(copy.send("get").endpoint for _ in range(60))
     assert len(sent) == len(FIVE)
 
@@ -82,7 +82,7 @@
     copy = Copy(classes=(GET,), balancer_count=10)
     cold = [i.EndpointEntry(f"cold-{n}", started_at=copy.now) for n in range(8)]
     copy.view(*entries("jammed", "free"), *cold)
-    jammed = copy.balancer.endpoints["jammed"]
+    jammed = copy.balancer.pool.endpoints["jammed"]
     jammed.in_flight = 30
     got: Counter[str] = Counter()
     for _ in range(100):
@@ -100,7 +100,7 @@
         new = [i.EndpointEntry(f"new-{n}", started_at=copy.now) for n in range(cold)]
         copy.view(*entries(*NODES[cold:]), *new)
         admitted(copy, "dear")
-        return sum(e.in_flight for e in copy.balancer.ready)
+        return sum(e.in_flight for e in copy.balancer.pool.ready)
 
     assert 0.45 < most(7) / most(0) < 0.7  # 5 of 12 are warm, and 7 bear 0.2 of what these do
 
--- /dev/null
+++ b/wheatring/balancer/simulator_messages.py
@@ -0,0 +1,194 @@
+"""The simulator's lines: one event or one action each, in words with spaces between. `-` is nothing.
+
+Times on the wire are whole microseconds.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from wheatring.balancer.actions import (
+    Action,
+    Cancel,
+    CheckHealth,
+    CloseIdle,
+    Fail,
+    FetchEndpointList,
+    Log,
+    Reject,
+    Send,
+    SendPeerMessage,
+    SetTimer,
+    Subscribe,
+)
+from wheatring.balancer.endpoint_list import EndpointEntry, EndpointState, ViewKind
+from wheatring.balancer.events import (
+    AttemptEnded,
+    Committed,
+    Event,
+    HealthCheckEnded,
+    NewRequest,
+    PeerMessage,
+    RequestAbandoned,
+    TimerDue,
+)
+from wheatring.balancer.exceptions import WireFormatError
+from wheatring.balancer.outcomes import LoadReport, Outcome
+from wheatring.balancer.settings_reader import MICROSECONDS_PER_SECOND, REPORT_FIELDS, read_bool
+
+OUTCOMES = {
+    "GOOD": Outcome.SERVED,
+    "BAD": Outcome.ERROR,
+    "FULL": Outcome.REJECTED,
+    "LATE": Outcome.TIMED_OUT,
+    "NOCONN": Outcome.CONNECT_FAILED,
+    "RST": Outcome.RESET,
+    "CXL": Outcome.CANCELLED,
+    "NOP": Outcome.NOT_SENT,
+}
+ENDPOINT_STATES = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
+VIEW_KINDS = {
+    "INCREMENTAL": ViewKind.DELTA,
+    "FULL": ViewKind.FULL,
+    "SAVED": ViewKind.CACHED,
+    "FAILED": ViewKind.FAILED,
+}
+HAS_WORK_HINT, IS_CLIENT_RETRY, IS_WRITE = 1, 2, 4  # flags of a new request
+
+
+def _seconds(text: str) -> float:
+    return int(text) / MICROSECONDS_PER_SECOND
+
+
+def _microseconds(seconds: float) -> int:
+    return round(seconds * MICROSECONDS_PER_SECOND)
+
+
+def parse_load_report(text: str) -> LoadReport | None:
+    """Return an endpoint's load report, from `name:value` pairs with commas between."""
+    if text == "-":
+        return None
+    report = LoadReport()
+    for pair in text.split(","):
+        name, colon, value = pair.partition(":")
+        if not colon:
+            raise WireFormatError(f"a load report without ':': {pair!r}")
+        amount = float(value)
+        if name == "lat_ms":
+            report.latency = amount / 1000
+        elif name in REPORT_FIELDS:
+            setattr(report, REPORT_FIELDS[name], amount)
+    return report
+
+
+def parse_endpoint(words: Sequence[str]) -> EndpointEntry:
+    """Return one line of an endpoint list."""
+    keyword, endpoint, zone, machine_type, cell, state, rating, started = words
+    if keyword != "ITEM":
+        raise WireFormatError(f"ITEM expected, not {keyword}")
+    return EndpointEntry(
+        endpoint=endpoint,
+        state=ENDPOINT_STATES[state],
+        zone="" if zone == "-" else zone,
+        machine_type="" if machine_type == "-" else machine_type,
+        cell=0 if cell == "-" else int(cell),
+        rating=1.0 if rating == "-" else float(rating),
+        started_at=0.0 if started == "-" else _seconds(started),
+    )
+
+
+def _new_request(words: Sequence[str]) -> Event:
+    _, request, class_name, tenant, key, remaining, hint, flags_text = words
+    flags = 0 if flags_text == "-" else int(flags_text)
+    return NewRequest(
+        int(request),
+        class_name,
+        _seconds(remaining),
+        None if tenant in ("-", "0") else tenant,
+        None if key == "-" else int(key),
+        None if hint == "-" or not flags & HAS_WORK_HINT else _seconds(hint),
+        bool(flags & IS_CLIENT_RETRY),
+        bool(flags & IS_WRITE),
+    )
+
+
+def _attempt_ended(words: Sequence[str]) -> Event:
+    _, request, latency, attempt, is_over, outcome, endpoint, report = words
+    return AttemptEnded(
+        request=int(request),
+        attempt=int(attempt),
+        outcome=OUTCOMES[outcome],
+        endpoint=endpoint,
+        latency=_seconds(latency),
+        is_request_over=read_bool(is_over),
+        report=parse_load_report(report),
+    )
+
+
+def _committed(words: Sequence[str]) -> Event:
+    _, request, _, _, _ = words
+    return Committed(int(request))
+
+
+def _health_check_ended(words: Sequence[str]) -> Event:
+    _, endpoint, outcome, latency, report = words
+    return HealthCheckEnded(endpoint, OUTCOMES[outcome], _seconds(latency), parse_load_report(report))
+
+
+def _request_abandoned(words: Sequence[str]) -> Event:
+    _, request = words
+    return RequestAbandoned(int(request))
+
+
+def _timer_due(words: Sequence[str]) -> Event:
+    _, token = words
+    return TimerDue(int(token))
+
+
+def _peer_message(words: Sequence[str]) -> Event:
+    _, sender, data = words
+    return PeerMessage(int(sender), b"" if data == "-" else bytes.fromhex(data))
+
+
+# The readers of events by their keyword. A view is not among them: it refers to a list that came before.
+EVENT_PARSERS: dict[str, Callable[[Sequence[str]], Event]] = {
+    "NEW_REQUEST": _new_request,
+    "COMPLETED": _attempt_ended,
+    "STREAMING": _committed,
+    "PROBED": _health_check_ended,
+    "ABANDONED": _request_abandoned,
+    "TICK_DUE": _timer_due,
+    "HEARD": _peer_message,
+}
+
+
+def format_action(action: Action) -> str:
+    """Return the simulator's line for an action."""
+    match action:
+        case Send(request, endpoint, timeout):
+            # 0 would mean "until the client quits": a time-out that has run out stays one.
+            return f"FORWARD {request} {endpoint} {max(1, _microseconds(timeout))}"
+        case SetTimer(token, delay):
+            return f"SET_TIMER {token} {max(0, _microseconds(delay))}"
+        case Reject(request, retry_after):
+            return f"DENY {request} {_microseconds(retry_after)}"
+        case Fail(request):
+            return f"FAIL {request}"
+        case Cancel(request, attempt):
+            return f"ABANDON {request} {attempt}"
+        case Subscribe(on):
+            return f"TRACK {int(on)}"
+        case FetchEndpointList():
+            return "PULL"
+        case CheckHealth(endpoint):
+            return f"SAMPLE {endpoint}"
+        case CloseIdle(endpoint):
+            return f"SHUT_IDLE {endpoint}"
+        case SendPeerMessage(peer, data):
+            return f"NOTIFY {'all' if peer is None else peer} {data.hex() or '-'}"
+        case Log(text):
+            return f"SAY_LOG {' '.join(text.split())}"
--- /dev/null
+++ b/wheatring/balancer/token_bucket.py
@@ -0,0 +1,31 @@
+"""Retry throttling: the token bucket of gRFC A6."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+MAX_TOKENS = 10.0
+TOKEN_RATIO = 0.1  # tokens that a served attempt returns
+
+
+@dataclass(slots=True)
+class RetryTokenBucket:
+    """Tokens that failures take and answers return; retries need more than half of them.
+
+    So a fault of a few endpoints is retried, while an overload of all is not made worse by retries.
+    """
+
+    tokens: float = MAX_TOKENS
+
+    @property
+    def allows_retry(self) -> bool:
+        """Whether a failure may be retried now."""
+        return self.tokens > MAX_TOKENS / 2
+
+    def record_success(self) -> None:
+        """Return a part of a token for a served attempt."""
+        self.tokens = min(MAX_TOKENS, self.tokens + TOKEN_RATIO)
+
+    def record_failure(self) -> None:
+        """Take a token for a failed attempt."""
+        self.tokens = max(0.0, self.tokens - 1)
--- a/wheatring/config/__init__.py
+++ b/wheatring/config/__init__.py
@@ -15,7 +15,7 @@
 
 from wheatring import address
 from wheatring.balancer.interface import Idempotency, Settings
-from wheatring.balancer.simulator import JsonSettings, describe_value, settings_from
+from wheatring.balancer.settings_reader import JsonSettings, describe_value, settings_from
 from wheatring.errors import UncodedError
 
 SOCKETS = 1024
--- a/wheatring/lab/faults.py
+++ b/wheatring/lab/faults.py
@@ -51,7 +51,7 @@
     Fault(
         "drain-ignored",
         "a node that drains goes on getting new work",
-        "wheatring.balancer.balancer:Balancer.update",
+        "wheatring.balancer.endpoint_pool:EndpointPool.update",
         "if entry.state is not EndpointState.READY:",
         "if entry.state is EndpointState.GONE:",
         "faults",
@@ -75,8 +75,8 @@
     Fault(
         "unsafe-repeated",
         "what may have run is sent again though that does harm",
-        "wheatring.balancer.balancer:Balancer.repeatable_until",
-        "if request.may_have_run is None or request.request_class.idempotency is Idempotency.IDEMPOTENT:",
+        "wheatring.balancer.active_request:ActiveRequest.repeatable_until",
+        "if idempotency is IDEMPOTENT:",
         "if True:",
         "faults",
     ),
@@ -92,8 +92,8 @@
     Fault(
         "cold-as-warm",
         "a cold node gets its even share at once",
-        "wheatring.balancer.balancer:Balancer.warmth",
-        "if endpoint.entry.started_at <= 0 or age >= contract.warm_up:",
+        "wheatring.balancer.slow_start:SlowStart.capacity",
+        "if started_at <= 0 or age >= contract.warm_up:",
         "if True:",
         "faults",
     ),
--- a/wheatring/ops/capture/replay.py
+++ b/wheatring/ops/capture/replay.py
@@ -12,7 +12,7 @@
 
 from wheatring.balancer import interface as i
 from wheatring.balancer.balancer import Balancer
-from wheatring.balancer.simulator import JsonSettings, settings_from
+from wheatring.balancer.settings_reader import JsonSettings, settings_from
 from wheatring.ops.capture.record import REPORT, Recorder
 from wheatring.ops.capture.ring import CUT, files_in
 
--- a/wheatring/ops/drills.py
+++ b/wheatring/ops/drills.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from wheatring import log
-from wheatring.balancer.balancer import STAY_AWAY
+from wheatring.balancer.backoff import MIN_RETRY_AFTER
 from wheatring.balancer.interface import Limits, RequestClass
 from wheatring.core.clock import Clock, Timer
 from wheatring.core.exchange import Answer, Exchange, Final, Job
@@ -166,7 +166,7 @@
 
     def stay_away(self, job: Job) -> float:
         """The module's least advice. Its random numbers are its own, and jobs due for a drill are apart."""
-        advice = STAY_AWAY * self.classes[job.class_name].latency_target
+        advice = MIN_RETRY_AFTER * self.classes[job.class_name].latency_target
         return min(advice, self.limits.max_retry_after) if self.limits.sends_retry_after else 0.0
 
     def stop(self) -> None:
--- a/wheatring/sidecar/service_balancer.py
+++ b/wheatring/sidecar/service_balancer.py
@@ -9,14 +9,16 @@
 from __future__ import annotations
 
 import asyncio
-import dataclasses
 from collections import Counter
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 from math import inf
 
 from wheatring.balancer import interface as i
-from wheatring.balancer.balancer import MAX_TOKENS, ActiveRequest, Balancer, Endpoint, LatencyEstimate
+from wheatring.balancer.active_request import ActiveRequest
+from wheatring.balancer.balancer import Balancer
+from wheatring.balancer.endpoint import Endpoint
+from wheatring.balancer.latency_estimate import LatencyEstimate
 from wheatring.sidecar.policy import SidecarPolicy
 from wheatring.sidecar.prefix_placement import (
     CONVERSATION_SEGMENT,
@@ -86,7 +88,7 @@
         """Nothing is refused while an endpoint has a free place."""
         return super().admits(now, request) or any(
             self.occupancy(now, endpoint) < self.slots.get(endpoint.entry.endpoint, 0)
-            for endpoint in self.ready
+            for endpoint in self.pool.ready
         )
 
     def occupancy(self, now: float, endpoint: Endpoint) -> float:
@@ -101,7 +103,7 @@
         """
         best, drawn = super().pick(now, request)
         parts = self.prompt_segments.get(request.request_id)
-        if best is None or not parts or len(self.ready) < 2:
+        if best is None or not parts or len(self.pool.ready) < 2:
             return best, drawn
         home = self._home(parts) if self.policy.prompt_homes else None
         candidates = {best.entry.endpoint: best}
@@ -119,11 +121,11 @@
         """Whether an endpoint is well, or is due to be tried again."""
         if not endpoint.ejections:
             return True
-        return not self.alone(now, endpoint) and endpoint.in_flight < endpoint.probation_limit
+        return not self.ejector.is_ejected(now, endpoint) and endpoint.in_flight < endpoint.probation_limit
 
     def _home(self, parts: Sequence[PromptSegment]) -> Endpoint | None:
         """Where a line of turns is at home: in this zone, where zones carry themselves."""
-        pool = {e.entry.endpoint: e for e in self.ready if not self._is_far(e)}
+        pool = {e.entry.endpoint: e for e in self.pool.ready if not self._is_far(e)}
         name = home_endpoint(parts, pool.keys(), self.policy.sub_agent_spread)
         return pool[name] if name is not None else None
 
@@ -134,7 +136,7 @@
         """Endpoints that hold the last part of a prompt that anyone is known to hold."""
         for part in reversed(parts):
             known = self.prefix_caches.endpoints_caching(now, part)
-            found = [self.endpoints[name] for name in known if name in self.endpoints]
+            found = [self.pool.endpoints[name] for name in known if name in self.pool.endpoints]
             usable = [endpoint for endpoint in found if self._usable(now, endpoint)]
             if usable:
                 return usable
@@ -149,8 +151,8 @@
         slots = max(self.slots.get(endpoint.entry.endpoint, 1), 1)
         load = self.occupancy(now, endpoint) / slots
         far = policy.far_cost if self._is_far(endpoint) else 0.0
-        burden = max(0.0, self.burden(now, endpoint) - 1) * policy.burden_cost
-        failing = policy.failing_cost * self.fade(now, endpoint) if endpoint.evidence else 0.0
+        burden = max(0.0, self.load.burden(now, endpoint) - 1) * policy.burden_cost
+        failing = policy.failing_cost * self.load.decay(now, endpoint) if endpoint.evidence else 0.0
         return load + missing / policy.tokens_per_load + far + burden + failing
 
 
@@ -184,7 +186,7 @@
         by_zone = Counter(entry.zone for entry, _, _ in entries)
         even = are_zones_balanced(by_zone, self.balancer.policy)
         zones = tuple(sorted(by_zone)) if even else ()
-        self.balancer.settings = dataclasses.replace(self.balancer.settings, zones=zones)
+        self.balancer.pool.zones = zones
         self.balancer.is_zone_local = even
         self._feed(i.View(i.ViewKind.FULL, tuple(entry for entry, _, _ in entries)))
 
@@ -222,7 +224,7 @@
             is_streaming=route.is_streaming,
         )
         self.balancer.classes[route.name] = cls
-        self.balancer.latencies.setdefault(route.name, type(self.balancer.norm)())
+        self.balancer.latencies.setdefault(route.name, LatencyEstimate())
 
     def head_timeout_seconds(self, route: Route) -> float:
         """Seconds after which a stream that can be resumed is tried elsewhere, if nothing has come of it.
@@ -230,7 +232,7 @@
         Without end where a retry would not be granted, or too little is known of what is usual.
         """
         heads = self._heads
-        granted = self.balancer.tokens > MAX_TOKENS / 2
+        granted = self.balancer.retry_tokens.allows_retry
         if not self.balancer.policy.head_patience or heads.count < MIN_LATENCY_SAMPLES or not granted:
             return inf
         return max(
@@ -254,7 +256,7 @@
 
     def record_load(self, endpoint: str, load: float) -> None:
         """An endpoint tells its load at the head of an answer that goes on."""
-        known = self.balancer.endpoints.get(endpoint)
+        known = self.balancer.pool.endpoints.get(endpoint)
         if known is not None:
             known.reported_in_flight, known.reported_at = load, self.now
 
