--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -27,7 +27,7 @@
     ("wheatring.boot_settings", 1),
     ("wheatring.balancer", 1),
     ("wheatring.transport", 1),
-    ("wheatring.lab.control", 6),
+    ("wheatring.lab.model_checker", 6),
     ("wheatring.lab.demo", 6),
     ("wheatring.lab.scale", 6),
     ("wheatring.lab", 6),
@@ -81,7 +81,7 @@
     ("wheatring.admin", "wheatring.http1.parser"),  # the operators' calls are HTTP too
     ("wheatring.config", "wheatring.balancer"),
     ("wheatring.operator_properties", "wheatring.config"),
-    ("wheatring.lab.control", "wheatring.controller"),  # the model checker drives its deciders
+    ("wheatring.lab.model_checker", "wheatring.controller"),  # the model checker drives its deciders
     ("wheatring.lab.demo", "wheatring.lab.scale"),  # the processes of a small system
     ("wheatring.daemon", "wheatring.serving_pool"),
     ("wheatring.daemon", "wheatring.pools"),  # only where the file has routes
--- a/wheatring/commands/lab_control.py
+++ b/wheatring/commands/lab_control.py
@@ -9,7 +9,7 @@
     """Words that count for `control` only."""
     parser.add_argument(
         "--depth", type=int, default=4, metavar="N",
-        help="control: steps of the exhaustive searches (default: 4)",
+        help="control: steps of the search_exhaustively searches (default: 4)",
     )  # fmt: skip
     parser.add_argument(
         "--walks", type=int, default=200, metavar="N",
@@ -22,14 +22,14 @@
     """Print what is found; 1 where an invariant breaks or a planted fault is not found."""
     import os
 
-    from wheatring.lab.control.check import lines, planted_lines
+    from wheatring.lab.model_checker.runner import mutant_lines, search_lines
 
     failed: list[int] = []
     jobs = args.jobs or os.cpu_count() or 1
     if args.planted:
-        found = planted_lines(jobs, lambda: failed.append(1))
+        found = mutant_lines(jobs, lambda: failed.append(1))
     else:
-        found = lines(args.depth, args.walks, jobs, lambda: failed.append(1))
+        found = search_lines(args.depth, args.walks, jobs, lambda: failed.append(1))
     for line in found:
         print(line, flush=True)
     return 1 if failed else 0
--- a/wheatring/lab/control/model.py
+++ b/wheatring/lab/model_checker/consensus_model.py
@@ -1,8 +1,8 @@
-"""Controllers that may be delayed, crashed, wiped and cut off in any order of events, with operators who
-order changes, repeat them and read them back.
+"""Controllers whose events come in any order, with operators who change the configuration and read it back.
 
-An action is a line of words (`tick A`, `deliver A B VoteReply`, `wipe C`), so a way through the states is a
-text that can be played again (`trace.py`).
+Machines may be delayed, crashed, wiped and partitioned off; operators retry their commands. An action is one
+line (`tick A`, `deliver A B VoteReply`, `wipe C`), so a trace through the states is a text that can be
+replayed (`trace`).
 """
 
 from __future__ import annotations
@@ -22,49 +22,56 @@
 )
 from wheatring.controller.consensus_store import first_entry, seed_member
 from wheatring.controller.voter_selection import Candidate, next_voters
-from wheatring.lab.control.invariants import Acknowledged, Broken, History, generation_of
-from wheatring.lab.control.machine import Disk, Flight, Machine, MakeReplica
+from wheatring.lab.model_checker.exceptions import InvariantViolationError
+from wheatring.lab.model_checker.invariants import Acknowledged, History, generation_of
+from wheatring.lab.model_checker.simulated_machine import (
+    Disk,
+    InFlightMessage,
+    ReplicaFactory,
+    SimulatedMachine,
+)
 from wheatring.transport.messages_pb2 import Entry, HardState
 
-MAX_FLIGHTS = 24  # the oldest message is lost beyond them
-SILENT = 9.0  # seconds for which a voter that is given up has not been heard
-VOUCHED_SECONDS = 1.0  # of silence up to which a controller's word on the configuration is taken
+MAX_IN_FLIGHT = 24  # messages; the oldest one is lost beyond them
+UNHEARD_SECONDS = 9.0  # for which a voter that is to be replaced has not been heard from
+MAX_CLAIM_STALENESS_SECONDS = 1.0  # up to which a controller's configuration is believed to be current
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingOrder:
-    """An operator waits at a leader for an order to be certain."""
+class PendingCommand:
+    """A command whose operator waits at a leader for a certain outcome."""
 
-    at: str
-    life: int
+    machine: str
+    incarnation: int
     term: int
     position: Position | None  # of the entry that has to be committed, or None where nothing has changed
     round: int  # that a quorum has to answer, where nothing has changed
     change: Acknowledged | None
-    read: int | None = None  # the generation that a read will be answered with
-    least: int = 0  # acknowledged before a read has begun
+    read: int | None = None  # the generation that a read will return; -1 for a rejected retry
+    min_generation: int = 0  # acknowledged before the read started
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What a search may do, and which code it drives."""
+    """What a search may do, and which code it drives; a flag that is not its default is a mutant."""
 
     names: tuple[str, ...] = ("A", "B", "C")
-    make: MakeReplica = Replica
+    make_replica: ReplicaFactory = Replica
     losses: int = 1
-    name_kept_by_wipe: bool = False  # a planted fault
-    reads_need_a_round: bool = True
-    history_is_known: bool = True
+    wipe_keeps_identity: bool = False
+    reads_need_round: bool = True
+    history_is_replicated: bool = True
 
 
 def body_of(generation: int, operator: int = 0) -> bytes:
-    """A small configuration."""
+    """Return a small configuration."""
     return b'{"generation":%d,"routes":[],"services":[],"by":%d}' % (generation, operator)
 
 
-def orders_on(base: int, operator: int) -> list[ReplaceConfiguration | UpdateConfiguration]:
-    """A replacement by one operator and an update by another one, on the same version; each kind is first in
-    turn.
+def commands_on(base: int, operator: int) -> list[ReplaceConfiguration | UpdateConfiguration]:
+    """Return a replacement by one operator and an update by another one, on the same version.
+
+    Each kind comes first in turn.
     """
     replacement = ReplaceConfiguration(base, body_of(base + 1, operator))
     update = UpdateConfiguration(
@@ -74,42 +81,42 @@
 
 
 class Model:
-    """One state of the whole, and the steps out of it."""
+    """One state of the modelled system, and the steps out of it."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
         self.now = 1.0
         self.history = History()
-        self.flights: list[Flight] = []
-        self.waiting: list[WaitingOrder] = []
-        self.machines: dict[str, Machine] = {}
+        self.in_flight: list[InFlightMessage] = []
+        self.pending_commands: list[PendingCommand] = []
+        self.machines: dict[str, SimulatedMachine] = {}
         first = first_entry(rules.names)
         for name in rules.names:
             disk = Disk(seed_member(name).replica_id, HardState(), first)
-            self.machines[name] = Machine.with_disk(name, disk, rules.make, 1, self.now)
+            self.machines[name] = SimulatedMachine.with_disk(name, disk, rules.make_replica, 1, self.now)
 
     def clone(self) -> Model:
-        """An independent copy."""
+        """Return an independent copy."""
         twin = object.__new__(Model)
         twin.rules, twin.now = self.rules, self.now
         twin.history = self.history.clone()
-        twin.flights, twin.waiting = list(self.flights), list(self.waiting)
+        twin.in_flight, twin.pending_commands = list(self.in_flight), list(self.pending_commands)
         twin.machines = {name: machine.clone() for name, machine in self.machines.items()}
         return twin
 
     def key(self) -> int:
-        """Tells states apart, but for the numbers of rounds and replies that no message carries any more."""
+        """Return a key that distinguishes states, but for the numbers of rounds and replies."""
         machines = tuple(self._machine_key(machine) for machine in self.machines.values())
-        flights = tuple(sorted((f.source, f.target, f.kind, f.data) for f in self.flights))
+        in_flight = tuple(sorted((f.source, f.target, f.kind, f.data) for f in self.in_flight))
         acknowledged = tuple(change.digest for change in self.history.acknowledged)
-        return hash((machines, flights, acknowledged, len(self.waiting)))
+        return hash((machines, in_flight, acknowledged, len(self.pending_commands)))
 
-    def _machine_key(self, machine: Machine) -> tuple[object, ...]:
+    def _machine_key(self, machine: SimulatedMachine) -> tuple[object, ...]:
         replica, disk = machine.replica, machine.disk
         progress = tuple(
             (i, p.on_disk, p.sent, replica.round - p.round) for i, p in sorted(replica.progress.items())
         )
-        led = round(min(self.now - replica.leader_contact_at, replica.timing.election_seconds), 2)
+        contact_age = round(min(self.now - replica.leader_contact_at, replica.timing.election_seconds), 2)
         due = round(replica.next_deadline() - self.now, 2)
         committed = entry_position(replica.committed) if replica.committed is not None else None
         disk_key = (disk.replica_id, disk.hard_state.term, disk.hard_state.voted_for, _entry_key(disk.entry))
@@ -117,7 +124,7 @@
         votes = tuple(sorted(replica._votes)) if replica.state is not State.FOLLOWER else ()
         return (
             (replica.state, replica.term, replica.voted_for, _entry_key(replica.entry), committed),
-            (replica.on_disk, votes, progress, led, due, tuple(replica.learners)),
+            (replica.on_disk, votes, progress, contact_age, due, tuple(replica.learners)),
             disk_key,
             pending,
         )
@@ -125,24 +132,34 @@
     # Steps
 
     def apply(self, action: str) -> bool:
-        """Take a step. Returns False where it is not possible in this state. Raises Broken."""
-        verb, *words = action.split()
+        """Take a step.
+
+        Returns
+        -------
+        False where the step is not possible in this state.
+
+        Raises
+        ------
+        InvariantViolationError
+            The state behind the step violates an invariant.
+        """
+        verb, *arguments = action.split()
         step = getattr(self, f"_do_{verb}")
-        if not step(*words):
+        if not step(*arguments):
             return False
         self._check()
         return True
 
     def actions(self) -> Iterator[str]:
-        """All steps out of this state."""
-        seen: dict[tuple[str, str, str], int] = {}
-        for flight in self.flights:
-            place = (flight.source, flight.target, flight.kind)
-            number = seen[place] = seen.get(place, 0) + 1
-            words = f"{flight.source} {flight.target} {flight.kind} {number}"
-            yield f"deliver {words}"
-            yield f"drop {words}"
-            yield f"duplicate {words}"
+        """Yield all steps out of this state."""
+        counts: dict[tuple[str, str, str], int] = {}
+        for message in self.in_flight:
+            connection = (message.source, message.target, message.kind)
+            number = counts[connection] = counts.get(connection, 0) + 1
+            arguments = f"{message.source} {message.target} {message.kind} {number}"
+            yield f"deliver {arguments}"
+            yield f"drop {arguments}"
+            yield f"duplicate {arguments}"
         for name, machine in self.machines.items():
             yield f"tick {name}"
             yield f"crash {name}"
@@ -152,87 +169,87 @@
             if self.may_wipe(name):
                 yield f"wipe {name}"
             if machine.replica.state is State.LEADER:
-                yield from self._orders_at(name)
+                yield from self._commands_at(name)
 
-    def _orders_at(self, name: str) -> Iterator[str]:
+    def _commands_at(self, name: str) -> Iterator[str]:
         for verb in ("change", "repeat", "read", "members", "transfer"):
             yield f"{verb} {name}"
         for other in self.machines:
             if other != name:
                 yield f"members {name} {other}"
 
-    def leader(self) -> Machine | None:
-        """The leader with the newest term."""
+    def leader(self) -> SimulatedMachine | None:
+        """Return the leader of the newest term, or None."""
         leading = [m for m in self.machines.values() if m.replica.state is State.LEADER]
         return max(leading, key=lambda machine: machine.replica.term, default=None)
 
     def may_wipe(self, name: str) -> bool:
-        """Whether the tolerance covers another lost disk: the losses before it have been made good."""
+        """Tell whether the tolerance covers another lost disk: those lost before have been replaced."""
         leader = self.leader()
         if leader is None or not leader.replica.can_propose or len(leader.replica.voters) < 3:
             return False
         alive = {machine.disk.replica_id for machine in self.machines.values()}
         voters = {voter.replica_id for voter in leader.replica.voters}
         newest = entry_position(leader.replica.entry)
-        holding = [m for m in self.machines.values() if entry_position(m.disk.entry) == newest]
-        return voters <= alive and {machine.disk.replica_id for machine in holding} >= voters
+        synced = [m for m in self.machines.values() if entry_position(m.disk.entry) == newest]
+        return voters <= alive and {machine.disk.replica_id for machine in synced} >= voters
 
-    def _carry_out(self, machine: Machine, effects: Effects) -> bool:
+    def _carry_out(self, machine: SimulatedMachine, effects: Effects) -> bool:
         for outgoing in effects.messages:
             data = outgoing.message.SerializeToString()
-            self.flights.append(Flight(machine.name, outgoing.to.address, outgoing.message, data))
+            self.in_flight.append(InFlightMessage(machine.name, outgoing.to.address, outgoing.message, data))
         machine.pending.extend(effects.writes)
-        del self.flights[: max(0, len(self.flights) - MAX_FLIGHTS)]
+        del self.in_flight[: max(0, len(self.in_flight) - MAX_IN_FLIGHT)]
         return True
 
     def _do_tick(self, name: str) -> bool:
-        """A timer fires; time is as late as that for all."""
+        """Fire the timer of a machine; time is as late as that for all."""
         machine = self.machines[name]
         self.now = max(self.now, machine.replica.next_deadline())
         return self._carry_out(machine, machine.replica.tick(self.now))
 
     def _do_elapse(self, seconds: str) -> bool:
-        """Time passes, and no timer fires."""
+        """Let time pass without any timer."""
         self.now += float(seconds)
         return True
 
-    def _flight(self, words: Sequence[str]) -> Flight | None:
-        source, target, kind = words[:3]
-        number = int(words[3]) if len(words) > 3 else 1
-        matching = [f for f in self.flights if f.source == source and f.target == target and f.kind == kind]
+    def _find_message(self, arguments: Sequence[str]) -> InFlightMessage | None:
+        source, target, kind = arguments[:3]
+        number = int(arguments[3]) if len(arguments) > 3 else 1
+        matching = [f for f in self.in_flight if f.source == source and f.target == target and f.kind == kind]
         return matching[number - 1] if number <= len(matching) else None
 
-    def _do_deliver(self, *words: str) -> bool:
-        flight = self._flight(words)
-        if flight is None:
+    def _do_deliver(self, *arguments: str) -> bool:
+        message = self._find_message(arguments)
+        if message is None:
             return False
-        self.flights.remove(flight)
-        return self._arrive(flight)
+        self.in_flight.remove(message)
+        return self._arrive(message)
 
-    def _do_duplicate(self, *words: str) -> bool:
-        """A message arrives, and will once more."""
-        flight = self._flight(words)
-        return flight is not None and self._arrive(flight)
+    def _do_duplicate(self, *arguments: str) -> bool:
+        """Deliver a message that will arrive once more."""
+        message = self._find_message(arguments)
+        return message is not None and self._arrive(message)
 
-    def _arrive(self, flight: Flight) -> bool:
-        machine = self.machines.get(flight.target)
+    def _arrive(self, message: InFlightMessage) -> bool:
+        machine = self.machines.get(message.target)
         if machine is None:
             return True
-        return self._carry_out(machine, machine.replica.receive(self.now, flight.message))
+        return self._carry_out(machine, machine.replica.receive(self.now, message.message))
 
-    def _do_drop(self, *words: str) -> bool:
-        flight = self._flight(words)
-        if flight is not None:
-            self.flights.remove(flight)
-        return flight is not None
+    def _do_drop(self, *arguments: str) -> bool:
+        message = self._find_message(arguments)
+        if message is not None:
+            self.in_flight.remove(message)
+        return message is not None
 
     def _do_hush(self) -> bool:
-        """All messages on their way are lost."""
-        self.flights.clear()
+        """Lose all messages on their way."""
+        self.in_flight.clear()
         return True
 
     def _do_sync(self, name: str) -> bool:
-        """The oldest write reaches the disk."""
+        """Complete the oldest write."""
         machine = self.machines[name]
         if not machine.pending:
             return False
@@ -241,7 +258,7 @@
         return self._carry_out(machine, machine.replica.written(self.now, write))
 
     def _do_fail(self, name: str) -> bool:
-        """The oldest write does not."""
+        """Let the oldest write fail."""
         machine = self.machines[name]
         if not machine.pending:
             return False
@@ -249,58 +266,62 @@
         return True
 
     def _do_crash(self, name: str) -> bool:
-        """Power is lost and comes back at once; what was on its way to the machine may still arrive."""
+        """Let a machine lose power and come back; what was on its way to it may still arrive."""
         self.machines[name] = self.machines[name].restarted(self.now)
         return True
 
     def _do_wipe(self, name: str) -> bool:
-        """The same with the disk."""
+        """Let a machine lose power and its disk."""
         if not self.may_wipe(name):
             return False
         machine = self.machines[name]
-        if self.rules.name_kept_by_wipe:
+        if self.rules.wipe_keeps_identity:
             wiped = machine.wiped(machine.disk.replica_id, first_entry(self.rules.names), self.now)
         else:
-            wiped = machine.wiped(f"{name}{machine.life + 1}", Entry(), self.now)
+            wiped = machine.wiped(f"{name}{machine.incarnation + 1}", Entry(), self.now)
         self.machines[name] = wiped
         return True
 
-    # What operators and the controllers' own maintenance order
+    # Commands of operators, and the controllers' own maintenance
 
     def _do_change(self, name: str) -> bool:
-        """Two operators change the newest version at once; one of them wins."""
+        """Let two operators change the newest version at once; one of them wins."""
         machine = self.machines[name]
         replica = machine.replica
         if not replica.can_propose or replica.committed is None:
             return False
         base = generation_of(replica.committed.data)
-        orders = orders_on(base, replica.term)
-        applied = apply_batch(replica.committed.data, orders)
+        commands = commands_on(base, replica.term)
+        applied = apply_batch(replica.committed.data, commands)
         if [type(outcome) for outcome in applied.outcomes] != [
             Accepted,
             Conflict,
         ] or applied.new_state is None:
-            raise Broken(f"two orders on generation {base} were told {applied.outcomes}")
-        data = applied.new_state if self.rules.history_is_known else _forgetful(applied.new_state)
+            raise InvariantViolationError(f"two orders on generation {base} were told {applied.outcomes}")
+        data = applied.new_state if self.rules.history_is_replicated else _without_history(applied.new_state)
         position, effects = replica.propose(self.now, data)
-        change = Acknowledged(position, orders[0], base + 1, orders[0].digest, at=self.now)
-        self.waiting.append(WaitingOrder(name, machine.life, replica.term, position, 0, change))
+        change = Acknowledged(position, commands[0], base + 1, commands[0].digest, at=self.now)
+        self.pending_commands.append(
+            PendingCommand(name, machine.incarnation, replica.term, position, 0, change)
+        )
         return self._carry_out(machine, effects)
 
     def _do_repeat(self, name: str) -> bool:
-        """The newest acknowledged order comes again."""
+        """Retry the newest acknowledged command."""
         machine = self.machines[name]
         replica = machine.replica
         if not replica.can_propose or replica.committed is None or not self.history.acknowledged:
             return False
-        order = self.history.acknowledged[-1].order
-        applied = apply_batch(replica.committed.data, [order])
+        command = self.history.acknowledged[-1].command
+        applied = apply_batch(replica.committed.data, [command])
         if applied.new_state is not None:
-            return False  # taken anew by a leader that cannot commit it any more
+            return False  # accepted anew by a leader that can no longer commit it
         if not isinstance(applied.outcomes[0], Accepted | Indeterminate):
             number, effects = replica.confirm(self.now)
-            waiting = WaitingOrder(name, machine.life, replica.term, None, number, None, -1, 0)
-            self.waiting.append(waiting)
+            pending_commands = PendingCommand(
+                name, machine.incarnation, replica.term, None, number, None, -1, 0
+            )
+            self.pending_commands.append(pending_commands)
             return self._carry_out(machine, effects)
         return True
 
@@ -310,17 +331,19 @@
         if not replica.can_propose or replica.committed is None:
             return False
         generation = generation_of(replica.committed.data)
-        least = self.history.newest_acknowledged
-        if not self.rules.reads_need_a_round:
-            self.history.saw_read(generation, least)
+        min_generation = self.history.newest_acknowledged
+        if not self.rules.reads_need_round:
+            self.history.saw_read(generation, min_generation)
             return True
         number, effects = replica.confirm(self.now)
-        waiting = WaitingOrder(name, machine.life, replica.term, None, number, None, generation, least)
-        self.waiting.append(waiting)
+        pending_commands = PendingCommand(
+            name, machine.incarnation, replica.term, None, number, None, generation, min_generation
+        )
+        self.pending_commands.append(pending_commands)
         return self._carry_out(machine, effects)
 
     def _do_members(self, name: str, silent: str = "") -> bool:
-        """The leader looks after voters; one machine may have been silent for long."""
+        """Maintain the voters on a leader; one machine may have been silent for long."""
         machine = self.machines[name]
         replica = machine.replica
         if replica.state is not State.LEADER:
@@ -339,7 +362,7 @@
             for i, member in learners.items()
             if i in replica.progress
         ]
-        unheard = {voter.replica_id: SILENT for voter in replica.voters if voter.address == silent}
+        unheard = {voter.replica_id: UNHEARD_SECONDS for voter in replica.voters if voter.address == silent}
         wanted = next_voters(
             replica.me.replica_id, replica.voters, candidates, unheard, 2 * self.rules.losses + 1
         )
@@ -359,41 +382,41 @@
         for name, machine in self.machines.items():
             replica = machine.replica
             if replica.state is State.LEADER:
-                self.history.led(replica.term, replica.me.replica_id)
+                self.history.saw_leader(replica.term, replica.me.replica_id)
             if replica.committed is not None:
                 self.history.saw_committed(replica.committed)
-                self._check_claim(name, replica)
+                self._check_freshness(name, replica)
         self._answer_operators()
 
-    def _check_claim(self, name: str, replica: Replica) -> None:
+    def _check_freshness(self, name: str, replica: Replica) -> None:
         silence = replica.staleness(self.now)
-        if replica.committed is not None and silence < VOUCHED_SECONDS:
-            self.history.saw_claim(name, generation_of(replica.committed.data), self.now - silence)
+        if replica.committed is not None and silence < MAX_CLAIM_STALENESS_SECONDS:
+            self.history.saw_freshness_claim(name, generation_of(replica.committed.data), self.now - silence)
 
     def _answer_operators(self) -> None:
-        """Orders that have become certain are answered, those that cannot any more are not."""
-        still = []
-        for order in self.waiting:
-            machine = self.machines[order.at]
+        """Answer the commands that are certain; drop those that cannot become certain any more."""
+        uncertain = []
+        for pending in self.pending_commands:
+            machine = self.machines[pending.machine]
             replica = machine.replica
-            leads = replica.state is State.LEADER and replica.term == order.term
-            if machine.life != order.life or not leads:
+            is_leader = replica.state is State.LEADER and replica.term == pending.term
+            if machine.incarnation != pending.incarnation or not is_leader:
                 continue
-            if not self._is_certain(order, replica):
-                still.append(order)
-            elif order.change is not None:
-                self.history.saw_acknowledged(replace(order.change, at=self.now))
-            elif order.read is not None and order.read < 0:
-                raise Broken("a repeat of an acknowledged order is refused")
-            elif order.read is not None:
-                self.history.saw_read(order.read, order.least)
-        self.waiting = still
+            if not self._is_certain(pending, replica):
+                uncertain.append(pending)
+            elif pending.change is not None:
+                self.history.saw_acknowledged(replace(pending.change, at=self.now))
+            elif pending.read is not None and pending.read < 0:
+                raise InvariantViolationError("a repeat of an acknowledged order is refused")
+            elif pending.read is not None:
+                self.history.saw_read(pending.read, pending.min_generation)
+        self.pending_commands = uncertain
 
     @staticmethod
-    def _is_certain(order: WaitingOrder, replica: Replica) -> bool:
-        if order.position is None:
-            return replica.confirmed_round >= order.round
-        return replica.committed is not None and entry_position(replica.committed) >= order.position
+    def _is_certain(pending: PendingCommand, replica: Replica) -> bool:
+        if pending.position is None:
+            return replica.confirmed_round >= pending.round
+        return replica.committed is not None and entry_position(replica.committed) >= pending.position
 
 
 def _entry_key(entry: Entry) -> tuple[object, ...]:
@@ -401,8 +424,8 @@
     return entry.term, entry.index, voters, bool(entry.old_voters), hash(entry.data)
 
 
-def _forgetful(data: bytes) -> bytes:
-    """A planted fault: what was taken is not part of the replicated state."""
+def _without_history(data: bytes) -> bytes:
+    """Return a state without its accepted changes, for the mutant that does not replicate them."""
     from wheatring.transport.messages_pb2 import ControlState
 
     state = ControlState.FromString(data)
--- a/wheatring/lab/control/planted.py
+++ b/wheatring/lab/model_checker/consensus_mutants.py
@@ -1,4 +1,4 @@
-"""Faults planted in the deciders, each of which a search has to find."""
+"""Mutants of the consensus deciders: faults that a search has to find."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from wheatring.consensus.electorate import finish_change, has_quorum
 from wheatring.consensus.replica import Replica
 from wheatring.consensus.types import Effects, Position, State, Timing, entry_position
-from wheatring.lab.control.machine import MakeReplica
-from wheatring.lab.control.model import Rules
-from wheatring.lab.control.search import Found, walk
+from wheatring.lab.model_checker.consensus_model import Rules
+from wheatring.lab.model_checker.search import SearchResult, random_walk
+from wheatring.lab.model_checker.simulated_machine import ReplicaFactory
 from wheatring.transport.messages_pb2 import (
     AppendReply,
     AppendRequest,
@@ -25,13 +25,13 @@
 SHORT_LENGTH = 20
 
 
-class ChangesVotersInOneStep(Replica):
+class SingleStepVoterChange(Replica):
     """Lets the new voters decide alone from the first entry on."""
 
     def propose(
         self, now: float, data: bytes, voters: Iterable[Member] | None = None
     ) -> tuple[Position, Effects]:
-        """Without the set before."""
+        """Propose an entry without the old set."""
         position, effects = super().propose(now, data, voters)
         finish_change(self.entry)
         for write in effects.writes:
@@ -42,16 +42,16 @@
         return position, effects
 
 
-class TellsVotesUnsynced(Replica):
-    """Sends its vote before it is on disk."""
+class VotesBeforeSync(Replica):
+    """Sends its vote before the vote is on disk."""
 
     def _handle_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
         super()._handle_vote_request(now, request, effects)
         _send_at_once(effects)
 
 
-class CountsEntriesUnsynced(Replica):
-    """Tells the leader of an entry before it is on disk."""
+class AcknowledgesBeforeSync(Replica):
+    """Acknowledges an entry to the leader before the entry is on disk."""
 
     def _handle_append_request(self, now: float, request: AppendRequest, effects: Effects) -> None:
         super()._handle_append_request(now, request, effects)
@@ -65,7 +65,7 @@
 
 
 class CommitsOlderTerms(Replica):
-    """Takes the entry that it found for committed once a quorum holds it, and adds none of its own."""
+    """Takes the entry that it found as committed once a quorum has it, and adds none of its own."""
 
     def _become_leader(self, now: float, effects: Effects) -> None:
         found = self.entry
@@ -83,26 +83,28 @@
             super()._advance_commit(now, effects)
             return
         target = entry_position(self.entry)
-        holding = {i for i, progress in self.progress.items() if progress.on_disk == target}
-        if has_quorum(self.entry, holding | {self.me.replica_id}):
+        synced_ids = {i for i, progress in self.progress.items() if progress.on_disk == target}
+        if has_quorum(self.entry, synced_ids | {self.me.replica_id}):
             self.committed = self.entry
 
     @property
     def is_ready_leader(self) -> bool:
+        """Whether the entry that was found counts as committed."""
         return self.state is State.LEADER and self.committed is self.entry
 
 
-class ChangesVotersTwice(Replica):
-    """Begins a change while another one is under way, each by a set of its own."""
+class OverlappingVoterChanges(Replica):
+    """Starts a voter change while another one is in progress, each without the old set."""
 
     @property
     def can_propose(self) -> bool:
+        """Whether this replica leads at all."""
         return self.state is State.LEADER and self.committed is not None
 
     def propose(
         self, now: float, data: bytes, voters: Iterable[Member] | None = None
     ) -> tuple[Position, Effects]:
-        """On top of an entry that is not committed, and without the set before."""
+        """Propose on top of an entry that is not committed, and without the old set."""
         entry = self._next_entry()
         entry.data = data
         if voters is not None:
@@ -114,8 +116,8 @@
         return entry_position(entry), effects
 
 
-class BelievesOldReplies(Replica):
-    """Takes replies to an earlier leadership, or an earlier life, for replies to this one."""
+class AcceptsStaleReplies(Replica):
+    """Takes replies to an earlier leadership, or an earlier incarnation, as replies to this one."""
 
     def _handle_append_reply(self, now: float, reply: AppendReply, effects: Effects) -> None:
         current = AppendReply()
@@ -127,17 +129,17 @@
         super()._handle_append_reply(now, current, effects)
 
 
-class CountsFromLastWord(Replica):
+class FreshnessFromLastMessage(Replica):
     """Takes the arrival of any message of a leader for contact with a quorum."""
 
     def staleness(self, now: float) -> float:
-        """Since the leader's last message came."""
+        """Return the seconds since the leader's last message was received."""
         if self.state is State.LEADER:
             return now - self.confirmed_at
         return now - self.leader_contact_at
 
 
-class ForgetsItsVote(Replica):
+class ForgetsVote(Replica):
     """Votes again in a term after a restart."""
 
     def __init__(
@@ -147,51 +149,63 @@
 
 
 class VotesForOlderEntries(Replica):
-    """Does not ask how new a candidate's entry is."""
+    """Ignores how new a candidate's entry is."""
 
     def _handle_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
-        blind = VoteRequest()
-        blind.CopyFrom(request)
-        blind.last_term, blind.last_index = 1 << 40, 0
-        super()._handle_vote_request(now, blind, effects)
+        forged = VoteRequest()
+        forged.CopyFrom(request)
+        forged.last_term, forged.last_index = 1 << 40, 0
+        super()._handle_vote_request(now, forged, effects)
 
 
 @dataclass(frozen=True, slots=True)
-class Planted:
-    """A fault and what it is called."""
+class Mutant:
+    """A fault, the rules that contain it, and where walks find it."""
 
     name: str
     rules: Rules
-    beginning: str = ""  # of the walks that find it; "" for an empty system
-
-
-def _with(make: MakeReplica) -> Rules:
-    return Rules(make=make)
-
-
-IN_CONSENSUS = (
-    Planted("a lost voter replaced in one step", _with(ChangesVotersInOneStep)),
-    Planted("a vote told before its sync", _with(TellsVotesUnsynced), "two candidates"),
-    Planted("an entry counted before its sync", _with(CountsEntriesUnsynced)),
-    Planted("a commit of an older term's entry", _with(CommitsOlderTerms)),
-    Planted("a read without a round", Rules(reads_need_a_round=False)),
-    Planted("a wiped seed under its old name", Rules(name_kept_by_wipe=True)),
-    Planted("two changes of voters at once", _with(ChangesVotersTwice)),
-    Planted("a repeat refused after a change of leader", Rules(history_is_known=False)),
-    Planted("a reply of an earlier leadership counted", _with(BelievesOldReplies)),
-    Planted("freshness counted from the leader's last word", _with(CountsFromLastWord)),
-    Planted("a vote forgotten by a restart", _with(ForgetsItsVote), "two candidates"),
-    Planted("a vote for an older entry", _with(VotesForOlderEntries)),
+    start: str = ""  # of the walks that find_violation it; "" for an empty system
+
+
+def _with(make_replica: ReplicaFactory) -> Rules:
+    return Rules(make_replica=make_replica)
+
+
+CONSENSUS_MUTANTS = (
+    Mutant("a lost voter replaced in one step", _with(SingleStepVoterChange)),
+    Mutant("a vote told before its sync", _with(VotesBeforeSync), "two candidates"),
+    Mutant("an entry counted before its sync", _with(AcknowledgesBeforeSync)),
+    Mutant("a commit of an older term's entry", _with(CommitsOlderTerms)),
+    Mutant("a read without a round", Rules(reads_need_round=False)),
+    Mutant("a wiped seed under its old name", Rules(wipe_keeps_identity=True)),
+    Mutant("two changes of voters at once", _with(OverlappingVoterChanges)),
+    Mutant("a repeat refused after a change of leader", Rules(history_is_replicated=False)),
+    Mutant("a reply of an earlier leadership counted", _with(AcceptsStaleReplies)),
+    Mutant("freshness counted from the leader's last word", _with(FreshnessFromLastMessage)),
+    Mutant("a vote forgotten by a restart", _with(ForgetsVote), "two candidates"),
+    Mutant("a vote for an older entry", _with(VotesForOlderEntries)),
 )
 
 
-def find(planted: Planted, walks: int, first_seed: int = 0) -> Found:
-    """Search until something breaks: walks from an empty system, or short ones from where the fault shows."""
-    total = Found()
-    length = SHORT_LENGTH if planted.beginning else FIND_LENGTH
-    count = walks * (FIND_LENGTH // SHORT_LENGTH) if planted.beginning else walks
+def find_violation(mutant: Mutant, walks: int, first_seed: int = 0) -> SearchResult:
+    """Walk until an invariant is violated.
+
+    The walks start from an empty system, or are short ones from where the mutant shows.
+
+    Parameters
+    ----------
+    mutant
+        The fault.
+    walks
+        The number of long walks at most, or of as many steps in short ones.
+    first_seed
+        Added to the seed of each walk.
+    """
+    result = SearchResult()
+    length = SHORT_LENGTH if mutant.start else FIND_LENGTH
+    count = walks * (FIND_LENGTH // SHORT_LENGTH) if mutant.start else walks
     for number in range(1, count + 1):
-        total.add(walk(planted.rules, first_seed + number, length, planted.beginning))
-        if total.broken:
+        result.add(random_walk(mutant.rules, first_seed + number, length, mutant.start))
+        if result.violation:
             break
-    return total
+    return result
--- /dev/null
+++ b/wheatring/lab/model_checker/search.py
@@ -0,0 +1,367 @@
+"""Searches for violated invariants: through every order of events up to a depth, and along random walks."""
+
+from __future__ import annotations
+
+import time
+from collections import Counter
+from dataclasses import dataclass, field
+from functools import lru_cache
+from random import Random
+
+from wheatring.consensus.types import State, entry_position
+from wheatring.lab.model_checker.consensus_model import Model, Rules
+from wheatring.lab.model_checker.exceptions import InvariantViolationError
+from wheatring.lab.model_checker.trace import minimize, play
+
+SETTLE_SECONDS = 8.0  # of simulated time, in which the system has to recover once faults have ended
+MAX_DELIVERIES_PER_TIMER = 400  # messages in a row without a timer
+
+
+@dataclass(slots=True)
+class SearchResult:
+    """The result of a search."""
+
+    states: int = 0
+    seconds: float = 0.0
+    violation: str = ""
+    trace: list[str] = field(default_factory=list)
+    steps: Counter[str] = field(default_factory=Counter)  # taken, by their verb
+    reached: Counter[str] = field(default_factory=Counter)  # situations worth reaching
+
+    def add(self, other: SearchResult) -> None:
+        """Add the result of another search; the first violation stays."""
+        self.states += other.states
+        self.seconds += other.seconds
+        self.steps += other.steps
+        self.reached += other.reached
+        if other.violation and not self.violation:
+            self.violation, self.trace = other.violation, other.trace
+
+
+# Where exhaustive searches start, by what has happened to a system at rest whose leader is A.
+START_STATES: dict[str, tuple[str, ...]] = {
+    "at rest": (),
+    "a change under way": ("change A",),
+    "two candidates": (
+        "crash A",
+        "elapse 0.6",
+        "tick B",
+        "tick C",
+        "deliver B A VoteRequest",
+        "deliver C A VoteRequest",
+        "deliver A B VoteReply",
+        "deliver A C VoteReply",
+        "sync B",
+        "sync C",
+        "drop B C VoteRequest",
+        "drop B C VoteRequest",
+        "drop C B VoteRequest",
+        "drop C B VoteRequest",
+    ),
+    "a leader cut off": (
+        "elapse 0.6",
+        "tick B",
+        "deliver B C VoteRequest",
+        "deliver C B VoteReply",
+        "sync B",
+        "deliver B C VoteRequest",
+        "sync C",
+        "deliver C B VoteReply",
+        "hush",
+        "change A",
+    ),
+    "a lost voter": ("wipe C", "members A", "tick A", "deliver A C AppendRequest"),
+    "a change of voters under way": (
+        "wipe C",
+        "members A",
+        "tick A",
+        "deliver A C AppendRequest 2",
+        "deliver A C AppendRequest",
+        "sync C",
+        "sync C",
+        "hush",
+        "tick A",
+        "deliver A C AppendRequest",
+        "deliver C A AppendReply",
+        "members A",
+    ),
+}
+
+
+def settled_model(rules: Rules) -> Model:
+    """Return a system at rest with a leader, and a change that all replicas have."""
+    model = Model(rules)
+    settle(model)
+    leader = model.leader()
+    assert leader is not None
+    model.apply(f"change {leader.name}")
+    settle(model)
+    model.in_flight.clear()
+    return model
+
+
+def start_state(rules: Rules, start: str) -> Model:
+    """Return one of the START_STATES."""
+    return _cached_start_state(rules, start).clone()
+
+
+@lru_cache(maxsize=32)
+def _cached_start_state(rules: Rules, start: str) -> Model:
+    model = settled_model(rules)
+    for action in START_STATES[start]:
+        model.apply(action)
+    return model
+
+
+Layer = list[tuple[Model, tuple[str, ...]]]  # states of one depth, each with the trace that leads to it
+
+
+def search_exhaustively(rules: Rules, start: str, depth: int, max_states: int) -> SearchResult:
+    """Take every trace of `depth` steps from a start state.
+
+    Parameters
+    ----------
+    rules
+        What the search may do, and which code it drives.
+    start
+        The name of one of the START_STATES.
+    depth
+        The number of steps.
+    max_states
+        The number of states at which the search goes no deeper.
+
+    Returns
+    -------
+    What was found. The trace of a violation begins at the start state.
+    """
+    started_at = time.monotonic()
+    result = SearchResult()
+    model = start_state(rules, start)
+    seen = {model.key()}
+    layer: Layer = [(model, ())]
+    for _ in range(depth):
+        following: Layer = []
+        for model, trace in layer:
+            following += _expand(model, trace, seen, result)
+            if result.violation:
+                result.states = len(seen)
+                return result
+            if len(seen) >= max_states:
+                break
+        layer = following
+    result.states = len(seen)
+    result.seconds = time.monotonic() - started_at
+    return result
+
+
+def _expand(model: Model, trace: tuple[str, ...], seen: set[int], result: SearchResult) -> Layer:
+    """Take every step out of a state; return the states that were not seen before."""
+    following: Layer = []
+    for action in list(model.actions()):
+        twin = model.clone()
+        try:
+            if not twin.apply(action):
+                continue
+        except InvariantViolationError as violation:
+            result.violation, result.trace = str(violation), [*trace, action]
+            break
+        result.steps[action.partition(" ")[0]] += 1
+        key = twin.key()
+        if key not in seen:
+            seen.add(key)
+            following.append((twin, (*trace, action)))
+    return following
+
+
+WEIGHTS = {
+    "deliver": 60,
+    "sync": 30,
+    "tick": 12,
+    "drop": 3,
+    "duplicate": 2,
+    "crash": 1.5,
+    "fail": 1,
+    "wipe": 3,
+    "change": 6,
+    "repeat": 2,
+    "read": 4,
+    "members": 5,
+    "transfer": 0.6,
+}
+CONTESTED = WEIGHTS | {"tick": 40, "crash": 12, "sync": 60, "drop": 1}
+
+
+def random_walk(rules: Rules, seed: int, length: int, start: str = "") -> SearchResult:
+    """Take one random walk.
+
+    Parameters
+    ----------
+    rules
+        What the walk may do, and which code it drives.
+    seed
+        Decides all that is drawn.
+    length
+        The number of steps.
+    start
+        The name of one of the START_STATES, from which the walk only tries many short orders of events. ""
+        for an empty system: everything works again after the walk, and the system has to recover.
+    """
+    random = Random(seed)
+    model = start_state(rules, start) if start else Model(rules)
+    result = SearchResult()
+    started_at = time.monotonic()
+    trace: list[str] = []
+    conditions = Conditions()
+    try:
+        for number in range(length):
+            if number % STEPS_PER_CONDITIONS == 0:
+                conditions = _draw_conditions(random, list(model.machines))
+            action = _draw_action(model, random, conditions)
+            trace.append(action)
+            if model.apply(action):
+                result.states += 1
+                result.steps[action.partition(" ")[0]] += 1
+                _count_situations(model, result)
+        if not start:
+            _check_recovery(model)
+    except InvariantViolationError as violation:
+        result.violation, result.trace = str(violation), trace
+    result.seconds = time.monotonic() - started_at
+    return result
+
+
+@dataclass(frozen=True, slots=True)
+class Conditions:
+    """The faults that last for a while.
+
+    Attributes
+    ----------
+    partitioned
+        Machines that are partitioned off from the others.
+    frozen
+        Machines that stand still.
+    in_order
+        The probability that the next event is the one that comes by itself.
+    is_contested
+        Whether time-outs and restarts come as often as messages.
+    """
+
+    partitioned: frozenset[str] = frozenset()
+    frozen: frozenset[str] = frozenset()
+    in_order: float = 0.9
+    is_contested: bool = False
+
+    def blocks(self, action: str) -> bool:
+        """Tell whether an action has to wait."""
+        verb, *arguments = action.split()
+        if verb in ("deliver", "duplicate"):
+            source, target = arguments[:2]
+            return target in self.frozen or (source in self.partitioned) != (target in self.partitioned)
+        return verb != "drop" and arguments[0] in self.frozen
+
+
+NO_FAULTS = Conditions()
+STEPS_PER_CONDITIONS = 50
+
+
+def _draw_conditions(random: Random, names: list[str]) -> Conditions:
+    in_order = random.choice((0.0, 0.6, 0.9, 0.97))
+    machines = frozenset(random.sample(names, random.randint(1, len(names) // 2)))
+    kind = random.random()
+    if kind < 0.2:
+        return Conditions(in_order=0.0, is_contested=True)
+    if kind < 0.5:
+        return Conditions(in_order=in_order)
+    if kind < 0.75:
+        return Conditions(partitioned=machines, in_order=in_order)
+    return Conditions(frozen=machines, in_order=in_order)
+
+
+def _draw_action(model: Model, random: Random, conditions: Conditions) -> str:
+    if random.random() < conditions.in_order:
+        action = _next_orderly_action(model, conditions)
+        if action:
+            return action
+    actions = [action for action in model.actions() if not conditions.blocks(action)]
+    table = CONTESTED if conditions.is_contested else WEIGHTS
+    weights = [table[action.partition(" ")[0]] for action in actions]
+    if not actions:
+        return "elapse 0.1"
+    return random.choices(actions, weights)[0]
+
+
+def _count_situations(model: Model, result: SearchResult) -> None:
+    """Count the situations worth reaching, so that a walk that misses them shows."""
+    leaders = [m for m in model.machines.values() if m.replica.state is State.LEADER]
+    if len(leaders) > 1:
+        result.reached["two leaders of different terms"] += 1
+    if leaders and leaders[0].replica.entry.old_voters:
+        result.reached["a change of voters under way"] += 1
+    if any(not machine.replica.is_voter for machine in model.machines.values()):
+        result.reached["a replica without a vote"] += 1
+    if model.pending_commands:
+        result.reached["an operator waits"] += 1
+
+
+def settle(model: Model, seconds: float = SETTLE_SECONDS) -> None:
+    """Let time pass without faults: every message arrives at once, every write succeeds.
+
+    Raises
+    ------
+    InvariantViolationError
+        A step violates an invariant.
+    """
+    end = model.now + seconds
+    while model.now < end:
+        for _ in range(MAX_DELIVERIES_PER_TIMER):
+            action = _next_orderly_action(model)
+            if not action:
+                break
+            model.apply(action)
+        leader = model.leader()
+        if leader is not None:
+            model.apply(f"members {leader.name}")
+        if not _next_orderly_action(model):
+            due = min(model.machines.values(), key=lambda machine: machine.replica.next_deadline())
+            model.apply(f"tick {due.name}")
+
+
+def _next_orderly_action(model: Model, conditions: Conditions = NO_FAULTS) -> str:
+    """Return the next event that comes by itself; "" where all machines wait for a timer."""
+    for message in model.in_flight:
+        action = f"deliver {message.source} {message.target} {message.kind} 1"
+        if not conditions.blocks(action):
+            return action
+    for name, machine in model.machines.items():
+        if machine.pending and name not in conditions.frozen:
+            return f"sync {name}"
+    return ""
+
+
+def _check_recovery(model: Model) -> None:
+    """Check that the system recovers without faults.
+
+    There is a leader that all follow, every replica is up to date and votes, and a change is committed.
+    """
+    settle(model)
+    leader = model.leader()
+    if leader is None or not leader.replica.can_propose:
+        raise InvariantViolationError("no leader although nothing has gone wrong for long")
+    newest = entry_position(leader.replica.entry)
+    for machine in model.machines.values():
+        if entry_position(machine.disk.entry) != newest or not machine.replica.is_voter:
+            raise InvariantViolationError(
+                f"{machine.name} has not come back although nothing has gone wrong for long"
+            )
+    model.apply(f"change {leader.name}")
+    settle(model, 1.0)
+    if leader.replica.committed is None or entry_position(leader.replica.committed) <= newest:
+        raise InvariantViolationError("a change is not committed although nothing goes wrong")
+
+
+def shortest_trace(result: SearchResult, rules: Rules) -> list[str]:
+    """Return the trace of a violation without the steps that it does not need.
+
+    A violation that shows only when the system has to recover is not replayed; its trace stays as it is.
+    """
+    return minimize(result.trace, rules) if play(result.trace, rules)[1] else result.trace
--- a/wheatring/lab/control/storage_model.py
+++ b/wheatring/lab/model_checker/storage_model.py
@@ -1,9 +1,9 @@
-"""Storage replicas under placements that change, with writers and readers who may have heard of any of them.
+"""Storage replicas under placements that change, with writers and readers who may know any of them.
 
 The deciders are the real ones: `next_placement`, `place_key`, `RecordTable`, `can_skip_copy` and
 `copy_sources_required`. What stands between them (the fence, the sync before an acknowledgement, the copy)
-follows `storage/replica.py` and `storage/repair.py`. The table of placements itself is agreed, as the other
-model shows: here it only moves on.
+follows `storage/replica.py` and `storage/repair.py`. The placements themselves are agreed on, as the
+consensus model shows: here they only follow each other.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from wheatring.controller.commands import StartRetirement
 from wheatring.controller.storage_membership import StorageReport, complete_retirements, next_placement
-from wheatring.lab.control.invariants import Broken
-from wheatring.lab.control.search import Found
+from wheatring.lab.model_checker.exceptions import InvariantViolationError
+from wheatring.lab.model_checker.search import SearchResult
 from wheatring.placement.key_placement import KeyPlacement, place_key, quorum_sizes, replicas_for
 from wheatring.storage.record_table import RecordTable
 from wheatring.storage.repair import can_skip_copy, copy_sources_required
@@ -27,25 +27,25 @@
     Turn,
 )
 
-LENGTH = 260  # steps of a walk
-OLD_REPORT = 5.0  # seconds; of a member that is silent, and may come back
+WALK_LENGTH = 260  # steps
+OLD_REPORT_SECONDS = 5.0  # the age of a report of a member that is silent, and may come back
 RETENTION_MS = 1_000_000_000
 SPARE_MACHINES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class StorageRules:
-    """What a walk drives; the flags are planted faults where they are off."""
+    """What a walk drives; a flag that is off is a mutant."""
 
     losses: int = 1
-    absent_needs_whole: bool = True
+    absence_needs_quorum: bool = True
     fence_is_durable: bool = True
-    change_needs_whole: bool = True
+    change_needs_complete_members: bool = True
     acknowledged_after_sync: bool = True
 
 
 @dataclass(slots=True)
-class Store:
+class SimulatedStore:
     """One storage machine and the disk that it has now."""
 
     name: str
@@ -56,21 +56,25 @@
     fence: int = 0
     synced_fence: int = 0
     complete_epoch: int = 0
-    placement: Placement = field(default_factory=Placement)  # the newest that it has heard of
-    copied_epoch: int = 0  # the epoch of the copy under way
+    placement: Placement = field(default_factory=Placement)  # the newest that it knows
+    copied_epoch: int = 0  # the epoch of the copy in progress
     copied_from: set[str] = field(default_factory=set)
 
     def member(self) -> StorageMember:
+        """Return the store as a member of a placement."""
         return StorageMember(replica_id=self.replica_id, node=self.name, address=self.name, zone=self.name)
 
     def refuses(self, epoch: int) -> bool:
+        """Tell whether a request of this epoch is too old."""
         return epoch < max(self.fence, self.placement.epoch)
 
     def take(self, record: StorageRecord) -> None:
+        """Add a record, which a loss of power removes until it is synced."""
         if self.table.apply(record, 0.0):
             self.unsynced.append(record)
 
     def sync(self) -> None:
+        """Make all records durable."""
         self.synced += self.unsynced
         self.unsynced = []
 
@@ -84,11 +88,11 @@
     writes: bool
     at: KeyPlacement
     replied: set[str] = field(default_factory=set)
-    owed: bool = False  # the turn was acknowledged before this read began
+    was_acknowledged: bool = False  # the turn was acknowledged before this read began
 
 
 class StorageModel:
-    """One state, and its steps."""
+    """One state of the modelled storage, and the steps out of it."""
 
     def __init__(self, rules: StorageRules, random: Random) -> None:
         self.rules = rules
@@ -98,11 +102,11 @@
         self.acknowledged: set[str] = set()
         self.losses_seen = 0
         self.state = ControlState()
-        self.begin_with(2 * rules.losses + 1 + random.randint(0, 1))
+        self.start_with(2 * rules.losses + 1 + random.randint(0, 1))
 
-    def begin_with(self, machines: int) -> None:
-        """A system of so many machines that holds nothing."""
-        self.stores = {f"s{n}": Store(f"s{n}", f"s{n}-1") for n in range(1, machines + 1)}
+    def start_with(self, machines: int) -> None:
+        """Start anew with this number of machines and without records."""
+        self.stores = {f"s{n}": SimulatedStore(f"s{n}", f"s{n}-1") for n in range(1, machines + 1)}
         self.spares = [f"s{machines + n}" for n in range(1, SPARE_MACHINES + 1)]
         first = Placement(epoch=1, current=[store.member() for store in self.stores.values()])
         self.placements = [first]
@@ -113,30 +117,31 @@
 
     @property
     def placement_now(self) -> Placement:
-        """The newest one, which does not change any more."""
+        """The newest placement, as an object that does not change any more."""
         return self.placements[-1]
 
     @property
     def placement(self) -> Placement:
+        """The newest placement, as part of the state."""
         return self.state.placement
 
     # Steps, drawn by their names
 
     def step(self) -> str:
-        """Take one step; returns its name. Raises Broken."""
+        """Take one random step and return its name. Raises InvariantViolationError."""
         verb = self.random.choices(list(STEPS), list(STEPS.values()))[0]
         getattr(self, f"_{verb}")()
         return verb
 
-    def _any_store(self) -> Store:
+    def _any_store(self) -> SimulatedStore:
         return self.random.choice(list(self.stores.values()))
 
     def _learn(self) -> None:
-        """A store hears of a placement, the newest or one before it."""
+        """Let a store learn a placement, the newest or the one before it."""
         store = self._any_store()
-        heard = self.random.choice(self.placements[-2:])
-        if heard.epoch > store.placement.epoch:
-            store.placement = heard
+        learned = self.random.choice(self.placements[-2:])
+        if learned.epoch > store.placement.epoch:
+            store.placement = learned
 
     def _known_to_client(self) -> Placement:
         oldest = 3 if self.random.random() < 0.5 else 1
@@ -144,24 +149,24 @@
 
     def _write(self) -> None:
         self.number += 1
-        self._begin(f"t{self.number}", writes=True)
+        self._start_operation(f"t{self.number}", writes=True)
 
     def _read(self) -> None:
         if self.acknowledged and self.random.random() < 0.8:
             turn = self.random.choice(sorted(self.acknowledged))
         else:
             turn = f"t{self.random.randint(1, self.number + 1)}"
-        self._begin(turn, writes=False)
+        self._start_operation(turn, writes=False)
 
-    def _begin(self, turn: str, writes: bool) -> None:
+    def _start_operation(self, turn: str, writes: bool) -> None:
         known = self._known_to_client()
         at = place_key(turn, known, self.rules.losses)
-        operation = Operation(turn, known, writes, at, owed=turn in self.acknowledged)
+        operation = Operation(turn, known, writes, at, was_acknowledged=turn in self.acknowledged)
         self.operations.append(operation)
         del self.operations[:-12]
 
     def _ask(self) -> None:
-        """A message of an operation reaches a member, and its reply comes back."""
+        """Deliver a request of an operation to a member, and its reply."""
         if not self.operations:
             return
         operation = self.random.choice(self.operations)
@@ -170,8 +175,8 @@
         if store is not None and store.replica_id == member.replica_id:
             self.ask(operation, store)
 
-    def ask(self, operation: Operation, store: Store) -> None:
-        """A store answers an operation, or refuses it because of its epoch."""
+    def ask(self, operation: Operation, store: SimulatedStore) -> None:
+        """Let a store answer an operation, or refuse it because of its epoch."""
         if store.refuses(operation.placement.epoch):
             return
         if operation.writes:
@@ -179,7 +184,7 @@
         else:
             self._ask_to_read(operation, store)
 
-    def _ask_to_write(self, operation: Operation, store: Store) -> None:
+    def _ask_to_write(self, operation: Operation, store: SimulatedStore) -> None:
         turn = Turn(id=operation.turn, retention_ms=RETENTION_MS)
         store.take(StorageRecord(turn=turn))
         if self.rules.acknowledged_after_sync:
@@ -190,42 +195,46 @@
             self._end(operation)
             self._check_copies(operation)
 
-    def _ask_to_read(self, operation: Operation, store: Store) -> None:
+    def _ask_to_read(self, operation: Operation, store: SimulatedStore) -> None:
         if store.table.turn(operation.turn) is not None:
             self._end(operation)
             return
         operation.replied.add(store.replica_id)
         if self._is_absent(operation):
             self._end(operation)
-            if operation.owed:
-                raise Broken(f"turn {operation.turn} was acknowledged and is said not to exist")
+            if operation.was_acknowledged:
+                raise InvariantViolationError(
+                    f"turn {operation.turn} was acknowledged and is said not to exist"
+                )
 
     def _end(self, operation: Operation) -> None:
         self.operations = [other for other in self.operations if other is not operation]
 
     def _is_absent(self, operation: Operation) -> bool:
         replied = operation.replied
-        if not self.rules.absent_needs_whole:
+        if not self.rules.absence_needs_quorum:
             return bool(replied)
         return operation.at.has_read_quorum(replied)
 
     def _check_copies(self, operation: Operation) -> None:
-        """Every member that has acknowledged, and has not lost its disk since, has the turn on it."""
+        """Check that every member that has acknowledged a turn has it on disk, unless that was lost."""
         for store in self.stores.values():
-            told = store.replica_id in operation.replied
-            if told and not any(record.turn.id == operation.turn for record in store.synced):
-                raise Broken(f"{store.replica_id} has acknowledged {operation.turn} and has it not on disk")
+            has_acknowledged = store.replica_id in operation.replied
+            if has_acknowledged and not any(record.turn.id == operation.turn for record in store.synced):
+                raise InvariantViolationError(
+                    f"{store.replica_id} has acknowledged {operation.turn} and has it not on disk"
+                )
 
     # Repair
 
     def _follow(self) -> None:
         self.follow(self._any_store())
 
-    def follow(self, store: Store) -> None:
-        """A store does the next step that the newest placement it knows asks of it."""
+    def follow(self, store: SimulatedStore) -> None:
+        """A store does the next step that the newest placement it has_change asks of it."""
         placement = store.placement
-        named = any(member.replica_id == store.replica_id for member in placement.next)
-        if not named or store.complete_epoch >= placement.epoch:
+        is_member = any(member.replica_id == store.replica_id for member in placement.next)
+        if not is_member or store.complete_epoch >= placement.epoch:
             return
         if store.fence < placement.epoch:
             self._fence(store, placement.epoch)
@@ -244,14 +253,14 @@
             store.sync()
             store.complete_epoch = placement.epoch
 
-    def _fence(self, store: Store, epoch: int) -> None:
+    def _fence(self, store: SimulatedStore, epoch: int) -> None:
         store.fence = epoch
         if self.rules.fence_is_durable:
             store.sync()
             store.synced_fence = epoch
 
-    def _copy(self, store: Store, source: StorageMember, placement: Placement) -> bool:
-        """All that a source holds for this store; the source fences older epochs before it answers."""
+    def _copy(self, store: SimulatedStore, source: StorageMember, placement: Placement) -> bool:
+        """Copy all that a source has for this store; the source fences older epochs before it answers."""
         other = self.stores.get(source.address)
         if other is None or other.replica_id != source.replica_id or placement.epoch < other.placement.epoch:
             return False
@@ -272,25 +281,27 @@
     def _report(self) -> None:
         self.report(self._any_store())
 
-    def report(self, store: Store) -> None:
-        """The leader hears from a store; what it heard of another replica at its address is gone."""
+    def report(self, store: SimulatedStore) -> None:
+        """Let the leader receive a report, which supersedes that of another replica at the address."""
         for replica_id in [i for i, r in self.reports.items() if r.member.address == store.name]:
             del self.reports[replica_id]
         self.reports[store.replica_id] = StorageReport(store.member(), store.complete_epoch, 0.1)
 
-    def _grow_old(self) -> None:
-        """Some reports are not repeated for long."""
+    def _age_reports(self) -> None:
+        """Let some reports become old."""
         for replica_id, report in list(self.reports.items()):
             if self.random.random() < 0.3:
-                self.reports[replica_id] = StorageReport(report.member, report.complete_epoch, OLD_REPORT)
+                self.reports[replica_id] = StorageReport(
+                    report.member, report.complete_epoch, OLD_REPORT_SECONDS
+                )
 
     def _decide(self) -> None:
         self.decide()
 
     def decide(self) -> None:
-        """The leader changes the placement, if there is something to change."""
+        """Let the leader change the placement, if there is something to change."""
         reported = self.reports
-        if not self.rules.change_needs_whole and self.placement.next:
+        if not self.rules.change_needs_complete_members and self.placement.next:
             reported = {
                 i: StorageReport(r.member, max(r.complete_epoch, self.placement.epoch), r.age)
                 for i, r in reported.items()
@@ -312,79 +323,83 @@
     def _crash(self) -> None:
         self.crash(self._any_store())
 
-    def crash(self, store: Store) -> None:
-        """Power is lost and comes back: what was not synced is gone."""
-        fresh = Store(store.name, store.replica_id, synced=store.synced, complete_epoch=store.complete_epoch)
+    def crash(self, store: SimulatedStore) -> None:
+        """Let a store lose power and come back without what was not synced."""
+        fresh = SimulatedStore(
+            store.name, store.replica_id, synced=store.synced, complete_epoch=store.complete_epoch
+        )
         fresh.fence = fresh.synced_fence = store.synced_fence
         for record in fresh.synced:
             fresh.table.apply(record, 0.0)
         self.stores[store.name] = fresh
 
     def _wipe(self) -> None:
-        """A disk is lost, where the losses before it have been made good, or all copies for it are made."""
-        if not self._may_lose():
+        """Let a store lose its disk, where those lost before have been replaced."""
+        if not self._may_lose_disk():
             return
         store = self._any_store()
         number = int(store.replica_id.partition("-")[2]) + 1
-        self.stores[store.name] = Store(store.name, f"{store.name}-{number}")
+        self.stores[store.name] = SimulatedStore(store.name, f"{store.name}-{number}")
         self.losses_seen += 1
 
-    def _may_lose(self) -> bool:
+    def _may_lose_disk(self) -> bool:
         wiped = [store for store in self.stores.values() if not store.replica_id.endswith("-1")]
-        return sum(not self._is_made_good(store) for store in wiped) < self.rules.losses
+        return sum(not self._is_replaced(store) for store in wiped) < self.rules.losses
 
-    def _is_made_good(self, store: Store) -> bool:
-        """Whether a store that came with an empty disk is a member of a set whose copies are complete."""
+    def _is_replaced(self, store: SimulatedStore) -> bool:
+        """Tell whether a store with a new disk is a member of a set whose copies are complete."""
         placement = self.placement
         if not placement.next:
             return any(m.replica_id == store.replica_id and not m.lost for m in placement.current)
-        whole = all(
+        is_complete = all(
             self._is_present(m) and self.stores[m.address].complete_epoch >= placement.epoch
             for m in placement.next
         )
-        return whole and any(m.replica_id == store.replica_id for m in placement.next)
+        return is_complete and any(m.replica_id == store.replica_id for m in placement.next)
 
     def _add(self) -> None:
-        """A machine is added."""
+        """Add a machine."""
         if self.spares and not self.placement.next:
             name = self.spares.pop()
-            self.stores[name] = Store(name, f"{name}-1")
+            self.stores[name] = SimulatedStore(name, f"{name}-1")
 
     def _retire(self) -> None:
-        """An operator has a machine emptied."""
+        """Let an operator retire a machine."""
         store = self._any_store()
         StartRetirement(store.name, 2 * self.rules.losses + 1).apply(self.state)
 
     def _complete(self) -> None:
-        """The leader tells the operator that a machine is empty."""
+        """Let the leader mark drained machines as retired."""
         complete_retirements(self.state, ())
 
-    def _take_away(self) -> None:
-        """A machine that was emptied goes, sooner or later."""
-        emptied = [r.node for r in self.state.retirements if r.completed and r.node in self.stores]
-        if emptied:
-            del self.stores[emptied[0]]
-            self.reports = {i: r for i, r in self.reports.items() if r.member.address != emptied[0]}
+    def _decommission(self) -> None:
+        """Remove a machine that was drained."""
+        drained = [r.node for r in self.state.retirements if r.completed and r.node in self.stores]
+        if drained:
+            del self.stores[drained[0]]
+            self.reports = {i: r for i, r in self.reports.items() if r.member.address != drained[0]}
 
-    # Rest
+    # Recovery
 
-    def check_rest(self) -> None:
-        """Nothing goes wrong any more: every store is a whole member, and every turn is there."""
+    def check_recovery(self) -> None:
+        """Check that, without further faults, every store becomes a complete member and no turn is lost."""
         for _ in range(400):
-            for verb in ("report", "decide", "learn", "follow", "follow", "ask", "complete", "take_away"):
+            for verb in ("report", "decide", "learn", "follow", "follow", "ask", "complete", "decommission"):
                 getattr(self, f"_{verb}")()
         placement = self.placement
         members = {member.replica_id for member in placement.current if not member.lost}
         if placement.next or members != {store.replica_id for store in self.stores.values()}:
-            raise Broken("the placement has not come to rest although nothing goes wrong")
+            raise InvariantViolationError("the placement has not come to rest although nothing goes wrong")
         for turn in self.acknowledged:
-            holding = [
+            copies = [
                 m
                 for m in place_key(turn, placement, self.rules.losses).members
                 if any(r.turn.id == turn for r in self.stores[m.address].synced)
             ]
-            if len(holding) < self.rules.losses + 1:
-                raise Broken(f"turn {turn} was acknowledged and is on {len(holding)} disks that count")
+            if len(copies) < self.rules.losses + 1:
+                raise InvariantViolationError(
+                    f"turn {turn} was acknowledged and is on {len(copies)} disks that count"
+                )
 
 
 STEPS = {
@@ -395,33 +410,36 @@
     "follow": 14,
     "report": 10,
     "decide": 6,
-    "grow_old": 0.5,
+    "age_reports": 0.5,
     "crash": 1.5,
     "wipe": 1.5,
     "add": 0.4,
     "retire": 1.0,
     "complete": 2,
-    "take_away": 0.6,
+    "decommission": 0.6,
 }
 
 
-def walk(rules: StorageRules, seed: int) -> Found:
-    """One random way, and rest behind it."""
-    found = Found()
+def random_walk(rules: StorageRules, seed: int) -> SearchResult:
+    """Take one random walk, and check the recovery behind it."""
+    result = SearchResult()
     model = StorageModel(rules, Random(seed))
     try:
         for verb in _steps(model):
-            found.states += 1
-            found.steps[verb] += 1
-        model.check_rest()
-    except Broken as broken:
-        found.broken, found.way = str(broken), [f"storage walk, seed {seed}, losses {rules.losses}"]
-    found.reached["disks lost"] += model.losses_seen
-    found.reached["turns acknowledged"] += len(model.acknowledged)
-    found.reached["placements"] += len(model.placements)
-    return found
+            result.states += 1
+            result.steps[verb] += 1
+        model.check_recovery()
+    except InvariantViolationError as violation:
+        result.violation, result.trace = (
+            str(violation),
+            [f"storage walk, seed {seed}, losses {rules.losses}"],
+        )
+    result.reached["disks lost"] += model.losses_seen
+    result.reached["turns acknowledged"] += len(model.acknowledged)
+    result.reached["placements"] += len(model.placements)
+    return result
 
 
 def _steps(model: StorageModel) -> Iterator[str]:
-    for _ in range(LENGTH):
+    for _ in range(WALK_LENGTH):
         yield model.step()
--- a/wheatring/lab/control/trace.py
+++ b/wheatring/lab/model_checker/trace.py
@@ -1,7 +1,7 @@
-"""Ways through the states as text: one action a line, which the tests and the command play again.
+"""Traces through the states as text: one action a line, which the tests and the command replay.
 
-A line may hold a comment behind `#`, and `-> broken` as the last line says that the way has to end in a
-broken invariant.
+A line may have a comment behind `#`, and `-> broken` as the last line says that the trace has to end in a
+violated invariant.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from wheatring.lab.control.invariants import Broken
-from wheatring.lab.control.model import Model, Rules
+from wheatring.lab.model_checker.consensus_model import Model, Rules
+from wheatring.lab.model_checker.exceptions import InvariantViolationError
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """Actions, and whether an invariant is to break."""
+    """Actions, and whether an invariant is to be violated by them."""
 
     actions: tuple[str, ...]
     breaks: bool = False
 
 
 def parse(text: str) -> Trace:
-    """Read a trace."""
+    """Read a trace from its text."""
     actions = []
     breaks = False
     for line in text.splitlines():
@@ -35,30 +35,35 @@
 
 
 def play(actions: Sequence[str], rules: Rules) -> tuple[Model, str]:
-    """Take the steps that are possible. Returns the last state, and what has broken ("" for nothing)."""
+    """Take the steps that are possible.
+
+    Returns
+    -------
+    The last state, and the invariant that is violated, "" for none.
+    """
     model = Model(rules)
     for action in actions:
         try:
             model.apply(action)
-        except Broken as broken:
-            return model, str(broken)
+        except InvariantViolationError as violation:
+            return model, str(violation)
     return model, ""
 
 
 def minimize(actions: Sequence[str], rules: Rules) -> list[str]:
-    """Leave out actions, many at a time at first, for as long as something still breaks."""
+    """Remove actions, many at a time at first, for as long as an invariant is still violated."""
     shortest = list(actions)
     size = max(1, len(shortest) // 2)
     while True:
         before = len(shortest)
-        shortest = _without_pieces(shortest, size, rules)
+        shortest = _without_chunks(shortest, size, rules)
         if size == 1 and len(shortest) == before:
             return shortest
         size = max(1, size // 2)
 
 
-def _without_pieces(actions: list[str], size: int, rules: Rules) -> list[str]:
-    """Leave out each piece of so many actions that nothing needs to break."""
+def _without_chunks(actions: list[str], size: int, rules: Rules) -> list[str]:
+    """Remove each chunk of `size` actions that the violation does not need."""
     start = 0
     while start < len(actions):
         fewer = actions[:start] + actions[start + size :]
