--- a/tests/storage/test_repair.py
+++ b/tests/storage/test_repair.py
@@ -11,7 +11,8 @@
 import pytest
 
 from tests.tier.virtual_loop import VirtualLoop
-from wheatring.storage.repair import FETCH_TIMEOUT_SECONDS, Repair
+from wheatring.storage.copier import FETCH_TIMEOUT_SECONDS
+from wheatring.storage.repair import Repair
 from wheatring.storage.replica import Replica
 from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
--- a/tests/tier/test_placement.py
+++ b/tests/tier/test_placement.py
@@ -10,7 +10,7 @@
 
 from wheatring.controller.storage_membership import StorageReport, complete_retirements, next_placement
 from wheatring.placement.key_placement import place_key, quorum_sizes, replicas_for
-from wheatring.storage.repair import can_skip_copy, copy_sources_required
+from wheatring.storage.copy_rules import can_skip_copy, copy_sources_required
 from wheatring.transport.messages_pb2 import ControlState, Placement, StorageMember
 
 
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -24,8 +24,9 @@
 from wheatring.controller.api import OperatorApi
 from wheatring.controller.node import Controller
 from wheatring.sidecar.process import SidecarProcess
+from wheatring.storage.exceptions import QuorumNotReachedError
 from wheatring.storage.process import StorageProcess
-from wheatring.storage.quorum_client import QuorumClient, QuorumNotReachedError
+from wheatring.storage.quorum_client import QuorumClient
 from wheatring.subscription.client import Subscription
 from wheatring.transport.client import ClientTable
 from wheatring.transport.messages_pb2 import ROLE_SIDECAR, EndpointList, OperatorRequest, Presence, Turn
--- a/wheatring/budgets/token_budgets.py
+++ b/wheatring/budgets/token_budgets.py
@@ -11,7 +11,8 @@
 import asyncio
 
 from wheatring.event_log import log_event
-from wheatring.storage.quorum_client import QuorumClient, QuorumNotReachedError
+from wheatring.storage.exceptions import QuorumNotReachedError
+from wheatring.storage.quorum_client import QuorumClient
 from wheatring.transport.messages_pb2 import BudgetEntry, StorageRecord
 
 SETTLE_TIMEOUT_SECONDS = 5.0  # for which settling is tried
--- a/wheatring/lab/model_checker/storage_model.py
+++ b/wheatring/lab/model_checker/storage_model.py
@@ -17,8 +17,8 @@
 from wheatring.lab.model_checker.exceptions import InvariantViolationError
 from wheatring.lab.model_checker.search import SearchResult
 from wheatring.placement.key_placement import KeyPlacement, place_key, quorum_sizes, replicas_for
+from wheatring.storage.copy_rules import can_skip_copy, copy_sources_required
 from wheatring.storage.record_table import RecordTable
-from wheatring.storage.repair import can_skip_copy, copy_sources_required
 from wheatring.transport.messages_pb2 import (
     ControlState,
     Placement,
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -19,7 +19,8 @@
 
 from wheatring.boot_settings.settings import Settings, read_settings
 from wheatring.budgets.token_budgets import BudgetExceededError, TokenBudgets
-from wheatring.storage.quorum_client import QuorumClient, QuorumNotReachedError
+from wheatring.storage.exceptions import QuorumNotReachedError
+from wheatring.storage.quorum_client import QuorumClient
 from wheatring.subscription.client import Subscription
 from wheatring.transport.client import ClientTable
 from wheatring.transport.connection import TRAFFIC
--- a/wheatring/sidecar/request_service.py
+++ b/wheatring/sidecar/request_service.py
@@ -21,7 +21,7 @@
 from wheatring.sidecar.prefix_placement import PromptSegment
 from wheatring.sidecar.route_table import RouteTable
 from wheatring.sidecar.service_balancer import ServiceBalancer
-from wheatring.storage.quorum_client import QuorumNotReachedError
+from wheatring.storage.exceptions import QuorumNotReachedError
 from wheatring.transport.messages_pb2 import Turn
 from wheatring.turns.conversations import Conversations, TurnNotFoundError, build_prompt_body
 
--- a/wheatring/storage/quorum_client.py
+++ b/wheatring/storage/quorum_client.py
@@ -1,70 +1,41 @@
 """Reads and writes records by quorum, from a sidecar.
 
-The nearest members that are enough are asked first; others follow where those take long or fail. Every record
-may be written again without harm, so an exchange simply starts anew under a newer placement.
+Every record may be written again without harm, so an exchange simply starts anew under a newer placement.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass, field
+from collections.abc import Callable, Sequence
 from typing import Any
 
 from wheatring.placement.key_placement import KeyPlacement, place_key
+from wheatring.storage.exceptions import QuorumNotReachedError
+from wheatring.storage.quorum_exchange import (
+    ExchangeRequest,
+    QuorumExchange,
+    Replies,
+    is_read,
+    is_read_and_written,
+    is_written,
+)
+from wheatring.storage.record_table import budget_entry_rank
+from wheatring.storage.suspects import SuspectedMembers
 from wheatring.transport.client import ClientTable
-from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import (
-    STORAGE_STATUS_DONE,
-    STORAGE_STATUS_STALE_EPOCH,
     BudgetEntry,
     Envelope,
     Placement,
-    StorageMember,
     StorageRecord,
-    StorageReply,
     StorageRequest,
     Turn,
 )
 
-HEDGE_DELAY_SECONDS = 0.03  # without enough replies, before further members are asked
-CALL_TIMEOUT_SECONDS = 1.0  # for one member to reply
 RETRY_DELAY_SECONDS = 0.05
-SUSPECT_SECONDS = 2.0  # for which a member that did not answer is asked last
-
-
-class QuorumNotReachedError(Exception):
-    """No quorum could be reached in time: nothing is known of the record."""
-
-
-@dataclass(slots=True)
-class Replies:
-    """What has come under one placement."""
-
-    by_replica: dict[str, StorageReply] = field(default_factory=dict)
-
-    @property
-    def acknowledged(self) -> set[str]:
-        return set(self.by_replica)
-
-
-Enough = Callable[[KeyPlacement, Replies], bool]
-
-
-def _written(key_placement: KeyPlacement, replies: Replies) -> bool:
-    return key_placement.has_write_quorum(replies.acknowledged)
-
-
-def _read(key_placement: KeyPlacement, replies: Replies) -> bool:
-    return key_placement.has_read_quorum(replies.acknowledged)
-
-
-def _read_and_written(key_placement: KeyPlacement, replies: Replies) -> bool:
-    return _read(key_placement, replies) and _written(key_placement, replies)
 
 
 class QuorumClient:
-    """The storage members as one store."""
+    """The storage members as one store. Time-outs are seconds."""
 
     def __init__(
         self,
@@ -74,55 +45,88 @@
         placement: Callable[[], Placement],
         adopt: Callable[[Placement], None],
     ) -> None:
-        """`placement` gives the newest one that is known here, `adopt` takes a newer one that a member
-        told.
+        """Prepare a client.
+
+        Parameters
+        ----------
+        clients
+            The connections to storage members.
+        losses
+            How many disks may be lost at one time.
+        zone
+            Where the caller is; members of this zone are called first.
+        placement
+            Returns the newest placement that the caller knows.
+        adopt
+            Takes a newer placement that a member replied with.
         """
         self._clients = clients
         self._losses = losses
-        self._zone = zone
         self._placement = placement
         self._adopt = adopt
-        self._suspects: dict[str, float] = {}
-        self._background: set[asyncio.Task[Any]] = set()
-
-    # What can be asked for
+        self._suspects = SuspectedMembers(zone)
+        self._background_tasks: set[asyncio.Task[Any]] = set()
 
     async def write(self, key: str, records: Sequence[StorageRecord], timeout_seconds: float) -> None:
-        """Have records on enough disks. Raises QuorumNotReachedError."""
-        request = StorageRequest(records=records)
-        await self._exchange(key, request, _written, timeout_seconds)
+        """Have records on enough disks. Raises QuorumNotReachedError: they may be on some."""
+        body = StorageRequest(records=records)
+        await self._exchange(ExchangeRequest(key, body, is_written, _deadline(timeout_seconds)))
 
     async def write_budget(self, entry: BudgetEntry, timeout_seconds: float) -> list[BudgetEntry]:
-        """Have an entry on enough disks; returns all entries of its program. Raises QuorumNotReachedError."""
-        request = StorageRequest(records=[StorageRecord(budget=entry)], program=entry.program)
-        replies = await self._exchange(entry.program, request, _read_and_written, timeout_seconds)
-        return _merged([e for reply in replies.by_replica.values() for e in reply.budget])
+        """Have an entry on enough disks; return all entries of its program.
+
+        Raises QuorumNotReachedError: the entry may count all the same.
+        """
+        body = StorageRequest(records=[StorageRecord(budget=entry)], program=entry.program)
+        request = ExchangeRequest(entry.program, body, is_read_and_written, _deadline(timeout_seconds))
+        replies = await self._exchange(request)
+        return _merge([e for reply in replies.by_replica.values() for e in reply.budget])
 
     async def read_conversation(
         self, turn_id: str, known_turn_ids: Sequence[str], timeout_seconds: float
     ) -> list[Turn] | None:
-        """A turn with those of its ancestors that its replicas hold; None where there certainly is no such
-        turn.
-
-        Raises QuorumNotReachedError.
+        """Return a turn with those of its ancestors that its replicas hold.
+
+        Parameters
+        ----------
+        turn_id
+            The turn.
+        known_turn_ids
+            Ancestors that need not be sent.
+        timeout_seconds
+            For all of it.
+
+        Returns
+        -------
+        list of Turn or None
+            None where there certainly is no such turn: a read quorum has said so.
+
+        Raises
+        ------
+        QuorumNotReachedError
+            Whether there is such a turn is unknown.
         """
-        request = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known_turn_ids=known_turn_ids)
+        body = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known_turn_ids=known_turn_ids)
 
-        def found(replies: Replies) -> list[Turn]:
+        def find_turns(replies: Replies) -> list[Turn]:
             for reply in replies.by_replica.values():
                 if any(turn.id == turn_id for turn in reply.turns):
                     return list(reply.turns)
             return []
 
-        def enough(key_placement: KeyPlacement, replies: Replies) -> bool:
-            return bool(found(replies)) or _read(key_placement, replies)
+        def is_complete(key_placement: KeyPlacement, replies: Replies) -> bool:
+            # A turn never changes, so one reply that has it is enough.
+            return bool(find_turns(replies)) or is_read(key_placement, replies)
 
-        replies = await self._exchange(turn_id, request, enough, timeout_seconds, first=1)
-        return found(replies) or None
+        request = ExchangeRequest(turn_id, body, is_complete, _deadline(timeout_seconds), fanout=1)
+        replies = await self._exchange(request)
+        return find_turns(replies) or None
 
     def extend_retention(self, turn_ids: Sequence[str], retention_seconds: float) -> None:
-        """Have turns kept for longer on all members, without waiting for it. Only where members hold
-        different turns: else the members that hold the newest turn hold its ancestors too.
+        """Have turns kept for longer on all members, without waiting for it.
+
+        Only where members hold different turns: else the members that hold the newest turn hold its ancestors
+        too, and extend them by themselves.
         """
         placement = self._placement()
         if len(placement.current) <= 2 * self._losses + 1:
@@ -138,130 +142,47 @@
             )
             self._clients.client_for(member.address).send(Envelope(storage_request=request))
 
-    def run_in_background(self, work: asyncio.Task[Any]) -> None:
-        """Keep a task until it has ended."""
-        self._background.add(work)
-        work.add_done_callback(self._background.discard)
+    def run_in_background(self, task: asyncio.Task[Any]) -> None:
+        """Hold a task until it has ended."""
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
-    # How
-
-    async def _exchange(
-        self, key: str, request: StorageRequest, enough: Enough, seconds: float, first: int = 0
-    ) -> Replies:
-        """Ask members until enough have replied under one placement."""
+    async def _exchange(self, request: ExchangeRequest) -> Replies:
+        """Call members until enough have replied under one placement. Raises QuorumNotReachedError."""
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + seconds
         while True:
             placement = self._placement()
             if placement.epoch:
-                replies = await self._under(placement, key, request, enough, deadline, first)
+                replies = await self._exchange_under(placement, request)
                 if replies is not None:
                     return replies
-            if loop.time() + RETRY_DELAY_SECONDS >= deadline:
-                raise QuorumNotReachedError(f"no quorum of storage members for {key}")
+            if loop.time() + RETRY_DELAY_SECONDS >= request.deadline:
+                raise QuorumNotReachedError(request.key)
             await asyncio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _under(
-        self,
-        placement: Placement,
-        key: str,
-        request: StorageRequest,
-        enough: Enough,
-        deadline: float,
-        first: int,
-    ) -> Replies | None:
-        """The same under one placement; None where it has become stale or the members asked were not
-        enough.
-        """
-        loop = asyncio.get_running_loop()
-        key_placement = place_key(key, placement, self._losses)
-        order = self._ordered(key_placement.members, loop.time())
-        replies = Replies()
-        running: dict[asyncio.Task[StorageReply | None], StorageMember] = {}
-        wanted = first or self._least(key_placement, order, enough)
+    async def _exchange_under(self, placement: Placement, request: ExchangeRequest) -> Replies | None:
+        key_placement = place_key(request.key, placement, self._losses)
+        exchange = QuorumExchange(request, placement, key_placement, self._clients, self._suspects)
         try:
-            while True:
-                while order and len(running) + len(replies.by_replica) < wanted:
-                    member = order.pop(0)
-                    running[loop.create_task(self._ask(member, placement, request, deadline))] = member
-                left = deadline - loop.time()
-                if not running or left <= 0:
-                    return None
-                pause = min(left, HEDGE_DELAY_SECONDS) if order else left
-                done, _ = await asyncio.wait(running, timeout=pause, return_when=asyncio.FIRST_COMPLETED)
-                if not done:
-                    wanted += 1
-                    self._suspect(running.values(), loop.time())
-                for task in done:
-                    member = running.pop(task)
-                    reply = task.result()
-                    if reply is not None and reply.status == STORAGE_STATUS_STALE_EPOCH:
-                        self._adopt(reply.placement)
-                        return None
-                    if reply is not None and reply.status == STORAGE_STATUS_DONE:
-                        replies.by_replica[member.replica_id] = reply
-                        self._suspects.pop(member.replica_id, None)
-                    else:
-                        wanted = max(wanted, len(running) + len(replies.by_replica) + 1)
-                        self._suspect([member], loop.time())
-                if enough(key_placement, replies):
-                    return replies
-                if not running and len(replies.by_replica) >= wanted:
-                    wanted += 1
-                    if not order:
-                        return None
+            replies = await exchange.run()
+            if exchange.newer_placement is not None:
+                self._adopt(exchange.newer_placement)
+            return replies
         finally:
-            self._let_run_out(running)
-
-    def _let_run_out(self, running: dict[asyncio.Task[StorageReply | None], StorageMember]) -> None:
-        """What is under way to other members goes on: each copy more is one that need not be repaired."""
-        for task in running:
-            self.run_in_background(task)
-
-    def _ordered(self, members: Sequence[StorageMember], now: float) -> list[StorageMember]:
-        """Members that have answered lately first, and of these the ones in this zone."""
-
-        def rank(member: StorageMember) -> tuple[bool, bool]:
-            return self._suspects.get(member.replica_id, 0.0) > now, member.zone != self._zone
+            # Calls to other members go on: each further copy is one that need not be repaired.
+            for task in exchange.running:
+                self.run_in_background(task)
 
-        return sorted(members, key=rank)
 
-    def _least(self, key_placement: KeyPlacement, order: Sequence[StorageMember], enough: Enough) -> int:
-        """How many members, in this order, could be enough."""
-        hoped = Replies()
-        for number, member in enumerate(order, 1):
-            hoped.by_replica[member.replica_id] = StorageReply()
-            if enough(key_placement, hoped):
-                return number
-        return len(order)
-
-    def _suspect(self, members: Iterable[StorageMember], now: float) -> None:
-        for member in members:
-            self._suspects[member.replica_id] = now + SUSPECT_SECONDS
-
-    async def _ask(
-        self, member: StorageMember, placement: Placement, request: StorageRequest, deadline: float
-    ) -> StorageReply | None:
-        """One member's reply, None where none came."""
-        mine = StorageRequest()
-        mine.CopyFrom(request)
-        mine.replica_id = member.replica_id
-        mine.epoch = placement.epoch
-        seconds = min(CALL_TIMEOUT_SECONDS, deadline - asyncio.get_running_loop().time())
-        try:
-            envelope = await self._clients.client_for(member.address).call(
-                Envelope(storage_request=mine), seconds
-            )
-        except PeerUnreachableError:
-            return None
-        return envelope.storage_reply
+def _deadline(timeout_seconds: float) -> float:
+    return asyncio.get_running_loop().time() + timeout_seconds
 
 
-def _merged(entries: Sequence[BudgetEntry]) -> list[BudgetEntry]:
-    """One entry for each turn: a settled one before a reserved one, then the larger one."""
-    best: dict[str, BudgetEntry] = {}
+def _merge(entries: Sequence[BudgetEntry]) -> list[BudgetEntry]:
+    """Return one entry for each turn, the one that counts."""
+    counting: dict[str, BudgetEntry] = {}
     for entry in entries:
-        known = best.get(entry.turn)
-        if known is None or (known.settled, known.tokens) < (entry.settled, entry.tokens):
-            best[entry.turn] = entry
-    return list(best.values())
+        known = counting.get(entry.turn)
+        if known is None or budget_entry_rank(known) < budget_entry_rank(entry):
+            counting[entry.turn] = entry
+    return list(counting.values())
--- a/wheatring/storage/record_table.py
+++ b/wheatring/storage/record_table.py
@@ -1,7 +1,7 @@
 """What one storage replica holds, in memory: turns by their id, budget entries by program.
 
 Turns never change. Of the entries for one turn of a program a settled one replaces a reserved one, and of two
-equal kinds the larger counts. Times are seconds on a steady clock; a replica that has restarted keeps
+equal kinds the larger counts. Times are seconds on a monotonic clock; a replica that has restarted keeps
 everything for its full time again, because it cannot know how long it was down.
 """
 
@@ -9,155 +9,186 @@
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from typing import Literal, NamedTuple
 
 from wheatring.transport.messages_pb2 import BudgetEntry, StorageRecord, Turn
 
-RETENTION_MARGIN_SECONDS = 10.0  # seconds beyond the retention that the route tells
+RETENTION_MARGIN_SECONDS = 10.0  # beyond the retention that the route states
 BUDGET_RETENTION_SECONDS = 600.0  # after the last entry of a program
 
-RecordKey = tuple[str, str, str]  # kind, turn id or program, turn of the program
+
+class RecordKey(NamedTuple):
+    """What identifies a record. All records of one placement key are held by the same members."""
+
+    kind: Literal["turn", "budget"]
+    placement_key: str  # the turn's id, or the program
+    turn: str  # of a budget entry: which turn of the program; else empty
 
 
 @dataclass(slots=True)
 class StoredRecord:
-    """One record, its place in the order of changes and when it may go."""
+    """One record, its position in the order of changes and when it expires."""
 
     sequence: int
     payload: bytes
     expires_at: float
 
 
+@dataclass(frozen=True, slots=True)
+class ScanPage:
+    """Some of the records that have changed since a position."""
+
+    payloads: list[bytes]
+    position: int  # where the next page begins
+    is_last: bool
+
+
 def key_of(record: StorageRecord) -> RecordKey | None:
-    """What identifies a record; None for those that speak of the replica itself."""
+    """Return what identifies a record; None for those that describe the replica itself."""
     kind = record.WhichOneof("kind")
     if kind == "turn":
-        return "turn", record.turn.id, ""
+        return _turn_key(record.turn.id)
     if kind == "budget":
-        return "budget", record.budget.program, record.budget.turn
+        return RecordKey("budget", record.budget.program, record.budget.turn)
     return None
 
 
-def placement_key(key: RecordKey) -> str:
-    """The name by which a record is placed on members."""
-    return key[1]
+def budget_entry_rank(entry: BudgetEntry) -> tuple[bool, int]:
+    """Return what decides which of two entries for one turn counts: the greater one does."""
+    return entry.settled, entry.tokens
+
+
+def _turn_key(turn_id: str) -> RecordKey:
+    return RecordKey("turn", turn_id, "")
 
 
 class RecordTable:
     """The records of one replica."""
 
     def __init__(self) -> None:
-        self._held: dict[RecordKey, StoredRecord] = {}
-        self._order: dict[int, RecordKey] = {}
-        self._programs: dict[str, dict[str, BudgetEntry]] = {}
-        self._sequence = 0
+        self._records: dict[RecordKey, StoredRecord] = {}
+        self._keys_by_sequence: dict[int, RecordKey] = {}
+        self._budgets: dict[str, dict[str, BudgetEntry]] = {}  # by program, then by turn
+        self._last_sequence = 0
 
     def __len__(self) -> int:
-        return len(self._held)
+        """Return how many records there are."""
+        return len(self._records)
 
     def apply(self, record: StorageRecord, now: float) -> bool:
-        """Take a record in. Returns whether it has changed anything, and so has to be written."""
+        """Take a record in; return whether it has changed anything, and so has to be written."""
         key = key_of(record)
         if key is None:
             return False
-        if key[0] == "turn":
+        if key.kind == "turn":
             return self._apply_turn(key, record, now)
         return self._apply_budget(key, record, now)
 
     def _apply_turn(self, key: RecordKey, record: StorageRecord, now: float) -> bool:
         turn = record.turn
-        expires = now + turn.retention_ms / 1000 + RETENTION_MARGIN_SECONDS
+        expires_at = now + turn.retention_ms / 1000 + RETENTION_MARGIN_SECONDS
         for ancestor in turn.ancestors:
-            self.extend_expiry(ancestor, expires)
-        if key in self._held:
-            self.extend_expiry(turn.id, expires)
+            self.extend_expiry(ancestor, expires_at)
+        if key in self._records:
+            self.extend_expiry(turn.id, expires_at)
             return False
-        self._hold(key, record, expires)
+        self._store(key, record, expires_at)
         return True
 
     def _apply_budget(self, key: RecordKey, record: StorageRecord, now: float) -> bool:
         entry = record.budget
-        entries = self._programs.setdefault(entry.program, {})
+        entries = self._budgets.setdefault(entry.program, {})
         known = entries.get(entry.turn)
-        if known is not None and (known.settled, known.tokens) >= (entry.settled, entry.tokens):
+        if known is not None and budget_entry_rank(known) >= budget_entry_rank(entry):
             return False
         entries[entry.turn] = BudgetEntry(turn=entry.turn, tokens=entry.tokens, settled=entry.settled)
-        self._hold(key, record, now + BUDGET_RETENTION_SECONDS)
+        self._store(key, record, now + BUDGET_RETENTION_SECONDS)
         return True
 
-    def _hold(self, key: RecordKey, record: StorageRecord, expires: float) -> None:
-        known = self._held.pop(key, None)
+    def _store(self, key: RecordKey, record: StorageRecord, expires_at: float) -> None:
+        known = self._records.pop(key, None)
         if known is not None:
-            del self._order[known.sequence]
-        self._sequence += 1
-        self._held[key] = StoredRecord(self._sequence, record.SerializeToString(), expires)
-        self._order[self._sequence] = key
+            del self._keys_by_sequence[known.sequence]
+        self._last_sequence += 1
+        self._records[key] = StoredRecord(self._last_sequence, record.SerializeToString(), expires_at)
+        self._keys_by_sequence[self._last_sequence] = key
 
     def extend_expiry(self, turn_id: str, expires_at: float) -> None:
         """Keep a turn at least until then."""
-        held = self._held.get(("turn", turn_id, ""))
-        if held is not None:
-            held.expires_at = max(held.expires_at, expires_at)
+        stored = self._records.get(_turn_key(turn_id))
+        if stored is not None:
+            stored.expires_at = max(stored.expires_at, expires_at)
 
     def has_turn(self, turn_id: str) -> bool:
-        """Whether a turn is here."""
-        return ("turn", turn_id, "") in self._held
+        """Whether a turn is in the table."""
+        return _turn_key(turn_id) in self._records
 
     def renew_turn(self, turn_id: str, now: float) -> bool:
-        """Keep a turn and its ancestors for their full time from now on. Returns whether it is here."""
-        key = ("turn", turn_id, "")
-        held = self._held.get(key)
-        if held is None:
+        """Keep a turn and its ancestors for their full time from now on; return whether it is here."""
+        key = _turn_key(turn_id)
+        stored = self._records.get(key)
+        if stored is None:
             return False
-        self._apply_turn(key, StorageRecord.FromString(held.payload), now)
+        self._apply_turn(key, StorageRecord.FromString(stored.payload), now)
         return True
 
     def turn(self, turn_id: str) -> Turn | None:
-        """A turn by its id."""
-        held = self._held.get(("turn", turn_id, ""))
-        if held is None:
+        """Return a turn by its id; None where it is not in the table."""
+        stored = self._records.get(_turn_key(turn_id))
+        if stored is None:
             return None
-        return StorageRecord.FromString(held.payload).turn
+        return StorageRecord.FromString(stored.payload).turn
 
     def budget_entries(self, program: str) -> list[BudgetEntry]:
-        """All entries of a program, which they do not name again: every turn is sent this list."""
-        return list(self._programs.get(program, {}).values())
+        """Return all entries of a program.
+
+        They do not repeat the program's name, because the list is sent to each turn of it.
+        """
+        return list(self._budgets.get(program, {}).values())
 
     def expire(self, now: float) -> int:
-        """Drop what may go; returns how many records went."""
-        gone = [key for key, held in self._held.items() if held.expires_at <= now]
-        for key in gone:
-            held = self._held.pop(key)
-            del self._order[held.sequence]
-            if key[0] == "budget":
-                entries = self._programs[key[1]]
-                entries.pop(key[2], None)
+        """Drop the records whose time is over; return how many there were."""
+        expired = [key for key, stored in self._records.items() if stored.expires_at <= now]
+        for key in expired:
+            stored = self._records.pop(key)
+            del self._keys_by_sequence[stored.sequence]
+            if key.kind == "budget":
+                entries = self._budgets[key.placement_key]
+                entries.pop(key.turn, None)
                 if not entries:
-                    del self._programs[key[1]]
-        return len(gone)
+                    del self._budgets[key.placement_key]
+        return len(expired)
 
     def payloads(self) -> list[bytes]:
-        """All records, serialized, oldest first."""
-        return [self._held[key].payload for key in self._order.values()]
-
-    def scan(
-        self, after: int, limit_bytes: int, wanted: Callable[[RecordKey], bool]
-    ) -> tuple[list[bytes], int, bool]:
-        """Records changed after a place in the order: the records, the place reached, whether that was
-        all.
+        """Return all records, serialized, in the order of their last change."""
+        return [self._records[key].payload for key in self._keys_by_sequence.values()]
+
+    def scan(self, after: int, limit_bytes: int, is_wanted: Callable[[RecordKey], bool]) -> ScanPage:
+        """Return a page of the wanted records that have changed after a position.
+
+        Parameters
+        ----------
+        after
+            The position that the page before has reached; 0 for the first one.
+        limit_bytes
+            The page ends with the record that reaches this size.
+        is_wanted
+            Says by its key whether a record is part of the scan.
         """
-        found: list[bytes] = []
-        size = 0
+        payloads: list[bytes] = []
+        size_bytes = 0
         position = after
-        for sequence, key in self._from(after):
+        for sequence, key in self._changes_after(after):
             position = sequence
-            if not wanted(key):
+            if not is_wanted(key):
                 continue
-            payload = self._held[key].payload
-            found.append(payload)
-            size += len(payload)
-            if size >= limit_bytes:
-                return found, position, False
-        return found, max(position, self._sequence), True
-
-    def _from(self, after: int) -> Iterator[tuple[int, RecordKey]]:
-        return ((sequence, key) for sequence, key in list(self._order.items()) if sequence > after)
+            payload = self._records[key].payload
+            payloads.append(payload)
+            size_bytes += len(payload)
+            if size_bytes >= limit_bytes:
+                return ScanPage(payloads, position, is_last=False)
+        return ScanPage(payloads, max(position, self._last_sequence), is_last=True)
+
+    def _changes_after(self, position: int) -> Iterator[tuple[int, RecordKey]]:
+        changes = list(self._keys_by_sequence.items())
+        return ((sequence, key) for sequence, key in changes if sequence > position)
--- a/wheatring/transport/client.py
+++ b/wheatring/transport/client.py
@@ -14,7 +14,7 @@
 CONNECT_ATTEMPT_SECONDS = (0.1, 0.1, 0.3)
 CONNECT_TIMEOUT_SECONDS = sum(CONNECT_ATTEMPT_SECONDS)
 RECONNECT_DELAY_SECONDS = 0.1  # after a failed connect
-SILENCE_TIMEOUT_SECONDS = 1.2  # a call waiting for so long with no byte received ends the connection
+INACTIVITY_TIMEOUT_SECONDS = 1.2  # a call waiting for so long with no byte received ends the connection
 MAX_UNSENT_ENVELOPES = 16  # kept while there is no connection and no call waits
 
 
@@ -105,7 +105,7 @@
         if reply is not None and not reply.done():
             reply.set_exception(self._unreachable_error("no reply in time"))
         waited = asyncio.get_running_loop().time() - called_at
-        is_silent = waited >= SILENCE_TIMEOUT_SECONDS and self._last_received_at < called_at
+        is_silent = waited >= INACTIVITY_TIMEOUT_SECONDS and self._last_received_at < called_at
         if is_silent and self._connection is not None:
             self._connection.abort()
 
--- a/wheatring/turns/conversations.py
+++ b/wheatring/turns/conversations.py
@@ -5,7 +5,8 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 
-from wheatring.storage.quorum_client import QuorumClient, QuorumNotReachedError
+from wheatring.storage.exceptions import QuorumNotReachedError
+from wheatring.storage.quorum_client import QuorumClient
 from wheatring.transport.messages_pb2 import StorageRecord, Turn
 
 CACHE_BYTES = 24 * 1024 * 1024  # of turns kept in a sidecar
@@ -79,7 +80,7 @@
         try:
             return await self._read(turn_id, seconds)
         except TurnNotFoundError as error:
-            raise QuorumNotReachedError(f"ancestor {turn_id} was not found") from error
+            raise QuorumNotReachedError(turn_id, f"ancestor {turn_id} was not found") from error
 
     async def record(self, turn: Turn, timeout_seconds: float) -> None:
         """Have a turn on enough disks; it may be named as `Previous` from then on.
