--- a/tests/agree/test_agreed_figures.py
+++ b/tests/agree/test_agreed_figures.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from wheatring.commands.fleet import view_shown
-from wheatring.lab.live.agreed import Judge, stood
+from wheatring.lab.live.view_cases import ViewHistory, view_entries
 
 
 def band(**events: list[tuple[float, int, int]]) -> Any:
@@ -24,18 +24,18 @@
 
 def test_views_are_alike_while_all_stand_in_the_same() -> None:
     made = band(a=[(-100, 1, 3), (-6, 2, 2)], b=[(-100, 1, 3), (-4, 2, 2)])
-    judge = Judge(made, time.monotonic() - 10)
+    judge = ViewHistory(made, time.monotonic() - 10)
     assert judge.number == 1
-    assert abs(judge.alike(["a", "b"]) - 0.8) < 0.01
+    assert abs(judge.share_in_one_view(["a", "b"]) - 0.8) < 0.01
     assert [(one.number, one.members) for one in judge.changes(["a", "b"])] == [(2, 2)]
-    assert abs(judge.whole(["a", "b"], 2) - 6) < 0.1
-    assert judge.whole(["a", "b"], 3) < 0  # it has not come, and is waited for
+    assert abs(judge.wait_for_one_view(["a", "b"], 2) - 6) < 0.1
+    assert judge.wait_for_one_view(["a", "b"], 3) < 0  # it has not come, and is waited for
 
 
 def test_a_change_counts_once_however_many_stand_in_it() -> None:
     made = band(a=[(-5, 4, 9), (-3, 5, 8), (-1, 6, 9)], b=[(-2, 5, 8)])
-    assert [one.number for one in Judge(made, time.monotonic() - 4).changes(["a", "b"])] == [5, 6]
-    assert stood(made, "b")[0].inside
+    assert [one.number for one in ViewHistory(made, time.monotonic() - 4).changes(["a", "b"])] == [5, 6]
+    assert view_entries(made, "b")[0].is_inside
 
 
 def test_a_view_is_told_on_one_line() -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,7 @@
 from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
 from wheatring.balancer.balancer import Balancer
-from wheatring.lab.live import band
+from wheatring.lab.live import fleet_rig
 from wheatring.operator_properties import Operators
 
 # No verdict by the machine's speed: what a test costs is told by --durations.
@@ -89,7 +89,7 @@
     """A sidecar of a band needs both halves of a port that it was given one of, so no two bands that are
     played at the same time share addresses.
     """
-    band.NET = 1 + int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
+    fleet_rig.ADDRESS_SUFFIX = 1 + int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
 
 
 class Copy:
--- a/tests/fleet/test_cold_start.py
+++ b/tests/fleet/test_cold_start.py
@@ -14,7 +14,7 @@
 import pytest
 
 from wheatring.__main__ import main
-from wheatring.lab.live.fleet import judged
+from wheatring.lab.live.list_acquisition import judged
 from wheatring.lab.live.play import LiveOutcome
 from wheatring.lab.play import play
 from wheatring.lab.scenario.draw import draw
--- a/tests/lab/test_live_bench.py
+++ b/tests/lab/test_live_bench.py
@@ -25,12 +25,12 @@
 def test_a_watch_of_itself_sees_its_own_work_and_descriptors() -> None:
     watch = Watch(time.monotonic())
     watch.add("me", os.getpid(), time.monotonic())
-    watch.look(time.monotonic())
+    watch.sample(time.monotonic())
     until = time.process_time() + 0.2
     while time.process_time() < until:
         pass
     with open(os.devnull) as _:
-        watch.look(time.monotonic())
+        watch.sample(time.monotonic())
     me = watch.watched["me"]
     before, after = me.looks
     assert after.descriptors == before.descriptors + 1
@@ -42,10 +42,10 @@
     watch = Watch(0.0)
     for at in (1.0, 3.0):
         with Process("upstream", module(f"{run.HERE}.upstream", run.HOST, "1")) as process:
-            process.line("listening ", time.monotonic() + FAR)
+            process.wait_for_line("listening ", time.monotonic() + FAR)
             watch.add("upstream", process.pid, at - 1.0)
-            watch.look(at)
-        watch.look(at + 0.5)
+            watch.sample(at)
+        watch.sample(at + 0.5)
     assert [look.at for look in watch.watched["upstream"].looks] == [1.0, 3.0]
 
 
@@ -94,11 +94,11 @@
         assert sidecar.port() > 0
         sidecar.write({**told, "settings": None})
         sidecar.send(signal.SIGHUP)
-        assert "settings: missing" in sidecar.line("not-reloaded", time.monotonic() + FAR)
+        assert "settings: missing" in sidecar.wait_for_line("not-reloaded", time.monotonic() + FAR)
         sidecar.send(signal.SIGTERM)
         assert sidecar.wait(time.monotonic() + FAR) == 0
         with pytest.raises(ProcessError, match="s1: ended before it said 'reloaded'"):
-            sidecar.line("reloaded", time.monotonic() + FAR)
+            sidecar.wait_for_line("reloaded", time.monotonic() + FAR)
 
 
 def test_the_benchmark_measures_all_by_turns_and_gives_ratios() -> None:
--- a/tests/lab/test_live_load.py
+++ b/tests/lab/test_live_load.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture(scope="module")
 def generator() -> Iterator[Process]:
-    with Process("load", module("wheatring.lab.live.loading")) as process:
+    with Process("load", module("wheatring.lab.live.generator_process")) as process:
         yield process
 
 
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -14,8 +14,8 @@
 
 from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
 from wheatring.core.clock import Clock
-from wheatring.lab.live.band import Band
-from wheatring.lab.live.register import Register
+from wheatring.lab.live.fleet_rig import FleetRig
+from wheatring.lab.live.list_service import ListServiceStub
 from wheatring.lease.messages import Heartbeat
 from wheatring.lifecycle.following import FRESH, SPREAD, Following
 from wheatring.lifecycle.freshness import Freshness
@@ -60,65 +60,65 @@
 
 
 @pytest.fixture
-def service() -> Iterator[Register]:
-    made = Register(PER_S)
+def service() -> Iterator[ListServiceStub]:
+    made = ListServiceStub(PER_S)
     for number in range(4):
-        made.set(f"n{number}", "SERVING", 9)
+        made.set_instance(f"n{number}", "SERVING", 9)
     yield made
     made.end()
 
 
-def watching(band: Band) -> list[str]:
-    return [name for name in band.members if band.seen(name)["lists"]["probe"]["watches"]]
+def watching(band: FleetRig) -> list[str]:
+    return [name for name in band.members if band.status(name)["lists"]["probe"]["watches"]]
 
 
-def generations(band: Band) -> set[int]:
-    return {band.seen(name)["lists"]["probe"]["generation"] for name in band.members}
+def generations(band: FleetRig) -> set[int]:
+    return {band.status(name)["lists"]["probe"]["generation"] for name in band.members}
 
 
 def test_one_watches_and_all_hold_back_what_drains_and_hear_of_the_rest(
-    tmp_path: Path, service: Register
+    tmp_path: Path, service: ListServiceStub
 ) -> None:
     duty = {"work": '"list"', "call": "", "every": ""}
-    with Band(tmp_path, 6, TERM, duty, control=range(6), discovery=service.address) as band:
-        band.begin()
-        band.until(lambda: generations(band) == {service.generation}, "all have the list")
-        band.until(lambda: len(watching(band)) == 1, "one of them watches")
+    with FleetRig(tmp_path, 6, TERM, duty, control=range(6), discovery=service.address) as band:
+        band.start_all()
+        band.wait_until(lambda: generations(band) == {service.generation}, "all have the list")
+        band.wait_until(lambda: len(watching(band)) == 1, "one of them watches")
         calls = service.calls
-        service.set("n1", "DRAINING", 9)
+        service.set_instance("n1", "DRAINING", 9)
 
         def told() -> bool:
-            lists = [band.seen(name)["lists"]["probe"] for name in band.members]
+            lists = [band.status(name)["lists"]["probe"] for name in band.members]
             return all(one["generation"] == service.generation or one["held_back"] == ["n1"] for one in lists)
 
-        band.until(told, "all hold back what drains")
-        band.until(lambda: generations(band) == {service.generation}, "all have asked")
-        band.until(lambda: len(watching(band)) == 1, "and rest again")
+        band.wait_until(told, "all hold back what drains")
+        band.wait_until(lambda: generations(band) == {service.generation}, "all have asked")
+        band.wait_until(lambda: len(watching(band)) == 1, "and rest again")
         assert service.calls - calls <= 2 * len(band.members) + 2
-        assert not [name for name in band.members if band.seen(name)["lists"]["probe"]["held_back"]]
+        assert not [name for name in band.members if band.status(name)["lists"]["probe"]["held_back"]]
 
         # Its holder is stopped: another one watches, and nobody is left with the old list.
         (first,) = watching(band)
-        band.stop(first)
-        service.set("n2", "DRAINING", 9)
+        band.pause(first)
+        service.set_instance("n2", "DRAINING", 9)
         rest = [name for name in band.members if name != first]
         newest = lambda: all(  # noqa: E731
-            band.seen(name)["lists"]["probe"]["generation"] == service.generation for name in rest
+            band.status(name)["lists"]["probe"]["generation"] == service.generation for name in rest
         )
-        band.until(newest, "the others have the new list")
-        band.go_on(first)
-        band.until(lambda: generations(band) == {service.generation}, "and the one that was stopped")
-        band.until(lambda: len(watching(band)) == 1, "one of them watches")
+        band.wait_until(newest, "the others have the new list")
+        band.resume(first)
+        band.wait_until(lambda: generations(band) == {service.generation}, "and the one that was stopped")
+        band.wait_until(lambda: len(watching(band)) == 1, "one of them watches")
 
         # No majority of voters: each watches for itself.
-        band.send(signal.SIGKILL, "d0", "d1")
+        band.signal(signal.SIGKILL, "d0", "d1")
         alone = [name for name in band.members if name not in ("d0", "d1")]
-        own = lambda: all(band.seen(name)["lists"]["probe"]["watches"] for name in alone)  # noqa: E731
-        band.until(own, "each watches for itself")
+        own = lambda: all(band.status(name)["lists"]["probe"]["watches"] for name in alone)  # noqa: E731
+        band.wait_until(own, "each watches for itself")
         assert not [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
 
 
-def test_a_node_that_only_a_peer_names_is_never_in_the_list(tmp_path: Path, service: Register) -> None:
+def test_a_node_that_only_a_peer_names_is_never_in_the_list(tmp_path: Path, service: ListServiceStub) -> None:
     """What the holder tells is held against the own list, and adds nothing to it."""
 
     class Still:
--- a/tests/rollout/test_mixed_versions.py
+++ b/tests/rollout/test_mixed_versions.py
@@ -12,7 +12,7 @@
 from tests.rollout.previous import is_known, unpack
 from wheatring.lab.demo import play
 from wheatring.lab.live import process
-from wheatring.lab.live.band import Band, faults
+from wheatring.lab.live.fleet_rig import FleetRig, fencing_violations
 from wheatring.lab.scale.system import Running, System
 
 PREVIOUS_IN_TIER = ("controller-1", "storage-2", "sidecar-1")
@@ -57,9 +57,9 @@
 
 
 @pytest.fixture
-def fleet(tmp_path: Path, previous: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Band]:
-    with Band(tmp_path, len(MEMBERS), TERM_SECONDS, fleet={"view": "true"}) as band:
-        band.begin([name for name in MEMBERS if name not in PREVIOUS_IN_FLEET])
+def fleet(tmp_path: Path, previous: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[FleetRig]:
+    with FleetRig(tmp_path, len(MEMBERS), TERM_SECONDS, fleet={"view": "true"}) as band:
+        band.start_all([name for name in MEMBERS if name not in PREVIOUS_IN_FLEET])
         with monkeypatch.context() as patched:
             patched.setattr(process, "HOME", str(previous))
             for name, value in PREVIOUS_FIRST.items():
@@ -67,20 +67,20 @@
             for name in PREVIOUS_IN_FLEET:
                 band.start(name)
         yield band
-        assert faults(band.resource.snapshot()) == []
+        assert fencing_violations(band.target.snapshot()) == []
         assert not [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
         assert has_run(previous)
 
 
-def test_a_fleet_of_both_versions_agrees_on_its_view_and_passes_a_duty_on(fleet: Band) -> None:
+def test_a_fleet_of_both_versions_agrees_on_its_view_and_passes_a_duty_on(fleet: FleetRig) -> None:
     def agreed() -> bool:
-        views = [fleet.seen(name)["view"] for name in MEMBERS]
+        views = [fleet.status(name)["view"] for name in MEMBERS]
         names = [tuple(view["names"]) for view in views if view["inside"]]
         return names == [MEMBERS] * len(MEMBERS) and len({view["number"] for view in views}) == 1
 
-    fleet.until(agreed, "one view of all members")
-    first = fleet.holder()
+    fleet.wait_until(agreed, "one view of all members")
+    first = fleet.next_holder()
     since = time.monotonic()
     fleet.kill(first.holder)
-    second = fleet.holder(first.holder, since)
+    second = fleet.next_holder(first.holder, since)
     assert second.epoch > first.epoch
--- a/wheatring/commands/lab_duties.py
+++ b/wheatring/commands/lab_duties.py
@@ -30,10 +30,10 @@
 
 
 def call(args: argparse.Namespace) -> int:
-    from wheatring.lab.live.agreed import play as agreed_play
-    from wheatring.lab.live.duties import Measured, lists, play
-    from wheatring.lab.live.planned import play as planned_play
+    from wheatring.lab.live.duty_cases import Measurement, lists, play
+    from wheatring.lab.live.plan_cases import play as planned_play
     from wheatring.lab.live.process import ProcessError
+    from wheatring.lab.live.view_cases import play as agreed_play
 
     alone = args.cases == [LISTS]
     known = next((kind for kind in (AGREED, PLANNED) if args.cases and args.cases[0] in kind), CASES)
@@ -46,7 +46,7 @@
         return virtual(args.sidecars, args.seed)
     status = 0
     try:
-        todo: Iterable[Measured] = play(args.cases or list(CASES), args.sidecars, args.seed, args.term)
+        todo: Iterable[Measurement] = play(args.cases or list(CASES), args.sidecars, args.seed, args.term)
         if known is not CASES:
             other = agreed_play if known is AGREED else planned_play
             todo = other(args.cases, args.sidecars, args.seed, args.term)
@@ -55,8 +55,8 @@
                 lists(args.sidecars, args.seed, args.term, shared) for shared in (False, True)
             )
         for measured in todo:
-            print(f"{'kept' if measured.kept else 'NOT KEPT'}  {measured.what}", flush=True)
-            status |= not measured.kept
+            print(f"{'kept' if measured.is_kept else 'NOT KEPT'}  {measured.what}", flush=True)
+            status |= not measured.is_kept
     except ProcessError as bad:
         print(f"wheatring: lab: {bad}", file=sys.stderr)
         return 1
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -123,10 +123,10 @@
 
     found = load(args.scenario)
     plan = draw(found, args.seed)
-    never = scale.never(plan)
+    never = scale.unplayable_kinds(plan)
     if never and not args.leave_out:
         raise ValueError(f"{found.where}: can't be played on loopback: {', '.join(never)} (--leave-out)")
-    plan = scale.scaled(scale.without(plan, never), args.scale)
+    plan = scale.scaled(scale.without_kinds(plan, never), args.scale)
 
     def job() -> int:
         from wheatring.lab.live.play import play, shown
@@ -140,14 +140,14 @@
 
 
 def _fleet(args: argparse.Namespace) -> Callable[[], int]:
-    from wheatring.lab.live import fleet, scale
+    from wheatring.lab.live import list_acquisition, scale
     from wheatring.lab.plan import LIVE_ONLY
     from wheatring.lab.scenario.draw import draw
     from wheatring.lab.study import asked, settings
 
     sets = [*args.set, *([f"front.sidecars={args.sidecars}"] if args.sidecars is not None else [])]
     plan = draw(asked.told(args.scenario, settings.one(sets, [])), args.seed)
-    never = scale.never(plan)
+    never = scale.unplayable_kinds(plan)
     if never:
         raise ValueError(f"{args.scenario}: can't be played on loopback: {', '.join(never)}")
     live_only = dict.fromkeys(event.kind for event in plan.events if event.kind in LIVE_ONLY)
@@ -163,13 +163,13 @@
         else:
             from wheatring.lab.live.play import play, shown, wires_for
 
-            needed = fleet.need(plan, wires_for(plan))
+            needed = list_acquisition.requirements(plan, wires_for(plan))
             _progress(needed.shown())
-            fleet.room_for(needed)
+            list_acquisition.check_resources(needed)
             live = play(plan, _progress, wired=True)
             outcome, lines = live, list(shown(live))
-        _written(outcome, [*lines, *fleet.shown(plan, outcome)], args.json)
-        kept = all(kept for kept, _ in fleet.judged(plan, outcome))
+        _written(outcome, [*lines, *list_acquisition.shown(plan, outcome)], args.json)
+        kept = all(kept for kept, _ in list_acquisition.judged(plan, outcome))
         return 0 if kept and not outcome.breach_count else 1
 
     return job
@@ -226,7 +226,7 @@
     )
 
     def job() -> int:
-        with Process("load", module("wheatring.lab.live.loading")) as process:
+        with Process("load", module("wheatring.lab.live.generator_process")) as process:
             result = play(process, load)
         _written(result, shown(result), args.json)
         return 0 if result.valid else 1
--- a/wheatring/lab/live/bench/run.py
+++ b/wheatring/lab/live/bench/run.py
@@ -101,7 +101,7 @@
             return int(dict(pair.split("=") for pair in line.split()[1:])[name])
 
         def said(process: Process) -> str:
-            return process.line("listening ", time.monotonic() + START)
+            return process.wait_for_line("listening ", time.monotonic() + START)
 
         self.upstream = start("upstream", cores.upstream, f"{HERE}.upstream", HOST, str(sizes.body))
         listening = said(self.upstream)
@@ -118,7 +118,7 @@
         )  # fmt: skip
         self.targets[SUBJECT] = stack.enter_context(Sidecar(folder, told, (cores.measured,)))
         self.ports = {name: port(said(process)) for name, process in self.targets.items()}
-        self.generator = start("load", cores.load, "wheatring.lab.live.loading")
+        self.generator = start("load", cores.load, "wheatring.lab.live.generator_process")
 
     def load(self, target: Process, port: int, length: float, **more: object) -> Result:
         told = {
--- a/wheatring/lab/live/line.py
+++ b/wheatring/lab/live/client_connection.py
@@ -12,22 +12,22 @@
 
 from wheatring.http1.parser import BadMessage, Reader
 
-AT_ONCE = 262_144
-MOST_HEADS = 256  # heads remembered; a server that makes each one anew is read the long way
+MAX_READ_BYTES = 262_144
+MAX_CACHED_HEADS = 256  # heads remembered; a server that makes each one anew is read the long way
 
 
 class Owner(Protocol):
-    def up(self, line: Line) -> None:
+    def up(self, line: ClientConnection) -> None:
         """It may be asked now."""
 
-    def answered(self, line: Line, status: bytes) -> None:
+    def answered(self, line: ClientConnection, status: bytes) -> None:
         """The last byte of an answer has come; it may be asked again if it is still `alive`."""
 
-    def ended(self, line: Line) -> None:
+    def ended(self, line: ClientConnection) -> None:
         """It has ended, not by `close`. `up_once` says whether it ever came up."""
 
 
-class Line:
+class ClientConnection:
     """Carries one request at a time."""
 
     def __init__(self, reactor: Any, owner: Owner, address: tuple[str, int], heads: dict[bytes, Any]) -> None:
@@ -101,7 +101,7 @@
 
     def doRead(self) -> None:
         try:
-            data = self.sock.recv(AT_ONCE)
+            data = self.sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -142,7 +142,7 @@
         clean = message.keep_alive and not reader.started
         whole = data.find(b"\r\n\r\n") + 4
         if clean and b"content-length" in message.fields and len(data) == whole + len(message.body):
-            if len(self.heads) >= MOST_HEADS:
+            if len(self.heads) >= MAX_CACHED_HEADS:
                 self.heads.clear()
             self.heads[data[:whole]] = (status, len(message.body))
         self.carried += 1
--- a/wheatring/lab/live/orders.py
+++ b/wheatring/lab/live/command_loop.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-Answer = Callable[[bytes], None]
+WriteLine = Callable[[bytes], None]
 
 
-def serve(reactor: Any, obey: Callable[[bytes, Answer], object]) -> None:
+def serve(reactor: Any, obey: Callable[[bytes, WriteLine], object]) -> None:
     """Hand each line to `obey`, with what writes a line back, until standard input is closed."""
     from twisted.internet import stdio
     from twisted.protocols.basic import LineReceiver
--- a/wheatring/lab/live/cores.py
+++ b/wheatring/lab/live/cores.py
@@ -8,7 +8,7 @@
 
 from wheatring.lab.live import watch
 
-LOOK = 0.3  # seconds for which cores are looked at
+MEASURE_SECONDS = 0.3  # seconds for which cores are looked at
 
 
 class Cores(NamedTuple):
@@ -38,7 +38,7 @@
     """The three least busy cores that this process may use, the least busy for what is measured."""
     mine = sorted(os.sched_getaffinity(0))
     before = {core: watch.core_busy(core) for core in mine}
-    time.sleep(LOOK)
+    time.sleep(MEASURE_SECONDS)
     # What is measured and its load should not share a core's two halves: siblings come last.
     seen: set[str] = set()
     second = {}
--- a/wheatring/lab/live/resource.py
+++ b/wheatring/lab/live/duty_target.py
@@ -6,24 +6,24 @@
 import time
 from typing import Any, NamedTuple
 
-from wheatring.lab.live.stand_in import Handler, StandIn
+from wheatring.lab.live.stub_server import Handler, StubServer
 from wheatring.lease.fencing import FencingGuard
 
 
-class Act(NamedTuple):
+class DutyCall(NamedTuple):
     """`at`: monotonic seconds when it arrived."""
 
     at: float
     epoch: int
     holder: str
-    let_in: bool
+    is_accepted: bool
 
 
-class Resource(StandIn):
+class DutyTarget(StubServer):
     """Listens on loopback, in threads of its own. `status` is what is answered to whatever it lets in."""
 
     def __init__(self) -> None:
-        self.acts: list[Act] = []
+        self.calls: list[DutyCall] = []
         self.lock = threading.Lock()
         self.fence = FencingGuard()
         self.status = 200
@@ -31,7 +31,7 @@
 
         class Calls(Handler):
             def do_POST(self) -> None:
-                status, epoch = resource.take(self.headers)
+                status, epoch = resource.receive(self.headers)
                 self.send_response(status)
                 self.send_header("Duty-Epoch", str(epoch))
                 self.send_header("Content-Length", "0")
@@ -39,13 +39,13 @@
 
         self.serve(Calls)
 
-    def take(self, headers: Any) -> tuple[int, int]:
+    def receive(self, headers: Any) -> tuple[int, int]:
         with self.lock:
             epoch = int(headers["Duty-Epoch"])
             let_in = self.fence.admit(epoch)
-            self.acts.append(Act(time.monotonic(), epoch, headers["Duty-Holder"], let_in))
+            self.calls.append(DutyCall(time.monotonic(), epoch, headers["Duty-Holder"], let_in))
             return (self.status if let_in else 409), self.fence.highest_token
 
-    def snapshot(self) -> list[Act]:
+    def snapshot(self) -> list[DutyCall]:
         with self.lock:
-            return list(self.acts)
+            return list(self.calls)
--- a/wheatring/lab/live/generator.py
+++ b/wheatring/lab/live/generator.py
@@ -17,17 +17,17 @@
 from typing import Any
 
 from wheatring.lab.live import tally, watch
-from wheatring.lab.live.line import Line
+from wheatring.lab.live.client_connection import ClientConnection
 from wheatring.lab.live.load import Ask, Load, Result, arrivals
 from wheatring.lab.live.tally import Tally
 
-SPIN = (
+SPIN_SECONDS = (
     0.003  # so long before an instant it stops sleeping: the reactor's timers are a millisecond or two late
 )
-AGAIN = 0.05  # seconds after which a closed connection that could not be made is tried again
+RETRY_SECONDS = 0.05  # seconds after which a closed connection that could not be made is tried again
 
 
-class Shot:
+class ScheduledRequest:
     """One request."""
 
     __slots__ = ("data", "deadline", "intended", "over", "resent", "row")
@@ -64,11 +64,13 @@
         self.out = 0  # requests that are not over
         self.closing = False  # nothing new is asked
         self.reported = False
-        self.idle: list[Line] = []
-        self.lines: dict[Line, float] = {}  # all of them, and when a connect under way is given up
+        self.idle: list[ClientConnection] = []
+        self.lines: dict[
+            ClientConnection, float
+        ] = {}  # all of them, and when a connect under way is given up
         self.dialling = 0
-        self.waiting: deque[Shot] = deque()  # for a connection
-        self.due: deque[Shot] = deque()  # in the order of their deadlines
+        self.waiting: deque[ScheduledRequest] = deque()  # for a connection
+        self.due: deque[ScheduledRequest] = deque()  # in the order of their deadlines
         self.watch = watch.Watch(0.0)
         self.start = time.monotonic()
         self.begin = self.start + load.warm
@@ -105,7 +107,7 @@
             now = time.monotonic()
         if self.next < len(planned):
             wait = start + planned[self.next] - now
-            self.reactor.callLater(0 if wait < SPIN else wait - SPIN, self.tick)
+            self.reactor.callLater(0 if wait < SPIN_SECONDS else wait - SPIN_SECONDS, self.tick)
 
     def ask_next(self) -> None:
         """Closed: one of the connections is free to ask."""
@@ -124,12 +126,12 @@
         name = b"%s%08x" % (self.names, self.made)
         deadline = intended + load.patience
         data = self.heads[which] % (max(1, int((deadline - now) * 1000)), name, name)
-        shot = Shot(intended, deadline, row, data)
+        shot = ScheduledRequest(intended, deadline, row, data)
         self.out += 1
         self.due.append(shot)
         self.place(shot)
 
-    def place(self, shot: Shot) -> None:
+    def place(self, shot: ScheduledRequest) -> None:
         if self.idle:
             self.write(self.idle.pop(), shot)
             return
@@ -142,16 +144,16 @@
             self.dialling += 1
             self.line()
 
-    def line(self) -> Line:
-        line = Line(self.reactor, self, (self.load.host, self.load.port), self.known_heads)
+    def line(self) -> ClientConnection:
+        line = ClientConnection(self.reactor, self, (self.load.host, self.load.port), self.known_heads)
         self.lines[line] = time.monotonic() + self.load.patience
         return line
 
-    def write(self, line: Line, shot: Shot) -> None:
+    def write(self, line: ClientConnection, shot: ScheduledRequest) -> None:
         line.shot = shot
         line.ask(shot.data)
 
-    def free(self, line: Line) -> None:
+    def free(self, line: ClientConnection) -> None:
         waiting = self.waiting
         while waiting:
             shot = waiting.popleft()
@@ -162,7 +164,7 @@
 
     # What lines tell
 
-    def up(self, line: Line) -> None:
+    def up(self, line: ClientConnection) -> None:
         if line.first is None:
             self.dialling -= 1
             self.free(line)
@@ -171,8 +173,8 @@
         else:
             self.write(line, line.first)
 
-    def answered(self, line: Line, status: bytes) -> None:
-        shot: Shot = line.shot
+    def answered(self, line: ClientConnection, status: bytes) -> None:
+        shot: ScheduledRequest = line.shot
         line.shot = None
         if line.alive:
             self.free(line)
@@ -189,7 +191,7 @@
             counts.failed += 1
         self.over(shot)
 
-    def ended(self, line: Line) -> None:
+    def ended(self, line: ClientConnection) -> None:
         del self.lines[line]
         shot, line.shot = line.shot, None
         if not line.up_once:
@@ -198,7 +200,7 @@
             shot = line.first or self.first_waiting()
             if shot is not None and not shot.over:
                 shot.row.counts.unreached += 1
-                self.over(shot, AGAIN)
+                self.over(shot, RETRY_SECONDS)
         elif shot is None:
             if line in self.idle:
                 self.idle.remove(line)
@@ -210,17 +212,17 @@
             self.line().first = shot
         else:
             shot.row.counts.lost += 1
-            self.over(shot, AGAIN)
+            self.over(shot, RETRY_SECONDS)
         self.dial()
 
-    def first_waiting(self) -> Shot | None:
+    def first_waiting(self) -> ScheduledRequest | None:
         while self.waiting:
             shot = self.waiting.popleft()
             if not shot.over:
                 return shot
         return None
 
-    def over(self, shot: Shot, again: float = 0.0) -> None:
+    def over(self, shot: ScheduledRequest, again: float = 0.0) -> None:
         shot.over = True
         self.out -= 1
         if self.closing:
@@ -249,7 +251,7 @@
             until = due[0].deadline if due else now + self.load.patience
             self.reactor.callLater(max(0.0, min(until, now + 1.0) - now), self.sweep)
 
-    def give_up(self, shot: Shot) -> None:
+    def give_up(self, shot: ScheduledRequest) -> None:
         self.timed_out += 1
         line = next((line for line in self.lines if line.shot is shot), None)
         if line is None:
@@ -277,7 +279,7 @@
         if number:
             now = time.monotonic()
             self.rows[number - 1].connections = len(self.lines)
-            self.watch.look(now)
+            self.watch.sample(now)
         if number + 1 < len(self.rows):
             at = self.begin + number + 1
             self.reactor.callLater(max(0.0, at - time.monotonic()), self.second, number + 1)
@@ -287,7 +289,7 @@
         if self.next < len(self.planned):  # planned for an instant that has come, and not sent yet
             self.tick()
         self.rows[-1].connections = len(self.lines)
-        self.watch.look(now)
+        self.watch.sample(now)
         self.cpu_share = (time.process_time() - self.cpu) / (now - self.since)
         self.busy = {core: watch.core_busy(core) - before for core, before in self.busy.items()}
         self.closing = True
--- a/wheatring/lab/live/loading.py
+++ b/wheatring/lab/live/generator_process.py
@@ -1,6 +1,6 @@
 """The load generator's process.
 
-    python -m wheatring.lab.live.loading
+    python -m wheatring.lab.live.generator_process
 
 reads one `Load` a line (JSON) on standard input, plays it, and writes one `Result` a line on standard output.
 """
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from wheatring.lab.live import orders
+from wheatring.lab.live import command_loop
 from wheatring.lab.live.generator import Generator
 from wheatring.lab.live.load import Load, Result
 
@@ -26,14 +26,14 @@
     reactor.seconds = time.monotonic
     gc.disable()  # a collection would be a lateness of ours; what a load makes is freed by count
 
-    def obey(line: bytes, say: orders.Answer) -> None:
+    def obey(line: bytes, say: command_loop.WriteLine) -> None:
         def report(result: Result) -> None:
             say(msgspec.json.encode(result))
             gc.collect()
 
         Generator(reactor, msgspec.json.decode(line, type=Load), report)
 
-    orders.serve(reactor, obey)
+    command_loop.serve(reactor, obey)
     return 0
 
 
--- a/wheatring/lab/live/lives.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -7,39 +7,40 @@
 from wheatring.lab.live.links.wires import Wires
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
-from wheatring.lab.live.seats import Seat, Seats
+from wheatring.lab.live.sidecar_slots import SidecarSlot, SidecarSlots
 from wheatring.lab.models.front import Front
 from wheatring.lab.plan import EventPlan
 
 
-class Lives:
+class Lifecycles:
     """`ready` is called once all sidecars of the first hour listen, `failed` if one of them can't."""
 
-    def __init__(self, nodes: Nodes, seats: Seats, front: Front, wires: Wires | None = None) -> None:
+    def __init__(self, nodes: Nodes, slots: SidecarSlots, front: Front, wires: Wires | None = None) -> None:
         self.wires = wires
         self.nodes = nodes
-        self.seats = seats
+        self.slots = slots
         self.front = front
         self.awaited: dict[str, None] = {}  # sidecars of the first hour that don't listen yet
         self.coming: set[str] = set()  # nodes that run once their sidecar listens
         self.ready: Callable[[], object]
         self.failed: Callable[[ProcessError], object]
-        seats.came, seats.stops, seats.went, seats.failed = self.came, self.stops, self.went, self.lost
-        nodes.on_fallen = self.fallen
+        slots.on_up, slots.on_stopping = self.on_sidecar_up, self.on_sidecar_stopping
+        slots.on_down, slots.on_failed = self.on_sidecar_down, self.on_sidecar_failed
+        nodes.on_fallen = self.on_node_ended
 
-    def begin(self, names: Collection[str]) -> None:
+    def start_all(self, names: Collection[str]) -> None:
         """Start the sidecars of the first hour, at least one."""
         self.awaited = dict.fromkeys(names)
         for name in names:
-            self.seats.start(self.seats.seats[name])
+            self.slots.start(self.slots.seats[name])
 
-    def late(self) -> None:
+    def on_start_timeout(self) -> None:
         """They have had time enough."""
         self.failed(ProcessError(f"{', '.join(list(self.awaited)[:3])}: has not begun to listen in time"))
 
     # Sidecars come and go
 
-    def came(self, seat: Seat) -> None:
+    def on_sidecar_up(self, seat: SidecarSlot) -> None:
         if seat.name not in self.nodes.nodes:
             self.front.up(seat.name)
         elif seat.name in self.coming:
@@ -50,15 +51,15 @@
             if not self.awaited:
                 self.ready()
 
-    def stops(self, seat: Seat) -> None:
+    def on_sidecar_stopping(self, seat: SidecarSlot) -> None:
         if seat.name not in self.nodes.nodes:
             self.front.stopping(seat.name)
 
-    def went(self, seat: Seat) -> None:
+    def on_sidecar_down(self, seat: SidecarSlot) -> None:
         if seat.name not in self.nodes.nodes:
             self.front.down(seat.name)
 
-    def lost(self, seat: Seat) -> None:
+    def on_sidecar_failed(self, seat: SidecarSlot) -> None:
         if seat.name in self.awaited:
             self.failed(ProcessError(f"{seat.name}: ended before it listened"))
 
@@ -66,14 +67,14 @@
 
     def start(self, node: str) -> None:
         """It is to start; one with a sidecar of its own runs once that listens."""
-        seat = self.seats.seats.get(node)
+        seat = self.slots.seats.get(node)
         if self.nodes.nodes[node].machine.running:
             return
         if seat is None:
             self.nodes.start(node)
         else:
             self.coming.add(node)
-            self.seats.start(seat)
+            self.slots.start(seat)
 
     def drain(self, node: str) -> None:
         self.nodes.drain(node)
@@ -81,12 +82,12 @@
     def stop(self, node: str) -> None:
         self.coming.discard(node)
         if self.nodes.stop(node):
-            self.fallen(node)
+            self.on_node_ended(node)
 
-    def fallen(self, node: str) -> None:
+    def on_node_ended(self, node: str) -> None:
         """Its process has ended; its sidecar's does as well."""
-        if node in self.seats.seats:
-            self.seats.kill(self.seats.seats[node], 0.0)
+        if node in self.slots.seats:
+            self.slots.kill(self.slots.seats[node], 0.0)
 
     def vanish(self, node: str) -> None:
         """Its machine, with its own sidecar, falls silent."""
--- a/wheatring/lab/live/links/pace.py
+++ b/wheatring/lab/live/links/pace.py
@@ -28,9 +28,9 @@
     with ExitStack() as stack:
         words = module("wheatring.lab.live.bench.upstream", HOSTS["node"], "128")
         node = stack.enter_context(Process("node", words))
-        said = node.line("listening ", time.monotonic() + START)
+        said = node.wait_for_line("listening ", time.monotonic() + START)
         port = int(dict(pair.split("=") for pair in said.split()[1:])["node"])
-        generator = stack.enter_context(Process("load", module("wheatring.lab.live.loading")))
+        generator = stack.enter_context(Process("load", module("wheatring.lab.live.generator_process")))
         wires = Wires(1, HOSTS, NetPlan(), 1)
         stack.callback(wires.end)
         wires.reserve(["load>node"])
--- a/wheatring/lab/live/links/relay.py
+++ b/wheatring/lab/live/links/relay.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from wheatring.lab.live import orders
+from wheatring.lab.live import command_loop
 from wheatring.lab.live.links.datagrams import Switch
 from wheatring.lab.live.links.pipe import Door
 from wheatring.lab.live.links.state import State
@@ -98,12 +98,12 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     relay = Relay(reactor, sys.argv[1])
 
-    def obey(line: bytes, say: orders.Answer) -> None:
+    def obey(line: bytes, say: command_loop.WriteLine) -> None:
         answer = relay.obey(msgspec.json.decode(line, type=Order))
         if answer is not None:
             say(answer)
 
-    orders.serve(reactor, obey)
+    command_loop.serve(reactor, obey)
     return 0
 
 
--- a/wheatring/lab/live/links/wires.py
+++ b/wheatring/lab/live/links/wires.py
@@ -164,9 +164,9 @@
         return [(self.relays[number], part) for number, part in parts.items()]
 
     def _tell(self, relay: Process, order: Order) -> None:
-        relay.tell(msgspec.json.encode(order).decode())
+        relay.write_line(msgspec.json.encode(order).decode())
 
     def _ask(self, relay: Process, order: Order, kind: type[Answer]) -> Answer:
         after = len(relay.lines)
         self._tell(relay, order)
-        return msgspec.json.decode(relay.line("{", time.monotonic() + ANSWER, after), type=kind)
+        return msgspec.json.decode(relay.wait_for_line("{", time.monotonic() + ANSWER, after), type=kind)
--- a/wheatring/lab/live/fleet.py
+++ b/wheatring/lab/live/list_acquisition.py
@@ -18,11 +18,11 @@
 SIDECAR_MB = 21.0  # memory that a sidecar's process takes, and what the run keeps for it
 RELAY_MB = 60.0
 LAB_MB = 250.0
-FIRST = 3.0  # seconds after the last start in which asks are not judged
-THREADS = 3  # of the run for each process, and the process itself
+STARTING_SECONDS = 3.0  # seconds after the last start in which asks are not judged
+THREADS_PER_PROCESS = 3  # of the run for each process, and the process itself
 
 
-class Need(NamedTuple):
+class Requirements(NamedTuple):
     processes: int
     memory_mb: float
 
@@ -30,20 +30,20 @@
         return f"needs {self.processes} processes and {self.memory_mb:.0f} MB of memory"
 
 
-def need(plan: Plan, relays: int) -> Need:
+def requirements(plan: Plan, relays: int) -> Requirements:
     """What the day takes, at most."""
     sidecars = len(plan.sidecars) + sum(n.tier + 1 < len(plan.tiers) for n in plan.nodes)
-    return Need(sidecars + relays, sidecars * SIDECAR_MB + relays * RELAY_MB + LAB_MB)
+    return Requirements(sidecars + relays, sidecars * SIDECAR_MB + relays * RELAY_MB + LAB_MB)
 
 
-def room_for(needed: Need) -> None:
+def check_resources(needed: Requirements) -> None:
     """ProcessError, one line, where this machine can't bear it."""
     free = _available_mb()
     if needed.memory_mb > free:
         raise ProcessError(f"{needed.shown()}, and {free:.0f} MB are free: fewer --sidecars need less")
     most = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(os.listdir("/proc"))
-    if needed.processes * THREADS > most:
-        raise ProcessError(f"{needed.shown()}, and there is room for {most // THREADS}")
+    if needed.processes * THREADS_PER_PROCESS > most:
+        raise ProcessError(f"{needed.shown()}, and there is room for {most // THREADS_PER_PROCESS}")
 
 
 def _available_mb() -> float:
@@ -54,7 +54,7 @@
     raise ProcessError("/proc/meminfo tells no free memory")
 
 
-class Asked(NamedTuple):
+class AcquisitionTimes(NamedTuple):
     """How the asking went. Times are seconds of the day; inf where so many never had a list."""
 
     sidecars: int
@@ -68,7 +68,7 @@
     starting: float  # seconds from the first start to the last
 
 
-def asked(plan: Plan, outcome: Outcome) -> Asked:
+def acquisition_times(plan: Plan, outcome: Outcome) -> AcquisitionTimes:
     lists = outcome.lists
     sidecars = len(plan.sidecars)
     lines = sum(node.tier == 0 and node.up for node in plan.nodes)
@@ -82,8 +82,8 @@
 
     # Real processes take a while to start, on a machine that has so many of them to start at once.
     up = max([at for name, at in lists.started.items() if name in front], default=0.0)
-    start = ceil(max(up + FIRST, plan.check.after))
-    return Asked(
+    start = ceil(max(up + STARTING_SECONDS, plan.check.after))
+    return AcquisitionTimes(
         sidecars, sidecars / per_s, held(0.5), held(0.95), held(1.0),
         lists.failed / max(1, lists.brought), per_s, max(lists.asked[start:], default=0),
         up - min([at for name, at in lists.started.items() if name in front], default=0.0),
@@ -92,7 +92,7 @@
 
 def judged(plan: Plan, outcome: Outcome) -> Iterator[tuple[bool, str]]:
     """Each thing that the day has to show: whether it did, and in words."""
-    check, found = plan.check, asked(plan, outcome)
+    check, found = plan.check, acquisition_times(plan, outcome)
     for name, at in (("half", found.half), ("most", found.most), ("all", found.all)):
         wanted = getattr(check, f"held_{name}")
         if wanted is not None:
@@ -118,7 +118,7 @@
 
 def shown(plan: Plan, outcome: Outcome) -> Iterator[str]:
     """The asking in a few lines."""
-    found, lists = asked(plan, outcome), outcome.lists
+    found, lists = acquisition_times(plan, outcome), outcome.lists
     yield f"the sidecars took {found.starting:.1f} s to start; times are each one's own from there"
     yield (
         f"{found.sidecars} sidecars, {found.per_s:g} calls a second: hold a list after {found.half:.1f} s "
--- a/wheatring/lab/live/register.py
+++ b/wheatring/lab/live/list_service.py
@@ -14,16 +14,16 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from wheatring.lab.live.stand_in import Handler, StandIn
+from wheatring.lab.live.stub_server import Handler, StubServer
 
-LOOK = 0.5  # seconds between two looks at whether who waits is still there
+CLOSED_CHECK_SECONDS = 0.5  # seconds between two looks at whether who waits is still there
 
 
-class Register(StandIn):
+class ListServiceStub(StubServer):
     """`per_s`: answers that it can give a second, each in its turn."""
 
     def __init__(self, per_s: float) -> None:
-        self.per_s = per_s
+        self.answers_per_second = per_s
         self.lock = threading.Lock()
         self.changed = threading.Condition(self.lock)
         self.turn = threading.Lock()
@@ -59,7 +59,7 @@
 
         self.serve(Calls)
 
-    def set(self, name: str, lifecycle: str, port: int) -> float:
+    def set_instance(self, name: str, lifecycle: str, port: int) -> float:
         """A line of the list, from now on; the instant at which it was changed."""
         with self.changed:
             self.generation += 1
@@ -80,13 +80,13 @@
                 left = by - time.monotonic()
                 if left <= 0:
                     break
-                self.changed.wait(min(left, LOOK))
+                self.changed.wait(min(left, CLOSED_CHECK_SECONDS))
                 if gone():
                     return None
         with self.turn:  # one after another, and each takes its time
             if gone():
                 return None
-            time.sleep(1 / self.per_s)
+            time.sleep(1 / self.answers_per_second)
         with self.lock:
             self.answers.append(time.monotonic())
             lines = [line for made, line in self.lines.values() if index is None or made > index]
--- a/wheatring/lab/live/load.py
+++ b/wheatring/lab/live/load.py
@@ -13,7 +13,7 @@
 from wheatring.lab.live.process import Process
 from wheatring.lab.live.watch import Watched
 
-SLACK = 20.0  # seconds for the generator's process to start and to report, on a machine that is busy
+REPORT_TIMEOUT_SECONDS = 20.0  # for the generator's process to start and to report, on a machine that is busy
 
 
 class Ask(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -117,9 +117,9 @@
 def play(process: Process, load: Load) -> Result:
     """Have the generator's process play one load. ProcessError if it gives no result."""
     after = len(process.lines)
-    process.tell(msgspec.json.encode(load).decode())
-    by = time.monotonic() + load.warm + load.length + load.patience + SLACK
-    return msgspec.json.decode(process.line("{", by, after), type=Result)
+    process.write_line(msgspec.json.encode(load).decode())
+    by = time.monotonic() + load.warm + load.length + load.patience + REPORT_TIMEOUT_SECONDS
+    return msgspec.json.decode(process.wait_for_line("{", by, after), type=Result)
 
 
 def shown(result: Result) -> Iterator[str]:
--- a/wheatring/lab/live/planned.py
+++ b/wheatring/lab/live/plan_cases.py
@@ -15,16 +15,19 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from wheatring.lab.live.agreed import FAR, SETTLE, Judge
-from wheatring.lab.live.band import Band
-from wheatring.lab.live.duties import Measured
+from wheatring.lab.live.duty_cases import Measurement
+from wheatring.lab.live.fleet_rig import FleetRig
 from wheatring.lab.live.links.state import State
+from wheatring.lab.live.view_cases import SETTLE_SECONDS, WAIT_SECONDS, ViewHistory
 
-LARGE = 100_000  # bytes of a large plan
-AHEAD = 25.0  # seconds from now to a window's opening: more than the lead of a plan
-OPEN = 6.0  # seconds for which a window is open
-SPREAD, DELAYED = 0.050, 0.150  # seconds within which all are to change; on links that delay by `DELAY`
-DELAY = 0.1
+LARGE_PLAN_BYTES = 100_000  # bytes of a large plan
+WINDOW_LEAD_SECONDS = 25.0  # seconds from now to a window's opening: more than the lead of a plan
+WINDOW_SECONDS = 6.0  # seconds for which a window is open
+MAX_SPREAD_SECONDS, MAX_DELAYED_SPREAD_SECONDS = (
+    0.050,
+    0.150,
+)  # seconds within which all are to change; on links that delay by `DELAY`
+DELAY_SECONDS = 0.1
 
 
 def document(title: str, size: int = 0, window: float | None = None, hold: bool = False) -> bytes:
@@ -36,12 +39,12 @@
     plan: dict[str, Any] = {"format": 1, "title": title, "routes": routes}
     if window is not None:
         start = datetime.fromtimestamp(round(time.time() + window), UTC).strftime("%Y-%m-%dT%H:%M:%S")
-        one = {"name": "edge", "route": "all", "weights": {"b": 1}, "start": start, "length": OPEN}
+        one = {"name": "edge", "route": "all", "weights": {"b": 1}, "start": start, "length": WINDOW_SECONDS}
         plan.update(format=2, windows=[{**one, "when_cut": "hold" if hold else "follow"}])
     return json.dumps(plan).encode()
 
 
-def events(band: Band, name: str, word: str, since: float) -> list[tuple[float, dict[str, str]]]:
+def events(band: FleetRig, name: str, word: str, since: float) -> list[tuple[float, dict[str, str]]]:
     """Lines of a member's log that begin with that word: when, and their fields."""
     found = []
     for at, text in list(band.members[name].events):
@@ -51,40 +54,40 @@
     return found
 
 
-def push(band: Band, name: str, body: bytes) -> float:
+def propose(band: FleetRig, name: str, body: bytes) -> float:
     """Offer a plan at one; when. ProcessError where it is not taken."""
     since = time.monotonic()
 
     def taken() -> bool:
-        return band.call(name, "POST", "plan", body)[0] == 202
+        return band.admin_call(name, "POST", "plan", body)[0] == 202
 
-    band.until(taken, f"{name} takes a plan", FAR)
+    band.wait_until(taken, f"{name} takes a plan", WAIT_SECONDS)
     return since
 
 
-def state(band: Band, name: str) -> dict[str, Any]:
-    seen: dict[str, Any] = json.loads(band.call(name, "GET", "plan")[1])
+def plan_status(band: FleetRig, name: str) -> dict[str, Any]:
+    seen: dict[str, Any] = json.loads(band.admin_call(name, "GET", "plan")[1])
     return seen
 
 
-def newest(band: Band, name: str) -> dict[str, Any]:
+def newest_proposal(band: FleetRig, name: str) -> dict[str, Any]:
     """The newest push that was offered there; {}: there is none."""
-    pushes: list[dict[str, Any]] = state(band, name)["pushes"]
+    pushes: list[dict[str, Any]] = plan_status(band, name)["pushes"]
     return pushes[-1] if pushes else {}
 
 
-def ended(band: Band, name: str) -> dict[str, Any]:
+def wait_until_ended(band: FleetRig, name: str) -> dict[str, Any]:
     """How the newest push that was offered there ended."""
 
     def over() -> dict[str, Any] | None:
-        pushed = newest(band, name)
+        pushed = newest_proposal(band, name)
         return pushed if pushed.get("state") in ("settled", "refused", "lost") else None
 
-    found: dict[str, Any] = band.until(over, f"the push at {name} ends", FAR)
+    found: dict[str, Any] = band.wait_until(over, f"the push at {name} ends", WAIT_SECONDS)
     return found
 
 
-def settled(band: Band, names: Collection[str], number: int, since: float) -> float:
+def wait_until_committed(band: FleetRig, names: Collection[str], number: int, since: float) -> float:
     """Wait until all of these know that plan settled; seconds until the last one did."""
 
     def so() -> float:
@@ -94,11 +97,11 @@
         ]
         return max(found[0] for found in last) if all(last) else 0.0
 
-    at: float = band.until(so, f"all know plan {number}", FAR)
+    at: float = band.wait_until(so, f"all know plan {number}", WAIT_SECONDS)
     return at - since
 
 
-def two_bodies(band: Band) -> list[str]:
+def conflicting_plans(band: FleetRig) -> list[str]:
     """Numbers under which two sidecars knew two bodies, and sidecars that went back."""
     bodies: dict[str, set[str]] = {}
     wrong = []
@@ -113,129 +116,129 @@
     return wrong + [f"plan {number} has two bodies" for number in twice]
 
 
-def plan(band: Band, random: Random) -> Iterator[Measured]:
+def plan(band: FleetRig, random: Random) -> Iterator[Measurement]:
     names = list(band.members)
-    number = state(band, "d3")["newest"] + 1
-    body = document("large", LARGE)
-    since = push(band, "d3", body)
-    took = settled(band, names, number, since)
-    yield Measured(took <= 5.0, f"a plan of {len(body)} bytes is with all after {took:.1f} s (5)")
-    leader = next(name for name in ("d0", "d1", "d2") if band.seen(name)["view"]["leads"])
+    number = plan_status(band, "d3")["newest"] + 1
+    body = document("large", LARGE_PLAN_BYTES)
+    since = propose(band, "d3", body)
+    took = wait_until_committed(band, names, number, since)
+    yield Measurement(took <= 5.0, f"a plan of {len(body)} bytes is with all after {took:.1f} s (5)")
+    leader = next(name for name in ("d0", "d1", "d2") if band.status(name)["view"]["leads"])
     other = next(name for name in ("d3", "d4") if name != leader)
-    since = push(band, other, document("leader killed", LARGE))
-    band.until(lambda: newest(band, other)["state"] != "offered", "it is begun", FAR)
+    since = propose(band, other, document("leader killed", LARGE_PLAN_BYTES))
+    band.wait_until(lambda: newest_proposal(band, other)["state"] != "offered", "it is begun", WAIT_SECONDS)
     band.kill(leader)
-    how = ended(band, other)
+    how = wait_until_ended(band, other)
     took = time.monotonic() - since
     band.start(leader)
-    Judge(band).whole(names, len(names))
-    last = state(band, other)["newest"]
-    settled(band, names, last, since)
-    wrong = two_bodies(band)
-    yield Measured(
+    ViewHistory(band).wait_for_one_view(names, len(names))
+    last = plan_status(band, other)["newest"]
+    wait_until_committed(band, names, last, since)
+    wrong = conflicting_plans(band)
+    yield Measurement(
         not wrong and how["state"] in ("settled", "refused"),
         f"leader killed in a push: {how['state']} after {took:.1f} s, plan {last} with all, wrong: {wrong}",
     )
 
 
-def skew(band: Band, random: Random) -> Iterator[Measured]:
+def skew(band: FleetRig, random: Random) -> Iterator[Measurement]:
     names = list(band.members)
     old = names[-1]
 
     def again(formats: str) -> None:
-        band.own_plan[old] = {"formats": formats} if formats else {}
-        band.send(SIGTERM, old)
-        band.until(lambda: not _running(band, old), f"{old} ends", FAR)
-        Judge(band).whole(names[:-1], len(names) - 1)
+        band.member_plans[old] = {"formats": formats} if formats else {}
+        band.signal(SIGTERM, old)
+        band.wait_until(lambda: not _running(band, old), f"{old} ends", WAIT_SECONDS)
+        ViewHistory(band).wait_for_one_view(names[:-1], len(names) - 1)
         band.start(old)
 
     again("[1]")
-    Judge(band).whole(names, len(names))
-    number = state(band, "d3")["newest"]
-    since = push(band, "d3", document("windows", window=3600.0))
-    how = ended(band, "d3")
+    ViewHistory(band).wait_for_one_view(names, len(names))
+    number = plan_status(band, "d3")["newest"]
+    since = propose(band, "d3", document("windows", window=3600.0))
+    how = wait_until_ended(band, "d3")
     named = [one["member"] for one in how["reasons"]]
-    yield Measured(
-        how["state"] == "refused" and named == [old] and state(band, "d3")["newest"] == number,
+    yield Measurement(
+        how["state"] == "refused" and named == [old] and plan_status(band, "d3")["newest"] == number,
         f"one that reads format 1 only: {how['state']} after {time.monotonic() - since:.1f} s, "
         f"named {named}, {how['reasons'][:1]}",
     )
     again("")
-    Judge(band).whole(names, len(names))
-    since = push(band, "d3", document("windows", window=3600.0))
-    took = settled(band, names, number + 1, since)
-    yield Measured(True, f"and once it reads all: settled with all after {took:.1f} s")
+    ViewHistory(band).wait_for_one_view(names, len(names))
+    since = propose(band, "d3", document("windows", window=3600.0))
+    took = wait_until_committed(band, names, number + 1, since)
+    yield Measurement(True, f"and once it reads all: settled with all after {took:.1f} s")
     again("[1]")
-    time.sleep(2 * SETTLE)
+    time.sleep(2 * SETTLE_SECONDS)
     inside = [text for at, text in band.members[old].events if text.startswith("view ")][-1:]
     out = not inside or "inside=0" in inside[0]
-    yield Measured(out, f"one that comes back older is {'not ' if out else ''}let into the view")
+    yield Measurement(out, f"one that comes back older is {'not ' if out else ''}let into the view")
     again("")
-    Judge(band).whole(names, len(names))
+    ViewHistory(band).wait_for_one_view(names, len(names))
 
 
-def _running(band: Band, name: str) -> bool:
+def _running(band: FleetRig, name: str) -> bool:
     process = band.members[name].process
-    return process is not None and process.running
+    return process is not None and process.is_running
 
 
-def _next(band: Band, names: Collection[str], body: bytes) -> float:
+def _next(band: FleetRig, names: Collection[str], body: bytes) -> float:
     """Push a plan, and wait until all know it settled; when it was pushed."""
-    number = state(band, "d3")["newest"] + 1
-    since = push(band, "d3", body)
-    settled(band, names, number, since)
+    number = plan_status(band, "d3")["newest"] + 1
+    since = propose(band, "d3", body)
+    wait_until_committed(band, names, number, since)
     return since
 
 
-def _edge(band: Band, names: Collection[str], bound: float, how: str, hold: bool = False) -> Measured:
+def _edge(band: FleetRig, names: Collection[str], bound: float, how: str, hold: bool = False) -> Measurement:
     """A window opens and closes: how far apart these come to stand in it, and leave it."""
-    since = _next(band, names, document(how, window=AHEAD, hold=hold))
-    time.sleep(max(0.0, since + AHEAD + OPEN + 3.0 - time.monotonic()))
+    since = _next(band, names, document(how, window=WINDOW_LEAD_SECONDS, hold=hold))
+    time.sleep(max(0.0, since + WINDOW_LEAD_SECONDS + WINDOW_SECONDS + 3.0 - time.monotonic()))
     spreads, missing = [], []
     for word in ("window-entered", "window-left"):
         at = [found[-1][0] for name in names if (found := events(band, name, word, since))]
         missing.append(len(names) - len(at))
         spreads.append(max(at) - min(at) if at else 0.0)
-    return Measured(
+    return Measurement(
         max(spreads) <= bound and not any(missing),
         f"{how}: {len(names)} enter within {spreads[0] * 1000:.0f} ms and leave within "
         f"{spreads[1] * 1000:.0f} ms ({bound * 1000:.0f}), {max(missing)} did not",
     )
 
 
-def windows(band: Band, random: Random) -> Iterator[Measured]:
+def windows(band: FleetRig, random: Random) -> Iterator[Measurement]:
     names = list(band.members)
-    yield _edge(band, names, SPREAD, "plain links")
-    band.cut(names, names, State(delay=DELAY))
-    time.sleep(SETTLE)
-    yield _edge(band, names, DELAYED, f"links delayed by {DELAY * 1000:.0f} ms")
-    band.mend()
-    time.sleep(SETTLE)
+    yield _edge(band, names, MAX_SPREAD_SECONDS, "plain links")
+    band.set_links(names, names, State(delay=DELAY_SECONDS))
+    time.sleep(SETTLE_SECONDS)
+    yield _edge(band, names, MAX_DELAYED_SPREAD_SECONDS, f"links delayed by {DELAY_SECONDS * 1000:.0f} ms")
+    band.heal()
+    time.sleep(SETTLE_SECONDS)
     away = sorted(random.sample(names[5:], max(1, len(names) // 3)))
     rest = [name for name in names if name not in away]
-    since = _next(band, names, document("a third stopped", window=AHEAD))
-    time.sleep(max(0.0, since + AHEAD - 2.0 - time.monotonic()))
-    band.stop(*away)
+    since = _next(band, names, document("a third stopped", window=WINDOW_LEAD_SECONDS))
+    time.sleep(max(0.0, since + WINDOW_LEAD_SECONDS - 2.0 - time.monotonic()))
+    band.pause(*away)
     time.sleep(4.0)
-    band.go_on(*away)
+    band.resume(*away)
     on = time.monotonic()
     time.sleep(2.0)
     late = [found[-1][0] - on for name in away if (found := events(band, name, "window-entered", since))]
     kept = [name for name in rest if events(band, name, "window-entered", since)]
-    yield Measured(
+    yield Measurement(
         len(late) == len(away) and len(kept) == len(rest) and max(late) <= 0.5,
         f"{len(away)} stopped over the edge: in it {max(late, default=99.0) * 1000:.0f} ms after they go on, "
         f"{len(kept)} of {len(rest)} others in it in time",
     )
-    time.sleep(OPEN)
+    time.sleep(WINDOW_SECONDS)
 
 
-CASES: dict[str, Callable[[Band, Random], Iterator[Measured]]] = {
+CASES: dict[str, Callable[[FleetRig, Random], Iterator[Measurement]]] = {
     "plan": plan, "skew": skew, "windows": windows,
 }  # fmt: skip
 
 
-def play(cases: list[str], size: int, seed: int, term: float) -> Iterator[Measured]:
+def play(cases: list[str], size: int, seed: int, term: float) -> Iterator[Measurement]:
     """Start a band that goes by one plan, and play cases one after the other. ProcessError where something
     does not come.
     """
@@ -243,17 +246,17 @@
     fleet = {"view": "true"}
     with (
         TemporaryDirectory() as folder,
-        Band(Path(folder), size, term, fleet=fleet, seed=seed, plan={}) as band,
+        FleetRig(Path(folder), size, term, fleet=fleet, seed=seed, plan={}) as band,
     ):
         since = time.monotonic()
-        band.begin()
-        took = Judge(band, since).whole(list(band.members), size)
-        yield Measured(True, f"{size} sidecars stand in one view {took:.1f} s after the first is started")
-        time.sleep(SETTLE)
+        band.start_all()
+        took = ViewHistory(band, since).wait_for_one_view(list(band.members), size)
+        yield Measurement(True, f"{size} sidecars stand in one view {took:.1f} s after the first is started")
+        time.sleep(SETTLE_SECONDS)
         for name in cases:
             yield from CASES[name](band, random)
-            time.sleep(SETTLE)
-        wrong = two_bodies(band)
-        yield Measured(not wrong, f"numbers with two bodies, or that went back: {wrong or 'none'}")
+            time.sleep(SETTLE_SECONDS)
+        wrong = conflicting_plans(band)
+        yield Measurement(not wrong, f"numbers with two bodies, or that went back: {wrong or 'none'}")
         broken = [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
-        yield Measured(not broken, f"{len(broken)} errors in the logs {[text for _, text in broken[:2]]}")
+        yield Measurement(not broken, f"{len(broken)} errors in the logs {[text for _, text in broken[:2]]}")
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -23,13 +23,13 @@
 
 from wheatring.core.clock import Clock
 from wheatring.lab.live import tally
+from wheatring.lab.live.lifecycles import Lifecycles
 from wheatring.lab.live.links.faults import Faults
 from wheatring.lab.live.links.wires import Wires
-from wheatring.lab.live.lives import Lives
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
-from wheatring.lab.live.scale import OF_LINKS
-from wheatring.lab.live.seats import LISTS, Seats
+from wheatring.lab.live.scale import LINK_EVENTS
+from wheatring.lab.live.sidecar_slots import LIST_LINKS, SidecarSlots
 from wheatring.lab.live.watch import Watch, Watched
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.discovery import Registry
@@ -43,19 +43,19 @@
 from wheatring.lab.world.events import Events
 from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
 
-LEAD = 0.5  # seconds from when all sidecars listen until the day begins
-SETTLE = 0.5  # seconds past the tail
-START = 20.0  # seconds in which all sidecars must listen, and for each of them so many more
-START_EACH = 0.5
-SPARE = 200  # descriptors beside doors and connections
-TICK = 0.02  # seconds between looks at how late this process is
-MOST_LATE = 20.0  # ms
-MOST_BREACHES = 10  # shown
+LEAD_SECONDS = 0.5  # seconds from when all sidecars listen until the day begins
+SETTLE_SECONDS = 0.5  # seconds past the tail
+START_TIMEOUT_SECONDS = 20.0  # seconds in which all sidecars must listen, and for each of them so many more
+START_TIMEOUT_EACH_SECONDS = 0.5
+SPARE_DESCRIPTORS = 200  # descriptors beside doors and connections
+TICK_SECONDS = 0.02  # seconds between looks at how late this process is
+MAX_LATE_MS = 20.0  # ms
+MAX_BREACHES_SHOWN = 10  # shown
 LAB = "lab"
 # What links are held to need at most: this process reads what has come only in its turn.
 LINKS = NetPlan(same=0.002, cross=0.002, client=0.002, jitter=1.0)
-EACH_RELAY = 50  # sidecars whose links one relay carries, while there are fewer than
-MOST_RELAYS = 6
+SIDECARS_PER_RELAY = 50  # sidecars whose links one relay carries, while there are fewer than
+MAX_RELAYS = 6
 
 
 class LiveOutcome(Outcome):
@@ -86,18 +86,18 @@
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.book)
         self.front = Front(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
-        self.wires = wires_of(plan) if wired or any(e.kind in OF_LINKS for e in plan.events) else None
+        self.wires = wires_of(plan) if wired or any(e.kind in LINK_EVENTS for e in plan.events) else None
         self.nodes = Nodes(
             reactor, plan, clock, self.origins, self.book, self.registry,
-            lambda name: self.seats.where(name), self.wires,
+            lambda name: self.slots.where(name), self.wires,
         )  # fmt: skip
-        self.seats = Seats(
+        self.slots = SidecarSlots(
             reactor, plan, clock, self.book, self.registry, self.nodes.address, folder, self.watch, self.wires
         )
-        self.lives = Lives(self.nodes, self.seats, self.front, self.wires)
-        self.lives.ready, self.lives.failed = self.start_day, self.stop
+        self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.wires)
+        self.lifecycles.ready, self.lifecycles.failed = self.start_day, self.stop
         way = Caller(
-            reactor, clock, self.book, Forms(plan.classes), self.seats.where, CLIENTS,
+            reactor, clock, self.book, Forms(plan.classes), self.slots.where, CLIENTS,
             plan.clients.connections,
         )  # fmt: skip
         self.clients = Clients(plan, clock, self.random("clients"), self.origins, self.book, self.front, way)
@@ -107,11 +107,11 @@
             Faults(plan, self.nodes, self.wires),
             machines,
             self.registry,
-            self.seats,
-            self.lives,
+            self.slots,
+            self.lifecycles,
             self.book.happens,
         )
-        self.late = array("d")
+        self.lateness = array("d")
         self.began = 0.0
         self.fault: BaseException | None = None
         self.outcome: LiveOutcome | None = None
@@ -128,12 +128,12 @@
         globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False, discardBuffer=True)
         self.reactor.callWhenRunning(self.begin)
         try:
-            room_for(self.plan)
+            raise_descriptor_limit(self.plan)
             if self.wires is not None:
                 self.wires.reserve(links_of(self.plan))
             self.reactor.run()
         finally:
-            self.seats.end()
+            self.slots.end()
             if self.wires is not None:
                 self.wires.end()
         if self.fault is not None:
@@ -147,21 +147,21 @@
             self.nodes.add(node.name)
         nodes = [node.name for node in self.plan.nodes if node.up]
         names = [told.name for told in self.plan.sidecars if told.start == 0]
-        names += [name for name in nodes if name in self.seats.seats]
+        names += [name for name in nodes if name in self.slots.seats]
         self.say(f"{len(nodes)} nodes, {len(names)} sidecars from the start on")
         if not names:
             self.starting = self.clock.at(self.clock.now(), self.start_day)
             return
-        by = self.clock.now() + START + START_EACH * len(names)
-        self.starting = self.clock.at(by, self.lives.late)
-        self.lives.begin(names)
+        by = self.clock.now() + START_TIMEOUT_SECONDS + START_TIMEOUT_EACH_SECONDS * len(names)
+        self.starting = self.clock.at(by, self.lifecycles.on_start_timeout)
+        self.lifecycles.start_all(names)
 
     def start_day(self) -> None:
         if self.starting.active():
             self.starting.cancel()
         gc.collect()
         gc.freeze()  # what lasts all day need not be looked through again and again
-        self.began = day = self.clock.now() + LEAD
+        self.began = day = self.clock.now() + LEAD_SECONDS
         self.clock.at(day, self.day)
 
     def day(self) -> None:
@@ -174,20 +174,20 @@
         self.events.schedule(now, plan.events)
         for told in plan.sidecars:
             if told.start > 0:
-                self.clock.at(now + told.start, self.seats.start, self.seats.seats[told.name])
-        self.clock.at(now + plan.length + plan.tail + SETTLE, self.stop)
+                self.clock.at(now + told.start, self.slots.start, self.slots.seats[told.name])
+        self.clock.at(now + plan.length + plan.tail + SETTLE_SECONDS, self.stop)
         self.clock.at(now + 1, self.second, 2)
         self.tick(now)
-        self.say(f"the day begins, and takes {plan.length + plan.tail + SETTLE:.0f} s")
+        self.say(f"the day begins, and takes {plan.length + plan.tail + SETTLE_SECONDS:.0f} s")
 
     def second(self, number: int) -> None:
-        self.watch.look(self.clock.now())
+        self.watch.sample(self.clock.now())
         self.clock.at(self.began + number, self.second, number + 1)
 
     def tick(self, due: float) -> None:
         now = self.clock.now()
-        self.late.append(now - due)
-        self.clock.at(now + TICK, self.tick, now + TICK)
+        self.lateness.append(now - due)
+        self.clock.at(now + TICK_SECONDS, self.tick, now + TICK_SECONDS)
 
     def stop(self, fault: BaseException | None = None) -> None:
         """The end, of the day or because of a fault."""
@@ -195,7 +195,7 @@
         if not self.over:
             self.over = True
             if fault is None:
-                self.watch.look(self.clock.now())
+                self.watch.sample(self.clock.now())
                 # Now: as the reactor stops, it ends connections, which is nobody's breach.
                 self.outcome = self.found()
             self.reactor.stop()
@@ -212,34 +212,34 @@
         held = {
             name: {"most_sockets": row.peak_descriptors}
             for name, row in self.watch.watched.items()
-            if name in self.seats.seats
+            if name in self.slots.seats
         }
         found = self.book.finish(self.clock.now() - self.began, held)
         outcome = LiveOutcome(
             **structs.asdict(found),
             watched=list(self.watch.watched.values()),
-            late_ms=tally.part(array("d", sorted(self.late)), 0.99),
-            late_most_ms=max(self.late, default=0.0) * 1000,
+            late_ms=tally.percentile_ms(array("d", sorted(self.lateness)), 0.99),
+            late_most_ms=max(self.lateness, default=0.0) * 1000,
         )
         return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)  # a copy: the book still writes
 
 
 def wires_for(plan: Plan) -> int:
     """How many relays carry a plan's links."""
-    return min(MOST_RELAYS, -(-len(side_hosts(plan)) // EACH_RELAY))
+    return min(MAX_RELAYS, -(-len(side_hosts(plan)) // SIDECARS_PER_RELAY))
 
 
 def wires_of(plan: Plan) -> Wires:
     """The links of a plan's parties, to be reserved yet."""
     hosts = side_hosts(plan)
     hosts |= {node.host: node.host for node in plan.nodes}
-    hosts |= {CLIENTS: CLIENTS, **dict.fromkeys(LISTS, DISCOVERY[0])}
+    hosts |= {CLIENTS: CLIENTS, **dict.fromkeys(LIST_LINKS, DISCOVERY[0])}
     return Wires(plan.seed, hosts, plan.net, wires_for(plan))
 
 
 def links_of(plan: Plan) -> Iterator[str]:
     """The names of all links that the day may need."""
-    lists = LISTS if any(event.kind == "discovery_move" for event in plan.events) else LISTS[:1]
+    lists = LIST_LINKS if any(event.kind == "discovery_move" for event in plan.events) else LIST_LINKS[:1]
     callers = [[told.name for told in plan.sidecars]]
     callers += [[n.name for n in plan.nodes if n.tier == tier] for tier in range(len(plan.tiers) - 1)]
     for tier, names in enumerate(callers):
@@ -250,7 +250,7 @@
                 yield f"{CLIENTS}>{name}"
 
 
-def room_for(plan: Plan) -> None:
+def raise_descriptor_limit(plan: Plan) -> None:
     """Raise this process's bound on descriptors as far as the plan needs. ProcessError if it can't be."""
     doors = connections = 0
     callers = [len(plan.sidecars)]
@@ -259,7 +259,7 @@
         doors += count * sum(n.tier == tier for n in plan.nodes)
     waiting = plan.traffic.rate * max((c.deadline for c in plan.classes), default=0.0)
     connections = 2 * doors + round(2 * waiting)
-    need = doors + connections + SPARE
+    need = doors + connections + SPARE_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and need > hard:
         raise ProcessError(
@@ -290,7 +290,9 @@
             f"p50 {each.p50_ms:.0f} ms, p99 {each.p99_ms:.0f} ms"
         )
     yield f"{outcome.breach_count} breaches of the rules"
-    yield from (f"  {each.at:.2f} s, {each.rule}: {each.what}" for each in outcome.breaches[:MOST_BREACHES])
+    yield from (
+        f"  {each.at:.2f} s, {each.rule}: {each.what}" for each in outcome.breaches[:MAX_BREACHES_SHOWN]
+    )
     sidecars = [row for row in outcome.watched if row.looks and row.name != LAB]
     if sidecars:
         cpu = [row.cpu_s / outcome.simulated_s for row in sidecars]
@@ -304,7 +306,7 @@
         f"the lab's own process: CPU {lab:.3f} of a core, {outcome.late_ms:.1f} ms late at p99, "
         f"{outcome.late_most_ms:.0f} at most"
     )
-    if outcome.late_ms > MOST_LATE:
-        yield f"more than {MOST_LATE:.0f} ms: it was the limit, and latencies and breaches say little"
+    if outcome.late_ms > MAX_LATE_MS:
+        yield f"more than {MAX_LATE_MS:.0f} ms: it was the limit, and latencies and breaches say little"
     if outcome.left_out:
         yield f"left out: {', '.join(outcome.left_out)}"
--- a/wheatring/lab/live/process.py
+++ b/wheatring/lab/live/process.py
@@ -16,9 +16,9 @@
 
 import wheatring
 
-LEASH = str(Path(__file__).with_name("leash.py"))
+DIE_WITH_PARENT = str(Path(__file__).with_name("die_with_parent.py"))
 HOME = str(Path(wheatring.__file__).parents[1])  # where this wheatring lies: its processes must run the same
-LAST = 2.0  # seconds that a process has to end once killed: beyond this the kernel holds it up
+KILL_TIMEOUT_SECONDS = 2.0  # until a killed process has ended: beyond this the kernel holds it up
 
 
 class ProcessError(RuntimeError):
@@ -30,7 +30,7 @@
     return [sys.executable, "-m", name, *words]
 
 
-class Ended:
+class ContextManaged:
     """What a `with` block ends, however it is left."""
 
     def __enter__(self) -> Self:
@@ -45,7 +45,7 @@
         raise NotImplementedError
 
 
-class Process(Ended):
+class Process(ContextManaged):
     """One process. It ends, killed if need be, with `end`, with the `with` block, or with this process.
 
     Its standard output is read by a thread of its own, so that it never waits for a reader; `on_line` is
@@ -67,11 +67,11 @@
         self.lines: list[str] = []  # of its standard output
         self.on_line = on_line
         self.on_end = on_end
-        self.said = threading.Condition()
+        self.changed = threading.Condition()
         self.closed = False
         path = os.pathsep.join(filter(None, (HOME, os.environ.get("PYTHONPATH", ""))))
         self.popen = subprocess.Popen(
-            [sys.executable, "-ES", LEASH, str(os.getpid()), *command],
+            [sys.executable, "-ES", DIE_WITH_PARENT, str(os.getpid()), *command],
             env={**os.environ, "PYTHONPATH": path, **(environment or {})},
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
@@ -92,19 +92,19 @@
         assert self.popen.stdout is not None
         for text in self.popen.stdout:
             line = text.rstrip("\n")
-            with self.said:
+            with self.changed:
                 self.lines.append(line)
-                self.said.notify_all()
+                self.changed.notify_all()
             if self.on_line is not None:
                 self.on_line(line)
         self.popen.wait()
-        with self.said:
+        with self.changed:
             self.closed = True
-            self.said.notify_all()
+            self.changed.notify_all()
         if self.on_end is not None:
             self.on_end()
 
-    def tell(self, line: str) -> None:
+    def write_line(self, line: str) -> None:
         """Write a line to its standard input. ProcessError if it has ended."""
         assert self.popen.stdin is not None
         try:
@@ -113,11 +113,11 @@
         except OSError as bad:
             raise ProcessError(f"{self.name}: has ended with status {self.popen.poll()}") from bad
 
-    def line(self, start: str, by: float, after: int = 0) -> str:
+    def wait_for_line(self, start: str, by: float, after: int = 0) -> str:
         """Wait for a line that starts so, `after` lines left out, until an instant of the monotonic clock.
         ProcessError if none comes.
         """
-        with self.said:
+        with self.changed:
             while True:
                 for line in self.lines[after:]:
                     if line.startswith(start):
@@ -125,11 +125,11 @@
                 after = max(after, len(self.lines))
                 if self.closed:
                     raise ProcessError(f"{self.name}: ended before it said {start!r}")
-                if not self.said.wait(by - time.monotonic()):
+                if not self.changed.wait(by - time.monotonic()):
                     raise ProcessError(f"{self.name}: has not said {start!r} in time")
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         return self.popen.poll() is None
 
     def send(self, number: signal.Signals) -> None:
@@ -146,7 +146,7 @@
     def end(self) -> None:
         """Kill it if it still runs, and let go of it."""
         self.popen.kill()
-        self.wait(time.monotonic() + LAST)
+        self.wait(time.monotonic() + KILL_TIMEOUT_SECONDS)
         assert self.popen.stdin is not None
         with suppress(OSError):  # it had left something unread
             self.popen.stdin.close()
--- a/wheatring/lab/live/scale.py
+++ b/wheatring/lab/live/scale.py
@@ -9,22 +9,22 @@
 
 from wheatring.lab.plan import EventKind, EventPlan, NodePlan, Plan, SidecarPlan
 
-NEVER: frozenset[EventKind] = frozenset(("clock_step",))  # the machine's own
+UNPLAYABLE: frozenset[EventKind] = frozenset(("clock_step",))  # the machine's own
 # These are played by links that lie between the processes.
-OF_LINKS: frozenset[EventKind] = frozenset(
+LINK_EVENTS: frozenset[EventKind] = frozenset(
     ("partition", "vanish", "latency", "late_connects", "discovery_move")
 )
 One = TypeVar("One", NodePlan, SidecarPlan)
 
-LIVES: frozenset[EventKind] = frozenset(("drain", "kill", "start"))
+LIFECYCLE_EVENTS: frozenset[EventKind] = frozenset(("drain", "kill", "start"))
 
 
-def never(plan: Plan) -> list[EventKind]:
+def unplayable_kinds(plan: Plan) -> list[EventKind]:
     """The kinds of the plan's events that can't be played here, each once, as they come."""
-    return list(dict.fromkeys(event.kind for event in plan.events if event.kind in NEVER))
+    return list(dict.fromkeys(event.kind for event in plan.events if event.kind in UNPLAYABLE))
 
 
-def without(plan: Plan, kinds: Iterable[EventKind]) -> Plan:
+def without_kinds(plan: Plan, kinds: Iterable[EventKind]) -> Plan:
     left_out = set(kinds)
     return structs.replace(plan, events=tuple(e for e in plan.events if e.kind not in left_out))
 
@@ -48,7 +48,7 @@
         if not node.up:  # it comes later, or would have
             peers = [other.name for other in first if other.tier == node.tier]
             stand_in[node.name] = node.name if node.name in left else peers[place % len(peers)]
-    moved = [event if event.kind in LIVES else _moved(event, scale, stand_in) for event in events]
+    moved = [event if event.kind in LIFECYCLE_EVENTS else _moved(event, scale, stand_in) for event in events]
     nodes = tuple(node for node in plan.nodes if node.name in left)
     traffic = structs.replace(plan.traffic, rate=plan.traffic.rate * _capacity_left(plan, first))
     return structs.replace(plan, sidecars=tuple(front), nodes=nodes, events=tuple(moved), traffic=traffic)
@@ -62,7 +62,7 @@
     kept = []
     newcomers = 0.0
     for event in events:
-        if event.kind not in LIVES:
+        if event.kind not in LIFECYCLE_EVENTS:
             kept.append(event)
             continue
         names = []
--- a/wheatring/lab/live/sidecar.py
+++ b/wheatring/lab/live/sidecar.py
@@ -11,7 +11,7 @@
 from wheatring.lab.live.process import Process, module
 
 US = 1_000_000
-START = 20.0  # seconds in which it must listen, on a machine that is busy with other things
+START_TIMEOUT_SECONDS = 20.0  # seconds in which it must listen, on a machine that is busy with other things
 
 
 def settings(
@@ -80,10 +80,12 @@
 
     def port(self, by: float | None = None) -> int:
         """Wait until it listens; the port that it got. ProcessError if it does not in time."""
-        line = self.line("listening ", time.monotonic() + START if by is None else by)
-        return listens_at(line)
+        line = self.wait_for_line(
+            "listening ", time.monotonic() + START_TIMEOUT_SECONDS if by is None else by
+        )
+        return port_in(line)
 
 
-def listens_at(line: str) -> int:
+def port_in(line: str) -> int:
     """The port in the log's line `listening ...`."""
     return int(line.rpartition(" port=")[2])
--- a/wheatring/lab/live/stand_in.py
+++ b/wheatring/lab/live/stub_server.py
@@ -22,7 +22,7 @@
         return  # whoever called is gone
 
 
-class StandIn:
+class StubServer:
     """Serves on loopback from `serve` to `end`."""
 
     def serve(self, handler: type[Handler]) -> None:
--- a/wheatring/lab/live/tally.py
+++ b/wheatring/lab/live/tally.py
@@ -24,7 +24,7 @@
         self.connections = 0
 
 
-def part(values: array[float], share: float) -> float:
+def percentile_ms(values: array[float], share: float) -> float:
     """The value below which that share lies, of sorted ones, in ms."""
     return values[min(len(values) - 1, int(len(values) * share))] * 1000 if values else 0.0
 
@@ -44,7 +44,7 @@
         late.extend(tally.late)
         rows.append(
             Row(
-                number, tally.asked, tally.counts, part(took, 0.5), part(took, 0.99),
+                number, tally.asked, tally.counts, percentile_ms(took, 0.5), percentile_ms(took, 0.99),
                 max(tally.late, default=0.0) * 1000, tally.connections,
             )
         )  # fmt: skip
@@ -54,8 +54,8 @@
         return float(histogram.get_value_at_percentile(percent)) / 1000 if counts.served else 0.0
 
     wrong = []
-    if part(late, 0.99) > load.late_ms:
-        wrong.append(f"the generator itself was late: p99 {part(late, 0.99):.2f} ms")
+    if percentile_ms(late, 0.99) > load.late_ms:
+        wrong.append(f"the generator itself was late: p99 {percentile_ms(late, 0.99):.2f} ms")
     if load.mode == "closed" and cpu > load.busy:
         wrong.append(f"the generator needed {cpu:.2f} of its core")
     return Result(
@@ -64,7 +64,8 @@
         counts=counts,
         mean_ms=float(histogram.get_mean_value()) / 1000 if counts.served else 0.0,
         p50_ms=ms(50), p90_ms=ms(90), p99_ms=ms(99), p999_ms=ms(99.9), most_ms=ms(100),
-        late_p50_ms=part(late, 0.5), late_p99_ms=part(late, 0.99), late_most_ms=part(late, 1.0),
+        late_p50_ms=percentile_ms(late, 0.5), late_p99_ms=percentile_ms(late, 0.99),
+        late_most_ms=percentile_ms(late, 1.0),
         cpu=cpu,
         valid=not wrong,
         why="; ".join(wrong),
--- a/wheatring/lab/live/watch.py
+++ b/wheatring/lab/live/watch.py
@@ -7,11 +7,11 @@
 
 from msgspec import Struct, field
 
-TICK = 1 / os.sysconf("SC_CLK_TCK")
+CPU_TICK_SECONDS = 1 / os.sysconf("SC_CLK_TCK")
 PAGE_MB = os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-class Look(Struct):
+class Sample(Struct):
     """One process in one span of time, mostly a second."""
 
     at: float  # the span's end, in seconds from the start
@@ -25,7 +25,7 @@
     cpu_s: float = 0.0  # over all spans
     peak_mb: float = 0.0
     peak_descriptors: int = 0
-    looks: list[Look] = field(default_factory=list)
+    looks: list[Sample] = field(default_factory=list)
 
 
 def cpu_seconds(pid: int) -> float:
@@ -33,7 +33,7 @@
     with open(f"/proc/{pid}/stat", "rb") as file:
         # Its name comes in brackets, and may hold anything.
         fields = file.read().rpartition(b")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * TICK
+    return (int(fields[11]) + int(fields[12])) * CPU_TICK_SECONDS
 
 
 def rss_mb(pid: int) -> float:
@@ -48,7 +48,7 @@
             word, *fields = line.split()
             if word == b"cpu%d" % cpu:
                 user, nice, system, _, _, irq, softirq, steal = map(int, fields[:8])
-                return (user + nice + system + irq + softirq + steal) * TICK
+                return (user + nice + system + irq + softirq + steal) * CPU_TICK_SECONDS
     raise ProcessLookupError(f"no core {cpu}")
 
 
@@ -79,7 +79,7 @@
         for name, pid in pids.items():
             self.add(name, pid, now)
 
-    def look(self, now: float) -> None:
+    def sample(self, now: float) -> None:
         for name, (pid, since, before) in list(self.out.items()):
             try:
                 cpu, rss = cpu_seconds(pid), rss_mb(pid)
@@ -89,7 +89,7 @@
                 continue
             row = self.watched[name]
             share = (cpu - before) / (now - since) if now > since else 0.0
-            row.looks.append(Look(now - self.began, share, rss, descriptors))
+            row.looks.append(Sample(now - self.began, share, rss, descriptors))
             row.cpu_s += cpu - before
             row.peak_mb = max(row.peak_mb, rss)
             row.peak_descriptors = max(row.peak_descriptors, descriptors)
