--- a/wheatring/lab/live/load.py
+++ b/wheatring/lab/live/load.py
@@ -1,4 +1,4 @@
-"""The load generator's words: what it is to do, and what came of it. Its process is `loading`."""
+"""The load generator's words: what it is to do, and what came of it. Its process is `generator_process`."""
 
 from __future__ import annotations
 
