--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -19,7 +19,8 @@
 
 from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
 from wheatring.boot_settings.settings import Address, Settings, Tolerance
-from wheatring.budgets.token_budgets import BudgetExceededError, TokenBudgets
+from wheatring.budgets.exceptions import BudgetExceededError
+from wheatring.budgets.token_budgets import TokenBudgets
 from wheatring.consensus.types import State
 from wheatring.controller.api import OperatorApi
 from wheatring.controller.node import Controller
@@ -30,7 +31,8 @@
 from wheatring.subscription.client import Subscription
 from wheatring.transport.client import ClientTable
 from wheatring.transport.messages_pb2 import ROLE_SIDECAR, EndpointList, OperatorRequest, Presence, Turn
-from wheatring.turns.conversations import Conversations, TurnNotFoundError
+from wheatring.turns.conversations import Conversations
+from wheatring.turns.exceptions import TurnNotFoundError
 
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT = 8000, 7000, 8100
 ORDER_SECONDS = 1.0  # that an operator waits for one controller
@@ -362,7 +364,7 @@
         """Read a conversation, past the cache: "found", "none" or "not sure"."""
         writer = self.writers[name]
         writer.conversations.cache._turns.clear()
-        writer.conversations.cache._size = 0
+        writer.conversations.cache._size_bytes = 0
         try:
             chain = await self.as_writer(name, lambda w: w.conversations.read_chain(turn_id, 2.0))
         except QuorumNotReachedError:
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow.py
@@ -18,7 +18,8 @@
 from random import Random
 
 from wheatring.boot_settings.settings import Settings, read_settings
-from wheatring.budgets.token_budgets import BudgetExceededError, TokenBudgets
+from wheatring.budgets.exceptions import BudgetExceededError
+from wheatring.budgets.token_budgets import TokenBudgets
 from wheatring.storage.exceptions import QuorumNotReachedError
 from wheatring.storage.quorum_client import QuorumClient
 from wheatring.subscription.client import Subscription
--- a/wheatring/sidecar/request_service.py
+++ b/wheatring/sidecar/request_service.py
@@ -9,7 +9,8 @@
 from random import Random
 
 from wheatring.balancer.interface import Outcome
-from wheatring.budgets.token_budgets import BudgetExceededError, TokenBudgets
+from wheatring.budgets.exceptions import BudgetExceededError
+from wheatring.budgets.token_budgets import TokenBudgets
 from wheatring.event_log import log_event
 from wheatring.http1.parser import Message
 from wheatring.sidecar import headers
@@ -23,7 +24,8 @@
 from wheatring.sidecar.service_balancer import ServiceBalancer
 from wheatring.storage.exceptions import QuorumNotReachedError
 from wheatring.transport.messages_pb2 import Turn
-from wheatring.turns.conversations import Conversations, TurnNotFoundError, build_prompt_body
+from wheatring.turns.conversations import Conversations, build_prompt_body
+from wheatring.turns.exceptions import TurnNotFoundError
 
 STORE_TIMEOUT_SECONDS = 1.2  # for turns and budgets to be read before a turn begins
 STORE_TIMEOUT_FRACTION = 0.5  # of the time that a turn has, which they may take at most
--- a/wheatring/turns/__init__.py
+++ b/wheatring/turns/__init__.py
@@ -1,1 +1,1 @@
-"""Turns of agent programs: the chain of a conversation and the body made from it."""
+"""Turns of agent programs: the conversation behind a turn and the prompt made from it."""
