--- a/wheatring/schedule/activation.py
+++ b/wheatring/schedule/activation.py
@@ -34,7 +34,7 @@
 START_SECONDS = 5.0  # for which a sidecar that starts waits for the time and a plan
 IDLE_SECONDS = 5.0  # between updates at most,
 UNSURE_SECONDS = 0.25  # and while the time or the plan is not known
-NEAR_SECONDS = 0.5  # before a change, from which on one sleeps right to it
+FINAL_SLEEP_SECONDS = 0.5  # before a change, from which on one sleeps right to it
 MIN_WAIT_SECONDS = 0.001
 
 
@@ -104,7 +104,7 @@
             before, self.table, self.plan_version = self.table, first.table, first.version
             events.append(LogEvent("plan-in-force", {"plan": first.version}))
             if before is not None and first.since is not None:
-                self._report_late_windows(first, first.since, before, events)
+                self._report_delayed_windows(first, first.since, before, events)
 
     def _is_in_force(self, now: float, queued: _QueuedPlan, time: Reading) -> bool:
         if queued.since is not None and time.is_sure and time.unix >= queued.since + LEAD_SECONDS:
@@ -112,7 +112,7 @@
         # The time is not known, or the time of the commit is not what it should be.
         return now >= queued.heard_at + LEAD_SECONDS + 2 * MAX_UNCERTAINTY_SECONDS
 
-    def _report_late_windows(
+    def _report_delayed_windows(
         self, queued: _QueuedPlan, since: float, before: Timetable, events: list[LogEvent]
     ) -> None:
         """Report windows of the new plan that should have opened before it was in force."""
@@ -197,4 +197,4 @@
             mark = min(mark, inf if queued.since is None else queued.since + LEAD_SECONDS)
         left = mark - time.unix
         most = IDLE_SECONDS if time.is_sure else UNSURE_SECONDS
-        return max(MIN_WAIT_SECONDS, min(most, left if left < NEAR_SECONDS else 0.9 * left))
+        return max(MIN_WAIT_SECONDS, min(most, left if left < FINAL_SLEEP_SECONDS else 0.9 * left))
--- a/wheatring/schedule/recurrence.py
+++ b/wheatring/schedule/recurrence.py
@@ -32,8 +32,8 @@
 class _ListPart(NamedTuple):
     """A part that lists numbers; with `from_end`, those below 0 count from the end."""
 
-    least: int
-    most: int
+    minimum: int
+    maximum: int
     from_end: bool
     frequencies: tuple[str, ...]  # that it goes with
 
@@ -61,11 +61,11 @@
 class _CountingSet(tuple[int, ...]):
     """A set of months or weekdays that `rrule` asks once for each day, so that days can be counted."""
 
-    left: int = 0
+    remaining: int = 0
 
     def __contains__(self, value: object) -> bool:
-        self.left -= 1
-        if self.left < 0:
+        self.remaining -= 1
+        if self.remaining < 0:
             raise SearchLimitError
         return super().__contains__(value)
 
@@ -109,7 +109,7 @@
         else:
             found._byweekday = counting = _CountingSet(found._byweekday or range(7))
         days = max(0, (before - start).days) + 2 * 366
-        counting.left = 24 * days if self.frequency == "HOURLY" else days
+        counting.remaining = 24 * days if self.frequency == "HOURLY" else days
         yield from found
 
     def _later_start(self, start: datetime, after: datetime) -> datetime:
@@ -217,32 +217,32 @@
     return openings
 
 
-def _parse_number(unreadable: _Unreadable, key: str, text: str, least: int, most: int) -> int:
-    if not re.fullmatch(r"[+-]?\d{1,9}", text) or not least <= int(text) <= most:
-        raise unreadable(f"{key}={text[:20]}, may be {least} to {most}")
+def _parse_number(unreadable: _Unreadable, key: str, text: str, minimum: int, maximum: int) -> int:
+    if not re.fullmatch(r"[+-]?\d{1,9}", text) or not minimum <= int(text) <= maximum:
+        raise unreadable(f"{key}={text[:20]}, may be {minimum} to {maximum}")
     return int(text)
 
 
 def _parse_list(unreadable: _Unreadable, key: str, text: str) -> tuple[int, ...]:
-    least, most, from_end, _ = _LIST_PARTS[key]
-    lowest = -most if from_end else least
-    found = {_parse_number(unreadable, key, item, lowest, most) for item in text.split(",")}
+    minimum, maximum, from_end, _ = _LIST_PARTS[key]
+    lowest = -maximum if from_end else minimum
+    found = {_parse_number(unreadable, key, item, lowest, maximum) for item in text.split(",")}
     if (from_end and 0 in found) or len(found) > MAX_LIST_VALUES:
-        what = f"counts from {least}, {MAX_LIST_VALUES} values are the most"
+        what = f"counts from {minimum}, {MAX_LIST_VALUES} values are the most"
         raise unreadable(f"{key}={text[:20]}, {what}")
     return tuple(sorted(found))
 
 
 def _parse_days(unreadable: _Unreadable, text: str, frequency: str, pairs: dict[str, str]) -> tuple[Any, ...]:
     days: list[Any] = []
-    most = {"MONTHLY": 5, "YEARLY": 53}.get(frequency, 0)
+    maximum = {"MONTHLY": 5, "YEARLY": 53}.get(frequency, 0)
     if "BYMONTH" in pairs or "BYWEEKNO" in pairs:
-        most = min(most, 5 if "BYWEEKNO" not in pairs else 0)
+        maximum = min(maximum, 5 if "BYWEEKNO" not in pairs else 0)
     for item in text.split(","):
         match = re.fullmatch(r"([+-]?\d{1,2})?([A-Z]{2})", item)
         if match is None or match[2] not in DAYS:
             raise unreadable(f"BYDAY={item[:20]!r} is no weekday")
-        if match[1] and not 1 <= abs(int(match[1])) <= most:
+        if match[1] and not 1 <= abs(int(match[1])) <= maximum:
             what = "goes with FREQ=MONTHLY, 1 to 5, or YEARLY, 1 to 53, without BYWEEKNO"
             raise unreadable(f"BYDAY={item}: {what}")
         days.append(weekday(DAYS.index(match[2]), int(match[1]) if match[1] else None))
--- a/wheatring/schedule/timetable.py
+++ b/wheatring/schedule/timetable.py
@@ -53,17 +53,16 @@
     steps: list[WeightStep]
 
 
-def blend(below: Mapping[str, int], above: Mapping[str, int], part: int, of: int) -> Weights:
-    """Return weights by which `part` of `of` of the whole goes by `above` and the rest by `below`.
+def blend(base: Mapping[str, int], overlay: Mapping[str, int], part: int, of: int) -> Weights:
+    """Return weights by which `part` of `of` of the whole goes by `overlay` and the rest by `base`.
 
     The sums of the two need not be equal. Exact in the smallest whole numbers, or rounded to `WEIGHT_PARTS`
     where these are larger: the largest remainders are rounded up, of equal ones the first by name.
     """
-    sum_below, sum_above = sum(below.values()), sum(above.values())
-    names = [*below, *(name for name in above if name not in below)]
-    mixed = [
-        below.get(name, 0) * sum_above * (of - part) + above.get(name, 0) * sum_below * part for name in names
-    ]
+    base_sum, overlay_sum = sum(base.values()), sum(overlay.values())
+    names = [*base, *(name for name in overlay if name not in base)]
+    base_share, overlay_share = overlay_sum * (of - part), base_sum * part
+    mixed = [base.get(name, 0) * base_share + overlay.get(name, 0) * overlay_share for name in names]
     divisor = gcd(*mixed) or 1
     mixed = [value // divisor for value in mixed]
     total = sum(mixed)
@@ -164,8 +163,8 @@
         if found is None:
             while len(self.days) >= MAX_DAYS:
                 del self.days[next(iter(self.days))]
-            begin = day * DAY_MICROSECONDS
-            found = self.days[day] = {route: self._day_steps(route, begin) for route in self.routes}
+            day_start = day * DAY_MICROSECONDS
+            found = self.days[day] = {route: self._day_steps(route, day_start) for route in self.routes}
         return found
 
     def _openings(self, route: str, after: int, before: int) -> list[OpenWindow]:
@@ -188,12 +187,12 @@
             for _, opens, name, closes in sorted(found)
         ]
 
-    def _day_steps(self, route: str, begin: int) -> _DaySteps:
-        end = begin + DAY_MICROSECONDS
-        openings = self._openings(route, begin, end)
-        marks = {begin}
+    def _day_steps(self, route: str, day_start: int) -> _DaySteps:
+        day_end = day_start + DAY_MICROSECONDS
+        openings = self._openings(route, day_start, day_end)
+        marks = {day_start}
         for opening in openings:
-            marks.update(mark for mark in self._marks(opening) if begin < mark < end)
+            marks.update(mark for mark in self._marks(opening) if day_start < mark < day_end)
         starts = sorted(marks)
         steps: list[WeightStep] = []
         for start in starts:
--- a/wheatring/skew/capabilities.py
+++ b/wheatring/skew/capabilities.py
@@ -111,19 +111,13 @@
     FormatsUnknownError
         No format is left, or one is not known.
     """
-    known = range(OLDEST_FORMAT, NEWEST_FORMAT + 1)
-    readable = sorted({*known} if formats is None else {*formats})
-    if not readable or not {*readable} <= {*known}:
-        asked = ", ".join(map(str, readable)) or "none"
-        raise FormatsUnknownError(
-            f"plan.formats: {asked}, this program knows {OLDEST_FORMAT} to {NEWEST_FORMAT}"
-        )
+    readable = _readable_formats(formats)
     installed = {name: version(name) for names in FEATURE_LIBRARIES.values() for name in names}
-    features = {
+    features = (
         name
         for name, since in FEATURE_FORMATS.items()
         if since <= readable[-1] and all(installed[library] for library in FEATURE_LIBRARIES.get(name, ()))
-    }
+    )
     versions = ((RE2, installed["google-re2"]), (TZDATA, installed["tzdata"]))
     return Capabilities(
         _ranges(readable),
@@ -145,3 +139,15 @@
         else:
             ranges.append((format, format))
     return tuple(ranges)
+
+
+def _readable_formats(formats: Sequence[int] | None) -> list[int]:
+    """Return the formats that this program reads, restricted to some or not, in ascending order."""
+    known = range(OLDEST_FORMAT, NEWEST_FORMAT + 1)
+    readable = sorted({*known} if formats is None else {*formats})
+    if not readable or not {*readable} <= {*known}:
+        asked = ", ".join(map(str, readable)) or "none"
+        raise FormatsUnknownError(
+            f"plan.formats: {asked}, this program knows {OLDEST_FORMAT} to {NEWEST_FORMAT}"
+        )
+    return readable
--- a/wheatring/skew/coordinator.py
+++ b/wheatring/skew/coordinator.py
@@ -44,7 +44,7 @@
 REQUEST_SPACING_SECONDS = 0.002  # from one member to the next: 1,000 answers come over 2 s
 MAX_BYTES_PER_SECOND = 50e6  # of bodies that leave the leader
 MAX_BISECTIONS = 8  # groups of differing answers that are looked into
-LATE_SECONDS = 2.0  # of silence that the verdict reports while the stage still goes on
+REPORTED_SILENCE_SECONDS = 2.0  # of silence that the verdict reports while the stage still goes on
 
 
 class _MemberState:
@@ -273,7 +273,7 @@
             late = [
                 key
                 for key, member in self.members.items()
-                if self._is_pending(member) and now >= member.asked_at + LATE_SECONDS
+                if self._is_pending(member) and now >= member.asked_at + REPORTED_SILENCE_SECONDS
             ]
             failures = [reason for member in self.members.values() for reason in member.reasons]
             reasons = (*failures, *(self._silent(now, key) for key in late))
--- a/wheatring/skew/trials.py
+++ b/wheatring/skew/trials.py
@@ -151,8 +151,8 @@
             yield opening.replace(fold=fold).timestamp()
 
 
-def _window_instants(window: PlanWindow, evaluator: PlanEvaluator, day: int, most: int) -> list[float]:
-    """Return instants around a window's edges and its zone's clock changes, ascending, `most` at most."""
+def _window_instants(window: PlanWindow, evaluator: PlanEvaluator, day: int, limit: int) -> list[float]:
+    """Return instants around a window's edges and its zone's clock changes, ascending, `limit` at most."""
     after, before = day * DAY_SECONDS, (day + HORIZON_DAYS) * DAY_SECONDS
     zone = evaluator.zone(window.zone)
     openings = list(_possible_openings(window, zone, day))
@@ -161,7 +161,7 @@
     edges |= {*evaluator.edges(window.name, first - 1, first + window.length + 1)[:MAX_EDGES]}
     edges |= {*evaluator.edges(window.name, after, before)[:MAX_EDGES]}
     instants = sorted({at + offset for at in edges for offset in (-1, 0, 1)})
-    step = max(1, -(-len(instants) // most))
+    step = max(1, -(-len(instants) // limit))
     if step % 3 == 0:  # else only the instants one second before the edges would be left
         step += 1
     return instants[::step]
