--- a/tests/pools/pools_world.py
+++ b/tests/pools/pools_world.py
@@ -8,7 +8,7 @@
 
 from tests.virtual import Virtual
 from tests.world import Loopback, Wire, World, entry
-from wheatring.config.file import read
+from wheatring.config.project_file import read
 from wheatring.daemon.configuration import first_invalid_route, reload_configuration
 from wheatring.pools.pool_set import PoolSet
 
--- a/tests/pools/test_endpoint_selection.py
+++ b/tests/pools/test_endpoint_selection.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
-from wheatring.config.file import PoolTable
+from wheatring.config.project_file import PoolTable
 from wheatring.lifecycle.byhand import Word
 from wheatring.pools.connection_budget import ConnectionUsage, available
 from wheatring.pools.endpoint_selection import EndpointSelection
--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -17,7 +17,7 @@
     file = argparse.ArgumentParser(add_help=False)
     file.add_argument(
         "--operators", metavar="FILE", default=argparse.SUPPRESS,
-        help=f"the operators' file (default: {operator_properties.DEFAULT}, if it is there)",
+        help=f"the operators' file (default: {operator_properties.DEFAULT_PATH}, if it is there)",
     )  # fmt: skip
     top = argparse.ArgumentParser(
         prog="wheatring", parents=[file], description="A sidecar load balancer. Without a command, it serves."
@@ -68,12 +68,12 @@
 
 
 def config_check(args: argparse.Namespace) -> int:
-    from wheatring.config import FileError
+    from wheatring.config.exceptions import ProjectFileError
     from wheatring.daemon.configuration import read_configuration
 
     try:
         read_configuration(args.file)
-    except FileError as bad:
+    except ProjectFileError as bad:
         print(f"wheatring: {bad}", file=sys.stderr)
         return 2
     print(f"{args.file}: ok")
@@ -118,7 +118,7 @@
     """Carry out a command; what can't be done is one line and status 2."""
     try:
         status: int = args.call(args)
-    except (operator_properties.OperatorsError, OSError) as bad:
+    except (operator_properties.OperatorFileError, OSError) as bad:
         print(f"wheatring: {bad}", file=sys.stderr)
         return 2
     return status
--- a/wheatring/daemon/configuration.py
+++ b/wheatring/daemon/configuration.py
@@ -9,30 +9,32 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from wheatring import config, log, operator_properties
+from wheatring import log, operator_properties
+from wheatring.config import platform_file
+from wheatring.config.exceptions import PlatformFileError, ProjectFileError, RestartRequiredError
 
 if TYPE_CHECKING:  # imported only where there is a file
-    from wheatring.config.file import File
+    from wheatring.config.project_file import InvalidKey, ProjectFile
     from wheatring.daemon.sidecar import Sidecar
     from wheatring.lifecycle.asking import Pace
 
 
-def read_configuration(path: str | None) -> File | None:
+def read_configuration(path: str | None) -> ProjectFile | None:
     """Read the configuration file; None where there is none.
 
     Raises
     ------
-    config.FileError
+    ProjectFileError
         It can't be used.
     """
     if path is None:
         return None
-    from wheatring.config import file
+    from wheatring.config import project_file
 
-    return file.read(path, first_invalid_route)
+    return project_file.read(path, first_invalid_route)
 
 
-def first_invalid_route(configuration: File) -> tuple[str, str] | None:
+def first_invalid_route(configuration: ProjectFile) -> InvalidKey | None:
     """Return the first key of a route that the routing table rejects, and why; None where there is none."""
     if not configuration.route:
         return None
@@ -41,7 +43,7 @@
     return first_invalid_key(configuration)
 
 
-def list_pace(configuration: File) -> Pace:
+def list_pace(configuration: ProjectFile) -> Pace:
     """Return how often the endpoint list may be asked for, as the file says."""
     from wheatring.lifecycle.asking import Pace
 
@@ -65,7 +67,7 @@
     """Read the operators' file again."""
     try:
         properties = operator_properties.read(path)
-    except operator_properties.OperatorsError as error:
+    except operator_properties.OperatorFileError as error:
         log.line("operators-not-reloaded", why=str(error), code=error.code)
         return
     if path is not None:
@@ -82,26 +84,26 @@
         if configuration is None:
             return
         _reload_features(sidecar, configuration)
-    except config.FileError as error:
+    except ProjectFileError as error:
         log.line("config-not-reloaded", why=str(error), code=error.code)
     else:
         sidecar.machine_list.asking.pace = list_pace(configuration)
         log.line("config-reloaded")
 
 
-def _reload_features(sidecar: Sidecar, configuration: File) -> None:
-    """Let pools and fleet take up the file; FileError where they take up nothing of it."""
+def _reload_features(sidecar: Sidecar, configuration: ProjectFile) -> None:
+    """Let pools and fleet take up the file; ProjectFileError where they take up nothing of it."""
     pools = sidecar.pools
     if (pools is None) != (not configuration.route):
-        raise config.RestartOnly("route: routes are taken up, and given up, by a start only")
+        raise RestartRequiredError("route: routes are taken up, and given up, by a start only")
     if pools is not None and (why := pools.rejection(configuration)):  # before the fleet has changed anything
-        raise config.FileError(why)
+        raise ProjectFileError(why)
     if sidecar.fleet is not None:
         from wheatring.peers.reload import reload_fleet
 
         reload_fleet(sidecar.fleet, configuration)
     elif configuration.fleet is not None:
-        raise config.RestartOnly("fleet: is taken up by a start only")
+        raise RestartRequiredError("fleet: is taken up by a start only")
     if pools is not None:
         pools.reload(configuration, list_pace(configuration))
 
@@ -109,8 +111,8 @@
 def reload_platform(sidecar: Sidecar, environment: Mapping[str, str]) -> None:
     """Read the platform's file again: of it, only the address of discovery changes without a restart."""
     try:
-        platform = config.read(environment, again=True)
-    except config.ConfigError as error:
+        platform = platform_file.read(environment, is_reload=True)
+    except PlatformFileError as error:
         log.line("not-reloaded", why=str(error), code=error.code)
         return
     sidecar.record("config", "platform")
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from wheatring import config
+from wheatring.config.exceptions import ProjectFileError
 from wheatring.daemon.configuration import list_pace, temporary_folder
 
 if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
     from wheatring.balancer.interface import View
-    from wheatring.config.file import File
+    from wheatring.config.project_file import ProjectFile
     from wheatring.core.body import Room
     from wheatring.daemon.sidecar import Sidecar
 
@@ -23,13 +23,13 @@
 
 
 def add_pools(
-    sidecar: Sidecar, configuration: File, max_node_connections: int, body_room: Room, capture: bool
+    sidecar: Sidecar, configuration: ProjectFile, max_node_connections: int, body_room: Room, capture: bool
 ) -> OnView:
     """Serve by several pools, and routes to them. The one endpoint list goes to all that use it.
 
     Raises
     ------
-    config.FileError
+    ProjectFileError
         The routes don't go with the rest.
     """
     from wheatring.pools.connection_budget import ConnectionBudget
@@ -39,7 +39,7 @@
     path = sidecar.configuration_path
     assert path is not None
     if capture:
-        raise config.FileError(f"{path}: route: not with --capture, which records one pool's decisions")
+        raise ProjectFileError(f"{path}: route: not with --capture, which records one pool's decisions")
     platform = sidecar.platform
     environment = PoolEnvironment(
         reactor=sidecar.reactor,
@@ -89,7 +89,7 @@
     sidecar.cleanup.callback(sidecar.audit.close)
 
 
-def add_fleet(sidecar: Sidecar, configuration: File, on_view: OnView) -> OnView:
+def add_fleet(sidecar: Sidecar, configuration: ProjectFile, on_view: OnView) -> OnView:
     """Exchange messages with the other sidecars, and carry out the duties that this one acquires."""
     from wheatring.admin.calls import PLAN
     from wheatring.peers.assembly import build_fleet
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -8,16 +8,17 @@
 from contextlib import ExitStack
 from typing import TYPE_CHECKING, Any
 
-from wheatring import config, log
+from wheatring import log
+from wheatring.config import platform_file
 from wheatring.daemon.configuration import list_pace, reload_all
 from wheatring.daemon.shutdown import GracefulShutdown
-from wheatring.operator_properties import Operators
+from wheatring.operator_properties import OperatorProperties
 
 if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
     from wheatring.admin.desk import Desk
     from wheatring.admin.door import Door
     from wheatring.balancer.interface import View
-    from wheatring.config.file import File
+    from wheatring.config.project_file import ProjectFile
     from wheatring.core.body import Room
     from wheatring.ops.audit import Audit
     from wheatring.ops.capture.ring import Ring
@@ -40,39 +41,39 @@
     ----------
     reactor : Any
         Gives monotonic time, in seconds, and all sockets.
-    platform : config.Config
+    platform : platform_file.PlatformConfig
         What the platform says: settings, addresses, limits.
-    operators : Operators
+    operators : OperatorProperties
         What the operators' file says at the start.
     capture : bool
         Whether to record all decisions.
     unix : Callable[[], float]
         Reads Unix time, in seconds.
-    configuration_path, configuration : str | None, File | None
+    configuration_path, configuration : str | None, ProjectFile | None
         The project's own file, if there is one, and its content.
 
     Raises
     ------
-    config.FileError
+    ProjectFileError
         The project's own file, or one that it names, can't be used.
     """
 
     def __init__(
         self,
         reactor: Any,
-        platform: config.Config,
-        operators: Operators,
+        platform: platform_file.PlatformConfig,
+        operators: OperatorProperties,
         capture: bool = False,
         unix: Callable[[], float] = time.time,
         configuration_path: str | None = None,
-        configuration: File | None = None,
+        configuration: ProjectFile | None = None,
     ) -> None:
         from wheatring.core.clock import Clock
 
         self.reactor = reactor
         self.platform = platform
         self.configuration_path = configuration_path
-        self.operators = Operators()  # those in effect
+        self.operators = OperatorProperties()  # those in effect
         self.first_operators = operators
         self.clock = Clock(reactor, unix)
         self.exit_status = 0
@@ -99,7 +100,7 @@
         if self.list_sharing is not None:
             self.list_sharing.start(self.machine_list)
 
-    def _wire_core(self, configuration: File | None) -> tuple[Room, int]:
+    def _wire_core(self, configuration: ProjectFile | None) -> tuple[Room, int]:
         """Make the parts that every sidecar has; return the room for bodies and the node connections."""
         from wheatring.core.body import room_in
         from wheatring.core.exchange import Exchange
@@ -127,7 +128,7 @@
         return body_room, node_connections
 
     def _add_features(
-        self, configuration: File | None, node_connections: int, body_room: Room, capture: bool
+        self, configuration: ProjectFile | None, node_connections: int, body_room: Room, capture: bool
     ) -> Callable[[View], None]:
         """Add the optional parts through which the endpoint list passes; return its first receiver."""
         on_view: Callable[[View], None] = self.driver.feed
@@ -228,7 +229,7 @@
         if self.audit is not None:
             self.audit.record(event, actor)
 
-    def apply_operators(self, operators: Operators) -> None:
+    def apply_operators(self, operators: OperatorProperties) -> None:
         """Put into effect what the operators may change while it serves."""
         if self.audit is not None:
             self.audit.keys(self.operators, operators)
--- a/wheatring/lab/direct/ground.py
+++ b/wheatring/lab/direct/ground.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from wheatring.config import Config
+from wheatring.config.platform_file import PlatformConfig
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar
@@ -64,7 +64,7 @@
 
     # Sidecars
 
-    def sidecar_up(self, name: str, told: Config, ended: Callable[[], None]) -> None:
+    def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
         host = self.hosts[name]
 
         def over(killed: bool) -> None:
--- a/wheatring/lab/wire/ground.py
+++ b/wheatring/lab/wire/ground.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from wheatring.balancer.interface import TimerDue
-from wheatring.config import Config
+from wheatring.config.platform_file import PlatformConfig
 from wheatring.daemon.sidecar import Sidecar
 from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
@@ -27,12 +27,12 @@
     side_hosts,
     zones,
 )
-from wheatring.operator_properties import Operators
+from wheatring.operator_properties import OperatorProperties
 
 if TYPE_CHECKING:
     from wheatring.lab.world.world import World
 
-NO_OPERATORS = Operators()
+NO_OPERATORS = OperatorProperties()
 BACKLOG = 511
 # What a sidecar that has nothing to do still waits for.
 PERIODIC = frozenset(
@@ -127,7 +127,7 @@
 
     # Sidecars
 
-    def sidecar_up(self, name: str, told: Config, ended: Callable[[], None]) -> None:
+    def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
         process = self.net.process(name, self.hosts[name])
         self.whose[self.hosts[name]] = name
 
--- a/wheatring/lab/world/ground.py
+++ b/wheatring/lab/world/ground.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wheatring.config import Config
+from wheatring.config.platform_file import PlatformConfig
 from wheatring.lab import plan
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
@@ -52,7 +52,7 @@
     def node_down(self, node: str) -> None:
         """Its process is gone: connections are reset, new ones refused."""
 
-    def sidecar_up(self, name: str, told: Config, ended: Callable[[], None]) -> None:
+    def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
         """Its process listens. `ended` is called once, when it has ended by itself."""
 
     def sidecar_stop(self, name: str) -> None:
--- a/wheatring/lab/world/seats.py
+++ b/wheatring/lab/world/seats.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from wheatring.config import Config, settings_in
+from wheatring.config.platform_file import PlatformConfig, read_settings
 from wheatring.lab.plan import Plan
 from wheatring.lab.settings import settings
 from wheatring.lab.timers import Timer, Timers
@@ -35,7 +35,7 @@
         self.known = known
         self.limits = plan.limits
         self.told = settings(plan, tier, number, copies)
-        self.read = settings_in(self.told)
+        self.read = read_settings(self.told)
         self.random = Random(f"{plan.seed}:sidecar:{name}")
         self.start_time = plan.sidecar_start
         self.running = False
@@ -43,9 +43,9 @@
         self.down = 0.0  # seconds from its end to its next start; 0: it has none
         self.timer: Timer | None = None  # the next thing that is to become of it
 
-    def config(self) -> Config:
+    def config(self) -> PlatformConfig:
         """The configuration of its next start, with a seed of its own."""
-        return Config(
+        return PlatformConfig(
             name=self.name,
             listen=(self.host, PORT),
             discovery=DISCOVERY,
--- a/wheatring/operator_properties.py
+++ b/wheatring/operator_properties.py
@@ -1,4 +1,4 @@
-"""The one reader of the operators' file: plain properties, one `key = value` a line, checked and defaulted.
+"""The reader of what operators set: a properties file, one `key = value` a line, checked, with its defaults.
 
 An error names the key and never shows the value, which may be a secret.
 """
@@ -15,25 +15,25 @@
 
 T = TypeVar("T")
 
-DEFAULT = "deploy/operator.properties"  # read where none is named, if it is there
-PERCENT = 1_000_000  # shares are whole numbers of millionths of a percent, so that they add up exactly
+DEFAULT_PATH = "deploy/operator.properties"  # read where none is named, if it is there
+PARTS_PER_PERCENT = 1_000_000  # shares are whole numbers of these parts, so that they add up exactly
 # The temporary folder counts as memory, of which a sidecar may have as little as 32 MB.
-MOST_TEMPORARY = 2 * 1024 * 1024
+MAX_TEMPORARY_BYTES = 2 * 1024 * 1024
 
 _SECRET = re.compile(r"(?:[0-9A-Fa-f]{2})+")
-_WHOLE = re.compile(r"[0-9]{1,12}")
+_INTEGER = re.compile(r"[0-9]{1,12}")
 _KID = re.compile(r"[A-Za-z0-9._-]+")
 _PERCENT = re.compile(r"([0-9]{1,3})(?:\.([0-9]{1,6}))?")
 
 
-class OperatorsError(UncodedError, ValueError):
+class OperatorFileError(UncodedError, ValueError):
     """An operators' file that can't be used; the text begins with the key at fault."""
 
     code = "operators-key"
     do = "Correct the key that the line names, in the operators' file."
 
 
-class OperatorsUnreadable(OperatorsError):
+class OperatorFileUnreadableError(OperatorFileError):
     """It is not there, or not text."""
 
     code = "operators-unreadable"
@@ -42,11 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Drill:
-    """Drills: the plan, its key, and what it does."""
+    """Drills: the plan, its key, and what it does. `delay` is in seconds."""
 
     key: bytes | None = field(default=None, repr=False)
     plan: str = ""
-    share: int = 10 * PERCENT  # of the class's requests
+    share: int = 10 * PARTS_PER_PERCENT  # of the class's requests
     delay: float = 0.0
     abort: bool = False
 
@@ -78,8 +78,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operators:
-    """All that the file says; what it leaves out is off."""
+class OperatorProperties:
+    """All that the file sets; what it leaves out is off."""
 
     drill: Drill = Drill()
     audit: Audit = Audit()
@@ -88,7 +88,7 @@
 
 
 class _Properties:
-    """The file's pairs; each is taken once, by its reader."""
+    """The pairs of the file; each is taken once, by the reader of its value."""
 
     def __init__(self, text: str) -> None:
         self.values: dict[str, str] = {}
@@ -98,20 +98,21 @@
                 continue
             key, equals, value = (part.strip() for part in line.partition("="))
             if not equals or not key:
-                raise OperatorsError(f"line {number}: not key = value")
+                raise OperatorFileError(f"line {number}: not key = value")
             if key in self.values:
-                raise OperatorsError(f"{key}: set twice")
+                raise OperatorFileError(f"{key}: set twice")
             if not value:
-                raise OperatorsError(f"{key}: has no value")
+                raise OperatorFileError(f"{key}: has no value")
             self.values[key] = value
 
     def take(self, key: str, read: Callable[[str], T], default: T) -> T:
+        """Return a key's value, which is not there for another reader then. Raises OperatorFileError."""
         if key not in self.values:
             return default
         try:
             return read(self.values.pop(key))
-        except ValueError as bad:
-            raise OperatorsError(f"{key}: {bad}") from None
+        except ValueError as error:
+            raise OperatorFileError(f"{key}: {error}") from None
 
 
 def _secret(text: str) -> bytes:
@@ -126,10 +127,10 @@
     return text == "true"
 
 
-def _whole(least: int, most: int) -> Callable[[str], int]:
+def _integer(minimum: int, maximum: int) -> Callable[[str], int]:
     def read(text: str) -> int:
-        if not _WHOLE.fullmatch(text) or not least <= int(text) <= most:
-            raise ValueError(f"not a whole number from {least} to {most}")
+        if not _INTEGER.fullmatch(text) or not minimum <= int(text) <= maximum:
+            raise ValueError(f"not a whole number from {minimum} to {maximum}")
         return int(text)
 
     return read
@@ -137,58 +138,83 @@
 
 def _percent(text: str) -> int:
     match = _PERCENT.fullmatch(text)
-    share = int(match[1]) * PERCENT + int((match[2] or "").ljust(6, "0")) if match else -1
-    if not 0 <= share <= 100 * PERCENT:
+    share = int(match[1]) * PARTS_PER_PERCENT + int((match[2] or "").ljust(6, "0")) if match else -1
+    if not 0 <= share <= 100 * PARTS_PER_PERCENT:
         raise ValueError("not a number from 0 to 100")
     return share
 
 
-def parse(text: str) -> Operators:
-    has = _Properties(text)
-    drill = Drill(
-        key=has.take("drill.key", _secret, None),
-        plan=has.take("drill.plan", str, ""),
-        share=has.take("drill.share", _percent, 10 * PERCENT),
-        delay=has.take("drill.delay.ms", _whole(0, 3_600_000), 0) / 1000,
-        abort=has.take("drill.abort", _switch, False),
+def parse(text: str) -> OperatorProperties:
+    """Read the text of a file. Raises OperatorFileError."""
+    properties = _Properties(text)
+    found = OperatorProperties(
+        _drill_in(properties), _audit_in(properties), _tokens_in(properties), _capture_in(properties)
     )
-    file = has.take("audit.file", str, "")
-    audit = Audit(has.take("audit.on", _switch, False) or bool(file), file)
+    for key in properties.values:
+        raise OperatorFileError(f"{key}: unknown")
+    return found
+
+
+def _drill_in(properties: _Properties) -> Drill:
+    return Drill(
+        key=properties.take("drill.key", _secret, None),
+        plan=properties.take("drill.plan", str, ""),
+        share=properties.take("drill.share", _percent, 10 * PARTS_PER_PERCENT),
+        delay=properties.take("drill.delay.ms", _integer(0, 3_600_000), 0) / 1000,
+        abort=properties.take("drill.abort", _switch, False),
+    )
+
+
+def _audit_in(properties: _Properties) -> Audit:
+    file = properties.take("audit.file", str, "")
+    return Audit(properties.take("audit.on", _switch, False) or bool(file), file)
+
+
+def _tokens_in(properties: _Properties) -> Tokens:
     prefix = "tokens.key."
-    kids = [key.removeprefix(prefix) for key in has.values if key.startswith(prefix)]
+    kids = [key.removeprefix(prefix) for key in properties.values if key.startswith(prefix)]
     for kid in kids:
         if not _KID.fullmatch(kid):
-            raise OperatorsError(f"{prefix}{kid}: only letters, digits, '.', '_' and '-' may name a key")
-    keys = {kid: has.take(prefix + kid, _secret, b"") for kid in kids}
-    issue = has.take("tokens.issue.kid", str, "")
+            raise OperatorFileError(f"{prefix}{kid}: only letters, digits, '.', '_' and '-' may name a key")
+    keys = {kid: properties.take(prefix + kid, _secret, b"") for kid in kids}
+    issue = properties.take("tokens.issue.kid", str, "")
     if issue and issue not in keys:
-        raise OperatorsError("tokens.issue.kid: there is no such key")
-    tokens = Tokens(keys, issue, has.take("tokens.skew.s", _whole(0, 86_400), 30))
+        raise OperatorFileError("tokens.issue.kid: there is no such key")
+    return Tokens(keys, issue, properties.take("tokens.skew.s", _integer(0, 86_400), 30))
+
+
+def _capture_in(properties: _Properties) -> Capture:
     capture = Capture(
-        has.take("capture.files", _whole(1, 10_000), 4),
-        has.take("capture.file.kb", _whole(1, 1_000_000), 192) * 1024,
-        has.take("capture.dir", str, ""),
+        properties.take("capture.files", _integer(1, 10_000), 4),
+        properties.take("capture.file.kb", _integer(1, 1_000_000), 192) * 1024,
+        properties.take("capture.dir", str, ""),
     )
-    if not capture.folder and capture.files * capture.size > MOST_TEMPORARY:
-        most = MOST_TEMPORARY // 1024
-        raise OperatorsError(f"capture.files: over {most} KiB with capture.file.kb, and no capture.dir")
-    for key in has.values:
-        raise OperatorsError(f"{key}: unknown")
-    return Operators(drill, audit, tokens, capture)
+    if not capture.folder and capture.files * capture.size > MAX_TEMPORARY_BYTES:
+        max_kib = MAX_TEMPORARY_BYTES // 1024
+        raise OperatorFileError(f"capture.files: over {max_kib} KiB with capture.file.kb, and no capture.dir")
+    return capture
 
 
 def find(named: str | None) -> str | None:
-    """The file that was named, or the default one; None where none was named and that is not there."""
-    return named or (DEFAULT if Path(DEFAULT).exists() else None)
-
-
-def read(where: str | None) -> Operators:
-    """What the file says. Where there is none, all is off."""
-    if where is None:
-        return Operators()
+    """Return the file that was named, or the default one; None where there is neither."""
+    return named or (DEFAULT_PATH if Path(DEFAULT_PATH).exists() else None)
+
+
+def read(path: str | None) -> OperatorProperties:
+    """Read a file. Where there is none, all is off.
+
+    Raises
+    ------
+    OperatorFileUnreadableError
+        It is not there, or not text.
+    OperatorFileError
+        A key can't be used.
+    """
+    if path is None:
+        return OperatorProperties()
     try:
-        return parse(Path(where).read_text(encoding="utf-8-sig"))
-    except OSError as bad:
-        raise OperatorsUnreadable(f"--operators: {bad.strerror}: {where}") from bad
+        return parse(Path(path).read_text(encoding="utf-8-sig"))
+    except OSError as error:
+        raise OperatorFileUnreadableError(f"--operators: {error.strerror}: {path}") from error
     except UnicodeDecodeError:
-        raise OperatorsUnreadable(f"--operators: not UTF-8: {where}") from None
+        raise OperatorFileUnreadableError(f"--operators: not UTF-8: {path}") from None
--- a/wheatring/ops/audit.py
+++ b/wheatring/ops/audit.py
@@ -19,7 +19,7 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.operator_properties import Operators
+from wheatring.operator_properties import OperatorProperties
 
 MOST = 1000  # lines that wait for a reader of standard error
 RETRY = 0.05  # seconds between tries while it reads nothing
@@ -77,7 +77,7 @@
         if self.retry is None:
             self.flush()
 
-    def keys(self, old: Operators, new: Operators) -> None:
+    def keys(self, old: OperatorProperties, new: OperatorProperties) -> None:
         """Which keys of the operators' file differ, and how; never what they are."""
         before, after = _keys(old), _keys(new)
         for key in sorted(before.keys() | after.keys()):
@@ -131,7 +131,7 @@
             log.line("audit-lost", warning="standard error is not read", lines=len(self.waiting))
 
 
-def _keys(told: Operators) -> dict[str, object]:
+def _keys(told: OperatorProperties) -> dict[str, object]:
     keys: dict[str, object] = {f"tokens.key.{kid}": key for kid, key in told.tokens.keys.items()}
     if told.drill.key is not None:
         keys["drill.key"] = told.drill.key
--- a/wheatring/ops/tokens.py
+++ b/wheatring/ops/tokens.py
@@ -16,7 +16,7 @@
 from wheatring.core.clock import Clock
 from wheatring.core.refused import Refused
 from wheatring.errors import UncodedError
-from wheatring.operator_properties import OperatorsError, Tokens
+from wheatring.operator_properties import OperatorFileError, Tokens
 
 _BEARER = re.compile(rb"bearer +(\S.*)", re.IGNORECASE)
 _CODED = re.compile(rb"[A-Za-z0-9_-]+")
@@ -26,7 +26,7 @@
 _RIGHT = re.compile(r"[!-+.-:<-~-]+")  # nor, in a right, the comma
 
 
-class NotIssued(OperatorsError):
+class NotIssued(OperatorFileError):
     """No token can be made of what was asked for; the text begins with the word or key at fault."""
 
     code = "token-not-issued"
--- a/wheatring/peers/assembly.py
+++ b/wheatring/peers/assembly.py
@@ -7,9 +7,9 @@
 from random import Random
 from typing import Any
 
-from wheatring import address, config, log
+from wheatring import address, log
 from wheatring.balancer.interface import View
-from wheatring.config import file
+from wheatring.config import platform_file, project_file
 from wheatring.core.clock import Clock
 from wheatring.lease.fleet import RoleSettings
 from wheatring.lease.timing import LeaseTiming
@@ -26,8 +26,8 @@
 def build_fleet(
     reactor: Any,
     clock: Clock,
-    platform: config.Config,
-    configuration: file.File,
+    platform: platform_file.PlatformConfig,
+    configuration: project_file.ProjectFile,
     on_view: Callable[[View], None],
     set_weights: SetWeights | None = None,
 ) -> tuple[FleetRuntime, ListSharing | None]:
@@ -42,7 +42,7 @@
 
     Raises
     ------
-    config.FileError
+    ProjectFileError
         The key file can't be used.
     """
     random = Random(f"{platform.seed}:fleet")
@@ -63,9 +63,11 @@
 
 
 def fleet_options(
-    platform: config.Config, configuration: file.File, set_weights: SetWeights | None
+    platform: platform_file.PlatformConfig,
+    configuration: project_file.ProjectFile,
+    set_weights: SetWeights | None,
 ) -> FleetOptions:
-    """Gather what the files say of this sidecar's place in the fleet; FileError for an unusable key file."""
+    """Gather what the files say of this sidecar's place in the fleet. Raises KeyFileError."""
     fleet = configuration.fleet
     assert fleet is not None
     voters = voters_of(fleet)
@@ -89,25 +91,25 @@
         voters=voters,
         duties=duties,
         terms=LeaseTiming(fleet.term),
-        keys=file.keys(fleet.key_file),
+        keys=project_file.read_keys(fleet.key_file),
         view=fleet.view,
         plan=plan,
     )
 
 
-def plan_options(plan: file.PlanTable, set_weights: SetWeights | None) -> PlanOptions:
-    """Gather what the file says of the fleet's plan; FileError where the first plan can't be used."""
+def plan_options(plan: project_file.PlanTable, set_weights: SetWeights | None) -> PlanOptions:
+    """Gather what the file says of the fleet's plan; ProjectFileError where the first plan can't be used."""
 
     def write_log(event: str, fields: dict[str, Any]) -> None:
         log.line(event, **fields)
 
     formats = None if plan.formats is None else tuple(plan.formats)
-    first_plan = b"" if plan.file is None else file.plan_body(plan.file)
+    first_plan = b"" if plan.file is None else project_file.read_plan(plan.file)
     return PlanOptions(formats, set_weights or (lambda _route, _weights: None), write_log, first_plan)
 
 
 def duty_worker(
-    reactor: Any, clock: Clock, runtime: FleetRuntime, name: str, duty: file.DutyTable
+    reactor: Any, clock: Clock, runtime: FleetRuntime, name: str, duty: project_file.DutyTable
 ) -> DutyWorker:
     """Build the worker of a duty other than `list`."""
     if duty.call is None:
@@ -115,7 +117,7 @@
     return HttpDutyWorker(reactor, clock, runtime, name, address.parse(duty.call), duty.path, duty.every)
 
 
-def voters_of(fleet: file.FleetTable) -> VoterSet:
+def voters_of(fleet: project_file.FleetTable) -> VoterSet:
     """Read the voters, and those of a change under way, from the file's table."""
 
     def names(value: int | list[str] | None) -> tuple[str, ...]:
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -25,7 +25,7 @@
 from wheatring.peers.options import FleetOptions
 
 if TYPE_CHECKING:  # what belongs to agreed views is imported with them
-    from wheatring.config.file import File
+    from wheatring.config.project_file import ProjectFile
     from wheatring.peers.agreement import Agreement
     from wheatring.peers.body_transfer import BodyTransfers
 
@@ -72,7 +72,7 @@
         self.codec = DatagramCodec(options.fleet, self.me.name, self.start_ms, options.keys, messages)
         self.socket = DatagramSocket(clock, self.codec, self.on_message)
         self.workers: Mapping[str, DutyWorker] = {}
-        self.started_with: File | None = None
+        self.started_with: ProjectFile | None = None
         self.fleet: Fleet | None = None  # once it has its port
         self.port: Any = None
         self.timer: Timer | None = None
--- a/wheatring/peers/operator_calls.py
+++ b/wheatring/peers/operator_calls.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from wheatring.config import file
+from wheatring.config import project_file
 from wheatring.peers.fleet_runtime import FleetRuntime
 
 MIN_WAIT_SECONDS = 1.0  # that an operator is told to wait for a turn to be out of service
@@ -45,7 +45,7 @@
     back: Callable[[], None]
 
 
-def duty_calls(runtime: FleetRuntime, configuration: file.File) -> DutyCalls:
+def duty_calls(runtime: FleetRuntime, configuration: project_file.ProjectFile) -> DutyCalls:
     """Make the calls on the duties that the file names."""
     turns = next((name for name, duty in configuration.duty.items() if duty.work == "turns"), "")
 
--- a/wheatring/peers/reload.py
+++ b/wheatring/peers/reload.py
@@ -4,41 +4,41 @@
 
 from msgspec import structs
 
-from wheatring import config
-from wheatring.config import file
+from wheatring.config import project_file
+from wheatring.config.exceptions import RestartRequiredError, VotersInForceError
 from wheatring.peers.assembly import voters_of
 from wheatring.peers.fleet_runtime import FleetRuntime
 
 RELOADABLE_KEYS = frozenset({"voters", "voters_next", "key_file"})  # of the table `[fleet]`
 
 
-def reload_fleet(runtime: FleetRuntime, configuration: file.File) -> None:
+def reload_fleet(runtime: FleetRuntime, configuration: project_file.ProjectFile) -> None:
     """Put the file's voters and keys into effect, or nothing of it.
 
     Raises
     ------
-    config.RestartOnly
+    RestartRequiredError
         Something else of the fleet has changed.
-    config.VotersKept
+    VotersInForceError
         The fleet can't go by these voters now.
-    config.KeysError
+    KeyFileError
         The key file can't be used.
     """
     fleet = configuration.fleet
     if fleet is None:
-        raise config.RestartOnly("fleet: is left by a restart only")
+        raise RestartRequiredError("fleet: is left by a restart only")
     assert runtime.started_with is not None
     if why := restart_reason(runtime.started_with, configuration):
-        raise config.RestartOnly(why)
-    keys = file.keys(fleet.key_file)
+        raise RestartRequiredError(why)
+    keys = project_file.read_keys(fleet.key_file)
     voters = voters_of(fleet)
     has_changed = runtime.fleet is not None and voters != runtime.fleet.voters
     if has_changed and (why := runtime.change_voters(voters)):
-        raise config.VotersKept(f"fleet.voters: {why}")
+        raise VotersInForceError(f"fleet.voters: {why}")
     runtime.codec.keys = keys
 
 
-def restart_reason(before: file.File, after: file.File) -> str:
+def restart_reason(before: project_file.ProjectFile, after: project_file.ProjectFile) -> str:
     """Name the first key that has changed and takes effect by a restart only; "" where there is none."""
     assert before.fleet is not None and after.fleet is not None
     old, new = structs.asdict(before.fleet), structs.asdict(after.fleet)
--- a/wheatring/pools/pool_set.py
+++ b/wheatring/pools/pool_set.py
@@ -14,8 +14,8 @@
 
 from wheatring import log
 from wheatring.balancer.interface import View
-from wheatring.config import FileError
-from wheatring.config.file import File, PoolTable
+from wheatring.config.exceptions import ProjectFileError
+from wheatring.config.project_file import PoolTable, ProjectFile
 from wheatring.lifecycle.asking import Pace
 from wheatring.lifecycle.byhand import Word
 from wheatring.pools.active_route import RoutedRequest
@@ -44,7 +44,7 @@
     `until` is when it is swapped in though lists are missing, in monotonic seconds.
     """
 
-    def __init__(self, configuration: File, pools: dict[str, RoutedPool], until: float) -> None:
+    def __init__(self, configuration: ProjectFile, pools: dict[str, RoutedPool], until: float) -> None:
         self.configuration = configuration
         self.pools = pools
         self.until = until
@@ -103,13 +103,13 @@
 
     # The file
 
-    def start(self, configuration: File) -> None:
-        """Serve by the file with which the sidecar starts; FileError where it is rejected."""
+    def start(self, configuration: ProjectFile) -> None:
+        """Serve by the file with which the sidecar starts; ProjectFileError where it is rejected."""
         if why := self.rejection(configuration):
-            raise FileError(f"{self.path}: {why}")
+            raise ProjectFileError(f"{self.path}: {why}")
         self._swap(self._stage(configuration))
 
-    def rejection(self, configuration: File) -> str:
+    def rejection(self, configuration: ProjectFile) -> str:
         """Return what of a file contradicts the platform's settings; "" where nothing does."""
         for name, table in configuration.route.items():
             if table.class_name and table.class_name not in self.server.classes:
@@ -119,7 +119,7 @@
             return f"pool: least: {reserved} connections together, and there are {self.budget.total}"
         return ""
 
-    def reload(self, configuration: File, pace: Pace) -> None:
+    def reload(self, configuration: ProjectFile, pace: Pace) -> None:
         """Put another file in force as soon as its pools have their lists; it must have no `rejection`."""
         self.pace = pace
         self._drop_staged()
@@ -130,7 +130,7 @@
                 pool.start(self.shared_list)
         self.advance()
 
-    def _stage(self, configuration: File) -> StagedChange:
+    def _stage(self, configuration: ProjectFile) -> StagedChange:
         pools = {}
         for name, table in configuration.pool.items():
             pool = self.pools.get(name)
--- a/wheatring/pools/route_tables.py
+++ b/wheatring/pools/route_tables.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wheatring.config.file import File, RouteTable, Wrong
+from wheatring.config.project_file import InvalidKey, ProjectFile, RouteTable
 from wheatring.routes.definitions import ClassSource, HeaderMatch, Route, RouteMatch, WeightedPool
 from wheatring.routes.split import split_for
 from wheatring.routes.table import RoutingTable
@@ -25,7 +25,7 @@
     return Route(name, match, pools, source, table.deadline, split_by=table.split_by)
 
 
-def first_invalid_key(configuration: File) -> Wrong | None:
+def first_invalid_key(configuration: ProjectFile) -> InvalidKey | None:
     """Return the first key that is rejected, and why: of each route by itself, then of all together."""
     routes = []
     for name, table in configuration.route.items():
@@ -38,13 +38,13 @@
     try:
         RoutingTable(routes)
     except ValueError as error:
-        return "route", str(error).removeprefix("route ")
+        return InvalidKey("route", str(error).removeprefix("route "))
     return None
 
 
-def _key_and_reason(name: str, table: RouteTable, text: str) -> Wrong:
+def _key_and_reason(name: str, table: RouteTable, text: str) -> InvalidKey:
     field, colon, reason = text.removeprefix(f"route {name}: ").partition(": ")
     field = {"fixed": "class_name"}.get(field, field)
     if colon and field in type(table).__struct_fields__:
-        return f"route.{name}.{field}", reason
-    return f"route.{name}", text.removeprefix(f"route {name}: ")
+        return InvalidKey(f"route.{name}.{field}", reason)
+    return InvalidKey(f"route.{name}", text.removeprefix(f"route {name}: "))
--- a/wheatring/pools/routed_pool.py
+++ b/wheatring/pools/routed_pool.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from wheatring.balancer.interface import Action, Event, Outcome, Settings, View, ViewKind
-from wheatring.config.file import PoolTable
+from wheatring.config.project_file import PoolTable
 from wheatring.core.body import Room
 from wheatring.core.clock import Clock
 from wheatring.core.exchange import Exchange
--- a/wheatring/serving.py
+++ b/wheatring/serving.py
@@ -9,7 +9,9 @@
 import time
 from typing import Any
 
-from wheatring import config, lazy_imports, log, operator_properties
+from wheatring import lazy_imports, log, operator_properties
+from wheatring.config import platform_file
+from wheatring.config.exceptions import PlatformFileError, ProjectFileError
 from wheatring.daemon.configuration import read_configuration
 from wheatring.daemon.sidecar import Sidecar
 
@@ -45,9 +47,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload, it must not end us
     try:
         configuration = read_configuration(configuration_path)
-        platform = config.read(os.environ)
+        platform = platform_file.read(os.environ)
         operators = operator_properties.read(operators_path)
-    except (config.ConfigError, operator_properties.OperatorsError, config.FileError) as error:
+    except (PlatformFileError, operator_properties.OperatorFileError, ProjectFileError) as error:
         print(f"wheatring: {error}", file=sys.stderr)
         return None
     log.set_non_blocking()
@@ -58,7 +60,7 @@
             reactor, platform, operators, capture, configuration_path=configuration_path,
             configuration=configuration,
         )  # fmt: skip
-    except config.FileError as error:  # the key file that the project's own file names
+    except ProjectFileError as error:  # the key file that the project's own file names
         print(f"wheatring: {error}", file=sys.stderr)
         return None
     # Before it logs that it listens, from when on all of these may come.
