--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from wheatring.lab.leases.cluster import YEAR, Cluster, Node
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant
+from wheatring.lease.component import FleetComponent, Instant
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -9,9 +9,9 @@
 from wheatring.lab.agree_plan_days import PLANTED, find, play
 from wheatring.lab.leases.cluster import CUT
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Instant, Outgoing
-from wheatring.lease.messages import Entry, NewestQuery
+from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.payloads import digest
+from wheatring.lease.register_messages import Entry, NewestQuery
 from wheatring.lease.replicated_register import Phase
 from wheatring.members.view import View
 from wheatring.plan.compatibility import Reason
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -13,7 +13,8 @@
 
 from wheatring.lab.leases.cluster import CUT, YEAR, Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
 from wheatring.members.membership import Address
--- a/tests/stories/fleet.py
+++ b/tests/stories/fleet.py
@@ -13,7 +13,8 @@
 
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant
+from wheatring.lease.component import FleetComponent, Instant
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -69,7 +69,8 @@
     ("wheatring.skew", "wheatring.plan.document"),
     ("wheatring.skew", "wheatring.plan.compatibility"),
     ("wheatring.skew", "wheatring.members"),
-    ("wheatring.skew", "wheatring.lease.fleet"),  # what a piece is
+    ("wheatring.skew", "wheatring.lease.fleet"),
+    ("wheatring.skew", "wheatring.lease.component"),  # the protocol of a fleet component
     ("wheatring.skew", "wheatring.lease.payloads"),
     ("wheatring.schedule", "wheatring.plan.document"),
     ("wheatring.schedule", "wheatring.routes"),
--- a/wheatring/lab/agree/fleet.py
+++ b/wheatring/lab/agree/fleet.py
@@ -8,7 +8,8 @@
 
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.leases.membership import size_of
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant
+from wheatring.lease.component import FleetComponent, Instant
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
--- a/wheatring/lab/agree/orders.py
+++ b/wheatring/lab/agree/orders.py
@@ -13,9 +13,9 @@
 from types import SimpleNamespace
 from typing import Any, NamedTuple
 
-from wheatring.lease.fleet import Instant
-from wheatring.lease.messages import Entry, EntryChosen
+from wheatring.lease.component import Instant
 from wheatring.lease.payloads import FetchRequest, PayloadStore
+from wheatring.lease.register_messages import Entry, EntryChosen
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
--- a/wheatring/lab/agree/planted.py
+++ b/wheatring/lab/agree/planted.py
@@ -8,9 +8,10 @@
 from wheatring.lab.agree import days
 from wheatring.lab.agree.fleet import Makes as FleetMakes
 from wheatring.lab.agree.orders import Makes
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import NO_ENTRY, RegisterAccept, RegisterPrepare
+from wheatring.lease.register_messages import NO_ENTRY, RegisterAccept, RegisterPrepare
 from wheatring.lease.replicated_register import Phase, ReplicatedRegister
 from wheatring.members.cut_detector import CutDetector
 from wheatring.members.messages import HealthCheckResponse
--- a/wheatring/lab/agree_plan.py
+++ b/wheatring/lab/agree_plan.py
@@ -9,7 +9,8 @@
 from msgspec import Struct, field
 
 from wheatring.lab.leases.cluster import Cluster, Node
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.payloads import digest
 from wheatring.lease.replicated_register import LEADER_ROLE
--- a/wheatring/lab/agree_plan_days.py
+++ b/wheatring/lab/agree_plan_days.py
@@ -18,7 +18,7 @@
 from wheatring.lab.agree_plan import VOTERS, Seen, World, body_of
 from wheatring.lab.leases.cluster import CUT, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Instant
+from wheatring.lease.component import Instant
 from wheatring.members.messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Verdict
 from wheatring.plan.leader import RolloutLeader
--- a/wheatring/lab/agree_pusher.py
+++ b/wheatring/lab/agree_pusher.py
@@ -15,9 +15,10 @@
 import msgspec
 
 from wheatring.errors import OperatorError
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import Entry
+from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
 from wheatring.members.messages import ViewMember
 from wheatring.members.view import View
--- a/wheatring/lab/agree_skew.py
+++ b/wheatring/lab/agree_skew.py
@@ -16,9 +16,10 @@
 from wheatring.lab.agree_pusher import Pusher, compiles, drawn
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.state import State
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import Entry
+from wheatring.lease.register_messages import Entry
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.messages import ViewMember
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -9,8 +9,10 @@
 from typing import Any
 
 from wheatring.lab.live.links.state import State, datagram
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing, RoleChange, RoleSettings
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.payloads import FetchRequest
+from wheatring.lease.singleton_role import RoleChange, RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
 from wheatring.members.membership import Address
--- a/wheatring/lab/leases/days.py
+++ b/wheatring/lab/leases/days.py
@@ -13,7 +13,7 @@
 from wheatring.lab.leases.cluster import CUT, Cluster, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.fencing import FencingGuard
-from wheatring.lease.fleet import RoleChange, RoleSettings
+from wheatring.lease.singleton_role import RoleChange, RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
--- a/wheatring/lab/leases/handover.py
+++ b/wheatring/lab/leases/handover.py
@@ -7,7 +7,7 @@
 from typing import Literal
 
 from wheatring.lab.leases.cluster import CUT, Cluster, Node
-from wheatring.lease.fleet import RoleChange, RoleSettings
+from wheatring.lease.singleton_role import RoleChange, RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
--- a/wheatring/lease/acceptor.py
+++ b/wheatring/lease/acceptor.py
@@ -1,12 +1,12 @@
-"""A voter: promises, grants and forgets. All in memory; a process that has started abstains at first.
+"""An acceptor of leases: promises, grants and forgets. All is in memory; after a start it abstains at first.
 
-Rules that the safety of a term rests on:
+Rules that the safety of a lease rests on:
 
 - a promise is never broken within the life of the process, and what a process has forgotten it can't break,
   as it abstains for as long as any round that it took part in may last;
-- a grant stands for a whole term on this clock, from when its round first arrived, and nobody else is
+- a grant stands for a complete lease on this clock, from when its round first arrived, and nobody else is
   promised anything meanwhile;
-- voters grant only to those who go by the same voters.
+- acceptors grant only to those who go by the same voters.
 """
 
 from __future__ import annotations
@@ -30,6 +30,8 @@
 
 
 class _LeaseState:
+    """What the acceptor has promised and granted of one lease."""
+
     __slots__ = ("epoch", "held_until", "holder", "promised", "round")
 
     def __init__(self) -> None:
@@ -41,88 +43,114 @@
 
 
 class Acceptor:
-    """`leases` are the names of all places of all duties: a word about any other is not answered."""
+    """Grants the leases of all roles' slots; a message on any other lease isn't answered.
+
+    Parameters
+    ----------
+    now : float
+        Seconds on the clock that leases are measured on.
+    leases : collection of str
+        The names of all leases there are.
+    """
 
     def __init__(self, now: float, timing: LeaseTiming, voters: VoterSet, leases: Collection[str]) -> None:
         self.timing = timing
         self.voters = voters
         self.abstains_until = now + timing.abstain_seconds
         self.leases = {lease: _LeaseState() for lease in leases}
-        self.voters_in_force = (
-            0  # the digest of the voters by whom a term has been chosen, as far as was seen
-        )
-
-    def receive(self, now: float, wall: int, word: AcceptorRequest) -> AcceptorResponse | None:
-        """`now` on the clock that terms are measured on. `wall` is Unix time in milliseconds: it orders
-        epochs where all that knew the last one are gone, and decides nothing else.
+        self.voters_in_force = 0  # digest of the voters by whom a lease has been granted, as far as was seen
+
+    def receive(self, now: float, wall: int, message: AcceptorRequest) -> AcceptorResponse | None:
+        """Handle a request and return the answer; None: there is none.
+
+        Parameters
+        ----------
+        now : float
+            Seconds on the clock that leases are measured on.
+        wall : int
+            Unix time in milliseconds. It orders epochs where all that knew the last one are gone, and
+            decides nothing else.
+        message : AcceptorRequest
+            The request, from whichever member.
         """
-        place = self.leases.get(word.lease)
-        if place is None or word.voters_digest != self.voters.digest:
-            if isinstance(word, Release) or place is None:
+        state = self.leases.get(message.lease)
+        if state is None or message.voters_digest != self.voters.digest:
+            if isinstance(message, Release) or state is None:
                 return None
-            return Rejection(*_about(word), "voters", self.timing.lease_seconds)
-        match word:
+            return Rejection(*_header(message), "voters", self.timing.lease_seconds)
+        match message:
             case Release():
-                # A late one, of a term that the same process held earlier, must not end this one.
-                if place.holder[1:] == word.proposal[1:] and place.holder <= word.proposal:
-                    place.held_until = now
+                # A late one, of a lease that the same process held earlier, must not end this one.
+                if state.holder.process == message.proposal.process and state.holder <= message.proposal:
+                    state.held_until = now
                 return None
             case Prepare():
-                return self._rejection(now, place, word) or self._promise(place, wall, word)
+                return self._rejection(now, state, message) or self._promise(state, wall, message)
             case Propose():
-                return self._rejection(now, place, word) or self._accept(now, place, word)
+                return self._rejection(now, state, message) or self._accept(now, state, message)
 
-    def _rejection(self, now: float, place: _LeaseState, word: Prepare | Propose) -> Rejection | None:
+    def _rejection(self, now: float, state: _LeaseState, message: Prepare | Propose) -> Rejection | None:
+        """Return why neither a promise nor a grant is given; None: one may be."""
         if now < self.abstains_until:
-            return Rejection(*_about(word), "starting", self.abstains_until - now)
-        if now < place.held_until and place.holder[1:] != word.proposal[1:]:
-            left = place.held_until - now
-            return Rejection(*_about(word), "held", left, holder=place.holder, epoch=place.epoch)
-        if word.proposal < place.promised:
-            return Rejection(
-                *_about(word), "passed", self.timing.retransmit_seconds, promised_number=place.promised.number
-            )
+            return Rejection(*_header(message), "starting", self.abstains_until - now)
+        if now < state.held_until and state.holder.process != message.proposal.process:
+            left = state.held_until - now
+            return Rejection(*_header(message), "held", left, holder=state.holder, epoch=state.epoch)
+        if message.proposal < state.promised:
+            retry = self.timing.retransmit_seconds
+            return Rejection(*_header(message), "passed", retry, promised_number=state.promised.number)
         return None
 
-    def _promise(self, place: _LeaseState, wall: int, word: Prepare) -> Promise:
-        place.promised = word.proposal
-        return Promise(*_about(word), max(place.epoch, wall))
-
-    def _accept(self, now: float, place: _LeaseState, word: Propose) -> AcceptorResponse:
-        if word.lease_seconds > self.timing.lease_seconds:
-            return Rejection(*_about(word), "voters", self.timing.lease_seconds)
-        if now >= place.held_until or (place.holder, place.round) != (word.proposal, word.round):
-            # Said once more, it is the same grant, and lasts no longer.
-            place.held_until = now + self.timing.lease_seconds
-        place.promised = place.holder = word.proposal
-        place.round = word.round
-        place.epoch = max(place.epoch, word.epoch)
-        if word.is_renewal:
-            self.voters_in_force = word.voters_digest
-        return Accepted(*_about(word))
-
-    # What is known of it
+    def _promise(self, state: _LeaseState, wall: int, message: Prepare) -> Promise:
+        state.promised = message.proposal
+        return Promise(*_header(message), max(state.epoch, wall))
+
+    def _accept(self, now: float, state: _LeaseState, message: Propose) -> AcceptorResponse:
+        if message.lease_seconds > self.timing.lease_seconds:
+            return Rejection(*_header(message), "voters", self.timing.lease_seconds)
+        if now >= state.held_until or (state.holder, state.round) != (message.proposal, message.round):
+            # A retransmission is the same grant, and lasts no longer.
+            state.held_until = now + self.timing.lease_seconds
+        state.promised = state.holder = message.proposal
+        state.round = message.round
+        state.epoch = max(state.epoch, message.epoch)
+        if message.is_renewal:
+            self.voters_in_force = message.voters_digest
+        return Accepted(*_header(message))
 
     def holder_of(self, now: float, lease: str) -> tuple[ProposalNumber, int, float] | None:
-        """Who holds a place as far as this voter has granted it, in which epoch, for how long yet."""
-        place = self.leases[lease]
-        return (place.holder, place.epoch, place.held_until - now) if now < place.held_until else None
+        """Return who holds a lease by this acceptor's grants: proposal, epoch, seconds left; None: nobody."""
+        state = self.leases[lease]
+        return (state.holder, state.epoch, state.held_until - now) if now < state.held_until else None
 
     def change_voters(self, now: float, voters: VoterSet, adopted_elsewhere: bool = False) -> str:
-        """Go by other voters from now on; "" or why it does not. It abstains anew: what it has granted before
-        may stand for a term yet. `taken`: another sidecar goes by them already, so it has seen a term in
-        force by the step before; one that does not vote, or was late, may never see one itself.
+        """Go by other voters from now on, and abstain anew: an earlier grant may stand for a lease yet.
+
+        Parameters
+        ----------
+        now : float
+            Seconds on the clock that leases are measured on.
+        voters : VoterSet
+            The voters to go by.
+        adopted_elsewhere : bool
+            Another sidecar goes by them already, so it has seen a lease in force by the step before. A
+            sidecar that doesn't vote, or was late, may never see one itself.
+
+        Returns
+        -------
+        str
+            Why the change is rejected; "": it is made.
         """
         if voters == self.voters:
             return ""
-        if why := self.voters.objection_to(
-            voters, self.voters.digest if adopted_elsewhere else self.voters_in_force
-        ):
-            return why
+        in_force = self.voters.digest if adopted_elsewhere else self.voters_in_force
+        if objection := self.voters.objection_to(voters, in_force):
+            return objection
         self.voters = voters
         self.abstains_until = now + self.timing.abstain_seconds
         return ""
 
 
-def _about(word: AcceptorRequest) -> tuple[str, ProposalNumber, int]:
-    return word.lease, word.proposal, word.round
+def _header(message: AcceptorRequest) -> tuple[str, ProposalNumber, int]:
+    """Return the fields that an answer repeats of its request."""
+    return message.lease, message.proposal, message.round
--- a/wheatring/lease/fleet.py
+++ b/wheatring/lease/fleet.py
@@ -1,19 +1,20 @@
-"""One sidecar's part in the fleet: member, voter, and claimant of duties. No I/O.
+"""One sidecar's part in the fleet: member, acceptor of leases, and candidate for singleton roles. No I/O.
 
-It knows no sockets and reads no clocks: `Instant` is handed in with every event, and what is to be said is
-given back as addresses and words.
+It knows no sockets and reads no clocks: an `Instant` is given with every event, and what is to be sent is
+returned as addresses and messages.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection, Sequence
-from math import inf, isqrt
+from math import inf
 from random import Random
-from typing import Any, NamedTuple, Protocol
+from typing import Any
 
 from msgspec import structs
 
 from wheatring.lease.acceptor import Acceptor
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.messages import (
     Accepted,
     AcceptorRequest,
@@ -27,7 +28,8 @@
     Release,
 )
 from wheatring.lease.payloads import FetchRequest, PayloadStore
-from wheatring.lease.singleton_role import SingletonRole, lease_names
+from wheatring.lease.relay import Relay
+from wheatring.lease.singleton_role import RoleChange, RoleSettings, SingletonRole, lease_names
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, numbered_voter
 from wheatring.members.membership import Address, Membership
@@ -45,66 +47,17 @@
 )
 from wheatring.members.timing import SwimTiming
 
-MAX_CANDIDATES = 5  # sidecars that stand in line for a duty
-MAX_RELAY_TARGETS = 64  # members whom one tells what it heard, at most
-CANDIDACY_INTERVAL_SECONDS = 0.5  # seconds between looks at who is in line
+MAX_CANDIDATES = 5  # sidecars that bid for a role at the same time
+CANDIDACY_INTERVAL_SECONDS = 0.5  # between two checks of who is a candidate
 FleetMessage = SwimMessage | AcceptorRequest | AcceptorResponse | LeaseReleased | Heartbeat
-Outgoing = tuple[Address, Any]  # AnyWord, or a word of a piece
-
-
-class Instant(NamedTuple):
-    """One instant on the clocks there are. `now`: monotonic, seconds. `boot`: the same and goes on while the
-    machine is suspended; terms are measured on it. `wall`: Unix time in ms, for the order of epochs only.
-    """
-
-    now: float
-    boot: float
-    wall: int
-
-
-class RoleSettings(NamedTuple):
-    """`near`: whoever is in the holder's zone comes first when it is given back or lost. `idle`: seconds for
-    which it may be held with nothing done. `asked`: only those that are told to stand in line for it.
-    """
-
-    name: str
-    slots: int = 1
-    prefers_zone: bool = False
-    idle_seconds: float = inf
-    on_request: bool = False
-    voters_only: bool = False
-
-
-class RoleChange(NamedTuple):
-    """A place of a duty came to this sidecar (`epoch`), or went (`why`)."""
-
-    role: str
-    epoch: int
-    reason: str = ""
-
-
-class FleetComponent(Protocol):
-    """A further decider of the same sidecar: views, plans, the fleet's time. `hears` are the types of its own
-    words. What is wanted of others' bodies goes to `Fleet.fetches`.
-    """
-
-    message_types: tuple[type, ...]
-
-    @property
-    def due(self) -> float:
-        """When `tick` has something to do, on the monotonic clock."""
-
-    def tick(self, at: Instant) -> list[Outgoing]: ...
-
-    def receive(self, at: Instant, sender: str, address: Address, word: Any) -> list[Outgoing]: ...
-
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
-        """A body that was fetched, by whichever piece; None: it could not be had there."""
 
 
 class Fleet:
-    """`start` tells this process from earlier ones of its name. `changes` is for whoever acts on duties, and
-    is emptied there.
+    """Everything that one process decides as a member of the fleet.
+
+    `incarnation` tells this process from earlier ones of its name. `role_changes`, `heartbeats` and
+    `fetch_requests` are for the caller, who empties them: what roles were gained or lost, what the holders of
+    roles have announced, and which payloads are wanted.
     """
 
     def __init__(
@@ -123,38 +76,64 @@
         self.incarnation = incarnation
         self.timing = timing
         self.random = random
-        self.role_settings = {plan.name: plan for plan in role_settings}
-        places = [lease for plan in role_settings for lease in lease_names(plan.name, plan.slots)]
-        self.members = Membership(at.now, me, incarnation, seeds, swim_timing, random, places)
-        self.acceptor = Acceptor(at.boot, timing, voters, places)
+        self.role_settings = {settings.name: settings for settings in role_settings}
+        leases = [lease for settings in role_settings for lease in lease_names(settings.name, settings.slots)]
+        self.members = Membership(at.now, me, incarnation, seeds, swim_timing, random, leases)
+        self.acceptor = Acceptor(at.boot, timing, voters, leases)
         self.roles = {
-            plan.name: SingletonRole(
-                plan.name, plan.slots, me.name, incarnation, timing, voters, random, plan.idle_seconds
+            settings.name: SingletonRole(
+                settings.name,
+                settings.slots,
+                me.name,
+                incarnation,
+                timing,
+                voters,
+                random,
+                settings.idle_seconds,
             )
-            for plan in role_settings
+            for settings in role_settings
         }
-        self.requested_roles: set[str] = {plan.name for plan in role_settings if not plan.on_request}
-        self.held_epochs: dict[str, int] = {}  # the epochs of duties held, as far as it was told
+        self.requested_roles = {settings.name for settings in role_settings if not settings.on_request}
+        self.held_epochs: dict[str, int] = {}  # of roles held, as far as it was reported
         self.role_changes: list[RoleChange] = []
-        self.heartbeats: list[Heartbeat] = []  # of holders, for whoever follows them, and emptied there
+        self.heartbeats: list[Heartbeat] = []
         self.next_candidacy = at.now
         self.is_leaving = False
         self.components: list[FleetComponent] = []
         self.payloads = PayloadStore()
-        self.fetch_requests: list[
-            FetchRequest
-        ] = []  # bodies that are wanted, for whoever carries them, and emptied there
+        self.fetch_requests: list[FetchRequest] = []
+        self._relay = Relay(self.members, random)
+
+    # Voters
 
     @property
     def voters(self) -> VoterSet:
+        """The voters that this sidecar goes by."""
         return self.acceptor.voters
 
     def is_voter(self) -> bool:
+        """Return whether this sidecar votes."""
         return not self.is_leaving and bool({*self.voters.names} & {*self.voter_names(self.me)})
 
-    def voter_names(self, who: MemberInfo) -> tuple[str, str]:
-        """As which a member may be named among the voters: by its address, or by its number."""
-        return f"{who.host}:{who.port}", numbered_voter(who.number)
+    def voter_names(self, member: MemberInfo) -> tuple[str, str]:
+        """Return the names that a member may have among the voters: its address, and its number."""
+        return f"{member.host}:{member.port}", numbered_voter(member.number)
+
+    def voter_names_of_sender(self, sender: str) -> tuple[str, ...]:
+        """Return the names that a sender may have among the voters; (): it isn't known yet."""
+        if sender == self.me.name:
+            return self.voter_names(self.me)
+        record = self.members.table.records.get(sender)
+        return self.voter_names(record.member) if record is not None else ()
+
+    def to_voters(self, requests: Sequence[tuple[str, Any]]) -> list[Outgoing]:
+        """Return messages to voters with their addresses. Its own vote takes the same way as all."""
+        out: list[Outgoing] = []
+        for name, message in requests:
+            address = self._voter_address(name)
+            if address is not None:
+                out.append((address, message))
+        return out
 
     def _voter_address(self, name: str) -> Address | None:
         if not name.startswith("#"):
@@ -163,184 +142,183 @@
         if name == numbered_voter(self.me.number):
             return self.me.host, self.me.port
         # Whoever is suspected is asked too: one that hears nothing suspects all others, and is believed.
-        rows = [row for row in self.members.table.records.values() if row.state != LEFT]
-        rows = [
-            row
-            for row in rows
-            if row.member.tier == self.me.tier and numbered_voter(row.member.number) == name
+        records = [
+            record
+            for record in self.members.table.records.values()
+            if record.state != LEFT
+            and record.member.tier == self.me.tier
+            and numbered_voter(record.member.number) == name
         ]
-        return max(rows, key=lambda row: row.incarnation).address if rows else None
+        return max(records, key=lambda record: record.incarnation).address if records else None
+
+    def change_voters(self, at: Instant, voters: VoterSet) -> tuple[str, list[Outgoing]]:
+        """Go by other voters; return why not ("": it does), and what is to be sent."""
+        adopted = {
+            record.member.voters_digest for record in self.members.table.records.values() if record.is_present
+        }
+        if objection := self.acceptor.change_voters(at.boot, voters, voters.digest in adopted):
+            return objection, []
+        out: list[Outgoing] = []
+        for role in self.roles.values():
+            out += self.to_voters(role.change_voters(at.boot, voters))
+        self.me = self.me._replace(voters_digest=voters.digest)
+        self.members.update_identity(self.me)
+        self._report_role_changes(at)
+        return "", out
 
-    # Time
+    # Events
 
     def seconds_until_due(self, at: Instant) -> float:
-        """Seconds until `tick` has something to do."""
-        duties = min((duty.due for duty in self.roles.values()), default=inf) - at.boot
-        pieces = min((piece.due for piece in self.components), default=inf) - at.now
-        return max(0.0, min(self.members.due - at.now, self.next_candidacy - at.now, duties, pieces))
+        """Return the seconds until `tick` has something to do."""
+        roles = min((role.due for role in self.roles.values()), default=inf) - at.boot
+        components = min((component.due for component in self.components), default=inf) - at.now
+        return max(0.0, min(self.members.due - at.now, self.next_candidacy - at.now, roles, components))
 
     def tick(self, at: Instant) -> list[Outgoing]:
+        """Do what is due."""
         if self.is_leaving:
             return []
         out: list[Outgoing] = list(self.members.tick(at.now))
         if at.now >= self.next_candidacy:
             self.next_candidacy = at.now + CANDIDACY_INTERVAL_SECONDS
             out += self._update_candidacies(at)
-        for duty in self.roles.values():
-            out += self.to_voters(duty.tick(at.boot))
-        for piece in self.components:
-            if at.now >= piece.due:
-                out += piece.tick(at)
+        for role in self.roles.values():
+            out += self.to_voters(role.tick(at.boot))
+        for component in self.components:
+            if at.now >= component.due:
+                out += component.tick(at)
         self._report_role_changes(at)
         return out
 
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
-        """What came of a fetch: the whole body, or nothing."""
-        if body is not None:
-            self.payloads.put(body)
-        out = [said for piece in self.components for said in piece.receive_payload(at, digest, body)]
+    def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
+        """Handle the answer to a fetch request: the complete payload, or None."""
+        if payload is not None:
+            self.payloads.put(payload)
+        out = [
+            sent for component in self.components for sent in component.receive_payload(at, digest, payload)
+        ]
         self._report_role_changes(at)
         return out
 
-    def receive(self, at: Instant, sender: str, address: Address, word: Any) -> list[Outgoing]:
-        """A word whose sender is known to be one of the fleet."""
-        out: list[Outgoing] = []
-        match word:
+    def receive(self, at: Instant, sender: str, address: Address, message: Any) -> list[Outgoing]:
+        """Handle a message whose sender is known to be a member of the fleet."""
+        out = self._dispatch(at, sender, address, message)
+        for fact in self.members.new_facts:
+            if (role := self._role_of_lease(fact.key)) is not None:
+                role.note_epoch(fact.key, fact.version)
+        self.members.new_facts.clear()
+        self._report_role_changes(at)
+        return out
+
+    def _dispatch(self, at: Instant, sender: str, address: Address, message: Any) -> list[Outgoing]:
+        match message:
             case Prepare() | Propose() | Release():
-                if word.proposal.proposer == sender and self.is_voter():
-                    answer = self.acceptor.receive(at.boot, at.wall, word)
-                    out = [(address, answer)] if answer is not None else []
+                return self._on_acceptor_request(at, sender, address, message)
             case Promise() | Accepted() | Rejection():
-                out = self._on_acceptor_response(at, sender, word)
+                return self._on_acceptor_response(at, sender, message)
             case LeaseReleased():
-                if (duty := self._role_of_lease(word.lease)) is not None:
-                    duty.note_epoch(word.lease, word.epoch)
-                    duty.note_released(at.boot, word.lease, word.next_holder == self.me.name)
+                if (role := self._role_of_lease(message.lease)) is not None:
+                    role.note_epoch(message.lease, message.epoch)
+                    role.note_released(at.boot, message.lease, message.next_holder == self.me.name)
+                return []
             case Heartbeat():
-                out = self._on_heartbeat(word)
+                self.heartbeats.append(structs.replace(message, to=()))
+                return self.relay(message)
             case Ping() | Ack() | PingRequest() | Nack() | SyncRequest() | SyncResponse():
-                out = list(self.members.receive(at.now, sender, address, word))
+                return list(self.members.receive(at.now, sender, address, message))
             case _:
-                for piece in self.components:
-                    if isinstance(word, piece.message_types):
-                        out += piece.receive(at, sender, address, word)
-        for news in self.members.new_facts:
-            if (duty := self._role_of_lease(news.key)) is not None:
-                duty.note_epoch(news.key, news.version)
-        self.members.new_facts.clear()
-        self._report_role_changes(at)
-        return out
-
-    def _role_of_lease(self, lease: str) -> SingletonRole | None:
-        """The duty that a place is of."""
-        return self.roles.get(lease.partition("/")[0])
+                return [
+                    sent
+                    for component in self.components
+                    if isinstance(message, component.message_types)
+                    for sent in component.receive(at, sender, address, message)
+                ]
+
+    def _on_acceptor_request(
+        self, at: Instant, sender: str, address: Address, message: AcceptorRequest
+    ) -> list[Outgoing]:
+        if message.proposal.proposer != sender or not self.is_voter():
+            return []
+        response = self.acceptor.receive(at.boot, at.wall, message)
+        return [(address, response)] if response is not None else []
 
-    def _on_acceptor_response(self, at: Instant, sender: str, word: AcceptorResponse) -> list[Outgoing]:
-        duty = self._role_of_lease(word.lease)
-        if duty is None or word.proposal[1:] != (self.me.name, self.incarnation):
+    def _on_acceptor_response(self, at: Instant, sender: str, message: AcceptorResponse) -> list[Outgoing]:
+        role = self._role_of_lease(message.lease)
+        if role is None or message.proposal.process != (self.me.name, self.incarnation):
             return []
         for name in self.voter_names_of_sender(sender):
             if name in self.voters.names:
-                return self.to_voters(duty.receive(at.boot, name, word))
+                return self.to_voters(role.receive(at.boot, name, message))
         return []
 
-    def voter_names_of_sender(self, sender: str) -> tuple[str, ...]:
-        """As which a sender may be named among the voters; (): it is not known yet, and is asked again."""
-        if sender == self.me.name:
-            return self.voter_names(self.me)
-        row = self.members.table.records.get(sender)
-        return self.voter_names(row.member) if row is not None else ()
-
-    def broadcast(self, word: Any, audience: Collection[str] | None = None) -> list[Outgoing]:
-        """Tell all of the tier a word that has a `to`, by some who tell some others: two steps, and nobody
-        has many to tell. Who tells whom is drawn anew each time, so that one who is stopped keeps nobody in
-        the dark for long. `among`: only those.
-        """
-        others = [who.name for who in self.members.alive_members() if who.name != self.me.name]
-        others = [name for name in others if audience is None or name in audience]
-        self.random.shuffle(others)
-        branches = isqrt(len(others)) or 1
-        out: list[Outgoing] = []
-        for number in range(min(branches, len(others))):
-            first, *rest = others[number::branches]
-            out += self._to_member(first, structs.replace(word, to=tuple(rest)))
-        return out
-
-    def relay(self, word: Any) -> list[Outgoing]:
-        """What whoever hears such a word owes to those named in it."""
-        plain = structs.replace(word, to=())
-        return [said for name in word.to[:MAX_RELAY_TARGETS] for said in self._to_member(name, plain)]
-
-    def _on_heartbeat(self, beat: Heartbeat) -> list[Outgoing]:
-        self.heartbeats.append(structs.replace(beat, to=()))
-        return self.relay(beat)
+    def _role_of_lease(self, lease: str) -> SingletonRole | None:
+        return self.roles.get(lease.partition("/")[0])
 
-    def _to_member(self, name: str, word: Any) -> list[Outgoing]:
-        where = self.members.address(name)
-        return [(where, word)] if where is not None else []
+    def broadcast(self, message: Any, audience: Collection[str] | None = None) -> list[Outgoing]:
+        """Send a message to all members of the tier; see `Relay.broadcast`."""
+        return self._relay.broadcast(message, audience)
 
-    def to_voters(self, requests: Sequence[tuple[str, Any]]) -> list[Outgoing]:
-        """What voters are told, with where they are. Its own vote takes the same way as all."""
-        out: list[Outgoing] = []
-        for name, word in requests:
-            where = self._voter_address(name)
-            if where is not None:
-                out.append((where, word))
-        return out
+    def relay(self, message: Any) -> list[Outgoing]:
+        """Return what the receiver of a broadcast sends on."""
+        return self._relay.relay(message)
 
-    # The line
+    # Roles
 
     def _update_candidacies(self, at: Instant) -> list[Outgoing]:
         out: list[Outgoing] = []
-        for name, duty in self.roles.items():
-            rank: int | None = None
-            if name in self.requested_roles:
-                if self.role_settings[name].on_request:
-                    rank = 0
-                elif (
-                    not self.role_settings[name].voters_only or self.is_voter()
-                ):  # else it is in no such line
-                    names = [who.name for who in self.candidates(name)]
-                    place = names.index(self.me.name) if self.me.name in names else MAX_CANDIDATES
-                    rank = place if place < MAX_CANDIDATES or duty.held_lease is not None else None
-            out += self.to_voters(duty.set_rank(at.boot, rank))
+        for name, role in self.roles.items():
+            out += self.to_voters(role.set_rank(at.boot, self._candidate_rank(name, role)))
         return out
 
+    def _candidate_rank(self, name: str, role: SingletonRole) -> int | None:
+        """Return this sidecar's rank among the candidates for a role; None: it is no candidate."""
+        if name not in self.requested_roles:
+            return None
+        if self.role_settings[name].on_request:
+            return 0
+        if self.role_settings[name].voters_only and not self.is_voter():
+            return None
+        names = [member.name for member in self.candidates(name)]
+        rank = names.index(self.me.name) if self.me.name in names else MAX_CANDIDATES
+        return rank if rank < MAX_CANDIDATES or role.held_lease is not None else None
+
     def candidates(self, name: str) -> list[MemberInfo]:
-        """Who would hold a duty, the first first: by number, those near the last holder before others."""
+        """Return who may hold a role, in their order.
+
+        They are ordered by number; where the role `prefers_zone`, those in the last holder's zone come first.
+        """
         alive = self.members.alive_members()
         if self.role_settings[name].voters_only:
             voters = {*self.voters.names}
-            alive = [who for who in alive if not voters.isdisjoint(self.voter_names(who))]
+            alive = [member for member in alive if not voters.isdisjoint(self.voter_names(member))]
         if not self.role_settings[name].prefers_zone:
             return alive
-        zone = next((who.zone for who in alive if who.name == self.last_known_holder(name)[0]), "")
-        return sorted(alive, key=lambda who: (who.zone != zone, who.number, who.name))
+        holder = self.last_known_holder(name)[0]
+        zone = next((member.zone for member in alive if member.name == holder), "")
+        return sorted(alive, key=lambda member: (member.zone != zone, member.number, member.name))
 
     def last_known_holder(self, name: str, slot: int = 0) -> tuple[str, int]:
-        """Who holds or last held a place, by what was heard, and in which epoch."""
-        news = self.members.facts.facts.get(f"{name}/{slot}")
-        return (news.value, news.version) if news is not None else ("", 0)
+        """Return who holds or last held a slot, as far as was heard, and in which epoch."""
+        fact = self.members.facts.facts.get(f"{name}/{slot}")
+        return (fact.value, fact.version) if fact is not None else ("", 0)
 
     def _report_role_changes(self, at: Instant) -> None:
-        """Tell of what it has come to hold, or holds no more."""
-        for name, duty in self.roles.items():
-            epoch = duty.epoch_to_act(at.boot)
+        """Report what it has come to hold, or holds no more."""
+        for name, role in self.roles.items():
+            epoch = role.epoch_to_act(at.boot)
             was = self.held_epochs.get(name)
             if epoch == was:
                 continue
             if was is not None:
                 del self.held_epochs[name]
                 self.role_changes.append(RoleChange(name, was, "over"))
-            if epoch is not None and duty.held_lease is not None:
+            if epoch is not None and role.held_lease is not None:
                 self.held_epochs[name] = epoch
                 self.role_changes.append(RoleChange(name, epoch))
-                self.members.publish(Fact(duty.held_lease.lease, epoch, self.me.name))
-
-    # What it is told
+                self.members.publish(Fact(role.held_lease.lease, epoch, self.me.name))
 
     def request_role(self, at: Instant, name: str, is_requested: bool) -> list[Outgoing]:
-        """Stand in line for a duty that only those told do, or leave the line."""
+        """Become a candidate for a role that is held on request only, or stop being one."""
         if is_requested:
             self.requested_roles.add(name)
             out = self.to_voters(self.roles[name].set_rank(at.boot, 0))
@@ -350,36 +328,23 @@
         return self.release_role(at, name, 0.0)
 
     def release_role(self, at: Instant, name: str, exclusion_leases: float = 1.0) -> list[Outgoing]:
-        """Give a duty back; the next in line hears of it. Keep out of the line for so many terms."""
-        duty = self.roles[name]
-        held = duty.held_lease
-        out = self.to_voters(duty.step_down(at.boot, exclusion_leases * self.timing.lease_seconds))
+        """Give a role back, announce that to the candidates, and be none for so many lease lengths."""
+        role = self.roles[name]
+        held = role.held_lease
+        out = self.to_voters(role.step_down(at.boot, exclusion_leases * self.timing.lease_seconds))
         self._report_role_changes(at)
         if held is None:
             return out
-        others = [who for who in self.candidates(name) if who.name != self.me.name][:MAX_CANDIDATES]
-        for who in others:
-            out.append(((who.host, who.port), LeaseReleased(held.lease, held.epoch, others[0].name)))
+        others = [member for member in self.candidates(name) if member.name != self.me.name][:MAX_CANDIDATES]
+        for member in others:
+            out.append(((member.host, member.port), LeaseReleased(held.lease, held.epoch, others[0].name)))
         return out
 
-    def change_voters(self, at: Instant, voters: VoterSet) -> tuple[str, list[Outgoing]]:
-        """Go by other voters; why not, if it does not."""
-        others = {row.member.voters_digest for row in self.members.table.records.values() if row.is_present}
-        if why := self.acceptor.change_voters(at.boot, voters, voters.digest in others):
-            return why, []
-        out: list[Outgoing] = []
-        for duty in self.roles.values():
-            out += self.to_voters(duty.change_voters(at.boot, voters))
-        self.me = self.me._replace(voters_digest=voters.digest)
-        self.members.update_identity(self.me)
-        self._report_role_changes(at)
-        return "", out
-
     def leave(self, at: Instant) -> list[Outgoing]:
-        """Give all back, and say that it leaves."""
+        """Give all roles back, and announce that it leaves."""
         out: list[Outgoing] = []
-        for name, plan in self.role_settings.items():
-            if not plan.on_request:  # else it is kept while this one is away, as long as the term lasts
+        for name, settings in self.role_settings.items():
+            if not settings.on_request:  # else it is kept while this one is away, as long as the lease lasts
                 out += self.release_role(at, name)
         self.is_leaving = True
         return out + list(self.members.leave(at.now))
--- a/wheatring/lease/membership_views.py
+++ b/wheatring/lease/membership_views.py
@@ -15,10 +15,12 @@
 from math import inf
 from typing import get_args
 
-from wheatring.lease.fleet import Fleet, Instant, Outgoing
-from wheatring.lease.messages import Entry
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.payloads import FetchRequest, digest
-from wheatring.lease.replicated_register import FETCH_RETRY_SECONDS, LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.register_learner import FETCH_RETRY_SECONDS
+from wheatring.lease.register_messages import Entry
+from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
 from wheatring.members.cut_detector import CutDetector, chunks
 from wheatring.members.edge_monitor import STALL_SECONDS, EdgeMonitor
 from wheatring.members.indirect_checks import IndirectChecks
--- a/wheatring/lease/proposer.py
+++ b/wheatring/lease/proposer.py
@@ -1,13 +1,13 @@
-"""A claimant of one place of one duty: asks, claims, holds, lets go. No I/O, clock or chance of its own.
+"""A proposer of one lease: prepares, proposes, holds, releases. No I/O, clock or chance of its own.
 
-What the safety of a term rests on, on this side:
+What the safety of a lease rests on, on this side:
 
-- a term runs from the instant that was read before the round's first word was made, so that no stall on the
-  way there or back can make it longer;
-- only answers to this very round of this very ballot count;
-- a round of asking and the claim after it are over with the term that began with the asking: a voter that
-  started meanwhile has abstained for that long;
-- who has been out of office for an instant asks anew, and gets a higher epoch.
+- a lease runs from the instant that was read before the round's first request was made, so that no stall on
+  the way there or back can make it longer;
+- only answers to this very round of this very proposal count;
+- a round of preparing and the one of proposing after it are over with the lease that began with the
+  preparing: an acceptor that started meanwhile has abstained for that long;
+- a proposer that has been without the lease for an instant prepares anew, and gets a higher epoch.
 """
 
 from __future__ import annotations
@@ -29,12 +29,14 @@
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
 
-AddressedRequest = tuple[str, AcceptorRequest]  # a voter's name, and what it is told
+AddressedRequest = tuple[str, AcceptorRequest]  # an acceptor's name among the voters, and what it is sent
 
 
 class Proposer:
-    """`who` and `start` name this process. `rank` is its place in the line of those who would hold the duty:
-    each waits a moment longer than the one before; None: it does not want to.
+    """One process's bid for one lease.
+
+    `rank` is its place among the candidates for the lease: each waits a moment longer than the one before it;
+    None: it is no candidate.
     """
 
     def __init__(
@@ -50,31 +52,32 @@
         self.due = inf  # when `tick` has something to do
         self.proposal = ProposalNumber(0, name, incarnation)
         self.round = 0
-        self.round_started = 0.0  # the instant that this round's term runs from
+        self.round_started = 0.0  # the instant that this round's lease runs from
         self.is_preparing = self.is_proposing = False
-        self.is_renewing = False  # what is asked for or claimed is to follow on the term that it holds
-        self.highest_promised = 0  # the highest number that a voter has promised to another ballot
-        self.epoch = 0  # of the term held or claimed,
+        self.is_renewing = False  # the round is to extend the lease that it holds
+        self.highest_promised = 0  # the highest number that an acceptor has promised to another proposal
+        self.epoch = 0  # of the lease held or proposed,
         self.highest_epoch = 0  # and the highest that was heard of
-        self.held_until = -inf  # the end of the term held
-        self.granted_by: dict[str, int] = {}  # voters that have promised, or granted, in this round
-        self.rejected_by: dict[str, float] = {}  # those that have refused, and for how long
-
-    # What it is asked
+        self.held_until = -inf  # the end of the lease held
+        self.granted_by: dict[str, int] = {}  # acceptors that have promised, or granted, in this round
+        self.rejected_by: dict[str, float] = {}  # those that have rejected, and for how many seconds
 
     def is_holder(self, now: float) -> bool:
+        """Return whether it holds the lease."""
         return now < self.held_until
 
     def epoch_to_act(self, now: float) -> int | None:
-        """The epoch to act in; None: it is not in office. To be asked right before every act, each time with
-        a clock read after all that the act needs was at hand.
+        """Return the epoch to act in, which is the fencing token; None: it doesn't hold the lease.
+
+        To be asked right before every act, each time with a clock read after all that the act needs was at
+        hand: a stall between the two would let it act after the lease's end.
         """
         return self.epoch if self.is_holder(now) else None
 
-    # What it does
+    # Events
 
     def set_rank(self, now: float, rank: int | None) -> list[AddressedRequest]:
-        """Its place in the line; None: not any more, and what it holds is given back."""
+        """Set its place among the candidates; with None it stops, and gives back what it holds."""
         was, self.rank = self.rank, rank
         if rank is None:
             return self.release(now)
@@ -83,28 +86,27 @@
         return []
 
     def release(self, now: float) -> list[AddressedRequest]:
-        """Give back what it holds or has asked for. It is out of office from here on, whoever hears of it."""
+        """Give back what it holds or has proposed. It no longer holds the lease, whoever hears of it."""
         self.held_until = -inf
         self.due = inf if self.rank is None else now + self.timing.lease_seconds
         if self.round == 0:
             return []
         self.is_preparing = self.is_proposing = False
         self.round += 1
-        word = Release(self.lease, self.proposal, self.round, self.voters.digest)
-        return [(voter, word) for voter in self.voters.names]
+        message = Release(self.lease, self.proposal, self.round, self.voters.digest)
+        return [(voter, message) for voter in self.voters.names]
 
     def note_released(self, now: float, is_next: bool) -> None:
-        """Somebody says that nobody holds it any more; `first`: and that this one is to be the next."""
-        if self.rank is not None and not self.is_holder(now) and not (self.is_preparing or self.is_proposing):
-            wait = (
-                0.0
-                if is_next
-                else (self.rank + 1 + self.random.random() / 2) * self.timing.retransmit_seconds
-            )
-            self.due = min(self.due, now + wait)
+        """Take note that the lease is free by what somebody says; `is_next`: this proposer is to have it."""
+        if self.rank is None or self.is_holder(now) or self.is_preparing or self.is_proposing:
+            return
+        delay = 0.0
+        if not is_next:
+            delay = (self.rank + 1 + self.random.random() / 2) * self.timing.retransmit_seconds
+        self.due = min(self.due, now + delay)
 
     def note_epoch(self, epoch: int) -> None:
-        """An epoch that somebody has seen: the next one has to be higher."""
+        """Take note of an epoch that somebody has seen: the next one has to be higher."""
         self.highest_epoch = max(self.highest_epoch, epoch)
 
     def tick(self, now: float) -> list[AddressedRequest]:
@@ -112,58 +114,54 @@
         if now < self.due or self.rank is None:
             return []
         if self.is_preparing or self.is_proposing:
-            # Once more, to those who have not answered. A renewal goes on as the same round as long as there
-            # is something to renew: each new one would have the voters keep the duty for a whole term more,
-            # though it may be heard and hear nothing itself.
-            if now < self.round_started + self.timing.round_timeout_seconds or (
-                self.is_renewing and self.is_holder(now)
-            ):
+            # Retransmit to those that have not answered. A renewal goes on as the same round as long as there
+            # is something to renew: each new one would have the acceptors keep the lease for its full length
+            # again, though this process may be heard and hear nothing itself.
+            is_in_time = now < self.round_started + self.timing.round_timeout_seconds
+            if is_in_time or (self.is_renewing and self.is_holder(now)):
                 return self._send_requests(now)
             self.is_preparing = self.is_proposing = False
             if not self.is_holder(now):
-                # Whom nobody answers is cut off, and may still be heard: others are to have their try.
-                self._schedule_retry(
-                    now, 0.0 if self.granted_by or self.rejected_by else self.timing.lease_seconds / 2
-                )
+                # Whom nobody answers is cut off, and may still be heard: others are to have their attempt.
+                is_answered = self.granted_by or self.rejected_by
+                self._schedule_retry(now, 0.0 if is_answered else self.timing.lease_seconds / 2)
                 return []
         if self.is_holder(now) and self.highest_promised <= self.proposal.number:
             return self._propose(now, now)
         return self._prepare(now)
 
-    def receive(self, now: float, voter: str, word: AcceptorResponse) -> list[AddressedRequest]:
-        if word.proposal != self.proposal or word.round != self.round or voter not in self.voters.names:
+    def receive(self, now: float, voter: str, message: AcceptorResponse) -> list[AddressedRequest]:
+        """Handle an acceptor's answer; a late one, or one of a stranger, doesn't count."""
+        if not self._is_awaited(now, voter, message):
             return []
-        if (
-            not (self.is_preparing or self.is_proposing)
-            or now >= self.round_started + self.timing.holder_seconds
-        ):
-            return []
-        match word:
+        match message:
             case Promise() if self.is_preparing:
-                self.granted_by[voter] = word.epoch
+                self.granted_by[voter] = message.epoch
             case Accepted() if self.is_proposing:
                 self.granted_by[voter] = 0
             case Rejection():
-                self._on_rejection(now, voter, word)
+                self._on_rejection(voter, message)
             case _:
                 return []
         if self.voters.has_majority(self.granted_by):
-            if self.is_renewing and not self.is_holder(now):
-                # Too late: it has been out of office, so what comes is another term, by another epoch.
-                self.is_preparing = self.is_proposing = False
-                self.due = now
-                return []
-            if self.is_preparing:
-                if not self.is_renewing:
-                    self.epoch = max(self.highest_epoch, *self.granted_by.values()) + 1
-                return self._propose(now, self.round_started)
-            self._on_elected(now)
-        elif not self.voters.has_majority([v for v in self.voters.names if v not in self.rejected_by]):
+            return self._on_majority(now)
+        if not self.voters.has_majority([name for name in self.voters.names if name not in self.rejected_by]):
             self._on_majority_lost(now)
         return []
 
+    def _is_awaited(self, now: float, voter: str, message: AcceptorResponse) -> bool:
+        """Return whether this answers the round under way, and in time."""
+        is_this_round = message.proposal == self.proposal and message.round == self.round
+        if not is_this_round or voter not in self.voters.names:
+            return False
+        is_open = self.is_preparing or self.is_proposing
+        return is_open and now < self.round_started + self.timing.holder_seconds
+
+    # Rounds
+
     def _prepare(self, now: float) -> list[AddressedRequest]:
-        self.proposal = self.proposal._replace(number=max(self.proposal.number, self.highest_promised) + 1)
+        number = max(self.proposal.number, self.highest_promised) + 1
+        self.proposal = self.proposal._replace(number=number)
         self.is_preparing, self.is_proposing = True, False
         self._start_round(now, now)
         return self._send_requests(now)
@@ -180,16 +178,27 @@
         self.granted_by, self.rejected_by = {}, {}
 
     def _send_requests(self, now: float) -> list[AddressedRequest]:
+        """Send the round's request to all acceptors that have not answered."""
         self.due = now + self.timing.retransmit_seconds
-        about, digest = (self.lease, self.proposal, self.round), self.voters.digest
-        word: AcceptorRequest = Prepare(*about, digest)
+        header, digest = (self.lease, self.proposal, self.round), self.voters.digest
+        message: AcceptorRequest = Prepare(*header, digest)
         if self.is_proposing:
-            word = Propose(*about, digest, self.epoch, self.timing.lease_seconds, self.is_renewing)
-        return [
-            (voter, word)
-            for voter in self.voters.names
-            if voter not in self.granted_by and voter not in self.rejected_by
-        ]
+            message = Propose(*header, digest, self.epoch, self.timing.lease_seconds, self.is_renewing)
+        answered = self.granted_by.keys() | self.rejected_by.keys()
+        return [(voter, message) for voter in self.voters.names if voter not in answered]
+
+    def _on_majority(self, now: float) -> list[AddressedRequest]:
+        if self.is_renewing and not self.is_holder(now):
+            # Too late: its lease has ended meanwhile, so what comes is another lease, with another epoch.
+            self.is_preparing = self.is_proposing = False
+            self.due = now
+            return []
+        if self.is_preparing:
+            if not self.is_renewing:
+                self.epoch = max(self.highest_epoch, *self.granted_by.values()) + 1
+            return self._propose(now, self.round_started)
+        self._on_elected(now)
+        return []
 
     def _on_elected(self, now: float) -> None:
         self.is_proposing = False
@@ -197,24 +206,24 @@
         self.note_epoch(self.epoch)
         self.due = max(now, self.round_started + self.timing.renew_seconds)
 
-    def _on_rejection(self, now: float, voter: str, word: Rejection) -> None:
-        self.rejected_by[voter] = min(max(word.retry_after_seconds, 0.0), self.timing.lease_seconds)
-        if word.reason == "passed":
-            self.highest_promised = max(self.highest_promised, word.promised_number)
-        elif word.reason == "held":
-            self.note_epoch(word.epoch)
+    def _on_rejection(self, voter: str, message: Rejection) -> None:
+        self.rejected_by[voter] = min(max(message.retry_after_seconds, 0.0), self.timing.lease_seconds)
+        if message.reason == "passed":
+            self.highest_promised = max(self.highest_promised, message.promised_number)
+        elif message.reason == "held":
+            self.note_epoch(message.epoch)
 
     def _on_majority_lost(self, now: float) -> None:
-        """No majority will come in this round: the next one once so many are free that it could."""
+        """End a round that no majority can come of; the next one waits until enough acceptors are free."""
         self.is_preparing = self.is_proposing = False
         free = [voter for voter in self.voters.names if voter not in self.rejected_by]
-        waits = iter(sorted((left, voter) for voter, left in self.rejected_by.items()))
-        wait = 0.0
+        waits = iter(sorted((seconds, voter) for voter, seconds in self.rejected_by.items()))
+        delay = 0.0
         while not self.voters.has_majority(free):
-            wait, voter = next(waits)
+            delay, voter = next(waits)
             free.append(voter)
-        self._schedule_retry(now, wait)
+        self._schedule_retry(now, delay)
 
-    def _schedule_retry(self, now: float, wait: float) -> None:
-        again = self.timing.retransmit_seconds
-        self.due = now + wait + (self.rank or 0) * again + self.random.random() * again / 2
+    def _schedule_retry(self, now: float, delay: float) -> None:
+        step = self.timing.retransmit_seconds
+        self.due = now + delay + (self.rank or 0) * step + self.random.random() * step / 2
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -7,10 +7,12 @@
 
 from typing import TYPE_CHECKING, Any
 
-from wheatring.lease.fleet import Fleet, FleetComponent, FleetMessage, Instant, Outgoing, RoleSettings
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet, FleetMessage
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import RegisterMessage
+from wheatring.lease.register_messages import RegisterMessage
 from wheatring.lease.replicated_register import LEADER_ROLE
+from wheatring.lease.singleton_role import RoleSettings
 from wheatring.members.messages import ViewMessage
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.status_values import shown_age
--- a/wheatring/peers/assembly.py
+++ b/wheatring/peers/assembly.py
@@ -11,7 +11,7 @@
 from wheatring.balancer.interface import View
 from wheatring.config import platform_file, project_file
 from wheatring.core.clock import Clock
-from wheatring.lease.fleet import RoleSettings
+from wheatring.lease.singleton_role import RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.messages import MemberInfo
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -11,8 +11,10 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.lease.fleet import Fleet, FleetMessage, Instant, Outgoing, RoleChange
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet, FleetMessage
 from wheatring.lease.messages import Heartbeat
+from wheatring.lease.singleton_role import RoleChange
 from wheatring.lease.voters import VoterSet
 from wheatring.members.membership import Address
 from wheatring.members.timing import SwimTiming
--- a/wheatring/peers/fleet_status.py
+++ b/wheatring/peers/fleet_status.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from wheatring.lease.fleet import Fleet, Instant
+from wheatring.lease.component import Instant
+from wheatring.lease.fleet import Fleet
 from wheatring.members.messages import STATES
 from wheatring.peers.datagram_socket import DatagramSocket
 
--- a/wheatring/peers/options.py
+++ b/wheatring/peers/options.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from wheatring.lease.fleet import RoleSettings
+from wheatring.lease.singleton_role import RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
 from wheatring.members.membership import Address
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -9,9 +9,10 @@
 from typing import Any
 
 from wheatring.errors import OperatorError
-from wheatring.lease.fleet import Fleet, FleetComponent, Instant, Outgoing
+from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import Entry
+from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
 from wheatring.members.membership import Address
 from wheatring.members.messages import ViewMember
--- a/wheatring/plan/agent.py
+++ b/wheatring/plan/agent.py
@@ -16,10 +16,11 @@
 from typing import Any, get_args
 
 from wheatring.errors import OperatorError
-from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import Entry
 from wheatring.lease.payloads import FetchRequest
+from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.membership import Address
 from wheatring.members.messages import MemberInfo
--- a/wheatring/plan/compatibility.py
+++ b/wheatring/plan/compatibility.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import NamedTuple, Protocol
 
-from wheatring.lease.fleet import Instant, Outgoing
+from wheatring.lease.component import Instant, Outgoing
 from wheatring.members.view import View
 from wheatring.plan.document import Plan
 
--- a/wheatring/plan/distribution.py
+++ b/wheatring/plan/distribution.py
@@ -9,7 +9,8 @@
 from collections.abc import Sequence
 from math import ceil
 
-from wheatring.lease.fleet import Fleet, Outgoing
+from wheatring.lease.component import Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.members.messages import ViewMember
 from wheatring.plan.messages import StorePlan
 from wheatring.plan.rollout import Rollout, process_key
--- a/wheatring/plan/leader.py
+++ b/wheatring/plan/leader.py
@@ -26,10 +26,11 @@
 from collections import OrderedDict
 
 from wheatring.errors import OperatorError
-from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import Entry
 from wheatring.lease.payloads import MAX_PAYLOAD_BYTES, FetchRequest
+from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
 from wheatring.members.membership import Address
 from wheatring.members.messages import ViewMember
--- a/wheatring/plan/proposals.py
+++ b/wheatring/plan/proposals.py
@@ -16,10 +16,11 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.messages import Entry
 from wheatring.lease.payloads import MAX_PAYLOAD_BYTES
+from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
 from wheatring.members.membership import Address
 from wheatring.plan.compatibility import Reason
--- a/wheatring/schedule/fleet_clock.py
+++ b/wheatring/schedule/fleet_clock.py
@@ -24,7 +24,8 @@
 from math import inf, isfinite
 from typing import NamedTuple
 
-from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.voters import VoterSet
 from wheatring.members.membership import Address
 from wheatring.schedule.events import LogEvent
--- a/wheatring/skew/checker.py
+++ b/wheatring/skew/checker.py
@@ -20,7 +20,8 @@
 from math import inf
 from typing import get_args
 
-from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.members.membership import Address
 from wheatring.members.messages import JoinRequest, ViewMember
 from wheatring.members.view import View
--- a/wheatring/skew/coordinator.py
+++ b/wheatring/skew/coordinator.py
@@ -16,7 +16,7 @@
 
 from math import inf
 
-from wheatring.lease.fleet import Outgoing
+from wheatring.lease.component import Outgoing
 from wheatring.members.messages import ViewMember
 from wheatring.members.view import View
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
--- a/wheatring/skew/participant.py
+++ b/wheatring/skew/participant.py
@@ -17,7 +17,8 @@
 from math import inf
 
 from wheatring.errors import OperatorError
-from wheatring.lease.fleet import Fleet, Instant, Outgoing
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
 from wheatring.lease.payloads import FetchRequest
 from wheatring.members.membership import Address
 from wheatring.plan.document import Plan
