--- a/tests/agree/test_views_fleet.py
+++ b/tests/agree/test_views_fleet.py
@@ -6,114 +6,114 @@
 
 import pytest
 
-from wheatring.lab.agree import days
-from wheatring.lab.agree.cases import Measured, Scene, measure
-from wheatring.lab.agree.fleet import views
+from wheatring.lab.agreement import view_days
+from wheatring.lab.agreement.view_cases import CaseRun, Measurement, measure
+from wheatring.lab.agreement.view_fleet import views_of
 from wheatring.lab.leases.cluster import CUT
 from wheatring.members.edge_monitor import EARLY_CHECK_SECONDS, EdgeMonitor
 
 SIZE = 15
 
 
-def case(name: str, seed: int = 1, span: float = 20.0) -> Measured:
+def case(name: str, seed: int = 1, span: float = 20.0) -> Measurement:
     return measure(name, SIZE, seed, span)
 
 
 def test_a_third_that_dies_goes_in_one_change_within_eight_seconds() -> None:
     found = case("kill-third", span=12.0)
-    assert (found.out, found.into, found.wrong) == (1, 0, 0)
-    assert 5.5 < found.took < 8
+    assert (found.removals, found.admissions, found.wrongly_removed) == (1, 0, 0)
+    assert 5.5 < found.converged_seconds < 8
 
 
 @pytest.mark.parametrize("name", ["loss-30", "loss-80-one", "pair", "half", "pause-5", "voters-apart"])
 def test_what_is_no_death_takes_nobody_out(name: str) -> None:
     found = case(name)
-    assert (found.out, found.into, found.took) == (0, 0, 0.0)
-    assert found.alike > 0.98
+    assert (found.removals, found.admissions, found.converged_seconds) == (0, 0, 0.0)
+    assert found.agreement_share > 0.98
 
 
 def test_a_third_that_is_stopped_for_long_goes_once_and_comes_back_once() -> None:
     found = case("pause-15")
-    assert (found.out, found.into) == (1, 1)
-    assert 0 < found.took <= 3
+    assert (found.removals, found.admissions) == (1, 1)
+    assert 0 < found.converged_seconds <= 3
 
 
 @pytest.mark.parametrize("name", ["mute", "deaf"])
 def test_one_whose_words_or_ears_are_gone_goes_once(name: str) -> None:
     found = case(name)
-    assert (found.out, found.into, found.wrong) == (1, 0, 0)
+    assert (found.removals, found.admissions, found.wrongly_removed) == (1, 0, 0)
 
 
 def test_who_comes_back_elsewhere_is_known_there_within_seconds() -> None:
     found = case("moves", span=10.0)
-    assert 0 < found.took < 4 and found.wrong == 0
+    assert 0 < found.converged_seconds < 4 and found.wrongly_removed == 0
 
 
 def test_as_many_more_come_while_a_third_dies() -> None:
     found = case("join")
-    assert found.out == 1 and found.wrong == 0 and 0 < found.took < 12
+    assert found.removals == 1 and found.wrongly_removed == 0 and 0 < found.converged_seconds < 12
 
 
 def test_a_member_at_rest_says_little() -> None:
     found = case("rest", span=10.0)
-    assert found.datagrams <= 4 and found.traffic <= 2000
+    assert found.datagrams <= 4 and found.bytes_sent <= 2000
 
 
 def test_a_second_look_ends() -> None:
-    scene = Scene(SIZE, 1)
+    scene = CaseRun(SIZE, 1)
     scene.fleet.run(20)
     scene.stop(scene.names[8:10], 5.0)
     scene.fleet.run(26)
-    found = [one for node in scene.fleet.nodes.values() if (one := views(node)) is not None]
+    found = [one for node in scene.fleet.nodes.values() if (one := views_of(node)) is not None]
     assert any(one.indirect_checks.active for one in found)
     scene.fleet.run(35)
     assert not any(
-        one is not None and one.indirect_checks.active for one in map(views, scene.fleet.nodes.values())
+        one is not None and one.indirect_checks.active for one in map(views_of, scene.fleet.nodes.values())
     )
 
 
 def test_a_minority_keeps_its_view_and_says_that_it_is_old() -> None:
-    scene = Scene(SIZE, 1)
+    scene = CaseRun(SIZE, 1)
     fleet = scene.fleet
     fleet.run(20)
-    before = scene.follow.newest
+    before = scene.observer.newest
     fleet.cut_off(["n0", "n9"], CUT)
     fleet.run(40)
-    cut_off, rest = views(fleet.nodes["n9"]), views(fleet.nodes["n4"])
+    cut_off, rest = views_of(fleet.nodes["n9"]), views_of(fleet.nodes["n4"])
     assert cut_off is not None and rest is not None
     assert cut_off.view.number == before < rest.view.number
     assert not cut_off.is_current(40) and rest.is_current(40)
     fleet.mend()
-    assert scene.follow.run_until_whole(scene.names, 10) >= 0
+    assert scene.observer.run_until_converged(scene.names, 10) >= 0
 
 
 @pytest.mark.parametrize("seed", range(1, 3))
 def test_drawn_days_break_no_rule(seed: int) -> None:
-    day = days.play(seed)
+    day = view_days.play(seed)
     assert day.breaches == [] and day.views
 
 
 def test_a_leader_whom_the_deaf_report_does_not_take_itself_out() -> None:
     """Two of seven hear nobody but each other, and report all the others: nobody is out of doubt."""
-    assert days.play(381).breaches == []
+    assert view_days.play(381).breaches == []
 
 
 def test_the_same_seed_gives_the_same_day() -> None:
-    assert days.play(3, "together") == days.play(3, "together")
+    assert view_days.play(3, "together") == view_days.play(3, "together")
 
 
 def test_one_all_of_whose_subjects_die_reports_them() -> None:
-    scene = Scene(24, 1)
+    scene = CaseRun(24, 1)
     fleet = scene.fleet
     fleet.run(20)
-    first = views(fleet.nodes["n0"])
+    first = views_of(fleet.nodes["n0"])
     assert first is not None
     voters = {"n0", "n1", "n2"}
     lonely = next(name for name in scene.names[3:] if not voters & {*first.rings.subjects(name)})
     scene.kill(first.rings.subjects(lonely))
-    scene.follow.clear()
-    assert scene.follow.run_until_whole(set(scene.names) - scene.gone, 8.5) > 0
-    assert [move.went for move in scene.follow.moves] == [scene.gone]
+    scene.observer.clear()
+    assert scene.observer.run_until_converged(set(scene.names) - scene.removed, 8.5) > 0
+    assert [move.removed for move in scene.observer.changes] == [scene.removed]
 
 
 def test_one_that_has_just_started_looks_at_all_early_too_where_one_is_missed() -> None:
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -5,8 +5,8 @@
 import pytest
 
 from wheatring.errors import OperatorError
-from wheatring.lab.agree_plan import Scripted, World, body_of
-from wheatring.lab.agree_plan_days import PLANTED, find, play
+from wheatring.lab.agreement.plan_days import PLANTED_FAULTS, find_fault, play
+from wheatring.lab.agreement.plan_fleet import PlanFleet, ScriptedCheck, body_of
 from wheatring.lab.leases.cluster import CUT
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import Instant, Outgoing
@@ -30,36 +30,36 @@
 from wheatring.plan.proposals import MAX_PENDING_PROPOSALS, PROPOSAL_TIMEOUT_SECONDS
 
 
-def world(size: int = 6, seed: int = 1, judged: float | None = None, **more: object) -> World:
+def world(size: int = 6, seed: int = 1, judged: float | None = None, **more: object) -> PlanFleet:
     """A fleet that stands in one view and has a leader."""
-    made = World(seed, size, judged=judged, **more)  # type: ignore[arg-type]
-    assert made.until(lambda: made.agreed() and made.leader())
+    made = PlanFleet(seed, size, judged=judged, **more)  # type: ignore[arg-type]
+    assert made.run_until(lambda: made.has_converged() and made.leader())
     return made
 
 
-def numbers(made: World) -> set[int]:
+def numbers(made: PlanFleet) -> set[int]:
     """Of the plans by which those that live go; 0: by none."""
     found = [made.plans[node.name].current for node in made.alive()]
     return {current.version if current is not None else 0 for current in found}
 
 
-def settles(made: World, name: str, body: bytes, most: float = 60.0) -> int:
+def settles(made: PlanFleet, name: str, body: bytes, most: float = 60.0) -> int:
     """Push it; its number, once all go by it."""
-    push = made.offer(name, body)
-    assert made.until(lambda: push.is_final, most) and push.state == "settled", (push.state, push.reasons)
-    assert made.until(lambda: numbers(made) == {push.version})
+    push = made.propose(name, body)
+    assert made.run_until(lambda: push.is_final, most) and push.state == "settled", (push.state, push.reasons)
+    assert made.run_until(lambda: numbers(made) == {push.version})
     return push.version
 
 
-def kept(made: World) -> None:
+def kept(made: PlanFleet) -> None:
     """No rule was broken, and all came to one end."""
     made.cluster.run(made.cluster.now + 12)
-    made.until(made.over, PROPOSAL_TIMEOUT_SECONDS)
-    made.judge_end()
-    assert made.seen.breaches == []
+    made.run_until(made.is_over, PROPOSAL_TIMEOUT_SECONDS)
+    made.check_end()
+    assert made.outcome.breaches == []
 
 
-def other_than(made: World, *names: str) -> str:
+def other_than(made: PlanFleet, *names: str) -> str:
     return next(node.name for node in reversed(made.alive()) if node.name not in names)
 
 
@@ -77,47 +77,47 @@
 def test_the_plan_that_is_in_force_is_settled_already() -> None:
     made = world()
     settles(made, "n5", body_of("same"))
-    push = made.offer("n3", body_of("same"))
-    assert made.until(lambda: push.is_final, 2.0) and (push.state, push.version) == ("settled", 1)
+    push = made.propose("n3", body_of("same"))
+    assert made.run_until(lambda: push.is_final, 2.0) and (push.state, push.version) == ("settled", 1)
     kept(made)
 
 
 def test_a_leader_killed_before_it_has_settled_a_push_is_followed_by_one_that_does() -> None:
     made = world(judged=1.0)
     leader = made.leader()
-    push = made.offer(other_than(made, leader), body_of("first"))
-    assert made.until(
+    push = made.propose(other_than(made, leader), body_of("first"))
+    assert made.run_until(
         lambda: (lead := made.plans[leader].leader.rollout) is not None and lead.state == "tried"
     )
     made.cluster.kill(made.cluster.nodes[leader])
-    assert made.until(lambda: push.is_final) and (push.state, push.version) == ("settled", 1)
+    assert made.run_until(lambda: push.is_final) and (push.state, push.version) == ("settled", 1)
     made.cluster.start(made.cluster.nodes[leader])
-    assert made.until(lambda: numbers(made) == {1}), "who starts anew gets it back"
+    assert made.run_until(lambda: numbers(made) == {1}), "who starts anew gets it back"
     kept(made)
 
 
 def test_a_leader_that_goes_on_after_ten_terms_neither_goes_on_with_its_push_nor_back() -> None:
     made = world(judged=1.0)
     leader = made.leader()
-    push = made.offer(other_than(made, leader), body_of("first"))
-    assert made.until(
+    push = made.propose(other_than(made, leader), body_of("first"))
+    assert made.run_until(
         lambda: (lead := made.plans[leader].leader.rollout) is not None and lead.state == "tried"
     )
     made.cluster.stop(made.cluster.nodes[leader])
-    assert made.until(lambda: push.is_final) and push.state == "settled"
-    second = made.offer(other_than(made, leader), body_of("second"))
+    assert made.run_until(lambda: push.is_final) and push.state == "settled"
+    second = made.propose(other_than(made, leader), body_of("second"))
     made.cluster.run(made.cluster.now + 30)
     assert second.state == "settled" and second.version == 2
     made.cluster.go_on(made.cluster.nodes[leader])
     assert made.plans[leader].leader.rollout is None
-    assert made.until(lambda: numbers(made) == {2}, 20.0)
+    assert made.run_until(lambda: numbers(made) == {2}, 20.0)
     kept(made)
 
 
 def test_of_two_pushes_at_two_sidecars_at_once_one_is_refused_and_told_of_the_other() -> None:
     made = world(judged=0.5)
-    one, other = made.offer("n4", body_of("one")), made.offer("n5", body_of("other"))
-    assert made.until(lambda: one.is_final and other.is_final)
+    one, other = made.propose("n4", body_of("one")), made.propose("n5", body_of("other"))
+    assert made.run_until(lambda: one.is_final and other.is_final)
     first, second = (one, other) if one.state == "settled" else (other, one)
     assert (first.state, second.state) == ("settled", "refused")
     (why,) = second.reasons
@@ -131,7 +131,7 @@
         made.cluster.start(made.cluster.nodes["n6"])
         made.cluster.run(made.cluster.now + seed * 0.4)
         assert settles(made, "n5", body_of("first")) == 1
-        assert made.until(lambda: made.agreed() and numbers(made) == {1}, 15.0)  # noqa: B023
+        assert made.run_until(lambda: made.has_converged() and numbers(made) == {1}, 15.0)  # noqa: B023
         kept(made)
 
 
@@ -140,12 +140,12 @@
     made = world(7, judged=0.2, late=1, unable={"n6"})
     before = made.plans["n0"].views.view.number
     made.cluster.stop(made.cluster.nodes["n5"])
-    push = made.offer("n4", body_of("first"))
+    push = made.propose("n4", body_of("first"))
     made.cluster.run(made.cluster.now + 0.8)
     made.cluster.start(made.cluster.nodes["n6"])
-    assert made.until(lambda: made.plans["n0"].views.view.number > before, 4.0)
+    assert made.run_until(lambda: made.plans["n0"].views.view.number > before, 4.0)
     made.cluster.go_on(made.cluster.nodes["n5"])
-    assert made.until(lambda: push.is_final, 5.0)
+    assert made.run_until(lambda: push.is_final, 5.0)
     assert push.state == "refused" and [why.member for why in push.reasons] == ["n6"]
     assert numbers(made) == {0}
     kept(made)
@@ -159,7 +159,7 @@
     made.cluster.run(made.cluster.now + 0.5)
     for name in ("n0", "n1", "n2"):
         made.cluster.start(made.cluster.nodes[name])
-    assert made.until(lambda: made.agreed() and made.leader() and numbers(made) == {1}, 60.0)
+    assert made.run_until(lambda: made.has_converged() and made.leader() and numbers(made) == {1}, 60.0)
     assert settles(made, "n0", body_of("second")) == 2
     kept(made)
 
@@ -168,15 +168,15 @@
     made = world(9)
     third = ["n6", "n7", "n8"]
     made.cluster.cut_off(third, CUT)
-    push = made.offer("n4", body_of("first"))
-    assert made.until(
+    push = made.propose("n4", body_of("first"))
+    assert made.run_until(
         lambda: push.is_final,
         STATE_TIMEOUT_SECONDS[RolloutState.PROPOSED] + STATE_TIMEOUT_SECONDS[RolloutState.SURVEYING],
     )
     assert push.state == "refused" and sorted(why.member for why in push.reasons) == third
     assert numbers(made) == {0}
     made.cluster.mend()
-    assert made.until(lambda: made.agreed() and made.leader())
+    assert made.run_until(lambda: made.has_converged() and made.leader())
     assert settles(made, "n4", body_of("first")) == 1
     kept(made)
 
@@ -184,8 +184,8 @@
 def test_one_that_is_stopped_too_long_is_named_before_it_is_out_of_the_view() -> None:
     made = world(6)
     made.cluster.cut(["n5"], [made.leader()], CUT)  # its answers to the leader alone are lost
-    push = made.offer("n4", body_of("first"))
-    assert made.until(lambda: push.is_final, 25.0) and push.state == "refused"
+    push = made.propose("n4", body_of("first"))
+    assert made.run_until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert {(why.member, why.code) for why in push.reasons} == {("n5", "plan-not-whole")}
     kept(made)
 
@@ -213,8 +213,8 @@
     made.plans["n4"].compiled_bodies[digest(body)] = PlanFormatUnknownError(
         "format: 3, and this program reads 1 to 2"
     )
-    push = made.offer("n3", body)
-    assert made.until(lambda: push.is_final, 5.0) and push.state == "refused"
+    push = made.propose("n3", body)
+    assert made.run_until(lambda: push.is_final, 5.0) and push.state == "refused"
     assert [(why.member, why.code) for why in push.reasons] == [("n4", "plan-format-unknown")]
     kept(made)
 
@@ -222,10 +222,10 @@
 def test_a_push_that_no_leader_answers_is_told_as_lost() -> None:
     made = world(5)
     made.cluster.cut_off(["n4"], CUT)
-    push = made.offer("n4", body_of("first"))
+    push = made.propose("n4", body_of("first"))
     made.cluster.run(made.cluster.now + PROPOSAL_TIMEOUT_SECONDS - 2)
     assert not push.is_final
-    assert made.until(lambda: push.is_final, 4.0) and push.state == "lost"
+    assert made.run_until(lambda: push.is_final, 4.0) and push.state == "lost"
     assert [why.code for why in push.reasons] == ["plan-leader-lost"]
     made.cluster.mend()
     made.cluster.run(made.cluster.now + 20)
@@ -253,8 +253,8 @@
     made.plans["n4"].compiled_bodies[digest(body)] = PlanFormatUnknownError(
         "format: 3, and this program reads 1 to 2"
     )
-    push = made.offer("n3", body)
-    assert made.until(lambda: push.is_final, 5.0)
+    push = made.propose("n3", body)
+    assert made.run_until(lambda: push.is_final, 5.0)
     leader, node = made.plans[made.leader()], made.cluster.nodes[made.leader()]
     again = ProposePlan(push.digest, push.leader_epoch, push.proposal_id, push.size_bytes, push.base_version)
     ((_, word),) = leader.receive(made.cluster.instant(node), "n3", ("127.5.0.4", 7000), again)
@@ -264,7 +264,7 @@
 def test_a_word_of_a_leader_that_another_has_followed_counts_no_more() -> None:
     made = world(5)
     plans, at = made.plans["n4"], made.cluster.instant(made.cluster.nodes["n4"])
-    push = made.offer("n4", body_of("first"))
+    push = made.propose("n4", body_of("first"))
     push.leader_epoch = 100
     plans.receive(at, "n0", ("127.5.0.1", 7000), RolloutStatus(push.digest, 99, push.proposal_id, "refused"))
     assert push.state == "offered"
@@ -274,7 +274,7 @@
     assert plans.receive(at, "n1", where, StorePlan(b"other", 99, where)) == [] == plans.fleet.fetch_requests
 
 
-class Sleepy(Scripted):
+class Sleepy(ScriptedCheck):
     """Does not notice that the view moves."""
 
     def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
@@ -286,12 +286,12 @@
     made.plans[made.leader()].leader.check = Sleepy(set(), 0.2)
     before = made.plans["n0"].views.view.number
     made.cluster.stop(made.cluster.nodes["n5"])
-    push = made.offer("n4", body_of("first"))
+    push = made.propose("n4", body_of("first"))
     made.cluster.run(made.cluster.now + 0.8)
     made.cluster.start(made.cluster.nodes["n6"])
-    assert made.until(lambda: made.plans["n0"].views.view.number > before, 4.0)
+    assert made.run_until(lambda: made.plans["n0"].views.view.number > before, 4.0)
     made.cluster.go_on(made.cluster.nodes["n5"])
-    assert made.until(lambda: push.is_final, 25.0) and push.state == "refused"
+    assert made.run_until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert [why.code for why in push.reasons] == ["plan-not-judged"]
     assert numbers(made) == {0}
 
@@ -301,16 +301,16 @@
     leader = made.leader()
     views = made.plans[leader].views
     views.register.phase = Phase.ACCEPTING  # of a view that no voter answers
-    push = made.offer("n4", body_of("first"))
+    push = made.propose("n4", body_of("first"))
     made.cluster.run(made.cluster.now + 3)
     assert push.state == "tried"
     views.register.phase = Phase.READY
-    assert made.until(lambda: push.is_final, 2.0) and push.state == "settled"
+    assert made.run_until(lambda: push.is_final, 2.0) and push.state == "settled"
     views.next_stamp = 1e9
     for plans in made.plans.values():  # nor is it told by others what was minted a moment ago
         plans.views.stamp_time = -1e9
-    push = made.offer("n4", body_of("second"))
-    assert made.until(lambda: push.is_final, 25.0) and push.state == "refused"
+    push = made.propose("n4", body_of("second"))
+    assert made.run_until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert "plan-no-view" in [why.code for why in push.reasons]
     assert numbers(made) == {1}
 
@@ -318,7 +318,7 @@
 def test_one_that_has_missed_a_plan_hears_of_it_by_a_stamp_and_asks() -> None:
     made = world(5)
     settles(made, "n4", body_of("first"))
-    assert made.until(lambda: all(plans.views.stamp.plan == 1 for plans in made.plans.values()), 10.0)
+    assert made.run_until(lambda: all(plans.views.stamp.plan == 1 for plans in made.plans.values()), 10.0)
     plans, at = made.plans["n4"], made.cluster.instant(made.cluster.nodes["n4"])
     assert not [word for _, word in plans.tick(at) if isinstance(word, NewestQuery)]
     plans.views.stamp = plans.views.stamp._replace(plan=2)
@@ -335,7 +335,7 @@
     made.plans["n6"].compiled_bodies[digest(body)] = PlanFormatUnknownError(
         "format: 3, and this program reads 1 to 2"
     )
-    assert made.until(lambda: bool(made.plans["n6"].unreadable), 15.0)
+    assert made.run_until(lambda: bool(made.plans["n6"].unreadable), 15.0)
     seen = made.plans["n6"].status(made.cluster.now)
     assert (seen["number"], seen["newest"], seen["unread"][0]["code"]) == (0, 1, "plan-format-unknown")
 
@@ -352,53 +352,55 @@
         made.cluster.run(made.cluster.now + 0.15)
         for node in voters:
             made.cluster.start(node)
-        back = made.until(lambda: made.agreed() and made.leader() and numbers(made) == {1}, 30.0)  # noqa: B023
+        back = made.run_until(lambda: made.has_converged() and made.leader() and numbers(made) == {1}, 30.0)  # noqa: B023
         assert back
         assert settles(made, "n0", body_of("second")) == 2
-        assert made.seen.breaches == []
+        assert made.outcome.breaches == []
 
 
 def test_a_forgotten_plan_that_turns_up_keeps_no_push_from_its_end() -> None:
     made = world(5, judged=1.0)
     leader = made.leader()
     plans, epoch = made.plans[leader], made.plans[leader].register.epoch
-    push = made.offer("n4", body_of("first"))
-    assert made.until(lambda: plans.leader.rollout is not None and plans.leader.rollout.state == "tried")
+    push = made.propose("n4", body_of("first"))
+    assert made.run_until(lambda: plans.leader.rollout is not None and plans.leader.rollout.state == "tried")
     others = [made.cluster.nodes[name] for name in ("n0", "n1", "n2") if name != leader]
     for node in others:
         made.cluster.stop(node)
-    assert made.until(lambda: plans.leader.rollout is not None and plans.leader.rollout.state == "putting")
+    assert made.run_until(
+        lambda: plans.leader.rollout is not None and plans.leader.rollout.state == "putting"
+    )
     body = body_of("forgotten")
     entry = Entry(2, 1, digest(body), len(body), body)
     plans.register.learn(made.cluster.instant(made.cluster.nodes[leader]), ("127.5.0.4", 7000), entry)
     for node in others:
         made.cluster.go_on(node)
-    assert made.until(lambda: plans.leader.rollout is None, 1.0) and plans.leader.epoch == epoch
+    assert made.run_until(lambda: plans.leader.rollout is None, 1.0) and plans.leader.epoch == epoch
     assert (push.state, push.version) == ("settled", 1)
-    assert made.until(lambda: numbers(made) == {2}, 15.0)
+    assert made.run_until(lambda: numbers(made) == {2}, 15.0)
     assert settles(made, "n4", body_of("third")) == 3
 
 
 def test_what_is_refused_right_where_it_is_offered() -> None:
-    made = World(1, 5)
+    made = PlanFleet(1, 5)
     made.cluster.run(0.9)
     with pytest.raises(PlanNoViewError, match="n0 stands in no view"):
-        made.offer("n0", body_of("early"))
+        made.propose("n0", body_of("early"))
     made = world(5)
     made.cluster.cut_off(["n4"], CUT)
     for number in range(MAX_PENDING_PROPOSALS):
-        made.offer("n4", body_of(f"plan {number}"))
+        made.propose("n4", body_of(f"plan {number}"))
     with pytest.raises(PlanRolloutInProgressError):
-        made.offer("n4", body_of("one more"))
+        made.propose("n4", body_of("one more"))
     with pytest.raises(OperatorError, match="not JSON"):
-        made.offer("n3", b"{")
+        made.propose("n3", b"{")
 
 
 def test_what_is_seen_of_it() -> None:
     made = world(6, judged=1.0)
     settles(made, "n4", body_of("first"))
     made.cluster.stop(made.cluster.nodes["n5"])
-    push = made.offer("n4", body_of("second"))
+    push = made.propose("n4", body_of("second"))
     made.cluster.run(made.cluster.now + 3)
     now, leader = made.cluster.now, made.leader()
     led = made.plans[leader].status(now)["leads"]
@@ -411,7 +413,7 @@
     assert (first["state"], first["number"], second["id"]) == ("settled", 1, push.proposal_id)
     assert (second["state"], second["hold"], second["members"]) == (push.state, 5, 6)
     made.cluster.go_on(made.cluster.nodes["n5"])
-    assert made.until(lambda: numbers(made) == {2})
+    assert made.run_until(lambda: numbers(made) == {2})
     kept(made)
 
 
@@ -428,9 +430,9 @@
 def test_drawn_days_break_no_rule() -> None:
     days = [play(seed) for seed in range(1, 5)]
     assert [day.breaches for day in days] == [[]] * len(days)
-    assert sum(day.taken for day in days) > 20 and sum(day.refused for day in days) > 0
+    assert sum(day.applied for day in days) > 20 and sum(day.rejected for day in days) > 0
 
 
-@pytest.mark.parametrize("number", range(len(PLANTED)), ids=[what for what, _ in PLANTED])
+@pytest.mark.parametrize("number", range(len(PLANTED_FAULTS)), ids=[what for what, _ in PLANTED_FAULTS])
 def test_drawn_days_find_what_is_planted(number: int) -> None:
-    assert find(number)[0]
+    assert find_fault(number)[0]
--- a/tests/skew/test_checker.py
+++ b/tests/skew/test_checker.py
@@ -9,8 +9,8 @@
 import msgspec
 import pytest
 
-from wheatring.lab.agree_pusher import Pusher, Toy, drawn
-from wheatring.lab.agree_skew import Day, OpenGate, OutlivesItsView, SilentIsYes
+from wheatring.lab.agreement.plan_driver import PlanDriver, ToyEvaluator, draw_plan
+from wheatring.lab.agreement.skew_days import Day, OpenGate, OutlivesItsView, SilentIsYes
 from wheatring.lab.live.links.state import State
 from wheatring.members.messages import MemberInfo, ViewMember
 from wheatring.members.view import View
@@ -33,7 +33,7 @@
 
 
 def plan(format: int) -> Plan:
-    return drawn(Random(7), format)
+    return draw_plan(Random(7), format)
 
 
 class Fleet(Day):
@@ -47,7 +47,7 @@
         **next_: Capabilities | None,
     ) -> None:
         super().__init__(5, size, skew)
-        self.next |= next_
+        self.next_capabilities |= next_
         self.count: Counter[str] = Counter()
         arrive = self.cluster.arrive
 
@@ -67,22 +67,22 @@
     def pushed(self, format: int, seconds: float = 2.0) -> str:
         """Push, and say what came of it within so many seconds."""
         before = self.counts["settled"]
-        self.push(plan(format))
+        self.propose(plan(format))
         self.after(seconds)
         if self.counts["settled"] > before:
             return "settled"
-        return "refused" if self.refused else "open"
+        return "refused" if self.rejections else "open"
 
     def start(self, name: str, abilities: Capabilities | None) -> None:
-        self.next[name] = abilities
+        self.next_capabilities[name] = abilities
         self.cluster.start(self.cluster.nodes[name])
 
-    def leader(self) -> Pusher:
+    def leader(self) -> PlanDriver:
         at = self.cluster.instant(self.cluster.nodes["n0"])
-        return next(p for n, p in self.pushers.items() if self.cluster.nodes[n].fleet and p.leads(at))
+        return next(p for n, p in self.drivers.items() if self.cluster.nodes[n].fleet and p.is_leading(at))
 
     def why(self) -> list[tuple[str, str]]:
-        return sorted({(one.member, one.code) for one in self.refused})
+        return sorted({(one.member, one.code) for one in self.rejections})
 
 
 def test_a_plan_that_all_understand_is_settled_and_each_is_asked_once() -> None:
@@ -106,11 +106,11 @@
 @pytest.mark.parametrize("skew", [CompatibilityChecker, SilentIsYes])
 def test_one_that_does_not_answer_is_refused_by_name(skew: type[CompatibilityChecker]) -> None:
     fleet = Fleet(skew=skew, n5=None)  # a program that has not these words
-    fleet.push(plan(2))
+    fleet.propose(plan(2))
     fleet.after(12.0)
     if skew is CompatibilityChecker:
         assert fleet.why() == [("n5", "silent")] and not fleet.breaches and fleet.newest is None
-        assert "has not answered the survey for 8" in fleet.refused[0].what
+        assert "has not answered the survey for 8" in fleet.rejections[0].what
     else:  # what the rule above guards against, and that it is seen
         assert fleet.breaches
 
@@ -118,7 +118,7 @@
 def test_one_that_stops_after_the_survey_is_waited_for_and_named_meanwhile() -> None:
     fleet = Fleet()
     leader = fleet.leader()
-    fleet.push(plan(1))
+    fleet.propose(plan(1))
     while leader.skew.verdict(fleet.cluster.now).stage is CheckStage.SURVEYING:
         fleet.after(0.005)
     fleet.cluster.stop(fleet.cluster.nodes["n6"])
@@ -134,15 +134,15 @@
 def test_who_decides_otherwise_is_named_with_the_first_request_that_differs() -> None:
     fleet = Fleet("n5")
 
-    def odd(body: bytes) -> tuple[Plan, Toy]:
+    def odd(body: bytes) -> tuple[Plan, ToyEvaluator]:
         made = msgspec.json.decode(body, type=Plan)
-        return made, Toy(made, odd=True)
+        return made, ToyEvaluator(made, odd=True)
 
     fleet.compiles["n5"] = odd
     fleet.start("n5", msgspec.structs.replace(NEWER, versions=(("re2", "1"), ("tzdata", "2020.1"))))
     fleet.after(4.0)
     assert fleet.pushed(2) == "refused" and fleet.why() == [("n5", "disagrees")]
-    assert fleet.refused[0].what == (
+    assert fleet.rejections[0].what == (
         "it answers otherwise than 6 of 7: GET /r0x host=any.test: r0 instead of none; "
         "it has tzdata 2020.1 instead of tzdata"
     )
@@ -152,21 +152,21 @@
 def test_who_can_not_compile_it_is_named_with_its_error() -> None:
     fleet = Fleet("n5")
 
-    def fails(body: bytes) -> tuple[Plan, Toy]:
+    def fails(body: bytes) -> tuple[Plan, ToyEvaluator]:
         raise ValueError("routes[0].match:\n no such thing")
 
     fleet.compiles["n5"] = fails
     fleet.start("n5", NEWER)
     fleet.after(4.0)
     assert fleet.pushed(1, 4.0) == "refused" and fleet.why() == [("n5", "not-compiled")]
-    assert fleet.refused[0].what == "routes[0].match: no such thing"
+    assert fleet.rejections[0].what == "routes[0].match: no such thing"
 
 
 def joins(abilities: Capabilities, skew: type[CompatibilityChecker] = CompatibilityChecker) -> Fleet:
     """One comes in while a plan is pushed, and another is slow to answer."""
     fleet = Fleet("n6", skew=skew)
     fleet.cluster.stop(fleet.cluster.nodes["n5"])
-    fleet.push(plan(3))
+    fleet.propose(plan(3))
     fleet.start("n6", abilities)
     fleet.after(2.0)
     assert "n6" in fleet.view.names and fleet.newest is None
@@ -192,7 +192,7 @@
     assert fleet.pushed(3) == "settled"
     fleet.start("n6", OLDER)
     fleet.after(5.0)
-    waits = fleet.pushers["n6"].views.join_deferral
+    waits = fleet.drivers["n6"].views.join_deferral
     assert "n6" not in fleet.view.names and waits is not None and "in format 3, it reads 1" in waits.reason
     assert fleet.pushed(1) == "settled"
     fleet.after(2.0)
@@ -250,7 +250,7 @@
     skew.is_plan_stable = lambda: False
     assert [one.code for one in skew.admission_refusals(at, placed)] == ["unsurveyed"]
     skew.is_view_stable = lambda: False
-    fleet.push(plan(1))
+    fleet.propose(plan(1))
     fleet.after(2.0)
     assert skew.verdict(fleet.cluster.now).stage is CheckStage.TESTING and fleet.newest is None
     skew.is_view_stable = lambda: True
@@ -266,21 +266,21 @@
 def test_the_floor_keeps_older_ones_out_and_moves_by_a_call_only() -> None:
     fleet = Fleet("n6", n5=local_capabilities([1, 2], version=str))
     for format in (3, 3, 2):  # at first nobody has been asked yet
-        fleet.move_floor(format)
+        fleet.move_minimum(format)
         fleet.after(1.0)
     assert fleet.counts["floor: unsurveyed"] == fleet.counts["floor: below-floor"] == 1
-    assert {pusher.skew.minimum_format for name, pusher in fleet.pushers.items() if name != "n6"} == {2}
+    assert {pusher.skew.minimum_format for name, pusher in fleet.drivers.items() if name != "n6"} == {2}
     fleet.start("n6", OLDER)
     fleet.after(5.0)
-    waits = fleet.pushers["n6"].views.join_deferral
+    waits = fleet.drivers["n6"].views.join_deferral
     assert "n6" not in fleet.view.names and waits is not None and "the fleet's floor is 2" in waits.reason
     assert fleet.pushed(2) == "settled"
-    fleet.move_floor(1)
+    fleet.move_minimum(1)
     fleet.after(1.0)
     assert fleet.counts["floor: floor-in-use"] == 1 and fleet.pushed(1) == "settled"
-    fleet.move_floor(1)
+    fleet.move_minimum(1)
     fleet.after(3.0)
-    assert fleet.floor[1] == 1 and "n6" in fleet.view.names and not fleet.breaches
+    assert fleet.minimum[1] == 1 and "n6" in fleet.view.names and not fleet.breaches
 
 
 # A push of a large fleet, by hand
--- a/tests/skew/test_requirements_and_trials.py
+++ b/tests/skew/test_requirements_and_trials.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.lab.agree_pusher import Toy, body_of
+from wheatring.lab.agreement.plan_driver import ToyEvaluator, encode_body
 from wheatring.members.messages import MemberInfo, ViewMember
 from wheatring.plan.document import (
     NEWEST_FORMAT,
@@ -80,7 +80,7 @@
 
 
 def needed(plan: Plan) -> Requirements:
-    return requirements_of(plan, body_of(plan))
+    return requirements_of(plan, encode_body(plan))
 
 
 # Needs
@@ -167,7 +167,7 @@
 # Trials
 
 
-class Odd(Toy):
+class Odd(ToyEvaluator):
     """Another program: `after` trials as the rest, then one that is its own."""
 
     def __init__(self, plan: Plan, wrong: int) -> None:
@@ -179,7 +179,7 @@
         return "other" if self.left == -1 else super().route(trial)
 
 
-def answered(plan: Plan, ruled: Toy) -> AnswerChain:
+def answered(plan: Plan, ruled: ToyEvaluator) -> AnswerChain:
     answers = AnswerChain(plan, ruled, DAY)
     while not answers.advance(7):
         pass
@@ -201,7 +201,7 @@
 @given(plans.filter(lambda plan: bool(plan.routes)), st.integers(0, 10_000))
 def test_halving_finds_the_first_answer_that_differs(plan: Plan, wrong: int) -> None:
     plan = msgspec.structs.replace(plan, windows=())
-    usual = answered(plan, Toy(plan))
+    usual = answered(plan, ToyEvaluator(plan))
     wrong %= usual.count
     odd = answered(plan, Odd(plan, wrong))
     assert odd.result != usual.result and odd.prefix_digest(wrong) == usual.prefix_digest(wrong)
@@ -212,7 +212,7 @@
 def test_one_with_more_trials_than_the_rest_is_found_by_the_first_that_is_more() -> None:
     plan = Plan(format=1, routes=(PlanRoute(name="one", weights=WEIGHTS),))
     more = msgspec.structs.replace(plan, routes=(*plan.routes, PlanRoute(name="two", weights=WEIGHTS)))
-    short, long = answered(plan, Toy(plan)), answered(more, Toy(plan))
+    short, long = answered(plan, ToyEvaluator(plan)), answered(more, ToyEvaluator(plan))
     hunt, _ = hunted(long, short)
     assert (
         hunt.is_length_difference
@@ -227,7 +227,7 @@
     window = PlanWindow(name="w", route="one", weights={"b": 1}, start="2026-10-25T01:30:00", length=60,
                         zone="Europe/Dublin")  # fmt: skip
     plan = Plan(format=2, routes=(route,), windows=(window,))
-    found = list(generate_cases(plan, Toy(plan), DAY))
+    found = list(generate_cases(plan, ToyEvaluator(plan), DAY))
     requests = [one.trial for one in found if one.trial is not None]
     assert {"/a", "/a/", "/ax", "/a/x"} <= {trial.target for trial in requests}
     assert {"PUT", "GET"} == {trial.method for trial in requests}
@@ -241,23 +241,23 @@
 
 
 def test_a_program_with_another_calendar_answers_otherwise() -> None:
-    class Late(Toy):
+    class Late(ToyEvaluator):
         def edges(self, window: str, after: float, before: float) -> Sequence[float]:
             return [after + 7]
 
-    class Later(Toy):
+    class Later(ToyEvaluator):
         def edges(self, window: str, after: float, before: float) -> Sequence[float]:
             return [after + 8]
 
-    class Heavy(Toy):
+    class Heavy(ToyEvaluator):
         def weights(self, route: str, at: float) -> Mapping[str, int]:
             return {"blue": int(at == change)}
 
     window = PlanWindow(name="w", route="one", weights=WEIGHTS, start="2026-09-05T02:00:00", length=60,
                         zone="Europe/Paris")  # fmt: skip
     plan = Plan(format=2, routes=(PlanRoute(name="one", weights=WEIGHTS),), windows=(window,))
-    change = clock_changes(Toy(plan).zone("Europe/Paris"), DAY)[0]
-    results = {answered(plan, kind(plan)).result for kind in (Toy, Late, Later, Heavy)}
+    change = clock_changes(ToyEvaluator(plan).zone("Europe/Paris"), DAY)[0]
+    results = {answered(plan, kind(plan)).result for kind in (ToyEvaluator, Late, Later, Heavy)}
     assert len(results) == 4
 
 
@@ -266,13 +266,13 @@
     window = PlanWindow(name="w", route="r", weights=WEIGHTS, start="2026-10-25T01:30:00", length=60,
                         rrule="FREQ=DAILY", zone="Europe/Dublin")  # fmt: skip
     large = Plan(format=2, routes=(route,) * 10_000, windows=(window,) * 1000)
-    assert 25_000 < sum(1 for _ in generate_cases(large, Toy(large), DAY)) <= 27_000
+    assert 25_000 < sum(1 for _ in generate_cases(large, ToyEvaluator(large), DAY)) <= 27_000
     plan = Plan(format=2, routes=(route,), windows=(window,), trials=(Trial(target="/own"),))
-    assert next(generate_cases(plan, Toy(plan), DAY)) == TrialCase(Trial(target="/own"))
+    assert next(generate_cases(plan, ToyEvaluator(plan), DAY)) == TrialCase(Trial(target="/own"))
     code = (
-        "import sys, msgspec; from wheatring.lab.agree_pusher import compiles\n"
+        "import sys, msgspec; from wheatring.lab.agreement.plan_driver import compile_body\n"
         "from wheatring.skew.trials import AnswerChain\n"
-        "answers = AnswerChain(*compiles(sys.stdin.buffer.read()), int(sys.argv[1]))\n"
+        "answers = AnswerChain(*compile_body(sys.stdin.buffer.read()), int(sys.argv[1]))\n"
         "answers.advance(10**6)\n"
         "print(answers.count, answers.result.hex())"
     )
@@ -280,11 +280,14 @@
     for seed in ("1", "2"):
         env = {"PYTHONHASHSEED": seed, "PYTHONPATH": ":".join(sys.path)}
         call = [sys.executable, "-c", code, str(DAY)]
-        told.add(subprocess.run(call, input=body_of(plan), check=True, capture_output=True, env=env).stdout)
-    own = answered(plan, Toy(plan))
+        told.add(
+            subprocess.run(call, input=encode_body(plan), check=True, capture_output=True, env=env).stdout
+        )
+    own = answered(plan, ToyEvaluator(plan))
     assert told == {f"{own.count} {own.result.hex()}\n".encode()} and own.count > 100
     assert (
-        describe_case(next(islice(generate_cases(plan, Toy(plan), DAY), 1, None))) == "GET /a/x host=any.test"
+        describe_case(next(islice(generate_cases(plan, ToyEvaluator(plan), DAY), 1, None)))
+        == "GET /a/x host=any.test"
     )
 
 
--- a/wheatring/commands/lab_lease.py
+++ b/wheatring/commands/lab_lease.py
@@ -36,10 +36,10 @@
 def check_plan(args: argparse.Namespace) -> int:
     import os
 
-    from wheatring.lab.agree_plan_days import lines
+    from wheatring.lab.agreement.plan_days import report
 
     failed: list[int] = []
-    return _print(lines(args.days, args.jobs or os.cpu_count() or 1, lambda: failed.append(1)), failed)
+    return _print(report(args.days, args.jobs or os.cpu_count() or 1, lambda: failed.append(1)), failed)
 
 
 def _print(found: Iterable[str], failed: list[int]) -> int:
--- a/wheatring/commands/lab_views.py
+++ b/wheatring/commands/lab_views.py
@@ -15,7 +15,7 @@
 
 
 def call(args: argparse.Namespace) -> int:
-    from wheatring.lab.agree.cases import CASES, line, measure
+    from wheatring.lab.agreement.view_cases import CASES, format_measurement, measure
 
     unknown = [case for case in args.cases if case not in CASES]
     if unknown or args.sidecars < 12 or args.seeds < 1:
@@ -24,7 +24,7 @@
         return 2
     for case in args.cases or CASES:
         for seed in range(1, args.seeds + 1):
-            print(line(measure(case, args.sidecars, seed)), flush=True)
+            print(format_measurement(measure(case, args.sidecars, seed)), flush=True)
     return 0
 
 
@@ -32,9 +32,9 @@
     """`--days` and `--jobs` are those of `lease`."""
     import os
 
-    from wheatring.lab.agree.check import lines
+    from wheatring.lab.agreement.view_checks import report
 
     failed = []
-    for line in lines(args.days, args.jobs or os.cpu_count() or 1, lambda: failed.append(1)):
+    for line in report(args.days, args.jobs or os.cpu_count() or 1, lambda: failed.append(1)):
         print(line, flush=True)
     return 1 if failed else 0
--- a/wheatring/lab/agree_plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -15,7 +15,7 @@
 from typing import NamedTuple
 
 from wheatring.errors import OperatorError
-from wheatring.lab.agree_plan import VOTERS, Seen, World, body_of
+from wheatring.lab.agreement.plan_fleet import VOTERS, Outcome, PlanFleet, body_of
 from wheatring.lab.leases.cluster import CUT, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import Instant
@@ -24,40 +24,48 @@
 from wheatring.plan.leader import RolloutLeader
 from wheatring.plan.rollout import Rollout
 
-SIZE, LATE = 7, 2  # sidecars, and of them those that come only with a trouble
-BEGIN, OFFERS = 15.0, 45.0  # seconds until the first push, and the last
-QUIET, LONGEST = 25.0, 70.0  # seconds from then to the day's end: when all that was offered is over
-FORGET = 16.0  # seconds between two voters that start anew: `LONG` terms, and some
+FLEET_SIZE, LATE_MEMBERS = 7, 2  # sidecars, and of them those that come only with a trouble
+FIRST_PROPOSAL_SECONDS, LAST_PROPOSAL_SECONDS = 15.0, 45.0  # seconds until the first push, and the last
+QUIET_SECONDS, MAX_WAIT_SECONDS = (
+    25.0,
+    70.0,
+)  # seconds from then to the day's end: when all that was offered is over
+VOTER_RESTART_GAP_SECONDS = 16.0  # seconds between two voters that start anew: `LONG` terms, and some
 KINDS = ("kill", "kill", "stall", "stall", "cut", "lossy", "late", "join", "unheard", "slow", "slow", "slow")
 
 
-class Trouble(NamedTuple):
+class Fault(NamedTuple):
     at: float
     kind: str
     length: float
     nodes: tuple[str, ...]  # "lead": whoever leads by then
 
 
-def draw(seed: int) -> tuple[list[float], list[Trouble]]:
+def draw_day(seed: int) -> tuple[list[float], list[Fault]]:
     """When pushes are offered, and what befalls the day."""
     random = Random(f"{seed}:plan")
-    offers = sorted(BEGIN + random.random() * (OFFERS - BEGIN - 5) for _ in range(random.randint(2, 4)))
-    names = [f"n{number}" for number in range(SIZE - LATE)]
+    offers = sorted(
+        FIRST_PROPOSAL_SECONDS + random.random() * (LAST_PROPOSAL_SECONDS - FIRST_PROPOSAL_SECONDS - 5)
+        for _ in range(random.randint(2, 4))
+    )
+    names = [f"n{number}" for number in range(FLEET_SIZE - LATE_MEMBERS)]
     troubles = []
     for _ in range(random.randint(2, 6)):
         kind = random.choice(KINDS)
         if seed % 3 == 0 and kind == "kill":
             kind = "voters"
         at = random.choice(offers) + random.choice([-0.5, 0.2, 0.6, 1.0, 1.5, 3.0]) * random.random()
-        length = min(OFFERS + 5 - at, random.choice([0.5, 1.0, 2.0, 4.0, 12.0, 35.0]) * random.random())
+        length = min(
+            LAST_PROPOSAL_SECONDS + 5 - at, random.choice([0.5, 1.0, 2.0, 4.0, 12.0, 35.0]) * random.random()
+        )
         nodes = random.sample(names, random.choice([1, 1, 2]))
         if random.random() < 0.4:
             nodes[0] = "lead"
         if kind == "slow":
             at = random.choice(offers) + 0.2 * random.random()
         if kind == "join":
-            nodes = [f"n{SIZE - 1 - random.randrange(LATE)}"]
-        troubles.append(Trouble(at, kind, length, tuple(dict.fromkeys(nodes))))
+            nodes = [f"n{FLEET_SIZE - 1 - random.randrange(LATE_MEMBERS)}"]
+        troubles.append(Fault(at, kind, length, tuple(dict.fromkeys(nodes))))
     return offers, sorted(troubles)
 
 
@@ -67,37 +75,37 @@
     def __init__(self, seed: int, makes: type[RolloutLeader] = RolloutLeader) -> None:
         self.random = Random(f"{seed}:day")
         judged = 0.1 + 0.5 * self.random.random() if self.random.random() < 0.6 else None
-        unable = {f"n{SIZE - 1}"} if judged is not None else set()
-        self.world = World(seed, SIZE, makes, judged, unable, LATE)
-        self.forgot = dict.fromkeys((f"n{number}" for number in range(VOTERS)), -inf)
-        offers, troubles = draw(seed)
+        unable = {f"n{FLEET_SIZE - 1}"} if judged is not None else set()
+        self.fleet = PlanFleet(seed, FLEET_SIZE, makes, judged, unable, LATE_MEMBERS)
+        self.restarted_at = dict.fromkeys((f"n{number}" for number in range(VOTERS)), -inf)
+        offers, troubles = draw_day(seed)
         for number, at in enumerate(offers):
-            self.world.cluster.call(at, self.offer, f"{seed}-{number}")
+            self.fleet.cluster.call(at, self.propose, f"{seed}-{number}")
         for trouble in troubles:
-            self.world.cluster.call(trouble.at, self.begin, trouble)
-        self.world.cluster.call(OFFERS + 5, self.mend)
+            self.fleet.cluster.call(trouble.at, self.inject, trouble)
+        self.fleet.cluster.call(LAST_PROPOSAL_SECONDS + 5, self.repair)
 
-    def run(self) -> Seen:
-        self.world.cluster.run(OFFERS + QUIET)
-        self.world.until(self.world.over, LONGEST - QUIET)
-        self.world.judge_end()
-        return self.world.seen
+    def run(self) -> Outcome:
+        self.fleet.cluster.run(LAST_PROPOSAL_SECONDS + QUIET_SECONDS)
+        self.fleet.run_until(self.fleet.is_over, MAX_WAIT_SECONDS - QUIET_SECONDS)
+        self.fleet.check_end()
+        return self.fleet.outcome
 
-    def offer(self, title: str) -> None:
+    def propose(self, title: str) -> None:
         """At one sidecar, or at two: the same plan, or another."""
-        alive = self.world.alive()
+        alive = self.fleet.alive()
         nodes = self.random.sample(alive, min(len(alive), self.random.choice([1, 1, 2])))
         for number, node in enumerate(nodes):
             other = number and self.random.random() < 0.6
             body = body_of(f"{title}{'-b' if other else ''}", 3000 if len(title) % 2 else 0)
             with suppress(OperatorError):  # it stands in no view at that moment
-                self.world.offer(node.name, body)
+                self.fleet.propose(node.name, body)
 
     # Troubles
 
-    def begin(self, trouble: Trouble) -> None:
-        cluster = self.world.cluster
-        lead = self.world.leader() or "n0"
+    def inject(self, trouble: Fault) -> None:
+        cluster = self.fleet.cluster
+        lead = self.fleet.leader() or "n0"
         names = [lead if name == "lead" else name for name in trouble.nodes]
         over = cluster.now + max(0.05, trouble.length)
         nodes = [cluster.nodes[name] for name in dict.fromkeys(names)]
@@ -107,17 +115,19 @@
                     cluster.start(node)
             case "voters":
                 voters = list(cluster.nodes.values())[:VOTERS]
-                if cluster.now > FORGET + max(self.forgot.values()):
+                if cluster.now > VOTER_RESTART_GAP_SECONDS + max(self.restarted_at.values()):
                     for node in voters:
-                        self.down(node, cluster.now + min(trouble.length, 2.0))
+                        self.kill(node, cluster.now + min(trouble.length, 2.0))
             case "kill":
                 for node in nodes:
-                    if node.name not in self.forgot or cluster.now > FORGET + max(self.forgot.values()):
-                        self.down(node, over)
+                    if node.name not in self.restarted_at or cluster.now > VOTER_RESTART_GAP_SECONDS + max(
+                        self.restarted_at.values()
+                    ):
+                        self.kill(node, over)
             case "stall" | "slow":
                 if trouble.kind == "slow":  # and somebody comes while the others wait for this one
                     over = cluster.now + 4.5
-                    cluster.call(cluster.now + 0.2, cluster.start, cluster.nodes[f"n{SIZE - 1}"])
+                    cluster.call(cluster.now + 0.2, cluster.start, cluster.nodes[f"n{FLEET_SIZE - 1}"])
                 for node in nodes:
                     cluster.stop(node)
                     cluster.call(over, cluster.go_on, node)
@@ -137,30 +147,30 @@
                 cluster.cut(list(cluster.nodes), list(cluster.nodes), bad)
                 cluster.call(over, cluster.mend)
 
-    def down(self, node: Node, back: float) -> None:
-        cluster = self.world.cluster
+    def kill(self, node: Node, back: float) -> None:
+        cluster = self.fleet.cluster
         if node.fleet is None:
             return
-        if node.name in self.forgot:
-            self.forgot[node.name] = back
+        if node.name in self.restarted_at:
+            self.restarted_at[node.name] = back
         cluster.kill(node)
         cluster.call(back, cluster.start, node)
 
-    def mend(self) -> None:
-        cluster = self.world.cluster
+    def repair(self) -> None:
+        cluster = self.fleet.cluster
         cluster.mend()
         for node in cluster.nodes.values():
             cluster.go_on(node)
 
 
-def play(seed: int, makes: type[RolloutLeader] = RolloutLeader) -> Seen:
+def play(seed: int, makes: type[RolloutLeader] = RolloutLeader) -> Outcome:
     return Day(seed, makes).run()
 
 
 # Planted faults
 
 
-class Outlived(RolloutLeader):
+class OutlivedVerdict(RolloutLeader):
     """Goes on by a verdict, whatever becomes of the view that it was of."""
 
     def _check_verdict(self, at: Instant, push: Rollout) -> Verdict:
@@ -169,7 +179,7 @@
         return super()._check_verdict(at, push)
 
 
-class Hopeful(RolloutLeader):
+class SilenceIsConsent(RolloutLeader):
     """Takes one that was asked twice and said nothing for one that holds it."""
 
     def missing_members(self, push: Rollout) -> list[ViewMember]:
@@ -180,7 +190,7 @@
         ]
 
 
-class Hasty(RolloutLeader):
+class MajorityIsEnough(RolloutLeader):
     """Puts once a majority of the view holds it."""
 
     def missing_members(self, push: Rollout) -> list[ViewMember]:
@@ -188,36 +198,37 @@
         return missing if 2 * len(missing) >= len(push.view.members) else []
 
 
-PLANTED = (
-    ("a verdict that outlives its view", Outlived),
-    ("a silent one that is taken for yes", Hopeful),
-    ("a leader that puts before all hold", Hasty),
+PLANTED_FAULTS = (
+    ("a verdict that outlives its view", OutlivedVerdict),
+    ("a silent one that is taken for yes", SilenceIsConsent),
+    ("a leader that puts before all hold", MajorityIsEnough),
 )
-LOOKED = 60  # days in which a planted fault has to be found
+MAX_DAYS_TO_FIND = 60  # days in which a planted fault has to be found
 
 
-def find(number: int) -> tuple[int, str]:
+def find_fault(number: int) -> tuple[int, str]:
     """The first day in which it is found, and how; (0, ""): in none."""
-    for seed in range(1, LOOKED + 1):
-        if breaches := play(seed, PLANTED[number][1]).breaches:
+    for seed in range(1, MAX_DAYS_TO_FIND + 1):
+        if breaches := play(seed, PLANTED_FAULTS[number][1]).breaches:
             return seed, breaches[0]
     return 0, ""
 
 
-def lines(days: int, jobs: int, fail: Callable[[], object]) -> Iterator[str]:
+def report(days: int, jobs: int, fail: Callable[[], object]) -> Iterator[str]:
     """What is found, line by line; `fail` is called for each thing that is not as it has to be."""
     with ProcessPoolExecutor(jobs) as pool:
-        found = pool.map(find, range(len(PLANTED)))
+        found = pool.map(find_fault, range(len(PLANTED_FAULTS)))
         played = list(pool.map(play, range(1, days + 1), chunksize=5))
-        for (what, _), (seed, breach) in zip(PLANTED, found, strict=True):
+        for (what, _), (seed, breach) in zip(PLANTED_FAULTS, found, strict=True):
             if not seed:
                 fail()
             yield f"found: {what}; day {seed}, {breach}" if seed else f"NOT FOUND: {what}"
         breaches = [(day.seed, breach) for day in played for breach in day.breaches]
         yield (
-            f"{len(played)} drawn days: {sum(day.settled for day in played)} plans settled, "
-            f"{sum(day.refused for day in played)} pushes refused, {sum(day.lost for day in played)} lost, "
-            f"{sum(day.taken for day in played)} times a sidecar went on to one, {len(breaches)} breaches"
+            f"{len(played)} drawn days: {sum(day.committed for day in played)} plans settled, "
+            f"{sum(day.rejected for day in played)} pushes refused, "
+            f"{sum(day.unknown for day in played)} lost, "
+            f"{sum(day.applied for day in played)} times a sidecar went on to one, {len(breaches)} breaches"
         )
         for seed, breach in breaches[:20]:
             fail()
--- a/wheatring/lab/agree_pusher.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -29,21 +29,21 @@
 from wheatring.skew.participant import CompilePlan
 from wheatring.skew.requirements import requirements_of, unmet_requirements
 
-LOOK = 0.1  # seconds from one look at a verdict to the next
+STEP_SECONDS = 0.1  # seconds from one look at a verdict to the next
 
 
-class Book(Protocol):
+class Journal(Protocol):
     """Where it is written down what happened."""
 
     counts: Counter[str]
-    refused: tuple[Reason, ...]
+    rejections: tuple[Reason, ...]
 
-    def settled(self, entry: Entry, plan: Plan, body: bytes) -> None: ...
+    def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None: ...
 
-    def floored(self, entry: Entry, format: int) -> None: ...
+    def minimum_committed(self, entry: Entry, format: int) -> None: ...
 
 
-class Toy:
+class ToyEvaluator:
     """A plan as this lab compiles it: the route whose path or prefix is that of the request. `odd`: a program
     that takes a prefix without its segments' borders.
     """
@@ -69,16 +69,16 @@
         return ()
 
 
-def body_of(plan: Plan) -> bytes:
+def encode_body(plan: Plan) -> bytes:
     return msgspec.json.encode(plan)
 
 
-def compiles(body: bytes) -> tuple[Plan, Toy]:
+def compile_body(body: bytes) -> tuple[Plan, ToyEvaluator]:
     plan = msgspec.json.decode(body, type=Plan)
-    return plan, Toy(plan)
+    return plan, ToyEvaluator(plan)
 
 
-class Pusher:
+class PlanDriver:
     """Pushes one plan at a time, as the plan's own part does: begins, tells the judge of views, puts."""
 
     message_types: tuple[type, ...] = ()
@@ -86,21 +86,21 @@
     def __init__(
         self,
         at: Instant,
-        book: Book,
+        book: Journal,
         fleet: Fleet,
         abilities: Capabilities,
         skew: type[CompatibilityChecker],
         compiles: CompilePlan,
     ) -> None:
-        self.book, self.fleet, self.abilities = book, fleet, abilities
+        self.journal, self.fleet, self.abilities = book, fleet, abilities
         self.views = MembershipViews(at, fleet)
         self.register = ReplicatedRegister(at, "plan", fleet, self._chosen)
         self.floors = ReplicatedRegister(at, "floor", fleet, self._floor)
-        stills = Still(self.views.register), Still(self.register, self.floors)
+        stills = RegistersStable(self.views.register), RegistersStable(self.register, self.floors)
         self.skew = skew(fleet, abilities, compiles, *stills)
         self.views.admission_objection = self._admits
-        self.body_pushed: bytes | None = None
-        self.judged = View()
+        self.proposed_body: bytes | None = None
+        self.checked_view = View()
         self.due = at.now
 
     @property
@@ -109,65 +109,65 @@
 
     def _admits(self, at: Instant, placed: ViewMember) -> str:
         why = self.skew.admission_refusals(at, placed)
-        self.book.counts.update(f"shut out: {one.code}" for one in why)
+        self.journal.counts.update(f"shut out: {one.code}" for one in why)
         return why[0].what if why else ""
 
     def _chosen(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         plan = msgspec.json.decode(body, type=Plan)
         blind = unmet_requirements(requirements_of(plan, body), self.abilities)
         self.skew.plan_committed(None if blind else plan, body)
-        self.book.settled(entry, plan, body)
+        self.journal.plan_committed(entry, plan, body)
         return []
 
     def _floor(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         self.skew.minimum_committed(body)
-        self.book.floored(entry, self.skew.minimum_format)
+        self.journal.minimum_committed(entry, self.skew.minimum_format)
         return []
 
-    def move_floor(self, at: Instant, format: int) -> list[Outgoing]:
+    def move_minimum(self, at: Instant, format: int) -> list[Outgoing]:
         try:
             body = self.skew.prepare_minimum(at, format, self.views.view)
         except OperatorError as bad:
-            self.book.counts[f"floor: {bad.code}"] += 1
+            self.journal.counts[f"floor: {bad.code}"] += 1
             return []
-        self.book.counts["floor: put"] += 1
+        self.journal.counts["floor: put"] += 1
         return self.floors.put(at, body)
 
-    def leads(self, at: Instant) -> bool:
+    def is_leading(self, at: Instant) -> bool:
         epoch = self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot)
         return self.register.is_ready and epoch is not None and epoch == self.register.epoch
 
-    def begin(self, at: Instant, plan: Plan) -> list[Outgoing]:
-        self.body_pushed = body_of(plan)
-        self.judged = self.views.view
-        return self.skew.start_check(at, self.fleet.payloads.put(self.body_pushed), plan, self.judged)
+    def propose(self, at: Instant, plan: Plan) -> list[Outgoing]:
+        self.proposed_body = encode_body(plan)
+        self.checked_view = self.views.view
+        return self.skew.start_check(at, self.fleet.payloads.put(self.proposed_body), plan, self.checked_view)
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        self.due = at.now + LOOK
-        if self.leads(at) and self.skew.own_refusals():  # it could let nobody in
-            self.book.counts["stepped back"] += 1
+        self.due = at.now + STEP_SECONDS
+        if self.is_leading(at) and self.skew.own_refusals():  # it could let nobody in
+            self.journal.counts["stepped back"] += 1
             return self.fleet.release_role(at, LEADER_ROLE, 10.0)
-        if self.body_pushed is None:
+        if self.proposed_body is None:
             return []
-        if not self.leads(at):
+        if not self.is_leading(at):
             return self._end("leader lost")
         out: list[Outgoing] = []
-        if self.views.view.number != self.judged.number:
-            self.judged = self.views.view
-            out += self.skew.view_changed(at, self.judged)
+        if self.views.view.number != self.checked_view.number:
+            self.checked_view = self.views.view
+            out += self.skew.view_changed(at, self.checked_view)
         verdict = self.skew.verdict(at.now)
         if verdict.stage is CheckStage.INCOMPATIBLE:
-            self.book.refused += verdict.reasons
+            self.journal.rejections += verdict.reasons
             return out + self._end("refused: " + " ".join(sorted({why.code for why in verdict.reasons})))
         now_ = verdict.stage is CheckStage.COMPATIBLE and verdict.view_number == self.views.view.number
         if now_ and self.views.is_current(at.now) and self.register.applied == self.register.chosen:
-            out += self.register.put(at, self.body_pushed)
+            out += self.register.put(at, self.proposed_body)
             return out + self._end("put")
         return out
 
     def _end(self, what: str) -> list[Outgoing]:
-        self.book.counts[what] += 1
-        self.body_pushed = None
+        self.journal.counts[what] += 1
+        self.proposed_body = None
         self.skew.stop_check()
         return []
 
@@ -178,7 +178,7 @@
         return []
 
 
-class Still:
+class RegistersStable:
     """Whether this sidecar leads these registers, and no entry of theirs is being chosen."""
 
     def __init__(self, *registers: ReplicatedRegister) -> None:
@@ -188,7 +188,7 @@
         return all(register.is_ready and register.applied == register.chosen for register in self.registers)
 
 
-def drawn(random: Random, format: int = 0) -> Plan:
+def draw_plan(random: Random, format: int = 0) -> Plan:
     """A plan of this format or any, needing what that one came with."""
     format = format or random.choice((1, 1, 2, 3))
     weights = {"blue": random.randrange(1, 1000), "green": 1}
--- a/wheatring/lab/agree_plan.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -44,49 +44,49 @@
     return PlanRoute(name=f"r{number:06}", match=match, weights={"blue": 9, "green": 1})
 
 
-class Scripted:
+class ScriptedCheck:
     """A judge that asks nobody: it knows who is able, and takes a while for each stage."""
 
     def __init__(self, unable: set[str], each: float) -> None:
-        self.unable = unable
-        self.each = each
+        self.incompatible = unable
+        self.stage_seconds = each
         self.view = View()
-        self.began = inf
-        self.ended = 0
+        self.started_at = inf
+        self.stops = 0
 
     def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
-        self.began, self.view = at.now, view
+        self.started_at, self.view = at.now, view
         return []
 
     def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
         return self.start_check(at, b"", Plan(format=1, routes=()), view)
 
     def verdict(self, now: float) -> Verdict:
-        stage = int((now - self.began) / self.each) if now >= self.began else 0
+        stage = int((now - self.started_at) / self.stage_seconds) if now >= self.started_at else 0
         of, number = len(self.view.members), self.view.number
         if stage < 2:
             return Verdict((CheckStage.SURVEYING, CheckStage.TESTING)[stage], number, 0, of)
-        names = sorted(self.unable & self.view.names)
+        names = sorted(self.incompatible & self.view.names)
         no = tuple(Reason(name, "unable", "is not able", "-") for name in names)
         return Verdict(CheckStage.INCOMPATIBLE if no else CheckStage.COMPATIBLE, number, of, of, no)
 
     def stop_check(self) -> None:
-        self.began = inf
-        self.ended += 1
+        self.started_at = inf
+        self.stops += 1
 
 
-class Seen(Struct):
+class Outcome(Struct):
     """What came of a day, or a story."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
-    settled: int = 0  # entries of the register,
-    refused: int = 0  # and pushes,
-    lost: int = 0
-    taken: int = 0  # how often a sidecar went on to a plan
+    committed: int = 0  # entries of the register,
+    rejected: int = 0  # and pushes,
+    unknown: int = 0
+    applied: int = 0  # how often a sidecar went on to a plan
 
 
-class World:
+class PlanFleet:
     """`judged`: seconds of each stage of a scripted judge; None: there is no judge. `unable` members cannot
     go by any plan, as that judge knows.
     """
@@ -100,16 +100,16 @@
         unable: set[str] | None = None,
         late: int = 0,
     ) -> None:
-        self.makes, self.judged, self.unable = makes, judged, unable or set()
+        self.leader_type, self.stage_seconds, self.incompatible = makes, judged, unable or set()
         self.plans: dict[str, PlanAgent] = {}
-        self.seen = Seen(seed)
-        self.took: dict[str, list[CommittedPlan]] = {}  # by process
+        self.outcome = Outcome(seed)
+        self.applied: dict[str, list[CommittedPlan]] = {}  # by process
         self.current: dict[str, CommittedPlan] = {}
         self.bodies: dict[bytes, bytes] = {}  # all that were offered
-        self.held: set[tuple[str, int, bytes]] = set()  # who has had which
-        self.kept: dict[tuple[int, int, bytes], set[str]] = {}  # which voters have kept what
+        self.stored: set[tuple[str, int, bytes]] = set()  # who has had which
+        self.accepted: dict[tuple[int, int, bytes], set[str]] = {}  # which voters have kept what
         self.chosen: dict[int, bytes] = {}
-        self.pushed: list[tuple[str, int, Proposal]] = []
+        self.proposed: list[tuple[str, int, Proposal]] = []
         self.put: set[tuple[str, int, int]] = set()
         self.cluster = Cluster(
             seed,
@@ -121,14 +121,16 @@
             zones=2,
             pieces=self._pieces,
         )
-        self.cluster.after = self.after
+        self.cluster.after = self.check_after
         for node in list(self.cluster.nodes.values())[: size - late]:
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
 
     def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         name = fleet.me.name
         views = MembershipViews(at, fleet)
-        judge = Scripted(self.unable, self.judged) if self.judged is not None else None
+        judge = (
+            ScriptedCheck(self.incompatible, self.stage_seconds) if self.stage_seconds is not None else None
+        )
         key = f"{name}/{fleet.incarnation}"
 
         def taken(at: Instant, settled: CommittedPlan) -> list[Outgoing]:
@@ -136,7 +138,7 @@
             return []
 
         plans = PlanAgent(at, fleet, views, judge, taken)
-        plans.leader = self.makes(fleet, views, plans.register, judge)
+        plans.leader = self.leader_type(fleet, views, plans.register, judge)
         self.plans[name] = plans
         self.current.pop(name, None)
         return [views, views.register, plans, plans.register]
@@ -146,14 +148,14 @@
     def alive(self) -> list[Node]:
         return [node for node in self.cluster.nodes.values() if node.fleet is not None and not node.stopped]
 
-    def until(self, so: Callable[[], Any], most: float = 60.0) -> bool:
+    def run_until(self, so: Callable[[], Any], most: float = 60.0) -> bool:
         """Go on until it is so; False: it did not become so."""
         end = self.cluster.now + most
         while self.cluster.now < end and not so():
             self.cluster.run(self.cluster.now + 0.1)
         return bool(so())
 
-    def agreed(self) -> bool:
+    def has_converged(self) -> bool:
         """Whether all that live stand in one view of just these, and count on it."""
         alive = self.alive()
         names = {node.name for node in alive}
@@ -166,43 +168,43 @@
     def leader(self) -> str:
         """Who leads and may put a plan; "": nobody at the moment."""
         for node in self.alive():
-            if self.plans[node.name].register.is_ready and self.office(node):
+            if self.plans[node.name].register.is_ready and self.is_leading(node):
                 return node.name
         return ""
 
-    def office(self, node: Node) -> bool:
+    def is_leading(self, node: Node) -> bool:
         assert node.fleet is not None
         return node.fleet.roles[LEADER_ROLE].epoch_to_act(self.cluster.instant(node).boot) is not None
 
-    def offer(self, name: str, body: bytes) -> Proposal:
+    def propose(self, name: str, body: bytes) -> Proposal:
         """Push a plan at that sidecar."""
         node, plans = self.cluster.nodes[name], self.plans[name]
         assert node.fleet is not None
         self.bodies[digest(body)] = body
         push = plans.propose(self.cluster.instant(node), body)
-        self.pushed.append((name, node.starts, push))
+        self.proposed.append((name, node.starts, push))
         self.cluster.plan(node)
         return push
 
     # Rules
 
     def _breach(self, what: str) -> None:
-        self.seen.breaches.append(f"{self.cluster.now:.3f} s: {what}")
+        self.outcome.breaches.append(f"{self.cluster.now:.3f} s: {what}")
 
-    def after(self, node: Node) -> None:
+    def check_after(self, node: Node) -> None:
         assert node.fleet is not None
         plans = self.plans[node.name]
         for key in self.bodies:
             if node.fleet.payloads.get(key) is not None:
-                self.held.add((node.name, node.fleet.incarnation, key))
+                self.stored.add((node.name, node.fleet.incarnation, key))
         if node.number < VOTERS and plans.register.accepted.number:
             entry = plans.register.accepted
-            voters = self.kept.setdefault((entry.number, entry.epoch, entry.digest), set())
+            voters = self.accepted.setdefault((entry.number, entry.epoch, entry.digest), set())
             voters.add(node.name)
             if 2 * len(voters) > VOTERS:
                 self._is_chosen(entry.number, entry.digest)
         push = plans.leader.rollout
-        if push is not None and push.state == RolloutState.COMMITTING and self.office(node):
+        if push is not None and push.state == RolloutState.COMMITTING and self.is_leading(node):
             assert plans.leader.epoch is not None
             if (key3 := (node.name, plans.leader.epoch, push.version)) not in self.put:
                 self.put.add(key3)
@@ -213,13 +215,13 @@
     def _is_chosen(self, number: int, key: bytes) -> None:
         if self.chosen.setdefault(number, key) != key:
             self._breach(f"number {number} has two bodies")
-        self.seen.settled = len(self.chosen)
+        self.outcome.committed = len(self.chosen)
 
     def _is_put(self, node: Node, view: View, key: bytes) -> None:
         for placed in view.members:
-            if (placed.member.name, placed.incarnation, key) not in self.held:
+            if (placed.member.name, placed.incarnation, key) not in self.stored:
                 self._breach(f"{node.name} puts a plan that {placed.member.name} never held")
-            if placed.member.name in self.unable and self.judged is not None:
+            if placed.member.name in self.incompatible and self.stage_seconds is not None:
                 self._breach(f"{node.name} puts a plan that {placed.member.name} is not able to go by")
 
     def _goes_by(self, node: Node, settled: CommittedPlan) -> None:
@@ -235,35 +237,35 @@
             self._breach(f"{node.name} goes by plan {settled.version}, which was not chosen")
 
     def _taken(self, name: str, process: str, settled: CommittedPlan) -> None:
-        before = self.took.setdefault(process, [])
+        before = self.applied.setdefault(process, [])
         if before and settled.version <= before[-1].version:
             self._breach(f"{name} takes {settled.version} after {before[-1].version}")
         before.append(settled)
-        self.seen.taken += 1
+        self.outcome.applied += 1
 
-    def over(self) -> bool:
+    def is_over(self) -> bool:
         """Whether all that was offered is over, as far as anybody is left who could tell."""
         return all(
             push.state in FINAL_STATES
             or (node := self.cluster.nodes[name]).fleet is None
             or node.starts != starts
-            for name, starts, push in self.pushed
+            for name, starts, push in self.proposed
         )
 
-    def judge_end(self) -> None:
+    def check_end(self) -> None:
         """What must hold once all troubles are long over."""
         settled = {*self.chosen.values()}
         offered: dict[bytes, int] = {}
-        for _, _, push in self.pushed:
+        for _, _, push in self.proposed:
             offered[push.digest] = offered.get(push.digest, 0) + 1
-        for name, _, push in self.pushed:
-            self.seen.refused += push.state == RolloutState.REJECTED
-            self.seen.lost += push.state == "lost"
+        for name, _, push in self.proposed:
+            self.outcome.rejected += push.state == RolloutState.REJECTED
+            self.outcome.unknown += push.state == "lost"
             if push.state == RolloutState.COMMITTED and push.digest not in settled:
                 self._breach(f"{name} tells {push.title} as settled, and it was not")
             if push.state == RolloutState.REJECTED and push.digest in settled and offered[push.digest] == 1:
                 self._breach(f"{name} tells {push.title} as refused, and it was settled")
-        if not self.over():
+        if not self.is_over():
             self._breach("it is not told what came of a push")
         newest = max(self.chosen, default=0)
         for node in self.alive():
--- a/wheatring/lab/agree/planted.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -5,9 +5,9 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from wheatring.lab.agree import days
-from wheatring.lab.agree.fleet import Makes as FleetMakes
-from wheatring.lab.agree.orders import Makes
+from wheatring.lab.agreement import view_days
+from wheatring.lab.agreement.register_orders import MakeRegister
+from wheatring.lab.agreement.view_fleet import MakePieces as FleetMakes
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
@@ -19,7 +19,7 @@
 from wheatring.peers.agreement import Agreement
 
 
-class Fickle(ReplicatedRegister):
+class ForgetsPromise(ReplicatedRegister):
     """Takes an epoch that is lower than what it promised."""
 
     def _on_leader_request(
@@ -31,7 +31,7 @@
         return super()._on_leader_request(at, address, word)
 
 
-class Hasty(ReplicatedRegister):
+class SkipsFoundEntry(ReplicatedRegister):
     """Puts nothing again of what it found."""
 
     def _finish_preparing(self, at: Instant) -> list[Outgoing]:
@@ -39,7 +39,7 @@
         return []
 
 
-class Sleepless(ReplicatedRegister):
+class AnswersAfterRestart(ReplicatedRegister):
     """Answers at once after a start."""
 
     def tick(self, at: Instant) -> list[Outgoing]:
@@ -53,7 +53,7 @@
         return super()._on_leader_request(at, address, word)
 
 
-class Backward(ReplicatedRegister):
+class GoesBack(ReplicatedRegister):
     """Goes by whatever it is told last."""
 
     def learn(self, at: Instant, address: Any, entry: Any) -> list[Outgoing]:
@@ -61,23 +61,23 @@
         return super().learn(at, address, entry)
 
 
-class InRegister(NamedTuple):
-    what: str
-    makes: Makes
+class RegisterFault(NamedTuple):
+    description: str
+    make_register: MakeRegister
 
 
-IN_REGISTER = (
-    InRegister("a voter that takes an epoch lower than it promised", Fickle),
-    InRegister("a leader that does not put again what it found", Hasty),
-    InRegister("a voter that does not sleep after a start", Sleepless),
-    InRegister("a sidecar that goes back to an entry before", Backward),
+REGISTER_FAULTS = (
+    RegisterFault("a voter that takes an epoch lower than it promised", ForgetsPromise),
+    RegisterFault("a leader that does not put again what it found", SkipsFoundEntry),
+    RegisterFault("a voter that does not sleep after a start", AnswersAfterRestart),
+    RegisterFault("a sidecar that goes back to an entry before", GoesBack),
 )
 
 
 # In views
 
 
-class Rash(CutDetector):
+class CutsWithoutWaiting(CutDetector):
     """Takes out whoever is down, whoever else is unsure."""
 
     def members_to_remove(self, now: float, view: View, rings: Rings) -> list[str]:
@@ -85,14 +85,14 @@
         return super().members_to_remove(now, view, rings)
 
 
-class Blind(CutDetector):
+class IgnoresReachability(CutDetector):
     """Takes nobody's word that one who is to go was reached."""
 
     def note_reached(self, now: float, names: Any) -> None:
         pass
 
 
-class Late(MembershipViews):
+class AgesStampOnArrival(MembershipViews):
     """Counts a stamp's age from when it arrived."""
 
     def _on_health_response(
@@ -105,31 +105,31 @@
         return out
 
 
-def rash(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+def make_cuts_without_waiting(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     agreed = Agreement(at, fleet)
-    agreed.views.cut_detector = Rash()
+    agreed.views.cut_detector = CutsWithoutWaiting()
     return agreed.deciders
 
 
-def blind(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+def make_ignores_reachability(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     agreed = Agreement(at, fleet)
-    agreed.views.cut_detector = Blind()
+    agreed.views.cut_detector = IgnoresReachability()
     return agreed.deciders
 
 
-def late(at: Instant, fleet: Fleet) -> list[FleetComponent]:
-    views = Late(at, fleet)
+def make_ages_stamp_on_arrival(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+    views = AgesStampOnArrival(at, fleet)
     return [views, views.register]
 
 
-class InViews(NamedTuple):
-    what: str
-    makes: FleetMakes
-    kind: days.Kind  # the days that are to find it
+class ViewFault(NamedTuple):
+    description: str
+    make_pieces: FleetMakes
+    kind: view_days.Kind  # the days that are to find it
 
 
-IN_VIEWS = (
-    InViews("a cut with no wait between the low and the high mark", rash, "together"),
-    InViews("a cut with no second look", blind, "half"),
-    InViews("a stamp whose age is counted on arrival", late, "late"),
+VIEW_FAULTS = (
+    ViewFault("a cut with no wait between the low and the high mark", make_cuts_without_waiting, "together"),
+    ViewFault("a cut with no second look", make_ignores_reachability, "half"),
+    ViewFault("a stamp whose age is counted on arrival", make_ages_stamp_on_arrival, "late"),
 )
--- a/wheatring/lab/agree/orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -23,21 +23,26 @@
 from wheatring.members.messages import MemberInfo
 
 STEPS = 500
-STEP = 0.05  # seconds
-STARTED = 100.0  # seconds that all have been up for at the beginning
-TWICE, AGAIN, PUTS = 0.05, 0.012, 0.3  # chances: of a word, and in a step
+STEP_SECONDS = 0.05  # seconds
+INITIAL_UPTIME_SECONDS = 100.0  # seconds that all have been up for at the beginning
+DUPLICATE_CHANCE, RESTART_CHANCE, PUT_CHANCE = 0.05, 0.012, 0.3  # chances: of a word, and in a step
 # Drawn for each order: chances that a word is lost, that one that tells what is chosen is, that a word is
 # late, and that a term ends in a step.
-LOST, UNTOLD, LATE, ENDS = (0.1, 0.3), (0.1, 0.9), (0.05, 0.4), (0.02, 0.05)
-LATER = 8.0  # seconds by which a late word is late, at most
+LOSS_CHANCES, CHOSEN_LOSS_CHANCES, DELAY_CHANCES, TERM_END_CHANCES = (
+    (0.1, 0.3),
+    (0.1, 0.9),
+    (0.05, 0.4),
+    (0.02, 0.05),
+)
+MAX_DELAY_SECONDS = 8.0  # seconds by which a late word is late, at most
 
-Makes = Callable[..., ReplicatedRegister]
+MakeRegister = Callable[..., ReplicatedRegister]
 
 
-class Ground:
+class FakeFleet:
     """What a register needs of its sidecar."""
 
-    def __init__(self, name: str, order: Order) -> None:
+    def __init__(self, name: str, order: OrderRun) -> None:
         self.order = order
         self.me = MemberInfo(name, name, 1)
         self.voters = order.voters
@@ -75,7 +80,7 @@
         return []
 
 
-class Walked(NamedTuple):
+class OrderResult(NamedTuple):
     seed: int
     chosen: int  # entries that somebody came to know chosen
     terms: int
@@ -83,30 +88,33 @@
     breach: str  # "": none
 
 
-class Order:
+class OrderRun:
     """Three voters, and one who only follows; any of the four may lead."""
 
-    def __init__(self, seed: int, makes: Makes) -> None:
+    def __init__(self, seed: int, makes: MakeRegister) -> None:
         self.seed = seed
-        self.makes = makes
+        self.make_register = makes
         self.random = Random(f"{seed}:order")
-        self.lost, self.untold, self.late, self.ends = (
-            self.random.choice(each) for each in (LOST, UNTOLD, LATE, ENDS)
+        self.loss_chance, self.chosen_loss_chance, self.delay_chance, self.term_end_chance = (
+            self.random.choice(each)
+            for each in (LOSS_CHANCES, CHOSEN_LOSS_CHANCES, DELAY_CHANCES, TERM_END_CHANCES)
         )
         self.names = ["v0", "v1", "v2", "m0"]
         self.voters = VoterSet(("v0", "v1", "v2"))
         self.now = 0.0
         self.leader, self.epoch = "", 0
-        self.words: list[tuple[float, str, str, Any]] = []  # from when on it may arrive, from whom, to whom
+        self.messages: list[
+            tuple[float, str, str, Any]
+        ] = []  # from when on it may arrive, from whom, to whom
         self.digests: dict[int, bytes] = {}  # of the entries known chosen
-        self.knows: dict[str, tuple[int, int]] = dict.fromkeys(self.names, (0, 0))
+        self.positions: dict[str, tuple[int, int]] = dict.fromkeys(self.names, (0, 0))
         self.restarts = 0
         self.breach = ""
         self.registers: dict[str, ReplicatedRegister] = {}
-        self.grounds: dict[str, Ground] = {}
+        self.fleets: dict[str, FakeFleet] = {}
         for name in self.names:
             self.start(name)
-        self.now = STARTED
+        self.now = INITIAL_UPTIME_SECONDS
         for name in self.names:
             self.registers[name].tick(self.at)
             self.registers[name].has_recovered = True
@@ -116,38 +124,38 @@
         return Instant(self.now, self.now, 0)
 
     def start(self, name: str) -> None:
-        ground: Any = Ground(name, self)
-        self.grounds[name] = ground
-        self.registers[name] = self.makes(self.at, "view", ground, lambda at, entry, body: [])
-        self.knows[name] = (0, 0)
+        ground: Any = FakeFleet(name, self)
+        self.fleets[name] = ground
+        self.registers[name] = self.make_register(self.at, "view", ground, lambda at, entry, body: [])
+        self.positions[name] = (0, 0)
 
-    def walk(self) -> Walked:
+    def run(self) -> OrderResult:
         terms = 0
         for _ in range(STEPS):
-            self.now += STEP
-            terms += self.office()
-            if self.random.random() < AGAIN and self.awake():
+            self.now += STEP_SECONDS
+            terms += self.change_term()
+            if self.random.random() < RESTART_CHANCE and self.are_voters_awake():
                 self.restarts += 1
                 self.start(self.random.choice(self.voters.names))
             for name in self.names:
                 register = self.registers[name]
                 if self.now >= register.due:
-                    self.say(name, register.tick(self.at))
-                if register.is_ready and self.random.random() < PUTS:
+                    self.send(name, register.tick(self.at))
+                if register.is_ready and self.random.random() < PUT_CHANCE:
                     number = register.chosen.number + 1
-                    self.say(name, register.put(self.at, f"{self.epoch}:{number}:{name}".encode(), number))
+                    self.send(name, register.put(self.at, f"{self.epoch}:{number}:{name}".encode(), number))
             self.deliver()
             if self.breach:
                 break
-        return Walked(self.seed, len(self.digests), terms, self.restarts, self.breach)
+        return OrderResult(self.seed, len(self.digests), terms, self.restarts, self.breach)
 
-    def awake(self) -> bool:
+    def are_voters_awake(self) -> bool:
         return all(self.registers[name].has_recovered for name in self.voters.names)
 
-    def office(self) -> int:
+    def change_term(self) -> int:
         """Terms end at any time; the next one begins some steps later, with a higher epoch."""
         if self.leader:
-            if self.random.random() < self.ends:
+            if self.random.random() < self.term_end_chance:
                 self.leader = ""
         elif self.random.random() < 0.2:
             self.leader = self.random.choice(self.names)
@@ -157,41 +165,49 @@
 
     def deliver(self) -> None:
         """About half of what may arrive does, in any order."""
-        may = [one for one in self.words if one[0] <= self.now]
-        self.words = [one for one in self.words if one[0] > self.now]
+        may = [one for one in self.messages if one[0] <= self.now]
+        self.messages = [one for one in self.messages if one[0] > self.now]
         self.random.shuffle(may)
         for _ in range(self.random.randint(0, len(may))):
             _, source, target, word = may.pop()
-            if self.random.random() < TWICE:
-                self.words.append((self.now + LATER * self.random.random(), source, target, word))
-            self.say(target, self.registers[target].receive(self.at, source, (source, 1), word))
-        self.words += may
-
-    def say(self, name: str, out: list[Any]) -> None:
+            if self.random.random() < DUPLICATE_CHANCE:
+                self.messages.append(
+                    (self.now + MAX_DELAY_SECONDS * self.random.random(), source, target, word)
+                )
+            self.send(target, self.registers[target].receive(self.at, source, (source, 1), word))
+        self.messages += may
+
+    def send(self, name: str, out: list[Any]) -> None:
         for address, word in out:
-            if self.random.random() >= (self.untold if isinstance(word, EntryChosen) else self.lost):
-                late = LATER * self.random.random() if self.random.random() < self.late else 0.0
-                self.words.append((self.now + late, name, address[0], word))
-        del self.words[:-400]
-        ground = self.grounds[name]
+            if self.random.random() >= (
+                self.chosen_loss_chance if isinstance(word, EntryChosen) else self.loss_chance
+            ):
+                late = (
+                    MAX_DELAY_SECONDS * self.random.random()
+                    if self.random.random() < self.delay_chance
+                    else 0.0
+                )
+                self.messages.append((self.now + late, name, address[0], word))
+        del self.messages[:-400]
+        ground = self.fleets[name]
         fetches, ground.fetch_requests = ground.fetch_requests, []
         for fetch in fetches:
-            body = self.grounds[fetch.address[0]].payloads.get(fetch.digest)
+            body = self.fleets[fetch.address[0]].payloads.get(fetch.digest)
             if body is not None:
                 ground.payloads.put(body)
-            self.say(name, self.registers[name].receive_payload(self.at, fetch.digest, body))
-        self.judge(name, self.registers[name].chosen)
+            self.send(name, self.registers[name].receive_payload(self.at, fetch.digest, body))
+        self.check_position(name, self.registers[name].chosen)
 
-    def judge(self, name: str, entry: Entry) -> None:
+    def check_position(self, name: str, entry: Entry) -> None:
         if not entry.number:
             return
-        when = f"{self.now - STARTED:.2f} s: {name}"
+        when = f"{self.now - INITIAL_UPTIME_SECONDS:.2f} s: {name}"
         if self.digests.setdefault(entry.number, entry.digest) != entry.digest:
             self.breach = self.breach or f"{when} knows another entry {entry.number}"
-        if (entry.number, entry.epoch) < self.knows[name]:
+        if (entry.number, entry.epoch) < self.positions[name]:
             self.breach = self.breach or f"{when} goes back to {entry.number}"
-        self.knows[name] = (entry.number, entry.epoch)
+        self.positions[name] = (entry.number, entry.epoch)
 
 
-def walk(seed: int, makes: Makes = ReplicatedRegister) -> Walked:
-    return Order(seed, makes).walk()
+def run_order(seed: int, makes: MakeRegister = ReplicatedRegister) -> OrderResult:
+    return OrderRun(seed, makes).run()
--- a/wheatring/lab/agree_skew.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from random import Random
 
-from wheatring.lab.agree_pusher import Pusher, compiles, drawn
+from wheatring.lab.agreement.plan_driver import PlanDriver, compile_body, draw_plan
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
@@ -53,54 +53,54 @@
         self.cluster.after = self._after
         self.skew = skew
         self.programs: Programs = {}
-        self.next: dict[str, Capabilities | None] = {}
+        self.next_capabilities: dict[str, Capabilities | None] = {}
         self.compiles: dict[str, CompilePlan] = {}  # of those who do it otherwise
-        self.pushers: dict[str, Pusher] = {}
+        self.drivers: dict[str, PlanDriver] = {}
         self.counts: Counter[str] = Counter()
-        self.refused: tuple[Reason, ...] = ()
+        self.rejections: tuple[Reason, ...] = ()
         self.breaches: list[str] = []
-        self.voter = 0.0  # when one was last restarted
+        self.voter_restarted_at = 0.0  # when one was last restarted
         self.view = View()
         self.newest: tuple[Entry, Plan, bytes] | None = None
-        self.floor = (0, 1)  # of the newest entry: its number, and the format
+        self.minimum = (0, 1)  # of the newest entry: its number, and the format
         newer, middle, old = (local_capabilities(range(1, last), version=str) for last in (4, 3, 2))
         self.kinds: tuple[Capabilities | None, ...] = (newer, newer, middle, old, None)
         for node in self.cluster.nodes.values():
-            self.next[node.name] = newer
+            self.next_capabilities[node.name] = newer
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
 
     def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
-        abilities = self.next[fleet.me.name]
+        abilities = self.next_capabilities[fleet.me.name]
         self.programs[fleet.me.name, fleet.incarnation] = abilities
-        self.pushers.pop(fleet.me.name, None)
+        self.drivers.pop(fleet.me.name, None)
         if abilities is None:
             views = MembershipViews(at, fleet)
             return [views, views.register]
-        pusher = self.pushers[fleet.me.name] = Pusher(
-            at, self, fleet, abilities, self.skew, self.compiles.get(fleet.me.name, compiles)
+        pusher = self.drivers[fleet.me.name] = PlanDriver(
+            at, self, fleet, abilities, self.skew, self.compiles.get(fleet.me.name, compile_body)
         )
         return pusher.pieces
 
     # Rules
 
-    def settled(self, entry: Entry, plan: Plan, body: bytes) -> None:
+    def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None:
         if self.newest is None or entry.number > self.newest[0].number:
             self.newest = (entry, plan, body)
             self.counts["settled"] += 1
-            self.judge()
+            self.check()
 
-    def floored(self, entry: Entry, format: int) -> None:
-        if entry.number > self.floor[0]:
-            self.floor = (entry.number, format)
-            self.judge()
+    def minimum_committed(self, entry: Entry, format: int) -> None:
+        if entry.number > self.minimum[0]:
+            self.minimum = (entry.number, format)
+            self.check()
 
     def _after(self, node: Node) -> None:
-        pusher = self.pushers.get(node.name)
+        pusher = self.drivers.get(node.name)
         if pusher is not None and pusher.views.view.number > self.view.number:
             self.view = pusher.views.view
-            self.judge()
+            self.check()
 
-    def judge(self) -> None:
+    def check(self) -> None:
         needed = requirements_of(*self.newest[1:]) if self.newest is not None else None
         for placed in self.view.members:
             name = placed.member.name
@@ -109,34 +109,34 @@
                 continue
             can = self.programs[name, placed.incarnation] or LEGACY_CAPABILITIES
             why = [one.what for one in unmet_requirements(needed, can, name)] if needed is not None else []
-            if not can.can_read(self.floor[1]):
-                why.append(f"it does not read the floor, {self.floor[1]}")
+            if not can.can_read(self.minimum[1]):
+                why.append(f"it does not read the floor, {self.minimum[1]}")
             for what in why:
                 self.breaches.append(f"{self.cluster.now:.2f} s: {name} in view {self.view.number}: {what}")
 
     # What befalls
 
-    def push(self, plan: Plan) -> None:
+    def propose(self, plan: Plan) -> None:
         """At whoever leads, if anybody does and does not push already."""
-        self._at_leader(lambda at, pusher: [] if pusher.body_pushed else pusher.begin(at, plan))
+        self._at_leader(lambda at, pusher: [] if pusher.proposed_body else pusher.propose(at, plan))
 
-    def move_floor(self, format: int) -> None:
-        self._at_leader(lambda at, pusher: pusher.move_floor(at, format))
+    def move_minimum(self, format: int) -> None:
+        self._at_leader(lambda at, pusher: pusher.move_minimum(at, format))
 
-    def _at_leader(self, do: Callable[[Instant, Pusher], list[Outgoing]]) -> None:
-        for name, pusher in self.pushers.items():
+    def _at_leader(self, do: Callable[[Instant, PlanDriver], list[Outgoing]]) -> None:
+        for name, pusher in self.drivers.items():
             node = self.cluster.nodes[name]
             at = self.cluster.instant(node)
             if node.fleet is not pusher.fleet or node.stopped:
                 continue
-            if pusher.leads(at) and pusher.views.view.members:
+            if pusher.is_leading(at) and pusher.views.view.members:
                 self.cluster.say(node, do(at, pusher))
                 return
 
     def restart(self, name: str, abilities: Capabilities | None, away: float = 0.2) -> None:
         node = self.cluster.nodes[name]
         self.cluster.kill(node)
-        self.next[name] = abilities
+        self.next_capabilities[name] = abilities
         self.cluster.call(self.cluster.now + away, self.cluster.start, node)
 
     def act(self) -> None:
@@ -145,12 +145,12 @@
         one = random.choice(others)
         match random.choices(range(9), (8, 3, 1, 1, 1, 1, 2, 8, 2))[0]:
             case 0:
-                self.push(drawn(random))
+                self.propose(draw_plan(random))
             case 1:
                 self.restart(one, random.choice(self.kinds), random.choice((0.2, 3.0, 12.0)))
             case 2:  # a voter, and never two within the time that one needs to learn what it was
-                if not self.counts["voter"] or cluster.now - self.voter > 20:
-                    self.voter = cluster.now
+                if not self.counts["voter"] or cluster.now - self.voter_restarted_at > 20:
+                    self.voter_restarted_at = cluster.now
                     self.counts["voter"] += 1
                     self.restart(f"n{random.randrange(VOTERS)}", random.choice(self.kinds[:-1]))
             case 3:
@@ -164,11 +164,11 @@
             case 6:
                 cluster.mend()
             case 7:
-                self.come_in(one)
+                self.admit_one(one)
             case 8:
-                self.move_floor(random.choice((1, 1, 2, 3)))
+                self.move_minimum(random.choice((1, 1, 2, 3)))
 
-    def come_in(self, name: str) -> None:
+    def admit_one(self, name: str) -> None:
         """One that is out comes in while a plan is pushed and another is slow to answer; else it goes out."""
         cluster, random = self.cluster, self.random
         cluster.net = State(delay=0.0005, jitter=0.0005)
@@ -176,14 +176,14 @@
         if not out:
             cluster.kill(cluster.nodes[name])
         elif self.newest is not None and requirements_of(*self.newest[1:]).format > 1:
-            self.push(drawn(random, 1))  # so that older ones may come in at all
+            self.propose(draw_plan(random, 1))  # so that older ones may come in at all
         elif out[0].name not in self.view.names:
-            self.next[out[0].name] = random.choice(self.kinds[1:])
+            self.next_capabilities[out[0].name] = random.choice(self.kinds[1:])
             cluster.start(out[0])
             slow = cluster.nodes[random.choice([other for other in cluster.nodes if other != out[0].name])]
             at = cluster.now + random.random()
             cluster.call(at - 0.05, cluster.stop, slow)
-            cluster.call(at, self.push, drawn(random, random.choice((2, 3))))
+            cluster.call(at, self.propose, draw_plan(random, random.choice((2, 3))))
             cluster.call(at + 2.0, cluster.go_on, slow)
 
     def play(self, seconds: float, quiet: float = 6.0) -> None:
@@ -238,7 +238,7 @@
 FAULTS: tuple[type[CompatibilityChecker], ...] = (OutlivesItsView, SilentIsYes, OpenGate)
 
 
-def check(days: int, seconds: float = 60.0, seed: int = 0) -> Iterator[tuple[bool, str]]:
+def report(days: int, seconds: float = 60.0, seed: int = 0) -> Iterator[tuple[bool, str]]:
     """Plays days as they are, then days with each fault until it is found: whether all is well, a line."""
     played = [Day(number) for number in range(seed, seed + days)]
     for day in played:
--- a/wheatring/lab/agree/cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -10,142 +10,144 @@
 from time import process_time
 from typing import NamedTuple
 
-from wheatring.lab.agree.fleet import Follow, cluster, views
+from wheatring.lab.agreement.view_fleet import ViewObserver, make_cluster, views_of
 from wheatring.lab.leases.cluster import CUT, Cluster
 from wheatring.lab.live.links.state import State
 
-QUIET = 25.0  # seconds from the start to the trouble
-SPAN = 60.0  # seconds from the trouble to the end
+SETTLE_SECONDS = 25.0  # seconds from the start to the trouble
+SPAN_SECONDS = 60.0  # seconds from the trouble to the end
 
 
-class Measured(NamedTuple):
+class Measurement(NamedTuple):
     case: str
     size: int
     seed: int
-    took: float  # s from the trouble (its end, where it has one) to one view as it should be; -1: never
-    out: int  # changes that took somebody out, from the trouble on,
-    into: int  # and that let somebody in
-    wrong: int  # members taken out that were to stay
-    alike: float
-    slowest: float  # s from a change's first sidecar to its last, at most
+    converged_seconds: (
+        float  # s from the trouble (its end, where it has one) to one view as it should be; -1: never
+    )
+    removals: int  # changes that took somebody out, from the trouble on,
+    admissions: int  # and that let somebody in
+    wrongly_removed: int  # members taken out that were to stay
+    agreement_share: float
+    spread_seconds: float  # s from a change's first sidecar to its last, at most
     datagrams: float  # that a member sends a second, and bytes
-    traffic: float
-    cpu: float  # s of CPU for one of the fleet
+    bytes_sent: float
+    cpu_seconds: float  # s of CPU for one of the fleet
 
 
-class Scene:
+class CaseRun:
     def __init__(self, size: int, seed: int, voters: int = 3) -> None:
-        self.fleet: Cluster = cluster(seed, size, voters)
-        self.follow = Follow(self.fleet)
+        self.fleet: Cluster = make_cluster(seed, size, voters)
+        self.observer = ViewObserver(self.fleet)
         self.names = list(self.fleet.nodes)
-        self.gone: set[str] = set()  # who is to be taken out
+        self.removed: set[str] = set()  # who is to be taken out
         self.random = self.fleet.random
-        self.until = 0.0  # when the trouble ends
+        self.fault_end = 0.0  # when the trouble ends
         for node in self.fleet.nodes.values():
             self.fleet.call(self.random.random(), self.fleet.start, node)
 
     def kill(self, names: list[str]) -> None:
         for name in names:
             self.fleet.kill(self.fleet.nodes[name])
-            self.follow.left_out.add(name)
-            self.gone.add(name)
+            self.observer.excluded.add(name)
+            self.removed.add(name)
 
     def stop(self, names: list[str], seconds: float) -> None:
         for name in names:
             self.fleet.stop(self.fleet.nodes[name])
-        self.follow.late |= {*names}
-        self.until = self.fleet.now + seconds
-        self.fleet.call(self.until, self.go_on, names)
+        self.observer.delayed |= {*names}
+        self.fault_end = self.fleet.now + seconds
+        self.fleet.call(self.fault_end, self.resume, names)
 
-    def go_on(self, names: list[str]) -> None:
+    def resume(self, names: list[str]) -> None:
         for name in names:
             self.fleet.go_on(self.fleet.nodes[name])
-        self.fleet.call(self.fleet.now + 0.2, self.follow.late.clear)
+        self.fleet.call(self.fleet.now + 0.2, self.observer.delayed.clear)
 
-    def third(self) -> list[str]:
+    def sample_third(self) -> list[str]:
         return sorted(self.random.sample(self.names[5:], len(self.names) // 3))
 
-    def one(self) -> str:
+    def sample_one(self) -> str:
         return self.random.choice(self.names)
 
-    def lead(self) -> str:
+    def leader(self) -> str:
         for node in self.fleet.nodes.values():
-            found = views(node)
+            found = views_of(node)
             if found is not None and found.register.is_ready:
                 return node.name
         return self.names[0]
 
-    def half(self, but: str) -> list[str]:
+    def sample_half(self, but: str) -> list[str]:
         others = [name for name in self.names if name != but]
         return sorted(self.random.sample(others, len(others) // 2))
 
 
-def _no(scene: Scene) -> None:
+def _no(scene: CaseRun) -> None:
     """Nothing."""
 
 
-def _kill_one(scene: Scene) -> None:
+def _kill_one(scene: CaseRun) -> None:
     scene.kill([scene.random.choice(scene.names[5:])])
 
 
-def _kill_leader(scene: Scene) -> None:
-    scene.kill([scene.lead()])
+def _kill_leader(scene: CaseRun) -> None:
+    scene.kill([scene.leader()])
 
 
-def _kill_third(scene: Scene) -> None:
+def _kill_third(scene: CaseRun) -> None:
     scene.kill(sorted(scene.random.sample(scene.names[5:], len(scene.names) // 3)))
 
 
-def _pause(scene: Scene, seconds: float) -> None:
-    scene.stop(scene.third(), seconds)
+def _pause(scene: CaseRun, seconds: float) -> None:
+    scene.stop(scene.sample_third(), seconds)
 
 
-def _loss(scene: Scene) -> None:
+def _loss(scene: CaseRun) -> None:
     scene.fleet.net = State(delay=0.0005, jitter=0.0005, drop=0.3)
 
 
-def _loss_one(scene: Scene) -> None:
-    one = scene.one()
+def _loss_one(scene: CaseRun) -> None:
+    one = scene.sample_one()
     scene.fleet.cut([n for n in scene.names if n != one], [one], State(delay=0.0005, drop=0.8))
 
 
-def _pair(scene: Scene) -> None:
+def _pair(scene: CaseRun) -> None:
     """From one to one of its subjects."""
-    one = scene.one()
-    found = views(scene.fleet.nodes[one])
+    one = scene.sample_one()
+    found = views_of(scene.fleet.nodes[one])
     assert found is not None
     scene.fleet.cut([one], [scene.random.choice(found.rings.subjects(one))], CUT)
 
 
-def _half(scene: Scene) -> None:
-    one = scene.one()
-    scene.fleet.cut(scene.half(one), [one], CUT)
+def _half(scene: CaseRun) -> None:
+    one = scene.sample_one()
+    scene.fleet.cut(scene.sample_half(one), [one], CUT)
 
 
-def _mute(scene: Scene) -> None:
+def _mute(scene: CaseRun) -> None:
     one = scene.random.choice(scene.names[5:])
-    scene.gone.add(one)
-    scene.follow.left_out.add(one)
+    scene.removed.add(one)
+    scene.observer.excluded.add(one)
     scene.fleet.cut([one], scene.names, CUT)
 
 
-def _deaf(scene: Scene) -> None:
+def _deaf(scene: CaseRun) -> None:
     one = scene.random.choice(scene.names[5:])
-    scene.gone.add(one)
-    scene.follow.left_out.add(one)
+    scene.removed.add(one)
+    scene.observer.excluded.add(one)
     scene.fleet.cut(scene.names, [one], CUT)
 
 
-def _voters(scene: Scene) -> None:
+def _voters(scene: CaseRun) -> None:
     """Five voters apart 2, 2 and 1: the others are with the first two. Nobody has a majority."""
     sides = [["n0", "n1", *scene.names[5:]], ["n2", "n3"], ["n4"]]
     for side in sides:
         scene.fleet.cut_off(side, CUT)
-    scene.until = scene.fleet.now + 20
-    scene.fleet.call(scene.until, scene.fleet.mend)
+    scene.fault_end = scene.fleet.now + 20
+    scene.fleet.call(scene.fault_end, scene.fleet.mend)
 
 
-def _moves(scene: Scene) -> None:
+def _moves(scene: CaseRun) -> None:
     """One comes back under its name at another address."""
     name = scene.random.choice(scene.names[5:])
     node = scene.fleet.nodes[name]
@@ -156,7 +158,7 @@
     scene.fleet.call(scene.fleet.now + 0.5, scene.fleet.start, node)
 
 
-def _join(scene: Scene) -> None:
+def _join(scene: CaseRun) -> None:
     """As many more come within a second, while a third of those who were there die."""
     from wheatring.lab.leases.cluster import Node
 
@@ -170,7 +172,7 @@
     scene.names = list(scene.fleet.nodes)
 
 
-CASES: dict[str, Callable[[Scene], None]] = {
+CASES: dict[str, Callable[[CaseRun], None]] = {
     "rest": _no,
     "kill-one": _kill_one,
     "kill-leader": _kill_leader,
@@ -189,49 +191,49 @@
 }
 
 
-def measure(case: str, size: int, seed: int, span: float = SPAN) -> Measured:
+def measure(case: str, size: int, seed: int, span: float = SPAN_SECONDS) -> Measurement:
     """Play one case."""
-    scene = Scene(size, seed, 5 if case == "voters-apart" else 3)
-    fleet, follow = scene.fleet, scene.follow
-    fleet.run(QUIET)
+    scene = CaseRun(size, seed, 5 if case == "voters-apart" else 3)
+    fleet, follow = scene.fleet, scene.observer
+    fleet.run(SETTLE_SECONDS)
     follow.clear()
     for node in fleet.nodes.values():
         node.sent = node.sent_bytes = 0
     began, cpu = fleet.now, process_time()
     CASES[case](scene)
-    fleet.run(max(scene.until, began))
-    want = set(scene.names) - scene.gone
-    took = follow.run_until_whole(want, span) if case != "moves" else _moved(scene, span)
+    fleet.run(max(scene.fault_end, began))
+    want = set(scene.names) - scene.removed
+    took = follow.run_until_converged(want, span) if case != "moves" else _moved(scene, span)
     fleet.run(max(fleet.now, began + span))
     seconds = fleet.now - began
-    nodes = [node for node in fleet.nodes.values() if node.name not in scene.gone]
-    outs = [move for move in follow.moves if move.went]
+    nodes = [node for node in fleet.nodes.values() if node.name not in scene.removed]
+    outs = [move for move in follow.changes if move.removed]
     stopped_long = case == "pause-15"
-    wrong = 0 if stopped_long else sum(len(move.went - scene.gone) for move in outs)
-    return Measured(
+    wrong = 0 if stopped_long else sum(len(move.removed - scene.removed) for move in outs)
+    return Measurement(
         case,
         size,
         seed,
         took,
         len(outs),
-        sum(bool(move.came) for move in follow.moves),
+        sum(bool(move.added) for move in follow.changes),
         wrong,
-        follow.alike,
-        max((move.last - move.at for move in follow.moves), default=0.0),
+        follow.agreement_share,
+        max((move.last_seen - move.first_seen for move in follow.changes), default=0.0),
         sum(node.sent for node in nodes) / seconds / len(nodes),
         sum(node.sent_bytes for node in nodes) / seconds / len(nodes),
         (process_time() - cpu) / seconds,
     )
 
 
-def _moved(scene: Scene, span: float) -> float:
+def _moved(scene: CaseRun, span: float) -> float:
     """Seconds until all know the one that came back by its new place."""
     began = scene.fleet.now
     while scene.fleet.now - began < span:
-        found = [views(node) for node in scene.follow.healthy()]
+        found = [views_of(node) for node in scene.observer.healthy()]
         if (
             all(one is not None and one.is_member for one in found)
-            and scene.follow.moves
+            and scene.observer.changes
             and len({one.view.number for one in found if one is not None}) == 1
         ):
             return scene.fleet.now - began
@@ -239,9 +241,11 @@
     return -1.0
 
 
-def line(one: Measured) -> str:
+def format_measurement(one: Measurement) -> str:
     return (
-        f"{one.case:13} {one.size:5} {one.seed:3}  took {one.took:5.1f} s  out {one.out} in {one.into} "
-        f"wrong {one.wrong}  alike {one.alike:.3f}  last after {one.slowest:.2f} s  "
-        f"{one.datagrams:.2f} datagrams {one.traffic:.0f} B a second  {1000 * one.cpu:.0f} ms CPU a second"
+        f"{one.case:13} {one.size:5} {one.seed:3}  took {one.converged_seconds:5.1f} s  "
+        f"out {one.removals} in {one.admissions} wrong {one.wrongly_removed}  "
+        f"alike {one.agreement_share:.3f}  last after {one.spread_seconds:.2f} s  "
+        f"{one.datagrams:.2f} datagrams {one.bytes_sent:.0f} B a second  "
+        f"{1000 * one.cpu_seconds:.0f} ms CPU a second"
     )
--- a/wheatring/lab/agree/days.py
+++ b/wheatring/lab/agreement/view_days.py
@@ -19,7 +19,7 @@
 
 from msgspec import Struct, field
 
-from wheatring.lab.agree.fleet import Makes, agreed, cluster, views
+from wheatring.lab.agreement.view_fleet import MakePieces, make_agreement, make_cluster, views_of
 from wheatring.lab.leases.cluster import CUT, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.membership_views import STAMP_VALID_SECONDS
@@ -27,10 +27,10 @@
 
 Kind = Literal["mixed", "together", "half", "late"]
 KINDS: tuple[Kind, ...] = ("mixed", "together", "half", "late")
-QUIET = 15.0  # seconds from the start to the first fault
-AFTER = 75.0  # seconds from the last fault's end to the day's: who went out often waits up to 60
+SETTLE_SECONDS = 15.0  # seconds from the start to the first fault
+RECOVERY_SECONDS = 75.0  # seconds from the last fault's end to the day's: who went out often waits up to 60
 TERMS = LeaseTiming()
-ILL = 20.0  # seconds after a fault's end for which it may still take somebody out
+AFTERMATH_SECONDS = 20.0  # seconds after a fault's end for which it may still take somebody out
 
 
 class Fault(NamedTuple):
@@ -48,22 +48,22 @@
     kind: Kind
     breaches: list[str] = field(default_factory=list)
     views: int = 0
-    out: int = 0  # members taken out, all changes together
+    removals: int = 0  # members taken out, all changes together
     events: int = 0
-    length: float = 0.0
+    length_seconds: float = 0.0
 
 
-def draw(seed: int, kind: Kind, names: list[str], voters: int) -> list[Fault]:
+def draw_faults(seed: int, kind: Kind, names: list[str], voters: int) -> list[Fault]:
     random = Random(f"{seed}:{kind}:faults")
     if kind == "together":
-        return [Fault(QUIET, "die", 0.0, tuple(random.sample(names[voters:], len(names) // 3)))]
+        return [Fault(SETTLE_SECONDS, "die", 0.0, tuple(random.sample(names[voters:], len(names) // 3)))]
     one = random.choice(names[voters:])
     if kind == "half":
         others = [name for name in names if name != one]
-        return [Fault(QUIET, "half", 20.0, (one, *random.sample(others, len(others) // 2)))]
+        return [Fault(SETTLE_SECONDS, "half", 20.0, (one, *random.sample(others, len(others) // 2)))]
     if kind == "late":
-        return [Fault(QUIET, "late-cut", 30.0, (one,), 4 + 3.5 * random.random())]
-    faults, at = [], QUIET
+        return [Fault(SETTLE_SECONDS, "late-cut", 30.0, (one,), 4 + 3.5 * random.random())]
+    faults, at = [], SETTLE_SECONDS
     for _ in range(random.randint(1, 4)):
         what = random.choice(
             ["kill", "again", "stall", "cut", "one-way", "split", "loss", "late", "voters", "leader"]
@@ -78,34 +78,34 @@
     return faults
 
 
-class Play:
-    def __init__(self, seed: int, kind: Kind = "mixed", makes: Makes = agreed) -> None:
+class DayRun:
+    def __init__(self, seed: int, kind: Kind = "mixed", makes: MakePieces = make_agreement) -> None:
         random = Random(f"{seed}:day")
         size = random.choice([7, 9, 12]) if kind == "mixed" else 12
         self.voters = random.choice([3, 5]) if kind == "mixed" else 3
-        self.fleet = cluster(seed, size, self.voters, makes)
+        self.fleet = make_cluster(seed, size, self.voters, makes)
         self.day = Day(seed, kind)
-        self.fleet.after = self.after
+        self.fleet.after = self.check_after
         self.digests: dict[int, tuple[bytes, bytes]] = {}
         self.names: dict[int, frozenset[str]] = {}
-        self.since: dict[int, float] = {}  # when a view was first stood in
-        self.knows: dict[tuple[str, int], tuple[int, int]] = {}
-        self.ill: dict[str, float] = {}  # until when a fault may take one out
+        self.installed_at: dict[int, float] = {}  # when a view was first stood in
+        self.positions: dict[tuple[str, int], tuple[int, int]] = {}
+        self.excused_until: dict[str, float] = {}  # until when a fault may take one out
         self.changes = 0  # that took somebody out, since the faults began
         for node in self.fleet.nodes.values():
             node.fast = TERMS.max_clock_drift * (2 * random.random() - 1)
             self.fleet.call(random.random(), self.fleet.start, node)
-        faults = draw(seed, kind, list(self.fleet.nodes), self.voters)
+        faults = draw_faults(seed, kind, list(self.fleet.nodes), self.voters)
         for fault in faults:
-            self.fleet.call(fault.at, self.begin, fault)
-        self.day.length = max(fault.at + fault.length for fault in faults) + AFTER
+            self.fleet.call(fault.at, self.inject, fault)
+        self.day.length_seconds = max(fault.at + fault.length for fault in faults) + RECOVERY_SECONDS
         self.fleet.call(1.0, self.sample)
 
     def run(self) -> Day:
-        self.fleet.run(self.day.length)
+        self.fleet.run(self.day.length_seconds)
         here = {node.name for node in self.fleet.nodes.values() if node.fleet is not None}
         for node in self.fleet.nodes.values():
-            found = views(node)
+            found = views_of(node)
             if found is None:
                 continue
             sure = found.is_current(self.fleet.instant(node).now)
@@ -125,12 +125,12 @@
 
     def leader(self) -> str:
         for node in self.fleet.nodes.values():
-            found = views(node)
+            found = views_of(node)
             if found is not None and not node.stopped and found.register.is_ready:
                 return node.name
         return "n0"
 
-    def begin(self, fault: Fault) -> None:
+    def inject(self, fault: Fault) -> None:
         fleet, names = self.fleet, fault.names
         others = tuple(name for name in fleet.nodes if name not in names)
         over = fleet.now + fault.length
@@ -157,35 +157,35 @@
             case "half":
                 one, *half = names
                 touched = ()
-                self.link(tuple(half), (one,), CUT, over)
+                self.set_links(tuple(half), (one,), CUT, over)
             case "cut" | "split":
-                self.link(names, others, CUT, over)
-                self.link(others, names, CUT, over)
+                self.set_links(names, others, CUT, over)
+                self.set_links(others, names, CUT, over)
             case "one-way":
                 froms, tos = (names, others) if fault.size < 0.5 else (others, names)
-                self.link(froms, tos, CUT, over)
+                self.set_links(froms, tos, CUT, over)
             case "loss":
                 touched = ()
                 state = State(delay=0.001, jitter=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
-                self.link(tuple(fleet.nodes), tuple(fleet.nodes), state, over)
+                self.set_links(tuple(fleet.nodes), tuple(fleet.nodes), state, over)
             case "late":
                 state = State(delay=8 * fault.size, jitter=2.0, duplicate=0.5, reorder=0.5)
-                self.link(names, others, state, over)
-                self.link(others, names, state, over)
+                self.set_links(names, others, state, over)
+                self.set_links(others, names, state, over)
             case "late-cut":
-                self.link(others, names, State(delay=fault.size, jitter=0.5), over)
-                fleet.call(fleet.now + 6.5, self.link, others, names, CUT, over)
+                self.set_links(others, names, State(delay=fault.size, jitter=0.5), over)
+                fleet.call(fleet.now + 6.5, self.set_links, others, names, CUT, over)
         # Where most voters are on one side with whom it befalls, it is the others that are cut off.
         if sum(name in touched for name in list(fleet.nodes)[: self.voters]) * 2 > self.voters:
             touched = tuple(fleet.nodes)
         for name in touched:
-            self.ill[name] = max(self.ill.get(name, 0.0), over + ILL)
+            self.excused_until[name] = max(self.excused_until.get(name, 0.0), over + AFTERMATH_SECONDS)
 
-    def link(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State, over: float) -> None:
+    def set_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State, over: float) -> None:
         self.fleet.cut(froms, tos, state)
-        self.fleet.call(over, self.mend, froms, tos, state)
+        self.fleet.call(over, self.repair_links, froms, tos, state)
 
-    def mend(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State) -> None:
+    def repair_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State) -> None:
         """What another fault has done to these links meanwhile stays."""
         for one in froms:
             for other in tos:
@@ -194,8 +194,8 @@
 
     # Rules
 
-    def after(self, node: Node) -> None:
-        found = views(node)
+    def check_after(self, node: Node) -> None:
+        found = views_of(node)
         assert found is not None
         self.day.events += 1
         view, chosen = found.view, found.register.chosen
@@ -204,42 +204,42 @@
             known = self.digests.setdefault(chosen.number, (chosen.digest, b""))
             if known[0] != chosen.digest:
                 self.breach(f"{node.name} knows another entry {chosen.number}")
-        if self.knows.get(stands) != (view.number, view.epoch):
-            self.stood(node, stands)
-        self.counts(node)
+        if self.positions.get(stands) != (view.number, view.epoch):
+            self.check_installed_view(node, stands)
+        self.check_confidence(node)
 
-    def stood(self, node: Node, stands: tuple[str, int]) -> None:
+    def check_installed_view(self, node: Node, stands: tuple[str, int]) -> None:
         """One has come to stand in a view."""
-        found = views(node)
+        found = views_of(node)
         assert found is not None
         view = found.view
-        if (view.number, view.epoch) < self.knows.get(stands, (0, 0)):
-            self.breach(f"{node.name} goes back from {self.knows[stands]} to {view.number}, {view.epoch}")
-        self.knows[stands] = (view.number, view.epoch)
+        if (view.number, view.epoch) < self.positions.get(stands, (0, 0)):
+            self.breach(f"{node.name} goes back from {self.positions[stands]} to {view.number}, {view.epoch}")
+        self.positions[stands] = (view.number, view.epoch)
         entry, members = self.digests.get(view.number, (found.register.applied.digest, b""))
         if members not in (b"", view.payload):
             self.breach(f"{node.name} stands in another view {view.number}")
         self.digests[view.number] = (entry, view.payload)
         if view.number not in self.names:
             self.names[view.number] = view.names
-            self.since[view.number] = self.fleet.now
-            self.went(self.names.get(view.number - 1, frozenset()) - view.names)
+            self.installed_at[view.number] = self.fleet.now
+            self.check_removals(self.names.get(view.number - 1, frozenset()) - view.names)
 
-    def went(self, names: frozenset[str]) -> None:
+    def check_removals(self, names: frozenset[str]) -> None:
         if not names:
             return
-        self.day.out += len(names)
+        self.day.removals += len(names)
         self.changes += 1
         for name in sorted(names):
-            if self.fleet.now > self.ill.get(name, 0.0):
+            if self.fleet.now > self.excused_until.get(name, 0.0):
                 self.breach(f"{name} goes out, to whom nothing was done")
 
-    def counts(self, node: Node) -> None:
+    def check_confidence(self, node: Node) -> None:
         """Nobody counts on what is over for long. Clocks may be `rate` apart from true time."""
-        found = views(node)
+        found = views_of(node)
         if found is None or node.stopped or not found.is_current(self.fleet.instant(node).now):
             return
-        newer = self.since.get(found.view.number + 1)
+        newer = self.installed_at.get(found.view.number + 1)
         if newer is not None and self.fleet.now - newer > STAMP_VALID_SECONDS * (
             1 + 2 * TERMS.max_clock_drift
         ):
@@ -248,10 +248,10 @@
 
     def sample(self) -> None:
         for node in self.fleet.nodes.values():
-            self.counts(node)
-        if self.fleet.now + 0.5 < self.day.length:
+            self.check_confidence(node)
+        if self.fleet.now + 0.5 < self.day.length_seconds:
             self.fleet.call(self.fleet.now + 0.5, self.sample)
 
 
-def play(seed: int, kind: Kind = "mixed", makes: Makes = agreed) -> Day:
-    return Play(seed, kind, makes).run()
+def play(seed: int, kind: Kind = "mixed", makes: MakePieces = make_agreement) -> Day:
+    return DayRun(seed, kind, makes).run()
--- a/wheatring/lab/agree/fleet.py
+++ b/wheatring/lab/agreement/view_fleet.py
@@ -17,14 +17,16 @@
 from wheatring.members.view import View
 from wheatring.peers.agreement import LEADER_DUTY, Agreement
 
-Makes = Callable[[Instant, Fleet], list[FleetComponent]]
+MakePieces = Callable[[Instant, Fleet], list[FleetComponent]]
 
 
-def agreed(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+def make_agreement(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     return Agreement(at, fleet).deciders
 
 
-def cluster(seed: int, size: int, voters: int = 3, makes: Makes = agreed, term: float = 3.0) -> Cluster:
+def make_cluster(
+    seed: int, size: int, voters: int = 3, makes: MakePieces = make_agreement, term: float = 3.0
+) -> Cluster:
     """A fleet with the built-in duty `lead`; nobody of it is started yet."""
     return Cluster(
         seed,
@@ -39,7 +41,7 @@
     )
 
 
-def views(node: Node) -> MembershipViews | None:
+def views_of(node: Node) -> MembershipViews | None:
     """None: no process runs there."""
     if node.fleet is None:
         return None
@@ -48,80 +50,80 @@
     return piece
 
 
-class Moved(Struct):
+class ViewChange(Struct):
     """A view, as the fleet came to know it: when somebody first stood in it, who came and went."""
 
-    at: float
+    first_seen: float
     number: int
-    came: frozenset[str]
-    went: frozenset[str]
-    last: float = 0.0  # when the last one came to stand in it
+    added: frozenset[str]
+    removed: frozenset[str]
+    last_seen: float = 0.0  # when the last one came to stand in it
 
 
-class Follow:
+class ViewObserver:
     """Follows which views there are, and reads `alike` off the fleet ten times a second."""
 
     def __init__(self, fleet: Cluster, every: float = 0.1) -> None:
         self.fleet = fleet
-        self.every = every
-        self.moves: list[Moved] = []
+        self.interval_seconds = every
+        self.changes: list[ViewChange] = []
         self.newest = 0
         self.names: frozenset[str] = frozenset()
         self.view = View()
-        self.left_out: set[str] = set()  # who is not expected to stand in the newest view,
-        self.late: set[str] = set()  # and who hears of it late, as it was stopped
-        self.samples = self.same = 0
-        self.stands: dict[str, int] = {}
-        fleet.after = self.after
+        self.excluded: set[str] = set()  # who is not expected to stand in the newest view,
+        self.delayed: set[str] = set()  # and who hears of it late, as it was stopped
+        self.samples = self.agreeing = 0
+        self.installed: dict[str, int] = {}
+        fleet.after = self.observe
         fleet.call(fleet.now, self.sample)
 
-    def after(self, node: Node) -> None:
-        found = views(node)
-        if found is None or found.view.number == self.stands.get(node.name):
+    def observe(self, node: Node) -> None:
+        found = views_of(node)
+        if found is None or found.view.number == self.installed.get(node.name):
             return
         view = found.view
-        self.stands[node.name] = view.number
+        self.installed[node.name] = view.number
         if view.number > self.newest:
             came, went = view.names - self.names, self.names - view.names
             self.newest, self.names, self.view = view.number, view.names, view
-            self.moves.append(Moved(self.fleet.now, view.number, came, went))
-        if self.moves and view.number == self.newest and node.name not in self.late:
-            self.moves[-1].last = self.fleet.now
+            self.changes.append(ViewChange(self.fleet.now, view.number, came, went))
+        if self.changes and view.number == self.newest and node.name not in self.delayed:
+            self.changes[-1].last_seen = self.fleet.now
 
     def healthy(self) -> list[Node]:
         return [
             node
             for node in self.fleet.nodes.values()
-            if node.fleet is not None and not node.stopped and node.name not in self.left_out
+            if node.fleet is not None and not node.stopped and node.name not in self.excluded
         ]
 
     def sample(self) -> None:
-        found = [one for node in self.healthy() if (one := views(node)) is not None]
+        found = [one for node in self.healthy() if (one := views_of(node)) is not None]
         numbers = {one.view.number for one in found if self.view.member(one.fleet.me.name) == one.self_member}
         self.samples += 1
-        self.same += len(numbers) <= 1
-        self.fleet.call(self.fleet.now + self.every, self.sample)
+        self.agreeing += len(numbers) <= 1
+        self.fleet.call(self.fleet.now + self.interval_seconds, self.sample)
 
     @property
-    def alike(self) -> float:
-        return self.same / max(1, self.samples)
+    def agreement_share(self) -> float:
+        return self.agreeing / max(1, self.samples)
 
     def clear(self) -> None:
-        self.samples = self.same = 0
-        self.moves.clear()
+        self.samples = self.agreeing = 0
+        self.changes.clear()
 
-    def whole(self, names: Iterable[str]) -> bool:
+    def has_converged(self, names: Iterable[str]) -> bool:
         """Whether each healthy one stands in one view of just these."""
         want = frozenset(names)
-        found = [views(node) for node in self.healthy()]
+        found = [views_of(node) for node in self.healthy()]
         return bool(found) and all(
             one is not None and one.is_member and one.view.names == want for one in found
         )
 
-    def run_until_whole(self, names: Iterable[str], longest: float) -> float:
+    def run_until_converged(self, names: Iterable[str], longest: float) -> float:
         """Seconds until each healthy one stands in a view of just these; -1: not within `longest`."""
         want, began = list(names), self.fleet.now
-        while not self.whole(want):
+        while not self.has_converged(want):
             if self.fleet.now - began >= longest:
                 return -1.0
             self.fleet.run(self.fleet.now + 0.1)
