--- a/tests/rollout/test_mixed_versions.py
+++ b/tests/rollout/test_mixed_versions.py
@@ -13,7 +13,7 @@
 from wheatring.lab.demo import play
 from wheatring.lab.live import process
 from wheatring.lab.live.fleet_rig import FleetRig, fencing_violations
-from wheatring.lab.scale.system import Running, System
+from wheatring.lab.scale.local_tier import LocalTier, RunningProcess
 
 PREVIOUS_IN_TIER = ("controller-1", "storage-2", "sidecar-1")
 PREVIOUS_IN_FLEET = ("d0", "d3")
@@ -42,14 +42,16 @@
     """Each turn goes through the other sidecar than the one before, and a replica is killed half way."""
     started: dict[str, bool] = {}
 
-    class MixedSystem(System):
-        def _start(self, name: str, role: str, arguments: list[str], more: dict[str, str]) -> Running:
+    class MixedTier(LocalTier):
+        def _start(
+            self, name: str, role: str, arguments: list[str], environment: dict[str, str]
+        ) -> RunningProcess:
             started[name] = name in PREVIOUS_IN_TIER
             if started[name]:
-                more = more | PREVIOUS_FIRST | {"PYTHONPATH": str(previous)}
-            return super()._start(name, role, arguments, more)
+                environment = environment | PREVIOUS_FIRST | {"PYTHONPATH": str(previous)}
+            return super()._start(name, role, arguments, environment)
 
-    monkeypatch.setattr(play, "System", MixedSystem)
+    monkeypatch.setattr(play, "LocalTier", MixedTier)
     asyncio.run(play.play())
     assert sum(started.values()) == len(PREVIOUS_IN_TIER) and len(started) == 8
     assert "the conversation was kept whole" in capsys.readouterr().out
--- a/tests/tier/test_capacity_page.py
+++ b/tests/tier/test_capacity_page.py
@@ -4,8 +4,8 @@
 
 from pathlib import Path
 
-from wheatring.lab.scale.run import SLOPES
-from wheatring.lab.scale.slopes import fit
+from wheatring.lab.scale.linear_fit import fit
+from wheatring.lab.scale.measurement import SLOPES
 
 PAGE = Path(__file__).parent.parent.parent / "docs" / "CAPACITY.md"
 
--- a/wheatring/lab/demo/__init__.py
+++ b/wheatring/lab/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A small whole tier on loopback, to see it work."""
+"""The demonstration: a small complete tier on loopback, and a conversation through it."""
--- a/wheatring/lab/demo/model_server.py
+++ b/wheatring/lab/demo/model_server.py
@@ -1,6 +1,4 @@
-"""A stand-in for an endpoint that runs a model: answers each prompt with a few events that tell its
-length.
-"""
+"""A stub of an endpoint that runs a model: it answers each prompt with a few events that name its length."""
 
 from __future__ import annotations
 
@@ -8,14 +6,14 @@
 import contextlib
 
 EVENTS = 4
-PAUSE_SECONDS = 0.03
+EVENT_INTERVAL_SECONDS = 0.03
 
 
 class ModelServer:
-    """One endpoint."""
+    """One endpoint, which serves a request at a time on each connection."""
 
-    def __init__(self, ident: str, host: str, port: int) -> None:
-        self.ident = ident
+    def __init__(self, endpoint_id: str, host: str, port: int) -> None:
+        self.endpoint_id = endpoint_id
         self.host = host
         self.port = port
         self._server: asyncio.Server | None = None
@@ -25,7 +23,7 @@
         self._server = await asyncio.start_server(self._serve, self.host, self.port)
 
     def close(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         if self._server is not None:
             self._server.close()
 
@@ -45,10 +43,10 @@
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nKeep-Alive: timeout=5\r\n"
             b"Wheatring-Request-Id: %s\r\nWheatring-Response-Signature: demo.%s.%s\r\n"
-            b"Transfer-Encoding: chunked\r\n\r\n" % (request_id, self.ident.encode(), request_id)
+            b"Transfer-Encoding: chunked\r\n\r\n" % (request_id, self.endpoint_id.encode(), request_id)
         )
         for number in range(1, EVENTS + 1):
-            await asyncio.sleep(PAUSE_SECONDS)
+            await asyncio.sleep(EVENT_INTERVAL_SECONDS)
             event = b"id: %d\ndata: piece %d on a prompt of %d bytes\n\n" % (number, number, len(body))
             writer.write(b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
--- a/wheatring/lab/demo/play.py
+++ b/wheatring/lab/demo/play.py
@@ -1,6 +1,4 @@
-"""Starts three controllers, three storage replicas, two sidecars and two endpoints, and plays a
-conversation.
-"""
+"""Plays a conversation through three controllers, three storage replicas, two sidecars and two endpoints."""
 
 from __future__ import annotations
 
@@ -14,10 +12,13 @@
 import httpx
 
 from wheatring.lab.demo.model_server import ModelServer
-from wheatring.lab.scale.system import CONTROL_PORT, StandInPlatform, System
+from wheatring.lab.scale.local_tier import CONTROL_PORT, LocalTier
+from wheatring.lab.scale.platform_stub import PlatformStub
 
 FRONT_PORT, ENDPOINT_PORT = 28149, 28080
-START_SECONDS = 15.0
+START_TIMEOUT_SECONDS = 15.0  # for the first configuration, and for each turn to be served
+RETRY_SECONDS = 0.2
+CALL_TIMEOUT_SECONDS = 5.0
 TURNS = 4
 HOST = "chat.example"
 
@@ -42,8 +43,8 @@
 }
 
 
-class DemoFailed(Exception):
-    """Something did not come about in time."""
+class DemoFailedError(Exception):
+    """A step of the demonstration did not succeed in time."""
 
 
 def _endpoints() -> list[ModelServer]:
@@ -53,7 +54,7 @@
 def _entries(servers: list[ModelServer]) -> list[dict[str, object]]:
     return [
         {
-            "id": server.ident,
+            "id": server.endpoint_id,
             "backend": "model",
             "address": f"{server.host}:{server.port}",
             "zone": "z1",
@@ -68,7 +69,7 @@
 
 async def _configure(client: httpx.AsyncClient) -> None:
     headers = {"Wheatring-Base-Revision": "0"}
-    for _ in range(int(START_SECONDS / 0.2)):
+    for _ in range(int(START_TIMEOUT_SECONDS / RETRY_SECONDS)):
         try:
             url = f"http://127.0.1.1:{CONTROL_PORT}/config/replace"
             reply = await client.post(url, content=json.dumps(CONFIGURATION), headers=headers)
@@ -76,8 +77,8 @@
                 return
         except httpx.HTTPError:
             pass
-        await asyncio.sleep(0.2)
-    raise DemoFailed("no controller has taken the configuration")
+        await asyncio.sleep(RETRY_SECONDS)
+    raise DemoFailedError("no controller has taken the configuration")
 
 
 async def _turn(client: httpx.AsyncClient, sidecar: str, number: int) -> list[str]:
@@ -91,48 +92,48 @@
     }
     if number > 1:
         headers["Previous"] = f"turn-{number - 1}"
-    for _ in range(int(START_SECONDS / 0.2)):
+    for _ in range(int(START_TIMEOUT_SECONDS / RETRY_SECONDS)):
         try:
             url = f"http://{sidecar}:{FRONT_PORT}/chat/x"
             reply = await client.post(url, content=f"question {number}. ".encode(), headers=headers)
         except httpx.HTTPError:
-            await asyncio.sleep(0.2)
+            await asyncio.sleep(RETRY_SECONDS)
             continue
         if reply.status_code == httpx.codes.OK:
             return [line[6:] for line in reply.text.splitlines() if line.startswith("data: ")]
         await asyncio.sleep(float(reply.headers.get("Retry-After", "0.2")))
-    raise DemoFailed(f"turn {number} was not served")
+    raise DemoFailedError(f"turn {number} was not served")
 
 
 async def play() -> None:
-    """Play it. Raises DemoFailed."""
+    """Play the demonstration. Raises DemoFailedError."""
     servers = _endpoints()
-    platform = StandInPlatform(0)
+    platform = PlatformStub(0)
     platform.entries.extend(_entries(servers))
     with tempfile.TemporaryDirectory() as folder:
-        system = System(Path(folder), controllers=3, storage=3, losses=1)
+        tier = LocalTier(Path(folder), controllers=3, storage=3, losses=1)
         try:
             await platform.start()
             for server in servers:
                 await server.start()
-            system.start()
+            tier.start()
             for number in (1, 2):
-                system.start_sidecar(number, FRONT_PORT)
-            async with httpx.AsyncClient(trust_env=False, timeout=5.0) as client:
-                await _converse(client, system)
+                tier.start_sidecar(number, FRONT_PORT)
+            async with httpx.AsyncClient(trust_env=False, timeout=CALL_TIMEOUT_SECONDS) as client:
+                await _converse(client, tier)
         finally:
-            system.close()
+            tier.close()
             platform.close()
             for server in servers:
                 server.close()
 
 
-async def _converse(client: httpx.AsyncClient, system: System) -> None:
+async def _converse(client: httpx.AsyncClient, tier: LocalTier) -> None:
     await _configure(client)
     click.echo("a configuration is in place; each turn goes through the other sidecar than the one before")
     for number in range(1, TURNS + 1):
         if number == 3:
-            system.stop(system.of("storage")[0], signal.SIGKILL)
+            tier.stop(tier.processes("storage")[0], signal.SIGKILL)
             click.echo("a storage replica is killed")
         sidecar = f"127.0.4.{1 + number % 2}"
         events = await _turn(client, sidecar, number)
--- a/wheatring/lab/scale/__init__.py
+++ b/wheatring/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""How the tier's cost grows: real controllers and storage replicas beside hollow sidecars on loopback."""
+"""The scale measurement: how the cost of control grows with the number of sidecars."""
--- a/wheatring/lab/scale/hollow.py
+++ b/wheatring/lab/scale/hollow_sidecars.py
@@ -1,7 +1,6 @@
-"""A process of hollow sidecars: the real subscription, storage client and budget code, with no clients of
-their own.
+"""A process of hollow sidecars: the real subscription, storage client and budget code, without clients.
 
-    python -m wheatring.lab.scale.hollow SETTINGS COUNT TURNS_PER_SECOND
+    python -m wheatring.lab.scale.hollow_sidecars SETTINGS COUNT TURNS_PER_SECOND
 
 writes one JSON object a line: `{"generation": G, "at": T}` once the last of its sidecars has a configuration
 in force (T in seconds of the machine's steady clock), and at its end, on SIGTERM, what it has received and
@@ -29,12 +28,15 @@
 from wheatring.turns.conversations import Conversations
 
 INPUT_BYTES, OUTPUT_BYTES = 4300, 640  # of a turn, as the small sites have them
-TURNS_OF_A_PROGRAM = 11
-TOKENS = 72
+TURNS_PER_PROGRAM = 11
+TOKENS_PER_TURN = 72
+BUDGET_TOKENS = 10**9
+STORAGE_TIMEOUT_SECONDS = 2.0
+TURN_INTERVAL_SECONDS = 0.1  # between two turns of a program
 
 
-class Hollow:
-    """One hollow sidecar."""
+class HollowSidecar:
+    """One sidecar without clients."""
 
     def __init__(self, settings: Settings, name: str, random: Random, process: HollowProcess) -> None:
         self.generation = 0
@@ -60,7 +62,7 @@
         generation = self.subscription.view.generation
         if generation > self.generation:
             self.generation = generation
-            self._process.applied()
+            self._process.report_applied()
 
 
 class HollowProcess:
@@ -69,66 +71,66 @@
     def __init__(self, settings: Settings, count: int, turns_per_second: float) -> None:
         self._random = Random(count)
         self.clients = ClientTable(settings.storage_port)
-        self._told = 0
+        self._reported_generation = 0
         self._turns_per_second = turns_per_second
         self.turns = self.failed = 0
         self.turn_seconds: list[float] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self.sidecars = [Hollow(settings, f"hollow-{n}", self._random, self) for n in range(count)]
+        self.sidecars = [HollowSidecar(settings, f"hollow-{n}", self._random, self) for n in range(count)]
 
-    def applied(self) -> None:
-        """One of them has a new configuration: tell once all have it."""
-        least = min(sidecar.generation for sidecar in self.sidecars)
-        if least > self._told:
-            self._told = least
-            print(json.dumps({"generation": least, "at": time.monotonic()}), flush=True)
+    def report_applied(self) -> None:
+        """Print the newest generation that all sidecars have, when it has changed."""
+        applied = min(sidecar.generation for sidecar in self.sidecars)
+        if applied > self._reported_generation:
+            self._reported_generation = applied
+            print(json.dumps({"generation": applied, "at": time.monotonic()}), flush=True)
 
     async def run(self) -> None:
-        """Until SIGTERM."""
+        """Run until SIGTERM, and print a summary."""
         loop = asyncio.get_running_loop()
         stopping = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, stopping.set)
-        loop.add_signal_handler(signal.SIGUSR1, self._tell_received)
+        loop.add_signal_handler(signal.SIGUSR1, self._report_received)
         for sidecar in self.sidecars:
-            self._keep(loop.create_task(sidecar.subscription.run()))
+            self._hold(loop.create_task(sidecar.subscription.run()))
         if self._turns_per_second > 0:
-            self._keep(loop.create_task(self._programs()))
+            self._hold(loop.create_task(self._programs()))
         await stopping.wait()
-        done = sorted(self.turn_seconds)
+        durations = sorted(self.turn_seconds)
         summary = {
             "received": TRAFFIC.received_bytes,
             "sent": TRAFFIC.sent_bytes,
             "turns": self.turns,
             "failed": self.failed,
-            "turn_p50_ms": round(done[len(done) // 2] * 1000, 2) if done else 0.0,
-            "turn_p99_ms": round(done[int(len(done) * 0.99)] * 1000, 2) if done else 0.0,
+            "turn_p50_ms": round(durations[len(durations) // 2] * 1000, 2) if durations else 0.0,
+            "turn_p99_ms": round(durations[int(len(durations) * 0.99)] * 1000, 2) if durations else 0.0,
         }
         print(json.dumps(summary), flush=True)
 
     @staticmethod
-    def _tell_received() -> None:
+    def _report_received() -> None:
         print(json.dumps({"received": TRAFFIC.received_bytes}), flush=True)
 
-    def _keep(self, task: asyncio.Task[None]) -> None:
+    def _hold(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _programs(self) -> None:
-        """Start programs so that so many turns a second come about."""
+        """Start programs at the rate that gives the wanted turns per second."""
         number = 0
         while True:
-            await asyncio.sleep(TURNS_OF_A_PROGRAM / self._turns_per_second)
+            await asyncio.sleep(TURNS_PER_PROGRAM / self._turns_per_second)
             number += 1
             sidecar = self.sidecars[number % len(self.sidecars)]
             if sidecar.subscription.view.placement.epoch:
-                self._keep(asyncio.get_running_loop().create_task(self._program(sidecar, number)))
+                self._hold(asyncio.get_running_loop().create_task(self._program(sidecar, number)))
 
-    async def _program(self, sidecar: Hollow, number: int) -> None:
-        """A conversation of several turns, each reserved, recorded and settled."""
+    async def _program(self, sidecar: HollowSidecar, number: int) -> None:
+        """Run a conversation of several turns, each reserved, recorded and settled."""
         conversations, budgets = Conversations(sidecar.store), TokenBudgets(sidecar.store)
         program = f"{id(self)}-{number}"
         ancestors: list[str] = []
-        for _ in range(TURNS_OF_A_PROGRAM):
+        for _ in range(TURNS_PER_PROGRAM):
             turn_id = f"{self._random.getrandbits(64):016x}"
             turn = Turn(
                 id=turn_id,
@@ -138,18 +140,20 @@
                 program=program,
                 retention_ms=60_000,
             )
-            began = time.monotonic()
+            started_at = time.monotonic()
             try:
-                await budgets.reserve(program, turn_id, TOKENS, 10**9, 2.0)
-                await conversations.record(turn, 2.0)
+                await budgets.reserve(
+                    program, turn_id, TOKENS_PER_TURN, BUDGET_TOKENS, STORAGE_TIMEOUT_SECONDS
+                )
+                await conversations.record(turn, STORAGE_TIMEOUT_SECONDS)
             except (QuorumNotReachedError, BudgetExceededError):
                 self.failed += 1
                 continue
-            budgets.settle(program, turn_id, TOKENS)
+            budgets.settle(program, turn_id, TOKENS_PER_TURN)
             self.turns += 1
-            self.turn_seconds.append(time.monotonic() - began)
+            self.turn_seconds.append(time.monotonic() - started_at)
             ancestors = [*ancestors, turn_id]
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(TURN_INTERVAL_SECONDS)
 
 
 async def _main() -> None:
--- a/wheatring/lab/scale/run.py
+++ b/wheatring/lab/scale/measurement.py
@@ -1,4 +1,4 @@
-"""The scale run: for each number of sidecars the same steps, and slopes through what they cost."""
+"""The scale measurement: for each number of sidecars the same steps, and lines through what they cost."""
 
 from __future__ import annotations
 
@@ -14,22 +14,29 @@
 
 import httpx
 
-from wheatring.lab.scale.slopes import Slope, fit
-from wheatring.lab.scale.system import CONTROL_PORT, Running, StandInPlatform, System, Used
+from wheatring.lab.scale.linear_fit import Slope, fit
+from wheatring.lab.scale.local_tier import CONTROL_PORT, LocalTier, ProcessUsage, RunningProcess
+from wheatring.lab.scale.platform_stub import PlatformStub
 
 IDLE_SECONDS = 5.0
 SETTLE_SECONDS = 1.5  # after a start, before anything is measured
 TURN_SECONDS = 6.0
-CHANGES = 10
+CHANGES = 10  # of the configuration, measured together
 HOLLOW_PER_PROCESS = 125
-ORDER_SECONDS = 15.0
+CONFIGURE_TIMEOUT_SECONDS = 15.0  # for a controller to accept a configuration
+RETRY_SECONDS = 0.05
+CALL_TIMEOUT_SECONDS = 1.5
+RESTART_SECONDS = 2.0  # for a controller that was started again to catch up
 ENDPOINTS = 1200
 ROUTES = 60
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """What one size has cost. Processor time is in ms of one core a second; memory in MB; bytes in KB."""
+    """The cost at one size. Processor time is in ms of one core, memory in MB, traffic in KB.
+
+    The names of the fields are keys of the JSON report.
+    """
 
     sidecars: int
     controller_idle_ms: float  # of the controller that used most, per second
@@ -38,9 +45,9 @@
     hollow_idle_kb: float  # received by one sidecar, per second
     hollow_change_kb: float  # and per change
     hollow_idle_ms: float  # of one sidecar, per second
-    apply_ms: float  # from the order to the last sidecar, at the most
+    apply_ms: float  # from the command to the last sidecar, the slowest change
     apply_after_kill_ms: float  # the same after the leader was killed, the election included
-    resync_ms: float  # for a third of the sidecars that have started anew to have everything
+    resync_ms: float  # for a third of the sidecars, started again, to have everything
     storage_turn_ms: float  # of all storage replicas, per turn
     storage_turn_kb: float  # sent and received by sidecars, per turn
     turn_p50_ms: float
@@ -48,7 +55,7 @@
 
 
 def configuration(generation: int) -> bytes:
-    """A configuration of a usual size."""
+    """Return a configuration of a usual size."""
     routes = [
         {
             "name": f"route-{number}",
@@ -68,62 +75,62 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spent:
-    """What all processes of a role have used over a span."""
+class ResourceUse:
+    """What the processes have used during a span of time."""
 
     seconds: float
-    controller_most_ms: float
+    busiest_controller_ms: float
     controllers_ms: float
     hollow_ms: float
     received_kb: float
 
 
-class Run:
-    """One size."""
+class SizeMeasurement:
+    """The measurement at one number of sidecars."""
 
     def __init__(self, folder: Path, sidecars: int, turns_per_second: float) -> None:
         self.sidecars = sidecars
-        self._turns = turns_per_second
-        self._longest = 0.0
-        self._told: dict[int, dict[str, float]] = {}  # by process: the newest generation and its time
-        self.system = System(folder, controllers=3, storage=3, losses=1)
+        self._turns_per_second = turns_per_second
+        self._slowest_change_seconds = 0.0
+        self._reports: dict[int, dict[str, float]] = {}  # by process: the newest generation and its time
+        self.tier = LocalTier(folder, controllers=3, storage=3, losses=1)
         self._generation = 0
-        self._hollow: list[Running] = []
+        self._hollow: list[RunningProcess] = []
 
     async def measure(self) -> Point:
-        """Start, measure, end."""
+        """Start the tier, measure, and end it."""
         try:
-            self.system.start()
-            await self._order()
+            self.tier.start()
+            await self._configure()
             self._start_hollow()
-            await self._in_force(time.monotonic())
-            return await self._steps()
+            await self._wait_until_applied(time.monotonic())
+            return await self._measure_steps()
         finally:
-            self.system.close()
+            self.tier.close()
 
     def _start_hollow(self) -> None:
-        left, number = self.sidecars, 0
+        remaining, number = self.sidecars, 0
         processes = -(-self.sidecars // HOLLOW_PER_PROCESS)
-        while left:
+        while remaining:
             number += 1
-            count = min(left, -(-self.sidecars // processes))
-            left -= count
-            self._hollow.append(self.system.start_hollow(number, count, 0.0))
+            count = min(remaining, -(-self.sidecars // processes))
+            remaining -= count
+            self._hollow.append(self.tier.start_hollow(number, count, 0.0))
 
-    async def _steps(self) -> Point:
+    async def _measure_steps(self) -> Point:
         await asyncio.sleep(SETTLE_SECONDS)
-        idle = await self._over(self._idle)
-        changes = await self._over(self._changes)
-        apply_seconds = self._longest
-        memory = max(used.memory_mb for used in self.system.used("controller"))
-        storage_ms, told = await self._turns_taken()
+        idle = await self._measure_during(self._idle)
+        changes = await self._measure_during(self._changes)
+        apply_seconds = self._slowest_change_seconds
+        memory = max(usage.memory_mb for usage in self.tier.usage("controller"))
+        storage_ms, summary = await self._measure_turns()
         after_kill = await self._change_after_kill()
         resync = await self._resync()
-        turns = max(1, told["turns"])
+        turns = max(1, summary["turns"])
         idle_change = idle.controllers_ms / idle.seconds * changes.seconds
         return Point(
             sidecars=self.sidecars,
-            controller_idle_ms=idle.controller_most_ms / idle.seconds,
+            controller_idle_ms=idle.busiest_controller_ms / idle.seconds,
             controller_change_ms=(changes.controllers_ms - idle_change) / CHANGES,
             controller_mb=memory,
             hollow_idle_kb=idle.received_kb / idle.seconds / self.sidecars,
@@ -133,24 +140,24 @@
             apply_after_kill_ms=after_kill * 1000,
             resync_ms=resync * 1000,
             storage_turn_ms=storage_ms / turns,
-            storage_turn_kb=(told["received"] + told["sent"]) / 1024 / turns,
-            turn_p50_ms=told["turn_p50_ms"],
-            turn_p99_ms=told["turn_p99_ms"],
+            storage_turn_kb=(summary["received"] + summary["sent"]) / 1024 / turns,
+            turn_p50_ms=summary["turn_p50_ms"],
+            turn_p99_ms=summary["turn_p99_ms"],
         )
 
-    async def _over(self, work: Callable[[], Coroutine[Any, Any, None]]) -> Spent:
-        """What everyone has used while something was done."""
-        controllers, hollow = self.system.used("controller"), self.system.used("hollow")
+    async def _measure_during(self, work: Callable[[], Coroutine[Any, Any, None]]) -> ResourceUse:
+        """Return what the processes use while some work is done."""
+        controllers, hollow = self.tier.usage("controller"), self.tier.usage("hollow")
         received = sum([await self._received(h) for h in self._hollow])
-        began = time.monotonic()
+        started_at = time.monotonic()
         await work()
-        seconds = time.monotonic() - began
-        spent = _between(controllers, self.system.used("controller"))
-        return Spent(
+        seconds = time.monotonic() - started_at
+        controller_ms = _processor_ms(controllers, self.tier.usage("controller"))
+        return ResourceUse(
             seconds=seconds,
-            controller_most_ms=max(spent),
-            controllers_ms=sum(spent),
-            hollow_ms=sum(_between(hollow, self.system.used("hollow"))),
+            busiest_controller_ms=max(controller_ms),
+            controllers_ms=sum(controller_ms),
+            hollow_ms=sum(_processor_ms(hollow, self.tier.usage("hollow"))),
             received_kb=(sum([await self._received(h) for h in self._hollow]) - received) / 1024,
         )
 
@@ -159,31 +166,34 @@
         await asyncio.sleep(IDLE_SECONDS)
 
     async def _changes(self) -> None:
-        self._longest = max([await self._change() for _ in range(CHANGES)])
+        self._slowest_change_seconds = max([await self._change() for _ in range(CHANGES)])
+
+    async def _measure_turns(self) -> tuple[float, dict[str, float]]:
+        """Measure the storage replicas while programs take turns.
 
-    async def _turns_taken(self) -> tuple[float, dict[str, float]]:
-        """Storage replicas' processor time (ms) while programs take turns, and what those told at their
-        end.
+        Returns
+        -------
+        The replicas' processor time in ms, and the summary that the programs print at their end.
         """
-        programs = self.system.start_hollow(0, 1, self._turns)
+        programs = self.tier.start_hollow(0, 1, self._turns_per_second)
         await asyncio.sleep(SETTLE_SECONDS)
-        before = self.system.used("storage")
+        before = self.tier.usage("storage")
         await asyncio.sleep(TURN_SECONDS)
-        spent = sum(_between(before, self.system.used("storage")))
-        told: dict[str, float] = json.loads(self.system.stop(programs)[-1])
-        return spent, told
+        storage_ms = sum(_processor_ms(before, self.tier.usage("storage")))
+        summary: dict[str, float] = json.loads(self.tier.stop(programs)[-1])
+        return storage_ms, summary
 
-    async def _received(self, hollow: Running) -> float:
-        """Bytes that a process of hollow sidecars has received so far."""
+    async def _received(self, hollow: RunningProcess) -> float:
+        """Return the bytes that a process of hollow sidecars has received so far."""
         hollow.process.send_signal(signal.SIGUSR1)
-        told = await asyncio.to_thread(_next_line, hollow, "received")
-        return told["received"]
+        report = await asyncio.to_thread(_next_report, hollow, "received")
+        return report["received"]
 
-    async def _order(self) -> None:
-        """Put the next configuration in place, at whichever controller takes it."""
+    async def _configure(self) -> None:
+        """Put the next configuration in place, by whichever controller accepts it."""
         base, self._generation = self._generation, self._generation + 1
-        deadline = time.monotonic() + ORDER_SECONDS
-        async with httpx.AsyncClient(trust_env=False, timeout=1.5) as client:
+        deadline = time.monotonic() + CONFIGURE_TIMEOUT_SECONDS
+        async with httpx.AsyncClient(trust_env=False, timeout=CALL_TIMEOUT_SECONDS) as client:
             while time.monotonic() < deadline:
                 for number in range(1, 4):
                     url = f"http://127.0.1.{number}:{CONTROL_PORT}/config/replace"
@@ -196,43 +206,43 @@
                         continue
                     if reply.status_code == httpx.codes.OK:
                         return
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(RETRY_SECONDS)
         raise TimeoutError("no controller has taken the configuration")
 
-    async def _in_force(self, since: float) -> float:
-        """Wait until all hollow sidecars have the newest configuration; seconds from then to the last one."""
-        last = 0.0
+    async def _wait_until_applied(self, since: float) -> float:
+        """Wait until all hollow sidecars have the newest configuration; return the seconds since `since`."""
+        last_at = 0.0
         for hollow in self._hollow:
-            last = max(last, await asyncio.to_thread(self._applied_at, hollow))
-        return last - since
+            last_at = max(last_at, await asyncio.to_thread(self._applied_at, hollow))
+        return last_at - since
 
-    def _applied_at(self, hollow: Running) -> float:
-        """When a process told that all its sidecars have the newest configuration."""
-        told = self._told.get(hollow.process.pid, {"generation": 0.0, "at": 0.0})
-        while told["generation"] < self._generation:
-            told = _next_line(hollow, "generation")
-        self._told[hollow.process.pid] = told
-        return told["at"]
+    def _applied_at(self, hollow: RunningProcess) -> float:
+        """Return when all sidecars of a process had the newest configuration."""
+        report = self._reports.get(hollow.process.pid, {"generation": 0.0, "at": 0.0})
+        while report["generation"] < self._generation:
+            report = _next_report(hollow, "generation")
+        self._reports[hollow.process.pid] = report
+        return report["at"]
 
     async def _change(self) -> float:
-        began = time.monotonic()
-        await self._order()
-        return await self._in_force(began)
+        started_at = time.monotonic()
+        await self._configure()
+        return await self._wait_until_applied(started_at)
 
     async def _change_after_kill(self) -> float:
-        """Kill the leader, and have a change made at once."""
+        """Kill the leader and change the configuration at once; return the seconds until all have it."""
         leader = await self._leader()
         number = int(leader.name.rpartition("-")[2])
-        self.system.stop(leader, signal.SIGKILL)
-        waited = await self._change()
-        self.system.start_role("controller", number, bootstrap=False)
-        await asyncio.sleep(2.0)
-        return waited
-
-    async def _leader(self) -> Running:
-        async with httpx.AsyncClient(trust_env=False, timeout=1.5) as client:
+        self.tier.stop(leader, signal.SIGKILL)
+        seconds = await self._change()
+        self.tier.start_role("controller", number, bootstrap=False)
+        await asyncio.sleep(RESTART_SECONDS)
+        return seconds
+
+    async def _leader(self) -> RunningProcess:
+        async with httpx.AsyncClient(trust_env=False, timeout=CALL_TIMEOUT_SECONDS) as client:
             for _ in range(50):
-                for running in self.system.of("controller"):
+                for running in self.tier.processes("controller"):
                     number = running.name.rpartition("-")[2]
                     try:
                         reply = await client.get(f"http://127.0.1.{number}:{CONTROL_PORT}/status")
@@ -244,34 +254,34 @@
         raise TimeoutError("nobody leads")
 
     async def _resync(self) -> float:
-        """A third of the sidecars go at once and come back."""
-        gone = self._hollow[: max(1, len(self._hollow) // 3)]
+        """Kill and restart a third of the sidecars; return the seconds until they have everything."""
+        killed = self._hollow[: max(1, len(self._hollow) // 3)]
         counts = {}
-        for hollow in gone:
+        for hollow in killed:
             arguments = hollow.process.args
             assert isinstance(arguments, list)
             counts[hollow.name] = int(str(arguments[-2]))
-            self.system.stop(hollow, signal.SIGKILL)
+            self.tier.stop(hollow, signal.SIGKILL)
             self._hollow.remove(hollow)
-        began = time.monotonic()
+        started_at = time.monotonic()
         for name, count in counts.items():
-            self._hollow.append(self.system.start_hollow(int(name.rpartition("-")[2]), count, 0.0))
-        return await self._in_force(began)
+            self._hollow.append(self.tier.start_hollow(int(name.rpartition("-")[2]), count, 0.0))
+        return await self._wait_until_applied(started_at)
 
 
-def _between(before: Sequence[Used], after: Sequence[Used]) -> list[float]:
-    """Processor time of each process, in ms."""
+def _processor_ms(before: Sequence[ProcessUsage], after: Sequence[ProcessUsage]) -> list[float]:
+    """Return the processor time that each process has used in between, in ms."""
     return [(b.cpu_seconds - a.cpu_seconds) * 1000 for a, b in zip(before, after, strict=True)]
 
 
-def _next_line(hollow: Running, key: str) -> dict[str, float]:
-    """The next line of a process that tells of something."""
+def _next_report(hollow: RunningProcess, key: str) -> dict[str, float]:
+    """Return the next line of a process that has `key`. Raises RuntimeError once the process has ended."""
     stdout = hollow.process.stdout
     assert stdout is not None
     while line := stdout.readline():
-        told: dict[str, float] = json.loads(line)
-        if key in told:
-            return told
+        report: dict[str, float] = json.loads(line)
+        if key in report:
+            return report
     raise RuntimeError(f"{hollow.name} has ended")
 
 
@@ -291,27 +301,35 @@
 
 
 def slopes(points: Sequence[Point]) -> dict[str, Slope]:
-    """A line through each figure over the number of sidecars."""
+    """Fit a line through each figure over the number of sidecars."""
     sizes = [point.sidecars for point in points]
     return {name: fit(sizes, [value(point) for point in points]) for name, value in SLOPES.items()}
 
 
 async def measure(sizes: Sequence[int], turns_per_second: float) -> list[Point]:
-    """Measure all sizes, one after the other."""
-    platform = StandInPlatform(ENDPOINTS)
+    """Measure all sizes, one after the other.
+
+    Parameters
+    ----------
+    sizes
+        Numbers of sidecars.
+    turns_per_second
+        Turns of all sidecars together, while storage is measured.
+    """
+    platform = PlatformStub(ENDPOINTS)
     await platform.start()
     points = []
     try:
         for size in sizes:
             with tempfile.TemporaryDirectory() as folder:
-                points.append(await Run(Path(folder), size, turns_per_second).measure())
+                points.append(await SizeMeasurement(Path(folder), size, turns_per_second).measure())
     finally:
         platform.close()
     return points
 
 
 def report(points: Sequence[Point], as_json: bool) -> str:
-    """The figures for a person, or for the page's table."""
+    """Return the figures as a table, or as JSON for the table of docs/CAPACITY.md."""
     lines = slopes(points)
     if as_json:
         values = {
--- a/wheatring/tier/__main__.py
+++ b/wheatring/tier/__main__.py
@@ -68,11 +68,11 @@
     """Start a small whole tier on loopback and play a conversation through it."""
     import asyncio
 
-    from wheatring.lab.demo.play import DemoFailed, play
+    from wheatring.lab.demo.play import DemoFailedError, play
 
     try:
         asyncio.run(play())
-    except DemoFailed as error:
+    except DemoFailedError as error:
         raise click.ClickException(str(error)) from error
 
 
@@ -84,7 +84,7 @@
     """Measure how the cost of control grows: real controllers and storage beside hollow sidecars."""
     import asyncio
 
-    from wheatring.lab.scale.run import measure, report
+    from wheatring.lab.scale.measurement import measure, report
 
     try:
         sizes = [int(size) for size in sidecars.split(",")]
