--- a/tests/ends/cold_figures.py
+++ b/tests/balancer/cold_figures.py
@@ -1,10 +1,10 @@
-"""`python -m tests.ends.cold_figures DAYS`: how many starts are sent too much, in so many drawn days each."""
+"""`python -m tests.balancer.cold_figures DAYS`: how many starts are sent too much, in drawn days."""
 
 from __future__ import annotations
 
 import sys
 
-from tests.ends.cold_fleet import Fleet, drawn
+from tests.balancer.cold_fleet import Fleet, drawn
 
 
 def main(days: int) -> None:
--- a/tests/draws.py
+++ b/tests/balancer/endpoint_model.py
@@ -1,6 +1,7 @@
 """One copy's decisions alone, played against a dozen nodes of which some are bad in one way.
 
-`python -m tests.draws` tells, for each way and number, what the bad ones get and how even the rest is.
+`python -m tests.balancer.endpoint_model` tells for each way and number what the bad ones get and how even the
+rest is.
 """
 
 from __future__ import annotations
--- a/tests/test_gate.py
+++ b/tests/balancer/test_admission.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from tests.balancer.endpoint_model import NODES
 from tests.conftest import Copy, entries
-from tests.draws import NODES
 from wheatring.balancer import interface as i
 from wheatring.balancer.admission import MIN_IN_FLIGHT
 from wheatring.balancer.latency_estimate import LatencyEstimate
--- a/tests/test_example.py
+++ b/tests/balancer/test_example.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-PAGE = Path(__file__).parent.parent / "docs" / "design" / "decisions.md"
+PAGE = Path(__file__).parents[2] / "docs" / "design" / "decisions.md"
 
 
 def test_the_example_of_the_decisions_runs(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_health.py
+++ b/tests/balancer/test_outlier_ejection.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.balancer.endpoint_model import CORES, GET, NODES, QUICK, WORK, Nodes
 from tests.conftest import Copy, entries
-from tests.draws import CORES, GET, NODES, QUICK, WORK, Nodes
 from wheatring.balancer import interface as i
 from wheatring.balancer.outlier_ejection import EVIDENCE
 
--- a/tests/test_module.py
+++ b/tests/balancer/test_package.py
@@ -11,7 +11,7 @@
 
 from wheatring.balancer import interface as i
 
-PACKAGE = Path(__file__).parent.parent / "wheatring" / "balancer"
+PACKAGE = Path(__file__).parents[2] / "wheatring" / "balancer"
 ADAPTERS = {"simulator", "simulator_messages", "settings_reader"}  # they read streams and JSON
 MESSAGES = {"actions", "endpoint_list", "events", "exceptions", "interface", "outcomes", "settings"}
 DECIDERS = sorted(path for path in PACKAGE.glob("*.py") if path.stem not in ADAPTERS)
--- a/tests/ends/test_cold.py
+++ b/tests/balancer/test_slow_start.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from tests.balancer.cold_fleet import Fleet, drawn
 from tests.conftest import CONTRACT, SAFE, Copy, entries
-from tests.ends.cold_fleet import Fleet, drawn
 from wheatring.balancer import interface as i
 
 O = i.Outcome
--- a/tests/test_thin_traffic.py
+++ b/tests/balancer/test_thin_traffic.py
@@ -5,9 +5,9 @@
 from collections import Counter
 from unittest.mock import patch
 
+from tests.balancer.endpoint_model import NODES
+from tests.balancer.test_admission import CHEAP, DEAR, admitted, keep
 from tests.conftest import Copy, entries
-from tests.draws import NODES
-from tests.test_gate import CHEAP, DEAR, admitted, keep
 from wheatring.balancer import interface as i
 from wheatring.balancer.outlier_ejection import OVERLOAD_REST_SECONDS
 
