--- a/wheatring/balancer/endpoint_load.py
+++ b/wheatring/balancer/endpoint_load.py
@@ -68,16 +68,11 @@
         usual = self.usual_slowness
         known = endpoint.outcomes * decay + PRIOR_OUTCOMES  # with few outcomes, what is usual is expected
         slowness = 1 + (endpoint.excess_latency * decay + PRIOR_OUTCOMES * (usual - 1)) / known
-        slowness = max(slowness / usual, self._missing_answers(now, endpoint) / SILENT_ANSWERS)
-        crowd = (1 + self._reported_in_flight(now, endpoint)) / (1 + self.mean_reported)
-        crowd /= endpoint.entry.rating or 1.0
+        # Answers that it should have sent since its last one.
+        missing = (now - endpoint.progressed_at) * endpoint.in_flight / (self.latency.mean or inf)
+        slowness = max(slowness / usual, missing / SILENT_ANSWERS)
+        mean = reported = self.mean_reported
+        if endpoint.reported_at:  # an old report says no more than the mean
+            reported += (endpoint.reported_in_flight - mean) * exp(endpoint.reported_at - now)
+        crowd = (1 + reported) / (1 + mean) / (endpoint.entry.rating or 1.0)
         return slowness * crowd * (1 + FAILURE_WEIGHT * endpoint.failures * decay / known)
-
-    def _missing_answers(self, now: float, endpoint: Endpoint) -> float:
-        """Return how many answers an endpoint should have sent since its last one."""
-        return (now - endpoint.progressed_at) * endpoint.in_flight / (self.latency.mean or inf)
-
-    def _reported_in_flight(self, now: float, endpoint: Endpoint) -> float:
-        """Return the requests in flight by the last report; an old one says no more than the mean."""
-        decay = exp(endpoint.reported_at - now) if endpoint.reported_at else 0.0
-        return self.mean_reported + (endpoint.reported_in_flight - self.mean_reported) * decay
--- a/wheatring/balancer/outlier_ejection.py
+++ b/wheatring/balancer/outlier_ejection.py
@@ -90,7 +90,7 @@
     def are_most_unhealthy(self) -> bool:
         """Whether more than half of the ready endpoints are unhealthy."""
         ready = self.pool.ready
-        return 2 * sum([endpoint.ejections > 0 for endpoint in ready]) > len(ready)
+        return 2 * len([each for each in ready if each.ejections]) > len(ready)
 
     def is_available(self, now: float, endpoint: Endpoint) -> bool:
         """Whether an attempt may go to an endpoint now, as far as its health goes."""
--- a/wheatring/balancer/selection.py
+++ b/wheatring/balancer/selection.py
@@ -70,7 +70,8 @@
     def _draws(self, request: ActiveRequest) -> Iterable[list[Endpoint]]:
         """Draw endpoints for a request, from wider each time; the last time all of them, in random order."""
         pool = self.pool
-        scope = self._repeat_scope(request)
+        first = request.first_run_endpoint
+        scope = self._repeat_scope(request, first) if first is not None else None
         sources = [pool.local, pool.local, pool.ready, pool.ready] if scope is None else [scope, scope]
         for source in sources:
             yield self._draw(source)
@@ -80,11 +81,10 @@
         else:  # draws would miss the few that are not ejected
             yield self.random.sample(last, len(last))
 
-    def _repeat_scope(self, request: ActiveRequest) -> list[Endpoint] | None:
-        """Return the endpoints that drop repeats of what may have run; None: it may go to any."""
-        first = request.first_run_endpoint
+    def _repeat_scope(self, request: ActiveRequest, first: Endpoint) -> list[Endpoint] | None:
+        """Return the endpoints that drop repeats of what may have run at `first`; None: it may go to any."""
         request_class = request.request_class
-        if first is None or request_class.idempotency is not KEYED:
+        if request_class.idempotency is not KEYED:
             return None
         scope = request_class.repeat_scope
         if scope is RepeatScope.ALL:
