--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -149,12 +149,12 @@
     one.start(Held())
     entries = tuple(EndpointEntry(name, EndpointState.READY) for name in ("a", "b"))
     one.on_list(View(ViewKind.FULL, entries, 7))
-    one.on_announcement(Heartbeat("list", 5, 2, 8, ("a", "stranger")))
+    one.on_heartbeat(Heartbeat("list", 5, 2, 8, ("a", "stranger")))
     assert [(e.endpoint, e.state) for e in views[-1].entries] == [("a", EndpointState.DRAINING)]
-    one.on_announcement(Heartbeat("list", 4, 9, 9, ("b",)))  # of an older term
-    one.on_announcement(Heartbeat("list", 5, 1, 9, ("b",)))  # overtaken
+    one.on_heartbeat(Heartbeat("list", 4, 9, 9, ("b",)))  # of an older term
+    one.on_heartbeat(Heartbeat("list", 5, 1, 9, ("b",)))  # overtaken
     assert one.held_back == {"a", "stranger"}
-    one.on_announcement(
+    one.on_heartbeat(
         Heartbeat("list", 5, 3, 7, ())
     )  # no newer than the own list: there is nothing to hold back
     assert one.held_back == frozenset()
--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -13,7 +13,7 @@
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
-from wheatring.peers.agreement import LEADER_DUTY, Agreement
+from wheatring.peers.agreement import LEADER_SETTINGS, Agreement
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.plan_coordinator import PlanCoordinator
 
@@ -30,7 +30,13 @@
         self.told: list[tuple[float, str, str, dict[str, Any]]] = []
         self.weights: dict[str, dict[str, Mapping[str, int]]] = {}
         self.cluster = Cluster(
-            1, size, VoterSet(first_voters(3)), [LEADER_DUTY], LeaseTiming(), SwimTiming(), pieces=self.pieces
+            1,
+            size,
+            VoterSet(first_voters(3)),
+            [LEADER_SETTINGS],
+            LeaseTiming(),
+            SwimTiming(),
+            pieces=self.pieces,
         )
         for node in self.cluster.nodes.values():
             self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
--- a/tests/stories/fleet.py
+++ b/tests/stories/fleet.py
@@ -20,7 +20,7 @@
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
-from wheatring.peers.agreement import LEADER_DUTY, Agreement
+from wheatring.peers.agreement import LEADER_SETTINGS, Agreement
 
 LOOK = 0.1  # seconds of virtual time between two looks at whether something is so
 
@@ -33,7 +33,7 @@
             seed,
             size,
             VoterSet(first_voters(voters)),
-            [LEADER_DUTY],
+            [LEADER_SETTINGS],
             LeaseTiming(),
             SwimTiming(),
             pieces=self.pieces,
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -93,7 +93,7 @@
     """Exchange messages with the other sidecars, and carry out the duties that this one acquires."""
     from wheatring.admin.calls import PLAN
     from wheatring.peers.assembly import build_fleet
-    from wheatring.peers.operator_calls import PlanCalls, duty_calls
+    from wheatring.peers.operator_calls import PlanCalls, role_calls
 
     set_weights = None if sidecar.pools is None else sidecar.pools.router.apply_plan_weights
     fleet, sharing = build_fleet(
@@ -101,7 +101,7 @@
     )
     sidecar.fleet, sidecar.list_sharing = fleet, sharing
     if sidecar.desk is not None:
-        sidecar.desk.fleet = duty_calls(fleet, configuration)
+        sidecar.desk.fleet = role_calls(fleet, configuration)
         if configuration.plan is not None and sidecar.door is not None:
             sidecar.desk.plans = PlanCalls(fleet)
             sidecar.door.body = PLAN
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -18,7 +18,7 @@
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
-from wheatring.peers.agreement import LEADER_DUTY
+from wheatring.peers.agreement import LEADER_SETTINGS
 from wheatring.plan.agent import PlanAgent
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.plan.document import CommittedPlan, Plan, PlanMatch, PlanRoute
@@ -115,7 +115,7 @@
             seed,
             size,
             VoterSet(first_voters(VOTERS)),
-            [LEADER_DUTY],
+            [LEADER_SETTINGS],
             TERMS,
             SwimTiming(),
             zones=2,
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -25,7 +25,7 @@
 from wheatring.members.messages import ViewMember
 from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
-from wheatring.peers.agreement import LEADER_DUTY
+from wheatring.peers.agreement import LEADER_SETTINGS
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.document import Plan
 from wheatring.skew.capabilities import LEGACY_CAPABILITIES, Capabilities, local_capabilities
@@ -48,7 +48,7 @@
         self.random = Random(f"skew:{seed}")
         voters = VoterSet(first_voters(VOTERS))
         self.cluster = Cluster(
-            seed, size, voters, [LEADER_DUTY], LeaseTiming(), SwimTiming(), pieces=self._pieces
+            seed, size, voters, [LEADER_SETTINGS], LeaseTiming(), SwimTiming(), pieces=self._pieces
         )
         self.cluster.after = self._after
         self.skew = skew
--- a/wheatring/lab/agreement/view_fleet.py
+++ b/wheatring/lab/agreement/view_fleet.py
@@ -15,7 +15,7 @@
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
-from wheatring.peers.agreement import LEADER_DUTY, Agreement
+from wheatring.peers.agreement import LEADER_SETTINGS, Agreement
 
 MakePieces = Callable[[Instant, Fleet], list[FleetComponent]]
 
@@ -32,7 +32,7 @@
         seed,
         size,
         VoterSet(first_voters(voters)),
-        [LEADER_DUTY],
+        [LEADER_SETTINGS],
         LeaseTiming(term),
         SwimTiming(),
         zones=2,
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:  # what belongs to plans is imported with them
     from wheatring.peers.plan_coordinator import PlanCoordinator
 
-LEADER_DUTY = RoleSettings(LEADER_ROLE, voters_only=True)
+LEADER_SETTINGS = RoleSettings(LEADER_ROLE, voters_only=True)
 VIEW_MESSAGES: Any = FleetMessage | RegisterMessage | ViewMessage
 UNREACHED_SECONDS = 3.0  # without an answer, after which a watched member is listed as not answering
 
--- a/wheatring/peers/assembly.py
+++ b/wheatring/peers/assembly.py
@@ -15,10 +15,10 @@
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.messages import MemberInfo
-from wheatring.peers.duty_workers import DutyWorker, HttpDutyWorker, PassiveWorker
 from wheatring.peers.fleet_runtime import FleetRuntime
 from wheatring.peers.list_sharing import ListSharing
 from wheatring.peers.options import FleetOptions, PlanOptions
+from wheatring.peers.role_workers import HttpRoleWorker, PassiveWorker, RoleWorker
 
 SetWeights = Callable[[str, Mapping[str, int]], None]
 
@@ -36,7 +36,7 @@
     Parameters
     ----------
     on_view : Callable[[View], None]
-        Receives the endpoint list, where sharing it is a duty.
+        Receives the endpoint list, where sharing it is a role.
     set_weights : SetWeights | None
         Receives each route's weights by the fleet's plan.
 
@@ -48,7 +48,7 @@
     random = Random(f"{platform.seed}:fleet")
     runtime = FleetRuntime(reactor, clock, fleet_options(platform, configuration, set_weights), random)
     settings = platform.settings
-    workers: dict[str, DutyWorker] = {}
+    workers: dict[str, RoleWorker] = {}
     sharing = None
     for name, duty in configuration.duty.items():
         if duty.work == "list":
@@ -57,7 +57,7 @@
             )
             workers[name] = sharing
         else:
-            workers[name] = duty_worker(reactor, clock, runtime, name, duty)
+            workers[name] = role_worker(reactor, clock, runtime, name, duty)
     runtime.workers, runtime.started_with = workers, configuration
     return runtime, sharing
 
@@ -72,14 +72,14 @@
     assert fleet is not None
     voters = voters_of(fleet)
     own_address = address.parse(fleet.address or fleet.listen)
-    duties = [
+    roles = [
         RoleSettings(name, duty.places, duty.near, duty.idle or inf, on_request=duty.work == "turns")
         for name, duty in configuration.duty.items()
     ]
     if fleet.view:
-        from wheatring.peers.agreement import LEADER_DUTY
+        from wheatring.peers.agreement import LEADER_SETTINGS
 
-        duties.append(LEADER_DUTY)
+        roles.append(LEADER_SETTINGS)
     plan = None if configuration.plan is None else plan_options(configuration.plan, set_weights)
     return FleetOptions(
         fleet=fleet.name,
@@ -89,7 +89,7 @@
         listen=address.parse(fleet.listen),
         seeds=[address.parse(seed) for seed in fleet.seeds],
         voters=voters,
-        duties=duties,
+        roles=roles,
         terms=LeaseTiming(fleet.term),
         keys=project_file.read_keys(fleet.key_file),
         view=fleet.view,
@@ -108,13 +108,13 @@
     return PlanOptions(formats, set_weights or (lambda _route, _weights: None), write_log, first_plan)
 
 
-def duty_worker(
+def role_worker(
     reactor: Any, clock: Clock, runtime: FleetRuntime, name: str, duty: project_file.DutyTable
-) -> DutyWorker:
-    """Build the worker of a duty other than `list`."""
+) -> RoleWorker:
+    """Build the worker of a role other than `list`."""
     if duty.call is None:
         return PassiveWorker()
-    return HttpDutyWorker(reactor, clock, runtime, name, address.parse(duty.call), duty.path, duty.every)
+    return HttpRoleWorker(reactor, clock, runtime, name, address.parse(duty.call), duty.path, duty.every)
 
 
 def voters_of(fleet: project_file.FleetTable) -> VoterSet:
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -1,4 +1,4 @@
-"""Runs the fleet's deciders of one sidecar on the reactor: gives them sockets, clocks and duty workers."""
+"""Runs the fleet's deciders of one sidecar on the reactor: gives them sockets, clocks and role workers."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from wheatring.peers.change_log import ChangeLog
 from wheatring.peers.datagram_codec import MAX_DATAGRAM_BYTES, DatagramCodec
 from wheatring.peers.datagram_socket import DatagramSocket
-from wheatring.peers.duty_workers import DutyWorker
 from wheatring.peers.list_sharing import ListSharing
 from wheatring.peers.options import FleetOptions
+from wheatring.peers.role_workers import RoleWorker
 
 if TYPE_CHECKING:  # what belongs to agreed views is imported with them
     from wheatring.config.project_file import ProjectFile
@@ -45,10 +45,10 @@
 
 
 class FleetRuntime:
-    """One sidecar's membership, votes and duties, from its start to its end.
+    """One sidecar's membership, votes and roles, from its start to its end.
 
     Messages and instants go to the decider (`lease.fleet.Fleet`); what that returns is carried out here.
-    `workers` carry out the duties, by their names; `started_with` is the configuration file of the start.
+    `workers` carry out the roles, by their names; `started_with` is the configuration file of the start.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         messages: Any = self._prepare_agreement() if options.view else FleetMessage
         self.codec = DatagramCodec(options.fleet, self.me.name, self.start_ms, options.keys, messages)
         self.socket = DatagramSocket(clock, self.codec, self.on_message)
-        self.workers: Mapping[str, DutyWorker] = {}
+        self.workers: Mapping[str, RoleWorker] = {}
         self.started_with: ProjectFile | None = None
         self.fleet: Fleet | None = None  # once it has its port
         self.port: Any = None
@@ -124,7 +124,7 @@
             self.me = self.me._replace(port=where.port)
         options, at = self.options, self.instant()
         self.fleet = Fleet(
-            at, self.me, self.start_ms, options.seeds, options.voters, options.duties, options.terms,
+            at, self.me, self.start_ms, options.seeds, options.voters, options.roles, options.terms,
             SwimTiming(), self.random,
         )  # fmt: skip
         if self.make_agreement is not None:
@@ -158,7 +158,7 @@
         self.timer = self.clock.at(self.clock.now() + PORT_RETRY_SECONDS, self.start)
 
     def leave(self) -> None:
-        """Give all duties back, announce the leave, and release the port."""
+        """Give all roles back, announce the leave, and release the port."""
         if self.is_closed:
             return
         if self.fleet is not None:
@@ -212,14 +212,14 @@
         for fetch in fetches:
             if self.transfers is not None:
                 self.transfers.fetch(fetch)
-        announcements, fleet.heartbeats = fleet.heartbeats, []
-        for announcement in announcements:
-            worker = self.workers.get(announcement.role)
+        heartbeats, fleet.heartbeats = fleet.heartbeats, []
+        for heartbeat in heartbeats:
+            worker = self.workers.get(heartbeat.role)
             if isinstance(worker, ListSharing):
-                worker.on_announcement(announcement)
+                worker.on_heartbeat(heartbeat)
         changes, fleet.role_changes = fleet.role_changes, []
         for change in changes:
-            self._on_duty_changed(change)
+            self._on_role_changed(change)
         self.change_log.log_members(fleet)
         if self.agreement is not None:
             self.change_log.log_view(self.agreement.views, self.clock.now())
@@ -236,7 +236,7 @@
             else:
                 self.socket.send(address, message)
 
-    def _on_duty_changed(self, change: RoleChange) -> None:
+    def _on_role_changed(self, change: RoleChange) -> None:
         if change.reason:
             log.line("duty-over", duty=change.role, epoch=change.epoch)
         else:
@@ -254,30 +254,30 @@
 
     # Duties, for their workers
 
-    def active_epoch(self, duty: str) -> int | None:
-        """Return the epoch to act in, asked for right before each action; None: the duty isn't held here."""
+    def active_epoch(self, role: str) -> int | None:
+        """Return the epoch to act in, asked for right before each action; None: the role isn't held here."""
         if self.fleet is None or self.is_closed:
             return None
-        return self.fleet.roles[duty].epoch_to_act(self.boot())
+        return self.fleet.roles[role].epoch_to_act(self.boot())
 
-    def record_action(self, duty: str) -> None:
-        """Note that a duty's work was done now."""
+    def record_action(self, role: str) -> None:
+        """Note that a role's work was done now."""
         if self.fleet is not None:
-            self.fleet.roles[duty].note_activity(self.boot())
+            self.fleet.roles[role].note_activity(self.boot())
 
-    def on_newer_epoch(self, duty: str, epoch: int) -> None:
-        """Give a duty back, as a receiver has seen this higher epoch, and compete for a still higher one."""
+    def on_newer_epoch(self, role: str, epoch: int) -> None:
+        """Give a role back, as a receiver has seen this higher epoch, and compete for a still higher one."""
         fleet = self.fleet
         if fleet is None or self.is_closed:
             return
-        for claimant in fleet.roles[duty].proposers:
+        for claimant in fleet.roles[role].proposers:
             claimant.note_epoch(epoch)
-        self.dispatch(fleet.release_role(self.instant(), duty, 0.0))
+        self.dispatch(fleet.release_role(self.instant(), role, 0.0))
 
-    def announce(self, announcement: Heartbeat) -> None:
-        """Send a holder's announcement to all sidecars of the tier."""
+    def send_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Send a holder's heartbeat to all sidecars of the tier."""
         if self.fleet is not None and not self.is_closed:
-            self.dispatch(self.fleet.broadcast(announcement))
+            self.dispatch(self.fleet.broadcast(heartbeat))
 
     # Requests of operators and of the configuration
 
@@ -311,17 +311,17 @@
             return {"waits": NOT_JOINED}
         return self.agreement.plan.status(self.instant())
 
-    def release_duty(self, duty: str) -> bool:
-        """Give a duty back, and keep out of the queue for it a while; False: it isn't held here."""
-        if self.fleet is None or self.is_closed or self.active_epoch(duty) is None:
+    def release_role(self, role: str) -> bool:
+        """Give a role back, and keep out of the queue for it a while; False: it isn't held here."""
+        if self.fleet is None or self.is_closed or self.active_epoch(role) is None:
             return False
-        self.dispatch(self.fleet.release_role(self.instant(), duty))
+        self.dispatch(self.fleet.release_role(self.instant(), role))
         return True
 
-    def set_wanted(self, duty: str, is_wanted: bool) -> None:
-        """Queue for a duty that only those who want it compete for, or leave the queue."""
+    def set_wanted(self, role: str, is_wanted: bool) -> None:
+        """Queue for a role that only those who want it compete for, or leave the queue."""
         if self.fleet is not None and not self.is_closed:
-            self.dispatch(self.fleet.request_role(self.instant(), duty, is_wanted))
+            self.dispatch(self.fleet.request_role(self.instant(), role, is_wanted))
 
     def change_voters(self, voters: VoterSet) -> str:
         """Go by other voters from now on; return why not, or "" where it does."""
@@ -345,7 +345,7 @@
             "health": fleet.members.health.score,
             "view": None if self.agreement is None else self.agreement.status(at.now),
             "members": fleet_status.member_rows(fleet, at),
-            "duties": fleet_status.duty_rows(fleet, at),
+            "duties": fleet_status.role_rows(fleet, at),
             "lists": {name: worker.status() for name, worker in sharing.items()},
             "datagrams": fleet_status.datagram_counts(self.socket),
         }
--- a/wheatring/peers/fleet_status.py
+++ b/wheatring/peers/fleet_status.py
@@ -23,20 +23,20 @@
     ]  # fmt: skip
 
 
-def duty_rows(fleet: Fleet, at: Instant) -> list[dict[str, Any]]:
-    """Describe each place of each duty; `left_s` are the seconds until the lease held here ends."""
+def role_rows(fleet: Fleet, at: Instant) -> list[dict[str, Any]]:
+    """Describe each place of each role; `left_s` are the seconds until the lease held here ends."""
     rows = []
-    for name, plan in fleet.role_settings.items():
-        duty = fleet.roles[name]
-        for place in range(plan.slots):
+    for name, settings in fleet.role_settings.items():
+        role = fleet.roles[name]
+        for place in range(settings.slots):
             holder, epoch = fleet.last_known_holder(name, place)
-            lease = duty.held_lease
+            lease = role.held_lease
             is_here = lease is not None and lease.lease == f"{name}/{place}"
             left = lease.held_until - at.boot if lease is not None and is_here else None
             rows.append(
                 {
                     "duty": name, "place": place, "holder": holder, "epoch": epoch, "here": is_here,
-                    "left_s": None if left is None else round(left, 2), "rank": duty.rank,
+                    "left_s": None if left is None else round(left, 2), "rank": role.rank,
                 }
             )  # fmt: skip
     return rows
--- a/wheatring/peers/list_sharing.py
+++ b/wheatring/peers/list_sharing.py
@@ -1,4 +1,4 @@
-"""The duty `list`: its holder watches the endpoint list for all sidecars, the others follow.
+"""The role `list`: its holder watches the endpoint list for all sidecars, the others follow.
 
 What the holder announces of nodes that drain or have gone is laid over the own list until that is as new.
 Nothing that it announces makes a sidecar send to a node: only its own list can name one.
@@ -16,10 +16,10 @@
 from wheatring.lifecycle.byhand import ByHand
 from wheatring.lifecycle.following import Following
 
-ANNOUNCE_INTERVAL_SECONDS = 1.0  # of the holder
+HEARTBEAT_INTERVAL_SECONDS = 1.0  # of the holder
 WATCH_CHECK_SECONDS = 0.25  # between two checks whether to watch
-MAX_ANNOUNCED_NODES = 20  # in one announcement: of more, the others hear by their own lists
-ANNOUNCED_FOR_SECONDS = 60.0  # after a node began to drain or was gone
+MAX_REPORTED_NODES = 20  # in one heartbeat: of more, the others hear by their own lists
+REPORTED_FOR_SECONDS = 60.0  # after a node began to drain or was gone
 
 
 class EndpointList(Protocol):
@@ -37,21 +37,21 @@
         """Watch it no more, and keep what is known."""
 
 
-class ListDutyHolder(Protocol):
-    """The fleet, as the holder of the duty asks and uses it."""
+class ListRoleHolder(Protocol):
+    """The fleet, as the holder of the role asks and uses it."""
 
-    def active_epoch(self, duty: str) -> int | None:
+    def active_epoch(self, role: str) -> int | None:
         """Return the epoch to act in; None: this sidecar doesn't hold the duty."""
 
-    def record_action(self, duty: str) -> None:
-        """Note that the duty's work was done now."""
+    def record_action(self, role: str) -> None:
+        """Note that the role's work was done now."""
 
-    def announce(self, announcement: Heartbeat) -> None:
-        """Send an announcement to all sidecars of the tier."""
+    def send_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Send a heartbeat to all sidecars of the tier."""
 
 
 class ListSharing:
-    """Decides whether this sidecar watches the endpoint list, and merges its holder's announcements.
+    """Decides whether this sidecar watches the endpoint list, and merges its holder's heartbeats.
 
     It stands between the list's client, which calls `on_list`, and `on_view`.
     """
@@ -59,23 +59,23 @@
     def __init__(
         self,
         clock: Clock,
-        fleet: ListDutyHolder,
-        duty: str,
+        fleet: ListRoleHolder,
+        role: str,
         copies: int,
         number: int,
         on_view: Callable[[View], None],
     ) -> None:
         self.clock = clock
         self.fleet = fleet
-        self.duty = duty
+        self.role = role
         self.following = Following(copies, number)
         self.overlay = ByHand(on_view)
         self.endpoint_list: EndpointList | None = None
-        self.gone: dict[str, float] = {}  # nodes that drain or have gone by the own list, and since when
+        self.withdrawn: dict[str, float] = {}  # nodes that drain or have gone by the own list, and since when
         self.held_back: frozenset[str] = frozenset()  # those of the holder, laid over the own list
-        self.epoch: int | None = None  # in which this sidecar holds the duty
-        self.seq = 0  # of the last announcement
-        self.newest_heard = (0, 0)  # epoch and sequence number of the newest announcement received
+        self.epoch: int | None = None  # in which this sidecar holds the role
+        self.seq = 0  # of the last heartbeat
+        self.newest_heard = (0, 0)  # epoch and sequence number of the newest heartbeat received
         self.timer: Timer | None = None
         self.is_stopped = False
 
@@ -91,19 +91,19 @@
         """Take up an update of the own list, and pass it on."""
         now = self.clock.now()
         if view.kind is not ViewKind.FAILED:
-            self._note_gone(now, view)
+            self._record_withdrawn(now, view)
         self.overlay.view(view)
         if view.kind is not ViewKind.FAILED and self.following.read(view.version):
             self.hold_back(frozenset())
 
-    def _note_gone(self, now: float, view: View) -> None:
+    def _record_withdrawn(self, now: float, view: View) -> None:
         if view.kind is not ViewKind.DELTA:
-            self.gone.clear()
+            self.withdrawn.clear()
         for entry in view.entries:
             if entry.state is EndpointState.READY:
-                self.gone.pop(entry.endpoint, None)
+                self.withdrawn.pop(entry.endpoint, None)
             else:
-                self.gone.setdefault(entry.endpoint, now)
+                self.withdrawn.setdefault(entry.endpoint, now)
 
     def should_watch(self) -> bool:
         """Whether this sidecar is to watch the list itself."""
@@ -130,41 +130,41 @@
     # As the holder
 
     def on_epoch_changed(self, epoch: int | None) -> None:
-        """Begin to announce, as this sidecar has acquired the duty, or end."""
+        """Begin to announce, as this sidecar has acquired the role, or end."""
         self.epoch = epoch
         if epoch is not None:
             self.seq = 0
-            self.announce(epoch)
+            self.send_heartbeat(epoch)
 
-    def announce(self, epoch: int) -> None:
+    def send_heartbeat(self, epoch: int) -> None:
         """Announce the own list's version and nodes gone, each second as long as this epoch lasts."""
-        if self.is_stopped or epoch != self.epoch or self.fleet.active_epoch(self.duty) != epoch:
+        if self.is_stopped or epoch != self.epoch or self.fleet.active_epoch(self.role) != epoch:
             return
         now = self.clock.now()
-        self.clock.at(now + ANNOUNCE_INTERVAL_SECONDS, self.announce, epoch)
+        self.clock.at(now + HEARTBEAT_INTERVAL_SECONDS, self.send_heartbeat, epoch)
         endpoint_list = self.endpoint_list
         # Without a list, or after its watch has failed, there is nothing to announce: then the others watch.
         if endpoint_list is None or endpoint_list.version is None or not endpoint_list.watching:
             return
-        self.gone = {name: at for name, at in self.gone.items() if now - at < ANNOUNCED_FOR_SECONDS}
-        newest_first = sorted(self.gone, key=lambda name: (-self.gone[name], name))
-        nodes = tuple(newest_first[:MAX_ANNOUNCED_NODES])
+        self.withdrawn = {name: at for name, at in self.withdrawn.items() if now - at < REPORTED_FOR_SECONDS}
+        newest_first = sorted(self.withdrawn, key=lambda name: (-self.withdrawn[name], name))
+        nodes = tuple(newest_first[:MAX_REPORTED_NODES])
         self.seq += 1
-        self.fleet.record_action(self.duty)
-        self.fleet.announce(Heartbeat(self.duty, epoch, self.seq, endpoint_list.version, nodes))
+        self.fleet.record_action(self.role)
+        self.fleet.send_heartbeat(Heartbeat(self.role, epoch, self.seq, endpoint_list.version, nodes))
 
     # As a follower
 
-    def on_announcement(self, announcement: Heartbeat) -> None:
-        """Take up an announcement of the holder, unless a newer one was received."""
-        order = (announcement.epoch, announcement.sequence)
+    def on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Take up a heartbeat of the holder, unless a newer one was received."""
+        order = (heartbeat.epoch, heartbeat.sequence)
         if self.is_stopped or self.endpoint_list is None or order <= self.newest_heard:
             return
         self.newest_heard = order
         own = self.endpoint_list.version
-        self.following.beat(self.clock.now(), announcement.age_seconds, announcement.generation, own)
-        is_newer = own is not None and announcement.generation > own
-        self.hold_back(frozenset(announcement.withdrawn if is_newer else ()))
+        self.following.beat(self.clock.now(), heartbeat.age_seconds, heartbeat.generation, own)
+        is_newer = own is not None and heartbeat.generation > own
+        self.hold_back(frozenset(heartbeat.withdrawn if is_newer else ()))
 
     def hold_back(self, nodes: frozenset[str]) -> None:
         """Show these nodes as draining, and no others, whatever the own list says of them."""
--- a/wheatring/peers/operator_calls.py
+++ b/wheatring/peers/operator_calls.py
@@ -1,4 +1,4 @@
-"""The fleet as the operators' calls see it: its duties and its plan."""
+"""The fleet as the operators' calls see it: its roles and its plan."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         return http_status, json.dumps(answer)
 
 
-class DutyCalls(NamedTuple):
-    """Calls on duties.
+class RoleCalls(NamedTuple):
+    """Calls on roles.
 
     `turn` returns the seconds to wait for a turn to be out of service; 0: this sidecar has it, or needs none.
     `back` gives the turn back.
@@ -45,12 +45,12 @@
     back: Callable[[], None]
 
 
-def duty_calls(runtime: FleetRuntime, configuration: project_file.ProjectFile) -> DutyCalls:
-    """Make the calls on the duties that the file names."""
+def role_calls(runtime: FleetRuntime, configuration: project_file.ProjectFile) -> RoleCalls:
+    """Make the calls on the roles that the file names."""
     turns = next((name for name, duty in configuration.duty.items() if duty.work == "turns"), "")
 
     def release(name: str) -> bool | None:
-        return runtime.release_duty(name) if name in runtime.workers else None
+        return runtime.release_role(name) if name in runtime.workers else None
 
     def turn() -> float:
         if not turns or runtime.active_epoch(turns) is not None:
@@ -64,4 +64,4 @@
         if turns:
             runtime.set_wanted(turns, False)
 
-    return DutyCalls(runtime.status, release, turn, back)
+    return RoleCalls(runtime.status, release, turn, back)
--- a/wheatring/peers/options.py
+++ b/wheatring/peers/options.py
@@ -40,7 +40,7 @@
     listen: Address
     seeds: list[Address]
     voters: VoterSet
-    duties: Sequence[RoleSettings]
+    roles: Sequence[RoleSettings]
     terms: LeaseTiming
     keys: Sequence[bytes]
     view: bool = False
--- a/wheatring/peers/duty_workers.py
+++ b/wheatring/peers/role_workers.py
@@ -1,4 +1,6 @@
-"""The work of a duty: HTTP calls to an address that the configuration names, by one sidecar at a time.
+"""The work of a role: HTTP calls to an address that the configuration names, by one sidecar at a time.
+
+A role is a singleton: the file has a table `[duty.NAME]` for each, and the calls keep that word.
 
     POST PATH HTTP/1.1
     Duty: NAME
@@ -27,28 +29,28 @@
 MAX_EPOCH_DIGITS = 18  # of an answer's header that are read: the rest can't be an epoch of this fleet
 
 
-class DutyHolder(Protocol):
+class RoleHolder(Protocol):
     """The fleet, as a worker asks it whether this sidecar holds a duty."""
 
     @property
     def name(self) -> str:
         """The name of this sidecar in the fleet."""
 
-    def active_epoch(self, duty: str) -> int | None:
-        """Return the epoch to act in, asked for right before each action; None: the duty isn't held here."""
+    def active_epoch(self, role: str) -> int | None:
+        """Return the epoch to act in, asked for right before each action; None: the role isn't held here."""
 
-    def record_action(self, duty: str) -> None:
-        """Note that the duty's work was done now: a holder that does nothing gives the duty back."""
+    def record_action(self, role: str) -> None:
+        """Note that the role's work was done now: a holder that does nothing gives the role back."""
 
-    def on_newer_epoch(self, duty: str, epoch: int) -> None:
-        """Give the duty back, as a receiver has seen this higher epoch."""
+    def on_newer_epoch(self, role: str, epoch: int) -> None:
+        """Give the role back, as a receiver has seen this higher epoch."""
 
 
-class DutyWorker(Protocol):
-    """Whatever carries a duty out while this sidecar holds it."""
+class RoleWorker(Protocol):
+    """Whatever carries a role out while this sidecar holds it."""
 
     def on_epoch_changed(self, epoch: int | None) -> None:
-        """Begin to work in this epoch, as this sidecar has acquired the duty; None: end, as it is lost."""
+        """Begin to work in this epoch, as this sidecar has acquired the role; None: end, as it is lost."""
 
     def stop(self) -> None:
         """End for good."""
@@ -59,7 +61,7 @@
 
     transport: Any
 
-    def __init__(self, worker: HttpDutyWorker) -> None:
+    def __init__(self, worker: HttpRoleWorker) -> None:
         self.worker = worker
         self.reader = Reader(responses=True, max_body=MAX_ANSWER_BYTES)
         self.is_answered = False
@@ -72,13 +74,13 @@
             worker.clock.now() + CALL_TIMEOUT_SECONDS, self.transport.abortConnection
         )
         # Now, and not when the call was due: connecting may have taken longer than the lease lasts.
-        epoch = worker.holder.active_epoch(worker.duty)
+        epoch = worker.holder.active_epoch(worker.role)
         if epoch is None:
             self.transport.abortConnection()
             return
         head = (
             f"POST {worker.path} HTTP/1.1\r\nHost: {worker.host}:{worker.port}\r\n"
-            f"Duty: {worker.duty}\r\nDuty-Holder: {worker.holder.name}\r\n"
+            f"Duty: {worker.role}\r\nDuty-Holder: {worker.holder.name}\r\n"
             f"Duty-Epoch: {epoch}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         )
         self.transport.write(head.encode("latin-1"))
@@ -91,7 +93,7 @@
             message = self.reader.next()
         except BadMessage as error:
             self.is_answered = True
-            log.line("duty-call", duty=self.worker.duty, code="bad-answer", why=str(error))
+            log.line("duty-call", duty=self.worker.role, code="bad-answer", why=str(error))
             self.transport.abortConnection()
             return
         if message is not None:
@@ -105,15 +107,15 @@
         self.worker.on_call_ended(self)
 
 
-class HttpDutyWorker:
-    """Calls `address` at `path` each `interval` seconds while the duty is held here, one call at a time."""
+class HttpRoleWorker:
+    """Calls `address` at `path` each `interval` seconds while the role is held here, one call at a time."""
 
     def __init__(
         self,
         reactor: Any,
         clock: Clock,
-        holder: DutyHolder,
-        duty: str,
+        holder: RoleHolder,
+        role: str,
         address: tuple[str, int],
         path: str,
         interval: float,
@@ -121,7 +123,7 @@
         self.reactor = reactor
         self.clock = clock
         self.holder = holder
-        self.duty = duty
+        self.role = role
         self.host, self.port = address
         self.path = path
         self.interval = interval
@@ -139,7 +141,7 @@
 
     def run_due(self, due: float) -> None:
         """Make the call that is due at this monotonic instant, unless one is under way; schedule the next."""
-        if self.is_stopped or self.holder.active_epoch(self.duty) is None:
+        if self.is_stopped or self.holder.active_epoch(self.role) is None:
             return
         next_due = max(due + self.interval, self.clock.now())
         self.timer = self.clock.at(next_due, self.run_due, next_due)
@@ -151,7 +153,7 @@
 
     def on_connect_failed(self, failure: Failure, call: _Call) -> None:
         """Log a call that found no server."""
-        log.line("duty-call", duty=self.duty, code="connect-failed", why=str(failure.value))
+        log.line("duty-call", duty=self.role, code="connect-failed", why=str(failure.value))
         self.on_call_ended(call)
 
     def on_call_ended(self, call: _Call) -> None:
@@ -163,12 +165,12 @@
         """Act on an answer's status and its header `Duty-Epoch`."""
         if status == 409 and epoch.isdigit():
             newer = int(epoch[:MAX_EPOCH_DIGITS])
-            log.line("duty-call", duty=self.duty, code="outdated", epoch=newer)
-            self.holder.on_newer_epoch(self.duty, newer)
+            log.line("duty-call", duty=self.role, code="outdated", epoch=newer)
+            self.holder.on_newer_epoch(self.role, newer)
         elif status < 300:
-            self.holder.record_action(self.duty)
+            self.holder.record_action(self.role)
         else:
-            log.line("duty-call", duty=self.duty, code=f"answered-{status}")
+            log.line("duty-call", duty=self.role, code=f"answered-{status}")
 
     def stop(self) -> None:
         """End for good, with the call under way."""
@@ -179,7 +181,7 @@
 
 
 class PassiveWorker:
-    """The worker of a duty that others carry out: this sidecar only holds it."""
+    """The worker of a role that others carry out: this sidecar only holds it."""
 
     def on_epoch_changed(self, epoch: int | None) -> None:
         """Do nothing."""
