--- a/wheatring/lab/agreement/__init__.py
+++ b/wheatring/lab/agreement/__init__.py
@@ -1,1 +1,5 @@
-"""What agreed views are held to, in virtual time: troubles that are measured, and days that are drawn."""
+"""Checks of what a fleet agrees on (views, registers, plans), in virtual time.
+
+Faults are injected into fleets of the real deciders, invariants are checked after every event, and planted
+faults show that a broken rule is found.
+"""
--- a/wheatring/lab/agreement/plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -1,8 +1,8 @@
-"""Drawn days of a fleet that agrees on one plan, and faults planted in its leader that they have to find.
+"""Drawn days of a fleet that agrees on one plan, and planted faults of its leader that they have to find.
 
-A seed gives a day, and the same day again. Troubles are aimed at pushes: they begin within seconds of one.
-Every third day all voters start anew at once and nothing else goes down; on the others no two voters do
-within `FORGET`: the register does not promise to remember what all who keep it have forgotten.
+The same seed gives the same day. Faults are aimed at rollouts: they begin within seconds of one. On every
+third day all voters restart at once and nothing else goes down; on the others no two voters do within
+`VOTER_RESTART_GAP_SECONDS`: the register does not promise to remember what all voters have forgotten.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from wheatring.plan.leader import RolloutLeader
 from wheatring.plan.rollout import Rollout
 
-FLEET_SIZE, LATE_MEMBERS = 7, 2  # sidecars, and of them those that come only with a trouble
+FLEET_SIZE, LATE_MEMBERS = 7, 2  # sidecars, and of them those that come only with a fault
 FIRST_PROPOSAL_SECONDS, LAST_PROPOSAL_SECONDS = 15.0, 45.0  # seconds until the first push, and the last
 QUIET_SECONDS, MAX_WAIT_SECONDS = (
     25.0,
@@ -35,6 +35,8 @@
 
 
 class Fault(NamedTuple):
+    """One fault; "lead" among its nodes is whoever leads by then."""
+
     at: float
     kind: str
     length: float
@@ -42,14 +44,14 @@
 
 
 def draw_day(seed: int) -> tuple[list[float], list[Fault]]:
-    """When pushes are offered, and what befalls the day."""
+    """Draw when plans are proposed, and the faults of a day."""
     random = Random(f"{seed}:plan")
     offers = sorted(
         FIRST_PROPOSAL_SECONDS + random.random() * (LAST_PROPOSAL_SECONDS - FIRST_PROPOSAL_SECONDS - 5)
         for _ in range(random.randint(2, 4))
     )
     names = [f"n{number}" for number in range(FLEET_SIZE - LATE_MEMBERS)]
-    troubles = []
+    faults = []
     for _ in range(random.randint(2, 6)):
         kind = random.choice(KINDS)
         if seed % 3 == 0 and kind == "kill":
@@ -65,12 +67,12 @@
             at = random.choice(offers) + 0.2 * random.random()
         if kind == "join":
             nodes = [f"n{FLEET_SIZE - 1 - random.randrange(LATE_MEMBERS)}"]
-        troubles.append(Fault(at, kind, length, tuple(dict.fromkeys(nodes))))
-    return offers, sorted(troubles)
+        faults.append(Fault(at, kind, length, tuple(dict.fromkeys(nodes))))
+    return offers, sorted(faults)
 
 
 class Day:
-    """Half of the days have a judge, by whom one of those that come late is not able to go by any plan."""
+    """One day. Half of the days have a check, by which one late member can apply no plan."""
 
     def __init__(self, seed: int, makes: type[RolloutLeader] = RolloutLeader) -> None:
         self.random = Random(f"{seed}:day")
@@ -78,21 +80,22 @@
         unable = {f"n{FLEET_SIZE - 1}"} if judged is not None else set()
         self.fleet = PlanFleet(seed, FLEET_SIZE, makes, judged, unable, LATE_MEMBERS)
         self.restarted_at = dict.fromkeys((f"n{number}" for number in range(VOTERS)), -inf)
-        offers, troubles = draw_day(seed)
+        offers, faults = draw_day(seed)
         for number, at in enumerate(offers):
             self.fleet.cluster.call(at, self.propose, f"{seed}-{number}")
-        for trouble in troubles:
-            self.fleet.cluster.call(trouble.at, self.inject, trouble)
+        for fault in faults:
+            self.fleet.cluster.call(fault.at, self.inject, fault)
         self.fleet.cluster.call(LAST_PROPOSAL_SECONDS + 5, self.repair)
 
     def run(self) -> Outcome:
+        """Play the day, and some time in which all proposals have to end."""
         self.fleet.cluster.run(LAST_PROPOSAL_SECONDS + QUIET_SECONDS)
         self.fleet.run_until(self.fleet.is_over, MAX_WAIT_SECONDS - QUIET_SECONDS)
         self.fleet.check_end()
         return self.fleet.outcome
 
     def propose(self, title: str) -> None:
-        """At one sidecar, or at two: the same plan, or another."""
+        """Propose at one member, or at two: the same plan, or another."""
         alive = self.fleet.alive()
         nodes = self.random.sample(alive, min(len(alive), self.random.choice([1, 1, 2])))
         for number, node in enumerate(nodes):
@@ -103,13 +106,14 @@
 
     # Troubles
 
-    def inject(self, trouble: Fault) -> None:
+    def inject(self, fault: Fault) -> None:
+        """Begin a fault, and schedule its end."""
         cluster = self.fleet.cluster
         lead = self.fleet.leader() or "n0"
-        names = [lead if name == "lead" else name for name in trouble.nodes]
-        over = cluster.now + max(0.05, trouble.length)
+        names = [lead if name == "lead" else name for name in fault.nodes]
+        over = cluster.now + max(0.05, fault.length)
         nodes = [cluster.nodes[name] for name in dict.fromkeys(names)]
-        match trouble.kind:
+        match fault.kind:
             case "join":
                 for node in nodes:
                     cluster.start(node)
@@ -117,7 +121,7 @@
                 voters = list(cluster.nodes.values())[:VOTERS]
                 if cluster.now > VOTER_RESTART_GAP_SECONDS + max(self.restarted_at.values()):
                     for node in voters:
-                        self.kill(node, cluster.now + min(trouble.length, 2.0))
+                        self.kill(node, cluster.now + min(fault.length, 2.0))
             case "kill":
                 for node in nodes:
                     if node.name not in self.restarted_at or cluster.now > VOTER_RESTART_GAP_SECONDS + max(
@@ -125,7 +129,7 @@
                     ):
                         self.kill(node, over)
             case "stall" | "slow":
-                if trouble.kind == "slow":  # and somebody comes while the others wait for this one
+                if fault.kind == "slow":  # and somebody comes while the others wait for this one
                     over = cluster.now + 4.5
                     cluster.call(cluster.now + 0.2, cluster.start, cluster.nodes[f"n{FLEET_SIZE - 1}"])
                 for node in nodes:
@@ -148,6 +152,7 @@
                 cluster.call(over, cluster.mend)
 
     def kill(self, node: Node, back: float) -> None:
+        """Kill a node, and start it again at `back`."""
         cluster = self.fleet.cluster
         if node.fleet is None:
             return
@@ -157,6 +162,7 @@
         cluster.call(back, cluster.start, node)
 
     def repair(self) -> None:
+        """End all faults."""
         cluster = self.fleet.cluster
         cluster.mend()
         for node in cluster.nodes.values():
@@ -164,6 +170,7 @@
 
 
 def play(seed: int, makes: type[RolloutLeader] = RolloutLeader) -> Outcome:
+    """Play one day."""
     return Day(seed, makes).run()
 
 
@@ -171,7 +178,7 @@
 
 
 class OutlivedVerdict(RolloutLeader):
-    """Goes on by a verdict, whatever becomes of the view that it was of."""
+    """Applies a verdict, whatever becomes of the view that it belongs to."""
 
     def _check_verdict(self, at: Instant, push: Rollout) -> Verdict:
         if push.verdict.stage is CheckStage.COMPATIBLE:
@@ -180,9 +187,10 @@
 
 
 class SilenceIsConsent(RolloutLeader):
-    """Takes one that was asked twice and said nothing for one that holds it."""
+    """Counts a member as having stored the plan that was asked twice and said nothing."""
 
     def missing_members(self, push: Rollout) -> list[ViewMember]:
+        """Leave out members that were asked more than a moment ago."""
         return [
             p
             for p in super().missing_members(push)
@@ -191,9 +199,10 @@
 
 
 class MajorityIsEnough(RolloutLeader):
-    """Puts once a majority of the view holds it."""
+    """Puts a plan once a majority of the view has stored it."""
 
     def missing_members(self, push: Rollout) -> list[ViewMember]:
+        """Return no member once a majority has stored the plan."""
         missing = super().missing_members(push)
         return missing if 2 * len(missing) >= len(push.view.members) else []
 
@@ -207,7 +216,7 @@
 
 
 def find_fault(number: int) -> tuple[int, str]:
-    """The first day in which it is found, and how; (0, ""): in none."""
+    """Return the first day in which a planted fault is found, and its breach; (0, "") if in none."""
     for seed in range(1, MAX_DAYS_TO_FIND + 1):
         if breaches := play(seed, PLANTED_FAULTS[number][1]).breaches:
             return seed, breaches[0]
@@ -215,7 +224,7 @@
 
 
 def report(days: int, jobs: int, fail: Callable[[], object]) -> Iterator[str]:
-    """What is found, line by line; `fail` is called for each thing that is not as it has to be."""
+    """Yield what is found, line by line; `fail` is called for each line that is not as it has to be."""
     with ProcessPoolExecutor(jobs) as pool:
         found = pool.map(find_fault, range(len(PLANTED_FAULTS)))
         played = list(pool.map(play, range(1, days + 1), chunksize=5))
--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -1,6 +1,6 @@
-"""A small pusher of plans for the lab: the deciders of views, registers and skew are the real ones around it.
+"""A minimal leader of rollouts; the deciders of views, registers and compatibility are the real ones.
 
-It guards nothing itself: it begins, tells the judge of views, and puts, as the plan's own part does.
+It guards nothing itself: it starts the check, tells it of views, and puts the plan, as the real leader does.
 """
 
 from __future__ import annotations
@@ -33,19 +33,22 @@
 
 
 class Journal(Protocol):
-    """Where it is written down what happened."""
+    """Where it is noted what happened."""
 
     counts: Counter[str]
     rejections: tuple[Reason, ...]
 
-    def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None: ...
+    def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None:
+        """Note a committed plan."""
 
-    def minimum_committed(self, entry: Entry, format: int) -> None: ...
+    def minimum_committed(self, entry: Entry, format: int) -> None:
+        """Note a committed minimum format."""
 
 
 class ToyEvaluator:
-    """A plan as this lab compiles it: the route whose path or prefix is that of the request. `odd`: a program
-    that takes a prefix without its segments' borders.
+    """A plan as the lab compiles it: a request takes the route whose prefix is that of its path.
+
+    An `odd` program matches prefixes without regard to segments.
     """
 
     def __init__(self, plan: Plan, odd: bool = False) -> None:
@@ -53,6 +56,7 @@
         self.odd = odd
 
     def route(self, trial: Trial) -> str:
+        """Return the name of the route that a request takes."""
         path = trial.target if self.odd else trial.target + "/"
         for route in self.plan.routes:
             if path.startswith(route.match.prefix + ("" if self.odd else "/")):
@@ -60,39 +64,44 @@
         return "none"
 
     def zone(self, name: str) -> tzinfo:
+        """Return a time zone."""
         return ZoneInfo(name)
 
     def weights(self, route: str, at: float) -> Mapping[str, int]:
+        """Return the weights of a route, the same at all times."""
         return next(one.weights for one in self.plan.routes if one.name == route)
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:
+        """Return no edges."""
         return ()
 
 
 def encode_body(plan: Plan) -> bytes:
+    """Return the body of a plan."""
     return msgspec.json.encode(plan)
 
 
 def compile_body(body: bytes) -> tuple[Plan, ToyEvaluator]:
+    """Return the plan that a body spells, and its evaluator."""
     plan = msgspec.json.decode(body, type=Plan)
     return plan, ToyEvaluator(plan)
 
 
 class PlanDriver:
-    """Pushes one plan at a time, as the plan's own part does: begins, tells the judge of views, puts."""
+    """Rolls out one plan at a time, without the safeguards of the real leader."""
 
     message_types: tuple[type, ...] = ()
 
     def __init__(
         self,
         at: Instant,
-        book: Journal,
+        journal: Journal,
         fleet: Fleet,
         abilities: Capabilities,
         skew: type[CompatibilityChecker],
         compiles: CompilePlan,
     ) -> None:
-        self.journal, self.fleet, self.abilities = book, fleet, abilities
+        self.journal, self.fleet, self.abilities = journal, fleet, abilities
         self.views = MembershipViews(at, fleet)
         self.register = ReplicatedRegister(at, "plan", fleet, self._chosen)
         self.floors = ReplicatedRegister(at, "floor", fleet, self._floor)
@@ -105,6 +114,7 @@
 
     @property
     def pieces(self) -> list[FleetComponent]:
+        """The components of this member, in the order in which they receive events."""
         return [self.views, self.views.register, self.register, self.floors, self.skew, self]
 
     def _admits(self, at: Instant, placed: ViewMember) -> str:
@@ -125,6 +135,7 @@
         return []
 
     def move_minimum(self, at: Instant, format: int) -> list[Outgoing]:
+        """Put an entry that moves the minimum format, unless it is refused."""
         try:
             body = self.skew.prepare_minimum(at, format, self.views.view)
         except OperatorError as bad:
@@ -134,15 +145,18 @@
         return self.floors.put(at, body)
 
     def is_leading(self, at: Instant) -> bool:
+        """Whether this member leads and its register is ready."""
         epoch = self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot)
         return self.register.is_ready and epoch is not None and epoch == self.register.epoch
 
     def propose(self, at: Instant, plan: Plan) -> list[Outgoing]:
+        """Start the check of a plan."""
         self.proposed_body = encode_body(plan)
         self.checked_view = self.views.view
         return self.skew.start_check(at, self.fleet.payloads.put(self.proposed_body), plan, self.checked_view)
 
     def tick(self, at: Instant) -> list[Outgoing]:
+        """Follow the check, and put the plan once it is compatible."""
         self.due = at.now + STEP_SECONDS
         if self.is_leading(at) and self.skew.own_refusals():  # it could let nobody in
             self.journal.counts["stepped back"] += 1
@@ -172,24 +186,27 @@
         return []
 
     def receive(self, at: Instant, sender: str, address: tuple[str, int], word: object) -> list[Outgoing]:
+        """Ignore messages: none is for this component."""
         return []
 
     def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
+        """Ignore bodies: this component wants none."""
         return []
 
 
 class RegistersStable:
-    """Whether this sidecar leads these registers, and no entry of theirs is being chosen."""
+    """Whether this member leads these registers, and no entry of theirs is being committed."""
 
     def __init__(self, *registers: ReplicatedRegister) -> None:
         self.registers = registers
 
     def __call__(self) -> bool:
+        """Return whether they are."""
         return all(register.is_ready and register.applied == register.chosen for register in self.registers)
 
 
 def draw_plan(random: Random, format: int = 0) -> Plan:
-    """A plan of this format or any, needing what that one came with."""
+    """Draw a plan of this format or any (0), with a feature that came with it."""
     format = format or random.choice((1, 1, 2, 3))
     weights = {"blue": random.randrange(1, 1000), "green": 1}
     matches = [(f"r{number}", PlanMatch(prefix=f"/r{number}")) for number in range(3)]
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time that agrees on one plan, and the rules that are looked at after each event."""
+"""A fleet in virtual time that agrees on one plan, and the invariants that are checked after each event."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def body_of(title: str, size: int = 0) -> bytes:
-    """A plan of that title, and of `size` bytes at least."""
+    """Return the body of a plan of that title, and of `size` bytes at least."""
     routes = [PlanRoute(name="all", weights={"blue": 1})]
     each = len(encode_plan(Plan(format=1, routes=(_route(0),)))) - 20
     routes += [_route(number) for number in range(size // each + 1 if size else 0)]
@@ -45,7 +45,10 @@
 
 
 class ScriptedCheck:
-    """A judge that asks nobody: it knows who is able, and takes a while for each stage."""
+    """A compatibility check that asks no member.
+
+    It knows who is incompatible, and takes a while for each stage.
+    """
 
     def __init__(self, unable: set[str], each: float) -> None:
         self.incompatible = unable
@@ -55,13 +58,16 @@
         self.stops = 0
 
     def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
+        """Start anew."""
         self.started_at, self.view = at.now, view
         return []
 
     def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
+        """Start anew for another view."""
         return self.start_check(at, b"", Plan(format=1, routes=()), view)
 
     def verdict(self, now: float) -> Verdict:
+        """Return a verdict by the time since the start."""
         stage = int((now - self.started_at) / self.stage_seconds) if now >= self.started_at else 0
         of, number = len(self.view.members), self.view.number
         if stage < 2:
@@ -71,12 +77,17 @@
         return Verdict(CheckStage.INCOMPATIBLE if no else CheckStage.COMPATIBLE, number, of, of, no)
 
     def stop_check(self) -> None:
+        """Note that the check is over."""
         self.started_at = inf
         self.stops += 1
 
 
 class Outcome(Struct):
-    """What came of a day, or a story."""
+    """What happened on a day, or in a story.
+
+    Plans that were committed, proposals that were rejected or whose outcome is unknown, and how often a
+    member applied a plan.
+    """
 
     seed: int
     breaches: list[str] = field(default_factory=list)
@@ -87,8 +98,10 @@
 
 
 class PlanFleet:
-    """`judged`: seconds of each stage of a scripted judge; None: there is no judge. `unable` members cannot
-    go by any plan, as that judge knows.
+    """A fleet and its invariants.
+
+    With `judged` (seconds of each stage) the leaders have a scripted check, by which `unable` members can't
+    apply any plan; None is no check. `late` members are not started.
     """
 
     def __init__(
@@ -146,17 +159,18 @@
     # What is done to it
 
     def alive(self) -> list[Node]:
+        """Return the nodes that run."""
         return [node for node in self.cluster.nodes.values() if node.fleet is not None and not node.stopped]
 
-    def run_until(self, so: Callable[[], Any], most: float = 60.0) -> bool:
-        """Go on until it is so; False: it did not become so."""
-        end = self.cluster.now + most
+    def run_until(self, so: Callable[[], Any], timeout_seconds: float = 60.0) -> bool:
+        """Run until a condition holds; return whether it does."""
+        end = self.cluster.now + timeout_seconds
         while self.cluster.now < end and not so():
             self.cluster.run(self.cluster.now + 0.1)
         return bool(so())
 
     def has_converged(self) -> bool:
-        """Whether all that live stand in one view of just these, and count on it."""
+        """Whether all running members are in one view of exactly these, and rely on it."""
         alive = self.alive()
         names = {node.name for node in alive}
         return all(
@@ -166,18 +180,19 @@
         )
 
     def leader(self) -> str:
-        """Who leads and may put a plan; "": nobody at the moment."""
+        """Return the member that leads and may put a plan, "" if there is none at the moment."""
         for node in self.alive():
             if self.plans[node.name].register.is_ready and self.is_leading(node):
                 return node.name
         return ""
 
     def is_leading(self, node: Node) -> bool:
+        """Whether a node leads by its lease."""
         assert node.fleet is not None
         return node.fleet.roles[LEADER_ROLE].epoch_to_act(self.cluster.instant(node).boot) is not None
 
     def propose(self, name: str, body: bytes) -> Proposal:
-        """Push a plan at that sidecar."""
+        """Propose a plan at a member."""
         node, plans = self.cluster.nodes[name], self.plans[name]
         assert node.fleet is not None
         self.bodies[digest(body)] = body
@@ -192,6 +207,7 @@
         self.outcome.breaches.append(f"{self.cluster.now:.3f} s: {what}")
 
     def check_after(self, node: Node) -> None:
+        """Check the invariants of one node; called after each of its events."""
         assert node.fleet is not None
         plans = self.plans[node.name]
         for key in self.bodies:
@@ -244,7 +260,7 @@
         self.outcome.applied += 1
 
     def is_over(self) -> bool:
-        """Whether all that was offered is over, as far as anybody is left who could tell."""
+        """Whether all proposals are final, as far as any process is left that could know."""
         return all(
             push.state in FINAL_STATES
             or (node := self.cluster.nodes[name]).fleet is None
@@ -253,7 +269,7 @@
         )
 
     def check_end(self) -> None:
-        """What must hold once all troubles are long over."""
+        """Check what must hold once all faults are long over."""
         settled = {*self.chosen.values()}
         offered: dict[bytes, int] = {}
         for _, _, push in self.proposed:
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in what agrees on views, each of which the orders or the days have to find."""
+"""Faults planted in the register and in views, each of which the drawn orders or days have to find."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ForgetsPromise(ReplicatedRegister):
-    """Takes an epoch that is lower than what it promised."""
+    """An acceptor that accepts a lower epoch than it has promised."""
 
     def _on_leader_request(
         self, at: Instant, address: Any, word: RegisterPrepare | RegisterAccept
@@ -32,7 +32,7 @@
 
 
 class SkipsFoundEntry(ReplicatedRegister):
-    """Puts nothing again of what it found."""
+    """A leader that does not put the entry again that it has found."""
 
     def _finish_preparing(self, at: Instant) -> list[Outgoing]:
         self.phase, self.next_retransmit = Phase.READY, inf
@@ -40,9 +40,10 @@
 
 
 class AnswersAfterRestart(ReplicatedRegister):
-    """Answers at once after a start."""
+    """A voter that answers at once after a restart."""
 
     def tick(self, at: Instant) -> list[Outgoing]:
+        """Skip the silence after a start."""
         self.has_recovered = True
         return super().tick(at)
 
@@ -54,14 +55,17 @@
 
 
 class GoesBack(ReplicatedRegister):
-    """Goes by whatever it is told last."""
+    """A member that applies whatever entry it heard of last."""
 
     def learn(self, at: Instant, address: Any, entry: Any) -> list[Outgoing]:
+        """Forget what is committed before an entry is taken over."""
         self.chosen = NO_ENTRY
         return super().learn(at, address, entry)
 
 
 class RegisterFault(NamedTuple):
+    """A planted fault of the register."""
+
     description: str
     make_register: MakeRegister
 
@@ -78,22 +82,24 @@
 
 
 class CutsWithoutWaiting(CutDetector):
-    """Takes out whoever is down, whoever else is unsure."""
+    """Removes a member that is down while others are still uncertain."""
 
     def members_to_remove(self, now: float, view: View, rings: Rings) -> list[str]:
+        """Skip the wait for uncertain members."""
         self.waiting_since = -inf
         return super().members_to_remove(now, view, rings)
 
 
 class IgnoresReachability(CutDetector):
-    """Takes nobody's word that one who is to go was reached."""
+    """Ignores reports that a member to be removed was reached."""
 
     def note_reached(self, now: float, names: Any) -> None:
+        """Ignore the report."""
         pass
 
 
 class AgesStampOnArrival(MembershipViews):
-    """Counts a stamp's age from when it arrived."""
+    """Counts a stamp's age from its arrival instead of from when it was made."""
 
     def _on_health_response(
         self, at: Instant, sender: str, address: Any, word: HealthCheckResponse
@@ -106,23 +112,28 @@
 
 
 def make_cuts_without_waiting(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+    """Return the components of a member with `CutsWithoutWaiting`."""
     agreed = Agreement(at, fleet)
     agreed.views.cut_detector = CutsWithoutWaiting()
     return agreed.deciders
 
 
 def make_ignores_reachability(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+    """Return the components of a member with `IgnoresReachability`."""
     agreed = Agreement(at, fleet)
     agreed.views.cut_detector = IgnoresReachability()
     return agreed.deciders
 
 
 def make_ages_stamp_on_arrival(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+    """Return the components of a member with `AgesStampOnArrival`."""
     views = AgesStampOnArrival(at, fleet)
     return [views, views.register]
 
 
 class ViewFault(NamedTuple):
+    """A planted fault of views, and the kind of days that are to find it."""
+
     description: str
     make_pieces: FleetMakes
     kind: view_days.Kind  # the days that are to find it
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -1,9 +1,8 @@
-"""The register alone, in drawn orders of all its words: late, lost, twice, across terms; voters start anew.
+"""The register alone, in drawn orders of all its messages: late, lost, twice, across terms.
 
-The very `Register` on a ground that stands for the rest of a sidecar. One leader at a time is in office, as
-the terms have it; but what it said may arrive whenever it likes, terms later too. A voter starts anew only
-while all others are awake: that is what the register promises to outlive. A seed gives an order, and the same
-again.
+The real register runs on a fake of the rest of a member. One leader is in office at a time, as the leases
+have it; but its messages may arrive at any time, terms later too. A voter restarts only while all others are
+awake: that is what the register promises to survive. The same seed gives the same order.
 """
 
 from __future__ import annotations
@@ -40,7 +39,7 @@
 
 
 class FakeFleet:
-    """What a register needs of its sidecar."""
+    """What a register needs of its member."""
 
     def __init__(self, name: str, order: OrderRun) -> None:
         self.order = order
@@ -55,32 +54,42 @@
 
     @property
     def held_lease(self) -> Any:
+        """The lease of the role `lead`, if this member holds it."""
         epoch = self.epoch_to_act(0.0)
         return None if epoch is None else SimpleNamespace(epoch=epoch)
 
     def epoch_to_act(self, now: float) -> int | None:
+        """Return the epoch in which this member leads, None if it does not."""
         return self.order.epoch if self.order.leader == self.me.name else None
 
     def is_voter(self) -> bool:
+        """Whether this member is one of the voters."""
         return self.me.name in self.voters.names
 
     def voter_names(self, who: MemberInfo) -> tuple[str, ...]:
+        """Return the names of a member among the voters."""
         return (who.name,)
 
     def voter_names_of_sender(self, sender: str) -> tuple[str, ...]:
+        """Return the names of a sender among the voters."""
         return (sender,)
 
     def to_voters(self, said: list[tuple[str, Any]]) -> list[tuple[Address, Any]]:
+        """Return messages with the addresses of the voters that they are for."""
         return [((name, 1), word) for name, word in said]
 
     def broadcast(self, word: Any, audience: Any = None) -> list[tuple[Address, Any]]:
+        """Return a message to all other members."""
         return [((name, 1), word) for name in self.order.names if name != self.me.name]
 
     def relay(self, word: Any) -> list[tuple[Address, Any]]:
+        """Relay nothing."""
         return []
 
 
 class OrderResult(NamedTuple):
+    """What happened in one order; `committed` entries are those that some member came to know of."""
+
     seed: int
     chosen: int  # entries that somebody came to know chosen
     terms: int
@@ -89,7 +98,7 @@
 
 
 class OrderRun:
-    """Three voters, and one who only follows; any of the four may lead."""
+    """Three voters and one that only follows; any of the four may lead."""
 
     def __init__(self, seed: int, makes: MakeRegister) -> None:
         self.seed = seed
@@ -121,15 +130,18 @@
 
     @property
     def at(self) -> Instant:
+        """The instant, on all clocks."""
         return Instant(self.now, self.now, 0)
 
     def start(self, name: str) -> None:
-        ground: Any = FakeFleet(name, self)
-        self.fleets[name] = ground
-        self.registers[name] = self.make_register(self.at, "view", ground, lambda at, entry, body: [])
+        """Start a process, which has forgotten everything."""
+        fleet: Any = FakeFleet(name, self)
+        self.fleets[name] = fleet
+        self.registers[name] = self.make_register(self.at, "view", fleet, lambda at, entry, body: [])
         self.positions[name] = (0, 0)
 
     def run(self) -> OrderResult:
+        """Play the order to its end, or to the first breach."""
         terms = 0
         for _ in range(STEPS):
             self.now += STEP_SECONDS
@@ -150,10 +162,14 @@
         return OrderResult(self.seed, len(self.digests), terms, self.restarts, self.breach)
 
     def are_voters_awake(self) -> bool:
+        """Whether all voters answer, none of them being in its silence after a start."""
         return all(self.registers[name].has_recovered for name in self.voters.names)
 
     def change_term(self) -> int:
-        """Terms end at any time; the next one begins some steps later, with a higher epoch."""
+        """End or begin a term now and then; return 1 where one begins.
+
+        Terms end at any time; the next one begins some steps later, with a higher epoch.
+        """
         if self.leader:
             if self.random.random() < self.term_end_chance:
                 self.leader = ""
@@ -164,7 +180,7 @@
         return 0
 
     def deliver(self) -> None:
-        """About half of what may arrive does, in any order."""
+        """Deliver about half of the messages that may arrive, in any order."""
         may = [one for one in self.messages if one[0] <= self.now]
         self.messages = [one for one in self.messages if one[0] > self.now]
         self.random.shuffle(may)
@@ -178,6 +194,7 @@
         self.messages += may
 
     def send(self, name: str, out: list[Any]) -> None:
+        """Queue messages of a member, with losses and delays, and give it the bodies that it wants."""
         for address, word in out:
             if self.random.random() >= (
                 self.chosen_loss_chance if isinstance(word, EntryChosen) else self.loss_chance
@@ -189,16 +206,17 @@
                 )
                 self.messages.append((self.now + late, name, address[0], word))
         del self.messages[:-400]
-        ground = self.fleets[name]
-        fetches, ground.fetch_requests = ground.fetch_requests, []
+        fleet = self.fleets[name]
+        fetches, fleet.fetch_requests = fleet.fetch_requests, []
         for fetch in fetches:
             body = self.fleets[fetch.address[0]].payloads.get(fetch.digest)
             if body is not None:
-                ground.payloads.put(body)
+                fleet.payloads.put(body)
             self.send(name, self.registers[name].receive_payload(self.at, fetch.digest, body))
         self.check_position(name, self.registers[name].chosen)
 
     def check_position(self, name: str, entry: Entry) -> None:
+        """Check that a committed entry is the only one of its number, and none goes back."""
         if not entry.number:
             return
         when = f"{self.now - INITIAL_UPTIME_SECONDS:.2f} s: {name}"
@@ -210,4 +228,5 @@
 
 
 def run_order(seed: int, makes: MakeRegister = ReplicatedRegister) -> OrderResult:
+    """Play one order."""
     return OrderRun(seed, makes).run()
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -1,10 +1,10 @@
-"""Drawn days of pushes in a fleet of older and newer programs: is anybody in a plan that it can't read?
+"""Drawn days of rollouts in a fleet of older and newer programs: no member may be in a plan it can't read.
 
-The deciders of views, register and skew are the real ones; what pushes is as small as it can be. A day draws
-pushes of plans with more or less needs, members that go, come back as older or newer programs or as one
-without these words, stops, loss and cuts. After every event, by the newest view and plan chosen anywhere:
-each process that stands in that view must lack nothing for that plan. `FAULTS` are planted to see that
-breaches are found.
+The deciders of views, register and compatibility are the real ones; `plan_driver` leads the rollouts. A day
+draws plans with more or less requirements, members that stop and come back as older or newer programs or as
+one from before these messages, stalls, loss and partitions. After every event, by the newest view and plan
+committed anywhere: each process in that view must lack nothing for that plan. `FAULTS` are planted to show
+that breaches are found.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Day:
-    """A fleet for a while. `counts` of what happened, `breaches` of what must never hold."""
+    """A fleet for a while: `counts` of what happened, `breaches` of the invariant."""
 
     def __init__(
         self, seed: int, size: int = 7, skew: type[CompatibilityChecker] = CompatibilityChecker
@@ -84,12 +84,14 @@
     # Rules
 
     def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None:
+        """Note a committed plan."""
         if self.newest is None or entry.number > self.newest[0].number:
             self.newest = (entry, plan, body)
             self.counts["settled"] += 1
             self.check()
 
     def minimum_committed(self, entry: Entry, format: int) -> None:
+        """Note a committed minimum format."""
         if entry.number > self.minimum[0]:
             self.minimum = (entry.number, format)
             self.check()
@@ -101,6 +103,7 @@
             self.check()
 
     def check(self) -> None:
+        """Check that each process in the newest view can read the newest plan."""
         needed = requirements_of(*self.newest[1:]) if self.newest is not None else None
         for placed in self.view.members:
             name = placed.member.name
@@ -117,10 +120,11 @@
     # What befalls
 
     def propose(self, plan: Plan) -> None:
-        """At whoever leads, if anybody does and does not push already."""
+        """Start a rollout at whoever leads, unless one is in progress."""
         self._at_leader(lambda at, pusher: [] if pusher.proposed_body else pusher.propose(at, plan))
 
     def move_minimum(self, format: int) -> None:
+        """Move the minimum format at whoever leads."""
         self._at_leader(lambda at, pusher: pusher.move_minimum(at, format))
 
     def _at_leader(self, do: Callable[[Instant, PlanDriver], list[Outgoing]]) -> None:
@@ -134,12 +138,14 @@
                 return
 
     def restart(self, name: str, abilities: Capabilities | None, away: float = 0.2) -> None:
+        """Restart a member with other capabilities, `away` seconds later."""
         node = self.cluster.nodes[name]
         self.cluster.kill(node)
         self.next_capabilities[name] = abilities
         self.cluster.call(self.cluster.now + away, self.cluster.start, node)
 
     def act(self) -> None:
+        """Inject one drawn event."""
         random, cluster = self.random, self.cluster
         others = list(cluster.nodes)[VOTERS:]
         one = random.choice(others)
@@ -169,7 +175,7 @@
                 self.move_minimum(random.choice((1, 1, 2, 3)))
 
     def admit_one(self, name: str) -> None:
-        """One that is out comes in while a plan is pushed and another is slow to answer; else it goes out."""
+        """Let a stopped member, if any, enter while a plan is rolled out and another is slow to answer."""
         cluster, random = self.cluster, self.random
         cluster.net = State(delay=0.0005, jitter=0.0005)
         out = [node for node in cluster.nodes.values() if node.fleet is None]
@@ -187,6 +193,7 @@
             cluster.call(at + 2.0, cluster.go_on, slow)
 
     def play(self, seconds: float, quiet: float = 6.0) -> None:
+        """Play for so many seconds, or to the first breach."""
         self.cluster.run(quiet)
         while self.cluster.now < seconds and not self.breaches:
             self.act()
@@ -232,6 +239,7 @@
     """Whoever knocks comes in."""
 
     def admission_refusals(self, at: Instant, placed: ViewMember) -> tuple[Reason, ...]:
+        """Refuse nobody."""
         return ()
 
 
@@ -239,7 +247,7 @@
 
 
 def report(days: int, seconds: float = 60.0, seed: int = 0) -> Iterator[tuple[bool, str]]:
-    """Plays days as they are, then days with each fault until it is found: whether all is well, a line."""
+    """Play days as they are, then days with each planted fault; yield whether all is well, and a line."""
     played = [Day(number) for number in range(seed, seed + days)]
     for day in played:
         day.play(seconds)
--- a/wheatring/lab/agreement/view_cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -1,7 +1,7 @@
-"""What befalls a virtual fleet that stands in views, one trouble at a time, and what is measured of it.
+"""Single faults injected into a virtual fleet that agrees on views, and what is measured of each.
 
-A case begins when the fleet has stood in one whole view for a while. `alike` is the part of time, from the
-trouble on, in which all healthy members stand in the same view, read ten times a second.
+A case begins when the fleet has been in one complete view for a while. `agreement_share` is the share of the
+time from the fault on in which all healthy members are in the same view, sampled ten times a second.
 """
 
 from __future__ import annotations
@@ -19,6 +19,14 @@
 
 
 class Measurement(NamedTuple):
+    """What one case showed.
+
+    `converged_seconds` are from the fault (its end, where it has one) to the expected view, -1 for never;
+    `removals` and `admissions` count view changes; `wrongly_removed` counts members; `spread_seconds` is the
+    longest time from a change's first member to its last; `datagrams` and `bytes_sent` are what one member
+    sends a second; `cpu_seconds` are of CPU time for each second of the fleet.
+    """
+
     case: str
     size: int
     seed: int
@@ -36,6 +44,11 @@
 
 
 class CaseRun:
+    """A fleet and its observer while one case is played.
+
+    `removed` are the members that are to be removed from the view, `fault_end` is when the fault ends.
+    """
+
     def __init__(self, size: int, seed: int, voters: int = 3) -> None:
         self.fleet: Cluster = make_cluster(seed, size, voters)
         self.observer = ViewObserver(self.fleet)
@@ -47,12 +60,14 @@
             self.fleet.call(self.random.random(), self.fleet.start, node)
 
     def kill(self, names: list[str]) -> None:
+        """Stop these members for good."""
         for name in names:
             self.fleet.kill(self.fleet.nodes[name])
             self.observer.excluded.add(name)
             self.removed.add(name)
 
     def stop(self, names: list[str], seconds: float) -> None:
+        """Suspend these members for so many seconds."""
         for name in names:
             self.fleet.stop(self.fleet.nodes[name])
         self.observer.delayed |= {*names}
@@ -60,17 +75,21 @@
         self.fleet.call(self.fault_end, self.resume, names)
 
     def resume(self, names: list[str]) -> None:
+        """Resume suspended members."""
         for name in names:
             self.fleet.go_on(self.fleet.nodes[name])
         self.fleet.call(self.fleet.now + 0.2, self.observer.delayed.clear)
 
     def sample_third(self) -> list[str]:
+        """Draw a third of the members, none of them a voter."""
         return sorted(self.random.sample(self.names[5:], len(self.names) // 3))
 
     def sample_one(self) -> str:
+        """Draw one member."""
         return self.random.choice(self.names)
 
     def leader(self) -> str:
+        """Return the member that leads the register of views, or the first one."""
         for node in self.fleet.nodes.values():
             found = views_of(node)
             if found is not None and found.register.is_ready:
@@ -78,6 +97,7 @@
         return self.names[0]
 
     def sample_half(self, but: str) -> list[str]:
+        """Draw half of the members other than `but`."""
         others = [name for name in self.names if name != but]
         return sorted(self.random.sample(others, len(others) // 2))
 
@@ -192,7 +212,7 @@
 
 
 def measure(case: str, size: int, seed: int, span: float = SPAN_SECONDS) -> Measurement:
-    """Play one case."""
+    """Play one case and measure it."""
     scene = CaseRun(size, seed, 5 if case == "voters-apart" else 3)
     fleet, follow = scene.fleet, scene.observer
     fleet.run(SETTLE_SECONDS)
@@ -241,11 +261,12 @@
     return -1.0
 
 
-def format_measurement(one: Measurement) -> str:
+def format_measurement(measured: Measurement) -> str:
+    """Return a measurement as a line of the report."""
     return (
-        f"{one.case:13} {one.size:5} {one.seed:3}  took {one.converged_seconds:5.1f} s  "
-        f"out {one.removals} in {one.admissions} wrong {one.wrongly_removed}  "
-        f"alike {one.agreement_share:.3f}  last after {one.spread_seconds:.2f} s  "
-        f"{one.datagrams:.2f} datagrams {one.bytes_sent:.0f} B a second  "
-        f"{1000 * one.cpu_seconds:.0f} ms CPU a second"
+        f"{measured.case:13} {measured.size:5} {measured.seed:3}  took {measured.converged_seconds:5.1f} s  "
+        f"out {measured.removals} in {measured.admissions} wrong {measured.wrongly_removed}  "
+        f"alike {measured.agreement_share:.3f}  last after {measured.spread_seconds:.2f} s  "
+        f"{measured.datagrams:.2f} datagrams {measured.bytes_sent:.0f} B a second  "
+        f"{1000 * measured.cpu_seconds:.0f} ms CPU a second"
     )
--- a/wheatring/lab/agreement/view_checks.py
+++ b/wheatring/lab/agreement/view_checks.py
@@ -1,6 +1,6 @@
-"""All that agreed views are held to: orders of the register's words, days, faults planted in both.
+"""Checks of views and of the register behind them: drawn orders and days, and planted faults.
 
-Work is shared out over processes.
+The work is spread over processes.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
     return [register_orders.run_order(seed) for seed in range(first, first + DAYS_PER_TASK * ORDERS_PER_DAY)]
 
 
-def find_in_register(most: int, number: int) -> tuple[int, str]:
-    """In how many orders a planted fault is found, and as what; "": in none of them."""
-    for seed in range(1, most + 1):
+def find_in_register(limit: int, number: int) -> tuple[int, str]:
+    """Return in how many orders a planted fault is found, and its breach ("" if it is not found)."""
+    for seed in range(1, limit + 1):
         walked = register_orders.run_order(seed, REGISTER_FAULTS[number].make_register)
         if walked.breach:
             return seed, walked.breach
-    return most, ""
+    return limit, ""
 
 
-def find_in_views(most: int, number: int) -> tuple[int, str]:
-    """The same, of days."""
+def find_in_views(limit: int, number: int) -> tuple[int, str]:
+    """Return in how many days a planted fault is found, and its breach ("" if it is not found)."""
     planted = VIEW_FAULTS[number]
-    for seed in range(1, most + 1):
+    for seed in range(1, limit + 1):
         day = view_days.play(seed, planted.kind, planted.make_pieces)
         if day.breaches:
             return seed, day.breaches[0]
-    return most, ""
+    return limit, ""
 
 
 def report(drawn: int, jobs: int, fail: Callable[[], object]) -> Iterator[str]:
-    """What is found, line by line; `fail` is called for each thing that is not as it has to be."""
+    """Yield what is found, line by line; `fail` is called for each line that is not as it has to be."""
     parts = range(1, max(DAYS_PER_TASK, drawn) + 1, DAYS_PER_TASK)
     with ProcessPoolExecutor(jobs) as pool:
         register = pool.map(
--- a/wheatring/lab/agreement/view_days.py
+++ b/wheatring/lab/agreement/view_days.py
@@ -1,15 +1,16 @@
-"""Drawn days of a fleet that stands in views: what befalls it, and what must hold after every event.
+"""Drawn days of a fleet that agrees on views: faults are injected, invariants hold after every event.
 
-Rules, read off all sidecars from outside:
+The invariants, read off all members from outside:
 
-- of one number there is one entry and one list of members, over all sidecars and all time;
+- of one number there is one entry and one list of members, over all members and all time;
 - no process goes to a lower number, or to a lower epoch of the same;
-- nobody counts on a view more than `SURE` after a newer one was chosen;
-- nobody goes out to whom nothing was done, and to whose links nothing was done;
-- at the end, a while after the last fault, all stand in one view of all and count on it;
-- on days of one trouble: those who die together go in one change, and one whom a half does not reach stays.
+- no member relies on a view longer than the stamp's lifetime after a newer one was committed;
+- no member is removed to which, and to whose links, nothing was done;
+- at the end, a while after the last fault, all members are in one view of all, and rely on it;
+- on days of one fault: members that die together are removed in one change, and one that a half doesn't reach
+  stays.
 
-A seed gives a day, and the same day again.
+The same seed gives the same day.
 """
 
 from __future__ import annotations
@@ -34,6 +35,8 @@
 
 
 class Fault(NamedTuple):
+    """One fault: when it begins, its kind, how long it lasts, in seconds, and the members that it affects."""
+
     at: float
     kind: str
     length: float
@@ -42,7 +45,7 @@
 
 
 class Day(Struct):
-    """What came of one."""
+    """What happened on one day; `removals` counts members, all changes together."""
 
     seed: int
     kind: Kind
@@ -54,6 +57,7 @@
 
 
 def draw_faults(seed: int, kind: Kind, names: list[str], voters: int) -> list[Fault]:
+    """Draw the faults of a day."""
     random = Random(f"{seed}:{kind}:faults")
     if kind == "together":
         return [Fault(SETTLE_SECONDS, "die", 0.0, tuple(random.sample(names[voters:], len(names) // 3)))]
@@ -79,6 +83,12 @@
 
 
 class DayRun:
+    """One day while it is played.
+
+    `positions` are number and epoch of the view that each process is in, `installed_at` is when a view was
+    first seen, and `excused_until` is until when a fault may still remove a member.
+    """
+
     def __init__(self, seed: int, kind: Kind = "mixed", makes: MakePieces = make_agreement) -> None:
         random = Random(f"{seed}:day")
         size = random.choice([7, 9, 12]) if kind == "mixed" else 12
@@ -102,6 +112,7 @@
         self.fleet.call(1.0, self.sample)
 
     def run(self) -> Day:
+        """Play the day to its end and check the last invariants."""
         self.fleet.run(self.day.length_seconds)
         here = {node.name for node in self.fleet.nodes.values() if node.fleet is not None}
         for node in self.fleet.nodes.values():
@@ -118,12 +129,14 @@
         return self.day
 
     def breach(self, what: str) -> None:
+        """Note a broken invariant, 20 at most."""
         if len(self.day.breaches) < 20:
             self.day.breaches.append(f"{self.fleet.now:.3f} s: {what}")
 
     # Faults
 
     def leader(self) -> str:
+        """Return the member that leads the register of views, or the first one."""
         for node in self.fleet.nodes.values():
             found = views_of(node)
             if found is not None and not node.stopped and found.register.is_ready:
@@ -131,6 +144,7 @@
         return "n0"
 
     def inject(self, fault: Fault) -> None:
+        """Begin a fault, and schedule its end."""
         fleet, names = self.fleet, fault.names
         others = tuple(name for name in fleet.nodes if name not in names)
         over = fleet.now + fault.length
@@ -182,11 +196,12 @@
             self.excused_until[name] = max(self.excused_until.get(name, 0.0), over + AFTERMATH_SECONDS)
 
     def set_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State, over: float) -> None:
+        """Put links into a state until `over`."""
         self.fleet.cut(froms, tos, state)
         self.fleet.call(over, self.repair_links, froms, tos, state)
 
     def repair_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State) -> None:
-        """What another fault has done to these links meanwhile stays."""
+        """Repair links that this fault has put into a state; what another fault has done to them stays."""
         for one in froms:
             for other in tos:
                 if self.fleet.links.get((one, other)) is state:
@@ -195,6 +210,7 @@
     # Rules
 
     def check_after(self, node: Node) -> None:
+        """Check the invariants of one node; called after each of its events."""
         found = views_of(node)
         assert found is not None
         self.day.events += 1
@@ -209,7 +225,7 @@
         self.check_confidence(node)
 
     def check_installed_view(self, node: Node, stands: tuple[str, int]) -> None:
-        """One has come to stand in a view."""
+        """Check a view that a process has newly installed."""
         found = views_of(node)
         assert found is not None
         view = found.view
@@ -226,6 +242,7 @@
             self.check_removals(self.names.get(view.number - 1, frozenset()) - view.names)
 
     def check_removals(self, names: frozenset[str]) -> None:
+        """Check that a fault excuses the removal of these members."""
         if not names:
             return
         self.day.removals += len(names)
@@ -235,7 +252,7 @@
                 self.breach(f"{name} goes out, to whom nothing was done")
 
     def check_confidence(self, node: Node) -> None:
-        """Nobody counts on what is over for long. Clocks may be `rate` apart from true time."""
+        """Check that a member does not rely on an old view for too long, by clocks of any allowed rate."""
         found = views_of(node)
         if found is None or node.stopped or not found.is_current(self.fleet.instant(node).now):
             return
@@ -247,6 +264,7 @@
             self.breach(f"{node.name} counts on {found.view.number}, {late:.1f} s after the next was chosen")
 
     def sample(self) -> None:
+        """Check all members, and schedule the next time."""
         for node in self.fleet.nodes.values():
             self.check_confidence(node)
         if self.fleet.now + 0.5 < self.day.length_seconds:
@@ -254,4 +272,5 @@
 
 
 def play(seed: int, kind: Kind = "mixed", makes: MakePieces = make_agreement) -> Day:
+    """Play one day."""
     return DayRun(seed, kind, makes).run()
--- a/wheatring/lab/agreement/view_fleet.py
+++ b/wheatring/lab/agreement/view_fleet.py
@@ -1,4 +1,4 @@
-"""A virtual fleet whose sidecars stand in views, and what is read off it."""
+"""A virtual fleet whose members agree on views, and the observer that reads them off it."""
 
 from __future__ import annotations
 
@@ -21,13 +21,14 @@
 
 
 def make_agreement(at: Instant, fleet: Fleet) -> list[FleetComponent]:
+    """Return the components of a member that agrees on views."""
     return Agreement(at, fleet).deciders
 
 
 def make_cluster(
     seed: int, size: int, voters: int = 3, makes: MakePieces = make_agreement, term: float = 3.0
 ) -> Cluster:
-    """A fleet with the built-in duty `lead`; nobody of it is started yet."""
+    """Return a fleet with the built-in role `lead`; none of its members is started yet."""
     return Cluster(
         seed,
         size,
@@ -42,7 +43,7 @@
 
 
 def views_of(node: Node) -> MembershipViews | None:
-    """None: no process runs there."""
+    """Return the views of a node; None while no process runs there."""
     if node.fleet is None:
         return None
     piece = node.fleet.components[0]
@@ -51,7 +52,11 @@
 
 
 class ViewChange(Struct):
-    """A view, as the fleet came to know it: when somebody first stood in it, who came and went."""
+    """A view as the fleet came to know it.
+
+    `first_seen` and `last_seen` are when the first and the last member installed it, `added` and `removed`
+    are the names by which it differs from the one before.
+    """
 
     first_seen: float
     number: int
@@ -61,7 +66,10 @@
 
 
 class ViewObserver:
-    """Follows which views there are, and reads `alike` off the fleet ten times a second."""
+    """Follows which views there are, and samples how often all healthy members agree.
+
+    `agreement_share` is the share of samples in which all healthy members were in one view.
+    """
 
     def __init__(self, fleet: Cluster, every: float = 0.1) -> None:
         self.fleet = fleet
@@ -78,6 +86,7 @@
         fleet.call(fleet.now, self.sample)
 
     def observe(self, node: Node) -> None:
+        """Note a view that a node has newly installed; called after each event of the node."""
         found = views_of(node)
         if found is None or found.view.number == self.installed.get(node.name):
             return
@@ -91,6 +100,7 @@
             self.changes[-1].last_seen = self.fleet.now
 
     def healthy(self) -> list[Node]:
+        """Return the running nodes that are expected in the newest view."""
         return [
             node
             for node in self.fleet.nodes.values()
@@ -98,6 +108,7 @@
         ]
 
     def sample(self) -> None:
+        """Note whether all healthy members are in one view now, and schedule the next sample."""
         found = [one for node in self.healthy() if (one := views_of(node)) is not None]
         numbers = {one.view.number for one in found if self.view.member(one.fleet.me.name) == one.self_member}
         self.samples += 1
@@ -106,14 +117,16 @@
 
     @property
     def agreement_share(self) -> float:
+        """Share of the samples in which all healthy members were in one view."""
         return self.agreeing / max(1, self.samples)
 
     def clear(self) -> None:
+        """Forget samples and changes so far."""
         self.samples = self.agreeing = 0
         self.changes.clear()
 
     def has_converged(self, names: Iterable[str]) -> bool:
-        """Whether each healthy one stands in one view of just these."""
+        """Whether each healthy member is in one view of exactly these names."""
         want = frozenset(names)
         found = [views_of(node) for node in self.healthy()]
         return bool(found) and all(
@@ -121,7 +134,13 @@
         )
 
     def run_until_converged(self, names: Iterable[str], longest: float) -> float:
-        """Seconds until each healthy one stands in a view of just these; -1: not within `longest`."""
+        """Run until each healthy member is in a view of exactly these names.
+
+        Returns
+        -------
+        float
+            The seconds that it took, -1 if it never was.
+        """
         want, began = list(names), self.fleet.now
         while not self.has_converged(want):
             if self.fleet.now - began >= longest:
