--- a/tests/control/test_plan_calls.py
+++ b/tests/admin/test_dispatch.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from tests.control.test_calls import call, dial, make  # noqa: F401
+from tests.admin.test_service import call, dial, make  # noqa: F401
 from tests.world import World
-from wheatring.admin import calls
+from wheatring.admin import dispatch
 
 
 class Plans:
@@ -21,15 +21,15 @@
     def __init__(self) -> None:
         self.offered: list[bytes] = []
 
-    def seen(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         return {"number": len(self.offered)}
 
     def offer(self, body: bytes) -> tuple[int, str]:
         self.offered.append(body)
         return 202, "offered"
 
-    def floor(self, least: int) -> tuple[int, str]:
-        return (200, f"floor {least}") if least < 3 else (409, "plan-floor-in-use: plan 4 needs format 2")
+    def set_format_floor(self, minimum: int) -> tuple[int, str]:
+        return (200, f"floor {minimum}") if minimum < 3 else (409, "plan-floor-in-use: plan 4 needs format 2")
 
 
 def asked(world: World, method: str, path: str, body: bytes = b"") -> tuple[int, str]:
@@ -47,18 +47,21 @@
 
 def test_a_plan_is_offered_whole_and_told(make: Any) -> None:  # noqa: F811
     world = make()
-    plans = world.sidecar.desk.plans = Plans()
-    world.sidecar.door.body = calls.PLAN
+    plans = world.sidecar.admin_service.plans = Plans()
+    world.sidecar.admin_server.max_body_bytes = dispatch.MAX_PLAN_BYTES
     body = json.dumps({"format": 1, "routes": ["x" * 200_000]}).encode()
     assert asked(world, "POST", "plan", body)[0] == 202 and plans.offered == [body]
     assert json.loads(asked(world, "GET", "plan")[1]) == {"number": 1}
     assert asked(world, "PUT", "plan", b"x")[0] == 405
-    assert asked(world, "POST", "plan", b"x" * (calls.PLAN + 1))[0] == 400 and len(plans.offered) == 1
+    assert (
+        asked(world, "POST", "plan", b"x" * (dispatch.MAX_PLAN_BYTES + 1))[0] == 400
+        and len(plans.offered) == 1
+    )
 
 
 @pytest.mark.parametrize(("least", "status"), [("2", 200), ("3", 409), ("-1", 400), ("9999", 400)])
 def test_the_floor_is_a_whole_number(make: Any, least: str, status: int, tmp_path: Path) -> None:  # noqa: F811
     world = make()
-    world.sidecar.desk.plans = Plans()
+    world.sidecar.admin_service.plans = Plans()
     assert asked(world, "POST", f"plan/floor/{least}")[0] == status
     assert asked(world, "GET", f"plan/floor/{least}")[0] == 405
--- a/tests/control/test_calls.py
+++ b/tests/admin/test_service.py
@@ -12,7 +12,7 @@
 from tests.conftest import Copy, entries
 from tests.world import FAR, Loopback, Wire, World, entry, list_body
 from wheatring import log
-from wheatring.admin import door as doors
+from wheatring.admin import server
 from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
 from wheatring.balancer.endpoint_pool import REINSTATED_SPREAD_SECONDS
@@ -37,8 +37,8 @@
 
 
 def dial(world: World) -> Wire:
-    assert world.sidecar.door is not None and world.sidecar.door.port is not None
-    port = world.sidecar.door.port.getHost().port
+    assert world.sidecar.admin_server is not None and world.sidecar.admin_server.port is not None
+    port = world.sidecar.admin_server.port.getHost().port
     return Wire(socket.create_connection(("127.0.0.1", port), FAR))
 
 
@@ -83,7 +83,10 @@
         with suppress(OSError):  # some have had to make room by now
             wire.send(b"POST /control/in-ser")
     assert call(world, "ready", "GET") == 200
-    assert world.run(lambda: len(world.sidecar.door.calls if world.sidecar.door else ())) <= doors.MOST
+    assert (
+        world.run(lambda: len(world.sidecar.admin_server.connections if world.sidecar.admin_server else ()))
+        <= server.MAX_CONNECTIONS
+    )
     for wire in crowd:
         wire.close()
 
@@ -131,7 +134,7 @@
         sidecar = world.sidecar
         sidecar.exchange.claim(job, "n0", world.reactor.seconds() + 9)
         under_way = len(sidecar.pool.dials)
-        assert sidecar.desk is not None and sidecar.desk.offline("n0")
+        assert sidecar.admin_service is not None and sidecar.admin_service.take_offline("n0")
         return under_way
 
     caller = world.ask()
@@ -165,8 +168,8 @@
 def test_orders_stand_over_a_new_process(make: Make) -> None:
     world = make(1)
     assert call(world, "endpoints/n0/offline") == call(world, "out-of-service") == 200
-    assert world.sidecar.desk is not None
-    world.run(world.sidecar.desk.stop)
+    assert world.sidecar.admin_service is not None
+    world.run(world.sidecar.admin_service.stop)
     later = make(1)
     assert health(later) == 503
     assert later.ask().read()[0].split()[1] == "503"
@@ -188,8 +191,8 @@
 
 def test_no_small_write_is_held_back_on_an_operators_call(make: Make) -> None:
     world = make()
-    assert world.sidecar.door is not None
-    wire, calls = dial(world), world.sidecar.door.calls
+    assert world.sidecar.admin_server is not None
+    wire, calls = dial(world), world.sidecar.admin_server.connections
     while not world.run(lambda: calls):
         world.settle()
     assert world.run(lambda: [call.transport.getTcpNoDelay() for call in calls]) == [True]
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -402,11 +402,11 @@
         watch.answer(200, list_body(1, entry("own", world.nodes[0]), reset=True))
         watch.read()
     world.served("x", 0, "/menu/x")
-    desk = world.sidecar.desk
+    admin = world.sidecar.admin_service
     assert (
-        desk is not None
-        and not world.run(lambda: desk.offline("none"))
-        and world.run(lambda: desk.offline("own"))
+        admin is not None
+        and not world.run(lambda: admin.take_offline("none"))
+        and world.run(lambda: admin.take_offline("own"))
     )
     assert world.logged("claim-connection") == ["close-idle"]
     world.reload(own_list(found.port, found.port).replace("pool.x", "pool.z").replace("{ x", "{ z"))
@@ -431,7 +431,9 @@
     world = make(control=("127.0.0.1", 0))
     world.served("old", 0)
     assert world.run(world.sidecar.connections_in_use) == 2  # a caller's and a node's
-    assert world.run(lambda: world.sidecar.desk is not None and world.sidecar.desk.offline("n0"))
+    assert world.run(
+        lambda: world.sidecar.admin_service is not None and world.sidecar.admin_service.take_offline("n0")
+    )
     assert world.logged("claim-connection") == ["close-idle"]
     assert world.call(more="X-Time-Left-Ms: 300\r\n").read()[0].split()[1] == "503"
     world.settle()
--- a/wheatring/admin/__init__.py
+++ b/wheatring/admin/__init__.py
@@ -1,4 +1,7 @@
-"""The operators' calls: a door of their own and a table of calls. What they ask is decided elsewhere.
+"""The operators' calls of one sidecar: an HTTP server of their own and a table of calls.
 
-Imported only where the configuration names a `control` address.
+`server` reads a call, `dispatch` finds what it asks for, `service` carries it out in this process and passes
+it on to another process of the same sidecar. What is decided about drains and endpoints is in
+`wheatring.lifecycle`. Imported only where the configuration names a `control` address. The controllers of
+the serving tier are another program: `wheatring.controller`.
 """
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -59,8 +59,8 @@
 
 def add_admin(sidecar: Sidecar, on_view: OnView) -> OnView:
     """Let operators call this sidecar; what discovery says of endpoints passes what they have ordered."""
-    from wheatring.admin.desk import Desk
-    from wheatring.admin.door import Door
+    from wheatring.admin.server import AdminServer
+    from wheatring.admin.service import AdminService
     from wheatring.lifecycle.byhand import ByHand
     from wheatring.lifecycle.handover import Folder
 
@@ -71,13 +71,13 @@
 
         overrides = AllPoolsOverrides(on_view, sidecar.pools)
     folder = Folder(temporary_folder(), sidecar.platform.name, round(sidecar.clock.now() * 1e9))
-    desk = sidecar.desk = Desk(
+    service = sidecar.admin_service = AdminService(
         sidecar.clock, folder, overrides, sidecar.server, sidecar.connection_limit,
         sidecar.connections_in_use, sidecar.set_connection_limit, sidecar.listen,
     )  # fmt: skip
-    door = sidecar.door = Door(sidecar.reactor, sidecar.clock, desk)
-    sidecar.cleanup.callback(desk.stop)
-    sidecar.cleanup.callback(door.close)
+    server = sidecar.admin_server = AdminServer(sidecar.reactor, sidecar.clock, service)
+    sidecar.cleanup.callback(service.stop)
+    sidecar.cleanup.callback(server.close)
     return overrides.view
 
 
@@ -91,7 +91,7 @@
 
 def add_fleet(sidecar: Sidecar, configuration: ProjectFile, on_view: OnView) -> OnView:
     """Exchange messages with the other sidecars, and carry out the duties that this one acquires."""
-    from wheatring.admin.calls import PLAN
+    from wheatring.admin.dispatch import MAX_PLAN_BYTES
     from wheatring.peers.assembly import build_fleet
     from wheatring.peers.operator_calls import PlanCalls, role_calls
 
@@ -100,11 +100,11 @@
         sidecar.reactor, sidecar.clock, sidecar.platform, configuration, on_view, set_weights
     )
     sidecar.fleet, sidecar.list_sharing = fleet, sharing
-    if sidecar.desk is not None:
-        sidecar.desk.fleet = role_calls(fleet, configuration)
-        if configuration.plan is not None and sidecar.door is not None:
-            sidecar.desk.plans = PlanCalls(fleet)
-            sidecar.door.body = PLAN
+    if sidecar.admin_service is not None:
+        sidecar.admin_service.roles = role_calls(fleet, configuration)
+        if configuration.plan is not None and sidecar.admin_server is not None:
+            sidecar.admin_service.plans = PlanCalls(fleet)
+            sidecar.admin_server.max_body_bytes = MAX_PLAN_BYTES
     sidecar.cleanup.callback(fleet.close)
     return on_view if sharing is None else sharing.on_list
 
--- a/wheatring/daemon/shutdown.py
+++ b/wheatring/daemon/shutdown.py
@@ -18,7 +18,7 @@
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar = sidecar
-        desk = sidecar.desk
+        admin = sidecar.admin_service
         settings = sidecar.platform.settings
         self.leaving = Leaving(
             sidecar.clock.now(),
@@ -26,7 +26,7 @@
             settings.balancer_count,
             sidecar.exchange.usual,
             len(sidecar.server.standing()),
-            followed=desk is not None and desk.followed,
+            followed=admin is not None and admin.has_successor,
         )
 
     def run(self) -> None:
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -15,8 +15,8 @@
 from wheatring.operator_properties import OperatorProperties
 
 if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
-    from wheatring.admin.desk import Desk
-    from wheatring.admin.door import Door
+    from wheatring.admin.server import AdminServer
+    from wheatring.admin.service import AdminService
     from wheatring.balancer.interface import View
     from wheatring.config.project_file import ProjectFile
     from wheatring.core.body import Room
@@ -78,8 +78,8 @@
         self.clock = Clock(reactor, unix)
         self.exit_status = 0
         self.cleanup = ExitStack()  # the ends of optional parts, last added first
-        self.desk: Desk | None = None
-        self.door: Door | None = None
+        self.admin_service: AdminService | None = None
+        self.admin_server: AdminServer | None = None
         self.ring: Ring | None = None
         self.audit: Audit | None = None
         self.drills: Drills | None = None
@@ -164,7 +164,7 @@
 
     def start(self) -> None:
         """Start all parts; callers are let in once the list, and the weights if any, are known."""
-        if self.desk is not None:
+        if self.admin_service is not None:
             self._start_admin()
         self.machine_list.known(self.platform.known)
         if self.pools is not None:
@@ -182,14 +182,18 @@
         self.apply_operators(self.first_operators)
 
     def _start_admin(self) -> None:
-        assert self.desk is not None and self.door is not None and self.platform.control is not None
-        self.desk.start()
+        assert (
+            self.admin_service is not None
+            and self.admin_server is not None
+            and self.platform.control is not None
+        )
+        self.admin_service.start()
         host, port = self.platform.control
-        log.line("control-listening", host=host, port=self.door.listen(host, port))
+        log.line("control-listening", host=host, port=self.admin_server.listen(host, port))
 
     def _open(self) -> None:
-        if self.desk is not None:
-            self.desk.serve()
+        if self.admin_service is not None:
+            self.admin_service.serve()
         else:
             self.listen()
 
@@ -211,7 +215,7 @@
 
         host, number = self.platform.listen
         try:
-            port = self.server.listen(host, number, shared=self.desk is not None)
+            port = self.server.listen(host, number, shared=self.admin_service is not None)
         except CannotListenError as error:
             if not self.reactor.running:
                 raise
--- a/wheatring/peers/operator_calls.py
+++ b/wheatring/peers/operator_calls.py
@@ -17,7 +17,7 @@
 
     runtime: FleetRuntime
 
-    def seen(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """Describe the plan."""
         return self.runtime.plan_status()
 
@@ -26,23 +26,23 @@
         http_status, answer = self.runtime.offer_plan(body)
         return http_status, json.dumps(answer)
 
-    def floor(self, least: int) -> tuple[int, str]:
+    def set_format_floor(self, minimum: int) -> tuple[int, str]:
         """Set the lowest plan format that members have to read."""
-        http_status, answer = self.runtime.set_format_floor(least)
+        http_status, answer = self.runtime.set_format_floor(minimum)
         return http_status, json.dumps(answer)
 
 
 class RoleCalls(NamedTuple):
     """Calls on roles.
 
-    `turn` returns the seconds to wait for a turn to be out of service; 0: this sidecar has it, or needs none.
-    `back` gives the turn back.
+    `request_turn` returns the seconds to wait for a turn to be out of service; 0: this sidecar has it, or
+    needs none. `return_turn` gives the turn back.
     """
 
-    seen: Callable[[], dict[str, Any]]
+    status: Callable[[], dict[str, Any]]
     release: Callable[[str], bool | None]
-    turn: Callable[[], float]
-    back: Callable[[], None]
+    request_turn: Callable[[], float]
+    return_turn: Callable[[], None]
 
 
 def role_calls(runtime: FleetRuntime, configuration: project_file.ProjectFile) -> RoleCalls:
@@ -52,7 +52,7 @@
     def release(name: str) -> bool | None:
         return runtime.release_role(name) if name in runtime.workers else None
 
-    def turn() -> float:
+    def request_turn() -> float:
         if not turns or runtime.active_epoch(turns) is not None:
             return 0.0
         runtime.set_wanted(turns, True)
@@ -60,8 +60,8 @@
             return 0.0
         return max(MIN_WAIT_SECONDS, runtime.terms.lease_seconds / 3)
 
-    def back() -> None:
+    def return_turn() -> None:
         if turns:
             runtime.set_wanted(turns, False)
 
-    return RoleCalls(runtime.status, release, turn, back)
+    return RoleCalls(runtime.status, release, request_turn, return_turn)
