--- a/tests/sidecar/test_prefix_placement.py
+++ b/tests/sidecar/test_prefix_placement.py
@@ -12,9 +12,11 @@
 from hypothesis import strategies as st
 
 from wheatring.balancer import interface as i
-from wheatring.sidecar.policy import DEFAULT_POLICY, PolicyError, SidecarPolicy, read_policy
+from wheatring.sidecar.exceptions import PolicyError
+from wheatring.sidecar.policy import DEFAULT_POLICY, SidecarPolicy, read_policy
 from wheatring.sidecar.prefix_placement import PrefixCacheTracker, PromptSegment, home_endpoint
-from wheatring.sidecar.service_balancer import ServiceBalancer, TierBalancer, are_zones_balanced
+from wheatring.sidecar.service_balancer import ListedEndpoint, ServiceBalancer
+from wheatring.sidecar.tier_balancer import TierBalancer, are_zones_balanced
 
 ENDPOINTS = [f"i-{zone}{number}" for zone in "ab" for number in range(6)]
 
@@ -87,7 +89,7 @@
 
 
 def test_what_stands_behind_a_part_that_is_not_held_is_read_too() -> None:
-    caches = PrefixCacheTracker(seconds=20.0)
+    caches = PrefixCacheTracker(ttl_seconds=20.0)
     parts = prompt(1, 2)
     assert caches.uncached_tokens(0.0, "i", parts) == 1700
     caches.record_prefill(0.0, "i", parts[2:])
@@ -180,7 +182,7 @@
     async def play() -> TierBalancer:
         decisions = ServiceBalancer("a", 1, DEFAULT_POLICY)
         listed = [
-            (i.EndpointEntry(name, i.EndpointState.READY, zone=name[2]), f"{name}:80", 6)
+            ListedEndpoint(i.EndpointEntry(name, i.EndpointState.READY, zone=name[2]), f"{name}:80", 6)
             for name in ENDPOINTS
         ]
         decisions.set_endpoints(listed[:6])
--- a/wheatring/sidecar/client_connection.py
+++ b/wheatring/sidecar/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: requests in, one after the other, and their answers out."""
+"""One client's connection: requests in, one after the other, and their responses out."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from wheatring.http1.parser import BadMessage, Message, Reader
 from wheatring.sidecar.route_table import Limits
 
-MAX_PIPELINED_BYTES = 256 * 1024  # that a client may send ahead while a request is under way
+MAX_PIPELINED_BYTES = 256 * 1024  # that a client may send ahead while a request is in flight
 
 RequestHandler = Callable[["ClientConnection", Message, float], Awaitable[None]]
 
@@ -22,21 +22,33 @@
     """What all client connections of a sidecar share; replaced as a whole when it changes."""
 
     limits: Limits
-    is_closing: bool = False  # every answer is the last one on its connection
+    is_closing: bool = False  # every response is the last one on its connection
 
 
 class ClientConnection(asyncio.Protocol):
-    """Answers one request at a time. A client that leaves ends its request."""
+    """Serves one request at a time. A client that closes the connection ends its request."""
 
     def __init__(
         self,
         handler: RequestHandler,
         settings: Callable[[], ConnectionSettings],
-        lost: Callable[[ClientConnection], None],
+        on_lost: Callable[[ClientConnection], None],
     ) -> None:
+        """Prepare a connection.
+
+        Parameters
+        ----------
+        handler
+            Answers a request; it gets this connection, the request and when its last byte came, in seconds of
+            the event loop's clock.
+        settings
+            Returns what holds now for all client connections.
+        on_lost
+            Called once, when the connection has ended.
+        """
         self._handler = handler
         self._settings = settings
-        self._on_lost = lost
+        self._on_lost = on_lost
         self._reader = Reader(responses=False, max_body=settings().limits.body_bytes)
         self._transport: Any = None
         self._task: asyncio.Task[None] | None = None
@@ -45,41 +57,43 @@
         self._keep_alive = True
         self._timer: asyncio.TimerHandle | None = None
         self._received_at = 0.0
-        self._ended = False
+        self._is_ended = False
 
     # Called by the event loop
 
     def connection_made(self, transport: Any) -> None:
-        """A client has connected."""
+        """Wait for the first request of a client that has connected."""
         self._transport = transport
         self._wait_for_request()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of this request, or of the next one."""
-        if self._ended:
+        """Take bytes of this request, or of the next one."""
+        if self._is_ended:
             return
         self._received_at = asyncio.get_running_loop().time()
-        begun = self._reader.started
+        is_request_begun = self._reader.started
         self._reader.feed(data)
         if self._task is not None:
             if len(self._reader.buffer) > MAX_PIPELINED_BYTES:
                 self._transport.pause_reading()
             return
-        if not begun:
-            self._set_timer(self._settings().limits.header_timeout_seconds, self._late)
-        self._advance()
+        if not is_request_begun:
+            self._set_timer(self._settings().limits.header_timeout_seconds, self._on_header_timeout)
+        self._start_next_request()
 
     def eof_received(self) -> bool:
-        """The client has closed: nobody waits for an answer any more, and what is under way ends. A client
-        that closes one half only is not known to the operators' pages, and rule GONE counts what runs on.
+        """End what is in flight: the client has closed, and nobody waits for a response any more.
+
+        A client that closes one half only is not known to the operators' pages, and rule GONE counts what
+        runs on.
         """
         if self._task is not None:
             self._task.cancel()
         return False
 
-    def connection_lost(self, error: Exception | None) -> None:
-        """The client has gone."""
-        self._ended = True
+    def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
+        """End what is in flight: the client has gone."""
+        self._is_ended = True
         self._clear_timer()
         self._writable.set()
         if self._task is not None:
@@ -87,24 +101,25 @@
         self._on_lost(self)
 
     def pause_writing(self) -> None:
-        """The client reads slowly."""
+        """Have `drain` wait: the client reads slowly."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """It has caught up."""
+        """Have `drain` go on: the client has caught up."""
         self._writable.set()
 
     # Requests
 
     @property
     def is_busy(self) -> bool:
+        """Whether a request is in flight."""
         return self._task is not None
 
-    def _advance(self) -> None:
+    def _start_next_request(self) -> None:
         try:
             message = self._reader.next()
         except BadMessage as bad:
-            self._refuse(bad.status)
+            self._reject(bad.status)
             return
         if message is None:
             pending = self._reader.message
@@ -120,12 +135,12 @@
             await self._handler(self, message, self._received_at)
         except asyncio.CancelledError:
             return
-        except Exception as error:  # a fault of ours must not leave the client without an end
+        except Exception as error:  # a fault of the program must not leave the client without an end
             log_event("request-broken", error=repr(error))
             self.abort_response()
         finally:
             self._task = None
-        if self._ended:
+        if self._is_ended:
             return
         if not self._keep_alive or self._settings().is_closing:
             self.close()
@@ -133,18 +148,18 @@
         self._transport.resume_reading()
         self._wait_for_request()
         if self._reader.started:
-            self._advance()
+            self._start_next_request()
 
     def _wait_for_request(self) -> None:
         self._set_timer(self._settings().limits.idle_timeout_seconds, self.close)
 
-    def _late(self) -> None:
+    def _on_header_timeout(self) -> None:
         if self._reader.started:
-            self._refuse(408)
+            self._reject(408)
         else:
             self.close()
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         self._transport.write(response(status, close=True))
         self.close()
 
@@ -157,21 +172,17 @@
             self._timer.cancel()
             self._timer = None
 
-    # Answers
-
-    @property
-    def gone(self) -> bool:
-        return self._ended
+    # Responses
 
-    def _closing_line(self) -> bytes:
+    def _connection_field(self) -> bytes:
         if self._settings().is_closing and not self._reader.started:
             self._keep_alive = False
         return b"" if self._keep_alive else b"Connection: close\r\n"
 
     def send_response(self, status: int, fields: bytes = b"", body: bytes = b"") -> None:
-        """Write a whole answer; `fields` are finished header lines."""
+        """Write a complete response; `fields` are encoded header lines."""
         reason = REASONS.get(status, b"OK")
-        closing = self._closing_line()
+        closing = self._connection_field()
         head = b"HTTP/1.1 %d %s\r\n%s%sContent-Length: %d\r\n\r\n" % (
             status,
             reason,
@@ -182,23 +193,23 @@
         self._transport.write(head + body)
 
     def start_response(self, status: int, fields: bytes, length: int | None = None) -> None:
-        """Write the head of an answer whose body follows in pieces."""
+        """Write the head of a response whose body follows; without a length it is chunked."""
         reason = REASONS.get(status, b"OK")
         framing = b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
-        closing = self._closing_line()
+        closing = self._connection_field()
         self._transport.write(b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, reason, fields, framing, closing))
 
     def write_chunk(self, data: bytes) -> None:
-        """A piece of a body without a length."""
+        """Write a chunk of a body without a length."""
         if data:
             self._transport.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def write_body(self, data: bytes) -> None:
-        """A piece of a body with a length."""
+        """Write a part of a body with a length."""
         self._transport.write(data)
 
     def finish_chunked_response(self) -> None:
-        """The body without a length is whole."""
+        """Write the last chunk of a body without a length."""
         self._transport.write(b"0\r\n\r\n")
 
     async def drain(self) -> None:
@@ -206,13 +217,13 @@
         await self._writable.wait()
 
     def abort_response(self) -> None:
-        """End the connection in the middle of an answer, so that it does not look whole."""
+        """End the connection in the middle of a response, so that it does not look complete."""
         self._keep_alive = False
         self.close()
 
     def close(self) -> None:
         """End the connection once all that was written has left."""
-        self._ended = True
+        self._is_ended = True
         self._clear_timer()
         if self._transport is not None:
             self._transport.close()
--- /dev/null
+++ b/wheatring/sidecar/endpoint_response.py
@@ -0,0 +1,47 @@
+"""Responses of endpoints: the head of one whose body follows, and a complete one."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from wheatring.http1.parser import Message
+from wheatring.sidecar import headers
+from wheatring.sidecar.endpoint_connection import EndpointConnection
+
+
+@dataclass(slots=True)
+class EndpointResponse:
+    """The head of an endpoint's response and the connection that brings the rest.
+
+    `sent_at` is when the attempt began, in seconds of the event loop's clock.
+    """
+
+    message: Message
+    connection: EndpointConnection
+    endpoint: str
+    sent_at: float
+
+    @property
+    def status(self) -> int:
+        """The HTTP status."""
+        return int(self.message.first[0])
+
+
+@dataclass(slots=True)
+class ErrorResponse:
+    """An endpoint's own error response, kept to be passed on unchanged."""
+
+    status: int
+    fields: bytes  # header lines
+    body: bytes
+
+
+def reported_load(message: Message) -> float | None:
+    """Return the requests at the endpoint, running and queued, as its response reports them."""
+    value = message.fields.get(headers.SERVER_LOAD)
+    if value is None:
+        return None
+    parts = value.split(b",")
+    if len(parts) < 2 or not all(part.strip().isdigit() for part in parts[:2]):
+        return None
+    return float(int(parts[0]) + int(parts[1]))
--- a/wheatring/sidecar/event_stream.py
+++ b/wheatring/sidecar/event_stream.py
@@ -1,4 +1,4 @@
-"""Cuts a series of events (text/event-stream) into whole events, as they come."""
+"""Parses a series of events (text/event-stream, HTML Living Standard 9.2) into events, as they arrive."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     data: bytes
 
 
-def _field(line: bytes, name: bytes) -> bytes | None:
-    """The value of a line of that name; None for other lines."""
+def _field_value(line: bytes, name: bytes) -> bytes | None:
+    """Return the value of a line of that name; None for other lines."""
     if not line.startswith(name + b":"):
         return None
     value = line[len(name) + 1 :]
@@ -23,42 +23,42 @@
 
 
 def _parse(raw: bytes) -> Event:
-    ident: int | None = None
+    event_id: int | None = None
     data: list[bytes] = []
     for line in raw.splitlines():
-        if (value := _field(line, b"data")) is not None:
+        if (value := _field_value(line, b"data")) is not None:
             data.append(value)
-        elif (value := _field(line, b"id")) is not None and value.strip().isdigit():
-            ident = int(value)
-    return Event(raw, ident, b"\n".join(data))
+        elif (value := _field_value(line, b"id")) is not None and value.strip().isdigit():
+            event_id = int(value)
+    return Event(raw, event_id, b"\n".join(data))
 
 
 class EventParser:
-    """Bytes in, whole events out. What stands behind the last blank line is kept for later."""
+    """Bytes in, complete events out. What stands behind the last blank line is kept for later."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that are whole by now."""
+        """Return the events that are complete by now."""
         self._buffer += data
         events: list[Event] = []
-        while (end := self._end()) > 0:
+        while (end := self._first_event_end()) > 0:
             raw = bytes(self._buffer[:end])
             del self._buffer[:end]
             events.append(_parse(raw))
         return events
 
-    def _end(self) -> int:
-        """Where the first whole event ends, 0 where none does."""
+    def _first_event_end(self) -> int:
+        """Return where the first complete event ends, 0 where there is none."""
         ends = [
-            position + len(mark)
-            for mark in (b"\n\n", b"\r\n\r\n")
-            if (position := self._buffer.find(mark)) >= 0
+            position + len(separator)
+            for separator in (b"\n\n", b"\r\n\r\n")
+            if (position := self._buffer.find(separator)) >= 0
         ]
         return min(ends, default=0)
 
     @property
     def remainder(self) -> bytes:
-        """Bytes that make no whole event."""
+        """Bytes that make no complete event."""
         return bytes(self._buffer)
--- a/wheatring/sidecar/exceptions.py
+++ b/wheatring/sidecar/exceptions.py
@@ -1,4 +1,4 @@
-"""What is known of a request that did not get its whole answer from an endpoint."""
+"""The errors of a sidecar, typed by what is known of the request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ExecutionState(Enum):
-    """Whether a request may have run."""
+    """Whether an endpoint may have run a request, which decides whether it may be sent again."""
 
     NOT_RUN = "not run"  # it never reached an endpoint's work, and never will
     MAY_HAVE_RUN = "may have run"
@@ -18,17 +18,21 @@
 
 @dataclass(slots=True)
 class AttemptFailedError(Exception):
-    """One attempt at an endpoint has ended without a whole answer."""
+    """One attempt at an endpoint has ended without a complete response."""
 
     execution: ExecutionState
-    outcome: Outcome  # in the words of the decision module
+    outcome: Outcome  # as the balancer counts it
     reason: str
 
 
 @dataclass(slots=True)
 class RequestRejectedError(Exception):
-    """The request ends here with an answer of the sidecar's own."""
+    """The request ends with a response of the sidecar's own."""
 
     status: int
     reason: str
-    retry_after_seconds: float = 0.0  # seconds; 0: none is told
+    retry_after_seconds: float = 0.0  # 0: the response has no Retry-After
+
+
+class PolicyError(Exception):
+    """A policy file that cannot be used; the text names the file and the key."""
--- a/wheatring/sidecar/headers.py
+++ b/wheatring/sidecar/headers.py
@@ -12,20 +12,21 @@
 PROMPT_PREFIX = b"wheatring-prompt-prefix"
 LAST_EVENT_ID = b"last-event-id"
 PROGRAM = b"program"
-SESSION = b"session"
 BUDGET = b"budget"
 PREVIOUS = b"previous"
 PRIORITY = b"priority"
 KEEP_ALIVE = b"keep-alive"
 
+MAX_DIGITS = 15
+
 
 def parse_non_negative_int(value: bytes | None) -> int | None:
-    """A header's value as a whole number of 0 or more; None where it is absent or something else."""
-    if value is None or not value.isdigit() or len(value) > 15:
+    """Return a header's value as a number of 0 or more; None where it is absent or something else."""
+    if value is None or not value.isdigit() or len(value) > MAX_DIGITS:
         return None
     return int(value)
 
 
 def decode_text(value: bytes | None) -> str:
-    """A header's value as text."""
+    """Return a header's value as text; empty where it is absent."""
     return value.decode("latin-1") if value else ""
--- /dev/null
+++ b/wheatring/sidecar/outgoing_request.py
@@ -0,0 +1,68 @@
+"""A client's request as it goes to endpoints."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from wheatring.http1.parser import Message
+from wheatring.sidecar import headers
+from wheatring.sidecar.prefix_placement import PromptSegment
+from wheatring.sidecar.route_table import Route
+
+MAX_PRIORITY = 9  # of the header, whose values are 0 to 9
+
+_OWN_FIELDS = (headers.DEADLINE, headers.EXPECTED_INSTANCE, headers.PRIORITY, headers.LAST_EVENT_ID)
+
+
+@dataclass(slots=True)
+class OutgoingRequest:
+    """A request as it goes to endpoints.
+
+    Attributes
+    ----------
+    body
+        The client's, or the whole prompt of a conversation.
+    deadline
+        An instant of the event loop's clock, in seconds.
+    last_event_id
+        Behind which a stream goes on; empty at its beginning.
+    """
+
+    message: Message
+    body: bytes
+    request_id: bytes
+    route: Route
+    deadline: float
+    last_event_id: bytes = b""
+    prompt_segments: tuple[PromptSegment, ...] = ()
+
+    def encode(self, endpoint: str, remaining_seconds: float) -> bytes:
+        """Return the bytes for one endpoint, which has so much time left."""
+        method, target = self.message.first
+        resumed = b"Last-Event-Id: %s\r\n" % self.last_event_id if self.last_event_id else b""
+        length = b"Content-Length: %d\r\n" % len(self.body) if self.body or method != b"GET" else b""
+        return b"".join(
+            (
+                b"%s %s HTTP/1.1\r\n" % (method, target),
+                self.message.end_to_end(*_OWN_FIELDS),
+                resumed,
+                b"Wheatring-Deadline-Ms: %d\r\n" % max(1, int(remaining_seconds * 1000)),
+                b"Wheatring-Expected-Instance: %s\r\n" % endpoint.encode("latin-1"),
+                b"Priority: %d\r\n" % min(max(self.route.priority, 0), MAX_PRIORITY),
+                length,
+                b"\r\n",
+                self.body,
+            )
+        )
+
+
+def parse_prompt_segments(message: Message) -> tuple[PromptSegment, ...]:
+    """Return the segments of a prompt, in order; one that cannot be read ends the list."""
+    value = message.fields.get(headers.PROMPT_PREFIX, b"")
+    segments = []
+    for item in value.split(b",") if value else ():
+        segment_id, colon, tokens = item.strip().partition(b":")
+        if not colon or not tokens.isdigit():
+            break
+        segments.append(PromptSegment(segment_id, int(tokens)))
+    return tuple(segments)
--- a/wheatring/sidecar/policy.py
+++ b/wheatring/sidecar/policy.py
@@ -11,10 +11,15 @@
 from pathlib import Path
 from typing import Any
 
+from wheatring.sidecar.exceptions import PolicyError
+
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SidecarPolicy:
-    """Placement of prompts, and how long silence is borne. Costs are parts of an endpoint's full batch."""
+    """Placement of prompts, and time-outs of silent streams.
+
+    The names of the fields are keys of policy files. Costs are parts of an endpoint's full batch.
+    """
 
     tokens_per_load: float = 4000.0  # prompt tokens to be read that weigh as much as a full batch
     far_cost: float = 0.3  # for an endpoint in another zone
@@ -31,10 +36,6 @@
 DEFAULT_POLICY = SidecarPolicy()
 
 
-class PolicyError(Exception):
-    """A policy file that cannot be used; the text names the file and the key."""
-
-
 def read_policy(path: Path) -> SidecarPolicy:
     """Read a policy file. Raises PolicyError."""
     import tomllib  # needed by this option alone
@@ -47,12 +48,12 @@
     for key, value in values.items():
         if key not in fields:
             raise PolicyError(f"{path}: {key}: no such key")
-        if not _fits(value, fields[key]):
+        if not _is_of_kind(value, fields[key]):
             raise PolicyError(f"{path}: {key}: must be like {fields[key]!r}, is {value!r:.40}")
     return SidecarPolicy(**values)
 
 
-def _fits(value: Any, default: Any) -> bool:
+def _is_of_kind(value: Any, default: Any) -> bool:
     if isinstance(default, bool) or isinstance(value, bool):
         return isinstance(default, bool) and isinstance(value, bool)
     kinds = (int, float) if isinstance(default, float) else (int,)
--- a/wheatring/sidecar/route_table.py
+++ b/wheatring/sidecar/route_table.py
@@ -1,4 +1,4 @@
-"""The route table of one configuration. The configuration was checked by a controller before it was taken."""
+"""The route table of one configuration, which a controller has checked before it accepted it."""
 
 from __future__ import annotations
 
@@ -38,27 +38,28 @@
 
     @property
     def is_streaming(self) -> bool:
+        """Whether responses are series of events."""
         return self.kind == "streaming"
 
     @property
-    def effect(self) -> Idempotency:
+    def idempotency(self) -> Idempotency:
         """What running a request twice would do; a stream that can be resumed goes on where it broke off."""
-        repeatable = self.kind == "safe" or (self.is_streaming and self.is_resumable)
-        return Idempotency.IDEMPOTENT if repeatable else Idempotency.NOT_IDEMPOTENT
+        is_idempotent = self.kind == "safe" or (self.is_streaming and self.is_resumable)
+        return Idempotency.IDEMPOTENT if is_idempotent else Idempotency.NOT_IDEMPOTENT
 
     def service_at(self, position: float) -> str:
-        """The service that a place between 0 and 1 belongs to, where each has as much room as its weight."""
-        left = position * sum(share.weight for share in self.weighted_services)
-        for share in self.weighted_services:
-            left -= share.weight
-            if left < 0:
-                return share.service
+        """Return the service at a position from 0 to 1, of which each has a part as large as its weight."""
+        remaining = position * sum(each.weight for each in self.weighted_services)
+        for each in self.weighted_services:
+            remaining -= each.weight
+            if remaining < 0:
+                return each.service
         return self.weighted_services[-1].service
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take or rest. Bytes and seconds."""
+    """What a client may send, and how long a connection may take for a header or be idle."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service; `stride` is the number of tokens in each event of its streams, 0 where it has no engine."""
+    """A service; `tokens_per_event` is 0 where its endpoints run no model."""
 
     name: str
     tokens_per_event: int
@@ -76,7 +77,7 @@
     max_connections: int
 
 
-def _shares(values: Mapping[str, Any]) -> tuple[WeightedService, ...]:
+def _weighted_services(values: Mapping[str, Any]) -> tuple[WeightedService, ...]:
     split = values.get("trafficSplit")
     if not split:
         return (WeightedService(str(values["backend"]), 1.0),)
@@ -97,7 +98,7 @@
         is_retained=bool(values.get("retained")),
         retention_seconds=float(values.get("retentionS") or 0.0),
         is_resumable=bool(values.get("resumable")),
-        weighted_services=_shares(values),
+        weighted_services=_weighted_services(values),
     )
 
 
@@ -123,19 +124,21 @@
 
 
 class GoldenRatioSequence:
-    """Places between 0 and 1 that are spread evenly however many of them are taken (multiples of the golden
-    ratio), so that each part of a split gets its share of few requests too.
+    """Positions from 0 to 1 that are spread evenly however many of them are taken.
+
+    They are multiples of the golden ratio (an additive recurrence), so that each service of a split gets its
+    share of few requests too.
     """
 
     STEP = (5**0.5 - 1) / 2
 
     def __init__(self, start: float) -> None:
-        self._place = start
+        self._position = start
 
     def next(self) -> float:
-        """The next place."""
-        self._place = (self._place + self.STEP) % 1.0
-        return self._place
+        """Return the next position."""
+        self._position = (self._position + self.STEP) % 1.0
+        return self._position
 
 
 class RouteTable:
@@ -148,12 +151,12 @@
         self.services = {service.name: service for service in map(_service, values["services"])}
         self.limits = _limits(values.get("limits") or {})
         self._by_host: dict[str, list[Route]] = {}
-        self._spreads: dict[str, GoldenRatioSequence] = {}
+        self._positions: dict[str, GoldenRatioSequence] = {}
         for route in sorted(self.routes, key=lambda route: len(route.prefix), reverse=True):
             self._by_host.setdefault(route.hostname, []).append(route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of a request; `host` may carry a port."""
+        """Return the route of a request, None where there is none; `host` may have a port."""
         name = host.lower().partition(":")[0]
         for route in self._by_host.get(name, ()):
             if path.startswith(route.prefix):
@@ -161,8 +164,8 @@
         return None
 
     def choose_service(self, route: Route, random: Random) -> str:
-        """The service for the next request of a route, by the weights of its split."""
-        spread = self._spreads.get(route.name)
-        if spread is None:
-            spread = self._spreads[route.name] = GoldenRatioSequence(random.random())
-        return route.service_at(spread.next())
+        """Return the service for the next request of a route, by the weights of its split."""
+        positions = self._positions.get(route.name)
+        if positions is None:
+            positions = self._positions[route.name] = GoldenRatioSequence(random.random())
+        return route.service_at(positions.next())
--- /dev/null
+++ b/wheatring/sidecar/tier_balancer.py
@@ -0,0 +1,162 @@
+"""The balancer of one service as the tier runs it.
+
+The retry policy is the balancer's own (gRFC A6). What the tier adds: the attempt limit of the route,
+admission by the slots that endpoints say they have, and, for endpoints that run a model, the prefix that they
+have cached.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping, Sequence
+
+from wheatring.balancer import interface as i
+from wheatring.balancer.active_request import ActiveRequest
+from wheatring.balancer.balancer import Balancer
+from wheatring.balancer.endpoint import Endpoint
+from wheatring.sidecar.policy import SidecarPolicy
+from wheatring.sidecar.prefix_placement import (
+    CONVERSATION_SEGMENT,
+    PrefixCacheTracker,
+    PromptSegment,
+    home_endpoint,
+)
+
+LOAD_REPORT_TTL_SECONDS = 1.0  # for which an endpoint's own report of its load counts
+MAX_ATTEMPTS = 5
+MIN_LATENCY_SAMPLES = 12  # of a route, from which its usual latency is known
+
+
+def are_zones_balanced(endpoints_by_zone: Mapping[str, int], policy: SidecarPolicy) -> bool:
+    """Whether every zone can carry its own traffic: no zone has far less than its share of the endpoints."""
+    least = min(endpoints_by_zone.values(), default=0)
+    share = sum(endpoints_by_zone.values()) / max(len(endpoints_by_zone), 1)
+    return least >= policy.least_in_zone and least >= policy.least_zone_share * share
+
+
+class TierBalancer(Balancer):
+    """The balancer with the tier's limits, and with its knowledge of prefix caches.
+
+    Attributes
+    ----------
+    max_attempts
+        By route.
+    slots
+        By endpoint: how many requests it runs at one time.
+    prompt_segments
+        By request.
+    is_zone_local
+        Whether prompts stay in this sidecar's zone.
+    """
+
+    def __init__(self, settings: i.Settings, seed: int, policy: SidecarPolicy) -> None:
+        super().__init__(settings, seed)
+        self.policy = policy
+        self.max_attempts: dict[str, int] = {}
+        self.slots: dict[str, int] = {}
+        self.prompt_segments: dict[int, tuple[PromptSegment, ...]] = {}
+        self.prefix_caches = PrefixCacheTracker(policy.prefix_seconds)
+        self.is_zone_local = False
+
+    def may_retry(self, now: float, request: ActiveRequest, outcome: i.Outcome) -> bool:
+        """Whether a further attempt is allowed: the route limits their number."""
+        if len(request.attempts) >= self.max_attempts.get(request.request_class.name, MAX_ATTEMPTS):
+            return False
+        return super().may_retry(now, request, outcome)
+
+    def is_latency_known(
+        self,
+        now: float,  # noqa: ARG002 - the balancer's signature
+        request_class: i.RequestClass,
+    ) -> bool:
+        """Whether the usual latency of a class is known.
+
+        Routes come and go while a sidecar runs, so each route counts its own responses.
+        """
+        estimate = self.latencies.get(request_class.name)
+        return estimate is not None and estimate.count >= MIN_LATENCY_SAMPLES
+
+    def judge(self, now: float, endpoint: Endpoint, outcome: i.Outcome) -> None:
+        """Eject an endpoint for failures alone.
+
+        How long a response takes follows from its length here, so latency counts in the burden only.
+        """
+        excess_latency, endpoint.excess_latency = endpoint.excess_latency, 0.0
+        super().judge(now, endpoint, outcome)
+        if endpoint.outcomes:
+            endpoint.excess_latency = excess_latency
+
+    def admits(self, now: float, request: ActiveRequest) -> bool:
+        """Whether a request is admitted: always while an endpoint has a free slot."""
+        return super().admits(now, request) or any(
+            self.occupancy(now, endpoint) < self.slots.get(endpoint.entry.endpoint, 0)
+            for endpoint in self.pool.ready
+        )
+
+    def occupancy(self, now: float, endpoint: Endpoint) -> float:
+        """Return the requests at an endpoint, by its own report while that is recent, else by this one's."""
+        if endpoint.reported_at and now - endpoint.reported_at < LOAD_REPORT_TTL_SECONDS:
+            return max(endpoint.reported_in_flight, endpoint.in_flight)
+        return endpoint.in_flight
+
+    def pick(self, now: float, request: ActiveRequest) -> tuple[Endpoint | None, list[Endpoint]]:
+        """Return the endpoint for an attempt, and those that it was chosen from.
+
+        To the few that the balancer draws come those that cache the longest part of the prompt, and the home
+        of its conversation; the one with the lowest cost is chosen.
+        """
+        best, drawn = super().pick(now, request)
+        segments = self.prompt_segments.get(request.request_id)
+        if best is None or not segments or len(self.pool.ready) < 2:
+            return best, drawn
+        home = self._home(segments) if self.policy.prompt_homes else None
+        candidates = {best.entry.endpoint: best}
+        for endpoint in (*self._caching(now, segments), *([home] if home is not None else [])):
+            if endpoint not in request.attempts and self._is_usable(now, endpoint):
+                candidates[endpoint.entry.endpoint] = endpoint
+
+        def cost(endpoint: Endpoint) -> tuple[float, float]:
+            return self._cost(now, endpoint, segments, endpoint is home), self.random.random()
+
+        chosen = min(candidates.values(), key=cost)
+        return chosen, list({e.entry.endpoint: e for e in (*drawn, chosen)}.values())
+
+    def _is_usable(self, now: float, endpoint: Endpoint) -> bool:
+        """Whether an endpoint is healthy, or has its ejection behind it and may be probed."""
+        if not endpoint.ejections:
+            return True
+        return not self.ejector.is_ejected(now, endpoint) and endpoint.in_flight < endpoint.probation_limit
+
+    def _home(self, segments: Sequence[PromptSegment]) -> Endpoint | None:
+        """Return the home of a conversation: in this zone, where prompts stay in their zone."""
+        candidates = {e.entry.endpoint: e for e in self.pool.ready if not self._is_remote(e)}
+        name = home_endpoint(segments, candidates.keys(), self.policy.sub_agent_spread)
+        return candidates[name] if name is not None else None
+
+    def _is_remote(self, endpoint: Endpoint) -> bool:
+        return self.is_zone_local and endpoint.entry.zone != self.settings.zone
+
+    def _caching(self, now: float, segments: Sequence[PromptSegment]) -> list[Endpoint]:
+        """Return the endpoints that cache the last segment of a prompt that any is known to cache."""
+        for segment in reversed(segments):
+            names = self.prefix_caches.endpoints_caching(now, segment)
+            known = [self.pool.endpoints[name] for name in names if name in self.pool.endpoints]
+            usable = [endpoint for endpoint in known if self._is_usable(now, endpoint)]
+            if usable:
+                return usable
+        return []
+
+    def _cost(
+        self, now: float, endpoint: Endpoint, segments: Sequence[PromptSegment], is_home: bool
+    ) -> float:
+        """Return an endpoint's load in full batches, with the tokens to be prefilled counted as load too."""
+        policy = self.policy
+        uncached = self.prefix_caches.uncached_tokens(now, endpoint.entry.endpoint, segments)
+        if is_home:
+            # Other sidecars of the zone send the conversation there too, unseen by this one.
+            uncached = min(uncached, sum(s.tokens for s in segments[CONVERSATION_SEGMENT + 1 :]))
+        slots = max(self.slots.get(endpoint.entry.endpoint, 1), 1)
+        load = self.occupancy(now, endpoint) / slots
+        remote = policy.far_cost if self._is_remote(endpoint) else 0.0
+        burden = max(0.0, self.load.burden(now, endpoint) - 1) * policy.burden_cost
+        failing = policy.failing_cost * self.load.decay(now, endpoint) if endpoint.evidence else 0.0
+        return load + uncached / policy.tokens_per_load + remote + burden + failing
--- a/wheatring/tier/roles.py
+++ b/wheatring/tier/roles.py
@@ -10,7 +10,8 @@
 
 def run_sidecar(policy: str | None = None) -> None:
     """Serve clients on an edge machine. `policy` is a file of figures to decide by."""
-    from wheatring.sidecar.policy import DEFAULT_POLICY, PolicyError, read_policy
+    from wheatring.sidecar.exceptions import PolicyError
+    from wheatring.sidecar.policy import DEFAULT_POLICY, read_policy
     from wheatring.sidecar.process import SidecarProcess
 
     try:
