--- a/tests/tier/test_commands.py
+++ b/tests/controller/test_commands.py
@@ -1,4 +1,4 @@
-"""Orders on the control state: what is taken, what is refused, and what a repeat is answered."""
+"""Commands on the control state: what is accepted, what is rejected, and how a retry is answered."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from wheatring.transport.messages_pb2 import ControlState
 
 
-def sound(generation: int = 7, **changed: Any) -> dict[str, Any]:
+def valid_configuration(generation: int = 7, **changed: Any) -> dict[str, Any]:
     route = {
         "name": "r1",
         "hostname": "a.example",
@@ -52,39 +52,43 @@
     return json.dumps(values).encode()
 
 
-def test_a_sound_configuration_is_taken() -> None:
-    assert parse(body(sound())).generation == 7
+def test_a_valid_configuration_is_accepted() -> None:
+    assert parse(body(valid_configuration())).generation == 7
 
 
 BAD: dict[str, bytes] = {
-    "cut short": body(sound())[:-20],
-    "unknown service": body(sound(trafficSplit=None, backend="nobody")),
-    "unknown service in a split": body(sound(trafficSplit=[{"backend": "nobody", "weight": 1}])),
-    "same place": body(sound(pathPrefix="/y/")),
-    "same place in other letters": body(sound(pathPrefix="/y/", hostname="A.example")),
-    "no weight": body(sound(trafficSplit=[{"backend": "s", "weight": 0}])),
+    "cut short": body(valid_configuration())[:-20],
+    "unknown service": body(valid_configuration(trafficSplit=None, backend="nobody")),
+    "unknown service in a split": body(
+        valid_configuration(trafficSplit=[{"backend": "nobody", "weight": 1}])
+    ),
+    "same place": body(valid_configuration(pathPrefix="/y/")),
+    "same place in other letters": body(valid_configuration(pathPrefix="/y/", hostname="A.example")),
+    "no weight": body(valid_configuration(trafficSplit=[{"backend": "s", "weight": 0}])),
     "negative weight": body(
-        sound(trafficSplit=[{"backend": "s", "weight": -1}, {"backend": "t", "weight": 2}])
+        valid_configuration(trafficSplit=[{"backend": "s", "weight": -1}, {"backend": "t", "weight": 2}])
+    ),
+    "no time": body(valid_configuration(timeoutMs=0)),
+    "no service": body(valid_configuration(trafficSplit=None)),
+    "same name": body(valid_configuration(name="r2")),
+    "prefix without slash": body(valid_configuration(pathPrefix="/x")),
+    "a key twice": body(valid_configuration()).replace(
+        b'"generation": 7', b'"generation": 7, "generation": 8'
     ),
-    "no time": body(sound(timeoutMs=0)),
-    "no service": body(sound(trafficSplit=None)),
-    "same name": body(sound(name="r2")),
-    "prefix without slash": body(sound(pathPrefix="/x")),
-    "a key twice": body(sound()).replace(b'"generation": 7', b'"generation": 7, "generation": 8'),
-    "not a number": body(sound()).replace(b"4000", b"NaN"),
-    "a text for a number": body(sound(timeoutMs="4000")),
-    "truth for a number": body(sound(timeoutMs=True)),
-    "half a generation": body(sound() | {"generation": 7.5}),
+    "not a number": body(valid_configuration()).replace(b"4000", b"NaN"),
+    "a text for a number": body(valid_configuration(timeoutMs="4000")),
+    "truth for a number": body(valid_configuration(timeoutMs=True)),
+    "half a generation": body(valid_configuration() | {"generation": 7.5}),
     "not an object": b"[]",
     "empty": b"",
-    "unknown type": body(sound(routeType="perhaps")),
+    "unknown type": body(valid_configuration(routeType="perhaps")),
     "broken text": b'{"generation": 7, "x": "\xff"}',
     "too deep": b"[" * 100_000,
 }
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_an_invalid_configuration_is_refused_and_changes_nothing(name: str) -> None:
+def test_an_invalid_configuration_is_rejected_and_changes_nothing(name: str) -> None:
     with pytest.raises(InvalidConfigurationError):
         parse(BAD[name])
     state = ControlState()
@@ -96,39 +100,39 @@
     state = ControlState()
     sizes = {}
     for number in range(1, 2001):
-        order = ReplaceConfiguration(state.generation, body(sound(1_000_000 + number)))
-        assert order.apply(state) == Accepted()
+        command = ReplaceConfiguration(state.generation, body(valid_configuration(1_000_000 + number)))
+        assert command.apply(state) == Accepted()
         sizes[number] = state.ByteSize()
     assert sizes[2000] <= sizes[MAX_REMEMBERED_CONFIGURATIONS] + 8
     assert sizes[2000] - sizes[1] <= MAX_REMEMBERED_CONFIGURATIONS * 26
 
 
-def test_a_repeat_is_never_refused_however_late_it_comes() -> None:
+def test_a_retry_is_never_rejected_however_late_it_comes() -> None:
     state = ControlState()
-    orders = []
+    commands = []
     for number in range(1, 3 * MAX_REMEMBERED_CONFIGURATIONS):
-        orders.append(ReplaceConfiguration(state.generation, body(sound(number))))
-        assert orders[-1].apply(state) == Accepted()
-    outcomes = [order.apply(state) for order in orders]
+        commands.append(ReplaceConfiguration(state.generation, body(valid_configuration(number))))
+        assert commands[-1].apply(state) == Accepted()
+    outcomes = [command.apply(state) for command in commands]
     assert outcomes[-MAX_REMEMBERED_CONFIGURATIONS:] == [Accepted()] * MAX_REMEMBERED_CONFIGURATIONS
     assert all(isinstance(outcome, Indeterminate) for outcome in outcomes[:-MAX_REMEMBERED_CONFIGURATIONS])
 
 
-def test_what_lost_a_race_a_while_ago_is_refused_as_long_as_that_is_certain() -> None:
+def test_a_change_that_lost_a_race_is_rejected_as_long_as_that_is_certain() -> None:
     state = ControlState()
-    assert ReplaceConfiguration(0, body(sound(1))).apply(state) == Accepted()
+    assert ReplaceConfiguration(0, body(valid_configuration(1))).apply(state) == Accepted()
     for number in range(2, MAX_REMEMBERED_CONFIGURATIONS):
-        assert ReplaceConfiguration(number - 1, body(sound(number))).apply(state) == Accepted()
-    loser = ReplaceConfiguration(1, body(sound(2, name="r-other")))
+        assert ReplaceConfiguration(number - 1, body(valid_configuration(number))).apply(state) == Accepted()
+    loser = ReplaceConfiguration(1, body(valid_configuration(2, name="r-other")))
     assert isinstance(loser.apply(state), Conflict)
 
 
-def test_retirements_that_are_over_are_forgotten_one_day() -> None:
+def test_the_oldest_completed_retirements_are_forgotten() -> None:
     state = ControlState()
     for number in range(3 * MAX_COMPLETED_RETIREMENTS):
         member = state.placement.current.add(replica_id=f"r{number}", node=f"s{number}")
         assert StartRetirement(member.node, 0).apply(state) == Accepted()
-        assert StartRetirement(member.node, 0).apply(state) == Accepted()  # a repeat
+        assert StartRetirement(member.node, 0).apply(state) == Accepted()  # a retry
         state.retirements[-1].completed = True
         del state.placement.current[:]
         assert StartRetirement(member.node, 0).apply(state) == Accepted()  # once its machine has gone
@@ -136,24 +140,24 @@
     assert state.retirements[-1].node == f"s{3 * MAX_COMPLETED_RETIREMENTS - 1}"
 
 
-class OrdersMachine(RuleBasedStateMachine):
-    """Any sequence of orders beside a plain list of what was taken."""
+class ConfigurationMachine(RuleBasedStateMachine):
+    """Any sequence of commands beside a plain list of what was accepted."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state = ControlState()
-        self.taken: list[tuple[int, int, str]] = []  # base, generation, operator
+        self.accepted: list[tuple[int, int, str]] = []  # base, generation, operator
 
     @property
     def current(self) -> int:
-        return self.taken[-1][1] if self.taken else 0
+        return self.accepted[-1][1] if self.accepted else 0
 
     @rule(base=st.integers(0, 30), step=st.integers(-2, 5), operator=st.sampled_from("ab"))
     def replace(self, base: int, step: int, operator: str) -> None:
         generation = base + step
-        order = ReplaceConfiguration(base, body(sound(generation, name=f"r-{operator}")))
-        outcome = order.apply(self.state)
-        if (base, generation, operator) in self.taken:
+        command = ReplaceConfiguration(base, body(valid_configuration(generation, name=f"r-{operator}")))
+        outcome = command.apply(self.state)
+        if (base, generation, operator) in self.accepted:
             assert outcome == Accepted()
         elif base != self.current:
             assert isinstance(outcome, Conflict) and outcome.status == 412
@@ -161,7 +165,7 @@
             assert isinstance(outcome, Invalid)
         else:
             assert outcome == Accepted()
-            self.taken.append((base, generation, operator))
+            self.accepted.append((base, generation, operator))
 
     @rule()
     def on_top(self) -> None:
@@ -170,9 +174,9 @@
     @invariant()
     def the_newest_is_in_force(self) -> None:
         assert self.state.generation == self.current
-        if self.taken:
+        if self.accepted:
             assert json.loads(self.state.configuration)["generation"] == self.current
 
 
-TestOrders = OrdersMachine.TestCase
-TestOrders.settings = settings(max_examples=40, stateful_step_count=25, deadline=None)
+TestConfigurationCommands = ConfigurationMachine.TestCase
+TestConfigurationCommands.settings = settings(max_examples=40, stateful_step_count=25, deadline=None)
--- a/tests/tier/test_update.py
+++ b/tests/controller/test_configuration_update.py
@@ -32,7 +32,7 @@
     return {"name": name, "backend": service, **fixed, **more}
 
 
-def whole(generation: int, *routes: dict[str, Any]) -> dict[str, Any]:
+def configuration(generation: int, *routes: dict[str, Any]) -> dict[str, Any]:
     services = [{"name": "s", "engine": {"stride": 9}}, {"name": "t"}]
     return {"generation": generation, "routes": list(routes), "services": services, "limits": {"n": 2.50}}
 
@@ -43,7 +43,7 @@
 
 def state_with(*routes: dict[str, Any]) -> ControlState:
     state = ControlState()
-    assert ReplaceConfiguration(0, body(whole(3, *routes))).apply(state) == Accepted()
+    assert ReplaceConfiguration(0, body(configuration(3, *routes))).apply(state) == Accepted()
     return state
 
 
@@ -53,19 +53,19 @@
 
 def test_items_are_set_in_place_added_at_the_end_and_removed() -> None:
     state = state_with(route("a"), route("b"), route("c"))
-    order = update(
+    command = update(
         3, 9, upsert={"routes": [route("d"), route("b", "t", timeoutMs=5)]}, remove={"routes": ["a"]}
     )
-    assert order.apply(state) == Accepted()
-    expected = whole(9, route("b", "t", timeoutMs=5), route("c"), route("d"))
+    assert command.apply(state) == Accepted()
+    expected = configuration(9, route("b", "t", timeoutMs=5), route("c"), route("d"))
     assert json.loads(state.configuration) == expected
     assert state.generation == 9
 
 
 def test_services_are_set_before_routes_are_checked() -> None:
     state = state_with(route("a"))
-    order = update(3, 4, upsert={"services": [{"name": "u"}], "routes": [route("a", "u")]})
-    assert order.apply(state) == Accepted()
+    command = update(3, 4, upsert={"services": [{"name": "u"}], "routes": [route("a", "u")]})
+    assert command.apply(state) == Accepted()
     swap = update(4, 5, remove={"services": ["u", "t"]}, upsert={"routes": [route("a")]})
     assert swap.apply(state) == Accepted()
     assert [service["name"] for service in json.loads(state.configuration)["services"]] == ["s"]
@@ -73,7 +73,7 @@
 
 def test_lists_that_this_project_does_not_know_are_merged_too() -> None:
     state = ControlState()
-    tenants = whole(3, route("a")) | {"tenants": [{"name": "k", "quota": 1}]}
+    tenants = configuration(3, route("a")) | {"tenants": [{"name": "k", "quota": 1}]}
     assert ReplaceConfiguration(0, body(tenants)).apply(state) == Accepted()
     assert update(3, 4, upsert={"tenants": [{"name": "k", "quota": 2}]}).apply(state) == Accepted()
     assert json.loads(state.configuration)["tenants"] == [{"name": "k", "quota": 2}]
@@ -119,29 +119,29 @@
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_an_invalid_update_is_refused_and_the_old_configuration_stays(name: str) -> None:
+def test_an_invalid_update_is_rejected_and_the_old_configuration_stays(name: str) -> None:
     state = state_with(route("a"), route("b"))
     before = state.SerializeToString(deterministic=True)
     assert isinstance(UpdateConfiguration(3, INVALID[name]).apply(state), Invalid)
     assert state.SerializeToString(deterministic=True) == before
 
 
-def test_an_order_of_the_other_kind_with_the_same_bytes_is_another_order() -> None:
+def test_a_command_of_the_other_kind_with_the_same_bytes_is_another_command() -> None:
     state = ControlState()
-    both = body(whole(3) | {"upsert": {"routes": [route("u")]}})
+    both = body(configuration(3) | {"upsert": {"routes": [route("u")]}})
     assert ReplaceConfiguration(0, both).apply(state) == Accepted()
     assert isinstance(UpdateConfiguration(0, both).apply(state), Conflict)
     assert ReplaceConfiguration(0, both).apply(state) == Accepted()
 
 
-def test_a_repeat_is_acknowledged_once_more_and_applied_once() -> None:
+def test_a_retry_is_accepted_again_and_applied_once() -> None:
     state = state_with(route("a"))
-    order = update(3, 5, upsert={"routes": [route("b")]})
-    assert order.apply(state) == Accepted()
+    command = update(3, 5, upsert={"routes": [route("b")]})
+    assert command.apply(state) == Accepted()
     after = state.configuration
-    assert order.apply(state) == Accepted()
+    assert command.apply(state) == Accepted()
     assert state.configuration == after
-    assert isinstance(replace(order, base=4).apply(state), Conflict)
+    assert isinstance(replace(command, base=4).apply(state), Conflict)
 
 
 def test_what_cannot_be_read_is_invalid_however_old_its_base_is() -> None:
@@ -171,13 +171,13 @@
         self.state = ControlState()
         self.routes: dict[str, dict[str, Any]] = {}
         self.generation = 0
-        self.taken: list[Command] = []
+        self.accepted: list[Command] = []
 
-    def order(self, command: ReplaceConfiguration | UpdateConfiguration) -> None:
-        """Apply an order, and compare outcome and configuration with the picture."""
+    def command(self, command: ReplaceConfiguration | UpdateConfiguration) -> None:
+        """Apply an command, and compare outcome and configuration with the picture."""
         values = json.loads(command.body)
         outcome = self.apply(command, self.state)
-        if command in self.taken:
+        if command in self.accepted:
             assert outcome == Accepted()
         elif command.base != self.generation:
             assert isinstance(outcome, Conflict)
@@ -202,7 +202,7 @@
         }
 
     def _take(self, command: Command, values: dict[str, Any]) -> None:
-        self.taken.append(command)
+        self.accepted.append(command)
         self.generation = values["generation"]
         if isinstance(command, ReplaceConfiguration):
             self.routes = {}
@@ -216,18 +216,18 @@
 NAMES = ("a", "b", "c")
 
 
-def drawn_order(
+def drawn_command(
     base: int, step: int, kind: str, names: list[str], removed: list[str], mark: int
 ) -> ReplaceConfiguration | UpdateConfiguration:
     routes = [route(name, mark=mark) for name in dict.fromkeys(names)]
     if kind == "replace":
-        return ReplaceConfiguration(base, body(whole(base + step, *routes)))
+        return ReplaceConfiguration(base, body(configuration(base + step, *routes)))
     gone = {"routes": list(dict.fromkeys(removed))}
     return update(base, base + step, upsert={"routes": routes, "services": [{"name": "s"}]}, remove=gone)
 
 
-class UpdatesMachine(RuleBasedStateMachine):
-    """Any sequence of orders beside the plain picture."""
+class UpdateMachine(RuleBasedStateMachine):
+    """Any sequence of commands beside the plain picture."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -246,20 +246,20 @@
         self, back: int, step: int, kind: str, names: list[str], removed: list[str], mark: int
     ) -> None:
         base = max(0, self.oracle.generation - back)
-        self.sent.append(drawn_order(base, step, kind, names, removed, mark))
-        self.oracle.order(self.sent[-1])
+        self.sent.append(drawn_command(base, step, kind, names, removed, mark))
+        self.oracle.command(self.sent[-1])
 
     @rule(number=st.integers(0, 5))
     def repeat(self, number: int) -> None:
         if number < len(self.sent):
-            self.oracle.order(self.sent[-1 - number])
+            self.oracle.command(self.sent[-1 - number])
 
 
-TestUpdates = UpdatesMachine.TestCase
+TestUpdates = UpdateMachine.TestCase
 TestUpdates.settings = settings(max_examples=60, stateful_step_count=25, deadline=None)
 
 
-def _forgetful(command: Command, state: ControlState) -> Outcome:
+def _without_history(command: Command, state: ControlState) -> Outcome:
     del state.accepted[:]
     return command.apply(state)
 
@@ -276,14 +276,14 @@
     return command.apply(state)
 
 
-@pytest.mark.parametrize("planted", [_forgetful, _onto_any_base, _applied_twice])
-def test_a_planted_fault_is_found(planted: Callable[[Command, ControlState], Outcome]) -> None:
+@pytest.mark.parametrize("mutant", [_without_history, _onto_any_base, _applied_twice])
+def test_a_mutant_is_found(mutant: Callable[[Command, ControlState], Outcome]) -> None:
     random = Random(1)
-    oracle = Oracle(planted)
+    oracle = Oracle(mutant)
     sent = []
     with pytest.raises(AssertionError):
         for _ in range(300):
             names = random.sample(NAMES, random.randint(0, 2))
             base = max(0, oracle.generation - random.choice((0, 0, 1)))
-            sent.append(drawn_order(base, 1, random.choice(("replace", "update")), names, [], 0))
-            oracle.order(random.choice(sent) if random.random() < 0.3 else sent[-1])
+            sent.append(drawn_command(base, 1, random.choice(("replace", "update")), names, [], 0))
+            oracle.command(random.choice(sent) if random.random() < 0.3 else sent[-1])
--- /dev/null
+++ b/tests/placement/storage_members.py
@@ -0,0 +1,12 @@
+"""Storage members for the tests of placements."""
+
+from __future__ import annotations
+
+from wheatring.transport.messages_pb2 import StorageMember
+
+
+def members(*numbers: int) -> list[StorageMember]:
+    """Return members with these numbers, spread over three zones."""
+    return [
+        StorageMember(replica_id=f"r{n}", node=f"s{n}", address=f"a{n}", zone=f"z{n % 3}") for n in numbers
+    ]
