--- a/wheatring/sidecar/prefix_placement.py
+++ b/wheatring/sidecar/prefix_placement.py
@@ -59,6 +59,7 @@
     conversation = segments[CONVERSATION_SEGMENT].segment_id
 
     def weight(endpoint: str) -> bytes:
+        """Return an endpoint's rank for this conversation."""
         return _rendezvous_weight(conversation, endpoint)
 
     if len(segments) <= SUB_AGENT_SEGMENT or spread <= 1:
--- a/wheatring/sidecar/service_balancer.py
+++ b/wheatring/sidecar/service_balancer.py
@@ -21,7 +21,7 @@
 )
 
 MAX_RETRY_AFTER_SECONDS = 1.0
-LATE_VALUE = 0.3  # of a response above its latency target, as a part of its value in time
+OVERDUE_VALUE = 0.3  # of a response above its latency target, as a part of its value in time
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
             max_attempts=MAX_ATTEMPTS, max_retry_after=MAX_RETRY_AFTER_SECONDS, sends_retry_after=True
         )
         settings = i.Settings(
-            classes=(i.RequestClass("unknown", 1.0, 1.0, late_value=LATE_VALUE),),
+            classes=(i.RequestClass("unknown", 1.0, 1.0, late_value=OVERDUE_VALUE),),
             zone=zone,
             limits=limits,
         )
@@ -109,7 +109,7 @@
             route.latency_target_seconds,
             deadline,
             value=1.0 / (1 + route.priority),
-            late_value=LATE_VALUE,
+            late_value=OVERDUE_VALUE,
             idempotency=route.idempotency,
             is_streaming=route.is_streaming,
         )
--- a/wheatring/sidecar/tier_balancer.py
+++ b/wheatring/sidecar/tier_balancer.py
@@ -115,6 +115,7 @@
                 candidates[endpoint.entry.endpoint] = endpoint
 
         def cost(endpoint: Endpoint) -> tuple[float, float]:
+            """Return the cost, and a drawn number for equal ones."""
             return self._cost(now, endpoint, segments, endpoint is home), self.random.random()
 
         chosen = min(candidates.values(), key=cost)
--- a/wheatring/storage/quorum_client.py
+++ b/wheatring/storage/quorum_client.py
@@ -109,13 +109,14 @@
         body = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known_turn_ids=known_turn_ids)
 
         def find_turns(replies: Replies) -> list[Turn]:
+            """Return the turns of a reply that has the one wanted; empty where none has it."""
             for reply in replies.by_replica.values():
                 if any(turn.id == turn_id for turn in reply.turns):
                     return list(reply.turns)
             return []
 
         def is_complete(key_placement: KeyPlacement, replies: Replies) -> bool:
-            # A turn never changes, so one reply that has it is enough.
+            """Whether a reply has the turn (it never changes), or a read quorum has not."""
             return bool(find_turns(replies)) or is_read(key_placement, replies)
 
         request = ExchangeRequest(turn_id, body, is_complete, _deadline(timeout_seconds), fanout=1)
@@ -153,14 +154,14 @@
         while True:
             placement = self._placement()
             if placement.epoch:
-                replies = await self._exchange_under(placement, request)
+                replies = await self._exchange_once(placement, request)
                 if replies is not None:
                     return replies
             if loop.time() + RETRY_DELAY_SECONDS >= request.deadline:
                 raise QuorumNotReachedError(request.key)
             await asyncio.sleep(RETRY_DELAY_SECONDS)
 
-    async def _exchange_under(self, placement: Placement, request: ExchangeRequest) -> Replies | None:
+    async def _exchange_once(self, placement: Placement, request: ExchangeRequest) -> Replies | None:
         key_placement = place_key(request.key, placement, self._losses)
         exchange = QuorumExchange(request, placement, key_placement, self._clients, self._suspects)
         try:
--- a/wheatring/storage/replica.py
+++ b/wheatring/storage/replica.py
@@ -243,6 +243,7 @@
         copies = quorum_sizes(len(members), self._losses).copies
 
         def is_placed(key: RecordKey) -> bool:
+            """Whether the requester holds a key under the next placement."""
             replicas = replicas_for(key.placement_key, members, copies)
             return any(member.replica_id == request.requester for member in replicas)
 
--- a/wheatring/storage/suspects.py
+++ b/wheatring/storage/suspects.py
@@ -30,6 +30,7 @@
         """Return the members that have answered lately first, and of these the ones in this zone."""
 
         def rank(member: StorageMember) -> tuple[bool, bool]:
+            """Sort by suspicion, then by zone."""
             is_suspected = self._suspected_until.get(member.replica_id, 0.0) > now
             return is_suspected, member.zone != self._zone
 
