--- a/tests/admin/test_service.py
+++ b/tests/admin/test_service.py
@@ -132,15 +132,15 @@
     def ban() -> int:
         # The connect has been asked for and can't have come up within this turn of the reactor.
         sidecar = world.sidecar
-        sidecar.exchange.claim(job, "n0", world.reactor.seconds() + 9)
-        under_way = len(sidecar.pool.dials)
+        sidecar.exchange.create_attempt(job, "n0", world.reactor.seconds() + 9)
+        under_way = len(sidecar.pool.pending_connects)
         assert sidecar.admin_service is not None and sidecar.admin_service.take_offline("n0")
         return under_way
 
     caller = world.ask()
     wire = world.nodes[0].accept()
     wire.read()
-    (job,) = world.run(lambda: list(world.sidecar.exchange.idents.values()))
+    (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
     assert world.run(ban) == 1
     assert world.logged("claim-connection") == ["not-up-in-time"]
     wire.answer(200, b"yes")
--- a/tests/ends/attempts.py
+++ b/tests/ends/attempts.py
@@ -7,17 +7,17 @@
 
 from tests.world import Peer, Wire, World
 from wheatring import log
-from wheatring.core.exchange import Answer, Job
-from wheatring.http1.parser import Request
+from wheatring.core.exchange import Answer, Request
+from wheatring.http1.parser import ForwardedRequest
 
-LATE = Request(b"POST /late HTTP/1.1\r\n", b"")
+LATE = ForwardedRequest(b"POST /late HTTP/1.1\r\n", b"")
 
 
-def submit(world: World, name: str = "unsafe", dialling: bool = True) -> tuple[Job, list[Answer]]:
+def submit(world: World, name: str = "unsafe", dialling: bool = True) -> tuple[Request, list[Answer]]:
     """Called in the reactor. When it returns, the connect of the first attempt is under way, or its request
     has been handed to a kept connection and none of it has left.
     """
-    job = Job("late", name, world.sidecar.clock.now() + 6, LATE)
+    job = Request("late", name, world.sidecar.clock.now() + 6, LATE)
     answers: list[Answer] = []
 
     def answered(answer: Answer) -> None:
@@ -25,14 +25,14 @@
         log.line("answered")
 
     world.sidecar.exchange.submit(job).addCallback(answered)
-    (claim,) = job.claims
-    assert claim.outcome is None and claim.written is not dialling
+    (claim,) = job.attempts
+    assert claim.outcome is None and claim.is_written is not dialling
     return job, answers
 
 
 def listed(world: World, *items: dict[str, Any], reset: bool = False) -> None:
     """Called in the reactor: discovery has told this."""
-    world.sidecar.machine_list.take({"generation": 8, "reset": reset, "instances": list(items)}, None)
+    world.sidecar.machine_list.apply({"generation": 8, "reset": reset, "instances": list(items)}, None)
 
 
 def reads(peer: Peer) -> tuple[Wire, str]:
--- a/tests/ends/test_caller.py
+++ b/tests/ends/test_caller.py
@@ -21,8 +21,8 @@
 from tests.virtual import Virtual
 from tests.world import FAR, Loopback, Peer, Wire, World, entry, list_body
 from wheatring.balancer import backoff
-from wheatring.http1 import caller
-from wheatring.http1.states import Arrivals, State
+from wheatring.http1 import caller_connection
+from wheatring.http1.caller_state import ArrivalTimes, CallerState
 
 Make = Callable[..., World]
 LARGE = b"x" * 60000
@@ -43,7 +43,7 @@
 def ended(world: World) -> Callable[[], object]:
     """Whether the sidecar has ended, for its part, the connection that is there now."""
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
-    return lambda: connection.code
+    return lambda: connection.close_code
 
 
 def until(world: World, met: Callable[[], object]) -> None:
@@ -66,7 +66,7 @@
     node.read()
     over = ended(world)
     if how == "stopping":
-        world.sidecar.server.stopping = True
+        world.sidecar.server.is_stopping = True
     node.answer(200, LARGE)
     until(world, over)
     world.settle()
@@ -77,22 +77,22 @@
     assert wire.at_end()
     wire.close()
     assert len(world.logged("caller-connection")) == 1
-    assert world.sidecar.driver.last == 1  # what was read after the last answer went nowhere
+    assert world.sidecar.driver.last_id == 1  # what was read after the last answer went nowhere
 
 
 def test_of_what_comes_after_the_last_answer_no_more_than_a_part_is_read(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(caller, "DRAIN", 5)
-    monkeypatch.setattr(caller, "LINGER", 0.3)
+    monkeypatch.setattr(caller_connection, "MAX_DISCARDED_BYTES", 5)
+    monkeypatch.setattr(caller_connection, "LINGER_SECONDS", 0.3)
     world = make()
     wire = world.caller()
     wire.send(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
     assert wire.read()[0] == "HTTP/1.1 200 OK" and wire.at_end()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     wire.send(b"123456")
-    until(world, lambda: connection.paused)
-    assert not connection.reader.buffer
+    until(world, lambda: connection.is_paused)
+    assert not connection.parser.buffer
     assert world.logged("caller-connection") == ["caller-asked"]  # and it is let go in its time
 
 
@@ -100,7 +100,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its answers must not fill the memory; those that it has are whole, once it reads."""
-    monkeypatch.setattr(caller, "BEHIND", 10_000)
+    monkeypatch.setattr(caller_connection, "MAX_PENDING_ANSWER_BYTES", 10_000)
     world = make()
     wire = narrow(world)
     until(world, lambda: world.sidecar.server.connections)
@@ -108,11 +108,13 @@
     transport: Any = connection.transport
     world.run(lambda: transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096))
     for _ in range(100):
-        if not world.run(lambda: connection.code):
+        if not world.run(lambda: connection.close_code):
             wire.send(b"GET /healthz HTTP/1.1\r\n\r\n" * 200)
             world.settle()
-    assert world.run(lambda: connection.code) and not connection.shut
-    world.run(lambda: connection.look(connection.since + 2 * caller.LINGER, 20.0))
+    assert world.run(lambda: connection.close_code) and not connection.is_shut
+    world.run(
+        lambda: connection.enforce_limits(connection.state_since + 2 * caller_connection.LINGER_SECONDS, 20.0)
+    )
     answers = [wire.read()]
     while "connection" not in answers[-1][1]:
         answers.append(wire.read())
@@ -122,7 +124,7 @@
 
 def test_those_that_are_only_heard_out_take_no_place_from_a_caller(make: Make) -> None:
     world = make()
-    most = world.sidecar.server.most
+    most = world.sidecar.server.max_connections
     for _ in range(most):
         wire = world.caller()
         wire.send(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -140,36 +142,36 @@
     until(world, lambda: world.sidecar.server.connections)
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
 
-    def comes_to(state: State) -> None:
+    def comes_to(state: CallerState) -> None:
         until(world, lambda: connection.state is state)
 
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: a\r\n\r\n"
-    comes_to(State.READING)
+    comes_to(CallerState.READING)
     wire.send(b"GET /healthz HTTP/1.1\r\n\r\n")
-    comes_to(State.RESTING)
+    comes_to(CallerState.RESTING)
     assert wire.read()[0] == "HTTP/1.1 200 OK"
     wire.send(request[:20])
-    comes_to(State.READING)
+    comes_to(CallerState.READING)
     wire.send(request[20:])
-    comes_to(State.BUSY)
+    comes_to(CallerState.BUSY)
     node = world.nodes[0].accept()
     node.read()
     node.send(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 100_000)
-    comes_to(State.STREAMING)
-    world.run(lambda: world.sidecar.server.close_between(late=True))
+    comes_to(CallerState.STREAMING)
+    world.run(lambda: world.sidecar.server.close_unanswered(is_late=True))
     node.send(b"x" * 100_000)
     assert wire.read()[2] == b"x" * 200_000
-    comes_to(State.RESTING)
+    comes_to(CallerState.RESTING)
     wire.send(b"POST /order HTTP/1.1\r\nX-Correlation-Id: b\r\nContent-Length: 200000\r\n\r\n")
     wire.send(b"x" * 100_000)
-    comes_to(State.UPLOADING)
+    comes_to(CallerState.UPLOADING)
     wire.send(b"x" * 100_000)
-    comes_to(State.BUSY)
+    comes_to(CallerState.BUSY)
     node.read()
-    world.sidecar.server.stopping = True
+    world.sidecar.server.is_stopping = True
     node.answer(200, b"last")
     assert wire.read()[2] == b"last" and wire.at_end()
-    comes_to(State.SHUT)
+    comes_to(CallerState.SHUT)
 
 
 def test_no_small_write_is_held_back_on_any_connection(make: Make) -> None:
@@ -180,7 +182,7 @@
     node = world.nodes[0].accept()  # kept, or it would be closed
     node.read()
     sidecar = world.sidecar
-    watcher: Any = sidecar.machine_list.watcher
+    watcher: Any = sidecar.machine_list.client
     ends: list[Any] = [watcher.connection, *sidecar.server.connections, *sidecar.pool.connections]
     assert world.run(lambda: [end.transport.getTcpNoDelay() for end in ends]) == [True] * 3
 
@@ -207,8 +209,8 @@
     world.logged("caller-connection")
     if isinstance(world.ground, Virtual):
         assert world.run(world.sidecar.clock.now) - left < 0.1
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
-    assert world.sidecar.driver.last == 1
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
+    assert world.sidecar.driver.last_id == 1
 
 
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a peer's word is there in the same turn
@@ -230,8 +232,8 @@
 
     world.run(crossing)
     assert world.logged("caller-connection") == ["peer-closed"]
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
-    assert world.sidecar.driver.last == 0
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
+    assert world.sidecar.driver.last_id == 0
 
 
 def test_a_caller_that_sends_much_ahead_gets_the_present_answer_as_its_last(make: Make) -> None:
@@ -241,8 +243,8 @@
     node.read()
     (connection,) = world.sidecar.server.connections
     wire.send(b"x" * 500_000)
-    until(world, lambda: connection.drained > 300_000)
-    assert not connection.reader.buffer
+    until(world, lambda: connection.discarded_bytes > 300_000)
+    assert not connection.parser.buffer
     node.answer(200, b"here")
     _, fields, body = wire.read()
     assert (fields["connection"], body) == ("close", b"here") and wire.at_end()
@@ -252,24 +254,24 @@
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Not once all of that has been read, a part at a time."""
-    monkeypatch.setattr(caller, "DRAIN", 5)
-    monkeypatch.setattr(caller, "REST", 1e9)
+    monkeypatch.setattr(caller_connection, "MAX_DISCARDED_BYTES", 5)
+    monkeypatch.setattr(caller_connection, "DISCARD_PAUSE_SECONDS", 1e9)
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
     node.read()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     wire.send(b"x" * 100_000)
-    until(world, lambda: connection.flooded)
+    until(world, lambda: connection.is_flooded)
     wire.send(b"x" * 10)
-    until(world, lambda: connection.paused)
+    until(world, lambda: connection.is_paused)
     wire.send(b"x" * 10)
     wire.close()
     world.settle()
     world.run(lambda: setattr(connection, "resume", None))  # to read on fails
-    world.run(connection.rested)
+    world.run(connection.resume_discarding)
     assert world.logged("caller-connection") == ["peer-closed"]
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
 @pytest.mark.parametrize("others", [1, 3])
@@ -282,7 +284,7 @@
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     for n in range(others):
         world.ask(wire=wire, left=4000)
-        while world.run(lambda: len(connection.arrivals.pieces)) <= n:  # each has an instant of its own
+        while world.run(lambda: len(connection.arrivals.segments)) <= n:  # each has an instant of its own
             world.settle()
     came = world.run(world.sidecar.clock.now)
     passed: list[bool] = []
@@ -293,13 +295,13 @@
         wire.read()
         _, fields, _ = node.read()
         assert int(fields["x-time-left-ms"]) <= 3500
-    (job,) = world.run(lambda: list(world.sidecar.exchange.idents.values()))
+    (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
     assert job.deadline <= came + 4.0
     node.answer(200, b"last")
     wire.read()
     world.ask(wire=wire, left=4000)  # this one has its turn as it comes
     node.read()
-    (job,) = world.run(lambda: list(world.sidecar.exchange.idents.values()))
+    (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
     assert job.deadline > came + 4.5
 
 
@@ -310,7 +312,7 @@
     node.read()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     world.ask(wire=wire, left=300)
-    until(world, lambda: connection.arrivals.size)
+    until(world, lambda: connection.arrivals.waiting_bytes)
     now = world.run(world.sidecar.clock.now)
     until(world, lambda: world.sidecar.clock.now() > now + 0.3)
     node.answer(200, b"first")
@@ -322,15 +324,15 @@
 @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=40))
 def test_what_waits_is_told_by_the_instant_of_its_last_byte(steps: list[tuple[int, bool]]) -> None:
     """Against a list of one instant for each byte."""
-    arrivals, plain = Arrivals(), deque[float]()
+    arrivals, plain = ArrivalTimes(), deque[float]()
     for now, (size, reads) in enumerate(steps):
         if reads:
             taken = [plain.popleft() for _ in range(min(size, len(plain)))]
-            assert arrivals.left(len(plain), -1.0) == (taken[-1] if taken else -1.0)
+            assert arrivals.consume(len(plain), -1.0) == (taken[-1] if taken else -1.0)
         else:
             plain.extend([float(now)] * size)
-            arrivals.held(len(plain), float(now))
-        assert arrivals.size == len(plain)
+            arrivals.record(len(plain), float(now))
+        assert arrivals.waiting_bytes == len(plain)
 
 
 @pytest.mark.parametrize("size", [3, 100_000])
@@ -346,10 +348,10 @@
     fields = "X-Correlation-Id: e\r\nExpect: 100-continue\r\n"
     wire.send(f"POST /order HTTP/{version}\r\n{fields}Content-Length: {size}\r\n\r\n".encode())
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
-    until(world, lambda: connection.reader.buffer)
+    until(world, lambda: connection.parser.buffer)
     node.answer(200, b"before")
     assert wire.read()[2] == b"before"
-    until(world, lambda: connection.waiting)
+    until(world, lambda: connection.is_awaiting)
     if version == "1.1":
         assert wire.read()[0] == "HTTP/1.1 100 Continue"
     wire.send(b"x" * size)
@@ -361,10 +363,10 @@
 def test_a_fault_in_a_callback_of_an_end_leaves_no_job_behind(make: Make) -> None:
     world = make()
     wire = world.ask()
-    world.run(lambda: setattr(world.sidecar.server, "went", None))  # to call it fails
+    world.run(lambda: setattr(world.sidecar.server, "remove", None))  # to call it fails
     wire.close()
     world.logged("caller-connection")
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
 def test_a_fault_on_the_way_to_what_was_sent_ahead_ends_the_connection(make: Make) -> None:
@@ -374,7 +376,7 @@
     node.read()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     world.settle()
-    world.run(lambda: setattr(connection.reader, "next", None))
+    world.run(lambda: setattr(connection.parser, "next_message", None))
     node.answer(200, b"first")
     assert wire.read()[2] == b"first" and wire.at_end()
     wire.close()
@@ -387,7 +389,7 @@
     node = world.nodes[0].accept()
     node.read()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
-    world.run(lambda: setattr(connection, "go_on", None))
+    world.run(lambda: setattr(connection, "next_request", None))
     node.answer(200, b"first")
     assert wire.read()[2] == b"first" and wire.at_end()
     wire.close()
@@ -441,10 +443,10 @@
 def test_a_caller_that_leaves_a_paused_upload_is_heard(make: Make, how: str) -> None:
     """Nobody takes more of its body, so nothing is read of what it has sent, nor its end behind that."""
     world = make()
-    world.sidecar.server.room_for_bodies.size = 0
-    world.sidecar.exchange.start_claim = lambda claim: None  # waits for its connection
+    world.sidecar.server.body_memory.limit_bytes = 0
+    world.sidecar.exchange.start_attempt = lambda claim: None  # waits for its connection
     wire = world.ask("order", more="Content-Length: 30000000\r\n")
-    while not world.run(lambda: [c for c in world.sidecar.server.connections if c.paused]):
+    while not world.run(lambda: [c for c in world.sidecar.server.connections if c.is_paused]):
         wire.send(b"x" * 10_000)
     if how == "reset":
         wire.reset()
@@ -454,7 +456,7 @@
     assert world.logged("caller-connection") == ["peer-closed"]  # not given up by this side
     if isinstance(world.ground, Virtual):
         assert world.run(world.sidecar.clock.now) - left < 0.1
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "stays"])
@@ -476,10 +478,12 @@
         wire.close()
     if how != "stays":
         world.logged("caller-connection")
-        assert world.run(lambda: (world.sidecar.exchange.open, len(world.sidecar.driver.jobs))) == (0, 0)
+        assert world.run(
+            lambda: (world.sidecar.exchange.open_count, len(world.sidecar.driver.open_requests))
+        ) == (0, 0)
     passed: list[bool] = []
     world.run(lambda: world.reactor.callLater(1.2, passed.append, True))
     until(world, lambda: passed)
     pool = world.sidecar.pool
-    assert world.run(lambda: len(pool.dials) + len(pool.connections)) == (how == "stays")
+    assert world.run(lambda: len(pool.pending_connects) + len(pool.connections)) == (how == "stays")
     assert world.codes("claim-connection") == ["peer-reset"]
--- a/tests/ends/test_drawn_ends.py
+++ b/tests/ends/test_drawn_ends.py
@@ -13,9 +13,9 @@
 from tests.ends.test_stop import leave
 from tests.virtual import Virtual
 from tests.world import Wire, World
-from wheatring.http1.caller import CallerConnection
-from wheatring.http1.claim import ClaimConnection
-from wheatring.http1.parser import Message, Reader
+from wheatring.http1.caller_connection import CallerConnection
+from wheatring.http1.endpoint_connection import EndpointConnection
+from wheatring.http1.parser import Message, MessageParser
 
 Make = Callable[..., World]
 FAULTS = {"unexpected", "answer-broken", "request-broken", "claim-broken", "job-broken", "overdue"}
@@ -27,7 +27,7 @@
     def __init__(self, wire: Wire, *, responses: bool) -> None:
         self.wire = wire
         self.socket = wire.sock.socket
-        self.reader = Reader(responses=responses, max_body=1 << 30)
+        self.reader = MessageParser(responses=responses, max_body_bytes=1 << 30)
         self.read: list[Message] = []
         self.to_send = b""
         self.left: float | None = None
@@ -40,7 +40,7 @@
         with suppress(OSError):
             while self.socket.readable() and (data := self.socket.recv(1 << 20)):
                 self.reader.feed(data)
-                while (message := self.reader.next()) is not None:
+                while (message := self.reader.next_message()) is not None:
                     self.read.append(message)
 
     def leave(self, how: str, now: float) -> None:
@@ -103,11 +103,11 @@
 ) -> None:
     begun: list[tuple[str, float]] = []
     dropped: list[bytes] = []
-    carry, close = ClaimConnection.carry, CallerConnection.close
-    handle, stream = CallerConnection.handle, CallerConnection.stream
+    carry, close = EndpointConnection.send, CallerConnection.close
+    handle, stream = CallerConnection.handle, CallerConnection.start_stream
 
-    def seen_carry(self: ClaimConnection, claim: Any) -> None:
-        begun.append((claim.job.ident, self.pool.clock.now()))
+    def seen_carry(self: EndpointConnection, claim: Any) -> None:
+        begun.append((claim.request.correlation_id, self.pool.clock.now()))
         carry(self, claim)
 
     def seen_handle(self: Any, message: Message) -> None:
@@ -119,14 +119,14 @@
         self.stays = self.keep_alive  # as its head has said
 
     def seen_close(self: Any, code: str) -> None:
-        told = self.flooded or not getattr(self, "stays", True)
-        if self.alive and not self.code and code in ("stopping", "idle", "silent") and not told:
-            dropped.append(bytes(self.reader.buffer))
+        told = self.is_flooded or not getattr(self, "stays", True)
+        if self.is_connected and not self.close_code and code in ("stopping", "idle", "silent") and not told:
+            dropped.append(bytes(self.parser.buffer))
         close(self, code)
 
-    monkeypatch.setattr(ClaimConnection, "carry", seen_carry)
+    monkeypatch.setattr(EndpointConnection, "send", seen_carry)
     monkeypatch.setattr(CallerConnection, "handle", seen_handle)
-    monkeypatch.setattr(CallerConnection, "stream", seen_stream)
+    monkeypatch.setattr(CallerConnection, "start_stream", seen_stream)
     monkeypatch.setattr(CallerConnection, "close", seen_close)
     for seed in range(first, first + 20):
         begun.clear()
@@ -134,7 +134,7 @@
         assert isinstance(world.ground, Virtual)
         play, time, now = Play(world, seed), world.ground.time, world.sidecar.clock.now
         if seed % 2:
-            world.sidecar.server.room_for_bodies.size = 0
+            world.sidecar.server.body_memory.limit_bytes = 0
         for _ in range(play.draw.randint(10, 60)):
             here = [caller for caller in play.callers if caller.left is None]
             what = play.draw.random()
@@ -149,7 +149,7 @@
                 play.serve()
             elif what < 0.96:
                 time.run(time.now() + play.draw.choice([0.0, 0.001, 0.02, 0.3]))
-            elif not world.sidecar.server.stopping:
+            elif not world.sidecar.server.is_stopping:
                 leave(world)
         for _ in range(80):
             play.serve(whole=True)
@@ -163,4 +163,4 @@
         assert not FAULTS & {event for event, _ in world.lines}, seed
         assert not any(dropped), (seed, dropped)
         if "answer-cut" not in world.codes("caller-connection"):
-            assert not [c for c in play.callers if c.left is None and c.reader.started], seed
+            assert not [c for c in play.callers if c.left is None and c.reader.has_partial_message], seed
--- a/tests/ends/test_endpoint.py
+++ b/tests/ends/test_endpoint.py
@@ -14,8 +14,8 @@
 from tests.pools.test_pool_set import begun
 from tests.world import Peer, World, entry
 from wheatring.balancer.interface import Outcome
-from wheatring.core.exchange import Answer, Claim, Final, Job
-from wheatring.http1 import client
+from wheatring.core.exchange import Answer, AnswerKind, Attempt, Request
+from wheatring.http1 import connection_pool
 
 Make = Callable[..., World]
 
@@ -39,7 +39,7 @@
             listed(world, entry("n0", spare, startedAtMs=1))  # as one that was restarted
         else:
             listed(world, {"instanceId": "n0", "lifecycle": "DELETED"}, entry("x", now_at))
-        sent = [(claim.node, claim.outcome) for claim in job.claims]
+        sent = [(claim.endpoint, claim.outcome) for claim in job.attempts]
         assert sent == [("n0", Outcome.CONNECT_FAILED), ("n0" if how == "moved" else "x", None)]
         return answers
 
@@ -48,8 +48,8 @@
     assert first == "POST /late HTTP/1.1"
     wire.answer(200, b"there")
     world.logged("answered")
-    assert answers[0].final is Final.SERVED
-    assert {c.place.address for c in world.sidecar.pool.connections} == {f"127.0.0.1:{now_at.port}"}
+    assert answers[0].kind is AnswerKind.SERVED
+    assert {c.address.address for c in world.sidecar.pool.connections} == {f"127.0.0.1:{now_at.port}"}
     spare.close()
 
 
@@ -81,7 +81,7 @@
     world = make()
     wire = kept(world, world.caller())
 
-    def crossing() -> tuple[Job, list[Answer]]:
+    def crossing() -> tuple[Request, list[Answer]]:
         if how == "second answer":
             wire.answer(200, b"first")
         elif how == "turned away":
@@ -93,7 +93,7 @@
         return submit(world, name, dialling=False)
 
     job, answers = world.run(crossing)
-    claims = job.claims[:]
+    claims = job.attempts[:]
     again = world.nodes[0].accept()
     assert again.read()[0] == "POST /late HTTP/1.1"
     assert [claim.number for claim in claims] == [0] and claims[0].outcome is None
@@ -115,19 +115,19 @@
     (old,), spare = world.nodes, Peer(world.ground)
     wire = kept(world, world.caller())
 
-    def crossing() -> list[Claim]:
+    def crossing() -> list[Attempt]:
         wire.close()
         job, _ = submit(world, dialling=False)
         if how == "draining":
             listed(world, entry("n0", old, lifecycle="DRAINING"), entry("x", spare))
         else:
             listed(world, entry("n0", spare, startedAtMs=1))
-        return job.claims
+        return job.attempts
 
     claims = world.run(crossing)
     again, first = reads(spare)
     assert first == "POST /late HTTP/1.1"
-    sent = [(claim.node, claim.outcome) for claim in claims]
+    sent = [(claim.endpoint, claim.outcome) for claim in claims]
     assert sent == [("n0", Outcome.CONNECT_FAILED), ("n0" if how == "moved" else "x", None)]
     again.answer(200, b"there")
     world.logged("answered")
@@ -158,7 +158,7 @@
         wire.send(f"{old[2]}Content-Length: {len(old[1])}\r\n\r\n".encode() + old[1])
         assert world.logged("claim-connection") == ["bad-answer"]
         assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-        assert world.sidecar.pool.wary_until > 0
+        assert world.sidecar.pool.cautious_until > 0
         return
     wire.answer(*old)
     again = node.accept()
@@ -180,7 +180,7 @@
     wire.held = wire.sock.recv(1)
     world.settle()
     (connection,) = world.sidecar.pool.connections
-    assert connection.flushed
+    assert connection.is_flushed
     wire.answer(200, b"first")
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert world.logged("claim-connection") == ["bad-answer"]
@@ -193,7 +193,7 @@
     world = make()
     caller = world.caller()
     wire = kept(world, caller)
-    world.sidecar.pool.idle = -1.0
+    world.sidecar.pool.idle_timeout = -1.0
     world.ask("unsafe", wire=caller)
     other = world.nodes[0].accept()
     other.read()
@@ -206,7 +206,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Once the next request has left on it, nothing tells a late second answer from that one's own."""
-    monkeypatch.setattr(client, "REST", 1e9)
+    monkeypatch.setattr(connection_pool, "REST_SECONDS", 1e9)
     world = make()
     caller = world.caller()
     wire = kept(world, caller)
@@ -224,7 +224,7 @@
     assert world.logged("claim-connection", 2) == ["unasked-data"] * 2
     other.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
-    monkeypatch.setattr(client, "REST", 0.0)
+    monkeypatch.setattr(connection_pool, "REST_SECONDS", 0.0)
     world.ask(wire=caller)
     other.read()  # it has rested
     other.answer(200, b"last")
@@ -234,7 +234,7 @@
 def test_a_second_answer_right_behind_the_first_has_connections_rest_as_well(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client, "REST", 1e9)
+    monkeypatch.setattr(connection_pool, "REST_SECONDS", 1e9)
     world = make()
     caller = world.ask()
     wire = world.nodes[0].accept()
@@ -257,9 +257,9 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, rested: bool
 ) -> None:
     """Before any second answer was seen, too: it costs nothing. If none has, the one that rested longest."""
-    monkeypatch.setattr(client, "REST", 1e9)
+    monkeypatch.setattr(connection_pool, "REST_SECONDS", 1e9)
     world = make()
-    world.sidecar.pool.idle = 4e9
+    world.sidecar.pool.idle_timeout = 4e9
     callers, wires = [], []
     for _ in range(2):
         callers.append(world.ask())
@@ -268,7 +268,7 @@
     for caller, wire in zip(callers, wires, strict=True):
         wire.answer(200)
         caller.read()
-    (idle,) = world.sidecar.pool.idle_ones.values()
+    (idle,) = world.sidecar.pool.idle_connections.values()
     if rested:
         world.run(lambda: setattr(idle[0], "idle_since", -2e9))
     world.ask("unsafe")
@@ -285,9 +285,13 @@
     def told_amid() -> list[object]:
         world.pools.router.change_weights("all", {"old": 1})
         job = begun(world, "late")
-        (claim,) = job.claims
+        (claim,) = job.attempts
         listed(world, entry("n0", world.nodes[0], **more))
-        return [claim.outcome, claim.written, *(len(m.connections.dials) for m in world.pools.all())]
+        return [
+            claim.outcome,
+            claim.is_written,
+            *(len(m.connections.pending_connects) for m in world.pools.all()),
+        ]
 
     try:
         assert world.run(told_amid) == [Outcome.CONNECT_FAILED, False, 0, 0]
--- a/tests/ends/test_endpoint_faults.py
+++ b/tests/ends/test_endpoint_faults.py
@@ -8,11 +8,11 @@
 
 from tests.ends.attempts import kept, submit
 from tests.world import World
-from wheatring.core.exchange import Answer, Final
-from wheatring.http1 import client
-from wheatring.http1.claim import ClaimConnection
-from wheatring.http1.client import Pool
-from wheatring.http1.machine_list import MachineList
+from wheatring.core.exchange import Answer, AnswerKind
+from wheatring.http1 import connection_pool
+from wheatring.http1.connection_pool import ConnectionPool
+from wheatring.http1.endpoint_connection import EndpointConnection
+from wheatring.http1.endpoint_list import EndpointList
 
 Make = Callable[..., World]
 
@@ -22,7 +22,10 @@
 
 
 @pytest.mark.parametrize("how", ["answer", "reset"])
-@pytest.mark.parametrize(("where", "what"), [(Pool, "keep"), (Pool, "gone"), (MachineList, "seen")])
+@pytest.mark.parametrize(
+    ("where", "what"),
+    [(ConnectionPool, "keep_idle"), (ConnectionPool, "remove"), (EndpointList, "record_outcome")],
+)
 def test_a_fault_amid_the_end_of_an_attempt_still_settles_it(
     make: Make, monkeypatch: pytest.MonkeyPatch, where: type, what: str, how: str
 ) -> None:
@@ -37,14 +40,14 @@
         wire.read()
     wire.answer(200, b"ok")
     assert caller.read()[2] == b"ok"
-    assert world.run(lambda: len(world.sidecar.driver.jobs)) == 0
+    assert world.run(lambda: len(world.sidecar.driver.open_requests)) == 0
     assert "overdue" not in [event for event, _ in world.lines]
 
 
 def test_a_fault_as_an_attempt_is_given_up_still_answers_its_job(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(ClaimConnection, "drop", broken)
+    monkeypatch.setattr(EndpointConnection, "cancel_attempt", broken)
     world = make()
     caller = world.ask("unsafe", left=100)
     wire = world.nodes[0].accept()  # which stays open
@@ -56,15 +59,15 @@
 def test_a_fault_as_a_connect_is_given_up_keeps_no_answer_back(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client._Dial, "drop", broken)
+    monkeypatch.setattr(connection_pool._PendingConnect, "cancel", broken)
     world = make()
 
     def answered_amid() -> list[Answer]:
         job, answers = submit(world)
-        world.sidecar.exchange.answer(job, Answer(Final.FAILED))
+        world.sidecar.exchange.answer(job, Answer(AnswerKind.FAILED))
         return answers
 
-    assert [answer.final for answer in world.run(answered_amid)] == [Final.FAILED]
+    assert [answer.kind for answer in world.run(answered_amid)] == [AnswerKind.FAILED]
 
 
 def test_an_attempt_that_broke_as_it_was_written_goes_no_further(
@@ -74,13 +77,13 @@
     world = make()
     caller = world.caller()
     wire = kept(world, caller)
-    writes = ClaimConnection.resumeProducing
+    writes = EndpointConnection.resumeProducing
 
-    def writes_and_breaks(connection: ClaimConnection) -> None:
+    def writes_and_breaks(connection: EndpointConnection) -> None:
         writes(connection)
         raise ZeroDivisionError
 
-    monkeypatch.setattr(ClaimConnection, "resumeProducing", writes_and_breaks)
+    monkeypatch.setattr(EndpointConnection, "resumeProducing", writes_and_breaks)
     world.ask("unsafe", wire=caller)
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert wire.at_end()
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -17,7 +17,7 @@
 from tests.virtual import Virtual
 from tests.world import Peer, Wire, World, entry, list_body
 from wheatring import log
-from wheatring.http1 import list_calls
+from wheatring.http1 import discovery_client
 from wheatring.lifecycle.told import AGAIN
 
 Make = Callable[..., World]
@@ -177,7 +177,7 @@
     time.run(now(world) + 20.0)
     began, new = now(world), [Peer(world.ground) for _ in range(12)]
     for peer in new:
-        world.run(partial(world.sidecar.machine_list.move, ("127.0.0.1", peer.port)))
+        world.run(partial(world.sidecar.machine_list.change_discovery, ("127.0.0.1", peer.port)))
         time.run(now(world) + 0.9)
         if peer.listener.socket.queue:
             break
@@ -211,14 +211,14 @@
 ) -> None:
     """A listener whose queue is full. What the old discovery has still to tell counts meanwhile."""
     world = make(2)
-    monkeypatch.setattr(list_calls, "DIAL", 0.2)
+    monkeypatch.setattr(discovery_client, "CONNECT_TIMEOUT_SECONDS", 0.2)
     former = world.discovery.accept()
     asked(former)
     full = socket.socket()
     full.bind(("127.0.0.1", 0))
     full.listen(0)
     filler = socket.create_connection(full.getsockname())
-    world.run(lambda: world.sidecar.machine_list.move(full.getsockname()))
+    world.run(lambda: world.sidecar.machine_list.change_discovery(full.getsockname()))
     world.logged("list-failed", 2)
     former.answer(200, list_body(9, DRAINS))
     only(world, "n1")
@@ -247,7 +247,7 @@
     def crossing() -> None:
         watch.answer(200, news)
         for port in (1, new.port)[-moves:]:
-            world.sidecar.machine_list.move(("127.0.0.1", port))
+            world.sidecar.machine_list.change_discovery(("127.0.0.1", port))
 
     world.run(crossing)
     first = new.accept()
@@ -264,7 +264,7 @@
     watch = world.discovery.accept()
     asked(watch)
     new = Peer(world.ground)
-    world.run(lambda: world.sidecar.machine_list.move(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
     assert asked(first) == WHOLE
 
@@ -283,10 +283,10 @@
     asked(watch)
     lists = world.sidecar.machine_list
     second, third = Peer(world.ground), Peer(world.ground)
-    world.run(lambda: lists.move(("127.0.0.1", second.port)))
+    world.run(lambda: lists.change_discovery(("127.0.0.1", second.port)))
     crossing = second.accept()
     assert asked(crossing) == WHOLE
-    world.run(lambda: lists.move(("127.0.0.1", third.port)))
+    world.run(lambda: lists.change_discovery(("127.0.0.1", third.port)))
     crossing.answer(200, list_body(3, entry("n1", world.nodes[1])))  # whole, though it does not say so
     assert crossing.at_end() and watch.at_end()
     assert world.run(lambda: list(world.sidecar.pool.addresses)) == ["n1"]
@@ -323,19 +323,19 @@
     world.ground.time.run(now(world) + 24.0)  # type: ignore[union-attr]
     asked(world.discovery.accept())
     assert watch.at_end()
-    assert world.run(lambda: world.sidecar.machine_list.formers) == []
+    assert world.run(lambda: world.sidecar.machine_list.superseded) == []
 
 
 def test_what_a_watch_says_as_another_sidecar_comes_to_watch_for_all_counts(virtual: Make) -> None:
     world = virtual()
     watch = world.discovery.accept()
     asked(watch)
-    world.run(world.sidecar.machine_list.rest)
+    world.run(world.sidecar.machine_list.pause)
     watch.answer(200, list_body(9, DRAINS))
     assert watch.at_end()
     only(world, "n1")
     lists = world.sidecar.machine_list
-    assert world.run(lambda: (lists.version, lists.watching)) == (9, False)
+    assert world.run(lambda: (lists.version, lists.is_watching)) == (9, False)
 
 
 def test_a_watch_that_another_replaces_between_two_of_its_calls_is_closed(virtual: Make) -> None:
@@ -347,8 +347,8 @@
     lists = world.sidecar.machine_list
     while lists.version == 7:
         time.run(now(world) + 0.001)
-    assert lists.watcher.done is None  # the next call is still to be made
-    world.run(lambda: lists.ask(world.sidecar.clock.now()))
+    assert lists.client.on_answer is None  # the next call is still to be made
+    world.run(lambda: lists.start_replacement(world.sidecar.clock.now()))
     anew = world.discovery.accept()
     assert asked(anew).startswith("GET /v1/servers?index=8&")
     assert watch.at_end()
@@ -366,7 +366,7 @@
 
     def crossing() -> None:
         fetch.answer(200, list_body(90, reset=True))
-        world.sidecar.machine_list.move(("127.0.0.1", new.port))
+        world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port))
 
     world.run(crossing)
     first = new.accept()
@@ -520,7 +520,7 @@
         assert now(world) - failed < 0.3
     new = Peer(world.ground)
     began = now(world)
-    world.run(lambda: world.sidecar.machine_list.move(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     assert asked(new.accept()) == WHOLE
     assert now(world) - began < 0.3
     watch.answer(200, list_body(9, DRAINS))
@@ -534,7 +534,7 @@
     raise ZeroDivisionError
 
 
-@pytest.mark.parametrize("part", ["on_view", "goes_on"])
+@pytest.mark.parametrize("part", ["on_view", "should_continue"])
 @pytest.mark.parametrize("ending", ["list", "refused", "reset"])
 def test_what_breaks_at_the_end_of_a_call_leaves_no_sidecar_without_a_watch(
     make: Make, soon: None, part: str, ending: str
@@ -573,7 +573,7 @@
     asked(world.discovery.accept())
     new = Peer(world.ground)
     before = now(world)
-    world.run(lambda: world.sidecar.machine_list.move(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     for patience in (0.0, 2.0, 4.0, 4.75, 4.75)[: 5 if copies == 1 else 3]:  # many give way by then
         first = new.accept()
         assert asked(first) == WHOLE
@@ -589,7 +589,7 @@
     world = virtual()
     asked(world.discovery.accept())
     new = Peer(world.ground)
-    world.run(lambda: world.sidecar.machine_list.move(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
     assert asked(first) == WHOLE
     began = now(world)
@@ -623,7 +623,7 @@
                 watch.answer(200, list_body(90 - number, entry("n1", world.nodes[1])))
             elif ending == "move":
                 peers.append(Peer(world.ground))
-                world.run(partial(lists.move, ("127.0.0.1", peers[-1].port)))
+                world.run(partial(lists.change_discovery, ("127.0.0.1", peers[-1].port)))
             elif ending == "broken":
                 world.run(partial(setattr, lists, "on_view", broken))
                 watch.answer(200, list_body(90 - number))
--- a/tests/ends/test_repeats.py
+++ b/tests/ends/test_repeats.py
@@ -13,9 +13,9 @@
 from tests.world import World
 from wheatring.balancer import backoff
 from wheatring.balancer import interface as i
-from wheatring.core.exchange import Claim
-from wheatring.http1 import client
-from wheatring.http1.claim import ClaimConnection
+from wheatring.core.exchange import Attempt
+from wheatring.http1 import connection_pool
+from wheatring.http1.endpoint_connection import EndpointConnection
 
 Make = Callable[..., World]
 
@@ -50,16 +50,16 @@
 
 def crossing(
     world: World, monkeypatch: pytest.MonkeyPatch, window: float, then: Callable[[], None]
-) -> list[Claim]:
+) -> list[Attempt]:
     """The window of `order` ends once its further attempt has been begun, before a byte of it can be
     written; `then` is called at that instant. The further attempts.
     """
     sidecar = world.sidecar
     classes, exchange, clock = sidecar.serving.balancer.classes, sidecar.exchange, sidecar.clock
     classes["order"] = replace(classes["order"], repeat_window=window)
-    start, now, further = exchange.start_claim, clock.now, []
+    start, now, further = exchange.start_attempt, clock.now, []
 
-    def start_and_pass(claim: Claim) -> None:
+    def start_and_pass(claim: Attempt) -> None:
         start(claim)
         if claim.number:
             further.append(claim)
@@ -67,7 +67,7 @@
             then()
 
     monkeypatch.setattr(backoff, "INITIAL_BACKOFF", 0.0)
-    exchange.start_claim = start_and_pass
+    exchange.start_attempt = start_and_pass
     return further
 
 
@@ -91,7 +91,7 @@
         wire.answer(200, b"again")
     assert caller.read()[0].split()[1] == status
     (claim,) = further
-    assert (claim.written, claim.outcome) == (
+    assert (claim.is_written, claim.outcome) == (
         written,
         i.Outcome.SERVED if written else i.Outcome.CONNECT_FAILED,
     )
@@ -119,7 +119,7 @@
     if name == "menu":
         assert further == [claim, claim]  # begun again, and the same attempt
     else:
-        assert (len(further), claim.written, claim.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
+        assert (len(further), claim.is_written, claim.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
     assert idle.at_end()
 
 
@@ -141,8 +141,8 @@
     if how == "spoilt":
         first.send(b"noise")
     else:
-        (job,) = world.sidecar.driver.jobs.values()
-        world.run(lambda: world.sidecar.exchange._late(job.claims[0]))
+        (job,) = world.sidecar.driver.open_requests.values()
+        world.run(lambda: world.sidecar.exchange._time_out(job.attempts[0]))
     idle.read()
     first.sock.setblocking(False)
     assert first.at_end()  # at once: while it were open this would raise
@@ -251,18 +251,18 @@
 ) -> None:
     """It is there when the connection is heard to be up, in the turn in which the request is handed to it."""
     world = make(3)
-    up, spoken = client._Dial.buildProtocol, []
+    up, spoken = connection_pool._PendingConnect.buildProtocol, []
 
-    def up_and_spoken_to(dial: client._Dial, address: object) -> ClaimConnection:
-        monkeypatch.setattr(client._Dial, "buildProtocol", up)
-        spoken.append(world.nodes[int(dial.place.node[1:])].accept())
+    def up_and_spoken_to(dial: connection_pool._PendingConnect, address: object) -> EndpointConnection:
+        monkeypatch.setattr(connection_pool._PendingConnect, "buildProtocol", up)
+        spoken.append(world.nodes[int(dial.address.endpoint[1:])].accept())
         if how == "reset":
             spoken[0].reset()
         else:
             spoken[0].answer(200, b"nobody's")
         return up(dial, address)
 
-    monkeypatch.setattr(client._Dial, "buildProtocol", up_and_spoken_to)
+    monkeypatch.setattr(connection_pool._PendingConnect, "buildProtocol", up_and_spoken_to)
     caller = world.ask("unsafe")
     assert world.logged("claim-connection") == [code]
     wire = world.first()
--- a/tests/ends/test_stop.py
+++ b/tests/ends/test_stop.py
@@ -10,7 +10,7 @@
 from tests.test_bodies import LARGE, body, head, no_room, post
 from tests.world import Loopback, World
 from wheatring import log
-from wheatring.http1 import caller, server
+from wheatring.http1 import caller_connection, server
 
 Make = Callable[..., World]
 HEALTH = b"GET /healthz HTTP/1.1\r\n\r\n"
@@ -33,7 +33,7 @@
 
 def test_who_waits_at_the_door_comes_in_before_it_is_shut(make: Make) -> None:
     world = make(0)
-    door: Any = world.sidecar.server.port
+    door: Any = world.sidecar.server.listener
     world.run(door.stopReading)
     callers = [world.caller() for _ in range(5)]
     for wire in callers:
@@ -43,7 +43,7 @@
     def shut() -> None:
         door.numberAccepts = 1  # as where callers have come one by one until now
         door.startReading()
-        world.reactor.callLater(0, world.sidecar.server.shut)
+        world.reactor.callLater(0, world.sidecar.server.stop_listening)
 
     world.run(shut)
     assert [wire.read()[0] for wire in callers] == ["HTTP/1.1 200 OK"] * 5
@@ -63,7 +63,7 @@
     node = world.nodes[0].accept()
     node.read()
     world.ask(wire=wire)
-    while not world.run(lambda: connection.reader.buffer):
+    while not world.run(lambda: connection.parser.buffer):
         world.settle()
     if told == "behind both":
         leave(world)
@@ -86,7 +86,7 @@
     world.sidecar.shutdown.leaving.last = 0.0  # nothing may run on once the door is shut
     assert wire.read()[0].startswith("HTTP/1.1 502")  # it may have run
     assert {wire.read()[0][:12] for _ in range(100)} == {"HTTP/1.1 503"}
-    assert wire.at_end() and world.sidecar.driver.last <= 2
+    assert wire.at_end() and world.sidecar.driver.last_id <= 2
 
 
 @pytest.mark.parametrize("instant", ["half", "unread", "resting"])
@@ -100,7 +100,7 @@
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n"
     if instant == "half":
         wire.send(request[:30])
-        while not world.run(lambda: connection.waiting):
+        while not world.run(lambda: connection.is_awaiting):
             world.settle()
         leave(world)
         wire.send(request[30:])
@@ -115,7 +115,7 @@
         assert wire.at_end()
         wire.send(request)
         world.settle()
-        assert world.sidecar.driver.last == 0
+        assert world.sidecar.driver.last_id == 0
         return
     node = world.nodes[0].accept()
     node.read()
@@ -135,8 +135,8 @@
     node.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE[:100000])
     head(wire)
     connection = the(world)
-    world.run(lambda: setattr(connection, "since", -1e9))
-    world.run(lambda: world.sidecar.server.close_between(late=True))
+    world.run(lambda: setattr(connection, "state_since", -1e9))
+    world.run(lambda: world.sidecar.server.close_unanswered(is_late=True))
     passed: list[bool] = []
     later = world.reactor.callLater
     world.run(lambda: later(0, later, 0, later, 0, passed.append, True))  # it takes two turns
@@ -153,7 +153,7 @@
     world = make()
     wire = world.caller()
     if why == "silent":
-        monkeypatch.setattr(caller, "PATIENCE", 1e9)
+        monkeypatch.setattr(caller_connection, "HEAD_SECONDS", 1e9)
     else:
         wire.send(HEALTH)
         wire.read()
@@ -164,11 +164,11 @@
         if isinstance(world.ground, Loopback):
             wire.send(HEALTH)
         connection.transport.resumeProducing()
-        monkeypatch.setattr(caller, "PATIENCE", 0.0)
+        monkeypatch.setattr(caller_connection, "HEAD_SECONDS", 0.0)
         if why == "full":
-            connection.make_room()
+            connection.evict()
         else:
-            connection.look(world.sidecar.clock.now() + 1, 0.0)
+            connection.enforce_limits(world.sidecar.clock.now() + 1, 0.0)
 
     if not isinstance(world.ground, Loopback):
         world.run(connection.transport.pauseProducing)
@@ -189,4 +189,4 @@
     told = world.run(world.sidecar.clock.now)
     world.logged("ended")
     if not isinstance(world.ground, Loopback):
-        assert world.run(world.sidecar.clock.now) - told < server.BRIEF + 0.05
+        assert world.run(world.sidecar.clock.now) - told < server.BRIEF_FLUSH_SECONDS + 0.05
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -15,7 +15,7 @@
 
 from tests.conftest import Copy, entries
 from wheatring.balancer import interface as i
-from wheatring.http1.list_calls import DIAL, WAIT
+from wheatring.http1.discovery_client import CONNECT_TIMEOUT_SECONDS, WATCH_WAIT_SECONDS
 from wheatring.lifecycle import asking
 from wheatring.lifecycle.asking import Asking
 from wheatring.lifecycle.freshness import Freshness
@@ -62,7 +62,7 @@
         if self.out is None and now >= due:
             if second:
                 self.freshness.ask(now)
-            ends = now + {"refuses": 0.0, "hangs": DIAL}.get(trouble, TURN)
+            ends = now + {"refuses": 0.0, "hangs": CONNECT_TIMEOUT_SECONDS}.get(trouble, TURN)
             self.out = now, trouble, ends
 
     def end(self, now: float) -> None:
@@ -79,7 +79,7 @@
         self.watch = self.known = now
         self.asking.answered()
         self.asking.told.answered(now)
-        self.asking.told.laid(now, WAIT)
+        self.asking.told.laid(now, WATCH_WAIT_SECONDS)
         self.freshness.watching(now)
 
     def lose(self, now: float, made: float, taken: bool) -> None:
@@ -98,7 +98,7 @@
         if self.failed:
             return back + 6.0
         if self.watch is not None:
-            return max(back + 6.0, self.watch + WAIT + 2.0)
+            return max(back + 6.0, self.watch + WATCH_WAIT_SECONDS + 2.0)
         return changed + self.within
 
 
@@ -207,7 +207,12 @@
     for ending, line in ends:
         assert one.due(now) <= now + AGAIN + 1e-9
         now = began = one.due(now)
-        took = {"refused": 0.0, "hangs": DIAL, "swallowed": one.patience(), "in line": line}[ending]
+        took = {
+            "refused": 0.0,
+            "hangs": CONNECT_TIMEOUT_SECONDS,
+            "swallowed": one.patience(),
+            "in line": line,
+        }[ending]
         now += took
         one.failed(now, took, taken=ending != "hangs", waits=ending == "in line")
         assert one.due(now) - began <= 6.0 - ANSWER + 1e-9
--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from wheatring.balancer.interface import Idempotency, Limits, Outcome, RequestClass, Settings
-from wheatring.core.exchange import Claim
+from wheatring.core.exchange import Attempt
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar
@@ -141,7 +141,7 @@
             max_retry_after=0.2,
         )
         self.settings = Settings(classes, limits=limits, must_subscribe=True)
-        self.claims: list[Claim] = []
+        self.claims: list[Attempt] = []
         self.replies: list[tuple[str, float]] = []
         self.sidecar = self.start()
 
@@ -151,13 +151,13 @@
             "s", "h", self.settings, 7, known, time=self.time, unix=lambda: 0.0, links=self.links,
             nodes=self.nodes, registry=self.registry, discovery=("d", 1), book=self.book, way=self.way,
         )  # fmt: skip
-        ended = sidecar.exchange.on_claim_ended
+        ended = sidecar.exchange.on_attempt_ended
 
-        def noted(claim: Claim) -> None:
+        def noted(claim: Attempt) -> None:
             self.claims.append(claim)
             ended(claim)
 
-        sidecar.exchange.on_claim_ended = noted
+        sidecar.exchange.on_attempt_ended = noted
         sidecar.start()
         return sidecar
 
--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -109,8 +109,8 @@
     world.ask()
     world.time.play(4 * LINK)
     (visit,) = world.machine.visits
-    (job,) = world.sidecar.driver.jobs.values()
-    world.sidecar.exchange.abandon(job.claims[0])
+    (job,) = world.sidecar.driver.open_requests.values()
+    world.sidecar.exchange.cancel_attempt(job.attempts[0])
     assert world.outcomes() == [Outcome.CANCELLED] and not world.sidecar.pool.lines
     assert not world.machine.gone
     world.time.play(LINK)
@@ -132,7 +132,7 @@
     asked = world.ask("b")
     world.time.play(2 * LINK)
     world.links.slow(["h"], ["m"], 1.0)
-    world.sidecar.exchange.abandon(asked.job.claims[0] if asked.job else world.claims[0])
+    world.sidecar.exchange.cancel_attempt(asked.job.attempts[0] if asked.job else world.claims[0])
     world.time.play(0.5)
     assert len(world.machine.visits) == 2 and world.machine.gone == world.machine.visits[1:]
 
@@ -311,7 +311,7 @@
     world.sidecar.reset()
     world.time.play(0.5)
     assert world.outcomes() == [Outcome.RESET] and world.replies == [("lost", 0.0)]
-    assert world.machine.connections == 0 and not world.sidecar.held and not world.sidecar.exchange.open
+    assert world.machine.connections == 0 and not world.sidecar.held and not world.sidecar.exchange.open_count
 
 
 def test_the_machine_list_watches_moves_on_and_begins_again_after_a_failure() -> None:
--- a/tests/lab/test_net_faults.py
+++ b/tests/lab/test_net_faults.py
@@ -109,11 +109,11 @@
     door: Any
 
     @property
-    def room(self) -> int:
+    def free_places(self) -> int:
         return 3 - len(self.ends)
 
     def buildProtocol(self, addr: Any) -> Any:
-        if self.room == 1:
+        if self.free_places == 1:
             self.door.stopReading()
         return super().buildProtocol(addr)
 
@@ -121,7 +121,7 @@
 def test_no_more_is_accepted_in_one_go_than_there_is_room_for() -> None:
     ground = Virtual()
     served = Roomy("served", [])
-    served.door = ground.there.open_door(0, served, 511, ground.host, ground.there)
+    served.door = ground.there.open_listener(0, served, 511, ground.host, ground.there)
     served.door.stopReading()
     for _ in range(8):
         ground.here.connectTCP(ground.host, served.door.getHost().port, Factory("caller", []))
--- a/tests/lab/test_wire_http.py
+++ b/tests/lab/test_wire_http.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.http1.parser import BadMessage, Reader
+from wheatring.http1.parser import MalformedMessage, MessageParser
 from wheatring.lab.origins import Origin
 from wheatring.lab.plan import ClassPlan
 from wheatring.lab.wire.form import Forms
@@ -96,8 +96,8 @@
         forms.add(data[:40] if data[:1] == b"H" else b"noise")
         with pytest.raises((Malformed, AssertionError)):
             cut([data])
-        reader = Reader(responses=True)
+        reader = MessageParser(responses=True)
         reader.feed(data)
-        with suppress(BadMessage):
-            assert reader.next() is None and reader.end() is None
+        with suppress(MalformedMessage):
+            assert reader.next_message() is None and reader.end_of_input() is None
     assert len(forms) == 6
--- a/tests/ops/test_drills.py
+++ b/tests/ops/test_drills.py
@@ -88,7 +88,7 @@
     assert world.ask().read()[0] == "HTTP/1.1 409 Conflict"
     caller.close()
     world.logged("caller-connection")
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
     release = world.sidecar.drills.release if world.sidecar.drills else None
     assert release not in [call.func for call in world.run(world.reactor.getDelayedCalls)]
     assert seen == []  # the module never heard of it
@@ -98,8 +98,8 @@
     world = make(1, settings("drill.share = 100\ndrill.delay.ms = 200"))
     caller = world.ask()
     world.logged("drill")
-    world.sidecar.server.stopping = True
-    world.run(world.sidecar.server.close_between)
+    world.sidecar.server.is_stopping = True
+    world.run(world.sidecar.server.close_unanswered)
     assert served(world.nodes[0].accept(), caller)["x-drill"] == "1"
     assert caller.at_end()
 
--- a/tests/ops/test_tokens.py
+++ b/tests/ops/test_tokens.py
@@ -80,7 +80,7 @@
             first, fields, said = ask(world, bearer, caller).read()
             assert (first, said) == ("HTTP/1.1 401 Unauthorized", f"token {why}".encode()), each
             assert fields["www-authenticate"] == "Bearer"
-    assert world.run(lambda: world.sidecar.driver.last) == 0  # no job ever was
+    assert world.run(lambda: world.sidecar.driver.last_id) == 0  # no job ever was
     caller.send(b"GET /healthz HTTP/1.1\r\n\r\n")
     assert caller.read()[0] == "HTTP/1.1 200 OK"
 
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -134,15 +134,15 @@
 
     class Held:
         version: int | None = 7
-        watching = False
-        goes_on: Callable[[], bool] | None = None
+        is_watching = False
+        should_continue: Callable[[], bool] | None = None
 
         def __init__(self) -> None:
             self.freshness = Freshness(10, 0, Random(1), 0.0)
 
         def subscribe(self) -> None: ...
 
-        def rest(self) -> None: ...
+        def pause(self) -> None: ...
 
     views: list[View] = []
     one = ListSharing(Clock(Still()), None, "list", 10, 5, views.append)  # type: ignore[arg-type]
--- a/tests/pools/pools_world.py
+++ b/tests/pools/pools_world.py
@@ -67,7 +67,7 @@
 
     def busy(self) -> list[str]:
         """The pools that have a job, once one has."""
-        return self.met(lambda: [m.name for m in self.pools.all() if m.driver.jobs])
+        return self.met(lambda: [m.name for m in self.pools.all() if m.driver.open_requests])
 
     def at(self, node: int) -> Wire:
         """The next request at a node, on the connection that it keeps; its answer is the story's to give."""
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -16,9 +16,9 @@
 from wheatring import log
 from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
-from wheatring.core.exchange import Answer, Final
+from wheatring.core.exchange import Answer, AnswerKind
 from wheatring.errors import OperatorError
-from wheatring.http1.parser import HOLD, Request
+from wheatring.http1.parser import BUFFERED_BODY_BYTES, ForwardedRequest
 from wheatring.pools import pool_set
 from wheatring.pools.active_route import RoutedRequest
 from wheatring.pools.exceptions import BadWeightsError, UnknownPoolError, UnknownRouteError
@@ -61,8 +61,8 @@
         got[pool] += 1
         world.at({"old": 0, "new": 1}[pool]).answer(200)
         caller.read()
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
-    assert world.run(lambda: world.sidecar.exchange.usual.recent["menu"])  # what leaving goes by
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
+    assert world.run(lambda: world.sidecar.exchange.latencies.recent["menu"])  # what leaving goes by
     return got
 
 
@@ -119,7 +119,7 @@
     assert (
         len(world.run(lambda: world.sidecar.serving.freshness.doubts)) == 2
     )  # of the list that is theirs too
-    assert tried == [0, 0] and world.run(lambda: world.pools.pools["new"].driver.last) == 0
+    assert tried == [0, 0] and world.run(lambda: world.pools.pools["new"].driver.last_id) == 0
 
 
 def test_what_no_route_wants_is_404_and_what_can_be_read_two_ways_400_with_the_reason(make: Make) -> None:
@@ -131,7 +131,7 @@
     assert world.call("/menu/../order").read()[0].split()[1] == "400"
     told = [values for event, values in world.lines if event == "not-routed"]
     assert [(each["status"], each["why"]) for each in told] == [(404, "no route"), (400, "dot segments")]
-    assert world.run(lambda: [m.driver.last for m in world.pools.all()]) == [0, 0]
+    assert world.run(lambda: [m.driver.last_id for m in world.pools.all()]) == [0, 0]
     world.run(lambda: world.pools.router.change_weights("all", {"old": 1}))
     world.served("old", 0, "/menu/x")
 
@@ -142,7 +142,7 @@
     caller = world.call("/any/where", more="X-Service-Class: other\r\n")
     assert world.busy() == ["old"]
     ((name, allowed),) = world.run(
-        lambda: [(j.class_name, j.allowed) for j in world.sidecar.exchange.idents.values()]
+        lambda: [(j.class_name, j.time_limit) for j in world.sidecar.exchange.open_requests.values()]
     )
     assert (name, allowed) == ("menu", 1.5)
     world.at(0).answer(200)
@@ -173,27 +173,27 @@
     wire.answer(200, b"kept")
     assert caller.read()[2] == b"kept"
     lost.close()
-    world.met(lambda: not world.sidecar.exchange.open)
+    world.met(lambda: not world.sidecar.exchange.open_count)
     world.run(world.pools.advance)
     assert not leaving.is_closed  # a node still works on the other, whose caller has gone
     orphan.answer(200)
     world.logged("pool-gone")
-    assert leaving.is_closed and wire.at_end() and not leaving.connections.sweeping.active()
+    assert leaving.is_closed and wire.at_end() and not leaving.connections.sweep_timer.active()
     assert world.run(lambda: list(world.pools.budget.reserved)) == [world.pools.pools["new"].connections]
 
 
 def test_a_request_that_is_still_coming_keeps_its_pool_alive(make: Make) -> None:
     world = make(TWO.replace("new = 1 }", "new = 0 }"))
-    caller, body = world.caller(), b"x" * (HOLD + 1000)
+    caller, body = world.caller(), b"x" * (BUFFERED_BODY_BYTES + 1000)
     head = f"POST /order HTTP/1.1\r\nX-Correlation-Id: up\r\nContent-Length: {len(body)}\r\n\r\n"
     caller.send(head.encode() + body[:-500])
-    world.met(lambda: any(c.job is not None for c in world.sidecar.server.connections))
+    world.met(lambda: any(c.request is not None for c in world.sidecar.server.connections))
     world.reload(ONE)
     world.logged("routes", 2)
     for _ in range(3):
         world.run(world.pools.advance)
     assert [m.name for m in world.pools.leaving] == ["old"] and not world.run(
-        lambda: world.pools.leaving[0].driver.jobs
+        lambda: world.pools.leaving[0].driver.open_requests
     )
     caller.send(body[-500:])
     wire = world.at(0)
@@ -285,7 +285,7 @@
     world.run(lambda: setattr(world.pools.budget, "total", 6))
     world.run(lambda: world.pools.router.change_weights("all", {"old": 1}))
     flood = [world.call(more="X-Time-Left-Ms: 3000\r\n") for _ in range(9)]
-    world.met(lambda: world.pools.pools["old"].driver.last == len(flood))
+    world.met(lambda: world.pools.pools["old"].driver.last_id == len(flood))
     held = [world.nodes[0].accept() for _ in range(4)]  # and none is answered
     world.logged("too-many-connections")
     assert world.run(lambda: world.pools.budget.in_use()) == 4
@@ -297,9 +297,9 @@
 
 def begun(world: PoolsWorld, ident: str) -> RoutedRequest:
     """A job that came to its pool within this turn of the reactor."""
-    request, now = Request(b"GET /menu HTTP/1.1\r\n", b""), world.reactor.seconds()
+    request, now = ForwardedRequest(b"GET /menu HTTP/1.1\r\n", b""), world.reactor.seconds()
     route = world.pools.router.routes["all"]
-    job = route.job({}, ident=ident, class_name="menu", deadline=now + 5, content=request)
+    job = route.create_request({}, correlation_id=ident, class_name="menu", deadline=now + 5, content=request)
     world.sidecar.exchange.submit(job)
     return job
 
@@ -315,14 +315,19 @@
         wire.read()
         wire.answer(200)
     assert [caller.read()[0].split()[1] for caller in callers] == ["200"] * 3
-    world.met(lambda: len(world.pools.pools["old"].connections.idle_ones) and not world.sidecar.exchange.open)
+    world.met(
+        lambda: (
+            len(world.pools.pools["old"].connections.idle_connections)
+            and not world.sidecar.exchange.open_count
+        )
+    )
     world.run(lambda: world.pools.router.change_weights("all", {"new": 1}))
 
     def four_at_once() -> list[int]:
         for n in range(4):
             begun(world, f"b{n}")
         old, new = (world.pools.pools[name].connections for name in ("old", "new"))
-        return [sum(map(len, old.idle_ones.values())), len(new.dials)]
+        return [sum(map(len, old.idle_connections.values())), len(new.pending_connects)]
 
     assert world.run(four_at_once) == [1, 3]
     assert world.logged("claim-connection", 2) == ["pool-full"] * 2
@@ -338,10 +343,10 @@
 
     def all_of_it() -> None:
         for member in world.pools.all():
-            member.driver.balancer = Heard()
+            member.driver.decision_module = Heard()
         job = begun(world, "x")
-        world.sidecar.exchange.committed(job)
-        world.sidecar.exchange.leave(job)
+        world.sidecar.exchange.mark_committed(job)
+        world.sidecar.exchange.withdraw(job)
 
     heard: list[type] = []
     world.run(all_of_it)
@@ -353,15 +358,17 @@
 
     def begin_and_end() -> list[int]:
         job = begun(world, "x")
-        counts = [len(job.pool.driver.jobs), len(job.pool.connections.dials)]
-        world.sidecar.exchange.answer(job, Answer(Final.FAILED))
-        counts.append(len(job.pool.driver.jobs))
+        counts = [len(job.pool.driver.open_requests), len(job.pool.connections.pending_connects)]
+        world.sidecar.exchange.answer(job, Answer(AnswerKind.FAILED))
+        counts.append(len(job.pool.driver.open_requests))
         job.pool.close("test")
         return counts
 
     assert world.run(begin_and_end) == [1, 1, 0]
     world.settle()
-    assert world.run(lambda: [len(m.pool.connections) + len(m.pool.dials) for m in world.pools.all()]) == [
+    assert world.run(
+        lambda: [len(m.pool.connections) + len(m.pool.pending_connects) for m in world.pools.all()]
+    ) == [
         0,
         0,
     ]
@@ -381,7 +388,7 @@
     assert all(m.is_closed for m in dropped) and len(dropped) == 2
     for member in dropped:
         world.run(partial(member.driver.feed, i.TimerDue(0)))
-    assert not any(m.serving.machine_list.watching for m in dropped)
+    assert not any(m.serving.machine_list.is_watching for m in dropped)
     world.served("old", 0)
     monkeypatch.setattr(pool_set, "LIST_WAIT_SECONDS", 0.1)
     world.reload(own_list(nobody.port, nobody.port))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -21,11 +21,11 @@
 from tests.test_process import told, until
 from tests.world import FAR, Peer, Wire, World, entry
 from wheatring import log
-from wheatring.core.body import WINDOWS, Body, Room
-from wheatring.http1 import caller as callers
-from wheatring.http1 import claim
-from wheatring.http1.parser import HOLD, Reader
-from wheatring.http1.sending import Sender
+from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
+from wheatring.http1 import caller_connection as callers
+from wheatring.http1 import endpoint_connection
+from wheatring.http1.body_sender import BodySender
+from wheatring.http1.parser import BUFFERED_BODY_BYTES, MessageParser
 
 Make = Callable[..., World]
 LARGE = bytes(range(256)) * 800  # 200 kB
@@ -69,7 +69,7 @@
 
 
 def no_room(world: World) -> None:
-    world.sidecar.server.room_for_bodies.size = 0
+    world.sidecar.server.body_memory.limit_bytes = 0
 
 
 def test_a_large_answer_is_passed_on_while_it_comes(make: Make) -> None:
@@ -115,8 +115,8 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, framing: str
 ) -> None:
     """However it trickles: an answer in its time is owed, and this one can't be had elsewhere any more."""
-    monkeypatch.setattr(claim, "EARLY_UNTOLD", 0.0)
-    monkeypatch.setattr(claim, "SLOWEST", 1e9)
+    monkeypatch.setattr(endpoint_connection, "STREAM_UNKNOWN_LENGTH_AFTER_SECONDS", 0.0)
+    monkeypatch.setattr(endpoint_connection, "MIN_ANSWER_BYTES_PER_SECOND", 1e9)
     world = make()
     caller = world.ask(left=300)
     node = world.nodes[0].accept()
@@ -135,15 +135,15 @@
 def test_one_that_has_brought_enough_goes_on_after_its_callers_time(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    looks, look = [], claim.ClaimConnection.look
+    looks, look = [], endpoint_connection.EndpointConnection.check_stream
 
-    def looked(connection: claim.ClaimConnection, flow: Body, came: int = -1) -> None:
+    def looked(connection: endpoint_connection.EndpointConnection, flow: Body, came: int = -1) -> None:
         looks.append(came)
         log.line("looked")
         look(connection, flow, came)
 
-    monkeypatch.setattr(claim.ClaimConnection, "look", looked)
-    monkeypatch.setattr(claim, "SLOWEST", 1)
+    monkeypatch.setattr(endpoint_connection.EndpointConnection, "check_stream", looked)
+    monkeypatch.setattr(endpoint_connection, "MIN_ANSWER_BYTES_PER_SECOND", 1)
     world = make()
     caller = world.ask(left=50)
     node = world.nodes[0].accept()
@@ -194,7 +194,7 @@
 
 
 def test_one_that_is_said_to_be_large_is_begun_early(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(claim, "EARLY", 0.0)
+    monkeypatch.setattr(endpoint_connection, "STREAM_AFTER_SECONDS", 0.0)
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
@@ -209,7 +209,7 @@
     caller = post(world, len(LARGE))
     caller.send(LARGE[:150000])
     world.settle()
-    assert world.run(lambda: world.sidecar.exchange.open) == 0  # no node is kept busy by a slow caller
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0  # no node is kept busy by a slow caller
     caller.send(LARGE[150000:])
     node = world.first()
     assert node.read()[2] == LARGE
@@ -220,7 +220,7 @@
     other.answer(200, b"yes")
     assert caller.read()[2] == b"yes"
     world.settle()
-    assert world.run(lambda: world.sidecar.server.room_for_bodies.taken) == 0
+    assert world.run(lambda: world.sidecar.server.body_memory.used_bytes) == 0
 
 
 @pytest.mark.parametrize("length", [len(LARGE), None], ids=["length", "chunks"])
@@ -235,12 +235,12 @@
     node = world.nodes[0].accept()
     told = head(node)
     assert ("transfer-encoding: chunked" in told) is (length is None)
-    (job,) = world.run(lambda: list(world.sidecar.exchange.idents.values()))
-    assert job.deadline == float("inf") and job.overdue is None
+    (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
+    assert job.deadline == float("inf") and job.overdue_timer is None
     caller.send(rest if length else b"%x\r\n%s\r\n0\r\n\r\n" % (len(rest), rest))
     assert (body(node, len(LARGE)) if length else chunks(node)) == LARGE
     world.settle()
-    assert job.deadline < float("inf") and job.overdue is not None
+    assert job.deadline < float("inf") and job.overdue_timer is not None
     node.answer(200, b"yes")
     assert caller.read()[2] == b"yes"
 
@@ -274,8 +274,8 @@
     with pytest.raises((EOFError, OSError)):
         body(node, len(LARGE))
     world.settle()
-    assert world.run(lambda: world.sidecar.server.room_for_bodies.taken) == 0
-    assert world.run(lambda: world.sidecar.exchange.open) == 0
+    assert world.run(lambda: world.sidecar.server.body_memory.used_bytes) == 0
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
 def test_a_caller_that_leaves_its_answer_costs_no_memory(make: Make) -> None:
@@ -287,7 +287,7 @@
     head(caller)
     caller.reset()
     assert world.logged("claim-connection") == ["caller-gone"]
-    assert world.run(lambda: world.sidecar.server.room_for_bodies.taken) == 0
+    assert world.run(lambda: world.sidecar.server.body_memory.used_bytes) == 0
 
 
 def test_a_malformed_rest_is_answered_and_never_sent(make: Make) -> None:
@@ -304,9 +304,9 @@
 
 
 def test_a_body_that_comes_too_slowly_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(callers, "PATIENCE", 0.0)
-    monkeypatch.setattr(callers, "SLOWEST", 1e12)
-    monkeypatch.setattr(callers, "SILENT", 1e9)
+    monkeypatch.setattr(callers, "HEAD_SECONDS", 0.0)
+    monkeypatch.setattr(callers, "MIN_BODY_BYTES_PER_SECOND", 1e12)
+    monkeypatch.setattr(callers, "BODY_SILENCE_SECONDS", 1e9)
     caller = post(make(), len(LARGE))
     caller.send(LARGE[:100000])
     assert caller.read()[0].split()[1] == "408"
@@ -322,19 +322,19 @@
         def write(self, data: bytes) -> None:
             self.got += data
 
-        def registerProducer(self, producer: Sender, streaming: bool) -> None:
+        def registerProducer(self, producer: BodySender, streaming: bool) -> None:
             producer.resumeProducing()
 
     transports: list[Any] = [Held(), Held()]
-    large = Body(Room(1000000), kept=True)
+    large = Body(BodyMemory(1000000), is_replayable=True)
     large.put(b"a" * 20000)
     ends: list[str] = []
-    first = Sender(transports[0], large, False, lambda: ends.append("done"), lambda: ends.append("cut"))
+    first = BodySender(transports[0], large, False, lambda: ends.append("done"), lambda: ends.append("cut"))
     first.resumeProducing()  # all that there is has gone: it waits
     first.stopProducing()
-    large.again()
+    large.rewind()
     large.put(b"b" * 20000)  # nobody takes it meanwhile
-    second = Sender(transports[1], large, False, lambda: ends.append("done"), lambda: ends.append("cut"))
+    second = BodySender(transports[1], large, False, lambda: ends.append("done"), lambda: ends.append("cut"))
     first.stopProducing()  # once more, as its connection ends
     second.resumeProducing()
     second.resumeProducing()
@@ -352,16 +352,16 @@
 
         def write(self, data: bytes) -> None: ...
 
-        def registerProducer(self, producer: Sender, streaming: bool) -> None:
+        def registerProducer(self, producer: BodySender, streaming: bool) -> None:
             producer.resumeProducing()
 
     transport: Any = Held()
-    large = Body(Room(1000000), kept=True)
+    large = Body(BodyMemory(1000000), is_replayable=True)
     large.put(b"a" * 20000)
     large.put(b"b" * 20000, True)
     ends: list[str] = []
     done, cut, last = (partial(ends.append, what) for what in ("done", "cut", "last"))
-    sender = Sender(transport, large, False, done, cut, last)
+    sender = BodySender(transport, large, False, done, cut, last)
     large.cancel()  # its answer has come before all of it had left
     sender.resumeProducing()
     assert ends == []
@@ -391,25 +391,25 @@
     else:
         wire = b"POST /a HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(content), content)
     wire += b"GET /b HTTP/1.1\r\n\r\n"
-    reader = Reader(responses=False, max_body=1000000, hold=HOLD)
+    reader = MessageParser(responses=False, max_body_bytes=1000000, buffered_body_bytes=BUFFERED_BODY_BYTES)
     read, upload, follows = b"", False, []
     for begin, end in pairwise([0, *sorted(min(cut, len(wire)) for cut in cuts), len(wire)]):
         reader.feed(wire[begin:end])
         while True:
             if upload:
-                data, whole = reader.more()
+                data, whole = reader.read_body()
                 read += data
                 upload = not whole
                 if upload:
                     break
-            elif (message := reader.next()) is None:
+            elif (message := reader.next_message()) is None:
                 break
-            elif message.first[1] == b"/a":
-                read, upload = message.body, message.open
+            elif message.start_line[1] == b"/a":
+                read, upload = message.body, message.is_open
             else:
-                follows.append(message.first[1])
-        assert len(reader.buffer) <= HOLD + (end - begin) + 300 or upload
-    assert (read, follows, reader.started) == (content, [b"/b"], False)
+                follows.append(message.start_line[1])
+        assert len(reader.buffer) <= BUFFERED_BODY_BYTES + (end - begin) + 300 or upload
+    assert (read, follows, reader.has_partial_message) == (content, [b"/b"], False)
 
 
 @given(
@@ -417,35 +417,35 @@
 )
 def test_bodies_keep_their_order_and_their_room(kept: bool, size: int, steps: list[int | None]) -> None:
     """A number puts so many bytes, None takes a piece. Two of them share the room."""
-    room = Room(size)
+    room = BodyMemory(size)
     gone: list[int] = []
-    bodies = [Body(room, kept=kept), Body(room)]
+    bodies = [Body(room, is_replayable=kept), Body(room)]
     put, taken = [b"", b""], [b"", b""]
-    bodies[0].on_gone = lambda: gone.append(1)
+    bodies[0].on_replay_lost = lambda: gone.append(1)
     for n, step in enumerate(steps):
         which = n % 2
         if step is None:
             taken[which] += bodies[which].take()
-        elif not bodies[which].full:
+        elif not bodies[which].is_full:
             data = bytes([n % 256]) * step
             put[which] += data
             bodies[which].put(data)
-        held = sum(sum(map(len, b.pieces)) for b in bodies)
-        assert room.taken == held <= max(size, 0) + 2 * (WINDOWS[1] + 60000)
+        held = sum(sum(map(len, b.buffers)) for b in bodies)
+        assert room.used_bytes == held <= max(size, 0) + 2 * (WINDOW_LIMITS_BYTES[1] + 60000)
         assert all(p.startswith(t) for p, t in zip(put, taken, strict=True))
-    assert len(gone) == (bodies[0].start > 0 and kept)
-    if not bodies[0].start:
-        bodies[0].again()
+    assert len(gone) == (bodies[0].start_offset > 0 and kept)
+    if not bodies[0].start_offset:
+        bodies[0].rewind()
         again = b""
         while piece := bodies[0].take():
             again += piece
         assert again == put[0]
     else:
         with pytest.raises(ValueError, match="gone"):
-            bodies[0].again()
+            bodies[0].rewind()
     for each in bodies:
         each.cancel()
-    assert room.taken == 0
+    assert room.used_bytes == 0
 
 
 def test_fifty_slow_readers_of_32_mb_fit_in_the_memory(tmp_path: Path) -> None:
--- a/tests/test_old_list.py
+++ b/tests/test_old_list.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.world import Peer, World, entry, list_body
-from wheatring.http1 import list_calls, machine_list
+from wheatring.http1 import discovery_client, endpoint_list
 from wheatring.lifecycle import freshness
 
 Make = Callable[..., World]
@@ -20,7 +20,7 @@
     with pytest.MonkeyPatch.context() as patch:
         for name in ("NEED", "EMPTY", "FLOOR", "CEILING", "SPREAD"):
             patch.setattr(freshness, name, getattr(freshness, name) / 100)
-        patch.setattr(machine_list, "LAST_WORD", machine_list.LAST_WORD / 100)
+        patch.setattr(endpoint_list, "REPLACED_WATCH_SECONDS", endpoint_list.REPLACED_WATCH_SECONDS / 100)
         yield
 
 
@@ -80,14 +80,14 @@
     watch = world.discovery.accept()
     watch.read()
     lists = world.sidecar.machine_list
-    world.ground.until(lambda: lists.second is None)
+    world.ground.until(lambda: lists.replacement is None)
 
     def answered_amid() -> None:
-        lists.ask(world.sidecar.clock.now())
-        lists.watcher.end(list_body(8, entry("x", world.nodes[0])))  # type: ignore[attr-defined]
+        lists.start_replacement(world.sidecar.clock.now())
+        lists.client.end(list_body(8, entry("x", world.nodes[0])))  # type: ignore[attr-defined]
 
     world.run(answered_amid)
-    assert lists.version == 8 and lists.second is None
+    assert lists.version == 8 and lists.replacement is None
 
 
 def test_a_list_that_names_nobody_is_asked_for_whole(make: Make) -> None:
@@ -113,7 +113,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, ending: str
 ) -> None:
     if ending == "stalls":
-        monkeypatch.setattr(list_calls, "STALL", 0.0)
+        monkeypatch.setattr(discovery_client, "STALL_SECONDS", 0.0)
         monkeypatch.setattr(freshness, "QUIET", 1e9)  # which would come to the same, much later
     world = make(2)
     watch = world.discovery.accept()
--- a/tests/test_parser.py
+++ b/tests/test_parser.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.http1.parser import Message, Reader
+from wheatring.http1.parser import Message, MessageParser
 
 REQUESTS = (
     b"GET /a HTTP/1.1\r\nX-A: 1\r\n\r\n"
@@ -21,33 +21,33 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, len(REQUESTS)), max_size=12))
 def test_requests_are_read_the_same_however_they_are_cut(cuts: list[int]) -> None:
-    reader = Reader(responses=False)
+    reader = MessageParser(responses=False)
     read: list[Message] = []
     edges = [0, *sorted(cuts), len(REQUESTS)]
     for start, end in pairwise(edges):
         reader.feed(REQUESTS[start:end])
-        while message := reader.next():
+        while message := reader.next_message():
             read.append(message)
-    assert [(m.first[1], m.body, m.keep_alive) for m in read] == BODIES
-    assert not reader.started
+    assert [(m.start_line[1], m.body, m.keep_alive) for m in read] == BODIES
+    assert not reader.has_partial_message
 
 
 def test_a_response_without_a_length_lasts_until_the_close() -> None:
-    reader = Reader(responses=True)
+    reader = MessageParser(responses=True)
     reader.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab")
-    went_on = reader.next()
-    assert went_on and went_on.first == (b"100",)
-    assert reader.next() is None
+    went_on = reader.next_message()
+    assert went_on and went_on.start_line == (b"100",)
+    assert reader.next_message() is None
     reader.feed(b"c")
-    message = reader.end()
+    message = reader.end_of_input()
     assert message and (message.body, message.keep_alive) == (b"abc", False)
 
 
 def test_fields_of_the_connection_do_not_travel_on() -> None:
-    reader = Reader(responses=False)
+    reader = MessageParser(responses=False)
     reader.feed(
         b"GET / HTTP/1.1\r\nA: 1\r\nConnection: Keep-Alive, B\r\nB: 2\r\nKeep-Alive: x\r\n"
         b"C:  3 \r\nD: 4\r\n\r\n"
     )
-    message = reader.next()
-    assert message and message.end_to_end(b"d") == b"A: 1\r\nC:  3 \r\n"
+    message = reader.next_message()
+    assert message and message.end_to_end_lines(b"d") == b"A: 1\r\nC:  3 \r\n"
--- a/tests/tier/edge.py
+++ b/tests/tier/edge.py
@@ -15,7 +15,7 @@
 
 from tests.tier.virtual_loop import LIFE, Life
 from tests.tier.world import FRONT_PORT, World
-from wheatring.http1.parser import Message, Reader
+from wheatring.http1.parser import Message, MessageParser
 from wheatring.transport.messages_pb2 import Endpoint, EndpointList
 
 SERVICE_PORT = 9000
@@ -51,7 +51,7 @@
 
     def __init__(self, endpoint: StandIn) -> None:
         self.endpoint = endpoint
-        self.reader = Reader(responses=False, max_body=1 << 20)
+        self.reader = MessageParser(responses=False, max_body_bytes=1 << 20)
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
@@ -59,7 +59,7 @@
 
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
-        message = self.reader.next()
+        message = self.reader.next_message()
         if message is not None:
             loop = asyncio.get_running_loop()
             self.task = loop.create_task(self.answer(message))
@@ -83,7 +83,7 @@
         if behaviour == "full":
             write(self._head(503, ident, b"Wheatring-Not-Executed: 1\r\n") + b"Content-Length: 0\r\n\r\n")
             return
-        endpoint.ran.append(Ran(ident.decode(), message.first[1].decode(), message.body, message.fields))
+        endpoint.ran.append(Ran(ident.decode(), message.start_line[1].decode(), message.body, message.fields))
         signature = b"Wheatring-Response-Signature: sig-%s-%s\r\n" % (endpoint.ident.encode(), ident)
         if behaviour == "reset":
             self.transport.abort()
@@ -152,7 +152,7 @@
     """One connection of a client, for one request."""
 
     def __init__(self) -> None:
-        self.reader = Reader(responses=True, max_body=1 << 24, hold=0)
+        self.reader = MessageParser(responses=True, max_body_bytes=1 << 24, buffered_body_bytes=0)
         self.received = Received()
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.message: Message | None = None
@@ -164,19 +164,19 @@
     def data_received(self, data: bytes) -> None:
         self.reader.feed(data)
         if self.message is None:
-            message = self.reader.next()
+            message = self.reader.next_message()
             if message is None and self.reader.message is not None:
-                message = self.reader.begin()
+                message = self.reader.open_message()
             if message is None:
                 return
             self.message = message
-            self.received.status = int(message.first[0])
+            self.received.status = int(message.start_line[0])
             self.received.headers = message.fields
             self.received.body = message.body
-            if not message.open:
+            if not message.is_open:
                 self.finish(True)
                 return
-        piece, whole = self.reader.more()
+        piece, whole = self.reader.read_body()
         self.received.body += piece
         if whole:
             self.finish(True)
--- a/tests/tier/hostile.py
+++ b/tests/tier/hostile.py
@@ -13,7 +13,7 @@
 from tests.tier.edge import SERVICE_PORT, EdgeWorld, EndpointConnection, StandIn
 from tests.tier.virtual_loop import LIFE, Life
 from tests.tier.world import FRONT_PORT
-from wheatring.http1.parser import Message, Reader
+from wheatring.http1.parser import Message, MessageParser
 
 WORK_SECONDS = 0.02  # that an endpoint takes for an answer
 SURPLUS_SECONDS = 0.05  # after an answer, until a surplus one comes
@@ -155,7 +155,7 @@
 
     def __init__(self, finished: Callable[[HostileClient], None]) -> None:
         self.transport: Any = None
-        self.reader = Reader(responses=True, max_body=1 << 20)
+        self.reader = MessageParser(responses=True, max_body_bytes=1 << 20)
         self.exchange: Exchange | None = None
         self.open = True
         self.stray = b""
@@ -169,11 +169,11 @@
             self.stray += data
             return
         self.reader.feed(data)
-        message = self.reader.next()
+        message = self.reader.next_message()
         if message is None:
             return
         exchange, self.exchange = self.exchange, None
-        exchange.status, exchange.body, exchange.whole = int(message.first[0]), message.body, True
+        exchange.status, exchange.body, exchange.whole = int(message.start_line[0]), message.body, True
         if not message.keep_alive:
             self.open = False
         self._finished(self)
--- a/tests/world.py
+++ b/tests/world.py
@@ -198,7 +198,7 @@
         def start() -> tuple[Sidecar, int]:
             sidecar = Sidecar(self.reactor, self.config, operators, capture, ground.unix, **more)
             sidecar.start()
-            return sidecar, sidecar.server.port.getHost().port
+            return sidecar, sidecar.server.listener.getHost().port
 
         log.line = self._line
         self.sidecar, self.port = self.run(start)
@@ -252,8 +252,8 @@
     def end(self) -> None:
         def stop() -> None:
             self.sidecar.driver.feed = lambda event: None  # type: ignore[method-assign]
-            if self.sidecar.server.port is not None:
-                self.sidecar.server.port.stopListening()
+            if self.sidecar.server.listener is not None:
+                self.sidecar.server.listener.stopListening()
             self.sidecar.cleanup.close()
             self.sidecar.machine_list.on_view = lambda view: None
             self.sidecar.machine_list.subscribe = lambda: None  # type: ignore[method-assign]
--- a/wheatring/admin/server.py
+++ b/wheatring/admin/server.py
@@ -16,7 +16,7 @@
 from wheatring import log
 from wheatring.admin.dispatch import Operations, Reply, dispatch
 from wheatring.core.clock import Clock, Timer
-from wheatring.http1.parser import BadMessage, Reader
+from wheatring.http1.parser import MalformedMessage, MessageParser
 
 MAX_CONNECTIONS = 24
 # Accepted at one event at most. All that came with them is read before the next event, so a complete call is
@@ -46,7 +46,7 @@
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
-        self.reader = Reader(responses=False, max_body=server.max_body_bytes)
+        self.reader = MessageParser(responses=False, max_body_bytes=server.max_body_bytes)
         self.end_code = ""  # why it ended, for the log
         self.timeout: Timer | None = None
 
@@ -63,12 +63,12 @@
             return  # answered: what else the client sends is ignored
         self.reader.feed(data)
         try:
-            message = self.reader.next()
-        except BadMessage as error:
+            message = self.reader.next_message()
+        except MalformedMessage as error:
             self.reply(Reply(400, str(error)))
             return
         if message is not None:
-            method, target = message.first[:2]
+            method, target = message.start_line[:2]
             self.reply(self.server.handle(method, target, message.body))
 
     def reply(self, reply: Reply) -> None:
--- a/wheatring/admin/service.py
+++ b/wheatring/admin/service.py
@@ -29,15 +29,15 @@
 class CallerServer(Protocol):
     """What is steered of the server that callers connect to."""
 
-    away: bool  # callers are told to go elsewhere
-    port: Any
-    stopping: bool
+    is_out_of_service: bool  # callers are told to go elsewhere
+    listener: Any
+    is_stopping: bool
 
-    def standing(self) -> list[Any]:
+    def idle_connections(self) -> list[Any]:
         """Return the connections that are open."""
 
-    def shed(self, keep: int, rested: float) -> None:
-        """Close idle connections down to `keep`, of those that were idle for `rested` seconds."""
+    def close_idle(self, keep: int, idle_seconds: float) -> None:
+        """Close idle connections down to `keep`, of those that were idle for `idle_seconds`."""
 
 
 class RoleOperations(Protocol):
@@ -148,7 +148,7 @@
 
     def is_ready(self) -> bool:
         """Return whether callers are let in."""
-        return self.server.port is not None and not self.server.stopping
+        return self.server.listener is not None and not self.server.is_stopping
 
     def take_offline(self, endpoint: str) -> bool:
         """Send an endpoint nothing new. False: none has that id."""
@@ -222,16 +222,16 @@
         for endpoint in changed:
             log.line("endpoint", node=endpoint, offline=int(endpoint in orders.offline))
         if orders.out_of_service != before.out_of_service:
-            self.server.away = orders.out_of_service
+            self.server.is_out_of_service = orders.out_of_service
             log.line("service", out=int(orders.out_of_service))
-            self.drain = Drain(now, len(self.server.standing())) if orders.out_of_service else None
+            self.drain = Drain(now, len(self.server.idle_connections())) if orders.out_of_service else None
             if self.drain is not None:
                 self._close_idle_connections(self.drain)
 
     def _close_idle_connections(self, drain: Drain) -> None:
         """Close connections as the drain goes on, for as long as it is the one in force."""
-        if drain is self.drain and not self.is_stopped and not self.server.stopping:
-            self.server.shed(drain.keep(self.clock.now()), RESTED)
+        if drain is self.drain and not self.is_stopped and not self.server.is_stopping:
+            self.server.close_idle(drain.keep(self.clock.now()), RESTED)
             self.clock.at(self.clock.now() + CLOSE_INTERVAL_SECONDS, self._close_idle_connections, drain)
 
     # The other processes of this sidecar
@@ -250,7 +250,7 @@
             self.apply(orders)
         if self.other_processes or not self.folder.alone():
             self.share_connections()
-        if not self.is_open and not self.server.stopping:
+        if not self.is_open and not self.server.is_stopping:
             is_overdue = self.clock.now() - self.started_at >= MAX_OPEN_DELAY_SECONDS
             if self.connection_limit >= MIN_CONNECTION_SHARE * self.max_connections or is_overdue:
                 self._open()
@@ -258,14 +258,14 @@
     def _open(self) -> None:
         self.is_open = True
         self.open_server()
-        if self.other_processes and self.server.port is not None:
-            drawn = self.server.port.draw()
+        if self.other_processes and self.server.listener is not None:
+            drawn = self.server.listener.direct_to_newcomer()
             log.line("upgrade", part="newer", drawn=int(drawn), others=len(self.other_processes))
 
     def share_connections(self) -> None:
         """Set how many connections this process may have beside the others."""
         had_successor = self.has_successor
-        in_use, stopping = self.connections_in_use(), self.server.stopping
+        in_use, stopping = self.connections_in_use(), self.server.is_stopping
         self.connection_limit, self.other_processes = self.folder.settle(
             lambda newest, others: ceiling(self.max_connections, in_use, newest, stopping, others)
         )
--- a/wheatring/core/driver.py
+++ b/wheatring/core/driver.py
@@ -8,12 +8,12 @@
 from wheatring import log
 from wheatring.balancer import interface as i
 from wheatring.core.clock import Clock
-from wheatring.core.exchange import Answer, Claim, Exchange, Final, Job
+from wheatring.core.exchange import Answer, AnswerKind, Attempt, Exchange, Request
 
 NOT_SENT = i.Outcome.NOT_SENT  # looked up once, not for each claim: an enum takes its time
 
 
-class MachineList(Protocol):
+class EndpointDirectory(Protocol):
     """What the driver needs of discovery's client."""
 
     def subscribe(self) -> None: ...
@@ -22,134 +22,138 @@
 
     def fetch(self) -> None: ...
 
-    def seen(self, now: float, node: str, outcome: i.Outcome) -> None:
+    def record_outcome(self, now: float, node: str, outcome: i.Outcome) -> None:
         """A claim has ended: what that says of the list."""
 
 
-class Decisions(Protocol):
+class DecisionModule(Protocol):
     """The decision module, or what stands in for it."""
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]: ...
 
 
 class Driver:
-    def __init__(self, balancer: Decisions, exchange: Exchange, clock: Clock) -> None:
-        self.balancer = balancer
+    def __init__(self, balancer: DecisionModule, exchange: Exchange, clock: Clock) -> None:
+        self.decision_module = balancer
         self.exchange = exchange
         self.clock = clock
-        self.machine_list: MachineList
-        self.jobs: dict[int, Job] = {}  # by the module's ids, until all claims have ended
-        self.last = 0
-        self.waiting: deque[i.Event] = deque()
-        self.busy = False
-        exchange.on_job = self.job_came
-        exchange.on_left = self.job_left
-        exchange.on_claim_ended = self.claim_ended
-        exchange.on_committed = self.job_committed
+        self.endpoint_list: EndpointDirectory
+        self.open_requests: dict[int, Request] = {}  # by the module's ids, until all claims have ended
+        self.last_id = 0
+        self.queued_events: deque[i.Event] = deque()
+        self.is_busy = False
+        exchange.on_request = self.add_request
+        exchange.on_caller_left = self.report_caller_left
+        exchange.on_attempt_ended = self.report_attempt_ended
+        exchange.on_committed = self.report_committed
 
     # What comes from the exchange
 
-    def job_came(self, job: Job) -> None:
-        number = self.last = self.last + 1
-        job.number = number
-        self.jobs[number] = job
-        left = min(job.deadline - self.clock.now(), job.allowed)
+    def add_request(self, job: Request) -> None:
+        number = self.last_id = self.last_id + 1
+        job.decision_id = number
+        self.open_requests[number] = job
+        left = min(job.deadline - self.clock.now(), job.time_limit)
         event = i.NewRequest(number, job.class_name, left)
-        if job.repeat:
+        if job.is_retry:
             event.is_client_retry = True
         self.feed(event)
 
-    def job_left(self, job: Job) -> None:
-        if job.number:  # the module knows of it
-            self.feed(i.RequestAbandoned(job.number))
+    def report_caller_left(self, job: Request) -> None:
+        if job.decision_id:  # the module knows of it
+            self.feed(i.RequestAbandoned(job.decision_id))
 
-    def job_committed(self, job: Job) -> None:
-        self.feed(i.Committed(job.number))
+    def report_committed(self, job: Request) -> None:
+        self.feed(i.Committed(job.decision_id))
 
-    def claim_ended(self, claim: Claim) -> None:
-        job = claim.job
+    def report_attempt_ended(self, claim: Attempt) -> None:
+        job = claim.request
         assert claim.outcome is not None
         now = self.clock.now()
         try:
-            self.machine_list.seen(now, claim.node, claim.outcome)
+            self.endpoint_list.record_outcome(now, claim.endpoint, claim.outcome)
         except Exception as bug:  # what is made of the list must not keep the decisions from an end
             log.line("list-broken", why=repr(bug))
-        latency = now - claim.begun
-        self.feed(i.AttemptEnded(job.number, claim.number, claim.outcome, claim.node, latency, job.over))
+        latency = now - claim.started_at
+        self.feed(
+            i.AttemptEnded(
+                job.decision_id, claim.number, claim.outcome, claim.endpoint, latency, job.is_finished
+            )
+        )
 
-    def ident(self, number: int) -> str:
-        job = self.jobs.get(number)
-        return job.ident if job is not None else ""
+    def correlation_id(self, number: int) -> str:
+        job = self.open_requests.get(number)
+        return job.correlation_id if job is not None else ""
 
     # Events in, actions out
 
     def feed(self, event: i.Event) -> None:
         """Hand an event over; one that comes up while actions are carried out waits for its turn."""
-        waiting = self.waiting
-        if self.busy:
+        waiting = self.queued_events
+        if self.is_busy:
             waiting.append(event)
             return
-        self.busy = True
+        self.is_busy = True
         try:
-            self.handle(event)
+            self.decide(event)
             while waiting:
-                self.handle(waiting.popleft())
+                self.decide(waiting.popleft())
         finally:
-            self.busy = False
+            self.is_busy = False
 
-    def handle(self, event: i.Event) -> None:
-        job = self.jobs.get(getattr(event, "request", 0))
+    def decide(self, event: i.Event) -> None:
+        job = self.open_requests.get(getattr(event, "request", 0))
         if event.__class__ is i.View:
             # Connects under way to who is told away end before the decisions go on: nothing is written there.
-            self.exchange.on_listed(event)
+            self.exchange.on_endpoint_list(event)
         try:
-            actions = self.balancer.handle(self.clock.now(), event)
+            actions = self.decision_module.handle(self.clock.now(), event)
         except Exception as bug:  # a fault in the decisions must neither end the process nor strand a job
             log.line("decision-broken", event=type(event).__name__, why=repr(bug))
             actions = []
             if job is not None:
-                self.exchange.answer(job, Answer(Final.FAILED))
+                self.exchange.answer(job, Answer(AnswerKind.FAILED))
         for action in actions:
             try:
                 self.carry_out(action)
             except Exception as bug:  # nor may one action that can't be carried out keep the next from it
                 log.line("action-broken", action=type(action).__name__, why=repr(bug))
-                self.answer(getattr(action, "request", 0), Answer(Final.FAILED))
+                self.answer(getattr(action, "request", 0), Answer(AnswerKind.FAILED))
         if job is not None:
-            self.forget(job)
+            self.forget_if_finished(job)
 
-    def forget(self, job: Job) -> None:
-        if not job.over:
+    def forget_if_finished(self, job: Request) -> None:
+        if not job.is_finished:
             return
-        claims = job.claims
+        claims = job.attempts
         for claim in claims:
             if claim.outcome is None:
                 return
-        self.jobs.pop(job.number, None)
+        self.open_requests.pop(job.decision_id, None)
         claims.clear()  # or job and claims would hold each other until the collector comes
 
     def carry_out(self, action: i.Action) -> None:
         match action:
             case i.Send(request, endpoint, timeout):
-                job, now = self.jobs[request], self.clock.now()
-                claim = self.exchange.claim(job, endpoint, now + timeout, now + action.start_within)
+                job, now = self.open_requests[request], self.clock.now()
+                claim = self.exchange.create_attempt(job, endpoint, now + timeout, now + action.start_within)
                 if claim.outcome is NOT_SENT:
-                    self.claim_ended(claim)
+                    self.report_attempt_ended(claim)
             case i.Reject(request, retry_after):
-                self.answer(request, Answer(Final.REFUSED, retry_after=retry_after))
+                self.answer(request, Answer(AnswerKind.REFUSED, retry_after=retry_after))
             case i.Fail(request):
-                self.answer(request, Answer(Final.FAILED))
+                self.answer(request, Answer(AnswerKind.FAILED))
             case i.SetTimer(token, delay):
                 self.clock.at(self.clock.now() + delay, self.feed, i.TimerDue(token))
             case i.Cancel(request, attempt):
-                self.exchange.abandon(self.jobs[request].claims[attempt])
+                self.exchange.cancel_attempt(self.open_requests[request].attempts[attempt])
             case i.Subscribe(on):
                 if on:
-                    self.machine_list.subscribe()
+                    self.endpoint_list.subscribe()
                 else:
-                    self.machine_list.unsubscribe()
+                    self.endpoint_list.unsubscribe()
             case i.FetchEndpointList():
-                self.machine_list.fetch()
+                self.endpoint_list.fetch()
             case i.CloseIdle(endpoint):
                 self.exchange.close_idle(endpoint)
             case i.Log(text):
@@ -158,7 +162,7 @@
                 log.line("not-carried-out", action=type(action).__name__)
 
     def answer(self, request: int, answer: Answer) -> None:
-        job = self.jobs.get(request)
+        job = self.open_requests.get(request)
         if job is not None:
             self.exchange.answer(job, answer)
-            self.forget(job)
+            self.forget_if_finished(job)
--- a/wheatring/core/refused.py
+++ b/wheatring/core/exceptions.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 
-class Refused(Exception):
+class RequestRejected(Exception):
     """`status` says why, in the numbers of HTTP; `more` are field lines and `body` the text of the answer."""
 
-    def __init__(self, status: int, why: str, more: bytes = b"", body: bytes = b"") -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, header_lines: bytes = b"", body: bytes = b"") -> None:
+        super().__init__(reason)
         self.status = status
-        self.more = more
+        self.header_lines = header_lines
         self.body = body
--- a/wheatring/daemon/configuration.py
+++ b/wheatring/daemon/configuration.py
@@ -117,5 +117,5 @@
         return
     sidecar.record("config", "platform")
     log.line("reloaded", discovery=":".join(map(str, platform.discovery)))
-    if not sidecar.server.stopping:
-        sidecar.machine_list.move(platform.discovery)
+    if not sidecar.server.is_stopping:
+        sidecar.machine_list.change_discovery(platform.discovery)
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -16,14 +16,18 @@
 if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
     from wheatring.balancer.interface import View
     from wheatring.config.project_file import ProjectFile
-    from wheatring.core.body import Room
+    from wheatring.core.body import BodyMemory
     from wheatring.daemon.sidecar import Sidecar
 
     OnView = Callable[[View], None]
 
 
 def add_pools(
-    sidecar: Sidecar, configuration: ProjectFile, max_node_connections: int, body_room: Room, capture: bool
+    sidecar: Sidecar,
+    configuration: ProjectFile,
+    max_node_connections: int,
+    body_room: BodyMemory,
+    capture: bool,
 ) -> OnView:
     """Serve by several pools, and routes to them. The one endpoint list goes to all that use it.
 
@@ -121,6 +125,10 @@
     sidecar.cleanup.callback(ring.close)
     for line in record.header(platform.name, platform.seed, clock.unix_offset, platform.given):
         ring.write(line)
-    sidecar.driver.balancer = record.Recorder(
-        sidecar.serving.balancer, clock.unix_offset, ring.write, sidecar.driver.ident, sidecar.pool.idle_at
+    sidecar.driver.decision_module = record.Recorder(
+        sidecar.serving.balancer,
+        clock.unix_offset,
+        ring.write,
+        sidecar.driver.correlation_id,
+        sidecar.pool.idle_count,
     )
--- a/wheatring/daemon/shutdown.py
+++ b/wheatring/daemon/shutdown.py
@@ -24,8 +24,8 @@
             sidecar.clock.now(),
             settings.classes,
             settings.balancer_count,
-            sidecar.exchange.usual,
-            len(sidecar.server.standing()),
+            sidecar.exchange.latencies,
+            len(sidecar.server.idle_connections()),
             followed=admin is not None and admin.has_successor,
         )
 
@@ -33,32 +33,32 @@
         """Do what is due by now, and again after a moment, until nothing is open."""
         sidecar, leaving, server = self.sidecar, self.leaving, self.sidecar.server
         now = sidecar.clock.now()
-        if server.port is None:
+        if server.listener is None:
             self._close_connections(now)
-            if not leaving.goes_on(now, sidecar.exchange.left(now)):
+            if not leaving.goes_on(now, sidecar.exchange.open_snapshot(now)):
                 self._cut_short(now)
                 if not server.connections:
                     sidecar.finish()
                     return
-        elif leaving.shut(now, server.came_at, server.full):
-            server.shut()
+        elif leaving.shut(now, server.last_connect_at, server.is_full):
+            server.stop_listening()
         else:
-            server.shed(leaving.keep(now), leaving.rested)
+            server.close_idle(leaving.keep(now), leaving.rested)
         sidecar.clock.at(now + SHUTDOWN_POLL_SECONDS, self.run)
 
     def _close_connections(self, now: float) -> None:
         """Close callers' connections between requests, all of them once the time is up."""
         leaving, server = self.leaving, self.sidecar.server
         if keep := leaving.keep(now):
-            server.shed(keep, leaving.rested)
+            server.close_idle(keep, leaving.rested)
         else:
             is_late = now >= leaving.last
-            server.close_between(patient=leaving.followed and not is_late, late=is_late)
+            server.close_unanswered(is_patient=leaving.followed and not is_late, is_late=is_late)
 
     def _cut_short(self, now: float) -> None:
         """Give up the requests that are still open."""
         exchange, leaving = self.sidecar.exchange, self.leaving
-        if exchange.open:
-            log.line("cut-short", open=exchange.open, after=now - leaving.told)
-            self.sidecar.server.cut_short = True
-            exchange.give_up(leaving)
+        if exchange.open_count:
+            log.line("cut-short", open=exchange.open_count, after=now - leaving.told)
+            self.sidecar.server.is_cut_short = True
+            exchange.answer_all(leaving)
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -19,7 +19,7 @@
     from wheatring.admin.service import AdminService
     from wheatring.balancer.interface import View
     from wheatring.config.project_file import ProjectFile
-    from wheatring.core.body import Room
+    from wheatring.core.body import BodyMemory
     from wheatring.ops.audit import Audit
     from wheatring.ops.capture.ring import Ring
     from wheatring.ops.drills import Drills
@@ -100,9 +100,9 @@
         if self.list_sharing is not None:
             self.list_sharing.start(self.machine_list)
 
-    def _wire_core(self, configuration: ProjectFile | None) -> tuple[Room, int]:
+    def _wire_core(self, configuration: ProjectFile | None) -> tuple[BodyMemory, int]:
         """Make the parts that every sidecar has; return the room for bodies and the node connections."""
-        from wheatring.core.body import room_in
+        from wheatring.core.body import body_memory_for
         from wheatring.core.exchange import Exchange
         from wheatring.http1.server import Server
         from wheatring.serving_pool import ServingPool
@@ -110,7 +110,7 @@
         platform, settings = self.platform, self.platform.settings
         has_admin = platform.control is not None
         self.exchange = Exchange(self.clock, settings.contract.answer_grace)
-        body_room = room_in(platform.memory_mb, 2 if has_admin else 1)
+        body_room = body_memory_for(platform.memory_mb, 2 if has_admin else 1)
         reserved = RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if has_admin else 0)
         self.connection_limit = platform.sockets - reserved
         node_connections = int(self.connection_limit * NODE_CONNECTION_SHARE)
@@ -128,7 +128,7 @@
         return body_room, node_connections
 
     def _add_features(
-        self, configuration: ProjectFile | None, node_connections: int, body_room: Room, capture: bool
+        self, configuration: ProjectFile | None, node_connections: int, body_room: BodyMemory, capture: bool
     ) -> Callable[[View], None]:
         """Add the optional parts through which the endpoint list passes; return its first receiver."""
         on_view: Callable[[View], None] = self.driver.feed
@@ -148,17 +148,17 @@
 
     def connections_in_use(self) -> int:
         """Count the connections to callers and nodes, those being made among them."""
-        to_nodes = len(self.pool.connections) + len(self.pool.dials)
+        to_nodes = len(self.pool.connections) + len(self.pool.pending_connects)
         if self.pools is not None:
             to_nodes += self.pools.budget.in_use()
         return len(self.server.connections) + to_nodes
 
     def set_connection_limit(self, connections: int) -> None:
         """Have at most so many connections, as another process of this sidecar has the rest."""
-        self.pool.most = int(connections * NODE_CONNECTION_SHARE)
+        self.pool.max_connections = int(connections * NODE_CONNECTION_SHARE)
         if self.pools is not None:
-            self.pools.budget.total = self.pool.most
-        self.server.resize(connections - self.pool.most)
+            self.pools.budget.total = self.pool.max_connections
+        self.server.set_max_connections(connections - self.pool.max_connections)
 
     # Start
 
@@ -166,7 +166,7 @@
         """Start all parts; callers are let in once the list, and the weights if any, are known."""
         if self.admin_service is not None:
             self._start_admin()
-        self.machine_list.known(self.platform.known)
+        self.machine_list.load_cached(self.platform.known)
         if self.pools is not None:
             self.pools.known()
         if self.fleet is not None and not self.fleet.is_ready:
@@ -206,7 +206,7 @@
         now = self.clock.now()
         if self.fleet.is_ready or now >= until:
             self._open()
-        elif not self.server.stopping:
+        elif not self.server.is_stopping:
             self.clock.at(now + PLAN_POLL_SECONDS, self._open_with_plan, until)
 
     def listen(self) -> None:
@@ -215,7 +215,7 @@
 
         host, number = self.platform.listen
         try:
-            port = self.server.listen(host, number, shared=self.admin_service is not None)
+            port = self.server.listen(host, number, is_shared=self.admin_service is not None)
         except CannotListenError as error:
             if not self.reactor.running:
                 raise
@@ -248,9 +248,9 @@
         if operators.tokens.keys:
             from wheatring.ops.tokens import Guard
 
-            self.server.guard = Guard(operators.tokens, self.clock)
+            self.server.authorizer = Guard(operators.tokens, self.clock)
         else:
-            self.server.guard = None
+            self.server.authorizer = None
         self.operators = operators
 
     def reload(self, environment: Mapping[str, str], operators_path: str | None) -> None:
@@ -259,10 +259,10 @@
 
     def stop(self) -> None:
         """Answer what has come and what still arrives, as far as that is worth its time, then exit."""
-        if not self.server.stopping:
-            log.line("stopping", open=self.exchange.open)
+        if not self.server.is_stopping:
+            log.line("stopping", open=self.exchange.open_count)
             self.record("stop", "platform")
-            self.server.stopping = True
+            self.server.is_stopping = True
             if self.fleet is not None:
                 self.fleet.leave()
             self.shutdown = GracefulShutdown(self)
--- a/wheatring/http1/states.py
+++ b/wheatring/http1/caller_state.py
@@ -20,7 +20,7 @@
 from enum import Enum
 
 
-class State(Enum):
+class CallerState(Enum):
     RESTING = "between requests"
     READING = "a request is awaited and not whole; the first one from the connect on"
     UPLOADING = "the body of a large request comes in"
@@ -30,49 +30,51 @@
     SHUT = "all that was written has left; what is read is thrown away"
 
 
-def state_of(*, ending: bool, shut: bool, job: bool, upload: bool, sender: bool, waiting: bool) -> State:
+def caller_state(
+    *, ending: bool, shut: bool, job: bool, upload: bool, sender: bool, waiting: bool
+) -> CallerState:
     """The state of a connection of which these hold: the first that fits, in the order of the lines."""
     if ending:
-        return State.SHUT if shut else State.CLOSING
+        return CallerState.SHUT if shut else CallerState.CLOSING
     if sender:
-        return State.STREAMING
+        return CallerState.STREAMING
     if upload:
-        return State.UPLOADING
+        return CallerState.UPLOADING
     if job:
-        return State.BUSY
-    return State.READING if waiting else State.RESTING
+        return CallerState.BUSY
+    return CallerState.READING if waiting else CallerState.RESTING
 
 
-class Arrivals:
+class ArrivalTimes:
     """The pieces that wait behind a request that is being answered, in their order, each with the instant at
     which it was read. What a caller gives a request runs from then on: it has waited since.
     """
 
-    __slots__ = ("pieces", "size")
+    __slots__ = ("segments", "waiting_bytes")
 
     def __init__(self) -> None:
-        self.pieces: deque[tuple[int, float]] = deque()
-        self.size = 0  # of them all
+        self.segments: deque[tuple[int, float]] = deque()
+        self.waiting_bytes = 0  # of them all
 
-    def held(self, size: int, now: float) -> None:
+    def record(self, size: int, now: float) -> None:
         """So many bytes wait by now; those that did not wait before have just been read."""
-        if size > self.size:
-            self.pieces.append((size - self.size, now))
-            self.size = size
+        if size > self.waiting_bytes:
+            self.segments.append((size - self.waiting_bytes, now))
+            self.waiting_bytes = size
 
-    def left(self, size: int, since: float) -> float:
+    def consume(self, size: int, since: float) -> float:
         """So many bytes wait still. The instant at which the last one that does not was read, and `since` for
         one that has never waited.
         """
-        while self.size > size:
-            length, since = self.pieces.popleft()
-            self.size -= length
-            if self.size < size:
-                self.pieces.appendleft((size - self.size, since))
-                self.size = size
+        while self.waiting_bytes > size:
+            length, since = self.segments.popleft()
+            self.waiting_bytes -= length
+            if self.waiting_bytes < size:
+                self.segments.appendleft((size - self.waiting_bytes, since))
+                self.waiting_bytes = size
         return since
 
     def clear(self) -> None:
         """What waits is half a request: the rest comes later."""
-        self.pieces.clear()
-        self.size = 0
+        self.segments.clear()
+        self.waiting_bytes = 0
--- a/wheatring/http1/connection.py
+++ b/wheatring/http1/connection.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from wheatring import log
-from wheatring.http1.parser import Reader
+from wheatring.http1.parser import MessageParser
 
 
 class Transport(Protocol):
@@ -45,14 +45,14 @@
     def fileno(self) -> int: ...
 
 
-def hung_up(transport: Transport) -> bool:
+def has_hung_up(transport: Transport) -> bool:
     """Whether the peer has ended its sending or reset the connection, also behind bytes that are unread."""
     poller = select.poll()
     poller.register(transport.fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
-def undelivered(transport: Transport) -> bool:
+def has_undelivered_bytes(transport: Transport) -> bool:
     """Whether a part of what was written has not come to the peer's system, which confirms with all that it
     sends what had come before.
     """
@@ -65,51 +65,55 @@
     return left != bytes(4)
 
 
-def after_a_look(reactor: Any, call: Callable[..., object], *args: Any, later: float = 0.0) -> None:
+def call_after_read(reactor: Any, call: Callable[..., object], *args: Any, delay: float = 0.0) -> None:
     """Call it once all that the system holds by now, or by so many seconds later, has been read. Between two
     turns of the reactor it looks at all sockets; before the first one it may not.
     """
-    reactor.callLater(later, reactor.callLater, 0, call, *args)
+    reactor.callLater(delay, reactor.callLater, 0, call, *args)
 
 
 class Connection(protocol.Protocol):
     """Leaves exactly one log line when it ends, with a code for the reason."""
 
     transport: Transport  # type: ignore[assignment]  # Twisted's own type says nothing of TCP
-    kind = "connection"
-
-    def __init__(self, *, responses: bool, max_body: int, hold: int | None = None) -> None:
-        self.reader = Reader(responses=responses, max_body=max_body, hold=hold)
-        self.code = ""  # why this side ended it; none while it has not
-        self.why = ""  # what was wrong with what the peer sent
-        self.alive = False
+    log_event = "connection"
+
+    def __init__(
+        self, *, responses: bool, max_body_bytes: int, buffered_body_bytes: int | None = None
+    ) -> None:
+        self.parser = MessageParser(
+            responses=responses, max_body_bytes=max_body_bytes, buffered_body_bytes=buffered_body_bytes
+        )
+        self.close_code = ""  # why this side ended it; none while it has not
+        self.close_reason = ""  # what was wrong with what the peer sent
+        self.is_connected = False
         self.peer = ""
 
     def connectionMade(self) -> None:
-        self.alive = True
+        self.is_connected = True
         address = self.transport.getPeer()
         self.peer = f"{address.host}:{address.port}"
         self.transport.setTcpNoDelay(True)
 
     def close(self, code: str) -> None:
         """End it once what has been written is out."""
-        if self.alive and not self.code:
-            self.code = code
+        if self.is_connected and not self.close_code:
+            self.close_code = code
             self.transport.loseConnection()
 
     def abort(self, code: str) -> None:
         """End it at once; what has not been sent yet is not sent any more."""
-        if self.alive:
-            self.code = self.code or code
+        if self.is_connected:
+            self.close_code = self.close_code or code
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
-        self.alive = False
+        self.is_connected = False
         orderly = isinstance(reason.value, ConnectionDone)
-        told = {"why": self.why} if self.why else {}
-        code = self.code or ("peer-closed" if orderly else "peer-reset")
-        log.line(self.kind, code=code, peer=self.peer, **told)
-        self.ended(orderly)
+        told = {"why": self.close_reason} if self.close_reason else {}
+        code = self.close_code or ("peer-closed" if orderly else "peer-reset")
+        log.line(self.log_event, code=code, peer=self.peer, **told)
+        self.on_ended(orderly)
 
-    def ended(self, orderly: bool) -> None:
+    def on_ended(self, orderly: bool) -> None:
         """The connection is gone; `orderly` if it was not broken off."""
--- a/wheatring/http1/list_lines.py
+++ b/wheatring/http1/endpoint_entries.py
@@ -10,7 +10,7 @@
 from wheatring.balancer.interface import EndpointEntry, EndpointState
 from wheatring.core.clock import Clock
 
-STATES = {
+STATES_BY_LIFECYCLE = {
     "SERVING": EndpointState.READY,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
@@ -18,32 +18,34 @@
 READY = EndpointState.READY
 
 
-class ListError(ValueError):
+class InvalidEndpointList(ValueError):
     """A list that cannot be read."""
 
 
 def _number(item: Mapping[str, Any], name: str, default: float) -> float:
     value = item.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
-        raise ListError(f"{name}: not a number: {value!r}")
+        raise InvalidEndpointList(f"{name}: not a number: {value!r}")
     return value
 
 
-def entry_from(item: object, clock: Clock) -> tuple[EndpointEntry, str]:
+def parse_entry(item: object, clock: Clock) -> tuple[EndpointEntry, str]:
     """One line of the list, and its address ("" for one that takes nothing new and has none)."""
     if not isinstance(item, dict):
-        raise ListError("not an object")
+        raise InvalidEndpointList("not an object")
     name, state = item.get("instanceId"), item.get("lifecycle")
     if not isinstance(name, str) or not name:
-        raise ListError(f"instanceId: {name!r}")
-    if not isinstance(state, str) or state not in STATES:
-        raise ListError(f"lifecycle: {state!r}")
+        raise InvalidEndpointList(f"instanceId: {name!r}")
+    if not isinstance(state, str) or state not in STATES_BY_LIFECYCLE:
+        raise InvalidEndpointList(f"lifecycle: {state!r}")
     try:
-        return _rest(name, STATES[state], item, clock)
+        return _rest(name, STATES_BY_LIFECYCLE[state], item, clock)
     except (ValueError, OverflowError):
-        if STATES[state] is READY:
+        if STATES_BY_LIFECYCLE[state] is READY:
             raise
-        return EndpointEntry(name, STATES[state]), ""  # that it takes nothing new counts as told in any case
+        return EndpointEntry(
+            name, STATES_BY_LIFECYCLE[state]
+        ), ""  # that it takes nothing new counts as told in any case
 
 
 def _rest(
--- a/wheatring/http1/parser.py
+++ b/wheatring/http1/parser.py
@@ -12,32 +12,32 @@
 
 from wheatring.core.body import Body
 
-MAX_HEAD = 16 * 1024
-HOLD = 64 * 1024  # of a body, before its message is given open
-MAX_BODY = 32 * 1024 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+BUFFERED_BODY_BYTES = 64 * 1024  # of a body, before its message is given open
+MAX_BODY_BYTES = 32 * 1024 * 1024
 
 _REQUEST = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([!-~]+) HTTP/1\.([01])")
-_START = b"HTTP/1."
+_VERSION_PREFIX = b"HTTP/1."
 _STATUS = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\x00-\x08\x0a-\x1f\x7f]*)?")
 _FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*)")
 _DIGITS = re.compile(rb"[0-9]{1,15}")
 _CHUNK = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[^\x00-\x08\x0a-\x1f\x7f]*)?")
 
 # Fields that speak of one connection or of the framing, and are made anew for the next.
-_HOP = frozenset(
+_HOP_BY_HOP = frozenset(
     (b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
      b"content-length", b"expect")
 )  # fmt: skip
 
 
-_NONE: frozenset[bytes] = frozenset()
+_NO_NAMES: frozenset[bytes] = frozenset()
 
 
-class BadMessage(Exception):
+class MalformedMessage(Exception):
     """What came cannot be read; `status` is what a server answers to it."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
@@ -45,37 +45,37 @@
 class Message:
     """One message: whole, or open with the first of its body."""
 
-    first: tuple[bytes, ...]  # (method, target) of a request, (status,) of a response
+    start_line: tuple[bytes, ...]  # (method, target) of a request, (status,) of a response
     fields: dict[bytes, bytes]  # by name in lower case; repeated ones joined by commas
-    lines: list[tuple[bytes, bytes]]  # name in lower case, and the line as it came
-    repeated: frozenset[bytes]  # names that came more than once
+    field_lines: list[tuple[bytes, bytes]]  # name in lower case, and the line as it came
+    repeated_fields: frozenset[bytes]  # names that came more than once
     keep_alive: bool
     body: bytes = b""
-    old: bool = False  # its sender speaks HTTP/1.0, and reads no chunks
-    length: int | None = None  # of the body, where the head tells it
-    open: bool = False
-    flow: Body | None = None  # of one that is open, once it is passed on: its body from the first byte on
+    is_http_1_0: bool = False  # its sender speaks HTTP/1.0, and reads no chunks
+    content_length: int | None = None  # of the body, where the head tells it
+    is_open: bool = False
+    stream: Body | None = None  # of one that is open, once it is passed on: its body from the first byte on
 
-    def end_to_end(self, *without: bytes) -> bytes:
+    def end_to_end_lines(self, *without: bytes) -> bytes:
         """The field lines that travel on unchanged: all but those of the connection, and `without`."""
         named = self.fields.get(b"connection")
-        drop = _HOP.union(without) if without else _HOP
+        drop = _HOP_BY_HOP.union(without) if without else _HOP_BY_HOP
         if named:
             drop = drop.union(part.strip().lower() for part in named.split(b","))
-        kept = [line for name, line in self.lines if name not in drop]
+        kept = [line for name, line in self.field_lines if name not in drop]
         return b"\r\n".join(kept) + b"\r\n" if kept else b""
 
 
 @dataclass(slots=True)
-class Request:
+class ForwardedRequest:
     """What of a job travels on to an execute node: the head up to the time left, and the body. That of a
     large one is in `rest`.
     """
 
     head: bytes
     body: bytes
-    rest: Body | None = None
-    chunked: bool = False  # `rest` goes in chunks, as nobody told its length
+    stream: Body | None = None
+    is_chunked: bool = False  # `rest` goes in chunks, as nobody told its length
 
 
 class _State(Enum):
@@ -92,110 +92,120 @@
 _HEAD, _LENGTH, _UNTIL_CLOSE = _State.HEAD, _State.LENGTH, _State.UNTIL_CLOSE
 _CHUNK_SIZE, _CHUNK_DATA = _State.CHUNK_SIZE, _State.CHUNK_DATA
 _CHUNK_END, _TRAILER = _State.CHUNK_END, _State.TRAILER
-_LINES = {_CHUNK_SIZE: 256, _CHUNK_END: 0, _TRAILER: MAX_HEAD}  # the longest line that each may bring
+_LINE_LIMITS_BYTES = {
+    _CHUNK_SIZE: 256,
+    _CHUNK_END: 0,
+    _TRAILER: MAX_HEAD_BYTES,
+}  # the longest line that each may bring
 
 
-class Reader:
+class MessageParser:
     """The messages of one connection, cut from its one buffer. The buffer grows as needed, and what has
     been read is cut from its front in place.
     """
 
-    def __init__(self, *, responses: bool, max_body: int = HOLD, hold: int | None = None) -> None:
+    def __init__(
+        self,
+        *,
+        responses: bool,
+        max_body_bytes: int = BUFFERED_BODY_BYTES,
+        buffered_body_bytes: int | None = None,
+    ) -> None:
         """Without `hold`, all messages come whole."""
         self.buffer = bytearray()
         self.responses = responses
-        self.max_body = max_body
-        self.hold = max_body if hold is None else hold
+        self.max_body_bytes = max_body_bytes
+        self.buffered_body_bytes = max_body_bytes if buffered_body_bytes is None else buffered_body_bytes
         self.state = _HEAD
-        self.searched = 0  # the head's end does not start before here
-        self.need = 0  # bytes that the body or the chunk still lacks
-        self.trailer = 0
-        self.got = 0  # bytes of the body that stand at the front of the buffer
-        self.passed = 0  # and those that have been given before
+        self.search_from = 0  # the head's end does not start before here
+        self.missing_bytes = 0  # bytes that the body or the chunk still lacks
+        self.trailer_bytes = 0
+        self.ready_bytes = 0  # bytes of the body that stand at the front of the buffer
+        self.passed_bytes = 0  # and those that have been given before
         self.message: Message | None = None
 
     def feed(self, data: bytes) -> None:
         self.buffer += data
 
     @property
-    def started(self) -> bool:
+    def has_partial_message(self) -> bool:
         """A message has begun and is not whole."""
         return bool(self.buffer) or self.state is not _HEAD
 
     @property
-    def came(self) -> int:
+    def body_bytes(self) -> int:
         """Bytes of the present body, about."""
-        return self.passed + len(self.buffer)
+        return self.passed_bytes + len(self.buffer)
 
-    def next(self) -> Message | None:
+    def next_message(self) -> Message | None:
         """The next message, whole or open; None while it lacks bytes."""
-        if self.state is _HEAD and not self._head():
+        if self.state is _HEAD and not self._parse_head():
             return None
-        if self._body():
-            return self._done()
-        return self.begin() if self.got > self.hold else None
+        if self._advance_body():
+            return self._finish_message()
+        return self.open_message() if self.ready_bytes > self.buffered_body_bytes else None
 
-    def begin(self) -> Message:
+    def open_message(self) -> Message:
         """The message that has begun, open from now on."""
         message = self.message
         assert message is not None
-        message.open = True
-        message.body = self._give()
+        message.is_open = True
+        message.body = self._take_ready()
         return message
 
-    def more(self) -> tuple[bytes, bool]:
+    def read_body(self) -> tuple[bytes, bool]:
         """What else has come of the open message's body, and whether that is the end."""
-        whole = self._body()
-        data = self._give()
+        whole = self._advance_body()
+        data = self._take_ready()
         if whole:
-            self._done()
+            self._finish_message()
         return data, whole
 
-    def end(self) -> Message | None:
+    def end_of_input(self) -> Message | None:
         """The peer closed in good order: a response that lasts until then is whole now."""
         if self.state is not _UNTIL_CLOSE:
             return None
-        self.got = len(self.buffer)
-        return self._done()
+        self.ready_bytes = len(self.buffer)
+        return self._finish_message()
 
-    def _give(self) -> bytes:
-        size, self.got = self.got, 0
-        self.passed += size
+    def _take_ready(self) -> bytes:
+        size, self.ready_bytes = self.ready_bytes, 0
+        self.passed_bytes += size
         if not size:
             return b""
         taken = bytes(self.buffer[:size])
         del self.buffer[:size]
         return taken
 
-    def _done(self) -> Message:
+    def _finish_message(self) -> Message:
         message, self.message = self.message, None
         assert message is not None
-        if not message.open:
-            message.body = self._give()
+        if not message.is_open:
+            message.body = self._take_ready()
         self.state = _HEAD
         return message
 
-    def _head(self) -> bool:
+    def _parse_head(self) -> bool:
         buffer = self.buffer
         while buffer.startswith(b"\r\n") and not self.responses:
             del buffer[:2]  # some callers end a body with one line end too many
-        end = buffer.find(b"\r\n\r\n", self.searched)
-        if self.responses and buffer[: len(_START)] != _START[: len(buffer)]:
-            raise BadMessage(400, "malformed first line")  # noise may have no end to wait for
+        end = buffer.find(b"\r\n\r\n", self.search_from)
+        if self.responses and buffer[: len(_VERSION_PREFIX)] != _VERSION_PREFIX[: len(buffer)]:
+            raise MalformedMessage(400, "malformed first line")  # noise may have no end to wait for
         if end < 0:
-            if len(buffer) > MAX_HEAD:
-                raise BadMessage(431, "head too large")
-            self.searched = max(0, len(buffer) - 3)
+            if len(buffer) > MAX_HEAD_BYTES:
+                raise MalformedMessage(431, "head too large")
+            self.search_from = max(0, len(buffer) - 3)
             return False
-        if end > MAX_HEAD:
-            raise BadMessage(431, "head too large")
-        self.searched = 0
+        if end > MAX_HEAD_BYTES:
+            raise MalformedMessage(431, "head too large")
+        self.search_from = 0
         lines = bytes(buffer[:end]).split(b"\r\n")
         del buffer[: end + 4]
         pattern = _STATUS if self.responses else _REQUEST
         start = pattern.fullmatch(lines[0])
         if start is None:
-            raise BadMessage(400, "malformed first line")
+            raise MalformedMessage(400, "malformed first line")
         if self.responses:
             minor, status = start.groups()
             first: tuple[bytes, ...] = (status,)
@@ -209,7 +219,7 @@
         for line in lines[1:]:
             field = matched(line)
             if field is None:
-                raise BadMessage(400, "malformed field")
+                raise MalformedMessage(400, "malformed field")
             name, value = field.groups()
             name, value = name.lower(), value.rstrip(b" \t")
             if name in fields:
@@ -220,76 +230,76 @@
         keep_alive = minor == b"1"
         if b"connection" in fields:
             keep_alive &= b"close" not in map(bytes.strip, fields[b"connection"].lower().split(b","))
-        once = frozenset(repeated) if repeated else _NONE
-        message = self.message = Message(first, fields, kept, once, keep_alive, old=minor == b"0")
-        self._framing(message)
+        once = frozenset(repeated) if repeated else _NO_NAMES
+        message = self.message = Message(first, fields, kept, once, keep_alive, is_http_1_0=minor == b"0")
+        self._set_framing(message)
         return True
 
-    def _framing(self, message: Message) -> None:
+    def _set_framing(self, message: Message) -> None:
         length, coding = message.fields.get(b"content-length"), message.fields.get(b"transfer-encoding")
-        status = message.first[0] if self.responses else b""
-        self.need = self.got = self.passed = 0
+        status = message.start_line[0] if self.responses else b""
+        self.missing_bytes = self.ready_bytes = self.passed_bytes = 0
         self.state = _LENGTH
         if coding is not None:
             # Two lengths, or one that can't be told, would let a body pass for a second request.
-            if length is not None or message.old or coding.lower() != b"chunked":
-                raise BadMessage(400, "unclear length")
+            if length is not None or message.is_http_1_0 or coding.lower() != b"chunked":
+                raise MalformedMessage(400, "unclear length")
             self.state = _CHUNK_SIZE
-            self.trailer = 0
+            self.trailer_bytes = 0
         elif length is not None:
-            if b"content-length" in message.repeated:
+            if b"content-length" in message.repeated_fields:
                 same = {part.strip() for part in length.split(b",")}
                 length = same.pop() if len(same) == 1 else b"-"
             if not _DIGITS.fullmatch(length):
-                raise BadMessage(400, "unclear length")
-            self.need = message.length = int(length)
-            if self.need > self.max_body:
-                raise BadMessage(413, "body too large")
+                raise MalformedMessage(400, "unclear length")
+            self.missing_bytes = message.content_length = int(length)
+            if self.missing_bytes > self.max_body_bytes:
+                raise MalformedMessage(413, "body too large")
         elif self.responses and status[:1] != b"1":
             self.state = _UNTIL_CLOSE
             message.keep_alive = False
         if status[:1] == b"1" or status in (b"204", b"304"):
-            self.need, self.state = 0, _LENGTH
+            self.missing_bytes, self.state = 0, _LENGTH
 
-    def _body(self) -> bool:
+    def _advance_body(self) -> bool:
         """Read on in the body. Whether it is whole, and all that came of it stands at the front."""
         if self.state is _LENGTH:
-            size = min(self.need, len(self.buffer) - self.got)
-            self.got += size
-            self.need -= size
-            return not self.need
+            size = min(self.missing_bytes, len(self.buffer) - self.ready_bytes)
+            self.ready_bytes += size
+            self.missing_bytes -= size
+            return not self.missing_bytes
         if self.state is _UNTIL_CLOSE:
-            self.got = len(self.buffer)
-            if self.passed + self.got > self.max_body:
-                raise BadMessage(413, "body too large")
+            self.ready_bytes = len(self.buffer)
+            if self.passed_bytes + self.ready_bytes > self.max_body_bytes:
+                raise MalformedMessage(413, "body too large")
             return False
-        return self._chunks()
+        return self._advance_chunks()
 
-    def _line(self, at: int, most: int) -> bytes | None:
+    def _find_line(self, at: int, limit_bytes: int) -> bytes | None:
         """The line that begins there, without its end."""
         end = self.buffer.find(b"\r\n", at)
-        if end - at > most or (end < 0 and len(self.buffer) - at > most + 1):
-            raise BadMessage(400, "line too long in a chunked body")
+        if end - at > limit_bytes or (end < 0 and len(self.buffer) - at > limit_bytes + 1):
+            raise MalformedMessage(400, "line too long in a chunked body")
         return None if end < 0 else bytes(self.buffer[at:end])
 
-    def _chunks(self) -> bool:
+    def _advance_chunks(self) -> bool:
         """The body gathers at the front of the buffer: each chunk moves down to the end of the last, and what
         was read of the framing is cut out behind them in one go.
         """
-        buffer, at = self.buffer, self.got
+        buffer, at = self.buffer, self.ready_bytes
         try:
             while True:
                 if self.state is _CHUNK_DATA:
-                    size = min(self.need, len(buffer) - at)
-                    if at > self.got:
-                        buffer[self.got : self.got + size] = buffer[at : at + size]
-                    self.got += size
+                    size = min(self.missing_bytes, len(buffer) - at)
+                    if at > self.ready_bytes:
+                        buffer[self.ready_bytes : self.ready_bytes + size] = buffer[at : at + size]
+                    self.ready_bytes += size
                     at += size
-                    self.need -= size
-                    if self.need:
+                    self.missing_bytes -= size
+                    if self.missing_bytes:
                         return False
                     self.state = _CHUNK_END
-                line = self._line(at, _LINES[self.state])
+                line = self._find_line(at, _LINE_LIMITS_BYTES[self.state])
                 if line is None:
                     return False
                 at += len(line) + 2
@@ -298,16 +308,16 @@
                 elif self.state is _CHUNK_SIZE:
                     found = _CHUNK.fullmatch(line)
                     if found is None:
-                        raise BadMessage(400, "malformed chunk")
-                    self.need = int(found.group(1), 16)
-                    if self.passed + self.got + self.need > self.max_body:
-                        raise BadMessage(413, "body too large")
-                    self.state = _CHUNK_DATA if self.need else _TRAILER
+                        raise MalformedMessage(400, "malformed chunk")
+                    self.missing_bytes = int(found.group(1), 16)
+                    if self.passed_bytes + self.ready_bytes + self.missing_bytes > self.max_body_bytes:
+                        raise MalformedMessage(413, "body too large")
+                    self.state = _CHUNK_DATA if self.missing_bytes else _TRAILER
                 else:
-                    self.trailer += len(line)
-                    if self.trailer > MAX_HEAD:
-                        raise BadMessage(431, "trailer too large")
+                    self.trailer_bytes += len(line)
+                    if self.trailer_bytes > MAX_HEAD_BYTES:
+                        raise MalformedMessage(431, "trailer too large")
                     if not line:
                         return True
         finally:
-            del buffer[self.got : at]
+            del buffer[self.ready_bytes : at]
--- a/wheatring/lab/direct/ground.py
+++ b/wheatring/lab/direct/ground.py
@@ -143,6 +143,6 @@
     def left_over(self) -> dict[str, dict[str, int]]:
         found = {}
         for name, sidecar in self.sidecars.items():
-            jobs = max(sidecar.exchange.open, len(sidecar.driver.jobs), len(sidecar.held))
+            jobs = max(sidecar.exchange.open_count, len(sidecar.driver.open_requests), len(sidecar.held))
             found[name] = {"jobs": jobs, "claims": sum(line.claim is not None for line in sidecar.pool.lines)}
         return found
--- a/wheatring/lab/direct/machine_list.py
+++ b/wheatring/lab/direct/machine_list.py
@@ -8,8 +8,13 @@
 
 from wheatring.balancer.interface import View
 from wheatring.core.clock import Timer
-from wheatring.http1.list_calls import DIAL, WAIT, Caller, Done
-from wheatring.http1.machine_list import MachineList
+from wheatring.http1.discovery_client import (
+    CONNECT_TIMEOUT_SECONDS,
+    WATCH_WAIT_SECONDS,
+    AnswerCallback,
+    DiscoveryClient,
+)
+from wheatring.http1.endpoint_list import EndpointList
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
 from wheatring.lab.models.form import as_json
@@ -51,23 +56,23 @@
     def __init__(self, owner: DirectList) -> None:
         self.owner = owner
         self.there = owner.address[0]
-        self.done: Done | None = None
-        self.on_up: Callable[[], None] | None = None
+        self.on_answer: AnswerCallback | None = None
+        self.on_connected: Callable[[], None] | None = None
         self.out: _Out | None = None
         self.up = False
-        self.part: float | None = None
-        self.taken = False
+        self.answer_began_at: float | None = None
+        self.is_sent = False
         self.late: Timer | None = None
 
-    def call(self, index: int | None, deadline: float, done: Done) -> None:
-        self.done, self.part, self.taken = done, None, self.up
+    def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
+        self.on_answer, self.answer_began_at, self.is_sent = on_answer, None, self.up
         clock = self.owner.clock
-        out = self.out = _Out(index, deadline)
+        out = self.out = _Out(version, deadline)
         if self.up:
             self.set_deadline(deadline)
             self.to_there(self.arrive, out)
         else:
-            self.set_deadline(min(deadline, clock.now() + DIAL))
+            self.set_deadline(min(deadline, clock.now() + CONNECT_TIMEOUT_SECONDS))
             self.to_there(self.knock, out)
 
     def set_deadline(self, instant: float) -> None:
@@ -88,15 +93,15 @@
 
     def connected(self, out: _Out) -> None:
         if not out.over:
-            self.up = self.taken = True
+            self.up = self.is_sent = True
             self.set_deadline(out.deadline)
             self.to_there(self.arrive, out)
-            if self.on_up is not None:
-                self.on_up()
+            if self.on_connected is not None:
+                self.on_connected()
 
     def arrive(self, out: _Out) -> None:
         if not out.over:
-            wait = 0.0 if out.index is None else WAIT
+            wait = 0.0 if out.index is None else WATCH_WAIT_SECONDS
             registry, name = self.owner.registry, self.owner.name
             out.pending = registry.call(name, out.index, wait, partial(self.to_here, self.answered, out))
 
@@ -104,7 +109,7 @@
         if not out.over:
             self.up = answer is not None
             if out.pending is not None and out.pending.broken:
-                self.part = self.owner.clock.now()
+                self.answer_began_at = self.owner.clock.now()
             self.end(answer)
 
     # Ends
@@ -132,12 +137,12 @@
         if self.out is not None:
             self.out.over = True
             self.out = None
-        done, self.done = self.done, None
+        done, self.on_answer = self.on_answer, None
         if done is not None:
             done(answer)
 
 
-class DirectList(MachineList):
+class DirectList(EndpointList):
     """The machine list of one sidecar. All but the calls themselves is the service's own."""
 
     def __init__(
@@ -161,15 +166,15 @@
         self.links = links
         super().__init__(None, clock, discovery, addresses, on_view, freshness, asking, pushed)
 
-    def caller(self) -> Caller:
+    def create_client(self) -> DiscoveryClient:
         return DirectCaller(self)
 
-    def plain(self, answer: Any) -> object:
+    def decode(self, answer: Any) -> object:
         """As the answer's JSON is read."""
         return as_json(answer)
 
     def die(self) -> None:
         """Its process has ended: what is out is closed, and nobody hears of it."""
-        for caller in (self.watcher, self.second, *self.formers):
+        for caller in (self.client, self.replacement, *self.superseded):
             if isinstance(caller, DirectCaller):
                 caller.hang_up()
--- a/wheatring/lab/direct/pool.py
+++ b/wheatring/lab/direct/pool.py
@@ -11,9 +11,9 @@
 from wheatring import log
 from wheatring.balancer.interface import Outcome, View
 from wheatring.core.clock import Timer
-from wheatring.core.exchange import Claim, Exchange
-from wheatring.http1.claim import Place
-from wheatring.http1.client import SWEEP, take
+from wheatring.core.exchange import Attempt, Exchange
+from wheatring.http1.connection_pool import SWEEP_SECONDS, update_ready
+from wheatring.http1.endpoint_connection import EndpointAddress
 from wheatring.lab.book import Book
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
@@ -39,16 +39,16 @@
         "node_idle", "place", "pool", "reply_arrival", "visit", "way",
     )  # fmt: skip
 
-    def __init__(self, pool: DirectPool, place: Place, claim: Claim) -> None:
+    def __init__(self, pool: DirectPool, place: EndpointAddress, claim: Attempt) -> None:
         self.pool = pool
         self.place = place
         self.node: DirectNode  # who took it at that address
         there = place.address.rpartition(":")[0]
         self.way = pool.links.link(pool.host, there)
         self.back = pool.links.link(there, pool.host)
-        self.first: Claim | None = claim  # for which it is made
+        self.first: Attempt | None = claim  # for which it is made
         self.late: Timer | None = None  # while it comes up
-        self.claim: Claim | None = None
+        self.claim: Attempt | None = None
         self.alive = False
         self.idle_since = 0.0
         self.arrival = 0.0  # of what was last sent on it
@@ -63,8 +63,8 @@
     def dial(self) -> None:
         pool, claim = self.pool, self.first
         assert claim is not None
-        claim.drop = self.keep_on
-        by = min(claim.give_up, claim.begin_by, pool.clock.now() + pool.connect_time)
+        claim.cancel = self.keep_on
+        by = min(claim.deadline, claim.start_before, pool.clock.now() + pool.connect_time)
         self.late = pool.clock.at(by, self.not_up)
         self.way.send(0.0, self.knock)
 
@@ -91,7 +91,7 @@
         del self.pool.dials[self]
         assert claim is not None
         self.pool.book.note("unconnected", sidecar=self.pool.name)
-        self.pool.exchange.end(claim, CONNECT_FAILED)
+        self.pool.exchange.end_attempt(claim, CONNECT_FAILED)
 
     def accepted(self) -> None:
         pool = self.pool
@@ -105,23 +105,23 @@
         self.alive = True
         claim, self.first = self.first, None
         assert claim is not None
-        if claim.wanted and pool.exchange.in_time(claim):
+        if claim.may_be_sent and pool.exchange.check_in_time(claim):
             self.carry(claim)
         else:
             pool.keep(self)
 
     # Claims
 
-    def carry(self, claim: Claim) -> None:
+    def carry(self, claim: Attempt) -> None:
         """Write a claim's request: from here on it may have run."""
         pool = self.pool
         self.claim = claim
-        claim.drop = self.drop
-        claim.written = True
+        claim.cancel = self.drop
+        claim.is_written = True
         now = pool.time.instant
-        left = int((claim.give_up - now) * 1000) / 1000 or 0.001  # as the wire states it
+        left = int((claim.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
         pool.book.sending(pool.name, self.node.name, now)
-        visit = Visit(claim.job.ident, pool.name, left, now, self.reply)
+        visit = Visit(claim.request.correlation_id, pool.name, left, now, self.reply)
         self.arrival = self.way.send(self.arrival, self.node.request, self, visit)
 
     def reply(self, verdict: Verdict, stamp: str) -> None:
@@ -150,10 +150,10 @@
             outcome = OUTCOMES.get(verdict)
         if outcome is not None:
             self.pool.keep(self)
-            self.pool.exchange.end(claim, outcome, stamp)
+            self.pool.exchange.end_attempt(claim, outcome, stamp)
             return
         self.close()
-        self.pool.exchange.end(claim, RESET)
+        self.pool.exchange.end_attempt(claim, RESET)
 
     # Its end
 
@@ -182,7 +182,7 @@
             self.pool.gone(self)
             claim, self.claim = self.claim, None
             if claim is not None:
-                self.pool.exchange.end(claim, RESET)
+                self.pool.exchange.end_attempt(claim, RESET)
 
 
 class DirectPool:
@@ -220,41 +220,41 @@
         self.idle_ones: dict[tuple[str, str], deque[Line]] = {}
         self.lines: dict[Line, None] = {}  # in the order in which they came
         self.dials: dict[Line, None] = {}  # under way, in the order in which they began
-        exchange.start_claim = self.start
+        exchange.start_attempt = self.start
         exchange.close_idle = self.close_idle
-        exchange.on_listed = self.listed
+        exchange.on_endpoint_list = self.listed
         self.sweep()
 
-    def start(self, claim: Claim) -> None:
-        address = self.addresses.get(claim.node)
+    def start(self, claim: Attempt) -> None:
+        address = self.addresses.get(claim.endpoint)
         if address is None:
             # The list no longer says where the node is.
-            self.clock.at(self.clock.now(), self.exchange.end, claim, CONNECT_FAILED)
+            self.clock.at(self.clock.now(), self.exchange.end_attempt, claim, CONNECT_FAILED)
             return
-        idle = self.idle_ones.get((claim.node, address))
+        idle = self.idle_ones.get((claim.endpoint, address))
         if idle:
             idle.pop().carry(claim)
             return
         if len(self.lines) + len(self.dials) >= self.most and not self.retire_oldest():
             log.line("too-many-connections", most=self.most)
-            self.clock.at(self.clock.now(), self.exchange.end, claim, CONNECT_FAILED)
+            self.clock.at(self.clock.now(), self.exchange.end_attempt, claim, CONNECT_FAILED)
             return
-        line = Line(self, Place(claim.node, address), claim)
+        line = Line(self, EndpointAddress(claim.endpoint, address), claim)
         self.dials[line] = None
         line.dial()
 
     def listed(self, view: View) -> None:
         """As the HTTP client's."""
-        take(self.ready, view)
+        update_ready(self.ready, view)
         for line in [line for line in self.dials if not self.fits(line.place)]:
             line.refused()
         for place, idle in list(self.idle_ones.items()):
-            if not self.fits(Place(*place)):
+            if not self.fits(EndpointAddress(*place)):
                 for line in list(idle):
                     line.close()
 
-    def fits(self, place: Place) -> bool:
-        return place.node in self.ready and self.addresses.get(place.node) == place.address
+    def fits(self, place: EndpointAddress) -> bool:
+        return place.endpoint in self.ready and self.addresses.get(place.endpoint) == place.address
 
     def keep(self, line: Line) -> None:
         if not self.fits(line.place):
@@ -283,7 +283,7 @@
         return True
 
     def close_idle(self, node: str) -> None:
-        place = Place(node, self.addresses.get(node, ""))
+        place = EndpointAddress(node, self.addresses.get(node, ""))
         for line in list(self.idle_ones.get(place, ())):
             line.close()
 
@@ -301,7 +301,7 @@
 
     def sweep(self) -> None:
         now = self.clock.now()
-        self.clock.at(now + SWEEP, self.sweep)
+        self.clock.at(now + SWEEP_SECONDS, self.sweep)
         for (node, address), idle in list(self.idle_ones.items()):
             gone = self.addresses.get(node) != address
             while idle and (gone or now - idle[0].idle_since > self.idle):
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -10,7 +10,7 @@
 from wheatring.balancer.balancer import Balancer
 from wheatring.balancer.interface import Settings
 from wheatring.core.driver import Driver
-from wheatring.core.exchange import Exchange, Job
+from wheatring.core.exchange import Exchange, Request
 from wheatring.daemon.shutdown import SHUTDOWN_POLL_SECONDS
 from wheatring.daemon.sidecar import NODE_CONNECTION_SHARE, RESERVED_DESCRIPTORS
 from wheatring.lab.book import Book
@@ -74,7 +74,7 @@
             self.clock, name, host, discovery, registry, links, self.pool.addresses, self.driver.feed,
             freshness, asking, not settings.must_subscribe,
         )  # fmt: skip
-        self.driver.machine_list = self.machine_list
+        self.driver.endpoint_list = self.machine_list
         self.classes = settings.classes
         self.copies = settings.balancer_count
         self.came_at = -inf  # the last request
@@ -86,7 +86,7 @@
 
     def start(self) -> None:
         """It listens from now on."""
-        self.machine_list.known(self.known)
+        self.machine_list.load_cached(self.known)
         self.open = True
         self.way.running[self.name] = self
         self.book.sidecar_up(self.name)
@@ -104,7 +104,7 @@
         if cls.deadline < left:
             left = cls.deadline  # no caller waits longer than its class
         answered: Any = asked
-        job = asked.job = Job(
+        job = asked.job = Request(
             asked.ident, cls.name, self.clock.time.instant + left, asked, asked.repeat, answered
         )
         self.held[asked] = None
@@ -125,7 +125,7 @@
                 self.door.remove(asked)
             return
         job, asked.job = asked.job, None
-        self.exchange.leave(job)
+        self.exchange.withdraw(job)
         self.done(asked)
 
     def next(self) -> None:
@@ -151,14 +151,14 @@
             self.stopping = True
             self.book.sidecar_stopping(self.name)
             now = self.clock.now()
-            self.leaving = Leaving(now, self.classes, self.copies, self.exchange.usual)
+            self.leaving = Leaving(now, self.classes, self.copies, self.exchange.latencies)
             self.look()
 
     def look(self) -> None:
         now, leaving = self.clock.now(), self.leaving
         if not self.open:
-            if not leaving.goes_on(now, self.exchange.left(now)):
-                self.exchange.give_up(leaving)
+            if not leaving.goes_on(now, self.exchange.open_snapshot(now)):
+                self.exchange.answer_all(leaving)
                 if not self.door:
                     self.machine_list.unsubscribe()
                     self.end(killed=False)
--- a/wheatring/lab/direct/way.py
+++ b/wheatring/lab/direct/way.py
@@ -7,7 +7,7 @@
 from math import ceil
 from typing import TYPE_CHECKING
 
-from wheatring.core.exchange import Answer, Final, Job
+from wheatring.core.exchange import Answer, AnswerKind, Request
 from wheatring.lab.book import Book, Kind
 from wheatring.lab.direct.links import Links
 from wheatring.lab.models.way import Done
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from wheatring.lab.direct.sidecar import DirectSidecar
 
-SERVED, REFUSED = Final.SERVED, Final.REFUSED  # looked up once: an enum takes its time
+SERVED, REFUSED = AnswerKind.SERVED, AnswerKind.REFUSED  # looked up once: an enum takes its time
 
 
 class DirectAsked:
@@ -42,7 +42,7 @@
         self.there, self.back = way.links[sidecar]
         self.gone = False
         self.process: DirectSidecar | None = None  # that has taken it
-        self.job: Job | None = None
+        self.job: Request | None = None
 
     def go(self) -> None:
         """It is written."""
@@ -88,7 +88,7 @@
         if self.gone:
             return
         self.end()
-        final = answer.final
+        final = answer.kind
         kind: Kind = "served" if final is SERVED else "refused" if final is REFUSED else "failed"
         stamp = str(answer.content) if final is SERVED else ""
         advice = ceil(answer.retry_after * 1000) / 1000 if answer.retry_after > 0 else 0.0
--- a/wheatring/lab/live/client_connection.py
+++ b/wheatring/lab/live/client_connection.py
@@ -10,7 +10,7 @@
 import socket
 from typing import Any, Protocol
 
-from wheatring.http1.parser import BadMessage, Reader
+from wheatring.http1.parser import MalformedMessage, MessageParser
 
 MAX_READ_BYTES = 262_144
 MAX_CACHED_HEADS = 256  # heads remembered; a server that makes each one anew is read the long way
@@ -40,7 +40,7 @@
         self.shot: Any = None  # what its owner has it carry
         self.first: Any = None  # what it was made for, where that may go on no other
         self.unsent = b""
-        self.reader = Reader(responses=True)
+        self.reader = MessageParser(responses=True)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.sock.setblocking(False)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -107,16 +107,16 @@
         except OSError:
             data = b""
         if not data:
-            message = self.reader.end()
+            message = self.reader.end_of_input()
             if message is not None:
                 self.alive = False
-                self.owner.answered(self, message.first[0])
+                self.owner.answered(self, message.start_line[0])
             self._over()
             return
         if self.shot is None:  # an answer to nothing would be taken for the next request's
             self._over()
             return
-        if not self.reader.started:
+        if not self.reader.has_partial_message:
             end = data.find(b"\r\n\r\n") + 4
             known = self.heads.get(data[:end])
             if known is not None and len(data) == end + known[1]:
@@ -130,16 +130,16 @@
         reader = self.reader
         reader.feed(data)
         try:
-            message = reader.next()
-            while message is not None and message.first[0][:1] == b"1":
-                message = reader.next()
-        except BadMessage:
+            message = reader.next_message()
+            while message is not None and message.start_line[0][:1] == b"1":
+                message = reader.next_message()
+        except MalformedMessage:
             self._over()
             return
         if message is None:
             return
-        status = message.first[0]
-        clean = message.keep_alive and not reader.started
+        status = message.start_line[0]
+        clean = message.keep_alive and not reader.has_partial_message
         whole = data.find(b"\r\n\r\n") + 4
         if clean and b"content-length" in message.fields and len(data) == whole + len(message.body):
             if len(self.heads) >= MAX_CACHED_HEADS:
--- a/wheatring/lab/live/generator.py
+++ b/wheatring/lab/live/generator.py
@@ -204,7 +204,7 @@
         elif shot is None:
             if line in self.idle:
                 self.idle.remove(line)
-        elif line.carried and not shot.resent and not line.reader.started:
+        elif line.carried and not shot.resent and not line.reader.has_partial_message:
             # It was kept, and its end crossed this request, which the server had not read: once more, on a
             # connection that is not about to be ended in the same way.
             shot.resent = True
--- a/wheatring/lab/net/process.py
+++ b/wheatring/lab/net/process.py
@@ -275,18 +275,18 @@
         listening.startListening()
         return listening
 
-    def open_door(self, port: int, factory: Any, backlog: int, host: str, reactor: Any) -> Door:
-        """Listen as `http1.server.open_door` does: no more is accepted in one go than `factory.room`."""
+    def open_listener(self, port: int, factory: Any, backlog: int, host: str, reactor: Any) -> Door:
+        """Listen as `http1.listener.open_listener` does: no more is accepted in one go than it has places."""
         door = Door(port, factory, backlog, host, reactor)
         door.startListening()
         return door
 
-    def hung_up(self, transport: Any) -> bool:
-        """As `http1.connection.hung_up` says it."""
+    def has_hung_up(self, transport: Any) -> bool:
+        """As `http1.connection.has_hung_up` says it."""
         return bool(transport.socket.eof or transport.socket.broken)
 
-    def undelivered(self, transport: Any) -> bool:
-        """As `http1.connection.undelivered` where a system does not tell it."""
+    def has_undelivered_bytes(self, transport: Any) -> bool:
+        """As `http1.connection.has_undelivered_bytes` where a system does not tell it."""
         return False
 
     def resolve(self, name: str, timeout: object = ()) -> Deferred[str]:
--- a/wheatring/lab/net/transports.py
+++ b/wheatring/lab/net/transports.py
@@ -219,5 +219,5 @@
     """Accepts no more in one go than its factory has room for."""
 
     def doRead(self) -> Why:
-        self.numberAccepts = max(1, min(self.numberAccepts, self.factory.room))
+        self.numberAccepts = max(1, min(self.numberAccepts, self.factory.free_places))
         super().doRead()
--- a/wheatring/lab/wire/ground.py
+++ b/wheatring/lab/wire/ground.py
@@ -37,8 +37,8 @@
 # What a sidecar that has nothing to do still waits for.
 PERIODIC = frozenset(
     (
-        "Server.sweep", "Server.clear", "Pool.sweep", "HttpCaller.stop", "MachineList.watch",
-        "MachineList.look",
+        "Server.sweep", "Server.evict", "ConnectionPool.sweep", "HttpDiscoveryClient.stop",
+        "EndpointList.watch", "EndpointList.check_freshness",
     )
 )  # fmt: skip
 
@@ -216,9 +216,9 @@
 
 def left_by(sidecar: Sidecar, timers: Sequence[Delayed]) -> Counter[str]:
     """What a sidecar that has nothing to do should not have. `timers`: all that it waits for."""
-    counts = Counter(jobs=max(sidecar.exchange.open, len(sidecar.driver.jobs)))
-    counts["claims"] = sum(each.claim is not None for each in sidecar.pool.connections)
-    counts["connections"] = sum(each.job is not None for each in sidecar.server.connections)
+    counts = Counter(jobs=max(sidecar.exchange.open_count, len(sidecar.driver.open_requests)))
+    counts["claims"] = sum(each.attempt is not None for each in sidecar.pool.connections)
+    counts["connections"] = sum(each.request is not None for each in sidecar.server.connections)
     for call in timers:
         counts["timers"] += not (call.func.__qualname__ in PERIODIC or call.args == (TimerDue(0),))
     return counts
--- a/wheatring/ops/drills.py
+++ b/wheatring/ops/drills.py
@@ -16,7 +16,7 @@
 from wheatring.balancer.backoff import MIN_RETRY_AFTER
 from wheatring.balancer.interface import Limits, RequestClass
 from wheatring.core.clock import Clock, Timer
-from wheatring.core.exchange import Answer, Exchange, Final, Job
+from wheatring.core.exchange import Answer, AnswerKind, Exchange, Request
 from wheatring.operator_properties import PARTS_PER_PERCENT, Drill, OperatorFileError
 
 MARGIN = 0.25  # seconds before its deadline, or a quarter of its time left, at which no job is held any more
@@ -93,8 +93,8 @@
         self.classes = classes
         self.limits = limits
         self.record = record
-        self.pass_on = exchange.on_job
-        exchange.on_job = self.job_came
+        self.pass_on = exchange.on_request
+        exchange.on_request = self.job_came
         self.told = Drill()
         self.plan: Plan | None = None
         self.on = False
@@ -134,7 +134,7 @@
             self.record("drill-on" if on else "drill-over", "operators")
         return on
 
-    def job_came(self, job: Job) -> None:
+    def job_came(self, job: Request) -> None:
         if not self.running() or self.plan is None or job.class_name != self.plan.class_name:
             self.pass_on(job)
             return
@@ -144,27 +144,27 @@
             return
         self.owed -= 100 * PARTS_PER_PERCENT
         self.total += 1
-        job.drill = True
+        job.is_drill = True
         now, abort = self.clock.now(), self.told.abort
         left = job.deadline - now
         delay = min(self.told.delay, left - min(MARGIN, left / 4))  # there must be time for an answer
         log.line(
-            "drill", drill=1, job=job.ident, of=job.class_name, delay_ms=round(delay * 1000),
+            "drill", drill=1, job=job.correlation_id, of=job.class_name, delay_ms=round(delay * 1000),
             abort=int(abort), drill_requests_total=self.total,
         )  # fmt: skip
         if delay > 0:
-            job.held = self.clock.at(now + delay, self.release, job, abort)
+            job.drill_timer = self.clock.at(now + delay, self.release, job, abort)
         else:
             self.release(job, abort)
 
-    def release(self, job: Job, abort: bool) -> None:
-        job.held = None
+    def release(self, job: Request, abort: bool) -> None:
+        job.drill_timer = None
         if abort:
-            self.exchange.answer(job, Answer(Final.REFUSED, retry_after=self.stay_away(job)))
+            self.exchange.answer(job, Answer(AnswerKind.REFUSED, retry_after=self.stay_away(job)))
         else:
             self.pass_on(job)
 
-    def stay_away(self, job: Job) -> float:
+    def stay_away(self, job: Request) -> float:
         """The module's least advice. Its random numbers are its own, and jobs due for a drill are apart."""
         advice = MIN_RETRY_AFTER * self.classes[job.class_name].latency_target
         return min(advice, self.limits.max_retry_after) if self.limits.sends_retry_after else 0.0
--- a/wheatring/peers/list_sharing.py
+++ b/wheatring/peers/list_sharing.py
@@ -26,14 +26,14 @@
     """The endpoint list's client, as far as it is steered here."""
 
     version: int | None
-    watching: bool
-    goes_on: Callable[[], bool] | None
+    is_watching: bool
+    should_continue: Callable[[], bool] | None
     freshness: Any
 
     def subscribe(self) -> None:
         """Watch the list, unless it is watched already."""
 
-    def rest(self) -> None:
+    def pause(self) -> None:
         """Watch it no more, and keep what is known."""
 
 
@@ -82,7 +82,7 @@
     def start(self, endpoint_list: EndpointList) -> None:
         """Steer this list from now on."""
         self.endpoint_list = endpoint_list
-        endpoint_list.goes_on = self.should_watch
+        endpoint_list.should_continue = self.should_watch
         self.check_watch()
 
     # The own list
@@ -124,8 +124,8 @@
         self.timer = self.clock.at(self.clock.now() + WATCH_CHECK_SECONDS, self.check_watch)
         if self.should_watch():
             self.endpoint_list.subscribe()
-        elif self.endpoint_list.watching and self.endpoint_list.version is not None:
-            self.endpoint_list.rest()
+        elif self.endpoint_list.is_watching and self.endpoint_list.version is not None:
+            self.endpoint_list.pause()
 
     # As the holder
 
@@ -144,7 +144,7 @@
         self.clock.at(now + HEARTBEAT_INTERVAL_SECONDS, self.send_heartbeat, epoch)
         endpoint_list = self.endpoint_list
         # Without a list, or after its watch has failed, there is nothing to announce: then the others watch.
-        if endpoint_list is None or endpoint_list.version is None or not endpoint_list.watching:
+        if endpoint_list is None or endpoint_list.version is None or not endpoint_list.is_watching:
             return
         self.withdrawn = {name: at for name, at in self.withdrawn.items() if now - at < REPORTED_FOR_SECONDS}
         newest_first = sorted(self.withdrawn, key=lambda name: (-self.withdrawn[name], name))
@@ -181,7 +181,7 @@
         endpoint_list = self.endpoint_list
         return {
             "generation": endpoint_list.version if endpoint_list is not None else None,
-            "watches": endpoint_list is not None and endpoint_list.watching,
+            "watches": endpoint_list is not None and endpoint_list.is_watching,
             "told": self.following.generation,
             "held_back": sorted(self.held_back),
         }
--- a/wheatring/peers/role_workers.py
+++ b/wheatring/peers/role_workers.py
@@ -22,7 +22,7 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.http1.parser import BadMessage, Reader
+from wheatring.http1.parser import MalformedMessage, MessageParser
 
 CALL_TIMEOUT_SECONDS = 2.0  # for one call, and for its connection before that
 MAX_ANSWER_BYTES = 16_384  # of an answer's body
@@ -63,7 +63,7 @@
 
     def __init__(self, worker: HttpRoleWorker) -> None:
         self.worker = worker
-        self.reader = Reader(responses=True, max_body=MAX_ANSWER_BYTES)
+        self.reader = MessageParser(responses=True, max_body_bytes=MAX_ANSWER_BYTES)
         self.is_answered = False
         self.timeout: Timer | None = None
 
@@ -90,15 +90,15 @@
             return
         self.reader.feed(data)
         try:
-            message = self.reader.next()
-        except BadMessage as error:
+            message = self.reader.next_message()
+        except MalformedMessage as error:
             self.is_answered = True
             log.line("duty-call", duty=self.worker.role, code="bad-answer", why=str(error))
             self.transport.abortConnection()
             return
         if message is not None:
             self.is_answered = True
-            self.worker.on_answer(int(message.first[0]), message.fields.get(b"duty-epoch", b""))
+            self.worker.on_answer(int(message.start_line[0]), message.fields.get(b"duty-epoch", b""))
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's
--- a/wheatring/pools/active_route.py
+++ b/wheatring/pools/active_route.py
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wheatring.core.exchange import Job
+from wheatring.core.exchange import Request
 from wheatring.pools.routed_pool import RoutedPool
 from wheatring.routes.definitions import Route
 from wheatring.routes.split import split_for
 
 
 @dataclass(slots=True, eq=False, kw_only=True)
-class RoutedRequest(Job):
+class RoutedRequest(Request):
     """A request, and the pool that it stays in."""
 
     pool: RoutedPool
@@ -29,6 +29,6 @@
         self.deadline = route.deadline_seconds
         self.split = split_for(route)
 
-    def job(self, fields: Mapping[bytes, bytes], **arguments: Any) -> RoutedRequest:
+    def create_request(self, fields: Mapping[bytes, bytes], **arguments: Any) -> RoutedRequest:
         """Make a request with these header fields, and choose its pool."""
         return RoutedRequest(pool=self.pools[self.split.pick(fields)], **arguments)
--- a/wheatring/pools/connection_budget.py
+++ b/wheatring/pools/connection_budget.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from wheatring.core.exchange import Claim
-from wheatring.http1.claim import ClaimConnection
-from wheatring.http1.client import Pool
+from wheatring.core.exchange import Attempt
+from wheatring.http1.connection_pool import ConnectionPool
+from wheatring.http1.endpoint_connection import EndpointConnection
 
 
 class ConnectionUsage(NamedTuple):
@@ -40,7 +40,7 @@
 
     def in_use(self) -> int:
         """Count the connections of all pools, those being made among them."""
-        return sum([len(pool.connections) + len(pool.dials) for pool in self.reserved])
+        return sum([len(pool.connections) + len(pool.pending_connects) for pool in self.reserved])
 
     def limit_of(self, pool: BudgetedPool) -> int:
         """Return how many connections a pool may use now."""
@@ -54,7 +54,7 @@
         bool
             False where there is none.
         """
-        found: tuple[BudgetedPool, ClaimConnection] | None = None
+        found: tuple[BudgetedPool, EndpointConnection] | None = None
         for candidate in self.reserved:
             if candidate is not pool and (usage := candidate.usage()).in_use <= usage.reserved:
                 continue
@@ -67,12 +67,12 @@
         return True
 
 
-class BudgetedPool(Pool):
+class BudgetedPool(ConnectionPool):
     """One pool's connections, as many as the budget allows."""
 
     def __init__(self, budget: ConnectionBudget, *arguments: Any) -> None:
         self.budget = budget
-        self.retired: set[ClaimConnection] = set()
+        self.retired: set[EndpointConnection] = set()
         super().__init__(*arguments)
         budget.reserved[self] = 0
 
@@ -81,31 +81,31 @@
 
         These are gone within this turn of the reactor or the next; counted, each would have one more closed.
         """
-        in_use = len(self.connections) - len(self.retired) + len(self.dials)
+        in_use = len(self.connections) - len(self.retired) + len(self.pending_connects)
         return ConnectionUsage(in_use, self.budget.reserved[self])
 
-    def retire(self, connection: ClaimConnection, code: str) -> None:
+    def retire(self, connection: EndpointConnection, code: str) -> None:
         """Close a connection that carries nothing."""
         self.retired.add(connection)
         super().retire(connection, code)
 
-    def gone(self, connection: ClaimConnection) -> None:
+    def remove(self, connection: EndpointConnection) -> None:
         """Forget a connection that is closed."""
         self.retired.discard(connection)
-        super().gone(connection)
+        super().remove(connection)
 
-    def start(self, claim: Claim) -> None:
+    def start_attempt(self, claim: Attempt) -> None:
         """Send an attempt, on a new connection if the budget allows one."""
-        self.most = self.budget.limit_of(self)
-        super().start(claim)
+        self.max_connections = self.budget.limit_of(self)
+        super().start_attempt(claim)
 
-    def retire_oldest(self) -> bool:
+    def retire_oldest_idle(self) -> bool:
         """Close an idle connection of any pool that may lose one; False where there is none."""
         return self.budget.close_idle_for(self)
 
     def leave(self, code: str) -> None:
         """Close all, and stop all that are being made, as no request needs them any more."""
-        for dial in list(self.dials):
+        for dial in list(self.pending_connects):
             dial.connector.stopConnecting()
         self.close(code)
         del self.budget.reserved[self]
--- a/wheatring/pools/pool_set.py
+++ b/wheatring/pools/pool_set.py
@@ -170,11 +170,11 @@
 
     def _close_idle_pools(self) -> None:
         """Close the pools that leave and have no requests."""
-        requests = [connection.job for connection in self.server.connections]
+        requests = [connection.request for connection in self.server.connections]
         busy = {id(request.pool) for request in requests if isinstance(request, RoutedRequest)}
         for pool in list(self.leaving):
             # An incomplete request, or an answer that is being sent, is known to its connection alone.
-            if not pool.driver.jobs and id(pool) not in busy:
+            if not pool.driver.open_requests and id(pool) not in busy:
                 self.leaving.remove(pool)
                 pool.close("pool-gone")
                 log.line("pool-gone", pool=pool.name)
--- a/wheatring/pools/request_router.py
+++ b/wheatring/pools/request_router.py
@@ -11,8 +11,8 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock
-from wheatring.core.exchange import Claim, Exchange, Job
-from wheatring.core.refused import Refused
+from wheatring.core.exceptions import RequestRejected
+from wheatring.core.exchange import Attempt, Exchange, Request
 from wheatring.errors import OperatorError
 from wheatring.http1.parser import Message
 from wheatring.pools.active_route import ActiveRoute, RoutedRequest
@@ -34,14 +34,14 @@
         self.routes: dict[str, ActiveRoute] = {}
         self.table = RoutingTable(())
         self.rejections: dict[str, tuple[float, int]] = {}  # by reason: when to log next, how many since
-        front.on_job = lambda job: pool_of(job).driver.job_came(job)
-        front.on_left = lambda job: pool_of(job).driver.job_left(job)
-        front.on_committed = lambda job: pool_of(job).driver.job_committed(job)
-        front.on_claim_ended = self.claim_ended
+        front.on_request = lambda job: pool_of(job).driver.add_request(job)
+        front.on_caller_left = lambda job: pool_of(job).driver.report_caller_left(job)
+        front.on_committed = lambda job: pool_of(job).driver.report_committed(job)
+        front.on_attempt_ended = self.claim_ended
 
-    def claim_ended(self, claim: Claim) -> None:
+    def claim_ended(self, claim: Attempt) -> None:
         """Report the end of an attempt to the driver of its request's pool."""
-        pool_of(claim.job).driver.claim_ended(claim)
+        pool_of(claim.request).driver.report_attempt_ended(claim)
 
     def route(self, message: Message) -> ActiveRoute:
         """Return the route of a request.
@@ -51,15 +51,15 @@
         Refused
             No route matches it, or its target can be read in more than one way.
         """
-        method, target = message.first
+        method, target = message.start_line
         try:
-            match = self.table.resolve(method, target, message.fields, message.repeated)
+            match = self.table.resolve(method, target, message.fields, message.repeated_fields)
         except InvalidRequestError as error:
             self._log_rejection(400, str(error))
-            raise Refused(400, str(error)) from None
+            raise RequestRejected(400, str(error)) from None
         if match is None:
             self._log_rejection(404, "no route")
-            raise Refused(404, "route")
+            raise RequestRejected(404, "route")
         return self.routes[match.route.name]
 
     def _log_rejection(self, status: int, why: str) -> None:
@@ -111,7 +111,7 @@
             log.line("plan-weights", route=name, code=error.code, why=error.what)
 
 
-def pool_of(job: Job) -> RoutedPool:
+def pool_of(job: Request) -> RoutedPool:
     """Return the pool of a request that came by a route."""
     assert isinstance(job, RoutedRequest)
     return job.pool
--- a/wheatring/pools/routed_pool.py
+++ b/wheatring/pools/routed_pool.py
@@ -19,7 +19,7 @@
 
 from wheatring.balancer.interface import Action, Event, Outcome, Settings, View, ViewKind
 from wheatring.config.project_file import PoolTable
-from wheatring.core.body import Room
+from wheatring.core.body import BodyMemory
 from wheatring.core.clock import Clock
 from wheatring.core.exchange import Exchange
 from wheatring.lifecycle.asking import Pace
@@ -46,7 +46,7 @@
     seed: int
     plain: ServingPool
     budget: ConnectionBudget
-    body_room: Room
+    body_room: BodyMemory
 
 
 class InertBalancer:
@@ -76,9 +76,9 @@
         """Ask for the list again."""
         self.plain.machine_list.fetch()
 
-    def seen(self, now: float, node: str, outcome: Outcome) -> None:
+    def record_outcome(self, now: float, node: str, outcome: Outcome) -> None:
         """Report how an attempt at a node ended."""
-        self.plain.machine_list.seen(now, node, outcome)
+        self.plain.machine_list.record_outcome(now, node, outcome)
 
 
 class RoutedPool:
@@ -97,7 +97,7 @@
         self.overrides = ByHand(self.driver.feed)  # over its own list
         if table.discovery is None:
             self.selection = EndpointSelection(table)
-            self.driver.machine_list = SharedListClient(environment.plain)
+            self.driver.endpoint_list = SharedListClient(environment.plain)
             self.connections.addresses = environment.plain.pool.addresses
         else:
             host, _, port = table.discovery.rpartition(":")
@@ -106,7 +106,7 @@
     def start(self, shared_list: Word) -> None:
         """Hear the list from now on."""
         if self.selection is None:
-            self.serving.machine_list.known(EMPTY_LIST)
+            self.serving.machine_list.load_cached(EMPTY_LIST)
         else:
             self.on_shared_list(shared_list.whole())
 
@@ -135,14 +135,14 @@
         if self.selection is None:
             self.serving.machine_list.unsubscribe()
         self.connections.leave(code)
-        self.driver.balancer = InertBalancer()
+        self.driver.decision_module = InertBalancer()
 
 
 def _serving_pool(name: str, environment: PoolEnvironment, pace: Pace) -> ServingPool:
     """Make the parts of a pool, with an exchange of its own."""
     front = environment.front
-    exchange = Exchange(environment.clock, front.grace)
-    exchange.idents, exchange.usual = front.idents, front.usual
+    exchange = Exchange(environment.clock, front.answer_slack)
+    exchange.open_requests, exchange.latencies = front.open_requests, front.latencies
     # Decisions, and the list's timetable, drawn apart from any other pool's.
     seed = Random(f"{environment.seed}:pool:{name}").getrandbits(63)
     return ServingPool(
--- a/wheatring/serving_pool.py
+++ b/wheatring/serving_pool.py
@@ -12,12 +12,12 @@
 
 from wheatring.balancer.balancer import Balancer
 from wheatring.balancer.interface import Settings, View
-from wheatring.core.body import Room
+from wheatring.core.body import BodyMemory
 from wheatring.core.clock import Clock
 from wheatring.core.driver import Driver
 from wheatring.core.exchange import Exchange
-from wheatring.http1.client import Pool
-from wheatring.http1.machine_list import MachineList
+from wheatring.http1.connection_pool import ConnectionPool
+from wheatring.http1.endpoint_list import EndpointList
 from wheatring.lifecycle.asking import DEFAULT, Pace
 from wheatring.lifecycle.freshness import deciders
 
@@ -49,9 +49,9 @@
         settings: Settings,
         seed: int,
         max_connections: int,
-        body_room: Room,
+        body_room: BodyMemory,
         pace: Pace = DEFAULT,
-        connections: Callable[..., Pool] = Pool,
+        connections: Callable[..., ConnectionPool] = ConnectionPool,
     ) -> None:
         limits = settings.limits
         self.reactor = reactor
@@ -62,9 +62,9 @@
             reactor, clock, exchange, limits.connect_timeout, limits.idle_timeout, max_connections, body_room
         )
         self.asking, self.freshness = deciders(settings, seed, clock.now(), pace)
-        self.machine_list: MachineList
+        self.machine_list: EndpointList
 
-    def list_from(self, discovery: tuple[str, int], on_view: Callable[[View], None]) -> MachineList:
+    def list_from(self, discovery: tuple[str, int], on_view: Callable[[View], None]) -> EndpointList:
         """Make its endpoint list's client.
 
         Parameters
@@ -74,9 +74,9 @@
         on_view : Callable[[View], None]
             Receives each update, and hands it to the driver.
         """
-        self.machine_list = MachineList(
+        self.machine_list = EndpointList(
             self.reactor, self.clock, discovery, self.pool.addresses, on_view, self.freshness, self.asking,
-            pushed=not self.balancer.settings.must_subscribe,
+            is_pushed=not self.balancer.settings.must_subscribe,
         )  # fmt: skip
-        self.driver.machine_list = self.machine_list
+        self.driver.endpoint_list = self.machine_list
         return self.machine_list
--- a/wheatring/sidecar/client_connection.py
+++ b/wheatring/sidecar/client_connection.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from wheatring.event_log import log_event
-from wheatring.http1.answers import REASONS, response
-from wheatring.http1.parser import BadMessage, Message, Reader
+from wheatring.http1.parser import MalformedMessage, Message, MessageParser
+from wheatring.http1.responses import REASON_PHRASES, encode_response
 from wheatring.sidecar.route_table import Limits
 
 MAX_PIPELINED_BYTES = 256 * 1024  # that a client may send ahead while a request is in flight
@@ -49,7 +49,7 @@
         self._handler = handler
         self._settings = settings
         self._on_lost = on_lost
-        self._reader = Reader(responses=False, max_body=settings().limits.body_bytes)
+        self._reader = MessageParser(responses=False, max_body_bytes=settings().limits.body_bytes)
         self._transport: Any = None
         self._task: asyncio.Task[None] | None = None
         self._writable = asyncio.Event()
@@ -71,7 +71,7 @@
         if self._is_ended:
             return
         self._received_at = asyncio.get_running_loop().time()
-        is_request_begun = self._reader.started
+        is_request_begun = self._reader.has_partial_message
         self._reader.feed(data)
         if self._task is not None:
             if len(self._reader.buffer) > MAX_PIPELINED_BYTES:
@@ -117,8 +117,8 @@
 
     def _start_next_request(self) -> None:
         try:
-            message = self._reader.next()
-        except BadMessage as bad:
+            message = self._reader.next_message()
+        except MalformedMessage as bad:
             self._reject(bad.status)
             return
         if message is None:
@@ -147,20 +147,20 @@
             return
         self._transport.resume_reading()
         self._wait_for_request()
-        if self._reader.started:
+        if self._reader.has_partial_message:
             self._start_next_request()
 
     def _wait_for_request(self) -> None:
         self._set_timer(self._settings().limits.idle_timeout_seconds, self.close)
 
     def _on_header_timeout(self) -> None:
-        if self._reader.started:
+        if self._reader.has_partial_message:
             self._reject(408)
         else:
             self.close()
 
     def _reject(self, status: int) -> None:
-        self._transport.write(response(status, close=True))
+        self._transport.write(encode_response(status, close=True))
         self.close()
 
     def _set_timer(self, seconds: float, call: Callable[[], None]) -> None:
@@ -175,13 +175,13 @@
     # Responses
 
     def _connection_field(self) -> bytes:
-        if self._settings().is_closing and not self._reader.started:
+        if self._settings().is_closing and not self._reader.has_partial_message:
             self._keep_alive = False
         return b"" if self._keep_alive else b"Connection: close\r\n"
 
     def send_response(self, status: int, fields: bytes = b"", body: bytes = b"") -> None:
         """Write a complete response; `fields` are encoded header lines."""
-        reason = REASONS.get(status, b"OK")
+        reason = REASON_PHRASES.get(status, b"OK")
         closing = self._connection_field()
         head = b"HTTP/1.1 %d %s\r\n%s%sContent-Length: %d\r\n\r\n" % (
             status,
@@ -194,7 +194,7 @@
 
     def start_response(self, status: int, fields: bytes, length: int | None = None) -> None:
         """Write the head of a response whose body follows; without a length it is chunked."""
-        reason = REASONS.get(status, b"OK")
+        reason = REASON_PHRASES.get(status, b"OK")
         framing = b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
         closing = self._connection_field()
         self._transport.write(b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, reason, fields, framing, closing))
--- a/wheatring/sidecar/endpoint_connection.py
+++ b/wheatring/sidecar/endpoint_connection.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from wheatring.balancer.interface import Outcome
-from wheatring.http1.parser import BadMessage, Message, Reader
+from wheatring.http1.parser import MalformedMessage, Message, MessageParser
 from wheatring.sidecar.exceptions import AttemptFailedError, ExecutionState
 from wheatring.sidecar.headers import KEEP_ALIVE, REQUEST_ID
 
@@ -30,7 +30,7 @@
     def __init__(self, endpoint: str, address: str) -> None:
         self.endpoint = endpoint
         self.address = address
-        self._reader = Reader(responses=True, max_body=MAX_BODY_BYTES, hold=0)
+        self._reader = MessageParser(responses=True, max_body_bytes=MAX_BODY_BYTES, buffered_body_bytes=0)
         self._transport: Any = None
         self._waiter: asyncio.Future[None] | None = None
         self._is_lost = False
@@ -97,12 +97,12 @@
         reader = self._reader
         while True:
             try:
-                message = reader.next()
-                while message is not None and message.first[0].startswith(b"1"):
-                    message = reader.next()
+                message = reader.next_message()
+                while message is not None and message.start_line[0].startswith(b"1"):
+                    message = reader.next_message()
                 if message is None and reader.message is not None:
-                    message = reader.begin()
-            except BadMessage as bad:
+                    message = reader.open_message()
+            except MalformedMessage as bad:
                 raise self._failed(f"no answer: {bad}") from bad
             if message is not None:
                 return message
@@ -110,7 +110,7 @@
 
     async def _skip(self, message: Message) -> None:
         """Read a response to another request to its end."""
-        is_complete = not message.open
+        is_complete = not message.is_open
         while not is_complete:
             _, is_complete = await self.read_body()
 
@@ -121,12 +121,12 @@
         """
         while True:
             try:
-                data, is_complete = self._reader.more()
-            except BadMessage as bad:
+                data, is_complete = self._reader.read_body()
+            except MalformedMessage as bad:
                 raise self._failed(f"broken answer: {bad}") from bad
             if data or is_complete:
                 return data, is_complete
-            if self._is_lost and self._is_closed_by_peer and self._reader.end() is not None:
+            if self._is_lost and self._is_closed_by_peer and self._reader.end_of_input() is not None:
                 return b"", True  # a body without a length lasts until the close
             await self._more_bytes()
 
@@ -149,7 +149,7 @@
     def finish_response(self, message: Message, now: float) -> None:
         """Note that the response was read to its end: the connection may be kept for a next request."""
         self._is_busy = False
-        is_clean = message.keep_alive and not self._reader.started and self.is_usable
+        is_clean = message.keep_alive and not self._reader.has_partial_message and self.is_usable
         self.is_reusable = is_clean
         if not is_clean:
             self.abort()
--- a/wheatring/sidecar/endpoint_response.py
+++ b/wheatring/sidecar/endpoint_response.py
@@ -24,7 +24,7 @@
     @property
     def status(self) -> int:
         """The HTTP status."""
-        return int(self.message.first[0])
+        return int(self.message.start_line[0])
 
 
 @dataclass(slots=True)
--- a/wheatring/sidecar/forwarder.py
+++ b/wheatring/sidecar/forwarder.py
@@ -144,7 +144,7 @@
             )
         if status >= 500:
             body = await self.read_full_body(response)
-            self.error_response = ErrorResponse(status, message.end_to_end(), body)
+            self.error_response = ErrorResponse(status, message.end_to_end_lines(), body)
             raise AttemptFailedError(ExecutionState.RAN, i.Outcome.ERROR, f"status {status}")
         self._response = response
         return response
@@ -152,7 +152,7 @@
     async def read_full_body(self, response: EndpointResponse) -> bytes:
         """Return all of a response's body. Raises AttemptFailedError where it breaks off."""
         chunks = [response.message.body]
-        is_complete = not response.message.open
+        is_complete = not response.message.is_open
         while not is_complete:
             data, is_complete = await response.connection.read_body()
             chunks.append(data)
--- a/wheatring/sidecar/outgoing_request.py
+++ b/wheatring/sidecar/outgoing_request.py
@@ -38,13 +38,13 @@
 
     def encode(self, endpoint: str, remaining_seconds: float) -> bytes:
         """Return the bytes for one endpoint, which has so much time left."""
-        method, target = self.message.first
+        method, target = self.message.start_line
         resumed = b"Last-Event-Id: %s\r\n" % self.last_event_id if self.last_event_id else b""
         length = b"Content-Length: %d\r\n" % len(self.body) if self.body or method != b"GET" else b""
         return b"".join(
             (
                 b"%s %s HTTP/1.1\r\n" % (method, target),
-                self.message.end_to_end(*_OWN_FIELDS),
+                self.message.end_to_end_lines(*_OWN_FIELDS),
                 resumed,
                 b"Wheatring-Deadline-Ms: %d\r\n" % max(1, int(remaining_seconds * 1000)),
                 b"Wheatring-Expected-Instance: %s\r\n" % endpoint.encode("latin-1"),
--- a/wheatring/sidecar/plain_requests.py
+++ b/wheatring/sidecar/plain_requests.py
@@ -57,12 +57,12 @@
         """
         message = response.message
         body = message.body
-        is_complete = not message.open
+        is_complete = not message.is_open
         while not is_complete and len(body) < STREAMING_THRESHOLD_BYTES:
             data, is_complete = await response.connection.read_body()
             body += data
         if is_complete:
-            client.send_response(response.status, message.end_to_end(), body)
+            client.send_response(response.status, message.end_to_end_lines(), body)
             forwarder.record_success(response)
         else:
             await self._pass_on_chunks(client, forwarder, response, body)
@@ -72,8 +72,8 @@
     ) -> None:
         """Pass a large response on as it comes; `body` is what has come so far."""
         message = response.message
-        client.start_response(response.status, message.end_to_end(), message.length)
-        write = client.write_chunk if message.length is None else client.write_body
+        client.start_response(response.status, message.end_to_end_lines(), message.content_length)
+        write = client.write_chunk if message.content_length is None else client.write_body
         write(body)
         is_complete = False
         try:
@@ -85,6 +85,6 @@
             log_event("answer-broken-off", error=repr(error))
             client.abort_response()
             return
-        if message.length is None:
+        if message.content_length is None:
             client.finish_chunked_response()
         forwarder.record_success(response)
--- a/wheatring/sidecar/process.py
+++ b/wheatring/sidecar/process.py
@@ -183,7 +183,7 @@
     async def _answer_readiness(
         self, client: ClientConnection, message: Message, _received_at: float
     ) -> None:
-        is_known = message.first[1].partition(b"?")[0] == b"/readiness"
+        is_known = message.start_line[1].partition(b"?")[0] == b"/readiness"
         client.send_response(404 if not is_known else 200 if self.is_ready else 503)
 
     async def _sweep(self) -> None:
--- a/wheatring/sidecar/request_service.py
+++ b/wheatring/sidecar/request_service.py
@@ -77,7 +77,7 @@
 
     async def _answer(self, client: ClientConnection, message: Message, received_at: float) -> None:
         table = await self._wait_for_table()
-        path = headers.decode_text(message.first[1]).partition("?")[0]
+        path = headers.decode_text(message.start_line[1]).partition("?")[0]
         route = table.find(headers.decode_text(message.fields.get(b"host")), path)
         if route is None:
             raise RequestRejectedError(404, "no route")
--- a/wheatring/sidecar/streaming_requests.py
+++ b/wheatring/sidecar/streaming_requests.py
@@ -58,10 +58,10 @@
             if not self.is_started:
                 if response.status != 200:
                     body = await self.forwarder.read_full_body(response)
-                    self.client.send_response(response.status, response.message.end_to_end(), body)
+                    self.client.send_response(response.status, response.message.end_to_end_lines(), body)
                     self.forwarder.record_success(response)
                     return False
-                self.client.start_response(response.status, response.message.end_to_end())
+                self.client.start_response(response.status, response.message.end_to_end_lines())
                 self.is_started = True
             try:
                 async with asyncio.timeout_at(self.request.deadline):
@@ -78,7 +78,7 @@
         """Pass events on as they come. Raises AttemptFailedError where the stream breaks off."""
         parser = EventParser()
         message = response.message
-        data, is_complete = message.body, not message.open
+        data, is_complete = message.body, not message.is_open
         while True:
             events = parser.feed(data) if data else []
             if events:
