--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -270,7 +270,7 @@
     assert push.state == "offered"
     where = ("127.5.0.1", 7000)
     ((_, told),) = plans.receive(at, "n0", where, StorePlan(push.digest, 100, where))
-    assert isinstance(told, PlanStored) and told.start == plans.fleet.incarnation and not told.code
+    assert isinstance(told, PlanStored) and told.incarnation == plans.fleet.incarnation and not told.code
     assert plans.receive(at, "n1", where, StorePlan(b"other", 99, where)) == [] == plans.fleet.fetch_requests
 
 
--- a/tests/plan/test_messages.py
+++ b/tests/plan/test_messages.py
@@ -35,7 +35,7 @@
     ),
     "plan-pushed-short": RolloutStatus(DIGEST, 7, 123456, RolloutState.COMMITTED, version=9),
     "plan-hold": StorePlan(DIGEST, epoch=7, source=("127.0.0.1", 7000)),
-    "plan-holds": PlanStored(DIGEST, epoch=7, start=1700000000),
+    "plan-holds": PlanStored(DIGEST, epoch=7, incarnation=1700000000),
     "plan-holds-unreadable": PlanStored(
         DIGEST, 7, 1700000000, code="plan-format-unknown", what="format: 3", do="Upgrade."
     ),
--- a/tests/skew/test_messages.py
+++ b/tests/skew/test_messages.py
@@ -36,10 +36,10 @@
 MESSAGES = {
     "survey": CapabilityRequest(check_id=77, digest=DIGEST, size_bytes=2048),
     "survey-admission": CapabilityRequest(check_id=0),
-    "able": CapabilityResponse(check_id=77, start=5, capabilities=CAPABILITIES),
+    "able": CapabilityResponse(check_id=77, incarnation=5, capabilities=CAPABILITIES),
     "try": TrialRequest(check_id=77, digest=DIGEST, size_bytes=2048, day=20_700),
-    "tried": TrialResult(check_id=77, start=5, result=RESULT, count=1000),
-    "tried-error": TrialResult(check_id=77, start=5, result=b"", count=0, error="not compiled"),
+    "tried": TrialResult(check_id=77, incarnation=5, result=RESULT, count=1000),
+    "tried-error": TrialResult(check_id=77, incarnation=5, result=b"", count=0, error="not compiled"),
     "show": AnswerRequest(check_id=77, prefix_length=500),
     "shown": AnswerResponse(77, 5, 500, RESULT, trial="GET /a host=any.test", answer="shop blue=9 green=1"),
 }
--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -185,7 +185,7 @@
         self.skew.stop_check()
         return []
 
-    def receive(self, at: Instant, sender: str, address: tuple[str, int], word: object) -> list[Outgoing]:
+    def receive(self, at: Instant, sender: str, address: tuple[str, int], message: object) -> list[Outgoing]:
         """Ignore messages: none is for this component."""
         return []
 
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -23,12 +23,12 @@
     """An acceptor that accepts a lower epoch than it has promised."""
 
     def _on_leader_request(
-        self, at: Instant, address: Any, word: RegisterPrepare | RegisterAccept
+        self, at: Instant, address: Any, message: RegisterPrepare | RegisterAccept
     ) -> list[Outgoing]:
-        self.promised_epoch = min(self.promised_epoch, word.epoch)
-        if isinstance(word, RegisterAccept) and word.epoch < self.accepted.epoch:
+        self.promised_epoch = min(self.promised_epoch, message.epoch)
+        if isinstance(message, RegisterAccept) and message.epoch < self.accepted.epoch:
             self.accepted = NO_ENTRY
-        return super()._on_leader_request(at, address, word)
+        return super()._on_leader_request(at, address, message)
 
 
 class SkipsFoundEntry(ReplicatedRegister):
@@ -48,10 +48,10 @@
         return super().tick(at)
 
     def _on_leader_request(
-        self, at: Instant, address: Any, word: RegisterPrepare | RegisterAccept
+        self, at: Instant, address: Any, message: RegisterPrepare | RegisterAccept
     ) -> list[Outgoing]:
         self.has_recovered = True
-        return super()._on_leader_request(at, address, word)
+        return super()._on_leader_request(at, address, message)
 
 
 class GoesBack(ReplicatedRegister):
@@ -102,12 +102,12 @@
     """Counts a stamp's age from its arrival instead of from when it was made."""
 
     def _on_health_response(
-        self, at: Instant, sender: str, address: Any, word: HealthCheckResponse
+        self, at: Instant, sender: str, address: Any, message: HealthCheckResponse
     ) -> list[Outgoing]:
         before = self.stamp[:2]
-        out = super()._on_health_response(at, sender, address, word)
+        out = super()._on_health_response(at, sender, address, message)
         if self.stamp[:2] != before:
-            self.stamp_time = at.now - word.age_seconds
+            self.stamp_time = at.now - message.age_seconds
         return out
 
 
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -24,16 +24,16 @@
 STEPS = 500
 STEP_SECONDS = 0.05  # seconds
 INITIAL_UPTIME_SECONDS = 100.0  # seconds that all have been up for at the beginning
-DUPLICATE_CHANCE, RESTART_CHANCE, PUT_CHANCE = 0.05, 0.012, 0.3  # chances: of a word, and in a step
-# Drawn for each order: chances that a word is lost, that one that tells what is chosen is, that a word is
-# late, and that a term ends in a step.
+DUPLICATE_CHANCE, RESTART_CHANCE, PUT_CHANCE = 0.05, 0.012, 0.3  # chances: of a message, and in a step
+# Drawn for each order: chances that a message is lost, that one about a committed entry is lost, that one is
+# delayed, and that a term ends in a step.
 LOSS_CHANCES, CHOSEN_LOSS_CHANCES, DELAY_CHANCES, TERM_END_CHANCES = (
     (0.1, 0.3),
     (0.1, 0.9),
     (0.05, 0.4),
     (0.02, 0.05),
 )
-MAX_DELAY_SECONDS = 8.0  # seconds by which a late word is late, at most
+MAX_DELAY_SECONDS = 8.0  # seconds by which a late message is late, at most
 
 MakeRegister = Callable[..., ReplicatedRegister]
 
@@ -76,13 +76,13 @@
 
     def to_voters(self, said: list[tuple[str, Any]]) -> list[tuple[Address, Any]]:
         """Return messages with the addresses of the voters that they are for."""
-        return [((name, 1), word) for name, word in said]
+        return [((name, 1), message) for name, message in said]
 
-    def broadcast(self, word: Any, audience: Any = None) -> list[tuple[Address, Any]]:
+    def broadcast(self, message: Any, audience: Any = None) -> list[tuple[Address, Any]]:
         """Return a message to all other members."""
-        return [((name, 1), word) for name in self.order.names if name != self.me.name]
+        return [((name, 1), message) for name in self.order.names if name != self.me.name]
 
-    def relay(self, word: Any) -> list[tuple[Address, Any]]:
+    def relay(self, message: Any) -> list[tuple[Address, Any]]:
         """Relay nothing."""
         return []
 
@@ -185,26 +185,26 @@
         self.messages = [one for one in self.messages if one[0] > self.now]
         self.random.shuffle(may)
         for _ in range(self.random.randint(0, len(may))):
-            _, source, target, word = may.pop()
+            _, source, target, message = may.pop()
             if self.random.random() < DUPLICATE_CHANCE:
                 self.messages.append(
-                    (self.now + MAX_DELAY_SECONDS * self.random.random(), source, target, word)
+                    (self.now + MAX_DELAY_SECONDS * self.random.random(), source, target, message)
                 )
-            self.send(target, self.registers[target].receive(self.at, source, (source, 1), word))
+            self.send(target, self.registers[target].receive(self.at, source, (source, 1), message))
         self.messages += may
 
     def send(self, name: str, out: list[Any]) -> None:
         """Queue messages of a member, with losses and delays, and give it the bodies that it wants."""
-        for address, word in out:
+        for address, message in out:
             if self.random.random() >= (
-                self.chosen_loss_chance if isinstance(word, EntryChosen) else self.loss_chance
+                self.chosen_loss_chance if isinstance(message, EntryChosen) else self.loss_chance
             ):
                 late = (
                     MAX_DELAY_SECONDS * self.random.random()
                     if self.random.random() < self.delay_chance
                     else 0.0
                 )
-                self.messages.append((self.now + late, name, address[0], word))
+                self.messages.append((self.now + late, name, address[0], message))
         del self.messages[:-400]
         fleet = self.fleets[name]
         fetches, fleet.fetch_requests = fleet.fetch_requests, []
--- a/wheatring/plan/agent.py
+++ b/wheatring/plan/agent.py
@@ -49,7 +49,7 @@
 
 
 class PlanAgent:
-    """A component of the fleet (`lease.fleet.FleetComponent`), with its `register` as another beside it.
+    """A `lease.component.FleetComponent`, with its `register` as another one beside it.
 
     `on_commit` is called with each plan that is applied from then on: complete, and newer than the one
     before. `leader.check` may be set before the first tick.
@@ -131,20 +131,20 @@
 
     # Messages
 
-    def receive(self, at: Instant, sender: str, address: Address, word: AnyPlanMessage) -> list[Outgoing]:
+    def receive(self, at: Instant, sender: str, address: Address, message: AnyPlanMessage) -> list[Outgoing]:
         """Handle a message, as the leader or as a member."""
-        match word:
+        match message:
             case ProposePlan():
-                out = self.leader.handle_proposal(at, sender, address, word)
+                out = self.leader.handle_proposal(at, sender, address, message)
                 if self.leader.rollout is not None:
                     self.next = min(self.next, at.now + STEP_SECONDS)
                 return out
             case RolloutStatus():
-                self.proposals.handle_status(word)
+                self.proposals.handle_status(message)
             case StorePlan():
-                return self._handle_store_request(address, word)
+                return self._handle_store_request(address, message)
             case PlanStored():
-                self.leader.handle_stored(at, sender, word)
+                self.leader.handle_stored(at, sender, message)
         return []
 
     def _handle_store_request(self, address: Address, message: StorePlan) -> list[Outgoing]:
@@ -156,7 +156,7 @@
         self.fleet.fetch_requests.append(FetchRequest(message.source, message.digest))
         return []
 
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
+    def receive_payload(self, _at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         """Report a body that has arrived to the leader that wants it stored."""
         if body is None or self.store_request is None or self.store_request[0].digest != digest:
             return []  # the leader asks again
--- a/wheatring/plan/leader.py
+++ b/wheatring/plan/leader.py
@@ -1,6 +1,6 @@
 """The leader's side of a rollout: from a proposal to a committed plan.
 
-A rollout lives in one term of the duty `lead`; with the term all of this is lost. `RolloutLeader` alone moves
+A rollout lives in one term of the role `lead`; with the term all of this is lost. `RolloutLeader` alone moves
 its state, in its steps and by what the register commits:
 
     PROPOSED    the body is fetched from the proposer; complete and readable  -> SURVEYING
@@ -64,7 +64,7 @@
 
 
 class RolloutLeader:
-    """Leads one rollout at a time while this sidecar holds the duty `lead`.
+    """Leads one rollout at a time while this sidecar holds the role `lead`.
 
     Without a `check` (None) a member is compatible once it has stored and parsed the plan, and no trials are
     evaluated.
@@ -151,9 +151,9 @@
             return
         if message.code:
             reason = Reason(sender, message.code, message.what, message.do)
-            rollout.rejections[sender, message.start] = reason
+            rollout.rejections[sender, message.incarnation] = reason
         else:
-            rollout.stored_by.add((sender, message.start))
+            rollout.stored_by.add((sender, message.incarnation))
 
     def entry_committed(self, entry: Entry) -> list[Outgoing]:
         """Finish the rollout if the register has committed its plan."""
--- a/wheatring/plan/messages.py
+++ b/wheatring/plan/messages.py
@@ -90,11 +90,11 @@
 class PlanStored(PlanMessage, frozen=True, tag="plan-holds"):
     """From a member to the leader: the body is stored and readable, or (`code`) can't be read here.
 
-    `start` tells this process from earlier ones of its name.
+    `incarnation` tells this process from earlier ones of its name.
     """
 
     epoch: int
-    start: int
+    incarnation: int
     code: str = ""
     what: str = ""
     do: str = ""
--- a/wheatring/plan/proposals.py
+++ b/wheatring/plan/proposals.py
@@ -56,7 +56,7 @@
 
 
 def find_leader(fleet: Fleet) -> KnownLeader:
-    """Return who holds the duty `lead`, and where it can be reached."""
+    """Return who holds the role `lead`, and where it can be reached."""
     name, epoch = fleet.last_known_holder(LEADER_ROLE)
     if name == fleet.me.name:
         return KnownLeader(name, epoch, (fleet.me.host, fleet.me.port))
--- a/wheatring/plan/rollout.py
+++ b/wheatring/plan/rollout.py
@@ -13,7 +13,7 @@
 from wheatring.plan.document import Plan
 from wheatring.plan.messages import RolloutState
 
-ProcessKey = tuple[str, int]  # a member's process: its name, and its start
+ProcessKey = tuple[str, int]  # a member's process: its name, and its incarnation
 ProposalKey = tuple[str, int]  # a proposal: the sidecar that made it, and its number there
 
 
--- a/wheatring/schedule/fleet_clock.py
+++ b/wheatring/schedule/fleet_clock.py
@@ -33,7 +33,7 @@
 
 MAX_UNCERTAINTY_SECONDS = 0.25  # of a time that is sure
 VOTER_ERROR_SECONDS = 0.025  # of a voter's clock, its reading in whole ms among it
-MAX_RATE_ERROR = 0.01  # of a second of the own clock, as in `lease.terms.Terms`
+MAX_RATE_ERROR = 0.01  # of a second of the own clock, as in `lease.timing.LeaseTiming`
 RATE_WANDER = 200e-6  # by which the rate of the own clock may differ from what was measured
 POLL_SECONDS = 10.0  # from one request to the next as a rule,
 SOON_POLL_SECONDS = 1.0  # when a fix is needed,
@@ -120,7 +120,7 @@
 
 
 class FleetClock:
-    """A fleet component (`lease.fleet.FleetComponent`). `events` are for the caller to log and to clear."""
+    """A `lease.component.FleetComponent`. Its `events` are for the caller to log and to clear."""
 
     message_types: tuple[type, ...] = (TimeRequest, TimeResponse)
 
@@ -181,15 +181,17 @@
 
     # Messages
 
-    def receive(self, at: Instant, sender: str, address: Address, word: AnyScheduleMessage) -> list[Outgoing]:
+    def receive(
+        self, at: Instant, sender: str, address: Address, message: AnyScheduleMessage
+    ) -> list[Outgoing]:
         """Answer with the own wall clock where this sidecar votes, or take over a voter's answer."""
         self._detect_suspension(at)
-        if isinstance(word, TimeResponse):
-            self._handle_response(at, sender, word)
+        if isinstance(message, TimeResponse):
+            self._handle_response(at, sender, message)
             return []
         if not self.fleet.is_voter():
             return []
-        return [(address, TimeResponse(word.seq, at.wall / 1000, VOTER_ERROR_SECONDS))]
+        return [(address, TimeResponse(message.seq, at.wall / 1000, VOTER_ERROR_SECONDS))]
 
     def _handle_response(self, at: Instant, sender: str, response: TimeResponse) -> None:
         request = self.pending.get(response.seq)
@@ -207,7 +209,7 @@
         self.answers.update((name, interval) for name in names)
         self._update_fix(at.now)
 
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
+    def receive_payload(self, _at: Instant, _digest: bytes, _body: bytes | None) -> list[Outgoing]:
         """Ignore bodies: the fleet's time needs none."""
         return []
 
--- a/wheatring/skew/capability_table.py
+++ b/wheatring/skew/capability_table.py
@@ -24,17 +24,17 @@
 
 
 class CapabilityTable:
-    """What processes can read, by name and start. The one longest not heard of is dropped first."""
+    """What processes can read, by name and incarnation. The one longest not heard of is dropped first."""
 
     def __init__(self) -> None:
         self.known: OrderedDict[tuple[str, int], Capabilities] = OrderedDict()
         self.pending: dict[tuple[str, int], _PendingRequest] = {}
 
-    def record(self, name: str, start: int, capabilities: Capabilities) -> None:
+    def record(self, name: str, incarnation: int, capabilities: Capabilities) -> None:
         """Take over what a process has answered."""
-        self.pending.pop((name, start), None)
-        self.known[name, start] = capabilities
-        self.known.move_to_end((name, start))
+        self.pending.pop((name, incarnation), None)
+        self.known[name, incarnation] = capabilities
+        self.known.move_to_end((name, incarnation))
         while len(self.known) > MAX_PROCESSES:
             self.known.popitem(last=False)
 
--- a/wheatring/skew/checker.py
+++ b/wheatring/skew/checker.py
@@ -57,7 +57,7 @@
 
 
 class CompatibilityChecker:
-    """A component of the fleet (`lease.fleet.FleetComponent`) and a `plan.compatibility.CompatibilityCheck`.
+    """A `lease.component.FleetComponent`, and a `plan.compatibility.CompatibilityCheck`.
 
     Parameters
     ----------
@@ -151,32 +151,32 @@
     # Messages
 
     def receive(
-        self, at: Instant, sender: str, address: Address, word: AnySkewMessage | JoinRequest
+        self, at: Instant, sender: str, address: Address, message: AnySkewMessage | JoinRequest
     ) -> list[Outgoing]:
         """Handle a message, as the leader or as a member."""
-        match word:
+        match message:
             case JoinRequest():
                 # Asked at once, so that the answer is there when those that want to enter are admitted.
-                is_own = word.member.member.name == sender
-                if is_own and self.is_plan_stable() and self.admission_refusals(at, word.member):
+                is_own = message.member.member.name == sender
+                if is_own and self.is_plan_stable() and self.admission_refusals(at, message.member):
                     return self._step(at)
             case CapabilityRequest() | TrialRequest() | AnswerRequest():
-                return self.participant.hear(at, address, word)
+                return self.participant.handle(at, address, message)
             case CapabilityResponse():
-                self._record(sender, word)
+                self._record(sender, message)
         if (
-            isinstance(word, CapabilityResponse | TrialResult | AnswerResponse)
+            isinstance(message, CapabilityResponse | TrialResult | AnswerResponse)
             and self.coordinator is not None
         ):
-            self.coordinator.handle(sender, word)
+            self.coordinator.handle(sender, message)
         return []
 
     def _record(self, sender: str, message: CapabilityResponse) -> None:
         """Take over the capabilities of a process that was asked for them."""
-        key = (sender, message.start)
+        key = (sender, message.incarnation)
         is_checked = self.coordinator is not None and key in self.coordinator.members
         if is_checked or key in self.capability_table.pending:
-            self.capability_table.record(sender, message.start, message.capabilities)
+            self.capability_table.record(sender, message.incarnation, message.capabilities)
 
     def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
         """Compile a body that has arrived, where its trials are wanted."""
--- a/wheatring/skew/coordinator.py
+++ b/wheatring/skew/coordinator.py
@@ -33,7 +33,7 @@
 )
 from wheatring.skew.requirements import Requirements, refusal, unmet_requirements
 
-ProcessKey = tuple[str, int]  # a member's process: its name, and its start
+ProcessKey = tuple[str, int]  # a member's process: its name, and its incarnation
 
 STEP_SECONDS = 0.05  # from one step to the next
 RETRY_SECONDS = 0.5  # until a member that has not answered is asked again
@@ -111,7 +111,7 @@
 
     def handle(self, sender: str, message: CapabilityResponse | TrialResult | AnswerResponse) -> None:
         """Take over an answer, if it is to this check and from a process of the view."""
-        key = (sender, message.start)
+        key = (sender, message.incarnation)
         member = self.members.get(key)
         if message.check_id != self.check_id or member is None:
             return
--- a/wheatring/skew/messages.py
+++ b/wheatring/skew/messages.py
@@ -24,10 +24,10 @@
 
 
 class CapabilityResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="able"):
-    """From a member; `start` tells its process from earlier ones of its name."""
+    """From a member; `incarnation` tells its process from earlier ones of its name."""
 
     check_id: int
-    start: int
+    incarnation: int
     capabilities: Capabilities
 
 
@@ -47,7 +47,7 @@
     """From a member: the digest of all `count` trials with their answers, or why there is none (`error`)."""
 
     check_id: int
-    start: int
+    incarnation: int
     result: bytes
     count: int
     error: str = ""
@@ -64,7 +64,7 @@
     """From a member: that digest, and what the last trial asks and its answer as a person reads them."""
 
     check_id: int
-    start: int
+    incarnation: int
     prefix_length: int
     result: bytes
     trial: str
--- a/wheatring/skew/participant.py
+++ b/wheatring/skew/participant.py
@@ -98,7 +98,7 @@
             out += self._report(run)
         return out
 
-    def hear(
+    def handle(
         self, at: Instant, address: Address, message: CapabilityRequest | TrialRequest | AnswerRequest
     ) -> list[Outgoing]:
         """Handle a message of a leader."""
