--- a/tests/agree/test_agreed_figures.py
+++ b/tests/agree/test_agreed_figures.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from wheatring.commands.fleet import view_shown
+from wheatring.commands.fleet import view_line
 from wheatring.lab.live.view_cases import ViewHistory, view_entries
 
 
@@ -43,8 +43,8 @@
         "number": 7, "members": 3, "inside": False, "sure": False, "age_s": None, "leads": False,
         "side": "deaf", "deaf": ["x"], "waits": [4.5, "it went out again and again"],
     }  # fmt: skip
-    line = view_shown(view)
+    line = view_line(view)
     assert "view 7" in line and "does not stand in" in line and "is deaf" in line and "waits 4.5 s" in line
-    assert "may count on it, a leader stood by it 1 s ago, leads" in view_shown(
+    assert "may count on it, a leader stood by it 1 s ago, leads" in view_line(
         {**view, "inside": True, "sure": True, "age_s": 1.0, "leads": True, "side": "", "waits": None}
     )
--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/test_study_commands.py
@@ -24,7 +24,7 @@
 
 
 def lab(*words: str) -> int:
-    args = commands.parser().parse_args(["lab", *words])
+    args = commands.build_parser().parse_args(["lab", *words])
     if hasattr(args, "run"):
         args.run, args.workers = RUN, 2
     return commands.run(args)
@@ -64,7 +64,7 @@
 def test_what_can_not_be_meant_is_one_line(
     words: list[str], why: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    args = commands.parser().parse_args(["lab", "sweep", "calm", *words])
+    args = commands.build_parser().parse_args(["lab", "sweep", "calm", *words])
     assert commands.run(args) == 2
     out, err = capsys.readouterr()
     assert out == "" and why in err and err.count("\n") == 1
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -146,7 +146,7 @@
         for length in range(4):
             told = parse_simple(words[:length])
             if told is not None:
-                args = commands.parser().parse_args(words[:length])
+                args = commands.build_parser().parse_args(words[:length])
                 assert told == (getattr(args, "operators", None), args.capture, args.config)
                 assert args.call is None
     assert parse_simple(("--operators", "x", "--capture", "--config", "y")) == ("x", True, "y")
--- a/wheatring/__main__.py
+++ b/wheatring/__main__.py
@@ -41,9 +41,9 @@
         return serving.serve(operator_properties.find(operators_path), capture, configuration_path)
     from wheatring import commands
 
-    args = commands.parser().parse_args(words)
+    args = commands.build_parser().parse_args(words)
     if args.call is None:
-        return serving.serve(commands.operators_file(args), args.capture, args.config)
+        return serving.serve(commands.operator_file_path(args), args.capture, args.config)
     return commands.run(args)
 
 
--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: its words, and the commands that don't serve."""
+"""The command line: its arguments, and the commands that don't serve."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 from wheatring.commands import fleet, lab
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
+    """Return the parser of the program's arguments."""
     # The same option before or after a command: absent, it must not undo the other place's.
     file = argparse.ArgumentParser(add_help=False)
     file.add_argument(
@@ -29,7 +30,7 @@
 
     check = groups.add_parser("check", help="tell whether the project's own file can be used")
     check.add_argument("file")
-    check.set_defaults(call=config_check)
+    check.set_defaults(call=check_config)
 
     drill = groups.add_parser("drill", help="make drills").add_subparsers(required=True, metavar="COMMAND")
     sign = drill.add_parser("sign", parents=[file], help="print a drill's plan with its signature")
@@ -37,88 +38,94 @@
         "plan", nargs="?",
         help="class=NAME;from=MS;until=MS, in Unix milliseconds (default: the file's drill.plan)",
     )  # fmt: skip
-    sign.set_defaults(call=drill_sign)
+    sign.set_defaults(call=sign_drill)
 
     audit = groups.add_parser("audit", help="check audits").add_subparsers(required=True, metavar="COMMAND")
     verify = audit.add_parser("verify", parents=[file], help="find the first bad line of a saved log")
     verify.add_argument("file")
-    verify.set_defaults(call=audit_verify)
+    verify.set_defaults(call=verify_audit)
 
     token = groups.add_parser("token", help="make tokens").add_subparsers(required=True, metavar="COMMAND")
     issue = token.add_parser("issue", parents=[file], help="print a token, made with tokens.issue.kid")
     issue.add_argument("--holder", required=True, help="whom it is for")
     issue.add_argument("--rights", required=True, help="the classes that it opens, with commas between")
     issue.add_argument("--ttl", required=True, type=int, metavar="SECONDS", help="how long it is good")
-    issue.set_defaults(call=token_issue)
+    issue.set_defaults(call=issue_token)
 
     record = groups.add_parser("capture", help="read records")
     again = record.add_subparsers(required=True, metavar="COMMAND").add_parser(
         "replay", parents=[file], help="tell each decision that differs"
     )
     again.add_argument("folder", type=Path)
-    again.set_defaults(call=capture_replay)
+    again.set_defaults(call=replay_capture)
 
     fleet.add(groups)
     lab.add(groups)
     return top
 
 
-def operators_file(args: argparse.Namespace) -> str | None:
+def operator_file_path(args: argparse.Namespace) -> str | None:
+    """Return the operators' file that is to be read, if any."""
     return operator_properties.find(getattr(args, "operators", None))
 
 
-def config_check(args: argparse.Namespace) -> int:
+def check_config(args: argparse.Namespace) -> int:
+    """Tell whether the project's own file can be used."""
     from wheatring.config.exceptions import ProjectFileError
     from wheatring.daemon.configuration import read_configuration
 
     try:
         read_configuration(args.file)
-    except ProjectFileError as bad:
-        print(f"wheatring: {bad}", file=sys.stderr)
+    except ProjectFileError as error:
+        print(f"wheatring: {error}", file=sys.stderr)
         return 2
     print(f"{args.file}: ok")
     return 0
 
 
-def drill_sign(args: argparse.Namespace) -> int:
+def sign_drill(args: argparse.Namespace) -> int:
+    """Print a drill's plan with its signature."""
     from wheatring.ops import drills
 
-    told = operator_properties.read(operators_file(args)).drill
-    print(drills.signed(told if args.plan is None else replace(told, plan=args.plan)))
+    drill = operator_properties.read(operator_file_path(args)).drill
+    print(drills.signed(drill if args.plan is None else replace(drill, plan=args.plan)))
     return 0
 
 
-def audit_verify(args: argparse.Namespace) -> int:
+def verify_audit(args: argparse.Namespace) -> int:
+    """Print the first bad line of a saved audit log."""
     from wheatring.ops import audit
 
-    with open(args.file, "rb") as file:
-        bad = audit.verify(file)
-    print(bad or "ok")
+    with Path(args.file).open("rb") as file:
+        fault = audit.verify(file)
+    print(fault or "ok")
     print(audit.UNSEEN)
-    return 1 if bad else 0
+    return 1 if fault else 0
 
 
-def token_issue(args: argparse.Namespace) -> int:
+def issue_token(args: argparse.Namespace) -> int:
+    """Print a token. Raises NotIssued where it can't be made."""
     from wheatring.ops import tokens
 
     if args.ttl < 1:
         raise tokens.NotIssued("--ttl: must be 1 or more")
-    told = operator_properties.read(operators_file(args)).tokens
-    print(tokens.issue(told, args.holder, args.rights, int(time.time()) + args.ttl))
+    settings = operator_properties.read(operator_file_path(args)).tokens
+    print(tokens.issue(settings, args.holder, args.rights, int(time.time()) + args.ttl))
     return 0
 
 
-def capture_replay(args: argparse.Namespace) -> int:
+def replay_capture(args: argparse.Namespace) -> int:
+    """Print each decision of a capture that this program takes differently."""
     from wheatring.ops.capture import replay
 
     return 0 if replay.replay(args.folder, print) else 1
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carry out a command; what can't be done is one line and status 2."""
+    """Carry out a command and return its status; what can't be done is one line and status 2."""
     try:
         status: int = args.call(args)
-    except (operator_properties.OperatorFileError, OSError) as bad:
-        print(f"wheatring: {bad}", file=sys.stderr)
+    except (operator_properties.OperatorFileError, OSError) as error:
+        print(f"wheatring: {error}", file=sys.stderr)
         return 2
     return status
--- a/wheatring/commands/lab.py
+++ b/wheatring/commands/lab.py
@@ -1,7 +1,8 @@
 """`wheatring lab ...`: scenarios listed, checked, drawn to plans, played.
 
-Each command is one function `add_NAME(commands)`, named in COMMANDS, which makes its parser by `command`.
-What its call needs of the lab is imported within the call: the program starts without the lab's packages.
+Each command is one function `add_NAME(commands)`, listed in COMMAND_ADDERS, which makes its parser by
+`add_command`. What its call needs of the lab is imported within the call: the program starts without the
+lab's packages.
 """
 
 from __future__ import annotations
@@ -22,47 +23,37 @@
     lab_study,
     lab_views,
 )
+from wheatring.commands.lab_errors import reports_errors
 
 if TYPE_CHECKING:
     Commands = argparse._SubParsersAction[argparse.ArgumentParser]
 
 
-def command(
+def add_command(
     commands: Commands,
     name: str,
     call: Callable[[argparse.Namespace], int],
     what: str,
 ) -> argparse.ArgumentParser:
-    """The parser of a further command. A scenario that can't be used ends its call with status 2."""
+    """Add a command, and return its parser. What the lab can't do ends its call with status 2."""
     parser = commands.add_parser(name, help=what, description=what)
-    parser.set_defaults(call=lambda args: _guarded(call, args))
+    parser.set_defaults(call=reports_errors(call))
     return parser
 
 
-def _guarded(call: Callable[[argparse.Namespace], int], args: argparse.Namespace) -> int:
-    try:
-        from wheatring.lab.scenario.load import ScenarioError
-    except ModuleNotFoundError as bad:
-        print(f"wheatring: lab: needs what `pip install wheatring[lab]` installs: {bad}", file=sys.stderr)
-        return 2
-    try:
-        return call(args)
-    except ScenarioError as bad:
-        print(bad, file=sys.stderr)
-        return 2
-
-
-def scenario(parser: argparse.ArgumentParser) -> None:
-    """The words that say which day is meant: `scenario` and `seed`."""
+def add_scenario_arguments(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments that say which day is meant: `scenario` and `seed`."""
     parser.add_argument("scenario", metavar="NAME|FILE", help="of the library, or a TOML file")
     parser.add_argument("--seed", type=int, default=1, metavar="N", help="of the draw (default: 1)")
 
 
 def add_list(commands: Commands) -> None:
-    command(commands, "list", list_scenarios, "the scenarios of the library")
+    """Add the command `list`."""
+    add_command(commands, "list", list_scenarios, "the scenarios of the library")
 
 
-def list_scenarios(args: argparse.Namespace) -> int:
+def list_scenarios(_args: argparse.Namespace) -> int:
+    """Print the scenarios of the library."""
     import textwrap
 
     from wheatring.lab.scenario.load import load, names
@@ -75,20 +66,24 @@
 
 
 def add_check(commands: Commands) -> None:
-    parser = command(commands, "check", check, "tell what is wrong with scenarios, and draw each a few times")
+    """Add the command `check`."""
+    parser = add_command(
+        commands, "check", check, "tell what is wrong with scenarios, and draw each a few times"
+    )
     parser.add_argument(
         "files", nargs="+", metavar="NAME|FILE|lease|views|plan|control",
         help="lease: the deciders of duties' terms; views: of agreed views; plan: of the one plan; "
              "control: consensus, orders, voters and storage of the serving tier",
     )  # fmt: skip
-    lab_lease.add_to(parser)
-    lab_control.add_to(parser)
+    lab_lease.add_arguments(parser)
+    lab_control.add_arguments(parser)
     parser.add_argument(
         "--draws", type=int, default=20, metavar="N", help="seeds to draw each with (default: 20)"
     )
 
 
 def check(args: argparse.Namespace) -> int:
+    """Check scenarios and draw each a few times, or check what one of the reserved names stands for."""
     from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import ScenarioError, load
 
@@ -107,10 +102,10 @@
             for seed in range(1, args.draws + 1):
                 try:
                     draw(found, seed)
-                except ScenarioError as bad:
-                    raise ScenarioError(f"{found.where}: seed {seed}", bad.faults) from None
-        except ScenarioError as bad:
-            print(bad, file=sys.stderr)
+                except ScenarioError as error:
+                    raise ScenarioError(f"{found.where}: seed {seed}", error.faults) from None
+        except ScenarioError as error:
+            print(error, file=sys.stderr)
             status = 2
         else:
             print(f"{where}: ok")
@@ -118,39 +113,43 @@
 
 
 def add_duties(commands: Commands) -> None:
+    """Add the command `duties`."""
     what = "real sidecars that hold a duty, and what is done to them"
-    lab_duties.add(command(commands, "duties", lab_duties.call, what))
+    lab_duties.add(add_command(commands, "duties", lab_duties.call, what))
 
 
 def add_views(commands: Commands) -> None:
+    """Add the command `views`."""
     what = "troubles of a virtual fleet that stands in views, and what is measured of them"
-    lab_views.add(command(commands, "views", lab_views.call, what))
+    lab_views.add(add_command(commands, "views", lab_views.call, what))
 
 
 def add_plan(commands: Commands) -> None:
-    parser = command(commands, "plan", plan, "draw a day, tell its figures, and write it out")
-    scenario(parser)
+    """Add the command `plan`."""
+    parser = add_command(commands, "plan", plan, "draw a day, tell its figures, and write it out")
+    add_scenario_arguments(parser)
     parser.add_argument("--json", metavar="FILE", help="write the whole plan there; -: to standard output")
 
 
 def plan(args: argparse.Namespace) -> int:
+    """Draw a day, and print its figures or the plan itself."""
     import msgspec
 
     from wheatring.lab.scenario.draw import draw, summary
     from wheatring.lab.scenario.load import load
 
     drawn = draw(load(args.scenario), args.seed)
-    told = msgspec.json.format(msgspec.json.encode(drawn), indent=1) + b"\n" if args.json else b""
+    document = msgspec.json.format(msgspec.json.encode(drawn), indent=1) + b"\n" if args.json else b""
     if args.json == "-":
-        print(told.decode(), end="")
+        print(document.decode(), end="")
         return 0
     if args.json:
-        Path(args.json).write_bytes(told)
+        Path(args.json).write_bytes(document)
     print("\n".join(summary(drawn).lines()))
     return 0
 
 
-COMMANDS = (
+COMMAND_ADDERS = (
     add_list,
     add_check,
     add_plan,
@@ -164,8 +163,8 @@
 
 
 def add(groups: Commands) -> None:
-    """The group, under the program's commands."""
+    """Add the group, under the program's commands."""
     group = groups.add_parser("lab", help="play the systems that the sidecar serves, in virtual time")
     commands = group.add_subparsers(required=True, metavar="COMMAND")
-    for add_one in COMMANDS:
-        add_one(commands)
+    for add_command_of in COMMAND_ADDERS:
+        add_command_of(commands)
--- a/wheatring/commands/lab_control.py
+++ b/wheatring/commands/lab_control.py
@@ -5,11 +5,11 @@
 import argparse
 
 
-def add_to(parser: argparse.ArgumentParser) -> None:
-    """Words that count for `control` only."""
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments that count for `control` only."""
     parser.add_argument(
         "--depth", type=int, default=4, metavar="N",
-        help="control: steps of the search_exhaustively searches (default: 4)",
+        help="control: steps of the exhaustive searches (default: 4)",
     )  # fmt: skip
     parser.add_argument(
         "--walks", type=int, default=200, metavar="N",
--- a/wheatring/commands/lab_duties.py
+++ b/wheatring/commands/lab_duties.py
@@ -14,6 +14,7 @@
 
 
 def add(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments of the command `duties`."""
     parser.add_argument(
         "cases",
         nargs="*",
@@ -30,6 +31,7 @@
 
 
 def call(args: argparse.Namespace) -> int:
+    """Play cases with real sidecars, and print whether each promise is kept."""
     from wheatring.lab.live.duty_cases import Measurement, lists, play
     from wheatring.lab.live.plan_cases import play as planned_play
     from wheatring.lab.live.process import ProcessError
@@ -64,6 +66,7 @@
 
 
 def virtual(size: int, seed: int) -> int:
+    """Play the membership alone, in virtual time."""
     from wheatring.lab.leases.membership import blames, costs
 
     for lines in (costs(seed, size), blames(seed, size, 0.05, 0.0), blames(seed, size, 0.0, 0.1)):
--- a/wheatring/commands/lab_lease.py
+++ b/wheatring/commands/lab_lease.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterable
 
 
-def add_to(parser: argparse.ArgumentParser) -> None:
-    """Words that count for `lease` only, but for days and jobs, which `views` and `plan` have too."""
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments that count for `lease`, of which `views` and `plan` have days and jobs too."""
     parser.add_argument(
         "--days", type=int, default=400, metavar="N", help="lease, views, plan: days to play (default: 400)"
     )
@@ -24,6 +24,7 @@
 
 
 def check(args: argparse.Namespace) -> int:
+    """Check the deciders of leases; 1 where one breaks its promise."""
     import os
 
     from wheatring.lab.leases.check import lines
@@ -34,6 +35,7 @@
 
 
 def check_plan(args: argparse.Namespace) -> int:
+    """Check the deciders of the plan; 1 where one breaks its promise."""
     import os
 
     from wheatring.lab.agreement.plan_days import report
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -17,7 +17,7 @@
 
 
 def add(commands: Commands) -> None:
-    """The commands, under `wheatring lab`."""
+    """Add the commands `live`, `fleet`, `bench` and `load`."""
     live = _command(commands, "live", _live, "play a day in real time, with real sidecars on loopback")
     live.add_argument("scenario", metavar="NAME|FILE", help="of the library, or a TOML file")
     live.add_argument("--seed", type=int, default=1, metavar="N", help="of the draw (default: 1)")
@@ -73,7 +73,7 @@
     load.add_argument("--json", type=Path, metavar="FILE", help="write the whole result there")
 
 
-# Checks the words, which may raise ValueError, and gives what is then to be done: that gives the status.
+# Checks the arguments, which may raise ValueError, and returns what is to be run: that returns the status.
 Prepare = Callable[[argparse.Namespace], Callable[[], int]]
 
 
@@ -87,17 +87,17 @@
     try:
         from wheatring.lab.live.process import ProcessError
 
-        job = prepare(args)
-    except ModuleNotFoundError as bad:
-        print(f"wheatring: lab: needs what `pip install wheatring[lab]` installs: {bad}", file=sys.stderr)
+        run = prepare(args)
+    except ModuleNotFoundError as error:
+        print(f"wheatring: lab: needs what `pip install wheatring[lab]` installs: {error}", file=sys.stderr)
         return 2
-    except ValueError as bad:
-        print(f"wheatring: lab: {bad}", file=sys.stderr)
+    except ValueError as error:
+        print(f"wheatring: lab: {error}", file=sys.stderr)
         return 2
     try:
-        return job()
-    except ProcessError as bad:
-        print(f"wheatring: lab: {bad}", file=sys.stderr)
+        return run()
+    except ProcessError as error:
+        print(f"wheatring: lab: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         return 130  # as a shell tells it
@@ -108,7 +108,7 @@
 
 
 def _written(found: Any, lines: Iterable[str], file: Path | None) -> None:
-    """What came of it: whole to a file, where one is told, and in short."""
+    """Write what came of it to a file, where one is named, and print it in short."""
     import msgspec
 
     if file is not None:
@@ -128,7 +128,7 @@
         raise ValueError(f"{found.where}: can't be played on loopback: {', '.join(never)} (--leave-out)")
     plan = scale.scaled(scale.without_kinds(plan, never), args.scale)
 
-    def job() -> int:
+    def run() -> int:
         from wheatring.lab.live.play import play, shown
 
         outcome = play(plan, _progress)
@@ -136,7 +136,7 @@
         _written(outcome, shown(outcome), args.json)
         return 1 if outcome.breach_count else 0
 
-    return job
+    return run
 
 
 def _fleet(args: argparse.Namespace) -> Callable[[], int]:
@@ -154,7 +154,7 @@
     if args.virtual and live_only:
         raise ValueError(f"{args.scenario}: can't be played in virtual time: {', '.join(live_only)}")
 
-    def job() -> int:
+    def run() -> int:
         if args.virtual:
             from wheatring.lab.play import play as play_virtual
 
@@ -172,18 +172,19 @@
         kept = all(kept for kept, _ in list_acquisition.judged(plan, outcome))
         return 0 if kept and not outcome.breach_count else 1
 
-    return job
+    return run
 
 
 def _bench(args: argparse.Namespace) -> Callable[[], int]:
     from wheatring.lab.live import cores
-    from wheatring.lab.live.bench import run, table
+    from wheatring.lab.live.bench import run as bench
+    from wheatring.lab.live.bench import table
 
     for name in ("rounds", "scale", "body"):
         _positive(f"--{name}", getattr(args, name))
-    told = cores.chosen(args.cores) if args.cores else None
-    plain = run.Sizes()
-    sizes = run.Sizes(
+    chosen = cores.chosen(args.cores) if args.cores else None
+    plain = bench.Sizes()
+    sizes = bench.Sizes(
         rounds=args.rounds,
         many=plain.many * args.scale,
         one=plain.one * args.scale,
@@ -191,12 +192,12 @@
         body=args.body,
     )
 
-    def job() -> int:
-        report = run.run(told or cores.idlest(), sizes, _progress)
+    def run() -> int:
+        report = bench.run(chosen or cores.idlest(), sizes, _progress)
         _written(report, table.shown(report), args.json)
         return 0
 
-    return job
+    return run
 
 
 def _load(args: argparse.Namespace) -> Callable[[], int]:
@@ -209,8 +210,8 @@
         raise ValueError("--warm: must be 0 or more")
     try:
         host, port = address.parse(args.server)
-    except ValueError as bad:
-        raise ValueError(f"server: {bad}") from None
+    except ValueError as error:
+        raise ValueError(f"server: {error}") from None
     load = Load(
         host=host,
         port=port,
@@ -225,13 +226,13 @@
         asks=tuple(Ask(name=name, share=share) for name, share in map(_share, args.ask or ["menu-view"])),
     )
 
-    def job() -> int:
+    def run() -> int:
         with Process("load", module("wheatring.lab.live.generator_process")) as process:
             result = play(process, load)
         _written(result, shown(result), args.json)
         return 0 if result.valid else 1
 
-    return job
+    return run
 
 
 def _share(text: str) -> tuple[str, float]:
--- a/wheatring/commands/lab_pace.py
+++ b/wheatring/commands/lab_pace.py
@@ -5,13 +5,14 @@
 import argparse
 from typing import TYPE_CHECKING
 
-from wheatring.commands.lab_study import told
+from wheatring.commands.lab_errors import reports_errors
 
 if TYPE_CHECKING:
     Commands = argparse._SubParsersAction[argparse.ArgumentParser]
 
 
 def add(commands: Commands) -> None:
+    """Add the command `pace`."""
     what = "play one day untraced, and tell how fast it went and how much memory it took"
     pace = commands.add_parser("pace", help=what, description=what)
     pace.add_argument(
@@ -21,7 +22,7 @@
     pace.add_argument("--seed", type=int, default=1, metavar="N", help="of the draw (default: 1)")
     pace.add_argument("--grain", choices=("wire", "exchange"), default="wire", help="default: %(default)s")
     pace.add_argument("--seconds", type=float, metavar="S", help="of the day, at most (default: all of it)")
-    pace.set_defaults(call=told(_pace))
+    pace.set_defaults(call=reports_errors(_pace))
 
 
 def _pace(args: argparse.Namespace) -> int:
--- a/wheatring/commands/lab_run.py
+++ b/wheatring/commands/lab_run.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from wheatring.commands.lab_study import told
+from wheatring.commands.lab_errors import reports_errors
 
 if TYPE_CHECKING:
     from wheatring.lab.outcome import Outcome
@@ -19,6 +19,7 @@
 
 
 def add(commands: Commands) -> None:
+    """Add the commands `run`, `drawn` and `faults`."""
     what = "play one day in virtual time, and tell what came of it"
     run = commands.add_parser("run", help=what, description=what)
     run.add_argument("scenario", metavar="NAME|FILE", help="of the library, or a TOML file")
@@ -38,14 +39,14 @@
         help="override a constant of the sidecar",
     )  # fmt: skip
     run.add_argument("--plant", default="", metavar="FAULT", help="plant a fault in the sidecar's own code")
-    run.set_defaults(call=told(_run))
+    run.set_defaults(call=reports_errors(_run))
 
     what = "play days that the operators' simulator has drawn, and tell the figure of each"
     drawn = commands.add_parser("drawn", help=what, description=what)
     drawn.add_argument("days", nargs="+", type=Path, metavar="DAY.json")
     drawn.add_argument("--grain", choices=("wire", "exchange"), default="exchange")
     drawn.add_argument("--workers", type=int, default=os.cpu_count() or 1, help="default: %(default)s")
-    drawn.set_defaults(call=told(_drawn))
+    drawn.set_defaults(call=reports_errors(_drawn))
 
     what = "plant faults in the sidecar's own code, one at a time, and see that each is found"
     faults = commands.add_parser("faults", help=what, description=what)
@@ -53,7 +54,7 @@
     faults.add_argument("--grain", choices=("wire", "exchange"), default="wire", help="default: %(default)s")
     faults.add_argument("--seeds", default="1-12", help="tried in turn until one finds it (default: 1-12)")
     faults.add_argument("--workers", type=int, default=os.cpu_count() or 1, help="default: %(default)s")
-    faults.set_defaults(call=told(_faults))
+    faults.set_defaults(call=reports_errors(_faults))
 
 
 def _run(args: argparse.Namespace) -> int:
--- a/wheatring/commands/lab_study.py
+++ b/wheatring/commands/lab_study.py
@@ -7,12 +7,11 @@
 
 import argparse
 import os
-import sys
-from collections.abc import Callable
-from functools import wraps
 from pathlib import Path
 from typing import TYPE_CHECKING
 
+from wheatring.commands.lab_errors import reports_errors
+
 if TYPE_CHECKING:
     from rich.console import Console
 
@@ -21,11 +20,9 @@
 
     Commands = argparse._SubParsersAction[argparse.ArgumentParser]
 
-STORE = Path("found/lab.sqlite")
-LIMIT = 600.0
-RUN = "wheatring.lab.study.played:play"
-
-Call = Callable[[argparse.Namespace], int]
+DEFAULT_STORE = Path("found/lab.sqlite")
+DEFAULT_RUN_LIMIT_SECONDS = 600.0
+RUN_FUNCTION = "wheatring.lab.study.played:play"
 
 
 def add(groups: Commands) -> None:
@@ -45,21 +42,21 @@
     )  # fmt: skip
     runs.add_argument("--plant", default="", metavar="FAULT", help="plant a fault in the sidecar's own code")
     runs.add_argument(
-        "--store", type=Path, default=STORE, metavar="FILE", help="results (default: %(default)s)"
+        "--store", type=Path, default=DEFAULT_STORE, metavar="FILE", help="results (default: %(default)s)"
     )
     runs.add_argument(
         "--workers", type=int, default=os.cpu_count() or 1, help="processes (default: %(default)s)"
     )
     runs.add_argument(
-        "--limit", type=float, default=LIMIT, metavar="S",
+        "--limit", type=float, default=DEFAULT_RUN_LIMIT_SECONDS, metavar="S",
         help="wall time of one run, past which it is given up (default: %(default)g)",
     )  # fmt: skip
     runs.add_argument("--json", action="store_true", help="print JSON in place of the table")
-    runs.set_defaults(run=RUN)
+    runs.set_defaults(run=RUN_FUNCTION)
 
     sweep = groups.add_parser("sweep", parents=[runs], help="play many runs and keep what they gave")
     sweep.add_argument("--fail-fast", action="store_true", help="end at the first breach of a rule")
-    sweep.set_defaults(call=told(_sweep))
+    sweep.set_defaults(call=reports_errors(_sweep))
 
     compare = groups.add_parser("compare", parents=[runs], help="tell two sides apart, paired by seed")
     for side in ("a", "b"):
@@ -72,7 +69,7 @@
         "--figure", action="append", default=[], metavar="NAME",
         help="beside g and service, such as waste, latency.99 or counts.NAME",
     )  # fmt: skip
-    compare.set_defaults(call=told(_compare))
+    compare.set_defaults(call=reports_errors(_compare))
 
     report = groups.add_parser("report", help="make a page of one run or of many")
     report.add_argument("file", type=Path, help="a store, or the outcome of one run as JSON")
@@ -83,34 +80,11 @@
     report.add_argument("--build", default="", help="as the store names it")
     report.add_argument("--set", action="append", default=[], metavar="KEY=VALUE")
     report.add_argument("--patch", action="append", default=[], metavar="MODULE:NAME=VALUE")
-    report.set_defaults(call=told(_report))
-
-
-def told(call: Call) -> Call:
-    """What can't be done is one line and status 2."""
-
-    @wraps(call)
-    def guarded(args: argparse.Namespace) -> int:
-        try:
-            from wheatring.lab.drawn import DrawnError
-            from wheatring.lab.scenario.load import ScenarioError
-            from wheatring.lab.study import StudyError
-        except ModuleNotFoundError as bad:
-            print(f"wheatring: lab: needs what `pip install wheatring[lab]` installs: {bad}", file=sys.stderr)
-            return 2
-        try:
-            return call(args)
-        except ScenarioError as bad:
-            print(bad, file=sys.stderr)
-        except (StudyError, DrawnError) as bad:
-            print(f"wheatring: {bad}", file=sys.stderr)
-        return 2
-
-    return guarded
+    report.set_defaults(call=reports_errors(_report))
 
 
-def _jobs(args: argparse.Namespace, choices: list[Settings], build: Build) -> list[Job]:
-    """Seed by seed, so that what is there when a sweep is stopped covers all that is asked for."""
+def _runs_in_order(args: argparse.Namespace, choices: list[Settings], build: Build) -> list[Job]:
+    """Return the runs seed by seed: what is done when a sweep is stopped covers all that is asked for."""
     from wheatring.lab.study import StudyError, asked
     from wheatring.lab.study.jobs import seeds_of
 
@@ -134,7 +108,7 @@
 
 
 def _console() -> Console:
-    """Standard output; where it is no terminal, as wide as a table needs."""
+    """Return standard output; where it is no terminal, as wide as a table needs."""
     from rich.console import Console
 
     console = Console()
@@ -148,7 +122,7 @@
     from wheatring.lab.study.jobs import build_at
 
     choices = [settings.with_fault(each, args.plant) for each in settings.varied(args.set, args.patch)]
-    jobs = _jobs(args, choices, build_at())
+    jobs = _runs_in_order(args, choices, build_at())
     args.store.parent.mkdir(parents=True, exist_ok=True)
     with store.opened(args.store) as kept:
         swept = sweep.play(
@@ -173,7 +147,7 @@
         plain = settings.one(args.set + own[f"set_{side}"], args.patch + own[f"patch_{side}"])
         chosen = settings.with_fault(plain, args.plant)
         folder = own[f"build_{side}"]
-        sides.append(_jobs(args, [chosen], build_at(folder or HERE)))
+        sides.append(_runs_in_order(args, [chosen], build_at(folder or HERE)))
         labels.append(chosen.label() + (f", build {folder}" if folder else ""))
     names = list(dict.fromkeys(["g", "service", *args.figure]))
     args.store.parent.mkdir(parents=True, exist_ok=True)
@@ -198,13 +172,13 @@
     from wheatring.lab.study.report import day, several
     from wheatring.lab.study.sweep import replay_of
 
-    with open(args.file, "rb") as file:
+    with args.file.open("rb") as file:
         first = file.read(16)
     if not first.startswith(b"SQLite format 3"):
         try:
             outcome = msgspec.json.decode(args.file.read_bytes(), type=Outcome)
-        except msgspec.DecodeError as bad:
-            raise StudyError(f"{args.file}: neither a store nor an outcome: {bad}") from bad
+        except msgspec.DecodeError as error:
+            raise StudyError(f"{args.file}: neither a store nor an outcome: {error}") from error
         text = day.of_run(outcome, "")
     else:
         chosen = settings.one(args.set, args.patch).text() if args.set or args.patch else None
--- a/wheatring/commands/lab_views.py
+++ b/wheatring/commands/lab_views.py
@@ -1,5 +1,6 @@
-"""`wheatring lab views` plays troubles of a virtual fleet that stands in views and tells what is measured.
-`wheatring lab check views` holds views and their register to their promise.
+"""`wheatring lab views` and `lab check views`: faults of a virtual fleet that stands in views.
+
+The former prints what is measured, the latter checks that views and their register keep their promise.
 """
 
 from __future__ import annotations
@@ -9,12 +10,14 @@
 
 
 def add(parser: argparse.ArgumentParser) -> None:
+    """Add the arguments of the command `views`."""
     parser.add_argument("cases", nargs="*", metavar="CASE", help="default: all; an unknown one lists them")
     parser.add_argument("--sidecars", type=int, default=20, metavar="N", help="12 or more (default: 20)")
     parser.add_argument("--seeds", type=int, default=3, metavar="N", help="to play each with (default: 3)")
 
 
 def call(args: argparse.Namespace) -> int:
+    """Play cases and print what is measured."""
     from wheatring.lab.agreement.view_cases import CASES, format_measurement, measure
 
     unknown = [case for case in args.cases if case not in CASES]
