--- a/wheatring/lab/agreement/view_days.py
+++ b/wheatring/lab/agreement/view_days.py
@@ -28,6 +28,7 @@
 
 Kind = Literal["mixed", "together", "half", "late"]
 KINDS: tuple[Kind, ...] = ("mixed", "together", "half", "late")
+PROCESS_FAULTS = ("kill", "again", "voters", "die", "stall", "leader")  # all others are of links
 SETTLE_SECONDS = 15.0  # seconds from the start to the first fault
 RECOVERY_SECONDS = 75.0  # seconds from the last fault's end to the day's: who went out often waits up to 60
 TERMS = LeaseTiming()
@@ -145,33 +146,48 @@
 
     def inject(self, fault: Fault) -> None:
         """Begin a fault, and schedule its end."""
+        over = self.fleet.now + (1.0 if fault.kind == "voters" else fault.length)
+        if fault.kind in PROCESS_FAULTS:
+            touched = self._affected_processes(fault)
+            self._inject_in_processes(fault.kind, touched, over)
+        else:
+            touched = () if fault.kind in ("half", "loss") else fault.names
+            self._inject_in_links(fault, over)
+        # Where most voters are on the side that a fault affects, it is the others that are cut off.
+        if sum(name in touched for name in list(self.fleet.nodes)[: self.voters]) * 2 > self.voters:
+            touched = tuple(self.fleet.nodes)
+        for name in touched:
+            self.excused_until[name] = max(self.excused_until.get(name, 0.0), over + AFTERMATH_SECONDS)
+
+    def _affected_processes(self, fault: Fault) -> tuple[str, ...]:
+        if fault.kind == "voters":
+            return tuple(self.fleet.nodes)[: self.voters]
+        return (self.leader(),) if fault.kind == "leader" else fault.names
+
+    def _inject_in_processes(self, kind: str, names: tuple[str, ...], over: float) -> None:
+        """Kill or suspend processes; all but those that die are back at `over`."""
+        fleet = self.fleet
+        for name in names:
+            node = fleet.nodes[name]
+            if kind in ("stall", "leader"):
+                fleet.stop(node)
+                fleet.call(over, fleet.go_on, node)
+                continue
+            fleet.kill(node)
+            if kind != "die":
+                fleet.call(over, fleet.start, node)
+            if kind == "again":
+                fleet.call(over + 1.0, fleet.kill, node)
+                fleet.call(over + 1.5, fleet.start, node)
+
+    def _inject_in_links(self, fault: Fault, over: float) -> None:
+        """Put links between the affected members and the others into a bad state until `over`."""
         fleet, names = self.fleet, fault.names
         others = tuple(name for name in fleet.nodes if name not in names)
-        over = fleet.now + fault.length
-        touched = names
         match fault.kind:
-            case "kill" | "again" | "voters":
-                if fault.kind == "voters":
-                    touched = names = tuple(fleet.nodes)[: self.voters]
-                    over = fleet.now + 1.0
-                for name in names:
-                    fleet.kill(fleet.nodes[name])
-                    fleet.call(over, fleet.start, fleet.nodes[name])
-                    if fault.kind == "again":
-                        fleet.call(over + 1.0, fleet.kill, fleet.nodes[name])
-                        fleet.call(over + 1.5, fleet.start, fleet.nodes[name])
-            case "die":
-                for name in names:
-                    fleet.kill(fleet.nodes[name])
-            case "stall" | "leader":
-                touched = names = (self.leader(),) if fault.kind == "leader" else names
-                for name in names:
-                    fleet.stop(fleet.nodes[name])
-                    fleet.call(over, fleet.go_on, fleet.nodes[name])
             case "half":
-                one, *half = names
-                touched = ()
-                self.set_links(tuple(half), (one,), CUT, over)
+                target, *half = names
+                self.set_links(tuple(half), (target,), CUT, over)
             case "cut" | "split":
                 self.set_links(names, others, CUT, over)
                 self.set_links(others, names, CUT, over)
@@ -179,7 +195,6 @@
                 froms, tos = (names, others) if fault.size < 0.5 else (others, names)
                 self.set_links(froms, tos, CUT, over)
             case "loss":
-                touched = ()
                 state = State(delay=0.001, jitter=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
                 self.set_links(tuple(fleet.nodes), tuple(fleet.nodes), state, over)
             case "late":
@@ -189,11 +204,6 @@
             case "late-cut":
                 self.set_links(others, names, State(delay=fault.size, jitter=0.5), over)
                 fleet.call(fleet.now + 6.5, self.set_links, others, names, CUT, over)
-        # Where most voters are on one side with whom it befalls, it is the others that are cut off.
-        if sum(name in touched for name in list(fleet.nodes)[: self.voters]) * 2 > self.voters:
-            touched = tuple(fleet.nodes)
-        for name in touched:
-            self.excused_until[name] = max(self.excused_until.get(name, 0.0), over + AFTERMATH_SECONDS)
 
     def set_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State, over: float) -> None:
         """Put links into a state until `over`."""
