--- a/tests/agree/test_cuts.py
+++ b/tests/agree/test_cuts.py
@@ -13,16 +13,16 @@
     JOIN_GATHER_SECONDS,
     JOIN_HOLD_SECONDS,
     JOIN_QUIET_SECONDS,
-    MAX_REJOIN_WAIT_SECONDS,
     NEARLY_DOWN_WAIT_SECONDS,
-    PENALTY_HALF_LIFE_SECONDS,
     REACHED_VALID_SECONDS,
     UNSURE_WAIT_SECONDS,
     CutDetector,
 )
 from wheatring.members.edge_monitor import DOWN_AFTER_SECONDS
-from wheatring.members.messages import MemberInfo, ViewMember
+from wheatring.members.messages import MemberInfo
+from wheatring.members.rejoin_penalties import MAX_REJOIN_WAIT_SECONDS, PENALTY_HALF_LIFE_SECONDS
 from wheatring.members.view import Rings, View
+from wheatring.members.view_messages import ViewMember
 
 NAMES = [f"n{number:02}" for number in range(24)]
 RINGS = Rings(NAMES)
@@ -218,15 +218,20 @@
     cuts = CutDetector()
     now = 0.0
     for gap in gaps:
-        before = cuts.penalty(now + gap, "n03")
+        before = cuts.rejoin_penalties.penalty(now + gap, "n03")
         now += gap
         cuts.note_removed(now, ["n03"])
-        assert cuts.penalty(now, "n03") == pytest.approx(before + 1)
-        assert cuts.rejoin_wait_seconds(now, "n03") <= MAX_REJOIN_WAIT_SECONDS + 1e-9
-    cost = cuts.penalty(now, "n03")
-    assert cuts.penalty(now + PENALTY_HALF_LIFE_SECONDS, "n03") == pytest.approx(cost / 2)
-    assert cuts.rejoin_wait_seconds(now + after, "n03") <= cuts.rejoin_wait_seconds(now, "n03") + 1e-9
-    assert cuts.rejoin_wait_seconds(now, "n03") == pytest.approx(
+        assert cuts.rejoin_penalties.penalty(now, "n03") == pytest.approx(before + 1)
+        assert cuts.rejoin_penalties.rejoin_wait_seconds(now, "n03") <= MAX_REJOIN_WAIT_SECONDS + 1e-9
+    cost = cuts.rejoin_penalties.penalty(now, "n03")
+    assert cuts.rejoin_penalties.penalty(now + PENALTY_HALF_LIFE_SECONDS, "n03") == pytest.approx(cost / 2)
+    assert (
+        cuts.rejoin_penalties.rejoin_wait_seconds(now + after, "n03")
+        <= cuts.rejoin_penalties.rejoin_wait_seconds(now, "n03") + 1e-9
+    )
+    assert cuts.rejoin_penalties.rejoin_wait_seconds(now, "n03") == pytest.approx(
         0 if cost < 2 else min(MAX_REJOIN_WAIT_SECONDS, 2**cost)
     )
-    assert cuts.rejoin_wait_seconds(now + MAX_REJOIN_WAIT_SECONDS, "n03") == pytest.approx(0, abs=1e-9)
+    assert cuts.rejoin_penalties.rejoin_wait_seconds(now + MAX_REJOIN_WAIT_SECONDS, "n03") == pytest.approx(
+        0, abs=1e-9
+    )
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -17,7 +17,7 @@
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 from wheatring.members.timing import SwimTiming
 from wheatring.peers.agreement import VIEW_MESSAGES
 from wheatring.plan.document import Plan, PlanRoute, PlanWindow
--- a/tests/skew/test_checker.py
+++ b/tests/skew/test_checker.py
@@ -12,8 +12,9 @@
 from wheatring.lab.agreement.plan_driver import PlanDriver, ToyEvaluator, draw_plan
 from wheatring.lab.agreement.skew_days import Day, OpenGate, OutlivesItsView, SilentIsYes
 from wheatring.lab.live.links.state import State
-from wheatring.members.messages import MemberInfo, ViewMember
+from wheatring.members.messages import MemberInfo
 from wheatring.members.view import View
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Reason
 from wheatring.plan.document import Plan
 from wheatring.skew.capabilities import Capabilities, local_capabilities
--- a/tests/skew/test_requirements_and_trials.py
+++ b/tests/skew/test_requirements_and_trials.py
@@ -14,7 +14,8 @@
 from hypothesis import strategies as st
 
 from wheatring.lab.agreement.plan_driver import ToyEvaluator, encode_body
-from wheatring.members.messages import MemberInfo, ViewMember
+from wheatring.members.messages import MemberInfo
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.document import (
     NEWEST_FORMAT,
     Plan,
--- a/wheatring/lab/agreement/plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -19,7 +19,7 @@
 from wheatring.lab.leases.cluster import CUT, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import Instant
-from wheatring.members.messages import ViewMember
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Verdict
 from wheatring.plan.leader import RolloutLeader
 from wheatring.plan.rollout import Rollout
--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -20,8 +20,8 @@
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
-from wheatring.members.messages import ViewMember
 from wheatring.members.view import View
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Reason
 from wheatring.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Ramp, Trial
 from wheatring.skew.capabilities import Capabilities
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -14,8 +14,8 @@
 from wheatring.lease.register_messages import NO_ENTRY, RegisterAccept, RegisterPrepare
 from wheatring.lease.replicated_register import Phase, ReplicatedRegister
 from wheatring.members.cut_detector import CutDetector
-from wheatring.members.messages import HealthCheckResponse
 from wheatring.members.view import Rings, View
+from wheatring.members.view_messages import HealthCheckResponse
 from wheatring.peers.agreement import Agreement
 
 
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -18,8 +18,7 @@
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
-from wheatring.members.membership import Address
-from wheatring.members.messages import MemberInfo
+from wheatring.members.messages import Address, MemberInfo
 
 STEPS = 500
 STEP_SECONDS = 0.05  # seconds
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -22,9 +22,9 @@
 from wheatring.lease.register_messages import Entry
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
-from wheatring.members.messages import ViewMember
 from wheatring.members.timing import SwimTiming
 from wheatring.members.view import View
+from wheatring.members.view_messages import ViewMember
 from wheatring.peers.agreement import LEADER_SETTINGS
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.document import Plan
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -15,8 +15,7 @@
 from wheatring.lease.singleton_role import RoleChange, RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
-from wheatring.members.membership import Address
-from wheatring.members.messages import MemberInfo
+from wheatring.members.messages import Address, MemberInfo
 from wheatring.members.timing import SwimTiming
 
 YEAR = 1_700_000_000_000  # Unix time, ms, at which days begin
--- a/wheatring/lease/fleet.py
+++ b/wheatring/lease/fleet.py
@@ -32,10 +32,11 @@
 from wheatring.lease.singleton_role import RoleChange, RoleSettings, SingletonRole, lease_names
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, numbered_voter
-from wheatring.members.membership import Address, Membership
+from wheatring.members.membership import Membership
 from wheatring.members.messages import (
     LEFT,
     Ack,
+    Address,
     Fact,
     MemberInfo,
     Nack,
--- a/wheatring/lease/register_acceptor.py
+++ b/wheatring/lease/register_acceptor.py
@@ -17,8 +17,7 @@
     RegisterAccept,
     RegisterPrepare,
 )
-from wheatring.members.membership import Address
-from wheatring.members.messages import MemberInfo
+from wheatring.members.messages import Address, MemberInfo
 
 MAX_RECOVERY_LEASES = 4  # lease lengths after which an acceptor answers though it has not heard all others
 MAX_RECOVERY_PEERS = 40  # members that an acceptor which started asks at once
--- a/wheatring/lease/register_learner.py
+++ b/wheatring/lease/register_learner.py
@@ -9,7 +9,7 @@
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.payloads import FetchRequest
 from wheatring.lease.register_messages import NO_ENTRY, Entry, EntryChosen, NewestQuery
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 
 FETCH_RETRY_SECONDS = 0.3  # from a payload that wasn't there to the next attempt
 SYNC_INTERVAL_SECONDS = 5.0  # from one query for the newest entry to the next
--- a/wheatring/lease/replicated_register.py
+++ b/wheatring/lease/replicated_register.py
@@ -44,7 +44,7 @@
     RegisterMessage,
     RegisterPrepare,
 )
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 
 LEADER_ROLE = "lead"  # the role whose holder leads all registers
 BROADCASTS = 3  # how often a leader broadcasts what is chosen, each time by other members,
@@ -71,7 +71,7 @@
     def __init__(self, at: Instant, name: str, fleet: Fleet, on_chosen: OnChosen) -> None:
         super().__init__(at, name, fleet, on_chosen)
         self.audience: Callable[[], Collection[str] | None] = lambda: None
-        self.timestamp_ms: Callable[[Instant], int] = lambda at: 0
+        self.timestamp_ms: Callable[[Instant], int] = lambda _at: 0
         self.epoch: int | None = None  # of the lease by which it leads
         self.phase = Phase.PREPARING
         self.highest_accepted = NO_ENTRY  # of those that voters told it
--- /dev/null
+++ b/wheatring/members/gossip_state.py
@@ -0,0 +1,180 @@
+"""What one member knows of all others by gossip, and what it passes on. No I/O; `now` is monotonic."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+from random import Random
+
+from wheatring.members.facts import FactStore
+from wheatring.members.local_health import LocalHealth
+from wheatring.members.member_table import MemberRecord, MemberStatus, MemberTable
+from wheatring.members.messages import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    SUSPECT,
+    Address,
+    Fact,
+    GossipMessage,
+    MemberInfo,
+    MemberUpdate,
+)
+from wheatring.members.timing import SwimTiming
+from wheatring.members.update_queue import UpdateQueue
+
+
+class GossipState:
+    """Applies updates and facts that come with messages, and says what goes along with its own.
+
+    `changed_names` holds members whose state has changed since the caller last emptied it, `new_facts` the
+    facts that came. Facts are kept of the given keys only.
+    """
+
+    def __init__(
+        self,
+        me: MemberInfo,
+        incarnation: int,
+        timing: SwimTiming,
+        random: Random,
+        keys: Collection[str] = (),
+    ) -> None:
+        self.me = me
+        self.incarnation = incarnation
+        self.timing = timing
+        self.random = random
+        self.table = MemberTable()
+        self.updates = UpdateQueue()
+        self.health = LocalHealth()
+        self.facts = FactStore(keys)
+        self.changed_names: list[str] = []
+        self.new_facts: list[Fact] = []
+        self.has_left = False
+        self.suspects: set[str] = set()
+        self.updates.add(self.own_update())
+
+    # What is known
+
+    def statuses(self, now: float) -> list[MemberStatus]:
+        """Return the state of all members, this one among them, by number and name."""
+        round_seconds = self.timing.probe_interval_seconds * (len(self.table.records) + 1)
+        statuses = [MemberStatus(self.me, LEFT if self.has_left else ALIVE, 0.0, 1.0)]
+        for record in self.table.records.values():
+            confidence = _confidence(record, now, round_seconds)
+            statuses.append(MemberStatus(record.member, record.state, record.since, confidence))
+        return sorted(
+            statuses, key=lambda status: (status.member.tier, status.member.number, status.member.name)
+        )
+
+    def alive_members(self) -> list[MemberInfo]:
+        """Return those of this tier held to be alive, this one among them unless it has left."""
+        members = [record.member for record in self.table.records.values() if record.state == ALIVE]
+        if not self.has_left:
+            members.append(self.me)
+        same_tier = (member for member in members if member.tier == self.me.tier)
+        return sorted(same_tier, key=lambda member: (member.number, member.name))
+
+    def address(self, name: str) -> Address | None:
+        """Return a member's address; None: it isn't known, or this one's own."""
+        record = self.table.records.get(name)
+        return record.address if record is not None else None
+
+    # What comes with messages
+
+    def apply_piggyback(self, now: float, message: GossipMessage) -> None:
+        """Apply the updates and facts that came along with a message."""
+        limit = self._transmit_limit()
+        for update in message.updates:
+            if not self._apply(now, update):
+                self.updates.note_duplicate(update, limit)
+        self.new_facts += [fact for fact in message.facts if self.facts.apply(fact)]
+
+    def note_answer(self, now: float, name: str) -> None:
+        """Take note that a member has answered this one, in whatever message."""
+        if (record := self.table.records.get(name)) is not None:
+            record.last_answer = now
+
+    def suspect(self, now: float, name: str) -> None:
+        """Suspect a member, as it doesn't answer this one."""
+        record = self.table.records.get(name)
+        if record is not None and record.is_present:
+            self._apply(now, MemberUpdate(record.member, record.incarnation, SUSPECT, self.me.name))
+
+    def _apply(self, now: float, update: MemberUpdate) -> bool:
+        """Apply an update; return whether it said anything that counts."""
+        name = update.member.name
+        if name == self.me.name:
+            return self._refute(update)
+        applied = self.table.apply(now, update)
+        if applied is None:
+            return False
+        record = applied.record
+        if record.state == SUSPECT:
+            members = self.table.present_count() + 1
+            seconds = self.timing.suspicion_seconds(members, len(record.sources) - 1)
+            record.suspicion_ends = record.since + seconds
+            self.suspects.add(name)
+        else:
+            self.suspects.discard(name)
+        self.updates.add(record.as_update(update.source))
+        if applied.is_state_change:
+            self.changed_names.append(name)
+        if applied.is_new_incarnation:
+            self.facts.restart_transmission()
+        return True
+
+    def _refute(self, update: MemberUpdate) -> bool:
+        """Refute what is said of this member, by a higher incarnation; return whether it had to be."""
+        is_own = update.incarnation == self.incarnation and update.state == ALIVE
+        if update.incarnation < self.incarnation or is_own:
+            return False
+        self.health.degrade()
+        self.incarnation = update.incarnation + 1
+        self.updates.add(self.own_update())
+        return True
+
+    def _expire_suspicions(self, now: float) -> None:
+        """Declare those dead that have not refuted in time."""
+        for name in sorted(self.suspects):
+            record = self.table.records[name]
+            if now >= record.suspicion_ends:
+                self._apply(now, MemberUpdate(record.member, record.incarnation, DEAD, self.me.name))
+
+    # What goes along with messages
+
+    def piggyback(
+        self, record: MemberRecord | None = None
+    ) -> tuple[tuple[MemberUpdate, ...], tuple[Fact, ...]]:
+        """Return the updates and facts to go along with a message.
+
+        `record`: the receiver's. One that is suspected is told so first, so that it can refute.
+        """
+        first = [record.as_update(self.me.name)] if record is not None and record.state != ALIVE else []
+        limit = self._transmit_limit()
+        return self.updates.next_batch(limit, first), self.facts.next_batch(limit)
+
+    def _transmit_limit(self) -> int:
+        return self.timing.transmit_limit(len(self.table.records) + 1)
+
+    def publish(self, fact: Fact) -> None:
+        """Have all members know a fact. One that isn't newer than what is known isn't passed on."""
+        self.facts.apply(fact)
+
+    def own_update(self) -> MemberUpdate:
+        """Return the update on this member itself."""
+        return MemberUpdate(self.me, self.incarnation)
+
+    def update_identity(self, me: MemberInfo) -> None:
+        """Take note that this member's description of itself has changed, and pass that on."""
+        self.me = me
+        self.incarnation += 1
+        self.updates.add(self.own_update())
+
+
+def _confidence(record: MemberRecord, now: float, round_seconds: float) -> float:
+    """Return how well a record's state is founded; see `MemberStatus`."""
+    if record.state == ALIVE:
+        return 1.0 if now - record.last_answer <= 2 * round_seconds else 0.5
+    if record.state == SUSPECT:
+        elapsed = now - record.since
+        return min(1.0, max(0.0, elapsed / max(1e-9, record.suspicion_ends - record.since)))
+    return 1.0
--- a/wheatring/members/indirect_checks.py
+++ b/wheatring/members/indirect_checks.py
@@ -1,16 +1,16 @@
-"""Second looks for a leader: at whom, how often, and whom to tell who was reached. No I/O."""
+"""Indirect health checks for a leader: whom to check, how often, and which leader to tell. No I/O."""
 
 from __future__ import annotations
 
 from math import inf
 from typing import NamedTuple
 
-ATTEMPTS = 3  # how often one looks at each that is to go,
-ATTEMPT_INTERVAL_SECONDS = 0.3  # seconds between these,
-ANSWER_WAIT_SECONDS = 2.0  # and after the last, for which an answer is still told
-MAX_CHECKS = 8  # under way at once
+from wheatring.members.messages import Address
 
-Address = tuple[str, int]
+ATTEMPTS = 3  # how often each member is checked,
+ATTEMPT_INTERVAL_SECONDS = 0.3  # the time between these,
+ANSWER_WAIT_SECONDS = 2.0  # and after the last, for which an answer is still passed on
+MAX_CHECKS = 8  # under way at once
 
 
 class _IndirectCheck(NamedTuple):
@@ -22,37 +22,39 @@
 
 
 class IndirectChecks:
+    """The checks of possibly failed members that leaders have asked this sidecar for."""
+
     def __init__(self) -> None:
         self.active: list[_IndirectCheck] = []
 
     @property
     def due(self) -> float:
-        """When `looks` has something to do, or one is over."""
-        return min((errand.due for errand in self.active), default=inf)
+        """When `due_checks` has something to do, or a check is over."""
+        return min((check.due for check in self.active), default=inf)
 
     def start(self, now: float, leader: Address, sequence: int, names: tuple[str, ...]) -> None:
-        """One more; too many are not taken, as others look too."""
+        """Start one more check. Beyond `MAX_CHECKS` it is dropped, as others check too."""
         if len(self.active) < MAX_CHECKS:
             self.active.append(_IndirectCheck(leader, sequence, names, ATTEMPTS, now))
 
     def due_checks(self, now: float) -> list[str]:
-        """Whom to look at now."""
-        self.active = [errand for errand in self.active if errand.attempts_left > 0 or now < errand.due]
+        """Return the names of the members to check now."""
+        self.active = [check for check in self.active if check.attempts_left > 0 or now < check.due]
         names: list[str] = []
-        for number, errand in enumerate(self.active):
-            if now >= errand.due:
-                names += errand.names
-                left = errand.attempts_left - 1
+        for index, check in enumerate(self.active):
+            if now >= check.due:
+                names += check.names
+                left = check.attempts_left - 1
                 due = now + (ATTEMPT_INTERVAL_SECONDS if left else ANSWER_WAIT_SECONDS)
-                self.active[number] = errand._replace(attempts_left=left, due=due)
+                self.active[index] = check._replace(attempts_left=left, due=due)
         return names
 
     def note_reached(self, name: str) -> list[tuple[Address, int]]:
-        """It has answered: which leaders are to hear so, by which number. Each hears it once."""
-        tell = []
-        for number, errand in enumerate(self.active):
-            if name in errand.names:
-                tell.append((errand.leader, errand.sequence))
-                rest = tuple(other for other in errand.names if other != name)
-                self.active[number] = errand._replace(names=rest)
-        return tell
+        """Take note of an answer; return which leaders to tell, each once, and their request's sequence."""
+        recipients = []
+        for index, check in enumerate(self.active):
+            if name in check.names:
+                recipients.append((check.leader, check.sequence))
+                rest = tuple(other for other in check.names if other != name)
+                self.active[index] = check._replace(names=rest)
+        return recipients
--- a/wheatring/members/messages.py
+++ b/wheatring/members/messages.py
@@ -1,4 +1,7 @@
-"""What members say to each other. Every word carries rumours along."""
+"""Messages of the gossip protocol between members. Every message carries updates and facts along.
+
+All are encoded as msgpack arrays: their tags and the order of their fields are the wire format.
+"""
 
 from __future__ import annotations
 
@@ -6,40 +9,44 @@
 
 from msgspec import Struct
 
-ALIVE, SUSPECT, DEAD, LEFT = range(4)
+Address = tuple[str, int]  # host and port
+ALIVE, SUSPECT, DEAD, LEFT = range(4)  # as they travel; of one incarnation the higher overrules
 STATES = ("alive", "suspect", "dead", "left")
 
 
 class MemberInfo(NamedTuple):
-    """One sidecar, as it says of itself. `number` of its tier; `votes` is the digest of its voters' names."""
+    """One sidecar, as it describes itself."""
 
     name: str
     host: str
     port: int
-    number: int = 0
+    number: int = 0  # of the sidecar in its tier
     tier: int = 0
     zone: str = ""
-    voters_digest: int = 0
+    voters_digest: int = 0  # of the voters that it goes by
 
 
 class MemberUpdate(NamedTuple):
-    """What is said of a member. A higher incarnation, which only the member itself makes, overrules a lower
-    one; of the same, left and dead overrule suspect, and suspect alive.
+    """A statement on a member's state, passed on by gossip.
+
+    A higher incarnation, which only the member itself makes, overrules a lower one; of the same, left and
+    dead overrule suspect, and suspect overrules alive.
     """
 
     member: MemberInfo
     incarnation: int
     state: int = ALIVE
-    source: str = ""  # suspect: who says so
+    source: str = ""  # suspect: the member that suspects it
 
     @property
     def encoded_bytes(self) -> int:
-        """Bytes that it takes, reckoned high."""
-        return 40 + len(self.member.name) + len(self.member.host) + len(self.member.zone) + len(self.source)
+        """Bytes that it takes in a message, estimated high."""
+        member = self.member
+        return 40 + len(member.name) + len(member.host) + len(member.zone) + len(self.source)
 
 
 class Fact(NamedTuple):
-    """A small fact that all are to know. Of one key the highest version holds."""
+    """A small value that all members are to know. Of one key the highest version holds."""
 
     key: str
     version: int
@@ -47,132 +54,42 @@
 
     @property
     def encoded_bytes(self) -> int:
+        """Bytes that it takes in a message, estimated high."""
         return 12 + len(self.key) + len(self.value)
 
 
 class GossipMessage(Struct, frozen=True, array_like=True, tag_field="w"):
-    seq: int
+    """What all messages carry: the sequence number that answers repeat, and what is passed on by gossip."""
+
+    sequence: int
     updates: tuple[MemberUpdate, ...] = ()
     facts: tuple[Fact, ...] = ()
 
 
 class Ping(GossipMessage, frozen=True, tag="ping"):
-    pass
+    """A probe: the receiver answers with an `Ack`."""
 
 
 class Ack(GossipMessage, frozen=True, tag="ack"):
-    pass
+    """The answer to a probe."""
 
 
 class PingRequest(GossipMessage, frozen=True, tag="indirect"):
-    """Ping that one for me, and tell me: an ack if it answers, a nack if it does not in good time."""
+    """Probe the target for the sender: answer an `Ack` if it answers, a `Nack` if it doesn't in time."""
 
     target: str = ""
 
 
 class Nack(GossipMessage, frozen=True, tag="nack"):
-    pass
+    """The answer to a `PingRequest` whose target did not answer in time."""
 
 
 class SyncRequest(GossipMessage, frozen=True, tag="join"):
-    """Tell me all that you know. Whoever joins says this, and members to each other from time to time."""
+    """Send all that is known: from a member that joins, and between members from time to time."""
 
 
 class SyncResponse(GossipMessage, frozen=True, tag="known"):
-    """A part of the answer to it."""
+    """A part of the answer to a `SyncRequest`."""
 
 
 SwimMessage = Ping | Ack | PingRequest | Nack | SyncRequest | SyncResponse
-
-
-# The view: agreed, numbered, the same for all. See docs/design/fleet-agrees.md.
-
-
-class ViewMember(NamedTuple):
-    """A member of a view. `start` tells its process from earlier ones of its name."""
-
-    member: MemberInfo
-    incarnation: int
-
-
-class LeaderStamp(NamedTuple):
-    """Minted by a leader: of which epoch, the how-manieth, and by which entries it stood then."""
-
-    epoch: int
-    sequence: int
-    view: int = 0
-    plan: int = 0
-
-
-class HealthCheck(GossipMessage, frozen=True, tag="look"):
-    """Are you there? `view`: the number of the view in which whoever says a word stands; 0: in none. `hurry`:
-    somebody is missed, look at your own subjects now.
-    """
-
-    view: int = 0
-    check_early: bool = False
-
-
-class HealthCheckResponse(GossipMessage, frozen=True, tag="here"):
-    """I am. The newest stamp that I know, and how old it is at most, seconds."""
-
-    view: int = 0
-    stamp: LeaderStamp = LeaderStamp(0, 0)
-    age_seconds: float = 0.0
-
-
-class ViewMessageBase(Struct, frozen=True, array_like=True, tag_field="w"):
-    view: int
-
-
-class MissedCheck(ViewMessageBase, frozen=True, tag="miss"):
-    """To the others that watch it: that one does not answer me; look at it now."""
-
-    name: str
-
-
-class SilenceReport(ViewMessageBase, frozen=True, tag="report"):
-    """To the voters: all of my subjects that do not answer me, and for how long, seconds. My own name: I
-    leave.
-    """
-
-    silent: tuple[tuple[str, float], ...] = ()
-
-
-class JoinRequest(ViewMessageBase, frozen=True, tag="knock"):
-    """To the voters: let me in."""
-
-    member: ViewMember
-
-
-class JoinDeferred(ViewMessageBase, frozen=True, tag="wait"):
-    """From the leader, to one that knocked: not yet, and why."""
-
-    retry_after_seconds: float
-    reason: str
-
-
-class IndirectCheckRequest(ViewMessageBase, frozen=True, tag="doubt"):
-    """From the leader: look whether you reach these, before they go."""
-
-    seq: int
-    names: tuple[str, ...]
-
-
-class IndirectCheckResult(ViewMessageBase, frozen=True, tag="reached"):
-    """I have been answered by these."""
-
-    seq: int
-    names: tuple[str, ...]
-
-
-ViewMessage = (
-    HealthCheck
-    | HealthCheckResponse
-    | MissedCheck
-    | SilenceReport
-    | JoinRequest
-    | JoinDeferred
-    | IndirectCheckRequest
-    | IndirectCheckResult
-)
--- a/wheatring/members/update_queue.py
+++ b/wheatring/members/update_queue.py
@@ -1,4 +1,4 @@
-"""Rumours that a member still passes on: the least told first, each a limited number of times."""
+"""Member updates that are still passed on: those sent least often first, each a limited number of times."""
 
 from __future__ import annotations
 
@@ -7,38 +7,42 @@
 
 from wheatring.members.messages import MemberUpdate
 
-PIGGYBACK_BYTES = 900  # bytes of rumours in one datagram
-MAX_SCANNED_UPDATES = 40  # rumours looked at for one word
-MAX_UPDATES = 500  # rumours kept at once: of more, those told most often are dropped
+PIGGYBACK_BYTES = 900  # of updates in one datagram
+MAX_SCANNED_UPDATES = 40  # updates considered for one message
+MAX_UPDATES = 500  # kept at once: of more, those sent most often are dropped
 
 
 def batches(updates: Iterable[MemberUpdate]) -> Iterator[tuple[MemberUpdate, ...]]:
-    """In parts, each with room in one datagram; one part at least."""
-    part: list[MemberUpdate] = []
+    """Split updates into batches that each fit one datagram; there is one at least."""
+    batch: list[MemberUpdate] = []
     room = PIGGYBACK_BYTES
-    for rumour in updates:
-        if rumour.encoded_bytes > room:
-            yield tuple(part)
-            part, room = [], PIGGYBACK_BYTES
-        part.append(rumour)
-        room -= rumour.encoded_bytes
-    yield tuple(part)
+    for update in updates:
+        if update.encoded_bytes > room:
+            yield tuple(batch)
+            batch, room = [], PIGGYBACK_BYTES
+        batch.append(update)
+        room -= update.encoded_bytes
+    yield tuple(batch)
 
 
 class UpdateQueue:
-    """`levels[n]` holds those that were told n times, who came there first first: so that what goes along
-    with a word is found without a look at all of them.
+    """The updates that one member passes on, the newest of each member.
+
+    `by_transmissions[n]` holds those that were sent n times, in the order in which they got there: so what
+    goes along with a message is found without considering all of them.
     """
 
     def __init__(self) -> None:
-        self.transmissions: dict[str, int] = {}  # of whom: how often it was told
+        self.transmissions: dict[str, int] = {}  # by the member's name
         self.by_transmissions: list[dict[str, MemberUpdate]] = [{}]
 
     @property
     def pending(self) -> dict[str, MemberUpdate]:
-        return {name: self.by_transmissions[told][name] for name, told in self.transmissions.items()}
+        """All updates, by the name of their member."""
+        return {name: self.by_transmissions[count][name] for name, count in self.transmissions.items()}
 
     def add(self, update: MemberUpdate) -> None:
+        """Add an update, in place of an earlier one on the same member."""
         name = update.member.name
         self._drop(name)
         self.transmissions[name] = 0
@@ -51,21 +55,22 @@
             del self.by_transmissions[self.transmissions.pop(name)][name]
 
     def _note_transmission(self, name: str, transmit_limit: int) -> None:
-        """It has been told once more."""
-        told = self.transmissions[name] + 1
-        rumour = self.by_transmissions[told - 1].pop(name)
-        if told >= transmit_limit:
+        """Count one more transmission, and drop the update when it has had its limit."""
+        count = self.transmissions[name] + 1
+        update = self.by_transmissions[count - 1].pop(name)
+        if count >= transmit_limit:
             del self.transmissions[name]
             return
-        if told == len(self.by_transmissions):
+        if count == len(self.by_transmissions):
             self.by_transmissions.append({})
-        self.transmissions[name] = told
-        self.by_transmissions[told][name] = rumour
+        self.transmissions[name] = count
+        self.by_transmissions[count][name] = update
 
     def note_duplicate(self, update: MemberUpdate, transmit_limit: int) -> None:
-        """Somebody else tells it too: that is as good as having told it. With rumours that all know by now
-        nobody goes on for long (feedback and counter, of Demers et al., "Epidemic Algorithms for Replicated
-        Database Maintenance", 1987).
+        """Count an update that somebody else sent too as transmitted once more.
+
+        So updates that all know by now aren't passed on for long ("feedback" and "counter" of Demers et al.,
+        "Epidemic Algorithms for Replicated Database Maintenance", 1987).
         """
         name = update.member.name
         if name not in self.transmissions:
@@ -77,18 +82,17 @@
     def next_batch(
         self, transmit_limit: int, first: Collection[MemberUpdate] = ()
     ) -> tuple[MemberUpdate, ...]:
-        """Those to go along with one word; `first` go in any case."""
-        room = PIGGYBACK_BYTES - sum(rumour.encoded_bytes for rumour in first)
-        taken = list(first)
-        for rumour in islice(
-            chain.from_iterable(level.values() for level in self.by_transmissions), MAX_SCANNED_UPDATES
-        ):
-            if rumour in first:
+        """Return the updates that go along with one message; `first` go in any case."""
+        room = PIGGYBACK_BYTES - sum(update.encoded_bytes for update in first)
+        batch = list(first)
+        queued = chain.from_iterable(level.values() for level in self.by_transmissions)
+        for update in islice(queued, MAX_SCANNED_UPDATES):
+            if update in first:
                 continue
-            room -= rumour.encoded_bytes
+            room -= update.encoded_bytes
             if room < 0:
                 break
-            taken.append(rumour)
-        for rumour in taken[len(first) :]:
-            self._note_transmission(rumour.member.name, transmit_limit)
-        return tuple(taken)
+            batch.append(update)
+        for update in batch[len(first) :]:
+            self._note_transmission(update.member.name, transmit_limit)
+        return tuple(batch)
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -13,7 +13,7 @@
 from wheatring.lease.register_messages import RegisterMessage
 from wheatring.lease.replicated_register import LEADER_ROLE
 from wheatring.lease.singleton_role import RoleSettings
-from wheatring.members.messages import ViewMessage
+from wheatring.members.view_messages import ViewMessage
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.status_values import shown_age
 
--- a/wheatring/peers/datagram_socket.py
+++ b/wheatring/peers/datagram_socket.py
@@ -10,7 +10,7 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 from wheatring.peers.datagram_codec import DatagramCodec
 from wheatring.peers.exceptions import DatagramRejectedError
 
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -16,7 +16,7 @@
 from wheatring.lease.messages import Heartbeat
 from wheatring.lease.singleton_role import RoleChange
 from wheatring.lease.voters import VoterSet
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 from wheatring.members.timing import SwimTiming
 from wheatring.peers import fleet_status
 from wheatring.peers.change_log import ChangeLog
--- a/wheatring/peers/options.py
+++ b/wheatring/peers/options.py
@@ -9,8 +9,7 @@
 from wheatring.lease.singleton_role import RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
-from wheatring.members.membership import Address
-from wheatring.members.messages import MemberInfo
+from wheatring.members.messages import Address, MemberInfo
 
 
 class PlanOptions(NamedTuple):
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -14,8 +14,8 @@
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
-from wheatring.members.membership import Address
-from wheatring.members.messages import ViewMember
+from wheatring.members.messages import Address
+from wheatring.members.view_messages import ViewMember
 from wheatring.peers.compiled_plan import compile_plan
 from wheatring.peers.options import PlanOptions
 from wheatring.peers.status_values import shown_age
--- a/wheatring/plan/agent.py
+++ b/wheatring/plan/agent.py
@@ -22,8 +22,7 @@
 from wheatring.lease.payloads import FetchRequest
 from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import ReplicatedRegister
-from wheatring.members.membership import Address
-from wheatring.members.messages import MemberInfo
+from wheatring.members.messages import Address, MemberInfo
 from wheatring.plan.compatibility import CompatibilityCheck, Reason
 from wheatring.plan.compiler import CompiledRoutes, compile_routes
 from wheatring.plan.document import CommittedPlan
--- a/wheatring/plan/distribution.py
+++ b/wheatring/plan/distribution.py
@@ -11,7 +11,7 @@
 
 from wheatring.lease.component import Outgoing
 from wheatring.lease.fleet import Fleet
-from wheatring.members.messages import ViewMember
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.messages import StorePlan
 from wheatring.plan.rollout import Rollout, process_key
 
--- a/wheatring/plan/explanations.py
+++ b/wheatring/plan/explanations.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from wheatring.members.messages import ViewMember
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.errors import (
     PlanMembersLostError,
--- a/wheatring/plan/leader.py
+++ b/wheatring/plan/leader.py
@@ -32,8 +32,8 @@
 from wheatring.lease.payloads import MAX_PAYLOAD_BYTES, FetchRequest
 from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
-from wheatring.members.membership import Address
-from wheatring.members.messages import ViewMember
+from wheatring.members.messages import Address
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, CompatibilityCheck, Reason, Verdict
 from wheatring.plan.compiler import compile_routes
 from wheatring.plan.distribution import RETRY_SECONDS, request_storage
--- a/wheatring/plan/messages.py
+++ b/wheatring/plan/messages.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 from wheatring.plan.compatibility import Reason
 
 MAX_REASONS_BYTES = 800  # of all reasons in one message, estimated from above
--- a/wheatring/plan/proposals.py
+++ b/wheatring/plan/proposals.py
@@ -22,7 +22,7 @@
 from wheatring.lease.payloads import MAX_PAYLOAD_BYTES
 from wheatring.lease.register_messages import Entry
 from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.compiler import compile_routes
 from wheatring.plan.errors import (
--- a/wheatring/plan/rollout.py
+++ b/wheatring/plan/rollout.py
@@ -6,9 +6,9 @@
 from math import inf
 
 from wheatring.errors import OperatorError
-from wheatring.members.membership import Address
-from wheatring.members.messages import ViewMember
+from wheatring.members.messages import Address
 from wheatring.members.view import View
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.plan.document import Plan
 from wheatring.plan.messages import RolloutState
--- a/wheatring/schedule/fleet_clock.py
+++ b/wheatring/schedule/fleet_clock.py
@@ -27,7 +27,7 @@
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.voters import VoterSet
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 from wheatring.schedule.events import LogEvent
 from wheatring.schedule.messages import AnyScheduleMessage, TimeRequest, TimeResponse
 
--- a/wheatring/skew/capability_table.py
+++ b/wheatring/skew/capability_table.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from wheatring.members.messages import ViewMember
+from wheatring.members.view_messages import ViewMember
 from wheatring.skew.capabilities import LEGACY_CAPABILITIES, Capabilities
 
 MAX_PROCESSES = 4000  # whose capabilities are kept
--- a/wheatring/skew/checker.py
+++ b/wheatring/skew/checker.py
@@ -22,9 +22,9 @@
 
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.fleet import Fleet
-from wheatring.members.membership import Address
-from wheatring.members.messages import JoinRequest, ViewMember
+from wheatring.members.messages import Address
 from wheatring.members.view import View
+from wheatring.members.view_messages import JoinRequest, ViewMember
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.plan.document import OLDEST_FORMAT, Plan
 from wheatring.skew.capabilities import Capabilities
--- a/wheatring/skew/coordinator.py
+++ b/wheatring/skew/coordinator.py
@@ -17,8 +17,8 @@
 from math import inf
 
 from wheatring.lease.component import Outgoing
-from wheatring.members.messages import ViewMember
 from wheatring.members.view import View
+from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Reason, Verdict
 from wheatring.skew.bisection import Bisection, PrefixAnswer
 from wheatring.skew.capabilities import Capabilities, describe_version_differences
--- a/wheatring/skew/participant.py
+++ b/wheatring/skew/participant.py
@@ -20,7 +20,7 @@
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.payloads import FetchRequest
-from wheatring.members.membership import Address
+from wheatring.members.messages import Address
 from wheatring.plan.document import Plan
 from wheatring.skew.capabilities import Capabilities
 from wheatring.skew.messages import (
