--- a/tests/fleet/test_cold_start.py
+++ b/tests/fleet/test_cold_start.py
@@ -151,7 +151,7 @@
 @pytest.mark.parametrize("held", ["none", "now"])
 def test_watches_that_take_turns_keep_no_storm_alive(held: str) -> None:
     """Two hundred in virtual time: nothing fails any more once the start is over."""
-    sets = settings.one([f"front.held={held}"], [])
-    outcome = play(draw(asked.told("cold-turns", sets), 2), "exchange")
+    sets = settings.single([f"front.held={held}"], [])
+    outcome = play(draw(asked.load_scenario("cold-turns", sets), 2), "exchange")
     assert sum(outcome.lists.failed_by_second[:60]) > 0  # it was more than the service could take
     assert sum(outcome.lists.failed_by_second[120:]) <= 5
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -152,7 +152,7 @@
 )
 def test_a_patch_that_names_nothing_is_told_before_a_run(tmp_path: Path, patch: str, why: str) -> None:
     with pytest.raises(StudyError) as bad:
-        play(tmp_path / "runs.sqlite", [job(1, settings.one([], [patch]))])
+        play(tmp_path / "runs.sqlite", [job(1, settings.single([], [patch]))])
     assert str(bad.value) == why
 
 
--- a/tests/lab/test_study_compare.py
+++ b/tests/lab/test_study_compare.py
@@ -16,8 +16,8 @@
 
 def test_power_and_quantiles_match_the_tables() -> None:
     # Pairs for 80 % power at 5 %, by the effect's size (Cohen, as tabled for the paired t-test).
-    assert [stats.needed(size, 1.0) for size in (0.2, 0.5, 0.8)] == [199, 34, 15]
-    assert stats.needed(0.0, 1.0) is None and stats.needed(-0.5, 1.0) == 34
+    assert [stats.pairs_needed(size, 1.0) for size in (0.2, 0.5, 0.8)] == [199, 34, 15]
+    assert stats.pairs_needed(0.0, 1.0) is None and stats.pairs_needed(-0.5, 1.0) == 34
     for freedom, value in ((4, 2.776), (9, 2.262), (30, 2.042), (1000, 1.962)):
         assert stats.student(0.975, freedom) == pytest.approx(value, rel=0.01)
 
@@ -35,10 +35,10 @@
 
 def test_an_interval_holds_no_difference_in_about_95_of_100_trials(monkeypatch: pytest.MonkeyPatch) -> None:
     """Skewed and few, as differences of a day's figures are."""
-    monkeypatch.setattr(stats, "DRAWS", 2000)
+    monkeypatch.setattr(stats, "RESAMPLES", 2000)
     drawn = Random("none")
     trials = [[drawn.expovariate(1.0) - drawn.expovariate(1.0) for _ in range(12)] for _ in range(600)]
-    held = sum(stats.bootstrap(trial, number).holds(0.0) for number, trial in enumerate(trials))
+    held = sum(stats.bootstrap(trial, number).contains(0.0) for number, trial in enumerate(trials))
     assert 0.925 <= held / len(trials) <= 0.975
 
 
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -146,7 +146,7 @@
     from wheatring.lab.study import asked, settings
 
     sets = [*args.set, *([f"front.sidecars={args.sidecars}"] if args.sidecars is not None else [])]
-    plan = draw(asked.told(args.scenario, settings.one(sets, [])), args.seed)
+    plan = draw(asked.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
     never = scale.unplayable_kinds(plan)
     if never:
         raise ValueError(f"{args.scenario}: can't be played on loopback: {', '.join(never)}")
--- a/wheatring/commands/lab_run.py
+++ b/wheatring/commands/lab_run.py
@@ -63,8 +63,8 @@
     from wheatring.lab.study import asked, settings
     from wheatring.lab.study.jobs import build_at
 
-    chosen = settings.with_fault(settings.one(args.set, args.patch), args.plant)
-    (job,) = asked.jobs(args.scenario, [args.seed], [args.grain], chosen, build_at())
+    chosen = settings.with_fault(settings.single(args.set, args.patch), args.plant)
+    (job,) = asked.make_jobs(args.scenario, [args.seed], [args.grain], chosen, build_at())
     settings.apply(chosen.patches)
     from wheatring.lab.study import played
 
--- a/wheatring/commands/lab_study.py
+++ b/wheatring/commands/lab_study.py
@@ -95,7 +95,7 @@
     seeds = seeds_of(args.seeds)
     grains = [*dict.fromkeys(args.grain or ["wire"])]
     lists = [
-        asked.jobs(name, seeds, grains, settings, build)
+        asked.make_jobs(name, seeds, grains, settings, build)
         for name in dict.fromkeys(args.scenarios)
         for settings in choices
     ]
@@ -144,7 +144,7 @@
     sides, labels = [], []
     for side in ("a", "b"):
         own = vars(args)
-        plain = settings.one(args.set + own[f"set_{side}"], args.patch + own[f"patch_{side}"])
+        plain = settings.single(args.set + own[f"set_{side}"], args.patch + own[f"patch_{side}"])
         chosen = settings.with_fault(plain, args.plant)
         folder = own[f"build_{side}"]
         sides.append(_runs_in_order(args, [chosen], build_at(folder or HERE)))
@@ -181,7 +181,7 @@
             raise StudyError(f"{args.file}: neither a store nor an outcome: {error}") from error
         text = day.of_run(outcome, "")
     else:
-        chosen = settings.one(args.set, args.patch).text() if args.set or args.patch else None
+        chosen = settings.single(args.set, args.patch).text() if args.set or args.patch else None
         with store.opened(args.file, new=False) as kept:
             rows = kept.rows(args.scenario, args.grain, chosen, args.build, args.seed)
             if not rows:
--- a/wheatring/lab/study/asked.py
+++ b/wheatring/lab/study/asked.py
@@ -13,14 +13,16 @@
 from wheatring.lab.study.settings import Settings, value_of
 
 
-def jobs(scenario: str, seeds: list[int], grains: list[str], settings: Settings, build: Build) -> list[Job]:
-    """Of one scenario, by its name or its file, seed by seed.
+def make_jobs(
+    scenario: str, seeds: list[int], grains: list[str], settings: Settings, build: Build
+) -> list[Job]:
+    """Return the runs of one scenario, by its name or its file, seed by seed.
 
     Raises ScenarioError where it or a setting can't be used; the first seed is drawn to tell.
     """
     raw, name, where = tables(scenario)
     text_hash = hashed(_text(raw))
-    raw = _laid(raw, where, settings)
+    raw = _with_settings(raw, where, settings)
     for seed in seeds[:1]:
         draw(checked(raw, name, where), seed)
     source = _text(raw)
@@ -29,18 +31,21 @@
     ]
 
 
-def told(scenario: str, settings: Settings) -> Found:
-    """A scenario by its name or its file, with settings laid over it. ScenarioError if it can't be used."""
+def load_scenario(scenario: str, settings: Settings) -> Found:
+    """Return a scenario by its name or its file, with settings laid over it.
+
+    Raises ScenarioError if it can't be used.
+    """
     raw, name, where = tables(scenario)
-    return checked(_laid(raw, where, settings), name, where)
+    return checked(_with_settings(raw, where, settings), name, where)
 
 
-def _laid(raw: Raw, where: str, settings: Settings) -> Raw:
+def _with_settings(raw: Raw, where: str, settings: Settings) -> Raw:
     for key, value in settings.sets:
         try:
             raw = overridden(raw, key, value_of(value))
-        except KeyError as bad:
-            raise ScenarioError(where, [Fault(f"--set {key}", f"there is no {bad.args[0]}")]) from None
+        except KeyError as error:
+            raise ScenarioError(where, [Fault(f"--set {key}", f"there is no {error.args[0]}")]) from None
     return raw
 
 
@@ -48,6 +53,7 @@
     return msgspec.json.encode(raw, order="sorted").decode()
 
 
-def found(job: Job) -> Found:
+def scenario_of(job: Job) -> Found:
+    """Return the scenario of a run."""
     raw: Raw = msgspec.json.decode(job.source)
     return checked(raw, Path(job.scenario).stem, job.scenario)
--- a/wheatring/lab/study/compare.py
+++ b/wheatring/lab/study/compare.py
@@ -40,6 +40,8 @@
 
 
 class Comparison(Struct):
+    """What a comparison of two sides found."""
+
     a: str
     b: str
     pairs: int
@@ -53,6 +55,7 @@
 
 
 def difference(name: str, pairs: Sequence[tuple[float, float]], seed: int) -> Difference:
+    """Return the difference of one figure over pairs of its values; `seed` is of the resampling."""
     deltas = [b - a for a, b in pairs]
     mean = stats.fmean(deltas)
     interval = stats.bootstrap(deltas, seed, LEVEL)
@@ -70,13 +73,15 @@
         better=gains,
         worse=losses,
         equal=len(deltas) - gains - losses,
-        pairs_needed=stats.needed(mean, stats.spread(deltas), POWER, LEVEL) if len(deltas) > 1 else None,
+        pairs_needed=stats.pairs_needed(mean, stats.spread(deltas), POWER, LEVEL)
+        if len(deltas) > 1
+        else None,
         verdict=_verdict(interval, mean, sign),
     )
 
 
 def _verdict(interval: stats.Interval, mean: float, sign: int) -> str:
-    if interval.holds(0.0):
+    if interval.contains(0.0):
         return "can't tell" if interval.low != interval.high else "equal"
     if not sign:
         return "B is more" if mean > 0 else "B is less"
@@ -87,7 +92,10 @@
     store: Store, a: Sequence[Job], b: Sequence[Job], names: Sequence[str], labels: tuple[str, str],
     seed: int = 1,
 ) -> Comparison:  # fmt: skip
-    """Of what the store holds: the jobs of `a` and `b` are pairs, in the same order. Raises StudyError."""
+    """Compare what the store holds: the runs of `a` and `b` are pairs, in the same order.
+
+    Raises StudyError where the sides are the same, or no pair is there.
+    """
     rows = {row.key(): row for row in store.rows() if row.state == "done"}
     if all(one.key() == other.key() for one, other in zip(a, b, strict=True)):
         raise StudyError("nothing to compare: A and B are the same runs")
@@ -108,7 +116,7 @@
         b=labels[1],
         pairs=len(keys),
         unpaired=len(a) - len(keys),
-        looks=store.look(_identity(a, b), len(keys)),
+        looks=store.record_look(_identity(a, b), len(keys)),
         level=LEVEL,
         power=POWER,
         breaches_a=_breaches(rows, [one for one, _ in keys]),
@@ -118,7 +126,7 @@
 
 
 def _identity(a: Sequence[Job], b: Sequence[Job]) -> str:
-    """The same for the same two sides, whatever the seeds."""
+    """Return what names a comparison: the same for the same two sides, whatever the seeds."""
     sides = [sorted({str((*job.key()[:2], *job.key()[3:])) for job in side}) for side in (a, b)]
     return hashlib.sha256(repr(sides).encode()).hexdigest()[:16]
 
@@ -128,6 +136,7 @@
 
 
 def show(found: Comparison, console: Console) -> None:
+    """Print a comparison as a table with notes."""
     console.print(f"A: {found.a}\nB: {found.b}", highlight=False, markup=False)
     unpaired = f", {found.unpaired} without" if found.unpaired else ""
     console.print(
@@ -153,7 +162,7 @@
 
 
 def notes(found: Comparison) -> list[str]:
-    """What keeps a reader from believing more than the figures say."""
+    """Return what keeps a reader from believing more than the figures say."""
     told = [f"for {found.power:.0%}: pairs with which a difference of that size shows with that probability"]
     if any(not better(line.figure) for line in found.differences):
         told.append("* neither more nor less of it is better by itself: pairs in which B is more, and less")
--- a/wheatring/lab/study/figures.py
+++ b/wheatring/lab/study/figures.py
@@ -26,7 +26,7 @@
 
 
 def better(name: str) -> int:
-    """1 where more is better, -1 where less is, 0 where it can't be said."""
+    """Return 1 where more is better, -1 where less is, 0 where it can't be said."""
     parts = name.split(".")
     last = parts[0] if parts[0] == "latency" else parts[-1]
     if parts[0] == "counts":
@@ -35,14 +35,17 @@
 
 
 def percentile(outcome: Outcome, share: float) -> float:
-    """Of the first tries that were served, in ms; 0 where none was."""
+    """Return a percentile of the latency in ms, of the first tries that were served; 0 where none was."""
     if not outcome.latency:
         return 0.0
     return float(HdrHistogram.decode(outcome.latency).get_value_at_percentile(share))
 
 
 def figure(outcome: Outcome, name: str) -> float:
-    """Raises StudyError for a name that tells no figure. Counts that did not occur are 0."""
+    """Return the figure of that name. Counts that did not occur are 0.
+
+    Raises StudyError for a name that tells no figure.
+    """
     head, _, rest = name.partition(".")
     try:
         if head == "latency":
--- a/wheatring/lab/study/jobs.py
+++ b/wheatring/lab/study/jobs.py
@@ -44,6 +44,7 @@
     build: Build
 
     def key(self) -> tuple[str, str, int, str, str, str]:
+        """Return what the store keeps the run by."""
         return (self.scenario, self.text_hash, self.seed, self.grain, self.build.ident, self.settings.text())
 
 
@@ -59,11 +60,12 @@
 
 
 def hashed(text: str) -> str:
+    """Return the first 12 digits of a text's hash."""
     return hashlib.sha256(text.encode()).hexdigest()[:12]
 
 
 def build_at(folder: Path = HERE) -> Build:
-    """Raises StudyError where there is no project."""
+    """Return the checkout in a folder. Raises StudyError where there is no project."""
     root = folder.resolve()
     total = hashlib.sha256()
     if not (root / "wheatring" / "lab").is_dir():
@@ -77,7 +79,10 @@
 
 
 def seeds_of(text: str) -> list[int]:
-    """`1-100`, `7` or `1,2,9-12`, in that order, none twice."""
+    """Return the seeds that `1-100`, `7` or `1,2,9-12` names, in that order, none twice.
+
+    Raises StudyError for another text.
+    """
     found: dict[int, None] = {}
     for part in text.split(","):
         match = re.fullmatch(r"\s*([0-9]{1,9})(?:-([0-9]{1,9}))?\s*", part)
@@ -88,13 +93,13 @@
 
 
 def replay(scenario: str, seed: int, grain: str, settings: str) -> str:
-    """The command that plays a run again; `settings` as in the key."""
+    """Return the command that plays a run again; `settings` as in the key."""
     line = shlex.join(["wheatring", "lab", "run", scenario, "--seed", str(seed), "--grain", grain])
     return f"{line} {settings}".rstrip()
 
 
 def function(name: str) -> Run:
-    """The run that is named as module:function."""
+    """Return the run that is named as module:function."""
     where, _, attribute = name.partition(":")
     run: Run = getattr(import_module(where), attribute)
     return run
--- a/wheatring/lab/study/pool.py
+++ b/wheatring/lab/study/pool.py
@@ -18,21 +18,21 @@
 from wheatring.lab.study.settings import Pairs
 from wheatring.lab.study.worker import Hello, framed
 
-RECYCLE = 25  # runs after which a worker is replaced: what a run leaks must not add up
-BEGIN = 60.0  # seconds in which a worker must have begun
-END = 2.0  # and ended, before it is killed
+MAX_RUNS_PER_WORKER = 25  # after which a worker is replaced: what a run leaks must not add up
+START_TIMEOUT_SECONDS = 60.0  # in which a worker must have started
+END_TIMEOUT_SECONDS = 2.0  # in which it must have ended, before it is killed
 
 # Each worker begins with its patches and keeps them: undone again, they would live on in what was imported.
-Sort = tuple[Build, Pairs]
+WorkerKind = tuple[Build, Pairs]
 
 
-class _Dead(Exception):
+class _WorkerDiedError(Exception):
     """The worker's process has ended."""
 
 
 class _Worker:
-    def __init__(self, sort: Sort, process: asyncio.subprocess.Process, errors: IO[bytes]) -> None:
-        self.sort = sort
+    def __init__(self, kind: WorkerKind, process: asyncio.subprocess.Process, errors: IO[bytes]) -> None:
+        self.kind = kind
         self.process = process
         self.errors = errors
         self.played = 0
@@ -45,7 +45,7 @@
             head = await self.process.stdout.readexactly(4)
             return await self.process.stdout.readexactly(int.from_bytes(head, "big"))
         except (OSError, asyncio.IncompleteReadError):
-            raise _Dead from None
+            raise _WorkerDiedError from None
 
     async def play(self, job: Job, limit: float) -> Ended:
         self.played += 1
@@ -54,7 +54,7 @@
                 return msgspec.msgpack.decode(await self.ask(job), type=Ended)
         except TimeoutError:
             return Ended("hung", why=f"not over after {limit:g} s")
-        except _Dead:
+        except _WorkerDiedError:
             return Ended("died", why=await self.end())
 
     async def end(self) -> str:
@@ -64,7 +64,7 @@
         assert self.process.stdin is not None
         self.process.stdin.close()
         try:
-            async with asyncio.timeout_at(asyncio.get_running_loop().time() + END):
+            async with asyncio.timeout_at(asyncio.get_running_loop().time() + END_TIMEOUT_SECONDS):
                 status = await self.process.wait()
         except TimeoutError:
             with suppress(ProcessLookupError):
@@ -73,14 +73,14 @@
         if self.errors.closed:
             return ""
         self.errors.seek(0)
-        said = self.errors.read().decode("utf-8", "replace").strip().splitlines()
+        lines = self.errors.read().decode("utf-8", "replace").strip().splitlines()
         self.errors.close()
         how = f"signal {-status}" if status < 0 else f"status {status}"
-        return f"ended with {how}" + (f": {said[-1]}" if said else "")
+        return f"ended with {how}" + (f": {lines[-1]}" if lines else "")
 
 
-async def _begin(sort: Sort, run: str) -> _Worker:
-    build, patches = sort
+async def _start_worker(kind: WorkerKind, run: str) -> _Worker:
+    build, patches = kind
     # -P: else the folder that this was called in would come before the build's.
     paths = [build.folder, *(path for path in sys.path if path)]
     errors = tempfile.TemporaryFile()  # noqa: SIM115 - closed as the worker ends
@@ -90,75 +90,75 @@
         env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)},
         process_group=0,  # Ctrl-C is for the pool alone, which ends its workers
     )  # fmt: skip
-    worker = _Worker(sort, process, errors)
+    worker = _Worker(kind, process, errors)
     try:
-        async with asyncio.timeout_at(asyncio.get_running_loop().time() + BEGIN):
-            bad = msgspec.msgpack.decode(await worker.ask(Hello(run, patches)), type=str)
-    except (_Dead, TimeoutError):
-        bad = f"{build.folder}: a worker does not begin, {await worker.end()}"
+        async with asyncio.timeout_at(asyncio.get_running_loop().time() + START_TIMEOUT_SECONDS):
+            fault = msgspec.msgpack.decode(await worker.ask(Hello(run, patches)), type=str)
+    except (_WorkerDiedError, TimeoutError):
+        fault = f"{build.folder}: a worker does not begin, {await worker.end()}"
     except asyncio.CancelledError:
         await worker.end()
         raise
-    if bad:
+    if fault:
         await worker.end()
-        raise StudyError(bad)
+        raise StudyError(fault)
     return worker
 
 
-async def _try(sorts: Iterable[Sort], run: str) -> None:
-    async def one(sort: Sort) -> None:
-        await (await _begin(sort, run)).end()
+async def _check_kinds(kinds: Iterable[WorkerKind], run: str) -> None:
+    async def check(kind: WorkerKind) -> None:
+        await (await _start_worker(kind, run)).end()
 
-    for bad in await asyncio.gather(*(one(sort) for sort in sorts), return_exceptions=True):
-        if bad is not None:
-            raise bad
+    for error in await asyncio.gather(*(check(kind) for kind in kinds), return_exceptions=True):
+        if error is not None:
+            raise error
 
 
-class _Enough(Exception):
+class _StopPlayingError(Exception):
     """No more runs are wanted."""
 
 
 class _Pool:
     def __init__(self, jobs: Iterable[Job], run: str, limit: float, ended: Callable[[Job, Ended], bool]):
-        self.waiting: dict[Sort, deque[Job]] = {}
+        self.waiting: dict[WorkerKind, deque[Job]] = {}
         for job in jobs:
             self.waiting.setdefault((job.build, job.settings.patches), deque()).append(job)
         self.run = run
         self.limit = limit
         self.ended = ended
-        self.slots: dict[int, Sort | None] = {}
+        self.slots: dict[int, WorkerKind | None] = {}
 
     def next(self, slot: int) -> Job | None:
-        """A job of the slot's own sort, else of the sort with most waiting for each slot on it."""
-        sort = self.slots.get(slot)
-        if sort is None or not self.waiting[sort]:
+        """Return a job of the slot's own kind, else of the kind with most waiting for each slot on it."""
+        kind = self.slots.get(slot)
+        if kind is None or not self.waiting[kind]:
             playing = [other for place, other in self.slots.items() if place != slot]
-            sort = max(
+            kind = max(
                 self.waiting,
-                key=lambda sort: len(self.waiting[sort]) / (1 + playing.count(sort)),
+                key=lambda kind: len(self.waiting[kind]) / (1 + playing.count(kind)),
                 default=None,
             )
-        if sort is None or not self.waiting[sort]:
+        if kind is None or not self.waiting[kind]:
             return None
-        self.slots[slot] = sort
-        return self.waiting[sort].popleft()
+        self.slots[slot] = kind
+        return self.waiting[kind].popleft()
 
     async def play(self, slot: int) -> None:
         worker: _Worker | None = None
         try:
             while (job := self.next(slot)) is not None:
-                sort = (job.build, job.settings.patches)
-                if worker is not None and (worker.sort != sort or worker.played >= RECYCLE):
+                kind = (job.build, job.settings.patches)
+                if worker is not None and (worker.kind != kind or worker.played >= MAX_RUNS_PER_WORKER):
                     await worker.end()
                     worker = None
                 if worker is None:
-                    worker = await _begin(sort, self.run)
+                    worker = await _start_worker(kind, self.run)
                 ended = await worker.play(job, self.limit)
                 if ended.state in ("died", "hung"):
                     await worker.end()
                     worker = None
                 if self.ended(job, ended):
-                    raise _Enough
+                    raise _StopPlayingError
         finally:
             if worker is not None:
                 await worker.end()
@@ -172,20 +172,35 @@
                 task.cancel()
             await asyncio.gather(*slots, return_exceptions=True)
         for task in done:
-            bad = task.exception()
-            if bad is not None and not isinstance(bad, _Enough):
-                raise bad
+            error = task.exception()
+            if error is not None and not isinstance(error, _StopPlayingError):
+                raise error
 
 
 def play(jobs: list[Job], run: str, workers: int, limit: float, ended: Callable[[Job, Ended], bool]) -> None:
-    """Play all, telling `ended` of each as it ends; where that says True, end at once.
-
-    `run` is module:function, `limit` seconds of wall time for one run. KeyboardInterrupt and what `ended`
-    raises end it too. StudyError where a worker can't begin: a patch that names nothing, a broken build.
+    """Play all, reporting each to `ended` as it ends; where that returns True, end at once.
+
+    Parameters
+    ----------
+    jobs
+        What to play.
+    run
+        The run, as module:function.
+    workers
+        Processes at most.
+    limit
+        Seconds of wall time for one run.
+    ended
+        What it raises ends the pool, as KeyboardInterrupt does.
+
+    Raises
+    ------
+    StudyError
+        A worker can't start: a patch that names nothing, a broken build.
     """
     if not jobs:
         return
-    sorts = dict.fromkeys((job.build, job.settings.patches) for job in jobs)
-    if len(sorts) > 1:  # so that a bad patch is told before anything has been played
-        asyncio.run(_try(sorts, run))
+    kinds = dict.fromkeys((job.build, job.settings.patches) for job in jobs)
+    if len(kinds) > 1:  # so that a bad patch is told before anything has been played
+        asyncio.run(_check_kinds(kinds, run))
     asyncio.run(_Pool(jobs, run, limit, ended).all(min(workers, len(jobs))))
--- a/wheatring/lab/study/report/day.py
+++ b/wheatring/lab/study/report/day.py
@@ -24,23 +24,25 @@
         self.parts = [seconds[begin : begin + self.step] for begin in range(0, len(seconds), self.step)]
 
     def sum(self, count: Count) -> list[float]:
+        """Return what there is in each step."""
         return [float(sum(map(count, part))) for part in self.parts]
 
     def rate(self, count: Count) -> list[float]:
-        """A second, on the mean of the step."""
+        """Return what there is a second, on the mean of each step."""
         return [sum(map(count, part)) / len(part) for part in self.parts]
 
     def worst(self, count: Count) -> list[float]:
+        """Return the highest of each step."""
         return [max(map(count, part)) for part in self.parts]
 
-    def share(self, count: Count, whole: Count) -> list[float]:
-        """Not a number where there is no whole."""
-        pairs = zip(self.sum(count), self.sum(whole), strict=True)
-        return [part / total if total else float("nan") for part, total in pairs]
+    def share(self, count: Count, total: Count) -> list[float]:
+        """Return the part of a total in each step; not a number where there is no total."""
+        pairs = zip(self.sum(count), self.sum(total), strict=True)
+        return [part / whole if whole else float("nan") for part, whole in pairs]
 
 
 def of_run(outcome: Outcome, replay: str) -> str:
-    """The page. `replay` is the command that plays it again, "" where that is not known."""
+    """Return the page. `replay` is the command that plays it again, "" where that is not known."""
     parts: list[str] = []
     if outcome.breaches:
         parts.append(page.section(f"Breaches ({_breaches(outcome)})", _breach_table(outcome)))
@@ -100,10 +102,10 @@
     )
     if outcome.trace_hash:
         lines.append(("trace", outcome.trace_hash, "hash"))
-    return page.table(("figure", "", ""), [(name, _whole(value), what) for name, value, what in lines])
+    return page.table(("figure", "", ""), [(name, _as_integer(value), what) for name, value, what in lines])
 
 
-def _whole(value: page.Cell) -> page.Cell:
+def _as_integer(value: page.Cell) -> page.Cell:
     return int(value) if isinstance(value, float) and value.is_integer() and abs(value) >= 2 else value
 
 
--- a/wheatring/lab/study/report/page.py
+++ b/wheatring/lab/study/report/page.py
@@ -30,6 +30,7 @@
 
 
 def shown(value: Cell) -> str:
+    """Return a cell's text."""
     if value is None:
         return "-"
     if isinstance(value, float):
@@ -45,7 +46,7 @@
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
-    """A column is set to the right where its first cell is a number."""
+    """Return a table. A column is set to the right where its first cell is a number."""
     lines = [*rows]
     first = lines[0] if lines else ()
     right = [not isinstance(value, str) for value in first] or [False] * len(head)
@@ -60,18 +61,22 @@
 
 
 def section(title: str, inner: str) -> str:
+    """Return a section with a title."""
     return f"<section><h2>{escape(title)}</h2>\n{inner}</section>\n"
 
 
 def figure(title: str, svg: str, caption: str) -> str:
+    """Return a plot with its title and caption."""
     return f"<figure><h2>{escape(title)}</h2>\n{svg}\n<figcaption>{escape(caption)}</figcaption></figure>\n"
 
 
 def command(line: str) -> str:
+    """Return a paragraph with a command line."""
     return f"<p><code>{escape(line)}</code></p>\n"
 
 
 def page(title: str, summary: str, parts: Iterable[str], *, bad: bool = False) -> str:
+    """Return a complete page; `bad` marks its summary."""
     name = escape(title)
     kind = "line bad" if bad else "line"
     return (
--- a/wheatring/lab/study/report/plots.py
+++ b/wheatring/lab/study/report/plots.py
@@ -17,9 +17,9 @@
 from matplotlib.ticker import FixedLocator, LogLocator, NullLocator
 
 BLUE, AMBER, GREY, RED, GREEN, DARK = "#3b7dd8", "#f2b134", "#a7b0ba", "#d1495b", "#2f9e77", "#1f2933"
-WIDE = 10.0  # inches
+WIDTH_INCHES = 10.0
 
-LOOK: dict[Any, Any] = {
+STYLE: dict[Any, Any] = {
     "svg.fonttype": "none", "svg.hashsalt": "wheatring", "font.size": 10, "axes.edgecolor": "#9aa5b1",
     "axes.spines.top": False, "axes.spines.right": False, "axes.labelcolor": "#3e4c59", "text.color": DARK,
     "xtick.color": "#52606d", "ytick.color": "#52606d", "axes.grid": True, "axes.axisbelow": True,
@@ -41,9 +41,14 @@
     height: float = 3.0, left: float = 0.7, bottom: float = 0.5, top: float = 0.45
 ) -> Iterator[Drawing]:
     """All in inches. The margins are given, so that plots below each other have one axis of time."""
-    with matplotlib.rc_context(LOOK):
-        figure = Figure(figsize=(WIDE, height))
-        box = (left / WIDE, bottom / height, 1 - (left + 0.15) / WIDE, 1 - (top + bottom) / height)
+    with matplotlib.rc_context(STYLE):
+        figure = Figure(figsize=(WIDTH_INCHES, height))
+        box = (
+            left / WIDTH_INCHES,
+            bottom / height,
+            1 - (left + 0.15) / WIDTH_INCHES,
+            1 - (top + bottom) / height,
+        )
         made = Drawing(figure, figure.add_axes(box))
         yield made
         made.svg = inline(figure)
@@ -65,7 +70,7 @@
     return re.sub(r'(<svg[^>]*?) height="[^"]*"', r"\1", re.sub(r'(<svg[^>]*?) width="[^"]*"', r"\1", svg))
 
 
-FEW = 25  # marks of which each has a line; of more, only the first of those that stand together
+MAX_LINES = 25  # marks of which each has a line; of more, only the first of those that stand together
 
 
 @dataclass(slots=True)
@@ -77,6 +82,7 @@
     groups: list[tuple[float, str]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
+        """Group the instants that are near each other."""
         first, begin = 0, float("-inf")
         for number, at in enumerate(sorted(self.instants), 1):
             if at - begin < self.length / 18:
@@ -86,7 +92,8 @@
                 self.groups.append((at, str(number)))
 
     def draw(self, axes: Axes) -> None:
-        for at in self.instants if len(self.instants) <= FEW else [at for at, _ in self.groups]:
+        """Draw the marks."""
+        for at in self.instants if len(self.instants) <= MAX_LINES else [at for at, _ in self.groups]:
             axes.axvline(at, color=DARK, linewidth=0.7, alpha=0.35, linestyle=(0, (4, 3)))
         for at, text in self.groups:
             axes.annotate(
@@ -96,6 +103,7 @@
 
 
 def over_time(axes: Axes, length: float, marks: Marks, label: str) -> None:
+    """Set the axes of a plot over time."""
     axes.set_xlim(0, length)
     if axes.get_yscale() == "linear":
         axes.set_ylim(bottom=0)
@@ -105,6 +113,7 @@
 
 
 def legend(axes: Axes, columns: int = 4) -> None:
+    """Draw the legend above the plot."""
     axes.legend(loc="lower left", bbox_to_anchor=(0, 1.06), ncols=columns, borderaxespad=0, fontsize=9)
 
 
@@ -150,12 +159,12 @@
     return made.svg
 
 
-def percentiles(at: Callable[[float], float], most: float) -> str:
-    """The curve of percentiles up to 100 * (1 - 1 / most), ever wider spread towards the end."""
+def percentiles(at: Callable[[float], float], count: float) -> str:
+    """Return the curve of percentiles up to 100 * (1 - 1 / count), ever wider spread towards the end."""
     named = [50.0, 90.0, 99.0, 99.9, 99.99, 99.999]
     ends = [1 / (1 - share / 100) for share in named]
     with drawing(2.9, top=0.15) as made:
-        points = [1 * (max(most, 10.0) ** (number / 200)) for number in range(201)]
+        points = [1 * (max(count, 10.0) ** (number / 200)) for number in range(201)]
         made.axes.plot(points, [at(100 * (1 - 1 / point)) for point in points], color=BLUE)
         made.axes.set_xscale("log")
         kept = [(end, share) for end, share in zip(ends, named, strict=True) if end <= points[-1] * 1.001]
--- a/wheatring/lab/study/report/several.py
+++ b/wheatring/lab/study/report/several.py
@@ -16,7 +16,7 @@
 
 
 def of_set(rows: Sequence[Row], title: str) -> str:
-    """The page of at least one row."""
+    """Return the page of a set of runs, at least one."""
     done = [row for row in rows if row.g is not None]
     lost = [row for row in rows if row.state != "done"]
     breaches = sum(row.breaches or 0 for row in done)
@@ -51,7 +51,7 @@
 
 
 def _named(rows: Iterable[Row]) -> list[tuple[str, list[Row]]]:
-    """Runs by scenario, grain, settings and build; a name says only what differs, the scenario first."""
+    """Group runs by scenario, grain, settings and build; names say only what differs, the scenario first."""
     found: dict[Group, list[Row]] = {}
     for row in rows:
         group = (row.scenario, row.grain, row.settings, f"build {row.build}", f"text {row.scenario_hash}")
--- a/wheatring/lab/study/settings.py
+++ b/wheatring/lab/study/settings.py
@@ -29,8 +29,8 @@
     sets: Pairs = ()  # scenario key, value
     patches: Pairs = ()  # module:NAME, value; or PLANT, a planted fault's name
 
-    def words(self) -> list[str]:
-        """The options that give them."""
+    def options(self) -> list[str]:
+        """Return the options of the command line that give them."""
         found: list[str] = []
         for option, pairs in (("--set", self.sets), ("--patch", self.patches)):
             for name, value in pairs:
@@ -38,10 +38,11 @@
         return found
 
     def text(self) -> str:
-        return shlex.join(self.words())
+        """Return the options as one line."""
+        return shlex.join(self.options())
 
     def label(self) -> str:
-        """For people: which settings these are."""
+        """Return a name for people."""
         return ", ".join(f"{name}={value}" for name, value in self.sets + self.patches) or "as it is"
 
 
@@ -60,7 +61,7 @@
 
 
 def varied(sets: Iterable[str], patches: Iterable[str]) -> list[Settings]:
-    """All settings that the options ask for: a name given several times is tried with each of its values."""
+    """Return all settings that the options ask for: a name given several times takes each of its values."""
     set_names, patch_names = _grouped("--set", sets), _grouped("--patch", patches)
     choices = [
         [(kind, name, value) for value in values]
@@ -76,8 +77,8 @@
     ]
 
 
-def one(sets: Sequence[str], patches: Sequence[str]) -> Settings:
-    """The same where a name may be given once."""
+def single(sets: Sequence[str], patches: Sequence[str]) -> Settings:
+    """Return the one settings that the options ask for. Raises StudyError where a name is given twice."""
     found = varied(sets, patches)
     if len(found) > 1:
         raise StudyError("--set, --patch: a name is given twice")
@@ -85,7 +86,7 @@
 
 
 def value_of(text: str) -> object:
-    """A value as in TOML; bare words are text."""
+    """Read a value as in TOML; bare words are text."""
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
@@ -93,7 +94,7 @@
 
 
 def with_fault(settings: Settings, name: str) -> Settings:
-    """The same with a fault of `lab.faults` planted, where a name is given."""
+    """Add a fault of `lab.faults` to be planted, where one is named. Raises StudyError."""
     if not name:
         return settings
     if name not in [fault.name for fault in FAULTS]:
@@ -103,11 +104,11 @@
 
 
 def apply(patches: Pairs) -> None:
-    """Set the constants in this process, for good: to be done before anything else has read them. Planted
-    faults stay as well.
+    """Set the constants in this process, for good, before anything else has read them.
 
-    What a module derives from a constant as it is imported (defaults of arguments, further constants of the
-    same module) keeps the old value; what other modules import by name afterwards has the new one.
+    Planted faults stay as well. What a module derives from a constant as it is imported (defaults of
+    arguments, further constants of the same module) keeps the old value; what other modules import by name
+    afterwards has the new one.
     """
     for name, text in patches:
         if name == PLANT:
--- a/wheatring/lab/study/stats.py
+++ b/wheatring/lab/study/stats.py
@@ -9,30 +9,36 @@
 
 import numpy
 
-__all__ = ["Interval", "bootstrap", "fmean", "median", "needed", "spread"]
+__all__ = ["Interval", "bootstrap", "fmean", "median", "pairs_needed", "spread"]
 
-DRAWS = 10_000
-CHUNK = 1_000_000  # numbers drawn at once at most
+RESAMPLES = 10_000
+MAX_NUMBERS_AT_ONCE = 1_000_000  # that are drawn, for the memory they take
 
 _NORMAL = NormalDist()
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
+    """An interval of numbers, its ends included."""
+
     low: float
     high: float
 
-    def holds(self, value: float) -> bool:
+    def contains(self, value: float) -> bool:
+        """Return whether a value lies in it."""
         return self.low <= value <= self.high
 
 
 def spread(values: Sequence[float]) -> float:
-    """Standard deviation of what the values were drawn from; 0 for fewer than two."""
+    """Return the standard deviation of what the values were drawn from; 0 for fewer than two."""
     return stdev(values) if len(values) > 1 else 0.0
 
 
 def student(share: float, freedom: int) -> float:
-    """Quantile of Student's t, by its expansion about the normal one; good to 1 % from 3 degrees on."""
+    """Return a quantile of Student's t, by its expansion about the normal one.
+
+    It is good to 1 % from 3 degrees of freedom on.
+    """
     z = _NORMAL.inv_cdf(share)
     z2 = z * z
     terms = (
@@ -45,7 +51,7 @@
 
 
 def bootstrap(values: Sequence[float], seed: int, level: float = 0.95) -> Interval:
-    """The interval of the mean of what the values were drawn from, by resampling.
+    """Return the interval of the mean of what the values were drawn from, by resampling.
 
     Percentiles of resampled means are too narrow for few values (their spread is that of the n values, not of
     n - 1 degrees of freedom); they are taken further out by as much as Student's t is wider than the normal.
@@ -60,19 +66,19 @@
     tail = _NORMAL.cdf(-wide)
     drawn = numpy.random.Generator(numpy.random.PCG64(seed))
     given = numpy.asarray(values, dtype=numpy.float64)
-    at_once = max(1, CHUNK // count)
+    at_once = max(1, MAX_NUMBERS_AT_ONCE // count)
     means = numpy.concatenate(
         [
-            given[drawn.integers(0, count, (min(at_once, DRAWS - done), count))].mean(axis=1)
-            for done in range(0, DRAWS, at_once)
+            given[drawn.integers(0, count, (min(at_once, RESAMPLES - done), count))].mean(axis=1)
+            for done in range(0, RESAMPLES, at_once)
         ]
     )
     low, high = numpy.quantile(means, (tail, 1 - tail))
     return Interval(float(low), float(high))
 
 
-def needed(difference: float, deviation: float, power: float = 0.8, level: float = 0.95) -> int | None:
-    """Pairs with which a mean difference of that size is told from none with this probability.
+def pairs_needed(difference: float, deviation: float, power: float = 0.8, level: float = 0.95) -> int | None:
+    """Return the pairs with which a mean difference of that size is told from none with this probability.
 
     `deviation` is that of single differences. None where no number would do: there is no difference.
     """
--- a/wheatring/lab/study/store.py
+++ b/wheatring/lab/study/store.py
@@ -53,6 +53,7 @@
     wall_s: float | None
 
     def key(self) -> tuple[str, str, int, str, str, str]:
+        """Return what the run is kept by."""
         return self[:6]
 
 
@@ -60,24 +61,24 @@
 
 
 def encoded(outcome: Outcome) -> bytes:
-    """As it is kept."""
+    """Return an outcome as it is kept."""
     return msgspec.json.encode(outcome)
 
 
 class Store:
-    """Each method is whole at once: what it wrote outlives the death of the process."""
+    """A file of results. Each method is atomic: what it wrote outlives the death of the process."""
 
     def __init__(self, link: sqlite3.Connection) -> None:
         self.link = link
 
     def keep(self, job: Job, ended: Ended) -> Row:
-        """A run that gave no outcome, or one with figures that are no numbers, is kept as broken."""
+        """Keep a run. One without an outcome, or whose figures are no numbers, is kept as broken."""
         key = job.key()
         if ended.state == "done":
             try:
                 got = msgspec.json.decode(ended.outcome, type=Outcome)
-            except msgspec.ValidationError as bad:
-                return self.keep(job, Ended("broken", why=f"no outcome: {bad}"))
+            except msgspec.ValidationError as error:
+                return self.keep(job, Ended("broken", why=f"no outcome: {error}"))
             rules = " ".join(dict.fromkeys(breach.rule for breach in got.breaches))
             breaches = max(got.breach_count, len(got.breaches))
             row = Row(
@@ -95,7 +96,7 @@
 
     def rows(self, scenario: str = "", grain: str = "", settings: str | None = None, build: str = "",
              seed: int | None = None) -> list[Row]:  # fmt: skip
-        """All that fit, in the order of scenario, grain, settings, build and seed."""
+        """Return all rows that fit, in the order of scenario, grain, settings, build and seed."""
         wanted = {
             "scenario": scenario or None, "grain": grain or None, "settings": settings,
             "build": build or None, "seed": seed,
@@ -109,17 +110,19 @@
         return [Row(*row) for row in found]
 
     def outcome(self, row: Row) -> Outcome:
+        """Return the outcome of a run that is done."""
         return msgspec.json.decode(self.blob(row), type=Outcome)
 
     def blob(self, row: Row) -> bytes:
+        """Return the outcome of a run that is done, as JSON."""
         (found,) = self.link.execute(
             "SELECT outcome FROM runs WHERE scenario = ? AND scenario_hash = ? AND seed = ? AND grain = ?"
             " AND build = ? AND settings = ?", row.key(),
         ).fetchone()  # fmt: skip
         return bytes(found)
 
-    def look(self, comparison: str, pairs: int) -> list[int]:
-        """Note a look at a comparison with so many pairs. All looks so far, this one among them."""
+    def record_look(self, comparison: str, pairs: int) -> list[int]:
+        """Record a look at a comparison with so many pairs, and return all looks so far."""
         with self.link:
             self.link.execute("INSERT OR IGNORE INTO looks VALUES (?, ?)", (comparison, pairs))
         found = self.link.execute(
@@ -130,15 +133,15 @@
 
 @contextmanager
 def opened(file: Path, *, new: bool = True) -> Iterator[Store]:
-    """The store in that file, made if it is `new` and not there. Raises StudyError if it is no store."""
+    """Open the store in that file, made if it is `new` and not there. Raises StudyError if it is no store."""
     if not new and not file.is_file():
         raise StudyError(f"{file}: no such file")
     try:
         link = sqlite3.connect(
             file, timeout=60.0
         )  # for the lock, should another experiment write at the moment
-    except sqlite3.Error as bad:
-        raise StudyError(f"{file}: {bad}") from bad
+    except sqlite3.Error as error:
+        raise StudyError(f"{file}: {error}") from error
     try:
         try:
             (version,) = link.execute("PRAGMA user_version").fetchone()
@@ -147,8 +150,8 @@
                 version = VERSION
             link.execute("PRAGMA journal_mode = WAL")
             link.execute("PRAGMA synchronous = NORMAL")
-        except sqlite3.DatabaseError as bad:
-            raise StudyError(f"{file}: {bad}") from bad
+        except sqlite3.DatabaseError as error:
+            raise StudyError(f"{file}: {error}") from error
         if version != VERSION:
             raise StudyError(f"{file}: its tables are of version {version}, not {VERSION}")
         yield Store(link)
--- a/wheatring/lab/study/sweep.py
+++ b/wheatring/lab/study/sweep.py
@@ -32,11 +32,12 @@
 
     @property
     def breaches(self) -> int:
+        """The breaches of rules in all runs."""
         return sum(row.breaches or 0 for row in self.rows)
 
     @property
     def status(self) -> int:
-        """1 if a rule was broken or a run did not come to its end, 130 if it was stopped."""
+        """The status of the command: 1 if a rule was broken or a run did not end, 130 if it was stopped."""
         if self.breaches or any(row.state != "done" for row in self.rows):
             return 1
         return 130 if self.stopped else 0
@@ -95,6 +96,7 @@
 
 
 def grouped(rows: Iterable[Row]) -> dict[Group, list[Row]]:
+    """Return the runs by scenario, grain and settings."""
     found: dict[Group, list[Row]] = {}
     for row in rows:
         found.setdefault((row.scenario, row.scenario_hash, row.grain, row.settings), []).append(row)
@@ -102,7 +104,7 @@
 
 
 def first_breaches(rows: Iterable[Row]) -> dict[str, Row]:
-    """The first run that broke it, by rule."""
+    """Return by rule the first run that broke it."""
     found: dict[str, Row] = {}
     for row in rows:
         for rule in (row.rules or "").split():
@@ -111,11 +113,12 @@
 
 
 def replay_of(row: Row) -> str:
+    """Return the command that plays a run again."""
     return replay(row.scenario, row.seed, row.grain, row.settings)
 
 
 def summary(swept: Swept) -> list[dict[str, object]]:
-    """By scenario, grain and settings: what the table shows, as plain values."""
+    """Return by scenario, grain and settings what the table shows, as plain values."""
     found: list[dict[str, object]] = []
     for (scenario, hashed, grain, settings), rows in grouped(swept.rows).items():
         done = [row for row in rows if row.g is not None and row.service is not None]
@@ -135,7 +138,7 @@
 
 
 def show(swept: Swept, console: Console) -> None:
-    """The table, then a line on how to play each kind of breach and each lost run again."""
+    """Print the table, then a line on how to play each kind of breach and each lost run again."""
     lines = summary(swept)
     for settings in dict.fromkeys(str(line["settings"]) for line in lines):
         if len(lines) > 1 and settings:
@@ -166,7 +169,7 @@
 
 
 def show_lost(swept: Swept, console: Console) -> None:
-    """Runs that did not come to their end."""
+    """Print the runs that did not come to their end."""
     lost = [row for row in swept.rows if row.state != "done"]
     for row in lost[:10]:
         console.print(f"[red]{row.state}[/] ", end="")
--- a/wheatring/lab/study/worker.py
+++ b/wheatring/lab/study/worker.py
@@ -10,6 +10,7 @@
 import queue
 import sys
 import threading
+from pathlib import Path
 from typing import BinaryIO
 
 import msgspec
@@ -21,11 +22,14 @@
 
 
 class Hello(Struct, frozen=True):
+    """The first message to a worker."""
+
     run: str  # module:function
     patches: Pairs
 
 
 def framed(message: object) -> bytes:
+    """Return a message as it is sent: msgpack behind its length in four bytes."""
     body = msgspec.msgpack.encode(message)
     return len(body).to_bytes(4, "big") + body
 
@@ -37,29 +41,30 @@
     os._exit(0)
 
 
-def _begin(hello: Hello) -> str:
+def _load(hello: Hello) -> str:
     try:
         apply(hello.patches)  # first, so that all that is imported from here on sees them
         function(hello.run)
-    except StudyError as bad:
-        return str(bad)
-    except (ImportError, AttributeError) as bad:
-        return f"{hello.run}: can't be loaded: {bad}"
+    except StudyError as error:
+        return str(error)
+    except (ImportError, AttributeError) as error:
+        return f"{hello.run}: can't be loaded: {error}"
     return ""
 
 
 def _play(name: str, job: Job) -> Ended:
     try:
         return Ended("done", msgspec.json.encode(function(name)(job)))
-    except Exception as bad:
-        step = bad.__traceback__
+    except Exception as error:
+        step = error.__traceback__
         while step is not None and step.tb_next is not None:
             step = step.tb_next
-        where = f"{os.path.basename(step.tb_frame.f_code.co_filename)}:{step.tb_lineno}: " if step else ""
-        return Ended("broken", why=f"{where}{type(bad).__name__}: {bad}".splitlines()[0])
+        where = f"{Path(step.tb_frame.f_code.co_filename).name}:{step.tb_lineno}: " if step else ""
+        return Ended("broken", why=f"{where}{type(error).__name__}: {error}".splitlines()[0])
 
 
 def main() -> None:
+    """Play the runs that come on standard input until it ends."""
     # What a run prints must not get between the messages.
     out = os.fdopen(os.dup(1), "wb")
     nothing = os.open(os.devnull, os.O_WRONLY)
@@ -72,9 +77,9 @@
         out.flush()
 
     hello = msgspec.msgpack.decode(messages.get(), type=Hello)
-    bad = _begin(hello)
-    say(bad)
-    while not bad:
+    fault = _load(hello)
+    say(fault)
+    while not fault:
         say(_play(hello.run, msgspec.msgpack.decode(messages.get(), type=Job)))
     os._exit(0)  # an orderly end would wait for the thread that reads
 
