--- /dev/null
+++ b/tests/skew/generated_plans.py
@@ -0,0 +1,74 @@
+"""Generated plans, and what the tests of this room have in common."""
+
+from __future__ import annotations
+
+from hypothesis import strategies as st
+
+from wheatring.lab.agreement.plan_driver import ToyEvaluator
+from wheatring.plan.document import (
+    NEWEST_FORMAT,
+    Plan,
+    PlanHeader,
+    PlanMatch,
+    PlanRoute,
+    PlanWindow,
+    Ramp,
+)
+from wheatring.skew.capabilities import local_capabilities
+from wheatring.skew.trials import AnswerChain
+
+ALL = local_capabilities(version=str)
+
+
+DAY = 20_700  # 4 September 2026
+
+
+WEIGHTS = {"blue": 3, "green": 1}
+
+
+matches = st.builds(
+    PlanMatch,
+    host=st.sampled_from(["", "a.test", "*.b.test"]),
+    prefix=st.sampled_from(["", "/a", "/ab/"]),
+    expression=st.sampled_from(["", "/v[0-9]+"]),
+    methods=st.sampled_from([(), ("PUT",)]),
+    headers=st.sampled_from([(), (PlanHeader(name="X", exact="1"), PlanHeader(name="Y"))]),
+)
+
+
+routes = st.builds(
+    PlanRoute,
+    name=st.sampled_from(["one", "two"]),
+    match=matches,
+    weights=st.just(WEIGHTS),
+    split_by=st.sampled_from(["", "customer"]),
+)
+
+
+windows = st.builds(
+    PlanWindow,
+    name=st.sampled_from(["w", "x"]),
+    route=st.just("one"),
+    weights=st.just(WEIGHTS),
+    start=st.sampled_from(["2026-10-25T01:30:00", "2026-01-01T00:00:00"]),
+    length=st.sampled_from([1.0, 3600.0]),
+    rrule=st.sampled_from(["", "FREQ=DAILY"]),
+    zone=st.sampled_from(["UTC", "Europe/Dublin"]),
+    ramp=st.sampled_from([None, Ramp(steps=2, every=0.1)]),
+    when_cut=st.sampled_from(["follow", "hold"]),
+)
+
+
+plans = st.builds(
+    Plan,
+    format=st.integers(1, NEWEST_FORMAT),
+    routes=st.lists(routes, max_size=4).map(tuple),
+    windows=st.lists(windows, max_size=3).map(tuple),
+)
+
+
+def answered(plan: Plan, ruled: ToyEvaluator) -> AnswerChain:
+    answers = AnswerChain(plan, ruled, DAY)
+    while not answers.advance(7):
+        pass
+    return answers
--- /dev/null
+++ b/tests/skew/test_minimum_format.py
@@ -0,0 +1,42 @@
+"""The fleet's minimum format, and who is admitted to the view."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+
+from tests.skew.generated_plans import ALL
+from wheatring.plan.document import (
+    NEWEST_FORMAT,
+)
+from wheatring.skew.capabilities import LEGACY_CAPABILITIES
+from wheatring.skew.errors import (
+    BelowMinimumError,
+    MinimumInUseError,
+    MinimumUnknownError,
+)
+from wheatring.skew.minimum_format import admission_refusals, change_minimum, decode_minimum, encode_minimum
+from wheatring.skew.requirements import Requirements
+
+
+def test_the_floor_rises_only_where_all_read_it_and_falls_only_where_no_plan_needs_it() -> None:
+    known = [("n1", ALL), ("n2", LEGACY_CAPABILITIES)]
+    with pytest.raises(BelowMinimumError, match=r"floor 2 is not read by 1 of 2: n2 \(1\)"):
+        change_minimum(2, 1, None, known)
+    assert decode_minimum(change_minimum(3, 1, None, known[:1])) == 3
+    settled = Requirements(format=2, written=2)
+    with pytest.raises(MinimumInUseError):
+        change_minimum(1, 3, settled, known[:1])
+    assert decode_minimum(change_minimum(2, 3, settled, known[:1])) == 2
+    with pytest.raises(MinimumUnknownError):
+        change_minimum(NEWEST_FORMAT + 1, 1, None, [])
+    assert decode_minimum(b"\xc1") is None and decode_minimum(encode_minimum(2)) == 2
+
+
+def test_who_may_not_come_in_is_told_by_which_law() -> None:
+    settled = Requirements(format=3, written=3, features=frozenset({"ramps"}))
+    assert admission_refusals(ALL, 3, settled) == []
+    codes = [why.code for why in admission_refusals(LEGACY_CAPABILITIES, 2, settled, "n9")]
+    assert codes == ["below-floor", "unreadable-format", "unable"]
+    newer = msgspec.structs.replace(ALL, formats=((2, 3),))
+    assert "Raise the floor" in admission_refusals(newer, 1, None)[0].do
