--- a/tests/sidecar/test_request_service.py
+++ b/tests/sidecar/test_request_service.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.tier.edge import EdgeWorld
+from tests.tier.sidecar_world import SidecarWorld
 
 SAFE = {"pathPrefix": "/safe/", "routeType": "safe", "maxAttempts": 3}
 UNSAFE = {"pathPrefix": "/unsafe/", "routeType": "unsafe", "maxAttempts": 3}
@@ -25,11 +25,11 @@
 }
 ROUTES = (SAFE, UNSAFE, ONCE, STREAM, RESUMABLE, TURNS)
 
-Play = Callable[[EdgeWorld], Coroutine[Any, Any, None]]
+Play = Callable[[SidecarWorld], Coroutine[Any, Any, None]]
 
 
-def play(folder: Path, scripts: dict[str, list[str]], work: Play) -> EdgeWorld:
-    world = EdgeWorld(folder, ROUTES, scripts)
+def play(folder: Path, scripts: dict[str, list[str]], work: Play) -> SidecarWorld:
+    world = SidecarWorld(folder, ROUTES, scripts)
 
     async def whole() -> None:
         await world.begin()
@@ -40,7 +40,7 @@
 
 
 def test_an_answer_goes_back_unchanged(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         got = await world.request("/safe/x?a=1", ident="q")
         assert (got.status, got.body, got.whole) == (200, b"ok", True)
         assert got.headers[b"wheatring-response-signature"] == b"sig-i-b1-q"
@@ -50,7 +50,7 @@
 
 
 def test_a_request_without_a_route_is_not_found(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         assert (await world.request("/nothing/x")).status == 404
 
     play(tmp_path, {"b1": ["ok"]}, work)
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize(("path", "first", "status", "runs"), CASES)
 def test_what_a_client_gets(tmp_path: Path, path: str, first: str, status: int, runs: int) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         rest = "stream:3" if "stream" in path else "ok"
         shared = [first, rest]  # whichever endpoint is asked first
         for endpoint in world.endpoints.values():
@@ -98,7 +98,7 @@
 
 
 def test_an_address_that_is_another_endpoints_now_runs_nothing(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         world.endpoints["b1"].ident = "i-somebody-else"
         for number in range(10):
             got = await world.request("/unsafe/x", ident=f"q{number}")
@@ -109,7 +109,7 @@
 
 
 def test_a_refusal_comes_at_once(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         began = world.loop.time()
         got = await world.request("/once/x")
         assert got.status == 503 and got.at - began < 0.1
@@ -118,7 +118,7 @@
 
 
 def test_the_endpoint_is_told_the_time_left(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         await world.request("/safe/x", Wheatring_Deadline_Ms="900")
         await world.request("/safe/x", Wheatring_Deadline_Ms="90000")
         told = [int(ran.headers[b"wheatring-deadline-ms"]) for ran in world.endpoints["b1"].ran]
@@ -129,7 +129,7 @@
 
 
 def test_a_stream_is_passed_on_whole(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         got = await world.request("/stream/x", ident="q")
         assert got.whole and got.events == ["q-1", "q-2", "q-3", "q-4"]
 
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("how", ["break:2", "cut:2"])
 def test_a_stream_that_breaks_off_does_not_look_whole(tmp_path: Path, how: str) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         got = await world.request("/stream/x", ident="q")
         assert not got.whole and got.events == ["q-1", "q-2"]
         assert world.runs("q") == 1
@@ -148,7 +148,7 @@
 
 @pytest.mark.parametrize("how", ["break:2", "cut:2", "cut:0"])
 def test_a_resumable_stream_goes_on_elsewhere(tmp_path: Path, how: str) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         shared = [how, "stream:5"]
         for endpoint in world.endpoints.values():
             endpoint.script = shared
@@ -159,7 +159,7 @@
 
 
 def test_turns_build_on_one_another(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         one = await world.request("/turns/x", "POST", b"[one]", ident="t1")
         two = await world.request("/turns/x", "POST", b"[two]", ident="t2", Previous="t1")
         other = await world.request("/turns/x", "POST", b"[other]", ident="t3", Previous="t1")
@@ -176,7 +176,7 @@
 
 
 def test_a_turn_that_broke_off_cannot_be_built_on(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         got = await world.request("/turns/x", "POST", b"one", ident="t1")
         assert not got.whole
         assert (await world.request("/turns/x", "POST", b"two", ident="t2", Previous="t1")).status == 404
@@ -185,7 +185,7 @@
 
 
 def test_a_turn_is_not_answered_whole_before_it_is_on_disk(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         asking = asyncio.create_task(world.request("/turns/x", "POST", b"one", ident="t1"))
         await world.settle(0.02)
         world.kill("s1")
@@ -196,7 +196,7 @@
 
 
 def test_without_storage_a_turn_is_refused_before_it_runs(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         world.kill("s1")
         got = await world.request("/turns/x", "POST", b"two", ident="t2", Previous="t1")
         assert got.status == 503 and world.runs("t2") == 0
@@ -210,7 +210,7 @@
 
 
 def test_a_budget_is_counted_by_what_was_handed_out(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         for number in range(4):  # 20 tokens each, as the stride says; 50 at the most
             got = await world.request("/stream/x", "POST", b"x", ident=f"t{number}", **BUDGET)
             await world.settle(0.3)
@@ -221,7 +221,7 @@
 
 
 def test_a_refused_turn_gives_its_reservation_back(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         world.endpoints["b1"].script = ["full", "full", "full", "stream:2"]
         for number in range(2):
             await world.request("/stream/x", "POST", b"x", ident=f"t{number}", **BUDGET)
@@ -233,12 +233,12 @@
 
 
 def test_sigterm_answers_what_was_read(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         asking = asyncio.create_task(world.request("/safe/x"))
         await world.settle(0.1)
         host = world.hosts["e1"]
-        assert host.life is not None
-        stopping = world.run_as(host.life, host.process.stop)
+        assert host.incarnation is not None
+        stopping = world.run_as(host.incarnation, host.process.stop)
         await world.settle(0.5)
         assert not host.process.is_ready
         late = await world.request("/unsafe/x")
@@ -251,7 +251,7 @@
 
 
 def test_a_request_waits_no_longer_than_its_route_allows(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         began = world.loop.time()
         got = await world.request("/stream/x", ident="q")
         assert got.status == 504 and 1.9 < got.at - began < 2.1
@@ -260,7 +260,7 @@
 
 
 def test_a_silent_endpoint_is_left_for_another_one_where_the_stream_can_be_resumed(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         for _ in range(40):
             assert (await world.request("/resume/x")).whole
         silent, well = world.endpoints["b1"], world.endpoints["b2"]
@@ -279,7 +279,7 @@
 
 
 def test_a_stream_that_may_not_be_repeated_waits_for_a_silent_endpoint(tmp_path: Path) -> None:
-    async def work(world: EdgeWorld) -> None:
+    async def work(world: SidecarWorld) -> None:
         for _ in range(40):
             assert (await world.request("/stream/x")).whole
         world.endpoints["b1"].script = ["silent"]
--- a/tests/sidecar/test_response_matching.py
+++ b/tests/sidecar/test_response_matching.py
@@ -11,7 +11,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tests.sidecar.test_request_service import SAFE, UNSAFE
-from tests.tier.hostile import BEHAVIOURS, HostileWorld
+from tests.tier.hostile_world import BEHAVIOURS, HostileWorld
 
 MOST_ATTEMPTS = 3  # of the routes
 
--- a/tests/tier/hostile.py
+++ b/tests/tier/hostile_world.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from tests.tier.edge import SERVICE_PORT, EdgeWorld, EndpointConnection, StandIn
-from tests.tier.virtual_loop import LIFE, Life
+from tests.tier.sidecar_world import SERVICE_PORT, EndpointConnection, EndpointStub, SidecarWorld
+from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation
 from tests.tier.world import FRONT_PORT
 from wheatring.http1.parser import Message, MessageParser
 
@@ -21,7 +21,7 @@
 
 
 def body_for(ident: bytes) -> bytes:
-    """What the answer to a request holds."""
+    """Return the body of the answer to a request."""
     return b"for " + ident
 
 
@@ -50,13 +50,13 @@
 class HostileConnection(EndpointConnection):
     """One connection to an endpoint. Each behaviour is one word, taken from the world's list."""
 
-    def __init__(self, endpoint: StandIn, world: HostileWorld) -> None:
+    def __init__(self, endpoint: EndpointStub, world: HostileWorld) -> None:
         super().__init__(endpoint)
         self.world = world
         self.work: Work | None = None
 
-    def connection_lost(self, error: Exception | None) -> None:
-        """The sidecar has closed: what is under way is dropped."""
+    def connection_lost(self, _error: Exception | None) -> None:
+        """Drop the request in flight, since the sidecar has closed."""
         self._end_work()
         if hasattr(self, "task"):
             self.task.cancel()
@@ -178,12 +178,12 @@
             self.open = False
         self._finished(self)
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
         self.open = False
         self.exchange = None
 
 
-class HostileWorld(EdgeWorld):
+class HostileWorld(SidecarWorld):
     """One sidecar between such endpoints and clients."""
 
     work: list[Work]
@@ -192,15 +192,15 @@
     connections: list[HostileClient]
 
     def prepare(self) -> None:
-        """Begin with nothing seen."""
+        """Start with empty records."""
         self.work, self.exchanges, self.behaviours, self.connections = [], [], [], []
         self._number = 0
 
     def next_behaviour(self) -> str:
-        """What the endpoint does that is asked next, whichever it is."""
+        """Return what the endpoint does that gets the next request, whichever it is."""
         return self.behaviours.pop(0) if self.behaviours else "ok"
 
-    async def _listen(self, endpoint: StandIn) -> None:
+    async def _listen(self, endpoint: EndpointStub) -> None:
         loop = asyncio.get_running_loop()
         await loop.create_server(lambda: HostileConnection(endpoint, self), endpoint.name, SERVICE_PORT)
 
@@ -210,9 +210,9 @@
         if kept and resting:
             client = resting[0]
         else:
-            LIFE.set(Life("client"))
+            CURRENT_INCARNATION.set(Incarnation("client"))
             _, client = await self.loop.create_connection(
-                lambda: HostileClient(lambda client: None), "e1", FRONT_PORT
+                lambda: HostileClient(lambda _client: None), "e1", FRONT_PORT
             )
             self.connections.append(client)
         self._number += 1
@@ -224,7 +224,7 @@
         return client
 
     def leave(self, client: HostileClient, how: str) -> None:
-        """A client closes, in good order or by a reset."""
+        """Close a client, gracefully or by a reset."""
         if client.exchange is not None:
             client.exchange.left_at = self.loop.time()
         client.open = False
@@ -236,7 +236,7 @@
     # The oracle
 
     def verify(self, most_attempts: int) -> None:
-        """Nobody got another's answer, nothing ran too often, and nothing runs on for those who left."""
+        """Check that each answer is of its request, and that none ran too often or for a client that left."""
         for exchange in self.exchanges:
             works = [work for work in self.work if work.ident == exchange.ident]
             self._verify_answer(exchange, works)
--- a/tests/tier/drawn.py
+++ b/tests/tier/random_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios drawn from a seed: a busy system and troubles that its tolerance covers, one after the other."""
+"""Scenarios drawn from a seed: a busy system and faults that its tolerance covers, one after the other."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from tests.tier.scenario import Scenario, Step
 
-CATCH_UP = 4.4  # seconds after a trouble for which its machine still counts as lost
+RECOVERY_SECONDS = 4.4  # after a fault, for which its machine still counts as lost
 
 
-def _trouble(random: Random, host: str, spare: str) -> tuple[list[tuple[float, str]], float]:
-    """Events, and how long the machine counts as lost."""
+def _fault(random: Random, host: str, spare: str) -> tuple[list[tuple[float, str]], float]:
+    """Draw a fault of a host; return its events and the seconds for which the machine counts as lost."""
     length = round(random.uniform(0.2, 4.0), 2)
     kind = random.choice(("kill", "wipe", "freeze", "cut", "one-way", "full", "stall", "replace"))
     if kind == "replace":
@@ -21,7 +21,7 @@
 
 
 def _split(random: Random, machines: dict[str, list[str]]) -> tuple[list[tuple[float, str]], float]:
-    """A cut into two halves, which loses nothing, whatever is borne."""
+    """Draw a partition into two halves; return its events and its seconds. No machine is lost by it."""
     length = round(random.uniform(1.0, 4.0), 2)
     side = random.sample(machines["c"], random.randint(1, 2)) + random.sample(machines["s"], 1)
     return [(0.0, f"split {','.join(side)} for {length}")], length
@@ -30,16 +30,20 @@
 def _retire(
     random: Random, machines: dict[str, list[str]], spare: str
 ) -> tuple[list[tuple[float, str]], float]:
-    """A storage machine is added, and another one emptied and taken away."""
+    """Draw the retirement of a storage machine, once another one was added; return as for a fault."""
     node = random.choice(machines["s"])
     machines["s"].remove(node)
     machines["s"].append(spare)
-    events = [(0.0, f"add {spare}"), (CATCH_UP, f"retire {node}"), (CATCH_UP + 0.2, f"retired {node}")]
-    return events, CATCH_UP + 3.0
+    events = [
+        (0.0, f"add {spare}"),
+        (RECOVERY_SECONDS, f"retire {node}"),
+        (RECOVERY_SECONDS + 0.2, f"retired {node}"),
+    ]
+    return events, RECOVERY_SECONDS + 3.0
 
 
 def draw(seed: int, length: float = 30.0) -> Scenario:
-    """A day of so many seconds."""
+    """Draw a scenario of `length` seconds."""
     random = Random(seed)
     scenario = Scenario(f"drawn-{seed}")
     scenario.header["seed"] = seed
@@ -63,21 +67,21 @@
         word = "leader" if kind == "c" and random.random() < 0.5 else host
         added += 1
         spare = f"{kind}{added}"
-        events, lost = _trouble(random, word, spare)
+        events, lost = _fault(random, word, spare)
         if events[0][1].startswith("remove"):
             events = [(t, line.replace("remove leader", f"remove {host}")) for t, line in events]
             machines[kind].remove(host)
             machines[kind].append(spare)
         lines += [(at + offset, line) for offset, line in events]
-        at += lost + CATCH_UP + random.uniform(0.0, 1.0)
+        at += lost + RECOVERY_SECONDS + random.uniform(0.0, 1.0)
         if random.random() < 0.2:
             added += 1
             halves = random.random() < 0.5
             events, lost = _split(random, machines) if halves else _retire(random, machines, f"s{added}")
             lines += [(at + offset, line) for offset, line in events]
-            at += lost + CATCH_UP
+            at += lost + RECOVERY_SECONDS
         if random.random() < 0.15:
             lines.append((at, f"kill-all for {random.uniform(0.2, 1.0):.2f}"))
-            at += CATCH_UP + 1.0
+            at += RECOVERY_SECONDS + 1.0
     scenario.steps = [Step(round(at, 3), tuple(line.split())) for at, line in lines]
     return scenario
--- a/tests/tier/scenario.py
+++ b/tests/tier/scenario.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.tier.world import BrokenRule, World
+from tests.tier.world import InvariantViolationError, World
 
 RECOVERY_SECONDS = 6.0
 HEADERS = {"controllers": 3, "storage": 3, "losses": 1, "writers": 1, "seed": 1}
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One event."""
+    """One event, at a time in seconds, and its expected outcome."""
 
     at: float
     words: tuple[str, ...]
@@ -38,7 +38,7 @@
 
 @dataclass
 class Scenario:
-    """A system and what happens to it."""
+    """A system and its events."""
 
     name: str
     header: dict[str, int] = field(default_factory=lambda: dict(HEADERS))
@@ -46,7 +46,7 @@
 
 
 def parse(name: str, text: str) -> Scenario:
-    """Read a scenario."""
+    """Read a scenario from its text."""
     scenario = Scenario(name)
     for line in text.splitlines():
         line = line.partition("#")[0].strip()
@@ -71,7 +71,7 @@
         self._after: list[tuple[str, Callable[[], None]]] = []
 
     def play(self) -> World:
-        """Play it. Raises BrokenRule."""
+        """Play the scenario and return its world. Raises InvariantViolationError."""
         self.world.run(self._play)
         return self.world
 
@@ -98,48 +98,50 @@
         action = getattr(self, "do_" + verb.replace("-", "_"))
         outcome = await action(*words)
         if step.expected and str(outcome) != step.expected:
-            wanted = f"{step.at} {' '.join(step.words)} -> {step.expected}"
-            raise BrokenRule(f"{self.scenario.name}: {wanted}, was {outcome}")
+            step_line = f"{step.at} {' '.join(step.words)} -> {step.expected}"
+            raise InvariantViolationError(f"{self.scenario.name}: {step_line}, was {outcome}")
 
     async def _recover(self) -> None:
-        """Everything comes back; what was acknowledged must be there, and orders be taken again."""
+        """End all faults; check that nothing acknowledged is lost, and that commands are accepted again."""
         world = self.world
         for _, undo in self._after:
             undo()
         for name, host in list(world.hosts.items()):
-            if host.life is None and name[0] in "cs":
+            if host.incarnation is None and name[0] in "cs":
                 world.start(name)
         await world.settle(RECOVERY_SECONDS)
         if not await world.describe() and world.acknowledged:
-            raise BrokenRule("nothing is read back after everything came back")
+            raise InvariantViolationError("nothing is read back after everything came back")
         for turn_id in list(world.recorded):
             if await world.read("w1", turn_id) != "found":
-                raise BrokenRule(f"turn {turn_id} was recorded and cannot be read after everything came back")
-        generation = max([0, *world.acknowledged, *world.unclear]) + 10
+                raise InvariantViolationError(
+                    f"turn {turn_id} was recorded and cannot be read after everything came back"
+                )
+        generation = max([0, *world.acknowledged, *world.indeterminate]) + 10
         while True:
             status = await world.replace(generation)
             if status == 200:
                 break
             if not status:
-                raise BrokenRule("no configuration is taken after everything came back")
+                raise InvariantViolationError("no configuration is taken after everything came back")
             await self._learn_current()
             generation += 10
         await world.settle(1.0)
         for name, writer in world.writers.items():
             if writer.subscription.view.generation != generation:
-                raise BrokenRule(f"{name} has not got generation {generation} a second later")
+                raise InvariantViolationError(f"{name} has not got generation {generation} a second later")
 
     async def _learn_current(self) -> None:
-        """An order without a clear answer is in force after all."""
+        """Find out whether a change without a clear answer is in force."""
         world = self.world
         generation = await world.describe()
-        if generation in world.unclear:
-            world.acknowledged[generation] = (await world.order("GET", "/config/describe"))[1]
+        if generation in world.indeterminate:
+            world.acknowledged[generation] = (await world.call_operator_api("GET", "/config/describe"))[1]
 
     # Hosts
 
     def _host(self, word: str) -> str:
-        """A name, or who is the leader or a follower now."""
+        """Return the name of a host; `leader` and `follower` are those of now."""
         if word == "leader":
             return self.world.leader()
         if word == "follower":
@@ -148,7 +150,7 @@
         return word
 
     async def _for(self, words: tuple[str, ...], undo: Callable[[], None]) -> None:
-        """Undo something after `for SECONDS`, or once the scenario is over."""
+        """Undo a fault after `for SECONDS`, or at the end of the scenario."""
         if "for" not in words:
             self._after.append(("", undo))
             return
@@ -156,7 +158,7 @@
         undo()
 
     def _start_if_down(self, name: str) -> None:
-        if self.world.hosts[name].life is None:
+        if self.world.hosts[name].incarnation is None:
             self.world.start(name)
 
     async def do_kill(self, host: str, *words: str) -> None:
@@ -192,50 +194,50 @@
         await self._for(words, lambda: self.world.heal(name, others))
 
     async def do_split(self, names: str, *words: str) -> None:
-        """Cut machines off from all other controllers and storage machines; the others reach both sides."""
-        side = [self._host(word) for word in names.split(",")]
-        others = [other for other in self.world.hosts if other not in side and other[0] in "cs"]
-        for name in side:
+        """Partition machines off from all other controllers and storage machines, not from writers."""
+        isolated = [self._host(word) for word in names.split(",")]
+        others = [other for other in self.world.hosts if other not in isolated and other[0] in "cs"]
+        for name in isolated:
             self.world.cut(name, others)
 
         def join() -> None:
-            for name in side:
+            for name in isolated:
                 self.world.heal(name, others)
 
         await self._for(words, join)
 
     async def do_full(self, host: str, *words: str) -> None:
-        life = self.world.hosts[self._host(host)].life
-        if life is None:
+        incarnation = self.world.hosts[self._host(host)].incarnation
+        if incarnation is None:
             return
-        life.disk_full = True
-        await self._for(words, lambda: setattr(life, "disk_full", False))
+        incarnation.disk_full = True
+        await self._for(words, lambda: setattr(incarnation, "disk_full", False))
 
     async def do_stall(self, host: str, *words: str) -> None:
-        life = self.world.hosts[self._host(host)].life
-        if life is None:
+        incarnation = self.world.hosts[self._host(host)].incarnation
+        if incarnation is None:
             return
-        before, life.disk_delay = life.disk_delay, 3.0
-        await self._for(words, lambda: setattr(life, "disk_delay", before))
+        before, incarnation.disk_delay = incarnation.disk_delay, 3.0
+        await self._for(words, lambda: setattr(incarnation, "disk_delay", before))
 
-    async def do_stop(self, name: str, *words: str) -> None:
-        """SIGTERM, and the machine is gone for good once its process has ended."""
+    async def do_stop(self, name: str, *_words: str) -> None:
+        """Stop a process by SIGTERM, then remove its machine."""
         host = self.world.hosts[name]
-        if host.life is not None:
-            await self.world.run_as(host.life, host.process.stop)
+        if host.incarnation is not None:
+            await self.world.run_as(host.incarnation, host.process.stop)
         await self.do_remove(name)
 
-    async def do_add(self, name: str, *words: str) -> None:
+    async def do_add(self, name: str, *_words: str) -> None:
         self.world.add(name)
         self.world.start(name)
 
-    async def do_remove(self, host: str, *words: str) -> None:
-        """A machine is gone for good."""
+    async def do_remove(self, host: str, *_words: str) -> None:
+        """Remove a machine for ever."""
         name = self._host(host)
         self.world.kill(name, wipe=True)
         del self.world.hosts[name]
 
-    # Orders and programs
+    # Commands and programs
 
     async def do_replace(self, generation: str) -> int:
         return await self.world.replace(int(generation))
@@ -247,19 +249,19 @@
         return await self.world.describe()
 
     async def do_describes(self, count: str, pause: str) -> None:
-        """Ask every controller by itself, again and again; whoever answers knows the newest version."""
+        """Read the configuration at each controller, again and again."""
         for _ in range(int(count)):
             await self.world.describe_at_each()
             await asyncio.sleep(float(pause))
 
     async def do_retire(self, node: str) -> int:
-        status, _ = await self.world.order("POST", f"/retire/{node}/start", body=b"{}")
+        status, _ = await self.world.call_operator_api("POST", f"/retire/{node}/start", body=b"{}")
         return status
 
     async def do_retired(self, node: str) -> str:
-        """Wait until a retirement is completed, then take the machine away."""
+        """Wait until a retirement is completed, then remove the machine."""
         for _ in range(100):
-            _, body = await self.world.order("GET", f"/retire/{node}/describe")
+            _, body = await self.world.call_operator_api("GET", f"/retire/{node}/describe")
             if b"completed" in body:
                 await self.do_remove(node)
                 return "completed"
@@ -272,11 +274,11 @@
     async def do_read(self, writer: str, turn: str) -> str:
         return await self.world.read(writer, turn)
 
-    async def do_reserve(self, writer: str, program: str, turn: str, most: str, budget: str) -> str:
-        return await self.world.reserve(writer, program, turn, int(most), int(budget))
+    async def do_reserve(self, writer: str, program: str, turn: str, tokens: str, budget: str) -> str:
+        return await self.world.reserve(writer, program, turn, int(tokens), int(budget))
 
     async def do_turns(self, writer: str, count: str, pause: str) -> None:
-        """A conversation of so many turns."""
+        """Record a conversation of `count` turns."""
         previous = ""
         for number in range(int(count)):
             turn = f"{writer}-{self.world.loop.time():.4f}-{number}"
@@ -285,11 +287,11 @@
             await asyncio.sleep(float(pause))
 
     async def do_replaces(self, first: str, count: str, pause: str) -> None:
-        """So many configurations, one after the other; one without a clear answer is found out about."""
+        """Replace the configuration `count` times, one after the other."""
         await self._changes([self.world.replace], int(first), int(count), float(pause))
 
     async def do_changes(self, first: str, count: str, pause: str) -> None:
-        """The same, where each second change is an update."""
+        """Change the configuration `count` times, every second time by an update."""
         await self._changes([self.world.replace, self.world.update], int(first), int(count), float(pause))
 
     async def _changes(self, kinds: list[Change], generation: int, count: int, pause: float) -> None:
--- a/tests/tier/edge.py
+++ b/tests/tier/sidecar_world.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.tier.virtual_loop import LIFE, Life
+from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation
 from tests.tier.world import FRONT_PORT, World
 from wheatring.http1.parser import Message, MessageParser
 from wheatring.transport.messages_pb2 import Endpoint, EndpointList
@@ -23,7 +23,7 @@
 
 @dataclass
 class Ran:
-    """A request that an endpoint has begun to work on."""
+    """A request that an endpoint has started to handle."""
 
     ident: str
     path: str
@@ -32,8 +32,8 @@
 
 
 @dataclass
-class StandIn:
-    """One endpoint."""
+class EndpointStub:
+    """One endpoint and its script."""
 
     name: str  # its host
     ident: str
@@ -49,7 +49,7 @@
 class EndpointConnection(asyncio.Protocol):
     """One connection to an endpoint."""
 
-    def __init__(self, endpoint: StandIn) -> None:
+    def __init__(self, endpoint: EndpointStub) -> None:
         self.endpoint = endpoint
         self.reader = MessageParser(responses=False, max_body_bytes=1 << 20)
         self.transport: Any = None
@@ -111,8 +111,9 @@
     async def _stream(
         self, message: Message, ident: bytes, signature: bytes, behaviour: str, argument: str
     ) -> None:
-        """`stream:N` sends N events; `break:N` breaks off within the event behind N; `cut:N` behind N whole
-        ones.
+        """Stream events.
+
+        `stream:N` sends N events; `break:N` resets within the event behind N, `cut:N` behind N complete ones.
         """
         count = int(argument)
         write = self.transport.write
@@ -126,15 +127,15 @@
             write(b"0\r\n\r\n")
             return
         if behaviour == "break":
-            piece = b"id: %d\nda" % (count + 1)
-            write(b"%x\r\n%s\r\n" % (len(piece), piece))
+            chunk = b"id: %d\nda" % (count + 1)
+            write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
         await asyncio.sleep(0.01)
         self.transport.abort()
 
 
 @dataclass
 class Received:
-    """What a client got."""
+    """What a client received."""
 
     status: int = 0  # 0: no answer
     headers: dict[bytes, bytes] = field(default_factory=dict)
@@ -176,12 +177,12 @@
             if not message.is_open:
                 self.finish(True)
                 return
-        piece, whole = self.reader.read_body()
-        self.received.body += piece
+        chunk, whole = self.reader.read_body()
+        self.received.body += chunk
         if whole:
             self.finish(True)
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, _error: Exception | None) -> None:
         self.finish(False)
 
     def finish(self, whole: bool) -> None:
@@ -191,13 +192,13 @@
             self.done.set_result(None)
 
 
-class EdgeWorld(World):
+class SidecarWorld(World):
     """A system with sidecars, endpoints and clients."""
 
     def __init__(self, folder: Path, routes: Sequence[dict[str, Any]], scripts: dict[str, list[str]]) -> None:
         super().__init__(folder, seed=3, controllers=1, storage=1, losses=0)
         self.add("e1")
-        self.endpoints = {name: StandIn(name, f"i-{name}", script) for name, script in scripts.items()}
+        self.endpoints = {name: EndpointStub(name, f"i-{name}", script) for name, script in scripts.items()}
         self.routes = routes
         self._last_id = 0
 
@@ -205,7 +206,7 @@
         """Put endpoints and configuration in place and wait for the sidecar to be ready."""
         entries = []
         for endpoint in self.endpoints.values():
-            self.run_as(Life(endpoint.name), lambda endpoint=endpoint: self._listen(endpoint))  # type: ignore[misc]
+            self.run_as(Incarnation(endpoint.name), lambda endpoint=endpoint: self._listen(endpoint))  # type: ignore[misc]
             address = f"{endpoint.name}:{SERVICE_PORT}"
             entries.append(Endpoint(id=endpoint.ident, service="s", address=address, zone="z1", slots=4))
         self.platform.endpoints = EndpointList(endpoints=entries)
@@ -217,17 +218,17 @@
         services = [{"name": "s", "engine": {"stride": 10, "slots": 4}}]
         body = json.dumps({"generation": 1, "routes": routes, "services": services}).encode()
         await self.settle(0.8)
-        status, _ = await self.order("POST", "/config/replace", 0, body)
+        status, _ = await self.call_operator_api("POST", "/config/replace", 0, body)
         assert status == 200
         await self.settle(3.5)
         assert self.hosts["e1"].process.is_ready
 
-    async def _listen(self, endpoint: StandIn) -> None:
+    async def _listen(self, endpoint: EndpointStub) -> None:
         loop = asyncio.get_running_loop()
         await loop.create_server(lambda: EndpointConnection(endpoint), endpoint.name, SERVICE_PORT)
 
     async def request(self, path: str, method: str = "GET", body: bytes = b"", **headers: str) -> Received:
-        """One request of a client, on a connection of its own."""
+        """Send a request on a connection of its own and return what comes back."""
         self._last_id += 1
         ident = headers.pop("ident", f"q{self._last_id}")
         lines = [f"{method} {path} HTTP/1.1", "Host: h", f"Wheatring-Request-Id: {ident}"]
@@ -235,7 +236,7 @@
         if body:
             lines.append(f"Content-Length: {len(body)}")
         data = "\r\n".join([*lines, "", ""]).encode() + body
-        LIFE.set(Life("client"))
+        CURRENT_INCARNATION.set(Incarnation("client"))
         try:
             _, client = await self.loop.create_connection(ClientSide, "e1", FRONT_PORT)
         except ConnectionRefusedError:
@@ -247,5 +248,5 @@
         return received
 
     def runs(self, ident: str) -> int:
-        """How often a request has run, at all endpoints together."""
+        """Return how often a request was handled, at all endpoints together."""
         return sum(ran.ident == ident for endpoint in self.endpoints.values() for ran in endpoint.ran)
--- a/tests/tier/test_scenarios.py
+++ b/tests/tier/test_scenarios.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.tier.drawn import draw
+from tests.tier.random_scenario import draw
 from tests.tier.scenario import Player, parse
 
 FILES = sorted((Path(__file__).parent / "scenarios").glob("*.txt"))
--- a/tests/tier/virtual_loop.py
+++ b/tests/tier/virtual_loop.py
@@ -1,8 +1,8 @@
 """An asyncio event loop on simulated time, with a simulated network and disk threads.
 
 Nothing sleeps: when no callback is due, the clock jumps to the next timer. Connections are pairs of in-memory
-transports whose bytes arrive after a delay, unless the way between two hosts is cut. What runs in an executor
-is called at once and its result handed over after the disk's delay.
+transports whose bytes arrive after a delay, unless the link between two hosts is cut. What runs in an
+executor is called at once and its result delivered after the disk's delay.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 from wheatring.durable.exceptions import DiskError
 
-DEFAULT_DELAY = 0.001  # seconds one way
-DISK_DELAY = 0.0005  # seconds for a write and its sync
-ARRIVAL_STEP = 1e-9  # seconds, at least, between two arrivals on one connection
-SYN_RETRY = 1.0  # seconds after which the system tries an unanswered connect again
+DEFAULT_DELAY_SECONDS = 0.001  # seconds one link
+DISK_DELAY_SECONDS = 0.0005  # seconds for a write and its sync
+ARRIVAL_STEP_SECONDS = 1e-9  # seconds, at least, between two arrivals on one connection
+SYN_RETRY_SECONDS = 1.0  # seconds after which the system tries an unanswered connect again
 
 
 class _JumpingSelector(selectors.BaseSelector):
@@ -46,34 +46,36 @@
         return self._keys
 
 
-class Life:
-    """One life of a host's process: what it has scheduled happens only while it lives and is not frozen."""
+class Incarnation:
+    """One incarnation of a host's process: what it schedules runs only while it is alive and not frozen."""
 
     def __init__(self, host: str) -> None:
         self.host = host
         self.alive = True
         self.frozen = False
         self.disk_full = False
-        self.disk_delay = DISK_DELAY
-        self._held: list[tuple[Callable[..., object], tuple[Any, ...], contextvars.Context]] = []
+        self.disk_delay = DISK_DELAY_SECONDS
+        self._delayed: list[tuple[Callable[..., object], tuple[Any, ...], contextvars.Context]] = []
 
     def run(self, call: Callable[..., object], args: tuple[Any, ...], context: contextvars.Context) -> None:
         if not self.alive:
             return
         if self.frozen:
-            self._held.append((call, args, context))
+            self._delayed.append((call, args, context))
             return
         call(*args)
 
     def thaw(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Everything that has come due meanwhile happens next, in its order."""
+        """Let the process go on: everything that has come due meanwhile runs next, in its order."""
         self.frozen = False
-        held, self._held = self._held, []
-        for call, args, context in held:
+        delayed, self._delayed = self._delayed, []
+        for call, args, context in delayed:
             loop.call_soon(call, *args, context=context)
 
 
-LIFE: contextvars.ContextVar[Life | None] = contextvars.ContextVar("LIFE", default=None)
+CURRENT_INCARNATION: contextvars.ContextVar[Incarnation | None] = contextvars.ContextVar(
+    "CURRENT_INCARNATION", default=None
+)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
@@ -84,7 +86,7 @@
         super().__init__(self._jumping)
         self.network = Network(self)
         self.faults: list[dict[str, Any]] = []  # what tasks and callbacks have raised unseen
-        self.set_exception_handler(lambda loop, context: self.faults.append(context))
+        self.set_exception_handler(lambda _loop, context: self.faults.append(context))
 
     def time(self) -> float:
         return self._jumping.now
@@ -93,10 +95,10 @@
         self, callback: Callable[..., object], args: tuple[Any, ...], context: contextvars.Context | None
     ) -> tuple[Callable[..., object], tuple[Any, ...], contextvars.Context]:
         context = contextvars.copy_context() if context is None else context
-        life = context.get(LIFE)
-        if life is None:
+        incarnation = context.get(CURRENT_INCARNATION)
+        if incarnation is None:
             return callback, args, context
-        return life.run, (callback, args, context), context
+        return incarnation.run, (callback, args, context), context
 
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> asyncio.Handle:
         if self.is_closed():
@@ -108,30 +110,30 @@
         call, given, ctx = self._guarded(callback, args, context)
         return super().call_at(when, call, *given, context=ctx)
 
-    def run_in_executor(self, executor: Any, func: Any, *args: Any) -> asyncio.Future[Any]:
-        """The disk's thread: what has not been done when the process ends is never done."""
+    def run_in_executor(self, _executor: Any, func: Any, *args: Any) -> asyncio.Future[Any]:
+        """Run work of the disk's thread; what is not done when the process ends is never done."""
         future = self.create_future()
-        life = LIFE.get()
+        incarnation = CURRENT_INCARNATION.get()
 
         def work() -> None:
             if future.cancelled():
                 return
             try:
-                if life is not None and life.disk_full:
+                if incarnation is not None and incarnation.disk_full:
                     raise DiskError("no space left")
                 future.set_result(func(*args))
             except Exception as error:
                 future.set_exception(error)
 
-        self.call_later(life.disk_delay if life is not None else DISK_DELAY, work)
+        self.call_later(incarnation.disk_delay if incarnation is not None else DISK_DELAY_SECONDS, work)
         return future
 
     async def create_connection(
-        self, factory: Any, host: Any = None, port: Any = None, **options: Any
+        self, factory: Any, host: Any = None, port: Any = None, **_options: Any
     ) -> Any:
         return await self.network.connect(factory, host, port)
 
-    async def create_server(self, factory: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
+    async def create_server(self, factory: Any, host: Any = None, port: Any = None, **_options: Any) -> Any:
         return self.network.listen(factory, host, port)
 
 
@@ -150,7 +152,7 @@
         self._ending = False
         self._paused: list[bytes] | None = None
 
-    def get_extra_info(self, name: str, default: Any = None) -> Any:
+    def get_extra_info(self, _name: str, default: Any = None) -> Any:
         return default
 
     def write(self, data: Any) -> None:
@@ -193,7 +195,7 @@
             self.protocol.data_received(data)
 
     def ended(self, reset: bool) -> None:
-        """The other end has closed."""
+        """Note that the other end has closed."""
         if self.closed:
             return
         if not reset and not self._ending and self.protocol.eof_received():
@@ -223,31 +225,31 @@
 
 
 class Network:
-    """Hosts, the ways between them, and who listens where."""
+    """Hosts, the links between them, and who listens where."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
         self.servers: dict[tuple[str, int], VirtualServer] = {}
         self.transports: set[VirtualTransport] = set()
         self.cuts: set[tuple[str, str]] = set()  # from host, to host: bytes do not pass
-        self.delay: Callable[[str, str], float] = lambda source, target: DEFAULT_DELAY
+        self.delay: Callable[[str, str], float] = lambda _source, _target: DEFAULT_DELAY_SECONDS
         self._last_arrival: dict[VirtualTransport, float] = {}
-        self._held: dict[tuple[str, str], list[tuple[VirtualTransport, Callable[[], None]]]] = {}
+        self._delayed: dict[tuple[str, str], list[tuple[VirtualTransport, Callable[[], None]]]] = {}
 
     # Ways
 
     def cut(self, source: str, target: str) -> None:
-        """Bytes from one host to another are held back."""
+        """Delay bytes from one host to another until the partition ends."""
         self.cuts.add((source, target))
 
     def heal(self, source: str, target: str) -> None:
-        """They pass again, and what was held back arrives."""
+        """End a partition: what was delayed arrives."""
         self.cuts.discard((source, target))
-        for transport, arrive in self._held.pop((source, target), []):
+        for transport, arrive in self._delayed.pop((source, target), []):
             self._arrive((source, target), transport, arrive)
 
     def kill(self, host: str) -> None:
-        """A host's processes are gone: its peers get resets, and it hears nothing more."""
+        """End all connections of a host: its peers get resets, and it receives nothing more."""
         for address in [address for address in self.servers if address[0] == host]:
             del self.servers[address]
         for transport in [t for t in self.transports if t.host == host]:
@@ -260,25 +262,25 @@
     def _later(self, source: VirtualTransport, target: VirtualTransport, call: Callable[[], None]) -> None:
         if self.loop.is_closed():
             return
-        way = (source.host, target.host)
-        if way in self.cuts:
-            self._held.setdefault(way, []).append((target, call))
+        link = (source.host, target.host)
+        if link in self.cuts:
+            self._delayed.setdefault(link, []).append((target, call))
             return
-        self._arrive(way, target, call)
+        self._arrive(link, target, call)
 
-    def _arrive(self, way: tuple[str, str], target: VirtualTransport, call: Callable[[], None]) -> None:
+    def _arrive(self, link: tuple[str, str], target: VirtualTransport, call: Callable[[], None]) -> None:
         """Bytes of one connection keep their order; the loop does not keep that of equal times."""
-        due = self.loop.time() + self.delay(*way)
-        due = max(due, self._last_arrival.get(target, 0.0) + ARRIVAL_STEP)
+        due = self.loop.time() + self.delay(*link)
+        due = max(due, self._last_arrival.get(target, 0.0) + ARRIVAL_STEP_SECONDS)
         self._last_arrival[target] = due
         self.loop.call_at(due, call, context=target.context)
 
     def deliver(self, source: VirtualTransport, target: VirtualTransport, data: bytes) -> None:
-        """Bytes on their way."""
+        """Bytes on their link."""
         self._later(source, target, lambda: target.received(data))
 
     def finish(self, source: VirtualTransport, target: VirtualTransport, reset: bool = False) -> None:
-        """The end of a connection on its way."""
+        """The end of a connection on its link."""
         self._later(source, target, lambda: target.ended(reset))
 
     # Connections
@@ -290,11 +292,11 @@
         return server
 
     async def connect(self, factory: Callable[[], Any], host: str, port: int) -> tuple[Any, Any]:
-        """As the loop's `create_connection`, from the host whose life this is."""
-        life = LIFE.get()
-        source = life.host if life is not None else "outside"
+        """As the loop's `create_connection`, from the host whose incarnation this is."""
+        incarnation = CURRENT_INCARNATION.get()
+        source = incarnation.host if incarnation is not None else "outside"
         while (source, host) in self.cuts or (host, source) in self.cuts:
-            await asyncio.sleep(SYN_RETRY)
+            await asyncio.sleep(SYN_RETRY_SECONDS)
         await asyncio.sleep(2 * self.delay(source, host))
         server = self.servers.get((host, port))
         if server is None:
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -1,5 +1,6 @@
-"""A whole system on simulated time: real controllers, storage replicas and the sidecars' storage client, with
-what an operator and programs do to them, and the checks that hold on every run.
+"""A complete tier on simulated time, with an operator and programs, and checks that hold on every run.
+
+Controllers, storage replicas and the sidecars' storage client are the real ones.
 
 Controllers are c1, c2, ...; storage machines s1, s2, ...; readers and writers of turns w1, w2, .... A host's
 name is its address.
@@ -17,7 +18,7 @@
 from random import Random
 from typing import Any
 
-from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
+from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation, VirtualLoop
 from wheatring.boot_settings.settings import Address, Settings, Tolerance
 from wheatring.budgets.exceptions import BudgetExceededError
 from wheatring.budgets.token_budgets import TokenBudgets
@@ -35,29 +36,29 @@
 from wheatring.turns.exceptions import TurnNotFoundError
 
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT = 8000, 7000, 8100
-ORDER_SECONDS = 1.0  # that an operator waits for one controller
-APPLY_SECONDS = 2.0  # after an acknowledgement, for a configuration to be in force
+OPERATOR_TIMEOUT_SECONDS = 1.0  # that an operator waits for one controller
+APPLY_TIMEOUT_SECONDS = 2.0  # after an acknowledgement, for a configuration to be in force
 
 
-class BrokenRule(AssertionError):
-    """Something that must never happen has happened."""
+class InvariantViolationError(AssertionError):
+    """An invariant does not hold, or a check of the run fails."""
 
 
 @dataclass
 class Host:
-    """One machine."""
+    """One machine and the process on it."""
 
     name: str
     folder: Path
     bootstrap: bool
-    life: Life | None = None
+    incarnation: Incarnation | None = None
     process: Any = None
     operator_api: OperatorApi | None = None
 
 
 @dataclass
 class Writer:
-    """What of a sidecar reads and writes turns."""
+    """The part of a sidecar that reads and writes turns."""
 
     subscription: Subscription
     store: QuorumClient
@@ -68,7 +69,7 @@
 
 @dataclass
 class Platform:
-    """The platform's list, as a reader finds it."""
+    """A reader of the platform's endpoint list."""
 
     endpoints: EndpointList = field(default_factory=EndpointList)
 
@@ -78,7 +79,7 @@
 
 
 def configuration(generation: int) -> bytes:
-    """A small sound configuration."""
+    """Return a small valid configuration."""
     route = {
         "name": f"r{generation}",
         "hostname": "h",
@@ -91,7 +92,7 @@
 
 
 class World:
-    """The system and its checks."""
+    """The simulated tier and its checks."""
 
     def __init__(self, folder: Path, seed: int, controllers: int, storage: int, losses: int) -> None:
         self.loop = VirtualLoop()
@@ -103,12 +104,11 @@
         self.seeds = [f"c{n}" for n in range(1, min(controllers, 3) + 1)]
         self.writers: dict[str, Writer] = {}
         self.acknowledged: dict[int, bytes] = {}  # configurations by generation
-        self.refused: set[bytes] = set()
         self.recorded: dict[str, Turn] = {}
         self.granted: dict[str, int] = {}  # tokens by program
         self.budget: dict[str, int] = {}
         self.updated: dict[int, Any] = {}  # what acknowledged updates have to lead to, by generation
-        self.unclear: set[int] = set()
+        self.indeterminate: set[int] = set()
         for number in range(1, controllers + 1):
             self.add(f"c{number}", bootstrap=True)
         for number in range(1, storage + 1):
@@ -117,7 +117,7 @@
     # Hosts
 
     def add(self, name: str, bootstrap: bool = False) -> None:
-        """A machine is put up."""
+        """Add a machine."""
         self.hosts[name] = Host(name, self.folder / name, bootstrap)
 
     def _settings(self, host: Host) -> Settings:
@@ -142,16 +142,18 @@
             bounds={"drainMs": 3000},
         )
 
-    def run_as(self, life: Life, work: Callable[[], Coroutine[Any, Any, Any]]) -> asyncio.Task[Any]:
+    def run_as(
+        self, incarnation: Incarnation, work: Callable[[], Coroutine[Any, Any, Any]]
+    ) -> asyncio.Task[Any]:
         """Run a coroutine as part of a process."""
         context = contextvars.copy_context()
-        context.run(LIFE.set, life)
+        context.run(CURRENT_INCARNATION.set, incarnation)
         return context.run(lambda: self.loop.create_task(work(), context=context))
 
     def start(self, name: str) -> None:
         """Start a machine's process."""
         host = self.hosts[name]
-        life = host.life = Life(name)
+        incarnation = host.incarnation = Incarnation(name)
 
         async def begin() -> None:
             random = Random(self.random.getrandbits(32))
@@ -166,50 +168,50 @@
             await host.process.start()
             host.bootstrap = False
 
-        self.run_as(life, begin)
+        self.run_as(incarnation, begin)
 
     def kill(self, name: str, wipe: bool = False) -> None:
-        """A process ends at once; what has not been synced is lost, and with `wipe` the disk too."""
+        """Kill a process; what is not synced is lost, and with `wipe` the disk too."""
         host = self.hosts[name]
-        if host.life is not None:
-            host.life.alive = False
-            host.life = None
+        if host.incarnation is not None:
+            host.incarnation.alive = False
+            host.incarnation = None
             host.process = host.operator_api = None
         self.loop.network.kill(name)
         if wipe:
             shutil.rmtree(host.folder, ignore_errors=True)
 
     def freeze(self, name: str) -> None:
-        """A process stands still."""
-        life = self.hosts[name].life
-        if life is not None:
-            life.frozen = True
+        """Let a process stand still."""
+        incarnation = self.hosts[name].incarnation
+        if incarnation is not None:
+            incarnation.frozen = True
 
     def thaw(self, name: str) -> None:
-        """It goes on."""
-        life = self.hosts[name].life
-        if life is not None:
-            life.thaw(self.loop)
+        """Let a process that stood still go on."""
+        incarnation = self.hosts[name].incarnation
+        if incarnation is not None:
+            incarnation.thaw(self.loop)
 
     def cut(self, name: str, others: list[str], one_way: bool = False) -> None:
-        """Bytes from a machine to others are held back, and those the other way too."""
+        """Partition a machine off from others, in one direction or both."""
         for other in others:
             self.loop.network.cut(name, other)
             if not one_way:
                 self.loop.network.cut(other, name)
 
     def heal(self, name: str, others: list[str]) -> None:
-        """They pass again."""
+        """End a partition."""
         for other in others:
             self.loop.network.heal(name, other)
             self.loop.network.heal(other, name)
 
     def running(self, prefix: str) -> list[str]:
-        """Machines of a class whose processes run."""
-        return [n for n, host in self.hosts.items() if n.startswith(prefix) and host.life is not None]
+        """Return the machines of a class whose processes run."""
+        return [n for n, host in self.hosts.items() if n.startswith(prefix) and host.incarnation is not None]
 
     def leader(self) -> str:
-        """The controller that leads, by its own opinion; the one with the newest term."""
+        """Return the controller that leads in the newest term, by its own view; else any that runs."""
         leading = [
             (host.process.replica.term, name)
             for name, host in self.hosts.items()
@@ -221,25 +223,29 @@
 
     # What the operator does
 
-    async def order(self, method: str, path: str, base: int = 0, body: bytes = b"") -> tuple[int, bytes]:
+    async def call_operator_api(
+        self, method: str, path: str, base: int = 0, body: bytes = b""
+    ) -> tuple[int, bytes]:
         """Try controllers until one answers clearly; status 0 where none does."""
         for attempt in range(12):
             running = self.running("c")
             if running:
                 name = running[(self.random.randrange(len(running)) + attempt) % len(running)]
-                reply = await self._order_at(name, method, path, base, body)
+                reply = await self._call_operator_api_at(name, method, path, base, body)
                 if reply[0] and reply[0] < 500:
                     return reply
             await asyncio.sleep(0.3)
         return 0, b""
 
-    async def _order_at(self, name: str, method: str, path: str, base: int, body: bytes) -> tuple[int, bytes]:
+    async def _call_operator_api_at(
+        self, name: str, method: str, path: str, base: int, body: bytes
+    ) -> tuple[int, bytes]:
         host = self.hosts[name]
-        if host.life is None or host.operator_api is None:
+        if host.incarnation is None or host.operator_api is None:
             return 0, b""
         request = OperatorRequest(method=method, path=path, base_revision=str(base), body=body)
-        task = self.run_as(host.life, lambda: host.operator_api.handle(request))  # type: ignore[union-attr]
-        done, _ = await asyncio.wait([task], timeout=ORDER_SECONDS)
+        task = self.run_as(host.incarnation, lambda: host.operator_api.handle(request))  # type: ignore[union-attr]
+        done, _ = await asyncio.wait([task], timeout=OPERATOR_TIMEOUT_SECONDS)
         if not done:
             return 0, b""
         reply = task.result()
@@ -252,9 +258,7 @@
         return await self._change("/config/replace", base, generation, body)
 
     async def update(self, generation: int) -> int:
-        """Set a route of that generation, and drop the first of several, on the newest acknowledged
-        configuration.
-        """
+        """Update the newest acknowledged configuration: set a route, and remove the first of several."""
         base = max(self.acknowledged, default=0)
         current = json.loads(self.acknowledged.get(base, configuration(0)))
         routes = {route["name"]: route for route in current["routes"]}
@@ -272,56 +276,54 @@
         return status
 
     async def _change(self, path: str, base: int, generation: int, body: bytes) -> int:
-        self.unclear.add(generation)  # while it is under way it may be in force or not
-        status, _ = await self.order("POST", path, base, body)
+        self.indeterminate.add(generation)  # while it is in flight it may be in force or not
+        status, _ = await self.call_operator_api("POST", path, base, body)
         if status == 200:
             self.acknowledged[generation] = body
-        elif status in (400, 412):
-            self.refused.add(body)
         if status:
-            self.unclear.discard(generation)
+            self.indeterminate.discard(generation)
         return status
 
     async def describe(self) -> int:
         """Read back; checks that nothing acknowledged is lost. Returns the generation, 0 for no answer."""
         newest = max(self.acknowledged, default=0)
-        status, body = await self.order("GET", "/config/describe")
+        status, body = await self.call_operator_api("GET", "/config/describe")
         if status != 200:
             return 0
         generation = int(json.loads(body)["generation"])
         if generation < newest:
-            raise BrokenRule(f"generation {newest} was acknowledged, {generation} is read back")
+            raise InvariantViolationError(f"generation {newest} was acknowledged, {generation} is read back")
         if generation in self.updated:
-            same = json.loads(body) == self.updated[generation]
+            is_same = json.loads(body) == self.updated[generation]
         else:
-            same = body == self.acknowledged.get(generation, body)
-        if not same:
-            raise BrokenRule(f"generation {generation} is not what was sent")
-        if generation not in self.acknowledged and generation not in self.unclear:
-            raise BrokenRule(f"generation {generation} is in force and was never accepted")
+            is_same = body == self.acknowledged.get(generation, body)
+        if not is_same:
+            raise InvariantViolationError(f"generation {generation} is not what was sent")
+        if generation not in self.acknowledged and generation not in self.indeterminate:
+            raise InvariantViolationError(f"generation {generation} is in force and was never accepted")
         return generation
 
     async def describe_at_each(self) -> None:
         """Read back at each controller: none shows an older version than was acknowledged before."""
         newest = max(self.acknowledged, default=0)
         names = self.running("c")
-        replies = [self._order_at(name, "GET", "/config/describe", 0, b"") for name in names]
+        replies = [self._call_operator_api_at(name, "GET", "/config/describe", 0, b"") for name in names]
         for name, (status, body) in zip(names, await asyncio.gather(*replies), strict=True):
             if status == 200 and int(json.loads(body)["generation"]) < newest:
-                raise BrokenRule(f"{name} shows {body!r} though {newest} was acknowledged")
+                raise InvariantViolationError(f"{name} shows {body!r} though {newest} was acknowledged")
 
     # What programs do
 
     def add_writer(self, name: str) -> Writer:
-        """A sidecar's client of the storage machines."""
-        life = Life(name)
+        """Add a sidecar's client of the storage machines."""
+        incarnation = Incarnation(name)
         clients = ClientTable(INTERNAL_PORT + 1)
         writer: Writer
 
         def changed() -> None:
             view = subscription.view
             if writer.generations and view.generation < writer.generations[-1]:
-                raise BrokenRule(f"{name} went back to {view.generation}")
+                raise InvariantViolationError(f"{name} went back to {view.generation}")
             writer.generations.append(view.generation)
 
         subscription = Subscription(
@@ -338,18 +340,18 @@
         )
         writer = Writer(subscription, store, Conversations(store), TokenBudgets(store))
         self.writers[name] = writer
-        self.hosts[name] = Host(name, self.folder / name, False, life)
-        self.run_as(life, subscription.run)
+        self.hosts[name] = Host(name, self.folder / name, False, incarnation)
+        self.run_as(incarnation, subscription.run)
         return writer
 
     async def as_writer(self, name: str, work: Callable[[Writer], Coroutine[Any, Any, Any]]) -> Any:
-        """Have something done by a writer."""
-        life = self.hosts[name].life
-        assert life is not None
-        return await self.run_as(life, lambda: work(self.writers[name]))
+        """Run some work as part of a writer."""
+        incarnation = self.hosts[name].incarnation
+        assert incarnation is not None
+        return await self.run_as(incarnation, lambda: work(self.writers[name]))
 
     async def record(self, name: str, turn_id: str, previous: str = "") -> bool:
-        """Record a turn after another one. Whether it was acknowledged."""
+        """Record a turn after another one; return whether it was acknowledged."""
         before = self.recorded.get(previous)
         ancestors = [*before.ancestors, before.id] if before is not None else []
         turn = Turn(id=turn_id, ancestors=ancestors, input=b"in " + turn_id.encode(), retention_ms=600_000)
@@ -371,30 +373,34 @@
             return "not sure"
         except TurnNotFoundError:
             if turn_id in self.recorded:
-                raise BrokenRule(f"turn {turn_id} was recorded and is said not to exist") from None
+                raise InvariantViolationError(
+                    f"turn {turn_id} was recorded and is said not to exist"
+                ) from None
             return "none"
         expected = [*self.recorded[turn_id].ancestors, turn_id] if turn_id in self.recorded else None
         if expected is not None and [turn.id for turn in chain] != expected:
-            raise BrokenRule(f"turn {turn_id} came with the wrong chain")
+            raise InvariantViolationError(f"turn {turn_id} came with the wrong chain")
         return "found"
 
-    async def reserve(self, name: str, program: str, turn: str, most: int, budget: int) -> str:
+    async def reserve(self, name: str, program: str, turn: str, tokens: int, budget: int) -> str:
         """Reserve tokens; checks the sum of what was granted. "granted", "spent" or "not sure"."""
         try:
-            await self.as_writer(name, lambda w: w.budgets.reserve(program, turn, most, budget, 2.0))
+            await self.as_writer(name, lambda w: w.budgets.reserve(program, turn, tokens, budget, 2.0))
         except BudgetExceededError:
             return "spent"
         except QuorumNotReachedError:
             return "not sure"
-        self.granted[program] = self.granted.get(program, 0) + most
+        self.granted[program] = self.granted.get(program, 0) + tokens
         if self.granted[program] > budget:
-            raise BrokenRule(f"program {program} was granted {self.granted[program]} of {budget}")
+            raise InvariantViolationError(
+                f"program {program} was granted {self.granted[program]} of {budget}"
+            )
         return "granted"
 
     # Checks
 
     def check(self) -> None:
-        """What must hold at any moment."""
+        """Check what must hold at any moment. Raises InvariantViolationError."""
         leaders: dict[int, str] = {}
         for name, host in self.hosts.items():
             if not name.startswith("c") or host.process is None:
@@ -403,11 +409,11 @@
             if replica.state is State.LEADER:
                 other = leaders.setdefault(replica.term, name)
                 if other != name:
-                    raise BrokenRule(f"{name} and {other} both lead term {replica.term}")
+                    raise InvariantViolationError(f"{name} and {other} both lead term {replica.term}")
         for fault in self.loop.faults:
             error = fault.get("exception")
             if error is not None and not isinstance(error, asyncio.CancelledError):
-                raise BrokenRule(f"unexpected: {fault['message']}: {error!r}") from error
+                raise InvariantViolationError(f"unexpected: {fault['message']}: {error!r}") from error
 
     async def settle(self, seconds: float) -> None:
         """Let time pass, checking all the while."""
@@ -423,16 +429,16 @@
             self.start(name)
 
     def close(self) -> None:
-        """End all processes; what they have under way is dropped."""
+        """End all processes; what they have in flight is dropped."""
         for host in self.hosts.values():
-            if host.life is not None:
-                host.life.alive = False
+            if host.incarnation is not None:
+                host.incarnation.alive = False
         for task in asyncio.all_tasks(self.loop):
             task._log_destroy_pending = False  # type: ignore[attr-defined]
         asyncio.set_event_loop(None)
 
     def run(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Play something from the start on."""
+        """Start all machines and run some work to its end."""
         try:
             self.open()
             self.loop.run_until_complete(work())
--- a/tests/transport/test_client.py
+++ b/tests/transport/test_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.tier.virtual_loop import LIFE, Life, VirtualLoop
+from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation, VirtualLoop
 from wheatring.transport.client import CONNECT_TIMEOUT_SECONDS, EnvelopeClient
 from wheatring.transport.connection import EnvelopeConnection
 from wheatring.transport.exceptions import PeerUnreachableError
@@ -25,10 +25,10 @@
     loop = VirtualLoop()
 
     async def play() -> float:
-        LIFE.set(Life("peer"))
+        CURRENT_INCARNATION.set(Incarnation("peer"))
         server = EnvelopeServer(answer)
         await server.listen("peer", PORT)
-        LIFE.set(Life("caller"))
+        CURRENT_INCARNATION.set(Incarnation("caller"))
         loop.network.cut("caller", "peer")
         loop.call_later(silent_seconds, loop.network.heal, "caller", "peer")
         client = EnvelopeClient("peer", PORT)
@@ -55,7 +55,7 @@
     loop = VirtualLoop()
 
     async def play() -> float:
-        LIFE.set(Life("caller"))
+        CURRENT_INCARNATION.set(Incarnation("caller"))
         loop.network.cut("caller", "peer")
         client = EnvelopeClient("peer", PORT)
         with pytest.raises(PeerUnreachableError):
@@ -69,7 +69,7 @@
     loop = VirtualLoop()
 
     async def play() -> None:
-        LIFE.set(Life("caller"))
+        CURRENT_INCARNATION.set(Incarnation("caller"))
         loop.network.cut("caller", "peer")
         client = EnvelopeClient("peer", PORT)
         call = asyncio.ensure_future(client.call(Envelope(status_request=StatusRequest()), 5.0))
--- a/wheatring/consensus/state.py
+++ b/wheatring/consensus/state.py
@@ -29,20 +29,14 @@
     def __init__(
         self, me: Member, hard_state: HardState, entry: Entry, random: Random, now: float, timing: Timing
     ) -> None:
-        """Start as a follower from what was read from the disk.
+        """Start as a follower from the hard state (term and vote) and the entry that are on disk.
 
         Parameters
         ----------
         me
             The identity and address of this replica.
-        hard_state, entry
-            The term, the vote and the newest entry on disk.
         random
             Draws election time-outs and the first reply number.
-        now
-            The current time.
-        timing
-            The time-outs.
         """
         self.me = me
         self.timing = timing
--- a/wheatring/controller/voter_selection.py
+++ b/wheatring/controller/voter_selection.py
@@ -14,6 +14,7 @@
 from collections.abc import Callable, Collection, Mapping, Sequence
 from dataclasses import dataclass
 
+from wheatring.consensus.electorate import member_ids
 from wheatring.transport.messages_pb2 import Member
 
 UNREACHABLE_AFTER_SECONDS = 1.5
@@ -56,14 +57,6 @@
     -------
     The voters to change to, or None where the present ones stay.
     """
-    voter_ids = {voter.replica_id for voter in voters}
-    available = [
-        candidate.member
-        for candidate in sorted(candidates, key=lambda candidate: candidate.member.replica_id)
-        if candidate.caught_up
-        and candidate.member.replica_id not in voter_ids
-        and candidate.member.node not in leaving
-    ]
 
     def is_useful(voter: Member) -> bool:
         """Tell whether a voter stays on its machine and answers."""
@@ -72,13 +65,27 @@
         silent_seconds = unheard_seconds.get(voter.replica_id, 0.0)
         return voter.replica_id == me or silent_seconds <= UNREACHABLE_AFTER_SECONDS
 
+    available = _available_members(voters, candidates, leaving)
     wanted = _with_successors(voters, available)
     wanted = _with_replacements(wanted, available, target, is_useful)
     for voter in [voter for voter in wanted if not is_useful(voter)]:
         if len(wanted) > target:
             wanted.remove(voter)
-    is_changed = {voter.replica_id for voter in wanted} != voter_ids
-    return wanted if is_changed else None
+    return wanted if member_ids(wanted) != member_ids(voters) else None
+
+
+def _available_members(
+    voters: Sequence[Member], candidates: Sequence[Candidate], leaving: Collection[str]
+) -> list[Member]:
+    """Return the candidates that may be given a vote, in the order of their identities."""
+    voter_ids = member_ids(voters)
+    return [
+        candidate.member
+        for candidate in sorted(candidates, key=lambda candidate: candidate.member.replica_id)
+        if candidate.caught_up
+        and candidate.member.replica_id not in voter_ids
+        and candidate.member.node not in leaving
+    ]
 
 
 def _with_successors(voters: Sequence[Member], available: list[Member]) -> list[Member]:
--- a/wheatring/tier/run.py
+++ b/wheatring/tier/run.py
@@ -9,30 +9,16 @@
 import sys
 from collections.abc import Callable
 from random import Random
-from typing import Protocol
 
 from wheatring.boot_settings.exceptions import SettingsError
 from wheatring.boot_settings.settings import Settings, read_settings, settings_path
 from wheatring.durable.exceptions import DiskError
 from wheatring.event_log import log_event, start_logging
+from wheatring.role_process import RoleProcess
 
 STATUS_CANNOT_START = 2  # exit status
 
-
-class Process(Protocol):
-    """What the process of each role provides; `wheatring.role_process` is its common base."""
-
-    async def start(self) -> None:
-        """Begin to serve."""
-
-    async def stop(self) -> None:
-        """Shut down gracefully."""
-
-    def reload(self) -> None:
-        """Read the settings file again."""
-
-
-ProcessFactory = Callable[[Settings, Random], Process]
+ProcessFactory = Callable[[Settings, Random], RoleProcess]
 
 
 async def _serve(make_process: ProcessFactory, settings: Settings) -> int:
