--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -33,7 +33,6 @@
     ("wheatring.lab", 6),
     ("wheatring.serving", 6),
     ("wheatring.daemon", 5),
-    ("wheatring.plugin", 5),
     ("wheatring.serving_pool", 5),
     ("wheatring.pools", 5),
     ("wheatring.admin", 4),
