--- a/wheatring/lab/live/client_connection.py
+++ b/wheatring/lab/live/client_connection.py
@@ -1,6 +1,6 @@
 """One kept connection of the load generator, on the reactor as a descriptor of its own.
 
-What is asked goes to the kernel at once: with the reactor's own transports it would wait for the next turn,
+What is sent goes to the kernel at once: with the reactor's own transports it would wait for the next turn,
 and the generator's time would count as the server's.
 """
 
@@ -17,14 +17,16 @@
 
 
 class Owner(Protocol):
-    def up(self, line: ClientConnection) -> None:
-        """It may be asked now."""
+    """Whoever uses the connections."""
 
-    def answered(self, line: ClientConnection, status: bytes) -> None:
-        """The last byte of an answer has come; it may be asked again if it is still `alive`."""
+    def up(self, connection: ClientConnection) -> None:
+        """Use a connection that is established now."""
 
-    def ended(self, line: ClientConnection) -> None:
-        """It has ended, not by `close`. `up_once` says whether it ever came up."""
+    def answered(self, connection: ClientConnection, status: bytes) -> None:
+        """Take the status of a complete answer; the connection can be used again if it is still `alive`."""
+
+    def ended(self, connection: ClientConnection) -> None:
+        """Take note of an end that isn't by `close`; `up_once` says whether it was ever established."""
 
 
 class ClientConnection:
@@ -37,7 +39,7 @@
         self.alive = False
         self.up_once = False
         self.carried = 0  # answers
-        self.shot: Any = None  # what its owner has it carry
+        self.request: Any = None  # what its owner has it carry
         self.first: Any = None  # what it was made for, where that may go on no other
         self.unsent = b""
         self.reader = MessageParser(responses=True)
@@ -51,6 +53,7 @@
             reactor.addWriter(self)
 
     def ask(self, data: bytes) -> None:
+        """Write a request."""
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
@@ -62,7 +65,7 @@
             self.reactor.addWriter(self)
 
     def close(self) -> None:
-        """End it at once; nothing is told of it any more."""
+        """End it at once; its owner hears no more of it."""
         self.alive = False
         if self.sock.fileno() >= 0:
             self.reactor.removeReader(self)
@@ -77,15 +80,19 @@
     # What the reactor calls
 
     def fileno(self) -> int:
+        """Return its descriptor, for the reactor."""
         return self.sock.fileno()
 
-    def logPrefix(self) -> str:
+    def logPrefix(self) -> str:  # noqa: N802 - Twisted's name
+        """Return its name in the reactor's log."""
         return "line"
 
-    def connectionLost(self, reason: object) -> None:
+    def connectionLost(self, reason: object) -> None:  # noqa: N802, ARG002 - Twisted's
+        """End it, as the reactor does."""
         self._over()
 
-    def doWrite(self) -> None:
+    def doWrite(self) -> None:  # noqa: N802 - Twisted's name
+        """Take note that it is established, or write what is left to write."""
         if not self.up_once:
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 self._over()
@@ -99,7 +106,8 @@
         self.reactor.removeWriter(self)
         self.ask(data)
 
-    def doRead(self) -> None:
+    def doRead(self) -> None:  # noqa: N802 - Twisted's name
+        """Read what has come."""
         try:
             data = self.sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
@@ -113,7 +121,7 @@
                 self.owner.answered(self, message.start_line[0])
             self._over()
             return
-        if self.shot is None:  # an answer to nothing would be taken for the next request's
+        if self.request is None:  # an answer to nothing would be taken for the next request's
             self._over()
             return
         if not self.reader.has_partial_message:
@@ -126,7 +134,7 @@
         self._read(data)
 
     def _read(self, data: bytes) -> None:
-        """The long way, for heads seen for the first time and answers that come in parts."""
+        """Parse heads seen for the first time, and answers that come in parts."""
         reader = self.reader
         reader.feed(data)
         try:
--- a/wheatring/lab/live/command_loop.py
+++ b/wheatring/lab/live/command_loop.py
@@ -1,4 +1,4 @@
-"""The inside of a helper process: orders come as lines on standard input, answers go out as lines."""
+"""The inside of a helper process: commands are lines on standard input, answers lines on standard output."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 def serve(reactor: Any, obey: Callable[[bytes, WriteLine], object]) -> None:
-    """Hand each line to `obey`, with what writes a line back, until standard input is closed."""
+    """Hand each line to `obey`, with a function that writes a line back, until standard input is closed."""
     from twisted.internet import stdio
     from twisted.protocols.basic import LineReceiver
 
-    class Orders(LineReceiver):
+    class Commands(LineReceiver):
         delimiter = b"\n"
         MAX_LENGTH = 1 << 24
 
-        def lineReceived(self, line: bytes) -> None:
+        def lineReceived(self, line: bytes) -> None:  # noqa: N802 - Twisted's name
             obey(line, self.sendLine)
 
-        def connectionLost(self, reason: object = None) -> None:
+        def connectionLost(self, reason: object = None) -> None:  # noqa: N802, ARG002 - Twisted's
             if reactor.running:
                 reactor.stop()
 
-    stdio.StandardIO(Orders())  # type: ignore[no-untyped-call]
+    stdio.StandardIO(Commands())  # type: ignore[no-untyped-call]
     reactor.run()
--- a/wheatring/lab/live/cores.py
+++ b/wheatring/lab/live/cores.py
@@ -1,9 +1,10 @@
-"""Which cores what is measured, its load and its upstream run on."""
+"""Chooses the cores for what is measured, its load and its upstream."""
 
 from __future__ import annotations
 
 import os
 import time
+from pathlib import Path
 from typing import NamedTuple
 
 from wheatring.lab.live import watch
@@ -12,18 +13,20 @@
 
 
 class Cores(NamedTuple):
+    """One core for each; the same one twice where there are too few."""
+
     measured: int
     load: int
     upstream: int
 
     @property
     def shared(self) -> bool:
-        """There were too few: figures from here say little."""
+        """Whether there were too few: figures from here say little."""
         return len(set(self)) < 3
 
 
 def chosen(text: str) -> Cores:
-    """Three cores as told: measured, load, upstream. ValueError if they can't be used."""
+    """Read three cores: measured, load, upstream. ValueError if they can't be used."""
     try:
         numbers = [int(part) for part in text.split(",")]
     except ValueError:
@@ -35,7 +38,7 @@
 
 
 def idlest() -> Cores:
-    """The three least busy cores that this process may use, the least busy for what is measured."""
+    """Choose the three least busy cores that this process may use, the least busy for what is measured."""
     mine = sorted(os.sched_getaffinity(0))
     before = {core: watch.core_busy(core) for core in mine}
     time.sleep(MEASURE_SECONDS)
@@ -52,7 +55,6 @@
 
 def _siblings(core: int) -> str:
     try:
-        with open(f"/sys/devices/system/cpu/cpu{core}/topology/thread_siblings_list") as file:
-            return file.read().strip()
+        return Path(f"/sys/devices/system/cpu/cpu{core}/topology/thread_siblings_list").read_text().strip()
     except OSError:
         return str(core)
--- a/wheatring/lab/live/die_with_parent.py
+++ b/wheatring/lab/live/die_with_parent.py
@@ -13,6 +13,7 @@
 
 
 def main() -> None:
+    """Ask the kernel to be killed with the parent, and run the command."""
     parent, command = int(sys.argv[1]), sys.argv[2:]
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0) != 0:
--- a/wheatring/lab/live/duty_target.py
+++ b/wheatring/lab/live/duty_target.py
@@ -1,4 +1,4 @@
-"""What duties act on: a stand-in that takes calls, refuses older terms, and records every act."""
+"""The target of a duty's calls: a stand-in that rejects older epochs, and records every call."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class DutyCall(NamedTuple):
-    """`at`: monotonic seconds when it arrived."""
+    """One call; `at`: monotonic seconds when it arrived."""
 
     at: float
     epoch: int
@@ -20,7 +20,7 @@
 
 
 class DutyTarget(StubServer):
-    """Listens on loopback, in threads of its own. `status` is what is answered to whatever it lets in."""
+    """Listens on loopback, in threads of its own. `status` is the answer to whatever it accepts."""
 
     def __init__(self) -> None:
         self.calls: list[DutyCall] = []
@@ -30,7 +30,7 @@
         resource = self
 
         class Calls(Handler):
-            def do_POST(self) -> None:
+            def do_POST(self) -> None:  # noqa: N802 - the library's name
                 status, epoch = resource.receive(self.headers)
                 self.send_response(status)
                 self.send_header("Duty-Epoch", str(epoch))
@@ -40,6 +40,7 @@
         self.serve(Calls)
 
     def receive(self, headers: Any) -> tuple[int, int]:
+        """Accept or reject a call; return the status, and the highest epoch."""
         with self.lock:
             epoch = int(headers["Duty-Epoch"])
             let_in = self.fence.admit(epoch)
@@ -47,5 +48,6 @@
             return (self.status if let_in else 409), self.fence.highest_token
 
     def snapshot(self) -> list[DutyCall]:
+        """Return the calls so far."""
         with self.lock:
             return list(self.calls)
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -1,7 +1,6 @@
-"""A band of sidecars that talk to each other: real processes, their datagrams on links, and a resource.
+"""A fleet of real sidecar processes for tests and trials: their datagrams on links, and a target for calls.
 
-What is done to them is done by name, `d0` to `dN`; the first three vote. One duty, `probe`, calls the
-resource.
+Members are named `d0` to `dN`; the first three vote. One duty, `probe`, calls the target.
 """
 
 from __future__ import annotations
@@ -38,7 +37,7 @@
 
 
 class RigMember:
-    """One name's place, over all of its starts."""
+    """One member's name and address, over all of its starts."""
 
     def __init__(self, name: str, host: str, number: int) -> None:
         self.name = name
@@ -52,8 +51,25 @@
 
 
 class FleetRig(ContextManaged):
-    """`duty` are keys of the duty's table that stand over its own, as TOML values; `fleet` of `[fleet]`;
-    `plan` of `[plan]`, None: they have none. Those of one member may be changed in `own_plan`.
+    """Starts members, breaks links and processes, and reads what the members say.
+
+    Parameters
+    ----------
+    folder : Path
+        For the files of all members.
+    size : int
+        How many members.
+    term : float
+        Of leases, in seconds.
+    duty, fleet, plan : dict[str, str] | None
+        Keys of the tables `[duty.probe]`, `[fleet]` and `[plan]`, as TOML values, over the rig's own. Without
+        `plan` there is no such table; `member_plans` may add keys for one member.
+    control : Collection[int]
+        Numbers of the members that operators can call.
+    seed : int
+        Of the links.
+    discovery : str
+        HOST:PORT of the list service.
     """
 
     def __init__(
@@ -89,6 +105,7 @@
         self.pool = ThreadPoolExecutor(MAX_PARALLEL_STARTS)
 
     def end(self) -> None:
+        """Kill all processes, and release what they used."""
         for member in self.members.values():
             for process in member.starts:
                 process.send(signal.SIGKILL)
@@ -102,14 +119,14 @@
     # Processes
 
     def start_all(self, names: Iterable[str] | None = None) -> None:
-        """Start them all, and wait until each has its port."""
+        """Start these members, all by default, and wait until each has its port."""
         self.wires.reserve_datagrams(self.members)
         for member in self.members.values():
             member.relay_port = self.wires.ports[member.name]
         list(self.pool.map(self.start, list(names or self.members)))
 
     def start(self, name: str) -> None:
-        """Start one, and have others reach it once it listens."""
+        """Start one member, and have others reach it once it listens."""
         member = self.members[name]
         own = self.write_configuration(member)
 
@@ -135,7 +152,7 @@
         self.wires.lead({name: (words["host"], int(words["port"]))})
 
     def write_configuration(self, member: RigMember) -> Path:
-        """Write the configuration file of its next start, or of a reload."""
+        """Write the configuration file of a member's next start, or of a reload."""
         seeds = ", ".join(f'"{m.host}:{m.relay_port}"' for m in list(self.members.values())[:3])
         fleet = {
             "name": '"band"', "listen": f'"{member.host}:0"',
@@ -156,40 +173,45 @@
         return own
 
     def signal(self, number: signal.Signals, *names: str) -> None:
+        """Send a signal to members that run."""
         for name in names:
             process = self.members[name].process
             if process is not None:
                 process.send(number)
 
     def kill(self, *names: str) -> None:
+        """Kill members outright."""
         self.signal(signal.SIGKILL, *names)
 
     def pause(self, *names: str) -> None:
+        """Stop members where they are, until `resume`."""
         self.signal(signal.SIGSTOP, *names)
 
     def resume(self, *names: str) -> None:
+        """Let paused members go on."""
         self.signal(signal.SIGCONT, *names)
 
     # Links
 
     def set_links(self, froms: Iterable[str], tos: Iterable[str], state: State = SEVERED) -> None:
-        """What goes from these to those is lost, or whatever `state` says."""
+        """Put links from some members to others in a state; by default all on them is lost."""
         self.wires.datagrams(list(froms), list(tos), state)
         self.wires.stats()  # answered in order: it is done
 
     def isolate(self, *names: str) -> None:
-        """Both ways, from all others."""
+        """Cut members off from all others, both ways."""
         others = [name for name in self.members if name not in names]
         self.set_links(names, others)
         self.set_links(others, names)
 
     def heal(self) -> None:
+        """Put all links back in order."""
         self.set_links(self.members, self.members, PLAIN)
 
     # What is seen
 
     def admin_call(self, name: str, method: str, path: str, body: bytes | None = None) -> tuple[int, str]:
-        """A call of the operators."""
+        """Make an operator's call at a member; return the status and the answer's text."""
         line = http.client.HTTPConnection("127.0.0.1", self.members[name].admin_port, timeout=WAIT_SECONDS)
         try:
             line.request(method, f"/control/{path}", body)
@@ -199,11 +221,18 @@
             line.close()
 
     def status(self, name: str) -> dict[str, Any]:
+        """Return a member's answer to `GET /control/duties`."""
         found: dict[str, Any] = json.loads(self.admin_call(name, "GET", "duties")[1])
         return found
 
     def wait_until(self, what: Callable[[], Any], why: str, patience: float = WAIT_SECONDS) -> Any:
-        """Wait until something is so. ProcessError if it never is."""
+        """Wait until a condition holds, and return what it returned.
+
+        Raises
+        ------
+        ProcessError
+            It doesn't hold within `patience` seconds; the text begins with `why`.
+        """
         by = time.monotonic() + patience
         while True:
             found = what()
@@ -214,10 +243,11 @@
             time.sleep(0.01)
 
     def accepted_calls(self) -> list[DutyCall]:
+        """Return the calls that the target has accepted, as they came."""
         return [act for act in self.target.snapshot() if act.is_accepted]
 
     def next_holder(self, besides: str = "", since: float = 0.0) -> DutyCall:
-        """The first act by another than that, later than an instant."""
+        """Wait for the first accepted call after a monotonic instant by another member than `besides`."""
         found: DutyCall = self.wait_until(
             lambda: next((a for a in self.accepted_calls() if a.holder != besides and a.at > since), None),
             f"an act by another than {besides!r}",
@@ -225,11 +255,15 @@
         return found
 
     def duty_events(self, name: str) -> list[tuple[float, str]]:
+        """Return a member's log lines on its duty, with the instants at which they were read."""
         return [event for event in self.members[name].events if event[1].startswith("duty-")]
 
 
 def fencing_violations(acts: list[DutyCall]) -> list[str]:
-    """What must never be in a record of acts: a term of two, or an older one let in after a newer."""
+    """List what must never be in a record of calls.
+
+    That is one epoch of two holders, or an older epoch accepted after a newer one.
+    """
     wrong = []
     whose: dict[int, str] = {}
     highest = 0
--- a/wheatring/lab/live/generator.py
+++ b/wheatring/lab/live/generator.py
@@ -1,9 +1,9 @@
-"""The load generator. Open: requests at planned instants, whatever becomes of those before. Closed: as many
-connections as told, each of which asks again once answered.
+"""Generates load: open, or closed.
 
-Latency counts from the instant at which a request was meant to be sent: where it had to wait for a
-connection, or the generator was late itself, that is in it. The generator's own lateness is kept as well,
-and where it was the limit the result says so.
+Open: requests at planned instants, whatever becomes of those before. Closed: so many connections, each of
+which sends again once answered. Latency counts from the instant at which a request was meant to be sent:
+where it waited for a connection, or the generator was late itself, that is in it. The generator's own
+lateness is measured as well, and where it was the limit the result says so.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 
 
 class ScheduledRequest:
-    """One request."""
+    """One request, meant to be sent at `intended`; instants are monotonic seconds."""
 
-    __slots__ = ("data", "deadline", "intended", "over", "resent", "row")
+    __slots__ = ("data", "deadline", "intended", "is_over", "resent", "row")
 
     def __init__(self, intended: float, deadline: float, row: Tally, data: bytes) -> None:
         self.intended = intended
         self.deadline = deadline
         self.row = row
         self.data = data
-        self.over = False
+        self.is_over = False
         self.resent = False
 
 
@@ -65,7 +65,7 @@
         self.closing = False  # nothing new is asked
         self.reported = False
         self.idle: list[ClientConnection] = []
-        self.lines: dict[
+        self.connections: dict[
             ClientConnection, float
         ] = {}  # all of them, and when a connect under way is given up
         self.dialling = 0
@@ -85,7 +85,7 @@
                 self.ask_next()
 
     def head(self, ask: Ask) -> bytes:
-        """A request with three holes: time left, id, and the key's or none."""
+        """Make a request with three holes: time left, id, and the idempotency key's or none."""
         path = (ask.path or f"/{ask.name}").replace("%", "%%")
         more = "Idempotency-Key: k%s\r\n" if ask.keyed else "%.0s"
         if ask.body or ask.method != "GET":
@@ -99,10 +99,11 @@
     # Asking
 
     def tick(self) -> None:
+        """Send what is due of an open load."""
         planned, start = self.planned, self.start
         now = time.monotonic()
         while self.next < len(planned) and start + planned[self.next] <= now:
-            self.shoot(start + planned[self.next], now)
+            self.send(start + planned[self.next], now)
             self.next += 1
             now = time.monotonic()
         if self.next < len(planned):
@@ -110,12 +111,13 @@
             self.reactor.callLater(0 if wait < SPIN_SECONDS else wait - SPIN_SECONDS, self.tick)
 
     def ask_next(self) -> None:
-        """Closed: one of the connections is free to ask."""
+        """Send the next request of a closed load, as a connection is free."""
         now = time.monotonic()
         if now < self.end:
-            self.shoot(now, now)
+            self.send(now, now)
 
-    def shoot(self, intended: float, now: float) -> None:
+    def send(self, intended: float, now: float) -> None:
+        """Make a request and send it, or queue it for a connection."""
         load = self.load
         since = intended - self.begin
         row = self.warmed if since < 0 else self.rows[min(int(since), len(self.rows) - 1)]
@@ -126,104 +128,113 @@
         name = b"%s%08x" % (self.names, self.made)
         deadline = intended + load.patience
         data = self.heads[which] % (max(1, int((deadline - now) * 1000)), name, name)
-        shot = ScheduledRequest(intended, deadline, row, data)
+        request = ScheduledRequest(intended, deadline, row, data)
         self.out += 1
-        self.due.append(shot)
-        self.place(shot)
+        self.due.append(request)
+        self.place(request)
 
-    def place(self, shot: ScheduledRequest) -> None:
+    def place(self, request: ScheduledRequest) -> None:
+        """Send a request on an idle connection, or queue it."""
         if self.idle:
-            self.write(self.idle.pop(), shot)
+            self.write(self.idle.pop(), request)
             return
-        self.waiting.append(shot)
+        self.waiting.append(request)
         self.dial()
 
     def dial(self) -> None:
-        """Whoever waits and is dialled for by nobody gets a connection, while there are places."""
-        while self.dialling < len(self.waiting) and len(self.lines) < self.load.connections:
+        """Open a connection for each request that waits for none being opened, within the limit."""
+        while self.dialling < len(self.waiting) and len(self.connections) < self.load.connections:
             self.dialling += 1
-            self.line()
+            self.connect()
 
-    def line(self) -> ClientConnection:
-        line = ClientConnection(self.reactor, self, (self.load.host, self.load.port), self.known_heads)
-        self.lines[line] = time.monotonic() + self.load.patience
-        return line
+    def connect(self) -> ClientConnection:
+        """Open one connection."""
+        connection = ClientConnection(self.reactor, self, (self.load.host, self.load.port), self.known_heads)
+        self.connections[connection] = time.monotonic() + self.load.patience
+        return connection
 
-    def write(self, line: ClientConnection, shot: ScheduledRequest) -> None:
-        line.shot = shot
-        line.ask(shot.data)
+    def write(self, connection: ClientConnection, request: ScheduledRequest) -> None:
+        """Write a request on a connection."""
+        connection.request = request
+        connection.ask(request.data)
 
-    def free(self, line: ClientConnection) -> None:
+    def free(self, connection: ClientConnection) -> None:
+        """Use a connection for the next request that waits, or keep it idle."""
         waiting = self.waiting
         while waiting:
-            shot = waiting.popleft()
-            if not shot.over:
-                self.write(line, shot)
+            request = waiting.popleft()
+            if not request.is_over:
+                self.write(connection, request)
                 return
-        self.idle.append(line)
+        self.idle.append(connection)
 
     # What lines tell
 
-    def up(self, line: ClientConnection) -> None:
-        if line.first is None:
+    def up(self, connection: ClientConnection) -> None:
+        """Use a connection that is established."""
+        if connection.first is None:
             self.dialling -= 1
-            self.free(line)
-        elif line.first.over:
-            self.free(line)
+            self.free(connection)
+        elif connection.first.is_over:
+            self.free(connection)
         else:
-            self.write(line, line.first)
-
-    def answered(self, line: ClientConnection, status: bytes) -> None:
-        shot: ScheduledRequest = line.shot
-        line.shot = None
-        if line.alive:
-            self.free(line)
+            self.write(connection, connection.first)
+
+    def answered(self, connection: ClientConnection, status: bytes) -> None:
+        """Count an answer, and use its connection again."""
+        request: ScheduledRequest = connection.request
+        connection.request = None
+        if connection.alive:
+            self.free(connection)
         now = time.monotonic()
-        counts = shot.row.counts
+        counts = request.row.counts
         if status == b"200":
             counts.served += 1
-            shot.row.latencies.append(now - shot.intended)
+            request.row.latencies.append(now - request.intended)
             if self.begin <= now < self.end:
                 self.done_in_time += 1
         elif status == b"503" or status == b"429":
             counts.refused += 1
         else:
             counts.failed += 1
-        self.over(shot)
-
-    def ended(self, line: ClientConnection) -> None:
-        del self.lines[line]
-        shot, line.shot = line.shot, None
-        if not line.up_once:
-            if line.first is None:
+        self.over(request)
+
+    def ended(self, connection: ClientConnection) -> None:
+        """Count what a connection that ended carried, or send it once more."""
+        del self.connections[connection]
+        request, connection.request = connection.request, None
+        if not connection.up_once:
+            if connection.first is None:
                 self.dialling -= 1
-            shot = line.first or self.first_waiting()
-            if shot is not None and not shot.over:
-                shot.row.counts.unreached += 1
-                self.over(shot, RETRY_SECONDS)
-        elif shot is None:
-            if line in self.idle:
-                self.idle.remove(line)
-        elif line.carried and not shot.resent and not line.reader.has_partial_message:
+            request = connection.first or self.first_waiting()
+            if request is not None and not request.is_over:
+                request.row.counts.unreached += 1
+                self.over(request, RETRY_SECONDS)
+        elif request is None:
+            if connection in self.idle:
+                self.idle.remove(connection)
+        elif connection.carried and not request.resent and not connection.reader.has_partial_message:
             # It was kept, and its end crossed this request, which the server had not read: once more, on a
             # connection that is not about to be ended in the same way.
-            shot.resent = True
+            request.resent = True
             self.resent += 1
-            self.line().first = shot
+            self.connect().first = request
         else:
-            shot.row.counts.lost += 1
-            self.over(shot, RETRY_SECONDS)
+            request.row.counts.lost += 1
+            self.over(request, RETRY_SECONDS)
         self.dial()
 
     def first_waiting(self) -> ScheduledRequest | None:
+        """Take the first request that waits and isn't over."""
         while self.waiting:
-            shot = self.waiting.popleft()
-            if not shot.over:
-                return shot
+            request = self.waiting.popleft()
+            if not request.is_over:
+                return request
         return None
 
-    def over(self, shot: ScheduledRequest, again: float = 0.0) -> None:
-        shot.over = True
+    def over(self, request: ScheduledRequest, again: float = 0.0) -> None:
+        """End a request; of a closed load, send the next after `again` seconds."""
+        request.is_over = True
         self.out -= 1
         if self.closing:
             self.finish()
@@ -239,33 +250,37 @@
         """Give up what is overdue, each at its own deadline."""
         now = time.monotonic()
         due = self.due
-        while due and (due[0].over or due[0].deadline <= now):
-            shot = due.popleft()
-            if not shot.over:
-                self.give_up(shot)
-        for line, by in list(self.lines.items()):
-            if line in self.lines and not line.up_once and by <= now:
-                line.close()
-                self.ended(line)
+        while due and (due[0].is_over or due[0].deadline <= now):
+            request = due.popleft()
+            if not request.is_over:
+                self.give_up(request)
+        for connection, by in list(self.connections.items()):
+            if connection in self.connections and not connection.up_once and by <= now:
+                connection.close()
+                self.ended(connection)
         if not self.reported:
             until = due[0].deadline if due else now + self.load.patience
             self.reactor.callLater(max(0.0, min(until, now + 1.0) - now), self.sweep)
 
-    def give_up(self, shot: ScheduledRequest) -> None:
+    def give_up(self, request: ScheduledRequest) -> None:
+        """Give up one request, with the connection that carries it."""
         self.timed_out += 1
-        line = next((line for line in self.lines if line.shot is shot), None)
-        if line is None:
-            shot.row.counts.unreached += 1
+        connection = next(
+            (connection for connection in self.connections if connection.request is request), None
+        )
+        if connection is None:
+            request.row.counts.unreached += 1
         else:
-            shot.row.counts.lost += 1
-            line.shot = None
-            line.close()
-            del self.lines[line]
-        self.over(shot)
-        if line is not None:
+            request.row.counts.lost += 1
+            connection.request = None
+            connection.close()
+            del self.connections[connection]
+        self.over(request)
+        if connection is not None:
             self.dial()
 
     def begun(self) -> None:
+        """Begin to measure, as the warm-up is over."""
         now = time.monotonic()
         self.watch = watch.Watch(now)
         self.watch.add_all(self.load.watch, now)
@@ -275,20 +290,21 @@
         self.second(0)
 
     def second(self, number: int) -> None:
-        """The end of each second that counts."""
+        """Take the samples at the end of each second that counts."""
         if number:
             now = time.monotonic()
-            self.rows[number - 1].connections = len(self.lines)
+            self.rows[number - 1].connections = len(self.connections)
             self.watch.sample(now)
         if number + 1 < len(self.rows):
             at = self.begin + number + 1
             self.reactor.callLater(max(0.0, at - time.monotonic()), self.second, number + 1)
 
     def ended_asking(self) -> None:
+        """Stop sending, and wait for what is still open."""
         now = time.monotonic()
         if self.next < len(self.planned):  # planned for an instant that has come, and not sent yet
             self.tick()
-        self.rows[-1].connections = len(self.lines)
+        self.rows[-1].connections = len(self.connections)
         self.watch.sample(now)
         self.cpu_share = (time.process_time() - self.cpu) / (now - self.since)
         self.busy = {core: watch.core_busy(core) - before for core, before in self.busy.items()}
@@ -296,14 +312,16 @@
         self.finish()
 
     def finish(self) -> None:
+        """Report, once nothing is open."""
         if self.out == 0 and self.next == len(self.planned) and not self.reported:
             self.reported = True
-            for line in self.lines:
-                line.close()
-            self.lines.clear()
+            for connection in self.connections:
+                connection.close()
+            self.connections.clear()
             self.report(self.result())
 
     def result(self) -> Result:
+        """Sum up the result."""
         result = tally.summed(self.load, self.rows, self.cpu_share)
         result.warmed = self.warmed.asked
         result.timed_out, result.resent = self.timed_out, self.resent
--- a/wheatring/lab/live/generator_process.py
+++ b/wheatring/lab/live/generator_process.py
@@ -20,6 +20,7 @@
 
 
 def main() -> int:
+    """Play the loads that arrive on standard input."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -1,4 +1,4 @@
-"""The lives of nodes and sidecars, which hang together: a node's own sidecar starts and ends with it."""
+"""The lifecycles of nodes and sidecars: a node's own sidecar starts and ends with it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class Lifecycles:
-    """`ready` is called once all sidecars of the first hour listen, `failed` if one of them can't."""
+    """Starts and ends nodes with their sidecars.
+
+    `ready` is called once all sidecars of the start listen, `failed` if one of them can't.
+    """
 
     def __init__(self, nodes: Nodes, slots: SidecarSlots, front: Front, wires: Wires | None = None) -> None:
         self.wires = wires
@@ -29,74 +32,80 @@
         nodes.on_fallen = self.on_node_ended
 
     def start_all(self, names: Collection[str]) -> None:
-        """Start the sidecars of the first hour, at least one."""
+        """Start the sidecars that run from the beginning, at least one."""
         self.awaited = dict.fromkeys(names)
         for name in names:
             self.slots.start(self.slots.seats[name])
 
     def on_start_timeout(self) -> None:
-        """They have had time enough."""
+        """Fail, as they have had time enough to listen."""
         self.failed(ProcessError(f"{', '.join(list(self.awaited)[:3])}: has not begun to listen in time"))
 
     # Sidecars come and go
 
-    def on_sidecar_up(self, seat: SidecarSlot) -> None:
-        if seat.name not in self.nodes.nodes:
-            self.front.up(seat.name)
-        elif seat.name in self.coming:
-            self.coming.discard(seat.name)
-            self.nodes.start(seat.name)
-        if seat.name in self.awaited:
-            del self.awaited[seat.name]
+    def on_sidecar_up(self, slot: SidecarSlot) -> None:
+        """Let callers, or its node, use a sidecar that listens."""
+        if slot.name not in self.nodes.nodes:
+            self.front.up(slot.name)
+        elif slot.name in self.coming:
+            self.coming.discard(slot.name)
+            self.nodes.start(slot.name)
+        if slot.name in self.awaited:
+            del self.awaited[slot.name]
             if not self.awaited:
                 self.ready()
 
-    def on_sidecar_stopping(self, seat: SidecarSlot) -> None:
-        if seat.name not in self.nodes.nodes:
-            self.front.stopping(seat.name)
+    def on_sidecar_stopping(self, slot: SidecarSlot) -> None:
+        """Let callers know that a sidecar is shutting down."""
+        if slot.name not in self.nodes.nodes:
+            self.front.stopping(slot.name)
 
-    def on_sidecar_down(self, seat: SidecarSlot) -> None:
-        if seat.name not in self.nodes.nodes:
-            self.front.down(seat.name)
+    def on_sidecar_down(self, slot: SidecarSlot) -> None:
+        """Let callers know that a sidecar has ended."""
+        if slot.name not in self.nodes.nodes:
+            self.front.down(slot.name)
 
-    def on_sidecar_failed(self, seat: SidecarSlot) -> None:
-        if seat.name in self.awaited:
-            self.failed(ProcessError(f"{seat.name}: ended before it listened"))
+    def on_sidecar_failed(self, slot: SidecarSlot) -> None:
+        """Fail where a sidecar of the start ended before it listened."""
+        if slot.name in self.awaited:
+            self.failed(ProcessError(f"{slot.name}: ended before it listened"))
 
     # Nodes
 
     def start(self, node: str) -> None:
-        """It is to start; one with a sidecar of its own runs once that listens."""
-        seat = self.slots.seats.get(node)
+        """Start a node; one with a sidecar of its own runs once that listens."""
+        slot = self.slots.seats.get(node)
         if self.nodes.nodes[node].machine.running:
             return
-        if seat is None:
+        if slot is None:
             self.nodes.start(node)
         else:
             self.coming.add(node)
-            self.slots.start(seat)
+            self.slots.start(slot)
 
     def drain(self, node: str) -> None:
+        """Let a node drain."""
         self.nodes.drain(node)
 
     def stop(self, node: str) -> None:
+        """End a node's process."""
         self.coming.discard(node)
         if self.nodes.stop(node):
             self.on_node_ended(node)
 
     def on_node_ended(self, node: str) -> None:
-        """Its process has ended; its sidecar's does as well."""
+        """End the sidecar of a node that has ended."""
         if node in self.slots.seats:
             self.slots.kill(self.slots.seats[node], 0.0)
 
     def vanish(self, node: str) -> None:
-        """Its machine, with its own sidecar, falls silent."""
+        """Let a node's machine, with its own sidecar, fall silent."""
         assert self.wires is not None
         self.wires.begin(self._silence(node))
         self.nodes.registry.vanished(node)
 
     def back(self, node: str) -> None:
-        """It answers again, and its connections are reset."""
+        """Let a machine that was silent answer again; its connections are reset."""
         assert self.wires is not None
         self.wires.over(self._silence(node), reset=True)
         machine = self.nodes.nodes[node].machine
--- a/wheatring/lab/live/list_acquisition.py
+++ b/wheatring/lab/live/list_acquisition.py
@@ -1,11 +1,10 @@
-"""A fleet's day: what it needs of the machine, and what has to come of it.
+"""A day on which a large fleet starts without a list: what it needs of the machine, and what is measured.
 
-The figures are reckoned from an outcome, so that a day in virtual time is judged as one with real processes.
+The figures are made of an outcome, so that a day in virtual time is judged as one with real processes.
 """
 
 from __future__ import annotations
 
-import os
 from collections.abc import Iterator
 from math import ceil, inf
 from pathlib import Path
@@ -23,25 +22,28 @@
 
 
 class Requirements(NamedTuple):
+    """What a day takes of the machine, at most."""
+
     processes: int
     memory_mb: float
 
     def shown(self) -> str:
+        """Describe it in words."""
         return f"needs {self.processes} processes and {self.memory_mb:.0f} MB of memory"
 
 
 def requirements(plan: Plan, relays: int) -> Requirements:
-    """What the day takes, at most."""
+    """Estimate what a day takes, at most."""
     sidecars = len(plan.sidecars) + sum(n.tier + 1 < len(plan.tiers) for n in plan.nodes)
     return Requirements(sidecars + relays, sidecars * SIDECAR_MB + relays * RELAY_MB + LAB_MB)
 
 
 def check_resources(needed: Requirements) -> None:
-    """ProcessError, one line, where this machine can't bear it."""
+    """Raise ProcessError, with one line, where this machine lacks the memory or the processes."""
     free = _available_mb()
     if needed.memory_mb > free:
         raise ProcessError(f"{needed.shown()}, and {free:.0f} MB are free: fewer --sidecars need less")
-    most = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(os.listdir("/proc"))
+    most = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(list(Path("/proc").iterdir()))
     if needed.processes * THREADS_PER_PROCESS > most:
         raise ProcessError(f"{needed.shown()}, and there is room for {most // THREADS_PER_PROCESS}")
 
@@ -55,7 +57,10 @@
 
 
 class AcquisitionTimes(NamedTuple):
-    """How the asking went. Times are seconds of the day; inf where so many never had a list."""
+    """How the fleet acquired its list.
+
+    Times are seconds of the day; infinite where so many never had a list.
+    """
 
     sidecars: int
     least: float  # the least time in which discovery can write all of them a list
@@ -69,6 +74,7 @@
 
 
 def acquisition_times(plan: Plan, outcome: Outcome) -> AcquisitionTimes:
+    """Measure how the fleet acquired its list."""
     lists = outcome.lists
     sidecars = len(plan.sidecars)
     lines = sum(node.tier == 0 and node.up for node in plan.nodes)
@@ -91,7 +97,7 @@
 
 
 def judged(plan: Plan, outcome: Outcome) -> Iterator[tuple[bool, str]]:
-    """Each thing that the day has to show: whether it did, and in words."""
+    """Judge each bound that the plan states: whether it is kept, and in words."""
     check, found = plan.check, acquisition_times(plan, outcome)
     for name, at in (("half", found.half), ("most", found.most), ("all", found.all)):
         wanted = getattr(check, f"held_{name}")
@@ -117,7 +123,7 @@
 
 
 def shown(plan: Plan, outcome: Outcome) -> Iterator[str]:
-    """The asking in a few lines."""
+    """Describe the acquisition in a few lines."""
     found, lists = acquisition_times(plan, outcome), outcome.lists
     yield f"the sidecars took {found.starting:.1f} s to start; times are each one's own from there"
     yield (
--- a/wheatring/lab/live/list_service.py
+++ b/wheatring/lab/live/list_service.py
@@ -1,6 +1,6 @@
 """A stand-in for the list service, in threads: it answers one call after another, and counts them.
 
-It speaks what the sidecar's client does: `GET /v1/servers`, with `index` and `wait` for what is newer.
+It answers what the sidecar's client asks: `GET /v1/servers`, with `index` and `wait` for what is newer.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ListServiceStub(StubServer):
-    """`per_s`: answers that it can give a second, each in its turn."""
+    """Answers at most `answers_per_second`, one call after another."""
 
     def __init__(self, per_s: float) -> None:
         self.answers_per_second = per_s
@@ -37,7 +37,7 @@
         class Calls(Handler):
             protocol_version = "HTTP/1.1"
 
-            def do_GET(self) -> None:
+            def do_GET(self) -> None:  # noqa: N802 - the library's name
                 asked = parse_qs(urlsplit(self.path).query)
                 index = int(asked["index"][0]) if "index" in asked else None
                 body = register.answer(index, float(asked.get("wait", ["0"])[0]) / 1000, self.gone)
@@ -60,7 +60,7 @@
         self.serve(Calls)
 
     def set_instance(self, name: str, lifecycle: str, port: int) -> float:
-        """A line of the list, from now on; the instant at which it was changed."""
+        """Put a line on the list; return the instant at which it changed."""
         with self.changed:
             self.generation += 1
             line = {
@@ -72,7 +72,7 @@
             return time.monotonic()
 
     def answer(self, index: int | None, wait: float, gone: Callable[[], bool]) -> bytes | None:
-        """None: whoever asked is gone, and takes no turn."""
+        """Answer a call; None where the caller is gone, and takes no turn."""
         with self.changed:
             self.calls += 1
             by = time.monotonic() + wait
@@ -94,6 +94,7 @@
             return json.dumps(told).encode()
 
     def end(self) -> None:
+        """Let callers that wait go, and stop."""
         with self.changed:
             self.over = True
             self.changed.notify_all()
--- a/wheatring/lab/live/load.py
+++ b/wheatring/lab/live/load.py
@@ -1,4 +1,4 @@
-"""The load generator's words: what it is to do, and what came of it. Its process is `generator_process`."""
+"""The load generator's messages: what it is to do, and the result. Its process is `generator_process`."""
 
 from __future__ import annotations
 
@@ -58,6 +58,7 @@
 
     @property
     def total(self) -> int:
+        """Count the requests, however they ended."""
         return self.served + self.refused + self.failed + self.lost + self.unreached
 
 
@@ -102,7 +103,7 @@
 
 
 def arrivals(load: Load, random: Random) -> list[float]:
-    """The planned instants of an open load, in seconds from its start, warm-up and all."""
+    """Draw the planned instants of an open load, in seconds from its start, warm-up included."""
     end = load.warm + load.length
     if load.arrivals == "constant":
         return [n / load.rate for n in range(int(end * load.rate))]
@@ -123,7 +124,7 @@
 
 
 def shown(result: Result) -> Iterator[str]:
-    """A result in a few lines."""
+    """Describe a result in a few lines."""
     counts = result.counts
     yield (
         f"{result.asked} asked: {counts.served} served, {counts.refused} refused, {counts.failed} failed, "
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -1,8 +1,9 @@
-"""Stand-in execute nodes, and the list of them. All are in this process, each on an address of its own.
+"""Stand-in endpoints, and the list of them. All are in this process, each on an address of its own.
 
-One process, so that the book has one order of events; to a sidecar a node's end looks the same, as its door
-is closed and its connections are reset. On loopback a connection does not tell whose it is by where it comes
-from, so a node has a port for each sidecar that may call it, and each sidecar is told its own.
+One process, so that the record of a run has one order of events; to a sidecar an endpoint's end looks the
+same, as its port is closed and its connections are reset. On loopback a connection doesn't tell whose it is
+by where it comes from, so an endpoint has a port for each sidecar that may call it, and each sidecar is told
+its own.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class Node:
-    """One execute node: its machine, and its doors."""
+    """One endpoint: its machine, and its listening ports."""
 
     def __init__(self, plan: NodePlan, machine: Machine) -> None:
         self.plan = plan
@@ -40,12 +41,13 @@
         self.doors: list[Any] = []
 
     def reset(self) -> None:
+        """Reset all connections."""
         for peer in self.peers.values():
             peer.reset()
 
 
 class Nodes:
-    """All nodes of a plan. `where` says where a sidecar listens."""
+    """All endpoints of a plan. `where` returns where a sidecar listens."""
 
     def __init__(
         self,
@@ -75,7 +77,7 @@
         self.ways: dict[str, Caller] = {}  # of nodes that run, into their own sidecars
         effects = Effects(clock, plan.classes, book)
         self.nodes = {node.name: self._node(node, effects) for node in plan.nodes}
-        self.on_fallen: Callable[[str], object] = lambda name: None
+        self.on_fallen: Callable[[str], object] = lambda _name: None
 
     def _node(self, node: NodePlan, effects: Effects) -> Node:
         plan, tier = self.plan, self.plan.tiers[node.tier]
@@ -102,7 +104,7 @@
         return made
 
     def address(self, sidecar: str, node: Listed) -> str:
-        """Where that sidecar finds a node that has been up."""
+        """Return where a sidecar finds an endpoint that has been up, as HOST:PORT."""
         host = self.hosts[node.name]
         if self.wires is not None:
             host, port = self.wires.address(f"{sidecar}>{host}")
@@ -112,7 +114,7 @@
     # Lives
 
     def add(self, name: str) -> None:
-        """A node, at the start of the day; it runs if it is up from the start."""
+        """Add an endpoint at the start of the day; it runs if it is up from the start."""
         node = self.nodes[name].plan
         kind = self.plan.tiers[node.tier].kinds[node.kind].name
         if node.up:
@@ -121,7 +123,7 @@
         self.registry.add(listed, node.up)
 
     def start(self, name: str) -> None:
-        """Its process starts, cold, where none runs."""
+        """Start an endpoint's process, cold, unless one runs."""
         node = self.nodes[name]
         if not node.machine.running:
             self._run(node, cold=True)
@@ -136,13 +138,14 @@
             )
 
     def drain(self, name: str) -> None:
+        """Let an endpoint that runs drain."""
         node = self.nodes[name]
         if node.machine.running:
             node.machine.drain()
             self.registry.draining(name)
 
     def stop(self, name: str) -> bool:
-        """Its process ends at once; False where none runs."""
+        """End an endpoint's process at once; False where none runs."""
         node = self.nodes[name]
         if not node.machine.running:
             return False
@@ -153,12 +156,14 @@
     # What troubles of a node bring about on the network. Its machine has been told of them.
 
     def begin(self, event: EventPlan) -> None:
+        """Close the ports of endpoints that a fault makes refuse connections."""
         for name in event.nodes:
             node = self.nodes[name]
             if node.machine.troubles.refusing:
                 self._close(node)
 
     def end(self, event: EventPlan) -> None:
+        """Open the ports again of endpoints that run."""
         for name in event.nodes:
             node = self.nodes[name]
             if node.machine.running:
@@ -195,9 +200,9 @@
             door.stopListening()
 
 
-def _this(sidecar: str, host: str) -> str:
+def _this(sidecar: str, _host: str) -> str:
     return sidecar
 
 
-def _that(seconds: float, host: str) -> float:
+def _that(seconds: float, _host: str) -> float:
     return seconds
--- a/wheatring/lab/live/plan_cases.py
+++ b/wheatring/lab/live/plan_cases.py
@@ -1,6 +1,6 @@
-"""What befalls a band that goes by one plan, and what is measured of it: each case by its name.
+"""Cases for a fleet that follows one plan, and what is measured of each.
 
-Read off the members' logs: when each came to know a plan settled, and when each came to stand in a window.
+Read off the members' logs: when each came to know a plan committed, and when it entered a window.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def document(title: str, size: int = 0, window: float | None = None, hold: bool = False) -> bytes:
-    """A plan of about so many bytes at least; `window`: seconds from now on to the opening of its one."""
+    """Make a plan of at least about `size` bytes; `window`: seconds until its one window opens."""
     routes: list[dict[str, Any]] = [{"name": "all", "match": {"prefix": "/"}, "weights": {"a": 3, "b": 1}}]
     for number in range(size // 100):
         match = {"host": f"h{number}.example.test", "prefix": f"/some/way/{number}"}
@@ -44,159 +44,162 @@
     return json.dumps(plan).encode()
 
 
-def events(band: FleetRig, name: str, word: str, since: float) -> list[tuple[float, dict[str, str]]]:
-    """Lines of a member's log that begin with that word: when, and their fields."""
+def events(rig: FleetRig, name: str, word: str, since: float) -> list[tuple[float, dict[str, str]]]:
+    """Return a member's log lines of one event from an instant on, with their fields."""
     found = []
-    for at, text in list(band.members[name].events):
+    for at, text in list(rig.members[name].events):
         first, _, rest = text.partition(" ")
         if first == word and at >= since:
             found.append((at, dict(pair.split("=", 1) for pair in rest.split(" ") if "=" in pair)))
     return found
 
 
-def propose(band: FleetRig, name: str, body: bytes) -> float:
-    """Offer a plan at one; when. ProcessError where it is not taken."""
+def propose(rig: FleetRig, name: str, body: bytes) -> float:
+    """Propose a plan at a member; return when. ProcessError where it isn't taken."""
     since = time.monotonic()
 
     def taken() -> bool:
-        return band.admin_call(name, "POST", "plan", body)[0] == 202
+        return rig.admin_call(name, "POST", "plan", body)[0] == 202
 
-    band.wait_until(taken, f"{name} takes a plan", WAIT_SECONDS)
+    rig.wait_until(taken, f"{name} takes a plan", WAIT_SECONDS)
     return since
 
 
-def plan_status(band: FleetRig, name: str) -> dict[str, Any]:
-    seen: dict[str, Any] = json.loads(band.admin_call(name, "GET", "plan")[1])
+def plan_status(rig: FleetRig, name: str) -> dict[str, Any]:
+    """Return a member's answer to `GET /control/plan`."""
+    seen: dict[str, Any] = json.loads(rig.admin_call(name, "GET", "plan")[1])
     return seen
 
 
-def newest_proposal(band: FleetRig, name: str) -> dict[str, Any]:
-    """The newest push that was offered there; {}: there is none."""
-    pushes: list[dict[str, Any]] = plan_status(band, name)["pushes"]
+def newest_proposal(rig: FleetRig, name: str) -> dict[str, Any]:
+    """Return the newest plan proposed at a member; {} where there is none."""
+    pushes: list[dict[str, Any]] = plan_status(rig, name)["pushes"]
     return pushes[-1] if pushes else {}
 
 
-def wait_until_ended(band: FleetRig, name: str) -> dict[str, Any]:
-    """How the newest push that was offered there ended."""
+def wait_until_ended(rig: FleetRig, name: str) -> dict[str, Any]:
+    """Wait until the newest proposal at a member has ended; return how."""
 
     def over() -> dict[str, Any] | None:
-        pushed = newest_proposal(band, name)
+        pushed = newest_proposal(rig, name)
         return pushed if pushed.get("state") in ("settled", "refused", "lost") else None
 
-    found: dict[str, Any] = band.wait_until(over, f"the push at {name} ends", WAIT_SECONDS)
+    found: dict[str, Any] = rig.wait_until(over, f"the push at {name} ends", WAIT_SECONDS)
     return found
 
 
-def wait_until_committed(band: FleetRig, names: Collection[str], number: int, since: float) -> float:
-    """Wait until all of these know that plan settled; seconds until the last one did."""
+def wait_until_committed(rig: FleetRig, names: Collection[str], number: int, since: float) -> float:
+    """Wait until these members know a plan committed; return the seconds until the last one did."""
 
     def so() -> float:
         last = [
-            [at for at, fields in events(band, name, "plan", 0.0) if int(fields["number"]) >= number][:1]
+            [at for at, fields in events(rig, name, "plan", 0.0) if int(fields["number"]) >= number][:1]
             for name in names
         ]
         return max(found[0] for found in last) if all(last) else 0.0
 
-    at: float = band.wait_until(so, f"all know plan {number}", WAIT_SECONDS)
+    at: float = rig.wait_until(so, f"all know plan {number}", WAIT_SECONDS)
     return at - since
 
 
-def conflicting_plans(band: FleetRig) -> list[str]:
-    """Numbers under which two sidecars knew two bodies, and sidecars that went back."""
+def conflicting_plans(rig: FleetRig) -> list[str]:
+    """List numbers under which members knew two plans, and members that went back to an older one."""
     bodies: dict[str, set[str]] = {}
     wrong = []
-    for name in band.members:
+    for name in rig.members:
         last = 0
-        for _, fields in events(band, name, "plan", 0.0):
+        for _, fields in events(rig, name, "plan", 0.0):
             bodies.setdefault(fields["number"], set()).add(fields["digest"])
-            if int(fields["number"]) < last and len(band.members[name].starts) == 1:
+            if int(fields["number"]) < last and len(rig.members[name].starts) == 1:
                 wrong.append(f"{name} went from plan {last} to {fields['number']}")
             last = int(fields["number"])
     twice = [number for number, found in sorted(bodies.items()) if len(found) > 1]
     return wrong + [f"plan {number} has two bodies" for number in twice]
 
 
-def plan(band: FleetRig, random: Random) -> Iterator[Measurement]:
-    names = list(band.members)
-    number = plan_status(band, "d3")["newest"] + 1
+def plan(rig: FleetRig, random: Random) -> Iterator[Measurement]:  # noqa: ARG001 - one signature for all cases
+    """Commit a large plan, then one while the leader is killed."""
+    names = list(rig.members)
+    number = plan_status(rig, "d3")["newest"] + 1
     body = document("large", LARGE_PLAN_BYTES)
-    since = propose(band, "d3", body)
-    took = wait_until_committed(band, names, number, since)
+    since = propose(rig, "d3", body)
+    took = wait_until_committed(rig, names, number, since)
     yield Measurement(took <= 5.0, f"a plan of {len(body)} bytes is with all after {took:.1f} s (5)")
-    leader = next(name for name in ("d0", "d1", "d2") if band.status(name)["view"]["leads"])
+    leader = next(name for name in ("d0", "d1", "d2") if rig.status(name)["view"]["leads"])
     other = next(name for name in ("d3", "d4") if name != leader)
-    since = propose(band, other, document("leader killed", LARGE_PLAN_BYTES))
-    band.wait_until(lambda: newest_proposal(band, other)["state"] != "offered", "it is begun", WAIT_SECONDS)
-    band.kill(leader)
-    how = wait_until_ended(band, other)
+    since = propose(rig, other, document("leader killed", LARGE_PLAN_BYTES))
+    rig.wait_until(lambda: newest_proposal(rig, other)["state"] != "offered", "it is begun", WAIT_SECONDS)
+    rig.kill(leader)
+    how = wait_until_ended(rig, other)
     took = time.monotonic() - since
-    band.start(leader)
-    ViewHistory(band).wait_for_one_view(names, len(names))
-    last = plan_status(band, other)["newest"]
-    wait_until_committed(band, names, last, since)
-    wrong = conflicting_plans(band)
+    rig.start(leader)
+    ViewHistory(rig).wait_for_one_view(names, len(names))
+    last = plan_status(rig, other)["newest"]
+    wait_until_committed(rig, names, last, since)
+    wrong = conflicting_plans(rig)
     yield Measurement(
         not wrong and how["state"] in ("settled", "refused"),
         f"leader killed in a push: {how['state']} after {took:.1f} s, plan {last} with all, wrong: {wrong}",
     )
 
 
-def skew(band: FleetRig, random: Random) -> Iterator[Measurement]:
-    names = list(band.members)
+def skew(rig: FleetRig, random: Random) -> Iterator[Measurement]:  # noqa: ARG001 - one signature for all cases
+    """Run a member that reads older formats only."""
+    names = list(rig.members)
     old = names[-1]
 
     def again(formats: str) -> None:
-        band.member_plans[old] = {"formats": formats} if formats else {}
-        band.signal(SIGTERM, old)
-        band.wait_until(lambda: not _running(band, old), f"{old} ends", WAIT_SECONDS)
-        ViewHistory(band).wait_for_one_view(names[:-1], len(names) - 1)
-        band.start(old)
+        rig.member_plans[old] = {"formats": formats} if formats else {}
+        rig.signal(SIGTERM, old)
+        rig.wait_until(lambda: not _running(rig, old), f"{old} ends", WAIT_SECONDS)
+        ViewHistory(rig).wait_for_one_view(names[:-1], len(names) - 1)
+        rig.start(old)
 
     again("[1]")
-    ViewHistory(band).wait_for_one_view(names, len(names))
-    number = plan_status(band, "d3")["newest"]
-    since = propose(band, "d3", document("windows", window=3600.0))
-    how = wait_until_ended(band, "d3")
+    ViewHistory(rig).wait_for_one_view(names, len(names))
+    number = plan_status(rig, "d3")["newest"]
+    since = propose(rig, "d3", document("windows", window=3600.0))
+    how = wait_until_ended(rig, "d3")
     named = [one["member"] for one in how["reasons"]]
     yield Measurement(
-        how["state"] == "refused" and named == [old] and plan_status(band, "d3")["newest"] == number,
+        how["state"] == "refused" and named == [old] and plan_status(rig, "d3")["newest"] == number,
         f"one that reads format 1 only: {how['state']} after {time.monotonic() - since:.1f} s, "
         f"named {named}, {how['reasons'][:1]}",
     )
     again("")
-    ViewHistory(band).wait_for_one_view(names, len(names))
-    since = propose(band, "d3", document("windows", window=3600.0))
-    took = wait_until_committed(band, names, number + 1, since)
+    ViewHistory(rig).wait_for_one_view(names, len(names))
+    since = propose(rig, "d3", document("windows", window=3600.0))
+    took = wait_until_committed(rig, names, number + 1, since)
     yield Measurement(True, f"and once it reads all: settled with all after {took:.1f} s")
     again("[1]")
     time.sleep(2 * SETTLE_SECONDS)
-    inside = [text for at, text in band.members[old].events if text.startswith("view ")][-1:]
+    inside = [text for at, text in rig.members[old].events if text.startswith("view ")][-1:]
     out = not inside or "inside=0" in inside[0]
     yield Measurement(out, f"one that comes back older is {'not ' if out else ''}let into the view")
     again("")
-    ViewHistory(band).wait_for_one_view(names, len(names))
+    ViewHistory(rig).wait_for_one_view(names, len(names))
 
 
-def _running(band: FleetRig, name: str) -> bool:
-    process = band.members[name].process
+def _running(rig: FleetRig, name: str) -> bool:
+    process = rig.members[name].process
     return process is not None and process.is_running
 
 
-def _next(band: FleetRig, names: Collection[str], body: bytes) -> float:
+def _next(rig: FleetRig, names: Collection[str], body: bytes) -> float:
     """Push a plan, and wait until all know it settled; when it was pushed."""
-    number = plan_status(band, "d3")["newest"] + 1
-    since = propose(band, "d3", body)
-    wait_until_committed(band, names, number, since)
+    number = plan_status(rig, "d3")["newest"] + 1
+    since = propose(rig, "d3", body)
+    wait_until_committed(rig, names, number, since)
     return since
 
 
-def _edge(band: FleetRig, names: Collection[str], bound: float, how: str, hold: bool = False) -> Measurement:
-    """A window opens and closes: how far apart these come to stand in it, and leave it."""
-    since = _next(band, names, document(how, window=WINDOW_LEAD_SECONDS, hold=hold))
+def _edge(rig: FleetRig, names: Collection[str], bound: float, how: str, hold: bool = False) -> Measurement:
+    """Measure how far apart members enter and leave a window."""
+    since = _next(rig, names, document(how, window=WINDOW_LEAD_SECONDS, hold=hold))
     time.sleep(max(0.0, since + WINDOW_LEAD_SECONDS + WINDOW_SECONDS + 3.0 - time.monotonic()))
     spreads, missing = [], []
     for word in ("window-entered", "window-left"):
-        at = [found[-1][0] for name in names if (found := events(band, name, word, since))]
+        at = [found[-1][0] for name in names if (found := events(rig, name, word, since))]
         missing.append(len(names) - len(at))
         spreads.append(max(at) - min(at) if at else 0.0)
     return Measurement(
@@ -206,25 +209,26 @@
     )
 
 
-def windows(band: FleetRig, random: Random) -> Iterator[Measurement]:
-    names = list(band.members)
-    yield _edge(band, names, MAX_SPREAD_SECONDS, "plain links")
-    band.set_links(names, names, State(delay=DELAY_SECONDS))
+def windows(rig: FleetRig, random: Random) -> Iterator[Measurement]:
+    """Open windows on plain and delayed links, and while a third of the members is paused."""
+    names = list(rig.members)
+    yield _edge(rig, names, MAX_SPREAD_SECONDS, "plain links")
+    rig.set_links(names, names, State(delay=DELAY_SECONDS))
     time.sleep(SETTLE_SECONDS)
-    yield _edge(band, names, MAX_DELAYED_SPREAD_SECONDS, f"links delayed by {DELAY_SECONDS * 1000:.0f} ms")
-    band.heal()
+    yield _edge(rig, names, MAX_DELAYED_SPREAD_SECONDS, f"links delayed by {DELAY_SECONDS * 1000:.0f} ms")
+    rig.heal()
     time.sleep(SETTLE_SECONDS)
     away = sorted(random.sample(names[5:], max(1, len(names) // 3)))
     rest = [name for name in names if name not in away]
-    since = _next(band, names, document("a third stopped", window=WINDOW_LEAD_SECONDS))
+    since = _next(rig, names, document("a third stopped", window=WINDOW_LEAD_SECONDS))
     time.sleep(max(0.0, since + WINDOW_LEAD_SECONDS - 2.0 - time.monotonic()))
-    band.pause(*away)
+    rig.pause(*away)
     time.sleep(4.0)
-    band.resume(*away)
+    rig.resume(*away)
     on = time.monotonic()
     time.sleep(2.0)
-    late = [found[-1][0] - on for name in away if (found := events(band, name, "window-entered", since))]
-    kept = [name for name in rest if events(band, name, "window-entered", since)]
+    late = [found[-1][0] - on for name in away if (found := events(rig, name, "window-entered", since))]
+    kept = [name for name in rest if events(rig, name, "window-entered", since)]
     yield Measurement(
         len(late) == len(away) and len(kept) == len(rest) and max(late) <= 0.5,
         f"{len(away)} stopped over the edge: in it {max(late, default=99.0) * 1000:.0f} ms after they go on, "
@@ -239,24 +243,28 @@
 
 
 def play(cases: list[str], size: int, seed: int, term: float) -> Iterator[Measurement]:
-    """Start a band that goes by one plan, and play cases one after the other. ProcessError where something
-    does not come.
+    """Start a fleet that follows one plan, and play cases one after the other.
+
+    Raises
+    ------
+    ProcessError
+        Something doesn't come in time.
     """
     random = Random(f"{seed}:planned")
     fleet = {"view": "true"}
     with (
         TemporaryDirectory() as folder,
-        FleetRig(Path(folder), size, term, fleet=fleet, seed=seed, plan={}) as band,
+        FleetRig(Path(folder), size, term, fleet=fleet, seed=seed, plan={}) as rig,
     ):
         since = time.monotonic()
-        band.start_all()
-        took = ViewHistory(band, since).wait_for_one_view(list(band.members), size)
+        rig.start_all()
+        took = ViewHistory(rig, since).wait_for_one_view(list(rig.members), size)
         yield Measurement(True, f"{size} sidecars stand in one view {took:.1f} s after the first is started")
         time.sleep(SETTLE_SECONDS)
         for name in cases:
-            yield from CASES[name](band, random)
+            yield from CASES[name](rig, random)
             time.sleep(SETTLE_SECONDS)
-        wrong = conflicting_plans(band)
+        wrong = conflicting_plans(rig)
         yield Measurement(not wrong, f"numbers with two bodies, or that went back: {wrong or 'none'}")
-        broken = [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
+        broken = [e for m in rig.members.values() for e in m.events if e[1].startswith("unexpected")]
         yield Measurement(not broken, f"{len(broken)} errors in the logs {[text for _, text in broken[:2]]}")
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -59,8 +59,10 @@
 
 
 class LiveOutcome(Outcome):
-    """An outcome as any other, and what was seen of the processes. The lab's own is `lab`: it plays nodes,
-    discovery and clients, and where it was late (`late_ms`, p99), latencies and breaches say little.
+    """An outcome as any other, and what was seen of the processes.
+
+    The lab's own is `lab`: it plays nodes, discovery and clients, and where it was late (`late_ms`, p99),
+    latencies and breaches say little.
     """
 
     watched: list[Watched] = field(default_factory=list)
@@ -118,12 +120,21 @@
         self.over = False
 
     def random(self, name: str) -> Random:
+        """Make the random numbers of one part, by its name and the plan's seed."""
         return Random(f"{self.plan.seed}:{name}")
 
     # The day
 
     def run(self) -> LiveOutcome:
-        """Play it all. ProcessError if a sidecar does not start; KeyboardInterrupt if told to stop."""
+        """Play the whole day.
+
+        Raises
+        ------
+        ProcessError
+            A sidecar doesn't start.
+        KeyboardInterrupt
+            It is told to stop.
+        """
         observers: Any = [self.logged]
         globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False, discardBuffer=True)
         self.reactor.callWhenRunning(self.begin)
@@ -143,6 +154,7 @@
         return self.outcome
 
     def begin(self) -> None:
+        """Start what runs from the start."""
         for node in self.plan.nodes:
             self.nodes.add(node.name)
         nodes = [node.name for node in self.plan.nodes if node.up]
@@ -157,6 +169,7 @@
         self.lifecycles.start_all(names)
 
     def start_day(self) -> None:
+        """Begin the day in a moment, as all sidecars listen."""
         if self.starting.active():
             self.starting.cancel()
         gc.collect()
@@ -165,6 +178,7 @@
         self.clock.at(day, self.day)
 
     def day(self) -> None:
+        """Start clients, events and measurements."""
         plan, now = self.plan, self.clock.now()
         self.began = now
         self.book.begin(now)
@@ -181,16 +195,18 @@
         self.say(f"the day begins, and takes {plan.length + plan.tail + SETTLE_SECONDS:.0f} s")
 
     def second(self, number: int) -> None:
+        """Sample the processes, each second."""
         self.watch.sample(self.clock.now())
         self.clock.at(self.began + number, self.second, number + 1)
 
     def tick(self, due: float) -> None:
+        """Measure how late this process is."""
         now = self.clock.now()
         self.lateness.append(now - due)
         self.clock.at(now + TICK_SECONDS, self.tick, now + TICK_SECONDS)
 
     def stop(self, fault: BaseException | None = None) -> None:
-        """The end, of the day or because of a fault."""
+        """End the day, by its time or because of a fault."""
         self.fault = self.fault or fault
         if not self.over:
             self.over = True
@@ -201,7 +217,7 @@
             self.reactor.stop()
 
     def logged(self, event: Mapping[str, Any]) -> None:
-        """Guards against a fault of the lab's own that would go unseen in the reactor's log."""
+        """Stop on a fault of the lab's own that would go unseen in the reactor's log."""
         failure = event.get("log_failure")
         if failure is not None:
             self.stop(failure.value)
@@ -209,6 +225,7 @@
     # What came of it
 
     def found(self) -> LiveOutcome:
+        """Gather the outcome."""
         held = {
             name: {"most_sockets": row.peak_descriptors}
             for name, row in self.watch.watched.items()
@@ -225,12 +242,12 @@
 
 
 def wires_for(plan: Plan) -> int:
-    """How many relays carry a plan's links."""
+    """Return how many relays carry a plan's links."""
     return min(MAX_RELAYS, -(-len(side_hosts(plan)) // SIDECARS_PER_RELAY))
 
 
 def wires_of(plan: Plan) -> Wires:
-    """The links of a plan's parties, to be reserved yet."""
+    """Make the links between a plan's processes; they are yet to be reserved."""
     hosts = side_hosts(plan)
     hosts |= {node.host: node.host for node in plan.nodes}
     hosts |= {CLIENTS: CLIENTS, **dict.fromkeys(LIST_LINKS, DISCOVERY[0])}
@@ -238,7 +255,7 @@
 
 
 def links_of(plan: Plan) -> Iterator[str]:
-    """The names of all links that the day may need."""
+    """Name all links that the day may need."""
     lists = LIST_LINKS if any(event.kind == "discovery_move" for event in plan.events) else LIST_LINKS[:1]
     callers = [[told.name for told in plan.sidecars]]
     callers += [[n.name for n in plan.nodes if n.tier == tier] for tier in range(len(plan.tiers) - 1)]
@@ -251,7 +268,7 @@
 
 
 def raise_descriptor_limit(plan: Plan) -> None:
-    """Raise this process's bound on descriptors as far as the plan needs. ProcessError if it can't be."""
+    """Raise this process's limit of descriptors as far as the plan needs; ProcessError if it can't be."""
     doors = connections = 0
     callers = [len(plan.sidecars)]
     callers += [sum(n.tier == tier for n in plan.nodes) for tier in range(len(plan.tiers) - 1)]
@@ -270,15 +287,21 @@
 
 
 def play(plan: Plan, say: Callable[[str], None], wired: bool = False) -> LiveOutcome:
-    """Play a plan, with links between its processes if it needs them, or if told to. ProcessError if it
-    can't be; all its processes have ended then, however it ends.
+    """Play a plan, with links between its processes if it needs them or `wired` says so.
+
+    However it ends, all its processes have ended then.
+
+    Raises
+    ------
+    ProcessError
+        It can't be played.
     """
     with TemporaryDirectory() as folder:
         return Play(plan, Path(folder), say, wired).run()
 
 
 def shown(outcome: LiveOutcome) -> Iterator[str]:
-    """An outcome in a few lines."""
+    """Describe an outcome in a few lines."""
     yield (
         f"{outcome.scenario}, seed {outcome.seed}: {outcome.requests} requests in "
         f"{outcome.simulated_s:.0f} s, service {outcome.service:.3f}, G {outcome.g:.3f}"
--- a/wheatring/lab/live/process.py
+++ b/wheatring/lab/live/process.py
@@ -1,4 +1,4 @@
-"""Processes of the lab: started on a leash, read line by line, ended for certain."""
+"""Processes of the lab: they die with the one that started them, and are read line by line."""
 
 from __future__ import annotations
 
@@ -22,26 +22,29 @@
 
 
 class ProcessError(RuntimeError):
-    """A process did not do what it was started for; the text is one line that names it."""
+    """A process didn't do what it was started for; the text is one line that names it."""
 
 
 def module(name: str, *words: str) -> list[str]:
-    """The command that runs a module with this interpreter."""
+    """Return the command that runs a module with this interpreter."""
     return [sys.executable, "-m", name, *words]
 
 
 class ContextManaged:
-    """What a `with` block ends, however it is left."""
+    """Ends with its `with` block, however that is left."""
 
     def __enter__(self) -> Self:
+        """Begin the block."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, value: BaseException | None, where: TracebackType | None
     ) -> None:
+        """End with the block."""
         self.end()
 
     def end(self) -> None:
+        """End it."""
         raise NotImplementedError
 
 
@@ -114,8 +117,12 @@
             raise ProcessError(f"{self.name}: has ended with status {self.popen.poll()}") from bad
 
     def wait_for_line(self, start: str, by: float, after: int = 0) -> str:
-        """Wait for a line that starts so, `after` lines left out, until an instant of the monotonic clock.
-        ProcessError if none comes.
+        """Wait until it has written a line that starts so, after the first `after` lines.
+
+        Raises
+        ------
+        ProcessError
+            None comes until `by`, in monotonic seconds, or before the process ends.
         """
         with self.changed:
             while True:
@@ -130,6 +137,7 @@
 
     @property
     def is_running(self) -> bool:
+        """Whether it runs."""
         return self.popen.poll() is None
 
     def send(self, number: signal.Signals) -> None:
@@ -137,14 +145,14 @@
         self.popen.send_signal(number)
 
     def wait(self, by: float) -> int:
-        """Its exit status, waited for until an instant. ProcessError if it still runs then."""
+        """Wait for its exit status until `by`, in monotonic seconds. ProcessError if it still runs then."""
         try:
             return self.popen.wait(max(0.0, by - time.monotonic()))
         except subprocess.TimeoutExpired:
             raise ProcessError(f"{self.name}: has not ended in time") from None
 
     def end(self) -> None:
-        """Kill it if it still runs, and let go of it."""
+        """Kill it if it still runs, and release it."""
         self.popen.kill()
         self.wait(time.monotonic() + KILL_TIMEOUT_SECONDS)
         assert self.popen.stdin is not None
--- a/wheatring/lab/live/scale.py
+++ b/wheatring/lab/live/scale.py
@@ -1,4 +1,4 @@
-"""A plan made fit for loopback: smaller, and without what can't be played there."""
+"""Makes a plan fit for loopback: smaller, and without what can't be played there."""
 
 from __future__ import annotations
 
@@ -20,19 +20,22 @@
 
 
 def unplayable_kinds(plan: Plan) -> list[EventKind]:
-    """The kinds of the plan's events that can't be played here, each once, as they come."""
+    """Return the kinds of the plan's events that can't be played here, each once, as they come."""
     return list(dict.fromkeys(event.kind for event in plan.events if event.kind in UNPLAYABLE))
 
 
 def without_kinds(plan: Plan, kinds: Iterable[EventKind]) -> Plan:
+    """Return the plan without the events of these kinds."""
     left_out = set(kinds)
     return structs.replace(plan, events=tuple(e for e in plan.events if e.kind not in left_out))
 
 
 def scaled(plan: Plan, scale: float) -> Plan:
-    """The day at `scale` (above 0, at most 1) of its machines and sidecars, at least one of each, at a rate
-    that uses its scarcest tier as the whole day would. Troubles fall on as large a part of the machines;
-    drains, kills and starts stay with the machines that are left. ValueError where there is no such scale.
+    """Scale a plan down to a part of its machines and sidecars, at least one of each.
+
+    The rate uses the scarcest tier as the whole day would. Faults fall on as large a part of the machines;
+    drains, kills and starts stay with the machines that are left. `scale` is above 0 and at most 1, else
+    ValueError is raised.
     """
     if not 0 < scale <= 1:
         raise ValueError(f"scale: must be above 0 and at most 1, is {scale:g}")
@@ -55,8 +58,9 @@
 
 
 def _lives(events: Iterable[EventPlan], scale: float, left: set[str]) -> tuple[list[EventPlan], set[str]]:
-    """The events, of which drains and kills are those of nodes that are left and starts as many as the scale
-    leaves, and all nodes that are left then, those that come later among them.
+    """Keep the lifecycle events of nodes that are left; return the events, and all nodes left then.
+
+    Starts are as many as the scale leaves; nodes that come later are among those left.
     """
     left = set(left)
     kept = []
--- a/wheatring/lab/live/sidecar.py
+++ b/wheatring/lab/live/sidecar.py
@@ -17,7 +17,7 @@
 def settings(
     classes: list[dict[str, Any]], tiers: tuple[str, ...] = ("tier",), **more: Mapping[str, Any] | int | str
 ) -> dict[str, Any]:
-    """Settings with the figures of the project's own example; `more` stands over its parts, by key."""
+    """Return settings with the figures of the project's own example; `more` replaces parts, by key."""
     plain: dict[str, Any] = {
         "classes": classes,
         "contract": {
@@ -36,7 +36,7 @@
 def configuration(
     name: str, listen: str, discovery: str, settings: Mapping[str, Any], seed: int, **more: Any
 ) -> dict[str, Any]:
-    """The whole of LB_CONFIG's file; addresses are HOST:PORT. `more` stands over its parts, by key."""
+    """Return the content of LB_CONFIG's file; addresses are HOST:PORT. `more` replaces parts, by key."""
     plain = {
         "name": name, "listen": listen, "discovery": discovery, "seed": f"{seed:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings,
@@ -45,8 +45,10 @@
 
 
 class Sidecar(Process):
-    """One start of a sidecar. Its files, rewritten at each start, lie in `folder` under its name; `own` is
-    the project's own configuration file, if it is to have one.
+    """One start of a sidecar.
+
+    Its files, rewritten at each start, are in `folder` under its name; `own` is the project's own
+    configuration file, if it is to have one.
     """
 
     def __init__(
@@ -79,7 +81,7 @@
         self.file.write_text(json.dumps(told), encoding="utf-8")
 
     def port(self, by: float | None = None) -> int:
-        """Wait until it listens; the port that it got. ProcessError if it does not in time."""
+        """Wait until it listens, until `by` in monotonic seconds, and return its port; else ProcessError."""
         line = self.wait_for_line(
             "listening ", time.monotonic() + START_TIMEOUT_SECONDS if by is None else by
         )
@@ -87,5 +89,5 @@
 
 
 def port_in(line: str) -> int:
-    """The port in the log's line `listening ...`."""
+    """Return the port in the log line `listening ...`."""
     return int(line.rpartition(" port=")[2])
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -39,7 +39,10 @@
 
 
 class SidecarSlot:
-    """One sidecar's place. `door` is discovery's, for it alone, so that it is known who asks."""
+    """One sidecar's place.
+
+    `list_server` is discovery's port for this sidecar alone, so that it is known who asks.
+    """
 
     def __init__(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
         self.name = name
@@ -65,20 +68,21 @@
         self.door = door
         self.close = close
 
-    def stopListening(self) -> None:
+    def stopListening(self) -> None:  # noqa: N802 - Twisted's name
         self.close()
         self.door.stopListening()
 
 
 def _list_link(name: str, moves: int) -> str:
-    """The link by which a sidecar asks for the list: another one after each move of discovery."""
+    """Name the link by which a sidecar asks for the list: another one after each move of discovery."""
     return f"{name}>{LIST_LINKS[min(moves, len(LIST_LINKS) - 1)]}"
 
 
 class SidecarSlots:
-    """Starts and ends sidecars, and tells the book, the watch, and whoever else wants to know: `came` once
-    one listens, `stops` when it is told to, `went` when it has ended, `failed` when it did so before it
-    listened.
+    """Starts and ends sidecars, and reports to the record of the run and to whoever else wants to know.
+
+    `on_up` is called once one listens, `on_stopping` when it is told to stop, `on_down` when it has ended,
+    `on_failed` when it did so before it listened.
     """
 
     def __init__(
@@ -117,186 +121,187 @@
             for number, node in enumerate(callers):
                 self._add(SidecarSlot(node.name, hosts[node.name], tier + 1, number, len(callers)))
 
-    def _add(self, seat: SidecarSlot) -> None:
-        self.seats[seat.name] = seat
-        self.registry.serve(seat.name, seat.tier)
+    def _add(self, slot: SidecarSlot) -> None:
+        self.seats[slot.name] = slot
+        self.registry.serve(slot.name, slot.tier)
 
     def where(self, name: str) -> tuple[str, int]:
-        """Where its callers find a sidecar; one that never listened has a port where nobody does."""
-        seat = self.seats[name]
-        if self.wires is not None and seat.tier == 0:
+        """Return where callers find a sidecar; for one that never listened, a port where nobody does."""
+        slot = self.seats[name]
+        if self.wires is not None and slot.tier == 0:
             return self.wires.address(f"{CLIENTS}>{name}")
-        return seat.host, seat.port
+        return slot.host, slot.port
 
-    def configuration(self, seat: SidecarSlot) -> dict[str, Any]:
-        """The configuration of its next start, and the list that it holds then."""
+    def configuration(self, slot: SidecarSlot) -> dict[str, Any]:
+        """Make the configuration of a sidecar's next start, with the list that it has then."""
         limits = self.plan.limits
-        seat.notified_moves = seat.moves
+        slot.notified_moves = slot.moves
         return configuration(
-            seat.name,
-            f"{seat.host}:{seat.port}",
-            self.discovery(seat),
-            settings(self.plan, seat.tier, seat.number, seat.copies),
-            Random(f"{self.plan.seed}:sidecar:{seat.name}").getrandbits(64),
+            slot.name,
+            f"{slot.host}:{slot.port}",
+            self.discovery(slot),
+            settings(self.plan, slot.tier, slot.number, slot.copies),
+            Random(f"{self.plan.seed}:sidecar:{slot.name}").getrandbits(64),
             limits={"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-            known=as_json(self.registry.held(seat.tier, self.plan.held), partial(self.address, seat.name)),
+            known=as_json(self.registry.held(slot.tier, self.plan.held), partial(self.address, slot.name)),
         )
 
-    def discovery(self, seat: SidecarSlot) -> str:
-        """Where that sidecar finds discovery."""
-        host, port = DISCOVERY[0], seat.list_port
+    def discovery(self, slot: SidecarSlot) -> str:
+        """Return where a sidecar finds discovery, as HOST:PORT."""
+        host, port = DISCOVERY[0], slot.list_port
         if self.wires is not None:
-            host, port = self.wires.address(_list_link(seat.name, seat.moves))
+            host, port = self.wires.address(_list_link(slot.name, slot.moves))
         return f"{host}:{port}"
 
-    def start(self, seat: SidecarSlot) -> None:
-        """Start its process, where none runs; whatever else was to become of it does not."""
-        self._cancel_timer(seat)
-        if seat.process is not None or seat.launch is not None:
+    def start(self, slot: SidecarSlot) -> None:
+        """Start a sidecar's process, unless one runs; what else was planned for it is cancelled."""
+        self._cancel_timer(slot)
+        if slot.process is not None or slot.launch is not None:
             return
-        if seat.list_server is None:
-            self._serve_list(seat)
-        making = seat.launch = _Launch()
+        if slot.list_server is None:
+            self._serve_list(slot)
+        launch = slot.launch = _Launch()
 
         def line(text: str) -> None:
             if text.startswith(("listening ", LIST_REFUSED_LINE, *CONNECT_FAILED_LINES, *FAULT_LINES)):
                 self.reactor.callFromThread(
-                    self._when_launched, making, lambda: self._on_line(seat, making, text)
+                    self._when_launched, launch, lambda: self._on_line(slot, launch, text)
                 )
 
         def end() -> None:
-            self.reactor.callFromThread(self._when_launched, making, lambda: self._ended(seat, making))
+            self.reactor.callFromThread(self._when_launched, launch, lambda: self._ended(slot, launch))
 
         def make(told: dict[str, Any]) -> None:
             process = Sidecar(self.folder, told, on_line=line, on_end=end)
             self.processes.append(process)
-            self.reactor.callFromThread(self._launched, seat, making, process)
+            self.reactor.callFromThread(self._launched, slot, launch, process)
 
         # In a thread: hundreds are started at once, and each takes the kernel and the new process a while.
-        self.reactor.callInThread(make, self.configuration(seat))
+        self.reactor.callInThread(make, self.configuration(slot))
 
-    def _launched(self, seat: SidecarSlot, making: _Launch, process: Sidecar) -> None:
-        making.process = process
-        if seat.launch is making:
-            seat.launch, seat.process = None, process
-            self.watch.add(seat.name, process.pid, time.monotonic())
+    def _launched(self, slot: SidecarSlot, launch: _Launch, process: Sidecar) -> None:
+        launch.process = process
+        if slot.launch is launch:
+            slot.launch, slot.process = None, process
+            self.watch.add(slot.name, process.pid, time.monotonic())
         else:
             process.send(signal.SIGKILL)  # it was called off meanwhile
-        for call in making.waiting:
+        for call in launch.waiting:
             call()
 
-    def _when_launched(self, making: _Launch, call: Callable[[], None]) -> None:
-        """What a process says may be heard before this side knows of it."""
-        if making.process is None:
-            making.waiting.append(call)
+    def _when_launched(self, launch: _Launch, call: Callable[[], None]) -> None:
+        """Call at once, or once the process is known here: what it says may arrive before."""
+        if launch.process is None:
+            launch.waiting.append(call)
         else:
             call()
 
-    def _serve_list(self, seat: SidecarSlot) -> None:
-        seat.list_port = 0
-        seat.list_server = DiscoveryPeer(
-            self.registry, self.book, lambda host: seat.name, partial(self._listen, seat),
-            partial(self.address, seat.name),
+    def _serve_list(self, slot: SidecarSlot) -> None:
+        slot.list_port = 0
+        slot.list_server = DiscoveryPeer(
+            self.registry, self.book, lambda _host: slot.name, partial(self._listen, slot),
+            partial(self.address, slot.name),
         )  # fmt: skip
 
-    def _listen(self, seat: SidecarSlot, factory: Any) -> Any:
-        door = self.reactor.listenTCP(seat.list_port, factory, interface=DISCOVERY[0])
-        seat.list_port = door.getHost().port
+    def _listen(self, slot: SidecarSlot, factory: Any) -> Any:
+        door = self.reactor.listenTCP(slot.list_port, factory, interface=DISCOVERY[0])
+        slot.list_port = door.getHost().port
         if self.wires is None:
             return door
-        link = _list_link(seat.name, seat.moves)
-        self.wires.lead({link: (DISCOVERY[0], seat.list_port)})
+        link = _list_link(slot.name, slot.moves)
+        self.wires.lead({link: (DISCOVERY[0], slot.list_port)})
         return _RelayedPort(door, partial(self.wires.close, [link]))
 
     def move(self) -> None:
-        """Discovery is at another address, and all that run are told. What was open at the old one ends."""
-        for seat in self.seats.values():
-            if seat.list_server is None:
+        """Move discovery to another address; what was open at the old one ends."""
+        for slot in self.seats.values():
+            if slot.list_server is None:
                 continue
-            seat.list_server.shut()
-            seat.moves += 1
-            self._serve_list(seat)
-            self._notify_move(seat)
-
-    def _notify_move(self, seat: SidecarSlot) -> None:
-        """Have it read where discovery is, if that is not what it was told. One that does not listen yet is
-        told once it does: until it heeds SIGHUP it would end by it.
+            slot.list_server.shut()
+            slot.moves += 1
+            self._serve_list(slot)
+            self._notify_move(slot)
+
+    def _notify_move(self, slot: SidecarSlot) -> None:
+        """Have a sidecar read where discovery is, unless it knows.
+
+        One that doesn't listen yet is told once it does: until it handles SIGHUP it would end by it.
         """
-        if seat.up and seat.process is not None and seat.notified_moves != seat.moves:
-            seat.process.write(self.configuration(seat))
-            seat.process.send(signal.SIGHUP)
+        if slot.up and slot.process is not None and slot.notified_moves != slot.moves:
+            slot.process.write(self.configuration(slot))
+            slot.process.send(signal.SIGHUP)
 
-    def stall(self, seat: SidecarSlot, on: bool) -> None:
-        """Stop its process where it is, or have it go on."""
-        if seat.process is not None:
-            seat.process.send(signal.SIGSTOP if on else signal.SIGCONT)
+    def stall(self, slot: SidecarSlot, on: bool) -> None:
+        """Pause a sidecar's process, or let it go on."""
+        if slot.process is not None:
+            slot.process.send(signal.SIGSTOP if on else signal.SIGCONT)
 
-    def _on_line(self, seat: SidecarSlot, making: _Launch, text: str) -> None:
-        if seat.process is not making.process:
+    def _on_line(self, slot: SidecarSlot, launch: _Launch, text: str) -> None:
+        if slot.process is not launch.process:
             return
         if text.startswith("listening "):
-            seat.port = port_in(text)
-            seat.up = True
-            if self.wires is not None and seat.tier == 0:
-                self.wires.lead({f"{CLIENTS}>{seat.name}": (seat.host, seat.port)})
-            self.book.sidecar_up(seat.name)
-            self._notify_move(seat)
-            self.on_up(seat)
+            slot.port = port_in(text)
+            slot.up = True
+            if self.wires is not None and slot.tier == 0:
+                self.wires.lead({f"{CLIENTS}>{slot.name}": (slot.host, slot.port)})
+            self.book.sidecar_up(slot.name)
+            self._notify_move(slot)
+            self.on_up(slot)
         elif text.startswith(LIST_REFUSED_LINE):
-            self.registry.refused(seat.name)
+            self.registry.refused(slot.name)
         elif text.startswith(CONNECT_FAILED_LINES):
-            self.book.note("unconnected", sidecar=seat.name)
+            self.book.note("unconnected", sidecar=slot.name)
         else:
-            self.book.fault(seat.name, text)
-
-    def kill(self, seat: SidecarSlot, down: float) -> None:
-        """Kill it outright, and start it anew after `down` seconds, if that is not 0."""
-        seat.down = down
-        seat.launch = None
-        if seat.process is not None:
-            seat.process.send(signal.SIGKILL)
-            self._ended_now(seat, True)
+            self.book.fault(slot.name, text)
+
+    def kill(self, slot: SidecarSlot, down: float) -> None:
+        """Kill a sidecar outright, and start it again after `down` seconds, if that isn't 0."""
+        slot.down = down
+        slot.launch = None
+        if slot.process is not None:
+            slot.process.send(signal.SIGKILL)
+            self._ended_now(slot, True)
         else:
-            self._schedule_start(seat)
+            self._schedule_start(slot)
 
-    def restart(self, seat: SidecarSlot, patience: float, down: float) -> None:
-        """SIGTERM, SIGKILL after `patience` seconds if it still runs, a new start `down` after its end."""
-        if not seat.up or seat.stopping or seat.process is None:
+    def restart(self, slot: SidecarSlot, patience: float, down: float) -> None:
+        """Stop a sidecar gracefully, kill it after `patience` seconds, and start it `down` after its end."""
+        if not slot.up or slot.stopping or slot.process is None:
             return
-        seat.stopping, seat.down = True, down
-        self.book.sidecar_stopping(seat.name)
-        self.on_stopping(seat)
-        seat.timer = self.clock.at(self.clock.now() + patience, self.kill, seat, down)
-        seat.process.send(signal.SIGTERM)
-
-    def _ended(self, seat: SidecarSlot, making: _Launch) -> None:
-        """A process has ended by itself, unless it was killed and that is known."""
-        if seat.process is making.process:
-            self._ended_now(seat, False)
-
-    def _ended_now(self, seat: SidecarSlot, killed: bool) -> None:
-        was_up = seat.up
-        if self.wires is not None and seat.tier == 0:
-            self.wires.close([f"{CLIENTS}>{seat.name}"])
-        seat.process = None
-        seat.up = seat.stopping = False
+        slot.stopping, slot.down = True, down
+        self.book.sidecar_stopping(slot.name)
+        self.on_stopping(slot)
+        slot.timer = self.clock.at(self.clock.now() + patience, self.kill, slot, down)
+        slot.process.send(signal.SIGTERM)
+
+    def _ended(self, slot: SidecarSlot, launch: _Launch) -> None:
+        """Note that a process has ended by itself, unless it was killed and that is known."""
+        if slot.process is launch.process:
+            self._ended_now(slot, False)
+
+    def _ended_now(self, slot: SidecarSlot, killed: bool) -> None:
+        was_up = slot.up
+        if self.wires is not None and slot.tier == 0:
+            self.wires.close([f"{CLIENTS}>{slot.name}"])
+        slot.process = None
+        slot.up = slot.stopping = False
         if was_up:
-            self.book.sidecar_down(seat.name, killed)
-            self.on_down(seat)
+            self.book.sidecar_down(slot.name, killed)
+            self.on_down(slot)
         elif not killed:
-            self.book.fault(seat.name, "nothing, and ended before it listened")
-            self.on_failed(seat)
-        self._schedule_start(seat)
-
-    def _schedule_start(self, seat: SidecarSlot) -> None:
-        self._cancel_timer(seat)
-        if seat.down:
-            seat.timer = self.clock.at(self.clock.now() + seat.down, self.start, seat)
-
-    def _cancel_timer(self, seat: SidecarSlot) -> None:
-        if seat.timer is not None and seat.timer.active():
-            seat.timer.cancel()
-        seat.timer = None
+            self.book.fault(slot.name, "nothing, and ended before it listened")
+            self.on_failed(slot)
+        self._schedule_start(slot)
+
+    def _schedule_start(self, slot: SidecarSlot) -> None:
+        self._cancel_timer(slot)
+        if slot.down:
+            slot.timer = self.clock.at(self.clock.now() + slot.down, self.start, slot)
+
+    def _cancel_timer(self, slot: SidecarSlot) -> None:
+        if slot.timer is not None and slot.timer.active():
+            slot.timer.cancel()
+        slot.timer = None
 
     def end(self) -> None:
         """End all processes, for good."""
--- a/wheatring/lab/live/starting.py
+++ b/wheatring/lab/live/starting.py
@@ -1,4 +1,4 @@
-"""How long a sidecar takes from exec until it listens, and from its last word until it is gone.
+"""Measures how long a sidecar takes from exec until it listens, and from its last log line until it is gone.
 
 `python -m wheatring.lab.live.starting [RUNS [CORE]]`, from a checkout's root: the figures of that checkout.
 """
@@ -21,7 +21,7 @@
 
 
 class Start(NamedTuple):
-    """Seconds; `memory` is in MiB, when it listens."""
+    """One start: seconds, and `memory` in MiB when it listens."""
 
     listening: float
     cpu: float
@@ -30,7 +30,7 @@
 
 
 def once(config: Path, core: int) -> Start:
-    """Start one on a core, tell it to end, and wait for that."""
+    """Start one on a core, stop it, and wait for its end."""
     began = time.monotonic()
     with subprocess.Popen(
         ["taskset", "-c", str(core), sys.executable, "-m", "wheatring", "--capture"],
@@ -54,6 +54,7 @@
 
 
 def main(words: list[str]) -> None:
+    """Print the figures of so many starts."""
     runs = int(words[0]) if words else 11
     core = int(words[1]) if len(words) > 1 else max(os.sched_getaffinity(0))
     with tempfile.TemporaryDirectory() as folder:
--- a/wheatring/lab/live/stub_server.py
+++ b/wheatring/lab/live/stub_server.py
@@ -1,4 +1,4 @@
-"""A server of the rig's own, in threads: what stands in for a service that sidecars call."""
+"""An HTTP server of the rig's own, in threads: it stands in for a service that sidecars call."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """One connection; says nothing of it."""
+    """One connection, without a log."""
 
-    def log_message(self, format: str, *args: Any) -> None:
+    def log_message(self, format: str, *args: Any) -> None:  # noqa: ARG002 - the library's
+        """Log nothing."""
         return
 
 
@@ -18,7 +19,7 @@
     daemon_threads = True
     request_queue_size = 512
 
-    def handle_error(self, request: Any, client_address: Any) -> None:
+    def handle_error(self, request: Any, client_address: Any) -> None:  # noqa: ARG002 - the library's
         return  # whoever called is gone
 
 
@@ -26,14 +27,17 @@
     """Serves on loopback from `serve` to `end`."""
 
     def serve(self, handler: type[Handler]) -> None:
+        """Begin to serve, by this handler."""
         self.server = _Server(("127.0.0.1", 0), handler)
         threading.Thread(target=self.server.serve_forever, args=(0.05,), daemon=True).start()
 
     @property
     def address(self) -> str:
+        """Return where it listens, as HOST:PORT."""
         host, port = self.server.server_address[:2]
         return f"{host!s}:{port}"
 
     def end(self) -> None:
+        """Stop."""
         self.server.shutdown()
         self.server.server_close()
--- a/wheatring/lab/live/tally.py
+++ b/wheatring/lab/live/tally.py
@@ -1,4 +1,4 @@
-"""The load generator's accounts: kept by second while it plays, summed once it is over."""
+"""The load generator's counts: by second while it plays, summed up once it is over."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Tally:
-    """What is kept of one second, or of the warm-up."""
+    """What is counted in one second, or in the warm-up."""
 
     __slots__ = ("asked", "connections", "counts", "late", "latencies")
 
@@ -25,12 +25,12 @@
 
 
 def percentile_ms(values: array[float], share: float) -> float:
-    """The value below which that share lies, of sorted ones, in ms."""
+    """Return the value, in ms, below which that share lies of sorted values in seconds; 0 without any."""
     return values[min(len(values) - 1, int(len(values) * share))] * 1000 if values else 0.0
 
 
 def summed(load: Load, tallies: list[Tally], cpu: float) -> Result:
-    """The result, as far as these tallies tell it; `cpu` is what the generator needed of its core."""
+    """Sum up the counts; `cpu` is the share of its core that the generator needed."""
     histogram = HdrHistogram(1, LONGEST_US, 3)
     counts = Counts()
     late = array("d")
--- a/wheatring/lab/live/view_cases.py
+++ b/wheatring/lab/live/view_cases.py
@@ -1,5 +1,4 @@
-"""What befalls a band of sidecars that stand in agreed views, and what is measured of it: each case by its
-name.
+"""Cases for a fleet with agreed views, and what is measured of each.
 
 Read off the members' logs: each says when it comes to stand in another view.
 """
@@ -24,7 +23,7 @@
 
 
 class ViewEntry(NamedTuple):
-    """A line of a member's log: since when it stands in which view."""
+    """A line of a member's log: since when it has which view."""
 
     at: float
     number: int
@@ -32,9 +31,10 @@
     is_inside: bool
 
 
-def view_entries(band: FleetRig, name: str) -> list[ViewEntry]:
+def view_entries(rig: FleetRig, name: str) -> list[ViewEntry]:
+    """Return the views that a member has had, as its log says."""
     found = []
-    for at, text in list(band.members[name].events):
+    for at, text in list(rig.members[name].events):
         if text.startswith("view "):
             words = dict(pair.split("=") for pair in text.split()[1:])
             found.append(ViewEntry(at, int(words["number"]), int(words["members"]), words["inside"] == "1"))
@@ -42,44 +42,42 @@
 
 
 class ViewHistory:
-    """Of one stretch of time: which views there were, and for how much of it all stood in the same one."""
+    """The views from one instant on, and for how much of the time members had the same one."""
 
-    def __init__(self, band: FleetRig, since: float | None = None) -> None:
-        self.band = band
+    def __init__(self, rig: FleetRig, since: float | None = None) -> None:
+        self.rig = rig
         self.since = time.monotonic() if since is None else since
-        known = [
-            one.number for name in band.members for one in view_entries(band, name) if one.at < self.since
-        ]
+        known = [one.number for name in rig.members for one in view_entries(rig, name) if one.at < self.since]
         self.number = max(known, default=0)
 
     def changes(self, names: Collection[str]) -> list[ViewEntry]:
-        """The views after those at the beginning, as the first of these members came to stand in each."""
+        """Return the views after those at the beginning, as the first of these members came to each."""
         first: dict[int, ViewEntry] = {}
         for name in names:
-            for one in view_entries(self.band, name):
+            for one in view_entries(self.rig, name):
                 if one.number > self.number and one.at >= self.since:
                     first[one.number] = min(first.get(one.number, one), one)
         return [first[number] for number in sorted(first)]
 
     def wait_for_one_view(self, names: Collection[str], size: int) -> float:
-        """Wait until all of these stand in one view of so many members; seconds until the last one did."""
+        """Wait until these members have one view of so many; return the seconds until the last one did."""
 
         def so() -> float:
-            last = [(view_entries(self.band, name) or [ViewEntry(0.0, 0, 0, False)])[-1] for name in names]
+            last = [(view_entries(self.rig, name) or [ViewEntry(0.0, 0, 0, False)])[-1] for name in names]
             alike = len({one.number for one in last}) == 1
             whole = alike and all(one[2:] == (size, True) for one in last)
             return max(one.at for one in last) if whole else 0.0
 
-        at: float = self.band.wait_until(so, f"one view of {size}", WAIT_SECONDS)
+        at: float = self.rig.wait_until(so, f"one view of {size}", WAIT_SECONDS)
         return at - self.since
 
     def share_in_one_view(self, names: Collection[str]) -> float:
-        """The part of the time in which all of these stood in the same view."""
+        """Return the share of the time in which all of these members had the same view."""
         now = time.monotonic()
         edges: list[tuple[float, str, int]] = []
         where: dict[str, int] = {}
         for name in names:
-            for one in view_entries(self.band, name):
+            for one in view_entries(self.rig, name):
                 if one.at <= self.since:
                     where[name] = one.number
                 else:
@@ -93,42 +91,43 @@
         return same / (now - self.since)
 
 
-def _third(band: FleetRig, random: Random) -> list[str]:
+def _third(rig: FleetRig, random: Random) -> list[str]:
     """Not the first five, so that the case is about members and not about voters."""
-    rest = [name for number, name in enumerate(band.members) if number >= 5]
-    return sorted(random.sample(rest, max(1, len(band.members) // 3)))
+    rest = [name for number, name in enumerate(rig.members) if number >= 5]
+    return sorted(random.sample(rest, max(1, len(rig.members) // 3)))
 
 
-def _rest(band: FleetRig, gone: Collection[str]) -> list[str]:
-    return [name for name in band.members if name not in gone]
+def _rest(rig: FleetRig, gone: Collection[str]) -> list[str]:
+    return [name for name in rig.members if name not in gone]
 
 
-def _unchanged(judge: ViewHistory, names: Collection[str], how: str) -> Measurement:
-    changes = judge.changes(names)
+def _unchanged(history: ViewHistory, names: Collection[str], how: str) -> Measurement:
+    changes = history.changes(names)
     sizes = " ".join(f"{one.number}:{one.members}" for one in changes) or "none"
     return Measurement(
-        not changes, f"{how}: changes {sizes}, views alike {judge.share_in_one_view(names):.3f} of the time"
+        not changes, f"{how}: changes {sizes}, views alike {history.share_in_one_view(names):.3f} of the time"
     )
 
 
-def pauses(band: FleetRig, random: Random) -> Iterator[Measurement]:
-    size = len(band.members)
-    gone = _third(band, random)
-    judge = ViewHistory(band)
-    band.pause(*gone)
+def pauses(rig: FleetRig, random: Random) -> Iterator[Measurement]:
+    """Pause a third of the members, shortly and for long."""
+    size = len(rig.members)
+    gone = _third(rig, random)
+    history = ViewHistory(rig)
+    rig.pause(*gone)
     time.sleep(5.0)
-    band.resume(*gone)
+    rig.resume(*gone)
     time.sleep(SETTLE_SECONDS)
-    yield _unchanged(judge, list(band.members), f"{len(gone)} stopped for 5 s")
-    judge = ViewHistory(band)
-    band.pause(*gone)
-    out = judge.wait_for_one_view(_rest(band, gone), size - len(gone))
-    time.sleep(max(0.0, judge.since + 15.0 - time.monotonic()))
-    back = ViewHistory(band)
-    band.resume(*gone)
-    took = back.wait_for_one_view(list(band.members), size)
-    changes = judge.changes(list(band.members))
-    share = judge.share_in_one_view(_rest(band, gone))
+    yield _unchanged(history, list(rig.members), f"{len(gone)} stopped for 5 s")
+    history = ViewHistory(rig)
+    rig.pause(*gone)
+    out = history.wait_for_one_view(_rest(rig, gone), size - len(gone))
+    time.sleep(max(0.0, history.since + 15.0 - time.monotonic()))
+    back = ViewHistory(rig)
+    rig.resume(*gone)
+    took = back.wait_for_one_view(list(rig.members), size)
+    changes = history.changes(list(rig.members))
+    share = history.share_in_one_view(_rest(rig, gone))
     yield Measurement(
         len(changes) == 2,
         f"{len(gone)} stopped for 15 s: out of all views after {out:.1f} s, whole {took:.1f} s after "
@@ -136,70 +135,73 @@
     )
 
 
-def killed(band: FleetRig, random: Random) -> Iterator[Measurement]:
-    size = len(band.members)
-    for gone, bound in ((_third(band, random)[:1], 8.0), (_third(band, random), 8.0)):
-        judge = ViewHistory(band)
-        band.kill(*gone)
-        took = judge.wait_for_one_view(_rest(band, gone), size - len(gone))
-        changes = judge.changes(_rest(band, gone))
+def killed(rig: FleetRig, random: Random) -> Iterator[Measurement]:
+    """Kill one member, then a third of them, and start them again."""
+    size = len(rig.members)
+    for gone, bound in ((_third(rig, random)[:1], 8.0), (_third(rig, random), 8.0)):
+        history = ViewHistory(rig)
+        rig.kill(*gone)
+        took = history.wait_for_one_view(_rest(rig, gone), size - len(gone))
+        changes = history.changes(_rest(rig, gone))
         yield Measurement(
             len(changes) == 1 and took <= bound,
             f"{len(gone)} killed: out of all views after {took:.1f} s ({bound:g}), {len(changes)} changes",
         )
-        judge = ViewHistory(band)
-        list(band.pool.map(band.start, gone))
-        up = time.monotonic() - judge.since
-        took = judge.wait_for_one_view(list(band.members), size)
+        history = ViewHistory(rig)
+        list(rig.pool.map(rig.start, gone))
+        up = time.monotonic() - history.since
+        took = history.wait_for_one_view(list(rig.members), size)
         yield Measurement(True, f"{len(gone)} started again in {up:.1f} s: in all views after {took:.1f} s")
         time.sleep(SETTLE_SECONDS)
 
 
-def loss(band: FleetRig, random: Random) -> Iterator[Measurement]:
-    names = list(band.members)
-    judge = ViewHistory(band)
-    band.set_links(names, names, State(drop=0.3))
+def loss(rig: FleetRig, random: Random) -> Iterator[Measurement]:
+    """Lose a part of all datagrams, then most of those to one member."""
+    names = list(rig.members)
+    history = ViewHistory(rig)
+    rig.set_links(names, names, State(drop=0.3))
     time.sleep(FAULT_SECONDS)
-    yield _unchanged(judge, names, "30 % of all datagrams lost")
-    band.heal()
+    yield _unchanged(history, names, "30 % of all datagrams lost")
+    rig.heal()
     time.sleep(SETTLE_SECONDS)
-    one = _third(band, random)[0]
-    judge = ViewHistory(band)
-    band.set_links(_rest(band, [one]), [one], State(drop=0.8))
+    one = _third(rig, random)[0]
+    history = ViewHistory(rig)
+    rig.set_links(_rest(rig, [one]), [one], State(drop=0.8))
     time.sleep(FAULT_SECONDS)
-    yield _unchanged(judge, _rest(band, [one]), "80 % of what comes to one lost")
-    band.heal()
+    yield _unchanged(history, _rest(rig, [one]), "80 % of what comes to one lost")
+    rig.heal()
 
 
-def oneway(band: FleetRig, random: Random) -> Iterator[Measurement]:
-    size, names = len(band.members), list(band.members)
-    judge = ViewHistory(band)
-    for one, other in zip(_third(band, random), reversed(_third(band, random)), strict=True):
+def oneway(rig: FleetRig, random: Random) -> Iterator[Measurement]:
+    """Cut links one way, half of those of one member, and all of its links in one direction."""
+    size, names = len(rig.members), list(rig.members)
+    history = ViewHistory(rig)
+    for one, other in zip(_third(rig, random), reversed(_third(rig, random)), strict=True):
         if one != other:
-            band.set_links([one], [other])
+            rig.set_links([one], [other])
     time.sleep(FAULT_SECONDS)
-    yield _unchanged(judge, names, f"{size // 3} pairs cut one way")
-    band.heal()
+    yield _unchanged(history, names, f"{size // 3} pairs cut one way")
+    rig.heal()
     time.sleep(SETTLE_SECONDS)
-    one = _third(band, random)[0]
-    half = random.sample(_rest(band, [one]), size // 2)
-    judge = ViewHistory(band)
-    band.set_links(half, [one])
-    band.set_links([one], half)
+    one = _third(rig, random)[0]
+    half = random.sample(_rest(rig, [one]), size // 2)
+    history = ViewHistory(rig)
+    rig.set_links(half, [one])
+    rig.set_links([one], half)
     time.sleep(FAULT_SECONDS)
-    yield _unchanged(judge, names, "half can't reach one")
-    band.heal()
+    yield _unchanged(history, names, "half can't reach one")
+    rig.heal()
     time.sleep(SETTLE_SECONDS)
     for how in ("mute", "deaf"):
-        rest = _rest(band, [one])
-        judge = ViewHistory(band)
-        band.set_links(*([one], rest) if how == "mute" else (rest, [one]))
-        out = judge.wait_for_one_view(rest, size - 1)
-        band.heal()
-        back = ViewHistory(band)
+        rest = _rest(rig, [one])
+        history = ViewHistory(rig)
+        rig.set_links(*([one], rest) if how == "mute" else (rest, [one]))
+        out = history.wait_for_one_view(rest, size - 1)
+        rig.heal()
+        back = ViewHistory(rig)
         took = back.wait_for_one_view(names, size)
-        changes = judge.changes(rest)
-        told = [text for at, text in band.members[one].events if at > judge.since and f"side={how}" in text]
+        changes = history.changes(rest)
+        told = [text for at, text in rig.members[one].events if at > history.since and f"side={how}" in text]
         yield Measurement(
             len(changes) == 2 and bool(told),
             f"one is {how}: out after {out:.1f} s, whole {took:.1f} s after it is mended, "
@@ -213,13 +215,13 @@
 }  # fmt: skip
 
 
-def idle_traffic(band: FleetRig) -> Iterator[Measurement]:
-    """What a member sends and takes while nothing happens."""
-    before = [band.status(name)["datagrams"] for name in IDLE_MEMBERS]
+def idle_traffic(rig: FleetRig) -> Iterator[Measurement]:
+    """Measure what a member sends while nothing happens."""
+    before = [rig.status(name)["datagrams"] for name in IDLE_MEMBERS]
     since = time.monotonic()
     time.sleep(COUNTING_SECONDS)
     took = time.monotonic() - since
-    after = [band.status(name)["datagrams"] for name in IDLE_MEMBERS]
+    after = [rig.status(name)["datagrams"] for name in IDLE_MEMBERS]
     each = {
         key: [(a[key] - b[key]) / took for a, b in zip(after, before, strict=True)]
         for key in ("sent", "sent_bytes")
@@ -232,24 +234,28 @@
 
 
 def play(cases: list[str], size: int, seed: int, term: float) -> Iterator[Measurement]:
-    """Start a band that agrees, and play cases one after the other. ProcessError where something does not
-    come.
+    """Start a fleet with agreed views, and play cases one after the other.
+
+    Raises
+    ------
+    ProcessError
+        Something doesn't come in time.
     """
     random = Random(f"{seed}:agreed")
     fleet, control = {"view": "true"}, range(7)
     with (
         TemporaryDirectory() as folder,
-        FleetRig(Path(folder), size, term, fleet=fleet, control=control, seed=seed) as band,
+        FleetRig(Path(folder), size, term, fleet=fleet, control=control, seed=seed) as rig,
     ):
         since = time.monotonic()
-        band.start_all()
+        rig.start_all()
         up = time.monotonic() - since
-        took = ViewHistory(band, since).wait_for_one_view(list(band.members), size)
+        took = ViewHistory(rig, since).wait_for_one_view(list(rig.members), size)
         yield Measurement(True, f"{size} sidecars started in {up:.1f} s, in one view {took - up:.1f} s later")
         time.sleep(COUNTING_SECONDS)
-        yield from idle_traffic(band)
+        yield from idle_traffic(rig)
         for name in cases:
-            yield from CASES[name](band, random)
+            yield from CASES[name](rig, random)
             time.sleep(SETTLE_SECONDS)
-        broken = [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
+        broken = [e for m in rig.members.values() for e in m.events if e[1].startswith("unexpected")]
         yield Measurement(not broken, f"{len(broken)} errors in the logs {[text for _, text in broken[:2]]}")
--- a/wheatring/lab/live/watch.py
+++ b/wheatring/lab/live/watch.py
@@ -1,9 +1,10 @@
-"""Watches processes from outside: CPU, memory and descriptors, as /proc has them."""
+"""Samples processes from outside: CPU, memory and descriptors, as /proc has them."""
 
 from __future__ import annotations
 
 import os
 from collections.abc import Mapping
+from pathlib import Path
 
 from msgspec import Struct, field
 
@@ -21,6 +22,8 @@
 
 
 class Watched(Struct):
+    """One process, over all of its starts."""
+
     name: str
     cpu_s: float = 0.0  # over all spans
     peak_mb: float = 0.0
@@ -29,21 +32,22 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU time that a process has used, its threads included; OSError if there is none of that id."""
-    with open(f"/proc/{pid}/stat", "rb") as file:
+    """Return the CPU time that a process has used, threads included; OSError if there is none of that id."""
+    with Path(f"/proc/{pid}/stat").open("rb") as file:
         # Its name comes in brackets, and may hold anything.
         fields = file.read().rpartition(b")")[2].split()
     return (int(fields[11]) + int(fields[12])) * CPU_TICK_SECONDS
 
 
 def rss_mb(pid: int) -> float:
-    with open(f"/proc/{pid}/statm", "rb") as file:
+    """Return the resident memory of a process, in MiB; OSError if there is none of that id."""
+    with Path(f"/proc/{pid}/statm").open("rb") as file:
         return int(file.read().split()[1]) * PAGE_MB
 
 
 def core_busy(cpu: int) -> float:
-    """Seconds that a core has been busy with anything since the machine's start."""
-    with open("/proc/stat", "rb") as file:
+    """Return the seconds that a core has been busy with anything since the machine's start."""
+    with Path("/proc/stat").open("rb") as file:
         for line in file:
             word, *fields = line.split()
             if word == b"cpu%d" % cpu:
@@ -53,7 +57,7 @@
 
 
 class Watch:
-    """Looks at processes whenever told to. One that has ended is left out from then on."""
+    """Samples processes whenever asked to. One that has ended is left out from then on."""
 
     def __init__(self, now: float) -> None:
         self.began = now
@@ -69,21 +73,23 @@
             self.out.pop(name, None)
 
     def begin(self, now: float) -> None:
-        """Count from now on: what was seen before is left out."""
+        """Count from now on, and drop what was sampled before."""
         self.began = now
         for name, (pid, _, _) in list(self.out.items()):
             del self.watched[name]
             self.add(name, pid, now)
 
     def add_all(self, pids: Mapping[str, int], now: float) -> None:
+        """Watch processes by name from now on."""
         for name, pid in pids.items():
             self.add(name, pid, now)
 
     def sample(self, now: float) -> None:
+        """Sample all processes that still run."""
         for name, (pid, since, before) in list(self.out.items()):
             try:
                 cpu, rss = cpu_seconds(pid), rss_mb(pid)
-                descriptors = len(os.listdir(f"/proc/{pid}/fd"))
+                descriptors = len(list(Path(f"/proc/{pid}/fd").iterdir()))
             except OSError:
                 del self.out[name]
                 continue
