--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -289,11 +289,11 @@
         self.dispatch([])  # the proposal is due now
         return http_status, answer
 
-    def set_format_floor(self, least_format: int) -> tuple[int, dict[str, Any]]:
+    def set_format_floor(self, min_format: int) -> tuple[int, dict[str, Any]]:
         """Set the lowest plan format that members have to read; return HTTP status and JSON body."""
         if self.agreement is None or self.agreement.plan is None:
             return 503, {"what": NOT_JOINED}
-        http_status, answer, outgoing = self.agreement.plan.set_format_floor(self.instant(), least_format)
+        http_status, answer, outgoing = self.agreement.plan.set_format_floor(self.instant(), min_format)
         self.dispatch(outgoing)
         return http_status, answer
 
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -164,7 +164,7 @@
                 self.first_plan = b""
                 self.log("plan-not-offered", answer)
 
-    def receive(self, at: Instant, sender: str, address: Address, word: Any) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
+    def receive(self, at: Instant, sender: str, address: Address, message: Any) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
         """Do nothing: no message is for this decider."""
         return []
 
@@ -183,7 +183,7 @@
             return 409 if error.code == "plan-push-under-way" else 400, error_body(error)
         return 202, {"push": proposal.proposal_id, "state": proposal.state}
 
-    def set_format_floor(self, at: Instant, least_format: int) -> tuple[int, dict[str, Any], list[Outgoing]]:
+    def set_format_floor(self, at: Instant, min_format: int) -> tuple[int, dict[str, Any], list[Outgoing]]:
         """Set the lowest plan format that members have to read; only at the sidecar that leads.
 
         Returns
@@ -192,13 +192,13 @@
             The HTTP status and the JSON body of the answer, and messages to send.
         """
         try:
-            body = self.skew.prepare_minimum(at, least_format, self.views.view)
+            body = self.skew.prepare_minimum(at, min_format, self.views.view)
             outgoing = self.floors.put(at, body)
         except OperatorError as error:
             return 409, error_body(error), []
         except ValueError as error:
             return 503, {"code": "not-ready", "what": str(error), "do": "Ask again in a second"}, []
-        return 202, {"floor": least_format}, outgoing
+        return 202, {"floor": min_format}, outgoing
 
     def status(self, at: Instant) -> dict[str, Any]:
         """Describe the plan for `GET /control/plan`."""
--- a/wheatring/pools/connection_budget.py
+++ b/wheatring/pools/connection_budget.py
@@ -94,10 +94,10 @@
         self.retired.discard(connection)
         super().remove(connection)
 
-    def start_attempt(self, claim: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Send an attempt, on a new connection if the budget allows one."""
         self.max_connections = self.budget.limit_of(self)
-        super().start_attempt(claim)
+        super().start_attempt(attempt)
 
     def retire_oldest_idle(self) -> bool:
         """Close an idle connection of any pool that may lose one; False where there is none."""
--- a/wheatring/pools/request_router.py
+++ b/wheatring/pools/request_router.py
@@ -34,21 +34,21 @@
         self.routes: dict[str, ActiveRoute] = {}
         self.table = RoutingTable(())
         self.rejections: dict[str, tuple[float, int]] = {}  # by reason: when to log next, how many since
-        front.on_request = lambda job: pool_of(job).driver.add_request(job)
-        front.on_caller_left = lambda job: pool_of(job).driver.report_caller_left(job)
-        front.on_committed = lambda job: pool_of(job).driver.report_committed(job)
-        front.on_attempt_ended = self.claim_ended
+        front.on_request = lambda request: pool_of(request).driver.add_request(request)
+        front.on_caller_left = lambda request: pool_of(request).driver.report_caller_left(request)
+        front.on_committed = lambda request: pool_of(request).driver.report_committed(request)
+        front.on_attempt_ended = self.on_attempt_ended
 
-    def claim_ended(self, claim: Attempt) -> None:
+    def on_attempt_ended(self, attempt: Attempt) -> None:
         """Report the end of an attempt to the driver of its request's pool."""
-        pool_of(claim.request).driver.report_attempt_ended(claim)
+        pool_of(attempt.request).driver.report_attempt_ended(attempt)
 
     def route(self, message: Message) -> ActiveRoute:
         """Return the route of a request.
 
         Raises
         ------
-        Refused
+        RequestRejected
             No route matches it, or its target can be read in more than one way.
         """
         method, target = message.start_line
@@ -111,7 +111,7 @@
             log.line("plan-weights", route=name, code=error.code, why=error.what)
 
 
-def pool_of(job: Request) -> RoutedPool:
+def pool_of(request: Request) -> RoutedPool:
     """Return the pool of a request that came by a route."""
-    assert isinstance(job, RoutedRequest)
-    return job.pool
+    assert isinstance(request, RoutedRequest)
+    return request.pool
