--- a/wheatring/lab/agreement/plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -24,13 +24,14 @@
 from wheatring.plan.leader import RolloutLeader
 from wheatring.plan.rollout import Rollout
 
-FLEET_SIZE, LATE_MEMBERS = 7, 2  # sidecars, and of them those that come only with a fault
-FIRST_PROPOSAL_SECONDS, LAST_PROPOSAL_SECONDS = 15.0, 45.0  # seconds until the first push, and the last
-QUIET_SECONDS, MAX_WAIT_SECONDS = (
-    25.0,
-    70.0,
-)  # seconds from then to the day's end: when all that was offered is over
-VOTER_RESTART_GAP_SECONDS = 16.0  # seconds between two voters that start anew: `LONG` terms, and some
+FLEET_SIZE, LATE_MEMBERS = 7, 2  # members, and of them those that start only with a fault
+FIRST_PROPOSAL_SECONDS = 15.0  # from the start
+LAST_PROPOSAL_SECONDS = 45.0  # from the start
+QUIET_SECONDS = 25.0  # from the last proposal to the end of the day, at least
+MAX_WAIT_SECONDS = 70.0  # from there to the end, when all proposals are final
+VOTER_RESTART_GAP_SECONDS = (
+    16.0  # between the restarts of two voters: longer than one abstains after its start
+)
 KINDS = ("kill", "kill", "stall", "stall", "cut", "lossy", "late", "join", "unheard", "slow", "slow", "slow")
 
 
@@ -40,7 +41,7 @@
     at: float
     kind: str
     length: float
-    nodes: tuple[str, ...]  # "lead": whoever leads by then
+    nodes: tuple[str, ...]  # "lead" is whoever leads by then
 
 
 def draw_day(seed: int) -> tuple[list[float], list[Fault]]:
@@ -101,10 +102,10 @@
         for number, node in enumerate(nodes):
             other = number and self.random.random() < 0.6
             body = body_of(f"{title}{'-b' if other else ''}", 3000 if len(title) % 2 else 0)
-            with suppress(OperatorError):  # it stands in no view at that moment
+            with suppress(OperatorError):  # it is in no view at that moment
                 self.fleet.propose(node.name, body)
 
-    # Troubles
+    # Faults
 
     def inject(self, fault: Fault) -> None:
         """Begin a fault, and schedule its end."""
@@ -129,7 +130,7 @@
                     ):
                         self.kill(node, over)
             case "stall" | "slow":
-                if fault.kind == "slow":  # and somebody comes while the others wait for this one
+                if fault.kind == "slow":  # a new member enters while the others wait for this one
                     over = cluster.now + 4.5
                     cluster.call(cluster.now + 0.2, cluster.start, cluster.nodes[f"n{FLEET_SIZE - 1}"])
                 for node in nodes:
@@ -212,7 +213,7 @@
     ("a silent one that is taken for yes", SilenceIsConsent),
     ("a leader that puts before all hold", MajorityIsEnough),
 )
-MAX_DAYS_TO_FIND = 60  # days in which a planted fault has to be found
+MAX_DAYS_TO_FIND = 60  # in which a planted fault has to be found
 
 
 def find_fault(number: int) -> tuple[int, str]:
--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -29,7 +29,7 @@
 from wheatring.skew.participant import CompilePlan
 from wheatring.skew.requirements import requirements_of, unmet_requirements
 
-STEP_SECONDS = 0.1  # seconds from one look at a verdict to the next
+STEP_SECONDS = 0.1  # from one check of the verdict to the next
 
 
 class Journal(Protocol):
@@ -158,7 +158,7 @@
     def tick(self, at: Instant) -> list[Outgoing]:
         """Follow the check, and put the plan once it is compatible."""
         self.due = at.now + STEP_SECONDS
-        if self.is_leading(at) and self.skew.own_refusals():  # it could let nobody in
+        if self.is_leading(at) and self.skew.own_refusals():  # it could admit nobody
             self.journal.counts["stepped back"] += 1
             return self.fleet.release_role(at, LEADER_ROLE, 10.0)
         if self.proposed_body is None:
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -91,10 +91,10 @@
 
     seed: int
     breaches: list[str] = field(default_factory=list)
-    committed: int = 0  # entries of the register,
-    rejected: int = 0  # and pushes,
+    committed: int = 0  # entries of the register
+    rejected: int = 0  # proposals
     unknown: int = 0
-    applied: int = 0  # how often a sidecar went on to a plan
+    applied: int = 0  # how often a member applied a plan
 
 
 class PlanFleet:
@@ -118,9 +118,9 @@
         self.outcome = Outcome(seed)
         self.applied: dict[str, list[CommittedPlan]] = {}  # by process
         self.current: dict[str, CommittedPlan] = {}
-        self.bodies: dict[bytes, bytes] = {}  # all that were offered
-        self.stored: set[tuple[str, int, bytes]] = set()  # who has had which
-        self.accepted: dict[tuple[int, int, bytes], set[str]] = {}  # which voters have kept what
+        self.bodies: dict[bytes, bytes] = {}  # all that were proposed, by digest
+        self.stored: set[tuple[str, int, bytes]] = set()  # which processes have had which body
+        self.accepted: dict[tuple[int, int, bytes], set[str]] = {}  # which voters have accepted an entry
         self.chosen: dict[int, bytes] = {}
         self.proposed: list[tuple[str, int, Proposal]] = []
         self.put: set[tuple[str, int, int]] = set()
@@ -156,7 +156,7 @@
         self.current.pop(name, None)
         return [views, views.register, plans, plans.register]
 
-    # What is done to it
+    # Running it
 
     def alive(self) -> list[Node]:
         """Return the nodes that run."""
@@ -201,7 +201,7 @@
         self.cluster.plan(node)
         return push
 
-    # Rules
+    # Invariants
 
     def _breach(self, what: str) -> None:
         self.outcome.breaches.append(f"{self.cluster.now:.3f} s: {what}")
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -78,7 +78,7 @@
 )
 
 
-# In views
+# Faults of views
 
 
 class CutsWithoutWaiting(CutDetector):
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -21,22 +21,28 @@
 from wheatring.members.messages import Address, MemberInfo
 
 STEPS = 500
-STEP_SECONDS = 0.05  # seconds
-INITIAL_UPTIME_SECONDS = 100.0  # seconds that all have been up for at the beginning
-DUPLICATE_CHANCE, RESTART_CHANCE, PUT_CHANCE = 0.05, 0.012, 0.3  # chances: of a message, and in a step
-# Drawn for each order: chances that a message is lost, that one about a committed entry is lost, that one is
-# delayed, and that a term ends in a step.
-LOSS_CHANCES, CHOSEN_LOSS_CHANCES, DELAY_CHANCES, TERM_END_CHANCES = (
-    (0.1, 0.3),
-    (0.1, 0.9),
-    (0.05, 0.4),
-    (0.02, 0.05),
-)
-MAX_DELAY_SECONDS = 8.0  # seconds by which a late message is late, at most
+STEP_SECONDS = 0.05
+INITIAL_UPTIME_SECONDS = 100.0  # of all processes at the beginning
+DUPLICATE_CHANCE, RESTART_CHANCE, PUT_CHANCE = 0.05, 0.012, 0.3  # of a message, and of a step
+# Chances of which one is drawn for each order.
+LOSS_CHANCES = (0.1, 0.3)  # that a message is lost
+CHOSEN_LOSS_CHANCES = (0.1, 0.9)  # that one about a committed entry is lost
+DELAY_CHANCES = (0.05, 0.4)  # that a message is delayed
+TERM_END_CHANCES = (0.02, 0.05)  # that a term ends in a step
+MAX_DELAY_SECONDS = 8.0  # of a late message
 
 MakeRegister = Callable[..., ReplicatedRegister]
 
 
+class InFlight(NamedTuple):
+    """A message that may arrive from some time on."""
+
+    arrives_at: float
+    source: str
+    target: str
+    message: Any
+
+
 class FakeFleet:
     """What a register needs of its member."""
 
@@ -90,10 +96,10 @@
     """What happened in one order; `committed` entries are those that some member came to know of."""
 
     seed: int
-    chosen: int  # entries that somebody came to know chosen
+    chosen: int  # entries that some member came to know as committed
     terms: int
     restarts: int
-    breach: str  # "": none
+    breach: str  # "" if there is none
 
 
 class OrderRun:
@@ -111,10 +117,8 @@
         self.voters = VoterSet(("v0", "v1", "v2"))
         self.now = 0.0
         self.leader, self.epoch = "", 0
-        self.messages: list[
-            tuple[float, str, str, Any]
-        ] = []  # from when on it may arrive, from whom, to whom
-        self.digests: dict[int, bytes] = {}  # of the entries known chosen
+        self.messages: list[InFlight] = []
+        self.digests: dict[int, bytes] = {}  # of the committed entries, by number
         self.positions: dict[str, tuple[int, int]] = dict.fromkeys(self.names, (0, 0))
         self.restarts = 0
         self.breach = ""
@@ -180,30 +184,28 @@
 
     def deliver(self) -> None:
         """Deliver about half of the messages that may arrive, in any order."""
-        may = [one for one in self.messages if one[0] <= self.now]
-        self.messages = [one for one in self.messages if one[0] > self.now]
-        self.random.shuffle(may)
-        for _ in range(self.random.randint(0, len(may))):
-            _, source, target, message = may.pop()
+        arriving = [sent for sent in self.messages if sent.arrives_at <= self.now]
+        self.messages = [sent for sent in self.messages if sent.arrives_at > self.now]
+        self.random.shuffle(arriving)
+        for _ in range(self.random.randint(0, len(arriving))):
+            sent = arriving.pop()
             if self.random.random() < DUPLICATE_CHANCE:
-                self.messages.append(
-                    (self.now + MAX_DELAY_SECONDS * self.random.random(), source, target, message)
-                )
-            self.send(target, self.registers[target].receive(self.at, source, (source, 1), message))
-        self.messages += may
+                again_at = self.now + MAX_DELAY_SECONDS * self.random.random()
+                self.messages.append(sent._replace(arrives_at=again_at))
+            register, address = self.registers[sent.target], (sent.source, 1)
+            self.send(sent.target, register.receive(self.at, sent.source, address, sent.message))
+        self.messages += arriving
 
     def send(self, name: str, out: list[Any]) -> None:
         """Queue messages of a member, with losses and delays, and give it the bodies that it wants."""
         for address, message in out:
-            if self.random.random() >= (
-                self.chosen_loss_chance if isinstance(message, EntryChosen) else self.loss_chance
-            ):
-                late = (
-                    MAX_DELAY_SECONDS * self.random.random()
-                    if self.random.random() < self.delay_chance
-                    else 0.0
-                )
-                self.messages.append((self.now + late, name, address[0], message))
+            is_chosen = isinstance(message, EntryChosen)
+            if self.random.random() < (self.chosen_loss_chance if is_chosen else self.loss_chance):
+                continue
+            delay = 0.0
+            if self.random.random() < self.delay_chance:
+                delay = MAX_DELAY_SECONDS * self.random.random()
+            self.messages.append(InFlight(self.now + delay, name, address[0], message))
         del self.messages[:-400]
         fleet = self.fleets[name]
         fetches, fleet.fetch_requests = fleet.fetch_requests, []
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -36,7 +36,9 @@
 from wheatring.skew.requirements import requirements_of, unmet_requirements
 
 VOTERS = 3
-Programs = dict[tuple[str, int], Capabilities | None]  # what each process can; None: it has not these words
+Programs = dict[
+    tuple[str, int], Capabilities | None
+]  # of each process; None is a program from before these messages
 
 
 class Day:
@@ -54,15 +56,15 @@
         self.skew = skew
         self.programs: Programs = {}
         self.next_capabilities: dict[str, Capabilities | None] = {}
-        self.compiles: dict[str, CompilePlan] = {}  # of those who do it otherwise
+        self.compiles: dict[str, CompilePlan] = {}  # of members that compile differently
         self.drivers: dict[str, PlanDriver] = {}
         self.counts: Counter[str] = Counter()
         self.rejections: tuple[Reason, ...] = ()
         self.breaches: list[str] = []
-        self.voter_restarted_at = 0.0  # when one was last restarted
+        self.voter_restarted_at = 0.0  # when a voter was last restarted
         self.view = View()
         self.newest: tuple[Entry, Plan, bytes] | None = None
-        self.minimum = (0, 1)  # of the newest entry: its number, and the format
+        self.minimum = (0, 1)  # the newest entry: its number, and its format
         newer, middle, old = (local_capabilities(range(1, last), version=str) for last in (4, 3, 2))
         self.kinds: tuple[Capabilities | None, ...] = (newer, newer, middle, old, None)
         for node in self.cluster.nodes.values():
@@ -81,7 +83,7 @@
         )
         return pusher.pieces
 
-    # Rules
+    # Invariants
 
     def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None:
         """Note a committed plan."""
@@ -117,7 +119,7 @@
             for what in why:
                 self.breaches.append(f"{self.cluster.now:.2f} s: {name} in view {self.view.number}: {what}")
 
-    # What befalls
+    # Events
 
     def propose(self, plan: Plan) -> None:
         """Start a rollout at whoever leads, unless one is in progress."""
@@ -154,7 +156,7 @@
                 self.propose(draw_plan(random))
             case 1:
                 self.restart(one, random.choice(self.kinds), random.choice((0.2, 3.0, 12.0)))
-            case 2:  # a voter, and never two within the time that one needs to learn what it was
+            case 2:  # a voter, and never two within the time in which one learns what it has forgotten
                 if not self.counts["voter"] or cluster.now - self.voter_restarted_at > 20:
                     self.voter_restarted_at = cluster.now
                     self.counts["voter"] += 1
@@ -182,7 +184,7 @@
         if not out:
             cluster.kill(cluster.nodes[name])
         elif self.newest is not None and requirements_of(*self.newest[1:]).format > 1:
-            self.propose(draw_plan(random, 1))  # so that older ones may come in at all
+            self.propose(draw_plan(random, 1))  # so that older programs may enter at all
         elif out[0].name not in self.view.names:
             self.next_capabilities[out[0].name] = random.choice(self.kinds[1:])
             cluster.start(out[0])
@@ -200,7 +202,7 @@
             self.cluster.run(self.cluster.now + self.random.expovariate(0.5))
 
 
-# Planted
+# Planted faults
 
 
 class _OutlivesItsView(CheckCoordinator):
--- a/wheatring/lab/agreement/view_cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -14,8 +14,8 @@
 from wheatring.lab.leases.cluster import CUT, Cluster
 from wheatring.lab.live.links.state import State
 
-SETTLE_SECONDS = 25.0  # seconds from the start to the trouble
-SPAN_SECONDS = 60.0  # seconds from the trouble to the end
+SETTLE_SECONDS = 25.0  # from the start to the fault
+SPAN_SECONDS = 60.0  # from the fault to the end
 
 
 class Measurement(NamedTuple):
@@ -30,17 +30,15 @@
     case: str
     size: int
     seed: int
-    converged_seconds: (
-        float  # s from the trouble (its end, where it has one) to one view as it should be; -1: never
-    )
-    removals: int  # changes that took somebody out, from the trouble on,
-    admissions: int  # and that let somebody in
-    wrongly_removed: int  # members taken out that were to stay
+    converged_seconds: float  # from the fault (its end, where it has one) to the expected view; -1 is never
+    removals: int  # view changes that removed a member, from the fault on
+    admissions: int  # view changes that admitted a member
+    wrongly_removed: int  # members that were removed and should have stayed
     agreement_share: float
-    spread_seconds: float  # s from a change's first sidecar to its last, at most
-    datagrams: float  # that a member sends a second, and bytes
+    spread_seconds: float  # from a change's first member to its last, at most
+    datagrams: float  # that a member sends a second
     bytes_sent: float
-    cpu_seconds: float  # s of CPU for one of the fleet
+    cpu_seconds: float  # of CPU time, for one second of the fleet
 
 
 class CaseRun:
@@ -53,9 +51,9 @@
         self.fleet: Cluster = make_cluster(seed, size, voters)
         self.observer = ViewObserver(self.fleet)
         self.names = list(self.fleet.nodes)
-        self.removed: set[str] = set()  # who is to be taken out
+        self.removed: set[str] = set()  # members that should be removed
         self.random = self.fleet.random
-        self.fault_end = 0.0  # when the trouble ends
+        self.fault_end = 0.0  # when the fault ends
         for node in self.fleet.nodes.values():
             self.fleet.call(self.random.random(), self.fleet.start, node)
 
--- a/wheatring/lab/agreement/view_checks.py
+++ b/wheatring/lab/agreement/view_checks.py
@@ -12,9 +12,9 @@
 from wheatring.lab.agreement import register_orders, view_days
 from wheatring.lab.agreement.planted_faults import REGISTER_FAULTS, VIEW_FAULTS
 
-DAYS_PER_TASK = 10  # days that a process plays in one go
-MAX_DAYS_TO_FIND = 40  # days for a planted fault to be found in,
-ORDERS_PER_DAY = 20  # and orders for each day, of which there are far more in a second
+DAYS_PER_TASK = 10  # that a worker process plays at a time
+MAX_DAYS_TO_FIND = 40  # in which a planted fault has to be found
+ORDERS_PER_DAY = 20  # drawn for each day: an order takes far less time
 
 
 def _days(first: int, kind: view_days.Kind) -> list[view_days.Day]:
--- a/wheatring/lab/agreement/view_days.py
+++ b/wheatring/lab/agreement/view_days.py
@@ -29,10 +29,10 @@
 Kind = Literal["mixed", "together", "half", "late"]
 KINDS: tuple[Kind, ...] = ("mixed", "together", "half", "late")
 PROCESS_FAULTS = ("kill", "again", "voters", "die", "stall", "leader")  # all others are of links
-SETTLE_SECONDS = 15.0  # seconds from the start to the first fault
-RECOVERY_SECONDS = 75.0  # seconds from the last fault's end to the day's: who went out often waits up to 60
+SETTLE_SECONDS = 15.0  # from the start to the first fault
+RECOVERY_SECONDS = 75.0  # from the last fault's end to the day's: a member removed often waits up to 60 s
 TERMS = LeaseTiming()
-AFTERMATH_SECONDS = 20.0  # seconds after a fault's end for which it may still take somebody out
+AFTERMATH_SECONDS = 20.0  # after a fault's end, in which it may still remove a member
 
 
 class Fault(NamedTuple):
@@ -52,7 +52,7 @@
     kind: Kind
     breaches: list[str] = field(default_factory=list)
     views: int = 0
-    removals: int = 0  # members taken out, all changes together
+    removals: int = 0  # of members, all changes together
     events: int = 0
     length_seconds: float = 0.0
 
@@ -77,7 +77,7 @@
         length = 10 * TERMS.lease_seconds if what == "leader" else length
         some = tuple(sorted(random.sample(names, random.choice([1, 1, 2, len(names) // 3]))))
         faults.append(Fault(at, what, length, some, random.random()))
-        # Voters that start anew find out what they kept from whom they reach: no link is bad by then.
+        # Voters that restart learn from others what they had accepted: no link is bad by then.
         apart = random.choice([0.0, 0.3, 1.0]) if what not in ("voters", "kill", "again") else 1.0
         at += max(1.0, apart * length) + (30.0 if what == "voters" else 5.0 * random.random())
     return faults
@@ -99,10 +99,10 @@
         self.fleet.after = self.check_after
         self.digests: dict[int, tuple[bytes, bytes]] = {}
         self.names: dict[int, frozenset[str]] = {}
-        self.installed_at: dict[int, float] = {}  # when a view was first stood in
+        self.installed_at: dict[int, float] = {}  # when a view was first installed
         self.positions: dict[tuple[str, int], tuple[int, int]] = {}
-        self.excused_until: dict[str, float] = {}  # until when a fault may take one out
-        self.changes = 0  # that took somebody out, since the faults began
+        self.excused_until: dict[str, float] = {}  # until when a fault may remove a member
+        self.changes = 0  # that removed a member, since the faults began
         for node in self.fleet.nodes.values():
             node.fast = TERMS.max_clock_drift * (2 * random.random() - 1)
             self.fleet.call(random.random(), self.fleet.start, node)
@@ -217,7 +217,7 @@
                 if self.fleet.links.get((one, other)) is state:
                     del self.fleet.links[one, other]
 
-    # Rules
+    # Invariants
 
     def check_after(self, node: Node) -> None:
         """Check the invariants of one node; called after each of its events."""
--- a/wheatring/lab/agreement/view_fleet.py
+++ b/wheatring/lab/agreement/view_fleet.py
@@ -62,7 +62,7 @@
     number: int
     added: frozenset[str]
     removed: frozenset[str]
-    last_seen: float = 0.0  # when the last one came to stand in it
+    last_seen: float = 0.0  # when the last member installed it
 
 
 class ViewObserver:
@@ -78,8 +78,8 @@
         self.newest = 0
         self.names: frozenset[str] = frozenset()
         self.view = View()
-        self.excluded: set[str] = set()  # who is not expected to stand in the newest view,
-        self.delayed: set[str] = set()  # and who hears of it late, as it was stopped
+        self.excluded: set[str] = set()  # members that are not expected in the newest view
+        self.delayed: set[str] = set()  # members that install it late, as they were suspended
         self.samples = self.agreeing = 0
         self.installed: dict[str, int] = {}
         fleet.after = self.observe
