--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -21,10 +21,10 @@
 
 def test_a_job_passes_unchanged_and_its_connections_are_kept(make: Make) -> None:
     world = make()
-    caller_connection, body = world.caller(), b"a=1\r\n\r\n\x00\xff"
+    caller, body = world.caller(), b"a=1\r\n\r\n\x00\xff"
     node = None
     for ident in ("first", "second"):
-        caller_connection.send(
+        caller.send(
             f"POST /order/5?x=%20y HTTP/1.1\r\nX-Correlation-Id: {ident}\r\nX-Service-Class: order\r\n"
             f"X-Time-Left-Ms: 4000\r\nIdempotency-Key: k-7\r\nContent-Length: {len(body)}\r\n\r\n".encode()
             + body
@@ -35,16 +35,16 @@
         assert (fields["x-correlation-id"], fields["idempotency-key"]) == (ident, "k-7")
         assert 0 < int(fields["x-time-left-ms"]) <= 4000
         node.answer(200, b"\x01made\r\n", "Content-Type: x/y\r\n")
-        status, fields, came = caller_connection.read()
+        status, fields, came = caller.read()
         assert (status, fields["content-type"], came) == ("HTTP/1.1 200 OK", "x/y", b"\x01made\r\n")
     assert world.run(lambda: len(world.sidecar.driver.open_requests)) == 0
 
 
 def test_chunked_bodies_and_pipelined_requests_in_their_order(make: Make) -> None:
     world = make()
-    caller_connection = world.caller()
+    caller = world.caller()
     for n in range(2):
-        caller_connection.send(
+        caller.send(
             f"POST /order HTTP/1.1\r\nX-Correlation-Id: c{n}\r\nX-Time-Left-Ms: 6000\r\n"
             f"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nab{n}\r\n1\r\n!\r\n0\r\nT: u\r\n\r\n".encode()
         )
@@ -53,7 +53,7 @@
         _, fields, body = node.read()
         assert (fields["x-correlation-id"], body) == (f"c{n}", f"ab{n}!".encode())
         node.send(f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nr{n}\r\n0\r\n\r\n".encode())
-        assert caller_connection.read()[2] == f"r{n}".encode()
+        assert caller.read()[2] == f"r{n}".encode()
 
 
 def test_a_refused_connection_never_ran_so_even_an_unsafe_job_goes_out_again(make: Make) -> None:
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("how", ["reset", "end", "half", "half-chunked", "garbage", "error", "bare-503"])
 def test_what_may_have_run_is_not_sent_again_where_that_does_harm(make: Make, how: str) -> None:
     world = make(2)
-    caller_connection = world.ask("unsafe")
+    caller = world.ask("unsafe")
     node = world.first()
     node.read()
     if how == "reset":
@@ -83,30 +83,30 @@
     elif how == "bare-503":
         node.answer(503)
     node.close()
-    assert caller_connection.read()[0] == "HTTP/1.1 502 Bad Gateway"
+    assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert len(world.logged("claim-connection")) == 1  # one connection, one line: there was no second
 
 
 def test_a_connection_broken_before_the_last_byte_left_proves_that_nothing_ran(make: Make) -> None:
     world = make()
     world.nodes[0].listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    caller_connection = world.ask("unsafe")
+    caller = world.ask("unsafe")
     node = world.nodes[0].accept()
     node.read()
     node.answer(200, b"ok")
-    caller_connection.read()
+    caller.read()
     (kept,) = world.sidecar.pool.connections
     transport: Any = kept.transport
     world.run(lambda: transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096))
     body = b"x" * 65000  # more than both ends of the connection hold
-    world.ask("unsafe", wire=caller_connection, more=f"Content-Length: {len(body)}\r\n")
-    caller_connection.send(body)
+    world.ask("unsafe", wire=caller, more=f"Content-Length: {len(body)}\r\n")
+    caller.send(body)
     node.sock.recv(1)
     node.reset()
     node = world.nodes[0].accept()
     assert node.read()[2] == body
     node.answer(200, b"once")
-    assert caller_connection.read()[2] == b"once"
+    assert caller.read()[2] == b"once"
 
 
 @pytest.mark.parametrize(
@@ -119,23 +119,23 @@
 ) -> None:
     monkeypatch.setattr(endpoint_connection, "ANSWER_STALL_SECONDS", 0.0)
     world = make()
-    caller_connection = world.ask("unsafe")
+    caller = world.ask("unsafe")
     node = world.nodes[0].accept()
     node.read()
     node.send(noise)
-    assert caller_connection.read()[0] == "HTTP/1.1 502 Bad Gateway"
+    assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert node.at_end()
     assert world.logged("claim-connection") == ["bad-answer"]
 
 
 def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_is_not_used_again(make: Make) -> None:
     world = make()
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
     good = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
     node.send(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + good + good)
-    assert caller_connection.read()[2] == b"good"
+    assert caller.read()[2] == b"good"
     assert node.at_end()
     assert world.logged("claim-connection") == ["not-clean"]
 
@@ -144,40 +144,40 @@
     world = make()
     watch = world.discovery.accept()
     watch.read()
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
     node.answer(200, b"old")
-    caller_connection.read()
+    caller.read()
     new = entry("n1", world.nodes[0])
     watch.answer(200, list_body(8, {"instanceId": "n0", "lifecycle": "DELETED"}, new))
     watch.read()
-    world.ask(wire=caller_connection)
+    world.ask(wire=caller)
     fresh = world.nodes[0].accept()
     fresh.read()
     fresh.answer(200, b"new")
-    assert caller_connection.read()[2] == b"new"
+    assert caller.read()[2] == b"new"
     assert node.at_end()  # and the old one is not kept for nobody
     assert world.logged("claim-connection") == ["node-gone"]
 
 
 def test_turned_away_unseen_goes_out_again_on_a_kept_connection(make: Make) -> None:
     world = make()
-    caller_connection = world.ask("unsafe")
+    caller = world.ask("unsafe")
     node = world.nodes[0].accept()
     node.read()
     node.answer(503, b"full", "X-Unprocessed: 1\r\n")
     node.read()
     node.answer(200, b"now")
-    assert caller_connection.read()[2] == b"now"
+    assert caller.read()[2] == b"now"
 
 
 def test_a_silent_node_costs_the_job_no_more_than_its_time(make: Make) -> None:
     world = make()
-    caller_connection = world.ask("unsafe", left=800)
+    caller = world.ask("unsafe", left=800)
     node = world.nodes[0].accept()
     node.read()
-    assert caller_connection.read()[0] == "HTTP/1.1 502 Bad Gateway"
+    assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert node.at_end()  # giving up is closing
     assert world.logged("claim-connection") == ["claim-abandoned"]
     assert not world.codes("overdue")
@@ -186,7 +186,7 @@
 def test_a_job_whose_claim_never_reports_is_answered_all_the_same(make: Make) -> None:
     world = make()
     world.sidecar.exchange.start_attempt = lambda claim: None
-    world.sidecar.exchange._time_out = lambda claim: None  # type: ignore[method-assign]
+    world.sidecar.exchange._time_out = lambda attempt: None  # type: ignore[method-assign]
     assert world.ask(left=50).read()[0] == "HTTP/1.1 502 Bad Gateway"
     world.logged("overdue")
 
@@ -214,36 +214,36 @@
             patch.setattr(balancer, "handle", fault)
             assert world.ask().read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert world.logged("module") and world.logged("decision-broken")
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
     node.answer(200, b"ok")
-    assert caller_connection.read()[2] == b"ok"
+    assert caller.read()[2] == b"ok"
 
 
 def test_a_caller_that_leaves_is_forgotten_and_its_late_answer_reaches_nobody(make: Make) -> None:
     world = make()
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
-    caller_connection.close()
+    caller.close()
     assert world.logged("caller-connection") == ["peer-closed"]
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0  # before its claim has ended
     node.answer(200, b"for nobody")
-    caller_connection = world.ask()
+    caller = world.ask()
     node.read()  # the same connection: it was read to its end, so it is clean
     node.answer(200, b"mine")
-    assert caller_connection.read()[2] == b"mine"
+    assert caller.read()[2] == b"mine"
     assert world.run(lambda: len(world.sidecar.driver.open_requests)) == 0
 
 
 def test_what_a_caller_sent_ahead_is_not_begun_once_it_has_left(make: Make) -> None:
     world = make()
-    caller_connection = world.ask(wire=world.ask())
+    caller = world.ask(wire=world.ask())
     world.nodes[0].accept().read()
     world.settle()
     (connection,) = world.sidecar.server.connections
-    caller_connection.close()
+    caller.close()
     world.logged("caller-connection")
     world.run(connection.read_requests)  # as an answer given in the same turn of the reactor would have it
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
@@ -264,26 +264,26 @@
     world.run(submit_and_leave)
     node = world.nodes[0].accept()
     world.settle()
-    caller_connection = world.ask()
+    caller = world.ask()
     assert node.read()[0] == "GET /menu HTTP/1.1"  # nothing of the first one, and its connection is kept
     node.answer(200, b"ok")
-    assert caller_connection.read()[2] == b"ok"
+    assert caller.read()[2] == b"ok"
 
 
 def test_a_connection_that_speaks_unasked_is_not_used_again(make: Make) -> None:
     world = make()
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
     node.answer(200, b"a")
-    caller_connection.read()
+    caller.read()
     node.answer(200, b"an answer to nothing")
     assert world.logged("claim-connection") == ["unasked-data"]
-    caller_connection = world.ask(wire=caller_connection)
+    caller = world.ask(wire=caller)
     node = world.nodes[0].accept()
     node.read()
     node.answer(200, b"b")
-    assert caller_connection.read()[2] == b"b"
+    assert caller.read()[2] == b"b"
 
 
 def test_a_second_request_with_the_id_of_an_open_one_is_not_sent_on(make: Make) -> None:
@@ -333,21 +333,21 @@
 )
 def test_bad_input_is_answered_and_the_connection_ended(make: Make, status: int, request_text: str) -> None:
     world = make()
-    caller_connection = world.caller()
-    caller_connection.send(request_text.encode())
-    assert caller_connection.read()[0].split()[1] == str(status)
-    assert caller_connection.at_end()
-    caller_connection.close()
+    caller = world.caller()
+    caller.send(request_text.encode())
+    assert caller.read()[0].split()[1] == str(status)
+    assert caller.at_end()
+    caller.close()
     assert world.logged("caller-connection") == [f"bad-request-{status}"]
 
 
 def test_a_caller_still_sending_what_is_too_large_can_read_that_it_is(make: Make) -> None:
     world = make(0)
-    caller_connection = world.caller()
-    caller_connection.send(f"POST /order HTTP/1.1\r\n{GOOD}Content-Length: 40000000\r\n\r\n".encode())
+    caller = world.caller()
+    caller.send(f"POST /order HTTP/1.1\r\n{GOOD}Content-Length: 40000000\r\n\r\n".encode())
     world.settle()
-    caller_connection.send(b"x" * 500000)
-    assert caller_connection.read()[0] == "HTTP/1.1 413 Content Too Large"
+    caller.send(b"x" * 500000)
+    assert caller.read()[0] == "HTTP/1.1 413 Content Too Large"
 
 
 def test_of_a_body_that_is_too_large_no_more_than_a_part_is_read(
@@ -413,10 +413,10 @@
 )  # fmt: skip
 def test_a_wrong_path_or_method_leaves_the_connection_usable(make: Make, status: int, first: str) -> None:
     world = make(0)
-    caller_connection = world.caller()
+    caller = world.caller()
     for _ in range(2):
-        caller_connection.send(f"{first}\r\n{GOOD}\r\n".encode())
-        assert caller_connection.read()[0].split()[1] == str(status)
+        caller.send(f"{first}\r\n{GOOD}\r\n".encode())
+        assert caller.read()[0].split()[1] == str(status)
 
 
 def test_the_machine_list_is_watched_call_after_call_and_asked_for_again_when_that_fails(make: Make) -> None:
@@ -438,11 +438,11 @@
     watch.read()
     watch.answer(200, list_body(9, entry("n0", world.nodes[0]), reset=True))
     assert watch.read()[0].startswith("GET /v1/servers?index=9&wait=")
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
     node.answer(200, b"back")
-    assert caller_connection.read()[2] == b"back"
+    assert caller.read()[2] == b"back"
     assert len(world.codes("list-failed")) == 4 and len(world.codes("bad-entry")) == 4
 
 
@@ -495,14 +495,14 @@
 def test_what_is_not_worth_its_wait_is_given_up_at_once_when_it_leaves(make: Make) -> None:
     """A copy that has answered in a moment until now does not stay for what hangs."""
     world = make()
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     for n in range(8):
         if n:
-            world.ask(wire=caller_connection)
+            world.ask(wire=caller)
         node.read()
         node.answer(200, b"quick")
-        caller_connection.read()
+        caller.read()
     hung, unsafe, half = world.ask(), world.ask("unsafe"), world.caller()
     for wire in (node, world.nodes[0].accept()):
         wire.read()
@@ -521,11 +521,11 @@
     world = make()
     watch = world.discovery.accept()
     watch.read()
-    caller_connection = world.ask()
+    caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
     node.answer(200, b"ok")
-    caller_connection.read()
+    caller.read()
     driver = world.sidecar.driver
     world.run(lambda: driver.carry_out(i.CloseIdle("n0")))
     assert node.at_end()
@@ -534,12 +534,12 @@
     assert fetch.read()[0] == "GET /v1/servers HTTP/1.1"
     fetch.answer(200, list_body(8, entry("n0", world.nodes[0]), reset=True))
     assert fetch.at_end()
-    world.ask("unsafe", wire=caller_connection)
+    world.ask("unsafe", wire=caller)
     node = world.nodes[0].accept()
     node.read()
     world.run(lambda: driver.carry_out(i.Cancel(driver.last_id, 0)))
     assert node.at_end()
-    assert caller_connection.read()[0] == "HTTP/1.1 502 Bad Gateway"
+    assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     world.run(lambda: driver.carry_out(i.Subscribe(False)))
     assert watch.at_end()
 
--- a/wheatring/core/__init__.py
+++ b/wheatring/core/__init__.py
@@ -1,5 +1,4 @@
-"""The core: jobs, claims, deadlines, the one final answer, and the driver of the decision module.
+"""The core of the daemon: requests, attempts, deadlines, the one final answer, and the balancer's driver.
 
-It knows no protocol and decides nothing. It may import the decision module's words, the log and what stands
-beside it here.
+It knows no protocol and decides nothing. It may import the balancer's interface, the log and its own modules.
 """
--- a/wheatring/core/clock.py
+++ b/wheatring/core/clock.py
@@ -1,4 +1,4 @@
-"""Absolute instants on the monotonic clock, and the one place that turns them into the reactor's delays."""
+"""Instants on the monotonic clock, and the one place that turns them into the reactor's delays."""
 
 from __future__ import annotations
 
@@ -8,27 +8,42 @@
 
 
 class Timer(Protocol):
-    def cancel(self) -> None: ...
+    """A call that is scheduled: Twisted's `IDelayedCall`, as far as it is used."""
 
-    def active(self) -> bool: ...
+    def cancel(self) -> None:
+        """Cancel a call that is still to come."""
+
+    def active(self) -> bool:
+        """Return whether the call is still to come."""
 
 
 class Clock:
-    """Instants are seconds of the reactor's clock, which the daemon sets to the monotonic one: steps of the
-    system's time must not move deadlines. Both times are handed in, so that they can be others.
+    """The clock of one process. Instants are seconds on the reactor's clock.
+
+    The daemon sets that to the monotonic clock, as steps of the system's time must not move deadlines. Both
+    times are passed in, so that a simulation can replace them.
+
+    Attributes
+    ----------
+    now : Callable[[], float]
+        The present instant.
+    unix : Callable[[], float]
+        Unix time in seconds, for statements to others; no deadline depends on it.
+    unix_offset : float
+        Seconds to add to an instant for its Unix time. It is taken once, so that equal times stay equal.
     """
 
     def __init__(self, reactor: Any, unix: Callable[[], float] = time.time) -> None:
         self.reactor = reactor
         self.now: Callable[[], float] = reactor.seconds
-        self.unix = unix  # in seconds, for what others state in it and no deadline hangs on
-        # Unix time is only ever converted with this one offset, so that equal times stay equal.
+        self.unix = unix
         self.unix_offset = unix() - self.now()
 
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Timer:
+        """Schedule a call at an instant; at once, in a later turn of the reactor, if that has passed."""
         timer: Timer = self.reactor.callLater(max(0.0, instant - self.now()), call, *args)
         return timer
 
     def from_unix_ms(self, stamp: float) -> float:
-        """The instant of a Unix time in milliseconds; 0, which means long ago, stays 0."""
+        """Return the instant of a Unix time in milliseconds; 0, which means long ago, stays 0."""
         return stamp / 1000 - self.unix_offset if stamp > 0 else 0.0
--- a/wheatring/core/exceptions.py
+++ b/wheatring/core/exceptions.py
@@ -1,13 +1,27 @@
-"""A request that is turned away before there is a job. Every front and every hook before it can say so."""
+"""Errors of the core."""
 
 from __future__ import annotations
 
 
-class RequestRejected(Exception):
-    """`status` says why, in the numbers of HTTP; `more` are field lines and `body` the text of the answer."""
+class RequestRejectedError(Exception):
+    """A request is rejected before it is submitted: by the server, a route or an authorizer.
+
+    Attributes
+    ----------
+    status : int
+        Why, as an HTTP status code.
+    header_lines : bytes
+        Encoded header lines to add to the answer, each with its line end.
+    body : bytes
+        The body of the answer.
+    """
 
     def __init__(self, status: int, reason: str, header_lines: bytes = b"", body: bytes = b"") -> None:
         super().__init__(reason)
         self.status = status
         self.header_lines = header_lines
         self.body = body
+
+
+class BodyNotReplayableError(ValueError):
+    """A body can't be read again: its start has been released."""
--- a/wheatring/http1/caller_connection.py
+++ b/wheatring/http1/caller_connection.py
@@ -22,7 +22,7 @@
 
 from wheatring import log
 from wheatring.core.body import Body, no_listener
-from wheatring.core.exceptions import RequestRejected
+from wheatring.core.exceptions import RequestRejectedError
 from wheatring.core.exchange import Answer, AnswerKind, Request
 from wheatring.http1.body_sender import BodySender
 from wheatring.http1.caller_state import ArrivalTimes, CallerState, caller_state
@@ -209,12 +209,12 @@
         try:
             if message.start_line[1].partition(b"?")[0] == b"/healthz" and not message.is_open:
                 if message.start_line[0] != b"GET":
-                    raise RequestRejected(405, "method", b"Allow: GET\r\n")
+                    raise RequestRejectedError(405, "method", b"Allow: GET\r\n")
                 status, word = (503, b"away\n") if self.server.is_out_of_service else (200, b"ok\n")
                 self.write_answer(encode_response(status, word, close=self.is_last_answer()))
                 return
             job = self.server.create_request(message, self.arrival_time())
-        except RequestRejected as refused:
+        except RequestRejectedError as refused:
             if refused.status == 400 or message.is_open:
                 self.reject(refused.status, str(refused), refused.header_lines, refused.body)
             else:
--- a/wheatring/http1/server.py
+++ b/wheatring/http1/server.py
@@ -13,7 +13,7 @@
 from wheatring.balancer.interface import Idempotency, RequestClass
 from wheatring.core.body import Body, BodyMemory
 from wheatring.core.clock import Clock, Timer
-from wheatring.core.exceptions import RequestRejected
+from wheatring.core.exceptions import RequestRejectedError
 from wheatring.core.exchange import Exchange, Request
 from wheatring.http1.caller_connection import CallerConnection
 from wheatring.http1.caller_state import CallerState
@@ -165,39 +165,39 @@
     def create_request(self, message: Message, came: float) -> Request:
         """The job that a request asks for, whose last byte came then; Refused says what is wrong with it."""
         if self.is_cut_short:
-            raise RequestRejected(503, "stopping")
+            raise RequestRejectedError(503, "stopping")
         fields = message.fields
         method, target = message.start_line
         rights = None if self.authorizer is None else self.authorizer(fields)
         way = None if self.router is None else self.router(message)
         if not message.repeated_fields.isdisjoint(_SINGLE_FIELDS):
-            raise RequestRejected(400, "a field that may come once came twice")
+            raise RequestRejectedError(400, "a field that may come once came twice")
         if target[:1] != b"/":
-            raise RequestRejected(404, "path")
+            raise RequestRejectedError(404, "path")
         first = target[1:].partition(b"?")[0].partition(b"/")[0]
         name = fields.get(b"x-service-class", first)
         if way is not None and way.class_name:
             name = way.class_name
         elif not first or name != first:
-            raise RequestRejected(404, "path")
+            raise RequestRejectedError(404, "path")
         known = self.classes.get(name.decode("latin-1"))
         if known is None:
-            raise RequestRejected(404, "class")
+            raise RequestRejectedError(404, "class")
         if rights is not None and known.name not in rights:
-            raise RequestRejected(403, "rights", body=b"class not in rights")
+            raise RequestRejectedError(403, "rights", body=b"class not in rights")
         allowed = b"GET" if known.idempotency is SAFE else b"POST"
         if method != allowed:
-            raise RequestRejected(405, "method", b"Allow: %s\r\n" % allowed)
+            raise RequestRejectedError(405, "method", b"Allow: %s\r\n" % allowed)
         ident = fields.get(b"x-correlation-id", b"")
         if not _CORRELATION_ID.fullmatch(ident):
-            raise RequestRejected(400, "no id")
+            raise RequestRejectedError(400, "no id")
         if ident.decode("latin-1") in self.exchange.open_requests:
-            raise RequestRejected(409, "id of an open request")  # the nodes would take the two for one
+            raise RequestRejectedError(409, "id of an open request")  # the nodes would take the two for one
         left = fields.get(b"x-time-left-ms")
         seconds = known.deadline
         if left is not None:
             if not _DIGITS.fullmatch(left):
-                raise RequestRejected(400, "bad time")
+                raise RequestRejectedError(400, "bad time")
             seconds = min(seconds, int(left) / 1000)  # no caller waits longer than its class
         elif way is not None and way.deadline is not None:
             seconds = min(seconds, way.deadline)
--- a/wheatring/ops/tokens.py
+++ b/wheatring/ops/tokens.py
@@ -14,7 +14,7 @@
 from collections.abc import Mapping
 
 from wheatring.core.clock import Clock
-from wheatring.core.exceptions import RequestRejected
+from wheatring.core.exceptions import RequestRejectedError
 from wheatring.errors import UncodedError
 from wheatring.operator_properties import OperatorFileError, Tokens
 
@@ -121,4 +121,4 @@
             return rights(self.told, match[1], self.clock.unix())
         except TokenError as bad:
             body = f"token {bad}".encode()
-            raise RequestRejected(401, "token", b"WWW-Authenticate: Bearer\r\n", body) from None
+            raise RequestRejectedError(401, "token", b"WWW-Authenticate: Bearer\r\n", body) from None
--- a/wheatring/pools/request_router.py
+++ b/wheatring/pools/request_router.py
@@ -11,7 +11,7 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock
-from wheatring.core.exceptions import RequestRejected
+from wheatring.core.exceptions import RequestRejectedError
 from wheatring.core.exchange import Attempt, Exchange, Request
 from wheatring.errors import OperatorError
 from wheatring.http1.parser import Message
@@ -56,10 +56,10 @@
             match = self.table.resolve(method, target, message.fields, message.repeated_fields)
         except InvalidRequestError as error:
             self._log_rejection(400, str(error))
-            raise RequestRejected(400, str(error)) from None
+            raise RequestRejectedError(400, str(error)) from None
         if match is None:
             self._log_rejection(404, "no route")
-            raise RequestRejected(404, "route")
+            raise RequestRejectedError(404, "route")
         return self.routes[match.route.name]
 
     def _log_rejection(self, status: int, why: str) -> None:
