--- a/tests/lab/test_wire_http.py
+++ b/tests/lab/test_wire_http.py
@@ -10,7 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.http1.parser import MalformedMessage, MessageParser
+from wheatring.http1.exceptions import MalformedMessageError
+from wheatring.http1.parser import MessageParser
 from wheatring.lab.origins import Origin
 from wheatring.lab.plan import ClassPlan
 from wheatring.lab.wire.form import Forms
@@ -98,6 +99,6 @@
             cut([data])
         reader = MessageParser(responses=True)
         reader.feed(data)
-        with suppress(MalformedMessage):
+        with suppress(MalformedMessageError):
             assert reader.next_message() is None and reader.end_of_input() is None
     assert len(forms) == 6
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -78,7 +78,9 @@
     ("wheatring.config", "wheatring.errors"),
     ("wheatring.operator_properties", "wheatring.errors"),
     ("wheatring.peers", "wheatring.http1.parser"),
+    ("wheatring.peers", "wheatring.http1.exceptions"),
     ("wheatring.admin", "wheatring.http1.parser"),  # the operators' calls are HTTP too
+    ("wheatring.admin", "wheatring.http1.exceptions"),
     ("wheatring.config", "wheatring.balancer"),
     ("wheatring.operator_properties", "wheatring.config"),
     ("wheatring.lab.model_checker", "wheatring.controller"),  # the model checker drives its deciders
--- a/tests/test_old_list.py
+++ b/tests/test_old_list.py
@@ -84,7 +84,7 @@
 
     def answered_amid() -> None:
         lists.start_replacement(world.sidecar.clock.now())
-        lists.client.end(list_body(8, entry("x", world.nodes[0])))  # type: ignore[attr-defined]
+        lists.client.finish(list_body(8, entry("x", world.nodes[0])))  # type: ignore[attr-defined]
 
     world.run(answered_amid)
     assert lists.version == 8 and lists.replacement is None
--- a/wheatring/admin/server.py
+++ b/wheatring/admin/server.py
@@ -16,7 +16,8 @@
 from wheatring import log
 from wheatring.admin.dispatch import Operations, Reply, dispatch
 from wheatring.core.clock import Clock, Timer
-from wheatring.http1.parser import MalformedMessage, MessageParser
+from wheatring.http1.exceptions import MalformedMessageError
+from wheatring.http1.parser import MessageParser
 
 MAX_CONNECTIONS = 24
 # Accepted at one event at most. All that came with them is read before the next event, so a complete call is
@@ -64,7 +65,7 @@
         self.reader.feed(data)
         try:
             message = self.reader.next_message()
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             self.reply(Reply(400, str(error)))
             return
         if message is not None:
--- a/wheatring/http1/__init__.py
+++ b/wheatring/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on plain TCP: callers, claims and the machine list. A second protocol would be its sibling."""
+"""HTTP/1.1 of the daemon: callers' connections, connections to endpoints, and discovery's client."""
--- a/wheatring/http1/caller_connection.py
+++ b/wheatring/http1/caller_connection.py
@@ -27,12 +27,12 @@
 from wheatring.http1.body_sender import BodySender
 from wheatring.http1.caller_state import ArrivalTimes, CallerState, caller_state
 from wheatring.http1.connection import Connection
+from wheatring.http1.exceptions import MalformedMessageError
 from wheatring.http1.parser import (
     BUFFERED_BODY_BYTES,
     MAX_BODY_BYTES,
     MAX_HEAD_BYTES,
     ForwardedRequest,
-    MalformedMessage,
     Message,
 )
 from wheatring.http1.responses import encode_response
@@ -164,7 +164,7 @@
                 self.keep_alive = message.keep_alive
                 self.is_http_1_0 = message.is_http_1_0
                 self.handle(message)
-        except MalformedMessage as bad:
+        except MalformedMessageError as bad:
             self.reject(bad.status, str(bad))
             return
         if self.request is None and self.parser.has_partial_message and not self.is_awaiting:
@@ -187,12 +187,12 @@
     @property
     def state(self) -> CallerState:
         return caller_state(
-            ending=bool(self.close_code),
-            shut=self.is_shut,
-            job=self.request is not None,
-            upload=self.upload is not None,
-            sender=self.sender is not None,
-            waiting=self.is_awaiting,
+            is_ending=bool(self.close_code),
+            is_shut=self.is_shut,
+            has_request=self.request is not None,
+            has_upload=self.upload is not None,
+            has_sender=self.sender is not None,
+            is_awaiting=self.is_awaiting,
         )
 
     def confirm_expectation(self, message: Message) -> None:
@@ -259,7 +259,7 @@
         """More of the request has come."""
         try:
             data, whole = self.parser.read_body()
-        except MalformedMessage as bad:
+        except MalformedMessageError as bad:
             if self.sender is not None:
                 self.abort("bad-request")  # its answer is under way
             else:
--- a/wheatring/http1/connection_pool.py
+++ b/wheatring/http1/connection_pool.py
@@ -1,4 +1,4 @@
-"""The client side: a pool of kept connections to execute nodes, and the connects for new ones."""
+"""The connection pool: idle connections to endpoints, and the connects for new ones."""
 
 from __future__ import annotations
 
@@ -22,19 +22,18 @@
 from wheatring.http1.parser import ForwardedRequest
 
 # Some endpoints answer a request a second time, some milliseconds late. On a connection that carries the next
-# one by then, the old answer would pass for the new one's. So one that has rested goes first, and where a
-# second answer was seen, all others must rest.
-DUPLICATE_ANSWER_SECONDS = (
-    1.0  # seconds after an answer within which a second one is no other noise of an idle connection
-)
-REST_SECONDS = 0.03  # seconds without a word after an answer, before the next request
-CAUTION_SECONDS = 60.0  # seconds for which they rest after the last second answer
+# request by then, the duplicate would pass for its answer. So a connection that has rested is used first, and
+# once a duplicate was seen, connections are used only after a rest.
+DUPLICATE_ANSWER_SECONDS = 1.0  # after an answer, data is a duplicate of it; later, other noise
+REST_SECONDS = 0.03  # without data after an answer, before the next request
+CAUTION_SECONDS = 60.0  # for which all must rest after the last duplicate
 
-SWEEP_SECONDS = 1.0  # seconds between looks for connections that have stood idle for too long
+SWEEP_SECONDS = 1.0  # between two checks for connections that have been idle for too long
+IDLE_FRACTION = 0.7  # of the endpoints' own idle time: a request written as that ends would be reset
 
 
 def update_ready(ready: set[str], view: View) -> None:
-    """Keep the names of those that may be sent something new."""
+    """Bring the set of endpoints that may be sent something new up to date with the endpoint list."""
     if view.kind in (ViewKind.FULL, ViewKind.CACHED):
         ready.clear()
     for entry in view.entries:
@@ -45,26 +44,26 @@
 
 
 class _PendingConnect(ClientFactory):
-    """One connect under way for one claim. Refused or not up by its deadline, it has failed."""
+    """One connect under way for one attempt. Refused or not up by its deadline, it has failed."""
 
     noisy = False
 
-    def __init__(self, pool: ConnectionPool, claim: Attempt, place: EndpointAddress) -> None:
+    def __init__(self, pool: ConnectionPool, attempt: Attempt, address: EndpointAddress) -> None:
         self.pool = pool
-        self.attempt = claim
-        self.address = place
-        host, _, port = place.address.rpartition(":")
+        self.attempt = attempt
+        self.address = address
+        host, _, port = address.address.rpartition(":")
         self.timer: Timer | None = None
-        claim.cancel = self.cancel
+        attempt.cancel = self.cancel
         self.connector: Any = pool.reactor.connectTCP(host, int(port), self, timeout=None)
-        by = min(claim.deadline, claim.start_before, pool.clock.now() + pool.connect_timeout)
-        self.timer = pool.clock.at(by, self.connector.stopConnecting)
+        deadline = min(attempt.deadline, attempt.start_before, pool.clock.now() + pool.connect_timeout)
+        self.timer = pool.clock.at(deadline, self.connector.stopConnecting)
 
-    def buildProtocol(self, addr: object) -> EndpointConnection:
+    def buildProtocol(self, addr: object) -> EndpointConnection:  # noqa: ARG002, N802 - Twisted's signature
         self.finish()
         return _NewConnection(self.pool, self.address, self.attempt)
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802 - Twisted's signature
         self.finish()
         code = "not-up-in-time" if isinstance(reason.value, UserError) else "connect-failed"
         log.line("claim-connection", code=code, peer=self.address.address)
@@ -76,17 +75,18 @@
             self.timer.cancel()
 
     def cancel(self) -> None:
-        """The claim is not wanted any more; the connection, once up, is kept for others."""
+        """Leave the connect under way: the connection, once up, is kept for other attempts."""
 
 
 class _NewConnection(EndpointConnection):
-    """A connection made for one claim, which it carries first if that is still wanted."""
+    """A connection made for one attempt, which it carries first if that may still be sent."""
 
-    def __init__(self, pool: ConnectionPool, place: EndpointAddress, claim: Attempt) -> None:
-        super().__init__(pool, place)
-        self.first_attempt = claim
+    def __init__(self, pool: ConnectionPool, address: EndpointAddress, attempt: Attempt) -> None:
+        super().__init__(pool, address)
+        self.pool: ConnectionPool = pool
+        self.first_attempt = attempt
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         super().connectionMade()
         self.pool.add(self)
         if self.first_attempt.may_be_sent and self.pool.exchange.check_in_time(self.first_attempt):
@@ -96,8 +96,24 @@
 
 
 class ConnectionPool:
-    """Starts claims, and keeps clean connections for the next ones; of those that have rested, the last one
-    used goes out first.
+    """Starts attempts, and keeps clean connections for the next ones.
+
+    Of the idle connections that have rested, the one used last goes out first.
+
+    Attributes
+    ----------
+    connect_timeout, idle_timeout : float
+        Seconds in which a connection must be up, and for which it may be idle.
+    addresses : dict[str, str]
+        HOST:PORT by endpoint, kept by the endpoint list.
+    cautious_until : float
+        The instant until which connections are used only after a rest.
+    ready_endpoints : set[str]
+        Those to which something new may be sent, by the last view of the list.
+    idle_connections : dict[EndpointAddress, deque[EndpointConnection]]
+        By address, the one idle for longest first.
+    connections, pending_connects : dict
+        All connections, and the connects under way, in the order in which they began.
     """
 
     def __init__(
@@ -110,6 +126,7 @@
         max_connections: int,
         body_memory: BodyMemory,
     ) -> None:
+        # A simulated reactor answers this itself.
         self.has_undelivered_bytes: Callable[[Any], bool] = getattr(
             reactor, "has_undelivered_bytes", has_undelivered_bytes
         )
@@ -117,94 +134,110 @@
         self.clock = clock
         self.exchange = exchange
         self.connect_timeout = connect_timeout
-        # The node's machine closes a connection at `idle`, and a claim written then would end in a reset.
-        self.idle_timeout = idle_timeout * 0.7
+        self.idle_timeout = idle_timeout * IDLE_FRACTION
         self.max_connections = max_connections
         self.body_memory = body_memory
         self.addresses: dict[str, str] = {}
         self.cautious_until = -inf
-        self.ready_endpoints: set[str] = set()  # the nodes that the decisions may send to, as last told
+        self.ready_endpoints: set[str] = set()
         self.idle_connections: dict[EndpointAddress, deque[EndpointConnection]] = {}
-        self.connections: dict[EndpointConnection, None] = {}  # in the order in which they came
-        self.pending_connects: dict[_PendingConnect, None] = {}  # under way, in the order in which they began
+        self.connections: dict[EndpointConnection, None] = {}
+        self.pending_connects: dict[_PendingConnect, None] = {}
         exchange.start_attempt = self.start_attempt
         exchange.close_idle = self.close_idle
         exchange.on_endpoint_list = self.apply_endpoint_list
         self.sweep()
 
-    def start_attempt(self, claim: Attempt) -> None:
-        address = self.addresses.get(claim.endpoint)
-        if address is None:
-            # The list no longer says where the node is.
-            self.reactor.callLater(0, partial(self.exchange.end_attempt, claim, Outcome.CONNECT_FAILED))
+    # Attempts
+
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt on an idle connection, or begin a connect for it."""
+        location = self.addresses.get(attempt.endpoint)
+        if location is None:  # the list says no more where the endpoint is
+            self._fail_later(attempt)
             return
-        place = EndpointAddress(claim.endpoint, address)
-        request = claim.request.content
-        if isinstance(request, ForwardedRequest) and request.stream is not None:
-            request.stream.rewind()
-        if (connection := self.take_idle(place)) is not None:
-            connection.send(claim)
+        address = EndpointAddress(attempt.endpoint, location)
+        content = attempt.request.content
+        if isinstance(content, ForwardedRequest) and content.stream is not None:
+            content.stream.rewind()
+        if (connection := self.take_idle(address)) is not None:
+            connection.send(attempt)
             return
-        if (
-            len(self.connections) + len(self.pending_connects) >= self.max_connections
-            and not self.retire_oldest_idle()
-        ):
+        in_use = len(self.connections) + len(self.pending_connects)
+        if in_use >= self.max_connections and not self.retire_oldest_idle():
             log.line("too-many-connections", most=self.max_connections)
-            self.reactor.callLater(0, partial(self.exchange.end_attempt, claim, Outcome.CONNECT_FAILED))
+            self._fail_later(attempt)
             return
-        self.pending_connects[_PendingConnect(self, claim, place)] = (
-            None  # its end is never reported in this turn of the reactor
-        )
+        # The end of a connect is never reported within this turn of the reactor.
+        self.pending_connects[_PendingConnect(self, attempt, address)] = None
+
+    def _fail_later(self, attempt: Attempt) -> None:
+        end = partial(self.exchange.end_attempt, attempt, Outcome.CONNECT_FAILED)
+        self.reactor.callLater(0, end)
 
-    def take_idle(self, place: EndpointAddress) -> EndpointConnection | None:
-        """The one used last of those that have rested; where none has or must, the one that did longest."""
-        idle = self.idle_connections.get(place)
+    def take_idle(self, address: EndpointAddress) -> EndpointConnection | None:
+        """Return the connection to use, no more idle, or None.
+
+        That is the one used last of those that have rested; where none has, and none must, the one that has
+        rested longest.
+        """
+        idle = self.idle_connections.get(address)
         if not idle:
             return None
         now = self.clock.now()
-        self.retire_stale(place, idle, now)
+        self.retire_stale(address, idle, now)
         chosen = None
         for connection in reversed(idle):
             if not connection.is_connected or connection.close_code:
                 continue
-            rested = connection.idle_since <= now - REST_SECONDS
-            if rested or now >= self.cautious_until:
+            has_rested = connection.idle_since <= now - REST_SECONDS
+            if has_rested or now >= self.cautious_until:
                 chosen = connection
-            if rested:
+            if has_rested:
                 break
         if chosen is not None:
             idle.remove(chosen)
         return chosen
 
     def note_unsolicited_data(self, connection: EndpointConnection) -> None:
-        """Something came on it that answers nothing."""
-        if connection.is_reused and self.clock.now() - connection.idle_since < DUPLICATE_ANSWER_SECONDS:
+        """Note data that answers no request."""
+        idle_seconds = self.clock.now() - connection.idle_since
+        if connection.is_reused and idle_seconds < DUPLICATE_ANSWER_SECONDS:
             self.note_duplicate_answer()
 
     def note_duplicate_answer(self) -> None:
-        """A second answer was seen."""
+        """Have all connections rest for some time: a duplicate answer was seen."""
         self.cautious_until = self.clock.now() + CAUTION_SECONDS
 
+    # The endpoint list
+
     def apply_endpoint_list(self, view: View) -> None:
-        """What counts is the list at the first byte, not at the choice: a connect may take longer than sends
-        may go on to a node that drains, and its address may be another's by then.
+        """End the connects and idle connections to endpoints that take nothing new, or have moved.
+
+        What counts is the list at the first byte, not at the decision: a connect may take longer than
+        requests may be sent to a draining endpoint, and its address may be another's by then.
         """
         update_ready(self.ready_endpoints, view)
-        for dial in [dial for dial in self.pending_connects if not self.is_usable(dial.address)]:
-            dial.connector.stopConnecting()
-        for place in [place for place in self.idle_connections if not self.is_usable(place)]:
-            gone = self.addresses.get(place.endpoint) != place.address
-            for connection in list(self.idle_connections[place]):
-                self.retire(connection, "node-gone" if gone else "close-idle")
+        for connect in [each for each in self.pending_connects if not self.is_usable(each.address)]:
+            connect.connector.stopConnecting()
+        for address in [address for address in self.idle_connections if not self.is_usable(address)]:
+            is_gone = self.addresses.get(address.endpoint) != address.address
+            for connection in list(self.idle_connections[address]):
+                self.retire(connection, "node-gone" if is_gone else "close-idle")
+
+    def is_usable(self, address: EndpointAddress) -> bool:
+        """Return whether something new may be sent there."""
+        is_current = self.addresses.get(address.endpoint) == address.address
+        return address.endpoint in self.ready_endpoints and is_current
 
-    def is_usable(self, place: EndpointAddress) -> bool:
-        """Something new may go there."""
-        return place.endpoint in self.ready_endpoints and self.addresses.get(place.endpoint) == place.address
+    # Connections
 
     def add(self, connection: EndpointConnection) -> None:
+        """Take a connection that has come up."""
         self.connections[connection] = None
 
     def keep_idle(self, connection: EndpointConnection) -> None:
+        """Keep a clean connection for the next attempt, if its endpoint still takes any."""
         if not self.is_usable(connection.address):
             connection.close("node-gone")
             return
@@ -212,6 +245,7 @@
         self.idle_connections.setdefault(connection.address, deque()).append(connection)
 
     def remove(self, connection: EndpointConnection) -> None:
+        """Forget a connection that has ended."""
         self.connections.pop(connection, None)
         idle = self.idle_connections.get(connection.address)
         if idle is not None:
@@ -220,15 +254,20 @@
             if not idle:
                 del self.idle_connections[connection.address]
 
-    def idle_count(self, node: str) -> int:
-        return len(self.idle_connections.get(EndpointAddress(node, self.addresses.get(node, "")), ()))
+    def idle_count(self, endpoint: str) -> int:
+        """Return the number of idle connections to an endpoint."""
+        return len(self.idle_connections.get(self._address_of(endpoint), ()))
+
+    def _address_of(self, endpoint: str) -> EndpointAddress:
+        return EndpointAddress(endpoint, self.addresses.get(endpoint, ""))
 
     def oldest_idle(self) -> EndpointConnection | None:
-        return min(
-            (q[0] for q in self.idle_connections.values() if q), key=lambda c: c.idle_since, default=None
-        )
+        """Return the connection that has been idle for longest."""
+        oldest = (queue[0] for queue in self.idle_connections.values() if queue)
+        return min(oldest, key=lambda connection: connection.idle_since, default=None)
 
     def retire_oldest_idle(self) -> bool:
+        """Close the connection that has been idle for longest; return whether there was one."""
         oldest = self.oldest_idle()
         if oldest is None:
             return False
@@ -236,28 +275,31 @@
         return True
 
     def retire(self, connection: EndpointConnection, code: str) -> None:
+        """Close an idle connection."""
         self.idle_connections[connection.address].remove(connection)
         connection.close(code)
 
-    def close_idle(self, node: str) -> None:
-        place = EndpointAddress(node, self.addresses.get(node, ""))
-        for connection in list(self.idle_connections.get(place, ())):
+    def close_idle(self, endpoint: str) -> None:
+        """Close all idle connections to an endpoint."""
+        for connection in list(self.idle_connections.get(self._address_of(endpoint), ())):
             self.retire(connection, "close-idle")
 
     def close(self, code: str = "stopping") -> None:
-        """End all connections: there is no job left that would need them."""
+        """Reset all connections: no request is left that would need them."""
         if self.sweep_timer.active():
             self.sweep_timer.cancel()
         for connection in list(self.connections):
             connection.abort(code)
 
     def sweep(self) -> None:
+        """Close what has been idle for too long, now and from time to time."""
         now = self.clock.now()
         self.sweep_timer = self.clock.at(now + SWEEP_SECONDS, self.sweep)
-        for place, idle in list(self.idle_connections.items()):
-            self.retire_stale(place, idle, now)
-
-    def retire_stale(self, place: EndpointAddress, idle: deque[EndpointConnection], now: float) -> None:
-        gone = self.addresses.get(place.endpoint) != place.address
-        while idle and (gone or now - idle[0].idle_since > self.idle_timeout):
-            self.retire(idle[0], "node-gone" if gone else "idle")
+        for address, idle in list(self.idle_connections.items()):
+            self.retire_stale(address, idle, now)
+
+    def retire_stale(self, address: EndpointAddress, idle: deque[EndpointConnection], now: float) -> None:
+        """Close the connections that have been idle for too long; all, if their address is out of date."""
+        is_gone = self.addresses.get(address.endpoint) != address.address
+        while idle and (is_gone or now - idle[0].idle_since > self.idle_timeout):
+            self.retire(idle[0], "node-gone" if is_gone else "idle")
--- a/wheatring/http1/discovery_client.py
+++ b/wheatring/http1/discovery_client.py
@@ -11,18 +11,51 @@
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
 from wheatring.http1.connection import Connection
-from wheatring.http1.parser import MalformedMessage, Message
+from wheatring.http1.exceptions import MalformedMessageError
+from wheatring.http1.parser import Message
 from wheatring.lifecycle.told import GIVE_UP
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
-# Discovery takes few calls a second from all sidecars together: a watch waits long for its answer.
+# A watch asks discovery to wait so long for a change: it takes few calls a second from all sidecars together.
 WATCH_WAIT_SECONDS = 50.0
-CONNECT_TIMEOUT_SECONDS = 2.0  # seconds in which discovery must have taken a connection
-# Seconds without another byte, and in all, after which an answer that has begun has failed: what it would
-# tell counts as told, and one that stalls in the middle would else be waited for as long as a quiet watch.
+CONNECT_TIMEOUT_SECONDS = 2.0
+# Without another byte for the first, or in all after the second, an answer that has begun has failed. What it
+# would report counts as told, and one that stalls would else be waited for as long as a quiet watch.
 STALL_SECONDS = 1.0
 FULL_LIST_SECONDS = GIVE_UP
 
+AnswerCallback = Callable[[Any], None]  # gets what a call brought, not yet decoded; None: the call failed
+
+
+class DiscoveryClient(Protocol):
+    """Makes one call to discovery after another; each ends in one answer or, as None, in a failure.
+
+    Attributes
+    ----------
+    on_answer : AnswerCallback | None
+        Of the present call; None: there is none.
+    on_connected : Callable[[], None] | None
+        Called each time there is a connection.
+    answer_began_at : float | None
+        When the answer to the present or the last call began (an instant); None: it has not.
+    is_sent : bool
+        The present call has been written to a connection.
+    """
+
+    on_answer: AnswerCallback | None
+    on_connected: Callable[[], None] | None
+    answer_began_at: float | None
+    is_sent: bool
+
+    def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
+        """Wait `WATCH_WAIT_SECONDS` for changes after a version, or with None ask for the whole list."""
+
+    def stop(self, code: str) -> None:
+        """Abort the present call: it has failed."""
+
+    def close(self, code: str) -> None:
+        """Close the connection: no further call will be made."""
+
 
 class _DiscoveryConnection(Connection):
     """A connection to discovery, with at most one call on it."""
@@ -33,18 +66,18 @@
         super().__init__(responses=True, max_body_bytes=MAX_LIST_BYTES)
         self.client = client
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         super().connectionMade()
         self.client.connected(self)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         self.parser.feed(data)
         try:
             message = self.parser.next_message()
-            while message is not None and message.start_line[0][:1] == b"1":  # the answer is still to come
+            while message is not None and message.start_line[0][:1] == b"1":  # the final answer still comes
                 message = self.parser.next_message()
-        except MalformedMessage as bad:
-            log.line("bad-list", why=str(bad))
+        except MalformedMessageError as error:
+            log.line("bad-list", why=str(error))
             self.abort("bad-answer")
             return
         if message is not None:
@@ -52,38 +85,23 @@
         elif self.parser.has_partial_message:
             self.client.note_answer_began()
 
-    def on_ended(self, orderly: bool) -> None:
-        message = self.parser.end_of_input() if orderly else None
+    def on_ended(self, is_orderly: bool) -> None:
+        message = self.parser.end_of_input() if is_orderly else None
         if message is not None:
             self.client.handle_answer(self, message)
         self.client.disconnected(self)
 
 
-AnswerCallback = Callable[[Any], None]  # what a call brought, not yet read; None: it failed
-
-
-class DiscoveryClient(Protocol):
-    """Makes one call to discovery after another; each ends in one answer or, as None, in a failure."""
-
-    on_answer: AnswerCallback | None  # of the call that is out
-    on_connected: Callable[[], None] | None  # told each time it has a connection
-    answer_began_at: (
-        float | None
-    )  # since when there was one of the answer to the call that is out, or was the last one
-    is_sent: bool  # that call had a connection
-
-    def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
-        """Ask for what is newer than a version, to wait for it until WAIT is over, or for the whole list."""
-
-    def stop(self, code: str) -> None:
-        """Give the call up: it has failed."""
-
-    def close(self, code: str) -> None:
-        """No further call will be made."""
-
-
 class HttpDiscoveryClient(ClientFactory):
-    """Makes its calls one after another on one connection."""
+    """The discovery client of a process, over HTTP/1.1.
+
+    Attributes
+    ----------
+    deadline : float
+        The instant by which the present call must be answered.
+    answer_deadline : float
+        The same for an answer that has begun.
+    """
 
     noisy = False
 
@@ -96,24 +114,26 @@
         self.version: int | None = None
         self.on_answer: AnswerCallback | None = None
         self.on_connected: Callable[[], None] | None = None
-        self.deadline = 0.0  # of the present call
-        self.answer_deadline = 0.0  # and of its answer, once that has begun
-        self.answer_began_at: float | None = None  # since when there is one of its answer
-        self.is_sent = False  # it has been written
+        self.deadline = 0.0
+        self.answer_deadline = 0.0
+        self.answer_began_at: float | None = None
+        self.is_sent = False
         self.timer: Timer | None = None
 
     def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
-        self.version, self.on_answer, self.deadline, self.answer_began_at = version, on_answer, deadline, None
+        """Make a call, on the present connection or a new one."""
+        self.version, self.on_answer, self.deadline = version, on_answer, deadline
+        self.answer_began_at = None
         self.is_sent = False
         self.answer_deadline = max(deadline, self.clock.now() + FULL_LIST_SECONDS)
         if self.connection is not None:
             self.send()
         else:
-            self.set_deadline(min(deadline, self.clock.now() + CONNECT_TIMEOUT_SECONDS))
+            self.set_timer(min(deadline, self.clock.now() + CONNECT_TIMEOUT_SECONDS))
             self.connector = self.reactor.connectTCP(*self.address, self, timeout=None)
 
     def note_answer_began(self) -> None:
-        """A part of the answer has come."""
+        """Bound the time of an answer of which a part has come."""
         if self.on_answer is None:  # to no call: what follows would be taken for the next one's
             self.stop("not-kept")
             return
@@ -121,16 +141,18 @@
         if self.answer_began_at is None:
             self.answer_began_at = now
             self.deadline = min(self.answer_deadline, now + FULL_LIST_SECONDS)
-        self.set_deadline(min(self.deadline, now + STALL_SECONDS))
+        self.set_timer(min(self.deadline, now + STALL_SECONDS))
 
-    def set_deadline(self, instant: float) -> None:
+    def set_timer(self, instant: float) -> None:
+        """Have the call fail at an instant, in place of the one set before."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = self.clock.at(instant, self.stop, "late")
 
     def send(self) -> None:
+        """Write the present call to the connection."""
         assert self.connection is not None
-        self.set_deadline(self.deadline)
+        self.set_timer(self.deadline)
         self.is_sent = True
         host, port = self.address
         path = "/v1/servers"
@@ -139,10 +161,12 @@
         text = f"GET {path} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json\r\n\r\n"
         self.connection.transport.write(text.encode("ascii"))
 
-    def buildProtocol(self, addr: object) -> _DiscoveryConnection:
+    def buildProtocol(self, addr: object) -> _DiscoveryConnection:  # noqa: ARG002, N802 - Twisted's signature
+        """Return the protocol of a connection that has come up."""
         return _DiscoveryConnection(self)
 
     def connected(self, connection: _DiscoveryConnection) -> None:
+        """Write the call to a connection that has come up, if it still waits for one."""
         self.connection = connection
         if self.on_answer is None:
             connection.abort("given-up")
@@ -151,11 +175,13 @@
         if self.on_connected is not None:
             self.on_connected()
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802 - Twisted's signature
+        """Fail the call: there is no connection."""
         log.line("discovery-connection", code="connect-failed", why=str(reason.value))
         self.finish(None)
 
     def handle_answer(self, connection: _DiscoveryConnection, message: Message) -> None:
+        """End the call with its answer, and close a connection that can't carry another one."""
         if connection is not self.connection:
             return
         if not message.keep_alive or connection.parser.has_partial_message or self.on_answer is None:
@@ -164,12 +190,13 @@
         self.finish(message.body if message.start_line[0] == b"200" else None)
 
     def disconnected(self, connection: _DiscoveryConnection) -> None:
-        if connection is self.connection:  # the end of one that was given up is nobody's news
+        """Fail the call if its connection has ended; that of an aborted call says nothing."""
+        if connection is self.connection:
             self.connection = None
             self.finish(None)
 
     def stop(self, code: str) -> None:
-        """Give the call up: it has failed."""
+        """Abort the present call: it has failed."""
         if self.connection is not None:
             connection, self.connection = self.connection, None
             connection.abort(code)
@@ -178,13 +205,15 @@
         self.finish(None)
 
     def close(self, code: str) -> None:
+        """Close the connection, if there is one."""
         if self.connection is not None:
             self.connection.close(code)
 
     def finish(self, answer: bytes | None) -> None:
+        """End the present call, and pass its answer on; None: it has failed."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
-        done, self.on_answer = self.on_answer, None
-        if done is not None:
-            done(answer)
+        on_answer, self.on_answer = self.on_answer, None
+        if on_answer is not None:
+            on_answer(answer)
--- a/wheatring/http1/endpoint_entries.py
+++ b/wheatring/http1/endpoint_entries.py
@@ -1,4 +1,4 @@
-"""The lines of discovery's list, read."""
+"""Reads the entries of discovery's endpoint list."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from wheatring import address
 from wheatring.balancer.interface import EndpointEntry, EndpointState
 from wheatring.core.clock import Clock
+from wheatring.http1.exceptions import InvalidEndpointListError
 
 STATES_BY_LIFECYCLE = {
     "SERVING": EndpointState.READY,
@@ -18,43 +19,49 @@
 READY = EndpointState.READY
 
 
-class InvalidEndpointList(ValueError):
-    """A list that cannot be read."""
-
-
 def _number(item: Mapping[str, Any], name: str, default: float) -> float:
     value = item.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
-        raise InvalidEndpointList(f"{name}: not a number: {value!r}")
+        raise InvalidEndpointListError(f"{name}: not a number: {value!r}")
     return value
 
 
 def parse_entry(item: object, clock: Clock) -> tuple[EndpointEntry, str]:
-    """One line of the list, and its address ("" for one that takes nothing new and has none)."""
+    """Read one entry of the list.
+
+    Returns
+    -------
+    tuple[EndpointEntry, str]
+        The entry, and the endpoint's HOST:PORT; "" for one that takes no new requests and has none.
+
+    Raises
+    ------
+    InvalidEndpointListError, ValueError, OverflowError
+        It can't be read, and takes new requests as far as is known.
+    """
     if not isinstance(item, dict):
-        raise InvalidEndpointList("not an object")
-    name, state = item.get("instanceId"), item.get("lifecycle")
+        raise InvalidEndpointListError("not an object")
+    name, lifecycle = item.get("instanceId"), item.get("lifecycle")
     if not isinstance(name, str) or not name:
-        raise InvalidEndpointList(f"instanceId: {name!r}")
-    if not isinstance(state, str) or state not in STATES_BY_LIFECYCLE:
-        raise InvalidEndpointList(f"lifecycle: {state!r}")
+        raise InvalidEndpointListError(f"instanceId: {name!r}")
+    if not isinstance(lifecycle, str) or lifecycle not in STATES_BY_LIFECYCLE:
+        raise InvalidEndpointListError(f"lifecycle: {lifecycle!r}")
+    state = STATES_BY_LIFECYCLE[lifecycle]
     try:
-        return _rest(name, STATES_BY_LIFECYCLE[state], item, clock)
+        return _parse_attributes(name, state, item, clock)
     except (ValueError, OverflowError):
-        if STATES_BY_LIFECYCLE[state] is READY:
+        if state is READY:
             raise
-        return EndpointEntry(
-            name, STATES_BY_LIFECYCLE[state]
-        ), ""  # that it takes nothing new counts as told in any case
+        return EndpointEntry(name, state), ""  # that it takes nothing new counts in any case
 
 
-def _rest(
+def _parse_attributes(
     name: str, state: EndpointState, item: Mapping[str, Any], clock: Clock
 ) -> tuple[EndpointEntry, str]:
-    where = ""
+    location = ""
     if state is not EndpointState.GONE:
         host, port = address.parse(item.get("hostPort"))
-        where = f"{host}:{port}"
+        location = f"{host}:{port}"
     entry = EndpointEntry(
         endpoint=name,
         state=state,
@@ -64,4 +71,4 @@
         rating=_number(item, "weight", 1.0) or 1.0,
         started_at=clock.from_unix_ms(_number(item, "startedAtMs", 0)),
     )
-    return entry, where
+    return entry, location
--- a/wheatring/http1/endpoint_list.py
+++ b/wheatring/http1/endpoint_list.py
@@ -1,4 +1,10 @@
-"""The machine list: discovery's client. A watch is a chain of calls, each begun as the last is answered."""
+"""The endpoint list: the client of discovery that keeps one sidecar's list current.
+
+A watch is a chain of calls, each made as the last is answered. When the list may be out of date, a
+replacement watch is begun on a connection of its own. A call that another has taken the place of is
+*superseded*: what discovery wrote on it before still counts, so it is read to its end, or for
+`REPLACED_WATCH_SECONDS`.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +15,7 @@
 from typing import Any
 
 from wheatring import log
-from wheatring.balancer.interface import EndpointState, Outcome, View, ViewKind
+from wheatring.balancer.interface import EndpointEntry, EndpointState, Outcome, View, ViewKind
 from wheatring.core.clock import Clock, Timer
 from wheatring.http1.discovery_client import (
     FULL_LIST_SECONDS,
@@ -17,30 +23,48 @@
     DiscoveryClient,
     HttpDiscoveryClient,
 )
-from wheatring.http1.endpoint_entries import InvalidEndpointList, parse_entry
+from wheatring.http1.endpoint_entries import parse_entry
+from wheatring.http1.exceptions import InvalidEndpointListError
 from wheatring.lifecycle.asking import Asking
 from wheatring.lifecycle.freshness import Freshness
 from wheatring.lifecycle.told import ANSWER
 
-CALL_SLACK_SECONDS = (
-    1.5  # seconds past a wait (or from the call, for the whole list: WHOLE) until the call has failed
-)
-REPLACED_WATCH_SECONDS = ANSWER  # for which a watch is still heard when another has taken its place
-CALL_SPACING_SECONDS = (
-    0.05  # seconds between calls of a watch at least, should discovery answer at once with no news
-)
+# A call has failed so long after the end of its wait; one for the whole list after FULL_LIST_SECONDS.
+CALL_SLACK_SECONDS = 1.5
+REPLACED_WATCH_SECONDS = ANSWER  # for which a watch is still read when another has taken its place
+CALL_SPACING_SECONDS = 0.05  # between two calls of a watch at least, should discovery answer at once
 
-READY = EndpointState.READY  # looked up once: an enum takes its time
+READY = EndpointState.READY  # looked up once: the lookup of an enum's member is slow
 
 
-def discard(caller: DiscoveryClient, code: str) -> None:
-    """End it; nobody hears of that."""
-    caller.on_answer = None
-    caller.stop(code)
+def discard(client: DiscoveryClient, code: str) -> None:
+    """Abort a client's call without a report of its end."""
+    client.on_answer = None
+    client.stop(code)
 
 
 class EndpointList:
-    """Tells the driver each change of the list, and the pool where each execute node is."""
+    """One sidecar's endpoint list. It tells the driver each change, and the pool where each endpoint is.
+
+    Attributes
+    ----------
+    addresses : dict[str, str]
+        HOST:PORT by endpoint, shared with the connection pool.
+    on_view : Callable[[View], None]
+        Receives each change.
+    is_pushed : bool
+        The balancer is told of changes and never asks for the list: the watch is kept up here.
+    version : int | None
+        Of the list; None: the next call is for the whole list.
+    client : DiscoveryClient
+        Makes the calls of the watch.
+    superseded : list[DiscoveryClient]
+        Clients whose place others have taken, oldest first; what they still report counts.
+    should_continue : Callable[[], bool] | None
+        Asked after each answer whether the watch goes on; None: it always does.
+    replacement : DiscoveryClient | None
+        Begins a watch anew on a connection of its own, until that is up.
+    """
 
     def __init__(
         self,
@@ -53,9 +77,7 @@
         asking: Asking,
         is_pushed: bool = False,
     ) -> None:
-        self.is_pushed = (
-            is_pushed  # the decisions are told, and never ask: that there is a watch is seen to here
-        )
+        self.is_pushed = is_pushed
         self.clock = clock
         self.freshness = freshness
         self.asking = asking
@@ -66,34 +88,44 @@
         self.address = address
         self.client = self.create_client()
         self.is_watching = False
-        self.first_call_timer: Timer | None = None  # when the first call of a watch is this sidecar's to make
+        self.first_call_timer: Timer | None = (
+            None  # until the first call of a watch is this sidecar's to make
+        )
         self.called_at = 0.0
-        self.superseded: list[
-            DiscoveryClient
-        ] = []  # left behind, in this order; what they have still to tell counts
-        self.should_continue: Callable[[], bool] | None = None  # asked after each answer; None: always
-        self.replacement: DiscoveryClient | None = None  # asks on a connection of its own, until that is up
+        self.superseded: list[DiscoveryClient] = []
+        self.should_continue: Callable[[], bool] | None = None
+        self.replacement: DiscoveryClient | None = None
         self.check_timer: Timer | None = None
         self.check_at = 0.0
 
     def create_client(self) -> DiscoveryClient:
+        """Return a new client of discovery at its present address."""
         return HttpDiscoveryClient(self.reactor, self.clock, self.address)
 
     def decode(self, answer: Any) -> object:
-        """An answer's plain values; ValueError or RecursionError where it can't be read."""
+        """Return the values of an answer.
+
+        Raises
+        ------
+        ValueError, RecursionError
+            It can't be read.
+        """
         return json.loads(answer)
 
-    def load_cached(self, held: object) -> None:
-        """The list as last held, from the configuration."""
-        self.apply(held, ViewKind.CACHED)
-        holds = bool(self.freshness.serving)
-        if not holds:
-            self.version = None  # there is nothing that changes could be told of
-        self.asking.begin(self.clock.now(), holds)
+    # The watch
+
+    def load_cached(self, cached: object) -> None:
+        """Take the list as last known, from the settings, and watch it if it is pushed."""
+        self.apply(cached, ViewKind.CACHED)
+        has_endpoints = bool(self.freshness.serving)
+        if not has_endpoints:
+            self.version = None  # there is nothing that a change could apply to
+        self.asking.begin(self.clock.now(), has_endpoints)
         if self.is_pushed:
             self.subscribe()
 
     def subscribe(self) -> None:
+        """Watch the list, unless it is watched already; the first call waits for this sidecar's turn."""
         if not self.is_watching:
             self.is_watching = True
             now = self.clock.now()
@@ -104,11 +136,13 @@
                 self.watch(self.client)
 
     def unsubscribe(self) -> None:
+        """Watch the list no more, and drop all calls."""
         self.discard_superseded("unsubscribed")
         if self.is_watching:
             self.cancel_watch("unsubscribed")
 
     def cancel_watch(self, code: str) -> None:
+        """End the watch, and what waits for it."""
         self.is_watching = False
         if self.first_call_timer is not None and self.first_call_timer.active():
             self.first_call_timer.cancel()
@@ -122,21 +156,23 @@
         self.check_timer = None
 
     def pause(self) -> None:
-        """Another sidecar watches for all. What has been written by now on a watch that is out counts."""
+        """Watch no more: another sidecar watches for all. What was written on the watch by now counts."""
         if self.client.on_answer is not None and self.client.is_sent:
             self.retire(self.client)
             self.client = self.create_client()
         self.cancel_watch("follows")
 
     def change_discovery(self, address: tuple[str, int]) -> None:
-        """Discovery is elsewhere now. Its versions may be others there, so the whole list comes first; until
-        it has come, what is held stands, and what the old one has still to tell counts: a call that is out
-        there is left to its end, lest a word be lost that was written already.
+        """Go on at another address of discovery.
+
+        Its versions may be others there, so the whole list comes first; until it has come, the present list
+        stands. A call that is out at the old address is left to its end, lest a change be lost that was
+        written already.
         """
         if address == self.address:
             return
-        out, waits = self.client.on_answer is not None, self.version is not None
-        if out and self.client.is_sent:
+        is_calling, can_wait = self.client.on_answer is not None, self.version is not None
+        if is_calling and self.client.is_sent:
             self.supersede(self.client)
             self.client = self.create_client()
         self.cancel_watch("moved")
@@ -144,45 +180,48 @@
         self.client = self.create_client()
         self.version = None
         now = self.clock.now()
-        self.asking.move(now, bool(self.freshness.serving), out, now - self.called_at, waits)
+        has_endpoints = bool(self.freshness.serving)
+        self.asking.move(now, has_endpoints, is_calling, now - self.called_at, can_wait)
         self.subscribe()
 
     def fetch(self) -> None:
-        caller, asked = self.create_client(), self.address
+        """Ask for the whole list once, on a connection of its own."""
+        client, asked_at = self.create_client(), self.address
 
-        def done(answer: Any) -> None:
-            caller.close("fetched")
-            if asked == self.address:
-                self.read_answer(answer, whole=True)
+        def on_answer(answer: Any) -> None:
+            client.close("fetched")
+            if asked_at == self.address:
+                self.read_answer(answer, is_full=True)
 
-        caller.call(None, self.clock.now() + FULL_LIST_SECONDS, done)
+        client.call(None, self.clock.now() + FULL_LIST_SECONDS, on_answer)
 
-    def watch(self, watcher: DiscoveryClient) -> None:
-        if not self.is_watching or watcher is not self.client or watcher.on_answer is not None:
-            return  # it was called off, or begun anew, since this call was put off
+    def watch(self, client: DiscoveryClient) -> None:
+        """Make the next call of the watch, unless that has ended or begun anew since this was scheduled."""
+        if not self.is_watching or client is not self.client or client.on_answer is not None:
+            return
         self.called_at = now = self.clock.now()
-        if self.version is None:  # a call that ends soon, and when to make the next one is told elsewhere
+        if self.version is None:  # this call ends soon, and the time of the next one is decided elsewhere
             self.client.call(None, now + self.asking.patience(), self.handle_watch_answer)
             return
-        self.client.call(
-            self.version, now + WATCH_WAIT_SECONDS + CALL_SLACK_SECONDS, self.handle_watch_answer
-        )
+        deadline = now + WATCH_WAIT_SECONDS + CALL_SLACK_SECONDS
+        self.client.call(self.version, deadline, self.handle_watch_answer)
         self.asking.told.laid(now, WATCH_WAIT_SECONDS)
         self.freshness.watching(now)
         self.schedule_check()
 
     def handle_watch_answer(self, answer: Any) -> None:
-        """The end of a call. Whatever it sets off, another one follows."""
+        """Take the end of a call. Whatever that causes, another call follows."""
         try:
             self.continue_watch(answer)
-        except Exception as bug:
-            log.line("list-broken", why=repr(bug))
-            self.version = None  # what it told may have come to nobody
+        except Exception as error:
+            log.line("list-broken", why=repr(error))
+            self.version = None  # what it reported may not have reached anybody
             self.handle_watch_failure("list-broken")
             self.subscribe()
 
     def continue_watch(self, answer: Any) -> None:
-        if self.read_answer(answer, whole=self.version is None):
+        """Apply the answer to a call of the watch, and go on with the watch."""
+        if self.read_answer(answer, is_full=self.version is None):
             self.asking.answered()
             self.asking.told.answered(self.clock.now())
             self.discard_replacement("given-up")
@@ -192,63 +231,65 @@
                 return
             self.clock.at(self.called_at + CALL_SPACING_SECONDS, self.watch, self.client)
         else:
-            self.handle_watch_failure(
-                "watch-failed", None if answer is not None else self.client.answer_began_at
-            )
-            if self.is_pushed or self.asking.holds:  # the decisions' own spread would come on top
+            began_at = None if answer is not None else self.client.answer_began_at
+            self.handle_watch_failure("watch-failed", began_at)
+            if self.is_pushed or self.asking.holds:  # the balancer's own spread would come on top
                 self.subscribe()
 
-    def handle_watch_failure(self, code: str, part: float | None = None) -> None:
-        """The call has failed, and there is no watch. `part`: since when there was one of its answer."""
+    def handle_watch_failure(self, code: str, answer_began_at: float | None = None) -> None:
+        """End the watch: its call has failed, whose answer began at an instant or (None) not at all."""
         now = self.clock.now()
-        since = None if part is None else now - part
-        waits = self.version is not None
-        self.asking.failed(now, now - self.called_at, since, self.client.is_sent, waits)
+        since_answer = None if answer_began_at is None else now - answer_began_at
+        can_wait = self.version is not None
+        self.asking.failed(now, now - self.called_at, since_answer, self.client.is_sent, can_wait)
         self.cancel_watch(code)
 
-    def retire(self, caller: DiscoveryClient) -> None:
-        """It is over but for a word that is under way."""
-        if caller.on_answer is not None:
-            self.supersede(caller)
-        self.clock.at(self.clock.now() + REPLACED_WATCH_SECONDS, caller.stop, "replaced")
+    # Calls whose place another has taken
 
-    def supersede(self, caller: DiscoveryClient) -> None:
-        """Another call takes this one's place, but may not be answered as soon."""
-        caller.on_answer = partial(self.handle_superseded_answer, caller, self.version is None)
-        self.superseded.append(caller)
+    def retire(self, client: DiscoveryClient) -> None:
+        """End a client, but for an answer that is under way."""
+        if client.on_answer is not None:
+            self.supersede(client)
+        self.clock.at(self.clock.now() + REPLACED_WATCH_SECONDS, client.stop, "replaced")
 
-    def handle_superseded_answer(self, caller: DiscoveryClient, whole: bool, answer: Any) -> None:
-        """What a call that was left behind had still to tell. Those left behind before it know less."""
-        at = self.superseded.index(caller)
+    def supersede(self, client: DiscoveryClient) -> None:
+        """Let another call take the place of a client's, which may yet be answered first."""
+        client.on_answer = partial(self.handle_superseded_answer, client, self.version is None)
+        self.superseded.append(client)
+
+    def handle_superseded_answer(self, client: DiscoveryClient, is_full: bool, answer: Any) -> None:
+        """Apply the answer to a superseded call. The calls superseded before it know less."""
+        index = self.superseded.index(client)
         if answer is None:
-            del self.superseded[at]
+            del self.superseded[index]
             return
-        for each in self.superseded[:at]:
-            discard(each, "answered")
-        del self.superseded[: at + 1]
-        caller.close("left-behind")
+        for older in self.superseded[:index]:
+            discard(older, "answered")
+        del self.superseded[: index + 1]
+        client.close("left-behind")
         # The call that is out goes by the version that it was given, or is for the whole list.
-        held, fits = self.version, False
+        version, is_applicable = self.version, False
         try:
-            fits = self.read_answer(answer, whole) and None not in (held, self.version)
+            is_applicable = self.read_answer(answer, is_full) and None not in (version, self.version)
         finally:
-            if not fits:
-                self.version = held
+            if not is_applicable:
+                self.version = version
 
     def discard_superseded(self, code: str) -> None:
-        formers, self.superseded = self.superseded, []
-        for former in formers:
-            discard(former, code)
+        """Abort all superseded calls."""
+        superseded, self.superseded = self.superseded, []
+        for client in superseded:
+            discard(client, code)
 
-    # A list that may have grown old
+    # A list that may be out of date
 
-    def record_outcome(self, now: float, node: str, outcome: Outcome) -> None:
-        """A claim has ended: what that says of the list."""
-        if self.freshness.ended(now, node, outcome):
+    def record_outcome(self, now: float, endpoint: str, outcome: Outcome) -> None:
+        """Take the end of an attempt as evidence of how current the list is."""
+        if self.freshness.ended(now, endpoint, outcome):
             self.schedule_check()
 
     def schedule_check(self) -> None:
-        """See to it that somebody looks when an ask is due."""
+        """Schedule a check for when the watch is due to be begun anew."""
         due = self.freshness.due(self.clock.now())
         if self.check_timer is not None and self.check_timer.active():
             if self.check_at <= due:
@@ -258,6 +299,7 @@
         self.check_timer = self.clock.at(due, self.check_freshness) if due < inf else None
 
     def check_freshness(self) -> None:
+        """Begin the watch anew if that is due."""
         self.check_timer = None
         now = self.clock.now()
         if self.is_watching and self.freshness.due(now) <= now:
@@ -265,89 +307,110 @@
         self.schedule_check()
 
     def start_replacement(self, now: float) -> None:
-        """Lay the watch anew on a connection of its own. Its first answer holds all that the old one has kept
-        back; while there is nothing, it waits as long as that, so that it costs discovery no turn.
+        """Begin the watch anew on a connection of its own.
+
+        Its first answer has all that the present watch has missed. While there is nothing, it waits as long
+        as that, so that it costs discovery no call.
         """
-        nodes, empty = self.freshness.struck, not self.freshness.serving
+        nodes, is_empty = self.freshness.struck, not self.freshness.serving
         if self.freshness.suspect is not None:
-            log.line("list-suspect", nodes=nodes, empty=int(empty))
+            log.line("list-suspect", nodes=nodes, empty=int(is_empty))
         self.freshness.ask(now)
         self.discard_replacement("given-up")
-        second = self.replacement = self.create_client()
-        version = None if empty else self.version
-        second.on_connected = partial(self.adopt_replacement, version)
+        replacement = self.replacement = self.create_client()
+        version = None if is_empty else self.version
+        replacement.on_connected = partial(self.adopt_replacement, version)
         wait = FULL_LIST_SECONDS if version is None else WATCH_WAIT_SECONDS + CALL_SLACK_SECONDS
-        second.call(version, now + wait, partial(self.handle_replacement_answer, second))
+        replacement.call(version, now + wait, partial(self.handle_replacement_answer, replacement))
 
     def adopt_replacement(self, version: int | None) -> None:
-        """The second has its connection: it is the watch from now on, and the old one, which may be one to
-        nobody, is over.
-        """
+        """Make the replacement the watch, as it is connected; the present one may lead nowhere."""
         assert self.replacement is not None
-        old, self.client, self.replacement = self.client, self.replacement, None
+        former, self.client, self.replacement = self.client, self.replacement, None
         self.called_at = self.clock.now()
-        self.retire(old)
+        self.retire(former)
         self.version = version
         self.client.on_connected = None
         self.asking.told.laid(self.called_at, WATCH_WAIT_SECONDS)
         self.freshness.watching(self.called_at)
 
-    def handle_replacement_answer(self, caller: DiscoveryClient, answer: Any) -> None:
-        """The end of a call that began as a second one."""
-        if caller is self.client:
+    def handle_replacement_answer(self, client: DiscoveryClient, answer: Any) -> None:
+        """Take the end of a call that began as a replacement."""
+        if client is self.client:
             self.handle_watch_answer(answer)
         else:
-            self.replacement = None  # it never came up; the old watch stands
+            self.replacement = None  # it never connected; the present watch stands
             self.freshness.failed(self.clock.now())
             self.schedule_check()
 
     def discard_replacement(self, code: str) -> None:
-        second, self.replacement = self.replacement, None
-        if second is not None:
-            discard(second, code)
+        """Abort the replacement, if there is one."""
+        replacement, self.replacement = self.replacement, None
+        if replacement is not None:
+            discard(replacement, code)
 
-    def read_answer(self, answer: Any, whole: bool = False) -> bool:
-        """Pass on what a call brought; a call that failed or can't be read is one FAILED view. What answers a
-        call for the whole list is one, whatever it says of itself.
+    # What calls bring
+
+    def read_answer(self, answer: Any, is_full: bool = False) -> bool:
+        """Apply what a call brought, and return whether it could be.
+
+        A call that failed or can't be read is one FAILED view. What answers a call for the whole list is one,
+        whatever it states of itself.
         """
         try:
             if answer is None:
-                raise InvalidEndpointList("the call failed")
-            self.apply(self.decode(answer), ViewKind.FULL if whole else None)
-        except (ValueError, RecursionError) as bad:
-            log.line("list-failed", why=str(bad))
+                raise InvalidEndpointListError("the call failed")
+            self.apply(self.decode(answer), ViewKind.FULL if is_full else None)
+        except (ValueError, RecursionError) as error:
+            log.line("list-failed", why=str(error))
             self.on_view(View(ViewKind.FAILED))
             return False
         return True
 
     def apply(self, data: object, kind: ViewKind | None) -> None:
+        """Apply a decoded list; without a kind it states its own.
+
+        Raises
+        ------
+        InvalidEndpointListError
+            It is none.
+        """
         items = data.get("instances") if isinstance(data, dict) else None
         version = data.get("generation") if isinstance(data, dict) else None
         if not isinstance(data, dict) or not isinstance(items, list) or type(version) is not int:
-            raise InvalidEndpointList("not a list of instances with a generation")
+            raise InvalidEndpointListError("not a list of instances with a generation")
         if kind is None:
             kind = ViewKind.FULL if data.get("reset", False) else ViewKind.DELTA
+        entries, addresses = self._parse_entries(items)
+        is_full = kind is not ViewKind.DELTA
+        self._update_addresses(addresses, is_full)
+        # Changes of an older list than the present one, as of a discovery that has started anew, count as
+        # well. But they don't say what the rest is: that is asked for next.
+        is_older = kind is ViewKind.DELTA and self.version is not None and version < self.version
+        self.version = None if is_older else version
+        ready = {entry.endpoint: entry.state is READY for entry in entries}
+        self.freshness.listed(self.clock.now(), ready, is_full)
+        self.on_view(View(kind, tuple(entries), version))
+
+    def _parse_entries(self, items: list[Any]) -> tuple[list[EndpointEntry], dict[str, str]]:
+        """Return the entries that can be read, and their addresses by endpoint."""
         entries = []
-        found: dict[str, str] = {}
+        addresses: dict[str, str] = {}
         for item in items:
             try:
                 entry, address = parse_entry(item, self.clock)
-            except (ValueError, OverflowError) as bad:  # one bad line must not take the others along
-                log.line("bad-entry", why=str(bad))
+            except (ValueError, OverflowError) as error:  # one bad entry must not cost the others
+                log.line("bad-entry", why=str(error))
                 continue
             entries.append(entry)
-            found[entry.endpoint] = address
-        whole = kind is not ViewKind.DELTA
-        if whole:
+            addresses[entry.endpoint] = address
+        return entries, addresses
+
+    def _update_addresses(self, addresses: dict[str, str], is_full: bool) -> None:
+        if is_full:
             self.addresses.clear()
-        for name, where in found.items():
-            if where:
-                self.addresses[name] = where
+        for endpoint, address in addresses.items():
+            if address:
+                self.addresses[endpoint] = address
             else:
-                self.addresses.pop(name, None)
-        # Changes of a list older than the held one, as of a discovery that has begun anew, count as well, but
-        # they don't say what the rest is: that is asked for next.
-        older = kind is ViewKind.DELTA and self.version is not None and version < self.version
-        self.version = None if older else version
-        self.freshness.listed(self.clock.now(), {e.endpoint: e.state is READY for e in entries}, whole)
-        self.on_view(View(kind, tuple(entries), version))
+                self.addresses.pop(endpoint, None)
--- /dev/null
+++ b/wheatring/http1/exceptions.py
@@ -0,0 +1,21 @@
+"""Errors of the HTTP/1.1 side."""
+
+from __future__ import annotations
+
+
+class MalformedMessageError(Exception):
+    """What a peer sent can't be read as HTTP/1.1.
+
+    Attributes
+    ----------
+    status : int
+        The HTTP status code that a server answers it with.
+    """
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
+        self.status = status
+
+
+class InvalidEndpointListError(ValueError):
+    """An endpoint list, or an entry of one, that can't be read."""
--- a/wheatring/http1/responses.py
+++ b/wheatring/http1/responses.py
@@ -1,4 +1,4 @@
-"""What a caller is answered, as bytes."""
+"""Encodes the answers that callers get."""
 
 from __future__ import annotations
 
@@ -13,6 +13,10 @@
 def encode_response(
     status: int, body: bytes = b"", header_lines: bytes = b"", *, close: bool = False
 ) -> bytes:
+    r"""Return a whole response; `header_lines` are encoded, each with its `\r\n`.
+
+    With `close`, it states that it is the last on its connection.
+    """
     reason = REASON_PHRASES.get(status, b"OK")
     connection = b"Connection: close\r\n" if close else b""
     return b"HTTP/1.1 %d %s\r\n%sContent-Length: %d\r\n%s\r\n%s" % (
--- a/wheatring/lab/live/client_connection.py
+++ b/wheatring/lab/live/client_connection.py
@@ -10,7 +10,8 @@
 import socket
 from typing import Any, Protocol
 
-from wheatring.http1.parser import MalformedMessage, MessageParser
+from wheatring.http1.exceptions import MalformedMessageError
+from wheatring.http1.parser import MessageParser
 
 MAX_READ_BYTES = 262_144
 MAX_CACHED_HEADS = 256  # heads remembered; a server that makes each one anew is read the long way
@@ -141,7 +142,7 @@
             message = reader.next_message()
             while message is not None and message.start_line[0][:1] == b"1":
                 message = reader.next_message()
-        except MalformedMessage:
+        except MalformedMessageError:
             self._over()
             return
         if message is None:
--- a/wheatring/peers/role_workers.py
+++ b/wheatring/peers/role_workers.py
@@ -22,7 +22,8 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
-from wheatring.http1.parser import MalformedMessage, MessageParser
+from wheatring.http1.exceptions import MalformedMessageError
+from wheatring.http1.parser import MessageParser
 
 CALL_TIMEOUT_SECONDS = 2.0  # for one call, and for its connection before that
 MAX_ANSWER_BYTES = 16_384  # of an answer's body
@@ -91,7 +92,7 @@
         self.reader.feed(data)
         try:
             message = self.reader.next_message()
-        except MalformedMessage as error:
+        except MalformedMessageError as error:
             self.is_answered = True
             log.line("duty-call", duty=self.worker.role, code="bad-answer", why=str(error))
             self.transport.abortConnection()
--- a/wheatring/sidecar/client_connection.py
+++ b/wheatring/sidecar/client_connection.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from wheatring.event_log import log_event
-from wheatring.http1.parser import MalformedMessage, Message, MessageParser
+from wheatring.http1.exceptions import MalformedMessageError
+from wheatring.http1.parser import Message, MessageParser
 from wheatring.http1.responses import REASON_PHRASES, encode_response
 from wheatring.sidecar.route_table import Limits
 
@@ -118,7 +119,7 @@
     def _start_next_request(self) -> None:
         try:
             message = self._reader.next_message()
-        except MalformedMessage as bad:
+        except MalformedMessageError as bad:
             self._reject(bad.status)
             return
         if message is None:
--- a/wheatring/sidecar/endpoint_connection.py
+++ b/wheatring/sidecar/endpoint_connection.py
@@ -12,7 +12,8 @@
 from typing import Any
 
 from wheatring.balancer.interface import Outcome
-from wheatring.http1.parser import MalformedMessage, Message, MessageParser
+from wheatring.http1.exceptions import MalformedMessageError
+from wheatring.http1.parser import Message, MessageParser
 from wheatring.sidecar.exceptions import AttemptFailedError, ExecutionState
 from wheatring.sidecar.headers import KEEP_ALIVE, REQUEST_ID
 
@@ -102,7 +103,7 @@
                     message = reader.next_message()
                 if message is None and reader.message is not None:
                     message = reader.open_message()
-            except MalformedMessage as bad:
+            except MalformedMessageError as bad:
                 raise self._failed(f"no answer: {bad}") from bad
             if message is not None:
                 return message
@@ -122,7 +123,7 @@
         while True:
             try:
                 data, is_complete = self._reader.read_body()
-            except MalformedMessage as bad:
+            except MalformedMessageError as bad:
                 raise self._failed(f"broken answer: {bad}") from bad
             if data or is_complete:
                 return data, is_complete
