--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -24,7 +24,7 @@
 from wheatring.budgets.token_budgets import TokenBudgets
 from wheatring.consensus.types import State
 from wheatring.controller.api import OperatorApi
-from wheatring.controller.node import Controller
+from wheatring.controller.controller import Controller
 from wheatring.sidecar.process import SidecarProcess
 from wheatring.storage.exceptions import QuorumNotReachedError
 from wheatring.storage.process import StorageProcess
--- a/wheatring/consensus/replication.py
+++ b/wheatring/consensus/replication.py
@@ -155,13 +155,13 @@
             self.soft_version = request.soft_version
             self.soft_state = request.soft_state or self.soft_state
         commit = (request.commit_term, request.commit_index)
-        self._update_committed(commit)  # of the entry held before this request
+        self._update_committed(commit)  # of the entry that is replaced
         self._accept_entry(now, request, effects)
         self._update_committed(commit)
         self._record_contact(request, commit)
 
     def _accept_entry(self, now: float, request: AppendRequest, effects: Effects) -> None:
-        """Take over the leader's entry if it is news here, and reply; after the sync where it is written."""
+        """Accept the leader's entry if it is newer, and reply: after the sync where the entry is written."""
         position = entry_position(request.entry)
         is_newer = position > entry_position(self.entry)
         # The same entry again, whose write has failed here: without another write it would never count.
--- a/wheatring/controller/api.py
+++ b/wheatring/controller/api.py
@@ -25,8 +25,8 @@
     StartRetirement,
     UpdateConfiguration,
 )
+from wheatring.controller.controller import Controller
 from wheatring.controller.exceptions import InvalidRequestError, NoLeaderError
-from wheatring.controller.node import Controller
 from wheatring.transport.exceptions import PeerUnreachableError
 from wheatring.transport.messages_pb2 import OperatorReply, OperatorRequest
 
--- a/wheatring/controller/consensus_host.py
+++ b/wheatring/controller/consensus_host.py
@@ -151,10 +151,10 @@
         record = ConsensusRecord(soft_version=replica.soft_version, soft_state=replica.soft_state)
         self._store.committer.append([record.SerializeToString()])
 
-    async def wait_until(self, holds: Callable[[], bool], seconds: float) -> bool:
+    async def wait_until(self, condition: Callable[[], bool], seconds: float) -> bool:
         """Wait until a condition on the replica holds, at most `seconds`; return whether it does."""
         deadline = self.now() + seconds
-        while not holds():
+        while not condition():
             remaining = deadline - self.now()
             if remaining <= 0:
                 return False
@@ -163,7 +163,7 @@
                 async with asyncio.timeout(remaining):
                     await self.changed_event.wait()
             except TimeoutError:
-                return holds()
+                return condition()
         return True
 
     async def wait_for_leader(self, seconds: float) -> None:
--- a/wheatring/controller/consensus_store.py
+++ b/wheatring/controller/consensus_store.py
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True)
 class StoredState:
-    """What the file held, the newest record of each kind."""
+    """The newest record of each kind that the file contains."""
 
     replica_id: str
     hard_state: HardState
--- a/wheatring/controller/process.py
+++ b/wheatring/controller/process.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from wheatring.boot_settings.settings import Settings
-from wheatring.controller.node import Controller
+from wheatring.controller.controller import Controller
 from wheatring.discovery.platform_list import PlatformListReader
 from wheatring.role_process import RoleProcess
 
--- a/wheatring/controller/storage_membership.py
+++ b/wheatring/controller/storage_membership.py
@@ -5,7 +5,7 @@
 becomes the current set. Until then the current set has everything, so the target may change at any time.
 
 Where too few members of the current set are there to copy from, the copies that were made are all there is:
-the target set then becomes current although a member is behind, which is marked as lost. That member counts
+the target set then becomes current although a member is incomplete, which is marked as lost. It counts
 in the size of the set, and never answers; if it is still there, it is added anew.
 
 That a report of a complete member may be old does no harm: what it says stays true for as long as the
@@ -182,14 +182,14 @@
 ) -> Placement | None:
     """Decide on a change in progress: it is completed, goes on (None), gets another target, or is aborted."""
     placement = state.placement
-    behind = [m for m in placement.next if not _is_complete(reports.get(m.replica_id), placement.epoch)]
-    if not behind:
-        return _completed_change(placement, behind)
+    incomplete = [m for m in placement.next if not _is_complete(reports.get(m.replica_id), placement.epoch)]
+    if not incomplete:
+        return _completed_change(placement, incomplete)
     if not _has_sources(placement, reports, losses, leader_seconds, DECLARE_LOST_AFTER_SECONDS):
-        return _completed_change(placement, behind) if len(behind) <= losses else None
+        return _completed_change(placement, incomplete) if len(incomplete) <= losses else None
     if not _has_sources(placement, reports, losses, leader_seconds, REPLACE_AFTER_SECONDS):
         return None  # another set could not be copied to either, for now
-    is_copying = all(_is_still_copying(member, reports, state) for member in behind)
+    is_copying = all(_is_still_copying(member, reports, state) for member in incomplete)
     if _ids(target) == _ids(placement.next) or is_copying:
         return None
     if _ids(target) != _present_ids(placement.current):
@@ -228,7 +228,7 @@
 def _completed_change(placement: Placement, lost: Sequence[StorageMember]) -> Placement:
     """Return the placement with the target set as the current one.
 
-    Members that are behind stay in it, marked as lost, so that its quorums are those under which it was
+    Incomplete members stay in it, marked as lost, so that its quorums are those under which it was
     written; nobody asks them again, even if they are still there.
     """
     completed = Placement(epoch=placement.epoch + 1, current=placement.next)
@@ -252,7 +252,7 @@
 def _is_still_copying(
     member: StorageMember, reports: Mapping[str, StorageReport], state: ControlState
 ) -> bool:
-    """Tell whether a member that is behind can be expected to complete its copy."""
+    """Tell whether an incomplete member can be expected to complete its copy."""
     report = reports.get(member.replica_id)
     if report is None:
         return False
