--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -139,12 +139,12 @@
                 self.cluster.say(node, do(at, pusher))
                 return
 
-    def restart(self, name: str, abilities: Capabilities | None, away: float = 0.2) -> None:
-        """Restart a member with other capabilities, `away` seconds later."""
+    def restart(self, name: str, abilities: Capabilities | None, downtime_seconds: float = 0.2) -> None:
+        """Restart a member with other capabilities, `downtime_seconds` later."""
         node = self.cluster.nodes[name]
         self.cluster.kill(node)
         self.next_capabilities[name] = abilities
-        self.cluster.call(self.cluster.now + away, self.cluster.start, node)
+        self.cluster.call(self.cluster.now + downtime_seconds, self.cluster.start, node)
 
     def act(self) -> None:
         """Inject one drawn event."""
@@ -172,11 +172,11 @@
             case 6:
                 cluster.mend()
             case 7:
-                self.admit_one(one)
+                self.admit_member(one)
             case 8:
                 self.move_minimum(random.choice((1, 1, 2, 3)))
 
-    def admit_one(self, name: str) -> None:
+    def admit_member(self, name: str) -> None:
         """Let a stopped member, if any, enter while a plan is rolled out and another is slow to answer."""
         cluster, random = self.cluster, self.random
         cluster.net = State(delay=0.0005, jitter=0.0005)
--- a/wheatring/lab/agreement/view_cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -82,7 +82,7 @@
         """Draw a third of the members, none of them a voter."""
         return sorted(self.random.sample(self.names[5:], len(self.names) // 3))
 
-    def sample_one(self) -> str:
+    def sample_member(self) -> str:
         """Draw one member."""
         return self.random.choice(self.names)
 
@@ -100,134 +100,134 @@
         return sorted(self.random.sample(others, len(others) // 2))
 
 
-def _no(scene: CaseRun) -> None:
+def _no_fault(run: CaseRun) -> None:
     """Nothing."""
 
 
-def _kill_one(scene: CaseRun) -> None:
-    scene.kill([scene.random.choice(scene.names[5:])])
+def _kill_member(run: CaseRun) -> None:
+    run.kill([run.random.choice(run.names[5:])])
 
 
-def _kill_leader(scene: CaseRun) -> None:
-    scene.kill([scene.leader()])
+def _kill_leader(run: CaseRun) -> None:
+    run.kill([run.leader()])
 
 
-def _kill_third(scene: CaseRun) -> None:
-    scene.kill(sorted(scene.random.sample(scene.names[5:], len(scene.names) // 3)))
+def _kill_third(run: CaseRun) -> None:
+    run.kill(sorted(run.random.sample(run.names[5:], len(run.names) // 3)))
 
 
-def _pause(scene: CaseRun, seconds: float) -> None:
-    scene.stop(scene.sample_third(), seconds)
+def _suspend_third(run: CaseRun, seconds: float) -> None:
+    run.stop(run.sample_third(), seconds)
 
 
-def _loss(scene: CaseRun) -> None:
-    scene.fleet.net = State(delay=0.0005, jitter=0.0005, drop=0.3)
+def _lossy_network(run: CaseRun) -> None:
+    run.fleet.net = State(delay=0.0005, jitter=0.0005, drop=0.3)
 
 
-def _loss_one(scene: CaseRun) -> None:
-    one = scene.sample_one()
-    scene.fleet.cut([n for n in scene.names if n != one], [one], State(delay=0.0005, drop=0.8))
+def _lossy_member(run: CaseRun) -> None:
+    member = run.sample_member()
+    run.fleet.cut([n for n in run.names if n != member], [member], State(delay=0.0005, drop=0.8))
 
 
-def _pair(scene: CaseRun) -> None:
+def _cut_edge(run: CaseRun) -> None:
     """From one to one of its subjects."""
-    one = scene.sample_one()
-    found = views_of(scene.fleet.nodes[one])
+    member = run.sample_member()
+    found = views_of(run.fleet.nodes[member])
     assert found is not None
-    scene.fleet.cut([one], [scene.random.choice(found.rings.subjects(one))], CUT)
+    run.fleet.cut([member], [run.random.choice(found.rings.subjects(member))], CUT)
 
 
-def _half(scene: CaseRun) -> None:
-    one = scene.sample_one()
-    scene.fleet.cut(scene.sample_half(one), [one], CUT)
+def _cut_from_half(run: CaseRun) -> None:
+    member = run.sample_member()
+    run.fleet.cut(run.sample_half(member), [member], CUT)
 
 
-def _mute(scene: CaseRun) -> None:
-    one = scene.random.choice(scene.names[5:])
-    scene.removed.add(one)
-    scene.observer.excluded.add(one)
-    scene.fleet.cut([one], scene.names, CUT)
+def _mute_member(run: CaseRun) -> None:
+    member = run.random.choice(run.names[5:])
+    run.removed.add(member)
+    run.observer.excluded.add(member)
+    run.fleet.cut([member], run.names, CUT)
 
 
-def _deaf(scene: CaseRun) -> None:
-    one = scene.random.choice(scene.names[5:])
-    scene.removed.add(one)
-    scene.observer.excluded.add(one)
-    scene.fleet.cut(scene.names, [one], CUT)
+def _deaf_member(run: CaseRun) -> None:
+    member = run.random.choice(run.names[5:])
+    run.removed.add(member)
+    run.observer.excluded.add(member)
+    run.fleet.cut(run.names, [member], CUT)
 
 
-def _voters(scene: CaseRun) -> None:
+def _partition_voters(run: CaseRun) -> None:
     """Five voters apart 2, 2 and 1: the others are with the first two. Nobody has a majority."""
-    sides = [["n0", "n1", *scene.names[5:]], ["n2", "n3"], ["n4"]]
+    sides = [["n0", "n1", *run.names[5:]], ["n2", "n3"], ["n4"]]
     for side in sides:
-        scene.fleet.cut_off(side, CUT)
-    scene.fault_end = scene.fleet.now + 20
-    scene.fleet.call(scene.fault_end, scene.fleet.mend)
+        run.fleet.cut_off(side, CUT)
+    run.fault_end = run.fleet.now + 20
+    run.fleet.call(run.fault_end, run.fleet.mend)
 
 
-def _moves(scene: CaseRun) -> None:
+def _change_address(run: CaseRun) -> None:
     """One comes back under its name at another address."""
-    name = scene.random.choice(scene.names[5:])
-    node = scene.fleet.nodes[name]
-    scene.fleet.kill(node)
-    del scene.fleet.at[node.address]
+    name = run.random.choice(run.names[5:])
+    node = run.fleet.nodes[name]
+    run.fleet.kill(node)
+    del run.fleet.at[node.address]
     node.address = (node.address[0], node.address[1] + 1)
-    scene.fleet.at[node.address] = node
-    scene.fleet.call(scene.fleet.now + 0.5, scene.fleet.start, node)
+    run.fleet.at[node.address] = node
+    run.fleet.call(run.fleet.now + 0.5, run.fleet.start, node)
 
 
-def _join(scene: CaseRun) -> None:
+def _double_fleet(run: CaseRun) -> None:
     """As many more come within a second, while a third of those who were there die."""
     from wheatring.lab.leases.cluster import Node
 
-    size = len(scene.names)
-    _kill_third(scene)
+    size = len(run.names)
+    _kill_third(run)
     for number in range(size, 2 * size):
         address = (f"127.5.{number // 250}.{number % 250 + 1}", 7000)
         node = Node(f"n{number}", address, number, "z0")
-        scene.fleet.nodes[node.name] = scene.fleet.at[address] = node
-        scene.fleet.call(scene.fleet.now + scene.random.random(), scene.fleet.start, node)
-    scene.names = list(scene.fleet.nodes)
+        run.fleet.nodes[node.name] = run.fleet.at[address] = node
+        run.fleet.call(run.fleet.now + run.random.random(), run.fleet.start, node)
+    run.names = list(run.fleet.nodes)
 
 
 CASES: dict[str, Callable[[CaseRun], None]] = {
-    "rest": _no,
-    "kill-one": _kill_one,
+    "rest": _no_fault,
+    "kill-one": _kill_member,
     "kill-leader": _kill_leader,
     "kill-third": _kill_third,
-    "pause-5": lambda scene: _pause(scene, 5.0),
-    "pause-15": lambda scene: _pause(scene, 15.0),
-    "loss-30": _loss,
-    "loss-80-one": _loss_one,
-    "pair": _pair,
-    "half": _half,
-    "mute": _mute,
-    "deaf": _deaf,
-    "voters-apart": _voters,
-    "moves": _moves,
-    "join": _join,
+    "pause-5": lambda run: _suspend_third(run, 5.0),
+    "pause-15": lambda run: _suspend_third(run, 15.0),
+    "loss-30": _lossy_network,
+    "loss-80-one": _lossy_member,
+    "pair": _cut_edge,
+    "half": _cut_from_half,
+    "mute": _mute_member,
+    "deaf": _deaf_member,
+    "voters-apart": _partition_voters,
+    "moves": _change_address,
+    "join": _double_fleet,
 }
 
 
 def measure(case: str, size: int, seed: int, span: float = SPAN_SECONDS) -> Measurement:
     """Play one case and measure it."""
-    scene = CaseRun(size, seed, 5 if case == "voters-apart" else 3)
-    fleet, follow = scene.fleet, scene.observer
+    run = CaseRun(size, seed, 5 if case == "voters-apart" else 3)
+    fleet, follow = run.fleet, run.observer
     fleet.run(SETTLE_SECONDS)
     follow.clear()
     for node in fleet.nodes.values():
         node.sent = node.sent_bytes = 0
     began, cpu = fleet.now, process_time()
-    CASES[case](scene)
-    fleet.run(max(scene.fault_end, began))
-    want = set(scene.names) - scene.removed
-    took = follow.run_until_converged(want, span) if case != "moves" else _moved(scene, span)
+    CASES[case](run)
+    fleet.run(max(run.fault_end, began))
+    want = set(run.names) - run.removed
+    took = follow.run_until_converged(want, span) if case != "moves" else _moved(run, span)
     fleet.run(max(fleet.now, began + span))
     seconds = fleet.now - began
-    nodes = [node for node in fleet.nodes.values() if node.name not in scene.removed]
+    nodes = [node for node in fleet.nodes.values() if node.name not in run.removed]
     outs = [move for move in follow.changes if move.removed]
     stopped_long = case == "pause-15"
-    wrong = 0 if stopped_long else sum(len(move.removed - scene.removed) for move in outs)
+    wrong = 0 if stopped_long else sum(len(move.removed - run.removed) for move in outs)
     return Measurement(
         case,
         size,
@@ -244,18 +244,18 @@
     )
 
 
-def _moved(scene: CaseRun, span: float) -> float:
+def _moved(run: CaseRun, span: float) -> float:
     """Seconds until all know the one that came back by its new place."""
-    began = scene.fleet.now
-    while scene.fleet.now - began < span:
-        found = [views_of(node) for node in scene.observer.healthy()]
+    began = run.fleet.now
+    while run.fleet.now - began < span:
+        found = [views_of(node) for node in run.observer.healthy()]
         if (
             all(one is not None and one.is_member for one in found)
-            and scene.observer.changes
+            and run.observer.changes
             and len({one.view.number for one in found if one is not None}) == 1
         ):
-            return scene.fleet.now - began
-        scene.fleet.run(scene.fleet.now + 0.1)
+            return run.fleet.now - began
+        run.fleet.run(run.fleet.now + 0.1)
     return -1.0
 
 
