--- a/tests/lab/scenarios.py
+++ b/tests/lab/scenarios.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from wheatring.lab.plan import EventPlan, Plan
-from wheatring.lab.scenario.told import labels
+from wheatring.lab.scenario.fault_messages import labels
 
 # Each table once, as little as it needs.
 GOOD = """
--- a/tests/lab/test_scenario_draw.py
+++ b/tests/lab/test_scenario_draw.py
@@ -21,9 +21,9 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.scenario.capacity import summary
 from wheatring.lab.scenario.draw import draw
+from wheatring.lab.scenario.draws import Draws, apportion
+from wheatring.lab.scenario.fault_messages import labels
 from wheatring.lab.scenario.load import ScenarioError, load, names, parse
-from wheatring.lab.scenario.numbers import Draws, dealt
-from wheatring.lab.scenario.told import labels
 
 BASE = msgspec.to_builtins(load("base").scenario)
 
@@ -128,7 +128,7 @@
 @settings(derandomize=True)
 @given(st.integers(0, 3000), st.lists(st.floats(0.01, 10), min_size=1, max_size=6))
 def test_what_is_dealt_adds_up_and_is_near_its_share(total: int, shares: list[float]) -> None:
-    parts = dealt(total, shares)
+    parts = apportion(total, shares)
     assert sum(parts) == total
     assert all(abs(part - total * s / sum(shares)) < 1 for part, s in zip(parts, shares, strict=True))
 
--- a/tests/lab/test_scenario_load.py
+++ b/tests/lab/test_scenario_load.py
@@ -15,8 +15,8 @@
 
 from tests.lab.scenarios import GOOD, put, toml
 from wheatring.__main__ import main
-from wheatring.lab.scenario.forms import FORMS, SELECTORS
-from wheatring.lab.scenario.load import Found, ScenarioError, load, parse
+from wheatring.lab.scenario.event_forms import EVENT_FORMS, SELECTORS
+from wheatring.lab.scenario.load import LoadedScenario, ScenarioError, load, parse
 from wheatring.lab.scenario.schema import Scenario
 
 CHOKE = {"at": 4, "over": 1, "slower": 2, "rest": 1, "below": 0.5, "most": 5}
@@ -187,13 +187,13 @@
 
 
 def test_each_kind_names_the_keys_that_it_needs() -> None:
-    for kind, form in FORMS.items():
-        least = {"kind": kind, "at": 1} | ({} if form.whom == "none" else {"tier": "near"})
-        if SELECTORS[form.whom] and not form.whole:
+    for kind, form in EVENT_FORMS.items():
+        least = {"kind": kind, "at": 1} | ({} if form.target == "none" else {"tier": "near"})
+        if SELECTORS[form.target] and not form.strikes_all:
             least["count"] = 1
-        given = least | {key: max(1.0, form.size[0]) if form.size[1] > 1 else 0.5 for key in form.needs}
+        given = least | {key: max(1.0, form.size[0]) if form.size[1] > 1 else 0.5 for key in form.required}
         assert faults(good(given)) == []
-        for key in form.needs:
+        for key in form.required:
             left = {name: value for name, value in given.items() if name != key}
             assert faults(good(left)) == [f"bad.toml: event.{kind}.{key}: missing: {kind} needs it"]
 
@@ -251,7 +251,7 @@
     )
     (tmp_path / "some.toml").write_text(toml(raw), encoding="utf-8")
     found = load(tmp_path / "some.toml")
-    assert isinstance(found, Found) and found.name == "some"
+    assert isinstance(found, LoadedScenario) and found.name == "some"
     assert main(["lab", "check", "calm", str(tmp_path / "some.toml"), "nobody"]) == 2
     out, err = capsys.readouterr()
     assert out == "calm: ok\n"
--- a/tests/lab/test_scenario_page.py
+++ b/tests/lab/test_scenario_page.py
@@ -14,7 +14,7 @@
 from wheatring.__main__ import main
 from wheatring.lab import plan
 from wheatring.lab.scenario import schema
-from wheatring.lab.scenario.forms import FORMS
+from wheatring.lab.scenario.event_forms import EVENT_FORMS
 from wheatring.lab.scenario.load import names, parse
 
 PAGE = (Path(__file__).parents[2] / "docs" / "operate" / "lab.md").read_text(encoding="utf-8")
@@ -66,7 +66,7 @@
     told = {}
     for kind, needs, may, _ in rows("`[[event]]`", "kind"):
         told[kind.strip("`")] = (tuple(re.findall(r"`(\w+)`", needs)), key_values(may))
-    assert told == {kind: (form.needs, dict(form.may)) for kind, form in FORMS.items()}
+    assert told == {kind: (form.required, dict(form.optional)) for kind, form in EVENT_FORMS.items()}
 
 
 def test_a_key_has_the_default_that_the_plan_has() -> None:
@@ -89,7 +89,7 @@
     planned = inspect.type_info(kinds)
     assert isinstance(planned, inspect.LiteralType)
     several = {"discovery_cut", "release", "restart", "rolling_sidecars", "all_sidecars"}
-    assert set(planned.values) == set(FORMS) - several
+    assert set(planned.values) == set(EVENT_FORMS) - several
 
 
 def test_the_example_of_the_page_is_a_good_one() -> None:
--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/test_study_commands.py
@@ -10,7 +10,7 @@
 
 from tests.lab.study_runner import HERE, RUN
 from wheatring import commands
-from wheatring.lab.scenario.load import ScenarioError, checked, load, overridden, tables
+from wheatring.lab.scenario.load import ScenarioError, check_tables, load, load_tables, with_override
 from wheatring.lab.study import store
 from wheatring.lab.study.asked import make_jobs, scenario_of
 from wheatring.lab.study.settings import Settings
@@ -101,14 +101,14 @@
     assert job.text_hash == plain.text_hash and scenario_of(plain).scenario == load("three-tiers").scenario
     assert scenario_of(job).scenario.clients.retries == 2
 
-    raw, name, where = tables("three-tiers")
+    raw, name, where = load_tables("three-tiers")
     last = raw["tier"][-1]["name"]
-    changed = checked(overridden(raw, f"tier.{last}.nodes", 7), name, where).scenario
+    changed = check_tables(with_override(raw, f"tier.{last}.nodes", 7), name, where).scenario
     assert changed.tiers[-1].nodes == 7 and changed.tiers[-1].times is None
-    paced = checked(overridden(raw, "traffic.rate", 50), name, where).scenario
+    paced = check_tables(with_override(raw, "traffic.rate", 50), name, where).scenario
     assert (paced.traffic.rate, paced.traffic.load) == (50, None)
     with pytest.raises(ScenarioError):
-        checked(overridden(raw, "trafic.rate", 50), name, where)
+        check_tables(with_override(raw, "trafic.rate", 50), name, where)
 
 
 def test_what_a_day_costs_is_told(capsys: pytest.CaptureFixture[str]) -> None:
--- a/wheatring/lab/scenario/capacity.py
+++ b/wheatring/lab/scenario/capacity.py
@@ -11,6 +11,8 @@
 
 
 class TierSummary(Struct, frozen=True):
+    """The numbers of one tier."""
+
     name: str
     nodes: int  # that run at the start
     later: int  # that are started on the way
@@ -20,10 +22,13 @@
 
     @property
     def load(self) -> float:
+        """The part of the capacity that is asked for."""
         return self.offered / self.capacity
 
 
 class Summary(Struct, frozen=True):
+    """The numbers of one plan."""
+
     scenario: str
     seed: int
     length: float
@@ -34,7 +39,7 @@
     events: dict[str, int]  # by kind
 
     def lines(self) -> list[str]:
-        """For a person, one line a matter."""
+        """Return lines for a person."""
         told = [
             f"{self.scenario}, seed {self.seed}: {self.length:g} s, {self.rate:.1f} requests a second "
             f"(about {self.requests} in all), {self.sidecars} sidecars in front"
@@ -50,7 +55,7 @@
 
 
 def capacity(nodes: Iterable[NodePlan], tiers: Sequence[TierPlan]) -> list[float]:
-    """Work a second of each tier's nodes that run at the start, when warm and with no pauses."""
+    """Return the work a second of each tier's machines that run at the start, warm and with no pauses."""
     total = [0.0] * len(tiers)
     for node in nodes:
         if node.up:
@@ -59,7 +64,7 @@
 
 
 def visits(tiers: Sequence[TierPlan]) -> list[float]:
-    """Visits to each tier for one first try that is served at once."""
+    """Return the visits to each tier for one first try that is served at once."""
     made: list[float] = []
     for tier in tiers:
         made.append((made[-1] if made else 1.0) * tier.calls)
@@ -67,12 +72,13 @@
 
 
 def demand(classes: Sequence[ClassPlan], tiers: Sequence[TierPlan]) -> list[float]:
-    """Work that one first try asks of each tier on the mean."""
+    """Return the work that one first try asks of each tier on the mean, in seconds on a standard core."""
     mean = sum(one.share * one.work for one in classes) / sum(one.share for one in classes)
     return [mean * tier.work * times for tier, times in zip(tiers, visits(tiers), strict=True)]
 
 
 def summary(plan: Plan) -> Summary:
+    """Return the numbers that a person wants of a plan."""
     able = capacity(plan.nodes, plan.tiers)
     asked = demand(plan.classes, plan.tiers)
     calls = visits(plan.tiers)
--- a/wheatring/lab/scenario/draw.py
+++ b/wheatring/lab/scenario/draw.py
@@ -22,24 +22,24 @@
     TrafficPlan,
 )
 from wheatring.lab.scenario.capacity import Summary, capacity, demand, summary
+from wheatring.lab.scenario.draws import Draws
 from wheatring.lab.scenario.events import Expansion
+from wheatring.lab.scenario.fault_messages import ContradictionError
 from wheatring.lab.scenario.fleet import Fleet
-from wheatring.lab.scenario.load import Found, ScenarioError
-from wheatring.lab.scenario.numbers import Draws
+from wheatring.lab.scenario.load import LoadedScenario, ScenarioError
 from wheatring.lab.scenario.schema import Choke, Kind, Scenario, Tier, Traffic
-from wheatring.lab.scenario.told import Unsound
 
 __all__ = ["Summary", "draw", "summary"]
 
-_CAPACITY = 4.0  # of discovery, where the scenario does not say
+_DISCOVERY_CAPACITY = 4.0  # where the scenario does not say
 
 
-def draw(found: Found, seed: int) -> Plan:
-    """The day of that seed. A draw that contradicts itself is a ScenarioError."""
+def draw(found: LoadedScenario, seed: int) -> Plan:
+    """Draw the day of that seed. Raises ScenarioError for a draw that contradicts itself."""
     try:
         return _Day(found.scenario, Draws(seed)).plan(found.name)
-    except Unsound as bad:
-        raise ScenarioError(found.where, [bad.fault]) from None
+    except ContradictionError as error:
+        raise ScenarioError(found.where, [error.fault]) from None
 
 
 class _Day:
@@ -50,7 +50,7 @@
     def plan(self, name: str) -> Plan:
         given, draws = self.scenario, self.draws
         length, tail = draws.number("length", given.length), draws.number("tail", given.tail)
-        classes = tuple(draws.plain(ClassPlan, f"class.{one.name}", one) for one in given.classes)
+        classes = tuple(draws.struct(ClassPlan, f"class.{one.name}", one) for one in given.classes)
         tiers = tuple(map(self._tier, given.tiers))
         fleet = Fleet(draws, given)
         first = tuple(fleet.nodes.values())
@@ -73,12 +73,12 @@
             nodes=tuple(fleet.nodes.values()),
             sidecars=fleet.sidecars,
             traffic=self._traffic(given.traffic, rate, length),
-            net=draws.plain(NetPlan, "net", given.net),
-            clients=draws.plain(ClientPlan, "clients", given.clients),
+            net=draws.struct(NetPlan, "net", given.net),
+            clients=draws.struct(ClientPlan, "clients", given.clients),
             discovery=self._discovery(fleet),
-            rules=draws.plain(RulesPlan, "rules", given.rules),
-            limits=draws.plain(LimitsPlan, "limits", given.limits),
-            goal=draws.plain(GoalPlan, "goal", given.goal),
+            rules=draws.struct(RulesPlan, "rules", given.rules),
+            limits=draws.struct(LimitsPlan, "limits", given.limits),
+            goal=draws.struct(GoalPlan, "goal", given.goal),
             check=CheckPlan(**structs.asdict(given.check)),
             events=tuple(events),
             sidecar_start=(start[0], start[1]) if isinstance(start, tuple) else (start, start),
@@ -87,16 +87,16 @@
     def _tier(self, given: Tier) -> TierPlan:
         path = f"tier.{given.name}"
         kinds = tuple(self._kind(f"{path}.kind.{kind.name}", kind) for kind in given.kinds)
-        return self.draws.plain(
+        return self.draws.struct(
             TierPlan, path, given, kinds=kinds, choke=self._choke(f"{path}.choke", given.choke)
         )
 
     def _kind(self, path: str, given: Kind) -> KindPlan:
-        cores = self.draws.whole(f"{path}.cores", given.cores)
+        cores = self.draws.integer(f"{path}.cores", given.cores)
         slots = self.draws.number(f"{path}.slots_per_core", given.slots_per_core)
         queue = self.draws.number(f"{path}.queue_per_core", given.queue_per_core)
         knee = self.draws.number(f"{path}.knee_per_core", given.knee_per_core)
-        return self.draws.plain(
+        return self.draws.struct(
             KindPlan, path, given,
             cores=cores, slots=max(1, round(slots * cores)), queue=round(queue * cores), knee=knee * cores,
         )  # fmt: skip
@@ -106,15 +106,15 @@
             return None
         share = self.draws.number(f"{path}.share", given.share)
         there = self.draws.random(f"{path}.there").random() < share
-        return self.draws.plain(ChokePlan, path, given) if there else None
+        return self.draws.struct(ChokePlan, path, given) if there else None
 
-    def _traffic(self, given: Traffic, most: float, length: float) -> TrafficPlan:
-        """`most`: first tries a second that use up the tier that runs out first."""
+    def _traffic(self, given: Traffic, max_rate: float, length: float) -> TrafficPlan:
+        """`max_rate`: first tries a second that use up the tier that runs out first."""
         draws = self.draws
         if given.rate is not None:
             rate = draws.number("traffic.rate", given.rate)
         else:
-            rate = float(f"{draws.number('traffic.load', given.load or 0.0) * most:.6g}")
+            rate = float(f"{draws.number('traffic.load', given.load or 0.0) * max_rate:.6g}")
         points = list(given.points) if given.points is not None else self._shape(given)
         lasting = [*points, (1.0, points[-1][1])]  # the last factor stays
         mean = sum((one + other) / 2 * (to - at) for (at, one), (to, other) in pairwise(lasting))
@@ -134,7 +134,7 @@
             return [(0.0, 1.0 - swing), (1.0, 1.0 + swing)]
         if word == "steady":
             return [(0.0, 1.0)]
-        humps = draws.whole("traffic.humps", given.humps)
+        humps = draws.integer("traffic.humps", given.humps)
         points = [(0.0, 1.0 - swing)]
         for hump in range(humps):
             random = draws.random(f"traffic.humps:{hump}")
@@ -152,7 +152,7 @@
             whole = sum(
                 number * (call + len(tier)) for number, tier in zip(callers, fleet.tiers, strict=True)
             )
-            times = draws.number("discovery.capacity", given.capacity or _CAPACITY)
+            times = draws.number("discovery.capacity", given.capacity or _DISCOVERY_CAPACITY)
             within = draws.number("rules.ask_within", self.scenario.rules.ask_within)
             lines = float(f"{times * whole / within:.6g}")
-        return draws.plain(DiscoveryPlan, "discovery", given, call_lines=call, lines_per_s=lines)
+        return draws.struct(DiscoveryPlan, "discovery", given, call_lines=call, lines_per_s=lines)
--- a/wheatring/lab/scenario/numbers.py
+++ b/wheatring/lab/scenario/draws.py
@@ -14,7 +14,7 @@
 P = TypeVar("P", bound=Struct)
 
 Numbers = float | tuple[float, ...]
-Wholes = int | tuple[int, ...]
+Integers = int | tuple[int, ...]
 
 
 class Draws:
@@ -24,28 +24,34 @@
         self.seed = seed
 
     def random(self, path: str) -> Random:
+        """Return the random numbers of a path."""
         return Random(f"{self.seed}:{path}")
 
     def number(self, path: str, given: Numbers) -> float:
-        """A number, or one out of its range, to six places that count."""
+        """Return a number, or one drawn out of its range, to six significant digits."""
         if not isinstance(given, tuple):
             return given
         low, high = given
         return min(high, max(low, float(f"{self.random(path).uniform(low, high):.6g}")))
 
-    def whole(self, path: str, given: Wholes) -> int:
+    def integer(self, path: str, given: Integers) -> int:
+        """Return a whole number, or one drawn out of its range."""
         return self.random(path).randint(*given) if isinstance(given, tuple) else given
 
     def choice(self, path: str, given: T | tuple[T, ...]) -> T:
+        """Return a value, or one of several."""
         return self.random(path).choice(given) if isinstance(given, tuple) else given
 
     def order(self, path: str, names: Iterable[str]) -> list[str]:
-        """Names in a drawn order. Which of two comes first does not hang on what other names there are."""
+        """Return names in a drawn order.
+
+        Which of two comes first does not depend on what other names there are.
+        """
         text = f"{self.seed}:{path}:"
         return sorted(names, key=lambda name: blake2b((text + name).encode(), digest_size=16).digest())
 
-    def plain(self, into: type[P], path: str, given: Struct, **made: object) -> P:
-        """A part of a plan: what is not made already is drawn from the key of the same name."""
+    def struct(self, into: type[P], path: str, given: Struct, **made: object) -> P:
+        """Return a part of a plan: what is not made already is drawn from the key of the same name."""
         values: dict[str, Any] = dict(made)
         for name, kind in _fields(into):
             if name not in values:
@@ -55,7 +61,7 @@
     def _value(self, path: str, kind: object, given: Any) -> object:
         if kind is float:
             return self.number(path, given)
-        return self.whole(path, given) if kind is int else self.choice(path, given)
+        return self.integer(path, given) if kind is int else self.choice(path, given)
 
 
 @cache
@@ -63,8 +69,8 @@
     return tuple((field.name, field.type) for field in structs.fields(of))
 
 
-def dealt(total: int, shares: Sequence[float]) -> list[int]:
-    """Whole numbers as near to the shares as can be that add up to the total."""
+def apportion(total: int, shares: Sequence[float]) -> list[int]:
+    """Return whole numbers as near to the shares as can be that add up to the total."""
     exact = [total * share / sum(shares) for share in shares]
     parts = [int(part) for part in exact]
     left = sorted(range(len(parts)), key=lambda place: (parts[place] - exact[place], place))
--- a/wheatring/lab/scenario/events.py
+++ b/wheatring/lab/scenario/events.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from wheatring.lab.plan import DISCOVERY, EventKind, EventPlan
+from wheatring.lab.scenario.checks import labelled_events
+from wheatring.lab.scenario.draws import Draws
+from wheatring.lab.scenario.event_forms import EVENT_FORMS
+from wheatring.lab.scenario.fault_messages import ContradictionError, Fault
 from wheatring.lab.scenario.fleet import Fleet
-from wheatring.lab.scenario.forms import FORMS
-from wheatring.lab.scenario.numbers import Draws
 from wheatring.lab.scenario.schema import Event, Scenario
-from wheatring.lab.scenario.sound import labelled
-from wheatring.lab.scenario.told import Fault, Unsound
 
 _Call = Callable[[float], None]
 
@@ -34,27 +34,28 @@
         self.tiers = [tier.name for tier in scenario.tiers]
         self._steps: list[tuple[float, int, int, _Call]] = []
         self._serial = 0
-        for place, (label, event) in enumerate(labelled(scenario.events)):
-            one = _One(self, place, f"event.{label}", event)
-            first, every = one.number("at"), one.number("every")
-            for time in range(one.whole("times", 1)):
-                self.later(first + time * every, place, partial(one.begin, time))
+        for place, (label, event) in enumerate(labelled_events(scenario.events)):
+            expansion = _EventExpansion(self, place, f"event.{label}", event)
+            first, every = expansion.number("at"), expansion.number("every")
+            for time in range(expansion.integer("times", 1)):
+                self.schedule(first + time * every, place, partial(expansion.start, time))
         while self._steps:
             at, _, _, call = heapq.heappop(self._steps)
             call(at)
 
-    def later(self, at: float, place: int, call: _Call) -> None:
-        """What would come after the day's end does not come."""
+    def schedule(self, at: float, place: int, call: _Call) -> None:
+        """Call at an instant, unless that is after the end of the day."""
         at = round(at, 6)
         if at < self._end:
             self._serial += 1
             heapq.heappush(self._steps, (at, place, self._serial, call))
 
     def emit(self, at: float, kind: EventKind, **values: Any) -> None:
+        """Add an event to the plan."""
         self.made.append(EventPlan(at=at, kind=kind, **values))
 
 
-class _One:
+class _EventExpansion:
     """One event of the scenario, with all its times and steps."""
 
     def __init__(self, day: Expansion, place: int, path: str, event: Event) -> None:
@@ -62,23 +63,26 @@
         self.place = place
         self.path = path
         self.event = event
-        self.form = FORMS[event.kind]
+        self.form = EVENT_FORMS[event.kind]
         self.chosen: list[str] = []
 
-    # What it says, drawn
+    # The event's own figures, drawn
 
-    def _said(self, key: str, default: object = 0.0) -> Any:
+    def _given(self, key: str, default: object = 0.0) -> Any:
         value = getattr(self.event, key)
-        return self.form.may.get(key, default) if value is None else value
+        return self.form.optional.get(key, default) if value is None else value
 
     def number(self, key: str) -> float:
-        return self.day.draws.number(f"{self.path}.{key}", self._said(key))
+        """Return a figure, drawn."""
+        return self.day.draws.number(f"{self.path}.{key}", self._given(key))
 
-    def whole(self, key: str, default: int) -> int:
-        return self.day.draws.whole(f"{self.path}.{key}", self._said(key, default))
+    def integer(self, key: str, default: int) -> int:
+        """Return a whole number, drawn."""
+        return self.day.draws.integer(f"{self.path}.{key}", self._given(key, default))
 
     def switch(self, key: str) -> bool:
-        return bool(self.day.draws.choice(f"{self.path}.{key}", self._said(key, False)))
+        """Return a switch, drawn."""
+        return bool(self.day.draws.choice(f"{self.path}.{key}", self._given(key, False)))
 
     def _tier(self) -> int | None:
         if self.event.tier is not None:
@@ -87,7 +91,7 @@
             return self.day.fleet.nodes[self.event.nodes[0]].tier
         return None
 
-    # Whom it strikes
+    # What it strikes
 
     def _pick(self, time: int, at: float, running: Sequence[str]) -> list[str]:
         """Out of those that run: by name, all, or some in a drawn order; for further times the same again."""
@@ -99,14 +103,16 @@
             for name in named:
                 if name not in running and not time:
                     key = "nodes" if self.event.nodes else "sidecars"
-                    raise Unsound(Fault(f"{self.path}.{key}", f"{name} does not run at {at:g} s", named))
+                    raise ContradictionError(
+                        Fault(f"{self.path}.{key}", f"{name} does not run at {at:g} s", named)
+                    )
             self.chosen = [name for name in named if name in running]
             return self.chosen
         if not running:
-            raise Unsound(Fault(f"{self.path}.at", "nothing that it could strike runs then", at))
+            raise ContradictionError(Fault(f"{self.path}.at", "nothing that it could strike runs then", at))
         order = self.day.draws.order(f"{self.path}.pick{time if anew else ''}", running)
         if self.event.count is not None:
-            wanted = self.whole("count", 1)
+            wanted = self.integer("count", 1)
         elif self.event.part is not None:
             wanted = max(1, round(self.number("part") * len(running)))
         else:
@@ -132,18 +138,19 @@
 
     # What it does
 
-    def begin(self, time: int, at: float) -> None:
+    def start(self, time: int, at: float) -> None:
+        """Carry out one occurrence."""
         kind: Any = self.event.kind
         figures = {key: self.number(key) for key in ("length", "size", "extra")}
-        if self.form.whom == "none":
+        if self.form.target == "none":
             self.day.emit(at, kind, **figures)
         elif kind == "clock_step":
             self._clock(time, at, figures)
-        elif self.form.whom == "link":
+        elif self.form.target == "link":
             self._link(time, at, kind, figures)
         elif kind == "start":
             self._start(at)
-        elif self.form.whom == "sidecars":
+        elif self.form.target == "sidecars":
             self._end_sidecars(time, at)
         elif kind in ("drain", "kill", "release", "restart"):
             self._end_nodes(time, at)
@@ -154,7 +161,7 @@
         names = self._nodes(time, at)
         if kind == "vanish":
             for name in names:
-                self.day.fleet.restarted(name, at + (figures["length"] or inf))
+                self.day.fleet.restart(name, at + (figures["length"] or inf))
         if names:
             self.day.emit(at, kind, nodes=tuple(names), **figures)
 
@@ -173,7 +180,7 @@
         assert tier is not None
         callers = fleet.running(tier - 1, at) if tier else [one.name for one in fleet.sidecars]
         callers = self.day.draws.order(f"{self.path}.callers", callers)
-        wanted = self.whole("callers", 0) or len(callers)
+        wanted = self.integer("callers", 0) or len(callers)
         if names and callers:
             self.day.emit(
                 at, kind, hosts=self._hosts(callers[:wanted]), others=self._hosts(names),
@@ -181,7 +188,7 @@
             )  # fmt: skip
 
     def _hosts(self, names: Sequence[str]) -> tuple[str, ...]:
-        """A machine and its own sidecar have a host each; what befalls one befalls both."""
+        """Return the hosts of machines and of their own sidecars: what strikes one strikes both."""
         return tuple(dict.fromkeys(host for name in names for host in self.day.fleet.hosts(name)))
 
     def _start(self, at: float) -> None:
@@ -189,10 +196,10 @@
         assert tier is not None
         fleet = self.day.fleet
         if self.event.count is not None:
-            wanted = self.whole("count", 1)
+            wanted = self.integer("count", 1)
         else:
             wanted = max(1, round(self.number("part") * len(fleet.running(tier, at))))
-        self.day.emit(at, "start", nodes=tuple(fleet.newcomer(tier, at) for _ in range(wanted)))
+        self.day.emit(at, "start", nodes=tuple(fleet.add_newcomer(tier, at) for _ in range(wanted)))
 
     def _end_nodes(self, time: int, at: float) -> None:
         """Drained or killed; all at once, or one after another."""
@@ -205,12 +212,12 @@
         names = self._nodes(time, at)
         if rolling or replaced:
             for place, name in enumerate(names):
-                self.day.later(
+                self.day.schedule(
                     at + place * step, self.place, partial(self._end_node, name, kind, lead, gap, replaced)
                 )
             return
         for name in names:
-            self.day.fleet.restarted(name, at + lead + (gap or inf))
+            self.day.fleet.restart(name, at + lead + (gap or inf))
         if names:
             self.day.emit(at, kind, nodes=tuple(names), length=gap, extra=lead)
 
@@ -223,9 +230,9 @@
         new = ""
         if replaced:
             same = self.day.draws.random(f"{self.path}.same_address:{name}").random()
-            new = fleet.successor(name, at + lead + gap, same < self.number("same_address"))
+            new = fleet.add_successor(name, at + lead + gap, same < self.number("same_address"))
         else:
-            fleet.restarted(name, at + lead + gap)
+            fleet.restart(name, at + lead + gap)
         self.day.emit(at, kind, nodes=(name,), length=gap, extra=lead, replaced_by=new)
 
     def _end_sidecars(self, time: int, at: float) -> None:
@@ -250,7 +257,7 @@
         for place, name in enumerate(names):
             random = self.day.draws.random(f"{self.path}.spread{time}:{name}")
             delay = random.uniform(0.0, spread) if spread else place * step
-            self.day.later(
+            self.day.schedule(
                 at + delay, self.place, partial(self._end_them, [name], "sidecar_restart", lead, gap)
             )
 
@@ -260,6 +267,6 @@
             name for name in names if fleet.sidecar_free[name] <= at and fleet.free.get(name, 0.0) <= at
         ]
         for name in running:
-            fleet.sidecar_restarted(name, at + lead + gap)
+            fleet.restart_sidecar(name, at + lead + gap)
         if running:
             self.day.emit(at, kind, sidecars=tuple(running), length=gap, extra=lead)
--- a/wheatring/lab/scenario/told.py
+++ b/wheatring/lab/scenario/fault_messages.py
@@ -1,4 +1,4 @@
-"""Faults in a scenario, told in the words of its file: by path, and with what was expected there."""
+"""Faults in a scenario, described in the terms of its file: by path, and with what was expected there."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 
 from wheatring.lab.scenario.schema import Scenario
 
-_LONGEST = 60
-_TOLD = re.compile(r"(?P<what>.*?)(?: - at `\$(?P<at>.*)`)?", re.DOTALL)
+MAX_VALUE_CHARACTERS = 60
+_MSGSPEC_MESSAGE = re.compile(r"(?P<what>.*?)(?: - at `\$(?P<at>.*)`)?", re.DOTALL)
 _STEP = re.compile(r"\.(\w+)|\[(\d+)\]")
 _ABSENT = object()
 
 
 class Fault(NamedTuple):
+    """A fault: the path to a key, what is wrong there, and the value, if there is one."""
+
     path: str
     what: str
     value: object = _ABSENT
 
     def __str__(self) -> str:
+        """Return the fault as a line."""
         text = f"{self.path}: {self.what}" if self.path else self.what
-        return text if self.value is _ABSENT else f"{text}, is {shown(self.value)}"
+        return text if self.value is _ABSENT else f"{text}, is {short_text(self.value)}"
 
 
-class Unsound(ValueError):
+class ContradictionError(ValueError):
     """What was drawn contradicts itself."""
 
     def __init__(self, fault: Fault) -> None:
@@ -37,14 +40,14 @@
         super().__init__(str(fault))
 
 
-def shown(value: object) -> str:
-    """A value in little room, about as TOML would write it."""
+def short_text(value: object) -> str:
+    """Return a value on little space, about as TOML would write it."""
     text = json.dumps(value, default=str, ensure_ascii=False)
-    return text if len(text) <= _LONGEST else f"{text[:_LONGEST]}..."
+    return text if len(text) <= MAX_VALUE_CHARACTERS else f"{text[:MAX_VALUE_CHARACTERS]}..."
 
 
 def labels(entries: Sequence[object]) -> list[str]:
-    """What entries of an array go by: their name, else their kind, else their number from 1 on."""
+    """Return what entries of an array go by: their name, else their kind, else their number from 1 on."""
     seen: Counter[str] = Counter()
     made: list[str] = []
     for number, entry in enumerate(entries, 1):
@@ -59,13 +62,13 @@
     return made
 
 
-def fault(message: str, raw: object) -> Fault:
-    """What msgspec says of a value that does not fit, in our words."""
-    match = _TOLD.fullmatch(message)
+def fault_from(message: str, raw: object) -> Fault:
+    """Return the fault that a message of msgspec on a value is about."""
+    match = _MSGSPEC_MESSAGE.fullmatch(message)
     assert match is not None
     path: list[str] = []
     value: Any = raw
-    kind = _whole()
+    kind = _scenario_type()
     for key, place in _STEP.findall(match["at"] or ""):
         if key:
             path.append(key)
@@ -83,11 +86,11 @@
         if named[1] == "required":
             return Fault(".".join(path), "missing")
         return Fault(".".join(path), "unknown key", value[named[2]])
-    return Fault(".".join(path), f"must be {wanted(kind)}", value)
+    return Fault(".".join(path), f"must be {expected(kind)}", value)
 
 
 @cache
-def _whole() -> inspect.Type:
+def _scenario_type() -> inspect.Type:
     return inspect.type_info(Scenario)
 
 
@@ -110,14 +113,14 @@
     return kind.types if isinstance(kind, inspect.UnionType) else (kind,)
 
 
-def wanted(kind: inspect.Type) -> str:
-    """What a value of the schema must be, in words."""
+def expected(kind: inspect.Type) -> str:
+    """Return what a value of the schema must be, in words."""
     if isinstance(kind, inspect.UnionType):
-        return " or ".join(wanted(one) for one in kind.types if not isinstance(one, inspect.NoneType))
+        return " or ".join(expected(each) for each in kind.types if not isinstance(each, inspect.NoneType))
     if isinstance(kind, inspect.FloatType | inspect.IntType):
-        least = f"{kind.ge:g} or more" if kind.ge is not None else f"more than {kind.gt:g}"
-        word = "a number" if isinstance(kind, inspect.FloatType) else "a whole number"
-        return f"{word}, {least}, at most {kind.le:g}"
+        minimum = f"{kind.ge:g} or more" if kind.ge is not None else f"more than {kind.gt:g}"
+        name = "a number" if isinstance(kind, inspect.FloatType) else "a whole number"
+        return f"{name}, {minimum}, at most {kind.le:g}"
     if isinstance(kind, inspect.LiteralType):
         return "one of " + " ".join(str(value) for value in kind.values)
     if isinstance(kind, inspect.BoolType):
--- a/wheatring/lab/scenario/fleet.py
+++ b/wheatring/lab/scenario/fleet.py
@@ -5,14 +5,14 @@
 from math import exp, inf, log, sqrt
 
 from wheatring.lab.plan import NodePlan, SidecarPlan
-from wheatring.lab.scenario.numbers import Draws, dealt
+from wheatring.lab.scenario.checks import FRONT, high
+from wheatring.lab.scenario.draws import Draws, apportion
+from wheatring.lab.scenario.fault_messages import ContradictionError, Fault
 from wheatring.lab.scenario.schema import Scenario
-from wheatring.lab.scenario.sound import FRONT, high
-from wheatring.lab.scenario.told import Fault, Unsound
 
-_SETTLED = 0.05  # what has come back is left alone until so long after
-_NETS = 16  # the first tier's addresses are in 127.16.0.0/16, the next one's in the net after it
-_MACHINES = 250 * 256  # addresses of a net that are used
+_SETTLE_SECONDS = 0.05  # after its return, for which a machine is left alone
+_FIRST_NET = 16  # the first tier's addresses are in 127.16.0.0/16, the next one's in the net after it
+_MAX_MACHINES = 250 * 256  # addresses of a net that are used
 
 
 def _host(net: int, number: int) -> str:
@@ -29,7 +29,7 @@
         self.tiers: list[list[str]] = []  # names of its machines, in the order in which they are planned
         self.free: dict[str, float] = {}
         self.sidecar_free: dict[str, float] = {}
-        self._start_up = high(scenario.sidecar_start) + _SETTLED
+        self._start_up = high(scenario.sidecar_start) + _SETTLE_SECONDS
         self._cells: list[int] = []
         self._speeds: list[list[tuple[float, float]]] = []  # mean and cv of each kind
         self._shares: list[list[float]] = []
@@ -41,7 +41,7 @@
     def _front(self) -> tuple[SidecarPlan, ...]:
         front, zones = self.scenario.front, self.scenario.zones
         made = []
-        for number in range(self.draws.whole("front.sidecars", front.sidecars)):
+        for number in range(self.draws.integer("front.sidecars", front.sidecars)):
             name = f"{FRONT}-{number + 1}"
             start = self.draws.number(f"front.starts:{name}", front.starts)
             zone = zones[number % len(zones)]
@@ -50,11 +50,11 @@
         return tuple(made)
 
     def _first(self, tier: int) -> None:
-        """A tier's machines that run from the start on."""
+        """Add a tier's machines that run from the start on."""
         given, draws = self.scenario.tiers[tier], self.draws
         path = f"tier.{given.name}"
         if given.nodes is not None:
-            size = draws.whole(f"{path}.nodes", given.nodes)
+            size = draws.integer(f"{path}.nodes", given.nodes)
         else:
             size = max(1, round(draws.number(f"{path}.times", given.times or 1.0) * len(self.tiers[0])))
         kinds = [(f"{path}.kind.{kind.name}", kind) for kind in given.kinds]
@@ -65,10 +65,10 @@
                 for at, kind in kinds
             ]
         )
-        self._cells.append(draws.whole(f"{path}.cell_size", given.cell_size))
+        self._cells.append(draws.integer(f"{path}.cell_size", given.cell_size))
         self.tiers.append([])
         names = [f"{given.name}-{number}" for number in range(1, size + 1)]
-        parts = dealt(size, self._shares[tier])
+        parts = apportion(size, self._shares[tier])
         kind_of = [kind for kind, number in enumerate(parts) for _ in range(number)]
         # Kinds are dealt in a drawn order, so that a name tells nothing of the machine.
         dealt_to = dict(zip(draws.order(f"{path}.kinds", names), kind_of, strict=True))
@@ -94,26 +94,26 @@
         mean, cv = self._speeds[tier][kind]
         sigma = sqrt(log(1 + cv * cv))
         zones = self.scenario.zones
-        if number >= _MACHINES:
-            raise Unsound(Fault(f"tier.{self.scenario.tiers[tier].name}", "runs out of addresses"))
+        if number >= _MAX_MACHINES:
+            raise ContradictionError(Fault(f"tier.{self.scenario.tiers[tier].name}", "runs out of addresses"))
         self.nodes[name] = NodePlan(
             name=name,
             tier=tier,
             kind=kind,
             speed=float(f"{mean * exp(sigma * normal - sigma * sigma / 2):.6g}"),
-            host=host or _host(_NETS + tier, number),
+            host=host or _host(_FIRST_NET + tier, number),
             cell=like.cell if like else number // self._cells[tier],
             zone=like.zone if like else zones[number % len(zones)],
             up=start == 0.0,
         )
         self.tiers[tier].append(name)
-        self.restarted(name, start)
+        self.restart(name, start)
 
     def _normal(self, tier: int, name: str) -> float:
         return self.draws.random(f"tier.{self.scenario.tiers[tier].name}.speed:{name}").gauss(0.0, 1.0)
 
-    def successor(self, name: str, start: float, same_address: bool) -> str:
-        """A new machine in the place of one that ends, of its kind, with a name of its own."""
+    def add_successor(self, name: str, start: float, same_address: bool) -> str:
+        """Add a machine in the place of one that ends, of its kind, and return its name."""
         like = self.nodes[name]
         place, _, generation = name.partition(".")
         new = f"{place}.{int(generation or 1) + 1}"
@@ -122,8 +122,8 @@
         self.free[name] = self.sidecar_free[name] = inf
         return new
 
-    def newcomer(self, tier: int, start: float) -> str:
-        """A machine that is added to a tier."""
+    def add_newcomer(self, tier: int, start: float) -> str:
+        """Add a machine to a tier, and return its name."""
         given = self.scenario.tiers[tier]
         name = f"{given.name}-{1 + sum('.' not in other for other in self.tiers[tier])}"
         kinds = range(len(given.kinds))
@@ -132,29 +132,31 @@
         self._add(tier, name, kind, self._normal(tier, name), start)
         return name
 
-    def restarted(self, name: str, start: float) -> None:
-        """It starts, or starts again, at an instant; inf: never."""
-        self.free[name] = start + _SETTLED if start else 0.0
+    def restart(self, name: str, start: float) -> None:
+        """Let a machine start, or start again, at an instant; infinite: never."""
+        self.free[name] = start + _SETTLE_SECONDS if start else 0.0
         self.sidecar_free[name] = start + self._start_up
 
-    def sidecar_restarted(self, name: str, start: float) -> None:
+    def restart_sidecar(self, name: str, start: float) -> None:
+        """Let a sidecar start, or start again, at an instant."""
         self.sidecar_free[name] = start + self._start_up
 
     def running(self, tier: int, at: float) -> list[str]:
+        """Return a tier's machines that run at an instant."""
         return [name for name in self.tiers[tier] if self.free[name] <= at]
 
     def sidecars_running(self, tier: int | None, at: float) -> list[str]:
-        """Those of the front, or a tier's nodes whose own run."""
+        """Return the front's sidecars that run at an instant, or a tier's machines whose own does."""
         names = [one.name for one in self.sidecars] if tier is None else self.running(tier, at)
         return [name for name in names if self.sidecar_free[name] <= at]
 
     def side_host(self, name: str) -> str:
-        """Of a sidecar, by its name: of the front, or a machine's own."""
+        """Return the host of a sidecar, by its name: of the front, or a machine's own."""
         node = self.nodes.get(name)
         return self._front_hosts[name] if node is None else node.side_host
 
     def hosts(self, name: str) -> tuple[str, ...]:
-        """Of a machine, with that of its own sidecar where it has one; of a sidecar of the front."""
+        """Return the hosts of a machine and its own sidecar, if it has one, or of a sidecar of the front."""
         node = self.nodes.get(name)
         if node is None:
             return (self._front_hosts[name],)
--- a/wheatring/lab/scenario/load.py
+++ b/wheatring/lab/scenario/load.py
@@ -17,13 +17,13 @@
 
 import msgspec
 
-from wheatring.lab.scenario import sound, told
+from wheatring.lab.scenario import checks, fault_messages
 from wheatring.lab.scenario.schema import Scenario
 
 _LIBRARY = resources.files("wheatring.lab.scenario") / "library"
 
 # Keys that say the same thing in different ways: one that is laid over the other takes its place.
-_INSTEAD: Mapping[str, tuple[tuple[str, ...], ...]] = {
+_ALTERNATIVES: Mapping[str, tuple[tuple[str, ...], ...]] = {
     "tier": (("nodes", "times"),),
     "traffic": (("rate", "load"), ("shape", "points")),
     "discovery": (("lines_per_s", "capacity"),),
@@ -35,12 +35,12 @@
 class ScenarioError(ValueError):
     """A scenario that can't be used. The text has a line for each fault."""
 
-    def __init__(self, where: str, faults: Iterable[told.Fault]) -> None:
+    def __init__(self, where: str, faults: Iterable[fault_messages.Fault]) -> None:
         self.faults = tuple(faults)
         super().__init__("\n".join(f"{where}: {fault}" for fault in self.faults))
 
 
-class Found(NamedTuple):
+class LoadedScenario(NamedTuple):
     """A scenario that is sound, by its name, and the file's name for messages."""
 
     name: str
@@ -49,12 +49,12 @@
 
 
 def names() -> list[str]:
-    """The scenarios of the library."""
+    """Return the names of the scenarios of the library."""
     return _named(_LIBRARY)
 
 
 def fleet_names() -> list[str]:
-    """Those of hundreds of processes, for `lab fleet`."""
+    """Return the names of those of hundreds of processes, for `lab fleet`."""
     return _named(_LIBRARY / "fleet")
 
 
@@ -63,80 +63,88 @@
 
 
 def _content(name: str) -> str | None:
-    """The text of a scenario of the library; None: there is none of that name."""
+    """Return the text of a scenario of the library; None: there is none of that name."""
     for folder, there in ((_LIBRARY, names()), (_LIBRARY / "fleet", fleet_names())):
         if name in there:
             return (folder / f"{name}.toml").read_text(encoding="utf-8")
     return None
 
 
-def load(where: str | Path) -> Found:
-    """A scenario of the library by name, or one of a file: what has a suffix or a folder is a file."""
-    return checked(*tables(where))
+def load(where: str | Path) -> LoadedScenario:
+    """Load a scenario of the library by name, or one of a file: what has a suffix or a folder is a file.
 
+    Raises ScenarioError.
+    """
+    return check_tables(*load_tables(where))
 
-def tables(where: str | Path) -> tuple[Raw, str, str]:
-    """Its tables, those of what it extends beneath, its name, and what messages call it. Not checked yet."""
+
+def load_tables(where: str | Path) -> tuple[Raw, str, str]:
+    """Return its tables, laid over those of what it extends, its name, and what messages call it.
+
+    They are not checked yet. Raises ScenarioError.
+    """
     text = str(where)
     if isinstance(where, str) and re.fullmatch(r"[A-Za-z0-9_-]+", text):
         content = _content(text)
         if content is None:
-            raise ScenarioError(text, [told.Fault("", "no scenario of the library, and no file")])
+            raise ScenarioError(text, [fault_messages.Fault("", "no scenario of the library, and no file")])
         return _tables_of(content, text, f"{text}.toml")
     try:
         content = Path(where).read_text(encoding="utf-8")
-    except OSError as bad:
-        raise ScenarioError(text, [told.Fault("", f"can't be read: {bad.strerror}")]) from None
+    except OSError as error:
+        raise ScenarioError(text, [fault_messages.Fault("", f"can't be read: {error.strerror}")]) from None
     except UnicodeDecodeError:
-        raise ScenarioError(text, [told.Fault("", "not UTF-8")]) from None
+        raise ScenarioError(text, [fault_messages.Fault("", "not UTF-8")]) from None
     return _tables_of(content, Path(where).stem, text)
 
 
-def parse(text: str, name: str, where: str) -> Found:
-    """The scenario that a text tells. `where` is what messages call it."""
-    return checked(*_tables_of(text, name, where))
+def parse(text: str, name: str, where: str) -> LoadedScenario:
+    """Return the scenario that a text describes. `where` is what messages call it. Raises ScenarioError."""
+    return check_tables(*_tables_of(text, name, where))
 
 
 def _tables_of(text: str, name: str, where: str) -> tuple[Raw, str, str]:
     try:
-        return _whole(text, where), name, where
-    except tomllib.TOMLDecodeError as bad:
-        raise ScenarioError(where, [told.Fault("", f"not TOML: {bad}")]) from None
+        return _extended(text, where), name, where
+    except tomllib.TOMLDecodeError as error:
+        raise ScenarioError(where, [fault_messages.Fault("", f"not TOML: {error}")]) from None
 
 
-def checked(raw: Raw, name: str, where: str) -> Found:
-    """The scenario that tables tell."""
+def check_tables(raw: Raw, name: str, where: str) -> LoadedScenario:
+    """Return the scenario that tables describe. Raises ScenarioError."""
     try:
         found = msgspec.convert(raw, Scenario)
-    except msgspec.ValidationError as bad:
-        raise ScenarioError(where, [told.fault(str(bad), raw)]) from None
-    faults = sound.faults(found)
+    except msgspec.ValidationError as error:
+        raise ScenarioError(where, [fault_messages.fault_from(str(error), raw)]) from None
+    faults = checks.find_faults(found)
     if faults:
         raise ScenarioError(where, faults)
-    return Found(name, where, found)
+    return LoadedScenario(name, where, found)
 
 
-def _whole(text: str, where: str) -> Raw:
-    """A text's tables, laid over those of what it extends."""
+def _extended(text: str, where: str) -> Raw:
+    """Return a text's tables, laid over those of what it extends."""
     raw = tomllib.loads(text)
-    faults = [told.Fault(path, "must be finite", value) for path, value in _infinite(raw)]
+    faults = [fault_messages.Fault(path, "must be finite", value) for path, value in _infinite(raw)]
     if faults:
         raise ScenarioError(where, faults)
     base = raw.get("extends")
     if not isinstance(base, str):
         if raw.get("without"):
-            raise ScenarioError(where, [told.Fault("without", "there is no `extends`", raw["without"])])
+            raise ScenarioError(
+                where, [fault_messages.Fault("without", "there is no `extends`", raw["without"])]
+            )
         return raw
     content = _content(base)
     if content is None:
-        raise ScenarioError(where, [told.Fault("extends", "no scenario of the library", base)])
-    under = _whole(content, f"{base}.toml")
-    under.pop("without", None)
-    left_out = raw.get("without", [])
-    for path in left_out if isinstance(left_out, list) else []:
-        if not isinstance(path, str) or not _remove(under, path):
-            raise ScenarioError(where, [told.Fault("without", f"{base} has no such table", path)])
-    return _laid(under, raw, "")
+        raise ScenarioError(where, [fault_messages.Fault("extends", "no scenario of the library", base)])
+    base_tables = _extended(content, f"{base}.toml")
+    base_tables.pop("without", None)
+    removed = raw.get("without", [])
+    for path in removed if isinstance(removed, list) else []:
+        if not isinstance(path, str) or not _remove(base_tables, path):
+            raise ScenarioError(where, [fault_messages.Fault("without", f"{base} has no such table", path)])
+    return _merged(base_tables, raw, "")
 
 
 def _infinite(value: object, path: str = "") -> Iterator[tuple[str, object]]:
@@ -146,7 +154,7 @@
         for key, inner in value.items():
             yield from _infinite(inner, f"{path}.{key}" if path else key)
     elif isinstance(value, list):
-        labels = told.labels(value)
+        labels = fault_messages.labels(value)
         for label, inner in zip(labels, value, strict=True):
             yield from _infinite(inner, f"{path}.{label}" if isinstance(inner, dict) else path)
 
@@ -157,64 +165,67 @@
     if not name:
         return raw.pop(table, None) is not None
     entries = raw.get(table)
-    if not isinstance(entries, list) or name not in told.labels(entries):
+    if not isinstance(entries, list) or name not in fault_messages.labels(entries):
         return False
-    del entries[told.labels(entries).index(name)]
+    del entries[fault_messages.labels(entries).index(name)]
     return True
 
 
-def _laid(under: Raw, over: Raw, at: str) -> Raw:
-    laid = dict(under)
-    for keys in _INSTEAD.get(at, ()):
+def _merged(base: Raw, over: Raw, at: str) -> Raw:
+    merged = dict(base)
+    for keys in _ALTERNATIVES.get(at, ()):
         if any(key in over for key in keys):
             for key in keys:
-                laid.pop(key, None)
+                merged.pop(key, None)
     for key, value in over.items():
-        below = under.get(key)
-        if isinstance(value, dict) and isinstance(below, dict):
-            laid[key] = _laid(below, value, key)
-        elif _tables(value) and _tables(below):
-            laid[key] = _entries(under[key], value, key)
+        existing = base.get(key)
+        if isinstance(value, dict) and isinstance(existing, dict):
+            merged[key] = _merged(existing, value, key)
+        elif _tables(value) and _tables(existing):
+            merged[key] = _merged_entries(base[key], value, key)
         else:
-            laid[key] = value
-    return laid
+            merged[key] = value
+    return merged
+
 
+def with_override(raw: Raw, path: str, value: object) -> Raw:
+    """Return the tables with one key set, by its path as in messages.
 
-def overridden(raw: Raw, path: str, value: object) -> Raw:
-    """The tables with one key set, by its path as in messages; KeyError where it leads to no table."""
+    Raises KeyError where it leads to no table.
+    """
     return _set(raw, path.split("."), value, "")
 
 
 def _set(raw: Raw, steps: list[str], value: object, at: str) -> Raw:
     key, *rest = steps
     if not rest:
-        return _laid(raw, {key: value}, at)
-    below = raw.get(key, {})
-    if _tables(below) and len(rest) > 1:
-        labels = told.labels(below)
+        return _merged(raw, {key: value}, at)
+    existing = raw.get(key, {})
+    if _tables(existing) and len(rest) > 1:
+        labels = fault_messages.labels(existing)
         if rest[0] not in labels:
             raise KeyError(rest[0])
         place = labels.index(rest[0])
-        entry = _set(below[place], rest[1:], value, key)
-        return {**raw, key: [*below[:place], entry, *below[place + 1 :]]}
-    if not isinstance(below, dict):
+        entry = _set(existing[place], rest[1:], value, key)
+        return {**raw, key: [*existing[:place], entry, *existing[place + 1 :]]}
+    if not isinstance(existing, dict):
         raise KeyError(key)
-    return {**raw, key: _set(below, rest, value, key)}
+    return {**raw, key: _set(existing, rest, value, key)}
 
 
 def _tables(value: object) -> bool:
     return isinstance(value, list) and bool(value) and all(isinstance(entry, dict) for entry in value)
 
 
-def _entries(under: list[Raw], over: list[Raw], at: str) -> list[Raw]:
-    """Those of the same name are laid over each other; all others are added."""
-    laid = list(under)
-    places = {entry["name"]: place for place, entry in enumerate(under) if isinstance(entry.get("name"), str)}
+def _merged_entries(base: list[Raw], over: list[Raw], at: str) -> list[Raw]:
+    """Lay entries of the same name over each other, and add all others."""
+    merged = list(base)
+    places = {entry["name"]: place for place, entry in enumerate(base) if isinstance(entry.get("name"), str)}
     for entry in over:
         name = entry.get("name")
         place = places.pop(name, None) if isinstance(name, str) else None
         if place is None:
-            laid.append(entry)
+            merged.append(entry)
         else:
-            laid[place] = _laid(laid[place], entry, at)
-    return laid
+            merged[place] = _merged(merged[place], entry, at)
+    return merged
--- a/wheatring/lab/scenario/schema.py
+++ b/wheatring/lab/scenario/schema.py
@@ -2,7 +2,7 @@
 
 Times are seconds, sizes of work seconds on a standard core, shares parts of 1. A number may be a range
 `(low, high)`, drawn evenly; a word or a switch may be a choice among several. Where a key stands in the plan
-under the same name, the default is the plan's. How the parts must agree with each other: `sound.py`.
+under the same name, the default is the plan's. How the parts must agree with each other: `checks.py`.
 """
 
 from __future__ import annotations
@@ -68,10 +68,12 @@
 
 
 class Table(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What all tables of a scenario are."""
+    """The base of all tables of a scenario: read strictly, and not changed."""
 
 
 class Class(Table, frozen=True, kw_only=True):
+    """`[[class]]`: a class of requests."""
+
     name: Name
     share: Positive
     work: Positive
@@ -87,6 +89,8 @@
 
 
 class Kind(Table, frozen=True, kw_only=True):
+    """`[[tier.kind]]`: a kind of machine."""
+
     name: Name
     share: Positive = 1.0
     cores: Several = 2
@@ -105,6 +109,8 @@
 
 
 class Choke(Table, frozen=True, kw_only=True):
+    """`[tier.choke]`: machines that slow down under too much work."""
+
     share: Part = 1.0
     at: Positive
     over: Span
@@ -116,6 +122,8 @@
 
 
 class Tier(Table, frozen=True, kw_only=True):
+    """`[[tier]]`: a tier of machines that serve together."""
+
     name: Name
     nodes: Several | None = None
     times: Positive | None = None
@@ -133,6 +141,8 @@
 
 
 class Front(Table, frozen=True, kw_only=True):
+    """`[front]`: the sidecars that clients call."""
+
     sidecars: Several = 1
     starts: Instant = 0.0
     notice: Instant = 2.0
@@ -141,6 +151,8 @@
 
 
 class Net(Table, frozen=True, kw_only=True):
+    """`[net]`: the network."""
+
     same: Instant = 0.0002
     cross: Instant = 0.001
     client: Instant = 0.0007
@@ -151,6 +163,8 @@
 
 
 class Traffic(Table, frozen=True, kw_only=True):
+    """`[traffic]`: how many requests come, and when."""
+
     rate: Positive | None = None
     load: Positive | None = None
     shape: Shape = "steady"
@@ -162,6 +176,8 @@
 
 
 class Clients(Table, frozen=True, kw_only=True):
+    """`[clients]`: what clients do with what they are answered."""
+
     retries: Count = 0
     try_share: Some = 1.0
     backoff: Backoff = "none"
@@ -174,6 +190,8 @@
 
 
 class Discovery(Table, frozen=True, kw_only=True):
+    """`[discovery]`: the service that lists machines."""
+
     must_ask: Switch = True
     notice: Instant = 1.0
     silent_notice: Instant = 8.0
@@ -188,6 +206,8 @@
 
 
 class Rules(Table, frozen=True, kw_only=True):
+    """`[rules]`: the platform's contract with sidecars."""
+
     grace: Instant = 0.02
     drain_grace: Instant = 2.5
     ask_within: Span = 10.0
@@ -199,6 +219,8 @@
 
 
 class Limits(Table, frozen=True, kw_only=True):
+    """`[limits]`: the bounds of one sidecar."""
+
     max_attempts: Several = 5
     max_retry_after: Instant = 2.0
     retry_after: Switch = True
@@ -210,6 +232,8 @@
 
 
 class Goal(Table, frozen=True, kw_only=True):
+    """`[goal]`: how the figure of a run is made."""
+
     whole: Part = 0.6
     worst_window: Part = 0.2
     worst_class: Part = 0.2
@@ -218,6 +242,8 @@
 
 
 class Check(Table, frozen=True, kw_only=True):
+    """`[check]`: what a live run is held to."""
+
     held_half: _Factor | None = None
     held_most: _Factor | None = None
     held_all: _Factor | None = None
@@ -228,7 +254,10 @@
 
 
 class Event(Table, frozen=True, kw_only=True):
-    """What is None was not said; `events.py` tells which keys go with which kind."""
+    """`[[event]]`: a fault or a change; `event_forms` tells which keys go with which kind.
+
+    What is None was not given.
+    """
 
     kind: EventKind
     name: Name | None = None
@@ -255,6 +284,8 @@
 
 
 class Scenario(Table, frozen=True, kw_only=True):
+    """All tables of a scenario."""
+
     title: Text
     what: Text
     extends: Name | None = None
--- a/wheatring/lab/study/asked.py
+++ b/wheatring/lab/study/asked.py
@@ -7,8 +7,15 @@
 import msgspec
 
 from wheatring.lab.scenario.draw import draw
-from wheatring.lab.scenario.load import Found, Raw, ScenarioError, checked, overridden, tables
-from wheatring.lab.scenario.told import Fault
+from wheatring.lab.scenario.fault_messages import Fault
+from wheatring.lab.scenario.load import (
+    LoadedScenario,
+    Raw,
+    ScenarioError,
+    check_tables,
+    load_tables,
+    with_override,
+)
 from wheatring.lab.study.jobs import Build, Job, hashed
 from wheatring.lab.study.settings import Settings, value_of
 
@@ -20,30 +27,30 @@
 
     Raises ScenarioError where it or a setting can't be used; the first seed is drawn to tell.
     """
-    raw, name, where = tables(scenario)
+    raw, name, where = load_tables(scenario)
     text_hash = hashed(_text(raw))
     raw = _with_settings(raw, where, settings)
     for seed in seeds[:1]:
-        draw(checked(raw, name, where), seed)
+        draw(check_tables(raw, name, where), seed)
     source = _text(raw)
     return [
         Job(scenario, text_hash, source, seed, grain, settings, build) for seed in seeds for grain in grains
     ]
 
 
-def load_scenario(scenario: str, settings: Settings) -> Found:
+def load_scenario(scenario: str, settings: Settings) -> LoadedScenario:
     """Return a scenario by its name or its file, with settings laid over it.
 
     Raises ScenarioError if it can't be used.
     """
-    raw, name, where = tables(scenario)
-    return checked(_with_settings(raw, where, settings), name, where)
+    raw, name, where = load_tables(scenario)
+    return check_tables(_with_settings(raw, where, settings), name, where)
 
 
 def _with_settings(raw: Raw, where: str, settings: Settings) -> Raw:
     for key, value in settings.sets:
         try:
-            raw = overridden(raw, key, value_of(value))
+            raw = with_override(raw, key, value_of(value))
         except KeyError as error:
             raise ScenarioError(where, [Fault(f"--set {key}", f"there is no {error.args[0]}")]) from None
     return raw
@@ -53,7 +60,7 @@
     return msgspec.json.encode(raw, order="sorted").decode()
 
 
-def scenario_of(job: Job) -> Found:
+def scenario_of(job: Job) -> LoadedScenario:
     """Return the scenario of a run."""
     raw: Raw = msgspec.json.decode(job.source)
-    return checked(raw, Path(job.scenario).stem, job.scenario)
+    return check_tables(raw, Path(job.scenario).stem, job.scenario)
