--- a/wheatring/lab/live/links/datagrams.py
+++ b/wheatring/lab/live/links/datagrams.py
@@ -1,7 +1,8 @@
-"""Datagrams between parties: each has one door, by which all others reach it.
+"""Datagrams between parties: each has one port at the relay, by which all others reach it.
 
-Who sends is known by where its datagrams come from, so each party's own address is told, and told anew when
-it has started again. What a door takes leaves from the sender's door: the address that others know.
+Who sends is known by where its datagrams come from, so each party's own address is announced to the relay,
+and again when it has restarted. What a port receives leaves from the sender's port: the address that others
+know.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class Switch:
-    """All doors of one relay, and what each link does."""
+    """All ports of one relay, and the state of each link between them."""
 
     def __init__(self, reactor: Any, random: Random) -> None:
         self.reactor = reactor
@@ -30,24 +31,27 @@
         self.taken = self.passed = 0
 
     def open(self, party: str, host: str) -> int:
-        """Its door's port, which takes connections too."""
+        """Open a party's port, for datagrams and connections; return its number."""
         door = self.doors[party] = DatagramDoor(self, party, host)
         StreamDoor(self, party, host, door.port)
         return door.port
 
     def lead(self, party: str, target: Address) -> None:
+        """Let a party's port lead to the party's own address."""
         door = self.doors[party]
         self.at.pop(door.target, None)
         door.target = target
         self.at[target] = door
 
     def set(self, one: str, other: str, state: State) -> None:
+        """Put the link from one party to another in a state."""
         if state == PLAIN:
             self.states.pop((one, other), None)
         else:
             self.states[one, other] = state
 
     def came(self, door: DatagramDoor, data: bytes, source: Address) -> None:
+        """Pass a datagram on as its link's state says: not at all, once or twice, now or later."""
         self.taken += 1
         sender = self.at.get(source)
         if sender is None:
@@ -60,12 +64,15 @@
                 self.leave(sender, door, data)
 
     def leave(self, sender: DatagramDoor, door: DatagramDoor, data: bytes) -> None:
+        """Send a datagram on to its receiver, from the sender's port."""
         if door.target[1] and sender.transport is not None:
             self.passed += 1
             sender.transport.write(data, door.target)
 
 
 class DatagramDoor(DatagramProtocol):
+    """One party's port for datagrams."""
+
     transport: Any
 
     def __init__(self, switch: Switch, party: str, host: str) -> None:
@@ -76,5 +83,6 @@
         self.listening = switch.reactor.listenUDP(0, self, interface=host)
         self.port: int = self.listening.getHost().port
 
-    def datagramReceived(self, data: bytes, addr: Address) -> None:
+    def datagramReceived(self, data: bytes, addr: Address) -> None:  # noqa: N802 - Twisted's name
+        """Hand a datagram to the switch."""
         self.switch.came(self, data, addr)
--- a/wheatring/lab/live/links/faults.py
+++ b/wheatring/lab/live/links/faults.py
@@ -1,4 +1,4 @@
-"""What befalls nodes and links: the run's ground for events."""
+"""Carries out the faults of nodes and links."""
 
 from __future__ import annotations
 
@@ -20,17 +20,19 @@
         self.hosts = {node.name: node.host for node in plan.nodes}
 
     def begin(self, event: EventPlan) -> None:
+        """Begin a fault."""
         self.nodes.begin(event)
         if self.wires is not None:
             self.wires.begin(self.linked(event))
 
     def end(self, event: EventPlan) -> None:
+        """End a fault."""
         self.nodes.end(event)
         if self.wires is not None:
             self.wires.over(self.linked(event))
 
     def linked(self, event: EventPlan) -> EventPlan:
-        """Links know hosts only."""
+        """Return the event with hosts in place of nodes, as links know hosts only."""
         if event.kind not in LATE:
             return event
         return structs.replace(event, hosts=tuple(self.hosts[name] for name in event.nodes))
--- a/wheatring/lab/live/links/pipe.py
+++ b/wheatring/lab/live/links/pipe.py
@@ -1,4 +1,4 @@
-"""A link that carries connections: a door, and two connections for each that comes."""
+"""A link that carries connections: a port, and for each connection that comes another one to its target."""
 
 from __future__ import annotations
 
@@ -37,12 +37,14 @@
         self.read_over = self.write_over = False  # nothing more comes from there, or goes there
         self.up = False
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Tell the pipe that this end is up."""
         self.up = True
         self.transport.setTcpNoDelay(True)
         self.pipe.came_up(self)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Pass bytes on, at once or as the link's state says."""
         pipe = self.pipe
         state = pipe.door.state
         if state is PLAIN and not self.lane.queue and pipe.whole:
@@ -55,7 +57,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Pass on what has arrived at the other end by now, and see to the rest when it does."""
+        """Pass on what has arrived at the other end by now, and the rest when it does."""
         pipe = self.pipe
         if not pipe.whole or pipe.over or not pipe.door.state.passes(self.near):
             return
@@ -80,25 +82,29 @@
             wait = max(0.0, due - time.monotonic())
             self.timer = pipe.door.reactor.callLater(wait, self.flush)
 
-    def readConnectionLost(self) -> None:
+    def readConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
+        """Pass on that nothing more comes from here."""
         self.read_over = True
         self.flush()
 
-    def writeConnectionLost(self) -> None:
+    def writeConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
+        """Do nothing: what comes the other way goes on."""
         pass
 
     def settle(self) -> None:
+        """Close once both directions are over."""
         if self.read_over and self.write_over and not self.gone:
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - Twisted's name
+        """Pass on that this end has ended, and how."""
         self.gone = True
         self.reset = not isinstance(reason.value, ConnectionDone)
         self.pipe.lost(self)
 
 
 class Pipe:
-    """A connection that came to a door, and the one that was made for it."""
+    """A connection that came to a port, and the one that was made for it."""
 
     def __init__(self, door: Door) -> None:
         self.door = door
@@ -108,9 +114,11 @@
         self.over = False
 
     def other(self, end: End) -> End:
+        """Return the other end."""
         return self.far if end.near else self.near
 
     def came_up(self, end: End) -> None:
+        """Connect to the target for the near end; join both once the far end is up."""
         door = self.door
         door.pipes[self] = None
         if end.near:
@@ -128,10 +136,12 @@
         self.near.flush()
 
     def unreachable(self) -> None:
+        """Reset the near end, as the target can't be reached."""
         self.over = True
         self.near.transport.abortConnection()
 
     def lost(self, end: End) -> None:
+        """Take note that an end is gone."""
         if self.over or not self.whole:
             if self.near.gone and (self.over or not self.far.up):
                 self.door.pipes.pop(self, None)
@@ -139,7 +149,7 @@
         end.flush()
 
     def end(self, end: End, reset: bool) -> None:
-        """The news that one end is gone has arrived at the other."""
+        """End this end, as the news that the other one is gone has arrived."""
         self.over = True
         self.door.pipes.pop(self, None)
         if not end.gone:
@@ -150,7 +160,7 @@
                 end.transport.loseConnection()
 
     def cut_off(self) -> None:
-        """Reset both."""
+        """Reset both ends."""
         self.over = True
         self.door.pipes.pop(self, None)
         for end in (self.near, self.far):
@@ -164,16 +174,17 @@
     def __init__(self, pipe: Pipe) -> None:
         self.pipe = pipe
 
-    def buildProtocol(self, addr: object) -> End:
+    def buildProtocol(self, addr: object) -> End:  # noqa: N802, ARG002 - Twisted's name
         return self.pipe.far
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802, ARG002 - Twisted's name
         self.pipe.unreachable()
 
 
 def _bound(host: str) -> socket.socket:
-    """A socket on a port of the kernel's choice, which it keeps: the kernel takes back one that was not asked
-    for by its number once the socket no longer listens.
+    """Bind a socket to a port of the kernel's choice, by its number.
+
+    The kernel takes back a port that wasn't asked for by number once the socket no longer listens.
     """
     with socket.socket() as first:
         first.bind((host, 0))
@@ -191,9 +202,11 @@
 
 @implementer(IReadDescriptor)
 class Door(ServerFactory):
-    """Where a link's connections come in. Its port is the kernel's choice, and bound all the time, so that
-    nobody else gets it while the door is closed. It listens and accepts itself: what the reactor's own ports
-    offer takes a turn to end, and can't leave connects hanging.
+    """Where a link's connections come in.
+
+    Its port is the kernel's choice, and bound all the time, so that nobody else gets it while the door is
+    closed. It listens and accepts itself: what the reactor's own ports offer takes a turn to end, and can't
+    leave connects hanging.
     """
 
     noisy = False
@@ -212,15 +225,18 @@
         self.fillers: list[socket.socket] = []
         self.own: set[tuple[str, int]] = set()  # addresses of these
 
-    def buildProtocol(self, addr: Any) -> End:
+    def buildProtocol(self, addr: Any) -> End:  # noqa: N802, ARG002 - Twisted's name
+        """Make the near end of a pipe."""
         return Pipe(self).near
 
     # What the reactor asks of it
 
     def fileno(self) -> int:
+        """Return its descriptor, for the reactor."""
         return self.bound.fileno()
 
-    def doRead(self) -> None:
+    def doRead(self) -> None:  # noqa: N802 - Twisted's name
+        """Accept connections."""
         for _ in range(AT_ONCE):
             try:
                 came, address = self.bound.accept()
@@ -233,15 +249,17 @@
                     came.setblocking(False)
                     self.reactor.adoptStreamConnection(came.fileno(), socket.AF_INET, self)
 
-    def connectionLost(self, reason: Failure) -> None:
-        """The reactor ends."""
+    def connectionLost(self, reason: Failure) -> None:  # noqa: N802 - Twisted's name
+        """Do nothing: the reactor ends."""
 
-    def logPrefix(self) -> str:
+    def logPrefix(self) -> str:  # noqa: N802 - Twisted's name
+        """Return its name in the reactor's log."""
         return "door"
 
     # Its state
 
     def open(self) -> None:
+        """Take connects."""
         if not self.is_open:
             self.is_open = True
             self._turn()
@@ -256,6 +274,7 @@
             self.bound.shutdown(socket.SHUT_RDWR)  # it listens no more, and stays bound
 
     def set(self, state: State) -> None:
+        """Put the link in a state."""
         before, self.state = self.state, PLAIN if state == PLAIN else state
         if self.is_open and before.connects != state.connects:
             self._turn()
@@ -264,8 +283,10 @@
             pipe.far.flush()
 
     def _turn(self) -> None:
-        """Let in who comes, or leave them hanging: with its queue full of connections that nobody accepts the
-        kernel drops what further ones send, and who connects hears nothing, as from a machine cut off.
+        """Accept connects, or leave them hanging.
+
+        With its queue full of connections that nobody accepts the kernel drops what further ones send, and
+        who connects hears nothing, as from a machine cut off.
         """
         if self.state.connects:
             self.bound.listen(BACKLOG)
@@ -287,5 +308,6 @@
         self.fillers.clear()
 
     def reset(self) -> None:
+        """Reset all connections."""
         for pipe in list(self.pipes):
             pipe.cut_off()
--- a/wheatring/lab/live/links/relay.py
+++ b/wheatring/lab/live/links/relay.py
@@ -1,4 +1,4 @@
-"""A relay's process: carries links, and does with them what it is told.
+"""A relay's process: carries links, and puts them in the states that it is ordered to.
 
     python -m wheatring.lab.live.links.relay SEED
 
@@ -23,9 +23,11 @@
 
 
 class Order(Struct, forbid_unknown_fields=True):
-    """reserve: `doors` are links and the hosts of their doors; answered with the port of each. datagrams: the
+    """One order.
+
+    reserve: `doors` are links and the hosts of their ports; answered with the number of each. datagrams: the
     same, of parties. open: `targets` are links, or parties, and where they lead. close: refuse connects. set,
-    set-datagrams: what they do from now on. reset: what is open.
+    set-datagrams: the state from now on. reset: what is open.
     """
 
     do: Literal["reserve", "datagrams", "open", "close", "set", "set-datagrams", "reset", "stats"]
@@ -36,12 +38,16 @@
 
 
 class Stats(Struct):
+    """What a relay has carried, and the CPU time for it."""
+
     cpu_s: float
     open: int  # pipes
     taken: int  # connections and datagrams so far
 
 
 class Relay:
+    """The links that one process carries."""
+
     def __init__(self, reactor: Any, seed: str) -> None:
         self.reactor = reactor
         self.seed = seed
@@ -49,7 +55,7 @@
         self.datagrams = Switch(reactor, Random(f"{seed}:datagrams"))
 
     def obey(self, order: Order) -> bytes | None:
-        """Carry out one order; the answer, where it has one."""
+        """Carry out one order; return the answer, where it has one."""
         match order.do:
             case "reserve":
                 return self.reserve(order.doors)
@@ -84,12 +90,14 @@
         return None
 
     def reserve(self, doors: dict[str, str]) -> bytes:
+        """Reserve ports; return their numbers as JSON."""
         for link, host in doors.items():
             self.doors[link] = Door(self.reactor, host, Random(f"{self.seed}:{link}"))
         return msgspec.json.encode({link: self.doors[link].port for link in doors})
 
 
 def main() -> int:
+    """Obey orders on standard input."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
--- a/wheatring/lab/live/links/state.py
+++ b/wheatring/lab/live/links/state.py
@@ -1,4 +1,4 @@
-"""What a link does at present, and when what it was given goes on. No I/O: instants (s) are handed in."""
+"""The state of a link, and when what was sent on it arrives. No I/O: instants (s) are handed in."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class State(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """`there` is from who connects to the other end, `back` the way from there."""
+    """What a link does; `there` is from who connects to the other end, `back` the way from there."""
 
     there: bool = True  # what goes that way arrives; else it is held, as TCP would send it again later
     back: bool = True
@@ -25,6 +25,7 @@
     late: float = 0.02  # seconds by which an overtaken one is late
 
     def passes(self, there: bool) -> bool:
+        """Whether anything passes, there or back."""
         return self.there if there else self.back
 
 
@@ -43,6 +44,7 @@
         self.due = 0.0  # of the last piece
 
     def put(self, now: float, data: bytes, state: State) -> None:
+        """Send bytes on their way."""
         due = now + state.delay + (state.jitter * self.random.random() if state.jitter else 0.0)
         start = max(self.due, due)
         self.due = start + (len(data) / state.rate if state.rate else 0.0)
@@ -50,7 +52,7 @@
         self.held += len(data)
 
     def take(self, now: float) -> bytes:
-        """All that has arrived by now."""
+        """Return all that has arrived by now."""
         parts = []
         while self.queue and self.queue[0][0] <= now:
             parts.append(self.queue.popleft()[1])
@@ -60,12 +62,12 @@
 
     @property
     def next(self) -> float | None:
-        """When the next piece arrives; None: there is none."""
+        """When the next bytes arrive; None: there are none."""
         return self.queue[0][0] if self.queue else None
 
 
 def datagram(now: float, state: State, there: bool, random: Random) -> list[float]:
-    """The instants at which a datagram that is sent now arrives: none, one or two of them."""
+    """Return the instants at which a datagram that is sent now arrives: none, one or two of them."""
     if not state.passes(there) or random.random() < state.drop:
         return []
     due = now + state.delay + state.jitter * random.random()
--- a/wheatring/lab/live/links/streams.py
+++ b/wheatring/lab/live/links/streams.py
@@ -1,4 +1,4 @@
-"""Connections between the parties that datagrams go between: to the same doors, and by the same links.
+"""Connections between the parties that datagrams go between: to the same ports, and by the same links.
 
 Who connects is known by its host. What a link loses or cuts holds a connection's bytes back, as TCP would
 send them again later; what it delays comes late.
@@ -30,7 +30,7 @@
         self.ended = False
         self.timer: Any = None
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         self.lane.put(time.monotonic(), data, self.door.switch.states.get(self.way, PLAIN))
         self.flush()
 
@@ -47,7 +47,7 @@
         if (self.lane.next is not None or self.ended) and (self.timer is None or not self.timer.active()):
             self.timer = switch.reactor.callLater(LOOK if not there else 0.002, self.flush)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name
         self.ended = True
         if self.other is not None and self.other.ended:
             if self.timer is not None and self.timer.active():
@@ -57,7 +57,7 @@
 
 
 class _Made(_End):
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         if self.other is not None:
             self.other.flush()
 
@@ -68,19 +68,19 @@
     def __init__(self, near: _End) -> None:
         self.near = near
 
-    def buildProtocol(self, addr: object) -> Protocol:
+    def buildProtocol(self, addr: object) -> Protocol:  # noqa: N802, ARG002 - Twisted's name
         door, (one, other) = self.near.door, self.near.way
         far = _Made(door, (other, one))
         far.other, self.near.other = self.near, far
         return far
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802, ARG002 - Twisted's name
         if self.near.transport is not None:
             self.near.transport.abortConnection()
 
 
 class StreamDoor(ServerFactory):
-    """Beside a party's door for datagrams. `switch` is that of the datagrams: its links are these too."""
+    """Accepts connections beside a party's port for datagrams; `switch` is that of the datagrams."""
 
     noisy = False
 
@@ -89,7 +89,8 @@
         self.party = party
         switch.reactor.listenTCP(port, self, interface=host)
 
-    def buildProtocol(self, addr: Any) -> Protocol | None:
+    def buildProtocol(self, addr: Any) -> Protocol | None:  # noqa: N802 - Twisted's name
+        """Accept a connection of a known party, and connect to this one."""
         target = self.switch.doors[self.party].target
         sender = next((d.party for d in self.switch.doors.values() if d.host == addr.host), None)
         if sender is None or not target[1]:
--- a/wheatring/lab/live/links/wires.py
+++ b/wheatring/lab/live/links/wires.py
@@ -1,4 +1,4 @@
-"""The run's side of the links: which there are, what befalls them, and the relays that carry them."""
+"""The run's side of the links: which there are, their faults, and the relays that carry them."""
 
 from __future__ import annotations
 
@@ -21,8 +21,10 @@
 
 
 class Wires:
-    """Links by name, `FROM>TO`. `hosts` gives the address of each party: who connects has its doors there,
-    and events name them by it. Which relay carries a link goes by who connects.
+    """Links by name, `FROM>TO`.
+
+    `hosts` gives the address of each party: who connects has its ports there, and events name them by it.
+    Which relay carries a link depends on who connects.
     """
 
     def __init__(self, seed: int, hosts: Mapping[str, str], net: NetPlan, relays: int) -> None:
@@ -44,8 +46,12 @@
     # Links
 
     def reserve(self, links: Iterable[str]) -> None:
-        """Make doors, which refuse connects until they lead somewhere. Waits for the relays; ProcessError
-        where one does not answer.
+        """Reserve ports, which refuse connects until they lead somewhere.
+
+        Raises
+        ------
+        ProcessError
+            A relay doesn't answer.
         """
         self._reserve(links, "reserve")
 
@@ -65,48 +71,52 @@
     # Datagrams: one door for each party, all at the first relay
 
     def reserve_datagrams(self, parties: Iterable[str]) -> None:
-        """Doors by which these parties are reached. Where each is itself is told by `lead`, by its name, and
-        anew when that has changed.
+        """Reserve ports by which these parties are reached.
+
+        Where each is itself is announced by `lead`, by its name, and again when that has changed.
         """
         assert len(self.relays) == 1
         self._reserve(parties, "datagrams")
 
     def datagrams(self, froms: Iterable[str], tos: Iterable[str], state: State) -> None:
-        """What datagrams from these to those meet from now on, one way."""
+        """Put the links for datagrams from these to those in a state, one way."""
         links = [f"{one}>{other}" for one in froms for other in tos if one != other]
         for start in range(0, len(links), AT_ONCE):
             order = Order("set-datagrams", links=links[start : start + AT_ONCE], state=state)
             self._tell(self.relays[0], order)
 
     def address(self, link: str) -> tuple[str, int]:
-        """Where who connects finds the other end."""
+        """Return where who connects finds the other end."""
         return self.hosts[link.partition(">")[0]], self.ports[link]
 
     def lead(self, targets: Mapping[str, tuple[str, int]]) -> None:
-        """From now on these links lead there, and take connects."""
+        """Let these links lead to targets, and take connects."""
         for relay, part in self._parts(targets):
             self._tell(relay, Order("open", targets={link: targets[link] for link in part}))
 
     def close(self, links: Iterable[str]) -> None:
-        """They refuse connects; what is open goes on."""
+        """Let links refuse connects; what is open goes on."""
         for relay, part in self._parts(links):
             self._tell(relay, Order("close", links=part))
 
     def stats(self) -> list[Stats]:
+        """Return what each relay has carried; all orders before are carried out then."""
         return [self._ask(relay, Order("stats"), Stats) for relay in self.relays]
 
     def end(self) -> None:
+        """End the relays."""
         for relay in self.relays:
             relay.end()
 
     # Faults
 
     def begin(self, event: EventPlan) -> None:
+        """Begin a fault."""
         self.on.append(event)
         self._apply(event)
 
     def over(self, event: EventPlan, reset: bool = False) -> None:
-        """It ends; `reset`: what was open is reset, as by a machine that knows of it no more."""
+        """End a fault; `reset`: what was open is reset, as by a machine that knows of it no more."""
         self.on.remove(event)
         touched = self._apply(event)
         if reset:
@@ -114,7 +124,7 @@
                 self._tell(relay, Order("reset", links=part))
 
     def _apply(self, event: EventPlan) -> list[str]:
-        """Tell the relays of the links that it touches, whose names are given back."""
+        """Order the states of the links that an event concerns; return their names."""
         touched = []
         changed: dict[State, list[str]] = {}
         for link in self.of:
@@ -133,7 +143,7 @@
         return touched
 
     def _struck(self, event: EventPlan, link: str, state: State) -> State:
-        """What an event makes of a link that is in some state."""
+        """Return what an event makes of a link that is in some state."""
         one, other = (self.hosts[name] for name in link.split(">"))
         cut = partial(structs.replace, state, connects=False)
         match event.kind:
