--- a/tests/budgets/test_token_budgets.py
+++ b/tests/budgets/test_token_budgets.py
@@ -12,14 +12,14 @@
 from wheatring.transport.messages_pb2 import Envelope, Placement, StorageMember, StorageReply
 
 
-class OneReplica:
+class SingleReplicaClients:
     """Stands in for the table of clients: every address is the same replica."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self.replies: list[StorageReply] = []
 
-    def client_for(self, address: str) -> OneReplica:
+    def client_for(self, address: str) -> SingleReplicaClients:
         return self
 
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
@@ -36,7 +36,7 @@
         replica.open()
         member = StorageMember(replica_id=replica.identity, node="s1", address="s1")
         placement = Placement(epoch=1, current=[member])
-        clients = OneReplica(replica)
+        clients = SingleReplicaClients(replica)
         store = QuorumClient(clients, 0, "z", lambda: placement, lambda newer: None)  # type: ignore[arg-type]
         budgets = TokenBudgets(store)
         await budgets.reserve("program", "t1", 60, 100, 1.0)
--- a/tests/durable/test_record_file.py
+++ b/tests/durable/test_record_file.py
@@ -81,7 +81,7 @@
 
 @given(flip=st.integers(0, 10_000))
 @settings(max_examples=60, deadline=None)
-def test_damage_in_the_middle_is_told_and_never_served(tmp_path_factory: Any, flip: int) -> None:
+def test_damage_in_the_middle_is_reported_and_never_served(tmp_path_factory: Any, flip: int) -> None:
     path = tmp_path_factory.mktemp("damage") / "records"
     file, _ = opened(path)
     file.append([b"first" * 10])
--- a/tests/sidecar/test_prefix_placement.py
+++ b/tests/sidecar/test_prefix_placement.py
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("text", UNUSABLE)
-def test_a_policy_file_that_cannot_be_used_is_one_line(tmp_path: Path, text: str) -> None:
+def test_an_unusable_policy_file_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     file = tmp_path / "policy.toml"
     file.write_text(text)
     with pytest.raises(PolicyError) as error:
@@ -178,7 +178,7 @@
     assert str(file) in str(error.value) and "\n" not in str(error.value)
 
 
-def test_zones_are_known_though_the_first_list_holds_one_only() -> None:
+def test_zones_are_taken_from_each_endpoint_list() -> None:
     async def play() -> TierBalancer:
         decisions = ServiceBalancer("a", 1, DEFAULT_POLICY)
         listed = [
--- a/tests/sidecar/test_request_service.py
+++ b/tests/sidecar/test_request_service.py
@@ -31,11 +31,11 @@
 def play(folder: Path, scripts: dict[str, list[str]], work: Play) -> SidecarWorld:
     world = SidecarWorld(folder, ROUTES, scripts)
 
-    async def whole() -> None:
+    async def run_scenario() -> None:
         await world.begin()
         await work(world)
 
-    world.run(whole)
+    world.run(run_scenario)
     return world
 
 
@@ -117,7 +117,7 @@
     play(tmp_path, {"b1": ["full"]}, work)
 
 
-def test_the_endpoint_is_told_the_time_left(tmp_path: Path) -> None:
+def test_an_endpoint_gets_the_remaining_time_as_its_deadline(tmp_path: Path) -> None:
     async def work(world: SidecarWorld) -> None:
         await world.request("/safe/x", Wheatring_Deadline_Ms="900")
         await world.request("/safe/x", Wheatring_Deadline_Ms="90000")
@@ -128,7 +128,7 @@
     play(tmp_path, {"b1": ["ok"]}, work)
 
 
-def test_a_stream_is_passed_on_whole(tmp_path: Path) -> None:
+def test_a_stream_is_forwarded_completely(tmp_path: Path) -> None:
     async def work(world: SidecarWorld) -> None:
         got = await world.request("/stream/x", ident="q")
         assert got.whole and got.events == ["q-1", "q-2", "q-3", "q-4"]
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("how", ["break:2", "cut:2"])
-def test_a_stream_that_breaks_off_does_not_look_whole(tmp_path: Path, how: str) -> None:
+def test_a_stream_that_breaks_off_does_not_look_complete(tmp_path: Path, how: str) -> None:
     async def work(world: SidecarWorld) -> None:
         got = await world.request("/stream/x", ident="q")
         assert not got.whole and got.events == ["q-1", "q-2"]
@@ -184,7 +184,7 @@
     play(tmp_path, {"b1": ["cut:2"]}, work)
 
 
-def test_a_turn_is_not_answered_whole_before_it_is_on_disk(tmp_path: Path) -> None:
+def test_a_response_ends_only_once_its_turn_is_on_disk(tmp_path: Path) -> None:
     async def work(world: SidecarWorld) -> None:
         asking = asyncio.create_task(world.request("/turns/x", "POST", b"one", ident="t1"))
         await world.settle(0.02)
@@ -259,7 +259,7 @@
     play(tmp_path, {"b1": ["silent"]}, work)
 
 
-def test_a_silent_endpoint_is_left_for_another_one_where_the_stream_can_be_resumed(tmp_path: Path) -> None:
+def test_a_resumable_stream_is_retried_elsewhere_when_its_endpoint_is_silent(tmp_path: Path) -> None:
     async def work(world: SidecarWorld) -> None:
         for _ in range(40):
             assert (await world.request("/resume/x")).whole
--- a/tests/sidecar/test_response_matching.py
+++ b/tests/sidecar/test_response_matching.py
@@ -13,7 +13,7 @@
 from tests.sidecar.test_request_service import SAFE, UNSAFE
 from tests.tier.hostile_world import BEHAVIOURS, HostileWorld
 
-MOST_ATTEMPTS = 3  # of the routes
+MAX_ATTEMPTS = 3  # of the routes
 
 
 class SidecarMachine(RuleBasedStateMachine):
@@ -30,7 +30,7 @@
     def teardown(self) -> None:
         world = self.world
         world.loop.run_until_complete(world.settle(3.0))
-        world.verify(MOST_ATTEMPTS)
+        world.verify(MAX_ATTEMPTS)
         world.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
@@ -60,7 +60,7 @@
 
     @invariant()
     def everybody_gets_only_what_is_theirs(self) -> None:
-        self.world.verify(MOST_ATTEMPTS)
+        self.world.verify(MAX_ATTEMPTS)
 
 
 TestSidecar = SidecarMachine.TestCase
--- a/tests/sidecar/test_route_table.py
+++ b/tests/sidecar/test_route_table.py
@@ -29,7 +29,7 @@
             assert abs(counts[f"s{number}"] / 40 - weight / sum(weights)) < 0.06
 
 
-def test_sidecars_begin_at_different_places() -> None:
+def test_sidecars_start_their_splits_at_different_positions() -> None:
     firsts = set()
     for seed in range(40):
         routes = table(90, 10)
--- a/tests/storage/test_repair.py
+++ b/tests/storage/test_repair.py
@@ -153,7 +153,7 @@
     assert replica.table.has_turn("t1")
 
 
-def test_a_requester_that_does_not_list_turns_is_sent_them_whole(tmp_path: Path) -> None:
+def test_a_requester_that_does_not_list_turns_gets_their_records(tmp_path: Path) -> None:
     loop = VirtualLoop()
 
     async def play() -> ScanReply:
--- a/tests/storage/test_replica.py
+++ b/tests/storage/test_replica.py
@@ -41,7 +41,7 @@
     return replica
 
 
-def test_a_file_of_the_previous_version_is_read_whole(tmp_path: Path) -> None:
+def test_a_file_of_the_previous_version_is_read_completely(tmp_path: Path) -> None:
     shutil.copy(WRITTEN_BY_C345874, tmp_path)
     replica = opened(tmp_path)
     assert replica.identity == IDENTITY
