--- a/wheatring/durable/committer.py
+++ b/wheatring/durable/committer.py
@@ -10,14 +10,13 @@
 import asyncio
 from collections.abc import Callable, Sequence
 from concurrent.futures import ThreadPoolExecutor
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from wheatring.durable.exceptions import DiskError
 from wheatring.durable.record_file import RecordFile
 
 
-@dataclass(frozen=True, slots=True)
-class PendingWrite:
+class PendingWrite(NamedTuple):
     """Records that wait for the next batch, and the future of whoever submitted them."""
 
     records: list[bytes]
--- a/wheatring/sidecar/policy.py
+++ b/wheatring/sidecar/policy.py
@@ -28,9 +28,9 @@
     burden_cost: float = 0.2  # for each unit by which an endpoint is slower than usual
     failing_cost: float = 1.0  # for an endpoint that has failed since it last served; fades within seconds
     head_patience: float = 8.0  # mean deviations past the mean, after which a silent stream goes elsewhere
-    prefix_seconds: float = 20.0  # for which a prompt part is taken to be cached where it was read
-    prompt_homes: bool = True  # lines of turns have a home that all sidecars of a zone know
-    sub_agent_spread: int = 2  # endpoints over which the sub-agents of a line are spread
+    prefix_seconds: float = 20.0  # for which a prompt segment is assumed to be cached where it was prefilled
+    prompt_homes: bool = True  # conversations have a home that all sidecars of a zone know
+    sub_agent_spread: int = 2  # endpoints over which the sub-agents of a conversation are spread
 
 
 DEFAULT_POLICY = SidecarPolicy()
--- a/wheatring/sidecar/service_balancer.py
+++ b/wheatring/sidecar/service_balancer.py
@@ -7,6 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 from math import inf
+from typing import NamedTuple
 
 from wheatring.balancer import interface as i
 from wheatring.balancer.latency_estimate import LatencyEstimate
@@ -24,8 +25,7 @@
 OVERDUE_VALUE = 0.3  # of a response above its latency target, as a part of its value in time
 
 
-@dataclass(frozen=True, slots=True)
-class ListedEndpoint:
+class ListedEndpoint(NamedTuple):
     """One endpoint of a service as the endpoint list has it."""
 
     entry: i.EndpointEntry
--- a/wheatring/sidecar/streaming_requests.py
+++ b/wheatring/sidecar/streaming_requests.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 
 from wheatring.balancer.interface import Outcome
 from wheatring.budgets.exceptions import BudgetExceededError
@@ -31,15 +30,21 @@
 STORE_RETRY_AFTER_SECONDS = 0.3  # stated where the storage members could not be reached
 
 
-@dataclass(slots=True)
 class ResponseStream:
     """One stream from endpoints to a client, resumed at another endpoint where the route allows it."""
 
-    client: ClientConnection
-    request: OutgoingRequest
-    turn: TurnInProgress
-    forwarder: Forwarder
-    is_started: bool = False  # the head of the response has been sent
+    def __init__(
+        self,
+        client: ClientConnection,
+        request: OutgoingRequest,
+        turn: TurnInProgress,
+        forwarder: Forwarder,
+    ) -> None:
+        self.client = client
+        self.request = request
+        self.turn = turn
+        self.forwarder = forwarder
+        self.is_started = False  # the head of the response has been sent
 
     async def pass_on(self) -> bool:
         """Pass the stream on to its last event; return False where the response was no stream.
--- a/wheatring/storage/quorum_client.py
+++ b/wheatring/storage/quorum_client.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from wheatring.placement.key_placement import KeyPlacement, place_key
+from wheatring.storage.budget_entries import merge_budget_entries
 from wheatring.storage.exceptions import QuorumNotReachedError
 from wheatring.storage.quorum_exchange import (
     ExchangeRequest,
@@ -19,7 +20,6 @@
     is_read_and_written,
     is_written,
 )
-from wheatring.storage.record_table import budget_entry_rank
 from wheatring.storage.suspects import SuspectedMembers
 from wheatring.transport.client import ClientTable
 from wheatring.transport.messages_pb2 import (
@@ -80,7 +80,7 @@
         body = StorageRequest(records=[StorageRecord(budget=entry)], program=entry.program)
         request = ExchangeRequest(entry.program, body, is_read_and_written, _deadline(timeout_seconds))
         replies = await self._exchange(request)
-        return _merge([e for reply in replies.by_replica.values() for e in reply.budget])
+        return merge_budget_entries(e for reply in replies.by_replica.values() for e in reply.budget)
 
     async def read_conversation(
         self, turn_id: str, known_turn_ids: Sequence[str], timeout_seconds: float
@@ -177,13 +177,3 @@
 
 def _deadline(timeout_seconds: float) -> float:
     return asyncio.get_running_loop().time() + timeout_seconds
-
-
-def _merge(entries: Sequence[BudgetEntry]) -> list[BudgetEntry]:
-    """Return one entry for each turn, the one that counts."""
-    counting: dict[str, BudgetEntry] = {}
-    for entry in entries:
-        known = counting.get(entry.turn)
-        if known is None or budget_entry_rank(known) < budget_entry_rank(entry):
-            counting[entry.turn] = entry
-    return list(counting.values())
--- a/wheatring/storage/quorum_exchange.py
+++ b/wheatring/storage/quorum_exchange.py
@@ -8,7 +8,7 @@
 
 import asyncio
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from wheatring.placement.key_placement import KeyPlacement
 from wheatring.storage.suspects import SuspectedMembers
@@ -28,11 +28,11 @@
 CALL_TIMEOUT_SECONDS = 1.0  # for one member to reply
 
 
-@dataclass(slots=True)
 class Replies:
     """The replies under one placement."""
 
-    by_replica: dict[str, StorageReply] = field(default_factory=dict)
+    def __init__(self) -> None:
+        self.by_replica: dict[str, StorageReply] = {}
 
     @property
     def replica_ids(self) -> set[str]:
@@ -58,8 +58,7 @@
     return is_read(key_placement, replies) and is_written(key_placement, replies)
 
 
-@dataclass(frozen=True, slots=True)
-class ExchangeRequest:
+class ExchangeRequest(NamedTuple):
     """What is asked for, independent of the placement.
 
     Attributes
--- a/wheatring/storage/record_table.py
+++ b/wheatring/storage/record_table.py
@@ -11,6 +11,7 @@
 from dataclasses import dataclass
 from typing import Literal, NamedTuple
 
+from wheatring.storage.budget_entries import budget_entry_rank
 from wheatring.transport.messages_pb2 import BudgetEntry, StorageRecord, Turn
 
 RETENTION_MARGIN_SECONDS = 10.0  # beyond the retention that the route states
@@ -34,8 +35,7 @@
     expires_at: float
 
 
-@dataclass(frozen=True, slots=True)
-class ScanPage:
+class ScanPage(NamedTuple):
     """Some of the records that have changed since a position."""
 
     payloads: list[bytes]
@@ -53,11 +53,6 @@
     return None
 
 
-def budget_entry_rank(entry: BudgetEntry) -> tuple[bool, int]:
-    """Return what decides which of two entries for one turn counts: the greater one does."""
-    return entry.settled, entry.tokens
-
-
 def _turn_key(turn_id: str) -> RecordKey:
     return RecordKey("turn", turn_id, "")
 
--- a/wheatring/transport/client.py
+++ b/wheatring/transport/client.py
@@ -56,7 +56,7 @@
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
         """Send and wait for the reply.
 
-        The time-out also tells how long the peer has been silent, so it is not left to the caller's
+        The time-out also shows how long the peer has been silent, so it is not left to the caller's
         `asyncio.timeout`: a connection on which nothing arrives is ended by it.
 
         Parameters
--- a/wheatring/transport/connection.py
+++ b/wheatring/transport/connection.py
@@ -15,7 +15,7 @@
 
 _LENGTH_PREFIX = struct.Struct(">I")
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-UNACKNOWLEDGED_TIMEOUT_MS = 1500  # a peer that acknowledges nothing for so long is gone
+UNACKNOWLEDGED_TIMEOUT_MS = 1500  # a peer that acknowledges nothing for so long is taken for dead
 MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a peer that reads nothing is cut off at this backlog
 
 
