--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -67,11 +67,11 @@
         """Return a time zone."""
         return ZoneInfo(name)
 
-    def weights(self, route: str, at: float) -> Mapping[str, int]:
+    def weights(self, route: str, at: float) -> Mapping[str, int]:  # noqa: ARG002 - the protocol's
         """Return the weights of a route, the same at all times."""
         return next(one.weights for one in self.plan.routes if one.name == route)
 
-    def edges(self, window: str, after: float, before: float) -> Sequence[float]:
+    def edges(self, window: str, after: float, before: float) -> Sequence[float]:  # noqa: ARG002 - the protocol's
         """Return no edges."""
         return ()
 
@@ -103,8 +103,8 @@
     ) -> None:
         self.journal, self.fleet, self.abilities = journal, fleet, abilities
         self.views = MembershipViews(at, fleet)
-        self.register = ReplicatedRegister(at, "plan", fleet, self._chosen)
-        self.floors = ReplicatedRegister(at, "floor", fleet, self._floor)
+        self.register = ReplicatedRegister(at, "plan", fleet, self._entry_committed)
+        self.floors = ReplicatedRegister(at, "floor", fleet, self._minimum_committed)
         stills = RegistersStable(self.views.register), RegistersStable(self.register, self.floors)
         self.skew = skew(fleet, abilities, compiles, *stills)
         self.views.admission_objection = self._admits
@@ -122,14 +122,14 @@
         self.journal.counts.update(f"shut out: {one.code}" for one in why)
         return why[0].what if why else ""
 
-    def _chosen(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
+    def _entry_committed(self, _at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         plan = msgspec.json.decode(body, type=Plan)
         blind = unmet_requirements(requirements_of(plan, body), self.abilities)
         self.skew.plan_committed(None if blind else plan, body)
         self.journal.plan_committed(entry, plan, body)
         return []
 
-    def _floor(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
+    def _minimum_committed(self, _at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         self.skew.minimum_committed(body)
         self.journal.minimum_committed(entry, self.skew.minimum_format)
         return []
@@ -185,11 +185,13 @@
         self.skew.stop_check()
         return []
 
-    def receive(self, at: Instant, sender: str, address: tuple[str, int], message: object) -> list[Outgoing]:
+    def receive(
+        self, _at: Instant, _sender: str, _address: tuple[str, int], _message: object
+    ) -> list[Outgoing]:
         """Ignore messages: none is for this component."""
         return []
 
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
+    def receive_payload(self, _at: Instant, _digest: bytes, _body: bytes | None) -> list[Outgoing]:
         """Ignore bodies: this component wants none."""
         return []
 
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -57,7 +57,7 @@
         self.started_at = inf
         self.stops = 0
 
-    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
+    def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
         """Start anew."""
         self.started_at, self.view = at.now, view
         return []
@@ -146,7 +146,7 @@
         )
         key = f"{name}/{fleet.incarnation}"
 
-        def taken(at: Instant, settled: CommittedPlan) -> list[Outgoing]:
+        def taken(_at: Instant, settled: CommittedPlan) -> list[Outgoing]:
             self._taken(name, key, settled)
             return []
 
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -34,7 +34,7 @@
 class SkipsFoundEntry(ReplicatedRegister):
     """A leader that does not put the entry again that it has found."""
 
-    def _finish_preparing(self, at: Instant) -> list[Outgoing]:
+    def _finish_preparing(self, at: Instant) -> list[Outgoing]:  # noqa: ARG002 - the base's
         self.phase, self.next_retransmit = Phase.READY, inf
         return []
 
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -63,7 +63,7 @@
         epoch = self.epoch_to_act(0.0)
         return None if epoch is None else SimpleNamespace(epoch=epoch)
 
-    def epoch_to_act(self, now: float) -> int | None:
+    def epoch_to_act(self, now: float) -> int | None:  # noqa: ARG002 - the role's
         """Return the epoch in which this member leads, None if it does not."""
         return self.order.epoch if self.order.leader == self.me.name else None
 
@@ -83,11 +83,11 @@
         """Return messages with the addresses of the voters that they are for."""
         return [((name, 1), message) for name, message in said]
 
-    def broadcast(self, message: Any, audience: Any = None) -> list[tuple[Address, Any]]:
+    def broadcast(self, message: Any, audience: Any = None) -> list[tuple[Address, Any]]:  # noqa: ARG002 - the fleet's
         """Return a message to all other members."""
         return [((name, 1), message) for name in self.order.names if name != self.me.name]
 
-    def relay(self, message: Any) -> list[tuple[Address, Any]]:
+    def relay(self, _message: Any) -> list[tuple[Address, Any]]:
         """Relay nothing."""
         return []
 
@@ -140,7 +140,7 @@
         """Start a process, which has forgotten everything."""
         fleet: Any = FakeFleet(name, self)
         self.fleets[name] = fleet
-        self.registers[name] = self.make_register(self.at, "view", fleet, lambda at, entry, body: [])
+        self.registers[name] = self.make_register(self.at, "view", fleet, lambda _at, _entry, _body: [])
         self.positions[name] = (0, 0)
 
     def run(self) -> OrderResult:
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -240,7 +240,7 @@
 class OpenGate(CompatibilityChecker):
     """Whoever knocks comes in."""
 
-    def admission_refusals(self, at: Instant, placed: ViewMember) -> tuple[Reason, ...]:
+    def admission_refusals(self, at: Instant, placed: ViewMember) -> tuple[Reason, ...]:  # noqa: ARG002 - the checker's
         """Refuse nobody."""
         return ()
 
