--- a/tests/ends/test_caller.py
+++ b/tests/ends/test_caller.py
@@ -21,7 +21,7 @@
 from tests.virtual import Virtual
 from tests.world import FAR, Loopback, Peer, Wire, World, entry, list_body
 from wheatring.balancer import backoff
-from wheatring.http1 import caller_connection
+from wheatring.http1 import caller_connection, caller_lifecycle
 from wheatring.http1.caller_state import ArrivalTimes, CallerState
 
 Make = Callable[..., World]
@@ -83,8 +83,8 @@
 def test_of_what_comes_after_the_last_answer_no_more_than_a_part_is_read(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(caller_connection, "MAX_DISCARDED_BYTES", 5)
-    monkeypatch.setattr(caller_connection, "LINGER_SECONDS", 0.3)
+    monkeypatch.setattr(caller_lifecycle, "MAX_DISCARDED_BYTES", 5)
+    monkeypatch.setattr(caller_lifecycle, "LINGER_SECONDS", 0.3)
     world = make()
     wire = world.caller()
     wire.send(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -113,7 +113,7 @@
             world.settle()
     assert world.run(lambda: connection.close_code) and not connection.is_shut
     world.run(
-        lambda: connection.enforce_limits(connection.state_since + 2 * caller_connection.LINGER_SECONDS, 20.0)
+        lambda: connection.enforce_limits(connection.state_since + 2 * caller_lifecycle.LINGER_SECONDS, 20.0)
     )
     answers = [wire.read()]
     while "connection" not in answers[-1][1]:
@@ -254,8 +254,8 @@
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Not once all of that has been read, a part at a time."""
-    monkeypatch.setattr(caller_connection, "MAX_DISCARDED_BYTES", 5)
-    monkeypatch.setattr(caller_connection, "DISCARD_PAUSE_SECONDS", 1e9)
+    monkeypatch.setattr(caller_lifecycle, "MAX_DISCARDED_BYTES", 5)
+    monkeypatch.setattr(caller_lifecycle, "DISCARD_PAUSE_SECONDS", 1e9)
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
--- a/tests/ends/test_stop.py
+++ b/tests/ends/test_stop.py
@@ -10,7 +10,7 @@
 from tests.test_bodies import LARGE, body, head, no_room, post
 from tests.world import Loopback, World
 from wheatring import log
-from wheatring.http1 import caller_connection, server
+from wheatring.http1 import caller_lifecycle, server
 
 Make = Callable[..., World]
 HEALTH = b"GET /healthz HTTP/1.1\r\n\r\n"
@@ -153,7 +153,7 @@
     world = make()
     wire = world.caller()
     if why == "silent":
-        monkeypatch.setattr(caller_connection, "HEAD_SECONDS", 1e9)
+        monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 1e9)
     else:
         wire.send(HEALTH)
         wire.read()
@@ -164,7 +164,7 @@
         if isinstance(world.ground, Loopback):
             wire.send(HEALTH)
         connection.transport.resumeProducing()
-        monkeypatch.setattr(caller_connection, "HEAD_SECONDS", 0.0)
+        monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
         if why == "full":
             connection.evict()
         else:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -22,8 +22,7 @@
 from tests.world import FAR, Peer, Wire, World, entry
 from wheatring import log
 from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
-from wheatring.http1 import caller_connection as callers
-from wheatring.http1 import endpoint_connection
+from wheatring.http1 import caller_lifecycle, endpoint_connection
 from wheatring.http1.body_sender import BodySender
 from wheatring.http1.parser import BUFFERED_BODY_BYTES, MessageParser
 
@@ -304,9 +303,9 @@
 
 
 def test_a_body_that_comes_too_slowly_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(callers, "HEAD_SECONDS", 0.0)
-    monkeypatch.setattr(callers, "MIN_BODY_BYTES_PER_SECOND", 1e12)
-    monkeypatch.setattr(callers, "BODY_SILENCE_SECONDS", 1e9)
+    monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
+    monkeypatch.setattr(caller_lifecycle, "MIN_BODY_BYTES_PER_SECOND", 1e12)
+    monkeypatch.setattr(caller_lifecycle, "BODY_SILENCE_SECONDS", 1e9)
     caller = post(make(), len(LARGE))
     caller.send(LARGE[:100000])
     assert caller.read()[0].split()[1] == "408"
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -13,7 +13,7 @@
 from wheatring import log
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Request
-from wheatring.http1 import caller_connection, endpoint_connection
+from wheatring.http1 import caller_connection, caller_lifecycle, endpoint_connection
 from wheatring.http1.parser import ForwardedRequest
 
 Make = Callable[..., World]
@@ -353,7 +353,7 @@
 def test_of_a_body_that_is_too_large_no_more_than_a_part_is_read(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(caller_connection, "MAX_DISCARDED_BYTES", 0)
+    monkeypatch.setattr(caller_lifecycle, "MAX_DISCARDED_BYTES", 0)
     world = make(0)
     wire = world.caller()
     wire.send(f"POST /order HTTP/1.1\r\n{GOOD}Content-Length: 60000000\r\n\r\n".encode())
@@ -365,7 +365,7 @@
 
 
 def test_a_request_that_never_becomes_whole_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_connection, "HEAD_SECONDS", 0.0)
+    monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
     world = make(0)
     wire = world.caller()
     wire.send(b"GET /menu HTTP/1.1\r\nX-Corr")
@@ -374,7 +374,7 @@
 
 
 def test_a_caller_that_says_nothing_is_let_go(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_connection, "HEAD_SECONDS", 0.0)
+    monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
     world = make(0)
     assert world.caller().at_end()
     assert world.logged("caller-connection") == ["silent"]
--- /dev/null
+++ b/wheatring/http1/request_builder.py
@@ -0,0 +1,139 @@
+"""Builds the request that a caller's message asks for, and what of it is forwarded to endpoints."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable, Container, Mapping
+from functools import partial
+from math import inf
+from typing import TYPE_CHECKING, Any
+
+from wheatring.balancer.interface import Idempotency, RequestClass
+from wheatring.core.body import Body, BodyMemory
+from wheatring.core.exceptions import RequestRejectedError
+from wheatring.core.exchange import Exchange, Request
+from wheatring.http1.parser import ForwardedRequest, Message
+
+if TYPE_CHECKING:
+    from typing import Protocol
+
+    class Route(Protocol):
+        """A route, as far as a request is built by it.
+
+        Attributes
+        ----------
+        class_name : bytes
+            The class of its requests; empty: the first segment of the path is.
+        deadline : float | None
+            Seconds, for a caller that states none.
+        """
+
+        class_name: bytes
+        deadline: float | None
+
+        def create_request(self, fields: Mapping[bytes, bytes], **arguments: Any) -> Request:
+            """Return the request, with the pool that it is for."""
+
+    Authorizer = Callable[[Mapping[bytes, bytes]], Container[str]]
+    Router = Callable[[Message], Route]
+
+
+_CORRELATION_ID = re.compile(rb"[!-~]{1,200}")
+_DIGITS = re.compile(rb"[0-9]{1,12}")
+_SINGLE_FIELDS = frozenset((b"x-correlation-id", b"x-service-class", b"x-time-left-ms", b"idempotency-key"))
+
+SAFE = Idempotency.IDEMPOTENT  # looked up once: the lookup of an enum's member is slow
+
+
+class RequestBuilder:
+    """Builds requests for one server."""
+
+    def __init__(
+        self, exchange: Exchange, classes: Mapping[str, RequestClass], body_memory: BodyMemory
+    ) -> None:
+        self.exchange = exchange
+        self.classes = classes
+        self.body_memory = body_memory
+
+    def build(
+        self, message: Message, arrived_at: float, authorizer: Authorizer | None, router: Router | None
+    ) -> Request:
+        """Return the request that a message asks for, whose last byte came at `arrived_at`.
+
+        Raises
+        ------
+        RequestRejectedError
+            It asks for none, or for one that its caller may not send.
+        """
+        fields = message.fields
+        method, target = message.start_line
+        rights = None if authorizer is None else authorizer(fields)
+        route = None if router is None else router(message)
+        if not message.repeated_fields.isdisjoint(_SINGLE_FIELDS):
+            raise RequestRejectedError(400, "a field that may come once came twice")
+        request_class = self._class_of(fields, target, route)
+        if rights is not None and request_class.name not in rights:
+            raise RequestRejectedError(403, "rights", body=b"class not in rights")
+        allowed = b"GET" if request_class.idempotency is SAFE else b"POST"
+        if method != allowed:
+            raise RequestRejectedError(405, "method", b"Allow: %s\r\n" % allowed)
+        correlation_id = self._correlation_id(fields)
+        time_limit = _time_limit(fields, request_class, route)
+        head = b"%s %s HTTP/1.1\r\n%s" % (method, target, message.end_to_end_lines(b"x-time-left-ms"))
+        create = Request if route is None else partial(route.create_request, fields)
+        return create(
+            correlation_id=correlation_id,
+            class_name=request_class.name,
+            deadline=inf if message.is_open else arrived_at + time_limit,
+            content=self._forwarded_request(message, head),
+            is_retry=fields.get(b"x-repeat") == b"1",
+            time_limit=time_limit,
+        )
+
+    def _class_of(self, fields: Mapping[bytes, bytes], target: bytes, route: Route | None) -> RequestClass:
+        if target[:1] != b"/":
+            raise RequestRejectedError(404, "path")
+        segment = target[1:].partition(b"?")[0].partition(b"/")[0]
+        name = fields.get(b"x-service-class", segment)
+        if route is not None and route.class_name:
+            name = route.class_name
+        elif not segment or name != segment:
+            raise RequestRejectedError(404, "path")
+        request_class = self.classes.get(name.decode("latin-1"))
+        if request_class is None:
+            raise RequestRejectedError(404, "class")
+        return request_class
+
+    def _correlation_id(self, fields: Mapping[bytes, bytes]) -> str:
+        value = fields.get(b"x-correlation-id", b"")
+        if not _CORRELATION_ID.fullmatch(value):
+            raise RequestRejectedError(400, "no id")
+        correlation_id = value.decode("latin-1")
+        if correlation_id in self.exchange.open_requests:  # endpoints would take the two for one
+            raise RequestRejectedError(409, "id of an open request")
+        return correlation_id
+
+    def _forwarded_request(self, message: Message, head: bytes) -> ForwardedRequest:
+        body = message.body
+        if message.is_open:
+            stream = Body(self.body_memory, message.content_length, is_replayable=True)
+            if message.content_length is None:
+                head += b"Transfer-Encoding: chunked\r\n"
+                return ForwardedRequest(head, b"", stream, is_chunked=True)
+            head += b"Content-Length: %d\r\n" % message.content_length
+            return ForwardedRequest(head, b"", stream)
+        if body or message.start_line[0] != b"GET":
+            head += b"Content-Length: %d\r\n" % len(body)
+        return ForwardedRequest(head, body)
+
+
+def _time_limit(fields: Mapping[bytes, bytes], request_class: RequestClass, route: Route | None) -> float:
+    """Return the seconds that a request may take from its last byte: no more than its class allows."""
+    left_ms = fields.get(b"x-time-left-ms")
+    if left_ms is not None:
+        if not _DIGITS.fullmatch(left_ms):
+            raise RequestRejectedError(400, "bad time")
+        return min(request_class.deadline, int(left_ms) / 1000)
+    if route is not None and route.deadline is not None:
+        return min(request_class.deadline, route.deadline)
+    return request_class.deadline
