--- a/wheatring/lab/model_checker/consensus_model.py
+++ b/wheatring/lab/model_checker/consensus_model.py
@@ -166,7 +166,7 @@
             if machine.pending:
                 yield f"sync {name}"
                 yield f"fail {name}"
-            if self.may_wipe(name):
+            if self.may_wipe():
                 yield f"wipe {name}"
             if machine.replica.state is State.LEADER:
                 yield from self._commands_at(name)
@@ -183,7 +183,7 @@
         leading = [m for m in self.machines.values() if m.replica.state is State.LEADER]
         return max(leading, key=lambda machine: machine.replica.term, default=None)
 
-    def may_wipe(self, name: str) -> bool:
+    def may_wipe(self) -> bool:
         """Tell whether the tolerance covers another lost disk: those lost before have been replaced."""
         leader = self.leader()
         if leader is None or not leader.replica.can_propose or len(leader.replica.voters) < 3:
@@ -272,7 +272,7 @@
 
     def _do_wipe(self, name: str) -> bool:
         """Let a machine lose power and its disk."""
-        if not self.may_wipe(name):
+        if not self.may_wipe():
             return False
         machine = self.machines[name]
         if self.rules.wipe_keeps_identity:
--- a/wheatring/lab/model_checker/consensus_mutants.py
+++ b/wheatring/lab/model_checker/consensus_mutants.py
@@ -164,7 +164,7 @@
 
     name: str
     rules: Rules
-    start: str = ""  # of the walks that find_violation it; "" for an empty system
+    start: str = ""  # where the walks that find it start; "" for an empty system
 
 
 def _with(make_replica: ReplicaFactory) -> Rules:
--- a/wheatring/lab/model_checker/invariants.py
+++ b/wheatring/lab/model_checker/invariants.py
@@ -121,7 +121,7 @@
             )
 
     def saw_freshness_claim(self, name: str, generation: int, since: float) -> None:
-        """A replica says that it has_change all that was acknowledged up to a moment."""
+        """Note that a replica claims to know all that was acknowledged before `since` (seconds)."""
         min_generation = max(
             (change.generation for change in self.acknowledged if change.at < since), default=0
         )
--- a/wheatring/lab/model_checker/storage_model.py
+++ b/wheatring/lab/model_checker/storage_model.py
@@ -231,7 +231,7 @@
         self.follow(self._any_store())
 
     def follow(self, store: SimulatedStore) -> None:
-        """A store does the next step that the newest placement it has_change asks of it."""
+        """Let a store take the next step that the newest placement it knows asks for."""
         placement = store.placement
         is_member = any(member.replica_id == store.replica_id for member in placement.next)
         if not is_member or store.complete_epoch >= placement.epoch:
--- a/wheatring/lab/model_checker/storage_mutants.py
+++ b/wheatring/lab/model_checker/storage_mutants.py
@@ -1,4 +1,4 @@
-"""Faults planted in what storage replicas do, each of which a random_walk has to find_violation."""
+"""Mutants of the storage replicas: faults that a walk has to find."""
 
 from __future__ import annotations
 
