--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -7,10 +7,14 @@
 import time
 from dataclasses import replace
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 from wheatring import operator_properties
 from wheatring.commands import fleet, lab
 
+if TYPE_CHECKING:
+    Commands = argparse._SubParsersAction[argparse.ArgumentParser]
+
 
 def build_parser() -> argparse.ArgumentParser:
     """Return the parser of the program's arguments."""
@@ -28,10 +32,21 @@
     top.set_defaults(call=None)
     groups = top.add_subparsers(title="commands", metavar="COMMAND")
 
+    _add_check(groups)
+    _add_operator_commands(groups, file)
+    fleet.add(groups)
+    lab.add(groups)
+    return top
+
+
+def _add_check(groups: Commands) -> None:
     check = groups.add_parser("check", help="tell whether the project's own file can be used")
     check.add_argument("file")
     check.set_defaults(call=check_config)
 
+
+def _add_operator_commands(groups: Commands, file: argparse.ArgumentParser) -> None:
+    """Add the commands that go by the operators' file, whose option is `file`."""
     drill = groups.add_parser("drill", help="make drills").add_subparsers(required=True, metavar="COMMAND")
     sign = drill.add_parser("sign", parents=[file], help="print a drill's plan with its signature")
     sign.add_argument(
@@ -59,10 +74,6 @@
     again.add_argument("folder", type=Path)
     again.set_defaults(call=replay_capture)
 
-    fleet.add(groups)
-    lab.add(groups)
-    return top
-
 
 def operator_file_path(args: argparse.Namespace) -> str | None:
     """Return the operators' file that is to be read, if any."""
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -18,6 +18,13 @@
 
 def add(commands: Commands) -> None:
     """Add the commands `live`, `fleet`, `bench` and `load`."""
+    _add_live(commands)
+    _add_fleet(commands)
+    _add_bench(commands)
+    _add_load(commands)
+
+
+def _add_live(commands: Commands) -> None:
     live = _command(commands, "live", _live, "play a day in real time, with real sidecars on loopback")
     live.add_argument("scenario", metavar="NAME|FILE", help="of the library, or a TOML file")
     live.add_argument("--seed", type=int, default=1, metavar="N", help="of the draw (default: 1)")
@@ -28,6 +35,8 @@
     live.add_argument("--leave-out", action="store_true", help="what can't be played here, and play the rest")
     live.add_argument("--json", type=Path, metavar="FILE", help="write the whole outcome there")
 
+
+def _add_fleet(commands: Commands) -> None:
     fleet = _command(
         commands, "fleet", _fleet, "play a day of hundreds of sidecars, and hold it to its checks"
     )
@@ -40,6 +49,8 @@
     )
     fleet.add_argument("--json", type=Path, metavar="FILE", help="write the whole outcome there")
 
+
+def _add_bench(commands: Commands) -> None:
     bench = _command(commands, "bench", _bench, "the sidecar beside a relay and a reverse proxy, as ratios")
     bench.add_argument("--rounds", type=int, default=5, metavar="N", help="interleaved (default: 5)")
     bench.add_argument(
@@ -55,6 +66,8 @@
     bench.add_argument("--body", type=int, default=128, metavar="BYTES", help="of an answer (default: 128)")
     bench.add_argument("--json", type=Path, metavar="FILE", help="write the whole report there")
 
+
+def _add_load(commands: Commands) -> None:
     load = _command(commands, "load", _load, "put load on a server, and tell how it was answered")
     load.add_argument("server", metavar="HOST:PORT")
     load.add_argument("--rate", type=float, metavar="N", help="requests a second, whatever becomes of them")
--- a/wheatring/commands/lab_study.py
+++ b/wheatring/commands/lab_study.py
@@ -27,6 +27,14 @@
 
 def add(groups: Commands) -> None:
     """Add the commands. What plays a run is the namespace's `run`, as module:function."""
+    runs = _run_arguments()
+    _add_sweep(groups, runs)
+    _add_compare(groups, runs)
+    _add_report(groups)
+
+
+def _run_arguments() -> argparse.ArgumentParser:
+    """Return the arguments of all commands that play runs."""
     runs = argparse.ArgumentParser(add_help=False)
     runs.add_argument("scenarios", nargs="+", metavar="SCENARIO", help="a name of the library, or a file")
     runs.add_argument("--seeds", default="1-20", help="such as 1-100 or 1,2,9-12 (default: %(default)s)")
@@ -53,11 +61,16 @@
     )  # fmt: skip
     runs.add_argument("--json", action="store_true", help="print JSON in place of the table")
     runs.set_defaults(run=RUN_FUNCTION)
+    return runs
+
 
+def _add_sweep(groups: Commands, runs: argparse.ArgumentParser) -> None:
     sweep = groups.add_parser("sweep", parents=[runs], help="play many runs and keep what they gave")
     sweep.add_argument("--fail-fast", action="store_true", help="end at the first breach of a rule")
     sweep.set_defaults(call=reports_errors(_sweep))
 
+
+def _add_compare(groups: Commands, runs: argparse.ArgumentParser) -> None:
     compare = groups.add_parser("compare", parents=[runs], help="tell two sides apart, paired by seed")
     for side in ("a", "b"):
         compare.add_argument(f"--set-{side}", action="append", default=[], metavar="KEY=VALUE")
@@ -71,6 +84,8 @@
     )  # fmt: skip
     compare.set_defaults(call=reports_errors(_compare))
 
+
+def _add_report(groups: Commands) -> None:
     report = groups.add_parser("report", help="make a page of one run or of many")
     report.add_argument("file", type=Path, help="a store, or the outcome of one run as JSON")
     report.add_argument("-o", "--output", type=Path, required=True, metavar="FILE", help="the page")
--- a/wheatring/lab/study/report/day.py
+++ b/wheatring/lab/study/report/day.py
@@ -50,7 +50,7 @@
     if outcome.classes:
         parts.append(page.section("By class", _classes(outcome)))
     if outcome.seconds:
-        parts += _over_time(outcome)
+        parts += _TimePlots(outcome).all()
     parts += _latency(outcome)
     parts += _load(outcome)
     if outcome.happened:
@@ -118,70 +118,102 @@
     return page.table(head, rows)
 
 
-def _over_time(outcome: Outcome) -> Iterable[str]:
-    seconds = outcome.seconds
-    steps = _Steps(seconds)
-    length = float(len(seconds))
-    marks = Marks([at for at, _ in outcome.happened if 0 <= at <= length], length)
-    by = "second" if steps.step == 1 else f"{steps.step} seconds"
-    told = " Numbers above point to the list of what happened." if marks.instants else ""
-
-    def lines(*series: tuple[str, str, list[float]], label: str, **more: bool | tuple[float, str]) -> str:
-        return plots.lines(series, steps.step, length, marks, label, **more)  # type: ignore[arg-type]
-
-    shares = [
-        (name, colour, steps.share(count, lambda second: second.asked))
-        for name, colour, count in (
-            ("in time", BLUE, lambda second: second.in_time), ("late", AMBER, lambda second: second.late),
-            ("refused", GREY, lambda second: second.refused), ("failed", RED, lambda second: second.failed),
-        )
-    ]  # fmt: skip
-    yield page.figure(
-        "How requests ended", plots.stacked(shares, steps.step, length, marks),
-        f"Share of the first tries of each {by}, by the second in which they were asked.{told}",
-    )  # fmt: skip
-    yield page.figure(
-        "Latency over time",
-        lines(
-            ("median", BLUE, steps.worst(lambda second: second.p50_ms)),
-            ("99%", RED, steps.worst(lambda second: second.p99_ms)),
-            label="ms", log=True,
-        ),
-        f"Of the first tries that were served, by the second in which they were asked"
-        f"{'' if steps.step == 1 else ', the worst second of each step'}.",
-    )  # fmt: skip
-    yield page.figure(
-        "Tries and attempts",
-        lines(
-            ("asked (first tries)", GREY, steps.rate(lambda second: second.asked)),
-            ("tries (with clients' retries)", BLUE, steps.rate(lambda second: second.tries)),
-            ("attempts at all tiers", AMBER, steps.rate(lambda second: second.attempts)),
-            label="a second",
-        ),
-        "What clients asked for, what they sent, and what reached the nodes, by the second in which it came.",
-    )  # fmt: skip
-    asked = sum(second.asked for second in seconds)
-    attempts = sum(second.attempts for second in seconds)
-    yield page.figure(
-        "Attempts a request",
-        lines(
-            ("attempts a first try", BLUE, steps.share(lambda s: s.attempts, lambda s: s.asked)),
-            ("tries a first try", AMBER, steps.share(lambda s: s.tries, lambda s: s.asked)),
-            label="for each first try",
-            level=(attempts / asked if asked else 0.0, "attempts, mean of the day"),
-        ),
-        "Attempts at all tiers, the calls of nodes among them, over the first tries of the same second.",
-    )  # fmt: skip
-    yield page.figure(
-        "Refusals",
-        lines(
-            ("refused by sidecars", GREY, steps.rate(lambda second: second.refused)),
-            ("turned away by nodes", AMBER, steps.rate(lambda second: second.turned_away)),
-            ("connects that failed", RED, steps.rate(lambda second: second.unconnected)),
-            label="a second",
-        ),
-        "First tries that ended refused, attempts that nodes turned away, and connects that never came up.",
-    )  # fmt: skip
+class _TimePlots:
+    """The plots over the seconds of one day."""
+
+    def __init__(self, outcome: Outcome) -> None:
+        self.seconds = outcome.seconds
+        self.steps = _Steps(self.seconds)
+        self.length = float(len(self.seconds))
+        instants = [at for at, _ in outcome.happened if 0 <= at <= self.length]
+        self.marks = Marks(instants, self.length)
+
+    def all(self) -> Iterable[str]:
+        """Yield the plots in the order of the page."""
+        yield self._endings()
+        yield self._latency()
+        yield self._attempts()
+        yield self._attempts_each()
+        yield self._refusals()
+
+    def _lines(
+        self, *series: tuple[str, str, list[float]], label: str, **more: bool | tuple[float, str]
+    ) -> str:
+        return plots.lines(series, self.steps.step, self.length, self.marks, label, **more)  # type: ignore[arg-type]
+
+    def _endings(self) -> str:
+        steps = self.steps
+        by = "second" if steps.step == 1 else f"{steps.step} seconds"
+        note = " Numbers above point to the list of what happened." if self.marks.instants else ""
+        shares = [
+            (name, colour, steps.share(count, lambda second: second.asked))
+            for name, colour, count in (
+                ("in time", BLUE, lambda second: second.in_time),
+                ("late", AMBER, lambda second: second.late),
+                ("refused", GREY, lambda second: second.refused),
+                ("failed", RED, lambda second: second.failed),
+            )
+        ]  # fmt: skip
+        return page.figure(
+            "How requests ended", plots.stacked(shares, steps.step, self.length, self.marks),
+            f"Share of the first tries of each {by}, by the second in which they were asked.{note}",
+        )  # fmt: skip
+
+    def _latency(self) -> str:
+        steps = self.steps
+        return page.figure(
+            "Latency over time",
+            self._lines(
+                ("median", BLUE, steps.worst(lambda second: second.p50_ms)),
+                ("99%", RED, steps.worst(lambda second: second.p99_ms)),
+                label="ms", log=True,
+            ),
+            f"Of the first tries that were served, by the second in which they were asked"
+            f"{'' if steps.step == 1 else ', the worst second of each step'}.",
+        )  # fmt: skip
+
+    def _attempts(self) -> str:
+        steps = self.steps
+        return page.figure(
+            "Tries and attempts",
+            self._lines(
+                ("asked (first tries)", GREY, steps.rate(lambda second: second.asked)),
+                ("tries (with clients' retries)", BLUE, steps.rate(lambda second: second.tries)),
+                ("attempts at all tiers", AMBER, steps.rate(lambda second: second.attempts)),
+                label="a second",
+            ),
+            "What clients asked for, what they sent, and what reached the nodes,"
+            " by the second in which it came.",
+        )  # fmt: skip
+
+    def _attempts_each(self) -> str:
+        steps = self.steps
+        asked = sum(second.asked for second in self.seconds)
+        attempts = sum(second.attempts for second in self.seconds)
+        return page.figure(
+            "Attempts a request",
+            self._lines(
+                ("attempts a first try", BLUE, steps.share(lambda s: s.attempts, lambda s: s.asked)),
+                ("tries a first try", AMBER, steps.share(lambda s: s.tries, lambda s: s.asked)),
+                label="for each first try",
+                level=(attempts / asked if asked else 0.0, "attempts, mean of the day"),
+            ),
+            "Attempts at all tiers, the calls of nodes among them, over the first tries of the same second.",
+        )  # fmt: skip
+
+    def _refusals(self) -> str:
+        steps = self.steps
+        return page.figure(
+            "Refusals",
+            self._lines(
+                ("refused by sidecars", GREY, steps.rate(lambda second: second.refused)),
+                ("turned away by nodes", AMBER, steps.rate(lambda second: second.turned_away)),
+                ("connects that failed", RED, steps.rate(lambda second: second.unconnected)),
+                label="a second",
+            ),
+            "First tries that ended refused, attempts that nodes turned away,"
+            " and connects that never came up.",
+        )  # fmt: skip
 
 
 def _latency(outcome: Outcome) -> Iterable[str]:
