--- a/tests/config/test_project_file.py
+++ b/tests/config/test_project_file.py
@@ -118,12 +118,14 @@
 def test_the_pace_that_it_says_is_the_one_that_is_kept() -> None:
     from random import Random
 
-    from wheatring.lifecycle.asking import Asking, Pace
+    from wheatring.lifecycle.list_request_schedule import ListRequestSchedule, RequestPace
 
-    slow = Asking(100, 50, 10.0, Random(1), 0.0, Pace(first=10.0, longest=60.0))
-    assert slow.length(0) == 10.0 and slow.length(1) == 100 / 13
+    slow = ListRequestSchedule(
+        100, 50, 10.0, Random(1), 0.0, RequestPace(first_round_rate=10.0, first_round_max_seconds=60.0)
+    )
+    assert slow.round_seconds(0) == 10.0 and slow.round_seconds(1) == 100 / 13
     assert msgspec.structs.asdict(project_file.ListTable()) == {
-        "first_per_s": Pace().first, "first_longest": Pace().longest, "per_s": Pace().haste,
-        "likely_per_s": Pace().likely,
+        "first_per_s": RequestPace().first_round_rate, "first_longest": RequestPace().first_round_max_seconds,
+        "per_s": RequestPace().second_round_rate, "likely_per_s": RequestPace().expected_answer_rate,
     }  # fmt: skip
     assert sys.modules["wheatring.config.project_file"] is project_file
--- a/tests/control/test_deciders.py
+++ b/tests/control/test_deciders.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
-from wheatring.lifecycle.byhand import ByHand
-from wheatring.lifecycle.drain import EMPTY, Drain
-from wheatring.lifecycle.handover import Folder
-from wheatring.lifecycle.orders import Orders, OrdersError, read
-from wheatring.lifecycle.shares import ceiling
+from wheatring.lifecycle.descriptor_limit import descriptor_limit
+from wheatring.lifecycle.drain import CLOSED_BY_SECONDS, Drain
+from wheatring.lifecycle.endpoint_overrides import EndpointOverrides
+from wheatring.lifecycle.handover import HandoverFolder
+from wheatring.lifecycle.operator_orders import OperatorOrders, OrdersError, parse_orders
 
 NAMES = st.sampled_from("abc")
 STATES = st.sampled_from(list(EndpointState))
@@ -37,12 +37,12 @@
         if view.kind is not ViewKind.FAILED:
             seen.update({e.endpoint: e for e in view.entries})
 
-    by_hand = ByHand(take)
+    by_hand = EndpointOverrides(take)
     for now, step in enumerate(steps, 10):
         if isinstance(step, frozenset):
             back.update({name: now for name in out - step if name in word})
             out = step
-            by_hand.put(now, out)
+            by_hand.set_offline(now, out)
         else:
             kind, lines = step
             told = tuple(EndpointEntry(name, state, started_at=at) for name, state, at in lines)
@@ -79,24 +79,24 @@
     for newer, more, stopping in steps:
         me = int(newer)
         held[me] = min(stated[me], more)
-        stated[me] = ceiling(places, held[me], newer, stopping and not newer, [stated[1 - me]])
+        stated[me] = descriptor_limit(places, held[me], newer, stopping and not newer, [stated[1 - me]])
         assert sum(stated) <= places and held[me] <= stated[me]
-    stated[0] = ceiling(places, 0, False, True, [stated[1]])
-    assert ceiling(places, 0, True, False, [stated[0]]) == places
+    stated[0] = descriptor_limit(places, 0, False, True, [stated[1]])
+    assert descriptor_limit(places, 0, True, False, [stated[0]]) == places
 
 
 def test_an_older_process_keeps_what_it_holds_and_gives_the_rest_up() -> None:
-    assert ceiling(100, 20, False, False, [0]) == 50
-    assert ceiling(100, 80, False, False, [0]) == 80
-    assert ceiling(100, 20, False, True, [0]) == 20
+    assert descriptor_limit(100, 20, False, False, [0]) == 50
+    assert descriptor_limit(100, 80, False, False, [0]) == 80
+    assert descriptor_limit(100, 20, False, True, [0]) == 20
 
 
 def test_callers_are_sent_away_in_even_steps_and_all_in_time() -> None:
     drain = Drain(10.0, 40)
-    steps = [drain.keep(10.0 + n / 20) for n in range(60)]
+    steps = [drain.max_idle(10.0 + n / 20) for n in range(60)]
     assert steps[0] == 40 and steps == sorted(steps, reverse=True)
     assert max(a - b for a, b in pairwise(steps)) <= 3
-    assert drain.keep(10.0 + EMPTY) == 0 and EMPTY < 2.0
+    assert drain.max_idle(10.0 + CLOSED_BY_SECONDS) == 0 and CLOSED_BY_SECONDS < 2.0
 
 
 @pytest.mark.parametrize(
@@ -108,39 +108,43 @@
 )  # fmt: skip
 def test_a_torn_or_foreign_file_of_orders_is_none(text: str, tmp_path: Path) -> None:
     with pytest.raises(OrdersError):
-        read(text, "n")
-    folder = Folder(str(tmp_path), "n", 1)
+        parse_orders(text, "n")
+    folder = HandoverFolder(str(tmp_path), "n", 1)
     folder.orders_file.write_text(text)
-    assert folder.news() is None
-    assert folder.change(lambda o: Orders(o.offline | {"b"}), Orders(frozenset("a"))).offline == {"a", "b"}
+    assert folder.changed_orders() is None
+    assert folder.change(
+        lambda o: OperatorOrders(o.offline | {"b"}), OperatorOrders(frozenset("a"))
+    ).offline == {"a", "b"}
 
 
 def test_orders_come_to_the_other_process_once_and_whole(tmp_path: Path) -> None:
-    one, two = Folder(str(tmp_path), "n 1/x", 1), Folder(str(tmp_path), "n 1/x", 2)
-    one.change(lambda o: Orders(o.offline | {"a", "ü"}, True), Orders())
-    assert two.news() == Orders(frozenset({"a", "ü"}), True)
-    assert two.news() is None and one.news() is None
-    two.change(lambda o: Orders(o.offline - {"a"}, o.out_of_service), Orders())
-    assert one.news() == Orders(frozenset({"ü"}), True)
+    one, two = HandoverFolder(str(tmp_path), "n 1/x", 1), HandoverFolder(str(tmp_path), "n 1/x", 2)
+    one.change(lambda o: OperatorOrders(o.offline | {"a", "ü"}, True), OperatorOrders())
+    assert two.changed_orders() == OperatorOrders(frozenset({"a", "ü"}), True)
+    assert two.changed_orders() is None and one.changed_orders() is None
+    two.change(lambda o: OperatorOrders(o.offline - {"a"}, o.out_of_service), OperatorOrders())
+    assert one.changed_orders() == OperatorOrders(frozenset({"ü"}), True)
 
 
 def test_only_who_holds_its_lock_counts_as_alive(tmp_path: Path) -> None:
-    one, two = Folder(str(tmp_path), "n", 1), Folder(str(tmp_path), "n", 2)
-    assert one.settle(lambda newest, others: 9 if newest else 0) == (9, [])
-    assert not two.alone()
-    stated, others = two.settle(lambda newest, others: others[0] if newest else 0)
-    assert (stated, [other.since for other in others]) == (9, [1])
-    assert one.settle(lambda newest, others: int(newest))[0] == 0  # the older one now
+    one, two = HandoverFolder(str(tmp_path), "n", 1), HandoverFolder(str(tmp_path), "n", 2)
+    assert one.claim_limit(lambda newest, others: 9 if newest else 0) == (9, [])
+    assert not two.is_alone()
+    stated, others = two.claim_limit(lambda newest, others: others[0] if newest else 0)
+    assert (stated, [other.started_ns for other in others]) == (9, [1])
+    assert one.claim_limit(lambda newest, others: int(newest))[0] == 0  # the older one now
     os.close(two._own)  # killed: its file stays, its lock does not
     assert two.own_file.exists()
-    assert one.settle(lambda newest, others: len(others)) == (0, [])
-    assert not two.own_file.exists() and one.alone()
+    assert one.claim_limit(lambda newest, others: len(others)) == (0, [])
+    assert not two.own_file.exists() and one.is_alone()
     one.leave()
     assert not one.own_file.exists()
 
 
 def test_a_folder_that_can_t_be_written_leaves_it_alone(tmp_path: Path) -> None:
-    folder = Folder(str(tmp_path / "none"), "n", 1)
-    assert folder.change(lambda o: Orders(o.offline | {"a"}), Orders()) == Orders(frozenset("a"))
-    assert folder.settle(lambda newest, others: 7) == (7, [])
-    assert folder.alone() and folder.news() is None
+    folder = HandoverFolder(str(tmp_path / "none"), "n", 1)
+    assert folder.change(lambda o: OperatorOrders(o.offline | {"a"}), OperatorOrders()) == OperatorOrders(
+        frozenset("a")
+    )
+    assert folder.claim_limit(lambda newest, others: 7) == (7, [])
+    assert folder.is_alone() and folder.changed_orders() is None
--- a/tests/ends/test_lists.py
+++ b/tests/ends/test_lists.py
@@ -18,7 +18,7 @@
 from tests.world import Peer, Wire, World, entry, list_body
 from wheatring import log
 from wheatring.http1 import discovery_client
-from wheatring.lifecycle.told import AGAIN
+from wheatring.lifecycle.notification_deadline import RETRY_WITHIN_SECONDS
 
 Make = Callable[..., World]
 HELD = "GET /v1/servers?index=7&wait=50000"
@@ -151,7 +151,7 @@
         watch.answer(503)
         watch = world.discovery.accept()
         assert asked(watch).startswith(HELD)
-        assert now(world) - failed <= AGAIN + 0.1
+        assert now(world) - failed <= RETRY_WITHIN_SECONDS + 0.1
 
 
 def test_watches_that_stood_between_failures_are_no_line(virtual: Make, told: Callable[..., None]) -> None:
@@ -166,7 +166,7 @@
         watch.answer(503)
         ended = now(world)
     asked(world.discovery.accept())
-    assert now(world) - ended <= AGAIN + 0.1
+    assert now(world) - ended <= RETRY_WITHIN_SECONDS + 0.1
 
 
 def test_moves_in_a_row_put_no_call_off(virtual: Make, told: Callable[..., None]) -> None:
@@ -182,7 +182,7 @@
         if peer.listener.socket.queue:
             break
     assert asked(peer.accept()) == WHOLE
-    assert now(world) - began <= AGAIN + 0.9 + 0.1
+    assert now(world) - began <= RETRY_WITHIN_SECONDS + 0.9 + 0.1
     for peer in new:
         peer.close()
 
@@ -202,7 +202,7 @@
     time.run(laid + 51.4)
     time.run(laid + 49.1 + 30.0)
     failed = world.codes("discovery-connection").count("connect-failed")
-    assert failed >= 30.0 / (AGAIN + 0.1)
+    assert failed >= 30.0 / (RETRY_WITHIN_SECONDS + 0.1)
 
 
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # the queues of the lab's listeners don't fill
@@ -577,7 +577,11 @@
     for patience in (0.0, 2.0, 4.0, 4.75, 4.75)[: 5 if copies == 1 else 3]:  # many give way by then
         first = new.accept()
         assert asked(first) == WHOLE
-        assert now(world) - before <= (min(patience + AGAIN, 5.0) if copies == 1 else 5.0 + AGAIN) + 0.1
+        assert (
+            now(world) - before
+            <= (min(patience + RETRY_WITHIN_SECONDS, 5.0) if copies == 1 else 5.0 + RETRY_WITHIN_SECONDS)
+            + 0.1
+        )
         before = now(world)
     first.answer(200, list_body(3, entry("n1", world.nodes[1]), reset=True))
     assert asked(first).startswith("GET /v1/servers?index=3&")
@@ -634,7 +638,7 @@
             if ending != "news":
                 watch = peers[-1].accept()
             asked(watch)
-            assert now(world) - ended <= AGAIN + 0.1
+            assert now(world) - ended <= RETRY_WITHIN_SECONDS + 0.1
         for peer in peers[1:]:
             peer.close()
         world.end()
--- a/tests/ends/test_long_outage.py
+++ b/tests/ends/test_long_outage.py
@@ -9,7 +9,7 @@
 from tests.virtual import Virtual
 from tests.world import World, entry, list_body
 from wheatring import log
-from wheatring.lifecycle.freshness import CEILING, Freshness
+from wheatring.lifecycle.freshness import MAX_ASK_INTERVAL_SECONDS, Freshness
 
 FAILED = 1100  # more than the doublings that a float takes
 
@@ -30,8 +30,8 @@
 def test_after_any_number_of_asks_in_vain_a_suspect_list_is_still_asked_for() -> None:
     fresh, now = Freshness(1, 0, Random(1), 0.0), 0.0
     for _ in range(FAILED):  # it names nobody to send to, and no answer brings news
-        fresh.watching(now)
-        due = fresh.due(now)
-        assert now < due <= now + 2 * CEILING
+        fresh.watch_started(now)
+        due = fresh.next_ask_at(now)
+        assert now < due <= now + 2 * MAX_ASK_INTERVAL_SECONDS
         now = due
-        fresh.ask(now)
+        fresh.ask_sent(now)
--- a/tests/ends/test_told.py
+++ b/tests/ends/test_told.py
@@ -16,10 +16,15 @@
 from tests.conftest import Copy, entries
 from wheatring.balancer import interface as i
 from wheatring.http1.discovery_client import CONNECT_TIMEOUT_SECONDS, WATCH_WAIT_SECONDS
-from wheatring.lifecycle import asking
-from wheatring.lifecycle.asking import Asking
+from wheatring.lifecycle import list_request_schedule
 from wheatring.lifecycle.freshness import Freshness
-from wheatring.lifecycle.told import AGAIN, ANSWER, HANG, Told
+from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
+from wheatring.lifecycle.notification_deadline import (
+    ANSWER_SECONDS,
+    HANGING_CALL_SECONDS,
+    RETRY_WITHIN_SECONDS,
+    NotificationDeadline,
+)
 
 STEP = 0.1
 TURN = 0.3  # seconds until a call that is taken is answered, or waits for news
@@ -32,13 +37,13 @@
     def __init__(self, copies: int, number: int, outages: list[Outage], within: float, seed: int) -> None:
         self.outages = outages
         self.within = within
-        self.asking = Asking(copies, number, within, Random(seed), 0.0)
-        self.freshness = Freshness(copies, number, Random(seed), 0.0, self.asking.told)
-        self.asking.begin(0.0, holds=True)
-        self.freshness.listed(0.0, {"n": True}, True)
+        self.asking = ListRequestSchedule(copies, number, within, Random(seed), 0.0)
+        self.freshness = Freshness(copies, number, Random(seed), 0.0, self.asking.notification)
+        self.asking.start(0.0, holds=True)
+        self.freshness.list_changed(0.0, {"n": True}, True)
         self.watch: float | None = None  # laid then
         self.silent = False
-        self.next = self.asking.due(0.0)
+        self.next = self.asking.next_call_at(0.0)
         self.out: tuple[float, str, float] | None = None  # a call on its way: made, how it ends, when
         self.failed = False  # a call has, and none was taken since
         self.known = 0.0  # of what was changed until then
@@ -58,10 +63,10 @@
         if self.out is not None and now >= self.out[2]:
             self.end(now)
         second = self.watch is not None
-        due = self.freshness.due(now) if second else self.next
+        due = self.freshness.next_ask_at(now) if second else self.next
         if self.out is None and now >= due:
             if second:
-                self.freshness.ask(now)
+                self.freshness.ask_sent(now)
             ends = now + {"refuses": 0.0, "hangs": CONNECT_TIMEOUT_SECONDS}.get(trouble, TURN)
             self.out = now, trouble, ends
 
@@ -71,24 +76,24 @@
         if how or self.trouble(now):
             self.failed = True
             if self.watch is not None:
-                self.freshness.failed(now)
+                self.freshness.ask_failed(now)
             else:
                 self.lose(now, made, how != "hangs")
             return
         self.failed = self.silent = False
         self.watch = self.known = now
-        self.asking.answered()
-        self.asking.told.answered(now)
-        self.asking.told.laid(now, WATCH_WAIT_SECONDS)
-        self.freshness.watching(now)
+        self.asking.call_answered()
+        self.asking.notification.call_answered(now)
+        self.asking.notification.call_accepted(now, WATCH_WAIT_SECONDS)
+        self.freshness.watch_started(now)
 
     def lose(self, now: float, made: float, taken: bool) -> None:
         self.watch = None
         self.failed = True
-        self.freshness.unwatched()
-        self.asking.told.dropped()
-        self.asking.failed(now, now - made, taken=taken, waits=True)
-        self.next = self.asking.due(now)
+        self.freshness.watch_stopped()
+        self.asking.notification.call_dropped()
+        self.asking.call_failed(now, now - made, taken=taken, waits=True)
+        self.next = self.asking.next_call_at(now)
 
     def counts(self, changed: float, now: float) -> float:
         """When that counts as told, by the state of now; anew when discovery is back."""
@@ -123,21 +128,21 @@
 
 @given(st.floats(0.1, 100.0), st.floats(0.0, 60.0), st.sampled_from(["begun", "laid", "answered", "failed"]))
 def test_the_law_leaves_a_call_the_time_that_it_takes(within: float, wait: float, last: str) -> None:
-    told = Told(within, 0.0)
-    told.laid(1.0, wait)
-    told.answered(2.0)
+    told = NotificationDeadline(within, 0.0)
+    told.call_accepted(1.0, wait)
+    told.call_answered(2.0)
     if last == "begun":
-        told.begin(2.0)
+        told.start(2.0)
     elif last == "laid":
-        told.laid(2.0, wait)
+        told.call_accepted(2.0, wait)
     elif last == "failed":
-        told.failed(2.0, 2.0)
-    by = told.by()
+        told.call_failed(2.0, 2.0)
+    by = told.deadline()
     assert by > 2.0
     if last == "laid":
-        assert by + HANG <= 2.0 + max(6.0, wait + 2.0)
+        assert by + HANGING_CALL_SECONDS <= 2.0 + max(6.0, wait + 2.0)
     elif last == "failed":
-        assert by + HANG <= 2.0 + 6.0
+        assert by + HANGING_CALL_SECONDS <= 2.0 + 6.0
     else:
         assert by <= 2.0 + within
 
@@ -145,28 +150,32 @@
 @pytest.mark.parametrize("copies", [1, 3, 20, 200])
 def test_who_holds_a_list_asks_again_within_three_seconds_however_long_nobody_is_there(copies: int) -> None:
     """An hour of it: what doubles must not grow for ever."""
-    all_of_them = [Asking(copies, number, 10.0, Random(number), 0.0) for number in range(0, copies, 7)]
+    all_of_them = [
+        ListRequestSchedule(copies, number, 10.0, Random(number), 0.0) for number in range(0, copies, 7)
+    ]
     for one in all_of_them:
-        one.begin(0.0, holds=True)
-        now = one.due(0.0)
+        one.start(0.0, holds=True)
+        now = one.next_call_at(0.0)
         for _ in range(3000):
-            one.failed(now)
-            assert now < one.due(now) <= now + AGAIN
-            now = one.due(now)
+            one.call_failed(now)
+            assert now < one.next_call_at(now) <= now + RETRY_WITHIN_SECONDS
+            now = one.next_call_at(now)
 
 
-@pytest.mark.parametrize(("copies", "longest"), [(1, AGAIN), (12, AGAIN), (20, 5.0), (200, 24.0)])
+@pytest.mark.parametrize(
+    ("copies", "longest"), [(1, RETRY_WITHIN_SECONDS), (12, RETRY_WITHIN_SECONDS), (20, 5.0), (200, 24.0)]
+)
 def test_a_line_makes_only_a_fleet_give_way_that_is_too_large_for_it(copies: int, longest: float) -> None:
-    one, now = Asking(copies, 0, 10.0, Random(1), 0.0), 0.0
-    one.begin(now, holds=True)
+    one, now = ListRequestSchedule(copies, 0, 10.0, Random(1), 0.0), 0.0
+    one.start(now, holds=True)
     gaps = []
     for taken in [True] * 12 + [False] * 3:
         now += 2.0
-        one.failed(now, 2.0, taken=taken)
-        gaps.append(one.due(now) - now)
-        now = one.due(now)
+        one.call_failed(now, 2.0, taken=taken)
+        gaps.append(one.next_call_at(now) - now)
+        now = one.next_call_at(now)
     assert 0.5 * longest <= max(gaps[:12]) <= longest
-    assert max(gaps[12:]) <= AGAIN  # nobody is there: that costs nothing
+    assert max(gaps[12:]) <= RETRY_WITHIN_SECONDS  # nobody is there: that costs nothing
 
 
 @pytest.mark.parametrize("copies", [20, 140, 200, 400])
@@ -175,20 +184,20 @@
 ) -> None:
     soon = 0
     for number in range(copies):
-        one = Asking(copies, number, 10.0, Random(number), 0.0)
-        one.begin(0.0, holds=True)
-        one.failed(10.0, 2.0, waits=True)
-        soon += one.due(10.0) <= 10.0 + AGAIN
+        one = ListRequestSchedule(copies, number, 10.0, Random(number), 0.0)
+        one.start(0.0, holds=True)
+        one.call_failed(10.0, 2.0, waits=True)
+        soon += one.next_call_at(10.0) <= 10.0 + RETRY_WITHIN_SECONDS
     most = min(copies, 25 * 6)
     assert most - 2 <= soon <= most + (copies - most) * 0.25  # of those that give way some come early
 
 
 def test_who_holds_none_asks_on_after_an_hour_as_well() -> None:
-    one, now = Asking(1, 0, 10.0, Random(1), 0.0), 0.0
+    one, now = ListRequestSchedule(1, 0, 10.0, Random(1), 0.0), 0.0
     for _ in range(3000):
-        now = one.due(now)
-        one.failed(now)
-        assert one.due(now) <= now + 2 * asking.LEAST_UP_TO
+        now = one.next_call_at(now)
+        one.call_failed(now)
+        assert one.next_call_at(now) <= now + 2 * list_request_schedule.MAX_MIN_ROUND_SECONDS
 
 
 ENDS = ["refused", "hangs", "swallowed", "in line"]
@@ -199,62 +208,62 @@
     copies: int, moved: bool, ends: list[tuple[str, float]]
 ) -> None:
     """Any instant at which discovery is there again is followed by a call that is answered in time."""
-    one, now = Asking(copies, copies - 1, 10.0, Random(1), 0.0), 50.0
-    one.begin(0.0, holds=True)
-    one.failed(now, 50.0, waits=True)
+    one, now = ListRequestSchedule(copies, copies - 1, 10.0, Random(1), 0.0), 50.0
+    one.start(0.0, holds=True)
+    one.call_failed(now, 50.0, waits=True)
     if moved:
-        one.move(now, True, False, 0.0, False)
+        one.discovery_moved(now, True, False, 0.0, False)
     for ending, line in ends:
-        assert one.due(now) <= now + AGAIN + 1e-9
-        now = began = one.due(now)
+        assert one.next_call_at(now) <= now + RETRY_WITHIN_SECONDS + 1e-9
+        now = began = one.next_call_at(now)
         took = {
             "refused": 0.0,
             "hangs": CONNECT_TIMEOUT_SECONDS,
-            "swallowed": one.patience(),
+            "swallowed": one.draw_patience(),
             "in line": line,
         }[ending]
         now += took
-        one.failed(now, took, taken=ending != "hangs", waits=ending == "in line")
-        assert one.due(now) - began <= 6.0 - ANSWER + 1e-9
+        one.call_failed(now, took, taken=ending != "hangs", waits=ending == "in line")
+        assert one.next_call_at(now) - began <= 6.0 - ANSWER_SECONDS + 1e-9
 
 
 @pytest.mark.parametrize("answered", [True, False])
 def test_a_fleet_whose_watches_end_at_once_is_spread_out_and_stays_so(answered: bool) -> None:
     """They may have been laid after another outage, and have had no news since."""
-    fleet = [Asking(200, number, 10.0, Random(number), 0.0) for number in range(200)]
+    fleet = [ListRequestSchedule(200, number, 10.0, Random(number), 0.0) for number in range(200)]
     calls = []
     for one in fleet:
-        one.begin(0.0, holds=True)
+        one.start(0.0, holds=True)
         if answered:
-            one.answered()
+            one.call_answered()
         now = 100.0
-        one.failed(now, 50.0, waits=True)
+        one.call_failed(now, 50.0, waits=True)
         while now < 130.0:
-            now = one.due(now)
+            now = one.next_call_at(now)
             calls.append(now)
-            one.failed(now)
+            one.call_failed(now)
     for second in range(100, 130):
-        assert sum(second <= at < second + 1 for at in calls) <= 1.7 * 200 / AGAIN
+        assert sum(second <= at < second + 1 for at in calls) <= 1.7 * 200 / RETRY_WITHIN_SECONDS
 
 
 def test_the_module_subscribes_again_after_an_hour_without_discovery() -> None:
     copy = Copy(1, must_subscribe=True)
     (timer,) = copy.view(*entries("a"), kind=i.ViewKind.CACHED)
     for _ in range(1500):
-        assert isinstance(timer, i.SetTimer) and timer.delay <= AGAIN
+        assert isinstance(timer, i.SetTimer) and timer.delay <= RETRY_WITHIN_SECONDS
         assert copy.do(i.TimerDue(timer.token), timer.delay) == [i.Subscribe()]
         (timer,) = copy.view(kind=i.ViewKind.FAILED)
 
 
 def test_an_ask_that_brings_nothing_for_days_is_still_made() -> None:
     fresh = Freshness(1, 0, Random(1), 0.0)
-    fresh.listed(0.0, {"n": True}, True)
-    fresh.watching(0.0)
-    fresh.ended(0.0, "n", i.Outcome.CONNECT_FAILED)
+    fresh.list_changed(0.0, {"n": True}, True)
+    fresh.watch_started(0.0)
+    fresh.attempt_ended(0.0, "n", i.Outcome.CONNECT_FAILED)
     now = 0.0
     for _ in range(1500):
-        fresh.ended(now, "n", i.Outcome.CONNECT_FAILED)
-        now = fresh.due(now)
+        fresh.attempt_ended(now, "n", i.Outcome.CONNECT_FAILED)
+        now = fresh.next_ask_at(now)
         assert now < inf
-        fresh.ask(now)
-        fresh.watching(now)
+        fresh.ask_sent(now)
+        fresh.watch_started(now)
--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -11,8 +11,8 @@
 from tests.lab.direct_world import Time, Told
 from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
 from wheatring.lab.plan import DiscoveryPlan
-from wheatring.lifecycle import asking
-from wheatring.lifecycle.asking import Asking
+from wheatring.lifecycle import list_request_schedule
+from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
 
 LINES = 10
 
@@ -29,7 +29,7 @@
         self.registry.add(Listed("n", "127.0.0.1:1"))
         if opens:
             self.time.at(opens, self.registry.begin("down"))
-        self.fleet = [Asking(copies, n, 10.0, Random(f"{seed}:{n}"), 0.0) for n in range(copies)]
+        self.fleet = [ListRequestSchedule(copies, n, 10.0, Random(f"{seed}:{n}"), 0.0) for n in range(copies)]
         self.calls: list[float] = []
         self.began: dict[int, float] = {}
         self.failed = 0
@@ -38,7 +38,7 @@
             self.wait(n)
 
     def wait(self, n: int) -> None:
-        self.time.at(self.fleet[n].due(self.time.now()), self.call, n)
+        self.time.at(self.fleet[n].next_call_at(self.time.now()), self.call, n)
 
     def call(self, n: int) -> None:
         now = self.time.now()
@@ -53,7 +53,7 @@
                 self.again(n, now)
 
         call = self.registry.call(str(n), None, 0.0, ended)
-        self.time.at(now + self.fleet[n].patience(), self.leave, n, call)
+        self.time.at(now + self.fleet[n].draw_patience(), self.leave, n, call)
 
     def leave(self, n: int, call: Call) -> None:
         if not call.over:
@@ -61,7 +61,7 @@
             self.again(n, self.began[n])
 
     def again(self, n: int, began: float) -> None:
-        self.fleet[n].failed(self.time.now(), self.time.now() - began)
+        self.fleet[n].call_failed(self.time.now(), self.time.now() - began)
         self.wait(n)
 
     def most(self, since: float, span: float = 1.0) -> int:
@@ -103,34 +103,37 @@
     copies: int, number: int, answered: bool, data: st.DataObject
 ) -> None:
     """Within ten seconds from the start, and within forty of a failure, whatever came before."""
-    one = Asking(copies, number, 10.0, Random(number), 100.0)
-    one.begin(100.0, holds=True)
-    now = one.due(100.0)
+    one = ListRequestSchedule(copies, number, 10.0, Random(number), 100.0)
+    one.start(100.0, holds=True)
+    now = one.next_call_at(100.0)
     assert 100.0 <= now < 110.0
     if answered:
-        one.answered()
+        one.call_answered()
     for _ in range(8):
         took = data.draw(st.floats(0.0, 60.0))
         now += took
-        one.failed(now, took, data.draw(st.none() | st.floats(0.0, 5.0)))
-        assert now < one.due(now) < now + 40.0
-        now = one.due(now)
+        one.call_failed(now, took, data.draw(st.none() | st.floats(0.0, 5.0)))
+        assert now < one.next_call_at(now) < now + 40.0
+        now = one.next_call_at(now)
 
 
 @given(st.integers(2, 500))
 def test_those_with_nothing_to_go_by_ask_first(copies: int) -> None:
-    with_none = [Asking(copies, n, 10.0, Random(n), 0.0) for n in range(copies)]
-    holders = [Asking(copies, n, 10.0, Random(n), 0.0) for n in range(copies)]
+    with_none = [ListRequestSchedule(copies, n, 10.0, Random(n), 0.0) for n in range(copies)]
+    holders = [ListRequestSchedule(copies, n, 10.0, Random(n), 0.0) for n in range(copies)]
     for one in holders:
-        one.begin(0.0, holds=True)
-    assert max(one.due(0.0) for one in with_none) <= min(one.due(0.0) for one in holders) + 1e-9
+        one.start(0.0, holds=True)
+    assert (
+        max(one.next_call_at(0.0) for one in with_none)
+        <= min(one.next_call_at(0.0) for one in holders) + 1e-9
+    )
 
 
 def test_what_a_single_sidecar_waits_is_no_longer_than_before() -> None:
-    one = Asking(1, 0, 10.0, Random(1), 0.0)
-    assert one.due(0.0) < 0.1 and one.patience() == asking.PATIENT
+    one = ListRequestSchedule(1, 0, 10.0, Random(1), 0.0)
+    assert one.next_call_at(0.0) < 0.1 and one.draw_patience() == list_request_schedule.MAX_PATIENCE_SECONDS
     now = 0.0
     for _ in range(12):
-        now = one.due(now) + asking.PATIENT
-        one.failed(now)
-        assert one.due(now) - now <= 2 * asking.LEAST_UP_TO
+        now = one.next_call_at(now) + list_request_schedule.MAX_PATIENCE_SECONDS
+        one.call_failed(now)
+        assert one.next_call_at(now) - now <= 2 * list_request_schedule.MAX_MIN_ROUND_SECONDS
--- a/tests/lifecycle/test_freshness.py
+++ b/tests/lifecycle/test_freshness.py
@@ -11,7 +11,16 @@
 
 from wheatring.balancer.interface import Outcome
 from wheatring.lifecycle import freshness
-from wheatring.lifecycle.freshness import CEILING, EMPTY, FLOOR, MEMORY, NEED, QUIET, RATE, Freshness
+from wheatring.lifecycle.freshness import (
+    MAX_ASK_INTERVAL_SECONDS,
+    MAX_ASK_RATE,
+    MAX_EMPTY_SECONDS,
+    MIN_ASK_INTERVAL_SECONDS,
+    RENEWAL_SECONDS,
+    SUSPECT_NODE_SECONDS,
+    SUSPICION_MEMORY_SECONDS,
+    Freshness,
+)
 
 BAD = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.REJECTED)
 SAYS_NOTHING = (Outcome.TIMED_OUT, Outcome.CANCELLED, Outcome.NOT_SENT)
@@ -31,13 +40,13 @@
             for at, what, name, more in self.past:
                 if name != node:
                     continue
-                if what == "clear" or at - last > MEMORY:
+                if what == "clear" or at - last > SUSPICION_MEMORY_SECONDS:
                     weight, since = 0.0, inf
                 if what == "strike":
                     weight, last = weight + more, at
                     if weight >= 1 and since == inf:
                         since = at
-            if since < inf and now - last <= MEMORY:
+            if since < inf and now - last <= SUSPICION_MEMORY_SECONDS:
                 total += now - max(since, news)
         return total
 
@@ -48,8 +57,8 @@
     names = [f"n{n}" for n in range(5)]
     now = 100.0
     fresh, slow = Freshness(1, 0, Random(seed), now), Slow()
-    fresh.listed(now, dict.fromkeys(names, True), True)
-    fresh.watching(now)
+    fresh.list_changed(now, dict.fromkeys(names, True), True)
+    fresh.watch_started(now)
     slow.past.append((now, "news", "", 0.0))
     found = 0
     for _ in range(400):
@@ -58,30 +67,32 @@
         what = random.random()
         if what < 0.6:
             outcome = random.choice(BAD)
-            fresh.ended(now, node, outcome)
-            slow.past.append((now, "strike", node, freshness.STRIKES[outcome]))
+            fresh.attempt_ended(now, node, outcome)
+            slow.past.append((now, "strike", node, freshness.FAULT_WEIGHTS[outcome]))
         elif what < 0.75:
-            fresh.ended(now, node, random.choice((Outcome.SERVED, Outcome.ERROR)))
+            fresh.attempt_ended(now, node, random.choice((Outcome.SERVED, Outcome.ERROR)))
             slow.past.append((now, "clear", node, 0.0))
         elif what < 0.8:
-            fresh.listed(now, {node: True}, False)
+            fresh.list_changed(now, {node: True}, False)
             slow.past += [(now, "clear", node, 0.0), (now, "news", "", 0.0)]
         elif what < 0.85:
-            assert not fresh.ended(now, node, random.choice(SAYS_NOTHING))
-            assert not fresh.ended(now, "unlisted", Outcome.CONNECT_FAILED)
-        due, doubt = fresh.due(now), slow.doubt(now)
-        assert (fresh.suspect is not None) == (doubt >= NEED - 1e-9) or abs(doubt - NEED) < 1e-6
-        if doubt >= NEED + 1e-6 and now > 200.0:
+            assert not fresh.attempt_ended(now, node, random.choice(SAYS_NOTHING))
+            assert not fresh.attempt_ended(now, "unlisted", Outcome.CONNECT_FAILED)
+        due, doubt = fresh.next_ask_at(now), slow.doubt(now)
+        assert (fresh.suspect_since is not None) == (doubt >= SUSPECT_NODE_SECONDS - 1e-9) or abs(
+            doubt - SUSPECT_NODE_SECONDS
+        ) < 1e-6
+        if doubt >= SUSPECT_NODE_SECONDS + 1e-6 and now > 200.0:
             found += 1
-            assert due <= now + freshness.SPREAD
-        fresh.watching(min(now, 150.0))  # laid long ago
+            assert due <= now + freshness.MIN_SPREAD_SECONDS
+        fresh.watch_started(min(now, 150.0))  # laid long ago
     assert found > 5
 
 
 def struck(copies: int, number: int, nodes: int = 12) -> Freshness:
     fresh = Freshness(copies, number, Random(f"{copies}:{number}"), 0.0)
-    fresh.listed(0.0, {f"n{n}": True for n in range(nodes)}, True)
-    fresh.watching(0.0)
+    fresh.list_changed(0.0, {f"n{n}": True for n in range(nodes)}, True)
+    fresh.watch_started(0.0)
     return fresh
 
 
@@ -91,14 +102,14 @@
     now, told = 10.0, inf
     while now < until:
         for node in list(fresh.serving):
-            fresh.ended(now, node, Outcome.CONNECT_FAILED)
+            fresh.attempt_ended(now, node, Outcome.CONNECT_FAILED)
         if now >= told:
-            fresh.listed(now, {"n0": True}, False)
+            fresh.list_changed(now, {"n0": True}, False)
             told = inf
-        if fresh.due(now) <= now:
+        if fresh.next_ask_at(now) <= now:
             made.append(now)
-            fresh.ask(now)
-            fresh.watching(now)
+            fresh.ask_sent(now)
+            fresh.watch_started(now)
             told = now + news
         now += 0.05
     return made
@@ -106,12 +117,14 @@
 
 def test_asks_are_never_nearer_than_the_floor_and_grow_rarer_while_they_bring_nothing() -> None:
     fruitless, fruitful = asks(struck(1, 0), 300.0), asks(struck(1, 0), 300.0, 0.5)
-    assert fruitless[0] < 10.0 + NEED / 12 + freshness.SPREAD + 0.1
+    assert fruitless[0] < 10.0 + SUSPECT_NODE_SECONDS / 12 + freshness.MIN_SPREAD_SECONDS + 0.1
     for made in (fruitless, fruitful):
-        assert all(b - a >= FLOOR for a, b in pairwise(made))
+        assert all(b - a >= MIN_ASK_INTERVAL_SECONDS for a, b in pairwise(made))
     gaps = [b - a for a, b in pairwise(fruitless)]
-    assert max(gaps[:2]) < 2.6 * FLOOR and min(gaps[4:]) >= min(QUIET, CEILING)
-    assert len(fruitless) <= 5 + 300 / QUIET and len(fruitful) > 40
+    assert max(gaps[:2]) < 2.6 * MIN_ASK_INTERVAL_SECONDS and min(gaps[4:]) >= min(
+        RENEWAL_SECONDS, MAX_ASK_INTERVAL_SECONDS
+    )
+    assert len(fruitless) <= 5 + 300 / RENEWAL_SECONDS and len(fruitful) > 40
 
 
 @pytest.mark.parametrize("copies", [1, 17, 1000])
@@ -124,36 +137,39 @@
         window.append(at)
         while window[0] <= at - 4.0:
             window.popleft()
-        assert len(window) * each <= max(copies, 4.0 * RATE * 1.2)
-    assert len(made) * each <= copies * (1 + 120.0 / FLOOR) and len(made) * each <= 130.0 * RATE
+        assert len(window) * each <= max(copies, 4.0 * MAX_ASK_RATE * 1.2)
+    assert (
+        len(made) * each <= copies * (1 + 120.0 / MIN_ASK_INTERVAL_SECONDS)
+        and len(made) * each <= 130.0 * MAX_ASK_RATE
+    )
 
 
 def test_what_is_due_at_an_instant_is_due_then_however_late_its_turn_among_the_copies() -> None:
     fresh = struck(100, 90)
     for n in range(12):
-        fresh.ended(10.0, f"n{n}", Outcome.CONNECT_FAILED)
-    at = fresh.due(10.0)
-    assert 10.0 + NEED / 12 + 3.5 < at < 10.0 + NEED / 12 + 100 / RATE
-    assert fresh.due(at) <= at
+        fresh.attempt_ended(10.0, f"n{n}", Outcome.CONNECT_FAILED)
+    at = fresh.next_ask_at(10.0)
+    assert 10.0 + SUSPECT_NODE_SECONDS / 12 + 3.5 < at < 10.0 + SUSPECT_NODE_SECONDS / 12 + 100 / MAX_ASK_RATE
+    assert fresh.next_ask_at(at) <= at
 
 
 def test_one_node_that_flaps_or_few_among_many_are_no_reason_to_ask_often() -> None:
     fresh = struck(1, 0)
     made, now = [], 10.0
     while now < 60.0:
-        fresh.ended(now, "n0", Outcome.CONNECT_FAILED if now % 6 < 3 else Outcome.SERVED)
-        if fresh.due(now) <= now:
+        fresh.attempt_ended(now, "n0", Outcome.CONNECT_FAILED if now % 6 < 3 else Outcome.SERVED)
+        if fresh.next_ask_at(now) <= now:
             made.append(now)
-            fresh.ask(now)
-            fresh.watching(now)
+            fresh.ask_sent(now)
+            fresh.watch_started(now)
         now += 0.1
     assert len(made) <= 2  # for its silence alone
 
 
 def test_an_empty_list_is_suspect_by_itself_and_without_a_watch_nothing_is_due() -> None:
     fresh = struck(1, 0, 1)
-    fresh.watching(20.0)
-    fresh.listed(20.0, {"n0": False}, False)
-    assert 20.0 + EMPTY <= fresh.due(20.0) <= 20.0 + FLOOR
-    fresh.unwatched()
-    assert fresh.due(21.0) == inf
+    fresh.watch_started(20.0)
+    fresh.list_changed(20.0, {"n0": False}, False)
+    assert 20.0 + MAX_EMPTY_SECONDS <= fresh.next_ask_at(20.0) <= 20.0 + MIN_ASK_INTERVAL_SECONDS
+    fresh.watch_stopped()
+    assert fresh.next_ask_at(21.0) == inf
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_leaving.py
@@ -9,20 +9,20 @@
 from hypothesis import strategies as st
 
 from wheatring.balancer.interface import Idempotency, RequestClass
-from wheatring.lifecycle.leaving import (
-    AHEAD,
-    ARRIVING,
-    DOOR,
-    KEPT,
-    KILL,
-    LONGEST,
-    SHED,
-    SHED_FOLLOWED,
-    UNSERVED,
-    Leaving,
-    Open,
-    Usual,
-    chance,
+from wheatring.lifecycle.shutdown_schedule import (
+    CLOSE_IDLE_SECONDS,
+    CLOSE_IDLE_WITH_SUCCESSOR_SECONDS,
+    HORIZONS_SECONDS,
+    KILL_AFTER_DEADLINE_SECONDS,
+    LATENCIES_KEPT,
+    MAX_ACCEPT_SECONDS,
+    MAX_DEADLINE_SECONDS,
+    MIN_ACCEPT_SECONDS,
+    UNSERVED_CHANCE,
+    LatencyHistory,
+    OpenRequest,
+    ShutdownSchedule,
+    answer_probability,
 )  # fmt: skip
 
 CLASSES = (
@@ -31,21 +31,25 @@
 )
 TIMES = st.floats(0.0, 8.0)
 HISTORY = st.lists(st.tuples(st.sampled_from(("menu", "order")), st.floats(0.0, 0.5), st.floats(0.001, 3.0)))
-JOBS = st.lists(st.builds(Open, st.sampled_from(("menu", "order")), TIMES, st.floats(0.0, 6.0)), max_size=6)
+JOBS = st.lists(
+    st.builds(OpenRequest, st.sampled_from(("menu", "order")), TIMES, st.floats(0.0, 6.0)), max_size=6
+)
 
 
-def planned(history: list[tuple[str, float, float]], copies: int = 1, idle: int = 0) -> tuple[Leaving, float]:
+def planned(
+    history: list[tuple[str, float, float]], copies: int = 1, idle: int = 0
+) -> tuple[ShutdownSchedule, float]:
     """A departure after these services: class, time since the one before, latency. And its SIGTERM."""
-    usual, now = Usual(), 100.0
+    usual, now = LatencyHistory(), 100.0
     for name, later, latency in history:
         now += later
-        usual.served(name, now, latency)
-    return Leaving(now, CLASSES, copies, usual, idle), now
+        usual.record(name, now, latency)
+    return ShutdownSchedule(now, CLASSES, copies, usual, idle), now
 
 
-def likely(history: list[tuple[str, float, float]], job: Open, until: float) -> float:
+def likely(history: list[tuple[str, float, float]], job: OpenRequest, until: float) -> float:
     """Chance that a job is answered within `until` seconds, by counting."""
-    latest = [latency for name, _, latency in history if name == job.class_name][-KEPT:]
+    latest = [latency for name, _, latency in history if name == job.class_name][-LATENCIES_KEPT:]
     longer = [latency for latency in latest if latency > job.age]
     if until <= 0:
         return 0.0
@@ -56,7 +60,7 @@
 
 @given(HISTORY, JOBS, st.integers(1, 5), st.floats(0.0, 5.0))
 def test_jobs_go_on_just_while_some_time_ahead_brings_more_than_it_costs(
-    history: list[tuple[str, float, float]], jobs: list[Open], copies: int, since: float
+    history: list[tuple[str, float, float]], jobs: list[OpenRequest], copies: int, since: float
 ) -> None:
     leaving, told = planned(history, copies)
     cost = 0.0
@@ -66,33 +70,35 @@
             at += later
             if name == each.name:
                 stamps.append(at)
-        stamps = stamps[-KEPT:]
+        stamps = stamps[-LATENCIES_KEPT:]
         if len(stamps) > 1 and told > stamps[0]:
-            cost += each.value * (len(stamps) - 1) / (told - stamps[0]) * min(1.0, UNSERVED / copies)
-    assert isclose(leaving.cost, cost)
-    worth = dict.fromkeys(AHEAD, 0.0)
+            cost += each.value * (len(stamps) - 1) / (told - stamps[0]) * min(1.0, UNSERVED_CHANCE / copies)
+    assert isclose(leaving.value_per_second_away, cost)
+    worth = dict.fromkeys(HORIZONS_SECONDS, 0.0)
     for job in jobs:
         each = next(c for c in CLASSES if c.name == job.class_name)
-        for ahead in AHEAD:
-            in_time = likely(history, job, min(ahead, job.left, each.latency_target - job.age))
-            at_all = likely(history, job, min(ahead, job.left))
+        for ahead in HORIZONS_SECONDS:
+            in_time = likely(history, job, min(ahead, job.remaining, each.latency_target - job.age))
+            at_all = likely(history, job, min(ahead, job.remaining))
             worth[ahead] += each.value * (in_time + each.late_value * (at_all - in_time))
-    margins = [worth[ahead] - cost * ahead for ahead in AHEAD]
+    margins = [worth[ahead] - cost * ahead for ahead in HORIZONS_SECONDS]
     if any(abs(margin) < 1e-6 * (1 + cost) for margin in margins):
         return  # either is right
-    due = told + since >= told + min(6.0, LONGEST) + KILL - 0.2
-    assert leaving.goes_on(told + since, jobs) == (not due and any(margin > 0 for margin in margins))
+    due = told + since >= told + min(6.0, MAX_DEADLINE_SECONDS) + KILL_AFTER_DEADLINE_SECONDS - 0.2
+    assert leaving.should_continue(told + since, jobs) == (not due and any(margin > 0 for margin in margins))
 
 
 @given(HISTORY, JOBS, st.floats(0.0, 10.0))
 def test_it_never_runs_into_sigkill_and_never_holds_out_for_nothing(
-    history: list[tuple[str, float, float]], jobs: list[Open], since: float
+    history: list[tuple[str, float, float]], jobs: list[OpenRequest], since: float
 ) -> None:
     leaving, told = planned(history)
-    killed = told + min(max(each.deadline for each in CLASSES), LONGEST) + KILL
-    assert leaving.last < killed
-    if told + since >= killed or not jobs or all(job.left <= 0 for job in jobs):
-        assert not leaving.goes_on(told + since, jobs)
+    killed = (
+        told + min(max(each.deadline for each in CLASSES), MAX_DEADLINE_SECONDS) + KILL_AFTER_DEADLINE_SECONDS
+    )
+    assert leaving.deadline < killed
+    if told + since >= killed or not jobs or all(job.remaining <= 0 for job in jobs):
+        assert not leaving.should_continue(told + since, jobs)
 
 
 @given(st.lists(st.floats(0.0, 1.5), max_size=8), st.lists(st.floats(0.0, 3.0), max_size=3))
@@ -103,28 +109,28 @@
     leaving, told = planned([])
     crowded = max(full, default=0.0)
     now = 0.0
-    while not leaving.shut(
+    while not leaving.should_stop_accepting(
         told + now, told + max([c for c in comes if c <= now], default=-inf), now < crowded
     ):
         now += 0.02
-    assert now >= min(crowded, leaving.last - told - 0.02) - 1e-6
-    assert ARRIVING <= now <= max(DOOR, crowded) + 0.021
+    assert now >= min(crowded, leaving.deadline - told - 0.02) - 1e-6
+    assert MIN_ACCEPT_SECONDS <= now <= max(MAX_ACCEPT_SECONDS, crowded) + 0.021
     last = max([c for c in comes if c <= now], default=-inf)
-    assert now >= DOOR - 1e-6 or now - last >= 0.05 - 1e-6
+    assert now >= MAX_ACCEPT_SECONDS - 1e-6 or now - last >= 0.05 - 1e-6
 
 
 @given(st.integers(0, 900))
 def test_idle_connections_go_a_few_at_a_time_and_all_of_them_before_the_door_shuts(idle: int) -> None:
     leaving, told = planned([], idle=idle)
-    kept = [leaving.keep(told + n * 0.02) for n in range(25)]
-    assert kept[0] == idle and kept[int(ARRIVING / 0.02)] == 0
+    kept = [leaving.max_idle(told + n * 0.02) for n in range(25)]
+    assert kept[0] == idle and kept[int(MIN_ACCEPT_SECONDS / 0.02)] == 0
     assert all(0 <= before - after <= idle / 9 + 1 for before, after in pairwise(kept))
 
 
 def test_what_may_have_run_is_refused_only_where_a_repeat_does_no_harm() -> None:
     leaving, _ = planned([])
-    assert leaving.may_refuse("menu", True) and leaving.may_refuse("order", False)
-    assert not leaving.may_refuse("order", True)
+    assert leaving.may_reject("menu", True) and leaving.may_reject("order", False)
+    assert not leaving.may_reject("order", True)
 
 
 @given(st.lists(st.floats(0.001, 5.0), max_size=70), TIMES, TIMES, TIMES)
@@ -132,17 +138,20 @@
     latencies: list[float], age: float, ahead: float, more: float
 ) -> None:
     latencies.sort()
-    less, greater = chance(latencies, age, ahead), chance(latencies, age, ahead + more)
+    less, greater = (
+        answer_probability(latencies, age, ahead),
+        answer_probability(latencies, age, ahead + more),
+    )
     assert 0 <= less <= greater + 1e-12 and greater <= 1 + 1e-12
 
 
 @given(HISTORY, JOBS.filter(bool), st.floats(0.0, 5.0))
 def test_nobody_waits_for_the_end_of_one_whose_follower_serves(
-    history: list[tuple[str, float, float]], jobs: list[Open], since: float
+    history: list[tuple[str, float, float]], jobs: list[OpenRequest], since: float
 ) -> None:
     _, told = planned(history)
-    usual = Usual()
-    leaving = Leaving(told, CLASSES, 1, usual, 20, followed=True)
-    assert leaving.goes_on(told + since, jobs) == (told + since < leaving.last)
-    assert leaving.keep(told + SHED) > 10  # where nobody follows it is none by then
-    assert leaving.keep(told + SHED_FOLLOWED) == 0
+    usual = LatencyHistory()
+    leaving = ShutdownSchedule(told, CLASSES, 1, usual, 20, has_successor=True)
+    assert leaving.should_continue(told + since, jobs) == (told + since < leaving.deadline)
+    assert leaving.max_idle(told + CLOSE_IDLE_SECONDS) > 10  # where nobody follows it is none by then
+    assert leaving.max_idle(told + CLOSE_IDLE_WITH_SUCCESSOR_SECONDS) == 0
--- a/tests/lifecycle/test_stored_files.py
+++ b/tests/lifecycle/test_stored_files.py
@@ -7,26 +7,26 @@
 import shutil
 from pathlib import Path
 
-from wheatring.lifecycle.handover import Folder
-from wheatring.lifecycle.orders import Orders
+from wheatring.lifecycle.handover import HandoverFolder
+from wheatring.lifecycle.operator_orders import OperatorOrders
 
 DATA = Path(__file__).parent / "data"
 OLDER = 1700000000000000001  # the start of the process that wrote them
 
 
-def opened(tmp_path: Path) -> Folder:
+def opened(tmp_path: Path) -> HandoverFolder:
     shutil.copytree(DATA, tmp_path / "shared")
-    return Folder(str(tmp_path / "shared"), "n 3", OLDER + 5)
+    return HandoverFolder(str(tmp_path / "shared"), "n 3", OLDER + 5)
 
 
 def test_orders_of_the_previous_version_are_read(tmp_path: Path) -> None:
-    assert opened(tmp_path).news() == Orders(frozenset({"n 1", "n2"}), True)
+    assert opened(tmp_path).changed_orders() == OperatorOrders(frozenset({"n 1", "n2"}), True)
 
 
 def test_orders_are_written_as_the_previous_version_writes_them(tmp_path: Path) -> None:
     folder = opened(tmp_path)
     before = folder.orders_file.read_bytes()
-    folder.change(lambda orders: orders, Orders())
+    folder.change(lambda orders: orders, OperatorOrders())
     assert folder.orders_file.read_bytes() == before
 
 
@@ -36,12 +36,14 @@
     living = os.open(path, os.O_RDWR)
     try:
         fcntl.flock(living, fcntl.LOCK_EX)
-        stated, others = folder.settle(lambda newest, ceilings: 1024 - sum(ceilings) if newest else 0)
+        stated, others = folder.claim_limit(lambda newest, ceilings: 1024 - sum(ceilings) if newest else 0)
     finally:
         os.close(living)
-    assert stated == 1024 - 812 and [(other.since, other.ceiling) for other in others] == [(OLDER, 812)]
+    assert stated == 1024 - 812 and [(other.started_ns, other.descriptor_limit) for other in others] == [
+        (OLDER, 812)
+    ]
 
 
 def test_what_a_process_of_the_previous_version_has_left_counts_no_more(tmp_path: Path) -> None:
     folder = opened(tmp_path)
-    assert folder.settle(lambda newest, ceilings: 1024 - sum(ceilings)) == (1024, [])
+    assert folder.claim_limit(lambda newest, ceilings: 1024 - sum(ceilings)) == (1024, [])
--- a/tests/ops/test_audit.py
+++ b/tests/ops/test_audit.py
@@ -113,7 +113,7 @@
 def rehashed(line: bytes, old: bytes, new: bytes) -> bytes:
     body, _, rest = line.removeprefix(b"AUDIT ").partition(b" prev=")
     body, prev = body.replace(old, new), rest[:64]
-    made = audit.chained(prev.decode(), body.decode()).encode()
+    made = audit.chained_hash(prev.decode(), body.decode()).encode()
     return b"AUDIT " + body + b" prev=" + prev + b" hash=" + made + b"\n"
 
 
@@ -191,9 +191,9 @@
     monkeypatch.setattr(log, "line", lambda event, **values: said.append(event))
     monkeypatch.setattr(audit, "os", Error(*[-1] * 9999))
     kept = audit.Audit("n3", Clock(Reactor()), "")
-    for _ in range(audit.MOST + 2):
+    for _ in range(audit.MAX_UNWRITTEN_LINES + 2):
         kept.record("config", "platform")
-    assert len(kept.waiting) == audit.MOST and said == ["audit-lost"] * 2
+    assert len(kept.unwritten) == audit.MAX_UNWRITTEN_LINES and said == ["audit-lost"] * 2
     kept.close()
     assert said == ["audit-lost"] * 3
 
@@ -219,7 +219,7 @@
         (one, two),
         (two, operator_properties.OperatorProperties()),
     ):
-        kept.keys(old, new)
+        kept.record_key_changes(old, new)
     told = [(fields(line)["key"], fields(line)["change"]) for line in capfd.readouterr().err.splitlines()]
     both = ("drill.key", "tokens.key.k1")
     assert told == [*((k, "added") for k in both), (both[0], "replaced"), *((k, "removed") for k in both)]
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -35,11 +35,11 @@
 )
 
 
-def opened(folder: Path, files: int = 4, kb: int = 192) -> ring.Ring:
-    return ring.Ring(str(folder), "n/3", files, kb * 1024, Clock(Reactor()))
+def opened(folder: Path, files: int = 4, kb: int = 192) -> ring.CaptureRing:
+    return ring.CaptureRing(str(folder), "n/3", files, kb * 1024, Clock(Reactor()))
 
 
-def play(to: ring.Ring, seed: int, count: int) -> None:
+def play(to: ring.CaptureRing, seed: int, count: int) -> None:
     """A start of the module amid events of every kind that a sidecar has, drawn by the seed."""
     draw, now = Random(seed), 100.0
     for line in record.header("n/3", seed, 1_700_000_000.25, SETTINGS):
@@ -87,7 +87,7 @@
         else:
             event = view(draw.choice([*kept, i.ViewKind.DELTA, i.ViewKind.FAILED]))
     to.close()
-    assert set(recorder.asked) == set(balancer.requests)
+    assert set(recorder.requests) == set(balancer.requests)
 
 
 def replayed(folder: Path, capsys: pytest.CaptureFixture[str]) -> tuple[int, list[str]]:
@@ -236,7 +236,9 @@
 
 
 def test_what_fits_no_file_is_left_out_and_said(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    play(ring.Ring(str(tmp_path), "n3", 400, 500, Clock(Reactor())), 1, 100)  # the settings alone take more
+    play(
+        ring.CaptureRing(str(tmp_path), "n3", 400, 500, Clock(Reactor())), 1, 100
+    )  # the settings alone take more
     lines = lines_in(tmp_path)
     assert lines[0].startswith("h ") and re.fullmatch(r"x \d{3}", lines[1])
     assert max(path.stat().st_size for path in tmp_path.iterdir()) <= 500
--- a/tests/ops/test_drills.py
+++ b/tests/ops/test_drills.py
@@ -27,7 +27,7 @@
 
 def settings(more: str, plan: str = PLAN) -> operator_properties.OperatorProperties:
     drill = operator_properties.parse(f"drill.key = {KEY}\ndrill.plan = {plan}\n{more}").drill
-    return operator_properties.OperatorProperties(replace(drill, plan=drills.signed(drill)))
+    return operator_properties.OperatorProperties(replace(drill, plan=drills.sign_plan(drill)))
 
 
 def served(node: Wire, caller: Wire) -> dict[str, str]:
@@ -111,7 +111,7 @@
 
     def at(ms: float) -> bool:
         world.sidecar.clock.unix = lambda: ms / 1000
-        return made.running()
+        return made.update_running()
 
     assert [world.run(partial(at, ms)) for ms in (4999.9, 5000, 5099.9, 5100)] == [False, True, True, False]
     caller = world.caller()
@@ -119,7 +119,7 @@
     assert "x-drill" not in served(world.nodes[0].accept(), caller)
     world.run(partial(at, 5000))
     assert world.ask("menu", caller).read()[1]["x-drill"] == "1"
-    world.run(made.look)
+    world.run(made.check)
     world.sidecar.clock.unix = lambda: 5.1
     world.logged("drill-over", 2)  # though nobody asks for anything
     for more in ("drill.share = 50", "drill.share = 60"):  # one drill ends where the next one takes its place
--- a/tests/ops/test_tokens.py
+++ b/tests/ops/test_tokens.py
@@ -127,7 +127,7 @@
     made = capsys.readouterr().out.strip()
     served(make(1, operator_properties.read(str(file))), f"Bearer {made}")
     told = operator_properties.read(str(file)).tokens
-    assert tokens.rights(told, made.encode(), NOW) == {"menu", "order"}
+    assert tokens.verify_token(told, made.encode(), NOW) == {"menu", "order"}
 
 
 @pytest.mark.parametrize(
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -17,8 +17,12 @@
 from wheatring.lab.live.fleet_rig import FleetRig
 from wheatring.lab.live.list_service import ListServiceStub
 from wheatring.lease.messages import Heartbeat
-from wheatring.lifecycle.following import FRESH, SPREAD, Following
 from wheatring.lifecycle.freshness import Freshness
+from wheatring.lifecycle.watch_delegation import (
+    LEADER_TIMEOUT_SECONDS,
+    TAKEOVER_SPREAD_SECONDS,
+    WatchDelegation,
+)
 from wheatring.peers.list_sharing import ListSharing
 
 TERM = 1.0
@@ -26,37 +30,44 @@
 
 
 def test_as_long_as_the_holder_is_heard_and_has_nothing_newer_nobody_asks() -> None:
-    one = Following(100, 50)
-    assert one.asks(0.0, 7, False)
-    one.beat(0.0, 0.0, 7, 7)
-    assert not one.asks(FRESH, 7, False)
-    assert one.asks(FRESH, None, False) and one.asks(FRESH, 7, True)
+    one = WatchDelegation(100, 50)
+    assert one.should_watch(0.0, 7, False)
+    one.leader_heartbeat(0.0, 0.0, 7, 7)
+    assert not one.should_watch(LEADER_TIMEOUT_SECONDS, 7, False)
+    assert one.should_watch(LEADER_TIMEOUT_SECONDS, None, False) and one.should_watch(
+        LEADER_TIMEOUT_SECONDS, 7, True
+    )
 
 
 def test_what_was_told_long_ago_counts_from_then() -> None:
-    one = Following(100, 0)
-    one.beat(10.0, 3.0, 7, 7)
-    assert not one.asks(7.0 + FRESH - 0.01, 7, False) and one.asks(7.0 + FRESH, 7, False)
+    one = WatchDelegation(100, 0)
+    one.leader_heartbeat(10.0, 3.0, 7, 7)
+    assert not one.should_watch(7.0 + LEADER_TIMEOUT_SECONDS - 0.01, 7, False) and one.should_watch(
+        7.0 + LEADER_TIMEOUT_SECONDS, 7, False
+    )
 
 
 @given(st.integers(1, 1000), st.data())
 def test_all_have_asked_within_the_platforms_ten_seconds_of_the_last_word(
     copies: int, data: st.DataObject
 ) -> None:
-    one = Following(copies, data.draw(st.integers(0, copies - 1)))
-    one.beat(0.0, 0.0, 7, 7)
-    assert one.asks(FRESH + SPREAD, 7, False) and FRESH + SPREAD < 10.0
+    one = WatchDelegation(copies, data.draw(st.integers(0, copies - 1)))
+    one.leader_heartbeat(0.0, 0.0, 7, 7)
+    assert (
+        one.should_watch(LEADER_TIMEOUT_SECONDS + TAKEOVER_SPREAD_SECONDS, 7, False)
+        and LEADER_TIMEOUT_SECONDS + TAKEOVER_SPREAD_SECONDS < 10.0
+    )
 
 
 def test_a_newer_list_is_asked_for_by_one_after_another() -> None:
     """No more a second than the service is held to answer."""
-    fleet = [Following(200, number) for number in range(200)]
+    fleet = [WatchDelegation(200, number) for number in range(200)]
     for one in fleet:
-        one.beat(0.0, 0.0, 8, 7)
-    asking = [sum(one.asks(second, 7, False) for one in fleet) for second in (0.0, 1.0, 2.0, 3.0)]
+        one.leader_heartbeat(0.0, 0.0, 8, 7)
+    asking = [sum(one.should_watch(second, 7, False) for one in fleet) for second in (0.0, 1.0, 2.0, 3.0)]
     assert asking == [1, 5, 9, 13]
-    fleet[-1].read(8)
-    assert not fleet[-1].asks(3.0, 8, False)
+    fleet[-1].list_changed(8)
+    assert not fleet[-1].should_watch(3.0, 8, False)
 
 
 @pytest.fixture
--- a/tests/pools/test_configuration.py
+++ b/tests/pools/test_configuration.py
@@ -94,6 +94,6 @@
     assert not [name for name in without if name.startswith(mine)]
     new = {name for name in with_them - without if name.startswith("wheatring.")}
     assert {name for name in new if not name.startswith(mine)} <= {
-        "wheatring.errors", "wheatring.lifecycle.byhand",
+        "wheatring.errors", "wheatring.lifecycle.endpoint_overrides",
     }  # fmt: skip
     assert "wheatring.pools.pool_set" in new
--- a/tests/pools/test_endpoint_selection.py
+++ b/tests/pools/test_endpoint_selection.py
@@ -7,7 +7,7 @@
 
 from wheatring.balancer.interface import EndpointEntry, EndpointState, View, ViewKind
 from wheatring.config.project_file import PoolTable
-from wheatring.lifecycle.byhand import Word
+from wheatring.lifecycle.endpoint_overrides import EndpointListState
 from wheatring.pools.connection_budget import ConnectionUsage, available
 from wheatring.pools.endpoint_selection import EndpointSelection
 
@@ -84,11 +84,11 @@
 def test_a_pool_knows_just_the_nodes_of_the_list_that_fit_whenever_it_came(
     views: list[View], table: PoolTable, came: int
 ) -> None:
-    word, selection = Word(), EndpointSelection(table)
+    word, selection = EndpointListState(), EndpointSelection(table)
     told = []
     for number, view in enumerate(views):
         if number == came:
-            told.append(selection.select(word.whole()))
+            told.append(selection.select(word.full_view()))
         word.view(view)
         if number >= came:
             told.append(selection.select(view))
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -117,7 +117,7 @@
     failed = [v["peer"] for e, v in world.lines if e == "claim-connection" and v["code"] == "connect-failed"]
     assert len(failed) >= 2 and {f"127.0.0.1:{p.port}" for p in world.nodes[:2]} == set(failed)
     assert (
-        len(world.run(lambda: world.sidecar.serving.freshness.doubts)) == 2
+        len(world.run(lambda: world.sidecar.serving.freshness.suspicions)) == 2
     )  # of the list that is theirs too
     assert tried == [0, 0] and world.run(lambda: world.pools.pools["new"].driver.last_id) == 0
 
@@ -251,7 +251,7 @@
     assert refused.read()[0].split()[1] == "503"
     world.served("y", 1)
     world.reload(own_list(lists[0].port, lists[1].port) + "[list]\nper_s = 20\n")
-    assert {m.serving.machine_list.asking.pace.haste for m in world.pools.all()} == {20.0}
+    assert {m.serving.machine_list.asking.pace.second_round_rate for m in world.pools.all()} == {20.0}
     for wire in [*watches, *world.taken.values()]:
         wire.close()
     for each in lists:
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -97,7 +97,7 @@
     with pytest.raises(ValueError, match=r"^--operators: No such file or directory: ") as lost:
         operator_properties.read(str(tmp_path / "none.properties"))
     with pytest.raises(ValueError, match=r"^forged$") as forged:
-        tokens.rights(operator_properties.Tokens(), b"a", 0.0)
+        tokens.verify_token(operator_properties.Tokens(), b"a", 0.0)
     raised = [key, unread, keys, unset, lost, forged]
     assert [getattr(one.value, "code", "") for one in raised] == [
         "file-key", "file-unreadable", "key-file", "config-unreadable", "operators-unreadable",
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -480,7 +480,7 @@
     if isinstance(world.ground, Loopback):
         pytest.skip("these instants can't be met for certain")
     leave(world)
-    world.ground.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.leaving.told > 0.41)
+    world.ground.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.leaving.started_at > 0.41)
     late, silent = world.caller(), world.caller()
     world.ground.until(lambda: world.sidecar.server.listener is None)
     shut = world.sidecar.clock.now()
--- a/wheatring/admin/service.py
+++ b/wheatring/admin/service.py
@@ -12,11 +12,11 @@
 
 from wheatring import log
 from wheatring.core.clock import Clock
-from wheatring.lifecycle.byhand import ByHand
-from wheatring.lifecycle.drain import RESTED, Drain
-from wheatring.lifecycle.handover import Folder, Other
-from wheatring.lifecycle.orders import Orders
-from wheatring.lifecycle.shares import ceiling
+from wheatring.lifecycle.descriptor_limit import descriptor_limit
+from wheatring.lifecycle.drain import MIN_IDLE_SECONDS, Drain
+from wheatring.lifecycle.endpoint_overrides import EndpointOverrides
+from wheatring.lifecycle.handover import HandoverFolder, OtherProcess
+from wheatring.lifecycle.operator_orders import OperatorOrders
 
 POLL_INTERVAL_SECONDS = 0.1  # between two looks at the shared files; the rules on drains leave 2.5 s
 CLOSE_INTERVAL_SECONDS = 0.05  # between two rounds of closing connections in a drain
@@ -99,8 +99,8 @@
     def __init__(
         self,
         clock: Clock,
-        folder: Folder,
-        overrides: ByHand,
+        folder: HandoverFolder,
+        overrides: EndpointOverrides,
         server: CallerServer,
         max_connections: int,
         connections_in_use: Callable[[], int],
@@ -115,9 +115,9 @@
         self.connections_in_use = connections_in_use
         self.set_connection_limit = set_connection_limit
         self.open_server = open_server
-        self.orders = Orders()
+        self.orders = OperatorOrders()
         self.drain: Drain | None = None
-        self.other_processes: list[Other] = []
+        self.other_processes: list[OtherProcess] = []
         self.connection_limit = max_connections
         self.started_at = clock.now()
         self.is_open = False
@@ -132,7 +132,7 @@
         Called before the first endpoint list is read, so that no endpoint that is offline is ever sent to.
         """
         self.share_connections()
-        if (orders := self.folder.news()) is not None:
+        if (orders := self.folder.changed_orders()) is not None:
             self.apply(orders)
 
     def serve(self) -> None:
@@ -154,14 +154,14 @@
         """Send an endpoint nothing new. False: none has that id."""
         if not self.overrides.knows(endpoint):
             return False
-        self.change_orders(lambda orders: Orders(orders.offline | {endpoint}, orders.out_of_service))
+        self.change_orders(lambda orders: OperatorOrders(orders.offline | {endpoint}, orders.out_of_service))
         return True
 
     def bring_online(self, endpoint: str) -> bool:
         """Send an endpoint requests again. False: none has that id."""
         if not self.overrides.knows(endpoint):
             return False
-        self.change_orders(lambda orders: Orders(orders.offline - {endpoint}, orders.out_of_service))
+        self.change_orders(lambda orders: OperatorOrders(orders.offline - {endpoint}, orders.out_of_service))
         return True
 
     def take_out_of_service(self) -> bool:
@@ -172,14 +172,14 @@
             self.turn_wait_seconds = self.roles.request_turn()
         if self.turn_wait_seconds:
             return False
-        self.change_orders(lambda orders: Orders(orders.offline, True))
+        self.change_orders(lambda orders: OperatorOrders(orders.offline, True))
         return True
 
     def return_to_service(self) -> bool:
         """End the drain of this sidecar."""
         if self.roles is not None:
             self.roles.return_turn()
-        self.change_orders(lambda orders: Orders(orders.offline, False))
+        self.change_orders(lambda orders: OperatorOrders(orders.offline, False))
         return True
 
     def retry_seconds(self) -> float:
@@ -208,17 +208,17 @@
 
     # Orders in force
 
-    def change_orders(self, edit: Callable[[Orders], Orders]) -> None:
+    def change_orders(self, edit: Callable[[OperatorOrders], OperatorOrders]) -> None:
         """Change the orders in the shared files, and put them into force here."""
         self.apply(self.folder.change(edit, self.orders))
 
-    def apply(self, orders: Orders) -> None:
+    def apply(self, orders: OperatorOrders) -> None:
         """Put orders into force in this process, and log what they change."""
         now, before = self.clock.now(), self.orders
         self.orders = orders
         changed = sorted(before.offline ^ orders.offline)
         if changed:
-            self.overrides.put(now, orders.offline)
+            self.overrides.set_offline(now, orders.offline)
         for endpoint in changed:
             log.line("endpoint", node=endpoint, offline=int(endpoint in orders.offline))
         if orders.out_of_service != before.out_of_service:
@@ -231,7 +231,7 @@
     def _close_idle_connections(self, drain: Drain) -> None:
         """Close connections as the drain goes on, for as long as it is the one in force."""
         if drain is self.drain and not self.is_stopped and not self.server.is_stopping:
-            self.server.close_idle(drain.keep(self.clock.now()), RESTED)
+            self.server.close_idle(drain.max_idle(self.clock.now()), MIN_IDLE_SECONDS)
             self.clock.at(self.clock.now() + CLOSE_INTERVAL_SECONDS, self._close_idle_connections, drain)
 
     # The other processes of this sidecar
@@ -239,16 +239,16 @@
     @property
     def has_successor(self) -> bool:
         """Whether a newer process of this sidecar runs."""
-        return any(other.since > self.folder.since for other in self.other_processes)
+        return any(other.started_ns > self.folder.started_ns for other in self.other_processes)
 
     def poll(self) -> None:
         """Take up what other processes wrote to the shared files, and open the server once possible."""
         if self.is_stopped:
             return
         self.clock.at(self.clock.now() + POLL_INTERVAL_SECONDS, self.poll)
-        if (orders := self.folder.news()) is not None:
+        if (orders := self.folder.changed_orders()) is not None:
             self.apply(orders)
-        if self.other_processes or not self.folder.alone():
+        if self.other_processes or not self.folder.is_alone():
             self.share_connections()
         if not self.is_open and not self.server.is_stopping:
             is_overdue = self.clock.now() - self.started_at >= MAX_OPEN_DELAY_SECONDS
@@ -266,8 +266,8 @@
         """Set how many connections this process may have beside the others."""
         had_successor = self.has_successor
         in_use, stopping = self.connections_in_use(), self.server.is_stopping
-        self.connection_limit, self.other_processes = self.folder.settle(
-            lambda newest, others: ceiling(self.max_connections, in_use, newest, stopping, others)
+        self.connection_limit, self.other_processes = self.folder.claim_limit(
+            lambda newest, others: descriptor_limit(self.max_connections, in_use, newest, stopping, others)
         )
         self.set_connection_limit(self.connection_limit)
         if self.has_successor and not had_successor:
--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -99,7 +99,7 @@
     from wheatring.ops import drills
 
     drill = operator_properties.read(operator_file_path(args)).drill
-    print(drills.signed(drill if args.plan is None else replace(drill, plan=args.plan)))
+    print(drills.sign_plan(drill if args.plan is None else replace(drill, plan=args.plan)))
     return 0
 
 
@@ -110,7 +110,7 @@
     with Path(args.file).open("rb") as file:
         fault = audit.verify(file)
     print(fault or "ok")
-    print(audit.UNSEEN)
+    print(audit.UNDETECTED_NOTE)
     return 1 if fault else 0
 
 
@@ -119,7 +119,7 @@
     from wheatring.ops import tokens
 
     if args.ttl < 1:
-        raise tokens.NotIssued("--ttl: must be 1 or more")
+        raise tokens.TokenNotIssuedError("--ttl: must be 1 or more")
     settings = operator_properties.read(operator_file_path(args)).tokens
     print(tokens.issue(settings, args.holder, args.rights, int(time.time()) + args.ttl))
     return 0
--- a/wheatring/core/exchange.py
+++ b/wheatring/core/exchange.py
@@ -16,7 +16,7 @@
 from wheatring import log
 from wheatring.balancer.interface import Outcome, View
 from wheatring.core.clock import Clock, Timer
-from wheatring.lifecycle.leaving import Leaving, Open, Usual
+from wheatring.lifecycle.shutdown_schedule import LatencyHistory, OpenRequest, ShutdownSchedule
 
 
 class AnswerKind(Enum):
@@ -151,7 +151,7 @@
         Seconds after its deadline at which an unanswered request is answered here.
     open_requests : dict[str, Request]
         By correlation id, in the order in which they were submitted.
-    latencies : Usual
+    latencies : LatencyHistory
         How long requests of each class take, for a graceful shutdown.
     """
 
@@ -159,7 +159,7 @@
         self.clock = clock
         self.answer_slack = answer_slack
         self.open_requests: dict[str, Request] = {}
-        self.latencies = Usual()
+        self.latencies = LatencyHistory()
         # Set by the driver, the connection pool, and whatever stands between them and the exchange.
         self.on_request: Callable[[Request], None]
         self.on_caller_left: Callable[[Request], None]
@@ -244,18 +244,18 @@
             self._finish(request)
             request.answered.callback(answer)
 
-    def open_snapshot(self, now: float) -> list[Open]:
+    def open_snapshot(self, now: float) -> list[OpenRequest]:
         """Return the open requests as a graceful shutdown weighs them, in the order of their submission."""
         return [
-            Open(request.class_name, now - request.accepted_at, request.deadline - now)
+            OpenRequest(request.class_name, now - request.accepted_at, request.deadline - now)
             for request in self.open_requests.values()
         ]
 
-    def answer_all(self, leaving: Leaving) -> None:
+    def answer_all(self, leaving: ShutdownSchedule) -> None:
         """Answer all open requests, though the balancer would have gone on with them."""
         for request in list(self.open_requests.values()):
             may_have_run = any(attempt.may_have_run for attempt in request.attempts)
-            is_refusable = leaving.may_refuse(request.class_name, may_have_run)
+            is_refusable = leaving.may_reject(request.class_name, may_have_run)
             kind = AnswerKind.REFUSED if is_refusable else AnswerKind.FAILED
             self.answer(request, Answer(kind))  # without advice to wait: another process may be there at once
             self.on_caller_left(request)
@@ -281,7 +281,7 @@
             request = attempt.request
             if not request.is_finished:
                 now = self.clock.now()
-                self.latencies.served(request.class_name, now, now - request.accepted_at)
+                self.latencies.record(request.class_name, now, now - request.accepted_at)
                 self.answer(request, Answer(ANSWER_SERVED, content))
         self.on_attempt_ended(attempt)
 
--- a/wheatring/daemon/configuration.py
+++ b/wheatring/daemon/configuration.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:  # imported only where there is a file
     from wheatring.config.project_file import InvalidKey, ProjectFile
     from wheatring.daemon.sidecar import Sidecar
-    from wheatring.lifecycle.asking import Pace
+    from wheatring.lifecycle.list_request_schedule import RequestPace
 
 
 def read_configuration(path: str | None) -> ProjectFile | None:
@@ -43,12 +43,12 @@
     return first_invalid_key(configuration)
 
 
-def list_pace(configuration: ProjectFile) -> Pace:
+def list_pace(configuration: ProjectFile) -> RequestPace:
     """Return how often the endpoint list may be asked for, as the file says."""
-    from wheatring.lifecycle.asking import Pace
+    from wheatring.lifecycle.list_request_schedule import RequestPace
 
     asking = configuration.list
-    return Pace(asking.first_per_s, asking.first_longest, asking.per_s, asking.likely_per_s)
+    return RequestPace(asking.first_per_s, asking.first_longest, asking.per_s, asking.likely_per_s)
 
 
 def temporary_folder() -> str:
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -65,16 +65,16 @@
     """Let operators call this sidecar; what discovery says of endpoints passes what they have ordered."""
     from wheatring.admin.server import AdminServer
     from wheatring.admin.service import AdminService
-    from wheatring.lifecycle.byhand import ByHand
-    from wheatring.lifecycle.handover import Folder
+    from wheatring.lifecycle.endpoint_overrides import EndpointOverrides
+    from wheatring.lifecycle.handover import HandoverFolder
 
     if sidecar.pools is None:
-        overrides = ByHand(on_view)
+        overrides = EndpointOverrides(on_view)
     else:
         from wheatring.pools.manual_overrides import AllPoolsOverrides
 
         overrides = AllPoolsOverrides(on_view, sidecar.pools)
-    folder = Folder(temporary_folder(), sidecar.platform.name, round(sidecar.clock.now() * 1e9))
+    folder = HandoverFolder(temporary_folder(), sidecar.platform.name, round(sidecar.clock.now() * 1e9))
     service = sidecar.admin_service = AdminService(
         sidecar.clock, folder, overrides, sidecar.server, sidecar.connection_limit,
         sidecar.connections_in_use, sidecar.set_connection_limit, sidecar.listen,
@@ -116,12 +116,14 @@
 def add_capture(sidecar: Sidecar) -> None:
     """Record all decisions, with what they were made from."""
     from wheatring.ops.capture import record
-    from wheatring.ops.capture.ring import Ring
+    from wheatring.ops.capture.ring import CaptureRing
 
     options, platform, clock = sidecar.first_operators.capture, sidecar.platform, sidecar.clock
     folder = options.folder or temporary_folder()
     is_shared = platform.control is not None
-    ring = sidecar.ring = Ring(folder, platform.name, options.files, options.size, clock, shared=is_shared)
+    ring = sidecar.ring = CaptureRing(
+        folder, platform.name, options.files, options.size, clock, shared=is_shared
+    )
     sidecar.cleanup.callback(ring.close)
     for line in record.header(platform.name, platform.seed, clock.unix_offset, platform.given):
         ring.write(line)
--- a/wheatring/daemon/shutdown.py
+++ b/wheatring/daemon/shutdown.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from wheatring import log
-from wheatring.lifecycle.leaving import Leaving
+from wheatring.lifecycle.shutdown_schedule import ShutdownSchedule
 
 if TYPE_CHECKING:
     from wheatring.daemon.sidecar import Sidecar
@@ -20,13 +20,13 @@
         self.sidecar = sidecar
         admin = sidecar.admin_service
         settings = sidecar.platform.settings
-        self.leaving = Leaving(
+        self.leaving = ShutdownSchedule(
             sidecar.clock.now(),
             settings.classes,
             settings.balancer_count,
             sidecar.exchange.latencies,
             len(sidecar.server.idle_connections()),
-            followed=admin is not None and admin.has_successor,
+            has_successor=admin is not None and admin.has_successor,
         )
 
     def run(self) -> None:
@@ -35,30 +35,30 @@
         now = sidecar.clock.now()
         if server.listener is None:
             self._close_connections(now)
-            if not leaving.goes_on(now, sidecar.exchange.open_snapshot(now)):
+            if not leaving.should_continue(now, sidecar.exchange.open_snapshot(now)):
                 self._cut_short(now)
                 if not server.connections:
                     sidecar.finish()
                     return
-        elif leaving.shut(now, server.last_connect_at, server.is_full):
+        elif leaving.should_stop_accepting(now, server.last_connect_at, server.is_full):
             server.stop_listening()
         else:
-            server.close_idle(leaving.keep(now), leaving.rested)
+            server.close_idle(leaving.max_idle(now), leaving.min_idle_seconds)
         sidecar.clock.at(now + SHUTDOWN_POLL_SECONDS, self.run)
 
     def _close_connections(self, now: float) -> None:
         """Close callers' connections between requests, all of them once the time is up."""
         leaving, server = self.leaving, self.sidecar.server
-        if keep := leaving.keep(now):
-            server.close_idle(keep, leaving.rested)
+        if keep := leaving.max_idle(now):
+            server.close_idle(keep, leaving.min_idle_seconds)
         else:
-            is_late = now >= leaving.last
-            server.close_unanswered(is_patient=leaving.followed and not is_late, is_late=is_late)
+            is_late = now >= leaving.deadline
+            server.close_unanswered(is_patient=leaving.has_successor and not is_late, is_late=is_late)
 
     def _cut_short(self, now: float) -> None:
         """Give up the requests that are still open."""
         exchange, leaving = self.sidecar.exchange, self.leaving
         if exchange.open_count:
-            log.line("cut-short", open=exchange.open_count, after=now - leaving.told)
+            log.line("cut-short", open=exchange.open_count, after=now - leaving.started_at)
             self.sidecar.server.is_cut_short = True
             exchange.answer_all(leaving)
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -21,7 +21,7 @@
     from wheatring.config.project_file import ProjectFile
     from wheatring.core.body import BodyMemory
     from wheatring.ops.audit import Audit
-    from wheatring.ops.capture.ring import Ring
+    from wheatring.ops.capture.ring import CaptureRing
     from wheatring.ops.drills import Drills
     from wheatring.peers.fleet_runtime import FleetRuntime
     from wheatring.peers.list_sharing import ListSharing
@@ -80,7 +80,7 @@
         self.cleanup = ExitStack()  # the ends of optional parts, last added first
         self.admin_service: AdminService | None = None
         self.admin_server: AdminServer | None = None
-        self.ring: Ring | None = None
+        self.ring: CaptureRing | None = None
         self.audit: Audit | None = None
         self.drills: Drills | None = None
         self.fleet: FleetRuntime | None = None
@@ -236,7 +236,7 @@
     def apply_operators(self, operators: OperatorProperties) -> None:
         """Put into effect what the operators may change while it serves."""
         if self.audit is not None:
-            self.audit.keys(self.operators, operators)
+            self.audit.record_key_changes(self.operators, operators)
         if self.drills is None and operators.drill != self.operators.drill:
             from wheatring.ops.drills import Drills
 
@@ -246,9 +246,9 @@
         if self.drills is not None:
             self.drills.switch(operators.drill)
         if operators.tokens.keys:
-            from wheatring.ops.tokens import Guard
+            from wheatring.ops.tokens import TokenGuard
 
-            self.server.authorizer = Guard(operators.tokens, self.clock)
+            self.server.authorizer = TokenGuard(operators.tokens, self.clock)
         else:
             self.server.authorizer = None
         self.operators = operators
--- a/wheatring/http1/discovery_client.py
+++ b/wheatring/http1/discovery_client.py
@@ -13,7 +13,7 @@
 from wheatring.http1.connection import Connection
 from wheatring.http1.exceptions import MalformedMessageError
 from wheatring.http1.parser import Message
-from wheatring.lifecycle.told import GIVE_UP
+from wheatring.lifecycle.notification_deadline import CALL_TIMEOUT_SECONDS
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
 # A watch asks discovery to wait so long for a change: it takes few calls a second from all sidecars together.
@@ -22,7 +22,7 @@
 # Without another byte for the first, or in all after the second, an answer that has begun has failed. What it
 # would report counts as told, and one that stalls would else be waited for as long as a quiet watch.
 STALL_SECONDS = 1.0
-FULL_LIST_SECONDS = GIVE_UP
+FULL_LIST_SECONDS = CALL_TIMEOUT_SECONDS
 
 AnswerCallback = Callable[[Any], None]  # gets what a call brought, not yet decoded; None: the call failed
 
--- a/wheatring/http1/endpoint_list.py
+++ b/wheatring/http1/endpoint_list.py
@@ -25,13 +25,13 @@
 )
 from wheatring.http1.endpoint_entries import parse_entry
 from wheatring.http1.exceptions import InvalidEndpointListError
-from wheatring.lifecycle.asking import Asking
 from wheatring.lifecycle.freshness import Freshness
-from wheatring.lifecycle.told import ANSWER
+from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
+from wheatring.lifecycle.notification_deadline import ANSWER_SECONDS
 
 # A call has failed so long after the end of its wait; one for the whole list after FULL_LIST_SECONDS.
 CALL_SLACK_SECONDS = 1.5
-REPLACED_WATCH_SECONDS = ANSWER  # for which a watch is still read when another has taken its place
+REPLACED_WATCH_SECONDS = ANSWER_SECONDS  # for which a watch is still read when another has taken its place
 CALL_SPACING_SECONDS = 0.05  # between two calls of a watch at least, should discovery answer at once
 
 READY = EndpointState.READY  # looked up once: the lookup of an enum's member is slow
@@ -74,7 +74,7 @@
         addresses: dict[str, str],
         on_view: Callable[[View], None],
         freshness: Freshness,
-        asking: Asking,
+        asking: ListRequestSchedule,
         is_pushed: bool = False,
     ) -> None:
         self.is_pushed = is_pushed
@@ -120,7 +120,7 @@
         has_endpoints = bool(self.freshness.serving)
         if not has_endpoints:
             self.version = None  # there is nothing that a change could apply to
-        self.asking.begin(self.clock.now(), has_endpoints)
+        self.asking.start(self.clock.now(), has_endpoints)
         if self.is_pushed:
             self.subscribe()
 
@@ -129,7 +129,7 @@
         if not self.is_watching:
             self.is_watching = True
             now = self.clock.now()
-            due = self.asking.due(now)
+            due = self.asking.next_call_at(now)
             if due > now:
                 self.first_call_timer = self.clock.at(due, self.watch, self.client)
             else:
@@ -149,8 +149,8 @@
         self.first_call_timer = None
         discard(self.client, code)
         self.discard_replacement(code)
-        self.freshness.unwatched()
-        self.asking.told.dropped()
+        self.freshness.watch_stopped()
+        self.asking.notification.call_dropped()
         if self.check_timer is not None and self.check_timer.active():
             self.check_timer.cancel()
         self.check_timer = None
@@ -181,7 +181,7 @@
         self.version = None
         now = self.clock.now()
         has_endpoints = bool(self.freshness.serving)
-        self.asking.move(now, has_endpoints, is_calling, now - self.called_at, can_wait)
+        self.asking.discovery_moved(now, has_endpoints, is_calling, now - self.called_at, can_wait)
         self.subscribe()
 
     def fetch(self) -> None:
@@ -201,12 +201,12 @@
             return
         self.called_at = now = self.clock.now()
         if self.version is None:  # this call ends soon, and the time of the next one is decided elsewhere
-            self.client.call(None, now + self.asking.patience(), self.handle_watch_answer)
+            self.client.call(None, now + self.asking.draw_patience(), self.handle_watch_answer)
             return
         deadline = now + WATCH_WAIT_SECONDS + CALL_SLACK_SECONDS
         self.client.call(self.version, deadline, self.handle_watch_answer)
-        self.asking.told.laid(now, WATCH_WAIT_SECONDS)
-        self.freshness.watching(now)
+        self.asking.notification.call_accepted(now, WATCH_WAIT_SECONDS)
+        self.freshness.watch_started(now)
         self.schedule_check()
 
     def handle_watch_answer(self, answer: Any) -> None:
@@ -222,8 +222,8 @@
     def continue_watch(self, answer: Any) -> None:
         """Apply the answer to a call of the watch, and go on with the watch."""
         if self.read_answer(answer, is_full=self.version is None):
-            self.asking.answered()
-            self.asking.told.answered(self.clock.now())
+            self.asking.call_answered()
+            self.asking.notification.call_answered(self.clock.now())
             self.discard_replacement("given-up")
             self.discard_superseded("answered")
             if self.should_continue is not None and not self.should_continue():
@@ -233,7 +233,7 @@
         else:
             began_at = None if answer is not None else self.client.answer_began_at
             self.handle_watch_failure("watch-failed", began_at)
-            if self.is_pushed or self.asking.holds:  # the balancer's own spread would come on top
+            if self.is_pushed or self.asking.has_list:  # the balancer's own spread would come on top
                 self.subscribe()
 
     def handle_watch_failure(self, code: str, answer_began_at: float | None = None) -> None:
@@ -241,7 +241,7 @@
         now = self.clock.now()
         since_answer = None if answer_began_at is None else now - answer_began_at
         can_wait = self.version is not None
-        self.asking.failed(now, now - self.called_at, since_answer, self.client.is_sent, can_wait)
+        self.asking.call_failed(now, now - self.called_at, since_answer, self.client.is_sent, can_wait)
         self.cancel_watch(code)
 
     # Calls whose place another has taken
@@ -285,12 +285,12 @@
 
     def record_outcome(self, now: float, endpoint: str, outcome: Outcome) -> None:
         """Take the end of an attempt as evidence of how current the list is."""
-        if self.freshness.ended(now, endpoint, outcome):
+        if self.freshness.attempt_ended(now, endpoint, outcome):
             self.schedule_check()
 
     def schedule_check(self) -> None:
         """Schedule a check for when the watch is due to be begun anew."""
-        due = self.freshness.due(self.clock.now())
+        due = self.freshness.next_ask_at(self.clock.now())
         if self.check_timer is not None and self.check_timer.active():
             if self.check_at <= due:
                 return
@@ -302,7 +302,7 @@
         """Begin the watch anew if that is due."""
         self.check_timer = None
         now = self.clock.now()
-        if self.is_watching and self.freshness.due(now) <= now:
+        if self.is_watching and self.freshness.next_ask_at(now) <= now:
             self.start_replacement(now)
         self.schedule_check()
 
@@ -312,10 +312,10 @@
         Its first answer has all that the present watch has missed. While there is nothing, it waits as long
         as that, so that it costs discovery no call.
         """
-        nodes, is_empty = self.freshness.struck, not self.freshness.serving
-        if self.freshness.suspect is not None:
+        nodes, is_empty = self.freshness.suspected_count, not self.freshness.serving
+        if self.freshness.suspect_since is not None:
             log.line("list-suspect", nodes=nodes, empty=int(is_empty))
-        self.freshness.ask(now)
+        self.freshness.ask_sent(now)
         self.discard_replacement("given-up")
         replacement = self.replacement = self.create_client()
         version = None if is_empty else self.version
@@ -331,8 +331,8 @@
         self.retire(former)
         self.version = version
         self.client.on_connected = None
-        self.asking.told.laid(self.called_at, WATCH_WAIT_SECONDS)
-        self.freshness.watching(self.called_at)
+        self.asking.notification.call_accepted(self.called_at, WATCH_WAIT_SECONDS)
+        self.freshness.watch_started(self.called_at)
 
     def handle_replacement_answer(self, client: DiscoveryClient, answer: Any) -> None:
         """Take the end of a call that began as a replacement."""
@@ -340,7 +340,7 @@
             self.handle_watch_answer(answer)
         else:
             self.replacement = None  # it never connected; the present watch stands
-            self.freshness.failed(self.clock.now())
+            self.freshness.ask_failed(self.clock.now())
             self.schedule_check()
 
     def discard_replacement(self, code: str) -> None:
@@ -389,7 +389,7 @@
         is_older = kind is ViewKind.DELTA and self.version is not None and version < self.version
         self.version = None if is_older else version
         ready = {entry.endpoint: entry.state is READY for entry in entries}
-        self.freshness.listed(self.clock.now(), ready, is_full)
+        self.freshness.list_changed(self.clock.now(), ready, is_full)
         self.on_view(View(kind, tuple(entries), version))
 
     def _parse_entries(self, items: list[Any]) -> tuple[list[EndpointEntry], dict[str, str]]:
--- a/wheatring/lab/direct/machine_list.py
+++ b/wheatring/lab/direct/machine_list.py
@@ -18,8 +18,8 @@
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
 from wheatring.lab.models.form import as_json
-from wheatring.lifecycle.asking import Asking
 from wheatring.lifecycle.freshness import Freshness
+from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
 
 
 class Pending(Protocol):
@@ -156,7 +156,7 @@
         addresses: dict[str, str],
         on_view: Callable[[View], None],
         freshness: Freshness,
-        asking: Asking,
+        asking: ListRequestSchedule,
         pushed: bool,
     ) -> None:
         self.clock: DirectClock
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -20,8 +20,8 @@
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.pool import DirectPool
 from wheatring.lab.timers import PlayedTime
-from wheatring.lifecycle.freshness import deciders
-from wheatring.lifecycle.leaving import Leaving
+from wheatring.lifecycle.freshness import list_schedules
+from wheatring.lifecycle.shutdown_schedule import ShutdownSchedule
 
 if TYPE_CHECKING:
     from wheatring.lab.direct.way import DirectAsked, DirectWay
@@ -69,7 +69,7 @@
             name, host, nodes, self.clock, self.exchange, links, book, limits.connect_timeout,
             limits.idle_timeout, claims,
         )  # fmt: skip
-        asking, freshness = deciders(settings, seed, self.clock.now())
+        asking, freshness = list_schedules(settings, seed, self.clock.now())
         self.machine_list = DirectList(
             self.clock, name, host, discovery, registry, links, self.pool.addresses, self.driver.feed,
             freshness, asking, not settings.must_subscribe,
@@ -151,19 +151,19 @@
             self.stopping = True
             self.book.sidecar_stopping(self.name)
             now = self.clock.now()
-            self.leaving = Leaving(now, self.classes, self.copies, self.exchange.latencies)
+            self.leaving = ShutdownSchedule(now, self.classes, self.copies, self.exchange.latencies)
             self.look()
 
     def look(self) -> None:
         now, leaving = self.clock.now(), self.leaving
         if not self.open:
-            if not leaving.goes_on(now, self.exchange.open_snapshot(now)):
+            if not leaving.should_continue(now, self.exchange.open_snapshot(now)):
                 self.exchange.answer_all(leaving)
                 if not self.door:
                     self.machine_list.unsubscribe()
                     self.end(killed=False)
                     return
-        elif leaving.shut(now, self.came_at, bool(self.door)):
+        elif leaving.should_stop_accepting(now, self.came_at, bool(self.door)):
             self.open = False
         self.clock.at(now + SHUTDOWN_POLL_SECONDS, self.look)
 
--- a/wheatring/lifecycle/shares.py
+++ b/wheatring/lifecycle/descriptor_limit.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 
 
-def ceiling(places: int, held: int, newest: bool, stopping: bool, others: Iterable[int]) -> int:
+def descriptor_limit(places: int, held: int, newest: bool, stopping: bool, others: Iterable[int]) -> int:
     """This process's, who holds so many now; `others` are the ceilings that the other ones state."""
     left = max(0, places - sum(others))
     if newest:
--- a/wheatring/lifecycle/drain.py
+++ b/wheatring/lifecycle/drain.py
@@ -13,21 +13,24 @@
 
 from __future__ import annotations
 
-STOPPED = 0.35
-EMPTY = 1.7
-RESTED = 0.3  # until then none is closed that has stood for less: its caller is about to ask again
+CLOSING_FROM_SECONDS = 0.35
+CLOSED_BY_SECONDS = 1.7
+MIN_IDLE_SECONDS = 0.3  # until then none is closed that has stood for less: its caller is about to ask again
 
 
 class Drain:
     """One time out of service; `standing` connections stood between requests when it began."""
 
-    def __init__(self, told: float, standing: int) -> None:
-        self.told = told
-        self.standing = standing
+    def __init__(self, started_at: float, idle_at_start: int) -> None:
+        self.started_at = started_at
+        self.idle_at_start = idle_at_start
 
-    def keep(self, now: float) -> int:
+    def max_idle(self, now: float) -> int:
         """How many connections may still stand between requests."""
-        since = now - self.told
-        if since >= EMPTY:
+        since = now - self.started_at
+        if since >= CLOSED_BY_SECONDS:
             return 0
-        return round(self.standing * min(1.0, (EMPTY - since) / (EMPTY - STOPPED)))
+        return round(
+            self.idle_at_start
+            * min(1.0, (CLOSED_BY_SECONDS - since) / (CLOSED_BY_SECONDS - CLOSING_FROM_SECONDS))
+        )
--- a/wheatring/lifecycle/byhand.py
+++ b/wheatring/lifecycle/endpoint_overrides.py
@@ -17,7 +17,7 @@
 READY, GONE = EndpointState.READY, EndpointState.GONE
 
 
-class Word:
+class EndpointListState:
     """A list as it was last told, with all that it lists."""
 
     def __init__(self) -> None:
@@ -36,50 +36,52 @@
             else:
                 self.entries[entry.endpoint] = entry
 
-    def whole(self) -> View:
+    def full_view(self) -> View:
         return View(ViewKind.FULL, tuple(self.entries.values()), self.version)
 
 
-class ByHand:
+class EndpointOverrides:
     def __init__(self, on_view: Callable[[View], None]) -> None:
         self.on_view = on_view
-        self.word = Word()  # discovery's
-        self.out: frozenset[str] = frozenset()
-        self.back: dict[str, float] = {}  # when one that is listed came back
+        self.discovered = EndpointListState()  # discovery's
+        self.offline: frozenset[str] = frozenset()
+        self.restored_at: dict[str, float] = {}  # when one that is listed came back
 
     def view(self, view: View) -> None:
         """News of discovery."""
-        self.word.view(view)
+        self.discovered.view(view)
         if view.kind is not ViewKind.FAILED:
             # One that has gone and comes again is told of with a start of its own.
-            self.back = {name: at for name, at in self.back.items() if name in self.word.entries}
-            if self.out or self.back:
-                view = replace(view, entries=tuple(map(self.shown, view.entries)))
+            self.restored_at = {
+                name: at for name, at in self.restored_at.items() if name in self.discovered.entries
+            }
+            if self.offline or self.restored_at:
+                view = replace(view, entries=tuple(map(self.overridden, view.entries)))
         self.on_view(view)
 
     def knows(self, name: str) -> bool:
-        return name in self.word.entries or name in self.out
+        return name in self.discovered.entries or name in self.offline
 
-    def put(self, now: float, out: frozenset[str]) -> None:
+    def set_offline(self, now: float, out: frozenset[str]) -> None:
         """From now on these are out, and no others."""
-        changed, word = sorted(self.out ^ out), self.word.entries
-        self.out = out
+        changed, word = sorted(self.offline ^ out), self.discovered.entries
+        self.offline = out
         for name in changed:
             if name in out:
-                self.back.pop(name, None)
+                self.restored_at.pop(name, None)
             elif name in word:
-                self.back[name] = now
-        entries = tuple([self.shown(word[name]) for name in changed if name in word])
+                self.restored_at[name] = now
+        entries = tuple([self.overridden(word[name]) for name in changed if name in word])
         if entries:
-            self.on_view(View(ViewKind.DELTA, entries, self.word.version))
+            self.on_view(View(ViewKind.DELTA, entries, self.discovered.version))
 
-    def shown(self, entry: EndpointEntry) -> EndpointEntry:
+    def overridden(self, entry: EndpointEntry) -> EndpointEntry:
         name = entry.endpoint
         if entry.state is not READY:
             return entry
-        if name in self.out:
+        if name in self.offline:
             return replace(entry, state=EndpointState.DRAINING)
-        at = self.back.get(name)
+        at = self.restored_at.get(name)
         if at is not None and entry.started_at < at:
             return replace(entry, started_at=at, is_reinstated=True)
         return entry
--- a/wheatring/lifecycle/handover.py
+++ b/wheatring/lifecycle/handover.py
@@ -22,17 +22,17 @@
 from urllib.parse import quote
 
 from wheatring import log
-from wheatring.lifecycle.orders import Orders, OrdersError, read
+from wheatring.lifecycle.operator_orders import OperatorOrders, OrdersError, parse_orders
 
 
-class Other(NamedTuple):
+class OtherProcess(NamedTuple):
     """Another process of this sidecar that lives."""
 
-    since: int  # nanoseconds of the machine's clock, which is its name too
-    ceiling: int
+    started_ns: int  # nanoseconds of the machine's clock, which is its name too
+    descriptor_limit: int
 
 
-class Folder:
+class HandoverFolder:
     """What the processes of the sidecar `name` share in `folder`. This one lives `since`: process ids say
     nothing, each may have a name space of its own.
     """
@@ -40,7 +40,7 @@
     def __init__(self, folder: str, name: str, since: int) -> None:
         self.folder = Path(folder)
         self.name = name
-        self.since = since
+        self.started_ns = since
         quoted = quote(name, safe="")
         self.orders_file = self.folder / f"service-{quoted}.orders"
         self.lock_file = self.folder / f"service-{quoted}.lock"
@@ -52,7 +52,7 @@
 
     # Orders
 
-    def news(self) -> Orders | None:
+    def changed_orders(self) -> OperatorOrders | None:
         """The orders, where they were replaced since they were last read or written here."""
         try:
             found = self.orders_file.stat()
@@ -60,19 +60,21 @@
             if mark == self._seen:
                 return None
             self._seen = mark
-            return read(self.orders_file.read_text(encoding="utf-8"), self.name)
+            return parse_orders(self.orders_file.read_text(encoding="utf-8"), self.name)
         except FileNotFoundError:
             return None
         except (OSError, ValueError) as bad:
             log.line("orders-unread", why=str(bad), file=self.orders_file)
             return None
 
-    def change(self, edit: Callable[[Orders], Orders], held: Orders) -> Orders:
+    def change(
+        self, edit: Callable[[OperatorOrders], OperatorOrders], held: OperatorOrders
+    ) -> OperatorOrders:
         """Change what is in force, from the file's orders or, where there are none, those held here."""
         try:
             with self._locked():
                 orders = edit(self._read() or held)
-                self._replace(self.orders_file, orders.text(self.name))
+                self._replace(self.orders_file, orders.to_json(self.name))
                 found = self.orders_file.stat()
                 self._seen = (found.st_ino, found.st_mtime_ns)
                 return orders
@@ -80,29 +82,29 @@
             self._warn(bad)
             return edit(held)
 
-    def _read(self) -> Orders | None:
+    def _read(self) -> OperatorOrders | None:
         with suppress(OSError, OrdersError, UnicodeDecodeError):
-            return read(self.orders_file.read_text(encoding="utf-8"), self.name)
+            return parse_orders(self.orders_file.read_text(encoding="utf-8"), self.name)
         return None
 
     # Who lives
 
-    def settle(self, ceiling: Callable[[bool, list[int]], int]) -> tuple[int, list[Other]]:
+    def claim_limit(self, ceiling: Callable[[bool, list[int]], int]) -> tuple[int, list[OtherProcess]]:
         """State this process's ceiling, which `ceiling` finds from whether it is the newest and from those of
         the others; all of it in one go. Also the others.
         """
         try:
             with self._locked():
                 others = self._others()
-                newest = all(other.since < self.since for other in others)
-                stated = ceiling(newest, [other.ceiling for other in others])
+                newest = all(other.started_ns < self.started_ns for other in others)
+                stated = ceiling(newest, [other.descriptor_limit for other in others])
                 self._state(stated)
                 return stated, others
         except OSError as bad:
             self._warn(bad)
             return ceiling(True, []), []
 
-    def alone(self) -> bool:
+    def is_alone(self) -> bool:
         """Nobody else seems to be here: there is nothing to settle."""
         try:
             return not any(path != self.own_file for path in self._files())
@@ -120,7 +122,7 @@
     def _files(self) -> list[Path]:
         return sorted(p for p in self.folder.iterdir() if self._live.fullmatch(p.name))
 
-    def _others(self) -> list[Other]:
+    def _others(self) -> list[OtherProcess]:
         found = []
         for path in self._files():
             if path == self.own_file:
@@ -134,7 +136,7 @@
                 told = json.loads(os.read(file, 4096))
                 match = self._live.fullmatch(path.name)
                 assert match is not None
-                found.append(Other(int(match[1]), int(told["ceiling"])))
+                found.append(OtherProcess(int(match[1]), int(told["ceiling"])))
             except (ValueError, TypeError, KeyError) as bad:
                 log.line("other-unread", why=str(bad), file=path)
             finally:
@@ -162,7 +164,7 @@
             os.close(file)
 
     def _replace(self, path: Path, text: str) -> None:
-        whole = path.with_name(f"{path.name}.{self.since}")
+        whole = path.with_name(f"{path.name}.{self.started_ns}")
         whole.write_text(text, encoding="utf-8")
         whole.replace(path)
 
--- a/wheatring/lifecycle/told.py
+++ b/wheatring/lifecycle/notification_deadline.py
@@ -25,68 +25,83 @@
 
 from math import inf
 
-REACHED = 6.0
-AFTER_WAIT = 2.0
-HANG = 2.0  # a connect to nobody is given up then, and so is a call that can't wait, where a list is held
-ANSWER = 1.0
-AGAIN = REACHED - HANG - ANSWER
-AT_ONCE = 0.25  # where that is in no time: who is not there needs not be asked more often
-GIVE_UP = REACHED - ANSWER - AT_ONCE  # seconds for which a call that can't wait is waited for at most
-
-
-class Told:
+NOTIFIED_AFTER_REACHABLE_SECONDS = 6.0
+NOTIFIED_AFTER_WAIT_SECONDS = 2.0
+HANGING_CALL_SECONDS = (
+    2.0  # a connect to nobody is given up then, and so is a call that can't wait, where a list is held
+)
+ANSWER_SECONDS = 1.0
+RETRY_WITHIN_SECONDS = NOTIFIED_AFTER_REACHABLE_SECONDS - HANGING_CALL_SECONDS - ANSWER_SECONDS
+MIN_RETRY_SECONDS = 0.25  # where that is in no time: who is not there needs not be asked more often
+CALL_TIMEOUT_SECONDS = (
+    NOTIFIED_AFTER_REACHABLE_SECONDS - ANSWER_SECONDS - MIN_RETRY_SECONDS
+)  # seconds for which a call that can't wait is waited for at most
+
+
+class NotificationDeadline:
     """What this sidecar's calls say of the next one. `within` is the platform's time for asking, 0 where
     lists are pushed.
     """
 
-    __slots__ = ("began", "failed_at", "last", "out", "wait", "within")
+    __slots__ = ("failed_at", "failed_call_began_at", "last_ended_at", "max_wait", "waiting_since", "within")
 
     def __init__(self, within: float, now: float) -> None:
         self.within = within
-        self.begin(now)
+        self.start(now)
 
-    def begin(self, now: float) -> None:
+    def start(self, now: float) -> None:
         """A start. No call is out, and none has failed."""
-        self.last = now  # the end of the last call, or the start
+        self.last_ended_at = now  # the end of the last call, or the start
         self.failed_at = inf  # since a call has failed: no later one was answered or laid
-        self.began = now  # that call: what has changed since then it may have missed
-        self.out = inf  # the call that waits, since then; inf: none
-        self.wait = 0.0  # and how long it may
+        self.failed_call_began_at = now  # that call: what has changed since then it may have missed
+        self.waiting_since = inf  # the call that waits, since then; inf: none
+        self.max_wait = 0.0  # and how long it may
 
-    def laid(self, now: float, wait: float) -> None:
+    def call_accepted(self, now: float, wait: float) -> None:
         """Discovery has taken a call, which may wait so long."""
-        self.out, self.wait, self.failed_at = now, wait, inf
+        self.waiting_since, self.max_wait, self.failed_at = now, wait, inf
 
-    def answered(self, now: float) -> None:
-        self.last, self.out, self.failed_at = now, inf, inf
+    def call_answered(self, now: float) -> None:
+        self.last_ended_at, self.waiting_since, self.failed_at = now, inf, inf
 
-    def failed(self, now: float, began: float) -> None:
+    def call_failed(self, now: float, began: float) -> None:
         """The call, or one beside that which waits, has failed, was refused, or was given up."""
-        self.last = self.failed_at = now
-        self.began = began
+        self.last_ended_at = self.failed_at = now
+        self.failed_call_began_at = began
 
-    def moved(self, now: float, began: float) -> None:
+    def discovery_moved(self, now: float, began: float) -> None:
         """Discovery is elsewhere, and what was out since `began` (inf: nothing) has been given up. With
         nothing out, a call that is owed is no less so: moves in a row must not put it off for ever.
         """
-        self.out = inf
+        self.waiting_since = inf
         if began < inf or self.failed_at == inf:
-            self.failed(now, min(began, now))
+            self.call_failed(now, min(began, now))
 
-    def dropped(self) -> None:
+    def call_dropped(self) -> None:
         """There is no call that waits."""
-        self.out = inf
+        self.waiting_since = inf
 
     @property
-    def step(self) -> float:
+    def retry_interval(self) -> float:
         """From a call that failed at once to the next, at most."""
-        return max(min(AGAIN, 4 * self.within - HANG - ANSWER), AT_ONCE)
+        return max(
+            min(RETRY_WITHIN_SECONDS, 4 * self.within - HANGING_CALL_SECONDS - ANSWER_SECONDS),
+            MIN_RETRY_SECONDS,
+        )
 
-    def by(self) -> float:
+    def deadline(self) -> float:
         """The instant by which the next call must be made."""
         if self.failed_at < inf:
-            by = min(self.failed_at + self.step, self.began + REACHED - ANSWER)
-            return max(by, self.failed_at + AT_ONCE)
-        if self.out < inf:
-            return self.out + max(REACHED, self.wait + AFTER_WAIT) - HANG - ANSWER
-        return self.last + max(self.within - HANG, self.within / 2)
+            by = min(
+                self.failed_at + self.retry_interval,
+                self.failed_call_began_at + NOTIFIED_AFTER_REACHABLE_SECONDS - ANSWER_SECONDS,
+            )
+            return max(by, self.failed_at + MIN_RETRY_SECONDS)
+        if self.waiting_since < inf:
+            return (
+                self.waiting_since
+                + max(NOTIFIED_AFTER_REACHABLE_SECONDS, self.max_wait + NOTIFIED_AFTER_WAIT_SECONDS)
+                - HANGING_CALL_SECONDS
+                - ANSWER_SECONDS
+            )
+        return self.last_ended_at + max(self.within - HANGING_CALL_SECONDS, self.within / 2)
--- a/wheatring/lifecycle/leaving.py
+++ b/wheatring/lifecycle/shutdown_schedule.py
@@ -29,30 +29,32 @@
 
 from wheatring.balancer.interface import Idempotency, RequestClass
 
-ARRIVING = 0.42  # seconds after SIGTERM in which new connections may come; the platform says 0.4
-QUIET = 0.05  # and since the last that came
-DOOR = 0.65  # the door is shut by then: what is taken later than 0.7 s may not be left to SIGKILL
-SHED = 0.2
-SHED_FOLLOWED = 2.0
-RESTED = 0.3  # then none is closed that has not stood for so long: its caller is about to ask again
-FRESH = 0.1  # seconds in which a caller that has connected writes its request
-KILL = 0.7  # SIGKILL follows the longest deadline after this ...
-LONGEST = 3.0  # ... which is taken as this where it is longer
-LAST = 0.2  # seconds before SIGKILL
-KEPT = 64  # latencies of each class that say what is usual
-AHEAD = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # times ahead for which it is reckoned
-UNSERVED = 0.5  # chance that what comes while this copy is away is served by nobody, times the copies
-
-
-class Open(NamedTuple):
+MIN_ACCEPT_SECONDS = 0.42  # seconds after SIGTERM in which new connections may come; the platform says 0.4
+QUIET_SECONDS = 0.05  # and since the last that came
+MAX_ACCEPT_SECONDS = (
+    0.65  # the door is shut by then: what is taken later than 0.7 s may not be left to SIGKILL
+)
+CLOSE_IDLE_SECONDS = 0.2
+CLOSE_IDLE_WITH_SUCCESSOR_SECONDS = 2.0
+MIN_IDLE_SECONDS = 0.3  # then none is closed that has not stood for so long: its caller is about to ask again
+REQUEST_AFTER_CONNECT_SECONDS = 0.1  # seconds in which a caller that has connected writes its request
+KILL_AFTER_DEADLINE_SECONDS = 0.7  # SIGKILL follows the longest deadline after this ...
+MAX_DEADLINE_SECONDS = 3.0  # ... which is taken as this where it is longer
+MARGIN_BEFORE_KILL_SECONDS = 0.2  # seconds before SIGKILL
+LATENCIES_KEPT = 64  # latencies of each class that say what is usual
+HORIZONS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # times ahead for which it is reckoned
+UNSERVED_CHANCE = 0.5  # chance that what comes while this copy is away is served by nobody, times the copies
+
+
+class OpenRequest(NamedTuple):
     """An open job, as far as the plan hangs on it."""
 
     class_name: str
     age: float  # seconds since it was taken
-    left: float  # seconds to its deadline
+    remaining: float  # seconds to its deadline
 
 
-class Usual:
+class LatencyHistory:
     """The latest served jobs of each class: when, and how long they took. Instants never go back."""
 
     __slots__ = ("recent",)
@@ -60,10 +62,10 @@
     def __init__(self) -> None:
         self.recent: dict[str, deque[tuple[float, float]]] = {}
 
-    def served(self, class_name: str, now: float, latency: float) -> None:
+    def record(self, class_name: str, now: float, latency: float) -> None:
         recent = self.recent.get(class_name)
         if recent is None:
-            recent = self.recent[class_name] = deque(maxlen=KEPT)
+            recent = self.recent[class_name] = deque(maxlen=LATENCIES_KEPT)
         recent.append((now, latency))
 
     def latencies(self, class_name: str) -> list[float]:
@@ -78,7 +80,7 @@
         return (len(recent) - 1) / (now - recent[0][0])
 
 
-def chance(latencies: Sequence[float], age: float, ahead: float) -> float:
+def answer_probability(latencies: Sequence[float], age: float, ahead: float) -> float:
     """That a job of this age is answered within the time ahead. `latencies` are sorted."""
     if ahead <= 0:
         return 0.0
@@ -87,66 +89,76 @@
     return (within + ahead / (age + ahead)) / (len(latencies) - before + 1)
 
 
-class Leaving:
+class ShutdownSchedule:
     """One departure. `told` is the instant of SIGTERM; `usual` is not asked again later, or what is given up
     to be back sooner would hang on what the last moments brought.
     """
 
     def __init__(
         self,
-        told: float,
+        started_at: float,
         classes: Iterable[RequestClass],
         copies: int,
-        usual: Usual,
+        history: LatencyHistory,
         idle: int = 0,
-        followed: bool = False,
+        has_successor: bool = False,
     ) -> None:
-        self.told = told
-        self.followed = followed
-        self.rested = RESTED if followed else 0.0
+        self.started_at = started_at
+        self.has_successor = has_successor
+        self.min_idle_seconds = MIN_IDLE_SECONDS if has_successor else 0.0
         self.classes: Mapping[str, RequestClass] = {each.name: each for each in classes}
         self.idle = idle
         longest = max([each.deadline for each in self.classes.values()], default=0.0)
-        self.last = told + min(longest, LONGEST) + KILL - LAST
-        self.latencies = {name: usual.latencies(name) for name in self.classes}
-        served = sum([each.value * usual.rate(name, told) for name, each in self.classes.items()])
-        self.cost = served * min(1.0, UNSERVED / copies)  # of a second away, in worth
-
-    def shut(self, now: float, came: float, full: bool) -> bool:
+        self.deadline = (
+            started_at
+            + min(longest, MAX_DEADLINE_SECONDS)
+            + KILL_AFTER_DEADLINE_SECONDS
+            - MARGIN_BEFORE_KILL_SECONDS
+        )
+        self.latencies = {name: history.latencies(name) for name in self.classes}
+        served = sum([each.value * history.rate(name, started_at) for name, each in self.classes.items()])
+        self.value_per_second_away = served * min(1.0, UNSERVED_CHANCE / copies)  # of a second away, in worth
+
+    def should_stop_accepting(self, now: float, last_accepted_at: float, is_full: bool) -> bool:
         """Whether the door is to be shut; `came` is the instant of the last new connection, `full` that more
         callers may wait at the door, who are not turned away.
         """
-        since = now - self.told
-        if full:
-            return now >= self.last
-        return since >= DOOR or (since >= ARRIVING and now - came >= QUIET)
-
-    def keep(self, now: float) -> int:
+        since = now - self.started_at
+        if is_full:
+            return now >= self.deadline
+        return since >= MAX_ACCEPT_SECONDS or (
+            since >= MIN_ACCEPT_SECONDS and now - last_accepted_at >= QUIET_SECONDS
+        )
+
+    def max_idle(self, now: float) -> int:
         """How many connections may still stand between requests."""
-        over = SHED_FOLLOWED if self.followed else SHED
-        return int(self.idle * max(0.0, 1 - (now - self.told) / over))
+        over = CLOSE_IDLE_WITH_SUCCESSOR_SECONDS if self.has_successor else CLOSE_IDLE_SECONDS
+        return int(self.idle * max(0.0, 1 - (now - self.started_at) / over))
 
-    def goes_on(self, now: float, jobs: Sequence[Open]) -> bool:
+    def should_continue(self, now: float, requests: Sequence[OpenRequest]) -> bool:
         """The door is shut: whether open jobs may run on."""
-        if not jobs or now >= self.last:
+        if not requests or now >= self.deadline:
             return False
-        if self.followed:
+        if self.has_successor:
             return True
-        return any(self.worth(jobs, ahead) > self.cost * ahead for ahead in AHEAD)
+        return any(
+            self.expected_value(requests, ahead) > self.value_per_second_away * ahead
+            for ahead in HORIZONS_SECONDS
+        )
 
-    def worth(self, jobs: Iterable[Open], ahead: float) -> float:
+    def expected_value(self, requests: Iterable[OpenRequest], ahead: float) -> float:
         """What these jobs are likely to bring within the time ahead."""
         total = 0.0
-        for name, age, left in jobs:
+        for name, age, left in requests:
             each = self.classes[name]
             latencies = self.latencies[name]
             reach = min(ahead, left)
-            in_time = chance(latencies, age, min(reach, each.latency_target - age))
+            in_time = answer_probability(latencies, age, min(reach, each.latency_target - age))
             total += each.value * in_time
             if each.late_value and age + reach > each.latency_target:
-                total += each.value * each.late_value * (chance(latencies, age, reach) - in_time)
+                total += each.value * each.late_value * (answer_probability(latencies, age, reach) - in_time)
         return total
 
-    def may_refuse(self, class_name: str, may_have_run: bool) -> bool:
+    def may_reject(self, class_name: str, may_have_run: bool) -> bool:
         """Whether what is given up may be called refused, which says that trying again is harmless."""
         return not may_have_run or self.classes[class_name].idempotency is Idempotency.IDEMPOTENT
--- a/wheatring/lifecycle/following.py
+++ b/wheatring/lifecycle/watch_delegation.py
@@ -19,40 +19,44 @@
 
 from math import inf
 
-from wheatring.lifecycle.freshness import LIKELY
+from wheatring.lifecycle.freshness import EXPECTED_ANSWER_RATE
 
-FRESH = 4.0
-SPREAD = 4.0
+LEADER_TIMEOUT_SECONDS = 4.0
+TAKEOVER_SPREAD_SECONDS = 4.0
 
 
-class Following:
+class WatchDelegation:
     """`copies` send into the tier, and this one is `number` of them, from 0."""
 
     def __init__(self, copies: int, number: int) -> None:
-        self.place = number % copies / copies
-        self.crowd = copies / LIKELY  # seconds over which all ask once
-        self.heard = -inf  # when the holder told of its list
-        self.generation: int | None = None
-        self.told = inf  # since when it is known that there is a newer list than this one's
+        self.position = number % copies / copies
+        self.spread_seconds = copies / EXPECTED_ANSWER_RATE  # seconds over which all ask once
+        self.leader_heard_at = -inf  # when the holder told of its list
+        self.leader_generation: int | None = None
+        self.behind_since = inf  # since when it is known that there is a newer list than this one's
 
-    def beat(self, now: float, age: float, generation: int, own: int | None) -> None:
+    def leader_heartbeat(self, now: float, age: float, generation: int, own: int | None) -> None:
         """The holder's list had this generation `age` seconds ago."""
-        self.heard = max(self.heard, now - age)
-        self.generation = generation
+        self.leader_heard_at = max(self.leader_heard_at, now - age)
+        self.leader_generation = generation
         if own is not None and generation > own:
-            self.told = min(self.told, now)
+            self.behind_since = min(self.behind_since, now)
         else:
-            self.told = inf
+            self.behind_since = inf
 
-    def read(self, own: int) -> bool:
+    def list_changed(self, own: int) -> bool:
         """The own list has changed; whether it is as new as the holder's, as far as that was heard."""
-        if self.generation is not None and own < self.generation:
+        if self.leader_generation is not None and own < self.leader_generation:
             return False
-        self.told = inf
+        self.behind_since = inf
         return True
 
-    def asks(self, now: float, own: int | None, doubt: bool) -> bool:
+    def should_watch(self, now: float, own: int | None, doubt: bool) -> bool:
         """Whether it is to watch for itself now."""
-        if own is None or doubt or now >= self.heard + FRESH + self.place * SPREAD:
+        if (
+            own is None
+            or doubt
+            or now >= self.leader_heard_at + LEADER_TIMEOUT_SECONDS + self.position * TAKEOVER_SPREAD_SECONDS
+        ):
             return True
-        return now >= self.told + self.place * self.crowd
+        return now >= self.behind_since + self.position * self.spread_seconds
--- a/wheatring/ops/audit.py
+++ b/wheatring/ops/audit.py
@@ -21,10 +21,12 @@
 from wheatring.core.clock import Clock, Timer
 from wheatring.operator_properties import OperatorProperties
 
-MOST = 1000  # lines that wait for a reader of standard error
-RETRY = 0.05  # seconds between tries while it reads nothing
+MAX_UNWRITTEN_LINES = 1000  # lines that wait for a reader of standard error
+RETRY_SECONDS = 0.05  # seconds between tries while it reads nothing
 
-UNSEEN = "note: lines lost from the end of any start, and starts lost whole, can't be seen from the rest"
+UNDETECTED_NOTE = (
+    "note: lines lost from the end of any start, and starts lost whole, can't be seen from the rest"
+)
 
 _LINE = re.compile(
     rb"AUDIT (seq=([1-9][0-9]{0,15}) ms=([0-9]{1,15}) name=(\S+) event=\S+ actor=\S+(?: [a-z]+=\S*)*)"
@@ -37,7 +39,7 @@
     return hashlib.sha256(f"{name} {ms}".encode()).hexdigest()
 
 
-def chained(prev: str, fields: str) -> str:
+def chained_hash(prev: str, fields: str) -> str:
     return hashlib.sha256(f"{prev} {fields}".encode()).hexdigest()
 
 
@@ -51,9 +53,9 @@
         self.clock = clock
         self.file = file
         self.seq = 0
-        self.prev = ""
-        self.waiting: deque[bytes] = deque()
-        self.retry: Timer | None = None
+        self.previous_hash = ""
+        self.unwritten: deque[bytes] = deque()
+        self.retry_timer: Timer | None = None
         self.file_failed = False
         if S_ISFIFO(os.fstat(2).st_mode) or S_ISSOCK(os.fstat(2).st_mode):
             os.set_blocking(2, False)  # a reader that stalls must not hold up the jobs
@@ -62,22 +64,22 @@
         self.seq += 1
         ms = int(self.clock.unix() * 1000)
         if self.seq == 1:
-            self.prev = _origin(self.name, ms)
+            self.previous_hash = _origin(self.name, ms)
         fields = f"seq={self.seq} ms={ms} name={self.name} event={event} actor={actor}"
         fields += "".join(f" {key}={_quoted(value)}" for key, value in more.items())
-        made = chained(self.prev, fields)
-        data = f"AUDIT {fields} prev={self.prev} hash={made}\n".encode()
-        self.prev = made
+        made = chained_hash(self.previous_hash, fields)
+        data = f"AUDIT {fields} prev={self.previous_hash} hash={made}\n".encode()
+        self.previous_hash = made
         if self.file:
-            self.copy(data)
-        if len(self.waiting) < MOST:
-            self.waiting.append(data)
+            self.append_to_file(data)
+        if len(self.unwritten) < MAX_UNWRITTEN_LINES:
+            self.unwritten.append(data)
         else:  # the chain shows the gap as well
             log.line("audit-lost", warning="standard error is not read", seq=self.seq)
-        if self.retry is None:
+        if self.retry_timer is None:
             self.flush()
 
-    def keys(self, old: OperatorProperties, new: OperatorProperties) -> None:
+    def record_key_changes(self, old: OperatorProperties, new: OperatorProperties) -> None:
         """Which keys of the operators' file differ, and how; never what they are."""
         before, after = _keys(old), _keys(new)
         for key in sorted(before.keys() | after.keys()):
@@ -85,7 +87,7 @@
                 change = "added" if key not in before else "removed" if key not in after else "replaced"
                 self.record("key", "operators", key=key, change=change)
 
-    def copy(self, data: bytes) -> None:
+    def append_to_file(self, data: bytes) -> None:
         """One whole line at the end of the lasting file, which may be moved away between any two."""
         try:
             how = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_NONBLOCK | os.O_CLOEXEC
@@ -103,32 +105,32 @@
 
     def flush(self) -> None:
         """Write what waits, as far as standard error takes it."""
-        self.retry = None
-        while self.waiting:
-            data = self.waiting[0]
+        self.retry_timer = None
+        while self.unwritten:
+            data = self.unwritten[0]
             try:
                 written = os.write(2, data)
             except BlockingIOError:
                 written = 0
             except OSError as bad:  # nobody can read it any more
-                log.line("audit-lost", warning=bad.strerror, lines=len(self.waiting))
-                self.waiting.clear()
+                log.line("audit-lost", warning=bad.strerror, lines=len(self.unwritten))
+                self.unwritten.clear()
                 return
             if written == len(data):
-                self.waiting.popleft()
+                self.unwritten.popleft()
                 continue
-            self.waiting[0] = data[written:]
+            self.unwritten[0] = data[written:]
             if not written:
-                self.retry = self.clock.at(self.clock.now() + RETRY, self.flush)
+                self.retry_timer = self.clock.at(self.clock.now() + RETRY_SECONDS, self.flush)
                 return
 
     def close(self) -> None:
         """One last try. The line of the stop has waited at least as long as callers may still arrive."""
-        if self.retry is not None:
-            self.retry.cancel()
+        if self.retry_timer is not None:
+            self.retry_timer.cancel()
         self.flush()
-        if self.waiting:
-            log.line("audit-lost", warning="standard error is not read", lines=len(self.waiting))
+        if self.unwritten:
+            log.line("audit-lost", warning="standard error is not read", lines=len(self.unwritten))
 
 
 def _keys(told: OperatorProperties) -> dict[str, object]:
@@ -154,7 +156,7 @@
         why = "not a whole audit line"
         if match is not None:
             fields, seq, ms, name, prev, made = match.groups()
-            if chained(prev.decode(), fields.decode("latin-1")).encode() != made:
+            if chained_hash(prev.decode(), fields.decode("latin-1")).encode() != made:
                 why = "its hash is not that of its fields"
             elif int(seq) == 1:
                 known = (name, ms) in starts
--- a/wheatring/ops/capture/record.py
+++ b/wheatring/ops/capture/record.py
@@ -27,10 +27,10 @@
 from wheatring.balancer import interface as i
 from wheatring.balancer.balancer import Balancer
 
-REPORT = ("in_flight", "queue", "utilization", "latency", "rate", "error_rate")
+REPORT_FIELDS = ("in_flight", "queue", "utilization", "latency", "rate", "error_rate")
 
 
-def word(text: str) -> str:
+def quote_word(text: str) -> str:
     return "%2D" if text == "-" else quote(text, safe="", errors="surrogatepass") or "-"
 
 
@@ -39,16 +39,21 @@
 
 
 def _entry(entry: i.EndpointEntry) -> str:
-    words = (word(entry.endpoint), entry.state.value, word(entry.zone), word(entry.machine_type))
+    words = (
+        quote_word(entry.endpoint),
+        entry.state.value,
+        quote_word(entry.zone),
+        quote_word(entry.machine_type),
+    )
     owed = ("owed",) if entry.is_reinstated else ()
     return ",".join((*words, f"{entry.cell}", _number(entry.rating), _number(entry.started_at), *owed))
 
 
 def _report(report: i.LoadReport | None) -> str:
-    return "-" if report is None else ",".join(_number(getattr(report, name)) for name in REPORT)
+    return "-" if report is None else ",".join(_number(getattr(report, name)) for name in REPORT_FIELDS)
 
 
-class _Asked(NamedTuple):
+class _RecordedRequest(NamedTuple):
     ident: str
     class_name: str
     deadline: float
@@ -70,14 +75,16 @@
         self.write = write
         self.ident = ident  # of a request, by its number
         self.idle = idle  # how many connections to a node are idle
-        self.asked: dict[int, _Asked] = {}  # as long as the module knows them
+        self.requests: dict[int, _RecordedRequest] = {}  # as long as the module knows them
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
         ms = round((now + self.offset) * 1000)
         self.write(self.event(f"{ms} {now!r}", event))
         if isinstance(event, i.NewRequest):
             deadline = now + event.time_remaining
-            self.asked[event.request] = _Asked(self.ident(event.request), event.class_name, deadline)
+            self.requests[event.request] = _RecordedRequest(
+                self.ident(event.request), event.class_name, deadline
+            )
         number = getattr(event, "request", 0)
         try:
             actions = self.balancer.handle(now, event)
@@ -86,7 +93,7 @@
             raise
         for action in actions:
             of = getattr(action, "request", number)
-            asked = self.asked.get(of)
+            asked = self.requests.get(of)
             if asked is None:
                 self.write(f"a {self.action(action)}")
             else:
@@ -94,26 +101,26 @@
                 candidates, chosen = "", "-"
                 if isinstance(action, i.Send):
                     candidates = "".join(map(self.candidate, action.candidates))
-                    chosen = word(action.endpoint)
-                about = f"{ms} {word(asked.ident)} {word(asked.class_name)} {left}"
+                    chosen = quote_word(action.endpoint)
+                about = f"{ms} {quote_word(asked.ident)} {quote_word(asked.class_name)} {left}"
                 self.write(f"d {about}{candidates} {chosen} {self.action(action)}")
             if of not in self.balancer.requests:
-                self.asked.pop(of, None)
+                self.requests.pop(of, None)
         if number not in self.balancer.requests:
-            self.asked.pop(number, None)
+            self.requests.pop(number, None)
         return actions
 
     def candidate(self, drawn: i.Candidate) -> str:
         report = _number(drawn.reported)
-        return f" {word(drawn.endpoint)}:{drawn.in_flight}/{self.idle(drawn.endpoint)}/{report}"
+        return f" {quote_word(drawn.endpoint)}:{drawn.in_flight}/{self.idle(drawn.endpoint)}/{report}"
 
     def event(self, when: str, event: i.Event) -> str:
         match event:
             case i.NewRequest(number, name, left):
-                about = f"{number} {word(self.ident(number))} {word(name)}"
+                about = f"{number} {quote_word(self.ident(number))} {quote_word(name)}"
                 return f"r {when} {about} {left!r} {event.is_client_retry:d}"
             case i.AttemptEnded(number, attempt, outcome, node, latency, closed, report):
-                about = f"{number} {attempt} {outcome.value} {word(node)} {latency!r} {closed:d}"
+                about = f"{number} {attempt} {outcome.value} {quote_word(node)} {latency!r} {closed:d}"
                 return f"o {when} {about} {_report(report)}"
             case i.RequestAbandoned(number):
                 return f"g {when} {number}"
@@ -135,7 +142,7 @@
                 return "fail"
             case i.SetTimer(token, delay):
                 return f"timer {token} {delay!r}"
-        return " ".join(word(str(part)) for part in (type(action).__name__, *_values(action)))
+        return " ".join(quote_word(str(part)) for part in (type(action).__name__, *_values(action)))
 
 
 def _values(action: i.Action) -> list[object]:
@@ -143,4 +150,4 @@
 
 
 def header(name: str, seed: int, offset: float, settings: Mapping[str, Any]) -> tuple[str, str]:
-    return f"h {word(name)} seed={seed:016x}", f"s {offset!r} {json.dumps(settings)}"
+    return f"h {quote_word(name)} seed={seed:016x}", f"s {offset!r} {json.dumps(settings)}"
--- a/wheatring/ops/capture/replay.py
+++ b/wheatring/ops/capture/replay.py
@@ -13,8 +13,8 @@
 from wheatring.balancer import interface as i
 from wheatring.balancer.balancer import Balancer
 from wheatring.balancer.settings_reader import JsonSettings, settings_from
-from wheatring.ops.capture.record import REPORT, Recorder
-from wheatring.ops.capture.ring import CUT, files_in
+from wheatring.ops.capture.record import REPORT_FIELDS, Recorder
+from wheatring.ops.capture.ring import CUT_MARK, files_in
 
 _IDLE = re.compile(r"(:[0-9]+)/[^/ ]*/")  # what the pool held, of which the module knows nothing
 
@@ -36,7 +36,7 @@
 
 
 def _report(text: str) -> i.LoadReport | None:
-    return None if text == "-" else i.LoadReport(*map(_number, text.split(",", len(REPORT) - 1)))
+    return None if text == "-" else i.LoadReport(*map(_number, text.split(",", len(REPORT_FIELDS) - 1)))
 
 
 def _event(kind: str, parts: list[str]) -> i.Event:
@@ -68,7 +68,7 @@
         last = number
         with open(path, encoding="ascii", errors="replace", newline="\n") as file:
             for count, line in enumerate(file, 1):
-                if line.endswith(CUT) or not line.endswith("\n"):
+                if line.endswith(CUT_MARK) or not line.endswith("\n"):
                     line = "x cut\n"
                 yield f"{path.name}:{count}", line.removesuffix("\n")
 
@@ -83,7 +83,7 @@
         self.recorder: Recorder | None = None  # none: there is nothing to go on from until the next start
         self.idents: dict[int, str] = {}
         self.due: deque[str] = deque()  # lines that the module's last actions make
-        self.starts = self.compared = self.differ = self.passed = 0
+        self.starts = self.compared = self.differences = self.skipped = 0
 
     def run(self, files: list[tuple[int, Path]]) -> bool:
         """Whether something could be replayed, and nothing differed."""
@@ -92,11 +92,11 @@
             try:
                 self.take(place, line)
             except (ValueError, KeyError, IndexError, TypeError, OverflowError) as bad:
-                self.lost(place, f"can't be read: {bad}")
+                self.stop(place, f"can't be read: {bad}")
         self.end(place)
         starts = f"{self.starts} start{'s' * (self.starts != 1)}"
-        self.say(f"{self.name}: {self.compared} lines of {starts} compared, {self.differ} differ")
-        return self.starts > 0 and not self.differ
+        self.say(f"{self.name}: {self.compared} lines of {starts} compared, {self.differences} differ")
+        return self.starts > 0 and not self.differences
 
     def take(self, place: str, line: str) -> None:
         kind, *parts = line.split(" ")
@@ -106,18 +106,18 @@
             self.seed = int(parts[1].removeprefix("seed="), 16)
         elif kind == "s" and self.seed is not None:
             offset, _, settings = line[2:].partition(" ")
-            self.begin(float(offset), json.loads(settings))
+            self.start(float(offset), json.loads(settings))
         elif self.recorder is None:
-            self.passed += 1
+            self.skipped += 1
         elif kind in ("d", "a", "c"):
             self.compare(place, line)
         elif kind == "x":
-            self.lost(place, "something was left out here")
+            self.stop(place, "something was left out here")
         else:
-            self.settle(place)
+            self.expect_no_more(place)
             self.feed(kind, parts)
 
-    def begin(self, offset: float, settings: object) -> None:
+    def start(self, offset: float, settings: object) -> None:
         assert self.seed is not None
         balancer = Balancer(settings_from(JsonSettings(settings)), self.seed)
         self.seed = None
@@ -139,37 +139,37 @@
         self.compared += 1
         again = self.due.popleft() if self.due else None
         if again is None or _IDLE.sub(r"\1/?/", again) != _IDLE.sub(r"\1/?/", line):
-            self.tell(place, line, again)
+            self.report_difference(place, line, again)
 
-    def settle(self, place: str) -> None:
+    def expect_no_more(self, place: str) -> None:
         """All that the module said to the last event must have been in the record."""
         while self.due:
-            self.tell(f"before {place}", None, self.due.popleft())
+            self.report_difference(f"before {place}", None, self.due.popleft())
 
     def end(self, place: str) -> None:
         """A sidecar that is killed may leave its last event without all that came of it."""
         if self.due:
             self.say(f"{self.name}: {place}: the record of a start ends {len(self.due)} lines early")
             self.due.clear()
-        self.tell_passed()
+        self.report_skipped()
 
-    def tell(self, place: str, recorded: str | None, again: str | None) -> None:
-        self.differ += 1
+    def report_difference(self, place: str, recorded: str | None, again: str | None) -> None:
+        self.differences += 1
         self.say(f"{self.name}: {place} differs")
         self.say(f"  recorded {recorded or 'nothing'}")
         self.say(f"  replayed {again or 'nothing'}")
 
-    def lost(self, place: str, why: str) -> None:
+    def stop(self, place: str, why: str) -> None:
         self.say(f"{self.name}: {place}: {why}; what follows can't be replayed up to the next start")
         self.recorder = self.seed = None
         self.due.clear()
 
-    def tell_passed(self) -> None:
-        if self.passed and not self.starts:
-            self.say(f"{self.name}: the header has been overwritten: {self.passed} lines can't be replayed")
-        elif self.passed:
-            self.say(f"{self.name}: {self.passed} lines were passed over")
-        self.passed = 0
+    def report_skipped(self) -> None:
+        if self.skipped and not self.starts:
+            self.say(f"{self.name}: the header has been overwritten: {self.skipped} lines can't be replayed")
+        elif self.skipped:
+            self.say(f"{self.name}: {self.skipped} lines were passed over")
+        self.skipped = 0
 
 
 def replay(folder: Path, say: Callable[[str], None]) -> bool:
--- a/wheatring/ops/capture/ring.py
+++ b/wheatring/ops/capture/ring.py
@@ -12,9 +12,9 @@
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
 
-SOON = 0.2  # seconds in which lines are written
-BATCH = 16 * 1024  # bytes that are written at once
-CUT = "!\n"  # the end of a line that a start was killed in; none else has that sign there
+FLUSH_SECONDS = 0.2  # seconds in which lines are written
+BATCH_BYTES = 16 * 1024  # bytes that are written at once
+CUT_MARK = "!\n"  # the end of a line that a start was killed in; none else has that sign there
 
 _NAME = re.compile(r"capture-(.+)-([0-9]{6,})\.log")
 
@@ -29,7 +29,7 @@
     return {name: sorted(files) for name, files in sorted(found.items())}
 
 
-class Ring:
+class CaptureRing:
     """`shared`: another process of this sidecar may be writing. Then this one begins a file of its own; the
     older one ends its record when it would begin the next.
     """
@@ -43,10 +43,12 @@
         self.size = size
         self.clock = clock
         self.lines: list[bytes] = []
-        self.waiting = 0  # bytes of these
-        self.soon: Timer | None = None
-        self.off = False
-        self.held: deque[tuple[Path, int]] = deque()  # the older files with their sizes, the oldest first
+        self.unwritten_bytes = 0  # bytes of these
+        self.flush_timer: Timer | None = None
+        self.is_off = False
+        self.older_files: deque[tuple[Path, int]] = (
+            deque()
+        )  # the older files with their sizes, the oldest first
         self.number = 0  # of the newest
         self.file = -1
         self.used = 0  # bytes of it
@@ -56,24 +58,24 @@
             self._failed(bad)
 
     def write(self, line: str) -> None:
-        if self.off:
+        if self.is_off:
             return
         data = line.encode("ascii") + b"\n"
         if len(data) > self.size:
             data = b"x %d\n" % len(data)  # it fits no file, and replay must know that something lacks
         self.lines.append(data)
-        self.waiting += len(data)
-        if self.waiting >= BATCH:
+        self.unwritten_bytes += len(data)
+        if self.unwritten_bytes >= BATCH_BYTES:
             self.flush()
-        elif self.soon is None:
-            self.soon = self.clock.at(self.clock.now() + SOON, self.flush)
+        elif self.flush_timer is None:
+            self.flush_timer = self.clock.at(self.clock.now() + FLUSH_SECONDS, self.flush)
 
     def flush(self) -> None:
-        if self.soon is not None and self.soon.active():
-            self.soon.cancel()
-        self.soon = None
-        lines, self.lines, self.waiting = self.lines, [], 0
-        if self.off:
+        if self.flush_timer is not None and self.flush_timer.active():
+            self.flush_timer.cancel()
+        self.flush_timer = None
+        lines, self.lines, self.unwritten_bytes = self.lines, [], 0
+        if self.is_off:
             return
         try:
             batch = bytearray()
@@ -89,7 +91,7 @@
 
     def close(self) -> None:
         self.flush()
-        self.off = True
+        self.is_off = True
         self._shut()
 
     def _append(self, data: bytearray) -> None:
@@ -103,19 +105,19 @@
         """Go on after what an earlier start has left."""
         for number, path in files_in(self.folder).get(self.name, []):
             self.number = number
-            self.held.append((path, path.stat().st_size))
-        if shared or not self.held or self.held[-1][1] + len(CUT) >= self.size:
+            self.older_files.append((path, path.stat().st_size))
+        if shared or not self.older_files or self.older_files[-1][1] + len(CUT_MARK) >= self.size:
             self._turn()
             return
-        newest, self.used = self.held.pop()
+        newest, self.used = self.older_files.pop()
         self._make_room()
         self.file = os.open(newest, os.O_RDWR | os.O_APPEND | os.O_CLOEXEC)
         if self.used and os.pread(self.file, 1, self.used - 1) != b"\n":
-            self._append(bytearray(CUT, "ascii"))
+            self._append(bytearray(CUT_MARK, "ascii"))
 
     def _turn(self) -> None:
         if self.file >= 0:
-            self.held.append((self._path(), self.used))
+            self.older_files.append((self._path(), self.used))
         self._shut()
         self._make_room()
         self.number += 1
@@ -124,13 +126,13 @@
 
     def _make_room(self) -> None:
         """For one whole file more: at no time may the ring be larger than it is told to be."""
-        while self.held and (
-            len(self.held) >= self.files
-            or sum(size for _, size in self.held) + self.size > self.files * self.size
+        while self.older_files and (
+            len(self.older_files) >= self.files
+            or sum(size for _, size in self.older_files) + self.size > self.files * self.size
         ):
             with suppress(FileNotFoundError):
-                self.held[0][0].unlink()
-            self.held.popleft()
+                self.older_files[0][0].unlink()
+            self.older_files.popleft()
 
     def _path(self) -> Path:
         name = quote(self.name, safe="", errors="surrogatepass")
@@ -143,7 +145,7 @@
 
     def _failed(self, bad: OSError) -> None:
         """A record with a hole can't be replayed, so this ends it; serving goes on."""
-        self.off = True
+        self.is_off = True
         with suppress(OSError):
             self._shut()
         log.line("capture-off", warning=bad.strerror, folder=self.folder)
--- a/wheatring/ops/tokens.py
+++ b/wheatring/ops/tokens.py
@@ -26,7 +26,7 @@
 _RIGHT = re.compile(r"[!-+.-:<-~-]+")  # nor, in a right, the comma
 
 
-class NotIssued(OperatorFileError):
+class TokenNotIssuedError(OperatorFileError):
     """No token can be made of what was asked for; the text begins with the word or key at fault."""
 
     code = "token-not-issued"
@@ -37,19 +37,19 @@
     """A token that counts for nothing."""
 
 
-class Missing(TokenError):
+class TokenMissingError(TokenError):
     code = "token-missing"
     do = "Have the caller send `Authorization: Bearer TOKEN` with each request."
 
 
-class Forged(TokenError):
+class TokenForgedError(TokenError):
     """Not one that was signed here, with a key that there is."""
 
     code = "token-forged"
     do = "Give the caller a token that was issued with one of the keys in this sidecar's operators' file."
 
 
-class Expired(TokenError):
+class TokenExpiredError(TokenError):
     code = "token-expired"
     do = "Issue a new token, and compare this machine's clock if it should still be good."
 
@@ -61,10 +61,10 @@
 def _decoded(text: bytes) -> bytes:
     """Only the one way to write them: else one token could be written in several."""
     if not _CODED.fullmatch(text) or len(text) % 4 == 1:
-        raise Forged("forged")
+        raise TokenForgedError("forged")
     data = urlsafe_b64decode(text + b"=" * (-len(text) % 4))
     if _encoded(data) != text:
-        raise Forged("forged")
+        raise TokenForgedError("forged")
     return data
 
 
@@ -72,21 +72,21 @@
     return hmac.new(key, payload, hashlib.sha256).digest()
 
 
-def issue(told: Tokens, holder: str, rights: str, exp: int) -> str:
+def issue(settings: Tokens, holder: str, rights: str, exp: int) -> str:
     """A token for these rights, good until `exp` in Unix time."""
-    if not told.issue:
-        raise NotIssued("tokens.issue.kid: not set")
+    if not settings.issue:
+        raise TokenNotIssuedError("tokens.issue.kid: not set")
     if not _HOLDER.fullmatch(holder):
-        raise NotIssued("--holder: only printable ASCII without spaces and semicolons")
+        raise TokenNotIssuedError("--holder: only printable ASCII without spaces and semicolons")
     if not all(map(_RIGHT.fullmatch, rights.split(","))):
-        raise NotIssued("--rights: classes with commas between, without spaces and semicolons")
+        raise TokenNotIssuedError("--rights: classes with commas between, without spaces and semicolons")
     if not _EXP.fullmatch(str(exp)):
-        raise NotIssued("--ttl: the token would expire too late")
-    payload = f"kid={told.issue};holder={holder};rights={rights};exp={exp}".encode("ascii")
-    return (_encoded(payload) + b"." + _encoded(_mac(told.keys[told.issue], payload))).decode("ascii")
+        raise TokenNotIssuedError("--ttl: the token would expire too late")
+    payload = f"kid={settings.issue};holder={holder};rights={rights};exp={exp}".encode("ascii")
+    return (_encoded(payload) + b"." + _encoded(_mac(settings.keys[settings.issue], payload))).decode("ascii")
 
 
-def rights(told: Tokens, token: bytes, now: float) -> frozenset[str]:
+def verify_token(settings: Tokens, token: bytes, now: float) -> frozenset[str]:
     """The classes that a token opens at a Unix time; TokenError says why there are none."""
     coded, _, mac = token.partition(b".")
     payload = _decoded(coded)
@@ -94,31 +94,31 @@
     for part in payload.decode("latin-1").split(";"):
         name, equals, value = part.partition("=")
         if not equals or not value or name in found or name not in _FIELDS:
-            raise Forged("forged")
+            raise TokenForgedError("forged")
         found[name] = value
-    key = told.keys.get(found.get("kid", ""))
+    key = settings.keys.get(found.get("kid", ""))
     if key is None or len(found) < len(_FIELDS) or not _EXP.fullmatch(found["exp"]):
-        raise Forged("forged")
+        raise TokenForgedError("forged")
     if not hmac.compare_digest(_decoded(mac), _mac(key, payload)):
-        raise Forged("forged")
-    if now > int(found["exp"]) + told.skew:
-        raise Expired("expired")
+        raise TokenForgedError("forged")
+    if now > int(found["exp"]) + settings.skew:
+        raise TokenExpiredError("expired")
     return frozenset(found["rights"].split(","))
 
 
-class Guard:
+class TokenGuard:
     """What the server asks, before there is a job, for the classes that a request's token opens."""
 
-    def __init__(self, told: Tokens, clock: Clock) -> None:
-        self.told = told
+    def __init__(self, settings: Tokens, clock: Clock) -> None:
+        self.settings = settings
         self.clock = clock
 
     def __call__(self, fields: Mapping[bytes, bytes]) -> frozenset[str]:
         match = _BEARER.fullmatch(fields.get(b"authorization", b""))
         try:
             if match is None:
-                raise Missing("missing")
-            return rights(self.told, match[1], self.clock.unix())
+                raise TokenMissingError("missing")
+            return verify_token(self.settings, match[1], self.clock.unix())
         except TokenError as bad:
             body = f"token {bad}".encode()
             raise RequestRejectedError(401, "token", b"WWW-Authenticate: Bearer\r\n", body) from None
--- a/wheatring/peers/list_sharing.py
+++ b/wheatring/peers/list_sharing.py
@@ -13,8 +13,8 @@
 from wheatring.balancer.interface import EndpointState, View, ViewKind
 from wheatring.core.clock import Clock, Timer
 from wheatring.lease.messages import Heartbeat
-from wheatring.lifecycle.byhand import ByHand
-from wheatring.lifecycle.following import Following
+from wheatring.lifecycle.endpoint_overrides import EndpointOverrides
+from wheatring.lifecycle.watch_delegation import WatchDelegation
 
 HEARTBEAT_INTERVAL_SECONDS = 1.0  # of the holder
 WATCH_CHECK_SECONDS = 0.25  # between two checks whether to watch
@@ -68,8 +68,8 @@
         self.clock = clock
         self.fleet = fleet
         self.role = role
-        self.following = Following(copies, number)
-        self.overlay = ByHand(on_view)
+        self.following = WatchDelegation(copies, number)
+        self.overlay = EndpointOverrides(on_view)
         self.endpoint_list: EndpointList | None = None
         self.withdrawn: dict[str, float] = {}  # nodes that drain or have gone by the own list, and since when
         self.held_back: frozenset[str] = frozenset()  # those of the holder, laid over the own list
@@ -93,7 +93,7 @@
         if view.kind is not ViewKind.FAILED:
             self._record_withdrawn(now, view)
         self.overlay.view(view)
-        if view.kind is not ViewKind.FAILED and self.following.read(view.version):
+        if view.kind is not ViewKind.FAILED and self.following.list_changed(view.version):
             self.hold_back(frozenset())
 
     def _record_withdrawn(self, now: float, view: View) -> None:
@@ -110,9 +110,9 @@
         endpoint_list = self.endpoint_list
         assert endpoint_list is not None
         now = self.clock.now()
-        endpoint_list.freshness.weigh(now)
-        is_suspect = endpoint_list.freshness.suspect is not None
-        return self.epoch is not None or self.following.asks(now, endpoint_list.version, is_suspect)
+        endpoint_list.freshness.update(now)
+        is_suspect = endpoint_list.freshness.suspect_since is not None
+        return self.epoch is not None or self.following.should_watch(now, endpoint_list.version, is_suspect)
 
     def check_watch(self) -> None:
         """Start or end the watch as `should_watch` says, and check again.
@@ -162,7 +162,7 @@
             return
         self.newest_heard = order
         own = self.endpoint_list.version
-        self.following.beat(self.clock.now(), heartbeat.age_seconds, heartbeat.generation, own)
+        self.following.leader_heartbeat(self.clock.now(), heartbeat.age_seconds, heartbeat.generation, own)
         is_newer = own is not None and heartbeat.generation > own
         self.hold_back(frozenset(heartbeat.withdrawn if is_newer else ()))
 
@@ -173,8 +173,8 @@
         added = sorted(nodes - self.held_back)
         self.held_back = nodes
         if added:
-            log.line("list-held-back", nodes=",".join(added), generation=self.following.generation)
-        self.overlay.put(self.clock.now(), nodes)
+            log.line("list-held-back", nodes=",".join(added), generation=self.following.leader_generation)
+        self.overlay.set_offline(self.clock.now(), nodes)
 
     def status(self) -> dict[str, Any]:
         """Describe the state for `GET /control/duties`."""
@@ -182,7 +182,7 @@
         return {
             "generation": endpoint_list.version if endpoint_list is not None else None,
             "watches": endpoint_list is not None and endpoint_list.is_watching,
-            "told": self.following.generation,
+            "told": self.following.leader_generation,
             "held_back": sorted(self.held_back),
         }
 
--- a/wheatring/pools/manual_overrides.py
+++ b/wheatring/pools/manual_overrides.py
@@ -6,13 +6,13 @@
 from typing import TYPE_CHECKING
 
 from wheatring.balancer.interface import View
-from wheatring.lifecycle.byhand import ByHand
+from wheatring.lifecycle.endpoint_overrides import EndpointOverrides
 
 if TYPE_CHECKING:
     from wheatring.pools.pool_set import PoolSet
 
 
-class AllPoolsOverrides(ByHand):
+class AllPoolsOverrides(EndpointOverrides):
     """The operators' orders over all lists: the platform's, and those that pools have of their own."""
 
     def __init__(self, on_view: Callable[[View], None], pools: PoolSet) -> None:
@@ -23,7 +23,7 @@
         """Whether any list has, or any order names, this endpoint."""
         return super().knows(name) or any(pool.overrides.knows(name) for pool in self.pools.all())
 
-    def put(self, now: float, out: frozenset[str]) -> None:
+    def set_offline(self, now: float, out: frozenset[str]) -> None:
         """Take these endpoints out in each list, and no others."""
-        super().put(now, out)
+        super().set_offline(now, out)
         self.pools.take_out(now, out)
--- a/wheatring/pools/pool_set.py
+++ b/wheatring/pools/pool_set.py
@@ -16,8 +16,8 @@
 from wheatring.balancer.interface import View
 from wheatring.config.exceptions import ProjectFileError
 from wheatring.config.project_file import PoolTable, ProjectFile
-from wheatring.lifecycle.asking import Pace
-from wheatring.lifecycle.byhand import Word
+from wheatring.lifecycle.endpoint_overrides import EndpointListState
+from wheatring.lifecycle.list_request_schedule import RequestPace
 from wheatring.pools.active_route import RoutedRequest
 from wheatring.pools.request_router import RequestRouter
 from wheatring.pools.route_tables import route_from
@@ -59,14 +59,14 @@
 class PoolSet:
     """The pools in force, staged and leaving. `path` is the configuration file's, for errors."""
 
-    def __init__(self, environment: PoolEnvironment, server: Server, pace: Pace, path: str) -> None:
+    def __init__(self, environment: PoolEnvironment, server: Server, pace: RequestPace, path: str) -> None:
         self.environment = environment
         self.clock = environment.clock
         self.budget = environment.budget
         self.server = server
         self.pace = pace
         self.path = path
-        self.shared_list = Word()
+        self.shared_list = EndpointListState()
         self.taken_out: frozenset[str] = frozenset()  # endpoints, by operators
         self.pools: dict[str, RoutedPool] = {}  # in force
         self.router = RequestRouter(self.clock, environment.front)
@@ -93,7 +93,7 @@
         """Take these endpoints out, and no others, of the lists that pools have of their own."""
         self.taken_out = endpoints
         for pool in self.all():
-            pool.overrides.put(now, endpoints)
+            pool.overrides.set_offline(now, endpoints)
 
     def known(self) -> None:
         """Let pools with lists of their own begin to ask for them: the list as last saved has been read."""
@@ -119,7 +119,7 @@
             return f"pool: least: {reserved} connections together, and there are {self.budget.total}"
         return ""
 
-    def reload(self, configuration: ProjectFile, pace: Pace) -> None:
+    def reload(self, configuration: ProjectFile, pace: RequestPace) -> None:
         """Put another file in force as soon as its pools have their lists; it must have no `rejection`."""
         self.pace = pace
         self._drop_staged()
@@ -142,7 +142,7 @@
 
     def _make(self, name: str, table: PoolTable) -> RoutedPool:
         pool = RoutedPool(name, table, self.environment, self.pace)
-        pool.overrides.put(self.clock.now(), self.taken_out)
+        pool.overrides.set_offline(self.clock.now(), self.taken_out)
         return pool
 
     def _drop_staged(self) -> None:
--- a/wheatring/pools/routed_pool.py
+++ b/wheatring/pools/routed_pool.py
@@ -22,8 +22,8 @@
 from wheatring.core.body import BodyMemory
 from wheatring.core.clock import Clock
 from wheatring.core.exchange import Exchange
-from wheatring.lifecycle.asking import Pace
-from wheatring.lifecycle.byhand import ByHand, Word
+from wheatring.lifecycle.endpoint_overrides import EndpointListState, EndpointOverrides
+from wheatring.lifecycle.list_request_schedule import RequestPace
 from wheatring.pools.connection_budget import BudgetedPool, ConnectionBudget
 from wheatring.pools.endpoint_selection import EndpointSelection
 from wheatring.serving_pool import ServingPool
@@ -84,7 +84,7 @@
 class RoutedPool:
     """A pool that the configuration file names."""
 
-    def __init__(self, name: str, table: PoolTable, environment: PoolEnvironment, pace: Pace) -> None:
+    def __init__(self, name: str, table: PoolTable, environment: PoolEnvironment, pace: RequestPace) -> None:
         self.name = name
         self.table = table
         self.serving = _serving_pool(name, environment, pace)
@@ -94,7 +94,7 @@
         self.connections: BudgetedPool = self.pool
         self.is_ready = self.is_closed = False
         self.selection: EndpointSelection | None = None  # None: it has a list of its own
-        self.overrides = ByHand(self.driver.feed)  # over its own list
+        self.overrides = EndpointOverrides(self.driver.feed)  # over its own list
         if table.discovery is None:
             self.selection = EndpointSelection(table)
             self.driver.endpoint_list = SharedListClient(environment.plain)
@@ -103,12 +103,12 @@
             host, _, port = table.discovery.rpartition(":")
             self.serving.list_from((host, int(port)), self.on_own_list)
 
-    def start(self, shared_list: Word) -> None:
+    def start(self, shared_list: EndpointListState) -> None:
         """Hear the list from now on."""
         if self.selection is None:
             self.serving.machine_list.load_cached(EMPTY_LIST)
         else:
-            self.on_shared_list(shared_list.whole())
+            self.on_shared_list(shared_list.full_view())
 
     def on_shared_list(self, view: View) -> None:
         """Take up an update of the one list."""
@@ -122,7 +122,7 @@
             self.is_ready = True
         self.overrides.view(view)
 
-    def set_pace(self, pace: Pace) -> None:
+    def set_pace(self, pace: RequestPace) -> None:
         """Ask for its own list, if it has one, as often as this says."""
         if self.selection is None:
             self.serving.machine_list.asking.pace = pace
@@ -138,7 +138,7 @@
         self.driver.decision_module = InertBalancer()
 
 
-def _serving_pool(name: str, environment: PoolEnvironment, pace: Pace) -> ServingPool:
+def _serving_pool(name: str, environment: PoolEnvironment, pace: RequestPace) -> ServingPool:
     """Make the parts of a pool, with an exchange of its own."""
     front = environment.front
     exchange = Exchange(environment.clock, front.answer_slack)
--- a/wheatring/serving_pool.py
+++ b/wheatring/serving_pool.py
@@ -18,8 +18,8 @@
 from wheatring.core.exchange import Exchange
 from wheatring.http1.connection_pool import ConnectionPool
 from wheatring.http1.endpoint_list import EndpointList
-from wheatring.lifecycle.asking import DEFAULT, Pace
-from wheatring.lifecycle.freshness import deciders
+from wheatring.lifecycle.freshness import list_schedules
+from wheatring.lifecycle.list_request_schedule import DEFAULT_PACE, RequestPace
 
 
 class ServingPool:
@@ -50,7 +50,7 @@
         seed: int,
         max_connections: int,
         body_room: BodyMemory,
-        pace: Pace = DEFAULT,
+        pace: RequestPace = DEFAULT_PACE,
         connections: Callable[..., ConnectionPool] = ConnectionPool,
     ) -> None:
         limits = settings.limits
@@ -61,7 +61,7 @@
         self.pool = connections(
             reactor, clock, exchange, limits.connect_timeout, limits.idle_timeout, max_connections, body_room
         )
-        self.asking, self.freshness = deciders(settings, seed, clock.now(), pace)
+        self.asking, self.freshness = list_schedules(settings, seed, clock.now(), pace)
         self.machine_list: EndpointList
 
     def list_from(self, discovery: tuple[str, int], on_view: Callable[[View], None]) -> EndpointList:
