--- a/wheatring/lifecycle/__init__.py
+++ b/wheatring/lifecycle/__init__.py
@@ -1,6 +1,5 @@
-"""How a sidecar comes, goes and knows what is true: pure deciders, handed the time, the evidence and the
-random numbers.
+"""Start, shutdown, handover and the freshness of the endpoint list: deciders that are handed the time.
 
-Nothing here reads a clock, a socket or a file. It may import the decision module's words and what stands
-below; the core, the protocols and the daemon ask it.
+All but `handover`, which reads and writes its files, are pure: no clock, no socket, no file. They may import
+the decision module's messages and what stands below; the core, the protocols and the daemon ask them.
 """
--- a/wheatring/lifecycle/drain.py
+++ b/wheatring/lifecycle/drain.py
@@ -4,9 +4,9 @@
 have. At 4 s none may be idle, or have brought a request within the last 2 s. So, in seconds since the call:
 
 - from 0 on each answer is the last one on its connection;
-- from STOPPED to EMPTY the connections between requests are closed in even steps, the longest idle first:
-  closed all at once their callers would come anew elsewhere in one moment;
-- from EMPTY on whatever stands between requests is closed at once.
+- from CLOSING_FROM_SECONDS to CLOSED_BY_SECONDS the connections between requests are closed in even
+  steps, the longest idle first: closed all at once their callers would come anew elsewhere in one moment;
+- from then on whatever is between requests is closed at once.
 
 Pure: instants are handed in.
 """
@@ -19,18 +19,16 @@
 
 
 class Drain:
-    """One time out of service; `standing` connections stood between requests when it began."""
+    """One time out of service, since `started_at`; `idle_at_start` connections were between requests then."""
 
     def __init__(self, started_at: float, idle_at_start: int) -> None:
         self.started_at = started_at
         self.idle_at_start = idle_at_start
 
     def max_idle(self, now: float) -> int:
-        """How many connections may still stand between requests."""
+        """Return how many connections may still stand between requests."""
         since = now - self.started_at
         if since >= CLOSED_BY_SECONDS:
             return 0
-        return round(
-            self.idle_at_start
-            * min(1.0, (CLOSED_BY_SECONDS - since) / (CLOSED_BY_SECONDS - CLOSING_FROM_SECONDS))
-        )
+        remaining = (CLOSED_BY_SECONDS - since) / (CLOSED_BY_SECONDS - CLOSING_FROM_SECONDS)
+        return round(self.idle_at_start * min(1.0, remaining))
--- a/wheatring/lifecycle/freshness.py
+++ b/wheatring/lifecycle/freshness.py
@@ -1,20 +1,20 @@
-"""When the machine list may have grown old, and when to ask for it anew.
+"""When the endpoint list may be outdated, and when to ask for it anew.
 
 Discovery's watch says nothing while nothing changes, and nothing when nobody is there any more. What the
-nodes show tells the two apart: a listed node that refuses connects, breaks connections or turns all away
-is *struck* until it answers, or until the list has news of it. Each struck node adds one node-second of
-doubt a second, counted from its strike or from the last news, whichever is later. The list is suspect
+endpoints show tells the two apart: a listed endpoint that refuses connects, breaks connections or rejects all
+is *suspected* until it answers, or until the list has changes of it. Each suspected one adds one node-second
+of suspicion a second, counted from its fault or from the last change, whichever is later. The list is suspect
 
-- once all doubt together has come to NEED: one node for so many seconds, several for fewer; or
-- once it has named no node that serves for EMPTY.
+- once all suspicion has come to SUSPECT_NODE_SECONDS: one endpoint for so long, several for less; or
+- once it has named no endpoint that serves for MAX_EMPTY_SECONDS.
 
 A suspect list is asked for anew. Asks are spread over the copies by their numbers, are never nearer than
-FLOOR to each other, and each that brings no news doubles the gap, up to CEILING. All copies of a tier
-together ask no more than RATE times a second, however many they are: for that, gap and spread grow with
-them. Without doubt too, a watch that has been silent for QUIET is laid anew, in a large fleet somewhat later:
-where a call that waits takes a turn too, renewals alone would keep discovery busy. Before all that goes what
-counts as told (`told.py`): an ask that found nobody is made again as soon as any call that failed, and the
-watch that is out is laid anew before its wait is over.
+MIN_ASK_INTERVAL_SECONDS to each other, and each that brings no change doubles the gap, up to
+MAX_ASK_INTERVAL_SECONDS. All sidecars of a tier together ask no more than MAX_ASK_RATE times a second,
+however many they are: for that, gap and spread grow with them. Without suspicion too, a watch that has been
+silent for RENEWAL_SECONDS is renewed, in a large fleet somewhat later: where a call that waits takes a turn
+too, renewals alone would keep discovery busy. Before all that goes the notification deadline: an ask that
+found nobody is made again as soon as any call that failed, and the watch is renewed before its wait is over.
 
 Pure: instants in seconds are handed in; nothing here knows of sockets.
 """
@@ -29,36 +29,60 @@
 from wheatring.lifecycle.list_request_schedule import DEFAULT_PACE, ListRequestSchedule, RequestPace
 from wheatring.lifecycle.notification_deadline import HANGING_CALL_SECONDS, NotificationDeadline
 
-SUSPECT_NODE_SECONDS = 6.0  # node-seconds of doubt
+SUSPECT_NODE_SECONDS = 6.0  # node-seconds of suspicion
 MAX_EMPTY_SECONDS = 1.0
 MIN_ASK_INTERVAL_SECONDS = 4.0
 MAX_ASK_INTERVAL_SECONDS = 32.0
-MAX_ASK_RATE = 25.0  # asks a second by all copies of the tier
-MIN_SPREAD_SECONDS = 1.0  # least time over which the copies' first asks are spread
-RENEWAL_SECONDS = 25.0  # or, in a large fleet, so long that LIKELY watches a second are laid by all, up to
-MAX_RENEWAL_SECONDS = (
-    39.0  # with its spread less than a watch waits: one that ends by itself costs an answer too
-)
-EXPECTED_ANSWER_RATE = 4.0  # calls a second that discovery is held to answer
-CHANGE_AFTER_ASK_SECONDS = 2.0  # news that come within so long of an ask are its own
-SUSPICION_MEMORY_SECONDS = 60.0  # a node that has not been struck for so long counts no more
+MAX_ASK_RATE = 25.0  # asks a second by all sidecars of the tier
+MIN_SPREAD_SECONDS = 1.0  # least time over which the sidecars' first asks are spread
+RENEWAL_SECONDS = 25.0  # or, in a large fleet, what keeps all to EXPECTED_ANSWER_RATE watches a second, up to
+MAX_RENEWAL_SECONDS = 39.0  # with its spread less than a watch waits: one that ends costs an answer too
+EXPECTED_ANSWER_RATE = 4.0  # calls a second that discovery is expected to answer
+CHANGE_AFTER_ASK_SECONDS = 2.0  # a change that comes within so long of an ask is its own
+SUSPICION_MEMORY_SECONDS = 60.0  # an endpoint without a fault for so long counts no more
 
 SERVED, ERROR = Outcome.SERVED, Outcome.ERROR  # looked up once: an enum takes its time
-# What one outcome adds; at 1 the node is struck. A connection may break and a queue be full by chance.
+# What one outcome adds; at 1 the endpoint is suspected. A connection may break and a queue be full by chance.
 FAULT_WEIGHTS = {Outcome.CONNECT_FAILED: 1.0, Outcome.RESET: 0.5, Outcome.REJECTED: 0.25}
 
 
 class _Suspicion:
+    """The faults of one endpoint, and since when it is suspected; inf: it is not."""
+
     __slots__ = ("last_fault_at", "suspect_since", "weight")
 
     def __init__(self) -> None:
         self.weight = 0.0
-        self.suspect_since = inf  # struck since then
+        self.suspect_since = inf
         self.last_fault_at = 0.0
 
 
 class Freshness:
-    """Judges one sidecar's list. `copies` send into the tier, and this one is `number` of them, from 0."""
+    """Judges whether one sidecar's list is outdated. Instants and durations are seconds.
+
+    Attributes
+    ----------
+    spread_seconds : float
+        The time in which all sidecars may ask once.
+    renewal_seconds : float
+        The time after which a silent watch is renewed.
+    position : float
+        This sidecar's position among all, from 0 to 1.
+    suspicions : dict of str to _Suspicion
+        Endpoints with faults, by name.
+    serving : set of str
+        The endpoints that serve by the list.
+    changed_at : float
+        When the list last changed.
+    watching_since : float
+        The begin of the watch; inf: there is none.
+    suspect_since : float or None
+        Since when the list has been suspect.
+    asked_at, unchanged_asks : float and int
+        The last ask, and the asks in a row that brought no change.
+    not_before, retry_at : float
+        The next ask is not before the one, and by the other, as the last found nobody.
+    """
 
     def __init__(
         self,
@@ -70,29 +94,29 @@
     ) -> None:
         self.notification = NotificationDeadline(inf, now) if notification is None else notification
         self.random = random
-        self.spread_seconds = copies / MAX_ASK_RATE  # seconds that one ask of each copy takes them together
+        self.spread_seconds = copies / MAX_ASK_RATE
         self.renewal_seconds = min(max(RENEWAL_SECONDS, copies / EXPECTED_ANSWER_RATE), MAX_RENEWAL_SECONDS)
-        self.position = (number % copies + random.random()) / copies  # among the copies, from 0 to 1
+        self.position = (number % copies + random.random()) / copies
         self.suspicions: dict[str, _Suspicion] = {}
-        self.serving: set[str] = set()  # the nodes that the list names so
-        self.changed_at = now  # the last that there were
-        self.watching_since = inf  # the watch that is out; inf: none
-        self.suspect_since: float | None = None  # since when the list has been
+        self.serving: set[str] = set()
+        self.changed_at = now
+        self.watching_since = inf
+        self.suspect_since: float | None = None
         self.asked_at = -inf
-        self.unchanged_asks = 0  # asks in a row that brought no news
-        self.not_before = -inf  # not to be asked before
-        self.retry_at = inf  # but by then, as the last ask found nobody
+        self.unchanged_asks = 0
+        self.not_before = -inf
+        self.retry_at = inf
 
     # Evidence
 
     def attempt_ended(self, now: float, node: str, outcome: Outcome) -> bool:
-        """A claim at a node has ended so. Whether the list is in more doubt than before."""
+        """Take in an attempt's outcome; return whether the list is more suspect than before."""
         if outcome is SERVED or outcome is ERROR:
             if self.suspicions and self.suspicions.pop(node, None) is not None:
                 self.update(now)
             return False
         weight = FAULT_WEIGHTS.get(outcome)
-        # A slow node or an end of our own making say nothing, nor does one of which the list tells the same.
+        # A slow endpoint or a cancelled attempt say nothing, nor does one that the list knows not to serve.
         if weight is None or node not in self.serving:
             return False
         doubt = self.suspicions.get(node)
@@ -107,7 +131,7 @@
         return True
 
     def list_changed(self, now: float, lines: Mapping[str, bool], is_full: bool) -> None:
-        """The list has come, or changes of it: the names on it, and whether each serves."""
+        """Take in the list, or changes of it: the endpoints on it, and whether each serves."""
         if is_full:
             self.serving.clear()
             self.suspicions = {name: doubt for name, doubt in self.suspicions.items() if lines.get(name)}
@@ -125,21 +149,22 @@
         self.update(now)
 
     def watch_started(self, now: float) -> None:
-        """A watch begins."""
+        """Take in that a watch begins."""
         self.watching_since, self.retry_at = now, inf
 
     def watch_stopped(self) -> None:
-        """There is no watch."""
+        """Take in that there is no watch."""
         self.watching_since = self.retry_at = inf
 
     # Judgement
 
     @property
     def suspected_count(self) -> int:
+        """How many endpoints are suspected."""
         return sum([doubt.suspect_since < inf for doubt in self.suspicions.values()])
 
     def suspect_at(self) -> float:
-        """When the list is, or was, suspect, should nothing more come; inf: never."""
+        """Return when the list is, or was, suspect, should nothing more come; inf: never."""
         begun = [
             max(doubt.suspect_since, self.changed_at)
             for doubt in self.suspicions.values()
@@ -149,6 +174,7 @@
         return at if self.serving else min(at, self.changed_at + MAX_EMPTY_SECONDS)
 
     def update(self, now: float) -> None:
+        """Forget old faults, and see whether the list is suspect by now."""
         old = [
             name
             for name, doubt in self.suspicions.items()
@@ -163,21 +189,20 @@
             self.suspect_since = at
 
     def next_ask_at(self, now: float) -> float:
-        """The instant at which to ask, should nothing more come; inf without a watch that could be wrong."""
+        """Return when to ask, should nothing more come; inf without a watch that could be outdated."""
         if self.watching_since == inf:
             return inf
         self.update(now)
         since = self.suspect_at() if self.suspect_since is None else self.suspect_since
         doubted = since + self.position * max(MIN_SPREAD_SECONDS, self.spread_seconds)
         quiet = self.watching_since + self.renewal_seconds * (1 + self.position / 4)
-        # Whoever laid the watch has asked by that, and would have had an answer.
+        # The watch itself was a call that would have been answered.
         due = max(min(doubted, quiet), self.not_before, self.watching_since + MIN_ASK_INTERVAL_SECONDS)
-        return min(
-            due, self.retry_at, max(self.notification.deadline(), self.asked_at + HANGING_CALL_SECONDS)
-        )
+        notified = max(self.notification.deadline(), self.asked_at + HANGING_CALL_SECONDS)
+        return min(due, self.retry_at, notified)
 
     def ask_sent(self, now: float) -> None:
-        """It is asked for now."""
+        """Take in that the list is asked for now."""
         if now > self.asked_at + 2 * MAX_ASK_INTERVAL_SECONDS:
             self.unchanged_asks = 0
         gap = MIN_ASK_INTERVAL_SECONDS
@@ -188,7 +213,7 @@
         self.not_before = now + max(gap, self.spread_seconds) * (1 + self.random.random() / 4)
 
     def ask_failed(self, now: float) -> None:
-        """The ask has found nobody, and the old watch stands, which may be one to nobody."""
+        """Take in that the ask has found nobody; the old watch stands, which may be one to nobody."""
         self.notification.call_failed(now, self.asked_at)
         self.retry_at = now + (self.notification.deadline() - now) * (1 - self.random.random() / 4)
 
@@ -196,12 +221,12 @@
 def list_schedules(
     settings: Settings, seed: int, now: float, pace: RequestPace = DEFAULT_PACE
 ) -> tuple[ListRequestSchedule, Freshness]:
-    """When one sidecar asks for its list, by one law for both: in the daemon and in all that plays it."""
-    copies, number, within = (
-        settings.balancer_count,
-        settings.balancer_index,
-        settings.contract.subscribe_within,
-    )
+    """Return when one sidecar asks for its list: at a start or a failure, and while it watches.
+
+    The daemon and all simulations of it go by these.
+    """
+    copies, number = settings.balancer_count, settings.balancer_index
+    within = settings.contract.subscribe_within
     if not settings.must_subscribe:  # the lists are pushed to an agent, which this sidecar asks alone
         copies, number, within = 1, 0, 0.0
     asking = ListRequestSchedule(copies, number, within, Random(f"{seed}:asking"), now, pace)
--- a/wheatring/lifecycle/handover.py
+++ b/wheatring/lifecycle/handover.py
@@ -1,12 +1,12 @@
 """Two processes of one sidecar, a newer and an older one: their files, and all that touches them.
 
     service-NAME.orders     what the operators have ordered, replaced whole
-    service-NAME.lock       held for the moment in which orders or ceilings are changed
-    service-NAME-N.live     one a process, N its start in nanoseconds: its ceiling of descriptors
+    service-NAME.lock       locked for the moment in which orders or limits are changed
+    service-NAME-N.live     one a process, N its start in nanoseconds: its limit of descriptors
 
-That a process lives is told by the lock that it holds on its file, which the system lets go with it: a file
-that a killed one has left says nothing, and is removed. What can't be read or written costs one log line, and
-the sidecar goes on alone.
+A process lives as long as its lock on its file, which the system releases with it: a file that a killed one
+has left says nothing, and is removed. What can't be read or written costs one log line, and the sidecar goes
+on alone.
 """
 
 from __future__ import annotations
@@ -26,15 +26,17 @@
 
 
 class OtherProcess(NamedTuple):
-    """Another process of this sidecar that lives."""
+    """Another process of this sidecar that lives: its start, which is its name too, and its limit."""
 
-    started_ns: int  # nanoseconds of the machine's clock, which is its name too
+    started_ns: int  # nanoseconds of the machine's clock
     descriptor_limit: int
 
 
 class HandoverFolder:
-    """What the processes of the sidecar `name` share in `folder`. This one lives `since`: process ids say
-    nothing, each may have a name space of its own.
+    """What the processes of one sidecar share in a folder.
+
+    A process is known by its start in nanoseconds: process ids say nothing, each may have a name space of its
+    own.
     """
 
     def __init__(self, folder: str, name: str, since: int) -> None:
@@ -53,7 +55,7 @@
     # Orders
 
     def changed_orders(self) -> OperatorOrders | None:
-        """The orders, where they were replaced since they were last read or written here."""
+        """Return the orders, where they were replaced since they were last read or written here."""
         try:
             found = self.orders_file.stat()
             mark = (found.st_ino, found.st_mtime_ns)
@@ -68,19 +70,19 @@
             return None
 
     def change(
-        self, edit: Callable[[OperatorOrders], OperatorOrders], held: OperatorOrders
+        self, edit: Callable[[OperatorOrders], OperatorOrders], current: OperatorOrders
     ) -> OperatorOrders:
-        """Change what is in force, from the file's orders or, where there are none, those held here."""
+        """Change what is in force, from the file's orders or, where there are none, the current ones."""
         try:
             with self._locked():
-                orders = edit(self._read() or held)
+                orders = edit(self._read() or current)
                 self._replace(self.orders_file, orders.to_json(self.name))
                 found = self.orders_file.stat()
                 self._seen = (found.st_ino, found.st_mtime_ns)
                 return orders
         except OSError as bad:
             self._warn(bad)
-            return edit(held)
+            return edit(current)
 
     def _read(self) -> OperatorOrders | None:
         with suppress(OSError, OrdersError, UnicodeDecodeError):
@@ -89,30 +91,31 @@
 
     # Who lives
 
-    def claim_limit(self, ceiling: Callable[[bool, list[int]], int]) -> tuple[int, list[OtherProcess]]:
-        """State this process's ceiling, which `ceiling` finds from whether it is the newest and from those of
-        the others; all of it in one go. Also the others.
+    def claim_limit(self, limit: Callable[[bool, list[int]], int]) -> tuple[int, list[OtherProcess]]:
+        """State this process's limit of descriptors, and return it with the other processes that live.
+
+        `limit` finds it from whether this process is the newest and from the others' limits, under one lock.
         """
         try:
             with self._locked():
                 others = self._others()
                 newest = all(other.started_ns < self.started_ns for other in others)
-                stated = ceiling(newest, [other.descriptor_limit for other in others])
+                stated = limit(newest, [other.descriptor_limit for other in others])
                 self._state(stated)
                 return stated, others
         except OSError as bad:
             self._warn(bad)
-            return ceiling(True, []), []
+            return limit(True, []), []
 
     def is_alone(self) -> bool:
-        """Nobody else seems to be here: there is nothing to settle."""
+        """Whether no other process seems to be here, so that there is nothing to agree on."""
         try:
             return not any(path != self.own_file for path in self._files())
         except OSError:
             return True
 
     def leave(self) -> None:
-        """This process ends."""
+        """Remove this process's file, as it ends."""
         with suppress(OSError):
             self.own_file.unlink()
         if self._own >= 0:
@@ -131,7 +134,7 @@
             try:
                 with suppress(BlockingIOError):
                     fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                    path.unlink()  # nobody holds it: it was left over
+                    path.unlink()  # its process is gone
                     continue
                 told = json.loads(os.read(file, 4096))
                 match = self._live.fullmatch(path.name)
@@ -143,13 +146,13 @@
                 os.close(file)
         return found
 
-    def _state(self, ceiling: int) -> None:
+    def _state(self, descriptor_limit: int) -> None:
         if self._own < 0:
             flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
             self._own = os.open(self.own_file, flags, 0o600)
             fcntl.flock(self._own, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        text = json.dumps({"ceiling": ceiling}).encode()
-        # One write of one length: whoever reads meanwhile, under the lock or not, sees all of it.
+        text = json.dumps({"ceiling": descriptor_limit}).encode()
+        # One write of one length: whoever reads meanwhile, under the lock or not, reads all of it.
         os.pwrite(self._own, text.ljust(64), 0)
 
     # Files
--- a/wheatring/lifecycle/operator_orders.py
+++ b/wheatring/lifecycle/operator_orders.py
@@ -1,4 +1,4 @@
-"""What the operators have ordered, as it is written down for the other process of this sidecar.
+"""What operators have ordered, as it is written down for the other process of this sidecar.
 
 Strict both ways: what can't be read is an error with a reason, never half of an order.
 """
@@ -9,44 +9,45 @@
 from dataclasses import dataclass
 
 FORMAT_VERSION = 1  # of the text; another one is not read
-MAX_ENDPOINTS = 10_000  # ids
+MAX_ENDPOINTS = 10_000
 
 
 class OrdersError(ValueError):
-    """A text that holds no orders."""
+    """A text that holds no orders; its own says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorOrders:
-    offline: frozenset[str] = frozenset()  # endpoints out by hand
+    """The endpoints that operators have taken offline, and whether this sidecar is out of service."""
+
+    offline: frozenset[str] = frozenset()
     out_of_service: bool = False
 
     def to_json(self, name: str) -> str:
-        told = {
+        """Return the text of these orders for the sidecar of this name."""
+        fields = {
             "form": FORMAT_VERSION,
             "name": name,
             "offline": sorted(self.offline),
             "out": self.out_of_service,
         }
-        return json.dumps(told)
+        return json.dumps(fields)
 
 
 def parse_orders(text: str, name: str) -> OperatorOrders:
-    """The orders for the sidecar of this name."""
+    """Return the orders that a text holds for the sidecar of this name. Raises OrdersError."""
     try:
-        told = json.loads(text)
+        fields = json.loads(text)
     except (ValueError, RecursionError) as bad:
         raise OrdersError(f"not JSON: {bad}") from bad
-    if not isinstance(told, dict) or told.get("form") != FORMAT_VERSION:
+    if not isinstance(fields, dict) or fields.get("form") != FORMAT_VERSION:
         raise OrdersError(f"form: must be {FORMAT_VERSION}")
-    if told.get("name") != name:
-        raise OrdersError(f"name: another sidecar's: {told.get('name')!r}")
-    offline, out = told.get("offline"), told.get("out")
-    if (
-        not isinstance(offline, list)
-        or len(offline) > MAX_ENDPOINTS
-        or not all(isinstance(i, str) for i in offline)
-    ):
+    if fields.get("name") != name:
+        raise OrdersError(f"name: another sidecar's: {fields.get('name')!r}")
+    offline, out = fields.get("offline"), fields.get("out")
+    if not isinstance(offline, list) or len(offline) > MAX_ENDPOINTS:
+        raise OrdersError("offline: not a list of ids")
+    if not all(isinstance(each, str) for each in offline):
         raise OrdersError("offline: not a list of ids")
     if not isinstance(out, bool):
         raise OrdersError(f"out: not true or false: {out!r}")
--- a/wheatring/lifecycle/shutdown_schedule.py
+++ b/wheatring/lifecycle/shutdown_schedule.py
@@ -1,23 +1,24 @@
-"""Leaving: from SIGTERM on, what is still taken, until when open jobs may run, and when to end.
+"""The schedule of a shutdown: from SIGTERM on, what is still accepted, and until when open requests may run.
 
-The follower starts once this process has ended, so that each moment here is a moment later there. The law:
+The successor starts once this process has ended, so that each moment here is a moment later there. The law:
 
-- The door stays open until no connection has come for `QUIET`, not less than `ARRIVING` and no longer than
-  `DOOR`. Until then all is taken.
-- Connections between requests are closed one after another until `SHED` is over, that which has stood longest
+- Connections are accepted until none has come for `QUIET_SECONDS`, not less than `MIN_ACCEPT_SECONDS` and no
+  longer than `MAX_ACCEPT_SECONDS`.
+- Connections between requests are closed one after another within `CLOSE_IDLE_SECONDS`, the longest idle
   first: their callers go elsewhere a few at a time. Each answer is the last on its connection.
-- With the door shut, all jobs go on for as long as what they are likely to bring within some time ahead is
-  worth more than being back sooner by that time. What a second here costs is the worth that this copy has
-  lately served in one, times the chance that nobody else serves it. Then all that is left is given up at
-  once: one job alone would hold up the end as much as ten.
-- Nothing runs longer than `LAST` before SIGKILL may come, or past its deadline.
-
-Where the follower serves already, nobody waits for this end: all jobs run on as long as they may, and
-connections between requests are closed over `SHED_FOLLOWED`, for each that is closed may cross a request.
-
-What a job is likely to bring is read off the latest latencies of its class: of those that took longer than it
-has run by now, the part that was answered within that time. One that is older than all of them is answered
-within as long again with a chance of a half.
+- Once none are accepted, all requests go on for as long as the value that they are likely to bring within
+  some time ahead is more than that of being back sooner by that time. A second here costs the value that this
+  sidecar has lately served in one, times the chance that nobody else serves it. Then all that is left is
+  given up at once: one request alone would hold up the end as much as ten.
+- Nothing runs longer than `MARGIN_BEFORE_KILL_SECONDS` before SIGKILL may come, or past its deadline.
+
+Where the successor serves already, nobody waits for this end: all requests run on as long as they may, and
+connections between requests are closed over `CLOSE_IDLE_WITH_SUCCESSOR_SECONDS`, for each that is closed may
+cross a request.
+
+What a request is likely to bring is read off the latest latencies of its class: of those that took longer
+than it has run by now, the part that was answered within that time. One that is older than all of them is
+answered within as long again with a chance of a half.
 """
 
 from __future__ import annotations
@@ -29,33 +30,34 @@
 
 from wheatring.balancer.interface import Idempotency, RequestClass
 
-MIN_ACCEPT_SECONDS = 0.42  # seconds after SIGTERM in which new connections may come; the platform says 0.4
+MIN_ACCEPT_SECONDS = 0.42  # after SIGTERM, in which new connections may come; the platform says 0.4
 QUIET_SECONDS = 0.05  # and since the last that came
-MAX_ACCEPT_SECONDS = (
-    0.65  # the door is shut by then: what is taken later than 0.7 s may not be left to SIGKILL
-)
+MAX_ACCEPT_SECONDS = 0.65  # what is accepted later than 0.7 s may be left to SIGKILL
 CLOSE_IDLE_SECONDS = 0.2
 CLOSE_IDLE_WITH_SUCCESSOR_SECONDS = 2.0
-MIN_IDLE_SECONDS = 0.3  # then none is closed that has not stood for so long: its caller is about to ask again
-REQUEST_AFTER_CONNECT_SECONDS = 0.1  # seconds in which a caller that has connected writes its request
+MIN_IDLE_SECONDS = 0.3  # with a successor: one that is idle for less is about to bring a request
+REQUEST_AFTER_CONNECT_SECONDS = 0.1  # in which a caller that has connected writes its request
 KILL_AFTER_DEADLINE_SECONDS = 0.7  # SIGKILL follows the longest deadline after this ...
 MAX_DEADLINE_SECONDS = 3.0  # ... which is taken as this where it is longer
-MARGIN_BEFORE_KILL_SECONDS = 0.2  # seconds before SIGKILL
+MARGIN_BEFORE_KILL_SECONDS = 0.2
 LATENCIES_KEPT = 64  # latencies of each class that say what is usual
 HORIZONS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # times ahead for which it is reckoned
 UNSERVED_CHANCE = 0.5  # chance that what comes while this copy is away is served by nobody, times the copies
 
 
 class OpenRequest(NamedTuple):
-    """An open job, as far as the plan hangs on it."""
+    """An open request, as far as the schedule depends on it.
+
+    `age` is seconds since it was accepted, `remaining` seconds to its deadline.
+    """
 
     class_name: str
-    age: float  # seconds since it was taken
-    remaining: float  # seconds to its deadline
+    age: float
+    remaining: float
 
 
 class LatencyHistory:
-    """The latest served jobs of each class: when, and how long they took. Instants never go back."""
+    """The latest served requests of each class: when, and how long they took. Instants never go back."""
 
     __slots__ = ("recent",)
 
@@ -63,17 +65,18 @@
         self.recent: dict[str, deque[tuple[float, float]]] = {}
 
     def record(self, class_name: str, now: float, latency: float) -> None:
+        """Take in that a request has been served, after so many seconds."""
         recent = self.recent.get(class_name)
         if recent is None:
             recent = self.recent[class_name] = deque(maxlen=LATENCIES_KEPT)
         recent.append((now, latency))
 
     def latencies(self, class_name: str) -> list[float]:
-        """In their order of length."""
+        """Return the latencies of a class in seconds, sorted."""
         return sorted([latency for _, latency in self.recent.get(class_name, ())])
 
     def rate(self, class_name: str, now: float) -> float:
-        """Jobs served a second; 0 while too few have been to tell."""
+        """Return the requests of a class served a second; 0 while too few have been to tell."""
         recent = self.recent.get(class_name)
         if recent is None or len(recent) < 2 or now <= recent[0][0]:
             return 0.0
@@ -81,7 +84,10 @@
 
 
 def answer_probability(latencies: Sequence[float], age: float, ahead: float) -> float:
-    """That a job of this age is answered within the time ahead. `latencies` are sorted."""
+    """Return the chance that a request of this age is answered within the seconds ahead.
+
+    `latencies` are sorted.
+    """
     if ahead <= 0:
         return 0.0
     before = bisect_right(latencies, age)
@@ -90,8 +96,21 @@
 
 
 class ShutdownSchedule:
-    """One departure. `told` is the instant of SIGTERM; `usual` is not asked again later, or what is given up
-    to be back sooner would hang on what the last moments brought.
+    """One shutdown, from SIGTERM at `started_at`.
+
+    The latency history is not read again later, or what is given up to be back sooner would depend on what
+    the last moments brought.
+
+    Attributes
+    ----------
+    has_successor : bool
+        Another process of this sidecar serves already.
+    min_idle_seconds : float
+        For which a connection must have been idle to be closed.
+    deadline : float
+        The instant at which nothing runs on.
+    value_per_second_away : float
+        What a second without this sidecar costs.
     """
 
     def __init__(
@@ -120,8 +139,9 @@
         self.value_per_second_away = served * min(1.0, UNSERVED_CHANCE / copies)  # of a second away, in worth
 
     def should_stop_accepting(self, now: float, last_accepted_at: float, is_full: bool) -> bool:
-        """Whether the door is to be shut; `came` is the instant of the last new connection, `full` that more
-        callers may wait at the door, who are not turned away.
+        """Whether no more connections are to be accepted.
+
+        `is_full` says that callers may wait to be accepted, who are not rejected.
         """
         since = now - self.started_at
         if is_full:
@@ -131,12 +151,12 @@
         )
 
     def max_idle(self, now: float) -> int:
-        """How many connections may still stand between requests."""
+        """Return how many connections may still stand between requests."""
         over = CLOSE_IDLE_WITH_SUCCESSOR_SECONDS if self.has_successor else CLOSE_IDLE_SECONDS
         return int(self.idle * max(0.0, 1 - (now - self.started_at) / over))
 
     def should_continue(self, now: float, requests: Sequence[OpenRequest]) -> bool:
-        """The door is shut: whether open jobs may run on."""
+        """Whether open requests may run on, once no connections are accepted."""
         if not requests or now >= self.deadline:
             return False
         if self.has_successor:
@@ -147,7 +167,7 @@
         )
 
     def expected_value(self, requests: Iterable[OpenRequest], ahead: float) -> float:
-        """What these jobs are likely to bring within the time ahead."""
+        """Return the value that these requests are likely to bring within the seconds ahead."""
         total = 0.0
         for name, age, left in requests:
             each = self.classes[name]
@@ -160,5 +180,5 @@
         return total
 
     def may_reject(self, class_name: str, may_have_run: bool) -> bool:
-        """Whether what is given up may be called refused, which says that trying again is harmless."""
+        """Whether what is given up may be rejected, which says that trying again is harmless."""
         return not may_have_run or self.classes[class_name].idempotency is Idempotency.IDEMPOTENT
