--- a/tests/ends/test_repeats.py
+++ b/tests/core/test_retries.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.conftest import Copy
-from tests.ends.attempts import kept
+from tests.http1.attempts import kept
 from tests.world import World
 from wheatring.balancer import backoff
 from wheatring.balancer import interface as i
--- a/tests/ends/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.ends.test_stop import leave
+from tests.http1.test_shutdown import leave
 from tests.virtual import Virtual
 from tests.world import Wire, World
 from wheatring.http1.caller_connection import CallerConnection
--- a/tests/ends/test_endpoint.py
+++ b/tests/http1/test_endpoint_connection.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.ends.attempts import kept, listed, reads, submit
+from tests.http1.attempts import kept, listed, reads, submit
 from tests.pools.pools_world import TWO, PoolsWorld
 from tests.pools.test_pool_set import begun
 from tests.world import Peer, World, entry
--- a/tests/ends/test_endpoint_faults.py
+++ b/tests/http1/test_endpoint_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.ends.attempts import kept, submit
+from tests.http1.attempts import kept, submit
 from tests.world import World
 from wheatring.core.exchange import Answer, AnswerKind
 from wheatring.http1 import connection_pool
