--- a/wheatring/lab/rules/__init__.py
+++ b/wheatring/lab/rules/__init__.py
@@ -1,6 +1,6 @@
-"""The book kept: each event is held to the rules as it is told, and the figures of service are kept.
+"""The invariant checker of the lab: each event is held to the rules as it is noted, and figures are kept.
 
-`Ledger` is the book; `Trace` writes or hashes every event. Each rule has a module that can be read alone:
+`Ledger` implements the lab's `Book`; `Trace` writes or hashes every event. Each rule has a module of its own:
 `answers` (the first, and what is served), `duplicates` (the second), `drains` (the third), `cold` (the
 fourth), `bounds`; `links` says what the rules allow for links. May import the lab's `plan`, `book` and
 `outcome`, of the models only the pure `cold`, and nothing of attachments or the sidecar.
--- a/wheatring/lab/rules/answers.py
+++ b/wheatring/lab/rules/answers.py
@@ -12,41 +12,44 @@
 from wheatring.lab.rules.links import Links
 from wheatring.lab.rules.requests import Attempt, Request
 
-STILL_COMES = 0.7  # seconds after SIGTERM in which requests may still come
-EXACT = 1e-9  # what sums of instants may be off by
+ARRIVAL_AFTER_STOP_SECONDS = 0.7  # seconds after SIGTERM in which requests may still come
+ROUNDING_SECONDS = 1e-9  # what sums of instants may be off by
 
 
 class Answers:
+    """Judges each end of a request against what its sidecar owed it. Times are seconds."""
+
     def __init__(self, grace: float, links: Links, breaches: Breaches) -> None:
         self.grace = grace
         self.links = links
         self.breaches = breaches
 
     def late(self, request: Request, at: float) -> None:
-        """The request got an answer past its deadline, at an instant."""
-        if at > request.deadline + self.grace + EXACT and not self._excused(request):
+        """Judge an answer at an instant past the deadline of its request."""
+        if at > request.deadline + self.grace + ROUNDING_SECONDS and not self._excused(request):
             over = at - request.deadline
             self._breach(request, f"{request.sidecar} answered {over:.3f} s after the deadline.")
 
     def unanswered(self, request: Request, at: float) -> None:
-        """The request got no answer until an instant, at which its caller gave up or its sidecar ended."""
-        due = request.deadline + self.grace - EXACT
+        """Judge a request without an answer at an instant: its caller gave up or its sidecar ended."""
+        due = request.deadline + self.grace - ROUNDING_SECONDS
         if at >= due and not request.forgiven and not self._excused(request):
             self._breach(request, f"{request.sidecar} had given no answer {self.grace} s after the deadline.")
 
     def lost(self, request: Request, why: str) -> None:
+        """Judge a request that its sidecar lost after it had taken it."""
         if request.forgiven or self._cut(request.sidecar, request.taken, self.breaches.now()):
             return
         self._breach(request, f"{request.sidecar} lost a request that it had taken: {why}.")
 
     def dropped(self, request: Request) -> None:
-        """The connection ended as if between requests, and an attempt shows that this one had been read."""
+        """Judge a connection closed as if between requests, though an attempt shows that one was read."""
         if not request.forgiven:
             what = f"{request.sidecar} had read the request, and closed its connection unanswered."
             self._breach(request, what)
 
     def served(self, request: Request, stamp: str) -> Attempt | None:
-        """The attempt that made the answer."""
+        """Return the attempt that made the answer; without one, the answer is a breach."""
         for attempt in request.attempts:
             if attempt.stamp == stamp and stamp:
                 return attempt
--- a/wheatring/lab/rules/breaches.py
+++ b/wheatring/lab/rules/breaches.py
@@ -9,7 +9,7 @@
 from wheatring.lab.outcome import Breach
 from wheatring.lab.rules.trace import Trace
 
-KEPT = 100
+MAX_KEPT_BREACHES = 100
 
 
 class MisuseError(Exception):
@@ -17,6 +17,8 @@
 
 
 class Breaches:
+    """The breaches found so far. Instants are seconds of the world."""
+
     def __init__(self, now: Callable[[], float], start: float, trace: Trace | None) -> None:
         self.now = now
         self.start = start
@@ -25,16 +27,16 @@
         self.kept: list[Breach] = []
 
     def add(self, rule: str, what: str, *, ident: str = "", sidecar: str = "", node: str = "") -> int:
-        """Now, a rule is found broken. Its place in the list; -1 where it is not kept."""
+        """Add a breach found now; return its index in the list, or -1 where it is not kept."""
         at = round(self.now() - self.start, 9)
         self.count += 1
         if self.trace is not None:
             self.trace.line(self.now(), ident, f"breach rule={rule} what={what}")
-        if len(self.kept) == KEPT:
+        if len(self.kept) == MAX_KEPT_BREACHES:
             return -1
         self.kept.append(Breach(rule, at, what, ident, sidecar, node))
         return len(self.kept) - 1
 
     def name(self, place: int, ident: str) -> None:
-        """The request at fault has become known later than its breach."""
+        """Name the request at fault, known only later, of the breach at an index."""
         self.kept[place] = structs.replace(self.kept[place], ident=ident)
--- a/wheatring/lab/rules/cold.py
+++ b/wheatring/lab/rules/cold.py
@@ -19,8 +19,10 @@
 
 
 class ColdStart:
-    """A start that is watched. `offers` are those of the window: when, how much, and whether by one who was
-    told of the start.
+    """A start that is watched.
+
+    `offers` are those of the window: when, how much work (seconds on a standard core), and whether from a
+    sidecar that knew of the start.
     """
 
     __slots__ = ("capacity", "offers", "pressure", "since", "until")
@@ -33,12 +35,14 @@
         self.until = until
 
     def blamed(self) -> bool:
-        """Two thirds of the work in the window came from sidecars that were told."""
+        """Whether two thirds of the work in the window came from sidecars that knew of the start."""
         work = sum([work for _, work, _ in self.offers])
         return sum([work for _, work, told in self.offers if told]) >= SHARE * work - 1e-9
 
 
 class ColdStarts:
+    """Watches the starts of cold nodes."""
+
     def __init__(self, rules: RulesPlan, drains: Drains, breaches: Breaches) -> None:
         self.rules = rules
         self.drains = drains
@@ -48,12 +52,13 @@
         self.over = 0  # that were pushed over, by whomever
 
     def up(self, node: str, kind: KindPlan, capacity: Callable[[], float], at: float) -> None:
+        """Note that a node has started at an instant, with the capacity that `capacity` gives."""
         if kind.cold > 0 and kind.cold_from < 1:
             self.count += 1
             self.watched[node] = ColdStart(self.rules, capacity, at, at + kind.cold)
 
     def offered(self, node: str, sidecar: str, work: float, at: float) -> None:
-        """Work for a node that is watched."""
+        """Note work (seconds on a standard core) for a node that is watched."""
         start, window = self.watched[node], self.rules.fall_for
         if at >= start.until:
             del self.watched[node]
--- a/wheatring/lab/rules/lists.py
+++ b/wheatring/lab/rules/discovery_calls.py
@@ -1,4 +1,4 @@
-"""What the sidecars' asking costs discovery, and when each has its list."""
+"""What the sidecars' calls cost discovery, and when each sidecar has its list."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from wheatring.lab.outcome import Lists
 
 
-class ListCalls:
-    """Keeps calls by second. `since` gives the seconds from the day's begin to an instant."""
+class DiscoveryCalls:
+    """Counts calls by second. `since` gives the seconds from the start of the day to an instant."""
 
     def __init__(self, since: Callable[[float], float]) -> None:
         self.since = since
@@ -18,6 +18,7 @@
         self.held: set[str] = set()  # sidecars whose last call that ended by itself was answered
 
     def asking(self, sidecar: str, at: float) -> None:
+        """Note a call of a sidecar to discovery."""
         self.found.calls += 1
         self.out[sidecar] = self.out.get(sidecar, 0) + 1
         if sidecar not in self.held:
@@ -25,14 +26,14 @@
             self._count(self.found.asked, at)
 
     def brought(self, sidecar: str, at: float) -> None:
-        """Discovery has written an answer to it."""
+        """Note that discovery has answered a call of a sidecar."""
         self.found.brought += 1
         self.found.first.setdefault(sidecar, round(at - self.started.get(sidecar, at), 3))
         self.out[sidecar] = 0
         self.held.add(sidecar)
 
     def up(self, sidecar: str, at: float) -> None:
-        """It starts, from nothing."""
+        """Note that a sidecar has started without a list."""
         self.started[sidecar] = at
         self.found.started[sidecar] = round(max(0.0, self.since(at)), 3)
         self.found.first.pop(sidecar, None)
@@ -40,6 +41,7 @@
         self.held.discard(sidecar)
 
     def ended(self, sidecar: str, failed: bool, at: float) -> None:
+        """Note that a call has ended, perhaps by a failure."""
         if failed:
             self.found.failed += 1
             self.held.discard(sidecar)
--- a/wheatring/lab/rules/drains.py
+++ b/wheatring/lab/rules/drains.py
@@ -1,4 +1,4 @@
-"""The third rule: what each sidecar has been told of each node, or counts as told, and since when.
+"""The third rule: what each sidecar knows of each node, or counts as knowing, and since when.
 
 A change counts as told, written or not:
 
@@ -15,9 +15,9 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.links import ELSEWHERE, Links
 
-AFTER_WAIT = 2.0
-AFTER_FAILURE = 4
-KEPT = 16  # changes of one node that are remembered
+AFTER_WAIT_SECONDS = 2.0
+AFTER_FAILURE_FACTOR = 4
+MAX_KEPT_CHANGES = 16  # changes of one node that are remembered
 
 
 class Change:
@@ -32,7 +32,7 @@
         self.started = started
 
 
-class Ear:
+class SidecarKnowledge:
     """What one sidecar has been told since its start."""
 
     __slots__ = ("calls", "counted", "failed", "heard", "off", "pending", "quiet")
@@ -48,6 +48,8 @@
 
 
 class Drains:
+    """Keeps what each sidecar knows of each node. Instants are seconds of the world."""
+
     def __init__(self, plan: Plan, links: Links) -> None:
         self.links = links
         self.rules = plan.rules
@@ -55,7 +57,7 @@
         self.tier_of = {node.name: node.tier for node in plan.nodes}
         self.sends_to = {sidecar.name: 0 for sidecar in plan.sidecars}
         self.sends_to.update({node.name: node.tier + 1 for node in plan.nodes})
-        self.ears: dict[str, Ear] = {}
+        self.knowledge_by_sidecar: dict[str, SidecarKnowledge] = {}
         self.changes: dict[str, list[Change]] = {}  # by node, the oldest first
         self.orders = 0
         self.suspects: dict[str, None] = {}  # nodes that were ever told as draining or gone
@@ -64,57 +66,64 @@
     # Sidecars
 
     def up(self, sidecar: str, at: float) -> None:
-        ear = self.ears[sidecar] = Ear(at)
+        """Note that a sidecar has started, and knows nothing yet."""
+        knowledge = self.knowledge_by_sidecar[sidecar] = SidecarKnowledge(at)
         tier = self.sends_to.get(sidecar)
         for node, changes in self.changes.items():
             if self.tier_of.get(node) == tier:
-                ear.pending[node] = [changes[-1]]
+                knowledge.pending[node] = [changes[-1]]
 
     def down(self, sidecar: str) -> None:
-        self.ears.pop(sidecar, None)
+        """Note that a sidecar has ended."""
+        self.knowledge_by_sidecar.pop(sidecar, None)
 
     def asking(self, sidecar: str, wait: float, at: float) -> None:
-        ear = self.ear(sidecar, at)
-        self._settle(ear, at)
-        ear.calls.append((at, wait))
+        """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
+        knowledge = self.knowledge_of(sidecar, at)
+        self._settle(knowledge, at)
+        knowledge.calls.append((at, wait))
 
     def unheard(self, sidecar: str, failed: bool, at: float) -> None:
-        ear = self.ears.get(sidecar)
-        if ear is None or not ear.calls:
+        """Note that a call ended without a change, perhaps by a failure."""
+        knowledge = self.knowledge_by_sidecar.get(sidecar)
+        if knowledge is None or not knowledge.calls:
             return  # the call of a process that has ended
-        self._settle(ear, at)
+        self._settle(knowledge, at)
         # Which one it is nobody says. The one that waits less is over sooner.
-        ear.calls.remove(min(ear.calls, key=lambda each: each[0] + each[1]))
-        ear.quiet = at
-        ear.failed = failed
-
-    def ear(self, sidecar: str, at: float) -> Ear:
-        ear = self.ears.get(sidecar)
-        if ear is None:
+        knowledge.calls.remove(min(knowledge.calls, key=lambda each: each[0] + each[1]))
+        knowledge.quiet = at
+        knowledge.failed = failed
+
+    def knowledge_of(self, sidecar: str, at: float) -> SidecarKnowledge:
+        """Return the knowledge of a sidecar, which is started where it is not known."""
+        knowledge = self.knowledge_by_sidecar.get(sidecar)
+        if knowledge is None:
             self.up(sidecar, at)
-            ear = self.ears[sidecar]
-        return ear
+            knowledge = self.knowledge_by_sidecar[sidecar]
+        return knowledge
 
     # News
 
     def known(self, node: str, state: NodeState, started: float, at: float) -> None:
+        """Note that discovery knows a new state of a node."""
         self.orders += 1
         change = Change(self.orders, at, state, started)
         changes = self.changes.setdefault(node, [])
         changes.append(change)
-        del changes[:-KEPT]
+        del changes[:-MAX_KEPT_CHANGES]
         if state != "ready":
             self.suspects[node] = None
         tier = self.tier_of.get(node)
-        for sidecar, ear in self.ears.items():
+        for sidecar, knowledge in self.knowledge_by_sidecar.items():
             if self.sends_to.get(sidecar) == tier:
-                pending = ear.pending.setdefault(node, [])
+                pending = knowledge.pending.setdefault(node, [])
                 pending.append(change)
-                del pending[:-KEPT]
+                del pending[:-MAX_KEPT_CHANGES]
 
     def told(self, sidecar: str, node: str, state: NodeState, started: float, at: float) -> None:
-        ear = self.ear(sidecar, at)
-        self._settle_node(ear, node, at)
+        """Note that discovery has sent a state of a node to a sidecar."""
+        knowledge = self.knowledge_of(sidecar, at)
+        self._settle_node(knowledge, node, at)
         change = None
         for each in reversed(self.changes.get(node, ())):
             if each.state == state and each.started == started:
@@ -123,81 +132,81 @@
         if change is None:  # discovery tells what it never knew: news all the same
             self.orders += 1
             change = Change(self.orders, at, state, started)
-        heard = ear.heard.get(node)
+        heard = knowledge.heard.get(node)
         if heard is not None and heard.order >= change.order:
-            if ear.counted.pop(node, None) is change:
+            if knowledge.counted.pop(node, None) is change:
                 self.late += 1
             return
-        pending = ear.pending.get(node)
+        pending = knowledge.pending.get(node)
         if pending is not None:
             left = [each for each in pending if each.order > change.order]
             if left:
-                ear.pending[node] = left
+                knowledge.pending[node] = left
             else:
-                del ear.pending[node]
+                del knowledge.pending[node]
         # What was written into a cut has not come: it counts as told as if it had never been written.
         cut = self.links.cut(sidecar, ELSEWHERE, at, at)
-        self._hear(ear, node, change, self._counts_from(ear, change) if cut else at)
+        self._hear(knowledge, node, change, self._counts_from(knowledge, change) if cut else at)
 
-    def _hear(self, ear: Ear, node: str, change: Change, at: float) -> None:
-        ear.heard[node] = change
+    def _hear(self, knowledge: SidecarKnowledge, node: str, change: Change, at: float) -> None:
+        knowledge.heard[node] = change
         if change.state == "ready":
-            ear.off.pop(node, None)
+            knowledge.off.pop(node, None)
         else:
             self.suspects[node] = None
-            ear.off.setdefault(node, at)
+            knowledge.off.setdefault(node, at)
 
     # What counts as told
 
-    def _counts_from(self, ear: Ear, change: Change) -> float:
+    def _counts_from(self, knowledge: SidecarKnowledge, change: Change) -> float:
         """From when on it counts as told, should the sidecar go on as it does."""
         rules = self.rules
         if not self.must_ask:
             return change.at + rules.told_within
-        if not ear.calls:
-            times = AFTER_FAILURE if ear.failed else 1
-            return max(change.at, ear.quiet) + times * rules.ask_within
+        if not knowledge.calls:
+            times = AFTER_FAILURE_FACTOR if knowledge.failed else 1
+            return max(change.at, knowledge.quiet) + times * rules.ask_within
         last = 0.0
-        for since, wait in ear.calls:
+        for since, wait in knowledge.calls:
             until = since + wait
             if wait > 0 and change.at <= until:
-                last = max(last, until + AFTER_WAIT)
+                last = max(last, until + AFTER_WAIT_SECONDS)
             else:
                 last = max(last, max(change.at, since) + rules.told_within)
         return last
 
-    def _settle(self, ear: Ear, at: float) -> None:
-        for node in list(ear.pending):
-            self._settle_node(ear, node, at)
+    def _settle(self, knowledge: SidecarKnowledge, at: float) -> None:
+        for node in list(knowledge.pending):
+            self._settle_node(knowledge, node, at)
 
-    def _settle_node(self, ear: Ear, node: str, at: float) -> None:
-        pending = ear.pending.get(node)
+    def _settle_node(self, knowledge: SidecarKnowledge, node: str, at: float) -> None:
+        pending = knowledge.pending.get(node)
         while pending:
-            counts = self._counts_from(ear, pending[0])
+            counts = self._counts_from(knowledge, pending[0])
             if counts > at:
                 return
-            change = ear.counted[node] = pending.pop(0)
-            self._hear(ear, node, change, counts)
+            change = knowledge.counted[node] = pending.pop(0)
+            self._hear(knowledge, node, change, counts)
         if pending is not None:
-            del ear.pending[node]
+            del knowledge.pending[node]
 
     # What the rules ask
 
     def off_since(self, sidecar: str, node: str, at: float) -> float | None:
         """Since when the sidecar knows, at an instant, that the node drains or is gone; None: it does not."""
-        ear = self.ears.get(sidecar)
-        if ear is None:
+        knowledge = self.knowledge_by_sidecar.get(sidecar)
+        if knowledge is None:
             return None
-        if node in ear.pending:
-            self._settle_node(ear, node, at)
-        return ear.off.get(node)
+        if node in knowledge.pending:
+            self._settle_node(knowledge, node, at)
+        return knowledge.off.get(node)
 
     def told_of(self, sidecar: str, node: str, since: float, at: float) -> bool:
         """Whether the sidecar knows, at an instant, that the node runs by a change known after `since`."""
-        ear = self.ears.get(sidecar)
-        if ear is None:
+        knowledge = self.knowledge_by_sidecar.get(sidecar)
+        if knowledge is None:
             return False
-        if node in ear.pending:
-            self._settle_node(ear, node, at)
-        heard = ear.heard.get(node)
+        if node in knowledge.pending:
+            self._settle_node(knowledge, node, at)
+        heard = knowledge.heard.get(node)
         return heard is not None and heard.state == "ready" and heard.at >= since
--- a/wheatring/lab/rules/duplicates.py
+++ b/wheatring/lab/rules/duplicates.py
@@ -21,11 +21,13 @@
 from wheatring.lab.rules.links import Links
 from wheatring.lab.rules.requests import Attempt, Request
 
-ON_SOCKETS = 0.05  # by which every time limit is longer on sockets
-MEMORY = 60.0  # seconds beyond any window and deadline for which a key's effect is remembered
+SOCKET_TOLERANCE_SECONDS = 0.05  # by which every time limit is longer on sockets
+EFFECT_MEMORY_SECONDS = 60.0  # seconds beyond any window and deadline for which a key's effect is remembered
 
 
 class Duplicates:
+    """Judges attempts against the rule on duplicates. Instants are seconds of the world."""
+
     def __init__(self, plan: Plan, links: Links, breaches: Breaches) -> None:
         self.classes = plan.classes
         self.max_attempts = plan.limits.max_attempts
@@ -33,12 +35,12 @@
         self.links = links
         self.breaches = breaches
         self.window = max([each.window for each in plan.classes if each.effect == "keyed"], default=0.0)
-        self.memory = max([self.window, *(each.deadline for each in plan.classes)]) + MEMORY
+        self.memory = max([self.window, *(each.deadline for each in plan.classes)]) + EFFECT_MEMORY_SECONDS
         self.effects: dict[str, float] = {}  # by key
         self.old: deque[tuple[float, str]] = deque()  # the same, the oldest first, to be forgotten
 
     def arrived(self, request: Request, attempt: Attempt) -> None:
-        """An attempt that needs a look: not the first, or of a request that is over."""
+        """Judge an attempt that is not the first, or of a request that is over."""
         if request.over:
             self._over(request, attempt)
         others = request.attempts[:-1]
@@ -57,7 +59,7 @@
             self._breach(request, attempt, what)
         elif plan.effect == "keyed":
             since = min([other.sent for other in ran])
-            if attempt.sent > since + plan.window + ON_SOCKETS:
+            if attempt.sent > since + plan.window + SOCKET_TOLERANCE_SECONDS:
                 what = f"It was sent again {attempt.sent - since:.3f} s after an attempt that may have run."
                 self._breach(request, attempt, what)
 
@@ -80,7 +82,7 @@
             self._breach(request, attempt, "Unsafe, it was refused while an attempt was on its way.")
 
     def ended(self, request: Request, attempt: Attempt) -> None:
-        """An attempt is out no more, or the day ends, where second copies are not allowed."""
+        """Judge an attempt that has ended, or is still in flight at the end, where hedging is not allowed."""
         for other in request.attempts:
             if other is not attempt:
                 self._together(request, attempt, other)
@@ -96,14 +98,14 @@
             self._breach(request, later, f"It was sent while its attempt at {earlier.node} was out.")
 
     def refused(self, request: Request) -> None:
-        """The request was refused, after attempts that were not turned away."""
+        """Judge a rejection after attempts that were not turned away."""
         if self.classes[request.index].effect == "unsafe":
             what = "Unsafe, it was refused though an attempt may have run."
             sidecar, ident = request.sidecar, request.ident
             self.breaches.add("duplicate", what, ident=ident, sidecar=sidecar)
 
     def effect(self, node: str, ident: str, key: str, plan: ClassPlan | None, at: float) -> None:
-        """Running an attempt had an effect. `plan`: of its class, None where that is not remembered."""
+        """Judge the effect of an attempt; `plan` is that of its class, None where it is not remembered."""
         if plan is not None and plan.effect == "safe":
             return
         window = self.window if plan is None else plan.window if plan.effect == "keyed" else self.memory
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -15,21 +15,22 @@
 from wheatring.lab.outcome import ClassFigures, Outcome, Second
 from wheatring.lab.plan import Plan
 
-WINDOW = 10  # seconds in a row, of which the worst counts
+WINDOW_SECONDS = 10  # seconds in a row, of which the worst counts
 LONGEST_MS = 60_000
 
 
 def percentile(times: list[float], share: float) -> float:
-    """The least of the sorted times that is no less than so large a share of them; 0 without any."""
+    """Return the smallest of the sorted times that `share` of them do not exceed; 0 without any."""
     return times[max(0, ceil(share * len(times)) - 1)] if times else 0.0
 
 
 def histogram() -> Any:  # the library has no types
+    """Return an empty histogram of times in ms."""
     return HdrHistogram(1, LONGEST_MS, 3)
 
 
 class Figures:
-    """`start`: the instant at which the day begins. Instants that are handed in never go back."""
+    """The figures of a day. `start` is the instant at which it begins; instants only rise."""
 
     def __init__(self, plan: Plan, start: float) -> None:
         self.plan = plan
@@ -50,7 +51,7 @@
     # While the day is played
 
     def second(self, at: float) -> Second:
-        """The present second, which moves on."""
+        """Return the figures of the current second, which moves on with the instants."""
         if at >= self.until:
             number = self.number = max(self.number + 1, int(at - self.start))
             while len(self.seconds) <= number:
@@ -62,6 +63,7 @@
         return self.present
 
     def asked(self, first: int, index: int, at: float) -> None:
+        """Note a first try `first` of the class at an index."""
         second = self.second(at)
         figures = self.classes[index]
         self.open[first] = (index, at, self.number)
@@ -70,6 +72,7 @@
         figures.asked += 1
 
     def settled(self, first: int, end: End, at: float) -> None:
+        """Note the end of a first try."""
         index, since, number = self.open.pop(first)
         second, figures, plan = self.seconds[number], self.classes[index], self.plan.classes[index]
         took = at - since
@@ -120,12 +123,12 @@
             self._close(number)
 
     def worst_window(self) -> float:
-        """The least service of ten seconds in a row, within the time in which first tries arrive."""
+        """Return the lowest service of ten seconds in a row in which first tries arrive."""
         whole = int(self.plan.length + 1e-9)
         seconds = self.seconds[: max(whole, 1)]
         worst = 1.0
-        for since in range(max(1, len(seconds) - WINDOW + 1)):
-            window = seconds[since : since + WINDOW]
+        for since in range(max(1, len(seconds) - WINDOW_SECONDS + 1)):
+            window = seconds[since : since + WINDOW_SECONDS]
             worth = sum([second.worth for second in window])
             if worth > 0:
                 worst = min(worst, sum([second.earned for second in window]) / worth)
@@ -142,8 +145,10 @@
         )
 
     def outcome(self, grain: str, at: float, wall_s: float, waste: float, choke_price: float) -> Outcome:
-        """The figures of a day that was finished. `waste`: work for no answer over work asked for;
-        `choke_price`: what choked machines take off G.
+        """Return the figures of a finished day.
+
+        `waste` is the work for no answer over the work asked for, `choke_price` what choked machines take
+        off G.
         """
         plan, goal = self.plan, self.plan.goal
         worth = sum([second.worth for second in self.seconds])
--- a/wheatring/lab/rules/away.py
+++ b/wheatring/lab/rules/front_outage.py
@@ -1,14 +1,14 @@
-"""How long clients found nobody: the time in which every sidecar of the front was away."""
+"""How long clients reached no sidecar: the time in which every sidecar of the front was down."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-ARRIVE = 0.4  # seconds after SIGTERM from which on nobody new is sent to a sidecar
+NEW_REQUESTS_AFTER_STOP_SECONDS = 0.4  # seconds after SIGTERM from which on nobody new is sent to a sidecar
 
 
-class Away:
-    """`start`: the instant at which the day begins. Instants that are handed in never go back."""
+class FrontOutage:
+    """Sums up the outages of the front. `start` is the start of the day; instants only rise."""
 
     def __init__(self, front: Iterable[str], start: float) -> None:
         self.start = start
@@ -17,13 +17,16 @@
         self.gap = 0.0  # seconds
 
     def stopping(self, sidecar: str, at: float) -> None:
+        """Note that a sidecar was told to stop."""
         if sidecar not in self.since:
-            self.since[sidecar] = at + ARRIVE
+            self.since[sidecar] = at + NEW_REQUESTS_AFTER_STOP_SECONDS
 
     def down(self, sidecar: str, at: float) -> None:
+        """Note that a sidecar has ended."""
         self.since[sidecar] = min(at, self.since.get(sidecar, at))
 
     def up(self, sidecar: str, at: float) -> None:
+        """Note that a sidecar has started."""
         if len(self.since) == self.count:
             self.gap += max(0.0, at - max(self.start, *self.since.values()))
         self.since.pop(sidecar, None)
--- a/wheatring/lab/rules/ledger.py
+++ b/wheatring/lab/rules/ledger.py
@@ -32,19 +32,21 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import bounds
-from wheatring.lab.rules.answers import STILL_COMES
-from wheatring.lab.rules.away import Away
+from wheatring.lab.rules.answers import ARRIVAL_AFTER_STOP_SECONDS
 from wheatring.lab.rules.cold import ColdStarts
+from wheatring.lab.rules.discovery_calls import DiscoveryCalls
 from wheatring.lab.rules.drains import Drains
-from wheatring.lab.rules.duplicates import ON_SOCKETS
-from wheatring.lab.rules.lists import ListCalls
-from wheatring.lab.rules.pages import Pages
+from wheatring.lab.rules.duplicates import SOCKET_TOLERANCE_SECONDS
+from wheatring.lab.rules.front_outage import FrontOutage
+from wheatring.lab.rules.request_ledger import RequestLedger
 from wheatring.lab.rules.trace import Family, Trace, text
 
-HELD_BACK = 0.3  # of its worth: what a try costs that was answered late, or never, with nothing sent for it
+UNSENT_PENALTY_SHARE = (
+    0.3  # of its worth: what a try costs that was answered late, or never, with nothing sent for it
+)
 
 
-class Ledger(Pages):
+class Ledger(RequestLedger):
     """Implements `Book`. `now` gives the world's instants, of which `start` is the day's first.
 
     `family` gives a request's first try, by which work is traced from calls up to the client's answer; see
@@ -71,31 +73,35 @@
         self.notes: dict[str, float] = {}
         self.happened: list[tuple[float, str]] = []
         self.fell = ""  # the node that has just been pushed over
-        self.away_from = Away(self.front, start)
-        self.lists = ListCalls(self.since)
+        self.front_outage = FrontOutage(self.front, start)
+        self.lists = DiscoveryCalls(self.since)
 
     def begin(self, at: float) -> None:
-        """The day begins only now: for a world whose start takes nobody knows how long. All told before
-        must have been told with a `start` yet to come.
+        """Start the day only now, for a world whose start takes an unknown time.
+
+        All that was noted before must have been noted with a `start` yet to come.
         """
         figures = self.figures
-        self.start = self.breaches.start = self.links.start = figures.start = self.away_from.start = at
+        self.start = self.breaches.start = self.links.start = figures.start = self.front_outage.start = at
         figures.until = at + 1.0
         if self.trace is not None:
             self.trace.start = at
 
     def happens(self, what: str) -> None:
+        """Add an event to the list of what happened in the day."""
         self.happened.append((self.since(self.now()), what))
 
     # Clients
 
     def asked(self, first: int, index: int) -> None:
+        """Note that a client makes a first try of the class at an index."""
         at = self.now()
         self.figures.asked(first, index, at)
         if self.trace is not None:
             self.trace.line(at, "", f"asked first={first} index={index}", first)
 
     def settled(self, first: int, end: End, tries: int) -> None:
+        """Note the end of a first try, after a number of tries."""
         at = self.now()
         self.figures.settled(first, end, at)
         if self.trace is not None:
@@ -104,11 +110,12 @@
     # Sidecars
 
     def sidecar_up(self, sidecar: str) -> None:
+        """Note that a sidecar has started."""
         at = self.now()
         self.down.discard(sidecar)
         self.lists.up(sidecar, at)
         if sidecar in self.front:
-            self.away_from.up(sidecar, at)
+            self.front_outage.up(sidecar, at)
         self.stopping.pop(sidecar, None)
         self.drains.up(sidecar, at)
         if at > self.start and sidecar in self.front:
@@ -117,15 +124,17 @@
             self.trace.line(at, "", f"sidecar_up sidecar={sidecar}")
 
     def sidecar_stopping(self, sidecar: str) -> None:
+        """Note that a sidecar was sent SIGTERM."""
         at = self.now()
         self.stopping[sidecar] = at
         if sidecar in self.front:
-            self.away_from.stopping(sidecar, at)
+            self.front_outage.stopping(sidecar, at)
         self.happens(f"sidecar {sidecar} is told to stop")
         if self.trace is not None:
             self.trace.line(at, "", f"sidecar_stopping sidecar={sidecar}")
 
     def sidecar_down(self, sidecar: str, killed: bool) -> None:
+        """Note that a sidecar's process has ended, and judge what it owed."""
         at = self.now()
         told = self.stopping.get(sidecar)
         held = self.held.get(sidecar, {})
@@ -136,7 +145,7 @@
         if not killed and told is None:
             what = f"{sidecar} ended by itself, and nobody had told it to."
             self.breaches.add("answer", what, sidecar=sidecar)
-        last = float("inf") if told is None else told + STILL_COMES
+        last = float("inf") if told is None else told + ARRIVAL_AFTER_STOP_SECONDS
         for request in held.values():
             self.answers.unanswered(request, at)
             # What is not forgiven is judged by what its caller is told of next: it may come as untaken.
@@ -149,12 +158,13 @@
         self.down.add(sidecar)
         self.down_at[sidecar] = at
         if sidecar in self.front:
-            self.away_from.down(sidecar, at)
+            self.front_outage.down(sidecar, at)
         self.drains.down(sidecar)
 
     # Attempts
 
     def sending(self, sidecar: str, node: str, at: float) -> None:
+        """Note that a sidecar sent the first byte of an attempt at an instant."""
         self.sends += 1
         if node in self.drains.suspects:
             self._drain(sidecar, node, at)
@@ -165,7 +175,7 @@
     def _drain(self, sidecar: str, node: str, at: float) -> None:
         self.checked += 1
         off = self.drains.off_since(sidecar, node, at)
-        if off is not None and at > off + self.plan.rules.drain_grace + ON_SOCKETS:
+        if off is not None and at > off + self.plan.rules.drain_grace + SOCKET_TOLERANCE_SECONDS:
             after = at - off
             what = f"{sidecar} sent to {node} {after:.3f} s after it knew that it drains or is gone."
             place = self.breaches.add("drain", what, sidecar=sidecar, node=node)
@@ -175,6 +185,7 @@
     # Nodes and discovery
 
     def node_up(self, node: str, capacity: Callable[[], float]) -> None:
+        """Note that a node has started, with the capacity that `capacity` gives."""
         at = self.now()
         self.cold.watched.pop(node, None)
         if at > self.start:
@@ -184,6 +195,7 @@
             self.trace.line(at, "", f"node_up node={node}")
 
     def node_down(self, node: str) -> None:
+        """Note that a node has ended."""
         at = self.now()
         self.cold.watched.pop(node, None)
         self.work.node_down(node)
@@ -194,24 +206,28 @@
             self.trace.line(at, "", f"node_down node={node}")
 
     def offered(self, node: str, sidecar: str, work: float) -> None:
+        """Note work (seconds on a standard core) that a sidecar sent to a node."""
         if node in self.cold.watched:
             self.cold.offered(node, sidecar, work, self.now())
         if self.trace is not None:
             self.trace.line(self.now(), "", f"offered node={node} sidecar={sidecar} work={work!r}")
 
     def choked(self, node: str) -> None:
+        """Note that a node is choked."""
         self.choked_nodes[node] = None
         self.happens(f"node {node} chokes")
         if self.trace is not None:
             self.trace.line(self.now(), "", f"choked node={node}")
 
     def known(self, node: str, state: NodeState, started: float) -> None:
+        """Note that discovery knows a new state of a node."""
         at = self.now()
         self.drains.known(node, state, started, at)
         if self.trace is not None:
             self.trace.line(at, "", f"known node={node} state={state} started={started!r}")
 
     def told(self, sidecar: str, node: str, state: NodeState, started: float) -> None:
+        """Note that discovery has sent a state of a node to a sidecar."""
         at = self.now()
         self.drains.told(sidecar, node, state, started, at)
         if self.trace is not None:
@@ -219,6 +235,7 @@
             self.trace.line(at, "", line)
 
     def asking(self, sidecar: str, wait: float) -> None:
+        """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
         at = self.now()
         self.list_calls += 1
         self.lists.asking(sidecar, at)
@@ -227,9 +244,11 @@
             self.trace.line(at, "", f"asking sidecar={sidecar} wait={wait!r}")
 
     def brought(self, sidecar: str) -> None:
+        """Note that discovery has answered a call of a sidecar."""
         self.lists.brought(sidecar, self.now())
 
     def unheard(self, sidecar: str, failed: bool = False) -> None:
+        """Note that a call ended without a change, perhaps by a failure."""
         at = self.now()
         self.lists.ended(sidecar, failed, at)
         self.drains.unheard(sidecar, failed, at)
@@ -239,6 +258,7 @@
     # All
 
     def note(self, what: str, **values: object) -> None:
+        """Count an event that concerns no rule, and trace its values."""
         self.notes[what] = self.notes.get(what, 0) + 1
         if what == "unconnected":
             self.figures.second(self.now()).unconnected += 1
@@ -250,7 +270,7 @@
             self.trace.line(self.now(), str(values.get("ident", "")), f"{what} {pairs}")
 
     def fault(self, sidecar: str, line: str) -> None:
-        """The sidecar's log tells of a fault of its own."""
+        """Note a line of the sidecar's log that reports a fault of its own."""
         self.breaches.add("fault", f"{sidecar} logged: {line}", sidecar=sidecar)
 
     # The end
@@ -313,13 +333,13 @@
             "forgiven": self.forgiven,
             "unsent_late": self.unsent,
             "unsent_late_worth": self.unsent_worth,
-            "held_back": HELD_BACK * self.unsent_worth / worth if worth > 0 else 0.0,
+            "held_back": UNSENT_PENALTY_SHARE * self.unsent_worth / worth if worth > 0 else 0.0,
             "attempts": sum(self.by_tier),
             "turned_away": self.away,
             "sends": self.sends,
             "drains_checked": self.checked,
             "effects": self.effects,
-            "front_gap": round(self.away_from.gap, 6),
+            "front_gap": round(self.front_outage.gap, 6),
             "list_calls": self.list_calls,
             "told_late": self.drains.late,
             "cold_starts": self.cold.count,
--- a/wheatring/lab/rules/links.py
+++ b/wheatring/lab/rules/links.py
@@ -4,23 +4,25 @@
 
 from wheatring.lab.plan import EventPlan, Plan
 
-READ = 0.001  # between the arrival of bytes and their reading, at most
+READ_SECONDS = 0.001  # between the arrival of bytes and their reading, at most
 ELSEWHERE = ""  # where clients and discovery are: no event names their hosts
-RESEND = 0.5  # what is sent again has arrived so long after the double length of a cut, at most
+RESEND_SECONDS = 0.5  # what is sent again has arrived so long after the double length of a cut, at most
 
 
 class Links:
-    """Reckoned from the plan: the mean delay of the slowest link with 25 times its spread, lengthened by
-    whatever latency is planned. Ends are names: nodes, each with its own sidecar, the front's sidecars, and
-    ELSEWHERE. What was sent while a cut was on may arrive long after it has healed (TCP
-    waits up to as long again before it tries anew), or never: nobody is held to have read it.
+    """The delays and cuts of the plan's links.
+
+    A usual delay is the mean of the slowest link with 25 times its spread, lengthened by whatever latency is
+    planned. Ends are names: nodes, each with its own sidecar, the front's sidecars, and ELSEWHERE. What was
+    sent while a cut was on may arrive long after it has healed (TCP waits up to as long again before it tries
+    anew), or never: nobody is expected to have read it.
     """
 
     def __init__(self, plan: Plan, start: float) -> None:
         net = plan.net
         longer = max([1.0, *(event.size for event in plan.events if event.kind == "latency")])
-        self.usual = max(net.same, net.cross, net.client) * (1 + 25 * net.jitter) + READ
-        self.most = (self.usual - READ) * longer + READ
+        self.usual = max(net.same, net.cross, net.client) * (1 + 25 * net.jitter) + READ_SECONDS
+        self.most = (self.usual - READ_SECONDS) * longer + READ_SECONDS
         self.start = start
         self.hosts: dict[str, tuple[str, ...]] = {each.name: (each.host,) for each in plan.sidecars}
         self.front = frozenset(self.hosts)
@@ -30,7 +32,7 @@
         self.of: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by both ends
 
     def caller(self, sidecar: str) -> str:
-        """The end at which the callers of a sidecar are: clients, or the node that it belongs to."""
+        """Return the end of the callers of a sidecar: clients, or the node that it belongs to."""
         return ELSEWHERE if sidecar in self.front else sidecar
 
     def cut(self, end: str, other: str, since: float, until: float) -> bool:
@@ -53,7 +55,7 @@
 
     def _span(self, cut: EventPlan) -> tuple[float, float]:
         begun = self.start + cut.at
-        return begun - self.most, begun + 2 * cut.length + RESEND if cut.length > 0 else float("inf")
+        return begun - self.most, begun + 2 * cut.length + RESEND_SECONDS if cut.length > 0 else float("inf")
 
     def _concerns(self, cut: EventPlan, end: str, other: str) -> bool:
         if cut.kind == "vanish":
--- a/wheatring/lab/rules/pages.py
+++ b/wheatring/lab/rules/request_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger's pages for requests and their attempts: what is told most often."""
+"""The part of the ledger for requests and their attempts, which are noted most often."""
 
 from __future__ import annotations
 
@@ -9,17 +9,21 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.answers import Answers
 from wheatring.lab.rules.breaches import Breaches, MisuseError
-from wheatring.lab.rules.duplicates import ON_SOCKETS, Duplicates
+from wheatring.lab.rules.duplicates import SOCKET_TOLERANCE_SECONDS, Duplicates
 from wheatring.lab.rules.figures import Figures
 from wheatring.lab.rules.links import Links
 from wheatring.lab.rules.requests import Attempt, Over, Request
 from wheatring.lab.rules.trace import Family, Trace, text
 from wheatring.lab.rules.work import Work
 
-HORIZON = 10.0  # seconds for which a request that is over is remembered, for what is still on its way
+REQUEST_MEMORY_SECONDS = (
+    10.0  # seconds for which a request that is over is remembered, for what is still on its way
+)
 
 
-class Pages:
+class RequestLedger:
+    """The ledger's part for requests and attempts, which are noted most often."""
+
     def __init__(
         self,
         plan: Plan,
@@ -34,7 +38,7 @@
         self.trace = trace
         self.breaches = Breaches(now, start, trace)
         self.links = Links(plan, start)
-        self.grace = plan.rules.grace + ON_SOCKETS
+        self.grace = plan.rules.grace + SOCKET_TOLERANCE_SECONDS
         self.answers = Answers(self.grace, self.links, self.breaches)
         self.duplicates = Duplicates(plan, self.links, self.breaches)
         self.figures = Figures(plan, start)
@@ -65,13 +69,14 @@
     # Requests
 
     def taken(self, sidecar: str, ident: str, index: int, key: str, deadline: float) -> None:
+        """Note that a sidecar has taken a request with an absolute deadline (seconds)."""
         at = self.now()
         requests, held = self.requests, self.held.get(sidecar)
         if held is None:
             held = self.held[sidecar] = {}
         request = Request(ident, sidecar, index, at, deadline)
         if ident in requests:
-            self._again(request, requests[ident])
+            self._check_retaken(request, requests[ident])
         requests[ident] = request
         if sidecar in self.down:
             request.forgiven = True
@@ -86,14 +91,14 @@
             figures = self.figures
             (figures.present if at < figures.until else figures.second(at)).tries += 1
         over = self.over
-        if over and over[0].over_at < at - HORIZON:
-            self._forget(at - HORIZON)
+        if over and over[0].over_at < at - REQUEST_MEMORY_SECONDS:
+            self._forget(at - REQUEST_MEMORY_SECONDS)
         if self.trace is not None:
             more = f"index={index} key={key} deadline={self.since(deadline)!r}"
             self.trace.line(at, ident, f"taken sidecar={sidecar} ident={ident} {more}")
 
-    def _again(self, request: Request, before: Request) -> None:
-        """The same ident once more: lawful only where its caller had to send it elsewhere."""
+    def _check_retaken(self, request: Request, before: Request) -> None:
+        """Check that a request is taken again only where its caller had to send it elsewhere."""
         if before.over != "unknown" and not (before.forgiven and not before.over):
             raise MisuseError(f"{request.ident}: taken again ({before.over or 'still open'})")
         for attempt in before.attempts:  # these are no attempts of who has it now
@@ -110,7 +115,7 @@
                 del requests[request.ident]
 
     def _end(self, sidecar: str, ident: str, how: Over, at: float) -> Request:
-        """A request that was taken is over."""
+        """Note that a request that was taken is over; return it."""
         request = self.requests.get(ident)
         if request is None or request.over or request.sidecar != sidecar:
             state = "not taken" if request is None else request.over or f"taken by {request.sidecar}"
@@ -131,6 +136,7 @@
         retry_after: float,
         written: float | None = None,
     ) -> None:
+        """Note the answer of a sidecar, written at an instant that may be unknown."""
         at = self.now()
         request = self._end(sidecar, ident, kind, at)
         if written is not None:
@@ -157,6 +163,7 @@
             self.unsent_worth += self.plan.classes[request.index].worth
 
     def lost(self, sidecar: str, ident: str, why: str) -> None:
+        """Note that a sidecar has lost a request that it had taken."""
         at = self.now()
         request = self._end(sidecar, ident, "lost", at)
         self.answers.lost(request, why)
@@ -165,6 +172,7 @@
             self.trace.line(at, ident, f"lost sidecar={sidecar} ident={ident} why={text(why)}")
 
     def untaken(self, sidecar: str, ident: str) -> None:
+        """Note that a request turns out never to have been taken."""
         at = self.now()
         request = self._end(sidecar, ident, "unknown", at)
         if not request.forgiven and request.attempts:
@@ -173,6 +181,7 @@
             self.trace.line(at, ident, f"untaken sidecar={sidecar} ident={ident}")
 
     def left(self, sidecar: str, ident: str) -> None:
+        """Note that the caller of a request has left."""
         at = self.now()
         request = self._end(sidecar, ident, "left", at)
         if at >= request.deadline:
@@ -184,12 +193,15 @@
     # Attempts
 
     def arrived(self, sidecar: str, node: str, ident: str, sent: float | None = None) -> None:
+        """Note that an attempt has arrived completely at a node, sent at an instant that may be unknown."""
         at = self.now()
         request = self.requests.get(ident)
         if request is None:
             request = self.requests[ident] = Request(ident, sidecar, 0, at, at)
             request.over, request.over_at = "unknown", at
-            request.forgiven = sent is not None and sent < at - HORIZON  # it may have been over since
+            request.forgiven = (
+                sent is not None and sent < at - REQUEST_MEMORY_SECONDS
+            )  # it may have been over since
             self.over.append(request)
         attempt = Attempt(node, at - self.links.most if sent is None else sent, at)
         request.attempts.append(attempt)
@@ -213,14 +225,14 @@
             self.trace.line(at, ident, f"{line} sent={self.since(attempt.sent)!r}")
 
     def _stranger(self, sidecar: str, request: Request, attempt: Attempt) -> None:
-        """An attempt of a sidecar that does not hold the request: lawful where its process has ended."""
+        """Judge an attempt of a sidecar without the request: lawful where its process has ended."""
         attempt.away = True
         if self.down_at.get(sidecar, self.start - 1.0) < attempt.sent:
             what = f"{sidecar} sent a request that is held by {request.sidecar}."
             self.breaches.add("duplicate", what, ident=request.ident, sidecar=sidecar, node=attempt.node)
 
     def _attempt(self, node: str, ident: str, what: str) -> Attempt:
-        """The attempt at that node; of several that are out the oldest."""
+        """Return the attempt at a node; of several in flight the oldest."""
         request = self.requests.get(ident)
         if request is not None:
             for attempt in request.attempts:
@@ -229,6 +241,7 @@
         raise MisuseError(f"{ident} at {node}: {what} without an attempt that is out")
 
     def turned_away(self, node: str, ident: str) -> None:
+        """Note that a node has turned an attempt away before it ran."""
         request = self.requests.get(ident)
         for attempt in reversed(request.attempts if request is not None else ()):
             if attempt.node == node and not attempt.away and not attempt.stamp:
@@ -243,6 +256,7 @@
             self.trace.line(at, ident, f"turned_away node={node} ident={ident}")
 
     def made(self, node: str, ident: str) -> str:
+        """Note that a node has made an answer; return the stamp that identifies it."""
         self.made_so_far += 1
         stamp = f"{self.made_so_far:x}-{ident}"
         request = self.requests.get(ident)
@@ -255,6 +269,7 @@
         return stamp
 
     def effect(self, node: str, ident: str, key: str) -> None:
+        """Note that running an attempt had an effect."""
         self.effects += 1
         at, request = self.now(), self.requests.get(ident)
         if key:
@@ -265,11 +280,13 @@
             self.trace.line(at, ident, f"effect node={node} ident={ident} key={key}")
 
     def worked(self, node: str, ident: str, work: float) -> None:
+        """Note the work (seconds on a standard core) that a node has done for an attempt."""
         self.work.worked(node, self.requests.get(ident), work)
         if self.trace is not None:
             self.trace.line(self.now(), ident, f"worked node={node} ident={ident} work={work!r}")
 
     def ended(self, node: str, ident: str) -> None:
+        """Note that nothing of an attempt is in flight any more."""
         request = self.requests.get(ident)
         attempt = request.attempts[0] if request is not None and request.attempts else None
         if request is None or attempt is None or not attempt.out or attempt.node != node:
--- a/wheatring/lab/rules/requests.py
+++ b/wheatring/lab/rules/requests.py
@@ -56,5 +56,5 @@
         self.stale = False  # over for so long that it is forgotten once nothing is out
 
     def ran(self) -> bool:
-        """An attempt may have run."""
+        """Whether an attempt may have run."""
         return any(not attempt.away for attempt in self.attempts)
--- a/wheatring/lab/rules/trace.py
+++ b/wheatring/lab/rules/trace.py
@@ -15,14 +15,14 @@
 
 from wheatring.lab.outcome import Outcome
 
-FAMILIES = 20_000  # first tries whose lines are held until one of them is asked for
-LINES = 2_000  # of one family that are held at most
+MAX_FAMILIES = 20_000  # first tries whose lines are held until one of them is asked for
+MAX_LINES_PER_FAMILY = 2_000  # of one family that are held at most
 
 Family = Callable[[str], int | None]  # from a request's ident to its first try, None where that is not known
 
 
 def text(value: object) -> str:
-    """A value as one word."""
+    """Return a value as one word."""
     return "_".join(str(value).split())
 
 
@@ -47,7 +47,10 @@
         self.digest = blake2b(digest_size=16)
 
     def line(self, at: float, ident: str, what: str, first: int | None = None) -> None:
-        """`what`: the kind and the values. `first`: where the line is of a first try."""
+        """Trace an event.
+
+        `what` is its kind and values, `first` the first try where the line is of one.
+        """
         line = f"{round(at - self.start, 9)!r} {what}\n"
         self.digest.update(line.encode())
         if self.file is None:
@@ -65,10 +68,10 @@
         elif first is not None and self.family is not None:
             lines = self.held.get(first)
             if lines is None:
-                if len(self.held) >= FAMILIES:
+                if len(self.held) >= MAX_FAMILIES:
                     self.held.popitem(last=False)
                 lines = self.held[first] = []
-            if len(lines) < LINES:
+            if len(lines) < MAX_LINES_PER_FAMILY:
                 lines.append(line)
 
     @property
@@ -78,7 +81,7 @@
 
 
 def replay_line(outcome: Outcome) -> str:
-    """The command that plays the run again and traces the request of its first breach, where one is known."""
+    """Return the command that replays the run and traces the request of its first breach, if known."""
     ident = next((breach.ident for breach in outcome.breaches if breach.ident), "")
     line = f"wheatring lab run {outcome.scenario} --seed {outcome.seed} --grain {outcome.grain}"
     line += f" --trace {outcome.scenario}-{outcome.seed}.trace"
--- a/wheatring/lab/rules/work.py
+++ b/wheatring/lab/rules/work.py
@@ -10,11 +10,12 @@
 
 
 class Work:
-    """An attempt's work is of use once it made the answer that its caller got. That of a call goes to the
-    visit that it was made for, and so up to the client.
+    """The work of attempts, and what of it was of use. Work is in seconds on a standard core.
 
-    The visit above a call is the one of the same first try at the node whose sidecar was called: `family`
-    says which. Without it, a call that was served counts as of use.
+    An attempt's work is of use once it made the answer that its caller got. That of a call goes to the visit
+    that it was made for, and so up to the client. The visit above a call is the one of the same first try at
+    the node whose sidecar was called: `family` says which. Without it, a call that was served counts as of
+    use.
     """
 
     def __init__(self, plan: Plan, front: set[str], family: Family | None) -> None:
@@ -29,13 +30,13 @@
         self.by_node = {each.name: 0.0 for each in plan.nodes}
 
     def begins(self, ident: str, attempt: Attempt) -> None:
-        """An attempt that may call the next tier has arrived."""
+        """Note that an attempt that may call the next tier has arrived."""
         first = self.family(ident) if self.family is not None else None
         if first is not None:
             self.visits[attempt.node][first] = attempt
 
     def used(self, request: Request, attempt: Attempt) -> None:
-        """The attempt made the answer that the request's caller has."""
+        """Note that an attempt made the answer that the request's caller has."""
         above: Attempt | None = ROOT
         if request.sidecar not in self.front and self.family is not None:
             visits, first = self.visits.get(request.sidecar), self.family(request.ident)
@@ -54,6 +55,7 @@
         self.useful += work
 
     def worked(self, node: str, request: Request | None, work: float) -> None:
+        """Note work that a node has done for a request."""
         self.by_node[node] += work
         self.done += work
         if request is not None:
@@ -67,5 +69,6 @@
                     return
 
     def node_down(self, node: str) -> None:
+        """Forget the visits at a node that has ended."""
         if node in self.visits:
             self.visits[node].clear()
