--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/test_study_commands.py
@@ -12,7 +12,7 @@
 from wheatring import commands
 from wheatring.lab.scenario.load import ScenarioError, check_tables, load, load_tables, with_override
 from wheatring.lab.study import store
-from wheatring.lab.study.asked import make_jobs, scenario_of
+from wheatring.lab.study.job_builder import make_jobs, scenario_of
 from wheatring.lab.study.settings import Settings
 
 POLICY = "wheatring.balancer.latency_estimate"
--- a/wheatring/admin/server.py
+++ b/wheatring/admin/server.py
@@ -148,7 +148,7 @@
         """Carry a call out, and log it."""
         try:
             reply = dispatch(self.operations, method, target, body)
-        except Exception as error:  # a defect of ours: the operator is answered, and the log tells of it
+        except Exception as error:  # a defect of ours: the operator is answered, and it is logged
             log.line("control-broken", why=repr(error))
             reply = Reply(500, "internal error")
         path = target[:MAX_LOGGED_PATH].decode("latin-1")
--- a/wheatring/admin/service.py
+++ b/wheatring/admin/service.py
@@ -124,7 +124,7 @@
         self.is_stopped = False
         self.roles: RoleOperations | None = None
         self.plans: PlanOperations | None = None
-        self.turn_wait_seconds = 0.0  # that the last call for a turn was told to wait
+        self.turn_wait_seconds = 0.0  # as the last call for a turn was answered
 
     def start(self) -> None:
         """Put the orders of before into force.
@@ -209,7 +209,7 @@
     # Orders in force
 
     def change_orders(self, edit: Callable[[OperatorOrders], OperatorOrders]) -> None:
-        """Change the orders in the shared files, and put them into force here."""
+        """Change the orders in the shared files, and put them into force in this process."""
         self.apply(self.folder.change(edit, self.orders))
 
     def apply(self, orders: OperatorOrders) -> None:
--- a/wheatring/commands/__init__.py
+++ b/wheatring/commands/__init__.py
@@ -46,7 +46,7 @@
 
 
 def _add_operator_commands(groups: Commands, file: argparse.ArgumentParser) -> None:
-    """Add the commands that go by the operators' file, whose option is `file`."""
+    """Add the commands that read the operators' file, whose option is `file`."""
     drill = groups.add_parser("drill", help="make drills").add_subparsers(required=True, metavar="COMMAND")
     sign = drill.add_parser("sign", parents=[file], help="print a drill's plan with its signature")
     sign.add_argument(
--- a/wheatring/commands/fleet.py
+++ b/wheatring/commands/fleet.py
@@ -54,7 +54,7 @@
 
 
 def view_line(view: dict[str, Any]) -> str:
-    """Return one line on the agreed view that the sidecar stands in."""
+    """Return one line on the sidecar's agreed view."""
     membership = "stands in" if view["inside"] else "knows of, and does not stand in,"
     trust = "may count on it" if view["sure"] else "may not count on it"
     seconds = view["age_s"]
--- a/wheatring/commands/lab.py
+++ b/wheatring/commands/lab.py
@@ -83,7 +83,7 @@
 
 
 def check(args: argparse.Namespace) -> int:
-    """Check scenarios and draw each a few times, or check what one of the reserved names stands for."""
+    """Check scenarios and draw each a few times, or check what a reserved name refers to."""
     from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import ScenarioError, load
 
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -113,7 +113,7 @@
         print(f"wheatring: lab: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
-        return 130  # as a shell tells it
+        return 130  # as a shell reports it
 
 
 def _progress(text: str) -> None:
@@ -156,10 +156,10 @@
     from wheatring.lab.live import list_acquisition, scale
     from wheatring.lab.plan import LIVE_ONLY
     from wheatring.lab.scenario.draw import draw
-    from wheatring.lab.study import asked, settings
+    from wheatring.lab.study import job_builder, settings
 
     sets = [*args.set, *([f"front.sidecars={args.sidecars}"] if args.sidecars is not None else [])]
-    plan = draw(asked.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
+    plan = draw(job_builder.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
     never = scale.unplayable_kinds(plan)
     if never:
         raise ValueError(f"{args.scenario}: can't be played on loopback: {', '.join(never)}")
--- a/wheatring/commands/lab_run.py
+++ b/wheatring/commands/lab_run.py
@@ -1,4 +1,4 @@
-"""`lab run`, `lab faults`: one run played and told; faults of our own planted and found.
+"""`lab run`, `lab faults`: one run played and reported; faults planted and found.
 
 Nothing of the lab is imported before a command is called: the program starts without the lab's packages.
 """
@@ -60,11 +60,11 @@
 def _run(args: argparse.Namespace) -> int:
     import msgspec
 
-    from wheatring.lab.study import asked, settings
+    from wheatring.lab.study import job_builder, settings
     from wheatring.lab.study.jobs import build_at
 
     chosen = settings.with_fault(settings.single(args.set, args.patch), args.plant)
-    (job,) = asked.make_jobs(args.scenario, [args.seed], [args.grain], chosen, build_at())
+    (job,) = job_builder.make_jobs(args.scenario, [args.seed], [args.grain], chosen, build_at())
     settings.apply(chosen.patches)
     from wheatring.lab.study import played
 
--- a/wheatring/commands/lab_study.py
+++ b/wheatring/commands/lab_study.py
@@ -100,7 +100,7 @@
 
 def _runs_in_order(args: argparse.Namespace, choices: list[Settings], build: Build) -> list[Job]:
     """Return the runs seed by seed: what is done when a sweep is stopped covers all that is asked for."""
-    from wheatring.lab.study import StudyError, asked
+    from wheatring.lab.study import StudyError, job_builder
     from wheatring.lab.study.jobs import seeds_of
 
     if args.workers < 1:
@@ -110,7 +110,7 @@
     seeds = seeds_of(args.seeds)
     grains = [*dict.fromkeys(args.grain or ["wire"])]
     lists = [
-        asked.make_jobs(name, seeds, grains, settings, build)
+        job_builder.make_jobs(name, seeds, grains, settings, build)
         for name in dict.fromkeys(args.scenarios)
         for settings in choices
     ]
--- a/wheatring/commands/lab_views.py
+++ b/wheatring/commands/lab_views.py
@@ -1,4 +1,4 @@
-"""`wheatring lab views` and `lab check views`: faults of a virtual fleet that stands in views.
+"""`wheatring lab views` and `lab check views`: faults of a virtual fleet with agreed views.
 
 The former prints what is measured, the latter checks that views and their register keep their promise.
 """
--- a/wheatring/config/exceptions.py
+++ b/wheatring/config/exceptions.py
@@ -14,7 +14,7 @@
     do = "Correct the key that the line names, in LB_CONFIG's file or in the variable that stands over it."
 
     def __init__(self, what: str) -> None:
-        """Keep the text on one line of bounded length, whatever stands in the names of the file."""
+        """Keep the text on one line of bounded length, whatever the names in the file are."""
         what = what[:MAX_TEXT_CHARACTERS]
         super().__init__("".join(c if c.isprintable() else ascii(c)[1:-1] for c in what))
 
--- a/wheatring/config/platform_file.py
+++ b/wheatring/config/platform_file.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """All that the platform tells one sidecar at its start."""
+    """All that the platform sets for one sidecar at its start."""
 
     name: str
     listen: tuple[str, int]
--- a/wheatring/config/project_file.py
+++ b/wheatring/config/project_file.py
@@ -115,7 +115,7 @@
 class PlanTable(Table, frozen=True, kw_only=True):
     """`[plan]`: this sidecar follows the fleet's plan."""
 
-    formats: list[Annotated[int, Meta(ge=1, le=3)]] | None = None  # held back to these; None: all it knows
+    formats: list[Annotated[int, Meta(ge=1, le=3)]] | None = None  # the only ones used; None: all it knows
     file: str | None = None  # a plan that voters offer where the fleet has none yet
 
 
@@ -325,7 +325,7 @@
 
 
 def _line_of(text: str, table: str, key: str) -> int:
-    """Return the line on which a table's key, or a table itself, stands; 0 where that is not found."""
+    """Return the line of a table's key, or of a table itself; 0 where that is not found."""
     current_table = ""
     for number, line in enumerate(text.splitlines(), 1):
         header = re.match(r"\s*\[+\s*([^\]]+?)\s*\]", line)
--- a/wheatring/lab/scenario/capacity.py
+++ b/wheatring/lab/scenario/capacity.py
@@ -40,18 +40,18 @@
 
     def lines(self) -> list[str]:
         """Return lines for a person."""
-        told = [
+        lines = [
             f"{self.scenario}, seed {self.seed}: {self.length:g} s, {self.rate:.1f} requests a second "
             f"(about {self.requests} in all), {self.sidecars} sidecars in front"
         ]
         for tier in self.tiers:
             later = f" and {tier.later} later" if tier.later else ""
-            told.append(
+            lines.append(
                 f"  {tier.name}: {tier.nodes} nodes{later}, {tier.capacity:.1f} work/s, "
                 f"{tier.offered:.1f} offered ({tier.load:.0%}) in {tier.calls:.0f} calls/s"
             )
-        told.append("  events: " + (", ".join(f"{n} {kind}" for kind, n in self.events.items()) or "none"))
-        return told
+        lines.append("  events: " + (", ".join(f"{n} {kind}" for kind, n in self.events.items()) or "none"))
+        return lines
 
 
 def capacity(nodes: Iterable[NodePlan], tiers: Sequence[TierPlan]) -> list[float]:
--- a/wheatring/lab/scenario/draw.py
+++ b/wheatring/lab/scenario/draw.py
@@ -149,10 +149,10 @@
             lines = draws.number("discovery.lines_per_s", given.lines_per_s)
         else:
             callers = [len(fleet.sidecars), *map(len, fleet.tiers[:-1])]
-            whole = sum(
+            call_lines = sum(
                 number * (call + len(tier)) for number, tier in zip(callers, fleet.tiers, strict=True)
             )
             times = draws.number("discovery.capacity", given.capacity or _DISCOVERY_CAPACITY)
             within = draws.number("rules.ask_within", self.scenario.rules.ask_within)
-            lines = float(f"{times * whole / within:.6g}")
+            lines = float(f"{times * call_lines / within:.6g}")
         return draws.struct(DiscoveryPlan, "discovery", given, call_lines=call, lines_per_s=lines)
--- a/wheatring/lab/scenario/event_forms.py
+++ b/wheatring/lab/scenario/event_forms.py
@@ -1,4 +1,4 @@
-"""Which keys go with which kind of event: those it needs, those it may have, and what these are if not said.
+"""Which keys go with which kind of event: those it needs, those it may have, and the defaults of these.
 
 Every kind has `kind`, `name`, `at`, `every`, `times` and `anew` beside these.
 """
--- a/wheatring/lab/scenario/fleet.py
+++ b/wheatring/lab/scenario/fleet.py
@@ -70,7 +70,7 @@
         names = [f"{given.name}-{number}" for number in range(1, size + 1)]
         parts = apportion(size, self._shares[tier])
         kind_of = [kind for kind, number in enumerate(parts) for _ in range(number)]
-        # Kinds are dealt in a drawn order, so that a name tells nothing of the machine.
+        # Kinds are assigned in a drawn order, so that a name says nothing about the machine.
         dealt_to = dict(zip(draws.order(f"{path}.kinds", names), kind_of, strict=True))
         random = draws.random(f"{path}.speeds")
         for name in names:
@@ -86,7 +86,7 @@
         like: NodePlan | None = None,
         host: str = "",
     ) -> None:
-        """One machine more: it runs from the start on, or is started at an instant, where `like` stood.
+        """Add a machine that runs from the start on, or is started at an instant in the place of `like`.
 
         `normal` is the draw of its speed, from the standard normal distribution.
         """
--- a/wheatring/lab/study/compare.py
+++ b/wheatring/lab/study/compare.py
@@ -1,4 +1,4 @@
-"""Two sides, A and B, paired by scenario, seed and grain: what differs, how surely, and how many tell."""
+"""Two sides, A and B, paired by scenario, seed and grain: what differs, and how surely."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     a: float  # mean
     b: float
     mean: float  # of the differences
-    low: float | None  # interval of the mean; None where a single pair tells of none
+    low: float | None  # interval of the mean; None for a single pair
     high: float | None
     better: int  # pairs in which B is better; where neither can be called better: in which B is more
     worse: int
@@ -163,23 +163,23 @@
 
 def notes(found: Comparison) -> list[str]:
     """Return what keeps a reader from believing more than the figures say."""
-    told = [f"for {found.power:.0%}: pairs with which a difference of that size shows with that probability"]
+    lines = [f"for {found.power:.0%}: pairs with which a difference of that size shows with that probability"]
     if any(not better(line.figure) for line in found.differences):
-        told.append("* neither more nor less of it is better by itself: pairs in which B is more, and less")
+        lines.append("* neither more nor less of it is better by itself: pairs in which B is more, and less")
     miss = 1 - found.level
     if len(found.looks) > 1:
         counts = ", ".join(map(str, found.looks))
-        told.append(
+        lines.append(
             f"This comparison has been looked at {len(found.looks)} times (with {counts} pairs). Looking"
             " until it pleases finds differences where there are none: that one of the looks shows one has a"
             f" chance of up to {min(1.0, miss * len(found.looks)):.0%}, not {miss:.0%}. Settle on a number of"
             " seeds beforehand, or confirm on fresh ones."
         )
     else:
-        told.append(
+        lines.append(
             "The intervals hold for one look, with a number of seeds settled beforehand. Adding seeds until"
             " they please finds differences where there are none."
         )
     if len(found.differences) > 3:
-        told.append(f"Of {len(found.differences)} figures, one in twenty differs by chance.")
-    return told
+        lines.append(f"Of {len(found.differences)} figures, one in twenty differs by chance.")
+    return lines
--- a/wheatring/lab/study/figures.py
+++ b/wheatring/lab/study/figures.py
@@ -44,7 +44,7 @@
 def figure(outcome: Outcome, name: str) -> float:
     """Return the figure of that name. Counts that did not occur are 0.
 
-    Raises StudyError for a name that tells no figure.
+    Raises StudyError for an unknown name.
     """
     head, _, rest = name.partition(".")
     try:
--- a/wheatring/lab/study/jobs.py
+++ b/wheatring/lab/study/jobs.py
@@ -36,7 +36,7 @@
     """A run to be played. Its key is all but the folder of the build and the source."""
 
     scenario: str  # its name, or its file
-    text_hash: str  # of its whole text, without the settings
+    text_hash: str  # of its text, without the settings
     source: str  # its tables with them, as JSON
     seed: int
     grain: str
--- a/wheatring/lab/study/played.py
+++ b/wheatring/lab/study/played.py
@@ -12,7 +12,7 @@
 from wheatring.lab import play as lab
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.scenario.draw import draw
-from wheatring.lab.study.asked import scenario_of
+from wheatring.lab.study.job_builder import scenario_of
 from wheatring.lab.study.jobs import Job
 from wheatring.lab.world.world import Tracing
 
--- a/wheatring/lab/study/report/__init__.py
+++ b/wheatring/lab/study/report/__init__.py
@@ -1,4 +1,4 @@
-"""Reports: one page of HTML for a run or for a set of them, whole in itself: it refers to no file or address.
+"""Reports: one page of HTML for a run or for a set of them, which refers to no file or address.
 
-`plots` draws, `page` writes HTML, `day` and `several` say what stands on a page.
+`plots` draws, `page` writes HTML, `day` and `several` say what is on a page.
 """
--- a/wheatring/lab/study/report/day.py
+++ b/wheatring/lab/study/report/day.py
@@ -219,12 +219,12 @@
 def _latency(outcome: Outcome) -> Iterable[str]:
     if not outcome.latency:
         return
-    held = HdrHistogram.decode(outcome.latency)
-    count = held.get_total_count()
+    histogram = HdrHistogram.decode(outcome.latency)
+    count = histogram.get_total_count()
     if count:
         yield page.figure(
             "Latency by percentile",
-            plots.percentiles(lambda share: float(held.get_value_at_percentile(share)), float(count)),
+            plots.percentiles(lambda share: float(histogram.get_value_at_percentile(share)), float(count)),
             f"Of all {count:,} first tries that were served. The scale widens towards the slowest.",
         )
 
--- a/wheatring/lab/study/report/plots.py
+++ b/wheatring/lab/study/report/plots.py
@@ -1,4 +1,4 @@
-"""Plots as SVG that stands in a page: drawn by matplotlib, text kept as text, the same bytes each time."""
+"""Plots as SVG inside a page: drawn by matplotlib, text kept as text, the same bytes each time."""
 
 from __future__ import annotations
 
--- a/wheatring/lab/study/report/several.py
+++ b/wheatring/lab/study/report/several.py
@@ -62,8 +62,10 @@
 
     def name(group: Group) -> str:
         group = (*group[:2], ", ".join(shlex.split(group[2])[1::2]), *group[3:])
-        told = [part or "as it is" for part, differs in zip(group[1:], varying[1:], strict=True) if differs]
-        return ", ".join([group[0], *told])
+        differing = [
+            part or "as it is" for part, differs in zip(group[1:], varying[1:], strict=True) if differs
+        ]
+        return ", ".join([group[0], *differing])
 
     return [(name(group), runs) for group, runs in found.items()]
 
--- a/wheatring/lab/study/settings.py
+++ b/wheatring/lab/study/settings.py
@@ -18,7 +18,7 @@
 
 _planted = ExitStack()  # for the life of the process
 
-PLANT = "plant"  # stands for a module's constant where a fault is planted instead
+PLANT = "plant"  # in place of a module's constant where a fault is planted instead
 
 Pairs = tuple[tuple[str, str], ...]
 
--- a/wheatring/lab/study/stats.py
+++ b/wheatring/lab/study/stats.py
@@ -55,7 +55,7 @@
 
     Percentiles of resampled means are too narrow for few values (their spread is that of the n values, not of
     n - 1 degrees of freedom); they are taken further out by as much as Student's t is wider than the normal.
-    One value has no interval that could be told: it reaches over all numbers.
+    The interval of one value reaches over all numbers.
     """
     count = len(values)
     if not count:
--- a/wheatring/routes/adaptive_limit.py
+++ b/wheatring/routes/adaptive_limit.py
@@ -1,6 +1,6 @@
 """A limit on requests in flight that finds the knee by latency and re-learns the latency without a queue.
 
-While the limit is in play, each window of responses moves it: by the step upwards, and downwards by as much
+While the limit is reached, each window of responses moves it: by the step upwards, and downwards by as much
 as the window's latency is above `tolerance` times the base latency. The base is the latency that is measured
 with the limit halved, and halved again while that makes responses faster: at the start, each `probe_every`
 seconds under pressure, and once the limit has been halved by windows. What is measured replaces what was
--- a/wheatring/routes/callers.py
+++ b/wheatring/routes/callers.py
@@ -57,10 +57,10 @@
 
 
 class CallerTable:
-    """The callers that are told apart, and which of them are over their fair share.
+    """The callers that have entries, and which of them are over their fair share.
 
     There are at most `settings.known + settings.strangers` entries, of which strangers have what the known
-    ones leave, and three that stand for many.
+    ones leave, and three that count many callers together.
     """
 
     __slots__ = (
@@ -73,7 +73,7 @@
         self.known: OrderedDict[str, Caller] = OrderedDict()
         self.strangers: OrderedDict[str, Caller] = OrderedDict()
         self.all_strangers = Caller("", 1.0, now)
-        self.overflow = Caller("", 1.0, now)  # stands for the strangers that found no entry
+        self.overflow = Caller("", 1.0, now)  # counts the strangers that found no entry
         self.all_callers = Caller("", 1.0, now)
         self._fair_level = inf
         self._mean_use = inf  # for each weight, of the callers that want more than the level
--- a/wheatring/routes/gcra.py
+++ b/wheatring/routes/gcra.py
@@ -1,6 +1,6 @@
 """Rate limits with bursts by the generic cell rate algorithm (GCRA, ITU-T I.371).
 
-One whole number of state for each key, exact to the nanosecond.
+One integer of state for each key, exact to the nanosecond.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
     The state of a key is its theoretical arrival time: the instant at which the bucket is full again. It is
     kept by the caller of these methods.
 
-    Arithmetic is in whole numbers. A tick is an instant in nanoseconds multiplied by the rate's numerator, so
-    the cost of one request is a whole number of ticks. Rounding neither accumulates nor rejects a request at
+    Arithmetic is in integers. A tick is an instant in nanoseconds multiplied by the rate's numerator, so
+    the cost of one request is an integer. Rounding neither accumulates nor rejects a request at
     the very instant at which it conforms. Ticks must not go back; the callers guard that.
     """
 
--- a/wheatring/routes/limit_settings.py
+++ b/wheatring/routes/limit_settings.py
@@ -31,7 +31,7 @@
 
 
 def check_integer(key: str, value: object, unit: str, minimum: int, maximum: int = MAX_COUNT) -> None:
-    """Check that a whole number is within its range. Raises ValueError, which names key, unit and value."""
+    """Check that an integer is within its range. Raises ValueError, which names key, unit and value."""
     if type(value) is not int or not minimum <= value <= maximum:
         raise ValueError(f"{key}: must be a whole number from {minimum} to {maximum} {unit}: {value!r}")
 
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerTableSettings:
-    """How many callers are told apart.
+    """How many callers have entries of their own.
 
     A new caller is among the strangers at first, and is known once it has been there for `prove` seconds and
     has had two requests admitted. A known one stays so until it is idle for `keep` seconds. Strangers have
@@ -140,7 +140,7 @@
     """A limit on requests in flight that follows the knee of the pool's latency.
 
     It falls while requests take longer than `tolerance` times what they take without a queue, and otherwise
-    grows by the part `step` while it is in play.
+    grows by the part `step` while it is reached.
     """
 
     floor: int = 4
--- a/wheatring/routes/split.py
+++ b/wheatring/routes/split.py
@@ -25,7 +25,7 @@
 
 
 class CountedSplit:
-    """Counts requests: Tijdeman's rule for the chairman assignment problem, in whole numbers.
+    """Counts requests: Tijdeman's rule for the chairman assignment problem, in integers.
 
     With k pools of a weight above 0, of the first n requests each has its share to within 1 - 1/(2k - 2),
     and of any n in a row to within twice that: for two pools, to within one. Serving the largest deficit
--- a/wheatring/routes/table.py
+++ b/wheatring/routes/table.py
@@ -220,7 +220,7 @@
         """
         normal = self.normalize(method, target, fields)
         if not self.deciding_headers.isdisjoint(repeated):
-            # An endpoint may go by the first of them or the last, and the table goes by both joined.
+            # An endpoint may use the first of them or the last, and the table uses both joined.
             raise InvalidRequestError("a header more than once that decides about the route")
         route = self.find(method, normal, fields)
         return None if route is None else ResolvedRoute(route, normal)
--- a/wheatring/routes/target.py
+++ b/wheatring/routes/target.py
@@ -33,7 +33,7 @@
 from wheatring.routes.exceptions import InvalidRequestError
 
 MAX_PORT = 65535
-UNESCAPED_MARKS = "!$&'()*+,=:@"  # stand in a segment as they are, besides the unreserved characters
+UNESCAPED_MARKS = "!$&'()*+,=:@"  # not escaped in a segment, besides the unreserved characters
 
 # No path below is scanned more than once, and each pattern takes one step a byte.
 _NORMAL_PATH = re.compile(rb"(?:/(?!\.{1,2}(?:/|\Z))[-A-Za-z0-9._~!$&'()*+,=:@]++)*+/?")
@@ -93,7 +93,7 @@
     if not authority:
         raise InvalidRequestError("an absolute target without a host")
     name = normalize_host(authority, strictness)
-    # An endpoint may go by either.
+    # An endpoint may use either.
     if strictness is not Strictness.LENIENT and host and normalize_host(host, strictness) != name:
         raise InvalidRequestError("another host in the target than in the Host field")
     if not path and method == b"OPTIONS" and match.end() == len(target):
