--- a/wheatring/lab/live/links/datagrams.py
+++ b/wheatring/lab/live/links/datagrams.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from wheatring.lab.live.links.state import PLAIN, State, datagram
-from wheatring.lab.live.links.streams import StreamDoor
+from wheatring.lab.live.links.streams import StreamPort
 
 Address = tuple[str, int]
 
@@ -25,23 +25,23 @@
     def __init__(self, reactor: Any, random: Random) -> None:
         self.reactor = reactor
         self.random = random
-        self.doors: dict[str, DatagramDoor] = {}
-        self.at: dict[Address, DatagramDoor] = {}  # by the party's own address
+        self.doors: dict[str, DatagramPort] = {}
+        self.at: dict[Address, DatagramPort] = {}  # by the party's own address
         self.states: dict[tuple[str, str], State] = {}  # of links that are not plain
         self.taken = self.passed = 0
 
     def open(self, party: str, host: str) -> int:
         """Open a party's port, for datagrams and connections; return its number."""
-        door = self.doors[party] = DatagramDoor(self, party, host)
-        StreamDoor(self, party, host, door.port)
-        return door.port
+        endpoint = self.doors[party] = DatagramPort(self, party, host)
+        StreamPort(self, party, host, endpoint.port)
+        return endpoint.port
 
     def lead(self, party: str, target: Address) -> None:
         """Let a party's port lead to the party's own address."""
-        door = self.doors[party]
-        self.at.pop(door.target, None)
-        door.target = target
-        self.at[target] = door
+        endpoint = self.doors[party]
+        self.at.pop(endpoint.target, None)
+        endpoint.target = target
+        self.at[target] = endpoint
 
     def set(self, one: str, other: str, state: State) -> None:
         """Put the link from one party to another in a state."""
@@ -50,27 +50,27 @@
         else:
             self.states[one, other] = state
 
-    def came(self, door: DatagramDoor, data: bytes, source: Address) -> None:
+    def came(self, endpoint: DatagramPort, data: bytes, source: Address) -> None:
         """Pass a datagram on as its link's state says: not at all, once or twice, now or later."""
         self.taken += 1
         sender = self.at.get(source)
         if sender is None:
             return  # nobody's, or of a process that is gone
         now = time.monotonic()
-        for due in datagram(now, self.states.get((sender.party, door.party), PLAIN), True, self.random):
+        for due in datagram(now, self.states.get((sender.party, endpoint.party), PLAIN), True, self.random):
             if due > now:
-                self.reactor.callLater(due - now, self.leave, sender, door, data)
+                self.reactor.callLater(due - now, self.leave, sender, endpoint, data)
             else:
-                self.leave(sender, door, data)
+                self.leave(sender, endpoint, data)
 
-    def leave(self, sender: DatagramDoor, door: DatagramDoor, data: bytes) -> None:
+    def leave(self, sender: DatagramPort, endpoint: DatagramPort, data: bytes) -> None:
         """Send a datagram on to its receiver, from the sender's port."""
-        if door.target[1] and sender.transport is not None:
+        if endpoint.target[1] and sender.transport is not None:
             self.passed += 1
-            sender.transport.write(data, door.target)
+            sender.transport.write(data, endpoint.target)
 
 
-class DatagramDoor(DatagramProtocol):
+class DatagramPort(DatagramProtocol):
     """One party's port for datagrams."""
 
     transport: Any
--- a/wheatring/lab/live/links/faults.py
+++ b/wheatring/lab/live/links/faults.py
@@ -8,7 +8,7 @@
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.plan import EventPlan, Plan
 
-LATE = ("late_connects",)  # of nodes, but done by links
+NODE_EVENTS_OF_LINKS = ("late_connects",)  # of nodes, but done by links
 
 
 class Faults:
@@ -33,6 +33,6 @@
 
     def linked(self, event: EventPlan) -> EventPlan:
         """Return the event with hosts in place of nodes, as links know hosts only."""
-        if event.kind not in LATE:
+        if event.kind not in NODE_EVENTS_OF_LINKS:
             return event
         return structs.replace(event, hosts=tuple(self.hosts[name] for name in event.nodes))
--- a/wheatring/lab/live/links/pipe.py
+++ b/wheatring/lab/live/links/pipe.py
@@ -13,11 +13,11 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from wheatring.lab.live.links.state import MOST_HELD, PLAIN, Lane, State
+from wheatring.lab.live.links.state import MAX_HELD_BYTES, PLAIN, Lane, State
 
 BACKLOG = 511
-AT_ONCE = 20  # connections that are accepted in one turn
-FILLERS = 3  # connects of our own that fill a door's queue, so that the kernel answers no further ones
+ACCEPTS_PER_TURN = 20  # connections that are accepted in one turn
+FILLERS = 3  # connects of our own that fill a port's queue, so that the kernel answers no further ones
 
 
 @implementer(IHalfCloseableProtocol)
@@ -26,10 +26,10 @@
 
     transport: Any
 
-    def __init__(self, pipe: Pipe, near: bool) -> None:
+    def __init__(self, pipe: ConnectionPair, near: bool) -> None:
         self.pipe = pipe
         self.near = near
-        self.lane = Lane(pipe.door.random)  # of what came in here
+        self.lane = Lane(pipe.link_port.random)  # of what came in here
         self.timer: Any = None
         self.paused = False
         self.reset = False  # how it ended
@@ -46,12 +46,12 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         """Pass bytes on, at once or as the link's state says."""
         pipe = self.pipe
-        state = pipe.door.state
+        state = pipe.link_port.state
         if state is PLAIN and not self.lane.queue and pipe.whole:
             pipe.other(self).transport.write(data)
             return
         self.lane.put(time.monotonic(), data, state)
-        if self.lane.held > MOST_HELD and not self.paused:
+        if self.lane.held > MAX_HELD_BYTES and not self.paused:
             self.paused = True
             self.transport.pauseProducing()
         self.flush()
@@ -59,13 +59,13 @@
     def flush(self) -> None:
         """Pass on what has arrived at the other end by now, and the rest when it does."""
         pipe = self.pipe
-        if not pipe.whole or pipe.over or not pipe.door.state.passes(self.near):
+        if not pipe.whole or pipe.over or not pipe.link_port.state.passes(self.near):
             return
         data = self.lane.take(time.monotonic())
         other = pipe.other(self)
         if data:
             other.transport.write(data)
-        if self.paused and self.lane.held <= MOST_HELD // 2 and not self.gone:
+        if self.paused and self.lane.held <= MAX_HELD_BYTES // 2 and not self.gone:
             self.paused = False
             self.transport.resumeProducing()
         due = self.lane.next
@@ -80,7 +80,7 @@
                 self.settle()
         elif self.timer is None or not self.timer.active():
             wait = max(0.0, due - time.monotonic())
-            self.timer = pipe.door.reactor.callLater(wait, self.flush)
+            self.timer = pipe.link_port.reactor.callLater(wait, self.flush)
 
     def readConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
         """Pass on that nothing more comes from here."""
@@ -103,11 +103,11 @@
         self.pipe.lost(self)
 
 
-class Pipe:
+class ConnectionPair:
     """A connection that came to a port, and the one that was made for it."""
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
+    def __init__(self, link_port: LinkPort) -> None:
+        self.link_port = link_port
         self.near = End(self, near=True)
         self.far = End(self, near=False)
         self.whole = False  # both are up
@@ -119,11 +119,11 @@
 
     def came_up(self, end: End) -> None:
         """Connect to the target for the near end; join both once the far end is up."""
-        door = self.door
-        door.pipes[self] = None
+        link_port = self.link_port
+        link_port.pipes[self] = None
         if end.near:
-            door.taken += 1
-            door.reactor.connectTCP(*door.target, _Dial(self), timeout=None)
+            link_port.taken += 1
+            link_port.reactor.connectTCP(*link_port.target, _Dial(self), timeout=None)
             return
         self.whole = True
         if self.over or (self.near.gone and self.near.reset):
@@ -144,14 +144,14 @@
         """Take note that an end is gone."""
         if self.over or not self.whole:
             if self.near.gone and (self.over or not self.far.up):
-                self.door.pipes.pop(self, None)
+                self.link_port.pipes.pop(self, None)
             return
         end.flush()
 
     def end(self, end: End, reset: bool) -> None:
         """End this end, as the news that the other one is gone has arrived."""
         self.over = True
-        self.door.pipes.pop(self, None)
+        self.link_port.pipes.pop(self, None)
         if not end.gone:
             end.transport.unregisterProducer()
             if reset:
@@ -162,7 +162,7 @@
     def cut_off(self) -> None:
         """Reset both ends."""
         self.over = True
-        self.door.pipes.pop(self, None)
+        self.link_port.pipes.pop(self, None)
         for end in (self.near, self.far):
             if end.up and not end.gone:
                 end.transport.abortConnection()
@@ -171,7 +171,7 @@
 class _Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, pipe: Pipe) -> None:
+    def __init__(self, pipe: ConnectionPair) -> None:
         self.pipe = pipe
 
     def buildProtocol(self, addr: object) -> End:  # noqa: N802, ARG002 - Twisted's name
@@ -201,10 +201,10 @@
 
 
 @implementer(IReadDescriptor)
-class Door(ServerFactory):
+class LinkPort(ServerFactory):
     """Where a link's connections come in.
 
-    Its port is the kernel's choice, and bound all the time, so that nobody else gets it while the door is
+    Its port is the kernel's choice, and bound all the time, so that nobody else gets it while it is
     closed. It listens and accepts itself: what the reactor's own ports offer takes a turn to end, and can't
     leave connects hanging.
     """
@@ -220,14 +220,14 @@
         self.port: int = self.bound.getsockname()[1]
         self.state = PLAIN
         self.is_open = False
-        self.pipes: dict[Pipe, None] = {}
+        self.pipes: dict[ConnectionPair, None] = {}
         self.taken = 0  # connections so far
         self.fillers: list[socket.socket] = []
         self.own: set[tuple[str, int]] = set()  # addresses of these
 
     def buildProtocol(self, addr: Any) -> End:  # noqa: N802, ARG002 - Twisted's name
         """Make the near end of a pipe."""
-        return Pipe(self).near
+        return ConnectionPair(self).near
 
     # What the reactor asks of it
 
@@ -237,7 +237,7 @@
 
     def doRead(self) -> None:  # noqa: N802 - Twisted's name
         """Accept connections."""
-        for _ in range(AT_ONCE):
+        for _ in range(ACCEPTS_PER_TURN):
             try:
                 came, address = self.bound.accept()
             except OSError:  # nobody waits any more
--- a/wheatring/lab/live/links/relay.py
+++ b/wheatring/lab/live/links/relay.py
@@ -18,7 +18,7 @@
 
 from wheatring.lab.live import command_loop
 from wheatring.lab.live.links.datagrams import Switch
-from wheatring.lab.live.links.pipe import Door
+from wheatring.lab.live.links.pipe import LinkPort
 from wheatring.lab.live.links.state import State
 
 
@@ -51,7 +51,7 @@
     def __init__(self, reactor: Any, seed: str) -> None:
         self.reactor = reactor
         self.seed = seed
-        self.doors: dict[str, Door] = {}
+        self.doors: dict[str, LinkPort] = {}
         self.datagrams = Switch(reactor, Random(f"{seed}:datagrams"))
 
     def obey(self, order: Order) -> bytes | None:
@@ -83,8 +83,8 @@
                 for link in order.links:
                     self.doors[link].reset()
             case "stats":
-                open_ones = sum(len(door.pipes) for door in self.doors.values())
-                taken = sum(door.taken for door in self.doors.values())
+                open_ones = sum(len(link_port.pipes) for link_port in self.doors.values())
+                taken = sum(link_port.taken for link_port in self.doors.values())
                 taken += self.datagrams.taken
                 return msgspec.json.encode(Stats(time.process_time(), open_ones, taken))
         return None
@@ -92,7 +92,7 @@
     def reserve(self, doors: dict[str, str]) -> bytes:
         """Reserve ports; return their numbers as JSON."""
         for link, host in doors.items():
-            self.doors[link] = Door(self.reactor, host, Random(f"{self.seed}:{link}"))
+            self.doors[link] = LinkPort(self.reactor, host, Random(f"{self.seed}:{link}"))
         return msgspec.json.encode({link: self.doors[link].port for link in doors})
 
 
--- a/wheatring/lab/live/links/state.py
+++ b/wheatring/lab/live/links/state.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-MOST_HELD = 262_144  # bytes that one direction of a connection holds, as a window would
+MAX_HELD_BYTES = 262_144  # bytes that one direction of a connection holds, as a window would
 
 
 class State(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/wheatring/lab/live/links/streams.py
+++ b/wheatring/lab/live/links/streams.py
@@ -14,7 +14,7 @@
 
 from wheatring.lab.live.links.state import PLAIN, Lane
 
-LOOK = 0.05  # seconds between looks at whether what is held may go on
+HELD_CHECK_SECONDS = 0.05  # seconds between looks at whether what is held may go on
 
 
 class _End(Protocol):
@@ -22,20 +22,20 @@
 
     transport: Any
 
-    def __init__(self, door: StreamDoor, way: tuple[str, str]) -> None:
-        self.door = door
+    def __init__(self, endpoint: StreamPort, way: tuple[str, str]) -> None:
+        self.endpoint = endpoint
         self.way = way  # the link that what comes here takes
         self.other: _End | None = None
-        self.lane = Lane(door.switch.random)
+        self.lane = Lane(endpoint.switch.random)
         self.ended = False
         self.timer: Any = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        self.lane.put(time.monotonic(), data, self.door.switch.states.get(self.way, PLAIN))
+        self.lane.put(time.monotonic(), data, self.endpoint.switch.states.get(self.way, PLAIN))
         self.flush()
 
     def flush(self) -> None:
-        other, switch = self.other, self.door.switch
+        other, switch = self.other, self.endpoint.switch
         there = switch.states.get(self.way, PLAIN).there
         if other is not None and other.transport is not None and there:
             data = self.lane.take(time.monotonic())
@@ -45,7 +45,7 @@
                 other.transport.loseConnection()
                 return
         if (self.lane.next is not None or self.ended) and (self.timer is None or not self.timer.active()):
-            self.timer = switch.reactor.callLater(LOOK if not there else 0.002, self.flush)
+            self.timer = switch.reactor.callLater(HELD_CHECK_SECONDS if not there else 0.002, self.flush)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name
         self.ended = True
@@ -69,8 +69,8 @@
         self.near = near
 
     def buildProtocol(self, addr: object) -> Protocol:  # noqa: N802, ARG002 - Twisted's name
-        door, (one, other) = self.near.door, self.near.way
-        far = _Made(door, (other, one))
+        endpoint, (one, other) = self.near.endpoint, self.near.way
+        far = _Made(endpoint, (other, one))
         far.other, self.near.other = self.near, far
         return far
 
@@ -79,7 +79,7 @@
             self.near.transport.abortConnection()
 
 
-class StreamDoor(ServerFactory):
+class StreamPort(ServerFactory):
     """Accepts connections beside a party's port for datagrams; `switch` is that of the datagrams."""
 
     noisy = False
--- a/wheatring/lab/live/links/wires.py
+++ b/wheatring/lab/live/links/wires.py
@@ -15,9 +15,9 @@
 from wheatring.lab.live.process import Process, module
 from wheatring.lab.plan import EventPlan, NetPlan
 
-ANSWER = 30.0  # seconds in which a relay answers, on a machine that is busy
+ANSWER_TIMEOUT_SECONDS = 30.0  # seconds in which a relay answers, on a machine that is busy
 Answer = TypeVar("Answer")
-AT_ONCE = 500  # links reserved by one order
+MAX_LINKS_PER_ORDER = 500  # links reserved by one order
 
 
 class Wires:
@@ -63,8 +63,8 @@
             number = self.of[link] = relay_of.setdefault(who, len(relay_of) % len(self.relays))
             shares[number].append(link)
         for relay, share in zip(self.relays, shares, strict=True):
-            for start in range(0, len(share), AT_ONCE):
-                part = share[start : start + AT_ONCE]
+            for start in range(0, len(share), MAX_LINKS_PER_ORDER):
+                part = share[start : start + MAX_LINKS_PER_ORDER]
                 doors = {link: self.hosts[link.partition(">")[0]] for link in part}
                 self.ports.update(self._ask(relay, Order(do, doors=doors), dict[str, int]))
 
@@ -81,8 +81,8 @@
     def datagrams(self, froms: Iterable[str], tos: Iterable[str], state: State) -> None:
         """Put the links for datagrams from these to those in a state, one way."""
         links = [f"{one}>{other}" for one in froms for other in tos if one != other]
-        for start in range(0, len(links), AT_ONCE):
-            order = Order("set-datagrams", links=links[start : start + AT_ONCE], state=state)
+        for start in range(0, len(links), MAX_LINKS_PER_ORDER):
+            order = Order("set-datagrams", links=links[start : start + MAX_LINKS_PER_ORDER], state=state)
             self._tell(self.relays[0], order)
 
     def address(self, link: str) -> tuple[str, int]:
@@ -179,4 +179,5 @@
     def _ask(self, relay: Process, order: Order, kind: type[Answer]) -> Answer:
         after = len(relay.lines)
         self._tell(relay, order)
-        return msgspec.json.decode(relay.wait_for_line("{", time.monotonic() + ANSWER, after), type=kind)
+        by = time.monotonic() + ANSWER_TIMEOUT_SECONDS
+        return msgspec.json.decode(relay.wait_for_line("{", by, after), type=kind)
