--- a/wheatring/lifecycle/list_request_schedule.py
+++ b/wheatring/lifecycle/list_request_schedule.py
@@ -222,10 +222,13 @@
             self.has_retried_in_round = True
             self.not_before = now + self.round_seconds(self.round) / 2
             return
+        self._next_round(now, had_turn=part is not None)
+
+    def _next_round(self, now: float, had_turn: bool) -> None:
         self.has_retried_in_round = False
         ended = self.round_started_at + self.round_seconds(self.round)
         # One that had its turn saw that the queue is not long: no slower, and rather one round back.
-        self.round = min(self.round, max(1, self.round - 1)) if part is not None else self.round + 1
+        self.round = min(self.round, max(1, self.round - 1)) if had_turn else self.round + 1
         # One that has fallen behind the timetable (a stall, a call that took long) goes by its own.
         self.round_started_at = max(ended, now)
         self.not_before = now + _min_round_seconds(self.round) / 2
--- a/wheatring/ops/audit.py
+++ b/wheatring/ops/audit.py
@@ -21,8 +21,8 @@
 from wheatring.core.clock import Clock, Timer
 from wheatring.operator_properties import OperatorProperties
 
-MAX_UNWRITTEN_LINES = 1000  # lines that wait for a reader of standard error
-RETRY_SECONDS = 0.05  # seconds between tries while it reads nothing
+MAX_UNWRITTEN_LINES = 1000  # that wait for a reader of standard error
+RETRY_SECONDS = 0.05  # between tries while nobody reads it
 
 UNDETECTED_NOTE = (
     "note: lines lost from the end of any start, and starts lost whole, can't be seen from the rest"
@@ -35,11 +35,12 @@
 
 
 def _origin(name: str, ms: int) -> str:
-    """What the first line of a start chains from. `name` is quoted, so the two can't run into one another."""
+    """Return the hash that the first line of a start follows; `name` is quoted, so it holds no space."""
     return hashlib.sha256(f"{name} {ms}".encode()).hexdigest()
 
 
 def chained_hash(prev: str, fields: str) -> str:
+    """Return the hash of a line, from that of the line before and the line's own fields."""
     return hashlib.sha256(f"{prev} {fields}".encode()).hexdigest()
 
 
@@ -48,6 +49,16 @@
 
 
 class Audit:
+    """Writes the audit lines of one sidecar to standard error, and to a file if one is named.
+
+    Attributes
+    ----------
+    seq, previous_hash : int and str
+        Of the last line of this start.
+    unwritten : deque of bytes
+        Lines that standard error has not taken yet.
+    """
+
     def __init__(self, name: str, clock: Clock, file: str) -> None:
         self.name = _quoted(name)
         self.clock = clock
@@ -58,9 +69,10 @@
         self.retry_timer: Timer | None = None
         self.file_failed = False
         if S_ISFIFO(os.fstat(2).st_mode) or S_ISSOCK(os.fstat(2).st_mode):
-            os.set_blocking(2, False)  # a reader that stalls must not hold up the jobs
+            os.set_blocking(2, False)  # a reader that stalls must not hold up requests
 
     def record(self, event: str, actor: str, **more: object) -> None:
+        """Write a line on a change of state."""
         self.seq += 1
         ms = int(self.clock.unix() * 1000)
         if self.seq == 1:
@@ -80,7 +92,7 @@
             self.flush()
 
     def record_key_changes(self, old: OperatorProperties, new: OperatorProperties) -> None:
-        """Which keys of the operators' file differ, and how; never what they are."""
+        """Record which keys of the operators' file differ, and how; never what they are."""
         before, after = _keys(old), _keys(new)
         for key in sorted(before.keys() | after.keys()):
             if before.get(key) != after.get(key):
@@ -88,7 +100,7 @@
                 self.record("key", "operators", key=key, change=change)
 
     def append_to_file(self, data: bytes) -> None:
-        """One whole line at the end of the lasting file, which may be moved away between any two."""
+        """Append one whole line to the lasting file, which may be moved away between any two."""
         try:
             how = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_NONBLOCK | os.O_CLOEXEC
             file = os.open(self.file, how, 0o640)
@@ -104,7 +116,7 @@
                 log.line("audit-file-failed", warning=bad.strerror, file=self.file)
 
     def flush(self) -> None:
-        """Write what waits, as far as standard error takes it."""
+        """Write the unwritten lines, as far as standard error takes them."""
         self.retry_timer = None
         while self.unwritten:
             data = self.unwritten[0]
@@ -125,7 +137,7 @@
                 return
 
     def close(self) -> None:
-        """One last try. The line of the stop has waited at least as long as callers may still arrive."""
+        """Try once more. The line of the stop has waited at least as long as callers may still arrive."""
         if self.retry_timer is not None:
             self.retry_timer.cancel()
         self.flush()
@@ -133,17 +145,20 @@
             log.line("audit-lost", warning="standard error is not read", lines=len(self.unwritten))
 
 
-def _keys(told: OperatorProperties) -> dict[str, object]:
-    keys: dict[str, object] = {f"tokens.key.{kid}": key for kid, key in told.tokens.keys.items()}
-    if told.drill.key is not None:
-        keys["drill.key"] = told.drill.key
-    if told.tokens.issue:
-        keys["tokens.issue.kid"] = told.tokens.issue
+def _keys(properties: OperatorProperties) -> dict[str, object]:
+    keys: dict[str, object] = {f"tokens.key.{kid}": key for kid, key in properties.tokens.keys.items()}
+    if properties.drill.key is not None:
+        keys["drill.key"] = properties.drill.key
+    if properties.tokens.issue:
+        keys["tokens.issue.kid"] = properties.tokens.issue
     return keys
 
 
 def verify(file: Iterable[bytes]) -> str:
-    """The first bad line of a log of one or more starts and sidecars, and why; nothing if there is none."""
+    """Return the first bad line of a log, and why; nothing if all are good.
+
+    The log may hold lines of several starts and sidecars, and lines that are none of the audit.
+    """
     chains: dict[bytes, tuple[int, bytes]] = {}  # by name: the last line's seq and hash
     starts: set[tuple[bytes, bytes]] = set()
     found = False
--- a/wheatring/ops/capture/record.py
+++ b/wheatring/ops/capture/record.py
@@ -1,4 +1,4 @@
-"""What the decision module sees and says, as lines. Replay makes the same lines with the same code.
+"""What the decision module sees and decides, as lines. Replay makes the same lines with the same code.
 
     h NAME seed=SEED                                     a start
     s OFFSET SETTINGS                                    Unix time less the module's clock, and its settings
@@ -31,6 +31,7 @@
 
 
 def quote_word(text: str) -> str:
+    """Return a text as one word of a line: quoted as in URLs; an empty one is `-`."""
     return "%2D" if text == "-" else quote(text, safe="", errors="surrogatepass") or "-"
 
 
@@ -60,7 +61,10 @@
 
 
 class Recorder:
-    """Stands in for the module before its driver."""
+    """Stands in for the balancer before its driver, and writes what passes.
+
+    `ident` gives a request's id by its number, `idle` how many connections to an endpoint are idle.
+    """
 
     def __init__(
         self,
@@ -73,11 +77,12 @@
         self.balancer = balancer
         self.offset = offset
         self.write = write
-        self.ident = ident  # of a request, by its number
-        self.idle = idle  # how many connections to a node are idle
+        self.ident = ident
+        self.idle = idle
         self.requests: dict[int, _RecordedRequest] = {}  # as long as the module knows them
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
+        """Pass an event on to the balancer, and write it and its actions."""
         ms = round((now + self.offset) * 1000)
         self.write(self.event(f"{ms} {now!r}", event))
         if isinstance(event, i.NewRequest):
@@ -111,10 +116,12 @@
         return actions
 
     def candidate(self, drawn: i.Candidate) -> str:
+        """Return a candidate as a line tells it."""
         report = _number(drawn.reported)
         return f" {quote_word(drawn.endpoint)}:{drawn.in_flight}/{self.idle(drawn.endpoint)}/{report}"
 
     def event(self, when: str, event: i.Event) -> str:
+        """Return the line of an event."""
         match event:
             case i.NewRequest(number, name, left):
                 about = f"{number} {quote_word(self.ident(number))} {quote_word(name)}"
@@ -133,6 +140,7 @@
         return "x 0"  # probes and peers, which the sidecar has none of
 
     def action(self, action: i.Action) -> str:
+        """Return an action as a line tells it."""
         match action:
             case i.Send(_, _, timeout):
                 return f"send {timeout!r}"
@@ -142,6 +150,8 @@
                 return "fail"
             case i.SetTimer(token, delay):
                 return f"timer {token} {delay!r}"
+            case i.Subscribe(on):
+                return f"Subscribe {on}"
         return " ".join(quote_word(str(part)) for part in (type(action).__name__, *_values(action)))
 
 
@@ -150,4 +160,5 @@
 
 
 def header(name: str, seed: int, offset: float, settings: Mapping[str, Any]) -> tuple[str, str]:
+    """Return the two lines that begin the record of a start."""
     return f"h {quote_word(name)} seed={seed:016x}", f"s {offset!r} {json.dumps(settings)}"
--- a/wheatring/ops/capture/replay.py
+++ b/wheatring/ops/capture/replay.py
@@ -66,7 +66,7 @@
         if number != last + 1:
             yield path.name, "x a file lacks before this one"
         last = number
-        with open(path, encoding="ascii", errors="replace", newline="\n") as file:
+        with path.open(encoding="ascii", errors="replace", newline="\n") as file:
             for count, line in enumerate(file, 1):
                 if line.endswith(CUT_MARK) or not line.endswith("\n"):
                     line = "x cut\n"
@@ -74,19 +74,31 @@
 
 
 class Replay:
-    """One sidecar's record."""
+    """Replays one sidecar's record.
+
+    Attributes
+    ----------
+    recorder : Recorder or None
+        The balancer as it was recorded; None: there is nothing to go on from until the next start.
+    idents : dict of int to str
+        The ids of requests, by their number.
+    due : deque of str
+        Lines that the balancer's last actions make, to be compared with those that follow.
+    starts, compared, differences, skipped : int
+        How many starts were replayed, and lines were compared, differed and could not be replayed.
+    """
 
     def __init__(self, name: str, say: Callable[[str], None]) -> None:
         self.name = name
         self.say = say
         self.seed: int | None = None
-        self.recorder: Recorder | None = None  # none: there is nothing to go on from until the next start
+        self.recorder: Recorder | None = None
         self.idents: dict[int, str] = {}
-        self.due: deque[str] = deque()  # lines that the module's last actions make
+        self.due: deque[str] = deque()
         self.starts = self.compared = self.differences = self.skipped = 0
 
     def run(self, files: list[tuple[int, Path]]) -> bool:
-        """Whether something could be replayed, and nothing differed."""
+        """Replay the files; return whether something could be replayed, and nothing differed."""
         place = ""
         for place, line in _lines(files):
             try:
@@ -99,6 +111,7 @@
         return self.starts > 0 and not self.differences
 
     def take(self, place: str, line: str) -> None:
+        """Take in the next line, which stands at `place`."""
         kind, *parts = line.split(" ")
         if kind == "h":
             self.end(place)
@@ -118,15 +131,17 @@
             self.feed(kind, parts)
 
     def start(self, offset: float, settings: object) -> None:
+        """Begin a start with the settings that were recorded."""
         assert self.seed is not None
         balancer = Balancer(settings_from(JsonSettings(settings)), self.seed)
         self.seed = None
         self.idents.clear()
         self.due.clear()
-        self.recorder = Recorder(balancer, offset, self.due.append, self.idents.__getitem__, lambda node: "?")
+        self.recorder = Recorder(balancer, offset, self.due.append, self.idents.__getitem__, lambda _: "?")
         self.starts += 1
 
     def feed(self, kind: str, parts: list[str]) -> None:
+        """Hand an event to the balancer."""
         assert self.recorder is not None
         now, event = float(parts[1]), _event(kind, parts[2:])
         if isinstance(event, i.NewRequest):
@@ -136,35 +151,39 @@
         self.due.popleft()  # the event itself
 
     def compare(self, place: str, line: str) -> None:
+        """Compare a recorded line with that of the replayed action."""
         self.compared += 1
         again = self.due.popleft() if self.due else None
         if again is None or _IDLE.sub(r"\1/?/", again) != _IDLE.sub(r"\1/?/", line):
             self.report_difference(place, line, again)
 
     def expect_no_more(self, place: str) -> None:
-        """All that the module said to the last event must have been in the record."""
+        """Report the actions on the last event that are not in the record."""
         while self.due:
             self.report_difference(f"before {place}", None, self.due.popleft())
 
     def end(self, place: str) -> None:
-        """A sidecar that is killed may leave its last event without all that came of it."""
+        """End a start. A sidecar that is killed may leave its last event without all that came of it."""
         if self.due:
             self.say(f"{self.name}: {place}: the record of a start ends {len(self.due)} lines early")
             self.due.clear()
         self.report_skipped()
 
-    def report_difference(self, place: str, recorded: str | None, again: str | None) -> None:
+    def report_difference(self, place: str, recorded: str | None, replayed: str | None) -> None:
+        """Report a line that differs, as recorded and as replayed; None: there is none."""
         self.differences += 1
         self.say(f"{self.name}: {place} differs")
         self.say(f"  recorded {recorded or 'nothing'}")
-        self.say(f"  replayed {again or 'nothing'}")
+        self.say(f"  replayed {replayed or 'nothing'}")
 
     def stop(self, place: str, why: str) -> None:
+        """Stop replaying up to the next start."""
         self.say(f"{self.name}: {place}: {why}; what follows can't be replayed up to the next start")
         self.recorder = self.seed = None
         self.due.clear()
 
     def report_skipped(self) -> None:
+        """Report the lines since the last start that could not be replayed."""
         if self.skipped and not self.starts:
             self.say(f"{self.name}: the header has been overwritten: {self.skipped} lines can't be replayed")
         elif self.skipped:
@@ -173,6 +192,7 @@
 
 
 def replay(folder: Path, say: Callable[[str], None]) -> bool:
+    """Replay all records in a folder; return whether all could be replayed and nothing differed."""
     found = files_in(folder)
     if not found:
         say(f"there is no capture in {folder}")
--- a/wheatring/ops/capture/ring.py
+++ b/wheatring/ops/capture/ring.py
@@ -12,15 +12,15 @@
 from wheatring import log
 from wheatring.core.clock import Clock, Timer
 
-FLUSH_SECONDS = 0.2  # seconds in which lines are written
-BATCH_BYTES = 16 * 1024  # bytes that are written at once
-CUT_MARK = "!\n"  # the end of a line that a start was killed in; none else has that sign there
+FLUSH_SECONDS = 0.2  # in which lines are written
+BATCH_BYTES = 16 * 1024  # that are written at once
+CUT_MARK = "!\n"  # the end of a line that a start was killed in; no other line ends with it
 
 _NAME = re.compile(r"capture-(.+)-([0-9]{6,})\.log")
 
 
 def files_in(folder: Path) -> dict[str, list[tuple[int, Path]]]:
-    """The numbered files of each sidecar, the oldest first."""
+    """Return the numbered files of each sidecar, the oldest first."""
     found: dict[str, list[tuple[int, Path]]] = {}
     for path in folder.iterdir():
         match = _NAME.fullmatch(path.name)
@@ -30,8 +30,19 @@
 
 
 class CaptureRing:
-    """`shared`: another process of this sidecar may be writing. Then this one begins a file of its own; the
+    """The files of one sidecar's record, and the lines that are not written yet.
+
+    With `shared`, another process of this sidecar may be writing. Then this one begins a file of its own; the
     older one ends its record when it would begin the next.
+
+    Attributes
+    ----------
+    older_files : deque of tuple of Path and int
+        The older files with their sizes in bytes, the oldest first.
+    number, used : int
+        Of the newest file: its number, and its bytes.
+    is_off : bool
+        Nothing more is recorded: a write failed, or it was closed.
     """
 
     def __init__(
@@ -58,6 +69,7 @@
             self._failed(bad)
 
     def write(self, line: str) -> None:
+        """Record a line; one that no file can hold is replaced by a mark."""
         if self.is_off:
             return
         data = line.encode("ascii") + b"\n"
@@ -71,6 +83,7 @@
             self.flush_timer = self.clock.at(self.clock.now() + FLUSH_SECONDS, self.flush)
 
     def flush(self) -> None:
+        """Write the lines that wait."""
         if self.flush_timer is not None and self.flush_timer.active():
             self.flush_timer.cancel()
         self.flush_timer = None
@@ -90,6 +103,7 @@
             self._failed(bad)
 
     def close(self) -> None:
+        """Write the lines that wait, and record no more."""
         self.flush()
         self.is_off = True
         self._shut()
@@ -144,7 +158,7 @@
         self.file = -1
 
     def _failed(self, bad: OSError) -> None:
-        """A record with a hole can't be replayed, so this ends it; serving goes on."""
+        """End the record: one with a hole can't be replayed. Serving goes on."""
         self.is_off = True
         with suppress(OSError):
             self._shut()
--- a/wheatring/ops/drills.py
+++ b/wheatring/ops/drills.py
@@ -1,7 +1,7 @@
-"""Drills: while a signed plan says so, a share of one class's jobs is delayed, aborted or both.
+"""Drills: while a signed plan says so, a share of one class's requests is delayed, aborted or both.
 
-A drill stands between the exchange and the driver. What it holds is the exchange's already, with its id, its
-deadline and its one answer; the module sees a delayed job once its delay is over, an aborted one never.
+A drill stands between the exchange and the driver. What it delays is the exchange's already, with its id, its
+deadline and its one answer; the balancer sees a delayed request once its delay is over, an aborted one never.
 """
 
 from __future__ import annotations
@@ -19,10 +19,9 @@
 from wheatring.core.exchange import Answer, AnswerKind, Exchange, Request
 from wheatring.operator_properties import PARTS_PER_PERCENT, Drill, OperatorFileError
 
-DEADLINE_MARGIN_SECONDS = (
-    0.25  # seconds before its deadline, or a quarter of its time left, at which no job is held any more
-)
-CHECK_SECONDS = 5.0  # seconds between looks at the time at least, which may be set anew
+# Before its deadline, or a quarter of its remaining time, at which a request is delayed no more.
+DEADLINE_MARGIN_SECONDS = 0.25
+CHECK_SECONDS = 5.0  # between checks of the time at most, which may be set anew
 
 _PLAN = re.compile(r"class=([!-:<-~]+);from=([0-9]{1,15});until=([0-9]{1,15})")
 
@@ -35,9 +34,11 @@
 
 
 class DrillPlan(NamedTuple):
+    """A class, and the window of the drill in Unix time in milliseconds; `end_ms` is not in it."""
+
     class_name: str
-    begin_ms: int  # Unix time in milliseconds, as the plan says it
-    end_ms: int  # the first one that is not in it
+    begin_ms: int
+    end_ms: int
 
 
 def _parse_plan(text: str) -> DrillPlan:
@@ -51,11 +52,12 @@
 
 
 def signature(key: bytes, text: str) -> str:
+    """Return the signature of a plan's text: HMAC-SHA256 in hexadecimal."""
     return hmac.new(key, text.encode(), hashlib.sha256).hexdigest()
 
 
 def sign_plan(drill: Drill) -> str:
-    """The settings' plan with its signature; one that it has already is made anew."""
+    """Return the settings' plan with its signature, which is made anew. Raises DrillPlanError."""
     if drill.key is None:
         raise DrillPlanError("drill.key: not set")
     if not drill.plan:
@@ -66,7 +68,7 @@
 
 
 def verify_plan(drill: Drill, classes: Mapping[str, RequestClass]) -> DrillPlan:
-    """The settings' plan, if it is signed and can be carried out."""
+    """Return the settings' plan, if it is signed and can be carried out. Raises DrillPlanError."""
     text, sig, given = drill.plan.partition(";sig=")
     if drill.plan and not sig:
         raise DrillPlanError("drill.plan: not signed")
@@ -82,6 +84,24 @@
 
 
 class Drills:
+    """Hooks itself into the exchange, and delays or aborts requests while a drill runs.
+
+    Attributes
+    ----------
+    pass_on : Callable
+        The exchange's handler of requests without this one.
+    settings : Drill
+        The operators' settings that are in force.
+    plan : DrillPlan or None
+        Their plan, if there is one that can be carried out.
+    is_on : bool
+        The plan's window is open.
+    due_parts : int
+        Parts of a request that are due for a drill; one is due when it is whole.
+    total : int
+        Requests that were delayed or aborted.
+    """
+
     def __init__(
         self,
         exchange: Exchange,
@@ -100,7 +120,7 @@
         self.settings = Drill()
         self.plan: DrillPlan | None = None
         self.is_on = False
-        self.due_parts = 0  # of a job, that is 100 percent: one is due when it is whole
+        self.due_parts = 0
         self.total = 0
         self.check_timer: Timer | None = None
 
@@ -118,7 +138,7 @@
         self.check()
 
     def check(self) -> None:
-        """Tell of the window's ends when they come, also while nobody asks for anything."""
+        """Log the window's ends when they come, also while there are no requests."""
         if self.check_timer is not None and self.check_timer.active():
             self.check_timer.cancel()
         self.update_running()
@@ -128,6 +148,7 @@
             self.check_timer = self.clock.at(self.clock.now() + min(wait, CHECK_SECONDS), self.check)
 
     def update_running(self) -> bool:
+        """Return whether the plan's window is open, and log a change of it."""
         plan = self.plan
         on = plan is not None and plan.begin_ms <= self.clock.unix() * 1000 < plan.end_ms
         if on != self.is_on:
@@ -136,44 +157,49 @@
             self.record("drill-on" if on else "drill-over", "operators")
         return on
 
-    def request_came(self, job: Request) -> None:
-        if not self.update_running() or self.plan is None or job.class_name != self.plan.class_name:
-            self.pass_on(job)
+    def request_came(self, request: Request) -> None:
+        """Take in a new request: pass it on, delay it or abort it."""
+        if not self.update_running() or self.plan is None or request.class_name != self.plan.class_name:
+            self.pass_on(request)
             return
         self.due_parts += self.settings.share
         if self.due_parts < 100 * PARTS_PER_PERCENT:
-            self.pass_on(job)
+            self.pass_on(request)
             return
         self.due_parts -= 100 * PARTS_PER_PERCENT
         self.total += 1
-        job.is_drill = True
+        request.is_drill = True
         now, abort = self.clock.now(), self.settings.abort
-        left = job.deadline - now
-        delay = min(
-            self.settings.delay, left - min(DEADLINE_MARGIN_SECONDS, left / 4)
-        )  # there must be time for an answer
+        left = request.deadline - now
+        margin = min(DEADLINE_MARGIN_SECONDS, left / 4)  # there must be time for an answer
+        delay = min(self.settings.delay, left - margin)
         log.line(
-            "drill", drill=1, job=job.correlation_id, of=job.class_name, delay_ms=round(delay * 1000),
+            "drill", drill=1, job=request.correlation_id, of=request.class_name, delay_ms=round(delay * 1000),
             abort=int(abort), drill_requests_total=self.total,
         )  # fmt: skip
         if delay > 0:
-            job.drill_timer = self.clock.at(now + delay, self.release, job, abort)
+            request.drill_timer = self.clock.at(now + delay, self.release, request, abort)
         else:
-            self.release(job, abort)
+            self.release(request, abort)
 
-    def release(self, job: Request, abort: bool) -> None:
-        job.drill_timer = None
+    def release(self, request: Request, abort: bool) -> None:
+        """Abort a request or pass it on, as its delay is over."""
+        request.drill_timer = None
         if abort:
-            self.exchange.answer(job, Answer(AnswerKind.REFUSED, retry_after=self.retry_after(job)))
+            self.exchange.answer(request, Answer(AnswerKind.REFUSED, retry_after=self.retry_after(request)))
         else:
-            self.pass_on(job)
+            self.pass_on(request)
+
+    def retry_after(self, request: Request) -> float:
+        """Return the balancer's least advice in seconds.
 
-    def retry_after(self, job: Request) -> float:
-        """The module's least advice. Its random numbers are its own, and jobs due for a drill are apart."""
-        advice = MIN_RETRY_AFTER * self.classes[job.class_name].latency_target
+        The balancer's random numbers are its own, and requests due for a drill never reach it.
+        """
+        advice = MIN_RETRY_AFTER * self.classes[request.class_name].latency_target
         return min(advice, self.limits.max_retry_after) if self.limits.sends_retry_after else 0.0
 
     def stop(self) -> None:
+        """Log the total, as the sidecar stops."""
         if self.check_timer is not None and self.check_timer.active():
             self.check_timer.cancel()
         log.line("drill-total", drill_requests_total=self.total)
--- a/wheatring/ops/tokens.py
+++ b/wheatring/ops/tokens.py
@@ -38,6 +38,8 @@
 
 
 class TokenMissingError(TokenError):
+    """A request without a token."""
+
     code = "token-missing"
     do = "Have the caller send `Authorization: Bearer TOKEN` with each request."
 
@@ -50,6 +52,8 @@
 
 
 class TokenExpiredError(TokenError):
+    """A token whose time is over."""
+
     code = "token-expired"
     do = "Issue a new token, and compare this machine's clock if it should still be good."
 
@@ -73,7 +77,7 @@
 
 
 def issue(settings: Tokens, holder: str, rights: str, exp: int) -> str:
-    """A token for these rights, good until `exp` in Unix time."""
+    """Return a token for these rights, good until `exp` in Unix time. Raises TokenNotIssuedError."""
     if not settings.issue:
         raise TokenNotIssuedError("tokens.issue.kid: not set")
     if not _HOLDER.fullmatch(holder):
@@ -87,7 +91,7 @@
 
 
 def verify_token(settings: Tokens, token: bytes, now: float) -> frozenset[str]:
-    """The classes that a token opens at a Unix time; TokenError says why there are none."""
+    """Return the classes that a token opens at a Unix time. Raises TokenError."""
     coded, _, mac = token.partition(b".")
     payload = _decoded(coded)
     found: dict[str, str] = {}
@@ -107,13 +111,14 @@
 
 
 class TokenGuard:
-    """What the server asks, before there is a job, for the classes that a request's token opens."""
+    """Finds the classes that a request's token opens; the server asks it before it accepts the request."""
 
     def __init__(self, settings: Tokens, clock: Clock) -> None:
         self.settings = settings
         self.clock = clock
 
     def __call__(self, fields: Mapping[bytes, bytes]) -> frozenset[str]:
+        """Return the classes, by a request's header fields; the refusal tells what is wrong."""
         match = _BEARER.fullmatch(fields.get(b"authorization", b""))
         try:
             if match is None:
