--- a/tests/lease/test_membership_views.py
+++ b/tests/lease/test_membership_views.py
@@ -9,7 +9,7 @@
 from wheatring.lab.agreement import view_days
 from wheatring.lab.agreement.view_cases import CaseRun, Measurement, measure
 from wheatring.lab.agreement.view_fleet import views_of
-from wheatring.lab.leases.cluster import CUT
+from wheatring.lab.leases.cluster import PARTITIONED
 from wheatring.members.edge_monitor import EARLY_CHECK_SECONDS, EdgeMonitor
 
 SIZE = 15
@@ -77,13 +77,13 @@
     fleet = scene.fleet
     fleet.run(20)
     before = scene.observer.newest
-    fleet.cut_off(["n0", "n9"], CUT)
+    fleet.isolate(["n0", "n9"], PARTITIONED)
     fleet.run(40)
     cut_off, rest = views_of(fleet.nodes["n9"]), views_of(fleet.nodes["n4"])
     assert cut_off is not None and rest is not None
     assert cut_off.view.number == before < rest.view.number
     assert not cut_off.is_current(40) and rest.is_current(40)
-    fleet.mend()
+    fleet.heal()
     assert scene.observer.run_until_converged(scene.names, 10) >= 0
 
 
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wheatring.lab.leases.cluster import CUT, Cluster
+from wheatring.lab.leases.cluster import PARTITIONED, Cluster
 from wheatring.lab.live.links.state import State
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
@@ -36,7 +36,7 @@
 def fleet(size: int, seed: int = 1, over: float = 1.0) -> Cluster:
     cluster = Cluster(seed, size, VoterSet(("#0", "#1", "#2")), [], LeaseTiming(), PACE)
     for node in cluster.nodes.values():
-        cluster.call(cluster.random.random() * over, cluster.start, node)
+        cluster.schedule(cluster.random.random() * over, cluster.start, node)
     return cluster
 
 
@@ -74,7 +74,7 @@
     cluster.run(10)
     node = cluster.nodes["n4"]
     assert node.fleet is not None
-    cluster.say(node, node.fleet.leave(cluster.instant(node)))
+    cluster.send(node, node.fleet.leave(cluster.instant(node)))
     cluster.run(10.5)
     cluster.kill(node)
     cluster.run(20)
@@ -88,7 +88,7 @@
     cluster.stop(node)
     cluster.run(45)
     assert DEAD in states(cluster, "n3")
-    cluster.go_on(node)
+    cluster.resume(node)
     assert node.fleet is not None
     assert all(row.state != DEAD for row in node.fleet.members.table.records.values())
     cluster.run(75)
@@ -100,11 +100,11 @@
     cluster = fleet(10)
     cluster.run(10)
     one, other = [f"n{n}" for n in range(5)], [f"n{n}" for n in range(5, 10)]
-    cluster.cut(one, other, CUT)
-    cluster.cut(other, one, CUT)
+    cluster.set_link(one, other, PARTITIONED)
+    cluster.set_link(other, one, PARTITIONED)
     cluster.run(60)
     assert states(cluster, "n0").count(DEAD) == 5
-    cluster.mend()
+    cluster.heal()
     cluster.run(140)
     assert set(states(cluster, "n0")) == {ALIVE}
 
@@ -114,8 +114,8 @@
     cluster.run(10)
     others = [name for name in cluster.nodes if name != "n5"]
     lossy = State(delay=0.001, drop=0.3)
-    cluster.cut(["n5"], others, lossy)
-    cluster.cut(others, ["n5"], lossy)
+    cluster.set_link(["n5"], others, lossy)
+    cluster.set_link(others, ["n5"], lossy)
     cluster.run(130)
     assert DEAD not in states(cluster, "n5")
 
--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -7,7 +7,7 @@
 from datetime import UTC, datetime
 from typing import Any
 
-from wheatring.lab.leases.cluster import YEAR, Cluster, Node
+from wheatring.lab.leases.cluster import START_UNIX_MS, Cluster, Node
 from wheatring.lease.component import FleetComponent, Instant
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.timing import LeaseTiming
@@ -36,10 +36,10 @@
             [LEADER_SETTINGS],
             LeaseTiming(),
             SwimTiming(),
-            pieces=self.pieces,
+            make_components=self.pieces,
         )
         for node in self.cluster.nodes.values():
-            self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
+            self.cluster.schedule(self.cluster.random.random(), self.cluster.start, node)
         self.cluster.run(14)
 
     def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
@@ -69,7 +69,7 @@
         node = self.node(name)
         status, said = self.planned(name).offer(self.cluster.instant(node), body)
         assert status == 202, said
-        self.cluster.say(node, [])
+        self.cluster.send(node, [])
         push = self.planned(name).plans.proposals.entries[said["push"]]
         for _ in range(300):
             if push.is_final:
@@ -93,7 +93,7 @@
     """`window`: virtual seconds at which its one opens, for 8 s."""
     said: dict[str, Any] = {"format": 1, "routes": [{"name": "all", "weights": BASE}]}
     if window is not None:
-        start = datetime.fromtimestamp(YEAR / 1000 + window, UTC).strftime("%Y-%m-%dT%H:%M:%S")
+        start = datetime.fromtimestamp(START_UNIX_MS / 1000 + window, UTC).strftime("%Y-%m-%dT%H:%M:%S")
         one = {"name": "w", "route": "all", "weights": {"b": 1}, "start": start, "length": 8}
         said.update(format=2, windows=[one])
     return json.dumps(said).encode()
@@ -131,7 +131,7 @@
 
     def floor(least: int) -> int:
         status, _, out = planned.set_format_floor(made.cluster.instant(node), least)
-        made.cluster.say(node, out)
+        made.cluster.send(node, out)
         made.cluster.run(made.cluster.now + 3)
         return status
 
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -7,7 +7,7 @@
 from wheatring.errors import OperatorError
 from wheatring.lab.agreement.plan_days import PLANTED_FAULTS, find_fault, play
 from wheatring.lab.agreement.plan_fleet import PlanFleet, ScriptedCheck, body_of
-from wheatring.lab.leases.cluster import CUT
+from wheatring.lab.leases.cluster import PARTITIONED
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.payloads import digest
@@ -108,7 +108,7 @@
     second = made.propose(other_than(made, leader), body_of("second"))
     made.cluster.run(made.cluster.now + 30)
     assert second.state == "settled" and second.version == 2
-    made.cluster.go_on(made.cluster.nodes[leader])
+    made.cluster.resume(made.cluster.nodes[leader])
     assert made.plans[leader].leader.rollout is None
     assert made.run_until(lambda: numbers(made) == {2}, 20.0)
     kept(made)
@@ -144,7 +144,7 @@
     made.cluster.run(made.cluster.now + 0.8)
     made.cluster.start(made.cluster.nodes["n6"])
     assert made.run_until(lambda: made.plans["n0"].views.view.number > before, 4.0)
-    made.cluster.go_on(made.cluster.nodes["n5"])
+    made.cluster.resume(made.cluster.nodes["n5"])
     assert made.run_until(lambda: push.is_final, 5.0)
     assert push.state == "refused" and [why.member for why in push.reasons] == ["n6"]
     assert numbers(made) == {0}
@@ -167,7 +167,7 @@
 def test_a_third_cut_off_is_named_and_nothing_is_half_applied() -> None:
     made = world(9)
     third = ["n6", "n7", "n8"]
-    made.cluster.cut_off(third, CUT)
+    made.cluster.isolate(third, PARTITIONED)
     push = made.propose("n4", body_of("first"))
     assert made.run_until(
         lambda: push.is_final,
@@ -175,7 +175,7 @@
     )
     assert push.state == "refused" and sorted(why.member for why in push.reasons) == third
     assert numbers(made) == {0}
-    made.cluster.mend()
+    made.cluster.heal()
     assert made.run_until(lambda: made.has_converged() and made.leader())
     assert settles(made, "n4", body_of("first")) == 1
     kept(made)
@@ -183,7 +183,7 @@
 
 def test_one_that_is_stopped_too_long_is_named_before_it_is_out_of_the_view() -> None:
     made = world(6)
-    made.cluster.cut(["n5"], [made.leader()], CUT)  # its answers to the leader alone are lost
+    made.cluster.set_link(["n5"], [made.leader()], PARTITIONED)  # its answers to the leader alone are lost
     push = made.propose("n4", body_of("first"))
     assert made.run_until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert {(why.member, why.code) for why in push.reasons} == {("n5", "plan-not-whole")}
@@ -200,10 +200,10 @@
 def test_a_third_of_all_words_lost() -> None:
     made = world(6)
     names = list(made.cluster.nodes)
-    made.cluster.cut(names, names, State(delay=0.001, jitter=0.001, drop=0.3))
+    made.cluster.set_link(names, names, State(delay=0.001, jitter=0.001, drop=0.3))
     for number in (1, 2):
         assert settles(made, "n5", body_of(f"plan {number}", 20_000)) == number
-    made.cluster.mend()
+    made.cluster.heal()
     kept(made)
 
 
@@ -221,13 +221,13 @@
 
 def test_a_push_that_no_leader_answers_is_told_as_lost() -> None:
     made = world(5)
-    made.cluster.cut_off(["n4"], CUT)
+    made.cluster.isolate(["n4"], PARTITIONED)
     push = made.propose("n4", body_of("first"))
     made.cluster.run(made.cluster.now + PROPOSAL_TIMEOUT_SECONDS - 2)
     assert not push.is_final
     assert made.run_until(lambda: push.is_final, 4.0) and push.state == "lost"
     assert [why.code for why in push.reasons] == ["plan-leader-lost"]
-    made.cluster.mend()
+    made.cluster.heal()
     made.cluster.run(made.cluster.now + 20)
     assert numbers(made) == {0}, "it is not offered once it was told as lost"
 
@@ -290,7 +290,7 @@
     made.cluster.run(made.cluster.now + 0.8)
     made.cluster.start(made.cluster.nodes["n6"])
     assert made.run_until(lambda: made.plans["n0"].views.view.number > before, 4.0)
-    made.cluster.go_on(made.cluster.nodes["n5"])
+    made.cluster.resume(made.cluster.nodes["n5"])
     assert made.run_until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert [why.code for why in push.reasons] == ["plan-not-judged"]
     assert numbers(made) == {0}
@@ -374,7 +374,7 @@
     entry = Entry(2, 1, digest(body), len(body), body)
     plans.register.learn(made.cluster.instant(made.cluster.nodes[leader]), ("127.5.0.4", 7000), entry)
     for node in others:
-        made.cluster.go_on(node)
+        made.cluster.resume(node)
     assert made.run_until(lambda: plans.leader.rollout is None, 1.0) and plans.leader.epoch == epoch
     assert (push.state, push.version) == ("settled", 1)
     assert made.run_until(lambda: numbers(made) == {2}, 15.0)
@@ -387,7 +387,7 @@
     with pytest.raises(PlanNoViewError, match="n0 stands in no view"):
         made.propose("n0", body_of("early"))
     made = world(5)
-    made.cluster.cut_off(["n4"], CUT)
+    made.cluster.isolate(["n4"], PARTITIONED)
     for number in range(MAX_PENDING_PROPOSALS):
         made.propose("n4", body_of(f"plan {number}"))
     with pytest.raises(PlanRolloutInProgressError):
@@ -412,7 +412,7 @@
     first, second = seen["pushes"]
     assert (first["state"], first["number"], second["id"]) == ("settled", 1, push.proposal_id)
     assert (second["state"], second["hold"], second["members"]) == (push.state, 5, 6)
-    made.cluster.go_on(made.cluster.nodes["n5"])
+    made.cluster.resume(made.cluster.nodes["n5"])
     assert made.run_until(lambda: numbers(made) == {2})
     kept(made)
 
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wheatring.lab.leases.cluster import CUT, YEAR, Cluster, Node
+from wheatring.lab.leases.cluster import PARTITIONED, START_UNIX_MS, Cluster, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
@@ -33,7 +33,7 @@
 from wheatring.schedule.messages import AnyScheduleMessage, TimeRequest, TimeResponse
 from wheatring.schedule.timetable import Timetable
 
-TRUE = YEAR / 1000  # Unix seconds at the cluster's 0
+TRUE = START_UNIX_MS / 1000  # Unix seconds at the cluster's 0
 OPENS = 120.0  # seconds from there
 
 
@@ -78,14 +78,20 @@
 
     def __init__(self, size: int, link: State | None = None, opens: float = OPENS) -> None:
         self.cluster = Cluster(
-            1, size, VoterSet(("#0", "#1", "#2")), [], LeaseTiming(), SwimTiming(), pieces=self.pieces
+            1,
+            size,
+            VoterSet(("#0", "#1", "#2")),
+            [],
+            LeaseTiming(),
+            SwimTiming(),
+            make_components=self.pieces,
         )
         self.table = Timetable(plan(opens))
         if link is not None:
-            self.cluster.net = link
+            self.cluster.default_link = link
         self.watchers: dict[str, Watcher] = {}
         for node in self.cluster.nodes.values():
-            self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
+            self.cluster.schedule(self.cluster.random.random(), self.cluster.start, node)
 
     def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         time, edges = FleetClock(at, fleet), WeightSchedule(at.now)
@@ -124,12 +130,12 @@
 @pytest.mark.parametrize("wall", [3_600_000, -3_600_000])
 def test_a_voters_clock_that_is_an_hour_off_or_steps_by_one_is_outvoted(wall: int) -> None:
     world = World(5)
-    world.node("n4").wall = wall  # no voter: its own wall clock decides nothing
-    world.node("n1").wall = wall
+    world.node("n4").wall_offset_ms = wall  # no voter: its own wall clock decides nothing
+    world.node("n1").wall_offset_ms = wall
     world.holds(range(20, 60, 4))
-    world.node("n1").wall = 0
+    world.node("n1").wall_offset_ms = 0
     world.holds(range(60, 100, 4))
-    world.node("n0").wall = wall
+    world.node("n0").wall_offset_ms = wall
     world.holds(range(100, 140, 4))
     assert max(abs(world.error(name)) for name in world.watchers) < 0.03
 
@@ -137,8 +143,8 @@
 def test_where_no_majority_meets_all_go_on_with_what_they_had_until_it_is_unsure() -> None:
     world = World(4)
     world.cluster.run(400)  # the rates are measured
-    world.node("n0").wall = 3_600_000
-    world.node("n1").wall = -3_600_000
+    world.node("n0").wall_offset_ms = 3_600_000
+    world.node("n1").wall_offset_ms = -3_600_000
     world.holds([600])
     assert all("time-voters-differ" in world.lines(name) for name in world.watchers)
     world.cluster.run(1150)
@@ -149,18 +155,18 @@
 
 def test_fast_and_slow_clocks_tell_the_time_within_what_they_say_and_learn_their_rate() -> None:
     world = World(6)
-    world.node("n3").fast, world.node("n4").fast = 0.01, -0.01
-    world.node("n0").fast = 0.009  # a voter's monotonic clock; what it tells is its wall clock
+    world.node("n3").clock_drift, world.node("n4").clock_drift = 0.01, -0.01
+    world.node("n0").clock_drift = 0.009  # a voter's monotonic clock; what it tells is its wall clock
     world.holds(range(10, 700, 7))
-    world.cluster.cut_off(["n3", "n4"], CUT)
+    world.cluster.isolate(["n3", "n4"], PARTITIONED)
     world.holds([1300], ["n3", "n4"])  # ten minutes by its own clock, which alone would be 6 s off by now
 
 
 def test_delays_that_differ_by_way_and_losses_stay_within_what_is_told() -> None:
     world = World(6, link=State(delay=0.002, jitter=0.02, drop=0.3))
     slow = State(delay=0.18, jitter=0.02, drop=0.3)
-    world.cluster.cut(["n4"], ["n0", "n1", "n2"], slow)
-    world.cluster.cut(["n0", "n1", "n2"], ["n5"], slow)
+    world.cluster.set_link(["n4"], ["n0", "n1", "n2"], slow)
+    world.cluster.set_link(["n0", "n1", "n2"], ["n5"], slow)
     readings = []
     for until in range(30, 200, 3):
         world.cluster.run(until)
@@ -174,7 +180,7 @@
 def test_links_that_become_slow_for_a_while_leave_a_quick_answer_standing() -> None:
     world = World(5)
     world.cluster.run(300)
-    world.cluster.net = State(delay=1.0)
+    world.cluster.default_link = State(delay=1.0)
     world.holds([350])
 
 
@@ -196,7 +202,7 @@
     world.holds([118], sorted({*world.watchers} - {*stopped}))
     world.cluster.run(123)
     for name in stopped:
-        world.cluster.go_on(world.node(name))
+        world.cluster.resume(world.node(name))
     world.holds([140])
     at = sorted(world.entered())
     assert at[5] - at[0] < 0.05 and all(123 <= late < 123.3 for late in at[6:])  # with the first fix
@@ -208,7 +214,7 @@
     world = World(4)
     world.cluster.run(60)
     for name in ("n0", "n1", "n2"):
-        world.node(name).wall = -2000
+        world.node(name).wall_offset_ms = -2000
     sure = []
     for tenth in range(600, 800):
         world.cluster.run(tenth / 10)
@@ -236,10 +242,10 @@
     voters = ["n0", "n1", "n2"]
     slow = State(delay=delay, jitter=delay / 10)
     for number, node in enumerate(world.cluster.nodes.values()):
-        node.fast = (number % 5 - 2) * 0.0001
-        node.wall = (number * 7919) % 20_001 - 10_000 if number > 2 else number * 8 - 8
+        node.clock_drift = (number % 5 - 2) * 0.0001
+        node.wall_offset_ms = (number * 7919) % 20_001 - 10_000 if number > 2 else number * 8 - 8
         there, back = ([node.name], voters) if number % 2 else (voters, [node.name])
-        world.cluster.cut(there, back, slow)
+        world.cluster.set_link(there, back, slow)
     world.cluster.run(13.5)
     assert all(one.edges.is_ready for one in world.watchers.values()) and not world.entered()
     world.cluster.run(19.5)
--- a/tests/skew/test_checker.py
+++ b/tests/skew/test_checker.py
@@ -38,15 +38,15 @@
         super().__init__(5, size, skew)
         self.next_capabilities |= next_
         self.count: Counter[str] = Counter()
-        arrive = self.cluster.arrive
+        arrive = self.cluster.deliver
 
-        def counted(node: Any, sender: str, word: Any) -> None:
-            self.count[type(word).__name__] += 1
-            arrive(node, sender, word)
+        def counted(node: Any, sender: str, message: Any) -> None:
+            self.count[type(message).__name__] += 1
+            arrive(node, sender, message)
 
-        self.cluster.arrive = counted  # type: ignore[method-assign]
+        self.cluster.deliver = counted  # type: ignore[method-assign]
         for name in out:
-            self.cluster.call(1.0, self.cluster.kill, self.cluster.nodes[name])
+            self.cluster.schedule(1.0, self.cluster.kill, self.cluster.nodes[name])
         self.after(20.0 if out else 6.0)
         assert self.view.names == self.cluster.nodes.keys() - {*out}
 
@@ -115,7 +115,7 @@
     late = leader.skew.verdict(fleet.cluster.now)
     assert (late.stage, late.answered, late.members) == (CheckStage.TESTING, 6, 7)
     assert [(one.member, one.code) for one in late.reasons] == [("n6", "silent")]
-    fleet.cluster.go_on(fleet.cluster.nodes["n6"])
+    fleet.cluster.resume(fleet.cluster.nodes["n6"])
     fleet.after(1.0)
     assert fleet.counts["settled"] == 1
 
@@ -159,7 +159,7 @@
     fleet.start("n6", abilities)
     fleet.after(2.0)
     assert "n6" in fleet.view.names and fleet.newest is None
-    fleet.cluster.go_on(fleet.cluster.nodes["n5"])
+    fleet.cluster.resume(fleet.cluster.nodes["n5"])
     fleet.after(4.0)
     return fleet
 
@@ -248,7 +248,7 @@
 
 def test_loss_of_a_third_delays_and_no_more() -> None:
     fleet = Fleet()
-    fleet.cluster.net = State(delay=0.0005, jitter=0.0005, drop=0.3)
+    fleet.cluster.default_link = State(delay=0.0005, jitter=0.0005, drop=0.3)
     assert fleet.pushed(3, 15.0) == "settled" and not fleet.breaches
 
 
--- a/tests/stories/conftest.py
+++ b/tests/stories/conftest.py
@@ -13,7 +13,7 @@
 from pytest_bdd import given, parsers, then, when
 
 from tests.stories.fleet import Told
-from wheatring.lab.leases.cluster import CUT
+from wheatring.lab.leases.cluster import PARTITIONED
 
 JOINED = 40.0  # seconds within which a fleet that starts together agrees
 
@@ -50,7 +50,7 @@
 def given_voters(tale: Tale, size: int, voters: int) -> None:
     tale.told = fleet = Told(size, voters, tale.seed)
     for node in fleet.cluster.nodes.values():
-        fleet.cluster.call(fleet.random.random(), fleet.cluster.start, node)
+        fleet.cluster.schedule(fleet.random.random(), fleet.cluster.start, node)
     names = list(fleet.cluster.nodes)
     fleet.go(1.5)
     assert fleet.within(JOINED, lambda: fleet.agree(names, names)) is not None, fleet.standing()
@@ -78,14 +78,14 @@
 def when_going_on(tale: Tale, who: str) -> None:
     fleet = tale.fleet
     fleet.them = fleet.who(who)
-    fleet.each(fleet.cluster.go_on, fleet.them)
+    fleet.each(fleet.cluster.resume, fleet.them)
 
 
 @when(parsers.re(r"(?P<who>.+) (is|are) stopped for (?P<seconds>[\d.]+) s"))
 def when_stopped_for(tale: Tale, who: str, seconds: str) -> None:
     when_stopped(tale, who)
     tale.fleet.go(float(seconds))
-    tale.fleet.each(tale.fleet.cluster.go_on, tale.fleet.them)
+    tale.fleet.each(tale.fleet.cluster.resume, tale.fleet.them)
 
 
 @when(parsers.re(r"(?P<who>.+) starts? again"))
@@ -113,7 +113,7 @@
 def when_cut_off(tale: Tale, who: str) -> None:
     fleet = tale.fleet
     fleet.them = fleet.who(who)
-    fleet.cluster.cut_off(fleet.them, CUT)
+    fleet.cluster.isolate(fleet.them, PARTITIONED)
 
 
 @when(parsers.re(r"nothing from (?P<who>.+) reaches (?P<others>.+)"))
@@ -121,10 +121,10 @@
     fleet = tale.fleet
     if who == "all others":
         fleet.them = fleet.who(others)
-        fleet.cluster.cut(fleet.who(who), fleet.them, CUT)
+        fleet.cluster.set_link(fleet.who(who), fleet.them, PARTITIONED)
     else:
         fleet.them = fleet.who(who)
-        fleet.cluster.cut(fleet.them, fleet.who(others), CUT)
+        fleet.cluster.set_link(fleet.them, fleet.who(others), PARTITIONED)
 
 
 @when(parsers.re(r"(?P<share>\d+) % of what goes to and from (?P<who>.+) is lost"))
@@ -136,7 +136,7 @@
 
 @when("the links are mended")
 def when_mended(tale: Tale) -> None:
-    tale.fleet.cluster.mend()
+    tale.fleet.cluster.heal()
 
 
 @when(parsers.re(r"(?P<seconds>[\d.]+) s pass"))
--- a/tests/stories/fleet.py
+++ b/tests/stories/fleet.py
@@ -36,9 +36,9 @@
             [LEADER_SETTINGS],
             LeaseTiming(),
             SwimTiming(),
-            pieces=self.pieces,
+            make_components=self.pieces,
         )
-        self.cluster.after = self.after
+        self.cluster.after_event = self.after
         self.random = Random(seed)
         self.agreed: dict[str, Agreement] = {}
         self.voters = [f"n{number}" for number in range(voters)]
@@ -119,22 +119,22 @@
 
     def moved(self, node: Node) -> None:
         """It is to start at another address."""
-        del self.cluster.at[node.address]
+        del self.cluster.by_address[node.address]
         node.address = (node.address[0], node.address[1] + 1)
-        self.cluster.at[node.address] = node
+        self.cluster.by_address[node.address] = node
 
     def leave(self, node: Node) -> None:
         """As the daemon does on SIGTERM: it says so, and its process ends."""
         assert node.fleet is not None
         at = self.cluster.instant(node)
-        self.cluster.say(node, self.agreed[node.name].leave(at))
-        self.cluster.say(node, node.fleet.leave(at))
+        self.cluster.send(node, self.agreed[node.name].leave(at))
+        self.cluster.send(node, node.fleet.leave(at))
         self.cluster.kill(node)
 
     def lose(self, names: list[str], share: float) -> None:
         """So much of what goes between these and all others is lost, both ways."""
-        net = self.cluster.net
-        self.cluster.cut_off(names, State(delay=net.delay, jitter=net.jitter, drop=share))
+        net = self.cluster.default_link
+        self.cluster.isolate(names, State(delay=net.delay, jitter=net.jitter, drop=share))
 
     # Time
 
--- a/wheatring/commands/lab_duties.py
+++ b/wheatring/commands/lab_duties.py
@@ -67,9 +67,13 @@
 
 def virtual(size: int, seed: int) -> int:
     """Play the membership alone, in virtual time."""
-    from wheatring.lab.leases.membership import blames, costs
+    from wheatring.lab.leases.membership import false_suspicions, membership_costs
 
-    for lines in (costs(seed, size), blames(seed, size, 0.05, 0.0), blames(seed, size, 0.0, 0.1)):
+    for lines in (
+        membership_costs(seed, size),
+        false_suspicions(seed, size, 0.05, 0.0),
+        false_suspicions(seed, size, 0.0, 0.1),
+    ):
         for line in lines:
             print(line, flush=True)
     return 0
--- a/wheatring/commands/lab_lease.py
+++ b/wheatring/commands/lab_lease.py
@@ -27,11 +27,11 @@
     """Check the deciders of leases; 1 where one breaks its promise."""
     import os
 
-    from wheatring.lab.leases.check import lines
+    from wheatring.lab.leases.check import report_lines
 
     failed: list[int] = []
     jobs = args.jobs or os.cpu_count() or 1
-    return _print(lines(args.days, args.states, jobs, lambda: failed.append(1)), failed)
+    return _print(report_lines(args.days, args.states, jobs, lambda: failed.append(1)), failed)
 
 
 def check_plan(args: argparse.Namespace) -> int:
--- a/wheatring/lab/agreement/plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -16,7 +16,7 @@
 
 from wheatring.errors import OperatorError
 from wheatring.lab.agreement.plan_fleet import VOTERS, Outcome, PlanFleet, body_of
-from wheatring.lab.leases.cluster import CUT, Node
+from wheatring.lab.leases.cluster import PARTITIONED, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import Instant
 from wheatring.members.view_messages import ViewMember
@@ -83,10 +83,10 @@
         self.restarted_at = dict.fromkeys((f"n{number}" for number in range(VOTERS)), -inf)
         offers, faults = draw_day(seed)
         for number, at in enumerate(offers):
-            self.fleet.cluster.call(at, self.propose, f"{seed}-{number}")
+            self.fleet.cluster.schedule(at, self.propose, f"{seed}-{number}")
         for fault in faults:
-            self.fleet.cluster.call(fault.at, self.inject, fault)
-        self.fleet.cluster.call(LAST_PROPOSAL_SECONDS + 5, self.repair)
+            self.fleet.cluster.schedule(fault.at, self.inject, fault)
+        self.fleet.cluster.schedule(LAST_PROPOSAL_SECONDS + 5, self.repair)
 
     def run(self) -> Outcome:
         """Play the day, and some time in which all proposals have to end."""
@@ -132,25 +132,25 @@
             case "stall" | "slow":
                 if fault.kind == "slow":  # a new member enters while the others wait for this one
                     over = cluster.now + 4.5
-                    cluster.call(cluster.now + 0.2, cluster.start, cluster.nodes[f"n{FLEET_SIZE - 1}"])
+                    cluster.schedule(cluster.now + 0.2, cluster.start, cluster.nodes[f"n{FLEET_SIZE - 1}"])
                 for node in nodes:
                     cluster.stop(node)
-                    cluster.call(over, cluster.go_on, node)
+                    cluster.schedule(over, cluster.resume, node)
             case "cut":
-                cluster.cut_off([node.name for node in nodes], CUT)
-                cluster.call(over, cluster.mend)
+                cluster.isolate([node.name for node in nodes], PARTITIONED)
+                cluster.schedule(over, cluster.heal)
             case "unheard":
                 others = [name for name in cluster.nodes if name not in names]
-                cluster.cut(names, others, CUT)
-                cluster.call(over, cluster.mend)
+                cluster.set_link(names, others, PARTITIONED)
+                cluster.schedule(over, cluster.heal)
             case "late":
                 slow = State(delay=1.5, jitter=1.0, duplicate=0.3, reorder=0.3)
-                cluster.cut_off([node.name for node in nodes], slow)
-                cluster.call(over, cluster.mend)
+                cluster.isolate([node.name for node in nodes], slow)
+                cluster.schedule(over, cluster.heal)
             case "lossy":
                 bad = State(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
-                cluster.cut(list(cluster.nodes), list(cluster.nodes), bad)
-                cluster.call(over, cluster.mend)
+                cluster.set_link(list(cluster.nodes), list(cluster.nodes), bad)
+                cluster.schedule(over, cluster.heal)
 
     def kill(self, node: Node, back: float) -> None:
         """Kill a node, and start it again at `back`."""
@@ -160,14 +160,14 @@
         if node.name in self.restarted_at:
             self.restarted_at[node.name] = back
         cluster.kill(node)
-        cluster.call(back, cluster.start, node)
+        cluster.schedule(back, cluster.start, node)
 
     def repair(self) -> None:
         """End all faults."""
         cluster = self.fleet.cluster
-        cluster.mend()
+        cluster.heal()
         for node in cluster.nodes.values():
-            cluster.go_on(node)
+            cluster.resume(node)
 
 
 def play(seed: int, makes: type[RolloutLeader] = RolloutLeader) -> Outcome:
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -132,11 +132,11 @@
             TERMS,
             SwimTiming(),
             zones=2,
-            pieces=self._pieces,
+            make_components=self._pieces,
         )
-        self.cluster.after = self.check_after
+        self.cluster.after_event = self.check_after
         for node in list(self.cluster.nodes.values())[: size - late]:
-            self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
+            self.cluster.schedule(self.cluster.random.random(), self.cluster.start, node)
 
     def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         name = fleet.me.name
@@ -160,7 +160,9 @@
 
     def alive(self) -> list[Node]:
         """Return the nodes that run."""
-        return [node for node in self.cluster.nodes.values() if node.fleet is not None and not node.stopped]
+        return [
+            node for node in self.cluster.nodes.values() if node.fleet is not None and not node.is_stopped
+        ]
 
     def run_until(self, so: Callable[[], Any], timeout_seconds: float = 60.0) -> bool:
         """Run until a condition holds; return whether it does."""
@@ -198,7 +200,7 @@
         self.bodies[digest(body)] = body
         push = plans.propose(self.cluster.instant(node), body)
         self.proposed.append((name, node.starts, push))
-        self.cluster.plan(node)
+        self.cluster.schedule_tick(node)
         return push
 
     # Invariants
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -50,9 +50,9 @@
         self.random = Random(f"skew:{seed}")
         voters = VoterSet(first_voters(VOTERS))
         self.cluster = Cluster(
-            seed, size, voters, [LEADER_SETTINGS], LeaseTiming(), SwimTiming(), pieces=self._pieces
+            seed, size, voters, [LEADER_SETTINGS], LeaseTiming(), SwimTiming(), make_components=self._pieces
         )
-        self.cluster.after = self._after
+        self.cluster.after_event = self._after
         self.skew = skew
         self.programs: Programs = {}
         self.next_capabilities: dict[str, Capabilities | None] = {}
@@ -69,7 +69,7 @@
         self.kinds: tuple[Capabilities | None, ...] = (newer, newer, middle, old, None)
         for node in self.cluster.nodes.values():
             self.next_capabilities[node.name] = newer
-            self.cluster.call(self.cluster.random.random(), self.cluster.start, node)
+            self.cluster.schedule(self.cluster.random.random(), self.cluster.start, node)
 
     def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         abilities = self.next_capabilities[fleet.me.name]
@@ -133,10 +133,10 @@
         for name, pusher in self.drivers.items():
             node = self.cluster.nodes[name]
             at = self.cluster.instant(node)
-            if node.fleet is not pusher.fleet or node.stopped:
+            if node.fleet is not pusher.fleet or node.is_stopped:
                 continue
             if pusher.is_leading(at) and pusher.views.view.members:
-                self.cluster.say(node, do(at, pusher))
+                self.cluster.send(node, do(at, pusher))
                 return
 
     def restart(self, name: str, abilities: Capabilities | None, downtime_seconds: float = 0.2) -> None:
@@ -144,7 +144,7 @@
         node = self.cluster.nodes[name]
         self.cluster.kill(node)
         self.next_capabilities[name] = abilities
-        self.cluster.call(self.cluster.now + downtime_seconds, self.cluster.start, node)
+        self.cluster.schedule(self.cluster.now + downtime_seconds, self.cluster.start, node)
 
     def act(self) -> None:
         """Inject one drawn event."""
@@ -164,13 +164,13 @@
             case 3:
                 node = cluster.nodes[random.choice(list(cluster.nodes))]
                 cluster.stop(node)
-                cluster.call(cluster.now + random.choice((0.5, 3.0, 9.0)), cluster.go_on, node)
+                cluster.schedule(cluster.now + random.choice((0.5, 3.0, 9.0)), cluster.resume, node)
             case 4:
-                cluster.net = State(delay=0.0005, jitter=0.0005, drop=random.choice((0.0, 0.1, 0.3)))
+                cluster.default_link = State(delay=0.0005, jitter=0.0005, drop=random.choice((0.0, 0.1, 0.3)))
             case 5:
-                cluster.cut_off([one], State(there=False))
+                cluster.isolate([one], State(there=False))
             case 6:
-                cluster.mend()
+                cluster.heal()
             case 7:
                 self.admit_member(one)
             case 8:
@@ -179,7 +179,7 @@
     def admit_member(self, name: str) -> None:
         """Let a stopped member, if any, enter while a plan is rolled out and another is slow to answer."""
         cluster, random = self.cluster, self.random
-        cluster.net = State(delay=0.0005, jitter=0.0005)
+        cluster.default_link = State(delay=0.0005, jitter=0.0005)
         out = [node for node in cluster.nodes.values() if node.fleet is None]
         if not out:
             cluster.kill(cluster.nodes[name])
@@ -190,9 +190,9 @@
             cluster.start(out[0])
             slow = cluster.nodes[random.choice([other for other in cluster.nodes if other != out[0].name])]
             at = cluster.now + random.random()
-            cluster.call(at - 0.05, cluster.stop, slow)
-            cluster.call(at, self.propose, draw_plan(random, random.choice((2, 3))))
-            cluster.call(at + 2.0, cluster.go_on, slow)
+            cluster.schedule(at - 0.05, cluster.stop, slow)
+            cluster.schedule(at, self.propose, draw_plan(random, random.choice((2, 3))))
+            cluster.schedule(at + 2.0, cluster.resume, slow)
 
     def play(self, seconds: float, quiet: float = 6.0) -> None:
         """Play for so many seconds, or to the first breach."""
--- a/wheatring/lab/agreement/view_cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from wheatring.lab.agreement.view_fleet import ViewObserver, make_cluster, views_of
-from wheatring.lab.leases.cluster import CUT, Cluster
+from wheatring.lab.leases.cluster import PARTITIONED, Cluster
 from wheatring.lab.live.links.state import State
 
 SETTLE_SECONDS = 25.0  # from the start to the fault
@@ -55,7 +55,7 @@
         self.random = self.fleet.random
         self.fault_end = 0.0  # when the fault ends
         for node in self.fleet.nodes.values():
-            self.fleet.call(self.random.random(), self.fleet.start, node)
+            self.fleet.schedule(self.random.random(), self.fleet.start, node)
 
     def kill(self, names: list[str]) -> None:
         """Stop these members for good."""
@@ -70,13 +70,13 @@
             self.fleet.stop(self.fleet.nodes[name])
         self.observer.delayed |= {*names}
         self.fault_end = self.fleet.now + seconds
-        self.fleet.call(self.fault_end, self.resume, names)
+        self.fleet.schedule(self.fault_end, self.resume, names)
 
     def resume(self, names: list[str]) -> None:
         """Resume suspended members."""
         for name in names:
-            self.fleet.go_on(self.fleet.nodes[name])
-        self.fleet.call(self.fleet.now + 0.2, self.observer.delayed.clear)
+            self.fleet.resume(self.fleet.nodes[name])
+        self.fleet.schedule(self.fleet.now + 0.2, self.observer.delayed.clear)
 
     def sample_third(self) -> list[str]:
         """Draw a third of the members, none of them a voter."""
@@ -121,12 +121,12 @@
 
 
 def _lossy_network(run: CaseRun) -> None:
-    run.fleet.net = State(delay=0.0005, jitter=0.0005, drop=0.3)
+    run.fleet.default_link = State(delay=0.0005, jitter=0.0005, drop=0.3)
 
 
 def _lossy_member(run: CaseRun) -> None:
     member = run.sample_member()
-    run.fleet.cut([n for n in run.names if n != member], [member], State(delay=0.0005, drop=0.8))
+    run.fleet.set_link([n for n in run.names if n != member], [member], State(delay=0.0005, drop=0.8))
 
 
 def _cut_edge(run: CaseRun) -> None:
@@ -134,35 +134,35 @@
     member = run.sample_member()
     found = views_of(run.fleet.nodes[member])
     assert found is not None
-    run.fleet.cut([member], [run.random.choice(found.rings.subjects(member))], CUT)
+    run.fleet.set_link([member], [run.random.choice(found.rings.subjects(member))], PARTITIONED)
 
 
 def _cut_from_half(run: CaseRun) -> None:
     member = run.sample_member()
-    run.fleet.cut(run.sample_half(member), [member], CUT)
+    run.fleet.set_link(run.sample_half(member), [member], PARTITIONED)
 
 
 def _mute_member(run: CaseRun) -> None:
     member = run.random.choice(run.names[5:])
     run.removed.add(member)
     run.observer.excluded.add(member)
-    run.fleet.cut([member], run.names, CUT)
+    run.fleet.set_link([member], run.names, PARTITIONED)
 
 
 def _deaf_member(run: CaseRun) -> None:
     member = run.random.choice(run.names[5:])
     run.removed.add(member)
     run.observer.excluded.add(member)
-    run.fleet.cut(run.names, [member], CUT)
+    run.fleet.set_link(run.names, [member], PARTITIONED)
 
 
 def _partition_voters(run: CaseRun) -> None:
     """Five voters apart 2, 2 and 1: the others are with the first two. Nobody has a majority."""
     sides = [["n0", "n1", *run.names[5:]], ["n2", "n3"], ["n4"]]
     for side in sides:
-        run.fleet.cut_off(side, CUT)
+        run.fleet.isolate(side, PARTITIONED)
     run.fault_end = run.fleet.now + 20
-    run.fleet.call(run.fault_end, run.fleet.mend)
+    run.fleet.schedule(run.fault_end, run.fleet.heal)
 
 
 def _change_address(run: CaseRun) -> None:
@@ -170,10 +170,10 @@
     name = run.random.choice(run.names[5:])
     node = run.fleet.nodes[name]
     run.fleet.kill(node)
-    del run.fleet.at[node.address]
+    del run.fleet.by_address[node.address]
     node.address = (node.address[0], node.address[1] + 1)
-    run.fleet.at[node.address] = node
-    run.fleet.call(run.fleet.now + 0.5, run.fleet.start, node)
+    run.fleet.by_address[node.address] = node
+    run.fleet.schedule(run.fleet.now + 0.5, run.fleet.start, node)
 
 
 def _double_fleet(run: CaseRun) -> None:
@@ -185,8 +185,8 @@
     for number in range(size, 2 * size):
         address = (f"127.5.{number // 250}.{number % 250 + 1}", 7000)
         node = Node(f"n{number}", address, number, "z0")
-        run.fleet.nodes[node.name] = run.fleet.at[address] = node
-        run.fleet.call(run.fleet.now + run.random.random(), run.fleet.start, node)
+        run.fleet.nodes[node.name] = run.fleet.by_address[address] = node
+        run.fleet.schedule(run.fleet.now + run.random.random(), run.fleet.start, node)
     run.names = list(run.fleet.nodes)
 
 
--- a/wheatring/lab/agreement/view_days.py
+++ b/wheatring/lab/agreement/view_days.py
@@ -21,7 +21,7 @@
 from msgspec import Struct, field
 
 from wheatring.lab.agreement.view_fleet import MakePieces, make_agreement, make_cluster, views_of
-from wheatring.lab.leases.cluster import CUT, Node
+from wheatring.lab.leases.cluster import PARTITIONED, Node
 from wheatring.lab.live.links.state import State
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.view_monitor import STAMP_VALID_SECONDS
@@ -96,7 +96,7 @@
         self.voters = random.choice([3, 5]) if kind == "mixed" else 3
         self.fleet = make_cluster(seed, size, self.voters, makes)
         self.day = Day(seed, kind)
-        self.fleet.after = self.check_after
+        self.fleet.after_event = self.check_after
         self.digests: dict[int, tuple[bytes, bytes]] = {}
         self.names: dict[int, frozenset[str]] = {}
         self.installed_at: dict[int, float] = {}  # when a view was first installed
@@ -104,13 +104,13 @@
         self.excused_until: dict[str, float] = {}  # until when a fault may remove a member
         self.changes = 0  # that removed a member, since the faults began
         for node in self.fleet.nodes.values():
-            node.fast = TERMS.max_clock_drift * (2 * random.random() - 1)
-            self.fleet.call(random.random(), self.fleet.start, node)
+            node.clock_drift = TERMS.max_clock_drift * (2 * random.random() - 1)
+            self.fleet.schedule(random.random(), self.fleet.start, node)
         faults = draw_faults(seed, kind, list(self.fleet.nodes), self.voters)
         for fault in faults:
-            self.fleet.call(fault.at, self.inject, fault)
+            self.fleet.schedule(fault.at, self.inject, fault)
         self.day.length_seconds = max(fault.at + fault.length for fault in faults) + RECOVERY_SECONDS
-        self.fleet.call(1.0, self.sample)
+        self.fleet.schedule(1.0, self.sample)
 
     def run(self) -> Day:
         """Play the day to its end and check the last invariants."""
@@ -140,7 +140,7 @@
         """Return the member that leads the register of views, or the first one."""
         for node in self.fleet.nodes.values():
             found = views_of(node)
-            if found is not None and not node.stopped and found.register.is_ready:
+            if found is not None and not node.is_stopped and found.register.is_ready:
                 return node.name
         return "n0"
 
@@ -171,14 +171,14 @@
             node = fleet.nodes[name]
             if kind in ("stall", "leader"):
                 fleet.stop(node)
-                fleet.call(over, fleet.go_on, node)
+                fleet.schedule(over, fleet.resume, node)
                 continue
             fleet.kill(node)
             if kind != "die":
-                fleet.call(over, fleet.start, node)
+                fleet.schedule(over, fleet.start, node)
             if kind == "again":
-                fleet.call(over + 1.0, fleet.kill, node)
-                fleet.call(over + 1.5, fleet.start, node)
+                fleet.schedule(over + 1.0, fleet.kill, node)
+                fleet.schedule(over + 1.5, fleet.start, node)
 
     def _inject_in_links(self, fault: Fault, over: float) -> None:
         """Put links between the affected members and the others into a bad state until `over`."""
@@ -187,13 +187,13 @@
         match fault.kind:
             case "half":
                 target, *half = names
-                self.set_links(tuple(half), (target,), CUT, over)
+                self.set_links(tuple(half), (target,), PARTITIONED, over)
             case "cut" | "split":
-                self.set_links(names, others, CUT, over)
-                self.set_links(others, names, CUT, over)
+                self.set_links(names, others, PARTITIONED, over)
+                self.set_links(others, names, PARTITIONED, over)
             case "one-way":
                 froms, tos = (names, others) if fault.size < 0.5 else (others, names)
-                self.set_links(froms, tos, CUT, over)
+                self.set_links(froms, tos, PARTITIONED, over)
             case "loss":
                 state = State(delay=0.001, jitter=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
                 self.set_links(tuple(fleet.nodes), tuple(fleet.nodes), state, over)
@@ -203,12 +203,12 @@
                 self.set_links(others, names, state, over)
             case "late-cut":
                 self.set_links(others, names, State(delay=fault.size, jitter=0.5), over)
-                fleet.call(fleet.now + 6.5, self.set_links, others, names, CUT, over)
+                fleet.schedule(fleet.now + 6.5, self.set_links, others, names, PARTITIONED, over)
 
     def set_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State, over: float) -> None:
         """Put links into a state until `over`."""
-        self.fleet.cut(froms, tos, state)
-        self.fleet.call(over, self.repair_links, froms, tos, state)
+        self.fleet.set_link(froms, tos, state)
+        self.fleet.schedule(over, self.repair_links, froms, tos, state)
 
     def repair_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State) -> None:
         """Repair links that this fault has put into a state; what another fault has done to them stays."""
@@ -264,7 +264,7 @@
     def check_confidence(self, node: Node) -> None:
         """Check that a member does not rely on an old view for too long, by clocks of any allowed rate."""
         found = views_of(node)
-        if found is None or node.stopped or not found.is_current(self.fleet.instant(node).now):
+        if found is None or node.is_stopped or not found.is_current(self.fleet.instant(node).now):
             return
         newer = self.installed_at.get(found.view.number + 1)
         if newer is not None and self.fleet.now - newer > STAMP_VALID_SECONDS * (
@@ -278,7 +278,7 @@
         for node in self.fleet.nodes.values():
             self.check_confidence(node)
         if self.fleet.now + 0.5 < self.day.length_seconds:
-            self.fleet.call(self.fleet.now + 0.5, self.sample)
+            self.fleet.schedule(self.fleet.now + 0.5, self.sample)
 
 
 def play(seed: int, kind: Kind = "mixed", makes: MakePieces = make_agreement) -> Day:
--- a/wheatring/lab/agreement/view_fleet.py
+++ b/wheatring/lab/agreement/view_fleet.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from wheatring.lab.leases.cluster import Cluster, Node
-from wheatring.lab.leases.membership import size_of
+from wheatring.lab.leases.membership import datagram_bytes
 from wheatring.lease.component import FleetComponent, Instant
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
@@ -37,8 +37,8 @@
         LeaseTiming(term),
         SwimTiming(),
         zones=2,
-        size_of=size_of,
-        pieces=makes,
+        size_of=datagram_bytes,
+        make_components=makes,
     )
 
 
@@ -82,8 +82,8 @@
         self.delayed: set[str] = set()  # members that install it late, as they were suspended
         self.samples = self.agreeing = 0
         self.installed: dict[str, int] = {}
-        fleet.after = self.observe
-        fleet.call(fleet.now, self.sample)
+        fleet.after_event = self.observe
+        fleet.schedule(fleet.now, self.sample)
 
     def observe(self, node: Node) -> None:
         """Note a view that a node has newly installed; called after each event of the node."""
@@ -104,7 +104,7 @@
         return [
             node
             for node in self.fleet.nodes.values()
-            if node.fleet is not None and not node.stopped and node.name not in self.excluded
+            if node.fleet is not None and not node.is_stopped and node.name not in self.excluded
         ]
 
     def sample(self) -> None:
@@ -113,7 +113,7 @@
         numbers = {one.view.number for one in found if self.view.member(one.fleet.me.name) == one.self_member}
         self.samples += 1
         self.agreeing += len(numbers) <= 1
-        self.fleet.call(self.fleet.now + self.interval_seconds, self.sample)
+        self.fleet.schedule(self.fleet.now + self.interval_seconds, self.sample)
 
     @property
     def agreement_share(self) -> float:
--- a/wheatring/lab/leases/__init__.py
+++ b/wheatring/lab/leases/__init__.py
@@ -1,1 +1,1 @@
-"""What the deciders of terms are held to: every order of events within bounds, and days that are drawn."""
+"""Checks of leases and membership: a model checker, drawn days of a virtual fleet, and measurements."""
--- a/wheatring/lab/leases/check.py
+++ b/wheatring/lab/leases/check.py
@@ -1,4 +1,4 @@
-"""All that the deciders of terms are held to: orders of events, planted faults, drawn days, handovers.
+"""All that the deciders of leases are held to: orders of events, planted faults, drawn days, handovers.
 
 Work is shared out over processes.
 """
@@ -10,82 +10,112 @@
 from functools import partial
 
 from wheatring.lab.leases import days
-from wheatring.lab.leases.handover import HOWS, handover
+from wheatring.lab.leases.handover import LOSS_KINDS, handover
 from wheatring.lab.leases.model import Bounds, Model
-from wheatring.lab.leases.planted import PLANTED
-from wheatring.lab.leases.search import Found, search
+from wheatring.lab.leases.planted_faults import PLANTED_FAULTS
+from wheatring.lab.leases.search import SearchResult, search
 
-WITHIN = (
+BOUNDS = (
     Bounds(ticks=14, faults=1),
-    Bounds(ticks=14, faults=1, claimants_fast=-0.1, voters_fast=0.1),
-    Bounds(ticks=14, faults=1, claimants_fast=0.1, voters_fast=-0.1),
-    Bounds(ticks=4, faults=1, claimants=3),
-    Bounds(ticks=7, faults=2, claimants_fast=-0.1, voters_fast=0.1),
+    Bounds(ticks=14, faults=1, proposer_drift=-0.1, acceptor_drift=0.1),
+    Bounds(ticks=14, faults=1, proposer_drift=0.1, acceptor_drift=-0.1),
+    Bounds(ticks=4, faults=1, proposers=3),
+    Bounds(ticks=7, faults=2, proposer_drift=-0.1, acceptor_drift=0.1),
     Bounds(ticks=4, faults=2),
 )
-EACH = 20  # days that a process plays in one go
+DAYS_PER_TASK = 20
+HANDOVER_SEEDS = 100
+MAX_SHOWN_BREACHES = 20
+MAX_RELEASE_HANDOVER_SECONDS = 0.3
+MAX_HANDOVER_LEASES = 1.5  # where the holder is lost in another way
 
 
-def _within(most: int, number: int) -> Found:
-    return search(Model(WITHIN[number]), most)
+def _search_bounds(max_states: int, number: int) -> SearchResult:
+    return search(Model(BOUNDS[number]), max_states)
 
 
-def _planted(most: int, number: int) -> Found:
-    planted = PLANTED[number]
-    return search(Model(planted.bounds, planted.makes), most)
+def _search_planted(max_states: int, number: int) -> SearchResult:
+    planted = PLANTED_FAULTS[number]
+    return search(Model(planted.bounds, planted.deciders), max_states)
 
 
-def _days(first: int, count: int) -> list[days.Day]:
+def _play_days(first: int, count: int) -> list[days.Day]:
     return [days.play(seed) for seed in range(first, first + count)]
 
 
-def lines(drawn: int, most: int, jobs: int, fail: Callable[[], object]) -> Iterator[str]:
-    """What is found, line by line; `fail` is called for each thing that is not as it has to be."""
-    with ProcessPoolExecutor(jobs) as pool:
-        planted = pool.map(partial(_planted, most), range(len(PLANTED)))
-        played = pool.map(_days, range(1, drawn + 1, EACH), [EACH] * len(range(1, drawn + 1, EACH)))
-        within = pool.map(partial(_within, most), range(len(WITHIN)))
-        for one, found in zip(PLANTED, planted, strict=True):
-            if found.story:
-                yield f"found: {one.what}; {len(found.story) - 1} steps, {found.states} states"
-                yield from (f"    {step}" for step in found.story)
-            else:
-                fail()
-                yield f"NOT FOUND: {one.what}; {found.states} states"
-        yield from _judged([day for part in played for day in part], fail)
-        yield from _handovers(pool, fail)
-        for bounds, found in zip(WITHIN, within, strict=True):
-            whole = "all" if found.whole else "the first"
-            size = f"{whole} {found.states} states, {found.depth} steps, {found.seconds:.0f} s"
-            yield f"{size}: {bounds.shown()}"
-            if found.story:
-                fail()
-                yield from (f"    {step}" for step in found.story)
-
-
-def _judged(played: list[days.Day], fail: Callable[[], object]) -> Iterator[str]:
+def report_lines(
+    days_count: int, max_states: int, processes: int, on_failure: Callable[[], object]
+) -> Iterator[str]:
+    """Run all checks and return their report, line by line.
+
+    Parameters
+    ----------
+    days_count : int
+        How many drawn days to play.
+    max_states : int
+        How many states of a model are searched at most.
+    processes : int
+        How many processes share the work.
+    on_failure : callable
+        Called for each thing that is not as it has to be.
+    """
+    with ProcessPoolExecutor(processes) as pool:
+        planted = pool.map(partial(_search_planted, max_states), range(len(PLANTED_FAULTS)))
+        firsts = range(1, days_count + 1, DAYS_PER_TASK)
+        played = pool.map(_play_days, firsts, [DAYS_PER_TASK] * len(firsts))
+        sound = pool.map(partial(_search_bounds, max_states), range(len(BOUNDS)))
+        yield from _planted_lines(planted, on_failure)
+        yield from _day_lines([day for part in played for day in part], on_failure)
+        yield from _handover_lines(pool, on_failure)
+        yield from _search_lines(sound, on_failure)
+
+
+def _planted_lines(results: Iterator[SearchResult], on_failure: Callable[[], object]) -> Iterator[str]:
+    for planted, result in zip(PLANTED_FAULTS, results, strict=True):
+        if result.trace:
+            yield f"found: {planted.description}; {len(result.trace) - 1} steps, {result.state_count} states"
+            yield from (f"    {step}" for step in result.trace)
+        else:
+            on_failure()
+            yield f"NOT FOUND: {planted.description}; {result.state_count} states"
+
+
+def _search_lines(results: Iterator[SearchResult], on_failure: Callable[[], object]) -> Iterator[str]:
+    for bounds, result in zip(BOUNDS, results, strict=True):
+        extent = "all" if result.is_complete else "the first"
+        size = f"{extent} {result.state_count} states, {result.depth} steps, {result.seconds:.0f} s"
+        yield f"{size}: {bounds.describe()}"
+        if result.trace:
+            on_failure()
+            yield from (f"    {step}" for step in result.trace)
+
+
+def _day_lines(played: list[days.Day], on_failure: Callable[[], object]) -> Iterator[str]:
     breaches = [(day.seed, breach) for day in played for breach in day.breaches]
-    seconds = days.LENGTH * len(played)
+    seconds = days.DAY_SECONDS * len(played)
     yield (
-        f"{len(played)} drawn days: {sum(day.terms for day in played)} terms, "
-        f"{sum(day.acts for day in played)} acts let in, {sum(day.refused for day in played)} refused, "
-        f"held {sum(day.held for day in played) / max(1.0, seconds):.2f} of the time, "
+        f"{len(played)} drawn days: {sum(day.lease_count for day in played)} terms, "
+        f"{sum(day.admitted_acts for day in played)} acts let in, "
+        f"{sum(day.rejected_acts for day in played)} refused, "
+        f"held {sum(day.held_seconds for day in played) / max(1.0, seconds):.2f} of the time, "
         f"{len(breaches)} breaches"
     )
-    for seed, breach in breaches[:20]:
-        fail()
+    for seed, breach in breaches[:MAX_SHOWN_BREACHES]:
+        on_failure()
         yield f"    day {seed}, {breach}"
 
 
-def _handovers(pool: ProcessPoolExecutor, fail: Callable[[], object]) -> Iterator[str]:
-    term = days.TERMS.lease_seconds
-    for how in HOWS:
-        found = list(pool.map(partial(handover, how=how), range(1, 101)))
-        took, apart = sorted(each[0] for each in found), min(each[1] for each in found)
-        bound = 0.3 if how == "release" else 1.5 * term
-        if took[-1] > bound or apart <= 0:
-            fail()
+def _handover_lines(pool: ProcessPoolExecutor, on_failure: Callable[[], object]) -> Iterator[str]:
+    for kind in LOSS_KINDS:
+        measured = list(pool.map(partial(handover, kind=kind), range(1, HANDOVER_SEEDS + 1)))
+        took = sorted(each.seconds_to_next for each in measured)
+        gap = min(each.gap_seconds for each in measured)
+        bound = MAX_HANDOVER_LEASES * days.TIMING.lease_seconds
+        if kind == "release":
+            bound = MAX_RELEASE_HANDOVER_SECONDS
+        if took[-1] > bound or gap <= 0:
+            on_failure()
         yield (
-            f"holder lost by {how}, 100 seeds: the next after {took[50]:.2f} s (median), {took[-1]:.2f} "
-            f"(most; {bound:g}), {apart * 1000:.0f} ms after the last term's end at least"
+            f"holder lost by {kind}, {HANDOVER_SEEDS} seeds: the next after {took[50]:.2f} s (median), "
+            f"{took[-1]:.2f} (most; {bound:g}), {gap * 1000:.0f} ms after the last term's end at least"
         )
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: the deciders of many sidecars, the network between them, and what befalls both."""
+"""A fleet in virtual time: the deciders of many sidecars, the network between them, and faults of both."""
 
 from __future__ import annotations
 
@@ -18,31 +18,34 @@
 from wheatring.members.messages import Address, MemberInfo
 from wheatring.members.timing import SwimTiming
 
-YEAR = 1_700_000_000_000  # Unix time, ms, at which days begin
-STREAM = 2.0  # seconds after which a body that does not come is given up
+START_UNIX_MS = 1_700_000_000_000  # Unix time, ms, at which days begin
+FETCH_TIMEOUT_SECONDS = 2.0  # after which a payload that does not come is given up
 
 
 class Node:
-    """One sidecar's place: its clocks, and the process that runs there, if one does."""
+    """One sidecar's host: its clocks, and the process that runs there, if one does."""
 
     def __init__(self, name: str, address: Address, number: int, zone: str) -> None:
         self.name = name
         self.address = address
         self.number = number
         self.zone = zone
-        self.fast = 0.0  # part of 1 by which its clocks run fast
-        self.wall = 0  # ms by which its Unix time is ahead
+        self.clock_drift = 0.0  # as a part of 1; above 0 its clocks run fast
+        self.wall_offset_ms = 0  # by which its Unix time is ahead
         self.starts = 0
         self.fleet: Fleet | None = None
-        self.stopped = False
-        self.waiting: list[tuple[str, Any]] = []  # words that came while it was stopped
-        self.wake = 0  # the number of the tick that is to come
+        self.is_stopped = False
+        self.deferred: list[tuple[str, Any]] = []  # messages that came while it was stopped
+        self.tick_number = 0  # the number of the tick that is to come
         self.sent = self.sent_bytes = 0
 
 
 class Cluster:
-    """`changed` is called with each change of office, right as it happens; `after` after each event of a
-    process. `pieces` makes the further deciders of a process.
+    """A fleet in virtual time.
+
+    `on_role_change` is called with each role gained or lost, right as it happens, and `after_event` after
+    each event of a process. `make_components` makes the further deciders of a process, `size_of` gives a
+    message's bytes.
     """
 
     def __init__(
@@ -50,50 +53,57 @@
         seed: int,
         size: int,
         voters: VoterSet,
-        plans: Sequence[RoleSettings],
-        terms: LeaseTiming,
-        pace: SwimTiming,
+        role_settings: Sequence[RoleSettings],
+        timing: LeaseTiming,
+        swim_timing: SwimTiming,
         zones: int = 1,
         size_of: Callable[[Any], int] | None = None,
-        pieces: Callable[[Instant, Fleet], list[FleetComponent]] | None = None,
+        make_components: Callable[[Instant, Fleet], list[FleetComponent]] | None = None,
     ) -> None:
         self.random = Random(seed)
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.number = count()
-        self.voters, self.plans, self.terms, self.pace = voters, plans, terms, pace
-        self.net = State(delay=0.0005, jitter=0.0005)
+        self.voters = voters
+        self.role_settings = role_settings
+        self.timing = timing
+        self.swim_timing = swim_timing
+        self.default_link = State(delay=0.0005, jitter=0.0005)
         self.links: dict[tuple[str, str], State] = {}
         self.size_of = size_of
-        self.pieces = pieces
-        self.after: Callable[[Node], None] = lambda node: None
-        self.changed: Callable[[Node, RoleChange], None] = lambda node, change: None
+        self.make_components = make_components
+        self.after_event: Callable[[Node], None] = lambda _node: None
+        self.on_role_change: Callable[[Node, RoleChange], None] = lambda _node, _change: None
         self.nodes: dict[str, Node] = {}
-        self.at: dict[Address, Node] = {}
+        self.by_address: dict[Address, Node] = {}
         for number in range(size):
             address = (f"127.5.{number // 250}.{number % 250 + 1}", 7000)
             node = Node(f"n{number}", address, number, f"z{number % zones}")
-            self.nodes[node.name] = self.at[address] = node
+            self.nodes[node.name] = self.by_address[address] = node
         self.seeds = [node.address for node in list(self.nodes.values())[:3]]
 
     # Time
 
-    def call(self, at: float, call: Callable[..., None], *args: Any) -> None:
+    def schedule(self, at: float, call: Callable[..., None], *args: Any) -> None:
+        """Call a function at a virtual time, in seconds."""
         heappush(self.queue, (at, next(self.number), call, args))
 
     def run(self, until: float) -> None:
+        """Run all events up to a virtual time."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, call, args = heappop(self.queue)
             call(*args)
         self.now = until
 
     def instant(self, node: Node) -> Instant:
-        own = self.now * (1 + node.fast)
-        return Instant(own, own, YEAR + round(self.now * 1000) + node.wall)
+        """Return now by a node's clocks."""
+        own = self.now * (1 + node.clock_drift)
+        return Instant(own, own, START_UNIX_MS + round(self.now * 1000) + node.wall_offset_ms)
 
     # Processes
 
     def start(self, node: Node) -> None:
+        """Start a process on a node, unless one runs there."""
         if node.fleet is not None:
             return
         node.starts += 1
@@ -101,119 +111,142 @@
         who = MemberInfo(node.name, *node.address, node.number, 0, node.zone, self.voters.digest)
         random = Random(f"{self.random.random()}:{node.name}")
         node.fleet = Fleet(
-            at, who, at.wall, self.seeds, self.voters, self.plans, self.terms, self.pace, random
+            at,
+            who,
+            at.wall,
+            self.seeds,
+            self.voters,
+            self.role_settings,
+            self.timing,
+            self.swim_timing,
+            random,
         )
-        if self.pieces is not None:
-            node.fleet.components = self.pieces(at, node.fleet)
-        self.plan(node)
+        if self.make_components is not None:
+            node.fleet.components = self.make_components(at, node.fleet)
+        self.schedule_tick(node)
 
     def kill(self, node: Node) -> None:
+        """Kill a node's process."""
         node.fleet = None
-        node.stopped = False
-        node.waiting.clear()
+        node.is_stopped = False
+        node.deferred.clear()
 
     def stop(self, node: Node) -> None:
-        node.stopped = node.fleet is not None
+        """Stop a node's process, as SIGSTOP does."""
+        node.is_stopped = node.fleet is not None
 
-    def go_on(self, node: Node) -> None:
-        """Whatever lay in its socket is heard first."""
-        if not node.stopped:
+    def resume(self, node: Node) -> None:
+        """Let a stopped process go on; whatever lay in its socket is received first."""
+        if not node.is_stopped:
             return
-        node.stopped = False
-        for sender, word in node.waiting:
-            self.hear(node, sender, word)
-        node.waiting.clear()
-        self.tick(node, node.wake)
-
-    def plan(self, node: Node) -> None:
+        node.is_stopped = False
+        for sender, message in node.deferred:
+            self.receive(node, sender, message)
+        node.deferred.clear()
+        self.tick(node, node.tick_number)
+
+    def schedule_tick(self, node: Node) -> None:
+        """Schedule the next tick of a node's process, in place of the one scheduled before."""
         assert node.fleet is not None
-        node.wake += 1
-        wait = node.fleet.seconds_until_due(self.instant(node)) / (1 + node.fast)
-        self.call(self.now + max(wait, 0.0005), self.tick, node, node.wake)
+        node.tick_number += 1
+        wait = node.fleet.seconds_until_due(self.instant(node)) / (1 + node.clock_drift)
+        self.schedule(self.now + max(wait, 0.0005), self.tick, node, node.tick_number)
 
     def tick(self, node: Node, wake: int) -> None:
-        if node.fleet is None or node.stopped or wake != node.wake:
+        """Let a process do what is due, unless another tick was scheduled since."""
+        if node.fleet is None or node.is_stopped or wake != node.tick_number:
             return
-        self.say(node, node.fleet.tick(self.instant(node)))
+        self.send(node, node.fleet.tick(self.instant(node)))
 
-    def say(self, node: Node, out: list[Outgoing]) -> None:
-        """Send what a process has to say, and tell what changed; called after each of its events."""
+    def send(self, node: Node, out: list[Outgoing]) -> None:
+        """Send what a process returned, and report what changed; called after each of its events."""
         assert node.fleet is not None
-        for address, word in out:
-            target = self.at.get(address)
+        for address, message in out:
+            target = self.by_address.get(address)
             if target is None:
                 continue
             node.sent += 1
             if self.size_of is not None:
-                node.sent_bytes += self.size_of(word)
-            state = self.links.get((node.name, target.name), self.net)
-            for due in datagram(self.now, state, True, self.random) if target is not node else [self.now]:
-                self.call(due, self.arrive, target, node.name, word)
+                node.sent_bytes += self.size_of(message)
+            state = self.links.get((node.name, target.name), self.default_link)
+            arrivals = datagram(self.now, state, True, self.random) if target is not node else [self.now]
+            for due in arrivals:
+                self.schedule(due, self.deliver, target, node.name, message)
         changes, node.fleet.role_changes = node.fleet.role_changes, []
         for change in changes:
-            self.changed(node, change)
+            self.on_role_change(node, change)
         if node.fleet is not None:
             fetches, node.fleet.fetch_requests = node.fleet.fetch_requests, []
             for fetch in fetches:
-                self.call(self.now + 4 * self.net.delay, self.carry, node, node.starts, fetch)
-            self.after(node)
-            self.plan(node)
+                self.schedule(
+                    self.now + 4 * self.default_link.delay, self.fetch_payload, node, node.starts, fetch
+                )
+            self.after_event(node)
+            self.schedule_tick(node)
 
     # Bodies
 
-    def carry(self, node: Node, start: int, fetch: FetchRequest) -> None:
-        """One asks another for a body over a connection, which a cut either way keeps from coming up."""
-        other = self.at.get(fetch.address)
+    def fetch_payload(self, node: Node, start: int, fetch: FetchRequest) -> None:
+        """Let one node ask another for a payload over a connection.
+
+        A partition in either direction keeps the connection from coming up.
+        """
+        other = self.by_address.get(fetch.address)
         body = None
-        if other is not None and other.fleet is not None and not other.stopped:
+        if other is not None and other.fleet is not None and not other.is_stopped:
             pairs = ((node.name, other.name), (other.name, node.name))
-            both = [self.links.get(pair, self.net) for pair in pairs]
+            both = [self.links.get(pair, self.default_link) for pair in pairs]
             if all(state.there for state in both):
                 body = other.fleet.payloads.get(fetch.digest)
                 late = sum(state.delay + state.jitter * self.random.random() for state in both)
-                self.call(self.now + late, self.carried, node, start, fetch, body)
+                self.schedule(self.now + late, self.deliver_payload, node, start, fetch, body)
                 return
-        self.call(self.now + STREAM, self.carried, node, start, fetch, None)
+        self.schedule(self.now + FETCH_TIMEOUT_SECONDS, self.deliver_payload, node, start, fetch, None)
 
-    def carried(self, node: Node, start: int, fetch: FetchRequest, body: bytes | None) -> None:
+    def deliver_payload(self, node: Node, start: int, fetch: FetchRequest, body: bytes | None) -> None:
+        """Deliver the answer to a fetch; a process that has started since doesn't get it."""
         if node.fleet is None or node.starts != start:
             return
-        if node.stopped:
-            self.call(self.now + 0.05, self.carried, node, start, fetch, body)
+        if node.is_stopped:
+            self.schedule(self.now + 0.05, self.deliver_payload, node, start, fetch, body)
             return
-        self.say(node, node.fleet.receive_payload(self.instant(node), fetch.digest, body))
+        self.send(node, node.fleet.receive_payload(self.instant(node), fetch.digest, body))
 
-    def arrive(self, node: Node, sender: str, word: Any) -> None:
+    def deliver(self, node: Node, sender: str, message: Any) -> None:
+        """Deliver a message; a stopped process finds it when it goes on."""
         if node.fleet is None:
             return
-        if node.stopped:
-            if len(node.waiting) < 500:
-                node.waiting.append((sender, word))
+        if node.is_stopped:
+            if len(node.deferred) < 500:
+                node.deferred.append((sender, message))
             return
-        self.hear(node, sender, word)
+        self.receive(node, sender, message)
 
-    def hear(self, node: Node, sender: str, word: Any) -> None:
+    def receive(self, node: Node, sender: str, message: Any) -> None:
+        """Let a process handle a message."""
         if node.fleet is None:
             return
         where = self.nodes[sender].address
-        self.say(node, node.fleet.receive(self.instant(node), sender, where, word))
+        self.send(node, node.fleet.receive(self.instant(node), sender, where, message))
 
     # Links
 
-    def cut(self, froms: Sequence[str], tos: Sequence[str], state: State) -> None:
-        for one in froms:
-            for other in tos:
-                if one != other:
-                    self.links[one, other] = state
+    def set_link(self, sources: Sequence[str], targets: Sequence[str], state: State) -> None:
+        """Set the state of the links from some nodes to others."""
+        for source in sources:
+            for target in targets:
+                if source != target:
+                    self.links[source, target] = state
 
-    def cut_off(self, names: Sequence[str], state: State) -> None:
-        """Both ways, from all others."""
+    def isolate(self, names: Sequence[str], state: State) -> None:
+        """Set the state of all links between these nodes and the others, in both directions."""
         others = [name for name in self.nodes if name not in names]
-        self.cut(names, others, state)
-        self.cut(others, names, state)
+        self.set_link(names, others, state)
+        self.set_link(others, names, state)
 
-    def mend(self) -> None:
+    def heal(self) -> None:
+        """Set all links back to the default."""
         self.links.clear()
 
 
-CUT = State(there=False)
+PARTITIONED = State(there=False)
--- a/wheatring/lab/leases/handover.py
+++ b/wheatring/lab/leases/handover.py
@@ -1,61 +1,73 @@
-"""How long it takes until the next one holds a duty, in a fleet to which nothing else happens."""
+"""How long it takes until the next member holds a role, in a fleet to which nothing else happens."""
 
 from __future__ import annotations
 
 from math import inf
 from random import Random
-from typing import Literal
+from typing import Literal, NamedTuple
 
-from wheatring.lab.leases.cluster import CUT, Cluster, Node
+from wheatring.lab.leases.cluster import PARTITIONED, Cluster, Node
 from wheatring.lease.singleton_role import RoleChange, RoleSettings
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
 
-How = Literal["kill", "stall", "cut", "deaf", "unheard", "release"]
-HOWS: tuple[How, ...] = ("kill", "stall", "cut", "deaf", "unheard", "release")
-DUTY = "duty"
-LOST = 12.0  # when the holder is lost, at the earliest
+LossKind = Literal["kill", "stall", "cut", "deaf", "unheard", "release"]
+LOSS_KINDS: tuple[LossKind, ...] = ("kill", "stall", "cut", "deaf", "unheard", "release")
+ROLE = "duty"
+LOST_AFTER_SECONDS = 12.0  # when the holder is lost, at the earliest
 
 
-def handover(seed: int, how: How, size: int = 5, terms: LeaseTiming | None = None) -> tuple[float, float]:
-    """Seconds from when the holder is lost to the next term, and from the end of its term to that."""
-    terms = terms or LeaseTiming()
+class Handover(NamedTuple):
+    """One measured handover, in seconds; infinite where nobody followed."""
+
+    seconds_to_next: float  # from the holder's loss to the next lease
+    gap_seconds: float  # from the end of its lease to the next
+
+
+def handover(seed: int, kind: LossKind, size: int = 5, timing: LeaseTiming | None = None) -> Handover:
+    """Lose the holder of a role in one way, and measure when the next one holds it."""
+    timing = timing or LeaseTiming()
     random = Random(f"{seed}:handover")
-    voters = VoterSet(first_voters(3))
-    cluster = Cluster(seed, size, voters, [RoleSettings(DUTY)], terms, SwimTiming(), zones=2)
-    took: list[tuple[str, float]] = []
+    cluster = Cluster(
+        seed, size, VoterSet(first_voters(3)), [RoleSettings(ROLE)], timing, SwimTiming(), zones=2
+    )
+    gains: list[tuple[str, float]] = []
 
-    def changed(node: Node, change: RoleChange) -> None:
+    def on_role_change(node: Node, change: RoleChange) -> None:
         if not change.reason:
-            took.append((node.name, cluster.now))
+            gains.append((node.name, cluster.now))
 
-    cluster.changed = changed
+    cluster.on_role_change = on_role_change
     for node in cluster.nodes.values():
-        node.fast = terms.max_clock_drift * (2 * random.random() - 1)
-        cluster.call(random.random(), cluster.start, node)
-    at = LOST + 3 * terms.lease_seconds * random.random()
+        node.clock_drift = timing.max_clock_drift * (2 * random.random() - 1)
+        cluster.schedule(random.random(), cluster.start, node)
+    at = LOST_AFTER_SECONDS + 3 * timing.lease_seconds * random.random()
     cluster.run(at)
-    name = took[-1][0]
-    holder = cluster.nodes[name]
+    lease_ends = _lose(cluster, cluster.nodes[gains[-1][0]], kind)
+    count = len(gains)
+    cluster.run(at + 5 * timing.lease_seconds)
+    next_at = gains[count][1] if len(gains) > count else inf
+    return Handover(next_at - at, next_at - lease_ends)
+
+
+def _lose(cluster: Cluster, holder: Node, kind: LossKind) -> float:
+    """Lose the holder in this way; return when its lease ends."""
     assert holder.fleet is not None
-    held = holder.fleet.roles[DUTY].held_lease
-    ends = held.held_until / (1 + holder.fast) if held is not None else at
-    match how:
+    held = holder.fleet.roles[ROLE].held_lease
+    lease_ends = held.held_until / (1 + holder.clock_drift) if held is not None else cluster.now
+    match kind:
         case "kill":
             cluster.kill(holder)
         case "stall":
             cluster.stop(holder)
         case "cut" | "deaf" | "unheard":
-            others = [other for other in cluster.nodes if other != name]
-            if how != "deaf":
-                cluster.cut([name], others, CUT)
-            if how != "unheard":
-                cluster.cut(others, [name], CUT)
+            others = [other for other in cluster.nodes if other != holder.name]
+            if kind != "deaf":
+                cluster.set_link([holder.name], others, PARTITIONED)
+            if kind != "unheard":
+                cluster.set_link(others, [holder.name], PARTITIONED)
         case "release":
-            ends = at
-            cluster.say(holder, holder.fleet.release_role(cluster.instant(holder), DUTY))
-    before = len(took)
-    cluster.run(at + 5 * terms.lease_seconds)
-    after = took[before][1] if len(took) > before else inf
-    return after - at, after - ends
+            lease_ends = cluster.now
+            cluster.send(holder, holder.fleet.release_role(cluster.instant(holder), ROLE))
+    return lease_ends
--- a/wheatring/lab/leases/membership.py
+++ b/wheatring/lab/leases/membership.py
@@ -16,10 +16,10 @@
 from wheatring.members.messages import ALIVE, DEAD, SUSPECT
 from wheatring.members.timing import SwimTiming
 
-FRAME = 50  # bytes of a datagram besides its word
-JOINED = 40.0  # seconds from the start until it is looked at
-DEAD_AT = 60.0
-LOOK = 60.0
+FRAME_BYTES = 50  # of a datagram besides its message
+JOINED_AFTER_SECONDS = 40.0  # from the start until it is measured
+FAILURE_AT_SECONDS = 60.0
+OBSERVATION_SECONDS = 60.0
 
 
 @lru_cache(1)
@@ -27,21 +27,25 @@
     return msgspec.msgpack.Encoder()
 
 
-def size_of(word: FleetMessage) -> int:
-    return FRAME + len(_encoder().encode(word))
+def datagram_bytes(message: FleetMessage) -> int:
+    """Return the size of a datagram with this message."""
+    return FRAME_BYTES + len(_encoder().encode(message))
 
 
-def fleet(seed: int, size: int, loss: float = 0.0) -> Cluster:
-    cluster = Cluster(seed, size, VoterSet(first_voters(3)), [], LeaseTiming(), SwimTiming(), size_of=size_of)
+def start_fleet(seed: int, size: int, loss: float = 0.0) -> Cluster:
+    """Start all members of a fleet within a second; `loss` is the part of datagrams that is lost."""
+    cluster = Cluster(
+        seed, size, VoterSet(first_voters(3)), [], LeaseTiming(), SwimTiming(), size_of=datagram_bytes
+    )
     if loss:
-        cluster.net = State(delay=0.0005, jitter=0.0005, drop=loss)
+        cluster.default_link = State(delay=0.0005, jitter=0.0005, drop=loss)
     for node in cluster.nodes.values():
-        cluster.call(cluster.random.random(), cluster.start, node)
+        cluster.schedule(cluster.random.random(), cluster.start, node)
     return cluster
 
 
 def _states(cluster: Cluster, state: int) -> int:
-    """How many views there are in which somebody who is there is held to be that."""
+    """Return in how many members' tables somebody who is alive is held to be in this state."""
     here = {node.name for node in cluster.nodes.values() if node.fleet is not None}
     return sum(
         row.state == state and name in here
@@ -51,71 +55,74 @@
     )
 
 
-def _known(cluster: Cluster, gone: set[str]) -> float:
-    """The part of all views in which those who are gone are held to be gone."""
+def _known(cluster: Cluster, failed: set[str]) -> float:
+    """Return the part of all tables in which those who have failed are held to be dead."""
     views = [node.fleet.members.table.records for node in cluster.nodes.values() if node.fleet is not None]
-    right = sum(name not in rows or rows[name].state == DEAD for rows in views for name in gone)
-    return right / max(1, len(views) * len(gone))
+    right = sum(name not in rows or rows[name].state == DEAD for rows in views for name in failed)
+    return right / max(1, len(views) * len(failed))
 
 
-def costs(seed: int, size: int) -> Iterator[str]:
-    """Joining, what a member sends, and how the dead are found."""
-    cluster = fleet(seed, size)
-    cluster.run(JOINED)
+def membership_costs(seed: int, size: int) -> Iterator[str]:
+    """Measure joining, what a member sends, and how the dead are found; return the report's lines."""
+    cluster = start_fleet(seed, size)
+    cluster.run(JOINED_AFTER_SECONDS)
     nodes = list(cluster.nodes.values())
     knows = [len(node.fleet.members.alive_members()) for node in nodes if node.fleet is not None]
-    yield f"{size} members that start within a second: after {JOINED:g} s each knows {min(knows)} at least"
+    yield (
+        f"{size} members that start within a second: "
+        f"after {JOINED_AFTER_SECONDS:g} s each knows {min(knows)} at least"
+    )
     for node in nodes:
         node.sent = node.sent_bytes = 0
-    cluster.run(DEAD_AT)
-    seconds = DEAD_AT - JOINED
+    cluster.run(FAILURE_AT_SECONDS)
+    seconds = FAILURE_AT_SECONDS - JOINED_AFTER_SECONDS
     sent, told = [n.sent / seconds for n in nodes], [n.sent_bytes / seconds for n in nodes]
     yield (
         f"a member sends {sum(sent) / size:.2f} datagrams and {sum(told) / size:.0f} bytes a second "
         f"({max(sent):.2f} and {max(told):.0f} at most)"
     )
-    gone = {node.name for node in cluster.random.sample(nodes[5:], max(1, size // 100))}
-    for name in sorted(gone):
+    failed = {node.name for node in cluster.random.sample(nodes[5:], max(1, size // 100))}
+    for name in sorted(failed):
         cluster.kill(cluster.nodes[name])
-    half = whole = 0.0
-    while not whole and cluster.now < DEAD_AT + 120:
+    half = complete = 0.0
+    while not complete and cluster.now < FAILURE_AT_SECONDS + 120:
         cluster.run(cluster.now + 1)
-        part = _known(cluster, gone)
-        half = half or (cluster.now - DEAD_AT if part >= 0.5 else 0.0)
-        whole = cluster.now - DEAD_AT if part == 1 else 0.0
-    yield f"{len(gone)} dead: in half of all views after {half:.0f} s, in all after {whole:.0f} s"
+        part = _known(cluster, failed)
+        half = half or (cluster.now - FAILURE_AT_SECONDS if part >= 0.5 else 0.0)
+        complete = cluster.now - FAILURE_AT_SECONDS if part == 1 else 0.0
+    yield f"{len(failed)} dead: in half of all views after {half:.0f} s, in all after {complete:.0f} s"
 
 
-def blames(seed: int, size: int, loss: float, stalled: float) -> Iterator[str]:
-    """How often somebody who is there is suspected, or taken for dead."""
-    cluster = fleet(seed, size, loss)
-    cluster.run(JOINED)
+def false_suspicions(seed: int, size: int, loss: float, stalled: float) -> Iterator[str]:
+    """Measure how often somebody who is alive is suspected, or taken for dead."""
+    cluster = start_fleet(seed, size, loss)
+    cluster.run(JOINED_AFTER_SECONDS)
     counted = {SUSPECT: 0, DEAD: 0, ALIVE: 0}
     for node in cluster.nodes.values():
         assert node.fleet is not None
         table = node.fleet.members.table
-        node.fleet.members.table.apply = _counting(cluster, node, table.apply, counted)  # type: ignore[method-assign]
-    ill: list[Node] = cluster.random.sample(list(cluster.nodes.values()), round(size * stalled))
-    for node in ill:
+        node.fleet.members.table.apply = _count_suspicions(cluster, node, table.apply, counted)  # type: ignore[method-assign]
+    stopped: list[Node] = cluster.random.sample(list(cluster.nodes.values()), round(size * stalled))
+    for node in stopped:
         at = cluster.now + cluster.random.random() * 30
-        cluster.call(at, cluster.stop, node)
-        cluster.call(at + 5.0, cluster.go_on, node)
-    cluster.run(JOINED + LOOK)
-    hours = LOOK / 3600
-    what = f"{loss:.0%} lost" if loss else f"{len(ill)} of them stopped for 5 s"
+        cluster.schedule(at, cluster.stop, node)
+        cluster.schedule(at + 5.0, cluster.resume, node)
+    cluster.run(JOINED_AFTER_SECONDS + OBSERVATION_SECONDS)
+    hours = OBSERVATION_SECONDS / 3600
+    what = f"{loss:.0%} lost" if loss else f"{len(stopped)} of them stopped for 5 s"
     yield (
-        f"{size} members, {what}, {LOOK:g} s: {counted[SUSPECT]} suspected who were there "
+        f"{size} members, {what}, {OBSERVATION_SECONDS:g} s: {counted[SUSPECT]} suspected who were there "
         f"({counted[SUSPECT] / hours / size:.1f} an hour for each), {counted[DEAD]} taken for dead; "
         f"{_states(cluster, DEAD)} views hold one for dead who is there at the end"
     )
 
 
-def _counting(cluster: Cluster, node: Node, learn: Any, counted: dict[int, int]) -> Any:
+def _count_suspicions(cluster: Cluster, node: Node, learn: Any, counted: dict[int, int]) -> Any:
     def counts(now: float, rumour: Any) -> Any:
         found = learn(now, rumour)
         own = rumour.state in (SUSPECT, DEAD) and rumour.source == node.name
         there = cluster.nodes[rumour.member.name]
-        if own and found is not None and found[1] and there.fleet is not None and not there.stopped:
+        if own and found is not None and found[1] and there.fleet is not None and not there.is_stopped:
             counted[rumour.state] += 1
         return found
 
