--- a/tests/lifecycle/test_stored_files.py
+++ b/tests/lifecycle/test_stored_files.py
@@ -36,7 +36,7 @@
     living = os.open(path, os.O_RDWR)
     try:
         fcntl.flock(living, fcntl.LOCK_EX)
-        stated, others = folder.claim_limit(lambda newest, ceilings: 1024 - sum(ceilings) if newest else 0)
+        stated, others = folder.state_limit(lambda newest, ceilings: 1024 - sum(ceilings) if newest else 0)
     finally:
         os.close(living)
     assert stated == 1024 - 812 and [(other.started_ns, other.descriptor_limit) for other in others] == [
@@ -46,4 +46,4 @@
 
 def test_what_a_process_of_the_previous_version_has_left_counts_no_more(tmp_path: Path) -> None:
     folder = opened(tmp_path)
-    assert folder.claim_limit(lambda newest, ceilings: 1024 - sum(ceilings)) == (1024, [])
+    assert folder.state_limit(lambda newest, ceilings: 1024 - sum(ceilings)) == (1024, [])
--- a/wheatring/lifecycle/handover.py
+++ b/wheatring/lifecycle/handover.py
@@ -91,7 +91,7 @@
 
     # Who lives
 
-    def claim_limit(self, limit: Callable[[bool, list[int]], int]) -> tuple[int, list[OtherProcess]]:
+    def state_limit(self, limit: Callable[[bool, list[int]], int]) -> tuple[int, list[OtherProcess]]:
         """State this process's limit of descriptors, and return it with the other processes that live.
 
         `limit` finds it from whether this process is the newest and from the others' limits, under one lock.
