--- a/tests/lab/test_net_faults.py
+++ b/tests/lab/test_net_faults.py
@@ -132,7 +132,7 @@
 
 
 def test_late_connects_come_late_and_one_given_up_never_comes(place: Place) -> None:
-    place.net.late_connects(*place.where, 0.4)
+    place.net.delay_connects(*place.where, 0.4)
     begun = place.time.now()
     given_up = place.connect()
     place.connect()
@@ -143,9 +143,9 @@
     assert 0.4 < place.time.now() - begun < 0.41
     place.pass_time(10.0)
     assert place.news() == [("client", "made"), ("server", "made")]
-    (door,) = place.virtual.there.left().ports
+    (door,) = place.virtual.there.open_resources().ports
     assert door.half_open == 0
-    place.net.late_connects(*place.where, 0.0)
+    place.net.delay_connects(*place.where, 0.0)
     place.connect()
     place.pass_time(0.01)
     assert len(place.servers.ends) == 3
@@ -216,7 +216,7 @@
     place.pass_time(0.0003)  # the first word has arrived, its answer has not
     place.net.cut(place.here, place.there, one_way=True)
     place.pass_time(1.0)
-    (door,) = place.virtual.there.left().ports
+    (door,) = place.virtual.there.open_resources().ports
     assert len(place.clients.ends) == 2 and door.half_open == 1
     if not patient:
         place.ground.run(place.clients.ends[1].transport.abortConnection)
@@ -374,7 +374,7 @@
 def test_a_program_that_stops_tells_what_it_leaves_and_its_connections_end(place: Place) -> None:
     there, left = place.virtual.there, []
     there.callLater(60.0, int)
-    there.on_stop = lambda: left.append(there.left())
+    there.on_stop = lambda: left.append(there.open_resources())
     there.stop()
     assert there.alive
     place.pass_time(1.0)
--- a/tests/lab/test_net_time.py
+++ b/tests/lab/test_net_time.py
@@ -15,7 +15,7 @@
 
 from tests.lab.grounds import End, Pair, Virtual
 from wheatring.lab.net import Event, VirtualTime
-from wheatring.lab.net.time import Stuck
+from wheatring.lab.net.time import StuckError
 
 DELAYS = st.sampled_from([-1.0, 0.0, 0.0, 0.01, 0.03125, 0.03125, 0.0625, 0.5, 3.0])
 # Calls as a tree: each is made after its delay, cancels one that was asked for before, and asks for others.
@@ -92,15 +92,15 @@
 
 
 def test_an_instant_without_end_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(VirtualTime, "MOST_AT_ONCE", 1000)
-    monkeypatch.setattr(VirtualTime, "LOOK", 100)
+    monkeypatch.setattr(VirtualTime, "MAX_EVENTS_AT_INSTANT", 1000)
+    monkeypatch.setattr(VirtualTime, "CHECK_INTERVAL_EVENTS", 100)
     ground = Virtual()
 
     def again() -> None:
         ground.here.callLater(0, again)
 
     ground.here.callLater(1.5, again)
-    with pytest.raises(Stuck, match=r"1000 events at 1001.500000 s .* Process._turn of here"):
+    with pytest.raises(StuckError, match=r"1000 events at 1001.500000 s .* Process._turn of here"):
         ground.time.run(1002.0)
 
 
--- a/wheatring/lab/net/__init__.py
+++ b/wheatring/lab/net/__init__.py
@@ -6,7 +6,7 @@
 """
 
 from wheatring.lab.net.network import Network
-from wheatring.lab.net.process import Left, Process
+from wheatring.lab.net.process import OpenResources, Process
 from wheatring.lab.net.time import Event, VirtualTime
 
-__all__ = ["Event", "Left", "Network", "Process", "VirtualTime"]
+__all__ = ["Event", "Network", "OpenResources", "Process", "VirtualTime"]
--- a/wheatring/lab/net/connects.py
+++ b/wheatring/lab/net/handshake.py
@@ -11,17 +11,18 @@
     from wheatring.lab.net.sockets import Socket
 
 NEW, LISTENING, CONNECTING, CONNECTED = range(4)  # states of a socket
-TRIES = 7  # a connect is asked for anew after 1, 3, 7, ... s; after the last one it has timed out
+MAX_CONNECT_TRIES = 7  # a connect is asked for anew after 1, 3, 7, ... s; after the last one it has timed out
 
 
-def begin(client: Socket) -> None:
-    _ask(client, client.process.time.instant, 0)
+def start_connect(client: Socket) -> None:
+    """Begin a connect: its first packet leaves at once."""
+    _send_syn(client, client.process.time.instant, 0)
 
 
-def _ask(client: Socket, since: float, count: int) -> None:
+def _send_syn(client: Socket, since: float, count: int) -> None:
     if client.closed or client.state != CONNECTING or client.broken:
         return
-    if count == TRIES:
+    if count == MAX_CONNECT_TRIES:
         client.timed_out()
         return
     process = client.process
@@ -29,40 +30,40 @@
     host = process.network.host(client.remote[0])
     link = process.host.link(host)
     if link.silent:
-        _unheard(client, since, count)
+        _retry_later(client, since, count)
     else:
-        process.time.at(process.time.instant + link.delay(), _asked, client, host, since, count, False)
+        process.time.at(process.time.instant + link.delay(), _receive_syn, client, host, since, count, False)
 
 
-def _unheard(client: Socket, since: float, count: int) -> None:
-    client.process.time.at(since + 2 ** (count + 1) - 1, _ask, client, since, count + 1)
+def _retry_later(client: Socket, since: float, count: int) -> None:
+    client.process.time.at(since + 2 ** (count + 1) - 1, _send_syn, client, since, count + 1)
 
 
-def _asked(client: Socket, host: Host, since: float, count: int, waited: bool) -> None:
-    """It is at the host."""
+def _receive_syn(client: Socket, host: Host, since: float, count: int, waited: bool) -> None:
+    """Take a connect at the host: it is refused, dropped or answered."""
     time = client.process.time
     assert client.remote is not None
     port = client.remote[1]
     listener = host.listeners.get(port)
     back = host.link(client.process.host)
-    late = host.late.get(port, 0.0)
+    late = host.connect_delays.get(port, 0.0)
     if late and not waited:
-        time.at(time.instant + late, _asked, client, host, since, count, True)
+        time.at(time.instant + late, _receive_syn, client, host, since, count, True)
     elif back.silent:
-        _unheard(client, since, count)
+        _retry_later(client, since, count)
     elif listener is None or port in host.refusing:
         if port in host.on_refused:
             host.on_refused[port](client.process.host.name)
         time.at(time.instant + back.delay(), client.refused)
     elif port in host.full or len(listener.queue) + listener.half_open > listener.backlog:
-        _unheard(client, since, count)
+        _retry_later(client, since, count)
     else:
         listener.half_open += 1
-        time.at(time.instant + back.delay(), _answered, client, listener)
+        time.at(time.instant + back.delay(), _receive_syn_ack, client, listener)
 
 
-def _answered(client: Socket, listener: Socket) -> None:
-    """The host's answer is at the client: it is connected, if it still wants to be."""
+def _receive_syn_ack(client: Socket, listener: Socket) -> None:
+    """Take the host's answer at the client, which is connected if it still wants to be."""
     if client.closed or client.state != CONNECTING or client.broken:
         listener.half_open -= 1
         return
@@ -78,11 +79,11 @@
     client.wake()
 
 
-def complete(server: Socket) -> None:
-    """The client's last word of the handshake is at the host."""
-    listener = server.door
+def complete_handshake(server: Socket) -> None:
+    """Take the client's last packet of the handshake at the host: the connection waits to be accepted."""
+    listener = server.listener
     assert listener is not None
-    server.unopened()
+    server.end_handshake()
     if listener.closed:
         server.drop()
     else:
--- a/wheatring/lab/net/links.py
+++ b/wheatring/lab/net/links.py
@@ -13,23 +13,25 @@
 if TYPE_CHECKING:
     from wheatring.lab.net.sockets import Socket
 
-RESEND = 0.2  # seconds until what got lost is sent again, doubled each time ...
-RESEND_MOST = 120.0  # ... up to this
+RESEND_SECONDS = 0.2  # seconds until what got lost is sent again, doubled each time ...
+MAX_RESEND_SECONDS = 120.0  # ... up to this
 
 
-def resent(first: float, healed: float) -> float:
-    """When something lost at `first` is sent again with success, on a way that is whole from `healed` on."""
-    wait = RESEND
+def resend_instant(first: float, healed: float) -> float:
+    """Return when something lost at `first` is sent again with success, on a link that heals at `healed`."""
+    wait = RESEND_SECONDS
     instant = first + wait
     while instant < healed:
-        wait = min(2 * wait, RESEND_MOST)
+        wait = min(2 * wait, MAX_RESEND_SECONDS)
         instant += wait
     return instant
 
 
 class Link:
-    """The way from one host to another. A delay is a floor and an exponential part above it: the mean and the
-    cv are as asked, and as on a real network nothing is much faster, but some is much slower.
+    """The link from one host to another.
+
+    A delay is a floor and an exponential part above it: the mean and the coefficient of variation are as
+    asked for, and as on a real network nothing is much faster, but some is much slower.
     """
 
     __slots__ = (
@@ -56,6 +58,7 @@
         self.slow(1.0)
 
     def slow(self, factor: float) -> None:
+        """Make the delays `factor` times as long as planned."""
         self.factor = factor
         self._floor = self.mean * factor * (1 - self.jitter)
         self._spread = self.mean * factor * self.jitter
@@ -65,6 +68,7 @@
         return self._floor - self._spread * log(1.0 - self._random())
 
     def resume(self) -> None:
+        """Let the streams go on that waited for the link to heal."""
         stalled, self.stalled = self.stalled, []
         for stream in stalled:
             stream.resume()
@@ -77,8 +81,9 @@
 
 
 class Stream:
-    """One direction of one connection. `used` bytes of its window are on the way, unread, or read without the
-    sender knowing of it yet.
+    """One direction of one connection.
+
+    `used` bytes of its window are in flight, unread, or read without the sender knowing of it yet.
     """
 
     __slots__ = (
@@ -139,6 +144,7 @@
         return size
 
     def put(self, item: bytes | int) -> None:
+        """Send bytes or a control packet; while the link is silent, hold them."""
         time = self.time
         now = time.instant
         if self.over:
@@ -154,8 +160,9 @@
         time.post(arrival, self.arrive)
 
     def reset(self) -> None:
-        """Break it off: what is on the wire still arrives, and then the reset. One that is lost is not sent
-        again, but bytes from the other end bring about another.
+        """Reset the connection: what is in flight still arrives, and then the reset.
+
+        One that is lost is not sent again, but bytes from the other end bring about another.
         """
         if not self.over:
             self.lose()
@@ -185,11 +192,12 @@
     # The receiver's side
 
     def arrive(self) -> None:
+        """Deliver what was sent first and has not arrived."""
         item, sent = self.flight.popleft()
         target = self.target
         if type(item) is not bytes:
-            target.told(item)
-        elif not target.deaf:
+            target.receive_control(item)
+        elif not target.is_deaf:
             target.chunks.append((item, sent))
             watcher = target.watcher
             if watcher is not None and watcher.reading and not watcher.queued:
@@ -197,10 +205,10 @@
         elif target.closed:
             target.out.reset()
         else:
-            target.broken_off()
+            target.reset_by_late_bytes()
 
     def freed(self, size: int) -> None:
-        """The receiver has read so many bytes."""
+        """Note that the receiver has read so many bytes."""
         self.read += size
         now = self.time.instant
         if self.back.silent:
@@ -230,17 +238,17 @@
         self._held.append((item, now))
 
     def resume(self) -> None:
-        """A way is whole again: what waited for it goes out when TCP would next try."""
+        """Send what waited for the link to heal, at the instant at which TCP would next try."""
         now = self.time.instant
         if self._held and not self.link.silent:
-            again = resent(self._held_since, now) + self.link.delay()
+            again = resend_instant(self._held_since, now) + self.link.delay()
             self._last = max(self._last, again)
             for held in self._held:
                 self.flight.append(held)
                 self.time.post(self._last, self.arrive)
             self._held = []
         if self._owed and not self.back.silent:
-            self._credit(resent(self._owed_since, now) + self.back.mean, self._owed)
+            self._credit(resend_instant(self._owed_since, now) + self.back.mean, self._owed)
             self._owed = 0
 
     def _tired(self, since: float) -> None:
@@ -251,5 +259,5 @@
         """Nothing that waits for the way to heal is sent any more."""
         if self._held:
             if self._held[0][0] == OPEN:
-                self.target.unopened()
+                self.target.end_handshake()
             self._held.clear()
--- a/wheatring/lab/net/network.py
+++ b/wheatring/lab/net/network.py
@@ -10,7 +10,7 @@
 from math import inf
 from random import Random
 
-from wheatring.lab.net.connects import CONNECTED
+from wheatring.lab.net.handshake import CONNECTED
 from wheatring.lab.net.links import Link
 from wheatring.lab.net.process import Process
 from wheatring.lab.net.sockets import Socket
@@ -33,19 +33,20 @@
         self.vanished = False
         self.refusing: set[int] = set()  # ports; these are looked up, never gone through
         self.full: set[int] = set()
-        self.late: dict[int, float] = {}  # seconds by port
+        self.connect_delays: dict[int, float] = {}  # seconds by port
         self.on_refused: dict[int, Callable[[str], None]] = {}  # by port: told whose connect it was
         self.links: dict[str, Link] = {}
         self._port = FIRST_PORT - 1
 
     def free_port(self) -> int:
+        """Return a port that nobody listens at."""
         while True:
             self._port = self._port + 1 if self._port < LAST_PORT else FIRST_PORT
             if self._port not in self.listeners:
                 return self._port
 
     def link(self, other: Host) -> Link:
-        """The way to another host, or to itself."""
+        """Return the link to another host, or to itself."""
         link = self.links.get(other.name)
         if link is None:
             link = self.links[other.name] = self.network.lay(self, other)
@@ -53,8 +54,10 @@
 
 
 class Network:
-    """`zone_of` gives a host's zone, "" for one of the clients'. Unix time is `epoch` at the start of time.
-    A connection whose bytes find no way for `give_up` seconds ends by a time-out.
+    """The hosts, the links between them, and their faults.
+
+    `zone_of` gives a host's zone, "" for one of the clients'. Unix time is `epoch` at the start of time. A
+    connection whose bytes find no way for `give_up` seconds ends by a time-out.
     """
 
     def __init__(
@@ -62,7 +65,7 @@
         time: VirtualTime,
         plan: NetPlan,
         random: Random,
-        zone_of: Callable[[str], str] = lambda host: "room",
+        zone_of: Callable[[str], str] = lambda _host: "room",
         epoch: float = 0.0,
         give_up: float = inf,
     ) -> None:
@@ -87,12 +90,14 @@
         return process
 
     def host(self, name: str) -> Host:
+        """Return a host by name; it is made on its first mention."""
         host = self.hosts.get(name)
         if host is None:
             host = self.hosts[name] = Host(self, name)
         return host
 
     def lay(self, source: Host, target: Host) -> Link:
+        """Return a new link from one host to another."""
         plan = self.plan
         if source is not target and "" in (source.zone, target.zone):
             mean = plan.client
@@ -107,16 +112,16 @@
     # Faults of one port
 
     def refuse(self, host: str, port: int, on: bool) -> None:
-        """Connects are refused; connections that are up go on."""
+        """Have connects to a port refused; connections that are up go on."""
         _switch(self.host(host).refusing, port, on)
 
     def full(self, host: str, port: int, on: bool) -> None:
-        """The accept queue counts as full: connects hang."""
+        """Have a port's accept queue count as full: connects hang."""
         _switch(self.host(host).full, port, on)
 
-    def late_connects(self, host: str, port: int, seconds: float) -> None:
-        """Connects come up so much later; 0 ends it."""
-        self.host(host).late[port] = seconds
+    def delay_connects(self, host: str, port: int, seconds: float) -> None:
+        """Have connects to a port come up so many seconds later; 0 ends it."""
+        self.host(host).connect_delays[port] = seconds
 
     # Faults of hosts and of the ways between them. No names stand for all hosts; each reaches itself always.
 
@@ -126,7 +131,10 @@
         self._rewire()
 
     def back(self, host: str) -> None:
-        """It answers again, and knows nothing of the connections that it had: they are reset."""
+        """Have a vanished host answer again.
+
+        It knows nothing of the connections that it had: they are reset.
+        """
         there = self.host(host)
         there.vanished = False
         healed = self._rewire()
@@ -138,13 +146,15 @@
             link.resume()
 
     def cut(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
-        """What goes from `hosts` to `others` is lost, and the other way too unless `one_way`. TCP sends it
-        again, so that it arrives some time after `heal`, which takes the same arguments.
+        """Lose what goes from `hosts` to `others`, and the other way too unless `one_way`.
+
+        TCP sends it again, so that it arrives some time after `heal`, which takes the same arguments.
         """
         self._cuts.append((tuple(hosts), tuple(others), one_way))
         self._rewire()
 
     def heal(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
+        """End a cut."""
         self._cuts.remove((tuple(hosts), tuple(others), one_way))
         for link in self._rewire():
             link.resume()
@@ -182,7 +192,7 @@
         return factor
 
     def _rewire(self) -> list[Link]:
-        """Put the faults into effect; the links through which something comes again."""
+        """Put the faults into effect, and return the links that are up again."""
         healed = []
         for source in self.hosts.values():
             for name, link in source.links.items():
@@ -195,7 +205,7 @@
         return healed
 
     def _ends(self, there: Host, healed: list[Link]) -> list[Socket]:
-        """The host's ends of connections, those among them that no program holds any more."""
+        """Return the host's ends of connections, those among them that no program holds any more."""
         ends: dict[Socket, None] = {}
         for process in there.processes:
             for socket in process.descriptors:
--- a/wheatring/lab/net/process.py
+++ b/wheatring/lab/net/process.py
@@ -14,10 +14,10 @@
 from twisted.python import failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from wheatring.lab.net.connects import CONNECTED, LISTENING
+from wheatring.lab.net.handshake import CONNECTED, LISTENING
 from wheatring.lab.net.sockets import Socket
 from wheatring.lab.net.time import Event, VirtualTime
-from wheatring.lab.net.transports import Connector, Door, Port, log_failure
+from wheatring.lab.net.transports import Connector, LimitedPort, Port, log_failure
 
 if TYPE_CHECKING:
     from wheatring.lab.net.network import Host, Network
@@ -41,24 +41,29 @@
         self.state = SOON
         self.event: Event | None = None
 
-    def getTime(self) -> float:
+    def getTime(self) -> float:  # noqa: N802 - Twisted's name
+        """Return the instant of the call."""
         return self.time
 
     def active(self) -> bool:
+        """Return whether the call is still to come."""
         return self.state < CALLED
 
     def cancel(self) -> None:
+        """Cancel the call."""
         self._check()
         self.state = CANCELLED
         if self.event is not None:
             self.event.cancel()
         self.func = self.args = self.kw = None
 
-    def reset(self, secondsFromNow: float) -> None:
+    def reset(self, secondsFromNow: float) -> None:  # noqa: N803 - Twisted's name
+        """Put the call off to so many seconds from now."""
         self._check()
         self._move(self.process.seconds() + secondsFromNow)
 
-    def delay(self, secondsLater: float) -> None:
+    def delay(self, secondsLater: float) -> None:  # noqa: N803 - Twisted's name
+        """Put the call off by so many seconds."""
         self._check()
         self._move(self.time + secondsLater)
 
@@ -78,7 +83,7 @@
 
 
 def waiting(time: VirtualTime) -> dict[Process, list[Delayed]]:
-    """The calls that are to come later, by process, in their order."""
+    """Return the calls that are to come later, by process, in their order."""
     found: dict[Process, list[Delayed]] = {}
     for event in time.pending():
         call = event[0]
@@ -88,7 +93,7 @@
     return found
 
 
-class Left(NamedTuple):
+class OpenResources(NamedTuple):
     """What a process has not ended itself."""
 
     timers: list[Delayed]
@@ -98,10 +103,12 @@
 
 @implementer(IReactorTime, IReactorTCP)
 class Process(_DisconnectSelectableMixin):
-    """Runs what is due in turns, as a reactor: calls that were put off, then sockets that are ready. No call
-    of one that is dead is ever run. An exception in a callback goes to Twisted's log, as on any reactor.
+    """The reactor of one program on one host.
 
-    `descriptors` are the sockets that it holds, in the order in which they came.
+    It runs what is due in turns, as a reactor: scheduled calls, then sockets that are ready. No call of one
+    that is dead is ever run. An exception in a callback goes to Twisted's log, as on any reactor.
+
+    `descriptors` are the sockets that it holds, in the order in which they were opened.
     """
 
     def __init__(self, network: Network, host: Host, name: str) -> None:
@@ -128,7 +135,8 @@
 
     # Calls
 
-    def callLater(self, delay: float, callable: Callable[..., Any], *args: object, **kw: object) -> Delayed:
+    def callLater(self, delay: float, callable: Callable[..., Any], *args: object, **kw: object) -> Delayed:  # noqa: N802 - Twisted's name
+        """Schedule a call."""
         assert delay >= 0, f"{delay} is not greater than or equal to 0 seconds"
         delayed = Delayed(self, self.time.instant + delay, callable, args, kw)
         if delay > 0:
@@ -138,10 +146,12 @@
             self.put(delayed)
         return delayed
 
-    def callFromThread(self, callable: Callable[..., Any], *args: object, **kw: object) -> None:
+    def callFromThread(self, callable: Callable[..., Any], *args: object, **kw: object) -> None:  # noqa: N802 - Twisted's name
+        """Schedule a call for the next turn."""
         self.callLater(0, callable, *args, **kw)
 
     def put(self, delayed: Delayed) -> None:
+        """Take a scheduled call."""
         if delayed.time > self.time.instant:
             delayed.state = WAITING
             delayed.event = self.time.at(delayed.time, self._due, delayed)
@@ -151,7 +161,7 @@
             self.soon.append(delayed)
             self._turn_soon()
 
-    def getDelayedCalls(self) -> list[Delayed]:
+    def getDelayedCalls(self) -> list[Delayed]:  # noqa: N802 - Twisted's name
         """Those not yet called, in their order."""
         return self.due_soon() + waiting(self.time).get(self, [])
 
@@ -255,57 +265,71 @@
         elif socket.state == CONNECTED:
             socket.out.wait()
 
-    def removeReader(self, watcher: Any) -> None:
+    def removeReader(self, watcher: Any) -> None:  # noqa: N802 - Twisted's name
+        """Wait no longer for a transport to be readable."""
         watcher.reading = False
 
-    def removeWriter(self, watcher: Any) -> None:
+    def removeWriter(self, watcher: Any) -> None:  # noqa: N802 - Twisted's name
+        """Wait no longer for a transport to be writable."""
         watcher.writing = False
 
     # TCP
 
-    def connectTCP(
-        self, host: str, port: int, factory: Any, timeout: float | None = 30, bindAddress: Any = None
+    def connectTCP(  # noqa: N802 - Twisted's name
+        self,
+        host: str,
+        port: int,
+        factory: Any,
+        timeout: float | None = 30,
+        bindAddress: Any = None,  # noqa: N803 - Twisted's name
     ) -> Connector:
+        """Connect to a host."""
         connector = Connector(host, port, factory, timeout, bindAddress, self)  # type: ignore[arg-type]
         connector.connect()
         return connector
 
-    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:
+    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:  # noqa: N802 - Twisted's name
+        """Listen at a port."""
         listening = Port(port, factory, backlog, interface, self)
         listening.startListening()
         return listening
 
-    def open_listener(self, port: int, factory: Any, backlog: int, host: str, reactor: Any) -> Door:
+    def open_listener(self, port: int, factory: Any, backlog: int, host: str, reactor: Any) -> LimitedPort:
         """Listen as `http1.listener.open_listener` does: no more is accepted in one go than it has places."""
-        door = Door(port, factory, backlog, host, reactor)
+        door = LimitedPort(port, factory, backlog, host, reactor)
         door.startListening()
         return door
 
     def has_hung_up(self, transport: Any) -> bool:
-        """As `http1.connection.has_hung_up` says it."""
+        """Answer as `http1.connection.has_hung_up`."""
         return bool(transport.socket.eof or transport.socket.broken)
 
-    def has_undelivered_bytes(self, transport: Any) -> bool:
-        """As `http1.connection.has_undelivered_bytes` where a system does not tell it."""
+    def has_undelivered_bytes(self, transport: Any) -> bool:  # noqa: ARG002 - Twisted's signature
+        """Answer as `http1.connection.has_undelivered_bytes` where a system can't tell."""
         return False
 
-    def resolve(self, name: str, timeout: object = ()) -> Deferred[str]:
+    def resolve(self, name: str, timeout: object = ()) -> Deferred[str]:  # noqa: ARG002 - Twisted's signature
+        """Fail: hosts have no names here."""
         return fail(DNSLookupError(f"{name}: hosts have no names here"))
 
     # Descriptors
 
     def opened(self, socket: Socket) -> None:
+        """Count a socket that was opened."""
         self.descriptors[socket] = None
         if len(self.descriptors) > self.most:
             self.most = len(self.descriptors)
 
     def shut(self, socket: Socket) -> None:
+        """Forget a socket that was closed."""
         self.descriptors.pop(socket, None)
 
-    def left(self) -> Left:
-        """What there is now of timers, listening sockets and connections, open or under way."""
+    def open_resources(self) -> OpenResources:
+        """Return the present timers, listening sockets and connections, open or under way."""
         ports = [s for s in self.descriptors if s.state == LISTENING]
-        return Left(self.getDelayedCalls(), ports, [s for s in self.descriptors if s.state != LISTENING])
+        return OpenResources(
+            self.getDelayedCalls(), ports, [s for s in self.descriptors if s.state != LISTENING]
+        )
 
     # Its end
 
@@ -328,8 +352,10 @@
         self.kill()
 
     def kill(self) -> None:
-        """End as by SIGKILL: the kernel closes its sockets. To a peer that is a FIN, or a reset where bytes
-        were unread; what was sent is delivered first, and what it sends later is answered with a reset.
+        """End as by SIGKILL: the kernel closes its sockets.
+
+        To a peer that is a FIN, or a reset where bytes were unread; what was sent is delivered first, and
+        what the peer sends later is answered with a reset.
         """
         if self.alive:
             self.alive = False
--- a/wheatring/lab/net/sockets.py
+++ b/wheatring/lab/net/sockets.py
@@ -12,8 +12,8 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from wheatring.lab.net import connects
-from wheatring.lab.net.connects import CONNECTED, CONNECTING, LISTENING, NEW
+from wheatring.lab.net import handshake
+from wheatring.lab.net.handshake import CONNECTED, CONNECTING, LISTENING, NEW
 from wheatring.lab.net.links import FIN, OPEN, RST, Stream
 
 if TYPE_CHECKING:
@@ -26,8 +26,26 @@
     """One TCP socket of a process. `watcher` is the Twisted transport or port that waits for it, if any."""
 
     __slots__ = (
-        "_fin_sent", "_number", "_options", "backlog", "broken", "chunks", "closed", "deaf", "door",
-        "eof", "error", "half_open", "into", "local", "out", "process", "queue", "remote", "sent_at", "state",
+        "_fin_sent",
+        "_number",
+        "_options",
+        "backlog",
+        "broken",
+        "chunks",
+        "closed",
+        "eof",
+        "error",
+        "half_open",
+        "into",
+        "is_deaf",
+        "listener",
+        "local",
+        "out",
+        "process",
+        "queue",
+        "remote",
+        "sent_at",
+        "state",
         "watcher",
     )  # fmt: skip
 
@@ -41,7 +59,7 @@
         self.local: Address = (process.host.name, 0)
         self.remote: Address | None = None
         self.closed = False
-        self.deaf = False  # bytes that arrive are answered with a reset
+        self.is_deaf = False  # bytes that arrive are answered with a reset
         self.eof = False  # the peer's FIN has arrived
         self.broken = False  # it was reset or has timed out, or its connect failed
         self.error = 0  # why, until a call has told it
@@ -50,7 +68,7 @@
         self.backlog = 0
         self.queue: deque[Socket] = deque()  # connections that wait to be accepted
         self.half_open = 0  # and those whose handshake is under way
-        self.door: Socket | None = None  # the listening socket of one whose handshake is under way
+        self.listener: Socket | None = None  # the listening socket of one whose handshake is under way
         self._fin_sent = False
         self._options: dict[tuple[int, int], Any] = {}
         self._number = process.number()
@@ -58,16 +76,18 @@
     # What a kernel tells of it
 
     def readable(self) -> bool:
+        """Return whether a call to read or accept would not block."""
         return bool(self.chunks or self.queue) or self.eof or self.broken
 
     def writable(self) -> bool:
+        """Return whether a call to send would not block, as a kernel has it."""
         if self.state != CONNECTED or self.broken or self._fin_sent:
             return self.broken or self._fin_sent
         out = self.out
         return out.used * 3 <= out.window * 2 or out.writable()
 
     def hung(self) -> bool:
-        """Over in both directions."""
+        """Return whether the connection is over in both directions."""
         return self.broken or (self.eof and self._fin_sent)
 
     def wake(self) -> None:
@@ -79,32 +99,37 @@
     # Calls
 
     def fileno(self) -> int:
+        """Return the descriptor's number; -1 once closed."""
         return -1 if self.closed else self._number
 
     def setblocking(self, blocking: bool) -> None:
-        """It never blocks."""
+        """Do nothing: it never blocks."""
 
     def getsockname(self) -> Address:
+        """Return the own address."""
         return self.local
 
     def getpeername(self) -> Address:
+        """Return the peer's address."""
         if self.remote is None:
             raise _error(errno.ENOTCONN)
         return self.remote
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
-        """SO_SNDBUF is the whole window of what this end sends."""
+        """Set an option; SO_SNDBUF is the whole window of what this end sends."""
         self._options[level, option] = value
         if (level, option) == (socket.SOL_SOCKET, socket.SO_SNDBUF) and self.state == CONNECTED:
             self.out.window = value
 
     def getsockopt(self, level: int, option: int) -> Any:
+        """Return an option; SO_ERROR is cleared by that."""
         if (level, option) == (socket.SOL_SOCKET, socket.SO_ERROR):
             error, self.error = self.error, 0
             return error
         return self._options.get((level, option), 0)
 
     def bind(self, address: Address) -> None:
+        """Take an address of the host."""
         host, port = address
         if host not in ("", "0.0.0.0", self.process.host.name):
             raise _error(errno.EADDRNOTAVAIL)
@@ -113,11 +138,13 @@
         self.local = (self.process.host.name, port or self.process.host.free_port())
 
     def listen(self, backlog: int) -> None:
+        """Listen at the address."""
         self.backlog = backlog
         self.state = LISTENING
         self.process.host.listeners[self.local[1]] = self
 
     def accept(self) -> tuple[Socket, Address]:
+        """Return the connection that has waited longest, and its peer's address."""
         if not self.queue:
             raise BlockingIOError(errno.EWOULDBLOCK, "nobody waits")
         accepted = self.queue.popleft()
@@ -126,25 +153,26 @@
         return accepted, accepted.remote
 
     def child(self, client: Socket) -> Socket:
-        """The end of a new connection to this listening socket; no descriptor until it is accepted."""
+        """Return the host's end of a new connection; it has no descriptor until it is accepted."""
         server = Socket(self.process)
         server.local, server.remote = self.local, client.local
-        server.door = self
+        server.listener = self
         return server
 
-    def unopened(self) -> None:
-        """Its handshake is over, in whatever way."""
-        if self.door is not None:
-            self.door.half_open -= 1
-            self.door = None
+    def end_handshake(self) -> None:
+        """Note that its handshake is over, in whatever way."""
+        if self.listener is not None:
+            self.listener.half_open -= 1
+            self.listener = None
 
     def connect_ex(self, address: Address) -> int:
+        """Begin a connect, or return how it stands."""
         if self.state == NEW:
             if not self.local[1]:
                 self.local = (self.local[0], self.process.host.free_port())
             self.state = CONNECTING
             self.remote = address
-            connects.begin(self)
+            handshake.start_connect(self)
             return errno.EINPROGRESS
         if self.broken:
             return self.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or errno.ECONNREFUSED
@@ -157,6 +185,7 @@
         )
 
     def recv(self, size: int) -> bytes:
+        """Return what has arrived, `size` bytes at most; empty at the end."""
         chunks = self.chunks
         if chunks:
             data, self.sent_at = chunks.popleft()
@@ -181,6 +210,7 @@
         return data
 
     def send(self, data: bytes) -> int:
+        """Take as many bytes as the window has room for, and return how many."""
         if self.error:
             raise _error(self.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
         if self.broken or self._fin_sent:
@@ -190,16 +220,20 @@
         return self.out.send(data)
 
     def shutdown(self, how: int) -> None:
+        """End the sending, the reading or both."""
         if self.state != CONNECTED or self.broken:
             raise _error(errno.ENOTCONN)
         if how != socket.SHUT_WR:
-            self.deaf = True
+            self.is_deaf = True
         if how != socket.SHUT_RD and not self._fin_sent:
             self._fin_sent = True
             self.out.put(FIN)
 
     def close(self) -> None:
-        """Unread bytes, or SO_LINGER with no time, make it a reset; else what was sent and a FIN go out."""
+        """Close the socket.
+
+        Unread bytes, or SO_LINGER with no time, make it a reset; else what was sent and a FIN go out.
+        """
         if self.closed:
             return
         self.closed = True
@@ -213,8 +247,8 @@
             self.drop(self._orderly())
 
     def drop(self, orderly: bool = False) -> None:
-        """This end is gone."""
-        self.closed = self.deaf = True
+        """End this end of the connection, in good order or by a reset."""
+        self.closed = self.is_deaf = True
         if not self.broken:
             if self.chunks or not orderly:
                 self.out.reset()
@@ -229,17 +263,18 @@
 
     # What arrives
 
-    def told(self, what: object) -> None:
+    def receive_control(self, what: object) -> None:
+        """Take a control packet: the end of the handshake, a FIN or a reset."""
         if what == RST:
             self.over(errno.EPIPE if self.eof else errno.ECONNRESET)
         elif what == FIN:
             self.eof = True
             self.wake()
         elif what == OPEN:
-            connects.complete(self)
+            handshake.complete_handshake(self)
 
     def over(self, error: int) -> None:
-        """The connection has ended without a goodbye."""
+        """End the connection without a FIN, by a reset or a time-out."""
         if not self.broken:
             self.broken = True
             if self.state == CONNECTED:
@@ -249,16 +284,18 @@
                 self.error = error
                 self.wake()
 
-    def broken_off(self) -> None:
-        """Bytes came after this end had said that it reads no more."""
+    def reset_by_late_bytes(self) -> None:
+        """Answer bytes with a reset that came after this end had said that it reads no more."""
         self.out.reset()
         self.over(errno.ECONNRESET)
 
     def refused(self) -> None:
+        """Fail the connect: it was refused."""
         if self.state == CONNECTING:
             self.over(errno.ECONNREFUSED)
 
     def timed_out(self) -> None:
+        """End the connection or its connect by a time-out."""
         self.over(errno.ETIMEDOUT)
 
 
--- a/wheatring/lab/net/time.py
+++ b/wheatring/lab/net/time.py
@@ -22,32 +22,49 @@
     __slots__ = ()
 
     def cancel(self) -> None:
+        """Cancel the call."""
         self[0] = None
         self[1] = ()
 
     def active(self) -> bool:
+        """Return whether the call is still to come."""
         return self[0] is not None
 
 
-class Stuck(RuntimeError):
+class StuckError(RuntimeError):
     """An instant that does not end."""
 
 
 class VirtualTime:
-    """Satisfies `Timers`. What falls on one instant comes in the order in which it was asked for or, with
-    `ties`, in an order drawn from it; never before what asked for it.
+    """The clock of a simulation. It satisfies `Timers`.
+
+    What falls on one instant comes in the order in which it was asked for or, with `ties`, in an order drawn
+    from it; never before what asked for it.
 
     `instant` is the present one, `running` the process whose code runs, `events` how many were played. What
     an event raises comes out of `run` and `step`, which can go on from there.
     """
 
     __slots__ = (
-        "_buckets", "_far", "_heap", "_horizon", "_look_at", "_looks", "_next", "_playing", "_seen", "_slots",
-        "_ties", "events", "instant", "running", "start",
+        "_buckets",
+        "_check_at",
+        "_checks_at_instant",
+        "_far",
+        "_heap",
+        "_horizon",
+        "_next",
+        "_playing",
+        "_seen",
+        "_slots",
+        "_ties",
+        "events",
+        "instant",
+        "running",
+        "start",
     )  # fmt: skip
 
-    MOST_AT_ONCE: ClassVar[int] = 1_000_000  # events without time passing
-    LOOK: ClassVar[int] = 50_000  # events between looks at that
+    MAX_EVENTS_AT_INSTANT: ClassVar[int] = 1_000_000  # events without time passing
+    CHECK_INTERVAL_EVENTS: ClassVar[int] = 50_000  # events between looks at that
 
     def __init__(self, start: float = 1000.0, ties: Random | None = None) -> None:
         self.start = start
@@ -63,11 +80,12 @@
         self._playing: list[Any] = []  # what comes at this one
         self._next: Iterator[Any] = iter(self._playing)
         self._ties = None if ties is None else ties.randrange
-        self._look_at = self.LOOK
-        self._looks = 0  # in a row that found this instant
+        self._check_at = self.CHECK_INTERVAL_EVENTS
+        self._checks_at_instant = 0  # in a row that found this instant
         self._seen = start
 
     def now(self) -> float:
+        """Return the present instant."""
         return self.instant
 
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Event:
@@ -116,7 +134,7 @@
     def run(self, until: float) -> None:
         """Play all that comes up to an instant and at it; then it is that instant."""
         heap, buckets, kind = self._heap, self._buckets, Event
-        events, look_at = self.events, self._look_at
+        events, look_at = self.events, self._check_at
         try:
             while True:
                 for event in self._next:
@@ -128,11 +146,11 @@
                             continue
                         event[0] = None
                         if events >= look_at:
-                            look_at = self._look(call, events)
+                            look_at = self._check_progress(call, events)
                         call(*args)
                     else:
                         if events >= look_at:
-                            look_at = self._look(event, events)
+                            look_at = self._check_progress(event, events)
                         event()
                 if heap and heap[0] <= until:  # as `_advance` does, which is most of what is done here
                     self.instant = instant = heappop(heap)
@@ -154,15 +172,15 @@
                 if event is not call:
                     event[0] = None
                 self.events += 1
-                if self.events >= self._look_at:
-                    self._look(call, self.events)
+                if self.events >= self._check_at:
+                    self._check_progress(call, self.events)
                 call(*args)
                 return True
             if not self._advance(until):
                 return False
 
     def pending(self) -> list[Event]:
-        """All that is to come and was asked for by `at`, in its order."""
+        """Return all that is to come and was asked for by `at`, in its order."""
         rest = self._playing[len(self._playing) - length_hint(self._next) :]
         for instant in sorted(self._heap):
             rest += self._buckets[instant]
@@ -210,16 +228,16 @@
         place = self._ties(first, last + 1)
         bucket[place], bucket[last] = bucket[last], bucket[place]
 
-    def _look(self, call: Any, events: int) -> int:
-        """Guards against an instant without end. Gives the number of events at which to look again."""
-        self._look_at = events + self.LOOK
-        self._looks = self._looks + 1 if self.instant == self._seen else 0
+    def _check_progress(self, call: Any, events: int) -> int:
+        """Raise StuckError at an instant without end; return the number of events at which to check again."""
+        self._check_at = events + self.CHECK_INTERVAL_EVENTS
+        self._checks_at_instant = self._checks_at_instant + 1 if self.instant == self._seen else 0
         self._seen = self.instant
-        if self._looks * self.LOOK >= self.MOST_AT_ONCE:
+        if self._checks_at_instant * self.CHECK_INTERVAL_EVENTS >= self.MAX_EVENTS_AT_INSTANT:
             name = getattr(call, "__qualname__", type(call).__name__)
             whose = getattr(getattr(call, "__self__", None), "name", "")
-            raise Stuck(
-                f"{self.MOST_AT_ONCE} events at {self.instant:.6f} s without time passing,"
+            raise StuckError(
+                f"{self.MAX_EVENTS_AT_INSTANT} events at {self.instant:.6f} s without time passing,"
                 f" the last one {name}{whose and f' of {whose}'}"
             )
-        return self._look_at
+        return self._check_at
--- a/wheatring/lab/net/transports.py
+++ b/wheatring/lab/net/transports.py
@@ -21,8 +21,8 @@
 Why = Any  # None, or the exception for which a transport ends
 
 
-class Watching:
-    """Tells its process what it waits for."""
+class SocketWatcher:
+    """What waits for its socket to be readable or writable, as its process serves it."""
 
     reactor: Any
     socket: Any
@@ -30,7 +30,8 @@
     writing = False
     queued = False  # for the next turn
 
-    def startReading(self) -> None:
+    def startReading(self) -> None:  # noqa: N802 - Twisted's name
+        """Wait for the socket to be readable."""
         if not self.reading:
             socket = self.socket
             socket.watcher = self
@@ -38,36 +39,39 @@
             if socket.readable():
                 self.reactor.queue(self)
 
-    def stopReading(self) -> None:
+    def stopReading(self) -> None:  # noqa: N802 - Twisted's name
+        """Wait for that no longer."""
         self.reading = False
 
-    def startWriting(self) -> None:
+    def startWriting(self) -> None:  # noqa: N802 - Twisted's name
+        """Wait for the socket to be writable."""
         if not self.writing:
             self.socket.watcher = self
             self.writing = True
             self.reactor.want(self)
 
-    def stopWriting(self) -> None:
+    def stopWriting(self) -> None:  # noqa: N802 - Twisted's name
+        """Wait for that no longer."""
         self.writing = False
 
 
-class Transport(Watching):
+class Transport(SocketWatcher):
     """What both ends of a connection share."""
 
     connected: Any
-    dataBuffer: bytes
+    dataBuffer: bytes  # noqa: N815 - Twisted's name
     disconnecting: Any
     offset: int
-    producerPaused: bool
+    producerPaused: bool  # noqa: N815 - Twisted's name
     protocol: Any
     producer: Any
-    streamingProducer: bool
-    bufferSize: int
+    streamingProducer: bool  # noqa: N815 - Twisted's name
+    bufferSize: int  # noqa: N815 - Twisted's name
     SEND_LIMIT: int
-    _tempDataBuffer: list[bytes]
-    _tempDataLen: int
-    _writeDisconnected: bool
-    _writeDisconnecting: bool
+    _tempDataBuffer: list[bytes]  # noqa: N815 - Twisted's name
+    _tempDataLen: int  # noqa: N815 - Twisted's name
+    _writeDisconnected: bool  # noqa: N815 - Twisted's name
+    _writeDisconnecting: bool  # noqa: N815 - Twisted's name
 
     @property
     def sent_at(self) -> float:
@@ -81,6 +85,7 @@
         return partial(getattr, self.socket.out, "read")
 
     def write(self, data: bytes) -> None:
+        """Send data, as soon as the socket takes it."""
         if data.__class__ is not bytes and not isinstance(data, bytes):
             raise TypeError("Data must be bytes")
         if data and self.connected and not self._writeDisconnected:
@@ -91,10 +96,10 @@
             if not self.writing:
                 self.startWriting()
 
-    def _maybePauseProducer(self) -> None:
+    def _maybePauseProducer(self) -> None:  # noqa: N802 - Twisted's name
         super()._maybePauseProducer()  # type: ignore[misc]
 
-    def doRead(self) -> Why:
+    def doRead(self) -> Why:  # noqa: N802 - Twisted's name
         """As Twisted's, in one call less."""
         try:
             data = self.socket.recv(self.bufferSize)
@@ -107,7 +112,7 @@
         self.protocol.dataReceived(data)
         return None
 
-    def doWrite(self) -> Why:
+    def doWrite(self) -> Why:  # noqa: N802 - Twisted's name
         """As Twisted's, but for the detours of what is left over from an earlier write or is to end."""
         waiting = self._tempDataBuffer
         ending = self.disconnecting or self._writeDisconnecting
@@ -129,7 +134,8 @@
             producer.resumeProducing()
         return None
 
-    def writeSomeData(self, data: Any) -> Any:
+    def writeSomeData(self, data: Any) -> Any:  # noqa: N802 - Twisted's name
+        """Hand data to the socket, and return how many bytes it took."""
         if len(data) > self.SEND_LIMIT:
             data = data[: self.SEND_LIMIT]
         try:
@@ -149,7 +155,8 @@
 
     connector: Any
 
-    def createInternetSocket(self) -> Any:
+    def createInternetSocket(self) -> Any:  # noqa: N802 - Twisted's name
+        """Return a new socket of the process."""
         process = self.connector.reactor
         socket = Socket(process)
         process.opened(socket)
@@ -160,18 +167,21 @@
 
 
 class Connector(tcp.Connector):
-    def _makeTransport(self) -> Any:
+    """Connects by transports of this package."""
+
+    def _makeTransport(self) -> Any:  # noqa: N802 - Twisted's name
         return make_client(self.host, self.port, self.bindAddress, self, self.reactor)
 
 
-class Port(Watching, tcp.Port):
+class Port(SocketWatcher, tcp.Port):
     """A listening port."""
 
     transport: Any = Server
     factory: Any
     interface: str
 
-    def startListening(self) -> None:
+    def startListening(self) -> None:  # noqa: N802 - Twisted's name
+        """Listen at the port."""
         socket = Socket(self.reactor)
         try:
             socket.bind((self.interface, self.port or 0))
@@ -187,7 +197,8 @@
         self.numberAccepts = 100
         self.startReading()
 
-    def doRead(self) -> Why:
+    def doRead(self) -> Why:  # noqa: N802 - Twisted's name
+        """Accept the connections that wait, as Twisted's port does."""
         try:
             accepted = 0
             while accepted < self.numberAccepts:
@@ -211,13 +222,14 @@
         except Exception:
             log_failure()
 
-    def _logConnectionLostMsg(self) -> None:
+    def _logConnectionLostMsg(self) -> None:  # noqa: N802 - Twisted's name
         """Ports come and go too often here for a line each."""
 
 
-class Door(Port):
+class LimitedPort(Port):
     """Accepts no more in one go than its factory has room for."""
 
-    def doRead(self) -> Why:
+    def doRead(self) -> Why:  # noqa: N802 - Twisted's name
+        """Accept no more than the factory has places for."""
         self.numberAccepts = max(1, min(self.numberAccepts, self.factory.free_places))
         super().doRead()
--- a/wheatring/lab/wire/ground.py
+++ b/wheatring/lab/wire/ground.py
@@ -133,7 +133,7 @@
 
         def stopped() -> None:
             counts = self.ended.setdefault(name, Counter())
-            counts.update(left_by(sidecar, process.left().timers))
+            counts.update(left_by(sidecar, process.open_resources().timers))
             counts["descriptors"] += len(process.descriptors)
             self.gone(name)
             self.book.sidecar_down(name, False)
@@ -174,7 +174,7 @@
             if event.kind == "refuse":
                 self.net.refuse(host, PORT, troubles.refusing)
             elif event.kind == "late_connects":
-                self.net.late_connects(host, PORT, troubles.connect_delay)
+                self.net.delay_connects(host, PORT, troubles.connect_delay)
             elif event.kind == "conn_cap" and name in self.peers:
                 self.peers[name].look()
         if event.kind == "partition":
