--- a/tests/ends/drawn_settings.py
+++ b/tests/ends/drawn_settings.py
@@ -24,7 +24,7 @@
 from wheatring.lab.play import play
 from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load, parse
-from wheatring.lab.world import seats
+from wheatring.lab.world import sidecar_slots
 from wheatring.lab.world.world import Tracing
 
 LETTERS = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
@@ -51,7 +51,7 @@
         return told
 
     def play(self, grain: str, tracing: Tracing | None = None) -> Outcome:
-        with patch.object(seats, "settings", self.told):
+        with patch.object(sidecar_slots, "settings", self.told):
             return play(self.plan, grain, tracing)
 
     def read(self, folder: Path) -> platform_file.PlatformConfig:
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -35,7 +35,7 @@
         """Start the sidecars that run from the beginning, at least one."""
         self.awaited = dict.fromkeys(names)
         for name in names:
-            self.slots.start(self.slots.seats[name])
+            self.slots.start(self.slots.by_name[name])
 
     def on_start_timeout(self) -> None:
         """Fail, as they have had time enough to listen."""
@@ -74,7 +74,7 @@
 
     def start(self, node: str) -> None:
         """Start a node; one with a sidecar of its own runs once that listens."""
-        slot = self.slots.seats.get(node)
+        slot = self.slots.by_name.get(node)
         if self.nodes.nodes[node].machine.running:
             return
         if slot is None:
@@ -95,8 +95,8 @@
 
     def on_node_ended(self, node: str) -> None:
         """End the sidecar of a node that has ended."""
-        if node in self.slots.seats:
-            self.slots.kill(self.slots.seats[node], 0.0)
+        if node in self.slots.by_name:
+            self.slots.kill(self.slots.by_name[node], 0.0)
 
     def vanish(self, node: str) -> None:
         """Let a node's machine, with its own sidecar, fall silent."""
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -159,7 +159,7 @@
             self.nodes.add(node.name)
         nodes = [node.name for node in self.plan.nodes if node.up]
         names = [told.name for told in self.plan.sidecars if told.start == 0]
-        names += [name for name in nodes if name in self.slots.seats]
+        names += [name for name in nodes if name in self.slots.by_name]
         self.say(f"{len(nodes)} nodes, {len(names)} sidecars from the start on")
         if not names:
             self.starting = self.clock.at(self.clock.now(), self.start_day)
@@ -188,7 +188,7 @@
         self.events.schedule(now, plan.events)
         for told in plan.sidecars:
             if told.start > 0:
-                self.clock.at(now + told.start, self.slots.start, self.slots.seats[told.name])
+                self.clock.at(now + told.start, self.slots.start, self.slots.by_name[told.name])
         self.clock.at(now + plan.length + plan.tail + SETTLE_SECONDS, self.stop)
         self.clock.at(now + 1, self.second, 2)
         self.tick(now)
@@ -229,7 +229,7 @@
         held = {
             name: {"most_sockets": row.peak_descriptors}
             for name, row in self.watch.watched.items()
-            if name in self.slots.seats
+            if name in self.slots.by_name
         }
         found = self.book.finish(self.clock.now() - self.began, held)
         outcome = LiveOutcome(
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -21,13 +21,13 @@
 from wheatring.lab.settings import settings
 from wheatring.lab.wire.discovery import DiscoveryPeer
 from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
-from wheatring.lab.world.world import OURS
+from wheatring.lab.world.world import SIDECAR_FAULT_CODES
 
 LIST_LINKS = ("list", "list-moved")  # discovery, as links name it, before and after it has moved
 # Lines of its log that are told to the book: what it could not reach, and faults of its own.
 CONNECT_FAILED_LINES = ("claim-connection code=connect-failed", "claim-connection code=not-up-in-time")
 LIST_REFUSED_LINE = "discovery-connection code=connect-failed"
-FAULT_LINES = tuple(f"{word} " for word in sorted(OURS))
+FAULT_LINES = tuple(f"{word} " for word in sorted(SIDECAR_FAULT_CODES))
 
 
 class _Launch:
@@ -110,7 +110,7 @@
         self.on_stopping: Callable[[SidecarSlot], object]
         self.on_down: Callable[[SidecarSlot], object]
         self.on_failed: Callable[[SidecarSlot], object]
-        self.seats: dict[str, SidecarSlot] = {}
+        self.by_name: dict[str, SidecarSlot] = {}
         self.processes: list[Sidecar] = []
         hosts = side_hosts(plan)
         copies = len(plan.sidecars)
@@ -122,12 +122,12 @@
                 self._add(SidecarSlot(node.name, hosts[node.name], tier + 1, number, len(callers)))
 
     def _add(self, slot: SidecarSlot) -> None:
-        self.seats[slot.name] = slot
+        self.by_name[slot.name] = slot
         self.registry.serve(slot.name, slot.tier)
 
     def where(self, name: str) -> tuple[str, int]:
         """Return where callers find a sidecar; for one that never listened, a port where nobody does."""
-        slot = self.seats[name]
+        slot = self.by_name[name]
         if self.wires is not None and slot.tier == 0:
             return self.wires.address(f"{CLIENTS}>{name}")
         return slot.host, slot.port
@@ -214,7 +214,7 @@
 
     def move(self) -> None:
         """Move discovery to another address; what was open at the old one ends."""
-        for slot in self.seats.values():
+        for slot in self.by_name.values():
             if slot.list_server is None:
                 continue
             slot.list_server.shut()
--- a/wheatring/lab/rules/ledger.py
+++ b/wheatring/lab/rules/ledger.py
@@ -41,9 +41,7 @@
 from wheatring.lab.rules.request_ledger import RequestLedger
 from wheatring.lab.rules.trace import Family, Trace, text
 
-UNSENT_PENALTY_SHARE = (
-    0.3  # of its worth: what a try costs that was answered late, or never, with nothing sent for it
-)
+UNSENT_PENALTY_SHARE = 0.3  # of its worth, for a try answered late or never without an attempt
 
 
 class Ledger(RequestLedger):
--- a/wheatring/lab/rules/request_ledger.py
+++ b/wheatring/lab/rules/request_ledger.py
@@ -16,9 +16,7 @@
 from wheatring.lab.rules.trace import Family, Trace, text
 from wheatring.lab.rules.work import Work
 
-REQUEST_MEMORY_SECONDS = (
-    10.0  # seconds for which a request that is over is remembered, for what is still on its way
-)
+REQUEST_MEMORY_SECONDS = 10.0  # for which a request that is over is remembered, for what is on its way
 
 
 class RequestLedger:
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -1,4 +1,4 @@
-"""Makes happen what the plan says: troubles and lives of nodes, sidecars, discovery, the network.
+"""Injects the events of a plan: faults and lifecycles of nodes, sidecars, discovery and the network.
 
 The load's own events are in the traffic, which reads them from the plan.
 """
@@ -25,43 +25,53 @@
     "discovery_lies": "lies",
     "discovery_breaks": "breaks",
 }
-OF_LIVES = frozenset(("kill", "start", "sidecar_kill", "sidecar_restart"))  # of these the book tells
+OF_LIFECYCLES = frozenset(("kill", "start", "sidecar_kill", "sidecar_restart"))  # of these the book tells
 OF_NET = frozenset(("partition", "latency", "clock_step"))
 
 
-class Lives(Protocol):
-    """The lives of nodes, as the world leads them."""
+class NodeLifecycles(Protocol):
+    """The lifecycles of nodes, as the world leads them."""
 
-    def start(self, node: str) -> None: ...
+    def start(self, node: str) -> None:
+        """Start the process of a node."""
 
-    def drain(self, node: str) -> None: ...
+    def drain(self, node: str) -> None:
+        """Have a node take nothing new."""
 
-    def stop(self, node: str) -> None: ...
+    def stop(self, node: str) -> None:
+        """End the process of a node."""
 
-    def vanish(self, node: str) -> None: ...
+    def vanish(self, node: str) -> None:
+        """Have the machine of a node fall silent."""
 
-    def back(self, node: str) -> None: ...
+    def back(self, node: str) -> None:
+        """Have the machine of a node answer again."""
 
 
 class Faults(Protocol):
-    """What goes wrong on the network or with the clocks."""
+    """The faults of the network and of the clocks."""
 
-    def begin(self, event: EventPlan) -> None: ...
+    def begin(self, event: EventPlan) -> None:
+        """Inject the fault of an event."""
 
-    def end(self, event: EventPlan) -> None: ...
+    def end(self, event: EventPlan) -> None:
+        """End the fault of an event."""
 
 
 class Sidecars(Protocol):
-    """The seats of sidecars, by name."""
+    """The slots of sidecars."""
 
     @property
-    def seats(self) -> Mapping[str, Any]: ...
+    def by_name(self) -> Mapping[str, Any]:
+        """The slots by name."""
 
-    def kill(self, seat: Any, down: float) -> None: ...
+    def kill(self, slot: Any, down: float) -> None:
+        """Kill a sidecar, and start it anew after `down` seconds, if that is not 0."""
 
-    def restart(self, seat: Any, patience: float, down: float) -> None: ...
+    def restart(self, slot: Any, patience: float, down: float) -> None:
+        """Stop a sidecar within `patience` seconds, and start it anew `down` seconds after its end."""
 
-    def stall(self, seat: Any, on: bool) -> None:
+    def stall(self, slot: Any, on: bool) -> None:
         """Stop its process where it is, or have it go on. In real time only."""
 
     def move(self) -> None:
@@ -69,7 +79,7 @@
 
 
 class Events:
-    """`happened` is told of each beginning and end, for the figures."""
+    """Injects the events of a plan. `happened` is called with each start and end, for the figures."""
 
     def __init__(
         self,
@@ -77,59 +87,61 @@
         ground: Faults,
         machines: dict[str, Machine],
         registry: Registry,
-        seats: Sidecars,
-        lives: Lives,
+        slots: Sidecars,
+        lifecycles: NodeLifecycles,
         happened: Callable[[str], None],
     ) -> None:
         self.timers = timers
         self.ground = ground
         self.machines = machines
         self.registry = registry
-        self.seats = seats
-        self.lives = lives
+        self.slots = slots
+        self.lifecycles = lifecycles
         self.happened = happened
         self.ends: dict[EventPlan, Callable[[], None]] = {}  # of discovery's troubles that are on
 
     def schedule(self, day: float, events: tuple[EventPlan, ...]) -> None:
-        """`day` is the instant at which the day begins."""
+        """Schedule the events of a day that starts at an instant."""
         for event in events:
             self.timers.at(day + event.at, self.begin, event)
 
     def begin(self, event: EventPlan) -> None:
+        """Start an event."""
         own = [name for name in event.sidecars if name in self.machines]  # the book is silent on their kills
-        if event.kind not in OF_LIVES or (event.kind == "sidecar_kill" and own):
-            self.happened(told(event))
+        if event.kind not in OF_LIFECYCLES or (event.kind == "sidecar_kill" and own):
+            self.happened(describe(event))
         if event.kind in ("drain", "kill", "start"):
             for node in event.nodes:
                 self.life(event, node)
         elif event.kind == "sidecar_kill":
             for name in event.sidecars:
-                self.seats.kill(self.seats.seats[name], event.length)
+                self.slots.kill(self.slots.by_name[name], event.length)
         elif event.kind == "sidecar_restart":
             for name in event.sidecars:
-                self.seats.restart(self.seats.seats[name], event.extra, event.length)
+                self.slots.restart(self.slots.by_name[name], event.extra, event.length)
         else:
             self.turn(event, True)
             if event.length:
                 self.timers.at(self.timers.now() + event.length, self.over, event)
 
     def over(self, event: EventPlan) -> None:
+        """End an event that lasts."""
         self.happened(f"{event.kind} ends")
         self.turn(event, False)
 
     def turn(self, event: EventPlan, on: bool) -> None:
-        """A trouble begins or ends."""
+        """Inject a fault, or end it."""
         if event.kind in OF_NODES:
             for node in event.nodes:
                 (troubles.begin if on else troubles.end)(self.machines[node], event)
         elif event.kind == "vanish":
             for node in event.nodes:
-                (self.lives.vanish if on else self.lives.back)(node)
+                (self.lifecycles.vanish if on else self.lifecycles.back)(node)
         elif event.kind == "stall":
             for name in event.sidecars:
-                self.seats.stall(self.seats.seats[name], on)
+                self.slots.stall(self.slots.by_name[name], on)
         elif event.kind == "discovery_move":
-            self.seats.move()
+            self.slots.move()
         elif event.kind in OF_DISCOVERY:
             if on:
                 self.ends[event] = self.registry.begin(OF_DISCOVERY[event.kind], event.size or 1.0)
@@ -139,24 +151,25 @@
             (self.ground.begin if on else self.ground.end)(event)
 
     def life(self, event: EventPlan, node: str) -> None:
-        """A node begins, or is to end and be followed by itself or another."""
+        """Start a node, or have it end and be followed by itself or another."""
         if event.kind == "start":
-            self.lives.start(node)
+            self.lifecycles.start(node)
         elif event.kind == "kill":
             self.end(event, node)
         else:
-            self.lives.drain(node)
+            self.lifecycles.drain(node)
             self.timers.at(self.timers.now() + event.extra, self.end, event, node)
 
     def end(self, event: EventPlan, node: str) -> None:
-        self.lives.stop(node)
+        """End a node, and start the one that follows it."""
+        self.lifecycles.stop(node)
         follower = event.replaced_by or (node if event.length else "")
         if follower:
-            self.timers.at(self.timers.now() + event.length, self.lives.start, follower)
+            self.timers.at(self.timers.now() + event.length, self.lifecycles.start, follower)
 
 
-def told(event: EventPlan) -> str:
-    """One line on an event, for people."""
+def describe(event: EventPlan) -> str:
+    """Return one line on an event, for people."""
     whom = event.nodes or event.sidecars or event.hosts
     names = ", ".join(whom[:3]) + (f" and {len(whom) - 3} more" if len(whom) > 3 else "")
     return " ".join(part for part in (event.kind, names and f"at {names}") if part)
--- a/wheatring/lab/world/ground.py
+++ b/wheatring/lab/world/ground.py
@@ -19,14 +19,14 @@
 
 
 def side_hosts(plan: Plan) -> dict[str, str]:
-    """The host of every sidecar, by name."""
+    """Return the host of every sidecar, by name."""
     last = len(plan.tiers) - 1
     hosts = {each.name: each.host for each in plan.sidecars}
     return hosts | {node.name: node.side_host for node in plan.nodes if node.tier < last}
 
 
 def zones(plan: Plan) -> dict[str, str]:
-    """The zone of every host but the clients'."""
+    """Return the zone of every host but the clients'."""
     found = {each.host: each.zone for each in plan.sidecars}
     for node in plan.nodes:
         found[node.host] = found[node.side_host] = node.zone
@@ -41,42 +41,44 @@
     def way(self) -> Way:
         """The clients' way into the front's sidecars."""
 
-    def open_discovery(self, registry: Registry) -> None: ...
+    def open_discovery(self, registry: Registry) -> None:
+        """Have discovery listen."""
 
     def below(self, node: NodePlan) -> Below:
-        """The node's calls through its own sidecar."""
+        """Return the node's calls through its own sidecar."""
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
-        """Its process listens."""
+        """Have a node's process listen."""
 
     def node_down(self, node: str) -> None:
-        """Its process is gone: connections are reset, new ones refused."""
+        """End a node's process: connections are reset, new ones refused."""
 
     def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
-        """Its process listens. `ended` is called once, when it has ended by itself."""
+        """Start a sidecar's process; `ended` is called once, when it has ended by itself."""
 
     def sidecar_stop(self, name: str) -> None:
-        """SIGTERM."""
+        """Send a sidecar SIGTERM."""
 
     def sidecar_kill(self, name: str) -> None:
-        """SIGKILL: nothing of it runs any more, and `ended` is not called."""
+        """Send a sidecar SIGKILL: nothing of it runs any more, and `ended` is not called."""
 
     def begin(self, event: EventPlan) -> None:
-        """Something of the network or the clocks goes wrong."""
+        """Inject a fault of the network or the clocks."""
 
-    def end(self, event: EventPlan) -> None: ...
+    def end(self, event: EventPlan) -> None:
+        """End a fault of the network or the clocks."""
 
     def vanish(self, node: NodePlan) -> None:
-        """Its machine, with its own sidecar, falls silent."""
+        """Have a node's machine, with its own sidecar, fall silent."""
 
     def back(self, node: NodePlan) -> None:
-        """It answers again, and its connections are reset."""
+        """Have a node's machine answer again; its connections are reset."""
 
     def stepped(self) -> float:
-        """Seconds by which the clocks of all machines together have jumped."""
+        """Return the seconds by which the clocks of all machines together have jumped."""
 
     def whose_turn(self) -> str:
-        """The sidecar whose code runs now; "" where that is not known."""
+        """Return the sidecar whose code runs now; "" where that is not known."""
 
     def left_over(self) -> dict[str, dict[str, int]]:
-        """By sidecar: what should be gone once all is answered, counted by kind."""
+        """Return, by sidecar, the counts by kind of what should be gone once all is answered."""
--- /dev/null
+++ b/wheatring/lab/world/sidecar_slots.py
@@ -0,0 +1,133 @@
+"""The slots of sidecars: each has one name and address over all of its starts."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from wheatring.config.platform_file import PlatformConfig, read_settings
+from wheatring.lab.plan import Plan
+from wheatring.lab.settings import settings
+from wheatring.lab.timers import Timer, Timers
+from wheatring.lab.world.ground import DISCOVERY, PORT, Ground
+
+
+class SidecarSlot:
+    """The slot of one sidecar: its settings at each start, and its starts and ends.
+
+    `known` gives the newest machine list of its tier, in discovery's form.
+    """
+
+    def __init__(
+        self,
+        plan: Plan,
+        name: str,
+        host: str,
+        tier: int,
+        number: int,
+        copies: int,
+        known: Callable[[int], dict[str, Any]],
+    ) -> None:
+        self.name = name
+        self.host = host
+        self.tier = tier
+        self.known = known
+        self.limits = plan.limits
+        self.told = settings(plan, tier, number, copies)
+        self.read = read_settings(self.told)
+        self.random = Random(f"{plan.seed}:sidecar:{name}")
+        self.start_time = plan.sidecar_start
+        self.running = False
+        self.stopping = False
+        self.down = 0.0  # seconds from its end to its next start; 0: it has none
+        self.timer: Timer | None = None  # the next thing that is to become of it
+
+    def config(self) -> PlatformConfig:
+        """Return the configuration of its next start, with a seed of its own."""
+        return PlatformConfig(
+            name=self.name,
+            listen=(self.host, PORT),
+            discovery=DISCOVERY,
+            seed=self.random.getrandbits(64),
+            sockets=self.limits.sockets,
+            known=self.known(self.tier),
+            settings=self.read,
+            given=self.told,
+        )
+
+    def wait(self) -> float:
+        """Draw the seconds from the start of its process until it listens."""
+        least, most = self.start_time
+        return least + (most - least) * self.random.random()
+
+
+class SidecarSlots:
+    """Starts and ends sidecars, and calls whoever follows that. The ground notes it in the book."""
+
+    def __init__(
+        self,
+        timers: Timers,
+        ground: Ground,
+        came: Callable[[SidecarSlot], None],
+        stops: Callable[[SidecarSlot], None],
+        went: Callable[[SidecarSlot], None],
+    ) -> None:
+        self.timers = timers
+        self.ground = ground
+        self.came, self.stops, self.went = came, stops, went
+        self.by_name: dict[str, SidecarSlot] = {}
+
+    def up(self, slot: SidecarSlot) -> None:
+        """Have a sidecar listen from now on."""
+        slot.timer = None
+        slot.running, slot.stopping = True, False
+        self.ground.sidecar_up(slot.name, slot.config(), lambda: self.ended(slot))
+        self.came(slot)
+
+    def start(self, slot: SidecarSlot, after: float) -> None:
+        """Start a process `after` seconds from now, instead of whatever else was scheduled for it."""
+        self.call_off(slot)
+        slot.timer = self.timers.at(self.timers.now() + after + slot.wait(), self.up, slot)
+
+    def kill(self, slot: SidecarSlot, down: float) -> None:
+        """Kill it outright, and start it anew after `down` seconds, if that is not 0."""
+        slot.down = down
+        if slot.running:
+            self.ground.sidecar_kill(slot.name)
+            self.ended(slot)
+        else:
+            self.call_off(slot)
+            if down:
+                self.start(slot, down)
+
+    def restart(self, slot: SidecarSlot, patience: float, down: float) -> None:
+        """SIGTERM, SIGKILL after `patience` seconds if it still runs, a new start `down` after its end."""
+        if not slot.running or slot.stopping:
+            return
+        slot.stopping, slot.down = True, down
+        self.stops(slot)
+        slot.timer = self.timers.at(self.timers.now() + patience, self.kill, slot, down)
+        self.ground.sidecar_stop(slot.name)
+
+    def stall(self, slot: SidecarSlot, on: bool) -> None:  # noqa: ARG002 - the form of `Sidecars`
+        """Refuse to stop a process where it is: there is none in virtual time."""
+        raise ValueError(f"{slot.name}: no process that could be stopped")
+
+    def move(self) -> None:
+        """Refuse to move discovery: there is no process to notify in virtual time."""
+        raise ValueError("no process that could be told of a move")
+
+    def ended(self, slot: SidecarSlot) -> None:
+        """Note that a sidecar has ended, and start it anew where that is scheduled."""
+        self.call_off(slot)
+        slot.running = slot.stopping = False
+        self.went(slot)
+        if slot.down:
+            self.start(slot, slot.down)
+
+    def call_off(self, slot: SidecarSlot) -> None:
+        """Cancel whatever is scheduled for a slot."""
+        if slot.timer is not None and slot.timer.active():
+            slot.timer.cancel()
+        slot.timer = None
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -27,12 +27,12 @@
 from wheatring.lab.rules.trace import Trace
 from wheatring.lab.world.events import Events
 from wheatring.lab.world.ground import PORT, Ground
-from wheatring.lab.world.seats import Seat, Seats
+from wheatring.lab.world.sidecar_slots import SidecarSlot, SidecarSlots
 
 START = 1000.0  # the clock at which the world begins
 LEAD = 2.0  # seconds from then until the day does: sidecars have started and have their lists
 # Entries of the log that tell of a fault of the sidecar's own: none of them may ever come.
-OURS = frozenset(
+SIDECAR_FAULT_CODES = frozenset(
     ("overdue", "unexpected", "job-broken", "claim-broken", "request-broken", "answer-broken",
      "decision-broken", "action-broken", "not-carried-out")
 )  # fmt: skip
@@ -49,9 +49,10 @@
 
 @contextmanager
 def collected_seldom() -> Iterator[None]:
-    """While a day is played little is left in cycles, and what stands before it stands until its end:
-    the collector would look through all of it again and again, and find nothing. So it looks at what is new
-    only, and seldom.
+    """Have the garbage collector look at new objects only, and seldom.
+
+    While a day is played little is left in cycles, and what exists before it exists until its end: the
+    collector would look through all of it again and again, and find nothing.
     """
     before, idle = gc.get_threshold(), gc.get_freeze_count() == 0
     if idle:
@@ -91,36 +92,37 @@
         self.front = Front(self.time, self.random("front"), plan.front_notice)
         self.ground = make_ground(self)
         self.ground.open_discovery(self.registry)
-        self.seats = Seats(self.time, self.ground, self.came, self.stops, self.went)
+        self.slots = SidecarSlots(self.time, self.ground, self.came, self.stops, self.went)
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
         effects = Effects(self.time, plan.classes, self.book)
         for node in plan.nodes:
             self.add_machine(node, effects)
-        self.add_seats()
+        self.add_slots()
         self.clients = Clients(
             plan, self.time, self.random("clients"), self.origins, self.book, self.front, self.ground.way
         )
         self.events = Events(
-            self.time, self.ground, self.machines, self.registry, self.seats, self, self.book.happens
+            self.time, self.ground, self.machines, self.registry, self.slots, self, self.book.happens
         )
 
     def random(self, name: str) -> Random:
-        """Random numbers of this world that hang on nothing but the plan's seed and a name."""
+        """Return random numbers that depend on the plan's seed and a name alone."""
         return Random(f"{self.plan.seed}:{name}")
 
     def sizes(self, node: NodePlan) -> list[Draw]:
-        """Draws of the work of a node's calls, by class."""
+        """Return draws of the work of a node's calls, by class."""
         random = self.random(f"calls:{node.name}")
         return [sizes(random, each) for each in self.plan.classes]
 
     def unix(self) -> float:
-        """Unix time as discovery and the machines read it, by which they tell of starts."""
+        """Return Unix time as discovery and the machines read it."""
         return self.plan.epoch + self.time.now() - START + self.ground.stepped()
 
     # Its parts
 
     def add_machine(self, node: NodePlan, effects: Effects) -> None:
+        """Add the machine of a node."""
         plan, tier = self.plan, self.plan.tiers[node.tier]
         last = node.tier + 1 == len(plan.tiers)
         machine = self.machines[node.name] = Machine(
@@ -140,40 +142,46 @@
         )
         machine.on_fallen = lambda: self.fell(node.name)
 
-    def add_seats(self) -> None:
+    def add_slots(self) -> None:
+        """Add the slots of the front's sidecars and of the nodes' own."""
         plan = self.plan
         for number, told in enumerate(plan.sidecars):
-            self.add_seat(told.name, told.host, 0, number, len(plan.sidecars))
+            self.add_slot(told.name, told.host, 0, number, len(plan.sidecars))
         for tier in range(len(plan.tiers) - 1):
             callers = [node for node in plan.nodes if node.tier == tier]
             for number, node in enumerate(callers):
-                self.add_seat(node.name, node.side_host, tier + 1, number, len(callers))
+                self.add_slot(node.name, node.side_host, tier + 1, number, len(callers))
 
-    def add_seat(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
-        self.seats.seats[name] = Seat(self.plan, name, host, tier, number, copies, self.known)
+    def add_slot(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
+        """Add the slot of one sidecar."""
+        self.slots.by_name[name] = SidecarSlot(self.plan, name, host, tier, number, copies, self.known)
         self.registry.serve(name, tier)
 
     def known(self, tier: int) -> dict[str, Any]:
-        """The machine list of a tier with which a sidecar starts, in discovery's form."""
+        """Return the machine list of a tier with which a sidecar starts, in discovery's form."""
         return as_json(self.registry.held(tier, self.plan.held))
 
     # Sidecars come and go
 
-    def came(self, seat: Seat) -> None:
-        if seat.name not in self.nodes:
-            self.front.up(seat.name)
+    def came(self, slot: SidecarSlot) -> None:
+        """Note that a sidecar has started."""
+        if slot.name not in self.nodes:
+            self.front.up(slot.name)
 
-    def stops(self, seat: Seat) -> None:
-        if seat.name not in self.nodes:
-            self.front.stopping(seat.name)
+    def stops(self, slot: SidecarSlot) -> None:
+        """Note that a sidecar was told to stop."""
+        if slot.name not in self.nodes:
+            self.front.stopping(slot.name)
 
-    def went(self, seat: Seat) -> None:
-        if seat.name not in self.nodes:
-            self.front.down(seat.name)
+    def went(self, slot: SidecarSlot) -> None:
+        """Note that a sidecar has ended."""
+        if slot.name not in self.nodes:
+            self.front.down(slot.name)
 
     # The lives of nodes
 
     def start(self, name: str, cold: bool = True) -> None:
+        """Start the process of a node, cold or as if it had run for long."""
         node, machine = self.nodes[name], self.machines[name]
         if machine.running:
             return
@@ -181,35 +189,39 @@
         self.ground.node_up(node, machine)
         if cold:
             self.registry.up(name, self.time.now())
-            if name in self.seats.seats:
-                self.seats.start(self.seats.seats[name], 0.0)
+            if name in self.slots.by_name:
+                self.slots.start(self.slots.by_name[name], 0.0)
 
     def drain(self, name: str) -> None:
+        """Have a node take nothing new."""
         if self.machines[name].running:
             self.machines[name].drain()
             self.registry.draining(name)
 
     def stop(self, name: str) -> None:
+        """End the process of a node."""
         if self.machines[name].running:
             self.machines[name].stop()
             self.ended(name)
 
     def ended(self, name: str) -> None:
-        """The node's process is gone, and its sidecar goes with it."""
+        """Note that a node's process has ended, and end its sidecar."""
         self.ground.node_down(name)
         self.registry.down(name)
-        if name in self.seats.seats:
-            self.seats.kill(self.seats.seats[name], 0.0)
+        if name in self.slots.by_name:
+            self.slots.kill(self.slots.by_name[name], 0.0)
 
     def fell(self, name: str) -> None:
-        """A cold node was pushed over: its process is gone and stays so."""
+        """Note that a cold node was pushed over: its process has ended and stays so."""
         self.ended(name)
 
     def vanish(self, name: str) -> None:
+        """Have the machine of a node fall silent."""
         self.ground.vanish(self.nodes[name])
         self.registry.vanished(name)
 
     def back(self, name: str) -> None:
+        """Have the machine of a node answer again."""
         self.ground.back(self.nodes[name])
         machine = self.machines[name]
         if machine.running:
@@ -218,7 +230,7 @@
     # The day
 
     def play(self) -> Outcome:
-        """Play the day to its end, and say what came of it."""
+        """Play the day to its end, and return its outcome."""
         plan = self.plan
         began = process_time.perf_counter()
         for node in plan.nodes:
@@ -228,11 +240,11 @@
             if node.up:
                 self.start(node.name, cold=False)
         late = {told.name: told.start for told in plan.sidecars if told.start > 0}
-        for seat in self.seats.seats.values():
-            if seat.name in late:
-                self.time.at(self.day + late[seat.name], self.seats.start, seat, 0.0)
-            elif seat.name not in self.nodes or self.nodes[seat.name].up:
-                self.time.at(START, self.seats.up, seat)
+        for slot in self.slots.by_name.values():
+            if slot.name in late:
+                self.time.at(self.day + late[slot.name], self.slots.start, slot, 0.0)
+            elif slot.name not in self.nodes or self.nodes[slot.name].up:
+                self.time.at(START, self.slots.up, slot)
         self.events.schedule(self.day, plan.events)
         self.time.at(self.day, self.clients.start)
         observer: Any = self.raised
@@ -248,23 +260,26 @@
         return outcome
 
     def raised(self, event: Mapping[str, Any]) -> None:
-        """What callbacks of programs raise ends in Twisted's log. A sidecar's is a breach. Ours ends the day,
-        or what the models no longer do would be taken for what the sidecars did.
+        """Take in an exception that a callback has raised, from Twisted's log.
+
+        A sidecar's is a breach. One of the lab's own ends the day, or what the models no longer do would be
+        taken for what the sidecars did.
         """
         failure = event.get("log_failure") or event.get("failure")
         if failure is None:
             return
-        if self.ground.whose_turn() in self.seats.seats:
+        if self.ground.whose_turn() in self.slots.by_name:
             log.log_twisted_failure(event)
         else:
             self.time.at(self.time.now(), self.break_off, failure.value)
 
     def break_off(self, why: BaseException) -> None:
+        """End the day by an exception."""
         raise why
 
     def logged(self, event: str, values: Mapping[str, object]) -> None:
-        """What the sidecars log, with the name of the one whose turn it is."""
-        if event in OURS:
+        """Take in a line that a sidecar logs."""
+        if event in SIDECAR_FAULT_CODES:
             self.book.fault(self.ground.whose_turn(), log.format_entry(event, values))
         elif event == "claim-connection" and values.get("code") in ("connect-failed", "not-up-in-time"):
             self.book.note("unconnected", sidecar=self.ground.whose_turn())
