--- a/wheatring/lab/leases/model.py
+++ b/wheatring/lab/leases/model.py
@@ -51,7 +51,7 @@
     def describe(self) -> str:
         """Return the bounds in words, for the report."""
         return (
-            f"{self.acceptors} voters, {self.proposers} claimants, {self.ticks} ticks, {self.faults} faults, "
+            f"{self.acceptors} voters, {self.proposers} proposers, {self.ticks} ticks, {self.faults} faults, "
             f"clocks {self.proposer_drift:+.0%} and {self.acceptor_drift:+.0%}"
         )
 
@@ -83,7 +83,7 @@
 
 
 RESOURCE = "resource"
-RANK_STEP = 5  # ranks between one claimant and the next: about a tick, so that they seldom ask at once
+RANK_STEP = 5  # ranks between one proposer and the next: about a tick, so that they seldom ask at once
 
 
 class State:
@@ -104,8 +104,8 @@
             name: makes.proposer(LEASE, name, 1, makes.timing, voters, still)
             for name in "abc"[: bounds.proposers]
         }
-        for number, claimant in enumerate(self.proposers.values()):
-            claimant.set_rank(0.0, 0 if bounds.starts_together else number * RANK_STEP)
+        for number, proposer in enumerate(self.proposers.values()):
+            proposer.set_rank(0.0, 0 if bounds.starts_together else number * RANK_STEP)
         self.in_flight: frozenset[InFlight] = frozenset()
         self.stopped: frozenset[str] = frozenset()
         self.guard = makes.guard()
@@ -142,13 +142,13 @@
                            place.round, name in self.stopped, answers,
                            hash(frozenset(of[name]))))  # fmt: skip
         voters.sort()
-        claimants = tuple(
+        proposers = tuple(
             (c.incarnation, c.due, c.proposal, c.round, c.round_started, c.is_preparing, c.is_proposing,
              c.is_renewing, c.highest_promised, c.epoch, c.highest_epoch, c.held_until, name in self.stopped)
             for name, c in self.proposers.items()
         )  # fmt: skip
         return (self.time, self.faults, frozenset(acts), self.elected,
-                self.guard.highest_token, tuple(voters), claimants)  # fmt: skip
+                self.guard.highest_token, tuple(voters), proposers)  # fmt: skip
 
 
 class RuleBrokenError(Exception):
@@ -200,8 +200,8 @@
             for step in self._deliver_wave(state, fresh):
                 yield from self._with_process_faults(step)
             return
-        for name, claimant in state.proposers.items():
-            epoch = claimant.epoch_to_act(now)
+        for name, proposer in state.proposers.items():
+            epoch = proposer.epoch_to_act(now)
             if epoch is None or name in state.stopped:
                 continue
             if left and not any(item.target == RESOURCE for item in state.in_flight):
@@ -272,28 +272,28 @@
         after = state.fork()
         said = []
         for name in names:
-            claimant = after.proposers[name] = copy_decider(state.proposers[name])
-            told = claimant.tick(self.proposer_clock(state))
+            proposer = after.proposers[name] = copy_decider(state.proposers[name])
+            told = proposer.tick(self.proposer_clock(state))
             after.in_flight |= {InFlight(name, voter, item) for voter, item in told}
             said.append(f"{name}: {_describe(told[0][1]) if told else 'waits'}")
         text = ", ".join(said)
         return text, self._check_rules(after, text)
 
     def _act(self, state: State, name: str, late: bool = False) -> tuple[str, State]:
-        now, claimant = self.proposer_clock(state), state.proposers[name]
-        item = InFlight(name, RESOURCE, (claimant.epoch_to_act(now), claimant.held_until > now), late)
+        now, proposer = self.proposer_clock(state), state.proposers[name]
+        item = InFlight(name, RESOURCE, (proposer.epoch_to_act(now), proposer.held_until > now), late)
         after = state.fork()
         if late:
             after.faults += 1
             after.in_flight |= {item}
-            return f"{name} begins an act of term {claimant.epoch}", after
+            return f"{name} begins an act of term {proposer.epoch}", after
         return self._admit_act(after, item)
 
     def _release(self, state: State, name: str) -> tuple[str, State]:
         after = state.fork()
         after.faults += 1
-        claimant = after.proposers[name] = copy_decider(state.proposers[name])
-        told = claimant.release(self.proposer_clock(state))
+        proposer = after.proposers[name] = copy_decider(state.proposers[name])
+        told = proposer.release(self.proposer_clock(state))
         after.in_flight |= {InFlight(name, voter, item) for voter, item in told}
         return f"{name} gives it back", after
 
@@ -379,12 +379,12 @@
             if item.target in after.stopped:
                 after.in_flight |= {item}
                 continue
-            claimant = after.proposers[item.target] = copy_decider(after.proposers[item.target])
-            before = claimant.is_holder(now)
-            told = claimant.receive(now, item.source, item.content)
+            proposer = after.proposers[item.target] = copy_decider(after.proposers[item.target])
+            before = proposer.is_holder(now)
+            told = proposer.receive(now, item.source, item.content)
             after.in_flight |= {InFlight(item.target, voter, one) for voter, one in told}
-            if claimant.is_holder(now) and not before:
-                text = f"{text}; {item.target} holds term {claimant.epoch}"
+            if proposer.is_holder(now) and not before:
+                text = f"{text}; {item.target} holds term {proposer.epoch}"
             self._check_rules(after, text)
         return text, after
 
@@ -403,16 +403,16 @@
     def _check_rules(self, state: State, text: str) -> State:
         """Check the rules, after a step of a proposer."""
         now = self.proposer_clock(state)
-        holders = [name for name, claimant in state.proposers.items() if claimant.is_holder(now)]
+        holders = [name for name, proposer in state.proposers.items() if proposer.is_holder(now)]
         if len(holders) > 1:
             raise RuleBrokenError(f"{text}: {' and '.join(holders)} hold it at the same time")
         for name in holders:
-            claimant = state.proposers[name]
-            term = (claimant.epoch, name, claimant.incarnation)
+            proposer = state.proposers[name]
+            term = (proposer.epoch, name, proposer.incarnation)
             if term == state.elected:
                 continue
-            if claimant.epoch <= state.elected[0]:
-                raise RuleBrokenError(f"{text}: term {claimant.epoch} after term {state.elected[0]}")
+            if proposer.epoch <= state.elected[0]:
+                raise RuleBrokenError(f"{text}: term {proposer.epoch} after term {state.elected[0]}")
             state.elected = term
         return state
 
--- a/wheatring/lease/register_acceptor.py
+++ b/wheatring/lease/register_acceptor.py
@@ -42,9 +42,7 @@
         self.accepted = NO_ENTRY
         self.started_boot = at.boot
         self.has_recovered = False
-        self.recovered_from: set[str] = (
-            set()
-        )  # other voters that have told what they accepted, since the start
+        self.recovered_from: set[str] = set()  # voters that have told what they accepted, since the start
         self.next_recovery = at.now
 
     def _on_applied(self) -> None:
