--- a/tests/http1/test_list_freshness.py
+++ b/tests/http1/test_list_freshness.py
@@ -1,4 +1,4 @@
-"""Stories of a machine list that has grown old: what the nodes show, and what the sidecar then asks."""
+"""An endpoint list that has grown old: what the endpoints show, and what the sidecar then asks."""
 
 from __future__ import annotations
 
@@ -18,7 +18,13 @@
 def soon() -> Iterator[None]:
     """The law of the module in hundredths of its times."""
     with pytest.MonkeyPatch.context() as patch:
-        for name in ("NEED", "EMPTY", "FLOOR", "CEILING", "SPREAD"):
+        for name in (
+            "SUSPECT_NODE_SECONDS",
+            "MAX_EMPTY_SECONDS",
+            "MIN_ASK_INTERVAL_SECONDS",
+            "MAX_ASK_INTERVAL_SECONDS",
+            "MIN_SPREAD_SECONDS",
+        ):
             patch.setattr(freshness, name, getattr(freshness, name) / 100)
         patch.setattr(endpoint_list, "REPLACED_WATCH_SECONDS", endpoint_list.REPLACED_WATCH_SECONDS / 100)
         yield
@@ -114,7 +120,7 @@
 ) -> None:
     if ending == "stalls":
         monkeypatch.setattr(discovery_client, "STALL_SECONDS", 0.0)
-        monkeypatch.setattr(freshness, "QUIET", 1e9)  # which would come to the same, much later
+        monkeypatch.setattr(freshness, "RENEWAL_SECONDS", 1e9)  # which would come to the same, much later
     world = make(2)
     watch = world.discovery.accept()
     watch.read()
