--- a/tests/storage/test_replica.py
+++ b/tests/storage/test_replica.py
@@ -10,7 +10,15 @@
 import pytest
 
 from wheatring.storage.replica import Replica
-from wheatring.transport.messages_pb2 import BudgetEntry, StorageRecord, Turn
+from wheatring.transport.messages_pb2 import (
+    STORAGE_STATUS_DONE,
+    STORAGE_STATUS_STALE_EPOCH,
+    BudgetEntry,
+    StorageRecord,
+    StorageReply,
+    StorageRequest,
+    Turn,
+)
 
 WRITTEN_BY_C345874 = Path(__file__).parent / "data" / "records"
 IDENTITY = "0f1e2d3c4b5a6978"
@@ -69,3 +77,17 @@
 
     asyncio.run(write())
     assert (tmp_path / "records").read_bytes() == WRITTEN_BY_C345874.read_bytes()
+
+
+def test_a_request_under_an_epoch_before_the_fence_is_refused_after_a_restart_too(tmp_path: Path) -> None:
+    async def fence() -> None:
+        await opened(tmp_path).raise_fence(7)
+
+    async def ask(epoch: int) -> StorageReply:
+        replica = opened(tmp_path)
+        request = StorageRequest(replica_id=replica.identity, epoch=epoch, records=[turn(1)])
+        return await replica.handle_request(request)
+
+    asyncio.run(fence())
+    assert asyncio.run(ask(6)).status == STORAGE_STATUS_STALE_EPOCH
+    assert asyncio.run(ask(7)).status == STORAGE_STATUS_DONE
