--- a/tests/admin/test_service.py
+++ b/tests/admin/test_service.py
@@ -123,7 +123,7 @@
     caller.read()
     assert call(world, "endpoints/n0/offline") == 200
     assert wire.at_end()
-    assert world.logged("claim-connection") == ["close-idle"]
+    assert world.logged("endpoint-connection") == ["close-idle"]
 
 
 def test_a_connect_under_way_comes_to_no_send_once_its_node_is_out(make: Make) -> None:
@@ -142,7 +142,7 @@
     wire.read()
     (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
     assert world.run(ban) == 1
-    assert world.logged("claim-connection") == ["not-up-in-time"]
+    assert world.logged("endpoint-connection") == ["not-up-in-time"]
     wire.answer(200, b"yes")
     assert caller.read()[2] == b"yes"
 
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -215,7 +215,7 @@
     wire.close()
     first, _, body = caller.read()
     assert (first.split()[1], body) == ("200", b"all")
-    assert world.logged("claim-connection") == ["peer-closed"]
+    assert world.logged("endpoint-connection") == ["peer-closed"]
 
 
 @pytest.mark.parametrize("size", [0, 1, 60_000, 300_000])
@@ -241,7 +241,7 @@
             wire.held += wire.sock.recv(65536)
     wire.reset()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-    assert world.logged("claim-connection") == ["peer-reset"]
+    assert world.logged("endpoint-connection") == ["peer-reset"]
 
 
 @pytest.mark.parametrize(("how", "code"), [("reset", "peer-reset"), ("answer", "bad-answer")])
@@ -264,7 +264,7 @@
 
     monkeypatch.setattr(connection_pool._PendingConnect, "buildProtocol", up_and_spoken_to)
     caller = world.ask("unsafe")
-    assert world.logged("claim-connection") == [code]
+    assert world.logged("endpoint-connection") == [code]
     wire = world.first()
     wire.read()
     wire.answer(200, b"once")
--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -127,7 +127,7 @@
         while world.run(world.sidecar.clock.now) < give_up:
             node.send(b"1\r\nx\r\n" if "chunked" in framing else b"x")
             body(caller, 6)
-    assert world.logged("claim-connection") == ["bad-answer"]
+    assert world.logged("endpoint-connection") == ["bad-answer"]
     assert world.logged("caller-connection") == ["answer-cut"]
 
 
@@ -258,8 +258,8 @@
     assert first.split()[1] == "503" and fields["connection"] == "close"
     caller.send(LARGE[150000:])
     assert caller.at_end()
-    assert world.codes("claim-connection") == ["peer-reset"]
-    assert "claim-broken" not in [event for event, _ in world.lines]  # the module never asked for it
+    assert world.codes("endpoint-connection") == ["peer-reset"]
+    assert "attempt-broken" not in [event for event, _ in world.lines]  # the module never asked for it
 
 
 def test_a_caller_that_leaves_in_the_middle_leaves_no_request_behind(make: Make) -> None:
@@ -285,7 +285,7 @@
     node.send(b"HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n" + LARGE)
     head(caller)
     caller.reset()
-    assert world.logged("claim-connection") == ["caller-gone"]
+    assert world.logged("endpoint-connection") == ["caller-gone"]
     assert world.run(lambda: world.sidecar.server.body_memory.used_bytes) == 0
 
 
--- a/tests/http1/test_caller_connection.py
+++ b/tests/http1/test_caller_connection.py
@@ -471,7 +471,7 @@
     node.read()
     monkeypatch.setattr(world.sidecar.serving.balancer.random, "random", lambda: 0.5)
     node.reset()
-    assert world.logged("claim-connection") == ["peer-reset"]  # the back-off has begun
+    assert world.logged("endpoint-connection") == ["peer-reset"]  # the back-off has begun
     if how == "reset":
         wire.reset()
     elif how == "end":
@@ -486,4 +486,4 @@
     until(world, lambda: passed)
     pool = world.sidecar.pool
     assert world.run(lambda: len(pool.pending_connects) + len(pool.connections)) == (how == "stays")
-    assert world.codes("claim-connection") == ["peer-reset"]
+    assert world.codes("endpoint-connection") == ["peer-reset"]
--- a/tests/http1/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -18,7 +18,7 @@
 from wheatring.http1.parser import Message, MessageParser
 
 Make = Callable[..., World]
-FAULTS = {"unexpected", "answer-broken", "request-broken", "claim-broken", "job-broken", "overdue"}
+FAULTS = {"unexpected", "answer-broken", "request-broken", "attempt-broken", "exchange-broken", "overdue"}
 
 
 class Party:
--- a/tests/http1/test_endpoint_connection.py
+++ b/tests/http1/test_endpoint_connection.py
@@ -62,7 +62,7 @@
     wire.answer(200, b"the last")
     assert caller.read()[2] == b"the last"
     assert wire.at_end()
-    assert world.logged("claim-connection") == ["node-gone"]
+    assert world.logged("endpoint-connection") == ["endpoint-gone"]
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
     again.answer(200, b"second")
     world.logged("answered")
     assert answers[0].content.body == b"second"  # type: ignore[attr-defined]
-    assert world.codes("claim-connection") == [code]
+    assert world.codes("endpoint-connection") == [code]
 
 
 @pytest.mark.parametrize("how", ["draining", "moved"])
@@ -156,7 +156,7 @@
         world.settle()
         assert wire.read()[2] == body
         wire.send(f"{old[2]}Content-Length: {len(old[1])}\r\n\r\n".encode() + old[1])
-        assert world.logged("claim-connection") == ["bad-answer"]
+        assert world.logged("endpoint-connection") == ["bad-answer"]
         assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
         assert world.sidecar.pool.cautious_until > 0
         return
@@ -165,7 +165,7 @@
     assert again.read()[2] == body
     again.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
-    assert world.codes("claim-connection") == ["bad-answer" if old[0] == 200 else "not-clean"]
+    assert world.codes("endpoint-connection") == ["bad-answer" if old[0] == 200 else "not-clean"]
 
 
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a system tells what was delivered
@@ -183,7 +183,7 @@
     assert connection.is_flushed
     wire.answer(200, b"first")
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-    assert world.logged("claim-connection") == ["bad-answer"]
+    assert world.logged("endpoint-connection") == ["bad-answer"]
 
 
 def test_a_connection_that_has_stood_idle_for_too_long_is_not_used_though_nobody_has_looked(
@@ -215,13 +215,13 @@
     wire.answer(200, b"second")
     assert caller.read()[2] == b"second"
     wire.answer(200, b"second")
-    assert world.logged("claim-connection") == ["unasked-data"]
+    assert world.logged("endpoint-connection") == ["unasked-data"]
     wire = kept(world, caller)
     world.ask(wire=caller)
     other = world.nodes[0].accept()
     other.read()
     wire.answer(200, b"first")  # late, and the request is not on this one
-    assert world.logged("claim-connection", 2) == ["unasked-data"] * 2
+    assert world.logged("endpoint-connection", 2) == ["unasked-data"] * 2
     other.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
     monkeypatch.setattr(connection_pool, "REST_SECONDS", 0.0)
@@ -241,14 +241,14 @@
     wire.read()
     wire.send(b"HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\na" * 2)
     assert caller.read()[2] == b"a"
-    assert world.logged("claim-connection") == ["not-clean"]
+    assert world.logged("endpoint-connection") == ["not-clean"]
     wire = kept(world, caller)
     world.ask(wire=caller)
     other = world.nodes[0].accept()
     other.read()
     other.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
-    assert world.codes("claim-connection") == ["not-clean"]
+    assert world.codes("endpoint-connection") == ["not-clean"]
     wire.close()
 
 
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -61,7 +61,7 @@
     for node in world.nodes:
         node.close()
     assert world.ask("unsafe").read()[0] == "HTTP/1.1 503 Service Unavailable"
-    assert world.codes("claim-connection") == ["connect-failed"] * 3
+    assert world.codes("endpoint-connection") == ["connect-failed"] * 3
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "half", "half-chunked", "garbage", "error", "bare-503"])
@@ -84,7 +84,7 @@
         node.answer(503)
     node.close()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-    assert len(world.logged("claim-connection")) == 1  # one connection, one line: there was no second
+    assert len(world.logged("endpoint-connection")) == 1  # one connection, one line: there was no second
 
 
 def test_a_connection_broken_before_the_last_byte_left_proves_that_nothing_ran(make: Make) -> None:
@@ -125,7 +125,7 @@
     node.send(noise)
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert node.at_end()
-    assert world.logged("claim-connection") == ["bad-answer"]
+    assert world.logged("endpoint-connection") == ["bad-answer"]
 
 
 def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_is_not_used_again(make: Make) -> None:
@@ -137,7 +137,7 @@
     node.send(b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + good + good)
     assert caller.read()[2] == b"good"
     assert node.at_end()
-    assert world.logged("claim-connection") == ["not-clean"]
+    assert world.logged("endpoint-connection") == ["not-clean"]
 
 
 def test_a_new_node_at_the_address_of_one_that_is_gone_gets_a_connection_of_its_own(make: Make) -> None:
@@ -158,7 +158,7 @@
     fresh.answer(200, b"new")
     assert caller.read()[2] == b"new"
     assert node.at_end()  # and the old one is not kept for nobody
-    assert world.logged("claim-connection") == ["node-gone"]
+    assert world.logged("endpoint-connection") == ["endpoint-gone"]
 
 
 def test_turned_away_unseen_goes_out_again_on_a_kept_connection(make: Make) -> None:
@@ -179,7 +179,7 @@
     node.read()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert node.at_end()  # giving up is closing
-    assert world.logged("claim-connection") == ["claim-abandoned"]
+    assert world.logged("endpoint-connection") == ["attempt-abandoned"]
     assert not world.codes("overdue")
 
 
@@ -278,7 +278,7 @@
     node.answer(200, b"a")
     caller.read()
     node.answer(200, b"an answer to nothing")
-    assert world.logged("claim-connection") == ["unasked-data"]
+    assert world.logged("endpoint-connection") == ["unasked-data"]
     caller = world.ask(wire=caller)
     node = world.nodes[0].accept()
     node.read()
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -114,7 +114,9 @@
     caller = world.call(more="X-Time-Left-Ms: 900\r\n")
     assert caller.read()[0].split()[1] in ("502", "503")
     tried = world.run(lambda: [len(world.pools.pools[p].pool.connections) for p in ("old", "new")])
-    failed = [v["peer"] for e, v in world.lines if e == "claim-connection" and v["code"] == "connect-failed"]
+    failed = [
+        v["peer"] for e, v in world.lines if e == "endpoint-connection" and v["code"] == "connect-failed"
+    ]
     assert len(failed) >= 2 and {f"127.0.0.1:{p.port}" for p in world.nodes[:2]} == set(failed)
     assert (
         len(world.run(lambda: world.sidecar.serving.freshness.suspicions)) == 2
@@ -330,7 +332,7 @@
         return [sum(map(len, old.idle_connections.values())), len(new.pending_connects)]
 
     assert world.run(four_at_once) == [1, 3]
-    assert world.logged("claim-connection", 2) == ["pool-full"] * 2
+    assert world.logged("endpoint-connection", 2) == ["pool-full"] * 2
 
 
 def test_what_the_callers_side_says_of_a_job_comes_to_its_pool(make: Make) -> None:
@@ -415,7 +417,7 @@
         and not world.run(lambda: admin.take_offline("none"))
         and world.run(lambda: admin.take_offline("own"))
     )
-    assert world.logged("claim-connection") == ["close-idle"]
+    assert world.logged("endpoint-connection") == ["close-idle"]
     world.reload(own_list(found.port, found.port).replace("pool.x", "pool.z").replace("{ x", "{ z"))
     watches.append(found.accept())  # a pool that comes later holds to it as well
     watches[-1].read()
@@ -424,7 +426,7 @@
     for path in ("/menu/x", "/menu"):
         assert world.call(path, more="X-Time-Left-Ms: 300\r\n").read()[0].split()[1] == "503"
     world.settle()
-    assert world.codes("claim-connection") == ["close-idle"]  # no claim was made for these two
+    assert world.codes("endpoint-connection") == ["close-idle"]  # no claim was made for these two
     for wire in [*watches, *world.taken.values()]:
         wire.close()
     found.close()
@@ -441,9 +443,9 @@
     assert world.run(
         lambda: world.sidecar.admin_service is not None and world.sidecar.admin_service.take_offline("n0")
     )
-    assert world.logged("claim-connection") == ["close-idle"]
+    assert world.logged("endpoint-connection") == ["close-idle"]
     assert world.call(more="X-Time-Left-Ms: 300\r\n").read()[0].split()[1] == "503"
     world.settle()
-    assert world.codes("claim-connection") == ["close-idle"]
+    assert world.codes("endpoint-connection") == ["close-idle"]
     world.run(lambda: world.sidecar.set_connection_limit(100))
     assert world.pools.budget.total == 40
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -97,8 +97,8 @@
         ends = [line.split()[:2] for line in process.stdout if "-connection" in line]
         assert sorted(ends) == [
             ["caller-connection", "code=stopping"],
-            ["claim-connection", "code=stopping"],
             ["discovery-connection", "code=unsubscribed"],
+            ["endpoint-connection", "code=stopping"],
         ]
         watch.close()
     node.close()
--- a/wheatring/core/exchange.py
+++ b/wheatring/core/exchange.py
@@ -180,7 +180,7 @@
         try:
             self.on_request(request)
         except Exception as error:  # a fault of ours must not leave the caller without an answer
-            log.line("job-broken", job=request.correlation_id, why=repr(error))
+            log.line("exchange-broken", request=request.correlation_id, why=repr(error))
             self.answer(request, Answer(AnswerKind.FAILED))
         return request.answered
 
@@ -316,7 +316,7 @@
         try:
             self.start_attempt(attempt)
         except Exception as error:  # an attempt that could not be started must not leave its request open
-            log.line("claim-broken", why=repr(error))
+            log.line("attempt-broken", why=repr(error))
             # Nor may a half-started one run after its request was answered as one that never did.
             self._stop_attempt(attempt, Outcome.RESET if attempt.is_written else Outcome.CONNECT_FAILED)
 
@@ -326,7 +326,7 @@
             try:
                 cancel()
             except Exception as error:  # request and attempt are settled all the same
-                log.line("claim-broken", why=repr(error))
+                log.line("attempt-broken", why=repr(error))
         self.end_attempt(attempt, outcome)
 
     def _time_out(self, attempt: Attempt) -> None:
--- a/wheatring/http1/connection_pool.py
+++ b/wheatring/http1/connection_pool.py
@@ -66,7 +66,7 @@
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802 - Twisted's signature
         self.finish()
         code = "not-up-in-time" if isinstance(reason.value, UserError) else "connect-failed"
-        log.line("claim-connection", code=code, peer=self.address.address)
+        log.line("endpoint-connection", code=code, peer=self.address.address)
         self.pool.exchange.end_attempt(self.attempt, Outcome.CONNECT_FAILED)
 
     def finish(self) -> None:
@@ -223,7 +223,7 @@
         for address in [address for address in self.idle_connections if not self.is_usable(address)]:
             is_gone = self.addresses.get(address.endpoint) != address.address
             for connection in list(self.idle_connections[address]):
-                self.retire(connection, "node-gone" if is_gone else "close-idle")
+                self.retire(connection, "endpoint-gone" if is_gone else "close-idle")
 
     def is_usable(self, address: EndpointAddress) -> bool:
         """Return whether something new may be sent there."""
@@ -239,7 +239,7 @@
     def keep_idle(self, connection: EndpointConnection) -> None:
         """Keep a clean connection for the next attempt, if its endpoint still takes any."""
         if not self.is_usable(connection.address):
-            connection.close("node-gone")
+            connection.close("endpoint-gone")
             return
         connection.is_reused, connection.idle_since = True, self.clock.now()
         self.idle_connections.setdefault(connection.address, deque()).append(connection)
@@ -302,4 +302,4 @@
         """Close the connections that have been idle for too long; all, if their address is out of date."""
         is_gone = self.addresses.get(address.endpoint) != address.address
         while idle and (is_gone or now - idle[0].idle_since > self.idle_timeout):
-            self.retire(idle[0], "node-gone" if is_gone else "idle")
+            self.retire(idle[0], "endpoint-gone" if is_gone else "idle")
--- a/wheatring/http1/endpoint_connection.py
+++ b/wheatring/http1/endpoint_connection.py
@@ -104,7 +104,7 @@
         The connection has been idle: what comes on it may answer the request before.
     """
 
-    log_event = "claim-connection"
+    log_event = "endpoint-connection"
 
     def __init__(self, pool: ConnectionOwner, address: EndpointAddress) -> None:
         super().__init__(
@@ -196,7 +196,7 @@
         """Stop working on the attempt: to an endpoint, cancelling is closing."""
         self.attempt = None
         self.stop_sending()
-        self.abort("claim-abandoned")
+        self.abort("attempt-abandoned")
 
     # The answer
 
@@ -404,7 +404,7 @@
             self.stop_sending()
             self.abort("not-clean")
         elif not keep_alive:
-            self.close("node-asked")
+            self.close("endpoint-asked")
         else:
             self.pool.keep_idle(self)
 
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -25,7 +25,7 @@
 
 LIST_LINKS = ("list", "list-moved")  # discovery, as links name it, before and after it has moved
 # Lines of its log that are told to the book: what it could not reach, and faults of its own.
-CONNECT_FAILED_LINES = ("claim-connection code=connect-failed", "claim-connection code=not-up-in-time")
+CONNECT_FAILED_LINES = ("endpoint-connection code=connect-failed", "endpoint-connection code=not-up-in-time")
 LIST_REFUSED_LINE = "discovery-connection code=connect-failed"
 FAULT_LINES = tuple(f"{word} " for word in sorted(SIDECAR_FAULT_CODES))
 
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -33,7 +33,7 @@
 LEAD = 2.0  # seconds from then until the day does: sidecars have started and have their lists
 # Entries of the log that tell of a fault of the sidecar's own: none of them may ever come.
 SIDECAR_FAULT_CODES = frozenset(
-    ("overdue", "unexpected", "job-broken", "claim-broken", "request-broken", "answer-broken",
+    ("overdue", "unexpected", "exchange-broken", "attempt-broken", "request-broken", "answer-broken",
      "decision-broken", "action-broken", "not-carried-out")
 )  # fmt: skip
 NEW = 50_000  # objects made and not freed again after which the collector looks at them
@@ -281,7 +281,7 @@
         """Take in a line that a sidecar logs."""
         if event in SIDECAR_FAULT_CODES:
             self.book.fault(self.ground.whose_turn(), log.format_entry(event, values))
-        elif event == "claim-connection" and values.get("code") in ("connect-failed", "not-up-in-time"):
+        elif event == "endpoint-connection" and values.get("code") in ("connect-failed", "not-up-in-time"):
             self.book.note("unconnected", sidecar=self.ground.whose_turn())
         elif self.trace is not None:
             self.trace.line(
