--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -75,8 +75,17 @@
 TOGETHER = ("tests/fleet/test_cold_start.py",)
 
 
+# These start a tier on the same fixed ports: one worker has them, one after the other.
+FIXED_PORTS = (
+    "tests/rollout/test_mixed_versions.py::test_a_tier_of_both_versions_keeps_a_conversation",
+    "tests/tier/test_command_line.py::test_the_demo_keeps_a_conversation_whole",
+)
+
+
 class Scheduling(LoadScopeScheduling):  # type: ignore[misc]  # it has no types
     def _split_scope(self, nodeid: str) -> str:
+        if nodeid in FIXED_PORTS:
+            return FIXED_PORTS[0]
         file = nodeid.partition("::")[0]
         return file if file in TOGETHER else nodeid
 
