--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -12,7 +12,7 @@
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar
-from wheatring.lab.direct.way import DirectAsked, DirectWay
+from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
 from wheatring.lab.models.discovery import Answer
 from wheatring.lab.models.visit import Verdict, Visit
 from wheatring.lab.net.time import VirtualTime
@@ -129,7 +129,7 @@
         self.node = DirectNode(self.machine, "m", self.tier, self.time, self.links, book)
         self.nodes = {"m:1": self.node}
         self.registry = Registry()
-        self.way = DirectWay(self.time, self.links, book, {"s": ("c", "h")})
+        self.way = DirectSidecarClient(self.time, self.links, book, {"s": ("c", "h")})
         classes = tuple(
             RequestClass(e.value, 1.0, 2.0, 1.0, 1.0, idempotency=e, repeat_window=10.0) for e in EFFECTS
         )
@@ -165,7 +165,7 @@
     def listed(**more: object) -> dict[str, object]:
         return {"instanceId": "n", "hostPort": "m:1", "lifecycle": "SERVING", "startedAtMs": 0, **more}
 
-    def ask(self, ident: str = "a", index: int = 0, left: float = 2.0) -> DirectAsked:
+    def ask(self, ident: str = "a", index: int = 0, left: float = 2.0) -> DirectRequest:
         return self.way.ask("s", ident, index, left, "", False, lambda *end: self.replies.append(end))
 
     def outcomes(self) -> list[Outcome | None]:
--- a/tests/lab/peers.py
+++ b/tests/lab/peers.py
@@ -18,13 +18,13 @@
 from wheatring.lab.net import Network, VirtualTime
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, DiscoveryPlan, NetPlan, TierPlan
-from wheatring.lab.wire.caller import Caller
-from wheatring.lab.wire.discovery import DiscoveryPeer
-from wheatring.lab.wire.form import Forms
-from wheatring.lab.wire.node import NodePeer
+from wheatring.lab.wire.discovery_server import DiscoveryServer
+from wheatring.lab.wire.node_server import NodeServer
+from wheatring.lab.wire.request_format import RequestFormat
+from wheatring.lab.wire.sidecar_client import SidecarClient
 
 SAFE, KEYED = 0, 1
-FORMS = Forms(
+FORMS = RequestFormat(
     [ClassPlan(name="read", share=1, work=0.1), ClassPlan(name="buy", share=1, work=0.1, effect="keyed")]
 )
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -153,15 +153,17 @@
         self.machine = Machine(book, cap)
         full = partial(self.net.full, "127.0.0.3", 80)
         rest = (self.time, Random(3), self.origins, FORMS, book, "at {}".format, lambda host: 0.002, full)
-        self.peer = NodePeer(self.machine, TIER, *rest)
+        self.peer = NodeServer(self.machine, TIER, *rest)
         self.node.listenTCP(80, self.peer)
         plan = DiscoveryPlan(period=0.5, spread=0.0, lines_per_s=1000.0, call_lines=9.0)
         self.registry = Registry(plan, self.time, self.node.unix, Random(4), book)
         self.registry.add(Listed("n1", "127.0.0.3:80", "room", "fast", 2))
-        DiscoveryPeer(self.registry, book, "at {}".format, partial(self.node.listenTCP, 90))
+        DiscoveryServer(self.registry, book, "at {}".format, partial(self.node.listenTCP, 90))
         self.lines: list[Scripted] = []
         where = {"s": ("127.0.0.2", 80), "nobody": ("127.0.0.2", 81)}
-        self.caller = Caller(self.clients, self.time, book, FORMS, where.__getitem__, most=most)
+        self.caller = SidecarClient(
+            self.clients, self.time, book, FORMS, where.__getitem__, max_connections=most
+        )
         self.ends: list[tuple[str, float]] = []
         self.book.clear()
 
@@ -184,7 +186,7 @@
         return asked
 
     def form(self, index: int = SAFE, key: str = "") -> bytes:
-        return FORMS.write(index, self.origins.new(Origin(1, index, 0.1, key)), 480, key, False)
+        return FORMS.encode(index, self.origins.new(Origin(1, index, 0.1, key)), 480, key, False)
 
     def dial(self, data: bytes = b"", port: int = 80, run: float = 1.0) -> Scripted:
         """A scripted connection of the sidecar to the node, or to discovery, that writes this first."""
--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -9,7 +9,7 @@
 from tests.lab.direct_world import LINK, Script, World
 from wheatring.balancer.interface import Outcome, View, ViewKind
 from wheatring.lab.direct.node import DirectNode
-from wheatring.lab.direct.way import DirectWay
+from wheatring.lab.direct.sidecar_client import DirectSidecarClient
 from wheatring.lab.models.discovery import Answer, Line, Listed
 from wheatring.lab.models.visit import Verdict
 
@@ -285,7 +285,7 @@
 def test_callers_open_no_more_connections_than_they_may() -> None:
     world = World()
     hosts = {"s": ("c", "h"), "none": ("c", "x")}
-    way = DirectWay(world.time, world.links, world.book, hosts, {"s": 2})
+    way = DirectSidecarClient(world.time, world.links, world.book, hosts, {"s": 2})
     way.running = world.way.running
     way.ask("none", "x", 0, 2.0, "", False, lambda *end: world.replies.append(end))
     asks = [way.ask("s", ident, 0, 2.0, "", False, lambda *end: None) for ident in "abcde"]
--- a/tests/lab/test_wire_http.py
+++ b/tests/lab/test_wire_http.py
@@ -1,4 +1,4 @@
-"""The cutter reads the same messages however the bytes are cut, and reports what is not plainly right."""
+"""The parser reads the same messages however the bytes are cut, and reports what is not plainly right."""
 
 from __future__ import annotations
 
@@ -14,9 +14,11 @@
 from wheatring.http1.parser import MessageParser
 from wheatring.lab.origins import Origin
 from wheatring.lab.plan import ClassPlan
-from wheatring.lab.wire.form import Forms
-from wheatring.lab.wire.http import Cutter, Malformed, Message
-from wheatring.lab.wire.node import spoilt
+from wheatring.lab.wire.http import MalformedMessageError as PeerMalformedMessageError
+from wheatring.lab.wire.http import Message
+from wheatring.lab.wire.http import MessageParser as PeerMessageParser
+from wheatring.lab.wire.node_server import malformed_response
+from wheatring.lab.wire.request_format import RequestFormat
 
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
@@ -37,14 +39,14 @@
 
 
 def cut(pieces: list[bytes], responses: bool = True) -> list[Message]:
-    cutter, messages = Cutter(responses=responses), []
+    parser, messages = PeerMessageParser(responses=responses), []
     for piece in pieces:
-        message = cutter.feed(piece)
+        message = parser.feed(piece)
         while message is not None:
             messages.append(message)
-            message = cutter.next()
-    message = cutter.end()
-    assert message is not None or not cutter.started, "half a message"
+            message = parser.next_message()
+    message = parser.finish()
+    assert message is not None or not parser.is_mid_message, "half a message"
     return messages + ([message] if message else [])
 
 
@@ -62,13 +64,13 @@
 
 
 def test_requests_are_cut_at_every_byte() -> None:
-    forms = Forms((ClassPlan(name="buy", share=1, work=0.1, effect="keyed"),))
-    data = forms.write(0, "00ff", 480, KEY, True)
+    forms = RequestFormat((ClassPlan(name="buy", share=1, work=0.1, effect="keyed"),))
+    data = forms.encode(0, "00ff", 480, KEY, True)
     for place in range(len(data) + 1):
         (message,) = cut([data[:place], data[place:]], responses=False)
         assert (message.method, message.fields[b"x-time-left-ms"]) == (b"POST", b"480")
-        assert forms.fits(message, b"00ff", Origin(1, 0, 0.1, KEY))
-        assert not forms.fits(message, b"00ff", Origin(1, 0, 0.1, "other"))
+        assert forms.matches(message, b"00ff", Origin(1, 0, 0.1, KEY))
+        assert not forms.matches(message, b"00ff", Origin(1, 0, 0.1, "other"))
 
 
 @pytest.mark.parametrize(
@@ -86,16 +88,16 @@
     ],
 )  # fmt: skip
 def test_what_is_not_plainly_right_is_reported(head: bytes) -> None:
-    with pytest.raises(Malformed):
+    with pytest.raises(PeerMalformedMessageError):
         cut([head + b"\r\n"], responses=False)
 
 
 def test_no_spoilt_answer_can_be_read_by_either_parser() -> None:
     forms = set()
     for seed in range(60):
-        data, _ = spoilt(Random(seed))
+        data, _ = malformed_response(Random(seed))
         forms.add(data[:40] if data[:1] == b"H" else b"noise")
-        with pytest.raises((Malformed, AssertionError)):
+        with pytest.raises((PeerMalformedMessageError, AssertionError)):
             cut([data])
         reader = MessageParser(responses=True)
         reader.feed(data)
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/test_wire_peers.py
@@ -33,9 +33,9 @@
 from wheatring.lab.net.transports import Transport
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import DiscoveryPlan
-from wheatring.lab.wire.caller import Caller
-from wheatring.lab.wire.discovery import DiscoveryPeer
-from wheatring.lab.wire.node import NodePeer
+from wheatring.lab.wire.discovery_server import DiscoveryServer
+from wheatring.lab.wire.node_server import NodeServer
+from wheatring.lab.wire.sidecar_client import SidecarClient
 
 __all__ = ["no_errors"]
 pytestmark = pytest.mark.usefixtures("no_errors")
@@ -86,7 +86,7 @@
     field.lines[2].transport.loseConnection()
     field.run()
     field.ask(run=1.0)
-    assert len(field.book.of("unasked-data")) == 2 and field.caller.pools["s"].open == 0
+    assert len(field.book.of("unasked-data")) == 2 and field.caller.pools["s"].open_count == 0
     assert all(line.why is not None for line in field.lines)
 
 
@@ -188,7 +188,7 @@
     told = ["taken", STAGES[stage]] if STAGES[stage] else []
     assert [entry[0] for entry in field.book.log] == told and len(field.ends) == over
     # What it held is free again, and its connection is closed at the other end too.
-    assert field.caller.pools["s"].open == over
+    assert field.caller.pools["s"].open_count == over
     assert all((line.why is None) == over for line in field.lines)
 
 
@@ -378,13 +378,13 @@
         ports.append(reactor.listenTCP(0, made, interface="127.0.0.1"))
         return ports[-1]
 
-    def ask(caller: Caller) -> None:
+    def ask(caller: SidecarClient) -> None:
         index = len(origins.of) % 2
         key = KEY if index else ""
         ident = origins.new(Origin(1, index, 0.1, key))
         caller.ask("s", ident, index, 30.0, key, False, lambda kind, wait: done(caller, kind))
 
-    def done(caller: Caller, kind: str) -> None:
+    def done(caller: SidecarClient, kind: str) -> None:
         ends.append(kind)
         if len(ends) <= 20:
             ask(caller)
@@ -395,11 +395,11 @@
             reactor.connectTCP("127.0.0.1", port, factory(ClientFactory(), lambda addr: line))
 
     def play() -> Deferred[Any]:
-        listen(NodePeer(Machine(book, 100), TIER, *rest))
+        listen(NodeServer(Machine(book, 100), TIER, *rest))
         registry = Registry(DiscoveryPlan(lines_per_s=1e6), timers, timers.unix, Random(7), book)
-        DiscoveryPeer(registry, book, "at {}".format, listen)
+        DiscoveryServer(registry, book, "at {}".format, listen)
         where = ("127.0.0.1", ports[0].getHost().port)
-        caller = Caller(reactor, timers, book, FORMS, lambda sidecar: where, host="127.0.0.9")
+        caller = SidecarClient(reactor, timers, book, FORMS, lambda sidecar: where, host="127.0.0.9")
         for _ in range(20):
             ask(caller)
         return over.addCallback(closed)
--- a/tests/lab/test_world_lives.py
+++ b/tests/lab/test_world_lives.py
@@ -10,7 +10,7 @@
 from wheatring.lab.play import world
 from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load
-from wheatring.lab.wire.ground import WireGround
+from wheatring.lab.wire.environment import WireEnvironment
 
 
 def a_life(seed: int, stop: float, load_until: float, *events: EventPlan) -> Plan:
@@ -31,14 +31,14 @@
     for seed in range(1, 6):
         made = world(a_life(seed, stop, until, *events), "wire")
         ground = made.ground
-        assert isinstance(ground, WireGround)
+        assert isinstance(ground, WireEnvironment)
         outcome = made.play()
         assert outcome.breaches == []
         assert [what for _, what in outcome.happened if "front-1" in what] == [
             "sidecar front-1 is told to stop", "sidecar front-1 ends"
         ]  # fmt: skip
-        assert ground.most["front-1"] > 5
-        counts = ground.ended["front-1"]
+        assert ground.max_sockets["front-1"] > 5
+        counts = ground.leftovers_at_exit["front-1"]
         assert set(counts) == {"jobs", "claims", "connections", "timers", "descriptors"}
         assert not any(counts.values()), counts
         assert not ground.net.host(ground.hosts["front-1"]).processes
@@ -47,6 +47,6 @@
         assert not [s for s in sockets(ground) if s.remote and s.remote[0] == ground.hosts["front-1"]]
 
 
-def sockets(ground: WireGround) -> list[Socket]:
+def sockets(ground: WireEnvironment) -> list[Socket]:
     """All that programs hold."""
     return [s for host in ground.net.hosts.values() for p in host.processes for s in p.descriptors]
--- a/tests/lab/test_world_told.py
+++ b/tests/lab/test_world_told.py
@@ -81,7 +81,7 @@
     assert {breach.rule for breach in outcome.breaches} == {"fault"}
     assert "tripped" in outcome.breaches[0].what and outcome.breaches[0].sidecar
     with monkeypatch.context() as patched:
-        patched.setattr("wheatring.lab.wire.node.NodePeer.buildProtocol", trip)
+        patched.setattr("wheatring.lab.wire.node_server.NodeServer.buildProtocol", trip)
         with pytest.raises(ZeroDivisionError, match="tripped"):
             play(a_day(), "wire")
 
--- a/wheatring/lab/direct/pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -27,7 +27,7 @@
 OUTCOMES = {Verdict.SERVED: SERVED, Verdict.AWAY: Outcome.REJECTED, Verdict.ERROR: Outcome.ERROR}
 
 
-class Line:
+class DirectConnection:
     """One connection to a node, both ends of it. It carries one claim at a time.
 
     `alive`, `claim` and what is about it are the sidecar's, who hears of things a link's delay after they
@@ -39,7 +39,7 @@
         "node_idle", "place", "pool", "reply_arrival", "visit", "way",
     )  # fmt: skip
 
-    def __init__(self, pool: DirectPool, place: EndpointAddress, claim: Attempt) -> None:
+    def __init__(self, pool: DirectConnectionPool, place: EndpointAddress, claim: Attempt) -> None:
         self.pool = pool
         self.place = place
         self.node: DirectNode  # who took it at that address
@@ -185,7 +185,7 @@
                 self.pool.exchange.end_attempt(claim, RESET)
 
 
-class DirectPool:
+class DirectConnectionPool:
     """Starts claims, and keeps clean connections for the next ones; the last one used goes out first.
 
     `nodes`: who listens, or did last, at each address as the machine list gives it (host:port).
@@ -217,9 +217,9 @@
         self.most = most
         self.addresses: dict[str, str] = {}
         self.ready: set[str] = set()
-        self.idle_ones: dict[tuple[str, str], deque[Line]] = {}
-        self.lines: dict[Line, None] = {}  # in the order in which they came
-        self.dials: dict[Line, None] = {}  # under way, in the order in which they began
+        self.idle_ones: dict[tuple[str, str], deque[DirectConnection]] = {}
+        self.lines: dict[DirectConnection, None] = {}  # in the order in which they came
+        self.dials: dict[DirectConnection, None] = {}  # under way, in the order in which they began
         exchange.start_attempt = self.start
         exchange.close_idle = self.close_idle
         exchange.on_endpoint_list = self.listed
@@ -239,7 +239,7 @@
             log.line("too-many-connections", most=self.most)
             self.clock.at(self.clock.now(), self.exchange.end_attempt, claim, CONNECT_FAILED)
             return
-        line = Line(self, EndpointAddress(claim.endpoint, address), claim)
+        line = DirectConnection(self, EndpointAddress(claim.endpoint, address), claim)
         self.dials[line] = None
         line.dial()
 
@@ -256,7 +256,7 @@
     def fits(self, place: EndpointAddress) -> bool:
         return place.endpoint in self.ready and self.addresses.get(place.endpoint) == place.address
 
-    def keep(self, line: Line) -> None:
+    def keep(self, line: DirectConnection) -> None:
         if not self.fits(line.place):
             line.close()
             return
@@ -266,7 +266,7 @@
             idle = self.idle_ones[line.place] = deque()
         idle.append(line)
 
-    def gone(self, line: Line) -> None:
+    def gone(self, line: DirectConnection) -> None:
         self.lines.pop(line, None)
         idle = self.idle_ones.get(line.place)
         if idle is not None:
--- a/wheatring/lab/direct/machine_list.py
+++ b/wheatring/lab/direct/endpoint_list.py
@@ -50,10 +50,10 @@
         self.over = False  # for the sidecar
 
 
-class DirectCaller:
+class DirectDiscoveryClient:
     """One connection to discovery, and the calls on it, one after another."""
 
-    def __init__(self, owner: DirectList) -> None:
+    def __init__(self, owner: DirectEndpointList) -> None:
         self.owner = owner
         self.there = owner.address[0]
         self.on_answer: AnswerCallback | None = None
@@ -142,7 +142,7 @@
             done(answer)
 
 
-class DirectList(EndpointList):
+class DirectEndpointList(EndpointList):
     """The machine list of one sidecar. All but the calls themselves is the service's own."""
 
     def __init__(
@@ -167,7 +167,7 @@
         super().__init__(None, clock, discovery, addresses, on_view, freshness, asking, pushed)
 
     def create_client(self) -> DiscoveryClient:
-        return DirectCaller(self)
+        return DirectDiscoveryClient(self)
 
     def decode(self, answer: Any) -> object:
         """As the answer's JSON is read."""
@@ -176,5 +176,5 @@
     def die(self) -> None:
         """Its process has ended: what is out is closed, and nobody hears of it."""
         for caller in (self.client, self.replacement, *self.superseded):
-            if isinstance(caller, DirectCaller):
+            if isinstance(caller, DirectDiscoveryClient):
                 caller.hang_up()
--- a/wheatring/lab/direct/ground.py
+++ b/wheatring/lab/direct/environment.py
@@ -9,7 +9,7 @@
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar
-from wheatring.lab.direct.way import DirectWay
+from wheatring.lab.direct.sidecar_client import DirectSidecarClient
 from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
@@ -21,7 +21,7 @@
     from wheatring.lab.world.world import World
 
 
-class DirectGround:
+class DirectEnvironment:
     def __init__(self, world: World) -> None:
         plan = world.plan
         self.world = world
@@ -30,7 +30,7 @@
         self.hosts = side_hosts(plan)
         most = plan.clients.connections
         callers = {node.name: node.host for node in plan.nodes}
-        self.way = DirectWay(
+        self.way = DirectSidecarClient(
             world.time,
             self.links,
             world.book,
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -11,7 +11,7 @@
 from wheatring.lab.timers import PlayedTime
 
 if TYPE_CHECKING:
-    from wheatring.lab.direct.pool import Line
+    from wheatring.lab.direct.connection_pool import DirectConnection
 
 
 class Troubles(Protocol):
@@ -55,11 +55,11 @@
         self.book = book
         self.round_trips = tier.handshake_rtts
         self.idle = tier.conn_idle
-        self.lines: dict[Line, None] = {}  # accepted, in the order in which they came
+        self.lines: dict[DirectConnection, None] = {}  # accepted, in the order in which they came
 
     # Connects
 
-    def knock(self, line: Line) -> None:
+    def knock(self, line: DirectConnection) -> None:
         """A connect has arrived."""
         late = self.machine.troubles.connect_delay
         if late > 0 and self.machine.running:
@@ -67,7 +67,7 @@
         else:
             self.accept(line)
 
-    def accept(self, line: Line) -> None:
+    def accept(self, line: DirectConnection) -> None:
         machine = self.machine
         if not machine.running or machine.troubles.refusing:
             line.back.send(0.0, line.refused)
@@ -86,7 +86,7 @@
 
     # Requests
 
-    def request(self, line: Line, visit: Visit) -> None:
+    def request(self, line: DirectConnection, visit: Visit) -> None:
         """The last byte of a request has arrived. On a connection that is closed here, it finds nobody."""
         if line not in self.lines:
             return
@@ -100,7 +100,7 @@
             line.begun = True
             self.machine.visit(visit)
 
-    def begin(self, line: Line, visit: Visit) -> None:
+    def begin(self, line: DirectConnection, visit: Visit) -> None:
         """The handshake is over."""
         if line.visit is visit:
             line.begun = True
@@ -108,7 +108,7 @@
 
     # Ends
 
-    def drop(self, line: Line) -> None:
+    def drop(self, line: DirectConnection) -> None:
         """Its end of a connection is gone, for whatever reason."""
         if line not in self.lines:
             return
@@ -122,7 +122,7 @@
                 self.book.ended(self.name, visit.ident)
         self.machine.disconnect()
 
-    def close(self, line: Line) -> None:
+    def close(self, line: DirectConnection) -> None:
         """End a connection from here."""
         self.drop(line)
         line.back.send(line.reply_arrival, line.ended)
@@ -132,7 +132,7 @@
         for line in list(self.lines):
             self.close(line)
 
-    def look(self, line: Line) -> None:
+    def look(self, line: DirectConnection) -> None:
         """Close a connection that has stood idle for too long."""
         if line not in self.lines:
             return
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -15,16 +15,16 @@
 from wheatring.daemon.sidecar import NODE_CONNECTION_SHARE, RESERVED_DESCRIPTORS
 from wheatring.lab.book import Book
 from wheatring.lab.direct.clock import DirectClock
+from wheatring.lab.direct.connection_pool import DirectConnectionPool
+from wheatring.lab.direct.endpoint_list import DirectEndpointList, Registry
 from wheatring.lab.direct.links import Links
-from wheatring.lab.direct.machine_list import DirectList, Registry
 from wheatring.lab.direct.node import DirectNode
-from wheatring.lab.direct.pool import DirectPool
 from wheatring.lab.timers import PlayedTime
 from wheatring.lifecycle.freshness import list_schedules
 from wheatring.lifecycle.shutdown_schedule import ShutdownSchedule
 
 if TYPE_CHECKING:
-    from wheatring.lab.direct.way import DirectAsked, DirectWay
+    from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
 
 
 class DirectSidecar:
@@ -49,7 +49,7 @@
         registry: Registry,
         discovery: tuple[str, int],
         book: Book,
-        way: DirectWay,
+        way: DirectSidecarClient,
         sockets: int = 1024,
         on_end: Callable[[bool], None] = lambda killed: None,
     ) -> None:
@@ -65,12 +65,12 @@
         places = sockets - RESERVED_DESCRIPTORS
         claims = int(places * NODE_CONNECTION_SHARE)
         limits = settings.limits
-        self.pool = DirectPool(
+        self.pool = DirectConnectionPool(
             name, host, nodes, self.clock, self.exchange, links, book, limits.connect_timeout,
             limits.idle_timeout, claims,
         )  # fmt: skip
         asking, freshness = list_schedules(settings, seed, self.clock.now())
-        self.machine_list = DirectList(
+        self.machine_list = DirectEndpointList(
             self.clock, name, host, discovery, registry, links, self.pool.addresses, self.driver.feed,
             freshness, asking, not settings.must_subscribe,
         )  # fmt: skip
@@ -79,8 +79,8 @@
         self.copies = settings.balancer_count
         self.came_at = -inf  # the last request
         self.most = places - claims  # callers at once; more wait at the door
-        self.held: dict[DirectAsked, None] = {}  # taken and not answered, in the order in which they came
-        self.door: deque[DirectAsked] = deque()
+        self.held: dict[DirectRequest, None] = {}  # taken and not answered, in the order in which they came
+        self.door: deque[DirectRequest] = deque()
         self.open = False  # it takes requests
         self.stopping = False
 
@@ -93,7 +93,7 @@
 
     # Requests
 
-    def take(self, asked: DirectAsked) -> None:
+    def take(self, asked: DirectRequest) -> None:
         """A request has arrived."""
         self.came_at = self.clock.now()
         if len(self.held) >= self.most:
@@ -110,13 +110,13 @@
         self.held[asked] = None
         self.exchange.submit(job)
 
-    def done(self, asked: DirectAsked) -> None:
+    def done(self, asked: DirectRequest) -> None:
         """It is answered."""
         del self.held[asked]
         if self.door:
             self.next()
 
-    def leave(self, asked: DirectAsked) -> None:
+    def leave(self, asked: DirectRequest) -> None:
         """Its caller has closed its connection."""
         if self.clock.over:
             return
--- a/wheatring/lab/direct/way.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -19,7 +19,7 @@
 SERVED, REFUSED = AnswerKind.SERVED, AnswerKind.REFUSED  # looked up once: an enum takes its time
 
 
-class DirectAsked:
+class DirectRequest:
     """One request that is out. It is its job's content, and what the job's answer goes to."""
 
     __slots__ = (
@@ -28,8 +28,8 @@
     )  # fmt: skip
 
     def __init__(
-        self, way: DirectWay, sidecar: str, ident: str, index: int, until: float, key: str, repeat: bool,
-        done: Done,
+        self, way: DirectSidecarClient, sidecar: str, ident: str, index: int, until: float, key: str,
+        repeat: bool, done: Done,
     ) -> None:  # fmt: skip
         self.way = way
         self.sidecar = sidecar
@@ -117,7 +117,7 @@
         self.there.send(self.arrival, process.leave, self)
 
 
-class DirectWay:
+class DirectSidecarClient:
     """Carries requests to the sidecars that run. `hosts`: for each sidecar, its callers' host and its own;
     `most`: for some, the connections that their callers open at once at most.
     """
@@ -138,12 +138,12 @@
         self.running: dict[str, DirectSidecar] = {}
         self.most = most
         self.open = dict.fromkeys(most or (), 0)
-        self.waiting: dict[str, deque[DirectAsked]] = {name: deque() for name in most or ()}
+        self.waiting: dict[str, deque[DirectRequest]] = {name: deque() for name in most or ()}
 
     def ask(
         self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
-    ) -> DirectAsked:
-        asked = DirectAsked(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
+    ) -> DirectRequest:
+        asked = DirectRequest(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
         if self.most and sidecar in self.most:
             self.waiting[sidecar].append(asked)
             self.fill(sidecar)
@@ -160,7 +160,7 @@
             self.open[sidecar] += 1
             asked.go()
 
-    def free(self, asked: DirectAsked) -> None:
+    def free(self, asked: DirectRequest) -> None:
         """A request needs its connection no more, or none any more."""
         waiting = self.waiting.get(asked.sidecar)
         if waiting is None:
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -23,9 +23,9 @@
 from wheatring.lab.models.traffic import sizes
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
-from wheatring.lab.wire.caller import Caller
-from wheatring.lab.wire.form import Forms
-from wheatring.lab.wire.node import NodePeer
+from wheatring.lab.wire.node_server import NodeServer
+from wheatring.lab.wire.request_format import RequestFormat
+from wheatring.lab.wire.sidecar_client import SidecarClient
 
 BACKLOG = 511
 Where = Callable[[str], tuple[str, int]]  # a sidecar's address
@@ -37,7 +37,7 @@
     def __init__(self, plan: NodePlan, machine: Machine) -> None:
         self.plan = plan
         self.machine = machine
-        self.peers: dict[str, NodePeer] = {}  # by the sidecar that may call it
+        self.peers: dict[str, NodeServer] = {}  # by the sidecar that may call it
         self.doors: list[Any] = []
 
     def reset(self) -> None:
@@ -66,7 +66,7 @@
         self.clock = clock
         self.origins = origins
         self.registry = registry
-        self.forms = Forms(plan.classes)
+        self.forms = RequestFormat(plan.classes)
         self.book = book
         self.where = where
         self.ports: dict[tuple[str, str], int] = {}  # by host and sidecar: once the kernel has chosen, kept
@@ -74,7 +74,7 @@
         self.callers: list[list[tuple[str, str]]] = [[(each.name, each.zone) for each in plan.sidecars]]
         for tier in range(len(plan.tiers) - 1):
             self.callers.append([(node.name, node.zone) for node in plan.nodes if node.tier == tier])
-        self.ways: dict[str, Caller] = {}  # of nodes that run, into their own sidecars
+        self.ways: dict[str, SidecarClient] = {}  # of nodes that run, into their own sidecars
         effects = Effects(clock, plan.classes, book)
         self.nodes = {node.name: self._node(node, effects) for node in plan.nodes}
         self.on_fallen: Callable[[str], object] = lambda _name: None
@@ -97,7 +97,7 @@
         made = Node(node, machine)
         for sidecar, zone in self.callers[node.tier]:
             trip = 2 * (plan.net.same if zone == node.zone else plan.net.cross)
-            made.peers[sidecar] = NodePeer(
+            made.peers[sidecar] = NodeServer(
                 machine, tier, self.clock, Random(f"{plan.seed}:spoilt:{node.name}:{sidecar}"),
                 self.origins, self.forms, self.book, partial(_this, sidecar), partial(_that, trip),
             )  # fmt: skip
@@ -133,7 +133,7 @@
         self._open(node)
         node.machine.start(cold)
         if node.plan.tier + 1 < len(self.plan.tiers):
-            self.ways[node.plan.name] = Caller(
+            self.ways[node.plan.name] = SidecarClient(
                 self.reactor, self.clock, self.book, self.forms, self.where, node.plan.host
             )
 
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -38,8 +38,8 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import NetPlan, Plan
 from wheatring.lab.rules import Ledger
-from wheatring.lab.wire.caller import Caller
-from wheatring.lab.wire.form import Forms
+from wheatring.lab.wire.request_format import RequestFormat
+from wheatring.lab.wire.sidecar_client import SidecarClient
 from wheatring.lab.world.events import Events
 from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
 
@@ -98,8 +98,8 @@
         )
         self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.wires)
         self.lifecycles.ready, self.lifecycles.failed = self.start_day, self.stop
-        way = Caller(
-            reactor, clock, self.book, Forms(plan.classes), self.slots.where, CLIENTS,
+        way = SidecarClient(
+            reactor, clock, self.book, RequestFormat(plan.classes), self.slots.where, CLIENTS,
             plan.clients.connections,
         )  # fmt: skip
         self.clients = Clients(plan, clock, self.random("clients"), self.origins, self.book, self.front, way)
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -19,7 +19,7 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import Ledger
 from wheatring.lab.settings import settings
-from wheatring.lab.wire.discovery import DiscoveryPeer
+from wheatring.lab.wire.discovery_server import DiscoveryServer
 from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
 from wheatring.lab.world.world import SIDECAR_FAULT_CODES
 
@@ -51,7 +51,7 @@
         self.number = number
         self.copies = copies
         self.port = 0  # once it has listened for the first time, kept
-        self.list_server: DiscoveryPeer | None = None
+        self.list_server: DiscoveryServer | None = None
         self.list_port = 0
         self.moves = self.notified_moves = 0  # of discovery, so far; and when it was last told
         self.process: Sidecar | None = None
@@ -198,7 +198,7 @@
 
     def _serve_list(self, slot: SidecarSlot) -> None:
         slot.list_port = 0
-        slot.list_server = DiscoveryPeer(
+        slot.list_server = DiscoveryServer(
             self.registry, self.book, lambda _host: slot.name, partial(self._listen, slot),
             partial(self.address, slot.name),
         )  # fmt: skip
@@ -217,7 +217,7 @@
         for slot in self.by_name.values():
             if slot.list_server is None:
                 continue
-            slot.list_server.shut()
+            slot.list_server.close()
             slot.moves += 1
             self._serve_list(slot)
             self._notify_move(slot)
--- a/wheatring/lab/play.py
+++ b/wheatring/lab/play.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable, Mapping
 
-from wheatring.lab.direct.ground import DirectGround
+from wheatring.lab.direct.environment import DirectEnvironment
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import Plan
-from wheatring.lab.wire.ground import WireGround
+from wheatring.lab.wire.environment import WireEnvironment
 from wheatring.lab.world.ground import Ground
 from wheatring.lab.world.world import Tracing, World
 
-GRAINS: Mapping[str, Callable[[World], Ground]] = {"wire": WireGround, "exchange": DirectGround}
+GRAINS: Mapping[str, Callable[[World], Ground]] = {"wire": WireEnvironment, "exchange": DirectEnvironment}
 
 
 def world(plan: Plan, grain: str, tracing: Tracing | None = None) -> World:
--- a/wheatring/lab/wire/ground.py
+++ b/wheatring/lab/wire/environment.py
@@ -16,10 +16,10 @@
 from wheatring.lab.net.network import Network
 from wheatring.lab.net.process import Delayed, Process, waiting
 from wheatring.lab.plan import EventPlan, NodePlan
-from wheatring.lab.wire.caller import Caller
-from wheatring.lab.wire.discovery import DiscoveryPeer
-from wheatring.lab.wire.form import Forms
-from wheatring.lab.wire.node import NodePeer
+from wheatring.lab.wire.discovery_server import DiscoveryServer
+from wheatring.lab.wire.node_server import NodeServer
+from wheatring.lab.wire.request_format import RequestFormat
+from wheatring.lab.wire.sidecar_client import SidecarClient
 from wheatring.lab.world.ground import (
     CLIENTS,
     DISCOVERY,
@@ -33,9 +33,9 @@
     from wheatring.lab.world.world import World
 
 NO_OPERATORS = OperatorProperties()
-BACKLOG = 511
+LISTEN_BACKLOG = 511
 # What a sidecar that has nothing to do still waits for.
-PERIODIC = frozenset(
+PERIODIC_CALLS = frozenset(
     (
         "Server.sweep", "Server.evict", "ConnectionPool.sweep", "HttpDiscoveryClient.stop",
         "EndpointList.watch", "EndpointList.check_freshness",
@@ -43,7 +43,7 @@
 )  # fmt: skip
 
 
-class WireGround:
+class WireEnvironment:
     def __init__(self, world: World) -> None:
         plan = world.plan
         self.world = world
@@ -54,34 +54,36 @@
             world.time, plan.net, world.random("net"), lambda host: self.zones.get(host, ""), plan.epoch
         )
         self.hosts = side_hosts(plan)
-        self.whose: dict[str, str] = {}  # by host: a follower may come to the address of one that is gone
-        self.forms = Forms(plan.classes)
-        self.way = self.caller(self.net.process("clients", CLIENTS), CLIENTS, plan.clients.connections)
+        # A successor may come to the address of a sidecar that is gone.
+        self.sidecar_by_host: dict[str, str] = {}
+        self.request_format = RequestFormat(plan.classes)
+        self.way = self.create_client(self.net.process("clients", CLIENTS), CLIENTS, plan.clients.connections)
         self.processes: dict[str, Process] = {}  # of nodes
-        self.peers: dict[str, NodePeer] = {}
-        self.callers: dict[str, Caller] = {}  # of nodes
+        self.servers: dict[str, NodeServer] = {}
+        self.clients: dict[str, SidecarClient] = {}  # of nodes
         self.sidecars: dict[str, tuple[Process, Sidecar]] = {}
-        self.most: dict[str, int] = {}  # sockets that a sidecar's processes held at most
-        self.ended: dict[str, Counter[str]] = {}  # by sidecar: what was there as its process ended by itself
+        self.max_sockets: dict[str, int] = {}  # sockets that a sidecar's processes held at most
+        # By sidecar, what its process still held when it ended by itself.
+        self.leftovers_at_exit: dict[str, Counter[str]] = {}
 
-    def caller(self, process: Process, host: str, most: int = 0) -> Caller:
-        return Caller(process, self.time, self.book, self.forms, self.where, host, most)
+    def create_client(self, process: Process, host: str, most: int = 0) -> SidecarClient:
+        return SidecarClient(process, self.time, self.book, self.request_format, self.address_of, host, most)
 
-    def where(self, sidecar: str) -> tuple[str, int]:
+    def address_of(self, sidecar: str) -> tuple[str, int]:
         return self.hosts[sidecar], PORT
 
     def sidecar_of(self, host: str) -> str:
-        return self.whose.get(host, "")
+        return self.sidecar_by_host.get(host, "")
 
     def open_discovery(self, registry: Registry) -> None:
         host, port = DISCOVERY
         process = self.net.process("discovery", host)
         self.net.host(host).on_refused[port] = lambda caller: registry.refused(self.sidecar_of(caller))
-        DiscoveryPeer(
+        DiscoveryServer(
             registry,
             self.book,
             self.sidecar_of,
-            lambda factory: process.listenTCP(port, factory, BACKLOG, host),
+            lambda factory: process.listenTCP(port, factory, LISTEN_BACKLOG, host),
         )
 
     # Nodes
@@ -89,7 +91,7 @@
     def below(self, node: NodePlan) -> Below:
         return Calls(
             node.name,
-            lambda: self.callers.get(node.name),
+            lambda: self.clients.get(node.name),
             self.world.origins,
             self.world.sizes(node),
             self.time,
@@ -97,26 +99,26 @@
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
         process = self.processes[node.name] = self.net.process(f"node {node.name}", node.host)
-        peer = self.peers[node.name] = NodePeer(
+        peer = self.servers[node.name] = NodeServer(
             machine,
             self.world.plan.tiers[node.tier],
             self.time,
             self.world.random(f"peer:{node.name}"),
             self.world.origins,
-            self.forms,
+            self.request_format,
             self.book,
             self.sidecar_of,
             lambda host: self.round_trip(node.host, host),
             lambda full: self.net.full(node.host, PORT, full),
         )
         self.net.full(node.host, PORT, False)
-        process.listenTCP(PORT, peer, BACKLOG, node.host)
+        process.listenTCP(PORT, peer, LISTEN_BACKLOG, node.host)
         if node.name in self.hosts:
-            self.callers[node.name] = self.caller(process, node.host)
+            self.clients[node.name] = self.create_client(process, node.host)
 
     def node_down(self, node: str) -> None:
-        self.callers.pop(node, None)
-        process, peer = self.processes.pop(node), self.peers.pop(node)
+        self.clients.pop(node, None)
+        process, peer = self.processes.pop(node), self.servers.pop(node)
         peer.reset()
         # Its resets are on their way at this instant's end; what dies before that closes in good order.
         self.time.at(self.time.now(), process.kill)
@@ -129,13 +131,13 @@
 
     def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
         process = self.net.process(name, self.hosts[name])
-        self.whose[self.hosts[name]] = name
+        self.sidecar_by_host[self.hosts[name]] = name
 
         def stopped() -> None:
-            counts = self.ended.setdefault(name, Counter())
-            counts.update(left_by(sidecar, process.open_resources().timers))
+            counts = self.leftovers_at_exit.setdefault(name, Counter())
+            counts.update(count_leftovers(sidecar, process.open_resources().timers))
             counts["descriptors"] += len(process.descriptors)
-            self.gone(name)
+            self.forget_sidecar(name)
             self.book.sidecar_down(name, False)
             ended()
 
@@ -145,9 +147,9 @@
         process.run(sidecar.start)
         self.book.sidecar_up(name)
 
-    def gone(self, name: str) -> Process:
+    def forget_sidecar(self, name: str) -> Process:
         process, _ = self.sidecars.pop(name)
-        self.most[name] = max(self.most.get(name, 0), process.most)
+        self.max_sockets[name] = max(self.max_sockets.get(name, 0), process.most)
         return process
 
     def sidecar_stop(self, name: str) -> None:
@@ -156,18 +158,18 @@
         process.callFromThread(sidecar.stop)
 
     def sidecar_kill(self, name: str) -> None:
-        self.gone(name).kill()
+        self.forget_sidecar(name).kill()
         self.book.sidecar_down(name, True)
 
     # Faults
 
     def begin(self, event: EventPlan) -> None:
-        self.turn(event, True)
+        self.apply_fault(event, True)
 
     def end(self, event: EventPlan) -> None:
-        self.turn(event, False)
+        self.apply_fault(event, False)
 
-    def turn(self, event: EventPlan, on: bool) -> None:
+    def apply_fault(self, event: EventPlan, on: bool) -> None:
         for name in event.nodes:
             host = self.world.nodes[name].host
             troubles = self.world.machines[name].troubles
@@ -175,8 +177,8 @@
                 self.net.refuse(host, PORT, troubles.refusing)
             elif event.kind == "late_connects":
                 self.net.delay_connects(host, PORT, troubles.connect_delay)
-            elif event.kind == "conn_cap" and name in self.peers:
-                self.peers[name].look()
+            elif event.kind == "conn_cap" and name in self.servers:
+                self.servers[name].update_full()
         if event.kind == "partition":
             (self.net.cut if on else self.net.heal)(event.hosts, event.others, event.one_way)
         elif event.kind == "latency":
@@ -185,14 +187,14 @@
             self.net.step_clock(event.hosts, event.size if on else -event.size)
 
     def vanish(self, node: NodePlan) -> None:
-        for host in self.machine_of(node):
+        for host in self.hosts_of(node):
             self.net.vanish(host)
 
     def back(self, node: NodePlan) -> None:
-        for host in self.machine_of(node):
+        for host in self.hosts_of(node):
             self.net.back(host)
 
-    def machine_of(self, node: NodePlan) -> list[str]:
+    def hosts_of(self, node: NodePlan) -> list[str]:
         return [node.host, node.side_host] if node.name in self.hosts else [node.host]
 
     def stepped(self) -> float:
@@ -205,20 +207,20 @@
         return running.name if isinstance(running, Process) else ""
 
     def left_over(self) -> dict[str, dict[str, int]]:
-        found = {name: Counter(most_sockets=most) for name, most in self.most.items()}
+        found = {name: Counter(most_sockets=most) for name, most in self.max_sockets.items()}
         later = waiting(self.time)
         for name, (process, sidecar) in self.sidecars.items():
             counts = found.setdefault(name, Counter())
             counts["most_sockets"] = max(counts["most_sockets"], process.most)
-            counts.update(left_by(sidecar, [*process.due_soon(), *later.get(process, ())]))
+            counts.update(count_leftovers(sidecar, [*process.due_soon(), *later.get(process, ())]))
         return {name: dict(counts) for name, counts in found.items()}
 
 
-def left_by(sidecar: Sidecar, timers: Sequence[Delayed]) -> Counter[str]:
+def count_leftovers(sidecar: Sidecar, timers: Sequence[Delayed]) -> Counter[str]:
     """What a sidecar that has nothing to do should not have. `timers`: all that it waits for."""
     counts = Counter(jobs=max(sidecar.exchange.open_count, len(sidecar.driver.open_requests)))
     counts["claims"] = sum(each.attempt is not None for each in sidecar.pool.connections)
     counts["connections"] = sum(each.request is not None for each in sidecar.server.connections)
     for call in timers:
-        counts["timers"] += not (call.func.__qualname__ in PERIODIC or call.args == (TimerDue(0),))
+        counts["timers"] += not (call.func.__qualname__ in PERIODIC_CALLS or call.args == (TimerDue(0),))
     return counts
--- a/wheatring/lab/wire/http.py
+++ b/wheatring/lab/wire/http.py
@@ -4,8 +4,8 @@
 
 import re
 
-MOST_HEAD = 16 * 1024
-MOST_BODY = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 64 * 1024
 
 _END = b"\r\n\r\n"
 # All bytes that a head may have within a line: taken away, only the line ends are left.
@@ -13,10 +13,10 @@
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
 _CHUNK = re.compile(rb"[0-9A-Fa-f]{1,8}")
 _names: dict[bytes, bytes] = {}  # field names as they were written, and in lower case
-_MOST_NAMES = 512
+_MAX_CACHED_NAMES = 512
 
 
-class Malformed(Exception):
+class MalformedMessageError(Exception):
     """What came is no message that this side could ask for; the text says why."""
 
 
@@ -36,14 +36,14 @@
 
 def _name(written: bytes) -> bytes:
     if not _TOKEN.fullmatch(written):
-        raise Malformed("a field without a name")
+        raise MalformedMessageError("a field without a name")
     name = written.lower()
-    if len(_names) < _MOST_NAMES:
+    if len(_names) < _MAX_CACHED_NAMES:
         _names[written] = name
     return name
 
 
-class Cutter:
+class MessageParser:
     """The messages of one direction of one connection. After Malformed nothing more can be cut from it."""
 
     __slots__ = ("_body", "_buffer", "_chunked", "_message", "_need", "_responses", "_searched", "_to_end")
@@ -59,7 +59,7 @@
         self._body: list[bytes] = []
 
     @property
-    def started(self) -> bool:
+    def is_mid_message(self) -> bool:
         """Part of a message is here."""
         return self._message is not None or bool(self._buffer)
 
@@ -69,9 +69,9 @@
             self._buffer += data
         else:
             self._buffer = data
-        return self.next()
+        return self.next_message()
 
-    def next(self) -> Message | None:
+    def next_message(self) -> Message | None:
         message = self._message
         if message is None:
             message = self._head()
@@ -81,8 +81,8 @@
             return self._chunks(message)
         buffer, need = self._buffer, self._need
         if self._to_end:
-            if len(buffer) > MOST_BODY:
-                raise Malformed("a body without end")
+            if len(buffer) > MAX_BODY_BYTES:
+                raise MalformedMessageError("a body without end")
             return None
         if len(buffer) < need:
             return None
@@ -92,7 +92,7 @@
         self._message = None
         return message
 
-    def end(self) -> Message | None:
+    def finish(self) -> Message | None:
         """The peer closed in good order: what lasted until then is whole."""
         message = self._message
         if message is None or not self._to_end:
@@ -104,27 +104,27 @@
         buffer = self._buffer
         end = buffer.find(_END, self._searched)
         if end < 0:
-            if len(buffer) > MOST_HEAD:
-                raise Malformed("a head without end")
+            if len(buffer) > MAX_HEAD_BYTES:
+                raise MalformedMessageError("a head without end")
             if self._responses and buffer[:7] != b"HTTP/1."[: len(buffer)]:
-                raise Malformed("no answer")
+                raise MalformedMessageError("no answer")
             self._searched = max(0, len(buffer) - 3)
             return None
-        if end > MOST_HEAD:
-            raise Malformed("a long head")
+        if end > MAX_HEAD_BYTES:
+            raise MalformedMessageError("a long head")
         self._searched = 0
         head = buffer[:end]
         self._buffer = buffer[end + 4 :]
         lines = head.split(b"\r\n")
         if head.translate(None, _WITHIN) != b"\r\n" * (len(lines) - 1):
-            raise Malformed("a byte that no head has")
+            raise MalformedMessageError("a byte that no head has")
         fields: dict[bytes, bytes] = {}
         names = _names
         for line in lines[1:]:
             written, colon, value = line.partition(b":")
             name = names.get(written) or _name(written)
             if not colon or name in fields:
-                raise Malformed(f"no field, or one too many: {name.decode('latin-1')}")
+                raise MalformedMessageError(f"no field, or one too many: {name.decode('latin-1')}")
             fields[name] = value.strip(b" \t")
         message = self._response(lines[0], fields) if self._responses else self._request(lines[0], fields)
         if b"connection" in fields:
@@ -136,12 +136,12 @@
     def _request(self, line: bytes, fields: dict[bytes, bytes]) -> Message:
         parts = line.split(b" ")
         if len(parts) != 3:
-            raise Malformed("the first line")
+            raise MalformedMessageError("the first line")
         method, target, version = parts
         if not (method.isalpha() and method.isupper() and target[:1] == b"/" and target.isascii()):
-            raise Malformed("the first line")
+            raise MalformedMessageError("the first line")
         if version != b"HTTP/1.1" or b"\t" in target:
-            raise Malformed("the first line")
+            raise MalformedMessageError("the first line")
         return Message(method, target, 0, fields)
 
     def _response(self, line: bytes, fields: dict[bytes, bytes]) -> Message:
@@ -152,7 +152,7 @@
             or not status.isdigit()
             or line[12:13] not in (b"", b" ")
         ):
-            raise Malformed("the first line")
+            raise MalformedMessageError("the first line")
         return Message(b"", b"", int(status), fields)
 
     def _frame(self, message: Message) -> None:
@@ -162,16 +162,16 @@
         self._chunked = self._to_end = False
         if coding is not None:
             if length is not None or coding.lower() != b"chunked":
-                raise Malformed("two lengths, or none that can be told")
+                raise MalformedMessageError("two lengths, or none that can be told")
             self._chunked = True
             self._body = []
             self._need = -1
         elif length is not None:
             if not length.isdigit() or len(length) > 15:
-                raise Malformed("a length that is no number")
+                raise MalformedMessageError("a length that is no number")
             self._need = int(length)
-            if self._need > MOST_BODY:
-                raise Malformed("a long body")
+            if self._need > MAX_BODY_BYTES:
+                raise MalformedMessageError("a long body")
         elif status >= 200 and status != 204 and status != 304:
             self._to_end = True
             message.keep_alive = False
@@ -183,30 +183,30 @@
             if need < 0:
                 end = buffer.find(b"\r\n")
                 if end < 0:
-                    if len(buffer) > MOST_HEAD:
-                        raise Malformed("a line without end in a chunked body")
+                    if len(buffer) > MAX_HEAD_BYTES:
+                        raise MalformedMessageError("a line without end in a chunked body")
                     return None
                 line, self._buffer = buffer[:end], buffer[end + 2 :]
                 if need == -1:
                     size = line.partition(b";")[0].strip(b" \t")
                     if not _CHUNK.fullmatch(size):
-                        raise Malformed("the size of a chunk")
+                        raise MalformedMessageError("the size of a chunk")
                     self._need = int(size, 16) + 2
                     if self._need == 2:
                         self._need = -2
-                    elif sum(map(len, self._body)) + self._need - 2 > MOST_BODY:
-                        raise Malformed("a long body")
+                    elif sum(map(len, self._body)) + self._need - 2 > MAX_BODY_BYTES:
+                        raise MalformedMessageError("a long body")
                 elif not line:
                     message.body = b"".join(self._body)
                     self._body = []
                     self._message = None
                     return message
                 elif b":" not in line:
-                    raise Malformed("a line after the last chunk")
+                    raise MalformedMessageError("a line after the last chunk")
             elif len(buffer) < need:
                 return None
             elif buffer[need - 2 : need] != b"\r\n":
-                raise Malformed("the end of a chunk")
+                raise MalformedMessageError("the end of a chunk")
             else:
                 self._body.append(buffer[: need - 2])
                 self._buffer = buffer[need:]
--- a/wheatring/lab/wire/node.py
+++ b/wheatring/lab/wire/node_server.py
@@ -15,16 +15,16 @@
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import TierPlan
 from wheatring.lab.timers import Timer, Timers
-from wheatring.lab.wire.form import Forms
-from wheatring.lab.wire.http import Cutter, Malformed, Message
+from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
+from wheatring.lab.wire.request_format import RequestFormat
 
-ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
-AWAY = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
-BAD = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-NOBODY = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
+SERVER_ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
+UNPROCESSED = b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
 
-class Node(Protocol):
+class NodeModel(Protocol):
     """The part of a machine's model that is used here; it tells the book what becomes of a visit itself, but
     that it arrived and that it was turned away.
     """
@@ -48,7 +48,7 @@
     def abandoned(self, visit: Visit) -> None: ...
 
 
-def spoilt(random: Random) -> tuple[bytes, bool]:
+def malformed_response(random: Random) -> tuple[bytes, bool]:
     """An answer that can't be read, and whether the connection ends behind it."""
     form = random.randrange(6)
     ends = random.random() < 0.5
@@ -70,47 +70,47 @@
 
     transport: Any
 
-    def __init__(self, peer: NodePeer, sidecar: str, delay: float) -> None:
+    def __init__(self, peer: NodeServer, sidecar: str, delay: float) -> None:
         self.peer = peer
         self.sidecar = sidecar
-        self.delay = delay  # of the first request, for the handshake
-        self.cutter = Cutter(responses=False)
+        self.handshake_delay = delay  # of the first request, for the handshake
+        self.parser = MessageParser(responses=False)
         self.visit: Visit | None = None
-        self.begun = False  # the visit is at the machine
+        self.has_begun = False  # the visit is at the machine
         self.keep_alive = True
-        self.over = False  # this side has ended it
-        self.since = 0.0  # idle from then on
-        self.sent = 0.0  # when the first byte of the request left the sidecar, as far as that can be told
+        self.is_over = False  # this side has ended it
+        self.idle_since = 0.0  # idle from then on
+        self.sent_at = 0.0  # when the first byte of the request left the sidecar, as far as that can be told
         self.timer: Timer | None = None
 
     def connectionMade(self) -> None:
         peer = self.peer
         peer.connections[self] = None
         self.transport.setTcpNoDelay(True)
-        self.since = peer.timers.now()
-        self.timer = peer.timers.at(self.since + peer.idle, self._look)
+        self.idle_since = peer.timers.now()
+        self.timer = peer.timers.at(self.idle_since + peer.idle_seconds, self._check_idle)
 
     def dataReceived(self, data: bytes) -> None:
-        if self.over:
+        if self.is_over:
             return
-        peer, cutter = self.peer, self.cutter
+        peer, cutter = self.peer, self.parser
         if self.visit is not None:
             # Two requests at once on one connection: it can't be told which one an answer is for.
             peer.book.note("second-request", node=peer.node.name, sidecar=self.sidecar)
             self._abort()
             return
-        if not cutter.started:
+        if not cutter.is_mid_message:
             at: float | None = getattr(self.transport, "sent_at", None)
-            self.sent = peer.timers.now() if at is None else at
-            peer.book.sending(self.sidecar, peer.node.name, self.sent)
+            self.sent_at = peer.timers.now() if at is None else at
+            peer.book.sending(self.sidecar, peer.node.name, self.sent_at)
         try:
             message = cutter.feed(data)
-        except Malformed as bad:
+        except MalformedMessageError as bad:
             self._reject(str(bad), "")
             return
         if message is None:
             return
-        if cutter.started:
+        if cutter.is_mid_message:
             self._reject("more than one request", "")
             return
         self._take(message)
@@ -119,21 +119,21 @@
         """No caller has written this so."""
         peer = self.peer
         peer.book.note("bad-request", node=peer.node.name, sidecar=self.sidecar, ident=ident, why=why)
-        self._write(BAD)
+        self._write(BAD_REQUEST)
         self._close()
 
     def _take(self, message: Message) -> None:
         peer, fields = self.peer, message.fields
         name = fields.get(b"x-correlation-id")
         if name is None:
-            self._write(NOBODY)
+            self._write(NOT_FOUND)
             return
         ident = name.decode("latin-1")
         origin = peer.origins.of.get(ident)
         if origin is None:
             self._reject("unknown id", ident)
             return
-        if not peer.forms.fits(message, name, origin):
+        if not peer.request_format.matches(message, name, origin):
             self._reject("changed on its way", ident)
             return
         left = fields.get(b"x-time-left-ms", b"0")
@@ -144,26 +144,26 @@
         node = peer.node
         now = peer.timers.now()
         visit = self.visit = Visit(ident, self.sidecar, int(left) / 1000, now, self._reply)
-        peer.book.arrived(self.sidecar, node.name, ident, self.sent)
-        if self.delay > 0:
-            peer.timers.at(now + self.delay, self._begin, visit)
-            self.delay = 0.0
+        peer.book.arrived(self.sidecar, node.name, ident, self.sent_at)
+        if self.handshake_delay > 0:
+            peer.timers.at(now + self.handshake_delay, self._start_visit, visit)
+            self.handshake_delay = 0.0
         else:
-            self.begun = True
+            self.has_begun = True
             node.visit(visit)
 
-    def _begin(self, visit: Visit) -> None:
+    def _start_visit(self, visit: Visit) -> None:
         """The handshake is over."""
-        if visit is self.visit and not self.over:
-            self.begun = True
+        if visit is self.visit and not self.is_over:
+            self.has_begun = True
             self.peer.node.visit(visit)
 
     def _reply(self, verdict: Verdict, stamp: str) -> None:
         visit = self.visit
-        if visit is None or self.over:
+        if visit is None or self.is_over:
             return
         self.visit = None
-        self.begun = False
+        self.has_begun = False
         if verdict is Verdict.SERVED:
             body = stamp.encode("latin-1")
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
@@ -172,14 +172,14 @@
                 answer += answer  # good, with more behind it than belongs to it
             self._write(answer)
         elif verdict is Verdict.ERROR:
-            self._write(ERROR)
+            self._write(SERVER_ERROR)
         elif verdict is Verdict.AWAY:
             self.peer.book.turned_away(self.peer.node.name, visit.ident)
-            self._write(AWAY)
+            self._write(UNPROCESSED)
         elif verdict is Verdict.RESET:
             self._abort()
         else:
-            data, ends = spoilt(self.peer.random)
+            data, ends = malformed_response(self.peer.random)
             self._write(data)
             if ends:
                 self._close()
@@ -187,44 +187,44 @@
             self._close()
 
     def _write(self, data: bytes) -> None:
-        self.since = self.peer.timers.now()
+        self.idle_since = self.peer.timers.now()
         self.transport.write(data)
 
     def _close(self) -> None:
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.transport.loseConnection()
 
     def _abort(self) -> None:
-        if not self.over:
-            self._forget()
-            self.over = True
+        if not self.is_over:
+            self._abandon_visit()
+            self.is_over = True
             self.transport.abortConnection()
 
     def reset(self) -> None:
         """The node's process has ended."""
         self._abort()
-        self.went()
+        self.close_record()
 
-    def _look(self) -> None:
+    def _check_idle(self) -> None:
         """Close what has stood idle for too long."""
         peer = self.peer
         now = peer.timers.now()
         self.timer = None
-        if self.over:
+        if self.is_over:
             return
-        due = self.since + peer.idle if self.visit is None else now + peer.idle
+        due = self.idle_since + peer.idle_seconds if self.visit is None else now + peer.idle_seconds
         if due <= now:
             self._close()
         else:
-            self.timer = peer.timers.at(due, self._look)
+            self.timer = peer.timers.at(due, self._check_idle)
 
-    def _forget(self) -> None:
+    def _abandon_visit(self) -> None:
         """Nobody is there for an answer any more."""
         visit, self.visit = self.visit, None
         if visit is None:
             return
-        if self.begun:
+        if self.has_begun:
             self.peer.node.abandoned(visit)
         else:
             visit.gone = True
@@ -232,18 +232,18 @@
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
         # A sidecar that only ends its sending has abandoned the attempt as well: Twisted then closes both.
-        self.over = True
-        self._forget()
-        self.went()
+        self.is_over = True
+        self._abandon_visit()
+        self.close_record()
 
-    def went(self) -> None:
+    def close_record(self) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
-        self.peer.went(self)
+        self.peer.remove(self)
 
 
-class NodePeer(ServerFactory):
+class NodeServer(ServerFactory):
     """Listens for one node. Which sidecar a connection belongs to is told by its host (`whose`).
 
     `rtt` gives the seconds of a round trip to a host at present. `on_full` is told when the table of
@@ -255,52 +255,54 @@
 
     def __init__(
         self,
-        node: Node,
+        node: NodeModel,
         tier: TierPlan,
         timers: Timers,
         random: Random,
         origins: Origins,
-        forms: Forms,
+        request_format: RequestFormat,
         book: Book,
-        whose: Callable[[str], str],
-        rtt: Callable[[str], float],
+        sidecar_of: Callable[[str], str],
+        round_trip: Callable[[str], float],
         on_full: Callable[[bool], None] | None = None,
     ) -> None:
         self.node = node
         self.timers = timers
         self.random = random
         self.origins = origins
-        self.forms = forms
+        self.request_format = request_format
         self.book = book
-        self.whose = whose
-        self.rtt = rtt
+        self.sidecar_of = sidecar_of
+        self.round_trip = round_trip
         self.on_full = on_full
-        self.idle = tier.conn_idle
+        self.idle_seconds = tier.conn_idle
         self.handshake_rtts = tier.handshake_rtts
         self.connections: dict[NodeConnection, None] = {}  # in the order in which they came
-        self.full = False
+        self.is_full = False
 
     def buildProtocol(self, addr: Any) -> NodeConnection | None:
         """None, for which the connection is closed, where the machine does not accept it."""
         wait = self.node.connect()
-        self.look()
+        self.update_full()
         if wait is None:
             return None
-        return NodeConnection(self, self.whose(addr.host), wait + self.handshake_rtts * self.rtt(addr.host))
+        return NodeConnection(
+            self, self.sidecar_of(addr.host), wait + self.handshake_rtts * self.round_trip(addr.host)
+        )
 
-    def look(self) -> None:
+    def update_full(self) -> None:
         """See whether the table is full: what it holds or can hold has changed."""
         full = self.node.full
-        if full != self.full:
-            self.full = full
+        if full != self.is_full:
+            self.is_full = full
             if self.on_full is not None:
                 self.on_full(full)
 
-    def went(self, connection: NodeConnection) -> None:
+    def remove(self, connection: NodeConnection) -> None:
         if connection in self.connections:
             del self.connections[connection]
             self.node.disconnect()
-            self.look()
+            self.update_full()
 
     def reset(self) -> None:
         """The node's process has ended: so have all its connections."""
--- a/wheatring/lab/wire/form.py
+++ b/wheatring/lab/wire/request_format.py
@@ -9,42 +9,43 @@
 from wheatring.lab.wire.http import Message
 
 
-class Forms:
+class RequestFormat:
     """Path, query and body follow from class and id, so that parts of two requests can't be mixed unseen."""
 
     def __init__(self, classes: Sequence[ClassPlan]) -> None:
-        self.safe = [each.effect == "safe" for each in classes]
+        self.is_safe = [each.effect == "safe" for each in classes]
         self.paths = [b"/%s/" % each.name.encode("ascii") for each in classes]
-        self.starts = [
+        self.request_line_starts = [
             b"%s /%s/" % (b"GET" if each.effect == "safe" else b"POST", each.name.encode("ascii"))
             for each in classes
         ]
-        self.rests = [
+        self.request_line_rests = [
             b"?lang=en HTTP/1.1\r\nHost: backend.local\r\nX-Service-Class: %s\r\nX-Correlation-Id: "
             % each.name.encode("ascii")
             for each in classes
         ]
 
-    def write(self, index: int, ident: str, left_ms: int, key: str, repeat: bool) -> bytes:
+    def encode(self, index: int, ident: str, left_ms: int, key: str, repeat: bool) -> bytes:
         """A request of the class at that place in the plan."""
         name = ident.encode("ascii")
         more = b"\r\nX-Repeat: 1\r\n\r\n" if repeat else b"\r\n\r\n"
-        if self.safe[index]:
+        if self.is_safe[index]:
             return b"%s%s%s%s\r\nX-Time-Left-Ms: %d%s" % (
-                self.starts[index], name, self.rests[index], name, left_ms, more
+                self.request_line_starts[index], name, self.request_line_rests[index], name, left_ms, more
             )  # fmt: skip
         body = b'{"order":"%s"}' % name
         keyed = b"Idempotency-Key: %s\r\n" % key.encode("ascii") if key else b""
         return b"%s%s%s%s\r\n%sContent-Length: %d\r\nX-Time-Left-Ms: %d%s%s" % (
-            self.starts[index], name, self.rests[index], name, keyed, len(body), left_ms, more, body
+            self.request_line_starts[index], name, self.request_line_rests[index], name, keyed,
+            len(body), left_ms, more, body
         )  # fmt: skip
 
-    def fits(self, message: Message, ident: bytes, origin: Origin) -> bool:
+    def matches(self, message: Message, ident: bytes, origin: Origin) -> bool:
         """Whether this is what was written for that id."""
         index = origin.class_index
         if message.target != b"%s%s?lang=en" % (self.paths[index], ident):
             return False
-        if self.safe[index]:
+        if self.is_safe[index]:
             return message.method == b"GET" and not message.body
         return (
             message.method == b"POST"
