--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery's face on HTTP/1.1, with answers in JSON."""
+"""Discovery's HTTP/1.1 server, with responses in JSON."""
 
 from __future__ import annotations
 
@@ -23,11 +23,22 @@
 
 
 class BadListRequestError(ValueError):
-    """A call that can't be answered; the text says why."""
+    """A list request that can't be answered; the text says why."""
 
 
 def parse_list_request(target: bytes) -> tuple[int | None, float]:
-    """The version that a call holds (None: it wants the whole list) and the seconds that it may wait."""
+    """Parse the target of a request for the list.
+
+    Returns
+    -------
+    tuple[int | None, float]
+        The version that the caller has (None: it wants the whole list), and the seconds that it may wait.
+
+    Raises
+    ------
+    BadListRequestError
+        The path or the query is not discovery's.
+    """
     path, _, query = target.partition(b"?")
     if path != b"/v1/servers":
         raise BadListRequestError("no such path")
@@ -43,6 +54,7 @@
 
 
 def encode_list(answer: Answer, address: Callable[[Listed], str] = ADDRESS) -> bytes:
+    """Return the body of a response."""
     return msgspec.json.encode(as_json(answer, address))
 
 
@@ -51,19 +63,21 @@
 
     transport: Any
 
-    def __init__(self, peer: DiscoveryServer, sidecar: str) -> None:
-        self.peer = peer
+    def __init__(self, server: DiscoveryServer, sidecar: str) -> None:
+        self.server = server
         self.sidecar = sidecar
         self.parser = MessageParser(responses=False)
         self.call: Call | None = None
         self.keep_alive = True
         self.is_over = False
 
-    def connectionMade(self) -> None:
-        self.peer.connections[self] = None
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Register the connection."""
+        self.server.connections[self] = None
         self.transport.setTcpNoDelay(True)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Parse what has come, and hand a complete call to the registry."""
         if self.is_over:
             return
         try:
@@ -73,7 +87,7 @@
             if message is not None:
                 self._handle(message)
         except (MalformedMessageError, BadListRequestError) as bad:
-            self.peer.book.note("bad-call", sidecar=self.sidecar, why=str(bad))
+            self.server.book.note("bad-call", sidecar=self.sidecar, why=str(bad))
             self._cancel_call()
             self._write(BAD_REQUEST, False)
 
@@ -83,18 +97,18 @@
             return
         index, wait = parse_list_request(message.target)
         self.keep_alive = message.keep_alive
-        self.call = self.peer.registry.call(self.sidecar, index, wait, self._answered)
+        self.call = self.server.registry.call(self.sidecar, index, wait, self._answered)
 
     def _answered(self, answer: Answer | None) -> None:
         call, self.call = self.call, None
         if answer is not None:
-            data = encode_list(answer, self.peer.address)
+            data = encode_list(answer, self.server.address)
             self._write(HEAD % len(data) + data, self.keep_alive)
         elif call is not None and call.broken and not self.is_over:
             self.is_over = True
             self.transport.write(HEAD % 1000)
             # A reset at once would take the head along, unsent.
-            timers = self.peer.registry.timers
+            timers = self.server.registry.timers
             timers.at(timers.now() + BREAK_OFF_SECONDS, self.transport.abortConnection)
         else:
             self._write(UNAVAILABLE, self.keep_alive)
@@ -113,21 +127,29 @@
             call.cancel()
 
     def reset(self) -> None:
-        """Discovery is down."""
+        """Reset the connection, as discovery is down."""
         self.is_over = True
         self._cancel_call()
         self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
+        """Cancel the call that waits, and remove the connection."""
         self.is_over = True
-        self.peer.connections.pop(self, None)
+        self.server.connections.pop(self, None)
         self._cancel_call()
 
 
 class DiscoveryServer(ServerFactory):
-    """Listens for the registry by `listen`, which opens a port for a factory. While the registry is down, the
-    port is closed. Which sidecar a connection belongs to is told by its host (`whose`). `address` says where
-    its sidecars find a node, where that is not the address that the registry knows.
+    """The listening side of the registry; while the registry is down, its port is closed.
+
+    Parameters
+    ----------
+    sidecar_of
+        Gives the sidecar that connects from a host.
+    listen
+        Opens the port for a factory.
+    address
+        Gives where sidecars find a node, where that is not the address that the registry has.
     """
 
     noisy = False
@@ -150,11 +172,12 @@
         registry.on_down.append(self._set_down)
         self._set_down(registry.refuses)
 
-    def buildProtocol(self, addr: Any) -> _Connection:
+    def buildProtocol(self, addr: Any) -> _Connection:  # noqa: N802 - Twisted's name
+        """Return a connection for the sidecar at that address."""
         return _Connection(self, self.sidecar_of(addr.host))
 
     def close(self) -> None:
-        """It is here no more."""
+        """Close the port and all connections for good."""
         self.registry.on_down.remove(self._set_down)
         self._set_down(True)
 
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -1,4 +1,4 @@
-"""The ground of the grain `wire`: real sidecars on virtual sockets, every byte through their parsers."""
+"""The environment of the grain `wire`: real sidecars on simulated sockets."""
 
 from __future__ import annotations
 
@@ -44,6 +44,8 @@
 
 
 class WireEnvironment:
+    """Runs nodes, sidecars and discovery as processes of the simulated network; a `world.ground.Ground`."""
+
     def __init__(self, world: World) -> None:
         plan = world.plan
         self.world = world
@@ -66,16 +68,22 @@
         # By sidecar, what its process still held when it ended by itself.
         self.leftovers_at_exit: dict[str, Counter[str]] = {}
 
-    def create_client(self, process: Process, host: str, most: int = 0) -> SidecarClient:
-        return SidecarClient(process, self.time, self.book, self.request_format, self.address_of, host, most)
+    def create_client(self, process: Process, host: str, max_connections: int = 0) -> SidecarClient:
+        """Return a client of sidecars that runs in the process; `max_connections` 0 is no limit."""
+        return SidecarClient(
+            process, self.time, self.book, self.request_format, self.address_of, host, max_connections
+        )
 
     def address_of(self, sidecar: str) -> tuple[str, int]:
+        """Return a sidecar's host and port."""
         return self.hosts[sidecar], PORT
 
     def sidecar_of(self, host: str) -> str:
+        """Return the sidecar last started on the host, or ""."""
         return self.sidecar_by_host.get(host, "")
 
     def open_discovery(self, registry: Registry) -> None:
+        """Have discovery listen."""
         host, port = DISCOVERY
         process = self.net.process("discovery", host)
         self.net.host(host).on_refused[port] = lambda caller: registry.refused(self.sidecar_of(caller))
@@ -89,6 +97,7 @@
     # Nodes
 
     def below(self, node: NodePlan) -> Below:
+        """Return the node's calls through its own sidecar."""
         return Calls(
             node.name,
             lambda: self.clients.get(node.name),
@@ -98,8 +107,9 @@
         )
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
+        """Start a node's process and have it listen."""
         process = self.processes[node.name] = self.net.process(f"node {node.name}", node.host)
-        peer = self.servers[node.name] = NodeServer(
+        server = self.servers[node.name] = NodeServer(
             machine,
             self.world.plan.tiers[node.tier],
             self.time,
@@ -112,24 +122,27 @@
             lambda full: self.net.full(node.host, PORT, full),
         )
         self.net.full(node.host, PORT, False)
-        process.listenTCP(PORT, peer, LISTEN_BACKLOG, node.host)
+        process.listenTCP(PORT, server, LISTEN_BACKLOG, node.host)
         if node.name in self.hosts:
             self.clients[node.name] = self.create_client(process, node.host)
 
     def node_down(self, node: str) -> None:
+        """End a node's process: connections are reset, new ones refused."""
         self.clients.pop(node, None)
-        process, peer = self.processes.pop(node), self.servers.pop(node)
-        peer.reset()
+        process, server = self.processes.pop(node), self.servers.pop(node)
+        server.reset()
         # Its resets are on their way at this instant's end; what dies before that closes in good order.
         self.time.at(self.time.now(), process.kill)
 
     def round_trip(self, here: str, there: str) -> float:
+        """Return the seconds of a round trip between two hosts, drawn from their links' delays."""
         host, other = self.net.host(here), self.net.host(there)
         return host.link(other).delay() + other.link(host).delay()
 
     # Sidecars
 
     def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
+        """Start a sidecar's process; `ended` is called once, when it has ended by itself."""
         process = self.net.process(name, self.hosts[name])
         self.sidecar_by_host[self.hosts[name]] = name
 
@@ -148,28 +161,34 @@
         self.book.sidecar_up(name)
 
     def forget_sidecar(self, name: str) -> Process:
+        """Remove a sidecar whose process ends, and return the process."""
         process, _ = self.sidecars.pop(name)
         self.max_sockets[name] = max(self.max_sockets.get(name, 0), process.most)
         return process
 
     def sidecar_stop(self, name: str) -> None:
+        """Send a sidecar SIGTERM."""
         process, sidecar = self.sidecars[name]
         self.book.sidecar_stopping(name)
         process.callFromThread(sidecar.stop)
 
     def sidecar_kill(self, name: str) -> None:
+        """Kill a sidecar's process at once."""
         self.forget_sidecar(name).kill()
         self.book.sidecar_down(name, True)
 
     # Faults
 
     def begin(self, event: EventPlan) -> None:
+        """Inject a fault."""
         self.apply_fault(event, True)
 
     def end(self, event: EventPlan) -> None:
+        """End a fault."""
         self.apply_fault(event, False)
 
     def apply_fault(self, event: EventPlan, on: bool) -> None:
+        """Apply a fault to the network or the clocks, or take it away."""
         for name in event.nodes:
             host = self.world.nodes[name].host
             troubles = self.world.machines[name].troubles
@@ -187,26 +206,32 @@
             self.net.step_clock(event.hosts, event.size if on else -event.size)
 
     def vanish(self, node: NodePlan) -> None:
+        """Cut a node's hosts off: nothing reaches them or leaves them."""
         for host in self.hosts_of(node):
             self.net.vanish(host)
 
     def back(self, node: NodePlan) -> None:
+        """Connect a node's hosts again; their connections are reset."""
         for host in self.hosts_of(node):
             self.net.back(host)
 
     def hosts_of(self, node: NodePlan) -> list[str]:
+        """Return the hosts of a node and of its own sidecar, if it has one."""
         return [node.host, node.side_host] if node.name in self.hosts else [node.host]
 
     def stepped(self) -> float:
+        """Return the seconds by which the clocks of all hosts together have been stepped."""
         return self.net.clock_offset
 
     # What is seen of the sidecars
 
     def whose_turn(self) -> str:
+        """Return the sidecar whose code runs now, or ""."""
         running = self.time.running
         return running.name if isinstance(running, Process) else ""
 
     def left_over(self) -> dict[str, dict[str, int]]:
+        """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
         found = {name: Counter(most_sockets=most) for name, most in self.max_sockets.items()}
         later = waiting(self.time)
         for name, (process, sidecar) in self.sidecars.items():
@@ -217,7 +242,7 @@
 
 
 def count_leftovers(sidecar: Sidecar, timers: Sequence[Delayed]) -> Counter[str]:
-    """What a sidecar that has nothing to do should not have. `timers`: all that it waits for."""
+    """Count what an idle sidecar should not have; `timers` are all that it waits for."""
     counts = Counter(jobs=max(sidecar.exchange.open_count, len(sidecar.driver.open_requests)))
     counts["claims"] = sum(each.attempt is not None for each in sidecar.pool.connections)
     counts["connections"] = sum(each.request is not None for each in sidecar.server.connections)
--- a/wheatring/lab/wire/http.py
+++ b/wheatring/lab/wire/http.py
@@ -1,4 +1,4 @@
-"""Cuts HTTP/1.1 messages out of what a connection brings. What is not plainly right is Malformed."""
+"""A parser of HTTP/1.1 messages of the lab's own: what is not plainly right is an error."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MalformedMessageError(Exception):
-    """What came is no message that this side could ask for; the text says why."""
+    """The bytes received are no message that this side may get; the text says why."""
 
 
 class Message:
@@ -44,7 +44,7 @@
 
 
 class MessageParser:
-    """The messages of one direction of one connection. After Malformed nothing more can be cut from it."""
+    """Parses the messages of one direction of one connection; it can't be used after an error."""
 
     __slots__ = ("_body", "_buffer", "_chunked", "_message", "_need", "_responses", "_searched", "_to_end")
 
@@ -60,11 +60,22 @@
 
     @property
     def is_mid_message(self) -> bool:
-        """Part of a message is here."""
+        """Whether part of a message has been received."""
         return self._message is not None or bool(self._buffer)
 
     def feed(self, data: bytes) -> Message | None:
-        """Take what has come, and give the first message that is whole now; `next` gives further ones."""
+        """Add bytes received, and return the first message that is complete.
+
+        Returns
+        -------
+        Message | None
+            None while no message is complete; `next_message` returns further ones.
+
+        Raises
+        ------
+        MalformedMessageError
+            The bytes can't be parsed.
+        """
         if self._buffer:
             self._buffer += data
         else:
@@ -72,6 +83,7 @@
         return self.next_message()
 
     def next_message(self) -> Message | None:
+        """Return the next complete message of the bytes received, or None."""
         message = self._message
         if message is None:
             message = self._head()
@@ -93,7 +105,7 @@
         return message
 
     def finish(self) -> Message | None:
-        """The peer closed in good order: what lasted until then is whole."""
+        """Return the message whose body lasts until the peer closes, now that it has closed; or None."""
         message = self._message
         if message is None or not self._to_end:
             return None
@@ -177,7 +189,10 @@
             message.keep_alive = False
 
     def _chunks(self, message: Message) -> Message | None:
-        """`_need` is -1 while the line with a chunk's size is awaited, and -2 after the last chunk."""
+        """Return the message once its last chunk is complete.
+
+        `_need` is -1 while the line with a chunk's size is awaited, and -2 after the last chunk.
+        """
         while True:
             buffer, need = self._buffer, self._need
             if need < 0:
--- a/wheatring/lab/wire/node_server.py
+++ b/wheatring/lab/wire/node_server.py
@@ -1,4 +1,4 @@
-"""A node's machine on HTTP/1.1: what sidecars connect to."""
+"""A node's HTTP/1.1 server, which sidecars connect to."""
 
 from __future__ import annotations
 
@@ -25,31 +25,36 @@
 
 
 class NodeModel(Protocol):
-    """The part of a machine's model that is used here; it tells the book what becomes of a visit itself, but
-    that it arrived and that it was turned away.
+    """The part of a machine's model that its server uses.
+
+    The model records what becomes of a visit, except its arrival and its rejection, which the server records.
     """
 
     name: str
 
     @property
     def full(self) -> bool:
-        """Its table of connections is; it would not take one more."""
+        """Whether its table of connections is full: it would not accept another one."""
 
     @property
     def spoil(self) -> float:
-        """Share of its answers that are spoilt at present; of the good ones as many bring too much."""
+        """Share of its responses that are malformed at present; as many good ones have trailing bytes."""
 
-    def connect(self) -> float | None: ...
+    def connect(self) -> float | None:
+        """Accept a connection: return the seconds until it is ready, or None where it is not accepted."""
 
-    def disconnect(self) -> None: ...
+    def disconnect(self) -> None:
+        """Release a connection."""
 
-    def visit(self, visit: Visit) -> None: ...
+    def visit(self, visit: Visit) -> None:
+        """Process a request."""
 
-    def abandoned(self, visit: Visit) -> None: ...
+    def abandoned(self, visit: Visit) -> None:
+        """Handle that a request's connection was closed before its response."""
 
 
 def malformed_response(random: Random) -> tuple[bytes, bool]:
-    """An answer that can't be read, and whether the connection ends behind it."""
+    """Return a response that can't be parsed, and whether the connection closes after it."""
     form = random.randrange(6)
     ends = random.random() < 0.5
     if form == 0:
@@ -66,12 +71,12 @@
 
 
 class NodeConnection(protocol.Protocol):
-    """One connection of a sidecar. It carries one request at a time."""
+    """One connection of a sidecar, with one request on it at a time."""
 
     transport: Any
 
-    def __init__(self, peer: NodeServer, sidecar: str, delay: float) -> None:
-        self.peer = peer
+    def __init__(self, server: NodeServer, sidecar: str, delay: float) -> None:
+        self.server = server
         self.sidecar = sidecar
         self.handshake_delay = delay  # of the first request, for the handshake
         self.parser = MessageParser(responses=False)
@@ -79,61 +84,63 @@
         self.has_begun = False  # the visit is at the machine
         self.keep_alive = True
         self.is_over = False  # this side has ended it
-        self.idle_since = 0.0  # idle from then on
+        self.idle_since = 0.0
         self.sent_at = 0.0  # when the first byte of the request left the sidecar, as far as that can be told
         self.timer: Timer | None = None
 
-    def connectionMade(self) -> None:
-        peer = self.peer
-        peer.connections[self] = None
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Register the connection, and start its idle time-out."""
+        server = self.server
+        server.connections[self] = None
         self.transport.setTcpNoDelay(True)
-        self.idle_since = peer.timers.now()
-        self.timer = peer.timers.at(self.idle_since + peer.idle_seconds, self._check_idle)
+        self.idle_since = server.timers.now()
+        self.timer = server.timers.at(self.idle_since + server.idle_seconds, self._check_idle)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Parse what has come, and hand a complete request to the machine."""
         if self.is_over:
             return
-        peer, cutter = self.peer, self.parser
+        server, parser = self.server, self.parser
         if self.visit is not None:
             # Two requests at once on one connection: it can't be told which one an answer is for.
-            peer.book.note("second-request", node=peer.node.name, sidecar=self.sidecar)
+            server.book.note("second-request", node=server.node.name, sidecar=self.sidecar)
             self._abort()
             return
-        if not cutter.is_mid_message:
+        if not parser.is_mid_message:
             at: float | None = getattr(self.transport, "sent_at", None)
-            self.sent_at = peer.timers.now() if at is None else at
-            peer.book.sending(self.sidecar, peer.node.name, self.sent_at)
+            self.sent_at = server.timers.now() if at is None else at
+            server.book.sending(self.sidecar, server.node.name, self.sent_at)
         try:
-            message = cutter.feed(data)
+            message = parser.feed(data)
         except MalformedMessageError as bad:
             self._reject(str(bad), "")
             return
         if message is None:
             return
-        if cutter.is_mid_message:
+        if parser.is_mid_message:
             self._reject("more than one request", "")
             return
         self._take(message)
 
-    def _reject(self, why: str, ident: str) -> None:
-        """No caller has written this so."""
-        peer = self.peer
-        peer.book.note("bad-request", node=peer.node.name, sidecar=self.sidecar, ident=ident, why=why)
+    def _reject(self, reason: str, ident: str) -> None:
+        """Answer 400 to a request that no caller has written so, and close."""
+        server = self.server
+        server.book.note("bad-request", node=server.node.name, sidecar=self.sidecar, ident=ident, why=reason)
         self._write(BAD_REQUEST)
         self._close()
 
     def _take(self, message: Message) -> None:
-        peer, fields = self.peer, message.fields
+        server, fields = self.server, message.fields
         name = fields.get(b"x-correlation-id")
         if name is None:
             self._write(NOT_FOUND)
             return
         ident = name.decode("latin-1")
-        origin = peer.origins.of.get(ident)
+        origin = server.origins.of.get(ident)
         if origin is None:
             self._reject("unknown id", ident)
             return
-        if not peer.request_format.matches(message, name, origin):
+        if not server.request_format.matches(message, name, origin):
             self._reject("changed on its way", ident)
             return
         left = fields.get(b"x-time-left-ms", b"0")
@@ -141,22 +148,22 @@
             self._reject("time left", ident)
             return
         self.keep_alive = message.keep_alive
-        node = peer.node
-        now = peer.timers.now()
+        node = server.node
+        now = server.timers.now()
         visit = self.visit = Visit(ident, self.sidecar, int(left) / 1000, now, self._reply)
-        peer.book.arrived(self.sidecar, node.name, ident, self.sent_at)
+        server.book.arrived(self.sidecar, node.name, ident, self.sent_at)
         if self.handshake_delay > 0:
-            peer.timers.at(now + self.handshake_delay, self._start_visit, visit)
+            server.timers.at(now + self.handshake_delay, self._start_visit, visit)
             self.handshake_delay = 0.0
         else:
             self.has_begun = True
             node.visit(visit)
 
     def _start_visit(self, visit: Visit) -> None:
-        """The handshake is over."""
+        """Start the visit, as the handshake is over."""
         if visit is self.visit and not self.is_over:
             self.has_begun = True
-            self.peer.node.visit(visit)
+            self.server.node.visit(visit)
 
     def _reply(self, verdict: Verdict, stamp: str) -> None:
         visit = self.visit
@@ -167,19 +174,19 @@
         if verdict is Verdict.SERVED:
             body = stamp.encode("latin-1")
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-            spoil = self.peer.node.spoil
-            if spoil and self.peer.random.random() < spoil:
+            spoil = self.server.node.spoil
+            if spoil and self.server.random.random() < spoil:
                 answer += answer  # good, with more behind it than belongs to it
             self._write(answer)
         elif verdict is Verdict.ERROR:
             self._write(SERVER_ERROR)
         elif verdict is Verdict.AWAY:
-            self.peer.book.turned_away(self.peer.node.name, visit.ident)
+            self.server.book.turned_away(self.server.node.name, visit.ident)
             self._write(UNPROCESSED)
         elif verdict is Verdict.RESET:
             self._abort()
         else:
-            data, ends = malformed_response(self.peer.random)
+            data, ends = malformed_response(self.server.random)
             self._write(data)
             if ends:
                 self._close()
@@ -187,7 +194,7 @@
             self._close()
 
     def _write(self, data: bytes) -> None:
-        self.idle_since = self.peer.timers.now()
+        self.idle_since = self.server.timers.now()
         self.transport.write(data)
 
     def _close(self) -> None:
@@ -202,53 +209,65 @@
             self.transport.abortConnection()
 
     def reset(self) -> None:
-        """The node's process has ended."""
+        """Reset the connection, as the node's process has ended."""
         self._abort()
-        self.close_record()
+        self.unregister()
 
     def _check_idle(self) -> None:
-        """Close what has stood idle for too long."""
-        peer = self.peer
-        now = peer.timers.now()
+        """Close the connection if it has been idle for too long."""
+        server = self.server
+        now = server.timers.now()
         self.timer = None
         if self.is_over:
             return
-        due = self.idle_since + peer.idle_seconds if self.visit is None else now + peer.idle_seconds
+        due = self.idle_since + server.idle_seconds if self.visit is None else now + server.idle_seconds
         if due <= now:
             self._close()
         else:
-            self.timer = peer.timers.at(due, self._check_idle)
+            self.timer = server.timers.at(due, self._check_idle)
 
     def _abandon_visit(self) -> None:
-        """Nobody is there for an answer any more."""
+        """Abandon the visit: no response can reach the sidecar any more."""
         visit, self.visit = self.visit, None
         if visit is None:
             return
         if self.has_begun:
-            self.peer.node.abandoned(visit)
+            self.server.node.abandoned(visit)
         else:
             visit.gone = True
-            self.peer.book.ended(self.peer.node.name, visit.ident)
+            self.server.book.ended(self.server.node.name, visit.ident)
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
         # A sidecar that only ends its sending has abandoned the attempt as well: Twisted then closes both.
+        """Abandon the visit, and remove the connection from its server."""
         self.is_over = True
         self._abandon_visit()
-        self.close_record()
+        self.unregister()
 
-    def close_record(self) -> None:
+    def unregister(self) -> None:
+        """Cancel the idle time-out, and remove the connection from its server."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
-        self.peer.remove(self)
+        self.server.remove(self)
 
 
 class NodeServer(ServerFactory):
-    """Listens for one node. Which sidecar a connection belongs to is told by its host (`whose`).
-
-    `rtt` gives the seconds of a round trip to a host at present. `on_full` is told when the table of
-    connections is full and when it is no more, so that a network can leave connects without an answer. A
-    request that no caller has written so gets 400 and a note `bad-request` in the book.
+    """The listening side of one node.
+
+    Parameters
+    ----------
+    sidecar_of
+        Gives the sidecar that connects from a host.
+    round_trip
+        Gives the seconds that a round trip to a host takes at present.
+    on_full
+        Called when the table of connections becomes full and when it is full no more, so that a network can
+        leave connects unanswered.
+
+    Notes
+    -----
+    A request that no caller has written so gets 400, and a note `bad-request` in the book.
     """
 
     noisy = False
@@ -280,8 +299,8 @@
         self.connections: dict[NodeConnection, None] = {}  # in the order in which they came
         self.is_full = False
 
-    def buildProtocol(self, addr: Any) -> NodeConnection | None:
-        """None, for which the connection is closed, where the machine does not accept it."""
+    def buildProtocol(self, addr: Any) -> NodeConnection | None:  # noqa: N802 - Twisted's name
+        """Return a connection, or None, which closes it, where the machine does not accept it."""
         wait = self.node.connect()
         self.update_full()
         if wait is None:
@@ -291,7 +310,7 @@
         )
 
     def update_full(self) -> None:
-        """See whether the table is full: what it holds or can hold has changed."""
+        """Report a change of whether the table of connections is full."""
         full = self.node.full
         if full != self.is_full:
             self.is_full = full
@@ -299,12 +318,13 @@
                 self.on_full(full)
 
     def remove(self, connection: NodeConnection) -> None:
+        """Remove a connection that has ended."""
         if connection in self.connections:
             del self.connections[connection]
             self.node.disconnect()
             self.update_full()
 
     def reset(self) -> None:
-        """The node's process has ended: so have all its connections."""
+        """Reset all connections, as the node's process has ended."""
         for connection in list(self.connections):
             connection.reset()
--- a/wheatring/lab/wire/request_format.py
+++ b/wheatring/lab/wire/request_format.py
@@ -1,4 +1,4 @@
-"""The form of a request: how callers write it, and how a node knows that it came through unchanged."""
+"""How callers write a request, and how a node checks that it came through unchanged."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class RequestFormat:
-    """Path, query and body follow from class and id, so that parts of two requests can't be mixed unseen."""
+    """Encodes the requests of each class, and checks those received.
+
+    Path, query and body follow from class and id, so that a mixture of two requests is always detected.
+    """
 
     def __init__(self, classes: Sequence[ClassPlan]) -> None:
         self.is_safe = [each.effect == "safe" for each in classes]
@@ -25,23 +28,38 @@
             for each in classes
         ]
 
-    def encode(self, index: int, ident: str, left_ms: int, key: str, repeat: bool) -> bytes:
-        """A request of the class at that place in the plan."""
+    def encode(self, index: int, ident: str, time_left_ms: int, key: str, repeat: bool) -> bytes:
+        """Return the bytes of a request.
+
+        Parameters
+        ----------
+        index
+            The class's position in the plan.
+        ident
+            The correlation id.
+        time_left_ms
+            Milliseconds that the caller still waits.
+        key
+            The idempotency key; "" for none.
+        repeat
+            Whether the request repeats an earlier one.
+        """
         name = ident.encode("ascii")
         more = b"\r\nX-Repeat: 1\r\n\r\n" if repeat else b"\r\n\r\n"
         if self.is_safe[index]:
             return b"%s%s%s%s\r\nX-Time-Left-Ms: %d%s" % (
-                self.request_line_starts[index], name, self.request_line_rests[index], name, left_ms, more
+                self.request_line_starts[index], name, self.request_line_rests[index], name,
+                time_left_ms, more
             )  # fmt: skip
         body = b'{"order":"%s"}' % name
         keyed = b"Idempotency-Key: %s\r\n" % key.encode("ascii") if key else b""
         return b"%s%s%s%s\r\n%sContent-Length: %d\r\nX-Time-Left-Ms: %d%s%s" % (
             self.request_line_starts[index], name, self.request_line_rests[index], name, keyed,
-            len(body), left_ms, more, body
+            len(body), time_left_ms, more, body
         )  # fmt: skip
 
     def matches(self, message: Message, ident: bytes, origin: Origin) -> bool:
-        """Whether this is what was written for that id."""
+        """Return whether the message is what was encoded for that id."""
         index = origin.class_index
         if message.target != b"%s%s?lang=en" % (self.paths[index], ident):
             return False
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -1,4 +1,4 @@
-"""Callers of sidecars on HTTP/1.1: clients, and nodes that call the next tier through one of their own."""
+"""HTTP/1.1 clients of sidecars: the clients' own, and those of nodes that call the next tier."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class _PendingRequest:
-    """One request that is out."""
+    """One request in flight or waiting for a connection."""
 
     __slots__ = (
         "connect_attempt", "connection", "deadline", "done", "ident", "index", "is_over", "is_resent", "key",
@@ -30,12 +30,19 @@
     )  # fmt: skip
 
     def __init__(
-        self, pool: _ConnectionPool, ident: str, index: int, until: float, key: str, repeat: bool, done: Done
+        self,
+        pool: _ConnectionPool,
+        ident: str,
+        index: int,
+        deadline: float,
+        key: str,
+        repeat: bool,
+        done: Done,
     ) -> None:
         self.pool = pool
         self.ident = ident
         self.index = index
-        self.deadline = until
+        self.deadline = deadline
         self.key = key
         self.repeat = repeat
         self.done = done
@@ -56,7 +63,7 @@
 
 
 class _Connection(protocol.Protocol):
-    """One connection to a sidecar, with one request on it at a time. It was made for `first`."""
+    """One connection to a sidecar, with one request on it at a time; `first` is the one it was made for."""
 
     transport: Any
 
@@ -72,28 +79,33 @@
         self.written = 0  # bytes
         self.peer_read: Callable[[], int] | None = None
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Send the request that the connection was made for."""
         self.transport.setTcpNoDelay(True)
         self.peer_read = getattr(self.transport, "peer_read", None)
         self.send(self.first)
 
-    def send(self, asked: _PendingRequest) -> None:
+    def send(self, request: _PendingRequest) -> None:
+        """Send a request."""
         pool = self.pool
-        now = pool.caller.timers.now()
-        left_ms = max(1, int((asked.deadline - now) * 1000))
-        self.request = asked
+        now = pool.client.timers.now()
+        left_ms = max(1, int((request.deadline - now) * 1000))
+        self.request = request
         self.has_received = False
-        asked.connection = self
-        data = pool.caller.request_format.encode(asked.index, asked.ident, left_ms, asked.key, asked.repeat)
+        request.connection = self
+        data = pool.client.request_format.encode(
+            request.index, request.ident, left_ms, request.key, request.repeat
+        )
         self.written += len(data)
         self.transport.write(data)
-        pool.caller.book.taken(pool.sidecar, asked.ident, asked.index, asked.key, now + left_ms / 1000)
+        pool.client.book.taken(pool.sidecar, request.ident, request.index, request.key, now + left_ms / 1000)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Parse what has come, and handle a complete response."""
         if self.is_over:
             return
         if self.request is None:
-            self.pool.caller.book.note("unasked-data", sidecar=self.pool.sidecar, data=data[:64])
+            self.pool.client.book.note("unasked-data", sidecar=self.pool.sidecar, data=data[:64])
             self.end()
             return
         if not self.has_received:
@@ -103,16 +115,17 @@
             message = self.parser.feed(data)
             while message is not None and message.status < 200:
                 message = self.parser.next_message()
-        except MalformedMessageError as bad:
-            self.reject_response(str(bad))
+        except MalformedMessageError as error:
+            self.reject_response(str(error))
             return
         if message is not None:
             self.handle_response(message)
 
     def handle_response(self, message: Message) -> None:
-        asked, pool = self.request, self.pool
-        assert asked is not None
-        book = pool.caller.book
+        """End the request with its response, and release or close the connection."""
+        request, pool = self.request, self.pool
+        assert request is not None
+        book = pool.client.book
         kind: Kind = "failed"
         wait, stamp = 0.0, ""
         if message.status == 200:
@@ -126,8 +139,8 @@
                     self.reject_response("Retry-After")
                     return
                 wait = float(advice)
-        self.request = asked.connection = None
-        book.answered(pool.sidecar, asked.ident, kind, stamp, wait, self.began)
+        self.request = request.connection = None
+        book.answered(pool.sidecar, request.ident, kind, stamp, wait, self.began)
         if self.parser.is_mid_message:
             book.note("unasked-data", sidecar=pool.sidecar, data=b"")
             self.end()
@@ -135,57 +148,60 @@
             self.end()
         elif not self.is_over:
             pool.release(self)
-        asked.end(kind, wait)
+        request.end(kind, wait)
 
     def reject_response(self, why: str) -> None:
-        """What has come is no answer."""
-        asked, self.request = self.request, None
+        """End the request as lost, as its response can't be parsed."""
+        request, self.request = self.request, None
         self.end()
-        if asked is not None:
-            asked.connection = None
-            self.pool.caller.book.lost(self.pool.sidecar, asked.ident, why)
-            asked.end("lost")
+        if request is not None:
+            request.connection = None
+            self.pool.client.book.lost(self.pool.sidecar, request.ident, why)
+            request.end("lost")
 
     def end(self) -> None:
-        """Close it: to a sidecar, its caller has left."""
+        """Close the connection: to a sidecar, its caller has left."""
         if not self.is_over:
             self.is_over = True
             self.pool.remove(self)
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
+        """End the request, or send it again where the sidecar has not read it."""
         orderly = isinstance(reason.value, ConnectionDone)
         was_over, self.is_over = self.is_over, True
         if not was_over:
             self.pool.remove(self)
-        asked = self.request
-        if asked is None:
+        request = self.request
+        if request is None:
             return
         message = self.parser.finish() if orderly else None
         if message is not None:
             self.handle_response(message)
             return
-        self.request = asked.connection = None
-        pool, book = self.pool, self.pool.caller.book
+        self.request = request.connection = None
+        pool, book = self.pool, self.pool.client.book
         if self.has_received or not self.is_unread():
             why = "closed" if orderly else "reset"
             book.lost(
                 pool.sidecar,
-                asked.ident,
+                request.ident,
                 f"{why} in mid-answer" if self.has_received else f"{why} unanswered",
             )
-            asked.end("lost")
+            request.end("lost")
             return
-        book.untaken(pool.sidecar, asked.ident)
-        if asked.is_resent:
-            asked.end("unreached")
+        book.untaken(pool.sidecar, request.ident)
+        if request.is_resent:
+            request.end("unreached")
         else:
-            asked.is_resent = True
-            pool.connect(asked)
+            request.is_resent = True
+            pool.connect(request)
 
     def is_unread(self) -> bool:
-        """Whether the sidecar has ended the connection before it read the request. A network that can tell
-        does; on another one, that a kept connection ended without a byte has to stand for it.
+        """Return whether the sidecar ended the connection before it read the request.
+
+        A simulated network knows. On a real one it is assumed of a reused connection that ended without a
+        byte.
         """
         if self.peer_read is None:
             return self.is_reused
@@ -197,27 +213,30 @@
 
     noisy = False
 
-    def __init__(self, pool: _ConnectionPool, asked: _PendingRequest) -> None:
+    def __init__(self, pool: _ConnectionPool, request: _PendingRequest) -> None:
         self.pool = pool
-        self.request: _PendingRequest | None = asked
-        asked.connect_attempt = self
+        self.request: _PendingRequest | None = request
+        request.connect_attempt = self
         self.connector: Any = None
 
-    def buildProtocol(self, addr: object) -> _Connection | None:
-        asked, self.request = self.request, None
-        if asked is None:
+    def buildProtocol(self, addr: object) -> _Connection | None:  # noqa: N802, ARG002 - Twisted's name and signature
+        """Return the connection, or None, which closes it, where the request has ended meanwhile."""
+        request, self.request = self.request, None
+        if request is None:
             return None
-        asked.connect_attempt = None
-        return _Connection(self.pool, asked)
-
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        asked, self.request = self.request, None
-        if asked is not None:
-            asked.connect_attempt = None
+        request.connect_attempt = None
+        return _Connection(self.pool, request)
+
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
+        """End the request as unreached."""
+        request, self.request = self.request, None
+        if request is not None:
+            request.connect_attempt = None
             self.pool.connection_closed()
-            asked.end("unreached")
+            request.end("unreached")
 
     def give_up(self) -> None:
+        """Cancel the connect, as its request has been left."""
         self.request = None
         self.pool.connection_closed()
         if self.connector is not None:
@@ -225,70 +244,80 @@
 
 
 class _ConnectionPool:
-    """The connections from one caller's host to one sidecar; the last one used goes out first."""
+    """The connections from one caller's host to one sidecar; the one used last is reused first."""
 
-    def __init__(self, caller: SidecarClient, sidecar: str) -> None:
-        self.caller = caller
+    def __init__(self, client: SidecarClient, sidecar: str) -> None:
+        self.client = client
         self.sidecar = sidecar
         self.idle: list[_Connection] = []
         self.open_count = 0  # connections, and connects under way
         self.waiting: deque[_PendingRequest] = deque()  # for one of them, where there may be no more
 
-    def submit(self, asked: _PendingRequest) -> None:
+    def submit(self, request: _PendingRequest) -> None:
+        """Send a request on an idle connection or a new one, or have it wait for one."""
         if self.idle:
-            line = self.idle.pop()
-            line.is_reused = True
-            line.send(asked)
-        elif not self.caller.max_connections or self.open_count < self.caller.max_connections:
-            self.connect(asked)
+            connection = self.idle.pop()
+            connection.is_reused = True
+            connection.send(request)
+        elif not self.client.max_connections or self.open_count < self.client.max_connections:
+            self.connect(request)
         else:
-            self.waiting.append(asked)
+            self.waiting.append(request)
 
-    def connect(self, asked: _PendingRequest) -> None:
-        caller = self.caller
-        host, port = caller.address_of(self.sidecar)
+    def connect(self, request: _PendingRequest) -> None:
+        """Open a connection for a request."""
+        client = self.client
+        host, port = client.address_of(self.sidecar)
         self.open_count += 1
-        dial = _ConnectAttempt(self, asked)
-        source = (caller.host, 0) if caller.host else None
-        dial.connector = caller.reactor.connectTCP(host, port, dial, timeout=None, bindAddress=source)
+        attempt = _ConnectAttempt(self, request)
+        source = (client.host, 0) if client.host else None
+        attempt.connector = client.reactor.connectTCP(host, port, attempt, timeout=None, bindAddress=source)
 
-    def release(self, line: _Connection) -> None:
-        """It can carry the next one."""
+    def release(self, connection: _Connection) -> None:
+        """Have a connection carry the next request, or stand idle."""
         if self.waiting:
-            line.is_reused = True
-            line.send(self.waiting.popleft())
+            connection.is_reused = True
+            connection.send(self.waiting.popleft())
         else:
-            self.idle.append(line)
+            self.idle.append(connection)
 
-    def remove(self, line: _Connection) -> None:
-        if line in self.idle:
-            self.idle.remove(line)
+    def remove(self, connection: _Connection) -> None:
+        """Remove a connection that has ended."""
+        if connection in self.idle:
+            self.idle.remove(connection)
         self.connection_closed()
 
     def connection_closed(self) -> None:
-        """There is room for another connection."""
+        """Count a connection less, and open one for the next request that waits."""
         self.open_count -= 1
-        if self.waiting and self.open_count < self.caller.max_connections:
+        if self.waiting and self.open_count < self.client.max_connections:
             self.connect(self.waiting.popleft())
 
-    def leave(self, asked: _PendingRequest) -> None:
-        line = asked.connection
-        if line is not None:
-            line.request = asked.connection = None
-            self.caller.book.left(self.sidecar, asked.ident)
-            line.end()
-        elif asked.connect_attempt is not None:
-            dial, asked.connect_attempt = asked.connect_attempt, None
-            dial.give_up()
-        elif asked in self.waiting:
-            self.waiting.remove(asked)
+    def leave(self, request: _PendingRequest) -> None:
+        """Abandon a request: its connection is closed."""
+        connection = request.connection
+        if connection is not None:
+            connection.request = request.connection = None
+            self.client.book.left(self.sidecar, request.ident)
+            connection.end()
+        elif request.connect_attempt is not None:
+            attempt, request.connect_attempt = request.connect_attempt, None
+            attempt.give_up()
+        elif request in self.waiting:
+            self.waiting.remove(request)
 
 
 class SidecarClient:
-    """Implements `models.way.Way` for the callers of one process. `where` gives a sidecar's host and port.
-
-    `host` is the address that connections come from, where the reactor would take another; `most` the
-    connections open at once to one sidecar, 0 for as many as it takes.
+    """The client of all sidecars for the callers of one process; it implements `models.way.Way`.
+
+    Parameters
+    ----------
+    address_of
+        Gives a sidecar's host and port.
+    host
+        The address that connections come from; "" for the reactor's choice.
+    max_connections
+        The connections open at once to one sidecar; 0 for no limit.
     """
 
     def __init__(
@@ -313,15 +342,16 @@
     def ask(
         self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
     ) -> Asked:
+        """Send a request to a sidecar; see `models.way.Way`."""
         pool = self.pools.get(sidecar)
         if pool is None:
             pool = self.pools[sidecar] = _ConnectionPool(self, sidecar)
-        asked = _PendingRequest(pool, ident, index, self.timers.now() + left, key, repeat, done)
-        pool.submit(asked)
-        return asked
+        request = _PendingRequest(pool, ident, index, self.timers.now() + left, key, repeat, done)
+        pool.submit(request)
+        return request
 
     def close(self) -> None:
-        """End the connections that carry nothing."""
+        """Close the idle connections."""
         for pool in self.pools.values():
-            for line in list(pool.idle):
-                line.end()
+            for connection in list(pool.idle):
+                connection.end()
