--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -86,7 +86,12 @@
         world.links.heal(["m"], ["h"], one_way=True)
     world.time.play(1.0)
     kept = outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.REJECTED)
-    assert world.machine.connections == len(world.node.lines) == len(world.sidecar.pool.lines) == kept
+    assert (
+        world.machine.connections
+        == len(world.node.connections)
+        == len(world.sidecar.pool.connections)
+        == kept
+    )
 
 
 def test_a_node_that_dies_resets_what_it_holds_and_what_is_on_the_way() -> None:
@@ -96,12 +101,12 @@
     world.time.play(4 * LINK)
     world.ask("c")
     world.time.play(1.5 * LINK)
-    assert len(world.machine.visits) == 2 and len(world.sidecar.pool.lines) == 2
+    assert len(world.machine.visits) == 2 and len(world.sidecar.pool.connections) == 2
     world.machine.running = False
     world.node.down()
     world.time.play(2 * LINK)
     assert sorted(world.outcomes(), key=str) == [Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.RESET]
-    assert world.machine.connections == 0 and not world.sidecar.pool.lines
+    assert world.machine.connections == 0 and not world.sidecar.pool.connections
 
 
 def test_a_claim_that_is_given_up_closes_its_connection_and_leaves_the_node() -> None:
@@ -111,7 +116,7 @@
     (visit,) = world.machine.visits
     (job,) = world.sidecar.driver.open_requests.values()
     world.sidecar.exchange.cancel_attempt(job.attempts[0])
-    assert world.outcomes() == [Outcome.CANCELLED] and not world.sidecar.pool.lines
+    assert world.outcomes() == [Outcome.CANCELLED] and not world.sidecar.pool.connections
     assert not world.machine.gone
     world.time.play(LINK)
     assert world.machine.gone == [visit] and world.machine.connections == 0
@@ -169,9 +174,9 @@
         world.machine.at_once = Verdict.SERVED
         world.ask()
         world.time.play(after - 0.5)
-        assert world.machine.connections == len(world.sidecar.pool.lines) == 1
+        assert world.machine.connections == len(world.sidecar.pool.connections) == 1
         world.time.play(2.0)
-        assert world.machine.connections == len(world.sidecar.pool.lines) == 0
+        assert world.machine.connections == len(world.sidecar.pool.connections) == 0
 
 
 def test_a_request_that_crosses_the_end_of_its_connection_ends_in_a_reset() -> None:
--- a/wheatring/lab/direct/clock.py
+++ b/wheatring/lab/direct/clock.py
@@ -9,7 +9,7 @@
 
 
 class DirectClock(Clock):
-    """The core's clock on the world's timers. Once its process has ended, nothing of it is called."""
+    """The core's clock on the world's timers; it calls nothing more once its process has ended."""
 
     def __init__(self, time: PlayedTime, unix: Callable[[], float]) -> None:
         self.time = time
@@ -19,8 +19,10 @@
         self.over = False
 
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Timer:
+        """Schedule a call at an instant."""
         return self.time.at(instant, self.run, call, args)
 
     def run(self, call: Callable[..., object], args: tuple[object, ...]) -> None:
+        """Make a call that is due, unless the process has ended."""
         if not self.over:
             call(*args)
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -1,4 +1,4 @@
-"""The client side without bytes: claims become visits, on a pool of kept connections.
+"""The client side without bytes: attempts become visits, on a pool of kept connections.
 
 It keeps to the rules of the HTTP client's pool, and gives the outcomes that this would give.
 """
@@ -28,167 +28,193 @@
 
 
 class DirectConnection:
-    """One connection to a node, both ends of it. It carries one claim at a time.
+    """One connection to a node, both ends of it, with one attempt on it at a time.
 
-    `alive`, `claim` and what is about it are the sidecar's, who hears of things a link's delay after they
-    happened; `visit`, `begun`, `handshake`, `node_idle` and `reply_arrival` are the node's.
+    `is_alive`, `attempt` and what is about it are the sidecar's, to which events come a link's delay after
+    they happened; `visit`, `has_begun`, `handshake`, `node_idle` and `reply_arrival` are the node's.
     """
 
     __slots__ = (
-        "alive", "arrival", "back", "begun", "claim", "first", "handshake", "idle_since", "late", "node",
-        "node_idle", "place", "pool", "reply_arrival", "visit", "way",
+        "address",
+        "arrival",
+        "attempt",
+        "backward",
+        "connect_timer",
+        "first",
+        "forward",
+        "handshake",
+        "has_begun",
+        "idle_since",
+        "is_alive",
+        "node",
+        "node_idle",
+        "pool",
+        "reply_arrival",
+        "visit",
     )  # fmt: skip
 
-    def __init__(self, pool: DirectConnectionPool, place: EndpointAddress, claim: Attempt) -> None:
+    def __init__(self, pool: DirectConnectionPool, address: EndpointAddress, attempt: Attempt) -> None:
         self.pool = pool
-        self.place = place
+        self.address = address
         self.node: DirectNode  # who took it at that address
-        there = place.address.rpartition(":")[0]
-        self.way = pool.links.link(pool.host, there)
-        self.back = pool.links.link(there, pool.host)
-        self.first: Attempt | None = claim  # for which it is made
-        self.late: Timer | None = None  # while it comes up
-        self.claim: Attempt | None = None
-        self.alive = False
+        there = address.address.rpartition(":")[0]
+        self.forward = pool.links.link(pool.host, there)
+        self.backward = pool.links.link(there, pool.host)
+        self.first: Attempt | None = attempt  # for which it is made
+        self.connect_timer: Timer | None = None  # while it comes up
+        self.attempt: Attempt | None = None
+        self.is_alive = False
         self.idle_since = 0.0
         self.arrival = 0.0  # of what was last sent on it
         self.visit: Visit | None = None
-        self.begun = False  # the visit is at the machine
+        self.has_begun = False  # the visit is at the machine
         self.handshake = 0.0  # seconds that it still costs the first request
         self.node_idle = 0.0
         self.reply_arrival = 0.0
 
     # Coming up
 
-    def dial(self) -> None:
-        pool, claim = self.pool, self.first
-        assert claim is not None
-        claim.cancel = self.keep_on
-        by = min(claim.deadline, claim.start_before, pool.clock.now() + pool.connect_time)
-        self.late = pool.clock.at(by, self.not_up)
-        self.way.send(0.0, self.knock)
-
-    def knock(self) -> None:
-        """The connect has arrived, whoever is at that address by now."""
-        node = self.pool.nodes.get(self.place.address)
+    def connect(self) -> None:
+        """Send the connect, with a time-out."""
+        pool, attempt = self.pool, self.first
+        assert attempt is not None
+        attempt.cancel = self.keep_on
+        by = min(attempt.deadline, attempt.start_before, pool.clock.now() + pool.connect_time)
+        self.connect_timer = pool.clock.at(by, self.fail_connect)
+        self.forward.send(0.0, self.handle_connect)
+
+    def handle_connect(self) -> None:
+        """Hand the connect that has arrived to whoever is at that address by now."""
+        node = self.pool.nodes.get(self.address.address)
         if node is None:
-            self.back.send(0.0, self.refused)
+            self.backward.send(0.0, self.refused)
         else:
             self.node = node
-            node.knock(self)
+            node.handle_connect(self)
 
     def keep_on(self) -> None:
-        """The claim is not wanted any more; the connection, once up, is kept for others."""
+        """Do nothing for an attempt cancelled early: the connection, once up, is kept for others."""
 
     def refused(self) -> None:
-        if self.late is not None and not self.pool.clock.over:
-            self.late.cancel()
-            self.not_up()
-
-    def not_up(self) -> None:
-        """Refused, or not up in time."""
-        claim, self.first, self.late = self.first, None, None
-        del self.pool.dials[self]
-        assert claim is not None
+        """Fail the connect, if it is still under way."""
+        if self.connect_timer is not None and not self.pool.clock.over:
+            self.connect_timer.cancel()
+            self.fail_connect()
+
+    def fail_connect(self) -> None:
+        """End the attempt, as its connect was refused or timed out."""
+        attempt, self.first, self.connect_timer = self.first, None, None
+        del self.pool.connecting[self]
+        assert attempt is not None
         self.pool.book.note("unconnected", sidecar=self.pool.name)
-        self.pool.exchange.end_attempt(claim, CONNECT_FAILED)
+        self.pool.exchange.end_attempt(attempt, CONNECT_FAILED)
 
     def accepted(self) -> None:
+        """Send the first attempt on the connection, or keep it for others."""
         pool = self.pool
-        if self.late is None or pool.clock.over:
+        if self.connect_timer is None or pool.clock.over:
             self.hang_up()  # it was given up meanwhile
             return
-        self.late.cancel()
-        self.late = None
-        del pool.dials[self]
-        pool.lines[self] = None
-        self.alive = True
-        claim, self.first = self.first, None
-        assert claim is not None
-        if claim.may_be_sent and pool.exchange.check_in_time(claim):
-            self.carry(claim)
+        self.connect_timer.cancel()
+        self.connect_timer = None
+        del pool.connecting[self]
+        pool.connections[self] = None
+        self.is_alive = True
+        attempt, self.first = self.first, None
+        assert attempt is not None
+        if attempt.may_be_sent and pool.exchange.check_in_time(attempt):
+            self.send(attempt)
         else:
             pool.keep(self)
 
-    # Claims
+    # Attempts
 
-    def carry(self, claim: Attempt) -> None:
-        """Write a claim's request: from here on it may have run."""
+    def send(self, attempt: Attempt) -> None:
+        """Write an attempt's request: from here on it may have run."""
         pool = self.pool
-        self.claim = claim
-        claim.cancel = self.drop
-        claim.is_written = True
+        self.attempt = attempt
+        attempt.cancel = self.drop
+        attempt.is_written = True
         now = pool.time.instant
-        left = int((claim.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
+        left = int((attempt.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
         pool.book.sending(pool.name, self.node.name, now)
-        visit = Visit(claim.request.correlation_id, pool.name, left, now, self.reply)
-        self.arrival = self.way.send(self.arrival, self.node.request, self, visit)
+        visit = Visit(attempt.request.correlation_id, pool.name, left, now, self.reply)
+        self.arrival = self.forward.send(self.arrival, self.node.request, self, visit)
 
     def reply(self, verdict: Verdict, stamp: str) -> None:
-        """At the node: it answers its visit, or breaks the connection."""
+        """At the node: answer the visit, or reset the connection."""
         node = self.node
         visit, self.visit = self.visit, None
         if visit is None:
             return
-        self.begun = False
+        self.has_begun = False
         if verdict is VERDICT_RESET:
             node.close(self)
             return
         if verdict is VERDICT_AWAY:
             node.book.turned_away(node.name, visit.ident)
         self.node_idle = node.time.instant
-        self.reply_arrival = self.back.send(self.reply_arrival, self.answered, verdict, stamp)
+        self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, verdict, stamp)
 
     def answered(self, verdict: Verdict, stamp: str) -> None:
-        claim = self.claim
-        if claim is None or self.pool.clock.over:
+        """End the attempt with the node's verdict."""
+        attempt = self.attempt
+        if attempt is None or self.pool.clock.over:
             return
-        self.claim = None
+        self.attempt = None
         if verdict is VERDICT_SERVED:
             outcome: Outcome | None = SERVED
         else:
             outcome = OUTCOMES.get(verdict)
         if outcome is not None:
             self.pool.keep(self)
-            self.pool.exchange.end_attempt(claim, outcome, stamp)
+            self.pool.exchange.end_attempt(attempt, outcome, stamp)
             return
         self.close()
-        self.pool.exchange.end_attempt(claim, RESET)
+        self.pool.exchange.end_attempt(attempt, RESET)
 
     # Its end
 
     def drop(self) -> None:
-        """Stop working on the claim: to a node, abandoning is closing."""
-        self.claim = None
+        """Stop working on the attempt: to a node, abandoning is closing."""
+        self.attempt = None
         self.close()
 
     def close(self) -> None:
-        """End it from the sidecar's side."""
-        if self.alive:
-            self.alive = False
-            self.pool.gone(self)
+        """Close the connection from the sidecar's side."""
+        if self.is_alive:
+            self.is_alive = False
+            self.pool.remove(self)
             self.hang_up()
 
     def hang_up(self) -> None:
-        self.way.send(self.arrival, self.node.drop, self)
+        """Have the node's end close a link's delay later."""
+        self.forward.send(self.arrival, self.node.drop, self)
 
     def ended(self) -> None:
-        """The node's end of it is gone, and the sidecar's machine has heard of it."""
-        if self.late is not None and not self.pool.clock.over:
-            self.late.cancel()  # it ended before it was heard to be up
-            self.not_up()
-        elif self.alive and not self.pool.clock.over:
-            self.alive = False
-            self.pool.gone(self)
-            claim, self.claim = self.claim, None
-            if claim is not None:
-                self.pool.exchange.end_attempt(claim, RESET)
+        """Handle at the sidecar that the node's end has closed."""
+        if self.connect_timer is not None and not self.pool.clock.over:
+            self.connect_timer.cancel()  # it ended before it was heard to be up
+            self.fail_connect()
+        elif self.is_alive and not self.pool.clock.over:
+            self.is_alive = False
+            self.pool.remove(self)
+            attempt, self.attempt = self.attempt, None
+            if attempt is not None:
+                self.pool.exchange.end_attempt(attempt, RESET)
 
 
 class DirectConnectionPool:
-    """Starts claims, and keeps clean connections for the next ones; the last one used goes out first.
-
-    `nodes`: who listens, or did last, at each address as the machine list gives it (host:port).
+    """Starts attempts, and keeps clean connections for the next ones; the one used last is reused first.
+
+    Parameters
+    ----------
+    nodes
+        Who listens, or did last, at each address as the endpoint list gives it (host:port).
+    connect_time, idle
+        Time-outs in seconds.
+    max_connections
+        Connections and connects under way at most.
     """
 
     def __init__(
@@ -202,7 +228,7 @@
         book: Book,
         connect_time: float,
         idle: float,
-        most: int,
+        max_connections: int,
     ) -> None:
         self.name = name
         self.host = host
@@ -214,95 +240,106 @@
         self.book = book
         self.connect_time = connect_time
         self.idle = idle * 0.7  # as the HTTP client's
-        self.most = most
+        self.max_connections = max_connections
         self.addresses: dict[str, str] = {}
         self.ready: set[str] = set()
-        self.idle_ones: dict[tuple[str, str], deque[DirectConnection]] = {}
-        self.lines: dict[DirectConnection, None] = {}  # in the order in which they came
-        self.dials: dict[DirectConnection, None] = {}  # under way, in the order in which they began
+        self.idle_connections: dict[tuple[str, str], deque[DirectConnection]] = {}
+        self.connections: dict[DirectConnection, None] = {}  # in the order in which they came
+        self.connecting: dict[DirectConnection, None] = {}  # under way, in the order in which they began
         exchange.start_attempt = self.start
         exchange.close_idle = self.close_idle
-        exchange.on_endpoint_list = self.listed
+        exchange.on_endpoint_list = self.apply_list
         self.sweep()
 
-    def start(self, claim: Attempt) -> None:
-        address = self.addresses.get(claim.endpoint)
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt on an idle connection or a new one."""
+        address = self.addresses.get(attempt.endpoint)
         if address is None:
             # The list no longer says where the node is.
-            self.clock.at(self.clock.now(), self.exchange.end_attempt, claim, CONNECT_FAILED)
+            self.clock.at(self.clock.now(), self.exchange.end_attempt, attempt, CONNECT_FAILED)
             return
-        idle = self.idle_ones.get((claim.endpoint, address))
+        idle = self.idle_connections.get((attempt.endpoint, address))
         if idle:
-            idle.pop().carry(claim)
+            idle.pop().send(attempt)
             return
-        if len(self.lines) + len(self.dials) >= self.most and not self.retire_oldest():
-            log.line("too-many-connections", most=self.most)
-            self.clock.at(self.clock.now(), self.exchange.end_attempt, claim, CONNECT_FAILED)
+        if len(self.connections) + len(self.connecting) >= self.max_connections and not self.retire_oldest():
+            log.line("too-many-connections", most=self.max_connections)
+            self.clock.at(self.clock.now(), self.exchange.end_attempt, attempt, CONNECT_FAILED)
             return
-        line = DirectConnection(self, EndpointAddress(claim.endpoint, address), claim)
-        self.dials[line] = None
-        line.dial()
+        connection = DirectConnection(self, EndpointAddress(attempt.endpoint, address), attempt)
+        self.connecting[connection] = None
+        connection.connect()
 
-    def listed(self, view: View) -> None:
-        """As the HTTP client's."""
+    def apply_list(self, view: View) -> None:
+        """Close what a new endpoint list no longer allows, as the HTTP client does."""
         update_ready(self.ready, view)
-        for line in [line for line in self.dials if not self.fits(line.place)]:
-            line.refused()
-        for place, idle in list(self.idle_ones.items()):
-            if not self.fits(EndpointAddress(*place)):
-                for line in list(idle):
-                    line.close()
-
-    def fits(self, place: EndpointAddress) -> bool:
-        return place.endpoint in self.ready and self.addresses.get(place.endpoint) == place.address
-
-    def keep(self, line: DirectConnection) -> None:
-        if not self.fits(line.place):
-            line.close()
+        for connection in [
+            connection for connection in self.connecting if not self.is_current(connection.address)
+        ]:
+            connection.refused()
+        for address, idle in list(self.idle_connections.items()):
+            if not self.is_current(EndpointAddress(*address)):
+                for connection in list(idle):
+                    connection.close()
+
+    def is_current(self, address: EndpointAddress) -> bool:
+        """Return whether the list still has the endpoint at that address."""
+        return address.endpoint in self.ready and self.addresses.get(address.endpoint) == address.address
+
+    def keep(self, connection: DirectConnection) -> None:
+        """Keep a connection for the next attempt."""
+        if not self.is_current(connection.address):
+            connection.close()
             return
-        line.idle_since = self.time.instant
-        idle = self.idle_ones.get(line.place)
+        connection.idle_since = self.time.instant
+        idle = self.idle_connections.get(connection.address)
         if idle is None:
-            idle = self.idle_ones[line.place] = deque()
-        idle.append(line)
+            idle = self.idle_connections[connection.address] = deque()
+        idle.append(connection)
 
-    def gone(self, line: DirectConnection) -> None:
-        self.lines.pop(line, None)
-        idle = self.idle_ones.get(line.place)
+    def remove(self, connection: DirectConnection) -> None:
+        """Remove a connection that has ended."""
+        self.connections.pop(connection, None)
+        idle = self.idle_connections.get(connection.address)
         if idle is not None:
-            if line in idle:
-                idle.remove(line)
+            if connection in idle:
+                idle.remove(connection)
             if not idle:
-                del self.idle_ones[line.place]
+                del self.idle_connections[connection.address]
 
     def retire_oldest(self) -> bool:
-        oldest = min((q[0] for q in self.idle_ones.values() if q), key=lambda c: c.idle_since, default=None)
+        """Close the connection that has been idle longest; return whether there was one."""
+        oldest = min(
+            (q[0] for q in self.idle_connections.values() if q), key=lambda c: c.idle_since, default=None
+        )
         if oldest is None:
             return False
         oldest.close()
         return True
 
     def close_idle(self, node: str) -> None:
-        place = EndpointAddress(node, self.addresses.get(node, ""))
-        for line in list(self.idle_ones.get(place, ())):
-            line.close()
+        """Close the idle connections to a node."""
+        address = EndpointAddress(node, self.addresses.get(node, ""))
+        for connection in list(self.idle_connections.get(address, ())):
+            connection.close()
 
     def reset(self) -> None:
-        """Its host is back after a silence: nobody there knows of the connections any more."""
-        for line in list(self.lines):
-            line.hang_up()
-            line.ended()
+        """Reset all connections, as the host is back and no node knows of them any more."""
+        for connection in list(self.connections):
+            connection.hang_up()
+            connection.ended()
 
     def close(self) -> None:
-        """Its process ends, and all connections with it."""
-        for line in list(self.lines):
-            line.claim = None
-            line.close()
+        """Close all connections, as the process ends."""
+        for connection in list(self.connections):
+            connection.attempt = None
+            connection.close()
 
     def sweep(self) -> None:
+        """Close connections that have been idle for too long, and schedule the next sweep."""
         now = self.clock.now()
         self.clock.at(now + SWEEP_SECONDS, self.sweep)
-        for (node, address), idle in list(self.idle_ones.items()):
+        for (node, address), idle in list(self.idle_connections.items()):
             gone = self.addresses.get(node) != address
             while idle and (gone or now - idle[0].idle_since > self.idle):
                 idle[0].close()
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -1,4 +1,4 @@
-"""The ground of the grain `exchange`: real core and decisions, jobs and claims without bytes."""
+"""The environment of the grain `exchange`: the service's core and decisions by direct calls."""
 
 from __future__ import annotations
 
@@ -22,6 +22,8 @@
 
 
 class DirectEnvironment:
+    """Runs nodes, sidecars and discovery as plain objects; a `world.ground.Ground`."""
+
     def __init__(self, world: World) -> None:
         plan = world.plan
         self.world = world
@@ -38,20 +40,23 @@
             dict.fromkeys((each.name for each in plan.sidecars), most) if most else None,
         )
         self.nodes: dict[str, DirectNode] = {}
-        self.listening: dict[str, DirectNode] = {}  # by address: a follower may come to that of one gone
+        self.listening: dict[str, DirectNode] = {}  # by address: a successor may come to that of one gone
         self.sidecars: dict[str, DirectSidecar] = {}
         self.steps: dict[str, float] = {}  # of hosts' clocks; "" for all of them
         self.registry: Registry
 
     def open_discovery(self, registry: Registry) -> None:
+        """Have sidecars reach the registry."""
         self.registry = registry
 
     # Nodes
 
     def below(self, node: NodePlan) -> Below:
+        """Return the node's calls through its own sidecar."""
         return Calls(node.name, lambda: self.way, self.world.origins, self.world.sizes(node), self.time)
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
+        """Have a node accept connections at its address."""
         if node.name not in self.nodes:
             tier = self.world.plan.tiers[node.tier]
             self.nodes[node.name] = DirectNode(
@@ -60,11 +65,13 @@
         self.listening[f"{node.host}:{PORT}"] = self.nodes[node.name]
 
     def node_down(self, node: str) -> None:
+        """End a node's process: its connections are reset."""
         self.nodes[node].down()
 
     # Sidecars
 
     def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
+        """Start a sidecar's process; `ended` is called once, when it has ended by itself."""
         host = self.hosts[name]
 
         def over(killed: bool) -> None:
@@ -92,24 +99,29 @@
         sidecar.start()
 
     def sidecar_stop(self, name: str) -> None:
+        """Send a sidecar SIGTERM."""
         self.sidecars[name].terminate()
 
     def sidecar_kill(self, name: str) -> None:
+        """Kill a sidecar's process at once."""
         self.sidecars[name].kill()
 
     def unix(self, host: str) -> float:
+        """Return a host's Unix time in seconds."""
         return self.world.unix() + self.steps.get(host, 0.0)
 
     # Faults
 
     def begin(self, event: EventPlan) -> None:
-        self.turn(event, True)
+        """Inject a fault."""
+        self.apply_fault(event, True)
 
     def end(self, event: EventPlan) -> None:
-        self.turn(event, False)
+        """End a fault."""
+        self.apply_fault(event, False)
 
-    def turn(self, event: EventPlan, on: bool) -> None:
-        """The machines' own troubles are seen to by who attaches them."""
+    def apply_fault(self, event: EventPlan, on: bool) -> None:
+        """Apply a fault to the links or the clocks, or take it away; the world applies faults of machines."""
         if event.kind == "partition":
             (self.links.cut if on else self.links.heal)(event.hosts, event.others, event.one_way)
         elif event.kind == "latency":
@@ -119,30 +131,39 @@
                 self.steps[host] = self.steps.get(host, 0.0) + (event.size if on else -event.size)
 
     def vanish(self, node: NodePlan) -> None:
-        for host in self.machine_of(node):
+        """Cut a node's hosts off: nothing reaches them or leaves them."""
+        for host in self.hosts_of(node):
             self.links.vanish(host)
 
     def back(self, node: NodePlan) -> None:
-        for host in self.machine_of(node):
+        """Connect a node's hosts again; their connections are reset."""
+        for host in self.hosts_of(node):
             self.links.back(host)
         self.nodes[node.name].down()
         if node.name in self.sidecars:
             self.sidecars[node.name].reset()
 
-    def machine_of(self, node: NodePlan) -> list[str]:
+    def hosts_of(self, node: NodePlan) -> list[str]:
+        """Return the hosts of a node and of its own sidecar, if it has one."""
         return [node.host, node.side_host] if node.name in self.hosts else [node.host]
 
     def stepped(self) -> float:
+        """Return the seconds by which the clocks of all hosts together have been stepped."""
         return self.steps.get("", 0.0)
 
     # What is seen of the sidecars
 
     def whose_turn(self) -> str:
+        """Return "": in this grain it is not known whose code runs."""
         return ""
 
     def left_over(self) -> dict[str, dict[str, int]]:
+        """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
         found = {}
         for name, sidecar in self.sidecars.items():
             jobs = max(sidecar.exchange.open_count, len(sidecar.driver.open_requests), len(sidecar.held))
-            found[name] = {"jobs": jobs, "claims": sum(line.claim is not None for line in sidecar.pool.lines)}
+            found[name] = {
+                "jobs": jobs,
+                "claims": sum(connection.attempt is not None for connection in sidecar.pool.connections),
+            }
         return found
--- a/wheatring/lab/direct/links.py
+++ b/wheatring/lab/direct/links.py
@@ -1,6 +1,7 @@
-"""The network without bytes: what is sent from one host to another comes late, or once a cut is healed.
+"""The network without bytes: delays, partitions and slow links between hosts.
 
-The faults are those of the lab's network, by the same names, and so is the law of the delays.
+What is sent from one host to another arrives late, or after a partition is healed. The faults are those
+of the lab's network, by the same names, and so is the distribution of the delays.
 """
 
 from __future__ import annotations
@@ -14,35 +15,45 @@
 from wheatring.lab.plan import NetPlan
 from wheatring.lab.timers import PlayedTime
 
-RESEND = 0.2  # seconds until what got lost is sent again, doubled each time ...
-RESEND_MOST = 120.0  # ... up to this
+RETRANSMIT_SECONDS = 0.2  # until what was lost is sent again, doubled each time
+MAX_RETRANSMIT_SECONDS = 120.0  # at most
 
 
 class Link(Protocol):
-    """The way from one host to another."""
+    """The path from one host to another."""
 
     def send(self, least: float, call: Callable[..., object], *args: Any) -> float:
-        """Call once what is sent now has arrived, not before the instant `least`, at which what was sent
-        earlier arrives. Gives the instant of the arrival, or `least` while that is not known.
+        """Make a call when what is sent now arrives, not before the instant `least`.
+
+        Parameters
+        ----------
+        least
+            The instant at which what was sent earlier arrives.
+
+        Returns
+        -------
+        float
+            The instant of the arrival, or `least` while that is not known.
         """
 
 
 class Links(Protocol):
-    """Hosts are names."""
+    """The paths between all hosts, which are given by name."""
 
-    def link(self, source: str, target: str) -> Link: ...
+    def link(self, source: str, target: str) -> Link:
+        """Return the path from one host to another."""
 
     def delay(self, source: str, target: str) -> float:
-        """Seconds that a message sent now takes one way."""
+        """Return the seconds that a message sent now takes one way."""
 
     def reachable(self, source: str, target: str) -> bool:
-        """Whether a message sent now arrives without being sent again."""
+        """Return whether a message sent now arrives without being sent again."""
 
 
 class DirectLink:
-    """A delay is a floor and an exponential part above it. What is sent into a cut waits."""
+    """A path whose delay is a minimum and an exponential part; what is sent into a partition waits."""
 
-    __slots__ = ("cut", "draw", "floor", "held", "since", "spread", "time")
+    __slots__ = ("cut", "delayed", "draw", "floor", "since", "spread", "time")
 
     def __init__(self, time: PlayedTime, draw: Callable[[], float]) -> None:
         self.time = time
@@ -50,14 +61,15 @@
         self.floor = 0.0
         self.spread = 0.0
         self.cut = False
-        self.since = 0.0  # of what has been held longest
-        self.held: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
+        self.since = 0.0  # of what has been delayed longest
+        self.delayed: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
 
     def send(self, least: float, call: Callable[..., object], *args: Any) -> float:
+        """Make a call when what is sent now arrives; see `Link.send`."""
         if self.cut:
-            if not self.held:
+            if not self.delayed:
                 self.since = self.time.instant
-            self.held.append((call, args))
+            self.delayed.append((call, args))
             return least
         time = self.time
         arrival = time.instant + self.floor - self.spread * log(1.0 - self.draw())
@@ -67,20 +79,20 @@
         return arrival
 
     def resume(self) -> None:
-        """The cut is healed: what waited goes out when TCP would next try."""
+        """Deliver what waited, once the partition is healed, when TCP would next retransmit."""
         now = self.time.instant
-        wait = RESEND
+        wait = RETRANSMIT_SECONDS
         again = self.since + wait
         while again < now:
-            wait = min(2 * wait, RESEND_MOST)
+            wait = min(2 * wait, MAX_RETRANSMIT_SECONDS)
             again += wait
-        held, self.held = self.held, []
-        for call, args in held:
+        delayed, self.delayed = self.delayed, []
+        for call, args in delayed:
             self.time.at(again + self.floor, call, *args)
 
 
 class DirectLinks:
-    """Links by the plan's delays. `zones`: of each host; one that has none is the clients'."""
+    """Links by the plan's delays; a host that has no zone in `zones` is the clients'."""
 
     def __init__(self, plan: NetPlan, zones: Mapping[str, str], time: PlayedTime, random: Random) -> None:
         self.plan = plan
@@ -93,58 +105,63 @@
         self.slowed: dict[tuple[tuple[str, ...], tuple[str, ...]], float] = {}
 
     def link(self, source: str, target: str) -> DirectLink:
+        """Return the path from one host to another."""
         link = self.links.get((source, target))
         if link is None:
             link = self.links[source, target] = DirectLink(self.time, self.draw)
-            self._set(source, target, link)
+            self._update(source, target, link)
         return link
 
     def delay(self, source: str, target: str) -> float:
+        """Return the seconds that a message sent now takes one way."""
         link = self.link(source, target)
         return link.floor - link.spread * log(1.0 - self.draw())
 
     def reachable(self, source: str, target: str) -> bool:
+        """Return whether a message sent now arrives without being sent again."""
         return not self.link(source, target).cut
 
     # Faults. No names stand for all hosts; a host always reaches itself.
 
     def vanish(self, host: str) -> None:
-        """Nothing leaves the host, and nothing reaches it."""
+        """Cut a host off: nothing reaches it or leaves it."""
         self.vanished.append(host)
-        self._rewire()
+        self._update_all()
 
     def back(self, host: str) -> None:
-        """It answers again. Its connections are to be reset by who holds its ends of them."""
+        """Connect a host again; the owners of its connections have to reset them."""
         self.vanished.remove(host)
-        self._rewire()
+        self._update_all()
 
     def cut(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
-        """What goes from `hosts` to `others` waits, and the other way too unless `one_way`, until some time
-        after `heal`, which takes the same arguments.
+        """Partition the network: what `hosts` send to `others` waits until after `heal`.
+
+        Unless `one_way`, what `others` send to `hosts` waits too. `heal` takes the same arguments.
         """
         self.cuts.append((tuple(hosts), tuple(others), one_way))
-        self._rewire()
+        self._update_all()
 
     def heal(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
+        """Heal a partition."""
         self.cuts.remove((tuple(hosts), tuple(others), one_way))
-        self._rewire()
+        self._update_all()
 
     def slow(self, hosts: Sequence[str], others: Sequence[str], factor: float) -> None:
-        """Delays between them, both ways, are `factor` times as long; 1 ends it."""
+        """Multiply the delays between the hosts, both ways, by `factor`; 1 ends it."""
         self.slowed.pop((tuple(hosts), tuple(others)), None)
         if factor != 1.0:
             self.slowed[tuple(hosts), tuple(others)] = factor
-        self._rewire()
+        self._update_all()
 
-    # Its own
+    # Internal
 
-    def _rewire(self) -> None:
+    def _update_all(self) -> None:
         for (source, target), link in self.links.items():
-            self._set(source, target, link)
-            if link.held and not link.cut:
+            self._update(source, target, link)
+            if link.delayed and not link.cut:
                 link.resume()
 
-    def _set(self, source: str, target: str, link: DirectLink) -> None:
+    def _update(self, source: str, target: str, link: DirectLink) -> None:
         here, there = self.zones.get(source), self.zones.get(target)
         mean = self.plan.client if here is None or there is None else self.plan.cross
         if here is not None and here == there:
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -1,4 +1,4 @@
-"""One node's end of the connections of the exchange grain: what it accepts, resets and closes."""
+"""A node's end of the connections of the grain `exchange`."""
 
 from __future__ import annotations
 
@@ -15,34 +15,41 @@
 
 
 class Troubles(Protocol):
-    """What is needed of what is wrong with a machine."""
+    """The part of a machine's faults that its server uses."""
 
     refusing: bool
     connect_delay: float
 
 
 class Machine(Protocol):
-    """What is needed of a node's model. It makes its replies by `visit.reply`, also from within `visit`, and
-    tells the book of all that becomes of a visit but that it arrived and that it was turned away.
+    """The part of a node's model that its server uses.
+
+    It replies by `visit.reply`, also from within `visit`, and records all that becomes of a visit, except its
+    arrival and its rejection.
     """
 
     name: str
     running: bool
 
     @property
-    def troubles(self) -> Troubles: ...
+    def troubles(self) -> Troubles:
+        """The machine's present faults."""
 
-    def connect(self) -> float | None: ...
+    def connect(self) -> float | None:
+        """Accept a connection: return the seconds until it is ready, or None where it is not accepted."""
 
-    def disconnect(self) -> None: ...
+    def disconnect(self) -> None:
+        """Release a connection."""
 
-    def visit(self, visit: Visit) -> None: ...
+    def visit(self, visit: Visit) -> None:
+        """Process a request."""
 
-    def abandoned(self, visit: Visit) -> None: ...
+    def abandoned(self, visit: Visit) -> None:
+        """Handle that a request's connection was closed before its response."""
 
 
 class DirectNode:
-    """Attaches one machine. `down` is to be called once its process has ended, and when its host is back."""
+    """The server of one machine; `down` is called when its process has ended or its host is back."""
 
     def __init__(
         self, machine: Machine, host: str, tier: TierPlan, time: PlayedTime, links: Links, book: Book
@@ -54,91 +61,96 @@
         self.links = links
         self.book = book
         self.round_trips = tier.handshake_rtts
-        self.idle = tier.conn_idle
-        self.lines: dict[DirectConnection, None] = {}  # accepted, in the order in which they came
+        self.idle_seconds = tier.conn_idle
+        self.connections: dict[DirectConnection, None] = {}  # accepted, in the order in which they came
 
     # Connects
 
-    def knock(self, line: DirectConnection) -> None:
-        """A connect has arrived."""
-        late = self.machine.troubles.connect_delay
-        if late > 0 and self.machine.running:
-            self.time.at(self.time.instant + late, self.accept, line)
+    def handle_connect(self, connection: DirectConnection) -> None:
+        """Handle a connect that has arrived, late where a fault delays connects."""
+        delay = self.machine.troubles.connect_delay
+        if delay > 0 and self.machine.running:
+            self.time.at(self.time.instant + delay, self.accept, connection)
         else:
-            self.accept(line)
+            self.accept(connection)
 
-    def accept(self, line: DirectConnection) -> None:
+    def accept(self, connection: DirectConnection) -> None:
+        """Accept or refuse a connect, or leave it unanswered where the table of connections is full."""
         machine = self.machine
         if not machine.running or machine.troubles.refusing:
-            line.back.send(0.0, line.refused)
+            connection.backward.send(0.0, connection.refused)
             return
         wait = machine.connect()
         if wait is None:  # its table is full: the connect gets no answer
             return
         now = self.time.instant
-        there = line.pool.host
-        there_and_back = self.links.delay(there, self.host) + self.links.delay(self.host, there)
-        line.handshake = wait + self.round_trips * there_and_back
-        line.node_idle = now
-        self.lines[line] = None
-        self.time.at(now + self.idle, self.look, line)
-        line.reply_arrival = line.back.send(0.0, line.accepted)
+        client_host = connection.pool.host
+        round_trip = self.links.delay(client_host, self.host) + self.links.delay(self.host, client_host)
+        connection.handshake = wait + self.round_trips * round_trip
+        connection.node_idle = now
+        self.connections[connection] = None
+        self.time.at(now + self.idle_seconds, self.check_idle, connection)
+        connection.reply_arrival = connection.backward.send(0.0, connection.accepted)
 
     # Requests
 
-    def request(self, line: DirectConnection, visit: Visit) -> None:
-        """The last byte of a request has arrived. On a connection that is closed here, it finds nobody."""
-        if line not in self.lines:
+    def request(self, connection: DirectConnection, visit: Visit) -> None:
+        """Handle the last byte of a request, unless its connection has been closed on this side."""
+        if connection not in self.connections:
             return
-        line.visit = visit
+        connection.visit = visit
         sent, visit.since = visit.since, self.time.instant
         self.book.arrived(visit.sidecar, self.name, visit.ident, sent)
-        if line.handshake > 0:
-            self.time.at(visit.since + line.handshake, self.begin, line, visit)
-            line.handshake = 0.0
+        if connection.handshake > 0:
+            self.time.at(visit.since + connection.handshake, self.start_visit, connection, visit)
+            connection.handshake = 0.0
         else:
-            line.begun = True
+            connection.has_begun = True
             self.machine.visit(visit)
 
-    def begin(self, line: DirectConnection, visit: Visit) -> None:
-        """The handshake is over."""
-        if line.visit is visit:
-            line.begun = True
+    def start_visit(self, connection: DirectConnection, visit: Visit) -> None:
+        """Start the visit, as the handshake is over."""
+        if connection.visit is visit:
+            connection.has_begun = True
             self.machine.visit(visit)
 
     # Ends
 
-    def drop(self, line: DirectConnection) -> None:
-        """Its end of a connection is gone, for whatever reason."""
-        if line not in self.lines:
+    def drop(self, connection: DirectConnection) -> None:
+        """Remove this end of a connection, for whatever reason."""
+        if connection not in self.connections:
             return
-        del self.lines[line]
-        visit, line.visit = line.visit, None
+        del self.connections[connection]
+        visit, connection.visit = connection.visit, None
         if visit is not None:
-            if line.begun:
+            if connection.has_begun:
                 self.machine.abandoned(visit)
             else:
                 visit.gone = True
                 self.book.ended(self.name, visit.ident)
         self.machine.disconnect()
 
-    def close(self, line: DirectConnection) -> None:
-        """End a connection from here."""
-        self.drop(line)
-        line.back.send(line.reply_arrival, line.ended)
+    def close(self, connection: DirectConnection) -> None:
+        """Close a connection from this side."""
+        self.drop(connection)
+        connection.backward.send(connection.reply_arrival, connection.ended)
 
     def down(self) -> None:
-        """All connections are reset."""
-        for line in list(self.lines):
-            self.close(line)
+        """Reset all connections."""
+        for connection in list(self.connections):
+            self.close(connection)
 
-    def look(self, line: DirectConnection) -> None:
-        """Close a connection that has stood idle for too long."""
-        if line not in self.lines:
+    def check_idle(self, connection: DirectConnection) -> None:
+        """Close a connection that has been idle for too long."""
+        if connection not in self.connections:
             return
         now = self.time.instant
-        due = now + self.idle if line.visit is not None else line.node_idle + self.idle
+        due = (
+            now + self.idle_seconds
+            if connection.visit is not None
+            else connection.node_idle + self.idle_seconds
+        )
         if due <= now:
-            self.close(line)
+            self.close(connection)
         else:
-            self.time.at(due, self.look, line)
+            self.time.at(due, self.check_idle, connection)
