--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -137,7 +137,9 @@
     asked = world.ask("b")
     world.time.play(2 * LINK)
     world.links.slow(["h"], ["m"], 1.0)
-    world.sidecar.exchange.cancel_attempt(asked.job.attempts[0] if asked.job else world.claims[0])
+    world.sidecar.exchange.cancel_attempt(
+        asked.core_request.attempts[0] if asked.core_request else world.claims[0]
+    )
     world.time.play(0.5)
     assert len(world.machine.visits) == 2 and world.machine.gone == world.machine.visits[1:]
 
@@ -274,7 +276,7 @@
 
 def test_more_callers_than_places_wait_at_the_door() -> None:
     world = World()
-    world.sidecar.most = 1
+    world.sidecar.max_in_flight = 1
     first = world.ask("a")
     for ident in "bcd":
         world.ask(ident)
@@ -316,7 +318,11 @@
     world.sidecar.reset()
     world.time.play(0.5)
     assert world.outcomes() == [Outcome.RESET] and world.replies == [("lost", 0.0)]
-    assert world.machine.connections == 0 and not world.sidecar.held and not world.sidecar.exchange.open_count
+    assert (
+        world.machine.connections == 0
+        and not world.sidecar.in_flight
+        and not world.sidecar.exchange.open_count
+    )
 
 
 def test_the_machine_list_watches_moves_on_and_begins_again_after_a_failure() -> None:
@@ -347,7 +353,7 @@
     """Whatever the decisions make of it, which here hear nothing."""
     world = World()
     views: list[View] = []
-    world.sidecar.machine_list.on_view = views.append
+    world.sidecar.endpoint_list.on_view = views.append
     world.links.vanish("d")
     world.time.play(5.0)
     assert not world.registry.calls and [view.kind for view in views] == [ViewKind.FAILED] * 2
--- a/wheatring/lab/direct/endpoint_list.py
+++ b/wheatring/lab/direct/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's client without bytes: the service's own watch, on the registry's model."""
+"""Discovery's client without bytes: the service's own endpoint list, on the registry's model."""
 
 from __future__ import annotations
 
@@ -23,31 +23,41 @@
 
 
 class Pending(Protocol):
+    """A call that discovery has."""
+
     broken: bool  # its answer had begun when it failed
 
     def cancel(self) -> None:
-        """The call's connection has been closed. Nothing happens to one that has ended."""
+        """End the call, as its connection has been closed; one that has ended stays so."""
 
 
 class Registry(Protocol):
-    """What is needed of discovery's model."""
+    """The part of discovery's model that its clients use."""
 
     def call(self, sidecar: str, index: int | None, wait: float, done: Callable[[Any], None]) -> Pending:
-        """A call has arrived: for the whole list, or for what is newer than a version, which waits up to so
-        many seconds. `done`, never called from within, gets the answer, or None where the call fails.
+        """Handle a call that has arrived.
+
+        Parameters
+        ----------
+        index
+            The version that the caller has; None for the whole list.
+        wait
+            The seconds that the call may wait for a newer version.
+        done
+            Gets the answer, or None where the call fails; never called from within.
         """
 
 
-class _Out:
-    """One call that is out."""
+class _Call:
+    """One call in flight."""
 
-    __slots__ = ("deadline", "index", "over", "pending")
+    __slots__ = ("deadline", "index", "is_over", "pending")
 
     def __init__(self, index: int | None, deadline: float) -> None:
         self.index = index
         self.deadline = deadline
         self.pending: Pending | None = None  # once discovery has it
-        self.over = False  # for the sidecar
+        self.is_over = False  # for the sidecar
 
 
 class DirectDiscoveryClient:
@@ -55,95 +65,108 @@
 
     def __init__(self, owner: DirectEndpointList) -> None:
         self.owner = owner
-        self.there = owner.address[0]
+        self.discovery_host = owner.address[0]
         self.on_answer: AnswerCallback | None = None
         self.on_connected: Callable[[], None] | None = None
-        self.out: _Out | None = None
-        self.up = False
+        self.pending_call: _Call | None = None
+        self.is_up = False
         self.answer_began_at: float | None = None
         self.is_sent = False
-        self.late: Timer | None = None
+        self.timer: Timer | None = None
 
     def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
-        self.on_answer, self.answer_began_at, self.is_sent = on_answer, None, self.up
+        """Send a call, after a connect where the connection is not up."""
+        self.on_answer, self.answer_began_at, self.is_sent = on_answer, None, self.is_up
         clock = self.owner.clock
-        out = self.out = _Out(version, deadline)
-        if self.up:
+        call = self.pending_call = _Call(version, deadline)
+        if self.is_up:
             self.set_deadline(deadline)
-            self.to_there(self.arrive, out)
+            self.send_to_discovery(self.arrive, call)
         else:
             self.set_deadline(min(deadline, clock.now() + CONNECT_TIMEOUT_SECONDS))
-            self.to_there(self.knock, out)
+            self.send_to_discovery(self.accept, call)
 
     def set_deadline(self, instant: float) -> None:
-        if self.late is not None and self.late.active():
-            self.late.cancel()
-        self.late = self.owner.clock.at(instant, self.stop, "late")
+        """Set the instant at which the call times out."""
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        self.timer = self.owner.clock.at(instant, self.stop, "late")
 
-    def to_there(self, call: Callable[[_Out], None], out: _Out) -> None:
-        self.owner.links.link(self.owner.host, self.there).send(0.0, call, out)
+    def send_to_discovery(self, step: Callable[[_Call], None], call: _Call) -> None:
+        """Have a step of the call happen at discovery, a link's delay later."""
+        self.owner.links.link(self.owner.host, self.discovery_host).send(0.0, step, call)
 
-    def to_here(self, call: Callable[..., None], *args: object) -> None:
-        self.owner.links.link(self.there, self.owner.host).send(0.0, call, *args)
+    def send_to_sidecar(self, step: Callable[..., None], *args: object) -> None:
+        """Have a step of the call happen at the sidecar, a link's delay later."""
+        self.owner.links.link(self.discovery_host, self.owner.host).send(0.0, step, *args)
 
     # The steps of a call, at discovery and back here
 
-    def knock(self, out: _Out) -> None:
-        self.to_here(self.connected, out)
+    def accept(self, call: _Call) -> None:
+        """At discovery: accept the connect."""
+        self.send_to_sidecar(self.connected, call)
 
-    def connected(self, out: _Out) -> None:
-        if not out.over:
-            self.up = self.is_sent = True
-            self.set_deadline(out.deadline)
-            self.to_there(self.arrive, out)
+    def connected(self, call: _Call) -> None:
+        """At the sidecar: send the call on the connection that is up."""
+        if not call.is_over:
+            self.is_up = self.is_sent = True
+            self.set_deadline(call.deadline)
+            self.send_to_discovery(self.arrive, call)
             if self.on_connected is not None:
                 self.on_connected()
 
-    def arrive(self, out: _Out) -> None:
-        if not out.over:
-            wait = 0.0 if out.index is None else WATCH_WAIT_SECONDS
+    def arrive(self, call: _Call) -> None:
+        """At discovery: hand the call to the registry."""
+        if not call.is_over:
+            wait = 0.0 if call.index is None else WATCH_WAIT_SECONDS
             registry, name = self.owner.registry, self.owner.name
-            out.pending = registry.call(name, out.index, wait, partial(self.to_here, self.answered, out))
-
-    def answered(self, out: _Out, answer: Any) -> None:
-        if not out.over:
-            self.up = answer is not None
-            if out.pending is not None and out.pending.broken:
+            call.pending = registry.call(
+                name, call.index, wait, partial(self.send_to_sidecar, self.answered, call)
+            )
+
+    def answered(self, call: _Call, answer: Any) -> None:
+        """At the sidecar: end the call with the answer."""
+        if not call.is_over:
+            self.is_up = answer is not None
+            if call.pending is not None and call.pending.broken:
                 self.answer_began_at = self.owner.clock.now()
             self.end(answer)
 
     # Ends
 
-    def stop(self, code: str) -> None:
+    def stop(self, code: str) -> None:  # noqa: ARG002 - DiscoveryClient's signature
+        """Close the connection, and end the call without an answer."""
         self.hang_up()
         self.end(None)
 
-    def close(self, code: str) -> None:
-        self.up = False
+    def close(self, code: str) -> None:  # noqa: ARG002 - DiscoveryClient's signature
+        """Close the idle connection."""
+        self.is_up = False
 
     def hang_up(self) -> None:
-        """Close the connection, of which discovery hears some time later."""
-        self.up = False
-        out = self.out
-        if out is not None and not out.over:
-            out.over = True
-            if out.pending is not None:
-                self.owner.links.link(self.owner.host, self.there).send(0.0, out.pending.cancel)
+        """Close the connection; discovery learns of it a link's delay later."""
+        self.is_up = False
+        call = self.pending_call
+        if call is not None and not call.is_over:
+            call.is_over = True
+            if call.pending is not None:
+                self.owner.links.link(self.owner.host, self.discovery_host).send(0.0, call.pending.cancel)
 
     def end(self, answer: Any) -> None:
-        if self.late is not None and self.late.active():
-            self.late.cancel()
-        self.late = None
-        if self.out is not None:
-            self.out.over = True
-            self.out = None
+        """End the call with an answer, or None."""
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        self.timer = None
+        if self.pending_call is not None:
+            self.pending_call.is_over = True
+            self.pending_call = None
         done, self.on_answer = self.on_answer, None
         if done is not None:
             done(answer)
 
 
 class DirectEndpointList(EndpointList):
-    """The machine list of one sidecar. All but the calls themselves is the service's own."""
+    """The endpoint list of one sidecar; all but the calls themselves is the service's own."""
 
     def __init__(
         self,
@@ -156,7 +179,7 @@
         addresses: dict[str, str],
         on_view: Callable[[View], None],
         freshness: Freshness,
-        asking: ListRequestSchedule,
+        request_schedule: ListRequestSchedule,
         pushed: bool,
     ) -> None:
         self.clock: DirectClock
@@ -164,17 +187,18 @@
         self.host = host
         self.registry = registry
         self.links = links
-        super().__init__(None, clock, discovery, addresses, on_view, freshness, asking, pushed)
+        super().__init__(None, clock, discovery, addresses, on_view, freshness, request_schedule, pushed)
 
     def create_client(self) -> DiscoveryClient:
+        """Return a client for the next calls."""
         return DirectDiscoveryClient(self)
 
     def decode(self, answer: Any) -> object:
-        """As the answer's JSON is read."""
+        """Return the answer as its JSON is read."""
         return as_json(answer)
 
-    def die(self) -> None:
-        """Its process has ended: what is out is closed, and nobody hears of it."""
+    def kill(self) -> None:
+        """Close all calls in flight, as the process has ended, without any callback."""
         for caller in (self.client, self.replacement, *self.superseded):
             if isinstance(caller, DirectDiscoveryClient):
                 caller.hang_up()
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -92,7 +92,7 @@
             registry=self.registry,
             discovery=DISCOVERY,
             book=self.world.book,
-            way=self.way,
+            client=self.way,
             sockets=told.sockets,
             on_end=over,
         )
@@ -161,7 +161,7 @@
         """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
         found = {}
         for name, sidecar in self.sidecars.items():
-            jobs = max(sidecar.exchange.open_count, len(sidecar.driver.open_requests), len(sidecar.held))
+            jobs = max(sidecar.exchange.open_count, len(sidecar.driver.open_requests), len(sidecar.in_flight))
             found[name] = {
                 "jobs": jobs,
                 "claims": sum(connection.attempt is not None for connection in sidecar.pool.connections),
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -30,8 +30,16 @@
 class DirectSidecar:
     """One process of a sidecar, from its start to its end; a restart is another one.
 
-    `known` is the list as last held, in the platform's form; `unix` its host's Unix time in seconds;
-    `on_end` is told of its end, and whether it was killed.
+    Parameters
+    ----------
+    known
+        The last known list, in the platform's form.
+    unix
+        Gives its host's Unix time in seconds.
+    sockets
+        Descriptors that the process may have open.
+    on_end
+        Called with whether it was killed, once the process has ended.
     """
 
     def __init__(
@@ -49,139 +57,143 @@
         registry: Registry,
         discovery: tuple[str, int],
         book: Book,
-        way: DirectSidecarClient,
+        client: DirectSidecarClient,
         sockets: int = 1024,
-        on_end: Callable[[bool], None] = lambda killed: None,
+        on_end: Callable[[bool], None] = lambda _killed: None,
     ) -> None:
         self.name = name
         self.host = host
         self.known = known
         self.book = book
-        self.way = way
+        self.client = client
         self.on_end = on_end
         self.clock = DirectClock(time, unix)
         self.exchange = Exchange(self.clock, settings.contract.answer_grace)
         self.driver = Driver(Balancer(settings, seed), self.exchange, self.clock)
-        places = sockets - RESERVED_DESCRIPTORS
-        claims = int(places * NODE_CONNECTION_SHARE)
+        free_sockets = sockets - RESERVED_DESCRIPTORS
+        max_connections = int(free_sockets * NODE_CONNECTION_SHARE)
         limits = settings.limits
         self.pool = DirectConnectionPool(
             name, host, nodes, self.clock, self.exchange, links, book, limits.connect_timeout,
-            limits.idle_timeout, claims,
+            limits.idle_timeout, max_connections,
         )  # fmt: skip
-        asking, freshness = list_schedules(settings, seed, self.clock.now())
-        self.machine_list = DirectEndpointList(
+        request_schedule, freshness = list_schedules(settings, seed, self.clock.now())
+        self.endpoint_list = DirectEndpointList(
             self.clock, name, host, discovery, registry, links, self.pool.addresses, self.driver.feed,
-            freshness, asking, not settings.must_subscribe,
+            freshness, request_schedule, not settings.must_subscribe,
         )  # fmt: skip
-        self.driver.endpoint_list = self.machine_list
+        self.driver.endpoint_list = self.endpoint_list
         self.classes = settings.classes
         self.copies = settings.balancer_count
-        self.came_at = -inf  # the last request
-        self.most = places - claims  # callers at once; more wait at the door
-        self.held: dict[DirectRequest, None] = {}  # taken and not answered, in the order in which they came
-        self.door: deque[DirectRequest] = deque()
-        self.open = False  # it takes requests
-        self.stopping = False
+        self.last_arrival_at = -inf  # the last request
+        self.max_in_flight = free_sockets - max_connections  # callers at once; more wait in the backlog
+        # Accepted and not answered, in the order of arrival.
+        self.in_flight: dict[DirectRequest, None] = {}
+        self.backlog: deque[DirectRequest] = deque()
+        self.is_open = False  # it takes requests
+        self.is_stopping = False
 
     def start(self) -> None:
-        """It listens from now on."""
-        self.machine_list.load_cached(self.known)
-        self.open = True
-        self.way.running[self.name] = self
+        """Start to listen."""
+        self.endpoint_list.load_cached(self.known)
+        self.is_open = True
+        self.client.running[self.name] = self
         self.book.sidecar_up(self.name)
 
     # Requests
 
-    def take(self, asked: DirectRequest) -> None:
-        """A request has arrived."""
-        self.came_at = self.clock.now()
-        if len(self.held) >= self.most:
-            self.door.append(asked)
+    def take(self, request: DirectRequest) -> None:
+        """Accept a request that has arrived, or have it wait in the backlog."""
+        self.last_arrival_at = self.clock.now()
+        if len(self.in_flight) >= self.max_in_flight:
+            self.backlog.append(request)
             return
-        cls = self.classes[asked.index]
-        left = asked.left
-        if cls.deadline < left:
-            left = cls.deadline  # no caller waits longer than its class
-        answered: Any = asked
-        job = asked.job = Request(
-            asked.ident, cls.name, self.clock.time.instant + left, asked, asked.repeat, answered
+        cls = self.classes[request.index]
+        time_left = request.time_left
+        if cls.deadline < time_left:
+            time_left = cls.deadline  # no caller waits longer than its class
+        answered: Any = request
+        core_request = request.core_request = Request(
+            request.ident, cls.name, self.clock.time.instant + time_left, request, request.repeat, answered
         )
-        self.held[asked] = None
-        self.exchange.submit(job)
+        self.in_flight[request] = None
+        self.exchange.submit(core_request)
 
-    def done(self, asked: DirectRequest) -> None:
-        """It is answered."""
-        del self.held[asked]
-        if self.door:
-            self.next()
+    def finish(self, request: DirectRequest) -> None:
+        """Remove a request that has been answered."""
+        del self.in_flight[request]
+        if self.backlog:
+            self.schedule_admission()
 
-    def leave(self, asked: DirectRequest) -> None:
-        """Its caller has closed its connection."""
+    def abandon(self, request: DirectRequest) -> None:
+        """Withdraw a request whose caller has closed its connection."""
         if self.clock.over:
             return
-        if asked.job is None:  # answered, or never read
-            if asked in self.door:
-                self.door.remove(asked)
+        if request.core_request is None:  # answered, or never read
+            if request in self.backlog:
+                self.backlog.remove(request)
             return
-        job, asked.job = asked.job, None
-        self.exchange.withdraw(job)
-        self.done(asked)
+        core_request, request.core_request = request.core_request, None
+        self.exchange.withdraw(core_request)
+        self.finish(request)
 
-    def next(self) -> None:
-        """A place is free: not from within the end of the last one that had it."""
+    def schedule_admission(self) -> None:
+        """Admit from the backlog, though not from within the end of the last request."""
         self.clock.at(self.clock.now(), self.admit)
 
     def admit(self) -> None:
-        while self.door and len(self.held) < self.most:
-            self.take(self.door.popleft())
+        """Accept requests of the backlog while there is capacity."""
+        while self.backlog and len(self.in_flight) < self.max_in_flight:
+            self.take(self.backlog.popleft())
 
     def reset(self) -> None:
-        """Its host is back after a silence: nobody knows any more of the connections that it had."""
-        for asked in [*self.held, *self.door]:
-            asked.cut_off()
-            self.leave(asked)
+        """Reset all connections, as the host is back and no peer knows of them any more."""
+        for request in [*self.in_flight, *self.backlog]:
+            request.cut_off()
+            self.abandon(request)
         self.pool.reset()
 
     # Its end
 
     def terminate(self) -> None:
-        """SIGTERM: answer what has come and what still arrives, as the daemon does, then end."""
-        if not self.stopping and not self.clock.over:
-            self.stopping = True
+        """Shut down on SIGTERM: answer what has come and still arrives, as the daemon does, then end."""
+        if not self.is_stopping and not self.clock.over:
+            self.is_stopping = True
             self.book.sidecar_stopping(self.name)
             now = self.clock.now()
-            self.leaving = ShutdownSchedule(now, self.classes, self.copies, self.exchange.latencies)
-            self.look()
-
-    def look(self) -> None:
-        now, leaving = self.clock.now(), self.leaving
-        if not self.open:
-            if not leaving.should_continue(now, self.exchange.open_snapshot(now)):
-                self.exchange.answer_all(leaving)
-                if not self.door:
-                    self.machine_list.unsubscribe()
+            self.shutdown = ShutdownSchedule(now, self.classes, self.copies, self.exchange.latencies)
+            self.poll_shutdown()
+
+    def poll_shutdown(self) -> None:
+        """Take the next step of the shutdown that is due, and schedule the next poll."""
+        now, shutdown = self.clock.now(), self.shutdown
+        if not self.is_open:
+            if not shutdown.should_continue(now, self.exchange.open_snapshot(now)):
+                self.exchange.answer_all(shutdown)
+                if not self.backlog:
+                    self.endpoint_list.unsubscribe()
                     self.end(killed=False)
                     return
-        elif leaving.should_stop_accepting(now, self.came_at, bool(self.door)):
-            self.open = False
-        self.clock.at(now + SHUTDOWN_POLL_SECONDS, self.look)
+        elif shutdown.should_stop_accepting(now, self.last_arrival_at, bool(self.backlog)):
+            self.is_open = False
+        self.clock.at(now + SHUTDOWN_POLL_SECONDS, self.poll_shutdown)
 
     def kill(self) -> None:
-        """Its process ends at once."""
+        """End the process at once."""
         if not self.clock.over:
-            self.machine_list.die()
+            self.endpoint_list.kill()
             self.end(killed=True)
 
     def end(self, killed: bool) -> None:
-        self.open = False
+        """Close all connections, and report the end of the process."""
+        self.is_open = False
         self.pool.close()
         self.clock.over = True
-        if self.way.running.get(self.name) is self:
-            del self.way.running[self.name]
+        if self.client.running.get(self.name) is self:
+            del self.client.running[self.name]
         self.book.sidecar_down(self.name, killed)
-        for asked in [*self.held, *self.door]:
-            asked.cut_off()
-        self.held.clear()
-        self.door.clear()
+        for request in [*self.in_flight, *self.backlog]:
+            request.cut_off()
+        self.in_flight.clear()
+        self.backlog.clear()
         self.on_end(killed)
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -1,4 +1,4 @@
-"""The way into a sidecar without bytes: requests and answers each take a link's delay."""
+"""Clients of sidecars without bytes: requests and answers each take a link's delay."""
 
 from __future__ import annotations
 
@@ -20,106 +20,135 @@
 
 
 class DirectRequest:
-    """One request that is out. It is its job's content, and what the job's answer goes to."""
+    """One request in flight.
+
+    It is the content of the exchange's request (`core_request`), and its `callback` gets the answer of that.
+    """
 
     __slots__ = (
-        "arrival", "back", "deadline", "done", "gone", "ident", "index", "job", "key", "left", "process",
-        "repeat", "sidecar", "there", "until", "way",
+        "arrival",
+        "backward",
+        "caller_deadline",
+        "client",
+        "core_request",
+        "deadline",
+        "done",
+        "forward",
+        "ident",
+        "index",
+        "is_over",
+        "key",
+        "process",
+        "repeat",
+        "sidecar",
+        "time_left",
     )  # fmt: skip
 
     def __init__(
-        self, way: DirectSidecarClient, sidecar: str, ident: str, index: int, until: float, key: str,
+        self, client: DirectSidecarClient, sidecar: str, ident: str, index: int, until: float, key: str,
         repeat: bool, done: Done,
     ) -> None:  # fmt: skip
-        self.way = way
+        self.client = client
         self.sidecar = sidecar
         self.ident = ident
         self.index = index
-        self.until = until
+        self.caller_deadline = until
         self.key = key
         self.repeat = repeat
         self.done = done
-        self.there, self.back = way.links[sidecar]
-        self.gone = False
+        self.forward, self.backward = client.links[sidecar]
+        self.is_over = False
         self.process: DirectSidecar | None = None  # that has taken it
-        self.job: Request | None = None
+        self.core_request: Request | None = None
 
-    def go(self) -> None:
-        """It is written."""
-        now = self.way.time.instant
-        self.left = max(1, int((self.until - now) * 1000)) / 1000  # as the wire states it
-        self.deadline = now + self.left
-        self.arrival = self.there.send(0.0, self.arrive)
+    def send(self) -> None:
+        """Send the request."""
+        now = self.client.time.instant
+        self.time_left = max(1, int((self.caller_deadline - now) * 1000)) / 1000  # as the wire states it
+        self.deadline = now + self.time_left
+        self.arrival = self.forward.send(0.0, self.arrive)
 
     def arrive(self) -> None:
-        if self.gone:
+        """At the sidecar: have it take the request, where it listens."""
+        if self.is_over:
             return
-        way = self.way
-        process = way.running.get(self.sidecar)
-        if process is None or not process.open:
-            self.back.send(0.0, self.unreached)
+        client = self.client
+        process = client.running.get(self.sidecar)
+        if process is None or not process.is_open:
+            self.backward.send(0.0, self.unreached)
             return
         self.process = process
-        way.book.taken(self.sidecar, self.ident, self.index, self.key, self.deadline)
+        client.book.taken(self.sidecar, self.ident, self.index, self.key, self.deadline)
         process.take(self)
 
     def unreached(self) -> None:
-        if not self.gone:
+        """End the request, as no sidecar listens."""
+        if not self.is_over:
             self.end()
             self.done("unreached", 0.0)
 
     def end(self) -> None:
-        self.gone = True
-        if self.way.most:
-            self.way.free(self)
+        """Release the request's connection."""
+        self.is_over = True
+        if self.client.max_connections:
+            self.client.release(self)
 
     def callback(self, answer: Answer) -> None:
-        """The sidecar has answered it."""
-        if self.job is None:  # to a caller that has left: the server finds no connection then
+        """At the sidecar: send the answer."""
+        if self.core_request is None:  # to a caller that has left: the server finds no connection then
             return
-        self.job = None
+        self.core_request = None
         process = self.process
         assert process is not None
-        process.done(self)
-        if not self.gone:
-            self.back.send(0.0, self.answered, answer, self.way.time.instant)
+        process.finish(self)
+        if not self.is_over:
+            self.backward.send(0.0, self.answered, answer, self.client.time.instant)
 
     def answered(self, answer: Answer, written: float) -> None:
-        if self.gone:
+        """End the request with the sidecar's answer."""
+        if self.is_over:
             return
         self.end()
         final = answer.kind
         kind: Kind = "served" if final is SERVED else "refused" if final is REFUSED else "failed"
         stamp = str(answer.content) if final is SERVED else ""
         advice = ceil(answer.retry_after * 1000) / 1000 if answer.retry_after > 0 else 0.0
-        self.way.book.answered(self.sidecar, self.ident, kind, stamp, advice, written)
+        self.client.book.answered(self.sidecar, self.ident, kind, stamp, advice, written)
         self.done(kind, advice)
 
     def cut_off(self) -> None:
-        """The sidecar has ended without an answer to it."""
-        if not self.gone:
-            self.back.send(0.0, self.lost)
+        """At the sidecar: have the connection end without an answer."""
+        if not self.is_over:
+            self.backward.send(0.0, self.lost)
 
     def lost(self) -> None:
-        if not self.gone:
+        """End the request as lost."""
+        if not self.is_over:
             self.end()
-            self.way.book.lost(self.sidecar, self.ident, "reset")
+            self.client.book.lost(self.sidecar, self.ident, "reset")
             self.done("lost", 0.0)
 
     def leave(self) -> None:
-        if self.gone:
+        """Abandon the request; the sidecar learns of it a link's delay later."""
+        if self.is_over:
             return
         self.end()
-        process, way = self.process, self.way
+        process, client = self.process, self.client
         if process is None:  # it has not arrived, and will not
             return
-        way.book.left(self.sidecar, self.ident)
-        self.there.send(self.arrival, process.leave, self)
+        client.book.left(self.sidecar, self.ident)
+        self.forward.send(self.arrival, process.abandon, self)
 
 
 class DirectSidecarClient:
-    """Carries requests to the sidecars that run. `hosts`: for each sidecar, its callers' host and its own;
-    `most`: for some, the connections that their callers open at once at most.
+    """Carries requests to the sidecars that run; implements `models.way.Way`.
+
+    Parameters
+    ----------
+    hosts
+        For each sidecar, its callers' host and its own.
+    max_connections
+        For some sidecars, the connections that their callers open at once at most.
     """
 
     def __init__(
@@ -128,7 +157,7 @@
         links: Links,
         book: Book,
         hosts: Mapping[str, tuple[str, str]],
-        most: Mapping[str, int] | None = None,
+        max_connections: Mapping[str, int] | None = None,
     ) -> None:
         self.time = time
         self.book = book
@@ -136,37 +165,38 @@
             name: (links.link(here, there), links.link(there, here)) for name, (here, there) in hosts.items()
         }
         self.running: dict[str, DirectSidecar] = {}
-        self.most = most
-        self.open = dict.fromkeys(most or (), 0)
-        self.waiting: dict[str, deque[DirectRequest]] = {name: deque() for name in most or ()}
+        self.max_connections = max_connections
+        self.open_counts = dict.fromkeys(max_connections or (), 0)
+        self.waiting: dict[str, deque[DirectRequest]] = {name: deque() for name in max_connections or ()}
 
     def ask(
         self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
     ) -> DirectRequest:
-        asked = DirectRequest(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
-        if self.most and sidecar in self.most:
-            self.waiting[sidecar].append(asked)
-            self.fill(sidecar)
+        """Send a request to a sidecar; see `models.way.Way`."""
+        request = DirectRequest(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
+        if self.max_connections and sidecar in self.max_connections:
+            self.waiting[sidecar].append(request)
+            self.send_waiting(sidecar)
         else:
-            asked.go()
-        return asked
+            request.send()
+        return request
 
-    def fill(self, sidecar: str) -> None:
-        """Let those go for whom there is a connection."""
-        assert self.most is not None
+    def send_waiting(self, sidecar: str) -> None:
+        """Send the requests that wait, while there are connections for them."""
+        assert self.max_connections is not None
         waiting = self.waiting[sidecar]
-        while waiting and self.open[sidecar] < self.most[sidecar]:
-            asked = waiting.popleft()
-            self.open[sidecar] += 1
-            asked.go()
-
-    def free(self, asked: DirectRequest) -> None:
-        """A request needs its connection no more, or none any more."""
-        waiting = self.waiting.get(asked.sidecar)
+        while waiting and self.open_counts[sidecar] < self.max_connections[sidecar]:
+            request = waiting.popleft()
+            self.open_counts[sidecar] += 1
+            request.send()
+
+    def release(self, request: DirectRequest) -> None:
+        """Release a request's connection, or its position among those that wait for one."""
+        waiting = self.waiting.get(request.sidecar)
         if waiting is None:
             return
-        if asked in waiting:
-            waiting.remove(asked)
+        if request in waiting:
+            waiting.remove(request)
         else:
-            self.open[asked.sidecar] -= 1
-            self.fill(asked.sidecar)
+            self.open_counts[request.sidecar] -= 1
+            self.send_waiting(request.sidecar)
