--- a/wheatring/lab/direct/links.py
+++ b/wheatring/lab/direct/links.py
@@ -142,7 +142,7 @@
         self._update_all()
 
     def heal(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
-        """Heal a partition."""
+        """Heal the partition that `cut` made with the same arguments."""
         self.cuts.remove((tuple(hosts), tuple(others), one_way))
         self._update_all()
 
