--- a/tests/ends/drawn_settings.py
+++ b/tests/ends/drawn_settings.py
@@ -62,7 +62,7 @@
         return platform_file.read({"LB_CONFIG": str(folder / "c.json")})
 
 
-SETTINGS = platform.settings
+SETTINGS = platform.sidecar_settings
 
 
 def drawn(random: Random) -> Day:
--- a/tests/lab/study_runner.py
+++ b/tests/lab/study_runner.py
@@ -10,7 +10,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from wheatring.balancer import latency_estimate
-from wheatring.lab.outcome import Breach, ClassFigures, Outcome, Second
+from wheatring.lab.outcome import Breach, ClassFigures, Outcome, SecondFigures
 from wheatring.lab.study.jobs import Build, Job, build_at, hashed
 from wheatring.lab.study.settings import Settings, value_of
 
@@ -71,10 +71,10 @@
     )  # fmt: skip
 
 
-def _second(drawn: Random, troubled: bool) -> Second:
+def _second(drawn: Random, troubled: bool) -> SecondFigures:
     asked = drawn.randint(180, 230)
     late, refused, failed = (drawn.randint(0, 40 if troubled else 3) for _ in range(3))
-    return Second(
+    return SecondFigures(
         asked, asked - late - refused - failed, late, refused, failed, asked * 2.0, asked * 1.8,
         asked + refused, asked * 6 + 40 * troubled, 9 * troubled, int(troubled),
         380.0, 4000.0 if troubled else 1900.0,
--- a/tests/lab/test_study_report.py
+++ b/tests/lab/test_study_report.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.lab.study_runner import RUN, job, told
-from wheatring.lab.outcome import Outcome, Second
+from wheatring.lab.outcome import Outcome, SecondFigures
 from wheatring.lab.study import store
 from wheatring.lab.study.jobs import Ended, function
 from wheatring.lab.study.report import day, several
@@ -69,7 +69,7 @@
 def test_runs_of_any_length_can_be_drawn(seconds: int) -> None:
     """Nothing asked, nothing served, or two hours of it."""
     empty = Outcome("none", 1, "wire", 0, 0.0, 0.0, 0.0, 0.0, 0.0, 0.0, float(seconds), 0.0)
-    empty.seconds = [Second(asked=at % 2, failed=at % 2) for at in range(seconds)]
+    empty.seconds = [SecondFigures(asked=at % 2, failed=at % 2) for at in range(seconds)]
     empty.happened = [(at / 10, "load") for at in range(0, seconds * 10, 600)]
     text = day.of_run(empty, "")
     assert len(Page(text).heads) >= 2 and len(text) < 2_000_000
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/test_wire_peers.py
@@ -61,7 +61,7 @@
     field = Field()
     field.serve(says(b"HTTP/1.1 " + data))
     field.ask(run=1.0)
-    (ident,) = field.origins.of
+    (ident,) = field.origins.by_id
     at = field.time.start + 0.002  # the caller is connected and writes; half a trip later the sidecar does
     taken, over = field.book.log
     assert taken == ("taken", "s", ident, SAFE, "", pytest.approx(field.time.start + 4.0, abs=0.0011))
@@ -204,7 +204,7 @@
     line.transport.write(field.form())
     field.run()
     begun = field.time.start
-    first, second = field.origins.of
+    first, second = field.origins.by_id
     sending = [
         (round(at - begun, 4), *who, round(sent - begun, 4)) for at, *who, sent in field.book.timed("sending")
     ]
@@ -237,7 +237,7 @@
 def test_what_no_caller_has_written_so_is_not_served() -> None:
     field = Field()
     good = field.form(KEYED, KEY)
-    (ident,) = field.origins.of
+    (ident,) = field.origins.by_id
     changes = [
         (ident.encode(), b"0" * 16), (b"?lang=en", b""), (KEY.encode(), KEY[::-1].encode()),
         (b"order", b"drink"), (b"POST", b"GET"), (b"480", b"4.8"), (b"Host", b"\0Host"), (b'"}', b'"}x'),
@@ -379,7 +379,7 @@
         return ports[-1]
 
     def ask(caller: SidecarClient) -> None:
-        index = len(origins.of) % 2
+        index = len(origins.by_id) % 2
         key = KEY if index else ""
         ident = origins.new(Origin(1, index, 0.1, key))
         caller.ask("s", ident, index, 30.0, key, False, lambda kind, wait: done(caller, kind))
--- a/tests/lab/test_world_lives.py
+++ b/tests/lab/test_world_lives.py
@@ -7,7 +7,7 @@
 
 from wheatring.lab.net.sockets import Socket
 from wheatring.lab.plan import EventPlan, Plan
-from wheatring.lab.play import world
+from wheatring.lab.play import make_world
 from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load
 from wheatring.lab.wire.environment import WireEnvironment
@@ -29,7 +29,7 @@
 @pytest.mark.parametrize("events", [(), (HANG, RESETS)], ids=["", "with troubles"])
 def test_a_sidecar_that_ends_leaves_nothing(stop: float, until: float, events: tuple[EventPlan, ...]) -> None:
     for seed in range(1, 6):
-        made = world(a_life(seed, stop, until, *events), "wire")
+        made = make_world(a_life(seed, stop, until, *events), "wire")
         ground = made.ground
         assert isinstance(ground, WireEnvironment)
         outcome = made.play()
--- a/tests/lab/test_world_told.py
+++ b/tests/lab/test_world_told.py
@@ -6,7 +6,7 @@
 import pytest
 
 from wheatring.lab.plan import EventPlan, Plan
-from wheatring.lab.play import play, world
+from wheatring.lab.play import make_world, play
 from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load, parse
 from wheatring.lab.world.world import START
@@ -63,7 +63,7 @@
         EventPlan(at=0.5, kind="clock_step", size=100.0),
         EventPlan(at=1.0, kind="kill", length=0.1, nodes=("shop-1",)),
     )
-    made = world(a_day(step, kill), grain)
+    made = make_world(a_day(step, kill), grain)
     made.play()
     instant, stamp = made.registry.knowledge.started["shop-1"]
     assert stamp == round((made.plan.epoch + instant - START + step.size) * 1000)
--- a/wheatring/commands/lab_errors.py
+++ b/wheatring/commands/lab_errors.py
@@ -16,8 +16,8 @@
     @wraps(call)
     def reporting(args: argparse.Namespace) -> int:
         try:
-            from wheatring.lab.drawn import DrawnError
             from wheatring.lab.scenario.load import ScenarioError
+            from wheatring.lab.simulator_day import SimulatorDayError
             from wheatring.lab.study import StudyError
         except ModuleNotFoundError as error:
             print(
@@ -28,7 +28,7 @@
             return call(args)
         except ScenarioError as error:
             print(error, file=sys.stderr)
-        except (StudyError, DrawnError) as error:
+        except (StudyError, SimulatorDayError) as error:
             print(f"wheatring: {error}", file=sys.stderr)
         return 2
 
--- a/wheatring/commands/lab_pace.py
+++ b/wheatring/commands/lab_pace.py
@@ -32,7 +32,7 @@
 
     import msgspec
 
-    from wheatring.lab.play import world
+    from wheatring.lab.play import make_world
     from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import load
     from wheatring.lab.study import StudyError
@@ -43,7 +43,7 @@
     if args.seconds is not None and args.seconds < plan.length:
         plan = msgspec.structs.replace(plan, length=args.seconds)
     began, used = perf_counter(), process_time()
-    outcome = world(plan, args.grain).play()
+    outcome = make_world(plan, args.grain).play()
     wall, cpu = perf_counter() - began, process_time() - used
     calls = int(outcome.counts["attempts"])
     unit = 1 if sys.platform == "darwin" else 1024  # of the peak, in bytes
--- a/wheatring/commands/lab_run.py
+++ b/wheatring/commands/lab_run.py
@@ -114,7 +114,7 @@
     from multiprocessing import get_context
     from statistics import mean
 
-    from wheatring.lab.drawn import play_file
+    from wheatring.lab.simulator_day import play_file
     from wheatring.lab.study import StudyError
 
     if args.workers < 1:
--- a/wheatring/lab/book.py
+++ b/wheatring/lab/book.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Literal, Protocol
 
-Kind = Literal["served", "refused", "failed"]
-End = Literal["served", "refused", "failed", "timeout", "left"]  # of a first try, its retries counted in
+ResponseKind = Literal["served", "refused", "failed"]
+FirstTryEnd = Literal["served", "refused", "failed", "timeout", "left"]  # retries counted in
 NodeState = Literal["ready", "draining", "gone"]
 
 
@@ -21,7 +21,7 @@
     def asked(self, first: int, index: int) -> None:
         """A first try arrives: its worth is asked for."""
 
-    def settled(self, first: int, end: End, tries: int) -> None:
+    def settled(self, first: int, end: FirstTryEnd, tries: int) -> None:
         """A first try is over for its client: by an answer, its time, or its leaving."""
 
     # Sidecars. Each try of a client and each call of a node is a request of its own.
@@ -33,7 +33,7 @@
         self,
         sidecar: str,
         ident: str,
-        kind: Kind,
+        kind: ResponseKind,
         stamp: str,
         retry_after: float,
         written: float | None = None,
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from wheatring.core.exchange import Answer, AnswerKind, Request
-from wheatring.lab.book import Book, Kind
+from wheatring.lab.book import Book, ResponseKind
 from wheatring.lab.direct.links import Links
 from wheatring.lab.models.way import Done
 from wheatring.lab.timers import PlayedTime
@@ -110,7 +110,7 @@
             return
         self.end()
         final = answer.kind
-        kind: Kind = "served" if final is SERVED else "refused" if final is REFUSED else "failed"
+        kind: ResponseKind = "served" if final is SERVED else "refused" if final is REFUSED else "failed"
         stamp = str(answer.content) if final is SERVED else ""
         advice = ceil(answer.retry_after * 1000) / 1000 if answer.retry_after > 0 else 0.0
         self.client.book.answered(self.sidecar, self.ident, kind, stamp, advice, written)
--- a/wheatring/lab/faults.py
+++ b/wheatring/lab/faults.py
@@ -134,7 +134,7 @@
 )
 
 
-class NoLongerFits(ValueError):
+class FaultMismatchError(ValueError):
     """The code has changed: the fault can't be planted as it stands."""
 
 
@@ -158,7 +158,7 @@
 def _changed(fault: Fault, function: Any, scope: dict[str, Any]) -> Any:
     text = textwrap.dedent(inspect.getsource(function))
     if text.count(fault.old) != 1:
-        raise NoLongerFits(f"{fault.name}: {fault.where} no longer holds {fault.old!r} once")
+        raise FaultMismatchError(f"{fault.name}: {fault.where} no longer holds {fault.old!r} once")
     changed = text.replace(fault.old, fault.new)
     ast.parse(changed)
     made: dict[str, Any] = {}
--- a/wheatring/lab/hunt.py
+++ b/wheatring/lab/hunt.py
@@ -15,7 +15,7 @@
 CLEAN = "nothing planted"
 
 
-class Look(NamedTuple):
+class FaultRun(NamedTuple):
     """One run with a fault in it, or none: what the first breach was, "" where there was none."""
 
     name: str
@@ -24,7 +24,7 @@
     what: str
 
 
-def look(fault: Fault | None, scenario: str, seed: int, grain: str) -> Look:
+def run_with_fault(fault: Fault | None, scenario: str, seed: int, grain: str) -> FaultRun:
     """Play one day. A world that breaks off has found the fault as well."""
     from wheatring.lab.play import play
     from wheatring.lab.scenario.draw import draw
@@ -37,9 +37,9 @@
         except Exception as broken:
             if fault is None:
                 raise
-            return Look(name, seed, "raised", f"{type(broken).__name__}: {broken}")
+            return FaultRun(name, seed, "raised", f"{type(broken).__name__}: {broken}")
     first = outcome.breaches[0] if outcome.breaches else None
-    return Look(name, seed, first.rule, first.what) if first is not None else Look(name, seed, "", "")
+    return FaultRun(name, seed, first.rule, first.what) if first is not None else FaultRun(name, seed, "", "")
 
 
 def hunt(
@@ -54,11 +54,11 @@
             raise StudyError(f"{name}: no such fault at {grain}; there are {', '.join(known)}")
     wanted = [known[name] for name in dict.fromkeys(names)] or list(known.values())
     began = time.perf_counter()
-    found: dict[str, Look] = {}
+    found: dict[str, FaultRun] = {}
     with ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn")) as pool:
-        out: dict[Future[Look], int] = {}
+        out: dict[Future[FaultRun], int] = {}
         for fault in wanted:
-            out[pool.submit(look, fault, fault.scenario, seeds[0], grain)] = 0
+            out[pool.submit(run_with_fault, fault, fault.scenario, seeds[0], grain)] = 0
         while out:
             done, _ = wait(out, return_when=FIRST_COMPLETED)
             for future in done:
@@ -68,18 +68,18 @@
                     say(f"{seen.name}: found by seed {seen.seed}, {seen.rule}: {seen.what}")
                 elif tried < len(seeds):
                     fault = known[seen.name]
-                    out[pool.submit(look, fault, fault.scenario, seeds[tried], grain)] = tried
+                    out[pool.submit(run_with_fault, fault, fault.scenario, seeds[tried], grain)] = tried
         # A breach that is there without the fault as well has found nothing.
         needed = sorted({(known[name].scenario, seen.seed) for name, seen in found.items()})
         days = zip(*needed, strict=True) if needed else ((), ())
-        clean = list(pool.map(look, [None] * len(needed), *days, [grain] * len(needed)))
+        clean = list(pool.map(run_with_fault, [None] * len(needed), *days, [grain] * len(needed)))
     return _verdict(wanted, found, clean, time.perf_counter() - began, say)
 
 
 def _verdict(
     wanted: Sequence[Fault],
-    found: dict[str, Look],
-    clean: list[Look],
+    found: dict[str, FaultRun],
+    clean: list[FaultRun],
     wall: float,
     say: Callable[[str], object],
 ) -> int:
--- a/wheatring/lab/live/bench/relay.py
+++ b/wheatring/lab/live/bench/relay.py
@@ -42,13 +42,13 @@
             self.other.transport.loseConnection()
 
 
-class Near(End):
+class ClientSide(End):
     def connectionMade(self) -> None:
         super().connectionMade()
         reactor.connectTCP(sys.argv[2], int(sys.argv[3]), Dial(self))
 
 
-class Far(End):
+class UpstreamSide(End):
     def connectionMade(self) -> None:
         super().connectionMade()
         assert self.other is not None
@@ -59,18 +59,18 @@
 class Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, near: Near) -> None:
+    def __init__(self, near: ClientSide) -> None:
         self.near = near
 
-    def buildProtocol(self, addr: object) -> Far:
-        return Far(self.near)
+    def buildProtocol(self, addr: object) -> UpstreamSide:
+        return UpstreamSide(self.near)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
         self.near.transport.loseConnection()
 
 
 def main() -> None:
-    port = reactor.listenTCP(0, ServerFactory.forProtocol(Near), interface=sys.argv[1], backlog=511)
+    port = reactor.listenTCP(0, ServerFactory.forProtocol(ClientSide), interface=sys.argv[1], backlog=511)
     print(f"listening port={port.getHost().port}", flush=True)
     reactor.run()
 
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -18,7 +18,7 @@
 from wheatring.lab.models.form import as_json
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import Ledger
-from wheatring.lab.settings import settings
+from wheatring.lab.settings import sidecar_settings
 from wheatring.lab.wire.discovery_server import DiscoveryServer
 from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
 from wheatring.lab.world.world import SIDECAR_FAULT_CODES
@@ -140,7 +140,7 @@
             slot.name,
             f"{slot.host}:{slot.port}",
             self.discovery(slot),
-            settings(self.plan, slot.tier, slot.number, slot.copies),
+            sidecar_settings(self.plan, slot.tier, slot.number, slot.copies),
             Random(f"{self.plan.seed}:sidecar:{slot.name}").getrandbits(64),
             limits={"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             known=as_json(self.registry.held(slot.tier, self.plan.held), partial(self.address, slot.name)),
--- a/wheatring/lab/models/below.py
+++ b/wheatring/lab/models/below.py
@@ -35,7 +35,7 @@
 
     def __call__(self, visit: Visit, left: float, done: Callable[[bool], None]) -> None:
         way, timers = self.way(), self.timers
-        origin = self.origins.of.get(visit.ident)
+        origin = self.origins.by_id.get(visit.ident)
         if way is None or origin is None:
             timers.at(timers.now(), done, False)
             return
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -5,7 +5,7 @@
 from functools import partial
 from random import Random
 
-from wheatring.lab.book import Book, End
+from wheatring.lab.book import Book, FirstTryEnd
 from wheatring.lab.models.front import Front
 from wheatring.lab.models.traffic import Traffic
 from wheatring.lab.models.way import LINGER, Asked, ReplyKind, Way
@@ -16,7 +16,7 @@
 LEAST = 0.001  # seconds left below which no further try is made: none could be stated on the wire
 
 # How a first try ends whose last try ended so.
-ENDS: dict[ReplyKind, End] = {
+ENDS: dict[ReplyKind, FirstTryEnd] = {
     "served": "served",
     "refused": "refused",
     "failed": "failed",
@@ -157,7 +157,7 @@
         clients, plan = self.clients, self.clients.plan
         if kind != "refused" and kind != "unreached" and self.may_have_run is None:
             self.may_have_run = self.began
-        end: End = "timeout" if kind is None else ENDS[kind]
+        end: FirstTryEnd = "timeout" if kind is None else ENDS[kind]
         if self.tries > plan.retries:
             self.settle(end)
             return
@@ -183,7 +183,7 @@
             return True
         return effect == "keyed" and at < self.may_have_run + self.class_plan.window
 
-    def settle(self, end: End) -> None:
+    def settle(self, end: FirstTryEnd) -> None:
         clients = self.clients
         clients.open -= 1
         clients.book.settled(self.origin.first, end, self.tries)
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -162,7 +162,7 @@
         if not self.running:
             self.book.ended(self.name, visit.ident)
             return
-        origin = self.origins.of.get(visit.ident)
+        origin = self.origins.by_id.get(visit.ident)
         if origin is None:
             self._away(visit)
             return
--- a/wheatring/lab/origins.py
+++ b/wheatring/lab/origins.py
@@ -1,11 +1,11 @@
-"""Where each request in the world comes from. Side knowledge of the models: no sidecar may ever see it."""
+"""The first try behind each request in the world. Only the models use it: no sidecar may ever see it."""
 
 from __future__ import annotations
 
 from collections import deque
 from random import Random
 
-MOST = 400_000  # ids that are remembered; at the operators' load that is over five minutes
+MAX_REMEMBERED_IDS = 400_000  # over five minutes at the operators' load
 
 
 class Origin:
@@ -25,24 +25,27 @@
 
 
 class Origins:
-    """Correlation ids and their origins. An id is fresh for each try and for each call of a node. The oldest
-    are forgotten, long after all of theirs is over.
+    """Origins by correlation id.
+
+    Each try and each call of a node has an id of its own. The oldest ids are dropped, long after their
+    requests have ended.
     """
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.of: dict[str, Origin] = {}
+        self.by_id: dict[str, Origin] = {}
         self.order: deque[str] = deque()
 
     def new(self, origin: Origin) -> str:
+        """Draw an id for a request of an origin, and record it."""
         ident = f"{self.random.getrandbits(64):016x}"
-        self.of[ident] = origin
+        self.by_id[ident] = origin
         self.order.append(ident)
-        if len(self.order) > MOST:
-            del self.of[self.order.popleft()]
+        if len(self.order) > MAX_REMEMBERED_IDS:
+            del self.by_id[self.order.popleft()]
         return ident
 
     def first(self, ident: str) -> int | None:
-        """The first try that it comes from; None where it is not known."""
-        origin = self.of.get(ident)
+        """Return the number of the first try behind an id, or None if the id is unknown."""
+        origin = self.by_id.get(ident)
         return None if origin is None else origin.first
--- a/wheatring/lab/outcome.py
+++ b/wheatring/lab/outcome.py
@@ -1,4 +1,4 @@
-"""What one run of a world gave. Plain values: written as JSON, kept by experiments, drawn by reports."""
+"""Results of one run of a world: plain values, written as JSON, stored by experiments, plotted by reports."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     node: str = ""
 
 
-class Second(Struct):
-    """One second of the day. A first try belongs to the second in which it was asked."""
+class SecondFigures(Struct):
+    """Figures of one second of the day. A first try belongs to the second in which it was asked."""
 
     asked: int = 0
     in_time: int = 0
@@ -35,6 +35,8 @@
 
 
 class ClassFigures(Struct):
+    """Figures of the first tries of one request class over the day."""
+
     name: str
     asked: int = 0
     in_time: int = 0
@@ -46,8 +48,11 @@
     p99_ms: float = 0.0
 
 
-class Lists(Struct):
-    """Calls to discovery. Seconds are those of the day; what came before it counts in the first."""
+class DiscoveryCallFigures(Struct):
+    """Figures of the calls to discovery.
+
+    Seconds are those of the day; calls before its start count in the first second.
+    """
 
     calls: int = 0
     asks: int = 0  # of these, by sidecars that had no answer since their start or since a call failed
@@ -61,6 +66,8 @@
 
 
 class Outcome(Struct):
+    """All results of one run."""
+
     scenario: str
     seed: int
     grain: str  # wire or exchange
@@ -76,12 +83,12 @@
     breaches: list[Breach] = field(default_factory=list)
     breach_count: int = 0  # all of them; the list keeps the first hundred
     classes: list[ClassFigures] = field(default_factory=list)
-    seconds: list[Second] = field(default_factory=list)
+    seconds: list[SecondFigures] = field(default_factory=list)
     attempts_by_tier: list[int] = field(default_factory=list)
     attempts_each: float = 0.0  # attempts at the first tier for each try taken there
     node_work: dict[str, float] = field(default_factory=dict)  # work done, by node
     latency: str = ""  # of the first tries that were served, in ms: an encoded HdrHistogram
     happened: list[tuple[float, str]] = field(default_factory=list)  # seconds from the start, and what
     counts: dict[str, float] = field(default_factory=dict)  # further counts by name
-    lists: Lists = field(default_factory=Lists)
+    lists: DiscoveryCallFigures = field(default_factory=DiscoveryCallFigures)
     trace_hash: str = ""  # of the whole trace, where one was kept
--- a/wheatring/lab/play.py
+++ b/wheatring/lab/play.py
@@ -14,11 +14,20 @@
 GRAINS: Mapping[str, Callable[[World], Ground]] = {"wire": WireEnvironment, "exchange": DirectEnvironment}
 
 
-def world(plan: Plan, grain: str, tracing: Tracing | None = None) -> World:
-    """The world of a plan, which may be played once. ValueError where the plan needs real processes."""
+def make_world(plan: Plan, grain: str, tracing: Tracing | None = None) -> World:
+    """Build the world of a plan, which may be played once.
+
+    Raises
+    ------
+    ValueError
+        If the plan needs real processes.
+    """
     return World(plan, grain, GRAINS[grain], tracing)
 
 
 def play(plan: Plan, grain: str, tracing: Tracing | None = None) -> Outcome:
-    """Play a plan at a grain, `wire` or `exchange`. The same plan gives the same outcome but for `wall_s`."""
-    return world(plan, grain, tracing).play()
+    """Play a plan at a grain, `wire` or `exchange`.
+
+    The same plan gives the same outcome, except for `wall_s`.
+    """
+    return make_world(plan, grain, tracing).play()
--- a/wheatring/lab/rules/discovery_calls.py
+++ b/wheatring/lab/rules/discovery_calls.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from wheatring.lab.outcome import Lists
+from wheatring.lab.outcome import DiscoveryCallFigures
 
 
 class DiscoveryCalls:
@@ -12,7 +12,7 @@
 
     def __init__(self, since: Callable[[float], float]) -> None:
         self.since = since
-        self.found = Lists()
+        self.found = DiscoveryCallFigures()
         self.out: dict[str, int] = {}  # calls by sidecar that are open
         self.started: dict[str, float] = {}  # when each did, the last time
         self.held: set[str] = set()  # sidecars whose last call that ended by itself was answered
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -11,8 +11,8 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from wheatring.lab.book import End
-from wheatring.lab.outcome import ClassFigures, Outcome, Second
+from wheatring.lab.book import FirstTryEnd
+from wheatring.lab.outcome import ClassFigures, Outcome, SecondFigures
 from wheatring.lab.plan import Plan
 
 WINDOW_SECONDS = 10  # seconds in a row, of which the worst counts
@@ -35,7 +35,7 @@
     def __init__(self, plan: Plan, start: float) -> None:
         self.plan = plan
         self.start = start
-        self.seconds: list[Second] = [Second()]
+        self.seconds: list[SecondFigures] = [SecondFigures()]
         self.present = self.seconds[0]
         self.number = 0  # of the present second
         self.until = start + 1.0
@@ -50,12 +50,12 @@
 
     # While the day is played
 
-    def second(self, at: float) -> Second:
+    def second(self, at: float) -> SecondFigures:
         """Return the figures of the current second, which moves on with the instants."""
         if at >= self.until:
             number = self.number = max(self.number + 1, int(at - self.start))
             while len(self.seconds) <= number:
-                self.seconds.append(Second())
+                self.seconds.append(SecondFigures())
             self.present = self.seconds[number]
             self.until = self.start + number + 1
             for each in [each for each in self.times if each < number - self.horizon]:
@@ -71,7 +71,7 @@
         second.worth += self.plan.classes[index].worth
         figures.asked += 1
 
-    def settled(self, first: int, end: End, at: float) -> None:
+    def settled(self, first: int, end: FirstTryEnd, at: float) -> None:
         """Note the end of a first try."""
         index, since, number = self.open.pop(first)
         second, figures, plan = self.seconds[number], self.classes[index], self.plan.classes[index]
--- a/wheatring/lab/rules/ledger.py
+++ b/wheatring/lab/rules/ledger.py
@@ -28,7 +28,7 @@
 
 from collections.abc import Callable, Mapping
 
-from wheatring.lab.book import End, NodeState
+from wheatring.lab.book import FirstTryEnd, NodeState
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import bounds
@@ -98,7 +98,7 @@
         if self.trace is not None:
             self.trace.line(at, "", f"asked first={first} index={index}", first)
 
-    def settled(self, first: int, end: End, tries: int) -> None:
+    def settled(self, first: int, end: FirstTryEnd, tries: int) -> None:
         """Note the end of a first try, after a number of tries."""
         at = self.now()
         self.figures.settled(first, end, at)
--- a/wheatring/lab/rules/request_ledger.py
+++ b/wheatring/lab/rules/request_ledger.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from wheatring.lab.book import Kind
+from wheatring.lab.book import ResponseKind
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.answers import Answers
 from wheatring.lab.rules.breaches import Breaches, MisuseError
@@ -129,7 +129,7 @@
         self,
         sidecar: str,
         ident: str,
-        kind: Kind,
+        kind: ResponseKind,
         stamp: str,
         retry_after: float,
         written: float | None = None,
--- a/wheatring/lab/settings.py
+++ b/wheatring/lab/settings.py
@@ -1,4 +1,4 @@
-"""What a sidecar of a planned day is told: its `settings`, in the platform's form and units."""
+"""The `settings` that a sidecar of a planned day is configured with, in the platform's form and units."""
 
 from __future__ import annotations
 
@@ -9,44 +9,52 @@
 EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 
 
-def _us(seconds: float) -> int:
+def _microseconds(seconds: float) -> int:
     return round(seconds * 1e6)
 
 
-def _class(told: ClassPlan) -> dict[str, Any]:
+def _class(class_plan: ClassPlan) -> dict[str, Any]:
     return {
-        "name": told.name,
-        "slo": _us(told.aim),
-        "deadline": _us(told.deadline),
-        "effect": EFFECTS[told.effect],
+        "name": class_plan.name,
+        "slo": _microseconds(class_plan.aim),
+        "deadline": _microseconds(class_plan.deadline),
+        "effect": EFFECTS[class_plan.effect],
         "group": "all",
-        "memory_span": _us(told.window),
-        "value": told.worth,
-        "late_worth": told.late_worth,
+        "memory_span": _microseconds(class_plan.window),
+        "value": class_plan.worth,
+        "late_worth": class_plan.late_worth,
         "stream": False,
     }
 
 
-def settings(plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
-    """The settings of one sidecar as JSON values.
+def sidecar_settings(plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
+    """Return the settings of one sidecar as JSON values. Times are whole microseconds.
 
-    `tier` is the one that it sends to, `number` its own among the `copies` that send there. Times are whole
-    microseconds, as the platform states them.
+    Parameters
+    ----------
+    plan
+        The plan of the day.
+    tier
+        Index of the tier that the sidecar sends to.
+    number
+        Index of the sidecar among the replicas that send to that tier.
+    copies
+        Count of these replicas. The settings state the share of them that the plan lets a sidecar count.
     """
-    told = max(1, round(copies * plan.counted))
+    counted_replicas = max(1, round(copies * plan.counted))
     sends_to, rules, limits = plan.tiers[tier], plan.rules, plan.limits
     zones = sorted({node.zone for node in plan.nodes if node.tier == tier})
     return {
-        "classes": [_class(told) for told in plan.classes],
+        "classes": [_class(each) for each in plan.classes],
         "callers": {"marks_retry": plan.clients.marks_retry if tier == 0 else False},
         "contract": {
-            "cold": _us(rules.cold),
+            "cold": _microseconds(rules.cold),
             "cold_from": rules.cold_from,
             "fall_multiple": rules.fall_multiple,
-            "overload_for": _us(rules.fall_for),
-            "grace_to_answer": _us(rules.grace),
-            "must_ask_in": _us(rules.ask_within),
-            "stop_sending_within": _us(rules.drain_grace),
+            "overload_for": _microseconds(rules.fall_for),
+            "grace_to_answer": _microseconds(rules.grace),
+            "must_ask_in": _microseconds(rules.ask_within),
+            "stop_sending_within": _microseconds(rules.drain_grace),
         },
         "discovery": "on_request" if plan.discovery.must_ask else "pushed",
         "extra": {"passes_deadline": plan.passes_deadline},
@@ -56,10 +64,10 @@
             "worst_window": plan.goal.worst_window,
         },
         "limits": {
-            "dial_timeout": _us(sends_to.connect_timeout),
-            "keepalive": _us(sends_to.conn_idle),
+            "dial_timeout": _microseconds(sends_to.connect_timeout),
+            "keepalive": _microseconds(sends_to.conn_idle),
             "max_attempts": limits.max_attempts,
-            "max_retry_after": _us(limits.max_retry_after),
+            "max_retry_after": _microseconds(limits.max_retry_after),
             "retry_after": limits.retry_after,
             "may_cancel": limits.cancel,
             "may_probe": False,
@@ -69,11 +77,11 @@
             "streams_per_conn": 1,
         },
         "prices": {"waste": plan.goal.waste, "late_fail": plan.goal.late_fail},
-        "peers_total": told,
-        "slot_no": number % told,
+        "peers_total": counted_replicas,
+        "slot_no": number % counted_replicas,
         "step": 1000,
         "tier": tier,
-        "tiers": [told.name for told in plan.tiers],
+        "tiers": [each.name for each in plan.tiers],
         "worth_by": "request",
         "zone": zones[0] if len(zones) == 1 else "",
         "zones": zones,
--- a/wheatring/lab/study/report/day.py
+++ b/wheatring/lab/study/report/day.py
@@ -7,19 +7,19 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from wheatring.lab.outcome import Outcome, Second
+from wheatring.lab.outcome import Outcome, SecondFigures
 from wheatring.lab.study.report import page, plots
 from wheatring.lab.study.report.plots import AMBER, BLUE, GREY, RED, Marks
 
 POINTS = 300  # of a plot over time: longer days are drawn in steps of several seconds
 
-Count = Callable[[Second], float]
+Count = Callable[[SecondFigures], float]
 
 
 class _Steps:
     """The seconds of a day, so many together that a plot stays readable."""
 
-    def __init__(self, seconds: Sequence[Second]) -> None:
+    def __init__(self, seconds: Sequence[SecondFigures]) -> None:
         self.step = max(1, -(-len(seconds) // POINTS))
         self.parts = [seconds[begin : begin + self.step] for begin in range(0, len(seconds), self.step)]
 
--- a/wheatring/lab/timers.py
+++ b/wheatring/lab/timers.py
@@ -1,4 +1,4 @@
-"""Time as the models see it: an object that is handed in. Virtual time is one, `core.clock.Clock` another."""
+"""Interfaces of time for the models. Virtual time implements them, and so does `core.clock.Clock`."""
 
 from __future__ import annotations
 
@@ -7,26 +7,37 @@
 
 
 class Timer(Protocol):
+    """One scheduled call."""
+
     def cancel(self) -> None:
-        """Not to be called once it has come due."""
+        """Cancel the call. Not allowed once the call is due."""
 
-    def active(self) -> bool: ...
+    def active(self) -> bool:
+        """Return whether the call is still to come."""
+        ...
 
 
 class Timers(Protocol):
-    """Instants are seconds on one clock that only moves forward."""
+    """A clock and its scheduler. Instants are seconds on one clock that only moves forward."""
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """Return the present instant."""
+        ...
 
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Timer:
-        """Call at an instant, at once where that has passed, but never from within this call."""
+        """Schedule a call for an instant.
+
+        If the instant has passed, the call is made at once, but never from within this method.
+        """
 
 
 class PlayedTime(Timers, Protocol):
-    """Virtual time: the present instant stands there to be read."""
+    """Virtual time, with the present instant as a plain attribute."""
 
     @property
-    def instant(self) -> float: ...
+    def instant(self) -> float:
+        """The present instant."""
+        ...
 
     def post(self, instant: float, call: Callable[[], object]) -> None:
-        """As `at`, for what has no arguments and is never cancelled."""
+        """Schedule a call without arguments that is never cancelled."""
--- a/wheatring/lab/wire/node_server.py
+++ b/wheatring/lab/wire/node_server.py
@@ -136,7 +136,7 @@
             self._write(NOT_FOUND)
             return
         ident = name.decode("latin-1")
-        origin = server.origins.of.get(ident)
+        origin = server.origins.by_id.get(ident)
         if origin is None:
             self._reject("unknown id", ident)
             return
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from wheatring.lab.book import Book, Kind
+from wheatring.lab.book import Book, ResponseKind
 from wheatring.lab.models.way import Asked, Done
 from wheatring.lab.timers import Timers
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
@@ -126,7 +126,7 @@
         request, pool = self.request, self.pool
         assert request is not None
         book = pool.client.book
-        kind: Kind = "failed"
+        kind: ResponseKind = "failed"
         wait, stamp = 0.0, ""
         if message.status == 200:
             kind = "served"
--- a/wheatring/lab/world/sidecar_slots.py
+++ b/wheatring/lab/world/sidecar_slots.py
@@ -8,7 +8,7 @@
 
 from wheatring.config.platform_file import PlatformConfig, read_settings
 from wheatring.lab.plan import Plan
-from wheatring.lab.settings import settings
+from wheatring.lab.settings import sidecar_settings
 from wheatring.lab.timers import Timer, Timers
 from wheatring.lab.world.ground import DISCOVERY, PORT, Ground
 
@@ -34,7 +34,7 @@
         self.tier = tier
         self.known = known
         self.limits = plan.limits
-        self.told = settings(plan, tier, number, copies)
+        self.told = sidecar_settings(plan, tier, number, copies)
         self.read = read_settings(self.told)
         self.random = Random(f"{plan.seed}:sidecar:{name}")
         self.start_time = plan.sidecar_start
