--- a/wheatring/lab/faults.py
+++ b/wheatring/lab/faults.py
@@ -1,7 +1,7 @@
-"""Faults to plant in the sidecar's own code, one at a time, to see that the lab finds them.
+"""Faults planted in the sidecar's own code, one at a time, to test that the lab detects them.
 
-Each replaces one piece of one function's text. Where the text no longer holds that piece exactly once,
-planting fails and says so: a fault that is not there proves nothing.
+Each replaces one piece of the source of one function. If the source no longer contains that piece exactly
+once, planting raises `FaultMismatchError`: a fault that is not there proves nothing.
 """
 
 from __future__ import annotations
@@ -16,7 +16,23 @@
 
 
 class Fault(NamedTuple):
-    """`where` is MODULE:CLASS.FUNCTION, or MODULE:FUNCTION; `scenario` one that can show it, at `grains`."""
+    """One replacement in the source of one function.
+
+    Attributes
+    ----------
+    name
+        Name of the fault in commands and reports.
+    what
+        The faulty behaviour, in one clause.
+    where
+        The function, as MODULE:CLASS.FUNCTION or MODULE:FUNCTION.
+    old, new
+        The piece of source that is replaced, and its replacement.
+    scenario
+        A scenario that can show the fault.
+    grains
+        The grains at which it can show.
+    """
 
     name: str
     what: str
@@ -27,7 +43,7 @@
     grains: tuple[str, ...] = ("wire", "exchange")
 
 
-ON_SOCKETS = ("wire",)  # of code that the other grain does without
+ON_SOCKETS = ("wire",)  # for code that only the wire grain runs
 
 FAULTS = (
     Fault(
@@ -135,12 +151,18 @@
 
 
 class FaultMismatchError(ValueError):
-    """The code has changed: the fault can't be planted as it stands."""
+    """The source of the function has changed, so the fault can't be planted."""
 
 
 @contextmanager
 def planted(fault: Fault) -> Iterator[None]:
-    """The sidecar's code with this fault in it, in this process, until the end of the block."""
+    """Plant a fault in the sidecar's code, in this process, until the end of the block.
+
+    Raises
+    ------
+    FaultMismatchError
+        If the function's source doesn't contain the piece to replace exactly once.
+    """
     module_name, _, path = fault.where.partition(":")
     owner: Any = importlib.import_module(module_name)
     scope = vars(owner)
@@ -161,10 +183,10 @@
         raise FaultMismatchError(f"{fault.name}: {fault.where} no longer holds {fault.old!r} once")
     changed = text.replace(fault.old, fault.new)
     ast.parse(changed)
-    made: dict[str, Any] = {}
-    exec(compile(changed, f"<fault {fault.name}>", "exec"), scope, made)
-    (result,) = made.values()
-    if function.__closure__ is not None:  # it says super(): give it the class that it knew
+    namespace: dict[str, Any] = {}
+    exec(compile(changed, f"<fault {fault.name}>", "exec"), scope, namespace)
+    (result,) = namespace.values()
+    if function.__closure__ is not None:  # it calls super(): keep the cell with its class
         result = type(result)(
             _with_class(changed, fault), scope, result.__name__, result.__defaults__, function.__closure__
         )
@@ -172,7 +194,7 @@
 
 
 def _with_class(text: str, fault: Fault) -> Any:
-    """The code of the function as compiled inside a class, with the cell that `super()` needs."""
+    """Return the function's code object compiled inside a class, with the cell that `super()` needs."""
     body = "class _C:\n" + textwrap.indent(text, "    ")
     module = compile(body, f"<fault {fault.name}>", "exec")
     inner = next(c for c in module.co_consts if inspect.iscode(c))
--- a/wheatring/lab/hunt.py
+++ b/wheatring/lab/hunt.py
@@ -1,4 +1,4 @@
-"""Looks for the planted faults: each is played seed by seed until a rule is found broken."""
+"""Search for the planted faults: each is run seed by seed until a rule is breached."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FaultRun(NamedTuple):
-    """One run with a fault in it, or none: what the first breach was, "" where there was none."""
+    """Result of one run with a planted fault, or with none: its first breach, "" where there was none."""
 
     name: str
     seed: int
@@ -25,7 +25,7 @@
 
 
 def run_with_fault(fault: Fault | None, scenario: str, seed: int, grain: str) -> FaultRun:
-    """Play one day. A world that breaks off has found the fault as well."""
+    """Play one day with a fault planted. A world that raises has detected the fault as well."""
     from wheatring.lab.play import play
     from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import load
@@ -34,10 +34,10 @@
     with nullcontext() if fault is None else planted(fault):
         try:
             outcome = play(draw(load(scenario), seed), grain)
-        except Exception as broken:
+        except Exception as error:
             if fault is None:
                 raise
-            return FaultRun(name, seed, "raised", f"{type(broken).__name__}: {broken}")
+            return FaultRun(name, seed, "raised", f"{type(error).__name__}: {error}")
     first = outcome.breaches[0] if outcome.breaches else None
     return FaultRun(name, seed, first.rule, first.what) if first is not None else FaultRun(name, seed, "", "")
 
@@ -45,51 +45,93 @@
 def hunt(
     names: Sequence[str], seeds: Sequence[int], grain: str, workers: int, say: Callable[[str], object]
 ) -> int:
-    """Say of each fault whether and how it is found. The exit status: 0 if at most one in ten is missed and
-    the code without a fault shows no breach on the seeds that were needed.
+    """Search for faults in parallel and report each result by `say`.
+
+    Parameters
+    ----------
+    names
+        Names of the faults; all faults of the grain if empty.
+    seeds
+        Seeds to try for each fault, in this order.
+    grain
+        The grain of the runs, `wire` or `exchange`.
+    workers
+        Count of worker processes.
+    say
+        Prints one line.
+
+    Returns
+    -------
+    int
+        The exit status: 0 if at most one fault in ten is missed, and the code without a fault shows no breach
+        on the seeds that detected one.
+
+    Raises
+    ------
+    StudyError
+        If a name is not that of a fault at this grain.
     """
     known = {fault.name: fault for fault in FAULTS if grain in fault.grains}
     for name in names:
         if name not in known:
             raise StudyError(f"{name}: no such fault at {grain}; there are {', '.join(known)}")
     wanted = [known[name] for name in dict.fromkeys(names)] or list(known.values())
-    began = time.perf_counter()
-    found: dict[str, FaultRun] = {}
+    started_at = time.perf_counter()
     with ProcessPoolExecutor(workers, mp_context=multiprocessing.get_context("spawn")) as pool:
-        out: dict[Future[FaultRun], int] = {}
-        for fault in wanted:
-            out[pool.submit(run_with_fault, fault, fault.scenario, seeds[0], grain)] = 0
-        while out:
-            done, _ = wait(out, return_when=FIRST_COMPLETED)
-            for future in done:
-                tried, seen = out.pop(future) + 1, future.result()
-                if seen.rule:
-                    found[seen.name] = seen
-                    say(f"{seen.name}: found by seed {seen.seed}, {seen.rule}: {seen.what}")
-                elif tried < len(seeds):
-                    fault = known[seen.name]
-                    out[pool.submit(run_with_fault, fault, fault.scenario, seeds[tried], grain)] = tried
-        # A breach that is there without the fault as well has found nothing.
-        needed = sorted({(known[name].scenario, seen.seed) for name, seen in found.items()})
-        days = zip(*needed, strict=True) if needed else ((), ())
-        clean = list(pool.map(run_with_fault, [None] * len(needed), *days, [grain] * len(needed)))
-    return _verdict(wanted, found, clean, time.perf_counter() - began, say)
+        found = _search(pool, wanted, seeds, grain, say)
+        clean = _run_clean(pool, known, found, grain)
+    return _verdict(wanted, found, clean, time.perf_counter() - started_at, say)
+
+
+def _search(
+    pool: ProcessPoolExecutor,
+    wanted: Sequence[Fault],
+    seeds: Sequence[int],
+    grain: str,
+    say: Callable[[str], object],
+) -> dict[str, FaultRun]:
+    """Run each fault with one seed after the other until detected; return the detecting runs by name."""
+    by_name = {fault.name: fault for fault in wanted}
+    found: dict[str, FaultRun] = {}
+    running: dict[Future[FaultRun], int] = {}  # to the count of earlier seeds
+    for fault in wanted:
+        running[pool.submit(run_with_fault, fault, fault.scenario, seeds[0], grain)] = 0
+    while running:
+        done, _ = wait(running, return_when=FIRST_COMPLETED)
+        for future in done:
+            tried, run = running.pop(future) + 1, future.result()
+            if run.rule:
+                found[run.name] = run
+                say(f"{run.name}: found by seed {run.seed}, {run.rule}: {run.what}")
+            elif tried < len(seeds):
+                fault = by_name[run.name]
+                running[pool.submit(run_with_fault, fault, fault.scenario, seeds[tried], grain)] = tried
+    return found
+
+
+def _run_clean(
+    pool: ProcessPoolExecutor, known: dict[str, Fault], found: dict[str, FaultRun], grain: str
+) -> list[FaultRun]:
+    """Run the detecting days without a fault: a breach that shows there too has detected nothing."""
+    needed = sorted({(known[name].scenario, run.seed) for name, run in found.items()})
+    days = zip(*needed, strict=True) if needed else ((), ())
+    return list(pool.map(run_with_fault, [None] * len(needed), *days, [grain] * len(needed)))
 
 
 def _verdict(
     wanted: Sequence[Fault],
     found: dict[str, FaultRun],
     clean: list[FaultRun],
-    wall: float,
+    wall_seconds: float,
     say: Callable[[str], object],
 ) -> int:
     for fault in wanted:
         if fault.name not in found:
             say(f"{fault.name}: NOT found: {fault.what}")
-    blamed = [seen for seen in clean if seen.rule]
-    for seen in blamed:
-        say(f"{CLEAN}: seed {seen.seed}, {seen.rule}: {seen.what}")
-    say(f"{wall:.0f} s; the code as it stands broke a rule on {len(blamed)} of {len(clean)} seeds")
+    breached = [run for run in clean if run.rule]
+    for run in breached:
+        say(f"{CLEAN}: seed {run.seed}, {run.rule}: {run.what}")
+    say(f"{wall_seconds:.0f} s; the code as it stands broke a rule on {len(breached)} of {len(clean)} seeds")
     say(f"found {len(found)} of {len(wanted)}")
-    enough = len(found) * 10 >= len(wanted) * 9
-    return 0 if enough and not blamed else 1
+    is_enough = len(found) * 10 >= len(wanted) * 9
+    return 0 if is_enough and not breached else 1
