--- a/tests/lab/test_live_bench.py
+++ b/tests/lab/test_live_bench.py
@@ -41,7 +41,7 @@
 def test_one_that_has_ended_is_left_out_and_goes_on_in_its_row_when_started_anew() -> None:
     watch = Watch(0.0)
     for at in (1.0, 3.0):
-        with Process("upstream", module(f"{run.HERE}.upstream", run.HOST, "1")) as process:
+        with Process("upstream", module(f"{run.BENCH_PACKAGE}.upstream", run.HOST, "1")) as process:
             process.wait_for_line("listening ", time.monotonic() + FAR)
             watch.add("upstream", process.pid, at - 1.0)
             watch.sample(at)
--- a/wheatring/lab/live/bench/relay.py
+++ b/wheatring/lab/live/bench/relay.py
@@ -1,8 +1,8 @@
-"""The floor of this runtime: a relay on the same reactor that passes bytes on and reads none of them.
+"""The lower bound of this runtime: a relay on the same reactor that forwards bytes without parsing them.
 
     python -m wheatring.lab.live.bench.relay HOST UPSTREAM_HOST UPSTREAM_PORT
 
-prints `listening port=PORT`. Each connection that comes gets one of its own to the upstream.
+prints `listening port=PORT`. Each accepted connection gets a connection of its own to the upstream.
 """
 
 from __future__ import annotations
@@ -19,57 +19,75 @@
 reactor: Any = installed
 
 
-class End(Protocol):
-    """One of two connections that belong together."""
+class RelayConnection(Protocol):
+    """One connection of a relayed pair; keeps what arrives before the other is up."""
 
     transport: Transport  # type: ignore[assignment]
 
-    def __init__(self, other: End | None = None) -> None:
+    def __init__(self, other: RelayConnection | None = None) -> None:
         self.other = other
-        self.early: list[bytes] = []
+        self.pending: list[bytes] = []
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Send small writes at once."""
         self.transport.setTcpNoDelay(True)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Forward bytes, or keep them until the other connection is up."""
         if self.other is None:
-            self.early.append(data)
+            self.pending.append(data)
         else:
             self.other.transport.write(data)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's signature
+        """Close the other connection too."""
         if self.other is not None:
             self.other.transport.loseConnection()
 
 
-class ClientSide(End):
-    def connectionMade(self) -> None:
+class ClientSide(RelayConnection):
+    """The connection from the client."""
+
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Connect to the upstream."""
         super().connectionMade()
-        reactor.connectTCP(sys.argv[2], int(sys.argv[3]), Dial(self))
+        reactor.connectTCP(sys.argv[2], int(sys.argv[3]), UpstreamFactory(self))
+
 
+class UpstreamSide(RelayConnection):
+    """The connection to the upstream."""
 
-class UpstreamSide(End):
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Join the pair, and forward what the client has sent so far."""
         super().connectionMade()
         assert self.other is not None
         self.other.other = self
-        self.transport.write(b"".join(self.other.early))
+        self.transport.write(b"".join(self.other.pending))
+
 
+class UpstreamFactory(ClientFactory):
+    """Makes the connection to the upstream for one client connection."""
 
-class Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, near: ClientSide) -> None:
-        self.near = near
+    def __init__(self, client_side: ClientSide) -> None:
+        self.client_side = client_side
 
-    def buildProtocol(self, addr: object) -> UpstreamSide:
-        return UpstreamSide(self.near)
+    def buildProtocol(self, addr: object) -> UpstreamSide:  # noqa: N802, ARG002 - Twisted's signature
+        """Return the connection to the upstream."""
+        return UpstreamSide(self.client_side)
 
-    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
-        self.near.transport.loseConnection()
+    def clientConnectionFailed(  # noqa: N802 - Twisted's name
+        self,
+        connector: object,  # noqa: ARG002 - Twisted's signature
+        reason: Failure,  # noqa: ARG002 - Twisted's signature
+    ) -> None:
+        """Close the client's connection if the upstream can't be reached."""
+        self.client_side.transport.loseConnection()
 
 
 def main() -> None:
+    """Run the relay until the process is ended."""
     port = reactor.listenTCP(0, ServerFactory.forProtocol(ClientSide), interface=sys.argv[1], backlog=511)
     print(f"listening port={port.getHost().port}", flush=True)
     reactor.run()
--- a/wheatring/lab/live/bench/run.py
+++ b/wheatring/lab/live/bench/run.py
@@ -1,4 +1,4 @@
-"""Starts what is measured, measures it by turns, and puts the figures beside one another."""
+"""Starts the targets, measures them in turn, and compares their figures."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 
 HOST = "127.0.0.1"
-START = 20.0
-HERE = "wheatring.lab.live.bench"
+START_TIMEOUT_SECONDS = 20.0
+BENCH_PACKAGE = "wheatring.lab.live.bench"
 CLASS = {"name": "menu-view", "slo": 2_500_000, "deadline": 6_000_000, "effect": "pure", "late_worth": 0.25}
 ASK = Ask(name="menu-view", path="/menu-view/soups")
 SUBJECT = "sidecar"
-# In the order of their turns, and what each is beside the other two.
+# In the order of measurement, with a description for the report.
 TARGETS = {
     "relay": "bare TCP relay: the floor of this runtime",
     "web": "reverse proxy on twisted.web: kept connections, no access log",
     "sidecar": "the sidecar",
 }
-MANY = 16
-FOREIGN = 0.05  # part of the measured core that others may take before it is told
+MANY = 16  # connections
+MAX_FOREIGN_SHARE = 0.05  # of the measured core that other programs may use before a figure is doubtful
 
 
 class Sizes(Struct, frozen=True, kw_only=True):
@@ -51,7 +51,10 @@
 
 
 class Measure(Struct):
-    """One target in one round. Latencies in ms; `one` is one connection, `open` half the sidecar's rate."""
+    """Figures of one target in one round.
+
+    Latencies are in ms; `one` is one connection, `open` an open loop at half the sidecar's rate.
+    """
 
     per_s: float  # at 16 connections
     cpu_us: float  # of the target's, for each request there
@@ -65,12 +68,16 @@
 
 
 class Figure(Struct):
+    """A figure over all rounds."""
+
     median: float
     low: float
     high: float
 
 
 class Report(Struct):
+    """The result of a benchmark, as it is written."""
+
     about: dict[str, str]
     sizes: Sizes
     cores: tuple[int, int, int]  # measured, load, upstream
@@ -94,55 +101,58 @@
         self.cores = cores
         self.sizes = sizes
 
-        def start(name: str, core: int, *words: str) -> Process:
-            return stack.enter_context(Process(name, module(*words), cpus=(core,)))
+        def start(name: str, core: int, *arguments: str) -> Process:
+            return stack.enter_context(Process(name, module(*arguments), cpus=(core,)))
 
         def port(line: str, name: str = "port") -> int:
             return int(dict(pair.split("=") for pair in line.split()[1:])[name])
 
-        def said(process: Process) -> str:
-            return process.wait_for_line("listening ", time.monotonic() + START)
+        def listening_line(process: Process) -> str:
+            return process.wait_for_line("listening ", time.monotonic() + START_TIMEOUT_SECONDS)
 
-        self.upstream = start("upstream", cores.upstream, f"{HERE}.upstream", HOST, str(sizes.body))
-        listening = said(self.upstream)
+        self.upstream = start("upstream", cores.upstream, f"{BENCH_PACKAGE}.upstream", HOST, str(sizes.body))
+        listening = listening_line(self.upstream)
         self.node, discovery = port(listening, "node"), port(listening, "discovery")
         self.targets: dict[str, Process] = {
-            name: start(name, cores.measured, f"{HERE}.{name}", HOST, HOST, str(self.node))
+            name: start(name, cores.measured, f"{BENCH_PACKAGE}.{name}", HOST, HOST, str(self.node))
             for name in TARGETS
             if name != SUBJECT
         }
         entry = {"instanceId": upstream.NODE, "hostPort": f"{HOST}:{self.node}", "lifecycle": "SERVING"}
-        told = configuration(
+        sidecar_configuration = configuration(
             SUBJECT, f"{HOST}:0", f"{HOST}:{discovery}", settings([CLASS]), 1,
             known={"generation": 0, "instances": [{**entry, "startedAtMs": 0}]},
         )  # fmt: skip
-        self.targets[SUBJECT] = stack.enter_context(Sidecar(folder, told, (cores.measured,)))
-        self.ports = {name: port(said(process)) for name, process in self.targets.items()}
+        self.targets[SUBJECT] = stack.enter_context(Sidecar(folder, sidecar_configuration, (cores.measured,)))
+        self.ports = {name: port(listening_line(process)) for name, process in self.targets.items()}
         self.generator = start("load", cores.load, "wheatring.lab.live.generator_process")
 
     def load(self, target: Process, port: int, length: float, **more: object) -> Result:
-        told = {
+        """Put load on a process for `length` seconds; `more` are further fields of `Load`."""
+        fields = {
             "host": HOST, "port": port, "length": length, "warm": self.sizes.warm, "asks": (ASK,),
             "late_ms": self.sizes.late_ms, "watch": {target.name: target.pid},
             "cores": (self.cores.measured,),
         }  # fmt: skip
-        return play(self.generator, msgspec.convert({**told, **more}, Load))
+        return play(self.generator, msgspec.convert({**fields, **more}, Load))
 
     def closed(self, name: str, connections: int, length: float) -> Result:
+        """Put a closed-loop load on a target for `length` seconds."""
         return self.load(self.targets[name], self.ports[name], length, mode="closed", connections=connections)
 
     def direct(self) -> Result:
-        """The upstream with nothing before it."""
+        """Measure the upstream without a target before it."""
         return self.load(self.upstream, self.node, self.sizes.one, mode="closed", connections=MANY)
 
     def measure(self, name: str, rate: float) -> Measure:
+        """Measure a target for one round, its open loop at `rate` requests a second."""
         sizes, target = self.sizes, self.targets[name]
         many = self.closed(name, MANY, sizes.many)
         one = self.closed(name, 1, sizes.one)
         opened = self.load(target, self.ports[name], sizes.open, mode="open", rate=rate)
         wrong = []
         for what, result in (("16 connections", many), ("1 connection", one), ("open", opened)):
-            wrong += [f"{name}, {what}: {said}" for said in self.faults(result, name)]
+            wrong += [f"{name}, {what}: {doubt}" for doubt in self.doubts(result)]
         (seen,) = many.watched
         done = many.per_s * sizes.many
         return Measure(
@@ -154,8 +164,8 @@
             wrong=wrong,
         )  # fmt: skip
 
-    def faults(self, result: Result, name: str) -> Iterator[str]:
-        """What makes the figures of one stretch doubtful."""
+    def doubts(self, result: Result) -> Iterator[str]:
+        """Yield the reasons why the figures of one load are doubtful."""
         if not result.valid:
             yield result.why
         counts = result.counts
@@ -167,19 +177,31 @@
         (seen,) = result.watched
         took = sum(result.cores_busy.values()) - seen.cpu_s
         span = seen.looks[-1].at if seen.looks else 0.0
-        if span and took > max(FOREIGN * span, 0.05):
+        if span and took > max(MAX_FOREIGN_SHARE * span, 0.05):
             yield f"other programs took {took / span:.2f} of the measured core"
 
 
 @contextmanager
 def started(cores: Cores, sizes: Sizes) -> Iterator[Bench]:
-    """The benchmark's processes; all have ended when the block is left. ProcessError if one fails."""
+    """Start the benchmark's processes; all have ended when the block is left.
+
+    Raises
+    ------
+    ProcessError
+        If a process fails.
+    """
     with TemporaryDirectory() as folder, ExitStack() as stack:
         yield Bench(stack, Path(folder), cores, sizes)
 
 
 def run(cores: Cores, sizes: Sizes, say: Callable[[str], None]) -> Report:
-    """The whole benchmark. ProcessError if a process fails."""
+    """Run the complete benchmark, and report each round by `say`.
+
+    Raises
+    ------
+    ProcessError
+        If a process fails.
+    """
     wrong = ["too few cores: the measured process shares its own"] if cores.shared else []
     with started(cores, sizes) as bench:
         direct = bench.direct()
@@ -227,9 +249,9 @@
 
 
 def about() -> dict[str, str]:
-    """What the figures depend on."""
+    """Return the versions and the machine that the figures depend on."""
     model = ""
-    with open("/proc/cpuinfo", encoding="utf-8", errors="replace") as file:
+    with Path("/proc/cpuinfo").open(encoding="utf-8", errors="replace") as file:
         for line in file:
             if line.startswith("model name"):
                 model = line.partition(":")[2].strip()
--- a/wheatring/lab/live/bench/table.py
+++ b/wheatring/lab/live/bench/table.py
@@ -16,11 +16,11 @@
     ("open_per_s", "served a second there", "{:,.0f}"),
     ("rss_mb", "memory MB", "{:.0f}"),
 )
-MOST_WRONG = 12
+MAX_DOUBTS_SHOWN = 12
 
 
 def shown(report: Report) -> Iterator[str]:
-    """Lines: medians over the rounds, and the sidecar's ratios to the others with their spread."""
+    """Yield the report's lines: medians over the rounds, and the sidecar's ratios with their spread."""
     about = report.about
     yield (
         f"wheatring {about['version']}, Python {about['python']}, Twisted {about['twisted']}, "
@@ -52,9 +52,9 @@
     if report.wrong:
         yield ""
         yield f"{len(report.wrong)} doubtful:"
-        yield from (f"  {text}" for text in report.wrong[:MOST_WRONG])
-        if len(report.wrong) > MOST_WRONG:
-            yield f"  and {len(report.wrong) - MOST_WRONG} more"
+        yield from (f"  {text}" for text in report.wrong[:MAX_DOUBTS_SHOWN])
+        if len(report.wrong) > MAX_DOUBTS_SHOWN:
+            yield f"  and {len(report.wrong) - MAX_DOUBTS_SHOWN} more"
 
 
 def _ratio(figure: Figure) -> str:
--- a/wheatring/lab/live/bench/web.py
+++ b/wheatring/lab/live/bench/web.py
@@ -1,4 +1,4 @@
-"""A reverse proxy as one would write it with `twisted.web`: a resource, an agent, kept connections.
+"""A reverse proxy as one would write it with `twisted.web`: a resource, an agent, persistent connections.
 
     python -m wheatring.lab.live.bench.web HOST UPSTREAM_HOST UPSTREAM_PORT
 
@@ -20,15 +20,28 @@
 from twisted.web.server import NOT_DONE_YET, Site
 
 reactor: Any = installed
-HOP = {b"connection", b"content-length", b"host", b"keep-alive", b"transfer-encoding", b"te", b"upgrade"}
+HOP_BY_HOP = {
+    b"connection",
+    b"content-length",
+    b"host",
+    b"keep-alive",
+    b"transfer-encoding",
+    b"te",
+    b"upgrade",
+}
 
 
-def passed_on(headers: Headers) -> Headers:
-    return Headers({name: values for name, values in headers.getAllRawHeaders() if name.lower() not in HOP})
+def forwarded_headers(headers: Headers) -> Headers:
+    """Return the headers without the hop-by-hop ones."""
+    return Headers(
+        {name: values for name, values in headers.getAllRawHeaders() if name.lower() not in HOP_BY_HOP}
+    )
 
 
 class Proxy(Resource):
-    isLeaf = True
+    """Forwards each request to the upstream through an agent."""
+
+    isLeaf = True  # noqa: N815 - Twisted's name
 
     def __init__(self, agent: Any, upstream: bytes) -> None:
         super().__init__()  # type: ignore[no-untyped-call]
@@ -36,36 +49,43 @@
         self.upstream = upstream
 
     def render(self, request: Any) -> int:
-        headers = passed_on(request.requestHeaders)
+        """Start to forward a request."""
+        headers = forwarded_headers(request.requestHeaders)
         self.agent.request(request.method, self.upstream + request.uri, headers).addCallback(
-            self.answered, request
-        ).addErrback(self.failed, request)
+            self.forward_response, request
+        ).addErrback(self.fail, request)
         return NOT_DONE_YET
 
-    def answered(self, response: Any, request: Any) -> Any:
+    def forward_response(self, response: Any, request: Any) -> Any:
+        """Copy the status and headers of the upstream's response, and read its body."""
         request.setResponseCode(response.code)
-        for name, values in passed_on(response.headers).getAllRawHeaders():
+        for name, values in forwarded_headers(response.headers).getAllRawHeaders():
             request.responseHeaders.setRawHeaders(name, values)
-        return readBody(response).addCallback(self.whole, request)
+        return readBody(response).addCallback(self.finish, request)
 
-    def whole(self, body: bytes, request: Any) -> None:
+    def finish(self, body: bytes, request: Any) -> None:
+        """Write the complete body to the client."""
         request.setHeader(b"content-length", b"%d" % len(body))
         request.write(body)
         request.finish()
 
-    def failed(self, failure: object, request: Any) -> None:
+    def fail(self, failure: object, request: Any) -> None:  # noqa: ARG002 - Twisted's signature
+        """Answer 502 if the upstream has failed."""
         request.setResponseCode(502)
         request.finish()
 
 
 class QuietSite(Site):
+    """A site without an access log."""
+
     noisy = False
 
     def log(self, request: object) -> None:
-        """Nothing is written, so nothing is made ready to be written."""
+        """Write nothing, so that no line is formatted either."""
 
 
 def main() -> None:
+    """Run the proxy until the process is ended."""
     warnings.simplefilter("ignore", DeprecationWarning)  # of the agent's about itself, at each answer
     pool = HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
     pool.maxPersistentPerHost = 64
