--- a/wheatring/lab/rules/discovery_calls.py
+++ b/wheatring/lab/rules/discovery_calls.py
@@ -17,7 +17,7 @@
         self.started: dict[str, float] = {}  # when each did, the last time
         self.held: set[str] = set()  # sidecars whose last call that ended by itself was answered
 
-    def asking(self, sidecar: str, at: float) -> None:
+    def record_call(self, sidecar: str, at: float) -> None:
         """Note a call of a sidecar to discovery."""
         self.found.calls += 1
         self.out[sidecar] = self.out.get(sidecar, 0) + 1
@@ -25,7 +25,7 @@
             self.found.asks += 1
             self._count(self.found.asked, at)
 
-    def brought(self, sidecar: str, at: float) -> None:
+    def record_answer(self, sidecar: str, at: float) -> None:
         """Note that discovery has answered a call of a sidecar."""
         self.found.brought += 1
         self.found.first.setdefault(sidecar, round(at - self.started.get(sidecar, at), 3))
@@ -40,7 +40,7 @@
         self.out.pop(sidecar, None)
         self.held.discard(sidecar)
 
-    def ended(self, sidecar: str, failed: bool, at: float) -> None:
+    def record_end(self, sidecar: str, failed: bool, at: float) -> None:
         """Note that a call has ended, perhaps by a failure."""
         if failed:
             self.found.failed += 1
--- a/wheatring/lab/rules/drains.py
+++ b/wheatring/lab/rules/drains.py
@@ -77,13 +77,13 @@
         """Note that a sidecar has ended."""
         self.knowledge_by_sidecar.pop(sidecar, None)
 
-    def asking(self, sidecar: str, wait: float, at: float) -> None:
+    def record_call(self, sidecar: str, wait: float, at: float) -> None:
         """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
         knowledge = self.knowledge_of(sidecar, at)
         self._settle(knowledge, at)
         knowledge.calls.append((at, wait))
 
-    def unheard(self, sidecar: str, failed: bool, at: float) -> None:
+    def record_call_end(self, sidecar: str, failed: bool, at: float) -> None:
         """Note that a call ended without a change, perhaps by a failure."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None or not knowledge.calls:
@@ -104,7 +104,7 @@
 
     # News
 
-    def known(self, node: str, state: NodeState, started: float, at: float) -> None:
+    def record_state(self, node: str, state: NodeState, started: float, at: float) -> None:
         """Note that discovery knows a new state of a node."""
         self.orders += 1
         change = Change(self.orders, at, state, started)
@@ -120,7 +120,9 @@
                 pending.append(change)
                 del pending[:-MAX_KEPT_CHANGES]
 
-    def told(self, sidecar: str, node: str, state: NodeState, started: float, at: float) -> None:
+    def record_notification(
+        self, sidecar: str, node: str, state: NodeState, started: float, at: float
+    ) -> None:
         """Note that discovery has sent a state of a node to a sidecar."""
         knowledge = self.knowledge_of(sidecar, at)
         self._settle_node(knowledge, node, at)
@@ -201,7 +203,7 @@
             self._settle_node(knowledge, node, at)
         return knowledge.off.get(node)
 
-    def told_of(self, sidecar: str, node: str, since: float, at: float) -> bool:
+    def is_notified(self, sidecar: str, node: str, since: float, at: float) -> bool:
         """Whether the sidecar knows, at an instant, that the node runs by a change known after `since`."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None:
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -16,7 +16,7 @@
 from wheatring.lab.plan import Plan
 
 WINDOW_SECONDS = 10  # seconds in a row, of which the worst counts
-LONGEST_MS = 60_000
+MAX_LATENCY_MS = 60_000
 
 
 def percentile(times: list[float], share: float) -> float:
@@ -26,7 +26,7 @@
 
 def histogram() -> Any:  # the library has no types
     """Return an empty histogram of times in ms."""
-    return HdrHistogram(1, LONGEST_MS, 3)
+    return HdrHistogram(1, MAX_LATENCY_MS, 3)
 
 
 class Figures:
@@ -106,7 +106,7 @@
             self.unserved_late += plan.worth
 
     def _close(self, number: int) -> None:
-        """No more answers come for this second."""
+        """Compute the latencies of a second for which no more answers can come."""
         times = sorted(self.times.pop(number))
         second = self.seconds[number]
         second.p50_ms = round(percentile(times, 0.5), 3)
@@ -115,7 +115,7 @@
     # At its end
 
     def finish(self, at: float) -> None:
-        """First tries that are still open have failed."""
+        """End the day: first tries that are still open count as timed out."""
         self.second(at)
         for first in list(self.open):
             self.settled(first, "timeout", at)
@@ -135,7 +135,7 @@
         return worst
 
     def asked_work(self) -> float:
-        """Work that was asked for, by the classes' means and the tiers' shares."""
+        """Return the work that was asked for, by the classes' means and the tiers' shares."""
         share = calls = 0.0
         for number, tier in enumerate(self.plan.tiers):
             calls = calls * tier.calls if number else 1.0
@@ -157,7 +157,7 @@
         for index, figures in enumerate(self.classes):
             times = histogram()
             for ms, count in self.counts[index].items():
-                times.record_value(min(LONGEST_MS, max(1, ms)), count)
+                times.record_value(min(MAX_LATENCY_MS, max(1, ms)), count)
             every.add(times)
             figures.p50_ms = float(times.get_value_at_percentile(50))
             figures.p99_ms = float(times.get_value_at_percentile(99))
--- a/wheatring/lab/rules/ledger.py
+++ b/wheatring/lab/rules/ledger.py
@@ -33,13 +33,13 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import bounds
 from wheatring.lab.rules.answers import ARRIVAL_AFTER_STOP_SECONDS
-from wheatring.lab.rules.cold import ColdStarts
 from wheatring.lab.rules.discovery_calls import DiscoveryCalls
 from wheatring.lab.rules.drains import Drains
 from wheatring.lab.rules.duplicates import SOCKET_TOLERANCE_SECONDS
 from wheatring.lab.rules.front_outage import FrontOutage
 from wheatring.lab.rules.request_ledger import RequestLedger
 from wheatring.lab.rules.trace import Family, Trace, text
+from wheatring.lab.rules.warm_up import WarmUps
 
 UNSENT_PENALTY_SHARE = 0.3  # of its worth, for a try answered late or never without an attempt
 
@@ -65,14 +65,14 @@
         self.drains = Drains(plan, self.links)
         self.kinds = {each.name: plan.tiers[each.tier].kinds[each.kind] for each in plan.nodes}
         self.stopping: dict[str, float] = {}  # sidecars, since SIGTERM
-        self.cold = ColdStarts(plan.rules, self.drains, self.breaches)
+        self.warm_ups = WarmUps(plan.rules, self.drains, self.breaches)
         self.choked_nodes: dict[str, None] = {}
         self.sends = self.checked = self.forgiven = self.list_calls = 0
         self.notes: dict[str, float] = {}
         self.happened: list[tuple[float, str]] = []
         self.fell = ""  # the node that has just been pushed over
         self.front_outage = FrontOutage(self.front, start)
-        self.lists = DiscoveryCalls(self.since)
+        self.discovery_calls = DiscoveryCalls(self.since)
 
     def begin(self, at: float) -> None:
         """Start the day only now, for a world whose start takes an unknown time.
@@ -111,7 +111,7 @@
         """Note that a sidecar has started."""
         at = self.now()
         self.down.discard(sidecar)
-        self.lists.up(sidecar, at)
+        self.discovery_calls.up(sidecar, at)
         if sidecar in self.front:
             self.front_outage.up(sidecar, at)
         self.stopping.pop(sidecar, None)
@@ -185,17 +185,17 @@
     def node_up(self, node: str, capacity: Callable[[], float]) -> None:
         """Note that a node has started, with the capacity that `capacity` gives."""
         at = self.now()
-        self.cold.watched.pop(node, None)
+        self.warm_ups.watched.pop(node, None)
         if at > self.start:
             self.happens(f"node {node} starts")
-            self.cold.up(node, self.kinds[node], capacity, at)
+            self.warm_ups.up(node, self.kinds[node], capacity, at)
         if self.trace is not None:
             self.trace.line(at, "", f"node_up node={node}")
 
     def node_down(self, node: str) -> None:
         """Note that a node has ended."""
         at = self.now()
-        self.cold.watched.pop(node, None)
+        self.warm_ups.watched.pop(node, None)
         self.work.node_down(node)
         if node != self.fell:
             self.happens(f"node {node} ends")
@@ -205,8 +205,8 @@
 
     def offered(self, node: str, sidecar: str, work: float) -> None:
         """Note work (seconds on a standard core) that a sidecar sent to a node."""
-        if node in self.cold.watched:
-            self.cold.offered(node, sidecar, work, self.now())
+        if node in self.warm_ups.watched:
+            self.warm_ups.offered(node, sidecar, work, self.now())
         if self.trace is not None:
             self.trace.line(self.now(), "", f"offered node={node} sidecar={sidecar} work={work!r}")
 
@@ -220,14 +220,14 @@
     def known(self, node: str, state: NodeState, started: float) -> None:
         """Note that discovery knows a new state of a node."""
         at = self.now()
-        self.drains.known(node, state, started, at)
+        self.drains.record_state(node, state, started, at)
         if self.trace is not None:
             self.trace.line(at, "", f"known node={node} state={state} started={started!r}")
 
     def told(self, sidecar: str, node: str, state: NodeState, started: float) -> None:
         """Note that discovery has sent a state of a node to a sidecar."""
         at = self.now()
-        self.drains.told(sidecar, node, state, started, at)
+        self.drains.record_notification(sidecar, node, state, started, at)
         if self.trace is not None:
             line = f"told sidecar={sidecar} node={node} state={state} started={started!r}"
             self.trace.line(at, "", line)
@@ -236,20 +236,20 @@
         """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
         at = self.now()
         self.list_calls += 1
-        self.lists.asking(sidecar, at)
-        self.drains.asking(sidecar, wait, at)
+        self.discovery_calls.record_call(sidecar, at)
+        self.drains.record_call(sidecar, wait, at)
         if self.trace is not None:
             self.trace.line(at, "", f"asking sidecar={sidecar} wait={wait!r}")
 
     def brought(self, sidecar: str) -> None:
         """Note that discovery has answered a call of a sidecar."""
-        self.lists.brought(sidecar, self.now())
+        self.discovery_calls.record_answer(sidecar, self.now())
 
     def unheard(self, sidecar: str, failed: bool = False) -> None:
         """Note that a call ended without a change, perhaps by a failure."""
         at = self.now()
-        self.lists.ended(sidecar, failed, at)
-        self.drains.unheard(sidecar, failed, at)
+        self.discovery_calls.record_end(sidecar, failed, at)
+        self.drains.record_call_end(sidecar, failed, at)
         if self.trace is not None:
             self.trace.line(at, "", f"unheard sidecar={sidecar} failed={failed}")
 
@@ -302,7 +302,7 @@
         outcome.attempts_each = self.by_tier[0] / self.tries if self.by_tier and self.tries else 0.0
         outcome.node_work = self.work.by_node
         outcome.happened = self.happened
-        outcome.lists = self.lists.found
+        outcome.lists = self.discovery_calls.found
         outcome.counts = self._counts(asked_work)
         outcome.trace_hash = self.trace.hash if self.trace is not None else ""
         return outcome
@@ -340,8 +340,8 @@
             "front_gap": round(self.front_outage.gap, 6),
             "list_calls": self.list_calls,
             "told_late": self.drains.late,
-            "cold_starts": self.cold.count,
-            "cold_over": self.cold.over,
+            "cold_starts": self.warm_ups.count,
+            "cold_over": self.warm_ups.over,
             "worth_asked": worth,
             "worth_in_time": earned - figures.earned_late,
             "worth_late": figures.earned_late,
--- a/wheatring/lab/rules/request_ledger.py
+++ b/wheatring/lab/rules/request_ledger.py
@@ -144,7 +144,7 @@
         if kind == "served":
             attempt = self.answers.served(request, stamp)
             if attempt is not None:
-                self.work.used(request, attempt)
+                self.work.record_answer(request, attempt)
         else:
             if request.attempts:
                 if kind == "refused" and request.ran():
@@ -217,7 +217,7 @@
         self.by_tier[self.tier_of[node]] += 1
         work = self.work
         if node in work.visits:
-            work.begins(ident, attempt)
+            work.begin_attempt(ident, attempt)
         if self.trace is not None:
             line = f"arrived sidecar={sidecar} node={node} ident={ident}"
             self.trace.line(at, ident, f"{line} sent={self.since(attempt.sent)!r}")
--- a/wheatring/lab/rules/cold.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -1,8 +1,8 @@
-"""The fourth rule: what a cold node is sent.
+"""The fourth rule: the work sent to a node that is warming up.
 
-Machines fall by `Pressure`, and the rule judges by it. More than it allows is a breach where two thirds of
-the work came from sidecars that had been told of the start. Each start is watched until the node is warm or
-has been pushed over.
+Nodes are overloaded by `Pressure`, and the rule judges by it. More than it allows is a breach if two thirds
+of the work came from sidecars that had been notified of the start. Each start is watched until the node
+is warm or has been overloaded.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from wheatring.lab.rules.breaches import Breaches
 from wheatring.lab.rules.drains import Drains
 
-SHARE = 2 / 3
+NOTIFIED_SHARE = 2 / 3
 
 
-class ColdStart:
-    """A start that is watched.
+class WarmUp:
+    """One node that is warming up.
 
     `offers` are those of the window: when, how much work (seconds on a standard core), and whether from a
     sidecar that knew of the start.
@@ -34,20 +34,20 @@
         self.since = since
         self.until = until
 
-    def blamed(self) -> bool:
-        """Whether two thirds of the work in the window came from sidecars that knew of the start."""
+    def is_caused_by_notified(self) -> bool:
+        """Return whether two thirds of the work in the window came from notified sidecars."""
         work = sum([work for _, work, _ in self.offers])
-        return sum([work for _, work, told in self.offers if told]) >= SHARE * work - 1e-9
+        return sum([work for _, work, notified in self.offers if notified]) >= NOTIFIED_SHARE * work - 1e-9
 
 
-class ColdStarts:
-    """Watches the starts of cold nodes."""
+class WarmUps:
+    """Judges the load of all nodes that are warming up."""
 
     def __init__(self, rules: RulesPlan, drains: Drains, breaches: Breaches) -> None:
         self.rules = rules
         self.drains = drains
         self.breaches = breaches
-        self.watched: dict[str, ColdStart] = {}  # by node
+        self.watched: dict[str, WarmUp] = {}  # by node
         self.count = 0
         self.over = 0  # that were pushed over, by whomever
 
@@ -55,7 +55,7 @@
         """Note that a node has started at an instant, with the capacity that `capacity` gives."""
         if kind.cold > 0 and kind.cold_from < 1:
             self.count += 1
-            self.watched[node] = ColdStart(self.rules, capacity, at, at + kind.cold)
+            self.watched[node] = WarmUp(self.rules, capacity, at, at + kind.cold)
 
     def offered(self, node: str, sidecar: str, work: float, at: float) -> None:
         """Note work (seconds on a standard core) for a node that is watched."""
@@ -63,14 +63,16 @@
         if at >= start.until:
             del self.watched[node]
             return
-        able, offers = start.capacity(), start.offers
-        offers.append((at, work, self.drains.told_of(sidecar, node, start.since, at)))
+        capacity, offers = start.capacity(), start.offers
+        offers.append((at, work, self.drains.is_notified(sidecar, node, start.since, at)))
         while offers[0][0] <= at - window:
             offers.popleft()
-        if start.pressure.offer(at, work, able):
+        if start.pressure.offer(at, work, capacity):
             del self.watched[node]
             self.over += 1
-            if start.blamed():
+            if start.is_caused_by_notified():
                 what = f"{node} was sent {start.pressure.total:.3f} s of work within {window} s,"
-                what += f" {at - start.since:.1f} s after its start, when it could do {able:.3f} s a second."
+                what += (
+                    f" {at - start.since:.1f} s after its start, when it could do {capacity:.3f} s a second."
+                )
                 self.breaches.add("cold", what, sidecar=sidecar, node=node)
--- a/wheatring/lab/rules/work.py
+++ b/wheatring/lab/rules/work.py
@@ -29,13 +29,13 @@
         self.useful = 0.0
         self.by_node = {each.name: 0.0 for each in plan.nodes}
 
-    def begins(self, ident: str, attempt: Attempt) -> None:
+    def begin_attempt(self, ident: str, attempt: Attempt) -> None:
         """Note that an attempt that may call the next tier has arrived."""
         first = self.family(ident) if self.family is not None else None
         if first is not None:
             self.visits[attempt.node][first] = attempt
 
-    def used(self, request: Request, attempt: Attempt) -> None:
+    def record_answer(self, request: Request, attempt: Attempt) -> None:
         """Note that an attempt made the answer that the request's caller has."""
         above: Attempt | None = ROOT
         if request.sidecar not in self.front and self.family is not None:
@@ -46,7 +46,7 @@
             self.credit(above, attempt.work)
 
     def credit(self, attempt: Attempt, work: float) -> None:
-        """Work may be told after the answers that it served."""
+        """Credit work to an attempt and those above it; work may be reported after the answers it served."""
         while attempt is not ROOT:
             attempt.work += work
             if attempt.into is None:
--- a/wheatring/lab/world/sidecar_slots.py
+++ b/wheatring/lab/world/sidecar_slots.py
@@ -16,7 +16,7 @@
 class SidecarSlot:
     """The slot of one sidecar: its settings at each start, and its starts and ends.
 
-    `known` gives the newest machine list of its tier, in discovery's form.
+    `known` gives the newest endpoint list of its tier, in discovery's form.
     """
 
     def __init__(
@@ -34,14 +34,14 @@
         self.tier = tier
         self.known = known
         self.limits = plan.limits
-        self.told = sidecar_settings(plan, tier, number, copies)
-        self.read = read_settings(self.told)
+        self.given_settings = sidecar_settings(plan, tier, number, copies)
+        self.settings = read_settings(self.given_settings)
         self.random = Random(f"{plan.seed}:sidecar:{name}")
         self.start_time = plan.sidecar_start
         self.running = False
         self.stopping = False
         self.down = 0.0  # seconds from its end to its next start; 0: it has none
-        self.timer: Timer | None = None  # the next thing that is to become of it
+        self.timer: Timer | None = None  # for its next scheduled start, kill or end
 
     def config(self) -> PlatformConfig:
         """Return the configuration of its next start, with a seed of its own."""
@@ -52,14 +52,14 @@
             seed=self.random.getrandbits(64),
             sockets=self.limits.sockets,
             known=self.known(self.tier),
-            settings=self.read,
-            given=self.told,
+            settings=self.settings,
+            given=self.given_settings,
         )
 
     def wait(self) -> float:
         """Draw the seconds from the start of its process until it listens."""
-        least, most = self.start_time
-        return least + (most - least) * self.random.random()
+        min_seconds, max_seconds = self.start_time
+        return min_seconds + (max_seconds - min_seconds) * self.random.random()
 
 
 class SidecarSlots:
@@ -69,13 +69,13 @@
         self,
         timers: Timers,
         ground: Ground,
-        came: Callable[[SidecarSlot], None],
-        stops: Callable[[SidecarSlot], None],
-        went: Callable[[SidecarSlot], None],
+        on_up: Callable[[SidecarSlot], None],
+        on_stopping: Callable[[SidecarSlot], None],
+        on_down: Callable[[SidecarSlot], None],
     ) -> None:
         self.timers = timers
         self.ground = ground
-        self.came, self.stops, self.went = came, stops, went
+        self.on_up, self.on_stopping, self.on_down = on_up, on_stopping, on_down
         self.by_name: dict[str, SidecarSlot] = {}
 
     def up(self, slot: SidecarSlot) -> None:
@@ -83,7 +83,7 @@
         slot.timer = None
         slot.running, slot.stopping = True, False
         self.ground.sidecar_up(slot.name, slot.config(), lambda: self.ended(slot))
-        self.came(slot)
+        self.on_up(slot)
 
     def start(self, slot: SidecarSlot, after: float) -> None:
         """Start a process `after` seconds from now, instead of whatever else was scheduled for it."""
@@ -106,7 +106,7 @@
         if not slot.running or slot.stopping:
             return
         slot.stopping, slot.down = True, down
-        self.stops(slot)
+        self.on_stopping(slot)
         slot.timer = self.timers.at(self.timers.now() + patience, self.kill, slot, down)
         self.ground.sidecar_stop(slot.name)
 
@@ -122,7 +122,7 @@
         """Note that a sidecar has ended, and start it anew where that is scheduled."""
         self.call_off(slot)
         slot.running = slot.stopping = False
-        self.went(slot)
+        self.on_down(slot)
         if slot.down:
             self.start(slot, slot.down)
 
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -92,7 +92,9 @@
         self.front = Front(self.time, self.random("front"), plan.front_notice)
         self.ground = make_ground(self)
         self.ground.open_discovery(self.registry)
-        self.slots = SidecarSlots(self.time, self.ground, self.came, self.stops, self.went)
+        self.slots = SidecarSlots(
+            self.time, self.ground, self.on_sidecar_up, self.on_sidecar_stopping, self.on_sidecar_down
+        )
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
         effects = Effects(self.time, plan.classes, self.book)
@@ -163,17 +165,17 @@
 
     # Sidecars come and go
 
-    def came(self, slot: SidecarSlot) -> None:
+    def on_sidecar_up(self, slot: SidecarSlot) -> None:
         """Note that a sidecar has started."""
         if slot.name not in self.nodes:
             self.front.up(slot.name)
 
-    def stops(self, slot: SidecarSlot) -> None:
+    def on_sidecar_stopping(self, slot: SidecarSlot) -> None:
         """Note that a sidecar was told to stop."""
         if slot.name not in self.nodes:
             self.front.stopping(slot.name)
 
-    def went(self, slot: SidecarSlot) -> None:
+    def on_sidecar_down(self, slot: SidecarSlot) -> None:
         """Note that a sidecar has ended."""
         if slot.name not in self.nodes:
             self.front.down(slot.name)
