--- a/tests/ends/drawn_settings.py
+++ b/tests/ends/drawn_settings.py
@@ -51,7 +51,7 @@
         return told
 
     def play(self, grain: str, tracing: Tracing | None = None) -> Outcome:
-        with patch.object(sidecar_slots, "settings", self.told):
+        with patch.object(sidecar_slots, "sidecar_settings", self.told):
             return play(self.plan, grain, tracing)
 
     def read(self, folder: Path) -> platform_file.PlatformConfig:
