--- a/tests/admin/test_dispatch.py
+++ b/tests/admin/test_dispatch.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.admin.test_service import call, dial, make  # noqa: F401
-from tests.world import World
+from tests.support.world import World
 from wheatring.admin import dispatch
 
 
--- a/tests/admin/test_service.py
+++ b/tests/admin/test_service.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.conftest import Copy, entries
-from tests.world import FAR, Loopback, Wire, World, entry, list_body
+from tests.support.world import FAR, Loopback, Wire, World, entry, list_body
 from wheatring import log
 from wheatring.admin import server
 from wheatring.balancer import balancer as decisions
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.test_process import told
-from tests.world import FAR, Peer, Wire, entry
+from tests.support.world import FAR, Peer, Wire, entry
+from tests.system.test_process import told
 from wheatring.ops.capture.replay import replay
 
 
--- a/tests/budgets/test_token_budgets.py
+++ b/tests/budgets/test_token_budgets.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from tests.tier.virtual_loop import VirtualLoop
+from tests.support.virtual_loop import VirtualLoop
 from wheatring.budgets.token_budgets import TokenBudgets
 from wheatring.storage.quorum_client import QuorumClient
 from wheatring.storage.replica import Replica
--- a/tests/ends/test_settings.py
+++ b/tests/config/test_platform_file.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.test_process import told
+from tests.system.test_process import told
 from wheatring import lazy_imports, log, serving
 from wheatring.__main__ import main
 from wheatring.balancer.settings_reader import JsonSettings
--- a/tests/config/test_project_file.py
+++ b/tests/config/test_project_file.py
@@ -12,7 +12,7 @@
 import pytest
 from msgspec import structs
 
-from tests.test_process import begin, until
+from tests.system.test_process import begin, until
 from wheatring.__main__ import main
 from wheatring.config import project_file
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,9 +12,9 @@
 from xdist.remote import Producer
 from xdist.scheduler import LoadScopeScheduling
 
-from tests import known_red
-from tests.virtual import Virtual
-from tests.world import NO_OPERATORS, Loopback, World
+from tests.support import known_red
+from tests.support.virtual_sockets import Virtual
+from tests.support.world import NO_OPERATORS, Loopback, World
 from wheatring import log
 from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
@@ -72,7 +72,7 @@
 
 # What these set up for all of their tests takes a minute: one worker has them all. All other tests go to
 # whichever worker is free.
-TOGETHER = ("tests/fleet/test_cold_start.py",)
+TOGETHER = ("tests/lab/live/test_cold_start.py",)
 
 
 # These start a tier on the same fixed ports: one worker has them, one after the other.
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -10,7 +10,7 @@
 
 from tests.conftest import Copy
 from tests.http1.attempts import kept
-from tests.world import World
+from tests.support.world import World
 from wheatring.balancer import backoff
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Attempt
--- a/tests/http1/attempts.py
+++ b/tests/http1/attempts.py
@@ -5,7 +5,7 @@
 from contextlib import suppress
 from typing import Any
 
-from tests.world import Peer, Wire, World
+from tests.support.world import Peer, Wire, World
 from wheatring import log
 from wheatring.core.exchange import Answer, Request
 from wheatring.http1.parser import ForwardedRequest
--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -18,8 +18,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.test_process import told, until
-from tests.world import FAR, Peer, Wire, World, entry
+from tests.support.world import FAR, Peer, Wire, World, entry
+from tests.system.test_process import told, until
 from wheatring import log
 from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
 from wheatring.http1 import caller_lifecycle, endpoint_connection
--- a/tests/http1/test_caller_connection.py
+++ b/tests/http1/test_caller_connection.py
@@ -16,10 +16,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.test_process import begin
-from tests.test_process import until as told
-from tests.virtual import Virtual
-from tests.world import FAR, Loopback, Peer, Wire, World, entry, list_body
+from tests.support.virtual_sockets import Virtual
+from tests.support.world import FAR, Loopback, Peer, Wire, World, entry, list_body
+from tests.system.test_process import begin
+from tests.system.test_process import until as told
 from wheatring.balancer import backoff
 from wheatring.http1 import caller_connection, caller_lifecycle
 from wheatring.http1.caller_state import ArrivalTimes, CallerState
--- a/tests/http1/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -11,8 +11,8 @@
 import pytest
 
 from tests.http1.test_shutdown import leave
-from tests.virtual import Virtual
-from tests.world import Wire, World
+from tests.support.virtual_sockets import Virtual
+from tests.support.world import Wire, World
 from wheatring.http1.caller_connection import CallerConnection
 from wheatring.http1.endpoint_connection import EndpointConnection
 from wheatring.http1.parser import Message, MessageParser
--- a/tests/http1/test_endpoint_connection.py
+++ b/tests/http1/test_endpoint_connection.py
@@ -12,7 +12,7 @@
 from tests.http1.attempts import kept, listed, reads, submit
 from tests.pools.pools_world import TWO, PoolsWorld
 from tests.pools.test_pool_set import begun
-from tests.world import Peer, World, entry
+from tests.support.world import Peer, World, entry
 from wheatring.balancer.interface import Outcome
 from wheatring.core.exchange import Answer, AnswerKind, Attempt, Request
 from wheatring.http1 import connection_pool
--- a/tests/http1/test_endpoint_faults.py
+++ b/tests/http1/test_endpoint_faults.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.http1.attempts import kept, submit
-from tests.world import World
+from tests.support.world import World
 from wheatring.core.exchange import Answer, AnswerKind
 from wheatring.http1 import connection_pool
 from wheatring.http1.connection_pool import ConnectionPool
--- a/tests/http1/test_endpoint_list.py
+++ b/tests/http1/test_endpoint_list.py
@@ -13,9 +13,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests import world as worlds
-from tests.virtual import Virtual
-from tests.world import Peer, Wire, World, entry, list_body
+from tests.support import world as worlds
+from tests.support.virtual_sockets import Virtual
+from tests.support.world import Peer, Wire, World, entry, list_body
 from wheatring import log
 from wheatring.http1 import discovery_client
 from wheatring.lifecycle.notification_deadline import RETRY_WITHIN_SECONDS
--- a/tests/http1/test_list_freshness.py
+++ b/tests/http1/test_list_freshness.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.world import Peer, World, entry, list_body
+from tests.support.world import Peer, World, entry, list_body
 from wheatring.http1 import discovery_client, endpoint_list
 from wheatring.lifecycle import freshness
 
--- a/tests/http1/test_pushed_list.py
+++ b/tests/http1/test_pushed_list.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.world import SETTINGS, World, entry, list_body
+from tests.support.world import SETTINGS, World, entry, list_body
 
 Make = Callable[..., World]
 
--- a/tests/http1/test_shutdown.py
+++ b/tests/http1/test_shutdown.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.http1.test_bodies import LARGE, body, head, no_room, post
-from tests.world import Loopback, World
+from tests.support.world import Loopback, World
 from wheatring import log
 from wheatring.http1 import caller_lifecycle, server
 
--- a/tests/lab/test_direct.py
+++ b/tests/lab/direct/test_direct.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.lab.direct_world import LINK, Script, World
+from tests.lab.direct.direct_world import LINK, Script, World
 from wheatring.balancer.interface import Outcome, View, ViewKind
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
--- a/tests/lab/test_live_load.py
+++ b/tests/lab/live/test_load.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.world import Wire
+from tests.support.world import Wire
 from wheatring.lab.live.load import Ask, Load, Result, play
 from wheatring.lab.live.process import Process, module
 
--- a/tests/lab/test_live_plans.py
+++ b/tests/lab/live/test_plans.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.lab.test_live_views import TERM, agree, without
+from tests.lab.live.test_membership_views import TERM, agree, without
 from wheatring.lab.live import plan_cases
 from wheatring.lab.live.fleet_rig import FleetRig
 
--- a/tests/lab/test_clients.py
+++ b/tests/lab/models/test_clients.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.lab.direct_world import Time, Told
+from tests.lab.direct.direct_world import Time, Told
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.front import Front
 from wheatring.lab.models.way import LINGER, Done, ReplyKind
--- a/tests/lab/test_machine_cpu.py
+++ b/tests/lab/models/test_cpu.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.machine_world import World
+from tests.lab.models.machine_world import World
 from wheatring.lab.models.cold import Warming
 from wheatring.lab.models.cpu import Cpu
 from wheatring.lab.models.visit import Verdict
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/models/test_discovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.lab.peers import Book
+from tests.lab.wire.http_peers import Book
 from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
 from wheatring.lab.net import VirtualTime
 from wheatring.lab.plan import DiscoveryPlan
--- a/tests/lab/test_machine.py
+++ b/tests/lab/models/test_machine.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.lab.machine_world import RULES, World
+from tests.lab.models.machine_world import RULES, World
 from wheatring.lab.models.cold import Pressure
 from wheatring.lab.models.troubles import begin, end
 from wheatring.lab.models.visit import Verdict, Visit
--- a/tests/lab/test_net_grounds.py
+++ b/tests/lab/net/test_environments.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.lab.grounds import End, Ground, HalfEnd, Pair, Real, Virtual
+from tests.lab.net.environments import End, Ground, HalfEnd, Pair, Real, Virtual
 
 
 class Pull:
--- a/tests/lab/test_net_faults.py
+++ b/tests/lab/net/test_faults.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.lab.grounds import End, Factory, HalfEnd, Pair, Virtual
+from tests.lab.net.environments import End, Factory, HalfEnd, Pair, Virtual
 from wheatring.lab.net.links import Link
 
 
@@ -424,7 +424,7 @@
 def test_a_day_is_the_same_whatever_the_hash_seed(ties: bool) -> None:
     days = {day(ties)}
     for seed in ("1", "4711"):
-        command = f"from tests.lab.test_net_faults import day; print(day({ties}))"
+        command = f"from tests.lab.net.test_faults import day; print(day({ties}))"
         told = subprocess.run(
             [sys.executable, "-c", command], env={**os.environ, "PYTHONHASHSEED": seed},
             capture_output=True, text=True, check=True, timeout=60,
--- a/tests/lab/test_net_streams.py
+++ b/tests/lab/net/test_streams.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.grounds import End, HalfEnd, Pair, Virtual, told
+from tests.lab.net.environments import End, HalfEnd, Pair, Virtual, told
 
 WINDOW, SEGMENT = 1500, 200
 WAITS = st.sampled_from([0.0, 0.0, 0.0001, 0.0004, 0.002, 0.3])
--- a/tests/lab/test_net_time.py
+++ b/tests/lab/net/test_time.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import AlreadyCalled, AlreadyCancelled
 from twisted.internet.task import Clock
 
-from tests.lab.grounds import End, Pair, Virtual
+from tests.lab.net.environments import End, Pair, Virtual
 from wheatring.lab.net import Event, VirtualTime
 from wheatring.lab.net.time import StuckError
 
--- a/tests/lab/histories.py
+++ b/tests/lab/rules/random_histories.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from tests.lab.desk import KEYED, START, UNSAFE, Desk, a_plan
+from tests.lab.rules.ledger_driver import KEYED, START, UNSAFE, Desk, a_plan
 from wheatring.lab.book import NodeState
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.rules import Trace
--- a/tests/lab/test_figures.py
+++ b/tests/lab/rules/test_figures.py
@@ -9,7 +9,7 @@
 import pytest
 from msgspec import structs
 
-from tests.lab.desk import START, Desk, a_plan
+from tests.lab.rules.ledger_driver import START, Desk, a_plan
 from wheatring.lab.plan import ChokePlan
 
 Try = tuple[float, int, float, str]  # asked, class, settled, end
--- a/tests/lab/test_rules_histories.py
+++ b/tests/lab/rules/test_random_histories.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.desk import START, Desk
-from tests.lab.histories import SPOILS, play
+from tests.lab.rules.ledger_driver import START, Desk
+from tests.lab.rules.random_histories import SPOILS, play
 from wheatring.lab.rules import Trace, replay_line
 
 
--- a/tests/lab/test_rules.py
+++ b/tests/lab/rules/test_rules.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.lab.desk import KEYED, START, UNSAFE, Desk, a_plan
+from tests.lab.rules.ledger_driver import KEYED, START, UNSAFE, Desk, a_plan
 from wheatring.lab.plan import EventPlan
 from wheatring.lab.rules import MisuseError
 
--- a/tests/lab/test_scenario_draw.py
+++ b/tests/lab/scenario/test_draw.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.scenarios import GOOD, toml, unsound
+from tests.lab.scenario.scenario_text import GOOD, toml, unsound
 from wheatring.__main__ import main
 from wheatring.lab.plan import Plan
 from wheatring.lab.scenario.capacity import summary
--- a/tests/lab/test_scenario_load.py
+++ b/tests/lab/scenario/test_load.py
@@ -13,7 +13,7 @@
 import pytest
 from msgspec import inspect
 
-from tests.lab.scenarios import GOOD, put, toml
+from tests.lab.scenario.scenario_text import GOOD, put, toml
 from wheatring.__main__ import main
 from wheatring.lab.scenario.event_forms import EVENT_FORMS, SELECTORS
 from wheatring.lab.scenario.load import LoadedScenario, ScenarioError, load, parse
--- a/tests/lab/test_scenario_page.py
+++ b/tests/lab/scenario/test_operators_page.py
@@ -17,7 +17,7 @@
 from wheatring.lab.scenario.event_forms import EVENT_FORMS
 from wheatring.lab.scenario.load import names, parse
 
-PAGE = (Path(__file__).parents[2] / "docs" / "operate" / "lab.md").read_text(encoding="utf-8")
+PAGE = (Path(__file__).parents[3] / "docs" / "operate" / "lab.md").read_text(encoding="utf-8")
 TABLES: dict[str, type[msgspec.Struct]] = {
     "At the top": schema.Scenario, "`[[class]]`": schema.Class, "`[[tier]]`": schema.Tier,
     "`[[tier.kind]]`": schema.Kind, "`[tier.choke]`": schema.Choke, "`[front]`": schema.Front,
--- a/tests/lab/study_runner.py
+++ b/tests/lab/study/fake_runner.py
@@ -15,7 +15,7 @@
 from wheatring.lab.study.settings import Settings, value_of
 
 HERE = build_at()
-RUN = "tests.lab.study_runner:play"
+RUN = "tests.lab.study.fake_runner:play"
 
 
 def job(
--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/study/test_commands.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.lab.study_runner import HERE, RUN
+from tests.lab.study.fake_runner import HERE, RUN
 from wheatring import commands
 from wheatring.lab.scenario.load import ScenarioError, check_tables, load, load_tables, with_override
 from wheatring.lab.study import store
--- a/tests/lab/test_study_compare.py
+++ b/tests/lab/study/test_compare.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.lab.study_runner import RUN, told
-from tests.lab.study_runner import job as made
+from tests.lab.study.fake_runner import RUN, told
+from tests.lab.study.fake_runner import job as made
 from wheatring.lab.study import StudyError, compare, figures, stats, store
 from wheatring.lab.study.jobs import Ended, function
 
--- a/tests/lab/test_study_report.py
+++ b/tests/lab/study/test_report.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.lab.study_runner import RUN, job, told
+from tests.lab.study.fake_runner import RUN, job, told
 from wheatring.lab.outcome import Outcome, SecondFigures
 from wheatring.lab.study import store
 from wheatring.lab.study.jobs import Ended, function
--- a/tests/lab/test_study.py
+++ b/tests/lab/study/test_sweep.py
@@ -17,8 +17,8 @@
 import pytest
 from rich.console import Console
 
-from tests.lab.grounds import FAR
-from tests.lab.study_runner import RUN, job, told
+from tests.lab.net.environments import FAR
+from tests.lab.study.fake_runner import RUN, job, told
 from wheatring.lab.study import StudyError, settings, store, sweep
 from wheatring.lab.study.jobs import Ended, Job, build_at, seeds_of
 from wheatring.lab.study.settings import Settings
@@ -32,7 +32,7 @@
 SWEEP = """
 import sys
 from pathlib import Path
-from tests.lab.study_runner import RUN, job, told
+from tests.lab.study.fake_runner import RUN, job, told
 from wheatring.lab.study import pool, store
 chosen = told(log=sys.argv[2], hang=10, pid=sys.argv[3])
 with store.opened(Path(sys.argv[1])) as kept:
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/wire/test_http_peers.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.internet.threads import blockingCallFromThread
 
-from tests.lab.peers import (
+from tests.lab.wire.http_peers import (
     FORMS,
     KEY,
     KEYED,
@@ -26,7 +26,7 @@
     no_errors,
     says,
 )
-from tests.world import reactor
+from tests.support.world import reactor
 from wheatring.core.clock import Clock
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.visit import Verdict
--- a/tests/fleet/test_asking.py
+++ b/tests/lifecycle/test_list_request_schedule.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.lab.direct_world import Time, Told
+from tests.lab.direct.direct_world import Time, Told
 from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lifecycle import list_request_schedule
--- a/tests/ends/test_long_outage.py
+++ b/tests/lifecycle/test_long_outage.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tests.virtual import Virtual
-from tests.world import World, entry, list_body
+from tests.support.virtual_sockets import Virtual
+from tests.support.world import World, entry, list_body
 from wheatring import log
 from wheatring.lifecycle.freshness import MAX_ASK_INTERVAL_SECONDS, Freshness
 
--- a/tests/ops/test_audit.py
+++ b/tests/ops/test_audit.py
@@ -11,8 +11,8 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
-from tests.test_process import begin, until
-from tests.world import FAR, Wire
+from tests.support.world import FAR, Wire
+from tests.system.test_process import begin, until
 from wheatring import log, operator_properties
 from wheatring.__main__ import main
 from wheatring.core.clock import Clock
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -19,8 +19,8 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
-from tests.test_process import begin, told, until
-from tests.world import FAR, SETTINGS, Peer, Wire, World, entry, list_body
+from tests.support.world import FAR, SETTINGS, Peer, Wire, World, entry, list_body
+from tests.system.test_process import begin, told, until
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.balancer import interface as i
--- a/tests/ops/test_drills.py
+++ b/tests/ops/test_drills.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from tests.test_process import begin, until
-from tests.world import FAR, Wire, World
+from tests.support.world import FAR, Wire, World
+from tests.system.test_process import begin, until
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.ops import drills
--- a/tests/ops/test_tokens.py
+++ b/tests/ops/test_tokens.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.world import Wire, World
+from tests.support.world import Wire, World
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.ops import tokens
--- a/tests/pools/pools_world.py
+++ b/tests/pools/pools_world.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from tests.virtual import Virtual
-from tests.world import Loopback, Wire, World, entry
+from tests.support.virtual_sockets import Virtual
+from tests.support.world import Loopback, Wire, World, entry
 from wheatring.config.project_file import read
 from wheatring.daemon.configuration import first_invalid_route, reload_configuration
 from wheatring.pools.pool_set import PoolSet
--- a/tests/pools/test_configuration.py
+++ b/tests/pools/test_configuration.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.pools.pools_world import TWO
-from tests.test_process import begin, until
-from tests.world import FAR
+from tests.support.world import FAR
+from tests.system.test_process import begin, until
 from wheatring.__main__ import main
 
 ROUTE = "[pool.a]\n[route.r]\nweights = { a = 1 }\n"
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -11,8 +11,8 @@
 import pytest
 
 from tests.pools.pools_world import TWO, PoolsWorld
-from tests.virtual import Virtual
-from tests.world import Loopback, Peer, entry, list_body
+from tests.support.virtual_sockets import Virtual
+from tests.support.world import Loopback, Peer, entry, list_body
 from wheatring import log
 from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
--- a/tests/test_glossary.py
+++ b/tests/repository/test_documentation.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from tests.test_house import FLOORS
+from tests.repository.test_layers import FLOORS
 
-ROOT = Path(__file__).parents[1]
+ROOT = Path(__file__).parents[2]
 CODE_NAME = re.compile(r"`(wheatring(?:\.\w+)+)`")
 PATH = re.compile(r"`((?:(?:wheatring|tests|docs|deploy)/[\w/.*-]*)|(?:[a-z_]+/[a-z_0-9]+\.py))`")
 
--- a/tests/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests import known_red
+from tests.support import known_red
 
 
 def test_each_line_names_a_test_that_is_there() -> None:
--- a/tests/test_house.py
+++ b/tests/repository/test_layers.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 
 # The first that fits counts. The faces of one floor don't know one another.
 FLOORS = (
--- a/tests/storage/test_repair.py
+++ b/tests/storage/test_repair.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.tier.virtual_loop import VirtualLoop
+from tests.support.virtual_loop import VirtualLoop
 from wheatring.storage.copier import FETCH_TIMEOUT_SECONDS
 from wheatring.storage.repair import Repair
 from wheatring.storage.replica import Replica
--- a/tests/known_red.py
+++ b/tests/support/known_red.py
@@ -7,7 +7,7 @@
 
 from pathlib import Path
 
-FILE = Path(__file__).parents[1] / "KNOWN-RED.txt"
+FILE = Path(__file__).parents[2] / "KNOWN-RED.txt"
 MAX_ENTRIES = 3
 
 
--- a/tests/world.py
+++ b/tests/support/world.py
@@ -20,7 +20,7 @@
 from twisted.internet import reactor as installed
 from twisted.internet.threads import blockingCallFromThread
 
-from tests.virtual import Virtual
+from tests.support.virtual_sockets import Virtual
 from wheatring import log
 from wheatring.config.platform_file import PlatformConfig, read_settings
 from wheatring.daemon.sidecar import Sidecar
--- a/tests/stories/conftest.py
+++ b/tests/system/membership/conftest.py
@@ -12,7 +12,7 @@
 import pytest
 from pytest_bdd import given, parsers, then, when
 
-from tests.stories.fleet import Told
+from tests.system.membership.fleet import Told
 from wheatring.lab.leases.cluster import PARTITIONED
 
 JOINED = 40.0  # seconds within which a fleet that starts together agrees
--- a/tests/ends/test_cold_processes.py
+++ b/tests/system/test_cold_processes.py
@@ -9,7 +9,7 @@
 from math import sqrt
 from pathlib import Path
 
-from tests.world import FAR, Peer, Wire, entry, list_body
+from tests.support.world import FAR, Peer, Wire, entry, list_body
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 
 SIDECARS, WARM = 8, 4
--- a/tests/ends/test_drawn_settings.py
+++ b/tests/system/test_drawn_settings.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from tests.ends.drawn_settings import drawn
+from tests.system.drawn_settings import drawn
 
 
 @settings(
--- a/tests/test_process.py
+++ b/tests/system/test_process.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from tests.world import FAR, SETTINGS, Peer, Wire, entry, list_body
+from tests.support.world import FAR, SETTINGS, Peer, Wire, entry, list_body
 from wheatring import commands, lazy_imports
 from wheatring.__main__ import main, parse_simple
 from wheatring.config import platform_file
--- a/tests/ends/test_reload.py
+++ b/tests/system/test_reload.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from tests.ends.test_settings import DEEP
-from tests.test_process import begin, told, until
-from tests.world import FAR, SETTINGS, Peer, Wire, entry, list_body
+from tests.config.test_platform_file import DEEP
+from tests.support.world import FAR, SETTINGS, Peer, Wire, entry, list_body
+from tests.system.test_process import begin, told, until
 
 HOUR = 3_600_000_000
 PATIENT = {**SETTINGS, "classes": [{**one, "deadline": HOUR} for one in SETTINGS["classes"]]}
--- a/tests/ends/test_start.py
+++ b/tests/system/test_start.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.test_process import told, until
-from tests.world import FAR, Peer, Wire, entry
+from tests.support.world import FAR, Peer, Wire, entry
+from tests.system.test_process import told, until
 from wheatring import lazy_imports
 
 ROOT = Path(__file__).parents[2]
--- a/tests/test_operator_properties.py
+++ b/tests/test_operator_properties.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from tests.test_process import begin, told, until
-from tests.world import FAR
+from tests.support.world import FAR
+from tests.system.test_process import begin, told, until
 from wheatring import operator_properties
 from wheatring.__main__ import main
 
--- a/tests/tier/hostile_world.py
+++ b/tests/tier/hostile_world.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from tests.support.virtual_loop import CURRENT_INCARNATION, Incarnation
 from tests.tier.sidecar_world import SERVICE_PORT, EndpointConnection, EndpointStub, SidecarWorld
-from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation
 from tests.tier.world import FRONT_PORT
 from wheatring.http1.parser import Message, MessageParser
 
--- a/tests/tier/sidecar_world.py
+++ b/tests/tier/sidecar_world.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation
+from tests.support.virtual_loop import CURRENT_INCARNATION, Incarnation
 from tests.tier.world import FRONT_PORT, World
 from wheatring.http1.parser import Message, MessageParser
 from wheatring.transport.messages_pb2 import Endpoint, EndpointList
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import Any
 
-from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation, VirtualLoop
+from tests.support.virtual_loop import CURRENT_INCARNATION, Incarnation, VirtualLoop
 from wheatring.boot_settings.settings import Address, Settings, Tolerance
 from wheatring.budgets.exceptions import BudgetExceededError
 from wheatring.budgets.token_budgets import TokenBudgets
--- a/tests/transport/test_client.py
+++ b/tests/transport/test_client.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.tier.virtual_loop import CURRENT_INCARNATION, Incarnation, VirtualLoop
+from tests.support.virtual_loop import CURRENT_INCARNATION, Incarnation, VirtualLoop
 from wheatring.transport.client import CONNECT_TIMEOUT_SECONDS, EnvelopeClient
 from wheatring.transport.connection import EnvelopeConnection
 from wheatring.transport.exceptions import PeerUnreachableError
