--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,8 +1,8 @@
-"""A toy deployment to try the sidecar with: discovery on port 8500, and two execute nodes behind it.
+"""A toy deployment to try the sidecar with: discovery on port 8500, and two endpoints behind it.
 
     python3 example/toy_server.py
 
-The second node fails every third request, so that the sidecar has something to repeat.
+The second endpoint fails every third request, so that the sidecar has something to retry.
 """
 
 from __future__ import annotations
@@ -14,15 +14,18 @@
 from urllib.parse import parse_qs, urlsplit
 
 HOST = "127.0.0.1"
-DISCOVERY = 8500
-NODES = {"toy-1": 9101, "toy-2": 9102}
+DISCOVERY_PORT = 8500
+ENDPOINT_PORTS = {"toy-1": 9101, "toy-2": 9102}
 GENERATION = 1
 
 
 class Handler(BaseHTTPRequestHandler):
+    """Answers over connections that stay open."""
+
     protocol_version = "HTTP/1.1"
 
-    def say(self, status: int, body: bytes) -> None:
+    def respond(self, status: int, body: bytes) -> None:
+        """Send a whole response."""
         self.send_response(status)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
@@ -30,39 +33,46 @@
 
 
 class Discovery(Handler):
+    """Answers with the endpoint list."""
+
     def do_GET(self) -> None:
-        asked = parse_qs(urlsplit(self.path).query)
-        changed = asked.get("index") != [str(GENERATION)]
+        """Answer with the list, after the wait where the caller has it already."""
+        query = parse_qs(urlsplit(self.path).query)
+        changed = query.get("index") != [str(GENERATION)]
         if not changed:  # a watch: this list never changes, so it waits to its end
-            time.sleep(int(asked.get("wait", ["0"])[0]) / 1000)
+            time.sleep(int(query.get("wait", ["0"])[0]) / 1000)
         instances = [
             {"instanceId": name, "hostPort": f"{HOST}:{port}", "lifecycle": "SERVING", "startedAtMs": 0}
-            for name, port in NODES.items()
+            for name, port in ENDPOINT_PORTS.items()
         ]
-        found = {"generation": GENERATION, "reset": changed, "instances": instances if changed else []}
-        self.say(200, json.dumps(found).encode())
+        answer = {"generation": GENERATION, "reset": changed, "instances": instances if changed else []}
+        self.respond(200, json.dumps(answer).encode())
+
 
+class Endpoint(Handler):
+    """Answers with what it received, or fails."""
 
-class Node(Handler):
-    count = 0
+    request_count = 0
 
     def do_GET(self) -> None:
+        """Answer with a line on the request; the second endpoint fails every third one."""
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         port = self.connection.getsockname()[1]
-        Node.count += 1
-        if port == NODES["toy-2"] and Node.count % 3 == 0:
-            self.say(500, b"")
+        Endpoint.request_count += 1
+        if port == ENDPOINT_PORTS["toy-2"] and Endpoint.request_count % 3 == 0:
+            self.respond(500, b"")
         else:
-            self.say(200, f"{self.command} {self.path} at {port}, {len(body)} bytes\n".encode())
+            self.respond(200, f"{self.command} {self.path} at {port}, {len(body)} bytes\n".encode())
 
-    do_POST = do_GET
+    do_POST = do_GET  # noqa: N815 - the library's name
 
 
 def main() -> None:
-    servers = [ThreadingHTTPServer((HOST, port), Node) for port in NODES.values()]
+    """Serve until the process is ended."""
+    servers = [ThreadingHTTPServer((HOST, port), Endpoint) for port in ENDPOINT_PORTS.values()]
     for server in servers:
         threading.Thread(target=server.serve_forever, daemon=True).start()
-    ThreadingHTTPServer((HOST, DISCOVERY), Discovery).serve_forever()
+    ThreadingHTTPServer((HOST, DISCOVERY_PORT), Discovery).serve_forever()
 
 
 if __name__ == "__main__":
--- a/tests/admin/test_dispatch.py
+++ b/tests/admin/test_dispatch.py
@@ -1,11 +1,11 @@
-"""The operators' calls about the fleet's plan: what is offered is whole or not there, and each call is
-answered.
+"""The operators' calls about the fleet's plan: a plan is offered completely or not at all.
+
+Each call is answered.
 """
 
 from __future__ import annotations
 
 import json
-from pathlib import Path
 from typing import Any
 
 import pytest
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(("least", "status"), [("2", 200), ("3", 409), ("-1", 400), ("9999", 400)])
-def test_the_floor_is_a_whole_number(make: Any, least: str, status: int, tmp_path: Path) -> None:  # noqa: F811
+def test_the_floor_is_a_whole_number(make: Any, least: str, status: int) -> None:  # noqa: F811
     world = make()
     world.sidecar.admin_service.plans = Plans()
     assert asked(world, "POST", f"plan/floor/{least}")[0] == status
--- a/tests/admin/test_service.py
+++ b/tests/admin/test_service.py
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture
-def make(running: None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Make]:
+def make(running: None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Make]:  # noqa: ARG001 - runs the reactor
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)
--- a/tests/balancer/endpoint_model.py
+++ b/tests/balancer/endpoint_model.py
@@ -36,14 +36,16 @@
         return sum(self.sends[name] for name in bad) / max(1, self.sends.total())
 
     def busiest(self, bad: tuple[str, ...]) -> float:
-        """The busiest good node against their mean."""
+        """Return the ratio of the busiest healthy endpoint to the mean of the healthy ones."""
         good = [self.sends[name] for name in NODES if name not in bad]
         return max(good) / (sum(good) / len(good))
 
 
 class Nodes:
-    """Twelve nodes and Poisson requests. From 3 s until `until` the nodes named bad are bad in one way, for a
-    share of calls, and if `every` is given only in every other such time.
+    """Twelve endpoints and Poisson requests.
+
+    From 3 s until `until` the endpoints named bad are unhealthy in one way, for a share of calls, and if
+    `every` is given only in every other such interval.
     """
 
     def __init__(
@@ -129,7 +131,7 @@
                         self.answers.append((now, ident, False))
 
     def told(self, since: float, until: float = 1e9) -> Played:
-        """What was sent and answered between two seconds of the run."""
+        """Return what was sent and answered between two seconds of the run."""
         since, until = self.start + since, self.start + until
         out = Played(Counter(name for at, name in self.sent if since <= at < until))
         for at, _, served in self.answers:
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -23,7 +23,7 @@
 
 
 def loaded(tier: int = 0, concurrent: int = 48, latency: float = 0.1, seconds: float = 4.0) -> Copy:
-    """A copy that has served so many calls at a time, on twelve nodes, each after that latency."""
+    """Return a copy that has served so many requests at a time on twelve endpoints, with that latency."""
     copy = Copy(classes=(CHEAP, DEAR), tier=tier, tiers=("front", "back"))
     copy.view(*entries(*NODES))
     keep(copy, concurrent, latency, seconds)
@@ -31,8 +31,9 @@
 
 
 def keep(copy: Copy, concurrent: int, latency: float, seconds: float, silent: str = "") -> int:
-    """Have so many calls at a time, if they are let in, each answered after that latency but by one that is
-    silent; how many are not let in.
+    """Keep so many requests in flight, as far as they are admitted, and return how many are rejected.
+
+    Each is answered after that latency, but by the endpoint that is silent.
     """
     refused = 0
     out = deque(
@@ -56,7 +57,7 @@
 
 
 def admitted(copy: Copy, name: str, most: int = 400) -> int:
-    """Calls in flight at which it refuses, where calls come over a time in which none is answered."""
+    """Return how many requests are in flight at the first rejection, while none is answered."""
     copy.balancer.admission.in_flight = 10 * copy.balancer.throughput.served  # as if they had taken long
     for _ in range(most):
         if not isinstance(copy.ask(name)[0], i.Send):
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -69,7 +69,7 @@
 
 
 def cold_sends(copy: Copy, requests: int, outcome: i.Outcome) -> int:
-    """Calls to cold endpoints, which serve, of so many requests; at the others each call ends so."""
+    """Return how many of so many requests go to cold endpoints, which serve; at the others each ends so."""
     count = 0
     for _ in range(requests):
         actions = ask(copy, 0.01)
--- a/tests/balancer/test_thin_traffic.py
+++ b/tests/balancer/test_thin_traffic.py
@@ -19,7 +19,7 @@
 
 
 def settled() -> Copy:
-    """A copy of ten that knows what is usual: a tenth of a second."""
+    """Return one copy of ten that has learned the usual latency: a tenth of a second."""
     copy = Copy(classes=(GET,), balancer_count=10)
     copy.view(*entries(*FIVE))
     copy.serve(60, "get")
--- a/tests/budgets/test_token_budgets.py
+++ b/tests/budgets/test_token_budgets.py
@@ -19,10 +19,10 @@
         self._replica = replica
         self.replies: list[StorageReply] = []
 
-    def client_for(self, address: str) -> SingleReplicaClients:
+    def client_for(self, address: str) -> SingleReplicaClients:  # noqa: ARG002 - the client's signature
         return self
 
-    async def call(self, envelope: Envelope, timeout: float) -> Envelope:
+    async def call(self, envelope: Envelope, timeout: float) -> Envelope:  # noqa: ARG002 - the client's signature
         reply = await self._replica.handle_request(envelope.storage_request)
         self.replies.append(reply)
         return Envelope(storage_reply=reply)
@@ -37,7 +37,7 @@
         member = StorageMember(replica_id=replica.identity, node="s1", address="s1")
         placement = Placement(epoch=1, current=[member])
         clients = SingleReplicaClients(replica)
-        store = QuorumClient(clients, 0, "z", lambda: placement, lambda newer: None)  # type: ignore[arg-type]
+        store = QuorumClient(clients, 0, "z", lambda: placement, lambda _newer: None)  # type: ignore[arg-type]
         budgets = TokenBudgets(store)
         await budgets.reserve("program", "t1", 60, 100, 1.0)
         budgets.settle("program", "t1", 10)
--- a/tests/config/test_platform_file.py
+++ b/tests/config/test_platform_file.py
@@ -94,7 +94,7 @@
 
 
 def said(data: object, folder: Path, capsys: pytest.CaptureFixture[str]) -> str:
-    """The line with which a start ends."""
+    """Return the line with which a start ends."""
     (folder / "c.json").write_text(json.dumps(data), encoding="utf-8")
     assert main([]) == 2
     out, err = capsys.readouterr()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -96,7 +96,9 @@
 
 
 def pytest_configure() -> None:
-    """A sidecar of a band needs both halves of a port that it was given one of, so no two bands that are
+    """Give the fleets of each worker addresses of their own.
+
+    A sidecar of a fleet needs both protocols of a port of which it was given one, so no two fleets that are
     played at the same time share addresses.
     """
     fleet_rig.ADDRESS_SUFFIX = 1 + int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
@@ -155,7 +157,7 @@
         return self.do(event, after)
 
     def serve(self, count: int, name: str = "read", latency: float = 0.1) -> None:
-        """Requests answered one after the other, so that the copy has its norms and its tokens."""
+        """Answer requests one after the other, so that the copy has its estimates and its tokens."""
         for _ in range(count):
             self.end(self.send(name), i.Outcome.SERVED, after=latency, is_request_over=True)
 
@@ -183,7 +185,7 @@
 
 @pytest.fixture(params=["loopback", "virtual"])
 def make(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., World]]:
-    """Builds worlds. What is told of them must be so on both grounds."""
+    """Build worlds: a test that asks for this holds on loopback and in virtual time."""
     ground: Callable[[], Loopback | Virtual] = Virtual
     if request.param == "loopback":
         request.getfixturevalue("running")
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -51,8 +51,9 @@
 def crossing(
     world: World, monkeypatch: pytest.MonkeyPatch, window: float, then: Callable[[], None]
 ) -> list[Attempt]:
-    """The window of `order` ends once its further attempt has been begun, before a byte of it can be
-    written; `then` is called at that instant. The further attempts.
+    """End the window of `order` once its retry has been begun, and return the retries.
+
+    No byte of the retry can be written by then; `then` is called at that instant.
     """
     sidecar = world.sidecar
     classes, exchange, clock = sidecar.serving.balancer.classes, sidecar.exchange, sidecar.clock
--- a/tests/durable/test_record_file.py
+++ b/tests/durable/test_record_file.py
@@ -26,7 +26,7 @@
     """A file beside the plain list of what it has acknowledged."""
 
     @initialize(folder=st.just(None))
-    def begin(self, folder: None) -> None:
+    def begin(self, folder: None) -> None:  # noqa: ARG002 - the base class's signature
         import tempfile
 
         self.path = Path(tempfile.mkdtemp()) / "records"
@@ -72,7 +72,7 @@
     @invariant()
     def size_is_known(self) -> None:
         if hasattr(self, "file"):
-            assert self.file.size_bytes == os.path.getsize(self.path)
+            assert self.file.size_bytes == self.path.stat().st_size
 
 
 TestRecordFile = FileMachine.TestCase
@@ -102,7 +102,7 @@
     file, _ = opened(tmp_path / "records")
     file.append([b"kept"])
 
-    def full(*arguments: object) -> int:
+    def full(*_arguments: object) -> int:
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patch:
--- a/tests/http1/attempts.py
+++ b/tests/http1/attempts.py
@@ -14,8 +14,10 @@
 
 
 def submit(world: World, name: str = "unsafe", dialling: bool = True) -> tuple[Request, list[Answer]]:
-    """Called in the reactor. When it returns, the connect of the first attempt is under way, or its request
-    has been handed to a kept connection and none of it has left.
+    """Submit a request; to be called in the reactor.
+
+    When it returns, the connect of the first attempt is under way, or its request has been handed to an idle
+    connection and none of it has left.
     """
     job = Request("late", name, world.sidecar.clock.now() + 6, LATE)
     answers: list[Answer] = []
@@ -31,12 +33,12 @@
 
 
 def listed(world: World, *items: dict[str, Any], reset: bool = False) -> None:
-    """Called in the reactor: discovery has told this."""
+    """Apply this answer of discovery; to be called in the reactor."""
     world.sidecar.machine_list.apply({"generation": 8, "reset": reset, "instances": list(items)}, None)
 
 
 def reads(peer: Peer) -> tuple[Wire, str]:
-    """The next connection there that carries a request, and its first line; others are closed unused."""
+    """Return the next connection there that carries a request, and its first line; close unused ones."""
     while True:
         wire = peer.accept()
         with suppress(EOFError, ConnectionResetError):
--- a/tests/http1/test_caller_connection.py
+++ b/tests/http1/test_caller_connection.py
@@ -29,7 +29,7 @@
 
 
 def narrow(world: World) -> Wire:
-    """A caller of whose answer the most waits at the sidecar's end until it reads."""
+    """Return a caller most of whose answer waits at the sidecar's end until it reads."""
     if not isinstance(world.ground, Loopback):
         return world.caller()
     sock = socket.socket()
@@ -47,7 +47,7 @@
 
 
 def until(world: World, met: Callable[[], object]) -> None:
-    """The reactor is let go on until something is so there."""
+    """Let the reactor go on until something is so there."""
     limit = monotonic() + FAR
     while not world.run(met):
         assert monotonic() < limit, "it never came"
@@ -444,7 +444,7 @@
     """Nobody takes more of its body, so nothing is read of what it has sent, nor its end behind that."""
     world = make()
     world.sidecar.server.body_memory.limit_bytes = 0
-    world.sidecar.exchange.start_attempt = lambda claim: None  # waits for its connection
+    world.sidecar.exchange.start_attempt = lambda _claim: None  # waits for its connection
     wire = world.ask("order", more="Content-Length: 30000000\r\n")
     while not world.run(lambda: [c for c in world.sidecar.server.connections if c.is_paused]):
         wire.send(b"x" * 10_000)
--- a/tests/http1/test_endpoint_connection.py
+++ b/tests/http1/test_endpoint_connection.py
@@ -75,8 +75,9 @@
 def test_what_comes_on_a_kept_connection_before_the_next_request_has_left_is_not_its_answer(
     make: Make, how: str, code: str, name: str
 ) -> None:
-    """It lies in the system's buffer while the request is handed to the connection, and nothing has left: the
-    request goes out on another connection, as the same attempt.
+    """The request goes out on another connection, as the same attempt.
+
+    The answer lies in the system's buffer while the request is handed to the connection; nothing has left.
     """
     world = make()
     wire = kept(world, world.caller())
--- a/tests/http1/test_endpoint_faults.py
+++ b/tests/http1/test_endpoint_faults.py
@@ -17,7 +17,7 @@
 Make = Callable[..., World]
 
 
-def broken(*told: object, **more: object) -> None:
+def broken(*_told: object, **_more: object) -> None:
     raise ZeroDivisionError
 
 
--- a/tests/http1/test_endpoint_list.py
+++ b/tests/http1/test_endpoint_list.py
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def told(monkeypatch: pytest.MonkeyPatch) -> Callable[..., None]:
-    """Changes settings of the worlds that are made from then on."""
+    """Change settings of the worlds that are made from then on."""
 
     def change(**more: Any) -> None:
         monkeypatch.setattr(worlds, "SETTINGS", {**worlds.SETTINGS, **more})
@@ -104,9 +104,8 @@
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
-def test_a_watch_that_ends_is_laid_anew_and_what_it_missed_is_kept(
-    make: Make, soon: None, ending: str
-) -> None:
+@pytest.mark.usefixtures("soon")
+def test_a_watch_that_ends_is_laid_anew_and_what_it_missed_is_kept(make: Make, ending: str) -> None:
     world = make(2)
     watch = world.discovery.accept()
     assert asked(watch).startswith(HELD)
@@ -206,8 +205,9 @@
 
 
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # the queues of the lab's listeners don't fill
+@pytest.mark.usefixtures("soon")
 def test_a_call_that_hangs_at_the_connect_is_given_up_and_made_again(
-    make: Make, soon: None, monkeypatch: pytest.MonkeyPatch
+    make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A listener whose queue is full. What the old discovery has still to tell counts meanwhile."""
     world = make(2)
@@ -536,8 +536,9 @@
 
 @pytest.mark.parametrize("part", ["on_view", "should_continue"])
 @pytest.mark.parametrize("ending", ["list", "refused", "reset"])
+@pytest.mark.usefixtures("soon")
 def test_what_breaks_at_the_end_of_a_call_leaves_no_sidecar_without_a_watch(
-    make: Make, soon: None, part: str, ending: str
+    make: Make, part: str, ending: str
 ) -> None:
     world = make(2)
     watch = world.discovery.accept()
--- a/tests/http1/test_list_freshness.py
+++ b/tests/http1/test_list_freshness.py
@@ -16,7 +16,7 @@
 
 @pytest.fixture(autouse=True)
 def soon() -> Iterator[None]:
-    """The law of the module in hundredths of its times."""
+    """Divide the durations of the module by a hundred."""
     with pytest.MonkeyPatch.context() as patch:
         for name in (
             "SUSPECT_NODE_SECONDS",
--- a/tests/http1/test_pushed_list.py
+++ b/tests/http1/test_pushed_list.py
@@ -1,5 +1,6 @@
-"""Lists that are pushed: over HTTP they too come on a watch, which has to be opened, and what the agent has
-counts as told at once.
+"""Lists that are pushed: over HTTP they too come on a watch, which has to be opened.
+
+What the agent has counts as notified at once.
 """
 
 from __future__ import annotations
--- a/tests/http1/test_shutdown.py
+++ b/tests/http1/test_shutdown.py
@@ -24,7 +24,7 @@
 
 
 def the(world: World) -> Any:
-    """The one connection of a caller."""
+    """Return the one connection of a caller."""
     while not world.run(lambda: world.sidecar.server.connections):
         world.settle()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
@@ -160,7 +160,7 @@
     connection = the(world)
 
     def evict() -> None:
-        """The request is there, and not read yet."""
+        """Evict the caller whose request is there, and not read yet."""
         if isinstance(world.ground, Loopback):
             wire.send(HEALTH)
         connection.transport.resumeProducing()
--- a/tests/lab/direct/direct_world.py
+++ b/tests/lab/direct/direct_world.py
@@ -109,7 +109,7 @@
         self.calls: list[Call] = []
 
     def call(
-        self, sidecar: str, index: int | None, wait: float, done: Callable[[Answer | None], None]
+        self, _sidecar: str, index: int | None, wait: float, done: Callable[[Answer | None], None]
     ) -> Call:
         self.calls.append(Call(index, wait, done))
         return self.calls[-1]
--- a/tests/lab/direct/test_direct.py
+++ b/tests/lab/direct/test_direct.py
@@ -64,7 +64,7 @@
         (vanished, Outcome.CONNECT_FAILED, 0.25, 0),
         (unheard, Outcome.CONNECT_FAILED, 0.25, 0),
         (unlisted, Outcome.CONNECT_FAILED, 0.0, 0),
-        (lambda world: None, Outcome.TIMED_OUT, 2.0, 1),  # it hangs
+        (lambda _world: None, Outcome.TIMED_OUT, 2.0, 1),  # it hangs
     ],
 )
 def test_each_end_of_a_claim(
@@ -295,7 +295,7 @@
     way = DirectSidecarClient(world.time, world.links, world.book, hosts, {"s": 2})
     way.running = world.way.running
     way.ask("none", "x", 0, 2.0, "", False, lambda *end: world.replies.append(end))
-    asks = [way.ask("s", ident, 0, 2.0, "", False, lambda *end: None) for ident in "abcde"]
+    asks = [way.ask("s", ident, 0, 2.0, "", False, lambda *_end: None) for ident in "abcde"]
     world.time.play(0.1)
     assert [visit.ident for visit in world.machine.visits] == ["a", "b"]
     assert world.replies == [("unreached", 0.0)]
--- a/tests/lab/leases/test_checks.py
+++ b/tests/lab/leases/test_checks.py
@@ -42,7 +42,7 @@
 
 def test_a_day_finds_an_acceptor_that_does_not_abstain(monkeypatch: pytest.MonkeyPatch) -> None:
     """The days see what is planted, too."""
-    monkeypatch.setattr(LeaseTiming, "abstain_seconds", property(lambda self: 0.0))
+    monkeypatch.setattr(LeaseTiming, "abstain_seconds", property(lambda _self: 0.0))
     assert any(days.play(seed).breaches for seed in range(1, 200))
 
 
--- a/tests/lab/live/test_bench.py
+++ b/tests/lab/live/test_bench.py
@@ -29,7 +29,7 @@
     until = time.process_time() + 0.2
     while time.process_time() < until:
         pass
-    with open(os.devnull) as _:
+    with Path(os.devnull).open() as _:
         watch.sample(time.monotonic())
     me = watch.watched["me"]
     before, after = me.looks
--- a/tests/lab/live/test_cold_start.py
+++ b/tests/lab/live/test_cold_start.py
@@ -47,7 +47,7 @@
 
 @pytest.fixture(scope="module")
 def days(tmp_path_factory: pytest.TempPathFactory) -> dict[str, tuple[LiveOutcome, str]]:
-    """What came of each day, and what the command said."""
+    """Play each day; return its outcome, and what the command printed."""
     folder = tmp_path_factory.mktemp("days")
 
     def play(name: str) -> tuple[LiveOutcome, str]:
--- a/tests/lab/live/test_links.py
+++ b/tests/lab/live/test_links.py
@@ -37,7 +37,7 @@
         return socket.create_connection(self.wires.address("a>b"), patience)
 
     def both(self) -> tuple[socket.socket, socket.socket]:
-        """A connection's two ends."""
+        """Return the two ends of a connection."""
         near = self.dial()
         far, _ = self.listener.accept()
         far.settimeout(FAR)
@@ -46,7 +46,7 @@
         return near, far
 
     def settle(self) -> None:
-        """What was told to the relay is done: it answers in order."""
+        """Wait until the relay has carried out its commands: it answers in order."""
         self.wires.stats()
 
     def end(self) -> None:
--- a/tests/lab/live/test_load.py
+++ b/tests/lab/live/test_load.py
@@ -27,7 +27,7 @@
 
 @contextmanager
 def serving(script: Script) -> Iterator[int]:
-    """A server whose every connection is a thread; its port."""
+    """Run a server with a thread for each connection; yield its port."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=100)
 
     def carry(wire: Wire) -> None:
@@ -87,7 +87,7 @@
 
 
 def test_a_generator_that_was_late_itself_calls_its_figures_invalid(generator: Process) -> None:
-    def script(wire: Wire, ident: str) -> bool:
+    def script(wire: Wire, _ident: str) -> bool:
         wire.answer()
         return True
 
@@ -140,7 +140,7 @@
 def test_what_is_never_answered_is_given_up_at_its_deadline(generator: Process) -> None:
     over = threading.Event()
 
-    def script(wire: Wire, ident: str) -> bool:
+    def script(_wire: Wire, _ident: str) -> bool:
         over.wait(20.0)
         return False
 
--- a/tests/lab/live/test_play.py
+++ b/tests/lab/live/test_play.py
@@ -161,7 +161,7 @@
 
 
 def sidecars(tmp_path: Path) -> list[int]:
-    """Processes that were started with a file in that folder, but for the play itself."""
+    """Return the processes that were started with a file in that folder, but for the play itself."""
     found = []
     for entry in Path("/proc").iterdir():
         try:
--- a/tests/lab/live/test_singleton_roles.py
+++ b/tests/lab/live/test_singleton_roles.py
@@ -246,7 +246,7 @@
     ]
 
     def again() -> bool:
-        """A voter that has not seen a term in force by both refuses, and is told again."""
+        """Retire the voter again: one that has not seen a term in force by both refuses."""
         reload(voters=told)
         return goes_by(3)()
 
--- a/tests/lab/live/test_view_cases.py
+++ b/tests/lab/live/test_view_cases.py
@@ -19,7 +19,7 @@
         )
         for name, lines in events.items()
     }
-    return SimpleNamespace(members=members, wait_until=lambda what, why, patience: what())
+    return SimpleNamespace(members=members, wait_until=lambda what, _why, _patience: what())
 
 
 def test_views_are_alike_while_all_stand_in_the_same() -> None:
--- a/tests/lab/models/machine_world.py
+++ b/tests/lab/models/machine_world.py
@@ -69,7 +69,7 @@
     def send(
         self, name: str, work: float, *, index: int = 0, key: str = "", left: float = 6.0, ident: str = ""
     ) -> Visit:
-        """A request arrives now. `ident`: of a request whose attempt this is, too."""
+        """Let a request arrive now. `ident`: of a request whose attempt this is, too."""
         if not ident:
             ident = self.origins.new(Origin(0, index, work, key))
             self.names[ident] = name
--- a/tests/lab/models/test_clients.py
+++ b/tests/lab/models/test_clients.py
@@ -47,7 +47,7 @@
         self.left = 0
 
     def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
+        self, sidecar: str, ident: str, _index: int, left: float, _key: str, repeat: bool, done: Done
     ) -> Asked:
         self.asks.append((self.time.now() - 1000, sidecar, ident, left, repeat))
         asked = Asked(self, done)
--- a/tests/lab/models/test_cpu.py
+++ b/tests/lab/models/test_cpu.py
@@ -28,7 +28,7 @@
 def left_by_steps(
     deeds: Deeds, cores: int, speed: float, warming: Warming | None, start: float
 ) -> list[list[float]]:
-    """What is left of each request at the end of each step."""
+    """Return what is left of each request at the end of each step."""
     left: list[float] = []
     factor, history = 1.0, []
     for step in range(STEPS):
--- a/tests/lab/models/test_discovery.py
+++ b/tests/lab/models/test_discovery.py
@@ -44,7 +44,7 @@
         self.answers.append((round(self.time.now(), 6), sidecar, answer))
 
     def get(self, index: int | None = None, within: float = 1.0) -> dict[str, str] | None:
-        """A call's answer as states by name."""
+        """Return a call's answer as states by name."""
         self.call("get", index)
         self.run(within)
         return states(self.answers.pop()[2])
--- a/tests/lab/models/test_machine.py
+++ b/tests/lab/models/test_machine.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.calls: list[tuple[float, Callable[[bool], None]]] = []
 
-    def __call__(self, visit: Visit, left: float, done: Callable[[bool], None]) -> None:
+    def __call__(self, _visit: Visit, left: float, done: Callable[[bool], None]) -> None:
         self.calls.append((left, done))
 
     def end(self, served: bool = True) -> None:
@@ -39,7 +39,7 @@
     world = World(cores=1, slots=1, queue=1)
     for name in "abc":
         world.send(name, 1.0)
-    stranger = Visit("unknown", "s1", 0.0, 0.0, lambda verdict, stamp: world.ended.append((0, "x", verdict)))
+    stranger = Visit("unknown", "s1", 0.0, 0.0, lambda verdict, _stamp: world.ended.append((0, "x", verdict)))
     world.machine.visit(stranger)
     assert world.run(0.0) == [(0, "c", AWAY), (0, "x", AWAY)]
     assert (world.machine.in_work, world.machine.waiting) == (1, 1)
@@ -86,7 +86,7 @@
 def test_calls_and_the_noise_of_attempts_have_their_means() -> None:
     made: list[float] = []
 
-    def below(visit: Visit, left: float, done: Callable[[bool], None]) -> None:
+    def below(_visit: Visit, left: float, done: Callable[[bool], None]) -> None:
         made.append(left)
         done(True)
 
@@ -396,7 +396,7 @@
 def test_whatever_happens_each_visit_ends_once_and_all_work_is_told(seed: int) -> None:
     random = Random(seed)
 
-    def below(visit: Visit, left: float, done: Callable[[bool], None]) -> None:
+    def below(_visit: Visit, _left: float, done: Callable[[bool], None]) -> None:
         at(world.time.now() + 0.05, done, random.random() < 0.95)
 
     def arrives(name: str) -> None:
--- a/tests/lab/net/environments.py
+++ b/tests/lab/net/environments.py
@@ -62,7 +62,7 @@
         while not met():
             assert self.time.step(limit), "it never came"
 
-    def settle(self, log: list[Any], passes: int = 0) -> None:
+    def settle(self, _log: list[Any], _passes: int = 0) -> None:
         self.time.run(self.time.now() + 1.0)
 
 
@@ -83,15 +83,15 @@
     def note(self, *what: object) -> None:
         self.log.append((self.name, *what))
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         self.note("made")
         self.transport.setTcpNoDelay(True)  # else real sockets hold small writes back for a while
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         self.got += data
         self.note("data after the end" if self.over else "data", data)
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
         self.note("lost again" if self.over else "lost", type(reason.value).__name__)
         self.over = True
         self.transport.write(b"too late")
@@ -99,10 +99,10 @@
 
 @implementer(interfaces.IHalfCloseableProtocol)
 class HalfEnd(End):
-    def readConnectionLost(self) -> None:
+    def readConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
         self.note("read side over")
 
-    def writeConnectionLost(self) -> None:
+    def writeConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
         self.note("write side over")
 
 
@@ -117,21 +117,21 @@
         self.build = build
         self.ends: list[Any] = []
 
-    def buildProtocol(self, addr: Any) -> Any:
+    def buildProtocol(self, addr: Any) -> Any:  # noqa: ARG002, N802 - Twisted's signature
         end = self.build(self.name, self.log)
         if end is not None:
             self.ends.append(end)
         return end
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802 - Twisted's name
         self.log.append((self.name, "failed", type(reason.value).__name__, connector.state))
 
-    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:  # noqa: N802 - Twisted's name
         self.log.append((self.name, "connector", type(reason.value).__name__, connector.state))
 
 
 def told(log: list[Any], name: str) -> list[Any]:
-    """What one end was told, its bytes in a row as one."""
+    """Return the events that one end saw, consecutive bytes as one."""
     found: list[Any] = []
     for who, *what in log:
         if who == name:
@@ -175,7 +175,7 @@
         self.ground.settle(self.log)
 
     def told(self) -> tuple[list[Any], list[Any]]:
-        """What both ends were told. They are closed now."""
+        """Close both ends and return the events that they saw."""
 
         def close() -> None:
             self.port.stopListening()
--- a/tests/lab/net/test_environments.py
+++ b/tests/lab/net/test_environments.py
@@ -19,7 +19,7 @@
         self.end = end
         self.pieces = pieces
 
-    def resumeProducing(self) -> None:
+    def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
         self.end.note("pulled", self.pieces)
         if self.pieces:
             self.pieces -= 1
@@ -27,7 +27,7 @@
         else:
             self.end.transport.unregisterProducer()
 
-    def stopProducing(self) -> None:
+    def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
         self.end.note("stopped producing")
 
 
@@ -35,14 +35,14 @@
     def __init__(self, end: End) -> None:
         self.end = end
 
-    def pauseProducing(self) -> None:
+    def pauseProducing(self) -> None:  # noqa: N802 - Twisted's name
         self.end.note("pause")
 
-    def resumeProducing(self) -> None:
+    def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
         self.end.note("resume")
         self.end.transport.unregisterProducer()
 
-    def stopProducing(self) -> None:
+    def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
         self.end.note("stopped producing")
 
 
@@ -84,7 +84,8 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_random_scripts_end_alike_on_both(running: None, seed: int) -> None:
+@pytest.mark.usefixtures("running")
+def test_random_scripts_end_alike_on_both(seed: int) -> None:
     random = Random(seed)
     for _ in range(8):
         kinds = (random.choice((End, HalfEnd)), random.choice((End, HalfEnd)))
@@ -98,7 +99,8 @@
 
 
 @GROUNDS
-def test_what_was_written_before_an_abort_is_read_and_then_the_reset(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_what_was_written_before_an_abort_is_read_and_then_the_reset(ground: Make) -> None:
     script = [("server", "pause"), ("client", "much"), ("client", "abort"), ("server", "resume")]
     client, server = play(ground(), script, (End, End))
     assert client == [
@@ -110,7 +112,8 @@
 
 
 @GROUNDS
-def test_closing_over_unread_bytes_is_a_reset(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_closing_over_unread_bytes_is_a_reset(ground: Make) -> None:
     script = [
         ("client", "pause"),
         ("server", "pause"),
@@ -122,7 +125,8 @@
 
 
 @GROUNDS
-def test_half_closed_each_way_it_is_over_for_both(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_half_closed_each_way_it_is_over_for_both(ground: Make) -> None:
     script = [("client", "write+half"), ("server", "write"), ("server", "half"), ("client", "close")]
     client, server = play(ground(), script, (HalfEnd, HalfEnd))
     assert client[:4] == [["made"], ["write side over"], ["data", b"abc"], ["read side over"]]
@@ -131,9 +135,8 @@
 
 
 @GROUNDS
-def test_a_pull_producer_is_asked_once_more_each_time_that_the_kernel_has_taken_all(
-    running: None, ground: Make
-) -> None:
+@pytest.mark.usefixtures("running")
+def test_a_pull_producer_is_asked_once_more_each_time_that_the_kernel_has_taken_all(ground: Make) -> None:
     pair = Pair(ground())
     pair.do(lambda: pair.server.transport.registerProducer(Pull(pair.server, 3), False))
     client, server = pair.told()
@@ -142,13 +145,14 @@
 
 
 @GROUNDS
-def test_a_pull_producer_waits_while_its_peer_reads_nothing(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_a_pull_producer_waits_while_its_peer_reads_nothing(ground: Make) -> None:
     pair = Pair(ground())
     body = b"x" * 8_000_000
     client, server = pair.client, pair.server
 
     class Large(Pull):
-        def resumeProducing(self) -> None:
+        def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
             self.end.note("pulled")
             if self.pieces:
                 self.pieces = 0
@@ -166,7 +170,8 @@
 
 
 @GROUNDS
-def test_connects_that_fail_tell_why_and_may_be_begun_again(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_connects_that_fail_tell_why_and_may_be_begun_again(ground: Make) -> None:
     pair = Pair(ground())
     pair.do(pair.port.stopListening)
     connector = pair.connect()
@@ -185,7 +190,8 @@
 
 
 @GROUNDS
-def test_who_waits_at_a_door_that_closes_is_reset(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_who_waits_at_a_door_that_closes_is_reset(ground: Make) -> None:
     pair = Pair(ground())
     pair.do(pair.port.stopReading)
     pair.connect()
@@ -203,7 +209,8 @@
 
 
 @GROUNDS
-def test_what_comes_before_the_door_opens_is_there_when_it_does(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_what_comes_before_the_door_opens_is_there_when_it_does(ground: Make) -> None:
     pair = Pair(ground())
     pair.do(pair.port.stopReading)
     pair.connect()
@@ -220,9 +227,10 @@
 
 
 @GROUNDS
-def test_a_fault_in_a_protocol_ends_its_connection_and_no_more(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_a_fault_in_a_protocol_ends_its_connection_and_no_more(ground: Make) -> None:
     class Broken(End):
-        def dataReceived(self, data: bytes) -> None:
+        def dataReceived(self, data: bytes) -> None:  # noqa: ARG002, N802 - Twisted's signature
             raise ZeroDivisionError
 
     client, server = play(ground(), [("client", "write")], (End, Broken))
@@ -231,9 +239,10 @@
 
 
 @GROUNDS
-def test_a_factory_that_builds_nothing_turns_the_caller_away(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_a_factory_that_builds_nothing_turns_the_caller_away(ground: Make) -> None:
     pair = Pair(ground())
-    pair.servers.build = lambda name, log: None
+    pair.servers.build = lambda _name, _log: None
     pair.connect()
     pair.ground.until(lambda: len(pair.clients.ends) == 2 and pair.clients.ends[1].over)
     assert pair.log[-2] == ("client", "lost", "ConnectionDone")
@@ -241,11 +250,10 @@
 
 
 @GROUNDS
-def test_what_was_written_for_a_later_turn_is_not_sent_by_one_that_aborts_first(
-    running: None, ground: Make
-) -> None:
+@pytest.mark.usefixtures("running")
+def test_what_was_written_for_a_later_turn_is_not_sent_by_one_that_aborts_first(ground: Make) -> None:
     class Hasty(End):
-        def dataReceived(self, data: bytes) -> None:
+        def dataReceived(self, data: bytes) -> None:  # noqa: ARG002, N802 - Twisted's signature
             self.transport.write(b"a reply")
             self.transport.reactor.callLater(0, self.transport.abortConnection)
 
@@ -254,7 +262,8 @@
 
 
 @GROUNDS
-def test_addresses_are_those_of_both_ends(running: None, ground: Make) -> None:
+@pytest.mark.usefixtures("running")
+def test_addresses_are_those_of_both_ends(ground: Make) -> None:
     pair = Pair(ground())
     client, server = pair.client.transport, pair.server.transport
     assert client.getPeer() == server.getHost() == pair.address
--- a/tests/lab/net/test_faults.py
+++ b/tests/lab/net/test_faults.py
@@ -33,7 +33,7 @@
         self.time.run(self.time.now() + seconds)
 
     def news(self) -> list[Any]:
-        """What was told since the last look."""
+        """Return the events since the last call."""
         news, self.log[:] = list(self.log), []
         return news
 
@@ -112,7 +112,7 @@
     def free_places(self) -> int:
         return 3 - len(self.ends)
 
-    def buildProtocol(self, addr: Any) -> Any:
+    def buildProtocol(self, addr: Any) -> Any:  # noqa: N802 - Twisted's name
         if self.free_places == 1:
             self.door.stopReading()
         return super().buildProtocol(addr)
@@ -388,7 +388,7 @@
 
 
 def day(ties: bool) -> str:
-    """A day of many programs and faults, all that is told in it as one hash."""
+    """Play a day of many programs and faults; return a hash of all events in it."""
     ground = Virtual(7, ties, window=3000, segment=500, jitter=0.5)
     random = Random(3)
     log: list[Any] = []
--- a/tests/lab/net/test_time.py
+++ b/tests/lab/net/test_time.py
@@ -164,7 +164,7 @@
 
 def test_nothing_more_is_read_once_the_first_of_two_readers_has_killed_their_process() -> None:
     class Killer(End):
-        def dataReceived(self, data: bytes) -> None:
+        def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
             super().dataReceived(data)
             ground.there.kill()
 
--- a/tests/lab/rules/ledger_driver.py
+++ b/tests/lab/rules/ledger_driver.py
@@ -75,7 +75,7 @@
         self.book.answered("lb", ident, kind, stamp, 0.0, **more)
 
     def send(self, node: str = "front0", ident: str = "r", sent: float | None = None) -> None:
-        """An attempt arrives now; `sent`: as a time since the start, else now."""
+        """Let an attempt arrive now; `sent`: as a time since the start, else now."""
         at = self.time if sent is None else START + sent
         self.book.sending("lb", node, at)
         self.book.arrived("lb", node, ident, at)
@@ -93,5 +93,5 @@
         return self.book.finish(1.0, {"lb": left})
 
     def broken(self, **left: int) -> set[str]:
-        """The rules that were broken by the end of the day."""
+        """Return the rules that were broken by the end of the day."""
         return {breach.rule for breach in self.finish(**left).breaches}
--- a/tests/lab/rules/random_histories.py
+++ b/tests/lab/rules/random_histories.py
@@ -25,7 +25,7 @@
 OFF: tuple[NodeState, ...] = ("draining", "gone")
 
 
-class Killed(Exception):
+class KilledError(Exception):
     pass
 
 
@@ -73,7 +73,7 @@
         self.book.sidecar_down("lb", True)
         for ident in list(self.open):
             with suppress(StopIteration):
-                self.all[ident].throw(Killed)
+                self.all[ident].throw(KilledError)
             if not self.book.requests[ident].over:
                 self.book.lost("lb", ident, "reset")
         self.off.clear()
@@ -81,7 +81,7 @@
         self.book.sidecar_up("lb")
 
     def life(self) -> Acts:
-        """A node drains, ends and starts anew, cold, again and again."""
+        """Drain, stop and restart a node, cold, again and again."""
         random, book, started = self.random, self.book, 0.0
         for _ in range(3):
             for state in OFF:
@@ -110,7 +110,7 @@
         index = self.random.randrange(3)
         desk.take(ident, index, desk.time - START + 15)
         self.open[ident] = None
-        with suppress(Killed):
+        with suppress(KilledError):
             yield from self.asked(ident, index, out)
         while out:
             book.ended(out.pop(0), ident)
--- a/tests/lab/rules/test_rules.py
+++ b/tests/lab/rules/test_rules.py
@@ -16,7 +16,7 @@
 
 
 def breaks(rule: str, **more: Any) -> Callable[[Story], Story]:
-    """A story that breaks this rule, and no other, if it is told so; else none. `more`: of its plan."""
+    """Mark a story that breaks this rule, and no other, when asked to; else none. `more`: of its plan."""
 
     def keep(story: Story) -> Story:
         STORIES.append((rule, story, more))
@@ -267,7 +267,7 @@
 
 
 def counts_as_told(name: str, due: float, *tales: tuple[float, str, Any]) -> None:
-    """The news of a node's end counts as told so that nothing may be sent from an instant on."""
+    """Check that after these updates a node counts as ended, and nothing may be sent to it, from `due` on."""
 
     def story(desk: Desk, wrong: bool) -> None:
         for at, what, value in tales:
--- a/tests/lab/scenario/scenario_text.py
+++ b/tests/lab/scenario/scenario_text.py
@@ -46,8 +46,8 @@
 """
 
 
-def _down(plan: Plan, event: EventPlan) -> float:
-    """When a node that this takes down is up again."""
+def _down(event: EventPlan) -> float:
+    """Return when a node that this takes down is up again."""
     if event.kind not in ("drain", "kill", "vanish") or event.replaced_by:
         return inf
     leaving = event.extra if event.kind == "drain" else 0.0
@@ -55,7 +55,7 @@
 
 
 def unsound(plan: Plan) -> list[str]:
-    """What no plan may have, whatever the seed."""
+    """Return the faults of a plan: what none may have, whatever the seed."""
     bad: list[str] = []
     nodes = {node.name: node for node in plan.nodes}
     fronts = {one.name: one for one in plan.sidecars}
@@ -87,7 +87,7 @@
             elif up[name] > event.at:
                 bad.append(f"{event.kind} of {name} at {event.at}, which does not run")
             elif event.kind in ("drain", "kill", "vanish"):
-                up[name] = _down(plan, event)
+                up[name] = _down(event)
                 held[nodes[name].host] = event.at + event.extra
         if event.replaced_by:
             new = nodes[event.replaced_by]
--- a/tests/lab/scenario/test_draw.py
+++ b/tests/lab/scenario/test_draw.py
@@ -47,7 +47,7 @@
 
 
 def ranges(value: Any, path: str = "") -> Iterator[tuple[str, list[Any]]]:
-    """The keys of the base that are drawn, with what they are drawn from."""
+    """Yield the keys of the base that are drawn, with the ranges that they are drawn from."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from ranges(inner, f"{path}.{key}" if path else key)
@@ -69,7 +69,7 @@
 
 
 def leaves_with(path: str, value: object) -> dict[str, object]:
-    """The leaves of a day of the base with one key set, on which only a few figures hang together."""
+    """Return the leaves of a day of the base with one key set, on which only a few figures depend."""
     raw: dict[str, Any] = {"title": "t", "what": "w", "extends": "base"}
     raw |= {"traffic": {"rate": 100, "shape": "bursty"}, "discovery": {"lines_per_s": 300}}
     inner = raw
--- a/tests/lab/scenario/test_load.py
+++ b/tests/lab/scenario/test_load.py
@@ -24,7 +24,7 @@
 
 
 def good(*events: dict[str, Any]) -> dict[str, Any]:
-    """The good text's values, each table in them."""
+    """Return the values of the valid text, with each table in them."""
     raw = tomllib.loads(GOOD)
     raw["tier"][0]["choke"] = dict(CHOKE)
     raw["event"] = copy.deepcopy(list(events)) or [dict(SLOW)]
@@ -53,8 +53,8 @@
         yield from tables(kind.item_type, f"{path}.{name}", raw)
 
 
-def spoilt(path: str, field: inspect.Field) -> Iterator[object]:
-    """Values that a key may not have. `...` stands for none at all."""
+def spoilt(field: inspect.Field) -> Iterator[object]:
+    """Yield values that a key may not have. `...` stands for none at all."""
     if field.required:
         yield ...
     kinds = field.type.types if isinstance(field.type, inspect.UnionType) else (field.type,)
@@ -84,7 +84,7 @@
     bad: list[tuple[str, object]] = [(f"{prefix}zzz", value) for value in (1, {"a": 1})]
     for field in table.fields:
         path = prefix + field.encode_name
-        bad += [(path, value) for value in spoilt(path, field)]
+        bad += [(path, value) for value in spoilt(field)]
     wrong = []
     for path, value in bad:
         raw = good()
--- a/tests/lab/scenario/test_operators_page.py
+++ b/tests/lab/scenario/test_operators_page.py
@@ -28,7 +28,7 @@
 
 
 def rows(heading: str, first: str = "key") -> Iterator[list[str]]:
-    """The cells of the table under a heading whose first column is called so."""
+    """Yield the rows of the table under a heading whose first column has this name."""
     part = PAGE.split(f"\n### {heading}\n")[1].split("\n### ")[0]
     table = part.split(f"\n| {first} |")[1].split("\n\n")[0]
     for line in table.split("\n")[2:]:
--- a/tests/lab/study/fake_runner.py
+++ b/tests/lab/study/fake_runner.py
@@ -29,12 +29,14 @@
 
 
 def play(job: Job) -> Outcome:
-    """Settings: `gain` is added to g, `noise` is what sides of a pair do not share; `die`, `hang`, `raise`,
+    """Return an outcome by a formula from the seed and the settings.
+
+    Settings: `gain` is added to g, `noise` is what sides of a pair do not share; `die`, `hang`, `raise`,
     `broken` and `odd` name the one seed that does it; `log` is a file that each run adds its seed to.
     """
     sets = {name: value_of(value) for name, value in job.settings.sets}
     if "log" in sets:
-        with open(str(sets["log"]), "a") as file:
+        with Path(str(sets["log"])).open("a") as file:
             file.write(f"{job.seed}\n")
     if sets.get("die") == job.seed:
         os._exit(7)
--- a/tests/lab/study/test_commands.py
+++ b/tests/lab/study/test_commands.py
@@ -62,7 +62,7 @@
     ],
 )
 def test_what_can_not_be_meant_is_one_line(
-    words: list[str], why: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+    words: list[str], why: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     args = commands.build_parser().parse_args(["lab", "sweep", "calm", *words])
     assert commands.run(args) == 2
--- a/tests/lab/wire/http_peers.py
+++ b/tests/lab/wire/http_peers.py
@@ -109,22 +109,22 @@
         self.data = b""
         self.why: Any = None
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         if not self.reads:
             self.transport.pauseProducing()
         if self.first:
             self.transport.write(self.first)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         self.data += data
         self.got(self)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - Twisted's name
         self.why = reason.type
 
 
 def says(data: bytes, then: str = "") -> Callable[[Scripted], None]:
-    """Writes that, and may end the connection by a call of its transport."""
+    """Return a step that writes these bytes, and may end the connection by a call of its transport."""
 
     def got(line: Scripted) -> None:
         line.transport.write(data)
@@ -152,7 +152,7 @@
         self.origins = Origins(Random(2))
         self.machine = Machine(book, cap)
         full = partial(self.net.full, "127.0.0.3", 80)
-        rest = (self.time, Random(3), self.origins, FORMS, book, "at {}".format, lambda host: 0.002, full)
+        rest = (self.time, Random(3), self.origins, FORMS, book, "at {}".format, lambda _host: 0.002, full)
         self.peer = NodeServer(self.machine, TIER, *rest)
         self.node.listenTCP(80, self.peer)
         plan = DiscoveryPlan(period=0.5, spread=0.0, lines_per_s=1000.0, call_lines=9.0)
@@ -168,11 +168,13 @@
         self.book.clear()
 
     def serve(self, *steps: Callable[[Scripted], None], reads: bool = True) -> None:
-        """The sidecar is a script: what it does when something has come on its first, second, ... connection,
-        and on all further ones.
+        """Let a script stand in for the sidecar.
+
+        The steps are taken when something has come on its first, second, ... connection; the last one on all
+        further connections.
         """
 
-        def build(addr: object) -> Scripted:
+        def build(_addr: object) -> Scripted:
             self.lines.append(Scripted(steps[min(len(self.lines), len(steps) - 1)]))
             self.lines[-1].reads = reads
             return self.lines[-1]
@@ -189,9 +191,9 @@
         return FORMS.encode(index, self.origins.new(Origin(1, index, 0.1, key)), 480, key, False)
 
     def dial(self, data: bytes = b"", port: int = 80, run: float = 1.0) -> Scripted:
-        """A scripted connection of the sidecar to the node, or to discovery, that writes this first."""
-        line = Scripted(lambda line: None, data)
-        self.sidecar.connectTCP("127.0.0.3", port, factory(ClientFactory(), lambda addr: line), timeout=None)
+        """Dial the node, or discovery, on a scripted connection of the sidecar that writes this first."""
+        line = Scripted(lambda _line: None, data)
+        self.sidecar.connectTCP("127.0.0.3", port, factory(ClientFactory(), lambda _addr: line), timeout=None)
         self.run(run)
         return line
 
@@ -202,7 +204,7 @@
 
 @pytest.fixture
 def no_errors() -> Iterator[None]:
-    """What a callback raises ends in Twisted's log, where nobody would see it."""
+    """Fail on what a callback raises: it ends in Twisted's log, where nobody would see it."""
     errors: list[Any] = []
 
     def observe(event: Any) -> None:
--- a/tests/lab/wire/test_http_peers.py
+++ b/tests/lab/wire/test_http_peers.py
@@ -311,7 +311,7 @@
 
 
 def listed(line: Scripted) -> Any:
-    """The newest answer's object."""
+    """Return the object of the newest answer."""
     return msgspec.json.decode(line.data.rpartition(b"\r\n\r\n")[2])
 
 
@@ -365,11 +365,12 @@
 # The same on a real reactor
 
 
-def test_callers_nodes_and_discovery_meet_on_loopback(running: None) -> None:
+@pytest.mark.usefixtures("running")
+def test_callers_nodes_and_discovery_meet_on_loopback() -> None:
     timers, origins = Clock(reactor), Origins(Random(5))
     log = Book(timers)
     book: Any = log
-    rest = (timers, Random(6), origins, FORMS, book, "at {}".format, lambda host: 0.0)
+    rest = (timers, Random(6), origins, FORMS, book, "at {}".format, lambda _host: 0.0)
     over: Deferred[Any] = Deferred()
     ports: list[Any] = []
     ends: list[str] = []
@@ -382,7 +383,7 @@
         index = len(origins.by_id) % 2
         key = KEY if index else ""
         ident = origins.new(Origin(1, index, 0.1, key))
-        caller.ask("s", ident, index, 30.0, key, False, lambda kind, wait: done(caller, kind))
+        caller.ask("s", ident, index, 30.0, key, False, lambda kind, _wait: done(caller, kind))
 
     def done(caller: SidecarClient, kind: str) -> None:
         ends.append(kind)
@@ -392,14 +393,14 @@
             caller.close()
             line = Scripted(lambda line: over.callback(line.data), get("/v1/servers"))
             port = ports[1].getHost().port
-            reactor.connectTCP("127.0.0.1", port, factory(ClientFactory(), lambda addr: line))
+            reactor.connectTCP("127.0.0.1", port, factory(ClientFactory(), lambda _addr: line))
 
     def play() -> Deferred[Any]:
         listen(NodeServer(Machine(book, 100), TIER, *rest))
         registry = Registry(DiscoveryPlan(lines_per_s=1e6), timers, timers.unix, Random(7), book)
         DiscoveryServer(registry, book, "at {}".format, listen)
         where = ("127.0.0.1", ports[0].getHost().port)
-        caller = SidecarClient(reactor, timers, book, FORMS, lambda sidecar: where, host="127.0.0.9")
+        caller = SidecarClient(reactor, timers, book, FORMS, lambda _sidecar: where, host="127.0.0.9")
         for _ in range(20):
             ask(caller)
         return over.addCallback(closed)
--- a/tests/lab/world/test_fault_effects.py
+++ b/tests/lab/world/test_fault_effects.py
@@ -72,7 +72,7 @@
 def test_what_callbacks_raise_is_seen_whoever_raised_it(monkeypatch: pytest.MonkeyPatch) -> None:
     """A sidecar's is a breach, a model's ends the day."""
 
-    def trip(*args: object) -> None:
+    def trip(*_args: object) -> None:
         raise ZeroDivisionError("tripped")
 
     with monkeypatch.context() as patched:
--- a/tests/lab/world/test_world.py
+++ b/tests/lab/world/test_world.py
@@ -94,7 +94,7 @@
         assert shuffled.breaches == []
 
 
-def test_a_trace_may_be_cut_down_to_one_request_and_its_kin(tmp_path: object) -> None:
+def test_a_trace_may_be_cut_down_to_one_request_and_its_kin() -> None:
     import io
 
     whole, cut = io.StringIO(), io.StringIO()
--- a/tests/lifecycle/test_deciders.py
+++ b/tests/lifecycle/test_deciders.py
@@ -128,14 +128,14 @@
 
 def test_only_who_holds_its_lock_counts_as_alive(tmp_path: Path) -> None:
     one, two = HandoverFolder(str(tmp_path), "n", 1), HandoverFolder(str(tmp_path), "n", 2)
-    assert one.state_limit(lambda newest, others: 9 if newest else 0) == (9, [])
+    assert one.state_limit(lambda newest, _others: 9 if newest else 0) == (9, [])
     assert not two.is_alone()
     stated, others = two.state_limit(lambda newest, others: others[0] if newest else 0)
     assert (stated, [other.started_ns for other in others]) == (9, [1])
-    assert one.state_limit(lambda newest, others: int(newest))[0] == 0  # the older one now
+    assert one.state_limit(lambda newest, _others: int(newest))[0] == 0  # the older one now
     os.close(two._own)  # killed: its file stays, its lock does not
     assert two.own_file.exists()
-    assert one.state_limit(lambda newest, others: len(others)) == (0, [])
+    assert one.state_limit(lambda _newest, others: len(others)) == (0, [])
     assert not two.own_file.exists() and one.is_alone()
     one.leave()
     assert not one.own_file.exists()
@@ -146,5 +146,5 @@
     assert folder.change(lambda o: OperatorOrders(o.offline | {"a"}), OperatorOrders()) == OperatorOrders(
         frozenset("a")
     )
-    assert folder.state_limit(lambda newest, others: 7) == (7, [])
+    assert folder.state_limit(lambda _newest, _others: 7) == (7, [])
     assert folder.is_alone() and folder.changed_orders() is None
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_leaving.py
@@ -39,7 +39,7 @@
 def planned(
     history: list[tuple[str, float, float]], copies: int = 1, idle: int = 0
 ) -> tuple[ShutdownSchedule, float]:
-    """A departure after these services: class, time since the one before, latency. And its SIGTERM."""
+    """Return a shutdown schedule after services (class, time since the last, latency), and its SIGTERM."""
     usual, now = LatencyHistory(), 100.0
     for name, later, latency in history:
         now += later
--- a/tests/lifecycle/test_list_request_schedule.py
+++ b/tests/lifecycle/test_list_request_schedule.py
@@ -18,8 +18,9 @@
 
 
 class Fleet:
-    """So many sidecars, started at once with no list, before a service of `rate` calls a second, in virtual
-    time. It opens at `opens`.
+    """So many sidecars, started at once with no list, before a service of `rate` calls a second.
+
+    Time is virtual; the service opens at `opens`.
     """
 
     def __init__(self, copies: int, rate: float, seed: int, opens: float = 0.0) -> None:
@@ -65,7 +66,7 @@
         self.wait(n)
 
     def most(self, since: float, span: float = 1.0) -> int:
-        """Calls in the busiest span from then on."""
+        """Return the number of calls in the busiest span from then on."""
         after = [at for at in self.calls if at >= since]
         return max([sum(at <= other < at + span for other in after) for at in after], default=0)
 
--- a/tests/lifecycle/test_stored_files.py
+++ b/tests/lifecycle/test_stored_files.py
@@ -46,4 +46,4 @@
 
 def test_what_a_process_of_the_previous_version_has_left_counts_no_more(tmp_path: Path) -> None:
     folder = opened(tmp_path)
-    assert folder.state_limit(lambda newest, ceilings: 1024 - sum(ceilings)) == (1024, [])
+    assert folder.state_limit(lambda _newest, ceilings: 1024 - sum(ceilings)) == (1024, [])
--- a/tests/ops/test_audit.py
+++ b/tests/ops/test_audit.py
@@ -33,7 +33,7 @@
     for _ in range(2):
         with begin(tmp_path, f"audit.file = {copy}\n", subprocess.PIPE) as process:
             until(process, "listening")
-            with open(tmp_path / "o", "a", encoding="utf-8") as file:
+            with (tmp_path / "o").open("a", encoding="utf-8") as file:
                 file.write(f"drill.key = {KEY}\ndrill.plan = no\n")
             process.send_signal(signal.SIGHUP)
             until(process, "reloaded")
@@ -69,7 +69,7 @@
         caller.send(b"GET /healthz HTTP/1.1\r\n\r\n")
         assert caller.read()[0] == "HTTP/1.1 200 OK"
         caller.close()
-        with open(reader, "rb") as stderr:
+        with os.fdopen(reader, "rb") as stderr:
             stderr.read(filled)
             process.send_signal(signal.SIGTERM)
             rest = stderr.read()
@@ -88,7 +88,7 @@
         self.takes = list(takes)
         self.got = b""
 
-    def write(self, number: int, data: bytes) -> int:
+    def write(self, number: int, data: bytes) -> int:  # noqa: ARG002 - the replaced function's signature
         taken = self.takes.pop(0) if self.takes else len(data)
         if taken < 0:
             raise BlockingIOError
@@ -188,7 +188,7 @@
 
 def test_what_waits_is_bounded_and_what_is_lost_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[str] = []
-    monkeypatch.setattr(log, "line", lambda event, **values: said.append(event))
+    monkeypatch.setattr(log, "line", lambda event, **_values: said.append(event))
     monkeypatch.setattr(audit, "os", Error(*[-1] * 9999))
     kept = audit.Audit("n3", Clock(Reactor()), "")
     for _ in range(audit.MAX_UNWRITTEN_LINES + 2):
@@ -202,7 +202,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     said: list[str] = []
-    monkeypatch.setattr(log, "line", lambda event, **values: said.append(event))
+    monkeypatch.setattr(log, "line", lambda event, **_values: said.append(event))
     kept = audit.Audit("n3", Clock(Reactor()), str(tmp_path))
     kept.record("start", "platform")
     kept.record("stop", "platform")
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -40,12 +40,12 @@
 
 
 def play(to: ring.CaptureRing, seed: int, count: int) -> None:
-    """A start of the module amid events of every kind that a sidecar has, drawn by the seed."""
+    """Record a start of the balancer amid events of every kind that a sidecar has, drawn by the seed."""
     draw, now = Random(seed), 100.0
     for line in record.header("n/3", seed, 1_700_000_000.25, SETTINGS):
         to.write(line)
     balancer = Balancer(read_settings(SETTINGS), seed)
-    recorder = record.Recorder(balancer, 1_700_000_000.25, to.write, "c/{}".format, lambda node: 2)
+    recorder = record.Recorder(balancer, 1_700_000_000.25, to.write, "c/{}".format, lambda _node: 2)
     nodes = ["-", "a b", "c:1/2", "d,e", "f%", "g\ud800", "g\ud801", "h"]
     out: list[tuple[i.Send, int]] = []
     timers: list[int] = []
@@ -274,7 +274,7 @@
     world = make(1, operator_properties.parse(f"capture.dir = {folder}"), True)
     flush(world)
 
-    def full(file: int, data: bytes) -> int:
+    def full(_file: int, _data: bytes) -> int:
         raise OSError(errno.ENOSPC, "full")
 
     with_os(monkeypatch, write=full)
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -129,14 +129,14 @@
         assert not [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
 
 
-def test_a_node_that_only_a_peer_names_is_never_in_the_list(tmp_path: Path, service: ListServiceStub) -> None:
+def test_a_node_that_only_a_peer_names_is_never_in_the_list() -> None:
     """What the holder tells is held against the own list, and adds nothing to it."""
 
     class Still:
         def seconds(self) -> float:
             return time.monotonic()
 
-        def callLater(self, delay: float, call: object, *args: object) -> object:
+        def callLater(self, delay: float, call: object, *args: object) -> object:  # noqa: ARG002, N802 - Twisted's signature
             class Timer:
                 def active(self) -> bool:
                     return False
--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -78,7 +78,7 @@
         return {"state": push.state, "members": {one.member for one in push.reasons}}
 
     def again(self, name: str, formats: tuple[int, ...] | None) -> None:
-        """It is killed, and starts anew as a program that reads just these."""
+        """Kill a member, and restart it as a program that reads just these formats."""
         self.cluster.kill(self.node(name))
         self.formats.pop(name, None)
         if formats is not None:
--- a/tests/peers/test_recorded_frames.py
+++ b/tests/peers/test_recorded_frames.py
@@ -71,7 +71,7 @@
     def seconds(self) -> float:
         return 0.0
 
-    def callLater(self, *_: object) -> object:
+    def callLater(self, *_: object) -> object:  # noqa: N802 - Twisted's name
         return None
 
 
@@ -79,14 +79,14 @@
     def __init__(self) -> None:
         self.written = b""
 
-    def setTcpNoDelay(self, enabled: bool) -> None:
+    def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802 - Twisted's name
         assert enabled
 
     def write(self, data: bytes) -> None:
         self.written += data
 
-    def loseConnection(self) -> None:
+    def loseConnection(self) -> None:  # noqa: N802 - Twisted's name
         return
 
-    def abortConnection(self) -> None:
+    def abortConnection(self) -> None:  # noqa: N802 - Twisted's name
         raise AssertionError("it was rejected")
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -31,7 +31,7 @@
 
 
 def world(size: int = 6, seed: int = 1, judged: float | None = None, **more: object) -> PlanFleet:
-    """A fleet that stands in one view and has a leader."""
+    """Return a fleet that stands in one view and has a leader."""
     made = PlanFleet(seed, size, judged=judged, **more)  # type: ignore[arg-type]
     assert made.run_until(lambda: made.has_converged() and made.leader())
     return made
@@ -277,7 +277,7 @@
 class Sleepy(ScriptedCheck):
     """Does not notice that the view moves."""
 
-    def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
+    def view_changed(self, at: Instant, view: View) -> list[Outgoing]:  # noqa: ARG002 - the base class's signature
         return []
 
 
--- a/tests/pools/pools_world.py
+++ b/tests/pools/pools_world.py
@@ -58,7 +58,7 @@
         return wire
 
     def met(self, call: Callable[[], T]) -> T:
-        """What that says in the reactor, once it says anything."""
+        """Return the result of a call in the reactor, once it is true."""
         for _ in range(TURNS):
             if found := self.run(call):
                 return found
@@ -66,11 +66,11 @@
         raise AssertionError("it never came")
 
     def busy(self) -> list[str]:
-        """The pools that have a job, once one has."""
+        """Return the pools that have a request, once one has."""
         return self.met(lambda: [m.name for m in self.pools.all() if m.driver.open_requests])
 
     def at(self, node: int) -> Wire:
-        """The next request at a node, on the connection that it keeps; its answer is the story's to give."""
+        """Return the next request at an endpoint, on the connection that it keeps; the test answers it."""
         if node not in self.taken:
             self.taken[node] = self.nodes[node].accept()
         self.taken[node].read()
--- a/tests/pools/test_endpoint_selection.py
+++ b/tests/pools/test_endpoint_selection.py
@@ -66,7 +66,7 @@
 
 
 def heard(views: list[View]) -> dict[str, EndpointEntry]:
-    """What somebody makes of views that goes by their words."""
+    """Return the endpoints that follow from views, applied as they say."""
     held: dict[str, EndpointEntry] = {}
     for view in views:
         if view.kind is ViewKind.FAILED:
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -298,7 +298,7 @@
 
 
 def begun(world: PoolsWorld, ident: str) -> RoutedRequest:
-    """A job that came to its pool within this turn of the reactor."""
+    """Return a request that came to its pool within this turn of the reactor."""
     request, now = ForwardedRequest(b"GET /menu HTTP/1.1\r\n", b""), world.reactor.seconds()
     route = world.pools.router.routes["all"]
     job = route.create_request({}, correlation_id=ident, class_name="menu", deadline=now + 5, content=request)
@@ -339,7 +339,7 @@
     world = make()
 
     class Heard(InertBalancer):
-        def handle(self, now: float, event: i.Event) -> list[i.Action]:
+        def handle(self, _now: float, event: i.Event) -> list[i.Action]:
             heard.append(type(event))
             return []
 
--- a/tests/repository/test_no_deployment_names.py
+++ b/tests/repository/test_no_deployment_names.py
@@ -23,8 +23,9 @@
 
 
 def test_no_class_tier_kind_or_zone_is_known_by_name() -> None:
-    """The lab and its commands are left out: the service path never imports them, and their load and bench
-    have an example's class by default.
+    """The lab and its commands are left out.
+
+    The service path never imports them, and their load and bench have an example's class by default.
     """
     files = list((ROOT / "wheatring").rglob("*.py"))
     files = [path for path in files if "lab" not in path.parts and not path.name.startswith("lab")]
--- a/tests/routes/measure_table.py
+++ b/tests/routes/measure_table.py
@@ -42,7 +42,7 @@
 
 
 def microseconds(call: Callable[[], object], count: int) -> float:
-    """The best of five runs, for each of the `count` looks in it."""
+    """Return the best of five runs, for each of the `count` lookups in it."""
     best = float("inf")
     for _ in range(5):
         start = perf_counter()
--- a/tests/routes/pool_world.py
+++ b/tests/routes/pool_world.py
@@ -19,8 +19,11 @@
 
 
 class PoolWorld:
-    """`arrivals` are (jobs a second, caller, class); `slower` is a factor on the time that a job takes beside
-    its work, which no queue explains. Jobs not answered within `patience` are left, their work goes on.
+    """A pool of endpoints and its callers, in virtual time.
+
+    `arrivals` are (requests a second, caller, class); `slower` is a factor on the time that a request takes
+    beside its work, which no queue explains. Requests not answered within `patience` are given up, their work
+    goes on.
     """
 
     def __init__(
@@ -65,7 +68,7 @@
             self.why[said.reason] += 1
             return
         size = exp(self.sigma * (self.random.gauss(0.0, 1.0) - 0.5 * self.sigma)) * MEAN
-        job = Job(self, said, key, now)
+        job = Job(self, said, key)
         self.cpu.add(size, job)
         self.time.at(now + self.patience, job.end, Outcome.DEADLINE_EXCEEDED)
 
@@ -80,7 +83,7 @@
 
 
 class Job:
-    def __init__(self, world: PoolWorld, taken: Admission, key: tuple[str, str], begun: float) -> None:
+    def __init__(self, world: PoolWorld, taken: Admission, key: tuple[str, str]) -> None:
         self.world = world
         self.taken = taken
         self.key = key
--- a/tests/routes/test_callers.py
+++ b/tests/routes/test_callers.py
@@ -95,7 +95,7 @@
 
 
 def honest_part(limits: PoolLimitSettings, seed: int, load: float, noise: list[tuple[str, float]]) -> float:
-    """The part of ten callers' jobs that is served while others come on top."""
+    """Return the share of ten callers' requests that is served while others come on top."""
     world = PoolWorld(limits, seed=seed)
     start = world.time.now()
     for number in range(10):
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -100,7 +100,7 @@
 
 
 def goes_before(one: RouteMatch, other: RouteMatch) -> bool:
-    """The order as the page tells it, one sentence after another. Equal ones keep the file's order."""
+    """Compare as the page says, one sentence after another. Equal ones keep the file's order."""
 
     def first(match: RouteMatch) -> list[tuple[bool, int]]:
         exact = sum(1 for h in match.headers if h.exact)
--- a/tests/routes/test_target.py
+++ b/tests/routes/test_target.py
@@ -29,8 +29,10 @@
 
 
 def by_the_rfc(path: bytes) -> bytes | None:
-    """RFC 3986 word by word: 2.3 and 6.2.2.2 (decode the unreserved), 6.2.2.1 (percent forms in upper case),
-    and 5.2.4's loop with its buffers. None for what is no percent form.
+    """Normalise a path as RFC 3986 says word by word.
+
+    2.3 and 6.2.2.2 (decode the unreserved), 6.2.2.1 (percent forms in upper case), and 5.2.4's loop with its
+    buffers. None for what is no percent form.
     """
     unreserved = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~"
     text, i = b"", 0
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -38,7 +38,7 @@
 
 
 def plan(opens: float) -> Plan:
-    """A window of 5 s."""
+    """Return a plan with a window of 5 s."""
     start = datetime.fromtimestamp(TRUE + opens, UTC).strftime("%Y-%m-%dT%H:%M:%S")
     window = PlanWindow(name="w", route="r", weights={"b": 1}, start=start, length=5.0)
     return Plan(format=2, routes=(PlanRoute(name="r", weights={"a": 1}),), windows=(window,))
@@ -66,10 +66,10 @@
         self.due = look.due
         return []
 
-    def receive(self, at: Instant, sender: str, address: Address, word: object) -> list[Outgoing]:
+    def receive(self, at: Instant, sender: str, address: Address, word: object) -> list[Outgoing]:  # noqa: ARG002 - the protocol's signature
         return []
 
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's signature
         return []
 
 
--- a/tests/skew/test_bisection.py
+++ b/tests/skew/test_bisection.py
@@ -30,7 +30,7 @@
 
 
 def hunted(one: AnswerChain, other: AnswerChain) -> tuple[Bisection, int]:
-    """A hunt that is over, and how many were asked for."""
+    """Return a finished bisection, and how many digests were asked for."""
     hunt, asks = Bisection((one.count, other.count)), 0
     while not hunt.is_done:
         for side, answers in enumerate((one, other)):
--- a/tests/skew/test_checker.py
+++ b/tests/skew/test_checker.py
@@ -141,7 +141,7 @@
 def test_who_can_not_compile_it_is_named_with_its_error() -> None:
     fleet = Fleet("n5")
 
-    def fails(body: bytes) -> tuple[Plan, ToyEvaluator]:
+    def fails(_body: bytes) -> tuple[Plan, ToyEvaluator]:
         raise ValueError("routes[0].match:\n no such thing")
 
     fleet.compiles["n5"] = fails
--- a/tests/skew/test_trials.py
+++ b/tests/skew/test_trials.py
@@ -41,15 +41,15 @@
 
 def test_a_program_with_another_calendar_answers_otherwise() -> None:
     class Late(ToyEvaluator):
-        def edges(self, window: str, after: float, before: float) -> Sequence[float]:
+        def edges(self, window: str, after: float, before: float) -> Sequence[float]:  # noqa: ARG002 - the protocol's signature
             return [after + 7]
 
     class Later(ToyEvaluator):
-        def edges(self, window: str, after: float, before: float) -> Sequence[float]:
+        def edges(self, window: str, after: float, before: float) -> Sequence[float]:  # noqa: ARG002 - the protocol's signature
             return [after + 8]
 
     class Heavy(ToyEvaluator):
-        def weights(self, route: str, at: float) -> Mapping[str, int]:
+        def weights(self, route: str, at: float) -> Mapping[str, int]:  # noqa: ARG002 - the protocol's signature
             return {"blue": int(at == change)}
 
     window = PlanWindow(name="w", route="one", weights=WEIGHTS, start="2026-09-05T02:00:00", length=60,
--- a/tests/storage/test_repair.py
+++ b/tests/storage/test_repair.py
@@ -101,7 +101,7 @@
 
 
 def test_each_turn_is_sent_once(tmp_path: Path) -> None:
-    sent, replica, seconds = repaired(tmp_path, lambda name, envelope: False)
+    sent, replica, seconds = repaired(tmp_path, lambda _name, _envelope: False)
     assert all(replica.table.has_turn(turn) for turn in TURNS)
     assert replica.table.budget_entries("p")[0].tokens == 5
     assert set(sent.values()) == {1}
@@ -130,7 +130,7 @@
         for name in ("a", "b", "new"):
             replica = opened(tmp_path / name, lambda: clock[0])
             await replica.store([first])
-            sources.by_address[name] = Source(replica, Counter(), lambda envelope: False)
+            sources.by_address[name] = Source(replica, Counter(), lambda _envelope: False)
             members.append(StorageMember(replica_id=replica.identity, node=name, address=name))
         replica = sources.by_address["new"].replica
         clock[0] = 50.0
--- a/tests/support/virtual_loop.py
+++ b/tests/support/virtual_loop.py
@@ -280,7 +280,7 @@
         self._later(source, target, lambda: target.received(data))
 
     def finish(self, source: VirtualTransport, target: VirtualTransport, reset: bool = False) -> None:
-        """The end of a connection on its link."""
+        """End a connection on its link."""
         self._later(source, target, lambda: target.ended(reset))
 
     # Connections
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -98,7 +98,7 @@
         self.sock.sendall(data)
 
     def read(self) -> tuple[str, dict[str, str], bytes]:
-        """The next message: first line, fields, body."""
+        """Return the next message: first line, fields, body."""
         while b"\r\n\r\n" not in self.held:
             self._more()
         head, _, self.held = self.held.partition(b"\r\n\r\n")
@@ -117,7 +117,7 @@
         self.held += data
 
     def at_end(self) -> bool:
-        """The other side has closed, with nothing more to say. Waits for it."""
+        """Wait for the end; return whether the other side has closed with nothing left to read."""
         try:
             return not self.held and self.sock.recv(1) == b""
         except ConnectionResetError:
@@ -246,16 +246,16 @@
         self.ground.settle()
 
     def first(self) -> Wire:
-        """The next connection to whichever node is tried."""
+        """Return the next connection to whichever endpoint is tried."""
         return self.nodes[self.ground.ready([peer.listener for peer in self.nodes])].accept()
 
     def end(self) -> None:
         def stop() -> None:
-            self.sidecar.driver.feed = lambda event: None  # type: ignore[method-assign]
+            self.sidecar.driver.feed = lambda event: None  # type: ignore[method-assign]  # noqa: ARG005 - the method's signature
             if self.sidecar.server.listener is not None:
                 self.sidecar.server.listener.stopListening()
             self.sidecar.cleanup.close()
-            self.sidecar.machine_list.on_view = lambda view: None
+            self.sidecar.machine_list.on_view = lambda _view: None
             self.sidecar.machine_list.subscribe = lambda: None  # type: ignore[method-assign]
             self.sidecar.machine_list.unsubscribe()
             for connection in [*self.sidecar.server.connections, *self.sidecar.pool.connections]:
--- a/tests/system/drawn_settings.py
+++ b/tests/system/drawn_settings.py
@@ -38,7 +38,7 @@
     beside: dict[str, Any]  # settings of which the lab knows nothing, by path/to/key
 
     def told(self, plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
-        """What a sidecar of this day is told, in the platform's form."""
+        """Return the configuration of a sidecar of this day, in the platform's form."""
         told = SETTINGS(plan, tier, number, copies)
         for path, value in self.beside.items():
             *outer, key = path.split("/")
@@ -55,7 +55,7 @@
             return play(self.plan, grain, tracing)
 
     def read(self, folder: Path) -> platform_file.PlatformConfig:
-        """The same through the file that a process is given."""
+        """Read the same through the file that a process is given."""
         told = self.told(self.plan, 0, 0, len(self.plan.sidecars))
         data = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": told}
         (folder / "c.json").write_text(json.dumps(data), encoding="utf-8")
--- a/tests/system/membership/fleet.py
+++ b/tests/system/membership/fleet.py
@@ -49,7 +49,7 @@
         self.broken: list[str] = []
 
     def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
-        """What the daemon has, put together by the same code."""
+        """Build the components of the daemon by the same code."""
         self.agreed[fleet.me.name] = Agreement(at, fleet)
         self.known.pop(fleet.me.name, None)
         return fleet.components
@@ -118,7 +118,7 @@
             do(self.cluster.nodes[name])
 
     def moved(self, node: Node) -> None:
-        """It is to start at another address."""
+        """Let a node start at another address."""
         del self.cluster.by_address[node.address]
         node.address = (node.address[0], node.address[1] + 1)
         self.cluster.by_address[node.address] = node
@@ -164,12 +164,12 @@
         )
 
     def changes(self) -> int:
-        """Views with other members than the one before, since the last begin of counting."""
+        """Count the views with other members than the one before, since counting began anew."""
         later = [self.views[number] for number in sorted(self.views) if number >= self.mark]
         return sum(one.members != other.members for one, other in pairwise(later))
 
     def standing(self) -> str:
-        """What everybody thinks, for a failure's text."""
+        """Return every node's view, for the text of a failure."""
         return "; ".join(
             f"{name} {view.view.number}:{len(view.view.members)}"
             f"{'' if view.is_current(self.cluster.now) else '?'}"
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -41,7 +41,7 @@
     words: tuple[str, ...] = (),
     **changes: Any,
 ) -> Iterator[subprocess.Popen[str]]:
-    """The program, with this in its operators' file."""
+    """Start the program, with this in its operators' file."""
     (tmp_path / "c.json").write_text(json.dumps(told(**{"name": "n 3", **changes})), encoding="utf-8")
     (tmp_path / "o").write_text(asked, encoding="utf-8")
     with subprocess.Popen(
--- a/tests/system/test_reload.py
+++ b/tests/system/test_reload.py
@@ -49,7 +49,7 @@
         assert self.after.read()[2] == b"after"
 
     def hup(self) -> str:
-        """What it says of the file."""
+        """Send SIGHUP and return what the process logs of the file."""
         self.process.send_signal(signal.SIGHUP)
         assert self.process.stdout is not None
         return next(one for one in self.process.stdout if one.startswith(("reloaded", "not-reloaded")))
--- a/tests/system/test_start.py
+++ b/tests/system/test_start.py
@@ -1,5 +1,7 @@
-"""What a start costs: many processes may start on one machine at once, and nine in ten of them have to be
-ready soon. Held by counts, as a clock would tell more of the machine than of the program.
+"""What a start costs: many processes may start on one machine at once.
+
+Nine in ten of them have to be ready soon. Checked by counts, as a clock would tell more of the machine than
+of the program.
 """
 
 from __future__ import annotations
