--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
+from tests.support.process import platform_config as told
 from tests.support.world import FAR, Peer, Wire, entry
-from tests.system.test_process import told
 from wheatring.ops.capture.replay import replay
 
 
--- a/tests/config/test_platform_file.py
+++ b/tests/config/test_platform_file.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tests.system.test_process import told
+from tests.support.process import platform_config
 from wheatring import lazy_imports, log, serving
 from wheatring.__main__ import main
 from wheatring.balancer.settings_reader import JsonSettings
@@ -25,7 +25,7 @@
     DEEP = [DEEP]
 HALF = "\ud800"  # of a pair of surrogates
 # All that the platform's page names. That nothing more is read of the settings is held below.
-WHOLE: dict[str, Any] = told(control="127.0.0.1:0", settings={
+WHOLE: dict[str, Any] = platform_config(control="127.0.0.1:0", settings={
     "classes": [
         {"name": "menu", "slo": 2500000, "deadline": 6000000, "value": 1.0, "late_worth": 0.25,
          "effect": "pure", "aim_stretch": 0.5, "stream": False},
--- a/tests/config/test_project_file.py
+++ b/tests/config/test_project_file.py
@@ -12,7 +12,7 @@
 import pytest
 from msgspec import structs
 
-from tests.system.test_process import begin, until
+from tests.support.process import running_process, wait_for_line
 from wheatring.__main__ import main
 from wheatring.config import project_file
 
@@ -93,20 +93,20 @@
 def test_it_is_read_again_on_sighup_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     where = tmp_path / "w.toml"
     where.write_text("[list]\nper_s = 20\n", encoding="utf-8")
-    with begin(tmp_path, "", words=("--config", str(where))) as process:
-        until(process, "listening")
+    with running_process(tmp_path, "", arguments=("--config", str(where))) as process:
+        wait_for_line(process, "listening")
         where.write_text("[list]\nper_s = -1\n", encoding="utf-8")
         process.send_signal(signal.SIGHUP)
-        assert "list.per_s" in until(process, "config-not-reloaded")
+        assert "list.per_s" in wait_for_line(process, "config-not-reloaded")
         where.write_text("[list]\nper_s = 21\n", encoding="utf-8")
         process.send_signal(signal.SIGHUP)
-        until(process, "config-reloaded")
+        wait_for_line(process, "config-reloaded")
         process.send_signal(signal.SIGTERM)
 
 
 def test_without_it_nothing_of_it_is_loaded(tmp_path: Path) -> None:
-    with begin(tmp_path, "", subprocess.PIPE, "-X", "importtime") as process:
-        until(process, "listening")
+    with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime") as process:
+        wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
         _, told = process.communicate()
     names = {line.rpartition("|")[2].strip() for line in told.splitlines()}
--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -18,8 +18,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from tests.support.process import platform_config as told
+from tests.support.process import wait_for_line as until
 from tests.support.world import FAR, Peer, Wire, World, entry
-from tests.system.test_process import told, until
 from wheatring import log
 from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
 from wheatring.http1 import caller_lifecycle, endpoint_connection
--- a/tests/http1/test_caller_connection.py
+++ b/tests/http1/test_caller_connection.py
@@ -16,10 +16,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tests.support.process import running_process, wait_for_line
 from tests.support.virtual_sockets import Virtual
 from tests.support.world import FAR, Loopback, Peer, Wire, World, entry, list_body
-from tests.system.test_process import begin
-from tests.system.test_process import until as told
 from wheatring.balancer import backoff
 from wheatring.http1 import caller_connection, caller_lifecycle
 from wheatring.http1.caller_state import ArrivalTimes, CallerState
@@ -415,12 +414,12 @@
     where = f"127.0.0.1:{discovery.port}"
     known = {"generation": 3, "instances": [entry("n0", old)]}
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-    with begin(tmp_path, "", known=known, discovery=where, limits=limits) as process:
-        port = int(told(process, "listening").rpartition("=")[2])
+    with running_process(tmp_path, "", known=known, discovery=where, limits=limits) as process:
+        port = int(wait_for_line(process, "listening").rpartition("=")[2])
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (64, 64))
-        told(process, "list-failed")
+        wait_for_line(process, "list-failed")
         idle = [socket.create_connection(("127.0.0.1", port), FAR) for _ in range(100)]
-        told(process, "list-failed")  # while they stand
+        wait_for_line(process, "list-failed")  # while they stand
         back.set()
         assert heard.wait(FAR)
         late = Wire(socket.create_connection(("127.0.0.1", port), FAR))
--- a/tests/ops/test_audit.py
+++ b/tests/ops/test_audit.py
@@ -11,8 +11,8 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
+from tests.support.process import running_process, wait_for_line
 from tests.support.world import FAR, Wire
-from tests.system.test_process import begin, until
 from wheatring import log, operator_properties
 from wheatring.__main__ import main
 from wheatring.core.clock import Clock
@@ -31,12 +31,12 @@
 ) -> None:
     copy, heard = tmp_path / "audit.log", ""
     for _ in range(2):
-        with begin(tmp_path, f"audit.file = {copy}\n", subprocess.PIPE) as process:
-            until(process, "listening")
+        with running_process(tmp_path, f"audit.file = {copy}\n", subprocess.PIPE) as process:
+            wait_for_line(process, "listening")
             with (tmp_path / "o").open("a", encoding="utf-8") as file:
                 file.write(f"drill.key = {KEY}\ndrill.plan = no\n")
             process.send_signal(signal.SIGHUP)
-            until(process, "reloaded")
+            wait_for_line(process, "reloaded")
             process.send_signal(signal.SIGTERM)
             assert process.stdout is not None and process.stderr is not None
             assert process.wait(FAR) == 0
@@ -62,9 +62,9 @@
     with pytest.raises(BlockingIOError):
         while True:
             filled += os.write(writer, b"\n" * 65536)
-    with begin(tmp_path, "audit.on = true\n", writer) as process:
+    with running_process(tmp_path, "audit.on = true\n", writer) as process:
         os.close(writer)
-        port = until(process, "listening").rpartition("=")[2]
+        port = wait_for_line(process, "listening").rpartition("=")[2]
         caller = Wire(socket.create_connection(("127.0.0.1", int(port)), FAR))
         caller.send(b"GET /healthz HTTP/1.1\r\n\r\n")
         assert caller.read()[0] == "HTTP/1.1 200 OK"
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -19,8 +19,8 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
+from tests.support.process import platform_config, running_process, wait_for_line
 from tests.support.world import FAR, SETTINGS, Peer, Wire, World, entry, list_body
-from tests.system.test_process import begin, told, until
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.balancer import interface as i
@@ -319,7 +319,9 @@
 
 
 def test_a_killed_process_s_record_replays_in_another_whatever_the_hash_seed(tmp_path: Path) -> None:
-    (tmp_path / "c.json").write_text(json.dumps(told(name="n3", discovery="127.0.0.1:9")), encoding="utf-8")
+    (tmp_path / "c.json").write_text(
+        json.dumps(platform_config(name="n3", discovery="127.0.0.1:9")), encoding="utf-8"
+    )
     (tmp_path / "tmp").mkdir()
     environment = {**os.environ, "LB_CONFIG": str(tmp_path / "c.json"), "TMPDIR": str(tmp_path / "tmp")}
     command = [sys.executable, "-m", "wheatring"]
@@ -353,8 +355,8 @@
     node, folder = Peer(), tmp_path / "kept"
     folder.mkdir()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    with begin(tmp_path, f"capture.dir = {folder}\n", capture=True, known=known) as process:
-        port = int(until(process, "listening").rpartition("=")[2])
+    with running_process(tmp_path, f"capture.dir = {folder}\n", capture=True, known=known) as process:
+        port = int(wait_for_line(process, "listening").rpartition("=")[2])
         caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
         wire = node.accept()
--- a/tests/ops/test_drills.py
+++ b/tests/ops/test_drills.py
@@ -13,8 +13,8 @@
 
 import pytest
 
+from tests.support.process import running_process, wait_for_line
 from tests.support.world import FAR, Wire, World
-from tests.system.test_process import begin, until
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.ops import drills
@@ -178,17 +178,17 @@
 def test_a_process_says_what_its_drills_came_to(tmp_path: Path) -> None:
     asked = settings("drill.share = 100").drill
     told = f"drill.key = {KEY}\ndrill.plan = {asked.plan}\ndrill.share = 100\ndrill.abort = true\n"
-    with begin(tmp_path, f"{told}audit.on = true\n", subprocess.PIPE) as process:
-        port = int(until(process, "listening").rpartition("=")[2])
+    with running_process(tmp_path, f"{told}audit.on = true\n", subprocess.PIPE) as process:
+        port = int(wait_for_line(process, "listening").rpartition("=")[2])
         caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
         first, fields, _ = caller.read()
         assert (first, fields["x-drill"]) == ("HTTP/1.1 503 Service Unavailable", "1")
         (tmp_path / "o").write_text("audit.on = true\n", encoding="utf-8")
         process.send_signal(signal.SIGHUP)
-        until(process, "drill-over")
+        wait_for_line(process, "drill-over")
         process.send_signal(signal.SIGTERM)
-        assert "drill_requests_total=1" in until(process, "drill-total")
+        assert "drill_requests_total=1" in wait_for_line(process, "drill-total")
         assert process.wait(FAR) == 0 and process.stderr is not None
         events = re.findall(r"event=(\S+)", process.stderr.read())
         caller.close()
--- a/tests/pools/test_configuration.py
+++ b/tests/pools/test_configuration.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.pools.pools_world import TWO
+from tests.support.process import running_process, wait_for_line
 from tests.support.world import FAR
-from tests.system.test_process import begin, until
 from wheatring.__main__ import main
 
 ROUTE = "[pool.a]\n[route.r]\nweights = { a = 1 }\n"
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "words", "said"),
+    ("text", "arguments", "said"),
     [
         (TWO, ("--capture",), "route: not with --capture"),
         (
@@ -67,11 +67,13 @@
     ],
 )
 def test_what_does_not_go_with_the_platforms_word_ends_the_start(
-    text: str, words: tuple[str, ...], said: str, tmp_path: Path
+    text: str, arguments: tuple[str, ...], said: str, tmp_path: Path
 ) -> None:
     where = tmp_path / "w.toml"
     where.write_text(text, encoding="utf-8")
-    with begin(tmp_path, "", subprocess.PIPE, words=("--config", str(where), *words)) as process:
+    with running_process(
+        tmp_path, "", subprocess.PIPE, arguments=("--config", str(where), *arguments)
+    ) as process:
         _, err = process.communicate(timeout=FAR)
     assert process.returncode == 2 and err == f"wheatring: {where}: {err.partition(f'{where}: ')[2]}"
     assert said in err and err.count("\n") == 1
@@ -79,9 +81,9 @@
 
 def loaded(folder: Path, text: str) -> set[str]:
     (folder / "w.toml").write_text(text, encoding="utf-8")
-    words = ("--config", str(folder / "w.toml"))
-    with begin(folder, "", subprocess.PIPE, "-X", "importtime", words=words) as process:
-        until(process, "listening")
+    arguments = ("--config", str(folder / "w.toml"))
+    with running_process(folder, "", subprocess.PIPE, "-X", "importtime", arguments=arguments) as process:
+        wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
         _, told = process.communicate(timeout=FAR)
     assert process.returncode == 0
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -8,66 +8,23 @@
 import socket
 import subprocess
 import sys
-from collections.abc import Iterator
-from contextlib import contextmanager
 from itertools import product
 from pathlib import Path
 from typing import Any
 
 import pytest
 
+from tests.support.process import platform_config, running_process, wait_for_line
 from tests.support.world import FAR, SETTINGS, Peer, Wire, entry, list_body
 from wheatring import commands, lazy_imports
 from wheatring.__main__ import main, parse_simple
 from wheatring.config import platform_file
 
 
-def told(**changes: Any) -> dict[str, Any]:
-    good = {
-        "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": {"generation": 3, "reset": True, "instances": []}, "settings": SETTINGS,
-    }  # fmt: skip
-    return {**good, **changes}
-
-
-@contextmanager
-def begin(
-    tmp_path: Path,
-    asked: str,
-    stderr: int | None = None,
-    *python: str,
-    capture: bool = False,
-    words: tuple[str, ...] = (),
-    **changes: Any,
-) -> Iterator[subprocess.Popen[str]]:
-    """Start the program, with this in its operators' file."""
-    (tmp_path / "c.json").write_text(json.dumps(told(**{"name": "n 3", **changes})), encoding="utf-8")
-    (tmp_path / "o").write_text(asked, encoding="utf-8")
-    with subprocess.Popen(
-        [sys.executable, *python, "-m", "wheatring", "--operators", str(tmp_path / "o")]
-        + ["--capture"] * capture
-        + list(words),
-        env={**os.environ, "LB_CONFIG": str(tmp_path / "c.json")},
-        stdout=subprocess.PIPE,
-        stderr=stderr,
-        text=True,
-    ) as process:
-        try:
-            yield process
-        finally:
-            process.kill()  # or a story that fails would wait for it
-
-
-def until(process: subprocess.Popen[str], event: str) -> str:
-    assert process.stdout is not None
-    return next(line for line in process.stdout if line.startswith(event))
-
-
 def test_it_answers_what_it_has_taken_and_then_ends_when_told_to(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    data = told(known=known, discovery=f"127.0.0.1:{discovery.port}")
+    data = platform_config(known=known, discovery=f"127.0.0.1:{discovery.port}")
     (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
     with subprocess.Popen(
         [sys.executable, "-m", "wheatring"],
@@ -108,8 +65,8 @@
 def test_told_to_stop_it_gives_up_what_hangs_and_is_gone(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    with begin(tmp_path, "", known=known, discovery=f"127.0.0.1:{discovery.port}") as process:
-        port = int(until(process, "listening").rpartition("=")[2])
+    with running_process(tmp_path, "", known=known, discovery=f"127.0.0.1:{discovery.port}") as process:
+        port = int(wait_for_line(process, "listening").rpartition("=")[2])
         wires = [Wire(socket.create_connection(("127.0.0.1", port), FAR)) for _ in range(5)]
         called: list[Wire] = []
         for n, wire in enumerate(wires):
@@ -120,7 +77,7 @@
                 called[0].answer(200, b"quick")
                 wire.read()
         process.send_signal(signal.SIGTERM)
-        _, left, after = until(process, "cut-short").split()
+        _, left, after = wait_for_line(process, "cut-short").split()
         assert left == "open=1" and float(after.partition("=")[2]) < 3.0  # 3.5 s is the last moment
         first, fields, _ = wires[-1].read()
         assert (first.split()[1], fields["connection"]) == ("503", "close") and wires[-1].at_end()
@@ -131,12 +88,12 @@
 
 
 def test_its_start_waits_for_nothing_that_only_commands_need(tmp_path: Path) -> None:
-    with begin(tmp_path, "", subprocess.PIPE, "-X", "importtime", capture=True) as process:
-        until(process, "listening")
+    with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime", capture=True) as process:
+        wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
-        _, told = process.communicate(timeout=FAR)
+        _, output = process.communicate(timeout=FAR)
         assert process.returncode == 0
-    names = {line.rpartition("|")[2].strip() for line in told.splitlines()}
+    names = {line.rpartition("|")[2].strip() for line in output.splitlines()}
     assert "wheatring.daemon.sidecar" in names
     assert names.isdisjoint({"argparse", "http.client", "wheatring.commands", "wheatring.lab"})
 
@@ -144,10 +101,10 @@
 def test_plain_words_mean_what_the_parser_makes_of_them() -> None:
     for words in product(("--capture", "--operators", "x", "--config", "lab", "--operators=x"), repeat=3):
         for length in range(4):
-            told = parse_simple(words[:length])
-            if told is not None:
+            parsed = parse_simple(words[:length])
+            if parsed is not None:
                 args = commands.build_parser().parse_args(words[:length])
-                assert told == (getattr(args, "operators", None), args.capture, args.config)
+                assert parsed == (getattr(args, "operators", None), args.capture, args.config)
                 assert args.call is None
     assert parse_simple(("--operators", "x", "--capture", "--config", "y")) == ("x", True, "y")
 
@@ -163,7 +120,7 @@
 
 def test_told_to_reload_it_moves_to_the_new_discovery_and_outlives_a_broken_file(tmp_path: Path) -> None:
     old, new, file = Peer(), Peer(), tmp_path / "c.json"
-    file.write_text(json.dumps(told(discovery="127.0.0.1:9")), encoding="utf-8")
+    file.write_text(json.dumps(platform_config(discovery="127.0.0.1:9")), encoding="utf-8")
     with subprocess.Popen(
         [sys.executable, "-m", "wheatring"],
         env={**os.environ, "LB_CONFIG": str(file), "LB_DISCOVERY": f"127.0.0.1:{old.port}"},
@@ -173,11 +130,11 @@
         assert process.stdout is not None
         watch = old.accept()
         watch.read()
-        file.write_text(json.dumps(told(settings=None)), encoding="utf-8")
+        file.write_text(json.dumps(platform_config(settings=None)), encoding="utf-8")
         process.send_signal(signal.SIGHUP)
         line = next(line for line in process.stdout if line.startswith("not-reloaded"))
         assert "settings: missing" in line
-        file.write_text(json.dumps(told(discovery=f"127.0.0.1:{new.port}")), encoding="utf-8")
+        file.write_text(json.dumps(platform_config(discovery=f"127.0.0.1:{new.port}")), encoding="utf-8")
         process.send_signal(signal.SIGHUP)
         moved = new.accept()
         assert moved.read()[0] == "GET /v1/servers HTTP/1.1"
@@ -220,7 +177,7 @@
     key: str, changes: dict[str, Any], tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:  # fmt: skip
-    (tmp_path / "c.json").write_text(json.dumps(told(**changes)), encoding="utf-8")
+    (tmp_path / "c.json").write_text(json.dumps(platform_config(**changes)), encoding="utf-8")
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "c.json"))
     assert main([]) == 2
     out, err = capsys.readouterr()
@@ -229,7 +186,7 @@
 
 
 def test_the_environment_stands_over_the_file_and_names_keep_their_units(tmp_path: Path) -> None:
-    (tmp_path / "c.json").write_text(json.dumps(told()), encoding="utf-8")
+    (tmp_path / "c.json").write_text(json.dumps(platform_config()), encoding="utf-8")
     read = platform_file.read({"LB_CONFIG": str(tmp_path / "c.json"), "LB_LISTEN": "127.0.0.2:81"})
     assert (read.listen, read.discovery) == (("127.0.0.2", 81), ("127.0.0.1", 9))
     assert read.seed == 0x8C1F30D27A5BE964
--- a/tests/system/test_reload.py
+++ b/tests/system/test_reload.py
@@ -14,8 +14,8 @@
 import pytest
 
 from tests.config.test_platform_file import DEEP
+from tests.support.process import platform_config, running_process, wait_for_line
 from tests.support.world import FAR, SETTINGS, Peer, Wire, entry, list_body
-from tests.system.test_process import begin, told, until
 
 HOUR = 3_600_000_000
 PATIENT = {**SETTINGS, "classes": [{**one, "deadline": HOUR} for one in SETTINGS["classes"]]}
@@ -27,7 +27,7 @@
     def __init__(self, process: subprocess.Popen[str], file: Path, old: Peer, node: Peer) -> None:
         self.process, self.file, self.old, self.node = process, file, old, node
         self.new, self.wrong = Peer(), Peer()
-        self.port = int(until(process, "listening").rpartition("=")[2])
+        self.port = int(wait_for_line(process, "listening").rpartition("=")[2])
         self.watch = old.accept()
         self.watch.read()
         self.first = self.ask("unsafe")
@@ -57,7 +57,7 @@
     def put(self, **changes: Any) -> None:
         """In the file discovery is elsewhere from now on."""
         there = {"settings": PATIENT, "discovery": f"127.0.0.1:{self.wrong.port}"}
-        self.file.write_text(json.dumps(told(**{**there, **changes})), encoding="utf-8")
+        self.file.write_text(json.dumps(platform_config(**{**there, **changes})), encoding="utf-8")
 
     def moves(self) -> None:
         """Good settings are taken, and what has been under way all the time is answered."""
@@ -78,7 +78,7 @@
     old, node = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
     monkeypatch.setenv("LB_DISCOVERY", f"127.0.0.1:{old.port}")  # which the file stands over from then on
-    with begin(tmp_path, "", known=known, settings=PATIENT) as process:
+    with running_process(tmp_path, "", known=known, settings=PATIENT) as process:
         here = Running(process, tmp_path / "c.json", old, node)
         yield here
     for peer in (old, node, here.new, here.wrong):
--- a/tests/system/test_start.py
+++ b/tests/system/test_start.py
@@ -15,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
+from tests.support.process import platform_config, wait_for_line
 from tests.support.world import FAR, Peer, Wire, entry
-from tests.system.test_process import told, until
 from wheatring import lazy_imports
 
 ROOT = Path(__file__).parents[2]
@@ -56,7 +56,7 @@
 def test_a_start_loads_little_reads_little_and_leaves_asleep_what_service_never_uses(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    data = told(known=known, discovery=f"127.0.0.1:{discovery.port}")
+    data = platform_config(known=known, discovery=f"127.0.0.1:{discovery.port}")
     (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
     environment = {**os.environ, "LB_CONFIG": str(tmp_path / "c.json"), "TMPDIR": str(tmp_path)}
     pipes: dict[str, Any] = {"stdout": subprocess.PIPE, "stderr": subprocess.PIPE, "text": True}
@@ -64,13 +64,13 @@
         try:
             assert process.stderr is not None
             done = json.loads(process.stderr.readline())
-            port = int(until(process, "listening").rpartition("=")[2])
+            port = int(wait_for_line(process, "listening").rpartition("=")[2])
             watch = discovery.accept()
             watch.read()
             watch.close()  # a call that fails, a reload, a request, a caller and an endpoint that go
             discovery.accept().read()
             process.send_signal(signal.SIGHUP)
-            until(process, "reloaded")
+            wait_for_line(process, "reloaded")
             wire = Wire(socket.create_connection(("127.0.0.1", port), FAR))
             wire.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
             called = node.accept()
--- a/tests/test_operator_properties.py
+++ b/tests/test_operator_properties.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from tests.support.process import platform_config, running_process, wait_for_line
 from tests.support.world import FAR
-from tests.system.test_process import begin, told, until
 from wheatring import operator_properties
 from wheatring.__main__ import main
 
@@ -43,7 +43,7 @@
 def test_a_wrong_file_ends_it_with_one_line_that_names_the_key(
     key: str, text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (tmp_path / "c.json").write_text(json.dumps(told()), encoding="utf-8")
+    (tmp_path / "c.json").write_text(json.dumps(platform_config()), encoding="utf-8")
     (tmp_path / "o").write_text(text, encoding="utf-8")
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "c.json"))
     assert main(["--operators", str(tmp_path / "o")]) == 2
@@ -97,8 +97,8 @@
 
 
 def test_nothing_of_a_feature_that_is_off_is_imported(tmp_path: Path) -> None:
-    with begin(tmp_path, "", subprocess.PIPE, "-X", "importtime") as process:
-        until(process, "listening")
+    with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime") as process:
+        wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
         assert process.wait(FAR) == 0 and process.stderr is not None
         imported = {line.rpartition(" ")[2].strip() for line in process.stderr}
@@ -107,13 +107,13 @@
 
 
 def test_told_to_reload_it_outlives_a_broken_file(tmp_path: Path) -> None:
-    with begin(tmp_path, "# nothing\n") as process:
-        until(process, "listening")
+    with running_process(tmp_path, "# nothing\n") as process:
+        wait_for_line(process, "listening")
         (tmp_path / "o").write_text("what.is = this", encoding="utf-8")
         process.send_signal(signal.SIGHUP)
-        assert "what.is: unknown" in until(process, "operators-not-reloaded")
+        assert "what.is: unknown" in wait_for_line(process, "operators-not-reloaded")
         (tmp_path / "o").unlink()
         process.send_signal(signal.SIGHUP)
-        until(process, "operators-not-reloaded")
+        wait_for_line(process, "operators-not-reloaded")
         process.send_signal(signal.SIGTERM)
         assert process.wait(FAR) == 0
