--- a/tests/admin/test_service.py
+++ b/tests/admin/test_service.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.conftest import Copy, entries
-from tests.support.world import FAR, Loopback, Wire, World, entry, list_body
+from tests.support.world import WAIT_LIMIT_SECONDS, LoopbackSockets, Wire, World, entry, list_body
 from wheatring import log
 from wheatring.admin import server
 from wheatring.balancer import balancer as decisions
@@ -28,7 +28,7 @@
     worlds: list[World] = []
 
     def build(nodes: int = 1) -> World:
-        worlds.append(World(Loopback(), nodes, control=("127.0.0.1", 0)))
+        worlds.append(World(LoopbackSockets(), nodes, control=("127.0.0.1", 0)))
         return worlds[-1]
 
     yield build
@@ -39,7 +39,7 @@
 def dial(world: World) -> Wire:
     assert world.sidecar.admin_server is not None and world.sidecar.admin_server.port is not None
     port = world.sidecar.admin_server.port.getHost().port
-    return Wire(socket.create_connection(("127.0.0.1", port), FAR))
+    return Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
 
 
 def call(world: World, path: str, method: str = "POST") -> int:
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -13,7 +13,8 @@
 from typing import Any
 
 from tests.support.process import platform_config as told
-from tests.support.world import FAR, Peer, Wire, entry
+from tests.support.world import WAIT_LIMIT_SECONDS as FAR
+from tests.support.world import Peer, Wire, entry
 from wheatring.ops.capture.replay import replay
 
 
--- a/tests/balancer/endpoint_model.py
+++ b/tests/balancer/endpoint_model.py
@@ -76,7 +76,7 @@
         self.number += 1
         heappush(self.due, (at, self.number, event))
 
-    def ill(self, name: str, now: float) -> bool:
+    def is_unhealthy(self, name: str, now: float) -> bool:
         at = now - self.start
         if name not in self.bad or not 3 <= at < self.until or (self.every and int(at / self.every) % 2 == 0):
             return False
@@ -88,16 +88,16 @@
         number = self.tries[ident]
         self.tries[ident] += 1
         outcome, latency = O.SERVED, 0.0
-        ill = self.ill(name, now)
-        if ill and self.kind in QUICK:
+        unhealthy = self.is_unhealthy(name, now)
+        if unhealthy and self.kind in QUICK:
             outcome, latency = QUICK[self.kind], 0.001
-        elif ill and self.kind == "hanging":
+        elif unhealthy and self.kind == "hanging":
             outcome, latency = O.TIMED_OUT, send.timeout
         else:
             cores = [at for at in self.held[name] if at > now]
             cores.sort()
             begin = now if len(cores) < CORES else cores[len(cores) - CORES]
-            work = self.random.expovariate(1 / WORK) * (5 if ill else 1)
+            work = self.random.expovariate(1 / WORK) * (5 if unhealthy else 1)
             self.held[name] = [*cores, begin + work]
             latency = begin + work - now
             if latency > send.timeout:
--- a/tests/balancer/test_outlier_ejection.py
+++ b/tests/balancer/test_outlier_ejection.py
@@ -58,9 +58,9 @@
     bad = NODES[:3]
     nodes = Nodes(4, "failing", bad, 0.3, every=3.0)
     nodes.play(21)
-    ill = [nodes.told(at + 0.5, at + 3.0).share(bad) for at in (9.0, 15.0)]
+    unhealthy = [nodes.told(at + 0.5, at + 3.0).share(bad) for at in (9.0, 15.0)]
     well = [nodes.told(at + 1.0, at + 3.0).share(bad) for at in (12.0, 18.0)]
-    assert max(ill) < 0.06 and min(well) > 0.15
+    assert max(unhealthy) < 0.06 and min(well) > 0.15
 
 
 OUTCOMES = st.sampled_from([O.SERVED, *EVIDENCE])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,8 +13,8 @@
 from xdist.scheduler import LoadScopeScheduling
 
 from tests.support import known_red
-from tests.support.virtual_sockets import Virtual
-from tests.support.world import NO_OPERATORS, Loopback, World
+from tests.support.virtual_sockets import VirtualSockets
+from tests.support.world import NO_OPERATORS, LoopbackSockets, World
 from wheatring import log
 from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
@@ -175,7 +175,7 @@
 
 @pytest.fixture(scope="session")
 def running() -> Iterator[None]:
-    reactor = Loopback.reactor
+    reactor = LoopbackSockets.reactor
     thread = threading.Thread(target=reactor.run, kwargs={"installSignalHandlers": False})
     thread.start()
     yield
@@ -186,10 +186,10 @@
 @pytest.fixture(params=["loopback", "virtual"])
 def make(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., World]]:
     """Build worlds: a test that asks for this holds on loopback and in virtual time."""
-    ground: Callable[[], Loopback | Virtual] = Virtual
+    ground: Callable[[], LoopbackSockets | VirtualSockets] = VirtualSockets
     if request.param == "loopback":
         request.getfixturevalue("running")
-        ground = Loopback
+        ground = LoopbackSockets
     # A scripted peer on a busy machine must not be given up: after one quick answer that is soon done.
     monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)  # the world sets its own; this puts the real one back
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.conftest import Copy
-from tests.http1.attempts import kept
+from tests.http1.attempts import kept_connection
 from tests.support.world import World
 from wheatring.balancer import backoff
 from wheatring.balancer import interface as i
@@ -60,10 +60,10 @@
     classes["order"] = replace(classes["order"], repeat_window=window)
     start, now, further = exchange.start_attempt, clock.now, []
 
-    def start_and_pass(claim: Attempt) -> None:
-        start(claim)
-        if claim.number:
-            further.append(claim)
+    def start_and_pass(attempt: Attempt) -> None:
+        start(attempt)
+        if attempt.number:
+            further.append(attempt)
             clock.now = lambda: now() + window
             then()
 
@@ -91,8 +91,8 @@
         assert int(wire.read()[1]["x-time-left-ms"]) <= 2000  # what is left at the first byte
         wire.answer(200, b"again")
     assert caller.read()[0].split()[1] == status
-    (claim,) = further
-    assert (claim.is_written, claim.outcome) == (
+    (attempt,) = further
+    assert (attempt.is_written, attempt.outcome) == (
         written,
         i.Outcome.SERVED if written else i.Outcome.CONNECT_FAILED,
     )
@@ -109,18 +109,18 @@
     caller, other = world.ask(name, left=3000), world.caller()
     wire = world.nodes[0].accept()
     wire.read()
-    idle = kept(world, other)
+    idle = kept_connection(world, other)
     wire.reset()
     if name == "menu":
         wire = world.nodes[0].accept()
         assert int(wire.read()[1]["x-time-left-ms"]) <= 2000
         wire.answer(200, b"again")
     assert caller.read()[0].split()[1] == ("200" if name == "menu" else "502")
-    claim = further[0]
+    attempt = further[0]
     if name == "menu":
-        assert further == [claim, claim]  # begun again, and the same attempt
+        assert further == [attempt, attempt]  # begun again, and the same attempt
     else:
-        assert (len(further), claim.is_written, claim.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
+        assert (len(further), attempt.is_written, attempt.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
     assert idle.at_end()
 
 
@@ -138,7 +138,7 @@
     caller, other = world.ask("menu"), world.caller()
     first = world.nodes[0].accept()
     first.read()
-    idle = kept(world, other)
+    idle = kept_connection(world, other)
     if how == "spoilt":
         first.send(b"noise")
     else:
--- a/tests/http1/attempts.py
+++ b/tests/http1/attempts.py
@@ -10,7 +10,7 @@
 from wheatring.core.exchange import Answer, Request
 from wheatring.http1.parser import ForwardedRequest
 
-LATE = ForwardedRequest(b"POST /late HTTP/1.1\r\n", b"")
+LATE_REQUEST = ForwardedRequest(b"POST /late HTTP/1.1\r\n", b"")
 
 
 def submit(world: World, name: str = "unsafe", dialling: bool = True) -> tuple[Request, list[Answer]]:
@@ -19,25 +19,25 @@
     When it returns, the connect of the first attempt is under way, or its request has been handed to an idle
     connection and none of it has left.
     """
-    job = Request("late", name, world.sidecar.clock.now() + 6, LATE)
+    request = Request("late", name, world.sidecar.clock.now() + 6, LATE_REQUEST)
     answers: list[Answer] = []
 
     def answered(answer: Answer) -> None:
         answers.append(answer)
         log.line("answered")
 
-    world.sidecar.exchange.submit(job).addCallback(answered)
-    (claim,) = job.attempts
-    assert claim.outcome is None and claim.is_written is not dialling
-    return job, answers
+    world.sidecar.exchange.submit(request).addCallback(answered)
+    (attempt,) = request.attempts
+    assert attempt.outcome is None and attempt.is_written is not dialling
+    return request, answers
 
 
-def listed(world: World, *items: dict[str, Any], reset: bool = False) -> None:
+def apply_list(world: World, *items: dict[str, Any], reset: bool = False) -> None:
     """Apply this answer of discovery; to be called in the reactor."""
     world.sidecar.machine_list.apply({"generation": 8, "reset": reset, "instances": list(items)}, None)
 
 
-def reads(peer: Peer) -> tuple[Wire, str]:
+def accept_request(peer: Peer) -> tuple[Wire, str]:
     """Return the next connection there that carries a request, and its first line; close unused ones."""
     while True:
         wire = peer.accept()
@@ -45,7 +45,7 @@
             return wire, wire.read()[0]
 
 
-def kept(world: World, caller: Wire) -> Wire:
+def kept_connection(world: World, caller: Wire) -> Wire:
     """One that has carried a request, and is kept."""
     world.ask(wire=caller)
     wire = world.nodes[0].accept()
--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -20,7 +20,8 @@
 
 from tests.support.process import platform_config as told
 from tests.support.process import wait_for_line as until
-from tests.support.world import FAR, Peer, Wire, World, entry
+from tests.support.world import WAIT_LIMIT_SECONDS as FAR
+from tests.support.world import Peer, Wire, World, entry
 from wheatring import log
 from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
 from wheatring.http1 import caller_lifecycle, endpoint_connection
--- a/tests/http1/test_caller_connection.py
+++ b/tests/http1/test_caller_connection.py
@@ -17,8 +17,8 @@
 from hypothesis import strategies as st
 
 from tests.support.process import running_process, wait_for_line
-from tests.support.virtual_sockets import Virtual
-from tests.support.world import FAR, Loopback, Peer, Wire, World, entry, list_body
+from tests.support.virtual_sockets import VirtualSockets
+from tests.support.world import WAIT_LIMIT_SECONDS, LoopbackSockets, Peer, Wire, World, entry, list_body
 from wheatring.balancer import backoff
 from wheatring.http1 import caller_connection, caller_lifecycle
 from wheatring.http1.caller_state import ArrivalTimes, CallerState
@@ -27,13 +27,13 @@
 LARGE = b"x" * 60000
 
 
-def narrow(world: World) -> Wire:
+def slow_reader(world: World) -> Wire:
     """Return a caller most of whose answer waits at the sidecar's end until it reads."""
-    if not isinstance(world.ground, Loopback):
+    if not isinstance(world.ground, LoopbackSockets):
         return world.caller()
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    sock.settimeout(FAR)
+    sock.settimeout(WAIT_LIMIT_SECONDS)
     sock.connect(("127.0.0.1", world.port))
     world.wires.append(Wire(sock))
     return world.wires[-1]
@@ -47,7 +47,7 @@
 
 def until(world: World, met: Callable[[], object]) -> None:
     """Let the reactor go on until something is so there."""
-    limit = monotonic() + FAR
+    limit = monotonic() + WAIT_LIMIT_SECONDS
     while not world.run(met):
         assert monotonic() < limit, "it never came"
         world.settle()
@@ -57,7 +57,7 @@
 def test_an_answer_reaches_a_caller_that_goes_on_writing(make: Make, how: str) -> None:
     """A close over unread bytes, or one after which more come, is a reset: what waits to be sent is gone."""
     world = make()
-    wire = narrow(world)
+    wire = slow_reader(world)
     version = b"HTTP/1.0" if how == "old" else b"HTTP/1.1"
     close = b"Connection: close\r\n" if how == "asked" else b""
     wire.send(b"GET /menu %s\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n%s\r\n" % (version, close))
@@ -101,7 +101,7 @@
     """Its answers must not fill the memory; those that it has are whole, once it reads."""
     monkeypatch.setattr(caller_connection, "MAX_PENDING_ANSWER_BYTES", 10_000)
     world = make()
-    wire = narrow(world)
+    wire = slow_reader(world)
     until(world, lambda: world.sidecar.server.connections)
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     transport: Any = connection.transport
@@ -206,7 +206,7 @@
     else:
         wire.close()
     world.logged("caller-connection")
-    if isinstance(world.ground, Virtual):
+    if isinstance(world.ground, VirtualSockets):
         assert world.run(world.sidecar.clock.now) - left < 0.1
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
     assert world.sidecar.driver.last_id == 1
@@ -294,14 +294,14 @@
         wire.read()
         _, fields, _ = node.read()
         assert int(fields["x-time-left-ms"]) <= 3500
-    (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
-    assert job.deadline <= came + 4.0
+    (request,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
+    assert request.deadline <= came + 4.0
     node.answer(200, b"last")
     wire.read()
     world.ask(wire=wire, left=4000)  # this one has its turn as it comes
     node.read()
-    (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
-    assert job.deadline > came + 4.5
+    (request,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
+    assert request.deadline > came + 4.5
 
 
 def test_one_whose_time_is_up_when_its_turn_comes_is_answered_at_once_and_sent_nowhere(make: Make) -> None:
@@ -418,11 +418,11 @@
         port = int(wait_for_line(process, "listening").rpartition("=")[2])
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (64, 64))
         wait_for_line(process, "list-failed")
-        idle = [socket.create_connection(("127.0.0.1", port), FAR) for _ in range(100)]
+        idle = [socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS) for _ in range(100)]
         wait_for_line(process, "list-failed")  # while they stand
         back.set()
-        assert heard.wait(FAR)
-        late = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+        assert heard.wait(WAIT_LIMIT_SECONDS)
+        late = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         late.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n")
         node = new.accept()
         node.read()
@@ -431,7 +431,7 @@
         process.send_signal(signal.SIGTERM)
         assert process.stdout is not None
         assert not [line for line in process.stdout if "unexpected" in line or "too-many" in line]
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
     for sock in idle:
         sock.close()
     for peer in (old, new, discovery):
@@ -443,7 +443,7 @@
     """Nobody takes more of its body, so nothing is read of what it has sent, nor its end behind that."""
     world = make()
     world.sidecar.server.body_memory.limit_bytes = 0
-    world.sidecar.exchange.start_attempt = lambda _claim: None  # waits for its connection
+    world.sidecar.exchange.start_attempt = lambda _attempt: None  # waits for its connection
     wire = world.ask("order", more="Content-Length: 30000000\r\n")
     while not world.run(lambda: [c for c in world.sidecar.server.connections if c.is_paused]):
         wire.send(b"x" * 10_000)
@@ -453,7 +453,7 @@
         wire.close()
     left = world.run(world.sidecar.clock.now)
     assert world.logged("caller-connection") == ["peer-closed"]  # not given up by this side
-    if isinstance(world.ground, Virtual):
+    if isinstance(world.ground, VirtualSockets):
         assert world.run(world.sidecar.clock.now) - left < 0.1
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
--- a/tests/http1/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.http1.test_shutdown import leave
-from tests.support.virtual_sockets import Virtual
+from tests.support.virtual_sockets import VirtualSockets
 from tests.support.world import Wire, World
 from wheatring.http1.caller_connection import CallerConnection
 from wheatring.http1.endpoint_connection import EndpointConnection
@@ -106,9 +106,9 @@
     carry, close = EndpointConnection.send, CallerConnection.close
     handle, stream = CallerConnection.handle, CallerConnection.start_stream
 
-    def seen_carry(self: EndpointConnection, claim: Any) -> None:
-        begun.append((claim.request.correlation_id, self.pool.clock.now()))
-        carry(self, claim)
+    def seen_carry(self: EndpointConnection, attempt: Any) -> None:
+        begun.append((attempt.request.correlation_id, self.pool.clock.now()))
+        carry(self, attempt)
 
     def seen_handle(self: Any, message: Message) -> None:
         self.stays = message.keep_alive
@@ -131,7 +131,7 @@
     for seed in range(first, first + 20):
         begun.clear()
         world = make(2)
-        assert isinstance(world.ground, Virtual)
+        assert isinstance(world.ground, VirtualSockets)
         play, time, now = Play(world, seed), world.ground.time, world.sidecar.clock.now
         if seed % 2:
             world.sidecar.server.body_memory.limit_bytes = 0
--- a/tests/http1/test_endpoint_connection.py
+++ b/tests/http1/test_endpoint_connection.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.http1.attempts import kept, listed, reads, submit
+from tests.http1.attempts import accept_request, apply_list, kept_connection, submit
 from tests.pools.pools_world import TWO, PoolsWorld
 from tests.pools.test_pool_set import begun
 from tests.support.world import Peer, World, entry
@@ -29,22 +29,22 @@
     (old,), spare = world.nodes, Peer(world.ground)
     now_at = old if how == "its address another's" else spare
 
-    def told_amid() -> list[Answer]:
-        job, answers = submit(world)
+    def notify_during_connect() -> list[Answer]:
+        request, answers = submit(world)
         if how == "draining":
-            listed(world, entry("n0", old, lifecycle="DRAINING"), entry("x", spare))
+            apply_list(world, entry("n0", old, lifecycle="DRAINING"), entry("x", spare))
         elif how == "left out":
-            listed(world, entry("x", spare), reset=True)
+            apply_list(world, entry("x", spare), reset=True)
         elif how == "moved":
-            listed(world, entry("n0", spare, startedAtMs=1))  # as one that was restarted
+            apply_list(world, entry("n0", spare, startedAtMs=1))  # as one that was restarted
         else:
-            listed(world, {"instanceId": "n0", "lifecycle": "DELETED"}, entry("x", now_at))
-        sent = [(claim.endpoint, claim.outcome) for claim in job.attempts]
+            apply_list(world, {"instanceId": "n0", "lifecycle": "DELETED"}, entry("x", now_at))
+        sent = [(attempt.endpoint, attempt.outcome) for attempt in request.attempts]
         assert sent == [("n0", Outcome.CONNECT_FAILED), ("n0" if how == "moved" else "x", None)]
         return answers
 
-    answers = world.run(told_amid)
-    wire, first = reads(now_at)
+    answers = world.run(notify_during_connect)
+    wire, first = accept_request(now_at)
     assert first == "POST /late HTTP/1.1"
     wire.answer(200, b"there")
     world.logged("answered")
@@ -58,7 +58,7 @@
     caller = world.ask()
     wire = world.nodes[0].accept()
     wire.read()
-    world.run(lambda: listed(world, entry("n0", world.nodes[0], lifecycle="DRAINING")))
+    world.run(lambda: apply_list(world, entry("n0", world.nodes[0], lifecycle="DRAINING")))
     wire.answer(200, b"the last")
     assert caller.read()[2] == b"the last"
     assert wire.at_end()
@@ -80,7 +80,7 @@
     The answer lies in the system's buffer while the request is handed to the connection; nothing has left.
     """
     world = make()
-    wire = kept(world, world.caller())
+    wire = kept_connection(world, world.caller())
 
     def crossing() -> tuple[Request, list[Answer]]:
         if how == "second answer":
@@ -93,11 +93,11 @@
             wire.reset()
         return submit(world, name, dialling=False)
 
-    job, answers = world.run(crossing)
-    claims = job.attempts[:]
+    request, answers = world.run(crossing)
+    attempts = request.attempts[:]
     again = world.nodes[0].accept()
     assert again.read()[0] == "POST /late HTTP/1.1"
-    assert [claim.number for claim in claims] == [0] and claims[0].outcome is None
+    assert [attempt.number for attempt in attempts] == [0] and attempts[0].outcome is None
     if how in ("second answer", "turned away"):
         assert wire.at_end()  # and it never read the request
     again.answer(200, b"second")
@@ -114,21 +114,21 @@
     """Its next connect might take longer than sends may go on there."""
     world = make()
     (old,), spare = world.nodes, Peer(world.ground)
-    wire = kept(world, world.caller())
+    wire = kept_connection(world, world.caller())
 
     def crossing() -> list[Attempt]:
         wire.close()
-        job, _ = submit(world, dialling=False)
+        request, _ = submit(world, dialling=False)
         if how == "draining":
-            listed(world, entry("n0", old, lifecycle="DRAINING"), entry("x", spare))
+            apply_list(world, entry("n0", old, lifecycle="DRAINING"), entry("x", spare))
         else:
-            listed(world, entry("n0", spare, startedAtMs=1))
-        return job.attempts
+            apply_list(world, entry("n0", spare, startedAtMs=1))
+        return request.attempts
 
-    claims = world.run(crossing)
-    again, first = reads(spare)
+    attempts = world.run(crossing)
+    again, first = accept_request(spare)
     assert first == "POST /late HTTP/1.1"
-    sent = [(claim.endpoint, claim.outcome) for claim in claims]
+    sent = [(attempt.endpoint, attempt.outcome) for attempt in attempts]
     assert sent == [("n0", Outcome.CONNECT_FAILED), ("n0" if how == "moved" else "x", None)]
     again.answer(200, b"there")
     world.logged("answered")
@@ -144,7 +144,7 @@
     world = make()
     (node,), caller = world.nodes, world.caller()
     node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    wire = kept(world, caller)
+    wire = kept_connection(world, caller)
     (connection,) = world.sidecar.pool.connections
     sock: Any = connection.transport.socket  # type: ignore[attr-defined]
     world.run(lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096))
@@ -175,7 +175,7 @@
     world = make()
     (node,), caller = world.nodes, world.caller()
     node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    wire = kept(world, caller)
+    wire = kept_connection(world, caller)
     world.ask("unsafe", wire=caller, more="Content-Length: 65000\r\n")
     caller.send(b"x" * 65000)  # this end's system takes it, and the other's has no room
     wire.held = wire.sock.recv(1)
@@ -193,7 +193,7 @@
     """Between two looks of the pool: its endpoint may close it at any moment, and a request would be lost."""
     world = make()
     caller = world.caller()
-    wire = kept(world, caller)
+    wire = kept_connection(world, caller)
     world.sidecar.pool.idle_timeout = -1.0
     world.ask("unsafe", wire=caller)
     other = world.nodes[0].accept()
@@ -210,14 +210,14 @@
     monkeypatch.setattr(connection_pool, "REST_SECONDS", 1e9)
     world = make()
     caller = world.caller()
-    wire = kept(world, caller)
+    wire = kept_connection(world, caller)
     world.ask(wire=caller)
     wire.read()  # as long as none was seen, at once
     wire.answer(200, b"second")
     assert caller.read()[2] == b"second"
     wire.answer(200, b"second")
     assert world.logged("endpoint-connection") == ["unasked-data"]
-    wire = kept(world, caller)
+    wire = kept_connection(world, caller)
     world.ask(wire=caller)
     other = world.nodes[0].accept()
     other.read()
@@ -243,7 +243,7 @@
     wire.send(b"HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\na" * 2)
     assert caller.read()[2] == b"a"
     assert world.logged("endpoint-connection") == ["not-clean"]
-    wire = kept(world, caller)
+    wire = kept_connection(world, caller)
     world.ask(wire=caller)
     other = world.nodes[0].accept()
     other.read()
@@ -283,18 +283,18 @@
     """Also where it serves on, at the same address, in another pool."""
     world = PoolsWorld(make(0).ground, tmp_path, TWO)
 
-    def told_amid() -> list[object]:
+    def notify_during_connect() -> list[object]:
         world.pools.router.change_weights("all", {"old": 1})
-        job = begun(world, "late")
-        (claim,) = job.attempts
-        listed(world, entry("n0", world.nodes[0], **more))
+        request = begun(world, "late")
+        (attempt,) = request.attempts
+        apply_list(world, entry("n0", world.nodes[0], **more))
         return [
-            claim.outcome,
-            claim.is_written,
+            attempt.outcome,
+            attempt.is_written,
             *(len(m.connections.pending_connects) for m in world.pools.all()),
         ]
 
     try:
-        assert world.run(told_amid) == [Outcome.CONNECT_FAILED, False, 0, 0]
+        assert world.run(notify_during_connect) == [Outcome.CONNECT_FAILED, False, 0, 0]
     finally:
         world.end()
--- a/tests/http1/test_endpoint_faults.py
+++ b/tests/http1/test_endpoint_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.http1.attempts import kept, submit
+from tests.http1.attempts import kept_connection, submit
 from tests.support.world import World
 from wheatring.core.exchange import Answer, AnswerKind
 from wheatring.http1 import connection_pool
@@ -63,8 +63,8 @@
     world = make()
 
     def answered_amid() -> list[Answer]:
-        job, answers = submit(world)
-        world.sidecar.exchange.answer(job, Answer(AnswerKind.FAILED))
+        request, answers = submit(world)
+        world.sidecar.exchange.answer(request, Answer(AnswerKind.FAILED))
         return answers
 
     assert [answer.kind for answer in world.run(answered_amid)] == [AnswerKind.FAILED]
@@ -76,7 +76,7 @@
     """It has been told as one that ended, so nothing of it may come to run after that."""
     world = make()
     caller = world.caller()
-    wire = kept(world, caller)
+    wire = kept_connection(world, caller)
     writes = EndpointConnection.resumeProducing
 
     def writes_and_breaks(connection: EndpointConnection) -> None:
--- a/tests/http1/test_endpoint_list.py
+++ b/tests/http1/test_endpoint_list.py
@@ -14,20 +14,20 @@
 from hypothesis import strategies as st
 
 from tests.support import world as worlds
-from tests.support.virtual_sockets import Virtual
+from tests.support.virtual_sockets import VirtualSockets
 from tests.support.world import Peer, Wire, World, entry, list_body
 from wheatring import log
 from wheatring.http1 import discovery_client
 from wheatring.lifecycle.notification_deadline import RETRY_WITHIN_SECONDS
 
 Make = Callable[..., World]
-HELD = "GET /v1/servers?index=7&wait=50000"
-WHOLE = "GET /v1/servers HTTP/1.1"
+WATCH = "GET /v1/servers?index=7&wait=50000"
+FULL_LIST = "GET /v1/servers HTTP/1.1"
 DRAINS = {"instanceId": "n0", "hostPort": "127.0.0.1:1", "lifecycle": "DRAINING"}
 
 
 @pytest.fixture
-def told(monkeypatch: pytest.MonkeyPatch) -> Callable[..., None]:
+def change_settings(monkeypatch: pytest.MonkeyPatch) -> Callable[..., None]:
     """Change settings of the worlds that are made from then on."""
 
     def change(**more: Any) -> None:
@@ -37,9 +37,9 @@
 
 
 @pytest.fixture
-def soon(told: Callable[..., None]) -> None:
+def retry_at_once(change_settings: Callable[..., None]) -> None:
     """Who has failed asks again at once: the order is what counts."""
-    told(contract={**worlds.SETTINGS["contract"], "must_ask_in": 100_000})
+    change_settings(contract={**worlds.SETTINGS["contract"], "must_ask_in": 100_000})
 
 
 @pytest.fixture
@@ -49,7 +49,7 @@
     made: list[World] = []
 
     def build(nodes: int = 2, kind: type[World] = World) -> World:
-        made.append(kind(Virtual(), nodes))
+        made.append(kind(VirtualSockets(), nodes))
         return made[-1]
 
     yield build
@@ -58,7 +58,7 @@
 
 
 def now(world: World) -> float:
-    assert isinstance(world.ground, Virtual)
+    assert isinstance(world.ground, VirtualSockets)
     return world.ground.time.now()
 
 
@@ -104,14 +104,14 @@
 
 
 @pytest.mark.parametrize("ending", ENDINGS)
-@pytest.mark.usefixtures("soon")
+@pytest.mark.usefixtures("retry_at_once")
 def test_a_watch_that_ends_is_laid_anew_and_what_it_missed_is_kept(make: Make, ending: str) -> None:
     world = make(2)
     watch = world.discovery.accept()
-    assert asked(watch).startswith(HELD)
+    assert asked(watch).startswith(WATCH)
     ENDINGS[ending](watch)
     watch = world.discovery.accept()
-    assert asked(watch).startswith(HELD)  # nothing of what was half told counts
+    assert asked(watch).startswith(WATCH)  # nothing of what was half told counts
     assert sorted(world.run(lambda: list(world.sidecar.pool.addresses))) == ["n0", "n1"]
     watch.answer(200, list_body(9, DRAINS))
     assert asked(watch).startswith("GET /v1/servers?index=9&")
@@ -119,9 +119,9 @@
 
 
 def test_an_answer_that_trickles_on_a_watch_keeps_no_news_back_for_longer(
-    virtual: Make, told: Callable[..., None]
+    virtual: Make, change_settings: Callable[..., None]
 ) -> None:
-    told(peers_total=200, slot_no=75)  # whose place after a failure is the last
+    change_settings(peers_total=200, slot_no=75)  # whose place after a failure is the last
     world = virtual()
     watch = world.discovery.accept()
     asked(watch)
@@ -132,15 +132,15 @@
         while not world.discovery.listener.socket.queue:
             watch.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n" if now(world) == began else b" ")
             time.run(now(world) + 0.5)
-    assert asked(world.discovery.accept()).startswith(HELD)
+    assert asked(world.discovery.accept()).startswith(WATCH)
     assert now(world) - began <= 5.0 + 0.1
 
 
 @pytest.mark.parametrize("copies", [1, 20, 200])
 def test_who_is_refused_asks_again_within_three_seconds(
-    virtual: Make, told: Callable[..., None], copies: int
+    virtual: Make, change_settings: Callable[..., None], copies: int
 ) -> None:
-    told(peers_total=copies, slot_no=copies - 1)
+    change_settings(peers_total=copies, slot_no=copies - 1)
     world = virtual()
     watch = world.discovery.accept()
     asked(watch)
@@ -149,18 +149,20 @@
         failed = now(world)
         watch.answer(503)
         watch = world.discovery.accept()
-        assert asked(watch).startswith(HELD)
+        assert asked(watch).startswith(WATCH)
         assert now(world) - failed <= RETRY_WITHIN_SECONDS + 0.1
 
 
-def test_watches_that_stood_between_failures_are_no_line(virtual: Make, told: Callable[..., None]) -> None:
+def test_watches_that_stood_between_failures_are_no_line(
+    virtual: Make, change_settings: Callable[..., None]
+) -> None:
     """The calls before fail in a line, the watches are ended when they have stood for long."""
-    told(peers_total=200, slot_no=199)
+    change_settings(peers_total=200, slot_no=199)
     world = virtual()
     time: Any = world.ground.time  # type: ignore[union-attr]
     for stands in (1.5, 20.0, 20.0, 1.5, 20.0):
         watch = world.discovery.accept()
-        assert asked(watch).startswith(HELD)
+        assert asked(watch).startswith(WATCH)
         time.run(now(world) + stands)
         watch.answer(503)
         ended = now(world)
@@ -168,8 +170,8 @@
     assert now(world) - ended <= RETRY_WITHIN_SECONDS + 0.1
 
 
-def test_moves_in_a_row_put_no_call_off(virtual: Make, told: Callable[..., None]) -> None:
-    told(peers_total=200, slot_no=199)
+def test_moves_in_a_row_put_no_call_off(virtual: Make, change_settings: Callable[..., None]) -> None:
+    change_settings(peers_total=200, slot_no=199)
     world = virtual()
     time: Any = world.ground.time  # type: ignore[union-attr]
     asked(world.discovery.accept())
@@ -180,16 +182,16 @@
         time.run(now(world) + 0.9)
         if peer.listener.socket.queue:
             break
-    assert asked(peer.accept()) == WHOLE
+    assert asked(peer.accept()) == FULL_LIST
     assert now(world) - began <= RETRY_WITHIN_SECONDS + 0.9 + 0.1
     for peer in new:
         peer.close()
 
 
 def test_a_silent_watch_is_laid_anew_before_its_news_count_and_at_once_again_when_nobody_is_there(
-    virtual: Make, told: Callable[..., None]
+    virtual: Make, change_settings: Callable[..., None]
 ) -> None:
-    told(peers_total=200, slot_no=199)
+    change_settings(peers_total=200, slot_no=199)
     world = virtual()
     silent = world.discovery.accept()
     asked(silent)
@@ -205,7 +207,7 @@
 
 
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # the queues of the lab's listeners don't fill
-@pytest.mark.usefixtures("soon")
+@pytest.mark.usefixtures("retry_at_once")
 def test_a_call_that_hangs_at_the_connect_is_given_up_and_made_again(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -223,9 +225,9 @@
     former.answer(200, list_body(9, DRAINS))
     only(world, "n1")
     full.accept()[0].close()
-    full.settimeout(worlds.FAR)
+    full.settimeout(worlds.WAIT_LIMIT_SECONDS)
     new = Wire(full.accept()[0])
-    assert asked(new) == WHOLE
+    assert asked(new) == FULL_LIST
     for each in (new.sock, full, filler):
         each.close()
 
@@ -251,7 +253,7 @@
 
     world.run(crossing)
     first = new.accept()
-    assert asked(first) == WHOLE  # no version of the old one
+    assert asked(first) == FULL_LIST  # no version of the old one
     only(world, "n1")
     first.answer(200, list_body(3, entry("n1", world.nodes[1]), reset=True))
     assert asked(first).startswith("GET /v1/servers?index=3&")
@@ -266,7 +268,7 @@
     new = Peer(world.ground)
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
-    assert asked(first) == WHOLE
+    assert asked(first) == FULL_LIST
 
     def crossing() -> None:
         first.answer(200, list_body(3, entry("n1", world.nodes[1]), reset=True))
@@ -285,13 +287,13 @@
     second, third = Peer(world.ground), Peer(world.ground)
     world.run(lambda: lists.change_discovery(("127.0.0.1", second.port)))
     crossing = second.accept()
-    assert asked(crossing) == WHOLE
+    assert asked(crossing) == FULL_LIST
     world.run(lambda: lists.change_discovery(("127.0.0.1", third.port)))
     crossing.answer(200, list_body(3, entry("n1", world.nodes[1])))  # whole, though it does not say so
     assert crossing.at_end() and watch.at_end()
     assert world.run(lambda: list(world.sidecar.pool.addresses)) == ["n1"]
     first = third.accept()
-    assert asked(first) == WHOLE
+    assert asked(first) == FULL_LIST
     first.answer(200, list_body(90, entry("n1", world.nodes[1])))
     assert asked(first).startswith("GET /v1/servers?index=90&")
     only(world, "n1")
@@ -307,7 +309,7 @@
     asked(watch)
     world.ground.time.run(now(world) + 24.0)  # type: ignore[union-attr]
     anew = world.discovery.accept()
-    assert asked(anew).startswith(HELD)
+    assert asked(anew).startswith(WATCH)
     watch.answer(200, list_body(version, DRAINS))
     assert watch.at_end()
     only(world, "n1")
@@ -361,7 +363,7 @@
     asked(world.discovery.accept())
     world.run(world.sidecar.machine_list.fetch)
     fetch = world.discovery.accept()
-    assert asked(fetch) == WHOLE
+    assert asked(fetch) == FULL_LIST
     new = Peer(world.ground)
 
     def crossing() -> None:
@@ -370,7 +372,7 @@
 
     world.run(crossing)
     first = new.accept()
-    assert asked(first) == WHOLE
+    assert asked(first) == FULL_LIST
     assert fetch.at_end()
     assert world.run(lambda: world.sidecar.machine_list.version) is None
     assert sorted(world.run(lambda: list(world.sidecar.pool.addresses))) == ["n0", "n1"]
@@ -429,7 +431,7 @@
     watch = world.discovery.accept()
     asked(watch)
     watch.answer(200, list_body(2, DRAINS))
-    assert asked(watch) == WHOLE
+    assert asked(watch) == FULL_LIST
     assert "list-failed" not in [event for event, _ in world.lines]
     assert world.run(lambda: world.sidecar.serving.freshness.serving) == {"n1", "n2"}
     watch.answer(200, list_body(2, entry("n1", world.nodes[1])))  # whole, though it does not say so
@@ -484,7 +486,7 @@
     world = virtual(kind=Unlisted)
     for _ in range(10):
         first = world.discovery.accept()
-        assert asked(first) == WHOLE
+        assert asked(first) == FULL_LIST
         assert world.ask().read()[0].startswith("HTTP/1.1 503")
         first.reset()
     first = world.discovery.accept()
@@ -495,33 +497,35 @@
 
 
 @pytest.mark.parametrize("copies", [1, 200])
-def test_an_old_list_is_asked_about_in_time(virtual: Make, told: Callable[..., None], copies: int) -> None:
-    told(peers_total=copies, slot_no=copies - 1)
+def test_an_old_list_is_asked_about_in_time(
+    virtual: Make, change_settings: Callable[..., None], copies: int
+) -> None:
+    change_settings(peers_total=copies, slot_no=copies - 1)
     world = virtual()
     began = now(world)
-    assert asked(world.discovery.accept()).startswith(HELD)
+    assert asked(world.discovery.accept()).startswith(WATCH)
     assert now(world) - began <= 8.0 + 0.1
 
 
 def test_where_lists_are_pushed_the_watch_is_there_from_the_first_moment_and_always(
-    virtual: Make, told: Callable[..., None]
+    virtual: Make, change_settings: Callable[..., None]
 ) -> None:
-    told(discovery="pushed", peers_total=200, slot_no=199)
+    change_settings(discovery="pushed", peers_total=200, slot_no=199)
     world = virtual()
     began = now(world)
     watch = world.discovery.accept()
-    assert asked(watch).startswith(HELD)
+    assert asked(watch).startswith(WATCH)
     assert now(world) - began < 0.1
     for _ in range(6):
         failed = now(world)
         watch.answer(503)
         watch = world.discovery.accept()
-        assert asked(watch).startswith(HELD)
+        assert asked(watch).startswith(WATCH)
         assert now(world) - failed < 0.3
     new = Peer(world.ground)
     began = now(world)
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
-    assert asked(new.accept()) == WHOLE
+    assert asked(new.accept()) == FULL_LIST
     assert now(world) - began < 0.3
     watch.answer(200, list_body(9, DRAINS))
     only(world, "n1")
@@ -536,7 +540,7 @@
 
 @pytest.mark.parametrize("part", ["on_view", "should_continue"])
 @pytest.mark.parametrize("ending", ["list", "refused", "reset"])
-@pytest.mark.usefixtures("soon")
+@pytest.mark.usefixtures("retry_at_once")
 def test_what_breaks_at_the_end_of_a_call_leaves_no_sidecar_without_a_watch(
     make: Make, part: str, ending: str
 ) -> None:
@@ -558,7 +562,7 @@
     watch = world.discovery.accept()
     first = asked(watch)
     if part == "on_view" or ending == "list":
-        assert first == WHOLE  # what was told may have come to nobody
+        assert first == FULL_LIST  # what was told may have come to nobody
         watch.answer(200, list_body(9, entry("n1", world.nodes[1]), reset=True))
         assert asked(watch).startswith("GET /v1/servers?index=9&")
         only(world, "n1")
@@ -566,10 +570,10 @@
 
 @pytest.mark.parametrize("copies", [1, 200])
 def test_who_is_moved_asks_in_time_and_waits_for_no_call_that_was_swallowed(
-    virtual: Make, told: Callable[..., None], copies: int
+    virtual: Make, change_settings: Callable[..., None], copies: int
 ) -> None:
     """The new discovery takes the first calls and never answers; it does not even see them given up."""
-    told(peers_total=copies, slot_no=copies - 1)
+    change_settings(peers_total=copies, slot_no=copies - 1)
     world = virtual()
     asked(world.discovery.accept())
     new = Peer(world.ground)
@@ -577,7 +581,7 @@
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     for patience in (0.0, 2.0, 4.0, 4.75, 4.75)[: 5 if copies == 1 else 3]:  # many give way by then
         first = new.accept()
-        assert asked(first) == WHOLE
+        assert asked(first) == FULL_LIST
         assert (
             now(world) - before
             <= (min(patience + RETRY_WITHIN_SECONDS, 5.0) if copies == 1 else 5.0 + RETRY_WITHIN_SECONDS)
@@ -596,7 +600,7 @@
     new = Peer(world.ground)
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
-    assert asked(first) == WHOLE
+    assert asked(first) == FULL_LIST
     began = now(world)
     first.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n")
     with suppress(OSError):
@@ -604,7 +608,7 @@
             world.ground.time.run(now(world) + 0.5)  # type: ignore[union-attr]
             first.send(b" ")
     second = new.accept()
-    assert asked(second) == WHOLE
+    assert asked(second) == FULL_LIST
     assert now(world) - began <= 5.0 + 0.1
     second.answer(200, list_body(3, entry("n1", world.nodes[1]), reset=True))
     assert asked(second).startswith("GET /v1/servers?index=3&")
@@ -617,7 +621,7 @@
 def test_a_call_is_out_or_due_after_any_row_of_endings(row: list[str]) -> None:
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(log, "line", log.line)
-        world = World(Virtual(), 2)
+        world = World(VirtualSockets(), 2)
         lists, discovery = world.sidecar.machine_list, world.discovery
         watch = discovery.accept()
         asked(watch)
--- a/tests/http1/test_list_freshness.py
+++ b/tests/http1/test_list_freshness.py
@@ -11,11 +11,11 @@
 from wheatring.lifecycle import freshness
 
 Make = Callable[..., World]
-HELD = "GET /v1/servers?index=7&wait=50000"
+WATCH = "GET /v1/servers?index=7&wait=50000"
 
 
 @pytest.fixture(autouse=True)
-def soon() -> Iterator[None]:
+def shortened_durations() -> Iterator[None]:
     """Divide the durations of the module by a hundred."""
     with pytest.MonkeyPatch.context() as patch:
         for name in (
@@ -33,12 +33,12 @@
 def test_nodes_that_refuse_make_it_lay_the_watch_anew_and_serve_by_what_that_brings(make: Make) -> None:
     world = make(3)
     old = world.discovery.accept()
-    assert old.read()[0].startswith(HELD)
+    assert old.read()[0].startswith(WATCH)
     for peer in world.nodes:
         peer.close()
     assert world.ask().read()[0].split()[1] == "503"
     new = world.discovery.accept()
-    assert new.read()[0].startswith(HELD)  # from the version held, and waiting as long
+    assert new.read()[0].startswith(WATCH)  # from the version held, and waiting as long
     assert old.at_end()
     node = Peer(world.ground)
     gone = [{"instanceId": f"n{n}", "lifecycle": "DELETED"} for n in range(3)]
@@ -130,7 +130,7 @@
     if ending == "breaks off":
         watch.reset()
     again = world.discovery.accept()
-    assert again.read()[0].startswith(HELD)  # from the version that it holds: nothing of the half one counts
+    assert again.read()[0].startswith(WATCH)  # from the version that it holds: nothing of the half one counts
     assert sorted(world.run(lambda: list(world.sidecar.pool.addresses))) == ["n0", "n1"]
     again.send(whole)
     assert again.read()[0].startswith("GET /v1/servers?index=8&wait=50000")
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -9,7 +9,8 @@
 import pytest
 from twisted.logger import globalLogPublisher
 
-from tests.support.world import Loopback, World, entry, list_body
+from tests.support.world import LoopbackSockets as Loopback
+from tests.support.world import World, entry, list_body
 from wheatring import log
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Request
--- a/tests/http1/test_shutdown.py
+++ b/tests/http1/test_shutdown.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.http1.test_bodies import LARGE, body, head, no_room, post
-from tests.support.world import Loopback, World
+from tests.support.world import LoopbackSockets, World
 from wheatring import log
 from wheatring.http1 import caller_lifecycle, server
 
@@ -23,7 +23,7 @@
     world.run(world.sidecar.stop)
 
 
-def the(world: World) -> Any:
+def only_connection(world: World) -> Any:
     """Return the one connection of a caller."""
     while not world.run(lambda: world.sidecar.server.connections):
         world.settle()
@@ -33,16 +33,16 @@
 
 def test_who_waits_at_the_door_comes_in_before_it_is_shut(make: Make) -> None:
     world = make(0)
-    door: Any = world.sidecar.server.listener
-    world.run(door.stopReading)
+    listener: Any = world.sidecar.server.listener
+    world.run(listener.stopReading)
     callers = [world.caller() for _ in range(5)]
     for wire in callers:
         wire.send(HEALTH)
     world.settle()
 
     def shut() -> None:
-        door.numberAccepts = 1  # as where callers have come one by one until now
-        door.startReading()
+        listener.numberAccepts = 1  # as where callers have come one by one until now
+        listener.startReading()
         world.reactor.callLater(0, world.sidecar.server.stop_listening)
 
     world.run(shut)
@@ -56,7 +56,7 @@
     """Also where the answer before would have been the last one as its request was read."""
     world = make()
     wire = world.caller()
-    connection = the(world)
+    connection = only_connection(world)
     if told == "before both":
         leave(world)
     world.ask(wire=wire)
@@ -96,7 +96,7 @@
     wire = world.caller()
     wire.send(HEALTH)
     wire.read()
-    connection = the(world)
+    connection = only_connection(world)
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n"
     if instant == "half":
         wire.send(request[:30])
@@ -134,7 +134,7 @@
     head(node)
     node.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE[:100000])
     head(wire)
-    connection = the(world)
+    connection = only_connection(world)
     world.run(lambda: setattr(connection, "state_since", -1e9))
     world.run(lambda: world.sidecar.server.close_unanswered(is_late=True))
     passed: list[bool] = []
@@ -157,11 +157,11 @@
     else:
         wire.send(HEALTH)
         wire.read()
-    connection = the(world)
+    connection = only_connection(world)
 
     def evict() -> None:
         """Evict the caller whose request is there, and not read yet."""
-        if isinstance(world.ground, Loopback):
+        if isinstance(world.ground, LoopbackSockets):
             wire.send(HEALTH)
         connection.transport.resumeProducing()
         monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
@@ -170,7 +170,7 @@
         else:
             connection.enforce_limits(world.sidecar.clock.now() + 1, 0.0)
 
-    if not isinstance(world.ground, Loopback):
+    if not isinstance(world.ground, LoopbackSockets):
         world.run(connection.transport.pauseProducing)
         wire.send(HEALTH)
         world.settle()
@@ -188,5 +188,5 @@
     assert wire.read()[0].startswith("HTTP/1.1 503")  # and it is not closed
     told = world.run(world.sidecar.clock.now)
     world.logged("ended")
-    if not isinstance(world.ground, Loopback):
+    if not isinstance(world.ground, LoopbackSockets):
         assert world.run(world.sidecar.clock.now) - told < server.BRIEF_FLUSH_SECONDS + 0.05
--- a/tests/lab/live/test_bench.py
+++ b/tests/lab/live/test_bench.py
@@ -19,7 +19,7 @@
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 from wheatring.lab.live.watch import Watch
 
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 
 
 def test_a_watch_of_itself_sees_its_own_work_and_descriptors() -> None:
@@ -42,7 +42,7 @@
     watch = Watch(0.0)
     for at in (1.0, 3.0):
         with Process("upstream", module(f"{run.BENCH_PACKAGE}.upstream", run.HOST, "1")) as process:
-            process.wait_for_line("listening ", time.monotonic() + FAR)
+            process.wait_for_line("listening ", time.monotonic() + WAIT_LIMIT_SECONDS)
             watch.add("upstream", process.pid, at - 1.0)
             watch.sample(at)
         watch.sample(at + 0.5)
@@ -82,9 +82,11 @@
         assert ends or end == "crash"
         if end != "crash":
             victim.send_signal(signal.Signals[end])
-        assert victim.wait(FAR) != 0
+        assert victim.wait(WAIT_LIMIT_SECONDS) != 0
     for descriptor in ends:
-        assert select.select([descriptor], [], [], FAR)[0]  # readable once its process has ended
+        assert select.select([descriptor], [], [], WAIT_LIMIT_SECONDS)[
+            0
+        ]  # readable once its process has ended
         os.close(descriptor)
 
 
@@ -94,11 +96,13 @@
         assert sidecar.port() > 0
         sidecar.write({**told, "settings": None})
         sidecar.send(signal.SIGHUP)
-        assert "settings: missing" in sidecar.wait_for_line("not-reloaded", time.monotonic() + FAR)
+        assert "settings: missing" in sidecar.wait_for_line(
+            "not-reloaded", time.monotonic() + WAIT_LIMIT_SECONDS
+        )
         sidecar.send(signal.SIGTERM)
-        assert sidecar.wait(time.monotonic() + FAR) == 0
+        assert sidecar.wait(time.monotonic() + WAIT_LIMIT_SECONDS) == 0
         with pytest.raises(ProcessError, match="s1: ended before it said 'reloaded'"):
-            sidecar.wait_for_line("reloaded", time.monotonic() + FAR)
+            sidecar.wait_for_line("reloaded", time.monotonic() + WAIT_LIMIT_SECONDS)
 
 
 def test_the_benchmark_measures_all_by_turns_and_gives_ratios() -> None:
--- a/tests/lab/live/test_cold_start.py
+++ b/tests/lab/live/test_cold_start.py
@@ -21,7 +21,7 @@
 from wheatring.lab.scenario.load import fleet_names, load
 from wheatring.lab.study import job_builder, settings
 
-FAR = 240.0
+WAIT_LIMIT_SECONDS = 240.0
 SIDECARS = 8
 AT_ONCE = 6  # days played side by side
 OUTAGE = 15  # seconds, from the begin: on a busy machine a process takes several of them to start
@@ -57,7 +57,10 @@
         asked = dict(pair.split("=", 1) for pair in ("length=20", *SMALL, *DAYS[name]))
         words += [word for key, value in asked.items() for word in ("--set", f"{key}={value}")]
         done = subprocess.run(
-            [sys.executable, "-m", "wheatring", *words], capture_output=True, text=True, timeout=FAR
+            [sys.executable, "-m", "wheatring", *words],
+            capture_output=True,
+            text=True,
+            timeout=WAIT_LIMIT_SECONDS,
         )
         assert done.returncode in (0, 1), done.stderr  # 1: the checks are for hundreds, on an idle machine
         return msgspec.json.decode(file.read_bytes(), type=LiveOutcome), done.stdout + done.stderr
--- a/tests/lab/live/test_links.py
+++ b/tests/lab/live/test_links.py
@@ -14,7 +14,7 @@
 from wheatring.lab.live.links.wires import Wires
 from wheatring.lab.plan import EventPlan, NetPlan
 
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 NOT_YET = 0.4  # seconds in which what is cut off does not arrive
 HOSTS = {"a": "127.71.0.1", "b": "127.72.0.1"}
 CUT = EventPlan(at=0.0, kind="partition", hosts=(HOSTS["a"],), others=(HOSTS["b"],))
@@ -28,19 +28,19 @@
     def __init__(self) -> None:
         self.wires = Wires(1, HOSTS, NetPlan(cross=0.05, jitter=0.0), 1)
         self.listener = socket.create_server((HOSTS["b"], 0), backlog=64)
-        self.listener.settimeout(FAR)
+        self.listener.settimeout(WAIT_LIMIT_SECONDS)
         self.wires.reserve(["a>b"])
         self.wires.lead({"a>b": self.listener.getsockname()})
         self.settle()
 
-    def dial(self, patience: float = FAR) -> socket.socket:
+    def dial(self, patience: float = WAIT_LIMIT_SECONDS) -> socket.socket:
         return socket.create_connection(self.wires.address("a>b"), patience)
 
     def both(self) -> tuple[socket.socket, socket.socket]:
         """Return the two ends of a connection."""
         near = self.dial()
         far, _ = self.listener.accept()
-        far.settimeout(FAR)
+        far.settimeout(WAIT_LIMIT_SECONDS)
         near.sendall(b"?")
         assert far.recv(1) == b"?"
         return near, far
@@ -68,7 +68,7 @@
     except TimeoutError:
         return True
     finally:
-        end.settimeout(FAR)
+        end.settimeout(WAIT_LIMIT_SECONDS)
     return False
 
 
@@ -204,7 +204,7 @@
         for name, host in HOSTS.items():
             ends[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             ends[name].bind((host, 0))
-            ends[name].settimeout(FAR)
+            ends[name].settimeout(WAIT_LIMIT_SECONDS)
         wires.reserve_datagrams(["a", "b"])
         wires.lead({name: end.getsockname() for name, end in ends.items()})
         wires.stats()  # answered in order: they lead there now
--- a/tests/lab/live/test_play.py
+++ b/tests/lab/live/test_play.py
@@ -21,7 +21,7 @@
 from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load, names
 
-FAR = 60.0
+WAIT_LIMIT_SECONDS = 60.0
 DAY = """
 title = "A short bad day"
 what = "For tests."
@@ -175,7 +175,7 @@
 
 def test_a_day_of_troubles_gives_an_outcome_as_in_virtual_time_and_leaves_nothing(tmp_path: Path) -> None:
     with begin(tmp_path, "--json", str(tmp_path / "outcome")) as process:
-        out, err = process.communicate(timeout=FAR)
+        out, err = process.communicate(timeout=WAIT_LIMIT_SECONDS)
         assert process.returncode in (0, 1), err  # on a busy machine what comes late may look like a breach
     assert not sidecars(tmp_path)
     told = (tmp_path / "outcome").read_bytes()
@@ -206,10 +206,12 @@
         started = [os.pidfd_open(pid) for pid in sidecars(tmp_path)]
         assert len(started) == 4
         process.send_signal(number)
-        process.communicate(timeout=FAR)
+        process.communicate(timeout=WAIT_LIMIT_SECONDS)
         assert process.returncode == (130 if number == signal.SIGINT else -number)
     for descriptor in started:
-        assert select.select([descriptor], [], [], FAR)[0]  # readable once its process has ended
+        assert select.select([descriptor], [], [], WAIT_LIMIT_SECONDS)[
+            0
+        ]  # readable once its process has ended
         os.close(descriptor)
 
 
--- a/tests/lab/live/test_view_cases.py
+++ b/tests/lab/live/test_view_cases.py
@@ -10,7 +10,7 @@
 from wheatring.lab.live.view_cases import ViewHistory, view_entries
 
 
-def band(**events: list[tuple[float, int, int]]) -> Any:
+def rig(**events: list[tuple[float, int, int]]) -> Any:
     """Members whose logs say, so many seconds ago, in which view of how many they came to stand."""
     now = time.monotonic()
     members = {
@@ -23,7 +23,7 @@
 
 
 def test_views_are_alike_while_all_stand_in_the_same() -> None:
-    made = band(a=[(-100, 1, 3), (-6, 2, 2)], b=[(-100, 1, 3), (-4, 2, 2)])
+    made = rig(a=[(-100, 1, 3), (-6, 2, 2)], b=[(-100, 1, 3), (-4, 2, 2)])
     judge = ViewHistory(made, time.monotonic() - 10)
     assert judge.number == 1
     assert abs(judge.share_in_one_view(["a", "b"]) - 0.8) < 0.01
@@ -33,7 +33,7 @@
 
 
 def test_a_change_counts_once_however_many_stand_in_it() -> None:
-    made = band(a=[(-5, 4, 9), (-3, 5, 8), (-1, 6, 9)], b=[(-2, 5, 8)])
+    made = rig(a=[(-5, 4, 9), (-3, 5, 8), (-1, 6, 9)], b=[(-2, 5, 8)])
     assert [one.number for one in ViewHistory(made, time.monotonic() - 4).changes(["a", "b"])] == [5, 6]
     assert view_entries(made, "b")[0].is_inside
 
--- a/tests/lab/net/environments.py
+++ b/tests/lab/net/environments.py
@@ -1,4 +1,4 @@
-"""Two grounds for the same Twisted protocols: real loopback, and the lab's network in virtual time."""
+"""Two environments for the same Twisted protocols: real loopback, and the lab's network in virtual time."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from wheatring.lab.plan import NetPlan
 
 T = TypeVar("T")
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 
 
-class Real:
+class LoopbackEnvironment:
     """Loopback, on the installed reactor, which runs in a thread of its own."""
 
     here: Any = installed
@@ -30,9 +30,9 @@
         done: T = blockingCallFromThread(installed, call)
         return done
 
-    def until(self, met: Callable[[], object]) -> None:
-        """Let things happen until so."""
-        limit = self.here.seconds() + FAR
+    def wait_until(self, met: Callable[[], object]) -> None:
+        """Let things happen until the condition is met."""
+        limit = self.here.seconds() + WAIT_LIMIT_SECONDS
         while not self.run(met):
             assert self.here.seconds() < limit, "it never came"
 
@@ -45,7 +45,7 @@
             quiet = quiet + 1 if len(log) == before else 0
 
 
-class Virtual:
+class VirtualEnvironment:
     def __init__(self, seed: int = 1, ties: bool = False, **plan: Any) -> None:
         self.time = VirtualTime(ties=Random(seed) if ties else None)
         self.net = Network(self.time, NetPlan(**plan), Random(seed))
@@ -57,8 +57,8 @@
         done: T = self.here.run(call)
         return done
 
-    def until(self, met: Callable[[], object]) -> None:
-        limit = self.time.now() + FAR
+    def wait_until(self, met: Callable[[], object]) -> None:
+        limit = self.time.now() + WAIT_LIMIT_SECONDS
         while not met():
             assert self.time.step(limit), "it never came"
 
@@ -66,11 +66,11 @@
         self.time.run(self.time.now() + 1.0)
 
 
-Ground = Real | Virtual
+Environment = LoopbackEnvironment | VirtualEnvironment
 
 
 class End(protocol.Protocol):
-    """Notes what it is told, in a log that it shares with others: who, what and details."""
+    """Records its events in a log that it shares with others: name, event and details."""
 
     transport: Any
 
@@ -146,20 +146,22 @@
     """Two ends of one connection, client and server."""
 
     def __init__(
-        self, ground: Ground, client: Callable[..., Any] = End, server: Callable[..., Any] = End
+        self, environment: Environment, client: Callable[..., Any] = End, server: Callable[..., Any] = End
     ) -> None:
-        self.ground = ground
+        self.environment = environment
         self.log: list[Any] = []
         self.servers = Factory("server", self.log, server)
         self.clients = Factory("client", self.log, client)
-        self.port = ground.run(lambda: ground.there.listenTCP(0, self.servers, interface=ground.host))
+        self.port = environment.run(
+            lambda: environment.there.listenTCP(0, self.servers, interface=environment.host)
+        )
         self.address = self.port.getHost()
         self.connector = self.connect()
-        ground.until(lambda: self.servers.ends and self.clients.ends)
+        environment.wait_until(lambda: self.servers.ends and self.clients.ends)
 
     def connect(self) -> Any:
-        where = (self.ground.host, self.address.port, self.clients)
-        return self.ground.run(lambda: self.ground.here.connectTCP(*where, timeout=None))
+        where = (self.environment.host, self.address.port, self.clients)
+        return self.environment.run(lambda: self.environment.here.connectTCP(*where, timeout=None))
 
     @property
     def client(self) -> Any:
@@ -171,8 +173,8 @@
 
     def do(self, call: Callable[[], object]) -> None:
         """Call in the reactor, and let it have its effect."""
-        self.ground.run(call)
-        self.ground.settle(self.log)
+        self.environment.run(call)
+        self.environment.settle(self.log)
 
     def told(self) -> tuple[list[Any], list[Any]]:
         """Close both ends and return the events that they saw."""
@@ -184,6 +186,6 @@
                     end.transport.abortConnection()
 
         result = told(self.log, "client"), told(self.log, "server")
-        self.ground.run(close)
-        self.ground.settle(self.log)
+        self.environment.run(close)
+        self.environment.settle(self.log)
         return result
--- a/tests/lab/net/test_environments.py
+++ b/tests/lab/net/test_environments.py
@@ -9,7 +9,14 @@
 
 import pytest
 
-from tests.lab.net.environments import End, Ground, HalfEnd, Pair, Real, Virtual
+from tests.lab.net.environments import (
+    End,
+    Environment,
+    HalfEnd,
+    LoopbackEnvironment,
+    Pair,
+    VirtualEnvironment,
+)
 
 
 class Pull:
@@ -76,8 +83,8 @@
 Script = list[tuple[str, str]]
 
 
-def play(ground: Ground, script: Script, kinds: tuple[type[End], type[End]]) -> Any:
-    pair = Pair(ground, *kinds)
+def play(environment: Environment, script: Script, kinds: tuple[type[End], type[End]]) -> Any:
+    pair = Pair(environment, *kinds)
     for who, what in script:
         pair.do(partial(step, pair.client if who == "client" else pair.server, what))
     return pair.told()
@@ -91,18 +98,22 @@
         kinds = (random.choice((End, HalfEnd)), random.choice((End, HalfEnd)))
         length = random.randint(1, 7)
         script = [(random.choice(("client", "server")), random.choice(STEPS)) for _ in range(length)]
-        assert play(Virtual(same=0.0), script, kinds) == play(Real(), script, kinds), script
+        assert play(VirtualEnvironment(same=0.0), script, kinds) == play(
+            LoopbackEnvironment(), script, kinds
+        ), script
 
 
-GROUNDS = pytest.mark.parametrize("ground", [Real, Virtual, partial(Virtual, ties=True)])
-Make = Callable[[], Ground]
+EACH_ENVIRONMENT = pytest.mark.parametrize(
+    "make_environment", [LoopbackEnvironment, VirtualEnvironment, partial(VirtualEnvironment, ties=True)]
+)
+Make = Callable[[], Environment]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_what_was_written_before_an_abort_is_read_and_then_the_reset(ground: Make) -> None:
+def test_what_was_written_before_an_abort_is_read_and_then_the_reset(make_environment: Make) -> None:
     script = [("server", "pause"), ("client", "much"), ("client", "abort"), ("server", "resume")]
-    client, server = play(ground(), script, (End, End))
+    client, server = play(make_environment(), script, (End, End))
     assert client == [
         ["made"],
         ["lost", "ConnectionAborted"],
@@ -111,9 +122,9 @@
     assert server == [["made"], ["data", b"m" * 40_000], ["lost", "ConnectionLost"]]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_closing_over_unread_bytes_is_a_reset(ground: Make) -> None:
+def test_closing_over_unread_bytes_is_a_reset(make_environment: Make) -> None:
     script = [
         ("client", "pause"),
         ("server", "pause"),
@@ -121,33 +132,35 @@
         ("client", "close"),
         ("server", "write"),
     ]
-    assert play(ground(), script, (End, End))[1] == [["made"], ["lost", "ConnectionLost"]]
+    assert play(make_environment(), script, (End, End))[1] == [["made"], ["lost", "ConnectionLost"]]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_half_closed_each_way_it_is_over_for_both(ground: Make) -> None:
+def test_half_closed_each_way_it_is_over_for_both(make_environment: Make) -> None:
     script = [("client", "write+half"), ("server", "write"), ("server", "half"), ("client", "close")]
-    client, server = play(ground(), script, (HalfEnd, HalfEnd))
+    client, server = play(make_environment(), script, (HalfEnd, HalfEnd))
     assert client[:4] == [["made"], ["write side over"], ["data", b"abc"], ["read side over"]]
     assert server[:4] == [["made"], ["data", b"abc"], ["read side over"], ["write side over"]]
     assert client[4] == ["lost", "ConnectionDone"]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_pull_producer_is_asked_once_more_each_time_that_the_kernel_has_taken_all(ground: Make) -> None:
-    pair = Pair(ground())
+def test_a_pull_producer_is_asked_once_more_each_time_that_the_kernel_has_taken_all(
+    make_environment: Make,
+) -> None:
+    pair = Pair(make_environment())
     pair.do(lambda: pair.server.transport.registerProducer(Pull(pair.server, 3), False))
     client, server = pair.told()
     assert client == [["made"], ["data", b"piece" * 3]]
     assert server == [["made"], ["pulled", 3], ["pulled", 2], ["pulled", 1], ["pulled", 0]]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_pull_producer_waits_while_its_peer_reads_nothing(ground: Make) -> None:
-    pair = Pair(ground())
+def test_a_pull_producer_waits_while_its_peer_reads_nothing(make_environment: Make) -> None:
+    pair = Pair(make_environment())
     body = b"x" * 8_000_000
     client, server = pair.client, pair.server
 
@@ -163,21 +176,21 @@
     pair.do(client.transport.pauseProducing)
     pair.do(lambda: server.transport.registerProducer(Large(server, 1), False))
     assert pair.log.count(("server", "pulled")) == 1
-    pair.ground.run(client.transport.resumeProducing)
-    pair.ground.until(lambda: len(client.got) == len(body))
+    pair.environment.run(client.transport.resumeProducing)
+    pair.environment.wait_until(lambda: len(client.got) == len(body))
     assert pair.log.count(("server", "pulled")) == 2
     pair.told()
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_connects_that_fail_tell_why_and_may_be_begun_again(ground: Make) -> None:
-    pair = Pair(ground())
+def test_connects_that_fail_tell_why_and_may_be_begun_again(make_environment: Make) -> None:
+    pair = Pair(make_environment())
     pair.do(pair.port.stopListening)
     connector = pair.connect()
-    pair.ground.until(lambda: connector.state == "disconnected")
-    pair.ground.run(connector.connect)
-    pair.ground.until(lambda: len(pair.log) == 4)
+    pair.environment.wait_until(lambda: connector.state == "disconnected")
+    pair.environment.run(connector.connect)
+    pair.environment.wait_until(lambda: len(pair.log) == 4)
     assert pair.log[2:] == [("client", "failed", "ConnectionRefusedError", "disconnected")] * 2
 
     def begin_and_stop() -> None:
@@ -185,22 +198,22 @@
         assert connector.state == "connecting"
         connector.stopConnecting()
 
-    pair.ground.run(begin_and_stop)
+    pair.environment.run(begin_and_stop)
     assert pair.log[4:] == [("client", "failed", "UserError", "disconnected")]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_who_waits_at_a_door_that_closes_is_reset(ground: Make) -> None:
-    pair = Pair(ground())
+def test_who_waits_at_a_door_that_closes_is_reset(make_environment: Make) -> None:
+    pair = Pair(make_environment())
     pair.do(pair.port.stopReading)
     pair.connect()
-    pair.ground.until(lambda: len(pair.clients.ends) == 2)
+    pair.environment.wait_until(lambda: len(pair.clients.ends) == 2)
     waiting = pair.clients.ends[1]
     pair.do(lambda: waiting.transport.write(b"anybody there?"))
     assert not waiting.over
-    pair.ground.run(pair.port.stopListening)
-    pair.ground.until(lambda: waiting.over)
+    pair.environment.run(pair.port.stopListening)
+    pair.environment.wait_until(lambda: waiting.over)
     assert pair.log[-2:] == [
         ("client", "lost", "ConnectionLost"),
         ("client", "connector", "ConnectionLost", "disconnected"),
@@ -208,16 +221,16 @@
     pair.told()
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_what_comes_before_the_door_opens_is_there_when_it_does(ground: Make) -> None:
-    pair = Pair(ground())
+def test_what_comes_before_the_door_opens_is_there_when_it_does(make_environment: Make) -> None:
+    pair = Pair(make_environment())
     pair.do(pair.port.stopReading)
     pair.connect()
-    pair.ground.until(lambda: len(pair.clients.ends) == 2)
+    pair.environment.wait_until(lambda: len(pair.clients.ends) == 2)
     pair.do(lambda: step(pair.clients.ends[1], "write+close"))
-    pair.ground.run(pair.port.startReading)
-    pair.ground.until(lambda: len(pair.servers.ends) == 2 and pair.servers.ends[1].over)
+    pair.environment.run(pair.port.startReading)
+    pair.environment.wait_until(lambda: len(pair.servers.ends) == 2 and pair.servers.ends[1].over)
     assert pair.log[-3:] == [
         ("server", "made"),
         ("server", "data", b"abc"),
@@ -226,45 +239,47 @@
     pair.told()
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_fault_in_a_protocol_ends_its_connection_and_no_more(ground: Make) -> None:
+def test_a_fault_in_a_protocol_ends_its_connection_and_no_more(make_environment: Make) -> None:
     class Broken(End):
         def dataReceived(self, data: bytes) -> None:  # noqa: ARG002, N802 - Twisted's signature
             raise ZeroDivisionError
 
-    client, server = play(ground(), [("client", "write")], (End, Broken))
+    client, server = play(make_environment(), [("client", "write")], (End, Broken))
     assert server == [["made"], ["lost", "ZeroDivisionError"]]
     assert client[1] == ["lost", "ConnectionDone"]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_factory_that_builds_nothing_turns_the_caller_away(ground: Make) -> None:
-    pair = Pair(ground())
+def test_a_factory_that_builds_nothing_turns_the_caller_away(make_environment: Make) -> None:
+    pair = Pair(make_environment())
     pair.servers.build = lambda _name, _log: None
     pair.connect()
-    pair.ground.until(lambda: len(pair.clients.ends) == 2 and pair.clients.ends[1].over)
+    pair.environment.wait_until(lambda: len(pair.clients.ends) == 2 and pair.clients.ends[1].over)
     assert pair.log[-2] == ("client", "lost", "ConnectionDone")
     pair.told()
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_what_was_written_for_a_later_turn_is_not_sent_by_one_that_aborts_first(ground: Make) -> None:
+def test_what_was_written_for_a_later_turn_is_not_sent_by_one_that_aborts_first(
+    make_environment: Make,
+) -> None:
     class Hasty(End):
         def dataReceived(self, data: bytes) -> None:  # noqa: ARG002, N802 - Twisted's signature
             self.transport.write(b"a reply")
             self.transport.reactor.callLater(0, self.transport.abortConnection)
 
-    client, server = play(ground(), [("client", "write")], (End, Hasty))
+    client, server = play(make_environment(), [("client", "write")], (End, Hasty))
     assert client[1] == ["lost", "ConnectionLost"] and server == [["made"], ["lost", "ConnectionAborted"]]
 
 
-@GROUNDS
+@EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_addresses_are_those_of_both_ends(ground: Make) -> None:
-    pair = Pair(ground())
+def test_addresses_are_those_of_both_ends(make_environment: Make) -> None:
+    pair = Pair(make_environment())
     client, server = pair.client.transport, pair.server.transport
     assert client.getPeer() == server.getHost() == pair.address
     assert client.getHost() == server.getPeer() and client.getTcpNoDelay()
--- a/tests/lab/net/test_faults.py
+++ b/tests/lab/net/test_faults.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.lab.net.environments import End, Factory, HalfEnd, Pair, Virtual
+from tests.lab.net.environments import End, Factory, HalfEnd, Pair, VirtualEnvironment
 from wheatring.lab.net.links import Link
 
 
@@ -22,7 +22,7 @@
     """A pair in virtual time whose parts are at hand."""
 
     def __init__(self, client: Any = End, server: Any = End, **plan: Any) -> None:
-        self.virtual = Virtual(**plan)
+        self.virtual = VirtualEnvironment(**plan)
         super().__init__(self.virtual, client, server)
         self.time = self.virtual.time
         self.net = self.virtual.net
@@ -38,7 +38,7 @@
         return news
 
     def write(self, end: End, data: bytes) -> None:
-        self.ground.run(lambda: end.transport.write(data))
+        self.environment.run(lambda: end.transport.write(data))
 
 
 @pytest.fixture
@@ -71,9 +71,9 @@
     begun = place.time.now()
     place.pass_time(2.0)
     assert place.news() == [] and waiting.state == "connecting"
-    place.ground.run(given_up.stopConnecting)
+    place.environment.run(given_up.stopConnecting)
     place.net.full(*place.where, False)
-    place.ground.until(lambda: len(place.servers.ends) == 2)
+    place.environment.wait_until(lambda: len(place.servers.ends) == 2)
     assert 3.0 < place.time.now() - begun < 3.01  # tried after 1 and 3 s
     assert place.news()[0] == ("client", "failed", "UserError", "disconnected")
 
@@ -88,18 +88,18 @@
 
 
 def test_callers_beyond_the_backlog_wait_outside() -> None:
-    ground = Virtual()
+    environment = VirtualEnvironment()
     log: list[Any] = []
     callers, served = Factory("caller", log), Factory("served", log)
-    port: Any = ground.there.listenTCP(0, served, backlog=2)
+    port: Any = environment.there.listenTCP(0, served, backlog=2)
     port.stopReading()
     for _ in range(6):
-        ground.here.connectTCP(ground.host, port.getHost().port, callers)
-    ground.settle(log)
+        environment.here.connectTCP(environment.host, port.getHost().port, callers)
+    environment.settle(log)
     assert len(callers.ends) == 3
     port.startReading()
-    ground.settle(log)
-    ground.settle(log)
+    environment.settle(log)
+    environment.settle(log)
     assert len(callers.ends) == len(served.ends) == 6
 
 
@@ -119,15 +119,15 @@
 
 
 def test_no_more_is_accepted_in_one_go_than_there_is_room_for() -> None:
-    ground = Virtual()
+    environment = VirtualEnvironment()
     served = Roomy("served", [])
-    served.door = ground.there.open_listener(0, served, 511, ground.host, ground.there)
+    served.door = environment.there.open_listener(0, served, 511, environment.host, environment.there)
     served.door.stopReading()
     for _ in range(8):
-        ground.here.connectTCP(ground.host, served.door.getHost().port, Factory("caller", []))
-    ground.settle([])
+        environment.here.connectTCP(environment.host, served.door.getHost().port, Factory("caller", []))
+    environment.settle([])
     served.door.startReading()
-    ground.settle([])
+    environment.settle([])
     assert len(served.ends) == 3
 
 
@@ -137,9 +137,9 @@
     given_up = place.connect()
     place.connect()
     place.pass_time(0.3)
-    place.ground.run(given_up.stopConnecting)
+    place.environment.run(given_up.stopConnecting)
     place.news()
-    place.ground.until(lambda: len(place.servers.ends) == 2)
+    place.environment.wait_until(lambda: len(place.servers.ends) == 2)
     assert 0.4 < place.time.now() - begun < 0.41
     place.pass_time(10.0)
     assert place.news() == [("client", "made"), ("server", "made")]
@@ -152,7 +152,7 @@
 
 
 def test_a_host_that_vanishes_says_nothing_and_comes_back_without_its_connections(place: Place) -> None:
-    place.ground.run(place.server.transport.pauseProducing)
+    place.environment.run(place.server.transport.pauseProducing)
     place.net.vanish(place.virtual.host)
     place.write(place.client, b"lost")
     place.write(place.server, b"lost")
@@ -164,7 +164,7 @@
     assert place.news() == LOST
     place.pass_time(40.0)
     assert place.news() == [("client", "made"), ("server", "made")]
-    place.ground.run(place.server.transport.resumeProducing)
+    place.environment.run(place.server.transport.resumeProducing)
     place.pass_time(1.0)
     assert place.news() == [("server", "lost", "ConnectionLost")]
 
@@ -189,8 +189,8 @@
     assert place.news() == []
     place.net.heal(place.here, place.there)
     place.write(place.client, b"three")
-    place.ground.run(place.client.transport.loseConnection)
-    place.ground.until(lambda: place.server.over)
+    place.environment.run(place.client.transport.loseConnection)
+    place.environment.wait_until(lambda: place.server.over)
     assert 3.0 < place.time.now() - begun < 3.01  # sent again after 0.2, 0.6, 1.4 and 3 s
     place.pass_time(1.0)
     assert place.server.got == b"one two three"
@@ -219,7 +219,7 @@
     (door,) = place.virtual.there.open_resources().ports
     assert len(place.clients.ends) == 2 and door.half_open == 1
     if not patient:
-        place.ground.run(place.clients.ends[1].transport.abortConnection)
+        place.environment.run(place.clients.ends[1].transport.abortConnection)
         place.pass_time(0.0)
     place.net.heal(place.here, place.there, one_way=True)
     place.pass_time(1.0)
@@ -228,15 +228,15 @@
 
 def test_a_caller_whose_last_word_finds_the_door_closed_is_reset(place: Place) -> None:
     place.connect()
-    place.ground.until(lambda: len(place.clients.ends) == 2)
-    place.ground.run(place.port.stopListening)
+    place.environment.wait_until(lambda: len(place.clients.ends) == 2)
+    place.environment.run(place.port.stopListening)
     place.pass_time(1.0)
     assert place.news()[-2:] == LOST
 
 
 def test_a_cut_host_reaches_itself(place: Place) -> None:
     place.net.cut((), ())
-    place.ground.here = place.virtual.there
+    place.environment.here = place.virtual.there
     place.connect()
     place.pass_time(1.0)
     assert ("server", "made") in place.news()
@@ -244,7 +244,7 @@
 
 def test_a_reset_that_is_lost_is_heard_of_by_who_next_writes(place: Place) -> None:
     place.net.cut(place.here, place.there)
-    place.ground.run(place.client.transport.abortConnection)
+    place.environment.run(place.client.transport.abortConnection)
     place.pass_time(1.0)
     place.net.heal(place.here, place.there)
     place.pass_time(100.0)
@@ -285,12 +285,12 @@
     place.net.slow(place.here, (), 100.0)
     begun = place.time.now()
     place.write(place.client, b"x")
-    place.ground.until(lambda: place.server.got)
+    place.environment.wait_until(lambda: place.server.got)
     assert place.time.now() - begun == pytest.approx(0.02)
     assert place.server.transport.sent_at == begun
     place.net.slow(place.here, (), 1.0)
     place.write(place.server, b"x")
-    place.ground.until(lambda: place.client.got)
+    place.environment.wait_until(lambda: place.client.got)
     assert place.time.now() - begun == pytest.approx(0.0202)
 
 
@@ -344,7 +344,7 @@
                 assert real.recv(100) == b""
     place.write(place.server, b"last words")
     place.pass_time(1.0)
-    place.ground.run(place.server.transport.pauseProducing)
+    place.environment.run(place.server.transport.pauseProducing)
     place.write(place.client, unread)
     place.pass_time(1.0)
     place.write(place.server, b"!")
@@ -389,15 +389,15 @@
 
 def day(ties: bool) -> str:
     """Play a day of many programs and faults; return a hash of all events in it."""
-    ground = Virtual(7, ties, window=3000, segment=500, jitter=0.5)
+    environment = VirtualEnvironment(7, ties, window=3000, segment=500, jitter=0.5)
     random = Random(3)
     log: list[Any] = []
     hosts = [f"127.0.1.{n}" for n in range(6)]
-    processes = [ground.net.process(f"p{n}", host) for n, host in enumerate(hosts)]
+    processes = [environment.net.process(f"p{n}", host) for n, host in enumerate(hosts)]
 
     class Talker(End):
         def note(self, *what: object) -> None:
-            log.append((ground.time.now(), getattr(ground.time.running, "name", "-"), *what))
+            log.append((environment.time.now(), getattr(environment.time.running, "name", "-"), *what))
             if what[0] in ("made", "data") and random.random() < 0.8:
                 self.transport.write(b"x" * random.randrange(1, 4000))
             elif random.random() < 0.1:
@@ -409,13 +409,13 @@
     for n in range(120):
         process = processes[n % 6]
         process.callLater(n / 40, partial(process.connectTCP, hosts[n * 7 % 5], 80, factories[n % 6]))
-    at = ground.time.at
-    at(1001.0, ground.net.cut, hosts[:2], hosts[2:])
-    at(1001.6, ground.net.heal, hosts[:2], hosts[2:])
-    at(1001.2, ground.net.vanish, hosts[3])
-    at(1002.2, ground.net.back, hosts[3])
+    at = environment.time.at
+    at(1001.0, environment.net.cut, hosts[:2], hosts[2:])
+    at(1001.6, environment.net.heal, hosts[:2], hosts[2:])
+    at(1001.2, environment.net.vanish, hosts[3])
+    at(1002.2, environment.net.back, hosts[3])
     at(1002.3, processes[4].kill)
-    ground.time.run(1004.0)
+    environment.time.run(1004.0)
     assert len(log) > 2000
     return sha256(repr(log).encode()).hexdigest()
 
--- a/tests/lab/net/test_streams.py
+++ b/tests/lab/net/test_streams.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.net.environments import End, HalfEnd, Pair, Virtual, told
+from tests.lab.net.environments import End, HalfEnd, Pair, VirtualEnvironment, told
 
 WINDOW, SEGMENT = 1500, 200
 WAITS = st.sampled_from([0.0, 0.0, 0.0001, 0.0004, 0.002, 0.3])
@@ -23,8 +23,8 @@
     """Plays a script, and checks at each event that no window is exceeded."""
 
     def __init__(self, script: Any, kinds: Any, ties: bool) -> None:
-        self.ground = Virtual(ties=ties, window=WINDOW, segment=SEGMENT, jitter=0.9)
-        self.pair = Pair(self.ground, *kinds)
+        self.environment = VirtualEnvironment(ties=ties, window=WINDOW, segment=SEGMENT, jitter=0.9)
+        self.pair = Pair(self.environment, *kinds)
         self.wrote = {"client": b"", "server": b""}
         self.acts: dict[str, set[object]] = {"client": set(), "server": set()}
         self.cuts: list[Any] = []
@@ -47,19 +47,19 @@
         self.play(200.0)
 
     def play(self, seconds: float) -> None:
-        until = self.ground.time.now() + seconds
-        while self.ground.time.step(until):
+        until = self.environment.time.now() + seconds
+        while self.environment.time.step(until):
             for stream in self.streams:
                 held = [item for item, _ in [*stream.flight, *stream.target.chunks, *stream._held]]
                 sizes = [len(item) for item in held if isinstance(item, bytes)]
                 assert sum(sizes) <= WINDOW and max(sizes, default=0) <= SEGMENT
-        self.ground.time.run(until)
+        self.environment.time.run(until)
 
     def act(self, end: End, act: object) -> None:
         transport = end.transport
-        net = self.ground.net
+        net = self.environment.net
         if act in ("cut", "cut one way"):
-            self.cuts.append(((self.ground.here.host.name,), (), act != "cut"))
+            self.cuts.append(((self.environment.here.host.name,), (), act != "cut"))
             net.cut(*self.cuts[-1])
         elif act == "heal":
             self.heal()
@@ -67,16 +67,16 @@
             data = b"".join(b"%d," % n for n in range(act))[:act]
             if transport.connected and not transport._writeDisconnected:
                 self.wrote[end.name] += data
-            self.ground.run(partial(transport.write, data))
+            self.environment.run(partial(transport.write, data))
         elif not end.over:
             self.acts[end.name].add(act)
             names = {"pause": "pauseProducing", "resume": "resumeProducing", "close": "loseConnection",
                      "abort": "abortConnection", "half": "loseWriteConnection"}  # fmt: skip
-            self.ground.run(getattr(transport, names[str(act)]))
+            self.environment.run(getattr(transport, names[str(act)]))
 
     def heal(self) -> None:
         while self.cuts:
-            self.ground.net.heal(*self.cuts.pop())
+            self.environment.net.heal(*self.cuts.pop())
 
 
 @settings(max_examples=250, deadline=None)
@@ -92,5 +92,5 @@
         names = [note[0] for note in told(pair.log, end.name)]
         assert names.count("lost") == 1 and set(names[names.index("lost") :]) <= {"lost", "connector"}
         assert end.got == wrote or end.name not in run.closed_by_other
-    assert run.ground.time.running is None
-    assert not run.ground.here.descriptors and len(run.ground.there.descriptors) == 1
+    assert run.environment.time.running is None
+    assert not run.environment.here.descriptors and len(run.environment.there.descriptors) == 1
--- a/tests/lab/net/test_time.py
+++ b/tests/lab/net/test_time.py
@@ -13,7 +13,7 @@
 from twisted.internet.error import AlreadyCalled, AlreadyCancelled
 from twisted.internet.task import Clock
 
-from tests.lab.net.environments import End, Pair, Virtual
+from tests.lab.net.environments import End, Pair, VirtualEnvironment
 from wheatring.lab.net import Event, VirtualTime
 from wheatring.lab.net.time import StuckError
 
@@ -94,14 +94,14 @@
 def test_an_instant_without_end_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(VirtualTime, "MAX_EVENTS_AT_INSTANT", 1000)
     monkeypatch.setattr(VirtualTime, "CHECK_INTERVAL_EVENTS", 100)
-    ground = Virtual()
+    environment = VirtualEnvironment()
 
     def again() -> None:
-        ground.here.callLater(0, again)
+        environment.here.callLater(0, again)
 
-    ground.here.callLater(1.5, again)
+    environment.here.callLater(1.5, again)
     with pytest.raises(StuckError, match=r"1000 events at 1001.500000 s .* Process._turn of here"):
-        ground.time.run(1002.0)
+        environment.time.run(1002.0)
 
 
 def test_what_an_event_raises_comes_out_and_time_can_go_on() -> None:
@@ -118,7 +118,7 @@
 @given(st.lists(st.tuples(st.sampled_from(["call", "cancel", "reset", "delay", "run"]), st.integers(0, 5),
                           st.sampled_from([0.0, 0.25, 1.0, 2.5]))))  # fmt: skip
 def test_calls_put_off_are_cancelled_and_moved_as_by_twisted(script: list[tuple[str, int, float]]) -> None:
-    ground, clock = Virtual(), Clock()
+    environment, clock = VirtualEnvironment(), Clock()
     ours: list[Any] = []
     theirs: list[Any] = []
 
@@ -139,42 +139,47 @@
         told.append(sorted(call.getTime() for call in reactor.getDelayedCalls()))
         return told
 
-    start = ground.time.now()
+    start = environment.time.now()
     made_here: list[Any] = []
     made_there: list[Any] = []
-    told = play(ours, ground.here, made_here, lambda seconds: ground.time.run(ground.time.now() + seconds))
+    told = play(
+        ours,
+        environment.here,
+        made_here,
+        lambda seconds: environment.time.run(environment.time.now() + seconds),
+    )
     clock.rightNow = start
     assert told == play(theirs, clock, made_there, lambda s: clock.pump([0.0] + [0.25] * int(s * 4)))
     assert sorted(made_here) == sorted(made_there)
 
 
 def test_nothing_of_a_dead_process_is_ever_run_not_even_in_the_turn_in_which_it_died() -> None:
-    ground = Virtual()
+    environment = VirtualEnvironment()
     made: list[Any] = []
-    process = ground.here
+    process = environment.here
     for delay in (0, 0, 0.5, 1.0):
-        process.callLater(delay, lambda: made.append(ground.time.running))
+        process.callLater(delay, lambda: made.append(environment.time.running))
     process.callLater(0, process.kill)
     process.callLater(0, made.append, "too late")
-    ground.there.callLater(2.0, lambda: made.append(ground.time.running))
-    ground.time.run(1005.0)
-    assert made == [process, process, ground.there]
-    assert ground.time.running is None and not process.alive
+    environment.there.callLater(2.0, lambda: made.append(environment.time.running))
+    environment.time.run(1005.0)
+    assert made == [process, process, environment.there]
+    assert environment.time.running is None and not process.alive
 
 
 def test_nothing_more_is_read_once_the_first_of_two_readers_has_killed_their_process() -> None:
     class Killer(End):
         def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
             super().dataReceived(data)
-            ground.there.kill()
+            environment.there.kill()
 
-    pair = Pair(ground := Virtual(), server=Killer)
+    pair = Pair(environment := VirtualEnvironment(), server=Killer)
     pair.connect()
-    ground.settle([])
+    environment.settle([])
     for end in pair.servers.ends:
         end.transport.pauseProducing()
     pair.do(partial(pair.clients.ends[0].transport.write, b"x"))
     pair.do(pair.clients.ends[1].transport.loseConnection)
-    ground.there.run(lambda: [end.transport.resumeProducing() for end in pair.servers.ends])
-    ground.settle([])
+    environment.there.run(lambda: [end.transport.resumeProducing() for end in pair.servers.ends])
+    environment.settle([])
     assert [what for who, what, *_ in pair.log if who == "server"] == ["made", "made", "data"]
--- a/tests/lab/study/test_sweep.py
+++ b/tests/lab/study/test_sweep.py
@@ -17,7 +17,7 @@
 import pytest
 from rich.console import Console
 
-from tests.lab.net.environments import FAR
+from tests.lab.net.environments import WAIT_LIMIT_SECONDS
 from tests.lab.study.fake_runner import RUN, job, told
 from wheatring.lab.study import StudyError, settings, store, sweep
 from wheatring.lab.study.jobs import Ended, Job, build_at, seeds_of
@@ -59,7 +59,9 @@
     seen: list[int] = []
     while len(seen) < 12:  # past the tenth: the run that hangs is on
         seen.append(int(going.stdout.readline()))
-    give_up = time.monotonic() + FAR  # its worker has been handed the run, and may yet have to begin it
+    give_up = (
+        time.monotonic() + WAIT_LIMIT_SECONDS
+    )  # its worker has been handed the run, and may yet have to begin it
     while not (pid.exists() and pid.read_text()):
         assert time.monotonic() < give_up, "the run that hangs never began"
         time.sleep(0.01)
--- a/tests/lifecycle/test_long_outage.py
+++ b/tests/lifecycle/test_long_outage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.support.virtual_sockets import Virtual
+from tests.support.virtual_sockets import VirtualSockets
 from tests.support.world import World, entry, list_body
 from wheatring import log
 from wheatring.lifecycle.freshness import MAX_ASK_INTERVAL_SECONDS, Freshness
@@ -16,7 +16,7 @@
 
 def test_after_any_number_of_failed_calls_it_still_asks(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(log, "line", log.line)  # the world sets its own
-    world = World(Virtual())
+    world = World(VirtualSockets())
     for _ in range(FAILED):
         world.discovery.accept().reset()
     call = world.discovery.accept()
--- a/tests/ops/test_audit.py
+++ b/tests/ops/test_audit.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import Clock as Reactor
 
 from tests.support.process import running_process, wait_for_line
-from tests.support.world import FAR, Wire
+from tests.support.world import WAIT_LIMIT_SECONDS, Wire
 from wheatring import log, operator_properties
 from wheatring.__main__ import main
 from wheatring.core.clock import Clock
@@ -39,7 +39,7 @@
             wait_for_line(process, "reloaded")
             process.send_signal(signal.SIGTERM)
             assert process.stdout is not None and process.stderr is not None
-            assert process.wait(FAR) == 0
+            assert process.wait(WAIT_LIMIT_SECONDS) == 0
             heard += process.stderr.read()
     assert copy.read_text(encoding="utf-8") == heard and KEY not in heard
     lines = [fields(line) for line in heard.splitlines()]
@@ -65,7 +65,7 @@
     with running_process(tmp_path, "audit.on = true\n", writer) as process:
         os.close(writer)
         port = wait_for_line(process, "listening").rpartition("=")[2]
-        caller = Wire(socket.create_connection(("127.0.0.1", int(port)), FAR))
+        caller = Wire(socket.create_connection(("127.0.0.1", int(port)), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /healthz HTTP/1.1\r\n\r\n")
         assert caller.read()[0] == "HTTP/1.1 200 OK"
         caller.close()
@@ -73,7 +73,7 @@
             stderr.read(filled)
             process.send_signal(signal.SIGTERM)
             rest = stderr.read()
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
     assert [line.split()[1] for line in rest.splitlines()] == [b"seq=1", b"seq=2", b"seq=3", b"seq=4"]
     assert audit.verify(rest.splitlines(keepends=True)) == ""
 
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -20,7 +20,7 @@
 from twisted.internet.task import Clock as Reactor
 
 from tests.support.process import platform_config, running_process, wait_for_line
-from tests.support.world import FAR, SETTINGS, Peer, Wire, World, entry, list_body
+from tests.support.world import SETTINGS, WAIT_LIMIT_SECONDS, Peer, Wire, World, entry, list_body
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.balancer import interface as i
@@ -334,10 +334,10 @@
         ) as process:
             assert process.stdout is not None
             port = int(process.stdout.readline().rpartition("=")[2])
-            caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+            caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
             caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
             assert caller.read()[0] == "HTTP/1.1 503 Service Unavailable"
-            far = time.monotonic() + FAR
+            far = time.monotonic() + WAIT_LIMIT_SECONDS
             while sum(line.startswith("d ") for line in lines_in(tmp_path / "tmp")) < seed:  # it writes soon
                 assert time.monotonic() < far
             process.kill()
@@ -357,18 +357,18 @@
     known = {"generation": 3, "instances": [entry("n0", node)]}
     with running_process(tmp_path, f"capture.dir = {folder}\n", capture=True, known=known) as process:
         port = int(wait_for_line(process, "listening").rpartition("=")[2])
-        caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+        caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
         wire = node.accept()
         wire.read()
         process.send_signal(signal.SIGTERM)
-        far = time.monotonic() + FAR
+        far = time.monotonic() + WAIT_LIMIT_SECONDS
         with pytest.raises(ConnectionRefusedError):  # it only waits for this answer now
             while time.monotonic() < far:
-                socket.create_connection(("127.0.0.1", port), FAR).close()
+                socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS).close()
         wire.answer(200, b"ok")
         assert caller.read()[2] == b"ok"
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
         caller.close()
     node.close()
     assert [line.split()[5] for line in lines_in(folder) if line.startswith("o ")] == ["served"]
--- a/tests/ops/test_drills.py
+++ b/tests/ops/test_drills.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.support.process import running_process, wait_for_line
-from tests.support.world import FAR, Wire, World
+from tests.support.world import WAIT_LIMIT_SECONDS, Wire, World
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.ops import drills
@@ -180,7 +180,7 @@
     told = f"drill.key = {KEY}\ndrill.plan = {asked.plan}\ndrill.share = 100\ndrill.abort = true\n"
     with running_process(tmp_path, f"{told}audit.on = true\n", subprocess.PIPE) as process:
         port = int(wait_for_line(process, "listening").rpartition("=")[2])
-        caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+        caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
         first, fields, _ = caller.read()
         assert (first, fields["x-drill"]) == ("HTTP/1.1 503 Service Unavailable", "1")
@@ -189,7 +189,7 @@
         wait_for_line(process, "drill-over")
         process.send_signal(signal.SIGTERM)
         assert "drill_requests_total=1" in wait_for_line(process, "drill-total")
-        assert process.wait(FAR) == 0 and process.stderr is not None
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0 and process.stderr is not None
         events = re.findall(r"event=(\S+)", process.stderr.read())
         caller.close()
     start = ["start", "config", "config", "key", "drill-on"]
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -79,54 +79,54 @@
     made.end()
 
 
-def watching(band: FleetRig) -> list[str]:
-    return [name for name in band.members if band.status(name)["lists"]["probe"]["watches"]]
+def watching(rig: FleetRig) -> list[str]:
+    return [name for name in rig.members if rig.status(name)["lists"]["probe"]["watches"]]
 
 
-def generations(band: FleetRig) -> set[int]:
-    return {band.status(name)["lists"]["probe"]["generation"] for name in band.members}
+def generations(rig: FleetRig) -> set[int]:
+    return {rig.status(name)["lists"]["probe"]["generation"] for name in rig.members}
 
 
 def test_one_watches_and_all_hold_back_what_drains_and_hear_of_the_rest(
     tmp_path: Path, service: ListServiceStub
 ) -> None:
     duty = {"work": '"list"', "call": "", "every": ""}
-    with FleetRig(tmp_path, 6, TERM, duty, control=range(6), discovery=service.address) as band:
-        band.start_all()
-        band.wait_until(lambda: generations(band) == {service.generation}, "all have the list")
-        band.wait_until(lambda: len(watching(band)) == 1, "one of them watches")
+    with FleetRig(tmp_path, 6, TERM, duty, control=range(6), discovery=service.address) as rig:
+        rig.start_all()
+        rig.wait_until(lambda: generations(rig) == {service.generation}, "all have the list")
+        rig.wait_until(lambda: len(watching(rig)) == 1, "one of them watches")
         calls = service.calls
         service.set_instance("n1", "DRAINING", 9)
 
         def told() -> bool:
-            lists = [band.status(name)["lists"]["probe"] for name in band.members]
+            lists = [rig.status(name)["lists"]["probe"] for name in rig.members]
             return all(one["generation"] == service.generation or one["held_back"] == ["n1"] for one in lists)
 
-        band.wait_until(told, "all hold back what drains")
-        band.wait_until(lambda: generations(band) == {service.generation}, "all have asked")
-        band.wait_until(lambda: len(watching(band)) == 1, "and rest again")
-        assert service.calls - calls <= 2 * len(band.members) + 2
-        assert not [name for name in band.members if band.status(name)["lists"]["probe"]["held_back"]]
+        rig.wait_until(told, "all hold back what drains")
+        rig.wait_until(lambda: generations(rig) == {service.generation}, "all have asked")
+        rig.wait_until(lambda: len(watching(rig)) == 1, "and rest again")
+        assert service.calls - calls <= 2 * len(rig.members) + 2
+        assert not [name for name in rig.members if rig.status(name)["lists"]["probe"]["held_back"]]
 
         # Its holder is stopped: another one watches, and nobody is left with the old list.
-        (first,) = watching(band)
-        band.pause(first)
+        (first,) = watching(rig)
+        rig.pause(first)
         service.set_instance("n2", "DRAINING", 9)
-        rest = [name for name in band.members if name != first]
+        rest = [name for name in rig.members if name != first]
         newest = lambda: all(  # noqa: E731
-            band.status(name)["lists"]["probe"]["generation"] == service.generation for name in rest
+            rig.status(name)["lists"]["probe"]["generation"] == service.generation for name in rest
         )
-        band.wait_until(newest, "the others have the new list")
-        band.resume(first)
-        band.wait_until(lambda: generations(band) == {service.generation}, "and the one that was stopped")
-        band.wait_until(lambda: len(watching(band)) == 1, "one of them watches")
+        rig.wait_until(newest, "the others have the new list")
+        rig.resume(first)
+        rig.wait_until(lambda: generations(rig) == {service.generation}, "and the one that was stopped")
+        rig.wait_until(lambda: len(watching(rig)) == 1, "one of them watches")
 
         # No majority of voters: each watches for itself.
-        band.signal(signal.SIGKILL, "d0", "d1")
-        alone = [name for name in band.members if name not in ("d0", "d1")]
-        own = lambda: all(band.status(name)["lists"]["probe"]["watches"] for name in alone)  # noqa: E731
-        band.wait_until(own, "each watches for itself")
-        assert not [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
+        rig.signal(signal.SIGKILL, "d0", "d1")
+        alone = [name for name in rig.members if name not in ("d0", "d1")]
+        own = lambda: all(rig.status(name)["lists"]["probe"]["watches"] for name in alone)  # noqa: E731
+        rig.wait_until(own, "each watches for itself")
+        assert not [e for m in rig.members.values() for e in m.events if e[1].startswith("unexpected")]
 
 
 def test_a_node_that_only_a_peer_names_is_never_in_the_list() -> None:
--- a/tests/pools/pools_world.py
+++ b/tests/pools/pools_world.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from tests.support.virtual_sockets import Virtual
-from tests.support.world import Loopback, Wire, World, entry
+from tests.support.virtual_sockets import VirtualSockets
+from tests.support.world import LoopbackSockets, Wire, World, entry
 from wheatring.config.project_file import read
 from wheatring.daemon.configuration import first_invalid_route, reload_configuration
 from wheatring.pools.pool_set import PoolSet
@@ -28,7 +28,12 @@
     """`zones` are those of the nodes n0, n1 and so on, in the platform's list."""
 
     def __init__(
-        self, ground: Loopback | Virtual, folder: Path, text: str, zones: str = "ab", **more: Any
+        self,
+        ground: LoopbackSockets | VirtualSockets,
+        folder: Path,
+        text: str,
+        zones: str = "ab",
+        **more: Any,
     ) -> None:
         self.file = folder / "w.toml"
         self.zones = zones
--- a/tests/pools/test_configuration.py
+++ b/tests/pools/test_configuration.py
@@ -10,7 +10,7 @@
 
 from tests.pools.pools_world import TWO
 from tests.support.process import running_process, wait_for_line
-from tests.support.world import FAR
+from tests.support.world import WAIT_LIMIT_SECONDS
 from wheatring.__main__ import main
 
 ROUTE = "[pool.a]\n[route.r]\nweights = { a = 1 }\n"
@@ -74,7 +74,7 @@
     with running_process(
         tmp_path, "", subprocess.PIPE, arguments=("--config", str(where), *arguments)
     ) as process:
-        _, err = process.communicate(timeout=FAR)
+        _, err = process.communicate(timeout=WAIT_LIMIT_SECONDS)
     assert process.returncode == 2 and err == f"wheatring: {where}: {err.partition(f'{where}: ')[2]}"
     assert said in err and err.count("\n") == 1
 
@@ -85,7 +85,7 @@
     with running_process(folder, "", subprocess.PIPE, "-X", "importtime", arguments=arguments) as process:
         wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
-        _, told = process.communicate(timeout=FAR)
+        _, told = process.communicate(timeout=WAIT_LIMIT_SECONDS)
     assert process.returncode == 0
     return {line.rpartition("|")[2].strip() for line in told.splitlines()}
 
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -11,8 +11,8 @@
 import pytest
 
 from tests.pools.pools_world import TWO, PoolsWorld
-from tests.support.virtual_sockets import Virtual
-from tests.support.world import Loopback, Peer, entry, list_body
+from tests.support.virtual_sockets import VirtualSockets
+from tests.support.world import LoopbackSockets, Peer, entry, list_body
 from wheatring import log
 from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
@@ -29,17 +29,19 @@
 
 
 @pytest.fixture(params=["loopback", "virtual"])
-def ground(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Loopback | Virtual:
+def ground(
+    request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
+) -> LoopbackSockets | VirtualSockets:
     monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)
     if request.param == "virtual":
-        return Virtual()
+        return VirtualSockets()
     request.getfixturevalue("running")
-    return Loopback()
+    return LoopbackSockets()
 
 
 @pytest.fixture
-def make(ground: Loopback | Virtual, tmp_path: Path) -> Iterator[Make]:
+def make(ground: LoopbackSockets | VirtualSockets, tmp_path: Path) -> Iterator[Make]:
     worlds: list[PoolsWorld] = []
 
     def build(text: str = TWO, zones: str = "ab", **more: Any) -> PoolsWorld:
@@ -235,7 +237,9 @@
 """
 
 
-def test_a_drain_is_told_in_one_pool_and_holds_in_that_alone(make: Make, ground: Loopback | Virtual) -> None:
+def test_a_drain_is_told_in_one_pool_and_holds_in_that_alone(
+    make: Make, ground: LoopbackSockets | VirtualSockets
+) -> None:
     lists = [Peer(ground), Peer(ground)]
     world = make(own_list(lists[0].port, lists[1].port))
     watches = [each.accept() for each in lists]
@@ -260,7 +264,9 @@
         each.close()
 
 
-def test_routes_wait_for_the_list_of_a_pool_that_is_new(make: Make, ground: Loopback | Virtual) -> None:
+def test_routes_wait_for_the_list_of_a_pool_that_is_new(
+    make: Make, ground: LoopbackSockets | VirtualSockets
+) -> None:
     found = Peer(ground)
     world = make()
     world.reload(own_list(found.port, found.port).replace("/menu/x", "/x").replace("= { x", "= { y"))
@@ -379,7 +385,7 @@
 def test_a_newer_file_drops_what_still_waited_for_its_list_and_none_is_waited_for_without_end(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world, nobody = make(), Peer(Loopback())
+    world, nobody = make(), Peer(LoopbackSockets())
     nobody.close()
     world.reload(own_list(nobody.port, nobody.port))
     dropped = world.run(lambda: world.pools.all()[2:])
@@ -400,7 +406,7 @@
 
 @pytest.mark.parametrize("ground", ["loopback"], indirect=True)  # no door for operators in virtual time
 def test_what_operators_take_offline_is_out_in_the_lists_that_pools_have_of_their_own(
-    make: Make, ground: Loopback, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    make: Make, ground: LoopbackSockets, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     found = Peer(ground)
--- a/tests/rollout/test_mixed_versions.py
+++ b/tests/rollout/test_mixed_versions.py
@@ -60,17 +60,17 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path, previous: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[FleetRig]:
-    with FleetRig(tmp_path, len(MEMBERS), TERM_SECONDS, fleet={"view": "true"}) as band:
-        band.start_all([name for name in MEMBERS if name not in PREVIOUS_IN_FLEET])
+    with FleetRig(tmp_path, len(MEMBERS), TERM_SECONDS, fleet={"view": "true"}) as rig:
+        rig.start_all([name for name in MEMBERS if name not in PREVIOUS_IN_FLEET])
         with monkeypatch.context() as patched:
             patched.setattr(process, "HOME", str(previous))
             for name, value in PREVIOUS_FIRST.items():
                 patched.setenv(name, value)
             for name in PREVIOUS_IN_FLEET:
-                band.start(name)
-        yield band
-        assert fencing_violations(band.target.snapshot()) == []
-        assert not [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
+                rig.start(name)
+        yield rig
+        assert fencing_violations(rig.target.snapshot()) == []
+        assert not [e for m in rig.members.values() for e in m.events if e[1].startswith("unexpected")]
         assert has_run(previous)
 
 
--- a/tests/routes/pool_world.py
+++ b/tests/routes/pool_world.py
@@ -33,7 +33,7 @@
         self.random = Random(f"{seed}:work")
         self.pool = PoolLimiter(limits, self.time.now(), Random(f"{seed}:advice"))
         self.route: RouteLimiter | None = None
-        self.cpu: Cpu[Job] = Cpu(self.time, CORES, 1.0, self.worked)
+        self.cpu: Cpu[PendingRequest] = Cpu(self.time, CORES, 1.0, self.worked)
         self.sigma = sqrt(log(1 + cv * cv))
         self.patience = patience
         self.extra = 0.0  # seconds that each job takes beside its work
@@ -62,18 +62,18 @@
         now = self.time.now()
         key = caller, kind
         self.asked[key] += 1
-        said = admit(now, self.route, self.pool, caller, kind)
-        if isinstance(said, Rejection):
-            self.away[caller, kind, said.status] += 1
-            self.why[said.reason] += 1
+        decision = admit(now, self.route, self.pool, caller, kind)
+        if isinstance(decision, Rejection):
+            self.away[caller, kind, decision.status] += 1
+            self.why[decision.reason] += 1
             return
         size = exp(self.sigma * (self.random.gauss(0.0, 1.0) - 0.5 * self.sigma)) * MEAN
-        job = Job(self, said, key)
-        self.cpu.add(size, job)
-        self.time.at(now + self.patience, job.end, Outcome.DEADLINE_EXCEEDED)
+        request = PendingRequest(self, decision, key)
+        self.cpu.add(size, request)
+        self.time.at(now + self.patience, request.end, Outcome.DEADLINE_EXCEEDED)
 
-    def worked(self, job: Job) -> None:
-        self.time.at(self.time.now() + self.extra, job.end, Outcome.SERVED)
+    def worked(self, request: PendingRequest) -> None:
+        self.time.at(self.time.now() + self.extra, request.end, Outcome.SERVED)
 
     def run(self, until: float) -> None:
         self.time.run(until)
@@ -82,7 +82,7 @@
         return sum(n for (c, k), n in of.items() if caller in ("", c) and kind in ("", k))
 
 
-class Job:
+class PendingRequest:
     def __init__(self, world: PoolWorld, taken: Admission, key: tuple[str, str]) -> None:
         self.world = world
         self.taken = taken
--- a/tests/support/virtual_sockets.py
+++ b/tests/support/virtual_sockets.py
@@ -1,4 +1,4 @@
-"""The stories' ground in virtual time: sockets of the lab whose calls let time pass until they can end."""
+"""Sockets in virtual time: those of the lab, with calls that let time pass until they can return."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 from wheatring.lab.plan import NetPlan
 
 T = TypeVar("T")
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 HOST = "127.0.0.1"
 
 
-class Blocking:
-    """The part of `socket.socket` that the stories use, with the same errors."""
+class BlockingSocket:
+    """The part of `socket.socket` that the tests use, with the same errors."""
 
-    def __init__(self, ground: Virtual, socket: Socket) -> None:
+    def __init__(self, ground: VirtualSockets, socket: Socket) -> None:
         self.ground = ground
         self.socket = socket
         self.setsockopt = socket.setsockopt
@@ -40,13 +40,13 @@
             self.ground.until(self.socket.writable)
             data = data[self.socket.send(data) :]
 
-    def accept(self) -> tuple[Blocking, Any]:
+    def accept(self) -> tuple[BlockingSocket, Any]:
         self.ground.until(self.socket.readable)
         accepted, address = self.socket.accept()
-        return Blocking(self.ground, accepted), address
+        return BlockingSocket(self.ground, accepted), address
 
 
-class Virtual:
+class VirtualSockets:
     """A sidecar and its peers, two programs on one host. What falls on one instant comes in a drawn order."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         return done
 
     def until(self, met: Callable[[], object]) -> None:
-        limit = self.time.now() + FAR
+        limit = self.time.now() + WAIT_LIMIT_SECONDS
         while not met():
             assert self.time.step(limit), "it never came"
 
@@ -72,7 +72,7 @@
         socket = self._socket()
         socket.bind((HOST, 0))
         socket.listen(128)
-        return Blocking(self, socket)
+        return BlockingSocket(self, socket)
 
     def connect(self, port: int) -> Any:
         socket = self._socket()
@@ -80,7 +80,7 @@
         self.until(lambda: socket.broken or socket.writable())
         if socket.error:
             raise OSError(socket.error, os.strerror(socket.error))
-        return Blocking(self, socket)
+        return BlockingSocket(self, socket)
 
     def ready(self, listeners: list[Any]) -> int:
         """Which of them somebody waits at, once somebody does."""
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -1,8 +1,8 @@
-"""The shared helper of the stories: a sidecar amid peers that follow a script, on one of two grounds.
+"""A sidecar amid peers that follow a script, on real sockets or on virtual ones.
 
-On `Loopback` the reactor runs in a thread of its own, and peers and callers are plain sockets that the story
-reads and writes. On `Virtual` all of it runs in virtual time, which goes on while the story waits. Every wait
-has one far limit, which is met only if the story fails.
+On `LoopbackSockets` the reactor runs in a thread of its own, and peers and callers are plain sockets that the
+test reads and writes. On `VirtualSockets` all of it runs in virtual time, which goes on while the test waits.
+Every wait has one limit, which is met only if the test fails.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from twisted.internet import reactor as installed
 from twisted.internet.threads import blockingCallFromThread
 
-from tests.support.virtual_sockets import Virtual
+from tests.support.virtual_sockets import VirtualSockets
 from wheatring import log
 from wheatring.config.platform_file import PlatformConfig, read_settings
 from wheatring.daemon.sidecar import Sidecar
@@ -28,7 +28,7 @@
 
 reactor: Any = installed
 T = TypeVar("T")
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 NO_OPERATORS = OperatorProperties()
 
 CLASSES = [
@@ -50,7 +50,7 @@
 }  # fmt: skip
 
 
-class Loopback:
+class LoopbackSockets:
     """The installed reactor, and sockets of the system."""
 
     reactor = reactor
@@ -65,7 +65,7 @@
 
     def until(self, met: Callable[[], object]) -> None:
         with self.said:
-            assert self.said.wait_for(met, FAR), "it never came"
+            assert self.said.wait_for(met, WAIT_LIMIT_SECONDS), "it never came"
 
     def settle(self) -> None:
         self.run(lambda: None)
@@ -75,22 +75,22 @@
         return socket.create_server(("127.0.0.1", 0))
 
     def connect(self, port: int) -> Any:
-        return socket.create_connection(("127.0.0.1", port), FAR)
+        return socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS)
 
     def ready(self, listeners: list[Any]) -> int:
         """Which of them somebody waits at, once somebody does."""
         with selectors.DefaultSelector() as ready:
             for listener in listeners:
                 ready.register(listener, selectors.EVENT_READ)
-            ((key, _), *_) = ready.select(FAR)
+            ((key, _), *_) = ready.select(WAIT_LIMIT_SECONDS)
         return listeners.index(key.fileobj)
 
 
 class Wire:
-    """One end of a connection, in the hands of the story."""
+    """One end of a connection, which the test reads and writes."""
 
     def __init__(self, sock: Any) -> None:
-        sock.settimeout(FAR)
+        sock.settimeout(WAIT_LIMIT_SECONDS)
         self.sock = sock
         self.held = b""
 
@@ -135,11 +135,11 @@
 
 
 class Peer:
-    """A listening party: an execute node or discovery."""
+    """A listening peer: an endpoint or discovery."""
 
-    def __init__(self, ground: Loopback | Virtual | None = None) -> None:
-        self.listener = (ground or Loopback()).listen()
-        self.listener.settimeout(FAR)
+    def __init__(self, ground: LoopbackSockets | VirtualSockets | None = None) -> None:
+        self.listener = (ground or LoopbackSockets()).listen()
+        self.listener.settimeout(WAIT_LIMIT_SECONDS)
         self.port = self.listener.getsockname()[1]
 
     def accept(self) -> Wire:
@@ -170,11 +170,11 @@
 
 
 class World:
-    """A sidecar with so many nodes, and a discovery that the story may answer for."""
+    """A sidecar with so many endpoints, and a discovery that the test may answer for."""
 
     def __init__(
         self,
-        ground: Loopback | Virtual,
+        ground: LoopbackSockets | VirtualSockets,
         nodes: int = 1,
         operators: OperatorProperties = NO_OPERATORS,
         capture: bool = False,
@@ -207,7 +207,7 @@
         return [entry(f"n{n}", p) for n, p in enumerate(self.nodes)]
 
     def _line(self, event: str, /, **values: object) -> None:
-        if isinstance(self.ground, Virtual):
+        if isinstance(self.ground, VirtualSockets):
             self.lines.append((event, values))
         else:
             with self.ground.said:
--- a/tests/system/drawn_settings.py
+++ b/tests/system/drawn_settings.py
@@ -30,7 +30,7 @@
 LETTERS = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
 OTHERS = ("event.sidecar_restart", "class.menu-view", "class.pay", "class.place-order")
 SEEN = ("taken", "refused", "failed", "attempts", "drains_checked", "cold_starts", "effects")
-TROUBLES = [event.kind for event in load("small").scenario.events if event.kind != "sidecar_restart"]
+FAULT_KINDS = [event.kind for event in load("small").scenario.events if event.kind != "sidecar_restart"]
 
 
 class Day(NamedTuple):
@@ -109,7 +109,7 @@
     ]  # fmt: skip
     raw = {
         "title": "t", "what": "w", "extends": "small", "tail": longest + 1.0, "class": classes, "tier": tiers,
-        "without": [*OTHERS, *(f"event.{one}" for one in TROUBLES if one != "kill" and maybe())],
+        "without": [*OTHERS, *(f"event.{one}" for one in FAULT_KINDS if one != "kill" and maybe())],
         "passes_deadline": maybe(), "zones": ["one", "two"][: random.randint(1, 2)],
         "front": {"sidecars": random.randint(1, 3), "counted": random.choice((1.0, 2.0, 20.0))},
         "traffic": {"load": random.uniform(0.2, 1.3)}, "clients": {"retries": random.randint(0, 2)},
--- a/tests/system/membership/fleet.py
+++ b/tests/system/membership/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet that the stories are told of: the deciders of real sidecars, in memory and in virtual time.
+"""The fleet of the scenarios: the deciders of real sidecars, in memory and in virtual time.
 
 At each event of each sidecar it is held to what must never be: one that goes back to a lower number, or two
 that stand in views of one number with other members.
@@ -22,10 +22,10 @@
 from wheatring.members.view import View
 from wheatring.peers.agreement import LEADER_SETTINGS, Agreement
 
-LOOK = 0.1  # seconds of virtual time between two looks at whether something is so
+POLL_SECONDS = 0.1  # seconds of virtual time between two looks at whether something is so
 
 
-class Told:
+class ScenarioFleet:
     """A fleet by names, `n0` and up, of which the first `voters` vote. `them` is whom the last step named."""
 
     def __init__(self, size: int, voters: int, seed: int) -> None:
@@ -36,7 +36,7 @@
             [LEADER_SETTINGS],
             LeaseTiming(),
             SwimTiming(),
-            make_components=self.pieces,
+            make_components=self.components,
         )
         self.cluster.after_event = self.after
         self.random = Random(seed)
@@ -48,7 +48,7 @@
         self.mark = 0  # the number from which on changes are counted
         self.broken: list[str] = []
 
-    def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
+    def components(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         """Build the components of the daemon by the same code."""
         self.agreed[fleet.me.name] = Agreement(at, fleet)
         self.known.pop(fleet.me.name, None)
@@ -81,34 +81,34 @@
     def views_of(self, name: str) -> MembershipViews:
         return self.agreed[name].views
 
-    def who(self, said: str) -> list[str]:
+    def who(self, phrase: str) -> list[str]:
         """Whom words like "n3 and n4", "2 voters", "4 that do not vote", "the leader", "all others" name."""
-        found = self._who(said)
-        assert found, f"{said}: nobody"
+        found = self._who(phrase)
+        assert found, f"{phrase}: nobody"
         return found
 
-    def _who(self, said: str) -> list[str]:
+    def _who(self, phrase: str) -> list[str]:
         names = list(self.cluster.nodes)
-        if said in ("they", "them", "it"):
+        if phrase in ("they", "them", "it"):
             return self.them
-        if said == "all":
+        if phrase == "all":
             return self.running
-        if said == "all others":
+        if phrase == "all others":
             return [name for name in self.running if name not in self.them]
-        if said == "the leader":
+        if phrase == "the leader":
             return [self.leader] if self.leader else []
-        if said == "all voters":
+        if phrase == "all voters":
             return self.voters
-        if match := re.fullmatch(r"the observers of (\w+)", said):
+        if match := re.fullmatch(r"the observers of (\w+)", phrase):
             return self.views_of(self.leader).rings.observers(match[1])
-        if match := re.fullmatch(r"(\d+) voters?( besides the leader)?", said):
+        if match := re.fullmatch(r"(\d+) voters?( besides the leader)?", phrase):
             some = [name for name in self.voters if not match[2] or name != self.leader]
             return sorted(self.random.sample(some, int(match[1])))
-        if match := re.fullmatch(r"(\d+) that (?:does|do) not vote", said):
+        if match := re.fullmatch(r"(\d+) that (?:does|do) not vote", phrase):
             rest = [name for name in names if name not in self.voters]
             return sorted(self.random.sample(rest, int(match[1])))
-        listed = re.split(r", | and ", said)
-        assert {*listed} <= {*names}, f"{said}: who is that?"
+        listed = re.split(r", | and ", phrase)
+        assert {*listed} <= {*names}, f"{phrase}: who is that?"
         return listed
 
     # What befalls them
@@ -148,7 +148,7 @@
         while not what():
             if self.cluster.now >= begun + seconds:
                 return None
-            self.go(LOOK)
+            self.go(POLL_SECONDS)
         return self.cluster.now - begun
 
     # What is so
--- a/tests/system/test_cold_processes.py
+++ b/tests/system/test_cold_processes.py
@@ -9,7 +9,7 @@
 from math import sqrt
 from pathlib import Path
 
-from tests.support.world import FAR, Peer, Wire, entry, list_body
+from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, entry, list_body
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 
 SIDECARS, WARM = 8, 4
@@ -35,12 +35,12 @@
     def tell(self, wire: Wire) -> None:
         """Discovery: the cold one is told of once, to all that watch."""
         wire.read()
-        self.ends[0].wait(FAR)
+        self.ends[0].wait(WAIT_LIMIT_SECONDS)
         entries = [entry(f"n{n}", peer) for n, peer in enumerate(self.warm)]
         cold = entry("cold", self.cold, startedAtMs=int(self.started * 1000))
         wire.answer(200, list_body(2, *entries, cold, reset=True), "Content-Type: application/json\r\n")
         wire.read()  # the next watch is never answered
-        self.ends[2].wait(FAR)
+        self.ends[2].wait(WAIT_LIMIT_SECONDS)
 
     def serve_warm(self, wire: Wire) -> None:
         while True:
@@ -61,7 +61,7 @@
 
     def ask(self, port: int, gap: float) -> None:
         """One caller: the next request comes only after the answer, so what was late is never made up for."""
-        wire = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+        wire = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         with suppress(OSError, EOFError):
             while not self.ends[2].is_set():
                 wire.send(b"GET /a HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: c\r\n")
@@ -108,7 +108,7 @@
             ports = [sidecar.port() for sidecar in sidecars]
             for port, gap in list(zip(ports, GAPS, strict=True)) * CALLERS:
                 threading.Thread(target=self.ask, args=(port, gap), daemon=True).start()
-            assert self.ends[2].wait(FAR)
+            assert self.ends[2].wait(WAIT_LIMIT_SECONDS)
 
 
 def test_real_processes_send_a_cold_endpoint_no_more_than_its_budget(tmp_path: Path) -> None:
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.support.process import platform_config, running_process, wait_for_line
-from tests.support.world import FAR, SETTINGS, Peer, Wire, entry, list_body
+from tests.support.world import SETTINGS, WAIT_LIMIT_SECONDS, Peer, Wire, entry, list_body
 from wheatring import commands, lazy_imports
 from wheatring.__main__ import main, parse_simple
 from wheatring.config import platform_file
@@ -35,7 +35,7 @@
         assert process.stdout is not None
         words = dict(pair.split("=") for pair in process.stdout.readline().split()[1:])
         assert words["name"] == "n2"
-        caller = Wire(socket.create_connection(("127.0.0.1", int(words["port"])), FAR))
+        caller = Wire(socket.create_connection(("127.0.0.1", int(words["port"])), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /healthz HTTP/1.1\r\n\r\n")
         assert caller.read()[0] == "HTTP/1.1 200 OK"
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n")
@@ -50,7 +50,7 @@
         assert caller.read()[2] == b"kept"
         assert caller.at_end()
         caller.close()
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
         ends = [line.split()[:2] for line in process.stdout if "-connection" in line]
         assert sorted(ends) == [
             ["caller-connection", "code=stopping"],
@@ -67,7 +67,7 @@
     known = {"generation": 3, "instances": [entry("n0", node)]}
     with running_process(tmp_path, "", known=known, discovery=f"127.0.0.1:{discovery.port}") as process:
         port = int(wait_for_line(process, "listening").rpartition("=")[2])
-        wires = [Wire(socket.create_connection(("127.0.0.1", port), FAR)) for _ in range(5)]
+        wires = [Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS)) for _ in range(5)]
         called: list[Wire] = []
         for n, wire in enumerate(wires):
             wire.send(f"GET /menu HTTP/1.1\r\nX-Correlation-Id: c{n}\r\n\r\n".encode())
@@ -82,7 +82,7 @@
         first, fields, _ = wires[-1].read()
         assert (first.split()[1], fields["connection"]) == ("503", "close") and wires[-1].at_end()
         assert all(wire.at_end() for wire in wires)
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
     node.close()
     discovery.close()
 
@@ -91,7 +91,7 @@
     with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime", capture=True) as process:
         wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
-        _, output = process.communicate(timeout=FAR)
+        _, output = process.communicate(timeout=WAIT_LIMIT_SECONDS)
         assert process.returncode == 0
     names = {line.rpartition("|")[2].strip() for line in output.splitlines()}
     assert "wheatring.daemon.sidecar" in names
@@ -144,7 +144,7 @@
         moved.answer(200, list_body(2, reset=True))
         assert moved.read()[0].startswith("GET /v1/servers?index=2&")
         process.send_signal(signal.SIGTERM)
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
     old.close()
     new.close()
 
--- a/tests/system/test_reload.py
+++ b/tests/system/test_reload.py
@@ -15,7 +15,7 @@
 
 from tests.config.test_platform_file import DEEP
 from tests.support.process import platform_config, running_process, wait_for_line
-from tests.support.world import FAR, SETTINGS, Peer, Wire, entry, list_body
+from tests.support.world import SETTINGS, WAIT_LIMIT_SECONDS, Peer, Wire, entry, list_body
 
 HOUR = 3_600_000_000
 PATIENT = {**SETTINGS, "classes": [{**one, "deadline": HOUR} for one in SETTINGS["classes"]]}
@@ -38,7 +38,7 @@
         self.serve()
 
     def ask(self, name: str, wire: Wire | None = None) -> Wire:
-        wire = wire or Wire(socket.create_connection(("127.0.0.1", self.port), FAR))
+        wire = wire or Wire(socket.create_connection(("127.0.0.1", self.port), WAIT_LIMIT_SECONDS))
         verb = "GET" if name == "menu" else "POST"
         wire.send(f"{verb} /{name} HTTP/1.1\r\nX-Correlation-Id: {os.urandom(8).hex()}\r\n\r\n".encode())
         return wire
@@ -70,7 +70,7 @@
         self.held.answer(200, b"first")
         assert self.first.read()[2] == b"first"
         self.process.send_signal(signal.SIGTERM)
-        assert self.process.wait(FAR) == 0
+        assert self.process.wait(WAIT_LIMIT_SECONDS) == 0
 
 
 @pytest.fixture
--- a/tests/system/test_start.py
+++ b/tests/system/test_start.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from tests.support.process import platform_config, wait_for_line
-from tests.support.world import FAR, Peer, Wire, entry
+from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, entry
 from wheatring import lazy_imports
 
 ROOT = Path(__file__).parents[2]
@@ -71,7 +71,7 @@
             discovery.accept().read()
             process.send_signal(signal.SIGHUP)
             wait_for_line(process, "reloaded")
-            wire = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+            wire = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
             wire.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
             called = node.accept()
             called.read()
@@ -80,7 +80,7 @@
             called.close()
             wire.close()
             process.send_signal(signal.SIGTERM)
-            assert process.wait(FAR) == 0
+            assert process.wait(WAIT_LIMIT_SECONDS) == 0
             at_end = json.loads(process.stderr.readline())
         finally:
             process.kill()
--- a/tests/test_operator_properties.py
+++ b/tests/test_operator_properties.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.support.process import platform_config, running_process, wait_for_line
-from tests.support.world import FAR
+from tests.support.world import WAIT_LIMIT_SECONDS
 from wheatring import operator_properties
 from wheatring.__main__ import main
 
@@ -100,7 +100,7 @@
     with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime") as process:
         wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
-        assert process.wait(FAR) == 0 and process.stderr is not None
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0 and process.stderr is not None
         imported = {line.rpartition(" ")[2].strip() for line in process.stderr}
     assert "wheatring.core.driver" in imported
     assert not any(name.startswith("wheatring.ops") for name in imported)
@@ -116,4 +116,4 @@
         process.send_signal(signal.SIGHUP)
         wait_for_line(process, "operators-not-reloaded")
         process.send_signal(signal.SIGTERM)
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
