--- a/tests/admin/test_dispatch.py
+++ b/tests/admin/test_dispatch.py
@@ -45,7 +45,7 @@
     assert call(world, "plan", "GET") == call(world, "plan", "POST") == call(world, "plan/floor/2") == 404
 
 
-def test_a_plan_is_offered_whole_and_told(make: Any) -> None:  # noqa: F811
+def test_a_plan_is_offered_completely_and_reported(make: Any) -> None:  # noqa: F811
     world = make()
     plans = world.sidecar.admin_service.plans = Plans()
     world.sidecar.admin_server.max_body_bytes = dispatch.MAX_PLAN_BYTES
@@ -59,9 +59,9 @@
     )
 
 
-@pytest.mark.parametrize(("least", "status"), [("2", 200), ("3", 409), ("-1", 400), ("9999", 400)])
-def test_the_floor_is_a_whole_number(make: Any, least: str, status: int) -> None:  # noqa: F811
+@pytest.mark.parametrize(("minimum", "status"), [("2", 200), ("3", 409), ("-1", 400), ("9999", 400)])
+def test_the_minimum_format_is_an_integer(make: Any, minimum: str, status: int) -> None:  # noqa: F811
     world = make()
     world.sidecar.admin_service.plans = Plans()
-    assert asked(world, "POST", f"plan/floor/{least}")[0] == status
-    assert asked(world, "GET", f"plan/floor/{least}")[0] == 405
+    assert asked(world, "POST", f"plan/floor/{minimum}")[0] == status
+    assert asked(world, "GET", f"plan/floor/{minimum}")[0] == 405
--- a/tests/admin/test_service.py
+++ b/tests/admin/test_service.py
@@ -76,7 +76,7 @@
     assert call(make(), path, method) == status
 
 
-def test_half_calls_in_a_crowd_keep_nobody_out(make: Make) -> None:
+def test_incomplete_calls_keep_no_other_call_out(make: Make) -> None:
     world = make()
     crowd = [dial(world) for _ in range(200)]
     for wire in crowd[::2]:
@@ -91,7 +91,9 @@
         wire.close()
 
 
-def test_one_that_is_out_gets_nothing_whatever_the_list_says_and_one_call_brings_it_back(make: Make) -> None:
+def test_an_excluded_endpoint_gets_nothing_whatever_the_list_says_until_a_call_restores_it(
+    make: Make,
+) -> None:
     world = make(2)
     watch = world.discovery.accept()
     watch.read()
@@ -114,7 +116,7 @@
     assert caller.read()[2] == b"back"
 
 
-def test_connections_from_before_a_ban_are_gone_with_it(make: Make) -> None:
+def test_connections_to_an_excluded_endpoint_are_closed(make: Make) -> None:
     world = make(1)
     caller = world.ask()
     wire = world.nodes[0].accept()
@@ -126,7 +128,7 @@
     assert world.logged("endpoint-connection") == ["close-idle"]
 
 
-def test_a_connect_under_way_comes_to_no_send_once_its_node_is_out(make: Make) -> None:
+def test_a_pending_connect_carries_no_request_once_its_endpoint_is_excluded(make: Make) -> None:
     world = make(1)
 
     def ban() -> int:
@@ -147,7 +149,7 @@
     assert caller.read()[2] == b"yes"
 
 
-def test_out_of_service_sends_clients_away_and_in_service_takes_them_again(make: Make) -> None:
+def test_out_of_service_disconnects_clients_and_in_service_accepts_them_again(make: Make) -> None:
     world = make(1)
     idle, busy = world.caller(), world.ask()
     idle.send(b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -175,7 +177,7 @@
     assert later.ask().read()[0].split()[1] == "503"
 
 
-def test_the_next_call_goes_to_one_put_back_and_other_copies_wait_their_turn() -> None:
+def test_the_next_request_goes_to_a_restored_endpoint_and_other_copies_wait_their_turn() -> None:
     back = entries("d", started_at=1000.0, is_reinstated=True)
     for number, first in ((0, True), (50, False)):
         copy = Copy(
@@ -189,7 +191,7 @@
         assert copy.send().endpoint != "d"  # it is cold, and owed no more
 
 
-def test_no_small_write_is_held_back_on_an_operators_call(make: Make) -> None:
+def test_no_small_write_is_delayed_on_an_operators_call(make: Make) -> None:
     world = make()
     assert world.sidecar.admin_server is not None
     wire, calls = dial(world), world.sidecar.admin_server.connections
--- a/tests/balancer/endpoint_model.py
+++ b/tests/balancer/endpoint_model.py
@@ -65,7 +65,7 @@
         self.copy.view(*entries(*NODES))
         self.start = self.copy.now
         self.rate = load * len(NODES) * CORES / WORK
-        self.held: dict[str, list[float]] = {name: [] for name in NODES}  # when each core is free again
+        self.busy_until: dict[str, list[float]] = {name: [] for name in NODES}  # when each core is free again
         self.due: list[tuple[float, int, i.Event]] = []
         self.number = 0
         self.tries: Counter[int] = Counter()
@@ -94,11 +94,11 @@
         elif unhealthy and self.kind == "hanging":
             outcome, latency = O.TIMED_OUT, send.timeout
         else:
-            cores = [at for at in self.held[name] if at > now]
+            cores = [at for at in self.busy_until[name] if at > now]
             cores.sort()
             begin = now if len(cores) < CORES else cores[len(cores) - CORES]
             work = self.random.expovariate(1 / WORK) * (5 if unhealthy else 1)
-            self.held[name] = [*cores, begin + work]
+            self.busy_until[name] = [*cores, begin + work]
             latency = begin + work - now
             if latency > send.timeout:
                 outcome, latency = O.TIMED_OUT, send.timeout
@@ -130,7 +130,7 @@
                     case i.Reject(ident) | i.Fail(ident):
                         self.answers.append((now, ident, False))
 
-    def told(self, since: float, until: float = 1e9) -> Played:
+    def played(self, since: float, until: float = 1e9) -> Played:
         """Return what was sent and answered between two seconds of the run."""
         since, until = self.start + since, self.start + until
         out = Played(Counter(name for at, name in self.sent if since <= at < until))
@@ -149,8 +149,8 @@
         for seed in range(4):
             nodes = Nodes(seed, kind, bad, load)
             nodes.play(20)
-            told = nodes.told(5)
-            figures.append((told.share(bad), told.busiest(bad), told.served / told.asked))
+            played = nodes.played(5)
+            figures.append((played.share(bad), played.busiest(bad), played.served / played.asked))
         share, busiest, served = (sum(each) / len(each) for each in zip(*figures, strict=True))
         print(f"{kind:9} {count:3} {load:5} {share:6.3f} {count / 12:5.2f} {busiest:13.2f} {served:7.3f}")
 
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -56,21 +56,21 @@
     return refused
 
 
-def admitted(copy: Copy, name: str, most: int = 400) -> int:
+def admitted(copy: Copy, name: str, limit: int = 400) -> int:
     """Return how many requests are in flight at the first rejection, while none is answered."""
     copy.balancer.admission.in_flight = 10 * copy.balancer.throughput.served  # as if they had taken long
-    for _ in range(most):
+    for _ in range(limit):
         if not isinstance(copy.ask(name)[0], i.Send):
             return copy.in_flight
-    return most
+    return limit
 
 
-def test_what_crowds_is_refused_low_worth_first() -> None:
+def test_overload_is_rejected_lowest_value_first() -> None:
     cheap, dear = admitted(loaded(), "cheap"), admitted(loaded(), "dear")
     assert 0.6 * 48 < cheap < 0.9 * dear < 100
 
 
-def test_a_refusal_of_the_gate_tells_the_client_that_it_may_try_again() -> None:
+def test_a_rejection_by_admission_control_lets_the_client_retry() -> None:
     copy = loaded()
     admitted(copy, "cheap")
     assert isinstance(copy.ask("cheap")[0], i.Reject)
@@ -102,7 +102,7 @@
     assert 0.4 < half.in_flight / whole < 0.7
 
 
-def test_with_no_server_all_is_refused_at_once_and_with_the_first_one_it_goes_on() -> None:
+def test_without_an_endpoint_all_is_rejected_at_once_and_with_the_first_one_it_goes_on() -> None:
     copy = loaded()
     copy.view()
     assert isinstance(copy.ask("dear")[0], i.Reject)
@@ -110,7 +110,7 @@
     assert isinstance(copy.ask("dear")[0], i.Send)
 
 
-def test_from_few_calls_in_flight_no_crowd_is_concluded() -> None:
+def test_from_few_requests_in_flight_no_overload_is_concluded() -> None:
     copy = Copy(classes=(CHEAP, DEAR))
     copy.view(*entries("a", "b"))
     keep(copy, 1, 0.01, 3.0)
@@ -141,19 +141,19 @@
     assert admitted(copy, "cheap", count) == count
 
 
-@pytest.mark.parametrize(("late_worth", "tier", "seconds"), [(0.0, 0, 1.0), (0.5, 0, 3.0), (0.0, 1, 3.0)])
-def test_the_aim_is_the_front_s_deadline_where_late_answers_are_worth_nothing(
-    late_worth: float, tier: int, seconds: float
+@pytest.mark.parametrize(("late_value", "tier", "seconds"), [(0.0, 0, 1.0), (0.5, 0, 3.0), (0.0, 1, 3.0)])
+def test_the_target_is_the_front_s_deadline_where_late_answers_have_no_value(
+    late_value: float, tier: int, seconds: float
 ) -> None:
     cls = i.RequestClass(
-        "get", latency_target=1.0, deadline=4.0, late_value=late_worth, idempotency=i.Idempotency.IDEMPOTENT
+        "get", latency_target=1.0, deadline=4.0, late_value=late_value, idempotency=i.Idempotency.IDEMPOTENT
     )
     copy = Copy(classes=(cls,), tier=tier, tiers=("front", "back"))
     copy.view(*entries("a", "b"))
     assert copy.send("get", left=3.0).timeout == pytest.approx(seconds)
 
 
-def test_a_client_s_repeat_has_spent_part_of_its_aim() -> None:
+def test_a_client_s_retry_has_spent_part_of_its_latency_target() -> None:
     copy = Copy(
         classes=(
             i.RequestClass("get", latency_target=1.0, deadline=4.0, idempotency=i.Idempotency.IDEMPOTENT),
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize(("cap", "told"), [(2.0, True), (0.01, True), (2.0, False)])
-def test_a_refused_client_is_told_when_to_come_back(cap: float, told: bool) -> None:
+def test_a_rejection_says_when_to_retry(cap: float, told: bool) -> None:
     copy = Copy(limits=i.Limits(sends_retry_after=told, max_retry_after=cap))  # and no endpoint to send to
     waits = []
     for _ in range(50):
@@ -185,7 +185,7 @@
         assert cap < 0.1 or len(set(waits)) > 40  # those refused together must not return together
 
 
-def test_where_nothing_is_worth_anything_all_have_the_same_room() -> None:
+def test_where_nothing_has_a_value_all_have_the_same_capacity() -> None:
     """Worths of 0 can be settings of another customer; a ratio of two of them is none."""
     free = replace(CHEAP, value=0.0)
     copy = Copy(classes=(free, replace(DEAR, value=0.0)), tier=0, tiers=("front", "back"))
--- a/tests/balancer/test_outlier_ejection.py
+++ b/tests/balancer/test_outlier_ejection.py
@@ -16,21 +16,21 @@
 
 @pytest.mark.parametrize("kind", [*QUICK, "hanging"])
 @pytest.mark.parametrize("count", [3, 6])
-def test_nodes_that_fail_get_a_trickle_and_the_others_an_even_share(kind: str, count: int) -> None:
+def test_endpoints_that_fail_get_a_trickle_and_the_others_an_even_share(kind: str, count: int) -> None:
     nodes = Nodes(1, kind, NODES[:count], 0.2)
     nodes.play(12)
-    told = nodes.told(5)
-    assert 0 < told.share(NODES[:count]) < 0.05
-    assert told.busiest(NODES[:count]) < 1.35
-    assert told.served / told.asked > 0.95
+    played = nodes.played(5)
+    assert 0 < played.share(NODES[:count]) < 0.05
+    assert played.busiest(NODES[:count]) < 1.35
+    assert played.served / played.asked > 0.95
 
 
 @pytest.mark.parametrize("kind", [*QUICK, "hanging", "slow"])
-def test_they_are_back_soon_after_they_are_well_and_not_with_a_rush(kind: str) -> None:
+def test_ejected_endpoints_return_soon_after_they_are_healthy_and_without_a_rush(kind: str) -> None:
     bad = NODES[:3]
     nodes = Nodes(1, kind, bad, 0.3, until=10.0)
     nodes.play(20)
-    first, then = nodes.told(10.0, 10.5), nodes.told(15.0)
+    first, then = nodes.played(10.0, 10.5), nodes.played(15.0)
     assert first.share(bad) < 0.3  # an even share is 0.25
     assert then.share(bad) > 0.2
 
@@ -38,28 +38,28 @@
 def test_a_copy_whose_own_link_is_bad_goes_on_with_all() -> None:
     nodes = Nodes(2, "refused", NODES, 0.3, chance=0.3)
     nodes.play(10)
-    told = nodes.told(4)
-    assert told.served / told.asked > 0.99
-    assert told.busiest(()) < 1.4
+    played = nodes.played(4)
+    assert played.served / played.asked > 0.99
+    assert played.busiest(()) < 1.4
 
 
 def test_when_all_refuse_connects_are_bounded_and_they_are_back_at_once_and_evenly() -> None:
     nodes = Nodes(3, "refused", NODES, 0.5, until=5.0)
     nodes.play(12)
-    first, gone = nodes.told(3.2, 4.2), nodes.told(4.4, 5.0)
-    back, soon = nodes.told(5.0, 6.0), nodes.told(6.0, 7.0)
+    first, gone = nodes.played(3.2, 4.2), nodes.played(4.4, 5.0)
+    back, soon = nodes.played(5.0, 6.0), nodes.played(6.0, 7.0)
     assert first.sends.total() < 4 * first.asked  # and not five for each
     assert 0 < gone.sends.total() < 1.5 * gone.asked
     assert back.served / back.asked > 0.5 and soon.served / soon.asked > 0.98
     assert max((back.sends | soon.sends).values()) < CORES / WORK  # none gets more than it can do
 
 
-def test_a_node_that_is_well_by_turns_is_used_while_it_is() -> None:
+def test_an_endpoint_that_is_healthy_at_times_is_used_then() -> None:
     bad = NODES[:3]
     nodes = Nodes(4, "failing", bad, 0.3, every=3.0)
     nodes.play(21)
-    unhealthy = [nodes.told(at + 0.5, at + 3.0).share(bad) for at in (9.0, 15.0)]
-    well = [nodes.told(at + 1.0, at + 3.0).share(bad) for at in (12.0, 18.0)]
+    unhealthy = [nodes.played(at + 0.5, at + 3.0).share(bad) for at in (9.0, 15.0)]
+    well = [nodes.played(at + 1.0, at + 3.0).share(bad) for at in (12.0, 18.0)]
     assert max(unhealthy) < 0.06 and min(well) > 0.15
 
 
@@ -92,7 +92,7 @@
     assert isinstance(copy.ask("get")[0], i.Send)
 
 
-def test_a_cold_node_that_has_failed_gets_no_more_than_its_share() -> None:
+def test_a_cold_endpoint_that_has_failed_gets_no_more_than_its_share() -> None:
     copy = Copy(1, classes=(GET,))
     copy.view(*entries("a", "b", "c"), i.EndpointEntry("cold", started_at=copy.now))
     got = 0
@@ -104,7 +104,7 @@
     assert got <= 29  # as a well one: 0.2 to 0.22 of a warm one's 125
 
 
-def test_a_restarted_node_is_well_again(copy: Copy) -> None:
+def test_a_restarted_endpoint_is_healthy_again(copy: Copy) -> None:
     for _ in range(40):
         send = copy.send()
         copy.end(
@@ -115,7 +115,9 @@
     assert not copy.balancer.pool.endpoints["a"].ejections and not copy.balancer.ejector.are_most_unhealthy()
 
 
-def test_the_way_back_is_one_call_then_one_more_with_each_answer_until_it_is_well(copy: Copy) -> None:
+def test_an_ejected_endpoint_gets_one_request_then_one_more_with_each_answer_until_it_is_healthy(
+    copy: Copy,
+) -> None:
     for endpoint in copy.balancer.pool.ready:
         if endpoint.entry.endpoint != "a":
             endpoint.excess_latency, endpoint.updated_at = 1e9, copy.now  # so that it is always preferred
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -29,7 +29,7 @@
     assert isinstance(resend, i.Send)
 
 
-def test_what_is_turned_away_unseen_is_resent_once_at_once_and_costs_no_token(copy: Copy) -> None:
+def test_what_is_rejected_unprocessed_is_resent_once_at_once_and_costs_no_token(copy: Copy) -> None:
     """A server that drains turns all away within a moment: it must not empty the bucket for the others."""
     copy.balancer.retry_tokens.tokens = MAX_TOKENS / 2  # no retry that the bucket has a say in
     for _ in range(30):
@@ -95,7 +95,7 @@
     assert copy.balancer.retry_tokens.tokens == MAX_TOKENS
 
 
-def test_a_failed_connection_costs_no_token_and_skips_the_gate(copy: Copy) -> None:
+def test_a_failed_connection_costs_no_token_and_skips_admission_control(copy: Copy) -> None:
     copy.balancer.retry_tokens.tokens = 0.0
     (action,) = copy.end(copy.send(), O.CONNECT_FAILED)
     assert isinstance(action, i.Send)
@@ -128,7 +128,7 @@
     assert isinstance(again, i.Send) and again.timeout <= 2.9
 
 
-def test_a_repeatable_attempt_is_given_up_while_there_is_time_for_another(copy: Copy) -> None:
+def test_an_idempotent_attempt_is_given_up_while_there_is_time_for_another(copy: Copy) -> None:
     copy.serve(60, latency=0.01)
     assert copy.send(left=3.0).timeout < 0.5
     assert copy.send(left=0.02).timeout == pytest.approx(0.02)
@@ -161,7 +161,7 @@
     assert isinstance(retry(copy, again, O.ERROR, 1), i.Fail)
 
 
-def test_unsafe_attempts_wait_for_the_whole_time_left(copy: Copy) -> None:
+def test_unsafe_attempts_wait_for_all_of_the_remaining_time(copy: Copy) -> None:
     copy.serve(30, "order", latency=0.01)
     assert copy.send("order", left=3.0).timeout == pytest.approx(3.0)
 
@@ -206,7 +206,7 @@
     assert isinstance(action, i.Fail)
 
 
-def test_keyed_with_no_one_of_its_group_left_fails() -> None:
+def test_a_keyed_request_with_no_endpoint_of_its_group_left_fails() -> None:
     copy = Copy()
     copy.view(*entries("a", cell=1), *entries("b", cell=2))
     send = copy.send("pay")
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -21,7 +21,7 @@
     assert abs(held["a"] - held["b"]) <= 6  # one random choice would stray by more
 
 
-def test_a_send_says_which_endpoints_were_drawn_for_it_and_what_they_held() -> None:
+def test_a_send_says_which_endpoints_were_drawn_and_how_many_requests_they_had_in_flight() -> None:
     copy = Copy()
     copy.view(*entries("a"), i.EndpointEntry("b", started_at=copy.now))
     sends = [copy.send() for _ in range(20)]
@@ -62,7 +62,7 @@
         assert share(spoil) < 0.06, spoil
 
 
-def test_what_is_held_against_an_endpoint_fades() -> None:
+def test_the_burden_of_failures_decays() -> None:
     copy = Copy()
     copy.view(*entries("a", "b"))
     while not copy.balancer.pool.endpoints["a"].failures:
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("state", [i.EndpointState.DRAINING, i.EndpointState.GONE])
-def test_nothing_new_to_an_endpoint_told_draining_or_gone(state: i.EndpointState) -> None:
+def test_nothing_new_goes_to_an_endpoint_reported_draining_or_gone(state: i.EndpointState) -> None:
     copy = Copy()
     copy.view(*entries("a", "b"))
     (timer,) = copy.end(copy.send(), O.ERROR)
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("kind", [i.ViewKind.FULL, i.ViewKind.CACHED])
-def test_an_endpoint_missing_from_a_whole_list_is_gone(kind: i.ViewKind) -> None:
+def test_an_endpoint_missing_from_a_full_list_is_gone(kind: i.ViewKind) -> None:
     copy = Copy()
     copy.view(*entries("a", "b"))
     copy.view(*entries("b"), kind=kind)
@@ -217,7 +217,7 @@
         assert sends_to(copy, "cold", 400, 0.001) > 60
 
 
-def test_copies_told_together_do_not_all_send_at_once() -> None:
+def test_copies_notified_together_do_not_all_send_at_once() -> None:
     first = 0
     for seed in range(100):
         copy = Copy(seed)
@@ -238,7 +238,7 @@
     assert copy.balancer.slow_start.capacity(copy.now, fresh) < 0.25
 
 
-def test_a_fleet_that_restarts_as_one_is_not_pushed_over() -> None:
+def test_a_fleet_that_restarts_as_one_is_not_overloaded() -> None:
     copy = Copy()
     copy.view(*(i.EndpointEntry(f"e{n}", started_at=copy.now) for n in range(4)))
     sent = sum(sends_to(copy, f"e{n}", 1, 0.001) for _ in range(100) for n in range(4))
--- a/tests/balancer/test_slow_start.py
+++ b/tests/balancer/test_slow_start.py
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(("copies", "seed"), [(20, 7), (200, 0), (200, 3), (200, 7)])
-def test_one_put_back_by_the_operators_gets_a_call_in_3_s_and_no_more_than_its_budget(
+def test_an_endpoint_restored_by_operators_gets_a_request_in_3_s_and_no_more_than_its_budget(
     copies: int, seed: int
 ) -> None:
     """All copies are told at once."""
@@ -48,7 +48,9 @@
 
 
 @pytest.mark.parametrize(("copies", "cold"), [(1, 20.0), (6, 20.0), (60, 0.0)])
-def test_each_copy_calls_one_put_back_within_3_s_where_it_bears_that(copies: int, cold: float) -> None:
+def test_each_copy_calls_a_restored_endpoint_within_3_s_where_its_budget_allows(
+    copies: int, cold: float
+) -> None:
     """The sixth call of a cold one comes in its third window; a warm one bears all."""
     for number in range(copies):
         copy = Copy(
@@ -59,7 +61,7 @@
         assert "back" in [send.endpoint for _ in range(30) for send in sends(ask(copy, 0.1))]
 
 
-def test_one_put_back_waits_for_no_later_one() -> None:
+def test_a_restored_endpoint_waits_for_no_later_one() -> None:
     copy = Copy(balancer_index=5, balancer_count=6)  # its calls are due after 2.5 s
     copy.view(*entries(*(f"e{n:02}" for n in range(40))))
     for name in ("first", "second"):
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize("outcome", [O.CONNECT_FAILED, O.REJECTED])
-def test_repeats_bring_no_turn_of_a_cold_endpoint(outcome: i.Outcome) -> None:
+def test_retries_bring_no_turn_of_a_cold_endpoint(outcome: i.Outcome) -> None:
     """300 requests are 300 / 4.2 turns, however often each is tried."""
     for seed in range(5):
         copy = Copy(seed)
--- a/tests/balancer/test_thin_traffic.py
+++ b/tests/balancer/test_thin_traffic.py
@@ -43,7 +43,7 @@
     assert copy.balancer.load.burden(copy.now, slow) > 1.5 * copy.balancer.load.burden(copy.now, other)
 
 
-def test_a_crowded_node_is_let_rest_and_comes_back_by_a_trickle() -> None:
+def test_an_overloaded_endpoint_gets_nothing_for_a_while_and_returns_by_a_trickle() -> None:
     copy = settled()
     crowded = copy.balancer.pool.endpoints[NODES[0]]
     copy.now += 20.0
@@ -66,7 +66,7 @@
         visit(copy, NODES[0], 0.1)
 
 
-def test_where_all_are_crowded_it_is_the_load_and_all_go_on() -> None:
+def test_where_all_are_overloaded_all_are_still_used() -> None:
     copy = settled()
     copy.now += 20.0
     for name in FIVE:
@@ -92,8 +92,8 @@
     assert got["free"] > 10 * got["jammed"]
 
 
-def test_a_node_that_is_cold_opens_the_gate_by_what_it_bears() -> None:
-    def most(cold: int) -> int:
+def test_a_cold_endpoint_adds_its_capacity_to_admission_control() -> None:
+    def admitted_with(cold: int) -> int:
         copy = Copy(classes=(CHEAP, DEAR))
         copy.view(*entries(*NODES))
         keep(copy, 48, 0.1, 4.0)
@@ -102,14 +102,16 @@
         admitted(copy, "dear")
         return sum(e.in_flight for e in copy.balancer.pool.ready)
 
-    assert 0.45 < most(7) / most(0) < 0.7  # 5 of 12 are warm, and 7 bear 0.2 of what these do
+    assert (
+        0.45 < admitted_with(7) / admitted_with(0) < 0.7
+    )  # 5 of 12 are warm, and 7 bear 0.2 of what these do
 
 
 def test_calls_too_few_to_tell_anything_are_counted_over_all_copies() -> None:
-    def most(copies: int) -> int:
+    def admitted_with(copies: int) -> int:
         copy = Copy(classes=(CHEAP, DEAR), balancer_count=copies)
         copy.view(*entries("a", "b"))
         keep(copy, 1, 0.01, 3.0)
         return admitted(copy, "cheap")
 
-    assert 10 * most(10) < 4 * most(1)
+    assert 10 * admitted_with(10) < 4 * admitted_with(1)
--- a/tests/config/test_platform_file.py
+++ b/tests/config/test_platform_file.py
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize("name", KEYS)
-def test_whatever_can_not_be_served_is_told_by_its_key(
+def test_whatever_can_not_be_served_is_reported_by_its_key(
     name: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     place, good = KEYS[name]
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("name", KEYS)
-def test_a_key_that_is_not_there_is_told_or_has_a_default(name: str, tmp_path: Path) -> None:
+def test_a_missing_key_is_reported_or_has_a_default(name: str, tmp_path: Path) -> None:
     place, _ = KEYS[name]
     (tmp_path / "c.json").write_text(json.dumps(changed(place, None)), encoding="utf-8")
     try:
@@ -163,7 +163,7 @@
     assert read - {one.sub(".", path) for path in tried} == set() and len(read) > 50
 
 
-def test_a_file_that_says_a_key_twice_is_told(tmp_path: Path) -> None:
+def test_a_duplicate_key_is_reported(tmp_path: Path) -> None:
     text = json.dumps(WHOLE).replace('"slot_no": 1', '"slot_no": 1, "slot_no": 0')
     (tmp_path / "c.json").write_text(text, encoding="utf-8")
     with pytest.raises(PlatformFileError, match=r"^slot_no: stands there twice"):
@@ -176,7 +176,7 @@
     assert "slo: must be above 0" in said(data, tmp_path, capsys)
 
 
-def test_what_is_not_known_is_left_alone_however_odd(tmp_path: Path) -> None:
+def test_an_unknown_key_is_ignored_whatever_its_value(tmp_path: Path) -> None:
     odd = {"new": DEEP, "newer": {"a": float("nan"), "": HALF}, "newest": HUGE}
     data = {**WHOLE, **odd, "settings": {**WHOLE["settings"], **odd}}
     (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
--- a/tests/config/test_project_file.py
+++ b/tests/config/test_project_file.py
@@ -46,7 +46,7 @@
         ("[list\n", ": not TOML: "),
     ],
 )
-def test_what_can_not_be_used_is_one_line_with_file_line_and_key(
+def test_what_can_not_be_used_is_reported_on_one_line_with_file_line_and_key(
     text: str, said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     where = tmp_path / "w.toml"
@@ -90,7 +90,7 @@
                 assert told[one.name] == f"`{shown}`", one.name
 
 
-def test_it_is_read_again_on_sighup_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_reloads_the_file_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     where = tmp_path / "w.toml"
     where.write_text("[list]\nper_s = 20\n", encoding="utf-8")
     with running_process(tmp_path, "", arguments=("--config", str(where))) as process:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -78,7 +78,7 @@
 # These start a tier on the same fixed ports: one worker has them, one after the other.
 FIXED_PORTS = (
     "tests/rollout/test_mixed_versions.py::test_a_tier_of_both_versions_keeps_a_conversation",
-    "tests/tier/test_command_line.py::test_the_demo_keeps_a_conversation_whole",
+    "tests/tier/test_command_line.py::test_the_demo_keeps_a_conversation_complete",
 )
 
 
--- a/tests/controller/test_consensus_store.py
+++ b/tests/controller/test_consensus_store.py
@@ -12,7 +12,7 @@
 SEEDS = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 
 
-def test_a_file_of_the_previous_version_is_read_whole(tmp_path: Path) -> None:
+def test_a_file_of_the_previous_version_is_read_completely(tmp_path: Path) -> None:
     shutil.copy(WRITTEN_BY_C345874, tmp_path)
     loaded = ConsensusStore(tmp_path).open("10.0.0.1", SEEDS, False, bytes)
     assert loaded.replica_id == "seed-10.0.0.1"
--- a/tests/controller/test_voter_selection.py
+++ b/tests/controller/test_voter_selection.py
@@ -33,7 +33,7 @@
     assert next_voters("v1", THREE, [Candidate(fresh, False)], {"v2": 9.0}, 3) is None
 
 
-def test_a_silent_voter_goes_only_for_one_that_waits() -> None:
+def test_a_silent_voter_is_replaced_only_where_another_one_waits() -> None:
     assert next_voters("v1", THREE, [], {"v2": 9.0}, 3) is None
     assert ids(next_voters("v1", THREE, candidates_of(4), {"v2": 9.0, "v3": 0.1}, 3)) == {"v1", "v3", "v4"}
     assert next_voters("v1", THREE, candidates_of(4), {"v2": 0.2, "v3": 0.1}, 3) is None
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -24,9 +24,7 @@
 
 
 @pytest.mark.parametrize("name", ["book", "pay", "move"])
-def test_a_further_attempt_of_a_keyed_request_may_begin_only_in_what_is_left_of_the_window(
-    copy: Copy, name: str
-) -> None:
+def test_a_retry_of_a_keyed_request_may_begin_only_in_the_rest_of_the_window(copy: Copy, name: str) -> None:
     window = copy.balancer.classes[name].repeat_window
     first = copy.send(name)
     assert first.start_within == inf
@@ -129,7 +127,7 @@
 
 @pytest.mark.parametrize("how", ["given up", "spoilt"])
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # a reset is there as soon as it was sent
-def test_the_further_attempt_is_written_only_after_the_close_of_the_one_before(
+def test_the_retry_is_written_only_after_the_close_of_the_attempt_before(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """It goes out at once, and on a connection that is up: the close must have left the process before."""
@@ -203,7 +201,7 @@
 
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_an_answer_without_a_length_is_whole_at_an_end_in_good_order(make: Make, version: bytes) -> None:
+def test_an_answer_without_a_length_is_complete_at_an_orderly_end(make: Make, version: bytes) -> None:
     """With interim ones before it, which are no answers, however they are cut."""
     world = make()
     caller = world.ask("unsafe")
@@ -221,7 +219,7 @@
 
 @pytest.mark.parametrize("size", [0, 1, 60_000, 300_000])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_reset_once_the_last_byte_has_come_is_never_told_as_never_run(
+def test_a_reset_after_the_last_byte_is_never_reported_as_not_executed(
     make: Make, size: int, chunked: bool
 ) -> None:
     """However the request is written, its last byte is known to have left before the reset can be seen."""
--- a/tests/http1/test_caller_connection.py
+++ b/tests/http1/test_caller_connection.py
@@ -173,7 +173,7 @@
     comes_to(CallerState.SHUT)
 
 
-def test_no_small_write_is_held_back_on_any_connection(make: Make) -> None:
+def test_no_small_write_is_delayed_on_any_connection(make: Make) -> None:
     world = make()
     watch = world.discovery.accept()
     watch.read()
@@ -321,7 +321,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=40))
-def test_what_waits_is_told_by_the_instant_of_its_last_byte(steps: list[tuple[int, bool]]) -> None:
+def test_the_arrival_time_of_the_last_consumed_byte_is_known(steps: list[tuple[int, bool]]) -> None:
     """Against a list of one instant for each byte."""
     arrivals, plain = ArrivalTimes(), deque[float]()
     for now, (size, reads) in enumerate(steps):
@@ -336,9 +336,7 @@
 
 @pytest.mark.parametrize("size", [3, 100_000])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_caller_is_told_to_go_on_on_its_turn_where_it_knows_the_word(
-    make: Make, version: str, size: int
-) -> None:
+def test_a_caller_that_expects_100_continue_gets_it_on_its_turn(make: Make, version: str, size: int) -> None:
     """HTTP/1.0 has no informational answers: its caller would take one for the final one."""
     world = make()
     wire = world.ask()
@@ -359,7 +357,7 @@
     assert wire.read()[2] == b"here"
 
 
-def test_a_fault_in_a_callback_of_an_end_leaves_no_job_behind(make: Make) -> None:
+def test_a_fault_in_a_callback_of_an_end_leaves_no_request_behind(make: Make) -> None:
     world = make()
     wire = world.ask()
     world.run(lambda: setattr(world.sidecar.server, "remove", None))  # to call it fails
@@ -459,7 +457,7 @@
 
 
 @pytest.mark.parametrize("how", ["end", "reset", "stays"])
-def test_a_caller_that_leaves_while_its_request_waits_out_a_back_off_gets_no_further_attempt(
+def test_a_caller_that_leaves_while_its_request_waits_out_a_back_off_gets_no_retry(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     for name in ("INITIAL_BACKOFF", "MAX_BACKOFF"):
--- a/tests/http1/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -32,11 +32,11 @@
         self.to_send = b""
         self.left: float | None = None
 
-    def turn(self, most: int = 1 << 30) -> None:
+    def turn(self, max_bytes: int = 1 << 30) -> None:
         with suppress(OSError):  # BlockingIOError too: nothing more for now
-            while self.to_send and most and self.socket.writable():
-                sent = self.socket.send(self.to_send[:most])
-                self.to_send, most = self.to_send[sent:], most - sent
+            while self.to_send and max_bytes and self.socket.writable():
+                sent = self.socket.send(self.to_send[:max_bytes])
+                self.to_send, max_bytes = self.to_send[sent:], max_bytes - sent
         with suppress(OSError):
             while self.socket.readable() and (data := self.socket.recv(1 << 20)):
                 self.reader.feed(data)
--- a/tests/http1/test_endpoint_connection.py
+++ b/tests/http1/test_endpoint_connection.py
@@ -11,7 +11,7 @@
 
 from tests.http1.attempts import accept_request, apply_list, kept_connection, submit
 from tests.pools.pools_world import TWO, PoolsWorld
-from tests.pools.test_pool_set import begun
+from tests.pools.test_pool_set import submit_routed
 from tests.support.world import Peer, World, entry
 from wheatring.balancer.interface import Outcome
 from wheatring.core.exchange import Answer, AnswerKind, Attempt, Request
@@ -21,9 +21,7 @@
 
 
 @pytest.mark.parametrize("how", ["draining", "deleted", "left out", "moved", "its address another's"])
-def test_a_connect_that_comes_up_after_its_endpoint_was_told_away_carries_nothing(
-    make: Make, how: str
-) -> None:
+def test_a_connect_that_comes_up_after_its_endpoint_was_removed_carries_nothing(make: Make, how: str) -> None:
     """The first byte counts, not the choice: at once it goes to one that is there by then."""
     world = make()
     (old,), spare = world.nodes, Peer(world.ground)
@@ -53,7 +51,7 @@
     spare.close()
 
 
-def test_a_connection_in_use_when_its_endpoint_was_told_to_drain_is_not_kept_for_it(make: Make) -> None:
+def test_a_connection_in_use_when_its_endpoint_starts_draining_is_not_kept_for_it(make: Make) -> None:
     world = make()
     caller = world.ask()
     wire = world.nodes[0].accept()
@@ -108,9 +106,7 @@
 
 @pytest.mark.parametrize("how", ["draining", "moved"])
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a peer's word is there in the same turn
-def test_what_a_stale_connection_leaves_goes_no_more_to_an_endpoint_that_was_told_away(
-    make: Make, how: str
-) -> None:
+def test_what_a_stale_connection_leaves_does_not_go_to_a_removed_endpoint(make: Make, how: str) -> None:
     """Its next connect might take longer than sends may go on there."""
     world = make()
     (old,), spare = world.nodes, Peer(world.ground)
@@ -277,7 +273,7 @@
 
 
 @pytest.mark.parametrize("more", [{"lifecycle": "DRAINING", "zone": "a"}, {"zone": "b"}])
-def test_in_one_of_several_pools_a_connect_to_who_has_left_the_pool_carries_nothing(
+def test_in_one_of_several_pools_a_connect_to_an_endpoint_that_left_the_pool_carries_nothing(
     make: Make, tmp_path: Path, more: dict[str, Any]
 ) -> None:
     """Also where it serves on, at the same address, in another pool."""
@@ -285,7 +281,7 @@
 
     def notify_during_connect() -> list[object]:
         world.pools.router.change_weights("all", {"old": 1})
-        request = begun(world, "late")
+        request = submit_routed(world, "late")
         (attempt,) = request.attempts
         apply_list(world, entry("n0", world.nodes[0], **more))
         return [
--- a/tests/http1/test_endpoint_faults.py
+++ b/tests/http1/test_endpoint_faults.py
@@ -44,7 +44,7 @@
     assert "overdue" not in [event for event, _ in world.lines]
 
 
-def test_a_fault_as_an_attempt_is_given_up_still_answers_its_job(
+def test_a_fault_as_an_attempt_is_given_up_still_answers_its_request(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(EndpointConnection, "cancel_attempt", broken)
--- a/tests/http1/test_endpoint_list.py
+++ b/tests/http1/test_endpoint_list.py
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.usefixtures("retry_at_once")
-def test_a_watch_that_ends_is_laid_anew_and_what_it_missed_is_kept(make: Make, ending: str) -> None:
+def test_a_watch_that_ends_is_opened_again_and_what_it_missed_is_kept(make: Make, ending: str) -> None:
     world = make(2)
     watch = world.discovery.accept()
     assert asked(watch).startswith(WATCH)
@@ -118,7 +118,7 @@
     only(world, "n1")
 
 
-def test_an_answer_that_trickles_on_a_watch_keeps_no_news_back_for_longer(
+def test_an_answer_that_trickles_on_a_watch_delays_no_update_for_longer(
     virtual: Make, change_settings: Callable[..., None]
 ) -> None:
     change_settings(peers_total=200, slot_no=75)  # whose place after a failure is the last
@@ -153,7 +153,7 @@
         assert now(world) - failed <= RETRY_WITHIN_SECONDS + 0.1
 
 
-def test_watches_that_stood_between_failures_are_no_line(
+def test_watches_that_stood_between_failures_are_no_queue(
     virtual: Make, change_settings: Callable[..., None]
 ) -> None:
     """The calls before fail in a line, the watches are ended when they have stood for long."""
@@ -188,7 +188,7 @@
         peer.close()
 
 
-def test_a_silent_watch_is_laid_anew_before_its_news_count_and_at_once_again_when_nobody_is_there(
+def test_a_silent_watch_is_reopened_before_its_updates_count_and_at_once_again_when_nobody_is_there(
     virtual: Make, change_settings: Callable[..., None]
 ) -> None:
     change_settings(peers_total=200, slot_no=199)
@@ -279,7 +279,7 @@
     new.close()
 
 
-def test_a_whole_list_that_crosses_another_move_counts_and_what_is_older_does_not(make: Make) -> None:
+def test_a_full_list_that_crosses_another_move_counts_and_what_is_older_does_not(make: Make) -> None:
     world = make(2)
     watch = world.discovery.accept()
     asked(watch)
@@ -358,7 +358,7 @@
     assert asked(anew).startswith("GET /v1/servers?index=9&")
 
 
-def test_a_whole_list_that_was_asked_of_the_old_discovery_is_not_the_new_ones(make: Make) -> None:
+def test_a_full_list_that_was_requested_of_the_old_discovery_is_not_the_new_ones(make: Make) -> None:
     world = make(2)
     asked(world.discovery.accept())
     world.run(world.sidecar.machine_list.fetch)
@@ -416,7 +416,7 @@
     only(world, "n1")
 
 
-def test_a_version_that_starts_anew_with_the_whole_list_goes_on_from_there(make: Make) -> None:
+def test_a_version_that_starts_anew_with_the_full_list_goes_on_from_there(make: Make) -> None:
     world = make(2)
     watch = world.discovery.accept()
     asked(watch)
@@ -425,7 +425,7 @@
     only(world, "n1")
 
 
-def test_changes_that_do_not_fit_count_and_the_whole_list_is_asked_for(make: Make) -> None:
+def test_changes_that_do_not_fit_count_and_the_full_list_is_requested(make: Make) -> None:
     """Discovery has begun anew, and tells of what came since: of that, not of what went before."""
     world = make(3)
     watch = world.discovery.accept()
--- a/tests/http1/test_list_freshness.py
+++ b/tests/http1/test_list_freshness.py
@@ -30,7 +30,7 @@
         yield
 
 
-def test_nodes_that_refuse_make_it_lay_the_watch_anew_and_serve_by_what_that_brings(make: Make) -> None:
+def test_endpoints_that_reject_make_it_reopen_the_watch_and_serve_by_its_answer(make: Make) -> None:
     world = make(3)
     old = world.discovery.accept()
     assert old.read()[0].startswith(WATCH)
@@ -96,7 +96,7 @@
     assert lists.version == 8 and lists.replacement is None
 
 
-def test_a_list_that_names_nobody_is_asked_for_whole(make: Make) -> None:
+def test_an_empty_list_is_requested_again_in_full(make: Make) -> None:
     world = make(1)
     old = world.discovery.accept()
     old.read()
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("ending", ["stalls", "breaks off"])
-def test_half_a_list_is_none_and_is_asked_for_again(
+def test_an_incomplete_list_is_none_and_is_requested_again(
     make: Make, monkeypatch: pytest.MonkeyPatch, ending: str
 ) -> None:
     if ending == "stalls":
--- a/tests/http1/test_pushed_list.py
+++ b/tests/http1/test_pushed_list.py
@@ -28,7 +28,7 @@
     return list_body(8, entry(name, peer, lifecycle="DRAINING"))
 
 
-def test_a_watch_is_opened_at_the_start_and_what_it_brings_is_gone_by(make: Make) -> None:
+def test_a_watch_is_opened_at_the_start_and_its_answer_is_applied(make: Make) -> None:
     world = make(2)
     watch = world.discovery.accept()
     assert watch.read()[0].startswith("GET /v1/servers?index=7&")
--- a/tests/http1/test_shutdown.py
+++ b/tests/http1/test_shutdown.py
@@ -31,7 +31,7 @@
     return connection
 
 
-def test_who_waits_at_the_door_comes_in_before_it_is_shut(make: Make) -> None:
+def test_callers_in_the_backlog_are_accepted_before_the_listener_closes(make: Make) -> None:
     world = make(0)
     listener: Any = world.sidecar.server.listener
     world.run(listener.stopReading)
@@ -75,7 +75,7 @@
     assert (fields["connection"], body) == ("close", b"second") and wire.at_end()
 
 
-def test_what_was_sent_ahead_is_refused_in_one_go_once_jobs_are_given_up(make: Make) -> None:
+def test_what_was_sent_ahead_is_rejected_in_one_go_once_requests_are_given_up(make: Make) -> None:
     world = make()
     wire = world.ask("unsafe")
     for _ in range(100):
@@ -124,7 +124,7 @@
     assert (fields["connection"], body) == ("close", b"last") and wire.at_end()
 
 
-def test_nothing_is_written_into_an_answer_that_has_begun_before_its_request_was_whole(make: Make) -> None:
+def test_nothing_is_written_into_an_answer_that_has_begun_before_its_request_was_complete(make: Make) -> None:
     """Not by the stop either, which has no patience with a request that is not whole by then."""
     world = make()
     no_room(world)
--- a/tests/lab/live/test_bench.py
+++ b/tests/lab/live/test_bench.py
@@ -38,7 +38,7 @@
     assert me.peak_mb > 5
 
 
-def test_one_that_has_ended_is_left_out_and_goes_on_in_its_row_when_started_anew() -> None:
+def test_an_ended_process_is_left_out_and_continues_its_row_when_restarted() -> None:
     watch = Watch(0.0)
     for at in (1.0, 3.0):
         with Process("upstream", module(f"{run.BENCH_PACKAGE}.upstream", run.HOST, "1")) as process:
--- a/tests/lab/live/test_cold_start.py
+++ b/tests/lab/live/test_cold_start.py
@@ -110,7 +110,9 @@
     assert not any("ended by itself" in breach.what for breach in days["stall"][0].breaches)
 
 
-def test_all_are_told_of_a_move_and_ask_there(days: dict[str, tuple[LiveOutcome, str]]) -> None:
+def test_all_are_notified_of_a_move_of_discovery_and_ask_there(
+    days: dict[str, tuple[LiveOutcome, str]],
+) -> None:
     outcome, _ = days["move"]
     assert "discovery_move" in [what for _, what in outcome.happened]
     assert outcome.lists.brought >= SIDECARS
--- a/tests/lab/live/test_links.py
+++ b/tests/lab/live/test_links.py
@@ -110,7 +110,7 @@
     assert near.recv(3) == b"two"
 
 
-def test_one_way_it_hears_and_is_not_heard(pair: Pair) -> None:
+def test_cut_in_one_direction_it_receives_and_is_not_received(pair: Pair) -> None:
     near, far = pair.both()
     pair.wires.begin(ONE_WAY)
     pair.settle()
@@ -134,7 +134,7 @@
     pair.both()
 
 
-def test_two_troubles_at_once_both_count_until_each_is_over(pair: Pair) -> None:
+def test_two_faults_at_once_both_count_until_each_is_over(pair: Pair) -> None:
     near, far = pair.both()
     pair.wires.begin(CUT)
     pair.wires.begin(SILENT)
@@ -146,7 +146,7 @@
     assert far.recv(1) == b"!"
 
 
-def test_a_closed_link_refuses_and_one_that_leads_nowhere_resets(pair: Pair) -> None:
+def test_a_closed_link_refuses_connections_and_one_without_a_target_resets_them(pair: Pair) -> None:
     pair.wires.close(["a>b"])
     pair.settle()
     with pytest.raises(ConnectionRefusedError):
@@ -197,7 +197,7 @@
     assert {len(datagram(1.0, state, True, random)) for _ in range(200)} == counts
 
 
-def test_datagrams_go_by_the_link_of_their_own_way_and_can_be_cut_one_way() -> None:
+def test_datagrams_use_the_link_of_their_direction_and_can_be_cut_in_one_direction() -> None:
     wires = Wires(1, HOSTS, NetPlan(), 1)
     ends = {}
     try:
--- a/tests/lab/live/test_membership_views.py
+++ b/tests/lab/live/test_membership_views.py
@@ -46,7 +46,7 @@
     return [name for name in rig.members if name not in names]
 
 
-def test_two_that_are_killed_go_in_one_change_and_come_back_in_one(rig: FleetRig) -> None:
+def test_two_killed_members_leave_in_one_change_and_return_in_one(rig: FleetRig) -> None:
     before = agree(rig, rig.members)
     rig.kill("d4", "d5")
     assert agree(rig, without(rig, "d4", "d5")) == before + 1
@@ -55,7 +55,7 @@
     assert agree(rig, rig.members) <= before + 3
 
 
-def test_a_killed_leader_goes_and_the_next_one_goes_on_from_its_number(rig: FleetRig) -> None:
+def test_a_killed_leader_leaves_and_the_next_one_continues_from_its_number(rig: FleetRig) -> None:
     before = agree(rig, rig.members)
     leader = next(name for name, one in views(rig, rig.members).items() if one["leads"])
     rig.kill(leader)
@@ -64,7 +64,7 @@
     agree(rig, rig.members)
 
 
-def test_one_that_is_cut_off_keeps_its_view_and_knows_that_it_is_old(rig: FleetRig) -> None:
+def test_a_partitioned_member_keeps_its_view_and_knows_that_it_is_stale(rig: FleetRig) -> None:
     before = agree(rig, rig.members)
     rig.isolate("d5")
     agree(rig, without(rig, "d5"))
@@ -75,7 +75,7 @@
     agree(rig, rig.members)
 
 
-def test_one_that_ends_by_itself_is_out_at_once(rig: FleetRig) -> None:
+def test_a_member_that_shuts_down_leaves_the_view_at_once(rig: FleetRig) -> None:
     from signal import SIGTERM
 
     before = agree(rig, rig.members)
@@ -83,7 +83,7 @@
     assert agree(rig, without(rig, "d5")) == before + 1
 
 
-def test_one_bad_link_takes_nobody_out(rig: FleetRig) -> None:
+def test_one_bad_link_removes_nobody(rig: FleetRig) -> None:
     before = agree(rig, rig.members)
     rig.set_links(["d3"], ["d4"])
     rig.set_links(["d4"], ["d5"])
--- a/tests/lab/live/test_plans.py
+++ b/tests/lab/live/test_plans.py
@@ -30,7 +30,7 @@
     plan_cases.wait_until_committed(rig, rig.members, number, 0.0)
 
 
-def test_a_large_plan_is_with_all_and_the_next_one_survives_its_leader(rig: FleetRig) -> None:
+def test_a_large_plan_reaches_all_and_the_next_one_survives_its_leader(rig: FleetRig) -> None:
     plan_cases.propose(rig, "d3", plan_cases.document("large", 100_000))
     assert plan_cases.wait_until_ended(rig, "d3")["state"] == "settled"
     known(rig, 1)
@@ -44,7 +44,7 @@
     known(rig, plan_cases.plan_status(rig, other)["newest"])
 
 
-def test_two_that_are_pushed_at_once_end_in_one_that_all_have(rig: FleetRig) -> None:
+def test_two_concurrent_plans_end_in_one_that_all_have(rig: FleetRig) -> None:
     plan_cases.propose(rig, "d3", plan_cases.document("one"))
     plan_cases.propose(rig, "d4", plan_cases.document("other"))
     how = {plan_cases.wait_until_ended(rig, name)["state"] for name in ("d3", "d4")}
@@ -52,7 +52,7 @@
     known(rig, plan_cases.plan_status(rig, "d3")["newest"])
 
 
-def test_one_that_reads_less_is_named_and_one_that_comes_back_older_stays_out(rig: FleetRig) -> None:
+def test_a_member_that_reads_less_is_named_and_one_that_restarts_older_stays_out(rig: FleetRig) -> None:
     rig.member_plans["d5"] = {"formats": "[1]"}
     rig.kill("d5")
     agree(rig, without(rig, "d5"))
@@ -79,7 +79,7 @@
     known(rig, 1)
 
 
-def test_all_enter_and_leave_a_window_and_one_that_was_stopped_follows(rig: FleetRig) -> None:
+def test_all_enter_and_leave_a_window_and_a_stopped_member_follows(rig: FleetRig) -> None:
     since = plan_cases.propose(
         rig, "d3", plan_cases.document("window", window=plan_cases.WINDOW_LEAD_SECONDS)
     )
--- a/tests/lab/live/test_play.py
+++ b/tests/lab/live/test_play.py
@@ -173,7 +173,7 @@
     return found
 
 
-def test_a_day_of_troubles_gives_an_outcome_as_in_virtual_time_and_leaves_nothing(tmp_path: Path) -> None:
+def test_a_day_of_faults_gives_an_outcome_as_in_virtual_time_and_leaves_nothing(tmp_path: Path) -> None:
     with begin(tmp_path, "--json", str(tmp_path / "outcome")) as process:
         out, err = process.communicate(timeout=WAIT_LIMIT_SECONDS)
         assert process.returncode in (0, 1), err  # on a busy machine what comes late may look like a breach
@@ -235,7 +235,7 @@
 
 @pytest.mark.parametrize("part", [0.1, 0.34, 0.8])
 @pytest.mark.parametrize("name", names())
-def test_a_day_scaled_down_is_whole_and_as_loaded(name: str, part: float) -> None:
+def test_a_day_scaled_down_is_complete_and_as_loaded(name: str, part: float) -> None:
     for seed in range(1, 6):
         plan = draw(load(name), seed)
         small = scale.scaled(plan, part)
--- a/tests/lab/live/test_singleton_roles.py
+++ b/tests/lab/live/test_singleton_roles.py
@@ -48,7 +48,9 @@
     return len(rig.accepted_calls()) == before
 
 
-def test_a_killed_holder_is_followed_and_its_name_comes_back_as_another(rig: FleetRig) -> None:
+def test_a_killed_lease_holder_is_succeeded_and_its_name_restarts_as_another_incarnation(
+    rig: FleetRig,
+) -> None:
     first = rig.next_holder()
     since = now()
     rig.kill(first.holder)
@@ -59,7 +61,7 @@
     assert rig.next_holder(second.holder, now()).epoch > second.epoch
 
 
-def test_a_holder_that_is_stopped_for_ten_terms_does_no_harm_when_it_goes_on(rig: FleetRig) -> None:
+def test_a_lease_holder_stopped_for_ten_terms_does_no_harm_when_it_resumes(rig: FleetRig) -> None:
     first = in_office(rig)
     since = now()
     rig.pause(first)
@@ -73,7 +75,7 @@
 
 
 @pytest.mark.parametrize("way", ["hears and is not heard", "is heard and does not hear", "both"])
-def test_a_holder_that_is_cut_off_has_stopped_before_the_next_one_starts(rig: FleetRig, way: str) -> None:
+def test_a_partitioned_lease_holder_has_stopped_before_the_next_one_starts(rig: FleetRig, way: str) -> None:
     first = in_office(rig)
     others = [name for name in rig.members if name != first]
     since = now()
@@ -87,7 +89,7 @@
     rig.next_holder(since=now())
 
 
-def test_voters_in_three_parts_let_nobody_act_until_they_meet_again(rig: FleetRig) -> None:
+def test_voters_in_three_partitions_let_nobody_act_until_they_are_joined(rig: FleetRig) -> None:
     parts = (["d0", "d3"], ["d1", "d4"], ["d2"])
     for part in parts:
         rig.isolate(*part)
@@ -106,7 +108,7 @@
     rig.wait_until(lambda: rig.accepted_calls()[-1].epoch > first.epoch, "a higher term")
 
 
-def test_a_voter_that_starts_again_and_again_within_a_term_breaks_nothing(rig: FleetRig) -> None:
+def test_a_voter_that_restarts_repeatedly_within_a_term_breaks_nothing(rig: FleetRig) -> None:
     first = in_office(rig)
     voter = next(name for name in ("d0", "d1", "d2") if name != first)
     for _ in range(5):
@@ -115,7 +117,7 @@
     rig.next_holder(since=now())
 
 
-def test_words_that_come_three_terms_late_and_twice_break_nothing(rig: FleetRig) -> None:
+def test_messages_three_terms_late_and_duplicated_break_nothing(rig: FleetRig) -> None:
     names = list(rig.members)
     rig.set_links(names, names, State(delay=0.001, jitter=3 * TERM, duplicate=0.5, drop=0.3, reorder=0.5))
     time.sleep(6 * TERM)
@@ -123,7 +125,7 @@
     rig.next_holder(since=now() + 3 * TERM)
 
 
-def test_a_release_and_a_kill_in_the_same_instant_leave_one_holder(rig: FleetRig) -> None:
+def test_a_release_and_a_kill_in_the_same_instant_leave_one_lease_holder(rig: FleetRig) -> None:
     first = in_office(rig)
     assert rig.admin_call(first, "POST", "duties/probe/release")[0] == 200
     since = now()
@@ -132,7 +134,7 @@
     assert rig.admin_call(rig.next_holder(first, since).holder, "POST", "duties/none/release")[0] == 404
 
 
-def test_a_duty_that_is_given_back_or_left_by_sigterm_is_taken_by_the_next(rig: FleetRig) -> None:
+def test_a_role_that_is_released_or_left_by_sigterm_is_taken_by_the_next(rig: FleetRig) -> None:
     first = in_office(rig)
     others = [name for name in rig.members if name != first]
     assert rig.admin_call(others[0], "POST", "duties/probe/release")[0] == 503
@@ -149,7 +151,7 @@
     )
 
 
-def test_one_that_holds_a_duty_and_does_nothing_of_it_is_followed(tmp_path: Path) -> None:
+def test_a_lease_holder_that_does_nothing_is_succeeded(tmp_path: Path) -> None:
     with FleetRig(tmp_path, 5, TERM, duty={"idle": "1.5"}) as rig:
         rig.start_all()
         first = rig.next_holder()
--- a/tests/lab/live/test_view_cases.py
+++ b/tests/lab/live/test_view_cases.py
@@ -38,7 +38,7 @@
     assert view_entries(made, "b")[0].is_inside
 
 
-def test_a_view_is_told_on_one_line() -> None:
+def test_a_view_is_printed_on_one_line() -> None:
     view = {
         "number": 7, "members": 3, "inside": False, "sure": False, "age_s": None, "leads": False,
         "side": "deaf", "deaf": ["x"], "waits": [4.5, "it went out again and again"],
--- a/tests/lab/net/test_environments.py
+++ b/tests/lab/net/test_environments.py
@@ -137,7 +137,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_half_closed_each_way_it_is_over_for_both(make_environment: Make) -> None:
+def test_a_connection_half_closed_in_each_direction_is_closed_for_both(make_environment: Make) -> None:
     script = [("client", "write+half"), ("server", "write"), ("server", "half"), ("client", "close")]
     client, server = play(make_environment(), script, (HalfEnd, HalfEnd))
     assert client[:4] == [["made"], ["write side over"], ["data", b"abc"], ["read side over"]]
@@ -184,7 +184,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_connects_that_fail_tell_why_and_may_be_begun_again(make_environment: Make) -> None:
+def test_failed_connects_say_why_and_may_be_repeated(make_environment: Make) -> None:
     pair = Pair(make_environment())
     pair.do(pair.port.stopListening)
     connector = pair.connect()
@@ -204,7 +204,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_who_waits_at_a_door_that_closes_is_reset(make_environment: Make) -> None:
+def test_a_connection_in_the_backlog_of_a_closing_listener_is_reset(make_environment: Make) -> None:
     pair = Pair(make_environment())
     pair.do(pair.port.stopReading)
     pair.connect()
@@ -223,7 +223,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_what_comes_before_the_door_opens_is_there_when_it_does(make_environment: Make) -> None:
+def test_what_arrives_before_the_listener_accepts_is_there_when_it_does(make_environment: Make) -> None:
     pair = Pair(make_environment())
     pair.do(pair.port.stopReading)
     pair.connect()
@@ -253,7 +253,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_factory_that_builds_nothing_turns_the_caller_away(make_environment: Make) -> None:
+def test_a_factory_that_builds_nothing_closes_the_connection(make_environment: Make) -> None:
     pair = Pair(make_environment())
     pair.servers.build = lambda _name, _log: None
     pair.connect()
--- a/tests/lab/net/test_faults.py
+++ b/tests/lab/net/test_faults.py
@@ -65,7 +65,7 @@
     assert place.news() == [("client", "made"), ("server", "made")]
 
 
-def test_a_full_door_says_nothing_and_opens_at_the_next_try(place: Place) -> None:
+def test_a_full_backlog_drops_connects_and_accepts_at_the_next_retransmission(place: Place) -> None:
     place.net.full(*place.where, True)
     given_up, waiting = place.connect(), place.connect()
     begun = place.time.now()
@@ -78,7 +78,7 @@
     assert place.news()[0] == ("client", "failed", "UserError", "disconnected")
 
 
-def test_a_full_door_times_connects_out_in_the_end(place: Place) -> None:
+def test_a_full_backlog_times_connects_out_in_the_end(place: Place) -> None:
     place.net.full(*place.where, True)
     place.connect()
     place.pass_time(126.9)
@@ -118,7 +118,7 @@
         return super().buildProtocol(addr)
 
 
-def test_no_more_is_accepted_in_one_go_than_there_is_room_for() -> None:
+def test_no_more_is_accepted_in_one_go_than_there_is_capacity_for() -> None:
     environment = VirtualEnvironment()
     served = Roomy("served", [])
     served.door = environment.there.open_listener(0, served, 511, environment.host, environment.there)
@@ -197,7 +197,7 @@
     assert place.news()[-1] == ("server", "lost", "ConnectionDone")
 
 
-def test_a_cut_one_way_leaves_the_other(place: Place) -> None:
+def test_a_cut_in_one_direction_leaves_the_other(place: Place) -> None:
     place.net.cut(place.there, place.here, one_way=True)
     place.write(place.client, b"a question")
     place.write(place.server, b"an answer")
@@ -210,7 +210,7 @@
 
 
 @pytest.mark.parametrize("patient", [False, True])
-def test_a_door_forgets_a_caller_whose_last_word_is_lost_and_takes_one_that_comes_late(patient: bool) -> None:
+def test_a_listener_forgets_a_connect_whose_last_ack_is_lost_and_accepts_a_late_one(patient: bool) -> None:
     place = Place(jitter=0.0)
     place.connect()
     place.pass_time(0.0003)  # the first word has arrived, its answer has not
@@ -226,7 +226,7 @@
     assert door.half_open == 0 and len(place.servers.ends) == 1 + patient
 
 
-def test_a_caller_whose_last_word_finds_the_door_closed_is_reset(place: Place) -> None:
+def test_a_connect_whose_last_ack_finds_the_listener_closed_is_reset(place: Place) -> None:
     place.connect()
     place.environment.wait_until(lambda: len(place.clients.ends) == 2)
     place.environment.run(place.port.stopListening)
@@ -255,7 +255,7 @@
     assert place.news() == [("server", "lost", "ConnectionLost")]
 
 
-def test_a_writer_waits_for_word_of_what_was_read_as_long_as_that_is_cut_off() -> None:
+def test_a_writer_waits_for_window_updates_as_long_as_they_are_cut_off() -> None:
     place = Place(window=1000)
     place.net.cut(place.there, place.here, one_way=True)
     place.write(place.client, b"x" * 5000)
@@ -267,7 +267,7 @@
     assert place.client.transport.socket.out.room() == 1000
 
 
-def test_a_connection_that_finds_no_way_for_long_dies(place: Place) -> None:
+def test_a_connection_that_is_cut_off_for_long_is_dropped(place: Place) -> None:
     place.net.give_up = 30.0
     place.connect()
     place.pass_time(1.0)
@@ -280,7 +280,7 @@
     assert place.news() == LOST
 
 
-def test_slow_ways_take_so_many_times_as_long() -> None:
+def test_slow_links_take_so_many_times_as_long() -> None:
     place = Place(jitter=0.0)
     place.net.slow(place.here, (), 100.0)
     begun = place.time.now()
--- a/tests/lease/test_membership_views.py
+++ b/tests/lease/test_membership_views.py
@@ -19,27 +19,27 @@
     return measure(name, SIZE, seed, span)
 
 
-def test_a_third_that_dies_goes_in_one_change_within_eight_seconds() -> None:
+def test_a_dead_third_leaves_in_one_change_within_eight_seconds() -> None:
     found = case("kill-third", span=12.0)
     assert (found.removals, found.admissions, found.wrongly_removed) == (1, 0, 0)
     assert 5.5 < found.converged_seconds < 8
 
 
 @pytest.mark.parametrize("name", ["loss-30", "loss-80-one", "pair", "half", "pause-5", "voters-apart"])
-def test_what_is_no_death_takes_nobody_out(name: str) -> None:
+def test_what_is_no_death_removes_nobody(name: str) -> None:
     found = case(name)
     assert (found.removals, found.admissions, found.converged_seconds) == (0, 0, 0.0)
     assert found.agreement_share > 0.98
 
 
-def test_a_third_that_is_stopped_for_long_goes_once_and_comes_back_once() -> None:
+def test_a_third_stopped_for_long_leaves_once_and_returns_once() -> None:
     found = case("pause-15")
     assert (found.removals, found.admissions) == (1, 1)
     assert 0 < found.converged_seconds <= 3
 
 
 @pytest.mark.parametrize("name", ["mute", "deaf"])
-def test_one_whose_words_or_ears_are_gone_goes_once(name: str) -> None:
+def test_a_member_that_is_mute_or_deaf_leaves_once(name: str) -> None:
     found = case(name)
     assert (found.removals, found.admissions, found.wrongly_removed) == (1, 0, 0)
 
@@ -54,12 +54,12 @@
     assert found.removals == 1 and found.wrongly_removed == 0 and 0 < found.converged_seconds < 12
 
 
-def test_a_member_at_rest_says_little() -> None:
+def test_an_idle_member_sends_little() -> None:
     found = case("rest", span=10.0)
     assert found.datagrams <= 4 and found.bytes_sent <= 2000
 
 
-def test_a_second_look_ends() -> None:
+def test_a_second_round_of_checks_ends() -> None:
     scene = CaseRun(SIZE, 1)
     scene.fleet.run(20)
     scene.stop(scene.names[8:10], 5.0)
@@ -72,7 +72,7 @@
     )
 
 
-def test_a_minority_keeps_its_view_and_says_that_it_is_old() -> None:
+def test_a_minority_keeps_its_view_and_reports_it_as_stale() -> None:
     scene = CaseRun(SIZE, 1)
     fleet = scene.fleet
     fleet.run(20)
@@ -102,7 +102,7 @@
     assert view_days.play(3, "together") == view_days.play(3, "together")
 
 
-def test_one_all_of_whose_subjects_die_reports_them() -> None:
+def test_a_member_all_of_whose_subjects_die_reports_them() -> None:
     scene = CaseRun(24, 1)
     fleet = scene.fleet
     fleet.run(20)
@@ -116,7 +116,7 @@
     assert [move.removed for move in scene.observer.changes] == [scene.removed]
 
 
-def test_one_that_has_just_started_looks_at_all_early_too_where_one_is_missed() -> None:
+def test_a_member_that_has_just_started_checks_all_early_where_one_is_missed() -> None:
     """Or who died together then would be missed seconds apart, and go in two changes."""
     watch = EdgeMonitor(0.0, Random(1))
     watch.set_subjects(0.0, ["a", "b"])
@@ -127,7 +127,7 @@
     assert max(one.due for one in watch.subjects.values()) <= 2 * EARLY_CHECK_SECONDS
 
 
-def test_who_missed_one_takes_that_back_at_once() -> None:
+def test_a_member_that_missed_another_withdraws_its_report_at_once() -> None:
     watch = EdgeMonitor(0.0, Random(1))
     watch.set_subjects(0.0, ["a", "b"])
     seen: list[int] = []
--- a/tests/lease/test_proposer.py
+++ b/tests/lease/test_proposer.py
@@ -9,7 +9,7 @@
 from wheatring.lease.proposer import AddressedRequest, Proposer
 
 
-def test_a_renewal_that_nobody_answers_stays_one_round_and_then_others_have_their_attempt() -> None:
+def test_a_renewal_that_nobody_answers_stays_one_round_and_then_others_may_propose() -> None:
     proposer = elected(0.0)
     proposer.tick(proposer.due)
     number, said = proposer.round, 0
--- a/tests/lease/test_replicated_register.py
+++ b/tests/lease/test_replicated_register.py
@@ -10,7 +10,7 @@
 from wheatring.lease.replicated_register import ReplicatedRegister
 
 
-def test_of_one_number_there_is_one_entry_whatever_the_order_of_words() -> None:
+def test_of_one_number_there_is_one_entry_whatever_the_order_of_messages() -> None:
     walked = [run_order(seed) for seed in range(1, 41)]
     assert [one for one in walked if one.breach] == []
     assert sum(one.chosen for one in walked) > 500 and sum(one.restarts for one in walked) > 50
--- a/tests/lifecycle/test_freshness.py
+++ b/tests/lifecycle/test_freshness.py
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_it_is_suspect_just_when_its_struck_nodes_have_made_so_many_node_seconds(seed: int) -> None:
+def test_a_list_is_suspect_just_when_its_failing_endpoints_add_up_to_enough_seconds(seed: int) -> None:
     random = Random(seed)
     names = [f"n{n}" for n in range(5)]
     now = 100.0
@@ -153,7 +153,7 @@
     assert fresh.next_ask_at(at) <= at
 
 
-def test_one_node_that_flaps_or_few_among_many_are_no_reason_to_ask_often() -> None:
+def test_one_endpoint_that_flaps_or_few_among_many_are_no_reason_to_ask_often() -> None:
     fresh = struck(1, 0)
     made, now = [], 10.0
     while now < 60.0:
--- a/tests/lifecycle/test_list_request_schedule.py
+++ b/tests/lifecycle/test_list_request_schedule.py
@@ -65,21 +65,21 @@
         self.fleet[n].call_failed(self.time.now(), self.time.now() - began)
         self.wait(n)
 
-    def most(self, since: float, span: float = 1.0) -> int:
+    def busiest(self, since: float, span: float = 1.0) -> int:
         """Return the number of calls in the busiest span from then on."""
         after = [at for at in self.calls if at >= since]
         return max([sum(at <= other < at + span for other in after) for at in after], default=0)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_two_hundred_without_a_list_come_down_on_five_calls_a_second(seed: int) -> None:
+def test_two_hundred_sidecars_without_a_list_settle_at_five_calls_a_second(seed: int) -> None:
     fleet = Fleet(200, 5.0, seed)
     fleet.time.run(400.0)
     ends = sorted(fleet.answered.values())
     assert len(ends) == 200
     assert ends[189] < 1.3 * 40  # of all but a few; 40 s is the least there is
     assert fleet.failed < 0.2 * 200
-    assert fleet.most(since=3.0) <= 3 * 5 + 5  # three times what it takes, and what chance adds
+    assert fleet.busiest(since=3.0) <= 3 * 5 + 5  # three times what it takes, and what chance adds
 
 
 @pytest.mark.parametrize("rate", [2.0, 5.0, 20.0, 100.0])
@@ -95,7 +95,7 @@
     fleet = Fleet(200, 2.5, 5, opens=60.0)
     fleet.time.run(600.0)
     assert len(fleet.answered) == 200
-    assert fleet.most(since=70.0, span=10.0) <= 2 * 25
+    assert fleet.busiest(since=70.0, span=10.0) <= 2 * 25
     assert sum(at >= 60.0 for at in fleet.calls) < 3 * 200
 
 
--- a/tests/lifecycle/test_notification_deadline.py
+++ b/tests/lifecycle/test_notification_deadline.py
@@ -112,7 +112,7 @@
 
 @settings(max_examples=25)
 @given(st.integers(1, 300), st.data(), st.lists(SPANS, max_size=4), st.integers(0, 1000))
-def test_no_change_counts_as_told_before_it_is_known(
+def test_no_change_counts_as_notified_before_it_is_known(
     copies: int, data: st.DataObject, spans: list[tuple[float, float, str]], seed: int
 ) -> None:
     number = data.draw(st.integers(0, copies - 1))
@@ -127,7 +127,7 @@
 
 
 @given(st.floats(0.1, 100.0), st.floats(0.0, 60.0), st.sampled_from(["begun", "laid", "answered", "failed"]))
-def test_the_law_leaves_a_call_the_time_that_it_takes(within: float, wait: float, last: str) -> None:
+def test_the_deadline_leaves_a_call_the_time_that_it_takes(within: float, wait: float, last: str) -> None:
     told = NotificationDeadline(within, 0.0)
     told.call_accepted(1.0, wait)
     told.call_answered(2.0)
@@ -148,7 +148,9 @@
 
 
 @pytest.mark.parametrize("copies", [1, 3, 20, 200])
-def test_who_holds_a_list_asks_again_within_three_seconds_however_long_nobody_is_there(copies: int) -> None:
+def test_a_sidecar_with_a_list_asks_again_within_three_seconds_however_long_nobody_is_there(
+    copies: int,
+) -> None:
     """An hour of it: what doubles must not grow for ever."""
     all_of_them = [
         ListRequestSchedule(copies, number, 10.0, Random(number), 0.0) for number in range(0, copies, 7)
@@ -165,7 +167,7 @@
 @pytest.mark.parametrize(
     ("copies", "longest"), [(1, RETRY_WITHIN_SECONDS), (12, RETRY_WITHIN_SECONDS), (20, 5.0), (200, 24.0)]
 )
-def test_a_line_makes_only_a_fleet_give_way_that_is_too_large_for_it(copies: int, longest: float) -> None:
+def test_a_queue_slows_only_a_fleet_that_is_too_large_for_it(copies: int, longest: float) -> None:
     one, now = ListRequestSchedule(copies, 0, 10.0, Random(1), 0.0), 0.0
     one.start(now, holds=True)
     gaps = []
@@ -179,7 +181,7 @@
 
 
 @pytest.mark.parametrize("copies", [20, 140, 200, 400])
-def test_after_one_failure_in_a_line_as_many_ask_again_in_time_as_a_fast_discovery_answers(
+def test_after_one_failure_in_a_queue_as_many_ask_again_in_time_as_a_fast_discovery_answers(
     copies: int,
 ) -> None:
     soon = 0
@@ -188,11 +190,13 @@
         one.start(0.0, holds=True)
         one.call_failed(10.0, 2.0, waits=True)
         soon += one.next_call_at(10.0) <= 10.0 + RETRY_WITHIN_SECONDS
-    most = min(copies, 25 * 6)
-    assert most - 2 <= soon <= most + (copies - most) * 0.25  # of those that give way some come early
+    expected = min(copies, 25 * 6)
+    assert (
+        expected - 2 <= soon <= expected + (copies - expected) * 0.25
+    )  # of those that give way some come early
 
 
-def test_who_holds_none_asks_on_after_an_hour_as_well() -> None:
+def test_a_sidecar_without_a_list_still_asks_after_an_hour() -> None:
     one, now = ListRequestSchedule(1, 0, 10.0, Random(1), 0.0), 0.0
     for _ in range(3000):
         now = one.next_call_at(now)
@@ -204,7 +208,7 @@
 
 
 @given(st.integers(1, 12), st.booleans(), st.lists(st.tuples(st.sampled_from(ENDS), st.floats(0.0, 4.7))))
-def test_calls_that_come_to_nothing_begin_no_further_apart_than_news_may_be_late(
+def test_failing_calls_begin_no_further_apart_than_updates_may_be_late(
     copies: int, moved: bool, ends: list[tuple[str, float]]
 ) -> None:
     """Any instant at which discovery is there again is followed by a call that is answered in time."""
@@ -246,7 +250,7 @@
         assert sum(second <= at < second + 1 for at in calls) <= 1.7 * 200 / RETRY_WITHIN_SECONDS
 
 
-def test_the_module_subscribes_again_after_an_hour_without_discovery() -> None:
+def test_the_balancer_subscribes_again_after_an_hour_without_discovery() -> None:
     copy = Copy(1, must_subscribe=True)
     (timer,) = copy.view(*entries("a"), kind=i.ViewKind.CACHED)
     for _ in range(1500):
@@ -255,7 +259,7 @@
         (timer,) = copy.view(kind=i.ViewKind.FAILED)
 
 
-def test_an_ask_that_brings_nothing_for_days_is_still_made() -> None:
+def test_a_list_request_that_fails_for_days_is_still_made() -> None:
     fresh = Freshness(1, 0, Random(1), 0.0)
     fresh.list_changed(0.0, {"n": True}, True)
     fresh.watch_started(0.0)
--- a/tests/lifecycle/test_leaving.py
+++ b/tests/lifecycle/test_shutdown_schedule.py
@@ -59,7 +59,7 @@
 
 
 @given(HISTORY, REQUESTS, st.integers(1, 5), st.floats(0.0, 5.0))
-def test_jobs_go_on_just_while_some_time_ahead_brings_more_than_it_costs(
+def test_requests_continue_just_while_some_time_ahead_brings_more_value_than_it_costs(
     history: list[tuple[str, float, float]], requests: list[OpenRequest], copies: int, since: float
 ) -> None:
     leaving, sigterm_at = planned(history, copies)
@@ -112,7 +112,7 @@
 
 
 @given(st.lists(st.floats(0.0, 1.5), max_size=8), st.lists(st.floats(0.0, 3.0), max_size=3))
-def test_the_door_shuts_once_nobody_comes_and_turns_nobody_away_who_waits(
+def test_the_listener_closes_once_nobody_comes_and_rejects_nobody_who_waits(
     comes: list[float], full: list[float]
 ) -> None:
     """Callers that come at these instants, and instants until which the place is crowded."""
@@ -130,14 +130,14 @@
 
 
 @given(st.integers(0, 900))
-def test_idle_connections_go_a_few_at_a_time_and_all_of_them_before_the_door_shuts(idle: int) -> None:
+def test_idle_connections_are_closed_a_few_at_a_time_and_all_before_the_listener(idle: int) -> None:
     leaving, sigterm_at = planned([], idle=idle)
     kept = [leaving.max_idle(sigterm_at + n * 0.02) for n in range(25)]
     assert kept[0] == idle and kept[int(MIN_ACCEPT_SECONDS / 0.02)] == 0
     assert all(0 <= before - after <= idle / 9 + 1 for before, after in pairwise(kept))
 
 
-def test_what_may_have_run_is_refused_only_where_a_repeat_does_no_harm() -> None:
+def test_what_may_have_run_is_rejected_only_where_a_retry_does_no_harm() -> None:
     leaving, _ = planned([])
     assert leaving.may_reject("menu", True) and leaving.may_reject("order", False)
     assert not leaving.may_reject("order", True)
@@ -156,7 +156,7 @@
 
 
 @given(HISTORY, REQUESTS.filter(bool), st.floats(0.0, 5.0))
-def test_nobody_waits_for_the_end_of_one_whose_follower_serves(
+def test_nobody_waits_for_the_end_of_a_process_whose_successor_serves(
     history: list[tuple[str, float, float]], requests: list[OpenRequest], since: float
 ) -> None:
     _, sigterm_at = planned(history)
--- a/tests/lifecycle/test_stored_files.py
+++ b/tests/lifecycle/test_stored_files.py
@@ -30,7 +30,7 @@
     assert folder.orders_file.read_bytes() == before
 
 
-def test_the_ceiling_of_a_living_process_of_the_previous_version_counts(tmp_path: Path) -> None:
+def test_the_descriptor_limit_of_a_living_process_of_the_previous_version_counts(tmp_path: Path) -> None:
     folder = opened(tmp_path)
     path = tmp_path / "shared" / f"service-n%203-{OLDER}.live"
     living = os.open(path, os.O_RDWR)
@@ -44,6 +44,6 @@
     ]
 
 
-def test_what_a_process_of_the_previous_version_has_left_counts_no_more(tmp_path: Path) -> None:
+def test_files_left_by_a_dead_process_of_the_previous_version_do_not_count(tmp_path: Path) -> None:
     folder = opened(tmp_path)
     assert folder.state_limit(lambda _newest, ceilings: 1024 - sum(ceilings)) == (1024, [])
--- a/tests/members/test_cut_detector.py
+++ b/tests/members/test_cut_detector.py
@@ -52,14 +52,14 @@
     return cuts.members_to_remove(now, VIEW, RINGS)
 
 
-def test_one_whom_all_miss_goes_after_the_second_look_and_not_before() -> None:
+def test_a_member_whom_all_miss_leaves_after_the_second_round_of_checks_and_not_before() -> None:
     cuts = CutDetector()
     missed(cuts, 0.0, "n03")
     assert cut(cuts, 0.0) == [] and cut(cuts, INDIRECT_CHECK_SECONDS - 0.1) == []
     assert cut(cuts, INDIRECT_CHECK_SECONDS) == ["n03"]
 
 
-def test_one_that_is_reached_in_the_second_look_stays_whoever_misses_it() -> None:
+def test_a_member_reached_in_the_second_round_of_checks_stays_whoever_misses_it() -> None:
     cuts = CutDetector()
     for now in range(20):
         missed(cuts, now, "n03")
@@ -67,7 +67,7 @@
         cuts.note_reached(now, ["n03"])
 
 
-def test_one_that_was_reached_once_and_died_then_goes_after_another_look() -> None:
+def test_a_member_that_dies_after_it_was_reached_leaves_after_another_round_of_checks() -> None:
     cuts = CutDetector()
     went: list[float] = []
     for now in range(20):
@@ -91,7 +91,7 @@
     assert cut(cuts, now + UNSURE_WAIT_SECONDS) == ["n03"]
 
 
-def test_who_dies_while_another_is_looked_at_again_goes_in_the_same_change() -> None:
+def test_a_member_that_dies_while_another_is_checked_again_leaves_in_the_same_change() -> None:
     cuts = CutDetector()
     missed(cuts, 0.0, "n03")
     cut(cuts, 0.0)
@@ -117,7 +117,7 @@
     assert cut(cuts, INDIRECT_CHECK_SECONDS + UNSURE_WAIT_SECONDS + 0.2) == ["n03", "n17"]
 
 
-def test_who_died_with_another_and_was_looked_at_later_goes_in_the_same_change() -> None:
+def test_a_member_that_died_with_another_and_was_checked_later_leaves_in_the_same_change() -> None:
     """As its observers had just had an answer of it."""
     cuts = CutDetector()
     missed(cuts, 0.0, "n03", silence=9.0)
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -56,7 +56,7 @@
         assert node.fleet is not None and len(node.fleet.members.alive_members()) == 60
 
 
-def test_a_third_that_leaves_without_a_word_is_found_and_nobody_else() -> None:
+def test_a_third_that_dies_silently_is_detected_and_nobody_else() -> None:
     cluster = fleet(30)
     cluster.run(15)
     gone = [f"n{number}" for number in range(5, 15)]
@@ -69,7 +69,7 @@
             assert len(node.fleet.members.alive_members()) == 20
 
 
-def test_one_that_says_that_it_leaves_is_left_and_not_dead() -> None:
+def test_an_announced_leave_counts_as_left_and_not_dead() -> None:
     cluster = fleet(12)
     cluster.run(10)
     node = cluster.nodes["n4"]
@@ -145,7 +145,7 @@
     assert me.table.records["x"].state == SUSPECT and me.table.records["x"].suspicion_ends > ends + 20
 
 
-def test_one_of_whom_no_rumour_came_by_is_asked_itself() -> None:
+def test_an_unknown_member_is_asked_for_its_own_entry() -> None:
     me = lone()
     out = me.receive(1.0, "x", ("127.0.0.2", 1), Ping(5))
     assert [type(word) for _, word in out] == [Ack, SyncRequest]
@@ -185,7 +185,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(rumours, max_size=30))
-def test_what_is_held_never_goes_back_to_an_older_incarnation(told: list[MemberUpdate]) -> None:
+def test_the_member_table_never_goes_back_to_an_older_incarnation(told: list[MemberUpdate]) -> None:
     me = lone()
     highest: dict[str, int] = {}
     for number, rumour in enumerate(told):
@@ -198,7 +198,7 @@
         )
 
 
-def test_the_table_and_the_rumours_are_bounded_whatever_arrives() -> None:
+def test_the_table_and_the_gossip_are_bounded_whatever_arrives() -> None:
     table, kept = MemberTable(), UpdateQueue()
     for number in range(MAX_MEMBERS + 50):
         rumour = MemberUpdate(MemberInfo(f"m{number}", "127.0.0.2", 1), 1)
@@ -208,7 +208,7 @@
     assert sum(rumour.encoded_bytes for rumour in kept.next_batch(3)) <= PIGGYBACK_BYTES
 
 
-def test_news_of_unknown_keys_or_older_are_not_kept() -> None:
+def test_facts_of_unknown_keys_or_older_ones_are_not_kept() -> None:
     board = FactStore(["duty/0"])
     assert board.apply(Fact("duty/0", 5, "a")) and not board.apply(Fact("duty/0", 5, "b"))
     assert not board.apply(Fact("other", 9, "a")) and not board.apply(Fact("duty/0", 9, "x" * 200))
--- a/tests/ops/test_audit.py
+++ b/tests/ops/test_audit.py
@@ -117,7 +117,7 @@
     return b"AUDIT " + body + b" prev=" + prev + b" hash=" + made + b"\n"
 
 
-def test_what_is_whole_verifies_also_cut_at_its_end(lines: list[bytes]) -> None:
+def test_a_complete_log_verifies_also_truncated_at_its_end(lines: list[bytes]) -> None:
     assert len(lines) == 9 and audit.verify(lines) == ""
     assert audit.verify(lines[:5]) == ""  # what the report says can't be seen
     assert audit.verify([*lines, *lines]) != ""
@@ -131,7 +131,7 @@
         (7, "skip"),
     ],
 )  # fmt: skip
-def test_the_first_bad_line_is_told(
+def test_the_first_invalid_line_is_reported(
     lines: list[bytes], bad: int, how: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     at = bad - 1
@@ -186,7 +186,7 @@
     assert audit.verify(error.got.splitlines(keepends=True)) == "" and error.got.count(b"\n") == 2
 
 
-def test_what_waits_is_bounded_and_what_is_lost_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_lines_are_bounded_and_lost_ones_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[str] = []
     monkeypatch.setattr(log, "line", lambda event, **_values: said.append(event))
     monkeypatch.setattr(audit, "os", Error(*[-1] * 9999))
@@ -210,7 +210,7 @@
     assert audit.verify(capfd.readouterr().err.encode().splitlines(keepends=True)) == ""
 
 
-def test_only_changed_keys_are_told(capfd: pytest.CaptureFixture[str]) -> None:
+def test_only_changed_keys_are_reported(capfd: pytest.CaptureFixture[str]) -> None:
     kept = audit.Audit("n3", Clock(Reactor()), "")
     one, two = (operator_properties.parse(f"drill.key = {key}\ntokens.key.k1 = aa") for key in ("aa", "bb"))
     for old, new in (
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -125,7 +125,7 @@
         (r"d .* menu .*", "", "double"),
     ],
 )  # fmt: skip
-def test_a_decision_that_differs_is_told(
+def test_a_decision_that_differs_is_reported(
     pick: str, old: str | None, new: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     play(opened(tmp_path), 1, 1000)
@@ -144,7 +144,7 @@
     assert out[2].split()[2:4] == ([] if new == "double" else before.split()[1:3])
 
 
-def test_what_the_pool_held_is_nothing_that_the_module_decides(
+def test_the_requests_in_flight_are_nothing_that_the_balancer_decides(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     play(opened(tmp_path), 1, 500)
@@ -235,7 +235,9 @@
     assert status == 0 and "ends 1 lines early" in out[0]
 
 
-def test_what_fits_no_file_is_left_out_and_said(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_what_fits_no_file_is_left_out_and_reported(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     play(
         ring.CaptureRing(str(tmp_path), "n3", 400, 500, Clock(Reactor())), 1, 100
     )  # the settings alone take more
--- a/tests/ops/test_drills.py
+++ b/tests/ops/test_drills.py
@@ -63,7 +63,7 @@
         assert "x-drill" not in served(node, world.ask("menu", caller))
 
 
-def test_a_delayed_job_is_held_by_the_exchange_then_served_and_marked(make: Make) -> None:
+def test_a_delayed_request_is_kept_by_the_exchange_then_served_and_marked(make: Make) -> None:
     world = make(1, settings("drill.share = 100\ndrill.delay.ms = 1"))
     caller = world.ask()
     assert served(world.nodes[0].accept(), caller)["x-drill"] == "1"
@@ -78,7 +78,7 @@
     assert "overdue" not in [event for event, _ in world.lines]
 
 
-def test_a_held_job_s_id_is_taken_and_a_caller_that_leaves_ends_it(make: Make) -> None:
+def test_the_id_of_a_delayed_request_is_in_use_and_a_caller_that_leaves_ends_it(make: Make) -> None:
     world = make(1, settings(LONG))
     seen: list[object] = []
     world.run(lambda: setattr(world.sidecar.driver, "feed", seen.append))
@@ -94,7 +94,7 @@
     assert seen == []  # the module never heard of it
 
 
-def test_a_held_job_is_answered_after_sigterm(make: Make) -> None:
+def test_a_delayed_request_is_answered_after_sigterm(make: Make) -> None:
     world = make(1, settings("drill.share = 100\ndrill.delay.ms = 200"))
     caller = world.ask()
     world.logged("drill")
--- a/tests/ops/test_tokens.py
+++ b/tests/ops/test_tokens.py
@@ -54,7 +54,7 @@
     assert caller.read()[2] == b"ok"
 
 
-def test_each_bad_token_is_told_and_the_connection_goes_on(world: World) -> None:
+def test_each_invalid_token_is_reported_and_the_connection_goes_on(world: World) -> None:
     caller = world.caller()
     expired = good(exp=NOW - 31)
     body, _, mac = good().partition(".")
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -29,7 +29,7 @@
 PER_S = 20.0
 
 
-def test_as_long_as_the_holder_is_heard_and_has_nothing_newer_nobody_asks() -> None:
+def test_no_member_watches_as_long_as_the_leader_is_heard_and_has_nothing_newer() -> None:
     one = WatchDelegation(100, 50)
     assert one.should_watch(0.0, 7, False)
     one.leader_heartbeat(0.0, 0.0, 7, 7)
@@ -39,7 +39,7 @@
     )
 
 
-def test_what_was_told_long_ago_counts_from_then() -> None:
+def test_what_was_notified_long_ago_counts_from_then() -> None:
     one = WatchDelegation(100, 0)
     one.leader_heartbeat(10.0, 3.0, 7, 7)
     assert not one.should_watch(7.0 + LEADER_TIMEOUT_SECONDS - 0.01, 7, False) and one.should_watch(
@@ -48,7 +48,7 @@
 
 
 @given(st.integers(1, 1000), st.data())
-def test_all_have_asked_within_the_platforms_ten_seconds_of_the_last_word(
+def test_all_have_asked_within_the_platforms_ten_seconds_of_the_last_update(
     copies: int, data: st.DataObject
 ) -> None:
     one = WatchDelegation(copies, data.draw(st.integers(0, copies - 1)))
@@ -87,7 +87,7 @@
     return {rig.status(name)["lists"]["probe"]["generation"] for name in rig.members}
 
 
-def test_one_watches_and_all_hold_back_what_drains_and_hear_of_the_rest(
+def test_one_watches_and_all_stop_using_draining_endpoints_and_learn_of_the_rest(
     tmp_path: Path, service: ListServiceStub
 ) -> None:
     duty = {"work": '"list"', "call": "", "every": ""}
@@ -129,7 +129,7 @@
         assert not [e for m in rig.members.values() for e in m.events if e[1].startswith("unexpected")]
 
 
-def test_a_node_that_only_a_peer_names_is_never_in_the_list() -> None:
+def test_an_endpoint_that_only_a_peer_names_is_never_in_the_list() -> None:
     """What the holder tells is held against the own list, and adds nothing to it."""
 
     class Still:
--- a/tests/peers/test_plan_coordinator.py
+++ b/tests/peers/test_plan_coordinator.py
@@ -99,7 +99,7 @@
     return json.dumps(said).encode()
 
 
-def test_a_plan_is_settled_and_its_window_entered_and_left_by_all_at_once() -> None:
+def test_a_plan_is_committed_and_its_window_entered_and_left_by_all_at_once() -> None:
     made = World(8)
     assert made.offer("n5", plan(window=60))["state"] == "settled"
     made.cluster.run(59)
@@ -129,8 +129,8 @@
     node = made.node(leader)
     planned = made.planned(leader)
 
-    def floor(least: int) -> int:
-        status, _, out = planned.set_format_floor(made.cluster.instant(node), least)
+    def floor(minimum: int) -> int:
+        status, _, out = planned.set_format_floor(made.cluster.instant(node), minimum)
         made.cluster.send(node, out)
         made.cluster.run(made.cluster.now + 3)
         return status
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -43,10 +43,13 @@
     return {current.version if current is not None else 0 for current in found}
 
 
-def settles(made: PlanFleet, name: str, body: bytes, most: float = 60.0) -> int:
+def settles(made: PlanFleet, name: str, body: bytes, timeout: float = 60.0) -> int:
     """Push it; its number, once all go by it."""
     push = made.propose(name, body)
-    assert made.run_until(lambda: push.is_final, most) and push.state == "settled", (push.state, push.reasons)
+    assert made.run_until(lambda: push.is_final, timeout) and push.state == "settled", (
+        push.state,
+        push.reasons,
+    )
     assert made.run_until(lambda: numbers(made) == {push.version})
     return push.version
 
@@ -63,7 +66,7 @@
     return next(node.name for node in reversed(made.alive()) if node.name not in names)
 
 
-def test_a_large_plan_is_gone_by_everywhere_within_seconds() -> None:
+def test_a_large_plan_is_in_force_everywhere_within_seconds() -> None:
     made = world(9)
     began = made.cluster.now
     body = body_of("large", 100 * 1024)
@@ -82,7 +85,7 @@
     kept(made)
 
 
-def test_a_leader_killed_before_it_has_settled_a_push_is_followed_by_one_that_does() -> None:
+def test_a_leader_killed_before_it_has_committed_a_rollout_is_succeeded_by_one_that_does() -> None:
     made = world(judged=1.0)
     leader = made.leader()
     push = made.propose(other_than(made, leader), body_of("first"))
@@ -114,7 +117,7 @@
     kept(made)
 
 
-def test_of_two_pushes_at_two_sidecars_at_once_one_is_refused_and_told_of_the_other() -> None:
+def test_of_two_rollouts_at_two_sidecars_at_once_one_is_rejected_and_names_the_other() -> None:
     made = world(judged=0.5)
     one, other = made.propose("n4", body_of("one")), made.propose("n5", body_of("other"))
     assert made.run_until(lambda: one.is_final and other.is_final)
@@ -125,7 +128,7 @@
     kept(made)
 
 
-def test_one_that_comes_in_while_a_plan_is_pushed_goes_by_it_as_well() -> None:
+def test_a_member_that_joins_during_a_rollout_takes_the_plan_as_well() -> None:
     for seed in range(1, 3):
         made = world(7, seed, late=1)
         made.cluster.start(made.cluster.nodes["n6"])
@@ -181,7 +184,7 @@
     kept(made)
 
 
-def test_one_that_is_stopped_too_long_is_named_before_it_is_out_of_the_view() -> None:
+def test_a_member_stopped_too_long_is_named_before_it_leaves_the_view() -> None:
     made = world(6)
     made.cluster.set_link(["n5"], [made.leader()], PARTITIONED)  # its answers to the leader alone are lost
     push = made.propose("n4", body_of("first"))
@@ -190,14 +193,14 @@
     kept(made)
 
 
-def test_one_that_dies_does_not_keep_the_rest_from_a_plan() -> None:
+def test_a_dead_member_does_not_keep_the_rest_from_a_plan() -> None:
     made = world(6)
     made.cluster.kill(made.cluster.nodes["n5"])
     assert settles(made, "n4", body_of("first"), 30.0) == 1
     kept(made)
 
 
-def test_a_third_of_all_words_lost() -> None:
+def test_a_rollout_succeeds_with_a_third_of_all_messages_lost() -> None:
     made = world(6)
     names = list(made.cluster.nodes)
     made.cluster.set_link(names, names, State(delay=0.001, jitter=0.001, drop=0.3))
@@ -219,7 +222,7 @@
     kept(made)
 
 
-def test_a_push_that_no_leader_answers_is_told_as_lost() -> None:
+def test_a_rollout_that_no_leader_answers_is_reported_as_lost() -> None:
     made = world(5)
     made.cluster.isolate(["n4"], PARTITIONED)
     push = made.propose("n4", body_of("first"))
@@ -232,7 +235,7 @@
     assert numbers(made) == {0}, "it is not offered once it was told as lost"
 
 
-def test_a_late_offer_puts_no_old_plan_over_a_newer_one() -> None:
+def test_a_late_offer_replaces_no_newer_plan_by_an_old_one() -> None:
     made = world(5)
     settles(made, "n4", body_of("first"))
     settles(made, "n4", body_of("second"))
@@ -261,7 +264,7 @@
     assert isinstance(word, RolloutStatus) and word.state == "refused" and leader.leader.rollout is None
 
 
-def test_a_word_of_a_leader_that_another_has_followed_counts_no_more() -> None:
+def test_a_message_of_a_superseded_leader_does_not_count() -> None:
     made = world(5)
     plans, at = made.plans["n4"], made.cluster.instant(made.cluster.nodes["n4"])
     push = made.propose("n4", body_of("first"))
@@ -315,7 +318,7 @@
     assert numbers(made) == {1}
 
 
-def test_one_that_has_missed_a_plan_hears_of_it_by_a_stamp_and_asks() -> None:
+def test_a_member_that_has_missed_a_plan_learns_of_it_by_a_stamp_and_asks() -> None:
     made = world(5)
     settles(made, "n4", body_of("first"))
     assert made.run_until(lambda: all(plans.views.stamp.plan == 1 for plans in made.plans.values()), 10.0)
@@ -327,7 +330,7 @@
     assert not plans.status(at.now)["sure"]
 
 
-def test_one_that_cannot_read_what_is_settled_says_so_and_goes_by_nothing_half_understood() -> None:
+def test_a_member_that_cannot_read_the_committed_plan_says_so_and_applies_no_part_of_it() -> None:
     made = world(7, late=1)
     body = body_of("first")
     settles(made, "n4", body)
--- a/tests/plan/test_parser.py
+++ b/tests/plan/test_parser.py
@@ -130,7 +130,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, len(THIRD) - 1), st.binary(max_size=4), st.integers(0, 6))
-def test_a_broken_body_is_refused_in_one_line_or_read_whole(at: int, put: bytes, cut: int) -> None:
+def test_a_broken_body_is_rejected_in_one_line_or_read_completely(at: int, put: bytes, cut: int) -> None:
     body = THIRD[:at] + put + THIRD[at + cut :]
     try:
         plan = parse_plan(body)
--- a/tests/pools/test_configuration.py
+++ b/tests/pools/test_configuration.py
@@ -38,7 +38,7 @@
         (ROUTE + "[route.s]\nweights = { a = 1 }\n", ":2: route: s: the same conditions as r"),
     ],
 )
-def test_what_can_not_be_used_is_one_line_with_file_line_and_key(
+def test_what_can_not_be_used_is_reported_on_one_line_with_file_line_and_key(
     text: str, said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     where = tmp_path / "w.toml"
@@ -66,7 +66,7 @@
         ),
     ],
 )
-def test_what_does_not_go_with_the_platforms_word_ends_the_start(
+def test_what_does_not_agree_with_the_platform_file_ends_the_start(
     text: str, arguments: tuple[str, ...], said: str, tmp_path: Path
 ) -> None:
     where = tmp_path / "w.toml"
--- a/tests/pools/test_endpoint_selection.py
+++ b/tests/pools/test_endpoint_selection.py
@@ -81,7 +81,7 @@
 
 
 @given(VIEWS, TABLES, st.integers(0, 8))
-def test_a_pool_knows_just_the_nodes_of_the_list_that_fit_whenever_it_came(
+def test_a_pool_knows_just_the_matching_endpoints_of_the_list_whenever_it_came(
     views: list[View], table: PoolTable, came: int
 ) -> None:
     word, selection = EndpointListState(), EndpointSelection(table)
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -90,7 +90,7 @@
     world.served("third", 2)
 
 
-def test_weights_that_can_not_be_are_told_and_change_nothing(make: Make) -> None:
+def test_impossible_weights_are_reported_and_change_nothing(make: Make) -> None:
     world = make()
 
     def change(route: str, **weights: int) -> None:
@@ -153,7 +153,7 @@
     assert caller.read()[0].split()[1] == "200"
 
 
-def test_routes_move_with_jobs_in_flight_and_the_pool_that_goes_ends_its_own_first(make: Make) -> None:
+def test_routes_move_with_requests_in_flight_and_a_removed_pool_ends_its_own_first(make: Make) -> None:
     world = make()
     world.run(lambda: world.pools.router.change_weights("all", {"old": 1}))
     caller, lost = world.call(), world.call()
@@ -237,7 +237,7 @@
 """
 
 
-def test_a_drain_is_told_in_one_pool_and_holds_in_that_alone(
+def test_a_drain_is_applied_in_one_pool_and_counts_in_that_alone(
     make: Make, ground: LoopbackSockets | VirtualSockets
 ) -> None:
     lists = [Peer(ground), Peer(ground)]
@@ -303,13 +303,15 @@
     assert caller.read()[2] == b"still" and len(held) == 4
 
 
-def begun(world: PoolsWorld, ident: str) -> RoutedRequest:
+def submit_routed(world: PoolsWorld, ident: str) -> RoutedRequest:
     """Return a request that came to its pool within this turn of the reactor."""
-    request, now = ForwardedRequest(b"GET /menu HTTP/1.1\r\n", b""), world.reactor.seconds()
+    content, now = ForwardedRequest(b"GET /menu HTTP/1.1\r\n", b""), world.reactor.seconds()
     route = world.pools.router.routes["all"]
-    job = route.create_request({}, correlation_id=ident, class_name="menu", deadline=now + 5, content=request)
-    world.sidecar.exchange.submit(job)
-    return job
+    request = route.create_request(
+        {}, correlation_id=ident, class_name="menu", deadline=now + 5, content=content
+    )
+    world.sidecar.exchange.submit(request)
+    return request
 
 
 def test_idle_connections_give_way_to_need_but_not_those_that_are_a_pools_own(make: Make) -> None:
@@ -333,7 +335,7 @@
 
     def four_at_once() -> list[int]:
         for n in range(4):
-            begun(world, f"b{n}")
+            submit_routed(world, f"b{n}")
         old, new = (world.pools.pools[name].connections for name in ("old", "new"))
         return [sum(map(len, old.idle_connections.values())), len(new.pending_connects)]
 
@@ -341,7 +343,7 @@
     assert world.logged("endpoint-connection", 2) == ["pool-full"] * 2
 
 
-def test_what_the_callers_side_says_of_a_job_comes_to_its_pool(make: Make) -> None:
+def test_what_the_callers_side_says_of_a_request_reaches_its_pool(make: Make) -> None:
     world = make()
 
     class Heard(InertBalancer):
@@ -352,24 +354,24 @@
     def all_of_it() -> None:
         for member in world.pools.all():
             member.driver.decision_module = Heard()
-        job = begun(world, "x")
-        world.sidecar.exchange.mark_committed(job)
-        world.sidecar.exchange.withdraw(job)
+        request = submit_routed(world, "x")
+        world.sidecar.exchange.mark_committed(request)
+        world.sidecar.exchange.withdraw(request)
 
     heard: list[type] = []
     world.run(all_of_it)
     assert heard == [i.NewRequest, i.Committed, i.RequestAbandoned]
 
 
-def test_a_job_that_ends_above_its_pool_ends_in_it_and_leaves_no_dial_behind(make: Make) -> None:
+def test_a_request_that_ends_above_its_pool_ends_in_it_and_leaves_no_connect_behind(make: Make) -> None:
     world = make()
 
     def begin_and_end() -> list[int]:
-        job = begun(world, "x")
-        counts = [len(job.pool.driver.open_requests), len(job.pool.connections.pending_connects)]
-        world.sidecar.exchange.answer(job, Answer(AnswerKind.FAILED))
-        counts.append(len(job.pool.driver.open_requests))
-        job.pool.close("test")
+        request = submit_routed(world, "x")
+        counts = [len(request.pool.driver.open_requests), len(request.pool.connections.pending_connects)]
+        world.sidecar.exchange.answer(request, Answer(AnswerKind.FAILED))
+        counts.append(len(request.pool.driver.open_requests))
+        request.pool.close("test")
         return counts
 
     assert world.run(begin_and_end) == [1, 1, 0]
--- a/tests/repository/test_layers.py
+++ b/tests/repository/test_layers.py
@@ -155,7 +155,7 @@
     assert not left, f"a circle among {sorted(left)}"
 
 
-def test_a_world_knows_no_ground_by_name() -> None:
+def test_a_world_knows_no_environment_by_name() -> None:
     for path in sorted((ROOT / "wheatring" / "lab" / "world").rglob("*.py")):
         assert not [n for n in imports(path) if n.startswith(("wheatring.lab.wire", "wheatring.lab.direct"))]
 
--- a/tests/rollout/test_mixed_versions.py
+++ b/tests/rollout/test_mixed_versions.py
@@ -74,7 +74,7 @@
         assert has_run(previous)
 
 
-def test_a_fleet_of_both_versions_agrees_on_its_view_and_passes_a_duty_on(fleet: FleetRig) -> None:
+def test_a_fleet_of_both_versions_agrees_on_its_view_and_hands_a_role_over(fleet: FleetRig) -> None:
     def agreed() -> bool:
         views = [fleet.status(name)["view"] for name in MEMBERS]
         names = [tuple(view["names"]) for view in views if view["inside"]]
--- a/tests/routes/pool_world.py
+++ b/tests/routes/pool_world.py
@@ -39,8 +39,8 @@
         self.extra = 0.0  # seconds that each job takes beside its work
         self.served: Counter[tuple[str, str]] = Counter()  # in time, by caller and class
         self.asked: Counter[tuple[str, str]] = Counter()
-        self.away: Counter[tuple[str, str, int]] = Counter()
-        self.why: Counter[str] = Counter()
+        self.rejected: Counter[tuple[str, str, int]] = Counter()
+        self.rejection_reasons: Counter[str] = Counter()
         self.each: Callable[[], object] = lambda: None
 
     def arrive(self, rate: float, caller: str, kind: str, seed: str, until: float) -> None:
@@ -64,8 +64,8 @@
         self.asked[key] += 1
         decision = admit(now, self.route, self.pool, caller, kind)
         if isinstance(decision, Rejection):
-            self.away[caller, kind, decision.status] += 1
-            self.why[decision.reason] += 1
+            self.rejected[caller, kind, decision.status] += 1
+            self.rejection_reasons[decision.reason] += 1
             return
         size = exp(self.sigma * (self.random.gauss(0.0, 1.0) - 0.5 * self.sigma)) * MEAN
         request = PendingRequest(self, decision, key)
--- a/tests/routes/test_adaptive_limit.py
+++ b/tests/routes/test_adaptive_limit.py
@@ -38,11 +38,11 @@
     assert mean(goodput(PoolWorld(PoolLimitSettings(), cv=cv), 3.0, 8, 1)[4:]) < 0.05
 
 
-def test_it_turns_nobody_away_where_there_is_no_pressure() -> None:
+def test_it_rejects_nobody_where_there_is_no_pressure() -> None:
     world = PoolWorld(PoolLimitSettings(adaptive=AdaptiveLimitSettings()))
     world.time.at(world.time.now() + 5, setattr, world, "extra", 0.02)
     goodput(world, 0.3, 15, 1)
-    assert sum(world.away.values()) == 0
+    assert sum(world.rejected.values()) == 0
 
 
 @pytest.mark.parametrize(("at", "extra"), [(5.3, 0.04), (6.1, 0.06)])
--- a/tests/routes/test_callers.py
+++ b/tests/routes/test_callers.py
@@ -74,7 +74,7 @@
     assert taken == 20 + 9  # its burst, and its rate for a second
 
 
-def test_a_name_with_jobs_out_keeps_its_entry() -> None:
+def test_a_name_with_requests_in_flight_keeps_its_entry() -> None:
     gate = PoolLimiter(
         PoolLimitSettings(
             caller=CallerLimitSettings(in_flight=1), table=CallerTableSettings(known=1, strangers=3)
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(
-    ("limits", "most"),
+    ("limits", "max_loss"),
     [
         (PoolLimitSettings(in_flight=24, shares=FairShareSettings()), 0.02),
         (
@@ -119,16 +119,16 @@
     ],
 )
 def test_a_caller_at_twenty_times_its_share_costs_the_others_little(
-    limits: PoolLimitSettings, most: float
+    limits: PoolLimitSettings, max_loss: float
 ) -> None:
     noise = [("noisy", 20 * PEAK / 11)]
     lost = [honest_part(limits, seed, 0.5, []) - honest_part(limits, seed, 0.5, noise) for seed in (1, 2)]
-    assert sum(lost) / 2 < most
+    assert sum(lost) / 2 < max_loss
     without = PoolLimitSettings(in_flight=24)
     assert honest_part(without, 1, 0.5, []) - honest_part(without, 1, 0.5, noise) > 0.3
 
 
-def test_a_crowd_of_names_costs_those_who_are_known_little() -> None:
+def test_a_flood_of_names_costs_known_callers_little() -> None:
     limits = PoolLimitSettings(
         in_flight=24, shares=FairShareSettings(), table=CallerTableSettings(known=50, strangers=50)
     )
@@ -143,7 +143,7 @@
         for caller in ("one", "two"):
             world.arrive(load * PEAK, caller, "c", "s", until)
         world.run(until + 1)
-        assert load > 1 or not world.why["pool-share"]
+        assert load > 1 or not world.rejection_reasons["pool-share"]
         return [world.count(world.served, caller=caller) for caller in ("one", "two")]
 
     one, two = served(3.0)
@@ -152,7 +152,7 @@
     assert two / one == pytest.approx(1.0, rel=0.1)
 
 
-def test_the_table_is_as_large_as_it_is_told_whatever_is_asked() -> None:
+def test_the_table_is_as_large_as_its_setting_whatever_is_requested() -> None:
     random, callers = (
         Random(3),
         CallerTable(CallerTableSettings(known=5, strangers=5, prove=0.0, keep=1.0), None, 0.0),
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_look_tries_no_more_routes_in_a_table_a_hundred_times_as_long(
+def test_a_lookup_tries_no_more_routes_in_a_table_a_hundred_times_as_long(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     tried = 0
--- a/tests/routes/test_target.py
+++ b/tests/routes/test_target.py
@@ -63,7 +63,7 @@
 
 
 @given(PATHS)
-def test_a_form_is_its_own_form_and_a_stricter_setting_only_turns_more_away(path: bytes) -> None:
+def test_a_normal_form_is_its_own_and_a_stricter_setting_only_rejects_more(path: bytes) -> None:
     forms = [form(path, spelling) for spelling in ORDER]
     for stricter, looser in pairwise(forms):
         assert stricter is None or stricter == looser
@@ -84,7 +84,7 @@
 
 
 @given(PATHS)
-def test_what_is_taken_plainly_is_read_alike_by_nodes_of_all_habits(path: bytes) -> None:
+def test_what_is_accepted_is_read_alike_by_endpoints_of_all_habits(path: bytes) -> None:
     """Nodes that decode once differ in what they do before and after it: to none of them may that matter."""
     plain = form(path, Strictness.PLAIN)
     if plain is None:
@@ -141,9 +141,7 @@
 
 
 @pytest.mark.parametrize("path, loose", ATTACKS, ids=[repr(path) for path, _ in ATTACKS])
-def test_an_attack_is_turned_away_and_read_in_one_way_where_it_is_not(
-    path: bytes, loose: bytes | None
-) -> None:
+def test_an_attack_is_rejected_and_read_in_one_way_where_it_is_not(path: bytes, loose: bytes | None) -> None:
     for spelling in ORDER[:2]:
         with pytest.raises(InvalidRequestError):
             normalize_target(b"GET", path, b"a", spelling)
--- a/tests/schedule/test_activation.py
+++ b/tests/schedule/test_activation.py
@@ -49,31 +49,31 @@
         self.changes: list[tuple[float, dict[str, int]]] = []
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
-    def look(self, now: float) -> ScheduleUpdate:
+    def poll(self, now: float) -> ScheduleUpdate:
         time = Reading(T0 + now, self.uncertain) if self.uncertain < inf else UNKNOWN
-        look = self.edges.update(now, time, now - min(now, self.confirmed))
-        self.changes += [(round(now, 2), weights) for weights in look.changed.values()]
-        self.lines += [(line.event, line.fields) for line in look.events]
-        self.due = look.due
-        return look
+        update = self.edges.update(now, time, now - min(now, self.confirmed))
+        self.changes += [(round(now, 2), weights) for weights in update.changed.values()]
+        self.lines += [(line.event, line.fields) for line in update.events]
+        self.due = update.due
+        return update
 
     def run(self, until: float) -> One:
         while self.due <= until:
-            self.look(self.due)
+            self.poll(self.due)
         return self
 
     def events(self, event: str) -> list[dict[str, Any]]:
         return [fields for name, fields in self.lines if name == event]
 
 
-def test_it_enters_and_leaves_by_the_calendar_with_few_looks() -> None:
+def test_it_enters_and_leaves_by_the_calendar_with_few_polls() -> None:
     one = One(window("w", 30, 10))
     assert one.run(100).changes == [(0, BASE), (30, INSIDE), (40, BASE)]
     assert [fields["late_s"] for fields in one.events("window-left")] == [0.0]
-    looks = [0.0]
-    while looks[-1] < 140:
-        looks.append(one.look(looks[-1] + 100).due - 100)
-    assert len(looks) < 40
+    polls = [0.0]
+    while polls[-1] < 140:
+        polls.append(one.poll(polls[-1] + 100).due - 100)
+    assert len(polls) < 40
 
 
 def test_who_starts_in_a_window_is_in_it_before_it_is_ready() -> None:
@@ -108,7 +108,7 @@
     assert one.changes[-1] == (60, BASE)
 
 
-def test_who_is_confirmed_again_enters_late_and_whole() -> None:
+def test_a_member_confirmed_again_enters_late_and_completely() -> None:
     one = One(window("h", 30, 60, "hold", ramp=Ramp(steps=3, every=5.0)))
     one.confirmed = 5
     one.run(50)
@@ -127,7 +127,7 @@
     assert one.events("window-not-entered") == [{"window": "v", "plan": 1, "why": "the time is unsure"}]
 
 
-def test_who_was_held_up_takes_all_missed_steps_together() -> None:
+def test_a_member_that_was_delayed_takes_all_missed_steps_together() -> None:
     one = One(window("w", 30, 100, ramp=Ramp(steps=5, every=4.0)), window("missed", 20, 5, priority=1))
     one.run(19)
     one.due = 39.0
@@ -156,7 +156,7 @@
     assert one.changes == [(0, BASE), (10 + LEAD_SECONDS, {"2": 1}), (14 + LEAD_SECONDS, {"3": 1})]
 
 
-def test_a_settling_that_is_told_wrongly_keeps_no_plan_out_for_longer_than_a_lead() -> None:
+def test_a_wrongly_reported_commit_delays_no_plan_for_longer_than_a_lead() -> None:
     one = One()
     one.run(10)
     made = table()
@@ -192,7 +192,7 @@
         self.told = max(self.told, T0 + now + self.wrong * (3 if unsure else 1))
         return Reading(self.told, 0.7 if unsure else 0.21)
 
-    def look(self, now: float) -> None:
+    def poll(self, now: float) -> None:
         if not self.off(now):
             number, since, plan = max(one for one in self.day.plans if one[1] <= now)
             minted = float(int(now))
@@ -244,7 +244,7 @@
                     one.since = now
                 if not one.stopped(now):
                     while one.due <= now:
-                        one.look(max(one.due, now - 0.1))
+                        one.poll(max(one.due, now - 0.1))
                     self.check(index, one, now)
             self.alike(now)
         return self
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -162,7 +162,7 @@
     world.holds([1300], ["n3", "n4"])  # ten minutes by its own clock, which alone would be 6 s off by now
 
 
-def test_delays_that_differ_by_way_and_losses_stay_within_what_is_told() -> None:
+def test_delays_that_differ_by_direction_and_losses_stay_within_the_stated_uncertainty() -> None:
     world = World(6, link=State(delay=0.002, jitter=0.02, drop=0.3))
     slow = State(delay=0.18, jitter=0.02, drop=0.3)
     world.cluster.set_link(["n4"], ["n0", "n1", "n2"], slow)
@@ -184,7 +184,7 @@
     world.holds([350])
 
 
-def test_what_voters_said_that_are_gone_makes_no_majority() -> None:
+def test_answers_of_dead_voters_make_no_majority() -> None:
     world = World(4)
     world.cluster.run(60)
     for name in ("n0", "n1"):
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize(("size", "delay", "aim"), [(200, 0.0005, 0.05), (60, 0.1, 0.15)])
-def test_all_enter_and_leave_within_the_aim(size: int, delay: float, aim: float) -> None:
+def test_all_enter_and_leave_within_the_target(size: int, delay: float, aim: float) -> None:
     """Every other one is delayed on the way there only, the others on the way back: the worst there is."""
     world = World(size, State(delay=0.0005, jitter=0.0005), opens=14.0)
     voters = ["n0", "n1", "n2"]
@@ -259,7 +259,7 @@
 
 
 @given(st.lists(st.tuples(ends, ends), min_size=3, max_size=7), ends, st.data())
-def test_what_a_majority_holds_is_held(
+def test_the_majority_interval_holds_what_a_majority_of_the_intervals_holds(
     drawn: list[tuple[float, float]], true: float, data: st.DataObject
 ) -> None:
     """However the others lie: as long as a majority of the spans hold the true time, so does what is met."""
@@ -275,7 +275,7 @@
     assert met is not None and met[0] <= true <= met[1]
 
 
-def test_the_words_are_told_from_all_others_and_a_field_more_is_skipped() -> None:
+def test_the_messages_are_distinguished_from_all_others_and_an_additional_field_is_skipped() -> None:
     decoder = msgspec.msgpack.Decoder(VIEW_MESSAGES | AnyScheduleMessage)
     for word in (TimeRequest(7), TimeResponse(7, 1.5, 0.025)):
         assert decoder.decode(msgspec.msgpack.encode(word)) == word
--- a/tests/schedule/test_timetable.py
+++ b/tests/schedule/test_timetable.py
@@ -14,7 +14,7 @@
 from wheatring.schedule.windows import openings
 
 
-def test_a_step_takes_its_part_of_the_whole_whatever_weights_are_written_in() -> None:
+def test_a_step_takes_its_share_of_the_sum_whatever_the_unit_of_the_weights() -> None:
     assert blend({"a": 90, "b": 10}, {"c": 2}, 1, 2) == {"a": 9, "b": 1, "c": 10}
     assert blend({"a": 1}, {"b": 1}, 1, 3) == {"a": 2, "b": 1}
     rounded = blend({"a": 999_983, "b": 999_979}, {"b": 3, "c": 999_961}, 1, 7)
--- a/tests/skew/test_bisection.py
+++ b/tests/skew/test_bisection.py
@@ -52,7 +52,7 @@
     assert hunt.high == wrong + 1 and asks <= 2 * (usual.count.bit_length() + 1)
 
 
-def test_one_with_more_trials_than_the_rest_is_found_by_the_first_that_is_more() -> None:
+def test_a_member_with_more_trials_is_found_by_the_first_additional_one() -> None:
     plan = Plan(format=1, routes=(PlanRoute(name="one", weights=WEIGHTS),))
     more = msgspec.structs.replace(plan, routes=(*plan.routes, PlanRoute(name="two", weights=WEIGHTS)))
     short, long = answered(plan, ToyEvaluator(plan)), answered(more, ToyEvaluator(plan))
--- a/tests/skew/test_capabilities.py
+++ b/tests/skew/test_capabilities.py
@@ -10,7 +10,7 @@
 )
 
 
-def test_own_abilities_are_those_of_what_is_installed_and_of_the_formats_it_is_held_to() -> None:
+def test_own_capabilities_follow_from_what_is_installed_and_the_formats_that_are_configured() -> None:
     bare = local_capabilities(version=lambda _name: "")
     assert bare.features == {"headers", "holds", "ramps"} and bare.versions == ()
     held = local_capabilities([1, 3], version=lambda name: f"{name}-7")
--- a/tests/skew/test_checker.py
+++ b/tests/skew/test_checker.py
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("skew", [CompatibilityChecker, SilentIsYes])
-def test_one_that_does_not_answer_is_refused_by_name(skew: type[CompatibilityChecker]) -> None:
+def test_a_member_that_does_not_answer_is_named_in_the_rejection(skew: type[CompatibilityChecker]) -> None:
     fleet = Fleet(skew=skew, n5=None)  # a program that has not these words
     fleet.propose(plan(2))
     fleet.after(12.0)
@@ -104,7 +104,7 @@
         assert fleet.breaches
 
 
-def test_one_that_stops_after_the_survey_is_waited_for_and_named_meanwhile() -> None:
+def test_a_member_that_stops_after_the_survey_is_waited_for_and_named_meanwhile() -> None:
     fleet = Fleet()
     leader = fleet.leader()
     fleet.propose(plan(1))
@@ -176,7 +176,7 @@
     assert joins(OLDER, OutlivesItsView).breaches
 
 
-def test_one_that_can_not_read_what_is_settled_does_not_come_in_and_is_told_why() -> None:
+def test_a_member_that_can_not_read_the_committed_plan_does_not_join_and_learns_why() -> None:
     fleet = Fleet("n6")
     assert fleet.pushed(3) == "settled"
     fleet.start("n6", OLDER)
@@ -188,7 +188,7 @@
     assert "n6" in fleet.view.names and not fleet.breaches
 
 
-def test_the_gate_is_what_keeps_it_out() -> None:
+def test_the_check_at_joining_is_what_keeps_it_out() -> None:
     fleet = Fleet("n6", skew=OpenGate)
     assert fleet.pushed(3) == "settled"
     fleet.start("n6", OLDER)
@@ -196,7 +196,7 @@
     assert fleet.breaches
 
 
-def test_a_program_without_these_words_counts_as_one_that_reads_format_1() -> None:
+def test_a_program_without_these_messages_counts_as_one_that_reads_format_1() -> None:
     fleet = Fleet("n6")
     assert fleet.pushed(1) == "settled"
     fleet.start("n6", None)
@@ -211,7 +211,7 @@
     assert "n6" not in fleet.view.names
 
 
-def test_the_next_leader_knows_what_is_settled_and_keeps_the_gate() -> None:
+def test_the_next_leader_knows_the_committed_plan_and_keeps_the_check_at_joining() -> None:
     fleet = Fleet("n6")
     assert fleet.pushed(3) == "settled"
     fleet.cluster.kill(fleet.cluster.nodes[fleet.leader().fleet.me.name])
@@ -252,7 +252,7 @@
     assert fleet.pushed(3, 15.0) == "settled" and not fleet.breaches
 
 
-def test_the_floor_keeps_older_ones_out_and_moves_by_a_call_only() -> None:
+def test_the_minimum_format_keeps_older_members_out_and_changes_by_a_call_only() -> None:
     fleet = Fleet("n6", n5=local_capabilities([1, 2], version=str))
     for format in (3, 3, 2):  # at first nobody has been asked yet
         fleet.move_minimum(format)
--- a/tests/skew/test_coordinator.py
+++ b/tests/skew/test_coordinator.py
@@ -46,7 +46,7 @@
     assert 990 + 10 * 5 <= asked <= 990 + 10 * 6
 
 
-def test_a_hunt_goes_on_while_a_word_is_lost_and_is_given_up_at_last() -> None:
+def test_a_bisection_goes_on_while_a_message_is_lost_and_is_given_up_at_last() -> None:
     push = large(3)
     said(push, 0.01)
     for name, start in list(push.members):
@@ -115,7 +115,7 @@
     assert {type(word) for now in (1.1, 2.0) for word in said(push, now)} == {TrialRequest}
 
 
-def test_words_of_another_process_or_push_count_for_nobody() -> None:
+def test_messages_of_another_process_or_rollout_count_for_nobody() -> None:
     from wheatring.members.view import View
 
     view = View(1, 1, (ViewMember(MemberInfo("n1", "127.0.0.1", 1), 5),))
--- a/tests/skew/test_messages.py
+++ b/tests/skew/test_messages.py
@@ -63,7 +63,7 @@
     assert encode_minimum(2) == recorded
 
 
-def test_a_word_of_a_later_program_is_read_for_what_is_known_of_it() -> None:
+def test_a_message_of_a_later_program_is_read_for_its_known_fields() -> None:
     words: msgspec.msgpack.Decoder[AnySkewMessage] = msgspec.msgpack.Decoder(AnySkewMessage)
     own = msgspec.msgpack.decode(msgspec.msgpack.encode(CapabilityResponse(7, 5, CAPABILITIES)))
     own[-1].append("what comes after the versions")
--- a/tests/skew/test_minimum_format.py
+++ b/tests/skew/test_minimum_format.py
@@ -33,7 +33,7 @@
     assert decode_minimum(b"\xc1") is None and decode_minimum(encode_minimum(2)) == 2
 
 
-def test_who_may_not_come_in_is_told_by_which_law() -> None:
+def test_a_member_that_may_not_join_learns_by_which_rule() -> None:
     settled = Requirements(format=3, written=3, features=frozenset({"ramps"}))
     assert admission_refusals(ALL, 3, settled) == []
     codes = [why.code for why in admission_refusals(LEGACY_CAPABILITIES, 2, settled, "n9")]
--- a/tests/skew/test_requirements.py
+++ b/tests/skew/test_requirements.py
@@ -33,7 +33,7 @@
     assert all(one <= other for one, other in zip(*numbers, strict=True))
 
 
-def test_what_is_needed_is_read_off_the_plan_and_not_off_its_word() -> None:
+def test_requirements_are_derived_from_the_plan_and_not_from_its_declaration() -> None:
     route = PlanRoute(name="one", weights=WEIGHTS, split_by="customer")
     lying = needed(Plan(format=1, routes=(route,)))
     assert (lying.format, lying.written, *lying.features) == (3, 3, "split_by")
@@ -69,7 +69,7 @@
     assert all(one.member == "n4" and one.code and one.what and one.do.endswith(".") for one in why)
 
 
-def test_who_lacks_something_is_told_what_and_what_would_do() -> None:
+def test_a_member_that_lacks_something_learns_what_and_what_would_do() -> None:
     window = PlanWindow(name="w", route="one", weights={"b": 1}, start="2026-10-25T01:30:00", length=1,
                         ramp=Ramp(steps=2, every=1))  # fmt: skip
     route = PlanRoute(name="one", weights=WEIGHTS)
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -21,7 +21,7 @@
 from wheatring.config import platform_file
 
 
-def test_it_answers_what_it_has_taken_and_then_ends_when_told_to(tmp_path: Path) -> None:
+def test_on_sigterm_it_answers_what_it_has_accepted_and_then_ends(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
     data = platform_config(known=known, discovery=f"127.0.0.1:{discovery.port}")
@@ -62,7 +62,7 @@
     discovery.close()
 
 
-def test_told_to_stop_it_gives_up_what_hangs_and_is_gone(tmp_path: Path) -> None:
+def test_on_sigterm_it_gives_up_what_hangs_and_ends(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
     with running_process(tmp_path, "", known=known, discovery=f"127.0.0.1:{discovery.port}") as process:
@@ -98,7 +98,7 @@
     assert names.isdisjoint({"argparse", "http.client", "wheatring.commands", "wheatring.lab"})
 
 
-def test_plain_words_mean_what_the_parser_makes_of_them() -> None:
+def test_simple_arguments_mean_what_the_parser_makes_of_them() -> None:
     for words in product(("--capture", "--operators", "x", "--config", "lab", "--operators=x"), repeat=3):
         for length in range(4):
             parsed = parse_simple(words[:length])
@@ -118,7 +118,7 @@
     assert type(wsgiref.util) is type(socket)
 
 
-def test_told_to_reload_it_moves_to_the_new_discovery_and_outlives_a_broken_file(tmp_path: Path) -> None:
+def test_on_sighup_it_moves_to_the_new_discovery_and_survives_a_broken_file(tmp_path: Path) -> None:
     old, new, file = Peer(), Peer(), tmp_path / "c.json"
     file.write_text(json.dumps(platform_config(discovery="127.0.0.1:9")), encoding="utf-8")
     with subprocess.Popen(
--- a/tests/test_operator_properties.py
+++ b/tests/test_operator_properties.py
@@ -106,7 +106,7 @@
     assert not any(name.startswith("wheatring.ops") for name in imported)
 
 
-def test_told_to_reload_it_outlives_a_broken_file(tmp_path: Path) -> None:
+def test_on_sighup_it_survives_a_broken_file(tmp_path: Path) -> None:
     with running_process(tmp_path, "# nothing\n") as process:
         wait_for_line(process, "listening")
         (tmp_path / "o").write_text("what.is = this", encoding="utf-8")
--- a/tests/tier/test_command_line.py
+++ b/tests/tier/test_command_line.py
@@ -45,7 +45,7 @@
 ]
 
 
-def test_sound_settings_are_read(tmp_path: Path) -> None:
+def test_valid_settings_are_read(tmp_path: Path) -> None:
     path = tmp_path / "local.json"
     path.write_text(json.dumps(SOUND), encoding="utf-8")
     settings = read_settings(str(path))
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("key", "value", "what"), WRONG)
-def test_wrong_settings_are_one_line_with_file_and_key(
+def test_invalid_settings_are_reported_on_one_line_with_file_and_key(
     tmp_path: Path, key: str, value: object, what: str
 ) -> None:
     path = tmp_path / "local.json"
@@ -88,7 +88,7 @@
     assert CliRunner().invoke(main, ["check", str(path)]).exit_code == 0
 
 
-def test_the_demo_keeps_a_conversation_whole() -> None:
+def test_the_demo_keeps_a_conversation_complete() -> None:
     ended = subprocess.run(
         [sys.executable, "-m", "wheatring.tier", "demo"], capture_output=True, text=True, timeout=90
     )
--- a/tests/tier/test_sweeps.py
+++ b/tests/tier/test_sweeps.py
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("tenths", range(0, 12, 2))
 @pytest.mark.parametrize("how", ["kill s2 for 1", "freeze s2 for 2", "cut s2 for 2", "kill-all for 0.5"])
-def test_a_second_trouble_at_every_moment_of_a_repair(tmp_path: Path, how: str, tenths: int) -> None:
+def test_a_second_fault_at_every_moment_of_a_repair(tmp_path: Path, how: str, tenths: int) -> None:
     """A second machine is away while the first one's disk is made good; nothing recorded is lost by it."""
     second = 3.3 + tenths / 10
     text = f"1 turns w1 60 0.05\n1 replaces 3 10 0.3\n3 wipe s1 for 0.3\n{second} {how}\n9 wipe s3 for 0.3\n"
