--- a/tests/support/virtual_sockets.py
+++ b/tests/support/virtual_sockets.py
@@ -74,6 +74,11 @@
         socket.listen(128)
         return Blocking(self, socket)
 
+    def refuse(self, listener: Any) -> Any:
+        """Close a listener: in this network a closed port is not given out again."""
+        listener.close()
+        return listener
+
     def connect(self, port: int) -> Any:
         socket = self._socket()
         socket.connect_ex((HOST, port))
