--- a/tests/routes/measure_limits.py
+++ b/tests/routes/measure_limits.py
@@ -104,13 +104,13 @@
     callers = CallerTable(CallerTableSettings(known=10_000, strangers=1), None, 0.0)
     before = tracemalloc.get_traced_memory()[0]
     for name in names:
-        callers.record_admission(callers.record_request(name, 1.0), 1.0)
+        callers.record_admission(callers.record_request(name, 1.0), name, 1.0)
     each = (tracemalloc.get_traced_memory()[0] - before) / len(names)
     print(f"{'memory for a caller, beside its name':36s} {each:8.0f} B")
     tracemalloc.stop()
     for _ in range(3):
         for name in names[:1000]:
-            callers.record_admission(callers.record_request(name, 10.0), 10.0)
+            callers.record_admission(callers.record_request(name, 10.0), name, 10.0)
     cost = best(lambda: callers._compute_level(10.0), 1)
     print(f"{'the fair level of 1000 callers':36s} {cost:8.0f} us, ten times a second under pressure")
 
--- a/tests/routes/test_admission.py
+++ b/tests/routes/test_admission.py
@@ -121,6 +121,22 @@
         assert callers is not None and all(caller.in_flight == 0 for caller in callers.entries())
 
 
+def test_a_caller_counted_in_the_overflow_entry_keeps_its_limit_once_an_entry_is_free() -> None:
+    gate = pool(caller=v.CallerLimitSettings(1), table=v.CallerTableSettings(known=1, strangers=1))
+    assert gate.callers is not None
+    first, _, counted_with_others = [admit(0.0, None, gate, name, "c") for name in ("a", "b", "x")]
+    assert isinstance(first, Admission) and isinstance(counted_with_others, Admission)
+    assert gate.callers.overflow.in_flight_by_name == {"x": 1}
+    first.finish(0.0, Outcome.SERVED)
+    # An entry of its own is free for "x" from now on, but its request in flight is counted in the other one.
+    said = admit(0.0, None, gate, "x", "c")
+    assert isinstance(said, Rejection) and (said.status, said.reason) == (429, "pool-caller-in-flight")
+    counted_with_others.finish(0.0, Outcome.SERVED)
+    assert not gate.callers.overflow.in_flight_by_name
+    assert isinstance(admit(0.0, None, gate, "x", "c"), Admission)
+    assert list(gate.callers.strangers) == ["b", "x"] and gate.callers.strangers["x"].in_flight == 1
+
+
 def test_a_limit_of_one_attempt_lets_a_job_have_all_of_its_repeats() -> None:
     gate = pool(claims=v.AttemptLimitSettings(1), in_flight=3)
     job = admit(0.0, None, gate, "a", "c")
--- a/tests/routes/test_callers.py
+++ b/tests/routes/test_callers.py
@@ -160,8 +160,9 @@
     now = 0.0
     for _ in range(5000):
         now += random.expovariate(20)
-        caller = callers.record_request(f"{int(random.paretovariate(0.5))}", now)
-        callers.record_admission(caller, now)
+        name = f"{int(random.paretovariate(0.5))}"
+        caller = callers.record_request(name, now)
+        callers.record_admission(caller, name, now)
         if random.random() < 0.9:
-            caller.in_flight -= 1
+            caller.finish_request(name)
         assert len(callers.known) <= 5 and len(callers.known) + len(callers.strangers) <= 10
--- a/wheatring/routes/admission.py
+++ b/wheatring/routes/admission.py
@@ -43,19 +43,20 @@
     """A request that was admitted, until `finish`; its attempts still in flight after it stay counted."""
 
     __slots__ = (
-        "_attempts", "_class_state", "_first_attempt_at", "_is_finished", "_pool", "_pool_caller", "_route",
-        "_route_caller",
+        "_attempts", "_caller_name", "_class_state", "_first_attempt_at", "_is_finished", "_pool",
+        "_pool_caller", "_route", "_route_caller",
     )  # fmt: skip
 
     def __init__(
         self, now: float, route: RouteLimiter | None, pool: PoolLimiter, class_state: ClassState,
-        route_caller: Caller | None, pool_caller: Caller | None,
+        route_caller: Caller | None, pool_caller: Caller | None, caller_name: str,
     ) -> None:  # fmt: skip
         self._route = route
         self._pool = pool
         self._class_state = class_state
         self._route_caller = route_caller
         self._pool_caller = pool_caller
+        self._caller_name = caller_name
         self._attempts = 0  # in flight
         self._first_attempt_at = now  # of those in flight
         self._is_finished = False
@@ -102,9 +103,9 @@
         if self._route is not None:
             self._route.in_flight -= 1
         if self._route_caller is not None:
-            self._route_caller.in_flight -= 1
+            self._route_caller.finish_request(self._caller_name)
         if self._pool_caller is not None:
-            self._pool_caller.in_flight -= 1
+            self._pool_caller.finish_request(self._caller_name)
         pool.now = now = max(now, pool.now)
         adaptive = pool.adaptive
         if adaptive is not None and outcome is not Outcome.REJECTED:
@@ -152,9 +153,9 @@
     if rejection is not None:
         return rejection
     if route is not None:
-        route.record_admission(route_caller)
-    pool.record_class_admission(class_state, pool_caller)
-    return Admission(now, route, pool, class_state, route_caller, pool_caller)
+        route.record_admission(route_caller, caller)
+    pool.record_class_admission(class_state, pool_caller, caller)
+    return Admission(now, route, pool, class_state, route_caller, pool_caller, caller)
 
 
 def _check_callers(
--- a/wheatring/routes/callers.py
+++ b/wheatring/routes/callers.py
@@ -47,6 +47,14 @@
         self.updated_at = self.first_seen_at = now
         self.is_known = False
 
+    def start_request(self, name: str) -> None:  # noqa: ARG002 - an entry of its own has one name only
+        """Count a request of the caller of that name as in flight."""
+        self.in_flight += 1
+
+    def finish_request(self, name: str) -> None:  # noqa: ARG002 - as above
+        """Count a request of the caller of that name as in flight no longer."""
+        self.in_flight -= 1
+
     def fade(self, now: float, window_seconds: float) -> None:
         """Let the counts decay up to an instant, by the factor e in each window."""
         if now > self.updated_at:
@@ -56,6 +64,36 @@
             self.updated_at = now
 
 
+class OverflowEntry(Caller):
+    """The one entry that counts all strangers that found none of their own.
+
+    Attributes
+    ----------
+    in_flight_by_name : dict[str, int]
+        The requests in flight of each caller that has any, so that it has as many items as requests at most.
+    """
+
+    __slots__ = ("in_flight_by_name",)
+
+    def __init__(self, now: float) -> None:
+        super().__init__("", 1.0, now)
+        self.in_flight_by_name: dict[str, int] = {}
+
+    def start_request(self, name: str) -> None:
+        """Count a request of the caller of that name as in flight."""
+        super().start_request(name)
+        self.in_flight_by_name[name] = self.in_flight_by_name.get(name, 0) + 1
+
+    def finish_request(self, name: str) -> None:
+        """Count a request of the caller of that name as in flight no longer."""
+        super().finish_request(name)
+        remaining = self.in_flight_by_name[name] - 1
+        if remaining:
+            self.in_flight_by_name[name] = remaining
+        else:
+            del self.in_flight_by_name[name]
+
+
 class CallerTable:
     """The callers that have entries, and which of them are over their fair share.
 
@@ -73,7 +111,7 @@
         self.known: OrderedDict[str, Caller] = OrderedDict()
         self.strangers: OrderedDict[str, Caller] = OrderedDict()
         self.all_strangers = Caller("", 1.0, now)
-        self.overflow = Caller("", 1.0, now)  # counts the strangers that found no entry
+        self.overflow = OverflowEntry(now)
         self.all_callers = Caller("", 1.0, now)
         self._fair_level = inf
         self._mean_use = inf  # for each weight, of the callers that want more than the level
@@ -129,9 +167,9 @@
     def _has_proved(self, caller: Caller, now: float) -> bool:
         return caller.admitted_total >= 2 and now - caller.first_seen_at >= self.settings.prove
 
-    def record_admission(self, caller: Caller, now: float) -> None:
-        """Count the request that was just recorded as admitted."""
-        caller.in_flight += 1
+    def record_admission(self, caller: Caller, name: str, now: float) -> None:
+        """Count the request that was just recorded, of the caller of that name, as admitted."""
+        caller.start_request(name)
         caller.admitted_total += 1
         caller.admissions += 1.0
         self._advance_turn(caller, now)
@@ -209,6 +247,9 @@
         return level
 
     def _add_stranger(self, name: str, now: float) -> Caller:
+        if name in self.overflow.in_flight_by_name:
+            # With an entry of its own beside them, it would have its limit in flight twice.
+            return self.overflow
         strangers = self.strangers
         room = self.settings.known + self.settings.strangers - len(self.known)
         if len(strangers) >= room and not self._evict_idle(strangers, inf):
--- a/wheatring/routes/limiters.py
+++ b/wheatring/routes/limiters.py
@@ -99,13 +99,13 @@
             return None
         return Shortage(reason, gcra.wait_seconds(theoretical_arrival, tick))
 
-    def record_admission(self, caller: Caller | None) -> None:
-        """Count a request as admitted."""
+    def record_admission(self, caller: Caller | None, name: str) -> None:
+        """Count a request of the caller of that name as admitted."""
         self.in_flight += 1
         if self.gcra is not None:
             self.theoretical_arrival = self.gcra.charge(self.theoretical_arrival, self.gcra.tick(self.now))
         if caller is not None and self.callers is not None:
-            self.callers.record_admission(caller, self.now)
+            self.callers.record_admission(caller, name, self.now)
             gcra = self.caller_gcra
             if gcra is not None:
                 caller.theoretical_arrival = gcra.charge(caller.theoretical_arrival, gcra.tick(self.now))
@@ -233,9 +233,9 @@
                 reserved += max(0, int(other.priority.floor * limit) - other.in_flight)
         return reserved
 
-    def record_class_admission(self, state: ClassState, caller: Caller | None) -> None:
-        """Count a request of a class and a caller as admitted."""
-        self.record_admission(caller)
+    def record_class_admission(self, state: ClassState, caller: Caller | None, name: str) -> None:
+        """Count a request of a class and of the caller of that name as admitted."""
+        self.record_admission(caller, name)
         self._recent_admissions += 1.0
         self.attempts += 1
         state.in_flight += 1
