--- a/tests/http1/test_endpoint_faults.py
+++ b/tests/http1/test_endpoint_faults.py
@@ -13,6 +13,7 @@
 from wheatring.http1.connection_pool import ConnectionPool
 from wheatring.http1.endpoint_connection import EndpointConnection
 from wheatring.http1.endpoint_list import EndpointList
+from wheatring.http1.request_sender import RequestSender
 
 Make = Callable[..., World]
 
@@ -77,13 +78,13 @@
     world = make()
     caller = world.caller()
     wire = kept(world, caller)
-    writes = EndpointConnection.resumeProducing
+    writes = RequestSender.resumeProducing
 
-    def writes_and_breaks(connection: EndpointConnection) -> None:
-        writes(connection)
+    def writes_and_breaks(sender: RequestSender) -> None:
+        writes(sender)
         raise ZeroDivisionError
 
-    monkeypatch.setattr(EndpointConnection, "resumeProducing", writes_and_breaks)
+    monkeypatch.setattr(RequestSender, "resumeProducing", writes_and_breaks)
     world.ask("unsafe", wire=caller)
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert wire.at_end()
--- a/wheatring/http1/endpoint_connection.py
+++ b/wheatring/http1/endpoint_connection.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from math import inf
 from typing import TYPE_CHECKING, NamedTuple
 
 from wheatring import log
@@ -10,10 +9,11 @@
 from wheatring.core.body import Body, no_listener
 from wheatring.core.clock import Timer
 from wheatring.core.exchange import Attempt
-from wheatring.http1.body_sender import BodySender
-from wheatring.http1.connection import Connection, call_after_read
+from wheatring.http1.connection import Connection
 from wheatring.http1.exceptions import MalformedMessageError
 from wheatring.http1.parser import BUFFERED_BODY_BYTES, MAX_BODY_BYTES, ForwardedRequest, Message
+from wheatring.http1.request_sender import RequestSender
+from wheatring.http1.response_stream import ResponseStream, stream_due_at
 
 if TYPE_CHECKING:
     from typing import Any, Protocol
@@ -52,16 +52,6 @@
 
 SERVED = Outcome.SERVED  # looked up once: the lookup of an enum's member is slow
 ANSWER_STALL_SECONDS = 0.6  # without another byte, after which an answer that has begun counts as malformed
-# The same once it is forwarded: it can't be had elsewhere any more, and what is still to come is owed.
-STREAM_STALL_SECONDS = 10.0
-# An answer is forwarded before it is complete once it has taken so long and is large, or of unknown length:
-# its first bytes are what its caller waits for.
-STREAM_AFTER_SECONDS = 0.3
-STREAM_UNKNOWN_LENGTH_AFTER_SECONDS = 0.5
-# Once its caller's time is over, such an answer must have brought so many bytes a second, unless its caller
-# is behind; and how often that is checked. One without end would be owed for ever.
-MIN_ANSWER_BYTES_PER_SECOND = 32 * 1024
-STREAM_CHECK_SECONDS = 0.1
 
 
 def is_rejection(message: Message) -> bool:
@@ -88,18 +78,14 @@
     ----------
     attempt : Attempt | None
         The attempt that it carries, until its answer.
-    stream : Body | None
-        The body of the answer that is being forwarded.
-    sender : BodySender | None
-        Writes the body of a large request.
-    keep_alive : bool
-        Whether the connection may be kept after `stream`.
+    stream : ResponseStream | None
+        The answer that is being forwarded.
+    request_sender : RequestSender | None
+        Writes the present or the last request; None before the first.
     head_read_at : float
-        The instant at which the head of the present answer was read; 0: it has not been.
+        The instant at which the head of an answer was read that is not complete; 0: there is none.
     is_premature : bool
         The present answer began before its request can have arrived.
-    is_flushed : bool
-        The last byte of the present request has left.
     is_reused : bool
         The connection has been idle: what comes on it may answer the request before.
     """
@@ -114,50 +100,24 @@
         self.address = address
         self.stall_timer: Timer | None = None
         self.attempt: Attempt | None = None
-        self.stream: Body | None = None
-        self.sender: BodySender | None = None
-        self.keep_alive = False
+        self.stream: ResponseStream | None = None
+        self.request_sender: RequestSender | None = None
         self.head_read_at = 0.0
         self.is_premature = False
         self.idle_since = 0.0
-        self.unwritten = b""
-        self.is_flushed = False
         self.is_reused = False
 
     # The request
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt's request. As a pull producer, this is told when the last byte has left."""
+        """Write an attempt's request."""
         self.attempt = attempt
         attempt.cancel = self.cancel_attempt
         request = attempt.request.content
         assert isinstance(request, ForwardedRequest)
-        left_ms = max(1, int((attempt.deadline - self.pool.clock.now()) * 1000))
-        head = b"%sX-Time-Left-Ms: %d\r\n\r\n" % (request.head, left_ms)
-        self.is_flushed = False
-        if request.stream is None:
-            self.unwritten = head + request.body
-            self.transport.registerProducer(self, False)
-            return
-        self.transport.write(head)
-        self.sender = BodySender(
-            self.transport,
-            request.stream,
-            request.is_chunked,
-            self.mark_flushed,
-            self.abort_upload,
-            self.mark_written,
-        )
-
-    def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Write the request, or take note that it is out."""
-        if self.unwritten:
-            data, self.unwritten = self.unwritten, b""
-            self.mark_written()
-            self.transport.write(data)
-        else:
-            self.transport.unregisterProducer()
-            self.mark_flushed()
+        time_left_ms = max(1, int((attempt.deadline - self.pool.clock.now()) * 1000))
+        self.request_sender = RequestSender(self.transport, self.mark_written, self.abort_upload)
+        self.request_sender.start(request, time_left_ms)
 
     def mark_written(self) -> None:
         """Count the attempt as one that may have run, unless the connection is seen to end with bytes unsent.
@@ -167,29 +127,24 @@
         if self.attempt is not None:
             self.attempt.is_written = True
 
-    def mark_flushed(self) -> None:
-        """Note that the last byte of the request has left."""
-        self.is_flushed = True
-        self.sender = None
-
     def abort_upload(self) -> None:
         """End the connection: the rest of the request will never come, and nobody waits for this attempt."""
         self.abort("request-not-whole")
 
-    def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Leave the attempt to `on_ended`: the connection has ended first."""
-
     def stop_sending(self) -> None:
         """Write no more of a large request."""
-        if self.sender is not None:
-            self.sender.stopProducing()
-            self.sender = None
+        if self.request_sender is not None:
+            self.request_sender.stop()
+
+    @property
+    def is_flushed(self) -> bool:
+        """Whether the last byte of the present request has left."""
+        return self.request_sender is not None and self.request_sender.is_flushed
 
     @property
     def is_unsent(self) -> bool:
         """Whether no byte of the present request has left."""
-        has_sent = self.sender is not None and self.sender.has_sent
-        has_begun = self.is_flushed or self.transport.dataBuffer or has_sent
+        has_begun = self.request_sender is not None and self.request_sender.has_begun
         return self.attempt is not None and not has_begun
 
     def cancel_attempt(self) -> None:
@@ -218,7 +173,7 @@
         self.stop_stall_timer()
         try:
             if self.stream is not None:
-                self.forward_stream(self.stream)
+                self.stream.forward()
                 return
             message = self._next_answer()
         except MalformedMessageError as error:
@@ -255,13 +210,8 @@
         now = self.pool.clock.now()
         if not self.head_read_at:
             self.head_read_at = now
-        if message.content_length is None:
-            due = self.head_read_at + STREAM_UNKNOWN_LENGTH_AFTER_SECONDS
-        elif message.content_length > BUFFERED_BODY_BYTES:
-            due = self.head_read_at + STREAM_AFTER_SECONDS
-        else:
-            due = inf
-        return self.parser.open_message() if now >= due else None
+        is_due = now >= stream_due_at(message, self.head_read_at)
+        return self.parser.open_message() if is_due else None
 
     def start_stall_timer(self, seconds: float) -> None:
         """Reject the answer if nothing more comes for so long."""
@@ -311,71 +261,23 @@
             self.abort("large-error")
             self.pool.exchange.end_attempt(attempt, Outcome.ERROR)
             return
-        self.keep_alive = message.keep_alive
-        self.head_read_at = self.head_read_at or self.pool.clock.now()
-        stream = self.stream = message.stream = Body(self.pool.body_memory, message.content_length)
-        self.pool.clock.at(attempt.request.deadline, self.check_stream, stream)
-        stream.on_space = self.resume_stream
-        stream.on_cancel = self.abort_stream
-        stream.put(message.body)
-        self.start_stall_timer(STREAM_STALL_SECONDS)
+        head_read_at, self.head_read_at = self.head_read_at or self.pool.clock.now(), 0.0
+        body = message.stream = Body(self.pool.body_memory, message.content_length)
+        stream = self.stream = ResponseStream(self, body, message.keep_alive, head_read_at)
+        stream.start(message.body, attempt.request.deadline)
         self.pool.exchange.end_attempt(attempt, SERVED, message)
-        if stream.on_data == no_listener:
-            stream.cancel()  # its caller has gone
-        else:
-            self.pause_if_full(stream)
-
-    def forward_stream(self, stream: Body) -> None:
-        """Pass on what has come of the answer."""
-        data, is_complete = self.parser.read_body()
-        if is_complete:
-            self.detach_stream()
-            self.keep_or_close(self.keep_alive)
+        if body.on_data == no_listener:
+            body.cancel()  # its caller has gone
         else:
-            self.start_stall_timer(STREAM_STALL_SECONDS)
-        stream.put(data, is_complete)
-        self.pause_if_full(stream)
-
-    def check_stream(self, stream: Body, end_offset: int = -1) -> None:
-        """Check, once the caller's time is over, that the endpoint goes on with its answer.
-
-        If the caller has all that came, and no more has since the last check, the endpoint's end is missing.
-        """
-        if self.stream is not stream:
-            return
-        now, delay = self.pool.clock.now(), STREAM_CHECK_SECONDS
-        expected = MIN_ANSWER_BYTES_PER_SECOND * (now - self.head_read_at)
-        if stream.taken_offset == stream.end_offset < expected:
-            if stream.end_offset == end_offset:
-                self.reject_answer("answer not whole in time")
-                return
-            delay = 0.0
-        call_after_read(self.pool.reactor, self.check_stream, stream, stream.end_offset, delay=delay)
+            stream.pause_if_full()
 
     def detach_stream(self) -> Body | None:
-        """Return the answer that was being forwarded: this side has no more to do with it."""
-        stream, self.stream, self.head_read_at = self.stream, None, 0.0
-        if stream is not None:
-            stream.on_space = stream.on_cancel = no_listener
-        return stream
-
-    def pause_if_full(self, stream: Body) -> None:
-        """Stop reading while the caller is slower: what waits here is not the endpoint's silence."""
-        if self.stream is stream and stream.is_full:
-            self.stop_stall_timer()
-            self.transport.pauseProducing()
-
-    def resume_stream(self) -> None:
-        """Read on: the caller has taken enough."""
-        if self.is_connected and not self.close_code:
-            self.start_stall_timer(STREAM_STALL_SECONDS)
-            self.transport.resumeProducing()
-
-    def abort_stream(self) -> None:
-        """End the connection: nobody takes the answer any more."""
-        self.detach_stream()
-        self.stop_stall_timer()
-        self.abort("caller-gone")
+        """Return the body of the answer that was being forwarded, and leave it to its reader."""
+        stream = self.stream
+        if stream is None:
+            return None
+        stream.detach()
+        return stream.body
 
     # Ends
 
@@ -424,3 +326,4 @@
             stream.put(b"", True)
         else:
             self.complete_attempt(message)
+        self.request_sender = None  # it refers to this connection: the cycle would wait for the collector
--- /dev/null
+++ b/wheatring/http1/request_sender.py
@@ -0,0 +1,93 @@
+"""Writes one request to an endpoint's connection, and tells how much of it has left."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from wheatring.http1.body_sender import BodySender
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from wheatring.http1.connection import Transport
+    from wheatring.http1.parser import ForwardedRequest
+
+
+class RequestSender:
+    """One request on its way out.
+
+    A small one is written by a pull producer, which its transport calls again once the last byte has left. A
+    large one goes out as a body in transit.
+
+    Attributes
+    ----------
+    on_written : Callable[[], None]
+        Called just before the last byte is handed over.
+    on_broken : Callable[[], None]
+        Called when the rest of the request will never come.
+    is_flushed : bool
+        The last byte has left.
+    body_sender : BodySender | None
+        Writes the body of a large request, until that has left.
+    """
+
+    __slots__ = ("body_sender", "is_flushed", "on_broken", "on_written", "transport", "unwritten")
+
+    def __init__(
+        self, transport: Transport, on_written: Callable[[], None], on_broken: Callable[[], None]
+    ) -> None:
+        self.transport = transport
+        self.on_written = on_written
+        self.on_broken = on_broken
+        self.is_flushed = False
+        self.unwritten = b""
+        self.body_sender: BodySender | None = None
+
+    def start(self, request: ForwardedRequest, time_left_ms: int) -> None:
+        """Write the request, which is told the time that is left for it."""
+        head = b"%sX-Time-Left-Ms: %d\r\n\r\n" % (request.head, time_left_ms)
+        if request.stream is None:
+            self.unwritten = head + request.body
+            self.transport.registerProducer(self, False)
+            return
+        self.transport.write(head)
+        self.body_sender = BodySender(
+            self.transport,
+            request.stream,
+            request.is_chunked,
+            self.mark_flushed,
+            self.on_broken,
+            self.on_written,
+        )
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether a byte of the request may have left."""
+        has_sent = self.body_sender is not None and self.body_sender.has_sent
+        return self.is_flushed or bool(self.transport.dataBuffer) or has_sent
+
+    def mark_flushed(self) -> None:
+        """Note that the last byte of the request has left."""
+        self.is_flushed = True
+        self.body_sender = None
+
+    def stop(self) -> None:
+        """Write no more of a large request."""
+        if self.body_sender is not None:
+            self.body_sender.stopProducing()
+            self.body_sender = None
+
+    # What a transport calls
+
+    def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
+        """Write a small request, or take note that it is out."""
+        if self.unwritten:
+            data, self.unwritten = self.unwritten, b""
+            self.on_written()
+            self.transport.write(data)
+        else:
+            self.transport.unregisterProducer()
+            self.mark_flushed()
+
+    def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
+        """Do nothing: the connection has ended first, and settles the attempt itself."""
