--- a/wheatring/sidecar/process.py
+++ b/wheatring/sidecar/process.py
@@ -41,14 +41,8 @@
         super().__init__(settings)
         self._policy = policy
         self._random = random
-        self.subscription = Subscription(
-            seeds=self.seed_hosts,
-            port=settings.controller_port,
-            zone=settings.zone,
-            presence=self._presence,
-            presence_interval_seconds=PRESENCE_INTERVAL_SECONDS,
-            on_change=self._on_change,
-            random=random,
+        self.subscription = Subscription.for_role(
+            self, self._presence, PRESENCE_INTERVAL_SECONDS, self._on_change, random
         )
         losses = settings.tolerance.losses
         self._storage_clients = ClientTable(settings.storage_port)
--- a/wheatring/storage/process.py
+++ b/wheatring/storage/process.py
@@ -37,14 +37,8 @@
         self._peers = ClientTable(settings.storage_port)
         self.repair = Repair(self.replica, self._peers, losses)
         self.server = EnvelopeServer(self._on_envelope)
-        self.subscription = Subscription(
-            seeds=self.seed_hosts,
-            port=settings.controller_port,
-            zone=settings.zone,
-            presence=self._presence,
-            presence_interval_seconds=PRESENCE_INTERVAL_SECONDS,
-            on_change=self._on_change,
-            random=random,
+        self.subscription = Subscription.for_role(
+            self, self._presence, PRESENCE_INTERVAL_SECONDS, self._on_change, random
         )
         self._announced_epoch = 0
         self._is_stopping = False
--- a/wheatring/subscription/client.py
+++ b/wheatring/subscription/client.py
@@ -13,6 +13,7 @@
 from random import Random
 
 from wheatring.event_log import log_event
+from wheatring.role_process import RoleProcess
 from wheatring.transport.client import EnvelopeClient
 from wheatring.transport.messages_pb2 import Envelope, Member, Placement, Presence, Subscribe, Update
 
@@ -84,6 +85,27 @@
         self._is_stopping = False
         self._wake = asyncio.Event()
 
+    @classmethod
+    def for_role(
+        cls,
+        process: RoleProcess,
+        presence: Callable[[], Presence],
+        presence_interval_seconds: float,
+        on_change: Callable[[], None],
+        random: Random,
+    ) -> Subscription:
+        """Return the subscription of a role's process, with the controllers that its settings name."""
+        settings = process.settings
+        return cls(
+            seeds=process.seed_hosts,
+            port=settings.controller_port,
+            zone=settings.zone,
+            presence=presence,
+            presence_interval_seconds=presence_interval_seconds,
+            on_change=on_change,
+            random=random,
+        )
+
     @property
     def host(self) -> str:
         """The IP address of the controller in use."""
