--- a/wheatring/http1/connection_pool.py
+++ b/wheatring/http1/connection_pool.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from functools import partial
 from math import inf
-from typing import Any
+from typing import TYPE_CHECKING, Any, Generic, TypeVar
 
 from twisted.internet.error import UserError
 from twisted.internet.protocol import ClientFactory
@@ -43,6 +43,66 @@
             ready.discard(entry.endpoint)
 
 
+if TYPE_CHECKING:
+    from typing import Protocol
+
+    class PooledConnection(Protocol):
+        """A connection, as far as the table of a pool uses it."""
+
+        address: EndpointAddress
+        idle_since: float
+
+
+ConnectionT = TypeVar("ConnectionT", bound="PooledConnection")
+
+
+class ConnectionTable(Generic[ConnectionT]):
+    """The connections of a pool, and the endpoints that they may be used for.
+
+    Attributes
+    ----------
+    addresses : dict[str, str]
+        HOST:PORT by endpoint, kept by the endpoint list.
+    ready_endpoints : set[str]
+        Those to which something new may be sent, by the last view of the list.
+    idle_connections : dict[EndpointAddress, deque[ConnectionT]]
+        By address, the one idle for longest first.
+    connections : dict[ConnectionT, None]
+        All connections, in the order in which they came up.
+    """
+
+    def __init__(self) -> None:
+        self.addresses: dict[str, str] = {}
+        self.ready_endpoints: set[str] = set()
+        self.idle_connections: dict[EndpointAddress, deque[ConnectionT]] = {}
+        self.connections: dict[ConnectionT, None] = {}
+
+    def is_usable(self, address: EndpointAddress) -> bool:
+        """Return whether something new may be sent there."""
+        is_current = self.addresses.get(address.endpoint) == address.address
+        return address.endpoint in self.ready_endpoints and is_current
+
+    def remove(self, connection: ConnectionT) -> None:
+        """Forget a connection that has ended."""
+        self.connections.pop(connection, None)
+        idle = self.idle_connections.get(connection.address)
+        if idle is not None:
+            if connection in idle:
+                idle.remove(connection)
+            if not idle:
+                del self.idle_connections[connection.address]
+
+    def idle_to(self, endpoint: str) -> list[ConnectionT]:
+        """Return the idle connections to an endpoint at its present address, longest idle first."""
+        address = EndpointAddress(endpoint, self.addresses.get(endpoint, ""))
+        return list(self.idle_connections.get(address, ()))
+
+    def oldest_idle(self) -> ConnectionT | None:
+        """Return the connection that has been idle for longest."""
+        oldest = (queue[0] for queue in self.idle_connections.values() if queue)
+        return min(oldest, key=lambda connection: connection.idle_since, default=None)
+
+
 class _PendingConnect(ClientFactory):
     """One connect under way for one attempt. Refused or not up by its deadline, it has failed."""
 
@@ -95,7 +155,7 @@
             self.pool.keep_idle(self)
 
 
-class ConnectionPool:
+class ConnectionPool(ConnectionTable[EndpointConnection]):
     """Starts attempts, and keeps clean connections for the next ones.
 
     Of the idle connections that have rested, the one used last goes out first.
@@ -104,16 +164,10 @@
     ----------
     connect_timeout, idle_timeout : float
         Seconds in which a connection must be up, and for which it may be idle.
-    addresses : dict[str, str]
-        HOST:PORT by endpoint, kept by the endpoint list.
     cautious_until : float
         The instant until which connections are used only after a rest.
-    ready_endpoints : set[str]
-        Those to which something new may be sent, by the last view of the list.
-    idle_connections : dict[EndpointAddress, deque[EndpointConnection]]
-        By address, the one idle for longest first.
-    connections, pending_connects : dict
-        All connections, and the connects under way, in the order in which they began.
+    pending_connects : dict[_PendingConnect, None]
+        The connects under way, in the order in which they began.
     """
 
     def __init__(
@@ -126,6 +180,7 @@
         max_connections: int,
         body_memory: BodyMemory,
     ) -> None:
+        super().__init__()
         # A simulated reactor answers this itself.
         self.has_undelivered_bytes: Callable[[Any], bool] = getattr(
             reactor, "has_undelivered_bytes", has_undelivered_bytes
@@ -137,11 +192,7 @@
         self.idle_timeout = idle_timeout * IDLE_FRACTION
         self.max_connections = max_connections
         self.body_memory = body_memory
-        self.addresses: dict[str, str] = {}
         self.cautious_until = -inf
-        self.ready_endpoints: set[str] = set()
-        self.idle_connections: dict[EndpointAddress, deque[EndpointConnection]] = {}
-        self.connections: dict[EndpointConnection, None] = {}
         self.pending_connects: dict[_PendingConnect, None] = {}
         exchange.start_attempt = self.start_attempt
         exchange.close_idle = self.close_idle
@@ -225,11 +276,6 @@
             for connection in list(self.idle_connections[address]):
                 self.retire(connection, "endpoint-gone" if is_gone else "close-idle")
 
-    def is_usable(self, address: EndpointAddress) -> bool:
-        """Return whether something new may be sent there."""
-        is_current = self.addresses.get(address.endpoint) == address.address
-        return address.endpoint in self.ready_endpoints and is_current
-
     # Connections
 
     def add(self, connection: EndpointConnection) -> None:
@@ -244,27 +290,9 @@
         connection.is_reused, connection.idle_since = True, self.clock.now()
         self.idle_connections.setdefault(connection.address, deque()).append(connection)
 
-    def remove(self, connection: EndpointConnection) -> None:
-        """Forget a connection that has ended."""
-        self.connections.pop(connection, None)
-        idle = self.idle_connections.get(connection.address)
-        if idle is not None:
-            if connection in idle:
-                idle.remove(connection)
-            if not idle:
-                del self.idle_connections[connection.address]
-
     def idle_count(self, endpoint: str) -> int:
         """Return the number of idle connections to an endpoint."""
-        return len(self.idle_connections.get(self._address_of(endpoint), ()))
-
-    def _address_of(self, endpoint: str) -> EndpointAddress:
-        return EndpointAddress(endpoint, self.addresses.get(endpoint, ""))
-
-    def oldest_idle(self) -> EndpointConnection | None:
-        """Return the connection that has been idle for longest."""
-        oldest = (queue[0] for queue in self.idle_connections.values() if queue)
-        return min(oldest, key=lambda connection: connection.idle_since, default=None)
+        return len(self.idle_to(endpoint))
 
     def retire_oldest_idle(self) -> bool:
         """Close the connection that has been idle for longest; return whether there was one."""
@@ -281,7 +309,7 @@
 
     def close_idle(self, endpoint: str) -> None:
         """Close all idle connections to an endpoint."""
-        for connection in list(self.idle_connections.get(self._address_of(endpoint), ())):
+        for connection in self.idle_to(endpoint):
             self.retire(connection, "close-idle")
 
     def close(self, code: str = "stopping") -> None:
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -12,7 +12,7 @@
 from wheatring.balancer.interface import Outcome, View
 from wheatring.core.clock import Timer
 from wheatring.core.exchange import Attempt, Exchange
-from wheatring.http1.connection_pool import SWEEP_SECONDS, update_ready
+from wheatring.http1.connection_pool import IDLE_FRACTION, SWEEP_SECONDS, ConnectionTable, update_ready
 from wheatring.http1.endpoint_connection import EndpointAddress
 from wheatring.lab.book import Book
 from wheatring.lab.direct.clock import DirectClock
@@ -204,7 +204,7 @@
                 self.pool.exchange.end_attempt(attempt, RESET)
 
 
-class DirectConnectionPool:
+class DirectConnectionPool(ConnectionTable[DirectConnection]):
     """Starts attempts, and keeps clean connections for the next ones; the one used last is reused first.
 
     Parameters
@@ -230,6 +230,7 @@
         idle: float,
         max_connections: int,
     ) -> None:
+        super().__init__()
         self.name = name
         self.host = host
         self.nodes = nodes
@@ -239,12 +240,8 @@
         self.links = links
         self.book = book
         self.connect_time = connect_time
-        self.idle = idle * 0.7  # as the HTTP client's
+        self.idle_timeout = idle * IDLE_FRACTION
         self.max_connections = max_connections
-        self.addresses: dict[str, str] = {}
-        self.ready: set[str] = set()
-        self.idle_connections: dict[tuple[str, str], deque[DirectConnection]] = {}
-        self.connections: dict[DirectConnection, None] = {}  # in the order in which they came
         self.connecting: dict[DirectConnection, None] = {}  # under way, in the order in which they began
         exchange.start_attempt = self.start
         exchange.close_idle = self.close_idle
@@ -253,12 +250,13 @@
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt on an idle connection or a new one."""
-        address = self.addresses.get(attempt.endpoint)
-        if address is None:
+        location = self.addresses.get(attempt.endpoint)
+        if location is None:
             # The list no longer says where the node is.
             self.clock.at(self.clock.now(), self.exchange.end_attempt, attempt, CONNECT_FAILED)
             return
-        idle = self.idle_connections.get((attempt.endpoint, address))
+        address = EndpointAddress(attempt.endpoint, location)
+        idle = self.idle_connections.get(address)
         if idle:
             idle.pop().send(attempt)
             return
@@ -266,29 +264,25 @@
             log.line("too-many-connections", most=self.max_connections)
             self.clock.at(self.clock.now(), self.exchange.end_attempt, attempt, CONNECT_FAILED)
             return
-        connection = DirectConnection(self, EndpointAddress(attempt.endpoint, address), attempt)
+        connection = DirectConnection(self, address, attempt)
         self.connecting[connection] = None
         connection.connect()
 
     def apply_list(self, view: View) -> None:
         """Close what a new endpoint list no longer allows, as the HTTP client does."""
-        update_ready(self.ready, view)
+        update_ready(self.ready_endpoints, view)
         for connection in [
-            connection for connection in self.connecting if not self.is_current(connection.address)
+            connection for connection in self.connecting if not self.is_usable(connection.address)
         ]:
             connection.refused()
         for address, idle in list(self.idle_connections.items()):
-            if not self.is_current(EndpointAddress(*address)):
+            if not self.is_usable(address):
                 for connection in list(idle):
                     connection.close()
 
-    def is_current(self, address: EndpointAddress) -> bool:
-        """Return whether the list still has the endpoint at that address."""
-        return address.endpoint in self.ready and self.addresses.get(address.endpoint) == address.address
-
     def keep(self, connection: DirectConnection) -> None:
         """Keep a connection for the next attempt."""
-        if not self.is_current(connection.address):
+        if not self.is_usable(connection.address):
             connection.close()
             return
         connection.idle_since = self.time.instant
@@ -297,21 +291,9 @@
             idle = self.idle_connections[connection.address] = deque()
         idle.append(connection)
 
-    def remove(self, connection: DirectConnection) -> None:
-        """Remove a connection that has ended."""
-        self.connections.pop(connection, None)
-        idle = self.idle_connections.get(connection.address)
-        if idle is not None:
-            if connection in idle:
-                idle.remove(connection)
-            if not idle:
-                del self.idle_connections[connection.address]
-
     def retire_oldest(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
-        oldest = min(
-            (q[0] for q in self.idle_connections.values() if q), key=lambda c: c.idle_since, default=None
-        )
+        oldest = self.oldest_idle()
         if oldest is None:
             return False
         oldest.close()
@@ -319,8 +301,7 @@
 
     def close_idle(self, node: str) -> None:
         """Close the idle connections to a node."""
-        address = EndpointAddress(node, self.addresses.get(node, ""))
-        for connection in list(self.idle_connections.get(address, ())):
+        for connection in self.idle_to(node):
             connection.close()
 
     def reset(self) -> None:
@@ -339,7 +320,7 @@
         """Close connections that have been idle for too long, and schedule the next sweep."""
         now = self.clock.now()
         self.clock.at(now + SWEEP_SECONDS, self.sweep)
-        for (node, address), idle in list(self.idle_connections.items()):
-            gone = self.addresses.get(node) != address
-            while idle and (gone or now - idle[0].idle_since > self.idle):
+        for address, idle in list(self.idle_connections.items()):
+            gone = self.addresses.get(address.endpoint) != address.address
+            while idle and (gone or now - idle[0].idle_since > self.idle_timeout):
                 idle[0].close()
