--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -14,7 +14,7 @@
 from wheatring.lab.direct.sidecar import DirectSidecar
 from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
 from wheatring.lab.models.discovery import Answer
-from wheatring.lab.models.visit import Verdict, Visit
+from wheatring.lab.models.received_attempt import Verdict, Visit
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.plan import NetPlan, TierPlan
 
--- a/tests/lab/machine_world.py
+++ b/tests/lab/machine_world.py
@@ -7,9 +7,9 @@
 from typing import Any, cast
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.effects import Effects
+from wheatring.lab.models.deduplication import Effects
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.visit import Below, Verdict, Visit
+from wheatring.lab.models.received_attempt import Below, Verdict, Visit
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, KindPlan, NodePlan, RulesPlan, TierPlan
--- a/tests/lab/peers.py
+++ b/tests/lab/peers.py
@@ -13,8 +13,8 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.models.discovery import Listed, Registry
-from wheatring.lab.models.visit import Verdict, Visit
-from wheatring.lab.models.way import Asked
+from wheatring.lab.models.received_attempt import Verdict, Visit
+from wheatring.lab.models.request_transport import Asked
 from wheatring.lab.net import Network, VirtualTime
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, DiscoveryPlan, NetPlan, TierPlan
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -11,8 +11,8 @@
 
 from tests.lab.direct_world import Time, Told
 from wheatring.lab.models.clients import Clients
-from wheatring.lab.models.front import Front
-from wheatring.lab.models.way import LINGER, Done, ReplyKind
+from wheatring.lab.models.front_load_balancer import Front
+from wheatring.lab.models.request_transport import LINGER, Done, ReplyKind
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, ClientPlan, EventPlan, Plan, TrafficPlan
 
--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -11,7 +11,7 @@
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
 from wheatring.lab.models.discovery import Answer, Line, Listed
-from wheatring.lab.models.visit import Verdict
+from wheatring.lab.models.received_attempt import Verdict
 
 
 def replying(verdict: Verdict) -> Callable[[World], None]:
--- a/tests/lab/test_machine.py
+++ b/tests/lab/test_machine.py
@@ -10,9 +10,9 @@
 import pytest
 
 from tests.lab.machine_world import RULES, World
-from wheatring.lab.models.cold import Pressure
-from wheatring.lab.models.troubles import begin, end
-from wheatring.lab.models.visit import Verdict, Visit
+from wheatring.lab.models.machine_faults import begin, end
+from wheatring.lab.models.received_attempt import Verdict, Visit
+from wheatring.lab.models.slow_start import Pressure
 from wheatring.lab.plan import ChokePlan, ClassPlan, EventKind, EventPlan
 
 SERVED, ERROR, AWAY, RESET = Verdict.SERVED, Verdict.ERROR, Verdict.AWAY, Verdict.RESET
--- a/tests/lab/test_machine_cpu.py
+++ b/tests/lab/test_machine_cpu.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from tests.lab.machine_world import World
-from wheatring.lab.models.cold import Warming
 from wheatring.lab.models.cpu import Cpu
-from wheatring.lab.models.visit import Verdict
+from wheatring.lab.models.received_attempt import Verdict
+from wheatring.lab.models.slow_start import Warming
 from wheatring.lab.net.time import VirtualTime
 
 STEP = 0.01
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/test_wire_peers.py
@@ -29,7 +29,7 @@
 from tests.world import reactor
 from wheatring.core.clock import Clock
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.visit import Verdict
+from wheatring.lab.models.received_attempt import Verdict
 from wheatring.lab.net.transports import Transport
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import DiscoveryPlan
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -18,7 +18,7 @@
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
 from wheatring.lab.direct.node import DirectNode
-from wheatring.lab.models.visit import Verdict, Visit
+from wheatring.lab.models.received_attempt import Verdict, Visit
 
 # Looked up once: an enum takes its time.
 SERVED, CONNECT_FAILED, RESET = Outcome.SERVED, Outcome.CONNECT_FAILED, Outcome.RESET
--- a/wheatring/lab/direct/endpoint_list.py
+++ b/wheatring/lab/direct/endpoint_list.py
@@ -17,7 +17,7 @@
 from wheatring.http1.endpoint_list import EndpointList
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
-from wheatring.lab.models.form import as_json
+from wheatring.lab.models.endpoint_list_json import as_json
 from wheatring.lifecycle.freshness import Freshness
 from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
 
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -10,10 +10,10 @@
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
-from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.visit import Below
+from wheatring.lab.models.next_tier import Calls
+from wheatring.lab.models.received_attempt import Below
 from wheatring.lab.plan import EventPlan, NodePlan
 from wheatring.lab.world.ground import CLIENTS, DISCOVERY, PORT, side_hosts, zones
 
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -6,7 +6,7 @@
 
 from wheatring.lab.book import Book
 from wheatring.lab.direct.links import Links
-from wheatring.lab.models.visit import Visit
+from wheatring.lab.models.received_attempt import Visit
 from wheatring.lab.plan import TierPlan
 from wheatring.lab.timers import PlayedTime
 
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -10,7 +10,7 @@
 from wheatring.core.exchange import Answer, AnswerKind, Request
 from wheatring.lab.book import Book, ResponseKind
 from wheatring.lab.direct.links import Links
-from wheatring.lab.models.way import Done
+from wheatring.lab.models.request_transport import Done
 from wheatring.lab.timers import PlayedTime
 
 if TYPE_CHECKING:
@@ -141,7 +141,7 @@
 
 
 class DirectSidecarClient:
-    """Carries requests to the sidecars that run; implements `models.way.Way`.
+    """Carries requests to the sidecars that run; implements `models.request_transport.RequestTransport`.
 
     Parameters
     ----------
@@ -172,7 +172,7 @@
     def ask(
         self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
     ) -> DirectRequest:
-        """Send a request to a sidecar; see `models.way.Way`."""
+        """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
         request = DirectRequest(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
         if self.max_connections and sidecar in self.max_connections:
             self.waiting[sidecar].append(request)
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -8,7 +8,7 @@
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
 from wheatring.lab.live.sidecar_slots import SidecarSlot, SidecarSlots
-from wheatring.lab.models.front import Front
+from wheatring.lab.models.front_load_balancer import Front
 from wheatring.lab.plan import EventPlan
 
 
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -16,10 +16,10 @@
 from wheatring.core.clock import Clock
 from wheatring.lab.book import Book
 from wheatring.lab.live.links.wires import Wires
-from wheatring.lab.models.below import Calls
+from wheatring.lab.models.deduplication import Effects
 from wheatring.lab.models.discovery import Listed, Registry
-from wheatring.lab.models.effects import Effects
 from wheatring.lab.models.machine import Machine
+from wheatring.lab.models.next_tier import Calls
 from wheatring.lab.models.traffic import sizes
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -33,7 +33,7 @@
 from wheatring.lab.live.watch import Watch, Watched
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.front import Front
+from wheatring.lab.models.front_load_balancer import Front
 from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import NetPlan, Plan
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -15,7 +15,7 @@
 from wheatring.lab.live.sidecar import Sidecar, configuration, port_in
 from wheatring.lab.live.watch import Watch
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.form import as_json
+from wheatring.lab.models.endpoint_list_json import as_json
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import Ledger
 from wheatring.lab.settings import sidecar_settings
--- a/wheatring/lab/models/stay.py
+++ b/wheatring/lab/models/attempt_execution.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from wheatring.lab.models.visit import Visit
+from wheatring.lab.models.received_attempt import Visit
 from wheatring.lab.origins import Origin
 
 if TYPE_CHECKING:
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -6,9 +6,9 @@
 from random import Random
 
 from wheatring.lab.book import Book, FirstTryEnd
-from wheatring.lab.models.front import Front
+from wheatring.lab.models.front_load_balancer import Front
+from wheatring.lab.models.request_transport import LINGER, Asked, ReplyKind, Way
 from wheatring.lab.models.traffic import Traffic
-from wheatring.lab.models.way import LINGER, Asked, ReplyKind, Way
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import Plan
 from wheatring.lab.timers import Timer, Timers
--- a/wheatring/lab/models/cpu.py
+++ b/wheatring/lab/models/cpu.py
@@ -11,7 +11,7 @@
 from heapq import heappop, heappush
 from typing import Generic, TypeVar
 
-from wheatring.lab.models.cold import Warming
+from wheatring.lab.models.slow_start import Warming
 from wheatring.lab.timers import Timer, Timers
 
 T = TypeVar("T")
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -9,8 +9,8 @@
 from typing import Literal, NamedTuple
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.knowledge import Knowledge, Lie
-from wheatring.lab.models.listing import KEPT, Line, Listed, Listing
+from wheatring.lab.models.endpoint_list_history import KEPT, Line, Listed, Listing
+from wheatring.lab.models.node_status_table import Knowledge, Lie
 from wheatring.lab.plan import DiscoveryPlan, Held
 from wheatring.lab.timers import Timer, Timers
 
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -9,12 +9,12 @@
 from random import Random
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.cold import Pressure, Warming
+from wheatring.lab.models.attempt_execution import Stay
 from wheatring.lab.models.cpu import Cpu
-from wheatring.lab.models.effects import Effects
-from wheatring.lab.models.pace import Pace
-from wheatring.lab.models.stay import Stay
-from wheatring.lab.models.visit import Below, Verdict, Visit
+from wheatring.lab.models.deduplication import Effects
+from wheatring.lab.models.received_attempt import Below, Verdict, Visit
+from wheatring.lab.models.service_rate import Pace
+from wheatring.lab.models.slow_start import Pressure, Warming
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import ClassPlan, NodePlan, RulesPlan, TierPlan
 from wheatring.lab.timers import Timers
--- a/wheatring/lab/models/below.py
+++ b/wheatring/lab/models/next_tier.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Sequence
 
-from wheatring.lab.models.visit import Visit
-from wheatring.lab.models.way import LINGER, Asked, ReplyKind, Way
+from wheatring.lab.models.received_attempt import Visit
+from wheatring.lab.models.request_transport import LINGER, Asked, ReplyKind, Way
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.timers import Timer, Timers
 
--- a/wheatring/lab/models/knowledge.py
+++ b/wheatring/lab/models/node_status_table.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from wheatring.lab.book import Book, NodeState
-from wheatring.lab.models.listing import KEPT, Line, Listed, Listing
+from wheatring.lab.models.endpoint_list_history import KEPT, Line, Listed, Listing
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lab.timers import Timer, Timers
 
--- a/wheatring/lab/models/pace.py
+++ b/wheatring/lab/models/service_rate.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from wheatring.lab.models.cpu import Cpu, T
-from wheatring.lab.models.life import Choke, Pauses
-from wheatring.lab.models.troubles import Troubles
+from wheatring.lab.models.machine_faults import Troubles
+from wheatring.lab.models.overload_choke import Choke, Pauses
 from wheatring.lab.plan import KindPlan, TierPlan
 from wheatring.lab.timers import Timers
 
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from wheatring.lab.models.cold import Pressure
+from wheatring.lab.models.slow_start import Pressure
 from wheatring.lab.plan import KindPlan, RulesPlan
 from wheatring.lab.rules.breaches import Breaches
 from wheatring.lab.rules.drains import Drains
--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -12,7 +12,7 @@
 
 from wheatring.lab.book import Book
 from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
-from wheatring.lab.models.form import ADDRESS, as_json
+from wheatring.lab.models.endpoint_list_json import ADDRESS, as_json
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -9,10 +9,10 @@
 from wheatring.balancer.interface import TimerDue
 from wheatring.config.platform_file import PlatformConfig
 from wheatring.daemon.sidecar import Sidecar
-from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.visit import Below
+from wheatring.lab.models.next_tier import Calls
+from wheatring.lab.models.received_attempt import Below
 from wheatring.lab.net.network import Network
 from wheatring.lab.net.process import Delayed, Process, waiting
 from wheatring.lab.plan import EventPlan, NodePlan
--- a/wheatring/lab/wire/node_server.py
+++ b/wheatring/lab/wire/node_server.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.visit import Verdict, Visit
+from wheatring.lab.models.received_attempt import Verdict, Visit
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import TierPlan
 from wheatring.lab.timers import Timer, Timers
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.book import Book, ResponseKind
-from wheatring.lab.models.way import Asked, Done
+from wheatring.lab.models.request_transport import Asked, Done
 from wheatring.lab.timers import Timers
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 from wheatring.lab.wire.request_format import RequestFormat
@@ -308,7 +308,7 @@
 
 
 class SidecarClient:
-    """The client of all sidecars for the callers of one process; it implements `models.way.Way`.
+    """The client of all sidecars for the callers of one process: the `RequestTransport` of grain `wire`.
 
     Parameters
     ----------
@@ -342,7 +342,7 @@
     def ask(
         self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
     ) -> Asked:
-        """Send a request to a sidecar; see `models.way.Way`."""
+        """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
         pool = self.pools.get(sidecar)
         if pool is None:
             pool = self.pools[sidecar] = _ConnectionPool(self, sidecar)
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from wheatring.lab.models import troubles
+from wheatring.lab.models import machine_faults
 from wheatring.lab.models.discovery import Registry, Trouble
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.plan import EventPlan
@@ -133,7 +133,7 @@
         """Inject a fault, or end it."""
         if event.kind in OF_NODES:
             for node in event.nodes:
-                (troubles.begin if on else troubles.end)(self.machines[node], event)
+                (machine_faults.begin if on else machine_faults.end)(self.machines[node], event)
         elif event.kind == "vanish":
             for node in event.nodes:
                 (self.lifecycles.vanish if on else self.lifecycles.back)(node)
--- a/wheatring/lab/world/ground.py
+++ b/wheatring/lab/world/ground.py
@@ -9,8 +9,8 @@
 from wheatring.lab import plan
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.visit import Below
-from wheatring.lab.models.way import Way
+from wheatring.lab.models.received_attempt import Below
+from wheatring.lab.models.request_transport import Way
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
 
 PORT = 9000  # of every sidecar and node: each has a host of its own
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -13,10 +13,10 @@
 
 from wheatring import log
 from wheatring.lab.models.clients import Clients
+from wheatring.lab.models.deduplication import Effects
 from wheatring.lab.models.discovery import Listed, Registry
-from wheatring.lab.models.effects import Effects
-from wheatring.lab.models.form import as_json
-from wheatring.lab.models.front import Front
+from wheatring.lab.models.endpoint_list_json import as_json
+from wheatring.lab.models.front_load_balancer import Front
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.traffic import Draw, sizes
 from wheatring.lab.net.time import VirtualTime
