--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from tests.lab.direct_world import Time, Told
-from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
+from wheatring.lab.models.discovery import ListReply, ListRequest, Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lifecycle import list_request_schedule
 from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
@@ -26,7 +27,7 @@
         self.time = Time(0.0)
         plan = DiscoveryPlan(lines_per_s=rate * LINES, call_lines=LINES - 1, spread=0.0)
         self.registry = Registry(plan, self.time, lambda: 0.0, Random(seed), Told())
-        self.registry.add(Listed("n", "127.0.0.1:1"))
+        self.registry.add(RegisteredNode("n", "127.0.0.1:1"))
         if opens:
             self.time.at(opens, self.registry.begin("down"))
         self.fleet = [ListRequestSchedule(copies, n, 10.0, Random(f"{seed}:{n}"), 0.0) for n in range(copies)]
@@ -45,7 +46,7 @@
         self.calls.append(now)
         self.began[n] = now
 
-        def ended(answer: Answer | None) -> None:
+        def ended(answer: ListReply | None) -> None:
             if answer is not None:
                 self.answered[n] = self.time.now()
             else:
@@ -55,7 +56,7 @@
         call = self.registry.call(str(n), None, 0.0, ended)
         self.time.at(now + self.fleet[n].draw_patience(), self.leave, n, call)
 
-    def leave(self, n: int, call: Call) -> None:
+    def leave(self, n: int, call: ListRequest) -> None:
         if not call.over:
             call.cancel()
             self.again(n, self.began[n])
--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -13,8 +13,8 @@
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar
 from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
-from wheatring.lab.models.discovery import Answer
-from wheatring.lab.models.received_attempt import Verdict, Visit
+from wheatring.lab.models.discovery import ListReply
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.plan import NetPlan, TierPlan
 
@@ -49,7 +49,7 @@
         return [line[1:] for line in self.lines if line[0] == what]
 
 
-class Troubles:
+class MachineFaults:
     refusing = False
     connect_delay = 0.0
 
@@ -62,13 +62,13 @@
         self.running = True
         self.full = False
         self.connections = 0
-        self.visits: list[Visit] = []
-        self.gone: list[Visit] = []
-        self.at_once: Verdict | None = None
-        self._troubles = Troubles()
+        self.visits: list[ReceivedAttempt] = []
+        self.gone: list[ReceivedAttempt] = []
+        self.at_once: AttemptOutcome | None = None
+        self._troubles = MachineFaults()
 
     @property
-    def troubles(self) -> Troubles:
+    def troubles(self) -> MachineFaults:
         return self._troubles
 
     def connect(self) -> float | None:
@@ -80,19 +80,19 @@
     def disconnect(self) -> None:
         self.connections -= 1
 
-    def visit(self, visit: Visit) -> None:
+    def visit(self, visit: ReceivedAttempt) -> None:
         self.visits.append(visit)
         if self.at_once is not None:
             visit.reply(self.at_once, "stamp")
 
-    def abandoned(self, visit: Visit) -> None:
+    def abandoned(self, visit: ReceivedAttempt) -> None:
         self.gone.append(visit)
 
 
-class Call:
+class ListRequest:
     broken = False
 
-    def __init__(self, index: int | None, wait: float, done: Callable[[Answer | None], None]) -> None:
+    def __init__(self, index: int | None, wait: float, done: Callable[[ListReply | None], None]) -> None:
         self.index = index
         self.wait = wait
         self.done = done
@@ -106,12 +106,12 @@
     """Discovery, which answers when the story does."""
 
     def __init__(self) -> None:
-        self.calls: list[Call] = []
+        self.calls: list[ListRequest] = []
 
     def call(
-        self, sidecar: str, index: int | None, wait: float, done: Callable[[Answer | None], None]
-    ) -> Call:
-        self.calls.append(Call(index, wait, done))
+        self, sidecar: str, index: int | None, wait: float, done: Callable[[ListReply | None], None]
+    ) -> ListRequest:
+        self.calls.append(ListRequest(index, wait, done))
         return self.calls[-1]
 
 
--- a/tests/lab/machine_world.py
+++ b/tests/lab/machine_world.py
@@ -7,9 +7,9 @@
 from typing import Any, cast
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.deduplication import Effects
+from wheatring.lab.models.deduplication import EffectDeduplicator
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.received_attempt import Below, Verdict, Visit
+from wheatring.lab.models.received_attempt import AttemptOutcome, NextTierCall, ReceivedAttempt
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, KindPlan, NodePlan, RulesPlan, TierPlan
@@ -47,7 +47,7 @@
     """
 
     def __init__(
-        self, *, below: Below | None = None, calls: float = 0.0, passes_deadline: bool = True,
+        self, *, below: NextTierCall | None = None, calls: float = 0.0, passes_deadline: bool = True,
         classes: tuple[ClassPlan, ...] = CLASSES, cold_start: bool = False, start: float = 0.0,
         speed: float = 1.0, tier: dict[str, Any] | None = None, **kind: Any,
     ) -> None:  # fmt: skip
@@ -55,8 +55,8 @@
         self.noted = Noted()
         book = cast(Book, self.noted)
         self.origins = Origins(Random("origins"))
-        self.effects = Effects(self.time, classes, book)
-        self.ended: list[tuple[float, str, Verdict]] = []
+        self.effects = EffectDeduplicator(self.time, classes, book)
+        self.ended: list[tuple[float, str, AttemptOutcome]] = []
         self.names: dict[str, str] = {}
         plan = TierPlan(name="front", work=1.0, kinds=(KindPlan(name="k", **kind),), **(tier or {}))
         node = NodePlan(name="n1", tier=0, kind=0, speed=speed, host="127.0.0.1")
@@ -68,21 +68,21 @@
 
     def send(
         self, name: str, work: float, *, index: int = 0, key: str = "", left: float = 6.0, ident: str = ""
-    ) -> Visit:
+    ) -> ReceivedAttempt:
         """A request arrives now. `ident`: of a request whose attempt this is, too."""
         if not ident:
             ident = self.origins.new(Origin(0, index, work, key))
             self.names[ident] = name
 
-        def reply(verdict: Verdict, stamp: str) -> None:
-            assert (stamp != "") == (verdict is Verdict.SERVED)
+        def reply(verdict: AttemptOutcome, stamp: str) -> None:
+            assert (stamp != "") == (verdict is AttemptOutcome.SERVED)
             self.ended.append((round(self.time.now(), 6), name, verdict))
 
-        visit = Visit(ident, "s1", left, self.time.now(), reply)
+        visit = ReceivedAttempt(ident, "s1", left, self.time.now(), reply)
         self.machine.visit(visit)
         return visit
 
-    def run(self, until: float) -> list[tuple[float, str, Verdict]]:
+    def run(self, until: float) -> list[tuple[float, str, AttemptOutcome]]:
         """Plays until then; gives what has ended since the last call."""
         self.time.run(until)
         ended, self.ended = self.ended, []
--- a/tests/lab/peers.py
+++ b/tests/lab/peers.py
@@ -12,9 +12,10 @@
 from twisted.python import log
 from twisted.python.failure import Failure
 
-from wheatring.lab.models.discovery import Listed, Registry
-from wheatring.lab.models.received_attempt import Verdict, Visit
-from wheatring.lab.models.request_transport import Asked
+from wheatring.lab.models.discovery import Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
+from wheatring.lab.models.request_transport import PendingRequest
 from wheatring.lab.net import Network, VirtualTime
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, DiscoveryPlan, NetPlan, TierPlan
@@ -70,8 +71,8 @@
         self.book = book
         self.cap = cap
         self.open = 0
-        self.verdict: Verdict | None = Verdict.SERVED
-        self.visits: list[Visit] = []
+        self.verdict: AttemptOutcome | None = AttemptOutcome.SERVED
+        self.visits: list[ReceivedAttempt] = []
 
     spoil = 0.0
 
@@ -86,13 +87,13 @@
     def disconnect(self) -> None:
         self.open -= 1
 
-    def visit(self, visit: Visit) -> None:
+    def visit(self, visit: ReceivedAttempt) -> None:
         self.visits.append(visit)
         if self.verdict is not None:
             self.book.ended(self.name, visit.ident)
             visit.reply(self.verdict, f"stamp-{visit.ident}")
 
-    def abandoned(self, visit: Visit) -> None:
+    def abandoned(self, visit: ReceivedAttempt) -> None:
         visit.gone = True
         self.book.ended(self.name, visit.ident)
 
@@ -157,7 +158,7 @@
         self.node.listenTCP(80, self.peer)
         plan = DiscoveryPlan(period=0.5, spread=0.0, lines_per_s=1000.0, call_lines=9.0)
         self.registry = Registry(plan, self.time, self.node.unix, Random(4), book)
-        self.registry.add(Listed("n1", "127.0.0.3:80", "room", "fast", 2))
+        self.registry.add(RegisteredNode("n1", "127.0.0.3:80", "room", "fast", 2))
         DiscoveryServer(self.registry, book, "at {}".format, partial(self.node.listenTCP, 90))
         self.lines: list[Scripted] = []
         where = {"s": ("127.0.0.2", 80), "nobody": ("127.0.0.2", 81)}
@@ -179,7 +180,7 @@
 
         self.sidecar.listenTCP(80, factory(Factory(), build))
 
-    def ask(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> Asked:
+    def ask(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> PendingRequest:
         ident = self.origins.new(Origin(1, index, 0.1, key))
         asked = self.caller.ask(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
         self.run(run)
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -11,33 +11,33 @@
 
 from tests.lab.direct_world import Time, Told
 from wheatring.lab.models.clients import Clients
-from wheatring.lab.models.front_load_balancer import Front
-from wheatring.lab.models.request_transport import LINGER, Done, ReplyKind
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
+from wheatring.lab.models.request_transport import LATE_ANSWER_WAIT, RequestOutcome, ResponseCallback
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, ClientPlan, EventPlan, Plan, TrafficPlan
 
 EFFECTS: tuple[Literal["safe", "keyed", "unsafe"], ...] = ("safe", "keyed", "unsafe")
 CLASSES = tuple(ClassPlan(name=e, share=1.0, work=0.1, effect=e, window=1.0, deadline=6.0) for e in EFFECTS)
 
-Step = tuple[ReplyKind, float, float]  # how a try ends, its Retry-After, and after how many seconds
+Step = tuple[RequestOutcome, float, float]  # how a try ends, its Retry-After, and after how many seconds
 
 
-class Asked:
-    def __init__(self, way: Way, done: Done) -> None:
+class PendingRequest:
+    def __init__(self, way: RequestTransport, done: ResponseCallback) -> None:
         self.way = way
-        self.done: Done | None = done
+        self.done: ResponseCallback | None = done
 
     def leave(self) -> None:
         self.way.left += self.done is not None  # else it was answered while its client lingered
         self.done = None
 
-    def end(self, kind: ReplyKind, advice: float) -> None:
+    def end(self, kind: RequestOutcome, advice: float) -> None:
         done, self.done = self.done, None
         if done is not None:
             done(kind, advice)
 
 
-class Way:
+class RequestTransport:
     """Answers each try by the next step of a script; without one left it says nothing."""
 
     def __init__(self, time: Time, script: list[Step]) -> None:
@@ -47,21 +47,30 @@
         self.left = 0
 
     def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
-    ) -> Asked:
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,
+        left: float,
+        key: str,
+        repeat: bool,
+        done: ResponseCallback,
+    ) -> PendingRequest:
         self.asks.append((self.time.now() - 1000, sidecar, ident, left, repeat))
-        asked = Asked(self, done)
+        asked = PendingRequest(self, done)
         if self.script:
             kind, advice, seconds = self.script.pop(0)
             self.time.at(self.time.now() + seconds, asked.end, kind, advice)
         return asked
 
 
-def clients(plan: ClientPlan, *script: Step, up: bool = True, **more: Any) -> tuple[Clients, Any, Way, Time]:
+def clients(
+    plan: ClientPlan, *script: Step, up: bool = True, **more: Any
+) -> tuple[Clients, Any, RequestTransport, Time]:
     time = Time()
     book: Any = Told()
-    way = Way(time, list(script))
-    front = Front(time, Random(1), 2.0)
+    way = RequestTransport(time, list(script))
+    front = FrontLoadBalancer(time, Random(1), 2.0)
     if up:
         front.up("s")
     traffic = more.pop("traffic", TrafficPlan(rate=100.0))
@@ -69,7 +78,7 @@
     return Clients(day, time, Random(2), Origins(Random(3)), book, front, way), book, way, time
 
 
-REPEATED: dict[ReplyKind, tuple[bool, bool, bool]] = {
+REPEATED: dict[RequestOutcome, tuple[bool, bool, bool]] = {
     "refused": (True, True, True),
     "unreached": (True, True, True),
     "failed": (True, True, False),
@@ -80,7 +89,7 @@
 
 @pytest.mark.parametrize("index", range(3))
 @pytest.mark.parametrize("kind", list(REPEATED))
-def test_a_client_repeats_what_its_class_allows(kind: ReplyKind, index: int) -> None:
+def test_a_client_repeats_what_its_class_allows(kind: RequestOutcome, index: int) -> None:
     plan = ClientPlan(retries=1, marks_retry=True)
     made, book, way, time = clients(plan, (kind, 0.0, 0.5), ("served", 0.0, 0.1))
     made.arrive(Origin(7, index, 0.1, "k"))
@@ -99,7 +108,7 @@
     assert [(at, left) for at, _, _, left, _ in way.asks] == [(0.0, 3.0), (3.0, 1.5), (4.5, 1.5)]
     assert not any(repeat for *_, repeat in way.asks), "these clients mark nothing"
     assert book.all("settled") == [(1, "timeout", 3)]
-    assert way.left == 3 and time.now() == 1006.0 + LINGER
+    assert way.left == 3 and time.now() == 1006.0 + LATE_ANSWER_WAIT
 
 
 @pytest.mark.parametrize(("index", "tries"), [(1, 1), (2, 1)])
@@ -111,7 +120,7 @@
 
 
 def test_what_never_ran_does_not_open_the_window() -> None:
-    script: list[tuple[ReplyKind, float, float]] = [
+    script: list[tuple[RequestOutcome, float, float]] = [
         ("refused", 0.0, 1.5),
         ("lost", 0.0, 0.5),
         ("served", 0, 0),
@@ -247,7 +256,7 @@
 
 def test_the_front_notices_the_dead_late_and_admits_the_living_again() -> None:
     time = Time()
-    front = Front(time, Random(1), 2.0)
+    front = FrontLoadBalancer(time, Random(1), 2.0)
     assert front.pick() is None
     front.up("a")
     front.up("b")
--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -10,11 +10,12 @@
 from wheatring.balancer.interface import Outcome, View, ViewKind
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
-from wheatring.lab.models.discovery import Answer, Line, Listed
-from wheatring.lab.models.received_attempt import Verdict
+from wheatring.lab.models.discovery import ListReply
+from wheatring.lab.models.endpoint_list_history import EndpointEntry, RegisteredNode
+from wheatring.lab.models.received_attempt import AttemptOutcome
 
 
-def replying(verdict: Verdict) -> Callable[[World], None]:
+def replying(verdict: AttemptOutcome) -> Callable[[World], None]:
     def set_up(world: World) -> None:
         world.machine.at_once = verdict
 
@@ -52,11 +53,11 @@
 @pytest.mark.parametrize(
     ("set_up", "outcome", "after", "arrived"),
     [
-        (replying(Verdict.SERVED), Outcome.SERVED, 4 * LINK, 1),
-        (replying(Verdict.ERROR), Outcome.ERROR, 4 * LINK, 1),
-        (replying(Verdict.AWAY), Outcome.REJECTED, 4 * LINK, 1),
-        (replying(Verdict.RESET), Outcome.RESET, 4 * LINK, 1),
-        (replying(Verdict.SPOILT), Outcome.RESET, 4 * LINK, 1),
+        (replying(AttemptOutcome.SERVED), Outcome.SERVED, 4 * LINK, 1),
+        (replying(AttemptOutcome.ERROR), Outcome.ERROR, 4 * LINK, 1),
+        (replying(AttemptOutcome.REJECTED), Outcome.REJECTED, 4 * LINK, 1),
+        (replying(AttemptOutcome.RESET), Outcome.RESET, 4 * LINK, 1),
+        (replying(AttemptOutcome.MALFORMED), Outcome.RESET, 4 * LINK, 1),
         (refusing, Outcome.CONNECT_FAILED, 2 * LINK, 0),
         (not_running, Outcome.CONNECT_FAILED, 2 * LINK, 0),
         (full, Outcome.CONNECT_FAILED, 0.25, 0),
@@ -120,7 +121,7 @@
     assert not world.machine.gone
     world.time.play(LINK)
     assert world.machine.gone == [visit] and world.machine.connections == 0
-    visit.reply(Verdict.SERVED, "too late")
+    visit.reply(AttemptOutcome.SERVED, "too late")
     world.time.play(1.0)
     assert world.outcomes() == [Outcome.CANCELLED]
     ((kind, advice),) = world.replies
@@ -129,7 +130,7 @@
 
 def test_the_end_of_a_connection_does_not_overtake_what_was_written_on_it() -> None:
     world = World()
-    world.machine.at_once = Verdict.SERVED
+    world.machine.at_once = AttemptOutcome.SERVED
     world.ask("a")
     world.time.play(0.1)
     world.machine.at_once = None
@@ -152,7 +153,7 @@
     world.time.play(1.0)
     assert world.outcomes() == [Outcome.NOT_SENT] and not world.machine.visits
     assert world.book.all("left") == [("s", "a")] and not world.replies
-    world.machine.at_once = Verdict.SERVED
+    world.machine.at_once = AttemptOutcome.SERVED
     world.ask("b")
     world.time.play(4 * LINK)
     assert world.replies == [("served", 0.0)] and world.machine.connections == 1
@@ -160,7 +161,7 @@
 
 def test_a_connection_is_used_again_and_only_its_first_request_pays_for_the_handshake() -> None:
     world = World(handshake_rtts=2.0)
-    world.machine.at_once = Verdict.SERVED
+    world.machine.at_once = AttemptOutcome.SERVED
     for ident, time in (("a", 10 * LINK), ("b", 4 * LINK)):
         world.ask(ident)
         world.time.play(time - LINK / 2)
@@ -173,7 +174,7 @@
 def test_a_connection_closes_when_it_has_stood_idle() -> None:
     for idle, after in ((30.0, 0.7 * 30.0), (5.0, 5.0)):  # the sidecar closes it first, or the node
         world = World(idle=idle)
-        world.machine.at_once = Verdict.SERVED
+        world.machine.at_once = AttemptOutcome.SERVED
         world.ask()
         world.time.play(after - 0.5)
         assert world.machine.connections == len(world.sidecar.pool.connections) == 1
@@ -183,7 +184,7 @@
 
 def test_a_request_that_crosses_the_end_of_its_connection_ends_in_a_reset() -> None:
     world = World()
-    world.machine.at_once = Verdict.SERVED
+    world.machine.at_once = AttemptOutcome.SERVED
     world.ask("a")
     world.time.play(1.0)
     world.ask("b")
@@ -197,7 +198,7 @@
     world = World()
     world.machine.running = False
     follower = Script("n.2")
-    follower.at_once = Verdict.SERVED
+    follower.at_once = AttemptOutcome.SERVED
     world.nodes["m:1"] = DirectNode(follower, "m", world.tier, world.time, world.links, world.book)
     world.ask()
     world.time.play(1.0)
@@ -206,7 +207,7 @@
 
 def test_what_a_cut_holds_up_arrives_some_time_after_it() -> None:
     world = World()
-    world.machine.at_once = Verdict.SERVED
+    world.machine.at_once = AttemptOutcome.SERVED
     world.ask("a")
     world.time.play(0.1)
     world.links.cut(["h"], ["m"])
@@ -220,12 +221,12 @@
 
 def test_answers_come_back_with_their_stamp_their_advice_and_the_time_they_take() -> None:
     world = World()
-    world.machine.at_once = Verdict.SERVED
+    world.machine.at_once = AttemptOutcome.SERVED
     world.ask("a")
     world.time.play(5.5 * LINK)
     assert not world.replies
     world.time.play(LINK)
-    world.machine.at_once = Verdict.ERROR
+    world.machine.at_once = AttemptOutcome.ERROR
     world.ask("b", index=2)
     world.machine.running = False
     world.time.play(1.0)
@@ -248,7 +249,7 @@
     world.time.play(0.1)
     assert world.replies == [("unreached", 0.0)] and not world.book.all("sidecar_down")
     for visit in world.machine.visits:
-        visit.reply(Verdict.SERVED, "x")
+        visit.reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
     assert world.replies[1:] == [("served", 0.0)] * 2
     assert world.book.all("sidecar_down") == [("s", False)] and world.machine.connections == 0
@@ -268,7 +269,7 @@
     assert world.machine.gone == world.machine.visits and world.machine.connections == 0
     assert not world.claims and world.book.all("sidecar_down") == [("s", True)]
     world.start()
-    world.machine.at_once = Verdict.SERVED
+    world.machine.at_once = AttemptOutcome.SERVED
     world.ask("d")
     world.time.play(0.1)
     assert world.replies[3:] == [("served", 0.0)]
@@ -282,7 +283,7 @@
         world.ask(ident)
     world.time.play(0.1)
     assert len(world.machine.visits) == 1
-    world.machine.visits[0].reply(Verdict.SERVED, "x")
+    world.machine.visits[0].reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
     assert [visit.ident for visit in world.machine.visits] == ["a", "b"]
     first.leave()
@@ -300,7 +301,7 @@
     assert [visit.ident for visit in world.machine.visits] == ["a", "b"]
     assert world.replies == [("unreached", 0.0)]
     asks[2].leave()
-    world.machine.visits[0].reply(Verdict.SERVED, "x")
+    world.machine.visits[0].reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
     asks[1].leave()
     world.time.play(0.1)
@@ -330,11 +331,11 @@
     calls = world.registry.calls
     world.time.play(10.0)
     assert [(c.index, c.wait) for c in calls] == [(1, 50.0)]
-    other = Listed("n2", "m:2")
-    calls[0].done(Answer(2, False, (Line(other, "ready", 0.0, 0),)))
+    other = RegisteredNode("n2", "m:2")
+    calls[0].done(ListReply(2, False, (EndpointEntry(other, "ready", 0.0, 0),)))
     world.time.play(0.1)
     assert world.sidecar.pool.addresses == {"n": "m:1", "n2": "m:2"} and calls[1].index == 2
-    calls[1].done(Answer(3, False, (Line(other, "gone", 0.0, 0),)))
+    calls[1].done(ListReply(3, False, (EndpointEntry(other, "gone", 0.0, 0),)))
     world.time.play(0.1)
     assert "n2" not in world.sidecar.pool.addresses
     calls[2].done(None)
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -10,7 +10,8 @@
 import pytest
 
 from tests.lab.peers import Book
-from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
+from wheatring.lab.models.discovery import ListReply, ListRequest, Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.net import VirtualTime
 from wheatring.lab.plan import DiscoveryPlan
 
@@ -28,8 +29,8 @@
         self.registry = Registry(DiscoveryPlan(**figures), self.time, self.unix, Random(seed), book, kept)
         self.names = [f"n{number}" for number in range(nodes)]
         for name in self.names:
-            self.registry.add(Listed(name, f"127.0.1.1:80{name[1:]}", "room", "fast", 0, 0.0))
-        self.answers: list[tuple[float, str, Answer | None]] = []
+            self.registry.add(RegisteredNode(name, f"127.0.1.1:80{name[1:]}", "room", "fast", 0, 0.0))
+        self.answers: list[tuple[float, str, ListReply | None]] = []
 
     def run(self, seconds: float) -> None:
         self.time.run(self.time.now() + seconds)
@@ -37,10 +38,10 @@
     def unix(self) -> float:
         return EPOCH + self.time.now()
 
-    def call(self, sidecar: str = "s1", index: int | None = None, wait: float = 0.0) -> Call:
+    def call(self, sidecar: str = "s1", index: int | None = None, wait: float = 0.0) -> ListRequest:
         return self.registry.call(sidecar, index, wait, partial(self.answered, sidecar))
 
-    def answered(self, sidecar: str, answer: Answer | None) -> None:
+    def answered(self, sidecar: str, answer: ListReply | None) -> None:
         self.answers.append((round(self.time.now(), 6), sidecar, answer))
 
     def get(self, index: int | None = None, within: float = 1.0) -> dict[str, str] | None:
@@ -50,7 +51,7 @@
         return states(self.answers.pop()[2])
 
 
-def states(answer: Answer | None) -> dict[str, str] | None:
+def states(answer: ListReply | None) -> dict[str, str] | None:
     return None if answer is None else {line.node.name: line.state for line in answer.lines}
 
 
@@ -121,7 +122,7 @@
         if version not in versions:
             versions[version], since[version] = dict(state), town.time.now()
 
-    def answered(held: int | None, answer: Answer | None) -> None:
+    def answered(held: int | None, answer: ListReply | None) -> None:
         nonlocal resets, too_old, deltas
         assert answer is not None
         lines = states(answer) or {}
@@ -191,7 +192,7 @@
     town.call("short", 1, 3.0)
     town.call("long", 1, 1000.0)
     town.time.run(170.0)
-    empty = Answer(1, False, ())
+    empty = ListReply(1, False, ())
     assert town.answers == [(103.01, "short", empty), (160.01, "long", empty)]
     assert town.book.timed("asking") == [(100.0, "short", 3.0), (100.0, "long", 60.0)]
     assert not town.time.pending()
@@ -285,7 +286,7 @@
 
 def test_each_tier_has_a_list_of_its_own_in_one_service() -> None:
     town = Town()
-    town.registry.add(Listed("b0", "127.0.2.1:80", tier=1), up=False)
+    town.registry.add(RegisteredNode("b0", "127.0.2.1:80", tier=1), up=False)
     town.registry.serve("n0", 1)
     town.call("s1", 1, 20.0)
     town.call("n0")
--- a/tests/lab/test_machine.py
+++ b/tests/lab/test_machine.py
@@ -11,11 +11,16 @@
 
 from tests.lab.machine_world import RULES, World
 from wheatring.lab.models.machine_faults import begin, end
-from wheatring.lab.models.received_attempt import Verdict, Visit
-from wheatring.lab.models.slow_start import Pressure
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
+from wheatring.lab.models.slow_start import OverloadDetector
 from wheatring.lab.plan import ChokePlan, ClassPlan, EventKind, EventPlan
 
-SERVED, ERROR, AWAY, RESET = Verdict.SERVED, Verdict.ERROR, Verdict.AWAY, Verdict.RESET
+SERVED, ERROR, REJECTED, RESET = (
+    AttemptOutcome.SERVED,
+    AttemptOutcome.ERROR,
+    AttemptOutcome.REJECTED,
+    AttemptOutcome.RESET,
+)
 
 
 class Under:
@@ -24,7 +29,7 @@
     def __init__(self) -> None:
         self.calls: list[tuple[float, Callable[[bool], None]]] = []
 
-    def __call__(self, visit: Visit, left: float, done: Callable[[bool], None]) -> None:
+    def __call__(self, visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
         self.calls.append((left, done))
 
     def end(self, served: bool = True) -> None:
@@ -39,14 +44,16 @@
     world = World(cores=1, slots=1, queue=1)
     for name in "abc":
         world.send(name, 1.0)
-    stranger = Visit("unknown", "s1", 0.0, 0.0, lambda verdict, stamp: world.ended.append((0, "x", verdict)))
+    stranger = ReceivedAttempt(
+        "unknown", "s1", 0.0, 0.0, lambda verdict, stamp: world.ended.append((0, "x", verdict))
+    )
     world.machine.visit(stranger)
-    assert world.run(0.0) == [(0, "c", AWAY), (0, "x", AWAY)]
+    assert world.run(0.0) == [(0, "c", REJECTED), (0, "x", REJECTED)]
     assert (world.machine.in_work, world.machine.waiting) == (1, 1)
     assert world.run(1.5) == [(1, "a", SERVED)]
     world.machine.drain()
     world.send("d", 1.0)  # there is room, but not for it
-    assert world.run(9.0) == [(1.5, "d", AWAY), (2, "b", SERVED)]
+    assert world.run(9.0) == [(1.5, "d", REJECTED), (2, "b", SERVED)]
     # Turned away or not, it was offered; only what had room has worked.
     assert len(world.noted.of("offered")) == 4
     assert world.work_of() == {"a": 1.0, "b": 1.0}
@@ -86,7 +93,7 @@
 def test_calls_and_the_noise_of_attempts_have_their_means() -> None:
     made: list[float] = []
 
-    def below(visit: Visit, left: float, done: Callable[[bool], None]) -> None:
+    def below(visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
         made.append(left)
         done(True)
 
@@ -167,7 +174,7 @@
 def test_a_cold_process_is_pushed_over_by_more_than_its_multiple(
     offers: list[tuple[float, float]], falls: bool
 ) -> None:
-    pressure = Pressure(RULES)
+    pressure = OverloadDetector(RULES)
     told = [pressure.offer(100.0 + at, work, 2.0) for at, work in offers]
     assert told == [False] * (len(offers) - 1) + [falls]
 
@@ -178,7 +185,7 @@
     world.machine.on_fallen = lambda: fell.append(world.time.now())
     for name in "abcdef":  # 0.2 * 2.5 is 0.5 in a second, and one is left out
         world.send(name, 0.1)
-    assert not fell and world.run(0.0) == [(0, name, AWAY) for name in "bcdef"]
+    assert not fell and world.run(0.0) == [(0, name, REJECTED) for name in "bcdef"]
     world.send("g", 0.1)
     assert fell == [0.0] and world.machine.fallen and not world.machine.running
     assert world.machine.connect() is None
@@ -337,7 +344,7 @@
     assert world.run(5.0) == [] and len(world.machine.held) == 5 and world.machine.work_done == 0.75
     end(world.machine, again)
     # In the order in which it came: the call that had failed, then those that find one slot.
-    assert world.ended == [(5, "calls", ERROR), (5, "b", AWAY), (5, "c", AWAY)]
+    assert world.ended == [(5, "calls", ERROR), (5, "b", REJECTED), (5, "c", REJECTED)]
     world.run(5.6)
     assert len(under.calls) == 2  # of "works" at 5.25 and of "a" at 5.5
     under.end()
@@ -349,16 +356,16 @@
     ("kind", "verdict", "both", "one", "works"),
     [
         ("fast_errors", ERROR, 0.65 + 0.35 * 0.1, 0.3 + 0.7 * 0.1, 0.0),
-        ("spoilt", Verdict.SPOILT, 0.65 * 0.9, 0.3 * 0.9, 0.1),
+        ("spoilt", AttemptOutcome.MALFORMED, 0.65 * 0.9, 0.3 * 0.9, 0.1),
         ("resets", RESET, 0.65, 0.3, 0.05),
     ],
 )
 def test_shares_of_overlapping_troubles_join(
-    kind: EventKind, verdict: Verdict, both: float, one: float, works: float
+    kind: EventKind, verdict: AttemptOutcome, both: float, one: float, works: float
 ) -> None:
     world = World(cores=4000, slots=4000, error_rate=0.1)
 
-    def share(verdict: Verdict) -> Any:
+    def share(verdict: AttemptOutcome) -> Any:
         for _ in range(4000):
             world.send("x", 0.1)
         ended = world.run(world.time.now() + 1.0)
@@ -396,7 +403,7 @@
 def test_whatever_happens_each_visit_ends_once_and_all_work_is_told(seed: int) -> None:
     random = Random(seed)
 
-    def below(visit: Visit, left: float, done: Callable[[bool], None]) -> None:
+    def below(visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
         at(world.time.now() + 0.05, done, random.random() < 0.95)
 
     def arrives(name: str) -> None:
--- a/tests/lab/test_machine_cpu.py
+++ b/tests/lab/test_machine_cpu.py
@@ -11,8 +11,8 @@
 
 from tests.lab.machine_world import World
 from wheatring.lab.models.cpu import Cpu
-from wheatring.lab.models.received_attempt import Verdict
-from wheatring.lab.models.slow_start import Warming
+from wheatring.lab.models.received_attempt import AttemptOutcome
+from wheatring.lab.models.slow_start import CapacityRamp
 from wheatring.lab.net.time import VirtualTime
 
 STEP = 0.01
@@ -26,7 +26,7 @@
 
 
 def left_by_steps(
-    deeds: Deeds, cores: int, speed: float, warming: Warming | None, start: float
+    deeds: Deeds, cores: int, speed: float, warming: CapacityRamp | None, start: float
 ) -> list[list[float]]:
     """What is left of each request at the end of each step."""
     left: list[float] = []
@@ -56,7 +56,7 @@
     time = VirtualTime(start)
     done: list[int] = []
     cpu: Cpu[int] = Cpu(time, cores, speed, done.append)
-    warming = Warming(start, 0.13, 3.0) if cold else None
+    warming = CapacityRamp(start, 0.13, 3.0) if cold else None
     cpu.restart(warming)
     history = left_by_steps(deeds, cores, speed, warming, start)
     marks: list[float] = []
@@ -97,4 +97,4 @@
     assert len(times) == count
     assert sum(times) / count == pytest.approx(1.0 / (1.0 - load), rel=0.08)
     assert world.machine.work_done == pytest.approx(offered)
-    assert {verdict for _, _, verdict in ended} == {Verdict.SERVED}
+    assert {verdict for _, _, verdict in ended} == {AttemptOutcome.SERVED}
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/test_wire_peers.py
@@ -29,7 +29,7 @@
 from tests.world import reactor
 from wheatring.core.clock import Clock
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.received_attempt import Verdict
+from wheatring.lab.models.received_attempt import AttemptOutcome
 from wheatring.lab.net.transports import Transport
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import DiscoveryPlan
@@ -222,7 +222,7 @@
 
 def test_each_verdict_has_its_form() -> None:
     field = Field()
-    verdicts = [Verdict.ERROR, Verdict.AWAY, Verdict.RESET, Verdict.SPOILT]
+    verdicts = [AttemptOutcome.ERROR, AttemptOutcome.REJECTED, AttemptOutcome.RESET, AttemptOutcome.MALFORMED]
     lines = []
     for field.machine.verdict in verdicts:
         lines.append(field.dial(field.form()))
@@ -266,7 +266,7 @@
     line.transport.write(field.form())
     field.run(12.0)
     assert line.why is None
-    field.machine.visits[1].reply(Verdict.SERVED, "late")
+    field.machine.visits[1].reply(AttemptOutcome.SERVED, "late")
     field.run(4.999)
     assert line.why is None and line.data.endswith(b"late")
     field.run(0.0015)
@@ -290,7 +290,7 @@
     assert [entry[0] for entry in field.book.log] == ["sending", "arrived", "ended"]
     assert field.machine.open == 0 and line.why is not None
     for visit in field.machine.visits:
-        visit.reply(Verdict.SERVED, "for nobody")
+        visit.reply(AttemptOutcome.SERVED, "for nobody")
 
 
 def test_a_full_table_leaves_connects_without_an_answer() -> None:
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -18,13 +18,21 @@
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
 from wheatring.lab.direct.node import DirectNode
-from wheatring.lab.models.received_attempt import Verdict, Visit
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 
 # Looked up once: an enum takes its time.
 SERVED, CONNECT_FAILED, RESET = Outcome.SERVED, Outcome.CONNECT_FAILED, Outcome.RESET
-VERDICT_SERVED, VERDICT_AWAY, VERDICT_RESET = Verdict.SERVED, Verdict.AWAY, Verdict.RESET
+ATTEMPT_SERVED, ATTEMPT_REJECTED, ATTEMPT_RESET = (
+    AttemptOutcome.SERVED,
+    AttemptOutcome.REJECTED,
+    AttemptOutcome.RESET,
+)
 # Of answers that leave a clean connection; any other can't be read.
-OUTCOMES = {Verdict.SERVED: SERVED, Verdict.AWAY: Outcome.REJECTED, Verdict.ERROR: Outcome.ERROR}
+OUTCOMES = {
+    AttemptOutcome.SERVED: SERVED,
+    AttemptOutcome.REJECTED: Outcome.REJECTED,
+    AttemptOutcome.ERROR: Outcome.ERROR,
+}
 
 
 class DirectConnection:
@@ -66,7 +74,7 @@
         self.is_alive = False
         self.idle_since = 0.0
         self.arrival = 0.0  # of what was last sent on it
-        self.visit: Visit | None = None
+        self.visit: ReceivedAttempt | None = None
         self.has_begun = False  # the visit is at the machine
         self.handshake = 0.0  # seconds that it still costs the first request
         self.node_idle = 0.0
@@ -138,31 +146,31 @@
         now = pool.time.instant
         left = int((attempt.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
         pool.book.sending(pool.name, self.node.name, now)
-        visit = Visit(attempt.request.correlation_id, pool.name, left, now, self.reply)
+        visit = ReceivedAttempt(attempt.request.correlation_id, pool.name, left, now, self.reply)
         self.arrival = self.forward.send(self.arrival, self.node.request, self, visit)
 
-    def reply(self, verdict: Verdict, stamp: str) -> None:
+    def reply(self, verdict: AttemptOutcome, stamp: str) -> None:
         """At the node: answer the visit, or reset the connection."""
         node = self.node
         visit, self.visit = self.visit, None
         if visit is None:
             return
         self.has_begun = False
-        if verdict is VERDICT_RESET:
+        if verdict is ATTEMPT_RESET:
             node.close(self)
             return
-        if verdict is VERDICT_AWAY:
+        if verdict is ATTEMPT_REJECTED:
             node.book.turned_away(node.name, visit.ident)
         self.node_idle = node.time.instant
         self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, verdict, stamp)
 
-    def answered(self, verdict: Verdict, stamp: str) -> None:
+    def answered(self, verdict: AttemptOutcome, stamp: str) -> None:
         """End the attempt with the node's verdict."""
         attempt = self.attempt
         if attempt is None or self.pool.clock.over:
             return
         self.attempt = None
-        if verdict is VERDICT_SERVED:
+        if verdict is ATTEMPT_SERVED:
             outcome: Outcome | None = SERVED
         else:
             outcome = OUTCOMES.get(verdict)
--- a/wheatring/lab/direct/endpoint_list.py
+++ b/wheatring/lab/direct/endpoint_list.py
@@ -17,7 +17,7 @@
 from wheatring.http1.endpoint_list import EndpointList
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
-from wheatring.lab.models.endpoint_list_json import as_json
+from wheatring.lab.models.endpoint_list_json import list_reply_json
 from wheatring.lifecycle.freshness import Freshness
 from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
 
@@ -195,7 +195,7 @@
 
     def decode(self, answer: Any) -> object:
         """Return the answer as its JSON is read."""
-        return as_json(answer)
+        return list_reply_json(answer)
 
     def kill(self) -> None:
         """Close all calls in flight, as the process has ended, without any callback."""
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -12,8 +12,8 @@
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.next_tier import Calls
-from wheatring.lab.models.received_attempt import Below
+from wheatring.lab.models.next_tier import NextTierClient
+from wheatring.lab.models.received_attempt import NextTierCall
 from wheatring.lab.plan import EventPlan, NodePlan
 from wheatring.lab.world.ground import CLIENTS, DISCOVERY, PORT, side_hosts, zones
 
@@ -51,9 +51,11 @@
 
     # Nodes
 
-    def below(self, node: NodePlan) -> Below:
+    def below(self, node: NodePlan) -> NextTierCall:
         """Return the node's calls through its own sidecar."""
-        return Calls(node.name, lambda: self.way, self.world.origins, self.world.sizes(node), self.time)
+        return NextTierClient(
+            node.name, lambda: self.way, self.world.origins, self.world.sizes(node), self.time
+        )
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
         """Have a node accept connections at its address."""
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -6,7 +6,7 @@
 
 from wheatring.lab.book import Book
 from wheatring.lab.direct.links import Links
-from wheatring.lab.models.received_attempt import Visit
+from wheatring.lab.models.received_attempt import ReceivedAttempt
 from wheatring.lab.plan import TierPlan
 from wheatring.lab.timers import PlayedTime
 
@@ -14,7 +14,7 @@
     from wheatring.lab.direct.connection_pool import DirectConnection
 
 
-class Troubles(Protocol):
+class MachineFaults(Protocol):
     """The part of a machine's faults that its server uses."""
 
     refusing: bool
@@ -32,7 +32,7 @@
     running: bool
 
     @property
-    def troubles(self) -> Troubles:
+    def troubles(self) -> MachineFaults:
         """The machine's present faults."""
 
     def connect(self) -> float | None:
@@ -41,10 +41,10 @@
     def disconnect(self) -> None:
         """Release a connection."""
 
-    def visit(self, visit: Visit) -> None:
+    def visit(self, visit: ReceivedAttempt) -> None:
         """Process a request."""
 
-    def abandoned(self, visit: Visit) -> None:
+    def abandoned(self, visit: ReceivedAttempt) -> None:
         """Handle that a request's connection was closed before its response."""
 
 
@@ -94,7 +94,7 @@
 
     # Requests
 
-    def request(self, connection: DirectConnection, visit: Visit) -> None:
+    def request(self, connection: DirectConnection, visit: ReceivedAttempt) -> None:
         """Handle the last byte of a request, unless its connection has been closed on this side."""
         if connection not in self.connections:
             return
@@ -108,7 +108,7 @@
             connection.has_begun = True
             self.machine.visit(visit)
 
-    def start_visit(self, connection: DirectConnection, visit: Visit) -> None:
+    def start_visit(self, connection: DirectConnection, visit: ReceivedAttempt) -> None:
         """Start the visit, as the handshake is over."""
         if connection.visit is visit:
             connection.has_begun = True
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -10,7 +10,7 @@
 from wheatring.core.exchange import Answer, AnswerKind, Request
 from wheatring.lab.book import Book, ResponseKind
 from wheatring.lab.direct.links import Links
-from wheatring.lab.models.request_transport import Done
+from wheatring.lab.models.request_transport import ResponseCallback
 from wheatring.lab.timers import PlayedTime
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
 
     def __init__(
         self, client: DirectSidecarClient, sidecar: str, ident: str, index: int, until: float, key: str,
-        repeat: bool, done: Done,
+        repeat: bool, done: ResponseCallback,
     ) -> None:  # fmt: skip
         self.client = client
         self.sidecar = sidecar
@@ -170,7 +170,14 @@
         self.waiting: dict[str, deque[DirectRequest]] = {name: deque() for name in max_connections or ()}
 
     def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,
+        left: float,
+        key: str,
+        repeat: bool,
+        done: ResponseCallback,
     ) -> DirectRequest:
         """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
         request = DirectRequest(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -8,7 +8,7 @@
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
 from wheatring.lab.live.sidecar_slots import SidecarSlot, SidecarSlots
-from wheatring.lab.models.front_load_balancer import Front
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.plan import EventPlan
 
 
@@ -18,7 +18,9 @@
     `ready` is called once all sidecars of the start listen, `failed` if one of them can't.
     """
 
-    def __init__(self, nodes: Nodes, slots: SidecarSlots, front: Front, wires: Wires | None = None) -> None:
+    def __init__(
+        self, nodes: Nodes, slots: SidecarSlots, front: FrontLoadBalancer, wires: Wires | None = None
+    ) -> None:
         self.wires = wires
         self.nodes = nodes
         self.slots = slots
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -16,10 +16,11 @@
 from wheatring.core.clock import Clock
 from wheatring.lab.book import Book
 from wheatring.lab.live.links.wires import Wires
-from wheatring.lab.models.deduplication import Effects
-from wheatring.lab.models.discovery import Listed, Registry
+from wheatring.lab.models.deduplication import EffectDeduplicator
+from wheatring.lab.models.discovery import Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.next_tier import Calls
+from wheatring.lab.models.next_tier import NextTierClient
 from wheatring.lab.models.traffic import sizes
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
@@ -75,18 +76,18 @@
         for tier in range(len(plan.tiers) - 1):
             self.callers.append([(node.name, node.zone) for node in plan.nodes if node.tier == tier])
         self.ways: dict[str, SidecarClient] = {}  # of nodes that run, into their own sidecars
-        effects = Effects(clock, plan.classes, book)
+        effects = EffectDeduplicator(clock, plan.classes, book)
         self.nodes = {node.name: self._node(node, effects) for node in plan.nodes}
         self.on_fallen: Callable[[str], object] = lambda _name: None
 
-    def _node(self, node: NodePlan, effects: Effects) -> Node:
+    def _node(self, node: NodePlan, effects: EffectDeduplicator) -> Node:
         plan, tier = self.plan, self.plan.tiers[node.tier]
         calls, mean = None, 0.0
         if node.tier + 1 < len(plan.tiers):
             drawn = Random(f"{plan.seed}:calls:{node.name}")
             draws = [sizes(drawn, each) for each in plan.classes]
             way = partial(self.ways.get, node.name)
-            calls = Calls(node.name, way, self.origins, draws, self.clock)
+            calls = NextTierClient(node.name, way, self.origins, draws, self.clock)
             mean = plan.tiers[node.tier + 1].calls
         machine = Machine(
             node, tier, node.tier, plan.classes, self.clock, Random(f"{plan.seed}:node:{node.name}"),
@@ -103,7 +104,7 @@
             )  # fmt: skip
         return made
 
-    def address(self, sidecar: str, node: Listed) -> str:
+    def address(self, sidecar: str, node: RegisteredNode) -> str:
         """Return where a sidecar finds an endpoint that has been up, as HOST:PORT."""
         host = self.hosts[node.name]
         if self.wires is not None:
@@ -119,7 +120,7 @@
         kind = self.plan.tiers[node.tier].kinds[node.kind].name
         if node.up:
             self._run(self.nodes[name], cold=False)
-        listed = Listed(name, "", node.zone, kind, node.cell, 0.0, node.tier)
+        listed = RegisteredNode(name, "", node.zone, kind, node.cell, 0.0, node.tier)
         self.registry.add(listed, node.up)
 
     def start(self, name: str) -> None:
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -33,7 +33,7 @@
 from wheatring.lab.live.watch import Watch, Watched
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.front_load_balancer import Front
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import NetPlan, Plan
@@ -86,7 +86,7 @@
             structs.replace(plan, net=LINKS), "live", clock.now, float("inf"), family=self.origins.first
         )
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.book)
-        self.front = Front(clock, self.random("front"), plan.front_notice)
+        self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
         self.wires = wires_of(plan) if wired or any(e.kind in LINK_EVENTS for e in plan.events) else None
         self.nodes = Nodes(
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -15,7 +15,7 @@
 from wheatring.lab.live.sidecar import Sidecar, configuration, port_in
 from wheatring.lab.live.watch import Watch
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.endpoint_list_json import as_json
+from wheatring.lab.models.endpoint_list_json import list_reply_json
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import Ledger
 from wheatring.lab.settings import sidecar_settings
@@ -143,7 +143,9 @@
             sidecar_settings(self.plan, slot.tier, slot.number, slot.copies),
             Random(f"{self.plan.seed}:sidecar:{slot.name}").getrandbits(64),
             limits={"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-            known=as_json(self.registry.held(slot.tier, self.plan.held), partial(self.address, slot.name)),
+            known=list_reply_json(
+                self.registry.held(slot.tier, self.plan.held), partial(self.address, slot.name)
+            ),
         )
 
     def discovery(self, slot: SidecarSlot) -> str:
--- a/wheatring/lab/models/attempt_execution.py
+++ b/wheatring/lab/models/attempt_execution.py
@@ -4,19 +4,19 @@
 
 from typing import TYPE_CHECKING
 
-from wheatring.lab.models.received_attempt import Visit
+from wheatring.lab.models.received_attempt import ReceivedAttempt
 from wheatring.lab.origins import Origin
 
 if TYPE_CHECKING:
     from wheatring.lab.models.machine import Machine
 
 
-class Stay:
+class AttemptExecution:
     """A visit that the machine holds."""
 
     __slots__ = ("breaks", "calls", "done", "machine", "mark", "origin", "over", "part", "rest", "visit")
 
-    def __init__(self, machine: Machine, visit: Visit, origin: Origin, work: float) -> None:
+    def __init__(self, machine: Machine, visit: ReceivedAttempt, origin: Origin, work: float) -> None:
         self.machine = machine
         self.visit = visit
         self.origin = origin
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -6,17 +6,22 @@
 from random import Random
 
 from wheatring.lab.book import Book, FirstTryEnd
-from wheatring.lab.models.front_load_balancer import Front
-from wheatring.lab.models.request_transport import LINGER, Asked, ReplyKind, Way
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
+from wheatring.lab.models.request_transport import (
+    LATE_ANSWER_WAIT,
+    PendingRequest,
+    RequestOutcome,
+    RequestTransport,
+)
 from wheatring.lab.models.traffic import Traffic
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import Plan
 from wheatring.lab.timers import Timer, Timers
 
-LEAST = 0.001  # seconds left below which no further try is made: none could be stated on the wire
+MIN_TRY_TIME = 0.001  # seconds left below which no further try is made: none could be stated on the wire
 
 # How a first try ends whose last try ended so.
-ENDS: dict[ReplyKind, FirstTryEnd] = {
+FIRST_TRY_ENDS: dict[RequestOutcome, FirstTryEnd] = {
     "served": "served",
     "refused": "refused",
     "failed": "failed",
@@ -31,7 +36,14 @@
     """
 
     def __init__(
-        self, plan: Plan, timers: Timers, random: Random, origins: Origins, book: Book, front: Front, way: Way
+        self,
+        plan: Plan,
+        timers: Timers,
+        random: Random,
+        origins: Origins,
+        book: Book,
+        front: FrontLoadBalancer,
+        way: RequestTransport,
     ) -> None:
         self.classes = plan.classes
         self.plan = plan.clients
@@ -88,7 +100,7 @@
         self.honours = plan.honour >= 1 or (plan.honour > 0 and clients.random.random() < plan.honour)
         self.jitter = clients.jitter()
         self.patience = clients.patience()
-        self.asked: Asked | None = None
+        self.asked: PendingRequest | None = None
         self.timer: Timer | None = None
 
     def attempt(self) -> None:
@@ -121,7 +133,7 @@
             partial(self.answered, self.tries),
         )
 
-    def answered(self, number: int, kind: ReplyKind, retry_after: float) -> None:
+    def answered(self, number: int, kind: RequestOutcome, retry_after: float) -> None:
         if self.asked is None or number != self.tries:
             return  # out of time when it came
         if self.timer is not None:
@@ -137,7 +149,7 @@
         asked, self.asked = self.asked, None
         timers = self.clients.timers
         if asked is not None:
-            timers.at(timers.now() + LINGER, asked.leave)
+            timers.at(timers.now() + LATE_ANSWER_WAIT, asked.leave)
         self.timer = None
         self.again(None, 0.0)
 
@@ -152,12 +164,12 @@
         if asked is not None:
             asked.leave()
 
-    def again(self, kind: ReplyKind | None, retry_after: float) -> None:
+    def again(self, kind: RequestOutcome | None, retry_after: float) -> None:
         """Try again, where a client may and has the time, else that was the end. None: out of time."""
         clients, plan = self.clients, self.clients.plan
         if kind != "refused" and kind != "unreached" and self.may_have_run is None:
             self.may_have_run = self.began
-        end: FirstTryEnd = "timeout" if kind is None else ENDS[kind]
+        end: FirstTryEnd = "timeout" if kind is None else FIRST_TRY_ENDS[kind]
         if self.tries > plan.retries:
             self.settle(end)
             return
@@ -169,7 +181,7 @@
         if self.honours:
             wait = max(wait, min(retry_after, plan.max_retry_after))
         at = clients.timers.now() + wait
-        if at + LEAST > self.deadline or not self.repeatable(at):
+        if at + MIN_TRY_TIME > self.deadline or not self.repeatable(at):
             self.settle(end)
         elif wait:
             clients.timers.at(at, self.attempt)
--- a/wheatring/lab/models/cpu.py
+++ b/wheatring/lab/models/cpu.py
@@ -11,11 +11,11 @@
 from heapq import heappop, heappush
 from typing import Generic, TypeVar
 
-from wheatring.lab.models.slow_start import Warming
+from wheatring.lab.models.slow_start import CapacityRamp
 from wheatring.lab.timers import Timer, Timers
 
 T = TypeVar("T")
-NEAR = 1e-9  # seconds of work: what is left of a request by rounding counts as done
+ROUNDING_TOLERANCE = 1e-9  # seconds of work: what is left of a request by rounding counts as done
 
 
 class Cpu(Generic[T]):
@@ -38,7 +38,7 @@
         self.done = done
         self.watch: Callable[[int], object] | None = None
         self.factor = 1.0
-        self.warming: Warming | None = None
+        self.warming: CapacityRamp | None = None
         self._heap: list[tuple[float, int, T | None]] = []
         self._seq = 0
         self._v = 0.0  # the virtual clock, and when it was last set
@@ -78,7 +78,7 @@
             if not self._firing:
                 self._rerate()
 
-    def restart(self, warming: Warming | None) -> None:
+    def restart(self, warming: CapacityRamp | None) -> None:
         """Forgets all requests; from now on capacity is as of a new process."""
         self._advance()
         self._heap.clear()
@@ -151,7 +151,7 @@
         heap = self._heap
         if not heap or self._rate <= 0.0:
             return
-        now, reach = self._last, self._v + NEAR
+        now, reach = self._last, self._v + ROUNDING_TOLERANCE
         over: list[T] = []
         # The second test guards against a clock so coarse that a timer for the rest would come due at once.
         while heap and (heap[0][0] <= reach or self._when(heap[0][0]) <= now):
--- a/wheatring/lab/models/deduplication.py
+++ b/wheatring/lab/models/deduplication.py
@@ -10,7 +10,7 @@
 from wheatring.lab.timers import Timers
 
 
-class Effects:
+class EffectDeduplicator:
     """Shared by all nodes of a tier, which see one another's effects at once.
 
     A repeat of a key within its class's window, counted from the run that had the effect, has none. It is
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -9,30 +9,33 @@
 from typing import Literal, NamedTuple
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.endpoint_list_history import KEPT, Line, Listed, Listing
-from wheatring.lab.models.node_status_table import Knowledge, Lie
+from wheatring.lab.models.endpoint_list_history import (
+    KEPT_VERSIONS,
+    EndpointEntry,
+    EndpointListHistory,
+    RegisteredNode,
+)
+from wheatring.lab.models.node_status_table import FalseReports, NodeStatusTable
 from wheatring.lab.plan import DiscoveryPlan, Held
 from wheatring.lab.timers import Timer, Timers
 
-__all__ = ["MOST_WAIT", "Answer", "Call", "Done", "Line", "Listed", "Registry", "Trouble"]
+MAX_WAIT = 60.0  # seconds for which a call may ask to wait at most
 
-MOST_WAIT = 60.0  # seconds for which a call may ask to wait at most
+DiscoveryFault = Literal["down", "silent", "slow", "stale", "lies", "breaks"]
 
-Trouble = Literal["down", "silent", "slow", "stale", "lies", "breaks"]
 
-
-class Answer(NamedTuple):
+class ListReply(NamedTuple):
     """What a call brought: the whole list without those that are gone (`reset`), or what changed."""
 
     generation: int
     reset: bool
-    lines: tuple[Line, ...]
+    lines: tuple[EndpointEntry, ...]
 
 
-Done = Callable[[Answer | None], None]  # None: the call has failed
+ListReplyCallback = Callable[[ListReply | None], None]  # None: the call has failed
 
 
-class Call:
+class ListRequest:
     """A sidecar's call to discovery. It ends once: by its `done`, or by being cancelled."""
 
     __slots__ = (
@@ -41,7 +44,13 @@
     )  # fmt: skip
 
     def __init__(
-        self, registry: Registry, sidecar: str, listing: Listing, index: int | None, until: float, done: Done
+        self,
+        registry: Registry,
+        sidecar: str,
+        listing: EndpointListHistory,
+        index: int | None,
+        until: float,
+        done: ListReplyCallback,
     ) -> None:
         self.registry = registry
         self.sidecar = sidecar
@@ -82,17 +91,17 @@
         unix: Callable[[], float],
         random: Random,
         book: Book,
-        kept: int = KEPT,
+        kept: int = KEPT_VERSIONS,
     ) -> None:
         self.plan = plan
         self.timers = timers
         self.random = random
         self.book = book
-        self.knowledge = Knowledge(plan, timers, unix, random, book, kept)
+        self.knowledge = NodeStatusTable(plan, timers, unix, random, book, kept)
         self.knowledge.changed = self._changed
         self.tiers: dict[str, int] = {}
-        self.open: dict[Call, None] = {}  # in the order in which they came
-        self.line: deque[Call] = deque()
+        self.open: dict[ListRequest, None] = {}  # in the order in which they came
+        self.line: deque[ListRequest] = deque()
         self.turn: Timer | None = None
         self.on_down: list[Callable[[bool], None]] = []
         self.downs = 0
@@ -106,7 +115,7 @@
         """The sidecar sends to that tier and gets its list; one that was never named gets the first one's."""
         self.tiers[sidecar] = tier
 
-    def add(self, node: Listed, up: bool = True) -> None:
+    def add(self, node: RegisteredNode, up: bool = True) -> None:
         """A node, at the start of the day. One that is not up is listed once it has been started."""
         self.knowledge.add(node, up)
 
@@ -126,13 +135,15 @@
         """Its machine has fallen silent."""
         self.knowledge.vanished(name)
 
-    def held(self, tier: int, how: Held) -> Answer:
+    def held(self, tier: int, how: Held) -> ListReply:
         """The list with which a sidecar of that tier starts: as it is now, as it was at first, or none."""
         if how == "none":
-            return Answer(0, True, ())
+            return ListReply(0, True, ())
         listing = self.knowledge.listing(tier)
         version = listing.view(1 if how == "old" else listing.version)
-        return Answer(version, True, tuple([line for line in listing.whole(version) if line.state != "gone"]))
+        return ListReply(
+            version, True, tuple([line for line in listing.whole(version) if line.state != "gone"])
+        )
 
     # Calls
 
@@ -141,14 +152,14 @@
         """It is down: who attaches it to a network refuses connects, and resets what is open."""
         return self.downs > 0
 
-    def call(self, sidecar: str, index: int | None, wait: float, done: Done) -> Call:
+    def call(self, sidecar: str, index: int | None, wait: float, done: ListReplyCallback) -> ListRequest:
         """Ask for the whole list (`index` None), or for what is newer than a version, for which the call may
         wait so many seconds. `done` is never called from within this.
         """
         now = self.timers.now()
-        wait = min(max(0.0, wait), MOST_WAIT)
+        wait = min(max(0.0, wait), MAX_WAIT)
         listing = self.knowledge.listing(self.tiers.get(sidecar, 0))
-        call = Call(self, sidecar, listing, index, now + wait, done)
+        call = ListRequest(self, sidecar, listing, index, now + wait, done)
         self.open[call] = None
         self.book.asking(sidecar, wait)
         if self.downs:
@@ -173,7 +184,7 @@
         self.book.asking(sidecar, 0.0)
         self.book.unheard(sidecar, True)
 
-    def close(self, call: Call, failed: bool = False) -> None:
+    def close(self, call: ListRequest, failed: bool = False) -> None:
         """End a call, for the book; who waits for its answer is told elsewhere."""
         call.over = True
         call.set(None)
@@ -182,23 +193,23 @@
             self.line.remove(call)
         self.book.unheard(call.sidecar, failed)
 
-    def _changed(self, listing: Listing) -> None:
+    def _changed(self, listing: EndpointListHistory) -> None:
         for call in list(self.open):
             if call.listing is listing:
                 self._send_to(call, listing.version)
 
-    def _send_to(self, call: Call, version: int) -> None:
+    def _send_to(self, call: ListRequest, version: int) -> None:
         if call.lag:
             self.timers.at(call.listing.since[version - 1] + call.lag, self._reached, call, version)
         else:
             self._reached(call, version)
 
-    def _reached(self, call: Call, version: int) -> None:
+    def _reached(self, call: ListRequest, version: int) -> None:
         if not call.over:
             call.reach = max(call.reach, version)
             self._look(call)
 
-    def _look(self, call: Call) -> None:
+    def _look(self, call: ListRequest) -> None:
         """A call that has something to get takes its place in the line; a watch that has not waits on."""
         if call.stage != "waits":
             return
@@ -213,7 +224,7 @@
         elif call.timer is None:
             call.set(self.timers.at(call.until, self._queue, call))
 
-    def _queue(self, call: Call) -> None:
+    def _queue(self, call: ListRequest) -> None:
         call.stage = "queued"
         self.line.append(call)
         call.set(self.timers.at(self.timers.now() + self.plan.timeout, self._end, call, None))
@@ -233,7 +244,7 @@
             cost = (self.plan.call_lines + len(answer.lines)) / self.plan.lines_per_s * prod(self.factors)
             self.turn = self.timers.at(self.timers.now() + cost, self._written, call, answer, told)
 
-    def _enter(self, call: Call) -> None:
+    def _enter(self, call: ListRequest) -> None:
         """It has had the turn that it takes to come, and waits for news."""
         self.turn = None
         if not call.over:
@@ -242,18 +253,18 @@
             self._look(call)
         self._next()
 
-    def _answer(self, call: Call) -> tuple[Answer, list[Line]]:
+    def _answer(self, call: ListRequest) -> tuple[ListReply, list[EndpointEntry]]:
         """What the call gets, and what it is told by it: of a whole list, also who is missing."""
         listing, index, view = call.listing, call.index, call.listing.view(call.reach)
         if index is None or not listing.holds(index):
             told = listing.whole(view)
-            return Answer(view, True, tuple([line for line in told if line.state != "gone"])), told
+            return ListReply(view, True, tuple([line for line in told if line.state != "gone"])), told
         if index >= view:
-            return Answer(index, False, ()), []
+            return ListReply(index, False, ()), []
         told = listing.changes(index, view)
-        return Answer(view, False, tuple(told)), told
+        return ListReply(view, False, tuple(told)), told
 
-    def _written(self, call: Call, answer: Answer, told: list[Line]) -> None:
+    def _written(self, call: ListRequest, answer: ListReply, told: list[EndpointEntry]) -> None:
         self.turn = None
         if not call.over and any(self.random.random() < share for share in self.broken):
             call.broken = True
@@ -264,7 +275,7 @@
             self._end(call, answer)
         self._next()
 
-    def _end(self, call: Call, answer: Answer | None) -> None:
+    def _end(self, call: ListRequest, answer: ListReply | None) -> None:
         if not call.over:
             if answer is not None:
                 self.book.brought(call.sidecar)
@@ -273,7 +284,7 @@
 
     # Troubles
 
-    def begin(self, trouble: Trouble, size: float = 1.0) -> Callable[[], None]:
+    def begin(self, trouble: DiscoveryFault, size: float = 1.0) -> Callable[[], None]:
         """A trouble begins; what is returned ends it. Several may be on at once, of one kind too.
 
         down: calls fail, connects are refused. silent: calls that are open, or come while it is on, are never
@@ -294,9 +305,9 @@
         if trouble == "breaks":
             self.broken.append(size)
             return lambda: self.broken.remove(size)
-        return Lie(self.knowledge, size).end
+        return FalseReports(self.knowledge, size).end
 
-    def _hush(self) -> list[Call]:
+    def _hush(self) -> list[ListRequest]:
         """Nothing that is open now gets an answer any more."""
         if self.turn is not None:
             self.turn.cancel()
--- a/wheatring/lab/models/endpoint_list_history.py
+++ b/wheatring/lab/models/endpoint_list_history.py
@@ -8,10 +8,10 @@
 
 from wheatring.lab.book import NodeState
 
-KEPT = 256  # versions back to which changes are told; who holds an older one gets the whole list
+KEPT_VERSIONS = 256  # versions back to which changes are told; who holds an older one gets the whole list
 
 
-class Listed(NamedTuple):
+class RegisteredNode(NamedTuple):
     """A node as discovery is told of it at the start. `address` is host:port, `started` 0 for long ago."""
 
     name: str
@@ -23,43 +23,45 @@
     tier: int = 0  # the list on which it stands
 
 
-class Line(NamedTuple):
+class EndpointEntry(NamedTuple):
     """One line of an answer. `started` is an instant, `started_ms` that in Unix milliseconds; 0: long ago."""
 
-    node: Listed
+    node: RegisteredNode
     state: NodeState
     started: float
     started_ms: int
 
 
-class Listing:
+class EndpointListHistory:
     """Versions are counted from 1, which is what was listed at the start; each publication that changes
     anything makes the next.
     """
 
-    def __init__(self, kept: int = KEPT) -> None:
+    def __init__(self, kept: int = KEPT_VERSIONS) -> None:
         self.kept = kept
         self.version = 1
         self.pin: int | None = None  # nothing newer is told while it is set
         self.since: list[float] = [float("-inf")]  # instant at which each version became known
-        self.nodes: dict[str, Listed] = {}
-        self.past: dict[str, list[tuple[int, Line]]] = {}  # by node: the versions that changed it, rising
+        self.nodes: dict[str, RegisteredNode] = {}
+        self.past: dict[
+            str, list[tuple[int, EndpointEntry]]
+        ] = {}  # by node: the versions that changed it, rising
 
     @property
     def oldest(self) -> int:
         """The oldest version from which changes are still told."""
         return max(1, self.version - self.kept)
 
-    def add(self, node: Listed) -> None:
+    def add(self, node: RegisteredNode) -> None:
         """Known by name and address, and not listed yet."""
         self.nodes[node.name] = node
         self.past[node.name] = []
 
-    def list_first(self, line: Line) -> None:
+    def list_first(self, line: EndpointEntry) -> None:
         """Listed from the start."""
         self.past[line.node.name].append((1, line))
 
-    def publish(self, now: float, lines: Iterable[Line]) -> list[Line]:
+    def publish(self, now: float, lines: Iterable[EndpointEntry]) -> list[EndpointEntry]:
         """List them so from now on: one new version, if any of them says something new. What changed."""
         changed = []
         for line in lines:
@@ -81,14 +83,14 @@
         """The version that is told to whom that one has reached."""
         return reach if self.pin is None else min(reach, self.pin)
 
-    def last(self, name: str) -> Line:
+    def last(self, name: str) -> EndpointEntry:
         return self.past[name][-1][1]
 
-    def whole(self, version: int) -> list[Line]:
+    def whole(self, version: int) -> list[EndpointEntry]:
         """All nodes that had ever been listed by that version, those that are gone among them."""
         return [line for _, line in self._at(version)]
 
-    def changes(self, index: int, version: int) -> list[Line]:
+    def changes(self, index: int, version: int) -> list[EndpointEntry]:
         """What changed after version `index`, up to `version`, each node as it stands there."""
         return [line for changed, line in self._at(version) if changed > index]
 
@@ -96,7 +98,7 @@
         """Whether changes since that version can be told."""
         return self.oldest <= index <= self.version
 
-    def _at(self, version: int) -> Iterable[tuple[int, Line]]:
+    def _at(self, version: int) -> Iterable[tuple[int, EndpointEntry]]:
         for past in self.past.values():
             for entry in reversed(past):
                 if entry[0] <= version:
--- a/wheatring/lab/models/endpoint_list_json.py
+++ b/wheatring/lab/models/endpoint_list_json.py
@@ -7,13 +7,16 @@
 from typing import Any
 
 from wheatring.lab.book import NodeState
-from wheatring.lab.models.discovery import Answer, Listed
+from wheatring.lab.models.discovery import ListReply
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
 
 LIFECYCLES: dict[NodeState, str] = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
-ADDRESS: Callable[[Listed], str] = attrgetter("address")
+registered_address: Callable[[RegisteredNode], str] = attrgetter("address")
 
 
-def as_json(answer: Answer, address: Callable[[Listed], str] = ADDRESS) -> dict[str, Any]:
+def list_reply_json(
+    answer: ListReply, address: Callable[[RegisteredNode], str] = registered_address
+) -> dict[str, Any]:
     """An answer in discovery's form, as JSON values. `address` says where a node is to be found."""
     return {
         "generation": answer.generation,
--- a/wheatring/lab/models/front_load_balancer.py
+++ b/wheatring/lab/models/front_load_balancer.py
@@ -7,10 +7,10 @@
 from wheatring.lab.timers import Timers
 
 # Seconds from a sidecar's SIGTERM in which new connections still come to it.
-ARRIVING = (0.2, 0.4)
+DRAIN_DELAY_RANGE = (0.2, 0.4)
 
 
-class Front:
+class FrontLoadBalancer:
     """Admits a sidecar once it is up. A dead one is noticed `notice` seconds after its end, and a request
     that is sent to it meanwhile finds nobody.
     """
@@ -30,7 +30,7 @@
 
     def stopping(self, sidecar: str) -> None:
         """It was told to stop, as was the front: it still sends there for a moment."""
-        least, most = ARRIVING
+        least, most = DRAIN_DELAY_RANGE
         self.forget_after(least + (most - least) * self.random.random(), sidecar)
 
     def down(self, sidecar: str) -> None:
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -9,18 +9,18 @@
 from random import Random
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.attempt_execution import Stay
+from wheatring.lab.models.attempt_execution import AttemptExecution
 from wheatring.lab.models.cpu import Cpu
-from wheatring.lab.models.deduplication import Effects
-from wheatring.lab.models.received_attempt import Below, Verdict, Visit
-from wheatring.lab.models.service_rate import Pace
-from wheatring.lab.models.slow_start import Pressure, Warming
+from wheatring.lab.models.deduplication import EffectDeduplicator
+from wheatring.lab.models.received_attempt import AttemptOutcome, NextTierCall, ReceivedAttempt
+from wheatring.lab.models.service_rate import ServiceRate
+from wheatring.lab.models.slow_start import CapacityRamp, OverloadDetector
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import ClassPlan, NodePlan, RulesPlan, TierPlan
 from wheatring.lab.timers import Timers
 
-SERVED = Verdict.SERVED  # looked up once: an enum takes its time
-SOON = 0.001  # seconds: with less than that left, a visit makes no more calls and fails
+SERVED = AttemptOutcome.SERVED  # looked up once: an enum takes its time
+MIN_CALL_TIME = 0.001  # seconds: with less than that left, a visit makes no more calls and fails
 
 
 class Machine:
@@ -42,10 +42,10 @@
         random: Random,
         origins: Origins,
         book: Book,
-        below: Below | None,
+        below: NextTierCall | None,
         calls: float,
         *,
-        effects: Effects | None = None,
+        effects: EffectDeduplicator | None = None,
         rules: RulesPlan | None = None,
         passes_deadline: bool = True,
     ) -> None:
@@ -69,14 +69,14 @@
         self.running = self.draining = self.fallen = False
         self.started_at = 0.0  # of its process; 0: long ago
         self.in_work = 0  # visits that have a slot
-        self.held: dict[Visit, Stay] = {}
-        self._waiting: deque[Stay] = deque()
+        self.held: dict[ReceivedAttempt, AttemptExecution] = {}
+        self._waiting: deque[AttemptExecution] = deque()
         self._stalled: deque[Callable[[], None]] = deque()  # what it finds once it no longer stands still
-        self._pressure: Pressure | None = None  # while cold
+        self._pressure: OverloadDetector | None = None  # while cold
         self._share = tier.work
         self._sigma = [sqrt(log(1.0 + each.attempt_noise**2)) for each in classes]
-        self.cpu: Cpu[Stay] = Cpu(timers, kind.cores, node.speed, self._worked)
-        self.pace = Pace(timers, kind, tier, random, self.cpu, self.held, self._choked, self._found)
+        self.cpu: Cpu[AttemptExecution] = Cpu(timers, kind.cores, node.speed, self._worked)
+        self.pace = ServiceRate(timers, kind, tier, random, self.cpu, self.held, self._choked, self._found)
         self.troubles = self.pace.troubles
 
     # Its process
@@ -90,8 +90,8 @@
         self.started_at = now if cold else 0.0
         warming = None
         if cold and self.kind.cold > 0.0 and self.kind.cold_from < 1.0:
-            warming = Warming(now, self.kind.cold_from, self.kind.cold)
-            self._pressure = Pressure(self.rules)
+            warming = CapacityRamp(now, self.kind.cold_from, self.kind.cold)
+            self._pressure = OverloadDetector(self.rules)
         self.cpu.restart(warming)
         self.pace.start()
         self.book.node_up(self.name, self.cpu.rated)
@@ -157,7 +157,7 @@
 
     # Visits
 
-    def visit(self, visit: Visit) -> None:
+    def visit(self, visit: ReceivedAttempt) -> None:
         """The last byte of a request has arrived. The reply may come from within this call."""
         if not self.running:
             self.book.ended(self.name, visit.ident)
@@ -170,7 +170,7 @@
         sigma = self._sigma[origin.class_index]
         if sigma > 0.0:
             work *= exp(sigma * (self.random.gauss(0.0, 1.0) - 0.5 * sigma))
-        stay = Stay(self, visit, origin, work)
+        stay = AttemptExecution(self, visit, origin, work)
         self.book.offered(self.name, visit.sidecar, work)
         if self._pressure is not None and self._too_much(work):
             self.held[visit] = stay
@@ -181,7 +181,7 @@
         else:
             self._take(stay)
 
-    def abandoned(self, visit: Visit) -> None:
+    def abandoned(self, visit: ReceivedAttempt) -> None:
         """Its caller has closed the connection. The work goes on, for nobody."""
         if visit in self.held and not visit.gone:
             visit.gone = True
@@ -194,7 +194,7 @@
             return False
         return self._pressure.offer(now, work, self.cpu.rated())
 
-    def _take(self, stay: Stay) -> None:
+    def _take(self, stay: AttemptExecution) -> None:
         visit, fail, kind, held = stay.visit, self.troubles.fail, self.kind, self.held
         free = self.in_work < kind.slots
         if self.draining or not (free or len(self._waiting) < kind.queue):
@@ -205,18 +205,18 @@
         if kind.knee <= len(held):
             self.pace.tune()
         if fail > 0.0 and self.random.random() < fail:
-            self._leave(stay, Verdict.ERROR)
+            self._leave(stay, AttemptOutcome.ERROR)
         elif free:
             self._begin(stay)
         else:
             self._waiting.append(stay)
 
-    def _away(self, visit: Visit) -> None:
+    def _away(self, visit: ReceivedAttempt) -> None:
         if not visit.gone:
-            visit.reply(Verdict.AWAY, "")
+            visit.reply(AttemptOutcome.REJECTED, "")
             self.book.ended(self.name, visit.ident)
 
-    def _begin(self, stay: Stay) -> None:
+    def _begin(self, stay: AttemptExecution) -> None:
         """It has a slot."""
         self.in_work += 1
         if self.effects is not None:
@@ -231,19 +231,19 @@
         stay.rest -= part
         stay.mark = self.cpu.add(part, stay)
 
-    def _work(self, stay: Stay, part: float) -> None:
+    def _work(self, stay: AttemptExecution, part: float) -> None:
         stay.part = part
         stay.rest -= part
         stay.mark = self.cpu.add(part, stay)
 
-    def _worked(self, stay: Stay) -> None:
+    def _worked(self, stay: AttemptExecution) -> None:
         """The cores are done with the part that they had in hand."""
         if stay.over:
             return
         stay.done += stay.part
         stay.part = 0.0
         if stay.breaks:
-            self._finish(stay, Verdict.RESET)
+            self._finish(stay, AttemptOutcome.RESET)
         elif stay.calls:
             self._call(stay)
         elif stay.rest > 0.0:
@@ -251,44 +251,44 @@
         else:
             self._finish(stay, self._verdict())
 
-    def _verdict(self) -> Verdict:
+    def _verdict(self) -> AttemptOutcome:
         spoil, errors = self.troubles.spoil, self.kind.error_rate
         if errors > 0.0 and self.random.random() < errors:
-            return Verdict.ERROR
+            return AttemptOutcome.ERROR
         if spoil > 0.0 and self.random.random() < spoil:
-            return Verdict.SPOILT
+            return AttemptOutcome.MALFORMED
         return SERVED
 
-    def _call(self, stay: Stay) -> None:
+    def _call(self, stay: AttemptExecution) -> None:
         visit = stay.visit
         stay.calls -= 1
         left = self.classes[stay.origin.class_index].deadline
         if self.passes_deadline:
             left = (visit.left or left) - (self.timers.now() - visit.since)
-        if self.below is None or left < SOON:
-            self._finish(stay, Verdict.ERROR)
+        if self.below is None or left < MIN_CALL_TIME:
+            self._finish(stay, AttemptOutcome.ERROR)
         else:
             self.below(visit, left, stay.called)
 
-    def called(self, stay: Stay, served: bool) -> None:
+    def called(self, stay: AttemptExecution, served: bool) -> None:
         """A call that was made for it has ended."""
         if self.pace.still:
             self._stalled.append(partial(self.called, stay, served))
         elif not served:
-            self._finish(stay, Verdict.ERROR)
+            self._finish(stay, AttemptOutcome.ERROR)
         elif stay.calls:
             self._call(stay)
         else:
             self._work(stay, stay.rest)
 
-    def _finish(self, stay: Stay, verdict: Verdict) -> None:
+    def _finish(self, stay: AttemptExecution, verdict: AttemptOutcome) -> None:
         """It gives its slot back, and the next one has it before the reply brings anything new."""
         self.in_work -= 1
         if self._waiting:
             self._begin(self._waiting.popleft())
         self._leave(stay, verdict)
 
-    def _leave(self, stay: Stay, verdict: Verdict) -> None:
+    def _leave(self, stay: AttemptExecution, verdict: AttemptOutcome) -> None:
         visit, book, name, held = stay.visit, self.book, self.name, self.held
         ident = visit.ident
         stay.over = True
--- a/wheatring/lab/models/machine_faults.py
+++ b/wheatring/lab/models/machine_faults.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from wheatring.lab.models.machine import Machine
 
-HERE: frozenset[EventKind] = frozenset(
+MACHINE_FAULT_KINDS: frozenset[EventKind] = frozenset(
     {
         "slow", "hang", "fast_errors", "neighbour", "refuse", "conn_cap", "late_connects", "spoilt", "resets",
         "vanish",
@@ -24,7 +24,7 @@
 )  # fmt: skip
 
 
-class Neighbour:
+class NoisyNeighbour:
     """Another program on the machine, on and off: each phase is drawn between half and one and a half times
     the mean. It begins with one that is on.
     """
@@ -56,7 +56,7 @@
         self.turned()
 
 
-class Troubles:
+class MachineFaults:
     """The events that are on at one machine, and what they come to.
 
     `factor`: part of its capacity that is left; `fail`, `spoil`, `broken`: shares of requests that fail at
@@ -69,7 +69,7 @@
         self.timers = timers
         self.random = random
         self.on: list[EventPlan] = []
-        self.neighbours: list[Neighbour] = []
+        self.neighbours: list[NoisyNeighbour] = []
         self.reckon()
 
     def reckon(self) -> None:
@@ -96,12 +96,12 @@
 
 def begin(machine: Machine, event: EventPlan) -> None:
     """ValueError where the kind is not a machine's trouble."""
-    if event.kind not in HERE:
+    if event.kind not in MACHINE_FAULT_KINDS:
         raise ValueError(f"not a trouble of a machine: {event.kind}")
     troubles = machine.troubles
     troubles.on.append(event)
     if event.kind == "neighbour":
-        troubles.neighbours.append(Neighbour(troubles.timers, troubles.random, event, machine.troubled))
+        troubles.neighbours.append(NoisyNeighbour(troubles.timers, troubles.random, event, machine.troubled))
     machine.troubled()
 
 
--- a/wheatring/lab/models/next_tier.py
+++ b/wheatring/lab/models/next_tier.py
@@ -4,16 +4,21 @@
 
 from collections.abc import Callable, Sequence
 
-from wheatring.lab.models.received_attempt import Visit
-from wheatring.lab.models.request_transport import LINGER, Asked, ReplyKind, Way
+from wheatring.lab.models.received_attempt import ReceivedAttempt
+from wheatring.lab.models.request_transport import (
+    LATE_ANSWER_WAIT,
+    PendingRequest,
+    RequestOutcome,
+    RequestTransport,
+)
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.timers import Timer, Timers
 
 
-class Calls:
-    """Implements `Below` for one node. A call is a request of its own: it has the first try, the class and
-    the key of its visit, and a size of work that is drawn anew, by `sizes` for each class. `way` gives the
-    way into the sidecar of the node's present process, None while it has none.
+class NextTierClient:
+    """Implements `NextTierCall` for one node. A call is a request of its own: it has the first try, the class
+    and the key of its visit, and a size of work that is drawn anew, by `sizes` for each class. `way` gives
+    the way into the sidecar of the node's present process, None while it has none.
 
     What is out of time has failed for the node, which stays on the line for LINGER more: what is
     answered then is too late for it, but the rules want to see it.
@@ -22,7 +27,7 @@
     def __init__(
         self,
         name: str,
-        way: Callable[[], Way | None],
+        way: Callable[[], RequestTransport | None],
         origins: Origins,
         sizes: Sequence[Callable[[], float]],
         timers: Timers,
@@ -33,31 +38,31 @@
         self.sizes = sizes
         self.timers = timers
 
-    def __call__(self, visit: Visit, left: float, done: Callable[[bool], None]) -> None:
+    def __call__(self, visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
         way, timers = self.way(), self.timers
         origin = self.origins.by_id.get(visit.ident)
         if way is None or origin is None:
             timers.at(timers.now(), done, False)
             return
-        call = _Call(self, done)
+        call = _NextTierRequest(self, done)
         call.late = timers.at(timers.now() + left, call.out_of_time)
         index = origin.class_index
         ident = self.origins.new(Origin(origin.first, index, self.sizes[index](), origin.key))
         call.asked = way.ask(self.name, ident, index, left, origin.key, False, call.answered)
 
 
-class _Call:
+class _NextTierRequest:
     """One of them."""
 
     __slots__ = ("asked", "calls", "done", "late")
 
-    def __init__(self, calls: Calls, done: Callable[[bool], None]) -> None:
+    def __init__(self, calls: NextTierClient, done: Callable[[bool], None]) -> None:
         self.calls = calls
         self.done: Callable[[bool], None] | None = done
-        self.asked: Asked | None = None
+        self.asked: PendingRequest | None = None
         self.late: Timer | None = None
 
-    def answered(self, kind: ReplyKind, retry_after: float) -> None:
+    def answered(self, kind: RequestOutcome, retry_after: float) -> None:
         if self.late is not None and self.late.active():
             self.late.cancel()
         self.late = None
@@ -68,7 +73,7 @@
     def out_of_time(self) -> None:
         timers = self.calls.timers
         assert self.asked is not None
-        self.late = timers.at(timers.now() + LINGER, self.asked.leave)
+        self.late = timers.at(timers.now() + LATE_ANSWER_WAIT, self.asked.leave)
         done, self.done = self.done, None
         if done is not None:
             done(False)
--- a/wheatring/lab/models/node_status_table.py
+++ b/wheatring/lab/models/node_status_table.py
@@ -8,14 +8,19 @@
 from typing import NamedTuple
 
 from wheatring.lab.book import Book, NodeState
-from wheatring.lab.models.endpoint_list_history import KEPT, Line, Listed, Listing
+from wheatring.lab.models.endpoint_list_history import (
+    KEPT_VERSIONS,
+    EndpointEntry,
+    EndpointListHistory,
+    RegisteredNode,
+)
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lab.timers import Timer, Timers
 
-LIE_TURN = 3.0  # seconds after which a lie names others
+FALSE_REPORT_PERIOD = 3.0  # seconds after which a lie names others
 
 
-class _News(NamedTuple):
+class _StatusUpdate(NamedTuple):
     order: int
     name: str
     state: NodeState
@@ -23,7 +28,7 @@
     started_ms: int
 
 
-class Knowledge:
+class NodeStatusTable:
     """Facts go in at the instant they happen; `changed` is told of each listing that has a new version.
 
     `unix` is the present Unix time in seconds. The book is told of what there is to tell: of lies too, and of
@@ -37,7 +42,7 @@
         unix: Callable[[], float],
         random: Random,
         book: Book,
-        kept: int = KEPT,
+        kept: int = KEPT_VERSIONS,
     ) -> None:
         self.plan = plan
         self.timers = timers
@@ -45,24 +50,24 @@
         self.random = random
         self.book = book
         self.kept = kept
-        self.changed: Callable[[Listing], None] = lambda listing: None
+        self.changed: Callable[[EndpointListHistory], None] = lambda listing: None
         self.phase = random.uniform(0, plan.period)
-        self.listings: dict[int, Listing] = {}  # by tier
+        self.listings: dict[int, EndpointListHistory] = {}  # by tier
         self.started: dict[str, tuple[float, int]] = {}  # of each node's last start, learnt or not
-        self.truth: dict[str, Line] = {}  # by node: what has been learnt of it
-        self.due: dict[float, list[_News]] = {}
+        self.truth: dict[str, EndpointEntry] = {}  # by node: what has been learnt of it
+        self.due: dict[float, list[_StatusUpdate]] = {}
         self.newest: dict[str, int] = {}  # by node: the order of the newest fact that has been learnt
         self.orders = 0
         self.stales = 0
         self.untold: dict[str, None] = {}  # nodes of which there will be something to tell
-        self.lies: list[Lie] = []
+        self.lies: list[FalseReports] = []
 
     # Facts
 
-    def add(self, node: Listed, up: bool) -> None:
+    def add(self, node: RegisteredNode, up: bool) -> None:
         self.listing(node.tier).add(node)
         started = self.started[node.name] = (node.started, self._unix_ms(node.started))
-        line = self.truth[node.name] = Line(node, "ready" if up else "gone", *started)
+        line = self.truth[node.name] = EndpointEntry(node, "ready" if up else "gone", *started)
         if up:
             self.listings[node.tier].list_first(line)
             self.book.known(node.name, "ready", node.started)
@@ -80,10 +85,10 @@
     def vanished(self, name: str) -> None:
         self._fact(name, "gone", self.plan.silent_notice)
 
-    def listing(self, tier: int) -> Listing:
+    def listing(self, tier: int) -> EndpointListHistory:
         listing = self.listings.get(tier)
         if listing is None:
-            listing = self.listings[tier] = Listing(self.kept)
+            listing = self.listings[tier] = EndpointListHistory(self.kept)
         return listing
 
     def _unix_ms(self, instant: float) -> int:
@@ -98,7 +103,7 @@
         if due is None:
             due = self.due[at] = []
             self.timers.at(at, self._learn, at)
-        due.append(_News(self.orders, name, state, *self.started[name]))
+        due.append(_StatusUpdate(self.orders, name, state, *self.started[name]))
 
     def _learn(self, at: float) -> None:
         names = []
@@ -107,14 +112,14 @@
             if news.order > self.newest.get(news.name, 0):
                 self.newest[news.name] = news.order
                 node = self.truth[news.name].node
-                self.truth[news.name] = Line(node, news.state, news.started, news.started_ms)
+                self.truth[news.name] = EndpointEntry(node, news.state, news.started, news.started_ms)
                 names.append(news.name)
         self.publish(names)
 
     def publish(self, names: list[str]) -> None:
         """List these nodes from now on as they are known, or as they are lied about."""
         now = self.timers.now()
-        by_tier: dict[int, dict[str, Line]] = {}
+        by_tier: dict[int, dict[str, EndpointEntry]] = {}
         for name in names:
             line = self.truth[name]
             if any(name in lie.names for lie in self.lies):
@@ -152,10 +157,10 @@
             self.book.known(name, line.state, line.started)
 
 
-class Lie:
+class FalseReports:
     """Names the share `size` of each tier's running nodes as gone, at least one of them, others by turns."""
 
-    def __init__(self, knowledge: Knowledge, size: float) -> None:
+    def __init__(self, knowledge: NodeStatusTable, size: float) -> None:
         self.knowledge = knowledge
         self.size = size
         self.names: dict[str, None] = {}
@@ -172,7 +177,7 @@
             others = [name for name in ready if name not in before]
             chosen = known.random.sample(others if len(others) >= count else ready, count)
             self.names.update(dict.fromkeys(chosen))
-        self.timer = known.timers.at(known.timers.now() + LIE_TURN, self.turn)
+        self.timer = known.timers.at(known.timers.now() + FALSE_REPORT_PERIOD, self.turn)
         known.publish([*before, *self.names])
 
     def end(self) -> None:
--- a/wheatring/lab/models/overload_choke.py
+++ b/wheatring/lab/models/overload_choke.py
@@ -9,10 +9,10 @@
 from wheatring.lab.plan import ChokePlan, KindPlan
 from wheatring.lab.timers import Timer, Timers
 
-LOOKS = 8  # within the time that a machine must have been mostly idle
+IDLE_SAMPLES = 8  # within the time that a machine must have been mostly idle
 
 
-class Choke:
+class OverloadChoke:
     """A machine that holds too much for a while turns slow, until it has been mostly idle for a while or long
     enough. What waits for the next tier counts as held; mostly idle is a part of the cores' time.
 
@@ -30,7 +30,9 @@
         self._busy = 0.0  # part of the cores that is wanted
         self._since = 0.0  # from then on
         self._worked = 0.0  # time of all cores until then
-        self._looks: deque[float] = deque(maxlen=LOOKS + 1)  # what that was at the last looks, while slow
+        self._looks: deque[float] = deque(
+            maxlen=IDLE_SAMPLES + 1
+        )  # what that was at the last looks, while slow
         self._step: Timer | None = None  # well: it chokes; slow: the next look
         self._end: Timer | None = None
 
@@ -88,17 +90,17 @@
         self._count()
         looks, plan = self._looks, self.plan
         looks.append(self._worked)
-        if len(looks) > LOOKS and looks[-1] - looks[0] < plan.below * plan.rest:
+        if len(looks) > IDLE_SAMPLES and looks[-1] - looks[0] < plan.below * plan.rest:
             self._turn()
         else:
-            self._step = self.timers.at(self.timers.now() + plan.rest / LOOKS, self._look)
+            self._step = self.timers.at(self.timers.now() + plan.rest / IDLE_SAMPLES, self._look)
 
     def _over(self) -> None:
         self._end = None
         self._turn()
 
 
-class Pauses:
+class ProcessingPauses:
     """Now and then a machine does nothing for a moment, for longer the busier it is.
 
     `busy` gives the part of its cores that is wanted. `turned` is called whenever `on` has changed.
--- a/wheatring/lab/models/received_attempt.py
+++ b/wheatring/lab/models/received_attempt.py
@@ -6,17 +6,17 @@
 from enum import Enum
 
 
-class Verdict(Enum):
+class AttemptOutcome(Enum):
     """What the node's caller is to get. A node that hangs gives none."""
 
     SERVED = "served"
     ERROR = "error"  # it may have run
-    AWAY = "away"  # never ran: full, draining, or already over
+    REJECTED = "away"  # never ran: full, draining, or already over
     RESET = "reset"  # the connection breaks; it may have run
-    SPOILT = "spoilt"  # an answer that can't be read; it has run
+    MALFORMED = "spoilt"  # an answer that can't be read; it has run
 
 
-class Visit:
+class ReceivedAttempt:
     """One attempt at a node, from its last byte's arrival on.
 
     `left`: seconds that the caller said it will wait, 0 where it did not. `reply` is called once at most,
@@ -26,7 +26,12 @@
     __slots__ = ("gone", "ident", "left", "reply", "sidecar", "since")
 
     def __init__(
-        self, ident: str, sidecar: str, left: float, since: float, reply: Callable[[Verdict, str], None]
+        self,
+        ident: str,
+        sidecar: str,
+        left: float,
+        since: float,
+        reply: Callable[[AttemptOutcome, str], None],
     ) -> None:
         self.ident = ident
         self.sidecar = sidecar
@@ -37,4 +42,4 @@
 
 
 # A node's call to the next tier: made for a visit, it ends once, served or not.
-Below = Callable[[Visit, float, Callable[[bool], None]], None]  # (visit, seconds left, done)
+NextTierCall = Callable[[ReceivedAttempt, float, Callable[[bool], None]], None]  # (visit, seconds left, done)
--- a/wheatring/lab/models/request_transport.py
+++ b/wheatring/lab/models/request_transport.py
@@ -7,27 +7,34 @@
 
 # Seconds past a request's time in which its caller still looks for the answer: too late for it, but the rules
 # grant so much, and whoever has closed its connection sees nothing.
-LINGER = 0.1
+LATE_ANSWER_WAIT = 0.1
 
 # unreached: no connection to the sidecar came up, or it ended before the request was taken; nothing is owed.
 # lost: taken, and no whole answer came.
-ReplyKind = Literal["served", "refused", "failed", "unreached", "lost"]
-Done = Callable[[ReplyKind, float], None]  # (how it ended, Retry-After in seconds or 0)
+RequestOutcome = Literal["served", "refused", "failed", "unreached", "lost"]
+ResponseCallback = Callable[[RequestOutcome, float], None]  # (how it ended, Retry-After in seconds or 0)
 
 
-class Asked(Protocol):
+class PendingRequest(Protocol):
     """One request that is out. It ends once: by its `done`, or by being left."""
 
     def leave(self) -> None:
         """Wait no longer: the connection is closed and `done` is not called any more."""
 
 
-class Way(Protocol):
+class RequestTransport(Protocol):
     """Carries requests to sidecars, and tells the book of what is taken, answered, lost and left."""
 
     def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
-    ) -> Asked:
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,
+        left: float,
+        key: str,
+        repeat: bool,
+        done: ResponseCallback,
+    ) -> PendingRequest:
         """Ask a sidecar. `index` is the class's place in the plan, `left` the seconds that the caller will
         wait (it leaves by itself when they are over: the way does not). `done` comes later.
         """
--- a/wheatring/lab/models/service_rate.py
+++ b/wheatring/lab/models/service_rate.py
@@ -6,13 +6,13 @@
 from random import Random
 
 from wheatring.lab.models.cpu import Cpu, T
-from wheatring.lab.models.machine_faults import Troubles
-from wheatring.lab.models.overload_choke import Choke, Pauses
+from wheatring.lab.models.machine_faults import MachineFaults
+from wheatring.lab.models.overload_choke import OverloadChoke, ProcessingPauses
 from wheatring.lab.plan import KindPlan, TierPlan
 from wheatring.lab.timers import Timers
 
 
-class Pace:
+class ServiceRate:
     """Keeps a machine's cores at the part of their capacity that troubles, the choke, thrash and the table of
     connections leave. Cold is not its matter: the cores know it themselves.
 
@@ -42,14 +42,14 @@
         self.still = False  # it works on nothing and says nothing
         self.free = 1.0  # part of the capacity that there is when it does not stand still
         # Streams of their own: when these come must not hang on how many visits there have been.
-        self.troubles = Troubles(timers, Random(random.getrandbits(64)))
+        self.troubles = MachineFaults(timers, Random(random.getrandbits(64)))
         pauses = Random(random.getrandbits(64))
-        self.pauses: Pauses | None = None
+        self.pauses: ProcessingPauses | None = None
         if kind.pause_every > 0.0:
-            self.pauses = Pauses(timers, kind, pauses, self._busy, self.changed)
-        self.choke: Choke | None = None
+            self.pauses = ProcessingPauses(timers, kind, pauses, self._busy, self.changed)
+        self.choke: OverloadChoke | None = None
         if tier.choke is not None:
-            choke = self.choke = Choke(timers, tier.choke, kind.cores, self._turned)
+            choke = self.choke = OverloadChoke(timers, tier.choke, kind.cores, self._turned)
             cpu.watch = lambda wanting: choke.watch(len(held), wanting)
 
     def start(self) -> None:
--- a/wheatring/lab/models/slow_start.py
+++ b/wheatring/lab/models/slow_start.py
@@ -8,7 +8,7 @@
 from wheatring.lab.plan import RulesPlan
 
 
-class Warming:
+class CapacityRamp:
     """A capacity that rises evenly from a part of the full one to all of it."""
 
     __slots__ = ("end", "first", "slope", "start")
@@ -47,7 +47,7 @@
         return since + 2.0 * amount / (share + root) if amount > 0.0 else since
 
 
-class Pressure:
+class OverloadDetector:
     """Work offered to a cold process, and whether it is too much. Machines fall by it, rules judge by it.
 
     It is too much when what was offered within the window, its largest piece left out, is more than the
--- a/wheatring/lab/models/traffic.py
+++ b/wheatring/lab/models/traffic.py
@@ -12,11 +12,11 @@
 from wheatring.lab.plan import ClassPlan, Plan
 from wheatring.lab.timers import Timers
 
-Draw = Callable[[], float]
+WorkSampler = Callable[[], float]
 Piece = tuple[float, float, float, float]  # from, to, and the rate at both; linear between
 
 
-def lognormal(random: Random, mean: float, cv: float) -> Draw:
+def lognormal(random: Random, mean: float, cv: float) -> WorkSampler:
     if not cv:
         return lambda: mean
     variance = log(1 + cv * cv)
@@ -24,7 +24,7 @@
     return lambda: exp(gauss(middle, sigma))
 
 
-def pareto(random: Random, mean: float, cv: float) -> Draw:
+def pareto(random: Random, mean: float, cv: float) -> WorkSampler:
     if not cv:
         return lambda: mean
     alpha = 1 + sqrt(1 + 1 / (cv * cv))
@@ -32,7 +32,7 @@
     return lambda: least * (1 - uniform()) ** power
 
 
-def sizes(random: Random, plan: ClassPlan) -> Draw:
+def sizes(random: Random, plan: ClassPlan) -> WorkSampler:
     """Draws of a class's size of work."""
     if plan.dist == "fixed" or plan.work <= 0:
         return lambda: plan.work
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -1,8 +1,8 @@
 """The fourth rule: the work sent to a node that is warming up.
 
-Nodes are overloaded by `Pressure`, and the rule judges by it. More than it allows is a breach if two thirds
-of the work came from sidecars that had been notified of the start. Each start is watched until the node
-is warm or has been overloaded.
+Nodes are overloaded by `OverloadDetector`, and the rule judges by it. More than it allows is a breach if
+two thirds of the work came from sidecars that had been notified of the start. Each start is watched until
+the node is warm or has been overloaded.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from wheatring.lab.models.slow_start import Pressure
+from wheatring.lab.models.slow_start import OverloadDetector
 from wheatring.lab.plan import KindPlan, RulesPlan
 from wheatring.lab.rules.breaches import Breaches
 from wheatring.lab.rules.drains import Drains
@@ -28,7 +28,7 @@
     __slots__ = ("capacity", "offers", "pressure", "since", "until")
 
     def __init__(self, rules: RulesPlan, capacity: Callable[[], float], since: float, until: float) -> None:
-        self.pressure = Pressure(rules)
+        self.pressure = OverloadDetector(rules)
         self.offers: deque[tuple[float, float, bool]] = deque()
         self.capacity = capacity
         self.since = since
--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -11,8 +11,9 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
-from wheatring.lab.models.endpoint_list_json import ADDRESS, as_json
+from wheatring.lab.models.discovery import ListReply, ListRequest, Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
+from wheatring.lab.models.endpoint_list_json import list_reply_json, registered_address
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -53,9 +54,9 @@
     return values.get(b"index"), values.get(b"wait", 0) / 1000
 
 
-def encode_list(answer: Answer, address: Callable[[Listed], str] = ADDRESS) -> bytes:
+def encode_list(answer: ListReply, address: Callable[[RegisteredNode], str] = registered_address) -> bytes:
     """Return the body of a response."""
-    return msgspec.json.encode(as_json(answer, address))
+    return msgspec.json.encode(list_reply_json(answer, address))
 
 
 class _Connection(protocol.Protocol):
@@ -67,7 +68,7 @@
         self.server = server
         self.sidecar = sidecar
         self.parser = MessageParser(responses=False)
-        self.call: Call | None = None
+        self.call: ListRequest | None = None
         self.keep_alive = True
         self.is_over = False
 
@@ -99,7 +100,7 @@
         self.keep_alive = message.keep_alive
         self.call = self.server.registry.call(self.sidecar, index, wait, self._answered)
 
-    def _answered(self, answer: Answer | None) -> None:
+    def _answered(self, answer: ListReply | None) -> None:
         call, self.call = self.call, None
         if answer is not None:
             data = encode_list(answer, self.server.address)
@@ -160,7 +161,7 @@
         book: Book,
         sidecar_of: Callable[[str], str],
         listen: Callable[[ServerFactory], Any],
-        address: Callable[[Listed], str] = ADDRESS,
+        address: Callable[[RegisteredNode], str] = registered_address,
     ) -> None:
         self.registry = registry
         self.book = book
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -11,8 +11,8 @@
 from wheatring.daemon.sidecar import Sidecar
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.next_tier import Calls
-from wheatring.lab.models.received_attempt import Below
+from wheatring.lab.models.next_tier import NextTierClient
+from wheatring.lab.models.received_attempt import NextTierCall
 from wheatring.lab.net.network import Network
 from wheatring.lab.net.process import Delayed, Process, waiting
 from wheatring.lab.plan import EventPlan, NodePlan
@@ -96,9 +96,9 @@
 
     # Nodes
 
-    def below(self, node: NodePlan) -> Below:
+    def below(self, node: NodePlan) -> NextTierCall:
         """Return the node's calls through its own sidecar."""
-        return Calls(
+        return NextTierClient(
             node.name,
             lambda: self.clients.get(node.name),
             self.world.origins,
--- a/wheatring/lab/wire/node_server.py
+++ b/wheatring/lab/wire/node_server.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.received_attempt import Verdict, Visit
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import TierPlan
 from wheatring.lab.timers import Timer, Timers
@@ -46,10 +46,10 @@
     def disconnect(self) -> None:
         """Release a connection."""
 
-    def visit(self, visit: Visit) -> None:
+    def visit(self, visit: ReceivedAttempt) -> None:
         """Process a request."""
 
-    def abandoned(self, visit: Visit) -> None:
+    def abandoned(self, visit: ReceivedAttempt) -> None:
         """Handle that a request's connection was closed before its response."""
 
 
@@ -80,7 +80,7 @@
         self.sidecar = sidecar
         self.handshake_delay = delay  # of the first request, for the handshake
         self.parser = MessageParser(responses=False)
-        self.visit: Visit | None = None
+        self.visit: ReceivedAttempt | None = None
         self.has_begun = False  # the visit is at the machine
         self.keep_alive = True
         self.is_over = False  # this side has ended it
@@ -150,7 +150,7 @@
         self.keep_alive = message.keep_alive
         node = server.node
         now = server.timers.now()
-        visit = self.visit = Visit(ident, self.sidecar, int(left) / 1000, now, self._reply)
+        visit = self.visit = ReceivedAttempt(ident, self.sidecar, int(left) / 1000, now, self._reply)
         server.book.arrived(self.sidecar, node.name, ident, self.sent_at)
         if self.handshake_delay > 0:
             server.timers.at(now + self.handshake_delay, self._start_visit, visit)
@@ -159,31 +159,31 @@
             self.has_begun = True
             node.visit(visit)
 
-    def _start_visit(self, visit: Visit) -> None:
+    def _start_visit(self, visit: ReceivedAttempt) -> None:
         """Start the visit, as the handshake is over."""
         if visit is self.visit and not self.is_over:
             self.has_begun = True
             self.server.node.visit(visit)
 
-    def _reply(self, verdict: Verdict, stamp: str) -> None:
+    def _reply(self, verdict: AttemptOutcome, stamp: str) -> None:
         visit = self.visit
         if visit is None or self.is_over:
             return
         self.visit = None
         self.has_begun = False
-        if verdict is Verdict.SERVED:
+        if verdict is AttemptOutcome.SERVED:
             body = stamp.encode("latin-1")
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             spoil = self.server.node.spoil
             if spoil and self.server.random.random() < spoil:
                 answer += answer  # good, with more behind it than belongs to it
             self._write(answer)
-        elif verdict is Verdict.ERROR:
+        elif verdict is AttemptOutcome.ERROR:
             self._write(SERVER_ERROR)
-        elif verdict is Verdict.AWAY:
+        elif verdict is AttemptOutcome.REJECTED:
             self.server.book.turned_away(self.server.node.name, visit.ident)
             self._write(UNPROCESSED)
-        elif verdict is Verdict.RESET:
+        elif verdict is AttemptOutcome.RESET:
             self._abort()
         else:
             data, ends = malformed_response(self.server.random)
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.book import Book, ResponseKind
-from wheatring.lab.models.request_transport import Asked, Done
+from wheatring.lab.models.request_transport import PendingRequest, ResponseCallback
 from wheatring.lab.timers import Timers
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 from wheatring.lab.wire.request_format import RequestFormat
@@ -37,7 +37,7 @@
         deadline: float,
         key: str,
         repeat: bool,
-        done: Done,
+        done: ResponseCallback,
     ) -> None:
         self.pool = pool
         self.ident = ident
@@ -340,8 +340,15 @@
         self.pools: dict[str, _ConnectionPool] = {}
 
     def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
-    ) -> Asked:
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,
+        left: float,
+        key: str,
+        repeat: bool,
+        done: ResponseCallback,
+    ) -> PendingRequest:
         """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
         pool = self.pools.get(sidecar)
         if pool is None:
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from wheatring.lab.models import machine_faults
-from wheatring.lab.models.discovery import Registry, Trouble
+from wheatring.lab.models.discovery import DiscoveryFault, Registry
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.plan import EventPlan
 from wheatring.lab.timers import Timers
@@ -17,7 +17,7 @@
 OF_NODES = frozenset(
     ("slow", "hang", "fast_errors", "neighbour", "conn_cap", "spoilt", "resets", "refuse", "late_connects")
 )
-OF_DISCOVERY: dict[str, Trouble] = {
+OF_DISCOVERY: dict[str, DiscoveryFault] = {
     "discovery_down": "down",
     "discovery_silent": "silent",
     "discovery_slow": "slow",
--- a/wheatring/lab/world/ground.py
+++ b/wheatring/lab/world/ground.py
@@ -9,8 +9,8 @@
 from wheatring.lab import plan
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.received_attempt import Below
-from wheatring.lab.models.request_transport import Way
+from wheatring.lab.models.received_attempt import NextTierCall
+from wheatring.lab.models.request_transport import RequestTransport
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
 
 PORT = 9000  # of every sidecar and node: each has a host of its own
@@ -38,13 +38,13 @@
     """Processes by name. A node's own sidecar bears the node's name; it stands on a host of its own."""
 
     @property
-    def way(self) -> Way:
+    def way(self) -> RequestTransport:
         """The clients' way into the front's sidecars."""
 
     def open_discovery(self, registry: Registry) -> None:
         """Have discovery listen."""
 
-    def below(self, node: NodePlan) -> Below:
+    def below(self, node: NodePlan) -> NextTierCall:
         """Return the node's calls through its own sidecar."""
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -13,12 +13,13 @@
 
 from wheatring import log
 from wheatring.lab.models.clients import Clients
-from wheatring.lab.models.deduplication import Effects
-from wheatring.lab.models.discovery import Listed, Registry
-from wheatring.lab.models.endpoint_list_json import as_json
-from wheatring.lab.models.front_load_balancer import Front
+from wheatring.lab.models.deduplication import EffectDeduplicator
+from wheatring.lab.models.discovery import Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
+from wheatring.lab.models.endpoint_list_json import list_reply_json
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.traffic import Draw, sizes
+from wheatring.lab.models.traffic import WorkSampler, sizes
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
@@ -89,7 +90,7 @@
         self.trace = None if tracing is None else Trace(self.day, tracing.file, tracing.of, family)
         self.book = Ledger(plan, grain, self.time.now, self.day, self.trace, family)
         self.registry = Registry(plan.discovery, self.time, self.unix, self.random("discovery"), self.book)
-        self.front = Front(self.time, self.random("front"), plan.front_notice)
+        self.front = FrontLoadBalancer(self.time, self.random("front"), plan.front_notice)
         self.ground = make_ground(self)
         self.ground.open_discovery(self.registry)
         self.slots = SidecarSlots(
@@ -97,7 +98,7 @@
         )
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
-        effects = Effects(self.time, plan.classes, self.book)
+        effects = EffectDeduplicator(self.time, plan.classes, self.book)
         for node in plan.nodes:
             self.add_machine(node, effects)
         self.add_slots()
@@ -112,7 +113,7 @@
         """Return random numbers that depend on the plan's seed and a name alone."""
         return Random(f"{self.plan.seed}:{name}")
 
-    def sizes(self, node: NodePlan) -> list[Draw]:
+    def sizes(self, node: NodePlan) -> list[WorkSampler]:
         """Return draws of the work of a node's calls, by class."""
         random = self.random(f"calls:{node.name}")
         return [sizes(random, each) for each in self.plan.classes]
@@ -123,7 +124,7 @@
 
     # Its parts
 
-    def add_machine(self, node: NodePlan, effects: Effects) -> None:
+    def add_machine(self, node: NodePlan, effects: EffectDeduplicator) -> None:
         """Add the machine of a node."""
         plan, tier = self.plan, self.plan.tiers[node.tier]
         last = node.tier + 1 == len(plan.tiers)
@@ -161,7 +162,7 @@
 
     def known(self, tier: int) -> dict[str, Any]:
         """Return the machine list of a tier with which a sidecar starts, in discovery's form."""
-        return as_json(self.registry.held(tier, self.plan.held))
+        return list_reply_json(self.registry.held(tier, self.plan.held))
 
     # Sidecars come and go
 
@@ -237,7 +238,9 @@
         began = process_time.perf_counter()
         for node in plan.nodes:
             kind = plan.tiers[node.tier].kinds[node.kind].name
-            listed = Listed(node.name, f"{node.host}:{PORT}", node.zone, kind, node.cell, tier=node.tier)
+            listed = RegisteredNode(
+                node.name, f"{node.host}:{PORT}", node.zone, kind, node.cell, tier=node.tier
+            )
             self.registry.add(listed, node.up)
             if node.up:
                 self.start(node.name, cold=False)
