--- a/tests/fleet/test_asking.py
+++ b/tests/fleet/test_asking.py
@@ -9,8 +9,9 @@
 from hypothesis import strategies as st
 
 from tests.lab.direct_world import Time, Told
-from wheatring.lab.models.discovery import ListReply, ListRequest, Registry
+from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
+from wheatring.lab.models.list_request import ListReply, ListRequest
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lifecycle import list_request_schedule
 from wheatring.lifecycle.list_request_schedule import ListRequestSchedule
@@ -27,9 +28,9 @@
         self.time = Time(0.0)
         plan = DiscoveryPlan(lines_per_s=rate * LINES, call_lines=LINES - 1, spread=0.0)
         self.registry = Registry(plan, self.time, lambda: 0.0, Random(seed), Told())
-        self.registry.add(RegisteredNode("n", "127.0.0.1:1"))
+        self.registry.register(RegisteredNode("n", "127.0.0.1:1"))
         if opens:
-            self.time.at(opens, self.registry.begin("down"))
+            self.time.at(opens, self.registry.begin_fault("down"))
         self.fleet = [ListRequestSchedule(copies, n, 10.0, Random(f"{seed}:{n}"), 0.0) for n in range(copies)]
         self.calls: list[float] = []
         self.began: dict[int, float] = {}
@@ -53,11 +54,11 @@
                 self.failed += 1
                 self.again(n, now)
 
-        call = self.registry.call(str(n), None, 0.0, ended)
+        call = self.registry.request_list(str(n), None, 0.0, ended)
         self.time.at(now + self.fleet[n].draw_patience(), self.leave, n, call)
 
     def leave(self, n: int, call: ListRequest) -> None:
-        if not call.over:
+        if not call.is_over:
             call.cancel()
             self.again(n, self.began[n])
 
--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -13,7 +13,7 @@
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar
 from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
-from wheatring.lab.models.discovery import ListReply
+from wheatring.lab.models.list_request import ListReply
 from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.plan import NetPlan, TierPlan
@@ -50,7 +50,7 @@
 
 
 class MachineFaults:
-    refusing = False
+    refuses_connections = False
     connect_delay = 0.0
 
 
@@ -60,19 +60,19 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.running = True
-        self.full = False
+        self.is_full = False
         self.connections = 0
         self.visits: list[ReceivedAttempt] = []
         self.gone: list[ReceivedAttempt] = []
         self.at_once: AttemptOutcome | None = None
-        self._troubles = MachineFaults()
+        self._faults = MachineFaults()
 
     @property
-    def troubles(self) -> MachineFaults:
-        return self._troubles
+    def faults(self) -> MachineFaults:
+        return self._faults
 
     def connect(self) -> float | None:
-        if self.full:
+        if self.is_full:
             return None
         self.connections += 1
         return 0.0
@@ -80,17 +80,17 @@
     def disconnect(self) -> None:
         self.connections -= 1
 
-    def visit(self, visit: ReceivedAttempt) -> None:
+    def receive(self, visit: ReceivedAttempt) -> None:
         self.visits.append(visit)
         if self.at_once is not None:
             visit.reply(self.at_once, "stamp")
 
-    def abandoned(self, visit: ReceivedAttempt) -> None:
+    def abandon(self, visit: ReceivedAttempt) -> None:
         self.gone.append(visit)
 
 
 class ListRequest:
-    broken = False
+    is_broken_off = False
 
     def __init__(self, index: int | None, wait: float, done: Callable[[ListReply | None], None]) -> None:
         self.index = index
@@ -108,10 +108,14 @@
     def __init__(self) -> None:
         self.calls: list[ListRequest] = []
 
-    def call(
-        self, sidecar: str, index: int | None, wait: float, done: Callable[[ListReply | None], None]
+    def request_list(
+        self,
+        sidecar: str,
+        known_version: int | None,
+        wait: float,
+        on_reply: Callable[[ListReply | None], None],
     ) -> ListRequest:
-        self.calls.append(ListRequest(index, wait, done))
+        self.calls.append(ListRequest(known_version, wait, on_reply))
         return self.calls[-1]
 
 
@@ -166,7 +170,7 @@
         return {"instanceId": "n", "hostPort": "m:1", "lifecycle": "SERVING", "startedAtMs": 0, **more}
 
     def ask(self, ident: str = "a", index: int = 0, left: float = 2.0) -> DirectRequest:
-        return self.way.ask("s", ident, index, left, "", False, lambda *end: self.replies.append(end))
+        return self.way.send("s", ident, index, left, "", False, lambda *end: self.replies.append(end))
 
     def outcomes(self) -> list[Outcome | None]:
         return [claim.outcome for claim in self.claims]
--- a/tests/lab/machine_world.py
+++ b/tests/lab/machine_world.py
@@ -9,6 +9,7 @@
 from wheatring.lab.book import Book
 from wheatring.lab.models.deduplication import EffectDeduplicator
 from wheatring.lab.models.machine import Machine
+from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
 from wheatring.lab.models.received_attempt import AttemptOutcome, NextTierCall, ReceivedAttempt
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.origins import Origin, Origins
@@ -60,10 +61,9 @@
         self.names: dict[str, str] = {}
         plan = TierPlan(name="front", work=1.0, kinds=(KindPlan(name="k", **kind),), **(tier or {}))
         node = NodePlan(name="n1", tier=0, kind=0, speed=speed, host="127.0.0.1")
-        self.machine = Machine(
-            node, plan, 0, classes, self.time, Random("machine"), self.origins, book, below, calls,
-            effects=self.effects, rules=RULES, passes_deadline=passes_deadline,
-        )  # fmt: skip
+        spec = MachineSpec(node, plan, classes, calls, RULES, passes_deadline)
+        services = MachineServices(self.time, Random("machine"), self.origins, book, below, self.effects)
+        self.machine = Machine(spec, services)
         self.machine.start(cold_start)
 
     def send(
@@ -79,7 +79,7 @@
             self.ended.append((round(self.time.now(), 6), name, verdict))
 
         visit = ReceivedAttempt(ident, "s1", left, self.time.now(), reply)
-        self.machine.visit(visit)
+        self.machine.receive(visit)
         return visit
 
     def run(self, until: float) -> list[tuple[float, str, AttemptOutcome]]:
--- a/tests/lab/peers.py
+++ b/tests/lab/peers.py
@@ -74,27 +74,27 @@
         self.verdict: AttemptOutcome | None = AttemptOutcome.SERVED
         self.visits: list[ReceivedAttempt] = []
 
-    spoil = 0.0
+    malformed_share = 0.0
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.open >= self.cap
 
     def connect(self) -> float | None:
-        self.open += not self.full
+        self.open += not self.is_full
         return 0.004
 
     def disconnect(self) -> None:
         self.open -= 1
 
-    def visit(self, visit: ReceivedAttempt) -> None:
+    def receive(self, visit: ReceivedAttempt) -> None:
         self.visits.append(visit)
         if self.verdict is not None:
             self.book.ended(self.name, visit.ident)
             visit.reply(self.verdict, f"stamp-{visit.ident}")
 
-    def abandoned(self, visit: ReceivedAttempt) -> None:
-        visit.gone = True
+    def abandon(self, visit: ReceivedAttempt) -> None:
+        visit.is_abandoned = True
         self.book.ended(self.name, visit.ident)
 
 
@@ -158,7 +158,7 @@
         self.node.listenTCP(80, self.peer)
         plan = DiscoveryPlan(period=0.5, spread=0.0, lines_per_s=1000.0, call_lines=9.0)
         self.registry = Registry(plan, self.time, self.node.unix, Random(4), book)
-        self.registry.add(RegisteredNode("n1", "127.0.0.3:80", "room", "fast", 2))
+        self.registry.register(RegisteredNode("n1", "127.0.0.3:80", "room", "fast", 2))
         DiscoveryServer(self.registry, book, "at {}".format, partial(self.node.listenTCP, 90))
         self.lines: list[Scripted] = []
         where = {"s": ("127.0.0.2", 80), "nobody": ("127.0.0.2", 81)}
@@ -182,7 +182,7 @@
 
     def ask(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> PendingRequest:
         ident = self.origins.new(Origin(1, index, 0.1, key))
-        asked = self.caller.ask(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
+        asked = self.caller.send(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
         self.run(run)
         return asked
 
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -27,7 +27,7 @@
         self.way = way
         self.done: ResponseCallback | None = done
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         self.way.left += self.done is not None  # else it was answered while its client lingered
         self.done = None
 
@@ -46,18 +46,18 @@
         self.asks: list[tuple[float, str, str, float, bool]] = []
         self.left = 0
 
-    def ask(
+    def send(
         self,
         sidecar: str,
         ident: str,
         index: int,
-        left: float,
+        time_left: float,
         key: str,
-        repeat: bool,
-        done: ResponseCallback,
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
     ) -> PendingRequest:
-        self.asks.append((self.time.now() - 1000, sidecar, ident, left, repeat))
-        asked = PendingRequest(self, done)
+        self.asks.append((self.time.now() - 1000, sidecar, ident, time_left, is_marked_retry))
+        asked = PendingRequest(self, on_response)
         if self.script:
             kind, advice, seconds = self.script.pop(0)
             self.time.at(self.time.now() + seconds, asked.end, kind, advice)
@@ -72,7 +72,7 @@
     way = RequestTransport(time, list(script))
     front = FrontLoadBalancer(time, Random(1), 2.0)
     if up:
-        front.up("s")
+        front.sidecar_up("s")
     traffic = more.pop("traffic", TrafficPlan(rate=100.0))
     day = Plan(scenario="x", seed=1, length=10.0, classes=CLASSES, clients=plan, traffic=traffic, **more)
     return Clients(day, time, Random(2), Origins(Random(3)), book, front, way), book, way, time
@@ -98,7 +98,7 @@
     assert [(at, repeat) for at, _, _, _, repeat in way.asks] == [(0.0, False), (0.5, True)][: 1 + again]
     assert len({ident for _, _, ident, _, _ in way.asks}) == len(way.asks)
     end = "served" if again or kind == "served" else "failed"
-    assert book.lines == [("asked", 7, index), ("settled", 7, end, 1 + again)] and made.open == 0
+    assert book.lines == [("asked", 7, index), ("settled", 7, end, 1 + again)] and made.open_count == 0
 
 
 def test_a_try_has_its_part_of_the_time_left_and_the_last_one_all_of_it() -> None:
@@ -194,7 +194,7 @@
     made.arrive(Origin(1, index, 0.1, "k"))
     time.play(6.0)
     ((_, _, tries),) = book.all("settled")
-    assert tries <= plan.retries + 1 and made.open == 0
+    assert tries <= plan.retries + 1 and made.open_count == 0
     if up:
         assert tries == len(way.asks)
     assert all(0 < left <= 6.0 - at + 1e-9 for at, _, _, left, _ in way.asks)
@@ -208,13 +208,13 @@
     for script in scripts:
         made, book, _, time = clients(ClientPlan(retries=2, backoff="exp", impatient=0.1), *script)
         seen: list[object] = []
-        arrive = made.traffic.arrive
+        arrive = made.traffic.on_arrival
 
         def note(origin: Origin, seen: list[object] = seen, time: Time = time, arrive: Any = arrive) -> None:
             seen.append((time.now(), origin.first, origin.class_index, origin.size, origin.key))
             arrive(origin)
 
-        made.traffic.arrive = note
+        made.traffic.on_arrival = note
         made.start()
         time.play()
         assert len(book.all("settled")) == len(seen) and 800 < len(seen) < 1200
@@ -243,10 +243,10 @@
 
 @pytest.mark.parametrize("dist", ["lognormal", "pareto", "fixed"])
 def test_sizes_have_their_mean_and_spread(dist: Any) -> None:
-    from wheatring.lab.models.traffic import sizes
+    from wheatring.lab.models.traffic import work_sampler
 
     plan = ClassPlan(name="x", share=1.0, work=0.25, dist=dist, cv=0.5)
-    draw = sizes(Random(5), plan)
+    draw = work_sampler(Random(5), plan)
     drawn = [draw() for _ in range(20_000)]
     mean = sum(drawn) / len(drawn)
     cv = (sum((x - mean) ** 2 for x in drawn) / len(drawn)) ** 0.5 / mean
@@ -258,22 +258,22 @@
     time = Time()
     front = FrontLoadBalancer(time, Random(1), 2.0)
     assert front.pick() is None
-    front.up("a")
-    front.up("b")
+    front.sidecar_up("a")
+    front.sidecar_up("b")
     picks = [front.pick() for _ in range(1000)]
     assert 400 < picks.count("a") < 600
-    front.down("a")
+    front.sidecar_down("a")
     time.play(1.9)
     assert "a" in {front.pick() for _ in range(50)}
     time.play(0.2)
     assert {front.pick() for _ in range(50)} == {"b"}
-    front.up("a")
-    front.down("b")
+    front.sidecar_up("a")
+    front.sidecar_down("b")
     time.play(1.0)
-    front.up("b")  # before its end was noticed
+    front.sidecar_up("b")  # before its end was noticed
     time.play(5.0)
     assert {front.pick() for _ in range(50)} == {"a", "b"}
-    front.stopping("a")
+    front.sidecar_stopping("a")
     time.play(0.1)
     assert "a" in {front.pick() for _ in range(50)}
     time.play(0.4)
--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -10,8 +10,8 @@
 from wheatring.balancer.interface import Outcome, View, ViewKind
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
-from wheatring.lab.models.discovery import ListReply
 from wheatring.lab.models.endpoint_list_history import EndpointEntry, RegisteredNode
+from wheatring.lab.models.list_request import ListReply
 from wheatring.lab.models.received_attempt import AttemptOutcome
 
 
@@ -23,7 +23,7 @@
 
 
 def refusing(world: World) -> None:
-    world.machine.troubles.refusing = True
+    world.machine.faults.refuses_connections = True
 
 
 def not_running(world: World) -> None:
@@ -31,11 +31,11 @@
 
 
 def full(world: World) -> None:
-    world.machine.full = True
+    world.machine.is_full = True
 
 
 def late_connects(world: World) -> None:
-    world.machine.troubles.connect_delay = 0.3
+    world.machine.faults.connect_delay = 0.3
 
 
 def vanished(world: World) -> None:
@@ -149,7 +149,7 @@
     world = World()
     asked = world.ask()
     world.time.play(LINK)
-    asked.leave()
+    asked.abandon()
     world.time.play(1.0)
     assert world.outcomes() == [Outcome.NOT_SENT] and not world.machine.visits
     assert world.book.all("left") == [("s", "a")] and not world.replies
@@ -286,7 +286,7 @@
     world.machine.visits[0].reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
     assert [visit.ident for visit in world.machine.visits] == ["a", "b"]
-    first.leave()
+    first.abandon()
     assert len(world.book.all("taken")) == 4
 
 
@@ -295,15 +295,15 @@
     hosts = {"s": ("c", "h"), "none": ("c", "x")}
     way = DirectSidecarClient(world.time, world.links, world.book, hosts, {"s": 2})
     way.running = world.way.running
-    way.ask("none", "x", 0, 2.0, "", False, lambda *end: world.replies.append(end))
-    asks = [way.ask("s", ident, 0, 2.0, "", False, lambda *end: None) for ident in "abcde"]
+    way.send("none", "x", 0, 2.0, "", False, lambda *end: world.replies.append(end))
+    asks = [way.send("s", ident, 0, 2.0, "", False, lambda *end: None) for ident in "abcde"]
     world.time.play(0.1)
     assert [visit.ident for visit in world.machine.visits] == ["a", "b"]
     assert world.replies == [("unreached", 0.0)]
-    asks[2].leave()
+    asks[2].abandon()
     world.machine.visits[0].reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
-    asks[1].leave()
+    asks[1].abandon()
     world.time.play(0.1)
     assert [visit.ident for visit in world.machine.visits] == ["a", "b", "d", "e"]
     assert [line[4] for line in world.book.all("taken")] == pytest.approx([1002.0] * 4, abs=0.001)
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/test_discovery.py
@@ -10,8 +10,9 @@
 import pytest
 
 from tests.lab.peers import Book
-from wheatring.lab.models.discovery import ListReply, ListRequest, Registry
+from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
+from wheatring.lab.models.list_request import ListReply, ListRequest
 from wheatring.lab.net import VirtualTime
 from wheatring.lab.plan import DiscoveryPlan
 
@@ -29,7 +30,7 @@
         self.registry = Registry(DiscoveryPlan(**figures), self.time, self.unix, Random(seed), book, kept)
         self.names = [f"n{number}" for number in range(nodes)]
         for name in self.names:
-            self.registry.add(RegisteredNode(name, f"127.0.1.1:80{name[1:]}", "room", "fast", 0, 0.0))
+            self.registry.register(RegisteredNode(name, f"127.0.1.1:80{name[1:]}", "room", "fast", 0, 0.0))
         self.answers: list[tuple[float, str, ListReply | None]] = []
 
     def run(self, seconds: float) -> None:
@@ -39,7 +40,7 @@
         return EPOCH + self.time.now()
 
     def call(self, sidecar: str = "s1", index: int | None = None, wait: float = 0.0) -> ListRequest:
-        return self.registry.call(sidecar, index, wait, partial(self.answered, sidecar))
+        return self.registry.request_list(sidecar, index, wait, partial(self.answered, sidecar))
 
     def answered(self, sidecar: str, answer: ListReply | None) -> None:
         self.answers.append((round(self.time.now(), 6), sidecar, answer))
@@ -52,36 +53,36 @@
 
 
 def states(answer: ListReply | None) -> dict[str, str] | None:
-    return None if answer is None else {line.node.name: line.state for line in answer.lines}
+    return None if answer is None else {line.node.name: line.state for line in answer.entries}
 
 
 def test_news_are_late_by_what_they_are_and_come_at_multiples_of_the_period() -> None:
     town = Town(add=0.3, notice=1.0, silent_notice=8.0, spread=0.2)
     registry = town.registry
-    registry.up("n0", 100.0)
-    registry.draining("n1")
-    registry.vanished("n2")
+    registry.node_started("n0", 100.0)
+    registry.node_draining("n1")
+    registry.node_vanished("n2")
     watches = [town.call(f"s{number}", 1, 50.0) for number in range(5)]
     town.time.run(111.0)
     known = {node: (at, state, started) for at, node, state, started in town.book.timed("known") if at > 100}
     news = [("n0", 0.3, "ready", 100.0), ("n1", 1.0, "draining", 0.0), ("n2", 8.0, "gone", 0.0)]
     for node, delay, *said in news:
         at, *heard = known[node]
-        periods = (at - registry.knowledge.phase) / 0.5
+        periods = (at - registry.statuses.phase) / 0.5
         assert heard == said and 100 + delay <= at < 100 + delay + 0.5
         assert periods == pytest.approx(round(periods))
     # One change that wakes all of them reaches each at another time, and is told as it is written.
     at = known["n0"][0]
-    assert len(town.answers) == 5 and all(watch.over for watch in watches)
+    assert len(town.answers) == 5 and all(watch.is_over for watch in watches)
     assert all(at < told < at + 0.2 + 5 * 0.011 for told, *_ in town.answers)
     assert len({round(told - at, 3) for told, *_ in town.answers}) > 1
     assert [entry[:2] for entry in town.book.timed("told")] == [entry[:2] for entry in town.answers]
-    started = [line.started_ms for _, _, answer in town.answers if answer for line in answer.lines]
+    started = [line.started_ms for _, _, answer in town.answers if answer for line in answer.entries]
     assert started == [round((EPOCH + 100.0) * 1000)] * 5
     # Of those who ask for the whole list just then, some have it and some have not.
     town.answers.clear()
-    registry.down("n1")
-    town.time.run(max(registry.knowledge.due))
+    registry.node_ended("n1")
+    town.time.run(max(registry.statuses.due))
     for _ in range(8):
         town.call()
     town.run(1.0)
@@ -90,12 +91,12 @@
 
 def test_a_node_that_is_back_is_not_struck_off_by_older_news() -> None:
     town = Town(add=0.2, notice=2.0, silent_notice=8.0)
-    town.registry.vanished("n0")
-    town.registry.down("n1")
+    town.registry.node_vanished("n0")
+    town.registry.node_ended("n1")
     town.time.run(100.3)
-    town.registry.up("n1", 100.3)  # before its end was noticed
+    town.registry.node_started("n1", 100.3)  # before its end was noticed
     town.time.run(105.0)
-    town.registry.up("n0", 0.0)
+    town.registry.node_started("n0", 0.0)
     town.time.run(120.0)
     known = [entry[1:] for entry in town.book.timed("known") if entry[0] > 100]
     assert known == [("n1", "ready", 100.3)]
@@ -118,7 +119,7 @@
         for _, name, said, _ in town.book.timed("known"):
             state[name] = said
         town.book.clear()
-        version = registry.knowledge.listing(0).version
+        version = registry.statuses.history(0).version
         if version not in versions:
             versions[version], since[version] = dict(state), town.time.now()
 
@@ -142,21 +143,21 @@
         assert since[answer.generation] <= town.time.now()
 
     for _ in range(120):
-        fact = draw.choice(["up", "draining", "down", "vanished", "call", "call", "whole"])
+        fact = draw.choice(["up", "draining", "ended", "vanished", "call", "call", "whole"])
         name = draw.choice(town.names)
         if fact == "up":
-            registry.up(name, town.time.now())
-        elif fact in ("draining", "down", "vanished"):
-            getattr(registry, fact)(name)
+            registry.node_started(name, town.time.now())
+        elif fact in ("draining", "ended", "vanished"):
+            getattr(registry, f"node_{fact}")(name)
         else:
             index = None if fact == "whole" else draw.choice(list(versions)[-7:])
-            registry.call("s", index, draw.choice([0.0, 2.0]), partial(answered, index))
+            registry.request_list("s", index, draw.choice([0.0, 2.0]), partial(answered, index))
         for _ in range(draw.randrange(8)):
             town.run(0.05)
             look()
     town.run(10)
     look()
-    assert resets > too_old > 0 and deltas > 5 and not registry.open
+    assert resets > too_old > 0 and deltas > 5 and not registry.open_requests
     assert town.get(index=10**6) == here(versions[max(versions)])
 
 
@@ -174,12 +175,12 @@
         (100.5, "s0", True), (101.0, "s1", True), (101.2, "s3", False), (101.2, "s4", False),
         (101.5, "s2", True),
     ]  # fmt: skip
-    assert not watch.over and len(town.book.timed("unheard")) == 6
+    assert not watch.is_over and len(town.book.timed("unheard")) == 6
     # Many watches are woken at once, and have to take turns as well.
     for number in range(4):
         town.call(f"w{number}", 1, 30.0)
     town.answers.clear()
-    town.registry.draining("n0")
+    town.registry.node_draining("n0")
     town.time.run(110.0)
     known = [at for at, *_ in town.book.timed("known")][-1]
     assert [(round(at - known, 6), answer is not None) for at, _, answer in town.answers] == [
@@ -204,12 +205,12 @@
     town.registry.on_down.append(heard.append)
     town.call("watch", 1, 30.0)
     town.call("whole")
-    over = [town.registry.begin("down"), town.registry.begin("down")]
+    over = [town.registry.begin_fault("down"), town.registry.begin_fault("down")]
     assert [(who, answer) for _, who, answer in town.answers] == [("watch", None), ("whole", None)]
     town.call("late")
     assert len(town.answers) == 2  # not from within the call
     over[0]()
-    assert town.registry.refuses and town.get() is None
+    assert town.registry.is_down and town.get() is None
     over[1]()
     assert town.get() is not None
     assert heard == [True, False]
@@ -221,22 +222,22 @@
     town.call("open", 1, 5.0)
     town.call("in turn")
     town.call("in line")
-    over = town.registry.begin("silent")
+    over = town.registry.begin_fault("silent")
     quiet = town.call("quiet")
-    town.registry.draining("n0")
+    town.registry.node_draining("n0")
     town.time.run(110.0)
     over()
     assert town.get() == {"n0": "draining", "n1": "ready", "n2": "ready"}
     town.time.run(200.0)
-    assert not town.answers and len(town.registry.open) == 4
+    assert not town.answers and len(town.registry.open_requests) == 4
     quiet.cancel()
-    town.registry.begin("down")
+    town.registry.begin_fault("down")
     assert [who for _, who, _ in town.answers] == ["open", "in turn", "in line"]
 
 
 def test_slow_ones_multiply() -> None:
     town = Town(call_lines=97.0)  # 0.1 s
-    ends = [town.registry.begin("slow", 3.0), town.registry.begin("slow", 2.0)]
+    ends = [town.registry.begin_fault("slow", 3.0), town.registry.begin_fault("slow", 2.0)]
     for _ in range(3):
         town.call()
         town.run(2.0)
@@ -247,8 +248,8 @@
 
 def test_stale_tells_what_it_knew_and_catches_up_after_it() -> None:
     town = Town()
-    over = [town.registry.begin("stale"), town.registry.begin("stale")]
-    town.registry.down("n0")
+    over = [town.registry.begin_fault("stale"), town.registry.begin_fault("stale")]
+    town.registry.node_ended("n0")
     town.call("watch", 1, 50.0)
     town.time.run(110.0)
     over[0]()
@@ -267,7 +268,7 @@
 
 def test_lies_strike_off_others_by_turns_and_are_taken_back() -> None:
     town = Town(nodes=6)
-    over = town.registry.begin("lies", 0.34)
+    over = town.registry.begin_fault("lies", 0.34)
     struck = []
     for _ in range(12):
         listed = town.get(within=3.0)
@@ -275,7 +276,7 @@
         struck.append([name for name in town.names if name not in listed])
     assert all(len(names) == 2 for names in struck)
     assert all(not set(one) & set(next) for one, next in pairwise(struck))
-    town.registry.down(struck[-1][0])  # a truth that looks like the lie
+    town.registry.node_ended(struck[-1][0])  # a truth that looks like the lie
     town.run(2)
     over()
     assert town.get() == {name: "ready" for name in town.names if name != struck[-1][0]}
@@ -286,11 +287,11 @@
 
 def test_each_tier_has_a_list_of_its_own_in_one_service() -> None:
     town = Town()
-    town.registry.add(RegisteredNode("b0", "127.0.2.1:80", tier=1), up=False)
-    town.registry.serve("n0", 1)
+    town.registry.register(RegisteredNode("b0", "127.0.2.1:80", tier=1), is_up=False)
+    town.registry.assign_tier("n0", 1)
     town.call("s1", 1, 20.0)
     town.call("n0")
-    town.registry.up("b0", 0.0)
+    town.registry.node_started("b0", 0.0)
     town.time.run(105.0)
     town.call("n0")
     town.time.run(106.0)
--- a/tests/lab/test_machine.py
+++ b/tests/lab/test_machine.py
@@ -10,7 +10,6 @@
 import pytest
 
 from tests.lab.machine_world import RULES, World
-from wheatring.lab.models.machine_faults import begin, end
 from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.models.slow_start import OverloadDetector
 from wheatring.lab.plan import ChokePlan, ClassPlan, EventKind, EventPlan
@@ -47,9 +46,9 @@
     stranger = ReceivedAttempt(
         "unknown", "s1", 0.0, 0.0, lambda verdict, stamp: world.ended.append((0, "x", verdict))
     )
-    world.machine.visit(stranger)
+    world.machine.receive(stranger)
     assert world.run(0.0) == [(0, "c", REJECTED), (0, "x", REJECTED)]
-    assert (world.machine.in_work, world.machine.waiting) == (1, 1)
+    assert (world.machine.busy_slots, world.machine.queue_length) == (1, 1)
     assert world.run(1.5) == [(1, "a", SERVED)]
     world.machine.drain()
     world.send("d", 1.0)  # there is room, but not for it
@@ -57,7 +56,7 @@
     # Turned away or not, it was offered; only what had room has worked.
     assert len(world.noted.of("offered")) == 4
     assert world.work_of() == {"a": 1.0, "b": 1.0}
-    assert len(world.noted.of("ended")) == 5 and not world.machine.held
+    assert len(world.noted.of("ended")) == 5 and not world.machine.in_flight
 
 
 def test_a_slot_is_kept_while_calls_are_made_one_after_another() -> None:
@@ -66,7 +65,7 @@
     world.send("a", 1.0, left=4.0)
     world.send("b", 1.0)
     assert world.run(1.0) == []
-    assert [left for left, _ in under.calls] == [3.5] and world.machine.in_work == 1
+    assert [left for left, _ in under.calls] == [3.5] and world.machine.busy_slots == 1
     assert world.machine.work_done == 0.5  # nobody has the core
     under.end()
     assert [left for left, _ in under.calls] == [3.0]
@@ -113,10 +112,10 @@
     world = World(cores=1, slots=1, queue=2)
     a, b, c = (world.send(name, 1.0) for name in "abc")
     for visit in (a, b, a):
-        world.machine.abandoned(visit)
+        world.machine.abandon(visit)
     assert len(world.noted.of("ended")) == 2
     assert world.run(9.0) == [(3, "c", SERVED)]
-    world.machine.abandoned(c)  # too late
+    world.machine.abandon(c)  # too late
     assert world.work_of() == {"a": 1.0, "b": 1.0, "c": 1.0}
     assert len(world.noted.of("ended")) == 3 and len(world.noted.of("made")) == 1
 
@@ -137,7 +136,7 @@
     world.send("calls", 1.0)
     world.run(1.0)
     world.send("works", 2.0)
-    world.machine.abandoned(world.send("waits", 1.0))
+    world.machine.abandon(world.send("waits", 1.0))
     for _ in range(9):
         world.machine.connect()
     world.run(1.25)
@@ -147,13 +146,13 @@
     assert len(world.noted.of("ended")) == 3 and len(world.noted.of("node_down")) == 1
     world.run(8.0)
     assert world.machine.work_done == pytest.approx(0.75)
-    world.machine.start(cold=True)
+    world.machine.start(slow_start=True)
     under.end(served=False)  # of a call made by the old process
     world.send("new", 1.0)
     world.run(8.5)
     under.end()
     assert world.run(19.0) == [(9.0, "new", SERVED)]
-    assert (world.machine.started_at, world.machine.in_work) == (8.0, 0) and not world.machine.held
+    assert (world.machine.started_at, world.machine.busy_slots) == (8.0, 0) and not world.machine.in_flight
     assert world.noted.of("choked") == []
 
 
@@ -182,12 +181,12 @@
 def test_a_fallen_machine_stays_down_and_what_it_turned_away_pressed_too() -> None:
     world = World(cores=1, slots=1, queue=0, cold_from=0.2, cold=20.0, cold_start=True)
     fell: list[float] = []
-    world.machine.on_fallen = lambda: fell.append(world.time.now())
+    world.machine.on_crash = lambda: fell.append(world.time.now())
     for name in "abcdef":  # 0.2 * 2.5 is 0.5 in a second, and one is left out
         world.send(name, 0.1)
     assert not fell and world.run(0.0) == [(0, name, REJECTED) for name in "bcdef"]
     world.send("g", 0.1)
-    assert fell == [0.0] and world.machine.fallen and not world.machine.running
+    assert fell == [0.0] and world.machine.has_crashed and not world.machine.running
     assert world.machine.connect() is None
     world.send("h", 0.1)
     assert world.run(30.0) == []
@@ -227,10 +226,10 @@
     assert len(effects()) == 4
     world.run(10.0)
     world.send("a", 1.0, index=1, key="k1", ident=first)
-    assert effects()[4:] == ["k1"] and world.effects.had[1] == {"k2": 3.0, "k1": 10.0}
+    assert effects()[4:] == ["k1"] and world.effects.effect_instants[1] == {"k2": 3.0, "k1": 10.0}
     world.run(30.0)
     world.send("e", 1.0, index=1, key="k3")
-    assert world.effects.had[1] == {"k3": 30.0}  # what is over is forgotten
+    assert world.effects.effect_instants[1] == {"k3": 30.0}  # what is over is forgotten
 
 
 CHOKE = ChokePlan(at=1.0, over=2.0, slower=4.0, rest=3.0, below=0.4, most=20.0)
@@ -255,10 +254,10 @@
     assert (at(11.99), at(12.01), at(31.99), at(32.01)) == (2.0, 0.5, 0.5, 2.0)  # `most` is over
     assert (at(33.99), at(34.01)) == (2.0, 0.5)  # but the crowd is still there
     world.machine.stop()
-    world.machine.start(cold=False)
+    world.machine.start(slow_start=False)
     assert at(35.0) == 2.0
     crowd(4, 1.25)  # 0.25 left of each at 37, 2 s more at a quarter of the pace
-    assert (at(36.99), at(38.99), len(world.machine.held)) == (2.0, 0.5, 4)
+    assert (at(36.99), at(38.99), len(world.machine.in_flight)) == (2.0, 0.5, 4)
     world.run(39.5)
     crowd(2, 0.25)  # until 40.5, so that it was busy for less than 1.2 s of the last three by 41.875
     assert (at(41.87), at(41.88)) == (0.5, 2.0)
@@ -288,19 +287,19 @@
     assert machine.connections == 4 and machine.capacity() == 1.0
     world.run(1.0)
     assert machine.work_done == pytest.approx(0.4) and world.ended == []
-    assert machine.full
+    assert machine.is_full
     machine.disconnect()
-    assert machine.capacity() == 1.25 and not machine.full
+    assert machine.capacity() == 1.25 and not machine.is_full
     tight = event("conn_cap", 3.0)
-    begin(machine, tight)
+    machine.faults.begin(tight)
     assert machine.connect() is None
-    end(machine, tight)
+    machine.faults.end(tight)
     assert machine.connect() is not None
 
 
 def test_troubles_overlap_and_outlive_the_process() -> None:
     world = World(cores=1)
-    troubles = world.machine.troubles
+    faults = world.machine.faults
     events = [
         event("slow", 2.0), event("slow", 3.0), event("refuse"), event("vanish"),
         event("late_connects", 0.2), event("late_connects", 0.1),
@@ -309,19 +308,20 @@
 
     def look() -> None:
         slower = round(1.0 / world.machine.capacity(), 9)
-        seen.append((slower, troubles.refusing, troubles.silent, round(troubles.connect_delay, 9)))
+        delay = round(faults.connect_delay, 9)
+        seen.append((slower, faults.refuses_connections, faults.is_unreachable, delay))
 
-    for change in (begin, begin, end, end):
+    for change in (faults.begin, faults.begin, faults.end, faults.end):
         for each in events:
-            change(world.machine, each)
+            change(each)
         look()
         world.machine.stop()
-        world.machine.start(cold=True)
+        world.machine.start(slow_start=True)
     assert seen == [(6, True, True, 0.3), (36, True, True, 0.6), (6, True, True, 0.3), (1, False, False, 0)]
     with pytest.raises(ValueError):
-        end(world.machine, events[0])
+        world.machine.faults.end(events[0])
     with pytest.raises(ValueError, match="partition"):
-        begin(world.machine, event("partition"))
+        world.machine.faults.begin(event("partition"))
 
 
 def test_a_hang_holds_all_until_the_last_of_them_ends() -> None:
@@ -333,23 +333,23 @@
     world.run(0.75)
     hang, again, slow = event("hang"), event("hang"), event("slow", 3.0)
     for each in (hang, slow):
-        begin(world.machine, each)
+        world.machine.faults.begin(each)
     under.end(served=False)
     for name in "abc":
         world.send(name, 1.0)
     world.run(2.0)
-    begin(world.machine, again)
+    world.machine.faults.begin(again)
     for each in (hang, slow):
-        end(world.machine, each)
-    assert world.run(5.0) == [] and len(world.machine.held) == 5 and world.machine.work_done == 0.75
-    end(world.machine, again)
+        world.machine.faults.end(each)
+    assert world.run(5.0) == [] and len(world.machine.in_flight) == 5 and world.machine.work_done == 0.75
+    world.machine.faults.end(again)
     # In the order in which it came: the call that had failed, then those that find one slot.
     assert world.ended == [(5, "calls", ERROR), (5, "b", REJECTED), (5, "c", REJECTED)]
     world.run(5.6)
     assert len(under.calls) == 2  # of "works" at 5.25 and of "a" at 5.5
     under.end()
     under.end()
-    assert [name for _, name, _ in world.run(9.0)] == ["works", "a"] and not world.machine.held
+    assert [name for _, name, _ in world.run(9.0)] == ["works", "a"] and not world.machine.in_flight
 
 
 @pytest.mark.parametrize(
@@ -373,29 +373,29 @@
         return pytest.approx(sum(each is verdict for _, _, each in ended) / 4000, abs=0.03)
 
     half, third = event(kind, 0.5), event(kind, 0.3)
-    begin(world.machine, half)
-    begin(world.machine, third)
+    world.machine.faults.begin(half)
+    world.machine.faults.begin(third)
     assert both == share(verdict)
     assert pytest.approx(works) in [work for _, _, work in world.noted.of("worked")]
-    end(world.machine, half)
+    world.machine.faults.end(half)
     assert one == share(verdict)
-    end(world.machine, third)
+    world.machine.faults.end(third)
     assert share(ERROR) == 0.1 and share(SERVED) == 0.9
 
 
 def test_neighbours_come_and_go_and_end_with_their_events() -> None:
     world = World(cores=1)
     thief, second = event("neighbour", 0.4, 2.0), event("neighbour", 0.5, 3.0)
-    begin(world.machine, thief)
-    begin(world.machine, second)
+    world.machine.faults.begin(thief)
+    world.machine.faults.begin(second)
     seen: dict[float, float] = {}
     for step in range(4000):
         world.run(0.5 * step)
         capacity = round(world.machine.capacity(), 6)
         seen[capacity] = seen.get(capacity, 0.0) + 1 / 4000
     assert seen == {each: pytest.approx(0.25, abs=0.05) for each in (0.3, 0.5, 0.6, 1.0)}
-    end(world.machine, thief)
-    end(world.machine, second)
+    world.machine.faults.end(thief)
+    world.machine.faults.end(second)
     assert world.machine.capacity() == 1.0 and not world.time.pending()
 
 
@@ -409,7 +409,7 @@
     def arrives(name: str) -> None:
         visit = world.send(name, random.expovariate(5.0))
         if random.random() < 0.2:
-            at(world.time.now() + random.random(), machine.abandoned, visit)
+            at(world.time.now() + random.random(), machine.abandon, visit)
 
     world = World(
         cores=2, slots=8, queue=4, pause_every=1.0, pause=0.05, thrash=0.2, knee=6, error_rate=0.01,
@@ -419,15 +419,15 @@
     kinds: list[EventKind] = ["slow", "hang", "neighbour", "resets", "fast_errors"]
     for kind in kinds * 2:
         trouble, instant = event(kind, 3.0 if kind == "slow" else 0.3, 1.0), random.uniform(0.0, 90.0)
-        at(instant, begin, machine, trouble)
-        at(instant + random.uniform(0.0, 20.0), end, machine, trouble)
+        at(instant, machine.faults.begin, trouble)
+        at(instant + random.uniform(0.0, 20.0), machine.faults.end, trouble)
     for instant in (30.0, 60.0):
         at(instant, machine.stop)
         at(instant + 5.0, machine.start, True)
     for i in range(1000):
         at(random.uniform(0.0, 100.0), arrives, str(i))
     ended = world.run(400.0)
-    assert not machine.held and machine.in_work == machine.waiting == 0
+    assert not machine.in_flight and machine.busy_slots == machine.queue_length == 0
     assert sorted(ident for _, ident in world.noted.of("ended")) == sorted(world.names)
     assert len({name for _, name, _ in ended}) == len(ended) > 300
     told = world.noted.of("worked")
--- a/tests/lab/test_machine_cpu.py
+++ b/tests/lab/test_machine_cpu.py
@@ -40,7 +40,7 @@
         wanting = sum(each > 0 for each in left)
         rate = speed * factor * min(1.0, cores / wanting) if wanting else 0.0
         if warming is not None:
-            rate *= warming.share(start + (step + 0.5) * STEP)
+            rate *= warming.share_at(start + (step + 0.5) * STEP)
         left = [max(0.0, each - rate * STEP) for each in left]
         history.append(list(left))
     return history
@@ -68,13 +68,13 @@
                 marks.append(cpu.add(size, len(marks)))
                 gone += size
             elif at == step:
-                cpu.tune(size)
+                cpu.set_factor(size)
         if step % 20 == 19:
             time.run(start + (step + 1) * STEP)
-            left = [0.0 if item in done else cpu.left(mark) for item, mark in enumerate(marks)]
+            left = [0.0 if item in done else cpu.remaining(mark) for item, mark in enumerate(marks)]
             # In steps, what a request that ends leaves over in its last step goes to nobody.
             assert left == pytest.approx(history[step], abs=2.0 * speed * STEP * (1 + len(marks)))
-            assert cpu.worked() == pytest.approx(gone - sum(left), abs=1e-5)
+            assert cpu.work_done() == pytest.approx(gone - sum(left), abs=1e-5)
     assert len(set(done)) == len(done)
     assert time.events <= 3 * len(deeds) + 2
 
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/test_wire_peers.py
@@ -93,7 +93,7 @@
 def test_no_more_connections_than_it_may_have() -> None:
     field = Field(most=2)
     field.serve(says(OK))
-    [field.ask() for _ in range(7)][4].leave()
+    [field.ask() for _ in range(7)][4].abandon()
     field.run()
     assert len(field.lines) == 2 and len(field.book.of("taken")) == 6 and field.ends == [("served", 0.0)] * 6
     # One that ends under what it carries makes room for what waits.
@@ -181,8 +181,8 @@
         field.book.clear()
         field.ends.clear()
     asked = field.ask(run={"connecting": 0.0005, "sent again": 0.0012}.get(stage, 1.0))
-    asked.leave()
-    asked.leave()
+    asked.abandon()
+    asked.abandon()
     field.run()
     over = stage == "over"
     told = ["taken", STAGES[stage]] if STAGES[stage] else []
@@ -216,7 +216,7 @@
     ]
     ended = [round(at - begun, 4) for at, *_ in field.book.timed("ended")]
     assert ended == [0.109, 1.101]  # two round trips and what the machine adds
-    assert [visit.left for visit in field.machine.visits] == [0.48, 0.48]
+    assert [visit.time_left for visit in field.machine.visits] == [0.48, 0.48]
     assert line.data.count(b"200 OK") == 2 and line.data.endswith(f"\r\n\r\nstamp-{second}".encode())
 
 
@@ -256,7 +256,11 @@
     line = field.dial(field.form())
     line.transport.write(field.form())
     field.run()
-    assert line.why is ConnectionLost and field.book.of("second-request") and field.machine.visits[0].gone
+    assert (
+        line.why is ConnectionLost
+        and field.book.of("second-request")
+        and field.machine.visits[0].is_abandoned
+    )
 
 
 def test_idle_connections_are_closed_on_time_and_busy_ones_are_not() -> None:
@@ -286,7 +290,7 @@
     else:
         getattr(line.transport, how)()
     field.run()
-    assert len(field.machine.visits) == visits and all(visit.gone for visit in field.machine.visits)
+    assert len(field.machine.visits) == visits and all(visit.is_abandoned for visit in field.machine.visits)
     assert [entry[0] for entry in field.book.log] == ["sending", "arrived", "ended"]
     assert field.machine.open == 0 and line.why is not None
     for visit in field.machine.visits:
@@ -322,7 +326,7 @@
     entry |= {"lifecycle": "SERVING", "weight": 1.0, "startedAtMs": 0}
     assert listed(line) == {"generation": 1, "reset": True, "instances": [entry]}
     line.transport.write(get("/v1/servers?index=1&wait=20000"))
-    field.registry.down("n1")
+    field.registry.node_ended("n1")
     field.run(3.0)
     assert listed(line) == {"generation": 2, "reset": False, "instances": [entry | {"lifecycle": "DELETED"}]}
     assert [e[1:3] for e in field.book.of("asking", "told")] == [
@@ -332,7 +336,7 @@
     field.run()
     line.transport.abortConnection()
     field.run()
-    assert len(field.book.of("unheard")) == 3 and not field.registry.open
+    assert len(field.book.of("unheard")) == 3 and not field.registry.open_requests
 
 
 def test_calls_that_it_does_not_know_are_told_so() -> None:
@@ -341,25 +345,25 @@
     twice = get("/v1/servers?index=1&wait=9000") * 2
     for bad in (get("/v1/servers?index=x"), get("/v1/servers?wait=3"), twice, twice.replace(b"1.1", b"9")):
         assert field.dial(bad, 90).data.startswith(b"HTTP/1.1 400 "), bad
-    assert len(field.book.of("bad-call")) == 4 and not field.registry.open
+    assert len(field.book.of("bad-call")) == 4 and not field.registry.open_requests
 
 
 def test_discovery_resets_when_down_is_quiet_when_silent_and_fails_calls_when_late() -> None:
     field = Field()
     watch = field.dial(get("/v1/servers?index=1&wait=20000"), 90)
-    over = field.registry.begin("down")
+    over = field.registry.begin_fault("down")
     field.run()
     assert watch.why is ConnectionLost and not watch.data
     assert field.dial(port=90).transport is None
     over()
-    over = field.registry.begin("silent")
+    over = field.registry.begin_fault("silent")
     quiet = field.dial(get("/v1/servers"), 90)
     over()
-    field.registry.begin("slow", 150.0)  # 1.5 s a call, and none waits for more than 2 s
+    field.registry.begin_fault("slow", 150.0)  # 1.5 s a call, and none waits for more than 2 s
     lines = [field.dial(get("/v1/servers"), 90, run=0.01) for _ in range(3)]
     field.run(20.0)
     assert [line.data[9:12] for line in lines] == [b"200", b"200", b"503"]
-    assert quiet.why is None and not quiet.data and len(field.registry.open) == 1
+    assert quiet.why is None and not quiet.data and len(field.registry.open_requests) == 1
 
 
 # The same on a real reactor
@@ -382,7 +386,7 @@
         index = len(origins.by_id) % 2
         key = KEY if index else ""
         ident = origins.new(Origin(1, index, 0.1, key))
-        caller.ask("s", ident, index, 30.0, key, False, lambda kind, wait: done(caller, kind))
+        caller.send("s", ident, index, 30.0, key, False, lambda kind, wait: done(caller, kind))
 
     def done(caller: SidecarClient, kind: str) -> None:
         ends.append(kind)
--- a/tests/lab/test_world_told.py
+++ b/tests/lab/test_world_told.py
@@ -65,7 +65,7 @@
     )
     made = make_world(a_day(step, kill), grain)
     made.play()
-    instant, stamp = made.registry.knowledge.started["shop-1"]
+    instant, stamp = made.registry.statuses.last_starts["shop-1"]
     assert stamp == round((made.plan.epoch + instant - START + step.size) * 1000)
 
 
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -1,4 +1,4 @@
-"""The client side without bytes: attempts become visits, on a pool of kept connections.
+"""The client side without bytes: attempts on a pool of kept connections to nodes.
 
 It keeps to the rules of the HTTP client's pool, and gives the outcomes that this would give.
 """
@@ -39,7 +39,7 @@
     """One connection to a node, both ends of it, with one attempt on it at a time.
 
     `is_alive`, `attempt` and what is about it are the sidecar's, to which events come a link's delay after
-    they happened; `visit`, `has_begun`, `handshake`, `node_idle` and `reply_arrival` are the node's.
+    they happened; `received`, `has_begun`, `handshake`, `node_idle` and `reply_arrival` are the node's.
     """
 
     __slots__ = (
@@ -57,8 +57,8 @@
         "node",
         "node_idle",
         "pool",
+        "received",
         "reply_arrival",
-        "visit",
     )  # fmt: skip
 
     def __init__(self, pool: DirectConnectionPool, address: EndpointAddress, attempt: Attempt) -> None:
@@ -74,8 +74,8 @@
         self.is_alive = False
         self.idle_since = 0.0
         self.arrival = 0.0  # of what was last sent on it
-        self.visit: ReceivedAttempt | None = None
-        self.has_begun = False  # the visit is at the machine
+        self.received: ReceivedAttempt | None = None
+        self.has_begun = False  # the received attempt is at the machine
         self.handshake = 0.0  # seconds that it still costs the first request
         self.node_idle = 0.0
         self.reply_arrival = 0.0
@@ -146,34 +146,34 @@
         now = pool.time.instant
         left = int((attempt.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
         pool.book.sending(pool.name, self.node.name, now)
-        visit = ReceivedAttempt(attempt.request.correlation_id, pool.name, left, now, self.reply)
-        self.arrival = self.forward.send(self.arrival, self.node.request, self, visit)
+        received = ReceivedAttempt(attempt.request.correlation_id, pool.name, left, now, self.reply)
+        self.arrival = self.forward.send(self.arrival, self.node.request, self, received)
 
-    def reply(self, verdict: AttemptOutcome, stamp: str) -> None:
-        """At the node: answer the visit, or reset the connection."""
+    def reply(self, attempt_outcome: AttemptOutcome, stamp: str) -> None:
+        """At the node: answer the received attempt, or reset the connection."""
         node = self.node
-        visit, self.visit = self.visit, None
-        if visit is None:
+        received, self.received = self.received, None
+        if received is None:
             return
         self.has_begun = False
-        if verdict is ATTEMPT_RESET:
+        if attempt_outcome is ATTEMPT_RESET:
             node.close(self)
             return
-        if verdict is ATTEMPT_REJECTED:
-            node.book.turned_away(node.name, visit.ident)
+        if attempt_outcome is ATTEMPT_REJECTED:
+            node.book.turned_away(node.name, received.ident)
         self.node_idle = node.time.instant
-        self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, verdict, stamp)
+        self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, attempt_outcome, stamp)
 
-    def answered(self, verdict: AttemptOutcome, stamp: str) -> None:
-        """End the attempt with the node's verdict."""
+    def answered(self, attempt_outcome: AttemptOutcome, stamp: str) -> None:
+        """End the attempt with the node's outcome."""
         attempt = self.attempt
         if attempt is None or self.pool.clock.over:
             return
         self.attempt = None
-        if verdict is ATTEMPT_SERVED:
+        if attempt_outcome is ATTEMPT_SERVED:
             outcome: Outcome | None = SERVED
         else:
-            outcome = OUTCOMES.get(verdict)
+            outcome = OUTCOMES.get(attempt_outcome)
         if outcome is not None:
             self.pool.keep(self)
             self.pool.exchange.end_attempt(attempt, outcome, stamp)
--- a/wheatring/lab/direct/endpoint_list.py
+++ b/wheatring/lab/direct/endpoint_list.py
@@ -23,28 +23,30 @@
 
 
 class Pending(Protocol):
-    """A call that discovery has."""
+    """A list request that discovery has."""
 
-    broken: bool  # its answer had begun when it failed
+    is_broken_off: bool  # its reply had begun when it failed
 
     def cancel(self) -> None:
-        """End the call, as its connection has been closed; one that has ended stays so."""
+        """Cancel the request, as its connection has been closed; one that has ended stays so."""
 
 
 class Registry(Protocol):
     """The part of discovery's model that its clients use."""
 
-    def call(self, sidecar: str, index: int | None, wait: float, done: Callable[[Any], None]) -> Pending:
-        """Handle a call that has arrived.
+    def request_list(
+        self, sidecar: str, known_version: int | None, wait: float, on_reply: Callable[[Any], None]
+    ) -> Pending:
+        """Handle a request that has arrived.
 
         Parameters
         ----------
-        index
-            The version that the caller has; None for the whole list.
+        known_version
+            The version that the caller has; None for the complete list.
         wait
-            The seconds that the call may wait for a newer version.
-        done
-            Gets the answer, or None where the call fails; never called from within.
+            The seconds that the request may wait for a newer version.
+        on_reply
+            Called with the reply, or None where the request fails; never from within this method.
         """
 
 
@@ -120,7 +122,7 @@
         if not call.is_over:
             wait = 0.0 if call.index is None else WATCH_WAIT_SECONDS
             registry, name = self.owner.registry, self.owner.name
-            call.pending = registry.call(
+            call.pending = registry.request_list(
                 name, call.index, wait, partial(self.send_to_sidecar, self.answered, call)
             )
 
@@ -128,7 +130,7 @@
         """At the sidecar: end the call with the answer."""
         if not call.is_over:
             self.is_up = answer is not None
-            if call.pending is not None and call.pending.broken:
+            if call.pending is not None and call.pending.is_broken_off:
                 self.answer_began_at = self.owner.clock.now()
             self.end(answer)
 
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -54,7 +54,7 @@
     def below(self, node: NodePlan) -> NextTierCall:
         """Return the node's calls through its own sidecar."""
         return NextTierClient(
-            node.name, lambda: self.way, self.world.origins, self.world.sizes(node), self.time
+            node.name, lambda: self.way, self.world.origins, self.world.work_samplers(node), self.time
         )
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -17,22 +17,22 @@
 class MachineFaults(Protocol):
     """The part of a machine's faults that its server uses."""
 
-    refusing: bool
+    refuses_connections: bool
     connect_delay: float
 
 
 class Machine(Protocol):
     """The part of a node's model that its server uses.
 
-    It replies by `visit.reply`, also from within `visit`, and records all that becomes of a visit, except its
-    arrival and its rejection.
+    It replies by `attempt.reply`, also from within `receive`, and records all that becomes of an attempt,
+    except its arrival and its rejection.
     """
 
     name: str
     running: bool
 
     @property
-    def troubles(self) -> MachineFaults:
+    def faults(self) -> MachineFaults:
         """The machine's present faults."""
 
     def connect(self) -> float | None:
@@ -41,10 +41,10 @@
     def disconnect(self) -> None:
         """Release a connection."""
 
-    def visit(self, visit: ReceivedAttempt) -> None:
+    def receive(self, attempt: ReceivedAttempt) -> None:
         """Process a request."""
 
-    def abandoned(self, visit: ReceivedAttempt) -> None:
+    def abandon(self, attempt: ReceivedAttempt) -> None:
         """Handle that a request's connection was closed before its response."""
 
 
@@ -68,7 +68,7 @@
 
     def handle_connect(self, connection: DirectConnection) -> None:
         """Handle a connect that has arrived, late where a fault delays connects."""
-        delay = self.machine.troubles.connect_delay
+        delay = self.machine.faults.connect_delay
         if delay > 0 and self.machine.running:
             self.time.at(self.time.instant + delay, self.accept, connection)
         else:
@@ -77,7 +77,7 @@
     def accept(self, connection: DirectConnection) -> None:
         """Accept or refuse a connect, or leave it unanswered where the table of connections is full."""
         machine = self.machine
-        if not machine.running or machine.troubles.refusing:
+        if not machine.running or machine.faults.refuses_connections:
             connection.backward.send(0.0, connection.refused)
             return
         wait = machine.connect()
@@ -94,25 +94,25 @@
 
     # Requests
 
-    def request(self, connection: DirectConnection, visit: ReceivedAttempt) -> None:
+    def request(self, connection: DirectConnection, attempt: ReceivedAttempt) -> None:
         """Handle the last byte of a request, unless its connection has been closed on this side."""
         if connection not in self.connections:
             return
-        connection.visit = visit
-        sent, visit.since = visit.since, self.time.instant
-        self.book.arrived(visit.sidecar, self.name, visit.ident, sent)
+        connection.received = attempt
+        sent, attempt.arrived_at = attempt.arrived_at, self.time.instant
+        self.book.arrived(attempt.sidecar, self.name, attempt.ident, sent)
         if connection.handshake > 0:
-            self.time.at(visit.since + connection.handshake, self.start_visit, connection, visit)
+            self.time.at(attempt.arrived_at + connection.handshake, self.start_attempt, connection, attempt)
             connection.handshake = 0.0
         else:
             connection.has_begun = True
-            self.machine.visit(visit)
+            self.machine.receive(attempt)
 
-    def start_visit(self, connection: DirectConnection, visit: ReceivedAttempt) -> None:
-        """Start the visit, as the handshake is over."""
-        if connection.visit is visit:
+    def start_attempt(self, connection: DirectConnection, attempt: ReceivedAttempt) -> None:
+        """Start the attempt, as the handshake is over."""
+        if connection.received is attempt:
             connection.has_begun = True
-            self.machine.visit(visit)
+            self.machine.receive(attempt)
 
     # Ends
 
@@ -121,13 +121,13 @@
         if connection not in self.connections:
             return
         del self.connections[connection]
-        visit, connection.visit = connection.visit, None
-        if visit is not None:
+        attempt, connection.received = connection.received, None
+        if attempt is not None:
             if connection.has_begun:
-                self.machine.abandoned(visit)
+                self.machine.abandon(attempt)
             else:
-                visit.gone = True
-                self.book.ended(self.name, visit.ident)
+                attempt.is_abandoned = True
+                self.book.ended(self.name, attempt.ident)
         self.machine.disconnect()
 
     def close(self, connection: DirectConnection) -> None:
@@ -147,7 +147,7 @@
         now = self.time.instant
         due = (
             now + self.idle_seconds
-            if connection.visit is not None
+            if connection.received is not None
             else connection.node_idle + self.idle_seconds
         )
         if due <= now:
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -128,7 +128,7 @@
             self.client.book.lost(self.sidecar, self.ident, "reset")
             self.done("lost", 0.0)
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Abandon the request; the sidecar learns of it a link's delay later."""
         if self.is_over:
             return
@@ -169,18 +169,20 @@
         self.open_counts = dict.fromkeys(max_connections or (), 0)
         self.waiting: dict[str, deque[DirectRequest]] = {name: deque() for name in max_connections or ()}
 
-    def ask(
+    def send(
         self,
         sidecar: str,
         ident: str,
         index: int,
-        left: float,
+        time_left: float,
         key: str,
-        repeat: bool,
-        done: ResponseCallback,
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
     ) -> DirectRequest:
         """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
-        request = DirectRequest(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
+        request = DirectRequest(
+            self, sidecar, ident, index, self.time.instant + time_left, key, is_marked_retry, on_response
+        )
         if self.max_connections and sidecar in self.max_connections:
             self.waiting[sidecar].append(request)
             self.send_waiting(sidecar)
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -31,7 +31,7 @@
         self.failed: Callable[[ProcessError], object]
         slots.on_up, slots.on_stopping = self.on_sidecar_up, self.on_sidecar_stopping
         slots.on_down, slots.on_failed = self.on_sidecar_down, self.on_sidecar_failed
-        nodes.on_fallen = self.on_node_ended
+        nodes.on_crash = self.on_node_ended
 
     def start_all(self, names: Collection[str]) -> None:
         """Start the sidecars that run from the beginning, at least one."""
@@ -48,7 +48,7 @@
     def on_sidecar_up(self, slot: SidecarSlot) -> None:
         """Let callers, or its node, use a sidecar that listens."""
         if slot.name not in self.nodes.nodes:
-            self.front.up(slot.name)
+            self.front.sidecar_up(slot.name)
         elif slot.name in self.coming:
             self.coming.discard(slot.name)
             self.nodes.start(slot.name)
@@ -60,12 +60,12 @@
     def on_sidecar_stopping(self, slot: SidecarSlot) -> None:
         """Let callers know that a sidecar is shutting down."""
         if slot.name not in self.nodes.nodes:
-            self.front.stopping(slot.name)
+            self.front.sidecar_stopping(slot.name)
 
     def on_sidecar_down(self, slot: SidecarSlot) -> None:
         """Let callers know that a sidecar has ended."""
         if slot.name not in self.nodes.nodes:
-            self.front.down(slot.name)
+            self.front.sidecar_down(slot.name)
 
     def on_sidecar_failed(self, slot: SidecarSlot) -> None:
         """Fail where a sidecar of the start ended before it listened."""
@@ -104,7 +104,7 @@
         """Let a node's machine, with its own sidecar, fall silent."""
         assert self.wires is not None
         self.wires.begin(self._silence(node))
-        self.nodes.registry.vanished(node)
+        self.nodes.registry.node_vanished(node)
 
     def back(self, node: str) -> None:
         """Let a machine that was silent answer again; its connections are reset."""
@@ -112,7 +112,7 @@
         self.wires.over(self._silence(node), reset=True)
         machine = self.nodes.nodes[node].machine
         if machine.running:
-            self.nodes.registry.up(node, machine.started_at)
+            self.nodes.registry.node_started(node, machine.started_at)
 
     def _silence(self, node: str) -> EventPlan:
         plan = self.nodes.nodes[node].plan
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -20,8 +20,9 @@
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.machine import Machine
+from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
 from wheatring.lab.models.next_tier import NextTierClient
-from wheatring.lab.models.traffic import sizes
+from wheatring.lab.models.traffic import work_sampler
 from wheatring.lab.origins import Origins
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
 from wheatring.lab.wire.node_server import NodeServer
@@ -76,25 +77,28 @@
         for tier in range(len(plan.tiers) - 1):
             self.callers.append([(node.name, node.zone) for node in plan.nodes if node.tier == tier])
         self.ways: dict[str, SidecarClient] = {}  # of nodes that run, into their own sidecars
-        effects = EffectDeduplicator(clock, plan.classes, book)
-        self.nodes = {node.name: self._node(node, effects) for node in plan.nodes}
-        self.on_fallen: Callable[[str], object] = lambda _name: None
+        deduplicator = EffectDeduplicator(clock, plan.classes, book)
+        self.nodes = {node.name: self._node(node, deduplicator) for node in plan.nodes}
+        self.on_crash: Callable[[str], object] = lambda _name: None
 
-    def _node(self, node: NodePlan, effects: EffectDeduplicator) -> Node:
+    def _node(self, node: NodePlan, deduplicator: EffectDeduplicator) -> Node:
         plan, tier = self.plan, self.plan.tiers[node.tier]
-        calls, mean = None, 0.0
+        client = None
         if node.tier + 1 < len(plan.tiers):
-            drawn = Random(f"{plan.seed}:calls:{node.name}")
-            draws = [sizes(drawn, each) for each in plan.classes]
-            way = partial(self.ways.get, node.name)
-            calls = NextTierClient(node.name, way, self.origins, draws, self.clock)
-            mean = plan.tiers[node.tier + 1].calls
-        machine = Machine(
-            node, tier, node.tier, plan.classes, self.clock, Random(f"{plan.seed}:node:{node.name}"),
-            self.origins, self.book, calls, mean,
-            effects=effects, rules=plan.rules, passes_deadline=plan.passes_deadline,
-        )  # fmt: skip
-        machine.on_fallen = partial(self._fell, node.name)
+            random = Random(f"{plan.seed}:calls:{node.name}")
+            samplers = [work_sampler(random, each) for each in plan.classes]
+            find_transport = partial(self.ways.get, node.name)
+            client = NextTierClient(node.name, find_transport, self.origins, samplers, self.clock)
+        services = MachineServices(
+            timers=self.clock,
+            random=Random(f"{plan.seed}:node:{node.name}"),
+            origins=self.origins,
+            book=self.book,
+            call_next_tier=client,
+            deduplicator=deduplicator,
+        )
+        machine = Machine(MachineSpec.from_plan(plan, node), services)
+        machine.on_crash = partial(self._handle_crash, node.name)
         made = Node(node, machine)
         for sidecar, zone in self.callers[node.tier]:
             trip = 2 * (plan.net.same if zone == node.zone else plan.net.cross)
@@ -121,14 +125,14 @@
         if node.up:
             self._run(self.nodes[name], cold=False)
         listed = RegisteredNode(name, "", node.zone, kind, node.cell, 0.0, node.tier)
-        self.registry.add(listed, node.up)
+        self.registry.register(listed, node.up)
 
     def start(self, name: str) -> None:
         """Start an endpoint's process, cold, unless one runs."""
         node = self.nodes[name]
         if not node.machine.running:
             self._run(node, cold=True)
-            self.registry.up(name, self.clock.now())
+            self.registry.node_started(name, self.clock.now())
 
     def _run(self, node: Node, cold: bool) -> None:
         self._open(node)
@@ -143,7 +147,7 @@
         node = self.nodes[name]
         if node.machine.running:
             node.machine.drain()
-            self.registry.draining(name)
+            self.registry.node_draining(name)
 
     def stop(self, name: str) -> bool:
         """End an endpoint's process at once; False where none runs."""
@@ -154,13 +158,13 @@
         self._ended(node)
         return True
 
-    # What troubles of a node bring about on the network. Its machine has been told of them.
+    # The effects of a node's faults on the network; its machine has been notified of them.
 
     def begin(self, event: EventPlan) -> None:
         """Close the ports of endpoints that a fault makes refuse connections."""
         for name in event.nodes:
             node = self.nodes[name]
-            if node.machine.troubles.refusing:
+            if node.machine.faults.refuses_connections:
                 self._close(node)
 
     def end(self, event: EventPlan) -> None:
@@ -170,19 +174,19 @@
             if node.machine.running:
                 self._open(node)
 
-    def _fell(self, name: str) -> None:
+    def _handle_crash(self, name: str) -> None:
         self._ended(self.nodes[name])
-        self.on_fallen(name)
+        self.on_crash(name)
 
     def _ended(self, node: Node) -> None:
         self._close(node)
         node.reset()
         # Its own sidecar goes with it: what it had asked of that ends as the connections to it do.
         self.ways.pop(node.plan.name, None)
-        self.registry.down(node.plan.name)
+        self.registry.node_ended(node.plan.name)
 
     def _open(self, node: Node) -> None:
-        if node.doors or node.machine.troubles.refusing:
+        if node.doors or node.machine.faults.refuses_connections:
             return
         host = node.plan.host
         for sidecar, peer in node.peers.items():
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -123,7 +123,7 @@
 
     def _add(self, slot: SidecarSlot) -> None:
         self.by_name[slot.name] = slot
-        self.registry.serve(slot.name, slot.tier)
+        self.registry.assign_tier(slot.name, slot.tier)
 
     def where(self, name: str) -> tuple[str, int]:
         """Return where callers find a sidecar; for one that never listened, a port where nobody does."""
@@ -144,7 +144,7 @@
             Random(f"{self.plan.seed}:sidecar:{slot.name}").getrandbits(64),
             limits={"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             known=list_reply_json(
-                self.registry.held(slot.tier, self.plan.held), partial(self.address, slot.name)
+                self.registry.initial_list(slot.tier, self.plan.held), partial(self.address, slot.name)
             ),
         )
 
@@ -250,7 +250,7 @@
             self._notify_move(slot)
             self.on_up(slot)
         elif text.startswith(LIST_REFUSED_LINE):
-            self.registry.refused(slot.name)
+            self.registry.connection_refused(slot.name)
         elif text.startswith(CONNECT_FAILED_LINES):
             self.book.note("unconnected", sidecar=slot.name)
         else:
--- a/wheatring/lab/models/__init__.py
+++ b/wheatring/lab/models/__init__.py
@@ -1,5 +1,6 @@
-"""The systems served, each a small class with its own stated rules: nodes, discovery, clients, the front.
+"""Models of what surrounds the sidecars: clients, the front's load balancer, nodes and the discovery service.
 
-They know neither sockets nor the sidecar: time, randomness, the book and what lies below are handed in. They
-may import `plan`, `origins`, `timers` and `book` of the lab, and nothing of the sidecar.
+Each model is a small class with its own stated rules. The models know neither sockets nor sidecars: time,
+randomness, the book that records what happens, and the transport to the next sidecar are passed in. They may
+import `plan`, `origins`, `timers` and `book` of the lab, and nothing of the sidecar.
 """
--- a/wheatring/lab/models/attempt_execution.py
+++ b/wheatring/lab/models/attempt_execution.py
@@ -1,34 +1,36 @@
-"""One visit while a machine holds it."""
+"""The state of one attempt while a machine has it in flight."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
-
 from wheatring.lab.models.received_attempt import ReceivedAttempt
 from wheatring.lab.origins import Origin
 
-if TYPE_CHECKING:
-    from wheatring.lab.models.machine import Machine
-
 
 class AttemptExecution:
-    """A visit that the machine holds."""
-
-    __slots__ = ("breaks", "calls", "done", "machine", "mark", "origin", "over", "part", "rest", "visit")
-
-    def __init__(self, machine: Machine, visit: ReceivedAttempt, origin: Origin, work: float) -> None:
-        self.machine = machine
-        self.visit = visit
+    """One attempt in flight at a machine. Work is in seconds on a standard core.
+
+    Parameters
+    ----------
+    attempt
+        The attempt.
+    origin
+        The first try behind it.
+    work
+        The work that it takes.
+    """
+
+    __slots__ = (
+        "attempt", "calls_left", "current_work", "done_work", "ends_in_reset", "is_over", "origin",
+        "remaining_work", "virtual_finish",
+    )  # fmt: skip
+
+    def __init__(self, attempt: ReceivedAttempt, origin: Origin, work: float) -> None:
+        self.attempt = attempt
         self.origin = origin
-        self.part = 0.0  # work that the cores have in hand, and the mark that they gave for it
-        self.mark = 0.0
-        self.rest = work  # work for which it will come back to them
-        self.done = 0.0  # work behind it
-        self.calls = 0  # to the next tier, still to be made
-        self.breaks = False  # it is going to end in a reset
-        self.over = False
-
-    def called(self, served: bool) -> None:
-        """A call to the next tier has ended."""
-        if not self.over:
-            self.machine.called(self, served)
+        self.current_work = 0.0  # that the cores have, with the virtual finish time that they gave for it
+        self.virtual_finish = 0.0
+        self.remaining_work = work  # that the cores have not had yet
+        self.done_work = 0.0
+        self.calls_left = 0  # to the next tier, still to be made
+        self.ends_in_reset = False
+        self.is_over = False
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -1,4 +1,4 @@
-"""The clients: each first try becomes one try or more, and ends once."""
+"""The clients: each first try becomes one or more tries, and ends once."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.timers import Timer, Timers
 
-MIN_TRY_TIME = 0.001  # seconds left below which no further try is made: none could be stated on the wire
+MIN_TRY_TIME = 0.001  # seconds: with less left there is no further try, as the wire could not state the time
 
 # How a first try ends whose last try ended so.
 FIRST_TRY_ENDS: dict[RequestOutcome, FirstTryEnd] = {
@@ -31,8 +31,27 @@
 
 
 class Clients:
-    """All clients of the day. What one of them does is drawn as it arrives, so that two runs of a plan with
-    other sidecars differ in their answers alone.
+    """All clients of the day.
+
+    What one of them does is drawn at its arrival, so that two runs of a plan with other sidecars differ in
+    the sidecars' answers alone.
+
+    Parameters
+    ----------
+    plan
+        The plan.
+    timers
+        The clock.
+    random
+        Draws the clients' behaviour.
+    origins
+        Records the origin of each try.
+    book
+        Records first tries and their ends.
+    front
+        Chooses the sidecar of each try.
+    transport
+        Carries the tries to the sidecars.
     """
 
     def __init__(
@@ -43,7 +62,7 @@
         origins: Origins,
         book: Book,
         front: FrontLoadBalancer,
-        way: RequestTransport,
+        transport: RequestTransport,
     ) -> None:
         self.classes = plan.classes
         self.plan = plan.clients
@@ -52,27 +71,28 @@
         self.origins = origins
         self.book = book
         self.front = front
-        self.way = way
+        self.transport = transport
         self.traffic = Traffic(plan, timers, self.arrive)
-        self.open = 0  # first tries that are not settled
+        self.open_count = 0  # first tries that have not ended
 
     def start(self) -> None:
-        """The day starts now."""
+        """Start the day now."""
         self.traffic.start()
 
     def arrive(self, origin: Origin) -> None:
-        self.open += 1
+        """Have a client make a first try."""
+        self.open_count += 1
         self.book.asked(origin.first, origin.class_index)
-        _First(self, origin).attempt()
+        _FirstTry(self, origin).start_try()
 
-    def jitter(self) -> list[float]:
-        """Factors on the backoffs of one client."""
+    def draw_jitter(self) -> list[float]:
+        """Draw the factors on the backoffs of one client, by retry."""
         if self.plan.backoff != "exp":
             return []
         return [0.5 + self.random.random() for _ in range(self.plan.retries)]
 
-    def patience(self) -> list[float]:
-        """Parts of each try's time after which one client leaves; 1: it does not leave early."""
+    def draw_patience(self) -> list[float]:
+        """Draw the parts of each try's time after which one client gives up; 1: it does not give up early."""
         draw = self.random.random
         if not self.plan.impatient:
             return []
@@ -80,12 +100,12 @@
         return [part if chance < self.plan.impatient else 1.0 for chance, part in drawn]
 
 
-class _First:
-    """One first try and its further ones."""
+class _FirstTry:
+    """One first try and its retries."""
 
     __slots__ = (
-        "asked", "began", "class_plan", "clients", "deadline", "honours", "jitter", "may_have_run", "origin",
-        "patience", "timer", "tries",
+        "class_plan", "clients", "deadline", "heeds_retry_after", "jitter", "may_have_run_since", "origin",
+        "patience", "pending", "timer", "tries", "try_started_at",
     )  # fmt: skip
 
     def __init__(self, clients: Clients, origin: Origin) -> None:
@@ -95,107 +115,125 @@
         self.class_plan = clients.classes[origin.class_index]
         self.deadline = clients.timers.now() + self.class_plan.deadline
         self.tries = 0
-        self.began = 0.0  # the present try
-        self.may_have_run: float | None = None  # start of the first try that may have
-        self.honours = plan.honour >= 1 or (plan.honour > 0 and clients.random.random() < plan.honour)
-        self.jitter = clients.jitter()
-        self.patience = clients.patience()
-        self.asked: PendingRequest | None = None
+        self.try_started_at = 0.0
+        self.may_have_run_since: float | None = None  # start of the earliest try that may have run
+        self.heeds_retry_after = plan.honour >= 1 or (
+            plan.honour > 0 and clients.random.random() < plan.honour
+        )
+        self.jitter = clients.draw_jitter()
+        self.patience = clients.draw_patience()
+        self.pending: PendingRequest | None = None
         self.timer: Timer | None = None
 
-    def attempt(self) -> None:
-        """The next try. It has a part of the time left while there may be a further one, else all of it."""
+    def start_try(self) -> None:
+        """Make the next try.
+
+        It has a part of the time left while there may be a further one, else all of it.
+        """
         clients, plan, origin = self.clients, self.clients.plan, self.origin
-        now = self.began = clients.timers.now()
+        now = self.try_started_at = clients.timers.now()
         end = self.deadline
         if self.tries < plan.retries:
             end = now + (end - now) * plan.try_share
-        part = self.patience[self.tries] if self.patience else 1.0
+        patience = self.patience[self.tries] if self.patience else 1.0
         self.tries += 1
         ident = clients.origins.new(origin)
         sidecar = clients.front.pick()
         if sidecar is None:
-            self.again("unreached", 0.0)
+            self.retry_or_settle("unreached", 0.0)
             return
-        repeat = plan.marks_retry and self.tries > 1
-        # Before it asks, so that what comes at that very instant comes too late.
-        if part < 1:
-            self.timer = clients.timers.at(now + (end - now) * part, self.quit)
+        # Before the request is sent, so that what comes at that very instant comes too late.
+        if patience < 1:
+            self.timer = clients.timers.at(now + (end - now) * patience, self.give_up)
         else:
-            self.timer = clients.timers.at(end, self.late)
-        self.asked = clients.way.ask(
+            self.timer = clients.timers.at(end, self.on_timeout)
+        self.pending = clients.transport.send(
             sidecar,
             ident,
             origin.class_index,
             end - now,
             origin.key,
-            repeat,
-            partial(self.answered, self.tries),
+            plan.marks_retry and self.tries > 1,
+            partial(self.on_response, self.tries),
         )
 
-    def answered(self, number: int, kind: RequestOutcome, retry_after: float) -> None:
-        if self.asked is None or number != self.tries:
-            return  # out of time when it came
+    def on_response(self, number: int, outcome: RequestOutcome, retry_after: float) -> None:
+        """Handle the outcome of a try, unless that has timed out."""
+        if self.pending is None or number != self.tries:
+            return
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.asked = None
-        if kind == "served":
+        self.pending = None
+        if outcome == "served":
             self.settle("served")
         else:
-            self.again(kind, retry_after)
+            self.retry_or_settle(outcome, retry_after)
 
-    def late(self) -> None:
-        asked, self.asked = self.asked, None
+    def on_timeout(self) -> None:
+        """Retry as the try has timed out; keep its connection for a late answer."""
+        pending, self.pending = self.pending, None
         timers = self.clients.timers
-        if asked is not None:
-            timers.at(timers.now() + LATE_ANSWER_WAIT, asked.leave)
+        if pending is not None:
+            timers.at(timers.now() + LATE_ANSWER_WAIT, pending.abandon)
         self.timer = None
-        self.again(None, 0.0)
+        self.retry_or_settle(None, 0.0)
 
-    def quit(self) -> None:
-        """Leave early, for good."""
-        self.leave()
+    def give_up(self) -> None:
+        """Abandon the try early, for good."""
+        self.timer = None
+        pending, self.pending = self.pending, None
+        if pending is not None:
+            pending.abandon()
         self.settle("left")
 
-    def leave(self) -> None:
-        self.timer = None
-        asked, self.asked = self.asked, None
-        if asked is not None:
-            asked.leave()
-
-    def again(self, kind: RequestOutcome | None, retry_after: float) -> None:
-        """Try again, where a client may and has the time, else that was the end. None: out of time."""
-        clients, plan = self.clients, self.clients.plan
-        if kind != "refused" and kind != "unreached" and self.may_have_run is None:
-            self.may_have_run = self.began
-        end: FirstTryEnd = "timeout" if kind is None else FIRST_TRY_ENDS[kind]
-        if self.tries > plan.retries:
+    def retry_or_settle(self, outcome: RequestOutcome | None, retry_after: float) -> None:
+        """Retry, if the client may and has the time, else end the first try.
+
+        Parameters
+        ----------
+        outcome
+            The outcome of the last try; None if it timed out.
+        retry_after
+            Seconds after which the sidecar asked to retry.
+        """
+        clients = self.clients
+        if outcome != "refused" and outcome != "unreached" and self.may_have_run_since is None:
+            self.may_have_run_since = self.try_started_at
+        end: FirstTryEnd = "timeout" if outcome is None else FIRST_TRY_ENDS[outcome]
+        if self.tries > clients.plan.retries:
             self.settle(end)
             return
+        wait = self.backoff(retry_after)
+        at = clients.timers.now() + wait
+        if at + MIN_TRY_TIME > self.deadline or not self.may_repeat_at(at):
+            self.settle(end)
+        elif wait:
+            clients.timers.at(at, self.start_try)
+        else:
+            self.start_try()
+
+    def backoff(self, retry_after: float) -> float:
+        """Return the seconds to wait before the next try."""
+        plan = self.clients.plan
         wait = 0.0
         if plan.backoff == "fixed":
             wait = plan.backoff_base
         elif plan.backoff == "exp":
             wait = plan.backoff_base * 2.0 ** (self.tries - 1) * self.jitter[self.tries - 1]
-        if self.honours:
+        if self.heeds_retry_after:
             wait = max(wait, min(retry_after, plan.max_retry_after))
-        at = clients.timers.now() + wait
-        if at + MIN_TRY_TIME > self.deadline or not self.repeatable(at):
-            self.settle(end)
-        elif wait:
-            clients.timers.at(at, self.attempt)
-        else:
-            self.attempt()
+        return wait
 
-    def repeatable(self, at: float) -> bool:
-        """What may have run goes out again only as its class allows."""
+    def may_repeat_at(self, at: float) -> bool:
+        """Return whether the class allows a retry at an instant, as an earlier try may have run."""
         effect = self.class_plan.effect
-        if self.may_have_run is None or effect == "safe":
+        if self.may_have_run_since is None or effect == "safe":
             return True
-        return effect == "keyed" and at < self.may_have_run + self.class_plan.window
+        return effect == "keyed" and at < self.may_have_run_since + self.class_plan.window
 
     def settle(self, end: FirstTryEnd) -> None:
+        """End the first try."""
         clients = self.clients
-        clients.open -= 1
+        clients.open_count -= 1
         clients.book.settled(self.origin.first, end, self.tries)
--- a/wheatring/lab/models/cpu.py
+++ b/wheatring/lab/models/cpu.py
@@ -1,8 +1,10 @@
-"""The cores of a machine: what wants them shares them evenly, at a rate that may change at any time.
+"""The cores of a machine, which serve all that want them at the same rate (processor sharing).
 
-A virtual clock runs as fast as each request is worked on. A request is done when that clock has gone on by
-its work, whatever the rate did meanwhile, so requests stand in one heap by where they end and a change of the
-rate touches none of them. One timer is pending at most.
+A virtual clock advances at the rate at which each request is worked on. A request is done when that clock has
+advanced by the request's work, however the rate has changed meanwhile. So requests are in one heap by their
+virtual finish time, and a change of the rate touches none of them. One timer is pending at most.
+
+Instants are seconds; work is in seconds on a standard core.
 """
 
 from __future__ import annotations
@@ -15,155 +17,178 @@
 from wheatring.lab.timers import Timer, Timers
 
 T = TypeVar("T")
-ROUNDING_TOLERANCE = 1e-9  # seconds of work: what is left of a request by rounding counts as done
+ROUNDING_TOLERANCE = 1e-9  # work: a request with less left over is done
 
 
 class Cpu(Generic[T]):
-    """`wanting` requests get min(1, cores / wanting) * speed * factor of a standard core each.
-
-    `done` is called with each that is done, `watch` whenever their number has changed. Handshakes and the
-    like want cores too, but nobody is told of their end: they are added as None.
+    """The cores of one machine; each of n runnable requests gets min(1, cores / n) * speed * factor.
+
+    Handshakes and the like want cores too, but nobody is notified of their end: they are added as None.
+
+    Parameters
+    ----------
+    timers
+        The clock.
+    cores
+        The number of cores.
+    speed
+        The speed of each core, in standard cores.
+    on_done
+        Called with each request that is done.
+
+    Attributes
+    ----------
+    on_runnable_changed
+        Called with the number of runnable requests whenever it has changed.
+    factor
+        The part of the capacity that is available; 0: the cores stand still.
+    ramp
+        The slow start of the present process; None once it is over.
     """
 
     __slots__ = (
-        "_due", "_firing", "_heap", "_last", "_rate", "_seq", "_timer", "_v", "_worked", "cores", "done",
-        "factor", "now", "speed", "timers", "warming", "watch",
+        "_due", "_heap", "_is_firing", "_rate", "_sequence", "_timer", "_updated_at", "_virtual_time",
+        "_work_done", "cores", "factor", "now", "on_done", "on_runnable_changed", "ramp", "speed", "timers",
     )  # fmt: skip
 
-    def __init__(self, timers: Timers, cores: int, speed: float, done: Callable[[T], object]) -> None:
+    def __init__(self, timers: Timers, cores: int, speed: float, on_done: Callable[[T], object]) -> None:
         self.timers = timers
         self.now = timers.now
         self.cores = cores
         self.speed = speed
-        self.done = done
-        self.watch: Callable[[int], object] | None = None
+        self.on_done = on_done
+        self.on_runnable_changed: Callable[[int], object] | None = None
         self.factor = 1.0
-        self.warming: CapacityRamp | None = None
-        self._heap: list[tuple[float, int, T | None]] = []
-        self._seq = 0
-        self._v = 0.0  # the virtual clock, and when it was last set
-        self._last = timers.now()
-        self._rate = speed  # of the virtual clock, in work for each second of a warm machine
-        self._worked = 0.0
+        self.ramp: CapacityRamp | None = None
+        self._heap: list[tuple[float, int, T | None]] = []  # by virtual finish time and order of arrival
+        self._sequence = 0
+        self._virtual_time = 0.0  # at the last update
+        self._updated_at = timers.now()
+        self._rate = speed  # of the virtual clock, in work for each second of full capacity
+        self._work_done = 0.0
         self._timer: Timer | None = None
-        self._due = 0.0
-        self._firing = False
+        self._due = 0.0  # the instant of the timer
+        self._is_firing = False
 
     @property
-    def wanting(self) -> int:
+    def runnable(self) -> int:
+        """The number of requests that want a core."""
         return len(self._heap)
 
     def add(self, work: float, item: T | None) -> float:
-        """Takes a request on; gives the mark by which `left` knows it."""
+        """Begin to work on a request, and return its virtual finish time, which `remaining` takes."""
         self._advance()
-        end = self._v + work
-        heap, seq = self._heap, self._seq + 1
-        self._seq = seq
-        heappush(heap, (end, seq, item))
-        if not self._firing:
-            if self.watch is not None:
-                self.watch(len(heap))
-            self._rerate()
-        return end
-
-    def left(self, mark: float) -> float:
-        """Work that is still to be done for a request that is not done yet."""
-        return max(0.0, mark - self._v - self._gain(self.now()))
-
-    def tune(self, factor: float) -> None:
-        """From now on there is this part of the capacity; 0: it stands still."""
+        finish = self._virtual_time + work
+        self._sequence += 1
+        heappush(self._heap, (finish, self._sequence, item))
+        if not self._is_firing:
+            self._changed()
+        return finish
+
+    def remaining(self, finish: float) -> float:
+        """Return the work left to do for a request that is not done yet, by its virtual finish time."""
+        return max(0.0, finish - self._virtual_time - self._gain(self.now()))
+
+    def set_factor(self, factor: float) -> None:
+        """Set the part of the capacity that is available from now on; 0: the cores stand still."""
         if factor != self.factor:
             self._advance()
             self.factor = factor
-            if not self._firing:
-                self._rerate()
+            if not self._is_firing:
+                self._reschedule()
 
-    def restart(self, warming: CapacityRamp | None) -> None:
-        """Forgets all requests; from now on capacity is as of a new process."""
+    def restart(self, ramp: CapacityRamp | None) -> None:
+        """Forget all requests, as a new process starts, with slow start if there is a ramp."""
         self._advance()
         self._heap.clear()
-        self.warming = warming
+        self.ramp = ramp
         self._changed()
 
-    def rated(self) -> float:
-        """What all cores can do at present, in work a second, if nothing but the cold hinders them."""
-        share = 1.0 if self.warming is None else self.warming.share(self.now())
+    def unhindered_capacity(self) -> float:
+        """Return what all cores can do at present, in work a second, hindered by slow start alone."""
+        share = 1.0 if self.ramp is None else self.ramp.share_at(self.now())
         return self.cores * self.speed * share
 
-    def worked(self) -> float:
-        """Work done since it was made."""
-        return self._worked + self._gain(self.now()) * len(self._heap)
+    def work_done(self) -> float:
+        """Return the work done for all requests since the cores were created."""
+        return self._work_done + self._gain(self.now()) * len(self._heap)
 
     def _gain(self, now: float) -> float:
-        """How far the virtual clock has gone on since it was last set."""
+        """Return by how much the virtual clock has advanced since the last update."""
         if not self._heap:
             return 0.0
-        if self.warming is None:
-            return (now - self._last) * self._rate
-        return self.warming.between(self._last, now) * self._rate
+        if self.ramp is None:
+            return (now - self._updated_at) * self._rate
+        return self.ramp.capacity_between(self._updated_at, now) * self._rate
 
     def _advance(self) -> None:
-        now, last = self.now(), self._last
-        if now > last:
-            heap, warming = self._heap, self.warming
-            if heap:
-                gain = ((now - last) if warming is None else warming.between(last, now)) * self._rate
-                self._v += gain
-                self._worked += gain * len(heap)
-            else:
-                self._v = 0.0  # small figures are exact figures
-            self._last = now
-            if warming is not None and now >= warming.end:
-                self.warming = None
+        """Bring the virtual clock up to the present."""
+        now = self.now()
+        if now <= self._updated_at:
+            return
+        if self._heap:
+            gain = self._gain(now)
+            self._virtual_time += gain
+            self._work_done += gain * len(self._heap)
+        else:
+            self._virtual_time = 0.0  # small floats are more precise
+        self._updated_at = now
+        if self.ramp is not None and now >= self.ramp.end:
+            self.ramp = None
 
     def _changed(self) -> None:
-        if self.watch is not None:
-            self.watch(len(self._heap))
-        self._rerate()
+        """Handle a change of the runnable requests."""
+        if self.on_runnable_changed is not None:
+            self.on_runnable_changed(len(self._heap))
+        self._reschedule()
 
-    def _rerate(self) -> None:
+    def _reschedule(self) -> None:
+        """Compute the rate anew, and set the timer for the next request to finish."""
         heap = self._heap
-        wanting = len(heap)
+        runnable = len(heap)
         rate = self.speed * self.factor
-        if wanting > self.cores:
-            rate = rate * self.cores / wanting
+        if runnable > self.cores:
+            rate = rate * self.cores / runnable
         self._rate = rate
-        if not wanting or rate <= 0.0:
+        if not runnable or rate <= 0.0:
             return
-        due = self._when(heap[0][0])
+        due = self._instant_of(heap[0][0])
         timer = self._timer
         if timer is not None:
-            # A timer that comes early sets the next one: that is cheaper than to move it with each arrival.
+            # A timer that fires early sets the next one: cheaper than to move it with each arrival.
             if self._due <= due:
                 return
             timer.cancel()
         self._due = due
         self._timer = self.timers.at(due, self._fire)
 
-    def _when(self, end: float) -> float:
-        """When the virtual clock will be there, as far as can be seen now."""
-        need = (end - self._v) / self._rate
-        return self._last + need if self.warming is None else self.warming.after(self._last, need)
+    def _instant_of(self, virtual_time: float) -> float:
+        """Return the instant at which the virtual clock will have reached a time if the rate stays."""
+        need = (virtual_time - self._virtual_time) / self._rate
+        return (
+            self._updated_at + need if self.ramp is None else self.ramp.instant_after(self._updated_at, need)
+        )
 
     def _fire(self) -> None:
         self._timer = None
         self._advance()
-        heap = self._heap
-        if not heap or self._rate <= 0.0:
+        if not self._heap or self._rate <= 0.0:
             return
-        now, reach = self._last, self._v + ROUNDING_TOLERANCE
-        over: list[T] = []
-        # The second test guards against a clock so coarse that a timer for the rest would come due at once.
-        while heap and (heap[0][0] <= reach or self._when(heap[0][0]) <= now):
+        finished = self._pop_finished()
+        if finished:
+            on_done = self.on_done
+            self._is_firing = True
+            for item in finished:
+                on_done(item)
+            self._is_firing = False
+        self._changed()
+
+    def _pop_finished(self) -> list[T]:
+        heap, now, reach = self._heap, self._updated_at, self._virtual_time + ROUNDING_TOLERANCE
+        finished: list[T] = []
+        # The second test guards against a clock so coarse that a timer for the rest would be due at once.
+        while heap and (heap[0][0] <= reach or self._instant_of(heap[0][0]) <= now):
             item = heappop(heap)[2]
             if item is not None:
-                over.append(item)
-        if over:
-            done = self.done
-            self._firing = True
-            for item in over:
-                done(item)
-            self._firing = False
-        if self.watch is not None:
-            self.watch(len(heap))
-        self._rerate()
+                finished.append(item)
+        return finished
--- a/wheatring/lab/models/deduplication.py
+++ b/wheatring/lab/models/deduplication.py
@@ -1,4 +1,4 @@
-"""What requests bring about: the memory by which the nodes of a tier drop repeats of a key."""
+"""Deduplication of effects: the nodes of a tier run a request's effect once for each idempotency key."""
 
 from __future__ import annotations
 
@@ -11,30 +11,35 @@
 
 
 class EffectDeduplicator:
-    """Shared by all nodes of a tier, which see one another's effects at once.
+    """The idempotency keys of a tier, shared by its nodes, each of which sees the effects of all at once.
 
-    A repeat of a key within its class's window, counted from the run that had the effect, has none. It is
-    worked on all the same.
+    A duplicate of a key within the window of its class, which begins with the attempt that had the effect,
+    has no effect. Its work is done all the same.
     """
 
     def __init__(self, timers: Timers, classes: Sequence[ClassPlan], book: Book) -> None:
         self.timers = timers
         self.classes = classes
         self.book = book
-        self.had: list[dict[str, float]] = [{} for _ in classes]  # by class: keys by the time of their effect
+        self.effect_instants: list[dict[str, float]] = [{} for _ in classes]  # by class: by key
 
-    def ran(self, node: str, ident: str, origin: Origin) -> None:
-        """An attempt starts its work: from here on it counts as run."""
+    def attempt_started(self, node: str, ident: str, origin: Origin) -> None:
+        """Record the effect of an attempt that starts to run, unless it is a duplicate."""
         plan = self.classes[origin.class_index]
         if plan.effect == "safe":
             return
-        if plan.effect == "keyed":
-            now = self.timers.now()
-            had = self.had[origin.class_index]
-            # The oldest stand first: an entry is only ever added, at the present, once the old one is gone.
-            while had and (oldest := next(iter(had))) and now - had[oldest] >= plan.window:
-                del had[oldest]
-            if origin.key in had:
-                return
-            had[origin.key] = now
+        if plan.effect == "keyed" and not self._add_key(origin, plan.window):
+            return
         self.book.effect(node, ident, origin.key)
+
+    def _add_key(self, origin: Origin, window: float) -> bool:
+        """Record the key of an attempt; return False if it is a duplicate."""
+        now = self.timers.now()
+        instants = self.effect_instants[origin.class_index]
+        # In order of time: a key is only ever added, at the present, once its old entry has been removed.
+        while instants and (oldest := next(iter(instants))) and now - instants[oldest] >= window:
+            del instants[oldest]
+        if origin.key in instants:
+            return False
+        instants[origin.key] = now
+        return True
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -1,4 +1,7 @@
-"""Discovery: one service for all sidecars. It learns late, answers in turn, and has troubles of its own."""
+"""The discovery service of all sidecars.
+
+It learns of changes with a delay, replies to one request at a time, and has faults of its own.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 from collections.abc import Callable
 from math import prod
 from random import Random
-from typing import Literal, NamedTuple
+from typing import Literal
 
 from wheatring.lab.book import Book
 from wheatring.lab.models.endpoint_list_history import (
@@ -15,73 +18,43 @@
     EndpointListHistory,
     RegisteredNode,
 )
+from wheatring.lab.models.list_request import ListReply, ListReplyCallback, ListRequest, RequestStage
 from wheatring.lab.models.node_status_table import FalseReports, NodeStatusTable
 from wheatring.lab.plan import DiscoveryPlan, Held
 from wheatring.lab.timers import Timer, Timers
 
-MAX_WAIT = 60.0  # seconds for which a call may ask to wait at most
+MAX_WAIT = 60.0  # seconds that a list request may wait at most
 
 DiscoveryFault = Literal["down", "silent", "slow", "stale", "lies", "breaks"]
 
 
-class ListReply(NamedTuple):
-    """What a call brought: the whole list without those that are gone (`reset`), or what changed."""
-
-    generation: int
-    reset: bool
-    lines: tuple[EndpointEntry, ...]
-
-
-ListReplyCallback = Callable[[ListReply | None], None]  # None: the call has failed
-
-
-class ListRequest:
-    """A sidecar's call to discovery. It ends once: by its `done`, or by being cancelled."""
-
-    __slots__ = (
-        "broken", "done", "entered", "index", "lag", "listing", "over", "reach", "registry", "sidecar",
-        "stage", "timer", "until",
-    )  # fmt: skip
-
-    def __init__(
-        self,
-        registry: Registry,
-        sidecar: str,
-        listing: EndpointListHistory,
-        index: int | None,
-        until: float,
-        done: ListReplyCallback,
-    ) -> None:
-        self.registry = registry
-        self.sidecar = sidecar
-        self.listing = listing
-        self.index = index
-        self.until = until
-        self.done = done
-        self.lag = 0.0  # what is known reaches this call so much later
-        self.reach = 0  # the newest version that has reached it
-        self.stage: Literal["waits", "queued", "served", "quiet"] = "waits"
-        self.timer: Timer | None = None
-        self.over = False
-        self.entered = True  # nothing but its answer takes a turn
-        self.broken = False  # its answer has begun, and ends in a reset
-
-    def cancel(self) -> None:
-        """The sidecar waits no longer: the connection has ended. A turn, once begun, is not given back."""
-        if not self.over:
-            self.registry.close(self)
-
-    def set(self, timer: Timer | None) -> None:
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-        self.timer = timer
-
-
 class Registry:
-    """The model of discovery. What happens to nodes is told to it as facts, at the instant they happen.
-
-    `unix` is the present Unix time in seconds. `on_down` are told when it goes down (True), before the calls
-    that are open fail, and when it is back (False).
+    """The model of the discovery service. Changes of nodes are passed in at the instant they happen.
+
+    Parameters
+    ----------
+    plan
+        Its delays and its speed.
+    timers
+        The clock.
+    unix
+        Gives the present Unix time in seconds.
+    random
+        Draws delays and the effects of faults.
+    book
+        Records what discovery knows and what it replies.
+    kept_versions
+        How many versions back changes are available.
+
+    Attributes
+    ----------
+    on_down
+        Called with True when the service goes down, before the open requests fail, and with False when it is
+        back.
+    statuses
+        What the service knows of the nodes.
+    open_requests
+        The requests that have not ended, in the order in which they came.
     """
 
     def __init__(
@@ -91,262 +64,308 @@
         unix: Callable[[], float],
         random: Random,
         book: Book,
-        kept: int = KEPT_VERSIONS,
+        kept_versions: int = KEPT_VERSIONS,
     ) -> None:
         self.plan = plan
         self.timers = timers
         self.random = random
         self.book = book
-        self.knowledge = NodeStatusTable(plan, timers, unix, random, book, kept)
-        self.knowledge.changed = self._changed
-        self.tiers: dict[str, int] = {}
-        self.open: dict[ListRequest, None] = {}  # in the order in which they came
-        self.line: deque[ListRequest] = deque()
-        self.turn: Timer | None = None
+        self.statuses = NodeStatusTable(
+            plan, timers, unix, random, book, self._handle_publication, kept_versions
+        )
         self.on_down: list[Callable[[bool], None]] = []
-        self.downs = 0
-        self.silents = 0
-        self.factors: list[float] = []
-        self.broken: list[float] = []  # shares of answers
+        self.open_requests: dict[ListRequest, None] = {}
+        self._tiers: dict[str, int] = {}  # by sidecar
+        self._queue: deque[ListRequest] = deque()
+        self._turn: Timer | None = None  # the end of the work on one request
+        self._down_count = 0  # of each kind of fault, those present
+        self._silent_count = 0
+        self._slow_factors: list[float] = []
+        self._break_off_shares: list[float] = []  # of replies
 
-    # Facts
+    # Changes of nodes
 
-    def serve(self, sidecar: str, tier: int) -> None:
-        """The sidecar sends to that tier and gets its list; one that was never named gets the first one's."""
-        self.tiers[sidecar] = tier
+    def assign_tier(self, sidecar: str, tier: int) -> None:
+        """Set the tier whose list a sidecar gets; one without a tier gets the first one's."""
+        self._tiers[sidecar] = tier
 
-    def add(self, node: RegisteredNode, up: bool = True) -> None:
-        """A node, at the start of the day. One that is not up is listed once it has been started."""
-        self.knowledge.add(node, up)
+    def register(self, node: RegisteredNode, is_up: bool = True) -> None:
+        """Add a node at the start of the day. One that is not up is listed once it has been started."""
+        self.statuses.register(node, is_up)
 
-    def up(self, name: str, started: float) -> None:
-        """A process of the node has started, or its machine is heard of again (`started` as it was)."""
-        self.knowledge.up(name, started)
+    def node_started(self, name: str, started: float) -> None:
+        """Take in that a node's process has started, or that its machine is reachable again.
 
-    def draining(self, name: str) -> None:
-        """It has said that it takes nothing new."""
-        self.knowledge.draining(name)
+        `started` is the instant of the process's start, in either case.
+        """
+        self.statuses.node_started(name, started)
+
+    def node_draining(self, name: str) -> None:
+        """Take in that a node is draining."""
+        self.statuses.node_draining(name)
 
-    def down(self, name: str) -> None:
-        """Its process has ended."""
-        self.knowledge.down(name)
+    def node_ended(self, name: str) -> None:
+        """Take in that a node's process has ended."""
+        self.statuses.node_ended(name)
 
-    def vanished(self, name: str) -> None:
-        """Its machine has fallen silent."""
-        self.knowledge.vanished(name)
+    def node_vanished(self, name: str) -> None:
+        """Take in that a node's machine is unreachable."""
+        self.statuses.node_vanished(name)
 
-    def held(self, tier: int, how: Held) -> ListReply:
-        """The list with which a sidecar of that tier starts: as it is now, as it was at first, or none."""
-        if how == "none":
+    def initial_list(self, tier: int, which: Held) -> ListReply:
+        """Return the list with which a sidecar of a tier starts: the present one, the first one, or none."""
+        if which == "none":
             return ListReply(0, True, ())
-        listing = self.knowledge.listing(tier)
-        version = listing.view(1 if how == "old" else listing.version)
-        return ListReply(
-            version, True, tuple([line for line in listing.whole(version) if line.state != "gone"])
-        )
+        history = self.statuses.history(tier)
+        version = history.visible_version(1 if which == "old" else history.version)
+        return _complete_reply(version, history.entries(version))
 
-    # Calls
+    # Requests
 
     @property
-    def refuses(self) -> bool:
-        """It is down: who attaches it to a network refuses connects, and resets what is open."""
-        return self.downs > 0
-
-    def call(self, sidecar: str, index: int | None, wait: float, done: ListReplyCallback) -> ListRequest:
-        """Ask for the whole list (`index` None), or for what is newer than a version, for which the call may
-        wait so many seconds. `done` is never called from within this.
+    def is_down(self) -> bool:
+        """Whether the service is down: its server refuses connections, and resets those that are open."""
+        return self._down_count > 0
+
+    def request_list(
+        self, sidecar: str, known_version: int | None, wait: float, on_reply: ListReplyCallback
+    ) -> ListRequest:
+        """Handle a request for the endpoint list.
+
+        Parameters
+        ----------
+        sidecar
+            The sidecar that asks.
+        known_version
+            The version that it has, of which it wants the changes; None for the complete list.
+        wait
+            Seconds that the request may wait for a newer version, MAX_WAIT at most.
+        on_reply
+            Called with the reply, never from within this method.
         """
         now = self.timers.now()
         wait = min(max(0.0, wait), MAX_WAIT)
-        listing = self.knowledge.listing(self.tiers.get(sidecar, 0))
-        call = ListRequest(self, sidecar, listing, index, now + wait, done)
-        self.open[call] = None
+        history = self.statuses.history(self._tiers.get(sidecar, 0))
+        request = ListRequest(sidecar, history, known_version, now + wait, on_reply, self._close)
+        self.open_requests[request] = None
         self.book.asking(sidecar, wait)
-        if self.downs:
-            call.stage = "quiet"
-            call.set(self.timers.at(now, self._end, call, None))
-        elif self.silents:
-            call.stage = "quiet"
+        if self._down_count:
+            request.stage = RequestStage.UNANSWERED
+            request.set_timer(self.timers.at(now, self._end, request, None))
+        elif self._silent_count:
+            request.stage = RequestStage.UNANSWERED
         else:
-            call.lag = self.random.uniform(0, self.plan.spread)
-            call.reach = listing.known_at(now - call.lag)
-            for version in range(call.reach + 1, listing.version + 1):
-                self._send_to(call, version)
-            if self.plan.watch_turns and index is not None:
-                call.entered = False
-                self._queue(call)
-            else:
-                self._look(call)
-        return call
+            self._open(request, now)
+        return request
 
-    def refused(self, sidecar: str) -> None:
-        """A connect of the sidecar was refused, or ended at once: a call that has failed."""
+    def connection_refused(self, sidecar: str) -> None:
+        """Record that a connection of a sidecar was refused, or ended at once: a request that has failed."""
         self.book.asking(sidecar, 0.0)
         self.book.unheard(sidecar, True)
 
-    def close(self, call: ListRequest, failed: bool = False) -> None:
-        """End a call, for the book; who waits for its answer is told elsewhere."""
-        call.over = True
-        call.set(None)
-        del self.open[call]
-        if call.stage == "queued":
-            self.line.remove(call)
-        self.book.unheard(call.sidecar, failed)
-
-    def _changed(self, listing: EndpointListHistory) -> None:
-        for call in list(self.open):
-            if call.listing is listing:
-                self._send_to(call, listing.version)
-
-    def _send_to(self, call: ListRequest, version: int) -> None:
-        if call.lag:
-            self.timers.at(call.listing.since[version - 1] + call.lag, self._reached, call, version)
+    def _open(self, request: ListRequest, now: float) -> None:
+        history = request.history
+        request.propagation_lag = self.random.uniform(0, self.plan.spread)
+        request.reached_version = history.version_at(now - request.propagation_lag)
+        for version in range(request.reached_version + 1, history.version + 1):
+            self._propagate(request, version)
+        if self.plan.watch_turns and request.known_version is not None:
+            request.has_entered = False
+            self._enqueue(request)
+        else:
+            self._check_news(request)
+
+    def _close(self, request: ListRequest, failed: bool = False) -> None:
+        """End a request in the book; the caller is notified elsewhere."""
+        request.is_over = True
+        request.set_timer(None)
+        del self.open_requests[request]
+        if request.stage is RequestStage.QUEUED:
+            self._queue.remove(request)
+        self.book.unheard(request.sidecar, failed)
+
+    def _end(self, request: ListRequest, reply: ListReply | None) -> None:
+        """End a request with a reply, or with None as it has failed, unless it is over."""
+        if not request.is_over:
+            if reply is not None:
+                self.book.brought(request.sidecar)
+            self._close(request, reply is None)
+            request.on_reply(reply)
+
+    # What is known reaches the requests that wait
+
+    def _handle_publication(self, history: EndpointListHistory) -> None:
+        for request in list(self.open_requests):
+            if request.history is history:
+                self._propagate(request, history.version)
+
+    def _propagate(self, request: ListRequest, version: int) -> None:
+        """Have a version reach a request, after the request's lag."""
+        if request.propagation_lag:
+            at = request.history.published_at(version) + request.propagation_lag
+            self.timers.at(at, self._reach, request, version)
         else:
-            self._reached(call, version)
+            self._reach(request, version)
 
-    def _reached(self, call: ListRequest, version: int) -> None:
-        if not call.over:
-            call.reach = max(call.reach, version)
-            self._look(call)
+    def _reach(self, request: ListRequest, version: int) -> None:
+        if not request.is_over:
+            request.reached_version = max(request.reached_version, version)
+            self._check_news(request)
 
-    def _look(self, call: ListRequest) -> None:
-        """A call that has something to get takes its place in the line; a watch that has not waits on."""
-        if call.stage != "waits":
+    def _check_news(self, request: ListRequest) -> None:
+        """Queue a waiting request that is to be replied to; the others wait on."""
+        if request.stage is not RequestStage.WAITING:
+            return
+        if request.has_news(self.timers.now()):
+            self._enqueue(request)
+        elif request.timer is None:
+            request.set_timer(self.timers.at(request.deadline, self._enqueue, request))
+
+    # Replies, one at a time
+
+    def _enqueue(self, request: ListRequest) -> None:
+        request.stage = RequestStage.QUEUED
+        self._queue.append(request)
+        request.set_timer(self.timers.at(self.timers.now() + self.plan.timeout, self._end, request, None))
+        self._start_next()
+
+    def _start_next(self) -> None:
+        """Start to work on the request at the head of the queue, unless one is worked on."""
+        if not self._queue or self._turn is not None:
+            return
+        request = self._queue.popleft()
+        request.stage = RequestStage.SERVED
+        request.set_timer(None)
+        if not request.has_entered:
+            self._turn = self._after_work(0, self._enter, request)
             return
-        index, listing, now = call.index, call.listing, self.timers.now()
-        if (
-            index is None
-            or not listing.holds(index)
-            or index < listing.view(call.reach)
-            or now >= call.until
-        ):  # fmt: skip
-            self._queue(call)
-        elif call.timer is None:
-            call.set(self.timers.at(call.until, self._queue, call))
-
-    def _queue(self, call: ListRequest) -> None:
-        call.stage = "queued"
-        self.line.append(call)
-        call.set(self.timers.at(self.timers.now() + self.plan.timeout, self._end, call, None))
-        self._next()
-
-    def _next(self) -> None:
-        if self.line and self.turn is None:
-            call = self.line.popleft()
-            call.stage = "served"
-            call.set(None)
-            if not call.entered:
-                cost = self.plan.call_lines / self.plan.lines_per_s * prod(self.factors)
-                self.turn = self.timers.at(self.timers.now() + cost, self._enter, call)
-                return
-            answer, told = self._answer(call)
-            self.book.note("list_turn", sidecar=call.sidecar, lines=len(answer.lines))
-            cost = (self.plan.call_lines + len(answer.lines)) / self.plan.lines_per_s * prod(self.factors)
-            self.turn = self.timers.at(self.timers.now() + cost, self._written, call, answer, told)
-
-    def _enter(self, call: ListRequest) -> None:
-        """It has had the turn that it takes to come, and waits for news."""
-        self.turn = None
-        if not call.over:
-            call.entered = True
-            call.stage = "waits"
-            self._look(call)
-        self._next()
-
-    def _answer(self, call: ListRequest) -> tuple[ListReply, list[EndpointEntry]]:
-        """What the call gets, and what it is told by it: of a whole list, also who is missing."""
-        listing, index, view = call.listing, call.index, call.listing.view(call.reach)
-        if index is None or not listing.holds(index):
-            told = listing.whole(view)
-            return ListReply(view, True, tuple([line for line in told if line.state != "gone"])), told
-        if index >= view:
-            return ListReply(index, False, ()), []
-        told = listing.changes(index, view)
-        return ListReply(view, False, tuple(told)), told
-
-    def _written(self, call: ListRequest, answer: ListReply, told: list[EndpointEntry]) -> None:
-        self.turn = None
-        if not call.over and any(self.random.random() < share for share in self.broken):
-            call.broken = True
-            self._end(call, None)
-        elif not call.over:
-            for line in told:
-                self.book.told(call.sidecar, line.node.name, line.state, line.started)
-            self._end(call, answer)
-        self._next()
-
-    def _end(self, call: ListRequest, answer: ListReply | None) -> None:
-        if not call.over:
-            if answer is not None:
-                self.book.brought(call.sidecar)
-            self.close(call, answer is None)
-            call.done(answer)
-
-    # Troubles
-
-    def begin(self, trouble: DiscoveryFault, size: float = 1.0) -> Callable[[], None]:
-        """A trouble begins; what is returned ends it. Several may be on at once, of one kind too.
-
-        down: calls fail, connects are refused. silent: calls that are open, or come while it is on, are never
-        answered. slow: each call takes `size` times as long. stale: tells what it knew now. lies: names the
-        share `size` of the running nodes as gone, others by turns. breaks: the share `size` of the answers
-        ends in a reset after its head.
+        reply, reported = _reply_to(request)
+        self.book.note("list_turn", sidecar=request.sidecar, lines=len(reply.entries))
+        self._turn = self._after_work(len(reply.entries), self._finish, request, reply, reported)
+
+    def _after_work(self, entries: int, call: Callable[..., None], *args: object) -> Timer:
+        """Schedule a call for when a request with that many entries in its reply has been worked on."""
+        seconds = (self.plan.call_lines + entries) / self.plan.lines_per_s * prod(self._slow_factors)
+        return self.timers.at(self.timers.now() + seconds, call, *args)
+
+    def _enter(self, request: ListRequest) -> None:
+        """Let a watch wait for news, as it has had the turn that it takes to come in."""
+        self._turn = None
+        if not request.is_over:
+            request.has_entered = True
+            request.stage = RequestStage.WAITING
+            self._check_news(request)
+        self._start_next()
+
+    def _finish(self, request: ListRequest, reply: ListReply, reported: list[EndpointEntry]) -> None:
+        """End a request with its reply, or break that off, and go on to the next one."""
+        self._turn = None
+        if not request.is_over:
+            if any(self.random.random() < share for share in self._break_off_shares):
+                request.is_broken_off = True
+                self._end(request, None)
+            else:
+                for entry in reported:
+                    self.book.told(request.sidecar, entry.node.name, entry.state, entry.started)
+                self._end(request, reply)
+        self._start_next()
+
+    # Faults
+
+    def begin_fault(self, fault: DiscoveryFault, size: float = 1.0) -> Callable[[], None]:
+        """Inject a fault; several may be present at once, of one kind too.
+
+        Parameters
+        ----------
+        fault
+            down: requests fail, connections are refused. silent: requests that are open, or come meanwhile,
+            are never answered. slow: each request takes `size` times as long. stale: only what is known now
+            is reported. lies: the share `size` of the running nodes is reported as gone, others by turns.
+            breaks: the share `size` of the replies ends in a reset after its head.
+        size
+            The figure of the fault.
+
+        Returns
+        -------
+        Callable[[], None]
+            Ends the fault.
         """
-        if trouble == "down":
+        if fault == "down":
             return self._begin_down()
-        if trouble == "silent":
+        if fault == "silent":
             return self._begin_silent()
-        if trouble == "slow":
-            self.factors.append(size)
-            return lambda: self.factors.remove(size)
-        if trouble == "stale":
-            self.knowledge.hold()
+        if fault == "slow":
+            self._slow_factors.append(size)
+            return lambda: self._slow_factors.remove(size)
+        if fault == "stale":
+            self.statuses.freeze()
             return self._end_stale
-        if trouble == "breaks":
-            self.broken.append(size)
-            return lambda: self.broken.remove(size)
-        return FalseReports(self.knowledge, size).end
-
-    def _hush(self) -> list[ListRequest]:
-        """Nothing that is open now gets an answer any more."""
-        if self.turn is not None:
-            self.turn.cancel()
-            self.turn = None
-        self.line.clear()
-        calls = list(self.open)
-        for call in calls:
-            call.stage = "quiet"
-            if not self.downs:  # else its end is due already
-                call.set(None)
-        return calls
+        if fault == "breaks":
+            self._break_off_shares.append(size)
+            return lambda: self._break_off_shares.remove(size)
+        return FalseReports(self.statuses, size).end
+
+    def _stop_replies(self) -> list[ListRequest]:
+        """Leave all open requests unanswered, and return them."""
+        if self._turn is not None:
+            self._turn.cancel()
+            self._turn = None
+        self._queue.clear()
+        requests = list(self.open_requests)
+        for request in requests:
+            request.stage = RequestStage.UNANSWERED
+            if not self._down_count:  # else its end is due already
+                request.set_timer(None)
+        return requests
 
     def _begin_down(self) -> Callable[[], None]:
-        if not self.downs:
-            calls = self._hush()
-            self.downs = 1
+        if not self._down_count:
+            requests = self._stop_replies()
+            self._down_count = 1
             for listener in self.on_down:
                 listener(True)
-            for call in calls:
-                self._end(call, None)
+            for request in requests:
+                self._end(request, None)
         else:
-            self.downs += 1
+            self._down_count += 1
         return self._end_down
 
     def _end_down(self) -> None:
-        self.downs -= 1
-        if not self.downs:
+        self._down_count -= 1
+        if not self._down_count:
             for listener in self.on_down:
                 listener(False)
 
     def _begin_silent(self) -> Callable[[], None]:
-        self.silents += 1
-        self._hush()
+        self._silent_count += 1
+        self._stop_replies()
         return self._end_silent
 
     def _end_silent(self) -> None:
-        self.silents -= 1
+        self._silent_count -= 1
 
     def _end_stale(self) -> None:
-        self.knowledge.let_go()
-        for call in list(self.open):
-            self._look(call)
+        self.statuses.unfreeze()
+        for request in list(self.open_requests):
+            self._check_news(request)
+
+
+def _complete_reply(version: int, entries: list[EndpointEntry]) -> ListReply:
+    """Return the reply with a complete list, in which nodes that are gone are missing."""
+    return ListReply(version, True, tuple([entry for entry in entries if entry.state != "gone"]))
+
+
+def _reply_to(request: ListRequest) -> tuple[ListReply, list[EndpointEntry]]:
+    """Return the reply to a request, and the entries that it reports.
+
+    A complete list reports the nodes that are missing in it as gone.
+    """
+    history, known = request.history, request.known_version
+    version = history.visible_version(request.reached_version)
+    if known is None or not history.has_changes_since(known):
+        entries = history.entries(version)
+        return _complete_reply(version, entries), entries
+    if known >= version:
+        return ListReply(known, False, ()), []
+    changes = history.changes(known, version)
+    return ListReply(version, False, tuple(changes)), changes
--- a/wheatring/lab/models/endpoint_list_history.py
+++ b/wheatring/lab/models/endpoint_list_history.py
@@ -1,4 +1,4 @@
-"""One tier's machine list as discovery knows it, with its past: what each version of it said."""
+"""The endpoint list of one tier as discovery knows it, with its history: what each version of it said."""
 
 from __future__ import annotations
 
@@ -8,99 +8,114 @@
 
 from wheatring.lab.book import NodeState
 
-KEPT_VERSIONS = 256  # versions back to which changes are told; who holds an older one gets the whole list
+# Versions back to which changes are available; a sidecar with an older one gets the complete list.
+KEPT_VERSIONS = 256
 
 
 class RegisteredNode(NamedTuple):
-    """A node as discovery is told of it at the start. `address` is host:port, `started` 0 for long ago."""
+    """A node as it is registered with discovery at the start of the day."""
 
     name: str
-    address: str
+    address: str  # HOST:PORT
     zone: str = ""
     kind: str = ""
     cell: int = 0
-    started: float = 0.0
-    tier: int = 0  # the list on which it stands
+    started: float = 0.0  # the instant of its start; 0: long ago
+    tier: int = 0  # on whose list it is
 
 
 class EndpointEntry(NamedTuple):
-    """One line of an answer. `started` is an instant, `started_ms` that in Unix milliseconds; 0: long ago."""
+    """One entry of the endpoint list."""
 
     node: RegisteredNode
     state: NodeState
-    started: float
-    started_ms: int
+    started: float  # the instant of its last start; 0: long ago
+    started_ms: int  # the same in Unix milliseconds; 0: long ago
 
 
 class EndpointListHistory:
-    """Versions are counted from 1, which is what was listed at the start; each publication that changes
-    anything makes the next.
+    """The versions of one endpoint list.
+
+    Version 1 is what was listed at the start; each publication that changes anything makes the next.
+
+    Parameters
+    ----------
+    kept_versions
+        How many versions back changes are available.
     """
 
-    def __init__(self, kept: int = KEPT_VERSIONS) -> None:
-        self.kept = kept
+    def __init__(self, kept_versions: int = KEPT_VERSIONS) -> None:
+        self.kept_versions = kept_versions
         self.version = 1
-        self.pin: int | None = None  # nothing newer is told while it is set
-        self.since: list[float] = [float("-inf")]  # instant at which each version became known
-        self.nodes: dict[str, RegisteredNode] = {}
-        self.past: dict[
-            str, list[tuple[int, EndpointEntry]]
-        ] = {}  # by node: the versions that changed it, rising
+        self.frozen_version: int | None = None  # no newer version is visible while it is set
+        self.publication_instants: list[float] = [float("-inf")]  # of each version
+        # By node: the versions that changed its entry, in rising order, with the entry.
+        self.entry_versions: dict[str, list[tuple[int, EndpointEntry]]] = {}
 
     @property
-    def oldest(self) -> int:
-        """The oldest version from which changes are still told."""
-        return max(1, self.version - self.kept)
+    def oldest_version(self) -> int:
+        """The oldest version since which changes are available."""
+        return max(1, self.version - self.kept_versions)
+
+    def register(self, node: RegisteredNode) -> None:
+        """Add a node by name and address, not listed yet."""
+        self.entry_versions[node.name] = []
 
-    def add(self, node: RegisteredNode) -> None:
-        """Known by name and address, and not listed yet."""
-        self.nodes[node.name] = node
-        self.past[node.name] = []
+    def add_initial(self, entry: EndpointEntry) -> None:
+        """List a registered node in the first version."""
+        self.entry_versions[entry.node.name].append((1, entry))
 
-    def list_first(self, line: EndpointEntry) -> None:
-        """Listed from the start."""
-        self.past[line.node.name].append((1, line))
+    def publish(self, now: float, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
+        """Publish entries as one new version, and return those that differ from what was listed.
 
-    def publish(self, now: float, lines: Iterable[EndpointEntry]) -> list[EndpointEntry]:
-        """List them so from now on: one new version, if any of them says something new. What changed."""
+        If none of them differs, there is no new version.
+        """
         changed = []
-        for line in lines:
-            past = self.past[line.node.name]
-            if (past and past[-1][1] == line) or (not past and line.state == "gone"):
+        for entry in entries:
+            past = self.entry_versions[entry.node.name]
+            if (past and past[-1][1] == entry) or (not past and entry.state == "gone"):
                 continue
-            past.append((self.version + 1, line))
-            changed.append(line)
+            past.append((self.version + 1, entry))
+            changed.append(entry)
         if changed:
             self.version += 1
-            self.since.append(now)
+            self.publication_instants.append(now)
         return changed
 
-    def known_at(self, instant: float) -> int:
-        """The version that was the newest one at an instant."""
-        return bisect_right(self.since, instant)
-
-    def view(self, reach: int) -> int:
-        """The version that is told to whom that one has reached."""
-        return reach if self.pin is None else min(reach, self.pin)
-
-    def last(self, name: str) -> EndpointEntry:
-        return self.past[name][-1][1]
-
-    def whole(self, version: int) -> list[EndpointEntry]:
-        """All nodes that had ever been listed by that version, those that are gone among them."""
-        return [line for _, line in self._at(version)]
-
-    def changes(self, index: int, version: int) -> list[EndpointEntry]:
-        """What changed after version `index`, up to `version`, each node as it stands there."""
-        return [line for changed, line in self._at(version) if changed > index]
-
-    def holds(self, index: int) -> bool:
-        """Whether changes since that version can be told."""
-        return self.oldest <= index <= self.version
-
-    def _at(self, version: int) -> Iterable[tuple[int, EndpointEntry]]:
-        for past in self.past.values():
-            for entry in reversed(past):
-                if entry[0] <= version:
-                    yield entry
+    def published_at(self, version: int) -> float:
+        """Return the instant at which a version was published."""
+        return self.publication_instants[version - 1]
+
+    def version_at(self, instant: float) -> int:
+        """Return the version that was the newest at an instant."""
+        return bisect_right(self.publication_instants, instant)
+
+    def visible_version(self, reached_version: int) -> int:
+        """Return what a request gets that a version has reached: an older version during a freeze."""
+        if self.frozen_version is None:
+            return reached_version
+        return min(reached_version, self.frozen_version)
+
+    def latest_entry(self, name: str) -> EndpointEntry:
+        """Return the newest entry of a listed node."""
+        return self.entry_versions[name][-1][1]
+
+    def entries(self, version: int) -> list[EndpointEntry]:
+        """Return the entries of all nodes that had been listed by a version, also of those that are gone."""
+        return [entry for _, entry in self._entries_at(version)]
+
+    def changes(self, since_version: int, version: int) -> list[EndpointEntry]:
+        """Return the entries of a version that were changed after an earlier one."""
+        return [entry for changed, entry in self._entries_at(version) if changed > since_version]
+
+    def has_changes_since(self, version: int) -> bool:
+        """Return whether the changes since a version are available."""
+        return self.oldest_version <= version <= self.version
+
+    def _entries_at(self, version: int) -> Iterable[tuple[int, EndpointEntry]]:
+        """Give each node's entry at a version, with the version that changed it."""
+        for past in self.entry_versions.values():
+            for changed, entry in reversed(past):
+                if changed <= version:
+                    yield changed, entry
                     break
--- a/wheatring/lab/models/endpoint_list_json.py
+++ b/wheatring/lab/models/endpoint_list_json.py
@@ -1,4 +1,4 @@
-"""The form of discovery's answers, which both grains and live days put before the sidecar."""
+"""The JSON form of discovery's replies, the same for simulated and for real sidecars."""
 
 from __future__ import annotations
 
@@ -7,24 +7,32 @@
 from typing import Any
 
 from wheatring.lab.book import NodeState
-from wheatring.lab.models.discovery import ListReply
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
+from wheatring.lab.models.list_request import ListReply
 
 LIFECYCLES: dict[NodeState, str] = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
 registered_address: Callable[[RegisteredNode], str] = attrgetter("address")
 
 
 def list_reply_json(
-    answer: ListReply, address: Callable[[RegisteredNode], str] = registered_address
+    reply: ListReply, address_of: Callable[[RegisteredNode], str] = registered_address
 ) -> dict[str, Any]:
-    """An answer in discovery's form, as JSON values. `address` says where a node is to be found."""
+    """Return a reply as the JSON values that discovery sends.
+
+    Parameters
+    ----------
+    reply
+        The reply.
+    address_of
+        Gives the address (HOST:PORT) at which the receiver finds a node.
+    """
     return {
-        "generation": answer.generation,
-        "reset": answer.reset,
+        "generation": reply.generation,
+        "reset": reply.reset,
         "instances": [
             {
                 "instanceId": node.name,
-                "hostPort": address(node),
+                "hostPort": address_of(node),
                 "zone": node.zone,
                 "machineType": node.kind,
                 "cell": node.cell,
@@ -32,6 +40,6 @@
                 "weight": 1.0,
                 "startedAtMs": started_ms,
             }
-            for node, state, _, started_ms in answer.lines
+            for node, state, _, started_ms in reply.entries
         ],
     }
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -1,339 +1,196 @@
-"""An execute node: what it does with the visits that reach it, from the last byte to the verdict."""
+"""A node's machine: its process, its connections, and the attempts that it receives."""
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Callable, Sequence
-from functools import partial
-from math import exp, log, sqrt
-from random import Random
+from collections.abc import Callable
 
-from wheatring.lab.book import Book
 from wheatring.lab.models.attempt_execution import AttemptExecution
-from wheatring.lab.models.cpu import Cpu
-from wheatring.lab.models.deduplication import EffectDeduplicator
-from wheatring.lab.models.received_attempt import AttemptOutcome, NextTierCall, ReceivedAttempt
-from wheatring.lab.models.service_rate import ServiceRate
+from wheatring.lab.models.attempt_executor import AttemptExecutor
+from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
+from wheatring.lab.models.received_attempt import ReceivedAttempt
 from wheatring.lab.models.slow_start import CapacityRamp, OverloadDetector
-from wheatring.lab.origins import Origins
-from wheatring.lab.plan import ClassPlan, NodePlan, RulesPlan, TierPlan
-from wheatring.lab.timers import Timers
-
-SERVED = AttemptOutcome.SERVED  # looked up once: an enum takes its time
-MIN_CALL_TIME = 0.001  # seconds: with less than that left, a visit makes no more calls and fails
 
 
 class Machine:
-    """One execute node and its process. It knows no sockets: what attaches it hands visits in.
-
-    It does not run before `start`. `effects` is the first tier's memory of keys; other tiers need none.
-    `on_fallen` is called when its process has fallen over and all it had is gone: its connections are to be
-    reset, and it stays down. The book is told of all that becomes of a visit but that it arrived and that it
-    was turned away, which what attaches it tells. Times are seconds, work is in seconds on a standard core.
+    """One node's machine and its process, which does not run before `start`.
+
+    It knows no sockets: a server passes on connections and attempts. The machine records in the book all that
+    becomes of an attempt, except its arrival and its rejection, which the server records. Instants and
+    durations are seconds; work is in seconds on a standard core.
+
+    Parameters
+    ----------
+    spec
+        The figures of the machine.
+    services
+        The parts of the world that it uses.
+
+    Attributes
+    ----------
+    on_crash
+        Called when the process has crashed by overload: its connections are to be reset, and it stays down.
+    running
+        Whether a process runs.
+    has_crashed
+        Whether the last process has crashed.
+    started_at
+        The instant at which the process was started; 0: long ago.
+    faults
+        The faults of the machine.
     """
 
-    def __init__(
-        self,
-        node: NodePlan,
-        tier: TierPlan,
-        tier_index: int,
-        classes: Sequence[ClassPlan],
-        timers: Timers,
-        random: Random,
-        origins: Origins,
-        book: Book,
-        below: NextTierCall | None,
-        calls: float,
-        *,
-        effects: EffectDeduplicator | None = None,
-        rules: RulesPlan | None = None,
-        passes_deadline: bool = True,
-    ) -> None:
-        """`below` carries calls to the next tier, `calls` is their mean number for one visit."""
-        self.node = node
-        self.name = node.name
-        self.kind = kind = tier.kinds[node.kind]
-        self.tier = tier
-        self.classes = classes
-        self.timers = timers
-        self.random = random
-        self.origins = origins
-        self.book = book
-        self.below = below
-        self.whole_calls = int(calls) if below is not None else 0
-        self.part_calls = calls - int(calls) if below is not None else 0.0
-        self.effects = effects if tier_index == 0 else None
-        self.rules = rules if rules is not None else RulesPlan()
-        self.passes_deadline = passes_deadline
-        self.on_fallen: Callable[[], object] = lambda: None
-        self.running = self.draining = self.fallen = False
-        self.started_at = 0.0  # of its process; 0: long ago
-        self.in_work = 0  # visits that have a slot
-        self.held: dict[ReceivedAttempt, AttemptExecution] = {}
-        self._waiting: deque[AttemptExecution] = deque()
-        self._stalled: deque[Callable[[], None]] = deque()  # what it finds once it no longer stands still
-        self._pressure: OverloadDetector | None = None  # while cold
-        self._share = tier.work
-        self._sigma = [sqrt(log(1.0 + each.attempt_noise**2)) for each in classes]
-        self.cpu: Cpu[AttemptExecution] = Cpu(timers, kind.cores, node.speed, self._worked)
-        self.pace = ServiceRate(timers, kind, tier, random, self.cpu, self.held, self._choked, self._found)
-        self.troubles = self.pace.troubles
-
-    # Its process
-
-    def start(self, cold: bool) -> None:
-        """A process starts, where none runs. Not cold: it counts as running for long."""
+    def __init__(self, spec: MachineSpec, services: MachineServices) -> None:
+        self.name = spec.node.name
+        self.spec = spec
+        self.kind = spec.kind
+        self.timers = services.timers
+        self.origins = services.origins
+        self.book = services.book
+        self.on_crash: Callable[[], object] = lambda: None
+        self.running = self.has_crashed = False
+        self.started_at = 0.0
+        self._overload: OverloadDetector | None = None  # during slow start
+        self._executor = AttemptExecutor(spec, services)
+        self._cpu = self._executor.cpu
+        self._service_rate = self._executor.service_rate
+        self.faults = self._executor.faults
+
+    # The process
+
+    def start(self, slow_start: bool) -> None:
+        """Start a process, unless one runs; without slow start it counts as running for long."""
         if self.running:
             return
         now = self.timers.now()
-        self.running, self.draining, self.fallen = True, False, False
-        self.started_at = now if cold else 0.0
-        warming = None
-        if cold and self.kind.cold > 0.0 and self.kind.cold_from < 1.0:
-            warming = CapacityRamp(now, self.kind.cold_from, self.kind.cold)
-            self._pressure = OverloadDetector(self.rules)
-        self.cpu.restart(warming)
-        self.pace.start()
-        self.book.node_up(self.name, self.cpu.rated)
+        self.running, self.has_crashed = True, False
+        self._executor.is_draining = False
+        self.started_at = now if slow_start else 0.0
+        ramp = None
+        if slow_start and self.kind.cold > 0.0 and self.kind.cold_from < 1.0:
+            ramp = CapacityRamp(now, self.kind.cold_from, self.kind.cold)
+            self._overload = OverloadDetector(self.spec.rules)
+        self._cpu.restart(ramp)
+        self._service_rate.start()
+        self.book.node_up(self.name, self._cpu.unhindered_capacity)
 
     def drain(self) -> None:
-        """It takes nothing new from now on, and finishes what it has."""
-        self.draining = True
+        """Accept nothing new from now on, and finish what is in flight."""
+        self._executor.is_draining = True
 
     def stop(self) -> None:
-        """Its process ends at once. What it had is forgotten without a reply: its connections are reset by
-        what attaches it, which still tells of each connection's end by `disconnect`.
+        """End the process at once, with all its attempts.
+
+        The server resets the connections, and still calls `disconnect` for each.
         """
         if not self.running:
             return
         self.running = False
-        for stay in self.held.values():
-            stay.over = True
-            begun = stay.part - self.cpu.left(stay.mark) if stay.part else 0.0
-            self.book.worked(self.name, stay.visit.ident, stay.done + begun)
-            if not stay.visit.gone:
-                self.book.ended(self.name, stay.visit.ident)
-        self.held.clear()
-        self._waiting.clear()
-        self._stalled.clear()
-        self.in_work = 0
-        self._pressure = None
-        self.cpu.restart(None)
-        self.pace.stop()
+        self._executor.discard_all()
+        self._overload = None
+        self._cpu.restart(None)
+        self._service_rate.stop()
         self.book.node_down(self.name)
 
-    def _fall(self) -> None:
-        self.fallen = True
-        self.book.note("fell", node=self.name, held=len(self.held))
+    def _crash(self) -> None:
+        self.has_crashed = True
+        self.book.note("fell", node=self.name, held=len(self.in_flight))
         self.stop()
-        self.on_fallen()
+        self.on_crash()
 
     # Connections
 
     def connect(self) -> float | None:
-        """A connection is to be accepted. Gives the seconds that its first request loses to the handshake
-        beside the round trips; None: it is not accepted, and `disconnect` is not called for it.
+        """Accept a connection.
+
+        Returns
+        -------
+        float | None
+            The seconds that the first request loses to the handshake beside the round trips. None if the
+            connection is not accepted; `disconnect` is not called for it then.
         """
-        if not self.running or not self.pace.connect():
+        if not self.running or not self._service_rate.connect():
             return None
-        work = self.tier.handshake_work
+        work = self.spec.tier.handshake_work
         if work <= 0.0:
             return 0.0
-        self.cpu.add(work, None)
-        return self.pace.wait(work)
+        self._cpu.add(work, None)
+        return self._service_rate.duration_of(work)
 
     def disconnect(self) -> None:
-        """A connection that was accepted has ended, in whatever way."""
-        self.pace.disconnect()
+        """Release an accepted connection, which has ended in whatever way."""
+        self._service_rate.disconnect()
 
     @property
     def connections(self) -> int:
-        return self.pace.connections
+        """The number of open connections."""
+        return self._service_rate.connections
 
     @property
-    def full(self) -> bool:
-        """It would not accept one more connection while it runs."""
-        return self.pace.full
+    def is_full(self) -> bool:
+        """Whether the table of connections is full: it would not accept another one."""
+        return self._service_rate.is_full
 
-    # Visits
+    # Attempts
 
-    def visit(self, visit: ReceivedAttempt) -> None:
-        """The last byte of a request has arrived. The reply may come from within this call."""
+    def receive(self, attempt: ReceivedAttempt) -> None:
+        """Process an attempt. The reply may come from within this call."""
         if not self.running:
-            self.book.ended(self.name, visit.ident)
+            self.book.ended(self.name, attempt.ident)
             return
-        origin = self.origins.by_id.get(visit.ident)
+        origin = self.origins.by_id.get(attempt.ident)
         if origin is None:
-            self._away(visit)
+            self._executor.reject(attempt)
             return
-        work = origin.size * self._share
-        sigma = self._sigma[origin.class_index]
-        if sigma > 0.0:
-            work *= exp(sigma * (self.random.gauss(0.0, 1.0) - 0.5 * sigma))
-        stay = AttemptExecution(self, visit, origin, work)
-        self.book.offered(self.name, visit.sidecar, work)
-        if self._pressure is not None and self._too_much(work):
-            self.held[visit] = stay
-            self._fall()
-        elif self.pace.still:
-            self.held[visit] = stay
-            self._stalled.append(partial(self._take, stay))
+        execution = self._executor.create(attempt, origin)
+        work = execution.remaining_work
+        self.book.offered(self.name, attempt.sidecar, work)
+        if self._is_overloaded_by(work):
+            self.in_flight[attempt] = execution
+            self._crash()
         else:
-            self._take(stay)
-
-    def abandoned(self, visit: ReceivedAttempt) -> None:
-        """Its caller has closed the connection. The work goes on, for nobody."""
-        if visit in self.held and not visit.gone:
-            visit.gone = True
-            self.book.ended(self.name, visit.ident)
-
-    def _too_much(self, work: float) -> bool:
-        warming, now = self.cpu.warming, self.timers.now()
-        if self._pressure is None or warming is None or now >= warming.end:
-            self._pressure = None
+            self._executor.submit(execution)
+
+    def abandon(self, attempt: ReceivedAttempt) -> None:
+        """Handle that the caller of an attempt has closed its connection. The work goes on, for nobody."""
+        self._executor.abandon(attempt)
+
+    def _is_overloaded_by(self, work: float) -> bool:
+        """Return whether an attempt with this work overloads the process, which is possible in slow start."""
+        if self._overload is None:
             return False
-        return self._pressure.offer(now, work, self.cpu.rated())
-
-    def _take(self, stay: AttemptExecution) -> None:
-        visit, fail, kind, held = stay.visit, self.troubles.fail, self.kind, self.held
-        free = self.in_work < kind.slots
-        if self.draining or not (free or len(self._waiting) < kind.queue):
-            held.pop(visit, None)
-            self._away(visit)
-            return
-        held[visit] = stay
-        if kind.knee <= len(held):
-            self.pace.tune()
-        if fail > 0.0 and self.random.random() < fail:
-            self._leave(stay, AttemptOutcome.ERROR)
-        elif free:
-            self._begin(stay)
-        else:
-            self._waiting.append(stay)
-
-    def _away(self, visit: ReceivedAttempt) -> None:
-        if not visit.gone:
-            visit.reply(AttemptOutcome.REJECTED, "")
-            self.book.ended(self.name, visit.ident)
-
-    def _begin(self, stay: AttemptExecution) -> None:
-        """It has a slot."""
-        self.in_work += 1
-        if self.effects is not None:
-            self.effects.ran(self.name, stay.visit.ident, stay.origin)
-        broken = self.troubles.broken
-        stay.breaks = broken > 0.0 and self.random.random() < broken
-        stay.calls = self.whole_calls
-        if self.part_calls > 0.0 and self.random.random() < self.part_calls:
-            stay.calls += 1
-        part = 0.5 * stay.rest if stay.calls or stay.breaks else stay.rest
-        stay.part = part
-        stay.rest -= part
-        stay.mark = self.cpu.add(part, stay)
-
-    def _work(self, stay: AttemptExecution, part: float) -> None:
-        stay.part = part
-        stay.rest -= part
-        stay.mark = self.cpu.add(part, stay)
-
-    def _worked(self, stay: AttemptExecution) -> None:
-        """The cores are done with the part that they had in hand."""
-        if stay.over:
-            return
-        stay.done += stay.part
-        stay.part = 0.0
-        if stay.breaks:
-            self._finish(stay, AttemptOutcome.RESET)
-        elif stay.calls:
-            self._call(stay)
-        elif stay.rest > 0.0:
-            self._work(stay, stay.rest)
-        else:
-            self._finish(stay, self._verdict())
-
-    def _verdict(self) -> AttemptOutcome:
-        spoil, errors = self.troubles.spoil, self.kind.error_rate
-        if errors > 0.0 and self.random.random() < errors:
-            return AttemptOutcome.ERROR
-        if spoil > 0.0 and self.random.random() < spoil:
-            return AttemptOutcome.MALFORMED
-        return SERVED
-
-    def _call(self, stay: AttemptExecution) -> None:
-        visit = stay.visit
-        stay.calls -= 1
-        left = self.classes[stay.origin.class_index].deadline
-        if self.passes_deadline:
-            left = (visit.left or left) - (self.timers.now() - visit.since)
-        if self.below is None or left < MIN_CALL_TIME:
-            self._finish(stay, AttemptOutcome.ERROR)
-        else:
-            self.below(visit, left, stay.called)
-
-    def called(self, stay: AttemptExecution, served: bool) -> None:
-        """A call that was made for it has ended."""
-        if self.pace.still:
-            self._stalled.append(partial(self.called, stay, served))
-        elif not served:
-            self._finish(stay, AttemptOutcome.ERROR)
-        elif stay.calls:
-            self._call(stay)
-        else:
-            self._work(stay, stay.rest)
-
-    def _finish(self, stay: AttemptExecution, verdict: AttemptOutcome) -> None:
-        """It gives its slot back, and the next one has it before the reply brings anything new."""
-        self.in_work -= 1
-        if self._waiting:
-            self._begin(self._waiting.popleft())
-        self._leave(stay, verdict)
-
-    def _leave(self, stay: AttemptExecution, verdict: AttemptOutcome) -> None:
-        visit, book, name, held = stay.visit, self.book, self.name, self.held
-        ident = visit.ident
-        stay.over = True
-        del held[visit]
-        if self.kind.knee <= len(held) + 1:
-            self.pace.tune()
-        book.worked(name, ident, stay.done)
-        if not visit.gone:
-            stamp = book.made(name, ident) if verdict is SERVED else ""
-            # Told first: a reply may bring the next attempt of this request from within this call.
-            book.ended(name, ident)
-            visit.reply(verdict, stamp)
-
-    # What hinders it
-
-    def troubled(self) -> None:
-        """Its troubles have changed."""
-        self.troubles.reckon()
-        self.pace.changed()
-
-    def _choked(self) -> None:
-        self.book.choked(self.name)
-
-    def _found(self) -> None:
-        """It moves again: it finds what came meanwhile. That may stop it, or have it stand still anew."""
-        while self._stalled and not self.pace.still:
-            self._stalled.popleft()()
-
-    # For figures, beside the length of `held`
+        ramp, now = self._cpu.ramp, self.timers.now()
+        if ramp is None or now >= ramp.end:
+            self._overload = None
+            return False
+        return self._overload.offer(now, work, self._cpu.unhindered_capacity())
+
+    # Figures
+
+    @property
+    def in_flight(self) -> dict[ReceivedAttempt, AttemptExecution]:
+        """The attempts in flight."""
+        return self._executor.in_flight
+
+    @property
+    def busy_slots(self) -> int:
+        """The number of attempts that have a slot."""
+        return self._executor.busy_slots
 
     @property
-    def spoil(self) -> float:
-        """Share of its answers that are spoilt at present."""
-        return self.troubles.spoil
+    def queue_length(self) -> int:
+        """The number of attempts that wait for a slot."""
+        return self._executor.queue_length
 
     @property
-    def waiting(self) -> int:
-        """Visits that wait for a slot."""
-        return len(self._waiting)
+    def malformed_share(self) -> float:
+        """Share of the responses that are malformed at present."""
+        return self.faults.malformed_share
 
     @property
     def work_done(self) -> float:
-        """Since the machine was made, handshakes among it."""
-        return self.cpu.worked()
+        """Work done since the machine was created, also for handshakes."""
+        return self._cpu.work_done()
 
     def capacity(self) -> float:
-        """What it can do at present with all that hinders it, in work a second."""
-        return self.cpu.rated() * self.cpu.factor if self.running else 0.0
+        """Return what the machine can do at present with all that slows it down, in work a second."""
+        return self._cpu.unhindered_capacity() * self._cpu.factor if self.running else 0.0
--- a/wheatring/lab/models/machine_faults.py
+++ b/wheatring/lab/models/machine_faults.py
@@ -1,6 +1,6 @@
-"""What events do to a machine. Each can begin and end in any overlap with others and with itself.
+"""The faults of a machine that a plan's events inject. They may overlap, also with others of their kind.
 
-Troubles are the machine's: they go on over the end and the start of its process.
+Faults belong to the machine: they outlive its process.
 """
 
 from __future__ import annotations
@@ -8,14 +8,10 @@
 from collections.abc import Callable
 from math import prod
 from random import Random
-from typing import TYPE_CHECKING
 
 from wheatring.lab.plan import EventKind, EventPlan
 from wheatring.lab.timers import Timer, Timers
 
-if TYPE_CHECKING:
-    from wheatring.lab.models.machine import Machine
-
 MACHINE_FAULT_KINDS: frozenset[EventKind] = frozenset(
     {
         "slow", "hang", "fast_errors", "neighbour", "refuse", "conn_cap", "late_connects", "spoilt", "resets",
@@ -25,91 +21,142 @@
 
 
 class NoisyNeighbour:
-    """Another program on the machine, on and off: each phase is drawn between half and one and a half times
-    the mean. It begins with one that is on.
+    """Another program on the machine that takes a share of its capacity, on and off.
+
+    Each phase is drawn between half and one and a half times the mean; the first one is on.
+
+    Parameters
+    ----------
+    timers
+        The clock.
+    random
+        Draws the phases.
+    event
+        The event: `size` is the share taken, `extra` the mean length of a phase in seconds, 0 for ever.
+    on_change
+        Called when the program turns on or off.
     """
 
     def __init__(
-        self, timers: Timers, random: Random, event: EventPlan, turned: Callable[[], object]
+        self, timers: Timers, random: Random, event: EventPlan, on_change: Callable[[], object]
     ) -> None:
         self.timers = timers
         self.random = random
         self.event = event
-        self.turned = turned
-        self.on = True
-        self.step: Timer | None = None
-        self._wait()
+        self.on_change = on_change
+        self.is_on = True
+        self._timer: Timer | None = None
+        self._schedule_toggle()
 
     def stop(self) -> None:
-        if self.step is not None:
-            self.step.cancel()
-        self.step = None
+        """End the program for good."""
+        if self._timer is not None:
+            self._timer.cancel()
+        self._timer = None
 
-    def _wait(self) -> None:
+    def _schedule_toggle(self) -> None:
         if self.event.extra > 0.0:
             length = self.event.extra * self.random.uniform(0.5, 1.5)
-            self.step = self.timers.at(self.timers.now() + length, self._turn)
+            self._timer = self.timers.at(self.timers.now() + length, self._toggle)
 
-    def _turn(self) -> None:
-        self.on = not self.on
-        self._wait()
-        self.turned()
+    def _toggle(self) -> None:
+        self.is_on = not self.is_on
+        self._schedule_toggle()
+        self.on_change()
 
 
 class MachineFaults:
-    """The events that are on at one machine, and what they come to.
-
-    `factor`: part of its capacity that is left; `fail`, `spoil`, `broken`: shares of requests that fail at
-    once, of answers that can't be read, of requests that end in a reset; `cap`: most connections;
-    `connect_delay`: seconds by which connects are late. `hung` works on nothing and says nothing, `refusing`
-    takes no new connections, `silent` can't be reached.
+    """The faults of one machine at present, and their joint effect.
+
+    Parameters
+    ----------
+    timers
+        The clock.
+    random
+        Draws the phases of noisy neighbours.
+    on_change
+        Called whenever the joint effect may have changed.
+
+    Attributes
+    ----------
+    capacity_factor
+        The part of the machine's capacity that is left.
+    error_share
+        The share of requests that fail at once.
+    malformed_share
+        The share of responses that can't be parsed.
+    reset_share
+        The share of requests that end in a reset.
+    max_connections
+        The number of connections that the machine accepts at most.
+    connect_delay
+        Seconds by which a connection comes up late.
+    is_hung
+        The machine works on nothing and says nothing.
+    refuses_connections
+        It accepts no new connections.
+    is_unreachable
+        Nothing reaches it or leaves it.
     """
 
-    def __init__(self, timers: Timers, random: Random) -> None:
+    def __init__(self, timers: Timers, random: Random, on_change: Callable[[], object]) -> None:
         self.timers = timers
         self.random = random
-        self.on: list[EventPlan] = []
-        self.neighbours: list[NoisyNeighbour] = []
-        self.reckon()
-
-    def reckon(self) -> None:
-        """Once more from the events that are on, so that no rounding is left behind by those that ended."""
+        self.on_change = on_change
+        self._events: list[EventPlan] = []
+        self._neighbours: list[NoisyNeighbour] = []
+        self._update()
+
+    def begin(self, event: EventPlan) -> None:
+        """Inject the fault of an event.
+
+        Raises
+        ------
+        ValueError
+            The event is not a fault of a machine.
+        """
+        if event.kind not in MACHINE_FAULT_KINDS:
+            raise ValueError(f"not a fault of a machine: {event.kind}")
+        self._events.append(event)
+        if event.kind == "neighbour":
+            self._neighbours.append(NoisyNeighbour(self.timers, self.random, event, self._change))
+        self._change()
+
+    def end(self, event: EventPlan) -> None:
+        """End the fault of an event.
+
+        Raises
+        ------
+        ValueError
+            The fault is not present.
+        """
+        self._events.remove(event)
+        if event.kind == "neighbour":
+            position = next(i for i, each in enumerate(self._neighbours) if each.event == event)
+            self._neighbours.pop(position).stop()
+        self._change()
+
+    def _change(self) -> None:
+        self._update()
+        self.on_change()
+
+    def _update(self) -> None:
+        """Compute the joint effect anew, so that no rounding errors are left behind by faults that ended."""
         sizes: dict[EventKind, list[float]] = {}
-        for event in self.on:
+        for event in self._events:
             sizes.setdefault(event.kind, []).append(event.size)
-        free = prod(1.0 - each.event.size for each in self.neighbours if each.on)
-        self.factor = max(0.0, free) / prod(sizes.get("slow", ()))
-        self.fail = _any(sizes.get("fast_errors", ()))
-        self.spoil = _any(sizes.get("spoilt", ()))
-        self.broken = _any(sizes.get("resets", ()))
-        self.cap = min(sizes.get("conn_cap", ()), default=float("inf"))
+        free = prod(1.0 - each.event.size for each in self._neighbours if each.is_on)
+        self.capacity_factor = max(0.0, free) / prod(sizes.get("slow", ()))
+        self.error_share = _union(sizes.get("fast_errors", ()))
+        self.malformed_share = _union(sizes.get("spoilt", ()))
+        self.reset_share = _union(sizes.get("resets", ()))
+        self.max_connections = min(sizes.get("conn_cap", ()), default=float("inf"))
         self.connect_delay = sum(sizes.get("late_connects", ()))
-        self.hung = "hang" in sizes
-        self.refusing = "refuse" in sizes
-        self.silent = "vanish" in sizes
+        self.is_hung = "hang" in sizes
+        self.refuses_connections = "refuse" in sizes
+        self.is_unreachable = "vanish" in sizes
 
 
-def _any(shares: list[float] | tuple[()]) -> float:
-    """Share of what at least one of them falls on."""
+def _union(shares: list[float] | tuple[()]) -> float:
+    """Return the share that at least one of several independent shares covers."""
     return 1.0 - prod(1.0 - share for share in shares)
-
-
-def begin(machine: Machine, event: EventPlan) -> None:
-    """ValueError where the kind is not a machine's trouble."""
-    if event.kind not in MACHINE_FAULT_KINDS:
-        raise ValueError(f"not a trouble of a machine: {event.kind}")
-    troubles = machine.troubles
-    troubles.on.append(event)
-    if event.kind == "neighbour":
-        troubles.neighbours.append(NoisyNeighbour(troubles.timers, troubles.random, event, machine.troubled))
-    machine.troubled()
-
-
-def end(machine: Machine, event: EventPlan) -> None:
-    """ValueError where the event is not on."""
-    troubles = machine.troubles
-    troubles.on.remove(event)
-    if event.kind == "neighbour":
-        at = next(i for i, each in enumerate(troubles.neighbours) if each.event == event)
-        troubles.neighbours.pop(at).stop()
-    machine.troubled()
--- a/wheatring/lab/models/next_tier.py
+++ b/wheatring/lab/models/next_tier.py
@@ -1,4 +1,4 @@
-"""A node's calls to the next tier, through a sidecar of its own."""
+"""A node's calls to the next tier, through the node's own sidecar."""
 
 from __future__ import annotations
 
@@ -16,64 +16,80 @@
 
 
 class NextTierClient:
-    """Implements `NextTierCall` for one node. A call is a request of its own: it has the first try, the class
-    and the key of its visit, and a size of work that is drawn anew, by `sizes` for each class. `way` gives
-    the way into the sidecar of the node's present process, None while it has none.
+    """Makes one node's calls; an instance is a `received_attempt.NextTierCall`.
 
-    What is out of time has failed for the node, which stays on the line for LINGER more: what is
-    answered then is too late for it, but the rules want to see it.
+    A call is a request of its own: it has the first try, the class and the key of the attempt that it is made
+    for, and an amount of work that is drawn anew. A call that is out of time has failed for the node, which
+    keeps the connection for LATE_ANSWER_WAIT more, so that the rules see a late answer.
+
+    Parameters
+    ----------
+    name
+        The node's name, which its sidecar bears too.
+    find_transport
+        Gives the transport to the sidecar of the node's present process, None while it has none.
+    origins
+        Records the origin of each call.
+    work_samplers
+        By class, draws the work of a call.
+    timers
+        The clock.
     """
 
     def __init__(
         self,
         name: str,
-        way: Callable[[], RequestTransport | None],
+        find_transport: Callable[[], RequestTransport | None],
         origins: Origins,
-        sizes: Sequence[Callable[[], float]],
+        work_samplers: Sequence[Callable[[], float]],
         timers: Timers,
     ) -> None:
         self.name = name
-        self.way = way
+        self.find_transport = find_transport
         self.origins = origins
-        self.sizes = sizes
+        self.work_samplers = work_samplers
         self.timers = timers
 
-    def __call__(self, visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
-        way, timers = self.way(), self.timers
-        origin = self.origins.by_id.get(visit.ident)
-        if way is None or origin is None:
-            timers.at(timers.now(), done, False)
+    def __call__(self, attempt: ReceivedAttempt, time_left: float, on_end: Callable[[bool], None]) -> None:
+        """Make a call for an attempt; see `received_attempt.NextTierCall`."""
+        transport, timers = self.find_transport(), self.timers
+        origin = self.origins.by_id.get(attempt.ident)
+        if transport is None or origin is None:
+            timers.at(timers.now(), on_end, False)
             return
-        call = _NextTierRequest(self, done)
-        call.late = timers.at(timers.now() + left, call.out_of_time)
+        call = _NextTierRequest(timers, on_end)
+        call.timer = timers.at(timers.now() + time_left, call.on_timeout)
         index = origin.class_index
-        ident = self.origins.new(Origin(origin.first, index, self.sizes[index](), origin.key))
-        call.asked = way.ask(self.name, ident, index, left, origin.key, False, call.answered)
+        work = self.work_samplers[index]()
+        ident = self.origins.new(Origin(origin.first, index, work, origin.key))
+        call.pending = transport.send(self.name, ident, index, time_left, origin.key, False, call.on_response)
 
 
 class _NextTierRequest:
-    """One of them."""
-
-    __slots__ = ("asked", "calls", "done", "late")
-
-    def __init__(self, calls: NextTierClient, done: Callable[[bool], None]) -> None:
-        self.calls = calls
-        self.done: Callable[[bool], None] | None = done
-        self.asked: PendingRequest | None = None
-        self.late: Timer | None = None
-
-    def answered(self, kind: RequestOutcome, retry_after: float) -> None:
-        if self.late is not None and self.late.active():
-            self.late.cancel()
-        self.late = None
-        done, self.done = self.done, None
-        if done is not None:
-            done(kind == "served")
-
-    def out_of_time(self) -> None:
-        timers = self.calls.timers
-        assert self.asked is not None
-        self.late = timers.at(timers.now() + LATE_ANSWER_WAIT, self.asked.leave)
-        done, self.done = self.done, None
-        if done is not None:
-            done(False)
+    """One call in flight."""
+
+    __slots__ = ("on_end", "pending", "timer", "timers")
+
+    def __init__(self, timers: Timers, on_end: Callable[[bool], None]) -> None:
+        self.timers = timers
+        self.on_end: Callable[[bool], None] | None = on_end
+        self.pending: PendingRequest | None = None
+        self.timer: Timer | None = None  # of the deadline, then of the wait for a late answer
+
+    def on_response(self, outcome: RequestOutcome, _retry_after: float) -> None:
+        """End the call with its outcome."""
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+        self.timer = None
+        self._end(outcome == "served")
+
+    def on_timeout(self) -> None:
+        """Fail the call, and keep its connection for a late answer."""
+        assert self.pending is not None
+        self.timer = self.timers.at(self.timers.now() + LATE_ANSWER_WAIT, self.pending.abandon)
+        self._end(False)
+
+    def _end(self, is_served: bool) -> None:
+        on_end, self.on_end = self.on_end, None
+        if on_end is not None:
+            on_end(is_served)
--- a/wheatring/lab/models/node_status_table.py
+++ b/wheatring/lab/models/node_status_table.py
@@ -1,4 +1,7 @@
-"""What discovery knows: the facts about nodes, each learnt late, and its lies. All of it becomes listings."""
+"""What discovery knows of the nodes: their statuses, each known with a delay, and false ones.
+
+All of it becomes versions of endpoint lists.
+"""
 
 from __future__ import annotations
 
@@ -17,11 +20,11 @@
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lab.timers import Timer, Timers
 
-FALSE_REPORT_PERIOD = 3.0  # seconds after which a lie names others
+FALSE_REPORT_PERIOD = 3.0  # seconds after which false reports name other nodes
 
 
 class _StatusUpdate(NamedTuple):
-    order: int
+    number: int  # counted over all updates, by when they happened
     name: str
     state: NodeState
     started: float
@@ -29,10 +32,27 @@
 
 
 class NodeStatusTable:
-    """Facts go in at the instant they happen; `changed` is told of each listing that has a new version.
-
-    `unix` is the present Unix time in seconds. The book is told of what there is to tell: of lies too, and of
-    what is learnt while it is stale only when that is over.
+    """The statuses of all nodes. Changes are passed in at the instant they happen.
+
+    The book records what discovery knows: false reports too, and what becomes known while the lists are
+    frozen only when that is over.
+
+    Parameters
+    ----------
+    plan
+        The delays of discovery.
+    timers
+        The clock.
+    unix
+        Gives the present Unix time in seconds.
+    random
+        Draws the phase of publications and the nodes of false reports.
+    book
+        Records what discovery knows.
+    on_publication
+        Called with each list that has a new version.
+    kept_versions
+        How many versions back changes are available.
     """
 
     def __init__(
@@ -42,146 +62,171 @@
         unix: Callable[[], float],
         random: Random,
         book: Book,
-        kept: int = KEPT_VERSIONS,
+        on_publication: Callable[[EndpointListHistory], None],
+        kept_versions: int = KEPT_VERSIONS,
     ) -> None:
         self.plan = plan
         self.timers = timers
         self.unix = unix
         self.random = random
         self.book = book
-        self.kept = kept
-        self.changed: Callable[[EndpointListHistory], None] = lambda listing: None
+        self.on_publication = on_publication
+        self.kept_versions = kept_versions
         self.phase = random.uniform(0, plan.period)
-        self.listings: dict[int, EndpointListHistory] = {}  # by tier
-        self.started: dict[str, tuple[float, int]] = {}  # of each node's last start, learnt or not
-        self.truth: dict[str, EndpointEntry] = {}  # by node: what has been learnt of it
-        self.due: dict[float, list[_StatusUpdate]] = {}
-        self.newest: dict[str, int] = {}  # by node: the order of the newest fact that has been learnt
-        self.orders = 0
-        self.stales = 0
-        self.untold: dict[str, None] = {}  # nodes of which there will be something to tell
-        self.lies: list[FalseReports] = []
-
-    # Facts
-
-    def add(self, node: RegisteredNode, up: bool) -> None:
-        self.listing(node.tier).add(node)
-        started = self.started[node.name] = (node.started, self._unix_ms(node.started))
-        line = self.truth[node.name] = EndpointEntry(node, "ready" if up else "gone", *started)
-        if up:
-            self.listings[node.tier].list_first(line)
+        self.histories: dict[int, EndpointListHistory] = {}  # by tier
+        # By node: instant and Unix milliseconds of its last start, known or not.
+        self.last_starts: dict[str, tuple[float, int]] = {}
+        self.known: dict[str, EndpointEntry] = {}  # by node
+        self.due: dict[float, list[_StatusUpdate]] = {}  # by the instant at which they become known
+        self.newest_known: dict[str, int] = {}  # by node: the number of the newest update that is known
+        self.update_count = 0
+        self.freeze_count = 0
+        self.unrecorded: dict[str, None] = {}  # nodes whose changes the book gets after the freeze
+        self.false_reports: list[FalseReports] = []
+
+    def history(self, tier: int) -> EndpointListHistory:
+        """Return the endpoint list of a tier."""
+        history = self.histories.get(tier)
+        if history is None:
+            history = self.histories[tier] = EndpointListHistory(self.kept_versions)
+        return history
+
+    # Changes of nodes
+
+    def register(self, node: RegisteredNode, is_up: bool) -> None:
+        """Add a node at the start of the day; it is listed from the start if it is up."""
+        history = self.history(node.tier)
+        history.register(node)
+        started = self.last_starts[node.name] = (node.started, self._unix_ms(node.started))
+        entry = self.known[node.name] = EndpointEntry(node, "ready" if is_up else "gone", *started)
+        if is_up:
+            history.add_initial(entry)
             self.book.known(node.name, "ready", node.started)
 
-    def up(self, name: str, started: float) -> None:
-        self.started[name] = (started, self._unix_ms(started))
-        self._fact(name, "ready", self.plan.add)
+    def node_started(self, name: str, started: float) -> None:
+        """Take in that a node's process has started, or that its machine is reachable again."""
+        self.last_starts[name] = (started, self._unix_ms(started))
+        self._schedule_update(name, "ready", self.plan.add)
 
-    def draining(self, name: str) -> None:
-        self._fact(name, "draining", self.plan.notice)
+    def node_draining(self, name: str) -> None:
+        """Take in that a node is draining."""
+        self._schedule_update(name, "draining", self.plan.notice)
 
-    def down(self, name: str) -> None:
-        self._fact(name, "gone", self.plan.notice)
+    def node_ended(self, name: str) -> None:
+        """Take in that a node's process has ended."""
+        self._schedule_update(name, "gone", self.plan.notice)
 
-    def vanished(self, name: str) -> None:
-        self._fact(name, "gone", self.plan.silent_notice)
-
-    def listing(self, tier: int) -> EndpointListHistory:
-        listing = self.listings.get(tier)
-        if listing is None:
-            listing = self.listings[tier] = EndpointListHistory(self.kept)
-        return listing
+    def node_vanished(self, name: str) -> None:
+        """Take in that a node's machine is unreachable."""
+        self._schedule_update(name, "gone", self.plan.silent_notice)
 
     def _unix_ms(self, instant: float) -> int:
         return round((self.unix() + instant - self.timers.now()) * 1000) if instant > 0 else 0
 
-    def _fact(self, name: str, state: NodeState, delay: float) -> None:
-        self.orders += 1
+    def _schedule_update(self, name: str, state: NodeState, delay: float) -> None:
+        """Have a status become known after a delay, at the next publication."""
+        self.update_count += 1
         period, at = self.plan.period, self.timers.now() + delay
         if period > 0:
             at = self.phase + ceil((at - self.phase) / period) * period
         due = self.due.get(at)
         if due is None:
             due = self.due[at] = []
-            self.timers.at(at, self._learn, at)
-        due.append(_StatusUpdate(self.orders, name, state, *self.started[name]))
+            self.timers.at(at, self._apply_updates, at)
+        due.append(_StatusUpdate(self.update_count, name, state, *self.last_starts[name]))
 
-    def _learn(self, at: float) -> None:
+    def _apply_updates(self, at: float) -> None:
         names = []
-        for news in self.due.pop(at):
-            # Of a node that is back, an older end that takes longer to be noticed is no news any more.
-            if news.order > self.newest.get(news.name, 0):
-                self.newest[news.name] = news.order
-                node = self.truth[news.name].node
-                self.truth[news.name] = EndpointEntry(node, news.state, news.started, news.started_ms)
-                names.append(news.name)
+        for update in self.due.pop(at):
+            # Of a node that is back, an older end that takes longer to be noticed is no longer news.
+            if update.number > self.newest_known.get(update.name, 0):
+                self.newest_known[update.name] = update.number
+                node = self.known[update.name].node
+                self.known[update.name] = EndpointEntry(node, update.state, update.started, update.started_ms)
+                names.append(update.name)
         self.publish(names)
 
     def publish(self, names: list[str]) -> None:
-        """List these nodes from now on as they are known, or as they are lied about."""
+        """Publish the statuses of some nodes, as they are known or as they are falsely reported."""
         now = self.timers.now()
         by_tier: dict[int, dict[str, EndpointEntry]] = {}
         for name in names:
-            line = self.truth[name]
-            if any(name in lie.names for lie in self.lies):
-                line = line._replace(state="gone")
-            by_tier.setdefault(line.node.tier, {})[name] = line
-        for tier, lines in by_tier.items():
-            listing = self.listings[tier]
-            changed = listing.publish(now, lines.values())
-            for line in changed:
-                if self.stales:
-                    self.untold[line.node.name] = None
+            entry = self.known[name]
+            if any(name in reports.names for reports in self.false_reports):
+                entry = entry._replace(state="gone")
+            by_tier.setdefault(entry.node.tier, {})[name] = entry
+        for tier, entries in by_tier.items():
+            history = self.histories[tier]
+            changed = history.publish(now, entries.values())
+            for entry in changed:
+                if self.freeze_count:
+                    self.unrecorded[entry.node.name] = None
                 else:
-                    self.book.known(line.node.name, line.state, line.started)
+                    self.book.known(entry.node.name, entry.state, entry.started)
             if changed:
-                self.changed(listing)
+                self.on_publication(history)
 
-    # Troubles
+    # Faults
 
-    def hold(self) -> None:
-        """From now on only what is listed now is told (stale)."""
-        if not self.stales:
-            for listing in self.listings.values():
-                listing.pin = listing.version
-        self.stales += 1
+    def freeze(self) -> None:
+        """Report nothing newer than what is listed now, until all freezes have ended."""
+        if not self.freeze_count:
+            for history in self.histories.values():
+                history.frozen_version = history.version
+        self.freeze_count += 1
 
-    def let_go(self) -> None:
-        self.stales -= 1
-        if self.stales:
+    def unfreeze(self) -> None:
+        """End one freeze."""
+        self.freeze_count -= 1
+        if self.freeze_count:
             return
-        for listing in self.listings.values():
-            listing.pin = None
-        untold, self.untold = self.untold, {}
-        for name in untold:
-            line = self.listings[self.truth[name].node.tier].last(name)
-            self.book.known(name, line.state, line.started)
+        for history in self.histories.values():
+            history.frozen_version = None
+        unrecorded, self.unrecorded = self.unrecorded, {}
+        for name in unrecorded:
+            entry = self.histories[self.known[name].node.tier].latest_entry(name)
+            self.book.known(name, entry.state, entry.started)
 
 
 class FalseReports:
-    """Names the share `size` of each tier's running nodes as gone, at least one of them, others by turns."""
+    """Reports some of the running nodes as gone, others by turns, until it is ended.
+
+    Parameters
+    ----------
+    table
+        The table whose nodes are reported.
+    share
+        The share of each tier's running nodes that is reported, at least one of them.
+    """
 
-    def __init__(self, knowledge: NodeStatusTable, size: float) -> None:
-        self.knowledge = knowledge
-        self.size = size
-        self.names: dict[str, None] = {}
+    def __init__(self, table: NodeStatusTable, share: float) -> None:
+        self.table = table
+        self.share = share
+        self.names: dict[str, None] = {}  # of the nodes that are reported now
         self.timer: Timer | None = None
-        knowledge.lies.append(self)
-        self.turn()
+        table.false_reports.append(self)
+        self.choose()
 
-    def turn(self) -> None:
-        known = self.knowledge
+    def choose(self) -> None:
+        """Choose the nodes of the next period, if possible others than before."""
+        table = self.table
         before, self.names = self.names, {}
-        for tier in known.listings:
-            ready = [n for n, line in known.truth.items() if line.state == "ready" and line.node.tier == tier]
-            count = min(len(ready), max(1, round(self.size * len(ready))))
+        for tier in table.histories:
+            ready = [
+                name
+                for name, entry in table.known.items()
+                if entry.state == "ready" and entry.node.tier == tier
+            ]
+            count = min(len(ready), max(1, round(self.share * len(ready))))
             others = [name for name in ready if name not in before]
-            chosen = known.random.sample(others if len(others) >= count else ready, count)
+            chosen = table.random.sample(others if len(others) >= count else ready, count)
             self.names.update(dict.fromkeys(chosen))
-        self.timer = known.timers.at(known.timers.now() + FALSE_REPORT_PERIOD, self.turn)
-        known.publish([*before, *self.names])
+        self.timer = table.timers.at(table.timers.now() + FALSE_REPORT_PERIOD, self.choose)
+        table.publish([*before, *self.names])
 
     def end(self) -> None:
+        """End the reports: the nodes are listed as they are known."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.knowledge.lies.remove(self)
-        self.knowledge.publish(list(self.names))
+        self.table.false_reports.remove(self)
+        self.table.publish(list(self.names))
--- a/wheatring/lab/models/overload_choke.py
+++ b/wheatring/lab/models/overload_choke.py
@@ -1,147 +1,107 @@
-"""What comes over a machine by itself: it chokes when it is crowded, and pauses now and then."""
+"""An overloaded machine turns slow and stays so until it is mostly idle (a metastable failure)."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from random import Random
 
-from wheatring.lab.plan import ChokePlan, KindPlan
+from wheatring.lab.plan import ChokePlan
 from wheatring.lab.timers import Timer, Timers
 
-IDLE_SAMPLES = 8  # within the time that a machine must have been mostly idle
+IDLE_SAMPLES = 8  # samples of the cores' busy time within the time for which a machine must be mostly idle
 
 
 class OverloadChoke:
-    """A machine that holds too much for a while turns slow, until it has been mostly idle for a while or long
-    enough. What waits for the next tier counts as held; mostly idle is a part of the cores' time.
-
-    `turned` is called whenever `slow` has changed.
+    """Decides when a machine is choked: slow, after it has had too many attempts in flight for some time.
+
+    It recovers when its cores have been mostly idle for some time, or when it has been slow for long enough.
+    An attempt that waits for the next tier is in flight too.
+
+    Parameters
+    ----------
+    timers
+        The clock.
+    plan
+        The thresholds.
+    cores
+        The number of the machine's cores.
+    on_change
+        Called whenever `is_slow` has changed.
     """
 
-    def __init__(self, timers: Timers, plan: ChokePlan, cores: int, turned: Callable[[], object]) -> None:
+    def __init__(self, timers: Timers, plan: ChokePlan, cores: int, on_change: Callable[[], object]) -> None:
         self.timers = timers
         self.plan = plan
         self.cores = cores
-        self.crowd = (plan.at + 1.0) * cores
-        self.turned = turned
-        self.slow = False
-        self._held = 0
-        self._busy = 0.0  # part of the cores that is wanted
-        self._since = 0.0  # from then on
-        self._worked = 0.0  # time of all cores until then
-        self._looks: deque[float] = deque(
-            maxlen=IDLE_SAMPLES + 1
-        )  # what that was at the last looks, while slow
-        self._step: Timer | None = None  # well: it chokes; slow: the next look
-        self._end: Timer | None = None
+        self.overload_threshold = (plan.at + 1.0) * cores  # attempts in flight
+        self.on_change = on_change
+        self.is_slow = False
+        self._in_flight = 0
+        self._utilisation = 0.0  # share of the cores in use
+        self._updated_at = 0.0
+        self._busy_time = 0.0  # seconds of all cores until then
+        self._busy_samples: deque[float] = deque(maxlen=IDLE_SAMPLES + 1)  # of the busy time, while slow
+        self._timer: Timer | None = None  # of the choke, or, while slow, of the next sample
+        self._recovery_timer: Timer | None = None
 
     @property
-    def factor(self) -> float:
-        return 1.0 / self.plan.slower if self.slow else 1.0
-
-    def watch(self, held: int, wanting: int) -> None:
-        """So many requests are held, and want a core, from now on."""
-        now = self.timers.now()
-        self._worked += self._busy * (now - self._since)
-        self._since = now
-        self._held = held
-        self._busy = wanting / self.cores if wanting < self.cores else 1.0
-        if self.slow:
+    def capacity_factor(self) -> float:
+        """The part of the machine's capacity that is left."""
+        return 1.0 / self.plan.slower if self.is_slow else 1.0
+
+    def update(self, in_flight: int, runnable: int) -> None:
+        """Take in the present number of attempts in flight, and of those that want a core."""
+        self._add_busy_time()
+        self._in_flight = in_flight
+        self._utilisation = runnable / self.cores if runnable < self.cores else 1.0
+        if self.is_slow:
             return
-        if held < self.crowd:
-            if self._step is not None:
-                self._step.cancel()
-                self._step = None
-        elif self._step is None:
-            self._step = self.timers.at(now + self.plan.over, self._turn)
+        if in_flight < self.overload_threshold:
+            if self._timer is not None:
+                self._timer.cancel()
+                self._timer = None
+        elif self._timer is None:
+            self._timer = self.timers.at(self._updated_at + self.plan.over, self._toggle)
 
     def reset(self) -> None:
-        """A new process is well."""
-        self._stop()
-        self.slow = False
-        self._held, self._busy = 0, 0.0
+        """Forget everything, as the process has ended: a new one is not slow."""
+        self._cancel_timers()
+        self.is_slow = False
+        self._in_flight, self._utilisation = 0, 0.0
 
-    def _count(self) -> None:
+    def _add_busy_time(self) -> None:
         now = self.timers.now()
-        self._worked += self._busy * (now - self._since)
-        self._since = now
+        self._busy_time += self._utilisation * (now - self._updated_at)
+        self._updated_at = now
 
-    def _stop(self) -> None:
-        for timer in (self._step, self._end):
+    def _cancel_timers(self) -> None:
+        for timer in (self._timer, self._recovery_timer):
             if timer is not None:
                 timer.cancel()
-        self._step = self._end = None
-
-    def _turn(self) -> None:
-        self._step = None
-        self._stop()
-        self.slow = not self.slow
-        if self.slow:
-            self._end = self.timers.at(self.timers.now() + self.plan.most, self._over)
-            self._looks.clear()
-            self._look()
+        self._timer = self._recovery_timer = None
+
+    def _toggle(self) -> None:
+        self._timer = None
+        self._cancel_timers()
+        self.is_slow = not self.is_slow
+        if self.is_slow:
+            self._recovery_timer = self.timers.at(self.timers.now() + self.plan.most, self._recover)
+            self._busy_samples.clear()
+            self._sample()
         else:
-            self.watch(self._held, round(self._busy * self.cores))
-        self.turned()
-
-    def _look(self) -> None:
-        """See whether it has been mostly idle."""
-        self._count()
-        looks, plan = self._looks, self.plan
-        looks.append(self._worked)
-        if len(looks) > IDLE_SAMPLES and looks[-1] - looks[0] < plan.below * plan.rest:
-            self._turn()
+            self.update(self._in_flight, round(self._utilisation * self.cores))
+        self.on_change()
+
+    def _sample(self) -> None:
+        """Sample the busy time, and recover if the machine has been mostly idle."""
+        self._add_busy_time()
+        samples, plan = self._busy_samples, self.plan
+        samples.append(self._busy_time)
+        if len(samples) > IDLE_SAMPLES and samples[-1] - samples[0] < plan.below * plan.rest:
+            self._toggle()
         else:
-            self._step = self.timers.at(self.timers.now() + plan.rest / IDLE_SAMPLES, self._look)
-
-    def _over(self) -> None:
-        self._end = None
-        self._turn()
-
+            self._timer = self.timers.at(self.timers.now() + plan.rest / IDLE_SAMPLES, self._sample)
 
-class ProcessingPauses:
-    """Now and then a machine does nothing for a moment, for longer the busier it is.
-
-    `busy` gives the part of its cores that is wanted. `turned` is called whenever `on` has changed.
-    """
-
-    def __init__(
-        self,
-        timers: Timers,
-        kind: KindPlan,
-        random: Random,
-        busy: Callable[[], float],
-        turned: Callable[[], object],
-    ) -> None:
-        self.timers = timers
-        self.kind = kind
-        self.random = random
-        self.busy = busy
-        self.turned = turned
-        self.on = False
-        self._step: Timer | None = None
-
-    def start(self) -> None:
-        self._wait()
-
-    def stop(self) -> None:
-        if self._step is not None:
-            self._step.cancel()
-        self._step = None
-        self.on = False
-
-    def _wait(self) -> None:
-        gap = self.random.expovariate(1.0 / self.kind.pause_every)
-        self._step = self.timers.at(self.timers.now() + gap, self._begin)
-
-    def _begin(self) -> None:
-        self.on = True
-        length = self.kind.pause * self.random.expovariate(1.0) * (1.0 + self.kind.pause_grow * self.busy())
-        self._step = self.timers.at(self.timers.now() + length, self._end)
-        self.turned()
-
-    def _end(self) -> None:
-        self.on = False
-        self._wait()
-        self.turned()
+    def _recover(self) -> None:
+        self._recovery_timer = None
+        self._toggle()
--- a/wheatring/lab/models/received_attempt.py
+++ b/wheatring/lab/models/received_attempt.py
@@ -1,4 +1,4 @@
-"""What passes between a node's model and what attaches it: one attempt, and how it ends."""
+"""An attempt as a node receives it, and its outcome: what passes between a node's server and its model."""
 
 from __future__ import annotations
 
@@ -7,39 +7,50 @@
 
 
 class AttemptOutcome(Enum):
-    """What the node's caller is to get. A node that hangs gives none."""
+    """What a node does with an attempt. A node that hangs gives no outcome."""
 
     SERVED = "served"
     ERROR = "error"  # it may have run
-    REJECTED = "away"  # never ran: full, draining, or already over
-    RESET = "reset"  # the connection breaks; it may have run
-    MALFORMED = "spoilt"  # an answer that can't be read; it has run
+    REJECTED = "rejected"  # never ran: the node is full or draining, or the request is over already
+    RESET = "reset"  # the connection is reset; it may have run
+    MALFORMED = "malformed"  # the response can't be parsed; it has run
 
 
 class ReceivedAttempt:
-    """One attempt at a node, from its last byte's arrival on.
-
-    `left`: seconds that the caller said it will wait, 0 where it did not. `reply` is called once at most,
-    with the verdict and the stamp that the body of a served answer bears.
+    """One attempt at a node, from the arrival of its last byte on.
+
+    Parameters
+    ----------
+    ident
+        The request's correlation id.
+    sidecar
+        The sidecar that sent it.
+    time_left
+        Seconds that the caller said it will wait, 0 where it did not say.
+    arrived_at
+        The instant of its arrival.
+    reply
+        Called at most once, with the outcome and the stamp that the body of a served response bears.
     """
 
-    __slots__ = ("gone", "ident", "left", "reply", "sidecar", "since")
+    __slots__ = ("arrived_at", "ident", "is_abandoned", "reply", "sidecar", "time_left")
 
     def __init__(
         self,
         ident: str,
         sidecar: str,
-        left: float,
-        since: float,
+        time_left: float,
+        arrived_at: float,
         reply: Callable[[AttemptOutcome, str], None],
     ) -> None:
         self.ident = ident
         self.sidecar = sidecar
-        self.left = left
-        self.since = since
+        self.time_left = time_left
+        self.arrived_at = arrived_at
         self.reply = reply
-        self.gone = False  # its caller has closed the connection: nobody is there for a reply
+        self.is_abandoned = False  # the caller has closed the connection: nobody receives a reply
 
 
-# A node's call to the next tier: made for a visit, it ends once, served or not.
-NextTierCall = Callable[[ReceivedAttempt, float, Callable[[bool], None]], None]  # (visit, seconds left, done)
+# A node's call to the next tier, made for an attempt: (attempt, seconds left, callback). The callback is
+# called once, with whether the call was served.
+NextTierCall = Callable[[ReceivedAttempt, float, Callable[[bool], None]], None]
