--- a/wheatring/lab/models/request_transport.py
+++ b/wheatring/lab/models/request_transport.py
@@ -1,40 +1,57 @@
-"""The way into a sidecar, the same for clients and for nodes that call the next tier."""
+"""Interface by which clients, and nodes that call the next tier, send requests to sidecars."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Literal, Protocol
 
-# Seconds past a request's time in which its caller still looks for the answer: too late for it, but the rules
-# grant so much, and whoever has closed its connection sees nothing.
+# Seconds past a request's deadline for which its caller keeps the connection open. An answer is then too late
+# for the caller, but the rules grant the sidecar a moment, and on a closed connection it could not be seen.
 LATE_ANSWER_WAIT = 0.1
 
 # unreached: no connection to the sidecar came up, or it ended before the request was taken; nothing is owed.
-# lost: taken, and no whole answer came.
+# lost: the request was taken, and no complete answer came.
 RequestOutcome = Literal["served", "refused", "failed", "unreached", "lost"]
-ResponseCallback = Callable[[RequestOutcome, float], None]  # (how it ended, Retry-After in seconds or 0)
+ResponseCallback = Callable[[RequestOutcome, float], None]  # (outcome, Retry-After in seconds or 0)
 
 
 class PendingRequest(Protocol):
-    """One request that is out. It ends once: by its `done`, or by being left."""
+    """A request in flight. It ends once: its callback is called, or it is abandoned."""
 
-    def leave(self) -> None:
-        """Wait no longer: the connection is closed and `done` is not called any more."""
+    def abandon(self) -> None:
+        """Close the connection; the callback is no longer called."""
 
 
 class RequestTransport(Protocol):
-    """Carries requests to sidecars, and tells the book of what is taken, answered, lost and left."""
+    """Carries requests to sidecars, and records in the book which are taken, answered, lost or abandoned."""
 
-    def ask(
+    def send(
         self,
         sidecar: str,
         ident: str,
         index: int,
-        left: float,
+        time_left: float,
         key: str,
-        repeat: bool,
-        done: ResponseCallback,
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
     ) -> PendingRequest:
-        """Ask a sidecar. `index` is the class's place in the plan, `left` the seconds that the caller will
-        wait (it leaves by itself when they are over: the way does not). `done` comes later.
+        """Send a request to a sidecar.
+
+        Parameters
+        ----------
+        sidecar
+            The sidecar's name.
+        ident
+            The request's correlation id.
+        index
+            The index of the request's class in the plan.
+        time_left
+            Seconds that the caller will wait. The caller abandons the request itself once they are over: the
+            transport has no time-out.
+        key
+            The idempotency key, "" for none.
+        is_marked_retry
+            Whether the request says that it is a retry.
+        on_response
+            Called with the outcome, never from within this method.
         """
--- a/wheatring/lab/models/service_rate.py
+++ b/wheatring/lab/models/service_rate.py
@@ -1,4 +1,4 @@
-"""How fast a machine works at present: all that hinders it, in one factor."""
+"""The rate at which a machine works at present: all that slows it down, in one factor."""
 
 from __future__ import annotations
 
@@ -7,17 +7,44 @@
 
 from wheatring.lab.models.cpu import Cpu, T
 from wheatring.lab.models.machine_faults import MachineFaults
-from wheatring.lab.models.overload_choke import OverloadChoke, ProcessingPauses
+from wheatring.lab.models.overload_choke import OverloadChoke
+from wheatring.lab.models.pauses import ProcessingPauses
 from wheatring.lab.plan import KindPlan, TierPlan
 from wheatring.lab.timers import Timers
 
 
 class ServiceRate:
-    """Keeps a machine's cores at the part of their capacity that troubles, the choke, thrash and the table of
-    connections leave. Cold is not its matter: the cores know it themselves.
-
-    `held` is what the machine holds. `choked` is called when it chokes, `moves` whenever something that had
-    it stand still may have ended.
+    """Sets the factor of a machine's cores by its faults, choke, thrashing, pauses and connections.
+
+    Slow start is not among them: the cores have it of themselves.
+
+    Parameters
+    ----------
+    timers
+        The clock.
+    kind, tier
+        The kind of machine, and its tier.
+    random
+        Seeds the streams of faults and pauses.
+    cpu
+        The cores.
+    in_flight
+        The machine's attempts in flight, of which only the number matters.
+    on_choked
+        Called when the machine becomes choked.
+    on_resumed
+        Called whenever something that made the machine stall may have ended.
+
+    Attributes
+    ----------
+    is_stalled
+        The machine works on nothing and says nothing: it hangs or pauses.
+    factor
+        The part of the capacity that there is while the machine is not stalled.
+    faults
+        The machine's faults.
+    connections
+        The number of open connections.
     """
 
     def __init__(
@@ -27,90 +54,98 @@
         tier: TierPlan,
         random: Random,
         cpu: Cpu[T],
-        held: Sized,
-        choked: Callable[[], object],
-        moves: Callable[[], object],
+        in_flight: Sized,
+        on_choked: Callable[[], object],
+        on_resumed: Callable[[], object],
     ) -> None:
         self.kind = kind
-        self.tax = tier.conn_tax
-        self.table = tier.conn_cap * kind.cores
+        self.connection_tax = tier.conn_tax
+        self.max_connections = tier.conn_cap * kind.cores
         self.cpu = cpu
-        self.held = held
-        self.choked = choked
-        self.moves = moves
+        self.in_flight = in_flight
+        self.on_choked = on_choked
+        self.on_resumed = on_resumed
         self.connections = 0
-        self.still = False  # it works on nothing and says nothing
-        self.free = 1.0  # part of the capacity that there is when it does not stand still
-        # Streams of their own: when these come must not hang on how many visits there have been.
-        self.troubles = MachineFaults(timers, Random(random.getrandbits(64)))
+        self.is_stalled = False
+        self.factor = 1.0
+        # Streams of their own: when these happen must not depend on how many attempts there have been.
+        self.faults = MachineFaults(timers, Random(random.getrandbits(64)), self.handle_stall_change)
         pauses = Random(random.getrandbits(64))
         self.pauses: ProcessingPauses | None = None
         if kind.pause_every > 0.0:
-            self.pauses = ProcessingPauses(timers, kind, pauses, self._busy, self.changed)
+            self.pauses = ProcessingPauses(timers, kind, pauses, self._utilisation, self.handle_stall_change)
         self.choke: OverloadChoke | None = None
         if tier.choke is not None:
-            choke = self.choke = OverloadChoke(timers, tier.choke, kind.cores, self._turned)
-            cpu.watch = lambda wanting: choke.watch(len(held), wanting)
+            choke = self.choke = OverloadChoke(timers, tier.choke, kind.cores, self._handle_choke_change)
+            cpu.on_runnable_changed = lambda runnable: choke.update(len(in_flight), runnable)
 
     def start(self) -> None:
+        """Begin, as the process has started."""
         if self.pauses is not None:
             self.pauses.start()
-        self.tune()
+        self.update()
 
     def stop(self) -> None:
-        """A new process is well; troubles stay."""
+        """End pauses and choke with the process; faults outlive it."""
         if self.pauses is not None:
             self.pauses.stop()
         if self.choke is not None:
             self.choke.reset()
 
+    # Connections
+
     @property
-    def full(self) -> bool:
-        """The table of connections is."""
-        return self.connections >= min(self.table, self.troubles.cap)
+    def is_full(self) -> bool:
+        """Whether the table of connections is full."""
+        return self.connections >= min(self.max_connections, self.faults.max_connections)
 
     def connect(self) -> bool:
-        """Whether one more connection is accepted."""
-        if self.full:
+        """Accept one more connection, and return True, unless the table is full."""
+        if self.is_full:
             return False
         self.connections += 1
-        if self.tax > 0.0:
-            self.tune()
+        self._handle_connection_change()
         return True
 
     def disconnect(self) -> None:
+        """Release a connection."""
         self.connections -= 1
-        if self.tax > 0.0:
-            self.tune()
+        self._handle_connection_change()
+
+    def _handle_connection_change(self) -> None:
+        if self.connection_tax > 0.0:
+            self.update()
+
+    # The rate
 
-    def wait(self, work: float) -> float:
-        """Seconds that such a piece takes if all stays as it is; standing still is left out."""
-        rate = self.cpu.speed * self.free * min(1.0, self.cpu.cores / max(1, self.cpu.wanting))
+    def duration_of(self, work: float) -> float:
+        """Return the seconds that some work takes if nothing changes; stalls are left out."""
+        rate = self.cpu.speed * self.factor * min(1.0, self.cpu.cores / max(1, self.cpu.runnable))
         return work / rate if rate > 0.0 else 0.0
 
-    def changed(self) -> None:
-        """Something that can have it stand still has begun or ended."""
-        self.tune()
-        if not self.still:
-            self.moves()
+    def handle_stall_change(self) -> None:
+        """Take in that something which makes the machine stall may have begun or ended."""
+        self.update()
+        if not self.is_stalled:
+            self.on_resumed()
 
-    def tune(self) -> None:
-        """One of the figures behind the factor has changed."""
-        kind, factor = self.kind, self.troubles.factor
+    def update(self) -> None:
+        """Compute the factor anew, as one of the figures behind it has changed."""
+        kind, factor = self.kind, self.faults.capacity_factor
         if self.choke is not None:
-            factor *= self.choke.factor
+            factor *= self.choke.capacity_factor
         if kind.thrash > 0.0:
-            factor /= 1.0 + kind.thrash * max(0.0, len(self.held) - kind.knee) / kind.knee
-        if self.tax > 0.0:
-            factor *= 1.0 - self.tax * min(1.0, self.connections / self.table)
-        self.free = factor
-        self.still = self.troubles.hung or (self.pauses is not None and self.pauses.on)
-        self.cpu.tune(0.0 if self.still else factor)
-
-    def _turned(self) -> None:
-        if self.choke is not None and self.choke.slow:
-            self.choked()
-        self.tune()
-
-    def _busy(self) -> float:
-        return min(1.0, self.cpu.wanting / self.cpu.cores)
+            factor /= 1.0 + kind.thrash * max(0.0, len(self.in_flight) - kind.knee) / kind.knee
+        if self.connection_tax > 0.0:
+            factor *= 1.0 - self.connection_tax * min(1.0, self.connections / self.max_connections)
+        self.factor = factor
+        self.is_stalled = self.faults.is_hung or (self.pauses is not None and self.pauses.is_paused)
+        self.cpu.set_factor(0.0 if self.is_stalled else factor)
+
+    def _handle_choke_change(self) -> None:
+        if self.choke is not None and self.choke.is_slow:
+            self.on_choked()
+        self.update()
+
+    def _utilisation(self) -> float:
+        return min(1.0, self.cpu.runnable / self.cpu.cores)
--- a/wheatring/lab/models/slow_start.py
+++ b/wheatring/lab/models/slow_start.py
@@ -1,4 +1,7 @@
-"""A process that has just started: how its capacity rises, and what pushes it over. Pure arithmetic."""
+"""Slow start of a new process: how its capacity rises, and how much work overloads it. Pure arithmetic.
+
+Instants and durations are seconds; work is in seconds on a standard core.
+"""
 
 from __future__ import annotations
 
@@ -9,74 +12,96 @@
 
 
 class CapacityRamp:
-    """A capacity that rises evenly from a part of the full one to all of it."""
+    """A capacity that rises evenly from a share of the full capacity to all of it.
+
+    Parameters
+    ----------
+    start
+        The instant at which the process started.
+    initial_share
+        The share of the full capacity that it started with.
+    length
+        Seconds until it has all of it, greater than 0.
+    """
 
-    __slots__ = ("end", "first", "slope", "start")
+    __slots__ = ("end", "initial_share", "slope", "start")
 
-    def __init__(self, start: float, first: float, length: float) -> None:
-        """`start`: when the process began; `first`: the part it began with; `length`: seconds, over 0."""
+    def __init__(self, start: float, initial_share: float, length: float) -> None:
         self.start = start
         self.end = start + length
-        self.first = first
-        self.slope = (1.0 - first) / length
+        self.initial_share = initial_share
+        self.slope = (1.0 - initial_share) / length
 
-    def share(self, now: float) -> float:
-        """The part of the full capacity that there is at an instant."""
+    def share_at(self, now: float) -> float:
+        """Return the share of the full capacity at an instant."""
         if now >= self.end:
             return 1.0
-        return self.first + self.slope * (now - self.start)
+        return self.initial_share + self.slope * (now - self.start)
+
+    def capacity_between(self, since: float, now: float) -> float:
+        """Return the capacity between two instants, in seconds of full capacity.
 
-    def between(self, since: float, now: float) -> float:
-        """Seconds of full capacity that there were between two instants, neither before the start."""
+        Neither is before the start.
+        """
         if since >= self.end:
             return now - since
         warm = max(0.0, now - self.end)
-        part = now - since - warm
-        return part * (self.share(since) + 0.5 * self.slope * part) + warm
+        ramping = now - since - warm
+        return ramping * (self.share_at(since) + 0.5 * self.slope * ramping) + warm
 
-    def after(self, since: float, amount: float) -> float:
-        """The instant by which so many seconds of full capacity have come together."""
+    def instant_after(self, since: float, amount: float) -> float:
+        """Return the instant by which `amount` seconds of full capacity have been available since `since`."""
         if since >= self.end:
             return since + amount
-        cold = self.between(since, self.end)
-        if amount >= cold:
-            return self.end + (amount - cold)
-        share = self.share(since)
+        ramp_capacity = self.capacity_between(since, self.end)
+        if amount >= ramp_capacity:
+            return self.end + (amount - ramp_capacity)
+        share = self.share_at(since)
         root = sqrt(share * share + 2.0 * self.slope * amount)
         # This form of the solution stays exact where the slope is next to nothing.
         return since + 2.0 * amount / (share + root) if amount > 0.0 else since
 
 
 class OverloadDetector:
-    """Work offered to a cold process, and whether it is too much. Machines fall by it, rules judge by it.
+    """Decides whether the work offered to a process in slow start overloads it.
+
+    It does if the work offered within the window, without its largest item, is more than a multiple of what
+    the process can do in a window at its present capacity. Leaving out the largest item allows for chance:
+    amounts of work vary widely and no sidecar knows them, so no single request may overload a process.
 
-    It is too much when what was offered within the window, its largest piece left out, is more than the
-    multiple of what the process could do in a window at its present capacity. The largest piece is the slack
-    for chance: sizes vary widely and no sidecar knows them, so no single request may push a process over.
+    Machines crash by it, and the rules judge the sidecars by it.
     """
 
-    __slots__ = ("at", "largest", "multiple", "total", "window")
+    __slots__ = ("largest_offers", "multiple", "offers", "total_work", "window")
 
     def __init__(self, rules: RulesPlan) -> None:
         self.multiple = rules.fall_multiple
         self.window = rules.fall_for
-        self.at: deque[tuple[float, float]] = deque()
-        self.largest: deque[tuple[float, float]] = deque()  # falling: each the largest of all since it
-        self.total = 0.0
+        self.offers: deque[tuple[float, float]] = deque()  # (instant, work)
+        self.largest_offers: deque[tuple[float, float]] = deque()  # falling: each the largest of all since it
+        self.total_work = 0.0  # of the offers in the window
 
     def offer(self, now: float, work: float, capacity: float) -> bool:
-        """So much work arrives. `capacity` is what the process can do at present, in work a second; the
-        window is open at its far end. True: it is too much.
+        """Record work that is offered, and return whether it overloads the process.
+
+        Parameters
+        ----------
+        now
+            The instant. The window reaches back from it, its far end excluded.
+        work
+            The work offered.
+        capacity
+            What the process can do at present, in work a second.
         """
-        at, largest = self.at, self.largest
-        at.append((now, work))
-        self.total += work
-        past = now - self.window
-        while at[0][0] <= past:
-            self.total -= at.popleft()[1]
+        offers, largest = self.offers, self.largest_offers
+        offers.append((now, work))
+        self.total_work += work
+        expired = now - self.window
+        while offers[0][0] <= expired:
+            self.total_work -= offers.popleft()[1]
         while largest and largest[-1][1] <= work:
             largest.pop()
         largest.append((now, work))
-        while largest[0][0] <= past:
+        while largest[0][0] <= expired:
             largest.popleft()
-        return self.total - largest[0][1] > self.multiple * capacity * self.window
+        return self.total_work - largest[0][1] > self.multiple * capacity * self.window
--- a/wheatring/lab/models/traffic.py
+++ b/wheatring/lab/models/traffic.py
@@ -1,4 +1,4 @@
-"""Open arrivals of first tries: they come as the plan says, whatever becomes of those before them."""
+"""Open-loop arrivals of first tries: they come as the plan says, whatever becomes of those before them."""
 
 from __future__ import annotations
 
@@ -7,57 +7,71 @@
 from itertools import accumulate, pairwise
 from math import exp, inf, log, sqrt
 from random import Random
+from typing import NamedTuple
 
 from wheatring.lab.origins import Origin
 from wheatring.lab.plan import ClassPlan, Plan
 from wheatring.lab.timers import Timers
 
-WorkSampler = Callable[[], float]
-Piece = tuple[float, float, float, float]  # from, to, and the rate at both; linear between
+Sampler = Callable[[], float]  # draws one figure
+Shape = tuple[tuple[float, float], ...]  # knots (instant, factor on the rate), linear between
 
 
-def lognormal(random: Random, mean: float, cv: float) -> WorkSampler:
+class RateSegment(NamedTuple):
+    """A span of the day within which the rate of arrivals (a second) is linear."""
+
+    begin: float  # seconds from the day's start
+    end: float
+    begin_rate: float
+    end_rate: float
+
+
+def lognormal_sampler(random: Random, mean: float, cv: float) -> Sampler:
+    """Return a sampler of a lognormal distribution by its mean and coefficient of variation."""
     if not cv:
         return lambda: mean
     variance = log(1 + cv * cv)
-    middle, sigma, gauss = log(mean) - variance / 2, sqrt(variance), random.gauss
-    return lambda: exp(gauss(middle, sigma))
+    location, sigma, gauss = log(mean) - variance / 2, sqrt(variance), random.gauss
+    return lambda: exp(gauss(location, sigma))
 
 
-def pareto(random: Random, mean: float, cv: float) -> WorkSampler:
+def pareto_sampler(random: Random, mean: float, cv: float) -> Sampler:
+    """Return a sampler of a Pareto distribution by its mean and coefficient of variation."""
     if not cv:
         return lambda: mean
     alpha = 1 + sqrt(1 + 1 / (cv * cv))
-    least, power, uniform = mean * (alpha - 1) / alpha, -1 / alpha, random.random
-    return lambda: least * (1 - uniform()) ** power
+    minimum, power, uniform = mean * (alpha - 1) / alpha, -1 / alpha, random.random
+    return lambda: minimum * (1 - uniform()) ** power
 
 
-def sizes(random: Random, plan: ClassPlan) -> WorkSampler:
-    """Draws of a class's size of work."""
+def work_sampler(random: Random, plan: ClassPlan) -> Sampler:
+    """Return a sampler of the work of a class's requests, in seconds on a standard core."""
     if plan.dist == "fixed" or plan.work <= 0:
         return lambda: plan.work
-    return (pareto if plan.dist == "pareto" else lognormal)(random, plan.work, plan.cv)
+    return (pareto_sampler if plan.dist == "pareto" else lognormal_sampler)(random, plan.work, plan.cv)
 
 
-def pieces(plan: Plan) -> list[Piece]:
-    """The rate of arrivals over the day but for its bursts."""
+def rate_segments(plan: Plan) -> list[RateSegment]:
+    """Return the rate of arrivals over the day, without its bursts."""
     shape = plan.traffic.shape or ((0.0, 1.0),)
     loads = [
         (e.at, e.at + e.length if e.length > 0 else inf, e.size) for e in plan.events if e.kind == "load"
     ]
     edges = {0.0, plan.length, *(at for at, _ in shape), *(edge for load in loads for edge in load[:2])}
-    drawn = []
+    segments = []
     for begin, end in pairwise(sorted(edge for edge in edges if 0 <= edge <= plan.length)):
         rate = plan.traffic.rate
-        for since, until, size in loads:
+        for since, until, factor in loads:
             if since <= begin < until:
-                rate *= size
-        drawn.append((begin, end, rate * _factor(shape, begin), rate * _factor(shape, end)))
-    return drawn
+                rate *= factor
+        segments.append(
+            RateSegment(begin, end, rate * _factor_at(shape, begin), rate * _factor_at(shape, end))
+        )
+    return segments
 
 
-def _factor(shape: tuple[tuple[float, float], ...], at: float) -> float:
-    """The shape at an instant. Where two knots share it, the later one counts from there on."""
+def _factor_at(shape: Shape, at: float) -> float:
+    """Return the factor of a shape at an instant; where two knots share it, the later one's."""
     n = bisect_right(shape, at, key=lambda knot: knot[0])
     if not n or n == len(shape):
         return shape[n - 1 if n else 0][1]
@@ -66,72 +80,89 @@
 
 
 class Traffic:
-    """Calls `arrive` with the origin of each first try, at its instant; first tries count from 1.
-
-    It looks one arrival ahead and draws from streams of its own, named after the plan's seed alone.
+    """Generates the first tries of a day, numbered from 1.
+
+    It looks one arrival ahead, and draws from streams of its own that depend on the plan's seed alone.
+
+    Parameters
+    ----------
+    plan
+        The plan.
+    timers
+        The clock.
+    on_arrival
+        Called with the origin of each first try at the instant of its arrival.
     """
 
-    def __init__(self, plan: Plan, timers: Timers, arrive: Callable[[Origin], None]) -> None:
+    def __init__(self, plan: Plan, timers: Timers, on_arrival: Callable[[Origin], None]) -> None:
         self.timers = timers
-        self.arrive = arrive
-        self.random = Random(f"{plan.seed}:arrivals")
-        content = Random(f"{plan.seed}:content")
-        self.content = content
+        self.on_arrival = on_arrival
+        self._arrival_random = Random(f"{plan.seed}:arrivals")
+        self._content_random = Random(f"{plan.seed}:content")
         bursts = Random(f"{plan.seed}:bursts")
-        self.factors = lognormal(bursts, 1.0, plan.traffic.burst_cv)
-        self.span = plan.traffic.burst if plan.traffic.burst_cv else inf
-        self.pieces = pieces(plan)
-        self.shares = list(accumulate(c.share for c in plan.classes))
-        self.sizes = [sizes(content, c) for c in plan.classes]
-        self.keyed = [c.effect != "safe" for c in plan.classes]
-        self.piece = 0
-        self.at = 0.0  # of the last arrival found, from the day's start
-        self.factor = self.factors()
-        self.slots = 1  # bursts drawn
-        self.began = 0.0
-        self.last = 0
+        self._draw_burst_factor = lognormal_sampler(bursts, 1.0, plan.traffic.burst_cv)
+        self._burst_length = plan.traffic.burst if plan.traffic.burst_cv else inf
+        self._segments = rate_segments(plan)
+        self._cumulative_shares = list(accumulate(c.share for c in plan.classes))
+        self._work_samplers = [work_sampler(self._content_random, c) for c in plan.classes]
+        self._has_key = [c.effect != "safe" for c in plan.classes]
+        self._segment_index = 0
+        self._position = 0.0  # the instant up to which arrivals have been drawn, in seconds of the day
+        self._burst_factor = self._draw_burst_factor()
+        self._burst_count = 1  # drawn so far
+        self._day_start = 0.0
+        self._arrival_count = 0
 
     def start(self) -> None:
-        """The day starts now."""
-        self.began = self.timers.now()
-        self.wait()
+        """Start the day now."""
+        self._day_start = self.timers.now()
+        self._schedule_arrival()
 
-    def wait(self) -> None:
-        at = self.next()
+    def _schedule_arrival(self) -> None:
+        at = self._draw_arrival()
         if at is not None:
-            self.timers.at(self.began + at, self.come)
+            self.timers.at(self._day_start + at, self._arrive)
+
+    def _arrive(self) -> None:
+        self._arrival_count += 1
+        origin = self._draw_origin(self._arrival_count)
+        self._schedule_arrival()
+        self.on_arrival(origin)
 
-    def come(self) -> None:
-        self.last += 1
-        content = self.content
+    def _draw_origin(self, number: int) -> Origin:
+        """Draw class, work and idempotency key of a first try."""
+        random, shares = self._content_random, self._cumulative_shares
         index = 0
-        if len(self.shares) > 1:
-            index = min(bisect_right(self.shares, content.random() * self.shares[-1]), len(self.shares) - 1)
-        size = self.sizes[index]()
-        key = f"{content.getrandbits(128):032x}" if self.keyed[index] else ""
-        self.wait()
-        self.arrive(Origin(self.last, index, size, key))
-
-    def next(self) -> float | None:
-        """The next arrival, in seconds from the day's start: where the rate has summed up to a draw."""
-        need = self.random.expovariate(1.0)
-        while self.piece < len(self.pieces):
-            begin, end, low, high = self.pieces[self.piece]
-            slope = (high - low) / (end - begin)
-            at, burst_end = self.at, self.slots * self.span
-            until = min(end, burst_end)
-            rate = (low + slope * (at - begin)) * self.factor
-            steep = slope * self.factor
-            span = until - at
-            held = (rate + steep * span / 2) * span
-            if need < held:
-                self.at = min(until, at + 2 * need / (rate + sqrt(max(0.0, rate * rate + 2 * steep * need))))
-                return self.at
-            need -= held
-            self.at = until
+        if len(shares) > 1:
+            index = min(bisect_right(shares, random.random() * shares[-1]), len(shares) - 1)
+        work = self._work_samplers[index]()
+        key = f"{random.getrandbits(128):032x}" if self._has_key[index] else ""
+        return Origin(number, index, work, key)
+
+    def _draw_arrival(self) -> float | None:
+        """Draw the next arrival, in seconds of the day: where the integral of the rate has reached a draw.
+
+        Returns None if there is none before the day's end.
+        """
+        need = self._arrival_random.expovariate(1.0)
+        while self._segment_index < len(self._segments):
+            segment = self._segments[self._segment_index]
+            slope = (segment.end_rate - segment.begin_rate) / (segment.end - segment.begin)
+            start, burst_end = self._position, self._burst_count * self._burst_length
+            until = min(segment.end, burst_end)
+            rate = (segment.begin_rate + slope * (start - segment.begin)) * self._burst_factor
+            slope *= self._burst_factor
+            length = until - start
+            expected = (rate + slope * length / 2) * length  # arrivals until then
+            if need < expected:
+                root = sqrt(max(0.0, rate * rate + 2 * slope * need))
+                self._position = min(until, start + 2 * need / (rate + root))
+                return self._position
+            need -= expected
+            self._position = until
             if until >= burst_end:
-                self.factor = self.factors()
-                self.slots += 1
-            if until >= end:
-                self.piece += 1
+                self._burst_factor = self._draw_burst_factor()
+                self._burst_count += 1
+            if until >= segment.end:
+                self._segment_index += 1
         return None
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -25,10 +25,10 @@
     sidecar that knew of the start.
     """
 
-    __slots__ = ("capacity", "offers", "pressure", "since", "until")
+    __slots__ = ("capacity", "offers", "overload", "since", "until")
 
     def __init__(self, rules: RulesPlan, capacity: Callable[[], float], since: float, until: float) -> None:
-        self.pressure = OverloadDetector(rules)
+        self.overload = OverloadDetector(rules)
         self.offers: deque[tuple[float, float, bool]] = deque()
         self.capacity = capacity
         self.since = since
@@ -67,11 +67,11 @@
         offers.append((at, work, self.drains.is_notified(sidecar, node, start.since, at)))
         while offers[0][0] <= at - window:
             offers.popleft()
-        if start.pressure.offer(at, work, capacity):
+        if start.overload.offer(at, work, capacity):
             del self.watched[node]
             self.over += 1
             if start.is_caused_by_notified():
-                what = f"{node} was sent {start.pressure.total:.3f} s of work within {window} s,"
+                what = f"{node} was sent {start.overload.total_work:.3f} s of work within {window} s,"
                 what += (
                     f" {at - start.since:.1f} s after its start, when it could do {capacity:.3f} s a second."
                 )
--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -11,9 +11,10 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.book import Book
-from wheatring.lab.models.discovery import ListReply, ListRequest, Registry
+from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.endpoint_list_json import list_reply_json, registered_address
+from wheatring.lab.models.list_request import ListReply, ListRequest
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
@@ -60,7 +61,7 @@
 
 
 class _Connection(protocol.Protocol):
-    """One connection, kept from call to call."""
+    """One connection, kept from request to request."""
 
     transport: Any
 
@@ -68,7 +69,7 @@
         self.server = server
         self.sidecar = sidecar
         self.parser = MessageParser(responses=False)
-        self.call: ListRequest | None = None
+        self.request: ListRequest | None = None
         self.keep_alive = True
         self.is_over = False
 
@@ -78,18 +79,18 @@
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Parse what has come, and hand a complete call to the registry."""
+        """Parse what has come, and pass a complete request on to the registry."""
         if self.is_over:
             return
         try:
             message = self.parser.feed(data)
-            if message is not None and (self.call is not None or self.parser.is_mid_message):
+            if message is not None and (self.request is not None or self.parser.is_mid_message):
                 raise MalformedMessageError("a call before the last one's answer")
             if message is not None:
                 self._handle(message)
         except (MalformedMessageError, BadListRequestError) as bad:
             self.server.book.note("bad-call", sidecar=self.sidecar, why=str(bad))
-            self._cancel_call()
+            self._cancel_request()
             self._write(BAD_REQUEST, False)
 
     def _handle(self, message: Message) -> None:
@@ -98,14 +99,14 @@
             return
         index, wait = parse_list_request(message.target)
         self.keep_alive = message.keep_alive
-        self.call = self.server.registry.call(self.sidecar, index, wait, self._answered)
+        self.request = self.server.registry.request_list(self.sidecar, index, wait, self._answered)
 
     def _answered(self, answer: ListReply | None) -> None:
-        call, self.call = self.call, None
+        request, self.request = self.request, None
         if answer is not None:
             data = encode_list(answer, self.server.address)
             self._write(HEAD % len(data) + data, self.keep_alive)
-        elif call is not None and call.broken and not self.is_over:
+        elif request is not None and request.is_broken_off and not self.is_over:
             self.is_over = True
             self.transport.write(HEAD % 1000)
             # A reset at once would take the head along, unsent.
@@ -122,22 +123,22 @@
             self.is_over = True
             self.transport.loseConnection()
 
-    def _cancel_call(self) -> None:
-        call, self.call = self.call, None
-        if call is not None:
-            call.cancel()
+    def _cancel_request(self) -> None:
+        request, self.request = self.request, None
+        if request is not None:
+            request.cancel()
 
     def reset(self) -> None:
         """Reset the connection, as discovery is down."""
         self.is_over = True
-        self._cancel_call()
+        self._cancel_request()
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
-        """Cancel the call that waits, and remove the connection."""
+        """Cancel the request that waits, and remove the connection."""
         self.is_over = True
         self.server.connections.pop(self, None)
-        self._cancel_call()
+        self._cancel_request()
 
 
 class DiscoveryServer(ServerFactory):
@@ -171,7 +172,7 @@
         self.connections: dict[_Connection, None] = {}
         self.port: Any = None
         registry.on_down.append(self._set_down)
-        self._set_down(registry.refuses)
+        self._set_down(registry.is_down)
 
     def buildProtocol(self, addr: Any) -> _Connection:  # noqa: N802 - Twisted's name
         """Return a connection for the sidecar at that address."""
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -86,7 +86,9 @@
         """Have discovery listen."""
         host, port = DISCOVERY
         process = self.net.process("discovery", host)
-        self.net.host(host).on_refused[port] = lambda caller: registry.refused(self.sidecar_of(caller))
+        self.net.host(host).on_refused[port] = lambda caller: registry.connection_refused(
+            self.sidecar_of(caller)
+        )
         DiscoveryServer(
             registry,
             self.book,
@@ -102,7 +104,7 @@
             node.name,
             lambda: self.clients.get(node.name),
             self.world.origins,
-            self.world.sizes(node),
+            self.world.work_samplers(node),
             self.time,
         )
 
@@ -191,11 +193,11 @@
         """Apply a fault to the network or the clocks, or take it away."""
         for name in event.nodes:
             host = self.world.nodes[name].host
-            troubles = self.world.machines[name].troubles
+            faults = self.world.machines[name].faults
             if event.kind == "refuse":
-                self.net.refuse(host, PORT, troubles.refusing)
+                self.net.refuse(host, PORT, faults.refuses_connections)
             elif event.kind == "late_connects":
-                self.net.delay_connects(host, PORT, troubles.connect_delay)
+                self.net.delay_connects(host, PORT, faults.connect_delay)
             elif event.kind == "conn_cap" and name in self.servers:
                 self.servers[name].update_full()
         if event.kind == "partition":
--- a/wheatring/lab/wire/node_server.py
+++ b/wheatring/lab/wire/node_server.py
@@ -27,17 +27,18 @@
 class NodeModel(Protocol):
     """The part of a machine's model that its server uses.
 
-    The model records what becomes of a visit, except its arrival and its rejection, which the server records.
+    The model records what becomes of an attempt, except its arrival and its rejection, which the server
+    records.
     """
 
     name: str
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether its table of connections is full: it would not accept another one."""
 
     @property
-    def spoil(self) -> float:
+    def malformed_share(self) -> float:
         """Share of its responses that are malformed at present; as many good ones have trailing bytes."""
 
     def connect(self) -> float | None:
@@ -46,10 +47,10 @@
     def disconnect(self) -> None:
         """Release a connection."""
 
-    def visit(self, visit: ReceivedAttempt) -> None:
+    def receive(self, attempt: ReceivedAttempt) -> None:
         """Process a request."""
 
-    def abandoned(self, visit: ReceivedAttempt) -> None:
+    def abandon(self, attempt: ReceivedAttempt) -> None:
         """Handle that a request's connection was closed before its response."""
 
 
@@ -80,8 +81,8 @@
         self.sidecar = sidecar
         self.handshake_delay = delay  # of the first request, for the handshake
         self.parser = MessageParser(responses=False)
-        self.visit: ReceivedAttempt | None = None
-        self.has_begun = False  # the visit is at the machine
+        self.attempt: ReceivedAttempt | None = None
+        self.has_begun = False  # the attempt is at the machine
         self.keep_alive = True
         self.is_over = False  # this side has ended it
         self.idle_since = 0.0
@@ -101,7 +102,7 @@
         if self.is_over:
             return
         server, parser = self.server, self.parser
-        if self.visit is not None:
+        if self.attempt is not None:
             # Two requests at once on one connection: it can't be told which one an answer is for.
             server.book.note("second-request", node=server.node.name, sidecar=self.sidecar)
             self._abort()
@@ -150,40 +151,40 @@
         self.keep_alive = message.keep_alive
         node = server.node
         now = server.timers.now()
-        visit = self.visit = ReceivedAttempt(ident, self.sidecar, int(left) / 1000, now, self._reply)
+        attempt = self.attempt = ReceivedAttempt(ident, self.sidecar, int(left) / 1000, now, self._reply)
         server.book.arrived(self.sidecar, node.name, ident, self.sent_at)
         if self.handshake_delay > 0:
-            server.timers.at(now + self.handshake_delay, self._start_visit, visit)
+            server.timers.at(now + self.handshake_delay, self._start_attempt, attempt)
             self.handshake_delay = 0.0
         else:
             self.has_begun = True
-            node.visit(visit)
+            node.receive(attempt)
 
-    def _start_visit(self, visit: ReceivedAttempt) -> None:
-        """Start the visit, as the handshake is over."""
-        if visit is self.visit and not self.is_over:
+    def _start_attempt(self, attempt: ReceivedAttempt) -> None:
+        """Start the attempt, as the handshake is over."""
+        if attempt is self.attempt and not self.is_over:
             self.has_begun = True
-            self.server.node.visit(visit)
+            self.server.node.receive(attempt)
 
-    def _reply(self, verdict: AttemptOutcome, stamp: str) -> None:
-        visit = self.visit
-        if visit is None or self.is_over:
+    def _reply(self, outcome: AttemptOutcome, stamp: str) -> None:
+        attempt = self.attempt
+        if attempt is None or self.is_over:
             return
-        self.visit = None
+        self.attempt = None
         self.has_begun = False
-        if verdict is AttemptOutcome.SERVED:
+        if outcome is AttemptOutcome.SERVED:
             body = stamp.encode("latin-1")
             answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
-            spoil = self.server.node.spoil
-            if spoil and self.server.random.random() < spoil:
+            malformed_share = self.server.node.malformed_share
+            if malformed_share and self.server.random.random() < malformed_share:
                 answer += answer  # good, with more behind it than belongs to it
             self._write(answer)
-        elif verdict is AttemptOutcome.ERROR:
+        elif outcome is AttemptOutcome.ERROR:
             self._write(SERVER_ERROR)
-        elif verdict is AttemptOutcome.REJECTED:
-            self.server.book.turned_away(self.server.node.name, visit.ident)
+        elif outcome is AttemptOutcome.REJECTED:
+            self.server.book.turned_away(self.server.node.name, attempt.ident)
             self._write(UNPROCESSED)
-        elif verdict is AttemptOutcome.RESET:
+        elif outcome is AttemptOutcome.RESET:
             self._abort()
         else:
             data, ends = malformed_response(self.server.random)
@@ -204,7 +205,7 @@
 
     def _abort(self) -> None:
         if not self.is_over:
-            self._abandon_visit()
+            self._abandon_attempt()
             self.is_over = True
             self.transport.abortConnection()
 
@@ -220,28 +221,28 @@
         self.timer = None
         if self.is_over:
             return
-        due = self.idle_since + server.idle_seconds if self.visit is None else now + server.idle_seconds
+        due = self.idle_since + server.idle_seconds if self.attempt is None else now + server.idle_seconds
         if due <= now:
             self._close()
         else:
             self.timer = server.timers.at(due, self._check_idle)
 
-    def _abandon_visit(self) -> None:
-        """Abandon the visit: no response can reach the sidecar any more."""
-        visit, self.visit = self.visit, None
-        if visit is None:
+    def _abandon_attempt(self) -> None:
+        """Abandon the attempt: no response can reach the sidecar any more."""
+        attempt, self.attempt = self.attempt, None
+        if attempt is None:
             return
         if self.has_begun:
-            self.server.node.abandoned(visit)
+            self.server.node.abandon(attempt)
         else:
-            visit.gone = True
-            self.server.book.ended(self.server.node.name, visit.ident)
+            attempt.is_abandoned = True
+            self.server.book.ended(self.server.node.name, attempt.ident)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
         # A sidecar that only ends its sending has abandoned the attempt as well: Twisted then closes both.
-        """Abandon the visit, and remove the connection from its server."""
+        """Abandon the attempt, and remove the connection from its server."""
         self.is_over = True
-        self._abandon_visit()
+        self._abandon_attempt()
         self.unregister()
 
     def unregister(self) -> None:
@@ -311,11 +312,11 @@
 
     def update_full(self) -> None:
         """Report a change of whether the table of connections is full."""
-        full = self.node.full
-        if full != self.is_full:
-            self.is_full = full
+        is_full = self.node.is_full
+        if is_full != self.is_full:
+            self.is_full = is_full
             if self.on_full is not None:
-                self.on_full(full)
+                self.on_full(is_full)
 
     def remove(self, connection: NodeConnection) -> None:
         """Remove a connection that has ended."""
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -51,10 +51,10 @@
         self.is_resent = False
         self.is_over = False
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         if not self.is_over:
             self.is_over = True
-            self.pool.leave(self)
+            self.pool.abandon(self)
 
     def end(self, kind: Any, retry_after: float = 0.0) -> None:
         if not self.is_over:
@@ -293,7 +293,7 @@
         if self.waiting and self.open_count < self.client.max_connections:
             self.connect(self.waiting.popleft())
 
-    def leave(self, request: _PendingRequest) -> None:
+    def abandon(self, request: _PendingRequest) -> None:
         """Abandon a request: its connection is closed."""
         connection = request.connection
         if connection is not None:
@@ -339,21 +339,22 @@
         self.max_connections = max_connections
         self.pools: dict[str, _ConnectionPool] = {}
 
-    def ask(
+    def send(
         self,
         sidecar: str,
         ident: str,
         index: int,
-        left: float,
+        time_left: float,
         key: str,
-        repeat: bool,
-        done: ResponseCallback,
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
     ) -> PendingRequest:
         """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
         pool = self.pools.get(sidecar)
         if pool is None:
             pool = self.pools[sidecar] = _ConnectionPool(self, sidecar)
-        request = _PendingRequest(pool, ident, index, self.timers.now() + left, key, repeat, done)
+        deadline = self.timers.now() + time_left
+        request = _PendingRequest(pool, ident, index, deadline, key, is_marked_retry, on_response)
         pool.submit(request)
         return request
 
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -8,7 +8,6 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from wheatring.lab.models import machine_faults
 from wheatring.lab.models.discovery import DiscoveryFault, Registry
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.plan import EventPlan
@@ -98,7 +97,7 @@
         self.slots = slots
         self.lifecycles = lifecycles
         self.happened = happened
-        self.ends: dict[EventPlan, Callable[[], None]] = {}  # of discovery's troubles that are on
+        self.ends: dict[EventPlan, Callable[[], None]] = {}  # of discovery's faults that are present
 
     def schedule(self, day: float, events: tuple[EventPlan, ...]) -> None:
         """Schedule the events of a day that starts at an instant."""
@@ -133,7 +132,8 @@
         """Inject a fault, or end it."""
         if event.kind in OF_NODES:
             for node in event.nodes:
-                (machine_faults.begin if on else machine_faults.end)(self.machines[node], event)
+                faults = self.machines[node].faults
+                (faults.begin if on else faults.end)(event)
         elif event.kind == "vanish":
             for node in event.nodes:
                 (self.lifecycles.vanish if on else self.lifecycles.back)(node)
@@ -144,7 +144,7 @@
             self.slots.move()
         elif event.kind in OF_DISCOVERY:
             if on:
-                self.ends[event] = self.registry.begin(OF_DISCOVERY[event.kind], event.size or 1.0)
+                self.ends[event] = self.registry.begin_fault(OF_DISCOVERY[event.kind], event.size or 1.0)
             else:
                 self.ends.pop(event)()
         if event.kind in OF_NET or event.kind in OF_NODES:
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -19,7 +19,8 @@
 from wheatring.lab.models.endpoint_list_json import list_reply_json
 from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.traffic import WorkSampler, sizes
+from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
+from wheatring.lab.models.traffic import Sampler, work_sampler
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
@@ -98,9 +99,9 @@
         )
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
-        effects = EffectDeduplicator(self.time, plan.classes, self.book)
+        deduplicator = EffectDeduplicator(self.time, plan.classes, self.book)
         for node in plan.nodes:
-            self.add_machine(node, effects)
+            self.add_machine(node, deduplicator)
         self.add_slots()
         self.clients = Clients(
             plan, self.time, self.random("clients"), self.origins, self.book, self.front, self.ground.way
@@ -113,10 +114,10 @@
         """Return random numbers that depend on the plan's seed and a name alone."""
         return Random(f"{self.plan.seed}:{name}")
 
-    def sizes(self, node: NodePlan) -> list[WorkSampler]:
-        """Return draws of the work of a node's calls, by class."""
+    def work_samplers(self, node: NodePlan) -> list[Sampler]:
+        """Return samplers of the work of a node's calls, by class."""
         random = self.random(f"calls:{node.name}")
-        return [sizes(random, each) for each in self.plan.classes]
+        return [work_sampler(random, each) for each in self.plan.classes]
 
     def unix(self) -> float:
         """Return Unix time as discovery and the machines read it."""
@@ -124,26 +125,19 @@
 
     # Its parts
 
-    def add_machine(self, node: NodePlan, effects: EffectDeduplicator) -> None:
+    def add_machine(self, node: NodePlan, deduplicator: EffectDeduplicator) -> None:
         """Add the machine of a node."""
-        plan, tier = self.plan, self.plan.tiers[node.tier]
-        last = node.tier + 1 == len(plan.tiers)
-        machine = self.machines[node.name] = Machine(
-            node,
-            tier,
-            node.tier,
-            plan.classes,
-            self.time,
-            self.random(f"node:{node.name}"),
-            self.origins,
-            self.book,
-            effects=effects,
-            below=None if last else self.ground.below(node),
-            calls=0.0 if last else plan.tiers[node.tier + 1].calls,
-            passes_deadline=plan.passes_deadline,
-            rules=plan.rules,
+        is_last_tier = node.tier + 1 == len(self.plan.tiers)
+        services = MachineServices(
+            timers=self.time,
+            random=self.random(f"node:{node.name}"),
+            origins=self.origins,
+            book=self.book,
+            call_next_tier=None if is_last_tier else self.ground.below(node),
+            deduplicator=deduplicator,
         )
-        machine.on_fallen = lambda: self.fell(node.name)
+        machine = self.machines[node.name] = Machine(MachineSpec.from_plan(self.plan, node), services)
+        machine.on_crash = lambda: self.fell(node.name)
 
     def add_slots(self) -> None:
         """Add the slots of the front's sidecars and of the nodes' own."""
@@ -158,28 +152,28 @@
     def add_slot(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
         """Add the slot of one sidecar."""
         self.slots.by_name[name] = SidecarSlot(self.plan, name, host, tier, number, copies, self.known)
-        self.registry.serve(name, tier)
+        self.registry.assign_tier(name, tier)
 
     def known(self, tier: int) -> dict[str, Any]:
         """Return the machine list of a tier with which a sidecar starts, in discovery's form."""
-        return list_reply_json(self.registry.held(tier, self.plan.held))
+        return list_reply_json(self.registry.initial_list(tier, self.plan.held))
 
     # Sidecars come and go
 
     def on_sidecar_up(self, slot: SidecarSlot) -> None:
         """Note that a sidecar has started."""
         if slot.name not in self.nodes:
-            self.front.up(slot.name)
+            self.front.sidecar_up(slot.name)
 
     def on_sidecar_stopping(self, slot: SidecarSlot) -> None:
         """Note that a sidecar was told to stop."""
         if slot.name not in self.nodes:
-            self.front.stopping(slot.name)
+            self.front.sidecar_stopping(slot.name)
 
     def on_sidecar_down(self, slot: SidecarSlot) -> None:
         """Note that a sidecar has ended."""
         if slot.name not in self.nodes:
-            self.front.down(slot.name)
+            self.front.sidecar_down(slot.name)
 
     # The lives of nodes
 
@@ -191,7 +185,7 @@
         machine.start(cold)
         self.ground.node_up(node, machine)
         if cold:
-            self.registry.up(name, self.time.now())
+            self.registry.node_started(name, self.time.now())
             if name in self.slots.by_name:
                 self.slots.start(self.slots.by_name[name], 0.0)
 
@@ -199,7 +193,7 @@
         """Have a node take nothing new."""
         if self.machines[name].running:
             self.machines[name].drain()
-            self.registry.draining(name)
+            self.registry.node_draining(name)
 
     def stop(self, name: str) -> None:
         """End the process of a node."""
@@ -210,7 +204,7 @@
     def ended(self, name: str) -> None:
         """Note that a node's process has ended, and end its sidecar."""
         self.ground.node_down(name)
-        self.registry.down(name)
+        self.registry.node_ended(name)
         if name in self.slots.by_name:
             self.slots.kill(self.slots.by_name[name], 0.0)
 
@@ -221,14 +215,14 @@
     def vanish(self, name: str) -> None:
         """Have the machine of a node fall silent."""
         self.ground.vanish(self.nodes[name])
-        self.registry.vanished(name)
+        self.registry.node_vanished(name)
 
     def back(self, name: str) -> None:
         """Have the machine of a node answer again."""
         self.ground.back(self.nodes[name])
         machine = self.machines[name]
         if machine.running:
-            self.registry.up(name, machine.started_at)
+            self.registry.node_started(name, machine.started_at)
 
     # The day
 
@@ -241,7 +235,7 @@
             listed = RegisteredNode(
                 node.name, f"{node.host}:{PORT}", node.zone, kind, node.cell, tier=node.tier
             )
-            self.registry.add(listed, node.up)
+            self.registry.register(listed, node.up)
             if node.up:
                 self.start(node.name, cold=False)
         late = {told.name: told.start for told in plan.sidecars if told.start > 0}
