--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -55,14 +55,14 @@
 
 
 class Script:
-    """A node's machine, which holds its visits until the story replies, or replies `at_once`."""
+    """A node's machine, which holds its attempts until the story replies, or replies `at_once`."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.running = True
         self.is_full = False
         self.connections = 0
-        self.visits: list[ReceivedAttempt] = []
+        self.attempts: list[ReceivedAttempt] = []
         self.gone: list[ReceivedAttempt] = []
         self.at_once: AttemptOutcome | None = None
         self._faults = MachineFaults()
@@ -80,13 +80,13 @@
     def disconnect(self) -> None:
         self.connections -= 1
 
-    def receive(self, visit: ReceivedAttempt) -> None:
-        self.visits.append(visit)
+    def receive(self, attempt: ReceivedAttempt) -> None:
+        self.attempts.append(attempt)
         if self.at_once is not None:
-            visit.reply(self.at_once, "stamp")
+            attempt.reply(self.at_once, "stamp")
 
-    def abandon(self, visit: ReceivedAttempt) -> None:
-        self.gone.append(visit)
+    def abandon(self, attempt: ReceivedAttempt) -> None:
+        self.gone.append(attempt)
 
 
 class ListRequest:
--- a/tests/lab/machine_world.py
+++ b/tests/lab/machine_world.py
@@ -78,9 +78,9 @@
             assert (stamp != "") == (verdict is AttemptOutcome.SERVED)
             self.ended.append((round(self.time.now(), 6), name, verdict))
 
-        visit = ReceivedAttempt(ident, "s1", left, self.time.now(), reply)
-        self.machine.receive(visit)
-        return visit
+        attempt = ReceivedAttempt(ident, "s1", left, self.time.now(), reply)
+        self.machine.receive(attempt)
+        return attempt
 
     def run(self, until: float) -> list[tuple[float, str, AttemptOutcome]]:
         """Plays until then; gives what has ended since the last call."""
--- a/tests/lab/peers.py
+++ b/tests/lab/peers.py
@@ -72,7 +72,7 @@
         self.cap = cap
         self.open = 0
         self.verdict: AttemptOutcome | None = AttemptOutcome.SERVED
-        self.visits: list[ReceivedAttempt] = []
+        self.attempts: list[ReceivedAttempt] = []
 
     malformed_share = 0.0
 
@@ -87,15 +87,15 @@
     def disconnect(self) -> None:
         self.open -= 1
 
-    def receive(self, visit: ReceivedAttempt) -> None:
-        self.visits.append(visit)
+    def receive(self, attempt: ReceivedAttempt) -> None:
+        self.attempts.append(attempt)
         if self.verdict is not None:
-            self.book.ended(self.name, visit.ident)
-            visit.reply(self.verdict, f"stamp-{visit.ident}")
+            self.book.ended(self.name, attempt.ident)
+            attempt.reply(self.verdict, f"stamp-{attempt.ident}")
 
-    def abandon(self, visit: ReceivedAttempt) -> None:
-        visit.is_abandoned = True
-        self.book.ended(self.name, visit.ident)
+    def abandon(self, attempt: ReceivedAttempt) -> None:
+        attempt.is_abandoned = True
+        self.book.ended(self.name, attempt.ident)
 
 
 class Scripted(Protocol):
--- a/tests/lab/test_direct.py
+++ b/tests/lab/test_direct.py
@@ -80,7 +80,7 @@
         world.time.step()
     assert world.outcomes() == [outcome]
     assert world.time.now() - began == pytest.approx(after)
-    assert len(world.book.all("arrived")) == len(world.machine.visits) == arrived
+    assert len(world.book.all("arrived")) == len(world.machine.attempts) == arrived
     assert len(world.book.all("turned_away")) == (outcome is Outcome.REJECTED)
     if set_up is unheard:  # the node has accepted a connection that its sidecar has given up
         assert world.machine.connections == 1
@@ -102,7 +102,7 @@
     world.time.play(4 * LINK)
     world.ask("c")
     world.time.play(1.5 * LINK)
-    assert len(world.machine.visits) == 2 and len(world.sidecar.pool.connections) == 2
+    assert len(world.machine.attempts) == 2 and len(world.sidecar.pool.connections) == 2
     world.machine.running = False
     world.node.down()
     world.time.play(2 * LINK)
@@ -114,14 +114,14 @@
     world = World()
     world.ask()
     world.time.play(4 * LINK)
-    (visit,) = world.machine.visits
+    (attempt,) = world.machine.attempts
     (job,) = world.sidecar.driver.open_requests.values()
     world.sidecar.exchange.cancel_attempt(job.attempts[0])
     assert world.outcomes() == [Outcome.CANCELLED] and not world.sidecar.pool.connections
     assert not world.machine.gone
     world.time.play(LINK)
-    assert world.machine.gone == [visit] and world.machine.connections == 0
-    visit.reply(AttemptOutcome.SERVED, "too late")
+    assert world.machine.gone == [attempt] and world.machine.connections == 0
+    attempt.reply(AttemptOutcome.SERVED, "too late")
     world.time.play(1.0)
     assert world.outcomes() == [Outcome.CANCELLED]
     ((kind, advice),) = world.replies
@@ -142,7 +142,7 @@
         asked.core_request.attempts[0] if asked.core_request else world.claims[0]
     )
     world.time.play(0.5)
-    assert len(world.machine.visits) == 2 and world.machine.gone == world.machine.visits[1:]
+    assert len(world.machine.attempts) == 2 and world.machine.gone == world.machine.attempts[1:]
 
 
 def test_a_claim_whose_caller_left_in_its_connect_is_never_written_and_the_connection_is_kept() -> None:
@@ -151,7 +151,7 @@
     world.time.play(LINK)
     asked.abandon()
     world.time.play(1.0)
-    assert world.outcomes() == [Outcome.NOT_SENT] and not world.machine.visits
+    assert world.outcomes() == [Outcome.NOT_SENT] and not world.machine.attempts
     assert world.book.all("left") == [("s", "a")] and not world.replies
     world.machine.at_once = AttemptOutcome.SERVED
     world.ask("b")
@@ -191,7 +191,7 @@
     world.time.play(LINK / 2)
     world.node.down()
     world.time.play(4 * LINK)
-    assert world.outcomes() == [Outcome.SERVED, Outcome.RESET] and len(world.machine.visits) == 1
+    assert world.outcomes() == [Outcome.SERVED, Outcome.RESET] and len(world.machine.attempts) == 1
 
 
 def test_a_connect_finds_whoever_is_at_the_address_by_now() -> None:
@@ -213,7 +213,7 @@
     world.links.cut(["h"], ["m"])
     world.ask("b")
     world.time.play(0.3)
-    assert len(world.machine.visits) == 1
+    assert len(world.machine.attempts) == 1
     world.links.heal(["h"], ["m"])
     world.time.play(0.5)
     assert world.replies == [("served", 0.0), ("served", 0.0)]
@@ -244,12 +244,12 @@
     world.time.play(0.4)
     world.ask("b")
     world.time.play(0.2)
-    assert len(world.machine.visits) == 2
+    assert len(world.machine.attempts) == 2
     world.ask("c")
     world.time.play(0.1)
     assert world.replies == [("unreached", 0.0)] and not world.book.all("sidecar_down")
-    for visit in world.machine.visits:
-        visit.reply(AttemptOutcome.SERVED, "x")
+    for attempt in world.machine.attempts:
+        attempt.reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
     assert world.replies[1:] == [("served", 0.0)] * 2
     assert world.book.all("sidecar_down") == [("s", False)] and world.machine.connections == 0
@@ -266,7 +266,7 @@
     world.ask("c")
     world.time.play(0.1)
     assert world.replies == [("lost", 0.0), ("lost", 0.0), ("unreached", 0.0)]
-    assert world.machine.gone == world.machine.visits and world.machine.connections == 0
+    assert world.machine.gone == world.machine.attempts and world.machine.connections == 0
     assert not world.claims and world.book.all("sidecar_down") == [("s", True)]
     world.start()
     world.machine.at_once = AttemptOutcome.SERVED
@@ -282,10 +282,10 @@
     for ident in "bcd":
         world.ask(ident)
     world.time.play(0.1)
-    assert len(world.machine.visits) == 1
-    world.machine.visits[0].reply(AttemptOutcome.SERVED, "x")
+    assert len(world.machine.attempts) == 1
+    world.machine.attempts[0].reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
-    assert [visit.ident for visit in world.machine.visits] == ["a", "b"]
+    assert [attempt.ident for attempt in world.machine.attempts] == ["a", "b"]
     first.abandon()
     assert len(world.book.all("taken")) == 4
 
@@ -298,14 +298,14 @@
     way.send("none", "x", 0, 2.0, "", False, lambda *end: world.replies.append(end))
     asks = [way.send("s", ident, 0, 2.0, "", False, lambda *end: None) for ident in "abcde"]
     world.time.play(0.1)
-    assert [visit.ident for visit in world.machine.visits] == ["a", "b"]
+    assert [attempt.ident for attempt in world.machine.attempts] == ["a", "b"]
     assert world.replies == [("unreached", 0.0)]
     asks[2].abandon()
-    world.machine.visits[0].reply(AttemptOutcome.SERVED, "x")
+    world.machine.attempts[0].reply(AttemptOutcome.SERVED, "x")
     world.time.play(0.1)
     asks[1].abandon()
     world.time.play(0.1)
-    assert [visit.ident for visit in world.machine.visits] == ["a", "b", "d", "e"]
+    assert [attempt.ident for attempt in world.machine.attempts] == ["a", "b", "d", "e"]
     assert [line[4] for line in world.book.all("taken")] == pytest.approx([1002.0] * 4, abs=0.001)
 
 
--- a/tests/lab/test_machine.py
+++ b/tests/lab/test_machine.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.calls: list[tuple[float, Callable[[bool], None]]] = []
 
-    def __call__(self, visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
+    def __call__(self, attempt: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
         self.calls.append((left, done))
 
     def end(self, served: bool = True) -> None:
@@ -92,7 +92,7 @@
 def test_calls_and_the_noise_of_attempts_have_their_means() -> None:
     made: list[float] = []
 
-    def below(visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
+    def below(attempt: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
         made.append(left)
         done(True)
 
@@ -111,8 +111,8 @@
 def test_work_for_a_caller_that_has_gone_is_done_and_told_but_not_answered() -> None:
     world = World(cores=1, slots=1, queue=2)
     a, b, c = (world.send(name, 1.0) for name in "abc")
-    for visit in (a, b, a):
-        world.machine.abandon(visit)
+    for attempt in (a, b, a):
+        world.machine.abandon(attempt)
     assert len(world.noted.of("ended")) == 2
     assert world.run(9.0) == [(3, "c", SERVED)]
     world.machine.abandon(c)  # too late
@@ -403,13 +403,13 @@
 def test_whatever_happens_each_visit_ends_once_and_all_work_is_told(seed: int) -> None:
     random = Random(seed)
 
-    def below(visit: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
+    def below(attempt: ReceivedAttempt, left: float, done: Callable[[bool], None]) -> None:
         at(world.time.now() + 0.05, done, random.random() < 0.95)
 
     def arrives(name: str) -> None:
-        visit = world.send(name, random.expovariate(5.0))
+        attempt = world.send(name, random.expovariate(5.0))
         if random.random() < 0.2:
-            at(world.time.now() + random.random(), machine.abandon, visit)
+            at(world.time.now() + random.random(), machine.abandon, attempt)
 
     world = World(
         cores=2, slots=8, queue=4, pause_every=1.0, pause=0.05, thrash=0.2, knee=6, error_rate=0.01,
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/test_wire_peers.py
@@ -216,7 +216,7 @@
     ]
     ended = [round(at - begun, 4) for at, *_ in field.book.timed("ended")]
     assert ended == [0.109, 1.101]  # two round trips and what the machine adds
-    assert [visit.time_left for visit in field.machine.visits] == [0.48, 0.48]
+    assert [attempt.time_left for attempt in field.machine.attempts] == [0.48, 0.48]
     assert line.data.count(b"200 OK") == 2 and line.data.endswith(f"\r\n\r\nstamp-{second}".encode())
 
 
@@ -247,7 +247,7 @@
         assert line.data.startswith(b"HTTP/1.1 400 ") and line.why, change
         assert len(field.book.of("bad-request")) == number + 1
     assert field.dial(good.replace(b"X-Correlation-Id", b"X-Other")).data.startswith(b"HTTP/1.1 404 ")
-    assert not field.machine.visits
+    assert not field.machine.attempts
 
 
 def test_a_second_request_under_the_first_breaks_the_connection() -> None:
@@ -259,7 +259,7 @@
     assert (
         line.why is ConnectionLost
         and field.book.of("second-request")
-        and field.machine.visits[0].is_abandoned
+        and field.machine.attempts[0].is_abandoned
     )
 
 
@@ -270,18 +270,18 @@
     line.transport.write(field.form())
     field.run(12.0)
     assert line.why is None
-    field.machine.visits[1].reply(AttemptOutcome.SERVED, "late")
+    field.machine.attempts[1].reply(AttemptOutcome.SERVED, "late")
     field.run(4.999)
     assert line.why is None and line.data.endswith(b"late")
     field.run(0.0015)
     line.transport.write(field.form())  # crosses the close
     field.run()
-    assert line.why is not None and len(field.machine.visits) == 2 and field.machine.open == 0
+    assert line.why is not None and len(field.machine.attempts) == 2 and field.machine.open == 0
 
 
-@pytest.mark.parametrize("visits, run", [(0, 0.0035), (1, 1.0)], ids=["in the handshake", "at work"])
+@pytest.mark.parametrize("attempts, run", [(0, 0.0035), (1, 1.0)], ids=["in the handshake", "at work"])
 @pytest.mark.parametrize("how", ["loseConnection", "abortConnection", "loseWriteConnection", "reset"])
-def test_an_attempt_whose_connection_ends_is_abandoned(visits: int, run: float, how: str) -> None:
+def test_an_attempt_whose_connection_ends_is_abandoned(attempts: int, run: float, how: str) -> None:
     field = Field()
     field.machine.verdict = None
     line = field.dial(field.form(), run=run)
@@ -290,11 +290,12 @@
     else:
         getattr(line.transport, how)()
     field.run()
-    assert len(field.machine.visits) == visits and all(visit.is_abandoned for visit in field.machine.visits)
+    received = field.machine.attempts
+    assert len(received) == attempts and all(attempt.is_abandoned for attempt in received)
     assert [entry[0] for entry in field.book.log] == ["sending", "arrived", "ended"]
     assert field.machine.open == 0 and line.why is not None
-    for visit in field.machine.visits:
-        visit.reply(AttemptOutcome.SERVED, "for nobody")
+    for attempt in received:
+        attempt.reply(AttemptOutcome.SERVED, "for nobody")
 
 
 def test_a_full_table_leaves_connects_without_an_answer() -> None:
