--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -5,23 +5,21 @@
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable
-from math import prod
 from random import Random
 from typing import Literal
 
 from wheatring.lab.book import Book
 from wheatring.lab.models.endpoint_list_history import (
     KEPT_VERSIONS,
-    EndpointEntry,
     EndpointListHistory,
     RegisteredNode,
 )
 from wheatring.lab.models.list_request import ListReply, ListReplyCallback, ListRequest, RequestStage
 from wheatring.lab.models.node_status_table import FalseReports, NodeStatusTable
+from wheatring.lab.models.reply_queue import ReplyQueue, complete_reply
 from wheatring.lab.plan import DiscoveryPlan, Held
-from wheatring.lab.timers import Timer, Timers
+from wheatring.lab.timers import Timers
 
 MAX_WAIT = 60.0  # seconds that a list request may wait at most
 
@@ -76,12 +74,9 @@
         self.on_down: list[Callable[[bool], None]] = []
         self.open_requests: dict[ListRequest, None] = {}
         self._tiers: dict[str, int] = {}  # by sidecar
-        self._queue: deque[ListRequest] = deque()
-        self._turn: Timer | None = None  # the end of the work on one request
-        self._down_count = 0  # of each kind of fault, those present
+        self._queue = ReplyQueue(plan, timers, random, book, self._check_news, self._end)
+        self._down_count = 0  # faults present
         self._silent_count = 0
-        self._slow_factors: list[float] = []
-        self._break_off_shares: list[float] = []  # of replies
 
     # Changes of nodes
 
@@ -118,7 +113,7 @@
             return ListReply(0, True, ())
         history = self.statuses.history(tier)
         version = history.visible_version(1 if which == "old" else history.version)
-        return _complete_reply(version, history.entries(version))
+        return complete_reply(version, history.entries(version))
 
     # Requests
 
@@ -171,7 +166,7 @@
             self._propagate(request, version)
         if self.plan.watch_turns and request.known_version is not None:
             request.has_entered = False
-            self._enqueue(request)
+            self._queue.enqueue(request)
         else:
             self._check_news(request)
 
@@ -217,58 +212,9 @@
         if request.stage is not RequestStage.WAITING:
             return
         if request.has_news(self.timers.now()):
-            self._enqueue(request)
+            self._queue.enqueue(request)
         elif request.timer is None:
-            request.set_timer(self.timers.at(request.deadline, self._enqueue, request))
-
-    # Replies, one at a time
-
-    def _enqueue(self, request: ListRequest) -> None:
-        request.stage = RequestStage.QUEUED
-        self._queue.append(request)
-        request.set_timer(self.timers.at(self.timers.now() + self.plan.timeout, self._end, request, None))
-        self._start_next()
-
-    def _start_next(self) -> None:
-        """Start to work on the request at the head of the queue, unless one is worked on."""
-        if not self._queue or self._turn is not None:
-            return
-        request = self._queue.popleft()
-        request.stage = RequestStage.SERVED
-        request.set_timer(None)
-        if not request.has_entered:
-            self._turn = self._after_work(0, self._enter, request)
-            return
-        reply, reported = _reply_to(request)
-        self.book.note("list_turn", sidecar=request.sidecar, lines=len(reply.entries))
-        self._turn = self._after_work(len(reply.entries), self._finish, request, reply, reported)
-
-    def _after_work(self, entries: int, call: Callable[..., None], *args: object) -> Timer:
-        """Schedule a call for when a request with that many entries in its reply has been worked on."""
-        seconds = (self.plan.call_lines + entries) / self.plan.lines_per_s * prod(self._slow_factors)
-        return self.timers.at(self.timers.now() + seconds, call, *args)
-
-    def _enter(self, request: ListRequest) -> None:
-        """Let a watch wait for news, as it has had the turn that it takes to come in."""
-        self._turn = None
-        if not request.is_over:
-            request.has_entered = True
-            request.stage = RequestStage.WAITING
-            self._check_news(request)
-        self._start_next()
-
-    def _finish(self, request: ListRequest, reply: ListReply, reported: list[EndpointEntry]) -> None:
-        """End a request with its reply, or break that off, and go on to the next one."""
-        self._turn = None
-        if not request.is_over:
-            if any(self.random.random() < share for share in self._break_off_shares):
-                request.is_broken_off = True
-                self._end(request, None)
-            else:
-                for entry in reported:
-                    self.book.told(request.sidecar, entry.node.name, entry.state, entry.started)
-                self._end(request, reply)
-        self._start_next()
+            request.set_timer(self.timers.at(request.deadline, self._queue.enqueue, request))
 
     # Faults
 
@@ -295,21 +241,18 @@
         if fault == "silent":
             return self._begin_silent()
         if fault == "slow":
-            self._slow_factors.append(size)
-            return lambda: self._slow_factors.remove(size)
+            self._queue.slow_factors.append(size)
+            return lambda: self._queue.slow_factors.remove(size)
         if fault == "stale":
             self.statuses.freeze()
             return self._end_stale
         if fault == "breaks":
-            self._break_off_shares.append(size)
-            return lambda: self._break_off_shares.remove(size)
+            self._queue.break_off_shares.append(size)
+            return lambda: self._queue.break_off_shares.remove(size)
         return FalseReports(self.statuses, size).end
 
     def _stop_replies(self) -> list[ListRequest]:
         """Leave all open requests unanswered, and return them."""
-        if self._turn is not None:
-            self._turn.cancel()
-            self._turn = None
         self._queue.clear()
         requests = list(self.open_requests)
         for request in requests:
@@ -348,24 +291,3 @@
         self.statuses.unfreeze()
         for request in list(self.open_requests):
             self._check_news(request)
-
-
-def _complete_reply(version: int, entries: list[EndpointEntry]) -> ListReply:
-    """Return the reply with a complete list, in which nodes that are gone are missing."""
-    return ListReply(version, True, tuple([entry for entry in entries if entry.state != "gone"]))
-
-
-def _reply_to(request: ListRequest) -> tuple[ListReply, list[EndpointEntry]]:
-    """Return the reply to a request, and the entries that it reports.
-
-    A complete list reports the nodes that are missing in it as gone.
-    """
-    history, known = request.history, request.known_version
-    version = history.visible_version(request.reached_version)
-    if known is None or not history.has_changes_since(known):
-        entries = history.entries(version)
-        return _complete_reply(version, entries), entries
-    if known >= version:
-        return ListReply(known, False, ()), []
-    changes = history.changes(known, version)
-    return ListReply(version, False, tuple(changes)), changes
