--- a/tests/lab/test_machine_cpu.py
+++ b/tests/lab/models/test_cpu.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.machine_world import World
+from tests.lab.models.machine_world import World
 from wheatring.lab.models.cpu import Cpu
 from wheatring.lab.models.received_attempt import AttemptOutcome
 from wheatring.lab.models.slow_start import CapacityRamp
--- a/tests/lab/test_discovery.py
+++ b/tests/lab/models/test_discovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.lab.peers import Book
+from tests.lab.wire.http_peers import Book
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.list_request import ListReply, ListRequest
--- a/tests/lab/test_machine.py
+++ b/tests/lab/models/test_machine.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.lab.machine_world import RULES, World
+from tests.lab.models.machine_world import RULES, World
 from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.models.slow_start import OverloadDetector
 from wheatring.lab.plan import ChokePlan, ClassPlan, EventKind, EventPlan
--- a/tests/fleet/test_asking.py
+++ b/tests/lifecycle/test_list_request_schedule.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.lab.direct_world import Time, Told
+from tests.lab.direct.direct_world import Time, Told
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.list_request import ListReply, ListRequest
