--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -92,8 +92,8 @@
         services = MachineServices(
             timers=self.clock,
             random=Random(f"{plan.seed}:node:{node.name}"),
-            origins=self.origins,
-            book=self.book,
+            correlation_table=self.origins,
+            recorder=self.book,
             call_next_tier=client,
             deduplicator=deduplicator,
         )
--- a/wheatring/lab/models/attempt_executor.py
+++ b/wheatring/lab/models/attempt_executor.py
@@ -48,7 +48,7 @@
         self.kind = kind = spec.kind
         self.timers = timers = services.timers
         self.random = services.random
-        self.book = services.book
+        self.recorder = services.recorder
         self.call_next_tier = services.call_next_tier
         # Effects are those of requests at the first tier.
         self.deduplicator = services.deduplicator if spec.node.tier == 0 else None
@@ -94,13 +94,13 @@
         """Reject an attempt."""
         if not attempt.is_abandoned:
             attempt.reply(AttemptOutcome.REJECTED, "")
-            self.book.ended(self.name, attempt.ident)
+            self.recorder.ended(self.name, attempt.ident)
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
         """Handle that the caller has closed its connection. The work goes on, for nobody."""
         if attempt in self.in_flight and not attempt.is_abandoned:
             attempt.is_abandoned = True
-            self.book.ended(self.name, attempt.ident)
+            self.recorder.ended(self.name, attempt.ident)
 
     def discard_all(self) -> None:
         """Forget all attempts without a reply, as the process has ended; record the work done for them."""
@@ -110,9 +110,9 @@
             if execution.current_work:
                 begun = execution.current_work - self.cpu.remaining(execution.virtual_finish)
             ident = execution.attempt.ident
-            self.book.worked(self.name, ident, execution.done_work + begun)
+            self.recorder.worked(self.name, ident, execution.done_work + begun)
             if not execution.attempt.is_abandoned:
-                self.book.ended(self.name, ident)
+                self.recorder.ended(self.name, ident)
         self.in_flight.clear()
         self._queue.clear()
         self._deferred.clear()
@@ -211,22 +211,22 @@
         self._end(execution, outcome)
 
     def _end(self, execution: AttemptExecution, outcome: AttemptOutcome) -> None:
-        attempt, book, name = execution.attempt, self.book, self.name
+        attempt, recorder, name = execution.attempt, self.recorder, self.name
         execution.is_over = True
         del self.in_flight[attempt]
         if self.kind.knee <= len(self.in_flight) + 1:
             self.service_rate.update()
-        book.worked(name, attempt.ident, execution.done_work)
+        recorder.worked(name, attempt.ident, execution.done_work)
         if not attempt.is_abandoned:
-            stamp = book.made(name, attempt.ident) if outcome is SERVED else ""
+            stamp = recorder.made(name, attempt.ident) if outcome is SERVED else ""
             # Recorded first: a reply may bring the next attempt of this request from within this call.
-            book.ended(name, attempt.ident)
+            recorder.ended(name, attempt.ident)
             attempt.reply(outcome, stamp)
 
     # Events of the machine
 
     def _on_choked(self) -> None:
-        self.book.choked(self.name)
+        self.recorder.choked(self.name)
 
     def _on_resumed(self) -> None:
         """Handle what came while the machine was stalled. That may end the process, or stall it anew."""
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -44,9 +44,9 @@
         The clock.
     random
         Draws the clients' behaviour.
-    origins
+    correlation_table
         Records the origin of each try.
-    book
+    recorder
         Records first tries and their ends.
     front
         Chooses the sidecar of each try.
@@ -59,8 +59,8 @@
         plan: Plan,
         timers: Timers,
         random: Random,
-        origins: Origins,
-        book: Book,
+        correlation_table: Origins,
+        recorder: Book,
         front: FrontLoadBalancer,
         transport: RequestTransport,
     ) -> None:
@@ -68,8 +68,8 @@
         self.plan = plan.clients
         self.timers = timers
         self.random = random
-        self.origins = origins
-        self.book = book
+        self.correlation_table = correlation_table
+        self.recorder = recorder
         self.front = front
         self.transport = transport
         self.traffic = Traffic(plan, timers, self.arrive)
@@ -82,7 +82,7 @@
     def arrive(self, origin: Origin) -> None:
         """Have a client make a first try."""
         self.open_count += 1
-        self.book.asked(origin.first, origin.class_index)
+        self.recorder.asked(origin.first, origin.class_index)
         _FirstTry(self, origin).start_try()
 
     def draw_jitter(self) -> list[float]:
@@ -137,7 +137,7 @@
             end = now + (end - now) * plan.try_share
         patience = self.patience[self.tries] if self.patience else 1.0
         self.tries += 1
-        ident = clients.origins.new(origin)
+        ident = clients.correlation_table.new(origin)
         sidecar = clients.front.pick()
         if sidecar is None:
             self.retry_or_settle("unreached", 0.0)
@@ -236,4 +236,4 @@
         """End the first try."""
         clients = self.clients
         clients.open_count -= 1
-        clients.book.settled(self.origin.first, end, self.tries)
+        clients.recorder.settled(self.origin.first, end, self.tries)
--- a/wheatring/lab/models/deduplication.py
+++ b/wheatring/lab/models/deduplication.py
@@ -17,10 +17,10 @@
     has no effect. Its work is done all the same.
     """
 
-    def __init__(self, timers: Timers, classes: Sequence[ClassPlan], book: Book) -> None:
+    def __init__(self, timers: Timers, classes: Sequence[ClassPlan], recorder: Book) -> None:
         self.timers = timers
         self.classes = classes
-        self.book = book
+        self.recorder = recorder
         self.effect_instants: list[dict[str, float]] = [{} for _ in classes]  # by class: by key
 
     def attempt_started(self, node: str, ident: str, origin: Origin) -> None:
@@ -30,7 +30,7 @@
             return
         if plan.effect == "keyed" and not self._add_key(origin, plan.window):
             return
-        self.book.effect(node, ident, origin.key)
+        self.recorder.effect(node, ident, origin.key)
 
     def _add_key(self, origin: Origin, window: float) -> bool:
         """Record the key of an attempt; return False if it is a duplicate."""
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -39,7 +39,7 @@
         Gives the present Unix time in seconds.
     random
         Draws delays and the effects of faults.
-    book
+    recorder
         Records what discovery knows and what it replies.
     kept_versions
         How many versions back changes are available.
@@ -61,20 +61,20 @@
         timers: Timers,
         unix: Callable[[], float],
         random: Random,
-        book: Book,
+        recorder: Book,
         kept_versions: int = KEPT_VERSIONS,
     ) -> None:
         self.plan = plan
         self.timers = timers
         self.random = random
-        self.book = book
+        self.recorder = recorder
         self.statuses = NodeStatusTable(
-            plan, timers, unix, random, book, self._handle_publication, kept_versions
+            plan, timers, unix, random, recorder, self._handle_publication, kept_versions
         )
         self.on_down: list[Callable[[bool], None]] = []
         self.open_requests: dict[ListRequest, None] = {}
         self._tiers: dict[str, int] = {}  # by sidecar
-        self._queue = ReplyQueue(plan, timers, random, book, self._check_news, self._end)
+        self._queue = ReplyQueue(plan, timers, random, recorder, self._check_news, self._end)
         self._down_count = 0  # faults present
         self._silent_count = 0
 
@@ -143,7 +143,7 @@
         history = self.statuses.history(self._tiers.get(sidecar, 0))
         request = ListRequest(sidecar, history, known_version, now + wait, on_reply, self._close)
         self.open_requests[request] = None
-        self.book.asking(sidecar, wait)
+        self.recorder.asking(sidecar, wait)
         if self._down_count:
             request.stage = RequestStage.UNANSWERED
             request.set_timer(self.timers.at(now, self._end, request, None))
@@ -155,8 +155,8 @@
 
     def connection_refused(self, sidecar: str) -> None:
         """Record that a connection of a sidecar was refused, or ended at once: a request that has failed."""
-        self.book.asking(sidecar, 0.0)
-        self.book.unheard(sidecar, True)
+        self.recorder.asking(sidecar, 0.0)
+        self.recorder.unheard(sidecar, True)
 
     def _open(self, request: ListRequest, now: float) -> None:
         history = request.history
@@ -171,19 +171,19 @@
             self._check_news(request)
 
     def _close(self, request: ListRequest, failed: bool = False) -> None:
-        """End a request in the book; the caller is notified elsewhere."""
+        """End a request, and record that; the sidecar is notified elsewhere."""
         request.is_over = True
         request.set_timer(None)
         del self.open_requests[request]
         if request.stage is RequestStage.QUEUED:
             self._queue.remove(request)
-        self.book.unheard(request.sidecar, failed)
+        self.recorder.unheard(request.sidecar, failed)
 
     def _end(self, request: ListRequest, reply: ListReply | None) -> None:
         """End a request with a reply, or with None as it has failed, unless it is over."""
         if not request.is_over:
             if reply is not None:
-                self.book.brought(request.sidecar)
+                self.recorder.brought(request.sidecar)
             self._close(request, reply is None)
             request.on_reply(reply)
 
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -14,9 +14,9 @@
 class Machine:
     """One node's machine and its process, which does not run before `start`.
 
-    It knows no sockets: a server passes on connections and attempts. The machine records in the book all that
-    becomes of an attempt, except its arrival and its rejection, which the server records. Instants and
-    durations are seconds; work is in seconds on a standard core.
+    It knows no sockets: a server passes on connections and attempts. The machine records all that becomes
+    of an attempt, except its arrival and its rejection, which the server records. Instants and durations are
+    seconds; work is in seconds on a standard core.
 
     Parameters
     ----------
@@ -44,8 +44,8 @@
         self.spec = spec
         self.kind = spec.kind
         self.timers = services.timers
-        self.origins = services.origins
-        self.book = services.book
+        self.correlation_table = services.correlation_table
+        self.recorder = services.recorder
         self.on_crash: Callable[[], object] = lambda: None
         self.running = self.has_crashed = False
         self.started_at = 0.0
@@ -71,7 +71,7 @@
             self._overload = OverloadDetector(self.spec.rules)
         self._cpu.restart(ramp)
         self._service_rate.start()
-        self.book.node_up(self.name, self._cpu.unhindered_capacity)
+        self.recorder.node_up(self.name, self._cpu.unhindered_capacity)
 
     def drain(self) -> None:
         """Accept nothing new from now on, and finish what is in flight."""
@@ -89,11 +89,11 @@
         self._overload = None
         self._cpu.restart(None)
         self._service_rate.stop()
-        self.book.node_down(self.name)
+        self.recorder.node_down(self.name)
 
     def _crash(self) -> None:
         self.has_crashed = True
-        self.book.note("fell", node=self.name, held=len(self.in_flight))
+        self.recorder.note("fell", node=self.name, held=len(self.in_flight))
         self.stop()
         self.on_crash()
 
@@ -135,15 +135,15 @@
     def receive(self, attempt: ReceivedAttempt) -> None:
         """Process an attempt. The reply may come from within this call."""
         if not self.running:
-            self.book.ended(self.name, attempt.ident)
+            self.recorder.ended(self.name, attempt.ident)
             return
-        origin = self.origins.by_id.get(attempt.ident)
+        origin = self.correlation_table.by_id.get(attempt.ident)
         if origin is None:
             self._executor.reject(attempt)
             return
         execution = self._executor.create(attempt, origin)
         work = execution.remaining_work
-        self.book.offered(self.name, attempt.sidecar, work)
+        self.recorder.offered(self.name, attempt.sidecar, work)
         if self._is_overloaded_by(work):
             self.in_flight[attempt] = execution
             self._crash()
--- a/wheatring/lab/models/machine_spec.py
+++ b/wheatring/lab/models/machine_spec.py
@@ -70,9 +70,9 @@
         The clock.
     random
         Draws all that is random at the machine.
-    origins
+    correlation_table
         Gives the first try behind an attempt.
-    book
+    recorder
         Records what becomes of attempts.
     call_next_tier
         Makes a call to the next tier; None on the last tier.
@@ -82,7 +82,7 @@
 
     timers: Timers
     random: Random
-    origins: Origins
-    book: Book
+    correlation_table: Origins
+    recorder: Book
     call_next_tier: NextTierCall | None = None
     deduplicator: EffectDeduplicator | None = None
--- a/wheatring/lab/models/next_tier.py
+++ b/wheatring/lab/models/next_tier.py
@@ -28,7 +28,7 @@
         The node's name, which its sidecar bears too.
     find_transport
         Gives the transport to the sidecar of the node's present process, None while it has none.
-    origins
+    correlation_table
         Records the origin of each call.
     work_samplers
         By class, draws the work of a call.
@@ -40,20 +40,20 @@
         self,
         name: str,
         find_transport: Callable[[], RequestTransport | None],
-        origins: Origins,
+        correlation_table: Origins,
         work_samplers: Sequence[Callable[[], float]],
         timers: Timers,
     ) -> None:
         self.name = name
         self.find_transport = find_transport
-        self.origins = origins
+        self.correlation_table = correlation_table
         self.work_samplers = work_samplers
         self.timers = timers
 
     def __call__(self, attempt: ReceivedAttempt, time_left: float, on_end: Callable[[bool], None]) -> None:
         """Make a call for an attempt; see `received_attempt.NextTierCall`."""
         transport, timers = self.find_transport(), self.timers
-        origin = self.origins.by_id.get(attempt.ident)
+        origin = self.correlation_table.by_id.get(attempt.ident)
         if transport is None or origin is None:
             timers.at(timers.now(), on_end, False)
             return
@@ -61,7 +61,7 @@
         call.timer = timers.at(timers.now() + time_left, call.on_timeout)
         index = origin.class_index
         work = self.work_samplers[index]()
-        ident = self.origins.new(Origin(origin.first, index, work, origin.key))
+        ident = self.correlation_table.new(Origin(origin.first, index, work, origin.key))
         call.pending = transport.send(self.name, ident, index, time_left, origin.key, False, call.on_response)
 
 
--- a/wheatring/lab/models/node_status_table.py
+++ b/wheatring/lab/models/node_status_table.py
@@ -34,7 +34,7 @@
 class NodeStatusTable:
     """The statuses of all nodes. Changes are passed in at the instant they happen.
 
-    The book records what discovery knows: false reports too, and what becomes known while the lists are
+    The recorder gets what discovery knows: false reports too, and what becomes known while the lists are
     frozen only when that is over.
 
     Parameters
@@ -47,7 +47,7 @@
         Gives the present Unix time in seconds.
     random
         Draws the phase of publications and the nodes of false reports.
-    book
+    recorder
         Records what discovery knows.
     on_publication
         Called with each list that has a new version.
@@ -61,7 +61,7 @@
         timers: Timers,
         unix: Callable[[], float],
         random: Random,
-        book: Book,
+        recorder: Book,
         on_publication: Callable[[EndpointListHistory], None],
         kept_versions: int = KEPT_VERSIONS,
     ) -> None:
@@ -69,7 +69,7 @@
         self.timers = timers
         self.unix = unix
         self.random = random
-        self.book = book
+        self.recorder = recorder
         self.on_publication = on_publication
         self.kept_versions = kept_versions
         self.phase = random.uniform(0, plan.period)
@@ -81,7 +81,7 @@
         self.newest_known: dict[str, int] = {}  # by node: the number of the newest update that is known
         self.update_count = 0
         self.freeze_count = 0
-        self.unrecorded: dict[str, None] = {}  # nodes whose changes the book gets after the freeze
+        self.unrecorded: dict[str, None] = {}  # nodes whose changes the recorder gets after the freeze
         self.false_reports: list[FalseReports] = []
 
     def history(self, tier: int) -> EndpointListHistory:
@@ -101,7 +101,7 @@
         entry = self.known[node.name] = EndpointEntry(node, "ready" if is_up else "gone", *started)
         if is_up:
             history.add_initial(entry)
-            self.book.known(node.name, "ready", node.started)
+            self.recorder.known(node.name, "ready", node.started)
 
     def node_started(self, name: str, started: float) -> None:
         """Take in that a node's process has started, or that its machine is reachable again."""
@@ -162,7 +162,7 @@
                 if self.freeze_count:
                     self.unrecorded[entry.node.name] = None
                 else:
-                    self.book.known(entry.node.name, entry.state, entry.started)
+                    self.recorder.known(entry.node.name, entry.state, entry.started)
             if changed:
                 self.on_publication(history)
 
@@ -185,7 +185,7 @@
         unrecorded, self.unrecorded = self.unrecorded, {}
         for name in unrecorded:
             entry = self.histories[self.known[name].node.tier].latest_entry(name)
-            self.book.known(name, entry.state, entry.started)
+            self.recorder.known(name, entry.state, entry.started)
 
 
 class FalseReports:
--- a/wheatring/lab/models/reply_queue.py
+++ b/wheatring/lab/models/reply_queue.py
@@ -27,7 +27,7 @@
         The clock.
     random
         Draws the replies that are broken off.
-    book
+    recorder
         Records what is reported to whom.
     on_entered
         Called with a watch that has had the turn which it takes to come in, and waits now.
@@ -47,14 +47,14 @@
         plan: DiscoveryPlan,
         timers: Timers,
         random: Random,
-        book: Book,
+        recorder: Book,
         on_entered: Callable[[ListRequest], None],
         on_end: Callable[[ListRequest, ListReply | None], None],
     ) -> None:
         self.plan = plan
         self.timers = timers
         self.random = random
-        self.book = book
+        self.recorder = recorder
         self.on_entered = on_entered
         self.on_end = on_end
         self.slow_factors: list[float] = []
@@ -91,7 +91,7 @@
             self._turn = self._after_work(0, self._enter, request)
             return
         reply, reported = _reply_to(request)
-        self.book.note("list_turn", sidecar=request.sidecar, lines=len(reply.entries))
+        self.recorder.note("list_turn", sidecar=request.sidecar, lines=len(reply.entries))
         self._turn = self._after_work(len(reply.entries), self._finish, request, reply, reported)
 
     def _after_work(self, entries: int, call: Callable[..., None], *args: object) -> Timer:
@@ -117,7 +117,7 @@
                 self.on_end(request, None)
             else:
                 for entry in reported:
-                    self.book.told(request.sidecar, entry.node.name, entry.state, entry.started)
+                    self.recorder.told(request.sidecar, entry.node.name, entry.state, entry.started)
                 self.on_end(request, reply)
         self._start_next()
 
--- a/wheatring/lab/models/request_transport.py
+++ b/wheatring/lab/models/request_transport.py
@@ -23,7 +23,7 @@
 
 
 class RequestTransport(Protocol):
-    """Carries requests to sidecars, and records in the book which are taken, answered, lost or abandoned."""
+    """Carries requests to sidecars, and records which are taken, answered, lost or abandoned."""
 
     def send(
         self,
--- a/wheatring/lab/models/traffic.py
+++ b/wheatring/lab/models/traffic.py
@@ -20,9 +20,9 @@
 class RateSegment(NamedTuple):
     """A span of the day within which the rate of arrivals (a second) is linear."""
 
-    begin: float  # seconds from the day's start
+    start: float  # seconds from the day's start
     end: float
-    begin_rate: float
+    start_rate: float
     end_rate: float
 
 
@@ -147,10 +147,10 @@
         need = self._arrival_random.expovariate(1.0)
         while self._segment_index < len(self._segments):
             segment = self._segments[self._segment_index]
-            slope = (segment.end_rate - segment.begin_rate) / (segment.end - segment.begin)
+            slope = (segment.end_rate - segment.start_rate) / (segment.end - segment.start)
             start, burst_end = self._position, self._burst_count * self._burst_length
             until = min(segment.end, burst_end)
-            rate = (segment.begin_rate + slope * (start - segment.begin)) * self._burst_factor
+            rate = (segment.start_rate + slope * (start - segment.start)) * self._burst_factor
             slope *= self._burst_factor
             length = until - start
             expected = (rate + slope * length / 2) * length  # arrivals until then
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -131,8 +131,8 @@
         services = MachineServices(
             timers=self.time,
             random=self.random(f"node:{node.name}"),
-            origins=self.origins,
-            book=self.book,
+            correlation_table=self.origins,
+            recorder=self.book,
             call_next_tier=None if is_last_tier else self.ground.below(node),
             deduplicator=deduplicator,
         )
