--- a/tests/lab/models/test_clients.py
+++ b/tests/lab/models/test_clients.py
@@ -11,33 +11,33 @@
 
 from tests.lab.direct.direct_world import Time, Told
 from wheatring.lab.models.clients import Clients
-from wheatring.lab.models.front import Front
-from wheatring.lab.models.way import LINGER, Done, ReplyKind
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
+from wheatring.lab.models.request_transport import LATE_ANSWER_WAIT, RequestOutcome, ResponseCallback
 from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, ClientPlan, EventPlan, Plan, TrafficPlan
 
 EFFECTS: tuple[Literal["safe", "keyed", "unsafe"], ...] = ("safe", "keyed", "unsafe")
 CLASSES = tuple(ClassPlan(name=e, share=1.0, work=0.1, effect=e, window=1.0, deadline=6.0) for e in EFFECTS)
 
-Step = tuple[ReplyKind, float, float]  # how a try ends, its Retry-After, and after how many seconds
+Step = tuple[RequestOutcome, float, float]  # how a try ends, its Retry-After, and after how many seconds
 
 
-class Asked:
-    def __init__(self, way: Way, done: Done) -> None:
+class PendingRequest:
+    def __init__(self, way: RequestTransport, done: ResponseCallback) -> None:
         self.way = way
-        self.done: Done | None = done
+        self.done: ResponseCallback | None = done
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         self.way.left += self.done is not None  # else it was answered while its client lingered
         self.done = None
 
-    def end(self, kind: ReplyKind, advice: float) -> None:
+    def end(self, kind: RequestOutcome, advice: float) -> None:
         done, self.done = self.done, None
         if done is not None:
             done(kind, advice)
 
 
-class Way:
+class RequestTransport:
     """Answers each try by the next step of a script; without one left it says nothing."""
 
     def __init__(self, time: Time, script: list[Step]) -> None:
@@ -46,30 +46,39 @@
         self.asks: list[tuple[float, str, str, float, bool]] = []
         self.left = 0
 
-    def ask(
-        self, sidecar: str, ident: str, _index: int, left: float, _key: str, repeat: bool, done: Done
-    ) -> Asked:
-        self.asks.append((self.time.now() - 1000, sidecar, ident, left, repeat))
-        asked = Asked(self, done)
+    def send(
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,  # noqa: ARG002 - the protocol's signature
+        time_left: float,
+        key: str,  # noqa: ARG002 - the protocol's signature
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
+    ) -> PendingRequest:
+        self.asks.append((self.time.now() - 1000, sidecar, ident, time_left, is_marked_retry))
+        asked = PendingRequest(self, on_response)
         if self.script:
             kind, advice, seconds = self.script.pop(0)
             self.time.at(self.time.now() + seconds, asked.end, kind, advice)
         return asked
 
 
-def clients(plan: ClientPlan, *script: Step, up: bool = True, **more: Any) -> tuple[Clients, Any, Way, Time]:
+def clients(
+    plan: ClientPlan, *script: Step, up: bool = True, **more: Any
+) -> tuple[Clients, Any, RequestTransport, Time]:
     time = Time()
     book: Any = Told()
-    way = Way(time, list(script))
-    front = Front(time, Random(1), 2.0)
+    way = RequestTransport(time, list(script))
+    front = FrontLoadBalancer(time, Random(1), 2.0)
     if up:
-        front.up("s")
+        front.sidecar_up("s")
     traffic = more.pop("traffic", TrafficPlan(rate=100.0))
     day = Plan(scenario="x", seed=1, length=10.0, classes=CLASSES, clients=plan, traffic=traffic, **more)
     return Clients(day, time, Random(2), Origins(Random(3)), book, front, way), book, way, time
 
 
-REPEATED: dict[ReplyKind, tuple[bool, bool, bool]] = {
+REPEATED: dict[RequestOutcome, tuple[bool, bool, bool]] = {
     "refused": (True, True, True),
     "unreached": (True, True, True),
     "failed": (True, True, False),
@@ -80,7 +89,7 @@
 
 @pytest.mark.parametrize("index", range(3))
 @pytest.mark.parametrize("kind", list(REPEATED))
-def test_a_client_repeats_what_its_class_allows(kind: ReplyKind, index: int) -> None:
+def test_a_client_repeats_what_its_class_allows(kind: RequestOutcome, index: int) -> None:
     plan = ClientPlan(retries=1, marks_retry=True)
     made, book, way, time = clients(plan, (kind, 0.0, 0.5), ("served", 0.0, 0.1))
     made.arrive(Origin(7, index, 0.1, "k"))
@@ -89,7 +98,7 @@
     assert [(at, repeat) for at, _, _, _, repeat in way.asks] == [(0.0, False), (0.5, True)][: 1 + again]
     assert len({ident for _, _, ident, _, _ in way.asks}) == len(way.asks)
     end = "served" if again or kind == "served" else "failed"
-    assert book.lines == [("asked", 7, index), ("settled", 7, end, 1 + again)] and made.open == 0
+    assert book.lines == [("asked", 7, index), ("settled", 7, end, 1 + again)] and made.open_count == 0
 
 
 def test_a_try_has_its_part_of_the_time_left_and_the_last_one_all_of_it() -> None:
@@ -99,7 +108,7 @@
     assert [(at, left) for at, _, _, left, _ in way.asks] == [(0.0, 3.0), (3.0, 1.5), (4.5, 1.5)]
     assert not any(repeat for *_, repeat in way.asks), "these clients mark nothing"
     assert book.all("settled") == [(1, "timeout", 3)]
-    assert way.left == 3 and time.now() == 1006.0 + LINGER
+    assert way.left == 3 and time.now() == 1006.0 + LATE_ANSWER_WAIT
 
 
 @pytest.mark.parametrize(("index", "tries"), [(1, 1), (2, 1)])
@@ -111,7 +120,7 @@
 
 
 def test_what_never_ran_does_not_open_the_window() -> None:
-    script: list[tuple[ReplyKind, float, float]] = [
+    script: list[tuple[RequestOutcome, float, float]] = [
         ("refused", 0.0, 1.5),
         ("lost", 0.0, 0.5),
         ("served", 0, 0),
@@ -185,7 +194,7 @@
     made.arrive(Origin(1, index, 0.1, "k"))
     time.play(6.0)
     ((_, _, tries),) = book.all("settled")
-    assert tries <= plan.retries + 1 and made.open == 0
+    assert tries <= plan.retries + 1 and made.open_count == 0
     if up:
         assert tries == len(way.asks)
     assert all(0 < left <= 6.0 - at + 1e-9 for at, _, _, left, _ in way.asks)
@@ -199,13 +208,13 @@
     for script in scripts:
         made, book, _, time = clients(ClientPlan(retries=2, backoff="exp", impatient=0.1), *script)
         seen: list[object] = []
-        arrive = made.traffic.arrive
+        arrive = made.traffic.on_arrival
 
         def note(origin: Origin, seen: list[object] = seen, time: Time = time, arrive: Any = arrive) -> None:
             seen.append((time.now(), origin.first, origin.class_index, origin.size, origin.key))
             arrive(origin)
 
-        made.traffic.arrive = note
+        made.traffic.on_arrival = note
         made.start()
         time.play()
         assert len(book.all("settled")) == len(seen) and 800 < len(seen) < 1200
@@ -234,10 +243,10 @@
 
 @pytest.mark.parametrize("dist", ["lognormal", "pareto", "fixed"])
 def test_sizes_have_their_mean_and_spread(dist: Any) -> None:
-    from wheatring.lab.models.traffic import sizes
+    from wheatring.lab.models.traffic import work_sampler
 
     plan = ClassPlan(name="x", share=1.0, work=0.25, dist=dist, cv=0.5)
-    draw = sizes(Random(5), plan)
+    draw = work_sampler(Random(5), plan)
     drawn = [draw() for _ in range(20_000)]
     mean = sum(drawn) / len(drawn)
     cv = (sum((x - mean) ** 2 for x in drawn) / len(drawn)) ** 0.5 / mean
@@ -247,24 +256,24 @@
 
 def test_the_front_notices_the_dead_late_and_admits_the_living_again() -> None:
     time = Time()
-    front = Front(time, Random(1), 2.0)
+    front = FrontLoadBalancer(time, Random(1), 2.0)
     assert front.pick() is None
-    front.up("a")
-    front.up("b")
+    front.sidecar_up("a")
+    front.sidecar_up("b")
     picks = [front.pick() for _ in range(1000)]
     assert 400 < picks.count("a") < 600
-    front.down("a")
+    front.sidecar_down("a")
     time.play(1.9)
     assert "a" in {front.pick() for _ in range(50)}
     time.play(0.2)
     assert {front.pick() for _ in range(50)} == {"b"}
-    front.up("a")
-    front.down("b")
+    front.sidecar_up("a")
+    front.sidecar_down("b")
     time.play(1.0)
-    front.up("b")  # before its end was noticed
+    front.sidecar_up("b")  # before its end was noticed
     time.play(5.0)
     assert {front.pick() for _ in range(50)} == {"a", "b"}
-    front.stopping("a")
+    front.sidecar_stopping("a")
     time.play(0.1)
     assert "a" in {front.pick() for _ in range(50)}
     time.play(0.4)
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -15,7 +15,7 @@
 from wheatring.lab.live.sidecar import Sidecar, configuration, port_in
 from wheatring.lab.live.watch import Watch
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.form import as_json
+from wheatring.lab.models.endpoint_list_json import list_reply_json
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import Ledger
 from wheatring.lab.settings import sidecar_settings
@@ -123,7 +123,7 @@
 
     def _add(self, slot: SidecarSlot) -> None:
         self.by_name[slot.name] = slot
-        self.registry.serve(slot.name, slot.tier)
+        self.registry.assign_tier(slot.name, slot.tier)
 
     def where(self, name: str) -> tuple[str, int]:
         """Return where callers find a sidecar; for one that never listened, a port where nobody does."""
@@ -143,7 +143,9 @@
             sidecar_settings(self.plan, slot.tier, slot.number, slot.copies),
             Random(f"{self.plan.seed}:sidecar:{slot.name}").getrandbits(64),
             limits={"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
-            known=as_json(self.registry.held(slot.tier, self.plan.held), partial(self.address, slot.name)),
+            known=list_reply_json(
+                self.registry.initial_list(slot.tier, self.plan.held), partial(self.address, slot.name)
+            ),
         )
 
     def discovery(self, slot: SidecarSlot) -> str:
@@ -248,7 +250,7 @@
             self._notify_move(slot)
             self.on_up(slot)
         elif text.startswith(LIST_REFUSED_LINE):
-            self.registry.refused(slot.name)
+            self.registry.connection_refused(slot.name)
         elif text.startswith(CONNECT_FAILED_LINES):
             self.book.note("unconnected", sidecar=slot.name)
         else:
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -9,10 +9,10 @@
 from wheatring.balancer.interface import TimerDue
 from wheatring.config.platform_file import PlatformConfig
 from wheatring.daemon.sidecar import Sidecar
-from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.visit import Below
+from wheatring.lab.models.next_tier import NextTierClient
+from wheatring.lab.models.received_attempt import NextTierCall
 from wheatring.lab.net.network import Network
 from wheatring.lab.net.process import Delayed, Process, waiting
 from wheatring.lab.plan import EventPlan, NodePlan
@@ -86,7 +86,9 @@
         """Have discovery listen."""
         host, port = DISCOVERY
         process = self.net.process("discovery", host)
-        self.net.host(host).on_refused[port] = lambda caller: registry.refused(self.sidecar_of(caller))
+        self.net.host(host).on_refused[port] = lambda caller: registry.connection_refused(
+            self.sidecar_of(caller)
+        )
         DiscoveryServer(
             registry,
             self.book,
@@ -96,13 +98,13 @@
 
     # Nodes
 
-    def below(self, node: NodePlan) -> Below:
+    def below(self, node: NodePlan) -> NextTierCall:
         """Return the node's calls through its own sidecar."""
-        return Calls(
+        return NextTierClient(
             node.name,
             lambda: self.clients.get(node.name),
             self.world.origins,
-            self.world.sizes(node),
+            self.world.work_samplers(node),
             self.time,
         )
 
@@ -191,11 +193,11 @@
         """Apply a fault to the network or the clocks, or take it away."""
         for name in event.nodes:
             host = self.world.nodes[name].host
-            troubles = self.world.machines[name].troubles
+            faults = self.world.machines[name].faults
             if event.kind == "refuse":
-                self.net.refuse(host, PORT, troubles.refusing)
+                self.net.refuse(host, PORT, faults.refuses_connections)
             elif event.kind == "late_connects":
-                self.net.delay_connects(host, PORT, troubles.connect_delay)
+                self.net.delay_connects(host, PORT, faults.connect_delay)
             elif event.kind == "conn_cap" and name in self.servers:
                 self.servers[name].update_full()
         if event.kind == "partition":
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 
 from wheatring.lab.book import Book, ResponseKind
-from wheatring.lab.models.way import Asked, Done
+from wheatring.lab.models.request_transport import PendingRequest, ResponseCallback
 from wheatring.lab.timers import Timers
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 from wheatring.lab.wire.request_format import RequestFormat
@@ -37,7 +37,7 @@
         deadline: float,
         key: str,
         repeat: bool,
-        done: Done,
+        done: ResponseCallback,
     ) -> None:
         self.pool = pool
         self.ident = ident
@@ -51,10 +51,10 @@
         self.is_resent = False
         self.is_over = False
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         if not self.is_over:
             self.is_over = True
-            self.pool.leave(self)
+            self.pool.abandon(self)
 
     def end(self, kind: Any, retry_after: float = 0.0) -> None:
         if not self.is_over:
@@ -293,7 +293,7 @@
         if self.waiting and self.open_count < self.client.max_connections:
             self.connect(self.waiting.popleft())
 
-    def leave(self, request: _PendingRequest) -> None:
+    def abandon(self, request: _PendingRequest) -> None:
         """Abandon a request: its connection is closed."""
         connection = request.connection
         if connection is not None:
@@ -308,7 +308,7 @@
 
 
 class SidecarClient:
-    """The client of all sidecars for the callers of one process; it implements `models.way.Way`.
+    """The client of all sidecars for the callers of one process: the `RequestTransport` of grain `wire`.
 
     Parameters
     ----------
@@ -339,14 +339,22 @@
         self.max_connections = max_connections
         self.pools: dict[str, _ConnectionPool] = {}
 
-    def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
-    ) -> Asked:
-        """Send a request to a sidecar; see `models.way.Way`."""
+    def send(
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,
+        time_left: float,
+        key: str,
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
+    ) -> PendingRequest:
+        """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
         pool = self.pools.get(sidecar)
         if pool is None:
             pool = self.pools[sidecar] = _ConnectionPool(self, sidecar)
-        request = _PendingRequest(pool, ident, index, self.timers.now() + left, key, repeat, done)
+        deadline = self.timers.now() + time_left
+        request = _PendingRequest(pool, ident, index, deadline, key, is_marked_retry, on_response)
         pool.submit(request)
         return request
 
