--- a/tests/admin/test_service.py
+++ b/tests/admin/test_service.py
@@ -10,10 +10,16 @@
 import pytest
 
 from tests.conftest import Copy, entries
-from tests.support.world import WAIT_LIMIT_SECONDS, LoopbackSockets, Wire, World, entry, list_body
-from wheatring import log
+from tests.support.world import (
+    WAIT_LIMIT_SECONDS,
+    LoopbackSockets,
+    Wire,
+    World,
+    entry,
+    keep_scripted_peers,
+    list_body,
+)
 from wheatring.admin import server
-from wheatring.balancer import balancer as decisions
 from wheatring.balancer import interface as i
 from wheatring.balancer.endpoint_pool import REINSTATED_SPREAD_SECONDS
 
@@ -23,8 +29,7 @@
 @pytest.fixture
 def make(running: None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Make]:  # noqa: ARG001 - runs the reactor
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
-    monkeypatch.setattr(log, "line", log.line)
+    keep_scripted_peers(monkeypatch)
     worlds: list[World] = []
 
     def build(nodes: int = 1) -> World:
--- a/tests/balancer/test_admission.py
+++ b/tests/balancer/test_admission.py
@@ -170,15 +170,15 @@
     assert isinstance(copy.ask(left=0.5)[0], i.Send)
 
 
-@pytest.mark.parametrize(("cap", "told"), [(2.0, True), (0.01, True), (2.0, False)])
-def test_a_rejection_says_when_to_retry(cap: float, told: bool) -> None:
-    copy = Copy(limits=i.Limits(sends_retry_after=told, max_retry_after=cap))  # and no endpoint to send to
+@pytest.mark.parametrize(("cap", "sends_delay"), [(2.0, True), (0.01, True), (2.0, False)])
+def test_a_rejection_says_when_to_retry(cap: float, sends_delay: bool) -> None:
+    copy = Copy(limits=i.Limits(sends_retry_after=sends_delay, max_retry_after=cap))  # without an endpoint
     waits = []
     for _ in range(50):
         (action,) = copy.ask()
         assert isinstance(action, i.Reject)
         waits.append(action.retry_after)
-    if not told:
+    if not sends_delay:
         assert waits == [0.0] * 50
     else:
         assert all(0 < wait <= cap for wait in waits)
--- a/tests/balancer/test_outlier_ejection.py
+++ b/tests/balancer/test_outlier_ejection.py
@@ -125,10 +125,10 @@
     record = copy.balancer.pool.endpoints["a"]
     assert record.ejections
     copy.balancer.ejector.turns += 100.0
-    held: list[int] = []
+    in_flight: list[int] = []
     while record.ejections:
         sends = [send for send in (copy.send() for _ in range(12)) if send.endpoint == "a"]
-        held.append(len(sends))
+        in_flight.append(len(sends))
         for send in sends:
             copy.end(send, O.SERVED, after=0.0, is_request_over=True)
-    assert held[:3] == [1, 2, 4] and len(held) == 4
+    assert in_flight[:3] == [1, 2, 4] and len(in_flight) == 4
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -15,10 +15,10 @@
 def test_the_lighter_by_own_calls_in_flight_is_chosen() -> None:
     copy = Copy(contract=CONTRACT)
     copy.view(*entries("a", "b"))
-    held: Counter[str] = Counter()
+    in_flight_of: Counter[str] = Counter()
     for _ in range(60):
-        held[copy.send().endpoint] += 1
-    assert abs(held["a"] - held["b"]) <= 6  # one random choice would stray by more
+        in_flight_of[copy.send().endpoint] += 1
+    assert abs(in_flight_of["a"] - in_flight_of["b"]) <= 6  # one random choice would stray by more
 
 
 def test_a_send_says_which_endpoints_were_drawn_and_how_many_requests_they_had_in_flight() -> None:
@@ -93,8 +93,8 @@
 def test_better_rated_endpoints_take_more() -> None:
     copy = Copy()
     copy.view(i.EndpointEntry("big", rating=3.0), i.EndpointEntry("small", rating=1.0))
-    held = Counter(copy.send().endpoint for _ in range(80))
-    assert held["big"] > 2 * held["small"]
+    in_flight_of = Counter(copy.send().endpoint for _ in range(80))
+    assert in_flight_of["big"] > 2 * in_flight_of["small"]
 
 
 def test_subsets_are_small_even_and_stable() -> None:
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -10,7 +10,7 @@
 
 from wheatring.balancer.balancer import Balancer
 
-BEGIN = (
+START = (
     "BEGIN 7 classes.count=2 classes.0.name=read classes.0.slo=1000000 classes.0.deadline=4000000 "
     "classes.0.effect=pure classes.0.late_worth=0.5 classes.1.late_worth=0.5 "
     "classes.1.name=order classes.1.slo=1000000 classes.1.deadline=4000000 "
@@ -34,7 +34,7 @@
     return done.returncode, done.stdout.splitlines(), done.stderr
 
 
-def start(name: str = "sidecar_0", settings: str = BEGIN) -> list[str]:
+def start(name: str = "sidecar_0", settings: str = START) -> list[str]:
     return [f"SWITCH_TO {name}", settings, *LIST]
 
 
@@ -86,7 +86,7 @@
     out = good(
         "BATCH 1 1", *start(),
         "DIRECTORY 0 2", "ITEM endpoint_a z k 0 left 1 -", "ITEM endpoint_b z k 0 active 1 -",
-        "SWITCH_TO sidecar_1", BEGIN, "VIEW 2 FULL 0", "NEW_REQUEST 8 read - - 4000000 - 0",
+        "SWITCH_TO sidecar_1", START, "VIEW 2 FULL 0", "NEW_REQUEST 8 read - - 4000000 - 0",
         "SWITCH_TO sidecar_0", "NEW_REQUEST 5 read - - 4000000 - 0",
         "VIEW 2 INCREMENTAL 0", "NEW_REQUEST 6 read - - 4000000 - 0", "OVER_TO_YOU",
     )  # fmt: skip
@@ -98,14 +98,14 @@
 
 def test_begin_stop_and_begin_in_one_batch() -> None:
     out = good(
-        "BATCH 1 1", *start(), "NEW_REQUEST 5 read - - 4000000 - 0", "STOP", BEGIN, "VIEW 1 SAVED 0",
+        "BATCH 1 1", *start(), "NEW_REQUEST 5 read - - 4000000 - 0", "STOP", START, "VIEW 1 SAVED 0",
         "NEW_REQUEST 6 read - - 4000000 - 0", "COMPLETED 5 1 0 0 RST endpoint_a -", "OVER_TO_YOU",
     )  # fmt: skip
     assert out[-2:] == ["FORWARD 6 endpoint_a 4000000", "DONE 1"]
 
 
 def test_sites_that_must_be_asked_are_subscribed_to() -> None:
-    asking = f"{BEGIN} discovery=on_request contract.must_ask_in=10000000"
+    asking = f"{START} discovery=on_request contract.must_ask_in=10000000"
     out = good("BATCH 1 1", *start(settings=asking), "OVER_TO_YOU")
     word, token, delay = out[1].split(" ")
     assert (word, token) == ("SET_TIMER", "0") and int(delay) < 5_000_000
@@ -124,7 +124,7 @@
     lines += [f"ITEM endpoint_{n} z k {n % 4} active 1 -" for n in range(30)]
     for name in names:
         seed = 100 + int(name.rpartition("_")[2])
-        lines += [f"SWITCH_TO {name}", BEGIN.replace("BEGIN 7", f"BEGIN {seed}"), "VIEW 1 SAVED 0"]
+        lines += [f"SWITCH_TO {name}", START.replace("BEGIN 7", f"BEGIN {seed}"), "VIEW 1 SAVED 0"]
     lines.append("OVER_TO_YOU")
     for batch in range(2, 40):
         lines.append(f"BATCH {1000000 + batch * 5000} {batch}")
@@ -202,13 +202,13 @@
 
 @pytest.mark.parametrize("missing", ["peers_total", "contract.cold_from", "classes.0.name", "classes.1.slo"])
 def test_a_missing_required_setting_is_named(missing: str) -> None:
-    less = " ".join(part for part in BEGIN.split(" ") if not part.startswith(f"{missing}="))
+    less = " ".join(part for part in START.split(" ") if not part.startswith(f"{missing}="))
     status, out, err = run("BATCH 1 1", *start(settings=less), "OVER_TO_YOU")
     assert status != 0 and out == [] and missing in err
 
 
 def test_a_setting_that_cannot_be_read_is_named() -> None:
-    status, _, err = run("BATCH 1 1", *start(settings=f"{BEGIN} limits.max_attempts=many"), "OVER_TO_YOU")
+    status, _, err = run("BATCH 1 1", *start(settings=f"{START} limits.max_attempts=many"), "OVER_TO_YOU")
     assert status != 0 and "limits.max_attempts" in err
 
 
--- a/tests/balancer/test_thin_traffic.py
+++ b/tests/balancer/test_thin_traffic.py
@@ -102,9 +102,8 @@
         admitted(copy, "dear")
         return sum(e.in_flight for e in copy.balancer.pool.ready)
 
-    assert (
-        0.45 < admitted_with(7) / admitted_with(0) < 0.7
-    )  # 5 of 12 are warm, and 7 bear 0.2 of what these do
+    # 5 of 12 are warm, and 7 bear 0.2 of what these do
+    assert 0.45 < admitted_with(7) / admitted_with(0) < 0.7
 
 
 def test_calls_too_few_to_tell_anything_are_counted_over_all_copies() -> None:
--- a/tests/config/test_platform_file.py
+++ b/tests/config/test_platform_file.py
@@ -25,7 +25,7 @@
     DEEP = [DEEP]
 HALF = "\ud800"  # of a pair of surrogates
 # All that the platform's page names. That nothing more is read of the settings is held below.
-WHOLE: dict[str, Any] = platform_config(control="127.0.0.1:0", settings={
+COMPLETE: dict[str, Any] = platform_config(control="127.0.0.1:0", settings={
     "classes": [
         {"name": "menu", "slo": 2500000, "deadline": 6000000, "value": 1.0, "late_worth": 0.25,
          "effect": "pure", "aim_stretch": 0.5, "stream": False},
@@ -62,7 +62,7 @@
             yield from places(inner, (*place, key))
 
 
-KEYS = {".".join(map(str, place)): (place, value) for place, value in places(WHOLE)}
+KEYS = {".".join(map(str, place)): (place, value) for place, value in places(COMPLETE)}
 for name in ("limits.cores", "known.reset"):  # nothing goes by them
     del KEYS[name]
 NUMBERS = [float("nan"), float("inf"), -float("inf"), HUGE, -1, -0.5, "x", "", "1", [], [1], {"a": 1}, True]
@@ -93,7 +93,7 @@
 LINES = [[5], [HALF], [[]], DEEP]  # of the list held: each line that can't be read is left out
 
 
-def said(data: object, folder: Path, capsys: pytest.CaptureFixture[str]) -> str:
+def reported(data: object, folder: Path, capsys: pytest.CaptureFixture[str]) -> str:
     """Return the line with which a start ends."""
     (folder / "c.json").write_text(json.dumps(data), encoding="utf-8")
     assert main([]) == 2
@@ -103,7 +103,7 @@
 
 
 def changed(place: Place, value: object) -> Any:
-    data = copy.deepcopy(WHOLE)
+    data = copy.deepcopy(COMPLETE)
     inner: Any = data
     for key in place[:-1]:
         inner = inner[key]
@@ -112,7 +112,7 @@
 
 
 @pytest.fixture(autouse=True)
-def told_there(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def reported_there(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     def taken(*_: object) -> None:
         raise AssertionError("it would serve")
 
@@ -131,7 +131,7 @@
     for value in [*BAD[type(good)], *MORE.get(name, [])]:
         if (name, value) == ("seed", 5) or (name == "known.instances" and value in LINES):
             continue
-        assert key in said(changed(place, value), tmp_path, capsys).replace("LB_CONFIG", "")
+        assert key in reported(changed(place, value), tmp_path, capsys).replace("LB_CONFIG", "")
 
 
 @pytest.mark.parametrize("name", KEYS)
@@ -156,7 +156,7 @@
 
     for way in ("get", "require"):
         monkeypatch.setattr(JsonSettings, way, asking(getattr(JsonSettings, way)))
-    platform_file.read_settings(WHOLE["settings"])
+    platform_file.read_settings(COMPLETE["settings"])
     tried = {name.removeprefix("settings.") for name in KEYS}
     one = re.compile(r"\.\d+\.")  # of several
     read = {one.sub(".", path) for path in asked if not path.endswith(".count")}
@@ -164,7 +164,7 @@
 
 
 def test_a_duplicate_key_is_reported(tmp_path: Path) -> None:
-    text = json.dumps(WHOLE).replace('"slot_no": 1', '"slot_no": 1, "slot_no": 0')
+    text = json.dumps(COMPLETE).replace('"slot_no": 1', '"slot_no": 1, "slot_no": 0')
     (tmp_path / "c.json").write_text(text, encoding="utf-8")
     with pytest.raises(PlatformFileError, match=r"^slot_no: stands there twice"):
         platform_file.read(os.environ)
@@ -173,11 +173,11 @@
 def test_a_name_breaks_no_line_and_hides_no_key(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     data = changed(("settings", "classes", 0, "name"), "a\nb\u2028" * 500)
     data["settings"]["classes"][0]["slo"] = 0
-    assert "slo: must be above 0" in said(data, tmp_path, capsys)
+    assert "slo: must be above 0" in reported(data, tmp_path, capsys)
 
 
 def test_an_unknown_key_is_ignored_whatever_its_value(tmp_path: Path) -> None:
     odd = {"new": DEEP, "newer": {"a": float("nan"), "": HALF}, "newest": HUGE}
-    data = {**WHOLE, **odd, "settings": {**WHOLE["settings"], **odd}}
+    data = {**COMPLETE, **odd, "settings": {**COMPLETE["settings"], **odd}}
     (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
-    assert platform_file.read(os.environ).settings == platform_file.read_settings(WHOLE["settings"])
+    assert platform_file.read(os.environ).settings == platform_file.read_settings(COMPLETE["settings"])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,9 +14,7 @@
 
 from tests.support import known_red
 from tests.support.virtual_sockets import VirtualSockets
-from tests.support.world import NO_OPERATORS, LoopbackSockets, World
-from wheatring import log
-from wheatring.balancer import balancer as decisions
+from tests.support.world import NO_OPERATORS, LoopbackSockets, World, keep_scripted_peers
 from wheatring.balancer import interface as i
 from wheatring.balancer.balancer import Balancer
 from wheatring.lab.live import fleet_rig
@@ -186,17 +184,15 @@
 @pytest.fixture(params=["loopback", "virtual"])
 def make(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., World]]:
     """Build worlds: a test that asks for this holds on loopback and in virtual time."""
-    ground: Callable[[], LoopbackSockets | VirtualSockets] = VirtualSockets
+    make_sockets: Callable[[], LoopbackSockets | VirtualSockets] = VirtualSockets
     if request.param == "loopback":
         request.getfixturevalue("running")
-        ground = LoopbackSockets
-    # A scripted peer on a busy machine must not be given up: after one quick answer that is soon done.
-    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
-    monkeypatch.setattr(log, "line", log.line)  # the world sets its own; this puts the real one back
+        make_sockets = LoopbackSockets
+    keep_scripted_peers(monkeypatch)
     worlds: list[World] = []
 
     def build(nodes: int = 1, operators: OperatorProperties = NO_OPERATORS, capture: bool = False) -> World:
-        worlds.append(World(ground(), nodes, operators, capture))
+        worlds.append(World(make_sockets(), nodes, operators, capture))
         return worlds[-1]
 
     yield build
--- a/tests/http1/attempts.py
+++ b/tests/http1/attempts.py
@@ -1,4 +1,4 @@
-"""What the stories of ends on the endpoint's side share: attempts at an instant that the story forces."""
+"""What the tests of the endpoint's side share: attempts at an instant that the test forces."""
 
 from __future__ import annotations
 
--- a/tests/http1/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -77,16 +77,16 @@
             caller.to_send += head.encode() + b"\r\n" + b"y" * size
         caller.turn(self.draw.choice([30, 100_000, 1 << 30]))
 
-    def serve(self, whole: bool = False) -> None:
+    def serve(self, completely: bool = False) -> None:
         for peer in self.world.nodes:
             while peer.listener.socket.queue:
                 self.nodes.append(Party(peer.accept(), responses=False))
         for node in self.nodes:
             node.turn()
-            early = node.reader.message is not None and not whole and self.draw.random() < 0.1
+            early = node.reader.message is not None and not completely and self.draw.random() < 0.1
             if not node.read and not early:
                 continue
-            if not whole and self.draw.random() < 0.3:
+            if not completely and self.draw.random() < 0.3:
                 if self.draw.random() < 0.4:
                     node.leave("reset", 0.0)
                 continue
@@ -101,13 +101,13 @@
 def test_whatever_ends_when_no_answer_is_cut_and_nothing_begins_for_who_has_left(
     first: int, make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    begun: list[tuple[str, float]] = []
+    sends: list[tuple[str, float]] = []
     dropped: list[bytes] = []
     carry, close = EndpointConnection.send, CallerConnection.close
     handle, stream = CallerConnection.handle, CallerConnection.start_stream
 
     def seen_carry(self: EndpointConnection, attempt: Any) -> None:
-        begun.append((attempt.request.correlation_id, self.pool.clock.now()))
+        sends.append((attempt.request.correlation_id, self.pool.clock.now()))
         carry(self, attempt)
 
     def seen_handle(self: Any, message: Message) -> None:
@@ -129,7 +129,7 @@
     monkeypatch.setattr(CallerConnection, "start_stream", seen_stream)
     monkeypatch.setattr(CallerConnection, "close", seen_close)
     for seed in range(first, first + 20):
-        begun.clear()
+        sends.clear()
         world = make(2)
         assert isinstance(world.ground, VirtualSockets)
         play, time, now = Play(world, seed), world.ground.time, world.sidecar.clock.now
@@ -152,13 +152,13 @@
             elif not world.sidecar.server.is_stopping:
                 leave(world)
         for _ in range(80):
-            play.serve(whole=True)
+            play.serve(completely=True)
             time.run(time.now() + 0.1)
             for caller in play.callers:
                 if caller.left is None:
                     caller.turn()
-        ends = [play.owners[ident].left for ident, _ in begun]
-        late = [at - end for (_, at), end in zip(begun, ends, strict=True) if end is not None]
+        ends = [play.owners[ident].left for ident, _ in sends]
+        late = [at - end for (_, at), end in zip(sends, ends, strict=True) if end is not None]
         assert max(late, default=0.0) <= 0.1, seed
         assert not FAULTS & {event for event, _ in world.lines}, seed
         assert not any(dropped), (seed, dropped)
--- a/tests/http1/test_endpoint_faults.py
+++ b/tests/http1/test_endpoint_faults.py
@@ -18,7 +18,7 @@
 Make = Callable[..., World]
 
 
-def broken(*_told: object, **_more: object) -> None:
+def broken(*_values: object, **_more: object) -> None:
     raise ZeroDivisionError
 
 
--- a/tests/http1/test_shutdown.py
+++ b/tests/http1/test_shutdown.py
@@ -18,7 +18,7 @@
 
 def leave(world: World) -> None:
     """Tell it to stop. It logs its end, and the process goes on."""
-    line = log.line  # this world's: it may end after the story has
+    line = log.line  # this world's: it may end after the test has
     world.sidecar.finish = lambda: line("ended")  # type: ignore[method-assign]
     world.run(world.sidecar.stop)
 
@@ -51,13 +51,13 @@
         world.caller()
 
 
-@pytest.mark.parametrize("told", ["behind both", "before both"])
-def test_what_was_sent_ahead_at_a_stop_is_answered(make: Make, told: str) -> None:
+@pytest.mark.parametrize("arrival", ["behind both", "before both"])
+def test_what_was_sent_ahead_at_a_stop_is_answered(make: Make, arrival: str) -> None:
     """Also where the answer before would have been the last one as its request was read."""
     world = make()
     wire = world.caller()
     connection = only_connection(world)
-    if told == "before both":
+    if arrival == "before both":
         leave(world)
     world.ask(wire=wire)
     node = world.nodes[0].accept()
@@ -65,7 +65,7 @@
     world.ask(wire=wire)
     while not world.run(lambda: connection.parser.buffer):
         world.settle()
-    if told == "behind both":
+    if arrival == "behind both":
         leave(world)
     node.answer(200, b"first")
     assert wire.read()[2] == b"first"
@@ -186,7 +186,7 @@
     leave(world)
     world.sidecar.shutdown.leaving.deadline = 0.0  # nothing may run on once the door is shut
     assert wire.read()[0].startswith("HTTP/1.1 503")  # and it is not closed
-    told = world.run(world.sidecar.clock.now)
+    stopped_at = world.run(world.sidecar.clock.now)
     world.logged("ended")
     if not isinstance(world.ground, LoopbackSockets):
-        assert world.run(world.sidecar.clock.now) - told < server.BRIEF_FLUSH_SECONDS + 0.05
+        assert world.run(world.sidecar.clock.now) - stopped_at < server.BRIEF_FLUSH_SECONDS + 0.05
--- a/tests/lab/live/test_links.py
+++ b/tests/lab/live/test_links.py
@@ -72,7 +72,7 @@
     return False
 
 
-def whole(end: socket.socket) -> bytes:
+def read_all(end: socket.socket) -> bytes:
     parts = []
     while part := end.recv(65536):
         parts.append(part)
@@ -90,10 +90,10 @@
     sender.join()
     assert got == data
     near.shutdown(socket.SHUT_WR)
-    assert whole(far) == b""
+    assert read_all(far) == b""
     far.sendall(data[:99])
     far.close()
-    assert whole(near) == data[:99]
+    assert read_all(near) == data[:99]
 
 
 def test_what_is_cut_off_arrives_once_that_is_over_and_in_order(pair: Pair) -> None:
@@ -106,7 +106,7 @@
     pair.wires.over(CUT)
     near.sendall(b"three")
     near.shutdown(socket.SHUT_WR)
-    assert whole(far) == b"onethree"
+    assert read_all(far) == b"onethree"
     assert near.recv(3) == b"two"
 
 
--- a/tests/lab/live/test_load.py
+++ b/tests/lab/live/test_load.py
@@ -62,24 +62,24 @@
 
 def test_latency_counts_from_the_planned_instant_however_long_a_request_waits(generator: Process) -> None:
     stalled = threading.Lock()
-    held: list[str] = []
+    received: list[str] = []
 
     def script(wire: Wire, ident: str) -> bool:
         with stalled:
-            if not held:
+            if not received:
                 time.sleep(0.5)  # it is slow, once
-            held.append(ident)
+            received.append(ident)
         wire.answer(200, b"ok")
         return True
 
     with serving(script) as port:
-        told = Load(
+        load = Load(
             host="127.0.0.1", port=port, rate=20.0, arrivals="constant", connections=1, warm=0.0, length=0.5,
             patience=30.0, late_ms=1e6,
         )  # fmt: skip
-        result = play(generator, told)
+        result = play(generator, load)
     adds_up(result)
-    assert result.counts.served == len(held) == 10
+    assert result.counts.served == len(received) == 10
     # Planned each 0.05 s, none was answered before 0.5 s: they took 0.5, 0.45 ... 0.05 s at the least.
     assert result.mean_ms >= 270
     assert result.most_ms >= 495
@@ -117,12 +117,12 @@
         return how != "last"
 
     with serving(script) as port:
-        told = Load(
+        load = Load(
             host="127.0.0.1", port=port, mode="open" if mode == "open" else "closed", rate=300.0,
             connections=4, warm=0.0, length=0.4, patience=30.0,
             asks=(Ask(name="a"), Ask(name="b", method="POST", keyed=True, body=9)),
         )  # fmt: skip
-        result = play(generator, told)
+        result = play(generator, load)
     adds_up(result)
     assert len(ends) == result.asked > 10
     word = {"last": "served", "noise": "lost"}
@@ -145,8 +145,8 @@
         return False
 
     with serving(script) as port:
-        told = Load(host="127.0.0.1", port=port, rate=40.0, connections=2, warm=0.1, length=0.3, patience=0.3)
-        result = play(generator, told)
+        load = Load(host="127.0.0.1", port=port, rate=40.0, connections=2, warm=0.1, length=0.3, patience=0.3)
+        result = play(generator, load)
         over.set()
     adds_up(result)
     assert result.counts.lost > 0
@@ -159,10 +159,10 @@
         taken.bind(("127.0.0.1", 0))
         port = taken.getsockname()[1]
         for mode in ("open", "closed"):
-            told = Load(
+            load = Load(
                 host="127.0.0.1", port=port, mode="open" if mode == "open" else "closed", rate=100.0,
                 connections=3, warm=0.1, length=0.2,
             )  # fmt: skip
-            result = play(generator, told)
+            result = play(generator, load)
             adds_up(result)
             assert result.asked == result.counts.unreached > 0 == result.per_s
--- a/tests/lab/live/test_singleton_roles.py
+++ b/tests/lab/live/test_singleton_roles.py
@@ -1,6 +1,6 @@
 """Duties of real processes: five to eight sidecars on links, whatever is done to them.
 
-The resource that they act on records every act; at the end of each story its record must hold no term of two
+The resource that they act on records every act; at the end of each test its record must hold no term of two
 sidecars and no older term after a newer one. Order and counts decide, nothing is held to a time.
 """
 
--- a/tests/lab/net/environments.py
+++ b/tests/lab/net/environments.py
@@ -130,7 +130,7 @@
         self.log.append((self.name, "connector", type(reason.value).__name__, connector.state))
 
 
-def told(log: list[Any], name: str) -> list[Any]:
+def events_of(log: list[Any], name: str) -> list[Any]:
     """Return the events that one end saw, consecutive bytes as one."""
     found: list[Any] = []
     for who, *what in log:
@@ -176,7 +176,7 @@
         self.environment.run(call)
         self.environment.settle(self.log)
 
-    def told(self) -> tuple[list[Any], list[Any]]:
+    def close_and_list_events(self) -> tuple[list[Any], list[Any]]:
         """Close both ends and return the events that they saw."""
 
         def close() -> None:
@@ -185,7 +185,7 @@
                 if not end.over:
                     end.transport.abortConnection()
 
-        result = told(self.log, "client"), told(self.log, "server")
+        result = events_of(self.log, "client"), events_of(self.log, "server")
         self.environment.run(close)
         self.environment.settle(self.log)
         return result
--- a/tests/lab/net/test_environments.py
+++ b/tests/lab/net/test_environments.py
@@ -87,7 +87,7 @@
     pair = Pair(environment, *kinds)
     for who, what in script:
         pair.do(partial(step, pair.client if who == "client" else pair.server, what))
-    return pair.told()
+    return pair.close_and_list_events()
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -152,7 +152,7 @@
 ) -> None:
     pair = Pair(make_environment())
     pair.do(lambda: pair.server.transport.registerProducer(Pull(pair.server, 3), False))
-    client, server = pair.told()
+    client, server = pair.close_and_list_events()
     assert client == [["made"], ["data", b"piece" * 3]]
     assert server == [["made"], ["pulled", 3], ["pulled", 2], ["pulled", 1], ["pulled", 0]]
 
@@ -179,7 +179,7 @@
     pair.environment.run(client.transport.resumeProducing)
     pair.environment.wait_until(lambda: len(client.got) == len(body))
     assert pair.log.count(("server", "pulled")) == 2
-    pair.told()
+    pair.close_and_list_events()
 
 
 @EACH_ENVIRONMENT
@@ -218,7 +218,7 @@
         ("client", "lost", "ConnectionLost"),
         ("client", "connector", "ConnectionLost", "disconnected"),
     ]
-    pair.told()
+    pair.close_and_list_events()
 
 
 @EACH_ENVIRONMENT
@@ -236,7 +236,7 @@
         ("server", "data", b"abc"),
         ("server", "lost", "ConnectionDone"),
     ]
-    pair.told()
+    pair.close_and_list_events()
 
 
 @EACH_ENVIRONMENT
@@ -259,7 +259,7 @@
     pair.connect()
     pair.environment.wait_until(lambda: len(pair.clients.ends) == 2 and pair.clients.ends[1].over)
     assert pair.log[-2] == ("client", "lost", "ConnectionDone")
-    pair.told()
+    pair.close_and_list_events()
 
 
 @EACH_ENVIRONMENT
@@ -283,4 +283,4 @@
     client, server = pair.client.transport, pair.server.transport
     assert client.getPeer() == server.getHost() == pair.address
     assert client.getHost() == server.getPeer() and client.getTcpNoDelay()
-    pair.told()
+    pair.close_and_list_events()
--- a/tests/lab/net/test_faults.py
+++ b/tests/lab/net/test_faults.py
@@ -32,10 +32,10 @@
     def pass_time(self, seconds: float) -> None:
         self.time.run(self.time.now() + seconds)
 
-    def news(self) -> list[Any]:
+    def new_events(self) -> list[Any]:
         """Return the events since the last call."""
-        news, self.log[:] = list(self.log), []
-        return news
+        new_events, self.log[:] = list(self.log), []
+        return new_events
 
     def write(self, end: End, data: bytes) -> None:
         self.environment.run(lambda: end.transport.write(data))
@@ -44,7 +44,7 @@
 @pytest.fixture
 def place() -> Place:
     made = Place()
-    made.news()
+    made.new_events()
     return made
 
 
@@ -58,11 +58,11 @@
     place.connect()
     place.write(place.client, b"still here")
     place.pass_time(1.0)
-    assert sorted(place.news()) == [REFUSED, ("server", "data", b"still here")]
+    assert sorted(place.new_events()) == [REFUSED, ("server", "data", b"still here")]
     place.net.refuse(*place.where, False)
     place.connect()
     place.pass_time(1.0)
-    assert place.news() == [("client", "made"), ("server", "made")]
+    assert place.new_events() == [("client", "made"), ("server", "made")]
 
 
 def test_a_full_backlog_drops_connects_and_accepts_at_the_next_retransmission(place: Place) -> None:
@@ -70,21 +70,21 @@
     given_up, waiting = place.connect(), place.connect()
     begun = place.time.now()
     place.pass_time(2.0)
-    assert place.news() == [] and waiting.state == "connecting"
+    assert place.new_events() == [] and waiting.state == "connecting"
     place.environment.run(given_up.stopConnecting)
     place.net.full(*place.where, False)
     place.environment.wait_until(lambda: len(place.servers.ends) == 2)
     assert 3.0 < place.time.now() - begun < 3.01  # tried after 1 and 3 s
-    assert place.news()[0] == ("client", "failed", "UserError", "disconnected")
+    assert place.new_events()[0] == ("client", "failed", "UserError", "disconnected")
 
 
 def test_a_full_backlog_times_connects_out_in_the_end(place: Place) -> None:
     place.net.full(*place.where, True)
     place.connect()
     place.pass_time(126.9)
-    assert place.news() == []
+    assert place.new_events() == []
     place.pass_time(0.2)
-    assert place.news() == [("client", "failed", "TCPTimedOutError", "disconnected")]
+    assert place.new_events() == [("client", "failed", "TCPTimedOutError", "disconnected")]
 
 
 def test_callers_beyond_the_backlog_wait_outside() -> None:
@@ -106,7 +106,7 @@
 class Roomy(Factory):
     """Takes three, and closes the door behind the last one."""
 
-    door: Any
+    listener: Any
 
     @property
     def free_places(self) -> int:
@@ -114,19 +114,19 @@
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802 - Twisted's name
         if self.free_places == 1:
-            self.door.stopReading()
+            self.listener.stopReading()
         return super().buildProtocol(addr)
 
 
 def test_no_more_is_accepted_in_one_go_than_there_is_capacity_for() -> None:
     environment = VirtualEnvironment()
     served = Roomy("served", [])
-    served.door = environment.there.open_listener(0, served, 511, environment.host, environment.there)
-    served.door.stopReading()
+    served.listener = environment.there.open_listener(0, served, 511, environment.host, environment.there)
+    served.listener.stopReading()
     for _ in range(8):
-        environment.here.connectTCP(environment.host, served.door.getHost().port, Factory("caller", []))
+        environment.here.connectTCP(environment.host, served.listener.getHost().port, Factory("caller", []))
     environment.settle([])
-    served.door.startReading()
+    served.listener.startReading()
     environment.settle([])
     assert len(served.ends) == 3
 
@@ -138,13 +138,13 @@
     place.connect()
     place.pass_time(0.3)
     place.environment.run(given_up.stopConnecting)
-    place.news()
+    place.new_events()
     place.environment.wait_until(lambda: len(place.servers.ends) == 2)
     assert 0.4 < place.time.now() - begun < 0.41
     place.pass_time(10.0)
-    assert place.news() == [("client", "made"), ("server", "made")]
-    (door,) = place.virtual.there.open_resources().ports
-    assert door.half_open == 0
+    assert place.new_events() == [("client", "made"), ("server", "made")]
+    (listener,) = place.virtual.there.open_resources().ports
+    assert listener.half_open == 0
     place.net.delay_connects(*place.where, 0.0)
     place.connect()
     place.pass_time(0.01)
@@ -158,25 +158,25 @@
     place.write(place.server, b"lost")
     waiting = place.connect()
     place.pass_time(20.0)
-    assert place.news() == [] and waiting.state == "connecting"
+    assert place.new_events() == [] and waiting.state == "connecting"
     place.net.back(place.virtual.host)
     place.pass_time(0.01)
-    assert place.news() == LOST
+    assert place.new_events() == LOST
     place.pass_time(40.0)
-    assert place.news() == [("client", "made"), ("server", "made")]
+    assert place.new_events() == [("client", "made"), ("server", "made")]
     place.environment.run(place.server.transport.resumeProducing)
     place.pass_time(1.0)
-    assert place.news() == [("server", "lost", "ConnectionLost")]
+    assert place.new_events() == [("server", "lost", "ConnectionLost")]
 
 
 def test_of_a_program_that_died_on_a_vanished_host_its_peers_hear_on_its_return(place: Place) -> None:
     place.net.vanish(place.virtual.host)
     place.virtual.there.kill()
     place.pass_time(20.0)
-    assert place.news() == []
+    assert place.new_events() == []
     place.net.back(place.virtual.host)
     place.pass_time(0.01)
-    assert place.news() == LOST
+    assert place.new_events() == LOST
 
 
 def test_what_is_sent_across_a_cut_comes_in_order_at_the_next_try_after_it_heals(place: Place) -> None:
@@ -186,7 +186,7 @@
         place.write(place.client, piece)
         place.write(place.server, piece)
         place.pass_time(1.0)
-    assert place.news() == []
+    assert place.new_events() == []
     place.net.heal(place.here, place.there)
     place.write(place.client, b"three")
     place.environment.run(place.client.transport.loseConnection)
@@ -194,7 +194,7 @@
     assert 3.0 < place.time.now() - begun < 3.01  # sent again after 0.2, 0.6, 1.4 and 3 s
     place.pass_time(1.0)
     assert place.server.got == b"one two three"
-    assert place.news()[-1] == ("server", "lost", "ConnectionDone")
+    assert place.new_events()[-1] == ("server", "lost", "ConnectionDone")
 
 
 def test_a_cut_in_one_direction_leaves_the_other(place: Place) -> None:
@@ -203,7 +203,7 @@
     place.write(place.server, b"an answer")
     waiting = place.connect()
     place.pass_time(1.0)
-    assert place.news() == [("server", "data", b"a question")] and waiting.state == "connecting"
+    assert place.new_events() == [("server", "data", b"a question")] and waiting.state == "connecting"
     place.net.heal(place.there, place.here, one_way=True)
     place.pass_time(3.0)
     assert place.client.got == b"an answer" and waiting.state == "connected"
@@ -216,14 +216,14 @@
     place.pass_time(0.0003)  # the first word has arrived, its answer has not
     place.net.cut(place.here, place.there, one_way=True)
     place.pass_time(1.0)
-    (door,) = place.virtual.there.open_resources().ports
-    assert len(place.clients.ends) == 2 and door.half_open == 1
+    (listener,) = place.virtual.there.open_resources().ports
+    assert len(place.clients.ends) == 2 and listener.half_open == 1
     if not patient:
         place.environment.run(place.clients.ends[1].transport.abortConnection)
         place.pass_time(0.0)
     place.net.heal(place.here, place.there, one_way=True)
     place.pass_time(1.0)
-    assert door.half_open == 0 and len(place.servers.ends) == 1 + patient
+    assert listener.half_open == 0 and len(place.servers.ends) == 1 + patient
 
 
 def test_a_connect_whose_last_ack_finds_the_listener_closed_is_reset(place: Place) -> None:
@@ -231,7 +231,7 @@
     place.environment.wait_until(lambda: len(place.clients.ends) == 2)
     place.environment.run(place.port.stopListening)
     place.pass_time(1.0)
-    assert place.news()[-2:] == LOST
+    assert place.new_events()[-2:] == LOST
 
 
 def test_a_cut_host_reaches_itself(place: Place) -> None:
@@ -239,7 +239,7 @@
     place.environment.here = place.virtual.there
     place.connect()
     place.pass_time(1.0)
-    assert ("server", "made") in place.news()
+    assert ("server", "made") in place.new_events()
 
 
 def test_a_reset_that_is_lost_is_heard_of_by_who_next_writes(place: Place) -> None:
@@ -248,11 +248,11 @@
     place.pass_time(1.0)
     place.net.heal(place.here, place.there)
     place.pass_time(100.0)
-    assert place.news() == [("client", "lost", "ConnectionAborted"),
+    assert place.new_events() == [("client", "lost", "ConnectionAborted"),
                             ("client", "connector", "ConnectionAborted", "disconnected")]  # fmt: skip
     place.write(place.server, b"anybody there?")
     place.pass_time(1.0)
-    assert place.news() == [("server", "lost", "ConnectionLost")]
+    assert place.new_events() == [("server", "lost", "ConnectionLost")]
 
 
 def test_a_writer_waits_for_window_updates_as_long_as_they_are_cut_off() -> None:
@@ -271,13 +271,13 @@
     place.net.give_up = 30.0
     place.connect()
     place.pass_time(1.0)
-    place.news()
+    place.new_events()
     place.net.cut(place.here, place.there)
     place.write(place.clients.ends[1], b"x")
     place.pass_time(29.9)
-    assert place.news() == []
+    assert place.new_events() == []
     place.pass_time(0.2)
-    assert place.news() == LOST
+    assert place.new_events() == LOST
 
 
 def test_slow_links_take_so_many_times_as_long() -> None:
@@ -351,10 +351,10 @@
     place.virtual.there.run(lambda: place.server.transport.doWrite())
     place.virtual.there.kill()
     place.connect()
-    place.news()
+    place.new_events()
     place.pass_time(1.0)
     expected = LOST if unread else DONE
-    assert place.news() == [("client", "data", b"!"), *expected, REFUSED]
+    assert place.new_events() == [("client", "data", b"!"), *expected, REFUSED]
     assert not place.virtual.there.descriptors and not place.virtual.here.descriptors
 
 
@@ -362,13 +362,13 @@
     place = Place(client=HalfEnd)
     place.virtual.there.kill()
     place.pass_time(1.0)
-    place.news()
+    place.new_events()
     place.write(place.client, b"more")
     place.pass_time(1.0)
-    assert place.news() == []  # a reset is only seen by who waits for something
+    assert place.new_events() == []  # a reset is only seen by who waits for something
     place.write(place.client, b"and more")
     place.pass_time(1.0)
-    assert place.news() == LOST
+    assert place.new_events() == LOST
 
 
 def test_a_program_that_stops_tells_what_it_leaves_and_its_connections_end(place: Place) -> None:
@@ -379,12 +379,12 @@
     assert there.alive
     place.pass_time(1.0)
     assert [len(part) for part in left[0]] == [1, 1, 1] and not there.alive
-    assert place.news() == [("server", "lost", "ConnectionLost"), *DONE]
+    assert place.new_events() == [("server", "lost", "ConnectionLost"), *DONE]
     again = place.net.process("again", place.virtual.host)
     again.listenTCP(place.address.port, place.servers)
     place.connect()
     place.pass_time(1.0)
-    assert place.news() == [("client", "made"), ("server", "made")]
+    assert place.new_events() == [("client", "made"), ("server", "made")]
 
 
 def day(ties: bool) -> str:
@@ -425,9 +425,9 @@
     days = {day(ties)}
     for seed in ("1", "4711"):
         command = f"from tests.lab.net.test_faults import day; print(day({ties}))"
-        told = subprocess.run(
+        finished = subprocess.run(
             [sys.executable, "-c", command], env={**os.environ, "PYTHONHASHSEED": seed},
             capture_output=True, text=True, check=True, timeout=60,
         )  # fmt: skip
-        days.add(told.stdout.strip())
+        days.add(finished.stdout.strip())
     assert len(days) == 1 and day(not ties) not in days
--- a/tests/lab/net/test_streams.py
+++ b/tests/lab/net/test_streams.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.net.environments import End, HalfEnd, Pair, VirtualEnvironment, told
+from tests.lab.net.environments import End, HalfEnd, Pair, VirtualEnvironment, events_of
 
 WINDOW, SEGMENT = 1500, 200
 WAITS = st.sampled_from([0.0, 0.0, 0.0001, 0.0004, 0.002, 0.3])
@@ -89,7 +89,7 @@
     for end, other in ((pair.client, pair.server), (pair.server, pair.client)):
         wrote = run.wrote[other.name]
         assert wrote.startswith(end.got)
-        names = [note[0] for note in told(pair.log, end.name)]
+        names = [note[0] for note in events_of(pair.log, end.name)]
         assert names.count("lost") == 1 and set(names[names.index("lost") :]) <= {"lost", "connector"}
         assert end.got == wrote or end.name not in run.closed_by_other
     assert run.environment.time.running is None
--- a/tests/lab/net/test_time.py
+++ b/tests/lab/net/test_time.py
@@ -21,7 +21,7 @@
 # Calls as a tree: each is made after its delay, cancels one that was asked for before, and asks for others.
 CALLS: Any = st.recursive(
     st.builds(lambda delay, drop: (delay, drop, []), DELAYS, st.integers(0, 12)),
-    lambda below: st.tuples(DELAYS, st.integers(0, 12), st.lists(below, max_size=4)),
+    lambda children: st.tuples(DELAYS, st.integers(0, 12), st.lists(children, max_size=4)),
     max_leaves=25,
 )
 
@@ -36,19 +36,19 @@
         self.made: list[int] = []
 
     def ask(self, call: Any, parent: int) -> None:
-        delay, drop, below = call
+        delay, drop, children = call
         number = len(self.asked)
         instant = self.time.now() + delay
         self.asked.append((max(instant, self.time.now()), parent))
-        self.events.append(self.time.at(instant, self.make, number, drop, below))
+        self.events.append(self.time.at(instant, self.make, number, drop, children))
 
-    def make(self, number: int, drop: int, below: Any) -> None:
+    def make(self, number: int, drop: int, children: Any) -> None:
         assert self.time.now() == self.asked[number][0] and not self.events[number].active()
         self.made.append(number)
         if drop < len(self.events) and self.events[drop].active():
             self.events[drop].cancel()
             self.asked[drop] = (inf, -1)
-        for call in below:
+        for call in children:
             self.ask(call, number)
 
 
@@ -123,7 +123,7 @@
     theirs: list[Any] = []
 
     def play(calls: list[Any], reactor: Any, made: list[Any], pass_time: Any) -> list[Any]:
-        told: list[Any] = []
+        events: list[Any] = []
         for what, which, seconds in script:
             if what == "run":
                 pass_time(seconds)
@@ -134,22 +134,22 @@
                 try:
                     getattr(calls[which], what)(*([seconds] if what != "cancel" else []))
                 except (AlreadyCalled, AlreadyCancelled) as refused:
-                    told.append(type(refused))
-        told.append([call.active() for call in calls])
-        told.append(sorted(call.getTime() for call in reactor.getDelayedCalls()))
-        return told
+                    events.append(type(refused))
+        events.append([call.active() for call in calls])
+        events.append(sorted(call.getTime() for call in reactor.getDelayedCalls()))
+        return events
 
     start = environment.time.now()
     made_here: list[Any] = []
     made_there: list[Any] = []
-    told = play(
+    events = play(
         ours,
         environment.here,
         made_here,
         lambda seconds: environment.time.run(environment.time.now() + seconds),
     )
     clock.rightNow = start
-    assert told == play(theirs, clock, made_there, lambda s: clock.pump([0.0] + [0.25] * int(s * 4)))
+    assert events == play(theirs, clock, made_there, lambda s: clock.pump([0.0] + [0.25] * int(s * 4)))
     assert sorted(made_here) == sorted(made_there)
 
 
--- a/tests/lease/test_proposer.py
+++ b/tests/lease/test_proposer.py
@@ -27,13 +27,13 @@
     proposer.set_rank(0, 0)
     asked = proposer.tick(0)
     walls = {"v1": 1_000, "v2": 5_000_000}
-    told: list[AddressedRequest] = []
+    proposals: list[AddressedRequest] = []
     for name, message in asked:
         if name in walls:
             answer = acceptor().receive(0, walls[name], message)
             assert answer is not None
-            told = proposer.receive(0, name, answer) or told
-    assert {message.epoch for _, message in told if isinstance(message, Propose)} == {5_000_001}
+            proposals = proposer.receive(0, name, answer) or proposals
+    assert {message.epoch for _, message in proposals if isinstance(message, Propose)} == {5_000_001}
 
 
 def test_a_lease_runs_from_before_it_was_requested() -> None:
--- a/tests/lifecycle/test_notification_deadline.py
+++ b/tests/lifecycle/test_notification_deadline.py
@@ -48,15 +48,15 @@
         self.failed = False  # a call has, and none was taken since
         self.known = 0.0  # of what was changed until then
 
-    def trouble(self, now: float) -> str:
+    def fault_at(self, now: float) -> str:
         return next((kind for begin, end, kind in self.outages if begin <= now < end), "")
 
     def step(self, now: float) -> None:
-        trouble = self.trouble(now)
+        fault = self.fault_at(now)
         if self.watch is not None and not self.silent:
-            if trouble == "hangs":
+            if fault == "hangs":
                 self.silent = True  # for good: what is written gets lost
-            elif trouble == "refuses":
+            elif fault == "refuses":
                 self.lose(now, self.watch, True)
             else:
                 self.known = now
@@ -67,13 +67,13 @@
         if self.out is None and now >= due:
             if second:
                 self.freshness.ask_sent(now)
-            ends = now + {"refuses": 0.0, "hangs": CONNECT_TIMEOUT_SECONDS}.get(trouble, TURN)
-            self.out = now, trouble, ends
+            ends = now + {"refuses": 0.0, "hangs": CONNECT_TIMEOUT_SECONDS}.get(fault, TURN)
+            self.out = now, fault, ends
 
     def end(self, now: float) -> None:
         assert self.out is not None
         (made, how, _), self.out = self.out, None
-        if how or self.trouble(now):
+        if how or self.fault_at(now):
             self.failed = True
             if self.watch is not None:
                 self.freshness.ask_failed(now)
@@ -97,7 +97,7 @@
 
     def counts(self, changed: float, now: float) -> float:
         """When that counts as told, by the state of now; anew when discovery is back."""
-        if self.trouble(now):
+        if self.fault_at(now):
             return inf
         back = max([changed, *(end for _, end, _ in self.outages if end <= now)])
         if self.failed:
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -185,10 +185,10 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(rumours, max_size=30))
-def test_the_member_table_never_goes_back_to_an_older_incarnation(told: list[MemberUpdate]) -> None:
+def test_the_member_table_never_goes_back_to_an_older_incarnation(updates: list[MemberUpdate]) -> None:
     me = lone()
     highest: dict[str, int] = {}
-    for number, rumour in enumerate(told):
+    for number, rumour in enumerate(updates):
         me.receive(number * 0.01, "x", ("127.0.0.2", 1), SyncResponse(0, (rumour,)))
         for name, row in me.table.records.items():
             assert row.incarnation >= highest.get(name, 0)
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import errno
-import json
 import os
 import re
 import signal
@@ -19,7 +18,7 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
-from tests.support.process import platform_config, running_process, wait_for_line
+from tests.support.process import running_process, wait_for_line, write_platform_config
 from tests.support.world import SETTINGS, WAIT_LIMIT_SECONDS, Peer, Wire, World, entry, list_body
 from wheatring import operator_properties
 from wheatring.__main__ import main
@@ -321,11 +320,9 @@
 
 
 def test_a_killed_process_s_record_replays_in_another_whatever_the_hash_seed(tmp_path: Path) -> None:
-    (tmp_path / "c.json").write_text(
-        json.dumps(platform_config(name="n3", discovery="127.0.0.1:9")), encoding="utf-8"
-    )
+    config = write_platform_config(tmp_path, name="n3", discovery="127.0.0.1:9")
     (tmp_path / "tmp").mkdir()
-    environment = {**os.environ, "LB_CONFIG": str(tmp_path / "c.json"), "TMPDIR": str(tmp_path / "tmp")}
+    environment = {**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(tmp_path / "tmp")}
     command = [sys.executable, "-m", "wheatring"]
     for seed in (1, 2):
         with subprocess.Popen(
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -98,11 +98,11 @@
         calls = service.calls
         service.set_instance("n1", "DRAINING", 9)
 
-        def told() -> bool:
+        def all_notified() -> bool:
             lists = [rig.status(name)["lists"]["probe"] for name in rig.members]
             return all(one["generation"] == service.generation or one["held_back"] == ["n1"] for one in lists)
 
-        rig.wait_until(told, "all hold back what drains")
+        rig.wait_until(all_notified, "all hold back what drains")
         rig.wait_until(lambda: generations(rig) == {service.generation}, "all have asked")
         rig.wait_until(lambda: len(watching(rig)) == 1, "and rest again")
         assert service.calls - calls <= 2 * len(rig.members) + 2
@@ -143,7 +143,7 @@
 
             return Timer()
 
-    class Held:
+    class StubList:
         version: int | None = 7
         is_watching = False
         should_continue: Callable[[], bool] | None = None
@@ -157,7 +157,7 @@
 
     views: list[View] = []
     one = ListSharing(Clock(Still()), None, "list", 10, 5, views.append)  # type: ignore[arg-type]
-    one.start(Held())
+    one.start(StubList())
     entries = tuple(EndpointEntry(name, EndpointState.READY) for name in ("a", "b"))
     one.on_list(View(ViewKind.FULL, entries, 7))
     one.on_heartbeat(Heartbeat("list", 5, 2, 8, ("a", "stranger")))
--- a/tests/pools/test_endpoint_selection.py
+++ b/tests/pools/test_endpoint_selection.py
@@ -11,33 +11,35 @@
 from wheatring.pools.connection_budget import ConnectionUsage, available
 from wheatring.pools.endpoint_selection import EndpointSelection
 
-LEAST = st.lists(st.integers(0, 4), min_size=1, max_size=4)
+MINIMUMS = st.lists(st.integers(0, 4), min_size=1, max_size=4)
 
 
 @given(
-    LEAST,
+    MINIMUMS,
     st.integers(0, 4),
     st.lists(st.tuples(st.integers(0, 3), st.sampled_from([True] * 4 + [False])), min_size=20),
 )
 def test_all_hold_no_more_than_there_is_and_each_can_have_its_own(
-    least: list[int], more: int, steps: list[tuple[int, bool]]
+    minimums: list[int], more: int, steps: list[tuple[int, bool]]
 ) -> None:
-    total, held = sum(least) + more, [0] * len(least)
+    total, in_use = sum(minimums) + more, [0] * len(minimums)
 
     def may(pool: int) -> int:
-        others = [ConnectionUsage(*each) for n, each in enumerate(zip(held, least, strict=True)) if n != pool]
+        others = [
+            ConnectionUsage(*each) for n, each in enumerate(zip(in_use, minimums, strict=True)) if n != pool
+        ]
         return available(total, others)
 
     for pool, grows in steps:
-        pool %= len(least)
-        if grows and held[pool] < may(pool):
-            held[pool] += 1
-        elif not grows and held[pool]:
-            held[pool] -= 1
-        assert sum(held) <= total
-        for n, own in enumerate(least):
-            assert held[n] >= own or held[n] < may(n)
-    if len(least) == 1:
+        pool %= len(minimums)
+        if grows and in_use[pool] < may(pool):
+            in_use[pool] += 1
+        elif not grows and in_use[pool]:
+            in_use[pool] -= 1
+        assert sum(in_use) <= total
+        for n, own in enumerate(minimums):
+            assert in_use[n] >= own or in_use[n] < may(n)
+    if len(minimums) == 1:
         assert may(0) == total  # nobody else's: all of it
 
 
@@ -67,17 +69,17 @@
 
 def heard(views: list[View]) -> dict[str, EndpointEntry]:
     """Return the endpoints that follow from views, applied as they say."""
-    held: dict[str, EndpointEntry] = {}
+    listed: dict[str, EndpointEntry] = {}
     for view in views:
         if view.kind is ViewKind.FAILED:
             continue
         if view.kind is not ViewKind.DELTA:
-            held = {}
+            listed = {}
         for entry in view.entries:
-            held.pop(entry.endpoint, None)
+            listed.pop(entry.endpoint, None)
             if entry.state is not EndpointState.GONE:
-                held[entry.endpoint] = entry
-    return held
+                listed[entry.endpoint] = entry
+    return listed
 
 
 @given(VIEWS, TABLES, st.integers(0, 8))
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -12,9 +12,7 @@
 
 from tests.pools.pools_world import TWO, PoolsWorld
 from tests.support.virtual_sockets import VirtualSockets
-from tests.support.world import LoopbackSockets, Peer, entry, list_body
-from wheatring import log
-from wheatring.balancer import balancer as decisions
+from tests.support.world import LoopbackSockets, Peer, entry, keep_scripted_peers, list_body
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Answer, AnswerKind
 from wheatring.errors import OperatorError
@@ -32,8 +30,7 @@
 def ground(
     request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
 ) -> LoopbackSockets | VirtualSockets:
-    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
-    monkeypatch.setattr(log, "line", log.line)
+    keep_scripted_peers(monkeypatch)
     if request.param == "virtual":
         return VirtualSockets()
     request.getfixturevalue("running")
--- a/tests/repository/test_no_deployment_names.py
+++ b/tests/repository/test_no_deployment_names.py
@@ -8,12 +8,21 @@
 
 ROOT = Path(__file__).parents[2]
 # The operators' own, as their papers have them. Common words of these (stock, basket, browse) are left out.
-TOLD = {"menu-view", "place-order", "storefront", "naas", "npc", "plan-save", "box-add", "member-api"}
+DEPLOYMENT_NAMES = {
+    "menu-view",
+    "place-order",
+    "storefront",
+    "naas",
+    "npc",
+    "plan-save",
+    "box-add",
+    "member-api",
+}
 
 
 def names() -> set[str]:
     """Classes, tiers, kinds and zones of our own deployments."""
-    found = set(TOLD)
+    found = set(DEPLOYMENT_NAMES)
     for path in (ROOT / "deploy" / "sites").rglob("*.toml"):
         site = tomllib.loads(path.read_text(encoding="utf-8"))
         found |= {site["name"], *site["net"]["zones"], *(one["name"] for one in site["class"])}
--- a/tests/routes/measure_table.py
+++ b/tests/routes/measure_table.py
@@ -56,7 +56,7 @@
     print("kind             10   1,000 routes  ratio    10   1,000 routes  ratio")
     for kind in KINDS:
         found: list[float] = []
-        whole: list[float] = []
+        route_calls: list[float] = []
         for size in (10, 1000):
             made, asked = routes(kind, size)
             table = RoutingTable(made)
@@ -67,8 +67,8 @@
             rounds = range(10_000 // size)
             find, route = table.find, table.resolve
             found.append(microseconds(lambda: [find(*p) for _ in rounds for p in plain], 10_000))  # noqa: B023
-            whole.append(microseconds(lambda: [route(*a) for _ in rounds for a in asked], 10_000))  # noqa: B023
-        columns = [f"{a:6.2f} {b:14.2f} {b / a:6.2f}" for a, b in (found, whole)]
+            route_calls.append(microseconds(lambda: [route(*a) for _ in rounds for a in asked], 10_000))  # noqa: B023
+        columns = [f"{a:6.2f} {b:14.2f} {b / a:6.2f}" for a, b in (found, route_calls)]
         print(f"{kind:12}", *columns)
     for target in (b"/menu-view/soups", b"/menu-view/%41-soups"):
         form = microseconds(partial(_forms, target, 5000), 5000)
--- a/tests/routes/test_adaptive_limit.py
+++ b/tests/routes/test_adaptive_limit.py
@@ -94,10 +94,10 @@
         max_size=300,
     )
 )
-def test_whatever_it_hears_it_stays_within_its_bounds(told: list[tuple[str, float, int, float]]) -> None:
+def test_whatever_it_hears_it_stays_within_its_bounds(events: list[tuple[str, float, int, float]]) -> None:
     law = AdaptiveLimitSettings(floor=3, ceiling=100, start=50, samples=20, probe_every=1.0)
     adaptive, now = AdaptiveLimit(law, 0.0), 0.0
-    for what, step, out, latency in told:
+    for what, step, out, latency in events:
         now += step
         before = adaptive.limit
         match what:
--- a/tests/schedule/test_activation.py
+++ b/tests/schedule/test_activation.py
@@ -1,4 +1,4 @@
-"""Who enters which window when: stories of one sidecar, and drawn days of several with a planted fault."""
+"""Who enters which window when: cases of one sidecar, and drawn days of several with a planted fault."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from wheatring.schedule.fleet_clock import UNKNOWN, Reading
 from wheatring.schedule.timetable import Timetable
 
-T0 = 1_800_000_000.0  # Unix seconds at which a story begins; its own clock reads 0 then
+T0 = 1_800_000_000.0  # Unix seconds at which a case begins; its own clock reads 0 then
 BASE, INSIDE = {"a": 1}, {"b": 1}
 
 
@@ -37,7 +37,7 @@
     return Timetable(Plan(format=3, routes=(PlanRoute(name="r", weights=BASE),), windows=windows))
 
 
-class One:
+class ScheduledMember:
     """A sidecar that looks whenever it is due, with a time that is right unless told otherwise."""
 
     def __init__(self, *windows: PlanWindow) -> None:
@@ -57,7 +57,7 @@
         self.due = update.due
         return update
 
-    def run(self, until: float) -> One:
+    def run(self, until: float) -> ScheduledMember:
         while self.due <= until:
             self.poll(self.due)
         return self
@@ -67,7 +67,7 @@
 
 
 def test_it_enters_and_leaves_by_the_calendar_with_few_polls() -> None:
-    one = One(window("w", 30, 10))
+    one = ScheduledMember(window("w", 30, 10))
     assert one.run(100).changes == [(0, BASE), (30, INSIDE), (40, BASE)]
     assert [fields["late_s"] for fields in one.events("window-left")] == [0.0]
     polls = [0.0]
@@ -77,7 +77,7 @@
 
 
 def test_who_starts_in_a_window_is_in_it_before_it_is_ready() -> None:
-    one = One(window("w", -10, 100))
+    one = ScheduledMember(window("w", -10, 100))
     one.uncertain = inf
     one.run(START_SECONDS - 1)
     assert not one.edges.is_ready and not one.changes
@@ -87,7 +87,7 @@
 
 
 def test_who_starts_without_the_time_serves_the_base_says_so_and_enters_once_it_knows() -> None:
-    one = One(window("w", -10, 100))
+    one = ScheduledMember(window("w", -10, 100))
     one.uncertain = inf
     one.run(START_SECONDS + 1)
     assert one.edges.is_ready and one.changes == [(START_SECONDS, BASE)]
@@ -98,7 +98,9 @@
 
 
 def test_cut_off_follow_goes_on_and_hold_enters_only_what_was_confirmed_within_the_lease() -> None:
-    one = One(window("f", 30, 10), window("h", 50, 10, "hold"), window("later", 70, 10, "hold", priority=1))
+    one = ScheduledMember(
+        window("f", 30, 10), window("h", 50, 10, "hold"), window("later", 70, 10, "hold", priority=1)
+    )
     one.confirmed = 50 - CONFIRMATION_SECONDS + 0.1
     one.run(100)
     assert [fields["window"] for fields in one.events("window-entered")] == ["f", "h"]
@@ -109,7 +111,7 @@
 
 
 def test_a_member_confirmed_again_enters_late_and_completely() -> None:
-    one = One(window("h", 30, 60, "hold", ramp=Ramp(steps=3, every=5.0)))
+    one = ScheduledMember(window("h", 30, 60, "hold", ramp=Ramp(steps=3, every=5.0)))
     one.confirmed = 5
     one.run(50)
     assert one.changes == [(0, BASE)]
@@ -119,7 +121,7 @@
 
 
 def test_unsure_it_enters_nothing_and_leaves_at_the_close() -> None:
-    one = One(window("w", 10, 30), window("v", 50, 10))
+    one = ScheduledMember(window("w", 10, 30), window("v", 50, 10))
     one.run(20)
     one.uncertain = 0.3
     one.run(100)
@@ -128,7 +130,9 @@
 
 
 def test_a_member_that_was_delayed_takes_all_missed_steps_together() -> None:
-    one = One(window("w", 30, 100, ramp=Ramp(steps=5, every=4.0)), window("missed", 20, 5, priority=1))
+    one = ScheduledMember(
+        window("w", 30, 100, ramp=Ramp(steps=5, every=4.0)), window("missed", 20, 5, priority=1)
+    )
     one.run(19)
     one.due = 39.0
     one.run(39)
@@ -136,7 +140,7 @@
 
 
 def test_a_change_inside_the_lead_takes_effect_after_it_and_says_so() -> None:
-    one = One(window("old", 12, 20))
+    one = ScheduledMember(window("old", 12, 20))
     one.run(10)
     one.edges.plan_committed(10.0, 2, table(window("new", 16, 60, weights={"c": 1})), T0 + 10)
     one.run(100)
@@ -145,7 +149,7 @@
 
 
 def test_two_plans_within_one_lead_come_into_force_one_after_the_other() -> None:
-    one = One()
+    one = ScheduledMember()
     one.run(10)
     for number, at in ((2, 10.0), (3, 14.0), (2, 15.0)):
         weights = {"r": {str(number): 1}}
@@ -157,7 +161,7 @@
 
 
 def test_a_wrongly_reported_commit_delays_no_plan_for_longer_than_a_lead() -> None:
-    one = One()
+    one = ScheduledMember()
     one.run(10)
     made = table()
     made.base = {"r": {"c": 1}}
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize(("size", "delay", "aim"), [(200, 0.0005, 0.05), (60, 0.1, 0.15)])
-def test_all_enter_and_leave_within_the_target(size: int, delay: float, aim: float) -> None:
+def test_all_enter_and_leave_within_the_target(size: int, delay: float, target: float) -> None:
     """Every other one is delayed on the way there only, the others on the way back: the worst there is."""
     world = World(size, State(delay=0.0005, jitter=0.0005), opens=14.0)
     voters = ["n0", "n1", "n2"]
@@ -252,7 +252,7 @@
     assert len(world.entered()) == len(world.left()) == size
     for found, wanted in ((world.entered(), 14.0), (world.left(), 19.0)):
         print(f"{size} members: spread {max(found) - min(found):.4f} s, at {min(found) - wanted:+.4f} s")
-        assert max(found) - min(found) < aim and abs(min(found) - wanted) < 0.1
+        assert max(found) - min(found) < target and abs(min(found) - wanted) < 0.1
 
 
 ends = st.floats(0, 10)
--- a/tests/skew/test_messages.py
+++ b/tests/skew/test_messages.py
@@ -64,9 +64,9 @@
 
 
 def test_a_message_of_a_later_program_is_read_for_its_known_fields() -> None:
-    words: msgspec.msgpack.Decoder[AnySkewMessage] = msgspec.msgpack.Decoder(AnySkewMessage)
+    decoder: msgspec.msgpack.Decoder[AnySkewMessage] = msgspec.msgpack.Decoder(AnySkewMessage)
     own = msgspec.msgpack.decode(msgspec.msgpack.encode(CapabilityResponse(7, 5, CAPABILITIES)))
     own[-1].append("what comes after the versions")
-    assert words.decode(msgspec.msgpack.encode([*own, "and after the abilities"])) == CapabilityResponse(
+    assert decoder.decode(msgspec.msgpack.encode([*own, "and after the abilities"])) == CapabilityResponse(
         7, 5, CAPABILITIES
     )
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -24,6 +24,13 @@
     return {**valid, **changes}
 
 
+def write_platform_config(folder: Path, **changes: Any) -> Path:
+    """Write a valid configuration with these keys changed into a folder, and return its file."""
+    file = folder / "c.json"
+    file.write_text(json.dumps(platform_config(**changes)), encoding="utf-8")
+    return file
+
+
 @contextmanager
 def running_process(
     tmp_path: Path,
@@ -35,14 +42,13 @@
     **changes: Any,
 ) -> Iterator[subprocess.Popen[str]]:
     """Run the program with this text as its operators' file; it is killed at the end."""
-    config = platform_config(**{"name": "n 3", **changes})
-    (tmp_path / "c.json").write_text(json.dumps(config), encoding="utf-8")
+    config = write_platform_config(tmp_path, **{"name": "n 3", **changes})
     (tmp_path / "o").write_text(operators, encoding="utf-8")
     with subprocess.Popen(
         [sys.executable, *python, "-m", "wheatring", "--operators", str(tmp_path / "o")]
         + ["--capture"] * capture
         + list(arguments),
-        env={**os.environ, "LB_CONFIG": str(tmp_path / "c.json")},
+        env={**os.environ, "LB_CONFIG": str(config)},
         stdout=subprocess.PIPE,
         stderr=stderr,
         text=True,
--- a/tests/support/virtual_sockets.py
+++ b/tests/support/virtual_sockets.py
@@ -53,7 +53,7 @@
         self.time = VirtualTime(ties=Random(1))
         self.net = Network(self.time, NetPlan(), Random(1), epoch=time.time())
         self.reactor = self.net.process("sidecar", HOST)
-        self.story = self.net.process("story", HOST)
+        self.test_process = self.net.process("story", HOST)
         self.unix = self.reactor.unix
 
     def run(self, call: Callable[[], T]) -> T:
@@ -93,6 +93,6 @@
         return [bool(listener.socket.queue) for listener in listeners].index(True)
 
     def _socket(self) -> Socket:
-        socket = Socket(self.story)
-        self.story.opened(socket)
+        socket = Socket(self.test_process)
+        self.test_process.opened(socket)
         return socket
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -17,11 +17,13 @@
 from contextlib import suppress
 from typing import Any, TypeVar
 
+import pytest
 from twisted.internet import reactor as installed
 from twisted.internet.threads import blockingCallFromThread
 
 from tests.support.virtual_sockets import VirtualSockets
 from wheatring import log
+from wheatring.balancer import balancer
 from wheatring.config.platform_file import PlatformConfig, read_settings
 from wheatring.daemon.sidecar import Sidecar
 from wheatring.operator_properties import OperatorProperties
@@ -286,5 +288,15 @@
             peer.close()
 
 
+def keep_scripted_peers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Prepare for worlds: no scripted peer is given up, and the log is put back at the end of the test.
+
+    On a busy machine a peer that has answered quickly once would soon be given up. Each world sets a log line
+    of its own.
+    """
+    monkeypatch.setattr(balancer, "PATIENCE_DEVIATIONS", 1e9)
+    monkeypatch.setattr(log, "line", log.line)
+
+
 def list_body(generation: int, *instances: object, reset: bool = False) -> bytes:
     return json.dumps({"generation": generation, "reset": reset, "instances": instances}).encode()
--- a/tests/system/drawn_settings.py
+++ b/tests/system/drawn_settings.py
@@ -37,27 +37,27 @@
     plan: Plan
     beside: dict[str, Any]  # settings of which the lab knows nothing, by path/to/key
 
-    def told(self, plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
+    def configuration(self, plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
         """Return the configuration of a sidecar of this day, in the platform's form."""
-        told = SETTINGS(plan, tier, number, copies)
+        configuration = SETTINGS(plan, tier, number, copies)
         for path, value in self.beside.items():
             *outer, key = path.split("/")
-            inner: Any = told
+            inner: Any = configuration
             for step in outer:
                 inner = inner[int(step)] if isinstance(inner, list) else inner.setdefault(step, {})
             inner[key] = value
-        if told["discovery"] == "pushed":
-            del told["contract"]["must_ask_in"]  # the pages give it only where discovery is asked
-        return told
+        if configuration["discovery"] == "pushed":
+            del configuration["contract"]["must_ask_in"]  # the pages give it only where discovery is asked
+        return configuration
 
     def play(self, grain: str, tracing: Tracing | None = None) -> Outcome:
-        with patch.object(sidecar_slots, "sidecar_settings", self.told):
+        with patch.object(sidecar_slots, "sidecar_settings", self.configuration):
             return play(self.plan, grain, tracing)
 
     def read(self, folder: Path) -> platform_file.PlatformConfig:
         """Read the same through the file that a process is given."""
-        told = self.told(self.plan, 0, 0, len(self.plan.sidecars))
-        data = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": told}
+        configuration = self.configuration(self.plan, 0, 0, len(self.plan.sidecars))
+        data = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": configuration}
         (folder / "c.json").write_text(json.dumps(data), encoding="utf-8")
         return platform_file.read({"LB_CONFIG": str(folder / "c.json")})
 
--- a/tests/system/test_cold_processes.py
+++ b/tests/system/test_cold_processes.py
@@ -18,10 +18,10 @@
 CALLERS = 2  # of each sidecar
 RATE = CALLERS * sum(1 / gap for gap in GAPS) / (WARM + 1)  # calls a second: together they can do all at most
 FROM, COLD, MULTIPLE = 0.13, 24.0, 2.5  # as in the lab's settings; the window is a second
-ASKED = (150, 400, 900)  # answers by the end of each part of the story
+ASKED = (150, 400, 900)  # answers by the end of each part of the run
 
 
-class Story:
+class ColdEndpointRun:
     """The warm ones serve; then every second call fails there; at last they refuse. The cold one serves."""
 
     def __init__(self) -> None:
@@ -112,11 +112,11 @@
 
 
 def test_real_processes_send_a_cold_endpoint_no_more_than_its_budget(tmp_path: Path) -> None:
-    story = Story()
-    story.play(tmp_path)
+    run = ColdEndpointRun()
+    run.play(tmp_path)
     worst = 0.0  # calls in a window, as a part of the bound
-    for number, now in enumerate(story.arrived, 1):
-        count = sum(at > now - 1 for at in story.arrived[:number])
-        budget = MULTIPLE * RATE * (FROM + (1 - FROM) * min(1.0, (now - story.started) / COLD))
+    for number, now in enumerate(run.arrived, 1):
+        count = sum(at > now - 1 for at in run.arrived[:number])
+        budget = MULTIPLE * RATE * (FROM + (1 - FROM) * min(1.0, (now - run.started) / COLD))
         worst = max(worst, count / (budget + 2 * sqrt(budget) + 2))
     assert 0 < worst <= 1
--- a/tests/system/test_process.py
+++ b/tests/system/test_process.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.support.process import platform_config, running_process, wait_for_line
+from tests.support.process import platform_config, running_process, wait_for_line, write_platform_config
 from tests.support.world import SETTINGS, WAIT_LIMIT_SECONDS, Peer, Wire, entry, list_body
 from wheatring import commands, lazy_imports
 from wheatring.__main__ import main, parse_simple
@@ -24,11 +24,10 @@
 def test_on_sigterm_it_answers_what_it_has_accepted_and_then_ends(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    data = platform_config(known=known, discovery=f"127.0.0.1:{discovery.port}")
-    (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
+    config = write_platform_config(tmp_path, known=known, discovery=f"127.0.0.1:{discovery.port}")
     with subprocess.Popen(
         [sys.executable, "-m", "wheatring"],
-        env={**os.environ, "LB_CONFIG": str(tmp_path / "c.json"), "LB_NAME": "n2"},
+        env={**os.environ, "LB_CONFIG": str(config), "LB_NAME": "n2"},
         stdout=subprocess.PIPE,
         text=True,
     ) as process:
@@ -119,8 +118,8 @@
 
 
 def test_on_sighup_it_moves_to_the_new_discovery_and_survives_a_broken_file(tmp_path: Path) -> None:
-    old, new, file = Peer(), Peer(), tmp_path / "c.json"
-    file.write_text(json.dumps(platform_config(discovery="127.0.0.1:9")), encoding="utf-8")
+    old, new = Peer(), Peer()
+    file = write_platform_config(tmp_path, discovery="127.0.0.1:9")
     with subprocess.Popen(
         [sys.executable, "-m", "wheatring"],
         env={**os.environ, "LB_CONFIG": str(file), "LB_DISCOVERY": f"127.0.0.1:{old.port}"},
@@ -177,8 +176,7 @@
     key: str, changes: dict[str, Any], tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:  # fmt: skip
-    (tmp_path / "c.json").write_text(json.dumps(platform_config(**changes)), encoding="utf-8")
-    monkeypatch.setenv("LB_CONFIG", str(tmp_path / "c.json"))
+    monkeypatch.setenv("LB_CONFIG", str(write_platform_config(tmp_path, **changes)))
     assert main([]) == 2
     out, err = capsys.readouterr()
     assert out == "" and err.count("\n") == 1
@@ -186,8 +184,8 @@
 
 
 def test_the_environment_stands_over_the_file_and_names_keep_their_units(tmp_path: Path) -> None:
-    (tmp_path / "c.json").write_text(json.dumps(platform_config()), encoding="utf-8")
-    read = platform_file.read({"LB_CONFIG": str(tmp_path / "c.json"), "LB_LISTEN": "127.0.0.2:81"})
+    config = write_platform_config(tmp_path)
+    read = platform_file.read({"LB_CONFIG": str(config), "LB_LISTEN": "127.0.0.2:81"})
     assert (read.listen, read.discovery) == (("127.0.0.2", 81), ("127.0.0.1", 9))
     assert read.seed == 0x8C1F30D27A5BE964
     assert read.settings.limits.connect_timeout == 20.0
--- a/tests/system/test_start.py
+++ b/tests/system/test_start.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.process import platform_config, wait_for_line
+from tests.support.process import wait_for_line, write_platform_config
 from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, entry
 from wheatring import lazy_imports
 
@@ -56,9 +56,8 @@
 def test_a_start_loads_little_reads_little_and_leaves_asleep_what_service_never_uses(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    data = platform_config(known=known, discovery=f"127.0.0.1:{discovery.port}")
-    (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
-    environment = {**os.environ, "LB_CONFIG": str(tmp_path / "c.json"), "TMPDIR": str(tmp_path)}
+    config = write_platform_config(tmp_path, known=known, discovery=f"127.0.0.1:{discovery.port}")
+    environment = {**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(tmp_path)}
     pipes: dict[str, Any] = {"stdout": subprocess.PIPE, "stderr": subprocess.PIPE, "text": True}
     with subprocess.Popen([sys.executable, "-c", TELLING], cwd=ROOT, env=environment, **pipes) as process:
         try:
--- a/tests/test_operator_properties.py
+++ b/tests/test_operator_properties.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-import json
 import signal
 import subprocess
 from pathlib import Path
 
 import pytest
 
-from tests.support.process import platform_config, running_process, wait_for_line
+from tests.support.process import running_process, wait_for_line, write_platform_config
 from tests.support.world import WAIT_LIMIT_SECONDS
 from wheatring import operator_properties
 from wheatring.__main__ import main
@@ -43,9 +42,8 @@
 def test_a_wrong_file_ends_it_with_one_line_that_names_the_key(
     key: str, text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    (tmp_path / "c.json").write_text(json.dumps(platform_config()), encoding="utf-8")
     (tmp_path / "o").write_text(text, encoding="utf-8")
-    monkeypatch.setenv("LB_CONFIG", str(tmp_path / "c.json"))
+    monkeypatch.setenv("LB_CONFIG", str(write_platform_config(tmp_path)))
     assert main(["--operators", str(tmp_path / "o")]) == 2
     out, err = capsys.readouterr()
     assert out == "" and err.startswith(f"wheatring: {key}: ") and err.count("\n") == 1
--- a/tests/tier/test_command_line.py
+++ b/tests/tier/test_command_line.py
@@ -16,7 +16,7 @@
 from wheatring.boot_settings.settings import read_settings
 from wheatring.tier.__main__ import main
 
-SOUND: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "node": "n1",
     "ip": "10.0.0.1",
     "zone": "z",
@@ -47,7 +47,7 @@
 
 def test_valid_settings_are_read(tmp_path: Path) -> None:
     path = tmp_path / "local.json"
-    path.write_text(json.dumps(SOUND), encoding="utf-8")
+    path.write_text(json.dumps(VALID), encoding="utf-8")
     settings = read_settings(str(path))
     assert settings.controller_port == 7000 and settings.storage_port == 7001
     assert settings.tolerance.losses == 1 and settings.grace_seconds == 8.0 and settings.drain_seconds == 3.0
@@ -58,7 +58,7 @@
     tmp_path: Path, key: str, value: object, what: str
 ) -> None:
     path = tmp_path / "local.json"
-    path.write_text(json.dumps(SOUND | {key: value}), encoding="utf-8")
+    path.write_text(json.dumps(VALID | {key: value}), encoding="utf-8")
     with pytest.raises(SettingsError) as told:
         read_settings(str(path))
     text = str(told.value)
