--- a/tests/lab/direct/test_direct.py
+++ b/tests/lab/direct/test_direct.py
@@ -68,7 +68,7 @@
         (lambda _world: None, Outcome.TIMED_OUT, 2.0, 1),  # it hangs
     ],
 )
-def test_each_end_of_a_claim(
+def test_each_end_of_an_attempt(
     set_up: Callable[[World], None], outcome: Outcome, after: float, arrived: int
 ) -> None:
     world = World()
@@ -95,7 +95,7 @@
     )
 
 
-def test_a_node_that_dies_resets_what_it_holds_and_what_is_on_the_way() -> None:
+def test_a_node_that_dies_resets_open_connections_and_pending_connects() -> None:
     world = World()
     world.ask("a")
     world.ask("b")
@@ -110,7 +110,7 @@
     assert world.machine.connections == 0 and not world.sidecar.pool.connections
 
 
-def test_a_claim_that_is_given_up_closes_its_connection_and_leaves_the_node() -> None:
+def test_an_attempt_that_is_given_up_closes_its_connection_and_leaves_the_node() -> None:
     world = World()
     world.ask()
     world.time.play(4 * LINK)
@@ -145,7 +145,9 @@
     assert len(world.machine.attempts) == 2 and world.machine.gone == world.machine.attempts[1:]
 
 
-def test_a_claim_whose_caller_left_in_its_connect_is_never_written_and_the_connection_is_kept() -> None:
+def test_an_attempt_whose_caller_left_during_the_connect_is_never_written_and_the_connection_is_kept() -> (
+    None
+):
     world = World()
     asked = world.ask()
     world.time.play(LINK)
@@ -236,7 +238,7 @@
     assert kinds == [("s", "a", "served", "stamp", 0.0), ("s", "b", "failed", "", 0.0)]
 
 
-def test_a_sidecar_told_to_stop_takes_what_still_arrives_and_ends_when_nothing_is_open() -> None:
+def test_a_stopping_sidecar_accepts_what_still_arrives_and_ends_when_nothing_is_open() -> None:
     world = World()
     world.ask("a")
     world.time.play(0.1)
@@ -275,7 +277,7 @@
     assert world.replies[3:] == [("served", 0.0)]
 
 
-def test_more_callers_than_places_wait_at_the_door() -> None:
+def test_more_callers_than_the_sidecar_may_accept_wait_in_the_backlog() -> None:
     world = World()
     world.sidecar.max_in_flight = 1
     first = world.ask("a")
@@ -326,7 +328,7 @@
     )
 
 
-def test_the_machine_list_watches_moves_on_and_begins_again_after_a_failure() -> None:
+def test_the_endpoint_list_is_watched_from_version_to_version_and_requested_again_after_a_failure() -> None:
     world = World()
     calls = world.registry.calls
     world.time.play(10.0)
--- a/tests/lab/models/test_clients.py
+++ b/tests/lab/models/test_clients.py
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("index", range(3))
 @pytest.mark.parametrize("kind", list(REPEATED))
-def test_a_client_repeats_what_its_class_allows(kind: RequestOutcome, index: int) -> None:
+def test_a_client_retries_what_its_class_allows(kind: RequestOutcome, index: int) -> None:
     plan = ClientPlan(retries=1, marks_retry=True)
     made, book, way, time = clients(plan, (kind, 0.0, 0.5), ("served", 0.0, 0.1))
     made.arrive(Origin(7, index, 0.1, "k"))
@@ -101,7 +101,7 @@
     assert book.lines == [("asked", 7, index), ("settled", 7, end, 1 + again)] and made.open_count == 0
 
 
-def test_a_try_has_its_part_of_the_time_left_and_the_last_one_all_of_it() -> None:
+def test_a_try_has_its_share_of_the_remaining_time_and_the_last_one_all_of_it() -> None:
     made, book, way, time = clients(ClientPlan(retries=2, try_share=0.5))
     made.arrive(Origin(1, 0, 0.1, ""))
     time.play()
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize(("index", "tries"), [(1, 1), (2, 1)])
-def test_out_of_time_is_repeated_only_where_that_is_safe_or_in_its_window(index: int, tries: int) -> None:
+def test_a_time_out_is_retried_only_where_that_is_idempotent_or_in_its_window(index: int, tries: int) -> None:
     made, book, _, time = clients(ClientPlan(retries=2, try_share=0.5))
     made.arrive(Origin(1, index, 0.1, "k"))  # the try lasts 3 s, the window 1 s
     time.play()
@@ -254,7 +254,7 @@
     assert cv == pytest.approx(0.0 if dist == "fixed" else 0.5, abs=0.1)
 
 
-def test_the_front_notices_the_dead_late_and_admits_the_living_again() -> None:
+def test_the_front_load_balancer_notices_dead_sidecars_late_and_uses_restarted_ones_again() -> None:
     time = Time()
     front = FrontLoadBalancer(time, Random(1), 2.0)
     assert front.pick() is None
--- a/tests/lab/models/test_discovery.py
+++ b/tests/lab/models/test_discovery.py
@@ -56,7 +56,7 @@
     return None if answer is None else {line.node.name: line.state for line in answer.entries}
 
 
-def test_news_are_late_by_what_they_are_and_come_at_multiples_of_the_period() -> None:
+def test_updates_are_late_by_their_kind_and_come_at_multiples_of_the_period() -> None:
     town = Town(add=0.3, notice=1.0, silent_notice=8.0, spread=0.2)
     registry = town.registry
     registry.node_started("n0", 100.0)
@@ -89,7 +89,7 @@
     assert {len(states(answer) or {}) for _, _, answer in town.answers} == {1, 2}
 
 
-def test_a_node_that_is_back_is_not_struck_off_by_older_news() -> None:
+def test_a_restarted_node_is_not_removed_by_older_updates() -> None:
     town = Town(add=0.2, notice=2.0, silent_notice=8.0)
     town.registry.node_vanished("n0")
     town.registry.node_ended("n1")
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_changes_add_up_to_the_whole_list_of_each_version(seed: int) -> None:
+def test_changes_add_up_to_the_full_list_of_each_version(seed: int) -> None:
     """The oracle holds what the book was told to be known; who applies answers must hold the same."""
     town = Town(nodes=6, kept=4, seed=seed, spread=0.2, notice=0.4, add=0.6, silent_notice=1.5, timeout=30.0)
     draw, registry = Random(seed), town.registry
@@ -235,7 +235,7 @@
     assert [who for _, who, _ in town.answers] == ["open", "in turn", "in line"]
 
 
-def test_slow_ones_multiply() -> None:
+def test_slow_faults_multiply() -> None:
     town = Town(call_lines=97.0)  # 0.1 s
     ends = [town.registry.begin_fault("slow", 3.0), town.registry.begin_fault("slow", 2.0)]
     for _ in range(3):
@@ -246,7 +246,7 @@
     assert [round(at % 2, 6) for at, *_ in town.answers] == [0.6, 0.2, 0.1]
 
 
-def test_stale_tells_what_it_knew_and_catches_up_after_it() -> None:
+def test_a_stale_discovery_answers_from_the_past_and_catches_up_afterwards() -> None:
     town = Town()
     over = [town.registry.begin_fault("stale"), town.registry.begin_fault("stale")]
     town.registry.node_ended("n0")
@@ -266,7 +266,7 @@
     assert told[-3:] == [("n0", "gone"), ("n1", "ready"), ("n2", "ready")]
 
 
-def test_lies_strike_off_others_by_turns_and_are_taken_back() -> None:
+def test_false_removals_take_out_others_by_turns_and_are_reverted() -> None:
     town = Town(nodes=6)
     over = town.registry.begin_fault("lies", 0.34)
     struck = []
--- a/tests/lab/models/test_machine.py
+++ b/tests/lab/models/test_machine.py
@@ -39,7 +39,7 @@
     return EventPlan(at=0.0, kind=kind, size=size, extra=extra)
 
 
-def test_what_finds_no_room_is_turned_away_and_the_rest_waits_its_turn() -> None:
+def test_what_exceeds_the_capacity_is_rejected_and_the_rest_is_queued() -> None:
     world = World(cores=1, slots=1, queue=1)
     for name in "abc":
         world.send(name, 1.0)
@@ -81,7 +81,9 @@
     ("passes", "left", "told"),
     [(True, 3.0, [2.5]), (True, 0.0, [5.5]), (False, 3.0, [6.0]), (True, 0.5, []), (False, 0.4, [6.0])],
 )
-def test_calls_carry_what_is_left_or_the_whole_deadline(passes: bool, left: float, told: list[float]) -> None:
+def test_calls_carry_the_remaining_time_or_the_whole_deadline(
+    passes: bool, left: float, told: list[float]
+) -> None:
     under = Under()
     world = World(below=under, calls=1.0, passes_deadline=passes)
     world.send("a", 1.0, left=left)
@@ -108,7 +110,7 @@
     assert sqrt(sum((work - mean) ** 2 for work in works) / 4000) / mean == pytest.approx(0.5, rel=0.1)
 
 
-def test_work_for_a_caller_that_has_gone_is_done_and_told_but_not_answered() -> None:
+def test_work_for_a_caller_that_has_gone_is_done_and_recorded_but_not_answered() -> None:
     world = World(cores=1, slots=1, queue=2)
     a, b, c = (world.send(name, 1.0) for name in "abc")
     for attempt in (a, b, a):
@@ -120,7 +122,7 @@
     assert len(world.noted.of("ended")) == 3 and len(world.noted.of("made")) == 1
 
 
-def test_too_much_held_makes_all_of_it_cost_more() -> None:
+def test_too_many_requests_in_flight_make_all_of_them_cost_more() -> None:
     world = World(cores=1, slots=9, thrash=0.5, knee=2)
     for name in "abcd":
         world.send(name, 1.0)
@@ -130,7 +132,7 @@
     assert world.run(19.0) == [(10.0, "e", SERVED)]
 
 
-def test_a_process_that_ends_forgets_all_and_tells_the_work_it_did() -> None:
+def test_a_process_that_ends_forgets_all_and_records_the_work_it_did() -> None:
     under = Under()
     world = World(cores=1, slots=2, queue=9, below=under, calls=1.0, tier={"choke": CHOKE})
     world.send("calls", 1.0)
@@ -170,7 +172,7 @@
         ([(0.0, 9.0), (0.5, 3.0), (0.9, 1.9), (1.1, 3.2), (1.2, 0.2)], True),
     ],
 )
-def test_a_cold_process_is_pushed_over_by_more_than_its_multiple(
+def test_a_cold_process_is_overloaded_by_more_than_its_multiple(
     offers: list[tuple[float, float]], falls: bool
 ) -> None:
     pressure = OverloadDetector(RULES)
@@ -178,7 +180,7 @@
     assert told == [False] * (len(offers) - 1) + [falls]
 
 
-def test_a_fallen_machine_stays_down_and_what_it_turned_away_pressed_too() -> None:
+def test_a_crashed_machine_stays_down_and_what_it_rejected_counts_as_load_too() -> None:
     world = World(cores=1, slots=1, queue=0, cold_from=0.2, cold=20.0, cold_start=True)
     fell: list[float] = []
     world.machine.on_crash = lambda: fell.append(world.time.now())
@@ -193,7 +195,7 @@
     assert len(world.noted.of("ended")) == 8 and ("note", "fell", "n1", 2) in world.noted.told
 
 
-def test_a_machine_warms_evenly_and_no_longer_falls_once_warm() -> None:
+def test_a_machine_warms_up_evenly_and_no_longer_crashes_once_warm() -> None:
     world = World(cores=1, slots=1, queue=0, cold_from=0.2, cold=20.0, cold_start=True, start=100.0)
     capacity = world.noted.of("node_up")[0][1]
     world.send("a", 6.0)  # 0.2 t + 0.02 t^2 = 6
@@ -235,7 +237,7 @@
 CHOKE = ChokePlan(at=1.0, over=2.0, slower=4.0, rest=3.0, below=0.4, most=20.0)
 
 
-def test_a_crowded_machine_chokes_until_it_has_rested() -> None:
+def test_an_overloaded_machine_chokes_until_it_has_rested() -> None:
     world = World(cores=2, slots=99, tier={"choke": CHOKE})
 
     def crowd(count: int, work: float) -> None:
@@ -266,7 +268,7 @@
     assert (at(45.99), at(57.1), len(world.noted.of("choked"))) == (2.0, 0.5, 4)
 
 
-def test_pauses_take_their_share_and_nothing_is_said_meanwhile() -> None:
+def test_pauses_take_their_share_and_nothing_is_sent_meanwhile() -> None:
     world = World(cores=1, slots=1, queue=0, pause_every=1.0, pause=0.25, pause_grow=1.0)
     world.send("a", 2000.0)
     for i in range(1, 1000):
@@ -297,7 +299,7 @@
     assert machine.connect() is not None
 
 
-def test_troubles_overlap_and_outlive_the_process() -> None:
+def test_faults_overlap_and_outlive_the_process() -> None:
     world = World(cores=1)
     faults = world.machine.faults
     events = [
@@ -360,7 +362,7 @@
         ("resets", RESET, 0.65, 0.3, 0.05),
     ],
 )
-def test_shares_of_overlapping_troubles_join(
+def test_shares_of_overlapping_faults_combine(
     kind: EventKind, verdict: AttemptOutcome, both: float, one: float, works: float
 ) -> None:
     world = World(cores=4000, slots=4000, error_rate=0.1)
@@ -400,7 +402,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_whatever_happens_each_visit_ends_once_and_all_work_is_told(seed: int) -> None:
+def test_whatever_happens_each_attempt_ends_once_and_all_work_is_recorded(seed: int) -> None:
     random = Random(seed)
 
     def below(_attempt: ReceivedAttempt, _left: float, done: Callable[[bool], None]) -> None:
--- a/tests/lab/rules/test_figures.py
+++ b/tests/lab/rules/test_figures.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_figures_are_what_a_slow_reckoning_gives(seed: int) -> None:
+def test_figures_are_what_a_slow_computation_gives(seed: int) -> None:
     day, desk = a_day(seed), Desk()
     classes = desk.plan.classes
     events = sorted(
--- a/tests/lab/rules/test_random_histories.py
+++ b/tests/lab/rules/test_random_histories.py
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("spoil", SPOILS)
-def test_each_way_to_spoil_one_is_found(spoil: str) -> None:
+def test_each_way_to_spoil_a_history_is_found(spoil: str) -> None:
     found: set[str] = set()
     for seed in range(4):
         found |= {breach.rule for breach in play(seed, spoil).breaches}
@@ -59,7 +59,7 @@
     assert texts[0] == texts[1] != texts[2] and texts[0][1] != texts[2][1]
 
 
-def test_a_trace_of_one_request_holds_its_family_from_the_start_on() -> None:
+def test_a_trace_of_one_request_holds_all_requests_that_it_caused_from_the_start_on() -> None:
     file = StringIO()
     family = {"r": 1, "call": 1, "other": 2}.get
     desk = Desk(trace=Trace(START, file, ["call"], family), family=family)
@@ -84,7 +84,7 @@
     ]
 
 
-def test_a_breach_says_how_to_play_it_again() -> None:
+def test_a_breach_says_how_to_replay_it() -> None:
     desk = Desk()
     desk.take()
     desk.at(7).answer()
--- a/tests/lab/rules/test_rules.py
+++ b/tests/lab/rules/test_rules.py
@@ -382,7 +382,7 @@
     assert Desk().broken(**{name: count}) == rules
 
 
-def test_what_is_in_hand_is_not_left_over() -> None:
+def test_what_is_in_flight_is_not_left_over() -> None:
     desk = Desk()
     desk.at(1).take(deadline=7)
     desk.answer()  # an attempt may go on until its time is over
@@ -390,7 +390,7 @@
     assert desk.at(7.08).broken(claims=1) == {"leftover"}
 
 
-def test_what_can_not_be_is_refused() -> None:
+def test_impossible_events_are_rejected() -> None:
     desk = Desk()
     desk.take()
     with pytest.raises(MisuseError, match="taken again"):
--- a/tests/lab/scenario/test_draw.py
+++ b/tests/lab/scenario/test_draw.py
@@ -86,7 +86,7 @@
     return dict(leaves(msgspec.to_builtins(draw(parse(toml(raw), "day", "day.toml"), 3))))
 
 
-def test_to_change_a_key_moves_no_other_draw() -> None:
+def test_changing_a_key_changes_no_other_draw() -> None:
     before = leaves_with("title", "t")
     moving = 0
     for path, choices in DRAWN:
@@ -101,7 +101,7 @@
     assert moving > 80
 
 
-def test_an_event_more_moves_no_other_event() -> None:
+def test_an_additional_event_changes_no_other_event() -> None:
     flap = {
         "kind": "hang",
         "tier": "far",
@@ -127,7 +127,7 @@
 
 @settings(derandomize=True)
 @given(st.integers(0, 3000), st.lists(st.floats(0.01, 10), min_size=1, max_size=6))
-def test_what_is_dealt_adds_up_and_is_near_its_share(total: int, shares: list[float]) -> None:
+def test_apportioned_parts_add_up_and_are_near_their_share(total: int, shares: list[float]) -> None:
     parts = apportion(total, shares)
     assert sum(parts) == total
     assert all(abs(part - total * s / sum(shares)) < 1 for part, s in zip(parts, shares, strict=True))
@@ -227,13 +227,13 @@
     assert [event.replaced_by for event in plan.events] == [f"{e.nodes[0]}.2" for e in plan.events]
 
 
-def test_a_flap_strikes_the_same_and_anew_strikes_others() -> None:
+def test_a_flap_hits_the_same_nodes_and_a_new_one_hits_others() -> None:
     flap = {"kind": "hang", "tier": "far", "count": 1, "at": 1, "length": 1, "every": 3, "times": 15}
     assert len({event.nodes for event in planned(flap).events}) == 1
     assert len({event.nodes for event in planned(flap | {"anew": True}).events}) > 3
 
 
-def test_who_has_ended_is_not_struck_again() -> None:
+def test_an_ended_node_is_not_hit_by_another_fault() -> None:
     kill = {"kind": "kill", "nodes": ["near-1"], "at": 1}
     with pytest.raises(ScenarioError, match=r"^good.toml: event.slow.nodes: near-1 does not run at 2 s, is "):
         planned(kill, {"kind": "slow", "nodes": ["near-1", "near-2"], "at": 2, "size": 2})
--- a/tests/lab/scenario/test_load.py
+++ b/tests/lab/scenario/test_load.py
@@ -134,7 +134,7 @@
         ("tier.near.work", [0.1, float("inf")], ""),
     ],
 )
-def test_parts_that_do_not_agree_are_told(path: str, value: object, named: str) -> None:
+def test_contradictory_parts_are_reported(path: str, value: object, named: str) -> None:
     raw = good()
     put(raw, "tier.far.kind.fast.cold", 5)
     put(raw, "tier.far.kind.fast.cold_from", 0.5)
@@ -198,7 +198,7 @@
             assert faults(good(left)) == [f"bad.toml: event.{kind}.{key}: missing: {kind} needs it"]
 
 
-def test_states_of_discovery_may_not_overlap_and_all_faults_are_told() -> None:
+def test_states_of_discovery_may_not_overlap_and_all_errors_are_reported() -> None:
     down = {"kind": "discovery_down", "at": [5, 8], "length": 4}
     silent = {"kind": "discovery_silent", "at": 11, "length": 4}
     late = {"kind": "discovery_down", "name": "late", "at": 15, "length": 4}
@@ -208,7 +208,7 @@
     assert len(faults(raw)) == 2
 
 
-def test_a_scenario_is_laid_over_the_one_that_it_extends() -> None:
+def test_a_scenario_overrides_the_one_that_it_extends() -> None:
     text = """
         title = "Mine"
         what = "Mine."
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize("content", [b"title = ", b"\xff", None, b'extends = "self"'])
-def test_a_file_that_can_not_be_read_is_one_line_and_status_2(
+def test_an_unreadable_file_is_reported_on_one_line_with_status_2(
     content: bytes | None, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "mine.toml"
@@ -243,7 +243,7 @@
     assert out == "" and err.startswith(f"{path}: ") and err.count("\n") == 1
 
 
-def test_check_tells_of_each_file_and_finds_what_only_a_draw_shows(
+def test_check_reports_on_each_file_and_finds_what_only_a_draw_shows(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     raw = good(
--- a/tests/lab/study/test_commands.py
+++ b/tests/lab/study/test_commands.py
@@ -30,7 +30,7 @@
     return commands.run(args)
 
 
-def test_a_sweep_is_kept_resumed_told_and_drawn(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_sweep_is_stored_resumed_listed_and_plotted(capsys: pytest.CaptureFixture[str]) -> None:
     sweep = ("sweep", "calm", "--seeds", "1-3", "--set", "clients.retries=0", "--set", "clients.retries=2")
     assert lab(*sweep, "--json") == 0
     first, second = json.loads(capsys.readouterr().out)
@@ -61,7 +61,7 @@
         (["--workers", "0"], "--workers 0: must be"),
     ],
 )
-def test_what_can_not_be_meant_is_one_line(
+def test_an_impossible_argument_is_reported_on_one_line(
     words: list[str], why: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     args = commands.build_parser().parse_args(["lab", "sweep", "calm", *words])
@@ -111,7 +111,7 @@
         check_tables(with_override(raw, "trafic.rate", 50), name, where)
 
 
-def test_what_a_day_costs_is_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_cost_of_a_day_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
     assert lab("pace", "small", "--grain", "exchange", "--seconds", "0.5") == 0
     first, *_, last = capsys.readouterr().out.splitlines()
     assert first.startswith("small, seed 1, exchange: ") and " us of CPU a call, " in last
--- a/tests/lab/study/test_compare.py
+++ b/tests/lab/study/test_compare.py
@@ -53,7 +53,7 @@
         return compare.compared(kept, sides[0], sides[1], names, ("plain", "more"))
 
 
-def test_a_planted_difference_is_found_by_pairing_and_its_looks_are_counted(tmp_path: Path) -> None:
+def test_a_planted_difference_is_found_by_pairing_and_interim_looks_are_counted(tmp_path: Path) -> None:
     """Days differ by 0.1 among each other, ten times the difference: only pairs can tell."""
     found = filled(tmp_path / "runs.sqlite", 20, 0.02)
     g, waste = found.differences[:2]
@@ -70,7 +70,7 @@
     assert worse.differences[0].verdict == "B is worse"
 
 
-def test_seeds_without_both_sides_are_left_out_and_none_is_told(tmp_path: Path) -> None:
+def test_seeds_without_both_sides_are_left_out_and_none_at_all_is_an_error(tmp_path: Path) -> None:
     a, b = ([made(seed, told(gain=gain)) for seed in (1, 2)] for gain in (0, 1))
     with store.opened(tmp_path / "runs.sqlite") as kept:
         for job in (a[0], b[0], a[1]):
--- a/tests/lab/study/test_sweep.py
+++ b/tests/lab/study/test_sweep.py
@@ -107,7 +107,7 @@
     assert play(tmp_path / "runs.sqlite", [*jobs.values()]).played == 3
 
 
-def test_the_first_breach_of_each_rule_is_told_and_may_end_the_sweep(tmp_path: Path) -> None:
+def test_the_first_breach_of_each_rule_is_reported_and_may_end_the_sweep(tmp_path: Path) -> None:
     jobs = [job(seed, told(broken=3)) for seed in range(1, 9)]
     swept = play(tmp_path / "all.sqlite", jobs)
     assert swept.status == 1 and swept.breaches == 1 and len(swept.rows) == 8
@@ -152,7 +152,7 @@
         ("LEARN=1", "--patch LEARN: not MODULE:NAME"),
     ],
 )
-def test_a_patch_that_names_nothing_is_told_before_a_run(tmp_path: Path, patch: str, why: str) -> None:
+def test_a_patch_that_names_nothing_is_reported_before_a_run(tmp_path: Path, patch: str, why: str) -> None:
     with pytest.raises(StudyError) as bad:
         play(tmp_path / "runs.sqlite", [job(1, settings.single([], [patch]))])
     assert str(bad.value) == why
--- a/tests/lab/wire/test_http_peers.py
+++ b/tests/lab/wire/test_http_peers.py
@@ -136,7 +136,7 @@
     assert not field.book.of("untaken")
 
 
-def test_where_no_network_tells_a_kept_connection_that_ends_without_a_byte_has_it_sent_again(
+def test_without_notice_of_the_network_a_request_is_resent_when_its_reused_connection_ends_without_a_byte(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Transport, "peer_read", None)
@@ -148,7 +148,7 @@
     assert [entry[0] for entry in field.book.log[2:]] == ["taken", "untaken", "taken", "lost"]
 
 
-def test_a_sidecar_that_reads_nothing_gets_it_twice_and_one_that_is_not_there_not_at_all() -> None:
+def test_a_sidecar_that_reads_nothing_gets_a_request_twice_and_an_absent_one_not_at_all() -> None:
     field = Field()
     field.ask("nobody", run=1.0)
     assert field.ends == [("unreached", 0.0)] and not field.book.log
@@ -171,7 +171,7 @@
 
 
 @pytest.mark.parametrize("stage", STAGES)
-def test_it_can_be_left_at_each_stage(stage: str) -> None:
+def test_a_request_can_be_abandoned_at_each_stage(stage: str) -> None:
     field = Field()
     field.serve(says({"written": b"", "half answered": OK[:30]}.get(stage, OK)))
     if stage == "sent again":
@@ -250,7 +250,7 @@
     assert not field.machine.attempts
 
 
-def test_a_second_request_under_the_first_breaks_the_connection() -> None:
+def test_a_second_request_during_the_first_closes_the_connection() -> None:
     field = Field()
     field.machine.verdict = None
     line = field.dial(field.form())
@@ -320,7 +320,7 @@
     return msgspec.json.decode(line.data.rpartition(b"\r\n\r\n")[2])
 
 
-def test_discovery_answers_in_its_words_and_keeps_connections() -> None:
+def test_discovery_answers_in_its_format_and_keeps_connections() -> None:
     field = Field()
     line = field.dial(get("/v1/servers"), 90)
     entry = {"instanceId": "n1", "hostPort": "127.0.0.3:80", "zone": "room", "machineType": "fast", "cell": 2}
@@ -340,7 +340,7 @@
     assert len(field.book.of("unheard")) == 3 and not field.registry.open_requests
 
 
-def test_calls_that_it_does_not_know_are_told_so() -> None:
+def test_unknown_calls_are_rejected() -> None:
     field = Field()
     assert field.dial(get("/v2/servers"), 90).data.startswith(b"HTTP/1.1 404 ")
     twice = get("/v1/servers?index=1&wait=9000") * 2
--- a/tests/lab/world/test_fault_effects.py
+++ b/tests/lab/world/test_fault_effects.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("grain", ["wire", "exchange"])
-def test_what_a_sidecar_asks_for_in_vain_does_not_count_as_told(grain: str) -> None:
+def test_a_failed_list_request_does_not_count_as_notified(grain: str) -> None:
     """Discovery refuses while a node drains. A sidecar that goes on asking may go on sending to it."""
     node = "shop-1"
     day = a_day(
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("grain", ["wire", "exchange"])
-def test_a_cut_below_the_first_tier_strikes_the_machines_own_sidecars(grain: str) -> None:
+def test_a_cut_below_the_first_tier_hits_the_machines_own_sidecars(grain: str) -> None:
     text = """
         title = "Cut"
         what = "No machine of the first tier reaches one of the second."
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("grain", ["wire", "exchange"])
-def test_a_start_is_told_by_the_clock_that_all_read(grain: str) -> None:
+def test_a_start_is_stamped_by_the_clock_that_all_read(grain: str) -> None:
     step, kill = (
         EventPlan(at=0.5, kind="clock_step", size=100.0),
         EventPlan(at=1.0, kind="kill", length=0.1, nodes=("shop-1",)),
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("grain", ["wire", "exchange"])
-def test_nothing_that_happened_is_told_twice(grain: str) -> None:
+def test_no_event_is_reported_twice(grain: str) -> None:
     """At one instant one line names whom it befell, whoever else has a word on it."""
     for seed in (1, 2, 3):
         outcome = play(draw(load("small"), seed), grain)
--- a/tests/lab/world/test_world.py
+++ b/tests/lab/world/test_world.py
@@ -77,7 +77,7 @@
             assert each.asked == each.in_time + each.late + each.refused + each.failed
 
 
-def test_both_grains_tell_the_same_story() -> None:
+def test_both_grains_have_nearly_the_same_outcome() -> None:
     """Not to the letter, for bytes take their time; but neither may be kinder than the other."""
     wire, exchange = ([play(small(seed), grain) for seed in range(1, 7)] for grain in GRAINS)
     for one, other in zip(wire, exchange, strict=True):
@@ -87,14 +87,14 @@
     assert abs(mean[0] - mean[1]) < 0.04
 
 
-def test_what_falls_on_one_instant_may_come_in_any_order() -> None:
+def test_events_of_one_instant_may_come_in_any_order() -> None:
     for seed in (1, 2):
         plan = small(seed)
         shuffled = play(small(seed, net=msgspec.structs.replace(plan.net, shuffle=True)), "wire")
         assert shuffled.breaches == []
 
 
-def test_a_trace_may_be_cut_down_to_one_request_and_its_kin() -> None:
+def test_a_trace_may_be_filtered_to_one_request_and_its_attempts() -> None:
     import io
 
     whole, cut = io.StringIO(), io.StringIO()
