--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -449,11 +449,15 @@
 
 def test_fifty_slow_readers_of_32_mb_fit_in_the_memory(tmp_path: Path) -> None:
     """The sidecar is a process of its own; its peak is read off the system."""
-    size, readers, over = 32 * 1024 * 1024, 50, threading.Event()
+    size, readers = 32 * 1024 * 1024, 50
+    all_asked, over = threading.Event(), threading.Event()
     node, discovery = Peer(), Peer()
 
     def one(wire: Wire) -> None:
         wire.read()
+        # The threads that write answers would keep this process's callers from their requests on a busy
+        # machine, and a caller that connects and sends nothing for HEAD_SECONDS is ended.
+        all_asked.wait(FAR)
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size // 65536):
             wire.send(b"x" * 65536)
@@ -479,6 +483,7 @@
                 caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
                 caller.send(f"GET /menu HTTP/1.1\r\nX-Correlation-Id: c{n}\r\n\r\n".encode())
                 callers.append(caller)
+            all_asked.set()
             for caller in callers:
                 assert "200" in head(caller)
                 body(caller, 2 * 1024 * 1024)
@@ -486,6 +491,7 @@
             peak = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM:"))
             assert peak < 56 * 1024
         finally:
+            all_asked.set()
             over.set()
             process.kill()
             for caller in callers:
