--- a/tests/ends/drawn_settings.py
+++ b/tests/ends/drawn_settings.py
@@ -22,8 +22,8 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import Plan
 from wheatring.lab.play import play
-from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load, parse
+from wheatring.lab.scenario.plan_builder import draw
 from wheatring.lab.world import sidecar_slots
 from wheatring.lab.world.world import Tracing
 
--- a/tests/fleet/test_cold_start.py
+++ b/tests/fleet/test_cold_start.py
@@ -17,9 +17,9 @@
 from wheatring.lab.live.list_acquisition import judged
 from wheatring.lab.live.play import LiveOutcome
 from wheatring.lab.play import play
-from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import fleet_names, load
-from wheatring.lab.study import job_builder, settings
+from wheatring.lab.scenario.plan_builder import draw
+from wheatring.lab.study import run_builder, settings
 
 FAR = 240.0
 SIDECARS = 8
@@ -152,6 +152,6 @@
 def test_watches_that_take_turns_keep_no_storm_alive(held: str) -> None:
     """Two hundred in virtual time: nothing fails any more once the start is over."""
     sets = settings.single([f"front.held={held}"], [])
-    outcome = play(draw(job_builder.load_scenario("cold-turns", sets), 2), "exchange")
+    outcome = play(draw(run_builder.load_scenario("cold-turns", sets), 2), "exchange")
     assert sum(outcome.lists.failed_by_second[:60]) > 0  # it was more than the service could take
     assert sum(outcome.lists.failed_by_second[120:]) <= 5
--- a/tests/lab/desk.py
+++ b/tests/lab/desk.py
@@ -17,7 +17,7 @@
     TierPlan,
     TrafficPlan,
 )
-from wheatring.lab.rules import Ledger, Trace
+from wheatring.lab.rules import InvariantChecker, Trace
 
 START = 1000.0
 SAFE, KEYED, UNSAFE = range(3)
@@ -56,7 +56,7 @@
     def __init__(self, plan: Plan | None = None, trace: Trace | None = None, family: Any = None) -> None:
         self.time = START
         self.plan = plan or a_plan()
-        self.book = Ledger(self.plan, "exchange", lambda: self.time, START, trace, family)
+        self.book = InvariantChecker(self.plan, "exchange", lambda: self.time, START, trace, family)
         for sidecar in ("lb", "front0"):
             self.book.sidecar_up(sidecar)
         for node in self.plan.nodes:
--- a/tests/lab/direct_world.py
+++ b/tests/lab/direct_world.py
@@ -149,7 +149,7 @@
         known = {"generation": 1, "instances": [self.listed()]}
         sidecar = DirectSidecar(
             "s", "h", self.settings, 7, known, time=self.time, unix=lambda: 0.0, links=self.links,
-            nodes=self.nodes, registry=self.registry, discovery=("d", 1), book=self.book, client=self.way,
+            nodes=self.nodes, registry=self.registry, discovery=("d", 1), recorder=self.book, client=self.way,
         )  # fmt: skip
         ended = sidecar.exchange.on_attempt_ended
 
--- a/tests/lab/histories.py
+++ b/tests/lab/histories.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from tests.lab.desk import KEYED, START, UNSAFE, Desk, a_plan
-from wheatring.lab.book import NodeState
+from wheatring.lab.event_recorder import NodeState
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.rules import Trace
 
--- a/tests/lab/machine_world.py
+++ b/tests/lab/machine_world.py
@@ -6,12 +6,12 @@
 from random import Random
 from typing import Any, cast
 
-from wheatring.lab.book import Book
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.effects import Effects
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.visit import Below, Verdict, Visit
 from wheatring.lab.net.time import VirtualTime
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, KindPlan, NodePlan, RulesPlan, TierPlan
 
 
@@ -53,8 +53,8 @@
     ) -> None:  # fmt: skip
         self.time = VirtualTime(start)
         self.noted = Noted()
-        book = cast(Book, self.noted)
-        self.origins = Origins(Random("origins"))
+        book = cast(EventRecorder, self.noted)
+        self.origins = CorrelationTable(Random("origins"))
         self.effects = Effects(self.time, classes, book)
         self.ended: list[tuple[float, str, Verdict]] = []
         self.names: dict[str, str] = {}
@@ -71,7 +71,7 @@
     ) -> Visit:
         """A request arrives now. `ident`: of a request whose attempt this is, too."""
         if not ident:
-            ident = self.origins.new(Origin(0, index, work, key))
+            ident = self.origins.new(OriginalRequest(0, index, work, key))
             self.names[ident] = name
 
         def reply(verdict: Verdict, stamp: str) -> None:
--- a/tests/lab/peers.py
+++ b/tests/lab/peers.py
@@ -12,11 +12,11 @@
 from twisted.python import log
 from twisted.python.failure import Failure
 
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
 from wheatring.lab.models.discovery import Listed, Registry
 from wheatring.lab.models.visit import Verdict, Visit
 from wheatring.lab.models.way import Asked
 from wheatring.lab.net import Network, VirtualTime
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, DiscoveryPlan, NetPlan, TierPlan
 from wheatring.lab.wire.discovery_server import DiscoveryServer
 from wheatring.lab.wire.node_server import NodeServer
@@ -149,7 +149,7 @@
         book: Any = self.book
         self.net = Network(self.time, NetPlan(same=0.001, jitter=0.0), Random(1))
         self.clients, self.sidecar, self.node = [self.net.process(f"p{n}", f"127.0.0.{n}") for n in (1, 2, 3)]
-        self.origins = Origins(Random(2))
+        self.origins = CorrelationTable(Random(2))
         self.machine = Machine(book, cap)
         full = partial(self.net.full, "127.0.0.3", 80)
         rest = (self.time, Random(3), self.origins, FORMS, book, "at {}".format, lambda host: 0.002, full)
@@ -180,13 +180,13 @@
         self.sidecar.listenTCP(80, factory(Factory(), build))
 
     def ask(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> Asked:
-        ident = self.origins.new(Origin(1, index, 0.1, key))
+        ident = self.origins.new(OriginalRequest(1, index, 0.1, key))
         asked = self.caller.ask(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
         self.run(run)
         return asked
 
     def form(self, index: int = SAFE, key: str = "") -> bytes:
-        return FORMS.encode(index, self.origins.new(Origin(1, index, 0.1, key)), 480, key, False)
+        return FORMS.encode(index, self.origins.new(OriginalRequest(1, index, 0.1, key)), 480, key, False)
 
     def dial(self, data: bytes = b"", port: int = 80, run: float = 1.0) -> Scripted:
         """A scripted connection of the sidecar to the node, or to discovery, that writes this first."""
--- a/tests/lab/study_runner.py
+++ b/tests/lab/study_runner.py
@@ -11,7 +11,7 @@
 
 from wheatring.balancer import latency_estimate
 from wheatring.lab.outcome import Breach, ClassFigures, Outcome, SecondFigures
-from wheatring.lab.study.jobs import Build, Job, build_at, hashed
+from wheatring.lab.study.runs import Build, RunSpec, build_at, hashed
 from wheatring.lab.study.settings import Settings, value_of
 
 HERE = build_at()
@@ -20,15 +20,15 @@
 
 def job(
     seed: int, settings: Settings | None = None, scenario: str = "calm", build: Build | None = None
-) -> Job:
-    return Job(scenario, hashed(scenario), "", seed, "wire", settings or Settings(), build or HERE)
+) -> RunSpec:
+    return RunSpec(scenario, hashed(scenario), "", seed, "wire", settings or Settings(), build or HERE)
 
 
 def told(**sets: object) -> Settings:
     return Settings(sets=tuple((name, str(value)) for name, value in sorted(sets.items())))
 
 
-def play(job: Job) -> Outcome:
+def play(job: RunSpec) -> Outcome:
     """Settings: `gain` is added to g, `noise` is what sides of a pair do not share; `die`, `hang`, `raise`,
     `broken` and `odd` name the one seed that does it; `log` is a file that each run adds its seed to.
     """
@@ -47,7 +47,7 @@
     return outcome(job, sets)
 
 
-def outcome(job: Job, sets: dict[str, object]) -> Outcome:
+def outcome(job: RunSpec, sets: dict[str, object]) -> Outcome:
     shared, own = Random(f"{job.scenario}:{job.seed}"), Random(f"{job.seed}:{job.settings.text()}")
     noise, gain = float(str(sets.get("noise", 0.0))), float(str(sets.get("gain", 0.0)))
     if sets.get("odd") == job.seed:
--- a/tests/lab/test_clients.py
+++ b/tests/lab/test_clients.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from tests.lab.direct_world import Time, Told
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.front import Front
 from wheatring.lab.models.way import LINGER, Done, ReplyKind
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, ClientPlan, EventPlan, Plan, TrafficPlan
 
 EFFECTS: tuple[Literal["safe", "keyed", "unsafe"], ...] = ("safe", "keyed", "unsafe")
@@ -66,7 +66,7 @@
         front.up("s")
     traffic = more.pop("traffic", TrafficPlan(rate=100.0))
     day = Plan(scenario="x", seed=1, length=10.0, classes=CLASSES, clients=plan, traffic=traffic, **more)
-    return Clients(day, time, Random(2), Origins(Random(3)), book, front, way), book, way, time
+    return Clients(day, time, Random(2), CorrelationTable(Random(3)), book, front, way), book, way, time
 
 
 REPEATED: dict[ReplyKind, tuple[bool, bool, bool]] = {
@@ -83,7 +83,7 @@
 def test_a_client_repeats_what_its_class_allows(kind: ReplyKind, index: int) -> None:
     plan = ClientPlan(retries=1, marks_retry=True)
     made, book, way, time = clients(plan, (kind, 0.0, 0.5), ("served", 0.0, 0.1))
-    made.arrive(Origin(7, index, 0.1, "k"))
+    made.arrive(OriginalRequest(7, index, 0.1, "k"))
     time.play()
     again = REPEATED[kind][index]
     assert [(at, repeat) for at, _, _, _, repeat in way.asks] == [(0.0, False), (0.5, True)][: 1 + again]
@@ -94,7 +94,7 @@
 
 def test_a_try_has_its_part_of_the_time_left_and_the_last_one_all_of_it() -> None:
     made, book, way, time = clients(ClientPlan(retries=2, try_share=0.5))
-    made.arrive(Origin(1, 0, 0.1, ""))
+    made.arrive(OriginalRequest(1, 0, 0.1, ""))
     time.play()
     assert [(at, left) for at, _, _, left, _ in way.asks] == [(0.0, 3.0), (3.0, 1.5), (4.5, 1.5)]
     assert not any(repeat for *_, repeat in way.asks), "these clients mark nothing"
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize(("index", "tries"), [(1, 1), (2, 1)])
 def test_out_of_time_is_repeated_only_where_that_is_safe_or_in_its_window(index: int, tries: int) -> None:
     made, book, _, time = clients(ClientPlan(retries=2, try_share=0.5))
-    made.arrive(Origin(1, index, 0.1, "k"))  # the try lasts 3 s, the window 1 s
+    made.arrive(OriginalRequest(1, index, 0.1, "k"))  # the try lasts 3 s, the window 1 s
     time.play()
     assert book.all("settled") == [(1, "timeout", tries)]
 
@@ -117,7 +117,7 @@
         ("served", 0, 0),
     ]
     made, book, _, time = clients(ClientPlan(retries=2), *script)
-    made.arrive(Origin(1, 1, 0.1, "k"))
+    made.arrive(OriginalRequest(1, 1, 0.1, "k"))
     time.play()
     assert book.all("settled") == [(1, "served", 3)]
 
@@ -134,7 +134,7 @@
 )
 def test_waits_between_tries(plan: ClientPlan, advice: float, least: float, most: float) -> None:
     made, _, way, time = clients(plan, ("refused", advice, 0.5))
-    made.arrive(Origin(1, 0, 0.1, ""))
+    made.arrive(OriginalRequest(1, 0, 0.1, ""))
     time.play()
     assert least - 1e-9 <= way.asks[1][0] - 0.5 <= most + 1e-9
 
@@ -143,7 +143,7 @@
     plan = ClientPlan(retries=9, backoff="exp", backoff_base=0.5)
     script: list[Step] = [("refused", 0.0, 0.0)] * 10
     made, book, way, time = clients(plan, *script)
-    made.arrive(Origin(1, 0, 0.1, ""))
+    made.arrive(OriginalRequest(1, 0, 0.1, ""))
     time.play()
     gaps = [b[0] - a[0] for a, b in zip(way.asks, way.asks[1:], strict=False)]
     assert all(0.5 <= gap / (0.5 * 2**n) <= 1.5 for n, gap in enumerate(gaps))
@@ -182,7 +182,7 @@
     script: list[Step], plan: ClientPlan, index: int, up: bool
 ) -> None:
     made, book, way, time = clients(plan, *script, up=up)
-    made.arrive(Origin(1, index, 0.1, "k"))
+    made.arrive(OriginalRequest(1, index, 0.1, "k"))
     time.play(6.0)
     ((_, _, tries),) = book.all("settled")
     assert tries <= plan.retries + 1 and made.open == 0
@@ -201,7 +201,9 @@
         seen: list[object] = []
         arrive = made.traffic.arrive
 
-        def note(origin: Origin, seen: list[object] = seen, time: Time = time, arrive: Any = arrive) -> None:
+        def note(
+            origin: OriginalRequest, seen: list[object] = seen, time: Time = time, arrive: Any = arrive
+        ) -> None:
             seen.append((time.now(), origin.first, origin.class_index, origin.size, origin.key))
             arrive(origin)
 
--- a/tests/lab/test_live_play.py
+++ b/tests/lab/test_live_play.py
@@ -18,8 +18,8 @@
 from wheatring.lab.live.play import LAB, LiveOutcome
 from wheatring.lab.live.process import HOME
 from wheatring.lab.outcome import Outcome
-from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load, names
+from wheatring.lab.scenario.plan_builder import draw
 
 FAR = 60.0
 DAY = """
--- a/tests/lab/test_scenario_draw.py
+++ b/tests/lab/test_scenario_draw.py
@@ -1,4 +1,4 @@
-"""Draws: within their ranges, each with random numbers of its own, the same anywhere; and sound events."""
+"""Random draws: within their ranges, independent of each other, the same anywhere; and sound events."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from wheatring.__main__ import main
 from wheatring.lab.plan import Plan
 from wheatring.lab.scenario.capacity import summary
-from wheatring.lab.scenario.draw import draw
-from wheatring.lab.scenario.draws import Draws, apportion
 from wheatring.lab.scenario.fault_messages import labels
 from wheatring.lab.scenario.load import ScenarioError, load, names, parse
+from wheatring.lab.scenario.plan_builder import draw
+from wheatring.lab.scenario.sampler import Sampler, apportion
 
 BASE = msgspec.to_builtins(load("base").scenario)
 
@@ -122,7 +122,7 @@
 @given(st.floats(-1e6, 1e6), st.floats(-1e6, 1e6), st.integers(), st.text(max_size=20))
 def test_a_number_lies_in_its_range(one: float, other: float, seed: int, path: str) -> None:
     low, high = sorted((one, other))
-    assert low <= Draws(seed).number(path, (low, high)) <= high
+    assert low <= Sampler(seed).number(path, (low, high)) <= high
 
 
 @settings(derandomize=True)
--- a/tests/lab/test_study.py
+++ b/tests/lab/test_study.py
@@ -20,7 +20,7 @@
 from tests.lab.grounds import FAR
 from tests.lab.study_runner import RUN, job, told
 from wheatring.lab.study import StudyError, settings, store, sweep
-from wheatring.lab.study.jobs import Ended, Job, build_at, seeds_of
+from wheatring.lab.study.runs import RunResult, RunSpec, build_at, seeds_of
 from wheatring.lab.study.settings import Settings
 
 POLICY = "wheatring.balancer.latency_estimate"
@@ -43,7 +43,7 @@
 """
 
 
-def play(file: Path, jobs: list[Job], **more: object) -> sweep.Swept:
+def play(file: Path, jobs: list[RunSpec], **more: object) -> sweep.Swept:
     with store.opened(file) as kept:
         given = {"workers": 2, "limit": 60.0, "console": QUIET, **more}
         return sweep.play(jobs, kept, RUN, **given)  # type: ignore[arg-type]
@@ -120,9 +120,9 @@
     with store.opened(tmp_path / "runs.sqlite") as kept:
         real = kept.keep
 
-        def keep(job: Job, ended: Ended) -> store.Row:
-            row = real(job, ended)
-            if job.seed == 2:
+        def keep(spec: RunSpec, ended: RunResult) -> store.Row:
+            row = real(spec, ended)
+            if spec.seed == 2:
                 signal.raise_signal(signal.SIGINT)
             return row
 
--- a/tests/lab/test_study_commands.py
+++ b/tests/lab/test_study_commands.py
@@ -12,7 +12,7 @@
 from wheatring import commands
 from wheatring.lab.scenario.load import ScenarioError, check_tables, load, load_tables, with_override
 from wheatring.lab.study import store
-from wheatring.lab.study.job_builder import make_jobs, scenario_of
+from wheatring.lab.study.run_builder import make_run_specs, scenario_of
 from wheatring.lab.study.settings import Settings
 
 POLICY = "wheatring.balancer.latency_estimate"
@@ -96,8 +96,8 @@
 
 
 def test_settings_stand_over_the_scenario_and_leave_its_hash() -> None:
-    (job,) = make_jobs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), HERE)
-    (plain,) = make_jobs("three-tiers", [1], ["wire"], Settings(), HERE)
+    (job,) = make_run_specs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), HERE)
+    (plain,) = make_run_specs("three-tiers", [1], ["wire"], Settings(), HERE)
     assert job.text_hash == plain.text_hash and scenario_of(plain).scenario == load("three-tiers").scenario
     assert scenario_of(job).scenario.clients.retries == 2
 
--- a/tests/lab/test_study_compare.py
+++ b/tests/lab/test_study_compare.py
@@ -11,7 +11,7 @@
 from tests.lab.study_runner import RUN, told
 from tests.lab.study_runner import job as made
 from wheatring.lab.study import StudyError, compare, figures, stats, store
-from wheatring.lab.study.jobs import Ended, function
+from wheatring.lab.study.runs import RunResult, function
 
 
 def test_power_and_quantiles_match_the_tables() -> None:
@@ -48,7 +48,7 @@
     ]
     with store.opened(file) as kept:
         for job in (job for side in sides for job in side):
-            kept.keep(job, Ended("done", store.encoded(function(RUN)(job))))
+            kept.keep(job, RunResult("done", store.encoded(function(RUN)(job))))
         names = ["g", "waste", "classes.menu-view.p99_ms", "latency.99.9", "counts.choked"]
         return compare.compared(kept, sides[0], sides[1], names, ("plain", "more"))
 
@@ -74,8 +74,8 @@
     a, b = ([made(seed, told(gain=gain)) for seed in (1, 2)] for gain in (0, 1))
     with store.opened(tmp_path / "runs.sqlite") as kept:
         for job in (a[0], b[0], a[1]):
-            kept.keep(job, Ended("done", store.encoded(function(RUN)(job))))
-        kept.keep(b[1], Ended("died", why="planted"))
+            kept.keep(job, RunResult("done", store.encoded(function(RUN)(job))))
+        kept.keep(b[1], RunResult("died", why="planted"))
         found = compare.compared(kept, a, b, ["g"], ("a", "b"))
         assert (found.pairs, found.unpaired, found.differences[0].low) == (1, 1, None)
         assert found.differences[0].verdict == "can't tell"
--- a/tests/lab/test_study_report.py
+++ b/tests/lab/test_study_report.py
@@ -11,8 +11,8 @@
 from tests.lab.study_runner import RUN, job, told
 from wheatring.lab.outcome import Outcome, SecondFigures
 from wheatring.lab.study import store
-from wheatring.lab.study.jobs import Ended, function
 from wheatring.lab.study.report import day, several
+from wheatring.lab.study.runs import RunResult, function
 
 VOID = {"meta", "path", "use", "rect"}
 
@@ -81,8 +81,8 @@
             for seed in range(1, 31):
                 for gain in (0, 1):
                     made = job(seed, told(gain=gain / 10, broken=7), name)
-                    kept.keep(made, Ended("done", store.encoded(function(RUN)(made))))
-        kept.keep(job(99, scenario="rough"), Ended("hung", why="not over after 5 s"))
+                    kept.keep(made, RunResult("done", store.encoded(function(RUN)(made))))
+        kept.keep(job(99, scenario="rough"), RunResult("hung", why="not over after 5 s"))
         rows = kept.rows()
         assert len(kept.rows(scenario="calm", seed=3)) == 2
     text = several.of_set(rows, "All runs")
--- a/tests/lab/test_wire_http.py
+++ b/tests/lab/test_wire_http.py
@@ -12,7 +12,7 @@
 
 from wheatring.http1.exceptions import MalformedMessageError
 from wheatring.http1.parser import MessageParser
-from wheatring.lab.origins import Origin
+from wheatring.lab.correlation import OriginalRequest
 from wheatring.lab.plan import ClassPlan
 from wheatring.lab.wire.http import MalformedMessageError as PeerMalformedMessageError
 from wheatring.lab.wire.http import Message
@@ -69,8 +69,8 @@
     for place in range(len(data) + 1):
         (message,) = cut([data[:place], data[place:]], responses=False)
         assert (message.method, message.fields[b"x-time-left-ms"]) == (b"POST", b"480")
-        assert forms.matches(message, b"00ff", Origin(1, 0, 0.1, KEY))
-        assert not forms.matches(message, b"00ff", Origin(1, 0, 0.1, "other"))
+        assert forms.matches(message, b"00ff", OriginalRequest(1, 0, 0.1, KEY))
+        assert not forms.matches(message, b"00ff", OriginalRequest(1, 0, 0.1, "other"))
 
 
 @pytest.mark.parametrize(
--- a/tests/lab/test_wire_peers.py
+++ b/tests/lab/test_wire_peers.py
@@ -28,10 +28,10 @@
 )
 from tests.world import reactor
 from wheatring.core.clock import Clock
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.visit import Verdict
 from wheatring.lab.net.transports import Transport
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lab.wire.discovery_server import DiscoveryServer
 from wheatring.lab.wire.node_server import NodeServer
@@ -366,7 +366,7 @@
 
 
 def test_callers_nodes_and_discovery_meet_on_loopback(running: None) -> None:
-    timers, origins = Clock(reactor), Origins(Random(5))
+    timers, origins = Clock(reactor), CorrelationTable(Random(5))
     log = Book(timers)
     book: Any = log
     rest = (timers, Random(6), origins, FORMS, book, "at {}".format, lambda host: 0.0)
@@ -381,7 +381,7 @@
     def ask(caller: SidecarClient) -> None:
         index = len(origins.by_id) % 2
         key = KEY if index else ""
-        ident = origins.new(Origin(1, index, 0.1, key))
+        ident = origins.new(OriginalRequest(1, index, 0.1, key))
         caller.ask("s", ident, index, 30.0, key, False, lambda kind, wait: done(caller, kind))
 
     def done(caller: SidecarClient, kind: str) -> None:
--- a/tests/lab/test_world.py
+++ b/tests/lab/test_world.py
@@ -10,11 +10,11 @@
 import msgspec
 import pytest
 
-from wheatring.lab.faults import FAULTS, planted
 from wheatring.lab.plan import Plan
+from wheatring.lab.planted_faults import FAULTS, planted
 from wheatring.lab.play import play
-from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load, names
+from wheatring.lab.scenario.plan_builder import draw
 from wheatring.lab.world.world import Tracing
 
 GRAINS = ("wire", "exchange")
@@ -24,7 +24,7 @@
 TRACED = """
 import sys
 import msgspec
-from wheatring.lab.scenario.draw import draw
+from wheatring.lab.scenario.plan_builder import draw
 from wheatring.lab.scenario.load import load
 from wheatring.lab.play import play
 from wheatring.lab.world.world import Tracing
--- a/tests/lab/test_world_lives.py
+++ b/tests/lab/test_world_lives.py
@@ -8,8 +8,8 @@
 from wheatring.lab.net.sockets import Socket
 from wheatring.lab.plan import EventPlan, Plan
 from wheatring.lab.play import make_world
-from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load
+from wheatring.lab.scenario.plan_builder import draw
 from wheatring.lab.wire.environment import WireEnvironment
 
 
@@ -30,23 +30,25 @@
 def test_a_sidecar_that_ends_leaves_nothing(stop: float, until: float, events: tuple[EventPlan, ...]) -> None:
     for seed in range(1, 6):
         made = make_world(a_life(seed, stop, until, *events), "wire")
-        ground = made.ground
-        assert isinstance(ground, WireEnvironment)
+        environment = made.environment
+        assert isinstance(environment, WireEnvironment)
         outcome = made.play()
         assert outcome.breaches == []
         assert [what for _, what in outcome.happened if "front-1" in what] == [
             "sidecar front-1 is told to stop", "sidecar front-1 ends"
         ]  # fmt: skip
-        assert ground.max_sockets["front-1"] > 5
-        counts = ground.leftovers_at_exit["front-1"]
+        assert environment.max_sockets["front-1"] > 5
+        counts = environment.leftovers_at_exit["front-1"]
         assert set(counts) == {"jobs", "claims", "connections", "timers", "descriptors"}
         assert not any(counts.values()), counts
-        assert not ground.net.host(ground.hosts["front-1"]).processes
-        assert not ground.net.host(ground.hosts["front-1"]).listeners
+        assert not environment.net.host(environment.hosts["front-1"]).processes
+        assert not environment.net.host(environment.hosts["front-1"]).listeners
         # And its peers know of its end: no node holds a connection of it.
-        assert not [s for s in sockets(ground) if s.remote and s.remote[0] == ground.hosts["front-1"]]
+        assert not [
+            s for s in sockets(environment) if s.remote and s.remote[0] == environment.hosts["front-1"]
+        ]
 
 
-def sockets(ground: WireEnvironment) -> list[Socket]:
+def sockets(environment: WireEnvironment) -> list[Socket]:
     """All that programs hold."""
-    return [s for host in ground.net.hosts.values() for p in host.processes for s in p.descriptors]
+    return [s for host in environment.net.hosts.values() for p in host.processes for s in p.descriptors]
--- a/tests/lab/test_world_told.py
+++ b/tests/lab/test_world_told.py
@@ -7,8 +7,8 @@
 
 from wheatring.lab.plan import EventPlan, Plan
 from wheatring.lab.play import make_world, play
-from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.load import load, parse
+from wheatring.lab.scenario.plan_builder import draw
 from wheatring.lab.world.world import START
 
 
--- a/wheatring/commands/lab.py
+++ b/wheatring/commands/lab.py
@@ -84,8 +84,8 @@
 
 def check(args: argparse.Namespace) -> int:
     """Check scenarios and draw each a few times, or check what a reserved name refers to."""
-    from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import ScenarioError, load
+    from wheatring.lab.scenario.plan_builder import draw
 
     if args.files == ["lease"]:
         return lab_lease.check(args)
@@ -135,8 +135,8 @@
     """Draw a day, and print its figures or the plan itself."""
     import msgspec
 
-    from wheatring.lab.scenario.draw import draw, summary
     from wheatring.lab.scenario.load import load
+    from wheatring.lab.scenario.plan_builder import draw, summary
 
     drawn = draw(load(args.scenario), args.seed)
     document = msgspec.json.format(msgspec.json.encode(drawn), indent=1) + b"\n" if args.json else b""
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -131,8 +131,8 @@
 
 def _live(args: argparse.Namespace) -> Callable[[], int]:
     from wheatring.lab.live import scale
-    from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import load
+    from wheatring.lab.scenario.plan_builder import draw
 
     found = load(args.scenario)
     plan = draw(found, args.seed)
@@ -155,11 +155,11 @@
 def _fleet(args: argparse.Namespace) -> Callable[[], int]:
     from wheatring.lab.live import list_acquisition, scale
     from wheatring.lab.plan import LIVE_ONLY
-    from wheatring.lab.scenario.draw import draw
-    from wheatring.lab.study import job_builder, settings
+    from wheatring.lab.scenario.plan_builder import draw
+    from wheatring.lab.study import run_builder, settings
 
     sets = [*args.set, *([f"front.sidecars={args.sidecars}"] if args.sidecars is not None else [])]
-    plan = draw(job_builder.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
+    plan = draw(run_builder.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
     never = scale.unplayable_kinds(plan)
     if never:
         raise ValueError(f"{args.scenario}: can't be played on loopback: {', '.join(never)}")
--- a/wheatring/commands/lab_pace.py
+++ b/wheatring/commands/lab_pace.py
@@ -33,8 +33,8 @@
     import msgspec
 
     from wheatring.lab.play import make_world
-    from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import load
+    from wheatring.lab.scenario.plan_builder import draw
     from wheatring.lab.study import StudyError
 
     if args.seconds is not None and not args.seconds > 0:
--- a/wheatring/commands/lab_run.py
+++ b/wheatring/commands/lab_run.py
@@ -60,19 +60,19 @@
 def _run(args: argparse.Namespace) -> int:
     import msgspec
 
-    from wheatring.lab.study import job_builder, settings
-    from wheatring.lab.study.jobs import build_at
+    from wheatring.lab.study import run_builder, settings
+    from wheatring.lab.study.runs import build_at
 
     chosen = settings.with_fault(settings.single(args.set, args.patch), args.plant)
-    (job,) = job_builder.make_jobs(args.scenario, [args.seed], [args.grain], chosen, build_at())
+    (spec,) = run_builder.make_run_specs(args.scenario, [args.seed], [args.grain], chosen, build_at())
     settings.apply(chosen.patches)
     from wheatring.lab.study import played
 
     if args.trace is None:
-        outcome = played.play(job)
+        outcome = played.play(spec)
     else:
         with args.trace.open("w", encoding="utf-8") as file:
-            outcome = played.play_traced(job, file, args.of)
+            outcome = played.play_traced(spec, file, args.of)
     if args.json is not None:
         args.json.write_bytes(msgspec.json.encode(outcome))
     _show(outcome, f"{chosen.text()} " if chosen.text() else "")
@@ -133,10 +133,10 @@
 
 
 def _faults(args: argparse.Namespace) -> int:
-    from wheatring.lab.hunt import hunt
+    from wheatring.lab.mutation_testing import run_mutation_tests
     from wheatring.lab.study import StudyError
-    from wheatring.lab.study.jobs import seeds_of
+    from wheatring.lab.study.runs import seeds_of
 
     if args.workers < 1:
         raise StudyError(f"--workers {args.workers}: must be 1 or more")
-    return hunt(args.names, seeds_of(args.seeds), args.grain, args.workers, print)
+    return run_mutation_tests(args.names, seeds_of(args.seeds), args.grain, args.workers, print)
--- a/wheatring/commands/lab_study.py
+++ b/wheatring/commands/lab_study.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from rich.console import Console
 
-    from wheatring.lab.study.jobs import Build, Job
+    from wheatring.lab.study.runs import Build, RunSpec
     from wheatring.lab.study.settings import Settings
 
     Commands = argparse._SubParsersAction[argparse.ArgumentParser]
@@ -98,10 +98,10 @@
     report.set_defaults(call=reports_errors(_report))
 
 
-def _runs_in_order(args: argparse.Namespace, choices: list[Settings], build: Build) -> list[Job]:
+def _runs_in_order(args: argparse.Namespace, choices: list[Settings], build: Build) -> list[RunSpec]:
     """Return the runs seed by seed: what is done when a sweep is stopped covers all that is asked for."""
-    from wheatring.lab.study import StudyError, job_builder
-    from wheatring.lab.study.jobs import seeds_of
+    from wheatring.lab.study import StudyError, run_builder
+    from wheatring.lab.study.runs import seeds_of
 
     if args.workers < 1:
         raise StudyError(f"--workers {args.workers}: must be 1 or more")
@@ -110,15 +110,15 @@
     seeds = seeds_of(args.seeds)
     grains = [*dict.fromkeys(args.grain or ["wire"])]
     lists = [
-        job_builder.make_jobs(name, seeds, grains, settings, build)
+        run_builder.make_run_specs(name, seeds, grains, settings, build)
         for name in dict.fromkeys(args.scenarios)
         for settings in choices
     ]
     return [
-        job
+        spec
         for begin in range(0, len(seeds) * len(grains), len(grains))
-        for jobs in lists
-        for job in jobs[begin : begin + len(grains)]
+        for specs in lists
+        for spec in specs[begin : begin + len(grains)]
     ]
 
 
@@ -134,14 +134,14 @@
     import msgspec
 
     from wheatring.lab.study import settings, store, sweep
-    from wheatring.lab.study.jobs import build_at
+    from wheatring.lab.study.runs import build_at
 
     choices = [settings.with_fault(each, args.plant) for each in settings.varied(args.set, args.patch)]
-    jobs = _runs_in_order(args, choices, build_at())
+    specs = _runs_in_order(args, choices, build_at())
     args.store.parent.mkdir(parents=True, exist_ok=True)
     with store.opened(args.store) as kept:
         swept = sweep.play(
-            jobs, kept, args.run, workers=args.workers, limit=args.limit, fail_fast=args.fail_fast
+            specs, kept, args.run, workers=args.workers, limit=args.limit, fail_fast=args.fail_fast
         )
     if args.json:
         print(msgspec.json.encode(sweep.summary(swept)).decode())
@@ -154,7 +154,7 @@
     import msgspec
 
     from wheatring.lab.study import compare, settings, store, sweep
-    from wheatring.lab.study.jobs import HERE, build_at
+    from wheatring.lab.study.runs import HERE, build_at
 
     sides, labels = [], []
     for side in ("a", "b"):
@@ -167,7 +167,7 @@
     names = list(dict.fromkeys(["g", "service", *args.figure]))
     args.store.parent.mkdir(parents=True, exist_ok=True)
     with store.opened(args.store) as kept:
-        both = [job for pair in zip(*sides, strict=True) for job in pair]
+        both = [spec for pair in zip(*sides, strict=True) for spec in pair]
         swept = sweep.play(both, kept, args.run, workers=args.workers, limit=args.limit)
         found = compare.compared(kept, sides[0], sides[1], names, (labels[0], labels[1]))
     if args.json:
--- a/wheatring/lab/origins.py
+++ b/wheatring/lab/correlation.py
@@ -8,7 +8,7 @@
 MAX_REMEMBERED_IDS = 400_000  # over five minutes at the operators' load
 
 
-class Origin:
+class OriginalRequest:
     """One first try of a client, shared by its retries; or one call of a node for it, of a size of its own.
 
     `size` is its work in seconds on a standard core, `key` the first try's idempotency key ("" where its
@@ -24,8 +24,8 @@
         self.key = key
 
 
-class Origins:
-    """Origins by correlation id.
+class CorrelationTable:
+    """The original requests by correlation id.
 
     Each try and each call of a node has an id of its own. The oldest ids are dropped, long after their
     requests have ended.
@@ -33,10 +33,10 @@
 
     def __init__(self, random: Random) -> None:
         self.random = random
-        self.by_id: dict[str, Origin] = {}
+        self.by_id: dict[str, OriginalRequest] = {}
         self.order: deque[str] = deque()
 
-    def new(self, origin: Origin) -> str:
+    def new(self, origin: OriginalRequest) -> str:
         """Draw an id for a request of an origin, and record it."""
         ident = f"{self.random.getrandbits(64):016x}"
         self.by_id[ident] = origin
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -14,10 +14,10 @@
 from wheatring.core.exchange import Attempt, Exchange
 from wheatring.http1.connection_pool import SWEEP_SECONDS, update_ready
 from wheatring.http1.endpoint_connection import EndpointAddress
-from wheatring.lab.book import Book
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
 from wheatring.lab.direct.node import DirectNode
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.visit import Verdict, Visit
 
 # Looked up once: an enum takes its time.
@@ -106,7 +106,7 @@
         attempt, self.first, self.connect_timer = self.first, None, None
         del self.pool.connecting[self]
         assert attempt is not None
-        self.pool.book.note("unconnected", sidecar=self.pool.name)
+        self.pool.recorder.note("unconnected", sidecar=self.pool.name)
         self.pool.exchange.end_attempt(attempt, CONNECT_FAILED)
 
     def accepted(self) -> None:
@@ -137,7 +137,7 @@
         attempt.is_written = True
         now = pool.time.instant
         left = int((attempt.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
-        pool.book.sending(pool.name, self.node.name, now)
+        pool.recorder.sending(pool.name, self.node.name, now)
         visit = Visit(attempt.request.correlation_id, pool.name, left, now, self.reply)
         self.arrival = self.forward.send(self.arrival, self.node.request, self, visit)
 
@@ -152,7 +152,7 @@
             node.close(self)
             return
         if verdict is VERDICT_AWAY:
-            node.book.turned_away(node.name, visit.ident)
+            node.recorder.turned_away(node.name, visit.ident)
         self.node_idle = node.time.instant
         self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, verdict, stamp)
 
@@ -225,7 +225,7 @@
         clock: DirectClock,
         exchange: Exchange,
         links: Links,
-        book: Book,
+        recorder: EventRecorder,
         connect_time: float,
         idle: float,
         max_connections: int,
@@ -237,7 +237,7 @@
         self.time = clock.time
         self.exchange = exchange
         self.links = links
-        self.book = book
+        self.recorder = recorder
         self.connect_time = connect_time
         self.idle = idle * 0.7  # as the HTTP client's
         self.max_connections = max_connections
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -15,14 +15,14 @@
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.visit import Below
 from wheatring.lab.plan import EventPlan, NodePlan
-from wheatring.lab.world.ground import CLIENTS, DISCOVERY, PORT, side_hosts, zones
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, PORT, side_hosts, zones
 
 if TYPE_CHECKING:
     from wheatring.lab.world.world import World
 
 
 class DirectEnvironment:
-    """Runs nodes, sidecars and discovery as plain objects; a `world.ground.Ground`."""
+    """The `Environment` of the exchange grain: nodes, sidecars and discovery as plain objects."""
 
     def __init__(self, world: World) -> None:
         plan = world.plan
@@ -35,7 +35,7 @@
         self.way = DirectSidecarClient(
             world.time,
             self.links,
-            world.book,
+            world.checker,
             {name: (callers.get(name, CLIENTS), host) for name, host in self.hosts.items()},
             dict.fromkeys((each.name for each in plan.sidecars), most) if most else None,
         )
@@ -60,7 +60,7 @@
         if node.name not in self.nodes:
             tier = self.world.plan.tiers[node.tier]
             self.nodes[node.name] = DirectNode(
-                machine, node.host, tier, self.time, self.links, self.world.book
+                machine, node.host, tier, self.time, self.links, self.world.checker
             )
         self.listening[f"{node.host}:{PORT}"] = self.nodes[node.name]
 
@@ -91,7 +91,7 @@
             nodes=self.listening,
             registry=self.registry,
             discovery=DISCOVERY,
-            book=self.world.book,
+            recorder=self.world.checker,
             client=self.way,
             sockets=told.sockets,
             on_end=over,
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING, Protocol
 
-from wheatring.lab.book import Book
 from wheatring.lab.direct.links import Links
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.visit import Visit
 from wheatring.lab.plan import TierPlan
 from wheatring.lab.timers import PlayedTime
@@ -52,14 +52,20 @@
     """The server of one machine; `down` is called when its process has ended or its host is back."""
 
     def __init__(
-        self, machine: Machine, host: str, tier: TierPlan, time: PlayedTime, links: Links, book: Book
+        self,
+        machine: Machine,
+        host: str,
+        tier: TierPlan,
+        time: PlayedTime,
+        links: Links,
+        recorder: EventRecorder,
     ) -> None:
         self.machine = machine
         self.name = machine.name
         self.host = host
         self.time = time
         self.links = links
-        self.book = book
+        self.recorder = recorder
         self.round_trips = tier.handshake_rtts
         self.idle_seconds = tier.conn_idle
         self.connections: dict[DirectConnection, None] = {}  # accepted, in the order in which they came
@@ -100,7 +106,7 @@
             return
         connection.visit = visit
         sent, visit.since = visit.since, self.time.instant
-        self.book.arrived(visit.sidecar, self.name, visit.ident, sent)
+        self.recorder.arrived(visit.sidecar, self.name, visit.ident, sent)
         if connection.handshake > 0:
             self.time.at(visit.since + connection.handshake, self.start_visit, connection, visit)
             connection.handshake = 0.0
@@ -127,7 +133,7 @@
                 self.machine.abandoned(visit)
             else:
                 visit.gone = True
-                self.book.ended(self.name, visit.ident)
+                self.recorder.ended(self.name, visit.ident)
         self.machine.disconnect()
 
     def close(self, connection: DirectConnection) -> None:
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -13,12 +13,12 @@
 from wheatring.core.exchange import Exchange, Request
 from wheatring.daemon.shutdown import SHUTDOWN_POLL_SECONDS
 from wheatring.daemon.sidecar import NODE_CONNECTION_SHARE, RESERVED_DESCRIPTORS
-from wheatring.lab.book import Book
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.connection_pool import DirectConnectionPool
 from wheatring.lab.direct.endpoint_list import DirectEndpointList, Registry
 from wheatring.lab.direct.links import Links
 from wheatring.lab.direct.node import DirectNode
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.timers import PlayedTime
 from wheatring.lifecycle.freshness import list_schedules
 from wheatring.lifecycle.shutdown_schedule import ShutdownSchedule
@@ -56,7 +56,7 @@
         nodes: Mapping[str, DirectNode],
         registry: Registry,
         discovery: tuple[str, int],
-        book: Book,
+        recorder: EventRecorder,
         client: DirectSidecarClient,
         sockets: int = 1024,
         on_end: Callable[[bool], None] = lambda _killed: None,
@@ -64,7 +64,7 @@
         self.name = name
         self.host = host
         self.known = known
-        self.book = book
+        self.recorder = recorder
         self.client = client
         self.on_end = on_end
         self.clock = DirectClock(time, unix)
@@ -74,7 +74,7 @@
         max_connections = int(free_sockets * NODE_CONNECTION_SHARE)
         limits = settings.limits
         self.pool = DirectConnectionPool(
-            name, host, nodes, self.clock, self.exchange, links, book, limits.connect_timeout,
+            name, host, nodes, self.clock, self.exchange, links, recorder, limits.connect_timeout,
             limits.idle_timeout, max_connections,
         )  # fmt: skip
         request_schedule, freshness = list_schedules(settings, seed, self.clock.now())
@@ -98,7 +98,7 @@
         self.endpoint_list.load_cached(self.known)
         self.is_open = True
         self.client.running[self.name] = self
-        self.book.sidecar_up(self.name)
+        self.recorder.sidecar_up(self.name)
 
     # Requests
 
@@ -159,7 +159,7 @@
         """Shut down on SIGTERM: answer what has come and still arrives, as the daemon does, then end."""
         if not self.is_stopping and not self.clock.over:
             self.is_stopping = True
-            self.book.sidecar_stopping(self.name)
+            self.recorder.sidecar_stopping(self.name)
             now = self.clock.now()
             self.shutdown = ShutdownSchedule(now, self.classes, self.copies, self.exchange.latencies)
             self.poll_shutdown()
@@ -191,7 +191,7 @@
         self.clock.over = True
         if self.client.running.get(self.name) is self:
             del self.client.running[self.name]
-        self.book.sidecar_down(self.name, killed)
+        self.recorder.sidecar_down(self.name, killed)
         for request in [*self.in_flight, *self.backlog]:
             request.cut_off()
         self.in_flight.clear()
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -8,8 +8,8 @@
 from typing import TYPE_CHECKING
 
 from wheatring.core.exchange import Answer, AnswerKind, Request
-from wheatring.lab.book import Book, ResponseKind
 from wheatring.lab.direct.links import Links
+from wheatring.lab.event_recorder import EventRecorder, ResponseKind
 from wheatring.lab.models.way import Done
 from wheatring.lab.timers import PlayedTime
 
@@ -78,7 +78,7 @@
             self.backward.send(0.0, self.unreached)
             return
         self.process = process
-        client.book.taken(self.sidecar, self.ident, self.index, self.key, self.deadline)
+        client.recorder.taken(self.sidecar, self.ident, self.index, self.key, self.deadline)
         process.take(self)
 
     def unreached(self) -> None:
@@ -113,7 +113,7 @@
         kind: ResponseKind = "served" if final is SERVED else "refused" if final is REFUSED else "failed"
         stamp = str(answer.content) if final is SERVED else ""
         advice = ceil(answer.retry_after * 1000) / 1000 if answer.retry_after > 0 else 0.0
-        self.client.book.answered(self.sidecar, self.ident, kind, stamp, advice, written)
+        self.client.recorder.answered(self.sidecar, self.ident, kind, stamp, advice, written)
         self.done(kind, advice)
 
     def cut_off(self) -> None:
@@ -125,7 +125,7 @@
         """End the request as lost."""
         if not self.is_over:
             self.end()
-            self.client.book.lost(self.sidecar, self.ident, "reset")
+            self.client.recorder.lost(self.sidecar, self.ident, "reset")
             self.done("lost", 0.0)
 
     def leave(self) -> None:
@@ -136,7 +136,7 @@
         process, client = self.process, self.client
         if process is None:  # it has not arrived, and will not
             return
-        client.book.left(self.sidecar, self.ident)
+        client.recorder.left(self.sidecar, self.ident)
         self.forward.send(self.arrival, process.abandon, self)
 
 
@@ -155,12 +155,12 @@
         self,
         time: PlayedTime,
         links: Links,
-        book: Book,
+        recorder: EventRecorder,
         hosts: Mapping[str, tuple[str, str]],
         max_connections: Mapping[str, int] | None = None,
     ) -> None:
         self.time = time
-        self.book = book
+        self.recorder = recorder
         self.links = {
             name: (links.link(here, there), links.link(there, here)) for name, (here, there) in hosts.items()
         }
--- a/wheatring/lab/book.py
+++ b/wheatring/lab/event_recorder.py
@@ -15,7 +15,7 @@
 NodeState = Literal["ready", "draining", "gone"]
 
 
-class Book(Protocol):
+class EventRecorder(Protocol):
     """Receiver of the events of a day; one method for each kind of event."""
 
     # Clients
--- a/wheatring/lab/live/links/pace.py
+++ b/wheatring/lab/live/links/benchmark.py
@@ -1,6 +1,6 @@
 """What a link costs: latency that it adds, and CPU for each request, up to what one relay bears.
 
-    python -m wheatring.lab.live.links.pace [RATE ...]
+    python -m wheatring.lab.live.links.benchmark [RATE ...]
 
 puts each rate (requests a second, default 500 to 4,000) on a node, once straight and once by a link.
 """
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -14,14 +14,14 @@
 from typing import Any
 
 from wheatring.core.clock import Clock
-from wheatring.lab.book import Book
+from wheatring.lab.correlation import CorrelationTable
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.live.links.wires import Wires
 from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Listed, Registry
 from wheatring.lab.models.effects import Effects
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.traffic import sizes
-from wheatring.lab.origins import Origins
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
 from wheatring.lab.wire.node_server import NodeServer
 from wheatring.lab.wire.request_format import RequestFormat
@@ -54,8 +54,8 @@
         reactor: Any,
         plan: Plan,
         clock: Clock,
-        origins: Origins,
-        book: Book,
+        origins: CorrelationTable,
+        recorder: EventRecorder,
         registry: Registry,
         where: Where,
         wires: Wires | None = None,
@@ -67,7 +67,7 @@
         self.origins = origins
         self.registry = registry
         self.forms = RequestFormat(plan.classes)
-        self.book = book
+        self.recorder = recorder
         self.where = where
         self.ports: dict[tuple[str, str], int] = {}  # by host and sidecar: once the kernel has chosen, kept
         self.hosts = {node.name: node.host for node in plan.nodes}
@@ -75,7 +75,7 @@
         for tier in range(len(plan.tiers) - 1):
             self.callers.append([(node.name, node.zone) for node in plan.nodes if node.tier == tier])
         self.ways: dict[str, SidecarClient] = {}  # of nodes that run, into their own sidecars
-        effects = Effects(clock, plan.classes, book)
+        effects = Effects(clock, plan.classes, recorder)
         self.nodes = {node.name: self._node(node, effects) for node in plan.nodes}
         self.on_fallen: Callable[[str], object] = lambda _name: None
 
@@ -90,7 +90,7 @@
             mean = plan.tiers[node.tier + 1].calls
         machine = Machine(
             node, tier, node.tier, plan.classes, self.clock, Random(f"{plan.seed}:node:{node.name}"),
-            self.origins, self.book, calls, mean,
+            self.origins, self.recorder, calls, mean,
             effects=effects, rules=plan.rules, passes_deadline=plan.passes_deadline,
         )  # fmt: skip
         machine.on_fallen = partial(self._fell, node.name)
@@ -99,7 +99,7 @@
             trip = 2 * (plan.net.same if zone == node.zone else plan.net.cross)
             made.peers[sidecar] = NodeServer(
                 machine, tier, self.clock, Random(f"{plan.seed}:spoilt:{node.name}:{sidecar}"),
-                self.origins, self.forms, self.book, partial(_this, sidecar), partial(_that, trip),
+                self.origins, self.forms, self.recorder, partial(_this, sidecar), partial(_that, trip),
             )  # fmt: skip
         return made
 
@@ -134,7 +134,7 @@
         node.machine.start(cold)
         if node.plan.tier + 1 < len(self.plan.tiers):
             self.ways[node.plan.name] = SidecarClient(
-                self.reactor, self.clock, self.book, self.forms, self.where, node.plan.host
+                self.reactor, self.clock, self.recorder, self.forms, self.where, node.plan.host
             )
 
     def drain(self, name: str) -> None:
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -22,6 +22,7 @@
 from twisted.logger import globalLogBeginner
 
 from wheatring.core.clock import Clock
+from wheatring.lab.correlation import CorrelationTable
 from wheatring.lab.live import tally
 from wheatring.lab.live.lifecycles import Lifecycles
 from wheatring.lab.live.links.faults import Faults
@@ -34,14 +35,13 @@
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.front import Front
-from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import NetPlan, Plan
-from wheatring.lab.rules import Ledger
+from wheatring.lab.rules import InvariantChecker
 from wheatring.lab.wire.request_format import RequestFormat
 from wheatring.lab.wire.sidecar_client import SidecarClient
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, side_hosts
 from wheatring.lab.world.events import Events
-from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
 
 LEAD_SECONDS = 0.5  # seconds from when all sidecars listen until the day begins
 SETTLE_SECONDS = 0.5  # seconds past the tail
@@ -81,28 +81,31 @@
         self.plan = plan
         self.say = say
         self.clock = clock = Clock(reactor)
-        self.origins = Origins(self.random("ids"))
-        self.book = Ledger(
+        self.origins = CorrelationTable(self.random("ids"))
+        self.checker = InvariantChecker(
             structs.replace(plan, net=LINKS), "live", clock.now, float("inf"), family=self.origins.first
         )
-        self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.book)
+        self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = Front(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
         self.wires = wires_of(plan) if wired or any(e.kind in LINK_EVENTS for e in plan.events) else None
         self.nodes = Nodes(
-            reactor, plan, clock, self.origins, self.book, self.registry,
+            reactor, plan, clock, self.origins, self.checker, self.registry,
             lambda name: self.slots.where(name), self.wires,
         )  # fmt: skip
         self.slots = SidecarSlots(
-            reactor, plan, clock, self.book, self.registry, self.nodes.address, folder, self.watch, self.wires
-        )
+            reactor, plan, clock, self.checker, self.registry,
+            self.nodes.address, folder, self.watch, self.wires,
+        )  # fmt: skip
         self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.wires)
         self.lifecycles.ready, self.lifecycles.failed = self.start_day, self.stop
         way = SidecarClient(
-            reactor, clock, self.book, RequestFormat(plan.classes), self.slots.where, CLIENTS,
+            reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
             plan.clients.connections,
         )  # fmt: skip
-        self.clients = Clients(plan, clock, self.random("clients"), self.origins, self.book, self.front, way)
+        self.clients = Clients(
+            plan, clock, self.random("clients"), self.origins, self.checker, self.front, way
+        )
         machines = {name: node.machine for name, node in self.nodes.nodes.items()}
         self.events = Events(
             clock,
@@ -111,7 +114,7 @@
             self.registry,
             self.slots,
             self.lifecycles,
-            self.book.happens,
+            self.checker.happens,
         )
         self.lateness = array("d")
         self.began = 0.0
@@ -181,7 +184,7 @@
         """Start clients, events and measurements."""
         plan, now = self.plan, self.clock.now()
         self.began = now
-        self.book.begin(now)
+        self.checker.begin(now)
         self.watch.begin(now)
         self.watch.add(LAB, os.getpid(), now)
         self.clients.start()
@@ -231,14 +234,14 @@
             for name, row in self.watch.watched.items()
             if name in self.slots.by_name
         }
-        found = self.book.finish(self.clock.now() - self.began, held)
+        found = self.checker.finish(self.clock.now() - self.began, held)
         outcome = LiveOutcome(
             **structs.asdict(found),
             watched=list(self.watch.watched.values()),
             late_ms=tally.percentile_ms(array("d", sorted(self.lateness)), 0.99),
             late_most_ms=max(self.lateness, default=0.0) * 1000,
         )
-        return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)  # a copy: the book still writes
+        return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)  # a copy: the checker still writes
 
 
 def wires_for(plan: Plan) -> int:
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -17,14 +17,14 @@
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.form import as_json
 from wheatring.lab.plan import Plan
-from wheatring.lab.rules import Ledger
+from wheatring.lab.rules import InvariantChecker
 from wheatring.lab.settings import sidecar_settings
 from wheatring.lab.wire.discovery_server import DiscoveryServer
-from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, side_hosts
 from wheatring.lab.world.world import SIDECAR_FAULT_CODES
 
 LIST_LINKS = ("list", "list-moved")  # discovery, as links name it, before and after it has moved
-# Lines of its log that are told to the book: what it could not reach, and faults of its own.
+# Lines of a sidecar's log that are reported to the checker: what it could not reach, and faults of its own.
 CONNECT_FAILED_LINES = ("endpoint-connection code=connect-failed", "endpoint-connection code=not-up-in-time")
 LIST_REFUSED_LINE = "discovery-connection code=connect-failed"
 FAULT_LINES = tuple(f"{word} " for word in sorted(SIDECAR_FAULT_CODES))
@@ -90,7 +90,7 @@
         reactor: Any,
         plan: Plan,
         clock: Clock,
-        book: Ledger,
+        checker: InvariantChecker,
         registry: Registry,
         address: Callable[[str, Any], str],
         folder: Path,
@@ -101,7 +101,7 @@
         self.reactor = reactor
         self.plan = plan
         self.clock = clock
-        self.book = book
+        self.checker = checker
         self.registry = registry
         self.address = address
         self.folder = folder
@@ -199,7 +199,7 @@
     def _serve_list(self, slot: SidecarSlot) -> None:
         slot.list_port = 0
         slot.list_server = DiscoveryServer(
-            self.registry, self.book, lambda _host: slot.name, partial(self._listen, slot),
+            self.registry, self.checker, lambda _host: slot.name, partial(self._listen, slot),
             partial(self.address, slot.name),
         )  # fmt: skip
 
@@ -244,15 +244,15 @@
             slot.up = True
             if self.wires is not None and slot.tier == 0:
                 self.wires.lead({f"{CLIENTS}>{slot.name}": (slot.host, slot.port)})
-            self.book.sidecar_up(slot.name)
+            self.checker.sidecar_up(slot.name)
             self._notify_move(slot)
             self.on_up(slot)
         elif text.startswith(LIST_REFUSED_LINE):
             self.registry.refused(slot.name)
         elif text.startswith(CONNECT_FAILED_LINES):
-            self.book.note("unconnected", sidecar=slot.name)
+            self.checker.note("unconnected", sidecar=slot.name)
         else:
-            self.book.fault(slot.name, text)
+            self.checker.fault(slot.name, text)
 
     def kill(self, slot: SidecarSlot, down: float) -> None:
         """Kill a sidecar outright, and start it again after `down` seconds, if that isn't 0."""
@@ -269,7 +269,7 @@
         if not slot.up or slot.stopping or slot.process is None:
             return
         slot.stopping, slot.down = True, down
-        self.book.sidecar_stopping(slot.name)
+        self.checker.sidecar_stopping(slot.name)
         self.on_stopping(slot)
         slot.timer = self.clock.at(self.clock.now() + patience, self.kill, slot, down)
         slot.process.send(signal.SIGTERM)
@@ -286,10 +286,10 @@
         slot.process = None
         slot.up = slot.stopping = False
         if was_up:
-            self.book.sidecar_down(slot.name, killed)
+            self.checker.sidecar_down(slot.name, killed)
             self.on_down(slot)
         elif not killed:
-            self.book.fault(slot.name, "nothing, and ended before it listened")
+            self.checker.fault(slot.name, "nothing, and ended before it listened")
             self.on_failed(slot)
         self._schedule_start(slot)
 
--- a/wheatring/lab/models/below.py
+++ b/wheatring/lab/models/below.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Sequence
 
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
 from wheatring.lab.models.visit import Visit
 from wheatring.lab.models.way import LINGER, Asked, ReplyKind, Way
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.timers import Timer, Timers
 
 
@@ -23,7 +23,7 @@
         self,
         name: str,
         way: Callable[[], Way | None],
-        origins: Origins,
+        origins: CorrelationTable,
         sizes: Sequence[Callable[[], float]],
         timers: Timers,
     ) -> None:
@@ -42,7 +42,7 @@
         call = _Call(self, done)
         call.late = timers.at(timers.now() + left, call.out_of_time)
         index = origin.class_index
-        ident = self.origins.new(Origin(origin.first, index, self.sizes[index](), origin.key))
+        ident = self.origins.new(OriginalRequest(origin.first, index, self.sizes[index](), origin.key))
         call.asked = way.ask(self.name, ident, index, left, origin.key, False, call.answered)
 
 
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -5,11 +5,11 @@
 from functools import partial
 from random import Random
 
-from wheatring.lab.book import Book, FirstTryEnd
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
+from wheatring.lab.event_recorder import EventRecorder, FirstTryEnd
 from wheatring.lab.models.front import Front
 from wheatring.lab.models.traffic import Traffic
 from wheatring.lab.models.way import LINGER, Asked, ReplyKind, Way
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import Plan
 from wheatring.lab.timers import Timer, Timers
 
@@ -31,7 +31,14 @@
     """
 
     def __init__(
-        self, plan: Plan, timers: Timers, random: Random, origins: Origins, book: Book, front: Front, way: Way
+        self,
+        plan: Plan,
+        timers: Timers,
+        random: Random,
+        origins: CorrelationTable,
+        book: EventRecorder,
+        front: Front,
+        way: Way,
     ) -> None:
         self.classes = plan.classes
         self.plan = plan.clients
@@ -48,7 +55,7 @@
         """The day starts now."""
         self.traffic.start()
 
-    def arrive(self, origin: Origin) -> None:
+    def arrive(self, origin: OriginalRequest) -> None:
         self.open += 1
         self.book.asked(origin.first, origin.class_index)
         _First(self, origin).attempt()
@@ -76,7 +83,7 @@
         "patience", "timer", "tries",
     )  # fmt: skip
 
-    def __init__(self, clients: Clients, origin: Origin) -> None:
+    def __init__(self, clients: Clients, origin: OriginalRequest) -> None:
         plan = clients.plan
         self.clients = clients
         self.origin = origin
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Literal, NamedTuple
 
-from wheatring.lab.book import Book
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.knowledge import Knowledge, Lie
 from wheatring.lab.models.listing import KEPT, Line, Listed, Listing
 from wheatring.lab.plan import DiscoveryPlan, Held
@@ -81,7 +81,7 @@
         timers: Timers,
         unix: Callable[[], float],
         random: Random,
-        book: Book,
+        book: EventRecorder,
         kept: int = KEPT,
     ) -> None:
         self.plan = plan
--- a/wheatring/lab/models/effects.py
+++ b/wheatring/lab/models/effects.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from wheatring.lab.book import Book
-from wheatring.lab.origins import Origin
+from wheatring.lab.correlation import OriginalRequest
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.plan import ClassPlan
 from wheatring.lab.timers import Timers
 
@@ -17,13 +17,13 @@
     worked on all the same.
     """
 
-    def __init__(self, timers: Timers, classes: Sequence[ClassPlan], book: Book) -> None:
+    def __init__(self, timers: Timers, classes: Sequence[ClassPlan], book: EventRecorder) -> None:
         self.timers = timers
         self.classes = classes
         self.book = book
         self.had: list[dict[str, float]] = [{} for _ in classes]  # by class: keys by the time of their effect
 
-    def ran(self, node: str, ident: str, origin: Origin) -> None:
+    def ran(self, node: str, ident: str, origin: OriginalRequest) -> None:
         """An attempt starts its work: from here on it counts as run."""
         plan = self.classes[origin.class_index]
         if plan.effect == "safe":
--- a/wheatring/lab/models/form.py
+++ b/wheatring/lab/models/form.py
@@ -6,7 +6,7 @@
 from operator import attrgetter
 from typing import Any
 
-from wheatring.lab.book import NodeState
+from wheatring.lab.event_recorder import NodeState
 from wheatring.lab.models.discovery import Answer, Listed
 
 LIFECYCLES: dict[NodeState, str] = {"ready": "SERVING", "draining": "DRAINING", "gone": "DELETED"}
--- a/wheatring/lab/models/knowledge.py
+++ b/wheatring/lab/models/knowledge.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import NamedTuple
 
-from wheatring.lab.book import Book, NodeState
+from wheatring.lab.event_recorder import EventRecorder, NodeState
 from wheatring.lab.models.listing import KEPT, Line, Listed, Listing
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lab.timers import Timer, Timers
@@ -36,7 +36,7 @@
         timers: Timers,
         unix: Callable[[], float],
         random: Random,
-        book: Book,
+        book: EventRecorder,
         kept: int = KEPT,
     ) -> None:
         self.plan = plan
--- a/wheatring/lab/models/listing.py
+++ b/wheatring/lab/models/listing.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from wheatring.lab.book import NodeState
+from wheatring.lab.event_recorder import NodeState
 
 KEPT = 256  # versions back to which changes are told; who holds an older one gets the whole list
 
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -8,14 +8,14 @@
 from math import exp, log, sqrt
 from random import Random
 
-from wheatring.lab.book import Book
+from wheatring.lab.correlation import CorrelationTable
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.cold import Pressure, Warming
 from wheatring.lab.models.cpu import Cpu
 from wheatring.lab.models.effects import Effects
 from wheatring.lab.models.pace import Pace
 from wheatring.lab.models.stay import Stay
 from wheatring.lab.models.visit import Below, Verdict, Visit
-from wheatring.lab.origins import Origins
 from wheatring.lab.plan import ClassPlan, NodePlan, RulesPlan, TierPlan
 from wheatring.lab.timers import Timers
 
@@ -40,8 +40,8 @@
         classes: Sequence[ClassPlan],
         timers: Timers,
         random: Random,
-        origins: Origins,
-        book: Book,
+        origins: CorrelationTable,
+        book: EventRecorder,
         below: Below | None,
         calls: float,
         *,
--- a/wheatring/lab/models/stay.py
+++ b/wheatring/lab/models/stay.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
+from wheatring.lab.correlation import OriginalRequest
 from wheatring.lab.models.visit import Visit
-from wheatring.lab.origins import Origin
 
 if TYPE_CHECKING:
     from wheatring.lab.models.machine import Machine
@@ -16,7 +16,7 @@
 
     __slots__ = ("breaks", "calls", "done", "machine", "mark", "origin", "over", "part", "rest", "visit")
 
-    def __init__(self, machine: Machine, visit: Visit, origin: Origin, work: float) -> None:
+    def __init__(self, machine: Machine, visit: Visit, origin: OriginalRequest, work: float) -> None:
         self.machine = machine
         self.visit = visit
         self.origin = origin
--- a/wheatring/lab/models/traffic.py
+++ b/wheatring/lab/models/traffic.py
@@ -8,7 +8,7 @@
 from math import exp, inf, log, sqrt
 from random import Random
 
-from wheatring.lab.origins import Origin
+from wheatring.lab.correlation import OriginalRequest
 from wheatring.lab.plan import ClassPlan, Plan
 from wheatring.lab.timers import Timers
 
@@ -71,7 +71,7 @@
     It looks one arrival ahead and draws from streams of its own, named after the plan's seed alone.
     """
 
-    def __init__(self, plan: Plan, timers: Timers, arrive: Callable[[Origin], None]) -> None:
+    def __init__(self, plan: Plan, timers: Timers, arrive: Callable[[OriginalRequest], None]) -> None:
         self.timers = timers
         self.arrive = arrive
         self.random = Random(f"{plan.seed}:arrivals")
@@ -110,7 +110,7 @@
         size = self.sizes[index]()
         key = f"{content.getrandbits(128):032x}" if self.keyed[index] else ""
         self.wait()
-        self.arrive(Origin(self.last, index, size, key))
+        self.arrive(OriginalRequest(self.last, index, size, key))
 
     def next(self) -> float | None:
         """The next arrival, in seconds from the day's start: where the rate has summed up to a draw."""
--- a/wheatring/lab/hunt.py
+++ b/wheatring/lab/mutation_testing.py
@@ -9,7 +9,7 @@
 from contextlib import nullcontext
 from typing import NamedTuple
 
-from wheatring.lab.faults import FAULTS, Fault, planted
+from wheatring.lab.planted_faults import FAULTS, Fault, planted
 from wheatring.lab.study import StudyError
 
 CLEAN = "nothing planted"
@@ -27,8 +27,8 @@
 def run_with_fault(fault: Fault | None, scenario: str, seed: int, grain: str) -> FaultRun:
     """Play one day with a fault planted. A world that raises has detected the fault as well."""
     from wheatring.lab.play import play
-    from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import load
+    from wheatring.lab.scenario.plan_builder import draw
 
     name = CLEAN if fault is None else fault.name
     with nullcontext() if fault is None else planted(fault):
@@ -42,7 +42,7 @@
     return FaultRun(name, seed, first.rule, first.what) if first is not None else FaultRun(name, seed, "", "")
 
 
-def hunt(
+def run_mutation_tests(
     names: Sequence[str], seeds: Sequence[int], grain: str, workers: int, say: Callable[[str], object]
 ) -> int:
     """Search for faults in parallel and report each result by `say`.
--- a/wheatring/lab/faults.py
+++ b/wheatring/lab/planted_faults.py
@@ -48,7 +48,7 @@
 FAULTS = (
     Fault(
         "written-when-over",
-        "a connect that comes up late writes its claim though the job is over",
+        "a connect that comes up late writes its attempt though the request is over",
         "wheatring.http1.connection_pool:_NewConnection.connectionMade",
         "if self.first_attempt.may_be_sent and self.pool.exchange.check_in_time(self.first_attempt):",
         "if True:",
@@ -57,7 +57,7 @@
     ),
     Fault(
         "kept-unclean",
-        "a connection with bytes left on it is kept for the next claim",
+        "a connection with bytes left on it is kept for the next attempt",
         "wheatring.http1.endpoint_connection:EndpointConnection.keep_or_close",
         "if not self.is_flushed or self.parser.has_partial_message:",
         "if False:",
@@ -66,7 +66,7 @@
     ),
     Fault(
         "drain-ignored",
-        "a node that drains goes on getting new work",
+        "a draining node goes on getting new requests",
         "wheatring.balancer.endpoint_pool:EndpointPool.update",
         "if entry.state is not EndpointState.READY:",
         "if entry.state is EndpointState.GONE:",
@@ -74,7 +74,7 @@
     ),
     Fault(
         "answer-lost",
-        "a job whose claim is given up for time is not told of it",
+        "a request whose attempt has timed out is not notified of it",
         "wheatring.core.exchange:Exchange._time_out",
         "self._stop_attempt(attempt, outcome)",
         "pass",
@@ -82,7 +82,7 @@
     ),
     Fault(
         "timer-kept",
-        "the guard against overdue jobs is not called off when a job is answered",
+        "the timer against overdue requests is not cancelled when a request is answered",
         "wheatring.core.exchange:Exchange._finish",
         "request.overdue_timer.cancel()",
         "pass",
@@ -115,7 +115,7 @@
     ),
     Fault(
         "caller-kept",
-        "the job of a caller that has left stays open",
+        "the request of a caller that has disconnected stays open",
         "wheatring.core.exchange:Exchange.withdraw",
         "self._finish(request)",
         "pass",
@@ -140,7 +140,7 @@
     ),
     Fault(
         "closed-with-jobs",
-        "told to stop, it closes connections whose callers wait for answers",
+        "once stopping, it closes connections whose callers wait for answers",
         "wheatring.http1.server:Server.close_unanswered",
         "continue",
         'connection.close("stopping")',
--- a/wheatring/lab/play.py
+++ b/wheatring/lab/play.py
@@ -1,4 +1,4 @@
-"""A plan played in virtual time at a grain. The grains are named here, above the world and its grounds."""
+"""Plays a plan in virtual time at a grain. The grains are named here, above the world and environments."""
 
 from __future__ import annotations
 
@@ -8,10 +8,13 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import Plan
 from wheatring.lab.wire.environment import WireEnvironment
-from wheatring.lab.world.ground import Ground
+from wheatring.lab.world.environment import Environment
 from wheatring.lab.world.world import Tracing, World
 
-GRAINS: Mapping[str, Callable[[World], Ground]] = {"wire": WireEnvironment, "exchange": DirectEnvironment}
+GRAINS: Mapping[str, Callable[[World], Environment]] = {
+    "wire": WireEnvironment,
+    "exchange": DirectEnvironment,
+}
 
 
 def make_world(plan: Plan, grain: str, tracing: Tracing | None = None) -> World:
--- a/wheatring/lab/rules/breaches.py
+++ b/wheatring/lab/rules/breaches.py
@@ -13,7 +13,7 @@
 
 
 class MisuseError(Exception):
-    """The book was told what can't be: the fault is of an attachment or a model, not of the sidecar."""
+    """An event was recorded that can't happen: the fault is of the lab, not of the sidecar."""
 
 
 class Breaches:
--- a/wheatring/lab/rules/drains.py
+++ b/wheatring/lab/rules/drains.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-from wheatring.lab.book import NodeState
+from wheatring.lab.event_recorder import NodeState
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.links import ELSEWHERE, Links
 
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -11,7 +11,7 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from wheatring.lab.book import FirstTryEnd
+from wheatring.lab.event_recorder import FirstTryEnd
 from wheatring.lab.outcome import ClassFigures, Outcome, SecondFigures
 from wheatring.lab.plan import Plan
 
--- a/wheatring/lab/rules/ledger.py
+++ b/wheatring/lab/rules/invariant_checker.py
@@ -1,4 +1,4 @@
-"""The ledger: the book that holds each event to the rules and keeps the figures.
+"""Holds each event of a day to the rules, and keeps the figures.
 
 What `Outcome.counts` tells, by name:
 
@@ -28,7 +28,7 @@
 
 from collections.abc import Callable, Mapping
 
-from wheatring.lab.book import FirstTryEnd, NodeState
+from wheatring.lab.event_recorder import FirstTryEnd, NodeState
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules import bounds
@@ -37,15 +37,15 @@
 from wheatring.lab.rules.drains import Drains
 from wheatring.lab.rules.duplicates import SOCKET_TOLERANCE_SECONDS
 from wheatring.lab.rules.front_outage import FrontOutage
-from wheatring.lab.rules.request_ledger import RequestLedger
+from wheatring.lab.rules.request_checker import RequestChecker
 from wheatring.lab.rules.trace import Family, Trace, text
 from wheatring.lab.rules.warm_up import WarmUps
 
 UNSENT_PENALTY_SHARE = 0.3  # of its worth, for a try answered late or never without an attempt
 
 
-class Ledger(RequestLedger):
-    """Implements `Book`. `now` gives the world's instants, of which `start` is the day's first.
+class InvariantChecker(RequestChecker):
+    """Implements `EventRecorder`. `now` gives the world's instants, of which `start` is the day's first.
 
     `family` gives a request's first try, by which work is traced from calls up to the client's answer; see
     `work.py`. What can't have happened raises `MisuseError`: the fault is then of who told it.
--- a/wheatring/lab/rules/request_ledger.py
+++ b/wheatring/lab/rules/request_checker.py
@@ -1,11 +1,11 @@
-"""The part of the ledger for requests and their attempts, which are noted most often."""
+"""The part of the invariant checker for requests and their attempts, the most frequent events."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
 
-from wheatring.lab.book import ResponseKind
+from wheatring.lab.event_recorder import ResponseKind
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.answers import Answers
 from wheatring.lab.rules.breaches import Breaches, MisuseError
@@ -14,13 +14,13 @@
 from wheatring.lab.rules.links import Links
 from wheatring.lab.rules.requests import Attempt, Over, Request
 from wheatring.lab.rules.trace import Family, Trace, text
-from wheatring.lab.rules.work import Work
+from wheatring.lab.rules.work_accounting import WorkAccounting
 
 REQUEST_MEMORY_SECONDS = 10.0  # for which a request that is over is remembered, for what is on its way
 
 
-class RequestLedger:
-    """The ledger's part for requests and attempts, which are noted most often."""
+class RequestChecker:
+    """Holds the events of requests and attempts to the rules."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self.max_open = plan.limits.max_open
         self.alone = not plan.limits.second_copies  # an attempt must be
         self.front = {each.name for each in plan.sidecars}
-        self.work = Work(plan, self.front, family)
+        self.work = WorkAccounting(plan, self.front, family)
         self.tier_of = {each.name: each.tier for each in plan.nodes}
         self.requests: dict[str, Request] = {}
         self.held: dict[str, dict[str, Request]] = {}  # by sidecar: what it has taken and owes
--- a/wheatring/lab/rules/requests.py
+++ b/wheatring/lab/rules/requests.py
@@ -1,4 +1,4 @@
-"""What the ledger remembers of a request and its attempts until it is over and nothing of it is out."""
+"""State of a request and its attempts, kept until it is over and nothing of it is in flight."""
 
 from __future__ import annotations
 
--- a/wheatring/lab/rules/trace.py
+++ b/wheatring/lab/rules/trace.py
@@ -2,8 +2,8 @@
 
     0.1042 taken sidecar=lb-0 ident=9b1f03aa5c7e2d41 index=1 key=5c0f deadline=6.1042
 
-A line begins with the time since the start of the day and the kind of the event, which is the book's word for
-it; `name=value` follow, instants as times since the start, too.
+A line begins with the time since the start of the day and the kind of the event, which is the name of
+the method of `EventRecorder`; `name=value` follow, instants as times since the start, too.
 """
 
 from __future__ import annotations
--- a/wheatring/lab/rules/work.py
+++ b/wheatring/lab/rules/work_accounting.py
@@ -9,7 +9,7 @@
 ROOT = Attempt("", 0.0, 0.0)  # stands for the client, above all visits
 
 
-class Work:
+class WorkAccounting:
     """The work of attempts, and what of it was of use. Work is in seconds on a standard core.
 
     An attempt's work is of use once it made the answer that its caller got. That of a call goes to the visit
--- a/wheatring/lab/scenario/events.py
+++ b/wheatring/lab/scenario/events.py
@@ -14,10 +14,10 @@
 
 from wheatring.lab.plan import DISCOVERY, EventKind, EventPlan
 from wheatring.lab.scenario.checks import labelled_events
-from wheatring.lab.scenario.draws import Draws
 from wheatring.lab.scenario.event_forms import EVENT_FORMS
 from wheatring.lab.scenario.fault_messages import ContradictionError, Fault
 from wheatring.lab.scenario.fleet import Fleet
+from wheatring.lab.scenario.sampler import Sampler
 from wheatring.lab.scenario.schema import Event, Scenario
 
 _Call = Callable[[float], None]
@@ -26,7 +26,7 @@
 class Expansion:
     """Goes through a day once; `made` holds what it gave, in the order of time."""
 
-    def __init__(self, draws: Draws, scenario: Scenario, fleet: Fleet, end: float) -> None:
+    def __init__(self, draws: Sampler, scenario: Scenario, fleet: Fleet, end: float) -> None:
         self.made: list[EventPlan] = []
         self.fleet = fleet
         self.draws = draws
--- a/wheatring/lab/scenario/fleet.py
+++ b/wheatring/lab/scenario/fleet.py
@@ -6,8 +6,8 @@
 
 from wheatring.lab.plan import NodePlan, SidecarPlan
 from wheatring.lab.scenario.checks import FRONT, high
-from wheatring.lab.scenario.draws import Draws, apportion
 from wheatring.lab.scenario.fault_messages import ContradictionError, Fault
+from wheatring.lab.scenario.sampler import Sampler, apportion
 from wheatring.lab.scenario.schema import Scenario
 
 _SETTLE_SECONDS = 0.05  # after its return, for which a machine is left alone
@@ -22,7 +22,7 @@
 class Fleet:
     """`free` and `sidecar_free` say from when on one runs with nothing planned that takes it down again."""
 
-    def __init__(self, draws: Draws, scenario: Scenario) -> None:
+    def __init__(self, draws: Sampler, scenario: Scenario) -> None:
         self.draws = draws
         self.scenario = scenario
         self.nodes: dict[str, NodePlan] = {}
--- a/wheatring/lab/scenario/draw.py
+++ b/wheatring/lab/scenario/plan_builder.py
@@ -22,11 +22,11 @@
     TrafficPlan,
 )
 from wheatring.lab.scenario.capacity import Summary, capacity, demand, summary
-from wheatring.lab.scenario.draws import Draws
 from wheatring.lab.scenario.events import Expansion
 from wheatring.lab.scenario.fault_messages import ContradictionError
 from wheatring.lab.scenario.fleet import Fleet
 from wheatring.lab.scenario.load import LoadedScenario, ScenarioError
+from wheatring.lab.scenario.sampler import Sampler
 from wheatring.lab.scenario.schema import Choke, Kind, Scenario, Tier, Traffic
 
 __all__ = ["Summary", "draw", "summary"]
@@ -37,13 +37,13 @@
 def draw(found: LoadedScenario, seed: int) -> Plan:
     """Draw the day of that seed. Raises ScenarioError for a draw that contradicts itself."""
     try:
-        return _Day(found.scenario, Draws(seed)).plan(found.name)
+        return _Day(found.scenario, Sampler(seed)).plan(found.name)
     except ContradictionError as error:
         raise ScenarioError(found.where, [error.fault]) from None
 
 
 class _Day:
-    def __init__(self, scenario: Scenario, draws: Draws) -> None:
+    def __init__(self, scenario: Scenario, draws: Sampler) -> None:
         self.scenario = scenario
         self.draws = draws
 
--- a/wheatring/lab/scenario/draws.py
+++ b/wheatring/lab/scenario/sampler.py
@@ -1,4 +1,4 @@
-"""Draws: each path of a scenario has random numbers of its own, so that no key moves the draws of another."""
+"""Random draws: each path of a scenario has a generator of its own, so no key affects another's draws."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 Integers = int | tuple[int, ...]
 
 
-class Draws:
+class Sampler:
     """All draws of one seed, by path."""
 
     def __init__(self, seed: int) -> None:
--- a/wheatring/lab/study/__init__.py
+++ b/wheatring/lab/study/__init__.py
@@ -1,6 +1,6 @@
 """Experiments: many runs of the lab, kept, compared and drawn.
 
-A run is a function of a job (scenario, seed, grain, settings, build) that gives an outcome; it is named as
+A run is a function of its spec (scenario, seed, grain, settings, build) that gives an outcome; it is named as
 `module:function` and handed in, and played in processes of its own. May import the lab's outcome and
 scenarios, and, through the name of the run alone, its world; nothing of the sidecar.
 """
--- a/wheatring/lab/study/compare.py
+++ b/wheatring/lab/study/compare.py
@@ -13,7 +13,7 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.study import StudyError, stats
 from wheatring.lab.study.figures import better, figure
-from wheatring.lab.study.jobs import Job
+from wheatring.lab.study.runs import RunSpec
 from wheatring.lab.study.store import Row, Store
 
 LEVEL = 0.95
@@ -89,7 +89,7 @@
 
 
 def compared(
-    store: Store, a: Sequence[Job], b: Sequence[Job], names: Sequence[str], labels: tuple[str, str],
+    store: Store, a: Sequence[RunSpec], b: Sequence[RunSpec], names: Sequence[str], labels: tuple[str, str],
     seed: int = 1,
 ) -> Comparison:  # fmt: skip
     """Compare what the store holds: the runs of `a` and `b` are pairs, in the same order.
@@ -125,9 +125,9 @@
     )
 
 
-def _identity(a: Sequence[Job], b: Sequence[Job]) -> str:
+def _identity(a: Sequence[RunSpec], b: Sequence[RunSpec]) -> str:
     """Return what names a comparison: the same for the same two sides, whatever the seeds."""
-    sides = [sorted({str((*job.key()[:2], *job.key()[3:])) for job in side}) for side in (a, b)]
+    sides = [sorted({str((*spec.key()[:2], *spec.key()[3:])) for spec in side}) for side in (a, b)]
     return hashlib.sha256(repr(sides).encode()).hexdigest()[:16]
 
 
--- a/wheatring/lab/study/pool.py
+++ b/wheatring/lab/study/pool.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from wheatring.lab.study import StudyError
-from wheatring.lab.study.jobs import Build, Ended, Job
+from wheatring.lab.study.runs import Build, RunResult, RunSpec
 from wheatring.lab.study.settings import Pairs
 from wheatring.lab.study.worker import Hello, framed
 
@@ -47,15 +47,15 @@
         except (OSError, asyncio.IncompleteReadError):
             raise _WorkerDiedError from None
 
-    async def play(self, job: Job, limit: float) -> Ended:
+    async def play(self, spec: RunSpec, limit: float) -> RunResult:
         self.played += 1
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + limit):
-                return msgspec.msgpack.decode(await self.ask(job), type=Ended)
+                return msgspec.msgpack.decode(await self.ask(spec), type=RunResult)
         except TimeoutError:
-            return Ended("hung", why=f"not over after {limit:g} s")
+            return RunResult("hung", why=f"not over after {limit:g} s")
         except _WorkerDiedError:
-            return Ended("died", why=await self.end())
+            return RunResult("died", why=await self.end())
 
     async def end(self) -> str:
         """End the process, if it has not ended; returns how it did."""
@@ -119,17 +119,19 @@
 
 
 class _Pool:
-    def __init__(self, jobs: Iterable[Job], run: str, limit: float, ended: Callable[[Job, Ended], bool]):
-        self.waiting: dict[WorkerKind, deque[Job]] = {}
-        for job in jobs:
-            self.waiting.setdefault((job.build, job.settings.patches), deque()).append(job)
+    def __init__(
+        self, specs: Iterable[RunSpec], run: str, limit: float, ended: Callable[[RunSpec, RunResult], bool]
+    ):
+        self.waiting: dict[WorkerKind, deque[RunSpec]] = {}
+        for spec in specs:
+            self.waiting.setdefault((spec.build, spec.settings.patches), deque()).append(spec)
         self.run = run
         self.limit = limit
         self.ended = ended
         self.slots: dict[int, WorkerKind | None] = {}
 
-    def next(self, slot: int) -> Job | None:
-        """Return a job of the slot's own kind, else of the kind with most waiting for each slot on it."""
+    def next(self, slot: int) -> RunSpec | None:
+        """Return a spec of the slot's own kind, else of the kind with most waiting for each slot on it."""
         kind = self.slots.get(slot)
         if kind is None or not self.waiting[kind]:
             playing = [other for place, other in self.slots.items() if place != slot]
@@ -146,18 +148,18 @@
     async def play(self, slot: int) -> None:
         worker: _Worker | None = None
         try:
-            while (job := self.next(slot)) is not None:
-                kind = (job.build, job.settings.patches)
+            while (spec := self.next(slot)) is not None:
+                kind = (spec.build, spec.settings.patches)
                 if worker is not None and (worker.kind != kind or worker.played >= MAX_RUNS_PER_WORKER):
                     await worker.end()
                     worker = None
                 if worker is None:
                     worker = await _start_worker(kind, self.run)
-                ended = await worker.play(job, self.limit)
+                ended = await worker.play(spec, self.limit)
                 if ended.state in ("died", "hung"):
                     await worker.end()
                     worker = None
-                if self.ended(job, ended):
+                if self.ended(spec, ended):
                     raise _StopPlayingError
         finally:
             if worker is not None:
@@ -177,12 +179,14 @@
                 raise error
 
 
-def play(jobs: list[Job], run: str, workers: int, limit: float, ended: Callable[[Job, Ended], bool]) -> None:
+def play(
+    specs: list[RunSpec], run: str, workers: int, limit: float, ended: Callable[[RunSpec, RunResult], bool]
+) -> None:
     """Play all, reporting each to `ended` as it ends; where that returns True, end at once.
 
     Parameters
     ----------
-    jobs
+    specs
         What to play.
     run
         The run, as module:function.
@@ -198,9 +202,9 @@
     StudyError
         A worker can't start: a patch that names nothing, a broken build.
     """
-    if not jobs:
+    if not specs:
         return
-    kinds = dict.fromkeys((job.build, job.settings.patches) for job in jobs)
+    kinds = dict.fromkeys((spec.build, spec.settings.patches) for spec in specs)
     if len(kinds) > 1:  # so that a bad patch is told before anything has been played
         asyncio.run(_check_kinds(kinds, run))
-    asyncio.run(_Pool(jobs, run, limit, ended).all(min(workers, len(jobs))))
+    asyncio.run(_Pool(specs, run, limit, ended).all(min(workers, len(specs))))
--- a/wheatring/lab/study/job_builder.py
+++ b/wheatring/lab/study/run_builder.py
@@ -1,4 +1,4 @@
-"""From what is asked for (scenarios, settings) to jobs, and from a job back to its scenario."""
+"""Builds the specs of runs from scenarios and settings, and loads a spec's scenario again."""
 
 from __future__ import annotations
 
@@ -6,7 +6,6 @@
 
 import msgspec
 
-from wheatring.lab.scenario.draw import draw
 from wheatring.lab.scenario.fault_messages import Fault
 from wheatring.lab.scenario.load import (
     LoadedScenario,
@@ -16,13 +15,14 @@
     load_tables,
     with_override,
 )
-from wheatring.lab.study.jobs import Build, Job, hashed
+from wheatring.lab.scenario.plan_builder import draw
+from wheatring.lab.study.runs import Build, RunSpec, hashed
 from wheatring.lab.study.settings import Settings, value_of
 
 
-def make_jobs(
+def make_run_specs(
     scenario: str, seeds: list[int], grains: list[str], settings: Settings, build: Build
-) -> list[Job]:
+) -> list[RunSpec]:
     """Return the runs of one scenario, by its name or its file, seed by seed.
 
     Raises ScenarioError where it or a setting can't be used; the first seed is drawn to tell.
@@ -34,7 +34,9 @@
         draw(check_tables(raw, name, where), seed)
     source = _text(raw)
     return [
-        Job(scenario, text_hash, source, seed, grain, settings, build) for seed in seeds for grain in grains
+        RunSpec(scenario, text_hash, source, seed, grain, settings, build)
+        for seed in seeds
+        for grain in grains
     ]
 
 
@@ -60,7 +62,7 @@
     return msgspec.json.encode(raw, order="sorted").decode()
 
 
-def scenario_of(job: Job) -> LoadedScenario:
+def scenario_of(spec: RunSpec) -> LoadedScenario:
     """Return the scenario of a run."""
-    raw: Raw = msgspec.json.decode(job.source)
-    return check_tables(raw, Path(job.scenario).stem, job.scenario)
+    raw: Raw = msgspec.json.decode(spec.source)
+    return check_tables(raw, Path(spec.scenario).stem, spec.scenario)
--- a/wheatring/lab/study/jobs.py
+++ b/wheatring/lab/study/runs.py
@@ -1,4 +1,4 @@
-"""One run as a value: what it is keyed by, how it ends, and how it is played in a worker."""
+"""The spec of one run, its key in the store, and its result."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     ident: str
 
 
-class Job(Struct, frozen=True):
+class RunSpec(Struct, frozen=True):
     """A run to be played. Its key is all but the folder of the build and the source."""
 
     scenario: str  # its name, or its file
@@ -48,15 +48,15 @@
         return (self.scenario, self.text_hash, self.seed, self.grain, self.build.ident, self.settings.text())
 
 
-class Ended(Struct):
-    """How a job ended. `outcome` is JSON as the run gave it, empty unless it is done; `why` says more."""
+class RunResult(Struct):
+    """How a run ended. `outcome` is JSON as the run gave it, empty unless it is done; `why` says more."""
 
     state: State
     outcome: bytes = b""
     why: str = ""
 
 
-Run = Callable[[Job], Outcome]
+Run = Callable[[RunSpec], Outcome]
 
 
 def hashed(text: str) -> str:
--- a/wheatring/lab/study/settings.py
+++ b/wheatring/lab/study/settings.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct, structs
 
-from wheatring.lab.faults import FAULTS, planted
+from wheatring.lab.planted_faults import FAULTS, planted
 from wheatring.lab.study import StudyError
 
 PACKAGES = ("wheatring",)  # a patch reaches nothing else
@@ -94,7 +94,7 @@
 
 
 def with_fault(settings: Settings, name: str) -> Settings:
-    """Add a fault of `lab.faults` to be planted, where one is named. Raises StudyError."""
+    """Add a fault of `lab.planted_faults`, where one is named. Raises StudyError."""
     if not name:
         return settings
     if name not in [fault.name for fault in FAULTS]:
--- a/wheatring/lab/study/store.py
+++ b/wheatring/lab/study/store.py
@@ -12,7 +12,7 @@
 
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.study import StudyError
-from wheatring.lab.study.jobs import Ended, Job
+from wheatring.lab.study.runs import RunResult, RunSpec
 
 VERSION = 1  # of the tables below; kept as the file's user_version
 
@@ -71,14 +71,14 @@
     def __init__(self, link: sqlite3.Connection) -> None:
         self.link = link
 
-    def keep(self, job: Job, ended: Ended) -> Row:
+    def keep(self, spec: RunSpec, ended: RunResult) -> Row:
         """Keep a run. One without an outcome, or whose figures are no numbers, is kept as broken."""
-        key = job.key()
+        key = spec.key()
         if ended.state == "done":
             try:
                 got = msgspec.json.decode(ended.outcome, type=Outcome)
             except msgspec.ValidationError as error:
-                return self.keep(job, Ended("broken", why=f"no outcome: {error}"))
+                return self.keep(spec, RunResult("broken", why=f"no outcome: {error}"))
             rules = " ".join(dict.fromkeys(breach.rule for breach in got.breaches))
             breaches = max(got.breach_count, len(got.breaches))
             row = Row(
--- a/wheatring/lab/study/sweep.py
+++ b/wheatring/lab/study/sweep.py
@@ -17,16 +17,16 @@
 from rich.table import Table
 
 from wheatring.lab.study import pool, stats
-from wheatring.lab.study.jobs import Ended, Job, replay
+from wheatring.lab.study.runs import RunResult, RunSpec, replay
 from wheatring.lab.study.store import Row, Store
 
 
 @dataclass(slots=True)
 class Swept:
-    """What there is of the jobs that were asked for, those of earlier sweeps among them."""
+    """What there is of the specs that were asked for, those of earlier sweeps among them."""
 
     asked: int
-    rows: list[Row] = field(default_factory=list)  # in the order of the jobs
+    rows: list[Row] = field(default_factory=list)  # in the order of the specs
     played: int = 0  # by this sweep
     stopped: bool = False  # by Ctrl-C
 
@@ -44,7 +44,7 @@
 
 
 def play(
-    jobs: list[Job], store: Store, run: str, *, workers: int, limit: float, fail_fast: bool = False,
+    specs: list[RunSpec], store: Store, run: str, *, workers: int, limit: float, fail_fast: bool = False,
     console: Console | None = None,
 ) -> Swept:  # fmt: skip
     """Play what the store does not have yet; runs that had not come to their end are played again.
@@ -52,8 +52,8 @@
     `run` is module:function, `limit` seconds of wall time for each run. Raises StudyError.
     """
     kept = {row.key(): row for row in store.rows()}
-    wanted = {job.key(): job for job in jobs}
-    left = [job for key, job in wanted.items() if key not in kept or kept[key].state != "done"]
+    wanted = {spec.key(): spec for spec in specs}
+    left = [spec for key, spec in wanted.items() if key not in kept or kept[key].state != "done"]
     swept = Swept(asked=len(wanted))
     if fail_fast and any(kept[key].breaches for key in wanted if key in kept):
         left = []
@@ -63,9 +63,9 @@
         lost = 0
         task = progress.add_task("", total=len(left), rate="", breaches=breaches, lost=lost)
 
-        def ended(job: Job, how: Ended) -> bool:
+        def ended(spec: RunSpec, how: RunResult) -> bool:
             nonlocal breaches, lost
-            row = kept[job.key()] = store.keep(job, how)
+            row = kept[spec.key()] = store.keep(spec, how)
             swept.played += 1
             breaches += row.breaches or 0
             lost += row.state != "done"
--- a/wheatring/lab/study/worker.py
+++ b/wheatring/lab/study/worker.py
@@ -1,7 +1,7 @@
 """A process that plays runs for a pool, one after another: messages on standard input and output.
 
 The first message says how to begin (`Hello`) and is answered with what is wrong, "" for nothing; each further
-one is a job and is answered with how it ended. All are msgpack behind their length in four bytes.
+one is a run's spec and is answered with how it ended. All are msgpack behind their length in four bytes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from wheatring.lab.study import StudyError
-from wheatring.lab.study.jobs import Ended, Job, function
+from wheatring.lab.study.runs import RunResult, RunSpec, function
 from wheatring.lab.study.settings import Pairs, apply
 
 
@@ -52,15 +52,15 @@
     return ""
 
 
-def _play(name: str, job: Job) -> Ended:
+def _play(name: str, spec: RunSpec) -> RunResult:
     try:
-        return Ended("done", msgspec.json.encode(function(name)(job)))
+        return RunResult("done", msgspec.json.encode(function(name)(spec)))
     except Exception as error:
         step = error.__traceback__
         while step is not None and step.tb_next is not None:
             step = step.tb_next
         where = f"{Path(step.tb_frame.f_code.co_filename).name}:{step.tb_lineno}: " if step else ""
-        return Ended("broken", why=f"{where}{type(error).__name__}: {error}".splitlines()[0])
+        return RunResult("broken", why=f"{where}{type(error).__name__}: {error}".splitlines()[0])
 
 
 def main() -> None:
@@ -80,7 +80,7 @@
     fault = _load(hello)
     say(fault)
     while not fault:
-        say(_play(hello.run, msgspec.msgpack.decode(messages.get(), type=Job)))
+        say(_play(hello.run, msgspec.msgpack.decode(messages.get(), type=RunSpec)))
     os._exit(0)  # an orderly end would wait for the thread that reads
 
 
--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.python.failure import Failure
 
-from wheatring.lab.book import Book
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.discovery import Answer, Call, Listed, Registry
 from wheatring.lab.models.form import ADDRESS, as_json
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
@@ -87,7 +87,7 @@
             if message is not None:
                 self._handle(message)
         except (MalformedMessageError, BadListRequestError) as bad:
-            self.server.book.note("bad-call", sidecar=self.sidecar, why=str(bad))
+            self.server.recorder.note("bad-call", sidecar=self.sidecar, why=str(bad))
             self._cancel_call()
             self._write(BAD_REQUEST, False)
 
@@ -157,13 +157,13 @@
     def __init__(
         self,
         registry: Registry,
-        book: Book,
+        recorder: EventRecorder,
         sidecar_of: Callable[[str], str],
         listen: Callable[[ServerFactory], Any],
         address: Callable[[Listed], str] = ADDRESS,
     ) -> None:
         self.registry = registry
-        self.book = book
+        self.recorder = recorder
         self.sidecar_of = sidecar_of
         self.listen = listen
         self.address = address
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -20,7 +20,7 @@
 from wheatring.lab.wire.node_server import NodeServer
 from wheatring.lab.wire.request_format import RequestFormat
 from wheatring.lab.wire.sidecar_client import SidecarClient
-from wheatring.lab.world.ground import (
+from wheatring.lab.world.environment import (
     CLIENTS,
     DISCOVERY,
     PORT,
@@ -44,13 +44,13 @@
 
 
 class WireEnvironment:
-    """Runs nodes, sidecars and discovery as processes of the simulated network; a `world.ground.Ground`."""
+    """The `Environment` of the wire grain: processes of a simulated network."""
 
     def __init__(self, world: World) -> None:
         plan = world.plan
         self.world = world
         self.time = world.time
-        self.book = world.book
+        self.recorder = world.checker
         self.zones = zones(plan)
         self.net = Network(
             world.time, plan.net, world.random("net"), lambda host: self.zones.get(host, ""), plan.epoch
@@ -71,7 +71,7 @@
     def create_client(self, process: Process, host: str, max_connections: int = 0) -> SidecarClient:
         """Return a client of sidecars that runs in the process; `max_connections` 0 is no limit."""
         return SidecarClient(
-            process, self.time, self.book, self.request_format, self.address_of, host, max_connections
+            process, self.time, self.recorder, self.request_format, self.address_of, host, max_connections
         )
 
     def address_of(self, sidecar: str) -> tuple[str, int]:
@@ -89,7 +89,7 @@
         self.net.host(host).on_refused[port] = lambda caller: registry.refused(self.sidecar_of(caller))
         DiscoveryServer(
             registry,
-            self.book,
+            self.recorder,
             self.sidecar_of,
             lambda factory: process.listenTCP(port, factory, LISTEN_BACKLOG, host),
         )
@@ -116,7 +116,7 @@
             self.world.random(f"peer:{node.name}"),
             self.world.origins,
             self.request_format,
-            self.book,
+            self.recorder,
             self.sidecar_of,
             lambda host: self.round_trip(node.host, host),
             lambda full: self.net.full(node.host, PORT, full),
@@ -151,14 +151,14 @@
             counts.update(count_leftovers(sidecar, process.open_resources().timers))
             counts["descriptors"] += len(process.descriptors)
             self.forget_sidecar(name)
-            self.book.sidecar_down(name, False)
+            self.recorder.sidecar_down(name, False)
             ended()
 
         process.on_stop = stopped
         sidecar = process.run(Sidecar, process, told, NO_OPERATORS, False, process.unix)
         self.sidecars[name] = (process, sidecar)
         process.run(sidecar.start)
-        self.book.sidecar_up(name)
+        self.recorder.sidecar_up(name)
 
     def forget_sidecar(self, name: str) -> Process:
         """Remove a sidecar whose process ends, and return the process."""
@@ -169,13 +169,13 @@
     def sidecar_stop(self, name: str) -> None:
         """Send a sidecar SIGTERM."""
         process, sidecar = self.sidecars[name]
-        self.book.sidecar_stopping(name)
+        self.recorder.sidecar_stopping(name)
         process.callFromThread(sidecar.stop)
 
     def sidecar_kill(self, name: str) -> None:
         """Kill a sidecar's process at once."""
         self.forget_sidecar(name).kill()
-        self.book.sidecar_down(name, True)
+        self.recorder.sidecar_down(name, True)
 
     # Faults
 
--- a/wheatring/lab/wire/node_server.py
+++ b/wheatring/lab/wire/node_server.py
@@ -10,9 +10,9 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.python.failure import Failure
 
-from wheatring.lab.book import Book
+from wheatring.lab.correlation import CorrelationTable
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.visit import Verdict, Visit
-from wheatring.lab.origins import Origins
 from wheatring.lab.plan import TierPlan
 from wheatring.lab.timers import Timer, Timers
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
@@ -103,13 +103,13 @@
         server, parser = self.server, self.parser
         if self.visit is not None:
             # Two requests at once on one connection: it can't be told which one an answer is for.
-            server.book.note("second-request", node=server.node.name, sidecar=self.sidecar)
+            server.recorder.note("second-request", node=server.node.name, sidecar=self.sidecar)
             self._abort()
             return
         if not parser.is_mid_message:
             at: float | None = getattr(self.transport, "sent_at", None)
             self.sent_at = server.timers.now() if at is None else at
-            server.book.sending(self.sidecar, server.node.name, self.sent_at)
+            server.recorder.sending(self.sidecar, server.node.name, self.sent_at)
         try:
             message = parser.feed(data)
         except MalformedMessageError as bad:
@@ -125,7 +125,9 @@
     def _reject(self, reason: str, ident: str) -> None:
         """Answer 400 to a request that no caller has written so, and close."""
         server = self.server
-        server.book.note("bad-request", node=server.node.name, sidecar=self.sidecar, ident=ident, why=reason)
+        server.recorder.note(
+            "bad-request", node=server.node.name, sidecar=self.sidecar, ident=ident, why=reason
+        )
         self._write(BAD_REQUEST)
         self._close()
 
@@ -151,7 +153,7 @@
         node = server.node
         now = server.timers.now()
         visit = self.visit = Visit(ident, self.sidecar, int(left) / 1000, now, self._reply)
-        server.book.arrived(self.sidecar, node.name, ident, self.sent_at)
+        server.recorder.arrived(self.sidecar, node.name, ident, self.sent_at)
         if self.handshake_delay > 0:
             server.timers.at(now + self.handshake_delay, self._start_visit, visit)
             self.handshake_delay = 0.0
@@ -181,7 +183,7 @@
         elif verdict is Verdict.ERROR:
             self._write(SERVER_ERROR)
         elif verdict is Verdict.AWAY:
-            self.server.book.turned_away(self.server.node.name, visit.ident)
+            self.server.recorder.turned_away(self.server.node.name, visit.ident)
             self._write(UNPROCESSED)
         elif verdict is Verdict.RESET:
             self._abort()
@@ -235,7 +237,7 @@
             self.server.node.abandoned(visit)
         else:
             visit.gone = True
-            self.server.book.ended(self.server.node.name, visit.ident)
+            self.server.recorder.ended(self.server.node.name, visit.ident)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
         # A sidecar that only ends its sending has abandoned the attempt as well: Twisted then closes both.
@@ -267,7 +269,7 @@
 
     Notes
     -----
-    A request that no caller has written so gets 400, and a note `bad-request` in the book.
+    A request that no caller has written so gets 400, and a note `bad-request` in the recorder.
     """
 
     noisy = False
@@ -278,9 +280,9 @@
         tier: TierPlan,
         timers: Timers,
         random: Random,
-        origins: Origins,
+        origins: CorrelationTable,
         request_format: RequestFormat,
-        book: Book,
+        recorder: EventRecorder,
         sidecar_of: Callable[[str], str],
         round_trip: Callable[[str], float],
         on_full: Callable[[bool], None] | None = None,
@@ -290,7 +292,7 @@
         self.random = random
         self.origins = origins
         self.request_format = request_format
-        self.book = book
+        self.recorder = recorder
         self.sidecar_of = sidecar_of
         self.round_trip = round_trip
         self.on_full = on_full
--- a/wheatring/lab/wire/request_format.py
+++ b/wheatring/lab/wire/request_format.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from wheatring.lab.origins import Origin
+from wheatring.lab.correlation import OriginalRequest
 from wheatring.lab.plan import ClassPlan
 from wheatring.lab.wire.http import Message
 
@@ -58,7 +58,7 @@
             len(body), time_left_ms, more, body
         )  # fmt: skip
 
-    def matches(self, message: Message, ident: bytes, origin: Origin) -> bool:
+    def matches(self, message: Message, ident: bytes, origin: OriginalRequest) -> bool:
         """Return whether the message is what was encoded for that id."""
         index = origin.class_index
         if message.target != b"%s%s?lang=en" % (self.paths[index], ident):
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from wheatring.lab.book import Book, ResponseKind
+from wheatring.lab.event_recorder import EventRecorder, ResponseKind
 from wheatring.lab.models.way import Asked, Done
 from wheatring.lab.timers import Timers
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
@@ -98,14 +98,15 @@
         )
         self.written += len(data)
         self.transport.write(data)
-        pool.client.book.taken(pool.sidecar, request.ident, request.index, request.key, now + left_ms / 1000)
+        deadline = now + left_ms / 1000
+        pool.client.recorder.taken(pool.sidecar, request.ident, request.index, request.key, deadline)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         """Parse what has come, and handle a complete response."""
         if self.is_over:
             return
         if self.request is None:
-            self.pool.client.book.note("unasked-data", sidecar=self.pool.sidecar, data=data[:64])
+            self.pool.client.recorder.note("unasked-data", sidecar=self.pool.sidecar, data=data[:64])
             self.end()
             return
         if not self.has_received:
@@ -125,7 +126,7 @@
         """End the request with its response, and release or close the connection."""
         request, pool = self.request, self.pool
         assert request is not None
-        book = pool.client.book
+        recorder = pool.client.recorder
         kind: ResponseKind = "failed"
         wait, stamp = 0.0, ""
         if message.status == 200:
@@ -140,9 +141,9 @@
                     return
                 wait = float(advice)
         self.request = request.connection = None
-        book.answered(pool.sidecar, request.ident, kind, stamp, wait, self.began)
+        recorder.answered(pool.sidecar, request.ident, kind, stamp, wait, self.began)
         if self.parser.is_mid_message:
-            book.note("unasked-data", sidecar=pool.sidecar, data=b"")
+            recorder.note("unasked-data", sidecar=pool.sidecar, data=b"")
             self.end()
         elif not message.keep_alive:
             self.end()
@@ -156,7 +157,7 @@
         self.end()
         if request is not None:
             request.connection = None
-            self.pool.client.book.lost(self.pool.sidecar, request.ident, why)
+            self.pool.client.recorder.lost(self.pool.sidecar, request.ident, why)
             request.end("lost")
 
     def end(self) -> None:
@@ -180,17 +181,17 @@
             self.handle_response(message)
             return
         self.request = request.connection = None
-        pool, book = self.pool, self.pool.client.book
+        pool, recorder = self.pool, self.pool.client.recorder
         if self.has_received or not self.is_unread():
             why = "closed" if orderly else "reset"
-            book.lost(
+            recorder.lost(
                 pool.sidecar,
                 request.ident,
                 f"{why} in mid-answer" if self.has_received else f"{why} unanswered",
             )
             request.end("lost")
             return
-        book.untaken(pool.sidecar, request.ident)
+        recorder.untaken(pool.sidecar, request.ident)
         if request.is_resent:
             request.end("unreached")
         else:
@@ -298,7 +299,7 @@
         connection = request.connection
         if connection is not None:
             connection.request = request.connection = None
-            self.client.book.left(self.sidecar, request.ident)
+            self.client.recorder.left(self.sidecar, request.ident)
             connection.end()
         elif request.connect_attempt is not None:
             attempt, request.connect_attempt = request.connect_attempt, None
@@ -324,7 +325,7 @@
         self,
         reactor: Any,
         timers: Timers,
-        book: Book,
+        recorder: EventRecorder,
         request_format: RequestFormat,
         address_of: Callable[[str], tuple[str, int]],
         host: str = "",
@@ -332,7 +333,7 @@
     ) -> None:
         self.reactor = reactor
         self.timers = timers
-        self.book = book
+        self.recorder = recorder
         self.request_format = request_format
         self.address_of = address_of
         self.host = host
--- a/wheatring/lab/world/ground.py
+++ b/wheatring/lab/world/environment.py
@@ -1,4 +1,4 @@
-"""A ground: what one grain gives the world to stand on."""
+"""Interface of a grain's environment: the processes, the network and the clocks that the world acts on."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     return {**found, DISCOVERY[0]: some}
 
 
-class Ground(Protocol):
+class Environment(Protocol):
     """Processes by name. A node's own sidecar bears the node's name; it stands on a host of its own."""
 
     @property
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -25,7 +25,9 @@
     "discovery_lies": "lies",
     "discovery_breaks": "breaks",
 }
-OF_LIFECYCLES = frozenset(("kill", "start", "sidecar_kill", "sidecar_restart"))  # of these the book tells
+OF_LIFECYCLES = frozenset(
+    ("kill", "start", "sidecar_kill", "sidecar_restart")
+)  # recorded by their own events
 OF_NET = frozenset(("partition", "latency", "clock_step"))
 
 
@@ -84,7 +86,7 @@
     def __init__(
         self,
         timers: Timers,
-        ground: Faults,
+        environment: Faults,
         machines: dict[str, Machine],
         registry: Registry,
         slots: Sidecars,
@@ -92,7 +94,7 @@
         happened: Callable[[str], None],
     ) -> None:
         self.timers = timers
-        self.ground = ground
+        self.environment = environment
         self.machines = machines
         self.registry = registry
         self.slots = slots
@@ -107,7 +109,9 @@
 
     def begin(self, event: EventPlan) -> None:
         """Start an event."""
-        own = [name for name in event.sidecars if name in self.machines]  # the book is silent on their kills
+        own = [
+            name for name in event.sidecars if name in self.machines
+        ]  # of their kills there is no other record
         if event.kind not in OF_LIFECYCLES or (event.kind == "sidecar_kill" and own):
             self.happened(describe(event))
         if event.kind in ("drain", "kill", "start"):
@@ -148,7 +152,7 @@
             else:
                 self.ends.pop(event)()
         if event.kind in OF_NET or event.kind in OF_NODES:
-            (self.ground.begin if on else self.ground.end)(event)
+            (self.environment.begin if on else self.environment.end)(event)
 
     def life(self, event: EventPlan, node: str) -> None:
         """Start a node, or have it end and be followed by itself or another."""
--- a/wheatring/lab/world/sidecar_slots.py
+++ b/wheatring/lab/world/sidecar_slots.py
@@ -10,7 +10,7 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.settings import sidecar_settings
 from wheatring.lab.timers import Timer, Timers
-from wheatring.lab.world.ground import DISCOVERY, PORT, Ground
+from wheatring.lab.world.environment import DISCOVERY, PORT, Environment
 
 
 class SidecarSlot:
@@ -63,18 +63,18 @@
 
 
 class SidecarSlots:
-    """Starts and ends sidecars, and calls whoever follows that. The ground notes it in the book."""
+    """Starts and ends sidecars, and calls whoever follows that. The environment records it."""
 
     def __init__(
         self,
         timers: Timers,
-        ground: Ground,
+        environment: Environment,
         on_up: Callable[[SidecarSlot], None],
         on_stopping: Callable[[SidecarSlot], None],
         on_down: Callable[[SidecarSlot], None],
     ) -> None:
         self.timers = timers
-        self.ground = ground
+        self.environment = environment
         self.on_up, self.on_stopping, self.on_down = on_up, on_stopping, on_down
         self.by_name: dict[str, SidecarSlot] = {}
 
@@ -82,7 +82,7 @@
         """Have a sidecar listen from now on."""
         slot.timer = None
         slot.running, slot.stopping = True, False
-        self.ground.sidecar_up(slot.name, slot.config(), lambda: self.ended(slot))
+        self.environment.sidecar_up(slot.name, slot.config(), lambda: self.ended(slot))
         self.on_up(slot)
 
     def start(self, slot: SidecarSlot, after: float) -> None:
@@ -94,7 +94,7 @@
         """Kill it outright, and start it anew after `down` seconds, if that is not 0."""
         slot.down = down
         if slot.running:
-            self.ground.sidecar_kill(slot.name)
+            self.environment.sidecar_kill(slot.name)
             self.ended(slot)
         else:
             self.call_off(slot)
@@ -108,7 +108,7 @@
         slot.stopping, slot.down = True, down
         self.on_stopping(slot)
         slot.timer = self.timers.at(self.timers.now() + patience, self.kill, slot, down)
-        self.ground.sidecar_stop(slot.name)
+        self.environment.sidecar_stop(slot.name)
 
     def stall(self, slot: SidecarSlot, on: bool) -> None:  # noqa: ARG002 - the form of `Sidecars`
         """Refuse to stop a process where it is: there is none in virtual time."""
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -1,4 +1,4 @@
-"""A world: the plan's models, wired to each other and to a ground, and played from start to end."""
+"""A world: the plan's models, wired to each other and to an environment, and played from start to end."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from twisted.logger import globalLogPublisher
 
 from wheatring import log
+from wheatring.lab.correlation import CorrelationTable
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.discovery import Listed, Registry
 from wheatring.lab.models.effects import Effects
@@ -20,13 +21,12 @@
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.traffic import Draw, sizes
 from wheatring.lab.net.time import VirtualTime
-from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import LIVE_ONLY, NodePlan, Plan
-from wheatring.lab.rules.ledger import Ledger
+from wheatring.lab.rules.invariant_checker import InvariantChecker
 from wheatring.lab.rules.trace import Trace
+from wheatring.lab.world.environment import PORT, Environment
 from wheatring.lab.world.events import Events
-from wheatring.lab.world.ground import PORT, Ground
 from wheatring.lab.world.sidecar_slots import SidecarSlot, SidecarSlots
 
 START = 1000.0  # the clock at which the world begins
@@ -67,13 +67,13 @@
 
 
 class World:
-    """One plan at one grain, on the ground that is made for it. `play` may be called once."""
+    """One plan at one grain, on the environment that is made for it. `play` may be called once."""
 
     def __init__(
         self,
         plan: Plan,
         grain: str,
-        make_ground: Callable[[World], Ground],
+        make_environment: Callable[[World], Environment],
         tracing: Tracing | None = None,
     ) -> None:
         never = sorted({event.kind for event in plan.events if event.kind in LIVE_ONLY})
@@ -84,28 +84,34 @@
         ties = self.random("ties") if plan.net.shuffle else None
         self.time = VirtualTime(START, ties)
         self.day = START + LEAD
-        self.origins = Origins(self.random("ids"))
+        self.origins = CorrelationTable(self.random("ids"))
         family = self.origins.first
         self.trace = None if tracing is None else Trace(self.day, tracing.file, tracing.of, family)
-        self.book = Ledger(plan, grain, self.time.now, self.day, self.trace, family)
-        self.registry = Registry(plan.discovery, self.time, self.unix, self.random("discovery"), self.book)
+        self.checker = InvariantChecker(plan, grain, self.time.now, self.day, self.trace, family)
+        self.registry = Registry(plan.discovery, self.time, self.unix, self.random("discovery"), self.checker)
         self.front = Front(self.time, self.random("front"), plan.front_notice)
-        self.ground = make_ground(self)
-        self.ground.open_discovery(self.registry)
+        self.environment = make_environment(self)
+        self.environment.open_discovery(self.registry)
         self.slots = SidecarSlots(
-            self.time, self.ground, self.on_sidecar_up, self.on_sidecar_stopping, self.on_sidecar_down
+            self.time, self.environment, self.on_sidecar_up, self.on_sidecar_stopping, self.on_sidecar_down
         )
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
-        effects = Effects(self.time, plan.classes, self.book)
+        effects = Effects(self.time, plan.classes, self.checker)
         for node in plan.nodes:
             self.add_machine(node, effects)
         self.add_slots()
         self.clients = Clients(
-            plan, self.time, self.random("clients"), self.origins, self.book, self.front, self.ground.way
+            plan,
+            self.time,
+            self.random("clients"),
+            self.origins,
+            self.checker,
+            self.front,
+            self.environment.way,
         )
         self.events = Events(
-            self.time, self.ground, self.machines, self.registry, self.slots, self, self.book.happens
+            self.time, self.environment, self.machines, self.registry, self.slots, self, self.checker.happens
         )
 
     def random(self, name: str) -> Random:
@@ -119,7 +125,7 @@
 
     def unix(self) -> float:
         """Return Unix time as discovery and the machines read it."""
-        return self.plan.epoch + self.time.now() - START + self.ground.stepped()
+        return self.plan.epoch + self.time.now() - START + self.environment.stepped()
 
     # Its parts
 
@@ -135,9 +141,9 @@
             self.time,
             self.random(f"node:{node.name}"),
             self.origins,
-            self.book,
+            self.checker,
             effects=effects,
-            below=None if last else self.ground.below(node),
+            below=None if last else self.environment.below(node),
             calls=0.0 if last else plan.tiers[node.tier + 1].calls,
             passes_deadline=plan.passes_deadline,
             rules=plan.rules,
@@ -188,7 +194,7 @@
         if machine.running:
             return
         machine.start(cold)
-        self.ground.node_up(node, machine)
+        self.environment.node_up(node, machine)
         if cold:
             self.registry.up(name, self.time.now())
             if name in self.slots.by_name:
@@ -208,7 +214,7 @@
 
     def ended(self, name: str) -> None:
         """Note that a node's process has ended, and end its sidecar."""
-        self.ground.node_down(name)
+        self.environment.node_down(name)
         self.registry.down(name)
         if name in self.slots.by_name:
             self.slots.kill(self.slots.by_name[name], 0.0)
@@ -219,12 +225,12 @@
 
     def vanish(self, name: str) -> None:
         """Have the machine of a node fall silent."""
-        self.ground.vanish(self.nodes[name])
+        self.environment.vanish(self.nodes[name])
         self.registry.vanished(name)
 
     def back(self, name: str) -> None:
         """Have the machine of a node answer again."""
-        self.ground.back(self.nodes[name])
+        self.environment.back(self.nodes[name])
         machine = self.machines[name]
         if machine.running:
             self.registry.up(name, machine.started_at)
@@ -257,7 +263,7 @@
         finally:
             globalLogPublisher.removeObserver(observer)
         wall = process_time.perf_counter() - began
-        outcome = self.book.finish(wall, self.ground.left_over())
+        outcome = self.checker.finish(wall, self.environment.left_over())
         outcome.simulated_s = self.time.now() - START
         return outcome
 
@@ -270,7 +276,7 @@
         failure = event.get("log_failure") or event.get("failure")
         if failure is None:
             return
-        if self.ground.whose_turn() in self.slots.by_name:
+        if self.environment.whose_turn() in self.slots.by_name:
             log.log_twisted_failure(event)
         else:
             self.time.at(self.time.now(), self.break_off, failure.value)
@@ -282,12 +288,12 @@
     def logged(self, event: str, values: Mapping[str, object]) -> None:
         """Take in a line that a sidecar logs."""
         if event in SIDECAR_FAULT_CODES:
-            self.book.fault(self.ground.whose_turn(), log.format_entry(event, values))
+            self.checker.fault(self.environment.whose_turn(), log.format_entry(event, values))
         elif event == "endpoint-connection" and values.get("code") in ("connect-failed", "not-up-in-time"):
-            self.book.note("unconnected", sidecar=self.ground.whose_turn())
+            self.checker.note("unconnected", sidecar=self.environment.whose_turn())
         elif self.trace is not None:
             self.trace.line(
                 self.time.now(),
                 "",
-                f"log sidecar={self.ground.whose_turn()} {log.format_entry(event, values)}",
+                f"log sidecar={self.environment.whose_turn()} {log.format_entry(event, values)}",
             )
