--- a/tests/lab/histories.py
+++ b/tests/lab/histories.py
@@ -74,7 +74,7 @@
         for ident in list(self.open):
             with suppress(StopIteration):
                 self.all[ident].throw(Killed)
-            if not self.book.requests[ident].over:
+            if not self.book.requests[ident].end:
                 self.book.lost("lb", ident, "reset")
         self.off.clear()
         yield 0.5
@@ -87,7 +87,7 @@
             for state in OFF:
                 book.known("front2", state, started)
                 yield random.uniform(0, 0.4)
-                if "lb" not in book.down:
+                if "lb" not in book.down_sidecars:
                     book.told("lb", "front2", state, started)
                     self.off.setdefault("front2", self.desk.time)
                 yield random.uniform(1, 2)
@@ -95,7 +95,7 @@
             started = self.desk.time
             yield 1.0
             book.known("front2", "ready", started)
-            if "lb" not in book.down:
+            if "lb" not in book.down_sidecars:
                 book.told("lb", "front2", "ready", started)
                 self.off.pop("front2", None)
                 for _ in range(12):
@@ -105,7 +105,7 @@
 
     def request(self, ident: str) -> Acts:
         desk, book, out = self.desk, self.book, []  # type: ignore[var-annotated]
-        if "lb" in book.down:
+        if "lb" in book.down_sidecars:
             return
         index = self.random.randrange(3)
         desk.take(ident, index, desk.time - START + 15)
--- a/tests/lab/test_rules_histories.py
+++ b/tests/lab/test_rules_histories.py
@@ -41,11 +41,11 @@
         desk.send(ident=ident)
         desk.book.effect("front0", ident, f"key-{ident}")
         desk.serve(ident=ident)
-        most = max(most, len(desk.book.requests), len(desk.book.over))
+        most = max(most, len(desk.book.requests), len(desk.book.ended_requests))
     assert "long" in desk.book.requests  # something of it is out
     desk.book.ended("front0", "long")
     assert "long" not in desk.book.requests
-    assert most <= 103 and len(desk.book.duplicates.effects) <= 10 * (60 + 10 + 1)
+    assert most <= 103 and len(desk.book.duplicates.last_effect_at) <= 10 * (60 + 10 + 1)
     assert desk.broken() == set()
 
 
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -83,7 +83,11 @@
         self.clock = clock = Clock(reactor)
         self.origins = CorrelationTable(self.random("ids"))
         self.checker = InvariantChecker(
-            structs.replace(plan, net=LINKS), "live", clock.now, float("inf"), family=self.origins.first
+            structs.replace(plan, net=LINKS),
+            "live",
+            clock.now,
+            float("inf"),
+            first_request_of=self.origins.first,
         )
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = Front(clock, self.random("front"), plan.front_notice)
--- a/wheatring/lab/rules/answers.py
+++ b/wheatring/lab/rules/answers.py
@@ -24,31 +24,32 @@
         self.links = links
         self.breaches = breaches
 
-    def late(self, request: Request, at: float) -> None:
+    def check_late(self, request: Request, at: float) -> None:
         """Judge an answer at an instant past the deadline of its request."""
-        if at > request.deadline + self.grace + ROUNDING_SECONDS and not self._excused(request):
+        if at > request.deadline + self.grace + ROUNDING_SECONDS and not self._is_excused(request):
             over = at - request.deadline
-            self._breach(request, f"{request.sidecar} answered {over:.3f} s after the deadline.")
+            self._add_breach(request, f"{request.sidecar} answered {over:.3f} s after the deadline.")
 
-    def unanswered(self, request: Request, at: float) -> None:
+    def check_unanswered(self, request: Request, at: float) -> None:
         """Judge a request without an answer at an instant: its caller gave up or its sidecar ended."""
         due = request.deadline + self.grace - ROUNDING_SECONDS
-        if at >= due and not request.forgiven and not self._excused(request):
-            self._breach(request, f"{request.sidecar} had given no answer {self.grace} s after the deadline.")
+        if at >= due and not request.is_excused and not self._is_excused(request):
+            what = f"{request.sidecar} had given no answer {self.grace} s after the deadline."
+            self._add_breach(request, what)
 
-    def lost(self, request: Request, why: str) -> None:
+    def check_lost(self, request: Request, why: str) -> None:
         """Judge a request that its sidecar lost after it had taken it."""
-        if request.forgiven or self._cut(request.sidecar, request.taken, self.breaches.now()):
+        if request.is_excused or self._was_cut(request.sidecar, request.taken_at, self.breaches.now()):
             return
-        self._breach(request, f"{request.sidecar} lost a request that it had taken: {why}.")
+        self._add_breach(request, f"{request.sidecar} lost a request that it had taken: {why}.")
 
-    def dropped(self, request: Request) -> None:
+    def check_dropped(self, request: Request) -> None:
         """Judge a connection closed as if between requests, though an attempt shows that one was read."""
-        if not request.forgiven:
+        if not request.is_excused:
             what = f"{request.sidecar} had read the request, and closed its connection unanswered."
-            self._breach(request, what)
+            self._add_breach(request, what)
 
-    def served(self, request: Request, stamp: str) -> Attempt | None:
+    def find_attempt(self, request: Request, stamp: str) -> Attempt | None:
         """Return the attempt that made the answer; without one, the answer is a breach."""
         for attempt in request.attempts:
             if attempt.stamp == stamp and stamp:
@@ -61,11 +62,11 @@
         self.breaches.add("served", what, ident=request.ident, sidecar=request.sidecar)
         return None
 
-    def _excused(self, request: Request) -> bool:
-        return self._cut(request.sidecar, request.taken, request.deadline + self.grace)
+    def _is_excused(self, request: Request) -> bool:
+        return self._was_cut(request.sidecar, request.taken_at, request.deadline + self.grace)
 
-    def _cut(self, sidecar: str, since: float, until: float) -> bool:
-        return self.links.cut(sidecar, self.links.caller(sidecar), since, until)
+    def _was_cut(self, sidecar: str, since: float, until: float) -> bool:
+        return self.links.was_cut(sidecar, self.links.caller_of(sidecar), since, until)
 
-    def _breach(self, request: Request, what: str) -> None:
+    def _add_breach(self, request: Request, what: str) -> None:
         self.breaches.add("answer", what, ident=request.ident, sidecar=request.sidecar)
--- a/wheatring/lab/rules/drains.py
+++ b/wheatring/lab/rules/drains.py
@@ -1,12 +1,12 @@
-"""The third rule: what each sidecar knows of each node, or counts as knowing, and since when.
+"""The third rule: what each sidecar knows of each node, or is presumed to know, and since when.
 
-A change counts as told, written or not:
+A change is presumed to be known, sent or not:
 
 - within a call that may wait, 2 s after that wait ends; within another, `told_within` after both were there;
 - without a call, `ask_within` after the last one, four times as long where that one failed.
 
-A call that ends untold leaves a change to the next one. Where news reaches a sidecar out of discovery's
-order, the older news changes nothing.
+A call that ends without a change leaves it to the next call. Where changes reach a sidecar out of order, the
+older one has no effect.
 """
 
 from __future__ import annotations
@@ -21,30 +21,38 @@
 
 
 class Change:
-    """One change that discovery has to tell. `order` numbers all of them."""
+    """One change of a node's state that discovery knows. `sequence` numbers all of them."""
 
-    __slots__ = ("at", "order", "started", "state")
+    __slots__ = ("known_at", "sequence", "started_at", "state")
 
-    def __init__(self, order: int, at: float, state: NodeState, started: float) -> None:
-        self.order = order
-        self.at = at
+    def __init__(self, sequence: int, known_at: float, state: NodeState, started_at: float) -> None:
+        self.sequence = sequence
+        self.known_at = known_at
         self.state = state
-        self.started = started
+        self.started_at = started_at
 
 
 class SidecarKnowledge:
-    """What one sidecar has been told since its start."""
-
-    __slots__ = ("calls", "counted", "failed", "heard", "off", "pending", "quiet")
+    """What one sidecar has been notified of since its start."""
+
+    __slots__ = (
+        "calls",
+        "idle_since",
+        "last_call_failed",
+        "newest",
+        "pending",
+        "presumed",
+        "unavailable_since",
+    )
 
     def __init__(self, at: float) -> None:
-        self.calls: list[tuple[float, float]] = []  # out: since when, and how long each may wait
-        self.quiet = at  # without a call since then
-        self.failed = False  # the last call
+        self.calls: list[tuple[float, float]] = []  # open ones: since when, and how long each may wait
+        self.idle_since = at  # without a call since then
+        self.last_call_failed = False  # the last call
         self.pending: dict[str, list[Change]] = {}  # by node
-        self.heard: dict[str, Change] = {}  # the newest, by node
-        self.counted: dict[str, Change] = {}  # the newest that counted as told before it was, by node
-        self.off: dict[str, float] = {}  # nodes that it may send nothing new to, and since when it knows
+        self.newest: dict[str, Change] = {}  # the newest change of which it was notified, by node
+        self.presumed: dict[str, Change] = {}  # the newest presumed to be known, by node
+        self.unavailable_since: dict[str, float] = {}  # by node that it knows to be draining or gone
 
 
 class Drains:
@@ -59,13 +67,13 @@
         self.sends_to.update({node.name: node.tier + 1 for node in plan.nodes})
         self.knowledge_by_sidecar: dict[str, SidecarKnowledge] = {}
         self.changes: dict[str, list[Change]] = {}  # by node, the oldest first
-        self.orders = 0
-        self.suspects: dict[str, None] = {}  # nodes that were ever told as draining or gone
-        self.late = 0  # changes that were told after they counted as told
+        self.change_count = 0
+        self.ever_unavailable: dict[str, None] = {}  # nodes that were ever known to be draining or gone
+        self.late_count = 0  # changes that a sidecar was notified of after it was presumed to know them
 
     # Sidecars
 
-    def up(self, sidecar: str, at: float) -> None:
+    def sidecar_up(self, sidecar: str, at: float) -> None:
         """Note that a sidecar has started, and knows nothing yet."""
         knowledge = self.knowledge_by_sidecar[sidecar] = SidecarKnowledge(at)
         tier = self.sends_to.get(sidecar)
@@ -73,14 +81,14 @@
             if self.tier_of.get(node) == tier:
                 knowledge.pending[node] = [changes[-1]]
 
-    def down(self, sidecar: str) -> None:
+    def sidecar_down(self, sidecar: str) -> None:
         """Note that a sidecar has ended."""
         self.knowledge_by_sidecar.pop(sidecar, None)
 
     def record_call(self, sidecar: str, wait: float, at: float) -> None:
         """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
         knowledge = self.knowledge_of(sidecar, at)
-        self._settle(knowledge, at)
+        self._apply_due_changes(knowledge, at)
         knowledge.calls.append((at, wait))
 
     def record_call_end(self, sidecar: str, failed: bool, at: float) -> None:
@@ -88,31 +96,31 @@
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None or not knowledge.calls:
             return  # the call of a process that has ended
-        self._settle(knowledge, at)
+        self._apply_due_changes(knowledge, at)
         # Which one it is nobody says. The one that waits less is over sooner.
         knowledge.calls.remove(min(knowledge.calls, key=lambda each: each[0] + each[1]))
-        knowledge.quiet = at
-        knowledge.failed = failed
+        knowledge.idle_since = at
+        knowledge.last_call_failed = failed
 
     def knowledge_of(self, sidecar: str, at: float) -> SidecarKnowledge:
         """Return the knowledge of a sidecar, which is started where it is not known."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None:
-            self.up(sidecar, at)
+            self.sidecar_up(sidecar, at)
             knowledge = self.knowledge_by_sidecar[sidecar]
         return knowledge
 
-    # News
+    # Changes
 
     def record_state(self, node: str, state: NodeState, started: float, at: float) -> None:
         """Note that discovery knows a new state of a node."""
-        self.orders += 1
-        change = Change(self.orders, at, state, started)
+        self.change_count += 1
+        change = Change(self.change_count, at, state, started)
         changes = self.changes.setdefault(node, [])
         changes.append(change)
         del changes[:-MAX_KEPT_CHANGES]
         if state != "ready":
-            self.suspects[node] = None
+            self.ever_unavailable[node] = None
         tier = self.tier_of.get(node)
         for sidecar, knowledge in self.knowledge_by_sidecar.items():
             if self.sends_to.get(sidecar) == tier:
@@ -125,83 +133,83 @@
     ) -> None:
         """Note that discovery has sent a state of a node to a sidecar."""
         knowledge = self.knowledge_of(sidecar, at)
-        self._settle_node(knowledge, node, at)
+        self._apply_due_changes_of(knowledge, node, at)
         change = None
         for each in reversed(self.changes.get(node, ())):
-            if each.state == state and each.started == started:
+            if each.state == state and each.started_at == started:
                 change = each
                 break
         if change is None:  # discovery tells what it never knew: news all the same
-            self.orders += 1
-            change = Change(self.orders, at, state, started)
-        heard = knowledge.heard.get(node)
-        if heard is not None and heard.order >= change.order:
-            if knowledge.counted.pop(node, None) is change:
-                self.late += 1
+            self.change_count += 1
+            change = Change(self.change_count, at, state, started)
+        newest = knowledge.newest.get(node)
+        if newest is not None and newest.sequence >= change.sequence:
+            if knowledge.presumed.pop(node, None) is change:
+                self.late_count += 1
             return
         pending = knowledge.pending.get(node)
         if pending is not None:
-            left = [each for each in pending if each.order > change.order]
+            left = [each for each in pending if each.sequence > change.sequence]
             if left:
                 knowledge.pending[node] = left
             else:
                 del knowledge.pending[node]
-        # What was written into a cut has not come: it counts as told as if it had never been written.
-        cut = self.links.cut(sidecar, ELSEWHERE, at, at)
-        self._hear(knowledge, node, change, self._counts_from(knowledge, change) if cut else at)
+        # What was written into a cut has not arrived: it is presumed known as if never written.
+        cut = self.links.was_cut(sidecar, ELSEWHERE, at, at)
+        self._apply_change(knowledge, node, change, self._presumed_known_at(knowledge, change) if cut else at)
 
-    def _hear(self, knowledge: SidecarKnowledge, node: str, change: Change, at: float) -> None:
-        knowledge.heard[node] = change
+    def _apply_change(self, knowledge: SidecarKnowledge, node: str, change: Change, at: float) -> None:
+        knowledge.newest[node] = change
         if change.state == "ready":
-            knowledge.off.pop(node, None)
+            knowledge.unavailable_since.pop(node, None)
         else:
-            self.suspects[node] = None
-            knowledge.off.setdefault(node, at)
+            self.ever_unavailable[node] = None
+            knowledge.unavailable_since.setdefault(node, at)
 
-    # What counts as told
+    # What a sidecar is presumed to know
 
-    def _counts_from(self, knowledge: SidecarKnowledge, change: Change) -> float:
-        """From when on it counts as told, should the sidecar go on as it does."""
+    def _presumed_known_at(self, knowledge: SidecarKnowledge, change: Change) -> float:
+        """Return when a change will be presumed known, if the sidecar goes on calling as it does."""
         rules = self.rules
         if not self.must_ask:
-            return change.at + rules.told_within
+            return change.known_at + rules.told_within
         if not knowledge.calls:
-            times = AFTER_FAILURE_FACTOR if knowledge.failed else 1
-            return max(change.at, knowledge.quiet) + times * rules.ask_within
+            times = AFTER_FAILURE_FACTOR if knowledge.last_call_failed else 1
+            return max(change.known_at, knowledge.idle_since) + times * rules.ask_within
         last = 0.0
         for since, wait in knowledge.calls:
             until = since + wait
-            if wait > 0 and change.at <= until:
+            if wait > 0 and change.known_at <= until:
                 last = max(last, until + AFTER_WAIT_SECONDS)
             else:
-                last = max(last, max(change.at, since) + rules.told_within)
+                last = max(last, max(change.known_at, since) + rules.told_within)
         return last
 
-    def _settle(self, knowledge: SidecarKnowledge, at: float) -> None:
+    def _apply_due_changes(self, knowledge: SidecarKnowledge, at: float) -> None:
         for node in list(knowledge.pending):
-            self._settle_node(knowledge, node, at)
+            self._apply_due_changes_of(knowledge, node, at)
 
-    def _settle_node(self, knowledge: SidecarKnowledge, node: str, at: float) -> None:
+    def _apply_due_changes_of(self, knowledge: SidecarKnowledge, node: str, at: float) -> None:
         pending = knowledge.pending.get(node)
         while pending:
-            counts = self._counts_from(knowledge, pending[0])
-            if counts > at:
+            known_at = self._presumed_known_at(knowledge, pending[0])
+            if known_at > at:
                 return
-            change = knowledge.counted[node] = pending.pop(0)
-            self._hear(knowledge, node, change, counts)
+            change = knowledge.presumed[node] = pending.pop(0)
+            self._apply_change(knowledge, node, change, known_at)
         if pending is not None:
             del knowledge.pending[node]
 
     # What the rules ask
 
-    def off_since(self, sidecar: str, node: str, at: float) -> float | None:
+    def unavailable_since(self, sidecar: str, node: str, at: float) -> float | None:
         """Since when the sidecar knows, at an instant, that the node drains or is gone; None: it does not."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None:
             return None
         if node in knowledge.pending:
-            self._settle_node(knowledge, node, at)
-        return knowledge.off.get(node)
+            self._apply_due_changes_of(knowledge, node, at)
+        return knowledge.unavailable_since.get(node)
 
     def is_notified(self, sidecar: str, node: str, since: float, at: float) -> bool:
         """Whether the sidecar knows, at an instant, that the node runs by a change known after `since`."""
@@ -209,6 +217,6 @@
         if knowledge is None:
             return False
         if node in knowledge.pending:
-            self._settle_node(knowledge, node, at)
-        heard = knowledge.heard.get(node)
-        return heard is not None and heard.state == "ready" and heard.at >= since
+            self._apply_due_changes_of(knowledge, node, at)
+        newest = knowledge.newest.get(node)
+        return newest is not None and newest.state == "ready" and newest.known_at >= since
--- a/wheatring/lab/rules/duplicates.py
+++ b/wheatring/lab/rules/duplicates.py
@@ -31,96 +31,101 @@
     def __init__(self, plan: Plan, links: Links, breaches: Breaches) -> None:
         self.classes = plan.classes
         self.max_attempts = plan.limits.max_attempts
-        self.second_copies = plan.limits.second_copies
+        self.allows_hedging = plan.limits.second_copies
         self.links = links
         self.breaches = breaches
         self.window = max([each.window for each in plan.classes if each.effect == "keyed"], default=0.0)
-        self.memory = max([self.window, *(each.deadline for each in plan.classes)]) + EFFECT_MEMORY_SECONDS
-        self.effects: dict[str, float] = {}  # by key
-        self.old: deque[tuple[float, str]] = deque()  # the same, the oldest first, to be forgotten
+        longest = max([self.window, *(each.deadline for each in plan.classes)])
+        self.effect_memory = longest + EFFECT_MEMORY_SECONDS
+        self.last_effect_at: dict[str, float] = {}  # by key
+        self.effects_by_age: deque[tuple[float, str]] = deque()  # the same, the oldest first, to be forgotten
 
-    def arrived(self, request: Request, attempt: Attempt) -> None:
+    def check_arrival(self, request: Request, attempt: Attempt) -> None:
         """Judge an attempt that is not the first, or of a request that is over."""
-        if request.over:
-            self._over(request, attempt)
+        if request.end:
+            self._check_ended_request(request, attempt)
         others = request.attempts[:-1]
-        if len([other for other in others if other.sent >= request.taken]) == self.max_attempts:
-            self._breach(request, attempt, f"More than {self.max_attempts} attempts were made.")
-        if not self.second_copies:
+        if len([other for other in others if other.sent_at >= request.taken_at]) == self.max_attempts:
+            self._add_breach(request, attempt, f"More than {self.max_attempts} attempts were made.")
+        if not self.allows_hedging:
             for other in others:
-                if not other.out:  # the others are judged once they end
-                    self._together(request, other, attempt)
-        ran = [other for other in others if not other.away]
+                if not other.in_flight:  # the others are judged once they end
+                    self._check_order(request, other, attempt)
+        ran = [other for other in others if not other.rejected]
         if not ran:
             return
-        plan = self.classes[request.index]
+        plan = self.classes[request.class_index]
         if plan.effect == "unsafe":
             what = f"Unsafe, it was sent again though its attempt at {ran[0].node} may have run."
-            self._breach(request, attempt, what)
+            self._add_breach(request, attempt, what)
         elif plan.effect == "keyed":
-            since = min([other.sent for other in ran])
-            if attempt.sent > since + plan.window + SOCKET_TOLERANCE_SECONDS:
-                what = f"It was sent again {attempt.sent - since:.3f} s after an attempt that may have run."
-                self._breach(request, attempt, what)
-
-    def _over(self, request: Request, attempt: Attempt) -> None:
-        over, known = request.over, request.over_at
-        if over == "unknown" and request.forgiven:
+            since = min([other.sent_at for other in ran])
+            if attempt.sent_at > since + plan.window + SOCKET_TOLERANCE_SECONDS:
+                delay = attempt.sent_at - since
+                what = f"It was sent again {delay:.3f} s after an attempt that may have run."
+                self._add_breach(request, attempt, what)
+
+    def _check_ended_request(self, request: Request, attempt: Attempt) -> None:
+        over, known = request.end, request.ended_at
+        if over == "unknown" and request.is_excused:
             return
         if over == "unknown":
-            self._breach(request, attempt, "Nobody waits for a request of this name, or has for long.")
+            self._add_breach(request, attempt, "Nobody waits for a request of this name, or has for long.")
             return
         if over == "left":
-            caller = self.links.caller(request.sidecar)
-            known += self.links.reach(caller, request.sidecar, known)
-            if self.links.cut(caller, request.sidecar, request.over_at, known):
+            caller = self.links.caller_of(request.sidecar)
+            known += self.links.delivery_seconds(caller, request.sidecar, known)
+            if self.links.was_cut(caller, request.sidecar, request.ended_at, known):
                 return
-        if attempt.sent > known and not request.forgiven:
-            what = f"It was sent {attempt.sent - request.over_at:.6f} s after it was over ({over})."
-            self._breach(request, attempt, what)
-        elif over == "refused" and self.classes[request.index].effect == "unsafe":
-            self._breach(request, attempt, "Unsafe, it was refused while an attempt was on its way.")
+        if attempt.sent_at > known and not request.is_excused:
+            what = f"It was sent {attempt.sent_at - request.ended_at:.6f} s after it was over ({over})."
+            self._add_breach(request, attempt, what)
+        elif over == "refused" and self.classes[request.class_index].effect == "unsafe":
+            self._add_breach(request, attempt, "Unsafe, it was refused while an attempt was on its way.")
 
-    def ended(self, request: Request, attempt: Attempt) -> None:
+    def check_overlap(self, request: Request, attempt: Attempt) -> None:
         """Judge an attempt that has ended, or is still in flight at the end, where hedging is not allowed."""
         for other in request.attempts:
             if other is not attempt:
-                self._together(request, attempt, other)
+                self._check_order(request, attempt, other)
 
-    def _together(self, request: Request, earlier: Attempt, later: Attempt) -> None:
+    def _check_order(self, request: Request, earlier: Attempt, later: Attempt) -> None:
         """Of these two, the one that was sent earlier has ended."""
-        if earlier.sent > later.sent:
+        if earlier.sent_at > later.sent_at:
             return
-        until = earlier.ended
-        if until > later.sent + self.links.most and not self.links.cut(
-            request.sidecar, earlier.node, later.sent, until
+        until = earlier.ended_at
+        if until > later.sent_at + self.links.max_delay and not self.links.was_cut(
+            request.sidecar, earlier.node, later.sent_at, until
         ):
-            self._breach(request, later, f"It was sent while its attempt at {earlier.node} was out.")
+            self._add_breach(request, later, f"It was sent while its attempt at {earlier.node} was out.")
 
-    def refused(self, request: Request) -> None:
+    def check_rejection(self, request: Request) -> None:
         """Judge a rejection after attempts that were not turned away."""
-        if self.classes[request.index].effect == "unsafe":
+        if self.classes[request.class_index].effect == "unsafe":
             what = "Unsafe, it was refused though an attempt may have run."
             sidecar, ident = request.sidecar, request.ident
             self.breaches.add("duplicate", what, ident=ident, sidecar=sidecar)
 
-    def effect(self, node: str, ident: str, key: str, plan: ClassPlan | None, at: float) -> None:
+    def check_effect(self, node: str, ident: str, key: str, plan: ClassPlan | None, at: float) -> None:
         """Judge the effect of an attempt; `plan` is that of its class, None where it is not remembered."""
         if plan is not None and plan.effect == "safe":
             return
-        window = self.window if plan is None else plan.window if plan.effect == "keyed" else self.memory
-        before = self.effects.get(key)
+        if plan is None:
+            window = self.window
+        else:
+            window = plan.window if plan.effect == "keyed" else self.effect_memory
+        before = self.last_effect_at.get(key)
         if before is not None and at - before < window - 1e-9:
             what = f"Its key had its effect twice within {at - before:.3f} s."
             self.breaches.add("duplicate", what, ident=ident, node=node)
-        self.effects[key] = at
-        old = self.old
-        old.append((at, key))
-        while old[0][0] < at - self.memory:
-            since, key = old.popleft()
-            if self.effects.get(key) == since:
-                del self.effects[key]
-
-    def _breach(self, request: Request, attempt: Attempt, what: str) -> None:
+        self.last_effect_at[key] = at
+        effects_by_age = self.effects_by_age
+        effects_by_age.append((at, key))
+        while effects_by_age[0][0] < at - self.effect_memory:
+            since, key = effects_by_age.popleft()
+            if self.last_effect_at.get(key) == since:
+                del self.last_effect_at[key]
+
+    def _add_breach(self, request: Request, attempt: Attempt, what: str) -> None:
         breaches, sidecar = self.breaches, request.sidecar
         breaches.add("duplicate", what, ident=request.ident, sidecar=sidecar, node=attempt.node)
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -36,44 +36,44 @@
         self.plan = plan
         self.start = start
         self.seconds: list[SecondFigures] = [SecondFigures()]
-        self.present = self.seconds[0]
-        self.number = 0  # of the present second
-        self.until = start + 1.0
+        self.current = self.seconds[0]
+        self.current_number = 0  # of the present second
+        self.current_end = start + 1.0
         self.classes = [ClassFigures(each.name) for each in plan.classes]
-        self.earned = [0.0 for _ in plan.classes]
+        self.earned_by_class = [0.0 for _ in plan.classes]
         self.earned_late = 0.0
-        self.unserved_late = 0.0  # worth that was left unserved after its aim
-        self.open: dict[int, tuple[int, float, int]] = {}  # first tries: class, instant, second
-        self.times: dict[int, list[float]] = {}  # ms, by second
+        self.late_unserved_value = 0.0  # worth that was left unserved after its aim
+        self.open_requests: dict[int, tuple[int, float, int]] = {}  # first tries: class, instant, second
+        self.latencies_ms: dict[int, list[float]] = {}  # ms, by second
         self.horizon = int(max([each.deadline for each in plan.classes], default=0.0)) + 2
-        self.counts: list[dict[int, int]] = [{} for _ in plan.classes]  # whole ms, by class
+        self.latency_counts: list[dict[int, int]] = [{} for _ in plan.classes]  # whole ms, by class
 
     # While the day is played
 
     def second(self, at: float) -> SecondFigures:
         """Return the figures of the current second, which moves on with the instants."""
-        if at >= self.until:
-            number = self.number = max(self.number + 1, int(at - self.start))
+        if at >= self.current_end:
+            number = self.current_number = max(self.current_number + 1, int(at - self.start))
             while len(self.seconds) <= number:
                 self.seconds.append(SecondFigures())
-            self.present = self.seconds[number]
-            self.until = self.start + number + 1
-            for each in [each for each in self.times if each < number - self.horizon]:
-                self._close(each)
-        return self.present
+            self.current = self.seconds[number]
+            self.current_end = self.start + number + 1
+            for each in [each for each in self.latencies_ms if each < number - self.horizon]:
+                self._compute_percentiles(each)
+        return self.current
 
     def asked(self, first: int, index: int, at: float) -> None:
         """Note a first try `first` of the class at an index."""
         second = self.second(at)
         figures = self.classes[index]
-        self.open[first] = (index, at, self.number)
+        self.open_requests[first] = (index, at, self.current_number)
         second.asked += 1
         second.worth += self.plan.classes[index].worth
         figures.asked += 1
 
     def settled(self, first: int, end: FirstTryEnd, at: float) -> None:
         """Note the end of a first try."""
-        index, since, number = self.open.pop(first)
+        index, since, number = self.open_requests.pop(first)
         second, figures, plan = self.seconds[number], self.classes[index], self.plan.classes[index]
         took = at - since
         if end == "served":
@@ -87,13 +87,13 @@
                 earned *= plan.late_worth
                 self.earned_late += earned
             second.earned += earned
-            self.earned[index] += earned
-            times = self.times.get(number)
+            self.earned_by_class[index] += earned
+            times = self.latencies_ms.get(number)
             if times is None:
-                times = self.times[number] = []
+                times = self.latencies_ms[number] = []
             times.append(took * 1000)
             whole = round(took * 1000)
-            counts = self.counts[index]
+            counts = self.latency_counts[index]
             counts[whole] = counts.get(whole, 0) + 1
             return
         if end == "refused":
@@ -103,11 +103,11 @@
             second.failed += 1
             figures.failed += 1
         if took > plan.aim:
-            self.unserved_late += plan.worth
+            self.late_unserved_value += plan.worth
 
-    def _close(self, number: int) -> None:
+    def _compute_percentiles(self, number: int) -> None:
         """Compute the latencies of a second for which no more answers can come."""
-        times = sorted(self.times.pop(number))
+        times = sorted(self.latencies_ms.pop(number))
         second = self.seconds[number]
         second.p50_ms = round(percentile(times, 0.5), 3)
         second.p99_ms = round(percentile(times, 0.99), 3)
@@ -117,10 +117,10 @@
     def finish(self, at: float) -> None:
         """End the day: first tries that are still open count as timed out."""
         self.second(at)
-        for first in list(self.open):
+        for first in list(self.open_requests):
             self.settled(first, "timeout", at)
-        for number in list(self.times):
-            self._close(number)
+        for number in list(self.latencies_ms):
+            self._compute_percentiles(number)
 
     def worst_window(self) -> float:
         """Return the lowest service of ten seconds in a row in which first tries arrive."""
@@ -156,20 +156,20 @@
         worst_class, every = 1.0, histogram()
         for index, figures in enumerate(self.classes):
             times = histogram()
-            for ms, count in self.counts[index].items():
+            for ms, count in self.latency_counts[index].items():
                 times.record_value(min(MAX_LATENCY_MS, max(1, ms)), count)
             every.add(times)
             figures.p50_ms = float(times.get_value_at_percentile(50))
             figures.p99_ms = float(times.get_value_at_percentile(99))
             asked = figures.asked * plan.classes[index].worth
             if asked > 0:
-                figures.earned = self.earned[index] / asked
+                figures.earned = self.earned_by_class[index] / asked
                 worst_class = min(worst_class, figures.earned)
         worst_window = self.worst_window()
         g = goal.whole * whole + goal.worst_window * worst_window + goal.worst_class * worst_class
         g -= waste * goal.waste + choke_price
         if worth > 0:
-            g -= goal.late_fail * self.unserved_late / worth
+            g -= goal.late_fail * self.late_unserved_value / worth
         encoded = every.encode()
         return Outcome(
             scenario=plan.scenario,
--- a/wheatring/lab/rules/invariant_checker.py
+++ b/wheatring/lab/rules/invariant_checker.py
@@ -38,7 +38,7 @@
 from wheatring.lab.rules.duplicates import SOCKET_TOLERANCE_SECONDS
 from wheatring.lab.rules.front_outage import FrontOutage
 from wheatring.lab.rules.request_checker import RequestChecker
-from wheatring.lab.rules.trace import Family, Trace, text
+from wheatring.lab.rules.trace import FirstRequestLookup, Trace, text
 from wheatring.lab.rules.warm_up import WarmUps
 
 UNSENT_PENALTY_SHARE = 0.3  # of its worth, for a try answered late or never without an attempt
@@ -47,8 +47,9 @@
 class InvariantChecker(RequestChecker):
     """Implements `EventRecorder`. `now` gives the world's instants, of which `start` is the day's first.
 
-    `family` gives a request's first try, by which work is traced from calls up to the client's answer; see
-    `work.py`. What can't have happened raises `MisuseError`: the fault is then of who told it.
+    `first_request_of` gives the client's first attempt behind a request, by which work is traced from calls
+    up to the client's answer (`work_accounting.py`). What can't have happened raises `MisuseError`: the
+    fault is then of the lab.
     """
 
     def __init__(
@@ -58,21 +59,21 @@
         now: Callable[[], float],
         start: float,
         trace: Trace | None = None,
-        family: Family | None = None,
+        first_request_of: FirstRequestLookup | None = None,
     ) -> None:
-        super().__init__(plan, now, start, trace, family)
+        super().__init__(plan, now, start, trace, first_request_of)
         self.grain = grain
         self.drains = Drains(plan, self.links)
         self.kinds = {each.name: plan.tiers[each.tier].kinds[each.kind] for each in plan.nodes}
-        self.stopping: dict[str, float] = {}  # sidecars, since SIGTERM
+        self.stopping_since: dict[str, float] = {}  # sidecars, since SIGTERM
         self.warm_ups = WarmUps(plan.rules, self.drains, self.breaches)
-        self.choked_nodes: dict[str, None] = {}
-        self.sends = self.checked = self.forgiven = self.list_calls = 0
+        self.degraded_nodes: dict[str, None] = {}
+        self.send_count = self.checked_send_count = self.excused_count = self.list_call_count = 0
         self.notes: dict[str, float] = {}
-        self.happened: list[tuple[float, str]] = []
-        self.fell = ""  # the node that has just been pushed over
+        self.timeline: list[tuple[float, str]] = []
+        self.overloaded_node = ""  # the node that has just been pushed over
         self.front_outage = FrontOutage(self.front, start)
-        self.discovery_calls = DiscoveryCalls(self.since)
+        self.discovery_calls = DiscoveryCalls(self.day_seconds)
 
     def begin(self, at: float) -> None:
         """Start the day only now, for a world whose start takes an unknown time.
@@ -81,13 +82,13 @@
         """
         figures = self.figures
         self.start = self.breaches.start = self.links.start = figures.start = self.front_outage.start = at
-        figures.until = at + 1.0
+        figures.current_end = at + 1.0
         if self.trace is not None:
             self.trace.start = at
 
     def happens(self, what: str) -> None:
         """Add an event to the list of what happened in the day."""
-        self.happened.append((self.since(self.now()), what))
+        self.timeline.append((self.day_seconds(self.now()), what))
 
     # Clients
 
@@ -110,12 +111,12 @@
     def sidecar_up(self, sidecar: str) -> None:
         """Note that a sidecar has started."""
         at = self.now()
-        self.down.discard(sidecar)
+        self.down_sidecars.discard(sidecar)
         self.discovery_calls.up(sidecar, at)
         if sidecar in self.front:
             self.front_outage.up(sidecar, at)
-        self.stopping.pop(sidecar, None)
-        self.drains.up(sidecar, at)
+        self.stopping_since.pop(sidecar, None)
+        self.drains.sidecar_up(sidecar, at)
         if at > self.start and sidecar in self.front:
             self.happens(f"sidecar {sidecar} starts")
         if self.trace is not None:
@@ -124,7 +125,7 @@
     def sidecar_stopping(self, sidecar: str) -> None:
         """Note that a sidecar was sent SIGTERM."""
         at = self.now()
-        self.stopping[sidecar] = at
+        self.stopping_since[sidecar] = at
         if sidecar in self.front:
             self.front_outage.stopping(sidecar, at)
         self.happens(f"sidecar {sidecar} is told to stop")
@@ -134,8 +135,8 @@
     def sidecar_down(self, sidecar: str, killed: bool) -> None:
         """Note that a sidecar's process has ended, and judge what it owed."""
         at = self.now()
-        told = self.stopping.get(sidecar)
-        held = self.held.get(sidecar, {})
+        told = self.stopping_since.get(sidecar)
+        held = self.open_requests.get(sidecar, {})
         if self.trace is not None:
             self.trace.line(at, "", f"sidecar_down sidecar={sidecar} killed={killed}")
         if sidecar in self.front or not killed:
@@ -145,40 +146,40 @@
             self.breaches.add("answer", what, sidecar=sidecar)
         last = float("inf") if told is None else told + ARRIVAL_AFTER_STOP_SECONDS
         for request in held.values():
-            self.answers.unanswered(request, at)
+            self.answers.check_unanswered(request, at)
             # What is not forgiven is judged by what its caller is told of next: it may come as untaken.
             if at > request.deadline + self.grace:
-                request.forgiven = True  # it has been judged
-            elif killed and request.taken <= last:
-                request.forgiven = True
-                self.forgiven += 1
+                request.is_excused = True  # it has been judged
+            elif killed and request.taken_at <= last:
+                request.is_excused = True
+                self.excused_count += 1
         held.clear()
-        self.down.add(sidecar)
-        self.down_at[sidecar] = at
+        self.down_sidecars.add(sidecar)
+        self.last_down_at[sidecar] = at
         if sidecar in self.front:
             self.front_outage.down(sidecar, at)
-        self.drains.down(sidecar)
+        self.drains.sidecar_down(sidecar)
 
     # Attempts
 
     def sending(self, sidecar: str, node: str, at: float) -> None:
         """Note that a sidecar sent the first byte of an attempt at an instant."""
-        self.sends += 1
-        if node in self.drains.suspects:
-            self._drain(sidecar, node, at)
+        self.send_count += 1
+        if node in self.drains.ever_unavailable:
+            self._check_drain(sidecar, node, at)
         if self.trace is not None:
-            line = f"sending sidecar={sidecar} node={node} at={self.since(at)!r}"
+            line = f"sending sidecar={sidecar} node={node} at={self.day_seconds(at)!r}"
             self.trace.line(self.now(), "", line)
 
-    def _drain(self, sidecar: str, node: str, at: float) -> None:
-        self.checked += 1
-        off = self.drains.off_since(sidecar, node, at)
+    def _check_drain(self, sidecar: str, node: str, at: float) -> None:
+        self.checked_send_count += 1
+        off = self.drains.unavailable_since(sidecar, node, at)
         if off is not None and at > off + self.plan.rules.drain_grace + SOCKET_TOLERANCE_SECONDS:
             after = at - off
             what = f"{sidecar} sent to {node} {after:.3f} s after it knew that it drains or is gone."
             place = self.breaches.add("drain", what, sidecar=sidecar, node=node)
             if place >= 0:
-                self.drain_at[sidecar, node, at] = place
+                self.unnamed_drain_breaches[sidecar, node, at] = place
 
     # Nodes and discovery
 
@@ -188,7 +189,7 @@
         self.warm_ups.watched.pop(node, None)
         if at > self.start:
             self.happens(f"node {node} starts")
-            self.warm_ups.up(node, self.kinds[node], capacity, at)
+            self.warm_ups.node_up(node, self.kinds[node], capacity, at)
         if self.trace is not None:
             self.trace.line(at, "", f"node_up node={node}")
 
@@ -197,22 +198,22 @@
         at = self.now()
         self.warm_ups.watched.pop(node, None)
         self.work.node_down(node)
-        if node != self.fell:
+        if node != self.overloaded_node:
             self.happens(f"node {node} ends")
-        self.fell = ""
+        self.overloaded_node = ""
         if self.trace is not None:
             self.trace.line(at, "", f"node_down node={node}")
 
     def offered(self, node: str, sidecar: str, work: float) -> None:
         """Note work (seconds on a standard core) that a sidecar sent to a node."""
         if node in self.warm_ups.watched:
-            self.warm_ups.offered(node, sidecar, work, self.now())
+            self.warm_ups.record_offer(node, sidecar, work, self.now())
         if self.trace is not None:
             self.trace.line(self.now(), "", f"offered node={node} sidecar={sidecar} work={work!r}")
 
     def choked(self, node: str) -> None:
         """Note that a node is choked."""
-        self.choked_nodes[node] = None
+        self.degraded_nodes[node] = None
         self.happens(f"node {node} chokes")
         if self.trace is not None:
             self.trace.line(self.now(), "", f"choked node={node}")
@@ -235,7 +236,7 @@
     def asking(self, sidecar: str, wait: float) -> None:
         """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
         at = self.now()
-        self.list_calls += 1
+        self.list_call_count += 1
         self.discovery_calls.record_call(sidecar, at)
         self.drains.record_call(sidecar, wait, at)
         if self.trace is not None:
@@ -261,8 +262,8 @@
         if what == "unconnected":
             self.figures.second(self.now()).unconnected += 1
         elif what == "fell":
-            self.fell = str(values["node"])
-            self.happens(f"node {self.fell} is pushed over")
+            self.overloaded_node = str(values["node"])
+            self.happens(f"node {self.overloaded_node} is pushed over")
         if self.trace is not None:
             pairs = " ".join([f"{name}={text(value)}" for name, value in values.items()])
             self.trace.line(self.now(), str(values.get("ident", "")), f"{what} {pairs}")
@@ -277,32 +278,34 @@
         """Judge what is still open, and reckon. The day is over: nothing may be told afterwards."""
         at = self.now()
         for request in self.requests.values():
-            if not request.over:
-                if request.forgiven:
+            if not request.end:
+                if request.is_excused:
                     continue
-                if request.sidecar in self.down:
-                    self.answers.lost(request, "its process ended")
+                if request.sidecar in self.down_sidecars:
+                    self.answers.check_lost(request, "its process ended")
                 else:
-                    self.answers.unanswered(request, at)
-            if self.alone and len(request.attempts) > 1:
+                    self.answers.check_unanswered(request, at)
+            if self.forbids_hedging and len(request.attempts) > 1:
                 for attempt in request.attempts:
-                    if attempt.out:
-                        attempt.ended = at
-                        self.duplicates.ended(request, attempt)
+                    if attempt.in_flight:
+                        attempt.ended_at = at
+                        self.duplicates.check_overlap(request, attempt)
         busy = {request.sidecar for request in self.requests.values() if at <= request.deadline + self.grace}
         bounds.judge(leftovers, self.plan.limits, busy, self.breaches)
         figures = self.figures
         figures.finish(at)
         asked_work = figures.asked_work()
-        waste = max(0.0, self.work.done - self.work.useful) / asked_work if asked_work > 0 else 0.0
+        wasted_work = max(0.0, self.work.total_seconds - self.work.useful_seconds)
+        waste = wasted_work / asked_work if asked_work > 0 else 0.0
         outcome = figures.outcome(self.grain, at, wall_s, waste, self._choke_price())
         outcome.breaches = self.breaches.kept
         outcome.breach_count = self.breaches.count
-        outcome.attempts_by_tier = self.by_tier
-        outcome.attempts_each = self.by_tier[0] / self.tries if self.by_tier and self.tries else 0.0
+        outcome.attempts_by_tier = self.attempts_by_tier
+        if self.attempts_by_tier and self.client_attempt_count:
+            outcome.attempts_each = self.attempts_by_tier[0] / self.client_attempt_count
         outcome.node_work = self.work.by_node
-        outcome.happened = self.happened
-        outcome.lists = self.discovery_calls.found
+        outcome.happened = self.timeline
+        outcome.lists = self.discovery_calls.figures
         outcome.counts = self._counts(asked_work)
         outcome.trace_hash = self.trace.hash if self.trace is not None else ""
         return outcome
@@ -312,41 +315,41 @@
         for number, tier in enumerate(self.plan.tiers):
             nodes = [node.name for node in self.plan.nodes if node.tier == number]
             if tier.choke is not None and nodes:
-                price += tier.choke.price * len([n for n in nodes if n in self.choked_nodes]) / len(nodes)
+                price += tier.choke.price * len([n for n in nodes if n in self.degraded_nodes]) / len(nodes)
         return price
 
     def _counts(self, asked_work: float) -> dict[str, float]:
-        figures, ends = self.figures, self.ends
+        figures, ends = self.figures, self.end_counts
         earned = sum([second.earned for second in figures.seconds])
         worth = sum([second.worth for second in figures.seconds])
         return {
             "taken": self.taken_count,
-            "tries": self.tries,
+            "tries": self.client_attempt_count,
             "answered": ends["served"],
             "refused": ends["refused"],
             "failed": ends["failed"],
             "lost": ends["lost"],
             "untaken": ends["unknown"],
             "left": ends["left"],
-            "forgiven": self.forgiven,
-            "unsent_late": self.unsent,
-            "unsent_late_worth": self.unsent_worth,
-            "held_back": UNSENT_PENALTY_SHARE * self.unsent_worth / worth if worth > 0 else 0.0,
-            "attempts": sum(self.by_tier),
-            "turned_away": self.away,
-            "sends": self.sends,
-            "drains_checked": self.checked,
-            "effects": self.effects,
+            "forgiven": self.excused_count,
+            "unsent_late": self.unsent_count,
+            "unsent_late_worth": self.unsent_value,
+            "held_back": UNSENT_PENALTY_SHARE * self.unsent_value / worth if worth > 0 else 0.0,
+            "attempts": sum(self.attempts_by_tier),
+            "turned_away": self.rejected_count,
+            "sends": self.send_count,
+            "drains_checked": self.checked_send_count,
+            "effects": self.effect_count,
             "front_gap": round(self.front_outage.gap, 6),
-            "list_calls": self.list_calls,
-            "told_late": self.drains.late,
-            "cold_starts": self.warm_ups.count,
-            "cold_over": self.warm_ups.over,
+            "list_calls": self.list_call_count,
+            "told_late": self.drains.late_count,
+            "cold_starts": self.warm_ups.start_count,
+            "cold_over": self.warm_ups.overload_count,
             "worth_asked": worth,
             "worth_in_time": earned - figures.earned_late,
             "worth_late": figures.earned_late,
             "work_asked": asked_work,
-            "work_done": self.work.done,
-            "work_useful": self.work.useful,
+            "work_done": self.work.total_seconds,
+            "work_useful": self.work.useful_seconds,
             **self.notes,
         }
--- a/wheatring/lab/rules/links.py
+++ b/wheatring/lab/rules/links.py
@@ -21,51 +21,52 @@
     def __init__(self, plan: Plan, start: float) -> None:
         net = plan.net
         longer = max([1.0, *(event.size for event in plan.events if event.kind == "latency")])
-        self.usual = max(net.same, net.cross, net.client) * (1 + 25 * net.jitter) + READ_SECONDS
-        self.most = (self.usual - READ_SECONDS) * longer + READ_SECONDS
+        self.usual_delay = max(net.same, net.cross, net.client) * (1 + 25 * net.jitter) + READ_SECONDS
+        self.max_delay = (self.usual_delay - READ_SECONDS) * longer + READ_SECONDS
         self.start = start
         self.hosts: dict[str, tuple[str, ...]] = {each.name: (each.host,) for each in plan.sidecars}
         self.front = frozenset(self.hosts)
         self.hosts.update({each.name: (each.host, each.side_host) for each in plan.nodes})
-        self.cuts = [event for event in plan.events if event.kind in ("partition", "vanish")]
-        self.slow = [event for event in plan.events if event.kind == "latency"]
-        self.of: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by both ends
+        self.cut_events = [event for event in plan.events if event.kind in ("partition", "vanish")]
+        self.latency_events = [event for event in plan.events if event.kind == "latency"]
+        self.cut_spans: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by both ends
 
-    def caller(self, sidecar: str) -> str:
+    def caller_of(self, sidecar: str) -> str:
         """Return the end of the callers of a sidecar: clients, or the node that it belongs to."""
         return ELSEWHERE if sidecar in self.front else sidecar
 
-    def cut(self, end: str, other: str, since: float, until: float) -> bool:
+    def was_cut(self, end: str, other: str, since: float, until: float) -> bool:
         """Whether two ends may have been cut off from each other at any time between two instants."""
-        if not self.cuts:
+        if not self.cut_events:
             return False
-        spans = self.of.get((end, other))
+        spans = self.cut_spans.get((end, other))
         if spans is None:
-            spans = [self._span(cut) for cut in self.cuts if self._concerns(cut, end, other)]
-            self.of[end, other] = spans
+            spans = [self._span(cut) for cut in self.cut_events if self._concerns(cut, end, other)]
+            self.cut_spans[end, other] = spans
         return any(begun <= until and since <= ended for begun, ended in spans)
 
-    def reach(self, end: str, other: str, at: float) -> float:
+    def delivery_seconds(self, end: str, other: str, at: float) -> float:
         """Seconds in which what left one end for the other at an instant has been read there."""
-        for event in self.slow:
+        for event in self.latency_events:
             begun, ended = self._span(event)
             if begun <= at <= ended and self._concerns(event, end, other):
-                return self.most
-        return self.usual
+                return self.max_delay
+        return self.usual_delay
 
     def _span(self, cut: EventPlan) -> tuple[float, float]:
         begun = self.start + cut.at
-        return begun - self.most, begun + 2 * cut.length + RESEND_SECONDS if cut.length > 0 else float("inf")
+        ended = begun + 2 * cut.length + RESEND_SECONDS if cut.length > 0 else float("inf")
+        return begun - self.max_delay, ended
 
     def _concerns(self, cut: EventPlan, end: str, other: str) -> bool:
         if cut.kind == "vanish":
             return end in cut.nodes or other in cut.nodes
         here, there = self.hosts.get(end, ()), self.hosts.get(other, ())
-        return (_among(here, cut.hosts) and _among(there, cut.others)) or (
-            _among(here, cut.others) and _among(there, cut.hosts)
+        return (_includes(here, cut.hosts) and _includes(there, cut.others)) or (
+            _includes(here, cut.others) and _includes(there, cut.hosts)
         )
 
 
-def _among(hosts: tuple[str, ...], named: tuple[str, ...]) -> bool:
+def _includes(hosts: tuple[str, ...], named: tuple[str, ...]) -> bool:
     """Whether any of the hosts is named; no names stand for all."""
     return not named or any(host in named for host in hosts)
--- a/wheatring/lab/rules/request_checker.py
+++ b/wheatring/lab/rules/request_checker.py
@@ -12,8 +12,8 @@
 from wheatring.lab.rules.duplicates import SOCKET_TOLERANCE_SECONDS, Duplicates
 from wheatring.lab.rules.figures import Figures
 from wheatring.lab.rules.links import Links
-from wheatring.lab.rules.requests import Attempt, Over, Request
-from wheatring.lab.rules.trace import Family, Trace, text
+from wheatring.lab.rules.requests import Attempt, Request, RequestEnd
+from wheatring.lab.rules.trace import FirstRequestLookup, Trace, text
 from wheatring.lab.rules.work_accounting import WorkAccounting
 
 REQUEST_MEMORY_SECONDS = 10.0  # for which a request that is over is remembered, for what is on its way
@@ -28,7 +28,7 @@
         now: Callable[[], float],
         start: float,
         trace: Trace | None,
-        family: Family | None,
+        first_request_of: FirstRequestLookup | None,
     ) -> None:
         self.plan = plan
         self.now = now
@@ -41,26 +41,27 @@
         self.duplicates = Duplicates(plan, self.links, self.breaches)
         self.figures = Figures(plan, start)
         self.max_open = plan.limits.max_open
-        self.alone = not plan.limits.second_copies  # an attempt must be
+        self.forbids_hedging = not plan.limits.second_copies  # an attempt must be
         self.front = {each.name for each in plan.sidecars}
-        self.work = WorkAccounting(plan, self.front, family)
+        self.work = WorkAccounting(plan, self.front, first_request_of)
         self.tier_of = {each.name: each.tier for each in plan.nodes}
         self.requests: dict[str, Request] = {}
-        self.held: dict[str, dict[str, Request]] = {}  # by sidecar: what it has taken and owes
-        self.over: deque[Request] = deque()  # the oldest first
-        self.down: set[str] = set()  # sidecars whose process has ended
-        self.down_at: dict[str, float] = {}  # the last end of its process
-        self.drain_at: dict[tuple[str, str, float], int] = {}  # breaches whose request is not known yet
-        self.made_so_far = 0
+        self.open_requests: dict[str, dict[str, Request]] = {}  # by sidecar: what it has taken and owes
+        self.ended_requests: deque[Request] = deque()  # the oldest first
+        self.down_sidecars: set[str] = set()  # sidecars whose process has ended
+        self.last_down_at: dict[str, float] = {}  # the last end of its process
+        # Indices of breaches whose request is not known yet, by sidecar, node and instant of sending.
+        self.unnamed_drain_breaches: dict[tuple[str, str, float], int] = {}
+        self.response_count = 0
         # Counts
-        self.by_tier = [0 for _ in plan.tiers]
-        self.ends = {"served": 0, "refused": 0, "failed": 0, "lost": 0, "left": 0, "unknown": 0}
-        self.taken_count = self.tries = 0
-        self.away = self.effects = 0
-        self.unsent = 0
-        self.unsent_worth = 0.0
+        self.attempts_by_tier = [0 for _ in plan.tiers]
+        self.end_counts = {"served": 0, "refused": 0, "failed": 0, "lost": 0, "left": 0, "unknown": 0}
+        self.taken_count = self.client_attempt_count = 0
+        self.rejected_count = self.effect_count = 0
+        self.unsent_count = 0
+        self.unsent_value = 0.0
 
-    def since(self, instant: float) -> float:
+    def day_seconds(self, instant: float) -> float:
         """As a time since the start of the day."""
         return round(instant - self.start, 9)
 
@@ -69,15 +70,15 @@
     def taken(self, sidecar: str, ident: str, index: int, key: str, deadline: float) -> None:
         """Note that a sidecar has taken a request with an absolute deadline (seconds)."""
         at = self.now()
-        requests, held = self.requests, self.held.get(sidecar)
+        requests, held = self.requests, self.open_requests.get(sidecar)
         if held is None:
-            held = self.held[sidecar] = {}
+            held = self.open_requests[sidecar] = {}
         request = Request(ident, sidecar, index, at, deadline)
         if ident in requests:
             self._check_retaken(request, requests[ident])
         requests[ident] = request
-        if sidecar in self.down:
-            request.forgiven = True
+        if sidecar in self.down_sidecars:
+            request.is_excused = True
         else:
             held[ident] = request
             if len(held) > self.max_open:
@@ -85,44 +86,44 @@
                 self.breaches.add("bounds", what, ident=ident, sidecar=sidecar)
         self.taken_count += 1
         if sidecar in self.front:
-            self.tries += 1
+            self.client_attempt_count += 1
             figures = self.figures
-            (figures.present if at < figures.until else figures.second(at)).tries += 1
-        over = self.over
-        if over and over[0].over_at < at - REQUEST_MEMORY_SECONDS:
+            (figures.current if at < figures.current_end else figures.second(at)).tries += 1
+        over = self.ended_requests
+        if over and over[0].ended_at < at - REQUEST_MEMORY_SECONDS:
             self._forget(at - REQUEST_MEMORY_SECONDS)
         if self.trace is not None:
-            more = f"index={index} key={key} deadline={self.since(deadline)!r}"
+            more = f"index={index} key={key} deadline={self.day_seconds(deadline)!r}"
             self.trace.line(at, ident, f"taken sidecar={sidecar} ident={ident} {more}")
 
     def _check_retaken(self, request: Request, before: Request) -> None:
         """Check that a request is taken again only where its caller had to send it elsewhere."""
-        if before.over != "unknown" and not (before.forgiven and not before.over):
-            raise MisuseError(f"{request.ident}: taken again ({before.over or 'still open'})")
+        if before.end != "unknown" and not (before.is_excused and not before.end):
+            raise MisuseError(f"{request.ident}: taken again ({before.end or 'still open'})")
         for attempt in before.attempts:  # these are no attempts of who has it now
-            attempt.away = True
-        request.attempts, request.out = before.attempts, before.out
+            attempt.rejected = True
+        request.attempts, request.attempts_in_flight = before.attempts, before.attempts_in_flight
 
     def _forget(self, until: float) -> None:
-        over, requests = self.over, self.requests
-        while over and over[0].over_at < until:
+        over, requests = self.ended_requests, self.requests
+        while over and over[0].ended_at < until:
             request = over.popleft()
-            if request.out:
-                request.stale = True  # until the last of it has ended
+            if request.attempts_in_flight:
+                request.is_expired = True  # until the last of it has ended
             elif requests.get(request.ident) is request:
                 del requests[request.ident]
 
-    def _end(self, sidecar: str, ident: str, how: Over, at: float) -> Request:
+    def _end_request(self, sidecar: str, ident: str, how: RequestEnd, at: float) -> Request:
         """Note that a request that was taken is over; return it."""
         request = self.requests.get(ident)
-        if request is None or request.over or request.sidecar != sidecar:
-            state = "not taken" if request is None else request.over or f"taken by {request.sidecar}"
+        if request is None or request.end or request.sidecar != sidecar:
+            state = "not taken" if request is None else request.end or f"taken by {request.sidecar}"
             raise MisuseError(f"{ident} at {sidecar}: {how} after it was {state}")
-        request.over = how
-        request.over_at = at
-        self.over.append(request)
-        self.held[sidecar].pop(ident, None)
-        self.ends[how] += 1
+        request.end = how
+        request.ended_at = at
+        self.ended_requests.append(request)
+        self.open_requests[sidecar].pop(ident, None)
+        self.end_counts[how] += 1
         return request
 
     def answered(
@@ -136,55 +137,55 @@
     ) -> None:
         """Note the answer of a sidecar, written at an instant that may be unknown."""
         at = self.now()
-        request = self._end(sidecar, ident, kind, at)
+        request = self._end_request(sidecar, ident, kind, at)
         if written is not None:
-            request.over_at = written
+            request.ended_at = written
         if at > request.deadline:
-            self.answers.late(request, at)
+            self.answers.check_late(request, at)
         if kind == "served":
-            attempt = self.answers.served(request, stamp)
+            attempt = self.answers.find_attempt(request, stamp)
             if attempt is not None:
                 self.work.record_answer(request, attempt)
         else:
             if request.attempts:
-                if kind == "refused" and request.ran():
-                    self.duplicates.refused(request)
-            elif at - request.taken > 0.5 * (request.deadline - request.taken):
-                self._unsent(request)
+                if kind == "refused" and request.may_have_run():
+                    self.duplicates.check_rejection(request)
+            elif at - request.taken_at > 0.5 * (request.deadline - request.taken_at):
+                self._record_unsent(request)
         if self.trace is not None:
             line = f"answered sidecar={sidecar} ident={ident} kind={kind} stamp={stamp}"
             self.trace.line(at, ident, f"{line} retry_after={retry_after!r}")
 
-    def _unsent(self, request: Request) -> None:
-        if request.sidecar in self.front and not request.attempts and not request.forgiven:
-            self.unsent += 1
-            self.unsent_worth += self.plan.classes[request.index].worth
+    def _record_unsent(self, request: Request) -> None:
+        if request.sidecar in self.front and not request.attempts and not request.is_excused:
+            self.unsent_count += 1
+            self.unsent_value += self.plan.classes[request.class_index].worth
 
     def lost(self, sidecar: str, ident: str, why: str) -> None:
         """Note that a sidecar has lost a request that it had taken."""
         at = self.now()
-        request = self._end(sidecar, ident, "lost", at)
-        self.answers.lost(request, why)
-        self._unsent(request)
+        request = self._end_request(sidecar, ident, "lost", at)
+        self.answers.check_lost(request, why)
+        self._record_unsent(request)
         if self.trace is not None:
             self.trace.line(at, ident, f"lost sidecar={sidecar} ident={ident} why={text(why)}")
 
     def untaken(self, sidecar: str, ident: str) -> None:
         """Note that a request turns out never to have been taken."""
         at = self.now()
-        request = self._end(sidecar, ident, "unknown", at)
-        if not request.forgiven and request.attempts:
-            self.answers.dropped(request)
+        request = self._end_request(sidecar, ident, "unknown", at)
+        if not request.is_excused and request.attempts:
+            self.answers.check_dropped(request)
         if self.trace is not None:
             self.trace.line(at, ident, f"untaken sidecar={sidecar} ident={ident}")
 
     def left(self, sidecar: str, ident: str) -> None:
         """Note that the caller of a request has left."""
         at = self.now()
-        request = self._end(sidecar, ident, "left", at)
+        request = self._end_request(sidecar, ident, "left", at)
         if at >= request.deadline:
-            self.answers.unanswered(request, at)
-            self._unsent(request)
+            self.answers.check_unanswered(request, at)
+            self._record_unsent(request)
         if self.trace is not None:
             self.trace.line(at, ident, f"left sidecar={sidecar} ident={ident}")
 
@@ -196,45 +197,45 @@
         request = self.requests.get(ident)
         if request is None:
             request = self.requests[ident] = Request(ident, sidecar, 0, at, at)
-            request.over, request.over_at = "unknown", at
-            request.forgiven = (
+            request.end, request.ended_at = "unknown", at
+            request.is_excused = (
                 sent is not None and sent < at - REQUEST_MEMORY_SECONDS
             )  # it may have been over since
-            self.over.append(request)
-        attempt = Attempt(node, at - self.links.most if sent is None else sent, at)
+            self.ended_requests.append(request)
+        attempt = Attempt(node, at - self.links.max_delay if sent is None else sent, at)
         request.attempts.append(attempt)
-        request.out += 1
+        request.attempts_in_flight += 1
         if request.sidecar != sidecar:
-            self._stranger(sidecar, request, attempt)
-        elif request.over or len(request.attempts) > 1:
-            self.duplicates.arrived(request, attempt)
-        if self.drain_at:
-            place = self.drain_at.pop((sidecar, node, attempt.sent), None)
+            self._check_holder(sidecar, request, attempt)
+        elif request.end or len(request.attempts) > 1:
+            self.duplicates.check_arrival(request, attempt)
+        if self.unnamed_drain_breaches:
+            place = self.unnamed_drain_breaches.pop((sidecar, node, attempt.sent_at), None)
             if place is not None:
                 self.breaches.name(place, ident)
         figures = self.figures
-        (figures.present if at < figures.until else figures.second(at)).attempts += 1
-        self.by_tier[self.tier_of[node]] += 1
+        (figures.current if at < figures.current_end else figures.second(at)).attempts += 1
+        self.attempts_by_tier[self.tier_of[node]] += 1
         work = self.work
         if node in work.visits:
             work.begin_attempt(ident, attempt)
         if self.trace is not None:
             line = f"arrived sidecar={sidecar} node={node} ident={ident}"
-            self.trace.line(at, ident, f"{line} sent={self.since(attempt.sent)!r}")
+            self.trace.line(at, ident, f"{line} sent={self.day_seconds(attempt.sent_at)!r}")
 
-    def _stranger(self, sidecar: str, request: Request, attempt: Attempt) -> None:
+    def _check_holder(self, sidecar: str, request: Request, attempt: Attempt) -> None:
         """Judge an attempt of a sidecar without the request: lawful where its process has ended."""
-        attempt.away = True
-        if self.down_at.get(sidecar, self.start - 1.0) < attempt.sent:
+        attempt.rejected = True
+        if self.last_down_at.get(sidecar, self.start - 1.0) < attempt.sent_at:
             what = f"{sidecar} sent a request that is held by {request.sidecar}."
             self.breaches.add("duplicate", what, ident=request.ident, sidecar=sidecar, node=attempt.node)
 
-    def _attempt(self, node: str, ident: str, what: str) -> Attempt:
+    def _attempt_in_flight(self, node: str, ident: str, what: str) -> Attempt:
         """Return the attempt at a node; of several in flight the oldest."""
         request = self.requests.get(ident)
         if request is not None:
             for attempt in request.attempts:
-                if attempt.out and attempt.node == node:
+                if attempt.in_flight and attempt.node == node:
                     return attempt
         raise MisuseError(f"{ident} at {node}: {what} without an attempt that is out")
 
@@ -242,25 +243,25 @@
         """Note that a node has turned an attempt away before it ran."""
         request = self.requests.get(ident)
         for attempt in reversed(request.attempts if request is not None else ()):
-            if attempt.node == node and not attempt.away and not attempt.stamp:
-                attempt.away = True
+            if attempt.node == node and not attempt.rejected and not attempt.stamp:
+                attempt.rejected = True
                 break
         else:
             raise MisuseError(f"{ident} at {node}: turned away without an attempt")
-        self.away += 1
+        self.rejected_count += 1
         figures, at = self.figures, self.now()
-        (figures.present if at < figures.until else figures.second(at)).turned_away += 1
+        (figures.current if at < figures.current_end else figures.second(at)).turned_away += 1
         if self.trace is not None:
             self.trace.line(at, ident, f"turned_away node={node} ident={ident}")
 
     def made(self, node: str, ident: str) -> str:
         """Note that a node has made an answer; return the stamp that identifies it."""
-        self.made_so_far += 1
-        stamp = f"{self.made_so_far:x}-{ident}"
+        self.response_count += 1
+        stamp = f"{self.response_count:x}-{ident}"
         request = self.requests.get(ident)
         attempt = request.attempts[0] if request is not None and request.attempts else None
-        if attempt is None or not attempt.out or attempt.node != node:
-            attempt = self._attempt(node, ident, "made")
+        if attempt is None or not attempt.in_flight or attempt.node != node:
+            attempt = self._attempt_in_flight(node, ident, "made")
         attempt.stamp = stamp
         if self.trace is not None:
             self.trace.line(self.now(), ident, f"made node={node} ident={ident} stamp={stamp}")
@@ -268,18 +269,18 @@
 
     def effect(self, node: str, ident: str, key: str) -> None:
         """Note that running an attempt had an effect."""
-        self.effects += 1
+        self.effect_count += 1
         at, request = self.now(), self.requests.get(ident)
         if key:
-            known = request is not None and request.over != "unknown"
-            plan = self.plan.classes[request.index] if request is not None and known else None
-            self.duplicates.effect(node, ident, key, plan, at)
+            known = request is not None and request.end != "unknown"
+            plan = self.plan.classes[request.class_index] if request is not None and known else None
+            self.duplicates.check_effect(node, ident, key, plan, at)
         if self.trace is not None:
             self.trace.line(at, ident, f"effect node={node} ident={ident} key={key}")
 
     def worked(self, node: str, ident: str, work: float) -> None:
         """Note the work (seconds on a standard core) that a node has done for an attempt."""
-        self.work.worked(node, self.requests.get(ident), work)
+        self.work.record_work(node, self.requests.get(ident), work)
         if self.trace is not None:
             self.trace.line(self.now(), ident, f"worked node={node} ident={ident} work={work!r}")
 
@@ -287,21 +288,21 @@
         """Note that nothing of an attempt is in flight any more."""
         request = self.requests.get(ident)
         attempt = request.attempts[0] if request is not None and request.attempts else None
-        if request is None or attempt is None or not attempt.out or attempt.node != node:
-            attempt = self._attempt(node, ident, "ended")
+        if request is None or attempt is None or not attempt.in_flight or attempt.node != node:
+            attempt = self._attempt_in_flight(node, ident, "ended")
             request = self.requests[ident]
         if len(request.attempts) > 1:  # of several at one node the one that has its reply
             for each in request.attempts:
-                if each.out and each.node == node and (each.away or each.stamp):
+                if each.in_flight and each.node == node and (each.rejected or each.stamp):
                     attempt = each
                     break
         at = self.now()
-        attempt.out = False
-        attempt.ended = at
-        request.out -= 1
-        if self.alone and len(request.attempts) > 1:
-            self.duplicates.ended(request, attempt)
-        if request.stale and not request.out:
+        attempt.in_flight = False
+        attempt.ended_at = at
+        request.attempts_in_flight -= 1
+        if self.forbids_hedging and len(request.attempts) > 1:
+            self.duplicates.check_overlap(request, attempt)
+        if request.is_expired and not request.attempts_in_flight:
             del self.requests[ident]
         if self.trace is not None:
             self.trace.line(at, ident, f"ended node={node} ident={ident}")
--- a/wheatring/lab/rules/requests.py
+++ b/wheatring/lab/rules/requests.py
@@ -4,57 +4,69 @@
 
 from typing import Literal
 
-Over = Literal["", "served", "refused", "failed", "lost", "left", "unknown"]
+# How a request ended, "" while it is open. unknown: its caller withdrew it, or it was never seen to be taken.
+RequestEnd = Literal["", "served", "refused", "failed", "lost", "left", "unknown"]
 
 
 class Attempt:
-    """One attempt that has arrived whole at a node."""
+    """One attempt that has arrived completely at a node."""
 
-    __slots__ = ("arrived", "away", "done", "ended", "into", "node", "out", "sent", "stamp", "work")
+    __slots__ = (
+        "arrived_at",
+        "ended_at",
+        "in_flight",
+        "node",
+        "parent",
+        "rejected",
+        "sent_at",
+        "stamp",
+        "work",
+        "work_recorded",
+    )
 
-    def __init__(self, node: str, sent: float, arrived: float) -> None:
+    def __init__(self, node: str, sent_at: float, arrived_at: float) -> None:
         self.node = node
-        self.sent = sent
-        self.arrived = arrived
-        self.out = True
-        self.ended = 0.0
-        self.away = False  # it never ran
-        self.stamp = ""
-        self.done = False  # its own work has been told
+        self.sent_at = sent_at
+        self.arrived_at = arrived_at
+        self.in_flight = True
+        self.ended_at = 0.0
+        self.rejected = False  # it never ran
+        self.stamp = ""  # of the answer that it made
+        self.work_recorded = False  # the work done for itself
         self.work = 0.0  # done for it, with that of the calls that served it
-        self.into: Attempt | None = None  # the visit above that it served
+        self.parent: Attempt | None = None  # the attempt at the tier above whose answer needed this one
 
 
 class Request:
-    """One request that a sidecar has taken: a try of a client or a call of a node."""
+    """One request that a sidecar has taken: an attempt of a client or a call of a node."""
 
     __slots__ = (
         "attempts",
+        "attempts_in_flight",
+        "class_index",
         "deadline",
-        "forgiven",
+        "end",
+        "ended_at",
         "ident",
-        "index",
-        "out",
-        "over",
-        "over_at",
+        "is_excused",
+        "is_expired",
         "sidecar",
-        "stale",
-        "taken",
+        "taken_at",
     )
 
-    def __init__(self, ident: str, sidecar: str, index: int, taken: float, deadline: float) -> None:
+    def __init__(self, ident: str, sidecar: str, class_index: int, taken_at: float, deadline: float) -> None:
         self.ident = ident
         self.sidecar = sidecar
-        self.index = index
-        self.taken = taken
+        self.class_index = class_index
+        self.taken_at = taken_at
         self.deadline = deadline
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts of which something is out
-        self.over: Over = ""
-        self.over_at = 0.0  # for its sidecar, as early as that is known
-        self.forgiven = False  # its sidecar was killed: nothing is owed
-        self.stale = False  # over for so long that it is forgotten once nothing is out
+        self.attempts_in_flight = 0
+        self.end: RequestEnd = ""
+        self.ended_at = 0.0  # for its sidecar, as early as that is known
+        self.is_excused = False  # its sidecar was killed: nothing is owed
+        self.is_expired = False  # over for so long that it is forgotten once nothing is in flight
 
-    def ran(self) -> bool:
+    def may_have_run(self) -> bool:
         """Whether an attempt may have run."""
-        return any(not attempt.away for attempt in self.attempts)
+        return any(not attempt.rejected for attempt in self.attempts)
--- a/wheatring/lab/rules/trace.py
+++ b/wheatring/lab/rules/trace.py
@@ -15,10 +15,11 @@
 
 from wheatring.lab.outcome import Outcome
 
-MAX_FAMILIES = 20_000  # first tries whose lines are held until one of them is asked for
-MAX_LINES_PER_FAMILY = 2_000  # of one family that are held at most
+MAX_PENDING_FIRST_ATTEMPTS = 20_000  # first tries whose lines are held until one of them is asked for
+MAX_PENDING_LINES = 2_000  # of one first attempt that are held at most
 
-Family = Callable[[str], int | None]  # from a request's ident to its first try, None where that is not known
+# From a request's ident to the number of its client's first attempt; None where that is not known.
+FirstRequestLookup = Callable[[str], int | None]
 
 
 def text(value: object) -> str:
@@ -29,21 +30,25 @@
 class Trace:
     """Writes lines to a file, or only hashes them: all of them, whatever is written.
 
-    With `of`, only lines are written of the requests that are named there; with `family` as well, those of
-    all tries and calls that come from the same first try. Lines that belong to no request are left out then.
+    With `idents`, only lines of the requests named there are written; with `first_request_of` as well, those
+    of all retries and calls that come from the same first attempt. Lines that belong to no request are
+    left out then.
     """
 
     def __init__(
-        self, start: float, file: TextIO | None = None, of: Iterable[str] = (), family: Family | None = None
+        self,
+        start: float,
+        file: TextIO | None = None,
+        idents: Iterable[str] = (),
+        first_request_of: FirstRequestLookup | None = None,
     ) -> None:
         self.start = start
         self.file = file
-        self.of = frozenset(of)
-        self.family = family
-        self.firsts: dict[int, None] = {}  # of the requests that are named in `of`
-        self.held: OrderedDict[int, list[str]] = (
-            OrderedDict()
-        )  # lines of families that may turn out to be asked for
+        self.idents = frozenset(idents)
+        self.first_request_of = first_request_of
+        self.traced_first_requests: dict[int, None] = {}  # of the requests that are named in `idents`
+        # By first attempt: lines that are wanted if one of its requests turns out to be in `idents`.
+        self.pending_lines: OrderedDict[int, list[str]] = OrderedDict()
         self.digest = blake2b(digest_size=16)
 
     def line(self, at: float, ident: str, what: str, first: int | None = None) -> None:
@@ -55,23 +60,23 @@
         self.digest.update(line.encode())
         if self.file is None:
             return
-        if not self.of:
+        if not self.idents:
             self.file.write(line)
             return
-        if first is None and ident and self.family is not None:
-            first = self.family(ident)
-        if ident in self.of and first is not None and first not in self.firsts:
-            self.firsts[first] = None
-            self.file.writelines(self.held.pop(first, ()))
-        if ident in self.of or first in self.firsts:
+        if first is None and ident and self.first_request_of is not None:
+            first = self.first_request_of(ident)
+        if ident in self.idents and first is not None and first not in self.traced_first_requests:
+            self.traced_first_requests[first] = None
+            self.file.writelines(self.pending_lines.pop(first, ()))
+        if ident in self.idents or first in self.traced_first_requests:
             self.file.write(line)
-        elif first is not None and self.family is not None:
-            lines = self.held.get(first)
+        elif first is not None and self.first_request_of is not None:
+            lines = self.pending_lines.get(first)
             if lines is None:
-                if len(self.held) >= MAX_FAMILIES:
-                    self.held.popitem(last=False)
-                lines = self.held[first] = []
-            if len(lines) < MAX_LINES_PER_FAMILY:
+                if len(self.pending_lines) >= MAX_PENDING_FIRST_ATTEMPTS:
+                    self.pending_lines.popitem(last=False)
+                lines = self.pending_lines[first] = []
+            if len(lines) < MAX_PENDING_LINES:
                 lines.append(line)
 
     @property
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -48,16 +48,16 @@
         self.drains = drains
         self.breaches = breaches
         self.watched: dict[str, WarmUp] = {}  # by node
-        self.count = 0
-        self.over = 0  # that were pushed over, by whomever
+        self.start_count = 0
+        self.overload_count = 0  # that were pushed over, by whomever
 
-    def up(self, node: str, kind: KindPlan, capacity: Callable[[], float], at: float) -> None:
+    def node_up(self, node: str, kind: KindPlan, capacity: Callable[[], float], at: float) -> None:
         """Note that a node has started at an instant, with the capacity that `capacity` gives."""
         if kind.cold > 0 and kind.cold_from < 1:
-            self.count += 1
+            self.start_count += 1
             self.watched[node] = WarmUp(self.rules, capacity, at, at + kind.cold)
 
-    def offered(self, node: str, sidecar: str, work: float, at: float) -> None:
+    def record_offer(self, node: str, sidecar: str, work: float, at: float) -> None:
         """Note work (seconds on a standard core) for a node that is watched."""
         start, window = self.watched[node], self.rules.fall_for
         if at >= start.until:
@@ -69,7 +69,7 @@
             offers.popleft()
         if start.pressure.offer(at, work, capacity):
             del self.watched[node]
-            self.over += 1
+            self.overload_count += 1
             if start.is_caused_by_notified():
                 what = f"{node} was sent {start.pressure.total:.3f} s of work within {window} s,"
                 what += (
--- a/wheatring/lab/rules/work_accounting.py
+++ b/wheatring/lab/rules/work_accounting.py
@@ -4,7 +4,7 @@
 
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.requests import Attempt, Request
-from wheatring.lab.rules.trace import Family
+from wheatring.lab.rules.trace import FirstRequestLookup
 
 ROOT = Attempt("", 0.0, 0.0)  # stands for the client, above all visits
 
@@ -13,56 +13,56 @@
     """The work of attempts, and what of it was of use. Work is in seconds on a standard core.
 
     An attempt's work is of use once it made the answer that its caller got. That of a call goes to the visit
-    that it was made for, and so up to the client. The visit above a call is the one of the same first try at
-    the node whose sidecar was called: `family` says which. Without it, a call that was served counts as of
-    use.
+    that it was made for, and so up to the client. The visit above a call is the one of the same first attempt
+    at the node whose sidecar was called: `first_request_of` says which. Without it, a call that was served
+    counts as of use.
     """
 
-    def __init__(self, plan: Plan, front: set[str], family: Family | None) -> None:
+    def __init__(self, plan: Plan, front: set[str], first_request_of: FirstRequestLookup | None) -> None:
         last = len(plan.tiers) - 1
         self.front = front
-        self.family = family
+        self.first_request_of = first_request_of
         self.visits: dict[str, dict[int, Attempt]] = {
             each.name: {} for each in plan.nodes if each.tier < last
         }
-        self.done = 0.0
-        self.useful = 0.0
+        self.total_seconds = 0.0
+        self.useful_seconds = 0.0
         self.by_node = {each.name: 0.0 for each in plan.nodes}
 
     def begin_attempt(self, ident: str, attempt: Attempt) -> None:
         """Note that an attempt that may call the next tier has arrived."""
-        first = self.family(ident) if self.family is not None else None
+        first = self.first_request_of(ident) if self.first_request_of is not None else None
         if first is not None:
             self.visits[attempt.node][first] = attempt
 
     def record_answer(self, request: Request, attempt: Attempt) -> None:
         """Note that an attempt made the answer that the request's caller has."""
         above: Attempt | None = ROOT
-        if request.sidecar not in self.front and self.family is not None:
-            visits, first = self.visits.get(request.sidecar), self.family(request.ident)
+        if request.sidecar not in self.front and self.first_request_of is not None:
+            visits, first = self.visits.get(request.sidecar), self.first_request_of(request.ident)
             above = visits.get(first) if visits is not None and first is not None else None
-        if above is not None and above is not attempt and attempt.into is None:
-            attempt.into = above
+        if above is not None and above is not attempt and attempt.parent is None:
+            attempt.parent = above
             self.credit(above, attempt.work)
 
     def credit(self, attempt: Attempt, work: float) -> None:
         """Credit work to an attempt and those above it; work may be reported after the answers it served."""
         while attempt is not ROOT:
             attempt.work += work
-            if attempt.into is None:
+            if attempt.parent is None:
                 return
-            attempt = attempt.into
-        self.useful += work
+            attempt = attempt.parent
+        self.useful_seconds += work
 
-    def worked(self, node: str, request: Request | None, work: float) -> None:
+    def record_work(self, node: str, request: Request | None, work: float) -> None:
         """Note work that a node has done for a request."""
         self.by_node[node] += work
-        self.done += work
+        self.total_seconds += work
         if request is not None:
             for attempt in request.attempts:
-                if attempt.node == node and not attempt.done and not attempt.away:
-                    attempt.done = True
-                    if attempt.into is None:  # as is most often so: nothing to go up to yet
+                if attempt.node == node and not attempt.work_recorded and not attempt.rejected:
+                    attempt.work_recorded = True
+                    if attempt.parent is None:  # as is most often so: nothing to go up to yet
                         attempt.work += work
                     else:
                         self.credit(attempt, work)
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -85,9 +85,9 @@
         self.time = VirtualTime(START, ties)
         self.day = START + LEAD
         self.origins = CorrelationTable(self.random("ids"))
-        family = self.origins.first
-        self.trace = None if tracing is None else Trace(self.day, tracing.file, tracing.of, family)
-        self.checker = InvariantChecker(plan, grain, self.time.now, self.day, self.trace, family)
+        first_request_of = self.origins.first
+        self.trace = None if tracing is None else Trace(self.day, tracing.file, tracing.of, first_request_of)
+        self.checker = InvariantChecker(plan, grain, self.time.now, self.day, self.trace, first_request_of)
         self.registry = Registry(plan.discovery, self.time, self.unix, self.random("discovery"), self.checker)
         self.front = Front(self.time, self.random("front"), plan.front_notice)
         self.environment = make_environment(self)
