--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -98,12 +98,12 @@
 
 def test_what_is_cut_off_arrives_once_that_is_over_and_in_order(pair: Pair) -> None:
     near, far = pair.both()
-    pair.wires.begin(CUT)
+    pair.wires.start_fault(CUT)
     pair.settle()
     near.sendall(b"one")
     far.sendall(b"two")
     assert nothing(near) and nothing(far)
-    pair.wires.over(CUT)
+    pair.wires.end_fault(CUT)
     near.sendall(b"three")
     near.shutdown(socket.SHUT_WR)
     assert whole(far) == b"onethree"
@@ -112,7 +112,7 @@
 
 def test_one_way_it_hears_and_is_not_heard(pair: Pair) -> None:
     near, far = pair.both()
-    pair.wires.begin(ONE_WAY)
+    pair.wires.start_fault(ONE_WAY)
     pair.settle()
     far.sendall(b"heard")
     assert near.recv(5) == b"heard"
@@ -124,11 +124,11 @@
     pair: Pair,
 ) -> None:
     near, _ = pair.both()
-    pair.wires.begin(SILENT)
+    pair.wires.start_fault(SILENT)
     pair.settle()
     with pytest.raises(TimeoutError):
         pair.dial(NOT_YET)
-    pair.wires.over(SILENT, reset=True)
+    pair.wires.end_fault(SILENT, reset=True)
     with pytest.raises(ConnectionResetError):
         near.recv(1)
     pair.both()
@@ -136,13 +136,13 @@
 
 def test_two_troubles_at_once_both_count_until_each_is_over(pair: Pair) -> None:
     near, far = pair.both()
-    pair.wires.begin(CUT)
-    pair.wires.begin(SILENT)
-    pair.wires.over(CUT)
+    pair.wires.start_fault(CUT)
+    pair.wires.start_fault(SILENT)
+    pair.wires.end_fault(CUT)
     pair.settle()
     near.sendall(b"!")
     assert nothing(far)
-    pair.wires.over(SILENT)
+    pair.wires.end_fault(SILENT)
     assert far.recv(1) == b"!"
 
 
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -15,7 +15,7 @@
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.visit import Below
 from wheatring.lab.plan import EventPlan, NodePlan
-from wheatring.lab.world.environment import CLIENTS, DISCOVERY, PORT, side_hosts, zones
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, PORT, sidecar_hosts, zones
 
 if TYPE_CHECKING:
     from wheatring.lab.world.world import World
@@ -29,10 +29,10 @@
         self.world = world
         self.time = world.time
         self.links = DirectLinks(plan.net, zones(plan), world.time, world.random("net"))
-        self.hosts = side_hosts(plan)
+        self.hosts = sidecar_hosts(plan)
         most = plan.clients.connections
         callers = {node.name: node.host for node in plan.nodes}
-        self.way = DirectSidecarClient(
+        self.client_transport = DirectSidecarClient(
             world.time,
             self.links,
             world.checker,
@@ -42,7 +42,7 @@
         self.nodes: dict[str, DirectNode] = {}
         self.listening: dict[str, DirectNode] = {}  # by address: a successor may come to that of one gone
         self.sidecars: dict[str, DirectSidecar] = {}
-        self.steps: dict[str, float] = {}  # of hosts' clocks; "" for all of them
+        self.clock_steps: dict[str, float] = {}  # of hosts' clocks; "" for all of them
         self.registry: Registry
 
     def open_discovery(self, registry: Registry) -> None:
@@ -51,9 +51,15 @@
 
     # Nodes
 
-    def below(self, node: NodePlan) -> Below:
+    def downstream_client(self, node: NodePlan) -> Below:
         """Return the node's calls through its own sidecar."""
-        return Calls(node.name, lambda: self.way, self.world.origins, self.world.sizes(node), self.time)
+        return Calls(
+            node.name,
+            lambda: self.client_transport,
+            self.world.origins,
+            self.world.call_size_draws(node),
+            self.time,
+        )
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
         """Have a node accept connections at its address."""
@@ -70,21 +76,21 @@
 
     # Sidecars
 
-    def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
-        """Start a sidecar's process; `ended` is called once, when it has ended by itself."""
+    def sidecar_up(self, name: str, config: PlatformConfig, on_exit: Callable[[], None]) -> None:
+        """Start a sidecar's process; `on_exit` is called once, when it has ended by itself."""
         host = self.hosts[name]
 
-        def over(killed: bool) -> None:
+        def on_end(killed: bool) -> None:
             del self.sidecars[name]
             if not killed:
-                ended()
+                on_exit()
 
         sidecar = self.sidecars[name] = DirectSidecar(
             name,
             host,
-            told.settings,
-            told.seed,
-            told.known,
+            config.settings,
+            config.seed,
+            config.known,
             time=self.time,
             unix=lambda: self.unix(host),
             links=self.links,
@@ -92,9 +98,9 @@
             registry=self.registry,
             discovery=DISCOVERY,
             recorder=self.world.checker,
-            client=self.way,
-            sockets=told.sockets,
-            on_end=over,
+            client=self.client_transport,
+            sockets=config.sockets,
+            on_end=on_end,
         )
         sidecar.start()
 
@@ -108,15 +114,15 @@
 
     def unix(self, host: str) -> float:
         """Return a host's Unix time in seconds."""
-        return self.world.unix() + self.steps.get(host, 0.0)
+        return self.world.unix_time() + self.clock_steps.get(host, 0.0)
 
     # Faults
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Inject a fault."""
         self.apply_fault(event, True)
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """End a fault."""
         self.apply_fault(event, False)
 
@@ -128,14 +134,14 @@
             self.links.slow(event.hosts, event.others, event.size if on else 1.0)
         elif event.kind == "clock_step":
             for host in event.hosts or ("",):
-                self.steps[host] = self.steps.get(host, 0.0) + (event.size if on else -event.size)
+                self.clock_steps[host] = self.clock_steps.get(host, 0.0) + (event.size if on else -event.size)
 
-    def vanish(self, node: NodePlan) -> None:
+    def isolate_node(self, node: NodePlan) -> None:
         """Cut a node's hosts off: nothing reaches them or leaves them."""
         for host in self.hosts_of(node):
             self.links.vanish(host)
 
-    def back(self, node: NodePlan) -> None:
+    def reconnect_node(self, node: NodePlan) -> None:
         """Connect a node's hosts again; their connections are reset."""
         for host in self.hosts_of(node):
             self.links.back(host)
@@ -147,17 +153,17 @@
         """Return the hosts of a node and of its own sidecar, if it has one."""
         return [node.host, node.side_host] if node.name in self.hosts else [node.host]
 
-    def stepped(self) -> float:
+    def clock_step(self) -> float:
         """Return the seconds by which the clocks of all hosts together have been stepped."""
-        return self.steps.get("", 0.0)
+        return self.clock_steps.get("", 0.0)
 
     # What is seen of the sidecars
 
-    def whose_turn(self) -> str:
+    def active_sidecar(self) -> str:
         """Return "": in this grain it is not known whose code runs."""
         return ""
 
-    def left_over(self) -> dict[str, dict[str, int]]:
+    def leftovers(self) -> dict[str, dict[str, int]]:
         """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
         found = {}
         for name, sidecar in self.sidecars.items():
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -98,16 +98,16 @@
         if node in self.slots.by_name:
             self.slots.kill(self.slots.by_name[node], 0.0)
 
-    def vanish(self, node: str) -> None:
+    def isolate(self, node: str) -> None:
         """Let a node's machine, with its own sidecar, fall silent."""
         assert self.wires is not None
-        self.wires.begin(self._silence(node))
+        self.wires.start_fault(self._silence(node))
         self.nodes.registry.vanished(node)
 
-    def back(self, node: str) -> None:
+    def reconnect(self, node: str) -> None:
         """Let a machine that was silent answer again; its connections are reset."""
         assert self.wires is not None
-        self.wires.over(self._silence(node), reset=True)
+        self.wires.end_fault(self._silence(node), reset=True)
         machine = self.nodes.nodes[node].machine
         if machine.running:
             self.nodes.registry.up(node, machine.started_at)
--- a/wheatring/lab/live/links/faults.py
+++ b/wheatring/lab/live/links/faults.py
@@ -19,17 +19,17 @@
         self.wires = wires
         self.hosts = {node.name: node.host for node in plan.nodes}
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Begin a fault."""
-        self.nodes.begin(event)
+        self.nodes.start_fault(event)
         if self.wires is not None:
-            self.wires.begin(self.linked(event))
+            self.wires.start_fault(self.linked(event))
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """End a fault."""
-        self.nodes.end(event)
+        self.nodes.end_fault(event)
         if self.wires is not None:
-            self.wires.over(self.linked(event))
+            self.wires.end_fault(self.linked(event))
 
     def linked(self, event: EventPlan) -> EventPlan:
         """Return the event with hosts in place of nodes, as links know hosts only."""
--- a/wheatring/lab/live/links/wires.py
+++ b/wheatring/lab/live/links/wires.py
@@ -110,12 +110,12 @@
 
     # Faults
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Begin a fault."""
         self.on.append(event)
         self._apply(event)
 
-    def over(self, event: EventPlan, reset: bool = False) -> None:
+    def end_fault(self, event: EventPlan, reset: bool = False) -> None:
         """End a fault; `reset`: what was open is reset, as by a machine that knows of it no more."""
         self.on.remove(event)
         touched = self._apply(event)
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -155,14 +155,14 @@
 
     # What troubles of a node bring about on the network. Its machine has been told of them.
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Close the ports of endpoints that a fault makes refuse connections."""
         for name in event.nodes:
             node = self.nodes[name]
             if node.machine.troubles.refusing:
                 self._close(node)
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """Open the ports again of endpoints that run."""
         for name in event.nodes:
             node = self.nodes[name]
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -40,8 +40,8 @@
 from wheatring.lab.rules import InvariantChecker
 from wheatring.lab.wire.request_format import RequestFormat
 from wheatring.lab.wire.sidecar_client import SidecarClient
-from wheatring.lab.world.environment import CLIENTS, DISCOVERY, side_hosts
-from wheatring.lab.world.events import Events
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, sidecar_hosts
+from wheatring.lab.world.events import EventScheduler
 
 LEAD_SECONDS = 0.5  # seconds from when all sidecars listen until the day begins
 SETTLE_SECONDS = 0.5  # seconds past the tail
@@ -111,14 +111,14 @@
             plan, clock, self.random("clients"), self.origins, self.checker, self.front, way
         )
         machines = {name: node.machine for name, node in self.nodes.nodes.items()}
-        self.events = Events(
+        self.event_scheduler = EventScheduler(
             clock,
             Faults(plan, self.nodes, self.wires),
             machines,
             self.registry,
             self.slots,
             self.lifecycles,
-            self.checker.happens,
+            self.checker.record_event,
         )
         self.lateness = array("d")
         self.began = 0.0
@@ -192,7 +192,7 @@
         self.watch.begin(now)
         self.watch.add(LAB, os.getpid(), now)
         self.clients.start()
-        self.events.schedule(now, plan.events)
+        self.event_scheduler.schedule(now, plan.events)
         for told in plan.sidecars:
             if told.start > 0:
                 self.clock.at(now + told.start, self.slots.start, self.slots.by_name[told.name])
@@ -250,12 +250,12 @@
 
 def wires_for(plan: Plan) -> int:
     """Return how many relays carry a plan's links."""
-    return min(MAX_RELAYS, -(-len(side_hosts(plan)) // SIDECARS_PER_RELAY))
+    return min(MAX_RELAYS, -(-len(sidecar_hosts(plan)) // SIDECARS_PER_RELAY))
 
 
 def wires_of(plan: Plan) -> Wires:
     """Make the links between a plan's processes; they are yet to be reserved."""
-    hosts = side_hosts(plan)
+    hosts = sidecar_hosts(plan)
     hosts |= {node.host: node.host for node in plan.nodes}
     hosts |= {CLIENTS: CLIENTS, **dict.fromkeys(LIST_LINKS, DISCOVERY[0])}
     return Wires(plan.seed, hosts, plan.net, wires_for(plan))
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -20,7 +20,7 @@
 from wheatring.lab.rules import InvariantChecker
 from wheatring.lab.settings import sidecar_settings
 from wheatring.lab.wire.discovery_server import DiscoveryServer
-from wheatring.lab.world.environment import CLIENTS, DISCOVERY, side_hosts
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, sidecar_hosts
 from wheatring.lab.world.world import SIDECAR_FAULT_CODES
 
 LIST_LINKS = ("list", "list-moved")  # discovery, as links name it, before and after it has moved
@@ -57,7 +57,7 @@
         self.process: Sidecar | None = None
         self.launch: _Launch | None = None  # it is being started
         self.up = self.stopping = False
-        self.down = 0.0  # seconds from its end to its next start; 0: it has none
+        self.restart_delay = 0.0  # seconds from its end to its next start; 0: it has none
         self.timer: Timer | None = None
 
 
@@ -112,7 +112,7 @@
         self.on_failed: Callable[[SidecarSlot], object]
         self.by_name: dict[str, SidecarSlot] = {}
         self.processes: list[Sidecar] = []
-        hosts = side_hosts(plan)
+        hosts = sidecar_hosts(plan)
         copies = len(plan.sidecars)
         for number, told in enumerate(plan.sidecars):
             self._add(SidecarSlot(told.name, told.host, 0, number, copies))
@@ -212,7 +212,7 @@
         self.wires.lead({link: (DISCOVERY[0], slot.list_port)})
         return _RelayedPort(door, partial(self.wires.close, [link]))
 
-    def move(self) -> None:
+    def move_discovery(self) -> None:
         """Move discovery to another address; what was open at the old one ends."""
         for slot in self.by_name.values():
             if slot.list_server is None:
@@ -231,10 +231,10 @@
             slot.process.write(self.configuration(slot))
             slot.process.send(signal.SIGHUP)
 
-    def stall(self, slot: SidecarSlot, on: bool) -> None:
+    def set_paused(self, slot: SidecarSlot, paused: bool) -> None:
         """Pause a sidecar's process, or let it go on."""
         if slot.process is not None:
-            slot.process.send(signal.SIGSTOP if on else signal.SIGCONT)
+            slot.process.send(signal.SIGSTOP if paused else signal.SIGCONT)
 
     def _on_line(self, slot: SidecarSlot, launch: _Launch, text: str) -> None:
         if slot.process is not launch.process:
@@ -254,9 +254,9 @@
         else:
             self.checker.fault(slot.name, text)
 
-    def kill(self, slot: SidecarSlot, down: float) -> None:
-        """Kill a sidecar outright, and start it again after `down` seconds, if that isn't 0."""
-        slot.down = down
+    def kill(self, slot: SidecarSlot, restart_delay: float) -> None:
+        """Kill a sidecar outright, and start it again after `restart_delay` seconds, if that isn't 0."""
+        slot.restart_delay = restart_delay
         slot.launch = None
         if slot.process is not None:
             slot.process.send(signal.SIGKILL)
@@ -264,14 +264,14 @@
         else:
             self._schedule_start(slot)
 
-    def restart(self, slot: SidecarSlot, patience: float, down: float) -> None:
-        """Stop a sidecar gracefully, kill it after `patience` seconds, and start it `down` after its end."""
+    def restart(self, slot: SidecarSlot, stop_timeout: float, restart_delay: float) -> None:
+        """Stop it, kill it after `stop_timeout` seconds, and start it `restart_delay` after its end."""
         if not slot.up or slot.stopping or slot.process is None:
             return
-        slot.stopping, slot.down = True, down
+        slot.stopping, slot.restart_delay = True, restart_delay
         self.checker.sidecar_stopping(slot.name)
         self.on_stopping(slot)
-        slot.timer = self.clock.at(self.clock.now() + patience, self.kill, slot, down)
+        slot.timer = self.clock.at(self.clock.now() + stop_timeout, self.kill, slot, restart_delay)
         slot.process.send(signal.SIGTERM)
 
     def _ended(self, slot: SidecarSlot, launch: _Launch) -> None:
@@ -295,8 +295,8 @@
 
     def _schedule_start(self, slot: SidecarSlot) -> None:
         self._cancel_timer(slot)
-        if slot.down:
-            slot.timer = self.clock.at(self.clock.now() + slot.down, self.start, slot)
+        if slot.restart_delay:
+            slot.timer = self.clock.at(self.clock.now() + slot.restart_delay, self.start, slot)
 
     def _cancel_timer(self, slot: SidecarSlot) -> None:
         if slot.timer is not None and slot.timer.active():
--- a/wheatring/lab/rules/invariant_checker.py
+++ b/wheatring/lab/rules/invariant_checker.py
@@ -86,7 +86,7 @@
         if self.trace is not None:
             self.trace.start = at
 
-    def happens(self, what: str) -> None:
+    def record_event(self, what: str) -> None:
         """Add an event to the list of what happened in the day."""
         self.timeline.append((self.day_seconds(self.now()), what))
 
@@ -118,7 +118,7 @@
         self.stopping_since.pop(sidecar, None)
         self.drains.sidecar_up(sidecar, at)
         if at > self.start and sidecar in self.front:
-            self.happens(f"sidecar {sidecar} starts")
+            self.record_event(f"sidecar {sidecar} starts")
         if self.trace is not None:
             self.trace.line(at, "", f"sidecar_up sidecar={sidecar}")
 
@@ -128,7 +128,7 @@
         self.stopping_since[sidecar] = at
         if sidecar in self.front:
             self.front_outage.stopping(sidecar, at)
-        self.happens(f"sidecar {sidecar} is told to stop")
+        self.record_event(f"sidecar {sidecar} is told to stop")
         if self.trace is not None:
             self.trace.line(at, "", f"sidecar_stopping sidecar={sidecar}")
 
@@ -140,7 +140,7 @@
         if self.trace is not None:
             self.trace.line(at, "", f"sidecar_down sidecar={sidecar} killed={killed}")
         if sidecar in self.front or not killed:
-            self.happens(f"sidecar {sidecar} {'is killed' if killed else 'ends'}")
+            self.record_event(f"sidecar {sidecar} {'is killed' if killed else 'ends'}")
         if not killed and told is None:
             what = f"{sidecar} ended by itself, and nobody had told it to."
             self.breaches.add("answer", what, sidecar=sidecar)
@@ -188,7 +188,7 @@
         at = self.now()
         self.warm_ups.watched.pop(node, None)
         if at > self.start:
-            self.happens(f"node {node} starts")
+            self.record_event(f"node {node} starts")
             self.warm_ups.node_up(node, self.kinds[node], capacity, at)
         if self.trace is not None:
             self.trace.line(at, "", f"node_up node={node}")
@@ -199,7 +199,7 @@
         self.warm_ups.watched.pop(node, None)
         self.work.node_down(node)
         if node != self.overloaded_node:
-            self.happens(f"node {node} ends")
+            self.record_event(f"node {node} ends")
         self.overloaded_node = ""
         if self.trace is not None:
             self.trace.line(at, "", f"node_down node={node}")
@@ -214,7 +214,7 @@
     def choked(self, node: str) -> None:
         """Note that a node is choked."""
         self.degraded_nodes[node] = None
-        self.happens(f"node {node} chokes")
+        self.record_event(f"node {node} chokes")
         if self.trace is not None:
             self.trace.line(self.now(), "", f"choked node={node}")
 
@@ -263,7 +263,7 @@
             self.figures.second(self.now()).unconnected += 1
         elif what == "fell":
             self.overloaded_node = str(values["node"])
-            self.happens(f"node {self.overloaded_node} is pushed over")
+            self.record_event(f"node {self.overloaded_node} is pushed over")
         if self.trace is not None:
             pairs = " ".join([f"{name}={text(value)}" for name, value in values.items()])
             self.trace.line(self.now(), str(values.get("ident", "")), f"{what} {pairs}")
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -24,7 +24,7 @@
     CLIENTS,
     DISCOVERY,
     PORT,
-    side_hosts,
+    sidecar_hosts,
     zones,
 )
 from wheatring.operator_properties import OperatorProperties
@@ -55,11 +55,13 @@
         self.net = Network(
             world.time, plan.net, world.random("net"), lambda host: self.zones.get(host, ""), plan.epoch
         )
-        self.hosts = side_hosts(plan)
+        self.hosts = sidecar_hosts(plan)
         # A successor may come to the address of a sidecar that is gone.
         self.sidecar_by_host: dict[str, str] = {}
         self.request_format = RequestFormat(plan.classes)
-        self.way = self.create_client(self.net.process("clients", CLIENTS), CLIENTS, plan.clients.connections)
+        self.client_transport = self.create_client(
+            self.net.process("clients", CLIENTS), CLIENTS, plan.clients.connections
+        )
         self.processes: dict[str, Process] = {}  # of nodes
         self.servers: dict[str, NodeServer] = {}
         self.clients: dict[str, SidecarClient] = {}  # of nodes
@@ -96,13 +98,13 @@
 
     # Nodes
 
-    def below(self, node: NodePlan) -> Below:
+    def downstream_client(self, node: NodePlan) -> Below:
         """Return the node's calls through its own sidecar."""
         return Calls(
             node.name,
             lambda: self.clients.get(node.name),
             self.world.origins,
-            self.world.sizes(node),
+            self.world.call_size_draws(node),
             self.time,
         )
 
@@ -141,8 +143,8 @@
 
     # Sidecars
 
-    def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
-        """Start a sidecar's process; `ended` is called once, when it has ended by itself."""
+    def sidecar_up(self, name: str, config: PlatformConfig, on_exit: Callable[[], None]) -> None:
+        """Start a sidecar's process; `on_exit` is called once, when it has ended by itself."""
         process = self.net.process(name, self.hosts[name])
         self.sidecar_by_host[self.hosts[name]] = name
 
@@ -152,10 +154,10 @@
             counts["descriptors"] += len(process.descriptors)
             self.forget_sidecar(name)
             self.recorder.sidecar_down(name, False)
-            ended()
+            on_exit()
 
         process.on_stop = stopped
-        sidecar = process.run(Sidecar, process, told, NO_OPERATORS, False, process.unix)
+        sidecar = process.run(Sidecar, process, config, NO_OPERATORS, False, process.unix)
         self.sidecars[name] = (process, sidecar)
         process.run(sidecar.start)
         self.recorder.sidecar_up(name)
@@ -179,11 +181,11 @@
 
     # Faults
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Inject a fault."""
         self.apply_fault(event, True)
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """End a fault."""
         self.apply_fault(event, False)
 
@@ -205,12 +207,12 @@
         elif event.kind == "clock_step":
             self.net.step_clock(event.hosts, event.size if on else -event.size)
 
-    def vanish(self, node: NodePlan) -> None:
+    def isolate_node(self, node: NodePlan) -> None:
         """Cut a node's hosts off: nothing reaches them or leaves them."""
         for host in self.hosts_of(node):
             self.net.vanish(host)
 
-    def back(self, node: NodePlan) -> None:
+    def reconnect_node(self, node: NodePlan) -> None:
         """Connect a node's hosts again; their connections are reset."""
         for host in self.hosts_of(node):
             self.net.back(host)
@@ -219,18 +221,18 @@
         """Return the hosts of a node and of its own sidecar, if it has one."""
         return [node.host, node.side_host] if node.name in self.hosts else [node.host]
 
-    def stepped(self) -> float:
+    def clock_step(self) -> float:
         """Return the seconds by which the clocks of all hosts together have been stepped."""
         return self.net.clock_offset
 
     # What is seen of the sidecars
 
-    def whose_turn(self) -> str:
+    def active_sidecar(self) -> str:
         """Return the sidecar whose code runs now, or ""."""
         running = self.time.running
         return running.name if isinstance(running, Process) else ""
 
-    def left_over(self) -> dict[str, dict[str, int]]:
+    def leftovers(self) -> dict[str, dict[str, int]]:
         """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
         found = {name: Counter(most_sockets=most) for name, most in self.max_sockets.items()}
         later = waiting(self.time)
--- a/wheatring/lab/world/environment.py
+++ b/wheatring/lab/world/environment.py
@@ -18,7 +18,7 @@
 CLIENTS = "127.5.0.1"
 
 
-def side_hosts(plan: Plan) -> dict[str, str]:
+def sidecar_hosts(plan: Plan) -> dict[str, str]:
     """Return the host of every sidecar, by name."""
     last = len(plan.tiers) - 1
     hosts = {each.name: each.host for each in plan.sidecars}
@@ -38,13 +38,13 @@
     """Processes by name. A node's own sidecar bears the node's name; it stands on a host of its own."""
 
     @property
-    def way(self) -> Way:
+    def client_transport(self) -> Way:
         """The clients' way into the front's sidecars."""
 
     def open_discovery(self, registry: Registry) -> None:
         """Have discovery listen."""
 
-    def below(self, node: NodePlan) -> Below:
+    def downstream_client(self, node: NodePlan) -> Below:
         """Return the node's calls through its own sidecar."""
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
@@ -53,32 +53,32 @@
     def node_down(self, node: str) -> None:
         """End a node's process: connections are reset, new ones refused."""
 
-    def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
-        """Start a sidecar's process; `ended` is called once, when it has ended by itself."""
+    def sidecar_up(self, name: str, config: PlatformConfig, on_exit: Callable[[], None]) -> None:
+        """Start a sidecar's process; `on_exit` is called once, when it has ended by itself."""
 
     def sidecar_stop(self, name: str) -> None:
         """Send a sidecar SIGTERM."""
 
     def sidecar_kill(self, name: str) -> None:
-        """Send a sidecar SIGKILL: nothing of it runs any more, and `ended` is not called."""
+        """Send a sidecar SIGKILL: nothing of it runs any more, and `on_exit` is not called."""
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Inject a fault of the network or the clocks."""
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """End a fault of the network or the clocks."""
 
-    def vanish(self, node: NodePlan) -> None:
+    def isolate_node(self, node: NodePlan) -> None:
         """Have a node's machine, with its own sidecar, fall silent."""
 
-    def back(self, node: NodePlan) -> None:
+    def reconnect_node(self, node: NodePlan) -> None:
         """Have a node's machine answer again; its connections are reset."""
 
-    def stepped(self) -> float:
+    def clock_step(self) -> float:
         """Return the seconds by which the clocks of all machines together have jumped."""
 
-    def whose_turn(self) -> str:
+    def active_sidecar(self) -> str:
         """Return the sidecar whose code runs now; "" where that is not known."""
 
-    def left_over(self) -> dict[str, dict[str, int]]:
+    def leftovers(self) -> dict[str, dict[str, int]]:
         """Return, by sidecar, the counts by kind of what should be gone once all is answered."""
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -14,10 +14,10 @@
 from wheatring.lab.plan import EventPlan
 from wheatring.lab.timers import Timers
 
-OF_NODES = frozenset(
+NODE_FAULTS = frozenset(
     ("slow", "hang", "fast_errors", "neighbour", "conn_cap", "spoilt", "resets", "refuse", "late_connects")
 )
-OF_DISCOVERY: dict[str, Trouble] = {
+DISCOVERY_FAULTS: dict[str, Trouble] = {
     "discovery_down": "down",
     "discovery_silent": "silent",
     "discovery_slow": "slow",
@@ -25,13 +25,12 @@
     "discovery_lies": "lies",
     "discovery_breaks": "breaks",
 }
-OF_LIFECYCLES = frozenset(
-    ("kill", "start", "sidecar_kill", "sidecar_restart")
-)  # recorded by their own events
-OF_NET = frozenset(("partition", "latency", "clock_step"))
+# Recorded by their own events.
+LIFECYCLE_EVENTS = frozenset(("kill", "start", "sidecar_kill", "sidecar_restart"))
+NETWORK_FAULTS = frozenset(("partition", "latency", "clock_step"))
 
 
-class NodeLifecycles(Protocol):
+class NodeController(Protocol):
     """The lifecycles of nodes, as the world leads them."""
 
     def start(self, node: str) -> None:
@@ -43,80 +42,84 @@
     def stop(self, node: str) -> None:
         """End the process of a node."""
 
-    def vanish(self, node: str) -> None:
+    def isolate(self, node: str) -> None:
         """Have the machine of a node fall silent."""
 
-    def back(self, node: str) -> None:
+    def reconnect(self, node: str) -> None:
         """Have the machine of a node answer again."""
 
 
-class Faults(Protocol):
+class FaultInjector(Protocol):
     """The faults of the network and of the clocks."""
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Inject the fault of an event."""
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """End the fault of an event."""
 
 
-class Sidecars(Protocol):
+class SidecarController(Protocol):
     """The slots of sidecars."""
 
     @property
     def by_name(self) -> Mapping[str, Any]:
         """The slots by name."""
 
-    def kill(self, slot: Any, down: float) -> None:
-        """Kill a sidecar, and start it anew after `down` seconds, if that is not 0."""
+    def kill(self, slot: Any, restart_delay: float) -> None:
+        """Kill a sidecar, and start it anew after `restart_delay` seconds, if that is not 0."""
 
-    def restart(self, slot: Any, patience: float, down: float) -> None:
-        """Stop a sidecar within `patience` seconds, and start it anew `down` seconds after its end."""
+    def restart(self, slot: Any, stop_timeout: float, restart_delay: float) -> None:
+        """Stop a sidecar, kill it after `stop_timeout`, and start it anew `restart_delay` after its end.
 
-    def stall(self, slot: Any, on: bool) -> None:
+        Both are seconds.
+        """
+
+    def set_paused(self, slot: Any, paused: bool) -> None:
         """Stop its process where it is, or have it go on. In real time only."""
 
-    def move(self) -> None:
+    def move_discovery(self) -> None:
         """Discovery is at another address, and all are told. In real time only."""
 
 
-class Events:
-    """Injects the events of a plan. `happened` is called with each start and end, for the figures."""
+class EventScheduler:
+    """Injects the events of a plan. `on_event` is called with each start and end, for the figures."""
 
     def __init__(
         self,
         timers: Timers,
-        environment: Faults,
+        faults: FaultInjector,
         machines: dict[str, Machine],
         registry: Registry,
-        slots: Sidecars,
-        lifecycles: NodeLifecycles,
-        happened: Callable[[str], None],
+        slots: SidecarController,
+        lifecycles: NodeController,
+        on_event: Callable[[str], None],
     ) -> None:
         self.timers = timers
-        self.environment = environment
+        self.faults = faults
         self.machines = machines
         self.registry = registry
         self.slots = slots
         self.lifecycles = lifecycles
-        self.happened = happened
-        self.ends: dict[EventPlan, Callable[[], None]] = {}  # of discovery's troubles that are on
+        self.on_event = on_event
+        # By event: what ends a fault of discovery that is on.
+        self.end_discovery_fault: dict[EventPlan, Callable[[], None]] = {}
 
     def schedule(self, day: float, events: tuple[EventPlan, ...]) -> None:
         """Schedule the events of a day that starts at an instant."""
         for event in events:
-            self.timers.at(day + event.at, self.begin, event)
+            self.timers.at(day + event.at, self.start_event, event)
 
-    def begin(self, event: EventPlan) -> None:
+    def start_event(self, event: EventPlan) -> None:
         """Start an event."""
         own = [
             name for name in event.sidecars if name in self.machines
         ]  # of their kills there is no other record
-        if event.kind not in OF_LIFECYCLES or (event.kind == "sidecar_kill" and own):
-            self.happened(describe(event))
+        if event.kind not in LIFECYCLE_EVENTS or (event.kind == "sidecar_kill" and own):
+            self.on_event(describe(event))
         if event.kind in ("drain", "kill", "start"):
             for node in event.nodes:
-                self.life(event, node)
+                self.apply_lifecycle_event(event, node)
         elif event.kind == "sidecar_kill":
             for name in event.sidecars:
                 self.slots.kill(self.slots.by_name[name], event.length)
@@ -124,47 +127,49 @@
             for name in event.sidecars:
                 self.slots.restart(self.slots.by_name[name], event.extra, event.length)
         else:
-            self.turn(event, True)
+            self.apply_fault(event, True)
             if event.length:
-                self.timers.at(self.timers.now() + event.length, self.over, event)
+                self.timers.at(self.timers.now() + event.length, self.end_event, event)
 
-    def over(self, event: EventPlan) -> None:
+    def end_event(self, event: EventPlan) -> None:
         """End an event that lasts."""
-        self.happened(f"{event.kind} ends")
-        self.turn(event, False)
+        self.on_event(f"{event.kind} ends")
+        self.apply_fault(event, False)
 
-    def turn(self, event: EventPlan, on: bool) -> None:
+    def apply_fault(self, event: EventPlan, on: bool) -> None:
         """Inject a fault, or end it."""
-        if event.kind in OF_NODES:
+        if event.kind in NODE_FAULTS:
             for node in event.nodes:
                 (troubles.begin if on else troubles.end)(self.machines[node], event)
         elif event.kind == "vanish":
             for node in event.nodes:
-                (self.lifecycles.vanish if on else self.lifecycles.back)(node)
+                (self.lifecycles.isolate if on else self.lifecycles.reconnect)(node)
         elif event.kind == "stall":
             for name in event.sidecars:
-                self.slots.stall(self.slots.by_name[name], on)
+                self.slots.set_paused(self.slots.by_name[name], on)
         elif event.kind == "discovery_move":
-            self.slots.move()
-        elif event.kind in OF_DISCOVERY:
+            self.slots.move_discovery()
+        elif event.kind in DISCOVERY_FAULTS:
             if on:
-                self.ends[event] = self.registry.begin(OF_DISCOVERY[event.kind], event.size or 1.0)
+                self.end_discovery_fault[event] = self.registry.begin(
+                    DISCOVERY_FAULTS[event.kind], event.size or 1.0
+                )
             else:
-                self.ends.pop(event)()
-        if event.kind in OF_NET or event.kind in OF_NODES:
-            (self.environment.begin if on else self.environment.end)(event)
+                self.end_discovery_fault.pop(event)()
+        if event.kind in NETWORK_FAULTS or event.kind in NODE_FAULTS:
+            (self.faults.start_fault if on else self.faults.end_fault)(event)
 
-    def life(self, event: EventPlan, node: str) -> None:
+    def apply_lifecycle_event(self, event: EventPlan, node: str) -> None:
         """Start a node, or have it end and be followed by itself or another."""
         if event.kind == "start":
             self.lifecycles.start(node)
         elif event.kind == "kill":
-            self.end(event, node)
+            self.stop_node(event, node)
         else:
             self.lifecycles.drain(node)
-            self.timers.at(self.timers.now() + event.extra, self.end, event, node)
+            self.timers.at(self.timers.now() + event.extra, self.stop_node, event, node)
 
-    def end(self, event: EventPlan, node: str) -> None:
+    def stop_node(self, event: EventPlan, node: str) -> None:
         """End a node, and start the one that follows it."""
         self.lifecycles.stop(node)
         follower = event.replaced_by or (node if event.length else "")
--- a/wheatring/lab/world/sidecar_slots.py
+++ b/wheatring/lab/world/sidecar_slots.py
@@ -16,7 +16,7 @@
 class SidecarSlot:
     """The slot of one sidecar: its settings at each start, and its starts and ends.
 
-    `known` gives the newest endpoint list of its tier, in discovery's form.
+    `endpoint_list_of` gives the newest endpoint list of its tier, in discovery's form.
     """
 
     def __init__(
@@ -27,12 +27,12 @@
         tier: int,
         number: int,
         copies: int,
-        known: Callable[[int], dict[str, Any]],
+        endpoint_list_of: Callable[[int], dict[str, Any]],
     ) -> None:
         self.name = name
         self.host = host
         self.tier = tier
-        self.known = known
+        self.endpoint_list_of = endpoint_list_of
         self.limits = plan.limits
         self.given_settings = sidecar_settings(plan, tier, number, copies)
         self.settings = read_settings(self.given_settings)
@@ -40,7 +40,7 @@
         self.start_time = plan.sidecar_start
         self.running = False
         self.stopping = False
-        self.down = 0.0  # seconds from its end to its next start; 0: it has none
+        self.restart_delay = 0.0  # seconds from its end to its next start; 0: it has none
         self.timer: Timer | None = None  # for its next scheduled start, kill or end
 
     def config(self) -> PlatformConfig:
@@ -51,12 +51,12 @@
             discovery=DISCOVERY,
             seed=self.random.getrandbits(64),
             sockets=self.limits.sockets,
-            known=self.known(self.tier),
+            known=self.endpoint_list_of(self.tier),
             settings=self.settings,
             given=self.given_settings,
         )
 
-    def wait(self) -> float:
+    def draw_startup_seconds(self) -> float:
         """Draw the seconds from the start of its process until it listens."""
         min_seconds, max_seconds = self.start_time
         return min_seconds + (max_seconds - min_seconds) * self.random.random()
@@ -82,51 +82,51 @@
         """Have a sidecar listen from now on."""
         slot.timer = None
         slot.running, slot.stopping = True, False
-        self.environment.sidecar_up(slot.name, slot.config(), lambda: self.ended(slot))
+        self.environment.sidecar_up(slot.name, slot.config(), lambda: self.on_ended(slot))
         self.on_up(slot)
 
     def start(self, slot: SidecarSlot, after: float) -> None:
         """Start a process `after` seconds from now, instead of whatever else was scheduled for it."""
-        self.call_off(slot)
-        slot.timer = self.timers.at(self.timers.now() + after + slot.wait(), self.up, slot)
+        self.cancel_timer(slot)
+        slot.timer = self.timers.at(self.timers.now() + after + slot.draw_startup_seconds(), self.up, slot)
 
-    def kill(self, slot: SidecarSlot, down: float) -> None:
-        """Kill it outright, and start it anew after `down` seconds, if that is not 0."""
-        slot.down = down
+    def kill(self, slot: SidecarSlot, restart_delay: float) -> None:
+        """Kill it outright, and start it anew after `restart_delay` seconds, if that is not 0."""
+        slot.restart_delay = restart_delay
         if slot.running:
             self.environment.sidecar_kill(slot.name)
-            self.ended(slot)
+            self.on_ended(slot)
         else:
-            self.call_off(slot)
-            if down:
-                self.start(slot, down)
+            self.cancel_timer(slot)
+            if restart_delay:
+                self.start(slot, restart_delay)
 
-    def restart(self, slot: SidecarSlot, patience: float, down: float) -> None:
-        """SIGTERM, SIGKILL after `patience` seconds if it still runs, a new start `down` after its end."""
+    def restart(self, slot: SidecarSlot, stop_timeout: float, restart_delay: float) -> None:
+        """Send SIGTERM, SIGKILL after `stop_timeout` seconds; start anew `restart_delay` after its end."""
         if not slot.running or slot.stopping:
             return
-        slot.stopping, slot.down = True, down
+        slot.stopping, slot.restart_delay = True, restart_delay
         self.on_stopping(slot)
-        slot.timer = self.timers.at(self.timers.now() + patience, self.kill, slot, down)
+        slot.timer = self.timers.at(self.timers.now() + stop_timeout, self.kill, slot, restart_delay)
         self.environment.sidecar_stop(slot.name)
 
-    def stall(self, slot: SidecarSlot, on: bool) -> None:  # noqa: ARG002 - the form of `Sidecars`
+    def set_paused(self, slot: SidecarSlot, paused: bool) -> None:  # noqa: ARG002 - the interface
         """Refuse to stop a process where it is: there is none in virtual time."""
         raise ValueError(f"{slot.name}: no process that could be stopped")
 
-    def move(self) -> None:
+    def move_discovery(self) -> None:
         """Refuse to move discovery: there is no process to notify in virtual time."""
         raise ValueError("no process that could be told of a move")
 
-    def ended(self, slot: SidecarSlot) -> None:
+    def on_ended(self, slot: SidecarSlot) -> None:
         """Note that a sidecar has ended, and start it anew where that is scheduled."""
-        self.call_off(slot)
+        self.cancel_timer(slot)
         slot.running = slot.stopping = False
         self.on_down(slot)
-        if slot.down:
-            self.start(slot, slot.down)
+        if slot.restart_delay:
+            self.start(slot, slot.restart_delay)
 
-    def call_off(self, slot: SidecarSlot) -> None:
+    def cancel_timer(self, slot: SidecarSlot) -> None:
         """Cancel whatever is scheduled for a slot."""
         if slot.timer is not None and slot.timer.active():
             slot.timer.cancel()
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -26,18 +26,18 @@
 from wheatring.lab.rules.invariant_checker import InvariantChecker
 from wheatring.lab.rules.trace import Trace
 from wheatring.lab.world.environment import PORT, Environment
-from wheatring.lab.world.events import Events
+from wheatring.lab.world.events import EventScheduler
 from wheatring.lab.world.sidecar_slots import SidecarSlot, SidecarSlots
 
 START = 1000.0  # the clock at which the world begins
-LEAD = 2.0  # seconds from then until the day does: sidecars have started and have their lists
+LEAD_SECONDS = 2.0  # seconds from then until the day does: sidecars have started and have their lists
 # Entries of the log that tell of a fault of the sidecar's own: none of them may ever come.
 SIDECAR_FAULT_CODES = frozenset(
     ("overdue", "unexpected", "exchange-broken", "attempt-broken", "request-broken", "answer-broken",
      "decision-broken", "action-broken", "not-carried-out")
 )  # fmt: skip
-NEW = 50_000  # objects made and not freed again after which the collector looks at them
-SETTLE = 2.0  # seconds after the tail in which what was answered late has gone
+GC_THRESHOLD = 50_000  # objects made and not freed again after which the collector looks at them
+SETTLE_SECONDS = 2.0  # seconds after the tail in which what was answered late has gone
 
 
 class Tracing(NamedTuple):
@@ -48,7 +48,7 @@
 
 
 @contextmanager
-def collected_seldom() -> Iterator[None]:
+def infrequent_garbage_collection() -> Iterator[None]:
     """Have the garbage collector look at new objects only, and seldom.
 
     While a day is played little is left in cycles, and what exists before it exists until its end: the
@@ -57,7 +57,7 @@
     before, idle = gc.get_threshold(), gc.get_freeze_count() == 0
     if idle:
         gc.freeze()
-    gc.set_threshold(NEW, *before[1:])
+    gc.set_threshold(GC_THRESHOLD, *before[1:])
     try:
         yield
     finally:
@@ -83,12 +83,18 @@
         self.grain = grain
         ties = self.random("ties") if plan.net.shuffle else None
         self.time = VirtualTime(START, ties)
-        self.day = START + LEAD
+        self.day_start = START + LEAD_SECONDS
         self.origins = CorrelationTable(self.random("ids"))
         first_request_of = self.origins.first
-        self.trace = None if tracing is None else Trace(self.day, tracing.file, tracing.of, first_request_of)
-        self.checker = InvariantChecker(plan, grain, self.time.now, self.day, self.trace, first_request_of)
-        self.registry = Registry(plan.discovery, self.time, self.unix, self.random("discovery"), self.checker)
+        self.trace = (
+            None if tracing is None else Trace(self.day_start, tracing.file, tracing.of, first_request_of)
+        )
+        self.checker = InvariantChecker(
+            plan, grain, self.time.now, self.day_start, self.trace, first_request_of
+        )
+        self.registry = Registry(
+            plan.discovery, self.time, self.unix_time, self.random("discovery"), self.checker
+        )
         self.front = Front(self.time, self.random("front"), plan.front_notice)
         self.environment = make_environment(self)
         self.environment.open_discovery(self.registry)
@@ -108,24 +114,30 @@
             self.origins,
             self.checker,
             self.front,
-            self.environment.way,
+            self.environment.client_transport,
         )
-        self.events = Events(
-            self.time, self.environment, self.machines, self.registry, self.slots, self, self.checker.happens
+        self.event_scheduler = EventScheduler(
+            self.time,
+            self.environment,
+            self.machines,
+            self.registry,
+            self.slots,
+            self,
+            self.checker.record_event,
         )
 
     def random(self, name: str) -> Random:
         """Return random numbers that depend on the plan's seed and a name alone."""
         return Random(f"{self.plan.seed}:{name}")
 
-    def sizes(self, node: NodePlan) -> list[Draw]:
+    def call_size_draws(self, node: NodePlan) -> list[Draw]:
         """Return draws of the work of a node's calls, by class."""
         random = self.random(f"calls:{node.name}")
         return [sizes(random, each) for each in self.plan.classes]
 
-    def unix(self) -> float:
+    def unix_time(self) -> float:
         """Return Unix time as discovery and the machines read it."""
-        return self.plan.epoch + self.time.now() - START + self.environment.stepped()
+        return self.plan.epoch + self.time.now() - START + self.environment.clock_step()
 
     # Its parts
 
@@ -143,18 +155,18 @@
             self.origins,
             self.checker,
             effects=effects,
-            below=None if last else self.environment.below(node),
+            below=None if last else self.environment.downstream_client(node),
             calls=0.0 if last else plan.tiers[node.tier + 1].calls,
             passes_deadline=plan.passes_deadline,
             rules=plan.rules,
         )
-        machine.on_fallen = lambda: self.fell(node.name)
+        machine.on_fallen = lambda: self.on_node_overloaded(node.name)
 
     def add_slots(self) -> None:
         """Add the slots of the front's sidecars and of the nodes' own."""
         plan = self.plan
-        for number, told in enumerate(plan.sidecars):
-            self.add_slot(told.name, told.host, 0, number, len(plan.sidecars))
+        for number, sidecar in enumerate(plan.sidecars):
+            self.add_slot(sidecar.name, sidecar.host, 0, number, len(plan.sidecars))
         for tier in range(len(plan.tiers) - 1):
             callers = [node for node in plan.nodes if node.tier == tier]
             for number, node in enumerate(callers):
@@ -162,10 +174,12 @@
 
     def add_slot(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
         """Add the slot of one sidecar."""
-        self.slots.by_name[name] = SidecarSlot(self.plan, name, host, tier, number, copies, self.known)
+        self.slots.by_name[name] = SidecarSlot(
+            self.plan, name, host, tier, number, copies, self.initial_endpoint_list
+        )
         self.registry.serve(name, tier)
 
-    def known(self, tier: int) -> dict[str, Any]:
+    def initial_endpoint_list(self, tier: int) -> dict[str, Any]:
         """Return the machine list of a tier with which a sidecar starts, in discovery's form."""
         return as_json(self.registry.held(tier, self.plan.held))
 
@@ -210,27 +224,27 @@
         """End the process of a node."""
         if self.machines[name].running:
             self.machines[name].stop()
-            self.ended(name)
+            self.on_node_ended(name)
 
-    def ended(self, name: str) -> None:
+    def on_node_ended(self, name: str) -> None:
         """Note that a node's process has ended, and end its sidecar."""
         self.environment.node_down(name)
         self.registry.down(name)
         if name in self.slots.by_name:
             self.slots.kill(self.slots.by_name[name], 0.0)
 
-    def fell(self, name: str) -> None:
+    def on_node_overloaded(self, name: str) -> None:
         """Note that a cold node was pushed over: its process has ended and stays so."""
-        self.ended(name)
+        self.on_node_ended(name)
 
-    def vanish(self, name: str) -> None:
+    def isolate(self, name: str) -> None:
         """Have the machine of a node fall silent."""
-        self.environment.vanish(self.nodes[name])
+        self.environment.isolate_node(self.nodes[name])
         self.registry.vanished(name)
 
-    def back(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         """Have the machine of a node answer again."""
-        self.environment.back(self.nodes[name])
+        self.environment.reconnect_node(self.nodes[name])
         machine = self.machines[name]
         if machine.running:
             self.registry.up(name, machine.started_at)
@@ -247,27 +261,27 @@
             self.registry.add(listed, node.up)
             if node.up:
                 self.start(node.name, cold=False)
-        late = {told.name: told.start for told in plan.sidecars if told.start > 0}
+        late = {sidecar.name: sidecar.start for sidecar in plan.sidecars if sidecar.start > 0}
         for slot in self.slots.by_name.values():
             if slot.name in late:
-                self.time.at(self.day + late[slot.name], self.slots.start, slot, 0.0)
+                self.time.at(self.day_start + late[slot.name], self.slots.start, slot, 0.0)
             elif slot.name not in self.nodes or self.nodes[slot.name].up:
                 self.time.at(START, self.slots.up, slot)
-        self.events.schedule(self.day, plan.events)
-        self.time.at(self.day, self.clients.start)
-        observer: Any = self.raised
+        self.event_scheduler.schedule(self.day_start, plan.events)
+        self.time.at(self.day_start, self.clients.start)
+        observer: Any = self.on_failure_logged
         globalLogPublisher.addObserver(observer)
         try:
-            with log.redirected(self.logged), collected_seldom():
-                self.time.run(self.day + plan.length + plan.tail + SETTLE)
+            with log.redirected(self.on_log_entry), infrequent_garbage_collection():
+                self.time.run(self.day_start + plan.length + plan.tail + SETTLE_SECONDS)
         finally:
             globalLogPublisher.removeObserver(observer)
         wall = process_time.perf_counter() - began
-        outcome = self.checker.finish(wall, self.environment.left_over())
+        outcome = self.checker.finish(wall, self.environment.leftovers())
         outcome.simulated_s = self.time.now() - START
         return outcome
 
-    def raised(self, event: Mapping[str, Any]) -> None:
+    def on_failure_logged(self, event: Mapping[str, Any]) -> None:
         """Take in an exception that a callback has raised, from Twisted's log.
 
         A sidecar's is a breach. One of the lab's own ends the day, or what the models no longer do would be
@@ -276,24 +290,24 @@
         failure = event.get("log_failure") or event.get("failure")
         if failure is None:
             return
-        if self.environment.whose_turn() in self.slots.by_name:
+        if self.environment.active_sidecar() in self.slots.by_name:
             log.log_twisted_failure(event)
         else:
-            self.time.at(self.time.now(), self.break_off, failure.value)
+            self.time.at(self.time.now(), self.abort, failure.value)
 
-    def break_off(self, why: BaseException) -> None:
+    def abort(self, why: BaseException) -> None:
         """End the day by an exception."""
         raise why
 
-    def logged(self, event: str, values: Mapping[str, object]) -> None:
+    def on_log_entry(self, event: str, values: Mapping[str, object]) -> None:
         """Take in a line that a sidecar logs."""
         if event in SIDECAR_FAULT_CODES:
-            self.checker.fault(self.environment.whose_turn(), log.format_entry(event, values))
+            self.checker.fault(self.environment.active_sidecar(), log.format_entry(event, values))
         elif event == "endpoint-connection" and values.get("code") in ("connect-failed", "not-up-in-time"):
-            self.checker.note("unconnected", sidecar=self.environment.whose_turn())
+            self.checker.note("unconnected", sidecar=self.environment.active_sidecar())
         elif self.trace is not None:
             self.trace.line(
                 self.time.now(),
                 "",
-                f"log sidecar={self.environment.whose_turn()} {log.format_entry(event, values)}",
+                f"log sidecar={self.environment.active_sidecar()} {log.format_entry(event, values)}",
             )
