--- a/tests/lab/direct/direct_world.py
+++ b/tests/lab/direct/direct_world.py
@@ -11,7 +11,7 @@
 from wheatring.core.exchange import Attempt
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
-from wheatring.lab.direct.sidecar import DirectSidecar
+from wheatring.lab.direct.sidecar import DirectSidecar, SidecarConfig, SidecarNetwork
 from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
 from wheatring.lab.models.discovery import Answer
 from wheatring.lab.models.visit import Verdict, Visit
@@ -148,9 +148,14 @@
     def start(self) -> DirectSidecar:
         known = {"generation": 1, "instances": [self.listed()]}
         sidecar = DirectSidecar(
-            "s", "h", self.settings, 7, known, time=self.time, unix=lambda: 0.0, links=self.links,
-            nodes=self.nodes, registry=self.registry, discovery=("d", 1), recorder=self.book, client=self.way,
-        )  # fmt: skip
+            "s",
+            "h",
+            SidecarConfig(self.settings, 7, known),
+            SidecarNetwork(self.links, self.nodes, self.registry, ("d", 1), self.way),
+            time=self.time,
+            unix=lambda: 0.0,
+            recorder=self.book,
+        )
         ended = sidecar.exchange.on_attempt_ended
 
         def noted(claim: Attempt) -> None:
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -8,7 +8,7 @@
 from wheatring.config.platform_file import PlatformConfig
 from wheatring.lab.direct.links import DirectLinks
 from wheatring.lab.direct.node import DirectNode
-from wheatring.lab.direct.sidecar import DirectSidecar
+from wheatring.lab.direct.sidecar import DirectSidecar, SidecarConfig, SidecarNetwork
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
 from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
@@ -88,18 +88,11 @@
         sidecar = self.sidecars[name] = DirectSidecar(
             name,
             host,
-            config.settings,
-            config.seed,
-            config.known,
+            SidecarConfig(config.settings, config.seed, config.known, config.sockets),
+            SidecarNetwork(self.links, self.listening, self.registry, DISCOVERY, self.client_transport),
             time=self.time,
             unix=lambda: self.unix(host),
-            links=self.links,
-            nodes=self.listening,
-            registry=self.registry,
-            discovery=DISCOVERY,
             recorder=self.world.checker,
-            client=self.client_transport,
-            sockets=config.sockets,
             on_end=on_end,
         )
         sidecar.start()
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -5,7 +5,7 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 from math import inf
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from wheatring.balancer.balancer import Balancer
 from wheatring.balancer.interface import Settings
@@ -27,17 +27,59 @@
     from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
 
 
+class SidecarConfig(NamedTuple):
+    """What one process of a sidecar is started with.
+
+    Attributes
+    ----------
+    settings
+        Its settings, as read.
+    seed
+        The seed of its random numbers.
+    known
+        The last known endpoint list, in the platform's form.
+    sockets
+        Descriptors that the process may have open.
+    """
+
+    settings: Settings
+    seed: int
+    known: object
+    sockets: int = 1024
+
+    @property
+    def free_sockets(self) -> int:
+        """Descriptors for connections."""
+        return self.sockets - RESERVED_DESCRIPTORS
+
+    @property
+    def max_node_connections(self) -> int:
+        """Connections to nodes that may be open at once."""
+        return int(self.free_sockets * NODE_CONNECTION_SHARE)
+
+    @property
+    def max_callers(self) -> int:
+        """Callers that are served at once; more wait in the backlog."""
+        return self.free_sockets - self.max_node_connections
+
+
+class SidecarNetwork(NamedTuple):
+    """What a sidecar reaches, and who reaches it."""
+
+    links: Links
+    nodes: Mapping[str, DirectNode]  # by address
+    registry: Registry
+    discovery: tuple[str, int]  # host and port
+    client: DirectSidecarClient  # the callers
+
+
 class DirectSidecar:
     """One process of a sidecar, from its start to its end; a restart is another one.
 
     Parameters
     ----------
-    known
-        The last known list, in the platform's form.
     unix
         Gives its host's Unix time in seconds.
-    sockets
-        Descriptors that the process may have open.
     on_end
         Called with whether it was killed, once the process has ended.
     """
@@ -46,53 +88,69 @@
         self,
         name: str,
         host: str,
-        settings: Settings,
-        seed: int,
-        known: object,
+        config: SidecarConfig,
+        network: SidecarNetwork,
         *,
         time: PlayedTime,
         unix: Callable[[], float],
-        links: Links,
-        nodes: Mapping[str, DirectNode],
-        registry: Registry,
-        discovery: tuple[str, int],
         recorder: EventRecorder,
-        client: DirectSidecarClient,
-        sockets: int = 1024,
         on_end: Callable[[bool], None] = lambda _killed: None,
     ) -> None:
+        settings = config.settings
         self.name = name
         self.host = host
-        self.known = known
+        self.known = config.known
         self.recorder = recorder
-        self.client = client
+        self.client = network.client
         self.on_end = on_end
         self.clock = DirectClock(time, unix)
         self.exchange = Exchange(self.clock, settings.contract.answer_grace)
-        self.driver = Driver(Balancer(settings, seed), self.exchange, self.clock)
-        free_sockets = sockets - RESERVED_DESCRIPTORS
-        max_connections = int(free_sockets * NODE_CONNECTION_SHARE)
-        limits = settings.limits
-        self.pool = DirectConnectionPool(
-            name, host, nodes, self.clock, self.exchange, links, recorder, limits.connect_timeout,
-            limits.idle_timeout, max_connections,
-        )  # fmt: skip
-        request_schedule, freshness = list_schedules(settings, seed, self.clock.now())
-        self.endpoint_list = DirectEndpointList(
-            self.clock, name, host, discovery, registry, links, self.pool.addresses, self.driver.feed,
-            freshness, request_schedule, not settings.must_subscribe,
-        )  # fmt: skip
+        self.driver = Driver(Balancer(settings, config.seed), self.exchange, self.clock)
+        self.pool = self._create_pool(config, network)
+        self.endpoint_list = self._create_endpoint_list(config, network)
         self.driver.endpoint_list = self.endpoint_list
         self.classes = settings.classes
         self.copies = settings.balancer_count
         self.last_arrival_at = -inf  # the last request
-        self.max_in_flight = free_sockets - max_connections  # callers at once; more wait in the backlog
+        self.max_in_flight = config.max_callers
         # Accepted and not answered, in the order of arrival.
         self.in_flight: dict[DirectRequest, None] = {}
         self.backlog: deque[DirectRequest] = deque()
         self.is_open = False  # it takes requests
         self.is_stopping = False
 
+    def _create_pool(self, config: SidecarConfig, network: SidecarNetwork) -> DirectConnectionPool:
+        limits = config.settings.limits
+        return DirectConnectionPool(
+            self.name,
+            self.host,
+            network.nodes,
+            self.clock,
+            self.exchange,
+            network.links,
+            self.recorder,
+            limits.connect_timeout,
+            limits.idle_timeout,
+            config.max_node_connections,
+        )
+
+    def _create_endpoint_list(self, config: SidecarConfig, network: SidecarNetwork) -> DirectEndpointList:
+        settings = config.settings
+        request_schedule, freshness = list_schedules(settings, config.seed, self.clock.now())
+        return DirectEndpointList(
+            self.clock,
+            self.name,
+            self.host,
+            network.discovery,
+            network.registry,
+            network.links,
+            self.pool.addresses,
+            self.driver.feed,
+            freshness,
+            request_schedule,
+            not settings.must_subscribe,
+        )
+
     def start(self) -> None:
         """Start to listen."""
         self.endpoint_list.load_cached(self.known)
--- a/wheatring/lab/settings.py
+++ b/wheatring/lab/settings.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from wheatring.lab.plan import ClassPlan, Plan
+from wheatring.lab.plan import ClassPlan, GoalPlan, LimitsPlan, Plan, RulesPlan, TierPlan
 
 EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 
@@ -27,6 +27,38 @@
     }
 
 
+def _contract(rules: RulesPlan) -> dict[str, Any]:
+    return {
+        "cold": _microseconds(rules.cold),
+        "cold_from": rules.cold_from,
+        "fall_multiple": rules.fall_multiple,
+        "overload_for": _microseconds(rules.fall_for),
+        "grace_to_answer": _microseconds(rules.grace),
+        "must_ask_in": _microseconds(rules.ask_within),
+        "stop_sending_within": _microseconds(rules.drain_grace),
+    }
+
+
+def _goal(goal: GoalPlan) -> dict[str, float]:
+    return {"whole": goal.whole, "worst_class": goal.worst_class, "worst_window": goal.worst_window}
+
+
+def _limits(limits: LimitsPlan, sends_to: TierPlan) -> dict[str, Any]:
+    return {
+        "dial_timeout": _microseconds(sends_to.connect_timeout),
+        "keepalive": _microseconds(sends_to.conn_idle),
+        "max_attempts": limits.max_attempts,
+        "max_retry_after": _microseconds(limits.max_retry_after),
+        "retry_after": limits.retry_after,
+        "may_cancel": limits.cancel,
+        "may_probe": False,
+        "second_copies": limits.second_copies,
+        "open_cap": limits.max_open,
+        "peers": False,
+        "streams_per_conn": 1,
+    }
+
+
 def sidecar_settings(plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
     """Return the settings of one sidecar as JSON values. Times are whole microseconds.
 
@@ -42,40 +74,15 @@
         Count of these replicas. The settings state the share of them that the plan lets a sidecar count.
     """
     counted_replicas = max(1, round(copies * plan.counted))
-    sends_to, rules, limits = plan.tiers[tier], plan.rules, plan.limits
     zones = sorted({node.zone for node in plan.nodes if node.tier == tier})
     return {
         "classes": [_class(each) for each in plan.classes],
         "callers": {"marks_retry": plan.clients.marks_retry if tier == 0 else False},
-        "contract": {
-            "cold": _microseconds(rules.cold),
-            "cold_from": rules.cold_from,
-            "fall_multiple": rules.fall_multiple,
-            "overload_for": _microseconds(rules.fall_for),
-            "grace_to_answer": _microseconds(rules.grace),
-            "must_ask_in": _microseconds(rules.ask_within),
-            "stop_sending_within": _microseconds(rules.drain_grace),
-        },
+        "contract": _contract(plan.rules),
         "discovery": "on_request" if plan.discovery.must_ask else "pushed",
         "extra": {"passes_deadline": plan.passes_deadline},
-        "goal": {
-            "whole": plan.goal.whole,
-            "worst_class": plan.goal.worst_class,
-            "worst_window": plan.goal.worst_window,
-        },
-        "limits": {
-            "dial_timeout": _microseconds(sends_to.connect_timeout),
-            "keepalive": _microseconds(sends_to.conn_idle),
-            "max_attempts": limits.max_attempts,
-            "max_retry_after": _microseconds(limits.max_retry_after),
-            "retry_after": limits.retry_after,
-            "may_cancel": limits.cancel,
-            "may_probe": False,
-            "second_copies": limits.second_copies,
-            "open_cap": limits.max_open,
-            "peers": False,
-            "streams_per_conn": 1,
-        },
+        "goal": _goal(plan.goal),
+        "limits": _limits(plan.limits, plan.tiers[tier]),
         "prices": {"waste": plan.goal.waste, "late_fail": plan.goal.late_fail},
         "peers_total": counted_replicas,
         "slot_no": number % counted_replicas,
