--- a/wheatring/lab/study/report/day.py
+++ b/wheatring/lab/study/report/day.py
@@ -9,7 +9,7 @@
 
 from wheatring.lab.outcome import Outcome, SecondFigures
 from wheatring.lab.study.report import page, plots
-from wheatring.lab.study.report.plots import AMBER, BLUE, GREY, RED, Marks
+from wheatring.lab.study.report.plots import AMBER, BLUE, GREY, RED, Marks, Series
 
 POINTS = 300  # of a plot over time: longer days are drawn in steps of several seconds
 
@@ -136,17 +136,25 @@
         yield self._attempts_each()
         yield self._refusals()
 
-    def _lines(
-        self, *series: tuple[str, str, list[float]], label: str, **more: bool | tuple[float, str]
+    def _line_figure(
+        self,
+        title: str,
+        caption: str,
+        label: str,
+        *series: Series,
+        log: bool = False,
+        level: tuple[float, str] | None = None,
     ) -> str:
-        return plots.lines(series, self.steps.step, self.length, self.marks, label, **more)  # type: ignore[arg-type]
+        """Return a figure of values over time, in the unit `label`; `level` is a further line across."""
+        plot = plots.lines(series, self.steps.step, self.length, self.marks, label, log=log, level=level)
+        return page.figure(title, plot, caption)
 
     def _endings(self) -> str:
         steps = self.steps
         by = "second" if steps.step == 1 else f"{steps.step} seconds"
         note = " Numbers above point to the list of what happened." if self.marks.instants else ""
         shares = [
-            (name, colour, steps.share(count, lambda second: second.asked))
+            Series(name, colour, steps.share(count, lambda second: second.asked))
             for name, colour, count in (
                 ("in time", BLUE, lambda second: second.in_time),
                 ("late", AMBER, lambda second: second.late),
@@ -161,59 +169,52 @@
 
     def _latency(self) -> str:
         steps = self.steps
-        return page.figure(
+        worst = "" if steps.step == 1 else ", the worst second of each step"
+        return self._line_figure(
             "Latency over time",
-            self._lines(
-                ("median", BLUE, steps.worst(lambda second: second.p50_ms)),
-                ("99%", RED, steps.worst(lambda second: second.p99_ms)),
-                label="ms", log=True,
-            ),
-            f"Of the first tries that were served, by the second in which they were asked"
-            f"{'' if steps.step == 1 else ', the worst second of each step'}.",
-        )  # fmt: skip
+            f"Of the first tries that were served, by the second in which they were asked{worst}.",
+            "ms",
+            Series("median", BLUE, steps.worst(lambda second: second.p50_ms)),
+            Series("99%", RED, steps.worst(lambda second: second.p99_ms)),
+            log=True,
+        )
 
     def _attempts(self) -> str:
         steps = self.steps
-        return page.figure(
+        return self._line_figure(
             "Tries and attempts",
-            self._lines(
-                ("asked (first tries)", GREY, steps.rate(lambda second: second.asked)),
-                ("tries (with clients' retries)", BLUE, steps.rate(lambda second: second.tries)),
-                ("attempts at all tiers", AMBER, steps.rate(lambda second: second.attempts)),
-                label="a second",
-            ),
             "What clients asked for, what they sent, and what reached the nodes,"
             " by the second in which it came.",
-        )  # fmt: skip
+            "a second",
+            Series("asked (first tries)", GREY, steps.rate(lambda second: second.asked)),
+            Series("tries (with clients' retries)", BLUE, steps.rate(lambda second: second.tries)),
+            Series("attempts at all tiers", AMBER, steps.rate(lambda second: second.attempts)),
+        )
 
     def _attempts_each(self) -> str:
         steps = self.steps
         asked = sum(second.asked for second in self.seconds)
         attempts = sum(second.attempts for second in self.seconds)
-        return page.figure(
+        return self._line_figure(
             "Attempts a request",
-            self._lines(
-                ("attempts a first try", BLUE, steps.share(lambda s: s.attempts, lambda s: s.asked)),
-                ("tries a first try", AMBER, steps.share(lambda s: s.tries, lambda s: s.asked)),
-                label="for each first try",
-                level=(attempts / asked if asked else 0.0, "attempts, mean of the day"),
-            ),
             "Attempts at all tiers, the calls of nodes among them, over the first tries of the same second.",
-        )  # fmt: skip
+            "for each first try",
+            Series("attempts a first try", BLUE, steps.share(lambda s: s.attempts, lambda s: s.asked)),
+            Series("tries a first try", AMBER, steps.share(lambda s: s.tries, lambda s: s.asked)),
+            level=(attempts / asked if asked else 0.0, "attempts, mean of the day"),
+        )
 
     def _refusals(self) -> str:
         steps = self.steps
-        return page.figure(
+        return self._line_figure(
             "Refusals",
-            self._lines(
-                ("refused by sidecars", GREY, steps.rate(lambda second: second.refused)),
-                ("turned away by nodes", AMBER, steps.rate(lambda second: second.turned_away)),
-                ("connects that failed", RED, steps.rate(lambda second: second.unconnected)),
-                label="a second",
-            ),
             "First tries that ended refused, attempts that nodes turned away,"
             " and connects that never came up.",
-        )  # fmt: skip
+            "a second",
+            Series("refused by sidecars", GREY, steps.rate(lambda second: second.refused)),
+            Series("turned away by nodes", AMBER, steps.rate(lambda second: second.turned_away)),
+            Series("connects that failed", RED, steps.rate(lambda second: second.unconnected)),
+        )
 
 
 def _latency(outcome: Outcome) -> Iterable[str]:
--- a/wheatring/lab/study/report/plots.py
+++ b/wheatring/lab/study/report/plots.py
@@ -9,7 +9,7 @@
 from io import StringIO
 from math import ceil
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import matplotlib
 from matplotlib.axes import Axes
@@ -102,6 +102,14 @@
             )  # fmt: skip
 
 
+class Series(NamedTuple):
+    """One line or area of a plot over time."""
+
+    name: str
+    colour: str
+    values: Sequence[float]  # one for each step
+
+
 def over_time(axes: Axes, length: float, marks: Marks, label: str) -> None:
     """Set the axes of a plot over time."""
     axes.set_xlim(0, length)
@@ -117,10 +125,8 @@
     axes.legend(loc="lower left", bbox_to_anchor=(0, 1.06), ncols=columns, borderaxespad=0, fontsize=9)
 
 
-def stacked(
-    parts: Sequence[tuple[str, str, Sequence[float]]], step: float, length: float, marks: Marks
-) -> str:
-    """Parts of 1 by second, one on the other. `parts`: name, colour, share in each step."""
+def stacked(parts: Sequence[Series], step: float, length: float, marks: Marks) -> str:
+    """Parts of 1 by second, one on the other. The values are the shares."""
     with drawing(3.4) as made:
         count = len(parts[0][2])
         edges = [number * step for number in range(count)] + [length]
@@ -138,7 +144,7 @@
 
 
 def lines(
-    series: Sequence[tuple[str, str, Sequence[float]]], step: float, length: float, marks: Marks, label: str,
+    series: Sequence[Series], step: float, length: float, marks: Marks, label: str,
     *, log: bool = False, level: tuple[float, str] | None = None,
 ) -> str:  # fmt: skip
     """Values by second. `level` is a further line across, and what it is."""
