--- a/tests/lab/live/test_links.py
+++ b/tests/lab/live/test_links.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from wheatring.lab.live.links.state import PLAIN, Lane, State, datagram
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
+from wheatring.lab.live.links.link_state import NO_FAULT, DelayLine, LinkState, datagram
 from wheatring.lab.plan import EventPlan, NetPlan
 
 FAR = 30.0
@@ -26,15 +26,15 @@
     """One link, `a>b`, and who listens at its far end."""
 
     def __init__(self) -> None:
-        self.wires = Wires(1, HOSTS, NetPlan(cross=0.05, jitter=0.0), 1)
+        self.links = LinkController(1, HOSTS, NetPlan(cross=0.05, jitter=0.0), 1)
         self.listener = socket.create_server((HOSTS["b"], 0), backlog=64)
         self.listener.settimeout(FAR)
-        self.wires.reserve(["a>b"])
-        self.wires.lead({"a>b": self.listener.getsockname()})
+        self.links.reserve(["a>b"])
+        self.links.set_targets({"a>b": self.listener.getsockname()})
         self.settle()
 
     def dial(self, patience: float = FAR) -> socket.socket:
-        return socket.create_connection(self.wires.address("a>b"), patience)
+        return socket.create_connection(self.links.address("a>b"), patience)
 
     def both(self) -> tuple[socket.socket, socket.socket]:
         """A connection's two ends."""
@@ -47,10 +47,10 @@
 
     def settle(self) -> None:
         """What was told to the relay is done: it answers in order."""
-        self.wires.stats()
+        self.links.stats()
 
     def end(self) -> None:
-        self.wires.end()
+        self.links.end()
         self.listener.close()
 
 
@@ -98,12 +98,12 @@
 
 def test_what_is_cut_off_arrives_once_that_is_over_and_in_order(pair: Pair) -> None:
     near, far = pair.both()
-    pair.wires.start_fault(CUT)
+    pair.links.start_fault(CUT)
     pair.settle()
     near.sendall(b"one")
     far.sendall(b"two")
     assert nothing(near) and nothing(far)
-    pair.wires.end_fault(CUT)
+    pair.links.end_fault(CUT)
     near.sendall(b"three")
     near.shutdown(socket.SHUT_WR)
     assert whole(far) == b"onethree"
@@ -112,7 +112,7 @@
 
 def test_one_way_it_hears_and_is_not_heard(pair: Pair) -> None:
     near, far = pair.both()
-    pair.wires.start_fault(ONE_WAY)
+    pair.links.start_fault(ONE_WAY)
     pair.settle()
     far.sendall(b"heard")
     assert near.recv(5) == b"heard"
@@ -124,11 +124,11 @@
     pair: Pair,
 ) -> None:
     near, _ = pair.both()
-    pair.wires.start_fault(SILENT)
+    pair.links.start_fault(SILENT)
     pair.settle()
     with pytest.raises(TimeoutError):
         pair.dial(NOT_YET)
-    pair.wires.end_fault(SILENT, reset=True)
+    pair.links.end_fault(SILENT, reset=True)
     with pytest.raises(ConnectionResetError):
         near.recv(1)
     pair.both()
@@ -136,40 +136,40 @@
 
 def test_two_troubles_at_once_both_count_until_each_is_over(pair: Pair) -> None:
     near, far = pair.both()
-    pair.wires.start_fault(CUT)
-    pair.wires.start_fault(SILENT)
-    pair.wires.end_fault(CUT)
+    pair.links.start_fault(CUT)
+    pair.links.start_fault(SILENT)
+    pair.links.end_fault(CUT)
     pair.settle()
     near.sendall(b"!")
     assert nothing(far)
-    pair.wires.end_fault(SILENT)
+    pair.links.end_fault(SILENT)
     assert far.recv(1) == b"!"
 
 
 def test_a_closed_link_refuses_and_one_that_leads_nowhere_resets(pair: Pair) -> None:
-    pair.wires.close(["a>b"])
+    pair.links.close(["a>b"])
     pair.settle()
     with pytest.raises(ConnectionRefusedError):
         pair.dial()
     pair.listener.close()
-    pair.wires.lead({"a>b": (HOSTS["b"], pair.wires.ports["a>b"])})
+    pair.links.set_targets({"a>b": (HOSTS["b"], pair.links.ports["a>b"])})
     pair.settle()
     with suppress(ConnectionResetError), pair.dial() as near:  # the reset may be there before the connect
         assert near.recv(1) == b""
 
 
 def test_a_port_is_kept_over_closing_and_opening(pair: Pair) -> None:
-    before = pair.wires.address("a>b")
-    pair.wires.close(["a>b"])
-    pair.wires.lead({"a>b": pair.listener.getsockname()})
+    before = pair.links.address("a>b")
+    pair.links.close(["a>b"])
+    pair.links.set_targets({"a>b": pair.listener.getsockname()})
     pair.settle()
-    assert pair.wires.address("a>b") == before
+    assert pair.links.address("a>b") == before
     pair.both()
 
 
 def test_a_lane_keeps_order_whatever_the_jitter_and_never_hurries() -> None:
-    state = State(delay=0.1, jitter=0.5, rate=1000.0)
-    lane, sent, got = Lane(Random(3)), [], b""
+    state = LinkState(delay=0.1, jitter=0.5, rate=1000.0)
+    lane, sent, got = DelayLine(Random(3)), [], b""
     for number in range(200):
         lane.put(number * 0.01, bytes([number]), state)
         sent.append(number)
@@ -179,45 +179,45 @@
         at = due
         got += lane.take(at)
         arrived = len(got)
-    assert list(got) == sent and lane.held == 0
+    assert list(got) == sent and lane.buffered_bytes == 0
 
 
 @pytest.mark.parametrize(
     ("state", "counts"),
     [
-        (PLAIN, {1}),
-        (State(drop=1.0), {0}),
-        (State(there=False), {0}),
-        (State(duplicate=1.0), {2}),
-        (State(drop=0.5, duplicate=0.5), {0, 1, 2}),
+        (NO_FAULT, {1}),
+        (LinkState(drop=1.0), {0}),
+        (LinkState(forward=False), {0}),
+        (LinkState(duplicate=1.0), {2}),
+        (LinkState(drop=0.5, duplicate=0.5), {0, 1, 2}),
     ],
 )
-def test_a_datagram_arrives_as_often_as_the_link_says(state: State, counts: set[int]) -> None:
+def test_a_datagram_arrives_as_often_as_the_link_says(state: LinkState, counts: set[int]) -> None:
     random = Random(5)
     assert {len(datagram(1.0, state, True, random)) for _ in range(200)} == counts
 
 
 def test_datagrams_go_by_the_link_of_their_own_way_and_can_be_cut_one_way() -> None:
-    wires = Wires(1, HOSTS, NetPlan(), 1)
+    links = LinkController(1, HOSTS, NetPlan(), 1)
     ends = {}
     try:
         for name, host in HOSTS.items():
             ends[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             ends[name].bind((host, 0))
             ends[name].settimeout(FAR)
-        wires.reserve_datagrams(["a", "b"])
-        wires.lead({name: end.getsockname() for name, end in ends.items()})
-        wires.stats()  # answered in order: they lead there now
-        ends["a"].sendto(b"ping", wires.address("b"))
+        links.reserve_datagrams(["a", "b"])
+        links.set_targets({name: end.getsockname() for name, end in ends.items()})
+        links.stats()  # answered in order: they lead there now
+        ends["a"].sendto(b"ping", links.address("b"))
         data, back = ends["b"].recvfrom(9)
-        assert data == b"ping" and back == wires.address("a")
-        wires.datagrams(["a"], ["b"], State(there=False))
-        wires.stats()
-        ends["a"].sendto(b"lost", wires.address("b"))
-        ends["b"].sendto(b"pong", wires.address("a"))
+        assert data == b"ping" and back == links.address("a")
+        links.datagrams(["a"], ["b"], LinkState(forward=False))
+        links.stats()
+        ends["a"].sendto(b"lost", links.address("b"))
+        ends["b"].sendto(b"pong", links.address("a"))
         assert ends["a"].recvfrom(9)[0] == b"pong"
         assert nothing(ends["b"])
     finally:
-        wires.end()
+        links.end()
         for end in ends.values():
             end.close()
--- a/tests/lab/live/test_singleton_roles.py
+++ b/tests/lab/live/test_singleton_roles.py
@@ -17,7 +17,7 @@
 
 from wheatring.__main__ import main
 from wheatring.lab.live.fleet_rig import FleetRig, fencing_violations
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 
 TERM = 1.0
 
@@ -117,7 +117,9 @@
 
 def test_words_that_come_three_terms_late_and_twice_break_nothing(band: FleetRig) -> None:
     names = list(band.members)
-    band.set_links(names, names, State(delay=0.001, jitter=3 * TERM, duplicate=0.5, drop=0.3, reorder=0.5))
+    band.set_links(
+        names, names, LinkState(delay=0.001, jitter=3 * TERM, duplicate=0.5, drop=0.3, reorder=0.5)
+    )
     time.sleep(6 * TERM)
     band.heal()
     band.next_holder(since=now() + 3 * TERM)
--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from wheatring.lab.leases.cluster import PARTITIONED, Cluster
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
 from wheatring.members.facts import FactStore
@@ -113,7 +113,7 @@
     cluster = fleet(12, seed=3)
     cluster.run(10)
     others = [name for name in cluster.nodes if name != "n5"]
-    lossy = State(delay=0.001, drop=0.3)
+    lossy = LinkState(delay=0.001, drop=0.3)
     cluster.set_link(["n5"], others, lossy)
     cluster.set_link(others, ["n5"], lossy)
     cluster.run(130)
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -8,7 +8,7 @@
 from wheatring.lab.agreement.plan_days import PLANTED_FAULTS, find_fault, play
 from wheatring.lab.agreement.plan_fleet import PlanFleet, ScriptedCheck, body_of
 from wheatring.lab.leases.cluster import PARTITIONED
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.payloads import digest
 from wheatring.lease.register_messages import Entry, NewestQuery
@@ -200,7 +200,7 @@
 def test_a_third_of_all_words_lost() -> None:
     made = world(6)
     names = list(made.cluster.nodes)
-    made.cluster.set_link(names, names, State(delay=0.001, jitter=0.001, drop=0.3))
+    made.cluster.set_link(names, names, LinkState(delay=0.001, jitter=0.001, drop=0.3))
     for number in (1, 2):
         assert settles(made, "n5", body_of(f"plan {number}", 20_000)) == number
     made.cluster.heal()
--- a/tests/schedule/test_fleet_clock.py
+++ b/tests/schedule/test_fleet_clock.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from wheatring.lab.leases.cluster import PARTITIONED, START_UNIX_MS, Cluster, Node
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.timing import LeaseTiming
@@ -76,7 +76,7 @@
 class World:
     """Sidecars whose time and weights are watched; the first three vote."""
 
-    def __init__(self, size: int, link: State | None = None, opens: float = OPENS) -> None:
+    def __init__(self, size: int, link: LinkState | None = None, opens: float = OPENS) -> None:
         self.cluster = Cluster(
             1,
             size,
@@ -163,8 +163,8 @@
 
 
 def test_delays_that_differ_by_way_and_losses_stay_within_what_is_told() -> None:
-    world = World(6, link=State(delay=0.002, jitter=0.02, drop=0.3))
-    slow = State(delay=0.18, jitter=0.02, drop=0.3)
+    world = World(6, link=LinkState(delay=0.002, jitter=0.02, drop=0.3))
+    slow = LinkState(delay=0.18, jitter=0.02, drop=0.3)
     world.cluster.set_link(["n4"], ["n0", "n1", "n2"], slow)
     world.cluster.set_link(["n0", "n1", "n2"], ["n5"], slow)
     readings = []
@@ -180,7 +180,7 @@
 def test_links_that_become_slow_for_a_while_leave_a_quick_answer_standing() -> None:
     world = World(5)
     world.cluster.run(300)
-    world.cluster.default_link = State(delay=1.0)
+    world.cluster.default_link = LinkState(delay=1.0)
     world.holds([350])
 
 
@@ -238,9 +238,9 @@
 @pytest.mark.parametrize(("size", "delay", "aim"), [(200, 0.0005, 0.05), (60, 0.1, 0.15)])
 def test_all_enter_and_leave_within_the_aim(size: int, delay: float, aim: float) -> None:
     """Every other one is delayed on the way there only, the others on the way back: the worst there is."""
-    world = World(size, State(delay=0.0005, jitter=0.0005), opens=14.0)
+    world = World(size, LinkState(delay=0.0005, jitter=0.0005), opens=14.0)
     voters = ["n0", "n1", "n2"]
-    slow = State(delay=delay, jitter=delay / 10)
+    slow = LinkState(delay=delay, jitter=delay / 10)
     for number, node in enumerate(world.cluster.nodes.values()):
         node.clock_drift = (number % 5 - 2) * 0.0001
         node.wall_offset_ms = (number * 7919) % 20_001 - 10_000 if number > 2 else number * 8 - 8
--- a/tests/skew/test_checker.py
+++ b/tests/skew/test_checker.py
@@ -11,7 +11,7 @@
 
 from wheatring.lab.agreement.plan_driver import PlanDriver, ToyEvaluator, draw_plan
 from wheatring.lab.agreement.skew_days import Day, OpenGate, OutlivesItsView, SilentIsYes
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.plan.compatibility import CheckStage
 from wheatring.plan.document import Plan
 from wheatring.skew.capabilities import Capabilities, local_capabilities
@@ -248,7 +248,7 @@
 
 def test_loss_of_a_third_delays_and_no_more() -> None:
     fleet = Fleet()
-    fleet.cluster.default_link = State(delay=0.0005, jitter=0.0005, drop=0.3)
+    fleet.cluster.default_link = LinkState(delay=0.0005, jitter=0.0005, drop=0.3)
     assert fleet.pushed(3, 15.0) == "settled" and not fleet.breaches
 
 
--- a/tests/system/membership/fleet.py
+++ b/tests/system/membership/fleet.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from wheatring.lab.leases.cluster import Cluster, Node
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.component import FleetComponent, Instant
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
@@ -134,7 +134,7 @@
     def lose(self, names: list[str], share: float) -> None:
         """So much of what goes between these and all others is lost, both ways."""
         net = self.cluster.default_link
-        self.cluster.isolate(names, State(delay=net.delay, jitter=net.jitter, drop=share))
+        self.cluster.isolate(names, LinkState(delay=net.delay, jitter=net.jitter, drop=share))
 
     # Time
 
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -174,12 +174,12 @@
             outcome: Outcome = play_virtual(plan, "exchange")
             lines = [f"{outcome.scenario}, seed {outcome.seed}, in virtual time"]
         else:
-            from wheatring.lab.live.play import play, shown, wires_for
+            from wheatring.lab.live.play import play, relay_count, shown
 
-            needed = list_acquisition.requirements(plan, wires_for(plan))
+            needed = list_acquisition.requirements(plan, relay_count(plan))
             _progress(needed.shown())
             list_acquisition.check_resources(needed)
-            live = play(plan, _progress, wired=True)
+            live = play(plan, _progress, with_links=True)
             outcome, lines = live, list(shown(live))
         _written(outcome, [*lines, *list_acquisition.shown(plan, outcome)], args.json)
         kept = all(kept for kept, _ in list_acquisition.judged(plan, outcome))
--- a/wheatring/lab/agreement/plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -17,7 +17,7 @@
 from wheatring.errors import OperatorError
 from wheatring.lab.agreement.plan_fleet import VOTERS, Outcome, PlanFleet, body_of
 from wheatring.lab.leases.cluster import PARTITIONED, Node
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.component import Instant
 from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Verdict
@@ -144,11 +144,11 @@
                 cluster.set_link(names, others, PARTITIONED)
                 cluster.schedule(over, cluster.heal)
             case "late":
-                slow = State(delay=1.5, jitter=1.0, duplicate=0.3, reorder=0.3)
+                slow = LinkState(delay=1.5, jitter=1.0, duplicate=0.3, reorder=0.3)
                 cluster.isolate([node.name for node in nodes], slow)
                 cluster.schedule(over, cluster.heal)
             case "lossy":
-                bad = State(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
+                bad = LinkState(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
                 cluster.set_link(list(cluster.nodes), list(cluster.nodes), bad)
                 cluster.schedule(over, cluster.heal)
 
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -15,7 +15,7 @@
 
 from wheatring.lab.agreement.plan_driver import PlanDriver, compile_body, draw_plan
 from wheatring.lab.leases.cluster import Cluster, Node
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
@@ -166,9 +166,11 @@
                 cluster.stop(node)
                 cluster.schedule(cluster.now + random.choice((0.5, 3.0, 9.0)), cluster.resume, node)
             case 4:
-                cluster.default_link = State(delay=0.0005, jitter=0.0005, drop=random.choice((0.0, 0.1, 0.3)))
+                cluster.default_link = LinkState(
+                    delay=0.0005, jitter=0.0005, drop=random.choice((0.0, 0.1, 0.3))
+                )
             case 5:
-                cluster.isolate([one], State(there=False))
+                cluster.isolate([one], LinkState(forward=False))
             case 6:
                 cluster.heal()
             case 7:
@@ -179,7 +181,7 @@
     def admit_member(self, name: str) -> None:
         """Let a stopped member, if any, enter while a plan is rolled out and another is slow to answer."""
         cluster, random = self.cluster, self.random
-        cluster.default_link = State(delay=0.0005, jitter=0.0005)
+        cluster.default_link = LinkState(delay=0.0005, jitter=0.0005)
         out = [node for node in cluster.nodes.values() if node.fleet is None]
         if not out:
             cluster.kill(cluster.nodes[name])
--- a/wheatring/lab/agreement/view_cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -12,7 +12,7 @@
 
 from wheatring.lab.agreement.view_fleet import ViewObserver, make_cluster, views_of
 from wheatring.lab.leases.cluster import PARTITIONED, Cluster
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 
 SETTLE_SECONDS = 25.0  # from the start to the fault
 SPAN_SECONDS = 60.0  # from the fault to the end
@@ -121,12 +121,12 @@
 
 
 def _lossy_network(run: CaseRun) -> None:
-    run.fleet.default_link = State(delay=0.0005, jitter=0.0005, drop=0.3)
+    run.fleet.default_link = LinkState(delay=0.0005, jitter=0.0005, drop=0.3)
 
 
 def _lossy_member(run: CaseRun) -> None:
     member = run.sample_member()
-    run.fleet.set_link([n for n in run.names if n != member], [member], State(delay=0.0005, drop=0.8))
+    run.fleet.set_link([n for n in run.names if n != member], [member], LinkState(delay=0.0005, drop=0.8))
 
 
 def _cut_edge(run: CaseRun) -> None:
--- a/wheatring/lab/agreement/view_days.py
+++ b/wheatring/lab/agreement/view_days.py
@@ -22,7 +22,7 @@
 
 from wheatring.lab.agreement.view_fleet import MakePieces, make_agreement, make_cluster, views_of
 from wheatring.lab.leases.cluster import PARTITIONED, Node
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.view_monitor import STAMP_VALID_SECONDS
 
@@ -195,22 +195,22 @@
                 froms, tos = (names, others) if fault.size < 0.5 else (others, names)
                 self.set_links(froms, tos, PARTITIONED, over)
             case "loss":
-                state = State(delay=0.001, jitter=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
+                state = LinkState(delay=0.001, jitter=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
                 self.set_links(tuple(fleet.nodes), tuple(fleet.nodes), state, over)
             case "late":
-                state = State(delay=8 * fault.size, jitter=2.0, duplicate=0.5, reorder=0.5)
+                state = LinkState(delay=8 * fault.size, jitter=2.0, duplicate=0.5, reorder=0.5)
                 self.set_links(names, others, state, over)
                 self.set_links(others, names, state, over)
             case "late-cut":
-                self.set_links(others, names, State(delay=fault.size, jitter=0.5), over)
+                self.set_links(others, names, LinkState(delay=fault.size, jitter=0.5), over)
                 fleet.schedule(fleet.now + 6.5, self.set_links, others, names, PARTITIONED, over)
 
-    def set_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State, over: float) -> None:
+    def set_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: LinkState, over: float) -> None:
         """Put links into a state until `over`."""
         self.fleet.set_link(froms, tos, state)
         self.fleet.schedule(over, self.repair_links, froms, tos, state)
 
-    def repair_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: State) -> None:
+    def repair_links(self, froms: tuple[str, ...], tos: tuple[str, ...], state: LinkState) -> None:
         """Repair links that this fault has put into a state; what another fault has done to them stays."""
         for one in froms:
             for other in tos:
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from wheatring.lab.live.links.state import State, datagram
+from wheatring.lab.live.links.link_state import LinkState, datagram
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.payloads import FetchRequest
@@ -68,8 +68,8 @@
         self.role_settings = role_settings
         self.timing = timing
         self.swim_timing = swim_timing
-        self.default_link = State(delay=0.0005, jitter=0.0005)
-        self.links: dict[tuple[str, str], State] = {}
+        self.default_link = LinkState(delay=0.0005, jitter=0.0005)
+        self.links: dict[tuple[str, str], LinkState] = {}
         self.size_of = size_of
         self.make_components = make_components
         self.after_event: Callable[[Node], None] = lambda _node: None
@@ -196,7 +196,7 @@
         if other is not None and other.fleet is not None and not other.is_stopped:
             pairs = ((node.name, other.name), (other.name, node.name))
             both = [self.links.get(pair, self.default_link) for pair in pairs]
-            if all(state.there for state in both):
+            if all(state.forward for state in both):
                 body = other.fleet.payloads.get(fetch.digest)
                 late = sum(state.delay + state.jitter * self.random.random() for state in both)
                 self.schedule(self.now + late, self.deliver_payload, node, start, fetch, body)
@@ -231,14 +231,14 @@
 
     # Links
 
-    def set_link(self, sources: Sequence[str], targets: Sequence[str], state: State) -> None:
+    def set_link(self, sources: Sequence[str], targets: Sequence[str], state: LinkState) -> None:
         """Set the state of the links from some nodes to others."""
         for source in sources:
             for target in targets:
                 if source != target:
                     self.links[source, target] = state
 
-    def isolate(self, names: Sequence[str], state: State) -> None:
+    def isolate(self, names: Sequence[str], state: LinkState) -> None:
         """Set the state of all links between these nodes and the others, in both directions."""
         others = [name for name in self.nodes if name not in names]
         self.set_link(names, others, state)
@@ -249,4 +249,4 @@
         self.links.clear()
 
 
-PARTITIONED = State(there=False)
+PARTITIONED = LinkState(forward=False)
--- a/wheatring/lab/leases/days.py
+++ b/wheatring/lab/leases/days.py
@@ -11,7 +11,7 @@
 from msgspec import Struct, field
 
 from wheatring.lab.leases.cluster import PARTITIONED, Cluster, Node
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.fencing import FencingGuard
 from wheatring.lease.singleton_role import RoleChange, RoleSettings
 from wheatring.lease.timing import LeaseTiming
@@ -121,7 +121,7 @@
                 cluster.set_link(froms, tos, PARTITIONED)
                 cluster.schedule(over, cluster.heal)
             case "late":
-                state = State(
+                state = LinkState(
                     delay=3 * TIMING.lease_seconds * fault.size,
                     jitter=TIMING.lease_seconds,
                     duplicate=0.5,
@@ -130,7 +130,7 @@
                 cluster.set_link(names, others, state)
                 cluster.schedule(over, cluster.heal)
             case "lossy":
-                cluster.isolate(names, State(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1))
+                cluster.isolate(names, LinkState(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1))
                 cluster.schedule(over, cluster.heal)
             case "wall":
                 # One is behind; see the design note.
--- a/wheatring/lab/leases/membership.py
+++ b/wheatring/lab/leases/membership.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from wheatring.lab.leases.cluster import Cluster, Node
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lease.fleet import FleetMessage
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
@@ -38,7 +38,7 @@
         seed, size, VoterSet(first_voters(3)), [], LeaseTiming(), SwimTiming(), size_of=datagram_bytes
     )
     if loss:
-        cluster.default_link = State(delay=0.0005, jitter=0.0005, drop=loss)
+        cluster.default_link = LinkState(delay=0.0005, jitter=0.0005, drop=loss)
     for node in cluster.nodes.values():
         cluster.schedule(cluster.random.random(), cluster.start, node)
     return cluster
--- a/wheatring/lab/live/duty_cases.py
+++ b/wheatring/lab/live/duty_cases.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from wheatring.lab.live.fleet_rig import FleetRig, fencing_violations
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lab.live.list_service import ListServiceStub
 
 LIST_ANSWERS_PER_SECOND = 5.0  # answers a second of the list service
@@ -146,7 +146,7 @@
 def late(rig: FleetRig, random: Random) -> Measurement:  # noqa: ARG001 - one signature for all cases
     """Lose messages, duplicate them, and delay them by up to three terms."""
     names = list(rig.members)
-    state = State(delay=0.001, jitter=3 * rig.term, duplicate=0.5, drop=0.3, reorder=0.5)
+    state = LinkState(delay=0.001, jitter=3 * rig.term, duplicate=0.5, drop=0.3, reorder=0.5)
     rig.set_links(names[:5], names[:5], state)
     time.sleep(8 * rig.term)
     rig.heal()
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -15,14 +15,14 @@
 from typing import Any
 
 from wheatring.lab.live.duty_target import DutyCall, DutyTarget
-from wheatring.lab.live.links.state import PLAIN, State
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
+from wheatring.lab.live.links.link_state import NO_FAULT, LinkState
 from wheatring.lab.live.process import ContextManaged, ProcessError
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 from wheatring.lab.plan import NetPlan
 
 DUTY = "probe"
-SEVERED = State(there=False)
+SEVERED = LinkState(forward=False)
 WAIT_SECONDS = 60.0  # seconds within which whatever is waited for must have come, on a machine that is busy
 RECORDED_EVENTS = (
     "duty-held", "duty-over", "member", "fleet-listening", "unexpected", "peer-dropped", "list-held-back",
@@ -98,7 +98,7 @@
         self.target = DutyTarget()
         hosts = {member.name: member.host for member in self.members.values()}
         try:
-            self.wires = Wires(seed, hosts, NetPlan(), 1)
+            self.links = LinkController(seed, hosts, NetPlan(), 1)
         except BaseException:
             self.target.end()
             raise
@@ -113,16 +113,16 @@
         for member in self.members.values():
             for process in member.starts:
                 process.end()
-        self.wires.end()
+        self.links.end()
         self.target.end()
 
     # Processes
 
     def start_all(self, names: Iterable[str] | None = None) -> None:
         """Start these members, all by default, and wait until each has its port."""
-        self.wires.reserve_datagrams(self.members)
+        self.links.reserve_datagrams(self.members)
         for member in self.members.values():
-            member.relay_port = self.wires.ports[member.name]
+            member.relay_port = self.links.ports[member.name]
         list(self.pool.map(self.start, list(names or self.members)))
 
     def start(self, name: str) -> None:
@@ -149,7 +149,7 @@
         if member.number in self.admin_numbers:
             member.admin_port = int(process.wait_for_line("control-listening", by).rpartition("port=")[2])
         words = dict(pair.split("=") for pair in process.wait_for_line("fleet-listening", by).split()[1:])
-        self.wires.lead({name: (words["host"], int(words["port"]))})
+        self.links.set_targets({name: (words["host"], int(words["port"]))})
 
     def write_configuration(self, member: RigMember) -> Path:
         """Write the configuration file of a member's next start, or of a reload."""
@@ -193,10 +193,10 @@
 
     # Links
 
-    def set_links(self, froms: Iterable[str], tos: Iterable[str], state: State = SEVERED) -> None:
+    def set_links(self, froms: Iterable[str], tos: Iterable[str], state: LinkState = SEVERED) -> None:
         """Put links from some members to others in a state; by default all on them is lost."""
-        self.wires.datagrams(list(froms), list(tos), state)
-        self.wires.stats()  # answered in order: it is done
+        self.links.datagrams(list(froms), list(tos), state)
+        self.links.stats()  # answered in order: it is done
 
     def isolate(self, *names: str) -> None:
         """Cut members off from all others, both ways."""
@@ -206,7 +206,7 @@
 
     def heal(self) -> None:
         """Put all links back in order."""
-        self.set_links(self.members, self.members, PLAIN)
+        self.set_links(self.members, self.members, NO_FAULT)
 
     # What is seen
 
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Collection
 
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
 from wheatring.lab.live.sidecar_slots import SidecarSlot, SidecarSlots
@@ -18,8 +18,10 @@
     `ready` is called once all sidecars of the start listen, `failed` if one of them can't.
     """
 
-    def __init__(self, nodes: Nodes, slots: SidecarSlots, front: Front, wires: Wires | None = None) -> None:
-        self.wires = wires
+    def __init__(
+        self, nodes: Nodes, slots: SidecarSlots, front: Front, links: LinkController | None = None
+    ) -> None:
+        self.links = links
         self.nodes = nodes
         self.slots = slots
         self.front = front
@@ -100,14 +102,14 @@
 
     def isolate(self, node: str) -> None:
         """Let a node's machine, with its own sidecar, fall silent."""
-        assert self.wires is not None
-        self.wires.start_fault(self._silence(node))
+        assert self.links is not None
+        self.links.start_fault(self._silence(node))
         self.nodes.registry.vanished(node)
 
     def reconnect(self, node: str) -> None:
         """Let a machine that was silent answer again; its connections are reset."""
-        assert self.wires is not None
-        self.wires.end_fault(self._silence(node), reset=True)
+        assert self.links is not None
+        self.links.end_fault(self._silence(node), reset=True)
         machine = self.nodes.nodes[node].machine
         if machine.running:
             self.nodes.registry.up(node, machine.started_at)
--- a/wheatring/lab/live/links/benchmark.py
+++ b/wheatring/lab/live/links/benchmark.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from contextlib import ExitStack
 
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.load import Load, Result, play
 from wheatring.lab.live.process import Process, module
 from wheatring.lab.plan import NetPlan
@@ -31,11 +31,11 @@
         said = node.wait_for_line("listening ", time.monotonic() + START)
         port = int(dict(pair.split("=") for pair in said.split()[1:])["node"])
         generator = stack.enter_context(Process("load", module("wheatring.lab.live.generator_process")))
-        wires = Wires(1, HOSTS, NetPlan(), 1)
-        stack.callback(wires.end)
-        wires.reserve(["load>node"])
-        wires.lead({"load>node": (HOSTS["node"], port)})
-        wires.stats()  # answered in order: the door is open
+        links = LinkController(1, HOSTS, NetPlan(), 1)
+        stack.callback(links.end)
+        links.reserve(["load>node"])
+        links.set_targets({"load>node": (HOSTS["node"], port)})
+        links.stats()  # answered in order: the door is open
 
         def asked(host: str, there: int, rate: float) -> Result:
             told = Load(host=host, port=there, rate=rate, length=LENGTH, connections=200, late_ms=5.0)
@@ -43,9 +43,9 @@
 
         for rate in rates:
             straight = asked(HOSTS["node"], port, rate)
-            before = wires.stats()[0].cpu_s
-            linked = asked(*wires.address("load>node"), rate)
-            cpu = wires.stats()[0].cpu_s - before
+            before = links.stats()[0].cpu_s
+            linked = asked(*links.address("load>node"), rate)
+            cpu = links.stats()[0].cpu_s - before
             each = cpu / max(1, linked.counts.total + linked.warmed) * 1e6
             print(
                 f"{rate:.0f} a second: {linked.per_s:.0f} served; p50 {straight.p50_ms:.2f} ms straight, "
--- a/wheatring/lab/live/links/datagrams.py
+++ b/wheatring/lab/live/links/datagrams.py
@@ -13,7 +13,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from wheatring.lab.live.links.state import PLAIN, State, datagram
+from wheatring.lab.live.links.link_state import NO_FAULT, LinkState, datagram
 from wheatring.lab.live.links.streams import StreamPort
 
 Address = tuple[str, int]
@@ -25,27 +25,27 @@
     def __init__(self, reactor: Any, random: Random) -> None:
         self.reactor = reactor
         self.random = random
-        self.doors: dict[str, DatagramPort] = {}
+        self.ports: dict[str, DatagramPort] = {}
         self.at: dict[Address, DatagramPort] = {}  # by the party's own address
-        self.states: dict[tuple[str, str], State] = {}  # of links that are not plain
+        self.states: dict[tuple[str, str], LinkState] = {}  # of links that are not plain
         self.taken = self.passed = 0
 
     def open(self, party: str, host: str) -> int:
         """Open a party's port, for datagrams and connections; return its number."""
-        endpoint = self.doors[party] = DatagramPort(self, party, host)
+        endpoint = self.ports[party] = DatagramPort(self, party, host)
         StreamPort(self, party, host, endpoint.port)
         return endpoint.port
 
-    def lead(self, party: str, target: Address) -> None:
+    def set_targets(self, party: str, target: Address) -> None:
         """Let a party's port lead to the party's own address."""
-        endpoint = self.doors[party]
+        endpoint = self.ports[party]
         self.at.pop(endpoint.target, None)
         endpoint.target = target
         self.at[target] = endpoint
 
-    def set(self, one: str, other: str, state: State) -> None:
+    def set(self, one: str, other: str, state: LinkState) -> None:
         """Put the link from one party to another in a state."""
-        if state == PLAIN:
+        if state == NO_FAULT:
             self.states.pop((one, other), None)
         else:
             self.states[one, other] = state
@@ -57,7 +57,9 @@
         if sender is None:
             return  # nobody's, or of a process that is gone
         now = time.monotonic()
-        for due in datagram(now, self.states.get((sender.party, endpoint.party), PLAIN), True, self.random):
+        for due in datagram(
+            now, self.states.get((sender.party, endpoint.party), NO_FAULT), True, self.random
+        ):
             if due > now:
                 self.reactor.callLater(due - now, self.leave, sender, endpoint, data)
             else:
--- a/wheatring/lab/live/links/wires.py
+++ b/wheatring/lab/live/links/link_controller.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import structs
 
+from wheatring.lab.live.links.link_state import NO_FAULT, LinkState
 from wheatring.lab.live.links.relay import Order, Stats
-from wheatring.lab.live.links.state import PLAIN, State
 from wheatring.lab.live.process import Process, module
 from wheatring.lab.plan import EventPlan, NetPlan
 
@@ -20,7 +20,7 @@
 MAX_LINKS_PER_ORDER = 500  # links reserved by one order
 
 
-class Wires:
+class LinkController:
     """Links by name, `FROM>TO`.
 
     `hosts` gives the address of each party: who connects has its ports there, and events name them by it.
@@ -31,14 +31,14 @@
         self.hosts = hosts
         self.net = net
         self.relays: list[Process] = []
-        self.of: dict[str, int] = {}  # the relay of each link
+        self.relay_of: dict[str, int] = {}  # the relay of each link
         self.ports: dict[str, int] = {}
-        self.on: list[EventPlan] = []
-        self.states: dict[str, State] = {}  # where not plain
+        self.active_faults: list[EventPlan] = []
+        self.states: dict[str, LinkState] = {}  # where not plain
         try:
             for number in range(relays):
-                words = module("wheatring.lab.live.links.relay", str(seed))
-                self.relays.append(Process(f"relay-{number + 1}", words))
+                command = module("wheatring.lab.live.links.relay", str(seed))
+                self.relays.append(Process(f"relay-{number + 1}", command))
         except BaseException:
             self.end()
             raise
@@ -60,13 +60,13 @@
         shares: list[list[str]] = [[] for _ in self.relays]
         for link in links:
             who = link.partition(">")[0]
-            number = self.of[link] = relay_of.setdefault(who, len(relay_of) % len(self.relays))
+            number = self.relay_of[link] = relay_of.setdefault(who, len(relay_of) % len(self.relays))
             shares[number].append(link)
         for relay, share in zip(self.relays, shares, strict=True):
             for start in range(0, len(share), MAX_LINKS_PER_ORDER):
                 part = share[start : start + MAX_LINKS_PER_ORDER]
-                doors = {link: self.hosts[link.partition(">")[0]] for link in part}
-                self.ports.update(self._ask(relay, Order(do, doors=doors), dict[str, int]))
+                ports = {link: self.hosts[link.partition(">")[0]] for link in part}
+                self.ports.update(self._request(relay, Order(do, ports=ports), dict[str, int]))
 
     # Datagrams: one door for each party, all at the first relay
 
@@ -78,30 +78,30 @@
         assert len(self.relays) == 1
         self._reserve(parties, "datagrams")
 
-    def datagrams(self, froms: Iterable[str], tos: Iterable[str], state: State) -> None:
+    def datagrams(self, froms: Iterable[str], tos: Iterable[str], state: LinkState) -> None:
         """Put the links for datagrams from these to those in a state, one way."""
         links = [f"{one}>{other}" for one in froms for other in tos if one != other]
         for start in range(0, len(links), MAX_LINKS_PER_ORDER):
             order = Order("set-datagrams", links=links[start : start + MAX_LINKS_PER_ORDER], state=state)
-            self._tell(self.relays[0], order)
+            self._send_order(self.relays[0], order)
 
     def address(self, link: str) -> tuple[str, int]:
         """Return where who connects finds the other end."""
         return self.hosts[link.partition(">")[0]], self.ports[link]
 
-    def lead(self, targets: Mapping[str, tuple[str, int]]) -> None:
+    def set_targets(self, targets: Mapping[str, tuple[str, int]]) -> None:
         """Let these links lead to targets, and take connects."""
-        for relay, part in self._parts(targets):
-            self._tell(relay, Order("open", targets={link: targets[link] for link in part}))
+        for relay, part in self._by_relay(targets):
+            self._send_order(relay, Order("open", targets={link: targets[link] for link in part}))
 
     def close(self, links: Iterable[str]) -> None:
         """Let links refuse connects; what is open goes on."""
-        for relay, part in self._parts(links):
-            self._tell(relay, Order("close", links=part))
+        for relay, part in self._by_relay(links):
+            self._send_order(relay, Order("close", links=part))
 
     def stats(self) -> list[Stats]:
         """Return what each relay has carried; all orders before are carried out then."""
-        return [self._ask(relay, Order("stats"), Stats) for relay in self.relays]
+        return [self._request(relay, Order("stats"), Stats) for relay in self.relays]
 
     def end(self) -> None:
         """End the relays."""
@@ -112,51 +112,51 @@
 
     def start_fault(self, event: EventPlan) -> None:
         """Begin a fault."""
-        self.on.append(event)
+        self.active_faults.append(event)
         self._apply(event)
 
     def end_fault(self, event: EventPlan, reset: bool = False) -> None:
         """End a fault; `reset`: what was open is reset, as by a machine that knows of it no more."""
-        self.on.remove(event)
+        self.active_faults.remove(event)
         touched = self._apply(event)
         if reset:
-            for relay, part in self._parts(touched):
-                self._tell(relay, Order("reset", links=part))
+            for relay, part in self._by_relay(touched):
+                self._send_order(relay, Order("reset", links=part))
 
     def _apply(self, event: EventPlan) -> list[str]:
         """Order the states of the links that an event concerns; return their names."""
         touched = []
-        changed: dict[State, list[str]] = {}
-        for link in self.of:
-            if self._struck(event, link, PLAIN) == PLAIN:
+        changed: dict[LinkState, list[str]] = {}
+        for link in self.relay_of:
+            if self._faulted_state(event, link, NO_FAULT) == NO_FAULT:
                 continue
             touched.append(link)
-            state = PLAIN
-            for one in self.on:
-                state = self._struck(one, link, state)
-            if state != self.states.get(link, PLAIN):
+            state = NO_FAULT
+            for one in self.active_faults:
+                state = self._faulted_state(one, link, state)
+            if state != self.states.get(link, NO_FAULT):
                 self.states[link] = state
                 changed.setdefault(state, []).append(link)
         for state, links in changed.items():
-            for relay, part in self._parts(links):
-                self._tell(relay, Order("set", links=part, state=state))
+            for relay, part in self._by_relay(links):
+                self._send_order(relay, Order("set", links=part, state=state))
         return touched
 
-    def _struck(self, event: EventPlan, link: str, state: State) -> State:
+    def _faulted_state(self, event: EventPlan, link: str, state: LinkState) -> LinkState:
         """Return what an event makes of a link that is in some state."""
         one, other = (self.hosts[name] for name in link.split(">"))
         cut = partial(structs.replace, state, connects=False)
         match event.kind:
             case "vanish":
-                return cut(there=False, back=False) if {one, other} & set(event.hosts) else state
+                return cut(forward=False, backward=False) if {one, other} & set(event.hosts) else state
             case "late_connects":
                 return cut() if other in event.hosts else state
             case "partition":
                 # One way: what goes from `hosts` to `others` is lost, whoever made the connection.
                 if one in event.hosts and other in event.others:
-                    return cut(there=False, back=state.back and event.one_way)
+                    return cut(forward=False, backward=state.backward and event.one_way)
                 if other in event.hosts and one in event.others:
-                    return cut(back=False, there=state.there and event.one_way)
+                    return cut(backward=False, forward=state.forward and event.one_way)
             case "latency":
                 for hosts, others in ((event.hosts, event.others), (event.others, event.hosts)):
                     if one in hosts and other in others:
@@ -167,17 +167,17 @@
 
     # Relays
 
-    def _parts(self, links: Iterable[str]) -> Iterable[tuple[Process, list[str]]]:
+    def _by_relay(self, links: Iterable[str]) -> Iterable[tuple[Process, list[str]]]:
         parts: dict[int, list[str]] = {}
         for link in links:
-            parts.setdefault(self.of[link], []).append(link)
+            parts.setdefault(self.relay_of[link], []).append(link)
         return [(self.relays[number], part) for number, part in parts.items()]
 
-    def _tell(self, relay: Process, order: Order) -> None:
+    def _send_order(self, relay: Process, order: Order) -> None:
         relay.write_line(msgspec.json.encode(order).decode())
 
-    def _ask(self, relay: Process, order: Order, kind: type[Answer]) -> Answer:
+    def _request(self, relay: Process, order: Order, kind: type[Answer]) -> Answer:
         after = len(relay.lines)
-        self._tell(relay, order)
+        self._send_order(relay, order)
         by = time.monotonic() + ANSWER_TIMEOUT_SECONDS
         return msgspec.json.decode(relay.wait_for_line("{", by, after), type=kind)
--- a/wheatring/lab/live/links/pipe.py
+++ b/wheatring/lab/live/links/pipe.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer  # type: ignore[import-untyped]
 
-from wheatring.lab.live.links.state import MAX_HELD_BYTES, PLAIN, Lane, State
+from wheatring.lab.live.links.link_state import MAX_BUFFERED_BYTES, NO_FAULT, DelayLine, LinkState
 
 BACKLOG = 511
 ACCEPTS_PER_TURN = 20  # connections that are accepted in one turn
@@ -29,7 +29,7 @@
     def __init__(self, pipe: ConnectionPair, near: bool) -> None:
         self.pipe = pipe
         self.near = near
-        self.lane = Lane(pipe.link_port.random)  # of what came in here
+        self.delay_line = DelayLine(pipe.link_port.random)  # of what came in here
         self.timer: Any = None
         self.paused = False
         self.reset = False  # how it ended
@@ -47,11 +47,11 @@
         """Pass bytes on, at once or as the link's state says."""
         pipe = self.pipe
         state = pipe.link_port.state
-        if state is PLAIN and not self.lane.queue and pipe.whole:
+        if state is NO_FAULT and not self.delay_line.queue and pipe.is_complete:
             pipe.other(self).transport.write(data)
             return
-        self.lane.put(time.monotonic(), data, state)
-        if self.lane.held > MAX_HELD_BYTES and not self.paused:
+        self.delay_line.put(time.monotonic(), data, state)
+        if self.delay_line.buffered_bytes > MAX_BUFFERED_BYTES and not self.paused:
             self.paused = True
             self.transport.pauseProducing()
         self.flush()
@@ -59,16 +59,16 @@
     def flush(self) -> None:
         """Pass on what has arrived at the other end by now, and the rest when it does."""
         pipe = self.pipe
-        if not pipe.whole or pipe.over or not pipe.link_port.state.passes(self.near):
+        if not pipe.is_complete or pipe.over or not pipe.link_port.state.passes(self.near):
             return
-        data = self.lane.take(time.monotonic())
+        data = self.delay_line.take(time.monotonic())
         other = pipe.other(self)
         if data:
             other.transport.write(data)
-        if self.paused and self.lane.held <= MAX_HELD_BYTES // 2 and not self.gone:
+        if self.paused and self.delay_line.buffered_bytes <= MAX_BUFFERED_BYTES // 2 and not self.gone:
             self.paused = False
             self.transport.resumeProducing()
-        due = self.lane.next
+        due = self.delay_line.next
         if due is None:
             if self.gone:
                 pipe.end(other, self.reset)
@@ -110,7 +110,7 @@
         self.link_port = link_port
         self.near = End(self, near=True)
         self.far = End(self, near=False)
-        self.whole = False  # both are up
+        self.is_complete = False  # both are up
         self.over = False
 
     def other(self, end: End) -> End:
@@ -125,7 +125,7 @@
             link_port.taken += 1
             link_port.reactor.connectTCP(*link_port.target, _Dial(self), timeout=None)
             return
-        self.whole = True
+        self.is_complete = True
         if self.over or (self.near.gone and self.near.reset):
             end.transport.abortConnection()
             return
@@ -142,7 +142,7 @@
 
     def lost(self, end: End) -> None:
         """Take note that an end is gone."""
-        if self.over or not self.whole:
+        if self.over or not self.is_complete:
             if self.near.gone and (self.over or not self.far.up):
                 self.link_port.pipes.pop(self, None)
             return
@@ -218,7 +218,7 @@
         self.target: tuple[str, int] = (host, 0)
         self.bound = _bound(host)
         self.port: int = self.bound.getsockname()[1]
-        self.state = PLAIN
+        self.state = NO_FAULT
         self.is_open = False
         self.pipes: dict[ConnectionPair, None] = {}
         self.taken = 0  # connections so far
@@ -254,7 +254,7 @@
 
     def logPrefix(self) -> str:  # noqa: N802 - Twisted's name
         """Return its name in the reactor's log."""
-        return "door"
+        return "link port"
 
     # Its state
 
@@ -273,9 +273,9 @@
             self.own.clear()
             self.bound.shutdown(socket.SHUT_RDWR)  # it listens no more, and stays bound
 
-    def set(self, state: State) -> None:
+    def set(self, state: LinkState) -> None:
         """Put the link in a state."""
-        before, self.state = self.state, PLAIN if state == PLAIN else state
+        before, self.state = self.state, NO_FAULT if state == NO_FAULT else state
         if self.is_open and before.connects != state.connects:
             self._turn()
         for pipe in list(self.pipes):
--- a/wheatring/lab/live/links/relay.py
+++ b/wheatring/lab/live/links/relay.py
@@ -18,23 +18,23 @@
 
 from wheatring.lab.live import command_loop
 from wheatring.lab.live.links.datagrams import Switch
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lab.live.links.pipe import LinkPort
-from wheatring.lab.live.links.state import State
 
 
 class Order(Struct, forbid_unknown_fields=True):
     """One order.
 
-    reserve: `doors` are links and the hosts of their ports; answered with the number of each. datagrams: the
+    reserve: `ports` are links and the hosts of their ports; answered with the number of each. datagrams: the
     same, of parties. open: `targets` are links, or parties, and where they lead. close: refuse connects. set,
     set-datagrams: the state from now on. reset: what is open.
     """
 
     do: Literal["reserve", "datagrams", "open", "close", "set", "set-datagrams", "reset", "stats"]
-    doors: dict[str, str] = field(default_factory=dict)
+    ports: dict[str, str] = field(default_factory=dict)
     targets: dict[str, tuple[str, int]] = field(default_factory=dict)
     links: list[str] = field(default_factory=list)
-    state: State = State()
+    state: LinkState = LinkState()
 
 
 class Stats(Struct):
@@ -51,49 +51,49 @@
     def __init__(self, reactor: Any, seed: str) -> None:
         self.reactor = reactor
         self.seed = seed
-        self.doors: dict[str, LinkPort] = {}
+        self.ports: dict[str, LinkPort] = {}
         self.datagrams = Switch(reactor, Random(f"{seed}:datagrams"))
 
     def obey(self, order: Order) -> bytes | None:
         """Carry out one order; return the answer, where it has one."""
         match order.do:
             case "reserve":
-                return self.reserve(order.doors)
+                return self.reserve(order.ports)
             case "datagrams":
-                ports = {party: self.datagrams.open(party, host) for party, host in order.doors.items()}
+                ports = {party: self.datagrams.open(party, host) for party, host in order.ports.items()}
                 return msgspec.json.encode(ports)
             case "open":
                 for link, target in order.targets.items():
-                    if link in self.datagrams.doors:
-                        self.datagrams.lead(link, target)
+                    if link in self.datagrams.ports:
+                        self.datagrams.set_targets(link, target)
                     else:
-                        self.doors[link].target = target
-                        self.doors[link].open()
+                        self.ports[link].target = target
+                        self.ports[link].open()
             case "close":
                 for link in order.links:
-                    self.doors[link].close()
+                    self.ports[link].close()
             case "set":
                 for link in order.links:
-                    self.doors[link].set(order.state)
+                    self.ports[link].set(order.state)
             case "set-datagrams":
                 for link in order.links:
                     one, _, other = link.partition(">")
                     self.datagrams.set(one, other, order.state)
             case "reset":
                 for link in order.links:
-                    self.doors[link].reset()
+                    self.ports[link].reset()
             case "stats":
-                open_ones = sum(len(link_port.pipes) for link_port in self.doors.values())
-                taken = sum(link_port.taken for link_port in self.doors.values())
+                open_ones = sum(len(link_port.pipes) for link_port in self.ports.values())
+                taken = sum(link_port.taken for link_port in self.ports.values())
                 taken += self.datagrams.taken
                 return msgspec.json.encode(Stats(time.process_time(), open_ones, taken))
         return None
 
-    def reserve(self, doors: dict[str, str]) -> bytes:
+    def reserve(self, ports: dict[str, str]) -> bytes:
         """Reserve ports; return their numbers as JSON."""
-        for link, host in doors.items():
-            self.doors[link] = LinkPort(self.reactor, host, Random(f"{self.seed}:{link}"))
-        return msgspec.json.encode({link: self.doors[link].port for link in doors})
+        for link, host in ports.items():
+            self.ports[link] = LinkPort(self.reactor, host, Random(f"{self.seed}:{link}"))
+        return msgspec.json.encode({link: self.ports[link].port for link in ports})
 
 
 def main() -> int:
--- a/wheatring/lab/live/links/streams.py
+++ b/wheatring/lab/live/links/streams.py
@@ -12,9 +12,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory, connectionDone
 from twisted.python.failure import Failure
 
-from wheatring.lab.live.links.state import PLAIN, Lane
+from wheatring.lab.live.links.link_state import NO_FAULT, DelayLine
 
-HELD_CHECK_SECONDS = 0.05  # seconds between looks at whether what is held may go on
+BLOCKED_CHECK_SECONDS = 0.05  # between looks at whether buffered bytes may go on
+FLUSH_SECONDS = 0.002  # between looks at what has arrived
 
 
 class _End(Protocol):
@@ -26,26 +27,30 @@
         self.endpoint = endpoint
         self.way = way  # the link that what comes here takes
         self.other: _End | None = None
-        self.lane = Lane(endpoint.switch.random)
+        self.delay_line = DelayLine(endpoint.switch.random)
         self.ended = False
         self.timer: Any = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        self.lane.put(time.monotonic(), data, self.endpoint.switch.states.get(self.way, PLAIN))
+        self.delay_line.put(time.monotonic(), data, self.endpoint.switch.states.get(self.way, NO_FAULT))
         self.flush()
 
     def flush(self) -> None:
         other, switch = self.other, self.endpoint.switch
-        there = switch.states.get(self.way, PLAIN).there
-        if other is not None and other.transport is not None and there:
-            data = self.lane.take(time.monotonic())
+        passes = switch.states.get(self.way, NO_FAULT).forward
+        if other is not None and other.transport is not None and passes:
+            data = self.delay_line.take(time.monotonic())
             if data:
                 other.transport.write(data)
-            if self.ended and self.lane.next is None:
+            if self.ended and self.delay_line.next is None:
                 other.transport.loseConnection()
                 return
-        if (self.lane.next is not None or self.ended) and (self.timer is None or not self.timer.active()):
-            self.timer = switch.reactor.callLater(HELD_CHECK_SECONDS if not there else 0.002, self.flush)
+        if (self.delay_line.next is not None or self.ended) and (
+            self.timer is None or not self.timer.active()
+        ):
+            self.timer = switch.reactor.callLater(
+                FLUSH_SECONDS if passes else BLOCKED_CHECK_SECONDS, self.flush
+            )
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name
         self.ended = True
@@ -91,8 +96,8 @@
 
     def buildProtocol(self, addr: Any) -> Protocol | None:  # noqa: N802 - Twisted's name
         """Accept a connection of a known party, and connect to this one."""
-        target = self.switch.doors[self.party].target
-        sender = next((d.party for d in self.switch.doors.values() if d.host == addr.host), None)
+        target = self.switch.ports[self.party].target
+        sender = next((d.party for d in self.switch.ports.values() if d.host == addr.host), None)
         if sender is None or not target[1]:
             return None
         near = _End(self, (sender, self.party))
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -16,7 +16,7 @@
 from wheatring.core.clock import Clock
 from wheatring.lab.correlation import CorrelationTable
 from wheatring.lab.event_recorder import EventRecorder
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Listed, Registry
 from wheatring.lab.models.effects import Effects
@@ -58,9 +58,9 @@
         recorder: EventRecorder,
         registry: Registry,
         where: Where,
-        wires: Wires | None = None,
+        links: LinkController | None = None,
     ) -> None:
-        self.wires = wires
+        self.links = links
         self.reactor = reactor
         self.plan = plan
         self.clock = clock
@@ -106,8 +106,8 @@
     def address(self, sidecar: str, node: Listed) -> str:
         """Return where a sidecar finds an endpoint that has been up, as HOST:PORT."""
         host = self.hosts[node.name]
-        if self.wires is not None:
-            host, port = self.wires.address(f"{sidecar}>{host}")
+        if self.links is not None:
+            host, port = self.links.address(f"{sidecar}>{host}")
             return f"{host}:{port}"
         return f"{host}:{self.ports[host, sidecar]}"
 
@@ -189,13 +189,13 @@
             door = self.reactor.listenTCP(port, peer, backlog=BACKLOG, interface=host)
             self.ports[host, sidecar] = door.getHost().port
             node.doors.append(door)
-        if self.wires is not None:
-            self.wires.lead({f"{one}>{host}": (host, self.ports[host, one]) for one in node.peers})
+        if self.links is not None:
+            self.links.set_targets({f"{one}>{host}": (host, self.ports[host, one]) for one in node.peers})
 
     def _close(self, node: Node) -> None:
         doors, node.doors = node.doors, []
-        if self.wires is not None and doors:
-            self.wires.close([f"{one}>{node.plan.host}" for one in node.peers])
+        if self.links is not None and doors:
+            self.links.close([f"{one}>{node.plan.host}" for one in node.peers])
         for door in doors:
             door.stopListening()
 
--- a/wheatring/lab/live/plan_cases.py
+++ b/wheatring/lab/live/plan_cases.py
@@ -17,7 +17,7 @@
 
 from wheatring.lab.live.duty_cases import Measurement
 from wheatring.lab.live.fleet_rig import FleetRig
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lab.live.view_cases import SETTLE_SECONDS, WAIT_SECONDS, ViewHistory
 
 LARGE_PLAN_BYTES = 100_000  # bytes of a large plan
@@ -213,7 +213,7 @@
     """Open windows on plain and delayed links, and while a third of the members is paused."""
     names = list(rig.members)
     yield _edge(rig, names, MAX_SPREAD_SECONDS, "plain links")
-    rig.set_links(names, names, State(delay=DELAY_SECONDS))
+    rig.set_links(names, names, LinkState(delay=DELAY_SECONDS))
     time.sleep(SETTLE_SECONDS)
     yield _edge(rig, names, MAX_DELAYED_SPREAD_SECONDS, f"links delayed by {DELAY_SECONDS * 1000:.0f} ms")
     rig.heal()
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -26,7 +26,7 @@
 from wheatring.lab.live import tally
 from wheatring.lab.live.lifecycles import Lifecycles
 from wheatring.lab.live.links.faults import Faults
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
 from wheatring.lab.live.scale import LINK_EVENTS
@@ -72,9 +72,11 @@
 
 
 class Play:
-    """One plan, wired. `say` gets a line now and then."""
+    """One plan, played with real processes. `say` gets a line now and then."""
 
-    def __init__(self, plan: Plan, folder: Path, say: Callable[[str], None], wired: bool = False) -> None:
+    def __init__(
+        self, plan: Plan, folder: Path, say: Callable[[str], None], with_links: bool = False
+    ) -> None:
         reactor: Any = installed  # Twisted's own type lacks half of its methods
         reactor.seconds = time.monotonic
         self.reactor = reactor
@@ -92,16 +94,18 @@
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = Front(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
-        self.wires = wires_of(plan) if wired or any(e.kind in LINK_EVENTS for e in plan.events) else None
+        self.links = (
+            make_links(plan) if with_links or any(e.kind in LINK_EVENTS for e in plan.events) else None
+        )
         self.nodes = Nodes(
             reactor, plan, clock, self.origins, self.checker, self.registry,
-            lambda name: self.slots.where(name), self.wires,
+            lambda name: self.slots.where(name), self.links,
         )  # fmt: skip
         self.slots = SidecarSlots(
             reactor, plan, clock, self.checker, self.registry,
-            self.nodes.address, folder, self.watch, self.wires,
+            self.nodes.address, folder, self.watch, self.links,
         )  # fmt: skip
-        self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.wires)
+        self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.links)
         self.lifecycles.ready, self.lifecycles.failed = self.start_day, self.stop
         way = SidecarClient(
             reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
@@ -113,7 +117,7 @@
         machines = {name: node.machine for name, node in self.nodes.nodes.items()}
         self.event_scheduler = EventScheduler(
             clock,
-            Faults(plan, self.nodes, self.wires),
+            Faults(plan, self.nodes, self.links),
             machines,
             self.registry,
             self.slots,
@@ -147,13 +151,13 @@
         self.reactor.callWhenRunning(self.begin)
         try:
             raise_descriptor_limit(self.plan)
-            if self.wires is not None:
-                self.wires.reserve(links_of(self.plan))
+            if self.links is not None:
+                self.links.reserve(links_of(self.plan))
             self.reactor.run()
         finally:
             self.slots.end()
-            if self.wires is not None:
-                self.wires.end()
+            if self.links is not None:
+                self.links.end()
         if self.fault is not None:
             raise self.fault
         if self.outcome is None:
@@ -248,17 +252,17 @@
         return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)  # a copy: the checker still writes
 
 
-def wires_for(plan: Plan) -> int:
+def relay_count(plan: Plan) -> int:
     """Return how many relays carry a plan's links."""
     return min(MAX_RELAYS, -(-len(sidecar_hosts(plan)) // SIDECARS_PER_RELAY))
 
 
-def wires_of(plan: Plan) -> Wires:
+def make_links(plan: Plan) -> LinkController:
     """Make the links between a plan's processes; they are yet to be reserved."""
     hosts = sidecar_hosts(plan)
     hosts |= {node.host: node.host for node in plan.nodes}
     hosts |= {CLIENTS: CLIENTS, **dict.fromkeys(LIST_LINKS, DISCOVERY[0])}
-    return Wires(plan.seed, hosts, plan.net, wires_for(plan))
+    return LinkController(plan.seed, hosts, plan.net, relay_count(plan))
 
 
 def links_of(plan: Plan) -> Iterator[str]:
@@ -293,8 +297,8 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
 
 
-def play(plan: Plan, say: Callable[[str], None], wired: bool = False) -> LiveOutcome:
-    """Play a plan, with links between its processes if it needs them or `wired` says so.
+def play(plan: Plan, say: Callable[[str], None], with_links: bool = False) -> LiveOutcome:
+    """Play a plan, with links between its processes if it needs them or `with_links` says so.
 
     However it ends, all its processes have ended then.
 
@@ -304,7 +308,7 @@
         It can't be played.
     """
     with TemporaryDirectory() as folder:
-        return Play(plan, Path(folder), say, wired).run()
+        return Play(plan, Path(folder), say, with_links).run()
 
 
 def shown(outcome: LiveOutcome) -> Iterator[str]:
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from wheatring.core.clock import Clock, Timer
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.sidecar import Sidecar, configuration, port_in
 from wheatring.lab.live.watch import Watch
 from wheatring.lab.models.discovery import Registry
@@ -95,9 +95,9 @@
         address: Callable[[str, Any], str],
         folder: Path,
         watch: Watch,
-        wires: Wires | None = None,
+        links: LinkController | None = None,
     ) -> None:
-        self.wires = wires
+        self.links = links
         self.reactor = reactor
         self.plan = plan
         self.clock = clock
@@ -128,8 +128,8 @@
     def where(self, name: str) -> tuple[str, int]:
         """Return where callers find a sidecar; for one that never listened, a port where nobody does."""
         slot = self.by_name[name]
-        if self.wires is not None and slot.tier == 0:
-            return self.wires.address(f"{CLIENTS}>{name}")
+        if self.links is not None and slot.tier == 0:
+            return self.links.address(f"{CLIENTS}>{name}")
         return slot.host, slot.port
 
     def configuration(self, slot: SidecarSlot) -> dict[str, Any]:
@@ -149,8 +149,8 @@
     def discovery(self, slot: SidecarSlot) -> str:
         """Return where a sidecar finds discovery, as HOST:PORT."""
         host, port = DISCOVERY[0], slot.list_port
-        if self.wires is not None:
-            host, port = self.wires.address(_list_link(slot.name, slot.moves))
+        if self.links is not None:
+            host, port = self.links.address(_list_link(slot.name, slot.moves))
         return f"{host}:{port}"
 
     def start(self, slot: SidecarSlot) -> None:
@@ -206,11 +206,11 @@
     def _listen(self, slot: SidecarSlot, factory: Any) -> Any:
         door = self.reactor.listenTCP(slot.list_port, factory, interface=DISCOVERY[0])
         slot.list_port = door.getHost().port
-        if self.wires is None:
+        if self.links is None:
             return door
         link = _list_link(slot.name, slot.moves)
-        self.wires.lead({link: (DISCOVERY[0], slot.list_port)})
-        return _RelayedPort(door, partial(self.wires.close, [link]))
+        self.links.set_targets({link: (DISCOVERY[0], slot.list_port)})
+        return _RelayedPort(door, partial(self.links.close, [link]))
 
     def move_discovery(self) -> None:
         """Move discovery to another address; what was open at the old one ends."""
@@ -242,8 +242,8 @@
         if text.startswith("listening "):
             slot.port = port_in(text)
             slot.up = True
-            if self.wires is not None and slot.tier == 0:
-                self.wires.lead({f"{CLIENTS}>{slot.name}": (slot.host, slot.port)})
+            if self.links is not None and slot.tier == 0:
+                self.links.set_targets({f"{CLIENTS}>{slot.name}": (slot.host, slot.port)})
             self.checker.sidecar_up(slot.name)
             self._notify_move(slot)
             self.on_up(slot)
@@ -281,8 +281,8 @@
 
     def _ended_now(self, slot: SidecarSlot, killed: bool) -> None:
         was_up = slot.up
-        if self.wires is not None and slot.tier == 0:
-            self.wires.close([f"{CLIENTS}>{slot.name}"])
+        if self.links is not None and slot.tier == 0:
+            self.links.close([f"{CLIENTS}>{slot.name}"])
         slot.process = None
         slot.up = slot.stopping = False
         if was_up:
--- a/wheatring/lab/live/view_cases.py
+++ b/wheatring/lab/live/view_cases.py
@@ -14,7 +14,7 @@
 
 from wheatring.lab.live.duty_cases import COUNTING_SECONDS, Measurement
 from wheatring.lab.live.fleet_rig import FleetRig
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 
 SETTLE_SECONDS = 5.0  # seconds between two cases
 FAULT_SECONDS = 20.0  # seconds for which links are bad
@@ -159,14 +159,14 @@
     """Lose a part of all datagrams, then most of those to one member."""
     names = list(rig.members)
     history = ViewHistory(rig)
-    rig.set_links(names, names, State(drop=0.3))
+    rig.set_links(names, names, LinkState(drop=0.3))
     time.sleep(FAULT_SECONDS)
     yield _unchanged(history, names, "30 % of all datagrams lost")
     rig.heal()
     time.sleep(SETTLE_SECONDS)
     one = _third(rig, random)[0]
     history = ViewHistory(rig)
-    rig.set_links(_rest(rig, [one]), [one], State(drop=0.8))
+    rig.set_links(_rest(rig, [one]), [one], LinkState(drop=0.8))
     time.sleep(FAULT_SECONDS)
     yield _unchanged(history, _rest(rig, [one]), "80 % of what comes to one lost")
     rig.heal()
