--- a/wheatring/lab/event_recorder.py
+++ b/wheatring/lab/event_recorder.py
@@ -2,7 +2,8 @@
 
 Only what an observer of the sockets would see is reported, and nothing flows back. `sidecar`, `node` and
 `ident` are names; `index` is the class's index in the plan. Instants are those of the world's clock, and an
-event happens at the present instant unless another is given.
+event happens at the present instant unless another is given. A method has the name that its events have in
+traces.
 """
 
 from __future__ import annotations
