--- a/wheatring/admin/server.py
+++ b/wheatring/admin/server.py
@@ -102,6 +102,7 @@
 
 class _Listener(Port):
     def doRead(self) -> None:  # noqa: N802 - Twisted's name
+        """Accept at most `ACCEPTS_PER_EVENT` connections."""
         self.numberAccepts = ACCEPTS_PER_EVENT
         super().doRead()  # type: ignore[no-untyped-call]
 
--- a/wheatring/commands/lab_errors.py
+++ b/wheatring/commands/lab_errors.py
@@ -15,6 +15,7 @@
 
     @wraps(call)
     def reporting(args: argparse.Namespace) -> int:
+        """Run the command; print a known error as one line."""
         try:
             from wheatring.lab.scenario.load import ScenarioError
             from wheatring.lab.simulator_day import SimulatorDayError
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -142,6 +142,7 @@
     plan = scale.scaled(scale.without_kinds(plan, never), args.scale)
 
     def run() -> int:
+        """Play the plan and print its outcome."""
         from wheatring.lab.live.play import play, shown
 
         outcome = play(plan, _progress)
@@ -168,6 +169,7 @@
         raise ValueError(f"{args.scenario}: can't be played in virtual time: {', '.join(live_only)}")
 
     def run() -> int:
+        """Play the plan in virtual time or live, and print what has to be shown."""
         if args.virtual:
             from wheatring.lab.play import play as play_virtual
 
@@ -206,6 +208,7 @@
     )
 
     def run() -> int:
+        """Run the benchmark and print its table."""
         report = bench.run(chosen or cores.idlest(), sizes, _progress)
         _written(report, table.shown(report), args.json)
         return 0
@@ -240,6 +243,7 @@
     )
 
     def run() -> int:
+        """Generate the load and print its result."""
         with Process("load", module("wheatring.lab.live.generator_process")) as process:
             result = play(process, load)
         _written(result, shown(result), args.json)
--- a/wheatring/config/platform_file.py
+++ b/wheatring/config/platform_file.py
@@ -70,6 +70,7 @@
     data = _load(environment)
 
     def value_of(key: str) -> object:
+        """Return a value of the environment, else of the file."""
         return environment.get(f"LB_{key.upper()}") or data.get(key)
 
     discovery = data.get("discovery") if is_reload else None
--- a/wheatring/consensus/replication.py
+++ b/wheatring/consensus/replication.py
@@ -236,6 +236,7 @@
         """Update the newest round that a quorum, this replica included, has answered."""
 
         def answered_round(replica_id: str) -> int:
+            """Return the last round of heartbeats that a replica has answered."""
             if replica_id == self.me.replica_id:
                 return self.round
             progress = self.progress.get(replica_id)
--- a/wheatring/controller/command_queue.py
+++ b/wheatring/controller/command_queue.py
@@ -98,6 +98,7 @@
         replica = self._host.replica
 
         def is_decided() -> bool:
+            """Return whether the entry is committed, or can't be committed in this term."""
             return is_reached() or replica.state is not State.LEADER or replica.term != term
 
         await self._host.wait_until(is_decided, COMMIT_TIMEOUT_SECONDS)
--- a/wheatring/controller/controller.py
+++ b/wheatring/controller/controller.py
@@ -140,6 +140,7 @@
         replica = self.replica
 
         def is_known() -> bool:
+            """Return whether a leader is known by a recent quorum."""
             is_recent = replica.staleness(self.host.now()) < RECENT_QUORUM_SECONDS
             return is_recent and (replica.state is State.LEADER or replica.leader is not None)
 
--- a/wheatring/http1/connection_pool.py
+++ b/wheatring/http1/connection_pool.py
@@ -60,16 +60,19 @@
         self.timer = pool.clock.at(deadline, self.connector.stopConnecting)
 
     def buildProtocol(self, addr: object) -> EndpointConnection:  # noqa: ARG002, N802 - Twisted's signature
+        """Make the connection that has come up."""
         self.finish()
         return _NewConnection(self.pool, self.address, self.attempt)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802 - Twisted's signature
+        """Report the failed connect to its attempt."""
         self.finish()
         code = "not-up-in-time" if isinstance(reason.value, UserError) else "connect-failed"
         log.line("endpoint-connection", code=code, peer=self.address.address)
         self.pool.exchange.end_attempt(self.attempt, Outcome.CONNECT_FAILED)
 
     def finish(self) -> None:
+        """Remove the connect from those pending, and cancel its timer."""
         del self.pool.pending_connects[self]
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
@@ -87,6 +90,7 @@
         self.first_attempt = attempt
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Send the attempt that the connection was made for, if it may still be sent."""
         super().connectionMade()
         self.pool.add(self)
         if self.first_attempt.may_be_sent and self.pool.exchange.check_in_time(self.first_attempt):
--- a/wheatring/http1/discovery_client.py
+++ b/wheatring/http1/discovery_client.py
@@ -67,10 +67,12 @@
         self.client = client
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Tell the client that the connection is up."""
         super().connectionMade()
         self.client.connected(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Parse an answer, and hand it to the client once it is complete."""
         self.parser.feed(data)
         try:
             message = self.parser.next_message()
@@ -86,6 +88,7 @@
             self.client.note_answer_began()
 
     def on_ended(self, is_orderly: bool) -> None:
+        """Hand over an answer that ends with the connection, or report the failure."""
         message = self.parser.end_of_input() if is_orderly else None
         if message is not None:
             self.client.handle_answer(self, message)
--- a/wheatring/http1/endpoint_list.py
+++ b/wheatring/http1/endpoint_list.py
@@ -189,6 +189,7 @@
         client, asked_at = self.create_client(), self.address
 
         def on_answer(answer: Any) -> None:
+            """Read the answer, unless discovery has moved meanwhile."""
             client.close("fetched")
             if asked_at == self.address:
                 self.read_answer(answer, is_full=True)
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -147,6 +147,7 @@
         key = f"{name}/{fleet.incarnation}"
 
         def taken(_at: Instant, settled: CommittedPlan) -> list[Outgoing]:
+            """Record the committed plan that a member has taken."""
             self._taken(name, key, settled)
             return []
 
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -209,6 +209,7 @@
 
 class _OutlivesItsView(CheckCoordinator):
     def view_changed(self, now: float, view: View) -> None:
+        """Keep the members of the earlier view: the planted fault."""
         before = dict(self.members)
         super().view_changed(now, view)
         if before:
@@ -217,6 +218,7 @@
 
 class _SilentIsYes(CheckCoordinator):
     def step(self, now: float) -> list[Outgoing]:
+        """Count a silent member as agreeing: the planted fault."""
         alike = next((one.result for one in self.members.values() if one.result is not None), None)
         for one in self.members.values():
             if self._is_pending(one) and now >= one.asked_at + 2.0:
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -81,6 +81,7 @@
         host = self.hosts[name]
 
         def on_end(killed: bool) -> None:
+            """Forget the sidecar, and report an end of its own."""
             del self.sidecars[name]
             if not killed:
                 on_exit()
--- a/wheatring/lab/leases/handover.py
+++ b/wheatring/lab/leases/handover.py
@@ -35,6 +35,7 @@
     gains: list[tuple[str, float]] = []
 
     def on_role_change(node: Node, change: RoleChange) -> None:
+        """Record when a node gains the role."""
         if not change.reason:
             gains.append((node.name, cluster.now))
 
--- a/wheatring/lab/leases/membership.py
+++ b/wheatring/lab/leases/membership.py
@@ -119,6 +119,7 @@
 
 def _count_suspicions(cluster: Cluster, node: Node, learn: Any, counted: dict[int, int]) -> Any:
     def counts(now: float, rumour: Any) -> Any:
+        """Count the member's own suspicions among what it learns."""
         found = learn(now, rumour)
         own = rumour.state in (SUSPECT, DEAD) and rumour.source == node.name
         there = cluster.nodes[rumour.member.name]
--- a/wheatring/lab/live/bench/run.py
+++ b/wheatring/lab/live/bench/run.py
@@ -102,12 +102,15 @@
         self.sizes = sizes
 
         def start(name: str, core: int, *arguments: str) -> Process:
+            """Start a process on one core."""
             return stack.enter_context(Process(name, module(*arguments), cpus=(core,)))
 
         def port(line: str, name: str = "port") -> int:
+            """Return a port by its name in a line."""
             return int(dict(pair.split("=") for pair in line.split()[1:])[name])
 
         def listening_line(process: Process) -> str:
+            """Wait for the line with a process's ports."""
             return process.wait_for_line("listening ", time.monotonic() + START_TIMEOUT_SECONDS)
 
         self.upstream = start("upstream", cores.upstream, f"{BENCH_PACKAGE}.upstream", HOST, str(sizes.body))
--- a/wheatring/lab/live/command_loop.py
+++ b/wheatring/lab/live/command_loop.py
@@ -14,13 +14,17 @@
     from twisted.protocols.basic import LineReceiver
 
     class Commands(LineReceiver):
+        """The lines of standard input."""
+
         delimiter = b"\n"
         MAX_LENGTH = 1 << 24
 
         def lineReceived(self, line: bytes) -> None:  # noqa: N802 - Twisted's name
+            """Carry out one command."""
             obey(line, self.sendLine)
 
         def connectionLost(self, reason: object = None) -> None:  # noqa: N802, ARG002 - Twisted's
+            """Stop the reactor at the end of the input."""
             if reactor.running:
                 reactor.stop()
 
--- a/wheatring/lab/live/duty_cases.py
+++ b/wheatring/lab/live/duty_cases.py
@@ -73,6 +73,7 @@
 
 def _cut(rig: FleetRig, random: Random, there: bool, back: bool, how: str) -> Measurement:
     def lose(first: str) -> None:
+        """Cut the links of the first lease holder."""
         others = [name for name in rig.members if name != first]
         if there:
             rig.set_links([first], others)
@@ -193,6 +194,7 @@
     left = len(rig.members) - len(gone)
 
     def known() -> bool:
+        """Return whether a member counts those that have gone as dead."""
         seen = [m for m in rig.status("d4")["members"] if m["name"] in gone]
         return not [m for m in seen if m["state"] in ("alive", "suspect")]
 
--- a/wheatring/lab/live/duty_target.py
+++ b/wheatring/lab/live/duty_target.py
@@ -30,7 +30,10 @@
         resource = self
 
         class Calls(Handler):
+            """Answers the calls of the role's holders."""
+
             def do_POST(self) -> None:  # noqa: N802 - the library's name
+                """Answer one call, with the highest epoch so far."""
                 status, epoch = resource.receive(self.headers)
                 self.send_response(status)
                 self.send_header("Duty-Epoch", str(epoch))
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -131,6 +131,7 @@
         own = self.write_configuration(member)
 
         def line(text: str) -> None:
+            """Record a line of a member's log, if it is one of the recorded events."""
             word = text.partition(" ")[0]
             if word in RECORDED_EVENTS:
                 member.events.append((time.monotonic(), text))
--- a/wheatring/lab/live/generator_process.py
+++ b/wheatring/lab/live/generator_process.py
@@ -28,7 +28,10 @@
     gc.disable()  # a collection would be a lateness of ours; what a load makes is freed by count
 
     def obey(line: bytes, say: command_loop.WriteLine) -> None:
+        """Play the load of one line."""
+
         def report(result: Result) -> None:
+            """Write the result, and collect garbage between two loads."""
             say(msgspec.json.encode(result))
             gc.collect()
 
--- a/wheatring/lab/live/links/benchmark.py
+++ b/wheatring/lab/live/links/benchmark.py
@@ -38,6 +38,7 @@
         links.stats()  # answered in order: the door is open
 
         def asked(host: str, there: int, rate: float) -> Result:
+            """Play a load on an address at a rate."""
             told = Load(host=host, port=there, rate=rate, length=LENGTH, connections=200, late_ms=5.0)
             return play(generator, told)
 
--- a/wheatring/lab/live/links/pipe.py
+++ b/wheatring/lab/live/links/pipe.py
@@ -175,9 +175,11 @@
         self.pipe = pipe
 
     def buildProtocol(self, addr: object) -> End:  # noqa: N802, ARG002 - Twisted's name
+        """Return the far end of the pipe."""
         return self.pipe.far
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802, ARG002 - Twisted's name
+        """Reset the near end."""
         self.pipe.unreachable()
 
 
--- a/wheatring/lab/live/links/relay.py
+++ b/wheatring/lab/live/links/relay.py
@@ -107,6 +107,7 @@
     relay = Relay(reactor, sys.argv[1])
 
     def obey(line: bytes, say: command_loop.WriteLine) -> None:
+        """Carry out one order, and write its answer."""
         answer = relay.obey(msgspec.json.decode(line, type=Order))
         if answer is not None:
             say(answer)
--- a/wheatring/lab/live/links/streams.py
+++ b/wheatring/lab/live/links/streams.py
@@ -32,10 +32,12 @@
         self.timer: Any = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Buffer the bytes for as long as the link's state says."""
         self.delay_line.put(time.monotonic(), data, self.endpoint.switch.states.get(self.way, NO_FAULT))
         self.flush()
 
     def flush(self) -> None:
+        """Write what has arrived to the other end, unless the link is cut."""
         other, switch = self.other, self.endpoint.switch
         passes = switch.states.get(self.way, NO_FAULT).forward
         if other is not None and other.transport is not None and passes:
@@ -53,6 +55,7 @@
             )
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name
+        """End the other connection once all bytes are written to it."""
         self.ended = True
         if self.other is not None and self.other.ended:
             if self.timer is not None and self.timer.active():
@@ -63,6 +66,7 @@
 
 class _Made(_End):
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Write what the other end has sent meanwhile."""
         if self.other is not None:
             self.other.flush()
 
@@ -74,12 +78,14 @@
         self.near = near
 
     def buildProtocol(self, addr: object) -> Protocol:  # noqa: N802, ARG002 - Twisted's name
+        """Make the far end, and join it with the near one."""
         endpoint, (one, other) = self.near.endpoint, self.near.way
         far = _Made(endpoint, (other, one))
         far.other, self.near.other = self.near, far
         return far
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802, ARG002 - Twisted's name
+        """Reset the near end."""
         if self.near.transport is not None:
             self.near.transport.abortConnection()
 
--- a/wheatring/lab/live/list_acquisition.py
+++ b/wheatring/lab/live/list_acquisition.py
@@ -82,7 +82,8 @@
     front = {told.name for told in plan.sidecars}
     first = sorted(at for name, at in lists.first.items() if name in front)
 
-    def held(part: float) -> float:
+    def seconds_until(part: float) -> float:
+        """Return the seconds until this part of the sidecars had a list."""
         place = ceil(part * sidecars) - 1
         return first[place] if place < len(first) else inf
 
@@ -90,7 +91,7 @@
     up = max([at for name, at in lists.started.items() if name in front], default=0.0)
     start = ceil(max(up + STARTING_SECONDS, plan.check.after))
     return AcquisitionTimes(
-        sidecars, sidecars / per_s, held(0.5), held(0.95), held(1.0),
+        sidecars, sidecars / per_s, seconds_until(0.5), seconds_until(0.95), seconds_until(1.0),
         lists.failed / max(1, lists.brought), per_s, max(lists.asked[start:], default=0),
         up - min([at for name, at in lists.started.items() if name in front], default=0.0),
     )  # fmt: skip
--- a/wheatring/lab/live/list_service.py
+++ b/wheatring/lab/live/list_service.py
@@ -35,9 +35,12 @@
         register = self
 
         class Calls(Handler):
+            """Answers the calls of sidecars."""
+
             protocol_version = "HTTP/1.1"
 
             def do_GET(self) -> None:  # noqa: N802 - the library's name
+                """Answer one call, at once or after a wait for a change."""
                 asked = parse_qs(urlsplit(self.path).query)
                 index = int(asked["index"][0]) if "index" in asked else None
                 body = register.answer(index, float(asked.get("wait", ["0"])[0]) / 1000, self.gone)
--- a/wheatring/lab/live/plan_cases.py
+++ b/wheatring/lab/live/plan_cases.py
@@ -58,10 +58,11 @@
     """Propose a plan at a member; return when. ProcessError where it isn't taken."""
     since = time.monotonic()
 
-    def taken() -> bool:
+    def is_accepted() -> bool:
+        """Return whether the member accepts the plan."""
         return rig.admin_call(name, "POST", "plan", body)[0] == 202
 
-    rig.wait_until(taken, f"{name} takes a plan", WAIT_SECONDS)
+    rig.wait_until(is_accepted, f"{name} takes a plan", WAIT_SECONDS)
     return since
 
 
@@ -80,25 +81,27 @@
 def wait_until_ended(rig: FleetRig, name: str) -> dict[str, Any]:
     """Wait until the newest proposal at a member has ended; return how."""
 
-    def over() -> dict[str, Any] | None:
+    def decided_proposal() -> dict[str, Any] | None:
+        """Return the newest proposal once it is decided, else None."""
         pushed = newest_proposal(rig, name)
         return pushed if pushed.get("state") in ("settled", "refused", "lost") else None
 
-    found: dict[str, Any] = rig.wait_until(over, f"the push at {name} ends", WAIT_SECONDS)
+    found: dict[str, Any] = rig.wait_until(decided_proposal, f"the push at {name} ends", WAIT_SECONDS)
     return found
 
 
 def wait_until_committed(rig: FleetRig, names: Collection[str], number: int, since: float) -> float:
     """Wait until these members know a plan committed; return the seconds until the last one did."""
 
-    def so() -> float:
+    def last_change_at() -> float:
+        """Return when the last member applied the plan, or 0 while one has not."""
         last = [
             [at for at, fields in events(rig, name, "plan", 0.0) if int(fields["number"]) >= number][:1]
             for name in names
         ]
         return max(found[0] for found in last) if all(last) else 0.0
 
-    at: float = rig.wait_until(so, f"all know plan {number}", WAIT_SECONDS)
+    at: float = rig.wait_until(last_change_at, f"all know plan {number}", WAIT_SECONDS)
     return at - since
 
 
@@ -148,14 +151,15 @@
     names = list(rig.members)
     old = names[-1]
 
-    def again(formats: str) -> None:
+    def restart_old_member(formats: str) -> None:
+        """Restart the old member with these formats."""
         rig.member_plans[old] = {"formats": formats} if formats else {}
         rig.signal(SIGTERM, old)
         rig.wait_until(lambda: not _running(rig, old), f"{old} ends", WAIT_SECONDS)
         ViewHistory(rig).wait_for_one_view(names[:-1], len(names) - 1)
         rig.start(old)
 
-    again("[1]")
+    restart_old_member("[1]")
     ViewHistory(rig).wait_for_one_view(names, len(names))
     number = plan_status(rig, "d3")["newest"]
     since = propose(rig, "d3", document("windows", window=3600.0))
@@ -166,17 +170,17 @@
         f"one that reads format 1 only: {how['state']} after {time.monotonic() - since:.1f} s, "
         f"named {named}, {how['reasons'][:1]}",
     )
-    again("")
+    restart_old_member("")
     ViewHistory(rig).wait_for_one_view(names, len(names))
     since = propose(rig, "d3", document("windows", window=3600.0))
     took = wait_until_committed(rig, names, number + 1, since)
     yield Measurement(True, f"and once it reads all: settled with all after {took:.1f} s")
-    again("[1]")
+    restart_old_member("[1]")
     time.sleep(2 * SETTLE_SECONDS)
     inside = [text for at, text in rig.members[old].events if text.startswith("view ")][-1:]
     out = not inside or "inside=0" in inside[0]
     yield Measurement(out, f"one that comes back older is {'not ' if out else ''}let into the view")
-    again("")
+    restart_old_member("")
     ViewHistory(rig).wait_for_one_view(names, len(names))
 
 
--- a/wheatring/lab/live/scale.py
+++ b/wheatring/lab/live/scale.py
@@ -99,6 +99,7 @@
 
 def _moved(event: EventPlan, scale: float, stand_in: dict[str, str]) -> EventPlan:
     def fewer(names: tuple[str, ...]) -> tuple[str, ...]:
+        """Return the names that are left, in the same proportion."""
         moved = list(dict.fromkeys(stand_in[name] for name in names if name in stand_in))
         return tuple(moved[: max(1, round(scale * len(names)))])
 
@@ -106,7 +107,8 @@
 
 
 def _capacity_left(plan: Plan, left: list[NodePlan]) -> float:
-    def able(nodes: Iterable[NodePlan], tier: int) -> float:
+    def capacity_of(nodes: Iterable[NodePlan], tier: int) -> float:
+        """Return the capacity of a tier."""
         return sum(n.speed * plan.tiers[tier].kinds[n.kind].cores for n in nodes if n.tier == tier and n.up)
 
-    return min(able(left, tier) / able(plan.nodes, tier) for tier in range(len(plan.tiers)))
+    return min(capacity_of(left, tier) / capacity_of(plan.nodes, tier) for tier in range(len(plan.tiers)))
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -62,15 +62,16 @@
 
 
 class _RelayedPort:
-    """A door of ours that a link leads to."""
+    """A port of ours that a link leads to."""
 
-    def __init__(self, door: Any, close: Callable[[], None]) -> None:
-        self.door = door
+    def __init__(self, port: Any, close: Callable[[], None]) -> None:
+        self.port = port
         self.close = close
 
     def stopListening(self) -> None:  # noqa: N802 - Twisted's name
+        """Close the link, then the port behind it."""
         self.close()
-        self.door.stopListening()
+        self.port.stopListening()
 
 
 def _list_link(name: str, moves: int) -> str:
@@ -163,15 +164,18 @@
         launch = slot.launch = _Launch()
 
         def line(text: str) -> None:
+            """Pass a line of the sidecar's log on to the reactor's thread, if it matters."""
             if text.startswith(("listening ", LIST_REFUSED_LINE, *CONNECT_FAILED_LINES, *FAULT_LINES)):
                 self.reactor.callFromThread(
                     self._when_launched, launch, lambda: self._on_line(slot, launch, text)
                 )
 
         def end() -> None:
+            """Report the end of the process to the reactor's thread."""
             self.reactor.callFromThread(self._when_launched, launch, lambda: self._ended(slot, launch))
 
         def make(told: dict[str, Any]) -> None:
+            """Start the process, in a thread of its own."""
             process = Sidecar(self.folder, told, on_line=line, on_end=end)
             self.processes.append(process)
             self.reactor.callFromThread(self._launched, slot, launch, process)
@@ -204,13 +208,13 @@
         )  # fmt: skip
 
     def _listen(self, slot: SidecarSlot, factory: Any) -> Any:
-        door = self.reactor.listenTCP(slot.list_port, factory, interface=DISCOVERY[0])
-        slot.list_port = door.getHost().port
+        port = self.reactor.listenTCP(slot.list_port, factory, interface=DISCOVERY[0])
+        slot.list_port = port.getHost().port
         if self.links is None:
-            return door
+            return port
         link = _list_link(slot.name, slot.moves)
         self.links.set_targets({link: (DISCOVERY[0], slot.list_port)})
-        return _RelayedPort(door, partial(self.links.close, [link]))
+        return _RelayedPort(port, partial(self.links.close, [link]))
 
     def move_discovery(self) -> None:
         """Move discovery to another address; what was open at the old one ends."""
--- a/wheatring/lab/live/stub_server.py
+++ b/wheatring/lab/live/stub_server.py
@@ -20,6 +20,7 @@
     request_queue_size = 512
 
     def handle_error(self, request: Any, client_address: Any) -> None:  # noqa: ARG002 - the library's
+        """Ignore it."""
         return  # whoever called is gone
 
 
--- a/wheatring/lab/live/tally.py
+++ b/wheatring/lab/live/tally.py
@@ -51,6 +51,7 @@
     late = array("d", sorted(late))
 
     def ms(percent: float) -> float:
+        """Return a percentile in ms; 0 if nothing was served."""
         return float(histogram.get_value_at_percentile(percent)) / 1000 if counts.served else 0.0
 
     wrong = []
--- a/wheatring/lab/live/view_cases.py
+++ b/wheatring/lab/live/view_cases.py
@@ -62,13 +62,14 @@
     def wait_for_one_view(self, names: Collection[str], size: int) -> float:
         """Wait until these members have one view of so many; return the seconds until the last one did."""
 
-        def so() -> float:
+        def last_change_at() -> float:
+            """Return when the last member had the view, or 0 while they differ."""
             last = [(view_entries(self.rig, name) or [ViewEntry(0.0, 0, 0, False)])[-1] for name in names]
             alike = len({one.number for one in last}) == 1
             whole = alike and all(one[2:] == (size, True) for one in last)
             return max(one.at for one in last) if whole else 0.0
 
-        at: float = self.rig.wait_until(so, f"one view of {size}", WAIT_SECONDS)
+        at: float = self.rig.wait_until(last_change_at, f"one view of {size}", WAIT_SECONDS)
         return at - self.since
 
     def share_in_one_view(self, names: Collection[str]) -> float:
--- a/wheatring/lab/scenario/plan_builder.py
+++ b/wheatring/lab/scenario/plan_builder.py
@@ -48,6 +48,7 @@
         self.draws = draws
 
     def plan(self, name: str) -> Plan:
+        """Sample the whole plan."""
         given, draws = self.scenario, self.draws
         length, tail = draws.number("length", given.length), draws.number("tail", given.tail)
         classes = tuple(draws.struct(ClassPlan, f"class.{one.name}", one) for one in given.classes)
--- a/wheatring/lab/study/pool.py
+++ b/wheatring/lab/study/pool.py
@@ -38,6 +38,7 @@
         self.played = 0
 
     async def ask(self, message: object) -> bytes:
+        """Send a message to the worker, and return its answer."""
         assert self.process.stdin is not None and self.process.stdout is not None
         try:
             self.process.stdin.write(framed(message))
@@ -48,6 +49,7 @@
             raise _WorkerDiedError from None
 
     async def play(self, spec: RunSpec, limit: float) -> RunResult:
+        """Play a run within a wall time."""
         self.played += 1
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + limit):
@@ -107,6 +109,7 @@
 
 async def _check_kinds(kinds: Iterable[WorkerKind], run: str) -> None:
     async def check(kind: WorkerKind) -> None:
+        """Start a worker of this kind, and end it."""
         await (await _start_worker(kind, run)).end()
 
     for error in await asyncio.gather(*(check(kind) for kind in kinds), return_exceptions=True):
@@ -146,6 +149,7 @@
         return self.waiting[kind].popleft()
 
     async def play(self, slot: int) -> None:
+        """Play runs in one slot until none is left."""
         worker: _Worker | None = None
         try:
             while (spec := self.next(slot)) is not None:
@@ -166,6 +170,7 @@
                 await worker.end()
 
     async def all(self, workers: int) -> None:
+        """Play all runs in so many slots."""
         slots = [asyncio.create_task(self.play(slot)) for slot in range(workers)]
         try:
             done, _ = await asyncio.wait(slots, return_when=asyncio.FIRST_EXCEPTION)
--- a/wheatring/lab/study/report/several.py
+++ b/wheatring/lab/study/report/several.py
@@ -61,6 +61,7 @@
     varying[4] = len({(group[0], group[4]) for group in found}) > len({group[0] for group in found})
 
     def name(group: Group) -> str:
+        """Name a group by the parts in which the groups differ."""
         group = (*group[:2], ", ".join(shlex.split(group[2])[1::2]), *group[3:])
         differing = [
             part or "as it is" for part, differs in zip(group[1:], varying[1:], strict=True) if differs
--- a/wheatring/lab/study/sweep.py
+++ b/wheatring/lab/study/sweep.py
@@ -64,6 +64,7 @@
         task = progress.add_task("", total=len(left), rate="", breaches=breaches, lost=lost)
 
         def ended(spec: RunSpec, how: RunResult) -> bool:
+            """Store the result of a run; return whether the sweep has to end."""
             nonlocal breaches, lost
             row = kept[spec.key()] = store.keep(spec, how)
             swept.played += 1
--- a/wheatring/lab/study/worker.py
+++ b/wheatring/lab/study/worker.py
@@ -73,6 +73,7 @@
     threading.Thread(target=_read, args=(sys.stdin.buffer, messages), daemon=True).start()
 
     def say(message: object) -> None:
+        """Write one message."""
         out.write(framed(message))
         out.flush()
 
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -149,6 +149,7 @@
         self.sidecar_by_host[self.hosts[name]] = name
 
         def stopped() -> None:
+            """Record what the process still holds, and report its end."""
             counts = self.leftovers_at_exit.setdefault(name, Counter())
             counts.update(count_leftovers(sidecar, process.open_resources().timers))
             counts["descriptors"] += len(process.descriptors)
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -52,11 +52,13 @@
         self.is_over = False
 
     def leave(self) -> None:
+        """Abandon the request."""
         if not self.is_over:
             self.is_over = True
             self.pool.leave(self)
 
     def end(self, kind: Any, retry_after: float = 0.0) -> None:
+        """Report the end of the request, once."""
         if not self.is_over:
             self.is_over = True
             self.done(kind, retry_after)
--- a/wheatring/lazy_imports.py
+++ b/wheatring/lazy_imports.py
@@ -38,10 +38,11 @@
     def __init__(self, loader: Any) -> None:
         self.loader = loader
 
-    def create_module(self, spec: ModuleSpec) -> None:  # noqa: ARG002 - the import system's signature
-        return None  # an ordinary one: to give it its names, the import uses some of its attributes
+    def create_module(self, spec: ModuleSpec) -> None:
+        """Leave the creation to the import system, which gives an ordinary module its attributes."""
 
     def exec_module(self, module: ModuleType) -> None:
+        """Defer the module's execution until an attribute is used."""
         module.__dict__["deferred_loader"] = self.loader
         module.__class__ = DeferredModule
 
@@ -56,6 +57,7 @@
         path: Sequence[str] | None,
         target: object = None,  # noqa: ARG002 - the import system's signature
     ) -> ModuleSpec | None:
+        """Return a spec with a deferring loader for a listed module, else None."""
         spec = PathFinder.find_spec(name, path) if name in self.names else None
         if spec is not None and spec.loader is not None:
             spec.loader = _Loader(spec.loader)  # type: ignore[assignment]  # all that the import needs of one
--- a/wheatring/operator_properties.py
+++ b/wheatring/operator_properties.py
@@ -129,6 +129,7 @@
 
 def _integer(minimum: int, maximum: int) -> Callable[[str], int]:
     def read(text: str) -> int:
+        """Return the number in a text."""
         if not _INTEGER.fullmatch(text) or not minimum <= int(text) <= maximum:
             raise ValueError(f"not a whole number from {minimum} to {maximum}")
         return int(text)
--- a/wheatring/peers/assembly.py
+++ b/wheatring/peers/assembly.py
@@ -101,6 +101,7 @@
     """Gather what the file says of the fleet's plan; ProjectFileError where the first plan can't be used."""
 
     def write_log(event: str, fields: dict[str, Any]) -> None:
+        """Write an event of the plan to the log."""
         log.line(event, **fields)
 
     formats = None if plan.formats is None else tuple(plan.formats)
@@ -121,6 +122,7 @@
     """Read the voters, and those of a change under way, from the file's table."""
 
     def names(value: int | list[str] | None) -> tuple[str, ...]:
+        """Return the voters that a setting names or counts."""
         if isinstance(value, int):
             return first_voters(value)
         return tuple(value or ())
--- a/wheatring/peers/body_transfer.py
+++ b/wheatring/peers/body_transfer.py
@@ -49,11 +49,13 @@
         self.timeout: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Limit the time of the transfer."""
         self.transport.setTcpNoDelay(True)
         clock = self.transfers.clock
         self.timeout = clock.at(clock.now() + TRANSFER_TIMEOUT_SECONDS, self.transport.abortConnection)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's
+        """Cancel the time limit."""
         if self.timeout is not None and self.timeout.active():
             self.timeout.cancel()
 
@@ -62,6 +64,7 @@
     """The accepting end: reads one request, writes one reply."""
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Accept the sender, unless there are too many."""
         if len(self.transfers.senders) >= MAX_SENDERS:
             self.transport.abortConnection()
             return
@@ -69,6 +72,7 @@
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Read the request, and send the body that it asks for."""
         self.buffer += data
         if len(self.buffer) < _REQUEST_HEAD.size:
             return
@@ -84,6 +88,7 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
+        """Forget the sender."""
         super().connectionLost(reason)
         self.transfers.senders.discard(self)
 
@@ -97,11 +102,13 @@
         self.body: bytes | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Send the request for the body."""
         super().connectionMade()
         request = self.transfers.codec.encode(BodyRequest(self.fetch.digest))
         self.transport.write(_REQUEST_HEAD.pack(len(request)) + request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Read the body, and check its digest."""
         self.buffer += data
         if len(self.buffer) < _REPLY_HEAD.size:
             return
@@ -115,6 +122,7 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
+        """Finish the fetch, with or without the body."""
         super().connectionLost(reason)
         self.transfers.finish(self.fetch, self.body)
 
--- a/wheatring/peers/operator_calls.py
+++ b/wheatring/peers/operator_calls.py
@@ -50,9 +50,11 @@
     turns = next((name for name, duty in configuration.duty.items() if duty.work == "turns"), "")
 
     def release(name: str) -> bool | None:
+        """Release a role; None if the sidecar does not run it."""
         return runtime.release_role(name) if name in runtime.workers else None
 
     def request_turn() -> float:
+        """Ask for the right to restart; return the seconds to wait, 0 if it is granted."""
         if not turns or runtime.active_epoch(turns) is not None:
             return 0.0
         runtime.set_wanted(turns, True)
@@ -61,6 +63,7 @@
         return max(MIN_WAIT_SECONDS, runtime.terms.lease_seconds / 3)
 
     def return_turn() -> None:
+        """Give the right to restart back."""
         if turns:
             runtime.set_wanted(turns, False)
 
--- a/wheatring/peers/role_workers.py
+++ b/wheatring/peers/role_workers.py
@@ -69,6 +69,7 @@
         self.timeout: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
+        """Limit the time of the call, and send it."""
         self.transport.setTcpNoDelay(True)
         worker = self.worker
         self.timeout = worker.clock.at(
@@ -87,6 +88,7 @@
         self.transport.write(head.encode("latin-1"))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
+        """Read the answer, and report its status once."""
         if self.is_answered:
             return
         self.reader.feed(data)
@@ -103,6 +105,7 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's
+        """Cancel the time limit, and report the end of the call."""
         if self.timeout is not None and self.timeout.active():
             self.timeout.cancel()
         self.worker.on_call_ended(self)
--- a/wheatring/schedule/recurrence.py
+++ b/wheatring/schedule/recurrence.py
@@ -143,6 +143,7 @@
     """
 
     def unreadable(what: str) -> WindowRuleUnreadableError:
+        """Return the error that names the rule."""
         return WindowRuleUnreadableError(f"{where}: rrule: {what}")
 
     pairs = _split(unreadable, text)
--- a/wheatring/serving.py
+++ b/wheatring/serving.py
@@ -91,9 +91,11 @@
     reactor = sidecar.reactor
 
     def stop(_number: int, _frame: object) -> None:
+        """Stop the sidecar from the reactor's thread."""
         reactor.callFromThread(sidecar.stop)
 
     def reload(_number: int, _frame: object) -> None:
+        """Reload the configuration from the reactor's thread."""
         reactor.callFromThread(sidecar.reload, os.environ, operators_path)
 
     signal.signal(signal.SIGHUP, reload)
--- a/wheatring/skew/trials.py
+++ b/wheatring/skew/trials.py
@@ -121,6 +121,7 @@
     """Return when the clocks of a zone change within so many days from a Unix day on, Unix seconds."""
 
     def offset(at: int) -> timedelta | None:
+        """Return the zone's offset from UTC at an instant."""
         return datetime.fromtimestamp(at, zone).utcoffset()
 
     changes: list[int] = []
