--- a/tests/lab/live/test_singleton_roles.py
+++ b/tests/lab/live/test_singleton_roles.py
@@ -67,7 +67,7 @@
     time.sleep(10 * TERM)
     band.resume(first)
     band.wait_until(
-        lambda: [e for e in band.duty_events(first) if e[0] > since and "duty-over" in e[1]], "it notices"
+        lambda: [e for e in band.role_events(first) if e[0] > since and "duty-over" in e[1]], "it notices"
     )
     band.wait_until(lambda: len([a for a in band.accepted_calls() if a.at > since]) > 50, "acts go on")
 
--- a/wheatring/commands/lab.py
+++ b/wheatring/commands/lab.py
@@ -15,11 +15,11 @@
 
 from wheatring.commands import (
     lab_control,
-    lab_duties,
     lab_lease,
     lab_live,
     lab_pace,
     lab_run,
+    lab_singleton_roles,
     lab_study,
     lab_views,
 )
@@ -115,7 +115,7 @@
 def add_duties(commands: Commands) -> None:
     """Add the command `duties`."""
     what = "real sidecars that hold a duty, and what is done to them"
-    lab_duties.add(add_command(commands, "duties", lab_duties.call, what))
+    lab_singleton_roles.add(add_command(commands, "duties", lab_singleton_roles.call, what))
 
 
 def add_views(commands: Commands) -> None:
--- a/wheatring/commands/lab_duties.py
+++ b/wheatring/commands/lab_singleton_roles.py
@@ -32,9 +32,9 @@
 
 def call(args: argparse.Namespace) -> int:
     """Play cases with real sidecars, and print whether each promise is kept."""
-    from wheatring.lab.live.duty_cases import Measurement, lists, play
     from wheatring.lab.live.plan_cases import play as planned_play
     from wheatring.lab.live.process import ProcessError
+    from wheatring.lab.live.singleton_role_cases import Measurement, lists, play
     from wheatring.lab.live.view_cases import play as agreed_play
 
     alone = args.cases == [LISTS]
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -1,6 +1,6 @@
 """A fleet of real sidecar processes for tests and trials: their datagrams on links, and a target for calls.
 
-Members are named `d0` to `dN`; the first three vote. One duty, `probe`, calls the target.
+Members are named `d0` to `dN`; the first three vote. One singleton role, `probe`, calls the target.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from pathlib import Path
 from typing import Any
 
-from wheatring.lab.live.duty_target import DutyCall, DutyTarget
 from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.links.link_state import NO_FAULT, LinkState
 from wheatring.lab.live.process import ContextManaged, ProcessError
+from wheatring.lab.live.role_call_target import RoleCall, RoleCallTarget
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 from wheatring.lab.plan import NetPlan
 
-DUTY = "probe"
+ROLE = "probe"
 SEVERED = LinkState(forward=False)
 WAIT_SECONDS = 60.0  # seconds within which whatever is waited for must have come, on a machine that is busy
 RECORDED_EVENTS = (
@@ -95,7 +95,7 @@
             f"d{n}": RigMember(f"d{n}", f"127.{81 + n // 250}.{n % 250 + 1}.{ADDRESS_SUFFIX}", n)
             for n in range(size)
         }
-        self.target = DutyTarget()
+        self.target = RoleCallTarget()
         hosts = {member.name: member.host for member in self.members.values()}
         try:
             self.links = LinkController(seed, hosts, NetPlan(), 1)
@@ -164,7 +164,7 @@
         duty = {"work": '"call"', "call": f'"{self.target.address}"', "every": "0.05", **self.duty_table}
         text = "[fleet]\n" + "".join(f"{key} = {value}\n" for key, value in fleet.items())
         if duty["work"]:
-            text += f"[duty.{DUTY}]\n"
+            text += f"[duty.{ROLE}]\n"
             text += "".join(f"{key} = {value}\n" for key, value in duty.items() if value)
         if self.plan_table is not None:
             keys = {**self.plan_table, **self.member_plans.get(member.name, {})}
@@ -243,24 +243,24 @@
                 raise ProcessError(f"{why}: not within {patience:.0f} s")
             time.sleep(0.01)
 
-    def accepted_calls(self) -> list[DutyCall]:
+    def accepted_calls(self) -> list[RoleCall]:
         """Return the calls that the target has accepted, as they came."""
         return [act for act in self.target.snapshot() if act.is_accepted]
 
-    def next_holder(self, besides: str = "", since: float = 0.0) -> DutyCall:
+    def next_holder(self, besides: str = "", since: float = 0.0) -> RoleCall:
         """Wait for the first accepted call after a monotonic instant by another member than `besides`."""
-        found: DutyCall = self.wait_until(
+        found: RoleCall = self.wait_until(
             lambda: next((a for a in self.accepted_calls() if a.holder != besides and a.at > since), None),
             f"an act by another than {besides!r}",
         )
         return found
 
-    def duty_events(self, name: str) -> list[tuple[float, str]]:
-        """Return a member's log lines on its duty, with the instants at which they were read."""
+    def role_events(self, name: str) -> list[tuple[float, str]]:
+        """Return a member's log lines on its role, with the instants at which they were read."""
         return [event for event in self.members[name].events if event[1].startswith("duty-")]
 
 
-def fencing_violations(acts: list[DutyCall]) -> list[str]:
+def fencing_violations(acts: list[RoleCall]) -> list[str]:
     """List what must never be in a record of calls.
 
     That is one epoch of two holders, or an older epoch accepted after a newer one.
--- a/wheatring/lab/live/plan_cases.py
+++ b/wheatring/lab/live/plan_cases.py
@@ -15,9 +15,9 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from wheatring.lab.live.duty_cases import Measurement
 from wheatring.lab.live.fleet_rig import FleetRig
 from wheatring.lab.live.links.link_state import LinkState
+from wheatring.lab.live.singleton_role_cases import Measurement
 from wheatring.lab.live.view_cases import SETTLE_SECONDS, WAIT_SECONDS, ViewHistory
 
 LARGE_PLAN_BYTES = 100_000  # bytes of a large plan
--- a/wheatring/lab/live/duty_target.py
+++ b/wheatring/lab/live/role_call_target.py
@@ -1,4 +1,4 @@
-"""The target of a duty's calls: a stand-in that rejects older epochs, and records every call."""
+"""The target of a singleton role's calls: a stand-in that rejects older epochs, and records every call."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wheatring.lease.fencing import FencingGuard
 
 
-class DutyCall(NamedTuple):
+class RoleCall(NamedTuple):
     """One call; `at`: monotonic seconds when it arrived."""
 
     at: float
@@ -19,11 +19,11 @@
     is_accepted: bool
 
 
-class DutyTarget(StubServer):
+class RoleCallTarget(StubServer):
     """Listens on loopback, in threads of its own. `status` is the answer to whatever it accepts."""
 
     def __init__(self) -> None:
-        self.calls: list[DutyCall] = []
+        self.calls: list[RoleCall] = []
         self.lock = threading.Lock()
         self.fence = FencingGuard()
         self.status = 200
@@ -47,10 +47,10 @@
         with self.lock:
             epoch = int(headers["Duty-Epoch"])
             let_in = self.fence.admit(epoch)
-            self.calls.append(DutyCall(time.monotonic(), epoch, headers["Duty-Holder"], let_in))
+            self.calls.append(RoleCall(time.monotonic(), epoch, headers["Duty-Holder"], let_in))
             return (self.status if let_in else 409), self.fence.highest_token
 
-    def snapshot(self) -> list[DutyCall]:
+    def snapshot(self) -> list[RoleCall]:
         """Return the calls so far."""
         with self.lock:
             return list(self.calls)
--- a/wheatring/lab/live/duty_cases.py
+++ b/wheatring/lab/live/singleton_role_cases.py
@@ -1,4 +1,4 @@
-"""Cases for a fleet whose members hold a duty, and what is measured of each."""
+"""Cases for a fleet whose members hold a singleton role, and what is measured of each."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def _holder(rig: FleetRig, random: Random) -> str:
-    """Whoever holds the duty, at some instant of its term."""
+    """Whoever holds the role, at some instant of its term."""
     name = rig.next_holder(since=time.monotonic()).holder
     time.sleep(random.random() * rig.term)
     return name
@@ -49,7 +49,7 @@
 def _lost(
     rig: FleetRig, random: Random, how: str, lose: Callable[[str], None]
 ) -> tuple[str, float, Measurement]:
-    """Let the holder lose the duty: who, when, and how it was followed."""
+    """Let the holder lose the role: who, when, and how it was followed."""
     first = _holder(rig, random)
     since = time.monotonic()
     lose(first)
@@ -101,7 +101,7 @@
 
 
 def release(rig: FleetRig, random: Random) -> Measurement:
-    """Have the holder release the duty by an operator's call."""
+    """Have the holder release the role by an operator's call."""
     first = _holder(rig, random)
     since = time.monotonic()
     status, said = rig.admin_call(first, "POST", "duties/probe/release")
--- a/wheatring/lab/live/view_cases.py
+++ b/wheatring/lab/live/view_cases.py
@@ -12,9 +12,9 @@
 from tempfile import TemporaryDirectory
 from typing import NamedTuple
 
-from wheatring.lab.live.duty_cases import COUNTING_SECONDS, Measurement
 from wheatring.lab.live.fleet_rig import FleetRig
 from wheatring.lab.live.links.link_state import LinkState
+from wheatring.lab.live.singleton_role_cases import COUNTING_SECONDS, Measurement
 
 SETTLE_SECONDS = 5.0  # seconds between two cases
 FAULT_SECONDS = 20.0  # seconds for which links are bad
