--- a/wheatring/lab/live/watch.py
+++ b/wheatring/lab/live/watch.py
@@ -5,6 +5,7 @@
 import os
 from collections.abc import Mapping
 from pathlib import Path
+from typing import NamedTuple
 
 from msgspec import Struct, field
 
@@ -56,28 +57,36 @@
     raise ProcessLookupError(f"no core {cpu}")
 
 
+class _Reading(NamedTuple):
+    """The last reading of a process."""
+
+    pid: int
+    at: float
+    cpu_s: float  # CPU time used until then
+
+
 class Watch:
     """Samples processes whenever asked to. One that has ended is left out from then on."""
 
     def __init__(self, now: float) -> None:
         self.began = now
         self.watched: dict[str, Watched] = {}
-        self.out: dict[str, tuple[int, float, float]] = {}  # by name: id, last look, CPU time then
+        self.readings: dict[str, _Reading] = {}  # by name
 
     def add(self, name: str, pid: int, now: float) -> None:
         """Watch a process from now on; a name that was watched before goes on in the same row."""
         self.watched.setdefault(name, Watched(name))
         try:
-            self.out[name] = (pid, now, cpu_seconds(pid))
+            self.readings[name] = _Reading(pid, now, cpu_seconds(pid))
         except OSError:
-            self.out.pop(name, None)
+            self.readings.pop(name, None)
 
     def begin(self, now: float) -> None:
         """Count from now on, and drop what was sampled before."""
         self.began = now
-        for name, (pid, _, _) in list(self.out.items()):
+        for name, reading in list(self.readings.items()):
             del self.watched[name]
-            self.add(name, pid, now)
+            self.add(name, reading.pid, now)
 
     def add_all(self, pids: Mapping[str, int], now: float) -> None:
         """Watch processes by name from now on."""
@@ -86,12 +95,12 @@
 
     def sample(self, now: float) -> None:
         """Sample all processes that still run."""
-        for name, (pid, since, before) in list(self.out.items()):
+        for name, (pid, since, before) in list(self.readings.items()):
             try:
                 cpu, rss = cpu_seconds(pid), rss_mb(pid)
                 descriptors = len(list(Path(f"/proc/{pid}/fd").iterdir()))
             except OSError:
-                del self.out[name]
+                del self.readings[name]
                 continue
             row = self.watched[name]
             share = (cpu - before) / (now - since) if now > since else 0.0
@@ -99,4 +108,4 @@
             row.cpu_s += cpu - before
             row.peak_mb = max(row.peak_mb, rss)
             row.peak_descriptors = max(row.peak_descriptors, descriptors)
-            self.out[name] = (pid, now, cpu)
+            self.readings[name] = _Reading(pid, now, cpu)
--- a/wheatring/lab/rules/drains.py
+++ b/wheatring/lab/rules/drains.py
@@ -11,6 +11,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from wheatring.lab.event_recorder import NodeState
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.links import ELSEWHERE, Links
@@ -32,6 +34,18 @@
         self.started_at = started_at
 
 
+class ListCall(NamedTuple):
+    """A call of a sidecar to discovery that is open."""
+
+    since: float
+    wait: float  # seconds that it may wait for a change
+
+    @property
+    def until(self) -> float:
+        """When its wait is over."""
+        return self.since + self.wait
+
+
 class SidecarKnowledge:
     """What one sidecar has been notified of since its start."""
 
@@ -46,7 +60,7 @@
     )
 
     def __init__(self, at: float) -> None:
-        self.calls: list[tuple[float, float]] = []  # open ones: since when, and how long each may wait
+        self.calls: list[ListCall] = []  # open ones
         self.idle_since = at  # without a call since then
         self.last_call_failed = False  # the last call
         self.pending: dict[str, list[Change]] = {}  # by node
@@ -89,7 +103,7 @@
         """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
         knowledge = self.knowledge_of(sidecar, at)
         self._apply_due_changes(knowledge, at)
-        knowledge.calls.append((at, wait))
+        knowledge.calls.append(ListCall(at, wait))
 
     def record_call_end(self, sidecar: str, failed: bool, at: float) -> None:
         """Note that a call ended without a change, perhaps by a failure."""
@@ -98,7 +112,7 @@
             return  # the call of a process that has ended
         self._apply_due_changes(knowledge, at)
         # Which one it is nobody says. The one that waits less is over sooner.
-        knowledge.calls.remove(min(knowledge.calls, key=lambda each: each[0] + each[1]))
+        knowledge.calls.remove(min(knowledge.calls, key=lambda call: call.until))
         knowledge.idle_since = at
         knowledge.last_call_failed = failed
 
@@ -177,12 +191,11 @@
             times = AFTER_FAILURE_FACTOR if knowledge.last_call_failed else 1
             return max(change.known_at, knowledge.idle_since) + times * rules.ask_within
         last = 0.0
-        for since, wait in knowledge.calls:
-            until = since + wait
-            if wait > 0 and change.known_at <= until:
-                last = max(last, until + AFTER_WAIT_SECONDS)
+        for call in knowledge.calls:
+            if call.wait > 0 and change.known_at <= call.until:
+                last = max(last, call.until + AFTER_WAIT_SECONDS)
             else:
-                last = max(last, max(change.known_at, since) + rules.told_within)
+                last = max(last, max(change.known_at, call.since) + rules.told_within)
         return last
 
     def _apply_due_changes(self, knowledge: SidecarKnowledge, at: float) -> None:
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from math import ceil
-from typing import Any
+from typing import Any, NamedTuple
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
@@ -29,6 +29,14 @@
     return HdrHistogram(1, MAX_LATENCY_MS, 3)
 
 
+class OpenAttempt(NamedTuple):
+    """A client's first attempt that is not settled yet."""
+
+    class_index: int
+    started_at: float
+    second: int  # of the day
+
+
 class Figures:
     """The figures of a day. `start` is the instant at which it begins; instants only rise."""
 
@@ -43,7 +51,7 @@
         self.earned_by_class = [0.0 for _ in plan.classes]
         self.earned_late = 0.0
         self.late_unserved_value = 0.0  # worth that was left unserved after its aim
-        self.open_requests: dict[int, tuple[int, float, int]] = {}  # first tries: class, instant, second
+        self.open_attempts: dict[int, OpenAttempt] = {}
         self.latencies_ms: dict[int, list[float]] = {}  # ms, by second
         self.horizon = int(max([each.deadline for each in plan.classes], default=0.0)) + 2
         self.latency_counts: list[dict[int, int]] = [{} for _ in plan.classes]  # whole ms, by class
@@ -66,14 +74,14 @@
         """Note a first try `first` of the class at an index."""
         second = self.second(at)
         figures = self.classes[index]
-        self.open_requests[first] = (index, at, self.current_number)
+        self.open_attempts[first] = OpenAttempt(index, at, self.current_number)
         second.asked += 1
         second.worth += self.plan.classes[index].worth
         figures.asked += 1
 
     def settled(self, first: int, end: FirstTryEnd, at: float) -> None:
         """Note the end of a first try."""
-        index, since, number = self.open_requests.pop(first)
+        index, since, number = self.open_attempts.pop(first)
         second, figures, plan = self.seconds[number], self.classes[index], self.plan.classes[index]
         took = at - since
         if end == "served":
@@ -117,7 +125,7 @@
     def finish(self, at: float) -> None:
         """End the day: first tries that are still open count as timed out."""
         self.second(at)
-        for first in list(self.open_requests):
+        for first in list(self.open_attempts):
             self.settled(first, "timeout", at)
         for number in list(self.latencies_ms):
             self._compute_percentiles(number)
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -9,6 +9,7 @@
 
 from collections import deque
 from collections.abc import Callable
+from typing import NamedTuple
 
 from wheatring.lab.models.cold import Pressure
 from wheatring.lab.plan import KindPlan, RulesPlan
@@ -18,26 +19,31 @@
 NOTIFIED_SHARE = 2 / 3
 
 
-class WarmUp:
-    """One node that is warming up.
+class Offer(NamedTuple):
+    """Work that was sent to a node that is warming up."""
+
+    at: float
+    work: float  # seconds on a standard core
+    is_notified: bool  # its sidecar had been notified of the node's start
 
-    `offers` are those of the window: when, how much work (seconds on a standard core), and whether from a
-    sidecar that knew of the start.
-    """
+
+class WarmUp:
+    """One node that is warming up; `offers` are those of the window."""
 
     __slots__ = ("capacity", "offers", "pressure", "since", "until")
 
     def __init__(self, rules: RulesPlan, capacity: Callable[[], float], since: float, until: float) -> None:
         self.pressure = Pressure(rules)
-        self.offers: deque[tuple[float, float, bool]] = deque()
+        self.offers: deque[Offer] = deque()
         self.capacity = capacity
         self.since = since
         self.until = until
 
     def is_caused_by_notified(self) -> bool:
         """Return whether two thirds of the work in the window came from notified sidecars."""
-        work = sum([work for _, work, _ in self.offers])
-        return sum([work for _, work, notified in self.offers if notified]) >= NOTIFIED_SHARE * work - 1e-9
+        total = sum([offer.work for offer in self.offers])
+        notified = sum([offer.work for offer in self.offers if offer.is_notified])
+        return notified >= NOTIFIED_SHARE * total - 1e-9
 
 
 class WarmUps:
@@ -64,8 +70,8 @@
             del self.watched[node]
             return
         capacity, offers = start.capacity(), start.offers
-        offers.append((at, work, self.drains.is_notified(sidecar, node, start.since, at)))
-        while offers[0][0] <= at - window:
+        offers.append(Offer(at, work, self.drains.is_notified(sidecar, node, start.since, at)))
+        while offers[0].at <= at - window:
             offers.popleft()
         if start.pressure.offer(at, work, capacity):
             del self.watched[node]
--- a/wheatring/lab/study/compare.py
+++ b/wheatring/lab/study/compare.py
@@ -13,14 +13,13 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.study import StudyError, stats
 from wheatring.lab.study.figures import better, figure
-from wheatring.lab.study.runs import RunSpec
+from wheatring.lab.study.runs import RunKey, RunSpec
 from wheatring.lab.study.store import Row, Store
 
 LEVEL = 0.95
 POWER = 0.8
 
 Pair = tuple[Outcome, Outcome]
-Key = tuple[str, str, int, str, str, str]
 
 
 class Difference(Struct):
@@ -131,7 +130,7 @@
     return hashlib.sha256(repr(sides).encode()).hexdigest()[:16]
 
 
-def _breaches(rows: Mapping[Key, Row], keys: Sequence[Key]) -> int:
+def _breaches(rows: Mapping[RunKey, Row], keys: Sequence[RunKey]) -> int:
     return sum(rows[key].breaches or 0 for key in keys)
 
 
--- a/wheatring/lab/study/runs.py
+++ b/wheatring/lab/study/runs.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from importlib import import_module
 from pathlib import Path
-from typing import Literal
+from typing import Literal, NamedTuple
 
 from msgspec import Struct
 
@@ -32,6 +32,17 @@
     ident: str
 
 
+class RunKey(NamedTuple):
+    """What the store keeps a run by."""
+
+    scenario: str
+    scenario_hash: str
+    seed: int
+    grain: str
+    build: str
+    settings: str
+
+
 class RunSpec(Struct, frozen=True):
     """A run to be played. Its key is all but the folder of the build and the source."""
 
@@ -43,9 +54,11 @@
     settings: Settings
     build: Build
 
-    def key(self) -> tuple[str, str, int, str, str, str]:
+    def key(self) -> RunKey:
         """Return what the store keeps the run by."""
-        return (self.scenario, self.text_hash, self.seed, self.grain, self.build.ident, self.settings.text())
+        return RunKey(
+            self.scenario, self.text_hash, self.seed, self.grain, self.build.ident, self.settings.text()
+        )
 
 
 class RunResult(Struct):
--- a/wheatring/lab/study/store.py
+++ b/wheatring/lab/study/store.py
@@ -12,7 +12,7 @@
 
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.study import StudyError
-from wheatring.lab.study.runs import RunResult, RunSpec
+from wheatring.lab.study.runs import RunKey, RunResult, RunSpec
 
 VERSION = 1  # of the tables below; kept as the file's user_version
 
@@ -52,9 +52,9 @@
     rules: str | None  # broken ones, in the order of their first breach, with spaces between
     wall_s: float | None
 
-    def key(self) -> tuple[str, str, int, str, str, str]:
+    def key(self) -> RunKey:
         """Return what the run is kept by."""
-        return self[:6]
+        return RunKey(*self[:6])
 
 
 FIELDS = ", ".join(Row._fields)
