--- a/wheatring/lab/direct/links.py
+++ b/wheatring/lab/direct/links.py
@@ -22,18 +22,18 @@
 class Link(Protocol):
     """The path from one host to another."""
 
-    def send(self, least: float, call: Callable[..., object], *args: Any) -> float:
-        """Make a call when what is sent now arrives, not before the instant `least`.
+    def send(self, earliest: float, call: Callable[..., object], *args: Any) -> float:
+        """Make a call when what is sent now arrives, not before the instant `earliest`.
 
         Parameters
         ----------
-        least
+        earliest
             The instant at which what was sent earlier arrives.
 
         Returns
         -------
         float
-            The instant of the arrival, or `least` while that is not known.
+            The instant of the arrival, or `earliest` while that is not known.
         """
 
 
@@ -64,17 +64,17 @@
         self.since = 0.0  # of what has been delayed longest
         self.delayed: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
 
-    def send(self, least: float, call: Callable[..., object], *args: Any) -> float:
+    def send(self, earliest: float, call: Callable[..., object], *args: Any) -> float:
         """Make a call when what is sent now arrives; see `Link.send`."""
         if self.cut:
             if not self.delayed:
                 self.since = self.time.instant
             self.delayed.append((call, args))
-            return least
+            return earliest
         time = self.time
         arrival = time.instant + self.floor - self.spread * log(1.0 - self.draw())
-        if arrival < least:
-            arrival = least
+        if arrival < earliest:
+            arrival = earliest
         time.post(arrival, partial(call, *args) if args else call)
         return arrival
 
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -140,10 +140,10 @@
         if member.number in self.admin_numbers:
             more["control"] = "127.0.0.1:0"
         said = settings(CLASSES, peers_total=len(self.members), slot_no=member.number)
-        told = configuration(
+        config = configuration(
             name, f"{member.host}:0", self.discovery, said, member.number + 1, **more
         )  # fmt: skip
-        process = Sidecar(self.folder, told, on_line=line, own=own)
+        process = Sidecar(self.folder, config, on_line=line, own=own)
         member.process = process
         member.starts.append(process)
         by = time.monotonic() + WAIT_SECONDS
--- a/wheatring/lab/live/generator.py
+++ b/wheatring/lab/live/generator.py
@@ -61,7 +61,7 @@
         self.rows = [Tally() for _ in range(max(1, -int(-load.length // 1)))]
         self.done_in_time = 0
         self.timed_out = self.resent = 0
-        self.out = 0  # requests that are not over
+        self.in_flight = 0  # requests that are not over
         self.closing = False  # nothing new is asked
         self.reported = False
         self.idle: list[ClientConnection] = []
@@ -73,9 +73,9 @@
         self.due: deque[ScheduledRequest] = deque()  # in the order of their deadlines
         self.watch = watch.Watch(0.0)
         self.start = time.monotonic()
-        self.begin = self.start + load.warm
-        self.end = self.begin + load.length
-        reactor.callLater(load.warm, self.begun)
+        self.measured_from = self.start + load.warm
+        self.end = self.measured_from + load.length
+        reactor.callLater(load.warm, self.start_measuring)
         reactor.callLater(load.warm + load.length, self.ended_asking)
         self.sweep()
         if load.mode == "open":
@@ -119,7 +119,7 @@
     def send(self, intended: float, now: float) -> None:
         """Make a request and send it, or queue it for a connection."""
         load = self.load
-        since = intended - self.begin
+        since = intended - self.measured_from
         row = self.warmed if since < 0 else self.rows[min(int(since), len(self.rows) - 1)]
         row.asked += 1
         row.late.append(now - intended)
@@ -129,7 +129,7 @@
         deadline = intended + load.patience
         data = self.heads[which] % (max(1, int((deadline - now) * 1000)), name, name)
         request = ScheduledRequest(intended, deadline, row, data)
-        self.out += 1
+        self.in_flight += 1
         self.due.append(request)
         self.place(request)
 
@@ -191,13 +191,13 @@
         if status == b"200":
             counts.served += 1
             request.row.latencies.append(now - request.intended)
-            if self.begin <= now < self.end:
+            if self.measured_from <= now < self.end:
                 self.done_in_time += 1
         elif status == b"503" or status == b"429":
             counts.refused += 1
         else:
             counts.failed += 1
-        self.over(request)
+        self.end_request(request)
 
     def ended(self, connection: ClientConnection) -> None:
         """Count what a connection that ended carried, or send it once more."""
@@ -209,7 +209,7 @@
             request = connection.first or self.first_waiting()
             if request is not None and not request.is_over:
                 request.row.counts.unreached += 1
-                self.over(request, RETRY_SECONDS)
+                self.end_request(request, RETRY_SECONDS)
         elif request is None:
             if connection in self.idle:
                 self.idle.remove(connection)
@@ -221,7 +221,7 @@
             self.connect().first = request
         else:
             request.row.counts.lost += 1
-            self.over(request, RETRY_SECONDS)
+            self.end_request(request, RETRY_SECONDS)
         self.dial()
 
     def first_waiting(self) -> ScheduledRequest | None:
@@ -232,15 +232,15 @@
                 return request
         return None
 
-    def over(self, request: ScheduledRequest, again: float = 0.0) -> None:
-        """End a request; of a closed load, send the next after `again` seconds."""
+    def end_request(self, request: ScheduledRequest, delay: float = 0.0) -> None:
+        """End a request; of a closed load, send the next after `delay` seconds."""
         request.is_over = True
-        self.out -= 1
+        self.in_flight -= 1
         if self.closing:
             self.finish()
         elif self.load.mode == "closed":
-            if again:
-                self.reactor.callLater(again, self.ask_next)
+            if delay:
+                self.reactor.callLater(delay, self.ask_next)
             else:
                 self.ask_next()
 
@@ -275,11 +275,11 @@
             connection.request = None
             connection.close()
             del self.connections[connection]
-        self.over(request)
+        self.end_request(request)
         if connection is not None:
             self.dial()
 
-    def begun(self) -> None:
+    def start_measuring(self) -> None:
         """Begin to measure, as the warm-up is over."""
         now = time.monotonic()
         self.watch = watch.Watch(now)
@@ -296,7 +296,7 @@
             self.rows[number - 1].connections = len(self.connections)
             self.watch.sample(now)
         if number + 1 < len(self.rows):
-            at = self.begin + number + 1
+            at = self.measured_from + number + 1
             self.reactor.callLater(max(0.0, at - time.monotonic()), self.second, number + 1)
 
     def ended_asking(self) -> None:
@@ -313,7 +313,7 @@
 
     def finish(self) -> None:
         """Report, once nothing is open."""
-        if self.out == 0 and self.next == len(self.planned) and not self.reported:
+        if self.in_flight == 0 and self.next == len(self.planned) and not self.reported:
             self.reported = True
             for connection in self.connections:
                 connection.close()
--- a/wheatring/lab/live/links/benchmark.py
+++ b/wheatring/lab/live/links/benchmark.py
@@ -19,39 +19,39 @@
 
 HOSTS = {"load": "127.73.0.1", "node": "127.74.0.1"}
 RATES = (500.0, 1000.0, 2000.0, 3000.0, 4000.0)
-LENGTH = 4.0
-START = 20.0
+LOAD_SECONDS = 4.0
+START_TIMEOUT_SECONDS = 20.0
 
 
 def measure(rates: Sequence[float]) -> None:
     """Print a line for each rate. ProcessError if something does not start."""
     with ExitStack() as stack:
-        words = module("wheatring.lab.live.bench.upstream", HOSTS["node"], "128")
-        node = stack.enter_context(Process("node", words))
-        said = node.wait_for_line("listening ", time.monotonic() + START)
+        arguments = module("wheatring.lab.live.bench.upstream", HOSTS["node"], "128")
+        node = stack.enter_context(Process("node", arguments))
+        said = node.wait_for_line("listening ", time.monotonic() + START_TIMEOUT_SECONDS)
         port = int(dict(pair.split("=") for pair in said.split()[1:])["node"])
         generator = stack.enter_context(Process("load", module("wheatring.lab.live.generator_process")))
         links = LinkController(1, HOSTS, NetPlan(), 1)
         stack.callback(links.end)
         links.reserve(["load>node"])
         links.set_targets({"load>node": (HOSTS["node"], port)})
-        links.stats()  # answered in order: the door is open
+        links.stats()  # answered in order: the port is open
 
-        def asked(host: str, there: int, rate: float) -> Result:
+        def play_at(host: str, port: int, rate: float) -> Result:
             """Play a load on an address at a rate."""
-            told = Load(host=host, port=there, rate=rate, length=LENGTH, connections=200, late_ms=5.0)
-            return play(generator, told)
+            load = Load(host=host, port=port, rate=rate, length=LOAD_SECONDS, connections=200, late_ms=5.0)
+            return play(generator, load)
 
         for rate in rates:
-            straight = asked(HOSTS["node"], port, rate)
+            straight = play_at(HOSTS["node"], port, rate)
             before = links.stats()[0].cpu_s
-            linked = asked(*links.address("load>node"), rate)
+            linked = play_at(*links.address("load>node"), rate)
             cpu = links.stats()[0].cpu_s - before
             each = cpu / max(1, linked.counts.total + linked.warmed) * 1e6
             print(
                 f"{rate:.0f} a second: {linked.per_s:.0f} served; p50 {straight.p50_ms:.2f} ms straight, "
                 f"{linked.p50_ms:.2f} by a link, p99 {straight.p99_ms:.2f} and {linked.p99_ms:.2f}; "
-                f"relay {each:.0f} us of CPU a request, {cpu / (LENGTH + 0.5):.2f} of a core",
+                f"relay {each:.0f} us of CPU a request, {cpu / (LOAD_SECONDS + 0.5):.2f} of a core",
                 flush=True,
             )
 
--- a/wheatring/lab/live/list_acquisition.py
+++ b/wheatring/lab/live/list_acquisition.py
@@ -43,9 +43,9 @@
     free = _available_mb()
     if needed.memory_mb > free:
         raise ProcessError(f"{needed.shown()}, and {free:.0f} MB are free: fewer --sidecars need less")
-    most = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(list(Path("/proc").iterdir()))
-    if needed.processes * THREADS_PER_PROCESS > most:
-        raise ProcessError(f"{needed.shown()}, and there is room for {most // THREADS_PER_PROCESS}")
+    free_processes = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(list(Path("/proc").iterdir()))
+    if needed.processes * THREADS_PER_PROCESS > free_processes:
+        raise ProcessError(f"{needed.shown()}, and there is room for {free_processes // THREADS_PER_PROCESS}")
 
 
 def _available_mb() -> float:
@@ -63,13 +63,13 @@
     """
 
     sidecars: int
-    least: float  # the least time in which discovery can write all of them a list
+    minimum: float  # the least time in which discovery can write all of them a list
     half: float
-    most: float  # 95 of 100
+    p95: float
     all: float
     failed_each: float
     per_s: float  # calls that discovery can answer a second
-    asked_most: int  # in the busiest second that is judged
+    peak_requests: int  # in the busiest second that is judged
     starting: float  # seconds from the first start to the last
 
 
@@ -79,7 +79,7 @@
     sidecars = len(plan.sidecars)
     lines = sum(node.tier == 0 and node.up for node in plan.nodes)
     per_s = plan.discovery.lines_per_s / (plan.discovery.call_lines + lines)
-    front = {told.name for told in plan.sidecars}
+    front = {sidecar.name for sidecar in plan.sidecars}
     first = sorted(at for name, at in lists.first.items() if name in front)
 
     def seconds_until(part: float) -> float:
@@ -100,10 +100,10 @@
 def judged(plan: Plan, outcome: Outcome) -> Iterator[tuple[bool, str]]:
     """Judge each bound that the plan states: whether it is kept, and in words."""
     check, found = plan.check, acquisition_times(plan, outcome)
-    for name, at in (("half", found.half), ("most", found.most), ("all", found.all)):
+    for name, at in (("half", found.half), ("most", found.p95), ("all", found.all)):
         wanted = getattr(check, f"held_{name}")
         if wanted is not None:
-            times = at / found.least
+            times = at / found.minimum
             yield times <= wanted, f"held_{name}: {at:.1f} s, {times:.2f} times the least ({wanted:g})"
     if check.failed_each is not None:
         yield (
@@ -111,11 +111,11 @@
             (f"failed_each: {found.failed_each:.3f} for each list brought ({check.failed_each:g})"),
         )
     if check.asked_most is not None:
-        times = found.asked_most / found.per_s
+        times = found.peak_requests / found.per_s
         yield (
             times <= check.asked_most,
             (
-                f"asked_most: {found.asked_most} in a second, {times:.1f} times what can be answered "
+                f"asked_most: {found.peak_requests} in a second, {times:.1f} times what can be answered "
                 f"({check.asked_most:g})"
             ),
         )
@@ -129,12 +129,12 @@
     yield f"the sidecars took {found.starting:.1f} s to start; times are each one's own from there"
     yield (
         f"{found.sidecars} sidecars, {found.per_s:g} calls a second: hold a list after {found.half:.1f} s "
-        f"(half), {found.most:.1f} (95 of 100), {found.all:.1f} (all); the least is {found.least:.1f}"
+        f"(half), {found.p95:.1f} (95 of 100), {found.all:.1f} (all); the least is {found.minimum:.1f}"
     )
     yield (
         f"{lists.calls} calls, {lists.asks} of them asks; {lists.brought} answered, {lists.failed} failed, "
         f"{lists.given_up} given up; {max(lists.asked, default=0)} asks in a second at most, "
-        f"{found.asked_most} of those judged"
+        f"{found.peak_requests} of those judged"
     )
     for kept, what in judged(plan, outcome):
         yield f"{'kept' if kept else 'NOT KEPT'}  {what}"
--- a/wheatring/lab/live/list_service.py
+++ b/wheatring/lab/live/list_service.py
@@ -93,8 +93,8 @@
         with self.lock:
             self.answers.append(time.monotonic())
             lines = [line for made, line in self.lines.values() if index is None or made > index]
-            told = {"generation": self.generation, "reset": index is None, "instances": lines}
-            return json.dumps(told).encode()
+            view = {"generation": self.generation, "reset": index is None, "instances": lines}
+            return json.dumps(view).encode()
 
     def end(self) -> None:
         """Let callers that wait go, and stop."""
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -144,11 +144,11 @@
         ProcessError
             A sidecar doesn't start.
         KeyboardInterrupt
-            It is told to stop.
+            It is interrupted.
         """
         observers: Any = [self.logged]
         globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False, discardBuffer=True)
-        self.reactor.callWhenRunning(self.begin)
+        self.reactor.callWhenRunning(self.start_processes)
         try:
             raise_descriptor_limit(self.plan)
             if self.links is not None:
@@ -164,12 +164,12 @@
             raise KeyboardInterrupt
         return self.outcome
 
-    def begin(self) -> None:
+    def start_processes(self) -> None:
         """Start what runs from the start."""
         for node in self.plan.nodes:
             self.nodes.add(node.name)
         nodes = [node.name for node in self.plan.nodes if node.up]
-        names = [told.name for told in self.plan.sidecars if told.start == 0]
+        names = [sidecar.name for sidecar in self.plan.sidecars if sidecar.start == 0]
         names += [name for name in nodes if name in self.slots.by_name]
         self.say(f"{len(nodes)} nodes, {len(names)} sidecars from the start on")
         if not names:
@@ -192,14 +192,14 @@
         """Start clients, events and measurements."""
         plan, now = self.plan, self.clock.now()
         self.began = now
-        self.checker.begin(now)
-        self.watch.begin(now)
+        self.checker.start_day(now)
+        self.watch.restart(now)
         self.watch.add(LAB, os.getpid(), now)
         self.clients.start()
         self.event_scheduler.schedule(now, plan.events)
-        for told in plan.sidecars:
-            if told.start > 0:
-                self.clock.at(now + told.start, self.slots.start, self.slots.by_name[told.name])
+        for sidecar in plan.sidecars:
+            if sidecar.start > 0:
+                self.clock.at(now + sidecar.start, self.slots.start, self.slots.by_name[sidecar.name])
         self.clock.at(now + plan.length + plan.tail + SETTLE_SECONDS, self.stop)
         self.clock.at(now + 1, self.second, 2)
         self.tick(now)
@@ -268,7 +268,7 @@
 def links_of(plan: Plan) -> Iterator[str]:
     """Name all links that the day may need."""
     lists = LIST_LINKS if any(event.kind == "discovery_move" for event in plan.events) else LIST_LINKS[:1]
-    callers = [[told.name for told in plan.sidecars]]
+    callers = [[sidecar.name for sidecar in plan.sidecars]]
     callers += [[n.name for n in plan.nodes if n.tier == tier] for tier in range(len(plan.tiers) - 1)]
     for tier, names in enumerate(callers):
         hosts = dict.fromkeys(node.host for node in plan.nodes if node.tier == tier)
--- a/wheatring/lab/live/process.py
+++ b/wheatring/lab/live/process.py
@@ -25,9 +25,9 @@
     """A process didn't do what it was started for; the text is one line that names it."""
 
 
-def module(name: str, *words: str) -> list[str]:
+def module(name: str, *arguments: str) -> list[str]:
     """Return the command that runs a module with this interpreter."""
-    return [sys.executable, "-m", name, *words]
+    return [sys.executable, "-m", name, *arguments]
 
 
 class ContextManaged:
--- a/wheatring/lab/live/scale.py
+++ b/wheatring/lab/live/scale.py
@@ -42,22 +42,26 @@
     if scale == 1:
         return plan
     stand_in: dict[str, str] = {}  # for every node and sidecar, one that is left
-    front = _thinned(plan.sidecars, scale, stand_in)
+    front = _sampled(plan.sidecars, scale, stand_in)
     first: list[NodePlan] = []
     for tier in range(len(plan.tiers)):
-        first += _thinned([n for n in plan.nodes if n.tier == tier and n.up], scale, stand_in)
-    events, left = _lives(plan.events, scale, {node.name for node in first})
+        first += _sampled([n for n in plan.nodes if n.tier == tier and n.up], scale, stand_in)
+    events, left = _kept_events(plan.events, scale, {node.name for node in first})
     for place, node in enumerate(plan.nodes):
         if not node.up:  # it comes later, or would have
             peers = [other.name for other in first if other.tier == node.tier]
             stand_in[node.name] = node.name if node.name in left else peers[place % len(peers)]
-    moved = [event if event.kind in LIFECYCLE_EVENTS else _moved(event, scale, stand_in) for event in events]
+    moved = [
+        event if event.kind in LIFECYCLE_EVENTS else _remapped(event, scale, stand_in) for event in events
+    ]
     nodes = tuple(node for node in plan.nodes if node.name in left)
-    traffic = structs.replace(plan.traffic, rate=plan.traffic.rate * _capacity_left(plan, first))
+    traffic = structs.replace(plan.traffic, rate=plan.traffic.rate * _remaining_capacity(plan, first))
     return structs.replace(plan, sidecars=tuple(front), nodes=nodes, events=tuple(moved), traffic=traffic)
 
 
-def _lives(events: Iterable[EventPlan], scale: float, left: set[str]) -> tuple[list[EventPlan], set[str]]:
+def _kept_events(
+    events: Iterable[EventPlan], scale: float, left: set[str]
+) -> tuple[list[EventPlan], set[str]]:
     """Keep the lifecycle events of nodes that are left; return the events, and all nodes left then.
 
     Starts are as many as the scale leaves; nodes that come later are among those left.
@@ -85,9 +89,9 @@
     return kept, left
 
 
-def _thinned(whole: Iterable[One], scale: float, stand_in: dict[str, str]) -> list[One]:
+def _sampled(items: Iterable[One], scale: float, stand_in: dict[str, str]) -> list[One]:
     """Evenly spread over their order, so that all kinds and zones stay; who is left out has a stand-in."""
-    given = list(whole)
+    given = list(items)
     count = min(len(given), max(1, round(scale * len(given))))
     left = [given[place * len(given) // count] for place in range(count)]
     for place, one in enumerate(given):
@@ -97,7 +101,7 @@
     return left
 
 
-def _moved(event: EventPlan, scale: float, stand_in: dict[str, str]) -> EventPlan:
+def _remapped(event: EventPlan, scale: float, stand_in: dict[str, str]) -> EventPlan:
     def fewer(names: tuple[str, ...]) -> tuple[str, ...]:
         """Return the names that are left, in the same proportion."""
         moved = list(dict.fromkeys(stand_in[name] for name in names if name in stand_in))
@@ -106,9 +110,9 @@
     return structs.replace(event, nodes=fewer(event.nodes), sidecars=fewer(event.sidecars))
 
 
-def _capacity_left(plan: Plan, left: list[NodePlan]) -> float:
+def _remaining_capacity(plan: Plan, kept: list[NodePlan]) -> float:
     def capacity_of(nodes: Iterable[NodePlan], tier: int) -> float:
         """Return the capacity of a tier."""
         return sum(n.speed * plan.tiers[tier].kinds[n.kind].cores for n in nodes if n.tier == tier and n.up)
 
-    return min(capacity_of(left, tier) / capacity_of(plan.nodes, tier) for tier in range(len(plan.tiers)))
+    return min(capacity_of(kept, tier) / capacity_of(plan.nodes, tier) for tier in range(len(plan.tiers)))
--- a/wheatring/lab/live/sidecar.py
+++ b/wheatring/lab/live/sidecar.py
@@ -54,7 +54,7 @@
     def __init__(
         self,
         folder: Path,
-        told: Mapping[str, Any],
+        config: Mapping[str, Any],
         cpus: Collection[int] = (),
         operators: str = "",
         capture: bool = False,
@@ -62,23 +62,23 @@
         on_end: Callable[[], None] | None = None,
         own: Path | None = None,
     ) -> None:
-        name = str(told["name"])
+        name = str(config["name"])
         self.file = folder / f"{name}.json"
-        self.write(told)
+        self.write(config)
         # Its own, so that none is read from the folder in which the lab happens to run.
         mine = folder / f"{name}.properties"
         mine.write_text(operators, encoding="utf-8")
-        words = ["--operators", str(mine), *["--capture"] * capture]
+        arguments = ["--operators", str(mine), *["--capture"] * capture]
         if own is not None:
-            words += ["--config", str(own)]
+            arguments += ["--config", str(own)]
         environment = {"LB_CONFIG": str(self.file)}
         if own is not None:
             environment["TMPDIR"] = str(folder)
-        super().__init__(name, module("wheatring", *words), environment, cpus, on_line, on_end)
+        super().__init__(name, module("wheatring", *arguments), environment, cpus, on_line, on_end)
 
-    def write(self, told: Mapping[str, Any]) -> None:
+    def write(self, config: Mapping[str, Any]) -> None:
         """Write its configuration, which it reads at its start and on SIGHUP."""
-        self.file.write_text(json.dumps(told), encoding="utf-8")
+        self.file.write_text(json.dumps(config), encoding="utf-8")
 
     def port(self, by: float | None = None) -> int:
         """Wait until it listens, until `by` in monotonic seconds, and return its port; else ProcessError."""
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -53,7 +53,7 @@
         self.port = 0  # once it has listened for the first time, kept
         self.list_server: DiscoveryServer | None = None
         self.list_port = 0
-        self.moves = self.notified_moves = 0  # of discovery, so far; and when it was last told
+        self.moves = self.notified_moves = 0  # of discovery, so far; and when it was last notified
         self.process: Sidecar | None = None
         self.launch: _Launch | None = None  # it is being started
         self.up = self.stopping = False
@@ -82,7 +82,7 @@
 class SidecarSlots:
     """Starts and ends sidecars, and reports to the record of the run and to whoever else wants to know.
 
-    `on_up` is called once one listens, `on_stopping` when it is told to stop, `on_down` when it has ended,
+    `on_up` is called once one listens, `on_stopping` when it is stopped, `on_down` when it has ended,
     `on_failed` when it did so before it listened.
     """
 
@@ -115,8 +115,8 @@
         self.processes: list[Sidecar] = []
         hosts = sidecar_hosts(plan)
         copies = len(plan.sidecars)
-        for number, told in enumerate(plan.sidecars):
-            self._add(SidecarSlot(told.name, told.host, 0, number, copies))
+        for number, sidecar in enumerate(plan.sidecars):
+            self._add(SidecarSlot(sidecar.name, sidecar.host, 0, number, copies))
         for tier in range(len(plan.tiers) - 1):
             callers = [node for node in plan.nodes if node.tier == tier]
             for number, node in enumerate(callers):
@@ -174,9 +174,9 @@
             """Report the end of the process to the reactor's thread."""
             self.reactor.callFromThread(self._when_launched, launch, lambda: self._ended(slot, launch))
 
-        def make(told: dict[str, Any]) -> None:
+        def make(config: dict[str, Any]) -> None:
             """Start the process, in a thread of its own."""
-            process = Sidecar(self.folder, told, on_line=line, on_end=end)
+            process = Sidecar(self.folder, config, on_line=line, on_end=end)
             self.processes.append(process)
             self.reactor.callFromThread(self._launched, slot, launch, process)
 
@@ -229,7 +229,7 @@
     def _notify_move(self, slot: SidecarSlot) -> None:
         """Have a sidecar read where discovery is, unless it knows.
 
-        One that doesn't listen yet is told once it does: until it handles SIGHUP it would end by it.
+        One that doesn't listen yet is notified once it does: until it handles SIGHUP it would end by it.
         """
         if slot.up and slot.process is not None and slot.notified_moves != slot.moves:
             slot.process.write(self.configuration(slot))
--- a/wheatring/lab/live/starting.py
+++ b/wheatring/lab/live/starting.py
@@ -53,14 +53,14 @@
     return Start(listening, cpu, pages * os.sysconf("SC_PAGE_SIZE") / 2**20, gone)
 
 
-def main(words: list[str]) -> None:
+def main(arguments: list[str]) -> None:
     """Print the figures of so many starts."""
-    runs = int(words[0]) if words else 11
-    core = int(words[1]) if len(words) > 1 else max(os.sched_getaffinity(0))
+    runs = int(arguments[0]) if arguments else 11
+    core = int(arguments[1]) if len(arguments) > 1 else max(os.sched_getaffinity(0))
     with tempfile.TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
-        told = json.loads(CONFIG.read_text(encoding="utf-8"))
-        config.write_text(json.dumps({**told, "listen": "127.0.0.1:0"}), encoding="utf-8")
+        configuration = json.loads(CONFIG.read_text(encoding="utf-8"))
+        config.write_text(json.dumps({**configuration, "listen": "127.0.0.1:0"}), encoding="utf-8")
         starts = [once(config, core) for _ in range(runs)]
     for name in Start._fields:
         values = sorted(getattr(start, name) for start in starts)
--- a/wheatring/lab/live/view_cases.py
+++ b/wheatring/lab/live/view_cases.py
@@ -202,11 +202,13 @@
         back = ViewHistory(rig)
         took = back.wait_for_one_view(names, size)
         changes = history.changes(rest)
-        told = [text for at, text in rig.members[one].events if at > history.since and f"side={how}" in text]
+        noticed = [
+            text for at, text in rig.members[one].events if at > history.since and f"side={how}" in text
+        ]
         yield Measurement(
-            len(changes) == 2 and bool(told),
+            len(changes) == 2 and bool(noticed),
             f"one is {how}: out after {out:.1f} s, whole {took:.1f} s after it is mended, "
-            f"{len(changes)} changes, it knows: {'yes' if told else 'no'}",
+            f"{len(changes)} changes, it knows: {'yes' if noticed else 'no'}",
         )
         time.sleep(SETTLE_SECONDS)
 
--- a/wheatring/lab/live/watch.py
+++ b/wheatring/lab/live/watch.py
@@ -81,7 +81,7 @@
         except OSError:
             self.readings.pop(name, None)
 
-    def begin(self, now: float) -> None:
+    def restart(self, now: float) -> None:
         """Count from now on, and drop what was sampled before."""
         self.began = now
         for name, reading in list(self.readings.items()):
--- a/wheatring/lab/rules/invariant_checker.py
+++ b/wheatring/lab/rules/invariant_checker.py
@@ -75,7 +75,7 @@
         self.front_outage = FrontOutage(self.front, start)
         self.discovery_calls = DiscoveryCalls(self.day_seconds)
 
-    def begin(self, at: float) -> None:
+    def start_day(self, at: float) -> None:
         """Start the day only now, for a world whose start takes an unknown time.
 
         All that was noted before must have been noted with a `start` yet to come.
