--- a/tests/lab/direct/direct_world.py
+++ b/tests/lab/direct/direct_world.py
@@ -13,8 +13,8 @@
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar, SidecarConfig, SidecarNetwork
 from wheatring.lab.direct.sidecar_client import DirectRequest, DirectSidecarClient
-from wheatring.lab.models.discovery import Answer
-from wheatring.lab.models.visit import Verdict, Visit
+from wheatring.lab.models.list_request import ListReply
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.plan import NetPlan, TierPlan
 
@@ -49,30 +49,30 @@
         return [line[1:] for line in self.lines if line[0] == what]
 
 
-class Troubles:
-    refusing = False
+class MachineFaults:
+    refuses_connections = False
     connect_delay = 0.0
 
 
 class Script:
-    """A node's machine, which holds its visits until the story replies, or replies `at_once`."""
+    """A node's machine, which holds its attempts until the story replies, or replies `at_once`."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.running = True
-        self.full = False
+        self.is_full = False
         self.connections = 0
-        self.visits: list[Visit] = []
-        self.gone: list[Visit] = []
-        self.at_once: Verdict | None = None
-        self._troubles = Troubles()
+        self.attempts: list[ReceivedAttempt] = []
+        self.gone: list[ReceivedAttempt] = []
+        self.at_once: AttemptOutcome | None = None
+        self._faults = MachineFaults()
 
     @property
-    def troubles(self) -> Troubles:
-        return self._troubles
+    def faults(self) -> MachineFaults:
+        return self._faults
 
     def connect(self) -> float | None:
-        if self.full:
+        if self.is_full:
             return None
         self.connections += 1
         return 0.0
@@ -80,19 +80,19 @@
     def disconnect(self) -> None:
         self.connections -= 1
 
-    def visit(self, visit: Visit) -> None:
-        self.visits.append(visit)
+    def receive(self, attempt: ReceivedAttempt) -> None:
+        self.attempts.append(attempt)
         if self.at_once is not None:
-            visit.reply(self.at_once, "stamp")
+            attempt.reply(self.at_once, "stamp")
 
-    def abandoned(self, visit: Visit) -> None:
-        self.gone.append(visit)
+    def abandon(self, attempt: ReceivedAttempt) -> None:
+        self.gone.append(attempt)
 
 
-class Call:
-    broken = False
+class ListRequest:
+    is_broken_off = False
 
-    def __init__(self, index: int | None, wait: float, done: Callable[[Answer | None], None]) -> None:
+    def __init__(self, index: int | None, wait: float, done: Callable[[ListReply | None], None]) -> None:
         self.index = index
         self.wait = wait
         self.done = done
@@ -106,12 +106,16 @@
     """Discovery, which answers when the story does."""
 
     def __init__(self) -> None:
-        self.calls: list[Call] = []
-
-    def call(
-        self, sidecar: str, index: int | None, wait: float, done: Callable[[Answer | None], None]
-    ) -> Call:
-        self.calls.append(Call(index, wait, done))
+        self.calls: list[ListRequest] = []
+
+    def request_list(
+        self,
+        sidecar: str,
+        known_version: int | None,
+        wait: float,
+        on_reply: Callable[[ListReply | None], None],
+    ) -> ListRequest:
+        self.calls.append(ListRequest(known_version, wait, on_reply))
         return self.calls[-1]
 
 
@@ -171,7 +175,7 @@
         return {"instanceId": "n", "hostPort": "m:1", "lifecycle": "SERVING", "startedAtMs": 0, **more}
 
     def ask(self, ident: str = "a", index: int = 0, left: float = 2.0) -> DirectRequest:
-        return self.way.ask("s", ident, index, left, "", False, lambda *end: self.replies.append(end))
+        return self.way.send("s", ident, index, left, "", False, lambda *end: self.replies.append(end))
 
     def outcomes(self) -> list[Outcome | None]:
         return [claim.outcome for claim in self.claims]
--- a/tests/lab/scenario/test_draw.py
+++ b/tests/lab/scenario/test_draw.py
@@ -23,7 +23,7 @@
 from wheatring.lab.scenario.fault_messages import labels
 from wheatring.lab.scenario.load import ScenarioError, load, names, parse
 from wheatring.lab.scenario.plan_builder import draw
-from wheatring.lab.scenario.sampler import Sampler, apportion
+from wheatring.lab.scenario.sampler import PlanSampler, apportion
 
 BASE = msgspec.to_builtins(load("base").scenario)
 
@@ -122,7 +122,7 @@
 @given(st.floats(-1e6, 1e6), st.floats(-1e6, 1e6), st.integers(), st.text(max_size=20))
 def test_a_number_lies_in_its_range(one: float, other: float, seed: int, path: str) -> None:
     low, high = sorted((one, other))
-    assert low <= Sampler(seed).number(path, (low, high)) <= high
+    assert low <= PlanSampler(seed).number(path, (low, high)) <= high
 
 
 @settings(derandomize=True)
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -1,4 +1,4 @@
-"""The client side without bytes: attempts become visits, on a pool of kept connections.
+"""The client side without bytes: attempts on a pool of kept connections to nodes.
 
 It keeps to the rules of the HTTP client's pool, and gives the outcomes that this would give.
 """
@@ -12,26 +12,34 @@
 from wheatring.balancer.interface import Outcome, View
 from wheatring.core.clock import Timer
 from wheatring.core.exchange import Attempt, Exchange
-from wheatring.http1.connection_pool import SWEEP_SECONDS, update_ready
+from wheatring.http1.connection_pool import IDLE_FRACTION, SWEEP_SECONDS, ConnectionTable, update_ready
 from wheatring.http1.endpoint_connection import EndpointAddress
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.links import Links
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.event_recorder import EventRecorder
-from wheatring.lab.models.visit import Verdict, Visit
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 
 # Looked up once: an enum takes its time.
 SERVED, CONNECT_FAILED, RESET = Outcome.SERVED, Outcome.CONNECT_FAILED, Outcome.RESET
-VERDICT_SERVED, VERDICT_AWAY, VERDICT_RESET = Verdict.SERVED, Verdict.AWAY, Verdict.RESET
+ATTEMPT_SERVED, ATTEMPT_REJECTED, ATTEMPT_RESET = (
+    AttemptOutcome.SERVED,
+    AttemptOutcome.REJECTED,
+    AttemptOutcome.RESET,
+)
 # Of answers that leave a clean connection; any other can't be read.
-OUTCOMES = {Verdict.SERVED: SERVED, Verdict.AWAY: Outcome.REJECTED, Verdict.ERROR: Outcome.ERROR}
+OUTCOMES = {
+    AttemptOutcome.SERVED: SERVED,
+    AttemptOutcome.REJECTED: Outcome.REJECTED,
+    AttemptOutcome.ERROR: Outcome.ERROR,
+}
 
 
 class DirectConnection:
     """One connection to a node, both ends of it, with one attempt on it at a time.
 
     `is_alive`, `attempt` and what is about it are the sidecar's, to which events come a link's delay after
-    they happened; `visit`, `has_begun`, `handshake`, `node_idle` and `reply_arrival` are the node's.
+    they happened; `received`, `has_begun`, `handshake`, `node_idle` and `reply_arrival` are the node's.
     """
 
     __slots__ = (
@@ -49,8 +57,8 @@
         "node",
         "node_idle",
         "pool",
+        "received",
         "reply_arrival",
-        "visit",
     )  # fmt: skip
 
     def __init__(self, pool: DirectConnectionPool, address: EndpointAddress, attempt: Attempt) -> None:
@@ -66,8 +74,8 @@
         self.is_alive = False
         self.idle_since = 0.0
         self.arrival = 0.0  # of what was last sent on it
-        self.visit: Visit | None = None
-        self.has_begun = False  # the visit is at the machine
+        self.received: ReceivedAttempt | None = None
+        self.has_begun = False  # the received attempt is at the machine
         self.handshake = 0.0  # seconds that it still costs the first request
         self.node_idle = 0.0
         self.reply_arrival = 0.0
@@ -138,34 +146,34 @@
         now = pool.time.instant
         left = int((attempt.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
         pool.recorder.sending(pool.name, self.node.name, now)
-        visit = Visit(attempt.request.correlation_id, pool.name, left, now, self.reply)
-        self.arrival = self.forward.send(self.arrival, self.node.request, self, visit)
+        received = ReceivedAttempt(attempt.request.correlation_id, pool.name, left, now, self.reply)
+        self.arrival = self.forward.send(self.arrival, self.node.request, self, received)
 
-    def reply(self, verdict: Verdict, stamp: str) -> None:
-        """At the node: answer the visit, or reset the connection."""
+    def reply(self, attempt_outcome: AttemptOutcome, stamp: str) -> None:
+        """At the node: answer the received attempt, or reset the connection."""
         node = self.node
-        visit, self.visit = self.visit, None
-        if visit is None:
+        received, self.received = self.received, None
+        if received is None:
             return
         self.has_begun = False
-        if verdict is VERDICT_RESET:
+        if attempt_outcome is ATTEMPT_RESET:
             node.close(self)
             return
-        if verdict is VERDICT_AWAY:
-            node.recorder.turned_away(node.name, visit.ident)
+        if attempt_outcome is ATTEMPT_REJECTED:
+            node.recorder.turned_away(node.name, received.ident)
         self.node_idle = node.time.instant
-        self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, verdict, stamp)
+        self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, attempt_outcome, stamp)
 
-    def answered(self, verdict: Verdict, stamp: str) -> None:
-        """End the attempt with the node's verdict."""
+    def answered(self, attempt_outcome: AttemptOutcome, stamp: str) -> None:
+        """End the attempt with the node's outcome."""
         attempt = self.attempt
         if attempt is None or self.pool.clock.over:
             return
         self.attempt = None
-        if verdict is VERDICT_SERVED:
+        if attempt_outcome is ATTEMPT_SERVED:
             outcome: Outcome | None = SERVED
         else:
-            outcome = OUTCOMES.get(verdict)
+            outcome = OUTCOMES.get(attempt_outcome)
         if outcome is not None:
             self.pool.keep(self)
             self.pool.exchange.end_attempt(attempt, outcome, stamp)
@@ -204,7 +212,7 @@
                 self.pool.exchange.end_attempt(attempt, RESET)
 
 
-class DirectConnectionPool:
+class DirectConnectionPool(ConnectionTable[DirectConnection]):
     """Starts attempts, and keeps clean connections for the next ones; the one used last is reused first.
 
     Parameters
@@ -230,6 +238,7 @@
         idle: float,
         max_connections: int,
     ) -> None:
+        super().__init__()
         self.name = name
         self.host = host
         self.nodes = nodes
@@ -239,12 +248,8 @@
         self.links = links
         self.recorder = recorder
         self.connect_time = connect_time
-        self.idle = idle * 0.7  # as the HTTP client's
+        self.idle_timeout = idle * IDLE_FRACTION
         self.max_connections = max_connections
-        self.addresses: dict[str, str] = {}
-        self.ready: set[str] = set()
-        self.idle_connections: dict[tuple[str, str], deque[DirectConnection]] = {}
-        self.connections: dict[DirectConnection, None] = {}  # in the order in which they came
         self.connecting: dict[DirectConnection, None] = {}  # under way, in the order in which they began
         exchange.start_attempt = self.start
         exchange.close_idle = self.close_idle
@@ -253,12 +258,13 @@
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt on an idle connection or a new one."""
-        address = self.addresses.get(attempt.endpoint)
-        if address is None:
+        location = self.addresses.get(attempt.endpoint)
+        if location is None:
             # The list no longer says where the node is.
             self.clock.at(self.clock.now(), self.exchange.end_attempt, attempt, CONNECT_FAILED)
             return
-        idle = self.idle_connections.get((attempt.endpoint, address))
+        address = EndpointAddress(attempt.endpoint, location)
+        idle = self.idle_connections.get(address)
         if idle:
             idle.pop().send(attempt)
             return
@@ -266,29 +272,25 @@
             log.line("too-many-connections", most=self.max_connections)
             self.clock.at(self.clock.now(), self.exchange.end_attempt, attempt, CONNECT_FAILED)
             return
-        connection = DirectConnection(self, EndpointAddress(attempt.endpoint, address), attempt)
+        connection = DirectConnection(self, address, attempt)
         self.connecting[connection] = None
         connection.connect()
 
     def apply_list(self, view: View) -> None:
         """Close what a new endpoint list no longer allows, as the HTTP client does."""
-        update_ready(self.ready, view)
+        update_ready(self.ready_endpoints, view)
         for connection in [
-            connection for connection in self.connecting if not self.is_current(connection.address)
+            connection for connection in self.connecting if not self.is_usable(connection.address)
         ]:
             connection.refused()
         for address, idle in list(self.idle_connections.items()):
-            if not self.is_current(EndpointAddress(*address)):
+            if not self.is_usable(address):
                 for connection in list(idle):
                     connection.close()
 
-    def is_current(self, address: EndpointAddress) -> bool:
-        """Return whether the list still has the endpoint at that address."""
-        return address.endpoint in self.ready and self.addresses.get(address.endpoint) == address.address
-
     def keep(self, connection: DirectConnection) -> None:
         """Keep a connection for the next attempt."""
-        if not self.is_current(connection.address):
+        if not self.is_usable(connection.address):
             connection.close()
             return
         connection.idle_since = self.time.instant
@@ -297,21 +299,9 @@
             idle = self.idle_connections[connection.address] = deque()
         idle.append(connection)
 
-    def remove(self, connection: DirectConnection) -> None:
-        """Remove a connection that has ended."""
-        self.connections.pop(connection, None)
-        idle = self.idle_connections.get(connection.address)
-        if idle is not None:
-            if connection in idle:
-                idle.remove(connection)
-            if not idle:
-                del self.idle_connections[connection.address]
-
     def retire_oldest(self) -> bool:
         """Close the connection that has been idle longest; return whether there was one."""
-        oldest = min(
-            (q[0] for q in self.idle_connections.values() if q), key=lambda c: c.idle_since, default=None
-        )
+        oldest = self.oldest_idle()
         if oldest is None:
             return False
         oldest.close()
@@ -319,8 +309,7 @@
 
     def close_idle(self, node: str) -> None:
         """Close the idle connections to a node."""
-        address = EndpointAddress(node, self.addresses.get(node, ""))
-        for connection in list(self.idle_connections.get(address, ())):
+        for connection in self.idle_to(node):
             connection.close()
 
     def reset(self) -> None:
@@ -339,7 +328,7 @@
         """Close connections that have been idle for too long, and schedule the next sweep."""
         now = self.clock.now()
         self.clock.at(now + SWEEP_SECONDS, self.sweep)
-        for (node, address), idle in list(self.idle_connections.items()):
-            gone = self.addresses.get(node) != address
-            while idle and (gone or now - idle[0].idle_since > self.idle):
+        for address, idle in list(self.idle_connections.items()):
+            gone = self.addresses.get(address.endpoint) != address.address
+            while idle and (gone or now - idle[0].idle_since > self.idle_timeout):
                 idle[0].close()
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -10,10 +10,10 @@
 from wheatring.lab.direct.node import DirectNode
 from wheatring.lab.direct.sidecar import DirectSidecar, SidecarConfig, SidecarNetwork
 from wheatring.lab.direct.sidecar_client import DirectSidecarClient
-from wheatring.lab.models.below import Calls
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.visit import Below
+from wheatring.lab.models.next_tier import NextTierClient
+from wheatring.lab.models.received_attempt import NextTierCall
 from wheatring.lab.plan import EventPlan, NodePlan
 from wheatring.lab.world.environment import CLIENTS, DISCOVERY, PORT, sidecar_hosts, zones
 
@@ -51,13 +51,13 @@
 
     # Nodes
 
-    def downstream_client(self, node: NodePlan) -> Below:
+    def downstream_client(self, node: NodePlan) -> NextTierCall:
         """Return the node's calls through its own sidecar."""
-        return Calls(
+        return NextTierClient(
             node.name,
             lambda: self.client_transport,
             self.world.origins,
-            self.world.call_size_draws(node),
+            self.world.work_samplers(node),
             self.time,
         )
 
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -10,7 +10,7 @@
 from wheatring.core.exchange import Answer, AnswerKind, Request
 from wheatring.lab.direct.links import Links
 from wheatring.lab.event_recorder import EventRecorder, ResponseKind
-from wheatring.lab.models.way import Done
+from wheatring.lab.models.request_transport import ResponseCallback
 from wheatring.lab.timers import PlayedTime
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
 
     def __init__(
         self, client: DirectSidecarClient, sidecar: str, ident: str, index: int, until: float, key: str,
-        repeat: bool, done: Done,
+        repeat: bool, done: ResponseCallback,
     ) -> None:  # fmt: skip
         self.client = client
         self.sidecar = sidecar
@@ -128,7 +128,7 @@
             self.client.recorder.lost(self.sidecar, self.ident, "reset")
             self.done("lost", 0.0)
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Abandon the request; the sidecar learns of it a link's delay later."""
         if self.is_over:
             return
@@ -141,7 +141,7 @@
 
 
 class DirectSidecarClient:
-    """Carries requests to the sidecars that run; implements `models.way.Way`.
+    """Carries requests to the sidecars that run; implements `models.request_transport.RequestTransport`.
 
     Parameters
     ----------
@@ -169,11 +169,20 @@
         self.open_counts = dict.fromkeys(max_connections or (), 0)
         self.waiting: dict[str, deque[DirectRequest]] = {name: deque() for name in max_connections or ()}
 
-    def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
+    def send(
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,
+        time_left: float,
+        key: str,
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
     ) -> DirectRequest:
-        """Send a request to a sidecar; see `models.way.Way`."""
-        request = DirectRequest(self, sidecar, ident, index, self.time.instant + left, key, repeat, done)
+        """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
+        request = DirectRequest(
+            self, sidecar, ident, index, self.time.instant + time_left, key, is_marked_retry, on_response
+        )
         if self.max_connections and sidecar in self.max_connections:
             self.waiting[sidecar].append(request)
             self.send_waiting(sidecar)
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -34,7 +34,7 @@
 from wheatring.lab.live.watch import Watch, Watched
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.discovery import Registry
-from wheatring.lab.models.front import Front
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import NetPlan, Plan
 from wheatring.lab.rules import InvariantChecker
@@ -92,7 +92,7 @@
             first_request_of=self.origins.first,
         )
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
-        self.front = Front(clock, self.random("front"), plan.front_notice)
+        self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
         self.links = (
             make_links(plan) if with_links or any(e.kind in LINK_EVENTS for e in plan.events) else None
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -1,8 +1,8 @@
 """The fourth rule: the work sent to a node that is warming up.
 
-Nodes are overloaded by `Pressure`, and the rule judges by it. More than it allows is a breach if two thirds
-of the work came from sidecars that had been notified of the start. Each start is watched until the node
-is warm or has been overloaded.
+Nodes are overloaded by `OverloadDetector`, and the rule judges by it. More than it allows is a breach if
+two thirds of the work came from sidecars that had been notified of the start. Each start is watched until
+the node is warm or has been overloaded.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from wheatring.lab.models.cold import Pressure
+from wheatring.lab.models.slow_start import OverloadDetector
 from wheatring.lab.plan import KindPlan, RulesPlan
 from wheatring.lab.rules.breaches import Breaches
 from wheatring.lab.rules.drains import Drains
@@ -30,10 +30,10 @@
 class WarmUp:
     """One node that is warming up; `offers` are those of the window."""
 
-    __slots__ = ("capacity", "offers", "pressure", "since", "until")
+    __slots__ = ("capacity", "offers", "overload", "since", "until")
 
     def __init__(self, rules: RulesPlan, capacity: Callable[[], float], since: float, until: float) -> None:
-        self.pressure = Pressure(rules)
+        self.overload = OverloadDetector(rules)
         self.offers: deque[Offer] = deque()
         self.capacity = capacity
         self.since = since
@@ -73,11 +73,11 @@
         offers.append(Offer(at, work, self.drains.is_notified(sidecar, node, start.since, at)))
         while offers[0].at <= at - window:
             offers.popleft()
-        if start.pressure.offer(at, work, capacity):
+        if start.overload.offer(at, work, capacity):
             del self.watched[node]
             self.overload_count += 1
             if start.is_caused_by_notified():
-                what = f"{node} was sent {start.pressure.total:.3f} s of work within {window} s,"
+                what = f"{node} was sent {start.overload.total_work:.3f} s of work within {window} s,"
                 what += (
                     f" {at - start.since:.1f} s after its start, when it could do {capacity:.3f} s a second."
                 )
--- a/wheatring/lab/scenario/sampler.py
+++ b/wheatring/lab/scenario/sampler.py
@@ -17,7 +17,7 @@
 Integers = int | tuple[int, ...]
 
 
-class Sampler:
+class PlanSampler:
     """All draws of one seed, by path."""
 
     def __init__(self, seed: int) -> None:
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -8,8 +8,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from wheatring.lab.models import troubles
-from wheatring.lab.models.discovery import Registry, Trouble
+from wheatring.lab.models.discovery import DiscoveryFault, Registry
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.plan import EventPlan
 from wheatring.lab.timers import Timers
@@ -17,7 +16,7 @@
 NODE_FAULTS = frozenset(
     ("slow", "hang", "fast_errors", "neighbour", "conn_cap", "spoilt", "resets", "refuse", "late_connects")
 )
-DISCOVERY_FAULTS: dict[str, Trouble] = {
+DISCOVERY_FAULTS: dict[str, DiscoveryFault] = {
     "discovery_down": "down",
     "discovery_silent": "silent",
     "discovery_slow": "slow",
@@ -140,7 +139,8 @@
         """Inject a fault, or end it."""
         if event.kind in NODE_FAULTS:
             for node in event.nodes:
-                (troubles.begin if on else troubles.end)(self.machines[node], event)
+                faults = self.machines[node].faults
+                (faults.begin if on else faults.end)(event)
         elif event.kind == "vanish":
             for node in event.nodes:
                 (self.lifecycles.isolate if on else self.lifecycles.reconnect)(node)
@@ -151,7 +151,7 @@
             self.slots.move_discovery()
         elif event.kind in DISCOVERY_FAULTS:
             if on:
-                self.end_discovery_fault[event] = self.registry.begin(
+                self.end_discovery_fault[event] = self.registry.begin_fault(
                     DISCOVERY_FAULTS[event.kind], event.size or 1.0
                 )
             else:
