--- a/tests/lab/models/machine_world.py
+++ b/tests/lab/models/machine_world.py
@@ -6,13 +6,13 @@
 from random import Random
 from typing import Any, cast
 
-from wheatring.lab.book import Book
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.deduplication import EffectDeduplicator
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
 from wheatring.lab.models.received_attempt import AttemptOutcome, NextTierCall, ReceivedAttempt
 from wheatring.lab.net.time import VirtualTime
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, KindPlan, NodePlan, RulesPlan, TierPlan
 
 
@@ -54,8 +54,8 @@
     ) -> None:  # fmt: skip
         self.time = VirtualTime(start)
         self.noted = Noted()
-        book = cast(Book, self.noted)
-        self.origins = Origins(Random("origins"))
+        book = cast(EventRecorder, self.noted)
+        self.origins = CorrelationTable(Random("origins"))
         self.effects = EffectDeduplicator(self.time, classes, book)
         self.ended: list[tuple[float, str, AttemptOutcome]] = []
         self.names: dict[str, str] = {}
@@ -71,7 +71,7 @@
     ) -> ReceivedAttempt:
         """A request arrives now. `ident`: of a request whose attempt this is, too."""
         if not ident:
-            ident = self.origins.new(Origin(0, index, work, key))
+            ident = self.origins.new(OriginalRequest(0, index, work, key))
             self.names[ident] = name
 
         def reply(verdict: AttemptOutcome, stamp: str) -> None:
--- a/wheatring/lab/book.py
+++ b/wheatring/lab/event_recorder.py
@@ -2,7 +2,8 @@
 
 Only what an observer of the sockets would see is reported, and nothing flows back. `sidecar`, `node` and
 `ident` are names; `index` is the class's index in the plan. Instants are those of the world's clock, and an
-event happens at the present instant unless another is given.
+event happens at the present instant unless another is given. A method has the name that its events have in
+traces.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 NodeState = Literal["ready", "draining", "gone"]
 
 
-class Book(Protocol):
+class EventRecorder(Protocol):
     """Receiver of the events of a day; one method for each kind of event."""
 
     # Clients
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Collection
 
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
 from wheatring.lab.live.sidecar_slots import SidecarSlot, SidecarSlots
@@ -19,9 +19,9 @@
     """
 
     def __init__(
-        self, nodes: Nodes, slots: SidecarSlots, front: FrontLoadBalancer, wires: Wires | None = None
+        self, nodes: Nodes, slots: SidecarSlots, front: FrontLoadBalancer, links: LinkController | None = None
     ) -> None:
-        self.wires = wires
+        self.links = links
         self.nodes = nodes
         self.slots = slots
         self.front = front
@@ -100,16 +100,16 @@
         if node in self.slots.by_name:
             self.slots.kill(self.slots.by_name[node], 0.0)
 
-    def vanish(self, node: str) -> None:
+    def isolate(self, node: str) -> None:
         """Let a node's machine, with its own sidecar, fall silent."""
-        assert self.wires is not None
-        self.wires.begin(self._silence(node))
+        assert self.links is not None
+        self.links.start_fault(self._silence(node))
         self.nodes.registry.node_vanished(node)
 
-    def back(self, node: str) -> None:
+    def reconnect(self, node: str) -> None:
         """Let a machine that was silent answer again; its connections are reset."""
-        assert self.wires is not None
-        self.wires.over(self._silence(node), reset=True)
+        assert self.links is not None
+        self.links.end_fault(self._silence(node), reset=True)
         machine = self.nodes.nodes[node].machine
         if machine.running:
             self.nodes.registry.node_started(node, machine.started_at)
--- a/wheatring/lab/live/list_acquisition.py
+++ b/wheatring/lab/live/list_acquisition.py
@@ -43,9 +43,9 @@
     free = _available_mb()
     if needed.memory_mb > free:
         raise ProcessError(f"{needed.shown()}, and {free:.0f} MB are free: fewer --sidecars need less")
-    most = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(list(Path("/proc").iterdir()))
-    if needed.processes * THREADS_PER_PROCESS > most:
-        raise ProcessError(f"{needed.shown()}, and there is room for {most // THREADS_PER_PROCESS}")
+    free_processes = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(list(Path("/proc").iterdir()))
+    if needed.processes * THREADS_PER_PROCESS > free_processes:
+        raise ProcessError(f"{needed.shown()}, and there is room for {free_processes // THREADS_PER_PROCESS}")
 
 
 def _available_mb() -> float:
@@ -63,13 +63,13 @@
     """
 
     sidecars: int
-    least: float  # the least time in which discovery can write all of them a list
+    minimum: float  # the least time in which discovery can write all of them a list
     half: float
-    most: float  # 95 of 100
+    p95: float
     all: float
     failed_each: float
     per_s: float  # calls that discovery can answer a second
-    asked_most: int  # in the busiest second that is judged
+    peak_requests: int  # in the busiest second that is judged
     starting: float  # seconds from the first start to the last
 
 
@@ -79,10 +79,11 @@
     sidecars = len(plan.sidecars)
     lines = sum(node.tier == 0 and node.up for node in plan.nodes)
     per_s = plan.discovery.lines_per_s / (plan.discovery.call_lines + lines)
-    front = {told.name for told in plan.sidecars}
+    front = {sidecar.name for sidecar in plan.sidecars}
     first = sorted(at for name, at in lists.first.items() if name in front)
 
-    def held(part: float) -> float:
+    def seconds_until(part: float) -> float:
+        """Return the seconds until this part of the sidecars had a list."""
         place = ceil(part * sidecars) - 1
         return first[place] if place < len(first) else inf
 
@@ -90,7 +91,7 @@
     up = max([at for name, at in lists.started.items() if name in front], default=0.0)
     start = ceil(max(up + STARTING_SECONDS, plan.check.after))
     return AcquisitionTimes(
-        sidecars, sidecars / per_s, held(0.5), held(0.95), held(1.0),
+        sidecars, sidecars / per_s, seconds_until(0.5), seconds_until(0.95), seconds_until(1.0),
         lists.failed / max(1, lists.brought), per_s, max(lists.asked[start:], default=0),
         up - min([at for name, at in lists.started.items() if name in front], default=0.0),
     )  # fmt: skip
@@ -99,10 +100,10 @@
 def judged(plan: Plan, outcome: Outcome) -> Iterator[tuple[bool, str]]:
     """Judge each bound that the plan states: whether it is kept, and in words."""
     check, found = plan.check, acquisition_times(plan, outcome)
-    for name, at in (("half", found.half), ("most", found.most), ("all", found.all)):
+    for name, at in (("half", found.half), ("most", found.p95), ("all", found.all)):
         wanted = getattr(check, f"held_{name}")
         if wanted is not None:
-            times = at / found.least
+            times = at / found.minimum
             yield times <= wanted, f"held_{name}: {at:.1f} s, {times:.2f} times the least ({wanted:g})"
     if check.failed_each is not None:
         yield (
@@ -110,11 +111,11 @@
             (f"failed_each: {found.failed_each:.3f} for each list brought ({check.failed_each:g})"),
         )
     if check.asked_most is not None:
-        times = found.asked_most / found.per_s
+        times = found.peak_requests / found.per_s
         yield (
             times <= check.asked_most,
             (
-                f"asked_most: {found.asked_most} in a second, {times:.1f} times what can be answered "
+                f"asked_most: {found.peak_requests} in a second, {times:.1f} times what can be answered "
                 f"({check.asked_most:g})"
             ),
         )
@@ -128,12 +129,12 @@
     yield f"the sidecars took {found.starting:.1f} s to start; times are each one's own from there"
     yield (
         f"{found.sidecars} sidecars, {found.per_s:g} calls a second: hold a list after {found.half:.1f} s "
-        f"(half), {found.most:.1f} (95 of 100), {found.all:.1f} (all); the least is {found.least:.1f}"
+        f"(half), {found.p95:.1f} (95 of 100), {found.all:.1f} (all); the least is {found.minimum:.1f}"
     )
     yield (
         f"{lists.calls} calls, {lists.asks} of them asks; {lists.brought} answered, {lists.failed} failed, "
         f"{lists.given_up} given up; {max(lists.asked, default=0)} asks in a second at most, "
-        f"{found.asked_most} of those judged"
+        f"{found.peak_requests} of those judged"
     )
     for kept, what in judged(plan, outcome):
         yield f"{'kept' if kept else 'NOT KEPT'}  {what}"
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -14,8 +14,9 @@
 from typing import Any
 
 from wheatring.core.clock import Clock
-from wheatring.lab.book import Book
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.correlation import CorrelationTable
+from wheatring.lab.event_recorder import EventRecorder
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.models.deduplication import EffectDeduplicator
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
@@ -23,7 +24,6 @@
 from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
 from wheatring.lab.models.next_tier import NextTierClient
 from wheatring.lab.models.traffic import work_sampler
-from wheatring.lab.origins import Origins
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
 from wheatring.lab.wire.node_server import NodeServer
 from wheatring.lab.wire.request_format import RequestFormat
@@ -56,20 +56,20 @@
         reactor: Any,
         plan: Plan,
         clock: Clock,
-        origins: Origins,
-        book: Book,
+        origins: CorrelationTable,
+        recorder: EventRecorder,
         registry: Registry,
         where: Where,
-        wires: Wires | None = None,
+        links: LinkController | None = None,
     ) -> None:
-        self.wires = wires
+        self.links = links
         self.reactor = reactor
         self.plan = plan
         self.clock = clock
         self.origins = origins
         self.registry = registry
         self.forms = RequestFormat(plan.classes)
-        self.book = book
+        self.recorder = recorder
         self.where = where
         self.ports: dict[tuple[str, str], int] = {}  # by host and sidecar: once the kernel has chosen, kept
         self.hosts = {node.name: node.host for node in plan.nodes}
@@ -77,7 +77,7 @@
         for tier in range(len(plan.tiers) - 1):
             self.callers.append([(node.name, node.zone) for node in plan.nodes if node.tier == tier])
         self.ways: dict[str, SidecarClient] = {}  # of nodes that run, into their own sidecars
-        deduplicator = EffectDeduplicator(clock, plan.classes, book)
+        deduplicator = EffectDeduplicator(clock, plan.classes, recorder)
         self.nodes = {node.name: self._node(node, deduplicator) for node in plan.nodes}
         self.on_crash: Callable[[str], object] = lambda _name: None
 
@@ -93,7 +93,7 @@
             timers=self.clock,
             random=Random(f"{plan.seed}:node:{node.name}"),
             correlation_table=self.origins,
-            recorder=self.book,
+            recorder=self.recorder,
             call_next_tier=client,
             deduplicator=deduplicator,
         )
@@ -104,15 +104,15 @@
             trip = 2 * (plan.net.same if zone == node.zone else plan.net.cross)
             made.peers[sidecar] = NodeServer(
                 machine, tier, self.clock, Random(f"{plan.seed}:spoilt:{node.name}:{sidecar}"),
-                self.origins, self.forms, self.book, partial(_this, sidecar), partial(_that, trip),
+                self.origins, self.forms, self.recorder, partial(_this, sidecar), partial(_that, trip),
             )  # fmt: skip
         return made
 
     def address(self, sidecar: str, node: RegisteredNode) -> str:
         """Return where a sidecar finds an endpoint that has been up, as HOST:PORT."""
         host = self.hosts[node.name]
-        if self.wires is not None:
-            host, port = self.wires.address(f"{sidecar}>{host}")
+        if self.links is not None:
+            host, port = self.links.address(f"{sidecar}>{host}")
             return f"{host}:{port}"
         return f"{host}:{self.ports[host, sidecar]}"
 
@@ -139,7 +139,7 @@
         node.machine.start(cold)
         if node.plan.tier + 1 < len(self.plan.tiers):
             self.ways[node.plan.name] = SidecarClient(
-                self.reactor, self.clock, self.book, self.forms, self.where, node.plan.host
+                self.reactor, self.clock, self.recorder, self.forms, self.where, node.plan.host
             )
 
     def drain(self, name: str) -> None:
@@ -160,14 +160,14 @@
 
     # The effects of a node's faults on the network; its machine has been notified of them.
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Close the ports of endpoints that a fault makes refuse connections."""
         for name in event.nodes:
             node = self.nodes[name]
             if node.machine.faults.refuses_connections:
                 self._close(node)
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """Open the ports again of endpoints that run."""
         for name in event.nodes:
             node = self.nodes[name]
@@ -194,13 +194,13 @@
             door = self.reactor.listenTCP(port, peer, backlog=BACKLOG, interface=host)
             self.ports[host, sidecar] = door.getHost().port
             node.doors.append(door)
-        if self.wires is not None:
-            self.wires.lead({f"{one}>{host}": (host, self.ports[host, one]) for one in node.peers})
+        if self.links is not None:
+            self.links.set_targets({f"{one}>{host}": (host, self.ports[host, one]) for one in node.peers})
 
     def _close(self, node: Node) -> None:
         doors, node.doors = node.doors, []
-        if self.wires is not None and doors:
-            self.wires.close([f"{one}>{node.plan.host}" for one in node.peers])
+        if self.links is not None and doors:
+            self.links.close([f"{one}>{node.plan.host}" for one in node.peers])
         for door in doors:
             door.stopListening()
 
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -22,10 +22,11 @@
 from twisted.logger import globalLogBeginner
 
 from wheatring.core.clock import Clock
+from wheatring.lab.correlation import CorrelationTable
 from wheatring.lab.live import tally
 from wheatring.lab.live.lifecycles import Lifecycles
 from wheatring.lab.live.links.faults import Faults
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
 from wheatring.lab.live.scale import LINK_EVENTS
@@ -34,14 +35,13 @@
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
-from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import NetPlan, Plan
-from wheatring.lab.rules import Ledger
+from wheatring.lab.rules import InvariantChecker
 from wheatring.lab.wire.request_format import RequestFormat
 from wheatring.lab.wire.sidecar_client import SidecarClient
-from wheatring.lab.world.events import Events
-from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, sidecar_hosts
+from wheatring.lab.world.events import EventScheduler
 
 LEAD_SECONDS = 0.5  # seconds from when all sidecars listen until the day begins
 SETTLE_SECONDS = 0.5  # seconds past the tail
@@ -72,46 +72,57 @@
 
 
 class Play:
-    """One plan, wired. `say` gets a line now and then."""
+    """One plan, played with real processes. `say` gets a line now and then."""
 
-    def __init__(self, plan: Plan, folder: Path, say: Callable[[str], None], wired: bool = False) -> None:
+    def __init__(
+        self, plan: Plan, folder: Path, say: Callable[[str], None], with_links: bool = False
+    ) -> None:
         reactor: Any = installed  # Twisted's own type lacks half of its methods
         reactor.seconds = time.monotonic
         self.reactor = reactor
         self.plan = plan
         self.say = say
         self.clock = clock = Clock(reactor)
-        self.origins = Origins(self.random("ids"))
-        self.book = Ledger(
-            structs.replace(plan, net=LINKS), "live", clock.now, float("inf"), family=self.origins.first
+        self.origins = CorrelationTable(self.random("ids"))
+        self.checker = InvariantChecker(
+            structs.replace(plan, net=LINKS),
+            "live",
+            clock.now,
+            float("inf"),
+            first_request_of=self.origins.first,
         )
-        self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.book)
+        self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
-        self.wires = wires_of(plan) if wired or any(e.kind in LINK_EVENTS for e in plan.events) else None
+        self.links = (
+            make_links(plan) if with_links or any(e.kind in LINK_EVENTS for e in plan.events) else None
+        )
         self.nodes = Nodes(
-            reactor, plan, clock, self.origins, self.book, self.registry,
-            lambda name: self.slots.where(name), self.wires,
+            reactor, plan, clock, self.origins, self.checker, self.registry,
+            lambda name: self.slots.where(name), self.links,
         )  # fmt: skip
         self.slots = SidecarSlots(
-            reactor, plan, clock, self.book, self.registry, self.nodes.address, folder, self.watch, self.wires
-        )
-        self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.wires)
+            reactor, plan, clock, self.checker, self.registry,
+            self.nodes.address, folder, self.watch, self.links,
+        )  # fmt: skip
+        self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.links)
         self.lifecycles.ready, self.lifecycles.failed = self.start_day, self.stop
         way = SidecarClient(
-            reactor, clock, self.book, RequestFormat(plan.classes), self.slots.where, CLIENTS,
+            reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
             plan.clients.connections,
         )  # fmt: skip
-        self.clients = Clients(plan, clock, self.random("clients"), self.origins, self.book, self.front, way)
+        self.clients = Clients(
+            plan, clock, self.random("clients"), self.origins, self.checker, self.front, way
+        )
         machines = {name: node.machine for name, node in self.nodes.nodes.items()}
-        self.events = Events(
+        self.event_scheduler = EventScheduler(
             clock,
-            Faults(plan, self.nodes, self.wires),
+            Faults(plan, self.nodes, self.links),
             machines,
             self.registry,
             self.slots,
             self.lifecycles,
-            self.book.happens,
+            self.checker.record_event,
         )
         self.lateness = array("d")
         self.began = 0.0
@@ -133,32 +144,32 @@
         ProcessError
             A sidecar doesn't start.
         KeyboardInterrupt
-            It is told to stop.
+            It is interrupted.
         """
         observers: Any = [self.logged]
         globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False, discardBuffer=True)
-        self.reactor.callWhenRunning(self.begin)
+        self.reactor.callWhenRunning(self.start_processes)
         try:
             raise_descriptor_limit(self.plan)
-            if self.wires is not None:
-                self.wires.reserve(links_of(self.plan))
+            if self.links is not None:
+                self.links.reserve(links_of(self.plan))
             self.reactor.run()
         finally:
             self.slots.end()
-            if self.wires is not None:
-                self.wires.end()
+            if self.links is not None:
+                self.links.end()
         if self.fault is not None:
             raise self.fault
         if self.outcome is None:
             raise KeyboardInterrupt
         return self.outcome
 
-    def begin(self) -> None:
+    def start_processes(self) -> None:
         """Start what runs from the start."""
         for node in self.plan.nodes:
             self.nodes.add(node.name)
         nodes = [node.name for node in self.plan.nodes if node.up]
-        names = [told.name for told in self.plan.sidecars if told.start == 0]
+        names = [sidecar.name for sidecar in self.plan.sidecars if sidecar.start == 0]
         names += [name for name in nodes if name in self.slots.by_name]
         self.say(f"{len(nodes)} nodes, {len(names)} sidecars from the start on")
         if not names:
@@ -181,14 +192,14 @@
         """Start clients, events and measurements."""
         plan, now = self.plan, self.clock.now()
         self.began = now
-        self.book.begin(now)
-        self.watch.begin(now)
+        self.checker.start_day(now)
+        self.watch.restart(now)
         self.watch.add(LAB, os.getpid(), now)
         self.clients.start()
-        self.events.schedule(now, plan.events)
-        for told in plan.sidecars:
-            if told.start > 0:
-                self.clock.at(now + told.start, self.slots.start, self.slots.by_name[told.name])
+        self.event_scheduler.schedule(now, plan.events)
+        for sidecar in plan.sidecars:
+            if sidecar.start > 0:
+                self.clock.at(now + sidecar.start, self.slots.start, self.slots.by_name[sidecar.name])
         self.clock.at(now + plan.length + plan.tail + SETTLE_SECONDS, self.stop)
         self.clock.at(now + 1, self.second, 2)
         self.tick(now)
@@ -231,33 +242,33 @@
             for name, row in self.watch.watched.items()
             if name in self.slots.by_name
         }
-        found = self.book.finish(self.clock.now() - self.began, held)
+        found = self.checker.finish(self.clock.now() - self.began, held)
         outcome = LiveOutcome(
             **structs.asdict(found),
             watched=list(self.watch.watched.values()),
             late_ms=tally.percentile_ms(array("d", sorted(self.lateness)), 0.99),
             late_most_ms=max(self.lateness, default=0.0) * 1000,
         )
-        return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)  # a copy: the book still writes
+        return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)  # a copy: the checker still writes
 
 
-def wires_for(plan: Plan) -> int:
+def relay_count(plan: Plan) -> int:
     """Return how many relays carry a plan's links."""
-    return min(MAX_RELAYS, -(-len(side_hosts(plan)) // SIDECARS_PER_RELAY))
+    return min(MAX_RELAYS, -(-len(sidecar_hosts(plan)) // SIDECARS_PER_RELAY))
 
 
-def wires_of(plan: Plan) -> Wires:
+def make_links(plan: Plan) -> LinkController:
     """Make the links between a plan's processes; they are yet to be reserved."""
-    hosts = side_hosts(plan)
+    hosts = sidecar_hosts(plan)
     hosts |= {node.host: node.host for node in plan.nodes}
     hosts |= {CLIENTS: CLIENTS, **dict.fromkeys(LIST_LINKS, DISCOVERY[0])}
-    return Wires(plan.seed, hosts, plan.net, wires_for(plan))
+    return LinkController(plan.seed, hosts, plan.net, relay_count(plan))
 
 
 def links_of(plan: Plan) -> Iterator[str]:
     """Name all links that the day may need."""
     lists = LIST_LINKS if any(event.kind == "discovery_move" for event in plan.events) else LIST_LINKS[:1]
-    callers = [[told.name for told in plan.sidecars]]
+    callers = [[sidecar.name for sidecar in plan.sidecars]]
     callers += [[n.name for n in plan.nodes if n.tier == tier] for tier in range(len(plan.tiers) - 1)]
     for tier, names in enumerate(callers):
         hosts = dict.fromkeys(node.host for node in plan.nodes if node.tier == tier)
@@ -286,8 +297,8 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
 
 
-def play(plan: Plan, say: Callable[[str], None], wired: bool = False) -> LiveOutcome:
-    """Play a plan, with links between its processes if it needs them or `wired` says so.
+def play(plan: Plan, say: Callable[[str], None], with_links: bool = False) -> LiveOutcome:
+    """Play a plan, with links between its processes if it needs them or `with_links` says so.
 
     However it ends, all its processes have ended then.
 
@@ -297,7 +308,7 @@
         It can't be played.
     """
     with TemporaryDirectory() as folder:
-        return Play(plan, Path(folder), say, wired).run()
+        return Play(plan, Path(folder), say, with_links).run()
 
 
 def shown(outcome: LiveOutcome) -> Iterator[str]:
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -11,20 +11,20 @@
 from typing import Any
 
 from wheatring.core.clock import Clock, Timer
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.sidecar import Sidecar, configuration, port_in
 from wheatring.lab.live.watch import Watch
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_json import list_reply_json
 from wheatring.lab.plan import Plan
-from wheatring.lab.rules import Ledger
+from wheatring.lab.rules import InvariantChecker
 from wheatring.lab.settings import sidecar_settings
 from wheatring.lab.wire.discovery_server import DiscoveryServer
-from wheatring.lab.world.ground import CLIENTS, DISCOVERY, side_hosts
+from wheatring.lab.world.environment import CLIENTS, DISCOVERY, sidecar_hosts
 from wheatring.lab.world.world import SIDECAR_FAULT_CODES
 
 LIST_LINKS = ("list", "list-moved")  # discovery, as links name it, before and after it has moved
-# Lines of its log that are told to the book: what it could not reach, and faults of its own.
+# Lines of a sidecar's log that are reported to the checker: what it could not reach, and faults of its own.
 CONNECT_FAILED_LINES = ("endpoint-connection code=connect-failed", "endpoint-connection code=not-up-in-time")
 LIST_REFUSED_LINE = "discovery-connection code=connect-failed"
 FAULT_LINES = tuple(f"{word} " for word in sorted(SIDECAR_FAULT_CODES))
@@ -53,24 +53,25 @@
         self.port = 0  # once it has listened for the first time, kept
         self.list_server: DiscoveryServer | None = None
         self.list_port = 0
-        self.moves = self.notified_moves = 0  # of discovery, so far; and when it was last told
+        self.moves = self.notified_moves = 0  # of discovery, so far; and when it was last notified
         self.process: Sidecar | None = None
         self.launch: _Launch | None = None  # it is being started
         self.up = self.stopping = False
-        self.down = 0.0  # seconds from its end to its next start; 0: it has none
+        self.restart_delay = 0.0  # seconds from its end to its next start; 0: it has none
         self.timer: Timer | None = None
 
 
 class _RelayedPort:
-    """A door of ours that a link leads to."""
+    """A port of ours that a link leads to."""
 
-    def __init__(self, door: Any, close: Callable[[], None]) -> None:
-        self.door = door
+    def __init__(self, port: Any, close: Callable[[], None]) -> None:
+        self.port = port
         self.close = close
 
     def stopListening(self) -> None:  # noqa: N802 - Twisted's name
+        """Close the link, then the port behind it."""
         self.close()
-        self.door.stopListening()
+        self.port.stopListening()
 
 
 def _list_link(name: str, moves: int) -> str:
@@ -81,7 +82,7 @@
 class SidecarSlots:
     """Starts and ends sidecars, and reports to the record of the run and to whoever else wants to know.
 
-    `on_up` is called once one listens, `on_stopping` when it is told to stop, `on_down` when it has ended,
+    `on_up` is called once one listens, `on_stopping` when it is stopped, `on_down` when it has ended,
     `on_failed` when it did so before it listened.
     """
 
@@ -90,18 +91,18 @@
         reactor: Any,
         plan: Plan,
         clock: Clock,
-        book: Ledger,
+        checker: InvariantChecker,
         registry: Registry,
         address: Callable[[str, Any], str],
         folder: Path,
         watch: Watch,
-        wires: Wires | None = None,
+        links: LinkController | None = None,
     ) -> None:
-        self.wires = wires
+        self.links = links
         self.reactor = reactor
         self.plan = plan
         self.clock = clock
-        self.book = book
+        self.checker = checker
         self.registry = registry
         self.address = address
         self.folder = folder
@@ -112,10 +113,10 @@
         self.on_failed: Callable[[SidecarSlot], object]
         self.by_name: dict[str, SidecarSlot] = {}
         self.processes: list[Sidecar] = []
-        hosts = side_hosts(plan)
+        hosts = sidecar_hosts(plan)
         copies = len(plan.sidecars)
-        for number, told in enumerate(plan.sidecars):
-            self._add(SidecarSlot(told.name, told.host, 0, number, copies))
+        for number, sidecar in enumerate(plan.sidecars):
+            self._add(SidecarSlot(sidecar.name, sidecar.host, 0, number, copies))
         for tier in range(len(plan.tiers) - 1):
             callers = [node for node in plan.nodes if node.tier == tier]
             for number, node in enumerate(callers):
@@ -128,8 +129,8 @@
     def where(self, name: str) -> tuple[str, int]:
         """Return where callers find a sidecar; for one that never listened, a port where nobody does."""
         slot = self.by_name[name]
-        if self.wires is not None and slot.tier == 0:
-            return self.wires.address(f"{CLIENTS}>{name}")
+        if self.links is not None and slot.tier == 0:
+            return self.links.address(f"{CLIENTS}>{name}")
         return slot.host, slot.port
 
     def configuration(self, slot: SidecarSlot) -> dict[str, Any]:
@@ -151,8 +152,8 @@
     def discovery(self, slot: SidecarSlot) -> str:
         """Return where a sidecar finds discovery, as HOST:PORT."""
         host, port = DISCOVERY[0], slot.list_port
-        if self.wires is not None:
-            host, port = self.wires.address(_list_link(slot.name, slot.moves))
+        if self.links is not None:
+            host, port = self.links.address(_list_link(slot.name, slot.moves))
         return f"{host}:{port}"
 
     def start(self, slot: SidecarSlot) -> None:
@@ -165,16 +166,19 @@
         launch = slot.launch = _Launch()
 
         def line(text: str) -> None:
+            """Pass a line of the sidecar's log on to the reactor's thread, if it matters."""
             if text.startswith(("listening ", LIST_REFUSED_LINE, *CONNECT_FAILED_LINES, *FAULT_LINES)):
                 self.reactor.callFromThread(
                     self._when_launched, launch, lambda: self._on_line(slot, launch, text)
                 )
 
         def end() -> None:
+            """Report the end of the process to the reactor's thread."""
             self.reactor.callFromThread(self._when_launched, launch, lambda: self._ended(slot, launch))
 
-        def make(told: dict[str, Any]) -> None:
-            process = Sidecar(self.folder, told, on_line=line, on_end=end)
+        def make(config: dict[str, Any]) -> None:
+            """Start the process, in a thread of its own."""
+            process = Sidecar(self.folder, config, on_line=line, on_end=end)
             self.processes.append(process)
             self.reactor.callFromThread(self._launched, slot, launch, process)
 
@@ -201,20 +205,20 @@
     def _serve_list(self, slot: SidecarSlot) -> None:
         slot.list_port = 0
         slot.list_server = DiscoveryServer(
-            self.registry, self.book, lambda _host: slot.name, partial(self._listen, slot),
+            self.registry, self.checker, lambda _host: slot.name, partial(self._listen, slot),
             partial(self.address, slot.name),
         )  # fmt: skip
 
     def _listen(self, slot: SidecarSlot, factory: Any) -> Any:
-        door = self.reactor.listenTCP(slot.list_port, factory, interface=DISCOVERY[0])
-        slot.list_port = door.getHost().port
-        if self.wires is None:
-            return door
+        port = self.reactor.listenTCP(slot.list_port, factory, interface=DISCOVERY[0])
+        slot.list_port = port.getHost().port
+        if self.links is None:
+            return port
         link = _list_link(slot.name, slot.moves)
-        self.wires.lead({link: (DISCOVERY[0], slot.list_port)})
-        return _RelayedPort(door, partial(self.wires.close, [link]))
+        self.links.set_targets({link: (DISCOVERY[0], slot.list_port)})
+        return _RelayedPort(port, partial(self.links.close, [link]))
 
-    def move(self) -> None:
+    def move_discovery(self) -> None:
         """Move discovery to another address; what was open at the old one ends."""
         for slot in self.by_name.values():
             if slot.list_server is None:
@@ -227,16 +231,16 @@
     def _notify_move(self, slot: SidecarSlot) -> None:
         """Have a sidecar read where discovery is, unless it knows.
 
-        One that doesn't listen yet is told once it does: until it handles SIGHUP it would end by it.
+        One that doesn't listen yet is notified once it does: until it handles SIGHUP it would end by it.
         """
         if slot.up and slot.process is not None and slot.notified_moves != slot.moves:
             slot.process.write(self.configuration(slot))
             slot.process.send(signal.SIGHUP)
 
-    def stall(self, slot: SidecarSlot, on: bool) -> None:
+    def set_paused(self, slot: SidecarSlot, paused: bool) -> None:
         """Pause a sidecar's process, or let it go on."""
         if slot.process is not None:
-            slot.process.send(signal.SIGSTOP if on else signal.SIGCONT)
+            slot.process.send(signal.SIGSTOP if paused else signal.SIGCONT)
 
     def _on_line(self, slot: SidecarSlot, launch: _Launch, text: str) -> None:
         if slot.process is not launch.process:
@@ -244,21 +248,21 @@
         if text.startswith("listening "):
             slot.port = port_in(text)
             slot.up = True
-            if self.wires is not None and slot.tier == 0:
-                self.wires.lead({f"{CLIENTS}>{slot.name}": (slot.host, slot.port)})
-            self.book.sidecar_up(slot.name)
+            if self.links is not None and slot.tier == 0:
+                self.links.set_targets({f"{CLIENTS}>{slot.name}": (slot.host, slot.port)})
+            self.checker.sidecar_up(slot.name)
             self._notify_move(slot)
             self.on_up(slot)
         elif text.startswith(LIST_REFUSED_LINE):
             self.registry.connection_refused(slot.name)
         elif text.startswith(CONNECT_FAILED_LINES):
-            self.book.note("unconnected", sidecar=slot.name)
+            self.checker.note("unconnected", sidecar=slot.name)
         else:
-            self.book.fault(slot.name, text)
+            self.checker.fault(slot.name, text)
 
-    def kill(self, slot: SidecarSlot, down: float) -> None:
-        """Kill a sidecar outright, and start it again after `down` seconds, if that isn't 0."""
-        slot.down = down
+    def kill(self, slot: SidecarSlot, restart_delay: float) -> None:
+        """Kill a sidecar outright, and start it again after `restart_delay` seconds, if that isn't 0."""
+        slot.restart_delay = restart_delay
         slot.launch = None
         if slot.process is not None:
             slot.process.send(signal.SIGKILL)
@@ -266,14 +270,14 @@
         else:
             self._schedule_start(slot)
 
-    def restart(self, slot: SidecarSlot, patience: float, down: float) -> None:
-        """Stop a sidecar gracefully, kill it after `patience` seconds, and start it `down` after its end."""
+    def restart(self, slot: SidecarSlot, stop_timeout: float, restart_delay: float) -> None:
+        """Stop it, kill it after `stop_timeout` seconds, and start it `restart_delay` after its end."""
         if not slot.up or slot.stopping or slot.process is None:
             return
-        slot.stopping, slot.down = True, down
-        self.book.sidecar_stopping(slot.name)
+        slot.stopping, slot.restart_delay = True, restart_delay
+        self.checker.sidecar_stopping(slot.name)
         self.on_stopping(slot)
-        slot.timer = self.clock.at(self.clock.now() + patience, self.kill, slot, down)
+        slot.timer = self.clock.at(self.clock.now() + stop_timeout, self.kill, slot, restart_delay)
         slot.process.send(signal.SIGTERM)
 
     def _ended(self, slot: SidecarSlot, launch: _Launch) -> None:
@@ -283,22 +287,22 @@
 
     def _ended_now(self, slot: SidecarSlot, killed: bool) -> None:
         was_up = slot.up
-        if self.wires is not None and slot.tier == 0:
-            self.wires.close([f"{CLIENTS}>{slot.name}"])
+        if self.links is not None and slot.tier == 0:
+            self.links.close([f"{CLIENTS}>{slot.name}"])
         slot.process = None
         slot.up = slot.stopping = False
         if was_up:
-            self.book.sidecar_down(slot.name, killed)
+            self.checker.sidecar_down(slot.name, killed)
             self.on_down(slot)
         elif not killed:
-            self.book.fault(slot.name, "nothing, and ended before it listened")
+            self.checker.fault(slot.name, "nothing, and ended before it listened")
             self.on_failed(slot)
         self._schedule_start(slot)
 
     def _schedule_start(self, slot: SidecarSlot) -> None:
         self._cancel_timer(slot)
-        if slot.down:
-            slot.timer = self.clock.at(self.clock.now() + slot.down, self.start, slot)
+        if slot.restart_delay:
+            slot.timer = self.clock.at(self.clock.now() + slot.restart_delay, self.start, slot)
 
     def _cancel_timer(self, slot: SidecarSlot) -> None:
         if slot.timer is not None and slot.timer.active():
--- a/wheatring/lab/live/duty_cases.py
+++ b/wheatring/lab/live/singleton_role_cases.py
@@ -1,4 +1,4 @@
-"""Cases for a fleet whose members hold a duty, and what is measured of each."""
+"""Cases for a fleet whose members hold a singleton role, and what is measured of each."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from wheatring.lab.live.fleet_rig import FleetRig, fencing_violations
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lab.live.list_service import ListServiceStub
 
 LIST_ANSWERS_PER_SECOND = 5.0  # answers a second of the list service
@@ -40,7 +40,7 @@
 
 
 def _holder(rig: FleetRig, random: Random) -> str:
-    """Whoever holds the duty, at some instant of its term."""
+    """Whoever holds the role, at some instant of its term."""
     name = rig.next_holder(since=time.monotonic()).holder
     time.sleep(random.random() * rig.term)
     return name
@@ -49,7 +49,7 @@
 def _lost(
     rig: FleetRig, random: Random, how: str, lose: Callable[[str], None]
 ) -> tuple[str, float, Measurement]:
-    """Let the holder lose the duty: who, when, and how it was followed."""
+    """Let the holder lose the role: who, when, and how it was followed."""
     first = _holder(rig, random)
     since = time.monotonic()
     lose(first)
@@ -73,6 +73,7 @@
 
 def _cut(rig: FleetRig, random: Random, there: bool, back: bool, how: str) -> Measurement:
     def lose(first: str) -> None:
+        """Cut the links of the first lease holder."""
         others = [name for name in rig.members if name != first]
         if there:
             rig.set_links([first], others)
@@ -100,7 +101,7 @@
 
 
 def release(rig: FleetRig, random: Random) -> Measurement:
-    """Have the holder release the duty by an operator's call."""
+    """Have the holder release the role by an operator's call."""
     first = _holder(rig, random)
     since = time.monotonic()
     status, said = rig.admin_call(first, "POST", "duties/probe/release")
@@ -146,7 +147,7 @@
 def late(rig: FleetRig, random: Random) -> Measurement:  # noqa: ARG001 - one signature for all cases
     """Lose messages, duplicate them, and delay them by up to three terms."""
     names = list(rig.members)
-    state = State(delay=0.001, jitter=3 * rig.term, duplicate=0.5, drop=0.3, reorder=0.5)
+    state = LinkState(delay=0.001, jitter=3 * rig.term, duplicate=0.5, drop=0.3, reorder=0.5)
     rig.set_links(names[:5], names[:5], state)
     time.sleep(8 * rig.term)
     rig.heal()
@@ -193,6 +194,7 @@
     left = len(rig.members) - len(gone)
 
     def known() -> bool:
+        """Return whether a member counts those that have gone as dead."""
         seen = [m for m in rig.status("d4")["members"] if m["name"] in gone]
         return not [m for m in seen if m["state"] in ("alive", "suspect")]
 
--- a/wheatring/lab/models/attempt_execution.py
+++ b/wheatring/lab/models/attempt_execution.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from wheatring.lab.correlation import OriginalRequest
 from wheatring.lab.models.received_attempt import ReceivedAttempt
-from wheatring.lab.origins import Origin
 
 
 class AttemptExecution:
@@ -24,7 +24,7 @@
         "remaining_work", "virtual_finish",
     )  # fmt: skip
 
-    def __init__(self, attempt: ReceivedAttempt, origin: Origin, work: float) -> None:
+    def __init__(self, attempt: ReceivedAttempt, origin: OriginalRequest, work: float) -> None:
         self.attempt = attempt
         self.origin = origin
         self.current_work = 0.0  # that the cores have, with the virtual finish time that they gave for it
--- a/wheatring/lab/models/attempt_executor.py
+++ b/wheatring/lab/models/attempt_executor.py
@@ -11,12 +11,12 @@
 from functools import partial
 from math import exp, log, sqrt
 
+from wheatring.lab.correlation import OriginalRequest
 from wheatring.lab.models.attempt_execution import AttemptExecution
 from wheatring.lab.models.cpu import Cpu
 from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
 from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.models.service_rate import ServiceRate
-from wheatring.lab.origins import Origin
 
 SERVED = AttemptOutcome.SERVED  # looked up once: an enum takes its time
 MIN_CALL_TIME = 0.001  # seconds: with less left, an attempt makes no more calls and fails
@@ -74,7 +74,7 @@
 
     # Acceptance
 
-    def create(self, attempt: ReceivedAttempt, origin: Origin) -> AttemptExecution:
+    def create(self, attempt: ReceivedAttempt, origin: OriginalRequest) -> AttemptExecution:
         """Return the execution of an attempt, whose work is drawn."""
         work = origin.size * self.spec.tier.work
         sigma = self._noise_sigmas[origin.class_index]
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -5,7 +5,8 @@
 from functools import partial
 from random import Random
 
-from wheatring.lab.book import Book, FirstTryEnd
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
+from wheatring.lab.event_recorder import EventRecorder, FirstTryEnd
 from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.models.request_transport import (
     LATE_ANSWER_WAIT,
@@ -14,7 +15,6 @@
     RequestTransport,
 )
 from wheatring.lab.models.traffic import Traffic
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import Plan
 from wheatring.lab.timers import Timer, Timers
 
@@ -59,8 +59,8 @@
         plan: Plan,
         timers: Timers,
         random: Random,
-        correlation_table: Origins,
-        recorder: Book,
+        correlation_table: CorrelationTable,
+        recorder: EventRecorder,
         front: FrontLoadBalancer,
         transport: RequestTransport,
     ) -> None:
@@ -79,7 +79,7 @@
         """Start the day now."""
         self.traffic.start()
 
-    def arrive(self, origin: Origin) -> None:
+    def arrive(self, origin: OriginalRequest) -> None:
         """Have a client make a first try."""
         self.open_count += 1
         self.recorder.asked(origin.first, origin.class_index)
@@ -108,7 +108,7 @@
         "patience", "pending", "timer", "tries", "try_started_at",
     )  # fmt: skip
 
-    def __init__(self, clients: Clients, origin: Origin) -> None:
+    def __init__(self, clients: Clients, origin: OriginalRequest) -> None:
         plan = clients.plan
         self.clients = clients
         self.origin = origin
--- a/wheatring/lab/models/deduplication.py
+++ b/wheatring/lab/models/deduplication.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from wheatring.lab.book import Book
-from wheatring.lab.origins import Origin
+from wheatring.lab.correlation import OriginalRequest
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.plan import ClassPlan
 from wheatring.lab.timers import Timers
 
@@ -17,13 +17,13 @@
     has no effect. Its work is done all the same.
     """
 
-    def __init__(self, timers: Timers, classes: Sequence[ClassPlan], recorder: Book) -> None:
+    def __init__(self, timers: Timers, classes: Sequence[ClassPlan], recorder: EventRecorder) -> None:
         self.timers = timers
         self.classes = classes
         self.recorder = recorder
         self.effect_instants: list[dict[str, float]] = [{} for _ in classes]  # by class: by key
 
-    def attempt_started(self, node: str, ident: str, origin: Origin) -> None:
+    def attempt_started(self, node: str, ident: str, origin: OriginalRequest) -> None:
         """Record the effect of an attempt that starts to run, unless it is a duplicate."""
         plan = self.classes[origin.class_index]
         if plan.effect == "safe":
@@ -32,7 +32,7 @@
             return
         self.recorder.effect(node, ident, origin.key)
 
-    def _add_key(self, origin: Origin, window: float) -> bool:
+    def _add_key(self, origin: OriginalRequest, window: float) -> bool:
         """Record the key of an attempt; return False if it is a duplicate."""
         now = self.timers.now()
         instants = self.effect_instants[origin.class_index]
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Literal
 
-from wheatring.lab.book import Book
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.endpoint_list_history import (
     KEPT_VERSIONS,
     EndpointListHistory,
@@ -61,7 +61,7 @@
         timers: Timers,
         unix: Callable[[], float],
         random: Random,
-        recorder: Book,
+        recorder: EventRecorder,
         kept_versions: int = KEPT_VERSIONS,
     ) -> None:
         self.plan = plan
--- a/wheatring/lab/models/machine_spec.py
+++ b/wheatring/lab/models/machine_spec.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from wheatring.lab.book import Book
+from wheatring.lab.correlation import CorrelationTable
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.deduplication import EffectDeduplicator
 from wheatring.lab.models.received_attempt import NextTierCall
-from wheatring.lab.origins import Origins
 from wheatring.lab.plan import ClassPlan, KindPlan, NodePlan, Plan, RulesPlan, TierPlan
 from wheatring.lab.timers import Timers
 
@@ -82,7 +82,7 @@
 
     timers: Timers
     random: Random
-    correlation_table: Origins
-    recorder: Book
+    correlation_table: CorrelationTable
+    recorder: EventRecorder
     call_next_tier: NextTierCall | None = None
     deduplicator: EffectDeduplicator | None = None
--- a/wheatring/lab/models/next_tier.py
+++ b/wheatring/lab/models/next_tier.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
 from wheatring.lab.models.received_attempt import ReceivedAttempt
 from wheatring.lab.models.request_transport import (
     LATE_ANSWER_WAIT,
@@ -11,7 +12,6 @@
     RequestOutcome,
     RequestTransport,
 )
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.timers import Timer, Timers
 
 
@@ -40,7 +40,7 @@
         self,
         name: str,
         find_transport: Callable[[], RequestTransport | None],
-        correlation_table: Origins,
+        correlation_table: CorrelationTable,
         work_samplers: Sequence[Callable[[], float]],
         timers: Timers,
     ) -> None:
@@ -61,7 +61,7 @@
         call.timer = timers.at(timers.now() + time_left, call.on_timeout)
         index = origin.class_index
         work = self.work_samplers[index]()
-        ident = self.correlation_table.new(Origin(origin.first, index, work, origin.key))
+        ident = self.correlation_table.new(OriginalRequest(origin.first, index, work, origin.key))
         call.pending = transport.send(self.name, ident, index, time_left, origin.key, False, call.on_response)
 
 
--- a/wheatring/lab/models/reply_queue.py
+++ b/wheatring/lab/models/reply_queue.py
@@ -7,7 +7,7 @@
 from math import prod
 from random import Random
 
-from wheatring.lab.book import Book
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.endpoint_list_history import EndpointEntry
 from wheatring.lab.models.list_request import ListReply, ListRequest, RequestStage
 from wheatring.lab.plan import DiscoveryPlan
@@ -47,7 +47,7 @@
         plan: DiscoveryPlan,
         timers: Timers,
         random: Random,
-        recorder: Book,
+        recorder: EventRecorder,
         on_entered: Callable[[ListRequest], None],
         on_end: Callable[[ListRequest, ListReply | None], None],
     ) -> None:
--- a/wheatring/lab/models/traffic.py
+++ b/wheatring/lab/models/traffic.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import NamedTuple
 
-from wheatring.lab.origins import Origin
+from wheatring.lab.correlation import OriginalRequest
 from wheatring.lab.plan import ClassPlan, Plan
 from wheatring.lab.timers import Timers
 
@@ -94,7 +94,7 @@
         Called with the origin of each first try at the instant of its arrival.
     """
 
-    def __init__(self, plan: Plan, timers: Timers, on_arrival: Callable[[Origin], None]) -> None:
+    def __init__(self, plan: Plan, timers: Timers, on_arrival: Callable[[OriginalRequest], None]) -> None:
         self.timers = timers
         self.on_arrival = on_arrival
         self._arrival_random = Random(f"{plan.seed}:arrivals")
@@ -129,7 +129,7 @@
         self._schedule_arrival()
         self.on_arrival(origin)
 
-    def _draw_origin(self, number: int) -> Origin:
+    def _draw_origin(self, number: int) -> OriginalRequest:
         """Draw class, work and idempotency key of a first try."""
         random, shares = self._content_random, self._cumulative_shares
         index = 0
@@ -137,7 +137,7 @@
             index = min(bisect_right(shares, random.random() * shares[-1]), len(shares) - 1)
         work = self._work_samplers[index]()
         key = f"{random.getrandbits(128):032x}" if self._has_key[index] else ""
-        return Origin(number, index, work, key)
+        return OriginalRequest(number, index, work, key)
 
     def _draw_arrival(self) -> float | None:
         """Draw the next arrival, in seconds of the day: where the integral of the rate has reached a draw.
--- a/wheatring/lab/study/compare.py
+++ b/wheatring/lab/study/compare.py
@@ -13,14 +13,13 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.study import StudyError, stats
 from wheatring.lab.study.figures import better, figure
-from wheatring.lab.study.jobs import Job
+from wheatring.lab.study.runs import RunKey, RunSpec
 from wheatring.lab.study.store import Row, Store
 
 LEVEL = 0.95
 POWER = 0.8
 
 Pair = tuple[Outcome, Outcome]
-Key = tuple[str, str, int, str, str, str]
 
 
 class Difference(Struct):
@@ -89,7 +88,7 @@
 
 
 def compared(
-    store: Store, a: Sequence[Job], b: Sequence[Job], names: Sequence[str], labels: tuple[str, str],
+    store: Store, a: Sequence[RunSpec], b: Sequence[RunSpec], names: Sequence[str], labels: tuple[str, str],
     seed: int = 1,
 ) -> Comparison:  # fmt: skip
     """Compare what the store holds: the runs of `a` and `b` are pairs, in the same order.
@@ -125,13 +124,13 @@
     )
 
 
-def _identity(a: Sequence[Job], b: Sequence[Job]) -> str:
+def _identity(a: Sequence[RunSpec], b: Sequence[RunSpec]) -> str:
     """Return what names a comparison: the same for the same two sides, whatever the seeds."""
-    sides = [sorted({str((*job.key()[:2], *job.key()[3:])) for job in side}) for side in (a, b)]
+    sides = [sorted({str((*spec.key()[:2], *spec.key()[3:])) for spec in side}) for side in (a, b)]
     return hashlib.sha256(repr(sides).encode()).hexdigest()[:16]
 
 
-def _breaches(rows: Mapping[Key, Row], keys: Sequence[Key]) -> int:
+def _breaches(rows: Mapping[RunKey, Row], keys: Sequence[RunKey]) -> int:
     return sum(rows[key].breaches or 0 for key in keys)
 
 
