--- a/tests/lab/live/test_singleton_roles.py
+++ b/tests/lab/live/test_singleton_roles.py
@@ -17,7 +17,7 @@
 
 from wheatring.__main__ import main
 from wheatring.lab.live.fleet_rig import FleetRig, fencing_violations
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
 
 TERM = 1.0
 
@@ -69,7 +69,7 @@
     time.sleep(10 * TERM)
     rig.resume(first)
     rig.wait_until(
-        lambda: [e for e in rig.duty_events(first) if e[0] > since and "duty-over" in e[1]], "it notices"
+        lambda: [e for e in rig.role_events(first) if e[0] > since and "duty-over" in e[1]], "it notices"
     )
     rig.wait_until(lambda: len([a for a in rig.accepted_calls() if a.at > since]) > 50, "acts go on")
 
@@ -119,7 +119,7 @@
 
 def test_messages_three_terms_late_and_duplicated_break_nothing(rig: FleetRig) -> None:
     names = list(rig.members)
-    rig.set_links(names, names, State(delay=0.001, jitter=3 * TERM, duplicate=0.5, drop=0.3, reorder=0.5))
+    rig.set_links(names, names, LinkState(delay=0.001, jitter=3 * TERM, duplicate=0.5, drop=0.3, reorder=0.5))
     time.sleep(6 * TERM)
     rig.heal()
     rig.next_holder(since=now() + 3 * TERM)
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -131,8 +131,8 @@
 
 def _live(args: argparse.Namespace) -> Callable[[], int]:
     from wheatring.lab.live import scale
-    from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import load
+    from wheatring.lab.scenario.plan_builder import draw
 
     found = load(args.scenario)
     plan = draw(found, args.seed)
@@ -142,6 +142,7 @@
     plan = scale.scaled(scale.without_kinds(plan, never), args.scale)
 
     def run() -> int:
+        """Play the plan and print its outcome."""
         from wheatring.lab.live.play import play, shown
 
         outcome = play(plan, _progress)
@@ -155,11 +156,11 @@
 def _fleet(args: argparse.Namespace) -> Callable[[], int]:
     from wheatring.lab.live import list_acquisition, scale
     from wheatring.lab.plan import LIVE_ONLY
-    from wheatring.lab.scenario.draw import draw
-    from wheatring.lab.study import job_builder, settings
+    from wheatring.lab.scenario.plan_builder import draw
+    from wheatring.lab.study import run_builder, settings
 
     sets = [*args.set, *([f"front.sidecars={args.sidecars}"] if args.sidecars is not None else [])]
-    plan = draw(job_builder.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
+    plan = draw(run_builder.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
     never = scale.unplayable_kinds(plan)
     if never:
         raise ValueError(f"{args.scenario}: can't be played on loopback: {', '.join(never)}")
@@ -168,18 +169,19 @@
         raise ValueError(f"{args.scenario}: can't be played in virtual time: {', '.join(live_only)}")
 
     def run() -> int:
+        """Play the plan in virtual time or live, and print what has to be shown."""
         if args.virtual:
             from wheatring.lab.play import play as play_virtual
 
             outcome: Outcome = play_virtual(plan, "exchange")
             lines = [f"{outcome.scenario}, seed {outcome.seed}, in virtual time"]
         else:
-            from wheatring.lab.live.play import play, shown, wires_for
+            from wheatring.lab.live.play import play, relay_count, shown
 
-            needed = list_acquisition.requirements(plan, wires_for(plan))
+            needed = list_acquisition.requirements(plan, relay_count(plan))
             _progress(needed.shown())
             list_acquisition.check_resources(needed)
-            live = play(plan, _progress, wired=True)
+            live = play(plan, _progress, with_links=True)
             outcome, lines = live, list(shown(live))
         _written(outcome, [*lines, *list_acquisition.shown(plan, outcome)], args.json)
         kept = all(kept for kept, _ in list_acquisition.judged(plan, outcome))
@@ -206,6 +208,7 @@
     )
 
     def run() -> int:
+        """Run the benchmark and print its table."""
         report = bench.run(chosen or cores.idlest(), sizes, _progress)
         _written(report, table.shown(report), args.json)
         return 0
@@ -240,6 +243,7 @@
     )
 
     def run() -> int:
+        """Generate the load and print its result."""
         with Process("load", module("wheatring.lab.live.generator_process")) as process:
             result = play(process, load)
         _written(result, shown(result), args.json)
--- a/wheatring/lab/models/endpoint_list_history.py
+++ b/wheatring/lab/models/endpoint_list_history.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from wheatring.lab.book import NodeState
+from wheatring.lab.event_recorder import NodeState
 
 # Versions back to which changes are available; a sidecar with an older one gets the complete list.
 KEPT_VERSIONS = 256
--- a/wheatring/lab/models/endpoint_list_json.py
+++ b/wheatring/lab/models/endpoint_list_json.py
@@ -6,7 +6,7 @@
 from operator import attrgetter
 from typing import Any
 
-from wheatring.lab.book import NodeState
+from wheatring.lab.event_recorder import NodeState
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.list_request import ListReply
 
--- a/wheatring/lab/models/node_status_table.py
+++ b/wheatring/lab/models/node_status_table.py
@@ -10,7 +10,7 @@
 from random import Random
 from typing import NamedTuple
 
-from wheatring.lab.book import Book, NodeState
+from wheatring.lab.event_recorder import EventRecorder, NodeState
 from wheatring.lab.models.endpoint_list_history import (
     KEPT_VERSIONS,
     EndpointEntry,
@@ -61,7 +61,7 @@
         timers: Timers,
         unix: Callable[[], float],
         random: Random,
-        recorder: Book,
+        recorder: EventRecorder,
         on_publication: Callable[[EndpointListHistory], None],
         kept_versions: int = KEPT_VERSIONS,
     ) -> None:
--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.python.failure import Failure
 
-from wheatring.lab.book import Book
+from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.endpoint_list_json import list_reply_json, registered_address
@@ -89,7 +89,7 @@
             if message is not None:
                 self._handle(message)
         except (MalformedMessageError, BadListRequestError) as bad:
-            self.server.book.note("bad-call", sidecar=self.sidecar, why=str(bad))
+            self.server.recorder.note("bad-call", sidecar=self.sidecar, why=str(bad))
             self._cancel_request()
             self._write(BAD_REQUEST, False)
 
@@ -159,13 +159,13 @@
     def __init__(
         self,
         registry: Registry,
-        book: Book,
+        recorder: EventRecorder,
         sidecar_of: Callable[[str], str],
         listen: Callable[[ServerFactory], Any],
         address: Callable[[RegisteredNode], str] = registered_address,
     ) -> None:
         self.registry = registry
-        self.book = book
+        self.recorder = recorder
         self.sidecar_of = sidecar_of
         self.listen = listen
         self.address = address
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -20,11 +20,11 @@
 from wheatring.lab.wire.node_server import NodeServer
 from wheatring.lab.wire.request_format import RequestFormat
 from wheatring.lab.wire.sidecar_client import SidecarClient
-from wheatring.lab.world.ground import (
+from wheatring.lab.world.environment import (
     CLIENTS,
     DISCOVERY,
     PORT,
-    side_hosts,
+    sidecar_hosts,
     zones,
 )
 from wheatring.operator_properties import OperatorProperties
@@ -44,22 +44,24 @@
 
 
 class WireEnvironment:
-    """Runs nodes, sidecars and discovery as processes of the simulated network; a `world.ground.Ground`."""
+    """The `Environment` of the wire grain: processes of a simulated network."""
 
     def __init__(self, world: World) -> None:
         plan = world.plan
         self.world = world
         self.time = world.time
-        self.book = world.book
+        self.recorder = world.checker
         self.zones = zones(plan)
         self.net = Network(
             world.time, plan.net, world.random("net"), lambda host: self.zones.get(host, ""), plan.epoch
         )
-        self.hosts = side_hosts(plan)
+        self.hosts = sidecar_hosts(plan)
         # A successor may come to the address of a sidecar that is gone.
         self.sidecar_by_host: dict[str, str] = {}
         self.request_format = RequestFormat(plan.classes)
-        self.way = self.create_client(self.net.process("clients", CLIENTS), CLIENTS, plan.clients.connections)
+        self.client_transport = self.create_client(
+            self.net.process("clients", CLIENTS), CLIENTS, plan.clients.connections
+        )
         self.processes: dict[str, Process] = {}  # of nodes
         self.servers: dict[str, NodeServer] = {}
         self.clients: dict[str, SidecarClient] = {}  # of nodes
@@ -71,7 +73,7 @@
     def create_client(self, process: Process, host: str, max_connections: int = 0) -> SidecarClient:
         """Return a client of sidecars that runs in the process; `max_connections` 0 is no limit."""
         return SidecarClient(
-            process, self.time, self.book, self.request_format, self.address_of, host, max_connections
+            process, self.time, self.recorder, self.request_format, self.address_of, host, max_connections
         )
 
     def address_of(self, sidecar: str) -> tuple[str, int]:
@@ -91,14 +93,14 @@
         )
         DiscoveryServer(
             registry,
-            self.book,
+            self.recorder,
             self.sidecar_of,
             lambda factory: process.listenTCP(port, factory, LISTEN_BACKLOG, host),
         )
 
     # Nodes
 
-    def below(self, node: NodePlan) -> NextTierCall:
+    def downstream_client(self, node: NodePlan) -> NextTierCall:
         """Return the node's calls through its own sidecar."""
         return NextTierClient(
             node.name,
@@ -118,7 +120,7 @@
             self.world.random(f"peer:{node.name}"),
             self.world.origins,
             self.request_format,
-            self.book,
+            self.recorder,
             self.sidecar_of,
             lambda host: self.round_trip(node.host, host),
             lambda full: self.net.full(node.host, PORT, full),
@@ -143,24 +145,25 @@
 
     # Sidecars
 
-    def sidecar_up(self, name: str, told: PlatformConfig, ended: Callable[[], None]) -> None:
-        """Start a sidecar's process; `ended` is called once, when it has ended by itself."""
+    def sidecar_up(self, name: str, config: PlatformConfig, on_exit: Callable[[], None]) -> None:
+        """Start a sidecar's process; `on_exit` is called once, when it has ended by itself."""
         process = self.net.process(name, self.hosts[name])
         self.sidecar_by_host[self.hosts[name]] = name
 
         def stopped() -> None:
+            """Record what the process still holds, and report its end."""
             counts = self.leftovers_at_exit.setdefault(name, Counter())
             counts.update(count_leftovers(sidecar, process.open_resources().timers))
             counts["descriptors"] += len(process.descriptors)
             self.forget_sidecar(name)
-            self.book.sidecar_down(name, False)
-            ended()
+            self.recorder.sidecar_down(name, False)
+            on_exit()
 
         process.on_stop = stopped
-        sidecar = process.run(Sidecar, process, told, NO_OPERATORS, False, process.unix)
+        sidecar = process.run(Sidecar, process, config, NO_OPERATORS, False, process.unix)
         self.sidecars[name] = (process, sidecar)
         process.run(sidecar.start)
-        self.book.sidecar_up(name)
+        self.recorder.sidecar_up(name)
 
     def forget_sidecar(self, name: str) -> Process:
         """Remove a sidecar whose process ends, and return the process."""
@@ -171,21 +174,21 @@
     def sidecar_stop(self, name: str) -> None:
         """Send a sidecar SIGTERM."""
         process, sidecar = self.sidecars[name]
-        self.book.sidecar_stopping(name)
+        self.recorder.sidecar_stopping(name)
         process.callFromThread(sidecar.stop)
 
     def sidecar_kill(self, name: str) -> None:
         """Kill a sidecar's process at once."""
         self.forget_sidecar(name).kill()
-        self.book.sidecar_down(name, True)
+        self.recorder.sidecar_down(name, True)
 
     # Faults
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Inject a fault."""
         self.apply_fault(event, True)
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """End a fault."""
         self.apply_fault(event, False)
 
@@ -207,12 +210,12 @@
         elif event.kind == "clock_step":
             self.net.step_clock(event.hosts, event.size if on else -event.size)
 
-    def vanish(self, node: NodePlan) -> None:
+    def isolate_node(self, node: NodePlan) -> None:
         """Cut a node's hosts off: nothing reaches them or leaves them."""
         for host in self.hosts_of(node):
             self.net.vanish(host)
 
-    def back(self, node: NodePlan) -> None:
+    def reconnect_node(self, node: NodePlan) -> None:
         """Connect a node's hosts again; their connections are reset."""
         for host in self.hosts_of(node):
             self.net.back(host)
@@ -221,18 +224,18 @@
         """Return the hosts of a node and of its own sidecar, if it has one."""
         return [node.host, node.side_host] if node.name in self.hosts else [node.host]
 
-    def stepped(self) -> float:
+    def clock_step(self) -> float:
         """Return the seconds by which the clocks of all hosts together have been stepped."""
         return self.net.clock_offset
 
     # What is seen of the sidecars
 
-    def whose_turn(self) -> str:
+    def active_sidecar(self) -> str:
         """Return the sidecar whose code runs now, or ""."""
         running = self.time.running
         return running.name if isinstance(running, Process) else ""
 
-    def left_over(self) -> dict[str, dict[str, int]]:
+    def leftovers(self) -> dict[str, dict[str, int]]:
         """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
         found = {name: Counter(most_sockets=most) for name, most in self.max_sockets.items()}
         later = waiting(self.time)
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -1,4 +1,4 @@
-"""A world: the plan's models, wired to each other and to a ground, and played from start to end."""
+"""A world: the plan's models, wired to each other and to an environment, and played from start to end."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 from twisted.logger import globalLogPublisher
 
 from wheatring import log
+from wheatring.lab.correlation import CorrelationTable
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.deduplication import EffectDeduplicator
 from wheatring.lab.models.discovery import Registry
@@ -22,24 +23,23 @@
 from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
 from wheatring.lab.models.traffic import Sampler, work_sampler
 from wheatring.lab.net.time import VirtualTime
-from wheatring.lab.origins import Origins
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import LIVE_ONLY, NodePlan, Plan
-from wheatring.lab.rules.ledger import Ledger
+from wheatring.lab.rules.invariant_checker import InvariantChecker
 from wheatring.lab.rules.trace import Trace
-from wheatring.lab.world.events import Events
-from wheatring.lab.world.ground import PORT, Ground
+from wheatring.lab.world.environment import PORT, Environment
+from wheatring.lab.world.events import EventScheduler
 from wheatring.lab.world.sidecar_slots import SidecarSlot, SidecarSlots
 
 START = 1000.0  # the clock at which the world begins
-LEAD = 2.0  # seconds from then until the day does: sidecars have started and have their lists
+LEAD_SECONDS = 2.0  # seconds from then until the day does: sidecars have started and have their lists
 # Entries of the log that tell of a fault of the sidecar's own: none of them may ever come.
 SIDECAR_FAULT_CODES = frozenset(
     ("overdue", "unexpected", "exchange-broken", "attempt-broken", "request-broken", "answer-broken",
      "decision-broken", "action-broken", "not-carried-out")
 )  # fmt: skip
-NEW = 50_000  # objects made and not freed again after which the collector looks at them
-SETTLE = 2.0  # seconds after the tail in which what was answered late has gone
+GC_THRESHOLD = 50_000  # objects made and not freed again after which the collector looks at them
+SETTLE_SECONDS = 2.0  # seconds after the tail in which what was answered late has gone
 
 
 class Tracing(NamedTuple):
@@ -50,7 +50,7 @@
 
 
 @contextmanager
-def collected_seldom() -> Iterator[None]:
+def infrequent_garbage_collection() -> Iterator[None]:
     """Have the garbage collector look at new objects only, and seldom.
 
     While a day is played little is left in cycles, and what exists before it exists until its end: the
@@ -59,7 +59,7 @@
     before, idle = gc.get_threshold(), gc.get_freeze_count() == 0
     if idle:
         gc.freeze()
-    gc.set_threshold(NEW, *before[1:])
+    gc.set_threshold(GC_THRESHOLD, *before[1:])
     try:
         yield
     finally:
@@ -69,13 +69,13 @@
 
 
 class World:
-    """One plan at one grain, on the ground that is made for it. `play` may be called once."""
+    """One plan at one grain, on the environment that is made for it. `play` may be called once."""
 
     def __init__(
         self,
         plan: Plan,
         grain: str,
-        make_ground: Callable[[World], Ground],
+        make_environment: Callable[[World], Environment],
         tracing: Tracing | None = None,
     ) -> None:
         never = sorted({event.kind for event in plan.events if event.kind in LIVE_ONLY})
@@ -85,29 +85,47 @@
         self.grain = grain
         ties = self.random("ties") if plan.net.shuffle else None
         self.time = VirtualTime(START, ties)
-        self.day = START + LEAD
-        self.origins = Origins(self.random("ids"))
-        family = self.origins.first
-        self.trace = None if tracing is None else Trace(self.day, tracing.file, tracing.of, family)
-        self.book = Ledger(plan, grain, self.time.now, self.day, self.trace, family)
-        self.registry = Registry(plan.discovery, self.time, self.unix, self.random("discovery"), self.book)
+        self.day_start = START + LEAD_SECONDS
+        self.origins = CorrelationTable(self.random("ids"))
+        first_request_of = self.origins.first
+        self.trace = (
+            None if tracing is None else Trace(self.day_start, tracing.file, tracing.of, first_request_of)
+        )
+        self.checker = InvariantChecker(
+            plan, grain, self.time.now, self.day_start, self.trace, first_request_of
+        )
+        self.registry = Registry(
+            plan.discovery, self.time, self.unix_time, self.random("discovery"), self.checker
+        )
         self.front = FrontLoadBalancer(self.time, self.random("front"), plan.front_notice)
-        self.ground = make_ground(self)
-        self.ground.open_discovery(self.registry)
+        self.environment = make_environment(self)
+        self.environment.open_discovery(self.registry)
         self.slots = SidecarSlots(
-            self.time, self.ground, self.on_sidecar_up, self.on_sidecar_stopping, self.on_sidecar_down
+            self.time, self.environment, self.on_sidecar_up, self.on_sidecar_stopping, self.on_sidecar_down
         )
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
-        deduplicator = EffectDeduplicator(self.time, plan.classes, self.book)
+        deduplicator = EffectDeduplicator(self.time, plan.classes, self.checker)
         for node in plan.nodes:
             self.add_machine(node, deduplicator)
         self.add_slots()
         self.clients = Clients(
-            plan, self.time, self.random("clients"), self.origins, self.book, self.front, self.ground.way
+            plan,
+            self.time,
+            self.random("clients"),
+            self.origins,
+            self.checker,
+            self.front,
+            self.environment.client_transport,
         )
-        self.events = Events(
-            self.time, self.ground, self.machines, self.registry, self.slots, self, self.book.happens
+        self.event_scheduler = EventScheduler(
+            self.time,
+            self.environment,
+            self.machines,
+            self.registry,
+            self.slots,
+            self,
+            self.checker.record_event,
         )
 
     def random(self, name: str) -> Random:
@@ -119,9 +137,9 @@
         random = self.random(f"calls:{node.name}")
         return [work_sampler(random, each) for each in self.plan.classes]
 
-    def unix(self) -> float:
+    def unix_time(self) -> float:
         """Return Unix time as discovery and the machines read it."""
-        return self.plan.epoch + self.time.now() - START + self.ground.stepped()
+        return self.plan.epoch + self.time.now() - START + self.environment.clock_step()
 
     # Its parts
 
@@ -132,18 +150,18 @@
             timers=self.time,
             random=self.random(f"node:{node.name}"),
             correlation_table=self.origins,
-            recorder=self.book,
-            call_next_tier=None if is_last_tier else self.ground.below(node),
+            recorder=self.checker,
+            call_next_tier=None if is_last_tier else self.environment.downstream_client(node),
             deduplicator=deduplicator,
         )
         machine = self.machines[node.name] = Machine(MachineSpec.from_plan(self.plan, node), services)
-        machine.on_crash = lambda: self.fell(node.name)
+        machine.on_crash = lambda: self.on_node_overloaded(node.name)
 
     def add_slots(self) -> None:
         """Add the slots of the front's sidecars and of the nodes' own."""
         plan = self.plan
-        for number, told in enumerate(plan.sidecars):
-            self.add_slot(told.name, told.host, 0, number, len(plan.sidecars))
+        for number, sidecar in enumerate(plan.sidecars):
+            self.add_slot(sidecar.name, sidecar.host, 0, number, len(plan.sidecars))
         for tier in range(len(plan.tiers) - 1):
             callers = [node for node in plan.nodes if node.tier == tier]
             for number, node in enumerate(callers):
@@ -151,10 +169,12 @@
 
     def add_slot(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
         """Add the slot of one sidecar."""
-        self.slots.by_name[name] = SidecarSlot(self.plan, name, host, tier, number, copies, self.known)
+        self.slots.by_name[name] = SidecarSlot(
+            self.plan, name, host, tier, number, copies, self.initial_endpoint_list
+        )
         self.registry.assign_tier(name, tier)
 
-    def known(self, tier: int) -> dict[str, Any]:
+    def initial_endpoint_list(self, tier: int) -> dict[str, Any]:
         """Return the machine list of a tier with which a sidecar starts, in discovery's form."""
         return list_reply_json(self.registry.initial_list(tier, self.plan.held))
 
@@ -183,7 +203,7 @@
         if machine.running:
             return
         machine.start(cold)
-        self.ground.node_up(node, machine)
+        self.environment.node_up(node, machine)
         if cold:
             self.registry.node_started(name, self.time.now())
             if name in self.slots.by_name:
@@ -199,27 +219,27 @@
         """End the process of a node."""
         if self.machines[name].running:
             self.machines[name].stop()
-            self.ended(name)
+            self.on_node_ended(name)
 
-    def ended(self, name: str) -> None:
+    def on_node_ended(self, name: str) -> None:
         """Note that a node's process has ended, and end its sidecar."""
-        self.ground.node_down(name)
+        self.environment.node_down(name)
         self.registry.node_ended(name)
         if name in self.slots.by_name:
             self.slots.kill(self.slots.by_name[name], 0.0)
 
-    def fell(self, name: str) -> None:
+    def on_node_overloaded(self, name: str) -> None:
         """Note that a cold node was pushed over: its process has ended and stays so."""
-        self.ended(name)
+        self.on_node_ended(name)
 
-    def vanish(self, name: str) -> None:
+    def isolate(self, name: str) -> None:
         """Have the machine of a node fall silent."""
-        self.ground.vanish(self.nodes[name])
+        self.environment.isolate_node(self.nodes[name])
         self.registry.node_vanished(name)
 
-    def back(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         """Have the machine of a node answer again."""
-        self.ground.back(self.nodes[name])
+        self.environment.reconnect_node(self.nodes[name])
         machine = self.machines[name]
         if machine.running:
             self.registry.node_started(name, machine.started_at)
@@ -238,27 +258,27 @@
             self.registry.register(listed, node.up)
             if node.up:
                 self.start(node.name, cold=False)
-        late = {told.name: told.start for told in plan.sidecars if told.start > 0}
+        late = {sidecar.name: sidecar.start for sidecar in plan.sidecars if sidecar.start > 0}
         for slot in self.slots.by_name.values():
             if slot.name in late:
-                self.time.at(self.day + late[slot.name], self.slots.start, slot, 0.0)
+                self.time.at(self.day_start + late[slot.name], self.slots.start, slot, 0.0)
             elif slot.name not in self.nodes or self.nodes[slot.name].up:
                 self.time.at(START, self.slots.up, slot)
-        self.events.schedule(self.day, plan.events)
-        self.time.at(self.day, self.clients.start)
-        observer: Any = self.raised
+        self.event_scheduler.schedule(self.day_start, plan.events)
+        self.time.at(self.day_start, self.clients.start)
+        observer: Any = self.on_failure_logged
         globalLogPublisher.addObserver(observer)
         try:
-            with log.redirected(self.logged), collected_seldom():
-                self.time.run(self.day + plan.length + plan.tail + SETTLE)
+            with log.redirected(self.on_log_entry), infrequent_garbage_collection():
+                self.time.run(self.day_start + plan.length + plan.tail + SETTLE_SECONDS)
         finally:
             globalLogPublisher.removeObserver(observer)
         wall = process_time.perf_counter() - began
-        outcome = self.book.finish(wall, self.ground.left_over())
+        outcome = self.checker.finish(wall, self.environment.leftovers())
         outcome.simulated_s = self.time.now() - START
         return outcome
 
-    def raised(self, event: Mapping[str, Any]) -> None:
+    def on_failure_logged(self, event: Mapping[str, Any]) -> None:
         """Take in an exception that a callback has raised, from Twisted's log.
 
         A sidecar's is a breach. One of the lab's own ends the day, or what the models no longer do would be
@@ -267,24 +287,24 @@
         failure = event.get("log_failure") or event.get("failure")
         if failure is None:
             return
-        if self.ground.whose_turn() in self.slots.by_name:
+        if self.environment.active_sidecar() in self.slots.by_name:
             log.log_twisted_failure(event)
         else:
-            self.time.at(self.time.now(), self.break_off, failure.value)
+            self.time.at(self.time.now(), self.abort, failure.value)
 
-    def break_off(self, why: BaseException) -> None:
+    def abort(self, why: BaseException) -> None:
         """End the day by an exception."""
         raise why
 
-    def logged(self, event: str, values: Mapping[str, object]) -> None:
+    def on_log_entry(self, event: str, values: Mapping[str, object]) -> None:
         """Take in a line that a sidecar logs."""
         if event in SIDECAR_FAULT_CODES:
-            self.book.fault(self.ground.whose_turn(), log.format_entry(event, values))
+            self.checker.fault(self.environment.active_sidecar(), log.format_entry(event, values))
         elif event == "endpoint-connection" and values.get("code") in ("connect-failed", "not-up-in-time"):
-            self.book.note("unconnected", sidecar=self.ground.whose_turn())
+            self.checker.note("unconnected", sidecar=self.environment.active_sidecar())
         elif self.trace is not None:
             self.trace.line(
                 self.time.now(),
                 "",
-                f"log sidecar={self.ground.whose_turn()} {log.format_entry(event, values)}",
+                f"log sidecar={self.environment.active_sidecar()} {log.format_entry(event, values)}",
             )
