--- a/tests/lab/direct/direct_world.py
+++ b/tests/lab/direct/direct_world.py
@@ -1,4 +1,4 @@
-"""The shared helper of the direct grain's stories: a sidecar amid a node and a discovery with a script."""
+"""What the tests of the direct grain share: a sidecar amid a node and a discovery with a script."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
                 pass
 
 
-class Told:
-    """A book that only keeps what it is told: (what, values...)."""
+class CallRecorder:
+    """Stands in for the event recorder: keeps each call as (method, values...)."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[object, ...]] = []
@@ -124,7 +124,7 @@
 
     def __init__(self, attempts: int = 1, handshake_rtts: float = 0.0, idle: float = 30.0) -> None:
         self.time = Time()
-        self.book: Any = Told()
+        self.book: Any = CallRecorder()
         book = self.book
         net = NetPlan(same=LINK, cross=LINK, client=LINK, jitter=0.0)
         self.links = DirectLinks(net, {}, self.time, Random(1))
@@ -145,7 +145,7 @@
             max_retry_after=0.2,
         )
         self.settings = Settings(classes, limits=limits, must_subscribe=True)
-        self.claims: list[Attempt] = []
+        self.attempts: list[Attempt] = []
         self.replies: list[tuple[str, float]] = []
         self.sidecar = self.start()
 
@@ -162,11 +162,11 @@
         )
         ended = sidecar.exchange.on_attempt_ended
 
-        def noted(claim: Attempt) -> None:
-            self.claims.append(claim)
-            ended(claim)
+        def record(attempt: Attempt) -> None:
+            self.attempts.append(attempt)
+            ended(attempt)
 
-        sidecar.exchange.on_attempt_ended = noted
+        sidecar.exchange.on_attempt_ended = record
         sidecar.start()
         return sidecar
 
@@ -178,4 +178,4 @@
         return self.way.send("s", ident, index, left, "", False, lambda *end: self.replies.append(end))
 
     def outcomes(self) -> list[Outcome | None]:
-        return [claim.outcome for claim in self.claims]
+        return [attempt.outcome for attempt in self.attempts]
--- a/tests/lab/direct/test_direct.py
+++ b/tests/lab/direct/test_direct.py
@@ -1,4 +1,4 @@
-"""Stories of the direct grain: each way in which a claim, a request or a sidecar can end without bytes."""
+"""The direct grain: each way in which an attempt, a request or a sidecar can end without bytes."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
     world.ask()
     world.time.play(LINK)  # until the sidecar has it
     began = world.time.now()
-    while not world.claims:
+    while not world.attempts:
         world.time.step()
     assert world.outcomes() == [outcome]
     assert world.time.now() - began == pytest.approx(after)
@@ -139,7 +139,7 @@
     world.time.play(2 * LINK)
     world.links.slow(["h"], ["m"], 1.0)
     world.sidecar.exchange.cancel_attempt(
-        asked.core_request.attempts[0] if asked.core_request else world.claims[0]
+        asked.core_request.attempts[0] if asked.core_request else world.attempts[0]
     )
     world.time.play(0.5)
     assert len(world.machine.attempts) == 2 and world.machine.gone == world.machine.attempts[1:]
@@ -269,7 +269,7 @@
     world.time.play(0.1)
     assert world.replies == [("lost", 0.0), ("lost", 0.0), ("unreached", 0.0)]
     assert world.machine.gone == world.machine.attempts and world.machine.connections == 0
-    assert not world.claims and world.book.all("sidecar_down") == [("s", True)]
+    assert not world.attempts and world.book.all("sidecar_down") == [("s", True)]
     world.start()
     world.machine.at_once = AttemptOutcome.SERVED
     world.ask("d")
--- a/tests/lab/models/test_clients.py
+++ b/tests/lab/models/test_clients.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.lab.direct.direct_world import Time, Told
+from tests.lab.direct.direct_world import CallRecorder, Time
 from wheatring.lab.correlation import CorrelationTable, OriginalRequest
 from wheatring.lab.models.clients import Clients
 from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
@@ -68,7 +68,7 @@
     plan: ClientPlan, *script: Step, up: bool = True, **more: Any
 ) -> tuple[Clients, Any, RequestTransport, Time]:
     time = Time()
-    book: Any = Told()
+    book: Any = CallRecorder()
     way = RequestTransport(time, list(script))
     front = FrontLoadBalancer(time, Random(1), 2.0)
     if up:
--- a/tests/lab/models/test_discovery.py
+++ b/tests/lab/models/test_discovery.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.lab.wire.http_peers import Book
+from tests.lab.wire.http_peers import EventLog
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.list_request import ListReply, ListRequest
@@ -24,7 +24,7 @@
 
     def __init__(self, nodes: int = 3, kept: int = 256, seed: int = 1, **plan: Any) -> None:
         self.time = VirtualTime(100.0)
-        self.book = Book(self.time)
+        self.book = EventLog(self.time)
         figures = {"period": 0.5, "spread": 0.0, "lines_per_s": 1000.0, "call_lines": 10.0, **plan}
         book: Any = self.book
         self.registry = Registry(DiscoveryPlan(**figures), self.time, self.unix, Random(seed), book, kept)
--- a/tests/lab/rules/ledger_driver.py
+++ b/tests/lab/rules/checker_driver.py
@@ -1,4 +1,7 @@
-"""One ledger on a clock of its own, and short words for what it is told. Its last tier has no nodes."""
+"""An invariant checker on a clock of its own, with short methods for its events.
+
+The last tier of its plan has no nodes.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 KIND = KindPlan(name="kind", cold=24.0, cold_from=0.13)
 
 
-def a_plan(events: tuple[EventPlan, ...] = (), **limits: Any) -> Plan:
+def make_plan(events: tuple[EventPlan, ...] = (), **limits: Any) -> Plan:
     return Plan(
         scenario="desk",
         seed=7,
@@ -52,17 +55,17 @@
     )
 
 
-class Desk:
+class CheckerDriver:
     def __init__(self, plan: Plan | None = None, trace: Trace | None = None, family: Any = None) -> None:
         self.time = START
-        self.plan = plan or a_plan()
+        self.plan = plan or make_plan()
         self.book = InvariantChecker(self.plan, "exchange", lambda: self.time, START, trace, family)
         for sidecar in ("lb", "front0"):
             self.book.sidecar_up(sidecar)
         for node in self.plan.nodes:
             self.book.known(node.name, "ready", 0.0)
 
-    def at(self, time: float) -> Desk:
+    def at(self, time: float) -> CheckerDriver:
         """Go to a time since the start."""
         self.time = START + time
         return self
@@ -80,7 +83,7 @@
         self.book.sending("lb", node, at)
         self.book.arrived("lb", node, ident, at)
 
-    def away(self, node: str = "front0", ident: str = "r") -> None:
+    def reject(self, node: str = "front0", ident: str = "r") -> None:
         self.book.turned_away(node, ident)
         self.book.ended(node, ident)
 
@@ -89,9 +92,9 @@
         self.book.ended(node, ident)
         self.answer(ident, "served", stamp)
 
-    def finish(self, **left: int) -> Outcome:
-        return self.book.finish(1.0, {"lb": left})
+    def finish(self, **open_counts: int) -> Outcome:
+        return self.book.finish(1.0, {"lb": open_counts})
 
-    def broken(self, **left: int) -> set[str]:
+    def broken(self, **open_counts: int) -> set[str]:
         """Return the rules that were broken by the end of the day."""
-        return {breach.rule for breach in self.finish(**left).breaches}
+        return {breach.rule for breach in self.finish(**open_counts).breaches}
--- a/tests/lab/rules/random_histories.py
+++ b/tests/lab/rules/random_histories.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from tests.lab.rules.ledger_driver import KEYED, START, UNSAFE, Desk, a_plan
+from tests.lab.rules.checker_driver import KEYED, START, UNSAFE, CheckerDriver, make_plan
 from wheatring.lab.event_recorder import NodeState
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.rules import Trace
@@ -35,8 +35,8 @@
     def __init__(self, seed: int, spoil: str = "", trace: Trace | None = None) -> None:
         self.random = Random(seed)
         self.spoil = spoil
-        self.desk = Desk(a_plan(second_copies=False), trace)
-        self.book = self.desk.book
+        self.driver = CheckerDriver(make_plan(second_copies=False), trace)
+        self.book = self.driver.book
         self.off: dict[str, float] = {}  # nodes that the sidecar knows to be off, and since when
         self.heap: list[tuple[float, int, Acts]] = []
         self.count = 0
@@ -45,7 +45,7 @@
 
     def begin(self, acts: Acts, after: float) -> Acts:
         self.count += 1
-        heappush(self.heap, (self.desk.time + after, self.count, acts))
+        heappush(self.heap, (self.driver.time + after, self.count, acts))
         return acts
 
     def play(self) -> Outcome:
@@ -55,17 +55,17 @@
         self.begin(self.life(), 1)
         self.begin(self.kills(), self.random.uniform(3, 20))
         while self.heap:
-            self.desk.time, _, acts = heappop(self.heap)
+            self.driver.time, _, acts = heappop(self.heap)
             with suppress(StopIteration):
                 self.begin(acts, next(acts))
-        return self.desk.finish()
+        return self.driver.finish()
 
     def link(self) -> float:
         return self.random.uniform(0.0001, 0.0009)
 
     def node(self) -> str:
         grace = 2.56 if self.spoil == "drain" else 2.54
-        off = [name for name, since in self.off.items() if self.desk.time > since + grace]
+        off = [name for name, since in self.off.items() if self.driver.time > since + grace]
         nodes = [name for name in ("front0", "front1", "front2") if name not in off]
         return off[0] if off and self.spoil == "drain" else self.random.choice(nodes)
 
@@ -89,10 +89,10 @@
                 yield random.uniform(0, 0.4)
                 if "lb" not in book.down_sidecars:
                     book.told("lb", "front2", state, started)
-                    self.off.setdefault("front2", self.desk.time)
+                    self.off.setdefault("front2", self.driver.time)
                 yield random.uniform(1, 2)
             book.node_up("front2", lambda: 0.3)
-            started = self.desk.time
+            started = self.driver.time
             yield 1.0
             book.known("front2", "ready", started)
             if "lb" not in book.down_sidecars:
@@ -104,11 +104,11 @@
             yield random.uniform(0, 4)
 
     def request(self, ident: str) -> Acts:
-        desk, book, out = self.desk, self.book, []  # type: ignore[var-annotated]
+        driver, book, out = self.driver, self.book, []  # type: ignore[var-annotated]
         if "lb" in book.down_sidecars:
             return
         index = self.random.randrange(3)
-        desk.take(ident, index, desk.time - START + 15)
+        driver.take(ident, index, driver.time - START + 15)
         self.open[ident] = None
         with suppress(KilledError):
             yield from self.asked(ident, index, out)
@@ -117,15 +117,15 @@
         self.open.pop(ident, None)
 
     def asked(self, ident: str, index: int, out: list[str]) -> Acts:
-        desk, book, random, spoil = self.desk, self.book, self.random, self.spoil
-        deadline, began, ran, how = desk.time + 15, 0.0, False, ""
+        driver, book, random, spoil = self.driver, self.book, self.random, self.spoil
+        deadline, began, ran, how = driver.time + 15, 0.0, False, ""
         ends = ["away", "served", "error", "hang"]
         for number in range(6 if spoil == "many" else random.randint(0, 5)):
             if ran and index == UNSAFE and spoil != "again":
                 break
             if ran and index == KEYED and spoil == "past window":
-                yield began + 10.1 - desk.time
-            node, sent = self.node(), desk.time
+                yield began + 10.1 - driver.time
+            node, sent = self.node(), driver.time
             book.sending("lb", node, sent)
             yield self.link()
             book.arrived("lb", node, ident, sent)
@@ -133,7 +133,7 @@
             how = "away" if spoil == "many" else random.choice(ends)
             if how == "away":
                 out.remove(node)
-                desk.away(node, ident)
+                driver.reject(node, ident)
                 yield self.link()
                 continue
             began, ran = began if ran else sent, True
@@ -149,18 +149,20 @@
             book.ended(node, ident)
             yield self.link()
             if how == "served":
-                desk.answer(ident, "served", "7-" + ident if spoil == "stamp" else stamp, written=desk.time)
+                driver.answer(
+                    ident, "served", "7-" + ident if spoil == "stamp" else stamp, written=driver.time
+                )
                 if spoil == "over":
                     yield 0.1
-                    book.arrived("lb", "front0", ident, desk.time)
+                    book.arrived("lb", "front0", ident, driver.time)
                     out.append("front0")
                 return
         if spoil == "lose":
             book.lost("lb", ident, "closed")
         elif spoil in ("silent", "late"):
-            yield deadline + 0.08 - desk.time
+            yield deadline + 0.08 - driver.time
             if spoil == "late":
-                desk.answer(ident, "failed")
+                driver.answer(ident, "failed")
             else:
                 book.left("lb", ident)
         elif random.random() < 0.2:
@@ -168,7 +170,7 @@
         else:
             kind = "refused" if not (ran and index == UNSAFE) or spoil == "refuse" else "failed"
             yield self.link()
-            desk.answer(ident, kind)
+            driver.answer(ident, kind)
 
     def closed(self, node: str, ident: str, out: list[str], after: float) -> Acts:
         yield after
--- a/tests/lab/rules/test_figures.py
+++ b/tests/lab/rules/test_figures.py
@@ -9,13 +9,13 @@
 import pytest
 from msgspec import structs
 
-from tests.lab.rules.ledger_driver import START, Desk, a_plan
+from tests.lab.rules.checker_driver import START, CheckerDriver, make_plan
 from wheatring.lab.plan import ChokePlan
 
 Try = tuple[float, int, float, str]  # asked, class, settled, end
 
 
-def a_day(seed: int) -> list[Try]:
+def make_day(seed: int) -> list[Try]:
     random = Random(seed)
     day = []
     for _ in range(400):
@@ -29,20 +29,20 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_figures_are_what_a_slow_computation_gives(seed: int) -> None:
-    day, desk = a_day(seed), Desk()
-    classes = desk.plan.classes
+    day, driver = make_day(seed), CheckerDriver()
+    classes = driver.plan.classes
     events = sorted(
         [(asked, 0, number) for number, (asked, _, _, _) in enumerate(day)]
         + [(settled, 1, number) for number, (_, _, settled, _) in enumerate(day)]
     )
     for at, what, number in events:
-        desk.at(at)
+        driver.at(at)
         if what == 0:
-            desk.book.asked(number, day[number][1])
+            driver.book.asked(number, day[number][1])
         else:
-            desk.book.settled(number, day[number][3], 1)  # type: ignore[arg-type]
-    desk.at(36.5)
-    outcome = desk.finish()
+            driver.book.settled(number, day[number][3], 1)  # type: ignore[arg-type]
+    driver.at(36.5)
+    outcome = driver.finish()
 
     def earned(one: Try) -> float:
         asked, index, settled, end = one
@@ -85,44 +85,46 @@
 
 
 def test_what_is_not_settled_has_failed() -> None:
-    desk = Desk()
-    desk.book.asked(1, 0)
-    outcome = desk.at(3).finish()
+    driver = CheckerDriver()
+    driver.book.asked(1, 0)
+    outcome = driver.at(3).finish()
     assert (outcome.requests, outcome.seconds[0].failed, outcome.whole) == (1, 1, 0.0)
     assert outcome.g == pytest.approx(-0.031)
 
 
-def call(desk: Desk, sidecar: str, node: str, ident: str, work: float, served: bool = True) -> None:
+def call(
+    driver: CheckerDriver, sidecar: str, node: str, ident: str, work: float, served: bool = True
+) -> None:
     """Work for one attempt, told when it is over; then the answer."""
-    desk.book.worked(node, ident, work)
-    stamp = desk.book.made(node, ident)
-    desk.book.ended(node, ident)
+    driver.book.worked(node, ident, work)
+    stamp = driver.book.made(node, ident)
+    driver.book.ended(node, ident)
     if served:
-        desk.book.answered(sidecar, ident, "served", stamp, 0.0)
+        driver.book.answered(sidecar, ident, "served", stamp, 0.0)
 
 
 def test_work_is_wasted_that_serves_no_answer_of_a_client() -> None:
     """A client's request runs twice at the front; each visit calls the next tier, one of them twice over."""
     firsts = {"r": 1, "c1": 1, "c2": 1}
-    desk = Desk(family=firsts.get)
-    book: Any = desk.book
+    driver = CheckerDriver(family=firsts.get)
+    book: Any = driver.book
     book.asked(1, 0)
-    desk.take()
-    desk.send("front0")
-    desk.send("front1")
+    driver.take()
+    driver.send("front0")
+    driver.send("front1")
     for sidecar, node, ident in (
         ("front0", "stock0", "c1"), ("front0", "stock0", "c1"), ("front1", "stock2", "c2"),
     ):  # fmt: skip
         if ident not in book.requests:
             book.taken(sidecar, ident, 0, "", START + 6)
         book.arrived(sidecar, node, ident)
-    call(desk, "front0", "stock0", "c1", 1.0)
-    call(desk, "front0", "stock0", "c1", 10.0, served=False)  # nobody waits for it any more
-    call(desk, "front1", "stock2", "c2", 100.0)
-    call(desk, "lb", "front0", "r", 1000.0)
-    call(desk, "lb", "front1", "r", 10000.0, served=False)
+    call(driver, "front0", "stock0", "c1", 1.0)
+    call(driver, "front0", "stock0", "c1", 10.0, served=False)  # nobody waits for it any more
+    call(driver, "front1", "stock2", "c2", 100.0)
+    call(driver, "lb", "front0", "r", 1000.0)
+    call(driver, "lb", "front1", "r", 10000.0, served=False)
     book.settled(1, "served", 1)
-    outcome = desk.finish()
+    outcome = driver.finish()
     assert outcome.counts["work_useful"] == 1001.0
     # What one request of the first class asks for: 0.2 s times a visit's 0.4, two calls' 0.6 and six' 0.1.
     assert outcome.waste == pytest.approx(10110.0 / (0.2 * (0.4 + 2 * 0.6 + 6 * 0.1)))
@@ -133,21 +135,21 @@
 
 def test_choked_machines_cost_their_share_of_the_tier() -> None:
     choke = ChokePlan(at=3, over=2, slower=3, rest=3, below=0.5, most=20, price=0.06)
-    plan = a_plan()
+    plan = make_plan()
     front = structs.replace(plan.tiers[0], choke=choke)
-    desk = Desk(structs.replace(plan, tiers=(front, *plan.tiers[1:])))
+    driver = CheckerDriver(structs.replace(plan, tiers=(front, *plan.tiers[1:])))
     for node in ("front1", "front1", "stock0"):
-        desk.book.choked(node)
-    assert desk.finish().g == pytest.approx(1 - 0.06 / 3)
+        driver.book.choked(node)
+    assert driver.finish().g == pytest.approx(1 - 0.06 / 3)
 
 
 def test_tries_without_an_attempt_that_end_late_are_counted() -> None:
-    desk = Desk()
+    driver = CheckerDriver()
     for ident, at, attempts in (("a", 2.9, 0), ("b", 3.1, 0), ("c", 3.1, 1)):
-        desk.at(0).take(ident, 1)
+        driver.at(0).take(ident, 1)
         for _ in range(attempts):
-            desk.send(ident=ident)
-            desk.away(ident=ident)
-        desk.at(at).answer(ident, "refused")
-    counts = desk.finish().counts
+            driver.send(ident=ident)
+            driver.reject(ident=ident)
+        driver.at(at).answer(ident, "refused")
+    counts = driver.finish().counts
     assert (counts["unsent_late"], counts["unsent_late_worth"]) == (1, 5.0)
--- a/tests/lab/rules/test_random_histories.py
+++ b/tests/lab/rules/test_random_histories.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.rules.ledger_driver import START, Desk
+from tests.lab.rules.checker_driver import START, CheckerDriver
 from tests.lab.rules.random_histories import SPOILS, play
 from wheatring.lab.rules import Trace, replay_line
 
@@ -30,23 +30,23 @@
 
 
 def test_what_is_over_is_forgotten() -> None:
-    desk = Desk()
-    desk.take("long")
-    desk.send(ident="long")
-    desk.answer("long")
+    driver = CheckerDriver()
+    driver.take("long")
+    driver.send(ident="long")
+    driver.answer("long")
     most = 0
     for number in range(3000):
         ident = f"r{number}"
-        desk.at(number / 10).take(ident, 1, number / 10 + 6)
-        desk.send(ident=ident)
-        desk.book.effect("front0", ident, f"key-{ident}")
-        desk.serve(ident=ident)
-        most = max(most, len(desk.book.requests), len(desk.book.ended_requests))
-    assert "long" in desk.book.requests  # something of it is out
-    desk.book.ended("front0", "long")
-    assert "long" not in desk.book.requests
-    assert most <= 103 and len(desk.book.duplicates.last_effect_at) <= 10 * (60 + 10 + 1)
-    assert desk.broken() == set()
+        driver.at(number / 10).take(ident, 1, number / 10 + 6)
+        driver.send(ident=ident)
+        driver.book.effect("front0", ident, f"key-{ident}")
+        driver.serve(ident=ident)
+        most = max(most, len(driver.book.requests), len(driver.book.ended_requests))
+    assert "long" in driver.book.requests  # something of it is out
+    driver.book.ended("front0", "long")
+    assert "long" not in driver.book.requests
+    assert most <= 103 and len(driver.book.duplicates.last_effect_at) <= 10 * (60 + 10 + 1)
+    assert driver.broken() == set()
 
 
 def test_a_trace_is_the_same_for_the_same_history_and_another_for_another() -> None:
@@ -62,18 +62,18 @@
 def test_a_trace_of_one_request_holds_all_requests_that_it_caused_from_the_start_on() -> None:
     file = StringIO()
     family = {"r": 1, "call": 1, "other": 2}.get
-    desk = Desk(trace=Trace(START, file, ["call"], family), family=family)
-    desk.book.asked(1, 0)
-    desk.book.asked(2, 0)
+    driver = CheckerDriver(trace=Trace(START, file, ["call"], family), family=family)
+    driver.book.asked(1, 0)
+    driver.book.asked(2, 0)
     for sidecar, node, ident in (
         ("lb", "front0", "r"),
         ("lb", "front1", "other"),
         ("front0", "stock0", "call"),
     ):
-        desk.at(0.25).book.taken(sidecar, ident, 0, "", START + 6)
-        desk.book.arrived(sidecar, node, ident, START + 0.125)
-    desk.book.settled(2, "left", 1)
-    desk.book.settled(1, "left", 1)
+        driver.at(0.25).book.taken(sidecar, ident, 0, "", START + 6)
+        driver.book.arrived(sidecar, node, ident, START + 0.125)
+    driver.book.settled(2, "left", 1)
+    driver.book.settled(1, "left", 1)
     assert file.getvalue().splitlines() == [
         "0.0 asked first=1 index=0",
         "0.25 taken sidecar=lb ident=r index=0 key= deadline=6.0",
@@ -85,9 +85,9 @@
 
 
 def test_a_breach_says_how_to_replay_it() -> None:
-    desk = Desk()
-    desk.take()
-    desk.at(7).answer()
+    driver = CheckerDriver()
+    driver.take()
+    driver.at(7).answer()
     line = "wheatring lab run desk --seed 7 --grain exchange --trace desk-7.trace"
-    assert replay_line(desk.finish()) == line + " --of r"
-    assert replay_line(Desk().finish()) == line
+    assert replay_line(driver.finish()) == line + " --of r"
+    assert replay_line(CheckerDriver().finish()) == line
--- a/tests/lab/study/fake_runner.py
+++ b/tests/lab/study/fake_runner.py
@@ -18,41 +18,41 @@
 RUN = "tests.lab.study.fake_runner:play"
 
 
-def job(
+def run_spec(
     seed: int, settings: Settings | None = None, scenario: str = "calm", build: Build | None = None
 ) -> RunSpec:
     return RunSpec(scenario, hashed(scenario), "", seed, "wire", settings or Settings(), build or HERE)
 
 
-def told(**sets: object) -> Settings:
+def settings_with(**sets: object) -> Settings:
     return Settings(sets=tuple((name, str(value)) for name, value in sorted(sets.items())))
 
 
-def play(job: RunSpec) -> Outcome:
+def play(spec: RunSpec) -> Outcome:
     """Return an outcome by a formula from the seed and the settings.
 
     Settings: `gain` is added to g, `noise` is what sides of a pair do not share; `die`, `hang`, `raise`,
     `broken` and `odd` name the one seed that does it; `log` is a file that each run adds its seed to.
     """
-    sets = {name: value_of(value) for name, value in job.settings.sets}
+    sets = {name: value_of(value) for name, value in spec.settings.sets}
     if "log" in sets:
         with Path(str(sets["log"])).open("a") as file:
-            file.write(f"{job.seed}\n")
-    if sets.get("die") == job.seed:
+            file.write(f"{spec.seed}\n")
+    if sets.get("die") == spec.seed:
         os._exit(7)
-    if sets.get("hang") == job.seed:
+    if sets.get("hang") == spec.seed:
         Path(str(sets.get("pid", os.devnull))).write_text(str(os.getpid()))
         threading.Event().wait()
-    if sets.get("raise") == job.seed:
+    if sets.get("raise") == spec.seed:
         raise ZeroDivisionError("planted")
     print("noise on standard output")
-    return outcome(job, sets)
+    return outcome(spec, sets)
 
 
-def outcome(job: RunSpec, sets: dict[str, object]) -> Outcome:
-    shared, own = Random(f"{job.scenario}:{job.seed}"), Random(f"{job.seed}:{job.settings.text()}")
+def outcome(spec: RunSpec, sets: dict[str, object]) -> Outcome:
+    shared, own = Random(f"{spec.scenario}:{spec.seed}"), Random(f"{spec.seed}:{spec.settings.text()}")
     noise, gain = float(str(sets.get("noise", 0.0))), float(str(sets.get("gain", 0.0)))
-    if sets.get("odd") == job.seed:
+    if sets.get("odd") == spec.seed:
         gain = float("nan")
     g = 0.7 + shared.gauss(0.0, 0.1) + own.gauss(0.0, noise) + gain + (latency_estimate.LEARNING_RATE - 0.2)
     seconds = [_second(shared, 20 <= at < 30) for at in range(60)]
@@ -60,16 +60,16 @@
     for _ in range(200):
         held.record_value(max(1, round(shared.lognormvariate(6.0, 0.6))))
     found = [Breach("drain", 21.5, "a claim <went> to n1 late", "x1", "s1", "n1")]
-    broken = found if sets.get("broken") == job.seed else []
+    broken = found if sets.get("broken") == spec.seed else []
     return Outcome(
-        scenario=job.scenario, seed=job.seed, grain=job.grain, requests=sum(s.asked for s in seconds),
+        scenario=spec.scenario, seed=spec.seed, grain=spec.grain, requests=sum(s.asked for s in seconds),
         service=g + 0.01, g=g, whole=g, worst_window=g - 0.2, worst_class=g - 0.1, waste=0.05,
         simulated_s=66.0, wall_s=0.01, breaches=broken, breach_count=len(broken),
         classes=[ClassFigures("menu-view", 100, 90, 5, 3, 2, 0.9, 300.0, 1900.0)], seconds=seconds,
         attempts_by_tier=[13_000, 20_000, 40_000], attempts_each=1.08,
         node_work={f"{tier}-{n}": shared.uniform(8, 20) for tier in ("front", "stock") for n in range(12)},
         latency=held.encode().decode(), happened=[(20.0, "slow <n3> by 4"), (30.0, "n3 is well again")],
-        counts={"choked": float(job.seed % 3)},
+        counts={"choked": float(spec.seed % 3)},
     )  # fmt: skip
 
 
--- a/tests/lab/study/test_commands.py
+++ b/tests/lab/study/test_commands.py
@@ -83,10 +83,10 @@
     store = str(tmp_path / "runs.sqlite")
     words = ("compare", "calm", "--seeds", "1-4", "--figure", "latency.99", "--store", store)
     assert lab(*words, "--build-b", str(other), "--json") == 0
-    told = json.loads(capsys.readouterr().out)
-    g = told["differences"][0]
+    printed = json.loads(capsys.readouterr().out)
+    g = printed["differences"][0]
     assert g["figure"] == "g" and g["mean"] == pytest.approx(0.05) and g["verdict"] == "B is better"
-    assert [line["figure"] for line in told["differences"]] == ["g", "service", "latency.99"]
+    assert [line["figure"] for line in printed["differences"]] == ["g", "service", "latency.99"]
     assert lab(*words, "--set-b", "clients.retries=1") == 0
     assert "B: clients.retries=1" in capsys.readouterr().out
     assert lab(*words) == 2
@@ -96,10 +96,10 @@
 
 
 def test_settings_stand_over_the_scenario_and_leave_its_hash() -> None:
-    (job,) = make_run_specs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), HERE)
+    (spec,) = make_run_specs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), HERE)
     (plain,) = make_run_specs("three-tiers", [1], ["wire"], Settings(), HERE)
-    assert job.text_hash == plain.text_hash and scenario_of(plain).scenario == load("three-tiers").scenario
-    assert scenario_of(job).scenario.clients.retries == 2
+    assert spec.text_hash == plain.text_hash and scenario_of(plain).scenario == load("three-tiers").scenario
+    assert scenario_of(spec).scenario.clients.retries == 2
 
     raw, name, where = load_tables("three-tiers")
     last = raw["tier"][-1]["name"]
--- a/tests/lab/study/test_compare.py
+++ b/tests/lab/study/test_compare.py
@@ -8,8 +8,7 @@
 
 import pytest
 
-from tests.lab.study.fake_runner import RUN, told
-from tests.lab.study.fake_runner import job as made
+from tests.lab.study.fake_runner import RUN, run_spec, settings_with
 from wheatring.lab.study import StudyError, compare, figures, stats, store
 from wheatring.lab.study.runs import RunResult, function
 
@@ -44,11 +43,12 @@
 
 def filled(file: Path, seeds: int, gain: float) -> compare.Comparison:
     sides = [
-        [made(seed, told(gain=more, noise=0.01)) for seed in range(1, seeds + 1)] for more in (0.0, gain)
+        [run_spec(seed, settings_with(gain=more, noise=0.01)) for seed in range(1, seeds + 1)]
+        for more in (0.0, gain)
     ]
     with store.opened(file) as kept:
-        for job in (job for side in sides for job in side):
-            kept.keep(job, RunResult("done", store.encoded(function(RUN)(job))))
+        for spec in (spec for side in sides for spec in side):
+            kept.keep(spec, RunResult("done", store.encoded(function(RUN)(spec))))
         names = ["g", "waste", "classes.menu-view.p99_ms", "latency.99.9", "counts.choked"]
         return compare.compared(kept, sides[0], sides[1], names, ("plain", "more"))
 
@@ -71,10 +71,10 @@
 
 
 def test_seeds_without_both_sides_are_left_out_and_none_at_all_is_an_error(tmp_path: Path) -> None:
-    a, b = ([made(seed, told(gain=gain)) for seed in (1, 2)] for gain in (0, 1))
+    a, b = ([run_spec(seed, settings_with(gain=gain)) for seed in (1, 2)] for gain in (0, 1))
     with store.opened(tmp_path / "runs.sqlite") as kept:
-        for job in (a[0], b[0], a[1]):
-            kept.keep(job, RunResult("done", store.encoded(function(RUN)(job))))
+        for spec in (a[0], b[0], a[1]):
+            kept.keep(spec, RunResult("done", store.encoded(function(RUN)(spec))))
         kept.keep(b[1], RunResult("died", why="planted"))
         found = compare.compared(kept, a, b, ["g"], ("a", "b"))
         assert (found.pairs, found.unpaired, found.differences[0].low) == (1, 1, None)
@@ -86,7 +86,7 @@
 
 
 def test_figures_are_found_by_name() -> None:
-    found = function(RUN)(made(1))
+    found = function(RUN)(run_spec(1))
     for name, value in (
         ("g", found.g), ("classes.menu-view.p99_ms", 1900.0), ("attempts_by_tier.1", 20_000.0),
         ("node_work.front-3", found.node_work["front-3"]), ("counts.never", 0.0),
--- a/tests/lab/study/test_report.py
+++ b/tests/lab/study/test_report.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.lab.study.fake_runner import RUN, job, told
+from tests.lab.study.fake_runner import RUN, run_spec, settings_with
 from wheatring.lab.outcome import Outcome, SecondFigures
 from wheatring.lab.study import store
 from wheatring.lab.study.report import day, several
@@ -51,7 +51,7 @@
 
 
 def test_the_page_of_a_run_has_every_part_and_is_the_same_each_time() -> None:
-    outcome = function(RUN)(job(3, told(broken=3)))
+    outcome = function(RUN)(run_spec(3, settings_with(broken=3)))
     text = day.of_run(outcome, "wheatring lab run calm --seed 3")
     page = Page(text)
     assert page.heads == [
@@ -80,9 +80,9 @@
         for name in ("calm", "rough"):
             for seed in range(1, 31):
                 for gain in (0, 1):
-                    made = job(seed, told(gain=gain / 10, broken=7), name)
+                    made = run_spec(seed, settings_with(gain=gain / 10, broken=7), name)
                     kept.keep(made, RunResult("done", store.encoded(function(RUN)(made))))
-        kept.keep(job(99, scenario="rough"), RunResult("hung", why="not over after 5 s"))
+        kept.keep(run_spec(99, scenario="rough"), RunResult("hung", why="not over after 5 s"))
         rows = kept.rows()
         assert len(kept.rows(scenario="calm", seed=3)) == 2
     text = several.of_set(rows, "All runs")
--- a/tests/lab/study/test_sweep.py
+++ b/tests/lab/study/test_sweep.py
@@ -18,7 +18,7 @@
 from rich.console import Console
 
 from tests.lab.net.environments import WAIT_LIMIT_SECONDS
-from tests.lab.study.fake_runner import RUN, job, told
+from tests.lab.study.fake_runner import RUN, run_spec, settings_with
 from wheatring.lab.study import StudyError, settings, store, sweep
 from wheatring.lab.study.runs import RunResult, RunSpec, build_at, seeds_of
 from wheatring.lab.study.settings import Settings
@@ -32,21 +32,21 @@
 SWEEP = """
 import sys
 from pathlib import Path
-from tests.lab.study.fake_runner import RUN, job, told
+from tests.lab.study.fake_runner import RUN, run_spec, settings_with
 from wheatring.lab.study import pool, store
-chosen = told(log=sys.argv[2], hang=10, pid=sys.argv[3])
+chosen = settings_with(log=sys.argv[2], hang=10, pid=sys.argv[3])
 with store.opened(Path(sys.argv[1])) as kept:
-    def ended(job, how):
-        print(kept.keep(job, how).seed, flush=True)
+    def ended(spec, how):
+        print(kept.keep(spec, how).seed, flush=True)
         return False
-    pool.play([job(seed, chosen) for seed in range(1, 21)], RUN, 2, 1e6, ended)
+    pool.play([run_spec(seed, chosen) for seed in range(1, 21)], RUN, 2, 1e6, ended)
 """
 
 
-def play(file: Path, jobs: list[RunSpec], **more: object) -> sweep.Swept:
+def play(file: Path, run_specs: list[RunSpec], **more: object) -> sweep.Swept:
     with store.opened(file) as kept:
         given = {"workers": 2, "limit": 60.0, "console": QUIET, **more}
-        return sweep.play(jobs, kept, RUN, **given)  # type: ignore[arg-type]
+        return sweep.play(run_specs, kept, RUN, **given)  # type: ignore[arg-type]
 
 
 def test_a_killed_sweep_goes_on_where_it_was(tmp_path: Path) -> None:
@@ -74,9 +74,9 @@
         before = {row.seed for row in kept.rows()}
     assert set(seen) <= before and 10 not in before
 
-    chosen = told(log=str(log), hang=10, pid=str(pid))
+    chosen = settings_with(log=str(log), hang=10, pid=str(pid))
     log.write_text("")
-    swept = play(file, [job(seed, chosen) for seed in range(1, 21) if seed != 10])
+    swept = play(file, [run_spec(seed, chosen) for seed in range(1, 21) if seed != 10])
     assert [row.seed for row in swept.rows] == [seed for seed in range(1, 21) if seed != 10]
     again = Counter(map(int, log.read_text().split()))
     assert again == Counter({*range(1, 21)} - {10} - before)
@@ -84,11 +84,11 @@
 
 
 def test_what_dies_hangs_or_raises_costs_that_run_alone(tmp_path: Path) -> None:
-    chosen = told(die=2, hang=4, odd=7, **{"raise": 5})
-    jobs = {seed: job(seed, chosen) for seed in range(1, 9)}
-    hung = play(tmp_path / "runs.sqlite", [jobs.pop(4)], limit=0.2)
+    chosen = settings_with(die=2, hang=4, odd=7, **{"raise": 5})
+    run_specs = {seed: run_spec(seed, chosen) for seed in range(1, 9)}
+    hung = play(tmp_path / "runs.sqlite", [run_specs.pop(4)], limit=0.2)
     assert [(row.state, row.why) for row in hung.rows] == [("hung", "not over after 0.2 s")]
-    swept = play(tmp_path / "runs.sqlite", [*jobs.values()])
+    swept = play(tmp_path / "runs.sqlite", [*run_specs.values()])
     states = {row.seed: (row.state, row.why.partition(" ")[2]) for row in swept.rows if row.state != "done"}
     assert states == {
         2: ("died", "with status 7"),
@@ -104,21 +104,21 @@
         in text
     )
     # What did not come to its end is played again, and only that.
-    assert play(tmp_path / "runs.sqlite", [*jobs.values()]).played == 3
+    assert play(tmp_path / "runs.sqlite", [*run_specs.values()]).played == 3
 
 
 def test_the_first_breach_of_each_rule_is_reported_and_may_end_the_sweep(tmp_path: Path) -> None:
-    jobs = [job(seed, told(broken=3)) for seed in range(1, 9)]
-    swept = play(tmp_path / "all.sqlite", jobs)
+    run_specs = [run_spec(seed, settings_with(broken=3)) for seed in range(1, 9)]
+    swept = play(tmp_path / "all.sqlite", run_specs)
     assert swept.status == 1 and swept.breaches == 1 and len(swept.rows) == 8
     assert {rule: row.seed for rule, row in sweep.first_breaches(swept.rows).items()} == {"drain": 3}
-    fast = play(tmp_path / "fast.sqlite", jobs, fail_fast=True, workers=1)
+    fast = play(tmp_path / "fast.sqlite", run_specs, fail_fast=True, workers=1)
     assert [row.seed for row in fast.rows] == [1, 2, 3] and fast.status == 1
-    assert play(tmp_path / "fast.sqlite", jobs, fail_fast=True).played == 0
+    assert play(tmp_path / "fast.sqlite", run_specs, fail_fast=True).played == 0
 
 
 def test_ctrl_c_keeps_what_has_ended(tmp_path: Path) -> None:
-    jobs = [job(seed, told(hang=3, pid=tmp_path / "pid")) for seed in (1, 2, 3)]
+    run_specs = [run_spec(seed, settings_with(hang=3, pid=tmp_path / "pid")) for seed in (1, 2, 3)]
     with store.opened(tmp_path / "runs.sqlite") as kept:
         real = kept.keep
 
@@ -129,14 +129,18 @@
             return row
 
         kept.keep = keep  # type: ignore[method-assign]
-        swept = sweep.play(jobs, kept, RUN, workers=1, limit=60.0, console=QUIET)
+        swept = sweep.play(run_specs, kept, RUN, workers=1, limit=60.0, console=QUIET)
     assert swept.stopped and swept.status == 130
     assert [row.seed for row in swept.rows] == [1, 2]
 
 
 def test_patches_reach_the_sidecar_and_no_other_run(tmp_path: Path) -> None:
     patched = Settings(patches=(("wheatring.balancer.latency_estimate:LEARNING_RATE", "0.3"),))
-    swept = play(tmp_path / "runs.sqlite", [job(1), job(1, patched), job(2), job(2, patched)], workers=1)
+    swept = play(
+        tmp_path / "runs.sqlite",
+        [run_spec(1), run_spec(1, patched), run_spec(2), run_spec(2, patched)],
+        workers=1,
+    )
     plain, more, *_ = [row.g for row in swept.rows]
     assert plain is not None and more is not None and more - plain == pytest.approx(0.1)
     assert len({row.settings for row in swept.rows}) == 2
@@ -154,7 +158,7 @@
 )
 def test_a_patch_that_names_nothing_is_reported_before_a_run(tmp_path: Path, patch: str, why: str) -> None:
     with pytest.raises(StudyError) as bad:
-        play(tmp_path / "runs.sqlite", [job(1, settings.single([], [patch]))])
+        play(tmp_path / "runs.sqlite", [run_spec(1, settings.single([], [patch]))])
     assert str(bad.value) == why
 
 
--- a/tests/lab/wire/http_peers.py
+++ b/tests/lab/wire/http_peers.py
@@ -1,4 +1,4 @@
-"""The shared helper of the stories of discovery and of the models' HTTP peers."""
+"""What the tests of discovery and of the models' HTTP peers share."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 TIER = TierPlan(name="t", work=1, conn_idle=5.0, handshake_rtts=2.0)
 
 
-class Book:
-    """Writes down what it is told, and when. Notes stand there by what they note."""
+class EventLog:
+    """Stands in for the event recorder: keeps each call and its time. Notes are listed by what they note."""
 
     def __init__(self, timers: Any) -> None:
         self.timers = timers
@@ -146,7 +146,7 @@
 
     def __init__(self, cap: int = 100, most: int = 0) -> None:
         self.time = VirtualTime()
-        self.book = Book(self.time)
+        self.book = EventLog(self.time)
         book: Any = self.book
         self.net = Network(self.time, NetPlan(same=0.001, jitter=0.0), Random(1))
         self.clients, self.sidecar, self.node = [self.net.process(f"p{n}", f"127.0.0.{n}") for n in (1, 2, 3)]
--- a/tests/lab/wire/test_http_peers.py
+++ b/tests/lab/wire/test_http_peers.py
@@ -18,7 +18,7 @@
     KEYED,
     SAFE,
     TIER,
-    Book,
+    EventLog,
     Field,
     Machine,
     Scripted,
@@ -373,7 +373,7 @@
 @pytest.mark.usefixtures("running")
 def test_callers_nodes_and_discovery_meet_on_loopback() -> None:
     timers, origins = Clock(reactor), CorrelationTable(Random(5))
-    log = Book(timers)
+    log = EventLog(timers)
     book: Any = log
     rest = (timers, Random(6), origins, FORMS, book, "at {}".format, lambda _host: 0.0)
     over: Deferred[Any] = Deferred()
--- a/tests/lifecycle/test_list_request_schedule.py
+++ b/tests/lifecycle/test_list_request_schedule.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.lab.direct.direct_world import Time, Told
+from tests.lab.direct.direct_world import CallRecorder, Time
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.list_request import ListReply, ListRequest
@@ -28,7 +28,7 @@
     def __init__(self, copies: int, rate: float, seed: int, opens: float = 0.0) -> None:
         self.time = Time(0.0)
         plan = DiscoveryPlan(lines_per_s=rate * LINES, call_lines=LINES - 1, spread=0.0)
-        self.registry = Registry(plan, self.time, lambda: 0.0, Random(seed), Told())
+        self.registry = Registry(plan, self.time, lambda: 0.0, Random(seed), CallRecorder())
         self.registry.register(RegisteredNode("n", "127.0.0.1:1"))
         if opens:
             self.time.at(opens, self.registry.begin_fault("down"))
