--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -14,9 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.process import platform_config as told
-from tests.support.world import WAIT_LIMIT_SECONDS as FAR
-from tests.support.world import Peer, Wire, entry
+from tests.support.process import platform_config
+from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, entry
 from wheatring.lifecycle.shutdown_schedule import MIN_IDLE_SECONDS
 from wheatring.ops.capture.replay import replay
 
@@ -24,7 +23,7 @@
 def begin(tmp_path: Path, name: str, **changes: Any) -> subprocess.Popen[str]:
     """One more process of the sidecar, its control at a port of its own."""
     file = tmp_path / f"{name}.json"
-    file.write_text(json.dumps(told(control="127.0.0.1:0", **changes)), encoding="utf-8")
+    file.write_text(json.dumps(platform_config(control="127.0.0.1:0", **changes)), encoding="utf-8")
     return subprocess.Popen(
         [sys.executable, "-m", "wheatring", "--capture"],
         env={**os.environ, "LB_CONFIG": str(file), "TMPDIR": str(tmp_path / "tmp")},
@@ -40,7 +39,7 @@
 
 
 def call(port: int, path: str, method: str = "POST") -> str:
-    wire = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+    wire = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
     wire.send(f"{method} /control/{path} HTTP/1.1\r\n\r\n".encode())
     status = wire.read()[0].split()[1]
     wire.close()
@@ -83,7 +82,7 @@
             try:
                 is_kept = wire is not None
                 if wire is None:
-                    wire = Wire(socket.create_connection(("127.0.0.1", self.port), FAR))
+                    wire = Wire(socket.create_connection(("127.0.0.1", self.port), WAIT_LIMIT_SECONDS))
                 ident = f"{self.port}-{caller}-{count}"
                 previous_from, sent_from = sent_from, time.monotonic()
                 wire.send(f"GET /menu HTTP/1.1\r\nX-Correlation-Id: {ident}\r\n\r\n".encode())
@@ -112,7 +111,7 @@
 
     def until_from(self, *names: bytes) -> None:
         """Wait until each of these nodes has answered. One alone may do so for a while on a busy machine."""
-        limit = time.monotonic() + FAR
+        limit = time.monotonic() + WAIT_LIMIT_SECONDS
         answered: set[bytes] = set()
         while answered != set(names):
             assert time.monotonic() < limit, f"only {answered} have answered"
@@ -155,7 +154,7 @@
             assert call(control, "ready", "GET") == "200"
             old.send_signal(signal.SIGTERM)
             assert set(load.more(100)) == {b"n1"}
-            assert old.wait(FAR) == 0
+            assert old.wait(WAIT_LIMIT_SECONDS) == 0
             old = new
         assert call(control, "endpoints/n0/online") == "200"
         while b"n0" not in load.more(20):
@@ -164,7 +163,7 @@
         assert load.lost == 0
         assert old.poll() is None
         old.send_signal(signal.SIGTERM)
-        assert old.wait(FAR) == 0
+        assert old.wait(WAIT_LIMIT_SECONDS) == 0
         assert not list((tmp_path / "tmp").glob("*.live"))
         told_of_captures: list[str] = []
         assert replay(tmp_path / "tmp", told_of_captures.append), told_of_captures
@@ -189,7 +188,7 @@
         wait(other, "listening")
         beside = begin(tmp_path, "v3", listen=where)  # it waits for its places first
         try:
-            assert alone.wait(FAR) == beside.wait(FAR) == 2
+            assert alone.wait(WAIT_LIMIT_SECONDS) == beside.wait(WAIT_LIMIT_SECONDS) == 2
             assert other.poll() is None
         finally:
             for process in (alone, other, beside):
@@ -210,9 +209,9 @@
         new = begin(tmp_path, "v2", **same)
         assert wait(new, "upgrade")["drawn"] == "1"  # all connections go to it by now
         new.kill()
-        new.wait(FAR)
+        new.wait(WAIT_LIMIT_SECONDS)
         for _ in range(20):
-            wire = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+            wire = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
             wire.send(b"GET /healthz HTTP/1.1\r\n\r\n")
             assert wire.read()[0].split()[1] == "200"
             wire.close()
--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -236,8 +236,8 @@
     wire = world.nodes[0].accept()
     _, fields, _ = wire.read()
     if "transfer-encoding" in fields:
-        while not wire.held.endswith(b"0\r\n\r\n"):
-            wire.held += wire.sock.recv(65536)
+        while not wire.buffer.endswith(b"0\r\n\r\n"):
+            wire.buffer += wire.sock.recv(65536)
     wire.reset()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert world.logged("endpoint-connection") == ["peer-reset"]
--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -18,10 +18,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.process import platform_config as told
-from tests.support.process import wait_for_line as until
-from tests.support.world import WAIT_LIMIT_SECONDS as FAR
-from tests.support.world import Peer, Wire, World, entry
+from tests.support.process import platform_config, wait_for_line
+from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, World, entry
 from wheatring import log
 from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
 from wheatring.http1 import caller_lifecycle, response_stream
@@ -34,7 +32,7 @@
 
 
 def post(world: World, length: int | None = None) -> Wire:
-    """A caller that has sent the head of a large request."""
+    """Return a caller that has sent the head of a large request."""
     framing = "Transfer-Encoding: chunked" if length is None else f"Content-Length: {length}"
     caller = world.caller()
     caller.send(f"POST /order HTTP/1.1\r\n{FIELDS}{framing}\r\n\r\n".encode())
@@ -42,27 +40,27 @@
 
 
 def head(wire: Wire) -> str:
-    """The head of the next message, without its body."""
-    while b"\r\n\r\n" not in wire.held:
+    """Return the head of the next message, without its body."""
+    while b"\r\n\r\n" not in wire.buffer:
         wire._more()
-    text, _, wire.held = wire.held.partition(b"\r\n\r\n")
+    text, _, wire.buffer = wire.buffer.partition(b"\r\n\r\n")
     return text.decode().lower()
 
 
 def body(wire: Wire, size: int) -> bytes:
-    while len(wire.held) < size:
+    while len(wire.buffer) < size:
         wire._more()
-    data, wire.held = wire.held[:size], wire.held[size:]
+    data, wire.buffer = wire.buffer[:size], wire.buffer[size:]
     return data
 
 
 def chunks(wire: Wire) -> bytes:
-    """A chunked body up to its end."""
+    """Return a chunked body, read up to its end."""
     whole = b""
     while True:
-        while b"\r\n" not in wire.held:
+        while b"\r\n" not in wire.buffer:
             wire._more()
-        size, _, wire.held = wire.held.partition(b"\r\n")
+        size, _, wire.buffer = wire.buffer.partition(b"\r\n")
         piece = body(wire, int(size, 16) + 2)[:-2]
         if not piece:
             return whole
@@ -79,8 +77,8 @@
     node = world.nodes[0].accept()
     node.read()
     node.send(b"HTTP/1.1 200 OK\r\nX-Kept: 1\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE[:100000])
-    told = head(caller)
-    assert "x-kept: 1" in told and f"content-length: {len(LARGE)}" in told
+    received_head = head(caller)
+    assert "x-kept: 1" in received_head and f"content-length: {len(LARGE)}" in received_head
     assert body(caller, 100000) == LARGE[:100000]  # the rest has not been made yet
     node.send(LARGE[100000:])
     assert body(caller, 100000 + 4800) == LARGE[100000:]
@@ -102,12 +100,12 @@
     node.read()
     node.send(f"HTTP/1.1 200 OK\r\n{framing}\r\n\r\n".encode())
     node.send(b"%x\r\n%s\r\n" % (100000, LARGE[:100000]) if "chunked" in framing else LARGE[:100000])
-    told = head(caller)
+    received_head = head(caller)
     node.reset()
     with pytest.raises((EOFError, OSError)) as end:
-        chunks(caller) if "chunked" in told else body(caller, len(LARGE))
+        chunks(caller) if "chunked" in received_head else body(caller, len(LARGE))
     assert "answer-cut" in world.logged("caller-connection")
-    if old and "content-length" not in told:  # nothing but a reset tells it that this is not the end
+    if old and "content-length" not in received_head:  # nothing but a reset tells it that this is not the end
         assert end.type is ConnectionResetError
 
 
@@ -124,7 +122,7 @@
     node.read()
     node.send(f"HTTP/1.1 200 OK\r\n{framing}\r\n\r\n".encode())
     head(caller)
-    give_up = world.run(world.sidecar.clock.now) + FAR
+    give_up = world.run(world.sidecar.clock.now) + WAIT_LIMIT_SECONDS
     with pytest.raises((OSError, EOFError)):  # whichever end hears of it first
         while world.run(world.sidecar.clock.now) < give_up:
             node.send(b"1\r\nx\r\n" if "chunked" in framing else b"x")
@@ -187,8 +185,8 @@
         for begin in range(0, len(LARGE), 1000):
             node.send(b"%x;a=b\r\n%s\r\n" % (len(LARGE[begin : begin + 1000]), LARGE[begin : begin + 1000]))
         node.send(b"0\r\nX-Trailer: 1\r\n\r\n")
-    told = head(caller)
-    assert ("transfer-encoding: chunked" in told) is not old
+    received_head = head(caller)
+    assert ("transfer-encoding: chunked" in received_head) is not old
     assert (body(caller, len(LARGE)) if old else chunks(caller)) == LARGE
     if old:
         assert caller.at_end()
@@ -234,8 +232,8 @@
     first, rest = LARGE[:150000], LARGE[150000:]
     caller.send(first if length else b"%x\r\n%s\r\n" % (len(first), first))
     node = world.nodes[0].accept()
-    told = head(node)
-    assert ("transfer-encoding: chunked" in told) is (length is None)
+    received_head = head(node)
+    assert ("transfer-encoding: chunked" in received_head) is (length is None)
     (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
     assert job.deadline == float("inf") and job.overdue_timer is None
     caller.send(rest if length else b"%x\r\n%s\r\n0\r\n\r\n" % (len(rest), rest))
@@ -314,7 +312,7 @@
 
 
 def test_a_sender_that_is_stopped_takes_nothing_from_the_one_after_it() -> None:
-    class Held:
+    class EagerTransport:
         """A transport that asks for more when it is told to."""
 
         def __init__(self) -> None:
@@ -323,10 +321,10 @@
         def write(self, data: bytes) -> None:
             self.got += data
 
-        def registerProducer(self, producer: BodySender, streaming: bool) -> None:
+        def registerProducer(self, producer: BodySender, streaming: bool) -> None:  # noqa: ARG002, N802 - Twisted's signature
             producer.resumeProducing()
 
-    transports: list[Any] = [Held(), Held()]
+    transports: list[Any] = [EagerTransport(), EagerTransport()]
     large = Body(BodyMemory(1000000), is_replayable=True)
     large.put(b"a" * 20000)
     ends: list[str] = []
@@ -348,15 +346,15 @@
 def test_a_sender_whose_body_is_cancelled_has_not_sent_it() -> None:
     """Its connection would be taken for clean, and the next request be read as the rest of this one."""
 
-    class Held:
+    class EagerTransport:
         """A transport that asks for more when it is told to."""
 
         def write(self, data: bytes) -> None: ...
 
-        def registerProducer(self, producer: BodySender, streaming: bool) -> None:
+        def registerProducer(self, producer: BodySender, streaming: bool) -> None:  # noqa: ARG002, N802 - Twisted's signature
             producer.resumeProducing()
 
-    transport: Any = Held()
+    transport: Any = EagerTransport()
     large = Body(BodyMemory(1000000), is_replayable=True)
     large.put(b"a" * 20000)
     large.put(b"b" * 20000, True)
@@ -459,7 +457,7 @@
         wire.read()
         # The threads that write answers would keep this process's callers from their requests on a busy
         # machine, and a caller that connects and sends nothing for HEAD_SECONDS is ended.
-        all_asked.wait(FAR)
+        all_asked.wait(WAIT_LIMIT_SECONDS)
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size // 65536):
             wire.send(b"x" * 65536)
@@ -470,7 +468,7 @@
     known = {"generation": 3, "instances": [entry("n0", node)]}
     limits = {"cores": 1.0, "memory_mb": 64, "sockets": 512}
     file = tmp_path / "c.json"
-    data = told(known=known, discovery=f"127.0.0.1:{discovery.port}", limits=limits)
+    data = platform_config(known=known, discovery=f"127.0.0.1:{discovery.port}", limits=limits)
     file.write_text(json.dumps(data), encoding="utf-8")
     with subprocess.Popen(
         [sys.executable, "-m", "wheatring"],
@@ -479,10 +477,10 @@
         text=True,
     ) as process:
         try:
-            port = int(until(process, "listening").rpartition("=")[2])
+            port = int(wait_for_line(process, "listening").rpartition("=")[2])
             callers = []
             for n in range(readers):
-                caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+                caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
                 caller.send(f"GET /menu HTTP/1.1\r\nX-Correlation-Id: c{n}\r\n\r\n".encode())
                 callers.append(caller)
             all_asked.set()
--- a/tests/http1/test_caller_connection.py
+++ b/tests/http1/test_caller_connection.py
@@ -29,7 +29,7 @@
 
 def slow_reader(world: World) -> Wire:
     """Return a caller most of whose answer waits at the sidecar's end until it reads."""
-    if not isinstance(world.ground, LoopbackSockets):
+    if not isinstance(world.sockets, LoopbackSockets):
         return world.caller()
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -206,7 +206,7 @@
     else:
         wire.close()
     world.logged("caller-connection")
-    if isinstance(world.ground, VirtualSockets):
+    if isinstance(world.sockets, VirtualSockets):
         assert world.run(world.sidecar.clock.now) - left < 0.1
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
     assert world.sidecar.driver.last_id == 1
@@ -451,7 +451,7 @@
         wire.close()
     left = world.run(world.sidecar.clock.now)
     assert world.logged("caller-connection") == ["peer-closed"]  # not given up by this side
-    if isinstance(world.ground, VirtualSockets):
+    if isinstance(world.sockets, VirtualSockets):
         assert world.run(world.sidecar.clock.now) - left < 0.1
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
--- a/tests/http1/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -61,7 +61,7 @@
 
     def come(self) -> None:
         with suppress(OSError):  # the door is shut
-            self.callers.append(Party(Wire(self.world.ground.connect(self.world.port)), responses=True))
+            self.callers.append(Party(Wire(self.world.sockets.connect(self.world.port)), responses=True))
 
     def ask(self, caller: Party) -> None:
         for _ in range(self.draw.choice([1, 1, 3, 8])):
@@ -131,8 +131,8 @@
     for seed in range(first, first + 20):
         sends.clear()
         world = make(2)
-        assert isinstance(world.ground, VirtualSockets)
-        play, time, now = Play(world, seed), world.ground.time, world.sidecar.clock.now
+        assert isinstance(world.sockets, VirtualSockets)
+        play, time, now = Play(world, seed), world.sockets.time, world.sidecar.clock.now
         if seed % 2:
             world.sidecar.server.body_memory.limit_bytes = 0
         for _ in range(play.draw.randint(10, 60)):
--- a/tests/http1/test_endpoint_connection.py
+++ b/tests/http1/test_endpoint_connection.py
@@ -24,7 +24,7 @@
 def test_a_connect_that_comes_up_after_its_endpoint_was_removed_carries_nothing(make: Make, how: str) -> None:
     """The first byte counts, not the choice: at once it goes to one that is there by then."""
     world = make()
-    (old,), spare = world.nodes, Peer(world.ground)
+    (old,), spare = world.nodes, Peer(world.sockets)
     now_at = old if how == "its address another's" else spare
 
     def notify_during_connect() -> list[Answer]:
@@ -109,7 +109,7 @@
 def test_what_a_stale_connection_leaves_does_not_go_to_a_removed_endpoint(make: Make, how: str) -> None:
     """Its next connect might take longer than sends may go on there."""
     world = make()
-    (old,), spare = world.nodes, Peer(world.ground)
+    (old,), spare = world.nodes, Peer(world.sockets)
     wire = kept_connection(world, world.caller())
 
     def crossing() -> list[Attempt]:
@@ -147,7 +147,7 @@
     body = b"x" * 65000  # more than both ends of the connection hold
     world.ask("unsafe", wire=caller, more=f"Content-Length: {len(body)}\r\n")
     caller.send(body)
-    wire.held = wire.sock.recv(1)  # it has begun to leave
+    wire.buffer = wire.sock.recv(1)  # it has begun to leave
     if amid:
         wire.send(b"HTTP/1.1 %d X\r\n" % old[0])
         world.settle()
@@ -174,7 +174,7 @@
     wire = kept_connection(world, caller)
     world.ask("unsafe", wire=caller, more="Content-Length: 65000\r\n")
     caller.send(b"x" * 65000)  # this end's system takes it, and the other's has no room
-    wire.held = wire.sock.recv(1)
+    wire.buffer = wire.sock.recv(1)
     world.settle()
     (connection,) = world.sidecar.pool.connections
     assert connection.is_flushed
@@ -277,7 +277,7 @@
     make: Make, tmp_path: Path, more: dict[str, Any]
 ) -> None:
     """Also where it serves on, at the same address, in another pool."""
-    world = PoolsWorld(make(0).ground, tmp_path, TWO)
+    world = PoolsWorld(make(0).sockets, tmp_path, TWO)
 
     def notify_during_connect() -> list[object]:
         world.pools.router.change_weights("all", {"old": 1})
--- a/tests/http1/test_endpoint_list.py
+++ b/tests/http1/test_endpoint_list.py
@@ -58,8 +58,8 @@
 
 
 def now(world: World) -> float:
-    assert isinstance(world.ground, VirtualSockets)
-    return world.ground.time.now()
+    assert isinstance(world.sockets, VirtualSockets)
+    return world.sockets.time.now()
 
 
 def asked(wire: Wire) -> str:
@@ -125,7 +125,7 @@
     world = virtual()
     watch = world.discovery.accept()
     asked(watch)
-    time: Any = world.ground.time  # type: ignore[union-attr]
+    time: Any = world.sockets.time  # type: ignore[union-attr]
     time.run(now(world) + 10.0)
     began = now(world)
     with suppress(OSError):
@@ -144,7 +144,7 @@
     world = virtual()
     watch = world.discovery.accept()
     asked(watch)
-    world.ground.time.run(now(world) + 20.0)  # type: ignore[union-attr]
+    world.sockets.time.run(now(world) + 20.0)  # type: ignore[union-attr]
     for _ in range(12):
         failed = now(world)
         watch.answer(503)
@@ -159,7 +159,7 @@
     """The calls before fail in a line, the watches are ended when they have stood for long."""
     change_settings(peers_total=200, slot_no=199)
     world = virtual()
-    time: Any = world.ground.time  # type: ignore[union-attr]
+    time: Any = world.sockets.time  # type: ignore[union-attr]
     for stands in (1.5, 20.0, 20.0, 1.5, 20.0):
         watch = world.discovery.accept()
         assert asked(watch).startswith(WATCH)
@@ -173,10 +173,10 @@
 def test_moves_in_a_row_put_no_call_off(virtual: Make, change_settings: Callable[..., None]) -> None:
     change_settings(peers_total=200, slot_no=199)
     world = virtual()
-    time: Any = world.ground.time  # type: ignore[union-attr]
+    time: Any = world.sockets.time  # type: ignore[union-attr]
     asked(world.discovery.accept())
     time.run(now(world) + 20.0)
-    began, new = now(world), [Peer(world.ground) for _ in range(12)]
+    began, new = now(world), [Peer(world.sockets) for _ in range(12)]
     for peer in new:
         world.run(partial(world.sidecar.machine_list.change_discovery, ("127.0.0.1", peer.port)))
         time.run(now(world) + 0.9)
@@ -196,7 +196,7 @@
     silent = world.discovery.accept()
     asked(silent)
     laid = now(world)
-    time: Any = world.ground.time  # type: ignore[union-attr]
+    time: Any = world.sockets.time  # type: ignore[union-attr]
     world.discovery.close()
     time.run(laid + 49.1)
     assert world.codes("discovery-connection") == ["connect-failed"]  # the watch stands
@@ -242,7 +242,7 @@
     world = make(2)
     watch = world.discovery.accept()
     asked(watch)
-    new = Peer(world.ground)
+    new = Peer(world.sockets)
     held = [entry("n1", world.nodes[1])] if reset else []
     news = list_body(90, DRAINS, *held, reset=reset)
 
@@ -265,7 +265,7 @@
     world = make(2)
     watch = world.discovery.accept()
     asked(watch)
-    new = Peer(world.ground)
+    new = Peer(world.sockets)
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
     assert asked(first) == FULL_LIST
@@ -284,7 +284,7 @@
     watch = world.discovery.accept()
     asked(watch)
     lists = world.sidecar.machine_list
-    second, third = Peer(world.ground), Peer(world.ground)
+    second, third = Peer(world.sockets), Peer(world.sockets)
     world.run(lambda: lists.change_discovery(("127.0.0.1", second.port)))
     crossing = second.accept()
     assert asked(crossing) == FULL_LIST
@@ -307,7 +307,7 @@
     world = virtual()
     watch = world.discovery.accept()
     asked(watch)
-    world.ground.time.run(now(world) + 24.0)  # type: ignore[union-attr]
+    world.sockets.time.run(now(world) + 24.0)  # type: ignore[union-attr]
     anew = world.discovery.accept()
     assert asked(anew).startswith(WATCH)
     watch.answer(200, list_body(version, DRAINS))
@@ -322,7 +322,7 @@
     world = virtual()
     watch = world.discovery.accept()
     asked(watch)
-    world.ground.time.run(now(world) + 24.0)  # type: ignore[union-attr]
+    world.sockets.time.run(now(world) + 24.0)  # type: ignore[union-attr]
     asked(world.discovery.accept())
     assert watch.at_end()
     assert world.run(lambda: world.sidecar.machine_list.superseded.clients) == []
@@ -345,7 +345,7 @@
     watch = world.discovery.accept()
     asked(watch)
     watch.answer(200, list_body(8))
-    time: Any = world.ground.time  # type: ignore[union-attr]
+    time: Any = world.sockets.time  # type: ignore[union-attr]
     lists = world.sidecar.machine_list
     while lists.version == 7:
         time.run(now(world) + 0.001)
@@ -364,7 +364,7 @@
     world.run(world.sidecar.machine_list.fetch)
     fetch = world.discovery.accept()
     assert asked(fetch) == FULL_LIST
-    new = Peer(world.ground)
+    new = Peer(world.sockets)
 
     def crossing() -> None:
         fetch.answer(200, list_body(90, reset=True))
@@ -384,7 +384,7 @@
     watch = world.discovery.accept()
     asked(watch)
     watch.answer(200, list_body(8))
-    world.ground.time.run(now(world) + 0.001)  # type: ignore[union-attr]
+    world.sockets.time.run(now(world) + 0.001)  # type: ignore[union-attr]
     watch.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{")
     ended = now(world)
     watch = world.discovery.accept()
@@ -460,8 +460,8 @@
     world = make(1)
     watch = world.discovery.accept()
     asked(watch)
-    world.nodes.append(Peer(world.ground))
-    warm = round(world.ground.unix() * 1000) - 100_000
+    world.nodes.append(Peer(world.sockets))
+    warm = round(world.sockets.unix() * 1000) - 100_000
     again = entry("n0", world.nodes[1], startedAtMs=warm)
     if together:
         watch.answer(200, list_body(9, DRAINS, again))
@@ -522,7 +522,7 @@
         watch = world.discovery.accept()
         assert asked(watch).startswith(WATCH)
         assert now(world) - failed < 0.3
-    new = Peer(world.ground)
+    new = Peer(world.sockets)
     began = now(world)
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     assert asked(new.accept()) == FULL_LIST
@@ -576,7 +576,7 @@
     change_settings(peers_total=copies, slot_no=copies - 1)
     world = virtual()
     asked(world.discovery.accept())
-    new = Peer(world.ground)
+    new = Peer(world.sockets)
     before = now(world)
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     for patience in (0.0, 2.0, 4.0, 4.75, 4.75)[: 5 if copies == 1 else 3]:  # many give way by then
@@ -597,7 +597,7 @@
 def test_an_answer_that_trickles_holds_the_next_call_up_no_longer_than_none(virtual: Make) -> None:
     world = virtual()
     asked(world.discovery.accept())
-    new = Peer(world.ground)
+    new = Peer(world.sockets)
     world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
     assert asked(first) == FULL_LIST
@@ -605,7 +605,7 @@
     first.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n")
     with suppress(OSError):
         while not new.listener.socket.queue:
-            world.ground.time.run(now(world) + 0.5)  # type: ignore[union-attr]
+            world.sockets.time.run(now(world) + 0.5)  # type: ignore[union-attr]
             first.send(b" ")
     second = new.accept()
     assert asked(second) == FULL_LIST
@@ -631,7 +631,7 @@
             if ending == "news":
                 watch.answer(200, list_body(90 - number, entry("n1", world.nodes[1])))
             elif ending == "move":
-                peers.append(Peer(world.ground))
+                peers.append(Peer(world.sockets))
                 world.run(partial(lists.change_discovery, ("127.0.0.1", peers[-1].port)))
             elif ending == "broken":
                 world.run(partial(setattr, lists, "on_view", broken))
--- a/tests/http1/test_list_freshness.py
+++ b/tests/http1/test_list_freshness.py
@@ -40,7 +40,7 @@
     new = world.discovery.accept()
     assert new.read()[0].startswith(WATCH)  # from the version held, and waiting as long
     assert old.at_end()
-    node = Peer(world.ground)
+    node = Peer(world.sockets)
     gone = [{"instanceId": f"n{n}", "lifecycle": "DELETED"} for n in range(3)]
     new.answer(200, list_body(8, *gone, entry("x", node)))
     assert new.read()[0].startswith("GET /v1/servers?index=8&wait=50000")
@@ -64,7 +64,7 @@
     world.ask().read()
     world.logged("discovery-connection", 2)
     assert set(world.codes("discovery-connection")) == {"connect-failed"}
-    node = Peer(world.ground)
+    node = Peer(world.sockets)
     watch.answer(200, list_body(8, entry("x", node), reset=True))
     assert watch.read()[0].startswith("GET /v1/servers?index=8&")
     caller = world.ask()
@@ -86,7 +86,7 @@
     watch = world.discovery.accept()
     watch.read()
     lists = world.sidecar.machine_list
-    world.ground.until(lambda: lists.replacement is None)
+    world.sockets.until(lambda: lists.replacement is None)
 
     def answered_amid() -> None:
         lists.start_replacement(world.sidecar.clock.now())
--- a/tests/http1/test_pushed_list.py
+++ b/tests/http1/test_pushed_list.py
@@ -54,5 +54,5 @@
         wire.answer(503)
     wire = world.discovery.accept()
     wire.read()
-    if hasattr(world.ground, "net"):  # in virtual time, where a wait is as long as it is asked for
+    if hasattr(world.sockets, "net"):  # in virtual time, where a wait is as long as it is asked for
         assert world.run(world.sidecar.clock.now) - at < 0.45
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -9,8 +9,7 @@
 import pytest
 from twisted.logger import globalLogPublisher
 
-from tests.support.world import LoopbackSockets as Loopback
-from tests.support.world import World, entry, list_body
+from tests.support.world import LoopbackSockets, World, entry, list_body
 from wheatring import log
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Request
@@ -186,8 +185,8 @@
 
 def test_a_job_whose_claim_never_reports_is_answered_all_the_same(make: Make) -> None:
     world = make()
-    world.sidecar.exchange.start_attempt = lambda claim: None
-    world.sidecar.exchange._time_out = lambda attempt: None  # type: ignore[method-assign]
+    world.sidecar.exchange.start_attempt = lambda _attempt: None
+    world.sidecar.exchange._time_out = lambda attempt: None  # type: ignore[method-assign]  # noqa: ARG005 - the method's signature
     assert world.ask(left=50).read()[0] == "HTTP/1.1 502 Bad Gateway"
     world.logged("overdue")
 
@@ -203,11 +202,11 @@
     world = make()
     balancer = world.sidecar.driver.decision_module
 
-    def unknown_action(now: float, event: i.Event) -> list[i.Action]:
+    def unknown_action(_now: float, event: i.Event) -> list[i.Action]:
         assert isinstance(event, i.NewRequest)
         return [i.Send(event.request + 99, "n0", 1.0), i.Cancel(event.request, 7), i.Log("still here")]
 
-    def raises(now: float, event: i.Event) -> list[i.Action]:
+    def raises(_now: float, _event: i.Event) -> list[i.Action]:
         raise ZeroDivisionError
 
     for fault in (unknown_action, raises):
@@ -478,14 +477,14 @@
 
 def test_who_has_just_come_in_may_still_ask_when_the_door_is_shut(make: Make) -> None:
     world = make()
-    if isinstance(world.ground, Loopback):
+    if isinstance(world.sockets, LoopbackSockets):
         pytest.skip("these instants can't be met for certain")
     leave(world)
-    world.ground.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.leaving.started_at > 0.41)
+    world.sockets.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.leaving.started_at > 0.41)
     late, silent = world.caller(), world.caller()
-    world.ground.until(lambda: world.sidecar.server.listener is None)
+    world.sockets.until(lambda: world.sidecar.server.listener is None)
     shut = world.sidecar.clock.now()
-    world.ground.until(lambda: world.sidecar.clock.now() > shut + 0.022)  # it has looked again
+    world.sockets.until(lambda: world.sidecar.clock.now() > shut + 0.022)  # it has looked again
     world.ask(wire=late)
     world.first().read()
     assert silent.at_end()
@@ -554,7 +553,7 @@
     def trip(*_: object) -> None:
         raise ZeroDivisionError
 
-    def trips(connection: caller_connection.CallerConnection, data: bytes) -> None:
+    def trips(connection: caller_connection.CallerConnection, _data: bytes) -> None:
         if late:
             connection.server.reactor.callLater(0, trip)
         else:
--- a/tests/http1/test_shutdown.py
+++ b/tests/http1/test_shutdown.py
@@ -161,7 +161,7 @@
 
     def evict() -> None:
         """Evict the caller whose request is there, and not read yet."""
-        if isinstance(world.ground, LoopbackSockets):
+        if isinstance(world.sockets, LoopbackSockets):
             wire.send(HEALTH)
         connection.transport.resumeProducing()
         monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
@@ -170,7 +170,7 @@
         else:
             connection.enforce_limits(world.sidecar.clock.now() + 1, 0.0)
 
-    if not isinstance(world.ground, LoopbackSockets):
+    if not isinstance(world.sockets, LoopbackSockets):
         world.run(connection.transport.pauseProducing)
         wire.send(HEALTH)
         world.settle()
@@ -188,5 +188,5 @@
     assert wire.read()[0].startswith("HTTP/1.1 503")  # and it is not closed
     stopped_at = world.run(world.sidecar.clock.now)
     world.logged("ended")
-    if not isinstance(world.ground, LoopbackSockets):
+    if not isinstance(world.sockets, LoopbackSockets):
         assert world.run(world.sidecar.clock.now) - stopped_at < server.BRIEF_FLUSH_SECONDS + 0.05
--- a/tests/ops/test_tokens.py
+++ b/tests/ops/test_tokens.py
@@ -91,7 +91,7 @@
     caller.send(b"POST /order HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(hidden), hidden))
     assert caller.read()[2] == b"token missing"
     assert ask(world, f"Bearer {good()}", caller, "order").read()[0] == "HTTP/1.1 403 Forbidden"
-    assert caller.held == b""
+    assert caller.buffer == b""
 
 
 def test_a_token_opens_its_classes_until_its_end_and_the_skew(world: World) -> None:
--- a/tests/pools/pools_world.py
+++ b/tests/pools/pools_world.py
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        ground: LoopbackSockets | VirtualSockets,
+        sockets: LoopbackSockets | VirtualSockets,
         folder: Path,
         text: str,
         zones: str = "ab",
@@ -41,7 +41,7 @@
         self.file.write_text(text, encoding="utf-8")
         own = str(self.file)
         configuration = read(own, first_invalid_route)
-        super().__init__(ground, len(zones), configuration_path=own, configuration=configuration, **more)
+        super().__init__(sockets, len(zones), configuration_path=own, configuration=configuration, **more)
 
     def known(self) -> list[dict[str, Any]]:
         return [entry(f"n{n}", peer, zone=self.zones[n]) for n, peer in enumerate(self.nodes)]
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -27,7 +27,7 @@
 
 
 @pytest.fixture(params=["loopback", "virtual"])
-def ground(
+def sockets(
     request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
 ) -> LoopbackSockets | VirtualSockets:
     keep_scripted_peers(monkeypatch)
@@ -38,11 +38,11 @@
 
 
 @pytest.fixture
-def make(ground: LoopbackSockets | VirtualSockets, tmp_path: Path) -> Iterator[Make]:
+def make(sockets: LoopbackSockets | VirtualSockets, tmp_path: Path) -> Iterator[Make]:
     worlds: list[PoolsWorld] = []
 
     def build(text: str = TWO, zones: str = "ab", **more: Any) -> PoolsWorld:
-        worlds.append(PoolsWorld(ground, tmp_path, text, zones, **more))
+        worlds.append(PoolsWorld(sockets, tmp_path, text, zones, **more))
         return worlds[-1]
 
     yield build
@@ -235,9 +235,9 @@
 
 
 def test_a_drain_is_applied_in_one_pool_and_counts_in_that_alone(
-    make: Make, ground: LoopbackSockets | VirtualSockets
+    make: Make, sockets: LoopbackSockets | VirtualSockets
 ) -> None:
-    lists = [Peer(ground), Peer(ground)]
+    lists = [Peer(sockets), Peer(sockets)]
     world = make(own_list(lists[0].port, lists[1].port))
     watches = [each.accept() for each in lists]
     for node, watch in enumerate(watches):  # the same name in both lists
@@ -262,9 +262,9 @@
 
 
 def test_routes_wait_for_the_list_of_a_pool_that_is_new(
-    make: Make, ground: LoopbackSockets | VirtualSockets
+    make: Make, sockets: LoopbackSockets | VirtualSockets
 ) -> None:
-    found = Peer(ground)
+    found = Peer(sockets)
     world = make()
     world.reload(own_list(found.port, found.port).replace("/menu/x", "/x").replace("= { x", "= { y"))
     world.logged("config-reloaded")
@@ -403,12 +403,12 @@
     assert world.call().read()[0].split()[1] == "503"
 
 
-@pytest.mark.parametrize("ground", ["loopback"], indirect=True)  # no door for operators in virtual time
+@pytest.mark.parametrize("sockets", ["loopback"], indirect=True)  # no door for operators in virtual time
 def test_what_operators_take_offline_is_out_in_the_lists_that_pools_have_of_their_own(
-    make: Make, ground: LoopbackSockets, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    make: Make, sockets: LoopbackSockets, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    found = Peer(ground)
+    found = Peer(sockets)
     world = make(own_list(found.port, found.port), control=("127.0.0.1", 0))
     watches = [found.accept(), found.accept()]
     for watch in watches:
@@ -437,7 +437,7 @@
     found.close()
 
 
-@pytest.mark.parametrize("ground", ["loopback"], indirect=True)
+@pytest.mark.parametrize("sockets", ["loopback"], indirect=True)
 def test_what_operators_take_offline_is_out_in_the_pools_of_that_list(
     make: Make, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/support/virtual_sockets.py
+++ b/tests/support/virtual_sockets.py
@@ -20,8 +20,8 @@
 class BlockingSocket:
     """The part of `socket.socket` that the tests use, with the same errors."""
 
-    def __init__(self, ground: VirtualSockets, socket: Socket) -> None:
-        self.ground = ground
+    def __init__(self, sockets: VirtualSockets, socket: Socket) -> None:
+        self.sockets = sockets
         self.socket = socket
         self.setsockopt = socket.setsockopt
         self.getsockname = socket.getsockname
@@ -32,18 +32,18 @@
         """Each call has the same far limit."""
 
     def recv(self, size: int) -> bytes:
-        self.ground.until(self.socket.readable)
+        self.sockets.until(self.socket.readable)
         return self.socket.recv(size)
 
     def sendall(self, data: bytes) -> None:
         while data:
-            self.ground.until(self.socket.writable)
+            self.sockets.until(self.socket.writable)
             data = data[self.socket.send(data) :]
 
     def accept(self) -> tuple[BlockingSocket, Any]:
-        self.ground.until(self.socket.readable)
+        self.sockets.until(self.socket.readable)
         accepted, address = self.socket.accept()
-        return BlockingSocket(self.ground, accepted), address
+        return BlockingSocket(self.sockets, accepted), address
 
 
 class VirtualSockets:
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -59,15 +59,15 @@
     unix = staticmethod(time.time)
 
     def __init__(self) -> None:
-        self.said = threading.Condition()  # something may be so now that was not
+        self.changed = threading.Condition()  # something may be so now that was not
 
     def run(self, call: Callable[[], T]) -> T:
         done: T = blockingCallFromThread(self.reactor, call)
         return done
 
     def until(self, met: Callable[[], object]) -> None:
-        with self.said:
-            assert self.said.wait_for(met, WAIT_LIMIT_SECONDS), "it never came"
+        with self.changed:
+            assert self.changed.wait_for(met, WAIT_LIMIT_SECONDS), "it never came"
 
     def settle(self) -> None:
         self.run(lambda: None)
@@ -106,34 +106,34 @@
     def __init__(self, sock: Any) -> None:
         sock.settimeout(WAIT_LIMIT_SECONDS)
         self.sock = sock
-        self.held = b""
+        self.buffer = b""
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def read(self) -> tuple[str, dict[str, str], bytes]:
         """Return the next message: first line, fields, body."""
-        while b"\r\n\r\n" not in self.held:
+        while b"\r\n\r\n" not in self.buffer:
             self._more()
-        head, _, self.held = self.held.partition(b"\r\n\r\n")
+        head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
         first, *lines = head.decode("latin-1").split("\r\n")
         fields = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
         length = int(fields.get("content-length", 0))
-        while len(self.held) < length:
+        while len(self.buffer) < length:
             self._more()
-        body, self.held = self.held[:length], self.held[length:]
+        body, self.buffer = self.buffer[:length], self.buffer[length:]
         return first, fields, body
 
     def _more(self) -> None:
         data = self.sock.recv(65536)
         if not data:
             raise EOFError
-        self.held += data
+        self.buffer += data
 
     def at_end(self) -> bool:
         """Wait for the end; return whether the other side has closed with nothing left to read."""
         try:
-            return not self.held and self.sock.recv(1) == b""
+            return not self.buffer and self.sock.recv(1) == b""
         except ConnectionResetError:
             return True
 
@@ -151,9 +151,9 @@
 class Peer:
     """A listening peer: an endpoint or discovery."""
 
-    def __init__(self, ground: LoopbackSockets | VirtualSockets | None = None) -> None:
-        self.ground = ground or LoopbackSockets()
-        self.listener = self.ground.listen()
+    def __init__(self, sockets: LoopbackSockets | VirtualSockets | None = None) -> None:
+        self.sockets = sockets or LoopbackSockets()
+        self.listener = self.sockets.listen()
         self.listener.settimeout(WAIT_LIMIT_SECONDS)
         self.port = self.listener.getsockname()[1]
 
@@ -177,7 +177,7 @@
 
     def refuse(self) -> None:
         """Refuse all connections from now on; nobody has connected so far."""
-        self.listener = self.ground.refuse(self.listener)
+        self.listener = self.sockets.refuse(self.listener)
 
     def close(self) -> None:
         self.listener.close()
@@ -193,18 +193,18 @@
 
     def __init__(
         self,
-        ground: LoopbackSockets | VirtualSockets,
+        sockets: LoopbackSockets | VirtualSockets,
         nodes: int = 1,
         operators: OperatorProperties = NO_OPERATORS,
         capture: bool = False,
         control: tuple[str, int] | None = None,
         **more: Any,
     ) -> None:
-        self.ground = ground
-        self.reactor = ground.reactor
+        self.sockets = sockets
+        self.reactor = sockets.reactor
         self.lines: list[tuple[str, dict[str, object]]] = []
-        self.nodes = [Peer(ground) for _ in range(nodes)]
-        self.discovery = Peer(ground)
+        self.nodes = [Peer(sockets) for _ in range(nodes)]
+        self.discovery = Peer(sockets)
         self.wires: list[Wire] = []
         self.asked = 0
         known = {"generation": 7, "instances": self.known()}
@@ -215,7 +215,7 @@
         )  # fmt: skip
 
         def start() -> tuple[Sidecar, int]:
-            sidecar = Sidecar(self.reactor, self.config, operators, capture, ground.unix, **more)
+            sidecar = Sidecar(self.reactor, self.config, operators, capture, sockets.unix, **more)
             sidecar.start()
             return sidecar, sidecar.server.listener.getHost().port
 
@@ -226,27 +226,27 @@
         return [entry(f"n{n}", p) for n, p in enumerate(self.nodes)]
 
     def _line(self, event: str, /, **values: object) -> None:
-        if isinstance(self.ground, VirtualSockets):
+        if isinstance(self.sockets, VirtualSockets):
             self.lines.append((event, values))
         else:
-            with self.ground.said:
+            with self.sockets.changed:
                 self.lines.append((event, values))
-                self.ground.said.notify_all()
+                self.sockets.changed.notify_all()
 
     def run(self, call: Callable[[], T]) -> T:
         """Call something in the reactor and wait for what it returns."""
-        return self.ground.run(call)
+        return self.sockets.run(call)
 
     def codes(self, event: str) -> list[object]:
         return [values.get("code") for name, values in list(self.lines) if name == event]
 
     def logged(self, event: str, count: int = 1) -> list[object]:
         """Wait until the log has so many lines of an event; their codes."""
-        self.ground.until(lambda: sum(e == event for e, _ in self.lines) >= count)
+        self.sockets.until(lambda: sum(e == event for e, _ in self.lines) >= count)
         return self.codes(event)
 
     def caller(self) -> Wire:
-        wire = Wire(self.ground.connect(self.port))
+        wire = Wire(self.sockets.connect(self.port))
         self.wires.append(wire)
         return wire
 
@@ -262,11 +262,11 @@
 
     def settle(self) -> None:
         """Let the reactor take what the sockets hold by now: that comes between any two calls into it."""
-        self.ground.settle()
+        self.sockets.settle()
 
     def first(self) -> Wire:
         """Return the next connection to whichever endpoint is tried."""
-        return self.nodes[self.ground.ready([peer.listener for peer in self.nodes])].accept()
+        return self.nodes[self.sockets.ready([peer.listener for peer in self.nodes])].accept()
 
     def end(self) -> None:
         def stop() -> None:
