--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A new version under load: two real processes at one address, and what is lost at the door."""
+"""A new version under load: two real processes at one address, and what is lost at the listener."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from wheatring.ops.capture.replay import replay
 
 
-def begin(tmp_path: Path, name: str, **changes: Any) -> subprocess.Popen[str]:
+def start_process(tmp_path: Path, name: str, **changes: Any) -> subprocess.Popen[str]:
     """One more process of the sidecar, its control at a port of its own."""
     file = tmp_path / f"{name}.json"
     file.write_text(json.dumps(platform_config(control="127.0.0.1:0", **changes)), encoding="utf-8")
@@ -103,11 +103,11 @@
 
     def more(self, count: int) -> list[bytes]:
         """So many answers from now on."""
-        begun = len(self.served)
+        served_before = len(self.served)
         waited = threading.Event()
-        while len(self.served) < begun + count:
+        while len(self.served) < served_before + count:
             waited.wait(0.01)
-        return self.served[begun:]
+        return self.served[served_before:]
 
     def until_from(self, *names: bytes) -> None:
         """Wait until each of these nodes has answered. One alone may do so for a while on a busy machine."""
@@ -123,7 +123,7 @@
             thread.join()
 
 
-def test_two_upgrades_in_a_row_lose_nobody_and_keep_what_was_ordered(tmp_path: Path) -> None:
+def test_two_upgrades_in_a_row_lose_no_caller_and_keep_the_operators_orders(tmp_path: Path) -> None:
     (tmp_path / "tmp").mkdir()
     with socket.socket() as taken:  # an address that both can be told of
         taken.bind(("127.0.0.1", 0))
@@ -135,7 +135,7 @@
     same = {
         "listen": f"127.0.0.1:{port}", "known": known, "discovery": f"127.0.0.1:{discovery.port}"
     }  # fmt: skip
-    old = begin(tmp_path, "v1", **same)
+    old = start_process(tmp_path, "v1", **same)
     processes = [old]
     load = None
     try:
@@ -146,7 +146,7 @@
         assert call(control, "endpoints/n0/offline") == "200"
         load.more(8)  # what was under way
         for version in ("v2", "v3"):
-            new = begin(tmp_path, version, **same)
+            new = start_process(tmp_path, version, **same)
             processes.append(new)
             control = int(wait(new, "control-listening")["port"])
             told_of = wait(new, "upgrade")
@@ -177,16 +177,16 @@
             peer.close()
 
 
-def test_a_newcomer_that_may_not_listen_ends_with_status_2_and_one_line(tmp_path: Path) -> None:
+def test_a_new_process_that_may_not_listen_ends_with_status_2_and_one_line(tmp_path: Path) -> None:
     (tmp_path / "tmp").mkdir()
     with socket.socket() as taken:  # somebody else's, who does not share
         taken.bind(("127.0.0.1", 0))
         taken.listen()
         where = f"127.0.0.1:{taken.getsockname()[1]}"
-        alone = begin(tmp_path, "v1", listen=where)
-        other = begin(tmp_path, "v2")
+        alone = start_process(tmp_path, "v1", listen=where)
+        other = start_process(tmp_path, "v2")
         wait(other, "listening")
-        beside = begin(tmp_path, "v3", listen=where)  # it waits for its places first
+        beside = start_process(tmp_path, "v3", listen=where)  # it waits for its places first
         try:
             assert alone.wait(WAIT_LIMIT_SECONDS) == beside.wait(WAIT_LIMIT_SECONDS) == 2
             assert other.poll() is None
@@ -196,17 +196,17 @@
                 process.communicate()
 
 
-def test_a_newcomer_killed_at_its_start_leaves_the_old_one_serving(tmp_path: Path) -> None:
+def test_a_new_process_killed_at_its_start_leaves_the_old_one_serving(tmp_path: Path) -> None:
     (tmp_path / "tmp").mkdir()
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         port = taken.getsockname()[1]
     same = {"listen": f"127.0.0.1:{port}", "discovery": "127.0.0.1:9"}
-    old = begin(tmp_path, "v1", **same)
+    old = start_process(tmp_path, "v1", **same)
     new = None
     try:
         wait(old, "listening")
-        new = begin(tmp_path, "v2", **same)
+        new = start_process(tmp_path, "v2", **same)
         assert wait(new, "upgrade")["drawn"] == "1"  # all connections go to it by now
         new.kill()
         new.wait(WAIT_LIMIT_SECONDS)
--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize(
     "framing", [f"Content-Length: {len(LARGE)}", "Transfer-Encoding: chunked", "X-Length: none"]
 )
-def test_one_that_breaks_off_does_not_pass_for_whole(make: Make, framing: str, old: bool) -> None:
+def test_an_answer_that_breaks_off_does_not_pass_for_complete(make: Make, framing: str, old: bool) -> None:
     world = make(2)
     caller = world.caller()
     caller.send(f"GET /menu HTTP/{'1.0' if old else '1.1'}\r\nX-Correlation-Id: b1\r\n\r\n".encode())
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("framing", ["Transfer-Encoding: chunked", "X-Length: none"])
-def test_one_that_never_ends_is_cut_once_its_callers_time_is_over(
+def test_an_answer_that_never_ends_is_cut_once_its_callers_time_is_over(
     make: Make, monkeypatch: pytest.MonkeyPatch, framing: str
 ) -> None:
     """However it trickles: an answer in its time is owed, and this one can't be had elsewhere any more."""
@@ -131,7 +131,7 @@
     assert world.logged("caller-connection") == ["answer-cut"]
 
 
-def test_one_that_has_brought_enough_goes_on_after_its_callers_time(
+def test_an_answer_that_has_brought_enough_goes_on_after_its_callers_time(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     looks, look = [], response_stream.ResponseStream.check
@@ -153,7 +153,7 @@
     assert caller.read()[2] == LARGE
 
 
-def test_a_spoilt_one_that_has_not_been_passed_on_is_had_elsewhere(make: Make) -> None:
+def test_a_spoilt_answer_that_has_not_been_passed_on_is_requested_elsewhere(make: Make) -> None:
     world = make(2)
     caller = world.ask()
     node = world.first()
@@ -168,7 +168,7 @@
 
 @pytest.mark.parametrize("framing", ["Transfer-Encoding: chunked", "Connection: close"])
 @pytest.mark.parametrize("old", [False, True], ids=["1.1", "1.0"])
-def test_one_of_unknown_length_comes_in_chunks_or_until_the_close(
+def test_an_answer_of_unknown_length_comes_in_chunks_or_until_the_close(
     make: Make, framing: str, old: bool
 ) -> None:
     world = make()
@@ -192,7 +192,7 @@
         assert caller.at_end()
 
 
-def test_one_that_is_said_to_be_large_is_begun_early(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_announced_as_large_is_started_early(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(response_stream, "STREAM_AFTER_SECONDS", 0.0)
     world = make()
     caller = world.ask()
@@ -203,7 +203,7 @@
     assert body(caller, 10) == LARGE[:10]
 
 
-def test_a_large_request_is_sent_once_it_is_whole_and_can_be_sent_again(make: Make) -> None:
+def test_a_large_request_is_sent_once_it_is_complete_and_can_be_resent(make: Make) -> None:
     world = make(2)
     caller = post(world, len(LARGE))
     caller.send(LARGE[:150000])
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("length", [len(LARGE), None], ids=["length", "chunks"])
-def test_without_room_it_is_sent_while_it_comes_and_its_time_runs_from_the_end(
+def test_without_memory_a_request_is_sent_while_it_comes_and_its_time_runs_from_the_end(
     make: Make, length: int | None
 ) -> None:
     world = make()
@@ -234,17 +234,17 @@
     node = world.nodes[0].accept()
     received_head = head(node)
     assert ("transfer-encoding: chunked" in received_head) is (length is None)
-    (job,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
-    assert job.deadline == float("inf") and job.overdue_timer is None
+    (request,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
+    assert request.deadline == float("inf") and request.overdue_timer is None
     caller.send(rest if length else b"%x\r\n%s\r\n0\r\n\r\n" % (len(rest), rest))
     assert (body(node, len(LARGE)) if length else chunks(node)) == LARGE
     world.settle()
-    assert job.deadline < float("inf") and job.overdue_timer is not None
+    assert request.deadline < float("inf") and request.overdue_timer is not None
     node.answer(200, b"yes")
     assert caller.read()[2] == b"yes"
 
 
-def test_what_has_been_let_go_is_not_sent_twice_and_its_caller_is_told_at_once(make: Make) -> None:
+def test_a_released_body_is_not_sent_twice_and_its_caller_is_answered_at_once(make: Make) -> None:
     world = make(2)
     no_room(world)
     caller = post(world, len(LARGE))
@@ -366,7 +366,7 @@
     assert ends == []
 
 
-def test_one_refused_for_its_head_is_answered_before_its_body_is_there(make: Make) -> None:
+def test_a_request_rejected_for_its_head_is_answered_before_its_body_is_there(make: Make) -> None:
     world = make()
     caller = world.caller()
     caller.send(f"POST /nothing HTTP/1.1\r\n{FIELDS}Content-Length: 200000\r\n\r\n".encode() + LARGE[:100000])
@@ -379,7 +379,7 @@
     st.lists(st.integers(1, 40000), min_size=1, max_size=9),
     st.lists(st.integers(0, 300000), max_size=9),
 )
-def test_a_body_is_read_the_same_open_or_whole_however_it_is_cut(
+def test_a_body_is_read_the_same_streamed_or_complete_however_it_is_cut(
     chunked: bool, sizes: list[int], cuts: list[int]
 ) -> None:
     content = (LARGE * 2)[: sum(sizes)]
@@ -414,7 +414,9 @@
 @given(
     st.booleans(), st.integers(0, 300000), st.lists(st.one_of(st.integers(1, 60000), st.none()), max_size=30)
 )
-def test_bodies_keep_their_order_and_their_room(kept: bool, size: int, steps: list[int | None]) -> None:
+def test_bodies_keep_their_order_and_their_memory_limit(
+    kept: bool, size: int, steps: list[int | None]
+) -> None:
     """A number puts so many bytes, None takes a piece. Two of them share the room."""
     room = BodyMemory(size)
     gone: list[int] = []
@@ -429,8 +431,8 @@
             data = bytes([n % 256]) * step
             put[which] += data
             bodies[which].put(data)
-        held = sum(sum(map(len, b.buffers)) for b in bodies)
-        assert room.used_bytes == held <= max(size, 0) + 2 * (WINDOW_LIMITS_BYTES[1] + 60000)
+        buffered = sum(sum(map(len, b.buffers)) for b in bodies)
+        assert room.used_bytes == buffered <= max(size, 0) + 2 * (WINDOW_LIMITS_BYTES[1] + 60000)
         assert all(p.startswith(t) for p, t in zip(put, taken, strict=True))
     assert len(gone) == (bodies[0].start_offset > 0 and kept)
     if not bodies[0].start_offset:
@@ -447,7 +449,7 @@
     assert room.used_bytes == 0
 
 
-def test_fifty_slow_readers_of_32_mb_fit_in_the_memory(tmp_path: Path) -> None:
+def test_fifty_slow_readers_of_32_mb_fit_in_the_memory_limit(tmp_path: Path) -> None:
     """The sidecar is a process of its own; its peak is read off the system."""
     size, readers = 32 * 1024 * 1024, 50
     all_asked, over = threading.Event(), threading.Event()
--- a/tests/http1/test_requests.py
+++ b/tests/http1/test_requests.py
@@ -19,7 +19,7 @@
 Make = Callable[..., World]
 
 
-def test_a_job_passes_unchanged_and_its_connections_are_kept(make: Make) -> None:
+def test_a_request_passes_unchanged_and_its_connections_are_kept(make: Make) -> None:
     world = make()
     caller, body = world.caller(), b"a=1\r\n\r\n\x00\xff"
     node = None
@@ -56,7 +56,7 @@
         assert caller.read()[2] == f"r{n}".encode()
 
 
-def test_a_refused_connection_never_ran_so_even_an_unsafe_job_goes_out_again(make: Make) -> None:
+def test_a_refused_connection_never_ran_so_even_an_unsafe_request_is_retried(make: Make) -> None:
     world = make(3)  # none of which is tried again at once
     for node in world.nodes:
         node.refuse()
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "end", "half", "half-chunked", "garbage", "error", "bare-503"])
-def test_what_may_have_run_is_not_sent_again_where_that_does_harm(make: Make, how: str) -> None:
+def test_what_may_have_run_is_not_retried_where_that_does_harm(make: Make, how: str) -> None:
     world = make(2)
     caller = world.ask("unsafe")
     node = world.first()
@@ -114,7 +114,7 @@
     [b"noise", b"HTTP/1.1 200 OK\r\nX: ", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n12345678",
      b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", b"HTTP/1.1 200 OK\r\nX: " + b"x" * 17000],
 )  # fmt: skip
-def test_a_spoilt_answer_on_a_connection_that_stays_open_fails_its_claim_at_once(
+def test_a_spoilt_answer_on_a_connection_that_stays_open_fails_its_attempt_at_once(
     make: Make, monkeypatch: pytest.MonkeyPatch, noise: bytes
 ) -> None:
     monkeypatch.setattr(endpoint_connection, "ANSWER_STALL_SECONDS", 0.0)
@@ -140,7 +140,7 @@
     assert world.logged("endpoint-connection") == ["not-clean"]
 
 
-def test_a_new_node_at_the_address_of_one_that_is_gone_gets_a_connection_of_its_own(make: Make) -> None:
+def test_a_new_endpoint_at_the_address_of_a_removed_one_gets_a_connection_of_its_own(make: Make) -> None:
     world = make()
     watch = world.discovery.accept()
     watch.read()
@@ -161,7 +161,7 @@
     assert world.logged("endpoint-connection") == ["endpoint-gone"]
 
 
-def test_turned_away_unseen_goes_out_again_on_a_kept_connection(make: Make) -> None:
+def test_a_request_rejected_unprocessed_is_resent_on_a_kept_connection(make: Make) -> None:
     world = make()
     caller = world.ask("unsafe")
     node = world.nodes[0].accept()
@@ -172,7 +172,7 @@
     assert caller.read()[2] == b"now"
 
 
-def test_a_silent_node_costs_the_job_no_more_than_its_time(make: Make) -> None:
+def test_a_silent_endpoint_costs_the_request_no_more_than_its_time(make: Make) -> None:
     world = make()
     caller = world.ask("unsafe", left=800)
     node = world.nodes[0].accept()
@@ -183,7 +183,7 @@
     assert not world.codes("overdue")
 
 
-def test_a_job_whose_claim_never_reports_is_answered_all_the_same(make: Make) -> None:
+def test_a_request_whose_attempt_never_reports_is_answered_all_the_same(make: Make) -> None:
     world = make()
     world.sidecar.exchange.start_attempt = lambda _attempt: None
     world.sidecar.exchange._time_out = lambda attempt: None  # type: ignore[method-assign]  # noqa: ARG005 - the method's signature
@@ -191,14 +191,14 @@
     world.logged("overdue")
 
 
-def test_nothing_to_send_to_is_refused_at_once_with_advice(make: Make) -> None:
+def test_without_an_endpoint_a_request_is_rejected_at_once_with_advice(make: Make) -> None:
     world = make(0)
     status, fields, _ = world.ask().read()
     assert status == "HTTP/1.1 503 Service Unavailable"
     assert 0 < float(fields["retry-after"]) <= 0.2
 
 
-def test_a_fault_in_the_decisions_fails_the_job_and_no_more(make: Make) -> None:
+def test_a_fault_in_the_decisions_fails_the_request_and_no_more(make: Make) -> None:
     world = make()
     balancer = world.sidecar.driver.decision_module
 
@@ -228,7 +228,7 @@
     node.read()
     caller.close()
     assert world.logged("caller-connection") == ["peer-closed"]
-    assert world.run(lambda: world.sidecar.exchange.open_count) == 0  # before its claim has ended
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0  # before its attempt has ended
     node.answer(200, b"for nobody")
     caller = world.ask()
     node.read()  # the same connection: it was read to its end, so it is clean
@@ -237,7 +237,7 @@
     assert world.run(lambda: len(world.sidecar.driver.open_requests)) == 0
 
 
-def test_what_a_caller_sent_ahead_is_not_begun_once_it_has_left(make: Make) -> None:
+def test_what_a_caller_sent_ahead_is_not_started_once_it_has_left(make: Make) -> None:
     world = make()
     caller = world.ask(wire=world.ask())
     world.nodes[0].accept().read()
@@ -250,16 +250,16 @@
     assert world.sidecar.driver.last_id == 1
 
 
-def test_a_job_that_is_over_is_not_written_by_a_connect_still_under_way(make: Make) -> None:
+def test_a_request_that_is_over_is_not_written_by_a_connect_still_under_way(make: Make) -> None:
     world = make()
 
     def submit_and_leave() -> None:
-        job = Request(
+        request = Request(
             "gone", "menu", world.sidecar.clock.now() + 6, ForwardedRequest(b"GET /gone HTTP/1.1\r\n", b"")
         )
-        world.sidecar.exchange.submit(job)
-        assert job.attempts[0].outcome is None
-        world.sidecar.exchange.withdraw(job)
+        world.sidecar.exchange.submit(request)
+        assert request.attempts[0].outcome is None
+        world.sidecar.exchange.withdraw(request)
 
     world.run(submit_and_leave)
     node = world.nodes[0].accept()
@@ -270,7 +270,7 @@
     assert caller.read()[2] == b"ok"
 
 
-def test_a_connection_that_speaks_unasked_is_not_used_again(make: Make) -> None:
+def test_a_connection_with_unsolicited_data_is_not_used_again(make: Make) -> None:
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
@@ -286,7 +286,7 @@
     assert caller.read()[2] == b"b"
 
 
-def test_a_second_request_with_the_id_of_an_open_one_is_not_sent_on(make: Make) -> None:
+def test_a_second_request_with_the_id_of_an_open_one_is_not_forwarded(make: Make) -> None:
     world = make()
     first = world.ask()
     node = world.nodes[0].accept()
@@ -364,7 +364,7 @@
     assert connection.is_paused and not connection.parser.buffer
 
 
-def test_a_request_that_never_becomes_whole_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_request_that_never_completes_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
     world = make(0)
     wire = world.caller()
@@ -380,7 +380,7 @@
     assert world.logged("caller-connection") == ["silent"]
 
 
-def test_callers_that_stand_for_nothing_make_room_for_one_that_asks(make: Make) -> None:
+def test_idle_callers_make_room_for_one_that_asks(make: Make) -> None:
     world = make()
     busy = world.ask()
     node = world.nodes[0].accept()
@@ -398,11 +398,13 @@
         assert asker.read()[2] == b"here"
 
 
-def test_few_descriptors_leave_callers_and_claims_enough(make: Make) -> None:
+def test_few_descriptors_leave_callers_and_endpoints_enough_connections(make: Make) -> None:
     world = make(0)
-    callers, claims = world.sidecar.server.max_connections, world.sidecar.pool.max_connections
-    assert min(callers, claims) > world.config.sockets / 3  # callers may hold a third for requests
-    assert callers + claims < world.config.sockets - 16
+    callers, endpoint_connections = world.sidecar.server.max_connections, world.sidecar.pool.max_connections
+    assert (
+        min(callers, endpoint_connections) > world.config.sockets / 3
+    )  # callers may hold a third for requests
+    assert callers + endpoint_connections < world.config.sockets - 16
 
 
 @pytest.mark.parametrize(
@@ -419,7 +421,7 @@
         assert caller.read()[0].split()[1] == str(status)
 
 
-def test_the_machine_list_is_watched_call_after_call_and_asked_for_again_when_that_fails(make: Make) -> None:
+def test_the_endpoint_list_is_watched_call_after_call_and_requested_again_when_that_fails(make: Make) -> None:
     world = make(1)
     watch = world.discovery.accept()
     assert watch.read()[0].startswith("GET /v1/servers?index=7&wait=")
@@ -452,7 +454,7 @@
     world.run(world.sidecar.stop)
 
 
-def test_told_to_stop_it_still_takes_what_arrives_and_closes_between_requests(make: Make) -> None:
+def test_a_stopping_sidecar_still_accepts_what_arrives_and_closes_between_requests(make: Make) -> None:
     world = make()
     silent, kept, busy = world.caller(), world.caller(), world.ask()
     node = world.nodes[0].accept()
@@ -475,7 +477,7 @@
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
-def test_who_has_just_come_in_may_still_ask_when_the_door_is_shut(make: Make) -> None:
+def test_a_caller_just_accepted_may_still_ask_when_the_listener_is_closed(make: Make) -> None:
     world = make()
     if isinstance(world.sockets, LoopbackSockets):
         pytest.skip("these instants can't be met for certain")
@@ -492,7 +494,7 @@
     world.logged("ended")
 
 
-def test_what_is_not_worth_its_wait_is_given_up_at_once_when_it_leaves(make: Make) -> None:
+def test_a_request_whose_value_is_below_its_wait_is_given_up_at_once_at_a_stop(make: Make) -> None:
     """A copy that has answered in a moment until now does not stay for what hangs."""
     world = make()
     caller = world.ask()
@@ -545,9 +547,7 @@
 
 
 @pytest.mark.parametrize("late", [False, True], ids=["by a transport", "by a timer"])
-def test_what_a_callback_raises_is_told_in_the_log(
-    make: Make, monkeypatch: pytest.MonkeyPatch, late: bool
-) -> None:
+def test_what_a_callback_raises_is_logged(make: Make, monkeypatch: pytest.MonkeyPatch, late: bool) -> None:
     """Twisted logs the two in different forms."""
 
     def trip(*_: object) -> None:
@@ -568,5 +568,5 @@
         world.logged("unexpected")
     finally:
         globalLogPublisher.removeObserver(observer)
-    (told,) = [values for event, values in world.lines if event == "unexpected"]
-    assert told["why"] == "ZeroDivisionError()"
+    (logged,) = [values for event, values in world.lines if event == "unexpected"]
+    assert logged["why"] == "ZeroDivisionError()"
--- a/tests/routes/test_admission.py
+++ b/tests/routes/test_admission.py
@@ -1,4 +1,4 @@
-"""Limits: places, attempts, rates, worth and what is told to those turned away."""
+"""Limits: requests in flight, attempts, rates, class priorities and the advice to what is rejected."""
 
 from __future__ import annotations
 
@@ -52,10 +52,10 @@
     for step in steps:
         now += step / float(rate)
         seen = max(seen, now)  # an instant that goes back counts as the latest one
-        said = admit(now, None, limited, "a", "c")
-        assert isinstance(said, Admission) == bucket.take(int(seen * 10**9))
-        if isinstance(said, Admission):
-            said.finish(now, Outcome.SERVED)
+        decision = admit(now, None, limited, "a", "c")
+        assert isinstance(decision, Admission) == bucket.take(int(seen * 10**9))
+        if isinstance(decision, Admission):
+            decision.finish(now, Outcome.SERVED)
         elif limited.shortage() is not None:
             wait = limited.shortage()[1]  # type: ignore[index]
             assert wait <= 1 / float(rate) + 1e-6 and Bucket.take(bucket, int((seen + wait) * 10**9) + 2)
@@ -63,116 +63,123 @@
 
 
 @given(st.data())
-def test_any_run_of_jobs_keeps_the_bounds_and_leaves_nothing_behind(data: st.DataObject) -> None:
-    most = data.draw(st.integers(1, 6))
-    claims = v.AttemptLimitSettings(most, data.draw(st.integers(0, most - 1)))
+def test_any_run_of_requests_keeps_the_bounds_and_leaves_nothing_behind(data: st.DataObject) -> None:
+    max_attempts = data.draw(st.integers(1, 6))
+    claims = v.AttemptLimitSettings(max_attempts, data.draw(st.integers(0, max_attempts - 1)))
     in_flight, own = data.draw(st.integers(0, 5)), data.draw(st.integers(0, 3))
     worth = (v.ClassPriority("low", fill=0.5, floor=0.25), v.ClassPriority("high", floor=0.25))
-    gate = pool(
+    limiter = pool(
         in_flight=in_flight, claims=claims, caller=v.CallerLimitSettings(own), worth=worth,
         table=v.CallerTableSettings(known=2, strangers=2),
         adaptive=v.AdaptiveLimitSettings(floor=1, start=5, samples=20),
     )  # fmt: skip
     route = RouteLimiter(v.RouteLimitSettings(in_flight=4, caller=v.CallerLimitSettings(2)), 0.0)
-    jobs: list[tuple[Admission, str]] = []
+    requests: list[tuple[Admission, str]] = []
     over: list[Admission] = []
-    out: dict[int, int] = {}  # attempts in flight, by job
+    out: dict[int, int] = {}  # attempts in flight, by request
     now = 0.0
     for _ in range(data.draw(st.integers(1, 60))):
         now += data.draw(st.sampled_from([0.0, 0.01, 5.0]))
         what = data.draw(st.sampled_from(["take", "take", "claim", "claim", "ended", "done"]))
         if what == "take":
             name = data.draw(st.sampled_from("abcdef"))
-            said = admit(now, route, gate, name, data.draw(st.sampled_from(["low", "high", "?"])))
-            if isinstance(said, Admission):
-                jobs.append((said, name))
-                out[id(said)] = 0
-                assert len(jobs) <= (in_flight or 99) and len(jobs) <= 4
-                assert sum(caller == name for _, caller in jobs) <= min(own or 2, 2)
+            decision = admit(now, route, limiter, name, data.draw(st.sampled_from(["low", "high", "?"])))
+            if isinstance(decision, Admission):
+                requests.append((decision, name))
+                out[id(decision)] = 0
+                assert len(requests) <= (in_flight or 99) and len(requests) <= 4
+                assert sum(caller == name for _, caller in requests) <= min(own or 2, 2)
             else:
-                assert said.status in (429, 503) and 0.1 <= said.retry_after <= 2.0
-        elif what == "claim" and jobs:
-            job = data.draw(st.sampled_from(jobs))[0]
-            went = job.start_attempt(now)
-            assert went or out[id(job)], "a job with no attempt in flight can't send one"
-            out[id(job)] += went
-            assert sum(out.values()) <= most
+                assert decision.status in (429, 503) and 0.1 <= decision.retry_after <= 2.0
+        elif what == "claim" and requests:
+            request = data.draw(st.sampled_from(requests))[0]
+            went = request.start_attempt(now)
+            assert went or out[id(request)], "a request with no attempt in flight can't send one"
+            out[id(request)] += went
+            assert sum(out.values()) <= max_attempts
         elif what == "ended" and any(out.values()):
-            job = data.draw(st.sampled_from([job for job in [j for j, _ in jobs] + over if out[id(job)]]))
-            job.finish_attempt()
-            out[id(job)] -= 1
-        elif what == "done" and jobs:
-            job = jobs.pop(data.draw(st.integers(0, len(jobs) - 1)))[0]
-            job.finish(now, data.draw(st.sampled_from(Outcome)))
-            over.append(job)
+            request = data.draw(
+                st.sampled_from(
+                    [request for request in [admitted for admitted, _ in requests] + over if out[id(request)]]
+                )
+            )
+            request.finish_attempt()
+            out[id(request)] -= 1
+        elif what == "done" and requests:
+            request = requests.pop(data.draw(st.integers(0, len(requests) - 1)))[0]
+            request.finish(now, data.draw(st.sampled_from(Outcome)))
+            over.append(request)
             with pytest.raises(AlreadyFinishedError):
-                job.finish(now, Outcome.CANCELLED)
-            assert not job.start_attempt(now)
-    for job, _ in jobs:
-        job.finish(now, Outcome.CANCELLED)
-    for job in [j for j, _ in jobs] + over:
-        for _ in range(out[id(job)]):
-            job.finish_attempt()
+                request.finish(now, Outcome.CANCELLED)
+            assert not request.start_attempt(now)
+    for request, _ in requests:
+        request.finish(now, Outcome.CANCELLED)
+    for request in [admitted for admitted, _ in requests] + over:
+        for _ in range(out[id(request)]):
+            request.finish_attempt()
         with pytest.raises(AlreadyFinishedError):
-            job.finish_attempt()
-    assert gate.in_flight == gate.attempts == route.in_flight == gate.other_classes.in_flight == 0
-    assert all(standing.in_flight == 0 for standing in gate.classes.values())
-    for callers in (gate.callers, route.callers):
+            request.finish_attempt()
+    assert limiter.in_flight == limiter.attempts == route.in_flight == limiter.other_classes.in_flight == 0
+    assert all(standing.in_flight == 0 for standing in limiter.classes.values())
+    for callers in (limiter.callers, route.callers):
         assert callers is not None and all(caller.in_flight == 0 for caller in callers.entries())
 
 
 def test_a_caller_counted_in_the_overflow_entry_keeps_its_limit_once_an_entry_is_free() -> None:
-    gate = pool(caller=v.CallerLimitSettings(1), table=v.CallerTableSettings(known=1, strangers=1))
-    assert gate.callers is not None
-    first, _, counted_with_others = [admit(0.0, None, gate, name, "c") for name in ("a", "b", "x")]
+    limiter = pool(caller=v.CallerLimitSettings(1), table=v.CallerTableSettings(known=1, strangers=1))
+    assert limiter.callers is not None
+    first, _, counted_with_others = [admit(0.0, None, limiter, name, "c") for name in ("a", "b", "x")]
     assert isinstance(first, Admission) and isinstance(counted_with_others, Admission)
-    assert gate.callers.overflow.in_flight_by_name == {"x": 1}
+    assert limiter.callers.overflow.in_flight_by_name == {"x": 1}
     first.finish(0.0, Outcome.SERVED)
     # An entry of its own is free for "x" from now on, but its request in flight is counted in the other one.
-    said = admit(0.0, None, gate, "x", "c")
-    assert isinstance(said, Rejection) and (said.status, said.reason) == (429, "pool-caller-in-flight")
+    decision = admit(0.0, None, limiter, "x", "c")
+    assert isinstance(decision, Rejection) and (decision.status, decision.reason) == (
+        429,
+        "pool-caller-in-flight",
+    )
     counted_with_others.finish(0.0, Outcome.SERVED)
-    assert not gate.callers.overflow.in_flight_by_name
-    assert isinstance(admit(0.0, None, gate, "x", "c"), Admission)
-    assert list(gate.callers.strangers) == ["b", "x"] and gate.callers.strangers["x"].in_flight == 1
+    assert not limiter.callers.overflow.in_flight_by_name
+    assert isinstance(admit(0.0, None, limiter, "x", "c"), Admission)
+    assert list(limiter.callers.strangers) == ["b", "x"] and limiter.callers.strangers["x"].in_flight == 1
 
 
-def test_a_limit_of_one_attempt_lets_a_job_have_all_of_its_repeats() -> None:
-    gate = pool(claims=v.AttemptLimitSettings(1), in_flight=3)
-    job = admit(0.0, None, gate, "a", "c")
-    assert isinstance(job, Admission)
+def test_a_limit_of_one_attempt_lets_a_request_have_all_of_its_retries() -> None:
+    limiter = pool(claims=v.AttemptLimitSettings(1), in_flight=3)
+    request = admit(0.0, None, limiter, "a", "c")
+    assert isinstance(request, Admission)
     for _ in range(5):
-        assert job.start_attempt(0.0) and not job.start_attempt(0.0)
-        assert isinstance(admit(0.0, None, gate, "b", "c"), Rejection)
-        job.finish_attempt()
+        assert request.start_attempt(0.0) and not request.start_attempt(0.0)
+        assert isinstance(admit(0.0, None, limiter, "b", "c"), Rejection)
+        request.finish_attempt()
     # The caller goes while an attempt is out: that goes on to count until it has ended.
-    assert job.start_attempt(1.0)
-    job.finish(1.0, Outcome.CANCELLED)
-    assert isinstance(admit(1.0, None, gate, "b", "c"), Rejection)
-    job.finish_attempt()
-    assert isinstance(admit(1.0, None, gate, "b", "c"), Admission)
+    assert request.start_attempt(1.0)
+    request.finish(1.0, Outcome.CANCELLED)
+    assert isinstance(admit(1.0, None, limiter, "b", "c"), Rejection)
+    request.finish_attempt()
+    assert isinstance(admit(1.0, None, limiter, "b", "c"), Admission)
 
 
-def test_what_is_turned_away_uses_up_nothing() -> None:
-    gate = pool(
+def test_what_is_rejected_uses_up_nothing() -> None:
+    limiter = pool(
         in_flight=1, rate=v.RateSettings(1, 2), caller=v.CallerLimitSettings(rate=v.RateSettings(1, 2))
     )
-    first = admit(0.0, None, gate, "a", "c")
+    first = admit(0.0, None, limiter, "a", "c")
     assert isinstance(first, Admission)
     for _ in range(10):
-        said = admit(0.0, None, gate, "a", "c")
-        assert isinstance(said, Rejection) and said.status == 503
+        decision = admit(0.0, None, limiter, "a", "c")
+        assert isinstance(decision, Rejection) and decision.status == 503
     first.finish(0.0, Outcome.SERVED)
-    assert isinstance(admit(0.0, None, gate, "a", "c"), Admission)
-    said = admit(0.0, None, gate, "a", "c")
-    assert isinstance(said, Rejection) and (said.status, said.reason) == (429, "pool-caller-rate")
-    assert said.retry_after >= 1.0  # not before its rate has a job for it
+    assert isinstance(admit(0.0, None, limiter, "a", "c"), Admission)
+    decision = admit(0.0, None, limiter, "a", "c")
+    assert isinstance(decision, Rejection) and (decision.status, decision.reason) == (429, "pool-caller-rate")
+    assert decision.retry_after >= 1.0  # not before its rate admits one more
 
 
-def test_those_turned_away_are_told_to_come_back_spread_over_the_time_that_they_need() -> None:
-    gate = pool(in_flight=100, retry_after=v.RetryAfterSettings(0.1, 4.0))
-    said = [admit(0.0, None, gate, "a", "c") for _ in range(400)]
-    waits = [each.retry_after for each in said if isinstance(each, Rejection)]
+def test_rejected_requests_are_advised_to_retry_spread_over_the_time_that_they_need() -> None:
+    limiter = pool(in_flight=100, retry_after=v.RetryAfterSettings(0.1, 4.0))
+    decisions = [admit(0.0, None, limiter, "a", "c") for _ in range(400)]
+    waits = [each.retry_after for each in decisions if isinstance(each, Rejection)]
     assert len(waits) == 300 and min(waits) >= 0.1 and max(waits) <= 4.0
     # Of the last ones, at two to three times as many as are taken in 2 s, no second is told to half.
     late = waits[-100:]
@@ -180,7 +187,7 @@
 
 
 @pytest.mark.parametrize(("crowd", "other"), [("menu-view", "place-order"), ("place-order", "menu-view")])
-def test_worth_counts_and_starves_none(crowd: str, other: str) -> None:
+def test_class_priorities_count_and_starve_none(crowd: str, other: str) -> None:
     worth = (v.ClassPriority("menu-view", fill=0.7, floor=0.1), v.ClassPriority("place-order", floor=0.1))
     world = PoolWorld(v.PoolLimitSettings(in_flight=30, worth=worth))
     until = world.time.now() + 10
@@ -196,25 +203,25 @@
 
 def test_a_class_that_nobody_asks_for_keeps_no_places() -> None:
     worth = (v.ClassPriority("menu-view", floor=0.25), v.ClassPriority("place-order", floor=0.25))
-    gate = pool(in_flight=4, worth=worth)
-    assert all(isinstance(admit(0.0, None, gate, "a", "place-order"), Admission) for _ in range(4))
+    limiter = pool(in_flight=4, worth=worth)
+    assert all(isinstance(admit(0.0, None, limiter, "a", "place-order"), Admission) for _ in range(4))
 
 
-def test_new_limits_leave_what_is_out_counted_and_what_is_owed_owed() -> None:
-    gate = pool(in_flight=2, rate=v.RateSettings(1, 2))
-    jobs = [admit(0.0, None, gate, "a", "c") for _ in range(2)]
-    gate.update_settings(
+def test_new_limits_keep_the_count_of_requests_in_flight_and_the_debt_of_the_rate() -> None:
+    limiter = pool(in_flight=2, rate=v.RateSettings(1, 2))
+    requests = [admit(0.0, None, limiter, "a", "c") for _ in range(2)]
+    limiter.update_settings(
         v.PoolLimitSettings(in_flight=1, rate=v.RateSettings(2, 1), caller=v.CallerLimitSettings(1))
     )
-    jobs[0].finish(0.0, Outcome.SERVED)  # type: ignore[union-attr]
-    assert gate.shortage() == ("rate", 2.0)  # the bucket is full again at 2 s, as it was to be
-    assert isinstance(admit(9.0, None, gate, "a", "c"), Rejection)
-    jobs[1].finish(9.0, Outcome.SERVED)  # type: ignore[union-attr]
-    job = admit(9.0, None, gate, "a", "c")
-    assert isinstance(job, Admission)
-    gate.update_settings(v.PoolLimitSettings())
-    job.finish(9.0, Outcome.SERVED)
-    assert gate.in_flight == gate.attempts == 0
+    requests[0].finish(0.0, Outcome.SERVED)  # type: ignore[union-attr]
+    assert limiter.shortage() == ("rate", 2.0)  # the bucket is full again at 2 s, as it was to be
+    assert isinstance(admit(9.0, None, limiter, "a", "c"), Rejection)
+    requests[1].finish(9.0, Outcome.SERVED)  # type: ignore[union-attr]
+    request = admit(9.0, None, limiter, "a", "c")
+    assert isinstance(request, Admission)
+    limiter.update_settings(v.PoolLimitSettings())
+    request.finish(9.0, Outcome.SERVED)
+    assert limiter.in_flight == limiter.attempts == 0
 
 
 @pytest.mark.parametrize(
@@ -241,7 +248,7 @@
         ),
     ],
 )
-def test_a_bad_value_is_one_line(make: Callable[[], object], words: str) -> None:
+def test_an_invalid_value_is_reported_on_one_line(make: Callable[[], object], words: str) -> None:
     with pytest.raises(ValueError) as bad:
         make()
     assert str(bad.value).startswith(words) and "\n" not in str(bad.value)
