--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -218,6 +218,11 @@
             line.request(method, f"/control/{path}", body)
             answer = line.getresponse()
             return answer.status, answer.read().decode()
+        except OSError as error:
+            process = self.members[name].process
+            status = None if process is None else process.popen.poll()
+            error.add_note(f"{name}: the call to {path} failed; exit status of its process: {status}")
+            raise
         finally:
             line.close()
 
