--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -14,6 +14,7 @@
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.next_tier import NextTierClient
 from wheatring.lab.models.received_attempt import NextTierCall
+from wheatring.lab.models.traffic import call_work_samplers
 from wheatring.lab.plan import EventPlan, NodePlan
 from wheatring.lab.world.environment import CLIENTS, DISCOVERY, PORT, sidecar_hosts, zones
 
@@ -57,7 +58,7 @@
             node.name,
             lambda: self.client_transport,
             self.world.origins,
-            self.world.work_samplers(node),
+            call_work_samplers(self.world.plan, node),
             self.time,
         )
 
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -23,7 +23,7 @@
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
 from wheatring.lab.models.next_tier import NextTierClient
-from wheatring.lab.models.traffic import work_sampler
+from wheatring.lab.models.traffic import call_work_samplers
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
 from wheatring.lab.wire.node_server import NodeServer
 from wheatring.lab.wire.request_format import RequestFormat
@@ -85,8 +85,7 @@
         plan, tier = self.plan, self.plan.tiers[node.tier]
         client = None
         if node.tier + 1 < len(plan.tiers):
-            random = Random(f"{plan.seed}:calls:{node.name}")
-            samplers = [work_sampler(random, each) for each in plan.classes]
+            samplers = call_work_samplers(plan, node)
             find_transport = partial(self.ways.get, node.name)
             client = NextTierClient(node.name, find_transport, self.origins, samplers, self.clock)
         services = MachineServices(
@@ -121,11 +120,9 @@
     def add(self, name: str) -> None:
         """Add an endpoint at the start of the day; it runs if it is up from the start."""
         node = self.nodes[name].plan
-        kind = self.plan.tiers[node.tier].kinds[node.kind].name
         if node.up:
             self._run(self.nodes[name], cold=False)
-        listed = RegisteredNode(name, "", node.zone, kind, node.cell, 0.0, node.tier)
-        self.registry.register(listed, node.up)
+        self.registry.register(RegisteredNode.from_plan(self.plan, node), node.up)
 
     def start(self, name: str) -> None:
         """Start an endpoint's process, cold, unless one runs."""
--- a/wheatring/lab/models/endpoint_list_history.py
+++ b/wheatring/lab/models/endpoint_list_history.py
@@ -7,6 +7,7 @@
 from typing import NamedTuple
 
 from wheatring.lab.event_recorder import NodeState
+from wheatring.lab.plan import NodePlan, Plan
 
 # Versions back to which changes are available; a sidecar with an older one gets the complete list.
 KEPT_VERSIONS = 256
@@ -23,6 +24,12 @@
     started: float = 0.0  # the instant of its start; 0: long ago
     tier: int = 0  # on whose list it is
 
+    @classmethod
+    def from_plan(cls, plan: Plan, node: NodePlan, address: str = "") -> RegisteredNode:
+        """Return a node of a plan as it is registered; `address` is "" where each sidecar has its own."""
+        kind = plan.tiers[node.tier].kinds[node.kind].name
+        return cls(node.name, address, node.zone, kind, node.cell, tier=node.tier)
+
 
 class EndpointEntry(NamedTuple):
     """One entry of the endpoint list."""
--- a/wheatring/lab/models/next_tier.py
+++ b/wheatring/lab/models/next_tier.py
@@ -12,6 +12,7 @@
     RequestOutcome,
     RequestTransport,
 )
+from wheatring.lab.models.traffic import Sampler
 from wheatring.lab.timers import Timer, Timers
 
 
@@ -41,7 +42,7 @@
         name: str,
         find_transport: Callable[[], RequestTransport | None],
         correlation_table: CorrelationTable,
-        work_samplers: Sequence[Callable[[], float]],
+        work_samplers: Sequence[Sampler],
         timers: Timers,
     ) -> None:
         self.name = name
--- a/wheatring/lab/models/traffic.py
+++ b/wheatring/lab/models/traffic.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from wheatring.lab.correlation import OriginalRequest
-from wheatring.lab.plan import ClassPlan, Plan
+from wheatring.lab.plan import ClassPlan, NodePlan, Plan
 from wheatring.lab.timers import Timers
 
 Sampler = Callable[[], float]  # draws one figure
@@ -51,6 +51,12 @@
     return (pareto_sampler if plan.dist == "pareto" else lognormal_sampler)(random, plan.work, plan.cv)
 
 
+def call_work_samplers(plan: Plan, node: NodePlan) -> list[Sampler]:
+    """Return, by class, samplers of the work of a node's calls to the next tier."""
+    random = Random(f"{plan.seed}:calls:{node.name}")
+    return [work_sampler(random, each) for each in plan.classes]
+
+
 def rate_segments(plan: Plan) -> list[RateSegment]:
     """Return the rate of arrivals over the day, without its bursts."""
     shape = plan.traffic.shape or ((0.0, 1.0),)
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -13,6 +13,7 @@
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.next_tier import NextTierClient
 from wheatring.lab.models.received_attempt import NextTierCall
+from wheatring.lab.models.traffic import call_work_samplers
 from wheatring.lab.net.network import Network
 from wheatring.lab.net.process import Delayed, Process, waiting
 from wheatring.lab.plan import EventPlan, NodePlan
@@ -106,7 +107,7 @@
             node.name,
             lambda: self.clients.get(node.name),
             self.world.origins,
-            self.world.work_samplers(node),
+            call_work_samplers(self.world.plan, node),
             self.time,
         )
 
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -21,7 +21,6 @@
 from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
-from wheatring.lab.models.traffic import Sampler, work_sampler
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import LIVE_ONLY, NodePlan, Plan
@@ -132,11 +131,6 @@
         """Return random numbers that depend on the plan's seed and a name alone."""
         return Random(f"{self.plan.seed}:{name}")
 
-    def work_samplers(self, node: NodePlan) -> list[Sampler]:
-        """Return samplers of the work of a node's calls, by class."""
-        random = self.random(f"calls:{node.name}")
-        return [work_sampler(random, each) for each in self.plan.classes]
-
     def unix_time(self) -> float:
         """Return Unix time as discovery and the machines read it."""
         return self.plan.epoch + self.time.now() - START + self.environment.clock_step()
@@ -251,11 +245,8 @@
         plan = self.plan
         began = process_time.perf_counter()
         for node in plan.nodes:
-            kind = plan.tiers[node.tier].kinds[node.kind].name
-            listed = RegisteredNode(
-                node.name, f"{node.host}:{PORT}", node.zone, kind, node.cell, tier=node.tier
-            )
-            self.registry.register(listed, node.up)
+            address = f"{node.host}:{PORT}"
+            self.registry.register(RegisteredNode.from_plan(plan, node, address), node.up)
             if node.up:
                 self.start(node.name, cold=False)
         late = {sidecar.name: sidecar.start for sidecar in plan.sidecars if sidecar.start > 0}
