--- a/wheatring/address.py
+++ b/wheatring/address.py
@@ -8,7 +8,7 @@
 _LABEL = r"[!-\-/-~]{1,63}"
 _HOST = re.compile(rf"{_LABEL}(?:\.{_LABEL})*\.?")
 _MAX_HOST_CHARACTERS = 253
-_MAX_PORT = 65535
+MAX_PORT = 65535
 
 
 def parse(text: object) -> tuple[str, int]:
@@ -20,7 +20,7 @@
         It is no text of the form HOST:PORT.
     """
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    is_port = colon and port.isascii() and port.isdigit() and len(port) < 6 and int(port) <= _MAX_PORT
+    is_port = colon and port.isascii() and port.isdigit() and len(port) < 6 and int(port) <= MAX_PORT
     if not is_port or len(host) > _MAX_HOST_CHARACTERS or not _HOST.fullmatch(host):
         raise ValueError(f"not HOST:PORT: {text!r}")
     return host, int(port)
--- a/wheatring/config/project_file.py
+++ b/wheatring/config/project_file.py
@@ -16,6 +16,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from wheatring.address import MAX_PORT
 from wheatring.config.exceptions import KeyFileError, ProjectFileError, ProjectFileUnreadableError
 
 _CallsPerSecond = Annotated[float, Meta(gt=0.0, le=1e6)]
@@ -41,7 +42,6 @@
 _Address = Annotated[str, Meta(pattern=r"^[^\s:]+:[0-9]{1,5}$")]
 VoterCount = Literal[3, 5, 7]
 VOTER_COUNTS = get_args(VoterCount)
-MAX_PORT = 65535
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64
 NAME = re.compile(r"[a-z][a-z0-9-]{0,31}")
