--- a/wheatring/lifecycle/shutdown_schedule.py
+++ b/wheatring/lifecycle/shutdown_schedule.py
@@ -36,7 +36,6 @@
 CLOSE_IDLE_SECONDS = 0.2
 CLOSE_IDLE_WITH_SUCCESSOR_SECONDS = 2.0
 MIN_IDLE_SECONDS = 0.3  # with a successor: one that is idle for less is about to bring a request
-REQUEST_AFTER_CONNECT_SECONDS = 0.1  # in which a caller that has connected writes its request
 KILL_AFTER_DEADLINE_SECONDS = 0.7  # SIGKILL follows the longest deadline after this ...
 MAX_DEADLINE_SECONDS = 3.0  # ... which is taken as this where it is longer
 MARGIN_BEFORE_KILL_SECONDS = 0.2
--- a/wheatring/subscription/client.py
+++ b/wheatring/subscription/client.py
@@ -106,11 +106,6 @@
             random=random,
         )
 
-    @property
-    def host(self) -> str:
-        """The IP address of the controller in use."""
-        return self._host
-
     async def run(self) -> None:
         """Subscribe to one controller after the other, for as long as the process runs."""
         tried: list[str] = []
