--- a/tests/lab/models/test_cpu.py
+++ b/tests/lab/models/test_cpu.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from tests.lab.models.machine_world import World
-from wheatring.lab.models.cold import Warming
 from wheatring.lab.models.cpu import Cpu
-from wheatring.lab.models.visit import Verdict
+from wheatring.lab.models.received_attempt import AttemptOutcome
+from wheatring.lab.models.slow_start import CapacityRamp
 from wheatring.lab.net.time import VirtualTime
 
 STEP = 0.01
@@ -26,7 +26,7 @@
 
 
 def left_by_steps(
-    deeds: Deeds, cores: int, speed: float, warming: Warming | None, start: float
+    deeds: Deeds, cores: int, speed: float, warming: CapacityRamp | None, start: float
 ) -> list[list[float]]:
     """What is left of each request at the end of each step."""
     left: list[float] = []
@@ -40,7 +40,7 @@
         wanting = sum(each > 0 for each in left)
         rate = speed * factor * min(1.0, cores / wanting) if wanting else 0.0
         if warming is not None:
-            rate *= warming.share(start + (step + 0.5) * STEP)
+            rate *= warming.share_at(start + (step + 0.5) * STEP)
         left = [max(0.0, each - rate * STEP) for each in left]
         history.append(list(left))
     return history
@@ -56,7 +56,7 @@
     time = VirtualTime(start)
     done: list[int] = []
     cpu: Cpu[int] = Cpu(time, cores, speed, done.append)
-    warming = Warming(start, 0.13, 3.0) if cold else None
+    warming = CapacityRamp(start, 0.13, 3.0) if cold else None
     cpu.restart(warming)
     history = left_by_steps(deeds, cores, speed, warming, start)
     marks: list[float] = []
@@ -68,13 +68,13 @@
                 marks.append(cpu.add(size, len(marks)))
                 gone += size
             elif at == step:
-                cpu.tune(size)
+                cpu.set_factor(size)
         if step % 20 == 19:
             time.run(start + (step + 1) * STEP)
-            left = [0.0 if item in done else cpu.left(mark) for item, mark in enumerate(marks)]
+            left = [0.0 if item in done else cpu.remaining(mark) for item, mark in enumerate(marks)]
             # In steps, what a request that ends leaves over in its last step goes to nobody.
             assert left == pytest.approx(history[step], abs=2.0 * speed * STEP * (1 + len(marks)))
-            assert cpu.worked() == pytest.approx(gone - sum(left), abs=1e-5)
+            assert cpu.work_done() == pytest.approx(gone - sum(left), abs=1e-5)
     assert len(set(done)) == len(done)
     assert time.events <= 3 * len(deeds) + 2
 
@@ -97,4 +97,4 @@
     assert len(times) == count
     assert sum(times) / count == pytest.approx(1.0 / (1.0 - load), rel=0.08)
     assert world.machine.work_done == pytest.approx(offered)
-    assert {verdict for _, _, verdict in ended} == {Verdict.SERVED}
+    assert {verdict for _, _, verdict in ended} == {AttemptOutcome.SERVED}
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -1,6 +1,6 @@
 """A fleet of real sidecar processes for tests and trials: their datagrams on links, and a target for calls.
 
-Members are named `d0` to `dN`; the first three vote. One duty, `probe`, calls the target.
+Members are named `d0` to `dN`; the first three vote. One singleton role, `probe`, calls the target.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from pathlib import Path
 from typing import Any
 
-from wheatring.lab.live.duty_target import DutyCall, DutyTarget
-from wheatring.lab.live.links.state import PLAIN, State
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
+from wheatring.lab.live.links.link_state import NO_FAULT, LinkState
 from wheatring.lab.live.process import ContextManaged, ProcessError
+from wheatring.lab.live.role_call_target import RoleCall, RoleCallTarget
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 from wheatring.lab.plan import NetPlan
 
-DUTY = "probe"
-SEVERED = State(there=False)
+ROLE = "probe"
+SEVERED = LinkState(forward=False)
 WAIT_SECONDS = 60.0  # seconds within which whatever is waited for must have come, on a machine that is busy
 RECORDED_EVENTS = (
     "duty-held", "duty-over", "member", "fleet-listening", "unexpected", "peer-dropped", "list-held-back",
@@ -95,10 +95,10 @@
             f"d{n}": RigMember(f"d{n}", f"127.{81 + n // 250}.{n % 250 + 1}.{ADDRESS_SUFFIX}", n)
             for n in range(size)
         }
-        self.target = DutyTarget()
+        self.target = RoleCallTarget()
         hosts = {member.name: member.host for member in self.members.values()}
         try:
-            self.wires = Wires(seed, hosts, NetPlan(), 1)
+            self.links = LinkController(seed, hosts, NetPlan(), 1)
         except BaseException:
             self.target.end()
             raise
@@ -113,16 +113,16 @@
         for member in self.members.values():
             for process in member.starts:
                 process.end()
-        self.wires.end()
+        self.links.end()
         self.target.end()
 
     # Processes
 
     def start_all(self, names: Iterable[str] | None = None) -> None:
         """Start these members, all by default, and wait until each has its port."""
-        self.wires.reserve_datagrams(self.members)
+        self.links.reserve_datagrams(self.members)
         for member in self.members.values():
-            member.relay_port = self.wires.ports[member.name]
+            member.relay_port = self.links.ports[member.name]
         list(self.pool.map(self.start, list(names or self.members)))
 
     def start(self, name: str) -> None:
@@ -131,6 +131,7 @@
         own = self.write_configuration(member)
 
         def line(text: str) -> None:
+            """Record a line of a member's log, if it is one of the recorded events."""
             word = text.partition(" ")[0]
             if word in RECORDED_EVENTS:
                 member.events.append((time.monotonic(), text))
@@ -139,17 +140,17 @@
         if member.number in self.admin_numbers:
             more["control"] = "127.0.0.1:0"
         said = settings(CLASSES, peers_total=len(self.members), slot_no=member.number)
-        told = configuration(
+        config = configuration(
             name, f"{member.host}:0", self.discovery, said, member.number + 1, **more
         )  # fmt: skip
-        process = Sidecar(self.folder, told, on_line=line, own=own)
+        process = Sidecar(self.folder, config, on_line=line, own=own)
         member.process = process
         member.starts.append(process)
         by = time.monotonic() + WAIT_SECONDS
         if member.number in self.admin_numbers:
             member.admin_port = int(process.wait_for_line("control-listening", by).rpartition("port=")[2])
         words = dict(pair.split("=") for pair in process.wait_for_line("fleet-listening", by).split()[1:])
-        self.wires.lead({name: (words["host"], int(words["port"]))})
+        self.links.set_targets({name: (words["host"], int(words["port"]))})
 
     def write_configuration(self, member: RigMember) -> Path:
         """Write the configuration file of a member's next start, or of a reload."""
@@ -163,7 +164,7 @@
         duty = {"work": '"call"', "call": f'"{self.target.address}"', "every": "0.05", **self.duty_table}
         text = "[fleet]\n" + "".join(f"{key} = {value}\n" for key, value in fleet.items())
         if duty["work"]:
-            text += f"[duty.{DUTY}]\n"
+            text += f"[duty.{ROLE}]\n"
             text += "".join(f"{key} = {value}\n" for key, value in duty.items() if value)
         if self.plan_table is not None:
             keys = {**self.plan_table, **self.member_plans.get(member.name, {})}
@@ -193,10 +194,10 @@
 
     # Links
 
-    def set_links(self, froms: Iterable[str], tos: Iterable[str], state: State = SEVERED) -> None:
+    def set_links(self, froms: Iterable[str], tos: Iterable[str], state: LinkState = SEVERED) -> None:
         """Put links from some members to others in a state; by default all on them is lost."""
-        self.wires.datagrams(list(froms), list(tos), state)
-        self.wires.stats()  # answered in order: it is done
+        self.links.datagrams(list(froms), list(tos), state)
+        self.links.stats()  # answered in order: it is done
 
     def isolate(self, *names: str) -> None:
         """Cut members off from all others, both ways."""
@@ -206,7 +207,7 @@
 
     def heal(self) -> None:
         """Put all links back in order."""
-        self.set_links(self.members, self.members, PLAIN)
+        self.set_links(self.members, self.members, NO_FAULT)
 
     # What is seen
 
@@ -242,24 +243,24 @@
                 raise ProcessError(f"{why}: not within {patience:.0f} s")
             time.sleep(0.01)
 
-    def accepted_calls(self) -> list[DutyCall]:
+    def accepted_calls(self) -> list[RoleCall]:
         """Return the calls that the target has accepted, as they came."""
         return [act for act in self.target.snapshot() if act.is_accepted]
 
-    def next_holder(self, besides: str = "", since: float = 0.0) -> DutyCall:
+    def next_holder(self, besides: str = "", since: float = 0.0) -> RoleCall:
         """Wait for the first accepted call after a monotonic instant by another member than `besides`."""
-        found: DutyCall = self.wait_until(
+        found: RoleCall = self.wait_until(
             lambda: next((a for a in self.accepted_calls() if a.holder != besides and a.at > since), None),
             f"an act by another than {besides!r}",
         )
         return found
 
-    def duty_events(self, name: str) -> list[tuple[float, str]]:
-        """Return a member's log lines on its duty, with the instants at which they were read."""
+    def role_events(self, name: str) -> list[tuple[float, str]]:
+        """Return a member's log lines on its role, with the instants at which they were read."""
         return [event for event in self.members[name].events if event[1].startswith("duty-")]
 
 
-def fencing_violations(acts: list[DutyCall]) -> list[str]:
+def fencing_violations(acts: list[RoleCall]) -> list[str]:
     """List what must never be in a record of calls.
 
     That is one epoch of two holders, or an older epoch accepted after a newer one.
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Collection
 
-from wheatring.lab.live.links.wires import Wires
+from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.nodes import Nodes
 from wheatring.lab.live.process import ProcessError
 from wheatring.lab.live.sidecar_slots import SidecarSlot, SidecarSlots
-from wheatring.lab.models.front import Front
+from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.plan import EventPlan
 
 
@@ -18,8 +18,10 @@
     `ready` is called once all sidecars of the start listen, `failed` if one of them can't.
     """
 
-    def __init__(self, nodes: Nodes, slots: SidecarSlots, front: Front, wires: Wires | None = None) -> None:
-        self.wires = wires
+    def __init__(
+        self, nodes: Nodes, slots: SidecarSlots, front: FrontLoadBalancer, links: LinkController | None = None
+    ) -> None:
+        self.links = links
         self.nodes = nodes
         self.slots = slots
         self.front = front
@@ -29,7 +31,7 @@
         self.failed: Callable[[ProcessError], object]
         slots.on_up, slots.on_stopping = self.on_sidecar_up, self.on_sidecar_stopping
         slots.on_down, slots.on_failed = self.on_sidecar_down, self.on_sidecar_failed
-        nodes.on_fallen = self.on_node_ended
+        nodes.on_crash = self.on_node_ended
 
     def start_all(self, names: Collection[str]) -> None:
         """Start the sidecars that run from the beginning, at least one."""
@@ -46,7 +48,7 @@
     def on_sidecar_up(self, slot: SidecarSlot) -> None:
         """Let callers, or its node, use a sidecar that listens."""
         if slot.name not in self.nodes.nodes:
-            self.front.up(slot.name)
+            self.front.sidecar_up(slot.name)
         elif slot.name in self.coming:
             self.coming.discard(slot.name)
             self.nodes.start(slot.name)
@@ -58,12 +60,12 @@
     def on_sidecar_stopping(self, slot: SidecarSlot) -> None:
         """Let callers know that a sidecar is shutting down."""
         if slot.name not in self.nodes.nodes:
-            self.front.stopping(slot.name)
+            self.front.sidecar_stopping(slot.name)
 
     def on_sidecar_down(self, slot: SidecarSlot) -> None:
         """Let callers know that a sidecar has ended."""
         if slot.name not in self.nodes.nodes:
-            self.front.down(slot.name)
+            self.front.sidecar_down(slot.name)
 
     def on_sidecar_failed(self, slot: SidecarSlot) -> None:
         """Fail where a sidecar of the start ended before it listened."""
@@ -98,19 +100,19 @@
         if node in self.slots.by_name:
             self.slots.kill(self.slots.by_name[node], 0.0)
 
-    def vanish(self, node: str) -> None:
+    def isolate(self, node: str) -> None:
         """Let a node's machine, with its own sidecar, fall silent."""
-        assert self.wires is not None
-        self.wires.begin(self._silence(node))
-        self.nodes.registry.vanished(node)
+        assert self.links is not None
+        self.links.start_fault(self._silence(node))
+        self.nodes.registry.node_vanished(node)
 
-    def back(self, node: str) -> None:
+    def reconnect(self, node: str) -> None:
         """Let a machine that was silent answer again; its connections are reset."""
-        assert self.wires is not None
-        self.wires.over(self._silence(node), reset=True)
+        assert self.links is not None
+        self.links.end_fault(self._silence(node), reset=True)
         machine = self.nodes.nodes[node].machine
         if machine.running:
-            self.nodes.registry.up(node, machine.started_at)
+            self.nodes.registry.node_started(node, machine.started_at)
 
     def _silence(self, node: str) -> EventPlan:
         plan = self.nodes.nodes[node].plan
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -14,14 +14,16 @@
 from typing import Any
 
 from wheatring.core.clock import Clock
-from wheatring.lab.book import Book
-from wheatring.lab.live.links.wires import Wires
-from wheatring.lab.models.below import Calls
-from wheatring.lab.models.discovery import Listed, Registry
-from wheatring.lab.models.effects import Effects
+from wheatring.lab.correlation import CorrelationTable
+from wheatring.lab.event_recorder import EventRecorder
+from wheatring.lab.live.links.link_controller import LinkController
+from wheatring.lab.models.deduplication import EffectDeduplicator
+from wheatring.lab.models.discovery import Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.machine import Machine
-from wheatring.lab.models.traffic import sizes
-from wheatring.lab.origins import Origins
+from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
+from wheatring.lab.models.next_tier import NextTierClient
+from wheatring.lab.models.traffic import work_sampler
 from wheatring.lab.plan import EventPlan, NodePlan, Plan
 from wheatring.lab.wire.node_server import NodeServer
 from wheatring.lab.wire.request_format import RequestFormat
@@ -54,20 +56,20 @@
         reactor: Any,
         plan: Plan,
         clock: Clock,
-        origins: Origins,
-        book: Book,
+        origins: CorrelationTable,
+        recorder: EventRecorder,
         registry: Registry,
         where: Where,
-        wires: Wires | None = None,
+        links: LinkController | None = None,
     ) -> None:
-        self.wires = wires
+        self.links = links
         self.reactor = reactor
         self.plan = plan
         self.clock = clock
         self.origins = origins
         self.registry = registry
         self.forms = RequestFormat(plan.classes)
-        self.book = book
+        self.recorder = recorder
         self.where = where
         self.ports: dict[tuple[str, str], int] = {}  # by host and sidecar: once the kernel has chosen, kept
         self.hosts = {node.name: node.host for node in plan.nodes}
@@ -75,39 +77,42 @@
         for tier in range(len(plan.tiers) - 1):
             self.callers.append([(node.name, node.zone) for node in plan.nodes if node.tier == tier])
         self.ways: dict[str, SidecarClient] = {}  # of nodes that run, into their own sidecars
-        effects = Effects(clock, plan.classes, book)
-        self.nodes = {node.name: self._node(node, effects) for node in plan.nodes}
-        self.on_fallen: Callable[[str], object] = lambda _name: None
+        deduplicator = EffectDeduplicator(clock, plan.classes, recorder)
+        self.nodes = {node.name: self._node(node, deduplicator) for node in plan.nodes}
+        self.on_crash: Callable[[str], object] = lambda _name: None
 
-    def _node(self, node: NodePlan, effects: Effects) -> Node:
+    def _node(self, node: NodePlan, deduplicator: EffectDeduplicator) -> Node:
         plan, tier = self.plan, self.plan.tiers[node.tier]
-        calls, mean = None, 0.0
+        client = None
         if node.tier + 1 < len(plan.tiers):
-            drawn = Random(f"{plan.seed}:calls:{node.name}")
-            draws = [sizes(drawn, each) for each in plan.classes]
-            way = partial(self.ways.get, node.name)
-            calls = Calls(node.name, way, self.origins, draws, self.clock)
-            mean = plan.tiers[node.tier + 1].calls
-        machine = Machine(
-            node, tier, node.tier, plan.classes, self.clock, Random(f"{plan.seed}:node:{node.name}"),
-            self.origins, self.book, calls, mean,
-            effects=effects, rules=plan.rules, passes_deadline=plan.passes_deadline,
-        )  # fmt: skip
-        machine.on_fallen = partial(self._fell, node.name)
+            random = Random(f"{plan.seed}:calls:{node.name}")
+            samplers = [work_sampler(random, each) for each in plan.classes]
+            find_transport = partial(self.ways.get, node.name)
+            client = NextTierClient(node.name, find_transport, self.origins, samplers, self.clock)
+        services = MachineServices(
+            timers=self.clock,
+            random=Random(f"{plan.seed}:node:{node.name}"),
+            correlation_table=self.origins,
+            recorder=self.recorder,
+            call_next_tier=client,
+            deduplicator=deduplicator,
+        )
+        machine = Machine(MachineSpec.from_plan(plan, node), services)
+        machine.on_crash = partial(self._handle_crash, node.name)
         made = Node(node, machine)
         for sidecar, zone in self.callers[node.tier]:
             trip = 2 * (plan.net.same if zone == node.zone else plan.net.cross)
             made.peers[sidecar] = NodeServer(
                 machine, tier, self.clock, Random(f"{plan.seed}:spoilt:{node.name}:{sidecar}"),
-                self.origins, self.forms, self.book, partial(_this, sidecar), partial(_that, trip),
+                self.origins, self.forms, self.recorder, partial(_this, sidecar), partial(_that, trip),
             )  # fmt: skip
         return made
 
-    def address(self, sidecar: str, node: Listed) -> str:
+    def address(self, sidecar: str, node: RegisteredNode) -> str:
         """Return where a sidecar finds an endpoint that has been up, as HOST:PORT."""
         host = self.hosts[node.name]
-        if self.wires is not None:
-            host, port = self.wires.address(f"{sidecar}>{host}")
+        if self.links is not None:
+            host, port = self.links.address(f"{sidecar}>{host}")
             return f"{host}:{port}"
         return f"{host}:{self.ports[host, sidecar]}"
 
@@ -119,22 +124,22 @@
         kind = self.plan.tiers[node.tier].kinds[node.kind].name
         if node.up:
             self._run(self.nodes[name], cold=False)
-        listed = Listed(name, "", node.zone, kind, node.cell, 0.0, node.tier)
-        self.registry.add(listed, node.up)
+        listed = RegisteredNode(name, "", node.zone, kind, node.cell, 0.0, node.tier)
+        self.registry.register(listed, node.up)
 
     def start(self, name: str) -> None:
         """Start an endpoint's process, cold, unless one runs."""
         node = self.nodes[name]
         if not node.machine.running:
             self._run(node, cold=True)
-            self.registry.up(name, self.clock.now())
+            self.registry.node_started(name, self.clock.now())
 
     def _run(self, node: Node, cold: bool) -> None:
         self._open(node)
         node.machine.start(cold)
         if node.plan.tier + 1 < len(self.plan.tiers):
             self.ways[node.plan.name] = SidecarClient(
-                self.reactor, self.clock, self.book, self.forms, self.where, node.plan.host
+                self.reactor, self.clock, self.recorder, self.forms, self.where, node.plan.host
             )
 
     def drain(self, name: str) -> None:
@@ -142,7 +147,7 @@
         node = self.nodes[name]
         if node.machine.running:
             node.machine.drain()
-            self.registry.draining(name)
+            self.registry.node_draining(name)
 
     def stop(self, name: str) -> bool:
         """End an endpoint's process at once; False where none runs."""
@@ -153,35 +158,35 @@
         self._ended(node)
         return True
 
-    # What troubles of a node bring about on the network. Its machine has been told of them.
+    # The effects of a node's faults on the network; its machine has been notified of them.
 
-    def begin(self, event: EventPlan) -> None:
+    def start_fault(self, event: EventPlan) -> None:
         """Close the ports of endpoints that a fault makes refuse connections."""
         for name in event.nodes:
             node = self.nodes[name]
-            if node.machine.troubles.refusing:
+            if node.machine.faults.refuses_connections:
                 self._close(node)
 
-    def end(self, event: EventPlan) -> None:
+    def end_fault(self, event: EventPlan) -> None:
         """Open the ports again of endpoints that run."""
         for name in event.nodes:
             node = self.nodes[name]
             if node.machine.running:
                 self._open(node)
 
-    def _fell(self, name: str) -> None:
+    def _handle_crash(self, name: str) -> None:
         self._ended(self.nodes[name])
-        self.on_fallen(name)
+        self.on_crash(name)
 
     def _ended(self, node: Node) -> None:
         self._close(node)
         node.reset()
         # Its own sidecar goes with it: what it had asked of that ends as the connections to it do.
         self.ways.pop(node.plan.name, None)
-        self.registry.down(node.plan.name)
+        self.registry.node_ended(node.plan.name)
 
     def _open(self, node: Node) -> None:
-        if node.doors or node.machine.troubles.refusing:
+        if node.doors or node.machine.faults.refuses_connections:
             return
         host = node.plan.host
         for sidecar, peer in node.peers.items():
@@ -189,13 +194,13 @@
             door = self.reactor.listenTCP(port, peer, backlog=BACKLOG, interface=host)
             self.ports[host, sidecar] = door.getHost().port
             node.doors.append(door)
-        if self.wires is not None:
-            self.wires.lead({f"{one}>{host}": (host, self.ports[host, one]) for one in node.peers})
+        if self.links is not None:
+            self.links.set_targets({f"{one}>{host}": (host, self.ports[host, one]) for one in node.peers})
 
     def _close(self, node: Node) -> None:
         doors, node.doors = node.doors, []
-        if self.wires is not None and doors:
-            self.wires.close([f"{one}>{node.plan.host}" for one in node.peers])
+        if self.links is not None and doors:
+            self.links.close([f"{one}>{node.plan.host}" for one in node.peers])
         for door in doors:
             door.stopListening()
 
--- a/wheatring/lab/live/view_cases.py
+++ b/wheatring/lab/live/view_cases.py
@@ -12,9 +12,9 @@
 from tempfile import TemporaryDirectory
 from typing import NamedTuple
 
-from wheatring.lab.live.duty_cases import COUNTING_SECONDS, Measurement
 from wheatring.lab.live.fleet_rig import FleetRig
-from wheatring.lab.live.links.state import State
+from wheatring.lab.live.links.link_state import LinkState
+from wheatring.lab.live.singleton_role_cases import COUNTING_SECONDS, Measurement
 
 SETTLE_SECONDS = 5.0  # seconds between two cases
 FAULT_SECONDS = 20.0  # seconds for which links are bad
@@ -62,13 +62,14 @@
     def wait_for_one_view(self, names: Collection[str], size: int) -> float:
         """Wait until these members have one view of so many; return the seconds until the last one did."""
 
-        def so() -> float:
+        def last_change_at() -> float:
+            """Return when the last member had the view, or 0 while they differ."""
             last = [(view_entries(self.rig, name) or [ViewEntry(0.0, 0, 0, False)])[-1] for name in names]
             alike = len({one.number for one in last}) == 1
             whole = alike and all(one[2:] == (size, True) for one in last)
             return max(one.at for one in last) if whole else 0.0
 
-        at: float = self.rig.wait_until(so, f"one view of {size}", WAIT_SECONDS)
+        at: float = self.rig.wait_until(last_change_at, f"one view of {size}", WAIT_SECONDS)
         return at - self.since
 
     def share_in_one_view(self, names: Collection[str]) -> float:
@@ -159,14 +160,14 @@
     """Lose a part of all datagrams, then most of those to one member."""
     names = list(rig.members)
     history = ViewHistory(rig)
-    rig.set_links(names, names, State(drop=0.3))
+    rig.set_links(names, names, LinkState(drop=0.3))
     time.sleep(FAULT_SECONDS)
     yield _unchanged(history, names, "30 % of all datagrams lost")
     rig.heal()
     time.sleep(SETTLE_SECONDS)
     one = _third(rig, random)[0]
     history = ViewHistory(rig)
-    rig.set_links(_rest(rig, [one]), [one], State(drop=0.8))
+    rig.set_links(_rest(rig, [one]), [one], LinkState(drop=0.8))
     time.sleep(FAULT_SECONDS)
     yield _unchanged(history, _rest(rig, [one]), "80 % of what comes to one lost")
     rig.heal()
@@ -201,11 +202,13 @@
         back = ViewHistory(rig)
         took = back.wait_for_one_view(names, size)
         changes = history.changes(rest)
-        told = [text for at, text in rig.members[one].events if at > history.since and f"side={how}" in text]
+        noticed = [
+            text for at, text in rig.members[one].events if at > history.since and f"side={how}" in text
+        ]
         yield Measurement(
-            len(changes) == 2 and bool(told),
+            len(changes) == 2 and bool(noticed),
             f"one is {how}: out after {out:.1f} s, whole {took:.1f} s after it is mended, "
-            f"{len(changes)} changes, it knows: {'yes' if told else 'no'}",
+            f"{len(changes)} changes, it knows: {'yes' if noticed else 'no'}",
         )
         time.sleep(SETTLE_SECONDS)
 
