--- a/tests/lease/test_replicated_register.py
+++ b/tests/lease/test_replicated_register.py
@@ -33,7 +33,7 @@
     for name in names:
         order.start(name)
     began = order.now
-    while not all(order.registers[name].has_recovered for name in names):
+    while not all(order.registers[name].acceptor.has_recovered for name in names):
         assert order.now - began < 15
         order.now += 0.05
         for name in order.names:
@@ -46,9 +46,9 @@
 def test_a_voter_that_starts_says_nothing_until_it_has_heard_what_it_kept() -> None:
     order = OrderRun(1, ReplicatedRegister)
     order.run()
-    kept = order.registers["v1"].accepted
+    kept = order.registers["v1"].acceptor.accepted
     assert wakes(order, "v0") >= order.fleets["v0"].timing.abstain_seconds
-    assert order.registers["v0"].accepted.number >= kept.number
+    assert order.registers["v0"].acceptor.accepted.number >= kept.number
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
@@ -61,4 +61,4 @@
         0.1  # what they promise is for members that they reach
     )
     wakes(order, "v0", "v1", "v2")
-    assert all(order.registers[name].accepted.number >= known.number for name in ("v0", "v1", "v2"))
+    assert all(order.registers[name].acceptor.accepted.number >= known.number for name in ("v0", "v1", "v2"))
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -11,8 +11,8 @@
 from wheatring.lab.live.links.state import State
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.payloads import digest
+from wheatring.lease.register_leader import Phase
 from wheatring.lease.register_messages import Entry, NewestQuery
-from wheatring.lease.replicated_register import Phase
 from wheatring.members.view import View
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.errors import PlanFormatUnknownError, PlanNoViewError, PlanRolloutInProgressError
@@ -300,11 +300,11 @@
     made = world(5)
     leader = made.leader()
     views = made.plans[leader].views
-    views.register.phase = Phase.ACCEPTING  # of a view that no voter answers
+    views.register.leader.phase = Phase.ACCEPTING  # of a view that no voter answers
     push = made.propose("n4", body_of("first"))
     made.cluster.run(made.cluster.now + 3)
     assert push.state == "tried"
-    views.register.phase = Phase.READY
+    views.register.leader.phase = Phase.READY
     assert made.run_until(lambda: push.is_final, 2.0) and push.state == "settled"
     views.next_stamp = 1e9
     for plans in made.plans.values():  # nor is it told by others what was minted a moment ago
@@ -372,7 +372,7 @@
     )
     body = body_of("forgotten")
     entry = Entry(2, 1, digest(body), len(body), body)
-    plans.register.learn(made.cluster.instant(made.cluster.nodes[leader]), ("127.5.0.4", 7000), entry)
+    plans.register.learner.learn(made.cluster.instant(made.cluster.nodes[leader]), ("127.5.0.4", 7000), entry)
     for node in others:
         made.cluster.resume(node)
     assert made.run_until(lambda: plans.leader.rollout is None, 1.0) and plans.leader.epoch == epoch
--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -18,8 +18,9 @@
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.view import View
 from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Reason
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -13,7 +13,7 @@
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.payloads import digest
-from wheatring.lease.replicated_register import LEADER_ROLE
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet, first_voters
 from wheatring.members.timing import SwimTiming
@@ -215,8 +215,8 @@
         for key in self.bodies:
             if node.fleet.payloads.get(key) is not None:
                 self.stored.add((node.name, node.fleet.incarnation, key))
-        if node.number < VOTERS and plans.register.accepted.number:
-            entry = plans.register.accepted
+        if node.number < VOTERS and plans.register.acceptor.accepted.number:
+            entry = plans.register.acceptor.accepted
             voters = self.accepted.setdefault((entry.number, entry.epoch, entry.digest), set())
             voters.add(node.name)
             if 2 * len(voters) > VOTERS:
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -11,9 +11,17 @@
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
-from wheatring.lease.register_messages import NO_ENTRY, RegisterAccept, RegisterPrepare
-from wheatring.lease.replicated_register import Phase, ReplicatedRegister
+from wheatring.lease.register_leader import Phase
+from wheatring.lease.register_messages import (
+    NO_ENTRY,
+    EntryChosen,
+    RegisterAccept,
+    RegisterMessage,
+    RegisterPrepare,
+)
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.cut_detector import CutDetector
+from wheatring.members.messages import Address
 from wheatring.members.view import Rings, View
 from wheatring.members.view_messages import HealthCheckResponse
 from wheatring.peers.agreement import Agreement
@@ -22,21 +30,27 @@
 class ForgetsPromise(ReplicatedRegister):
     """An acceptor that accepts a lower epoch than it has promised."""
 
-    def _on_leader_request(
-        self, at: Instant, address: Any, message: RegisterPrepare | RegisterAccept
-    ) -> list[Outgoing]:
-        self.promised_epoch = min(self.promised_epoch, message.epoch)
-        if isinstance(message, RegisterAccept) and message.epoch < self.accepted.epoch:
-            self.accepted = NO_ENTRY
-        return super()._on_leader_request(at, address, message)
+    def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
+        """Forget a higher promise before a leader's request is handled."""
+        if isinstance(message, RegisterPrepare | RegisterAccept):
+            acceptor = self.acceptor
+            acceptor.promised_epoch = min(acceptor.promised_epoch, message.epoch)
+            if isinstance(message, RegisterAccept) and message.epoch < acceptor.accepted.epoch:
+                acceptor.accepted = NO_ENTRY
+        return super().receive(at, sender, address, message)
 
 
 class SkipsFoundEntry(ReplicatedRegister):
     """A leader that does not put the entry again that it has found."""
 
-    def _finish_preparing(self, at: Instant) -> list[Outgoing]:  # noqa: ARG002 - the base's
-        self.phase, self.next_retransmit = Phase.READY, inf
-        return []
+    def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
+        """Be ready as soon as a majority has told what it has accepted."""
+        was = self.leader.phase
+        out = super().receive(at, sender, address, message)
+        if was is Phase.PREPARING and self.leader.phase is Phase.ACCEPTING:
+            self.leader.phase, self.leader.next_retransmit = Phase.READY, inf
+            return []
+        return out
 
 
 class AnswersAfterRestart(ReplicatedRegister):
@@ -44,23 +58,24 @@
 
     def tick(self, at: Instant) -> list[Outgoing]:
         """Skip the silence after a start."""
-        self.has_recovered = True
+        self.acceptor.has_recovered = True
         return super().tick(at)
 
-    def _on_leader_request(
-        self, at: Instant, address: Any, message: RegisterPrepare | RegisterAccept
-    ) -> list[Outgoing]:
-        self.has_recovered = True
-        return super()._on_leader_request(at, address, message)
+    def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
+        """Skip the silence after a start."""
+        if isinstance(message, RegisterPrepare | RegisterAccept):
+            self.acceptor.has_recovered = True
+        return super().receive(at, sender, address, message)
 
 
 class GoesBack(ReplicatedRegister):
     """A member that applies whatever entry it heard of last."""
 
-    def learn(self, at: Instant, address: Any, entry: Any) -> list[Outgoing]:
+    def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
         """Forget what is committed before an entry is taken over."""
-        self.chosen = NO_ENTRY
-        return super().learn(at, address, entry)
+        if isinstance(message, EntryChosen):
+            self.learner.chosen = NO_ENTRY
+        return super().receive(at, sender, address, message)
 
 
 class RegisterFault(NamedTuple):
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -14,8 +14,9 @@
 
 from wheatring.lease.component import Instant
 from wheatring.lease.payloads import FetchRequest, PayloadStore
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry, EntryChosen
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
 from wheatring.members.messages import Address, MemberInfo
@@ -129,7 +130,7 @@
         self.now = INITIAL_UPTIME_SECONDS
         for name in self.names:
             self.registers[name].tick(self.at)
-            self.registers[name].has_recovered = True
+            self.registers[name].acceptor.has_recovered = True
 
     @property
     def at(self) -> Instant:
@@ -166,7 +167,7 @@
 
     def are_voters_awake(self) -> bool:
         """Whether all voters answer, none of them being in its silence after a start."""
-        return all(self.registers[name].has_recovered for name in self.voters.names)
+        return all(self.registers[name].acceptor.has_recovered for name in self.voters.names)
 
     def change_term(self) -> int:
         """End or begin a term now and then; return 1 where one begins.
--- /dev/null
+++ b/wheatring/lease/acceptor_recovery.py
@@ -0,0 +1,73 @@
+"""How an acceptor that has started finds out what it may have accepted before. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from math import inf
+
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
+from wheatring.lease.register_acceptor import RegisterAcceptor
+from wheatring.lease.register_learner import RegisterLearner
+from wheatring.lease.register_messages import AcceptorState
+from wheatring.members.messages import MemberInfo
+
+MAX_RECOVERY_LEASES = 4  # lease lengths after which an acceptor answers though it has not heard all others
+MAX_RECOVERY_PEERS = 40  # members that an acceptor which started asks at once
+
+
+class AcceptorRecovery:
+    """Keeps an acceptor silent after a start, until it knows what it may have forgotten.
+
+    That takes a lease's length, and until all other voters have told what they have accepted,
+    `MAX_RECOVERY_LEASES` at most. `known_peers` returns members to ask besides those that this process has
+    heard of; None: they aren't known yet, and it waits until they are.
+    """
+
+    def __init__(
+        self, at: Instant, fleet: Fleet, learner: RegisterLearner, acceptor: RegisterAcceptor
+    ) -> None:
+        self.fleet = fleet
+        self.learner = learner
+        self.acceptor = acceptor
+        self.known_peers: Callable[[], Sequence[MemberInfo] | None] = lambda: ()
+        self.has_known_peers = False
+        self.started_boot = at.boot
+        self.recovered_from: set[str] = set()  # voters that have told what they accepted, since the start
+        self.due = at.now  # when `tick` has something to do
+
+    def tick(self, at: Instant) -> list[Outgoing]:
+        """Let the acceptor answer if enough is known, else ask once more."""
+        if self.acceptor.has_recovered or at.now < self.due:
+            return []
+        timing = self.fleet.timing
+        others = set(self.fleet.voters.names) - set(self.fleet.voter_names(self.fleet.me))
+        elapsed = at.boot - self.started_boot
+        has_heard_all = self.has_known_peers and others <= self.recovered_from
+        is_over = has_heard_all or elapsed >= MAX_RECOVERY_LEASES * timing.lease_seconds
+        if elapsed >= timing.abstain_seconds and is_over:
+            self.acceptor.has_recovered = True
+            self.due = inf
+            return []
+        self.due = at.now + timing.lease_seconds / 6
+        if not self.fleet.is_voter():
+            return []
+        return self._query_all(sorted(others))
+
+    def handle_state(self, names: list[str], message: AcceptorState) -> None:
+        """Take over what another voter has promised and accepted; `names` are the voter's."""
+        if not self.acceptor.has_recovered:
+            self.recovered_from.update(names)
+            self.acceptor.note_state(message)
+
+    def _query_all(self, voters: list[str]) -> list[Outgoing]:
+        """Ask the other voters what they have accepted, and some members what is chosen."""
+        message = self.learner.newest_query(wants_accepted=True)
+        peers = self.known_peers()
+        self.has_known_peers = peers is not None
+        known = {member.name: member for member in [*(peers or ()), *self.fleet.members.alive_members()]}
+        known.pop(self.fleet.me.name, None)
+        sample = self.fleet.random.sample(list(known.values()), min(MAX_RECOVERY_PEERS, len(known)))
+        return self.fleet.to_voters([(name, message) for name in voters]) + [
+            ((member.host, member.port), message) for member in sample
+        ]
--- a/wheatring/lease/membership_views.py
+++ b/wheatring/lease/membership_views.py
@@ -100,7 +100,7 @@
             return []
         self.cut_detector.add_join_request(now, message.member)
         if self.view.member(sender) == message.member:  # it is a member, and has not heard of it
-            return [(address, self.register.chosen_announcement())]
+            return [(address, self.register.learner.chosen_announcement())]
         return []
 
     # Joining and leaving
--- a/wheatring/lease/register_learner.py
+++ b/wheatring/lease/register_learner.py
@@ -19,8 +19,9 @@
 class RegisterLearner:
     """Learns the newest chosen entry of one register, and applies it once its payload is here.
 
-    `on_chosen` is called with each entry that is applied. `chosen` is the newest known, `applied` the newest
-    whose payload is here too. A learner never goes from one chosen entry to one of a lower version.
+    `on_chosen` is called with each entry that is applied, and its payload. `chosen` is the newest known,
+    `applied` the newest whose payload is here too. A learner never goes from one chosen entry to one of a
+    lower version.
     """
 
     def __init__(self, at: Instant, name: str, fleet: Fleet, on_chosen: OnChosen) -> None:
@@ -34,6 +35,20 @@
         self.next_fetch_retry = inf  # when the next attempt for it is
         self.pending_relay: EntryChosen | None = None  # relayed once the payload is here for who asks for it
 
+    @property
+    def due(self) -> float:
+        """When `tick` has something to do."""
+        return min(self.next_sync, self.next_fetch_retry)
+
+    def tick(self, at: Instant) -> list[Outgoing]:
+        """Ask for what is newer, and fetch again what could not be fetched."""
+        out: list[Outgoing] = []
+        if at.now >= self.next_sync:
+            out += self._sync(at)
+        if at.now >= self.next_fetch_retry:
+            out += self._retry_fetch(at)
+        return out
+
     def newest_query(self, wants_accepted: bool = False) -> NewestQuery:
         """Return the query for what is newer than what is applied here."""
         return NewestQuery(self.name, self.applied.epoch, self.applied.number, wants_accepted)
@@ -52,36 +67,37 @@
             self.fleet.payloads.put(entry.inline_payload)
         return self._apply_chosen(at)
 
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
+    def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
         """Handle a fetched payload: apply the chosen entry if this is its."""
         if digest != self.chosen.digest or self.applied == self.chosen:
             return []
-        if body is not None:
+        if payload is not None:
             return self._apply_chosen(at)
         self._schedule_fetch_retry(at)
         return []
 
+    def fetch(self, at: Instant, source: Address, entry: Entry) -> None:
+        """Ask a member for an entry's payload."""
+        self.last_fetch = at.now
+        self.fleet.fetch_requests.append(FetchRequest(source, entry.digest))
+
     def _apply_chosen(self, at: Instant) -> list[Outgoing]:
         """Apply the chosen entry, if its payload is here; else fetch that."""
         payload = self.fleet.payloads.get(self.chosen.digest)
         if payload is None:
-            self.last_fetch = at.now
             self.next_fetch_retry = inf  # until it is known what comes of this
-            self.fleet.fetch_requests.append(FetchRequest(self.payload_source, self.chosen.digest))
+            self.fetch(at, self.payload_source, self.chosen)
             return []
         self.applied, self.next_fetch_retry = self.chosen, inf
         self.fleet.payloads.pin(self.name, self.applied.digest)
-        self._on_applied()
         pending, self.pending_relay = self.pending_relay, None
         out = self.on_chosen(at, self.applied, payload)
         if pending is not None and pending.entry == self.applied:
             out = out + self.fleet.relay(pending)
         return out
 
-    def _on_applied(self) -> None:
-        """Take note, as an acceptor, of an entry that was applied."""
-
-    def _on_chosen(self, at: Instant, address: Address, message: EntryChosen) -> list[Outgoing]:
+    def handle_chosen(self, at: Instant, address: Address, message: EntryChosen) -> list[Outgoing]:
+        """Learn an announced entry, and relay the announcement once the entry is applied."""
         out = self.learn(at, address, message.entry)
         if not message.to:
             return out
--- a/wheatring/lease/register_messages.py
+++ b/wheatring/lease/register_messages.py
@@ -32,6 +32,7 @@
 
 
 NO_ENTRY = Entry(0, 0, b"")
+RECOVERY_EPOCH = -1  # in the answer to an acceptor that recovers after its start
 MAX_INLINE_BYTES = 900  # of a payload that travels with its entry
 
 
@@ -58,8 +59,8 @@
 class AcceptorState(RegisterMessageBase, frozen=True, tag="kept"):
     """Acceptor's answer: the entry it has accepted, and the epoch it has promised.
 
-    A `promised_epoch` above the asker's says that another one leads. An `epoch` of -1 answers an acceptor
-    that recovers after its start.
+    A `promised_epoch` above the asker's says that another one leads. An `epoch` of `RECOVERY_EPOCH`
+    answers an acceptor that recovers after its start.
     """
 
     entry: Entry
--- a/wheatring/lease/view_installer.py
+++ b/wheatring/lease/view_installer.py
@@ -27,7 +27,7 @@
     def __init__(self, at: Instant, fleet: Fleet) -> None:
         self.fleet = fleet
         self.register = ReplicatedRegister(at, "view", fleet, self._on_chosen)
-        self.register.audience = lambda: self.view.names
+        self.register.leader.audience = lambda: self.view.names
         self.monitor = EdgeMonitor(at.now, fleet.random)
         self.cut_detector = CutDetector()
         self.view = View()
@@ -61,7 +61,7 @@
         if complete is not None and (members := decode_members(complete)) is not None:
             return self._install(at, View(entry.number, entry.epoch, members), change)
         self.pending_change, self.next_fetch_retry = (entry, change), inf
-        self.fleet.fetch_requests.append(FetchRequest(self.register.payload_source, change.after))
+        self.fleet.fetch_requests.append(FetchRequest(self.register.learner.payload_source, change.after))
         return []
 
     def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
@@ -81,7 +81,7 @@
             return
         own = self.fleet.me.name
         alive = [member for member in self.fleet.members.alive_members() if member.name != own]
-        address = self.register.payload_source
+        address = self.register.learner.payload_source
         if alive:
             member = self.fleet.random.choice(alive)
             address = (member.host, member.port)
@@ -120,5 +120,6 @@
         ]
         removed = [placed.member for placed in previous.members if placed.member.name in change.removed]
         return [
-            ((member.host, member.port), self.register.chosen_announcement()) for member in unknown + removed
+            ((member.host, member.port), self.register.learner.chosen_announcement())
+            for member in unknown + removed
         ]
--- a/wheatring/lease/view_leader.py
+++ b/wheatring/lease/view_leader.py
@@ -7,7 +7,7 @@
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.payloads import digest
-from wheatring.lease.replicated_register import LEADER_ROLE
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.view_monitor import MAX_NAMES_PER_MESSAGE, ViewMonitor
 from wheatring.members.cut_detector import Deferral, chunks
 from wheatring.members.view import ViewChange, encode_change
--- a/wheatring/lease/view_monitor.py
+++ b/wheatring/lease/view_monitor.py
@@ -124,7 +124,7 @@
             # would know of nobody but each other.
             out.append((address, SyncRequest(0, (members.own_update(),))))
         if message.view > self.register.chosen.number:
-            out.append((address, self.register.newest_query()))
+            out.append((address, self.register.learner.newest_query()))
         return out
 
     def _on_health_response(
@@ -141,7 +141,7 @@
         self.fleet.members.note_answer(now, sender)
         self._learn_stamp(message, sent)
         if max(message.view, message.stamp.view) > self.register.chosen.number:
-            return [(address, self.register.newest_query())]
+            return [(address, self.register.learner.newest_query())]
         return []
 
     def _learn_stamp(self, message: HealthCheckResponse, sent: float) -> None:
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -10,8 +10,8 @@
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet, FleetMessage
 from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import RegisterMessage
-from wheatring.lease.replicated_register import LEADER_ROLE
 from wheatring.lease.singleton_role import RoleSettings
 from wheatring.members.view_messages import ViewMessage
 from wheatring.peers.options import PlanOptions
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -12,8 +12,9 @@
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.messages import Address
 from wheatring.members.view_messages import ViewMember
 from wheatring.peers.compiled_plan import compile_plan
@@ -60,7 +61,7 @@
         self.next_edge = at.now
         views.admission_objection = self._admits
         # What a leader commits carries the instant by the fleet's time, so that all put it in force together.
-        self.plans.register.timestamp_ms = self._commit_instant
+        self.plans.register.leader.timestamp_ms = self._commit_instant
 
     @property
     def deciders(self) -> list[FleetComponent]:
--- a/wheatring/plan/agent.py
+++ b/wheatring/plan/agent.py
@@ -68,7 +68,7 @@
         self.views = views
         self.on_commit: CommitCallback = on_commit or (lambda _at, _committed: [])
         self.register = ReplicatedRegister(at, "plan", fleet, self._entry_committed)
-        self.register.known_peers = self._known_members
+        self.register.recovery.known_peers = self._known_members
         self.leader = RolloutLeader(fleet, views, self.register, check)
         self.proposals = ProposalLog(fleet, views, self.register)
         self.current: CommittedPlan | None = None
@@ -126,7 +126,7 @@
         leader = find_leader(self.fleet)
         if leader.name != me and leader.address is not None:
             asked.append(leader.address)
-        return [(address, self.register.newest_query()) for address in dict.fromkeys(asked)]
+        return [(address, self.register.learner.newest_query()) for address in dict.fromkeys(asked)]
 
     # Messages
 
--- a/wheatring/plan/leader.py
+++ b/wheatring/plan/leader.py
@@ -30,8 +30,9 @@
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.payloads import MAX_PAYLOAD_BYTES, FetchRequest
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.messages import Address
 from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, CompatibilityCheck, Reason, Verdict
@@ -126,7 +127,7 @@
         """Start the rollout of a proposal that is based on the committed version."""
         committed = self.register.chosen
         if message.base_version > committed.number:
-            return [(address, self.register.newest_query())]
+            return [(address, self.register.learner.newest_query())]
         if committed.number and committed.digest == message.digest:
             state, version = RolloutState.COMMITTED, committed.number
             status = RolloutStatus(message.digest, message.epoch, message.proposal_id, state, version)
@@ -306,7 +307,7 @@
             return explain_pending(rollout, self.missing_members(rollout))
         if now < rollout.deadline:
             return []
-        accepted, voters = len(self.register.acknowledged_by), len(self.fleet.voters.names)
+        accepted, voters = len(self.register.leader.acknowledged_by), len(self.fleet.voters.names)
         return explain_uncommitted(accepted, voters, STATE_TIMEOUT_SECONDS[RolloutState.COMMITTING])
 
     def _reject(
--- a/wheatring/plan/proposals.py
+++ b/wheatring/plan/proposals.py
@@ -20,8 +20,9 @@
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.payloads import MAX_PAYLOAD_BYTES
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.messages import Address
 from wheatring.plan.compatibility import Reason
 from wheatring.plan.compiler import compile_routes
