--- a/tests/lease/test_membership_views.py
+++ b/tests/lease/test_membership_views.py
@@ -65,11 +65,10 @@
     scene.stop(scene.names[8:10], 5.0)
     scene.fleet.run(26)
     found = [one for node in scene.fleet.nodes.values() if (one := views_of(node)) is not None]
-    assert any(one.indirect_checks.active for one in found)
+    assert any(one.monitor.indirect_checks.active for one in found)
     scene.fleet.run(35)
-    assert not any(
-        one is not None and one.indirect_checks.active for one in map(views_of, scene.fleet.nodes.values())
-    )
+    found = [one for node in scene.fleet.nodes.values() if (one := views_of(node)) is not None]
+    assert not any(one.monitor.indirect_checks.active for one in found)
 
 
 def test_a_minority_keeps_its_view_and_says_that_it_is_old() -> None:
@@ -109,8 +108,8 @@
     first = views_of(fleet.nodes["n0"])
     assert first is not None
     voters = {"n0", "n1", "n2"}
-    lonely = next(name for name in scene.names[3:] if not voters & {*first.rings.subjects(name)})
-    scene.kill(first.rings.subjects(lonely))
+    lonely = next(name for name in scene.names[3:] if not voters & {*first.installer.rings.subjects(name)})
+    scene.kill(first.installer.rings.subjects(lonely))
     scene.observer.clear()
     assert scene.observer.run_until_converged(set(scene.names) - scene.removed, 8.5) > 0
     assert [move.removed for move in scene.observer.changes] == [scene.removed]
--- a/tests/plan/test_agent.py
+++ b/tests/plan/test_agent.py
@@ -306,9 +306,9 @@
     assert push.state == "tried"
     views.register.leader.phase = Phase.READY
     assert made.run_until(lambda: push.is_final, 2.0) and push.state == "settled"
-    views.next_stamp = 1e9
+    views.stamps.next_renewal = 1e9
     for plans in made.plans.values():  # nor is it told by others what was minted a moment ago
-        plans.views.stamp_time = -1e9
+        plans.views.stamps.stamp_time = -1e9
     push = made.propose("n4", body_of("second"))
     assert made.run_until(lambda: push.is_final, 25.0) and push.state == "refused"
     assert "plan-no-view" in [why.code for why in push.reasons]
@@ -321,7 +321,7 @@
     assert made.run_until(lambda: all(plans.views.stamp.plan == 1 for plans in made.plans.values()), 10.0)
     plans, at = made.plans["n4"], made.cluster.instant(made.cluster.nodes["n4"])
     assert not [word for _, word in plans.tick(at) if isinstance(word, NewestQuery)]
-    plans.views.stamp = plans.views.stamp._replace(plan=2)
+    plans.views.stamps.stamp = plans.views.stamp._replace(plan=2)
     asked = [word for _, word in plans.tick(at) if isinstance(word, NewestQuery)]
     assert asked and {(word.register, word.number) for word in asked} == {("plan", 1)}
     assert not plans.status(at.now)["sure"]
--- a/tests/system/membership/fleet.py
+++ b/tests/system/membership/fleet.py
@@ -100,7 +100,7 @@
         if said == "all voters":
             return self.voters
         if match := re.fullmatch(r"the observers of (\w+)", said):
-            return self.views_of(self.leader).rings.observers(match[1])
+            return self.views_of(self.leader).installer.rings.observers(match[1])
         if match := re.fullmatch(r"(\d+) voters?( besides the leader)?", said):
             some = [name for name in self.voters if not match[2] or name != self.leader]
             return sorted(self.random.sample(some, int(match[1])))
--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -108,7 +108,7 @@
         self.floors = ReplicatedRegister(at, "floor", fleet, self._minimum_committed)
         stills = RegistersStable(self.views.register), RegistersStable(self.register, self.floors)
         self.skew = skew(fleet, abilities, compiles, *stills)
-        self.views.admission_objection = self._admits
+        self.views.leader.admission_objection = self._admits
         self.proposed_body: bytes | None = None
         self.checked_view = View()
         self.due = at.now
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -23,7 +23,7 @@
 from wheatring.members.cut_detector import CutDetector
 from wheatring.members.messages import Address
 from wheatring.members.view import Rings, View
-from wheatring.members.view_messages import HealthCheckResponse
+from wheatring.members.view_messages import HealthCheckResponse, ViewMessage
 from wheatring.peers.agreement import Agreement
 
 
@@ -116,27 +116,26 @@
 class AgesStampOnArrival(MembershipViews):
     """Counts a stamp's age from its arrival instead of from when it was made."""
 
-    def _on_health_response(
-        self, at: Instant, sender: str, address: Any, message: HealthCheckResponse
-    ) -> list[Outgoing]:
-        before = self.stamp[:2]
-        out = super()._on_health_response(at, sender, address, message)
-        if self.stamp[:2] != before:
-            self.stamp_time = at.now - message.age_seconds
+    def receive(self, at: Instant, sender: str, address: Address, message: ViewMessage) -> list[Outgoing]:
+        """Count a stamp that a message brought from now on."""
+        before = self.stamp.order
+        out = super().receive(at, sender, address, message)
+        if isinstance(message, HealthCheckResponse) and self.stamp.order != before:
+            self.stamps.stamp_time = at.now - message.age_seconds
         return out
 
 
 def make_cuts_without_waiting(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     """Return the components of a member with `CutsWithoutWaiting`."""
     agreed = Agreement(at, fleet)
-    agreed.views.cut_detector = CutsWithoutWaiting()
+    agreed.views.leader.cut_detector = CutsWithoutWaiting()
     return agreed.deciders
 
 
 def make_ignores_reachability(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     """Return the components of a member with `IgnoresReachability`."""
     agreed = Agreement(at, fleet)
-    agreed.views.cut_detector = IgnoresReachability()
+    agreed.views.leader.cut_detector = IgnoresReachability()
     return agreed.deciders
 
 
--- a/wheatring/lab/agreement/view_cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -134,7 +134,7 @@
     member = run.sample_member()
     found = views_of(run.fleet.nodes[member])
     assert found is not None
-    run.fleet.set_link([member], [run.random.choice(found.rings.subjects(member))], PARTITIONED)
+    run.fleet.set_link([member], [run.random.choice(found.installer.rings.subjects(member))], PARTITIONED)
 
 
 def _cut_from_half(run: CaseRun) -> None:
--- a/wheatring/lab/agreement/view_days.py
+++ b/wheatring/lab/agreement/view_days.py
@@ -23,8 +23,8 @@
 from wheatring.lab.agreement.view_fleet import MakePieces, make_agreement, make_cluster, views_of
 from wheatring.lab.leases.cluster import PARTITIONED, Node
 from wheatring.lab.live.links.state import State
+from wheatring.lease.leader_stamps import STAMP_VALID_SECONDS
 from wheatring.lease.timing import LeaseTiming
-from wheatring.lease.view_monitor import STAMP_VALID_SECONDS
 
 Kind = Literal["mixed", "together", "half", "late"]
 KINDS: tuple[Kind, ...] = ("mixed", "together", "half", "late")
--- a/wheatring/lab/agreement/view_fleet.py
+++ b/wheatring/lab/agreement/view_fleet.py
@@ -110,7 +110,11 @@
     def sample(self) -> None:
         """Note whether all healthy members are in one view now, and schedule the next sample."""
         found = [one for node in self.healthy() if (one := views_of(node)) is not None]
-        numbers = {one.view.number for one in found if self.view.member(one.fleet.me.name) == one.self_member}
+        numbers = {
+            one.view.number
+            for one in found
+            if self.view.member(one.fleet.me.name) == one.installer.self_member
+        }
         self.samples += 1
         self.agreeing += len(numbers) <= 1
         self.fleet.schedule(self.fleet.now + self.interval_seconds, self.sample)
--- /dev/null
+++ b/wheatring/lease/join_requester.py
@@ -0,0 +1,48 @@
+"""How a sidecar that isn't in the membership view asks to be admitted. No I/O."""
+
+from __future__ import annotations
+
+from math import inf
+
+from wheatring.lease.component import Instant, Outgoing
+from wheatring.lease.fleet import Fleet
+from wheatring.lease.view_installer import ViewInstaller
+from wheatring.lease.view_sender import ViewSender
+from wheatring.members.view_messages import JoinDeferred, JoinRequest
+
+JOIN_REQUEST_INTERVAL_SECONDS = 1.0  # from one join request of a sidecar to the next
+MAX_DEFERRAL_SECONDS = 10.0  # for which a leader can have it wait
+
+
+class JoinRequester:
+    """Asks the voters for admission again and again, and waits where a leader defers it.
+
+    `deferral` is the leader's last one, None once this sidecar is a member.
+    """
+
+    def __init__(self, now: float, fleet: Fleet, installer: ViewInstaller, sender: ViewSender) -> None:
+        self.fleet = fleet
+        self.installer = installer
+        self.sender = sender
+        self.deferral: JoinDeferred | None = None
+        self.next_request = now
+
+    @property
+    def due(self) -> float:
+        """When `tick` has something to do."""
+        return inf if self.installer.is_member else self.next_request
+
+    def tick(self, at: Instant) -> list[Outgoing]:
+        """Ask the voters, if this sidecar isn't a member and the next request is due."""
+        if self.installer.is_member or at.now < self.next_request:
+            return []
+        interval = JOIN_REQUEST_INTERVAL_SECONDS * (0.9 + 0.2 * self.fleet.random.random())
+        self.next_request = at.now + interval
+        request = JoinRequest(self.installer.view.number, self.installer.self_member)
+        return self.sender.to_all_voters(request)
+
+    def handle_deferral(self, now: float, message: JoinDeferred) -> None:
+        """Wait for as long as a leader says, within bounds."""
+        self.deferral = message
+        earliest = now + min(message.retry_after_seconds, MAX_DEFERRAL_SECONDS) + 0.05
+        self.next_request = max(self.next_request, earliest)
--- a/wheatring/lease/membership_views.py
+++ b/wheatring/lease/membership_views.py
@@ -11,14 +11,20 @@
 
 from __future__ import annotations
 
-from math import inf
 from typing import get_args
 
 from wheatring.lease.component import Instant, Outgoing
 from wheatring.lease.fleet import Fleet
-from wheatring.lease.view_leader import JOIN_REQUEST_INTERVAL_SECONDS, LEADER_CHECK_SECONDS, ViewLeader
-from wheatring.lease.view_monitor import MAX_NAMES_PER_MESSAGE
+from wheatring.lease.join_requester import JoinRequester
+from wheatring.lease.leader_stamps import LeaderStamps
+from wheatring.lease.register_messages import Entry
+from wheatring.lease.replicated_register import ReplicatedRegister
+from wheatring.lease.view_installer import ViewInstaller
+from wheatring.lease.view_leader import ViewLeader
+from wheatring.lease.view_monitor import ViewMonitor
+from wheatring.lease.view_sender import ViewSender
 from wheatring.members.messages import Address
+from wheatring.members.view import View, ViewChange
 from wheatring.members.view_messages import (
     HealthCheck,
     HealthCheckResponse,
@@ -26,92 +32,116 @@
     IndirectCheckResult,
     JoinDeferred,
     JoinRequest,
+    LeaderStamp,
     MissedCheck,
     SilenceReport,
     ViewMessage,
 )
 
 
-class MembershipViews(ViewLeader):
+class MembershipViews:
     """The fleet's component for membership views, with its `register` as another component beside it."""
 
     message_types = get_args(ViewMessage)
 
     def __init__(self, at: Instant, fleet: Fleet) -> None:
-        super().__init__(at, fleet)
-        self.next_join_request = at.now
+        self.fleet = fleet
+        self.register = ReplicatedRegister(at, "view", fleet, self._handle_chosen)
+        self.register.leader.audience = lambda: self.view.names
+        self.installer = ViewInstaller(at, fleet, self._handle_installed)
+        self.stamps = LeaderStamps(at.now)
+        sender = ViewSender(fleet, self.installer)
+        self.monitor = ViewMonitor(at, fleet, self.installer, self.register, self.stamps, sender)
+        self.leader = ViewLeader(at, fleet, self.installer, self.register, self.monitor, self.stamps, sender)
+        self.joining = JoinRequester(at.now, fleet, self.installer, sender)
+        self.sender = sender
+
+    # What is known
+
+    @property
+    def view(self) -> View:
+        """The view that this sidecar stands in."""
+        return self.installer.view
+
+    @property
+    def is_member(self) -> bool:
+        """Whether this very process is a member of the view that it knows."""
+        return self.installer.is_member
+
+    @property
+    def stamp(self) -> LeaderStamp:
+        """The newest stamp of a leader."""
+        return self.stamps.stamp
+
+    @property
+    def join_deferral(self) -> JoinDeferred | None:
+        """The leader's last answer that this sidecar isn't admitted yet; None once it is a member."""
+        return self.joining.deferral
+
+    def stamp_age_seconds(self, now: float) -> float:
+        """Return the seconds since a leader surely stood by the newest stamp known here."""
+        return self.stamps.age_seconds(now)
+
+    def is_current(self, now: float) -> bool:
+        """Return whether it may still count on its view."""
+        return self.is_member and self.stamps.is_valid(now) and self.stamp.view <= self.view.number
+
+    def isolation(self, now: float) -> str:
+        """Return "mute", "deaf" or "" (neither); see `EdgeMonitor.isolation`."""
+        return self.monitor.isolation(now)
+
+    # Events
 
     @property
     def due(self) -> float:
         """When `tick` has something to do."""
-        leads = self.next_leader_check if self.register.epoch is not None else inf
-        joins = inf if self.is_member else self.next_join_request
-        return min(self.monitor.due, leads, joins, self.indirect_checks.due, self.next_fetch_retry)
+        return min(self.monitor.due, self.leader.due, self.joining.due, self.installer.next_fetch_retry)
 
     def tick(self, at: Instant) -> list[Outgoing]:
         """Do what is due."""
-        self._note_stall(at)
-        out = self._run_health_checks(at) + self._request_join(at)
-        if at.now >= self.next_fetch_retry:
-            self._retry_fetch()
-        if self.register.epoch is not None and at.now >= self.next_leader_check:
-            self.next_leader_check = at.now + LEADER_CHECK_SECONDS * (0.9 + 0.2 * self.fleet.random.random())
-            out += self._lead(at)
-        return out
+        if self.monitor.note_stall(at.now):
+            self.leader.cut_detector.clear_evidence()
+        out = self.monitor.tick(at) + self.joining.tick(at)
+        if at.now >= self.installer.next_fetch_retry:
+            self.installer.retry_fetch(self.register.learner.payload_source)
+        return out + self.leader.tick(at)
 
     def receive(self, at: Instant, sender: str, address: Address, message: ViewMessage) -> list[Outgoing]:
         """Handle a message on views."""
         now = at.now
-        self.monitor.last_message = now
+        self.monitor.edge_monitor.last_message = now
         match message:
             case HealthCheck():
-                return self._on_health_check(at, sender, address, message)
+                return self.monitor.handle_health_check(at, sender, address, message)
             case HealthCheckResponse():
-                return self._on_health_response(at, sender, address, message)
+                return self.monitor.handle_health_response(at, sender, address, message)
             case MissedCheck():
-                self.monitor.check_early(now, message.name)
+                self.monitor.edge_monitor.check_early(now, message.name)
             case SilenceReport():
-                return self._on_report(at, sender, message)
+                return self.leader.handle_report(at, sender, message)
             case JoinRequest():
-                return self._on_join_request(now, sender, address, message)
+                return self.leader.handle_join_request(now, sender, address, message)
             case JoinDeferred():
-                self.join_deferral = message
-                earliest = now + min(message.retry_after_seconds, 10.0) + 0.05
-                self.next_join_request = max(self.next_join_request, earliest)
+                self.joining.handle_deferral(now, message)
             case IndirectCheckRequest():
-                self.indirect_checks.start(
-                    now, address, message.sequence, message.names[:MAX_NAMES_PER_MESSAGE]
-                )
+                self.monitor.handle_indirect_request(now, address, message)
             case IndirectCheckResult():
-                self.cut_detector.note_reached(now, message.names)
+                self.leader.cut_detector.note_reached(now, message.names)
         return []
 
-    def _on_report(self, at: Instant, sender: str, message: SilenceReport) -> list[Outgoing]:
-        if sender not in self.view.names:
-            return []
-        self.cut_detector.add_report(at.now, sender, message.silent)
-        is_leaving = any(name == sender for name, _ in message.silent)
-        return self._lead(at) if is_leaving else []
-
-    def _on_join_request(
-        self, now: float, sender: str, address: Address, message: JoinRequest
-    ) -> list[Outgoing]:
-        if message.member.member.name != sender:
-            return []
-        self.cut_detector.add_join_request(now, message.member)
-        if self.view.member(sender) == message.member:  # it is a member, and has not heard of it
-            return [(address, self.register.learner.chosen_announcement())]
-        return []
+    def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
+        """Handle a payload that was fetched; None: it wasn't there."""
+        return self.installer.receive_payload(at, digest, payload)
 
-    # Joining and leaving
+    def _handle_chosen(self, at: Instant, entry: Entry, payload: bytes) -> list[Outgoing]:
+        return self.installer.handle_chosen(at, entry, payload, self.register.learner.payload_source)
 
-    def _request_join(self, at: Instant) -> list[Outgoing]:
-        if self.is_member or at.now < self.next_join_request:
-            return []
-        interval = JOIN_REQUEST_INTERVAL_SECONDS * (0.9 + 0.2 * self.fleet.random.random())
-        self.next_join_request = at.now + interval
-        return self._to_all_voters(JoinRequest(self.view.number, self.self_member))
+    def _handle_installed(self, at: Instant, previous: View, change: ViewChange) -> list[Outgoing]:
+        self.monitor.update_subjects(at.now)
+        if self.is_member:
+            self.joining.deferral = None
+        return self.leader.handle_installed(at.now, previous, change)
 
     def leave(self, at: Instant) -> list[Outgoing]:  # noqa: ARG002 - each event bears its instant
         """Ask to be removed at once."""
-        return self._to_all_voters(SilenceReport(self.view.number, ((self.fleet.me.name, 0.0),)))
+        return self.sender.to_all_voters(SilenceReport(self.view.number, ((self.fleet.me.name, 0.0),)))
--- a/wheatring/peers/agreement.py
+++ b/wheatring/peers/agreement.py
@@ -71,8 +71,8 @@
             "inside": views.is_member,
             "sure": views.is_current(now),
             "age_s": shown_age(age),
-            "for_s": round(now - views.changed_at, 1),
-            "moved": views.change_count,
+            "for_s": round(now - views.installer.changed_at, 1),
+            "moved": views.installer.change_count,
             "leads": views.register.is_ready,
             "side": views.isolation(now),
             "waits": None
@@ -80,8 +80,8 @@
             else [round(wait.retry_after_seconds, 1), wait.reason],
             "deaf": sorted(
                 name
-                for name, subject in views.monitor.subjects.items()
+                for name, subject in views.monitor.edge_monitor.subjects.items()
                 if subject.missed_checks > 2
-                and now - views.last_heard_from.get(name, -1e9) < UNREACHED_SECONDS
+                and now - views.monitor.last_heard_from.get(name, -1e9) < UNREACHED_SECONDS
             ),
         }
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -59,7 +59,7 @@
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         self.next_edge = at.now
-        views.admission_objection = self._admits
+        views.leader.admission_objection = self._admits
         # What a leader commits carries the instant by the fleet's time, so that all put it in force together.
         self.plans.register.leader.timestamp_ms = self._commit_instant
 
@@ -71,7 +71,7 @@
     # Between the deciders
 
     def _is_view_settled(self) -> bool:
-        return self.views.register.is_settled and self.views.pending_change is None
+        return self.views.register.is_settled and self.views.installer.pending_change is None
 
     def _is_plan_settled(self) -> bool:
         return self.plans.register.is_settled and self.floors.is_settled
--- a/wheatring/plan/agent.py
+++ b/wheatring/plan/agent.py
@@ -101,7 +101,7 @@
 
     def tick(self, at: Instant) -> list[Outgoing]:
         """Advance the rollout that is led here, and send what is due."""
-        self.views.plan_number = self.register.chosen.number
+        self.views.leader.plan_number = self.register.chosen.number
         out = self.leader.step(at) + self.proposals.messages_due(at)
         self.next = at.now + (STEP_SECONDS if self.leader.rollout is not None else IDLE_SECONDS)
         if self.views.stamp.plan > self.register.chosen.number and at.now >= self.next_ask:
--- a/wheatring/schedule/activation.py
+++ b/wheatring/schedule/activation.py
@@ -30,7 +30,7 @@
 from wheatring.schedule.timetable import OpeningKey, OpenWindow, Timetable, Weights
 
 LEAD_SECONDS = 15.0  # from a plan's commit to its being in force
-CONFIRMATION_SECONDS = 10.0  # for which a confirmation counts, as `membership_views.STAMP_VALID_SECONDS`
+CONFIRMATION_SECONDS = 10.0  # for which a confirmation counts, as `leader_stamps.STAMP_VALID_SECONDS`
 START_SECONDS = 5.0  # for which a sidecar that starts waits for the time and a plan
 IDLE_SECONDS = 5.0  # between updates at most,
 UNSURE_SECONDS = 0.25  # and while the time or the plan is not known
