--- a/tests/members/test_membership.py
+++ b/tests/members/test_membership.py
@@ -129,7 +129,7 @@
     me = lone()
     rumour = MemberUpdate(me.me, 100, SUSPECT, "x")
     answer = me.receive(1.0, "x", ("127.0.0.2", 1), Ping(5, (rumour,)))[0]
-    assert me.incarnation == 101 and me.health.score == 1
+    assert me.gossip.incarnation == 101 and me.gossip.health.score == 1
     assert isinstance(answer[1], Ack) and MemberUpdate(me.me, 101) in answer[1].updates
 
 
@@ -194,7 +194,7 @@
             assert row.incarnation >= highest.get(name, 0)
             highest[name] = row.incarnation
         assert "me" not in me.table.records and (
-            me.incarnation > rumour.incarnation or rumour.member.name != "me" or rumour.state == ALIVE
+            me.gossip.incarnation > rumour.incarnation or rumour.member.name != "me" or rumour.state == ALIVE
         )
 
 
--- a/wheatring/lease/fleet.py
+++ b/wheatring/lease/fleet.py
@@ -163,7 +163,7 @@
         for role in self.roles.values():
             out += self.to_voters(role.change_voters(at.boot, voters))
         self.me = self.me._replace(voters_digest=voters.digest)
-        self.members.update_identity(self.me)
+        self.members.gossip.update_identity(self.me)
         self._report_role_changes(at)
         return "", out
 
@@ -204,10 +204,10 @@
     def receive(self, at: Instant, sender: str, address: Address, message: Any) -> list[Outgoing]:
         """Handle a message whose sender is known to be a member of the fleet."""
         out = self._dispatch(at, sender, address, message)
-        for fact in self.members.new_facts:
+        for fact in self.members.gossip.new_facts:
             if (role := self._role_of_lease(fact.key)) is not None:
                 role.note_epoch(fact.key, fact.version)
-        self.members.new_facts.clear()
+        self.members.gossip.new_facts.clear()
         self._report_role_changes(at)
         return out
 
@@ -300,7 +300,7 @@
 
     def last_known_holder(self, name: str, slot: int = 0) -> tuple[str, int]:
         """Return who holds or last held a slot, as far as was heard, and in which epoch."""
-        fact = self.members.facts.facts.get(f"{name}/{slot}")
+        fact = self.members.gossip.facts.facts.get(f"{name}/{slot}")
         return (fact.value, fact.version) if fact is not None else ("", 0)
 
     def _report_role_changes(self, at: Instant) -> None:
@@ -316,7 +316,7 @@
             if epoch is not None and role.held_lease is not None:
                 self.held_epochs[name] = epoch
                 self.role_changes.append(RoleChange(name, epoch))
-                self.members.publish(Fact(role.held_lease.lease, epoch, self.me.name))
+                self.members.gossip.publish(Fact(role.held_lease.lease, epoch, self.me.name))
 
     def request_role(self, at: Instant, name: str, is_requested: bool) -> list[Outgoing]:
         """Become a candidate for a role that is held on request only, or stop being one."""
--- a/wheatring/lease/view_monitor.py
+++ b/wheatring/lease/view_monitor.py
@@ -89,7 +89,7 @@
         is_member = self.installer.is_member
         subjects = self.installer.rings.subjects(self.fleet.me.name) if is_member else []
         self.edge_monitor.set_subjects(now, subjects)
-        self.fleet.members.is_probing = not (is_member and self.edge_monitor.subjects)
+        self.fleet.members.prober.is_probing = not (is_member and self.edge_monitor.subjects)
 
     def _announce_misses(self, at: Instant) -> list[Outgoing]:
         """Tell the other observers of subjects that were missed, and suspect those missed for longer."""
@@ -100,12 +100,12 @@
                 out += self.sender.to_member(observer, MissedCheck(self.installer.view.number, name))
         suspects, self.edge_monitor.new_suspects = self.edge_monitor.new_suspects, []
         for name in suspects:
-            self.fleet.members.suspect(at.now, name)
+            self.fleet.members.gossip.suspect(at.now, name)
         return out
 
     def _health_check(self, name: str, sequence: int, check_early: bool = False) -> list[Outgoing]:
         record = self.fleet.members.table.records.get(name)
-        piggyback = self.fleet.members.piggyback(record)
+        piggyback = self.fleet.members.gossip.piggyback(record)
         check = HealthCheck(sequence, *piggyback, self.installer.view.number, check_early)
         return self.sender.to_member(name, check)
 
@@ -116,12 +116,12 @@
     ) -> list[Outgoing]:
         """Answer an observer's check."""
         now, members = at.now, self.fleet.members
-        members.apply_piggyback(now, message)
+        members.gossip.apply_piggyback(now, message)
         if message.check_early:
             self.edge_monitor.check_all_early(now, False)
         if sender in self.edge_monitor.subjects:
             self.last_heard_from[sender] = now
-        piggyback = members.piggyback(members.table.records.get(sender))
+        piggyback = members.gossip.piggyback(members.table.records.get(sender))
         age = max(0.0, self.stamps.age_seconds(now))
         number, stamp = self.installer.view.number, self.stamps.stamp
         response = HealthCheckResponse(message.sequence, *piggyback, number, stamp, age)
@@ -129,7 +129,7 @@
         if members.table.records.get(sender) is None:
             # No update about it has come by here: it is asked itself, or voters that started anew together
             # would know of nobody but each other.
-            out.append((address, SyncRequest(0, (members.own_update(),))))
+            out.append((address, SyncRequest(0, (members.gossip.own_update(),))))
         if message.view > self.register.chosen.number:
             out.append((address, self.register.learner.newest_query()))
         return out
@@ -139,14 +139,14 @@
     ) -> list[Outgoing]:
         """Handle the answer to a check of this sidecar's."""
         now = at.now
-        self.fleet.members.apply_piggyback(now, message)
+        self.fleet.members.gossip.apply_piggyback(now, message)
         if message.sequence in self.indirect_targets:
             return self._handle_indirect_response(now, sender, message.sequence)
         sent = self.edge_monitor.receive_response(now, sender, message.sequence)
         if sent is None:
             return []
         self.last_heard_from.pop(sender, None)
-        self.fleet.members.note_answer(now, sender)
+        self.fleet.members.gossip.note_answer(now, sender)
         self.stamps.learn(message, sent)
         if max(message.view, message.stamp.view) > self.register.chosen.number:
             return [(address, self.register.learner.newest_query())]
--- a/wheatring/members/gossip_state.py
+++ b/wheatring/members/gossip_state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Collection
-from random import Random
+from math import inf
 
 from wheatring.members.facts import FactStore
 from wheatring.members.local_health import LocalHealth
@@ -35,13 +35,11 @@
         me: MemberInfo,
         incarnation: int,
         timing: SwimTiming,
-        random: Random,
         keys: Collection[str] = (),
     ) -> None:
         self.me = me
         self.incarnation = incarnation
         self.timing = timing
-        self.random = random
         self.table = MemberTable()
         self.updates = UpdateQueue()
         self.health = LocalHealth()
@@ -132,7 +130,17 @@
         self.updates.add(self.own_update())
         return True
 
-    def _expire_suspicions(self, now: float) -> None:
+    def extend_suspicions(self, seconds: float) -> None:
+        """Give all suspects so much more time to refute."""
+        for name in self.suspects:
+            self.table.records[name].suspicion_ends += seconds
+
+    @property
+    def next_expiry(self) -> float:
+        """When the first suspicion ends."""
+        return min((self.table.records[name].suspicion_ends for name in self.suspects), default=inf)
+
+    def expire_suspicions(self, now: float) -> None:
         """Declare those dead that have not refuted in time."""
         for name in sorted(self.suspects):
             record = self.table.records[name]
--- a/wheatring/members/membership.py
+++ b/wheatring/members/membership.py
@@ -11,6 +11,7 @@
 from math import inf
 from random import Random
 
+from wheatring.members.gossip_state import GossipState
 from wheatring.members.messages import (
     ALIVE,
     LEFT,
@@ -34,8 +35,11 @@
 MAX_JOIN_RETRY_SECONDS = 16.0
 
 
-class Membership(Prober):
-    """One member, from joining by the seeds to leaving."""
+class Membership:
+    """One member, from joining by the seeds to leaving.
+
+    `gossip` is what it knows of the others and passes on, `prober` detects who fails.
+    """
 
     def __init__(
         self,
@@ -50,35 +54,51 @@
         self.seeds = [seed for seed in seeds if seed != (me.host, me.port)]
         # The draws are in this order: the delay of the join, of the first probe, and of the first exchange.
         delay = min(me.number / timing.joins_per_second, timing.max_join_delay_seconds * random.random())
-        super().__init__(now, me, incarnation, timing, random, keys)
+        self.timing = timing
+        self.random = random
+        self.gossip = GossipState(me, incarnation, timing, keys)
+        self.prober = Prober(now, self.gossip, timing, random)
+        self.table = self.gossip.table
         self.next_join = now + delay if self.seeds else inf
         self.next_sync = now + timing.sync_seconds * (0.5 + random.random())
         self.has_joined = not self.seeds
         self.join_attempts = self.sync_count = 0
 
+    @property
+    def me(self) -> MemberInfo:
+        """The description of this member itself."""
+        return self.gossip.me
+
+    def alive_members(self) -> list[MemberInfo]:
+        """Return those of this tier held to be alive; see `GossipState.alive_members`."""
+        return self.gossip.alive_members()
+
+    def address(self, name: str) -> Address | None:
+        """Return a member's address; None: it isn't known, or this one's own."""
+        return self.gossip.address(name)
+
     # Time
 
     @property
     def due(self) -> float:
         """When `tick` has something to do."""
-        if self.has_left:
+        if self.gossip.has_left:
             return inf
-        ends = min((self.table.records[name].suspicion_ends for name in self.suspects), default=inf)
-        return min(self._probing_due, self.next_join, self.next_sync, ends)
+        return min(self.prober.due, self.next_join, self.next_sync, self.gossip.next_expiry)
 
     def tick(self, now: float) -> list[OutgoingSwim]:
         """Do what is due."""
-        if self.has_left:
+        if self.gossip.has_left:
             return []
         late = now - self.due
         if late > self.timing.probe_interval_seconds:
-            self._compensate_stall(now, late)
-        out = self._expire_indirect_probes(now)
-        out += self._request_indirect_probes(now)
-        self._expire_suspicions(now)
-        if now >= self.next_probe:
-            self._finish_probe(now)
-            out += self._start_probe(now)
+            self.prober.compensate_stall(now, late)
+        out = self.prober.expire_indirect_probes(now)
+        out += self.prober.request_indirect_probes(now)
+        self.gossip.expire_suspicions(now)
+        if now >= self.prober.next_probe:
+            self.prober.finish_probe(now)
+            out += self.prober.start_probe(now)
         if now >= self.next_join:
             out += self._send_join(now)
         if now >= self.next_sync:
@@ -89,28 +109,28 @@
 
     def receive(self, now: float, sender: str, address: Address, message: SwimMessage) -> list[OutgoingSwim]:
         """Handle a message from a member, and answer to its address."""
-        if self.has_left:
+        if self.gossip.has_left:
             return []
-        self.apply_piggyback(now, message)
+        self.gossip.apply_piggyback(now, message)
         match message:
             case Ping():
-                return self._on_ping(address, message, self.table.records.get(sender))
+                return self.prober.handle_ping(address, message, self.table.records.get(sender))
             case Ack():
-                return self._on_ack(now, sender, message.sequence)
+                return self.prober.handle_ack(now, sender, message.sequence)
             case Nack():
-                self._on_nack(message)
+                self.prober.handle_nack(message)
             case PingRequest():
-                return self._on_ping_request(now, address, message)
+                return self.prober.handle_ping_request(now, address, message)
             case SyncRequest():
-                facts = self.facts.all_facts()
+                facts = self.gossip.facts.all_facts()
                 return [
                     (address, SyncResponse(message.sequence, batch, facts)) for batch in self._state_batches()
                 ]
             case SyncResponse():
-                self._on_sync_response(now)
+                self._handle_sync_response(now)
         return []
 
-    def _on_sync_response(self, now: float) -> None:
+    def _handle_sync_response(self, now: float) -> None:
         if not self.has_joined:
             # Once more when all who start along with it have joined: updates on so many take long.
             again = now + self.timing.max_join_delay_seconds * (1 + self.random.random())
@@ -126,7 +146,7 @@
         interval = min(MAX_JOIN_RETRY_SECONDS, 2.0 ** min(self.join_attempts, 4))
         self.next_join = now + interval * (0.5 + self.random.random() / 2)
         seed = self.seeds[(self.me.number + self.join_attempts - 1) % len(self.seeds)]
-        return [(seed, SyncRequest(0, (self.own_update(),)))]
+        return [(seed, SyncRequest(0, (self.gossip.own_update(),)))]
 
     def _send_sync(self, now: float) -> list[OutgoingSwim]:
         """Exchange all that is known with any member.
@@ -144,19 +164,19 @@
         if not addresses:
             return []
         absent = [record.as_update(self.me.name) for record in records if not record.is_present]
-        updates = (self.own_update(), *next(batches(absent))[:MAX_SYNC_UPDATES])
+        updates = (self.gossip.own_update(), *next(batches(absent))[:MAX_SYNC_UPDATES])
         return [(self.random.choice(addresses), SyncRequest(0, updates))]
 
     def _state_batches(self) -> Iterator[tuple[MemberUpdate, ...]]:
         """Split all that is known into batches that each fit one datagram."""
         all_batches = batches(record.as_update(self.me.name) for record in self.table.records.values())
-        yield (self.own_update(), *next(all_batches))
+        yield (self.gossip.own_update(), *next(all_batches))
         yield from all_batches
 
     def leave(self, now: float) -> list[OutgoingSwim]:  # noqa: ARG002 - each event bears its instant
         """Announce that it leaves, to a few members who pass that on."""
-        self.has_left = True
+        self.gossip.has_left = True
         names = sorted(name for name, record in self.table.records.items() if record.state == ALIVE)
         chosen = self.random.sample(names, min(MAX_LEAVE_NOTICES, len(names)))
-        message = SyncResponse(0, (MemberUpdate(self.me, self.incarnation, LEFT),))
+        message = SyncResponse(0, (MemberUpdate(self.me, self.gossip.incarnation, LEFT),))
         return [(self.table.records[name].address, message) for name in chosen]
--- a/wheatring/members/prober.py
+++ b/wheatring/members/prober.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
 from math import inf
 from random import Random
 from typing import NamedTuple
@@ -13,7 +12,6 @@
     ALIVE,
     Ack,
     Address,
-    MemberInfo,
     Nack,
     Ping,
     PingRequest,
@@ -49,23 +47,17 @@
     until: float
 
 
-class Prober(GossipState):
+class Prober:
     """Probes one member a period, so that its traffic doesn't grow with their number.
 
     A member that was stopped itself (its own `tick` came late) takes back the probe under way, gives all
     suspects the time that it missed, and probes more slowly until it has been answered again.
     """
 
-    def __init__(
-        self,
-        now: float,
-        me: MemberInfo,
-        incarnation: int,
-        timing: SwimTiming,
-        random: Random,
-        keys: Collection[str] = (),
-    ) -> None:
-        super().__init__(me, incarnation, timing, random, keys)
+    def __init__(self, now: float, gossip: GossipState, timing: SwimTiming, random: Random) -> None:
+        self.gossip = gossip
+        self.timing = timing
+        self.random = random
         self.sequence = 0
         self.probe_order: list[str] = []
         self.probe: _Probe | None = None
@@ -73,81 +65,81 @@
         self.next_probe = now + timing.probe_interval_seconds * random.random()
         self.is_probing = True  # False: those who monitor each other in an agreed view do it instead
 
-    def _compensate_stall(self, now: float, stall_seconds: float) -> None:
+    def compensate_stall(self, now: float, stall_seconds: float) -> None:
         """Forgive the time for which this process was stopped."""
         self.probe = None
         self.indirect_probes.clear()
-        self.health.degrade()
-        for name in self.suspects:
-            self.table.records[name].suspicion_ends += stall_seconds
+        self.gossip.health.degrade()
+        self.gossip.extend_suspicions(stall_seconds)
         self.next_probe = max(self.next_probe, now)
 
     @property
-    def _probing_due(self) -> float:
+    def due(self) -> float:
         """When a probe is to be started, helped or answered for."""
         probe = self.probe
         help_at = inf
         if probe is not None and not probe.is_answered and not probe.indirect_requested:
-            help_at = probe.started + self.health.scaled(self.timing.probe_timeout_seconds)
+            help_at = probe.started + self.gossip.health.scaled(self.timing.probe_timeout_seconds)
         until = min((probe.until for probe in self.indirect_probes.values()), default=inf)
         return min(self.next_probe, help_at, until)
 
-    def _start_probe(self, now: float) -> list[OutgoingSwim]:
-        self.next_probe = now + self.health.scaled(self.timing.probe_interval_seconds)
-        self.table.reclaim(now, self.timing.reclaim_seconds)
+    def start_probe(self, now: float) -> list[OutgoingSwim]:
+        """Probe the next member in turn."""
+        self.next_probe = now + self.gossip.health.scaled(self.timing.probe_interval_seconds)
+        self.gossip.table.reclaim(now, self.timing.reclaim_seconds)
         name = self._next_probe_target()
         if name is None or not self.is_probing:
             return []
-        record = self.table.records[name]
+        record = self.gossip.table.records[name]
         self.sequence += 1
         self.probe = _Probe(self.sequence, name, now)
-        return [(record.address, Ping(self.sequence, *self.piggyback(record)))]
+        return [(record.address, Ping(self.sequence, *self.gossip.piggyback(record)))]
 
     def _next_probe_target(self) -> str | None:
         """Return each in turn, in an order that is drawn anew for each round."""
         while True:
             if not self.probe_order:
                 self.probe_order = sorted(
-                    name for name, record in self.table.records.items() if record.is_present
+                    name for name, record in self.gossip.table.records.items() if record.is_present
                 )
                 if not self.probe_order:
                     return None
                 self.random.shuffle(self.probe_order)
             name = self.probe_order.pop()
-            record = self.table.records.get(name)
+            record = self.gossip.table.records.get(name)
             if record is not None and record.is_present:
                 return name
 
-    def _request_indirect_probes(self, now: float) -> list[OutgoingSwim]:
+    def request_indirect_probes(self, now: float) -> list[OutgoingSwim]:
         """Ask others to probe a member that has not answered in time."""
         probe = self.probe
         if probe is None or probe.is_answered or probe.indirect_requested:
             return []
-        if now < probe.started + self.health.scaled(self.timing.probe_timeout_seconds):
+        if now < probe.started + self.gossip.health.scaled(self.timing.probe_timeout_seconds):
             return []
         others = sorted(
             name
-            for name, record in self.table.records.items()
+            for name, record in self.gossip.table.records.items()
             if record.state == ALIVE and name != probe.name
         )
         helpers = self.random.sample(others, min(self.timing.indirect_probes, len(others)))
         probe.indirect_requested = len(helpers) or NOBODY_TO_ASK
         out: list[OutgoingSwim] = []
         for name in helpers:
-            request = PingRequest(probe.sequence, *self.piggyback(), probe.name)
-            out.append((self.table.records[name].address, request))
+            request = PingRequest(probe.sequence, *self.gossip.piggyback(), probe.name)
+            out.append((self.gossip.table.records[name].address, request))
         return out
 
-    def _finish_probe(self, now: float) -> None:
+    def finish_probe(self, now: float) -> None:
         """End the probe under way; a member that was not answered suspects the target."""
         probe, self.probe = self.probe, None
         if probe is None or probe.is_answered:
             return
         if probe.indirect_requested <= 0 or probe.nacks < probe.indirect_requested:
-            self.health.degrade()  # nobody helped, or they were not heard either: it may be this one
-        self.suspect(now, probe.name)
+            self.gossip.health.degrade()  # nobody helped, or they were not heard either: it may be this one
+        self.gossip.suspect(now, probe.name)
 
-    def _expire_indirect_probes(self, now: float) -> list[OutgoingSwim]:
+    def expire_indirect_probes(self, now: float) -> list[OutgoingSwim]:
         """Answer the requests of others whose target did not answer in time."""
         expired = [sequence for sequence, probe in self.indirect_probes.items() if now >= probe.until]
         out: list[OutgoingSwim] = []
@@ -158,31 +150,35 @@
 
     # Messages
 
-    def _on_ping(self, address: Address, message: Ping, record: MemberRecord | None) -> list[OutgoingSwim]:
-        out: list[OutgoingSwim] = [(address, Ack(message.sequence, *self.piggyback(record)))]
+    def handle_ping(self, address: Address, message: Ping, record: MemberRecord | None) -> list[OutgoingSwim]:
+        """Answer a probe; `record` is the sender's, if it is known."""
+        out: list[OutgoingSwim] = [(address, Ack(message.sequence, *self.gossip.piggyback(record)))]
         if record is None:  # no update about it has come by here: it is asked itself
-            out.append((address, SyncRequest(0, (self.own_update(),))))
+            out.append((address, SyncRequest(0, (self.gossip.own_update(),))))
         return out
 
-    def _on_ack(self, now: float, sender: str, sequence: int) -> list[OutgoingSwim]:
-        self.note_answer(now, sender)
+    def handle_ack(self, now: float, sender: str, sequence: int) -> list[OutgoingSwim]:
+        """Take note of an answer, and pass it on if the probe was for another member."""
+        self.gossip.note_answer(now, sender)
         if self.probe is not None and self.probe.sequence == sequence and not self.probe.is_answered:
             self.probe.is_answered = True
-            self.health.recover()
+            self.gossip.health.recover()
         if sequence in self.indirect_probes:
             probe = self.indirect_probes.pop(sequence)
-            return [(probe.requester, Ack(probe.sequence, *self.piggyback()))]
+            return [(probe.requester, Ack(probe.sequence, *self.gossip.piggyback()))]
         return []
 
-    def _on_nack(self, message: Nack) -> None:
+    def handle_nack(self, message: Nack) -> None:
+        """Take note that a helper was not answered either."""
         if self.probe is not None and self.probe.sequence == message.sequence:
             self.probe.nacks += 1
 
-    def _on_ping_request(self, now: float, address: Address, message: PingRequest) -> list[OutgoingSwim]:
-        record = self.table.records.get(message.target)
+    def handle_ping_request(self, now: float, address: Address, message: PingRequest) -> list[OutgoingSwim]:
+        """Probe a member for another one."""
+        record = self.gossip.table.records.get(message.target)
         if record is None or len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return []
         self.sequence += 1
         until = now + self.timing.probe_timeout_seconds
         self.indirect_probes[self.sequence] = _IndirectProbe(address, message.sequence, until)
-        return [(record.address, Ping(self.sequence, *self.piggyback(record)))]
+        return [(record.address, Ping(self.sequence, *self.gossip.piggyback(record)))]
--- a/wheatring/peers/change_log.py
+++ b/wheatring/peers/change_log.py
@@ -22,12 +22,12 @@
 
     def log_members(self, fleet: Fleet) -> None:
         """Log each member whose state has changed."""
-        for name in fleet.members.changed_names:
+        for name in fleet.members.gossip.changed_names:
             row = fleet.members.table.records.get(name)
             if row is not None and self.states.get(name) != row.state:
                 self.states[name] = row.state
                 log.line("member", name=name, state=STATES[row.state], incarnation=row.incarnation)
-        fleet.members.changed_names.clear()
+        fleet.members.gossip.changed_names.clear()
 
     def log_view(self, views: MembershipViews, now: float) -> None:
         """Log a new view, and whether it may be relied on."""
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -342,7 +342,7 @@
             "voters": fleet.voters.names,
             "votes": fleet.is_voter(),
             "abstains_s": round(max(0.0, fleet.acceptor.abstains_until - at.boot), 2),
-            "health": fleet.members.health.score,
+            "health": fleet.members.gossip.health.score,
             "view": None if self.agreement is None else self.agreement.status(at.now),
             "members": fleet_status.member_rows(fleet, at),
             "duties": fleet_status.role_rows(fleet, at),
--- a/wheatring/peers/fleet_status.py
+++ b/wheatring/peers/fleet_status.py
@@ -19,7 +19,7 @@
             "zone": seen.member.zone, "address": f"{seen.member.host}:{seen.member.port}",
             "same_voters": seen.member.voters_digest == fleet.voters.digest,
         }
-        for seen in fleet.members.statuses(at.now)
+        for seen in fleet.members.gossip.statuses(at.now)
     ]  # fmt: skip
 
 
