--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -161,7 +161,7 @@
         self.due = at.now + STEP_SECONDS
         if self.is_leading(at) and self.skew.own_refusals():  # it could admit nobody
             self.journal.counts["stepped back"] += 1
-            return self.fleet.release_role(at, LEADER_ROLE, 10.0)
+            return self.fleet.role_manager.release(at, LEADER_ROLE, 10.0)
         if self.proposed_body is None:
             return []
         if not self.is_leading(at):
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -56,6 +56,7 @@
         self.fetch_requests: list[FetchRequest] = []
         self.random = Random(f"{order.seed}:{name}")
         self.roles = {LEADER_ROLE: self}
+        self.electorate = self
         self.members = SimpleNamespace(alive_members=lambda: [MemberInfo(one, one, 1) for one in order.names])
 
     @property
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -172,7 +172,7 @@
             arrivals = datagram(self.now, state, True, self.random) if target is not node else [self.now]
             for due in arrivals:
                 self.schedule(due, self.deliver, target, node.name, message)
-        changes, node.fleet.role_changes = node.fleet.role_changes, []
+        changes, node.fleet.role_manager.changes = node.fleet.role_manager.changes, []
         for change in changes:
             self.on_role_change(node, change)
         if node.fleet is not None:
--- a/wheatring/lab/leases/days.py
+++ b/wheatring/lab/leases/days.py
@@ -138,7 +138,7 @@
             case "release":
                 node = cluster.nodes[holder]
                 if node.fleet is not None and not node.is_stopped:
-                    cluster.send(node, node.fleet.release_role(cluster.instant(node), ROLE))
+                    cluster.send(node, node.fleet.role_manager.release(cluster.instant(node), ROLE))
 
     def _kill_until(self, name: str, over: float, is_repeated: bool) -> None:
         node = self.cluster.nodes[name]
--- a/wheatring/lab/leases/handover.py
+++ b/wheatring/lab/leases/handover.py
@@ -69,5 +69,5 @@
                 cluster.set_link(others, [holder.name], PARTITIONED)
         case "release":
             lease_ends = cluster.now
-            cluster.send(holder, holder.fleet.release_role(cluster.instant(holder), ROLE))
+            cluster.send(holder, holder.fleet.role_manager.release(cluster.instant(holder), ROLE))
     return lease_ends
--- a/wheatring/lease/acceptor_recovery.py
+++ b/wheatring/lease/acceptor_recovery.py
@@ -41,7 +41,7 @@
         if self.acceptor.has_recovered or at.now < self.due:
             return []
         timing = self.fleet.timing
-        others = set(self.fleet.voters.names) - set(self.fleet.voter_names(self.fleet.me))
+        others = set(self.fleet.voters.names) - set(self.fleet.electorate.voter_names(self.fleet.me))
         elapsed = at.boot - self.started_boot
         has_heard_all = self.has_known_peers and others <= self.recovered_from
         is_over = has_heard_all or elapsed >= MAX_RECOVERY_LEASES * timing.lease_seconds
@@ -50,7 +50,7 @@
             self.due = inf
             return []
         self.due = at.now + timing.lease_seconds / 6
-        if not self.fleet.is_voter():
+        if not self.fleet.electorate.is_voter():
             return []
         return self._query_all(sorted(others))
 
@@ -68,6 +68,6 @@
         known = {member.name: member for member in [*(peers or ()), *self.fleet.members.alive_members()]}
         known.pop(self.fleet.me.name, None)
         sample = self.fleet.random.sample(list(known.values()), min(MAX_RECOVERY_PEERS, len(known)))
-        return self.fleet.to_voters([(name, message) for name in voters]) + [
+        return self.fleet.electorate.to_voters([(name, message) for name in voters]) + [
             ((member.host, member.port), message) for member in sample
         ]
--- a/wheatring/lease/register_acceptor.py
+++ b/wheatring/lease/register_acceptor.py
@@ -54,7 +54,7 @@
         self, at: Instant, address: Address, message: RegisterPrepare | RegisterAccept
     ) -> list[Outgoing]:
         """Promise the epoch of a request and accept its entry, unless a higher epoch is promised."""
-        if not self.fleet.is_voter() or message.voters_digest != self.fleet.voters.digest:
+        if not self.fleet.electorate.is_voter() or message.voters_digest != self.fleet.voters.digest:
             return []
         if not self.has_recovered:
             wait = self.fleet.timing.lease_seconds / 6
--- a/wheatring/lease/register_leader.py
+++ b/wheatring/lease/register_leader.py
@@ -127,7 +127,7 @@
         message: RegisterPrepare | RegisterAccept = RegisterPrepare(self.name, self.epoch, digest)
         if self.phase is Phase.ACCEPTING:
             message = RegisterAccept(self.name, self.epoch, digest, self.pending)
-        return self.fleet.to_voters(
+        return self.fleet.electorate.to_voters(
             [(name, message) for name in self.fleet.voters.names if name not in self.acknowledged_by]
         )
 
--- a/wheatring/lease/replicated_register.py
+++ b/wheatring/lease/replicated_register.py
@@ -124,7 +124,7 @@
         self, at: Instant, sender: str, address: Address, message: AcceptorState
     ) -> list[Outgoing]:
         voters = self.fleet.voters
-        names = [name for name in self.fleet.voter_names_of_sender(sender) if name in voters.names]
+        names = [name for name in self.fleet.electorate.voter_names_of_sender(sender) if name in voters.names]
         if not names:
             return []
         if message.epoch == RECOVERY_EPOCH:
@@ -136,6 +136,6 @@
         out: list[Outgoing] = []
         if self.applied.version > (message.number, message.epoch):
             out.append((address, self.learner.chosen_announcement()))
-        if message.wants_accepted and self.fleet.is_voter():
+        if message.wants_accepted and self.fleet.electorate.is_voter():
             out.append((address, self.acceptor.state(RECOVERY_EPOCH)))
         return out
--- a/wheatring/lease/view_sender.py
+++ b/wheatring/lease/view_sender.py
@@ -27,4 +27,4 @@
 
     def to_all_voters(self, message: ViewMessage) -> list[Outgoing]:
         """Address a message to each voter."""
-        return self.fleet.to_voters([(voter, message) for voter in self.fleet.voters.names])
+        return self.fleet.electorate.to_voters([(voter, message) for voter in self.fleet.voters.names])
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -129,7 +129,9 @@
         )  # fmt: skip
         if self.make_agreement is not None:
             self.agreement = self.make_agreement(at, self.fleet)
-        log.line("fleet-listening", host=where.host, port=where.port, votes=int(self.fleet.is_voter()))
+        log.line(
+            "fleet-listening", host=where.host, port=where.port, votes=int(self.fleet.electorate.is_voter())
+        )
         self.timer = None
         self.tick()
 
@@ -217,7 +219,7 @@
             worker = self.workers.get(heartbeat.role)
             if isinstance(worker, ListSharing):
                 worker.on_heartbeat(heartbeat)
-        changes, fleet.role_changes = fleet.role_changes, []
+        changes, fleet.role_manager.changes = fleet.role_manager.changes, []
         for change in changes:
             self._on_role_changed(change)
         self.change_log.log_members(fleet)
@@ -272,7 +274,7 @@
             return
         for claimant in fleet.roles[role].proposers:
             claimant.note_epoch(epoch)
-        self.dispatch(fleet.release_role(self.instant(), role, 0.0))
+        self.dispatch(fleet.role_manager.release(self.instant(), role, 0.0))
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Send a holder's heartbeat to all sidecars of the tier."""
@@ -315,13 +317,13 @@
         """Give a role back, and keep out of the queue for it a while; False: it isn't held here."""
         if self.fleet is None or self.is_closed or self.active_epoch(role) is None:
             return False
-        self.dispatch(self.fleet.release_role(self.instant(), role))
+        self.dispatch(self.fleet.role_manager.release(self.instant(), role))
         return True
 
     def set_wanted(self, role: str, is_wanted: bool) -> None:
         """Queue for a role that only those who want it compete for, or leave the queue."""
         if self.fleet is not None and not self.is_closed:
-            self.dispatch(self.fleet.request_role(self.instant(), role, is_wanted))
+            self.dispatch(self.fleet.role_manager.request(self.instant(), role, is_wanted))
 
     def change_voters(self, voters: VoterSet) -> str:
         """Go by other voters from now on; return why not, or "" where it does."""
@@ -340,7 +342,7 @@
         return {
             "name": self.me.name,
             "voters": fleet.voters.names,
-            "votes": fleet.is_voter(),
+            "votes": fleet.electorate.is_voter(),
             "abstains_s": round(max(0.0, fleet.acceptor.abstains_until - at.boot), 2),
             "health": fleet.members.gossip.health.score,
             "view": None if self.agreement is None else self.agreement.status(at.now),
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -150,16 +150,16 @@
         voters = {*self.fleet.voters.names}
         own = self.fleet.me.name
         others = [member.member for member in self.views.view.members if member.member.name != own]
-        if not any({*self.fleet.voter_names(who)} & voters for who in others):
+        if not any({*self.fleet.electorate.voter_names(who)} & voters for who in others):
             return []
         self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
-        return self.fleet.release_role(at, LEADER_ROLE, KEEP_OUT_TERMS)
+        return self.fleet.role_manager.release(at, LEADER_ROLE, KEEP_OUT_TERMS)
 
     def _propose_first(self, at: Instant) -> None:
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         if self.plans.register.chosen.number or self.views.stamp.plan:
             self.first_plan = b""
-        elif self.fleet.is_voter() and self.views.is_current(at.now):
+        elif self.fleet.electorate.is_voter() and self.views.is_current(at.now):
             http_status, answer = self.offer(at, self.first_plan)
             if http_status == 400:  # rejected by this very program: another try won't help
                 self.first_plan = b""
--- a/wheatring/schedule/fleet_clock.py
+++ b/wheatring/schedule/fleet_clock.py
@@ -170,7 +170,7 @@
         self.pending[self.seq] = PendingRequest(at.now, {*names})
         self.due = at.now + self._poll_seconds(at.now) * (0.9 + 0.2 * self.fleet.random.random())
         self._report_certainty(at.now)
-        return self.fleet.to_voters([(name, TimeRequest(self.seq)) for name in names])
+        return self.fleet.electorate.to_voters([(name, TimeRequest(self.seq)) for name in names])
 
     def _poll_seconds(self, now: float) -> float:
         if self.seq <= FIRST_POLLS:
@@ -189,7 +189,7 @@
         if isinstance(message, TimeResponse):
             self._handle_response(at, sender, message)
             return []
-        if not self.fleet.is_voter():
+        if not self.fleet.electorate.is_voter():
             return []
         return [(address, TimeResponse(message.seq, at.wall / 1000, VOTER_ERROR_SECONDS))]
 
@@ -199,7 +199,9 @@
             return
         if not 0 <= response.spread <= MAX_UNCERTAINTY_SECONDS:
             return
-        names = [name for name in self.fleet.voter_names_of_sender(sender) if name in request.names]
+        names = [
+            name for name in self.fleet.electorate.voter_names_of_sender(sender) if name in request.names
+        ]
         if not names:
             return
         request.names.difference_update(names)
