--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -22,7 +22,7 @@
 from tests.system.test_process import told, until
 from wheatring import log
 from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
-from wheatring.http1 import caller_lifecycle, endpoint_connection
+from wheatring.http1 import caller_lifecycle, response_stream
 from wheatring.http1.body_sender import BodySender
 from wheatring.http1.parser import BUFFERED_BODY_BYTES, MessageParser
 
@@ -114,8 +114,8 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, framing: str
 ) -> None:
     """However it trickles: an answer in its time is owed, and this one can't be had elsewhere any more."""
-    monkeypatch.setattr(endpoint_connection, "STREAM_UNKNOWN_LENGTH_AFTER_SECONDS", 0.0)
-    monkeypatch.setattr(endpoint_connection, "MIN_ANSWER_BYTES_PER_SECOND", 1e9)
+    monkeypatch.setattr(response_stream, "STREAM_UNKNOWN_LENGTH_AFTER_SECONDS", 0.0)
+    monkeypatch.setattr(response_stream, "MIN_ANSWER_BYTES_PER_SECOND", 1e9)
     world = make()
     caller = world.ask(left=300)
     node = world.nodes[0].accept()
@@ -134,15 +134,15 @@
 def test_one_that_has_brought_enough_goes_on_after_its_callers_time(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    looks, look = [], endpoint_connection.EndpointConnection.check_stream
+    looks, look = [], response_stream.ResponseStream.check
 
-    def looked(connection: endpoint_connection.EndpointConnection, flow: Body, came: int = -1) -> None:
+    def looked(stream: response_stream.ResponseStream, came: int = -1) -> None:
         looks.append(came)
         log.line("looked")
-        look(connection, flow, came)
+        look(stream, came)
 
-    monkeypatch.setattr(endpoint_connection.EndpointConnection, "check_stream", looked)
-    monkeypatch.setattr(endpoint_connection, "MIN_ANSWER_BYTES_PER_SECOND", 1)
+    monkeypatch.setattr(response_stream.ResponseStream, "check", looked)
+    monkeypatch.setattr(response_stream, "MIN_ANSWER_BYTES_PER_SECOND", 1)
     world = make()
     caller = world.ask(left=50)
     node = world.nodes[0].accept()
@@ -193,7 +193,7 @@
 
 
 def test_one_that_is_said_to_be_large_is_begun_early(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(endpoint_connection, "STREAM_AFTER_SECONDS", 0.0)
+    monkeypatch.setattr(response_stream, "STREAM_AFTER_SECONDS", 0.0)
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
@@ -449,11 +449,15 @@
 
 def test_fifty_slow_readers_of_32_mb_fit_in_the_memory(tmp_path: Path) -> None:
     """The sidecar is a process of its own; its peak is read off the system."""
-    size, readers, over = 32 * 1024 * 1024, 50, threading.Event()
+    size, readers = 32 * 1024 * 1024, 50
+    all_asked, over = threading.Event(), threading.Event()
     node, discovery = Peer(), Peer()
 
     def one(wire: Wire) -> None:
         wire.read()
+        # The threads that write answers would keep this process's callers from their requests on a busy
+        # machine, and a caller that connects and sends nothing for HEAD_SECONDS is ended.
+        all_asked.wait(FAR)
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size // 65536):
             wire.send(b"x" * 65536)
@@ -479,6 +483,7 @@
                 caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
                 caller.send(f"GET /menu HTTP/1.1\r\nX-Correlation-Id: c{n}\r\n\r\n".encode())
                 callers.append(caller)
+            all_asked.set()
             for caller in callers:
                 assert "200" in head(caller)
                 body(caller, 2 * 1024 * 1024)
@@ -486,6 +491,7 @@
             peak = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM:"))
             assert peak < 56 * 1024
         finally:
+            all_asked.set()
             over.set()
             process.kill()
             for caller in callers:
--- a/tests/lab/wire/http_peers.py
+++ b/tests/lab/wire/http_peers.py
@@ -12,11 +12,12 @@
 from twisted.python import log
 from twisted.python.failure import Failure
 
-from wheatring.lab.models.discovery import Listed, Registry
-from wheatring.lab.models.visit import Verdict, Visit
-from wheatring.lab.models.way import Asked
+from wheatring.lab.correlation import CorrelationTable, OriginalRequest
+from wheatring.lab.models.discovery import Registry
+from wheatring.lab.models.endpoint_list_history import RegisteredNode
+from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
+from wheatring.lab.models.request_transport import PendingRequest
 from wheatring.lab.net import Network, VirtualTime
-from wheatring.lab.origins import Origin, Origins
 from wheatring.lab.plan import ClassPlan, DiscoveryPlan, NetPlan, TierPlan
 from wheatring.lab.wire.discovery_server import DiscoveryServer
 from wheatring.lab.wire.node_server import NodeServer
@@ -70,31 +71,31 @@
         self.book = book
         self.cap = cap
         self.open = 0
-        self.verdict: Verdict | None = Verdict.SERVED
-        self.visits: list[Visit] = []
+        self.verdict: AttemptOutcome | None = AttemptOutcome.SERVED
+        self.attempts: list[ReceivedAttempt] = []
 
-    spoil = 0.0
+    malformed_share = 0.0
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.open >= self.cap
 
     def connect(self) -> float | None:
-        self.open += not self.full
+        self.open += not self.is_full
         return 0.004
 
     def disconnect(self) -> None:
         self.open -= 1
 
-    def visit(self, visit: Visit) -> None:
-        self.visits.append(visit)
+    def receive(self, attempt: ReceivedAttempt) -> None:
+        self.attempts.append(attempt)
         if self.verdict is not None:
-            self.book.ended(self.name, visit.ident)
-            visit.reply(self.verdict, f"stamp-{visit.ident}")
+            self.book.ended(self.name, attempt.ident)
+            attempt.reply(self.verdict, f"stamp-{attempt.ident}")
 
-    def abandoned(self, visit: Visit) -> None:
-        visit.gone = True
-        self.book.ended(self.name, visit.ident)
+    def abandon(self, attempt: ReceivedAttempt) -> None:
+        attempt.is_abandoned = True
+        self.book.ended(self.name, attempt.ident)
 
 
 class Scripted(Protocol):
@@ -149,7 +150,7 @@
         book: Any = self.book
         self.net = Network(self.time, NetPlan(same=0.001, jitter=0.0), Random(1))
         self.clients, self.sidecar, self.node = [self.net.process(f"p{n}", f"127.0.0.{n}") for n in (1, 2, 3)]
-        self.origins = Origins(Random(2))
+        self.origins = CorrelationTable(Random(2))
         self.machine = Machine(book, cap)
         full = partial(self.net.full, "127.0.0.3", 80)
         rest = (self.time, Random(3), self.origins, FORMS, book, "at {}".format, lambda host: 0.002, full)
@@ -157,7 +158,7 @@
         self.node.listenTCP(80, self.peer)
         plan = DiscoveryPlan(period=0.5, spread=0.0, lines_per_s=1000.0, call_lines=9.0)
         self.registry = Registry(plan, self.time, self.node.unix, Random(4), book)
-        self.registry.add(Listed("n1", "127.0.0.3:80", "room", "fast", 2))
+        self.registry.register(RegisteredNode("n1", "127.0.0.3:80", "room", "fast", 2))
         DiscoveryServer(self.registry, book, "at {}".format, partial(self.node.listenTCP, 90))
         self.lines: list[Scripted] = []
         where = {"s": ("127.0.0.2", 80), "nobody": ("127.0.0.2", 81)}
@@ -179,14 +180,14 @@
 
         self.sidecar.listenTCP(80, factory(Factory(), build))
 
-    def ask(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> Asked:
-        ident = self.origins.new(Origin(1, index, 0.1, key))
-        asked = self.caller.ask(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
+    def ask(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> PendingRequest:
+        ident = self.origins.new(OriginalRequest(1, index, 0.1, key))
+        asked = self.caller.send(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
         self.run(run)
         return asked
 
     def form(self, index: int = SAFE, key: str = "") -> bytes:
-        return FORMS.encode(index, self.origins.new(Origin(1, index, 0.1, key)), 480, key, False)
+        return FORMS.encode(index, self.origins.new(OriginalRequest(1, index, 0.1, key)), 480, key, False)
 
     def dial(self, data: bytes = b"", port: int = 80, run: float = 1.0) -> Scripted:
         """A scripted connection of the sidecar to the node, or to discovery, that writes this first."""
--- a/wheatring/commands/lab.py
+++ b/wheatring/commands/lab.py
@@ -15,11 +15,11 @@
 
 from wheatring.commands import (
     lab_control,
-    lab_duties,
     lab_lease,
     lab_live,
     lab_pace,
     lab_run,
+    lab_singleton_roles,
     lab_study,
     lab_views,
 )
@@ -84,8 +84,8 @@
 
 def check(args: argparse.Namespace) -> int:
     """Check scenarios and draw each a few times, or check what a reserved name refers to."""
-    from wheatring.lab.scenario.draw import draw
     from wheatring.lab.scenario.load import ScenarioError, load
+    from wheatring.lab.scenario.plan_builder import draw
 
     if args.files == ["lease"]:
         return lab_lease.check(args)
@@ -115,7 +115,7 @@
 def add_duties(commands: Commands) -> None:
     """Add the command `duties`."""
     what = "real sidecars that hold a duty, and what is done to them"
-    lab_duties.add(add_command(commands, "duties", lab_duties.call, what))
+    lab_singleton_roles.add(add_command(commands, "duties", lab_singleton_roles.call, what))
 
 
 def add_views(commands: Commands) -> None:
@@ -135,8 +135,8 @@
     """Draw a day, and print its figures or the plan itself."""
     import msgspec
 
-    from wheatring.lab.scenario.draw import draw, summary
     from wheatring.lab.scenario.load import load
+    from wheatring.lab.scenario.plan_builder import draw, summary
 
     drawn = draw(load(args.scenario), args.seed)
     document = msgspec.json.format(msgspec.json.encode(drawn), indent=1) + b"\n" if args.json else b""
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -1,16 +1,17 @@
 """The fourth rule: the work sent to a node that is warming up.
 
-Nodes are overloaded by `Pressure`, and the rule judges by it. More than it allows is a breach if two thirds
-of the work came from sidecars that had been notified of the start. Each start is watched until the node
-is warm or has been overloaded.
+Nodes are overloaded by `OverloadDetector`, and the rule judges by it. More than it allows is a breach if
+two thirds of the work came from sidecars that had been notified of the start. Each start is watched until
+the node is warm or has been overloaded.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
+from typing import NamedTuple
 
-from wheatring.lab.models.cold import Pressure
+from wheatring.lab.models.slow_start import OverloadDetector
 from wheatring.lab.plan import KindPlan, RulesPlan
 from wheatring.lab.rules.breaches import Breaches
 from wheatring.lab.rules.drains import Drains
@@ -18,26 +19,31 @@
 NOTIFIED_SHARE = 2 / 3
 
 
-class WarmUp:
-    """One node that is warming up.
+class Offer(NamedTuple):
+    """Work that was sent to a node that is warming up."""
+
+    at: float
+    work: float  # seconds on a standard core
+    is_notified: bool  # its sidecar had been notified of the node's start
 
-    `offers` are those of the window: when, how much work (seconds on a standard core), and whether from a
-    sidecar that knew of the start.
-    """
 
-    __slots__ = ("capacity", "offers", "pressure", "since", "until")
+class WarmUp:
+    """One node that is warming up; `offers` are those of the window."""
+
+    __slots__ = ("capacity", "offers", "overload", "since", "until")
 
     def __init__(self, rules: RulesPlan, capacity: Callable[[], float], since: float, until: float) -> None:
-        self.pressure = Pressure(rules)
-        self.offers: deque[tuple[float, float, bool]] = deque()
+        self.overload = OverloadDetector(rules)
+        self.offers: deque[Offer] = deque()
         self.capacity = capacity
         self.since = since
         self.until = until
 
     def is_caused_by_notified(self) -> bool:
         """Return whether two thirds of the work in the window came from notified sidecars."""
-        work = sum([work for _, work, _ in self.offers])
-        return sum([work for _, work, notified in self.offers if notified]) >= NOTIFIED_SHARE * work - 1e-9
+        total = sum([offer.work for offer in self.offers])
+        notified = sum([offer.work for offer in self.offers if offer.is_notified])
+        return notified >= NOTIFIED_SHARE * total - 1e-9
 
 
 class WarmUps:
@@ -48,30 +54,30 @@
         self.drains = drains
         self.breaches = breaches
         self.watched: dict[str, WarmUp] = {}  # by node
-        self.count = 0
-        self.over = 0  # that were pushed over, by whomever
+        self.start_count = 0
+        self.overload_count = 0  # that were pushed over, by whomever
 
-    def up(self, node: str, kind: KindPlan, capacity: Callable[[], float], at: float) -> None:
+    def node_up(self, node: str, kind: KindPlan, capacity: Callable[[], float], at: float) -> None:
         """Note that a node has started at an instant, with the capacity that `capacity` gives."""
         if kind.cold > 0 and kind.cold_from < 1:
-            self.count += 1
+            self.start_count += 1
             self.watched[node] = WarmUp(self.rules, capacity, at, at + kind.cold)
 
-    def offered(self, node: str, sidecar: str, work: float, at: float) -> None:
+    def record_offer(self, node: str, sidecar: str, work: float, at: float) -> None:
         """Note work (seconds on a standard core) for a node that is watched."""
         start, window = self.watched[node], self.rules.fall_for
         if at >= start.until:
             del self.watched[node]
             return
         capacity, offers = start.capacity(), start.offers
-        offers.append((at, work, self.drains.is_notified(sidecar, node, start.since, at)))
-        while offers[0][0] <= at - window:
+        offers.append(Offer(at, work, self.drains.is_notified(sidecar, node, start.since, at)))
+        while offers[0].at <= at - window:
             offers.popleft()
-        if start.pressure.offer(at, work, capacity):
+        if start.overload.offer(at, work, capacity):
             del self.watched[node]
-            self.over += 1
+            self.overload_count += 1
             if start.is_caused_by_notified():
-                what = f"{node} was sent {start.pressure.total:.3f} s of work within {window} s,"
+                what = f"{node} was sent {start.overload.total_work:.3f} s of work within {window} s,"
                 what += (
                     f" {at - start.since:.1f} s after its start, when it could do {capacity:.3f} s a second."
                 )
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -12,8 +12,8 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from wheatring.lab.book import Book, ResponseKind
-from wheatring.lab.models.way import Asked, Done
+from wheatring.lab.event_recorder import EventRecorder, ResponseKind
+from wheatring.lab.models.request_transport import PendingRequest, ResponseCallback
 from wheatring.lab.timers import Timers
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 from wheatring.lab.wire.request_format import RequestFormat
@@ -37,7 +37,7 @@
         deadline: float,
         key: str,
         repeat: bool,
-        done: Done,
+        done: ResponseCallback,
     ) -> None:
         self.pool = pool
         self.ident = ident
@@ -51,12 +51,14 @@
         self.is_resent = False
         self.is_over = False
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
+        """Abandon the request."""
         if not self.is_over:
             self.is_over = True
-            self.pool.leave(self)
+            self.pool.abandon(self)
 
     def end(self, kind: Any, retry_after: float = 0.0) -> None:
+        """Report the end of the request, once."""
         if not self.is_over:
             self.is_over = True
             self.done(kind, retry_after)
@@ -98,14 +100,15 @@
         )
         self.written += len(data)
         self.transport.write(data)
-        pool.client.book.taken(pool.sidecar, request.ident, request.index, request.key, now + left_ms / 1000)
+        deadline = now + left_ms / 1000
+        pool.client.recorder.taken(pool.sidecar, request.ident, request.index, request.key, deadline)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         """Parse what has come, and handle a complete response."""
         if self.is_over:
             return
         if self.request is None:
-            self.pool.client.book.note("unasked-data", sidecar=self.pool.sidecar, data=data[:64])
+            self.pool.client.recorder.note("unasked-data", sidecar=self.pool.sidecar, data=data[:64])
             self.end()
             return
         if not self.has_received:
@@ -125,7 +128,7 @@
         """End the request with its response, and release or close the connection."""
         request, pool = self.request, self.pool
         assert request is not None
-        book = pool.client.book
+        recorder = pool.client.recorder
         kind: ResponseKind = "failed"
         wait, stamp = 0.0, ""
         if message.status == 200:
@@ -140,9 +143,9 @@
                     return
                 wait = float(advice)
         self.request = request.connection = None
-        book.answered(pool.sidecar, request.ident, kind, stamp, wait, self.began)
+        recorder.answered(pool.sidecar, request.ident, kind, stamp, wait, self.began)
         if self.parser.is_mid_message:
-            book.note("unasked-data", sidecar=pool.sidecar, data=b"")
+            recorder.note("unasked-data", sidecar=pool.sidecar, data=b"")
             self.end()
         elif not message.keep_alive:
             self.end()
@@ -156,7 +159,7 @@
         self.end()
         if request is not None:
             request.connection = None
-            self.pool.client.book.lost(self.pool.sidecar, request.ident, why)
+            self.pool.client.recorder.lost(self.pool.sidecar, request.ident, why)
             request.end("lost")
 
     def end(self) -> None:
@@ -180,17 +183,17 @@
             self.handle_response(message)
             return
         self.request = request.connection = None
-        pool, book = self.pool, self.pool.client.book
+        pool, recorder = self.pool, self.pool.client.recorder
         if self.has_received or not self.is_unread():
             why = "closed" if orderly else "reset"
-            book.lost(
+            recorder.lost(
                 pool.sidecar,
                 request.ident,
                 f"{why} in mid-answer" if self.has_received else f"{why} unanswered",
             )
             request.end("lost")
             return
-        book.untaken(pool.sidecar, request.ident)
+        recorder.untaken(pool.sidecar, request.ident)
         if request.is_resent:
             request.end("unreached")
         else:
@@ -293,12 +296,12 @@
         if self.waiting and self.open_count < self.client.max_connections:
             self.connect(self.waiting.popleft())
 
-    def leave(self, request: _PendingRequest) -> None:
+    def abandon(self, request: _PendingRequest) -> None:
         """Abandon a request: its connection is closed."""
         connection = request.connection
         if connection is not None:
             connection.request = request.connection = None
-            self.client.book.left(self.sidecar, request.ident)
+            self.client.recorder.left(self.sidecar, request.ident)
             connection.end()
         elif request.connect_attempt is not None:
             attempt, request.connect_attempt = request.connect_attempt, None
@@ -308,7 +311,7 @@
 
 
 class SidecarClient:
-    """The client of all sidecars for the callers of one process; it implements `models.way.Way`.
+    """The client of all sidecars for the callers of one process: the `RequestTransport` of grain `wire`.
 
     Parameters
     ----------
@@ -324,7 +327,7 @@
         self,
         reactor: Any,
         timers: Timers,
-        book: Book,
+        recorder: EventRecorder,
         request_format: RequestFormat,
         address_of: Callable[[str], tuple[str, int]],
         host: str = "",
@@ -332,21 +335,29 @@
     ) -> None:
         self.reactor = reactor
         self.timers = timers
-        self.book = book
+        self.recorder = recorder
         self.request_format = request_format
         self.address_of = address_of
         self.host = host
         self.max_connections = max_connections
         self.pools: dict[str, _ConnectionPool] = {}
 
-    def ask(
-        self, sidecar: str, ident: str, index: int, left: float, key: str, repeat: bool, done: Done
-    ) -> Asked:
-        """Send a request to a sidecar; see `models.way.Way`."""
+    def send(
+        self,
+        sidecar: str,
+        ident: str,
+        index: int,
+        time_left: float,
+        key: str,
+        is_marked_retry: bool,
+        on_response: ResponseCallback,
+    ) -> PendingRequest:
+        """Send a request to a sidecar; see `models.request_transport.RequestTransport`."""
         pool = self.pools.get(sidecar)
         if pool is None:
             pool = self.pools[sidecar] = _ConnectionPool(self, sidecar)
-        request = _PendingRequest(pool, ident, index, self.timers.now() + left, key, repeat, done)
+        deadline = self.timers.now() + time_left
+        request = _PendingRequest(pool, ident, index, deadline, key, is_marked_retry, on_response)
         pool.submit(request)
         return request
 
