--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -18,8 +18,9 @@
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.view import View
 from wheatring.members.view_messages import ViewMember
 from wheatring.plan.compatibility import CheckStage, Reason
@@ -107,7 +108,7 @@
         self.floors = ReplicatedRegister(at, "floor", fleet, self._minimum_committed)
         stills = RegistersStable(self.views.register), RegistersStable(self.register, self.floors)
         self.skew = skew(fleet, abilities, compiles, *stills)
-        self.views.admission_objection = self._admits
+        self.views.leader.admission_objection = self._admits
         self.proposed_body: bytes | None = None
         self.checked_view = View()
         self.due = at.now
@@ -160,7 +161,7 @@
         self.due = at.now + STEP_SECONDS
         if self.is_leading(at) and self.skew.own_refusals():  # it could admit nobody
             self.journal.counts["stepped back"] += 1
-            return self.fleet.release_role(at, LEADER_ROLE, 10.0)
+            return self.fleet.role_manager.release(at, LEADER_ROLE, 10.0)
         if self.proposed_body is None:
             return []
         if not self.is_leading(at):
