--- a/tests/lab/live/test_view_cases.py
+++ b/tests/lab/live/test_view_cases.py
@@ -26,10 +26,10 @@
     made = band(a=[(-100, 1, 3), (-6, 2, 2)], b=[(-100, 1, 3), (-4, 2, 2)])
     judge = ViewHistory(made, time.monotonic() - 10)
     assert judge.number == 1
-    assert abs(judge.share_in_one_view(["a", "b"]) - 0.8) < 0.01
+    assert abs(judge.share_with_same_view(["a", "b"]) - 0.8) < 0.01
     assert [(one.number, one.members) for one in judge.changes(["a", "b"])] == [(2, 2)]
-    assert abs(judge.wait_for_one_view(["a", "b"], 2) - 6) < 0.1
-    assert judge.wait_for_one_view(["a", "b"], 3) < 0  # it has not come, and is waited for
+    assert abs(judge.wait_for_same_view(["a", "b"], 2) - 6) < 0.1
+    assert judge.wait_for_same_view(["a", "b"], 3) < 0  # it has not come, and is waited for
 
 
 def test_a_change_counts_once_however_many_stand_in_it() -> None:
--- a/wheatring/commands/lab_control.py
+++ b/wheatring/commands/lab_control.py
@@ -25,11 +25,11 @@
     from wheatring.lab.model_checker.runner import mutant_lines, search_lines
 
     failed: list[int] = []
-    jobs = args.jobs or os.cpu_count() or 1
+    workers = args.jobs or os.cpu_count() or 1
     if args.planted:
-        found = mutant_lines(jobs, lambda: failed.append(1))
+        found = mutant_lines(workers, lambda: failed.append(1))
     else:
-        found = search_lines(args.depth, args.walks, jobs, lambda: failed.append(1))
+        found = search_lines(args.depth, args.walks, workers, lambda: failed.append(1))
     for line in found:
         print(line, flush=True)
     return 1 if failed else 0
--- a/wheatring/commands/lab_lease.py
+++ b/wheatring/commands/lab_lease.py
@@ -30,8 +30,8 @@
     from wheatring.lab.leases.check import report_lines
 
     failed: list[int] = []
-    jobs = args.jobs or os.cpu_count() or 1
-    return _print(report_lines(args.days, args.states, jobs, lambda: failed.append(1)), failed)
+    workers = args.jobs or os.cpu_count() or 1
+    return _print(report_lines(args.days, args.states, workers, lambda: failed.append(1)), failed)
 
 
 def check_plan(args: argparse.Namespace) -> int:
--- a/wheatring/lab/agreement/plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -224,9 +224,9 @@
     return 0, ""
 
 
-def report(days: int, jobs: int, fail: Callable[[], object]) -> Iterator[str]:
+def report(days: int, workers: int, fail: Callable[[], object]) -> Iterator[str]:
     """Yield what is found, line by line; `fail` is called for each line that is not as it has to be."""
-    with ProcessPoolExecutor(jobs) as pool:
+    with ProcessPoolExecutor(workers) as pool:
         found = pool.map(find_fault, range(len(PLANTED_FAULTS)))
         played = list(pool.map(play, range(1, days + 1), chunksize=5))
         for (what, _), (seed, breach) in zip(PLANTED_FAULTS, found, strict=True):
--- a/wheatring/lab/agreement/view_checks.py
+++ b/wheatring/lab/agreement/view_checks.py
@@ -44,10 +44,10 @@
     return limit, ""
 
 
-def report(drawn: int, jobs: int, fail: Callable[[], object]) -> Iterator[str]:
+def report(drawn: int, workers: int, fail: Callable[[], object]) -> Iterator[str]:
     """Yield what is found, line by line; `fail` is called for each line that is not as it has to be."""
     parts = range(1, max(DAYS_PER_TASK, drawn) + 1, DAYS_PER_TASK)
-    with ProcessPoolExecutor(jobs) as pool:
+    with ProcessPoolExecutor(workers) as pool:
         register = pool.map(
             partial(find_in_register, MAX_DAYS_TO_FIND * ORDERS_PER_DAY), range(len(REGISTER_FAULTS))
         )
--- a/wheatring/lab/live/lifecycles.py
+++ b/wheatring/lab/live/lifecycles.py
@@ -103,17 +103,17 @@
     def isolate(self, node: str) -> None:
         """Let a node's machine, with its own sidecar, fall silent."""
         assert self.links is not None
-        self.links.start_fault(self._silence(node))
+        self.links.start_fault(self._isolation_event(node))
         self.nodes.registry.node_vanished(node)
 
     def reconnect(self, node: str) -> None:
         """Let a machine that was silent answer again; its connections are reset."""
         assert self.links is not None
-        self.links.end_fault(self._silence(node), reset=True)
+        self.links.end_fault(self._isolation_event(node), reset=True)
         machine = self.nodes.nodes[node].machine
         if machine.running:
             self.nodes.registry.node_started(node, machine.started_at)
 
-    def _silence(self, node: str) -> EventPlan:
+    def _isolation_event(self, node: str) -> EventPlan:
         plan = self.nodes.nodes[node].plan
         return EventPlan(at=0.0, kind="vanish", hosts=(plan.host, plan.side_host))
--- a/wheatring/lab/live/links/datagrams.py
+++ b/wheatring/lab/live/links/datagrams.py
@@ -43,12 +43,12 @@
         endpoint.target = target
         self.at[target] = endpoint
 
-    def set(self, one: str, other: str, state: LinkState) -> None:
+    def set(self, source: str, target: str, state: LinkState) -> None:
         """Put the link from one party to another in a state."""
         if state == NO_FAULT:
-            self.states.pop((one, other), None)
+            self.states.pop((source, target), None)
         else:
-            self.states[one, other] = state
+            self.states[source, target] = state
 
     def came(self, endpoint: DatagramPort, data: bytes, source: Address) -> None:
         """Pass a datagram on as its link's state says: not at all, once or twice, now or later."""
--- a/wheatring/lab/live/list_service.py
+++ b/wheatring/lab/live/list_service.py
@@ -43,7 +43,7 @@
                 """Answer one call, at once or after a wait for a change."""
                 asked = parse_qs(urlsplit(self.path).query)
                 index = int(asked["index"][0]) if "index" in asked else None
-                body = register.answer(index, float(asked.get("wait", ["0"])[0]) / 1000, self.gone)
+                body = register.answer(index, float(asked.get("wait", ["0"])[0]) / 1000, self.is_disconnected)
                 if body is None:
                     self.close_connection = True
                     return
@@ -52,7 +52,7 @@
                 self.end_headers()
                 self.wfile.write(body)
 
-            def gone(self) -> bool:
+            def is_disconnected(self) -> bool:
                 """Whoever asked has closed the connection."""
                 readable, _, _ = select.select([self.connection], [], [], 0)
                 try:
@@ -74,7 +74,7 @@
             self.changed.notify_all()
             return time.monotonic()
 
-    def answer(self, index: int | None, wait: float, gone: Callable[[], bool]) -> bytes | None:
+    def answer(self, index: int | None, wait: float, is_disconnected: Callable[[], bool]) -> bytes | None:
         """Answer a call; None where the caller is gone, and takes no turn."""
         with self.changed:
             self.calls += 1
@@ -84,10 +84,10 @@
                 if left <= 0:
                     break
                 self.changed.wait(min(left, CLOSED_CHECK_SECONDS))
-                if gone():
+                if is_disconnected():
                     return None
         with self.turn:  # one after another, and each takes its time
-            if gone():
+            if is_disconnected():
                 return None
             time.sleep(1 / self.answers_per_second)
         with self.lock:
--- a/wheatring/lab/live/plan_cases.py
+++ b/wheatring/lab/live/plan_cases.py
@@ -136,7 +136,7 @@
     how = wait_until_ended(rig, other)
     took = time.monotonic() - since
     rig.start(leader)
-    ViewHistory(rig).wait_for_one_view(names, len(names))
+    ViewHistory(rig).wait_for_same_view(names, len(names))
     last = plan_status(rig, other)["newest"]
     wait_until_committed(rig, names, last, since)
     wrong = conflicting_plans(rig)
@@ -156,11 +156,11 @@
         rig.member_plans[old] = {"formats": formats} if formats else {}
         rig.signal(SIGTERM, old)
         rig.wait_until(lambda: not _running(rig, old), f"{old} ends", WAIT_SECONDS)
-        ViewHistory(rig).wait_for_one_view(names[:-1], len(names) - 1)
+        ViewHistory(rig).wait_for_same_view(names[:-1], len(names) - 1)
         rig.start(old)
 
     restart_old_member("[1]")
-    ViewHistory(rig).wait_for_one_view(names, len(names))
+    ViewHistory(rig).wait_for_same_view(names, len(names))
     number = plan_status(rig, "d3")["newest"]
     since = propose(rig, "d3", document("windows", window=3600.0))
     how = wait_until_ended(rig, "d3")
@@ -171,7 +171,7 @@
         f"named {named}, {how['reasons'][:1]}",
     )
     restart_old_member("")
-    ViewHistory(rig).wait_for_one_view(names, len(names))
+    ViewHistory(rig).wait_for_same_view(names, len(names))
     since = propose(rig, "d3", document("windows", window=3600.0))
     took = wait_until_committed(rig, names, number + 1, since)
     yield Measurement(True, f"and once it reads all: settled with all after {took:.1f} s")
@@ -181,7 +181,7 @@
     out = not inside or "inside=0" in inside[0]
     yield Measurement(out, f"one that comes back older is {'not ' if out else ''}let into the view")
     restart_old_member("")
-    ViewHistory(rig).wait_for_one_view(names, len(names))
+    ViewHistory(rig).wait_for_same_view(names, len(names))
 
 
 def _running(rig: FleetRig, name: str) -> bool:
@@ -262,7 +262,7 @@
     ):
         since = time.monotonic()
         rig.start_all()
-        took = ViewHistory(rig, since).wait_for_one_view(list(rig.members), size)
+        took = ViewHistory(rig, since).wait_for_same_view(list(rig.members), size)
         yield Measurement(True, f"{size} sidecars stand in one view {took:.1f} s after the first is started")
         time.sleep(SETTLE_SECONDS)
         for name in cases:
--- a/wheatring/lab/live/view_cases.py
+++ b/wheatring/lab/live/view_cases.py
@@ -59,7 +59,7 @@
                     first[one.number] = min(first.get(one.number, one), one)
         return [first[number] for number in sorted(first)]
 
-    def wait_for_one_view(self, names: Collection[str], size: int) -> float:
+    def wait_for_same_view(self, names: Collection[str], size: int) -> float:
         """Wait until these members have one view of so many; return the seconds until the last one did."""
 
         def last_change_at() -> float:
@@ -72,7 +72,7 @@
         at: float = self.rig.wait_until(last_change_at, f"one view of {size}", WAIT_SECONDS)
         return at - self.since
 
-    def share_in_one_view(self, names: Collection[str]) -> float:
+    def share_with_same_view(self, names: Collection[str]) -> float:
         """Return the share of the time in which all of these members had the same view."""
         now = time.monotonic()
         edges: list[tuple[float, str, int]] = []
@@ -98,40 +98,39 @@
     return sorted(random.sample(rest, max(1, len(rig.members) // 3)))
 
 
-def _rest(rig: FleetRig, gone: Collection[str]) -> list[str]:
-    return [name for name in rig.members if name not in gone]
+def _rest(rig: FleetRig, absent: Collection[str]) -> list[str]:
+    return [name for name in rig.members if name not in absent]
 
 
 def _unchanged(history: ViewHistory, names: Collection[str], how: str) -> Measurement:
     changes = history.changes(names)
     sizes = " ".join(f"{one.number}:{one.members}" for one in changes) or "none"
-    return Measurement(
-        not changes, f"{how}: changes {sizes}, views alike {history.share_in_one_view(names):.3f} of the time"
-    )
+    share = history.share_with_same_view(names)
+    return Measurement(not changes, f"{how}: changes {sizes}, views alike {share:.3f} of the time")
 
 
 def pauses(rig: FleetRig, random: Random) -> Iterator[Measurement]:
     """Pause a third of the members, shortly and for long."""
     size = len(rig.members)
-    gone = _third(rig, random)
+    absent = _third(rig, random)
     history = ViewHistory(rig)
-    rig.pause(*gone)
+    rig.pause(*absent)
     time.sleep(5.0)
-    rig.resume(*gone)
+    rig.resume(*absent)
     time.sleep(SETTLE_SECONDS)
-    yield _unchanged(history, list(rig.members), f"{len(gone)} stopped for 5 s")
+    yield _unchanged(history, list(rig.members), f"{len(absent)} stopped for 5 s")
     history = ViewHistory(rig)
-    rig.pause(*gone)
-    out = history.wait_for_one_view(_rest(rig, gone), size - len(gone))
+    rig.pause(*absent)
+    out = history.wait_for_same_view(_rest(rig, absent), size - len(absent))
     time.sleep(max(0.0, history.since + 15.0 - time.monotonic()))
     back = ViewHistory(rig)
-    rig.resume(*gone)
-    took = back.wait_for_one_view(list(rig.members), size)
+    rig.resume(*absent)
+    took = back.wait_for_same_view(list(rig.members), size)
     changes = history.changes(list(rig.members))
-    share = history.share_in_one_view(_rest(rig, gone))
+    share = history.share_with_same_view(_rest(rig, absent))
     yield Measurement(
         len(changes) == 2,
-        f"{len(gone)} stopped for 15 s: out of all views after {out:.1f} s, whole {took:.1f} s after "
+        f"{len(absent)} stopped for 15 s: out of all views after {out:.1f} s, whole {took:.1f} s after "
         f"they go on, {len(changes)} changes, views alike {share:.3f} of the time",
     )
 
@@ -139,20 +138,20 @@
 def killed(rig: FleetRig, random: Random) -> Iterator[Measurement]:
     """Kill one member, then a third of them, and start them again."""
     size = len(rig.members)
-    for gone, bound in ((_third(rig, random)[:1], 8.0), (_third(rig, random), 8.0)):
+    for absent, bound in ((_third(rig, random)[:1], 8.0), (_third(rig, random), 8.0)):
         history = ViewHistory(rig)
-        rig.kill(*gone)
-        took = history.wait_for_one_view(_rest(rig, gone), size - len(gone))
-        changes = history.changes(_rest(rig, gone))
+        rig.kill(*absent)
+        took = history.wait_for_same_view(_rest(rig, absent), size - len(absent))
+        changes = history.changes(_rest(rig, absent))
         yield Measurement(
             len(changes) == 1 and took <= bound,
-            f"{len(gone)} killed: out of all views after {took:.1f} s ({bound:g}), {len(changes)} changes",
+            f"{len(absent)} killed: out of all views after {took:.1f} s ({bound:g}), {len(changes)} changes",
         )
         history = ViewHistory(rig)
-        list(rig.pool.map(rig.start, gone))
+        list(rig.pool.map(rig.start, absent))
         up = time.monotonic() - history.since
-        took = history.wait_for_one_view(list(rig.members), size)
-        yield Measurement(True, f"{len(gone)} started again in {up:.1f} s: in all views after {took:.1f} s")
+        took = history.wait_for_same_view(list(rig.members), size)
+        yield Measurement(True, f"{len(absent)} started again in {up:.1f} s: in all views after {took:.1f} s")
         time.sleep(SETTLE_SECONDS)
 
 
@@ -197,10 +196,10 @@
         rest = _rest(rig, [one])
         history = ViewHistory(rig)
         rig.set_links(*([one], rest) if how == "mute" else (rest, [one]))
-        out = history.wait_for_one_view(rest, size - 1)
+        out = history.wait_for_same_view(rest, size - 1)
         rig.heal()
         back = ViewHistory(rig)
-        took = back.wait_for_one_view(names, size)
+        took = back.wait_for_same_view(names, size)
         changes = history.changes(rest)
         noticed = [
             text for at, text in rig.members[one].events if at > history.since and f"side={how}" in text
@@ -253,7 +252,7 @@
         since = time.monotonic()
         rig.start_all()
         up = time.monotonic() - since
-        took = ViewHistory(rig, since).wait_for_one_view(list(rig.members), size)
+        took = ViewHistory(rig, since).wait_for_same_view(list(rig.members), size)
         yield Measurement(True, f"{size} sidecars started in {up:.1f} s, in one view {took - up:.1f} s later")
         time.sleep(COUNTING_SECONDS)
         yield from idle_traffic(rig)
--- a/wheatring/lab/model_checker/runner.py
+++ b/wheatring/lab/model_checker/runner.py
@@ -19,9 +19,9 @@
     shortest_trace,
 )
 
-WALKS_PER_JOB = 50
+WALKS_PER_TASK = 50
 WALK_LENGTH = 500  # steps
-STORAGE_WALKS_PER_JOB = 100
+STORAGE_WALKS_PER_TASK = 100
 MAX_MUTANT_WALKS = 3000
 MAX_STATES = 400_000  # of one exhaustive search
 THREE, FIVE = Rules(), Rules(names=("A", "B", "C", "D", "E"), losses=2)
@@ -33,7 +33,7 @@
 
 def _walks(rules: Rules, first_seed: int) -> SearchResult:
     total = SearchResult()
-    for seed in range(first_seed, first_seed + WALKS_PER_JOB):
+    for seed in range(first_seed, first_seed + WALKS_PER_TASK):
         total.add(random_walk(rules, seed, WALK_LENGTH))
         if total.violation:
             total.trace = shortest_trace(total, rules)
@@ -43,7 +43,7 @@
 
 def _storage_walks(losses: int, first_seed: int) -> SearchResult:
     total = SearchResult()
-    for seed in range(first_seed, first_seed + STORAGE_WALKS_PER_JOB):
+    for seed in range(first_seed, first_seed + STORAGE_WALKS_PER_TASK):
         total.add(storage_model.random_walk(storage_model.StorageRules(losses), seed))
         if total.violation:
             break
@@ -74,8 +74,8 @@
     """
     with ProcessPoolExecutor(processes) as pool:
         searches = {name: pool.submit(_search, name, depth) for name in START_STATES}
-        seeds = range(0, walks, WALKS_PER_JOB)
-        storage_seeds = range(0, walks, STORAGE_WALKS_PER_JOB)
+        seeds = range(0, walks, WALKS_PER_TASK)
+        storage_seeds = range(0, walks, STORAGE_WALKS_PER_TASK)
         groups = {
             "walks, 3 replicas": [pool.submit(_walks, THREE, seed) for seed in seeds],
             "walks, 5 replicas": [pool.submit(_walks, FIVE, seed) for seed in seeds],
--- a/wheatring/lab/rules/request_checker.py
+++ b/wheatring/lab/rules/request_checker.py
@@ -206,7 +206,7 @@
         request.attempts.append(attempt)
         request.attempts_in_flight += 1
         if request.sidecar != sidecar:
-            self._check_holder(sidecar, request, attempt)
+            self._check_owner(sidecar, request, attempt)
         elif request.end or len(request.attempts) > 1:
             self.duplicates.check_arrival(request, attempt)
         if self.unnamed_drain_breaches:
@@ -223,7 +223,7 @@
             line = f"arrived sidecar={sidecar} node={node} ident={ident}"
             self.trace.line(at, ident, f"{line} sent={self.day_seconds(attempt.sent_at)!r}")
 
-    def _check_holder(self, sidecar: str, request: Request, attempt: Attempt) -> None:
+    def _check_owner(self, sidecar: str, request: Request, attempt: Attempt) -> None:
         """Judge an attempt of a sidecar without the request: lawful where its process has ended."""
         attempt.rejected = True
         if self.last_down_at.get(sidecar, self.start - 1.0) < attempt.sent_at:
--- a/wheatring/lab/scenario/events.py
+++ b/wheatring/lab/scenario/events.py
@@ -26,10 +26,10 @@
 class Expansion:
     """Goes through a day once; `made` holds what it gave, in the order of time."""
 
-    def __init__(self, draws: PlanSampler, scenario: Scenario, fleet: Fleet, end: float) -> None:
+    def __init__(self, sampler: PlanSampler, scenario: Scenario, fleet: Fleet, end: float) -> None:
         self.made: list[EventPlan] = []
         self.fleet = fleet
-        self.draws = draws
+        self.sampler = sampler
         self._end = end
         self.tiers = [tier.name for tier in scenario.tiers]
         self._steps: list[tuple[float, int, int, _Call]] = []
@@ -74,15 +74,15 @@
 
     def number(self, key: str) -> float:
         """Return a figure, drawn."""
-        return self.day.draws.number(f"{self.path}.{key}", self._given(key))
+        return self.day.sampler.number(f"{self.path}.{key}", self._given(key))
 
     def integer(self, key: str, default: int) -> int:
         """Return a whole number, drawn."""
-        return self.day.draws.integer(f"{self.path}.{key}", self._given(key, default))
+        return self.day.sampler.integer(f"{self.path}.{key}", self._given(key, default))
 
     def switch(self, key: str) -> bool:
         """Return a switch, drawn."""
-        return bool(self.day.draws.choice(f"{self.path}.{key}", self._given(key, False)))
+        return bool(self.day.sampler.choice(f"{self.path}.{key}", self._given(key, False)))
 
     def _tier(self) -> int | None:
         if self.event.tier is not None:
@@ -110,7 +110,7 @@
             return self.chosen
         if not running:
             raise ContradictionError(Fault(f"{self.path}.at", "nothing that it could strike runs then", at))
-        order = self.day.draws.order(f"{self.path}.pick{time if anew else ''}", running)
+        order = self.day.sampler.order(f"{self.path}.pick{time if anew else ''}", running)
         if self.event.count is not None:
             wanted = self.integer("count", 1)
         elif self.event.part is not None:
@@ -179,7 +179,7 @@
         names = self._nodes(time, at)
         assert tier is not None
         callers = fleet.running(tier - 1, at) if tier else [one.name for one in fleet.sidecars]
-        callers = self.day.draws.order(f"{self.path}.callers", callers)
+        callers = self.day.sampler.order(f"{self.path}.callers", callers)
         wanted = self.integer("callers", 0) or len(callers)
         if names and callers:
             self.day.emit(
@@ -229,7 +229,7 @@
             return  # something else has taken it down in the meantime
         new = ""
         if replaced:
-            same = self.day.draws.random(f"{self.path}.same_address:{name}").random()
+            same = self.day.sampler.random(f"{self.path}.same_address:{name}").random()
             new = fleet.add_successor(name, at + lead + gap, same < self.number("same_address"))
         else:
             fleet.restart(name, at + lead + gap)
@@ -255,7 +255,7 @@
         lead, gap = self.number("lead"), self.number("gap")
         step, spread = self.number("step"), self.number("spread")
         for place, name in enumerate(names):
-            random = self.day.draws.random(f"{self.path}.spread{time}:{name}")
+            random = self.day.sampler.random(f"{self.path}.spread{time}:{name}")
             delay = random.uniform(0.0, spread) if spread else place * step
             self.day.schedule(
                 at + delay, self.place, partial(self._end_them, [name], "sidecar_restart", lead, gap)
--- a/wheatring/lab/scenario/fleet.py
+++ b/wheatring/lab/scenario/fleet.py
@@ -22,8 +22,8 @@
 class Fleet:
     """`free` and `sidecar_free` say from when on one runs with nothing planned that takes it down again."""
 
-    def __init__(self, draws: PlanSampler, scenario: Scenario) -> None:
-        self.draws = draws
+    def __init__(self, sampler: PlanSampler, scenario: Scenario) -> None:
+        self.sampler = sampler
         self.scenario = scenario
         self.nodes: dict[str, NodePlan] = {}
         self.tiers: list[list[str]] = []  # names of its machines, in the order in which they are planned
@@ -41,9 +41,9 @@
     def _front(self) -> tuple[SidecarPlan, ...]:
         front, zones = self.scenario.front, self.scenario.zones
         made = []
-        for number in range(self.draws.integer("front.sidecars", front.sidecars)):
+        for number in range(self.sampler.integer("front.sidecars", front.sidecars)):
             name = f"{FRONT}-{number + 1}"
-            start = self.draws.number(f"front.starts:{name}", front.starts)
+            start = self.sampler.number(f"front.starts:{name}", front.starts)
             zone = zones[number % len(zones)]
             made.append(SidecarPlan(name=name, host=_host(1, number), zone=zone, start=start))
             self.sidecar_free[name] = start + self._start_up
@@ -51,28 +51,28 @@
 
     def _first(self, tier: int) -> None:
         """Add a tier's machines that run from the start on."""
-        given, draws = self.scenario.tiers[tier], self.draws
+        given, sampler = self.scenario.tiers[tier], self.sampler
         path = f"tier.{given.name}"
         if given.nodes is not None:
-            size = draws.integer(f"{path}.nodes", given.nodes)
+            size = sampler.integer(f"{path}.nodes", given.nodes)
         else:
-            size = max(1, round(draws.number(f"{path}.times", given.times or 1.0) * len(self.tiers[0])))
+            size = max(1, round(sampler.number(f"{path}.times", given.times or 1.0) * len(self.tiers[0])))
         kinds = [(f"{path}.kind.{kind.name}", kind) for kind in given.kinds]
-        self._shares.append([draws.number(f"{at}.share", kind.share) for at, kind in kinds])
+        self._shares.append([sampler.number(f"{at}.share", kind.share) for at, kind in kinds])
         self._speeds.append(
             [
-                (draws.number(f"{at}.speed", kind.speed), draws.number(f"{at}.speed_cv", kind.speed_cv))
+                (sampler.number(f"{at}.speed", kind.speed), sampler.number(f"{at}.speed_cv", kind.speed_cv))
                 for at, kind in kinds
             ]
         )
-        self._cells.append(draws.integer(f"{path}.cell_size", given.cell_size))
+        self._cells.append(sampler.integer(f"{path}.cell_size", given.cell_size))
         self.tiers.append([])
         names = [f"{given.name}-{number}" for number in range(1, size + 1)]
         parts = apportion(size, self._shares[tier])
         kind_of = [kind for kind, number in enumerate(parts) for _ in range(number)]
         # Kinds are assigned in a drawn order, so that a name says nothing about the machine.
-        dealt_to = dict(zip(draws.order(f"{path}.kinds", names), kind_of, strict=True))
-        random = draws.random(f"{path}.speeds")
+        dealt_to = dict(zip(sampler.order(f"{path}.kinds", names), kind_of, strict=True))
+        random = sampler.random(f"{path}.speeds")
         for name in names:
             self._add(tier, name, dealt_to[name], random.gauss(0.0, 1.0), 0.0)
 
@@ -110,7 +110,7 @@
         self.restart(name, start)
 
     def _normal(self, tier: int, name: str) -> float:
-        return self.draws.random(f"tier.{self.scenario.tiers[tier].name}.speed:{name}").gauss(0.0, 1.0)
+        return self.sampler.random(f"tier.{self.scenario.tiers[tier].name}.speed:{name}").gauss(0.0, 1.0)
 
     def add_successor(self, name: str, start: float, same_address: bool) -> str:
         """Add a machine in the place of one that ends, of its kind, and return its name."""
@@ -127,7 +127,7 @@
         given = self.scenario.tiers[tier]
         name = f"{given.name}-{1 + sum('.' not in other for other in self.tiers[tier])}"
         kinds = range(len(given.kinds))
-        random = self.draws.random(f"tier.{given.name}.kind:{name}")
+        random = self.sampler.random(f"tier.{given.name}.kind:{name}")
         kind = random.choices(kinds, self._shares[tier])[0]
         self._add(tier, name, kind, self._normal(tier, name), start)
         return name
--- a/wheatring/lab/scenario/plan_builder.py
+++ b/wheatring/lab/scenario/plan_builder.py
@@ -37,49 +37,49 @@
 def draw(found: LoadedScenario, seed: int) -> Plan:
     """Draw the day of that seed. Raises ScenarioError for a draw that contradicts itself."""
     try:
-        return _Day(found.scenario, PlanSampler(seed)).plan(found.name)
+        return _PlanBuilder(found.scenario, PlanSampler(seed)).build(found.name)
     except ContradictionError as error:
         raise ScenarioError(found.where, [error.fault]) from None
 
 
-class _Day:
-    def __init__(self, scenario: Scenario, draws: PlanSampler) -> None:
+class _PlanBuilder:
+    def __init__(self, scenario: Scenario, sampler: PlanSampler) -> None:
         self.scenario = scenario
-        self.draws = draws
+        self.sampler = sampler
 
-    def plan(self, name: str) -> Plan:
+    def build(self, name: str) -> Plan:
         """Sample the whole plan."""
-        given, draws = self.scenario, self.draws
-        length, tail = draws.number("length", given.length), draws.number("tail", given.tail)
-        classes = tuple(draws.struct(ClassPlan, f"class.{one.name}", one) for one in given.classes)
+        given, sampler = self.scenario, self.sampler
+        length, tail = sampler.number("length", given.length), sampler.number("tail", given.tail)
+        classes = tuple(sampler.struct(ClassPlan, f"class.{one.name}", one) for one in given.classes)
         tiers = tuple(map(self._tier, given.tiers))
-        fleet = Fleet(draws, given)
+        fleet = Fleet(sampler, given)
         first = tuple(fleet.nodes.values())
         asked = demand(classes, tiers)
         rate = min(able / work for able, work in zip(capacity(first, tiers), asked, strict=True))
-        events = Expansion(draws, given, fleet, length + tail).made
+        events = Expansion(sampler, given, fleet, length + tail).made
         start = given.sidecar_start
         return Plan(
             scenario=name,
-            seed=draws.seed,
+            seed=sampler.seed,
             length=length,
             tail=tail,
             epoch=given.epoch,
-            front_notice=draws.number("front.notice", given.front.notice),
-            counted=draws.number("front.counted", given.front.counted),
-            held=draws.choice("front.held", given.front.held),
-            passes_deadline=draws.choice("passes_deadline", given.passes_deadline),
+            front_notice=sampler.number("front.notice", given.front.notice),
+            counted=sampler.number("front.counted", given.front.counted),
+            held=sampler.choice("front.held", given.front.held),
+            passes_deadline=sampler.choice("passes_deadline", given.passes_deadline),
             classes=classes,
             tiers=tiers,
             nodes=tuple(fleet.nodes.values()),
             sidecars=fleet.sidecars,
             traffic=self._traffic(given.traffic, rate, length),
-            net=draws.struct(NetPlan, "net", given.net),
-            clients=draws.struct(ClientPlan, "clients", given.clients),
+            net=sampler.struct(NetPlan, "net", given.net),
+            clients=sampler.struct(ClientPlan, "clients", given.clients),
             discovery=self._discovery(fleet),
-            rules=draws.struct(RulesPlan, "rules", given.rules),
-            limits=draws.struct(LimitsPlan, "limits", given.limits),
-            goal=draws.struct(GoalPlan, "goal", given.goal),
+            rules=sampler.struct(RulesPlan, "rules", given.rules),
+            limits=sampler.struct(LimitsPlan, "limits", given.limits),
+            goal=sampler.struct(GoalPlan, "goal", given.goal),
             check=CheckPlan(**structs.asdict(given.check)),
             events=tuple(events),
             sidecar_start=(start[0], start[1]) if isinstance(start, tuple) else (start, start),
@@ -88,16 +88,16 @@
     def _tier(self, given: Tier) -> TierPlan:
         path = f"tier.{given.name}"
         kinds = tuple(self._kind(f"{path}.kind.{kind.name}", kind) for kind in given.kinds)
-        return self.draws.struct(
+        return self.sampler.struct(
             TierPlan, path, given, kinds=kinds, choke=self._choke(f"{path}.choke", given.choke)
         )
 
     def _kind(self, path: str, given: Kind) -> KindPlan:
-        cores = self.draws.integer(f"{path}.cores", given.cores)
-        slots = self.draws.number(f"{path}.slots_per_core", given.slots_per_core)
-        queue = self.draws.number(f"{path}.queue_per_core", given.queue_per_core)
-        knee = self.draws.number(f"{path}.knee_per_core", given.knee_per_core)
-        return self.draws.struct(
+        cores = self.sampler.integer(f"{path}.cores", given.cores)
+        slots = self.sampler.number(f"{path}.slots_per_core", given.slots_per_core)
+        queue = self.sampler.number(f"{path}.queue_per_core", given.queue_per_core)
+        knee = self.sampler.number(f"{path}.knee_per_core", given.knee_per_core)
+        return self.sampler.struct(
             KindPlan, path, given,
             cores=cores, slots=max(1, round(slots * cores)), queue=round(queue * cores), knee=knee * cores,
         )  # fmt: skip
@@ -105,55 +105,55 @@
     def _choke(self, path: str, given: Choke | None) -> ChokePlan | None:
         if given is None:
             return None
-        share = self.draws.number(f"{path}.share", given.share)
-        there = self.draws.random(f"{path}.there").random() < share
-        return self.draws.struct(ChokePlan, path, given) if there else None
+        share = self.sampler.number(f"{path}.share", given.share)
+        there = self.sampler.random(f"{path}.there").random() < share
+        return self.sampler.struct(ChokePlan, path, given) if there else None
 
     def _traffic(self, given: Traffic, max_rate: float, length: float) -> TrafficPlan:
         """`max_rate`: first tries a second that use up the tier that runs out first."""
-        draws = self.draws
+        sampler = self.sampler
         if given.rate is not None:
-            rate = draws.number("traffic.rate", given.rate)
+            rate = sampler.number("traffic.rate", given.rate)
         else:
-            rate = float(f"{draws.number('traffic.load', given.load or 0.0) * max_rate:.6g}")
+            rate = float(f"{sampler.number('traffic.load', given.load or 0.0) * max_rate:.6g}")
         points = list(given.points) if given.points is not None else self._shape(given)
         lasting = [*points, (1.0, points[-1][1])]  # the last factor stays
         mean = sum((one + other) / 2 * (to - at) for (at, one), (to, other) in pairwise(lasting))
         return TrafficPlan(
             rate=rate,
             shape=tuple((round(at * length, 6), float(f"{factor / mean:.9g}")) for at, factor in points),
-            burst_cv=draws.number("traffic.burst_cv", given.burst_cv),
-            burst=draws.number("traffic.burst", given.burst),
+            burst_cv=sampler.number("traffic.burst_cv", given.burst_cv),
+            burst=sampler.number("traffic.burst", given.burst),
         )
 
     def _shape(self, given: Traffic) -> list[tuple[float, float]]:
         """Points (part of the day, factor) of a shape that is given by a word."""
-        draws = self.draws
-        word = draws.choice("traffic.shape", given.shape)
-        swing = draws.number("traffic.swing", given.swing)
+        sampler = self.sampler
+        word = sampler.choice("traffic.shape", given.shape)
+        swing = sampler.number("traffic.swing", given.swing)
         if word == "ramp":
             return [(0.0, 1.0 - swing), (1.0, 1.0 + swing)]
         if word == "steady":
             return [(0.0, 1.0)]
-        humps = draws.integer("traffic.humps", given.humps)
+        humps = sampler.integer("traffic.humps", given.humps)
         points = [(0.0, 1.0 - swing)]
         for hump in range(humps):
-            random = draws.random(f"traffic.humps:{hump}")
+            random = sampler.random(f"traffic.humps:{hump}")
             points.append(((hump + random.uniform(0.3, 0.7)) / humps, 1.0 + swing * random.uniform(0.6, 1.4)))
             points.append(((hump + 1) / humps, 1.0 - swing))
         return points
 
     def _discovery(self, fleet: Fleet) -> DiscoveryPlan:
-        given, draws = self.scenario.discovery, self.draws
-        call = draws.number("discovery.call_lines", given.call_lines)
+        given, sampler = self.scenario.discovery, self.sampler
+        call = sampler.number("discovery.call_lines", given.call_lines)
         if given.lines_per_s is not None:
-            lines = draws.number("discovery.lines_per_s", given.lines_per_s)
+            lines = sampler.number("discovery.lines_per_s", given.lines_per_s)
         else:
             callers = [len(fleet.sidecars), *map(len, fleet.tiers[:-1])]
             call_lines = sum(
                 number * (call + len(tier)) for number, tier in zip(callers, fleet.tiers, strict=True)
             )
-            times = draws.number("discovery.capacity", given.capacity or _DISCOVERY_CAPACITY)
-            within = draws.number("rules.ask_within", self.scenario.rules.ask_within)
+            times = sampler.number("discovery.capacity", given.capacity or _DISCOVERY_CAPACITY)
+            within = sampler.number("rules.ask_within", self.scenario.rules.ask_within)
             lines = float(f"{times * call_lines / within:.6g}")
-        return draws.struct(DiscoveryPlan, "discovery", given, call_lines=call, lines_per_s=lines)
+        return sampler.struct(DiscoveryPlan, "discovery", given, call_lines=call, lines_per_s=lines)
