--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -94,9 +94,8 @@
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
-        self.links = (
-            make_links(plan) if with_links or any(e.kind in LINK_EVENTS for e in plan.events) else None
-        )
+        needs_links = with_links or any(event.kind in LINK_EVENTS for event in plan.events)
+        self.links = make_links(plan) if needs_links else None
         self.nodes = Nodes(
             reactor, plan, clock, self.origins, self.checker, self.registry,
             lambda name: self.slots.where(name), self.links,
@@ -107,28 +106,32 @@
         )  # fmt: skip
         self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.links)
         self.lifecycles.ready, self.lifecycles.failed = self.start_day, self.stop
-        way = SidecarClient(
-            reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
+        self.clients = self._create_clients()
+        self.event_scheduler = self._create_event_scheduler()
+        self.lateness = array("d")
+        self.began = 0.0
+        self.fault: BaseException | None = None
+        self.outcome: LiveOutcome | None = None
+        self.over = False
+
+    def _create_clients(self) -> Clients:
+        plan, clock = self.plan, self.clock
+        transport = SidecarClient(
+            self.reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
             plan.clients.connections,
         )  # fmt: skip
-        self.clients = Clients(
-            plan, clock, self.random("clients"), self.origins, self.checker, self.front, way
-        )
-        machines = {name: node.machine for name, node in self.nodes.nodes.items()}
-        self.event_scheduler = EventScheduler(
-            clock,
-            Faults(plan, self.nodes, self.links),
-            machines,
+        return Clients(plan, clock, self.random("clients"), self.origins, self.checker, self.front, transport)
+
+    def _create_event_scheduler(self) -> EventScheduler:
+        return EventScheduler(
+            self.clock,
+            Faults(self.plan, self.nodes, self.links),
+            {name: node.machine for name, node in self.nodes.nodes.items()},
             self.registry,
             self.slots,
             self.lifecycles,
             self.checker.record_event,
         )
-        self.lateness = array("d")
-        self.began = 0.0
-        self.fault: BaseException | None = None
-        self.outcome: LiveOutcome | None = None
-        self.over = False
 
     def random(self, name: str) -> Random:
         """Make the random numbers of one part, by its name and the plan's seed."""
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -68,6 +68,13 @@
             gc.unfreeze()
 
 
+def check_playable(plan: Plan) -> None:
+    """Raise ValueError if a plan has events that need real processes."""
+    kinds = sorted({event.kind for event in plan.events if event.kind in LIVE_ONLY})
+    if kinds:
+        raise ValueError(f"{plan.scenario}: can't be played in virtual time: {', '.join(kinds)}")
+
+
 class World:
     """One plan at one grain, on the environment that is made for it. `play` may be called once."""
 
@@ -78,21 +85,16 @@
         make_environment: Callable[[World], Environment],
         tracing: Tracing | None = None,
     ) -> None:
-        never = sorted({event.kind for event in plan.events if event.kind in LIVE_ONLY})
-        if never:
-            raise ValueError(f"{plan.scenario}: can't be played in virtual time: {', '.join(never)}")
+        check_playable(plan)
         self.plan = plan
         self.grain = grain
         ties = self.random("ties") if plan.net.shuffle else None
         self.time = VirtualTime(START, ties)
         self.day_start = START + LEAD_SECONDS
         self.origins = CorrelationTable(self.random("ids"))
-        first_request_of = self.origins.first
-        self.trace = (
-            None if tracing is None else Trace(self.day_start, tracing.file, tracing.of, first_request_of)
-        )
+        self.trace = None if tracing is None else self._create_trace(tracing)
         self.checker = InvariantChecker(
-            plan, grain, self.time.now, self.day_start, self.trace, first_request_of
+            plan, grain, self.time.now, self.day_start, self.trace, self.origins.first
         )
         self.registry = Registry(
             plan.discovery, self.time, self.unix_time, self.random("discovery"), self.checker
@@ -105,12 +107,17 @@
         )
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
-        deduplicator = EffectDeduplicator(self.time, plan.classes, self.checker)
-        for node in plan.nodes:
-            self.add_machine(node, deduplicator)
+        self.add_machines()
         self.add_slots()
-        self.clients = Clients(
-            plan,
+        self.clients = self._create_clients()
+        self.event_scheduler = self._create_event_scheduler()
+
+    def _create_trace(self, tracing: Tracing) -> Trace:
+        return Trace(self.day_start, tracing.file, tracing.of, self.origins.first)
+
+    def _create_clients(self) -> Clients:
+        return Clients(
+            self.plan,
             self.time,
             self.random("clients"),
             self.origins,
@@ -118,7 +125,9 @@
             self.front,
             self.environment.client_transport,
         )
-        self.event_scheduler = EventScheduler(
+
+    def _create_event_scheduler(self) -> EventScheduler:
+        return EventScheduler(
             self.time,
             self.environment,
             self.machines,
@@ -143,6 +152,12 @@
 
     # Its parts
 
+    def add_machines(self) -> None:
+        """Add the machines of all nodes."""
+        deduplicator = EffectDeduplicator(self.time, self.plan.classes, self.checker)
+        for node in self.plan.nodes:
+            self.add_machine(node, deduplicator)
+
     def add_machine(self, node: NodePlan, deduplicator: EffectDeduplicator) -> None:
         """Add the machine of a node."""
         is_last_tier = node.tier + 1 == len(self.plan.tiers)
@@ -175,7 +190,7 @@
         self.registry.assign_tier(name, tier)
 
     def initial_endpoint_list(self, tier: int) -> dict[str, Any]:
-        """Return the machine list of a tier with which a sidecar starts, in discovery's form."""
+        """Return the endpoint list of a tier with which a sidecar starts, in discovery's form."""
         return list_reply_json(self.registry.initial_list(tier, self.plan.held))
 
     # Sidecars come and go
@@ -195,7 +210,7 @@
         if slot.name not in self.nodes:
             self.front.sidecar_down(slot.name)
 
-    # The lives of nodes
+    # Lifecycles of nodes
 
     def start(self, name: str, cold: bool = True) -> None:
         """Start the process of a node, cold or as if it had run for long."""
