--- a/wheatring/lab/agreement/view_checks.py
+++ b/wheatring/lab/agreement/view_checks.py
@@ -8,6 +8,7 @@
 from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
+from typing import NamedTuple
 
 from wheatring.lab.agreement import register_orders, view_days
 from wheatring.lab.agreement.planted_faults import REGISTER_FAULTS, VIEW_FAULTS
@@ -25,23 +26,30 @@
     return [register_orders.run_order(seed) for seed in range(first, first + DAYS_PER_TASK * ORDERS_PER_DAY)]
 
 
-def find_in_register(limit: int, number: int) -> tuple[int, str]:
-    """Return in how many orders a planted fault is found, and its breach ("" if it is not found)."""
+class Detection(NamedTuple):
+    """How a planted fault was found."""
+
+    runs: int  # that were played for it
+    breach: str  # "" if it was not found
+
+
+def find_in_register(limit: int, number: int) -> Detection:
+    """Play orders of messages until a planted fault is found."""
     for seed in range(1, limit + 1):
         walked = register_orders.run_order(seed, REGISTER_FAULTS[number].make_register)
         if walked.breach:
-            return seed, walked.breach
-    return limit, ""
+            return Detection(seed, walked.breach)
+    return Detection(limit, "")
 
 
-def find_in_views(limit: int, number: int) -> tuple[int, str]:
-    """Return in how many days a planted fault is found, and its breach ("" if it is not found)."""
+def find_in_views(limit: int, number: int) -> Detection:
+    """Play days until a planted fault is found."""
     planted = VIEW_FAULTS[number]
     for seed in range(1, limit + 1):
         day = view_days.play(seed, planted.kind, planted.make_pieces)
         if day.breaches:
-            return seed, day.breaches[0]
-    return limit, ""
+            return Detection(seed, day.breaches[0])
+    return Detection(limit, "")
 
 
 def report(drawn: int, workers: int, fail: Callable[[], object]) -> Iterator[str]:
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable, Collection, Iterable
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from wheatring.lab.live.links.link_controller import LinkController
 from wheatring.lab.live.links.link_state import NO_FAULT, LinkState
@@ -30,12 +30,25 @@
     "window-left", "window-not-entered", "time-sure", "time-unsure",
 )  # fmt: skip
 MAX_PARALLEL_STARTS = 16  # processes started side by side
-ADDRESS_SUFFIX = (
-    1  # the last part of all addresses: bands that are there at the same time each have their own
-)
+# The last part of all addresses: rigs that run at the same time each have their own.
+ADDRESS_SUFFIX = 1
 CLASSES = [{"name": "a", "slo": 1_000_000, "deadline": 2_000_000, "value": 1.0, "effect": "pure"}]
 
 
+class LogLine(NamedTuple):
+    """A line of a member's log."""
+
+    at: float  # when it was read, in monotonic seconds
+    text: str
+
+
+class AdminReply(NamedTuple):
+    """The answer to an operator's call."""
+
+    status: int
+    text: str
+
+
 class RigMember:
     """One member's name and address, over all of its starts."""
 
@@ -45,7 +58,7 @@
         self.number = number
         self.process: Sidecar | None = None
         self.starts: list[Sidecar] = []
-        self.events: list[tuple[float, str]] = []  # lines of its log on the fleet, and when they were read
+        self.events: list[LogLine] = []  # lines of its log on the fleet
         self.relay_port = 0
         self.admin_port = 0
 
@@ -134,7 +147,7 @@
             """Record a line of a member's log, if it is one of the recorded events."""
             word = text.partition(" ")[0]
             if word in RECORDED_EVENTS:
-                member.events.append((time.monotonic(), text))
+                member.events.append(LogLine(time.monotonic(), text))
 
         more: dict[str, Any] = {"known": {"generation": 1, "reset": True, "instances": []}}
         if member.number in self.admin_numbers:
@@ -211,19 +224,19 @@
 
     # What is seen
 
-    def admin_call(self, name: str, method: str, path: str, body: bytes | None = None) -> tuple[int, str]:
-        """Make an operator's call at a member; return the status and the answer's text."""
+    def admin_call(self, name: str, method: str, path: str, body: bytes | None = None) -> AdminReply:
+        """Make an operator's call at a member."""
         line = http.client.HTTPConnection("127.0.0.1", self.members[name].admin_port, timeout=WAIT_SECONDS)
         try:
             line.request(method, f"/control/{path}", body)
             answer = line.getresponse()
-            return answer.status, answer.read().decode()
+            return AdminReply(answer.status, answer.read().decode())
         finally:
             line.close()
 
     def status(self, name: str) -> dict[str, Any]:
         """Return a member's answer to `GET /control/duties`."""
-        found: dict[str, Any] = json.loads(self.admin_call(name, "GET", "duties")[1])
+        found: dict[str, Any] = json.loads(self.admin_call(name, "GET", "duties").text)
         return found
 
     def wait_until(self, what: Callable[[], Any], why: str, patience: float = WAIT_SECONDS) -> Any:
@@ -255,9 +268,9 @@
         )
         return found
 
-    def role_events(self, name: str) -> list[tuple[float, str]]:
-        """Return a member's log lines on its role, with the instants at which they were read."""
-        return [event for event in self.members[name].events if event[1].startswith("duty-")]
+    def role_events(self, name: str) -> list[LogLine]:
+        """Return a member's log lines on its role."""
+        return [event for event in self.members[name].events if event.text.startswith("duty-")]
 
 
 def fencing_violations(acts: list[RoleCall]) -> list[str]:
--- a/wheatring/lab/live/list_acquisition.py
+++ b/wheatring/lab/live/list_acquisition.py
@@ -56,6 +56,13 @@
     raise ProcessError("/proc/meminfo tells no free memory")
 
 
+class BoundCheck(NamedTuple):
+    """Whether a bound of the plan is kept, and the figures in words."""
+
+    is_kept: bool
+    text: str
+
+
 class AcquisitionTimes(NamedTuple):
     """How the fleet acquired its list.
 
@@ -97,30 +104,28 @@
     )  # fmt: skip
 
 
-def judged(plan: Plan, outcome: Outcome) -> Iterator[tuple[bool, str]]:
-    """Judge each bound that the plan states: whether it is kept, and in words."""
+def judged(plan: Plan, outcome: Outcome) -> Iterator[BoundCheck]:
+    """Check each bound that the plan states."""
     check, found = plan.check, acquisition_times(plan, outcome)
     for name, at in (("half", found.half), ("most", found.p95), ("all", found.all)):
         wanted = getattr(check, f"held_{name}")
         if wanted is not None:
             times = at / found.minimum
-            yield times <= wanted, f"held_{name}: {at:.1f} s, {times:.2f} times the least ({wanted:g})"
+            text = f"held_{name}: {at:.1f} s, {times:.2f} times the least ({wanted:g})"
+            yield BoundCheck(times <= wanted, text)
     if check.failed_each is not None:
-        yield (
-            found.failed_each <= check.failed_each,
-            (f"failed_each: {found.failed_each:.3f} for each list brought ({check.failed_each:g})"),
-        )
+        text = f"failed_each: {found.failed_each:.3f} for each list brought ({check.failed_each:g})"
+        yield BoundCheck(found.failed_each <= check.failed_each, text)
     if check.asked_most is not None:
         times = found.peak_requests / found.per_s
-        yield (
-            times <= check.asked_most,
-            (
-                f"asked_most: {found.peak_requests} in a second, {times:.1f} times what can be answered "
-                f"({check.asked_most:g})"
-            ),
+        text = (
+            f"asked_most: {found.peak_requests} in a second, {times:.1f} times what can be answered "
+            f"({check.asked_most:g})"
         )
+        yield BoundCheck(times <= check.asked_most, text)
     if check.service is not None:
-        yield outcome.service >= check.service, f"service: {outcome.service:.3f} ({check.service:g})"
+        text = f"service: {outcome.service:.3f} ({check.service:g})"
+        yield BoundCheck(outcome.service >= check.service, text)
 
 
 def shown(plan: Plan, outcome: Outcome) -> Iterator[str]:
--- a/wheatring/lab/live/plan_cases.py
+++ b/wheatring/lab/live/plan_cases.py
@@ -13,7 +13,7 @@
 from random import Random
 from signal import SIGTERM
 from tempfile import TemporaryDirectory
-from typing import Any
+from typing import Any, NamedTuple
 
 from wheatring.lab.live.fleet_rig import FleetRig
 from wheatring.lab.live.links.link_state import LinkState
@@ -44,13 +44,21 @@
     return json.dumps(plan).encode()
 
 
-def events(rig: FleetRig, name: str, word: str, since: float) -> list[tuple[float, dict[str, str]]]:
-    """Return a member's log lines of one event from an instant on, with their fields."""
+class LoggedEvent(NamedTuple):
+    """A line of a member's log, parsed."""
+
+    at: float  # when it was read, in monotonic seconds
+    fields: dict[str, str]
+
+
+def events(rig: FleetRig, name: str, code: str, since: float) -> list[LoggedEvent]:
+    """Return a member's log lines of one code from an instant on."""
     found = []
     for at, text in list(rig.members[name].events):
         first, _, rest = text.partition(" ")
-        if first == word and at >= since:
-            found.append((at, dict(pair.split("=", 1) for pair in rest.split(" ") if "=" in pair)))
+        if first == code and at >= since:
+            fields = dict(pair.split("=", 1) for pair in rest.split(" ") if "=" in pair)
+            found.append(LoggedEvent(at, fields))
     return found
 
 
@@ -60,7 +68,7 @@
 
     def is_accepted() -> bool:
         """Return whether the member accepts the plan."""
-        return rig.admin_call(name, "POST", "plan", body)[0] == 202
+        return rig.admin_call(name, "POST", "plan", body).status == 202
 
     rig.wait_until(is_accepted, f"{name} takes a plan", WAIT_SECONDS)
     return since
@@ -68,7 +76,7 @@
 
 def plan_status(rig: FleetRig, name: str) -> dict[str, Any]:
     """Return a member's answer to `GET /control/plan`."""
-    seen: dict[str, Any] = json.loads(rig.admin_call(name, "GET", "plan")[1])
+    seen: dict[str, Any] = json.loads(rig.admin_call(name, "GET", "plan").text)
     return seen
 
 
@@ -203,7 +211,7 @@
     time.sleep(max(0.0, since + WINDOW_LEAD_SECONDS + WINDOW_SECONDS + 3.0 - time.monotonic()))
     spreads, missing = [], []
     for word in ("window-entered", "window-left"):
-        at = [found[-1][0] for name in names if (found := events(rig, name, word, since))]
+        at = [found[-1].at for name in names if (found := events(rig, name, word, since))]
         missing.append(len(names) - len(at))
         spreads.append(max(at) - min(at) if at else 0.0)
     return Measurement(
@@ -231,7 +239,7 @@
     rig.resume(*away)
     on = time.monotonic()
     time.sleep(2.0)
-    late = [found[-1][0] - on for name in away if (found := events(rig, name, "window-entered", since))]
+    late = [found[-1].at - on for name in away if (found := events(rig, name, "window-entered", since))]
     kept = [name for name in rest if events(rig, name, "window-entered", since)]
     yield Measurement(
         len(late) == len(away) and len(kept) == len(rest) and max(late) <= 0.5,
--- a/wheatring/lab/rules/links.py
+++ b/wheatring/lab/rules/links.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 from wheatring.lab.plan import EventPlan, Plan
 
 READ_SECONDS = 0.001  # between the arrival of bytes and their reading, at most
@@ -9,6 +11,13 @@
 RESEND_SECONDS = 0.5  # what is sent again has arrived so long after the double length of a cut, at most
 
 
+class Span(NamedTuple):
+    """A time in which a link may be disturbed; instants are seconds of the world."""
+
+    start: float
+    end: float
+
+
 class Links:
     """The delays and cuts of the plan's links.
 
@@ -29,7 +38,7 @@
         self.hosts.update({each.name: (each.host, each.side_host) for each in plan.nodes})
         self.cut_events = [event for event in plan.events if event.kind in ("partition", "vanish")]
         self.latency_events = [event for event in plan.events if event.kind == "latency"]
-        self.cut_spans: dict[tuple[str, str], list[tuple[float, float]]] = {}  # by both ends
+        self.cut_spans: dict[tuple[str, str], list[Span]] = {}  # by both ends
 
     def caller_of(self, sidecar: str) -> str:
         """Return the end of the callers of a sidecar: clients, or the node that it belongs to."""
@@ -43,20 +52,20 @@
         if spans is None:
             spans = [self._span(cut) for cut in self.cut_events if self._concerns(cut, end, other)]
             self.cut_spans[end, other] = spans
-        return any(begun <= until and since <= ended for begun, ended in spans)
+        return any(span.start <= until and since <= span.end for span in spans)
 
     def delivery_seconds(self, end: str, other: str, at: float) -> float:
         """Seconds in which what left one end for the other at an instant has been read there."""
         for event in self.latency_events:
-            begun, ended = self._span(event)
-            if begun <= at <= ended and self._concerns(event, end, other):
+            span = self._span(event)
+            if span.start <= at <= span.end and self._concerns(event, end, other):
                 return self.max_delay
         return self.usual_delay
 
-    def _span(self, cut: EventPlan) -> tuple[float, float]:
+    def _span(self, cut: EventPlan) -> Span:
         begun = self.start + cut.at
         ended = begun + 2 * cut.length + RESEND_SECONDS if cut.length > 0 else float("inf")
-        return begun - self.max_delay, ended
+        return Span(begun - self.max_delay, ended)
 
     def _concerns(self, cut: EventPlan, end: str, other: str) -> bool:
         if cut.kind == "vanish":
--- a/wheatring/lab/scenario/load.py
+++ b/wheatring/lab/scenario/load.py
@@ -78,11 +78,16 @@
     return check_tables(*load_tables(where))
 
 
-def load_tables(where: str | Path) -> tuple[Raw, str, str]:
-    """Return its tables, laid over those of what it extends, its name, and what messages call it.
+class ScenarioTables(NamedTuple):
+    """The tables of a scenario, laid over those of what it extends, and not checked yet."""
 
-    They are not checked yet. Raises ScenarioError.
-    """
+    raw: Raw
+    name: str
+    where: str  # what messages call it
+
+
+def load_tables(where: str | Path) -> ScenarioTables:
+    """Return the tables of a scenario of the library, or of a file. Raises ScenarioError."""
     text = str(where)
     if isinstance(where, str) and re.fullmatch(r"[A-Za-z0-9_-]+", text):
         content = _content(text)
@@ -103,9 +108,9 @@
     return check_tables(*_tables_of(text, name, where))
 
 
-def _tables_of(text: str, name: str, where: str) -> tuple[Raw, str, str]:
+def _tables_of(text: str, name: str, where: str) -> ScenarioTables:
     try:
-        return _extended(text, where), name, where
+        return ScenarioTables(_extended(text, where), name, where)
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError(where, [fault_messages.Fault("", f"not TOML: {error}")]) from None
 
--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from twisted.internet import protocol
@@ -28,13 +28,15 @@
     """A list request that can't be answered; the text says why."""
 
 
-def parse_list_request(target: bytes) -> tuple[int | None, float]:
-    """Parse the target of a request for the list.
+class ListQuery(NamedTuple):
+    """What a request for the list asks for."""
+
+    known_version: int | None  # that the caller has; None: it wants the complete list
+    wait: float  # seconds that it may wait for a newer version
 
-    Returns
-    -------
-    tuple[int | None, float]
-        The version that the caller has (None: it wants the whole list), and the seconds that it may wait.
+
+def parse_list_request(target: bytes) -> ListQuery:
+    """Parse the target of a request for the list.
 
     Raises
     ------
@@ -52,7 +54,7 @@
         values[name] = int(value)
     if b"wait" in values and b"index" not in values:
         raise BadListRequestError("a wait for nothing")
-    return values.get(b"index"), values.get(b"wait", 0) / 1000
+    return ListQuery(values.get(b"index"), values.get(b"wait", 0) / 1000)
 
 
 def encode_list(answer: ListReply, address: Callable[[RegisteredNode], str] = registered_address) -> bytes:
