--- a/wheatring/lab/live/links/link_controller.py
+++ b/wheatring/lab/live/links/link_controller.py
@@ -68,7 +68,7 @@
                 ports = {link: self.hosts[link.partition(">")[0]] for link in part}
                 self.ports.update(self._request(relay, Order(do, ports=ports), dict[str, int]))
 
-    # Datagrams: one door for each party, all at the first relay
+    # Datagrams: one port for each party, all at the first relay
 
     def reserve_datagrams(self, parties: Iterable[str]) -> None:
         """Reserve ports by which these parties are reached.
--- a/wheatring/lab/live/nodes.py
+++ b/wheatring/lab/live/nodes.py
@@ -40,7 +40,7 @@
         self.plan = plan
         self.machine = machine
         self.peers: dict[str, NodeServer] = {}  # by the sidecar that may call it
-        self.doors: list[Any] = []
+        self.listeners: list[Any] = []
 
     def reset(self) -> None:
         """Reset all connections."""
@@ -186,23 +186,23 @@
         self.registry.node_ended(node.plan.name)
 
     def _open(self, node: Node) -> None:
-        if node.doors or node.machine.faults.refuses_connections:
+        if node.listeners or node.machine.faults.refuses_connections:
             return
         host = node.plan.host
         for sidecar, peer in node.peers.items():
             port = self.ports.get((host, sidecar), 0)
-            door = self.reactor.listenTCP(port, peer, backlog=BACKLOG, interface=host)
-            self.ports[host, sidecar] = door.getHost().port
-            node.doors.append(door)
+            listener = self.reactor.listenTCP(port, peer, backlog=BACKLOG, interface=host)
+            self.ports[host, sidecar] = listener.getHost().port
+            node.listeners.append(listener)
         if self.links is not None:
             self.links.set_targets({f"{one}>{host}": (host, self.ports[host, one]) for one in node.peers})
 
     def _close(self, node: Node) -> None:
-        doors, node.doors = node.doors, []
-        if self.links is not None and doors:
+        listeners, node.listeners = node.listeners, []
+        if self.links is not None and listeners:
             self.links.close([f"{one}>{node.plan.host}" for one in node.peers])
-        for door in doors:
-            door.stopListening()
+        for listener in listeners:
+            listener.stopListening()
 
 
 def _this(sidecar: str, _host: str) -> str:
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -47,7 +47,7 @@
 SETTLE_SECONDS = 0.5  # seconds past the tail
 START_TIMEOUT_SECONDS = 20.0  # seconds in which all sidecars must listen, and for each of them so many more
 START_TIMEOUT_EACH_SECONDS = 0.5
-SPARE_DESCRIPTORS = 200  # descriptors beside doors and connections
+SPARE_DESCRIPTORS = 200  # descriptors beside listeners and connections
 TICK_SECONDS = 0.02  # seconds between looks at how late this process is
 MAX_LATE_MS = 20.0  # ms
 MAX_BREACHES_SHOWN = 10  # shown
@@ -283,14 +283,14 @@
 
 def raise_descriptor_limit(plan: Plan) -> None:
     """Raise this process's limit of descriptors as far as the plan needs; ProcessError if it can't be."""
-    doors = connections = 0
+    listeners = connections = 0
     callers = [len(plan.sidecars)]
     callers += [sum(n.tier == tier for n in plan.nodes) for tier in range(len(plan.tiers) - 1)]
     for tier, count in enumerate(callers):
-        doors += count * sum(n.tier == tier for n in plan.nodes)
+        listeners += count * sum(n.tier == tier for n in plan.nodes)
     waiting = plan.traffic.rate * max((c.deadline for c in plan.classes), default=0.0)
-    connections = 2 * doors + round(2 * waiting)
-    need = doors + connections + SPARE_DESCRIPTORS
+    connections = 2 * listeners + round(2 * waiting)
+    need = listeners + connections + SPARE_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and need > hard:
         raise ProcessError(
--- a/wheatring/lab/net/process.py
+++ b/wheatring/lab/net/process.py
@@ -296,9 +296,9 @@
 
     def open_listener(self, port: int, factory: Any, backlog: int, host: str, reactor: Any) -> LimitedPort:
         """Listen as `http1.listener.open_listener` does: no more is accepted in one go than it has places."""
-        door = LimitedPort(port, factory, backlog, host, reactor)
-        door.startListening()
-        return door
+        listener = LimitedPort(port, factory, backlog, host, reactor)
+        listener.startListening()
+        return listener
 
     def has_hung_up(self, transport: Any) -> bool:
         """Answer as `http1.connection.has_hung_up`."""
--- a/wheatring/lab/rules/answers.py
+++ b/wheatring/lab/rules/answers.py
@@ -1,9 +1,10 @@
 """The first rule, and what is served: whether the end of a request is what its sidecar owed it.
 
 A request is owed one final answer by its deadline and the grace, in which the share of links is. Its caller
-is there until then: one that leaves earlier is owed nothing. What a killed sidecar held is forgiven, but not
-what it had taken more than 0.7 s after SIGTERM: its door should have been closed by then. What a sidecar that
-ends by itself has not answered is lost. A cut between both sides excuses what it may have held up.
+is there until then: one that leaves earlier is owed nothing. What a killed sidecar had in flight is excused,
+but not what it had taken more than 0.7 s after SIGTERM: it should have stopped listening by then. What a
+sidecar that ends by itself has not answered is lost. A partition between both sides excuses what it may have
+delayed.
 """
 
 from __future__ import annotations
--- a/wheatring/lab/rules/invariant_checker.py
+++ b/wheatring/lab/rules/invariant_checker.py
@@ -147,7 +147,7 @@
         last = float("inf") if told is None else told + ARRIVAL_AFTER_STOP_SECONDS
         for request in held.values():
             self.answers.check_unanswered(request, at)
-            # What is not forgiven is judged by what its caller is told of next: it may come as untaken.
+            # What is not excused is judged by the next event of its caller: it may turn out as untaken.
             if at > request.deadline + self.grace:
                 request.is_excused = True  # it has been judged
             elif killed and request.taken_at <= last:
--- a/wheatring/lab/rules/request_checker.py
+++ b/wheatring/lab/rules/request_checker.py
@@ -217,7 +217,7 @@
         (figures.current if at < figures.current_end else figures.second(at)).attempts += 1
         self.attempts_by_tier[self.tier_of[node]] += 1
         work = self.work
-        if node in work.visits:
+        if node in work.attempts_by_first:
             work.begin_attempt(ident, attempt)
         if self.trace is not None:
             line = f"arrived sidecar={sidecar} node={node} ident={ident}"
--- a/wheatring/lab/rules/work_accounting.py
+++ b/wheatring/lab/rules/work_accounting.py
@@ -1,4 +1,4 @@
-"""Where work went: what was done at all tiers, and how much of it served an answer that a client got."""
+"""Accounting of work: how much was done at all tiers, and how much served an answer that a client got."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
         last = len(plan.tiers) - 1
         self.front = front
         self.first_request_of = first_request_of
-        self.visits: dict[str, dict[int, Attempt]] = {
+        # By node: the attempts that may call the next tier, by their client's first request.
+        self.attempts_by_first: dict[str, dict[int, Attempt]] = {
             each.name: {} for each in plan.nodes if each.tier < last
         }
         self.total_seconds = 0.0
@@ -33,14 +34,15 @@
         """Note that an attempt that may call the next tier has arrived."""
         first = self.first_request_of(ident) if self.first_request_of is not None else None
         if first is not None:
-            self.visits[attempt.node][first] = attempt
+            self.attempts_by_first[attempt.node][first] = attempt
 
     def record_answer(self, request: Request, attempt: Attempt) -> None:
         """Note that an attempt made the answer that the request's caller has."""
         above: Attempt | None = ROOT
         if request.sidecar not in self.front and self.first_request_of is not None:
-            visits, first = self.visits.get(request.sidecar), self.first_request_of(request.ident)
-            above = visits.get(first) if visits is not None and first is not None else None
+            first = self.first_request_of(request.ident)
+            attempts = self.attempts_by_first.get(request.sidecar, {})
+            above = attempts.get(first) if first is not None else None
         if above is not None and above is not attempt and attempt.parent is None:
             attempt.parent = above
             self.credit(above, attempt.work)
@@ -70,5 +72,5 @@
 
     def node_down(self, node: str) -> None:
         """Forget the visits at a node that has ended."""
-        if node in self.visits:
-            self.visits[node].clear()
+        if node in self.attempts_by_first:
+            self.attempts_by_first[node].clear()
