--- a/tests/core/test_retries.py
+++ b/tests/core/test_retries.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.conftest import Copy
-from tests.http1.attempts import kept
+from tests.http1.attempts import kept_connection
 from tests.support.world import World
 from wheatring.balancer import backoff
 from wheatring.balancer import interface as i
@@ -24,9 +24,7 @@
 
 
 @pytest.mark.parametrize("name", ["book", "pay", "move"])
-def test_a_further_attempt_of_a_keyed_request_may_begin_only_in_what_is_left_of_the_window(
-    copy: Copy, name: str
-) -> None:
+def test_a_retry_of_a_keyed_request_may_begin_only_in_the_rest_of_the_window(copy: Copy, name: str) -> None:
     window = copy.balancer.classes[name].repeat_window
     first = copy.send(name)
     assert first.start_within == inf
@@ -51,18 +49,19 @@
 def crossing(
     world: World, monkeypatch: pytest.MonkeyPatch, window: float, then: Callable[[], None]
 ) -> list[Attempt]:
-    """The window of `order` ends once its further attempt has been begun, before a byte of it can be
-    written; `then` is called at that instant. The further attempts.
+    """End the window of `order` once its retry has been begun, and return the retries.
+
+    No byte of the retry can be written by then; `then` is called at that instant.
     """
     sidecar = world.sidecar
     classes, exchange, clock = sidecar.serving.balancer.classes, sidecar.exchange, sidecar.clock
     classes["order"] = replace(classes["order"], repeat_window=window)
     start, now, further = exchange.start_attempt, clock.now, []
 
-    def start_and_pass(claim: Attempt) -> None:
-        start(claim)
-        if claim.number:
-            further.append(claim)
+    def start_and_pass(attempt: Attempt) -> None:
+        start(attempt)
+        if attempt.number:
+            further.append(attempt)
             clock.now = lambda: now() + window
             then()
 
@@ -90,8 +89,8 @@
         assert int(wire.read()[1]["x-time-left-ms"]) <= 2000  # what is left at the first byte
         wire.answer(200, b"again")
     assert caller.read()[0].split()[1] == status
-    (claim,) = further
-    assert (claim.is_written, claim.outcome) == (
+    (attempt,) = further
+    assert (attempt.is_written, attempt.outcome) == (
         written,
         i.Outcome.SERVED if written else i.Outcome.CONNECT_FAILED,
     )
@@ -108,18 +107,18 @@
     caller, other = world.ask(name, left=3000), world.caller()
     wire = world.nodes[0].accept()
     wire.read()
-    idle = kept(world, other)
+    idle = kept_connection(world, other)
     wire.reset()
     if name == "menu":
         wire = world.nodes[0].accept()
         assert int(wire.read()[1]["x-time-left-ms"]) <= 2000
         wire.answer(200, b"again")
     assert caller.read()[0].split()[1] == ("200" if name == "menu" else "502")
-    claim = further[0]
+    attempt = further[0]
     if name == "menu":
-        assert further == [claim, claim]  # begun again, and the same attempt
+        assert further == [attempt, attempt]  # begun again, and the same attempt
     else:
-        assert (len(further), claim.is_written, claim.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
+        assert (len(further), attempt.is_written, attempt.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
     assert idle.at_end()
 
 
@@ -128,7 +127,7 @@
 
 @pytest.mark.parametrize("how", ["given up", "spoilt"])
 @pytest.mark.parametrize("make", ["loopback"], indirect=True)  # a reset is there as soon as it was sent
-def test_the_further_attempt_is_written_only_after_the_close_of_the_one_before(
+def test_the_retry_is_written_only_after_the_close_of_the_attempt_before(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     """It goes out at once, and on a connection that is up: the close must have left the process before."""
@@ -137,7 +136,7 @@
     caller, other = world.ask("menu"), world.caller()
     first = world.nodes[0].accept()
     first.read()
-    idle = kept(world, other)
+    idle = kept_connection(world, other)
     if how == "spoilt":
         first.send(b"noise")
     else:
@@ -202,7 +201,7 @@
 
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_an_answer_without_a_length_is_whole_at_an_end_in_good_order(make: Make, version: bytes) -> None:
+def test_an_answer_without_a_length_is_complete_at_an_orderly_end(make: Make, version: bytes) -> None:
     """With interim ones before it, which are no answers, however they are cut."""
     world = make()
     caller = world.ask("unsafe")
@@ -220,7 +219,7 @@
 
 @pytest.mark.parametrize("size", [0, 1, 60_000, 300_000])
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_reset_once_the_last_byte_has_come_is_never_told_as_never_run(
+def test_a_reset_after_the_last_byte_is_never_reported_as_not_executed(
     make: Make, size: int, chunked: bool
 ) -> None:
     """However the request is written, its last byte is known to have left before the reset can be seen."""
@@ -237,8 +236,8 @@
     wire = world.nodes[0].accept()
     _, fields, _ = wire.read()
     if "transfer-encoding" in fields:
-        while not wire.held.endswith(b"0\r\n\r\n"):
-            wire.held += wire.sock.recv(65536)
+        while not wire.buffer.endswith(b"0\r\n\r\n"):
+            wire.buffer += wire.sock.recv(65536)
     wire.reset()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert world.logged("endpoint-connection") == ["peer-reset"]
--- a/tests/lab/live/test_play.py
+++ b/tests/lab/live/test_play.py
@@ -21,7 +21,7 @@
 from wheatring.lab.scenario.load import load, names
 from wheatring.lab.scenario.plan_builder import draw
 
-FAR = 60.0
+WAIT_LIMIT_SECONDS = 60.0
 DAY = """
 title = "A short bad day"
 what = "For tests."
@@ -163,7 +163,7 @@
 
 
 def sidecars(tmp_path: Path) -> list[int]:
-    """Processes that were started with a file in that folder, but for the play itself."""
+    """Return the processes that were started with a file in that folder, but for the play itself."""
     found = []
     for entry in Path("/proc").iterdir():
         try:
@@ -175,9 +175,9 @@
     return found
 
 
-def test_a_day_of_troubles_gives_an_outcome_as_in_virtual_time_and_leaves_nothing(tmp_path: Path) -> None:
+def test_a_day_of_faults_gives_an_outcome_as_in_virtual_time_and_leaves_nothing(tmp_path: Path) -> None:
     with begin(tmp_path, "--json", str(tmp_path / "outcome")) as process:
-        out, err = process.communicate(timeout=FAR)
+        out, err = process.communicate(timeout=WAIT_LIMIT_SECONDS)
         assert process.returncode in (0, 1), err  # on a busy machine what comes late may look like a breach
     assert not sidecars(tmp_path)
     told = (tmp_path / "outcome").read_bytes()
@@ -208,10 +208,12 @@
         started = [os.pidfd_open(pid) for pid in sidecars(tmp_path)]
         assert len(started) == 4
         process.send_signal(number)
-        process.communicate(timeout=FAR)
+        process.communicate(timeout=WAIT_LIMIT_SECONDS)
         assert process.returncode == (130 if number == signal.SIGINT else -number)
     for descriptor in started:
-        assert select.select([descriptor], [], [], FAR)[0]  # readable once its process has ended
+        assert select.select([descriptor], [], [], WAIT_LIMIT_SECONDS)[
+            0
+        ]  # readable once its process has ended
         os.close(descriptor)
 
 
@@ -235,7 +237,7 @@
 
 @pytest.mark.parametrize("part", [0.1, 0.34, 0.8])
 @pytest.mark.parametrize("name", names())
-def test_a_day_scaled_down_is_whole_and_as_loaded(name: str, part: float) -> None:
+def test_a_day_scaled_down_is_complete_and_as_loaded(name: str, part: float) -> None:
     for seed in range(1, 6):
         plan = draw(load(name), seed)
         small = scale.scaled(plan, part)
--- a/tests/ops/test_drills.py
+++ b/tests/ops/test_drills.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from tests.support.world import FAR, Wire, World
-from tests.system.test_process import begin, until
+from tests.support.process import running_process, wait_for_line
+from tests.support.world import WAIT_LIMIT_SECONDS, Wire, World
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.ops import drills
@@ -63,7 +63,7 @@
         assert "x-drill" not in served(node, world.ask("menu", caller))
 
 
-def test_a_delayed_job_is_held_by_the_exchange_then_served_and_marked(make: Make) -> None:
+def test_a_delayed_request_is_kept_by_the_exchange_then_served_and_marked(make: Make) -> None:
     world = make(1, settings("drill.share = 100\ndrill.delay.ms = 1"))
     caller = world.ask()
     assert served(world.nodes[0].accept(), caller)["x-drill"] == "1"
@@ -78,7 +78,7 @@
     assert "overdue" not in [event for event, _ in world.lines]
 
 
-def test_a_held_job_s_id_is_taken_and_a_caller_that_leaves_ends_it(make: Make) -> None:
+def test_the_id_of_a_delayed_request_is_in_use_and_a_caller_that_leaves_ends_it(make: Make) -> None:
     world = make(1, settings(LONG))
     seen: list[object] = []
     world.run(lambda: setattr(world.sidecar.driver, "feed", seen.append))
@@ -94,7 +94,7 @@
     assert seen == []  # the module never heard of it
 
 
-def test_a_held_job_is_answered_after_sigterm(make: Make) -> None:
+def test_a_delayed_request_is_answered_after_sigterm(make: Make) -> None:
     world = make(1, settings("drill.share = 100\ndrill.delay.ms = 200"))
     caller = world.ask()
     world.logged("drill")
@@ -178,18 +178,18 @@
 def test_a_process_says_what_its_drills_came_to(tmp_path: Path) -> None:
     asked = settings("drill.share = 100").drill
     told = f"drill.key = {KEY}\ndrill.plan = {asked.plan}\ndrill.share = 100\ndrill.abort = true\n"
-    with begin(tmp_path, f"{told}audit.on = true\n", subprocess.PIPE) as process:
-        port = int(until(process, "listening").rpartition("=")[2])
-        caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+    with running_process(tmp_path, f"{told}audit.on = true\n", subprocess.PIPE) as process:
+        port = int(wait_for_line(process, "listening").rpartition("=")[2])
+        caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
         first, fields, _ = caller.read()
         assert (first, fields["x-drill"]) == ("HTTP/1.1 503 Service Unavailable", "1")
         (tmp_path / "o").write_text("audit.on = true\n", encoding="utf-8")
         process.send_signal(signal.SIGHUP)
-        until(process, "drill-over")
+        wait_for_line(process, "drill-over")
         process.send_signal(signal.SIGTERM)
-        assert "drill_requests_total=1" in until(process, "drill-total")
-        assert process.wait(FAR) == 0 and process.stderr is not None
+        assert "drill_requests_total=1" in wait_for_line(process, "drill-total")
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0 and process.stderr is not None
         events = re.findall(r"event=(\S+)", process.stderr.read())
         caller.close()
     start = ["start", "config", "config", "key", "drill-on"]
--- a/tests/pools/pools_world.py
+++ b/tests/pools/pools_world.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from tests.support.virtual_sockets import Virtual
-from tests.support.world import Loopback, Wire, World, entry
+from tests.support.virtual_sockets import VirtualSockets
+from tests.support.world import LoopbackSockets, Wire, World, entry
 from wheatring.config.project_file import read
 from wheatring.daemon.configuration import first_invalid_route, reload_configuration
 from wheatring.pools.pool_set import PoolSet
@@ -28,7 +28,12 @@
     """`zones` are those of the nodes n0, n1 and so on, in the platform's list."""
 
     def __init__(
-        self, ground: Loopback | Virtual, folder: Path, text: str, zones: str = "ab", **more: Any
+        self,
+        sockets: LoopbackSockets | VirtualSockets,
+        folder: Path,
+        text: str,
+        zones: str = "ab",
+        **more: Any,
     ) -> None:
         self.file = folder / "w.toml"
         self.zones = zones
@@ -36,7 +41,7 @@
         self.file.write_text(text, encoding="utf-8")
         own = str(self.file)
         configuration = read(own, first_invalid_route)
-        super().__init__(ground, len(zones), configuration_path=own, configuration=configuration, **more)
+        super().__init__(sockets, len(zones), configuration_path=own, configuration=configuration, **more)
 
     def known(self) -> list[dict[str, Any]]:
         return [entry(f"n{n}", peer, zone=self.zones[n]) for n, peer in enumerate(self.nodes)]
@@ -58,7 +63,7 @@
         return wire
 
     def met(self, call: Callable[[], T]) -> T:
-        """What that says in the reactor, once it says anything."""
+        """Return the result of a call in the reactor, once it is true."""
         for _ in range(TURNS):
             if found := self.run(call):
                 return found
@@ -66,11 +71,11 @@
         raise AssertionError("it never came")
 
     def busy(self) -> list[str]:
-        """The pools that have a job, once one has."""
+        """Return the pools that have a request, once one has."""
         return self.met(lambda: [m.name for m in self.pools.all() if m.driver.open_requests])
 
     def at(self, node: int) -> Wire:
-        """The next request at a node, on the connection that it keeps; its answer is the story's to give."""
+        """Return the next request at an endpoint, on the connection that it keeps; the test answers it."""
         if node not in self.taken:
             self.taken[node] = self.nodes[node].accept()
         self.taken[node].read()
--- a/tests/pools/test_pool_set.py
+++ b/tests/pools/test_pool_set.py
@@ -11,10 +11,8 @@
 import pytest
 
 from tests.pools.pools_world import TWO, PoolsWorld
-from tests.support.virtual_sockets import Virtual
-from tests.support.world import Loopback, Peer, entry, list_body
-from wheatring import log
-from wheatring.balancer import balancer as decisions
+from tests.support.virtual_sockets import VirtualSockets
+from tests.support.world import LoopbackSockets, Peer, entry, keep_scripted_peers, list_body
 from wheatring.balancer import interface as i
 from wheatring.core.exchange import Answer, AnswerKind
 from wheatring.errors import OperatorError
@@ -29,21 +27,22 @@
 
 
 @pytest.fixture(params=["loopback", "virtual"])
-def ground(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Loopback | Virtual:
-    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
-    monkeypatch.setattr(log, "line", log.line)
+def sockets(
+    request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch
+) -> LoopbackSockets | VirtualSockets:
+    keep_scripted_peers(monkeypatch)
     if request.param == "virtual":
-        return Virtual()
+        return VirtualSockets()
     request.getfixturevalue("running")
-    return Loopback()
+    return LoopbackSockets()
 
 
 @pytest.fixture
-def make(ground: Loopback | Virtual, tmp_path: Path) -> Iterator[Make]:
+def make(sockets: LoopbackSockets | VirtualSockets, tmp_path: Path) -> Iterator[Make]:
     worlds: list[PoolsWorld] = []
 
     def build(text: str = TWO, zones: str = "ab", **more: Any) -> PoolsWorld:
-        worlds.append(PoolsWorld(ground, tmp_path, text, zones, **more))
+        worlds.append(PoolsWorld(sockets, tmp_path, text, zones, **more))
         return worlds[-1]
 
     yield build
@@ -88,7 +87,7 @@
     world.served("third", 2)
 
 
-def test_weights_that_can_not_be_are_told_and_change_nothing(make: Make) -> None:
+def test_impossible_weights_are_reported_and_change_nothing(make: Make) -> None:
     world = make()
 
     def change(route: str, **weights: int) -> None:
@@ -151,7 +150,7 @@
     assert caller.read()[0].split()[1] == "200"
 
 
-def test_routes_move_with_jobs_in_flight_and_the_pool_that_goes_ends_its_own_first(make: Make) -> None:
+def test_routes_move_with_requests_in_flight_and_a_removed_pool_ends_its_own_first(make: Make) -> None:
     world = make()
     world.run(lambda: world.pools.router.change_weights("all", {"old": 1}))
     caller, lost = world.call(), world.call()
@@ -235,8 +234,10 @@
 """
 
 
-def test_a_drain_is_told_in_one_pool_and_holds_in_that_alone(make: Make, ground: Loopback | Virtual) -> None:
-    lists = [Peer(ground), Peer(ground)]
+def test_a_drain_is_applied_in_one_pool_and_counts_in_that_alone(
+    make: Make, sockets: LoopbackSockets | VirtualSockets
+) -> None:
+    lists = [Peer(sockets), Peer(sockets)]
     world = make(own_list(lists[0].port, lists[1].port))
     watches = [each.accept() for each in lists]
     for node, watch in enumerate(watches):  # the same name in both lists
@@ -260,8 +261,10 @@
         each.close()
 
 
-def test_routes_wait_for_the_list_of_a_pool_that_is_new(make: Make, ground: Loopback | Virtual) -> None:
-    found = Peer(ground)
+def test_routes_wait_for_the_list_of_a_pool_that_is_new(
+    make: Make, sockets: LoopbackSockets | VirtualSockets
+) -> None:
+    found = Peer(sockets)
     world = make()
     world.reload(own_list(found.port, found.port).replace("/menu/x", "/x").replace("= { x", "= { y"))
     world.logged("config-reloaded")
@@ -297,13 +300,15 @@
     assert caller.read()[2] == b"still" and len(held) == 4
 
 
-def begun(world: PoolsWorld, ident: str) -> RoutedRequest:
-    """A job that came to its pool within this turn of the reactor."""
-    request, now = ForwardedRequest(b"GET /menu HTTP/1.1\r\n", b""), world.reactor.seconds()
+def submit_routed(world: PoolsWorld, ident: str) -> RoutedRequest:
+    """Return a request that came to its pool within this turn of the reactor."""
+    content, now = ForwardedRequest(b"GET /menu HTTP/1.1\r\n", b""), world.reactor.seconds()
     route = world.pools.router.routes["all"]
-    job = route.create_request({}, correlation_id=ident, class_name="menu", deadline=now + 5, content=request)
-    world.sidecar.exchange.submit(job)
-    return job
+    request = route.create_request(
+        {}, correlation_id=ident, class_name="menu", deadline=now + 5, content=content
+    )
+    world.sidecar.exchange.submit(request)
+    return request
 
 
 def test_idle_connections_give_way_to_need_but_not_those_that_are_a_pools_own(make: Make) -> None:
@@ -327,7 +332,7 @@
 
     def four_at_once() -> list[int]:
         for n in range(4):
-            begun(world, f"b{n}")
+            submit_routed(world, f"b{n}")
         old, new = (world.pools.pools[name].connections for name in ("old", "new"))
         return [sum(map(len, old.idle_connections.values())), len(new.pending_connects)]
 
@@ -335,35 +340,35 @@
     assert world.logged("endpoint-connection", 2) == ["pool-full"] * 2
 
 
-def test_what_the_callers_side_says_of_a_job_comes_to_its_pool(make: Make) -> None:
+def test_what_the_callers_side_says_of_a_request_reaches_its_pool(make: Make) -> None:
     world = make()
 
     class Heard(InertBalancer):
-        def handle(self, now: float, event: i.Event) -> list[i.Action]:
+        def handle(self, _now: float, event: i.Event) -> list[i.Action]:
             heard.append(type(event))
             return []
 
     def all_of_it() -> None:
         for member in world.pools.all():
             member.driver.decision_module = Heard()
-        job = begun(world, "x")
-        world.sidecar.exchange.mark_committed(job)
-        world.sidecar.exchange.withdraw(job)
+        request = submit_routed(world, "x")
+        world.sidecar.exchange.mark_committed(request)
+        world.sidecar.exchange.withdraw(request)
 
     heard: list[type] = []
     world.run(all_of_it)
     assert heard == [i.NewRequest, i.Committed, i.RequestAbandoned]
 
 
-def test_a_job_that_ends_above_its_pool_ends_in_it_and_leaves_no_dial_behind(make: Make) -> None:
+def test_a_request_that_ends_above_its_pool_ends_in_it_and_leaves_no_connect_behind(make: Make) -> None:
     world = make()
 
     def begin_and_end() -> list[int]:
-        job = begun(world, "x")
-        counts = [len(job.pool.driver.open_requests), len(job.pool.connections.pending_connects)]
-        world.sidecar.exchange.answer(job, Answer(AnswerKind.FAILED))
-        counts.append(len(job.pool.driver.open_requests))
-        job.pool.close("test")
+        request = submit_routed(world, "x")
+        counts = [len(request.pool.driver.open_requests), len(request.pool.connections.pending_connects)]
+        world.sidecar.exchange.answer(request, Answer(AnswerKind.FAILED))
+        counts.append(len(request.pool.driver.open_requests))
+        request.pool.close("test")
         return counts
 
     assert world.run(begin_and_end) == [1, 1, 0]
@@ -379,7 +384,7 @@
 def test_a_newer_file_drops_what_still_waited_for_its_list_and_none_is_waited_for_without_end(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world, nobody = make(), Peer(Loopback())
+    world, nobody = make(), Peer(LoopbackSockets())
     nobody.close()
     world.reload(own_list(nobody.port, nobody.port))
     dropped = world.run(lambda: world.pools.all()[2:])
@@ -398,12 +403,12 @@
     assert world.call().read()[0].split()[1] == "503"
 
 
-@pytest.mark.parametrize("ground", ["loopback"], indirect=True)  # no door for operators in virtual time
+@pytest.mark.parametrize("sockets", ["loopback"], indirect=True)  # no door for operators in virtual time
 def test_what_operators_take_offline_is_out_in_the_lists_that_pools_have_of_their_own(
-    make: Make, ground: Loopback, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    make: Make, sockets: LoopbackSockets, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    found = Peer(ground)
+    found = Peer(sockets)
     world = make(own_list(found.port, found.port), control=("127.0.0.1", 0))
     watches = [found.accept(), found.accept()]
     for watch in watches:
@@ -432,7 +437,7 @@
     found.close()
 
 
-@pytest.mark.parametrize("ground", ["loopback"], indirect=True)
+@pytest.mark.parametrize("sockets", ["loopback"], indirect=True)
 def test_what_operators_take_offline_is_out_in_the_pools_of_that_list(
     make: Make, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/repository/test_no_deployment_names.py
+++ b/tests/repository/test_no_deployment_names.py
@@ -8,12 +8,21 @@
 
 ROOT = Path(__file__).parents[2]
 # The operators' own, as their papers have them. Common words of these (stock, basket, browse) are left out.
-TOLD = {"menu-view", "place-order", "storefront", "naas", "npc", "plan-save", "box-add", "member-api"}
+DEPLOYMENT_NAMES = {
+    "menu-view",
+    "place-order",
+    "storefront",
+    "naas",
+    "npc",
+    "plan-save",
+    "box-add",
+    "member-api",
+}
 
 
 def names() -> set[str]:
     """Classes, tiers, kinds and zones of our own deployments."""
-    found = set(TOLD)
+    found = set(DEPLOYMENT_NAMES)
     for path in (ROOT / "deploy" / "sites").rglob("*.toml"):
         site = tomllib.loads(path.read_text(encoding="utf-8"))
         found |= {site["name"], *site["net"]["zones"], *(one["name"] for one in site["class"])}
@@ -23,8 +32,9 @@
 
 
 def test_no_class_tier_kind_or_zone_is_known_by_name() -> None:
-    """The lab and its commands are left out: the service path never imports them, and their load and bench
-    have an example's class by default.
+    """The lab and its commands are left out.
+
+    The service path never imports them, and their load and bench have an example's class by default.
     """
     files = list((ROOT / "wheatring").rglob("*.py"))
     files = [path for path in files if "lab" not in path.parts and not path.name.startswith("lab")]
--- a/tests/routes/test_adaptive_limit.py
+++ b/tests/routes/test_adaptive_limit.py
@@ -38,11 +38,11 @@
     assert mean(goodput(PoolWorld(PoolLimitSettings(), cv=cv), 3.0, 8, 1)[4:]) < 0.05
 
 
-def test_it_turns_nobody_away_where_there_is_no_pressure() -> None:
+def test_it_rejects_nobody_where_there_is_no_pressure() -> None:
     world = PoolWorld(PoolLimitSettings(adaptive=AdaptiveLimitSettings()))
     world.time.at(world.time.now() + 5, setattr, world, "extra", 0.02)
     goodput(world, 0.3, 15, 1)
-    assert sum(world.away.values()) == 0
+    assert sum(world.rejected.values()) == 0
 
 
 @pytest.mark.parametrize(("at", "extra"), [(5.3, 0.04), (6.1, 0.06)])
@@ -94,10 +94,10 @@
         max_size=300,
     )
 )
-def test_whatever_it_hears_it_stays_within_its_bounds(told: list[tuple[str, float, int, float]]) -> None:
+def test_whatever_it_hears_it_stays_within_its_bounds(events: list[tuple[str, float, int, float]]) -> None:
     law = AdaptiveLimitSettings(floor=3, ceiling=100, start=50, samples=20, probe_every=1.0)
     adaptive, now = AdaptiveLimit(law, 0.0), 0.0
-    for what, step, out, latency in told:
+    for what, step, out, latency in events:
         now += step
         before = adaptive.limit
         match what:
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -1,8 +1,8 @@
-"""The shared helper of the stories: a sidecar amid peers that follow a script, on one of two grounds.
+"""A sidecar amid peers that follow a script, on real sockets or on virtual ones.
 
-On `Loopback` the reactor runs in a thread of its own, and peers and callers are plain sockets that the story
-reads and writes. On `Virtual` all of it runs in virtual time, which goes on while the story waits. Every wait
-has one far limit, which is met only if the story fails.
+On `LoopbackSockets` the reactor runs in a thread of its own, and peers and callers are plain sockets that the
+test reads and writes. On `VirtualSockets` all of it runs in virtual time, which goes on while the test waits.
+Every wait has one limit, which is met only if the test fails.
 """
 
 from __future__ import annotations
@@ -17,18 +17,20 @@
 from contextlib import suppress
 from typing import Any, TypeVar
 
+import pytest
 from twisted.internet import reactor as installed
 from twisted.internet.threads import blockingCallFromThread
 
-from tests.support.virtual_sockets import Virtual
+from tests.support.virtual_sockets import VirtualSockets
 from wheatring import log
+from wheatring.balancer import balancer
 from wheatring.config.platform_file import PlatformConfig, read_settings
 from wheatring.daemon.sidecar import Sidecar
 from wheatring.operator_properties import OperatorProperties
 
 reactor: Any = installed
 T = TypeVar("T")
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 NO_OPERATORS = OperatorProperties()
 
 CLASSES = [
@@ -50,22 +52,22 @@
 }  # fmt: skip
 
 
-class Loopback:
+class LoopbackSockets:
     """The installed reactor, and sockets of the system."""
 
     reactor = reactor
     unix = staticmethod(time.time)
 
     def __init__(self) -> None:
-        self.said = threading.Condition()  # something may be so now that was not
+        self.changed = threading.Condition()  # something may be so now that was not
 
     def run(self, call: Callable[[], T]) -> T:
         done: T = blockingCallFromThread(self.reactor, call)
         return done
 
     def until(self, met: Callable[[], object]) -> None:
-        with self.said:
-            assert self.said.wait_for(met, FAR), "it never came"
+        with self.changed:
+            assert self.changed.wait_for(met, WAIT_LIMIT_SECONDS), "it never came"
 
     def settle(self) -> None:
         self.run(lambda: None)
@@ -87,51 +89,51 @@
         return reservation
 
     def connect(self, port: int) -> Any:
-        return socket.create_connection(("127.0.0.1", port), FAR)
+        return socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS)
 
     def ready(self, listeners: list[Any]) -> int:
         """Which of them somebody waits at, once somebody does."""
         with selectors.DefaultSelector() as ready:
             for listener in listeners:
                 ready.register(listener, selectors.EVENT_READ)
-            ((key, _), *_) = ready.select(FAR)
+            ((key, _), *_) = ready.select(WAIT_LIMIT_SECONDS)
         return listeners.index(key.fileobj)
 
 
 class Wire:
-    """One end of a connection, in the hands of the story."""
+    """One end of a connection, which the test reads and writes."""
 
     def __init__(self, sock: Any) -> None:
-        sock.settimeout(FAR)
+        sock.settimeout(WAIT_LIMIT_SECONDS)
         self.sock = sock
-        self.held = b""
+        self.buffer = b""
 
     def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
     def read(self) -> tuple[str, dict[str, str], bytes]:
-        """The next message: first line, fields, body."""
-        while b"\r\n\r\n" not in self.held:
+        """Return the next message: first line, fields, body."""
+        while b"\r\n\r\n" not in self.buffer:
             self._more()
-        head, _, self.held = self.held.partition(b"\r\n\r\n")
+        head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
         first, *lines = head.decode("latin-1").split("\r\n")
         fields = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
         length = int(fields.get("content-length", 0))
-        while len(self.held) < length:
+        while len(self.buffer) < length:
             self._more()
-        body, self.held = self.held[:length], self.held[length:]
+        body, self.buffer = self.buffer[:length], self.buffer[length:]
         return first, fields, body
 
     def _more(self) -> None:
         data = self.sock.recv(65536)
         if not data:
             raise EOFError
-        self.held += data
+        self.buffer += data
 
     def at_end(self) -> bool:
-        """The other side has closed, with nothing more to say. Waits for it."""
+        """Wait for the end; return whether the other side has closed with nothing left to read."""
         try:
-            return not self.held and self.sock.recv(1) == b""
+            return not self.buffer and self.sock.recv(1) == b""
         except ConnectionResetError:
             return True
 
@@ -147,12 +149,12 @@
 
 
 class Peer:
-    """A listening party: an execute node or discovery."""
+    """A listening peer: an endpoint or discovery."""
 
-    def __init__(self, ground: Loopback | Virtual | None = None) -> None:
-        self.ground = ground or Loopback()
-        self.listener = self.ground.listen()
-        self.listener.settimeout(FAR)
+    def __init__(self, sockets: LoopbackSockets | VirtualSockets | None = None) -> None:
+        self.sockets = sockets or LoopbackSockets()
+        self.listener = self.sockets.listen()
+        self.listener.settimeout(WAIT_LIMIT_SECONDS)
         self.port = self.listener.getsockname()[1]
 
     def accept(self) -> Wire:
@@ -175,7 +177,7 @@
 
     def refuse(self) -> None:
         """Refuse all connections from now on; nobody has connected so far."""
-        self.listener = self.ground.refuse(self.listener)
+        self.listener = self.sockets.refuse(self.listener)
 
     def close(self) -> None:
         self.listener.close()
@@ -187,22 +189,22 @@
 
 
 class World:
-    """A sidecar with so many nodes, and a discovery that the story may answer for."""
+    """A sidecar with so many endpoints, and a discovery that the test may answer for."""
 
     def __init__(
         self,
-        ground: Loopback | Virtual,
+        sockets: LoopbackSockets | VirtualSockets,
         nodes: int = 1,
         operators: OperatorProperties = NO_OPERATORS,
         capture: bool = False,
         control: tuple[str, int] | None = None,
         **more: Any,
     ) -> None:
-        self.ground = ground
-        self.reactor = ground.reactor
+        self.sockets = sockets
+        self.reactor = sockets.reactor
         self.lines: list[tuple[str, dict[str, object]]] = []
-        self.nodes = [Peer(ground) for _ in range(nodes)]
-        self.discovery = Peer(ground)
+        self.nodes = [Peer(sockets) for _ in range(nodes)]
+        self.discovery = Peer(sockets)
         self.wires: list[Wire] = []
         self.asked = 0
         known = {"generation": 7, "instances": self.known()}
@@ -213,7 +215,7 @@
         )  # fmt: skip
 
         def start() -> tuple[Sidecar, int]:
-            sidecar = Sidecar(self.reactor, self.config, operators, capture, ground.unix, **more)
+            sidecar = Sidecar(self.reactor, self.config, operators, capture, sockets.unix, **more)
             sidecar.start()
             return sidecar, sidecar.server.listener.getHost().port
 
@@ -224,27 +226,27 @@
         return [entry(f"n{n}", p) for n, p in enumerate(self.nodes)]
 
     def _line(self, event: str, /, **values: object) -> None:
-        if isinstance(self.ground, Virtual):
+        if isinstance(self.sockets, VirtualSockets):
             self.lines.append((event, values))
         else:
-            with self.ground.said:
+            with self.sockets.changed:
                 self.lines.append((event, values))
-                self.ground.said.notify_all()
+                self.sockets.changed.notify_all()
 
     def run(self, call: Callable[[], T]) -> T:
         """Call something in the reactor and wait for what it returns."""
-        return self.ground.run(call)
+        return self.sockets.run(call)
 
     def codes(self, event: str) -> list[object]:
         return [values.get("code") for name, values in list(self.lines) if name == event]
 
     def logged(self, event: str, count: int = 1) -> list[object]:
         """Wait until the log has so many lines of an event; their codes."""
-        self.ground.until(lambda: sum(e == event for e, _ in self.lines) >= count)
+        self.sockets.until(lambda: sum(e == event for e, _ in self.lines) >= count)
         return self.codes(event)
 
     def caller(self) -> Wire:
-        wire = Wire(self.ground.connect(self.port))
+        wire = Wire(self.sockets.connect(self.port))
         self.wires.append(wire)
         return wire
 
@@ -260,19 +262,19 @@
 
     def settle(self) -> None:
         """Let the reactor take what the sockets hold by now: that comes between any two calls into it."""
-        self.ground.settle()
+        self.sockets.settle()
 
     def first(self) -> Wire:
-        """The next connection to whichever node is tried."""
-        return self.nodes[self.ground.ready([peer.listener for peer in self.nodes])].accept()
+        """Return the next connection to whichever endpoint is tried."""
+        return self.nodes[self.sockets.ready([peer.listener for peer in self.nodes])].accept()
 
     def end(self) -> None:
         def stop() -> None:
-            self.sidecar.driver.feed = lambda event: None  # type: ignore[method-assign]
+            self.sidecar.driver.feed = lambda event: None  # type: ignore[method-assign]  # noqa: ARG005 - the method's signature
             if self.sidecar.server.listener is not None:
                 self.sidecar.server.listener.stopListening()
             self.sidecar.cleanup.close()
-            self.sidecar.machine_list.on_view = lambda view: None
+            self.sidecar.machine_list.on_view = lambda _view: None
             self.sidecar.machine_list.subscribe = lambda: None  # type: ignore[method-assign]
             self.sidecar.machine_list.unsubscribe()
             for connection in [*self.sidecar.server.connections, *self.sidecar.pool.connections]:
@@ -286,5 +288,15 @@
             peer.close()
 
 
+def keep_scripted_peers(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Prepare for worlds: no scripted peer is given up, and the log is put back at the end of the test.
+
+    On a busy machine a peer that has answered quickly once would soon be given up. Each world sets a log line
+    of its own.
+    """
+    monkeypatch.setattr(balancer, "PATIENCE_DEVIATIONS", 1e9)
+    monkeypatch.setattr(log, "line", log.line)
+
+
 def list_body(generation: int, *instances: object, reset: bool = False) -> bytes:
     return json.dumps({"generation": generation, "reset": reset, "instances": instances}).encode()
