--- a/tests/system/membership/fleet.py
+++ b/tests/system/membership/fleet.py
@@ -100,7 +100,7 @@
         if phrase == "all voters":
             return self.voters
         if match := re.fullmatch(r"the observers of (\w+)", phrase):
-            return self.views_of(self.leader).rings.observers(match[1])
+            return self.views_of(self.leader).installer.rings.observers(match[1])
         if match := re.fullmatch(r"(\d+) voters?( besides the leader)?", phrase):
             some = [name for name in self.voters if not match[2] or name != self.leader]
             return sorted(self.random.sample(some, int(match[1])))
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -47,7 +47,7 @@
 SETTLE_SECONDS = 0.5  # seconds past the tail
 START_TIMEOUT_SECONDS = 20.0  # seconds in which all sidecars must listen, and for each of them so many more
 START_TIMEOUT_EACH_SECONDS = 0.5
-SPARE_DESCRIPTORS = 200  # descriptors beside doors and connections
+SPARE_DESCRIPTORS = 200  # descriptors beside listeners and connections
 TICK_SECONDS = 0.02  # seconds between looks at how late this process is
 MAX_LATE_MS = 20.0  # ms
 MAX_BREACHES_SHOWN = 10  # shown
@@ -94,9 +94,8 @@
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
-        self.links = (
-            make_links(plan) if with_links or any(e.kind in LINK_EVENTS for e in plan.events) else None
-        )
+        needs_links = with_links or any(event.kind in LINK_EVENTS for event in plan.events)
+        self.links = make_links(plan) if needs_links else None
         self.nodes = Nodes(
             reactor, plan, clock, self.origins, self.checker, self.registry,
             lambda name: self.slots.where(name), self.links,
@@ -107,28 +106,32 @@
         )  # fmt: skip
         self.lifecycles = Lifecycles(self.nodes, self.slots, self.front, self.links)
         self.lifecycles.ready, self.lifecycles.failed = self.start_day, self.stop
-        way = SidecarClient(
-            reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
+        self.clients = self._create_clients()
+        self.event_scheduler = self._create_event_scheduler()
+        self.lateness = array("d")
+        self.began = 0.0
+        self.fault: BaseException | None = None
+        self.outcome: LiveOutcome | None = None
+        self.over = False
+
+    def _create_clients(self) -> Clients:
+        plan, clock = self.plan, self.clock
+        transport = SidecarClient(
+            self.reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
             plan.clients.connections,
         )  # fmt: skip
-        self.clients = Clients(
-            plan, clock, self.random("clients"), self.origins, self.checker, self.front, way
-        )
-        machines = {name: node.machine for name, node in self.nodes.nodes.items()}
-        self.event_scheduler = EventScheduler(
-            clock,
-            Faults(plan, self.nodes, self.links),
-            machines,
+        return Clients(plan, clock, self.random("clients"), self.origins, self.checker, self.front, transport)
+
+    def _create_event_scheduler(self) -> EventScheduler:
+        return EventScheduler(
+            self.clock,
+            Faults(self.plan, self.nodes, self.links),
+            {name: node.machine for name, node in self.nodes.nodes.items()},
             self.registry,
             self.slots,
             self.lifecycles,
             self.checker.record_event,
         )
-        self.lateness = array("d")
-        self.began = 0.0
-        self.fault: BaseException | None = None
-        self.outcome: LiveOutcome | None = None
-        self.over = False
 
     def random(self, name: str) -> Random:
         """Make the random numbers of one part, by its name and the plan's seed."""
@@ -280,14 +283,14 @@
 
 def raise_descriptor_limit(plan: Plan) -> None:
     """Raise this process's limit of descriptors as far as the plan needs; ProcessError if it can't be."""
-    doors = connections = 0
+    listeners = connections = 0
     callers = [len(plan.sidecars)]
     callers += [sum(n.tier == tier for n in plan.nodes) for tier in range(len(plan.tiers) - 1)]
     for tier, count in enumerate(callers):
-        doors += count * sum(n.tier == tier for n in plan.nodes)
+        listeners += count * sum(n.tier == tier for n in plan.nodes)
     waiting = plan.traffic.rate * max((c.deadline for c in plan.classes), default=0.0)
-    connections = 2 * doors + round(2 * waiting)
-    need = doors + connections + SPARE_DESCRIPTORS
+    connections = 2 * listeners + round(2 * waiting)
+    need = listeners + connections + SPARE_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and need > hard:
         raise ProcessError(
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -12,8 +12,9 @@
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.members.messages import Address
 from wheatring.members.view_messages import ViewMember
 from wheatring.peers.compiled_plan import compile_plan
@@ -58,9 +59,9 @@
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         self.next_edge = at.now
-        views.admission_objection = self._admits
+        views.leader.admission_objection = self._admits
         # What a leader commits carries the instant by the fleet's time, so that all put it in force together.
-        self.plans.register.timestamp_ms = self._commit_instant
+        self.plans.register.leader.timestamp_ms = self._commit_instant
 
     @property
     def deciders(self) -> list[FleetComponent]:
@@ -70,7 +71,7 @@
     # Between the deciders
 
     def _is_view_settled(self) -> bool:
-        return self.views.register.is_settled and self.views.pending_change is None
+        return self.views.register.is_settled and self.views.installer.pending_change is None
 
     def _is_plan_settled(self) -> bool:
         return self.plans.register.is_settled and self.floors.is_settled
@@ -149,16 +150,16 @@
         voters = {*self.fleet.voters.names}
         own = self.fleet.me.name
         others = [member.member for member in self.views.view.members if member.member.name != own]
-        if not any({*self.fleet.voter_names(who)} & voters for who in others):
+        if not any({*self.fleet.electorate.voter_names(who)} & voters for who in others):
             return []
         self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
-        return self.fleet.release_role(at, LEADER_ROLE, KEEP_OUT_TERMS)
+        return self.fleet.role_manager.release(at, LEADER_ROLE, KEEP_OUT_TERMS)
 
     def _propose_first(self, at: Instant) -> None:
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
         if self.plans.register.chosen.number or self.views.stamp.plan:
             self.first_plan = b""
-        elif self.fleet.is_voter() and self.views.is_current(at.now):
+        elif self.fleet.electorate.is_voter() and self.views.is_current(at.now):
             http_status, answer = self.offer(at, self.first_plan)
             if http_status == 400:  # rejected by this very program: another try won't help
                 self.first_plan = b""
