--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -109,10 +109,10 @@
         self.clients = self._create_clients()
         self.event_scheduler = self._create_event_scheduler()
         self.lateness = array("d")
-        self.began = 0.0
+        self.day_started_at = 0.0
         self.fault: BaseException | None = None
         self.outcome: LiveOutcome | None = None
-        self.over = False
+        self.is_over = False
 
     def _create_clients(self) -> Clients:
         plan, clock = self.plan, self.clock
@@ -149,7 +149,7 @@
         KeyboardInterrupt
             It is interrupted.
         """
-        observers: Any = [self.logged]
+        observers: Any = [self.on_log_entry]
         globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False, discardBuffer=True)
         self.reactor.callWhenRunning(self.start_processes)
         try:
@@ -188,13 +188,13 @@
             self.starting.cancel()
         gc.collect()
         gc.freeze()  # what lasts all day need not be looked through again and again
-        self.began = day = self.clock.now() + LEAD_SECONDS
-        self.clock.at(day, self.day)
+        self.day_started_at = day = self.clock.now() + LEAD_SECONDS
+        self.clock.at(day, self.on_day_start)
 
-    def day(self) -> None:
+    def on_day_start(self) -> None:
         """Start clients, events and measurements."""
         plan, now = self.plan, self.clock.now()
-        self.began = now
+        self.day_started_at = now
         self.checker.start_day(now)
         self.watch.restart(now)
         self.watch.add(LAB, os.getpid(), now)
@@ -204,33 +204,33 @@
             if sidecar.start > 0:
                 self.clock.at(now + sidecar.start, self.slots.start, self.slots.by_name[sidecar.name])
         self.clock.at(now + plan.length + plan.tail + SETTLE_SECONDS, self.stop)
-        self.clock.at(now + 1, self.second, 2)
-        self.tick(now)
+        self.clock.at(now + 1, self.sample_processes, 2)
+        self.measure_lateness(now)
         self.say(f"the day begins, and takes {plan.length + plan.tail + SETTLE_SECONDS:.0f} s")
 
-    def second(self, number: int) -> None:
+    def sample_processes(self, number: int) -> None:
         """Sample the processes, each second."""
         self.watch.sample(self.clock.now())
-        self.clock.at(self.began + number, self.second, number + 1)
+        self.clock.at(self.day_started_at + number, self.sample_processes, number + 1)
 
-    def tick(self, due: float) -> None:
+    def measure_lateness(self, due: float) -> None:
         """Measure how late this process is."""
         now = self.clock.now()
         self.lateness.append(now - due)
-        self.clock.at(now + TICK_SECONDS, self.tick, now + TICK_SECONDS)
+        self.clock.at(now + TICK_SECONDS, self.measure_lateness, now + TICK_SECONDS)
 
     def stop(self, fault: BaseException | None = None) -> None:
         """End the day, by its time or because of a fault."""
         self.fault = self.fault or fault
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             if fault is None:
                 self.watch.sample(self.clock.now())
                 # Now: as the reactor stops, it ends connections, which is nobody's breach.
-                self.outcome = self.found()
+                self.outcome = self.create_outcome()
             self.reactor.stop()
 
-    def logged(self, event: Mapping[str, Any]) -> None:
+    def on_log_entry(self, event: Mapping[str, Any]) -> None:
         """Stop on a fault of the lab's own that would go unseen in the reactor's log."""
         failure = event.get("log_failure")
         if failure is not None:
@@ -238,14 +238,14 @@
 
     # What came of it
 
-    def found(self) -> LiveOutcome:
+    def create_outcome(self) -> LiveOutcome:
         """Gather the outcome."""
         held = {
             name: {"most_sockets": row.peak_descriptors}
             for name, row in self.watch.watched.items()
             if name in self.slots.by_name
         }
-        found = self.checker.finish(self.clock.now() - self.began, held)
+        found = self.checker.finish(self.clock.now() - self.day_started_at, held)
         outcome = LiveOutcome(
             **structs.asdict(found),
             watched=list(self.watch.watched.values()),
