--- a/tests/http1/test_list_freshness.py
+++ b/tests/http1/test_list_freshness.py
@@ -11,12 +11,12 @@
 from wheatring.lifecycle import freshness
 
 Make = Callable[..., World]
-HELD = "GET /v1/servers?index=7&wait=50000"
+WATCH = "GET /v1/servers?index=7&wait=50000"
 
 
 @pytest.fixture(autouse=True)
-def soon() -> Iterator[None]:
-    """The law of the module in hundredths of its times."""
+def shortened_durations() -> Iterator[None]:
+    """Divide the durations of the module by a hundred."""
     with pytest.MonkeyPatch.context() as patch:
         for name in (
             "SUSPECT_NODE_SECONDS",
@@ -30,17 +30,17 @@
         yield
 
 
-def test_nodes_that_refuse_make_it_lay_the_watch_anew_and_serve_by_what_that_brings(make: Make) -> None:
+def test_endpoints_that_reject_make_it_reopen_the_watch_and_serve_by_its_answer(make: Make) -> None:
     world = make(3)
     old = world.discovery.accept()
-    assert old.read()[0].startswith(HELD)
+    assert old.read()[0].startswith(WATCH)
     for peer in world.nodes:
         peer.refuse()
     assert world.ask().read()[0].split()[1] == "503"
     new = world.discovery.accept()
-    assert new.read()[0].startswith(HELD)  # from the version held, and waiting as long
+    assert new.read()[0].startswith(WATCH)  # from the version held, and waiting as long
     assert old.at_end()
-    node = Peer(world.ground)
+    node = Peer(world.sockets)
     gone = [{"instanceId": f"n{n}", "lifecycle": "DELETED"} for n in range(3)]
     new.answer(200, list_body(8, *gone, entry("x", node)))
     assert new.read()[0].startswith("GET /v1/servers?index=8&wait=50000")
@@ -64,7 +64,7 @@
     world.ask().read()
     world.logged("discovery-connection", 2)
     assert set(world.codes("discovery-connection")) == {"connect-failed"}
-    node = Peer(world.ground)
+    node = Peer(world.sockets)
     watch.answer(200, list_body(8, entry("x", node), reset=True))
     assert watch.read()[0].startswith("GET /v1/servers?index=8&")
     caller = world.ask()
@@ -86,7 +86,7 @@
     watch = world.discovery.accept()
     watch.read()
     lists = world.sidecar.machine_list
-    world.ground.until(lambda: lists.replacement is None)
+    world.sockets.until(lambda: lists.replacement is None)
 
     def answered_amid() -> None:
         lists.start_replacement(world.sidecar.clock.now())
@@ -96,7 +96,7 @@
     assert lists.version == 8 and lists.replacement is None
 
 
-def test_a_list_that_names_nobody_is_asked_for_whole(make: Make) -> None:
+def test_an_empty_list_is_requested_again_in_full(make: Make) -> None:
     world = make(1)
     old = world.discovery.accept()
     old.read()
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("ending", ["stalls", "breaks off"])
-def test_half_a_list_is_none_and_is_asked_for_again(
+def test_an_incomplete_list_is_none_and_is_requested_again(
     make: Make, monkeypatch: pytest.MonkeyPatch, ending: str
 ) -> None:
     if ending == "stalls":
@@ -130,7 +130,7 @@
     if ending == "breaks off":
         watch.reset()
     again = world.discovery.accept()
-    assert again.read()[0].startswith(HELD)  # from the version that it holds: nothing of the half one counts
+    assert again.read()[0].startswith(WATCH)  # from the version that it holds: nothing of the half one counts
     assert sorted(world.run(lambda: list(world.sidecar.pool.addresses))) == ["n0", "n1"]
     again.send(whole)
     assert again.read()[0].startswith("GET /v1/servers?index=8&wait=50000")
--- a/tests/http1/test_pushed_list.py
+++ b/tests/http1/test_pushed_list.py
@@ -1,5 +1,6 @@
-"""Lists that are pushed: over HTTP they too come on a watch, which has to be opened, and what the agent has
-counts as told at once.
+"""Lists that are pushed: over HTTP they too come on a watch, which has to be opened.
+
+What the agent has counts as notified at once.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
     return list_body(8, entry(name, peer, lifecycle="DRAINING"))
 
 
-def test_a_watch_is_opened_at_the_start_and_what_it_brings_is_gone_by(make: Make) -> None:
+def test_a_watch_is_opened_at_the_start_and_its_answer_is_applied(make: Make) -> None:
     world = make(2)
     watch = world.discovery.accept()
     assert watch.read()[0].startswith("GET /v1/servers?index=7&")
@@ -53,5 +54,5 @@
         wire.answer(503)
     wire = world.discovery.accept()
     wire.read()
-    if hasattr(world.ground, "net"):  # in virtual time, where a wait is as long as it is asked for
+    if hasattr(world.sockets, "net"):  # in virtual time, where a wait is as long as it is asked for
         assert world.run(world.sidecar.clock.now) - at < 0.45
--- a/tests/lab/live/test_links.py
+++ b/tests/lab/live/test_links.py
@@ -14,7 +14,7 @@
 from wheatring.lab.live.links.link_state import NO_FAULT, DelayLine, LinkState, datagram
 from wheatring.lab.plan import EventPlan, NetPlan
 
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 NOT_YET = 0.4  # seconds in which what is cut off does not arrive
 HOSTS = {"a": "127.71.0.1", "b": "127.72.0.1"}
 CUT = EventPlan(at=0.0, kind="partition", hosts=(HOSTS["a"],), others=(HOSTS["b"],))
@@ -28,25 +28,25 @@
     def __init__(self) -> None:
         self.links = LinkController(1, HOSTS, NetPlan(cross=0.05, jitter=0.0), 1)
         self.listener = socket.create_server((HOSTS["b"], 0), backlog=64)
-        self.listener.settimeout(FAR)
+        self.listener.settimeout(WAIT_LIMIT_SECONDS)
         self.links.reserve(["a>b"])
         self.links.set_targets({"a>b": self.listener.getsockname()})
         self.settle()
 
-    def dial(self, patience: float = FAR) -> socket.socket:
+    def dial(self, patience: float = WAIT_LIMIT_SECONDS) -> socket.socket:
         return socket.create_connection(self.links.address("a>b"), patience)
 
     def both(self) -> tuple[socket.socket, socket.socket]:
-        """A connection's two ends."""
+        """Return the two ends of a connection."""
         near = self.dial()
         far, _ = self.listener.accept()
-        far.settimeout(FAR)
+        far.settimeout(WAIT_LIMIT_SECONDS)
         near.sendall(b"?")
         assert far.recv(1) == b"?"
         return near, far
 
     def settle(self) -> None:
-        """What was told to the relay is done: it answers in order."""
+        """Wait until the relay has carried out its commands: it answers in order."""
         self.links.stats()
 
     def end(self) -> None:
@@ -68,11 +68,11 @@
     except TimeoutError:
         return True
     finally:
-        end.settimeout(FAR)
+        end.settimeout(WAIT_LIMIT_SECONDS)
     return False
 
 
-def whole(end: socket.socket) -> bytes:
+def read_all(end: socket.socket) -> bytes:
     parts = []
     while part := end.recv(65536):
         parts.append(part)
@@ -90,10 +90,10 @@
     sender.join()
     assert got == data
     near.shutdown(socket.SHUT_WR)
-    assert whole(far) == b""
+    assert read_all(far) == b""
     far.sendall(data[:99])
     far.close()
-    assert whole(near) == data[:99]
+    assert read_all(near) == data[:99]
 
 
 def test_what_is_cut_off_arrives_once_that_is_over_and_in_order(pair: Pair) -> None:
@@ -106,11 +106,11 @@
     pair.links.end_fault(CUT)
     near.sendall(b"three")
     near.shutdown(socket.SHUT_WR)
-    assert whole(far) == b"onethree"
+    assert read_all(far) == b"onethree"
     assert near.recv(3) == b"two"
 
 
-def test_one_way_it_hears_and_is_not_heard(pair: Pair) -> None:
+def test_cut_in_one_direction_it_receives_and_is_not_received(pair: Pair) -> None:
     near, far = pair.both()
     pair.links.start_fault(ONE_WAY)
     pair.settle()
@@ -134,7 +134,7 @@
     pair.both()
 
 
-def test_two_troubles_at_once_both_count_until_each_is_over(pair: Pair) -> None:
+def test_two_faults_at_once_both_count_until_each_is_over(pair: Pair) -> None:
     near, far = pair.both()
     pair.links.start_fault(CUT)
     pair.links.start_fault(SILENT)
@@ -146,7 +146,7 @@
     assert far.recv(1) == b"!"
 
 
-def test_a_closed_link_refuses_and_one_that_leads_nowhere_resets(pair: Pair) -> None:
+def test_a_closed_link_refuses_connections_and_one_without_a_target_resets_them(pair: Pair) -> None:
     pair.links.close(["a>b"])
     pair.settle()
     with pytest.raises(ConnectionRefusedError):
@@ -197,14 +197,14 @@
     assert {len(datagram(1.0, state, True, random)) for _ in range(200)} == counts
 
 
-def test_datagrams_go_by_the_link_of_their_own_way_and_can_be_cut_one_way() -> None:
+def test_datagrams_use_the_link_of_their_direction_and_can_be_cut_in_one_direction() -> None:
     links = LinkController(1, HOSTS, NetPlan(), 1)
     ends = {}
     try:
         for name, host in HOSTS.items():
             ends[name] = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             ends[name].bind((host, 0))
-            ends[name].settimeout(FAR)
+            ends[name].settimeout(WAIT_LIMIT_SECONDS)
         links.reserve_datagrams(["a", "b"])
         links.set_targets({name: end.getsockname() for name, end in ends.items()})
         links.stats()  # answered in order: they lead there now
--- a/tests/lifecycle/test_list_request_schedule.py
+++ b/tests/lifecycle/test_list_request_schedule.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.lab.direct.direct_world import Time, Told
+from tests.lab.direct.direct_world import CallRecorder, Time
 from wheatring.lab.models.discovery import Registry
 from wheatring.lab.models.endpoint_list_history import RegisteredNode
 from wheatring.lab.models.list_request import ListReply, ListRequest
@@ -20,14 +20,15 @@
 
 
 class Fleet:
-    """So many sidecars, started at once with no list, before a service of `rate` calls a second, in virtual
-    time. It opens at `opens`.
+    """So many sidecars, started at once with no list, before a service of `rate` calls a second.
+
+    Time is virtual; the service opens at `opens`.
     """
 
     def __init__(self, copies: int, rate: float, seed: int, opens: float = 0.0) -> None:
         self.time = Time(0.0)
         plan = DiscoveryPlan(lines_per_s=rate * LINES, call_lines=LINES - 1, spread=0.0)
-        self.registry = Registry(plan, self.time, lambda: 0.0, Random(seed), Told())
+        self.registry = Registry(plan, self.time, lambda: 0.0, Random(seed), CallRecorder())
         self.registry.register(RegisteredNode("n", "127.0.0.1:1"))
         if opens:
             self.time.at(opens, self.registry.begin_fault("down"))
@@ -66,21 +67,21 @@
         self.fleet[n].call_failed(self.time.now(), self.time.now() - began)
         self.wait(n)
 
-    def most(self, since: float, span: float = 1.0) -> int:
-        """Calls in the busiest span from then on."""
+    def busiest(self, since: float, span: float = 1.0) -> int:
+        """Return the number of calls in the busiest span from then on."""
         after = [at for at in self.calls if at >= since]
         return max([sum(at <= other < at + span for other in after) for at in after], default=0)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_two_hundred_without_a_list_come_down_on_five_calls_a_second(seed: int) -> None:
+def test_two_hundred_sidecars_without_a_list_settle_at_five_calls_a_second(seed: int) -> None:
     fleet = Fleet(200, 5.0, seed)
     fleet.time.run(400.0)
     ends = sorted(fleet.answered.values())
     assert len(ends) == 200
     assert ends[189] < 1.3 * 40  # of all but a few; 40 s is the least there is
     assert fleet.failed < 0.2 * 200
-    assert fleet.most(since=3.0) <= 3 * 5 + 5  # three times what it takes, and what chance adds
+    assert fleet.busiest(since=3.0) <= 3 * 5 + 5  # three times what it takes, and what chance adds
 
 
 @pytest.mark.parametrize("rate", [2.0, 5.0, 20.0, 100.0])
@@ -96,7 +97,7 @@
     fleet = Fleet(200, 2.5, 5, opens=60.0)
     fleet.time.run(600.0)
     assert len(fleet.answered) == 200
-    assert fleet.most(since=70.0, span=10.0) <= 2 * 25
+    assert fleet.busiest(since=70.0, span=10.0) <= 2 * 25
     assert sum(at >= 60.0 for at in fleet.calls) < 3 * 200
 
 
--- a/tests/ops/test_capture.py
+++ b/tests/ops/test_capture.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import errno
-import json
 import os
 import re
 import signal
@@ -19,8 +18,8 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
-from tests.support.world import FAR, SETTINGS, Peer, Wire, World, entry, list_body
-from tests.system.test_process import begin, told, until
+from tests.support.process import running_process, wait_for_line, write_platform_config
+from tests.support.world import SETTINGS, WAIT_LIMIT_SECONDS, Peer, Wire, World, entry, list_body
 from wheatring import operator_properties
 from wheatring.__main__ import main
 from wheatring.balancer import interface as i
@@ -40,12 +39,12 @@
 
 
 def play(to: ring.CaptureRing, seed: int, count: int) -> None:
-    """A start of the module amid events of every kind that a sidecar has, drawn by the seed."""
+    """Record a start of the balancer amid events of every kind that a sidecar has, drawn by the seed."""
     draw, now = Random(seed), 100.0
     for line in record.header("n/3", seed, 1_700_000_000.25, SETTINGS):
         to.write(line)
     balancer = Balancer(read_settings(SETTINGS), seed)
-    recorder = record.Recorder(balancer, 1_700_000_000.25, to.write, "c/{}".format, lambda node: 2)
+    recorder = record.Recorder(balancer, 1_700_000_000.25, to.write, "c/{}".format, lambda _node: 2)
     nodes = ["-", "a b", "c:1/2", "d,e", "f%", "g\ud800", "g\ud801", "h"]
     out: list[tuple[i.Send, int]] = []
     timers: list[int] = []
@@ -125,7 +124,7 @@
         (r"d .* menu .*", "", "double"),
     ],
 )  # fmt: skip
-def test_a_decision_that_differs_is_told(
+def test_a_decision_that_differs_is_reported(
     pick: str, old: str | None, new: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     play(opened(tmp_path), 1, 1000)
@@ -144,7 +143,7 @@
     assert out[2].split()[2:4] == ([] if new == "double" else before.split()[1:3])
 
 
-def test_what_the_pool_held_is_nothing_that_the_module_decides(
+def test_the_requests_in_flight_are_nothing_that_the_balancer_decides(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     play(opened(tmp_path), 1, 500)
@@ -235,7 +234,9 @@
     assert status == 0 and "ends 1 lines early" in out[0]
 
 
-def test_what_fits_no_file_is_left_out_and_said(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_what_fits_no_file_is_left_out_and_reported(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     play(
         ring.CaptureRing(str(tmp_path), "n3", 400, 500, Clock(Reactor())), 1, 100
     )  # the settings alone take more
@@ -274,7 +275,7 @@
     world = make(1, operator_properties.parse(f"capture.dir = {folder}"), True)
     flush(world)
 
-    def full(file: int, data: bytes) -> int:
+    def full(_file: int, _data: bytes) -> int:
         raise OSError(errno.ENOSPC, "full")
 
     with_os(monkeypatch, write=full)
@@ -319,9 +320,9 @@
 
 
 def test_a_killed_process_s_record_replays_in_another_whatever_the_hash_seed(tmp_path: Path) -> None:
-    (tmp_path / "c.json").write_text(json.dumps(told(name="n3", discovery="127.0.0.1:9")), encoding="utf-8")
+    config = write_platform_config(tmp_path, name="n3", discovery="127.0.0.1:9")
     (tmp_path / "tmp").mkdir()
-    environment = {**os.environ, "LB_CONFIG": str(tmp_path / "c.json"), "TMPDIR": str(tmp_path / "tmp")}
+    environment = {**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(tmp_path / "tmp")}
     command = [sys.executable, "-m", "wheatring"]
     for seed in (1, 2):
         with subprocess.Popen(
@@ -332,10 +333,10 @@
         ) as process:
             assert process.stdout is not None
             port = int(process.stdout.readline().rpartition("=")[2])
-            caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+            caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
             caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
             assert caller.read()[0] == "HTTP/1.1 503 Service Unavailable"
-            far = time.monotonic() + FAR
+            far = time.monotonic() + WAIT_LIMIT_SECONDS
             while sum(line.startswith("d ") for line in lines_in(tmp_path / "tmp")) < seed:  # it writes soon
                 assert time.monotonic() < far
             process.kill()
@@ -353,20 +354,20 @@
     node, folder = Peer(), tmp_path / "kept"
     folder.mkdir()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    with begin(tmp_path, f"capture.dir = {folder}\n", capture=True, known=known) as process:
-        port = int(until(process, "listening").rpartition("=")[2])
-        caller = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+    with running_process(tmp_path, f"capture.dir = {folder}\n", capture=True, known=known) as process:
+        port = int(wait_for_line(process, "listening").rpartition("=")[2])
+        caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
         wire = node.accept()
         wire.read()
         process.send_signal(signal.SIGTERM)
-        far = time.monotonic() + FAR
+        far = time.monotonic() + WAIT_LIMIT_SECONDS
         with pytest.raises(ConnectionRefusedError):  # it only waits for this answer now
             while time.monotonic() < far:
-                socket.create_connection(("127.0.0.1", port), FAR).close()
+                socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS).close()
         wire.answer(200, b"ok")
         assert caller.read()[2] == b"ok"
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
         caller.close()
     node.close()
     assert [line.split()[5] for line in lines_in(folder) if line.startswith("o ")] == ["served"]
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -100,7 +100,7 @@
 
 
 def goes_before(one: RouteMatch, other: RouteMatch) -> bool:
-    """The order as the page tells it, one sentence after another. Equal ones keep the file's order."""
+    """Compare as the page says, one sentence after another. Equal ones keep the file's order."""
 
     def first(match: RouteMatch) -> list[tuple[bool, int]]:
         exact = sum(1 for h in match.headers if h.exact)
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_look_tries_no_more_routes_in_a_table_a_hundred_times_as_long(
+def test_a_lookup_tries_no_more_routes_in_a_table_a_hundred_times_as_long(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     tried = 0
--- a/tests/support/virtual_sockets.py
+++ b/tests/support/virtual_sockets.py
@@ -1,4 +1,4 @@
-"""The stories' ground in virtual time: sockets of the lab whose calls let time pass until they can end."""
+"""Sockets in virtual time: those of the lab, with calls that let time pass until they can return."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from wheatring.lab.plan import NetPlan
 
 T = TypeVar("T")
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 HOST = "127.0.0.1"
 
 
-class Blocking:
-    """The part of `socket.socket` that the stories use, with the same errors."""
+class BlockingSocket:
+    """The part of `socket.socket` that the tests use, with the same errors."""
 
-    def __init__(self, ground: Virtual, socket: Socket) -> None:
-        self.ground = ground
+    def __init__(self, sockets: VirtualSockets, socket: Socket) -> None:
+        self.sockets = sockets
         self.socket = socket
         self.setsockopt = socket.setsockopt
         self.getsockname = socket.getsockname
@@ -32,28 +32,28 @@
         """Each call has the same far limit."""
 
     def recv(self, size: int) -> bytes:
-        self.ground.until(self.socket.readable)
+        self.sockets.until(self.socket.readable)
         return self.socket.recv(size)
 
     def sendall(self, data: bytes) -> None:
         while data:
-            self.ground.until(self.socket.writable)
+            self.sockets.until(self.socket.writable)
             data = data[self.socket.send(data) :]
 
-    def accept(self) -> tuple[Blocking, Any]:
-        self.ground.until(self.socket.readable)
+    def accept(self) -> tuple[BlockingSocket, Any]:
+        self.sockets.until(self.socket.readable)
         accepted, address = self.socket.accept()
-        return Blocking(self.ground, accepted), address
+        return BlockingSocket(self.sockets, accepted), address
 
 
-class Virtual:
+class VirtualSockets:
     """A sidecar and its peers, two programs on one host. What falls on one instant comes in a drawn order."""
 
     def __init__(self) -> None:
         self.time = VirtualTime(ties=Random(1))
         self.net = Network(self.time, NetPlan(), Random(1), epoch=time.time())
         self.reactor = self.net.process("sidecar", HOST)
-        self.story = self.net.process("story", HOST)
+        self.test_process = self.net.process("story", HOST)
         self.unix = self.reactor.unix
 
     def run(self, call: Callable[[], T]) -> T:
@@ -61,7 +61,7 @@
         return done
 
     def until(self, met: Callable[[], object]) -> None:
-        limit = self.time.now() + FAR
+        limit = self.time.now() + WAIT_LIMIT_SECONDS
         while not met():
             assert self.time.step(limit), "it never came"
 
@@ -72,7 +72,7 @@
         socket = self._socket()
         socket.bind((HOST, 0))
         socket.listen(128)
-        return Blocking(self, socket)
+        return BlockingSocket(self, socket)
 
     def refuse(self, listener: Any) -> Any:
         """Close a listener: in this network a closed port is not given out again."""
@@ -85,7 +85,7 @@
         self.until(lambda: socket.broken or socket.writable())
         if socket.error:
             raise OSError(socket.error, os.strerror(socket.error))
-        return Blocking(self, socket)
+        return BlockingSocket(self, socket)
 
     def ready(self, listeners: list[Any]) -> int:
         """Which of them somebody waits at, once somebody does."""
@@ -93,6 +93,6 @@
         return [bool(listener.socket.queue) for listener in listeners].index(True)
 
     def _socket(self) -> Socket:
-        socket = Socket(self.story)
-        self.story.opened(socket)
+        socket = Socket(self.test_process)
+        self.test_process.opened(socket)
         return socket
--- a/tests/system/drawn_settings.py
+++ b/tests/system/drawn_settings.py
@@ -30,34 +30,34 @@
 LETTERS = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789"
 OTHERS = ("event.sidecar_restart", "class.menu-view", "class.pay", "class.place-order")
 SEEN = ("taken", "refused", "failed", "attempts", "drains_checked", "cold_starts", "effects")
-TROUBLES = [event.kind for event in load("small").scenario.events if event.kind != "sidecar_restart"]
+FAULT_KINDS = [event.kind for event in load("small").scenario.events if event.kind != "sidecar_restart"]
 
 
 class Day(NamedTuple):
     plan: Plan
     beside: dict[str, Any]  # settings of which the lab knows nothing, by path/to/key
 
-    def told(self, plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
-        """What a sidecar of this day is told, in the platform's form."""
-        told = SETTINGS(plan, tier, number, copies)
+    def configuration(self, plan: Plan, tier: int, number: int, copies: int) -> dict[str, Any]:
+        """Return the configuration of a sidecar of this day, in the platform's form."""
+        configuration = SETTINGS(plan, tier, number, copies)
         for path, value in self.beside.items():
             *outer, key = path.split("/")
-            inner: Any = told
+            inner: Any = configuration
             for step in outer:
                 inner = inner[int(step)] if isinstance(inner, list) else inner.setdefault(step, {})
             inner[key] = value
-        if told["discovery"] == "pushed":
-            del told["contract"]["must_ask_in"]  # the pages give it only where discovery is asked
-        return told
+        if configuration["discovery"] == "pushed":
+            del configuration["contract"]["must_ask_in"]  # the pages give it only where discovery is asked
+        return configuration
 
     def play(self, grain: str, tracing: Tracing | None = None) -> Outcome:
-        with patch.object(sidecar_slots, "sidecar_settings", self.told):
+        with patch.object(sidecar_slots, "sidecar_settings", self.configuration):
             return play(self.plan, grain, tracing)
 
     def read(self, folder: Path) -> platform_file.PlatformConfig:
-        """The same through the file that a process is given."""
-        told = self.told(self.plan, 0, 0, len(self.plan.sidecars))
-        data = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": told}
+        """Read the same through the file that a process is given."""
+        configuration = self.configuration(self.plan, 0, 0, len(self.plan.sidecars))
+        data = {"name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": configuration}
         (folder / "c.json").write_text(json.dumps(data), encoding="utf-8")
         return platform_file.read({"LB_CONFIG": str(folder / "c.json")})
 
@@ -109,7 +109,7 @@
     ]  # fmt: skip
     raw = {
         "title": "t", "what": "w", "extends": "small", "tail": longest + 1.0, "class": classes, "tier": tiers,
-        "without": [*OTHERS, *(f"event.{one}" for one in TROUBLES if one != "kill" and maybe())],
+        "without": [*OTHERS, *(f"event.{one}" for one in FAULT_KINDS if one != "kill" and maybe())],
         "passes_deadline": maybe(), "zones": ["one", "two"][: random.randint(1, 2)],
         "front": {"sidecars": random.randint(1, 3), "counted": random.choice((1.0, 2.0, 20.0))},
         "traffic": {"load": random.uniform(0.2, 1.3)}, "clients": {"retries": random.randint(0, 2)},
--- a/tests/system/test_cold_processes.py
+++ b/tests/system/test_cold_processes.py
@@ -9,7 +9,7 @@
 from math import sqrt
 from pathlib import Path
 
-from tests.support.world import FAR, Peer, Wire, entry, list_body
+from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, entry, list_body
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 
 SIDECARS, WARM = 8, 4
@@ -18,10 +18,10 @@
 CALLERS = 2  # of each sidecar
 RATE = CALLERS * sum(1 / gap for gap in GAPS) / (WARM + 1)  # calls a second: together they can do all at most
 FROM, COLD, MULTIPLE = 0.13, 24.0, 2.5  # as in the lab's settings; the window is a second
-ASKED = (150, 400, 900)  # answers by the end of each part of the story
+ASKED = (150, 400, 900)  # answers by the end of each part of the run
 
 
-class Story:
+class ColdEndpointRun:
     """The warm ones serve; then every second call fails there; at last they refuse. The cold one serves."""
 
     def __init__(self) -> None:
@@ -35,12 +35,12 @@
     def tell(self, wire: Wire) -> None:
         """Discovery: the cold one is told of once, to all that watch."""
         wire.read()
-        self.ends[0].wait(FAR)
+        self.ends[0].wait(WAIT_LIMIT_SECONDS)
         entries = [entry(f"n{n}", peer) for n, peer in enumerate(self.warm)]
         cold = entry("cold", self.cold, startedAtMs=int(self.started * 1000))
         wire.answer(200, list_body(2, *entries, cold, reset=True), "Content-Type: application/json\r\n")
         wire.read()  # the next watch is never answered
-        self.ends[2].wait(FAR)
+        self.ends[2].wait(WAIT_LIMIT_SECONDS)
 
     def serve_warm(self, wire: Wire) -> None:
         while True:
@@ -61,7 +61,7 @@
 
     def ask(self, port: int, gap: float) -> None:
         """One caller: the next request comes only after the answer, so what was late is never made up for."""
-        wire = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+        wire = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         with suppress(OSError, EOFError):
             while not self.ends[2].is_set():
                 wire.send(b"GET /a HTTP/1.1\r\nHost: b\r\nX-Correlation-Id: c\r\n")
@@ -108,15 +108,15 @@
             ports = [sidecar.port() for sidecar in sidecars]
             for port, gap in list(zip(ports, GAPS, strict=True)) * CALLERS:
                 threading.Thread(target=self.ask, args=(port, gap), daemon=True).start()
-            assert self.ends[2].wait(FAR)
+            assert self.ends[2].wait(WAIT_LIMIT_SECONDS)
 
 
 def test_real_processes_send_a_cold_endpoint_no_more_than_its_budget(tmp_path: Path) -> None:
-    story = Story()
-    story.play(tmp_path)
+    run = ColdEndpointRun()
+    run.play(tmp_path)
     worst = 0.0  # calls in a window, as a part of the bound
-    for number, now in enumerate(story.arrived, 1):
-        count = sum(at > now - 1 for at in story.arrived[:number])
-        budget = MULTIPLE * RATE * (FROM + (1 - FROM) * min(1.0, (now - story.started) / COLD))
+    for number, now in enumerate(run.arrived, 1):
+        count = sum(at > now - 1 for at in run.arrived[:number])
+        budget = MULTIPLE * RATE * (FROM + (1 - FROM) * min(1.0, (now - run.started) / COLD))
         worst = max(worst, count / (budget + 2 * sqrt(budget) + 2))
     assert 0 < worst <= 1
--- a/tests/system/test_start.py
+++ b/tests/system/test_start.py
@@ -1,5 +1,7 @@
-"""What a start costs: many processes may start on one machine at once, and nine in ten of them have to be
-ready soon. Held by counts, as a clock would tell more of the machine than of the program.
+"""What a start costs: many processes may start on one machine at once.
+
+Nine in ten of them have to be ready soon. Checked by counts, as a clock would tell more of the machine than
+of the program.
 """
 
 from __future__ import annotations
@@ -13,8 +15,8 @@
 from pathlib import Path
 from typing import Any
 
-from tests.support.world import FAR, Peer, Wire, entry
-from tests.system.test_process import told, until
+from tests.support.process import wait_for_line, write_platform_config
+from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, entry
 from wheatring import lazy_imports
 
 ROOT = Path(__file__).parents[2]
@@ -54,22 +56,21 @@
 def test_a_start_loads_little_reads_little_and_leaves_asleep_what_service_never_uses(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    data = told(known=known, discovery=f"127.0.0.1:{discovery.port}")
-    (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
-    environment = {**os.environ, "LB_CONFIG": str(tmp_path / "c.json"), "TMPDIR": str(tmp_path)}
+    config = write_platform_config(tmp_path, known=known, discovery=f"127.0.0.1:{discovery.port}")
+    environment = {**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(tmp_path)}
     pipes: dict[str, Any] = {"stdout": subprocess.PIPE, "stderr": subprocess.PIPE, "text": True}
     with subprocess.Popen([sys.executable, "-c", TELLING], cwd=ROOT, env=environment, **pipes) as process:
         try:
             assert process.stderr is not None
             done = json.loads(process.stderr.readline())
-            port = int(until(process, "listening").rpartition("=")[2])
+            port = int(wait_for_line(process, "listening").rpartition("=")[2])
             watch = discovery.accept()
             watch.read()
             watch.close()  # a call that fails, a reload, a request, a caller and an endpoint that go
             discovery.accept().read()
             process.send_signal(signal.SIGHUP)
-            until(process, "reloaded")
-            wire = Wire(socket.create_connection(("127.0.0.1", port), FAR))
+            wait_for_line(process, "reloaded")
+            wire = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
             wire.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
             called = node.accept()
             called.read()
@@ -78,7 +79,7 @@
             called.close()
             wire.close()
             process.send_signal(signal.SIGTERM)
-            assert process.wait(FAR) == 0
+            assert process.wait(WAIT_LIMIT_SECONDS) == 0
             at_end = json.loads(process.stderr.readline())
         finally:
             process.kill()
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -14,8 +14,9 @@
 
 from wheatring.lease.component import Instant
 from wheatring.lease.payloads import FetchRequest, PayloadStore
+from wheatring.lease.register_leader import LEADER_ROLE
 from wheatring.lease.register_messages import Entry, EntryChosen
-from wheatring.lease.replicated_register import LEADER_ROLE, ReplicatedRegister
+from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.lease.timing import LeaseTiming
 from wheatring.lease.voters import VoterSet
 from wheatring.members.messages import Address, MemberInfo
@@ -55,6 +56,7 @@
         self.fetch_requests: list[FetchRequest] = []
         self.random = Random(f"{order.seed}:{name}")
         self.roles = {LEADER_ROLE: self}
+        self.electorate = self
         self.members = SimpleNamespace(alive_members=lambda: [MemberInfo(one, one, 1) for one in order.names])
 
     @property
@@ -129,7 +131,7 @@
         self.now = INITIAL_UPTIME_SECONDS
         for name in self.names:
             self.registers[name].tick(self.at)
-            self.registers[name].has_recovered = True
+            self.registers[name].acceptor.has_recovered = True
 
     @property
     def at(self) -> Instant:
@@ -166,7 +168,7 @@
 
     def are_voters_awake(self) -> bool:
         """Whether all voters answer, none of them being in its silence after a start."""
-        return all(self.registers[name].has_recovered for name in self.voters.names)
+        return all(self.registers[name].acceptor.has_recovered for name in self.voters.names)
 
     def change_term(self) -> int:
         """End or begin a term now and then; return 1 where one begins.
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -21,7 +21,6 @@
 from wheatring.lab.models.front_load_balancer import FrontLoadBalancer
 from wheatring.lab.models.machine import Machine
 from wheatring.lab.models.machine_spec import MachineServices, MachineSpec
-from wheatring.lab.models.traffic import Sampler, work_sampler
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import LIVE_ONLY, NodePlan, Plan
@@ -68,6 +67,13 @@
             gc.unfreeze()
 
 
+def check_playable(plan: Plan) -> None:
+    """Raise ValueError if a plan has events that need real processes."""
+    kinds = sorted({event.kind for event in plan.events if event.kind in LIVE_ONLY})
+    if kinds:
+        raise ValueError(f"{plan.scenario}: can't be played in virtual time: {', '.join(kinds)}")
+
+
 class World:
     """One plan at one grain, on the environment that is made for it. `play` may be called once."""
 
@@ -78,21 +84,16 @@
         make_environment: Callable[[World], Environment],
         tracing: Tracing | None = None,
     ) -> None:
-        never = sorted({event.kind for event in plan.events if event.kind in LIVE_ONLY})
-        if never:
-            raise ValueError(f"{plan.scenario}: can't be played in virtual time: {', '.join(never)}")
+        check_playable(plan)
         self.plan = plan
         self.grain = grain
         ties = self.random("ties") if plan.net.shuffle else None
         self.time = VirtualTime(START, ties)
         self.day_start = START + LEAD_SECONDS
         self.origins = CorrelationTable(self.random("ids"))
-        first_request_of = self.origins.first
-        self.trace = (
-            None if tracing is None else Trace(self.day_start, tracing.file, tracing.of, first_request_of)
-        )
+        self.trace = None if tracing is None else self._create_trace(tracing)
         self.checker = InvariantChecker(
-            plan, grain, self.time.now, self.day_start, self.trace, first_request_of
+            plan, grain, self.time.now, self.day_start, self.trace, self.origins.first
         )
         self.registry = Registry(
             plan.discovery, self.time, self.unix_time, self.random("discovery"), self.checker
@@ -105,12 +106,17 @@
         )
         self.nodes = {node.name: node for node in plan.nodes}
         self.machines: dict[str, Machine] = {}
-        deduplicator = EffectDeduplicator(self.time, plan.classes, self.checker)
-        for node in plan.nodes:
-            self.add_machine(node, deduplicator)
+        self.add_machines()
         self.add_slots()
-        self.clients = Clients(
-            plan,
+        self.clients = self._create_clients()
+        self.event_scheduler = self._create_event_scheduler()
+
+    def _create_trace(self, tracing: Tracing) -> Trace:
+        return Trace(self.day_start, tracing.file, tracing.of, self.origins.first)
+
+    def _create_clients(self) -> Clients:
+        return Clients(
+            self.plan,
             self.time,
             self.random("clients"),
             self.origins,
@@ -118,7 +124,9 @@
             self.front,
             self.environment.client_transport,
         )
-        self.event_scheduler = EventScheduler(
+
+    def _create_event_scheduler(self) -> EventScheduler:
+        return EventScheduler(
             self.time,
             self.environment,
             self.machines,
@@ -132,17 +140,18 @@
         """Return random numbers that depend on the plan's seed and a name alone."""
         return Random(f"{self.plan.seed}:{name}")
 
-    def work_samplers(self, node: NodePlan) -> list[Sampler]:
-        """Return samplers of the work of a node's calls, by class."""
-        random = self.random(f"calls:{node.name}")
-        return [work_sampler(random, each) for each in self.plan.classes]
-
     def unix_time(self) -> float:
         """Return Unix time as discovery and the machines read it."""
         return self.plan.epoch + self.time.now() - START + self.environment.clock_step()
 
     # Its parts
 
+    def add_machines(self) -> None:
+        """Add the machines of all nodes."""
+        deduplicator = EffectDeduplicator(self.time, self.plan.classes, self.checker)
+        for node in self.plan.nodes:
+            self.add_machine(node, deduplicator)
+
     def add_machine(self, node: NodePlan, deduplicator: EffectDeduplicator) -> None:
         """Add the machine of a node."""
         is_last_tier = node.tier + 1 == len(self.plan.tiers)
@@ -175,7 +184,7 @@
         self.registry.assign_tier(name, tier)
 
     def initial_endpoint_list(self, tier: int) -> dict[str, Any]:
-        """Return the machine list of a tier with which a sidecar starts, in discovery's form."""
+        """Return the endpoint list of a tier with which a sidecar starts, in discovery's form."""
         return list_reply_json(self.registry.initial_list(tier, self.plan.held))
 
     # Sidecars come and go
@@ -195,7 +204,7 @@
         if slot.name not in self.nodes:
             self.front.sidecar_down(slot.name)
 
-    # The lives of nodes
+    # Lifecycles of nodes
 
     def start(self, name: str, cold: bool = True) -> None:
         """Start the process of a node, cold or as if it had run for long."""
@@ -251,11 +260,8 @@
         plan = self.plan
         began = process_time.perf_counter()
         for node in plan.nodes:
-            kind = plan.tiers[node.tier].kinds[node.kind].name
-            listed = RegisteredNode(
-                node.name, f"{node.host}:{PORT}", node.zone, kind, node.cell, tier=node.tier
-            )
-            self.registry.register(listed, node.up)
+            address = f"{node.host}:{PORT}"
+            self.registry.register(RegisteredNode.from_plan(plan, node, address), node.up)
             if node.up:
                 self.start(node.name, cold=False)
         late = {sidecar.name: sidecar.start for sidecar in plan.sidecars if sidecar.start > 0}
--- a/wheatring/peers/fleet_status.py
+++ b/wheatring/peers/fleet_status.py
@@ -19,17 +19,17 @@
             "zone": seen.member.zone, "address": f"{seen.member.host}:{seen.member.port}",
             "same_voters": seen.member.voters_digest == fleet.voters.digest,
         }
-        for seen in fleet.members.statuses(at.now)
+        for seen in fleet.members.gossip.statuses(at.now)
     ]  # fmt: skip
 
 
 def role_rows(fleet: Fleet, at: Instant) -> list[dict[str, Any]]:
     """Describe each place of each role; `left_s` are the seconds until the lease held here ends."""
     rows = []
-    for name, settings in fleet.role_settings.items():
+    for name, settings in fleet.role_manager.settings.items():
         role = fleet.roles[name]
         for place in range(settings.slots):
-            holder, epoch = fleet.last_known_holder(name, place)
+            holder, epoch = fleet.role_manager.last_known_holder(name, place)
             lease = role.held_lease
             is_here = lease is not None and lease.lease == f"{name}/{place}"
             left = lease.held_until - at.boot if lease is not None and is_here else None
