--- a/wheatring/lease/acceptor.py
+++ b/wheatring/lease/acceptor.py
@@ -12,6 +12,7 @@
 from __future__ import annotations
 
 from collections.abc import Collection
+from typing import NamedTuple
 
 from wheatring.lease.messages import (
     NO_PROPOSAL,
@@ -29,6 +30,14 @@
 from wheatring.lease.voters import VoterSet
 
 
+class Grant(NamedTuple):
+    """A lease as an acceptor has granted it."""
+
+    proposal: ProposalNumber
+    epoch: int
+    seconds_left: float
+
+
 class _LeaseState:
     """What the acceptor has promised and granted of one lease."""
 
@@ -118,10 +127,12 @@
             self.voters_in_force = message.voters_digest
         return Accepted(*_header(message))
 
-    def holder_of(self, now: float, lease: str) -> tuple[ProposalNumber, int, float] | None:
-        """Return who holds a lease by this acceptor's grants: proposal, epoch, seconds left; None: nobody."""
+    def holder_of(self, now: float, lease: str) -> Grant | None:
+        """Return the grant by which a lease is held; None: nobody holds it by this acceptor."""
         state = self.leases[lease]
-        return (state.holder, state.epoch, state.held_until - now) if now < state.held_until else None
+        if now >= state.held_until:
+            return None
+        return Grant(state.holder, state.epoch, state.held_until - now)
 
     def change_voters(self, now: float, voters: VoterSet, adopted_elsewhere: bool = False) -> str:
         """Go by other voters from now on, and abstain anew: an earlier grant may stand for a lease yet.
--- a/wheatring/lease/fleet.py
+++ b/wheatring/lease/fleet.py
@@ -9,7 +9,7 @@
 from collections.abc import Collection, Sequence
 from math import inf
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from msgspec import structs
 
@@ -51,6 +51,13 @@
 FleetMessage = SwimMessage | AcceptorRequest | AcceptorResponse | LeaseReleased | Heartbeat
 
 
+class VoterChange(NamedTuple):
+    """What came of a change of voters: why it is rejected ("": it is made), and what is to be sent."""
+
+    objection: str
+    outgoing: list[Outgoing]
+
+
 class Fleet:
     """Hands the events of one process to its deciders, and gathers what they return.
 
@@ -102,17 +109,17 @@
         """Whether it has announced that it leaves."""
         return self.members.gossip.has_left
 
-    def change_voters(self, at: Instant, voters: VoterSet) -> tuple[str, list[Outgoing]]:
-        """Go by other voters; return why not ("": it does), and what is to be sent."""
+    def change_voters(self, at: Instant, voters: VoterSet) -> VoterChange:
+        """Go by other voters, if nothing speaks against it."""
         adopted = {
             record.member.voters_digest for record in self.members.table.records.values() if record.is_present
         }
         if objection := self.acceptor.change_voters(at.boot, voters, voters.digest in adopted):
-            return objection, []
+            return VoterChange(objection, [])
         out = self.role_manager.change_voters(at, voters)
         self.members.gossip.update_identity(self.me._replace(voters_digest=voters.digest))
         self.role_manager.report_changes(at)
-        return "", out
+        return VoterChange("", out)
 
     # Events
 
--- a/wheatring/lease/membership_views.py
+++ b/wheatring/lease/membership_views.py
@@ -23,6 +23,7 @@
 from wheatring.lease.view_leader import ViewLeader
 from wheatring.lease.view_monitor import ViewMonitor
 from wheatring.lease.view_sender import ViewSender
+from wheatring.members.edge_monitor import Isolation
 from wheatring.members.messages import Address
 from wheatring.members.view import View, ViewChange
 from wheatring.members.view_messages import (
@@ -86,8 +87,8 @@
         """Return whether it may still count on its view."""
         return self.is_member and self.stamps.is_valid(now) and self.stamp.view <= self.view.number
 
-    def isolation(self, now: float) -> str:
-        """Return "mute", "deaf" or "" (neither); see `EdgeMonitor.isolation`."""
+    def isolation(self, now: float) -> Isolation:
+        """Return in which way this member of the view is cut off."""
         return self.monitor.isolation(now)
 
     # Events
--- a/wheatring/lease/singleton_role.py
+++ b/wheatring/lease/singleton_role.py
@@ -36,6 +36,13 @@
     reason: str = ""
 
 
+class KnownHolder(NamedTuple):
+    """Who holds or last held a slot of a role, as far as was heard; "" and 0: nobody."""
+
+    name: str
+    epoch: int
+
+
 def lease_names(role: str, slots: int) -> list[str]:
     """Return the names of a role's leases, one for each slot."""
     return [f"{role}/{slot}" for slot in range(slots)]
--- a/wheatring/lease/view_monitor.py
+++ b/wheatring/lease/view_monitor.py
@@ -8,7 +8,7 @@
 from wheatring.lease.replicated_register import ReplicatedRegister
 from wheatring.lease.view_installer import ViewInstaller
 from wheatring.lease.view_sender import ViewSender
-from wheatring.members.edge_monitor import STALL_SECONDS, EdgeMonitor
+from wheatring.members.edge_monitor import STALL_SECONDS, EdgeMonitor, Isolation
 from wheatring.members.indirect_checks import IndirectChecks
 from wheatring.members.messages import Address, SyncRequest
 from wheatring.members.view_messages import (
@@ -49,9 +49,9 @@
         self.indirect_targets: dict[int, str] = {}  # names of the members checked indirectly, by sequence
         self.last_heard_from: dict[str, float] = {}  # subjects that are heard and don't answer: when last
 
-    def isolation(self, now: float) -> str:
-        """Return "mute", "deaf" or "" (neither); see `EdgeMonitor.isolation`."""
-        return self.edge_monitor.isolation(now) if self.installer.is_member else ""
+    def isolation(self, now: float) -> Isolation:
+        """Return in which way this member of the view is cut off."""
+        return self.edge_monitor.isolation(now) if self.installer.is_member else Isolation.NONE
 
     @property
     def due(self) -> float:
--- a/wheatring/members/edge_monitor.py
+++ b/wheatring/members/edge_monitor.py
@@ -10,6 +10,7 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from math import inf
 from random import Random
 from typing import NamedTuple
@@ -29,6 +30,14 @@
 MAX_PENDING = 16  # checks of one subject that may be answered yet
 
 
+class Isolation(StrEnum):
+    """In which way a member is cut off from the others; the values stand in answers and in the log."""
+
+    NONE = ""
+    MUTE = "mute"  # it hears and isn't heard
+    DEAF = "deaf"  # it hears nothing
+
+
 class MonitoredSubject:
     """What is known of one subject."""
 
@@ -215,8 +224,8 @@
         self.next_self_check = now + ISOLATED_AFTER_SECONDS / 4
         return True
 
-    def isolation(self, now: float) -> str:
-        """Return "mute": it hears and isn't heard; "deaf": it hears nothing; or "": neither."""
+    def isolation(self, now: float) -> Isolation:
+        """Return in which way this member is cut off."""
         if not self.is_isolated(now):
-            return ""
-        return "mute" if now - self.last_message < ISOLATED_AFTER_SECONDS else "deaf"
+            return Isolation.NONE
+        return Isolation.MUTE if now - self.last_message < ISOLATED_AFTER_SECONDS else Isolation.DEAF
--- a/wheatring/members/indirect_checks.py
+++ b/wheatring/members/indirect_checks.py
@@ -21,6 +21,13 @@
     due: float
 
 
+class CheckRequester(NamedTuple):
+    """A leader that is to be told of an answer, and the sequence number of its request."""
+
+    leader: Address
+    sequence: int
+
+
 class IndirectChecks:
     """The checks of possibly failed members that leaders have asked this sidecar for."""
 
@@ -49,12 +56,12 @@
                 self.active[index] = check._replace(attempts_left=left, due=due)
         return names
 
-    def note_reached(self, name: str) -> list[tuple[Address, int]]:
+    def note_reached(self, name: str) -> list[CheckRequester]:
         """Take note of an answer; return which leaders to tell, each once, and their request's sequence."""
-        recipients = []
+        requesters = []
         for index, check in enumerate(self.active):
             if name in check.names:
-                recipients.append((check.leader, check.sequence))
+                requesters.append(CheckRequester(check.leader, check.sequence))
                 rest = tuple(other for other in check.names if other != name)
                 self.active[index] = check._replace(names=rest)
-        return recipients
+        return requesters
--- a/wheatring/peers/datagram_codec.py
+++ b/wheatring/peers/datagram_codec.py
@@ -16,7 +16,7 @@
 from collections import OrderedDict
 from collections.abc import Sequence
 from hashlib import blake2b
-from typing import Any, Generic, TypeVar, get_args
+from typing import Any, Generic, NamedTuple, TypeVar, get_args
 
 import msgspec
 from msgspec import Struct
@@ -71,6 +71,13 @@
         self.received_at = 0.0
 
 
+class ReceivedMessage(NamedTuple):
+    """A message of an authenticated datagram, and its sender's name."""
+
+    sender: str
+    message: Any
+
+
 class DatagramCodec:
     """Encodes the datagrams of one process of a fleet, and decodes those of the others.
 
@@ -116,8 +123,8 @@
             raise DatagramRejectedError("too-large")
         return bytes((FORMAT_VERSION, len(mac))) + mac + body
 
-    def decode(self, now: float, data: bytes) -> tuple[str, Any]:
-        """Check a datagram received at monotonic `now`, in seconds; return its sender's name and its message.
+    def decode(self, now: float, data: bytes) -> ReceivedMessage:
+        """Check a datagram received at monotonic `now`, in seconds, and return what it carries.
 
         Raises
         ------
@@ -134,7 +141,7 @@
         if frame.sender == self.name or not frame.sender:
             raise DatagramRejectedError("name")  # another process uses this one's name
         self._check_replay(now, frame)
-        return frame.sender, frame.message
+        return ReceivedMessage(frame.sender, frame.message)
 
     def _authenticated_body(self, data: bytes) -> bytes:
         if len(data) > MAX_DATAGRAM_BYTES:
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -25,6 +25,7 @@
 from wheatring.peers.list_sharing import ListSharing
 from wheatring.peers.options import FleetOptions
 from wheatring.peers.role_workers import RoleWorker
+from wheatring.peers.status_values import OperatorAnswer
 
 if TYPE_CHECKING:  # what belongs to agreed views is imported with them
     from wheatring.config.project_file import ProjectFile
@@ -283,21 +284,21 @@
 
     # Requests of operators and of the configuration
 
-    def offer_plan(self, body: bytes) -> tuple[int, dict[str, Any]]:
-        """Propose a plan to the fleet; return the HTTP status and the JSON body of the answer."""
+    def offer_plan(self, body: bytes) -> OperatorAnswer:
+        """Propose a plan to the fleet."""
         if self.agreement is None or self.agreement.plan is None:
-            return 503, {"what": NOT_JOINED}
-        http_status, answer = self.agreement.plan.offer(self.instant(), body)
+            return OperatorAnswer(503, {"what": NOT_JOINED})
+        answer = self.agreement.plan.offer(self.instant(), body)
         self.dispatch([])  # the proposal is due now
-        return http_status, answer
+        return answer
 
-    def set_format_floor(self, min_format: int) -> tuple[int, dict[str, Any]]:
-        """Set the lowest plan format that members have to read; return HTTP status and JSON body."""
+    def set_format_floor(self, min_format: int) -> OperatorAnswer:
+        """Set the lowest plan format that members have to read."""
         if self.agreement is None or self.agreement.plan is None:
-            return 503, {"what": NOT_JOINED}
+            return OperatorAnswer(503, {"what": NOT_JOINED})
         http_status, answer, outgoing = self.agreement.plan.set_format_floor(self.instant(), min_format)
         self.dispatch(outgoing)
-        return http_status, answer
+        return OperatorAnswer(http_status, answer)
 
     @property
     def is_ready(self) -> bool:
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -6,10 +6,11 @@
 from __future__ import annotations
 
 from math import inf
-from typing import Any
+from typing import Any, NamedTuple
 
 from wheatring.errors import OperatorError
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
+from wheatring.lease.exceptions import LeaseError
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.register_leader import LEADER_ROLE
@@ -19,7 +20,7 @@
 from wheatring.members.view_messages import ViewMember
 from wheatring.peers.compiled_plan import compile_plan
 from wheatring.peers.options import PlanOptions
-from wheatring.peers.status_values import shown_age
+from wheatring.peers.status_values import OperatorAnswer, shown_age
 from wheatring.plan.agent import PlanAgent
 from wheatring.plan.document import CommittedPlan
 from wheatring.schedule.activation import WeightSchedule
@@ -34,6 +35,14 @@
 MAX_REASONS_OF_REJECTION = 2  # that a member which isn't admitted is told
 
 
+class MinimumChange(NamedTuple):
+    """The answer to an operator who sets the minimum format, and the messages to send for it."""
+
+    http_status: int
+    body: dict[str, Any]  # as JSON
+    outgoing: list[Outgoing]
+
+
 class PlanCoordinator:
     """A decider of the fleet among others: it wakes for the plan's edges (instants at which weights change).
 
@@ -175,31 +184,27 @@
 
     # Requests of operators
 
-    def offer(self, at: Instant, body: bytes) -> tuple[int, dict[str, Any]]:
-        """Propose a plan to the fleet; return the HTTP status and the JSON body of the answer."""
+    def offer(self, at: Instant, body: bytes) -> OperatorAnswer:
+        """Propose a plan to the fleet."""
         try:
             compile_plan(body)  # what all would reject is rejected before it is sent
             proposal = self.plans.propose(at, body)
         except OperatorError as error:
-            return 409 if error.code == "plan-push-under-way" else 400, error_body(error)
-        return 202, {"push": proposal.proposal_id, "state": proposal.state}
+            http_status = 409 if error.code == "plan-push-under-way" else 400
+            return OperatorAnswer(http_status, error_body(error))
+        return OperatorAnswer(202, {"push": proposal.proposal_id, "state": proposal.state})
 
-    def set_format_floor(self, at: Instant, min_format: int) -> tuple[int, dict[str, Any], list[Outgoing]]:
-        """Set the lowest plan format that members have to read; only at the sidecar that leads.
-
-        Returns
-        -------
-        tuple[int, dict[str, Any], list[Out]]
-            The HTTP status and the JSON body of the answer, and messages to send.
-        """
+    def set_format_floor(self, at: Instant, min_format: int) -> MinimumChange:
+        """Set the lowest plan format that members have to read; only at the sidecar that leads."""
         try:
-            body = self.skew.prepare_minimum(at, min_format, self.views.view)
-            outgoing = self.floors.put(at, body)
+            payload = self.skew.prepare_minimum(at, min_format, self.views.view)
+            outgoing = self.floors.put(at, payload)
         except OperatorError as error:
-            return 409, error_body(error), []
-        except ValueError as error:
-            return 503, {"code": "not-ready", "what": str(error), "do": "Ask again in a second"}, []
-        return 202, {"floor": min_format}, outgoing
+            return MinimumChange(409, error_body(error), [])
+        except LeaseError as error:
+            body = {"code": "not-ready", "what": str(error), "do": "Ask again in a second"}
+            return MinimumChange(503, body, [])
+        return MinimumChange(202, {"floor": min_format}, outgoing)
 
     def status(self, at: Instant) -> dict[str, Any]:
         """Describe the plan for `GET /control/plan`."""
