--- a/tests/balancer/endpoint_model.py
+++ b/tests/balancer/endpoint_model.py
@@ -36,14 +36,16 @@
         return sum(self.sends[name] for name in bad) / max(1, self.sends.total())
 
     def busiest(self, bad: tuple[str, ...]) -> float:
-        """The busiest good node against their mean."""
+        """Return the ratio of the busiest healthy endpoint to the mean of the healthy ones."""
         good = [self.sends[name] for name in NODES if name not in bad]
         return max(good) / (sum(good) / len(good))
 
 
 class Nodes:
-    """Twelve nodes and Poisson requests. From 3 s until `until` the nodes named bad are bad in one way, for a
-    share of calls, and if `every` is given only in every other such time.
+    """Twelve endpoints and Poisson requests.
+
+    From 3 s until `until` the endpoints named bad are unhealthy in one way, for a share of calls, and if
+    `every` is given only in every other such interval.
     """
 
     def __init__(
@@ -63,7 +65,7 @@
         self.copy.view(*entries(*NODES))
         self.start = self.copy.now
         self.rate = load * len(NODES) * CORES / WORK
-        self.held: dict[str, list[float]] = {name: [] for name in NODES}  # when each core is free again
+        self.busy_until: dict[str, list[float]] = {name: [] for name in NODES}  # when each core is free again
         self.due: list[tuple[float, int, i.Event]] = []
         self.number = 0
         self.tries: Counter[int] = Counter()
@@ -74,7 +76,7 @@
         self.number += 1
         heappush(self.due, (at, self.number, event))
 
-    def ill(self, name: str, now: float) -> bool:
+    def is_unhealthy(self, name: str, now: float) -> bool:
         at = now - self.start
         if name not in self.bad or not 3 <= at < self.until or (self.every and int(at / self.every) % 2 == 0):
             return False
@@ -86,17 +88,17 @@
         number = self.tries[ident]
         self.tries[ident] += 1
         outcome, latency = O.SERVED, 0.0
-        ill = self.ill(name, now)
-        if ill and self.kind in QUICK:
+        unhealthy = self.is_unhealthy(name, now)
+        if unhealthy and self.kind in QUICK:
             outcome, latency = QUICK[self.kind], 0.001
-        elif ill and self.kind == "hanging":
+        elif unhealthy and self.kind == "hanging":
             outcome, latency = O.TIMED_OUT, send.timeout
         else:
-            cores = [at for at in self.held[name] if at > now]
+            cores = [at for at in self.busy_until[name] if at > now]
             cores.sort()
             begin = now if len(cores) < CORES else cores[len(cores) - CORES]
-            work = self.random.expovariate(1 / WORK) * (5 if ill else 1)
-            self.held[name] = [*cores, begin + work]
+            work = self.random.expovariate(1 / WORK) * (5 if unhealthy else 1)
+            self.busy_until[name] = [*cores, begin + work]
             latency = begin + work - now
             if latency > send.timeout:
                 outcome, latency = O.TIMED_OUT, send.timeout
@@ -128,8 +130,8 @@
                     case i.Reject(ident) | i.Fail(ident):
                         self.answers.append((now, ident, False))
 
-    def told(self, since: float, until: float = 1e9) -> Played:
-        """What was sent and answered between two seconds of the run."""
+    def played(self, since: float, until: float = 1e9) -> Played:
+        """Return what was sent and answered between two seconds of the run."""
         since, until = self.start + since, self.start + until
         out = Played(Counter(name for at, name in self.sent if since <= at < until))
         for at, _, served in self.answers:
@@ -147,8 +149,8 @@
         for seed in range(4):
             nodes = Nodes(seed, kind, bad, load)
             nodes.play(20)
-            told = nodes.told(5)
-            figures.append((told.share(bad), told.busiest(bad), told.served / told.asked))
+            played = nodes.played(5)
+            figures.append((played.share(bad), played.busiest(bad), played.served / played.asked))
         share, busiest, served = (sum(each) / len(each) for each in zip(*figures, strict=True))
         print(f"{kind:9} {count:3} {load:5} {share:6.3f} {count / 12:5.2f} {busiest:13.2f} {served:7.3f}")
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,10 +13,8 @@
 from xdist.scheduler import LoadScopeScheduling
 
 from tests.support import known_red
-from tests.support.virtual_sockets import Virtual
-from tests.support.world import NO_OPERATORS, Loopback, World
-from wheatring import log
-from wheatring.balancer import balancer as decisions
+from tests.support.virtual_sockets import VirtualSockets
+from tests.support.world import NO_OPERATORS, LoopbackSockets, World, keep_scripted_peers
 from wheatring.balancer import interface as i
 from wheatring.balancer.balancer import Balancer
 from wheatring.lab.live import fleet_rig
@@ -78,7 +76,7 @@
 # These start a tier on the same fixed ports: one worker has them, one after the other.
 FIXED_PORTS = (
     "tests/rollout/test_mixed_versions.py::test_a_tier_of_both_versions_keeps_a_conversation",
-    "tests/tier/test_command_line.py::test_the_demo_keeps_a_conversation_whole",
+    "tests/tier/test_command_line.py::test_the_demo_keeps_a_conversation_complete",
 )
 
 
@@ -96,7 +94,9 @@
 
 
 def pytest_configure() -> None:
-    """A sidecar of a band needs both halves of a port that it was given one of, so no two bands that are
+    """Give the fleets of each worker addresses of their own.
+
+    A sidecar of a fleet needs both protocols of a port of which it was given one, so no two fleets that are
     played at the same time share addresses.
     """
     fleet_rig.ADDRESS_SUFFIX = 1 + int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
@@ -155,7 +155,7 @@
         return self.do(event, after)
 
     def serve(self, count: int, name: str = "read", latency: float = 0.1) -> None:
-        """Requests answered one after the other, so that the copy has its norms and its tokens."""
+        """Answer requests one after the other, so that the copy has its estimates and its tokens."""
         for _ in range(count):
             self.end(self.send(name), i.Outcome.SERVED, after=latency, is_request_over=True)
 
@@ -173,7 +173,7 @@
 
 @pytest.fixture(scope="session")
 def running() -> Iterator[None]:
-    reactor = Loopback.reactor
+    reactor = LoopbackSockets.reactor
     thread = threading.Thread(target=reactor.run, kwargs={"installSignalHandlers": False})
     thread.start()
     yield
@@ -183,18 +183,16 @@
 
 @pytest.fixture(params=["loopback", "virtual"])
 def make(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., World]]:
-    """Builds worlds. What is told of them must be so on both grounds."""
-    ground: Callable[[], Loopback | Virtual] = Virtual
+    """Build worlds: a test that asks for this holds on loopback and in virtual time."""
+    make_sockets: Callable[[], LoopbackSockets | VirtualSockets] = VirtualSockets
     if request.param == "loopback":
         request.getfixturevalue("running")
-        ground = Loopback
-    # A scripted peer on a busy machine must not be given up: after one quick answer that is soon done.
-    monkeypatch.setattr(decisions, "PATIENCE_DEVIATIONS", 1e9)
-    monkeypatch.setattr(log, "line", log.line)  # the world sets its own; this puts the real one back
+        make_sockets = LoopbackSockets
+    keep_scripted_peers(monkeypatch)
     worlds: list[World] = []
 
     def build(nodes: int = 1, operators: OperatorProperties = NO_OPERATORS, capture: bool = False) -> World:
-        worlds.append(World(ground(), nodes, operators, capture))
+        worlds.append(World(make_sockets(), nodes, operators, capture))
         return worlds[-1]
 
     yield build
--- a/tests/http1/test_drawn_ends.py
+++ b/tests/http1/test_drawn_ends.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.http1.test_shutdown import leave
-from tests.support.virtual_sockets import Virtual
+from tests.support.virtual_sockets import VirtualSockets
 from tests.support.world import Wire, World
 from wheatring.http1.caller_connection import CallerConnection
 from wheatring.http1.endpoint_connection import EndpointConnection
@@ -32,11 +32,11 @@
         self.to_send = b""
         self.left: float | None = None
 
-    def turn(self, most: int = 1 << 30) -> None:
+    def turn(self, max_bytes: int = 1 << 30) -> None:
         with suppress(OSError):  # BlockingIOError too: nothing more for now
-            while self.to_send and most and self.socket.writable():
-                sent = self.socket.send(self.to_send[:most])
-                self.to_send, most = self.to_send[sent:], most - sent
+            while self.to_send and max_bytes and self.socket.writable():
+                sent = self.socket.send(self.to_send[:max_bytes])
+                self.to_send, max_bytes = self.to_send[sent:], max_bytes - sent
         with suppress(OSError):
             while self.socket.readable() and (data := self.socket.recv(1 << 20)):
                 self.reader.feed(data)
@@ -61,7 +61,7 @@
 
     def come(self) -> None:
         with suppress(OSError):  # the door is shut
-            self.callers.append(Party(Wire(self.world.ground.connect(self.world.port)), responses=True))
+            self.callers.append(Party(Wire(self.world.sockets.connect(self.world.port)), responses=True))
 
     def ask(self, caller: Party) -> None:
         for _ in range(self.draw.choice([1, 1, 3, 8])):
@@ -77,16 +77,16 @@
             caller.to_send += head.encode() + b"\r\n" + b"y" * size
         caller.turn(self.draw.choice([30, 100_000, 1 << 30]))
 
-    def serve(self, whole: bool = False) -> None:
+    def serve(self, completely: bool = False) -> None:
         for peer in self.world.nodes:
             while peer.listener.socket.queue:
                 self.nodes.append(Party(peer.accept(), responses=False))
         for node in self.nodes:
             node.turn()
-            early = node.reader.message is not None and not whole and self.draw.random() < 0.1
+            early = node.reader.message is not None and not completely and self.draw.random() < 0.1
             if not node.read and not early:
                 continue
-            if not whole and self.draw.random() < 0.3:
+            if not completely and self.draw.random() < 0.3:
                 if self.draw.random() < 0.4:
                     node.leave("reset", 0.0)
                 continue
@@ -101,14 +101,14 @@
 def test_whatever_ends_when_no_answer_is_cut_and_nothing_begins_for_who_has_left(
     first: int, make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    begun: list[tuple[str, float]] = []
+    sends: list[tuple[str, float]] = []
     dropped: list[bytes] = []
     carry, close = EndpointConnection.send, CallerConnection.close
     handle, stream = CallerConnection.handle, CallerConnection.start_stream
 
-    def seen_carry(self: EndpointConnection, claim: Any) -> None:
-        begun.append((claim.request.correlation_id, self.pool.clock.now()))
-        carry(self, claim)
+    def seen_carry(self: EndpointConnection, attempt: Any) -> None:
+        sends.append((attempt.request.correlation_id, self.pool.clock.now()))
+        carry(self, attempt)
 
     def seen_handle(self: Any, message: Message) -> None:
         self.stays = message.keep_alive
@@ -129,10 +129,10 @@
     monkeypatch.setattr(CallerConnection, "start_stream", seen_stream)
     monkeypatch.setattr(CallerConnection, "close", seen_close)
     for seed in range(first, first + 20):
-        begun.clear()
+        sends.clear()
         world = make(2)
-        assert isinstance(world.ground, Virtual)
-        play, time, now = Play(world, seed), world.ground.time, world.sidecar.clock.now
+        assert isinstance(world.sockets, VirtualSockets)
+        play, time, now = Play(world, seed), world.sockets.time, world.sidecar.clock.now
         if seed % 2:
             world.sidecar.server.body_memory.limit_bytes = 0
         for _ in range(play.draw.randint(10, 60)):
@@ -152,13 +152,13 @@
             elif not world.sidecar.server.is_stopping:
                 leave(world)
         for _ in range(80):
-            play.serve(whole=True)
+            play.serve(completely=True)
             time.run(time.now() + 0.1)
             for caller in play.callers:
                 if caller.left is None:
                     caller.turn()
-        ends = [play.owners[ident].left for ident, _ in begun]
-        late = [at - end for (_, at), end in zip(begun, ends, strict=True) if end is not None]
+        ends = [play.owners[ident].left for ident, _ in sends]
+        late = [at - end for (_, at), end in zip(sends, ends, strict=True) if end is not None]
         assert max(late, default=0.0) <= 0.1, seed
         assert not FAULTS & {event for event, _ in world.lines}, seed
         assert not any(dropped), (seed, dropped)
--- a/tests/http1/test_shutdown.py
+++ b/tests/http1/test_shutdown.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.http1.test_bodies import LARGE, body, head, no_room, post
-from tests.support.world import Loopback, World
+from tests.support.world import LoopbackSockets, World
 from wheatring import log
 from wheatring.http1 import caller_lifecycle, server
 
@@ -18,31 +18,31 @@
 
 def leave(world: World) -> None:
     """Tell it to stop. It logs its end, and the process goes on."""
-    line = log.line  # this world's: it may end after the story has
+    line = log.line  # this world's: it may end after the test has
     world.sidecar.finish = lambda: line("ended")  # type: ignore[method-assign]
     world.run(world.sidecar.stop)
 
 
-def the(world: World) -> Any:
-    """The one connection of a caller."""
+def only_connection(world: World) -> Any:
+    """Return the one connection of a caller."""
     while not world.run(lambda: world.sidecar.server.connections):
         world.settle()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     return connection
 
 
-def test_who_waits_at_the_door_comes_in_before_it_is_shut(make: Make) -> None:
+def test_callers_in_the_backlog_are_accepted_before_the_listener_closes(make: Make) -> None:
     world = make(0)
-    door: Any = world.sidecar.server.listener
-    world.run(door.stopReading)
+    listener: Any = world.sidecar.server.listener
+    world.run(listener.stopReading)
     callers = [world.caller() for _ in range(5)]
     for wire in callers:
         wire.send(HEALTH)
     world.settle()
 
     def shut() -> None:
-        door.numberAccepts = 1  # as where callers have come one by one until now
-        door.startReading()
+        listener.numberAccepts = 1  # as where callers have come one by one until now
+        listener.startReading()
         world.reactor.callLater(0, world.sidecar.server.stop_listening)
 
     world.run(shut)
@@ -51,13 +51,13 @@
         world.caller()
 
 
-@pytest.mark.parametrize("told", ["behind both", "before both"])
-def test_what_was_sent_ahead_at_a_stop_is_answered(make: Make, told: str) -> None:
+@pytest.mark.parametrize("arrival", ["behind both", "before both"])
+def test_what_was_sent_ahead_at_a_stop_is_answered(make: Make, arrival: str) -> None:
     """Also where the answer before would have been the last one as its request was read."""
     world = make()
     wire = world.caller()
-    connection = the(world)
-    if told == "before both":
+    connection = only_connection(world)
+    if arrival == "before both":
         leave(world)
     world.ask(wire=wire)
     node = world.nodes[0].accept()
@@ -65,7 +65,7 @@
     world.ask(wire=wire)
     while not world.run(lambda: connection.parser.buffer):
         world.settle()
-    if told == "behind both":
+    if arrival == "behind both":
         leave(world)
     node.answer(200, b"first")
     assert wire.read()[2] == b"first"
@@ -75,7 +75,7 @@
     assert (fields["connection"], body) == ("close", b"second") and wire.at_end()
 
 
-def test_what_was_sent_ahead_is_refused_in_one_go_once_jobs_are_given_up(make: Make) -> None:
+def test_what_was_sent_ahead_is_rejected_in_one_go_once_requests_are_given_up(make: Make) -> None:
     world = make()
     wire = world.ask("unsafe")
     for _ in range(100):
@@ -96,7 +96,7 @@
     wire = world.caller()
     wire.send(HEALTH)
     wire.read()
-    connection = the(world)
+    connection = only_connection(world)
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n"
     if instant == "half":
         wire.send(request[:30])
@@ -124,7 +124,7 @@
     assert (fields["connection"], body) == ("close", b"last") and wire.at_end()
 
 
-def test_nothing_is_written_into_an_answer_that_has_begun_before_its_request_was_whole(make: Make) -> None:
+def test_nothing_is_written_into_an_answer_that_has_begun_before_its_request_was_complete(make: Make) -> None:
     """Not by the stop either, which has no patience with a request that is not whole by then."""
     world = make()
     no_room(world)
@@ -134,7 +134,7 @@
     head(node)
     node.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE[:100000])
     head(wire)
-    connection = the(world)
+    connection = only_connection(world)
     world.run(lambda: setattr(connection, "state_since", -1e9))
     world.run(lambda: world.sidecar.server.close_unanswered(is_late=True))
     passed: list[bool] = []
@@ -157,11 +157,11 @@
     else:
         wire.send(HEALTH)
         wire.read()
-    connection = the(world)
+    connection = only_connection(world)
 
     def evict() -> None:
-        """The request is there, and not read yet."""
-        if isinstance(world.ground, Loopback):
+        """Evict the caller whose request is there, and not read yet."""
+        if isinstance(world.sockets, LoopbackSockets):
             wire.send(HEALTH)
         connection.transport.resumeProducing()
         monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
@@ -170,7 +170,7 @@
         else:
             connection.enforce_limits(world.sidecar.clock.now() + 1, 0.0)
 
-    if not isinstance(world.ground, Loopback):
+    if not isinstance(world.sockets, LoopbackSockets):
         world.run(connection.transport.pauseProducing)
         wire.send(HEALTH)
         world.settle()
@@ -186,7 +186,7 @@
     leave(world)
     world.sidecar.shutdown.leaving.deadline = 0.0  # nothing may run on once the door is shut
     assert wire.read()[0].startswith("HTTP/1.1 503")  # and it is not closed
-    told = world.run(world.sidecar.clock.now)
+    stopped_at = world.run(world.sidecar.clock.now)
     world.logged("ended")
-    if not isinstance(world.ground, Loopback):
-        assert world.run(world.sidecar.clock.now) - told < server.BRIEF_FLUSH_SECONDS + 0.05
+    if not isinstance(world.sockets, LoopbackSockets):
+        assert world.run(world.sidecar.clock.now) - stopped_at < server.BRIEF_FLUSH_SECONDS + 0.05
--- a/tests/lab/live/test_cold_start.py
+++ b/tests/lab/live/test_cold_start.py
@@ -21,7 +21,7 @@
 from wheatring.lab.scenario.plan_builder import draw
 from wheatring.lab.study import run_builder, settings
 
-FAR = 240.0
+WAIT_LIMIT_SECONDS = 240.0
 SIDECARS = 8
 AT_ONCE = 6  # days played side by side
 OUTAGE = 15  # seconds, from the begin: on a busy machine a process takes several of them to start
@@ -47,7 +47,7 @@
 
 @pytest.fixture(scope="module")
 def days(tmp_path_factory: pytest.TempPathFactory) -> dict[str, tuple[LiveOutcome, str]]:
-    """What came of each day, and what the command said."""
+    """Play each day; return its outcome, and what the command printed."""
     folder = tmp_path_factory.mktemp("days")
 
     def play(name: str) -> tuple[LiveOutcome, str]:
@@ -57,7 +57,10 @@
         asked = dict(pair.split("=", 1) for pair in ("length=20", *SMALL, *DAYS[name]))
         words += [word for key, value in asked.items() for word in ("--set", f"{key}={value}")]
         done = subprocess.run(
-            [sys.executable, "-m", "wheatring", *words], capture_output=True, text=True, timeout=FAR
+            [sys.executable, "-m", "wheatring", *words],
+            capture_output=True,
+            text=True,
+            timeout=WAIT_LIMIT_SECONDS,
         )
         assert done.returncode in (0, 1), done.stderr  # 1: the checks are for hundreds, on an idle machine
         return msgspec.json.decode(file.read_bytes(), type=LiveOutcome), done.stdout + done.stderr
@@ -107,7 +110,9 @@
     assert not any("ended by itself" in breach.what for breach in days["stall"][0].breaches)
 
 
-def test_all_are_told_of_a_move_and_ask_there(days: dict[str, tuple[LiveOutcome, str]]) -> None:
+def test_all_are_notified_of_a_move_of_discovery_and_ask_there(
+    days: dict[str, tuple[LiveOutcome, str]],
+) -> None:
     outcome, _ = days["move"]
     assert "discovery_move" in [what for _, what in outcome.happened]
     assert outcome.lists.brought >= SIDECARS
--- a/tests/lab/net/environments.py
+++ b/tests/lab/net/environments.py
@@ -1,4 +1,4 @@
-"""Two grounds for the same Twisted protocols: real loopback, and the lab's network in virtual time."""
+"""Two environments for the same Twisted protocols: real loopback, and the lab's network in virtual time."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from wheatring.lab.plan import NetPlan
 
 T = TypeVar("T")
-FAR = 30.0
+WAIT_LIMIT_SECONDS = 30.0
 
 
-class Real:
+class LoopbackEnvironment:
     """Loopback, on the installed reactor, which runs in a thread of its own."""
 
     here: Any = installed
@@ -30,9 +30,9 @@
         done: T = blockingCallFromThread(installed, call)
         return done
 
-    def until(self, met: Callable[[], object]) -> None:
-        """Let things happen until so."""
-        limit = self.here.seconds() + FAR
+    def wait_until(self, met: Callable[[], object]) -> None:
+        """Let things happen until the condition is met."""
+        limit = self.here.seconds() + WAIT_LIMIT_SECONDS
         while not self.run(met):
             assert self.here.seconds() < limit, "it never came"
 
@@ -45,7 +45,7 @@
             quiet = quiet + 1 if len(log) == before else 0
 
 
-class Virtual:
+class VirtualEnvironment:
     def __init__(self, seed: int = 1, ties: bool = False, **plan: Any) -> None:
         self.time = VirtualTime(ties=Random(seed) if ties else None)
         self.net = Network(self.time, NetPlan(**plan), Random(seed))
@@ -57,20 +57,20 @@
         done: T = self.here.run(call)
         return done
 
-    def until(self, met: Callable[[], object]) -> None:
-        limit = self.time.now() + FAR
+    def wait_until(self, met: Callable[[], object]) -> None:
+        limit = self.time.now() + WAIT_LIMIT_SECONDS
         while not met():
             assert self.time.step(limit), "it never came"
 
-    def settle(self, log: list[Any], passes: int = 0) -> None:
+    def settle(self, _log: list[Any], _passes: int = 0) -> None:
         self.time.run(self.time.now() + 1.0)
 
 
-Ground = Real | Virtual
+Environment = LoopbackEnvironment | VirtualEnvironment
 
 
 class End(protocol.Protocol):
-    """Notes what it is told, in a log that it shares with others: who, what and details."""
+    """Records its events in a log that it shares with others: name, event and details."""
 
     transport: Any
 
@@ -83,15 +83,15 @@
     def note(self, *what: object) -> None:
         self.log.append((self.name, *what))
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         self.note("made")
         self.transport.setTcpNoDelay(True)  # else real sockets hold small writes back for a while
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         self.got += data
         self.note("data after the end" if self.over else "data", data)
 
-    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:
+    def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
         self.note("lost again" if self.over else "lost", type(reason.value).__name__)
         self.over = True
         self.transport.write(b"too late")
@@ -99,10 +99,10 @@
 
 @implementer(interfaces.IHalfCloseableProtocol)
 class HalfEnd(End):
-    def readConnectionLost(self) -> None:
+    def readConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
         self.note("read side over")
 
-    def writeConnectionLost(self) -> None:
+    def writeConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
         self.note("write side over")
 
 
@@ -117,21 +117,21 @@
         self.build = build
         self.ends: list[Any] = []
 
-    def buildProtocol(self, addr: Any) -> Any:
+    def buildProtocol(self, addr: Any) -> Any:  # noqa: ARG002, N802 - Twisted's signature
         end = self.build(self.name, self.log)
         if end is not None:
             self.ends.append(end)
         return end
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: N802 - Twisted's name
         self.log.append((self.name, "failed", type(reason.value).__name__, connector.state))
 
-    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionLost(self, connector: Any, reason: Failure) -> None:  # noqa: N802 - Twisted's name
         self.log.append((self.name, "connector", type(reason.value).__name__, connector.state))
 
 
-def told(log: list[Any], name: str) -> list[Any]:
-    """What one end was told, its bytes in a row as one."""
+def events_of(log: list[Any], name: str) -> list[Any]:
+    """Return the events that one end saw, consecutive bytes as one."""
     found: list[Any] = []
     for who, *what in log:
         if who == name:
@@ -146,20 +146,22 @@
     """Two ends of one connection, client and server."""
 
     def __init__(
-        self, ground: Ground, client: Callable[..., Any] = End, server: Callable[..., Any] = End
+        self, environment: Environment, client: Callable[..., Any] = End, server: Callable[..., Any] = End
     ) -> None:
-        self.ground = ground
+        self.environment = environment
         self.log: list[Any] = []
         self.servers = Factory("server", self.log, server)
         self.clients = Factory("client", self.log, client)
-        self.port = ground.run(lambda: ground.there.listenTCP(0, self.servers, interface=ground.host))
+        self.port = environment.run(
+            lambda: environment.there.listenTCP(0, self.servers, interface=environment.host)
+        )
         self.address = self.port.getHost()
         self.connector = self.connect()
-        ground.until(lambda: self.servers.ends and self.clients.ends)
+        environment.wait_until(lambda: self.servers.ends and self.clients.ends)
 
     def connect(self) -> Any:
-        where = (self.ground.host, self.address.port, self.clients)
-        return self.ground.run(lambda: self.ground.here.connectTCP(*where, timeout=None))
+        where = (self.environment.host, self.address.port, self.clients)
+        return self.environment.run(lambda: self.environment.here.connectTCP(*where, timeout=None))
 
     @property
     def client(self) -> Any:
@@ -171,11 +173,11 @@
 
     def do(self, call: Callable[[], object]) -> None:
         """Call in the reactor, and let it have its effect."""
-        self.ground.run(call)
-        self.ground.settle(self.log)
+        self.environment.run(call)
+        self.environment.settle(self.log)
 
-    def told(self) -> tuple[list[Any], list[Any]]:
-        """What both ends were told. They are closed now."""
+    def close_and_list_events(self) -> tuple[list[Any], list[Any]]:
+        """Close both ends and return the events that they saw."""
 
         def close() -> None:
             self.port.stopListening()
@@ -183,7 +185,7 @@
                 if not end.over:
                     end.transport.abortConnection()
 
-        result = told(self.log, "client"), told(self.log, "server")
-        self.ground.run(close)
-        self.ground.settle(self.log)
+        result = events_of(self.log, "client"), events_of(self.log, "server")
+        self.environment.run(close)
+        self.environment.settle(self.log)
         return result
--- a/tests/lab/study/test_commands.py
+++ b/tests/lab/study/test_commands.py
@@ -30,7 +30,7 @@
     return commands.run(args)
 
 
-def test_a_sweep_is_kept_resumed_told_and_drawn(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_sweep_is_stored_resumed_listed_and_plotted(capsys: pytest.CaptureFixture[str]) -> None:
     sweep = ("sweep", "calm", "--seeds", "1-3", "--set", "clients.retries=0", "--set", "clients.retries=2")
     assert lab(*sweep, "--json") == 0
     first, second = json.loads(capsys.readouterr().out)
@@ -61,8 +61,8 @@
         (["--workers", "0"], "--workers 0: must be"),
     ],
 )
-def test_what_can_not_be_meant_is_one_line(
-    words: list[str], why: str, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
+def test_an_impossible_argument_is_reported_on_one_line(
+    words: list[str], why: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     args = commands.build_parser().parse_args(["lab", "sweep", "calm", *words])
     assert commands.run(args) == 2
@@ -83,10 +83,10 @@
     store = str(tmp_path / "runs.sqlite")
     words = ("compare", "calm", "--seeds", "1-4", "--figure", "latency.99", "--store", store)
     assert lab(*words, "--build-b", str(other), "--json") == 0
-    told = json.loads(capsys.readouterr().out)
-    g = told["differences"][0]
+    printed = json.loads(capsys.readouterr().out)
+    g = printed["differences"][0]
     assert g["figure"] == "g" and g["mean"] == pytest.approx(0.05) and g["verdict"] == "B is better"
-    assert [line["figure"] for line in told["differences"]] == ["g", "service", "latency.99"]
+    assert [line["figure"] for line in printed["differences"]] == ["g", "service", "latency.99"]
     assert lab(*words, "--set-b", "clients.retries=1") == 0
     assert "B: clients.retries=1" in capsys.readouterr().out
     assert lab(*words) == 2
@@ -96,10 +96,10 @@
 
 
 def test_settings_stand_over_the_scenario_and_leave_its_hash() -> None:
-    (job,) = make_run_specs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), HERE)
+    (spec,) = make_run_specs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), HERE)
     (plain,) = make_run_specs("three-tiers", [1], ["wire"], Settings(), HERE)
-    assert job.text_hash == plain.text_hash and scenario_of(plain).scenario == load("three-tiers").scenario
-    assert scenario_of(job).scenario.clients.retries == 2
+    assert spec.text_hash == plain.text_hash and scenario_of(plain).scenario == load("three-tiers").scenario
+    assert scenario_of(spec).scenario.clients.retries == 2
 
     raw, name, where = load_tables("three-tiers")
     last = raw["tier"][-1]["name"]
@@ -111,7 +111,7 @@
         check_tables(with_override(raw, "trafic.rate", 50), name, where)
 
 
-def test_what_a_day_costs_is_told(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_cost_of_a_day_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
     assert lab("pace", "small", "--grain", "exchange", "--seconds", "0.5") == 0
     first, *_, last = capsys.readouterr().out.splitlines()
     assert first.startswith("small, seed 1, exchange: ") and " us of CPU a call, " in last
--- a/tests/lab/wire/http_peers.py
+++ b/tests/lab/wire/http_peers.py
@@ -1,4 +1,4 @@
-"""The shared helper of the stories of discovery and of the models' HTTP peers."""
+"""What the tests of discovery and of the models' HTTP peers share."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 TIER = TierPlan(name="t", work=1, conn_idle=5.0, handshake_rtts=2.0)
 
 
-class Book:
-    """Writes down what it is told, and when. Notes stand there by what they note."""
+class EventLog:
+    """Stands in for the event recorder: keeps each call and its time. Notes are listed by what they note."""
 
     def __init__(self, timers: Any) -> None:
         self.timers = timers
@@ -110,22 +110,22 @@
         self.data = b""
         self.why: Any = None
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
         if not self.reads:
             self.transport.pauseProducing()
         if self.first:
             self.transport.write(self.first)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         self.data += data
         self.got(self)
 
-    def connectionLost(self, reason: Failure = connectionDone) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - Twisted's name
         self.why = reason.type
 
 
 def says(data: bytes, then: str = "") -> Callable[[Scripted], None]:
-    """Writes that, and may end the connection by a call of its transport."""
+    """Return a step that writes these bytes, and may end the connection by a call of its transport."""
 
     def got(line: Scripted) -> None:
         line.transport.write(data)
@@ -146,14 +146,14 @@
 
     def __init__(self, cap: int = 100, most: int = 0) -> None:
         self.time = VirtualTime()
-        self.book = Book(self.time)
+        self.book = EventLog(self.time)
         book: Any = self.book
         self.net = Network(self.time, NetPlan(same=0.001, jitter=0.0), Random(1))
         self.clients, self.sidecar, self.node = [self.net.process(f"p{n}", f"127.0.0.{n}") for n in (1, 2, 3)]
         self.origins = CorrelationTable(Random(2))
         self.machine = Machine(book, cap)
         full = partial(self.net.full, "127.0.0.3", 80)
-        rest = (self.time, Random(3), self.origins, FORMS, book, "at {}".format, lambda host: 0.002, full)
+        rest = (self.time, Random(3), self.origins, FORMS, book, "at {}".format, lambda _host: 0.002, full)
         self.peer = NodeServer(self.machine, TIER, *rest)
         self.node.listenTCP(80, self.peer)
         plan = DiscoveryPlan(period=0.5, spread=0.0, lines_per_s=1000.0, call_lines=9.0)
@@ -169,11 +169,13 @@
         self.book.clear()
 
     def serve(self, *steps: Callable[[Scripted], None], reads: bool = True) -> None:
-        """The sidecar is a script: what it does when something has come on its first, second, ... connection,
-        and on all further ones.
+        """Let a script stand in for the sidecar.
+
+        The steps are taken when something has come on its first, second, ... connection; the last one on all
+        further connections.
         """
 
-        def build(addr: object) -> Scripted:
+        def build(_addr: object) -> Scripted:
             self.lines.append(Scripted(steps[min(len(self.lines), len(steps) - 1)]))
             self.lines[-1].reads = reads
             return self.lines[-1]
@@ -190,9 +192,9 @@
         return FORMS.encode(index, self.origins.new(OriginalRequest(1, index, 0.1, key)), 480, key, False)
 
     def dial(self, data: bytes = b"", port: int = 80, run: float = 1.0) -> Scripted:
-        """A scripted connection of the sidecar to the node, or to discovery, that writes this first."""
-        line = Scripted(lambda line: None, data)
-        self.sidecar.connectTCP("127.0.0.3", port, factory(ClientFactory(), lambda addr: line), timeout=None)
+        """Dial the node, or discovery, on a scripted connection of the sidecar that writes this first."""
+        line = Scripted(lambda _line: None, data)
+        self.sidecar.connectTCP("127.0.0.3", port, factory(ClientFactory(), lambda _addr: line), timeout=None)
         self.run(run)
         return line
 
@@ -203,7 +205,7 @@
 
 @pytest.fixture
 def no_errors() -> Iterator[None]:
-    """What a callback raises ends in Twisted's log, where nobody would see it."""
+    """Fail on what a callback raises: it ends in Twisted's log, where nobody would see it."""
     errors: list[Any] = []
 
     def observe(event: Any) -> None:
--- a/tests/ops/test_audit.py
+++ b/tests/ops/test_audit.py
@@ -11,8 +11,8 @@
 import pytest
 from twisted.internet.task import Clock as Reactor
 
-from tests.support.world import FAR, Wire
-from tests.system.test_process import begin, until
+from tests.support.process import running_process, wait_for_line
+from tests.support.world import WAIT_LIMIT_SECONDS, Wire
 from wheatring import log, operator_properties
 from wheatring.__main__ import main
 from wheatring.core.clock import Clock
@@ -31,15 +31,15 @@
 ) -> None:
     copy, heard = tmp_path / "audit.log", ""
     for _ in range(2):
-        with begin(tmp_path, f"audit.file = {copy}\n", subprocess.PIPE) as process:
-            until(process, "listening")
-            with open(tmp_path / "o", "a", encoding="utf-8") as file:
+        with running_process(tmp_path, f"audit.file = {copy}\n", subprocess.PIPE) as process:
+            wait_for_line(process, "listening")
+            with (tmp_path / "o").open("a", encoding="utf-8") as file:
                 file.write(f"drill.key = {KEY}\ndrill.plan = no\n")
             process.send_signal(signal.SIGHUP)
-            until(process, "reloaded")
+            wait_for_line(process, "reloaded")
             process.send_signal(signal.SIGTERM)
             assert process.stdout is not None and process.stderr is not None
-            assert process.wait(FAR) == 0
+            assert process.wait(WAIT_LIMIT_SECONDS) == 0
             heard += process.stderr.read()
     assert copy.read_text(encoding="utf-8") == heard and KEY not in heard
     lines = [fields(line) for line in heard.splitlines()]
@@ -62,18 +62,18 @@
     with pytest.raises(BlockingIOError):
         while True:
             filled += os.write(writer, b"\n" * 65536)
-    with begin(tmp_path, "audit.on = true\n", writer) as process:
+    with running_process(tmp_path, "audit.on = true\n", writer) as process:
         os.close(writer)
-        port = until(process, "listening").rpartition("=")[2]
-        caller = Wire(socket.create_connection(("127.0.0.1", int(port)), FAR))
+        port = wait_for_line(process, "listening").rpartition("=")[2]
+        caller = Wire(socket.create_connection(("127.0.0.1", int(port)), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /healthz HTTP/1.1\r\n\r\n")
         assert caller.read()[0] == "HTTP/1.1 200 OK"
         caller.close()
-        with open(reader, "rb") as stderr:
+        with os.fdopen(reader, "rb") as stderr:
             stderr.read(filled)
             process.send_signal(signal.SIGTERM)
             rest = stderr.read()
-        assert process.wait(FAR) == 0
+        assert process.wait(WAIT_LIMIT_SECONDS) == 0
     assert [line.split()[1] for line in rest.splitlines()] == [b"seq=1", b"seq=2", b"seq=3", b"seq=4"]
     assert audit.verify(rest.splitlines(keepends=True)) == ""
 
@@ -88,7 +88,7 @@
         self.takes = list(takes)
         self.got = b""
 
-    def write(self, number: int, data: bytes) -> int:
+    def write(self, number: int, data: bytes) -> int:  # noqa: ARG002 - the replaced function's signature
         taken = self.takes.pop(0) if self.takes else len(data)
         if taken < 0:
             raise BlockingIOError
@@ -117,7 +117,7 @@
     return b"AUDIT " + body + b" prev=" + prev + b" hash=" + made + b"\n"
 
 
-def test_what_is_whole_verifies_also_cut_at_its_end(lines: list[bytes]) -> None:
+def test_a_complete_log_verifies_also_truncated_at_its_end(lines: list[bytes]) -> None:
     assert len(lines) == 9 and audit.verify(lines) == ""
     assert audit.verify(lines[:5]) == ""  # what the report says can't be seen
     assert audit.verify([*lines, *lines]) != ""
@@ -131,7 +131,7 @@
         (7, "skip"),
     ],
 )  # fmt: skip
-def test_the_first_bad_line_is_told(
+def test_the_first_invalid_line_is_reported(
     lines: list[bytes], bad: int, how: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     at = bad - 1
@@ -186,9 +186,9 @@
     assert audit.verify(error.got.splitlines(keepends=True)) == "" and error.got.count(b"\n") == 2
 
 
-def test_what_waits_is_bounded_and_what_is_lost_is_said(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_lines_are_bounded_and_lost_ones_are_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     said: list[str] = []
-    monkeypatch.setattr(log, "line", lambda event, **values: said.append(event))
+    monkeypatch.setattr(log, "line", lambda event, **_values: said.append(event))
     monkeypatch.setattr(audit, "os", Error(*[-1] * 9999))
     kept = audit.Audit("n3", Clock(Reactor()), "")
     for _ in range(audit.MAX_UNWRITTEN_LINES + 2):
@@ -202,7 +202,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
     said: list[str] = []
-    monkeypatch.setattr(log, "line", lambda event, **values: said.append(event))
+    monkeypatch.setattr(log, "line", lambda event, **_values: said.append(event))
     kept = audit.Audit("n3", Clock(Reactor()), str(tmp_path))
     kept.record("start", "platform")
     kept.record("stop", "platform")
@@ -210,7 +210,7 @@
     assert audit.verify(capfd.readouterr().err.encode().splitlines(keepends=True)) == ""
 
 
-def test_only_changed_keys_are_told(capfd: pytest.CaptureFixture[str]) -> None:
+def test_only_changed_keys_are_reported(capfd: pytest.CaptureFixture[str]) -> None:
     kept = audit.Audit("n3", Clock(Reactor()), "")
     one, two = (operator_properties.parse(f"drill.key = {key}\ntokens.key.k1 = aa") for key in ("aa", "bb"))
     for old, new in (
--- a/tests/peers/test_list_sharing.py
+++ b/tests/peers/test_list_sharing.py
@@ -29,7 +29,7 @@
 PER_S = 20.0
 
 
-def test_as_long_as_the_holder_is_heard_and_has_nothing_newer_nobody_asks() -> None:
+def test_no_member_watches_as_long_as_the_leader_is_heard_and_has_nothing_newer() -> None:
     one = WatchDelegation(100, 50)
     assert one.should_watch(0.0, 7, False)
     one.leader_heartbeat(0.0, 0.0, 7, 7)
@@ -39,7 +39,7 @@
     )
 
 
-def test_what_was_told_long_ago_counts_from_then() -> None:
+def test_what_was_notified_long_ago_counts_from_then() -> None:
     one = WatchDelegation(100, 0)
     one.leader_heartbeat(10.0, 3.0, 7, 7)
     assert not one.should_watch(7.0 + LEADER_TIMEOUT_SECONDS - 0.01, 7, False) and one.should_watch(
@@ -48,7 +48,7 @@
 
 
 @given(st.integers(1, 1000), st.data())
-def test_all_have_asked_within_the_platforms_ten_seconds_of_the_last_word(
+def test_all_have_asked_within_the_platforms_ten_seconds_of_the_last_update(
     copies: int, data: st.DataObject
 ) -> None:
     one = WatchDelegation(copies, data.draw(st.integers(0, copies - 1)))
@@ -79,71 +79,71 @@
     made.end()
 
 
-def watching(band: FleetRig) -> list[str]:
-    return [name for name in band.members if band.status(name)["lists"]["probe"]["watches"]]
+def watching(rig: FleetRig) -> list[str]:
+    return [name for name in rig.members if rig.status(name)["lists"]["probe"]["watches"]]
 
 
-def generations(band: FleetRig) -> set[int]:
-    return {band.status(name)["lists"]["probe"]["generation"] for name in band.members}
+def generations(rig: FleetRig) -> set[int]:
+    return {rig.status(name)["lists"]["probe"]["generation"] for name in rig.members}
 
 
-def test_one_watches_and_all_hold_back_what_drains_and_hear_of_the_rest(
+def test_one_watches_and_all_stop_using_draining_endpoints_and_learn_of_the_rest(
     tmp_path: Path, service: ListServiceStub
 ) -> None:
     duty = {"work": '"list"', "call": "", "every": ""}
-    with FleetRig(tmp_path, 6, TERM, duty, control=range(6), discovery=service.address) as band:
-        band.start_all()
-        band.wait_until(lambda: generations(band) == {service.generation}, "all have the list")
-        band.wait_until(lambda: len(watching(band)) == 1, "one of them watches")
+    with FleetRig(tmp_path, 6, TERM, duty, control=range(6), discovery=service.address) as rig:
+        rig.start_all()
+        rig.wait_until(lambda: generations(rig) == {service.generation}, "all have the list")
+        rig.wait_until(lambda: len(watching(rig)) == 1, "one of them watches")
         calls = service.calls
         service.set_instance("n1", "DRAINING", 9)
 
-        def told() -> bool:
-            lists = [band.status(name)["lists"]["probe"] for name in band.members]
+        def all_notified() -> bool:
+            lists = [rig.status(name)["lists"]["probe"] for name in rig.members]
             return all(one["generation"] == service.generation or one["held_back"] == ["n1"] for one in lists)
 
-        band.wait_until(told, "all hold back what drains")
-        band.wait_until(lambda: generations(band) == {service.generation}, "all have asked")
-        band.wait_until(lambda: len(watching(band)) == 1, "and rest again")
-        assert service.calls - calls <= 2 * len(band.members) + 2
-        assert not [name for name in band.members if band.status(name)["lists"]["probe"]["held_back"]]
+        rig.wait_until(all_notified, "all hold back what drains")
+        rig.wait_until(lambda: generations(rig) == {service.generation}, "all have asked")
+        rig.wait_until(lambda: len(watching(rig)) == 1, "and rest again")
+        assert service.calls - calls <= 2 * len(rig.members) + 2
+        assert not [name for name in rig.members if rig.status(name)["lists"]["probe"]["held_back"]]
 
         # Its holder is stopped: another one watches, and nobody is left with the old list.
-        (first,) = watching(band)
-        band.pause(first)
+        (first,) = watching(rig)
+        rig.pause(first)
         service.set_instance("n2", "DRAINING", 9)
-        rest = [name for name in band.members if name != first]
+        rest = [name for name in rig.members if name != first]
         newest = lambda: all(  # noqa: E731
-            band.status(name)["lists"]["probe"]["generation"] == service.generation for name in rest
+            rig.status(name)["lists"]["probe"]["generation"] == service.generation for name in rest
         )
-        band.wait_until(newest, "the others have the new list")
-        band.resume(first)
-        band.wait_until(lambda: generations(band) == {service.generation}, "and the one that was stopped")
-        band.wait_until(lambda: len(watching(band)) == 1, "one of them watches")
+        rig.wait_until(newest, "the others have the new list")
+        rig.resume(first)
+        rig.wait_until(lambda: generations(rig) == {service.generation}, "and the one that was stopped")
+        rig.wait_until(lambda: len(watching(rig)) == 1, "one of them watches")
 
         # No majority of voters: each watches for itself.
-        band.signal(signal.SIGKILL, "d0", "d1")
-        alone = [name for name in band.members if name not in ("d0", "d1")]
-        own = lambda: all(band.status(name)["lists"]["probe"]["watches"] for name in alone)  # noqa: E731
-        band.wait_until(own, "each watches for itself")
-        assert not [e for m in band.members.values() for e in m.events if e[1].startswith("unexpected")]
+        rig.signal(signal.SIGKILL, "d0", "d1")
+        alone = [name for name in rig.members if name not in ("d0", "d1")]
+        own = lambda: all(rig.status(name)["lists"]["probe"]["watches"] for name in alone)  # noqa: E731
+        rig.wait_until(own, "each watches for itself")
+        assert not [e for m in rig.members.values() for e in m.events if e[1].startswith("unexpected")]
 
 
-def test_a_node_that_only_a_peer_names_is_never_in_the_list(tmp_path: Path, service: ListServiceStub) -> None:
+def test_an_endpoint_that_only_a_peer_names_is_never_in_the_list() -> None:
     """What the holder tells is held against the own list, and adds nothing to it."""
 
     class Still:
         def seconds(self) -> float:
             return time.monotonic()
 
-        def callLater(self, delay: float, call: object, *args: object) -> object:
+        def callLater(self, delay: float, call: object, *args: object) -> object:  # noqa: ARG002, N802 - Twisted's signature
             class Timer:
                 def active(self) -> bool:
                     return False
 
             return Timer()
 
-    class Held:
+    class StubList:
         version: int | None = 7
         is_watching = False
         should_continue: Callable[[], bool] | None = None
@@ -157,7 +157,7 @@
 
     views: list[View] = []
     one = ListSharing(Clock(Still()), None, "list", 10, 5, views.append)  # type: ignore[arg-type]
-    one.start(Held())
+    one.start(StubList())
     entries = tuple(EndpointEntry(name, EndpointState.READY) for name in ("a", "b"))
     one.on_list(View(ViewKind.FULL, entries, 7))
     one.on_heartbeat(Heartbeat("list", 5, 2, 8, ("a", "stranger")))
--- a/tests/routes/pool_world.py
+++ b/tests/routes/pool_world.py
@@ -19,8 +19,11 @@
 
 
 class PoolWorld:
-    """`arrivals` are (jobs a second, caller, class); `slower` is a factor on the time that a job takes beside
-    its work, which no queue explains. Jobs not answered within `patience` are left, their work goes on.
+    """A pool of endpoints and its callers, in virtual time.
+
+    `arrivals` are (requests a second, caller, class); `slower` is a factor on the time that a request takes
+    beside its work, which no queue explains. Requests not answered within `patience` are given up, their work
+    goes on.
     """
 
     def __init__(
@@ -30,14 +33,14 @@
         self.random = Random(f"{seed}:work")
         self.pool = PoolLimiter(limits, self.time.now(), Random(f"{seed}:advice"))
         self.route: RouteLimiter | None = None
-        self.cpu: Cpu[Job] = Cpu(self.time, CORES, 1.0, self.worked)
+        self.cpu: Cpu[PendingRequest] = Cpu(self.time, CORES, 1.0, self.worked)
         self.sigma = sqrt(log(1 + cv * cv))
         self.patience = patience
         self.extra = 0.0  # seconds that each job takes beside its work
         self.served: Counter[tuple[str, str]] = Counter()  # in time, by caller and class
         self.asked: Counter[tuple[str, str]] = Counter()
-        self.away: Counter[tuple[str, str, int]] = Counter()
-        self.why: Counter[str] = Counter()
+        self.rejected: Counter[tuple[str, str, int]] = Counter()
+        self.rejection_reasons: Counter[str] = Counter()
         self.each: Callable[[], object] = lambda: None
 
     def arrive(self, rate: float, caller: str, kind: str, seed: str, until: float) -> None:
@@ -59,18 +62,18 @@
         now = self.time.now()
         key = caller, kind
         self.asked[key] += 1
-        said = admit(now, self.route, self.pool, caller, kind)
-        if isinstance(said, Rejection):
-            self.away[caller, kind, said.status] += 1
-            self.why[said.reason] += 1
+        decision = admit(now, self.route, self.pool, caller, kind)
+        if isinstance(decision, Rejection):
+            self.rejected[caller, kind, decision.status] += 1
+            self.rejection_reasons[decision.reason] += 1
             return
         size = exp(self.sigma * (self.random.gauss(0.0, 1.0) - 0.5 * self.sigma)) * MEAN
-        job = Job(self, said, key, now)
-        self.cpu.add(size, job)
-        self.time.at(now + self.patience, job.end, Outcome.DEADLINE_EXCEEDED)
+        request = PendingRequest(self, decision, key)
+        self.cpu.add(size, request)
+        self.time.at(now + self.patience, request.end, Outcome.DEADLINE_EXCEEDED)
 
-    def worked(self, job: Job) -> None:
-        self.time.at(self.time.now() + self.extra, job.end, Outcome.SERVED)
+    def worked(self, request: PendingRequest) -> None:
+        self.time.at(self.time.now() + self.extra, request.end, Outcome.SERVED)
 
     def run(self, until: float) -> None:
         self.time.run(until)
@@ -79,8 +82,8 @@
         return sum(n for (c, k), n in of.items() if caller in ("", c) and kind in ("", k))
 
 
-class Job:
-    def __init__(self, world: PoolWorld, taken: Admission, key: tuple[str, str], begun: float) -> None:
+class PendingRequest:
+    def __init__(self, world: PoolWorld, taken: Admission, key: tuple[str, str]) -> None:
         self.world = world
         self.taken = taken
         self.key = key
