--- a/wheatring/peers/__init__.py
+++ b/wheatring/peers/__init__.py
@@ -2,5 +2,5 @@
 
 Imported only where the configuration file has a `[fleet]` table. Nothing is decided here: `lease`, `members`,
 `plan`, `skew` and `schedule` decide, free of I/O, and this package gives them datagrams, streams, clocks and
-duties to work on.
+roles to work on.
 """
--- a/wheatring/peers/assembly.py
+++ b/wheatring/peers/assembly.py
@@ -50,14 +50,14 @@
     settings = platform.settings
     workers: dict[str, RoleWorker] = {}
     sharing = None
-    for name, duty in configuration.duty.items():
-        if duty.work == "list":
+    for name, table in configuration.duty.items():
+        if table.work == "list":
             sharing = ListSharing(
                 clock, runtime, name, settings.balancer_count, settings.balancer_index, on_view
             )
             workers[name] = sharing
         else:
-            workers[name] = role_worker(reactor, clock, runtime, name, duty)
+            workers[name] = role_worker(reactor, clock, runtime, name, table)
     runtime.workers, runtime.started_with = workers, configuration
     return runtime, sharing
 
@@ -73,8 +73,8 @@
     voters = voters_of(fleet)
     own_address = address.parse(fleet.address or fleet.listen)
     roles = [
-        RoleSettings(name, duty.places, duty.near, duty.idle or inf, on_request=duty.work == "turns")
-        for name, duty in configuration.duty.items()
+        RoleSettings(name, table.places, table.near, table.idle or inf, on_request=table.work == "turns")
+        for name, table in configuration.duty.items()
     ]
     if fleet.view:
         from wheatring.peers.agreement import LEADER_SETTINGS
@@ -90,7 +90,7 @@
         seeds=[address.parse(seed) for seed in fleet.seeds],
         voters=voters,
         roles=roles,
-        terms=LeaseTiming(fleet.term),
+        timing=LeaseTiming(fleet.term),
         keys=project_file.read_keys(fleet.key_file),
         view=fleet.view,
         plan=plan,
@@ -110,12 +110,12 @@
 
 
 def role_worker(
-    reactor: Any, clock: Clock, runtime: FleetRuntime, name: str, duty: project_file.DutyTable
+    reactor: Any, clock: Clock, runtime: FleetRuntime, name: str, table: project_file.DutyTable
 ) -> RoleWorker:
     """Build the worker of a role other than `list`."""
-    if duty.call is None:
+    if table.call is None:
         return PassiveWorker()
-    return HttpRoleWorker(reactor, clock, runtime, name, address.parse(duty.call), duty.path, duty.every)
+    return HttpRoleWorker(reactor, clock, runtime, name, address.parse(table.call), table.path, table.every)
 
 
 def voters_of(fleet: project_file.FleetTable) -> VoterSet:
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -66,7 +66,7 @@
         self.random = random
         self.boot = boot
         self.me = options.me
-        self.terms = options.terms
+        self.timing = options.timing
         self.start_ms = round(clock.unix() * 1000)
         self.transfers: BodyTransfers | None = None
         self.agreement: Agreement | None = None  # once it has its port
@@ -125,7 +125,7 @@
             self.me = self.me._replace(port=where.port)
         options, at = self.options, self.instant()
         self.fleet = Fleet(
-            at, self.me, self.start_ms, options.seeds, options.voters, options.roles, options.terms,
+            at, self.me, self.start_ms, options.seeds, options.voters, options.roles, options.timing,
             SwimTiming(), self.random,
         )  # fmt: skip
         if self.make_agreement is not None:
@@ -255,7 +255,7 @@
             wait = max(MIN_TIMER_SECONDS, fleet.seconds_until_due(self.instant()))
             self.timer = self.clock.at(self.clock.now() + wait, self.tick)
 
-    # Duties, for their workers
+    # Roles, for their workers
 
     def active_epoch(self, role: str) -> int | None:
         """Return the epoch to act in, asked for right before each action; None: the role isn't held here."""
@@ -273,8 +273,8 @@
         fleet = self.fleet
         if fleet is None or self.is_closed:
             return
-        for claimant in fleet.roles[role].proposers:
-            claimant.note_epoch(epoch)
+        for proposer in fleet.roles[role].proposers:
+            proposer.note_epoch(epoch)
         self.dispatch(fleet.role_manager.release(self.instant(), role, 0.0))
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -315,14 +315,14 @@
         return self.agreement.plan.status(self.instant())
 
     def release_role(self, role: str) -> bool:
-        """Give a role back, and keep out of the queue for it a while; False: it isn't held here."""
+        """Give a role back, and be no candidate for it for a while; False: it isn't held here."""
         if self.fleet is None or self.is_closed or self.active_epoch(role) is None:
             return False
         self.dispatch(self.fleet.role_manager.release(self.instant(), role))
         return True
 
     def set_wanted(self, role: str, is_wanted: bool) -> None:
-        """Queue for a role that only those who want it compete for, or leave the queue."""
+        """Become a candidate for a role that is held on request only, or stop being one."""
         if self.fleet is not None and not self.is_closed:
             self.dispatch(self.fleet.role_manager.request(self.instant(), role, is_wanted))
 
--- a/wheatring/peers/list_sharing.py
+++ b/wheatring/peers/list_sharing.py
@@ -41,7 +41,7 @@
     """The fleet, as the holder of the role asks and uses it."""
 
     def active_epoch(self, role: str) -> int | None:
-        """Return the epoch to act in; None: this sidecar doesn't hold the duty."""
+        """Return the epoch to act in; None: this sidecar doesn't hold the role."""
 
     def record_action(self, role: str) -> None:
         """Note that the role's work was done now."""
--- a/wheatring/peers/operator_calls.py
+++ b/wheatring/peers/operator_calls.py
@@ -47,7 +47,7 @@
 
 def role_calls(runtime: FleetRuntime, configuration: project_file.ProjectFile) -> RoleCalls:
     """Make the calls on the roles that the file names."""
-    turns = next((name for name, duty in configuration.duty.items() if duty.work == "turns"), "")
+    turns = next((name for name, table in configuration.duty.items() if table.work == "turns"), "")
 
     def release(name: str) -> bool | None:
         """Release a role; None if the sidecar does not run it."""
@@ -60,7 +60,7 @@
         runtime.set_wanted(turns, True)
         if runtime.active_epoch(turns) is not None:
             return 0.0
-        return max(MIN_WAIT_SECONDS, runtime.terms.lease_seconds / 3)
+        return max(MIN_WAIT_SECONDS, runtime.timing.lease_seconds / 3)
 
     def return_turn() -> None:
         """Give the right to restart back."""
--- a/wheatring/peers/options.py
+++ b/wheatring/peers/options.py
@@ -40,7 +40,7 @@
     seeds: list[Address]
     voters: VoterSet
     roles: Sequence[RoleSettings]
-    terms: LeaseTiming
+    timing: LeaseTiming
     keys: Sequence[bytes]
     view: bool = False
     plan: PlanOptions | None = None
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -29,7 +29,7 @@
 from wheatring.skew.capabilities import local_capabilities
 from wheatring.skew.checker import CompatibilityChecker
 
-KEEP_OUT_TERMS = 10.0  # lease terms for which one that is unfit to lead keeps out of the queue
+EXCLUSION_LEASES = 10.0  # lease lengths for which one that is unfit to lead is no candidate
 FIRST_PLAN_RETRY_SECONDS = 5.0
 MAX_REASONS_SHOWN = 50  # of a compatibility check, in the status
 MAX_REASONS_OF_REJECTION = 2  # that a member which isn't admitted is told
@@ -162,7 +162,7 @@
         if not any({*self.fleet.electorate.voter_names(who)} & voters for who in others):
             return []
         self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
-        return self.fleet.role_manager.release(at, LEADER_ROLE, KEEP_OUT_TERMS)
+        return self.fleet.role_manager.release(at, LEADER_ROLE, EXCLUSION_LEASES)
 
     def _propose_first(self, at: Instant) -> None:
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
--- a/wheatring/peers/role_workers.py
+++ b/wheatring/peers/role_workers.py
@@ -31,7 +31,7 @@
 
 
 class RoleHolder(Protocol):
-    """The fleet, as a worker asks it whether this sidecar holds a duty."""
+    """The fleet, as a worker asks it whether this sidecar holds a role."""
 
     @property
     def name(self) -> str:
