--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -25,6 +25,7 @@
 from wheatring.peers.list_sharing import ListSharing
 from wheatring.peers.options import FleetOptions
 from wheatring.peers.role_workers import RoleWorker
+from wheatring.peers.status_values import OperatorAnswer
 
 if TYPE_CHECKING:  # what belongs to agreed views is imported with them
     from wheatring.config.project_file import ProjectFile
@@ -65,7 +66,7 @@
         self.random = random
         self.boot = boot
         self.me = options.me
-        self.terms = options.terms
+        self.timing = options.timing
         self.start_ms = round(clock.unix() * 1000)
         self.transfers: BodyTransfers | None = None
         self.agreement: Agreement | None = None  # once it has its port
@@ -124,7 +125,7 @@
             self.me = self.me._replace(port=where.port)
         options, at = self.options, self.instant()
         self.fleet = Fleet(
-            at, self.me, self.start_ms, options.seeds, options.voters, options.roles, options.terms,
+            at, self.me, self.start_ms, options.seeds, options.voters, options.roles, options.timing,
             SwimTiming(), self.random,
         )  # fmt: skip
         if self.make_agreement is not None:
@@ -254,7 +255,7 @@
             wait = max(MIN_TIMER_SECONDS, fleet.seconds_until_due(self.instant()))
             self.timer = self.clock.at(self.clock.now() + wait, self.tick)
 
-    # Duties, for their workers
+    # Roles, for their workers
 
     def active_epoch(self, role: str) -> int | None:
         """Return the epoch to act in, asked for right before each action; None: the role isn't held here."""
@@ -272,8 +273,8 @@
         fleet = self.fleet
         if fleet is None or self.is_closed:
             return
-        for claimant in fleet.roles[role].proposers:
-            claimant.note_epoch(epoch)
+        for proposer in fleet.roles[role].proposers:
+            proposer.note_epoch(epoch)
         self.dispatch(fleet.role_manager.release(self.instant(), role, 0.0))
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -283,21 +284,21 @@
 
     # Requests of operators and of the configuration
 
-    def offer_plan(self, body: bytes) -> tuple[int, dict[str, Any]]:
-        """Propose a plan to the fleet; return the HTTP status and the JSON body of the answer."""
+    def offer_plan(self, body: bytes) -> OperatorAnswer:
+        """Propose a plan to the fleet."""
         if self.agreement is None or self.agreement.plan is None:
-            return 503, {"what": NOT_JOINED}
-        http_status, answer = self.agreement.plan.offer(self.instant(), body)
+            return OperatorAnswer(503, {"what": NOT_JOINED})
+        answer = self.agreement.plan.offer(self.instant(), body)
         self.dispatch([])  # the proposal is due now
-        return http_status, answer
+        return answer
 
-    def set_format_floor(self, min_format: int) -> tuple[int, dict[str, Any]]:
-        """Set the lowest plan format that members have to read; return HTTP status and JSON body."""
+    def set_format_floor(self, min_format: int) -> OperatorAnswer:
+        """Set the lowest plan format that members have to read."""
         if self.agreement is None or self.agreement.plan is None:
-            return 503, {"what": NOT_JOINED}
+            return OperatorAnswer(503, {"what": NOT_JOINED})
         http_status, answer, outgoing = self.agreement.plan.set_format_floor(self.instant(), min_format)
         self.dispatch(outgoing)
-        return http_status, answer
+        return OperatorAnswer(http_status, answer)
 
     @property
     def is_ready(self) -> bool:
@@ -314,14 +315,14 @@
         return self.agreement.plan.status(self.instant())
 
     def release_role(self, role: str) -> bool:
-        """Give a role back, and keep out of the queue for it a while; False: it isn't held here."""
+        """Give a role back, and be no candidate for it for a while; False: it isn't held here."""
         if self.fleet is None or self.is_closed or self.active_epoch(role) is None:
             return False
         self.dispatch(self.fleet.role_manager.release(self.instant(), role))
         return True
 
     def set_wanted(self, role: str, is_wanted: bool) -> None:
-        """Queue for a role that only those who want it compete for, or leave the queue."""
+        """Become a candidate for a role that is held on request only, or stop being one."""
         if self.fleet is not None and not self.is_closed:
             self.dispatch(self.fleet.role_manager.request(self.instant(), role, is_wanted))
 
