--- a/tests/system/__init__.py
+++ b/tests/system/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of whole processes, and of fleets across several packages."""
