--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -22,7 +22,7 @@
 from tests.support.world import WAIT_LIMIT_SECONDS, Peer, Wire, World, entry
 from wheatring import log
 from wheatring.core.body import WINDOW_LIMITS_BYTES, Body, BodyMemory
-from wheatring.http1 import caller_lifecycle, response_stream
+from wheatring.http1 import caller_lifecycle, response_forwarder
 from wheatring.http1.body_sender import BodySender
 from wheatring.http1.parser import BUFFERED_BODY_BYTES, MessageParser
 
@@ -114,8 +114,8 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, framing: str
 ) -> None:
     """However it trickles: an answer in its time is owed, and this one can't be had elsewhere any more."""
-    monkeypatch.setattr(response_stream, "STREAM_UNKNOWN_LENGTH_AFTER_SECONDS", 0.0)
-    monkeypatch.setattr(response_stream, "MIN_ANSWER_BYTES_PER_SECOND", 1e9)
+    monkeypatch.setattr(response_forwarder, "STREAM_UNKNOWN_LENGTH_AFTER_SECONDS", 0.0)
+    monkeypatch.setattr(response_forwarder, "MIN_ANSWER_BYTES_PER_SECOND", 1e9)
     world = make()
     caller = world.ask(left=300)
     node = world.nodes[0].accept()
@@ -134,15 +134,15 @@
 def test_an_answer_that_has_brought_enough_goes_on_after_its_callers_time(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    looks, look = [], response_stream.ResponseStream.check
+    looks, look = [], response_forwarder.ResponseForwarder.check
 
-    def looked(stream: response_stream.ResponseStream, came: int = -1) -> None:
+    def looked(stream: response_forwarder.ResponseForwarder, came: int = -1) -> None:
         looks.append(came)
         log.line("looked")
         look(stream, came)
 
-    monkeypatch.setattr(response_stream.ResponseStream, "check", looked)
-    monkeypatch.setattr(response_stream, "MIN_ANSWER_BYTES_PER_SECOND", 1)
+    monkeypatch.setattr(response_forwarder.ResponseForwarder, "check", looked)
+    monkeypatch.setattr(response_forwarder, "MIN_ANSWER_BYTES_PER_SECOND", 1)
     world = make()
     caller = world.ask(left=50)
     node = world.nodes[0].accept()
@@ -193,7 +193,7 @@
 
 
 def test_an_answer_announced_as_large_is_started_early(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(response_stream, "STREAM_AFTER_SECONDS", 0.0)
+    monkeypatch.setattr(response_forwarder, "STREAM_AFTER_SECONDS", 0.0)
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
--- a/wheatring/http1/endpoint_connection.py
+++ b/wheatring/http1/endpoint_connection.py
@@ -13,7 +13,7 @@
 from wheatring.http1.exceptions import MalformedMessageError
 from wheatring.http1.parser import BUFFERED_BODY_BYTES, MAX_BODY_BYTES, ForwardedRequest, Message
 from wheatring.http1.request_sender import RequestSender
-from wheatring.http1.response_stream import ResponseStream, stream_due_at
+from wheatring.http1.response_forwarder import ResponseForwarder, stream_due_at
 
 if TYPE_CHECKING:
     from typing import Any, Protocol
@@ -78,7 +78,7 @@
     ----------
     attempt : Attempt | None
         The attempt that it carries, until its answer.
-    stream : ResponseStream | None
+    stream : ResponseForwarder | None
         The answer that is being forwarded.
     request_sender : RequestSender | None
         Writes the present or the last request; None before the first.
@@ -100,7 +100,7 @@
         self.address = address
         self.stall_timer: Timer | None = None
         self.attempt: Attempt | None = None
-        self.stream: ResponseStream | None = None
+        self.stream: ResponseForwarder | None = None
         self.request_sender: RequestSender | None = None
         self.head_read_at = 0.0
         self.is_premature = False
@@ -263,7 +263,7 @@
             return
         head_read_at, self.head_read_at = self.head_read_at or self.pool.clock.now(), 0.0
         body = message.stream = Body(self.pool.body_memory, message.content_length)
-        stream = self.stream = ResponseStream(self, body, message.keep_alive, head_read_at)
+        stream = self.stream = ResponseForwarder(self, body, message.keep_alive, head_read_at)
         stream.start(message.body, attempt.request.deadline)
         self.pool.exchange.end_attempt(attempt, SERVED, message)
         if body.on_data == no_listener:
--- a/wheatring/http1/response_stream.py
+++ b/wheatring/http1/response_forwarder.py
@@ -35,7 +35,7 @@
     return inf
 
 
-class ResponseStream:
+class ResponseForwarder:
     """An answer that its connection forwards as it comes.
 
     Attributes
