--- a/wheatring/balancer/admission.py
+++ b/wheatring/balancer/admission.py
@@ -25,7 +25,7 @@
 MIN_ADMITTED_PART = 0.9  # part of that which may be in flight even in a jam
 SHARE_DEVIATIONS = 2.0  # by which one balancer of many may exceed its share: all together don't
 BEST_RATE_MEMORY_SECONDS = 30.0  # in which the best rate fades to a third
-MIN_IN_FLIGHT = 20  # attempts of all balancers from which the time that they take can be told
+MIN_IN_FLIGHT = 20  # attempts of all balancers from which their duration can be estimated
 
 
 class AdmissionControl:
--- a/wheatring/balancer/endpoint_pool.py
+++ b/wheatring/balancer/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""The endpoints that a balancer sends to, kept by discovery's news, and the subset that it draws from.
+"""The endpoints that a balancer sends to, updated from discovery, and the subset that it draws from.
 
 Few endpoints with room for few connections can't take one from every balancer. So each balancer draws from an
 arc of the sorted endpoints, placed by its own index, so that all arcs together cover them evenly.
@@ -32,7 +32,7 @@
     subset : dict of str to Endpoint
         Local and remote ones: the only ones that are sent to while they warm up.
     capacity : float
-        What the local ones could bear at the last news, in warm endpoints.
+        What the local ones could bear at the last update, in warm endpoints.
     progressed_at : float
         When any ready endpoint last made progress.
     reinstated : list of tuple of float and Endpoint
--- a/wheatring/balancer/events.py
+++ b/wheatring/balancer/events.py
@@ -1,4 +1,4 @@
-"""Events: what a balancer is told. Plain, not frozen: one or more is made for each request.
+"""Events: what a balancer is notified of. Plain, not frozen: one or more is made for each request.
 
 Durations are seconds (float). Ids of requests and endpoints are opaque.
 """
--- a/wheatring/core/driver.py
+++ b/wheatring/core/driver.py
@@ -79,7 +79,7 @@
         self.feed(event)
 
     def report_caller_left(self, request: Request) -> None:
-        """Tell the balancer, if it knows of the request, that no answer is owed."""
+        """Tell the balancer, if it knows of the request, that no answer is due any more."""
         if request.decision_id:
             self.feed(i.RequestAbandoned(request.decision_id))
 
--- a/wheatring/core/exchange.py
+++ b/wheatring/core/exchange.py
@@ -20,7 +20,7 @@
 
 
 class AnswerKind(Enum):
-    """What a caller is told of its request: it was served, it may try again without harm, or it failed."""
+    """What a caller is answered: its request was served, it may try again without harm, or it failed."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -209,7 +209,7 @@
         return len(self.open_requests)
 
     def withdraw(self, request: Request) -> None:
-        """Drop a request whose caller has closed its connection: no answer is owed."""
+        """Drop a request whose caller has closed its connection: no answer is due."""
         if not request.is_finished:
             self._finish(request)
             self.on_caller_left(request)
--- a/wheatring/http1/caller_lifecycle.py
+++ b/wheatring/http1/caller_lifecycle.py
@@ -57,7 +57,7 @@
 
 
 # A head must be complete in so long from its first byte or, for the first one, from the connect. Callers may
-# take 2 s for it; one that sends none is owed an answer within 3 s.
+# take 2 s for it; one that sends none is due an answer within 3 s.
 HEAD_SECONDS = 2.6
 # A body is to bring another byte in so long, and so many bytes a second from then on: half of what the
 # slowest callers send.
@@ -172,7 +172,7 @@
                 self.server.reactor.callLater(DISCARD_PAUSE_SECONDS, self.resume_discarding)
 
     def resume_discarding(self) -> None:
-        """Read on, unless the caller has gone: what is unread would only delay the news of that."""
+        """Read on, unless the caller has gone: what is unread would only delay the notice of that."""
         if self.close_code or not self.is_connected:
             return
         if self.server.has_hung_up(self.transport):
@@ -271,7 +271,7 @@
                     self.reject(503, "no node takes it")
             case CallerState.STREAMING:
                 self._check_progress(now)
-            case CallerState.CLOSING:  # what has not left is owed for as long as an idle connection is kept
+            case CallerState.CLOSING:  # what has not left is kept for as long as an idle connection is kept
                 if now > self.state_since + max(LINGER_SECONDS, idle_seconds):
                     self.disconnect()
             case CallerState.SHUT:
--- a/wheatring/http1/caller_state.py
+++ b/wheatring/http1/caller_state.py
@@ -1,9 +1,9 @@
 """The states of a caller's connection, and the arrival times of what waits on it. It knows no sockets.
 
 The state is derived in one place, from what the connection holds. Whoever looks for connections to end goes
-by it: the sweep, the eviction when all places are taken, and the shutdown. What is owed, and what ends it:
+by it: the sweep, the eviction when all places are taken, and the shutdown. What is due, and what ends it:
 
-| state | owed | ended by |
+| state | due  | ended by |
 | --- | --- | --- |
 | RESTING | nothing; a request may be on its way | idling, eviction, the shutdown; what came is read first |
 | READING | an answer, if only that it took too long | the same, and its own time limit |
--- a/wheatring/http1/discovery_client.py
+++ b/wheatring/http1/discovery_client.py
@@ -20,7 +20,7 @@
 WATCH_WAIT_SECONDS = 50.0
 CONNECT_TIMEOUT_SECONDS = 2.0
 # Without another byte for the first, or in all after the second, an answer that has begun has failed. What it
-# would report counts as told, and one that stalls would else be waited for as long as a quiet watch.
+# would report counts as reported, and one that stalls would else be waited for as long as a quiet watch.
 STALL_SECONDS = 1.0
 FULL_LIST_SECONDS = CALL_TIMEOUT_SECONDS
 
--- a/wheatring/http1/endpoint_list.py
+++ b/wheatring/http1/endpoint_list.py
@@ -46,7 +46,7 @@
     on_view : Callable[[View], None]
         Receives each change.
     is_pushed : bool
-        The balancer is told of changes and never asks for the list: the watch is kept up here.
+        The balancer is notified of changes and never asks for the list: the watch is kept up here.
     version : int | None
         Of the list; None: the next call is for the whole list.
     client : DiscoveryClient
--- a/wheatring/http1/request_sender.py
+++ b/wheatring/http1/request_sender.py
@@ -44,7 +44,7 @@
         self.body_sender: BodySender | None = None
 
     def start(self, request: ForwardedRequest, time_left_ms: int) -> None:
-        """Write the request, which is told the time that is left for it."""
+        """Write the request, with the time that is left for it in its head."""
         head = b"%sX-Time-Left-Ms: %d\r\n\r\n" % (request.head, time_left_ms)
         if request.stream is None:
             self.unwritten = head + request.body
--- a/wheatring/http1/response_forwarder.py
+++ b/wheatring/http1/response_forwarder.py
@@ -14,14 +14,14 @@
     from wheatring.http1.parser import Message
 
 # Without another byte, after which a forwarded answer counts as malformed. That is long: it can't be had
-# elsewhere any more, and what is still to come is owed.
+# elsewhere any more, and its caller waits for the rest.
 STREAM_STALL_SECONDS = 10.0
 # An answer is forwarded before it is complete once it has taken so long and is large, or of unknown length:
 # its first bytes are what its caller waits for.
 STREAM_AFTER_SECONDS = 0.3
 STREAM_UNKNOWN_LENGTH_AFTER_SECONDS = 0.5
 # Once its caller's time is over, such an answer must have brought so many bytes a second, unless its caller
-# is behind; and how often that is checked. One without end would be owed for ever.
+# is behind; and how often that is checked. One without end would be forwarded for ever.
 MIN_ANSWER_BYTES_PER_SECOND = 32 * 1024
 STREAM_CHECK_SECONDS = 0.1
 
--- a/wheatring/http1/server.py
+++ b/wheatring/http1/server.py
@@ -217,7 +217,7 @@
     def end_if_unchanged(
         self, connection: CallerConnection, code: str, state_since: float, is_partial: bool
     ) -> None:
-        """End a connection that has read nothing since, and to which nothing is owed."""
+        """End a connection that has read nothing since, and to which no answer is due."""
         is_unchanged = (
             connection.state_since == state_since and connection.parser.has_partial_message == is_partial
         )
--- a/wheatring/lifecycle/notification_deadline.py
+++ b/wheatring/lifecycle/notification_deadline.py
@@ -19,7 +19,7 @@
 no further apart than NOTIFIED_AFTER_REACHABLE_SECONDS less ANSWER_SECONDS, however long each took: any
 instant at which discovery is there again is followed by the begin of a call that is answered in time. One
 that nobody answers is given up after CALL_TIMEOUT_SECONDS. Only a call that waits for changes, and has waited
-longer than any call stays in discovery's queue, would have told them up to its end.
+longer than any call stays in discovery's queue, would have reported them up to its end.
 
 Pure: instants in seconds are handed in; nothing here knows of sockets. `ListRequestSchedule` and `Freshness`
 go by it.
--- a/wheatring/pools/request_router.py
+++ b/wheatring/pools/request_router.py
@@ -73,7 +73,7 @@
         self.rejections[why] = due, count
 
     def replace(self, routes: list[Route], pools: dict[str, RoutedPool]) -> None:
-        """Put other routes and pools in force at once; shares that the pools are still owed are kept."""
+        """Put other routes and pools in force at once; shares that are still due to the pools are kept."""
         active = {route.name: ActiveRoute(route, pools) for route in routes}
         for name, new in active.items():
             old = self.routes.get(name)
