--- a/wheatring/lease/proposer.py
+++ b/wheatring/lease/proposer.py
@@ -140,13 +140,13 @@
             case Accepted() if self.is_proposing:
                 self.granted_by[voter] = 0
             case Rejection():
-                self._on_rejection(voter, message)
+                self._handle_rejection(voter, message)
             case _:
                 return []
         if self.voters.has_majority(self.granted_by):
-            return self._on_majority(now)
+            return self._handle_majority(now)
         if not self.voters.has_majority([name for name in self.voters.names if name not in self.rejected_by]):
-            self._on_majority_lost(now)
+            self._handle_majority_lost(now)
         return []
 
     def _is_awaited(self, now: float, voter: str, message: AcceptorResponse) -> bool:
@@ -187,7 +187,7 @@
         answered = self.granted_by.keys() | self.rejected_by.keys()
         return [(voter, message) for voter in self.voters.names if voter not in answered]
 
-    def _on_majority(self, now: float) -> list[AddressedRequest]:
+    def _handle_majority(self, now: float) -> list[AddressedRequest]:
         if self.is_renewing and not self.is_holder(now):
             # Too late: its lease has ended meanwhile, so what comes is another lease, with another epoch.
             self.is_preparing = self.is_proposing = False
@@ -197,23 +197,23 @@
             if not self.is_renewing:
                 self.epoch = max(self.highest_epoch, *self.granted_by.values()) + 1
             return self._propose(now, self.round_started)
-        self._on_elected(now)
+        self._handle_elected(now)
         return []
 
-    def _on_elected(self, now: float) -> None:
+    def _handle_elected(self, now: float) -> None:
         self.is_proposing = False
         self.held_until = self.round_started + self.timing.holder_seconds
         self.note_epoch(self.epoch)
         self.due = max(now, self.round_started + self.timing.renew_seconds)
 
-    def _on_rejection(self, voter: str, message: Rejection) -> None:
+    def _handle_rejection(self, voter: str, message: Rejection) -> None:
         self.rejected_by[voter] = min(max(message.retry_after_seconds, 0.0), self.timing.lease_seconds)
         if message.reason == "passed":
             self.highest_promised = max(self.highest_promised, message.promised_number)
         elif message.reason == "held":
             self.note_epoch(message.epoch)
 
-    def _on_majority_lost(self, now: float) -> None:
+    def _handle_majority_lost(self, now: float) -> None:
         """End a round that no majority can come of; the next one waits until enough acceptors are free."""
         self.is_preparing = self.is_proposing = False
         free = [voter for voter in self.voters.names if voter not in self.rejected_by]
--- a/wheatring/peers/fleet_runtime.py
+++ b/wheatring/peers/fleet_runtime.py
@@ -222,7 +222,7 @@
                 worker.on_heartbeat(heartbeat)
         changes, fleet.role_manager.changes = fleet.role_manager.changes, []
         for change in changes:
-            self._on_role_changed(change)
+            self._handle_role_change(change)
         self.change_log.log_members(fleet)
         if self.agreement is not None:
             self.change_log.log_view(self.agreement.views, self.clock.now())
@@ -239,7 +239,7 @@
             else:
                 self.socket.send(address, message)
 
-    def _on_role_changed(self, change: RoleChange) -> None:
+    def _handle_role_change(self, change: RoleChange) -> None:
         if change.reason:
             log.line("duty-over", duty=change.role, epoch=change.epoch)
         else:
--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -56,8 +56,8 @@
         self.views = views
         self.set_weights = options.set_weights
         self.log = options.log
-        self.plans = PlanAgent(at, fleet, views, on_commit=self._on_committed)
-        self.floors = ReplicatedRegister(at, "floor", fleet, self._on_floor)
+        self.plans = PlanAgent(at, fleet, views, on_commit=self._handle_committed)
+        self.floors = ReplicatedRegister(at, "floor", fleet, self._handle_minimum)
         capabilities = local_capabilities(options.formats)
         self.skew = CompatibilityChecker(
             fleet, capabilities, compile_plan, self._is_view_settled, self._is_plan_settled
@@ -93,12 +93,12 @@
         reading = self.time.now(at)
         return round(reading.unix * 1000) if reading.is_sure else 0
 
-    def _on_floor(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - a callback's
+    def _handle_minimum(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - a callback's
         self.skew.minimum_committed(body)
         self.log("plan-floor", {"format": self.skew.minimum_format})
         return []
 
-    def _on_committed(self, at: Instant, committed: CommittedPlan) -> list[Outgoing]:
+    def _handle_committed(self, at: Instant, committed: CommittedPlan) -> list[Outgoing]:
         body = self.fleet.payloads.get(committed.digest)
         assert body is not None
         self.skew.plan_committed(committed.plan, body)
