--- a/wheatring/peers/plan_coordinator.py
+++ b/wheatring/peers/plan_coordinator.py
@@ -10,7 +10,6 @@
 
 from wheatring.errors import OperatorError
 from wheatring.lease.component import FleetComponent, Instant, Outgoing
-from wheatring.lease.exceptions import LeaseError
 from wheatring.lease.fleet import Fleet
 from wheatring.lease.membership_views import MembershipViews
 from wheatring.lease.register_leader import LEADER_ROLE
@@ -201,7 +200,7 @@
             outgoing = self.floors.put(at, payload)
         except OperatorError as error:
             return MinimumChange(409, error_body(error), [])
-        except LeaseError as error:
+        except ValueError as error:
             body = {"code": "not-ready", "what": str(error), "do": "Ask again in a second"}
             return MinimumChange(503, body, [])
         return MinimumChange(202, {"floor": min_format}, outgoing)
