--- a/wheatring/lab/live/process.py
+++ b/wheatring/lab/live/process.py
@@ -18,7 +18,7 @@
 
 DIE_WITH_PARENT = str(Path(__file__).with_name("die_with_parent.py"))
 HOME = str(Path(wheatring.__file__).parents[1])  # where this wheatring lies: its processes must run the same
-# Until a killed process has ended. On a busy machine the kernel has been seen to take over 2 s to take it down.
+# Until a killed process has ended. On a busy machine the kernel has been seen to take over 2 s for it.
 KILL_TIMEOUT_SECONDS = 30.0
 
 
