--- a/tests/http1/test_bodies.py
+++ b/tests/http1/test_bodies.py
@@ -311,19 +311,20 @@
     assert caller.read()[0].split()[1] == "408"
 
 
-def test_a_sender_that_is_stopped_takes_nothing_from_the_one_after_it() -> None:
-    class EagerTransport:
-        """A transport that asks for more when it is told to."""
+class EagerTransport:
+    """A transport that asks a producer for data as soon as that registers."""
+
+    def __init__(self) -> None:
+        self.got = b""
 
-        def __init__(self) -> None:
-            self.got = b""
+    def write(self, data: bytes) -> None:
+        self.got += data
 
-        def write(self, data: bytes) -> None:
-            self.got += data
+    def registerProducer(self, producer: BodySender, streaming: bool) -> None:  # noqa: ARG002, N802 - Twisted's signature
+        producer.resumeProducing()
 
-        def registerProducer(self, producer: BodySender, streaming: bool) -> None:  # noqa: ARG002, N802 - Twisted's signature
-            producer.resumeProducing()
 
+def test_a_sender_that_is_stopped_takes_nothing_from_the_one_after_it() -> None:
     transports: list[Any] = [EagerTransport(), EagerTransport()]
     large = Body(BodyMemory(1000000), is_replayable=True)
     large.put(b"a" * 20000)
@@ -345,15 +346,6 @@
 
 def test_a_sender_whose_body_is_cancelled_has_not_sent_it() -> None:
     """Its connection would be taken for clean, and the next request be read as the rest of this one."""
-
-    class EagerTransport:
-        """A transport that asks for more when it is told to."""
-
-        def write(self, data: bytes) -> None: ...
-
-        def registerProducer(self, producer: BodySender, streaming: bool) -> None:  # noqa: ARG002, N802 - Twisted's signature
-            producer.resumeProducing()
-
     transport: Any = EagerTransport()
     large = Body(BodyMemory(1000000), is_replayable=True)
     large.put(b"a" * 20000)
