--- a/tests/balancer/test_outlier_ejection.py
+++ b/tests/balancer/test_outlier_ejection.py
@@ -9,7 +9,7 @@
 from tests.balancer.endpoint_model import CORES, GET, NODES, QUICK, WORK, Nodes
 from tests.conftest import Copy, entries
 from wheatring.balancer import interface as i
-from wheatring.balancer.outlier_ejection import EVIDENCE
+from wheatring.balancer.outlier_ejection import EJECTION_SCORES
 
 O = i.Outcome
 
@@ -63,7 +63,7 @@
     assert max(unhealthy) < 0.06 and min(well) > 0.15
 
 
-OUTCOMES = st.sampled_from([O.SERVED, *EVIDENCE])
+OUTCOMES = st.sampled_from([O.SERVED, *EJECTION_SCORES])
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -83,7 +83,7 @@
                 copy.do(i.RequestAbandoned(send.request))
                 break
     assert not copy.in_flight
-    copy.balancer.ejector.turns += 1.0  # an even share for each
+    copy.balancer.ejector.rounds += 1.0  # an even share for each
     copy.balancer.throughput.served_at = copy.now
     alone = [
         e for e in copy.balancer.pool.ready if e.ejections and copy.balancer.ejector.is_ejected(copy.now, e)
@@ -126,7 +126,7 @@
     copy.end(copy.send(), O.CONNECT_FAILED)
     record = copy.balancer.pool.endpoints["a"]
     assert record.ejections
-    copy.balancer.ejector.turns += 100.0
+    copy.balancer.ejector.rounds += 100.0
     in_flight: list[int] = []
     while record.ejections:
         sends = [send for send in (copy.send() for _ in range(12)) if send.endpoint == "a"]
--- a/tests/balancer/test_selection.py
+++ b/tests/balancer/test_selection.py
@@ -68,9 +68,9 @@
     while not copy.balancer.pool.endpoints["a"].failures:
         send = copy.send()
         copy.end(send, O.ERROR if send.endpoint == "a" else O.SERVED, is_request_over=True)
-    bad = copy.balancer.load.burden(copy.now, copy.balancer.pool.endpoints["a"])
+    bad = copy.balancer.load.multiplier(copy.now, copy.balancer.pool.endpoints["a"])
     copy.now += 60
-    assert copy.balancer.load.burden(copy.now, copy.balancer.pool.endpoints["a"]) < 0.5 * bad
+    assert copy.balancer.load.multiplier(copy.now, copy.balancer.pool.endpoints["a"]) < 0.5 * bad
 
 
 def test_load_reports_scale_and_grow_old() -> None:
@@ -84,9 +84,9 @@
             report = i.LoadReport(in_flight=20.0 if send.endpoint == "a" else 2.0)
             copy.end(send, O.SERVED, after=0.05, is_request_over=True, report=report)
     a, b = (copy.balancer.pool.endpoints[name] for name in "ab")
-    fresh = copy.balancer.load.burden(copy.now, a) / copy.balancer.load.burden(copy.now, b)
+    fresh = copy.balancer.load.multiplier(copy.now, a) / copy.balancer.load.multiplier(copy.now, b)
     copy.now += 30
-    old = copy.balancer.load.burden(copy.now, a) / copy.balancer.load.burden(copy.now, b)
+    old = copy.balancer.load.multiplier(copy.now, a) / copy.balancer.load.multiplier(copy.now, b)
     assert fresh > 2 and abs(old - 1) < 0.2
 
 
--- a/tests/balancer/test_thin_traffic.py
+++ b/tests/balancer/test_thin_traffic.py
@@ -9,7 +9,7 @@
 from tests.balancer.test_admission import CHEAP, DEAR, admitted, keep
 from tests.conftest import Copy, entries
 from wheatring.balancer import interface as i
-from wheatring.balancer.outlier_ejection import OVERLOAD_REST_SECONDS
+from wheatring.balancer.outlier_ejection import OVERLOAD_EJECTION_SECONDS
 
 O = i.Outcome
 GET = i.RequestClass("get", latency_target=2.0, deadline=6.0, idempotency=i.Idempotency.IDEMPOTENT)
@@ -40,7 +40,9 @@
     for _ in range(3):
         copy.now += 2.0
         visit(copy, slow.entry.endpoint, 0.23)
-    assert copy.balancer.load.burden(copy.now, slow) > 1.5 * copy.balancer.load.burden(copy.now, other)
+    assert copy.balancer.load.multiplier(copy.now, slow) > 1.5 * copy.balancer.load.multiplier(
+        copy.now, other
+    )
 
 
 def test_an_overloaded_endpoint_gets_nothing_for_a_while_and_returns_by_a_trickle() -> None:
@@ -51,7 +53,7 @@
     assert not crowded.ejections  # one answer may be long by chance
     visit(copy, NODES[0], 1.0)
     assert crowded.ejections
-    until = copy.now + OVERLOAD_REST_SECONDS
+    until = copy.now + OVERLOAD_EJECTION_SECONDS
     seen: Counter[str] = Counter()
     while copy.now + 0.1 < until:
         send = copy.send("get")
--- a/tests/daemon/pools/test_pool_set.py
+++ b/tests/daemon/pools/test_pool_set.py
@@ -389,7 +389,7 @@
     world.reload(own_list(nobody.port, nobody.port))
     dropped = world.run(lambda: world.pools.all()[2:])
     world.met(
-        lambda: all(m.serving.balancer.is_subscribing for m in dropped)
+        lambda: all(m.serving.balancer.is_subscription_scheduled for m in dropped)
     )  # each has a timer out, to ask again
     world.reload(TWO)
     assert all(m.is_closed for m in dropped) and len(dropped) == 2
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -294,7 +294,7 @@
     On a busy machine a peer that has answered quickly once would soon be given up. Each world sets a log line
     of its own.
     """
-    monkeypatch.setattr(balancer, "PATIENCE_DEVIATIONS", 1e9)
+    monkeypatch.setattr(balancer, "ATTEMPT_TIMEOUT_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)
 
 
--- a/tests/tier/sidecar/test_prefix_placement.py
+++ b/tests/tier/sidecar/test_prefix_placement.py
@@ -108,7 +108,7 @@
         assert elsewhere != home
         end(found, 1.3, 2 * number + 1, elsewhere, i.Outcome.SERVED)
         for endpoint in found.pool.endpoints.values():
-            endpoint.evidence = endpoint.failures = 0.0
+            endpoint.ejection_score = endpoint.failures = 0.0
             endpoint.ejections = 0
 
 
--- a/wheatring/balancer/__init__.py
+++ b/wheatring/balancer/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a load balancer for services that call services, free of I/O and clocks."""
+"""Load-balancing decisions for service-to-service requests, without I/O or clocks."""
--- a/wheatring/balancer/actions.py
+++ b/wheatring/balancer/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a balancer asks of whoever hosts it. Durations are seconds (float)."""
+"""Actions that a balancer returns to its host. Durations are in seconds (float)."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class Candidate(NamedTuple):
-    """An endpoint that was drawn for an attempt, as the balancer saw it then.
+    """An endpoint that was considered for an attempt, with its load at that time.
 
-    `in_flight` counts the balancer's own attempts; `reported` is what the endpoint last reported.
+    `in_flight` counts this balancer's own attempts; `reported` is the endpoint's last report of its requests
+    in flight.
     """
 
     endpoint: str
@@ -25,12 +26,12 @@
     Attributes
     ----------
     timeout : float
-        Seconds from now after which the attempt is given up.
+        Seconds from now after which the attempt times out.
     candidates : tuple of Candidate
-        What the endpoint was chosen from, for records: nothing is to be done with it.
+        The endpoints that were considered. For records only; the host ignores it.
     start_within : float
-        Seconds from now after which the attempt must not be started, whatever it still waits for: it counts
-        as CONNECT_FAILED then.
+        Seconds from now after which the attempt must not be started, for example if it had to wait for a
+        connection; it ends as CONNECT_FAILED then.
     """
 
     request: int
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     request: int
     attempt: int
@@ -50,9 +51,9 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not done, trying again is harmless.
+    """Final answer: the request was rejected, and the client may retry it safely.
 
-    `retry_after` is the advice to stay away for so many seconds; 0: none.
+    `retry_after` is the number of seconds that the client should wait before a retry; 0 if unspecified.
     """
 
     request: int
@@ -61,14 +62,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised about its effect."""
+    """Final answer: the request failed, and may or may not have been executed."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerDue after so many seconds."""
+    """Request a TimerDue event after `delay` seconds."""
 
     token: int
     delay: float
@@ -76,14 +77,14 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask discovery for changes from now on, or stop asking."""
+    """Subscribe to changes of the endpoint list, or unsubscribe."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class FetchEndpointList:
-    """Ask discovery once for the complete list."""
+    """Fetch the complete endpoint list once from discovery."""
 
 
 @dataclass(slots=True)
@@ -102,7 +103,7 @@
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send a message to one balancer or, with None, to all."""
+    """Send a message to one balancer, or to all if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -110,7 +111,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """Leave a line in the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/wheatring/balancer/active_request.py
+++ b/wheatring/balancer/active_request.py
@@ -1,4 +1,4 @@
-"""A request that a balancer has taken and not yet answered for good."""
+"""A request that has no final answer yet, or has attempts in flight."""
 
 from __future__ import annotations
 
@@ -9,37 +9,38 @@
 from wheatring.balancer.latency_estimate import LatencyEstimate
 from wheatring.balancer.settings import Idempotency, RequestClass
 
-IDEMPOTENT, KEYED = Idempotency.IDEMPOTENT, Idempotency.KEYED  # looked up once: an enum takes its time
+IDEMPOTENT, KEYED = Idempotency.IDEMPOTENT, Idempotency.KEYED  # bound once: enum attribute access is slow
 
 
 @dataclass(slots=True)
 class ActiveRequest:
-    """One request and its attempts.
+    """The state of one request and its attempts.
 
     Attributes
     ----------
     request_id : int
-        Its number in events and actions.
+        Id of the request in events and actions.
     latency : LatencyEstimate
-        That of its class.
+        Latency estimate of the request's class.
     deadline : float
-        The instant of its last useful answer.
+        Time after which an answer has no value.
     attempts : list of Endpoint
-        Where each attempt was sent, in their order.
+        Endpoint of each attempt, in the order of the sends.
     sent_at : float
         When the last attempt was sent.
     first_run_at, first_run_endpoint : float and Endpoint, or None
-        When and where the first attempt was sent that may have run; None while none may have.
+        When and to which endpoint the first attempt that may have been executed was sent; None if there is no
+        such attempt.
     outstanding : int
         Attempts that have not ended.
     retries : int
         Retries after a backoff.
     is_over : bool
-        It has had its final answer, or its client has gone.
+        The request has its final answer, or its client has disconnected.
     was_rejected : bool
         An attempt was rejected before it was processed.
     is_committed : bool
-        Its answer has begun, or its body is no longer kept: A6 retries it no more.
+        The response has started, or the request body is no longer buffered: gRFC A6 allows no more retries.
     """
 
     request_id: int
@@ -57,7 +58,7 @@
     is_committed: bool = False
 
     def repeatable_until(self) -> float:
-        """Return the instant before which it may be sent again: what may have run has its effect once."""
+        """Return the time until which the request may be sent again without a duplicate effect."""
         if self.first_run_at is None:
             return inf
         idempotency = self.request_class.idempotency
@@ -65,6 +66,6 @@
             return inf
         return self.first_run_at + self.request_class.repeat_window if idempotency is KEYED else -inf
 
-    def is_harmless_to_repeat(self) -> bool:
-        """Whether its client may repeat it anywhere without a second effect."""
+    def is_safe_to_retry(self) -> bool:
+        """Whether the client may retry the request at any endpoint without a duplicate effect."""
         return self.first_run_at is None or self.request_class.idempotency is IDEMPOTENT
--- a/wheatring/balancer/admission.py
+++ b/wheatring/balancer/admission.py
@@ -1,8 +1,9 @@
-"""Admission control: what the front tier rejects before anything is sent.
+"""Admission control: the front tier rejects excess requests before the first attempt.
 
-When every endpoint slows, first attempts would pass unchecked and all end late; and what overloads endpoints
-for long slows them further. So the front rejects what goes beyond what they are known to bear, once that
-slows them; requests of low value are left less room than those of high value.
+Retry throttling limits retries only. Without a limit on first attempts, an overload of all endpoints would
+make every request late, and a long overload slows endpoints further. So once latency rises, the front tier
+limits the attempts in flight by the throughput that the endpoints have shown. The limit is lower for requests
+of low value.
 """
 
 from __future__ import annotations
@@ -18,25 +19,30 @@
 from wheatring.balancer.slow_start import SlowStart
 from wheatring.balancer.throughput import Throughput
 
-CALM_LATENCY_RATIO = 1.5  # times the unloaded latency, below which everything is admitted
-JAMMED_LATENCY_RATIO = 1.8  # times the unloaded latency, above which more in flight gets no more served
-IN_FLIGHT_GROWTH = 1.5  # attempts in flight for each unloaded latency served a second at the best rate
-IN_FLIGHT_SLACK = 3.0  # and beyond that, in attempts of all balancers at an endpoint
-MIN_ADMITTED_PART = 0.9  # part of that which may be in flight even in a jam
-SHARE_DEVIATIONS = 2.0  # by which one balancer of many may exceed its share: all together don't
-BEST_RATE_MEMORY_SECONDS = 30.0  # in which the best rate fades to a third
-MIN_IN_FLIGHT = 20  # attempts of all balancers from which their duration can be estimated
+# Latency ratios are multiples of the unloaded latency.
+UNCONGESTED_LATENCY_RATIO = 1.5  # Below this ratio everything is admitted.
+SATURATED_LATENCY_RATIO = 1.8  # Above this ratio more attempts in flight don't raise the throughput.
+IN_FLIGHT_PER_BEST_RATE = 1.5  # Attempts in flight per unit of the best rate (`AdmissionControl.best_rate`).
+IN_FLIGHT_SLACK = 3.0  # Additional attempts in flight per endpoint, over all balancers.
+MIN_LIMIT_FRACTION = 0.9  # Fraction of the limit that stays admitted under saturation.
+# A balancer may exceed its even share by this many standard deviations, as the sum over all varies less.
+SHARE_DEVIATIONS = 2.0
+BEST_RATE_DECAY_SECONDS = 30.0  # Time constant.
+MIN_IN_FLIGHT = 20  # Over all balancers; the latency ratio of fewer attempts is too noisy.
 
 
 class AdmissionControl:
-    """Admits or rejects first attempts by what endpoints have lately been able to serve.
+    """Admits or rejects first attempts by the recent throughput of the endpoints.
+
+    Throughput is measured in unloaded latencies served per second (see `Throughput`).
 
     Attributes
     ----------
     in_flight, capacity : float
-        Attempts in flight, and warm endpoints, averaged over about the last second as the served ones are.
+        Attempts in flight, and capacity in warm endpoints, averaged over about one second like the
+        throughput.
     best_rate : float
-        Unloaded latencies served a second by an endpoint, at the best of late.
+        Recent maximum of the throughput per warm endpoint.
     updated_at : float
         When these were last updated.
     """
@@ -62,60 +68,67 @@
         self.updated_at = 0.0
 
     def admits(
-        self, now: float, request_class: RequestClass, is_known: Callable[[float, RequestClass], bool]
+        self, now: float, request_class: RequestClass, is_latency_known: Callable[[float, RequestClass], bool]
     ) -> bool:
-        """Whether a new request may be sent; `is_known` says whether what is usual of its class is known."""
+        """Whether a new request may be sent.
+
+        `is_latency_known` tells whether the latency estimate of a class is reliable at a given time.
+        """
         if self.settings.tier or not self.pool.ready:
             return True
         usable = self._usable_endpoints(now)
         capacity = self.slow_start.total_capacity(now, usable) or 1.0
         in_flight = self._in_flight_of_active(now, usable, request_class.latency_target)
         rate = self._update(now, in_flight, capacity)
-        congestion = self.in_flight / rate if rate else 0.0  # how many times the unloaded latency is taken
+        congestion = self.in_flight / rate if rate else 0.0  # latency ratio, by Little's law
         balancers = self.settings.balancer_count
         surplus = SHARE_DEVIATIONS * sqrt(in_flight) * (1 - 1 / balancers)
         in_flight = min(in_flight, max(self.in_flight, in_flight - surplus))
-        if in_flight * balancers < MIN_IN_FLIGHT or congestion < CALM_LATENCY_RATIO:
+        if in_flight * balancers < MIN_IN_FLIGHT or congestion < UNCONGESTED_LATENCY_RATIO:
             return True
-        if not is_known(now, request_class):
+        if not is_latency_known(now, request_class):
             return True
-        part = self._part_of_slack(request_class)
-        most = capacity * (IN_FLIGHT_GROWTH * self.best_rate + IN_FLIGHT_SLACK / balancers * part)
-        return in_flight <= most * max(MIN_ADMITTED_PART, min(1.0, JAMMED_LATENCY_RATIO / congestion))
+        fraction = self._slack_fraction(request_class)
+        limit = capacity * (IN_FLIGHT_PER_BEST_RATE * self.best_rate + IN_FLIGHT_SLACK / balancers * fraction)
+        return in_flight <= limit * max(MIN_LIMIT_FRACTION, min(1.0, SATURATED_LATENCY_RATIO / congestion))
 
     def _usable_endpoints(self, now: float) -> list[Endpoint]:
-        """Return the endpoints that are not ejected; all where most are unhealthy, which is load then."""
+        """Return the endpoints that are not ejected, or all if most are unhealthy: the cause is load then."""
         ready, ejector = self.pool.ready, self.ejector
         if ejector.is_majority_unhealthy():
             return ready
-        return [each for each in ready if not each.ejections or not ejector.is_ejected(now, each)]
+        return [
+            endpoint for endpoint in ready if not endpoint.ejections or not ejector.is_ejected(now, endpoint)
+        ]
 
     def _in_flight_of_active(self, now: float, usable: list[Endpoint], latency_target: float) -> float:
         """Return the attempts in flight at endpoints that make progress.
 
-        What is in flight at one that is silent while others answer or are idle is no queue for these.
+        Attempts at an endpoint that has stopped responding, while others respond or are idle, don't load the
+        others.
         """
-        all_busy = all(each.in_flight for each in self.pool.ready)
-        silent_since = (self.pool.progressed_at if all_busy else now) - latency_target
-        return sum([each.in_flight for each in usable if each.progressed_at > silent_since])
+        all_busy = all(endpoint.in_flight for endpoint in self.pool.ready)
+        active_since = (self.pool.progressed_at if all_busy else now) - latency_target
+        return sum([endpoint.in_flight for endpoint in usable if endpoint.progressed_at > active_since])
 
     def _update(self, now: float, in_flight: float, capacity: float) -> float:
-        """Update the averages, and return the unloaded latencies served a second."""
-        passed, self.updated_at = min(now - self.updated_at, 1.0), now
-        weight = exp(-passed)
-        self.in_flight = self.in_flight * weight + in_flight * passed
+        """Update the averages, and return the throughput."""
+        elapsed, self.updated_at = min(now - self.updated_at, 1.0), now
+        weight = exp(-elapsed)
+        self.in_flight = self.in_flight * weight + in_flight * elapsed
         rate = self.throughput.rate(now)
-        self.capacity = max(capacity, self.capacity * weight + capacity * passed)  # what served at that rate
-        self.best_rate = max(self.best_rate * exp(-passed / BEST_RATE_MEMORY_SECONDS), rate / self.capacity)
+        # The rate is an average over the last second, so it is divided by the capacity of that time.
+        self.capacity = max(capacity, self.capacity * weight + capacity * elapsed)
+        self.best_rate = max(self.best_rate * exp(-elapsed / BEST_RATE_DECAY_SECONDS), rate / self.capacity)
         return rate
 
-    def _part_of_slack(self, request_class: RequestClass) -> float:
-        """Return the part of the slack that a class may use, by its value against the most valuable class."""
-        most = max(map(self._value_density, self.settings.classes)) or 1.0
-        return 0.4 + 0.6 * self._value_density(request_class) / most
+    def _slack_fraction(self, request_class: RequestClass) -> float:
+        """Return the fraction of the slack that a class may use, by its value relative to the highest one."""
+        highest = max(map(self._value_density, self.settings.classes)) or 1.0
+        return 0.4 + 0.6 * self._value_density(request_class) / highest
 
     def _value_density(self, request_class: RequestClass) -> float:
-        """Return the value of each unit of work; the unloaded latency stands for the work."""
+        """Return the value per unit of work, with the unloaded latency as the estimate of the work."""
         if self.settings.value_per_work:
             return request_class.value
         return request_class.value / (self.latencies[request_class.name].unloaded or 1.0)
--- a/wheatring/balancer/balancer.py
+++ b/wheatring/balancer/balancer.py
@@ -1,9 +1,10 @@
-"""The decisions of one balancer: events in, actions out. Its messages are listed in `interface`.
+"""The balancer: turns events into actions. Both are listed in `interface`.
 
-The ordinary path is that of gRFC A6: the less loaded of two random endpoints by own attempts in flight; a
-failure is retried after a randomised exponential backoff while the token count is above half, attempts are
-limited, and one deadline holds for all of it. Each module beside this one says what it adds to that, and what
-it guards against. There is no clock but `now`, and no randomness but the balancer's own.
+The basic algorithm: a request goes to the less loaded of two random endpoints by own attempts in flight. As
+in gRFC A6, a failure is retried after a randomised exponential backoff while the token count is above half,
+the number of attempts is limited, and one deadline applies to all of them. The other modules of the package
+extend this, and document which failures they guard against. Decisions depend only on the events, their times
+and the seed.
 """
 
 from __future__ import annotations
@@ -29,35 +30,35 @@
 from wheatring.balancer.throughput import Throughput
 from wheatring.balancer.token_bucket import RetryTokenBucket
 
-MAX_ATTEMPTS = 5  # for one request, as in A6
-PATIENCE_DEVIATIONS = 20.0  # above the mean latency at which an attempt is given up
-SUBSCRIPTION_TIMER = 0  # token of the timer for the next subscription; those of requests come after it
+MAX_ATTEMPTS = 5  # Per request, as in gRFC A6.
+ATTEMPT_TIMEOUT_DEVIATIONS = 20.0  # The time-out is this far above the mean latency.
+SUBSCRIPTION_TIMER = 0  # Token of the timer for the next subscription; requests use the tokens from 1 on.
 MAX_SUBSCRIPTION_SPREAD_SECONDS = 2.5
 
-# Looked up once, not for each attempt: an enum takes its time.
+# Bound once, as enum attribute access is slow compared to the rest of an attempt.
 SERVED, TIMED_OUT, REJECTED = Outcome.SERVED, Outcome.TIMED_OUT, Outcome.REJECTED
 CONNECT_FAILED = Outcome.CONNECT_FAILED
 NOT_IDEMPOTENT = Idempotency.NOT_IDEMPOTENT
-new_tuple = tuple.__new__  # a named tuple's own would be a call more
+new_tuple = tuple.__new__  # saves the extra call of a named tuple's own constructor
 
-# Outcomes that take a token of the bucket. Failed connections are retried too, but outside the token count.
+# Outcomes that take a token from the bucket. Failed connections are also retried, without taking one.
 TOKEN_OUTCOMES = (Outcome.ERROR, REJECTED, TIMED_OUT, Outcome.RESET)
 RETRYABLE_OUTCOMES = (*TOKEN_OUTCOMES, CONNECT_FAILED)
-# Outcomes without any sign of the endpoint.
-SILENT_OUTCOMES = (TIMED_OUT, CONNECT_FAILED, Outcome.CANCELLED, Outcome.NOT_SENT)
+# Outcomes without a response from the endpoint.
+NO_RESPONSE_OUTCOMES = (TIMED_OUT, CONNECT_FAILED, Outcome.CANCELLED, Outcome.NOT_SENT)
 
 
 class Balancer:
-    """One balancer of a tier. It sees its own attempts only; nothing is shared with the others.
+    """One balancer of a tier. It knows only its own attempts and shares no state with other balancers.
 
     Attributes
     ----------
     classes, latencies : dict
-        The request classes and their latency estimates, by the class's name.
+        The request classes and their latency estimates, by class name.
     requests : dict of int to ActiveRequest
-        The requests that have no final answer, or whose last attempt has not ended.
+        The requests without a final answer or with attempts in flight, by id.
     timers : dict of int to int
-        The requests that wait out a backoff, by the token of their timer.
+        Ids of the requests in backoff, by the token of their timer.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -82,21 +83,21 @@
             settings.zone, self.random, self.pool, self.slow_start, self.ejector, self.load
         )
         self.first_request_at = inf
-        self.is_subscribing = False  # a timer for it is set
+        self.is_subscription_scheduled = False
         self.failed_subscriptions = 0  # in a row, up to 3
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take in an event at an instant in seconds; return the actions to carry out, in their order."""
+        """Handle an event at the time `now` (seconds), and return the actions to carry out, in order."""
         out: list[Action] = []
         match event:
             case AttemptEnded():
-                self._attempt_ended(now, event, out)
+                self._on_attempt_ended(now, event, out)
             case NewRequest():
-                self._new_request(now, event, out)
+                self._on_new_request(now, event, out)
             case TimerDue(token):
-                self._timer_due(now, token, out)
+                self._on_timer_due(now, token, out)
             case View():
-                self._view(now, event, out)
+                self._on_view(now, event, out)
             case RequestAbandoned(request_id) if request_id in self.requests:
                 self._close(self.requests[request_id])
             case Committed(request_id) if request_id in self.requests:
@@ -105,7 +106,7 @@
 
     # Requests
 
-    def _new_request(self, now: float, event: NewRequest, out: list[Action]) -> None:
+    def _on_new_request(self, now: float, event: NewRequest, out: list[Action]) -> None:
         self.first_request_at = min(self.first_request_at, now)
         request_class = self.classes.get(event.class_name) or self._add_class(event)
         latency = self.latencies[event.class_name]
@@ -118,17 +119,18 @@
             self._answer(request, out)
 
     def _add_class(self, event: NewRequest) -> RequestClass:
-        """Add a class that the settings don't name, as one that is not idempotent."""
+        """Add a class that is not in the settings, as one that is not idempotent."""
         span = max(event.time_remaining, 1e-3)
         request_class = self.classes[event.class_name] = RequestClass(event.class_name, span, span)
         self.latencies[event.class_name] = LatencyEstimate()
         return request_class
 
     def _useful_time(self, event: NewRequest, request_class: RequestClass) -> float:
-        """Return the seconds in which an answer is worth anything.
+        """Return the seconds for which an answer still has a value.
 
-        At the front, an answer that is worth nothing past its latency target would only occupy slots all down
-        the chain. A client's retry comes with what earlier tries have left of its class's deadline.
+        At the front tier, the latency target is the deadline of a class whose late answers have no value: a
+        late request would only use capacity in all tiers below. A client's retry arrives with what its
+        earlier tries have left of the class's deadline, and has used that much of its latency target.
         """
         remaining = event.time_remaining
         if self.settings.tier or request_class.late_value or request_class.latency_target_stretch:
@@ -137,27 +139,28 @@
         return min(remaining, request_class.latency_target - used)
 
     def admits(self, now: float, request: ActiveRequest) -> bool:
-        """Whether a new request is sent at all."""
+        """Whether a new request is admitted."""
         return self.admission.admits(now, request.request_class, self.is_latency_known)
 
     def is_latency_known(self, now: float, request_class: RequestClass) -> bool:
-        """Whether this balancer is old enough to know what is usual: the first answers are the fastest."""
+        """Whether this balancer has run long enough for its estimates: the first answers are the fastest."""
         return now - self.first_request_at > request_class.latency_target
 
     def pick(self, now: float, request: ActiveRequest) -> tuple[Endpoint | None, list[Endpoint]]:
-        """Return the endpoint for a request's next attempt, if one is usable, and all that were drawn."""
+        """Return the endpoint for the next attempt, or None if none is usable, and all endpoints drawn."""
         return self.selector.pick(now, request)
 
     def _send(self, now: float, request: ActiveRequest, out: list[Action]) -> None:
-        """Send a request's next attempt, or answer it if that is not possible or in vain."""
+        """Send the next attempt of a request, or answer it if that is impossible or too late."""
         pool = self.pool
-        self.ejector.turns += 1 / pool.capacity
-        if not request.attempts:  # a turn is counted in local endpoints, of which remote ones take a part
+        self.ejector.rounds += 1 / pool.capacity
+        if not request.attempts:  # slots count attempts to local endpoints; remote ones take a share of these
             self.slow_start.advance(len(pool.local) / pool.capacity / max(len(pool.subset), 1))
         endpoint, drawn = self.pick(now, request)
         remaining = request.deadline - now
-        is_hopeless = remaining <= request.latency.unloaded / 2  # work for it would be wasted here and below
-        if endpoint is None or is_hopeless or now >= (repeatable_until := request.repeatable_until()):
+        # The work of an attempt without enough time left would be wasted, also in the tiers below.
+        is_out_of_time = remaining <= request.latency.unloaded / 2
+        if endpoint is None or is_out_of_time or now >= (repeatable_until := request.repeatable_until()):
             self._answer(request, out)
             return
         timeout = self._attempt_timeout(request, remaining)
@@ -174,18 +177,19 @@
         out.append(Send(request.request_id, name, timeout, candidates, repeatable_until - now))
 
     def _attempt_timeout(self, request: ActiveRequest, remaining: float) -> float:
-        """Return the seconds for which an attempt is waited for.
+        """Return the time-out of an attempt in seconds.
 
-        A silent endpoint never answers: an attempt is given up while there is time for another one.
+        An endpoint that has stopped responding never answers, so an attempt times out while there is time for
+        another one.
         """
         mean = request.latency.mean
         if not mean or request.request_class.idempotency is NOT_IDEMPOTENT:
             return remaining
-        patience = mean + PATIENCE_DEVIATIONS * request.latency.deviation
+        timeout = mean + ATTEMPT_TIMEOUT_DEVIATIONS * request.latency.deviation
         is_last = len(request.attempts) + 1 >= self.attempt_limit
-        return remaining if is_last or patience + mean >= remaining else patience
+        return remaining if is_last or timeout + mean >= remaining else timeout
 
-    def _attempt_ended(self, now: float, event: AttemptEnded, out: list[Action]) -> None:
+    def _on_attempt_ended(self, now: float, event: AttemptEnded, out: list[Action]) -> None:
         request = self.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts) or not request.outstanding:
             return
@@ -206,8 +210,9 @@
         if request.is_committed or not self.may_retry(now, request, outcome):
             self._answer(request, out)
         elif outcome is CONNECT_FAILED or (outcome is REJECTED and not request.was_rejected):
-            # It never reached the server, or was rejected unprocessed for the first time: A6 resends these at
-            # once and counts neither, or a server that drains would empty the bucket.
+            # The connection failed, or the request was rejected unprocessed for the first time. gRFC A6
+            # retries both immediately without taking a token; otherwise a draining server would empty the
+            # bucket.
             request.was_rejected |= outcome is REJECTED
             self._send(now, request, out)
         elif self.retry_tokens.allows_retry:
@@ -216,38 +221,38 @@
             self._answer(request, out)
 
     def may_retry(self, now: float, request: ActiveRequest, outcome: Outcome) -> bool:
-        """Whether a request may have one more attempt after this outcome of its last one."""
+        """Whether a request may be retried after an attempt with this outcome."""
         is_allowed = len(request.attempts) < self.attempt_limit and outcome in RETRYABLE_OUTCOMES
         return is_allowed and now < request.repeatable_until()
 
     def _retry_after_backoff(self, now: float, request: ActiveRequest, out: list[Action]) -> None:
         delay = draw_backoff(self.random, request.retries, request.request_class.latency_target)
         request.retries += 1
-        resent_at = now + delay
-        is_in_vain = resent_at + request.latency.mean / 2 >= request.deadline
-        if is_in_vain or resent_at >= request.repeatable_until():
+        retry_at = now + delay
+        is_too_late = retry_at + request.latency.mean / 2 >= request.deadline
+        if is_too_late or retry_at >= request.repeatable_until():
             self._answer(request, out)
             return
         self.timers[self.next_timer] = request.request_id
         out.append(SetTimer(self.next_timer, delay))
         self.next_timer += 1
 
-    def _timer_due(self, now: float, token: int, out: list[Action]) -> None:
+    def _on_timer_due(self, now: float, token: int, out: list[Action]) -> None:
         if token == SUBSCRIPTION_TIMER:
-            self.is_subscribing = False
+            self.is_subscription_scheduled = False
             out.append(Subscribe())
             return
         request = self.requests.get(self.timers.pop(token, -1))
-        if request is not None:  # otherwise it was over before its backoff
+        if request is not None:  # otherwise it ended during its backoff
             self._send(now, request, out)
 
     def _answer(self, request: ActiveRequest, out: list[Action]) -> None:
-        """Give the one final answer. A rejection says that trying again is harmless."""
-        if request.is_harmless_to_repeat():
+        """Return the final answer of a request. A rejection tells the client that it may retry safely."""
+        if request.is_safe_to_retry():
             limits = self.settings.limits
-            longest = limits.max_retry_after if limits.sends_retry_after else 0.0
+            max_retry_after = limits.max_retry_after if limits.sends_retry_after else 0.0
             target = request.request_class.latency_target
-            out.append(Reject(request.request_id, draw_retry_after(self.random, target, longest)))
+            out.append(Reject(request.request_id, draw_retry_after(self.random, target, max_retry_after)))
         else:
             out.append(Fail(request.request_id))
         self._close(request)
@@ -260,7 +265,7 @@
     # Observations
 
     def _observe(self, now: float, request: ActiveRequest, endpoint: Endpoint, event: AttemptEnded) -> None:
-        """Take in what an attempt's end says of its endpoint, its class and the fleet."""
+        """Update the state of the endpoint, the class and the fleet by the end of an attempt."""
         outcome = event.outcome
         self.load.record_outcome(now, endpoint, outcome is not SERVED)
         if event.report is not None:
@@ -273,25 +278,25 @@
             self.throughput.record(now, request.latency.unloaded)
         elif outcome in TOKEN_OUTCOMES and (outcome is not REJECTED or request.was_rejected):
             self.retry_tokens.record_failure()
-        if outcome not in SILENT_OUTCOMES:
+        if outcome not in NO_RESPONSE_OUTCOMES:
             self.pool.record_progress(now, endpoint)
-        self.judge(now, endpoint, outcome)
+        self.update_ejection(now, endpoint, outcome)
 
     def _learn_latency(self, now: float, request: ActiveRequest, endpoint: Endpoint, latency: float) -> None:
         if request.latency.mean:
             self.load.record_latency(endpoint, latency, request.latency.unloaded)
         request_class = request.request_class
-        # Asked for each: the first observation may be the one that makes the class known.
+        # Evaluated for each estimate, as the first observation may make the latency of the class known.
         request.latency.learn(latency, self.is_latency_known(now, request_class))
         self.load.latency.learn(latency, self.is_latency_known(now, request_class))
 
-    def judge(self, now: float, endpoint: Endpoint, outcome: Outcome) -> None:
-        """Judge by an outcome whether an endpoint is to be ejected."""
+    def update_ejection(self, now: float, endpoint: Endpoint, outcome: Outcome) -> None:
+        """Update the ejection state of an endpoint by the outcome of an attempt."""
         self.ejector.record_outcome(now, endpoint, outcome)
 
     # Discovery
 
-    def _view(self, now: float, view: View, out: list[Action]) -> None:
+    def _on_view(self, now: float, view: View, out: list[Action]) -> None:
         if view.kind is not ViewKind.FAILED:
             self.failed_subscriptions = 0
             self.pool.apply(now, view)
@@ -299,14 +304,14 @@
             self._schedule_subscription(view.kind is ViewKind.FAILED, out)
 
     def _schedule_subscription(self, has_failed: bool, out: list[Action]) -> None:
-        """Set the timer for the next subscription, unless it is set.
+        """Set the timer for the next subscription, unless it is already set.
 
-        Balancers that subscribe together would fail together again; but within seconds, whatever one has not
-        been told of counts as known to it.
+        Jitter keeps balancers from subscribing, and failing again, simultaneously. It is limited to seconds,
+        since a balancer counts as notified of all changes after `Contract.subscribe_within`.
         """
-        if self.is_subscribing:
+        if self.is_subscription_scheduled:
             return
-        self.is_subscribing = True
+        self.is_subscription_scheduled = True
         spread = min(
             self.settings.contract.subscribe_within / 4,
             MAX_SUBSCRIPTION_SPREAD_SECONDS,
--- a/wheatring/balancer/endpoint.py
+++ b/wheatring/balancer/endpoint.py
@@ -1,4 +1,4 @@
-"""What a balancer keeps of one endpoint."""
+"""A balancer's state of one endpoint."""
 
 from __future__ import annotations
 
@@ -10,49 +10,50 @@
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """One endpoint as this balancer has seen it since the endpoint's last start.
+    """State of one endpoint since its last start, from this balancer's own attempts and its load reports.
 
-    Instants and durations are seconds of the clock that events come with.
+    Times are in seconds on the clock of the events.
 
     Attributes
     ----------
     entry : EndpointEntry
-        Its line of discovery's list.
-    next_turn : float
-        While it warms up: the turn of the slow start before which nothing is sent to it.
+        The endpoint's entry in discovery's list.
+    next_slot : float
+        While it warms up: the slot of the slow start before which nothing is sent to it.
     in_flight : int
-        This balancer's own attempts at it.
+        This balancer's own attempts in flight.
     outcomes, excess_latency, failures : float
-        Outcomes remembered, each with less weight the older it is, and of these: the sum of latencies in
-        multiples of the class's unloaded latency, less 1 each, and the number of failures.
+        Exponentially decaying sums over the endpoint's outcomes: their number, the excess of their latencies
+        over the class's unloaded latency as multiples of it, and the number of failures.
     updated_at : float
-        When these three were last updated.
+        When these three sums were last updated.
     evidence : float
-        Evidence of a fault since it last served; 1 has it ejected.
+        Sum of `EJECTION_SCORES` since it last served a request; it is ejected at 1.
     ejections : int
-        How often it has been ejected since it was last healthy; 0: it is healthy.
+        Ejections since it was last healthy, 4 at most; 0 while it is healthy.
     probation_limit : int
-        Attempts that it may have in flight while it is not healthy.
-    ejected_at_turn, ejected_until_turn, ejected_until : float
-        The last ejection: from which even-share turn to which, and until when at the latest.
+        Attempts that may be in flight while it is unhealthy.
+    ejected_at_round, ejected_until_round, ejected_until : float
+        First and last round (see `OutlierEjector`) of the last ejection, and the time when it ends at the
+        latest.
     progressed_at : float
-        When it last answered or, if it was idle then, got an attempt.
+        When it last responded or, if it was idle, was last sent an attempt.
     reported_in_flight, reported_at : float
-        Requests in flight by its own last report, and when that came; 0: there is none.
+        Requests in flight by the last load report, and when that was received; 0 if there is none.
     """
 
     entry: EndpointEntry
-    next_turn: float = inf
+    next_slot: float = inf
     in_flight: int = 0
     outcomes: float = 0.0
     excess_latency: float = 0.0
     failures: float = 0.0
     updated_at: float = 0.0
-    evidence: float = 0.0
+    ejection_score: float = 0.0
     ejections: int = 0
     probation_limit: int = 1
-    ejected_at_turn: float = -inf
-    ejected_until_turn: float = -inf
+    ejected_at_round: float = -inf
+    ejected_until_round: float = -inf
     ejected_until: float = -inf
     progressed_at: float = 0.0
     reported_in_flight: float = 0.0
--- a/wheatring/balancer/endpoint_list.py
+++ b/wheatring/balancer/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sends it."""
+"""The endpoint list as received from discovery."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 
 
 class EndpointState(Enum):
-    """Whether an endpoint takes requests."""
+    """Whether an endpoint accepts requests."""
 
     READY = "ready"
-    DRAINING = "draining"  # finishing its work: send it nothing new
+    DRAINING = "draining"  # finishes its requests; gets no new ones
     GONE = "gone"
 
 
 class ViewKind(Enum):
-    """What a view holds."""
+    """Content of a view."""
 
     DELTA = "delta"  # changed entries only
-    FULL = "full"  # the complete list: an endpoint that is missing is gone
-    CACHED = "cached"  # the complete list as this balancer last had it, possibly outdated
-    FAILED = "failed"  # a call to discovery failed or the subscription broke; the old list stands
+    FULL = "full"  # the complete list; endpoints that are not in it are gone
+    CACHED = "cached"  # the last complete list that this balancer had, possibly outdated
+    FAILED = "failed"  # a call to discovery or the subscription failed; the current list is kept
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One line of discovery's list.
+    """One entry of the endpoint list.
 
     Attributes
     ----------
     cell : int
-        Endpoints of one cell share what they know of keys.
+        Endpoints of one cell share their record of the keys of requests.
     rating : float
-        Relative size, where the deployment rates its endpoints.
+        Relative capacity, in deployments that rate their endpoints.
     started_at : float
-        When it last started, on the balancer's clock; 0 or less: long ago.
+        When it last started, on the balancer's clock; 0 or less if it has long been warm.
     is_reinstated : bool
-        Operators have put it back into service, and wait for calls to it.
+        An operator has put it back into service, and expects it to be sent requests soon.
     """
 
     endpoint: str
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class View:
-    """An event: discovery has sent the endpoint list, or changes of it."""
+    """Event: discovery has sent the endpoint list, or changes to it."""
 
     kind: ViewKind
     entries: tuple[EndpointEntry, ...] = ()
--- a/wheatring/balancer/endpoint_load.py
+++ b/wheatring/balancer/endpoint_load.py
@@ -1,4 +1,4 @@
-"""How loaded an endpoint looks: its outcomes, its latencies, its silence and its own reports."""
+"""Estimates the load of an endpoint from outcomes, latencies, missing responses and its own reports."""
 
 from __future__ import annotations
 
@@ -8,71 +8,75 @@
 from wheatring.balancer.latency_estimate import LatencyEstimate
 from wheatring.balancer.outcomes import LoadReport
 
-MEMORY_SECONDS = 5.0  # in which what is remembered of an endpoint's outcomes fades to a third
-PRIOR_OUTCOMES = 1.0  # outcomes that an endpoint has to show before what it shows counts for half
-MAX_OUTCOMES = 6.0  # and those remembered at most: under dense traffic the last ones tell enough
-FAILURE_WEIGHT = 4.0  # how much heavier an endpoint counts that fails all the time
-OVERBURDENED = 4.0  # burden of an endpoint that is not chosen while a better one may be drawn
-SILENT_ANSWERS = 4.0  # answers that an endpoint that counts as silent should have sent meanwhile
-AVERAGE_WEIGHT = 0.05  # of a new observation, in the averages over all endpoints
+DECAY_SECONDS = 5.0  # Time constant of the sums over an endpoint's outcomes.
+PRIOR_OUTCOMES = 1.0  # Weight of the prior (the average endpoint), in outcomes.
+MAX_OUTCOMES = 6.0  # Limit of the sum of outcomes, so that recent ones dominate under high traffic.
+FAILURE_WEIGHT = 4.0  # An endpoint that always fails counts as 1 + this many times as loaded.
+MAX_ACCEPTABLE_MULTIPLIER = 4.0  # More endpoints are drawn while all usable ones reach this multiplier.
+TOLERATED_MISSING_ANSWERS = 4.0  # Overdue responses that count as average slowness.
+AVERAGE_WEIGHT = 0.05  # Weight of a new observation in the averages over all endpoints.
 
 
 class EndpointLoad:
-    """Weighs endpoints against one another.
+    """Compares endpoints by their load.
 
     Attributes
     ----------
     latency : LatencyEstimate
-        That of all classes together.
-    usual_slowness : float
-        Mean latency of all endpoints in multiples of the class's unloaded latency.
+        Latency estimate over all classes.
+    mean_slowness : float
+        Mean latency over all endpoints, in multiples of the class's unloaded latency.
     mean_reported : float
-        Mean requests in flight that endpoints report.
+        Mean of the requests in flight that endpoints report.
     """
 
     def __init__(self) -> None:
         self.latency = LatencyEstimate()
-        self.usual_slowness = 1.0
+        self.mean_slowness = 1.0
         self.mean_reported = 0.0
 
     def decay(self, now: float, endpoint: Endpoint) -> float:
-        """Return the weight that what is remembered of an endpoint's outcomes still has."""
-        return exp((endpoint.updated_at - now) / MEMORY_SECONDS)
+        """Return the factor by which the sums over an endpoint's outcomes have decayed since their update."""
+        return exp((endpoint.updated_at - now) / DECAY_SECONDS)
 
     def record_outcome(self, now: float, endpoint: Endpoint, has_failed: bool) -> None:
-        """Take in that an attempt has ended."""
-        decay = exp((endpoint.updated_at - now) / MEMORY_SECONDS)
+        """Record that an attempt has ended."""
+        decay = exp((endpoint.updated_at - now) / DECAY_SECONDS)
         endpoint.updated_at = now
-        # An outcome weighs as one of those remembered: by a fixed weight, thin traffic would never tell.
+        # Beyond MAX_OUTCOMES older outcomes lose weight faster. A moving average with a fixed weight instead
+        # would hardly change at an endpoint with little traffic.
         decay *= min(1.0, MAX_OUTCOMES / (endpoint.outcomes * decay + 1))
         endpoint.outcomes = endpoint.outcomes * decay + 1
         endpoint.failures = endpoint.failures * decay + has_failed
         endpoint.excess_latency *= decay
 
     def record_report(self, now: float, endpoint: Endpoint, report: LoadReport) -> None:
-        """Take in what an endpoint reports of its load, if it reports requests."""
+        """Record a load report, if it contains requests in flight or queued."""
         in_flight = report.queue if report.in_flight is None else report.in_flight
         if in_flight is not None:
             endpoint.reported_in_flight, endpoint.reported_at = in_flight, now
             self.mean_reported += AVERAGE_WEIGHT * (in_flight - self.mean_reported)
 
     def record_latency(self, endpoint: Endpoint, latency: float, unloaded_latency: float) -> None:
-        """Take in a latency, and the unloaded one of its class, both in seconds."""
-        excess = min(latency / unloaded_latency, OVERBURDENED) - 1
+        """Record the latency of an attempt. Both arguments are in seconds."""
+        excess = min(latency / unloaded_latency, MAX_ACCEPTABLE_MULTIPLIER) - 1
         endpoint.excess_latency += excess
-        self.usual_slowness += AVERAGE_WEIGHT * (1 + excess - self.usual_slowness)
+        self.mean_slowness += AVERAGE_WEIGHT * (1 + excess - self.mean_slowness)
 
-    def burden(self, now: float, endpoint: Endpoint) -> float:
-        """Return what an endpoint's attempts in flight are multiplied by: it is slow, fails or is silent."""
-        decay = exp((endpoint.updated_at - now) / MEMORY_SECONDS)
-        usual = self.usual_slowness
-        known = endpoint.outcomes * decay + PRIOR_OUTCOMES  # with few outcomes, what is usual is expected
-        slowness = 1 + (endpoint.excess_latency * decay + PRIOR_OUTCOMES * (usual - 1)) / known
-        # Answers that it should have sent since its last one.
+    def multiplier(self, now: float, endpoint: Endpoint) -> float:
+        """Return the factor by which an endpoint's attempts in flight are multiplied in a comparison.
+
+        It grows if the endpoint is slow, fails, doesn't respond, or reports more load than others.
+        """
+        decay = exp((endpoint.updated_at - now) / DECAY_SECONDS)
+        mean_slowness = self.mean_slowness
+        outcomes = endpoint.outcomes * decay + PRIOR_OUTCOMES
+        slowness = 1 + (endpoint.excess_latency * decay + PRIOR_OUTCOMES * (mean_slowness - 1)) / outcomes
+        # Expected number of responses since the last one.
         missing = (now - endpoint.progressed_at) * endpoint.in_flight / (self.latency.mean or inf)
-        slowness = max(slowness / usual, missing / SILENT_ANSWERS)
+        slowness = max(slowness / mean_slowness, missing / TOLERATED_MISSING_ANSWERS)
         mean = reported = self.mean_reported
-        if endpoint.reported_at:  # an old report says no more than the mean
+        if endpoint.reported_at:  # The weight of a report decays, so that an old one counts as the mean.
             reported += (endpoint.reported_in_flight - mean) * exp(endpoint.reported_at - now)
-        crowd = (1 + reported) / (1 + mean) / (endpoint.entry.rating or 1.0)
-        return slowness * crowd * (1 + FAILURE_WEIGHT * endpoint.failures * decay / known)
+        relative_load = (1 + reported) / (1 + mean) / (endpoint.entry.rating or 1.0)
+        return slowness * relative_load * (1 + FAILURE_WEIGHT * endpoint.failures * decay / outcomes)
--- a/wheatring/balancer/events.py
+++ b/wheatring/balancer/events.py
@@ -1,6 +1,6 @@
-"""Events: what a balancer is notified of. Plain, not frozen: one or more is made for each request.
+"""Events that a balancer handles. The classes are not frozen, as that would slow down their construction.
 
-Durations are seconds (float). Ids of requests and endpoints are opaque.
+Durations are in seconds (float). Ids of requests and endpoints are opaque.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class NewRequest:
-    """A request has come.
+    """A request has been received.
 
     Attributes
     ----------
     time_remaining : float
-        Seconds until the client gives this try up.
+        Seconds until the client times out.
     work_hint : float or None
-        Expected work in seconds on a standard core, rough.
+        Rough estimate of the work, in seconds on a standard core.
     is_client_retry : bool
-        The client has marked it as a repeat.
+        The client has marked the request as a retry.
     """
 
     request: int
@@ -37,9 +37,9 @@
 
 @dataclass(slots=True)
 class Committed:
-    """A request can't be sent again, for one of A6's two reasons.
+    """A request can't be retried any more, for one of the two reasons in gRFC A6.
 
-    Its answer has begun to pass on, or a part of its body is no longer kept.
+    The response has started to be forwarded, or part of the request body is no longer buffered.
     """
 
     request: int
@@ -52,11 +52,11 @@
     Attributes
     ----------
     attempt : int
-        Its number in its request, from 0, in the order of the sends.
+        Index of the attempt within the request, from 0, in the order of the sends.
     latency : float
         Seconds since the send.
     is_request_over : bool
-        The balancer owes no answer to the request any more.
+        The request needs no further answer from the balancer.
     """
 
     request: int
@@ -70,21 +70,21 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """A client waits no longer."""
+    """The client has disconnected or cancelled the request."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer that was set has come due."""
+    """A timer has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class HealthCheckEnded:
-    """A health check has ended; its latency is in seconds."""
+    """A health check has ended."""
 
     endpoint: str
     outcome: Outcome
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Another balancer has sent this one a message."""
+    """A message from another balancer has been received."""
 
     sender: int
     data: bytes
--- a/wheatring/balancer/exceptions.py
+++ b/wheatring/balancer/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the decision module's adapters."""
+"""Exceptions of the adapters."""
 
 from __future__ import annotations
 
 
 class WireFormatError(ValueError):
-    """A line of the simulator that can't be read, or settings that lack something that is needed."""
+    """A malformed line from the simulator, or settings that are malformed or incomplete."""
--- a/wheatring/balancer/interface.py
+++ b/wheatring/balancer/interface.py
@@ -1,8 +1,8 @@
-"""The decision module's messages in one place: settings, events, actions and outcomes.
+"""Public types of the package in one place: settings, events, actions and outcomes.
 
-Whoever hosts a balancer feeds it events and carries out the actions that come back. All times and durations
-are seconds (float), on one clock that only moves forward and starts anywhere. Ids of requests, endpoints and
-cells are opaque. Nothing here decides anything.
+The host of a balancer passes events to it and carries out the actions that it returns. All times and
+durations are in seconds (float), on one monotonic clock with an arbitrary origin. Ids of requests, endpoints
+and cells are opaque.
 """
 
 from wheatring.balancer.actions import (
--- a/wheatring/balancer/latency_estimate.py
+++ b/wheatring/balancer/latency_estimate.py
@@ -1,28 +1,28 @@
-"""Latency estimates: what is typical of a class of requests, also when endpoints are unloaded."""
+"""Latency estimates of a class of requests: the current latency, and the latency of unloaded endpoints."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-LEARNING_RATE = 0.2  # weight of a new observation, of which each average takes its own part
+LEARNING_RATE = 0.2  # Base weight of a new observation; each average uses its own fraction of it.
 
 
 @dataclass(slots=True)
 class LatencyEstimate:
-    """Typical latency of one class at this balancer, in seconds.
+    """Latency estimate of one class at this balancer, in seconds.
 
-    Mean and mean deviation are kept as TCP keeps its round-trip times (RFC 6298).
+    Mean and mean deviation are exponentially weighted averages as in TCP's RTT estimator (RFC 6298).
 
     Attributes
     ----------
     mean, deviation : float
-        Fast averages of the latency and of its distance from the mean. 0 while nothing has been observed.
+        Fast averages of the latency and of its distance from the mean. 0 before the first observation.
     smoothed : float
-        Mean over more answers, with less noise.
+        Average over more observations, with less noise.
     unloaded : float
-        `smoothed` when endpoints are unloaded. Follows it down, and up only within minutes.
+        Latency of unloaded endpoints. It follows `smoothed` down quickly, and up only over minutes.
     count : int
-        Observations so far.
+        Number of observations.
     """
 
     mean: float = 0.0
@@ -32,9 +32,9 @@
     count: int = 0
 
     def learn(self, latency: float, is_known: bool) -> None:
-        """Take in one latency in seconds.
+        """Record one latency in seconds.
 
-        `is_known` says whether enough has been observed for `unloaded` to be kept apart from `smoothed`.
+        `is_known` tells whether there are enough observations for `unloaded` to differ from `smoothed`.
         """
         self.count += 1
         if not self.mean:
--- a/wheatring/balancer/outcomes.py
+++ b/wheatring/balancer/outcomes.py
@@ -1,4 +1,4 @@
-"""How attempts end, and what endpoints report of their load."""
+"""Outcomes of attempts, and load reports of endpoints."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class Outcome(Enum):
-    """How one attempt ended."""
+    """Outcome of one attempt."""
 
     SERVED = "served"
-    ERROR = "error"  # the endpoint answered with an error; it might have run
-    REJECTED = "rejected"  # rejected unprocessed (queue full, or draining): it never ran
-    TIMED_OUT = "timed_out"  # no answer in time; it might have run, or be running still
-    CONNECT_FAILED = "connect_failed"  # no connection could be made in time: it never ran
-    RESET = "reset"  # the connection broke during the attempt; it might have run
-    CANCELLED = "cancelled"  # cancelled by this balancer; it might have run
-    NOT_SENT = "not_sent"  # the request was over, or out of time or attempts: it never ran
+    ERROR = "error"  # the endpoint answered with an error; may have been executed
+    REJECTED = "rejected"  # rejected unprocessed (queue full, or draining); not executed
+    TIMED_OUT = "timed_out"  # no answer in time; may have been executed, or still be executing
+    CONNECT_FAILED = "connect_failed"  # no connection was established in time; not executed
+    RESET = "reset"  # the connection was lost during the attempt; may have been executed
+    CANCELLED = "cancelled"  # cancelled by this balancer; may have been executed
+    NOT_SENT = "not_sent"  # the request was over, or out of time or attempts; not executed
 
     @property
     def has_not_run(self) -> bool:
-        """Whether the outcome proves that the request had no effect."""
+        """Whether the outcome proves that the attempt was not executed."""
         return self in _NOT_RUN
 
 
@@ -29,18 +29,18 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """What an endpoint says of its load; a value that it does not report is None.
+    """Load report of an endpoint; values that it does not report are None.
 
     Attributes
     ----------
     in_flight, queue : float or None
-        Requests that it works on or has queued, and those that are queued.
+        Requests that it processes or has queued, and requests that it has queued.
     utilization : float or None
-        Part of its CPU in use.
+        Fraction of its CPU in use.
     latency : float or None
-        Recent service time without waiting, in seconds.
+        Recent service time without queueing, in seconds.
     rate, error_rate : float or None
-        Requests served, and errors, a second.
+        Requests served, and errors, per second.
     """
 
     in_flight: float | None = None
--- a/wheatring/balancer/outlier_ejection.py
+++ b/wheatring/balancer/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: which endpoints are left out for a while, and how they come back."""
+"""Outlier ejection: temporary exclusion of unhealthy endpoints, and their gradual return."""
 
 from __future__ import annotations
 
@@ -10,90 +10,92 @@
 from wheatring.balancer.outcomes import Outcome
 from wheatring.balancer.throughput import Throughput
 
-SERVED = Outcome.SERVED  # looked up once, not for each attempt: an enum takes its time
+SERVED = Outcome.SERVED  # bound once: enum attribute access is slow
 
-# Parts of the evidence that has an endpoint ejected, if nothing is served in between. A refused connect
-# leaves nothing in flight, and proves by itself that sending there is vain; the others also come from load.
-EVIDENCE = {
+# An endpoint is ejected once the scores of its outcomes since the last served request add up to 1. One failed
+# connection is enough: it leaves nothing in flight to wait for, and further attempts would fail as well. The
+# other outcomes can also be caused by load.
+EJECTION_SCORES = {
     Outcome.ERROR: 1 / 5,
     Outcome.REJECTED: 1 / 5,
     Outcome.TIMED_OUT: 1 / 5,
     Outcome.RESET: 1 / 3,
     Outcome.CONNECT_FAILED: 1.0,
 }
-MAX_EJECTION_DOUBLINGS = 4  # of the turns for which an endpoint is ejected
-MAX_EJECTION_SECONDS = 5.0  # after which a balancer with little traffic tries it again before its turn
-OVERLOAD_REST_SECONDS = 6.5  # in which an overloaded one ends its work and stands idle for a while
-HEALTHY_ANSWERS = 8  # after which it counts as healthy again
-OVERLOADED_LATENCY_RATIO = 2.8  # times the unloaded latency, from which only rest makes it fast again
+MAX_EJECTION_DOUBLINGS = 4  # The length of an ejection doubles with each one, up to 2**4 rounds.
+MAX_EJECTION_SECONDS = 5.0  # Limit at balancers with little traffic, where a round takes long.
+OVERLOAD_EJECTION_SECONDS = 6.5  # Lets an overloaded endpoint finish its requests and be idle for some time.
+ANSWERS_UNTIL_HEALTHY = 8
+# From this multiple of the unloaded latency on, an endpoint recovers only without traffic.
+OVERLOADED_LATENCY_RATIO = 2.8
 
 
 class OutlierEjector:
-    """Ejects endpoints by the evidence of their outcomes.
+    """Ejects endpoints by their outcomes.
 
-    An ejected endpoint comes back by one attempt at a time, then by one more with each answer.
+    After an ejection, an endpoint is limited to one attempt in flight; each answer raises the limit by one.
 
     Attributes
     ----------
-    turns : float
-        Even shares of this balancer's attempts that have passed: one for each attempt to each warm endpoint.
+    rounds : float
+        Rounds so far. In one round this balancer sends as many attempts as it has warm local endpoints.
     """
 
     def __init__(self, pool: EndpointPool, throughput: Throughput) -> None:
         self.pool = pool
         self.throughput = throughput
-        self.turns = 0.0
+        self.rounds = 0.0
 
     def record_outcome(self, now: float, endpoint: Endpoint, outcome: Outcome) -> None:
-        """Take in the outcome of an attempt; eject the endpoint if there is evidence enough."""
+        """Record the outcome of an attempt, and eject the endpoint if its score is high enough."""
         excess = (OVERLOADED_LATENCY_RATIO - 1) * (endpoint.outcomes + PRIOR_OUTCOMES)
         is_overloaded = endpoint.excess_latency >= excess
         if outcome is SERVED and not is_overloaded:
-            endpoint.evidence = 0.0
+            endpoint.ejection_score = 0.0
             endpoint.probation_limit += endpoint.ejections > 0
-            if endpoint.probation_limit > HEALTHY_ANSWERS:
+            if endpoint.probation_limit > ANSWERS_UNTIL_HEALTHY:
                 endpoint.ejections = 0
             return
-        weight = 1.0 if is_overloaded else EVIDENCE.get(outcome, 0.0)
-        if not weight or self.is_ejected(now, endpoint):
-            return  # what was sent before the ejection says nothing new
-        endpoint.evidence += weight
+        score = 1.0 if is_overloaded else EJECTION_SCORES.get(outcome, 0.0)
+        if not score or self.is_ejected(now, endpoint):
+            return  # attempts that were sent before the ejection don't count
+        endpoint.ejection_score += score
         endpoint.probation_limit //= 2
-        if endpoint.evidence >= 1 or (endpoint.ejections and not endpoint.probation_limit):
+        if endpoint.ejection_score >= 1 or (endpoint.ejections and not endpoint.probation_limit):
             self._eject(now, endpoint, is_overloaded)
         endpoint.probation_limit = max(endpoint.probation_limit, 1)
 
     def _eject(self, now: float, endpoint: Endpoint, is_overloaded: bool) -> None:
         endpoint.ejections = min(endpoint.ejections + 1, MAX_EJECTION_DOUBLINGS)
         endpoint.probation_limit = 1
-        endpoint.ejected_at_turn = self.turns
+        endpoint.ejected_at_round = self.rounds
         if is_overloaded:
-            endpoint.ejected_until_turn = inf
-            endpoint.ejected_until = now + OVERLOAD_REST_SECONDS
+            endpoint.ejected_until_round = inf
+            endpoint.ejected_until = now + OVERLOAD_EJECTION_SECONDS
         else:
-            endpoint.ejected_until_turn = self.turns + 2.0**endpoint.ejections
+            endpoint.ejected_until_round = self.rounds + 2.0**endpoint.ejections
             endpoint.ejected_until = now + MAX_EJECTION_SECONDS
-        # It comes back with no history.
-        endpoint.outcomes = endpoint.excess_latency = endpoint.failures = endpoint.evidence = 0.0
+        # The endpoint returns without history.
+        endpoint.outcomes = endpoint.excess_latency = endpoint.failures = endpoint.ejection_score = 0.0
 
     def is_ejected(self, now: float, endpoint: Endpoint) -> bool:
-        """Whether nothing is sent to an unhealthy endpoint for now.
+        """Whether an unhealthy endpoint is ejected at present.
 
-        Where more than half are unhealthy and some do serve, the ejection holds for one turn at most: rather
-        than the fleet, it is this balancer's own network path that is bad.
+        If more than half of the endpoints are unhealthy while some still serve, this balancer's own network
+        path is the more likely cause, and an ejection lasts one round at most.
         """
-        until_turn = endpoint.ejected_until_turn
+        until_round = endpoint.ejected_until_round
         if now - self.throughput.served_at < 1 and self.is_majority_unhealthy():
-            until_turn = min(until_turn, endpoint.ejected_at_turn + 1)
-        return self.turns < until_turn and now < endpoint.ejected_until
+            until_round = min(until_round, endpoint.ejected_at_round + 1)
+        return self.rounds < until_round and now < endpoint.ejected_until
 
     def is_majority_unhealthy(self) -> bool:
         """Whether more than half of the ready endpoints are unhealthy."""
         ready = self.pool.ready
-        return 2 * len([each for each in ready if each.ejections]) > len(ready)
+        return 2 * len([endpoint for endpoint in ready if endpoint.ejections]) > len(ready)
 
     def is_available(self, now: float, endpoint: Endpoint) -> bool:
-        """Whether an attempt may go to an endpoint now, as far as its health goes."""
+        """Whether the health of an endpoint allows an attempt now."""
         if not endpoint.ejections:
             return True
         is_full = endpoint.in_flight >= endpoint.probation_limit and not self.is_majority_unhealthy()
--- a/wheatring/balancer/settings.py
+++ b/wheatring/balancer/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a balancer: request classes, limits and the deployment's rules.
+"""Settings of a balancer: request classes, limits and the deployment's contract.
 
-All times and durations are seconds (float). Values are checked when a setting is made; a ValueError names the
-field at fault (`wheatring.daemon.config` translates it).
+All times and durations are in seconds (float). Values are validated on construction; a ValueError names the
+invalid field (`wheatring.daemon.config` translates field names to settings keys).
 """
 
 from __future__ import annotations
@@ -11,49 +11,49 @@
 from enum import Enum
 from math import inf, isfinite
 
-SHOWN_CHARACTERS = 40  # of a name in an error: the key has to stand in a line of a log
+MAX_SHOWN_NAME_CHARACTERS = 40  # Leaves room for the key after the name in a log line.
 
 
 class Idempotency(Enum):
-    """What running a request twice would do."""
+    """Effect of executing a request twice."""
 
-    IDEMPOTENT = "safe"  # nothing: it may be repeated anywhere
-    KEYED = "keyed"  # nothing, inside the scope of endpoints and the window that drop repeats
-    NOT_IDEMPOTENT = "unsafe"  # harm: it may be repeated only if it is known not to have run
+    IDEMPOTENT = "safe"  # none: it may be repeated at any endpoint
+    KEYED = "keyed"  # none, at endpoints in the repeat scope and within the repeat window
+    NOT_IDEMPOTENT = "unsafe"  # harmful: it may be repeated only if it was certainly not executed
 
 
 class RepeatScope(Enum):
-    """Which endpoints drop repeats of one keyed request."""
+    """Endpoints that drop repeats of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-def _require(is_right: bool, name: str, rule: str) -> None:
-    if not is_right:
+def _require(is_valid: bool, name: str, rule: str) -> None:
+    if not is_valid:
         raise ValueError(f"{name}: {rule}")
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests, as the operator describes it.
+    """One class of requests, as configured by the operator.
 
     Attributes
     ----------
     latency_target : float
-        Seconds within which an answer earns the full value.
+        Seconds within which an answer has its full value.
     deadline : float
-        Seconds that a client waits, over all its tries.
+        Seconds that a client waits, including its retries.
     late_value : float
-        Part of the value that is earned by an answer after the target.
+        Fraction of the value that an answer has after the target.
     latency_target_stretch : float
-        The target grows by this multiple of the request's own work.
+        The target is extended by this multiple of the request's own work.
     repeat_scope, repeat_window : RepeatScope and float
-        Of keyed requests: which endpoints drop a repeat, and for how many seconds from the first send that
-        may have run.
+        For keyed requests: the endpoints that drop repeats, and for how many seconds since the send of the
+        first attempt that may have been executed.
     is_streaming : bool
-        The answer comes as a stream.
+        The response is streamed.
     """
 
     name: str
@@ -68,51 +68,53 @@
     is_streaming: bool = False
 
     def __post_init__(self) -> None:
-        """Check the values; a ValueError names the field at fault."""
-        name = f"class {self.name[:SHOWN_CHARACTERS]}"
+        """Validate the values. Raises ValueError, which names the invalid field."""
+        name = f"class {self.name[:MAX_SHOWN_NAME_CHARACTERS]}"
         _require(self.latency_target > 0, f"{name}: latency_target", "must be above 0")
-        _require(self.deadline >= self.latency_target, f"{name}: deadline", "must not be below the aim")
+        _require(
+            self.deadline >= self.latency_target, f"{name}: deadline", "must not be below the latency target"
+        )
         _require(self.value >= 0, f"{name}: value", "must not be negative")
         _require(self.repeat_window >= 0, f"{name}: repeat_window", "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant: its share, and the requests a second within it, over all balancers together."""
+    """One tenant: its share, and its quota in requests per second over all balancers."""
 
     name: str
     quota_per_second: float = inf
     share: float = 1.0
 
     def __post_init__(self) -> None:
-        """Check the values; a ValueError names the field at fault."""
-        name = f"tenant {self.name[:SHOWN_CHARACTERS]}: quota_per_second"
+        """Validate the values. Raises ValueError, which names the invalid field."""
+        name = f"tenant {self.name[:MAX_SHOWN_NAME_CHARACTERS]}: quota_per_second"
         _require(self.quota_per_second >= 0, name, "must not be negative")
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment allows a balancer to do.
+    """Limits of the deployment on what a balancer may do.
 
     Attributes
     ----------
     max_attempts : int
-        Attempts for one request, the first included.
+        Attempts per request, including the first one.
     connect_timeout : float
-        Seconds after which a connection that is not made counts as failed.
+        Seconds after which an attempt to connect fails.
     idle_timeout : float
         Seconds after which idle connections close.
     streams_per_connection : int
-        Attempts that share one connection.
+        Concurrent attempts on one connection.
     max_retry_after, sends_retry_after : float and bool
-        The longest advice to stay away that clients follow, in seconds, and whether they are given any.
+        Longest retry delay that clients follow, in seconds, and whether rejections specify a delay.
     may_cancel, may_hedge, may_check_health, may_message_peers : bool
-        Whether attempts may be cancelled, requests be sent twice at once, endpoints be checked, and other
-        balancers be sent messages.
+        Whether a balancer may cancel attempts, hedge requests, send health checks, and send messages to other
+        balancers.
     max_open_requests : float
-        Requests that may be open here; more are rejected before they get here.
+        Requests that may be open at this balancer; excess ones are rejected before they reach it.
     cpu_per_second, cpu_per_request : float
-        CPU seconds for decisions, and for one request with its outcomes; 0: no such limit.
+        CPU seconds per second for all decisions, and per request including its outcomes; 0 means no limit.
     """
 
     max_attempts: int = 5
@@ -130,28 +132,28 @@
     cpu_per_request: float = 0.0
 
     def __post_init__(self) -> None:
-        """Check the values; a ValueError names the field at fault."""
+        """Validate the values. Raises ValueError, which names the invalid field."""
         _require(self.max_attempts >= 1, "limits.max_attempts", "must be 1 or more")
         _require(self.streams_per_connection >= 1, "limits.streams_per_connection", "must be 1 or more")
 
 
 @dataclass(frozen=True, slots=True)
 class Contract:
-    """The figures of the deployment's four rules.
+    """Parameters of the deployment's four rules for balancers.
 
     Attributes
     ----------
     answer_grace : float
-        Seconds after the client's deadline in which a final answer still counts.
+        Seconds after the client's deadline within which a final answer still counts.
     drain_grace : float
-        Seconds for which sends to a draining endpoint may go on.
+        Seconds for which attempts may still be sent to a draining endpoint.
     subscribe_within : float
-        Seconds without a subscription after which a balancer counts as notified of whatever has changed.
+        Seconds without a subscription after which a balancer counts as notified of all changes.
     initial_capacity, warm_up : float
-        Least part of its capacity that an endpoint starts with, and seconds until it has all of it.
+        Minimum fraction of its capacity that an endpoint starts with, and seconds until it has all of it.
     overload_multiple, overload_time : float
-        An endpoint that warms up fails once it is sent more than this multiple of its present capacity for so
-        many seconds.
+        An endpoint that warms up fails once it is sent more than this multiple of its current capacity for
+        this many seconds.
     """
 
     answer_grace: float = 0.0
@@ -163,7 +165,7 @@
     overload_time: float = inf
 
     def __post_init__(self) -> None:
-        """Check the values; a ValueError names the field at fault."""
+        """Validate the values. Raises ValueError, which names the invalid field."""
         _require(0 < self.initial_capacity <= 1, "contract.cold_from", "must be above 0 and at most 1")
         _require(self.warm_up >= 0, "contract.cold", "must not be negative")
         _require(self.overload_multiple > 0, "contract.fall_multiple", "must be above 0")
@@ -171,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """How the operator weighs the parts of the result: all of it, and its worst window, class and tenant."""
+    """Weights of the parts of the overall result: all requests, and the worst window, class and tenant."""
 
     overall: float = 1.0
     worst_window: float = 0.0
@@ -181,32 +183,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a balancer is given at its start.
+    """Settings of one balancer.
 
     Attributes
     ----------
     balancer_count, balancer_index : int
-        How many balancers send into this tier, and which of them this one is, from 0.
+        Number of balancers that send to this tier, and the index of this one, from 0.
     tier, tiers : int and tuple of str
-        The tier that this balancer sends into, from 0 at the front, and the names of all.
+        Index of the tier that this balancer sends to, from 0 at the front, and the names of all tiers.
     over_quota_value : float
-        Value of a request past its tenant's quota, as a part of its class's.
+        Value of a request above its tenant's quota, as a fraction of its class's value.
     value_per_work : bool
-        The value is counted for each unit of work instead of each request.
+        The value of a class is per unit of work instead of per request.
     must_subscribe : bool
-        Changes of the endpoint list come only to balancers that have subscribed.
+        Only balancers that have subscribed are notified of changes to the endpoint list.
     propagates_deadline : bool
-        A call carries its caller's remaining time, not its class's whole deadline.
+        A request carries the remaining time of the request that caused it, not its class's whole deadline.
     key_affinity : bool
-        An endpoint that lately served a key serves it again with less work.
+        An endpoint that recently served a key serves it again with less work.
     has_ratings : bool
-        Endpoints' ratings say something about their size.
+        Endpoints are rated by their capacity.
     report_fields, report_source : tuple of str and str
-        What endpoints report of their load, and by what: `answers`, `probe` or `none`.
+        Fields of the endpoints' load reports, and where these are sent: `answers`, `probe` or `none`.
     tick : float
-        Least seconds between two batches of events.
+        Minimum seconds between two batches of events.
     clients_mark_retries : bool
-        Clients mark their repeats.
+        Clients mark their retries.
     """
 
     classes: tuple[RequestClass, ...]
@@ -233,11 +235,11 @@
     prices: Mapping[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Check the values; a ValueError names the field at fault."""
-        _require(len(self.classes) > 0, "classes", "at least one is needed")
+        """Validate the values. Raises ValueError, which names the invalid field."""
+        _require(len(self.classes) > 0, "classes", "must not be empty")
         names = {each.name for each in self.classes}
-        _require(len(names) == len(self.classes), "classes: name", "must not stand there twice")
+        _require(len(names) == len(self.classes), "classes: name", "must be unique")
         _require(self.balancer_count >= 1, "balancer_count", "must be 1 or more")
         _require(self.balancer_index >= 0, "balancer_index", "must not be negative")
         _require(self.tier >= 0, "tier", "must not be negative")
-        _require(isfinite(self.tick) and self.tick >= 0, "tick", "must be a time")
+        _require(isfinite(self.tick) and self.tick >= 0, "tick", "must be finite and not negative")
--- a/wheatring/balancer/simulator.py
+++ b/wheatring/balancer/simulator.py
@@ -1,9 +1,9 @@
-"""The adapter between the simulator and the decision module. It translates and hosts; it decides nothing.
+"""Adapter between the simulator and the balancer: hosts balancers and translates their messages.
 
     python -m wheatring.balancer.simulator
 
-reads batches of events on standard input and writes one reply to each on standard output. A batch that
-can't be read ends the process with one line on standard error and status 2.
+reads batches of events from standard input and writes a reply to each to standard output. On malformed input
+the process exits with status 2, after one line on standard error.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Reply:
-    """The lines of a reply to one batch. Whose actions follow is said only where that changes."""
+    """Lines of the reply to one batch. ON_BEHALF is written only when the instance changes."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -38,25 +38,25 @@
         self.lines += map(format_action, actions)
 
     def add_crash(self, instance: str, error: Exception) -> None:
-        """Add that an instance broke on an event."""
+        """Add the exception that an instance raised on an event."""
         text = " ".join(str(error).split())
         self.lines += [f"ON_BEHALF {instance}", f"CRASH {type(error).__name__}: {text}"]
         self._instance = instance
 
 
 class SimulatorHost:
-    """Hosts the instances of one process and answers batches for them. They share nothing but this loop.
+    """Hosts the balancer instances of one process, which share no state, and replies to batches of events.
 
     Attributes
     ----------
     line_number : int
-        Of the last line that was read, from 1.
+        Number of the last line read, from 1.
     batch : str
-        The batch that it is in, for errors.
+        Description of the current batch, for error messages.
     balancers : dict of str to Balancer
-        The instances that have begun, by their name.
+        The running instances by name.
     endpoint_lists : dict of int to tuple of EndpointEntry
-        The lists that views refer to, by their number.
+        The endpoint lists that views refer to, by number.
     """
 
     def __init__(self, lines: Iterable[str], out: TextIO) -> None:
@@ -66,11 +66,11 @@
         self.out = out
         self.balancers: dict[str, Balancer] = {}
         self.endpoint_lists: dict[int, tuple[EndpointEntry, ...]] = {}
-        self._instance = ""  # whom the events of the present batch are for
+        self._instance = ""  # instance that the current events are for
         self._now = 0.0
 
     def run(self) -> None:
-        """Answer batches until the input ends. Raises WireFormatError on a line that can't be read."""
+        """Reply to batches until the input ends. Raises WireFormatError on a malformed line."""
         for line_number, text in self.lines:
             self.line_number = line_number
             fields = text.rstrip("\r\n").split(" ")
@@ -87,7 +87,7 @@
         for line_number, text in self.lines:
             self.line_number = line_number
             return text.rstrip("\r\n").split(" ")
-        raise WireFormatError("the input ends inside a batch")
+        raise WireFormatError("unexpected end of input inside a batch")
 
     def _reply_to_batch(self) -> list[str]:
         reply = Reply()
@@ -118,14 +118,14 @@
         return tuple(parse_endpoint(self._next_fields()) for _ in range(size))
 
     def _handle(self, fields: Sequence[str], reply: Reply) -> None:
-        """Pass an event on to the present instance, and add its actions to the reply."""
+        """Pass an event to the current instance, and add its actions to the reply."""
         event = self._parse_event(fields)
         instance = self._instance
         if instance not in self.balancers:
-            raise WireFormatError(f"{fields[0]} for {instance}, which has not begun")
+            raise WireFormatError(f"{fields[0]} for {instance}, which is not running")
         try:
             actions = self.balancers[instance].handle(self._now, event)
-        except Exception as error:  # whatever it is, the simulator wants it reported
+        except Exception as error:  # the simulator expects a report of any exception
             reply.add_crash(instance, error)
         else:
             reply.add_actions(instance, actions)
@@ -147,7 +147,7 @@
 
 
 def main() -> int:
-    """Serve standard input; return the process's status."""
+    """Reply to the batches on standard input; return the exit status."""
     for stream in (sys.stdin, sys.stdout):
         stream.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     host = SimulatorHost(sys.stdin, sys.stdout)
--- a/wheatring/balancer/simulator_messages.py
+++ b/wheatring/balancer/simulator_messages.py
@@ -1,6 +1,6 @@
-"""The simulator's lines: one event or one action each, in fields with spaces between. `-` is nothing.
+"""Parses and formats the simulator's lines: one event or action each, in fields separated by spaces.
 
-Times on the wire are whole microseconds.
+`-` stands for a missing value. Times are in whole microseconds.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
     "SAVED": ViewKind.CACHED,
     "FAILED": ViewKind.FAILED,
 }
-HAS_WORK_HINT, IS_CLIENT_RETRY, IS_WRITE = 1, 2, 4  # flags of a new request
+HAS_WORK_HINT, IS_CLIENT_RETRY, IS_WRITE = 1, 2, 4  # bit flags of a new request
 
 
 def _seconds(text: str) -> float:
@@ -69,14 +69,14 @@
 
 
 def parse_load_report(text: str) -> LoadReport | None:
-    """Return an endpoint's load report, from `name:value` pairs with commas between."""
+    """Parse an endpoint's load report from `name:value` pairs separated by commas."""
     if text == "-":
         return None
     report = LoadReport()
     for pair in text.split(","):
-        name, colon, value = pair.partition(":")
-        if not colon:
-            raise WireFormatError(f"a load report without ':': {pair!r}")
+        name, separator, value = pair.partition(":")
+        if not separator:
+            raise WireFormatError(f"load report field without ':': {pair!r}")
         amount = float(value)
         if name == "lat_ms":
             report.latency = amount / 1000
@@ -86,7 +86,7 @@
 
 
 def parse_endpoint(fields: Sequence[str]) -> EndpointEntry:
-    """Return one line of an endpoint list."""
+    """Parse one line of an endpoint list."""
     keyword, endpoint, zone, machine_type, cell, state, rating, started = fields
     if keyword != "ITEM":
         raise WireFormatError(f"ITEM expected, not {keyword}")
@@ -101,7 +101,7 @@
     )
 
 
-def _new_request(fields: Sequence[str]) -> Event:
+def _parse_new_request(fields: Sequence[str]) -> Event:
     _, request, class_name, tenant, key, remaining, hint, flags_text = fields
     flags = 0 if flags_text == "-" else int(flags_text)
     return NewRequest(
@@ -116,7 +116,7 @@
     )
 
 
-def _attempt_ended(fields: Sequence[str]) -> Event:
+def _parse_attempt_ended(fields: Sequence[str]) -> Event:
     _, request, latency, attempt, is_over, outcome, endpoint, report = fields
     return AttemptEnded(
         request=int(request),
@@ -129,48 +129,48 @@
     )
 
 
-def _committed(fields: Sequence[str]) -> Event:
+def _parse_committed(fields: Sequence[str]) -> Event:
     _, request, _, _, _ = fields
     return Committed(int(request))
 
 
-def _health_check_ended(fields: Sequence[str]) -> Event:
+def _parse_health_check_ended(fields: Sequence[str]) -> Event:
     _, endpoint, outcome, latency, report = fields
     return HealthCheckEnded(endpoint, OUTCOMES[outcome], _seconds(latency), parse_load_report(report))
 
 
-def _request_abandoned(fields: Sequence[str]) -> Event:
+def _parse_request_abandoned(fields: Sequence[str]) -> Event:
     _, request = fields
     return RequestAbandoned(int(request))
 
 
-def _timer_due(fields: Sequence[str]) -> Event:
+def _parse_timer_due(fields: Sequence[str]) -> Event:
     _, token = fields
     return TimerDue(int(token))
 
 
-def _peer_message(fields: Sequence[str]) -> Event:
+def _parse_peer_message(fields: Sequence[str]) -> Event:
     _, sender, data = fields
     return PeerMessage(int(sender), b"" if data == "-" else bytes.fromhex(data))
 
 
-# The readers of events by their keyword. A view is not among them: it refers to a list that came before.
+# Parsers of events by keyword. VIEW is not among them, as it refers to an endpoint list sent before.
 EVENT_PARSERS: dict[str, Callable[[Sequence[str]], Event]] = {
-    "NEW_REQUEST": _new_request,
-    "COMPLETED": _attempt_ended,
-    "STREAMING": _committed,
-    "PROBED": _health_check_ended,
-    "ABANDONED": _request_abandoned,
-    "TICK_DUE": _timer_due,
-    "HEARD": _peer_message,
+    "NEW_REQUEST": _parse_new_request,
+    "COMPLETED": _parse_attempt_ended,
+    "STREAMING": _parse_committed,
+    "PROBED": _parse_health_check_ended,
+    "ABANDONED": _parse_request_abandoned,
+    "TICK_DUE": _parse_timer_due,
+    "HEARD": _parse_peer_message,
 }
 
 
 def format_action(action: Action) -> str:
-    """Return the simulator's line for an action."""
+    """Return the line for an action."""
     match action:
         case Send(request, endpoint, timeout):
-            # 0 would mean "until the client quits": a time-out that has run out stays one.
+            # 0 would mean no time-out, so a time-out that has already expired is sent as 1.
             return f"FORWARD {request} {endpoint} {max(1, _microseconds(timeout))}"
         case SetTimer(token, delay):
             return f"SET_TIMER {token} {max(0, _microseconds(delay))}"
--- a/wheatring/balancer/token_bucket.py
+++ b/wheatring/balancer/token_bucket.py
@@ -3,27 +3,27 @@
 from __future__ import annotations
 
 MAX_TOKENS = 10.0
-TOKEN_RATIO = 0.1  # tokens that a served attempt returns
+TOKEN_RATIO = 0.1  # Tokens returned by a served attempt.
 
 
 class RetryTokenBucket:
-    """Tokens that failures take and answers return; retries need more than half of them.
+    """Tokens taken by failures and returned by served attempts; retries need more than half of them.
 
-    So a fault of a few endpoints is retried, while an overload of all is not made worse by retries.
+    Failures of a few endpoints are retried, while retries don't add to an overload of all endpoints.
     """
 
-    __slots__ = ("tokens",)  # a dataclass would compile its methods at each start
+    __slots__ = ("tokens",)  # a dataclass would add to the start-up time
 
     def __init__(self) -> None:
         self.tokens = MAX_TOKENS
 
     @property
     def allows_retry(self) -> bool:
-        """Whether a failure may be retried now."""
+        """Whether a failed attempt may be retried now."""
         return self.tokens > MAX_TOKENS / 2
 
     def record_success(self) -> None:
-        """Return a part of a token for a served attempt."""
+        """Return TOKEN_RATIO tokens for a served attempt."""
         self.tokens = min(MAX_TOKENS, self.tokens + TOKEN_RATIO)
 
     def record_failure(self) -> None:
--- a/wheatring/tier/sidecar/tier_balancer.py
+++ b/wheatring/tier/sidecar/tier_balancer.py
@@ -75,13 +75,13 @@
         estimate = self.latencies.get(request_class.name)
         return estimate is not None and estimate.count >= MIN_LATENCY_SAMPLES
 
-    def judge(self, now: float, endpoint: Endpoint, outcome: i.Outcome) -> None:
+    def update_ejection(self, now: float, endpoint: Endpoint, outcome: i.Outcome) -> None:
         """Eject an endpoint for failures alone.
 
         How long a response takes follows from its length here, so latency counts in the burden only.
         """
         excess_latency, endpoint.excess_latency = endpoint.excess_latency, 0.0
-        super().judge(now, endpoint, outcome)
+        super().update_ejection(now, endpoint, outcome)
         if endpoint.outcomes:
             endpoint.excess_latency = excess_latency
 
@@ -158,6 +158,6 @@
         slots = max(self.slots.get(endpoint.entry.endpoint, 1), 1)
         load = self.occupancy(now, endpoint) / slots
         remote = policy.far_cost if self._is_remote(endpoint) else 0.0
-        burden = max(0.0, self.load.burden(now, endpoint) - 1) * policy.burden_cost
-        failing = policy.failing_cost * self.load.decay(now, endpoint) if endpoint.evidence else 0.0
+        burden = max(0.0, self.load.multiplier(now, endpoint) - 1) * policy.burden_cost
+        failing = policy.failing_cost * self.load.decay(now, endpoint) if endpoint.ejection_score else 0.0
         return load + uncached / policy.tokens_per_load + remote + burden + failing
