--- a/tests/balancer/endpoint_model.py
+++ b/tests/balancer/endpoint_model.py
@@ -1,7 +1,7 @@
-"""One copy's decisions alone, played against a dozen nodes of which some are bad in one way.
+"""Simulation of one balancer that sends to a dozen endpoints, some of which have a fault.
 
-`python -m tests.balancer.endpoint_model` tells for each way and number what the bad ones get and how even the
-rest is.
+`python -m tests.balancer.endpoint_model` prints, by kind of fault and number of faulty endpoints, their share
+of the attempts, how evenly the others share the rest, and the fraction of requests that is served.
 """
 
 from __future__ import annotations
@@ -16,100 +16,111 @@
 from wheatring.balancer import interface as i
 
 O = i.Outcome
-KINDS = ("refused", "failing", "full", "reset", "hanging", "slow")
-QUICK = {"refused": O.CONNECT_FAILED, "failing": O.ERROR, "full": O.REJECTED, "reset": O.RESET}
-CORES = 4  # of a node, each doing one call at a time
-WORK = 0.1  # mean seconds of a call
-NODES = tuple(f"n{n:02}" for n in range(12))
+FAULT_KINDS = ("refused", "failing", "full", "reset", "hanging", "slow")
+IMMEDIATE_OUTCOMES = {"refused": O.CONNECT_FAILED, "failing": O.ERROR, "full": O.REJECTED, "reset": O.RESET}
+CORES_PER_ENDPOINT = 4  # Each core processes one attempt at a time.
+MEAN_WORK_SECONDS = 0.1
+ENDPOINT_NAMES = tuple(f"n{n:02}" for n in range(12))
 GET = i.RequestClass("get", latency_target=1.0, deadline=4.0, idempotency=i.Idempotency.IDEMPOTENT)
 
 
 @dataclass
-class Played:
-    """What came of a run, counted in its middle part only."""
+class RunResult:
+    """Counts of one interval of a simulation."""
 
-    sends: Counter[str] = field(default_factory=Counter)  # by node
-    asked: int = 0
+    sends: Counter[str] = field(default_factory=Counter)
+    requests: int = 0
     served: int = 0
 
-    def share(self, bad: tuple[str, ...]) -> float:
-        return sum(self.sends[name] for name in bad) / max(1, self.sends.total())
+    def share(self, faulty: tuple[str, ...]) -> float:
+        return sum(self.sends[name] for name in faulty) / max(1, self.sends.total())
 
-    def busiest(self, bad: tuple[str, ...]) -> float:
+    def busiest_ratio(self, faulty: tuple[str, ...]) -> float:
         """Return the ratio of the busiest healthy endpoint to the mean of the healthy ones."""
-        good = [self.sends[name] for name in NODES if name not in bad]
-        return max(good) / (sum(good) / len(good))
+        healthy = [self.sends[name] for name in ENDPOINT_NAMES if name not in faulty]
+        return max(healthy) / (sum(healthy) / len(healthy))
 
 
-class Nodes:
-    """Twelve endpoints and Poisson requests.
+class EndpointSimulation:
+    """Twelve endpoints, and requests that arrive as a Poisson process.
 
-    From 3 s until `until` the endpoints named bad are unhealthy in one way, for a share of calls, and if
-    `every` is given only in every other such interval.
+    From 3 s until `until`, attempts at the faulty endpoints fail with a probability of `fault_probability`.
+    With a `fault_period`, the endpoints alternate between healthy and faulty after that many seconds.
     """
 
     def __init__(
         self,
         seed: int,
         kind: str,
-        bad: tuple[str, ...],
+        faulty: tuple[str, ...],
         load: float,
         *,
         until: float = 1e9,
-        chance: float = 1.0,
-        every: float = 0.0,
+        fault_probability: float = 1.0,
+        fault_period: float = 0.0,
     ) -> None:
         self.random = Random(seed)
-        self.kind, self.bad, self.until, self.chance, self.every = kind, bad, until, chance, every
+        self.kind, self.faulty, self.until, self.probability, self.period = (
+            kind, faulty, until, fault_probability, fault_period
+        )  # fmt: skip
         self.copy = Copy(seed, classes=(GET,))
-        self.copy.view(*entries(*NODES))
+        self.copy.view(*entries(*ENDPOINT_NAMES))
         self.start = self.copy.now
-        self.rate = load * len(NODES) * CORES / WORK
-        self.busy_until: dict[str, list[float]] = {name: [] for name in NODES}  # when each core is free again
-        self.due: list[tuple[float, int, i.Event]] = []
-        self.number = 0
-        self.tries: Counter[int] = Counter()
+        self.rate = load * len(ENDPOINT_NAMES) * CORES_PER_ENDPOINT / MEAN_WORK_SECONDS
+        # When each core finishes its work.
+        self.busy_until: dict[str, list[float]] = {name: [] for name in ENDPOINT_NAMES}
+        self.events: list[tuple[float, int, i.Event]] = []
+        self.event_count = 0
+        self.attempt_counts: Counter[int] = Counter()
         self.sent: list[tuple[float, str]] = []
-        self.answers: list[tuple[float, int, bool]] = []  # when, to whom, served
-
-    def push(self, at: float, event: i.Event) -> None:
-        self.number += 1
-        heappush(self.due, (at, self.number, event))
-
-    def is_unhealthy(self, name: str, now: float) -> bool:
-        at = now - self.start
-        if name not in self.bad or not 3 <= at < self.until or (self.every and int(at / self.every) % 2 == 0):
+        self.answers: list[tuple[float, int, bool]] = []  # time, request, served
+
+    def schedule(self, at: float, event: i.Event) -> None:
+        self.event_count += 1
+        heappush(self.events, (at, self.event_count, event))
+
+    def is_faulty(self, name: str, now: float) -> bool:
+        elapsed = now - self.start
+        if (
+            name not in self.faulty
+            or not 3 <= elapsed < self.until
+            or (self.period and int(elapsed / self.period) % 2 == 0)
+        ):
             return False
-        return self.chance >= 1 or self.random.random() < self.chance
+        return self.probability >= 1 or self.random.random() < self.probability
 
-    def attempt(self, now: float, send: i.Send) -> None:
-        name, ident = send.endpoint, send.request
+    def start_attempt(self, now: float, send: i.Send) -> None:
+        name, request_id = send.endpoint, send.request
         self.sent.append((now, name))
-        number = self.tries[ident]
-        self.tries[ident] += 1
+        attempt = self.attempt_counts[request_id]
+        self.attempt_counts[request_id] += 1
         outcome, latency = O.SERVED, 0.0
-        unhealthy = self.is_unhealthy(name, now)
-        if unhealthy and self.kind in QUICK:
-            outcome, latency = QUICK[self.kind], 0.001
-        elif unhealthy and self.kind == "hanging":
+        is_faulty_now = self.is_faulty(name, now)
+        if is_faulty_now and self.kind in IMMEDIATE_OUTCOMES:
+            outcome, latency = IMMEDIATE_OUTCOMES[self.kind], 0.001
+        elif is_faulty_now and self.kind == "hanging":
             outcome, latency = O.TIMED_OUT, send.timeout
         else:
-            cores = [at for at in self.busy_until[name] if at > now]
-            cores.sort()
-            begin = now if len(cores) < CORES else cores[len(cores) - CORES]
-            work = self.random.expovariate(1 / WORK) * (5 if unhealthy else 1)
-            self.busy_until[name] = [*cores, begin + work]
-            latency = begin + work - now
+            finish_times = [at for at in self.busy_until[name] if at > now]
+            finish_times.sort()
+            start = (
+                now
+                if len(finish_times) < CORES_PER_ENDPOINT
+                else finish_times[len(finish_times) - CORES_PER_ENDPOINT]
+            )
+            work = self.random.expovariate(1 / MEAN_WORK_SECONDS) * (5 if is_faulty_now else 1)
+            self.busy_until[name] = [*finish_times, start + work]
+            latency = start + work - now
             if latency > send.timeout:
                 outcome, latency = O.TIMED_OUT, send.timeout
-        event = i.AttemptEnded(ident, number, outcome, name, latency, outcome is O.SERVED)
-        self.push(now + latency, event)
+        event = i.AttemptEnded(request_id, attempt, outcome, name, latency, outcome is O.SERVED)
+        self.schedule(now + latency, event)
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         end = self.start + seconds
         at = self.start + self.random.expovariate(self.rate)
         while True:
-            now = min(at, self.due[0][0] if self.due else at)
+            now = min(at, self.events[0][0] if self.events else at)
             if now > end:
                 return
             if now == at:
@@ -117,40 +128,42 @@
                 self.copy.ids += 1
                 event: i.Event = i.NewRequest(self.copy.ids, "get", 4.0)
             else:
-                event = heappop(self.due)[2]
+                event = heappop(self.events)[2]
             self.copy.now = now
             if isinstance(event, i.AttemptEnded) and event.is_request_over:
                 self.answers.append((now, event.request, True))
             for action in self.copy.do(event):
                 match action:
                     case i.Send():
-                        self.attempt(now, action)
+                        self.start_attempt(now, action)
                     case i.SetTimer(token, delay):
-                        self.push(now + delay, i.TimerDue(token))
-                    case i.Reject(ident) | i.Fail(ident):
-                        self.answers.append((now, ident, False))
+                        self.schedule(now + delay, i.TimerDue(token))
+                    case i.Reject(request_id) | i.Fail(request_id):
+                        self.answers.append((now, request_id, False))
 
-    def played(self, since: float, until: float = 1e9) -> Played:
-        """Return what was sent and answered between two seconds of the run."""
+    def result(self, since: float, until: float = 1e9) -> RunResult:
+        """Return the attempts and answers between two times, in seconds since the start."""
         since, until = self.start + since, self.start + until
-        out = Played(Counter(name for at, name in self.sent if since <= at < until))
+        result = RunResult(Counter(name for at, name in self.sent if since <= at < until))
         for at, _, served in self.answers:
             if since <= at < until:
-                out.asked += 1
-                out.served += served
-        return out
+                result.requests += 1
+                result.served += served
+        return result
 
 
 def main() -> None:
-    print("kind      bad  load  share  even  busiest/mean  served")
-    for kind, count, load in product(KINDS, (1, 3, 6), (0.1, 0.35)):
-        bad = NODES[:count]
+    print("fault     num  load  share  even  busiest/mean  served")
+    for kind, count, load in product(FAULT_KINDS, (1, 3, 6), (0.1, 0.35)):
+        faulty = ENDPOINT_NAMES[:count]
         figures = []
         for seed in range(4):
-            nodes = Nodes(seed, kind, bad, load)
-            nodes.play(20)
-            played = nodes.played(5)
-            figures.append((played.share(bad), played.busiest(bad), played.served / played.asked))
+            simulation = EndpointSimulation(seed, kind, faulty, load)
+            simulation.run(20)
+            result = simulation.result(5)
+            figures.append(
+                (result.share(faulty), result.busiest_ratio(faulty), result.served / result.requests)
+            )
         share, busiest, served = (sum(each) / len(each) for each in zip(*figures, strict=True))
         print(f"{kind:9} {count:3} {load:5} {share:6.3f} {count / 12:5.2f} {busiest:13.2f} {served:7.3f}")
 
--- a/tests/balancer/test_example.py
+++ b/tests/balancer/test_example.py
@@ -1,4 +1,4 @@
-"""The example of the decisions alone runs as it stands there."""
+"""The example in the documentation of the balancer runs unchanged."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 PAGE = Path(__file__).parents[2] / "docs" / "design" / "decisions.md"
 
 
-def test_the_example_of_the_decisions_runs(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_example_in_the_documentation_runs(capsys: pytest.CaptureFixture[str]) -> None:
     code = PAGE.read_text(encoding="utf-8").split("```python\n")[1].split("```")[0]
     exec(compile(code, str(PAGE), "exec"), {})
     printed = capsys.readouterr().out.splitlines()
--- a/tests/balancer/test_package.py
+++ b/tests/balancer/test_package.py
@@ -1,4 +1,4 @@
-"""What holds for the text of the modules that decide, and for their settings."""
+"""Size, imports and settings checks of the package."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from wheatring.balancer import interface as i
 
 PACKAGE = Path(__file__).parents[2] / "wheatring" / "balancer"
-ADAPTERS = {"simulator", "simulator_messages", "settings_reader"}  # they read streams and JSON
-MESSAGES = {"actions", "endpoint_list", "events", "exceptions", "interface", "outcomes", "settings"}
-DECIDERS = sorted(path for path in PACKAGE.glob("*.py") if path.stem not in ADAPTERS)
+ADAPTERS = {"simulator", "simulator_messages", "settings_reader"}  # parse streams and JSON
+INTERFACE_MODULES = {"actions", "endpoint_list", "events", "exceptions", "interface", "outcomes", "settings"}
+DECISION_MODULES = sorted(path for path in PACKAGE.glob("*.py") if path.stem not in ADAPTERS)
 
 
-def test_the_deployment_file_lists_every_module_that_decides() -> None:
+def test_the_deployment_file_lists_every_decision_module() -> None:
     listed = tomllib.loads((PACKAGE.parents[1] / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-    decides = {path for path in DECIDERS if path.stem not in {"__init__", *MESSAGES}}
-    assert set(listed["policy"]) == {f"wheatring/balancer/{path.name}" for path in decides}
+    expected = {path for path in DECISION_MODULES if path.stem not in {"__init__", *INTERFACE_MODULES}}
+    assert set(listed["policy"]) == {f"wheatring/balancer/{path.name}" for path in expected}
     assert len(listed["policy"]) == len(set(listed["policy"])) > 10
 
 
-@pytest.mark.parametrize("path", DECIDERS, ids=lambda path: path.stem)
-def test_each_module_is_short_enough_to_read_aloud(path: Path) -> None:
+@pytest.mark.parametrize("path", DECISION_MODULES, ids=lambda path: path.stem)
+def test_each_module_is_within_the_size_limits(path: Path) -> None:
     lines = path.read_text(encoding="utf-8").splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 480
     assert max(map(len, lines)) <= 110
@@ -36,16 +36,16 @@
     assert "`interface`" in (ast.get_docstring(tree) or "").splitlines()[0]
 
 
-@pytest.mark.parametrize("path", DECIDERS, ids=lambda path: path.stem)
-def test_what_decides_imports_nothing_but_its_own_package_and_reaches_nothing(path: Path) -> None:
+@pytest.mark.parametrize("path", DECISION_MODULES, ids=lambda path: path.stem)
+def test_decision_modules_import_only_each_other_and_the_standard_library(path: Path) -> None:
     tree = ast.parse(path.read_text(encoding="utf-8"))
-    own = {f"wheatring.balancer.{each.stem}" for each in DECIDERS}
+    package_modules = {f"wheatring.balancer.{each.stem}" for each in DECISION_MODULES}
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             assert all(name.name in sys.stdlib_module_names for name in node.names)
         if isinstance(node, ast.ImportFrom):
             module = node.module or ""
-            assert module in own or module.partition(".")[0] in sys.stdlib_module_names
+            assert module in package_modules or module.partition(".")[0] in sys.stdlib_module_names
     names = {node.id for node in ast.walk(tree) if isinstance(node, ast.Name)}
     assert not names & {"open", "input", "print", "globals", "eval", "exec"}
 
@@ -70,7 +70,7 @@
         (lambda: i.Settings((i.RequestClass("a", 1.0, 1.0),), tick=-1.0), "tick"),
     ],
 )
-def test_wrong_settings_name_their_field(make: object, field: str) -> None:
+def test_the_error_of_an_invalid_setting_names_its_field(make: object, field: str) -> None:
     assert callable(make)
     with pytest.raises(ValueError, match=field):
         make()
--- a/tests/balancer/test_recorded_decisions.py
+++ b/tests/balancer/test_recorded_decisions.py
@@ -1,4 +1,4 @@
-"""The same events and seed have the same decisions as before the module was split."""
+"""The same events and seed lead to the same decisions as in the recordings of an earlier version."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 import pytest
 
-from tests.balancer.recorded_decisions import WORLDS, RecordedWorld
+from tests.balancer.recorded_decisions import RECORDINGS, Recording
 
 
-@pytest.mark.parametrize("name", WORLDS)
-def test_each_event_has_the_decisions_that_were_recorded(name: str) -> None:
-    world = RecordedWorld(name)
+@pytest.mark.parametrize("name", RECORDINGS)
+def test_decisions_match_the_recording(name: str) -> None:
+    recording = Recording(name)
     decisions: Counter[str] = Counter()
-    for number, recorded, decided in world.play():
-        assert decided == recorded, f"event {number}: {world.steps[number]}"
-        decisions.update(action[0] for action in decided)
-    assert len(world.steps) >= 5000
+    for number, recorded, actual in recording.replay():
+        assert actual == recorded, f"event {number}: {recording.steps[number]}"
+        decisions.update(action[0] for action in actual)
+    assert len(recording.steps) >= 5000
     assert min(decisions[kind] for kind in ("send", "refuse", "fail", "timer")) > 10
 
 
-@pytest.mark.parametrize("name", WORLDS)
-def test_as_many_random_numbers_are_drawn_as_were_recorded(name: str) -> None:
-    world = RecordedWorld(name)
-    for _ in world.play():
+@pytest.mark.parametrize("name", RECORDINGS)
+def test_the_random_state_at_the_end_matches_the_recording(name: str) -> None:
+    recording = Recording(name)
+    for _ in recording.replay():
         pass
-    assert world.balancer.random.random() == world.next_draw
+    assert recording.balancer.random.random() == recording.next_draw
--- a/tests/balancer/test_retries.py
+++ b/tests/balancer/test_retries.py
@@ -1,4 +1,4 @@
-"""The retry policy of A6, clause by clause, and rules 1 and 2: one answer in time, no effect twice."""
+"""The retry policy of gRFC A6, and rules 1 and 2: one answer in time, and no duplicate effect."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def retry(copy: Copy, send: i.Send, outcome: i.Outcome, attempt: int = 0) -> i.Send | i.Action:
-    """Let an attempt fail; the resend, once its backoff is over, or the final answer."""
+    """End an attempt with a failure; return the retry, after its backoff, or the final answer."""
     (action,) = copy.end(send, outcome, attempt)
     if isinstance(action, i.SetTimer):
         (action,) = copy.do(i.TimerDue(action.token), action.delay)
@@ -22,16 +22,16 @@
 
 
 @pytest.mark.parametrize("outcome", [O.ERROR, O.TIMED_OUT, O.RESET])
-def test_a_retryable_failure_is_resent_after_a_random_backoff(copy: Copy, outcome: i.Outcome) -> None:
+def test_a_retryable_failure_is_retried_after_a_random_backoff(copy: Copy, outcome: i.Outcome) -> None:
     (timer,) = copy.end(copy.send(), outcome)
     assert isinstance(timer, i.SetTimer) and 0 <= timer.delay <= INITIAL_BACKOFF
-    (resend,) = copy.do(i.TimerDue(timer.token), timer.delay)
-    assert isinstance(resend, i.Send)
+    (retried_send,) = copy.do(i.TimerDue(timer.token), timer.delay)
+    assert isinstance(retried_send, i.Send)
 
 
-def test_what_is_rejected_unprocessed_is_resent_once_at_once_and_costs_no_token(copy: Copy) -> None:
-    """A server that drains turns all away within a moment: it must not empty the bucket for the others."""
-    copy.balancer.retry_tokens.tokens = MAX_TOKENS / 2  # no retry that the bucket has a say in
+def test_the_first_unprocessed_rejection_is_retried_immediately_and_takes_no_token(copy: Copy) -> None:
+    """A draining server rejects many attempts at once; this must not empty the token bucket."""
+    copy.balancer.retry_tokens.tokens = MAX_TOKENS / 2  # the bucket allows no retry
     for _ in range(30):
         (again,) = copy.end(copy.send("order"), O.REJECTED)
         assert isinstance(again, i.Send)
@@ -40,7 +40,7 @@
     copy.balancer.retry_tokens.tokens = MAX_TOKENS
     (again,) = copy.end(copy.send("order"), O.REJECTED)
     assert isinstance(again, i.Send) and copy.balancer.retry_tokens.tokens == MAX_TOKENS
-    (timer,) = copy.end(again, O.REJECTED, attempt=1)  # from then on by the policy
+    (timer,) = copy.end(again, O.REJECTED, attempt=1)  # further rejections take a token
     assert isinstance(timer, i.SetTimer) and copy.balancer.retry_tokens.tokens == MAX_TOKENS - 1
 
 
@@ -57,9 +57,9 @@
             longest[n] = max(longest[n], timer.delay)
             (again,) = copy.do(i.TimerDue(timer.token), timer.delay)
             assert isinstance(again, i.Send)
-    for n, seen in enumerate(longest):
-        ceiling = min(INITIAL_BACKOFF * BACKOFF_MULTIPLIER**n, MAX_BACKOFF)
-        assert 0.9 * ceiling < seen <= ceiling
+    for n, longest_seen in enumerate(longest):
+        max_backoff = min(INITIAL_BACKOFF * BACKOFF_MULTIPLIER**n, MAX_BACKOFF)
+        assert 0.9 * max_backoff < longest_seen <= max_backoff
 
 
 def test_attempts_are_capped_by_the_limit_and_by_a6() -> None:
@@ -67,22 +67,22 @@
         copy = Copy(limits=i.Limits(max_attempts=limit))
         copy.view(*entries(*"abcdefghij"))
         action: i.Send | i.Action = copy.send()
-        sends = 0
+        attempts = 0
         while isinstance(action, i.Send):
-            sends += 1
-            action = retry(copy, action, O.CONNECT_FAILED, sends - 1)
-        assert sends == expected and isinstance(action, i.Reject)
+            attempts += 1
+            action = retry(copy, action, O.CONNECT_FAILED, attempts - 1)
+        assert attempts == expected and isinstance(action, i.Reject)
 
 
-def test_retries_stop_at_half_the_tokens_and_the_failure_returns_at_once(copy: Copy) -> None:
-    resent = 0
+def test_failures_are_not_retried_at_half_the_tokens_or_fewer(copy: Copy) -> None:
+    retried = 0
     for _ in range(20):
         (action,) = copy.end(copy.send(), O.ERROR)
-        resent += isinstance(action, i.SetTimer)
+        retried += isinstance(action, i.SetTimer)
         if not isinstance(action, i.SetTimer):
             assert isinstance(action, i.Reject)
-    # each failure costs a whole token: the count falls to half after so many
-    assert resent == MAX_TOKENS / 2 - 1
+    # Each failure takes one token, and retries need more than half of the tokens.
+    assert retried == MAX_TOKENS / 2 - 1
     assert copy.balancer.retry_tokens.tokens == 0
 
 
@@ -95,7 +95,7 @@
     assert copy.balancer.retry_tokens.tokens == MAX_TOKENS
 
 
-def test_a_failed_connection_costs_no_token_and_skips_admission_control(copy: Copy) -> None:
+def test_a_failed_connection_is_retried_whatever_the_token_count(copy: Copy) -> None:
     copy.balancer.retry_tokens.tokens = 0.0
     (action,) = copy.end(copy.send(), O.CONNECT_FAILED)
     assert isinstance(action, i.Send)
@@ -103,24 +103,24 @@
 
 
 def test_a_retry_prefers_another_endpoint(copy: Copy) -> None:
-    other = 0
+    other_endpoint = 0
     for _ in range(40):
         copy.balancer.retry_tokens.tokens = MAX_TOKENS
         send = copy.send()
         again = retry(copy, send, O.ERROR)
         assert isinstance(again, i.Send)
-        other += again.endpoint != send.endpoint
+        other_endpoint += again.endpoint != send.endpoint
         copy.end(again, O.SERVED, 1, is_request_over=True)
-    assert other >= 36
+    assert other_endpoint >= 36
 
 
-def test_no_retry_that_could_not_be_answered_in_time(copy: Copy) -> None:
+def test_a_retry_that_could_not_be_answered_in_time_is_not_sent(copy: Copy) -> None:
     copy.serve(20, latency=0.5)
     (action,) = copy.end(copy.send(left=0.6), O.ERROR, after=0.5)
     assert isinstance(action, i.Reject)
 
 
-def test_a_time_out_never_outlasts_the_deadline(copy: Copy) -> None:
+def test_attempt_timeouts_end_with_the_deadline_at_the_latest(copy: Copy) -> None:
     send = copy.send(left=3.0)
     assert send.timeout == pytest.approx(3.0)
     copy.serve(30, latency=0.01)
@@ -128,22 +128,22 @@
     assert isinstance(again, i.Send) and again.timeout <= 2.9
 
 
-def test_an_idempotent_attempt_is_given_up_while_there_is_time_for_another(copy: Copy) -> None:
+def test_an_idempotent_attempt_times_out_while_there_is_time_for_a_retry(copy: Copy) -> None:
     copy.serve(60, latency=0.01)
     assert copy.send(left=3.0).timeout < 0.5
     assert copy.send(left=0.02).timeout == pytest.approx(0.02)
 
 
-def test_a_deadline_passed_in_backoff_is_answered_not_sent(copy: Copy) -> None:
+def test_a_request_whose_deadline_passes_during_backoff_is_rejected(copy: Copy) -> None:
     (timer,) = copy.end(copy.send(left=1.0), O.ERROR)
     assert isinstance(timer, i.SetTimer)
     (action,) = copy.do(i.TimerDue(timer.token), 2.0)
     assert isinstance(action, i.Reject)
 
 
-@pytest.mark.parametrize("name", ["order", "a class nobody named"])
+@pytest.mark.parametrize("name", ["order", "unknown"])
 @pytest.mark.parametrize("outcome", [O.ERROR, O.TIMED_OUT, O.RESET, O.CANCELLED])
-def test_unsafe_and_unknown_classes_that_may_have_run_fail_without_a_promise(
+def test_non_idempotent_requests_that_may_have_been_executed_fail(
     copy: Copy, name: str, outcome: i.Outcome
 ) -> None:
     (action,) = copy.end(copy.send(name), outcome)
@@ -151,23 +151,23 @@
 
 
 @pytest.mark.parametrize("outcome", [O.REJECTED, O.CONNECT_FAILED])
-def test_unsafe_classes_are_resent_when_they_never_ran(copy: Copy, outcome: i.Outcome) -> None:
+def test_non_idempotent_requests_that_were_not_executed_are_retried(copy: Copy, outcome: i.Outcome) -> None:
     assert isinstance(retry(copy, copy.send("order"), outcome), i.Send)
 
 
-def test_unsafe_after_an_attempt_that_ran_stays_unsafe_for_good(copy: Copy) -> None:
+def test_a_non_idempotent_request_fails_if_its_retry_may_have_been_executed(copy: Copy) -> None:
     again = retry(copy, copy.send("order"), O.REJECTED)
     assert isinstance(again, i.Send)
     assert isinstance(retry(copy, again, O.ERROR, 1), i.Fail)
 
 
-def test_unsafe_attempts_wait_for_all_of_the_remaining_time(copy: Copy) -> None:
+def test_the_timeout_of_a_non_idempotent_attempt_is_all_the_remaining_time(copy: Copy) -> None:
     copy.serve(30, "order", latency=0.01)
     assert copy.send("order", left=3.0).timeout == pytest.approx(3.0)
 
 
-@pytest.mark.parametrize(("name", "by"), [("pay", "cell"), ("move", "zone")])
-def test_keyed_resends_stay_in_their_group(name: str, by: str) -> None:
+@pytest.mark.parametrize(("name", "scope_kind"), [("pay", "cell"), ("move", "zone")])
+def test_retries_of_keyed_requests_stay_in_their_repeat_scope(name: str, scope_kind: str) -> None:
     for seed in range(20):
         copy = Copy(seed)
         cells = [
@@ -177,20 +177,20 @@
             for n in range(3)
         ]
         copy.view(*cells)
-        group = {e.endpoint: (e.cell if by == "cell" else e.zone) for e in cells}
+        scope = {e.endpoint: (e.cell if scope_kind == "cell" else e.zone) for e in cells}
         send = copy.send(name)
         again = retry(copy, send, O.ERROR)
         assert isinstance(again, i.Send)
-        assert group[again.endpoint] == group[send.endpoint]
+        assert scope[again.endpoint] == scope[send.endpoint]
 
 
-def test_keyed_resends_end_with_their_window(copy: Copy) -> None:
+def test_keyed_requests_are_not_retried_after_their_repeat_window(copy: Copy) -> None:
     assert isinstance(retry(copy, copy.send("book"), O.ERROR), i.Send)
     (action,) = copy.end(copy.send("book"), O.ERROR, after=2.1)
     assert isinstance(action, i.Fail)
 
 
-def test_a_backoff_may_not_reach_past_the_window() -> None:
+def test_a_backoff_ends_within_the_repeat_window() -> None:
     for seed in range(40):
         copy = Copy(seed)
         copy.view(*entries("a", "b"))
@@ -199,14 +199,14 @@
             assert copy.now + action.delay < 1000 + 2.0
 
 
-def test_a_late_backoff_timer_still_keeps_the_window(copy: Copy) -> None:
+def test_a_late_backoff_timer_does_not_extend_the_repeat_window(copy: Copy) -> None:
     (timer,) = copy.end(copy.send("book"), O.ERROR, after=1.0)
     assert isinstance(timer, i.SetTimer)
     (action,) = copy.do(i.TimerDue(timer.token), 1.5)
     assert isinstance(action, i.Fail)
 
 
-def test_a_keyed_request_with_no_endpoint_of_its_group_left_fails() -> None:
+def test_a_keyed_request_without_an_endpoint_in_its_repeat_scope_fails() -> None:
     copy = Copy()
     copy.view(*entries("a", cell=1), *entries("b", cell=2))
     send = copy.send("pay")
@@ -217,27 +217,27 @@
     assert isinstance(action, i.Fail)
 
 
-def test_an_answer_that_began_is_never_retried(copy: Copy) -> None:
+def test_a_committed_request_is_not_retried(copy: Copy) -> None:
     send = copy.send()
     copy.do(i.Committed(send.request))
     assert isinstance(copy.end(send, O.RESET)[0], i.Reject)
 
 
-def test_nothing_is_sent_for_a_request_that_is_over(copy: Copy) -> None:
+def test_no_attempt_is_sent_for_a_request_that_is_over(copy: Copy) -> None:
     send = copy.send()
     (timer,) = copy.end(send, O.ERROR)
     assert isinstance(timer, i.SetTimer)
     copy.do(i.RequestAbandoned(send.request))
     assert copy.do(i.TimerDue(timer.token), timer.delay) == []
-    gone = copy.send()
-    copy.do(i.RequestAbandoned(gone.request))
-    assert copy.end(gone, O.ERROR) == []
-    closed = copy.send()
-    assert copy.end(closed, O.TIMED_OUT, is_request_over=True) == []
+    abandoned = copy.send()
+    copy.do(i.RequestAbandoned(abandoned.request))
+    assert copy.end(abandoned, O.ERROR) == []
+    timed_out = copy.send()
+    assert copy.end(timed_out, O.TIMED_OUT, is_request_over=True) == []
     assert copy.balancer.requests == {}
 
 
-def test_strays_are_harmless(copy: Copy) -> None:
+def test_events_of_unknown_requests_timers_and_peers_are_ignored(copy: Copy) -> None:
     send = copy.send()
     copy.end(send, O.SERVED, is_request_over=True)
     before = (copy.in_flight, copy.balancer.retry_tokens.tokens)
@@ -252,6 +252,6 @@
     assert copy.in_flight == before[0] + 1
 
 
-def test_a_request_that_was_never_sent_fits_a_refusal(copy: Copy) -> None:
+def test_a_request_that_was_not_sent_is_rejected(copy: Copy) -> None:
     (action,) = copy.end(copy.send("order"), O.NOT_SENT)
     assert isinstance(action, i.Reject)
--- a/tests/balancer/test_simulator.py
+++ b/tests/balancer/test_simulator.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess: golden exchanges, several processes, and what bad input gets."""
+"""The simulator adapter as a subprocess: exchanges of messages, determinism, and malformed input."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def run(*lines: str, hash_seed: str = "0") -> tuple[int, list[str], str]:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "wheatring.balancer.simulator"],
         input="".join(f"{line}\n" for line in lines),
         capture_output=True,
@@ -31,25 +31,25 @@
         env={**os.environ, "PYTHONHASHSEED": hash_seed},
         check=False,
     )
-    return done.returncode, done.stdout.splitlines(), done.stderr
+    return process.returncode, process.stdout.splitlines(), process.stderr
 
 
 def start(name: str = "sidecar_0", settings: str = START) -> list[str]:
     return [f"SWITCH_TO {name}", settings, *LIST]
 
 
-def good(*lines: str) -> list[str]:
+def run_successfully(*lines: str) -> list[str]:
     status, out, err = run(*lines)
     assert (status, err) == (0, "")
     return out
 
 
 def test_an_empty_batch() -> None:
-    assert good("BATCH 8412250 1", "OVER_TO_YOU") == ["DONE 1"]
+    assert run_successfully("BATCH 8412250 1", "OVER_TO_YOU") == ["DONE 1"]
 
 
-def test_a_request_from_send_to_answer() -> None:
-    out = good(
+def test_requests_from_arrival_to_answer() -> None:
+    out = run_successfully(
         "BATCH 1000000 1", *start(), "NEW_REQUEST 5 read - 77 4000000 - 0", "OVER_TO_YOU",
         "BATCH 1100000 2", "SWITCH_TO sidecar_0", "COMPLETED 5 100000 0 1 GOOD endpoint_a rif:3,new:9",
         "NEW_REQUEST 6 order - - 4000000 - 0", "OVER_TO_YOU",
@@ -62,28 +62,30 @@
     ]  # fmt: skip
 
 
-def test_a_failure_waits_for_its_timer() -> None:
+def test_a_failed_attempt_is_retried_when_its_timer_expires() -> None:
     first = [
         "BATCH 1000000 1", *start(), "NEW_REQUEST 5 read - - 4000000 - 0", "OVER_TO_YOU",
         "BATCH 1100000 2", "SWITCH_TO sidecar_0", "COMPLETED 5 100000 0 0 BAD endpoint_a -", "OVER_TO_YOU",
     ]  # fmt: skip
-    out = good(*first)
-    word, token, delay = out[-2].split(" ")
-    assert word == "SET_TIMER" and 0 <= int(delay) <= 40000
-    out = good(
+    out = run_successfully(*first)
+    keyword, token, delay = out[-2].split(" ")
+    assert keyword == "SET_TIMER" and 0 <= int(delay) <= 40000
+    out = run_successfully(
         *first, f"BATCH {1100000 + int(delay)} 3", "SWITCH_TO sidecar_0", f"TICK_DUE {token}", "OVER_TO_YOU"
     )
     assert out[-2] == f"FORWARD 5 endpoint_a {3900000 - int(delay)}"
 
 
-def test_no_endpoint_is_a_denial() -> None:
+def test_a_request_without_an_endpoint_is_denied() -> None:
     empty = ["DIRECTORY 3 0", "VIEW 1 SAVED 3"]
-    out = good("BATCH 1 1", *start()[:2], *empty, "NEW_REQUEST 5 order - - 4000000 - 0", "OVER_TO_YOU")
+    out = run_successfully(
+        "BATCH 1 1", *start()[:2], *empty, "NEW_REQUEST 5 order - - 4000000 - 0", "OVER_TO_YOU"
+    )
     assert out == ["ON_BEHALF sidecar_0", "DENY 5 0", "DONE 1"]
 
 
-def test_list_numbers_are_resolved_in_the_order_of_events() -> None:
-    out = good(
+def test_endpoint_list_numbers_are_resolved_in_event_order() -> None:
+    out = run_successfully(
         "BATCH 1 1", *start(),
         "DIRECTORY 0 2", "ITEM endpoint_a z k 0 left 1 -", "ITEM endpoint_b z k 0 active 1 -",
         "SWITCH_TO sidecar_1", START, "VIEW 2 FULL 0", "NEW_REQUEST 8 read - - 4000000 - 0",
@@ -96,21 +98,21 @@
     ]  # fmt: skip
 
 
-def test_begin_stop_and_begin_in_one_batch() -> None:
-    out = good(
+def test_an_instance_can_restart_within_one_batch() -> None:
+    out = run_successfully(
         "BATCH 1 1", *start(), "NEW_REQUEST 5 read - - 4000000 - 0", "STOP", START, "VIEW 1 SAVED 0",
         "NEW_REQUEST 6 read - - 4000000 - 0", "COMPLETED 5 1 0 0 RST endpoint_a -", "OVER_TO_YOU",
     )  # fmt: skip
     assert out[-2:] == ["FORWARD 6 endpoint_a 4000000", "DONE 1"]
 
 
-def test_sites_that_must_be_asked_are_subscribed_to() -> None:
-    asking = f"{START} discovery=on_request contract.must_ask_in=10000000"
-    out = good("BATCH 1 1", *start(settings=asking), "OVER_TO_YOU")
-    word, token, delay = out[1].split(" ")
-    assert (word, token) == ("SET_TIMER", "0") and int(delay) < 5_000_000
-    out = good(
-        "BATCH 1 1", *start(settings=asking), "OVER_TO_YOU",
+def test_balancers_subscribe_if_discovery_requires_it() -> None:
+    settings = f"{START} discovery=on_request contract.must_ask_in=10000000"
+    out = run_successfully("BATCH 1 1", *start(settings=settings), "OVER_TO_YOU")
+    keyword, token, delay = out[1].split(" ")
+    assert (keyword, token) == ("SET_TIMER", "0") and int(delay) < 5_000_000
+    out = run_successfully(
+        "BATCH 1 1", *start(settings=settings), "OVER_TO_YOU",
         "BATCH 5000001 2", "SWITCH_TO sidecar_0", "TICK_DUE 0", "OVER_TO_YOU",
         "BATCH 5100001 3", "SWITCH_TO sidecar_0", "VIEW 0 FAILED 0", "OVER_TO_YOU",
     )  # fmt: skip
@@ -119,7 +121,7 @@
 
 
 def traffic(names: list[str]) -> list[str]:
-    """One batch after the other in which every instance gets the same events under its own ids."""
+    """Return batches in which each instance gets the same events."""
     lines = ["BATCH 1000000 1", "DIRECTORY 0 30"]
     lines += [f"ITEM endpoint_{n} z k {n % 4} active 1 -" for n in range(30)]
     for name in names:
@@ -136,50 +138,51 @@
     return lines
 
 
-def by_instance(out: list[str]) -> dict[str, list[str]]:
-    found: dict[str, list[str]] = {}
+def actions_by_instance(out: list[str]) -> dict[str, list[str]]:
+    actions: dict[str, list[str]] = {}
     name = ""
     for line in out:
         if line.startswith("ON_BEHALF "):
             name = line
         elif not line.startswith("DONE "):
-            found.setdefault(name, []).append(line)
-    return found
+            actions.setdefault(name, []).append(line)
+    return actions
 
 
-def test_same_events_same_actions_whatever_the_hash_seed_or_the_processes() -> None:
+def test_actions_do_not_depend_on_the_hash_seed_or_on_other_instances() -> None:
     names = [f"sidecar_{n}" for n in range(4)]
     together = [run(*traffic(names), hash_seed=seed)[1] for seed in ("0", "1", "4711")]
     assert together[0] == together[1] == together[2]
-    apart: dict[str, list[str]] = {}
+    separate: dict[str, list[str]] = {}
     for name in names:
-        apart |= by_instance(good(*traffic([name])))
-    assert by_instance(together[0]) == apart
-    assert len({tuple(actions) for actions in apart.values()}) == 4  # and each draws for itself
+        separate |= actions_by_instance(run_successfully(*traffic([name])))
+    assert actions_by_instance(together[0]) == separate
+    # Each instance has its own random numbers.
+    assert len({tuple(actions) for actions in separate.values()}) == 4
 
 
 def test_a_large_batch() -> None:
-    many = [f"NEW_REQUEST {n} read - - 4000000 - 0" for n in range(1, 30001)]
-    out = good("BATCH 1 1", *start(), *many, "OVER_TO_YOU")
+    requests = [f"NEW_REQUEST {n} read - - 4000000 - 0" for n in range(1, 30001)]
+    out = run_successfully("BATCH 1 1", *start(), *requests, "OVER_TO_YOU")
     assert len(out) == 30002
 
 
-def test_a_bug_in_the_module_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_a_balancer_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     import io
 
     from wheatring.balancer import simulator
 
-    def bug(*_: object) -> None:
+    def raise_error(*_: object) -> None:
         raise RuntimeError("two\nlines")
 
-    monkeypatch.setattr(Balancer, "handle", bug)
+    monkeypatch.setattr(Balancer, "handle", raise_error)
     out = io.StringIO()
     simulator.SimulatorHost(["BATCH 1 1\n", *(f"{line}\n" for line in start()), "OVER_TO_YOU\n"], out).run()
     assert out.getvalue() == "ON_BEHALF sidecar_0\nCRASH RuntimeError: two lines\nDONE 1\n"
 
 
 @pytest.mark.parametrize(
-    ("bad", "says"),
+    ("line", "message"),
     [
         ("NEW_REQUEST 5 read", "values to unpack"),
         ("NEW_REQUEST five read - - 4000000 - 0", "five"),
@@ -194,20 +197,20 @@
         ("", "unknown event ''"),
     ],
 )
-def test_what_cannot_be_read_ends_the_process(bad: str, says: str) -> None:
-    status, out, err = run("BATCH 1 41", *start(), bad, "OVER_TO_YOU")
+def test_a_malformed_line_ends_the_process(line: str, message: str) -> None:
+    status, out, err = run("BATCH 1 41", *start(), line, "OVER_TO_YOU")
     assert status != 0 and out == []
-    assert err.count("\n") == 1 and "batch 41, line 7" in err and says in err
+    assert err.count("\n") == 1 and "batch 41, line 7" in err and message in err
 
 
 @pytest.mark.parametrize("missing", ["peers_total", "contract.cold_from", "classes.0.name", "classes.1.slo"])
 def test_a_missing_required_setting_is_named(missing: str) -> None:
-    less = " ".join(part for part in START.split(" ") if not part.startswith(f"{missing}="))
-    status, out, err = run("BATCH 1 1", *start(settings=less), "OVER_TO_YOU")
+    incomplete = " ".join(part for part in START.split(" ") if not part.startswith(f"{missing}="))
+    status, out, err = run("BATCH 1 1", *start(settings=incomplete), "OVER_TO_YOU")
     assert status != 0 and out == [] and missing in err
 
 
-def test_a_setting_that_cannot_be_read_is_named() -> None:
+def test_a_malformed_setting_is_named() -> None:
     status, _, err = run("BATCH 1 1", *start(settings=f"{START} limits.max_attempts=many"), "OVER_TO_YOU")
     assert status != 0 and "limits.max_attempts" in err
 
@@ -222,6 +225,6 @@
         ["BATCH 1 1", "SWITCH_TO sidecar_0"],
     ],
 )
-def test_broken_batches_end_the_process(lines: list[str]) -> None:
+def test_a_malformed_batch_ends_the_process(lines: list[str]) -> None:
     status, out, err = run(*lines)
     assert status != 0 and out == [] and err.startswith("lapisway: ")
--- a/tests/balancer/test_thin_traffic.py
+++ b/tests/balancer/test_thin_traffic.py
@@ -1,12 +1,12 @@
-"""Many copies before one fleet: each sees little of any node, and what each does, all do."""
+"""Many balancers in front of one fleet: each has little traffic to any one endpoint."""
 
 from __future__ import annotations
 
 from collections import Counter
 from unittest.mock import patch
 
-from tests.balancer.endpoint_model import NODES
-from tests.balancer.test_admission import CHEAP, DEAR, admitted, keep
+from tests.balancer.endpoint_model import ENDPOINT_NAMES
+from tests.balancer.test_admission import HIGH_VALUE, LOW_VALUE, admitted, keep_in_flight
 from tests.conftest import Copy, entries
 from wheatring.balancer import interface as i
 from wheatring.balancer.outlier_ejection import OVERLOAD_EJECTION_SECONDS
@@ -15,104 +15,104 @@
 GET = i.RequestClass("get", latency_target=2.0, deadline=6.0, idempotency=i.Idempotency.IDEMPOTENT)
 
 
-FIVE = NODES[:5]
+FIVE_ENDPOINTS = ENDPOINT_NAMES[:5]
 
 
-def settled() -> Copy:
-    """Return one copy of ten that has learned the usual latency: a tenth of a second."""
+def balancer_with_estimates() -> Copy:
+    """Return one of ten balancers, whose latency estimate is 0.1 s."""
     copy = Copy(classes=(GET,), balancer_count=10)
-    copy.view(*entries(*FIVE))
+    copy.view(*entries(*FIVE_ENDPOINTS))
     copy.serve(60, "get")
     return copy
 
 
-def visit(copy: Copy, node: str, latency: float) -> None:
-    """Have one call at that node answered after so long."""
-    record = copy.balancer.pool.endpoints[node]
-    with patch.object(copy.balancer, "pick", return_value=(record, [record])):
+def serve_at(copy: Copy, name: str, latency: float) -> None:
+    """Send one request to the endpoint `name`, answered after `latency`."""
+    endpoint = copy.balancer.pool.endpoints[name]
+    with patch.object(copy.balancer, "pick", return_value=(endpoint, [endpoint])):
         send = copy.send("get")
     copy.end(send, O.SERVED, after=latency, is_request_over=True)
 
 
-def test_a_few_slow_answers_seconds_apart_tell() -> None:
-    copy = settled()
-    slow, other = (copy.balancer.pool.endpoints[name] for name in NODES[:2])
+def test_a_few_slow_answers_seconds_apart_raise_the_load_multiplier() -> None:
+    copy = balancer_with_estimates()
+    slow, other = (copy.balancer.pool.endpoints[name] for name in ENDPOINT_NAMES[:2])
     for _ in range(3):
         copy.now += 2.0
-        visit(copy, slow.entry.endpoint, 0.23)
+        serve_at(copy, slow.entry.endpoint, 0.23)
     assert copy.balancer.load.multiplier(copy.now, slow) > 1.5 * copy.balancer.load.multiplier(
         copy.now, other
     )
 
 
-def test_an_overloaded_endpoint_gets_nothing_for_a_while_and_returns_by_a_trickle() -> None:
-    copy = settled()
-    crowded = copy.balancer.pool.endpoints[NODES[0]]
+def test_an_overloaded_endpoint_is_ejected_and_returns_gradually() -> None:
+    copy = balancer_with_estimates()
+    overloaded = copy.balancer.pool.endpoints[ENDPOINT_NAMES[0]]
     copy.now += 20.0
-    visit(copy, NODES[0], 1.0)
-    assert not crowded.ejections  # one answer may be long by chance
-    visit(copy, NODES[0], 1.0)
-    assert crowded.ejections
+    serve_at(copy, ENDPOINT_NAMES[0], 1.0)
+    assert not overloaded.ejections  # one slow answer is not enough
+    serve_at(copy, ENDPOINT_NAMES[0], 1.0)
+    assert overloaded.ejections
     until = copy.now + OVERLOAD_EJECTION_SECONDS
-    seen: Counter[str] = Counter()
+    sends: Counter[str] = Counter()
     while copy.now + 0.1 < until:
         send = copy.send("get")
-        seen[send.endpoint] += 1
+        sends[send.endpoint] += 1
         copy.end(send, O.SERVED, after=0.02, is_request_over=True)
-    assert not seen[NODES[0]], seen
-    assert sum(seen.values()) > 100
+    assert not sends[ENDPOINT_NAMES[0]], sends
+    assert sum(sends.values()) > 100
     copy.now = until
-    visit(copy, NODES[0], 0.1)
-    assert crowded.ejections and crowded.probation_limit == 2
-    while crowded.ejections:
-        visit(copy, NODES[0], 0.1)
+    serve_at(copy, ENDPOINT_NAMES[0], 0.1)
+    assert overloaded.ejections and overloaded.probation_limit == 2
+    while overloaded.ejections:
+        serve_at(copy, ENDPOINT_NAMES[0], 0.1)
 
 
-def test_where_all_are_overloaded_all_are_still_used() -> None:
-    copy = settled()
+def test_all_endpoints_are_used_if_all_are_overloaded() -> None:
+    copy = balancer_with_estimates()
     copy.now += 20.0
-    for name in FIVE:
+    for name in FIVE_ENDPOINTS:
         for _ in range(2):
             if not copy.balancer.ejector.is_majority_unhealthy():
-                visit(copy, name, 1.0)
+                serve_at(copy, name, 1.0)
     assert copy.balancer.ejector.is_majority_unhealthy()
     sent = Counter(copy.send("get").endpoint for _ in range(60))
-    assert len(sent) == len(FIVE)
+    assert len(sent) == len(FIVE_ENDPOINTS)
 
 
-def test_of_two_that_may_be_sent_to_the_lighter_one_is_even_where_most_wait_for_their_turn() -> None:
+def test_the_less_loaded_usable_endpoint_is_picked_while_others_wait_for_their_slot() -> None:
     copy = Copy(classes=(GET,), balancer_count=10)
     cold = [i.EndpointEntry(f"cold-{n}", started_at=copy.now) for n in range(8)]
-    copy.view(*entries("jammed", "free"), *cold)
-    jammed = copy.balancer.pool.endpoints["jammed"]
-    jammed.in_flight = 30
-    got: Counter[str] = Counter()
+    copy.view(*entries("loaded", "free"), *cold)
+    loaded = copy.balancer.pool.endpoints["loaded"]
+    loaded.in_flight = 30
+    sends: Counter[str] = Counter()
     for _ in range(100):
         send = copy.send("get")
-        got[send.endpoint] += 1
+        sends[send.endpoint] += 1
         copy.end(send, O.SERVED, after=0.01, is_request_over=True)
-    assert got["free"] > 10 * got["jammed"]
+    assert sends["free"] > 10 * sends["loaded"]
 
 
-def test_a_cold_endpoint_adds_its_capacity_to_admission_control() -> None:
+def test_a_cold_endpoint_adds_its_current_capacity_to_the_admission_limit() -> None:
     def admitted_with(cold: int) -> int:
-        copy = Copy(classes=(CHEAP, DEAR))
-        copy.view(*entries(*NODES))
-        keep(copy, 48, 0.1, 4.0)
+        copy = Copy(classes=(LOW_VALUE, HIGH_VALUE))
+        copy.view(*entries(*ENDPOINT_NAMES))
+        keep_in_flight(copy, 48, 0.1, 4.0)
         new = [i.EndpointEntry(f"new-{n}", started_at=copy.now) for n in range(cold)]
-        copy.view(*entries(*NODES[cold:]), *new)
-        admitted(copy, "dear")
+        copy.view(*entries(*ENDPOINT_NAMES[cold:]), *new)
+        admitted(copy, "high")
         return sum(e.in_flight for e in copy.balancer.pool.ready)
 
-    # 5 of 12 are warm, and 7 bear 0.2 of what these do
+    # 5 of 12 endpoints are warm, and 7 have 0.2 of their capacity.
     assert 0.45 < admitted_with(7) / admitted_with(0) < 0.7
 
 
-def test_calls_too_few_to_tell_anything_are_counted_over_all_copies() -> None:
-    def admitted_with(copies: int) -> int:
-        copy = Copy(classes=(CHEAP, DEAR), balancer_count=copies)
+def test_the_minimum_in_flight_for_rejections_counts_all_balancers() -> None:
+    def admitted_with(balancers: int) -> int:
+        copy = Copy(classes=(LOW_VALUE, HIGH_VALUE), balancer_count=balancers)
         copy.view(*entries("a", "b"))
-        keep(copy, 1, 0.01, 3.0)
-        return admitted(copy, "cheap")
+        keep_in_flight(copy, 1, 0.01, 3.0)
+        return admitted(copy, "low")
 
     assert 10 * admitted_with(10) < 4 * admitted_with(1)
