--- a/tests/balancer/endpoint_model.py
+++ b/tests/balancer/endpoint_model.py
@@ -44,7 +44,8 @@
 class EndpointSimulation:
     """Twelve endpoints, and requests that arrive as a Poisson process.
 
-    From 3 s until `until`, attempts at the faulty endpoints fail with a probability of `fault_probability`.
+    From 3 s until `until`, the fault affects attempts at the faulty endpoints with a probability of
+    `fault_probability`.
     With a `fault_period`, the endpoints alternate between healthy and faulty after that many seconds.
     """
 
--- a/wheatring/balancer/balancer.py
+++ b/wheatring/balancer/balancer.py
@@ -84,7 +84,7 @@
         )
         self.first_request_at = inf
         self.is_subscription_scheduled = False
-        self.failed_subscriptions = 0  # in a row, up to 3
+        self.failed_subscriptions = 0  # consecutive failures, up to 3
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Handle an event at the time `now` (seconds), and return the actions to carry out, in order."""
--- a/wheatring/balancer/endpoint.py
+++ b/wheatring/balancer/endpoint.py
@@ -27,8 +27,8 @@
         over the class's unloaded latency as multiples of it, and the number of failures.
     updated_at : float
         When these three sums were last updated.
-    evidence : float
-        Sum of `EJECTION_SCORES` since it last served a request; it is ejected at 1.
+    ejection_score : float
+        Sum of the `EJECTION_SCORES` of its outcomes since it last served a request; it is ejected at 1.
     ejections : int
         Ejections since it was last healthy, 4 at most; 0 while it is healthy.
     probation_limit : int
--- a/wheatring/balancer/events.py
+++ b/wheatring/balancer/events.py
@@ -1,6 +1,7 @@
-"""Events that a balancer handles. The classes are not frozen, as that would slow down their construction.
+"""Events that a balancer handles.
 
-Durations are in seconds (float). Ids of requests and endpoints are opaque.
+Durations are in seconds (float). Ids of requests and endpoints are opaque. The classes are not frozen: each
+request creates one or more events, and frozen ones are slower to construct.
 """
 
 from __future__ import annotations
--- a/wheatring/balancer/settings.py
+++ b/wheatring/balancer/settings.py
@@ -114,7 +114,8 @@
     max_open_requests : float
         Requests that may be open at this balancer; excess ones are rejected before they reach it.
     cpu_per_second, cpu_per_request : float
-        CPU seconds per second for all decisions, and per request including its outcomes; 0 means no limit.
+        CPU seconds per second for all decisions, and per request including its outcomes. The defaults mean no
+        limit.
     """
 
     max_attempts: int = 5
