--- a/tests/tier/durable/test_record_file.py
+++ b/tests/tier/durable/test_record_file.py
@@ -1,4 +1,4 @@
-"""The record file against a loss of power at any byte, a full disk and damage."""
+"""The record file under power failure at any byte, a full disk and corruption."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 PAYLOADS = st.lists(st.binary(max_size=60), min_size=1, max_size=4)
 
 
-def opened(path: Path) -> tuple[RecordFile, list[bytes]]:
+def open_file(path: Path) -> tuple[RecordFile, list[bytes]]:
     file = RecordFile(path)
     return file, file.open()
 
 
 class FileMachine(RuleBasedStateMachine):
-    """A file beside the plain list of what it has acknowledged."""
+    """Compares a file with a list of its acknowledged records."""
 
     @initialize(folder=st.just(None))
     def begin(self, folder: None) -> None:  # noqa: ARG002 - the base class's signature
         import tempfile
 
         self.path = Path(tempfile.mkdtemp()) / "records"
-        self.file, found = opened(self.path)
+        self.file, found = open_file(self.path)
         assert found == []
         self.model: list[bytes] = []
 
@@ -47,12 +47,12 @@
     @rule()
     def restart(self) -> None:
         self.file.close()
-        self.file, found = opened(self.path)
+        self.file, found = open_file(self.path)
         assert found == self.model
 
     @rule(payloads=PAYLOADS, data=st.data())
-    def lose_power_within_a_batch(self, payloads: list[bytes], data: st.DataObject) -> None:
-        """Of a batch that was not synced any part may be there, and the rest zeros or nothing."""
+    def power_failure_within_a_batch(self, payloads: list[bytes], data: st.DataObject) -> None:
+        """Any prefix of an unsynced batch may be on disk, followed by zeros or nothing."""
         before = self.file.size_bytes
         self.file.append(payloads)
         self.file.close()
@@ -64,13 +64,13 @@
         else:
             batch[cut:] = bytes(len(batch) - cut)
         self.path.write_bytes(whole[:before] + bytes(batch))
-        self.file, found = opened(self.path)
+        self.file, found = open_file(self.path)
         assert found[: len(self.model)] == self.model
         assert found[len(self.model) :] == payloads[: len(found) - len(self.model)]
         self.model = found
 
     @invariant()
-    def size_is_known(self) -> None:
+    def size_matches_the_file(self) -> None:
         if hasattr(self, "file"):
             assert self.file.size_bytes == self.path.stat().st_size
 
@@ -81,9 +81,9 @@
 
 @given(flip=st.integers(0, 10_000))
 @settings(max_examples=60, deadline=None)
-def test_damage_in_the_middle_is_reported_and_never_served(tmp_path_factory: Any, flip: int) -> None:
+def test_corruption_before_the_last_batch_is_reported_on_open(tmp_path_factory: Any, flip: int) -> None:
     path = tmp_path_factory.mktemp("damage") / "records"
-    file, _ = opened(path)
+    file, _ = open_file(path)
     file.append([b"first" * 10])
     middle = file.size_bytes
     file.append([b"second" * 10])
@@ -95,20 +95,22 @@
     data[middle + flip % (end - middle)] ^= 0x40
     path.write_bytes(bytes(data))
     with pytest.raises(DamagedRecordFileError):
-        opened(path)
+        open_file(path)
 
 
-def test_a_full_disk_leaves_the_file_as_it_was(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    file, _ = opened(tmp_path / "records")
+def test_failed_append_on_a_full_disk_leaves_the_file_unchanged(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    file, _ = open_file(tmp_path / "records")
     file.append([b"kept"])
 
-    def full(*_arguments: object) -> int:
+    def fail_with_full_disk(*_arguments: object) -> int:
         raise OSError(28, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr(os, "pwrite", full)
+        patch.setattr(os, "pwrite", fail_with_full_disk)
         with pytest.raises(DiskError):
             file.append([b"lost"])
     file.append([b"after"])
     file.close()
-    assert opened(tmp_path / "records")[1] == [b"kept", b"after"]
+    assert open_file(tmp_path / "records")[1] == [b"kept", b"after"]
--- a/tests/tier/storage/test_budget_entries.py
+++ b/tests/tier/storage/test_budget_entries.py
@@ -1,4 +1,4 @@
-"""Of several entries for one turn of a program the settled one counts, and of equal kinds the larger."""
+"""Conflicts between budget entries of one turn: a settled entry wins, then the larger one."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 ]
 
 
-@pytest.mark.parametrize(("entries", "counting"), CASES)
-def test_a_reader_counts_one_entry_for_each_turn_in_any_order(
-    entries: tuple[BudgetEntry, ...], counting: BudgetEntry
+@pytest.mark.parametrize(("entries", "winner"), CASES)
+def test_merge_returns_the_winning_entry_of_each_turn_in_any_order(
+    entries: tuple[BudgetEntry, ...], winner: BudgetEntry
 ) -> None:
     for order in permutations((*entries, OTHER)):
         merged = sorted(merge_budget_entries(order), key=lambda entry: entry.turn)
-        assert merged == [counting, OTHER]
+        assert merged == [winner, OTHER]
 
 
-@pytest.mark.parametrize(("entries", "counting"), CASES)
-def test_a_replica_keeps_one_entry_for_each_turn_in_any_order(
-    entries: tuple[BudgetEntry, ...], counting: BudgetEntry
+@pytest.mark.parametrize(("entries", "winner"), CASES)
+def test_table_keeps_the_winning_entry_of_each_turn_in_any_order(
+    entries: tuple[BudgetEntry, ...], winner: BudgetEntry
 ) -> None:
     for order in permutations((*entries, OTHER)):
         table = RecordTable()
@@ -40,11 +40,11 @@
             record.budget.program = "p"
             table.apply(record, 0.0)
         kept = sorted(table.budget_entries("p"), key=lambda entry: entry.turn)
-        assert kept == [counting, OTHER]
+        assert kept == [winner, OTHER]
         assert len(table) == 2
 
 
-def test_an_entry_that_changes_nothing_is_not_written_again() -> None:
+def test_applying_an_equal_entry_reports_no_change() -> None:
     table = RecordTable()
     record = StorageRecord(budget=BudgetEntry(program="p", turn="t1", tokens=5))
     assert table.apply(record, 0.0)
--- a/tests/tier/storage/test_copy_rules.py
+++ b/tests/tier/storage/test_copy_rules.py
@@ -1,4 +1,4 @@
-"""No acknowledged write is missed by a read of the next set, whichever members skip the copy."""
+"""Reads of the next set find every acknowledged write, whichever members skip the copy."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def transitions(losses: int) -> Iterator[Placement]:
-    """Yield each change from one set to another, up to names; kept members are any of the present ones."""
+    """Yield every change of members of a current set up to `MAX_MEMBERS`, without renamed duplicates."""
     for size in range(losses + 1, MAX_MEMBERS + 1):
         current = members(size)
         added = [StorageMember(replica_id=f"n{number}") for number in range(size)]
@@ -30,24 +30,24 @@
 
 
 def members_without(write: set[str], placement: Placement, losses: int) -> list[str]:
-    """Return the next members that may lack a write of these members, once all are complete.
+    """Return the next members that may lack a write stored by the members `write`, after all copies.
 
-    A copy is taken from as many members as are required, of which none has the write if that can be.
+    In the worst case, a copy is made only from members that do not have the write.
     """
     current = {member.replica_id for member in placement.current}
-    may_copy_nothing = len(current - write) >= copy_sources_required(placement, losses)
+    can_sources_lack_write = len(current - write) >= copy_sources_required(placement, losses)
     lacking = []
     for member in placement.next:
         identity = member.replica_id
         if identity in write:
             continue
-        if can_skip_copy(identity, placement, losses) or may_copy_nothing:
+        if can_skip_copy(identity, placement, losses) or can_sources_lack_write:
             lacking.append(identity)
     return lacking
 
 
 @pytest.mark.parametrize("losses", [1, 2])
-def test_each_read_of_the_next_set_meets_each_acknowledged_write(losses: int) -> None:
+def test_every_read_quorum_of_the_next_set_overlaps_with_every_acknowledged_write(losses: int) -> None:
     checked = 0
     for placement in transitions(losses):
         current = quorum_sizes(len(placement.current), losses)
@@ -62,7 +62,7 @@
     ("losses", "before", "after", "skips"),
     [(1, 3, 3, True), (1, 3, 2, False), (2, 5, 5, True), (2, 5, 4, False), (1, 2, 3, True), (1, 4, 4, False)],
 )
-def test_a_member_skips_its_copy_only_where_reads_of_the_next_set_are_no_smaller(
+def test_member_skips_copy_only_if_the_next_read_quorum_is_not_smaller(
     losses: int, before: int, after: int, skips: bool
 ) -> None:
     current = members(before)
@@ -71,13 +71,13 @@
     assert can_skip_copy("r0", placement, losses) is skips
 
 
-def test_a_member_that_is_new_or_was_lost_never_skips_its_copy() -> None:
+def test_new_or_lost_member_never_skips_copy() -> None:
     placement = Placement(current=members(3, lost=1), next=[*members(3), StorageMember(replica_id="n0")])
     assert not can_skip_copy("r0", placement, 1)
     assert can_skip_copy("r1", placement, 1)
     assert not can_skip_copy("n0", placement, 1)
 
 
-def test_a_copy_needs_one_source_at_least() -> None:
+def test_copy_requires_at_least_one_source() -> None:
     assert copy_sources_required(Placement(current=members(1)), 2) == 1
     assert copy_sources_required(Placement(current=members(5)), 2) == 3
--- a/tests/tier/storage/test_process.py
+++ b/tests/tier/storage/test_process.py
@@ -1,4 +1,4 @@
-"""Until when a storage process that ends waits for others to take over, and what it answers."""
+"""Shutdown of a storage process with its wait for a takeover, and the dispatch of envelopes."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from wheatring.tier.storage.process import TAKEOVER_TIMEOUT_SECONDS, StorageProcess
 from wheatring.tier.transport.messages_pb2 import Envelope, Placement, ScanRequest, StorageRequest
 
-SOON, LATER = 0.0, TAKEOVER_TIMEOUT_SECONDS + 0.1
+BEFORE_TIMEOUT, AFTER_TIMEOUT = 0.0, TAKEOVER_TIMEOUT_SECONDS + 0.1
 CASES = [
-    # current, next, seconds waited, whether r0 may end
-    ([0, 1, 2], [], SOON, False),  # others may yet begin to take over
-    ([0, 1, 2], [], LATER, True),  # nobody does
-    ([0, 1, 2], [1, 2, 3], LATER, False),  # a takeover runs
-    ([0, 1, 2], [0, 1, 3], LATER, True),  # a change that keeps it is no takeover
-    ([1, 2, 3], [], SOON, True),  # it is out
-    ([1, 2, 3], [0, 2, 3], SOON, False),  # it is about to be a member
+    # current, next, seconds waited, whether r0 can exit
+    ([0, 1, 2], [], BEFORE_TIMEOUT, False),  # a takeover may still start
+    ([0, 1, 2], [], AFTER_TIMEOUT, True),  # no takeover has started
+    ([0, 1, 2], [1, 2, 3], AFTER_TIMEOUT, False),  # a takeover is running
+    ([0, 1, 2], [0, 1, 3], AFTER_TIMEOUT, True),  # r0 stays a member, so the change is no takeover
+    ([1, 2, 3], [], BEFORE_TIMEOUT, True),  # r0 is no longer a member
+    ([1, 2, 3], [0, 2, 3], BEFORE_TIMEOUT, False),  # r0 is a next member
 ]
 
 
-@pytest.mark.parametrize(("current", "following", "waited", "may_end"), CASES)
-def test_a_replica_ends_once_it_is_out_or_nobody_takes_over(
-    current: list[int], following: list[int], waited: float, may_end: bool
+@pytest.mark.parametrize(("current", "next_numbers", "waited_seconds", "can_exit"), CASES)
+def test_replica_exits_once_it_is_removed_or_no_takeover_is_expected(
+    current: list[int], next_numbers: list[int], waited_seconds: float, can_exit: bool
 ) -> None:
-    placement = Placement(epoch=2, current=members(*current), next=members(*following))
+    placement = Placement(epoch=2, current=members(*current), next=members(*next_numbers))
     process: Any = SimpleNamespace(
         subscription=SimpleNamespace(view=SimpleNamespace(placement=placement)),
         replica=SimpleNamespace(identity="r0"),
     )
-    assert StorageProcess._is_handed_over(process, waited) is may_end
+    assert StorageProcess._can_exit(process, waited_seconds) is can_exit
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
         (Envelope(), []),
     ],
 )
-def test_each_kind_of_envelope_is_answered_as_what_it_is(envelope: Envelope, answered: list[str]) -> None:
+def test_envelope_is_dispatched_by_its_kind(envelope: Envelope, answered: list[str]) -> None:
     started: list[str] = []
     process: Any = SimpleNamespace(
         _start_task=started.append,
--- a/tests/tier/storage/test_quorum_client.py
+++ b/tests/tier/storage/test_quorum_client.py
@@ -1,4 +1,4 @@
-"""When an exchange with the storage members is enough, and what it does until then."""
+"""Quorum reads and writes: the replies that are required, hedging, retries and stale placements."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 REPLY_SECONDS = 0.001
 TIMEOUT_SECONDS = 0.5
-SILENT = None
+NO_REPLY = None
 DONE = StorageReply(status=STORAGE_STATUS_DONE)
 FAILED = StorageReply(status=STORAGE_STATUS_DISK_FAILED)
 FOUND = StorageReply(status=STORAGE_STATUS_DONE, turns=[Turn(id="t0"), Turn(id="t1")])
@@ -37,7 +37,7 @@
 
 
 class Members:
-    """Three members and what each replies, by number; a client is made for each address."""
+    """Simulated members, each with a configured reply; also acts as their table of clients."""
 
     def __init__(self, *replies: StorageReply | None, losses: int = 1) -> None:
         self.loop = VirtualLoop()
@@ -56,11 +56,11 @@
     def client_for(self, address: str) -> MemberClient:
         return MemberClient(self, int(address[1:]))
 
-    def run(self, work: Callable[[], Awaitable[Any]]) -> Any:
-        async def play() -> Any:
-            return await work()
+    def run(self, operation: Callable[[], Awaitable[Any]]) -> Any:
+        async def run_operation() -> Any:
+            return await operation()
 
-        return self.loop.run_until_complete(play())
+        return self.loop.run_until_complete(run_operation())
 
     @property
     def called(self) -> list[int]:
@@ -92,7 +92,7 @@
     return lambda: group.client.read_conversation("t1", ["t9"], TIMEOUT_SECONDS)
 
 
-def test_a_write_asks_as_many_members_as_are_enough_the_nearest_first() -> None:
+def test_write_calls_the_minimum_number_of_members_nearest_first() -> None:
     group = Members(DONE, DONE, DONE)
     group.run(write(group))
     assert group.called[0] == 0 and len(group.called) == 2
@@ -100,28 +100,28 @@
     assert (request.replica_id, request.epoch) == ("r0", 3)
 
 
-def test_a_write_goes_to_a_further_member_where_one_is_slow() -> None:
-    group = Members(SILENT, DONE, DONE)
+def test_write_is_hedged_to_another_member_if_one_is_slow() -> None:
+    group = Members(NO_REPLY, DONE, DONE)
     group.run(write(group))
     assert sorted(group.called) == [0, 1, 2]
     assert HEDGE_DELAY_SECONDS <= group.loop.time() < 2 * HEDGE_DELAY_SECONDS
     group.calls.clear()
     group.run(write(group))
-    assert sorted(group.called) == [1, 2]  # the slow one is called last for a while
+    assert sorted(group.called) == [1, 2]  # the slow member is suspected and called last
 
 
 @pytest.mark.parametrize(
     "reply", [FAILED, StorageReply(status=STORAGE_STATUS_DISK_FAILED, turns=FOUND.turns)]
 )
-def test_a_write_goes_to_a_further_member_at_once_where_one_fails(reply: StorageReply) -> None:
+def test_write_calls_another_member_immediately_after_a_failure(reply: StorageReply) -> None:
     group = Members(reply, DONE, DONE)
     group.run(write(group))
     assert sorted(group.called) == [0, 1, 2]
     assert group.loop.time() < HEDGE_DELAY_SECONDS
 
 
-@pytest.mark.parametrize("replies", [(DONE, SILENT, SILENT), (DONE, FAILED, FAILED), (SILENT,) * 3])
-def test_a_write_that_too_few_members_acknowledge_is_no_write(
+@pytest.mark.parametrize("replies", [(DONE, NO_REPLY, NO_REPLY), (DONE, FAILED, FAILED), (NO_REPLY,) * 3])
+def test_write_without_a_quorum_raises_at_the_deadline(
     replies: tuple[StorageReply | None, ...],
 ) -> None:
     group = Members(*replies)
@@ -130,7 +130,7 @@
     assert TIMEOUT_SECONDS - 0.1 < group.loop.time() <= TIMEOUT_SECONDS + 0.01
 
 
-def test_a_member_that_recovers_within_the_time_is_asked_again() -> None:
+def test_write_is_retried_on_a_member_that_recovers_before_the_deadline() -> None:
     group = Members(DONE, FAILED, FAILED)
 
     async def recover() -> None:
@@ -143,7 +143,7 @@
     assert group.loop.time() < CALL_TIMEOUT_SECONDS
 
 
-def test_without_a_placement_nobody_is_asked() -> None:
+def test_no_member_is_called_without_a_placement() -> None:
     group = Members(DONE, DONE, DONE)
     group.placement = Placement()
     with pytest.raises(QuorumNotReachedError):
@@ -151,7 +151,7 @@
     assert group.calls == []
 
 
-def test_an_exchange_starts_anew_under_the_placement_of_a_member_that_knows_a_newer_one() -> None:
+def test_write_is_retried_under_a_newer_placement_from_a_member() -> None:
     group = Members(DONE, DONE, DONE)
     newer = Placement(epoch=4, current=members(1, 2))
     group.replies[0] = StorageReply(status=STORAGE_STATUS_STALE_EPOCH, placement=newer)
@@ -160,8 +160,8 @@
     assert {number for number, request in group.calls if request.epoch == 4} == {1, 2}
 
 
-def test_a_turn_is_read_from_one_member_that_has_it() -> None:
-    group = Members(FOUND, SILENT, SILENT)
+def test_turn_is_read_from_a_single_member_that_has_it() -> None:
+    group = Members(FOUND, NO_REPLY, NO_REPLY)
     found = group.run(read(group))
     assert [turn.id for turn in found] == ["t0", "t1"]
     assert group.called == [0]
@@ -173,41 +173,43 @@
     )
 
 
-def test_a_turn_that_one_member_lacks_is_read_from_another() -> None:
-    lacks = StorageReply(status=STORAGE_STATUS_DONE, turns=[Turn(id="t0")])
-    group = Members(lacks, FOUND, SILENT)
+def test_turn_missing_on_one_member_is_read_from_another() -> None:
+    missing = StorageReply(status=STORAGE_STATUS_DONE, turns=[Turn(id="t0")])
+    group = Members(missing, FOUND, NO_REPLY)
     assert [turn.id for turn in group.run(read(group))] == ["t0", "t1"]
     assert group.called == [0, 1]
 
 
-def test_only_a_read_quorum_says_that_there_is_no_such_turn() -> None:
-    group = Members(DONE, DONE, SILENT)
+def test_absence_of_a_turn_requires_a_read_quorum() -> None:
+    group = Members(DONE, DONE, NO_REPLY)
     assert group.run(read(group)) is None
-    group = Members(DONE, SILENT, SILENT)
+    group = Members(DONE, NO_REPLY, NO_REPLY)
     with pytest.raises(QuorumNotReachedError):
         group.run(read(group))
 
 
-def test_a_budget_entry_is_written_and_all_entries_are_merged() -> None:
+def test_budget_write_returns_the_merged_entries() -> None:
     entries = [BudgetEntry(turn="t1", tokens=5), BudgetEntry(turn="t1", tokens=3, settled=True)]
-    group = Members(*(StorageReply(status=STORAGE_STATUS_DONE, budget=[entry]) for entry in entries), SILENT)
+    group = Members(
+        *(StorageReply(status=STORAGE_STATUS_DONE, budget=[entry]) for entry in entries), NO_REPLY
+    )
     entry = BudgetEntry(program="p", turn="t2", tokens=9)
     found = group.run(lambda: group.client.write_budget(entry, TIMEOUT_SECONDS))
     assert found == [entries[1]]
     assert all(request.program == "p" and len(request.records) == 1 for _, request in group.calls)
 
 
-@pytest.mark.parametrize(("count", "told"), [(3, []), (4, [0, 1, 3])])
-def test_retention_is_extended_where_members_hold_different_turns(count: int, told: list[int]) -> None:
+@pytest.mark.parametrize(("count", "expected_calls"), [(3, []), (4, [0, 1, 3])])
+def test_retention_is_extended_if_members_hold_different_turns(count: int, expected_calls: list[int]) -> None:
     group = Members(*[DONE] * count)
     group.placement.current[2].lost = True
     group.client.extend_retention(["t1", "t2"], 1.5)
-    assert [number for number, _ in group.sent] == told
+    assert [number for number, _ in group.sent] == expected_calls
     for number, request in group.sent:
         assert (request.replica_id, request.epoch, request.extension_ms) == (f"r{number}", 3, 1500)
         assert list(request.extended_turn_ids) == ["t1", "t2"]
 
 
-def test_the_error_names_the_key_or_says_what_it_was_given() -> None:
+def test_quorum_error_contains_the_key_or_the_given_message() -> None:
     assert "t7" in str(QuorumNotReachedError("t7"))
     assert str(QuorumNotReachedError("t7", "no time left")) == "no time left"
--- a/tests/tier/storage/test_record_table.py
+++ b/tests/tier/storage/test_record_table.py
@@ -1,4 +1,4 @@
-"""What a replica's table keeps, for how long, and how it is read page by page."""
+"""The record table of a replica: retention, expiry and paged scans."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return StorageRecord(budget=BudgetEntry(program="p", turn=turn_id, tokens=5))
 
 
-def test_a_turn_that_is_known_is_no_change_and_is_kept_for_longer() -> None:
+def test_applying_a_known_turn_only_extends_its_retention() -> None:
     table = RecordTable()
     assert table.apply(turn("t1"), 0.0)
     assert not table.apply(turn("t1"), 50.0)
@@ -31,14 +31,14 @@
     assert not table.has_turn("t1")
 
 
-def test_a_turn_keeps_its_ancestors() -> None:
+def test_turn_extends_the_retention_of_its_ancestors() -> None:
     table = RecordTable()
     table.apply(turn("t1"), 0.0)
     table.apply(turn("t2", "t1"), 50.0)
     assert table.expire(100.0) == 0 and table.has_turn("t1")
 
 
-def test_only_a_turn_that_is_here_is_renewed() -> None:
+def test_renew_extends_a_stored_turn_and_ignores_an_unknown_one() -> None:
     table = RecordTable()
     assert not table.renew_turn("t1", 0.0)
     table.apply(turn("t1"), 0.0)
@@ -47,7 +47,7 @@
     assert table.turn("t1") is not None and table.turn("t2") is None
 
 
-def test_what_expires_is_dropped_with_the_budget_that_it_is_part_of() -> None:
+def test_expired_turns_and_budget_entries_are_removed() -> None:
     table = RecordTable()
     table.apply(turn("t1"), 0.0)
     table.apply(budget("t1"), 0.0)
@@ -60,7 +60,7 @@
     assert table.budget_entries("p") == [] and table.payloads() == []
 
 
-def test_a_scan_returns_what_is_wanted_page_by_page() -> None:
+def test_scan_returns_matching_records_in_pages() -> None:
     table = RecordTable()
     for number in range(6):
         table.apply(turn(f"t{number}"), 0.0)
--- a/tests/tier/storage/test_repair.py
+++ b/tests/tier/storage/test_repair.py
@@ -1,4 +1,4 @@
-"""What a repair asks its sources for: each turn once, whatever becomes of a source meanwhile."""
+"""Repair of a replica: every turn is fetched once, and failing sources do not delay the copy."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Source:
-    """A client of one replica, which counts the turns that it sends."""
+    """A client of one source replica, which counts the turns that the source sends."""
 
     def __init__(self, replica: Replica, sent: Counter[str], fails: Callable[[Envelope], bool]) -> None:
         self.replica = replica
@@ -50,7 +50,7 @@
 
 
 class Sources:
-    """Stands in for the table of clients."""
+    """A fake of the table of clients."""
 
     def __init__(self) -> None:
         self.by_address: dict[str, Source] = {}
@@ -59,7 +59,7 @@
         return self.by_address[address]
 
 
-def opened(folder: Path, clock: Callable[[], float] = lambda: 0.0) -> Replica:
+def open_replica(folder: Path, clock: Callable[[], float] = lambda: 0.0) -> Replica:
     folder.mkdir()
     replica = Replica(folder, 1, clock)
     replica.open()
@@ -72,39 +72,41 @@
     return [*turns, StorageRecord(budget=entry)]
 
 
-def repaired(folder: Path, fails: Callable[[str, Envelope], bool]) -> tuple[Counter[str], Replica, float]:
-    """Copy from three sources that all hold everything; `fails` says which calls stay without a reply."""
+def repair_from_sources(
+    folder: Path, fails: Callable[[str, Envelope], bool]
+) -> tuple[Counter[str], Replica, float]:
+    """Copy from three sources that hold all records; `fails` selects the calls that time out."""
     loop = VirtualLoop()
     sent: Counter[str] = Counter()
 
-    async def play() -> tuple[Replica, float]:
+    async def scenario() -> tuple[Replica, float]:
         sources = Sources()
         members = []
         for name in ("a", "b", "c"):
-            replica = opened(folder / name)
+            replica = open_replica(folder / name)
             await replica.store(records())
             sources.by_address[name] = Source(replica, sent, lambda e, name=name: fails(name, e))  # type: ignore[misc]
             members.append(StorageMember(replica_id=replica.identity, node=name, address=name))
-        new = opened(folder / "new")
-        following = [*members[:2], StorageMember(replica_id=new.identity, node="new", address="new")]
+        new = open_replica(folder / "new")
+        next_members = [*members[:2], StorageMember(replica_id=new.identity, node="new", address="new")]
         repair = Repair(new, sources, 1)  # type: ignore[arg-type]
-        began = loop.time()
-        repair.on_placement(Placement(epoch=2, current=members, next=following))
+        started_at = loop.time()
+        repair.on_placement(Placement(epoch=2, current=members, next=next_members))
         async with asyncio.timeout(30):
             while repair.complete_epoch < 2:
                 await asyncio.sleep(0.001)
-        return new, loop.time() - began
+        return new, loop.time() - started_at
 
-    replica, seconds = run(loop, play)
+    replica, seconds = run(loop, scenario)
     return sent, replica, seconds
 
 
-def run(loop: VirtualLoop, play: Callable[[], Any]) -> Any:
-    return loop.run_until_complete(play())
+def run(loop: VirtualLoop, scenario: Callable[[], Any]) -> Any:
+    return loop.run_until_complete(scenario())
 
 
-def test_each_turn_is_sent_once(tmp_path: Path) -> None:
-    sent, replica, seconds = repaired(tmp_path, lambda _name, _envelope: False)
+def test_each_turn_is_sent_by_one_source_only(tmp_path: Path) -> None:
+    sent, replica, seconds = repair_from_sources(tmp_path, lambda _name, _envelope: False)
     assert all(replica.table.has_turn(turn) for turn in TURNS)
     assert replica.table.budget_entries("p")[0].tokens == 5
     assert set(sent.values()) == {1}
@@ -112,26 +114,28 @@
 
 
 @pytest.mark.parametrize("name", ["a", "b", "c"])
-def test_a_source_that_falls_silent_when_asked_holds_nothing_up(tmp_path: Path, name: str) -> None:
+def test_source_that_stops_responding_to_fetches_delays_the_copy_by_one_timeout_at_most(
+    tmp_path: Path, name: str
+) -> None:
     def fails(source: str, envelope: Envelope) -> bool:
         return source == name and bool(envelope.scan_request.turn_ids)
 
-    _, replica, seconds = repaired(tmp_path, fails)
+    _, replica, seconds = repair_from_sources(tmp_path, fails)
     assert all(replica.table.has_turn(turn) for turn in TURNS)
     assert seconds < FETCH_TIMEOUT_SECONDS + 0.1
 
 
-def test_a_turn_that_is_here_already_is_kept_as_long_as_at_its_sources(tmp_path: Path) -> None:
-    """The member was cut off while the others were told to keep the conversation."""
+def test_retention_of_a_turn_already_held_is_renewed_by_the_copy(tmp_path: Path) -> None:
+    """The member was partitioned while the retention was extended on the other members."""
     loop = VirtualLoop()
 
-    async def play() -> Replica:
+    async def scenario() -> Replica:
         first = StorageRecord(turn=Turn(id="t1", retention_ms=60_000))
         clock = [0.0]
         sources = Sources()
         members = []
         for name in ("a", "b", "new"):
-            replica = opened(tmp_path / name, lambda: clock[0])
+            replica = open_replica(tmp_path / name, lambda: clock[0])
             await replica.store([first])
             sources.by_address[name] = Source(replica, Counter(), lambda _envelope: False)
             members.append(StorageMember(replica_id=replica.identity, node=name, address=name))
@@ -140,11 +144,11 @@
         for name in ("a", "b"):
             sources.by_address[name].replica.table.extend_expiry("t1", 120.0)
         clock[0] = 60.0
-        extra = [
+        lost_members = [
             StorageMember(replica_id=f"x{n}", node=f"x{n}", address=f"x{n}", lost=True) for n in range(2)
         ]
         repair = Repair(replica, sources, 1)  # type: ignore[arg-type]
-        repair.on_placement(Placement(epoch=2, current=[*members, *extra], next=members))
+        repair.on_placement(Placement(epoch=2, current=[*members, *lost_members], next=members))
         async with asyncio.timeout(30):
             while repair.complete_epoch < 2:
                 await asyncio.sleep(0.001)
@@ -152,17 +156,17 @@
         replica.table.expire(clock[0])
         return replica
 
-    replica = run(loop, play)
+    replica = run(loop, scenario)
     assert replica.table.has_turn("t1")
 
 
-def test_a_requester_that_does_not_list_turns_gets_their_records(tmp_path: Path) -> None:
+def test_scan_without_list_turns_returns_full_records(tmp_path: Path) -> None:
     loop = VirtualLoop()
 
-    async def play() -> ScanReply:
+    async def scenario() -> ScanReply:
         from wheatring.tier.transport.messages_pb2 import ScanRequest
 
-        replica = opened(tmp_path / "a")
+        replica = open_replica(tmp_path / "a")
         await replica.store(records())
         member = StorageMember(replica_id="new", node="new", address="new")
         request = ScanRequest(
@@ -173,13 +177,13 @@
         )
         return await replica.handle_scan(request)
 
-    reply = run(loop, play)
+    reply = run(loop, scenario)
     assert [record.turn.id for record in reply.records if record.HasField("turn")] == TURNS
     assert not reply.turn_ids
 
 
 class StatusSource(Source):
-    """A source that refuses its first calls with a status of its own."""
+    """A source that rejects its first calls with a given status."""
 
     def __init__(self, replica: Replica, status: StorageStatus, refusals: int) -> None:
         super().__init__(replica, Counter(), lambda _envelope: False)
@@ -195,15 +199,17 @@
 
 
 @pytest.mark.parametrize("status", [STORAGE_STATUS_STALE_EPOCH, STORAGE_STATUS_DISK_FAILED])
-def test_a_source_that_refuses_is_no_source_that_has_nothing(tmp_path: Path, status: StorageStatus) -> None:
+def test_rejected_scan_is_retried_and_not_taken_for_an_empty_source(
+    tmp_path: Path, status: StorageStatus
+) -> None:
     loop = VirtualLoop()
 
-    async def play() -> Replica:
+    async def scenario() -> Replica:
         sources = Sources()
-        source = opened(tmp_path / "a")
+        source = open_replica(tmp_path / "a")
         await source.store(records())
         sources.by_address["a"] = StatusSource(source, status, refusals=3)
-        new = opened(tmp_path / "new")
+        new = open_replica(tmp_path / "new")
         member, other = (
             StorageMember(replica_id=r.identity, address=name) for r, name in ((source, "a"), (new, "n"))
         )
@@ -214,23 +220,23 @@
                 await asyncio.sleep(0.001)
         return new
 
-    replica = run(loop, play)
+    replica = run(loop, scenario)
     assert all(replica.table.has_turn(turn) for turn in TURNS)
 
 
-def test_a_placement_that_is_old_or_names_others_asks_nothing_of_a_replica(tmp_path: Path) -> None:
+def test_old_placements_and_those_without_the_replica_start_no_repair(tmp_path: Path) -> None:
     loop = VirtualLoop()
 
-    async def play() -> tuple[Replica, list[int]]:
+    async def scenario() -> tuple[Replica, list[int]]:
         sources = Sources()
-        replica = opened(tmp_path / "a")
+        replica = open_replica(tmp_path / "a")
         me = StorageMember(replica_id=replica.identity, address="a")
         other = StorageMember(replica_id="other", address="b")
         repair = Repair(replica, sources, 1)  # type: ignore[arg-type]
         seen = []
         for placement in (
             Placement(epoch=2, current=[me], next=[me]),
-            Placement(epoch=1, current=[other], next=[other, me]),  # a source that nobody could ask
+            Placement(epoch=1, current=[other], next=[other, me]),  # an unknown source: a call would fail
             Placement(epoch=3, current=[me], next=[other]),
             Placement(epoch=3, current=[other], next=[other, me]),
         ):
@@ -239,16 +245,16 @@
             seen.append(repair.complete_epoch)
         return replica, seen
 
-    replica, seen = run(loop, play)
+    replica, seen = run(loop, scenario)
     assert seen == [2, 2, 2, 2]
     assert replica.placement.epoch == 3 and replica.fence_epoch == 2
 
 
-def test_a_copy_that_was_complete_before_a_restart_is_not_made_again(tmp_path: Path) -> None:
+def test_copy_completed_before_a_restart_is_not_repeated(tmp_path: Path) -> None:
     loop = VirtualLoop()
 
-    async def play() -> int:
-        replica = opened(tmp_path / "a")
+    async def scenario() -> int:
+        replica = open_replica(tmp_path / "a")
         await replica.record_complete_epoch(5)
         other = StorageMember(replica_id="other", address="b")
         me = StorageMember(replica_id=replica.identity, address="a")
@@ -257,4 +263,4 @@
         await asyncio.sleep(1.0)
         return replica.fence_epoch
 
-    assert run(loop, play) == 0
+    assert run(loop, scenario) == 0
--- a/tests/tier/storage/test_suspects.py
+++ b/tests/tier/storage/test_suspects.py
@@ -1,4 +1,4 @@
-"""The order in which members are called."""
+"""The order in which storage members are called."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from wheatring.tier.storage.suspects import SUSPICION_SECONDS, SuspectedMembers
 
 
-def test_members_of_the_own_zone_come_first_and_those_that_were_silent_last() -> None:
+def test_members_of_the_same_zone_are_called_first_and_suspected_ones_last() -> None:
     suspects = SuspectedMembers("z1")
     three = members(0, 1, 2)
     assert [m.replica_id for m in suspects.in_call_order(three, 0.0)] == ["r1", "r0", "r2"]
--- a/wheatring/lab/model_checker/consensus_model.py
+++ b/wheatring/lab/model_checker/consensus_model.py
@@ -114,7 +114,8 @@
     def _machine_key(self, machine: SimulatedMachine) -> tuple[object, ...]:
         replica, disk = machine.replica, machine.disk
         progress = tuple(
-            (i, p.on_disk, p.sent, replica.round - p.round) for i, p in sorted(replica.progress.items())
+            (i, p.synced_position, p.sent_position, replica.round - p.round)
+            for i, p in sorted(replica.progress.items())
         )
         contact_age = round(min(self.now - replica.leader_contact_at, replica.timing.election_seconds), 2)
         due = round(replica.next_deadline() - self.now, 2)
@@ -124,7 +125,7 @@
         votes = tuple(sorted(replica._votes)) if replica.state is not State.FOLLOWER else ()
         return (
             (replica.state, replica.term, replica.voted_for, _entry_key(replica.entry), committed),
-            (replica.on_disk, votes, progress, contact_age, due, tuple(replica.learners)),
+            (replica.synced_position, votes, progress, contact_age, due, tuple(replica.learners)),
             disk_key,
             pending,
         )
@@ -255,7 +256,7 @@
             return False
         write = machine.pending.pop(0)
         machine.disk.keep(write.record)
-        return self._carry_out(machine, machine.replica.written(self.now, write))
+        return self._carry_out(machine, machine.replica.write_completed(self.now, write))
 
     def _do_fail(self, name: str) -> bool:
         """Let the oldest write fail."""
@@ -317,7 +318,7 @@
         if applied.new_state is not None:
             return False  # accepted anew by a leader that can no longer commit it
         if not isinstance(applied.outcomes[0], Accepted | Indeterminate):
-            number, effects = replica.confirm(self.now)
+            number, effects = replica.confirm_leadership(self.now)
             pending_commands = PendingCommand(
                 name, machine.incarnation, replica.term, None, number, None, -1, 0
             )
@@ -335,7 +336,7 @@
         if not self.rules.reads_need_round:
             self.history.saw_read(generation, min_generation)
             return True
-        number, effects = replica.confirm(self.now)
+        number, effects = replica.confirm_leadership(self.now)
         pending_commands = PendingCommand(
             name, machine.incarnation, replica.term, None, number, None, generation, min_generation
         )
@@ -358,7 +359,7 @@
             return False
         newest = entry_position(replica.entry)
         candidates = [
-            Candidate(member, replica.progress[i].on_disk == newest)
+            Candidate(member, replica.progress[i].synced_position == newest)
             for i, member in learners.items()
             if i in replica.progress
         ]
--- a/wheatring/lab/model_checker/consensus_mutants.py
+++ b/wheatring/lab/model_checker/consensus_mutants.py
@@ -72,7 +72,7 @@
         super()._become_leader(now, effects)
         if found.index > 1:
             self.entry = found
-            self._write_position = self.on_disk
+            self._submitted_position = self.synced_position
             self.committed = None
             effects.writes[:] = [write for write in effects.writes if write.position is None]
             effects.messages.clear()
@@ -83,7 +83,7 @@
             super()._advance_commit(now, effects)
             return
         target = entry_position(self.entry)
-        synced_ids = {i for i, progress in self.progress.items() if progress.on_disk == target}
+        synced_ids = {i for i, progress in self.progress.items() if progress.synced_position == target}
         if has_quorum(self.entry, synced_ids | {self.me.replica_id}):
             self.committed = self.entry
 
--- a/wheatring/tier/consensus/__init__.py
+++ b/wheatring/tier/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Consensus on the control state: elections, replication and membership changes, free of I/O."""
+"""Consensus on the control state: elections, replication and voter changes, without I/O."""
--- a/wheatring/tier/consensus/election.py
+++ b/wheatring/tier/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and the first steps of an elected leader."""
+"""Leader election: pre-votes, votes, and the start of a new leader's term."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Election(Replication):
-    """A replica's part in elections: it campaigns, votes, and counts votes."""
+    """The election part of a replica: campaigning, voting and counting votes."""
 
     def _campaign(self, now: float, effects: Effects, *, pre_vote: bool, transfer: bool = False) -> None:
         self.state = State.PRE_CANDIDATE if pre_vote else State.CANDIDATE
         self.leader = None
         self._votes = {self.me.replica_id}
-        term = self.term + 1  # of the election; a pre-vote leaves the replica's own term as it is
+        term = self.term + 1  # a pre-vote does not change the replica's own term
         others = [voter for voter in self.members if voter.replica_id != self.me.replica_id]
         requests = [
             Outgoing(voter, self._vote_request(voter, term, pre_vote=pre_vote, transfer=transfer))
@@ -26,7 +26,7 @@
             self._count_votes(now, effects)
             return
         self._set_term(term, voted_for=self.me.replica_id)
-        self._reset_election(now)
+        self._reset_election_timer(now)
         effects.writes.append(Write(self._hard_state_record(), requests))
         self._count_votes(now, effects)
 
@@ -51,7 +51,7 @@
 
     def _handle_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
         if not self.entry.voters and not self.entry.index:
-            return  # an empty replica knows of no cluster that it could vote in
+            return  # an empty replica is not a member of any cluster yet
         is_up_to_date = (request.last_term, request.last_index) >= entry_position(self.entry)
         has_leader = self.state is State.LEADER or (
             now - self.leader_contact_at < self.timing.election_seconds
@@ -62,17 +62,22 @@
             effects.messages.append(self._vote_reply(request, term, granted))
             return
         if has_leader and not request.transfer and request.term > self.term:
-            return  # its leader is alive: the candidate was partitioned away
+            return  # the leader is alive; the candidate was probably partitioned from it
         if request.term > self.term:
             self._set_term(request.term, voted_for="")
             self._become_follower(now, None)
-        is_vote_free = self.voted_for in ("", request.candidate.replica_id)
-        is_contending = self.state in (State.CANDIDATE, State.LEADER)
-        granted = request.term == self.term and is_up_to_date and is_vote_free and not is_contending
+        can_vote_for_candidate = self.voted_for in ("", request.candidate.replica_id)
+        is_candidate_or_leader = self.state in (State.CANDIDATE, State.LEADER)
+        granted = (
+            request.term == self.term
+            and is_up_to_date
+            and can_vote_for_candidate
+            and not is_candidate_or_leader
+        )
         if granted:
             self.voted_for = request.candidate.replica_id
-            self._reset_election(now)
-        # Also where nothing changes: an earlier write of the same vote may still be in flight.
+            self._reset_election_timer(now)
+        # Write even if nothing has changed: an earlier write of the same vote may still be in flight.
         reply = self._vote_reply(request, self.term, granted)
         effects.writes.append(Write(self._hard_state_record(), [reply]))
 
@@ -103,6 +108,6 @@
         self.round_started = {}
         self.confirmed_round = self.round
         self.progress = {}
-        # Versions of the soft state rise with the term, so that an older leader's is never taken for newer.
+        # The term is the upper half of the version, so a version of an older leader is never newer.
         self.soft_version = max(self.soft_version, self.term << 32)
         self._append_entry(now, self._next_entry(), effects)
--- a/wheatring/tier/consensus/electorate.py
+++ b/wheatring/tier/consensus/electorate.py
@@ -1,8 +1,8 @@
-"""The voters of an entry, and which replicas form a quorum of it.
+"""The voter sets of an entry, and its quorums.
 
-While the voters change, an entry names two sets, and a quorum needs a majority of each (joint consensus, Raft
-section 6). Any quorum of one entry therefore overlaps with any quorum of the entry before it and of the entry
-behind it, whatever the two sets are and whichever replicas have been lost.
+During a voter change an entry has two voter sets, and a quorum needs a majority of each (joint consensus,
+section 6 of the Raft paper). Every quorum of an entry therefore overlaps with every quorum of the entries
+directly before and after it, for any two sets and any loss of replicas.
 """
 
 from __future__ import annotations
@@ -18,37 +18,37 @@
 
 
 def is_joint(entry: Entry) -> bool:
-    """Tell whether the entry belongs to a voter change that is in progress."""
+    """Whether the entry is part of a voter change in progress."""
     return bool(entry.old_voters)
 
 
 def all_voters(entry: Entry) -> list[Member]:
-    """Return the voters of both sets, each once, the old set first."""
+    """Return the voters of both sets without duplicates, the old set first."""
     by_id = {member.replica_id: member for member in (*entry.old_voters, *entry.voters)}
     return list(by_id.values())
 
 
 def majority(count: int) -> int:
-    """Return the smallest number of voters that is more than half of `count`."""
+    """Return the smallest number of voters that is a majority of `count`."""
     return count // 2 + 1
 
 
 def has_quorum(entry: Entry, replica_ids: Collection[str]) -> bool:
-    """Tell whether these replicas are a majority of each voter set of an entry."""
+    """Whether these replicas include a majority of each voter set of an entry."""
     return all(
         len(member_ids(voters) & set(replica_ids)) >= majority(len(voters)) for voters in _voter_sets(entry)
     )
 
 
 def quorum_value(entry: Entry, value_of: Callable[[str], int]) -> int:
-    """Return the largest number that a quorum of an entry has reached.
+    """Return the largest value that every replica of some quorum of an entry has reached.
 
     Parameters
     ----------
     entry
-        The entry whose voters count.
+        The entry that names the voters.
     value_of
-        Gives the number that one replica, named by its identity, has reached.
+        Returns the value that a replica has reached, by its identity.
     """
     reached = []
     for voters in _voter_sets(entry):
@@ -65,19 +65,20 @@
 
 
 def change_voters(entry: Entry, voters: Iterable[Member]) -> None:
-    """Replace the voters of an entry that names the present ones.
+    """Replace the voters of an entry that has been created with the current ones.
 
-    Where other replicas come to vote, the present voters stay as the entry's old set until it is committed,
-    and the entry behind it ends the change. New descriptions of the same replicas need no joint entry.
+    If the set of replicas changes, the entry becomes a joint one: the current voters are kept as its old set,
+    and the next entry after its commit ends the change. If only descriptions of the same replicas change, no
+    joint entry is needed.
     """
-    present = list(entry.voters)
-    wanted = list(voters)
+    current = list(entry.voters)
+    requested = list(voters)
     del entry.voters[:]
-    entry.voters.extend(wanted)
-    if member_ids(present) != member_ids(wanted):
-        entry.old_voters.extend(present)
+    entry.voters.extend(requested)
+    if member_ids(current) != member_ids(requested):
+        entry.old_voters.extend(current)
 
 
 def finish_change(entry: Entry) -> None:
-    """Drop the old voter set from an entry that follows a committed joint one."""
+    """Remove the old voter set from an entry that follows a committed joint entry."""
     del entry.old_voters[:]
--- a/wheatring/tier/consensus/replica.py
+++ b/wheatring/tier/consensus/replica.py
@@ -1,18 +1,22 @@
-"""One replica of the control state: Raft with a log that is always one entry long.
-
-Every entry holds the complete state, so accepting an entry replaces the one before it and there is nothing
-to compact. A leader has at most one uncommitted entry of its own. All else is as in Raft (Ongaro's thesis):
-a vote goes only to a candidate whose entry is at least as new; term, vote and entry are on disk before any
-message speaks of them; an entry is committed once a quorum of *its* voters has it on disk in the leader's
-own term; a new leader first commits the state that it found, under its own term; the voters change through
-an entry that names the old set and the new one (`electorate`). Pre-vote keeps a replica that was partitioned
-away from disturbing the others, and a leader without a quorum for two election time-outs steps down
-(check-quorum).
-
-The class takes events and the time (seconds on any steady clock) and returns effects. It does no I/O and
-reads no clock. States: FOLLOWER -> (PRE_CANDIDATE ->) CANDIDATE -> LEADER; any message with a higher term
-leads back to FOLLOWER. Two things must never happen: two leaders of one term, and a message sent before the
-record that it speaks of is synced. Why that is enough is written in docs/design/control-safety.md.
+"""One replica of the control state: Raft with a log of exactly one entry.
+
+Every entry holds the complete state, so an accepted entry replaces the previous one and no log compaction is
+needed. A leader has at most one uncommitted entry of its own. The other rules are those of Raft (Ongaro's
+thesis):
+
+- A replica votes only for a candidate whose entry is at least as new as its own.
+- Term, vote and entry are synced to disk before a message that depends on them is sent.
+- An entry is committed once a quorum of *its* voters has it on disk in the leader's own term.
+- A new leader first commits the state that it found, as an entry of its own term.
+- The voters change through a joint entry, which names the old and the new set (`electorate`).
+- Pre-vote prevents a replica that was partitioned from forcing an election when it returns.
+- A leader that no quorum has answered for two election time-outs steps down (check-quorum).
+
+The class receives events with the current time (seconds on a monotonic clock) and returns effects; it does no
+I/O and reads no clock. The states are FOLLOWER -> (PRE_CANDIDATE ->) CANDIDATE -> LEADER; a message with a
+higher term leads back to FOLLOWER. Two invariants must hold: there is at most one leader per term, and no
+message is sent before the record that it depends on is synced. docs/design/control-safety.md shows why these
+two are sufficient.
 """
 
 from __future__ import annotations
@@ -26,28 +30,28 @@
 
 
 class Replica(Election):
-    """The state machine of one replica: its methods are the events that its host delivers."""
+    """The state machine of one replica; its methods are the events that its host delivers."""
 
     def next_deadline(self) -> float:
         """Return the time at which `tick` is due."""
         if self.state is State.LEADER:
-            return self._heartbeat_at
-        return self._election_at
+            return self._heartbeat_due_at
+        return self._election_due_at
 
     def tick(self, now: float) -> Effects:
-        """Act on the passing of time: send a heartbeat, step down, or start an election."""
+        """Handle expired timers: send a heartbeat, step down, or start an election."""
         effects = Effects()
         if self.state is State.LEADER:
-            if now >= self._heartbeat_at:
+            if now >= self._heartbeat_due_at:
                 self._heartbeat_or_step_down(now, effects)
-        elif now >= self._election_at:
-            self._reset_election(now)
+        elif now >= self._election_due_at:
+            self._reset_election_timer(now)
             if self.is_voter:
                 self._campaign(now, effects, pre_vote=True)
         return effects
 
     def _heartbeat_or_step_down(self, now: float, effects: Effects) -> None:
-        """Send the next heartbeat, or step down where no quorum has answered for too long."""
+        """Send the next heartbeat, or step down if no quorum has answered within the quorum time-out."""
         if now - self.confirmed_at > self.timing.quorum_timeout_seconds:
             self._become_follower(now, None)
             return
@@ -57,7 +61,7 @@
     def receive(self, now: float, message: Message) -> Effects:
         """Handle a message.
 
-        One for another identity is dropped: it was meant for the disk that stood at this address before.
+        A message for another identity is dropped: it was sent to a previous disk at this address.
         """
         effects = Effects()
         if message.to != self.me.replica_id:
@@ -74,26 +78,26 @@
             self._campaign(now, effects, pre_vote=False, transfer=True)
         return effects
 
-    def written(self, now: float, write: Write) -> Effects:
-        """Note that a write is on disk, and release the messages that waited for it."""
+    def write_completed(self, now: float, write: Write) -> Effects:
+        """Record that a write is synced, and return the messages that depend on it."""
         effects = Effects(messages=write.on_synced)
         if write.position is not None:
-            self.on_disk = max(self.on_disk, write.position)
+            self.synced_position = max(self.synced_position, write.position)
             self._advance_commit(now, effects)
         return effects
 
     def write_failed(self, write: Write) -> None:
-        """Note that a write did not reach the disk; the messages that waited for it are never sent."""
-        if write.position is not None and write.position == self._write_position:
-            self._write_position = self.on_disk
+        """Record that a write has failed; the messages that depend on it are never sent."""
+        if write.position is not None and write.position == self._submitted_position:
+            self._submitted_position = self.synced_position
 
     def propose(
         self, now: float, data: bytes, voters: Iterable[Member] | None = None
     ) -> tuple[Position, Effects]:
         """Replace the state by a new entry.
 
-        With other voters than the present ones, the entry is a joint one, and the entry that ends the change
-        follows by itself once the joint one is committed.
+        If the voters change, the entry is a joint one, and the leader appends the entry that ends the change
+        once the joint one is committed.
 
         Parameters
         ----------
@@ -102,19 +106,19 @@
         data
             The new state, serialized.
         voters
-            The voters from this entry on; None leaves them as they are.
+            The voters from this entry on; None keeps the current ones.
 
         Returns
         -------
-        The position of the entry, whose commit decides the result, and the effects to carry out.
+        The position of the entry, which takes effect once it is committed, and the effects to carry out.
 
         Raises
         ------
         RuntimeError
-            Where `can_propose` does not hold.
+            If `can_propose` is false.
         """
         if not self.can_propose:
-            raise RuntimeError("not a leader that is free to propose")
+            raise RuntimeError("replica is not a ready leader, or an entry or voter change is in progress")
         entry = self._next_entry()
         entry.data = data
         if voters is not None:
@@ -124,7 +128,7 @@
         return entry_position(entry), effects
 
     def set_learners(self, learners: dict[str, Member]) -> None:
-        """Set the replicas, by identity, that receive entries without having a vote."""
+        """Set the non-voting replicas that receive entries, by identity."""
         self.learners = learners
         if self.state is State.LEADER:
             self._update_progress()
--- a/wheatring/tier/consensus/state.py
+++ b/wheatring/tier/consensus/state.py
@@ -1,6 +1,6 @@
-"""The variables of a replica and its changes of term and role.
+"""The state variables of a replica, and its transitions of term and role.
 
-Elections (`election`) and replication (`replication`) build on this module.
+`Replication` extends this class, and `Election` extends `Replication`.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 class ReplicaState:
-    """The variables of one replica. All times are seconds on any steady clock."""
+    """The state variables of one replica. All times are seconds on a monotonic clock."""
 
     def __init__(
         self, me: Member, hard_state: HardState, entry: Entry, random: Random, now: float, timing: Timing
     ) -> None:
-        """Start as a follower from the hard state (term and vote) and the entry that are on disk.
+        """Start as a follower with the hard state (term and vote) and the entry read from disk.
 
         Parameters
         ----------
@@ -44,37 +44,37 @@
         self.state = State.FOLLOWER
         self.term = hard_state.term
         self.voted_for = hard_state.voted_for
-        self.entry = entry  # the newest accepted one, perhaps not on disk yet
-        self.committed: Entry | None = None  # the newest one known to be committed
-        self.on_disk: Position = entry_position(entry)
-        self._write_position: Position = (0, 0)  # of the newest entry handed to the disk
-        self._accepted_at = now  # when this leader accepted its newest entry
+        self.entry = entry  # the newest accepted entry, possibly not synced yet
+        self.committed: Entry | None = None  # the newest entry known to be committed
+        self.synced_position: Position = entry_position(entry)
+        self._submitted_position: Position = (0, 0)  # of the newest entry handed to the host for writing
+        self._entry_accepted_at = now  # when this leader accepted its newest entry
         self.leader: Member | None = None
         self.leader_contact_at = NEVER_SECONDS
-        self.contact_at = NEVER_SECONDS  # all that was acknowledged by then is known here
-        self._reply_number = random.getrandbits(32)  # of the newest reply; each incarnation starts elsewhere
+        self.quorum_contact_at = NEVER_SECONDS  # everything acknowledged before this time is committed here
+        self._reply_number = random.getrandbits(32)  # random start, to tell replies before a restart apart
         self._reply_sent_at: dict[int, float] = {}  # by reply number
         self.soft_version = 0
         self.soft_state = b""
-        self.progress: dict[str, Progress] = {}  # of a leader: every other voter and learner
+        self.progress: dict[str, Progress] = {}  # of every other voter and learner; leader only
         self.learners: dict[str, Member] = {}
         self.round = 0
         self.round_started: dict[int, float] = {}
         self.confirmed_round = 0
-        self.confirmed_at = NEVER_SECONDS  # start of the newest round that a quorum has answered
+        self.confirmed_at = NEVER_SECONDS  # start time of the newest round that a quorum has answered
         self._votes: set[str] = set()
-        self._election_at = 0.0
-        self._heartbeat_at = 0.0
-        self._reset_election(now)
+        self._election_due_at = 0.0
+        self._heartbeat_due_at = 0.0
+        self._reset_election_timer(now)
 
     @property
     def voters(self) -> list[Member]:
-        """The voters of the newest accepted entry, committed or not, as in Raft; in a change, the new set."""
+        """The voters of the newest accepted entry, committed or not; during a change, the new set."""
         return list(self.entry.voters)
 
     @property
     def members(self) -> list[Member]:
-        """All replicas that vote now; in a change, the members of both sets."""
+        """All replicas that have a vote; during a change, those of both sets."""
         return all_voters(self.entry)
 
     @property
@@ -84,7 +84,7 @@
 
     @property
     def is_ready_leader(self) -> bool:
-        """Whether this replica leads and has committed the state that it found when it was elected."""
+        """Whether this replica leads and has committed an entry of its own term."""
         return self.state is State.LEADER and self.committed is not None and self.committed.term == self.term
 
     @property
@@ -98,27 +98,27 @@
         return entry_position(self.committed) if self.committed is not None else (0, 0)
 
     def staleness(self, now: float) -> float:
-        """Return the age in seconds up to which acknowledgements may be unknown to this replica.
+        """Return how stale this replica may be: entries acknowledged longer ago, in seconds, are known here.
 
-        A leader counts from the newest round that a quorum has answered. A follower counts from the moment at
-        which it is sure to have heard from such a leader, less the age of that leader's own round.
+        A leader measures from the start of the newest round that a quorum has answered. A follower measures
+        from its last proven contact with such a leader, minus the age of that leader's round.
         """
         if self.is_ready_leader:
-            return now - max(self.confirmed_at, self.contact_at)
-        return now - self.contact_at
+            return now - max(self.confirmed_at, self.quorum_contact_at)
+        return now - self.quorum_contact_at
 
     def clone(self) -> Self:
-        """Return an independent copy, for a search through states.
+        """Return an independent copy for the state search of the model checker.
 
-        Messages and entries are never changed once they are made, so copies share them.
+        Messages and entries are not modified after their creation, so copies share them.
         """
-        twin = object.__new__(type(self))
-        twin.__dict__.update(self.__dict__)
-        twin.progress = {replica_id: replace(progress) for replica_id, progress in self.progress.items()}
-        twin.round_started = dict(self.round_started)
-        twin._reply_sent_at = dict(self._reply_sent_at)
-        twin._votes = set(self._votes)
-        return twin
+        duplicate = object.__new__(type(self))
+        duplicate.__dict__.update(self.__dict__)
+        duplicate.progress = {replica_id: replace(progress) for replica_id, progress in self.progress.items()}
+        duplicate.round_started = dict(self.round_started)
+        duplicate._reply_sent_at = dict(self._reply_sent_at)
+        duplicate._votes = set(self._votes)
+        return duplicate
 
     # Term and role
 
@@ -127,29 +127,29 @@
         self.voted_for = voted_for
 
     def _observe_term(self, now: float, term: int, effects: Effects) -> None:
-        """Follow a higher term that another replica has reached."""
+        """Become a follower in a higher term that another replica has reported."""
         self._set_term(term, voted_for="")
         self._become_follower(now, None)
         effects.writes.append(Write(self._hard_state_record()))
 
     def _become_follower(self, now: float, leader: Member | None) -> None:
         if self.state is not State.FOLLOWER:
-            self._reset_election(now)
+            self._reset_election_timer(now)
         if self.is_ready_leader:
-            self.contact_at = max(self.contact_at, self.confirmed_at)
+            self.quorum_contact_at = max(self.quorum_contact_at, self.confirmed_at)
         self.state = State.FOLLOWER
         self.leader = leader
         self.progress = {}
 
-    def _reset_election(self, now: float) -> None:
+    def _reset_election_timer(self, now: float) -> None:
         """Draw a new election time-out.
 
-        Until a leader is known for the first time there is nobody to disturb, and most likely all replicas
-        have started together; pre-votes lost then are soon repeated.
+        The time-out is shorter until the first leader is known. No leader can be disrupted then, and the
+        replicas have probably started together, so lost pre-votes should be repeated soon.
         """
         is_first = self.leader is None and self.leader_contact_at < 0
         timeout = self.timing.first_election_seconds if is_first else self.timing.election_seconds
-        self._election_at = now + timeout * (1 + self.random.random())
+        self._election_due_at = now + timeout * (1 + self.random.random())
 
     # Records
 
--- a/wheatring/tier/consensus/types.py
+++ b/wheatring/tier/consensus/types.py
@@ -1,4 +1,4 @@
-"""The messages, effects and bookkeeping types of a consensus replica."""
+"""The messages, effects and data types of a consensus replica."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 Message = VoteRequest | VoteReply | AppendRequest | AppendReply | TimeoutNow
 Position = tuple[int, int]  # term and index of an entry
 
-NEVER_SECONDS = -1e9  # on any steady clock: before anything that has happened
+NEVER_SECONDS = -1e9  # earlier than any event on a monotonic clock
 
 
 class State(Enum):
@@ -35,8 +35,8 @@
 class Timing:
     """The time-outs of a replica, in seconds.
 
-    An election time-out is drawn between `election_seconds` and twice that. Until a leader is known for the
-    first time, it is drawn between `first_election_seconds` and twice that.
+    An election time-out is drawn between `election_seconds` and twice that; until the first leader is known,
+    between `first_election_seconds` and twice that.
     """
 
     heartbeat_seconds: float = 0.1
@@ -45,13 +45,13 @@
 
     @property
     def quorum_timeout_seconds(self) -> float:
-        """How long a leader remains leader without an answer from a quorum (check-quorum)."""
+        """How long a leader keeps its role without answers from a quorum (check-quorum)."""
         return 2 * self.election_seconds
 
 
 @dataclass(slots=True)
 class Outgoing:
-    """A message and the member that it is addressed to."""
+    """A message and its recipient."""
 
     to: Member
     message: Message
@@ -59,10 +59,10 @@
 
 @dataclass(slots=True)
 class Write:
-    """A record to be appended to the disk and synced.
+    """A record to be appended to the file and synced.
 
-    The messages in `on_synced` speak of the record, so they may leave only once it is on disk. From then on
-    `position` is durable on this replica.
+    The messages in `on_synced` depend on the record and may be sent only after the sync. After it, the entry
+    at `position` is durable on this replica.
     """
 
     record: ConsensusRecord
@@ -72,9 +72,9 @@
 
 @dataclass(slots=True)
 class Effects:
-    """What the host of a replica has to carry out, in this order.
+    """The actions that the host of a replica has to carry out.
 
-    It sends `messages` at once, then starts `writes` one after the other.
+    The host sends `messages` immediately, then starts `writes` in order.
     """
 
     messages: list[Outgoing] = field(default_factory=list)
@@ -83,16 +83,16 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of one other replica."""
+    """The replication progress of one other replica, as known to the leader."""
 
     member: Member
-    on_disk: Position = (0, 0)
-    sent: Position = (0, 0)  # the entry sent last
-    sent_at: float = 0.0  # when it was sent
+    synced_position: Position = (0, 0)
+    sent_position: Position = (0, 0)  # of the entry sent last
+    sent_at: float = 0.0  # when that entry was sent
     last_reply_at: float = NEVER_SECONDS
-    round: int = 0  # the newest heartbeat round that it has answered
+    round: int = 0  # newest heartbeat round that the replica has answered
     soft_version: int = 0
-    reply_number: int = 0  # of the newest reply, echoed so that the replica can tell the reply's age
+    reply_number: int = 0  # of the newest reply; echoed so that the replica knows when it sent that reply
 
 
 def entry_position(entry: Entry) -> Position:
--- a/wheatring/tier/controller/command_queue.py
+++ b/wheatring/tier/controller/command_queue.py
@@ -82,7 +82,7 @@
         now = self._host.now()
         term = replica.term
         if applied.new_state is None:
-            number, effects = replica.confirm(now)
+            number, effects = replica.confirm_leadership(now)
             self._host.apply(effects)
             await self._wait_until_confirmed(term, lambda: replica.confirmed_round >= number)
         else:
--- a/wheatring/tier/controller/consensus_host.py
+++ b/wheatring/tier/controller/consensus_host.py
@@ -127,7 +127,7 @@
             return
         error = done.exception()
         if error is None:
-            self.apply(self.replica.written(self.now(), write))
+            self.apply(self.replica.write_completed(self.now(), write))
             return
         self.replica.write_failed(write)
         if isinstance(error, DiskError):
--- a/wheatring/tier/controller/membership_manager.py
+++ b/wheatring/tier/controller/membership_manager.py
@@ -187,7 +187,7 @@
             return described
         newest = entry_position(replica.entry)
         candidates = [
-            Candidate(learner, replica.progress[i].on_disk == newest)
+            Candidate(learner, replica.progress[i].synced_position == newest)
             for i, learner in replica.learners.items()
             if i in replica.progress and now - replica.progress[i].last_reply_at < LEARNER_REPLY_SECONDS
         ]
--- a/wheatring/tier/durable/__init__.py
+++ b/wheatring/tier/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Files of records that survive a loss of power: the file itself, and its owner inside an event loop."""
+"""Crash-safe record files, and group commit to them from an event loop."""
--- a/wheatring/tier/durable/committer.py
+++ b/wheatring/tier/durable/committer.py
@@ -1,8 +1,8 @@
-"""Group commit: the one owner of a record file inside an event loop.
+"""Group commit of records to a file, for use in an event loop.
 
-While one batch is on its way to the disk, all that is submitted meanwhile gathers into the next one, so the
-number of syncs follows the disk and not the load. Disk work runs on a thread of its own: a slow sync must not
-stop the event loop, whose heartbeats other processes watch.
+While one batch is being written, newly submitted records are collected for the next one, so the rate of syncs
+is determined by the speed of the disk and not by the load. Disk operations run on a separate thread, so that
+a slow sync does not block the event loop and delay its heartbeats to other processes.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 
 class PendingWrite(NamedTuple):
-    """Records that wait for the next batch, and the future of whoever submitted them."""
+    """Records that wait for the next batch, and the future returned to their submitter."""
 
     records: list[bytes]
     committed: asyncio.Future[None]
 
 
 class Committer:
-    """Writes batches to one record file, and compacts the file when it has grown."""
+    """Writes batches to one record file, and compacts the file when it has grown too large."""
 
     def __init__(
         self, file: RecordFile, live_records: Callable[[], list[bytes]], compaction_threshold_bytes: int
     ) -> None:
-        """Own an open file.
+        """Take over an open file.
 
         Parameters
         ----------
         file
-            The file, which nobody else may write from now on.
+            The file; nothing else may write to it.
         live_records
-            Returns what a compacted file holds.
+            Returns the contents of a compacted file.
         compaction_threshold_bytes
-            The file is compacted once it is longer than this and twice as long as after the last time.
+            The file is compacted once it is larger than this and has doubled since the last compaction.
         """
         self._file = file
         self._live_records = live_records
@@ -49,9 +49,10 @@
         self._writer: asyncio.Task[None] | None = None
 
     def append(self, records: list[bytes]) -> asyncio.Future[None]:
-        """Have records written; return a future that is done once they are synced.
+        """Submit records for writing; return a future that is done once they are synced.
 
-        An empty batch is done once all that was submitted before it is. The future fails with DiskError.
+        The future of an empty list is done once everything submitted before it is synced. A future fails with
+        DiskError.
         """
         loop = asyncio.get_running_loop()
         committed: asyncio.Future[None] = loop.create_future()
@@ -70,7 +71,7 @@
                     await loop.run_in_executor(self._thread, self._file.append, payloads)
                 except DiskError as error:
                     self._resolve(batch, error)
-                    # A disk that is full may have room again once expired records are dropped.
+                    # On a full disk, dropping expired records may free enough space.
                     if self._file.size_bytes > self._threshold_bytes:
                         await self._compact()
                     continue
@@ -89,17 +90,17 @@
                 write.committed.set_result(None)
             else:
                 write.committed.set_exception(error)
-                write.committed.exception()  # retrieved: a caller that was cancelled never does it
+                write.committed.exception()  # marks it as retrieved, in case the caller was cancelled
 
     async def _compact(self) -> None:
         """Replace the file by its live records.
 
-        All appended records have been applied in memory by now, so the live records include them.
+        All appended records have already been applied in memory, so the live records include them.
         """
         records = self._live_records()
         try:
             await asyncio.get_running_loop().run_in_executor(self._thread, self._file.rewrite, records)
         except DiskError:
-            self._compact_above_bytes = 2 * self._file.size_bytes  # not before it has grown further
+            self._compact_above_bytes = 2 * self._file.size_bytes  # retry only after further growth
             return
         self._compact_above_bytes = max(self._threshold_bytes, 2 * self._file.size_bytes)
--- a/wheatring/tier/durable/exceptions.py
+++ b/wheatring/tier/durable/exceptions.py
@@ -1,4 +1,4 @@
-"""The errors of files that have to survive a loss of power."""
+"""The errors of crash-safe record files."""
 
 from __future__ import annotations
 
@@ -6,25 +6,27 @@
 
 
 class DurableFileError(Exception):
-    """The root of this package's errors."""
+    """The base class of this package's errors."""
 
 
 class DiskError(DurableFileError):
-    """A write did not reach the disk; as far as the owner can tell the file is as it was before."""
+    """A disk operation has failed; after a failed write, the file is presumed to be unchanged."""
 
 
 class DamagedRecordFileError(DurableFileError):
-    """Records in the middle of a file cannot be read.
+    """A record in the middle of a file cannot be read.
 
     Attributes
     ----------
     path
         The file.
     offset
-        Where the damage begins, in bytes from the start of the file.
+        The start of the damaged record, in bytes from the start of the file.
     """
 
     def __init__(self, path: Path, offset: int) -> None:
-        super().__init__(f"{path}: damaged record at byte {offset}, with later records behind it")
+        super().__init__(
+            f"{path}: damaged record at byte {offset}, followed by readable records of later batches"
+        )
         self.path = path
         self.offset = offset
--- a/wheatring/tier/durable/record_file.py
+++ b/wheatring/tier/durable/record_file.py
@@ -1,9 +1,9 @@
 """An append-only file of checksummed records.
 
-Each frame is a marker, the payload's length, the number of its batch and a CRC-32 over both and the payload.
-A batch is written by one write and synced before the next one begins, so only the last batch of a file can be
-torn by a loss of power. A damaged frame with frames of a later batch behind it is therefore a fault of the
-disk, which is reported and never skipped.
+A frame consists of a marker, the payload's length, the batch number, a CRC-32 over length, batch number and
+payload, and the payload. A batch is written as a whole and synced before the next one begins, so a power
+failure can tear only the last batch of a file. A damaged frame that is followed by frames of a later batch is
+therefore a disk fault, which is reported and never skipped.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 class _Frame(NamedTuple):
     payload: bytes
     batch: int
-    end: int  # offset of the byte behind it
+    end: int  # offset of the first byte after the frame
 
 
 def _encode_frame(payload: bytes, batch: int) -> bytes:
@@ -36,7 +36,7 @@
 
 
 def _decode_frame(data: bytes, offset: int) -> _Frame | None:
-    """Return the frame at an offset; None where there is no sound one."""
+    """Return the frame at an offset; None if there is no valid one."""
     if offset + _FRAME_HEADER.size > len(data):
         return None
     marker, length, batch, checksum = _FRAME_HEADER.unpack_from(data, offset)
@@ -50,7 +50,7 @@
 
 
 def _has_later_batch(data: bytes, offset: int, last_batch: int) -> bool:
-    """Whether a sound frame of a batch later than the torn one follows the offset."""
+    """Whether a valid frame of a batch later than the torn one follows the offset."""
     position = data.find(MARKER, offset + 1)
     while position >= 0:
         frame = _decode_frame(data, position)
@@ -61,24 +61,24 @@
 
 
 class RecordFile:
-    """One file and its open descriptor.
+    """A record file and its open descriptor.
 
-    All methods block on the disk; one thread at a time may call them.
+    All methods block on the disk, and only one thread at a time may call them.
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.size_bytes = 0  # bytes of sound frames
+        self.size_bytes = 0  # of all valid frames
         self._batch = 0
         self._descriptor = -1
 
     def open(self) -> list[bytes]:
-        """Read what is there, cut a torn tail off and return the records, oldest first.
+        """Read the file, truncate a torn tail and return the records, oldest first.
 
         Raises
         ------
         DamagedRecordFileError
-            A record that cannot be read has later ones behind it: the disk has lost data.
+            A damaged record is followed by records of a later batch: the disk has lost data.
         DiskError
             The file could not be read or created.
         """
@@ -107,7 +107,7 @@
         return records
 
     def append(self, payloads: Iterable[bytes]) -> None:
-        """Write one batch and sync it. Raises DiskError; the batch is then not part of the file."""
+        """Write and sync one batch. Raises DiskError; the batch is then not part of the file."""
         self._batch += 1
         data = b"".join([_encode_frame(payload, self._batch) for payload in payloads])
         try:
@@ -119,7 +119,7 @@
         self.size_bytes += len(data)
 
     def rewrite(self, payloads: Iterable[bytes]) -> None:
-        """Replace the whole file by these records. Raises DiskError; the old file then stays."""
+        """Replace all records of the file atomically. Raises DiskError; the old file then remains."""
         replacement = self.path.with_suffix(".new")
         batch = self._batch + 1
         data = b"".join([_encode_frame(payload, batch) for payload in payloads])
@@ -158,7 +158,7 @@
             offset += written
 
     def _truncate_failed_batch(self) -> None:
-        """Cut off what a failed batch has left; if that fails too, the next batch overwrites it."""
+        """Remove the remains of a failed batch; if that fails too, the next batch overwrites them."""
         try:
             os.ftruncate(self._descriptor, self.size_bytes)
         except OSError:
@@ -174,15 +174,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenedRecordFile:
-    """A file that is ready, and the records that it held."""
+    """An open file and its records."""
 
     file: RecordFile
     payloads: list[bytes]
-    quarantined: bool  # a damaged file was moved aside, and this one is new
+    quarantined: bool  # a damaged file was renamed, and this one is new
 
 
 def open_or_quarantine(path: Path) -> OpenedRecordFile:
-    """Open a file; rename a damaged one to `.damaged` and begin an empty one. Raises DiskError."""
+    """Open a file; if it is damaged, rename it to `.damaged` and create an empty one. Raises DiskError."""
     path.parent.mkdir(parents=True, exist_ok=True)
     file = RecordFile(path)
     try:
--- a/wheatring/tier/storage/__init__.py
+++ b/wheatring/tier/storage/__init__.py
@@ -1,5 +1,6 @@
 """Replicated storage of turns and budgets.
 
-A storage process holds one replica (`replica`, its records in `record_table`) and copies what it lacks when
-the placement changes (`repair`, `copier`). A sidecar reads and writes through `quorum_client`.
+A storage process runs one replica (`replica`, with its records in `record_table`), which copies missing
+records from other replicas when the placement changes (`repair`, `copier`). Sidecars read and write through
+`quorum_client`.
 """
--- a/wheatring/tier/storage/budget_entries.py
+++ b/wheatring/tier/storage/budget_entries.py
@@ -1,4 +1,4 @@
-"""Which of several entries for one turn of a program counts, at a replica and at a reader."""
+"""Conflict resolution between budget entries for the same turn, used by replicas and readers alike."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 def budget_entry_rank(entry: BudgetEntry) -> tuple[bool, int]:
-    """Return what decides which of two entries for one turn counts: the greater one does."""
+    """Return the sort key of an entry: of several entries for one turn, the one with the largest key wins."""
     return entry.settled, entry.tokens
 
 
 def merge_budget_entries(entries: Iterable[BudgetEntry]) -> list[BudgetEntry]:
-    """Return one entry for each turn, the one that counts."""
-    counting: dict[str, BudgetEntry] = {}
+    """Return the winning entry of each turn."""
+    winners: dict[str, BudgetEntry] = {}
     for entry in entries:
-        known = counting.get(entry.turn)
-        if known is None or budget_entry_rank(known) < budget_entry_rank(entry):
-            counting[entry.turn] = entry
-    return list(counting.values())
+        existing = winners.get(entry.turn)
+        if existing is None or budget_entry_rank(existing) < budget_entry_rank(entry):
+            winners[entry.turn] = entry
+    return list(winners.values())
--- a/wheatring/tier/storage/copier.py
+++ b/wheatring/tier/storage/copier.py
@@ -1,8 +1,9 @@
-"""Copies what a replica is to hold under the next placement from those that hold it under the current one.
+"""Copies the records that a replica has to hold under the next placement from the current members.
 
-Nearly every record is held by several sources, and a turn is large beside its id. So sources list the turns
-that they hold, and each turn that is missing is fetched from one of them, from the first to name it. One that
-is here already is kept for its full time again, since this replica may have missed that it was extended.
+Nearly every record is held by several sources, and a turn is much larger than its id. Sources therefore list
+the ids of their turns, and each missing turn is fetched from only one source, the first that lists it. The
+retention of a turn that this replica already holds starts again, because the replica may have missed an
+extension.
 """
 
 from __future__ import annotations
@@ -26,22 +27,22 @@
 PAGE_BYTES = 512 * 1024
 PAGE_TIMEOUT_SECONDS = 1.5
 RETRY_DELAY_SECONDS = 0.2
-FETCH_TIMEOUT_SECONDS = 0.5  # for the first attempt, while other sources wait to be asked
-CONCURRENT_FETCH_POLL_SECONDS = 0.005  # between checks for turns that another source is sending
+FETCH_TIMEOUT_SECONDS = 0.5  # first attempt only; shorter, because other sources wait for the same turns
+CONCURRENT_FETCH_POLL_SECONDS = 0.005  # interval of checks for turns in flight from another source
 
 
 class Copier:
-    """One copy to one replica under one placement, from all sources at the same time."""
+    """Copies records to one replica under one placement, from all sources concurrently."""
 
     def __init__(self, replica: Replica, clients: ClientTable, placement: Placement) -> None:
         self._replica = replica
         self._clients = clients
         self._placement = placement
-        self._fetching: set[str] = set()  # turns on their way here, from any source
-        self._renewed: set[str] = set()  # turns that were here already
+        self._turn_ids_in_flight: set[str] = set()  # requested from any source
+        self._renewed_turn_ids: set[str] = set()  # held before the copy, retention renewed
 
     async def run(self, sources: Sequence[StorageMember], required: int) -> None:
-        """Copy from all sources until so many of them are complete."""
+        """Copy from all sources until `required` of them have been copied completely."""
         tasks = [asyncio.create_task(self._copy_from(source)) for source in sources]
         try:
             await _wait_for_completed(tasks, required)
@@ -50,7 +51,7 @@
                 task.cancel()
 
     async def _copy_from(self, source: StorageMember) -> None:
-        """Copy page by page; a source that does not answer is asked again."""
+        """Copy one source page by page, and retry a page that fails."""
         position, is_last = 0, False
         while not is_last:
             request = ScanRequest(after=position, limit_bytes=PAGE_BYTES, list_turns=True)
@@ -58,48 +59,50 @@
             if reply is None:
                 await asyncio.sleep(RETRY_DELAY_SECONDS)
                 continue
-            await self._fetch(source, self._missing(reply.turn_ids))
+            await self._fetch(source, self._missing_turn_ids(reply.turn_ids))
             position, is_last = reply.next, reply.done
 
-    def _missing(self, turn_ids: Iterable[str]) -> set[str]:
-        """Return those of these turns that are not here; renew the others, once in a copy."""
-        missing = set()
+    def _missing_turn_ids(self, turn_ids: Iterable[str]) -> set[str]:
+        """Return the turns that the replica lacks; renew the retention of the others once per copy."""
+        missing_ids = set()
         for turn_id in turn_ids:
-            if turn_id in self._renewed:
+            if turn_id in self._renewed_turn_ids:
                 continue
             if self._replica.renew_turn(turn_id):
-                self._renewed.add(turn_id)
+                self._renewed_turn_ids.add(turn_id)
             else:
-                missing.add(turn_id)
-        return missing
+                missing_ids.add(turn_id)
+        return missing_ids
 
-    async def _fetch(self, source: StorageMember, missing: set[str]) -> None:
-        """Return once all of these turns are here; fetch those that no other source is sending.
+    async def _fetch(self, source: StorageMember, missing_ids: set[str]) -> None:
+        """Wait until the replica holds all of these turns, and fetch those not in flight from another source.
 
-        A source that fails leaves its turns to the others for a while.
+        After a failed fetch, its turns are free for the other sources until the retry delay has passed.
         """
         table = self._replica.table
         timeout_seconds = FETCH_TIMEOUT_SECONDS
-        while missing:
-            requested = missing - self._fetching
+        while missing_ids:
+            requested_ids = missing_ids - self._turn_ids_in_flight
             delay_seconds = CONCURRENT_FETCH_POLL_SECONDS
-            if requested:
-                self._fetching |= requested
+            if requested_ids:
+                self._turn_ids_in_flight |= requested_ids
                 try:
-                    reply = await self._scan(source, ScanRequest(turn_ids=sorted(requested)), timeout_seconds)
+                    reply = await self._scan(
+                        source, ScanRequest(turn_ids=sorted(requested_ids)), timeout_seconds
+                    )
                 finally:
-                    self._fetching -= requested
+                    self._turn_ids_in_flight -= requested_ids
                 if reply is not None:
-                    missing -= requested  # what the source has dropped since it listed it has expired
+                    missing_ids -= requested_ids  # a listed turn that is not in the reply has expired
                     continue
                 timeout_seconds, delay_seconds = PAGE_TIMEOUT_SECONDS, RETRY_DELAY_SECONDS
             await asyncio.sleep(delay_seconds)
-            missing = {turn_id for turn_id in missing if not table.has_turn(turn_id)}
+            missing_ids = {turn_id for turn_id in missing_ids if not table.has_turn(turn_id)}
 
     async def _scan(
         self, source: StorageMember, request: ScanRequest, timeout_seconds: float
     ) -> ScanReply | None:
-        """Return a source's reply, whose records are stored by then; None where there is none."""
+        """Return a source's reply after storing its records; None if the call or the write failed."""
         request.replica_id = source.replica_id
         request.placement.CopyFrom(self._placement)
         request.requester = self._replica.identity
@@ -115,7 +118,7 @@
 
 
 async def _wait_for_completed(tasks: Sequence[asyncio.Task[None]], required: int) -> None:
-    """Wait until so many of the tasks have ended."""
+    """Wait until at least `required` tasks have ended."""
     running = set(tasks)
     while running and len(tasks) - len(running) < required:
         _, running = await asyncio.wait(running, return_when=asyncio.FIRST_COMPLETED)
--- a/wheatring/tier/storage/exceptions.py
+++ b/wheatring/tier/storage/exceptions.py
@@ -4,12 +4,12 @@
 
 
 class QuorumNotReachedError(Exception):
-    """No quorum replied in time: nothing is known of the record.
+    """No quorum replied in time, so it is unknown whether the record exists or was written.
 
     Attributes
     ----------
     key
-        The turn's id or the program that the records are placed by.
+        The placement key of the records: the turn's id or the program.
     """
 
     def __init__(self, key: str, message: str = "") -> None:
--- a/wheatring/tier/storage/process.py
+++ b/wheatring/tier/storage/process.py
@@ -20,16 +20,16 @@
 PRESENCE_INTERVAL_SECONDS = 0.4
 EXPIRY_INTERVAL_SECONDS = 5.0
 COMPLETION_POLL_SECONDS = 0.05
-STOP_MARGIN_SECONDS = 1.5  # before SIGKILL; a replica ends then in any case
+STOP_MARGIN_SECONDS = 1.5  # end of the grace period, left for closing before SIGKILL
 STOP_POLL_SECONDS = 0.05
-TAKEOVER_TIMEOUT_SECONDS = 0.5  # after which nobody is going to take over
+TAKEOVER_TIMEOUT_SECONDS = 0.5  # wait for a takeover to start; after that none is expected
 
 
 class StorageProcess(RoleProcess):
-    """Serves one replica and keeps it in step with the placement."""
+    """Serves one replica and repairs it on each change of the placement."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        """Build the replica; `start` opens it."""
+        """Build the replica; `start` opens its file."""
         super().__init__(settings)
         losses = settings.tolerance.losses
         loop = asyncio.get_running_loop()
@@ -38,38 +38,38 @@
         self.repair = Repair(self.replica, self._peers, losses)
         self.server = EnvelopeServer(self._on_envelope)
         self.subscription = Subscription.for_role(
-            self, self._presence, PRESENCE_INTERVAL_SECONDS, self._on_change, random
+            self, self._presence, PRESENCE_INTERVAL_SECONDS, self._on_view_change, random
         )
         self._announced_epoch = 0
         self._is_stopping = False
 
     async def start(self) -> None:
-        """Read the file, listen, and join. Raises OSError or DiskError."""
+        """Read the record file, listen, and subscribe to the controllers. Raises OSError or DiskError."""
         self.replica.open()
         await self.server.listen(self.settings.ip, self.settings.storage_port)
         log_event("storage-started", replica=self.replica.identity, records=len(self.replica.table))
-        for work in (
+        for coroutine in (
             self.subscription.run(),
             self._watch.run(),
             self.replica.run_expirer(EXPIRY_INTERVAL_SECONDS),
             self._announce_completed_copies(),
         ):
-            self._start_task(work)
+            self._start_task(coroutine)
 
     async def stop(self) -> None:
-        """Have others take over what this replica holds, where there are enough of them, and end."""
+        """Announce the shutdown, wait for other replicas to take over if there are enough, and close."""
         loop = asyncio.get_running_loop()
         self._is_stopping = True
         stopping_since = loop.time()
         self.subscription.announce_now()
         while loop.time() - stopping_since < self.settings.grace_seconds - STOP_MARGIN_SECONDS:
             await asyncio.sleep(STOP_POLL_SECONDS)
-            if self._is_handed_over(loop.time() - stopping_since):
+            if self._can_exit(loop.time() - stopping_since):
                 break
         self.server.close()
 
-    def _is_handed_over(self, waited_seconds: float) -> bool:
-        """Whether nobody needs this replica any more, or nobody is going to take over."""
+    def _can_exit(self, waited_seconds: float) -> bool:
+        """Whether this replica is no longer a member, or no takeover is running or expected."""
         placement = self.subscription.view.placement
         identity = self.replica.identity
         is_current = any(member.replica_id == identity for member in placement.current)
@@ -91,11 +91,11 @@
             leaving=self._is_stopping,
         )
 
-    def _on_change(self) -> None:
+    def _on_view_change(self) -> None:
         self.repair.on_placement(self.subscription.view.placement)
 
     async def _announce_completed_copies(self) -> None:
-        """Report a completed copy at once: the change of the placement waits for it."""
+        """Announce each completed copy immediately, because the placement change waits for it."""
         while True:
             await asyncio.sleep(COMPLETION_POLL_SECONDS)
             if self.repair.complete_epoch != self._announced_epoch:
--- a/wheatring/tier/storage/quorum_client.py
+++ b/wheatring/tier/storage/quorum_client.py
@@ -1,6 +1,6 @@
-"""Reads and writes records by quorum, from a sidecar.
+"""The sidecar's client of the storage members: reads and writes records by quorum.
 
-Every record may be written again without harm, so an exchange simply starts anew under a newer placement.
+Writes are idempotent, so an exchange is retried as a whole when a member reports a newer placement.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
     ExchangeRequest,
     QuorumExchange,
     Replies,
-    is_read,
-    is_read_and_written,
-    is_written,
+    has_both_quorums,
+    has_read_quorum,
+    has_write_quorum,
 )
 from wheatring.tier.storage.suspects import SuspectedMembers
 from wheatring.tier.transport.client import ClientTable
@@ -35,7 +35,7 @@
 
 
 class QuorumClient:
-    """The storage members as one store. Time-outs are seconds."""
+    """A client of all storage members."""
 
     def __init__(
         self,
@@ -45,20 +45,20 @@
         placement: Callable[[], Placement],
         adopt: Callable[[Placement], None],
     ) -> None:
-        """Prepare a client.
+        """Build a client.
 
         Parameters
         ----------
         clients
             The connections to storage members.
         losses
-            How many disks may be lost at one time.
+            The number of simultaneous disk losses to tolerate.
         zone
-            Where the caller is; members of this zone are called first.
+            The zone of the caller; members of this zone are called first.
         placement
             Returns the newest placement that the caller knows.
         adopt
-            Takes a newer placement that a member replied with.
+            Called with a newer placement that a member has replied with.
         """
         self._clients = clients
         self._losses = losses
@@ -68,66 +68,69 @@
         self._background_tasks: set[asyncio.Task[Any]] = set()
 
     async def write(self, key: str, records: Sequence[StorageRecord], timeout_seconds: float) -> None:
-        """Have records on enough disks. Raises QuorumNotReachedError: they may be on some."""
+        """Write records to a write quorum.
+
+        Raises QuorumNotReachedError; some members may have stored the records even then.
+        """
         body = StorageRequest(records=records)
-        await self._exchange(ExchangeRequest(key, body, is_written, _deadline(timeout_seconds)))
+        await self._exchange(ExchangeRequest(key, body, has_write_quorum, _deadline(timeout_seconds)))
 
     async def write_budget(self, entry: BudgetEntry, timeout_seconds: float) -> list[BudgetEntry]:
-        """Have an entry on enough disks; return all entries of its program.
+        """Write an entry to a write quorum, and return all entries of its program from a read quorum.
 
-        Raises QuorumNotReachedError: the entry may count all the same.
+        Raises QuorumNotReachedError; some members may have stored the entry even then.
         """
         body = StorageRequest(records=[StorageRecord(budget=entry)], program=entry.program)
-        request = ExchangeRequest(entry.program, body, is_read_and_written, _deadline(timeout_seconds))
+        request = ExchangeRequest(entry.program, body, has_both_quorums, _deadline(timeout_seconds))
         replies = await self._exchange(request)
         return merge_budget_entries(e for reply in replies.by_replica.values() for e in reply.budget)
 
     async def read_conversation(
         self, turn_id: str, known_turn_ids: Sequence[str], timeout_seconds: float
     ) -> list[Turn] | None:
-        """Return a turn with those of its ancestors that its replicas hold.
+        """Return a turn and those of its ancestors that its replicas hold.
 
         Parameters
         ----------
         turn_id
             The turn.
         known_turn_ids
-            Ancestors that need not be sent.
+            Ancestors that the caller already has, which are left out of the replies.
         timeout_seconds
-            For all of it.
+            The time-out of the whole read, with its retries.
 
         Returns
         -------
         list of Turn or None
-            None where there certainly is no such turn: a read quorum has said so.
+            None if a read quorum has replied and no reply has the turn.
 
         Raises
         ------
         QuorumNotReachedError
-            Whether there is such a turn is unknown.
+            It is unknown whether the turn exists.
         """
         body = StorageRequest(turn_ids=[turn_id], with_ancestors=True, known_turn_ids=known_turn_ids)
 
         def find_turns(replies: Replies) -> list[Turn]:
-            """Return the turns of a reply that has the one wanted; empty where none has it."""
+            """Return the turns of the first reply that contains the requested turn; else an empty list."""
             for reply in replies.by_replica.values():
                 if any(turn.id == turn_id for turn in reply.turns):
                     return list(reply.turns)
             return []
 
         def is_complete(key_placement: KeyPlacement, replies: Replies) -> bool:
-            """Whether a reply has the turn (it never changes), or a read quorum has not."""
-            return bool(find_turns(replies)) or is_read(key_placement, replies)
+            """Whether a reply contains the turn, which is immutable, or a read quorum has replied."""
+            return bool(find_turns(replies)) or has_read_quorum(key_placement, replies)
 
         request = ExchangeRequest(turn_id, body, is_complete, _deadline(timeout_seconds), fanout=1)
         replies = await self._exchange(request)
         return find_turns(replies) or None
 
     def extend_retention(self, turn_ids: Sequence[str], retention_seconds: float) -> None:
-        """Have turns kept for longer on all members, without waiting for it.
+        """Ask all members to keep turns for longer, without waiting for replies.
 
-        Only where members hold different turns: else the members that hold the newest turn hold its ancestors
-        too, and extend them by themselves.
+        This is needed only if there are more members than copies of a turn. Otherwise each member that stores
+        the newest turn holds its ancestors too, and extends their retention itself.
         """
         placement = self._placement()
         if len(placement.current) <= 2 * self._losses + 1:
@@ -144,12 +147,12 @@
             self._clients.client_for(member.address).send(Envelope(storage_request=request))
 
     def run_in_background(self, task: asyncio.Task[Any]) -> None:
-        """Hold a task until it has ended."""
+        """Keep a reference to a task until it ends, so that it is not garbage-collected."""
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
 
     async def _exchange(self, request: ExchangeRequest) -> Replies:
-        """Call members until enough have replied under one placement. Raises QuorumNotReachedError."""
+        """Run exchanges until one is complete under a single placement. Raises QuorumNotReachedError."""
         loop = asyncio.get_running_loop()
         while True:
             placement = self._placement()
@@ -170,8 +173,8 @@
                 self._adopt(exchange.newer_placement)
             return replies
         finally:
-            # Calls to other members go on: each further copy is one that need not be repaired.
-            for task in exchange.running:
+            # Pending calls continue: each further member that stores a record saves a later repair.
+            for task in exchange.pending_calls:
                 self.run_in_background(task)
 
 
--- a/wheatring/tier/storage/quorum_exchange.py
+++ b/wheatring/tier/storage/quorum_exchange.py
@@ -1,7 +1,7 @@
-"""One request to the members that hold a key, under one placement, until a quorum has replied.
+"""Sends one request to the members that hold a key, under one placement, until a quorum has replied.
 
-The nearest members that are enough are called first; further ones follow where those take long (hedging) or
-fail.
+The smallest sufficient number of members is called first, those in the caller's zone before others. Further
+members are called when these are slow (hedging) or fail.
 """
 
 from __future__ import annotations
@@ -24,55 +24,55 @@
     StorageRequest,
 )
 
-HEDGE_DELAY_SECONDS = 0.03  # without enough replies, before a further member is called
-CALL_TIMEOUT_SECONDS = 1.0  # for one member to reply
+HEDGE_DELAY_SECONDS = 0.03  # wait without any reply before one more member is called
+CALL_TIMEOUT_SECONDS = 1.0  # for the reply of one member
 
 
 class Replies:
-    """The replies under one placement."""
+    """The successful replies under one placement, by replica id."""
 
     def __init__(self) -> None:
         self.by_replica: dict[str, StorageReply] = {}
 
     @property
     def replica_ids(self) -> set[str]:
-        """Who has replied."""
+        """The ids of the replicas that have replied."""
         return set(self.by_replica)
 
 
 CompletionCheck = Callable[[KeyPlacement, Replies], bool]
 
 
-def is_written(key_placement: KeyPlacement, replies: Replies) -> bool:
+def has_write_quorum(key_placement: KeyPlacement, replies: Replies) -> bool:
     """Whether a write quorum has replied."""
     return key_placement.has_write_quorum(replies.replica_ids)
 
 
-def is_read(key_placement: KeyPlacement, replies: Replies) -> bool:
+def has_read_quorum(key_placement: KeyPlacement, replies: Replies) -> bool:
     """Whether a read quorum has replied."""
     return key_placement.has_read_quorum(replies.replica_ids)
 
 
-def is_read_and_written(key_placement: KeyPlacement, replies: Replies) -> bool:
+def has_both_quorums(key_placement: KeyPlacement, replies: Replies) -> bool:
     """Whether both quorums have replied."""
-    return is_read(key_placement, replies) and is_written(key_placement, replies)
+    return has_read_quorum(key_placement, replies) and has_write_quorum(key_placement, replies)
 
 
 class ExchangeRequest(NamedTuple):
-    """What is asked for, independent of the placement.
+    """A request that does not depend on the placement.
 
     Attributes
     ----------
     key
-        The turn's id or the program that the records are placed by.
+        The placement key of the records: the turn's id or the program.
     body
-        The request; replica and epoch are set for each member.
+        The message; `replica_id` and `epoch` are set on a copy for each member.
     is_complete
-        Whether the replies so far are enough.
+        Tells whether the replies so far are sufficient.
     deadline
-        An instant of the event loop's clock, in seconds.
+        The deadline on the event loop's clock, in seconds.
     fanout
-        How many members are called at first; 0: as many as can be enough.
+        The number of members called first; 0 for the smallest number that can be sufficient.
     """
 
     key: str
@@ -83,7 +83,7 @@
 
 
 class QuorumExchange:
-    """The calls of one request under one placement. It is run once."""
+    """The calls of one request under one placement; `run` may be called only once."""
 
     def __init__(
         self,
@@ -100,47 +100,49 @@
         self._suspects = suspects
         now = asyncio.get_running_loop().time()
         self._uncalled = suspects.in_call_order(key_placement.members, now)
-        self._fanout = request.fanout or self._smallest_fanout(self._uncalled)
+        self._fanout = request.fanout or self._minimum_fanout(self._uncalled)
         self._replies = Replies()
-        self.running: dict[asyncio.Task[StorageReply | None], StorageMember] = {}
-        self.newer_placement: Placement | None = None  # from a member that knows this one to be stale
+        self.pending_calls: dict[asyncio.Task[StorageReply | None], StorageMember] = {}
+        self.newer_placement: Placement | None = None  # from a member that rejected this one as stale
 
     async def run(self) -> Replies | None:
-        """Return enough replies; None where the placement is stale or the members were not enough.
+        """Return sufficient replies; None if the placement is stale or too few members replied in time.
 
-        Calls that are still running go on; whoever runs the exchange owns them afterwards.
+        The calls in `pending_calls` continue, and the caller has to keep references to their tasks.
         """
         request = self._request
         loop = asyncio.get_running_loop()
         while True:
             self._start_calls()
             remaining = request.deadline - loop.time()
-            if not self.running or remaining <= 0:
+            if not self.pending_calls or remaining <= 0:
                 return None
             timeout = min(remaining, HEDGE_DELAY_SECONDS) if self._uncalled else remaining
-            done, _ = await asyncio.wait(self.running, timeout=timeout, return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait(
+                self.pending_calls, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
+            )
             if not done:
                 self._fanout += 1
-                self._suspects.suspect(self.running.values(), loop.time())
+                self._suspects.suspect(self.pending_calls.values(), loop.time())
             for task in done:
-                self._take_reply(task)
+                self._record_reply(task)
                 if self.newer_placement is not None:
                     return None
             if request.is_complete(self._key_placement, self._replies):
                 return self._replies
-            if not self.running and len(self._replies.by_replica) >= self._fanout:
+            if not self.pending_calls and len(self._replies.by_replica) >= self._fanout:
                 self._fanout += 1
                 if not self._uncalled:
                     return None
 
     def _start_calls(self) -> None:
         loop = asyncio.get_running_loop()
-        while self._uncalled and len(self.running) + len(self._replies.by_replica) < self._fanout:
+        while self._uncalled and len(self.pending_calls) + len(self._replies.by_replica) < self._fanout:
             member = self._uncalled.pop(0)
-            self.running[loop.create_task(self._call(member))] = member
+            self.pending_calls[loop.create_task(self._call(member))] = member
 
-    def _take_reply(self, task: asyncio.Task[StorageReply | None]) -> None:
-        member = self.running.pop(task)
+    def _record_reply(self, task: asyncio.Task[StorageReply | None]) -> None:
+        member = self.pending_calls.pop(task)
         reply = task.result()
         if reply is not None and reply.status == STORAGE_STATUS_STALE_EPOCH:
             self.newer_placement = reply.placement
@@ -148,11 +150,11 @@
             self._replies.by_replica[member.replica_id] = reply
             self._suspects.clear(member)
         else:
-            self._fanout = max(self._fanout, len(self.running) + len(self._replies.by_replica) + 1)
+            self._fanout = max(self._fanout, len(self.pending_calls) + len(self._replies.by_replica) + 1)
             self._suspects.suspect([member], asyncio.get_running_loop().time())
 
-    def _smallest_fanout(self, order: Sequence[StorageMember]) -> int:
-        """Return how many members, in this order, could be enough."""
+    def _minimum_fanout(self, order: Sequence[StorageMember]) -> int:
+        """Return the smallest number of members, called in this order, whose replies can be sufficient."""
         assumed = Replies()
         for count, member in enumerate(order, 1):
             assumed.by_replica[member.replica_id] = StorageReply()
@@ -161,7 +163,7 @@
         return len(order)
 
     async def _call(self, member: StorageMember) -> StorageReply | None:
-        """Return one member's reply, None where none came."""
+        """Return the reply of one member; None if it did not reply in time."""
         body = StorageRequest()
         body.CopyFrom(self._request.body)
         body.replica_id = member.replica_id
--- a/wheatring/tier/storage/record_table.py
+++ b/wheatring/tier/storage/record_table.py
@@ -1,8 +1,8 @@
-"""What one storage replica holds, in memory: turns by their id, budget entries by program.
+"""The in-memory records of one storage replica: turns by their id, and budget entries by program.
 
-Turns never change. Of the entries for one turn of a program a settled one replaces a reserved one, and of two
-equal kinds the larger counts. Times are seconds on a monotonic clock; a replica that has restarted keeps
-everything for its full time again, because it cannot know how long it was down.
+Turns are immutable. Of several budget entries for one turn, a settled entry replaces a reserved one, and of
+two entries of the same kind the larger one wins. Times are seconds on a monotonic clock. A replica that has
+restarted keeps all records for their full retention again, because it cannot tell how long it was down.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from wheatring.tier.storage.budget_entries import budget_entry_rank
 from wheatring.tier.transport.messages_pb2 import BudgetEntry, StorageRecord, Turn
 
-RETENTION_MARGIN_SECONDS = 10.0  # beyond the retention that the route states
-BUDGET_RETENTION_SECONDS = 600.0  # after the last entry of a program
+RETENTION_MARGIN_SECONDS = 10.0  # added to the retention configured for the route
+BUDGET_RETENTION_SECONDS = 600.0  # since the last change of the entry
 
 
 class RecordKey(NamedTuple):
-    """What identifies a record. All records of one placement key are held by the same members."""
+    """The identity of a record. All records with the same placement key are held by the same members."""
 
     kind: Literal["turn", "budget"]
     placement_key: str  # the turn's id, or the program
-    turn: str  # of a budget entry: which turn of the program; else empty
+    budget_turn_id: str  # the turn of a budget entry; empty for a turn's own record
 
 
 @dataclass(slots=True)
 class StoredRecord:
-    """One record, its position in the order of changes and when it expires."""
+    """A serialized record, its position in the order of changes, and the time at which it expires."""
 
     sequence: int
     payload: bytes
@@ -36,15 +36,15 @@
 
 
 class ScanPage(NamedTuple):
-    """Some of the records that have changed since a position."""
+    """A page of the records that have changed since a position."""
 
     payloads: list[bytes]
-    position: int  # where the next page begins
+    position: int  # start of the next page
     is_last: bool
 
 
-def key_of(record: StorageRecord) -> RecordKey | None:
-    """Return what identifies a record; None for those that describe the replica itself."""
+def record_key(record: StorageRecord) -> RecordKey | None:
+    """Return the key of a record; None if it describes the replica itself."""
     kind = record.WhichOneof("kind")
     if kind == "turn":
         return _turn_key(record.turn.id)
@@ -67,12 +67,12 @@
         self._last_sequence = 0
 
     def __len__(self) -> int:
-        """Return how many records there are."""
+        """Return the number of records."""
         return len(self._records)
 
     def apply(self, record: StorageRecord, now: float) -> bool:
-        """Take a record in; return whether it has changed anything, and so has to be written."""
-        key = key_of(record)
+        """Apply a record; return whether it has changed the table, and so has to be written to disk."""
+        key = record_key(record)
         if key is None:
             return False
         if key.kind == "turn":
@@ -93,33 +93,33 @@
     def _apply_budget(self, key: RecordKey, record: StorageRecord, now: float) -> bool:
         entry = record.budget
         entries = self._budgets.setdefault(entry.program, {})
-        known = entries.get(entry.turn)
-        if known is not None and budget_entry_rank(known) >= budget_entry_rank(entry):
+        existing = entries.get(entry.turn)
+        if existing is not None and budget_entry_rank(existing) >= budget_entry_rank(entry):
             return False
         entries[entry.turn] = BudgetEntry(turn=entry.turn, tokens=entry.tokens, settled=entry.settled)
         self._store(key, record, now + BUDGET_RETENTION_SECONDS)
         return True
 
     def _store(self, key: RecordKey, record: StorageRecord, expires_at: float) -> None:
-        known = self._records.pop(key, None)
-        if known is not None:
-            del self._keys_by_sequence[known.sequence]
+        existing = self._records.pop(key, None)
+        if existing is not None:
+            del self._keys_by_sequence[existing.sequence]
         self._last_sequence += 1
         self._records[key] = StoredRecord(self._last_sequence, record.SerializeToString(), expires_at)
         self._keys_by_sequence[self._last_sequence] = key
 
     def extend_expiry(self, turn_id: str, expires_at: float) -> None:
-        """Keep a turn at least until then."""
+        """Keep a turn at least until `expires_at`."""
         stored = self._records.get(_turn_key(turn_id))
         if stored is not None:
             stored.expires_at = max(stored.expires_at, expires_at)
 
     def has_turn(self, turn_id: str) -> bool:
-        """Whether a turn is in the table."""
+        """Whether the table has a turn."""
         return _turn_key(turn_id) in self._records
 
     def renew_turn(self, turn_id: str, now: float) -> bool:
-        """Keep a turn and its ancestors for their full time from now on; return whether it is here."""
+        """Restart the retention of a turn and of its ancestors; return whether the table has the turn."""
         key = _turn_key(turn_id)
         stored = self._records.get(key)
         if stored is None:
@@ -128,7 +128,7 @@
         return True
 
     def turn(self, turn_id: str) -> Turn | None:
-        """Return a turn by its id; None where it is not in the table."""
+        """Return a turn by its id; None if the table does not have it."""
         stored = self._records.get(_turn_key(turn_id))
         if stored is None:
             return None
@@ -137,19 +137,19 @@
     def budget_entries(self, program: str) -> list[BudgetEntry]:
         """Return all entries of a program.
 
-        They do not repeat the program's name, because the list is sent to each turn of it.
+        The entries leave out the program's name, because the list is sent to every turn of the program.
         """
         return list(self._budgets.get(program, {}).values())
 
     def expire(self, now: float) -> int:
-        """Drop the records whose time is over; return how many there were."""
+        """Remove expired records; return their number."""
         expired = [key for key, stored in self._records.items() if stored.expires_at <= now]
         for key in expired:
             stored = self._records.pop(key)
             del self._keys_by_sequence[stored.sequence]
             if key.kind == "budget":
                 entries = self._budgets[key.placement_key]
-                entries.pop(key.turn, None)
+                entries.pop(key.budget_turn_id, None)
                 if not entries:
                     del self._budgets[key.placement_key]
         return len(expired)
@@ -158,24 +158,24 @@
         """Return all records, serialized, in the order of their last change."""
         return [self._records[key].payload for key in self._keys_by_sequence.values()]
 
-    def scan(self, after: int, limit_bytes: int, is_wanted: Callable[[RecordKey], bool]) -> ScanPage:
-        """Return a page of the wanted records that have changed after a position.
+    def scan(self, after: int, limit_bytes: int, is_included: Callable[[RecordKey], bool]) -> ScanPage:
+        """Return a page of the records that have changed after a position.
 
         Parameters
         ----------
         after
-            The position that the page before has reached; 0 for the first one.
+            The position of the previous page; 0 for the first one.
         limit_bytes
-            The page ends with the record that reaches this size.
-        is_wanted
-            Says by its key whether a record is part of the scan.
+            The page ends with the record at which it reaches this size.
+        is_included
+            Tells by its key whether a record is part of the scan.
         """
         payloads: list[bytes] = []
         size_bytes = 0
         position = after
         for sequence, key in self._changes_after(after):
             position = sequence
-            if not is_wanted(key):
+            if not is_included(key):
                 continue
             payload = self._records[key].payload
             payloads.append(payload)
--- a/wheatring/tier/storage/repair.py
+++ b/wheatring/tier/storage/repair.py
@@ -1,4 +1,4 @@
-"""Brings a replica up to each placement that names it: fence, copy, and a note that the copy is complete."""
+"""Repairs a replica for each placement that makes it a next member: fence, copy, record the completion."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Repair:
-    """Follows the placements that name one replica, one after the other."""
+    """Runs the repairs of one replica, at most one at a time and always for the newest placement."""
 
     def __init__(self, replica: Replica, clients: ClientTable, losses: int) -> None:
         self._replica = replica
@@ -28,11 +28,11 @@
 
     @property
     def complete_epoch(self) -> int:
-        """The newest epoch for which the replica holds all that it is to hold."""
+        """The newest epoch for which the replica holds all records placed on it."""
         return self._replica.complete_epoch
 
     def on_placement(self, placement: Placement) -> None:
-        """Begin what a newer placement requires of this replica, and drop what an older one did."""
+        """Adopt a newer placement: cancel the running repair, and start another one if it is needed."""
         self._replica.adopt_placement(placement)
         if placement.epoch <= self._epoch:
             return
@@ -43,14 +43,14 @@
         if all(member.replica_id != self._replica.identity for member in placement.next):
             return
         if self.complete_epoch >= placement.epoch:
-            return  # the copy was complete before this process began
-        self._task = asyncio.get_running_loop().create_task(self._follow(placement))
+            return  # the copy was completed before this process started
+        self._task = asyncio.get_running_loop().create_task(self._run_repair(placement))
 
-    async def _follow(self, placement: Placement) -> None:
-        """Fence older epochs, copy what is missing, and note that this replica is complete.
+    async def _run_repair(self, placement: Placement) -> None:
+        """Fence older epochs, copy missing records, and record that this replica is complete.
 
-        Every member of the next set fences itself, also one that lacks nothing: once that set is the current
-        one, nobody can read or write under the epoch before the change with its help.
+        Every next member raises its fence, even one that has nothing to copy. Once the next set has become
+        the current one, its members therefore reject reads and writes under the epoch before the change.
         """
         epoch = placement.epoch
         await self._retry_until_synced(lambda: self._replica.raise_fence(epoch))
@@ -60,10 +60,10 @@
         await self._retry_until_synced(lambda: self._replica.record_complete_epoch(epoch))
 
     async def _copy(self, placement: Placement) -> None:
-        present = [member for member in placement.current if not member.lost]
-        sources = [member for member in present if member.replica_id != self._replica.identity]
-        # A replica that is a current member itself counts as one of the sources.
-        required = copy_sources_required(placement, self._losses) - (len(present) - len(sources))
+        available = [member for member in placement.current if not member.lost]
+        sources = [member for member in available if member.replica_id != self._replica.identity]
+        # A replica that is a current member counts as one of its own sources.
+        required = copy_sources_required(placement, self._losses) - (len(available) - len(sources))
         await Copier(self._replica, self._clients, placement).run(sources, required)
 
     @staticmethod
--- a/wheatring/tier/storage/replica.py
+++ b/wheatring/tier/storage/replica.py
@@ -1,8 +1,9 @@
-"""One storage replica: answers reads and writes under the placement that it knows, and serves copies.
+"""One storage replica: handles reads, writes, and scans by replicas that copy from it.
 
-The identity is drawn with the disk. A request for another identity, as one for a disk that was lost, is
-refused, and so is one under an epoch older than the newest that this replica has been shown (the fence, which
-is on disk before a scan under that epoch is answered). A write is answered after its sync.
+The replica's identity is generated for a new disk and stored on it. A request is rejected if it names another
+identity, for example that of a lost disk, or if its epoch is older than the newest placement or the fence of
+this replica. The fence is the newest epoch under which the replica has served a scan or begun a repair; it is
+synced before the scan is answered. A write is acknowledged after its sync.
 """
 
 from __future__ import annotations
@@ -33,35 +34,35 @@
 
 FILE_NAME = "records"
 COMPACTION_THRESHOLD_BYTES = 24 * 1024 * 1024
-MAX_ANCESTORS_BYTES = 32 * 1024 * 1024  # of a conversation sent in one reply
+MAX_ANCESTORS_BYTES = 32 * 1024 * 1024  # input and output of a turn's ancestors in one reply
 
 
 class Replica:
-    """The owner of a replica's table and file.
+    """The records of a replica, in memory and on disk.
 
     Attributes
     ----------
     table
         The records, in memory.
     identity
-        Drawn with the disk and lost with it.
+        A random id that is stored on the disk and lost with it.
     fence_epoch
-        The newest epoch under which a scan was answered: requests under older ones are refused.
+        The fencing token: requests under older epochs are rejected, also after a restart.
     complete_epoch
-        The newest epoch whose copy is complete on this disk.
+        The newest epoch for which this disk holds all records placed on it.
     placement
-        The newest placement that this replica knows.
+        The newest placement that this replica has received.
     """
 
     def __init__(self, folder: Path, losses: int, clock: Callable[[], float]) -> None:
-        """Prepare a replica; `open` reads its file.
+        """Build a replica; `open` reads its file.
 
         Parameters
         ----------
         folder
-            Where the file is.
+            The folder of the file.
         losses
-            How many disks may be lost at one time.
+            The number of simultaneous disk losses to tolerate.
         clock
             Returns monotonic seconds.
         """
@@ -74,14 +75,14 @@
         self.fence_epoch = 0
         self.complete_epoch = 0
         self.placement = Placement()
-        self._unsynced: list[bytes] = []  # applied in memory, but refused by the disk so far
+        self._unsynced: list[bytes] = []  # applied in memory; the write to disk has failed
 
-    # Its own disk
+    # Disk
 
     def open(self) -> None:
         """Read the file. Raises DiskError.
 
-        A new or damaged file gets a new identity: it then counts as a lost disk.
+        A new or damaged file gets a new identity, so that the old one is treated as a lost disk.
         """
         opened = open_or_quarantine(self._path)
         now = self._clock()
@@ -105,9 +106,9 @@
         return [record.SerializeToString() for record in own] + self.table.payloads()
 
     async def _write(self, payloads: list[bytes]) -> None:
-        """Sync records, and with them all that an earlier write has failed to. Raises DiskError.
+        """Sync records together with those of earlier failed writes. Raises DiskError.
 
-        An empty batch waits behind those in flight.
+        A write without records waits for the batches in flight.
         """
         batch = self._unsynced + payloads
         self._unsynced = []
@@ -118,19 +119,19 @@
             raise
 
     async def store(self, records: list[StorageRecord]) -> None:
-        """Take records in and sync them. Raises DiskError."""
+        """Apply records and sync them. Raises DiskError."""
         await self._write(self._apply(records, self._clock()))
 
     def _apply(self, records: Iterable[StorageRecord], now: float) -> list[bytes]:
-        """Take records in; return those that have changed anything, serialized."""
+        """Apply records; return those that have changed the table, serialized."""
         return [record.SerializeToString() for record in records if self.table.apply(record, now)]
 
     def renew_turn(self, turn_id: str) -> bool:
-        """Keep a turn that another replica holds for its full time here too; return whether it is here."""
+        """Restart the retention of a turn; return whether this replica holds it."""
         return self.table.renew_turn(turn_id, self._clock())
 
     async def run_expirer(self, interval_seconds: float) -> None:
-        """Drop expired records, for as long as the process runs."""
+        """Remove expired records periodically until cancelled."""
         while True:
             await asyncio.sleep(interval_seconds)
             self.table.expire(self._clock())
@@ -138,30 +139,30 @@
     # Epochs
 
     def adopt_placement(self, placement: Placement) -> None:
-        """Take a placement over where it is newer than the one known."""
+        """Replace the known placement by a newer one; ignore an older one."""
         if placement.epoch > self.placement.epoch:
             self.placement = placement
 
     async def raise_fence(self, epoch: int) -> None:
-        """From now on, also after a restart, refuse older epochs. Raises DiskError."""
+        """Reject requests under older epochs from now on, also after a restart. Raises DiskError."""
         if epoch > self.fence_epoch:
             self.fence_epoch = epoch
             await self._write([StorageRecord(fence_epoch=epoch).SerializeToString()])
         else:
-            await self._write([])  # the same fence may still be on its way to the disk
+            await self._write([])  # the write of the same fence may still be in flight
 
     async def record_complete_epoch(self, epoch: int) -> None:
-        """Note on disk that the copy for an epoch is complete. Raises DiskError.
+        """Record on disk that the copy for an epoch is complete, so that a restart does not repeat it.
 
-        It stays so for as long as the disk, so it holds after a restart too.
+        Raises DiskError.
         """
         await self._write([StorageRecord(complete_epoch=epoch).SerializeToString()])
         self.complete_epoch = max(self.complete_epoch, epoch)
 
-    # Requests of sidecars
+    # Requests from sidecars
 
     async def handle_request(self, request: StorageRequest) -> StorageReply:
-        """Answer a read, a write or both; the read sees the write."""
+        """Handle a read, a write or both; the read sees the write."""
         if request.replica_id != self.identity:
             return StorageReply(status=STORAGE_STATUS_WRONG_REPLICA)
         if request.epoch < max(self.fence_epoch, self.placement.epoch):
@@ -175,7 +176,7 @@
             reply.budget.extend(self.table.budget_entries(request.program))
         self._add_turns(request, reply)
         if request.records:
-            # An equal record that is known already may still be on its way to the disk: wait behind it.
+            # Even if nothing has changed, an earlier write of the same records may still be in flight.
             try:
                 await self._write(changed)
             except DiskError:
@@ -193,7 +194,7 @@
             reply.turns.append(turn)
 
     def _ancestors(self, turn: Turn, known_turn_ids: set[str]) -> list[Turn]:
-        """Return those of a turn's ancestors that this replica holds and the reader does not know."""
+        """Return a turn's ancestors that this replica holds and the reader does not have, newest first."""
         ancestors: list[Turn] = []
         size_bytes = 0
         for ancestor_id in reversed(turn.ancestors):
@@ -208,10 +209,10 @@
             ancestors.append(ancestor)
         return ancestors
 
-    # Copies by other replicas
+    # Scans by other replicas
 
     async def handle_scan(self, request: ScanRequest) -> ScanReply:
-        """Hand over what another replica is to hold, after fencing all older epochs."""
+        """Return records that are placed on the requester, after fencing all older epochs."""
         if request.replica_id != self.identity:
             return ScanReply(status=STORAGE_STATUS_WRONG_REPLICA)
         self.adopt_placement(request.placement)
@@ -222,7 +223,7 @@
         except DiskError:
             return ScanReply(status=STORAGE_STATUS_DISK_FAILED)
         if request.turn_ids:
-            return self._named_turns(request.turn_ids)
+            return self._reply_with_turns(request.turn_ids)
         page = self.table.scan(request.after, request.limit_bytes, self._is_placed_on_requester(request))
         reply = ScanReply(status=STORAGE_STATUS_DONE, next=page.position, done=page.is_last)
         for record in map(StorageRecord.FromString, page.payloads):
@@ -232,8 +233,8 @@
                 reply.records.append(record)
         return reply
 
-    def _named_turns(self, turn_ids: Iterable[str]) -> ScanReply:
-        """Reply with those of some turns that have not expired."""
+    def _reply_with_turns(self, turn_ids: Iterable[str]) -> ScanReply:
+        """Reply with the requested turns, except expired ones."""
         turns = [self.table.turn(turn_id) for turn_id in turn_ids]
         records = [StorageRecord(turn=turn) for turn in turns if turn is not None]
         return ScanReply(status=STORAGE_STATUS_DONE, records=records, done=True)
@@ -243,7 +244,7 @@
         copies = quorum_sizes(len(members), self._losses).copies
 
         def is_placed(key: RecordKey) -> bool:
-            """Whether the requester holds a key under the next placement."""
+            """Whether a key is placed on the requester in the next set."""
             replicas = replicas_for(key.placement_key, members, copies)
             return any(member.replica_id == request.requester for member in replicas)
 
