--- a/tests/tier/consensus/test_electorate.py
+++ b/tests/tier/consensus/test_electorate.py
@@ -43,6 +43,6 @@
 
 def test_new_description_of_the_same_voters_needs_no_joint_entry() -> None:
     entry = Entry(voters=THREE)
-    moved_voters = [Member(replica_id=f"v{n}", node=f"n{n}", address=f"a{n}", zone="z") for n in (3, 2, 1)]
-    change_voters(entry, moved_voters)
+    same_voters = [Member(replica_id=f"v{n}", node=f"n{n}", address=f"a{n}", zone="z") for n in (3, 2, 1)]
+    change_voters(entry, same_voters)
     assert not entry.old_voters and entry.voters[0].zone == "z"
--- a/wheatring/tier/storage/process.py
+++ b/wheatring/tier/storage/process.py
@@ -60,11 +60,11 @@
         """Announce the shutdown, wait for other replicas to take over if there are enough, and close."""
         loop = asyncio.get_running_loop()
         self._is_stopping = True
-        stopping_since = loop.time()
+        stop_started_at = loop.time()
         self.subscription.announce_now()
-        while loop.time() - stopping_since < self.settings.grace_seconds - STOP_MARGIN_SECONDS:
+        while loop.time() - stop_started_at < self.settings.grace_seconds - STOP_MARGIN_SECONDS:
             await asyncio.sleep(STOP_POLL_SECONDS)
-            if self._can_exit(loop.time() - stopping_since):
+            if self._can_exit(loop.time() - stop_started_at):
                 break
         self.server.close()
 
