--- a/wheatring/tier/budgets/exceptions.py
+++ b/wheatring/tier/budgets/exceptions.py
@@ -1,23 +1,23 @@
-"""The errors of token budgets."""
+"""Exceptions of token budgets."""
 
 from __future__ import annotations
 
 
 class BudgetExceededError(Exception):
-    """The budget does not suffice for the turn. All figures are tokens.
+    """The rest of the budget does not suffice for the turn. All values are numbers of tokens.
 
     Attributes
     ----------
     reserved
-        What the program's other turns have taken or may take.
+        The tokens that the program's other turns have reserved or used.
     requested
-        What the turn may take.
+        The tokens that the turn may use.
     budget
         The program's budget.
     """
 
     def __init__(self, reserved: int, requested: int, budget: int) -> None:
-        super().__init__(f"{reserved} of {budget} tokens are taken, {requested} are asked for")
+        super().__init__(f"{reserved} of {budget} tokens reserved or used, {requested} requested")
         self.reserved = reserved
         self.requested = requested
         self.budget = budget
--- a/wheatring/tier/budgets/token_budgets.py
+++ b/wheatring/tier/budgets/token_budgets.py
@@ -1,9 +1,9 @@
-"""Token budgets of programs, kept over all sidecars.
+"""Token budgets of agent programs, enforced across all sidecars.
 
-A turn first reserves the most that it may generate at a write quorum, and in the same exchange reads the
-program's entries from a read quorum. Of two turns that reserve at one time at least one sees the other, so
-together they never pass the budget. A turn that has ended is settled at what was delivered; one whose
-sidecar has died stays at what it reserved.
+Before it starts, a turn reserves the maximum number of tokens that it may generate at a write quorum, and in
+the same exchange reads the program's entries from a read quorum. If two turns reserve concurrently, at least
+one of them sees the other, so together they never exceed the budget. When a turn ends, its reservation is
+replaced by the number of tokens delivered. If its sidecar crashes, the full reservation remains.
 """
 
 from __future__ import annotations
@@ -28,27 +28,27 @@
     async def reserve(
         self, program: str, turn: str, max_tokens: int, budget: int, timeout_seconds: float
     ) -> None:
-        """Reserve what one turn may generate.
+        """Reserve the tokens that a turn may generate.
 
-        However it ends, the caller settles the turn afterwards: the reservation may count though this raised.
+        The caller must settle the turn afterwards even if this raises: the reservation may still count.
 
         Parameters
         ----------
         program, turn
             The program, and the id of its turn.
         max_tokens
-            What the turn may generate.
+            The maximum number of tokens that the turn may generate.
         budget
-            The program's tokens over all turns.
+            The program's token budget for all its turns.
         timeout_seconds
-            For the exchange with the storage members.
+            The time-out of the exchange with the storage replicas.
 
         Raises
         ------
         BudgetExceededError
-            The other turns leave less than `max_tokens`.
+            The other turns leave fewer than `max_tokens`.
         QuorumNotReachedError
-            Whether the budget suffices is unknown.
+            It is unknown whether the budget suffices.
         """
         entry = BudgetEntry(program=program, turn=turn, tokens=max_tokens)
         entries = await self._store.write_budget(entry, timeout_seconds)
@@ -57,7 +57,7 @@
             raise BudgetExceededError(reserved, max_tokens, budget)
 
     def settle(self, program: str, turn: str, tokens: int) -> None:
-        """Replace a turn's reservation by the tokens that were delivered, without waiting for it."""
+        """Replace a turn's reservation by the number of tokens delivered, in the background."""
         task = asyncio.get_running_loop().create_task(self._settle(program, turn, tokens))
         self._store.run_in_background(task)
 
@@ -66,5 +66,5 @@
         try:
             await self._store.write(program, [StorageRecord(budget=entry)], SETTLE_TIMEOUT_SECONDS)
         except QuorumNotReachedError:
-            # The reservation stays: the program has less than its budget, never more.
+            # The reservation remains, so the program may get less than its budget but never more.
             log_event("budget-not-settled", program=program, turn=turn, tokens=tokens)
--- a/wheatring/tier/discovery/__init__.py
+++ b/wheatring/tier/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery of endpoints: the reader of the platform's endpoint list, and its form inside the tier."""
+"""Discovery of endpoints: reads the platform's endpoint list and converts it to the tier's messages."""
--- a/wheatring/tier/discovery/exceptions.py
+++ b/wheatring/tier/discovery/exceptions.py
@@ -1,4 +1,4 @@
-"""The errors of discovery."""
+"""Exceptions of discovery."""
 
 from __future__ import annotations
 
--- a/wheatring/tier/discovery/platform_list.py
+++ b/wheatring/tier/discovery/platform_list.py
@@ -1,7 +1,7 @@
 """Reads the platform's endpoint list, page by page.
 
-httpx is imported by a thread when the list is first read, so that a controller that starts can take part in
-an election meanwhile.
+httpx is imported in a thread when the list is first read, so that a controller that is starting can take part
+in an election meanwhile.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 CALL_TIMEOUT_SECONDS = 0.8
 MAX_PAGES = 200
-DRAINING = "draining"  # the state of an endpoint that is to get nothing new
+DRAINING = "draining"  # Endpoints in this state get no new requests.
 
 
 class EndpointListReader(Protocol):
@@ -29,7 +29,7 @@
 
 
 def _endpoint(values: dict[str, Any]) -> Endpoint:
-    """Return an endpoint from the platform's JSON object, whose keys are the platform's."""
+    """Convert a JSON object of the platform to an endpoint."""
     return Endpoint(
         id=str(values["id"]),
         service=str(values["backend"]),
@@ -43,31 +43,31 @@
 
 
 class PlatformListReader:
-    """Reads the list from the platform. One process of the system does so at a time: the leader."""
+    """Reads the endpoint list from the platform; only the leading controller does so."""
 
     def __init__(self, address: str, calls_per_second: float) -> None:
-        """Set the reader up.
+        """Initialize the reader.
 
         Parameters
         ----------
         address
             The platform's IP address and port.
         calls_per_second
-            The rate limit of the platform, for the pages of one read.
+            The platform's rate limit, applied to the pages of one read.
         """
         self._url = f"http://{address}/instances"
         self._page_interval_seconds = 1 / max(calls_per_second, 0.1)
         self._client: httpx.AsyncClient | None = None
 
     async def prepare(self) -> httpx.AsyncClient:
-        """Load the library and make the client, once."""
+        """Import httpx and create the client, unless that has been done."""
         if self._client is None:
             module = await asyncio.get_running_loop().run_in_executor(None, importlib.import_module, "httpx")
             self._client = module.AsyncClient(timeout=CALL_TIMEOUT_SECONDS, trust_env=False)
         return self._client
 
     async def read(self) -> EndpointList:
-        """Return the complete list, of all pages. Raises EndpointListUnavailableError."""
+        """Return the complete list of all pages. Raises EndpointListUnavailableError."""
         endpoints: list[Endpoint] = []
         token: str | None = None
         for _ in range(MAX_PAGES):
@@ -76,11 +76,11 @@
                 endpoints.extend(_endpoint(values) for values in page["instances"])
                 token = page.get("nextPageToken")
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                raise EndpointListUnavailableError(f"a page cannot be read: {error!r}") from error
+                raise EndpointListUnavailableError(f"malformed page: {error!r}") from error
             if not token:
                 return EndpointList(endpoints=endpoints)
             await asyncio.sleep(self._page_interval_seconds)
-        raise EndpointListUnavailableError("the list has no end")
+        raise EndpointListUnavailableError("endpoint list exceeds the maximum number of pages")
 
     async def _read_page(self, token: str | None) -> Any:
         client = await self.prepare()
--- a/wheatring/tier/placement/__init__.py
+++ b/wheatring/tier/placement/__init__.py
@@ -1,1 +1,1 @@
-"""The rule by which keys are spread over storage members."""
+"""Placement of keys on storage members."""
--- a/wheatring/tier/placement/key_placement.py
+++ b/wheatring/tier/placement/key_placement.py
@@ -1,8 +1,8 @@
-"""Which storage members hold the records of a key, and how many of them have to answer.
+"""Computes which storage members hold the records of a key, and which quorums its reads and writes need.
 
-Members are ranked for each key by rendezvous hashing (Thaler and Ravishankar, 1998), taken from different
-zones first, so a change of the members moves only the keys of those that came or went. While a placement has
-a `next` set, writes and reads that find nothing need quorums of both sets.
+For each key, members are ranked by rendezvous hashing (Thaler and Ravishankar, 1998) and chosen from
+different zones where possible. A membership change therefore only moves keys of the members that joined or
+left. While a placement has a `next` set, writes need quorums of both sets, and so do reads that find nothing.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumSizes:
-    """How many copies there are of each record, and how many replies a write and a read need."""
+    """The number of copies of each record, and the number of replies that a write and a read need."""
 
     copies: int
     write: int
@@ -24,10 +24,10 @@
 
 
 def quorum_sizes(members: int, losses: int) -> QuorumSizes:
-    """Return the sizes for a set of members of which `losses` may be gone at one time.
+    """Return the sizes for a set of members of which `losses` may be lost simultaneously.
 
-    A write stands on `losses + 1` disks. A read that finds nothing overlaps with every write that was
-    acknowledged.
+    A write is acknowledged once it is on `losses + 1` disks. The read quorum of a read that finds nothing
+    overlaps with the write quorum of every acknowledged write.
     """
     copies = min(members, 2 * losses + 1)
     write = losses + 1
@@ -39,7 +39,7 @@
 
 
 def replicas_for(key: str, members: Sequence[StorageMember], copies: int) -> list[StorageMember]:
-    """Return the members that hold a key, the highest rank first, from as many zones as there are."""
+    """Return the members that hold a key, from as many zones as possible and in order of rank per zone."""
     if len(members) <= copies:
         return list(members)
     ranked = sorted(members, key=lambda member: _rendezvous_weight(key, member), reverse=True)
@@ -49,18 +49,18 @@
         if member.zone not in zones and len(chosen) < copies:
             zones.add(member.zone)
             chosen.append(member)
-    taken = {member.replica_id for member in chosen}
+    chosen_ids = {member.replica_id for member in chosen}
     for member in ranked:
         if len(chosen) >= copies:
             break
-        if member.replica_id not in taken:
+        if member.replica_id not in chosen_ids:
             chosen.append(member)
     return chosen
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaGroup:
-    """The members of one set that hold one key, and how many of them make a quorum."""
+    """The members of one set that hold one key, and the sizes of their quorums."""
 
     replica_ids: frozenset[str]
     write_quorum: int
@@ -69,27 +69,27 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyPlacement:
-    """Who holds one key.
+    """The members that hold one key, and their quorums.
 
-    While a change is under way there are two groups, and what is written or said to be absent needs a quorum
-    of each: a write under the placement after the change reaches members of the next set only, and a reader
-    that has not received that placement yet must not overlook it.
+    During a membership change there are two groups, and a write needs a quorum of each, as does a read that
+    finds nothing. A write under the placement that follows the change reaches only members of the next set,
+    and a reader that has not received that placement yet must not miss it.
     """
 
     members: tuple[StorageMember, ...]
     groups: tuple[ReplicaGroup, ...]
 
     def has_write_quorum(self, acknowledged: set[str]) -> bool:
-        """Whether these replicas make a write quorum of every group."""
+        """Whether the replicas that acknowledged a write form a write quorum of every group."""
         return all(len(group.replica_ids & acknowledged) >= group.write_quorum for group in self.groups)
 
     def has_read_quorum(self, replied: set[str]) -> bool:
-        """Whether what none of these replicas holds has not been acknowledged."""
+        """Whether a record that none of these replicas holds cannot have been acknowledged."""
         return all(len(group.replica_ids & replied) >= group.read_quorum for group in self.groups)
 
 
 def place_key(key: str, placement: Placement, losses: int) -> KeyPlacement:
-    """Return who holds a key; lost members count in the quorums and are never called."""
+    """Return the placement of a key; lost members count towards the quorum sizes but are never called."""
     groups = []
     members: dict[str, StorageMember] = {}
     for member_set in (placement.current, placement.next):
--- a/wheatring/tier/sidecar/__init__.py
+++ b/wheatring/tier/sidecar/__init__.py
@@ -1,6 +1,6 @@
-"""The sidecar of the serving tier: clients on one side, endpoints on the other.
+"""The sidecar of the serving tier, which forwards requests of clients to endpoints.
 
-`process` owns all state. `client_connection` reads requests, `request_service` finds their route and has
-`plain_requests` or `streaming_requests` answer them by a `forwarder`, which makes the attempts that
-`service_balancer` asks for over the connections of `connection_pool`.
+`process` owns all state. `client_connection` reads requests, and `request_service` finds their route and
+delegates them to `plain_requests` or `streaming_requests`. These use a `forwarder`, which makes the attempts
+that `service_balancer` decides on over connections of `connection_pool`.
 """
--- a/wheatring/tier/sidecar/client_connection.py
+++ b/wheatring/tier/sidecar/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: requests in, one after the other, and their responses out."""
+"""An HTTP/1.1 connection of a client, which reads requests one at a time and writes their responses."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 from wheatring.tier.sidecar.exceptions import ResponseStartedError
 from wheatring.tier.sidecar.route_table import Limits
 
-MAX_PIPELINED_BYTES = 256 * 1024  # that a client may send ahead while a request is in flight
+MAX_PIPELINED_BYTES = 256 * 1024  # Reading pauses beyond this while a request is in flight.
 
 RequestHandler = Callable[["ClientConnection", Message, float], Awaitable[None]]
 
 
 class ResponseState(Enum):
-    """How much of the response to the request in flight has been written."""
+    """How much of the response to the current request has been written."""
 
     NOT_STARTED = "not started"
-    HEAD_SENT = "head sent"  # what may follow is the rest of the body, or the end of the connection
+    HEAD_SENT = "head sent"  # Only the rest of the body or a connection close may follow.
     COMPLETE = "complete"
 
 
 @dataclass(slots=True)
 class ConnectionSettings:
-    """What all client connections of a sidecar share; replaced as a whole when it changes."""
+    """Settings that all client connections of a sidecar share."""
 
     limits: Limits
-    is_closing: bool = False  # every response is the last one on its connection
+    is_closing: bool = False  # Each connection is closed after its current response.
 
 
 class ClientConnection(asyncio.Protocol):
-    """Serves one request at a time. A client that closes the connection ends its request."""
+    """Serves one request at a time. If the client closes the connection, its request is cancelled."""
 
     def __init__(
         self,
@@ -45,17 +45,17 @@
         settings: Callable[[], ConnectionSettings],
         on_lost: Callable[[ClientConnection], None],
     ) -> None:
-        """Prepare a connection.
+        """Initialize a connection.
 
         Parameters
         ----------
         handler
-            Answers a request; it gets this connection, the request and when its last byte came, in seconds of
-            the event loop's clock.
+            Answers a request; called with this connection, the request and the time at which its last byte
+            arrived, in seconds of the event loop's clock.
         settings
-            Returns what holds now for all client connections.
+            Returns the current settings of all client connections.
         on_lost
-            Called once, when the connection has ended.
+            Called once, when the connection has been closed.
         """
         self._handler = handler
         self._settings = settings
@@ -68,45 +68,45 @@
         self._keep_alive = True
         self._timer: asyncio.TimerHandle | None = None
         self._received_at = 0.0
-        self._is_ended = False
-        self._response_state = ResponseState.COMPLETE  # of no request yet
+        self._is_closed = False
+        self._response_state = ResponseState.COMPLETE  # There is no request yet.
         self._is_chunked = False
 
     # Called by the event loop
 
     def connection_made(self, transport: Any) -> None:
-        """Wait for the first request of a client that has connected."""
+        """Start the idle time-out until the first request arrives."""
         self._transport = transport
         self._wait_for_request()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of this request, or of the next one."""
-        if self._is_ended:
+        """Parse bytes of the current request or of pipelined ones."""
+        if self._is_closed:
             return
         self._received_at = asyncio.get_running_loop().time()
-        is_request_begun = self._reader.has_partial_message
+        had_partial_message = self._reader.has_partial_message
         self._reader.feed(data)
         if self._task is not None:
             if len(self._reader.buffer) > MAX_PIPELINED_BYTES:
                 self._transport.pause_reading()
             return
-        if not is_request_begun:
+        if not had_partial_message:
             self._set_timer(self._settings().limits.header_timeout_seconds, self._on_header_timeout)
         self._start_next_request()
 
     def eof_received(self) -> bool:
-        """End what is in flight: the client has closed, and nobody waits for a response any more.
+        """Cancel the request in flight, because the client has closed and no longer waits for a response.
 
-        A client that closes one half only is not known to the operators' pages, and rule GONE counts what
-        runs on.
+        The operators' documentation defines no half-closed clients, and its rule GONE counts requests that
+        continue to run after their client has disconnected.
         """
         if self._task is not None:
             self._task.cancel()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """End what is in flight: the client has gone."""
-        self._is_ended = True
+        """Cancel the request in flight, because the client has disconnected."""
+        self._is_closed = True
         self._clear_timer()
         self._writable.set()
         if self._task is not None:
@@ -114,11 +114,11 @@
         self._on_lost(self)
 
     def pause_writing(self) -> None:
-        """Have `drain` wait: the client reads slowly."""
+        """Block `drain`, because the client reads too slowly."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Have `drain` go on: the client has caught up."""
+        """Unblock `drain`, because the client has caught up."""
         self._writable.set()
 
     # Requests
@@ -131,12 +131,15 @@
     def _start_next_request(self) -> None:
         try:
             message = self._reader.next_message()
-        except MalformedMessageError as bad:
-            self._reject(bad.status)
+        except MalformedMessageError as error:
+            self._reject(error.status)
             return
         if message is None:
-            pending = self._reader.message
-            if pending is not None and pending.fields.pop(b"expect", b"").lower() == b"100-continue":
+            partial_message = self._reader.message
+            if (
+                partial_message is not None
+                and partial_message.fields.pop(b"expect", b"").lower() == b"100-continue"
+            ):
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             return
         self._clear_timer()
@@ -149,12 +152,12 @@
             await self._handler(self, message, self._received_at)
         except asyncio.CancelledError:
             return
-        except Exception as error:  # a fault of the program must not leave the client without an end
+        except Exception as error:  # A bug must not leave the client waiting.
             log_event("request-broken", error=repr(error))
             self.abort_response()
         finally:
             self._task = None
-        if self._is_ended:
+        if self._is_closed:
             return
         if self._response_state is not ResponseState.COMPLETE:
             log_event("request-broken", error=f"response {self._response_state.value}")
@@ -181,9 +184,9 @@
         self._transport.write(encode_response(status, close=True))
         self.close()
 
-    def _set_timer(self, seconds: float, call: Callable[[], None]) -> None:
+    def _set_timer(self, seconds: float, callback: Callable[[], None]) -> None:
         self._clear_timer()
-        self._timer = asyncio.get_running_loop().call_later(seconds, call)
+        self._timer = asyncio.get_running_loop().call_later(seconds, callback)
 
     def _clear_timer(self) -> None:
         if self._timer is not None:
@@ -194,7 +197,7 @@
 
     @property
     def is_response_started(self) -> bool:
-        """Whether a head has been sent, so that no other response can be."""
+        """Whether a response head has been sent, after which no other response can follow."""
         return self._response_state is not ResponseState.NOT_STARTED
 
     def _mark_response(self, state: ResponseState) -> None:
@@ -211,12 +214,12 @@
         """Write a complete response; `fields` are encoded header lines. Raises ResponseStartedError."""
         self._mark_response(ResponseState.COMPLETE)
         reason = REASON_PHRASES.get(status, b"OK")
-        closing = self._connection_field()
+        connection_field = self._connection_field()
         head = b"HTTP/1.1 %d %s\r\n%s%sContent-Length: %d\r\n\r\n" % (
             status,
             reason,
             fields,
-            closing,
+            connection_field,
             len(body),
         )
         self._transport.write(head + body)
@@ -230,40 +233,42 @@
         self._is_chunked = length is None
         reason = REASON_PHRASES.get(status, b"OK")
         framing = b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
-        closing = self._connection_field()
-        self._transport.write(b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, reason, fields, framing, closing))
+        connection_field = self._connection_field()
+        self._transport.write(
+            b"HTTP/1.1 %d %s\r\n%s%s%s\r\n" % (status, reason, fields, framing, connection_field)
+        )
 
     def write_body(self, data: bytes) -> None:
-        """Write a part of the body of a response whose head was written."""
+        """Write a part of the body of a response whose head has been written."""
         if self._is_chunked and data:
             data = b"%x\r\n%s\r\n" % (len(data), data)
         self._transport.write(data)
 
     def finish_response(self) -> None:
-        """End a response whose body was written completely."""
+        """End a response whose body has been written completely."""
         self._response_state = ResponseState.COMPLETE
         if self._is_chunked:
             self._transport.write(b"0\r\n\r\n")
 
     def send_error(self, status: int, fields: bytes = b"", body: bytes = b"") -> None:
-        """Write a complete error response, or cut off the response whose head was sent before."""
+        """Write a complete error response, or abort the response if its head has already been sent."""
         if self.is_response_started:
             self.abort_response()
         else:
             self.send_response(status, fields, body)
 
     async def drain(self) -> None:
-        """Wait for a client that reads slowly."""
+        """Wait while the client reads too slowly."""
         await self._writable.wait()
 
     def abort_response(self) -> None:
-        """End the connection in the middle of a response, so that it does not look complete."""
+        """Close the connection in the middle of a response, so that the response does not look complete."""
         self._keep_alive = False
         self.close()
 
     def close(self) -> None:
-        """End the connection once all that was written has left."""
-        self._is_ended = True
+        """Close the connection after all buffered output has been sent."""
+        self._is_closed = True
         self._clear_timer()
         if self._transport is not None:
             self._transport.close()
--- a/wheatring/tier/sidecar/connection_pool.py
+++ b/wheatring/tier/sidecar/connection_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, the connects for new ones, and one request's exclusive use of each."""
+"""A pool of connections to endpoints, each of which is used by one request at a time."""
 
 from __future__ import annotations
 
@@ -15,59 +15,59 @@
 
 
 class AcquiredConnection:
-    """One request's exclusive use of a connection, which it returns once: by `release` or by `abort`.
+    """One request's exclusive use of a connection, which ends with `release` or `abort`.
 
-    A connection that was returned may carry another request's response, so all but `abort` raises
+    A returned connection may already carry another request's response, so all methods but `abort` raise
     ConnectionReturnedError from then on.
     """
 
     def __init__(self, connection: EndpointConnection, pool: EndpointConnectionPool) -> None:
-        self._connection: EndpointConnection | None = connection  # None once it was returned
+        self._connection: EndpointConnection | None = connection  # None after its return
         self._pool = pool
 
-    def _in_use(self) -> EndpointConnection:
+    def _owned_connection(self) -> EndpointConnection:
         if self._connection is None:
-            raise ConnectionReturnedError("the connection was returned to its pool")
+            raise ConnectionReturnedError("connection has already been returned to the pool")
         return self._connection
 
     async def send(self, data: bytes, request_id: bytes) -> Message:
         """Write a request and return the head of its response. Raises AttemptFailedError."""
-        return await self._in_use().send(data, request_id)
+        return await self._owned_connection().send(data, request_id)
 
     async def read_body(self) -> tuple[bytes, bool]:
-        """Return more of the response's body, and whether that was all. Raises AttemptFailedError."""
-        return await self._in_use().read_body()
+        """Return the next part of the body, and whether it is complete. Raises AttemptFailedError."""
+        return await self._owned_connection().read_body()
 
     def release(self, message: Message) -> None:
-        """Return a connection whose response, `message`, was read to its end.
+        """Return the connection to the pool after its response, `message`, was read completely.
 
         Raises
         ------
         ConnectionReturnedError
-            It was returned before: a second owner would share it with the next request.
+            The connection was returned before; a second return would let two requests share it.
         """
-        connection = self._in_use()
+        connection = self._owned_connection()
         self._connection = None
         connection.finish_response(message, asyncio.get_running_loop().time())
-        self._pool.keep(connection)
+        self._pool.add_idle(connection)
 
     def abort(self) -> None:
-        """End a connection that was not returned yet; without effect on one that was."""
+        """Abort the connection; has no effect if it was already returned."""
         connection, self._connection = self._connection, None
         if connection is not None:
             connection.abort()
 
 
 class EndpointConnectionPool:
-    """Idle connections by endpoint, and the connects for new ones."""
+    """Keeps idle connections by endpoint, and opens new ones."""
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[EndpointConnection]] = {}
 
     async def acquire(self, endpoint: str, address: str, timeout_seconds: float) -> AcquiredConnection:
-        """Return the exclusive use of an idle connection or of a new one.
+        """Return an idle connection or a new one for exclusive use.
 
-        Raises AttemptFailedError, and then nothing was sent.
+        Raises AttemptFailedError if the connect fails; nothing has been sent then.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
@@ -85,12 +85,12 @@
                 )
         except (OSError, TimeoutError) as error:
             raise AttemptFailedError(
-                ExecutionState.NOT_RUN, Outcome.CONNECT_FAILED, f"connect: {error!r}"
+                ExecutionState.NOT_RUN, Outcome.CONNECT_FAILED, f"connect failed: {error!r}"
             ) from error
         return AcquiredConnection(connection, self)
 
-    def keep(self, connection: EndpointConnection) -> None:
-        """Keep a connection that nobody uses for a next request, if it may carry one."""
+    def add_idle(self, connection: EndpointConnection) -> None:
+        """Add a connection that is not in use to the idle ones, if it can be reused."""
         if not connection.is_reusable:
             return
         idle = self._idle.setdefault(connection.endpoint, deque())
@@ -99,13 +99,13 @@
             idle.popleft().abort()
 
     def retain_only(self, endpoints: set[str]) -> None:
-        """Close the idle connections to all other endpoints, which are gone or draining."""
+        """Close the idle connections to all other endpoints, which have been removed or are draining."""
         for endpoint in [endpoint for endpoint in self._idle if endpoint not in endpoints]:
             for connection in self._idle.pop(endpoint):
                 connection.abort()
 
     def close_expired(self, now: float) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections whose idle time-out has passed."""
         for endpoint, idle in list(self._idle.items()):
             while idle and now >= idle[0].idle_until:
                 idle.popleft().abort()
--- a/wheatring/tier/sidecar/endpoint_connection.py
+++ b/wheatring/tier/sidecar/endpoint_connection.py
@@ -1,8 +1,8 @@
-"""One connection to an endpoint: it carries one request at a time and is idle in between.
+"""A connection to an endpoint, which carries one request at a time and is idle in between.
 
-A response is matched by the id of its request, which every response carries: one to another request is read
-to its end and dropped, and one without an id is no response to anybody. What a connection cannot be sure of
-ends it.
+Every response carries the id of its request. A response to another request is read completely and discarded;
+a response without an id cannot be attributed to any request. If the state of a connection is uncertain, the
+connection is aborted.
 """
 
 from __future__ import annotations
@@ -21,16 +21,17 @@
 from wheatring.tier.sidecar.headers import KEEP_ALIVE, REQUEST_ID
 
 MAX_BODY_BYTES = 256 * 1024 * 1024
-HIGH_WATER_BYTES = 256 * 1024  # of a response that may be buffered here for a slow client
-DEFAULT_IDLE_SECONDS = 0.4  # for which a connection is kept where the endpoint does not say
-IDLE_TIMEOUT_FRACTION = 0.6  # of the endpoint's own time-out: closer to it a request may meet the close
+HIGH_WATER_BYTES = 256 * 1024  # Reading pauses when this much is buffered because of a slow client.
+DEFAULT_IDLE_SECONDS = 0.4  # Applies if the endpoint states no keep-alive time-out.
+# Fraction of the endpoint's keep-alive time-out; beyond it, a request could race with the endpoint's close.
+IDLE_TIMEOUT_FRACTION = 0.6
 
 _INT = Struct("i")
 _TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)")
 
 
 def has_undelivered_bytes(transport: Any) -> bool:
-    """Whether a transport, or its socket if it has one, holds bytes that the peer has not taken yet."""
+    """Whether a transport, or its socket if it has one, holds bytes not yet acknowledged by the peer."""
     if transport.get_write_buffer_size():
         return True
     connection = transport.get_extra_info("socket")
@@ -38,7 +39,7 @@
         return False
     try:
         queued = ioctl(connection.fileno(), TIOCOUTQ, bytes(_INT.size))
-    except OSError:  # not a system that can tell
+    except OSError:  # The file is no socket, or the platform does not support the query.
         return False
     return bool(_INT.unpack(queued)[0])
 
@@ -62,11 +63,11 @@
     # Called by the event loop
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport of a connection that is up."""
+        """Store the transport of the established connection."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of a response; on an idle connection they answer nothing, and end it."""
+        """Parse bytes of a response; on an idle connection no response is expected, and it is aborted."""
         if not self._is_busy:
             self.abort()
             return
@@ -77,12 +78,12 @@
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note that the endpoint has closed the connection in an orderly way."""
+        """Record that the endpoint has closed the connection in an orderly way."""
         self._is_closed_by_peer = True
         return False
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Wake whoever waits for bytes: none will come any more."""
+        """Wake the request that waits for bytes, as no more will arrive."""
         self._is_lost = True
         self._wake()
 
@@ -104,15 +105,15 @@
         self.is_reusable = False
         self._transport.write(data)
         while True:
-            message = await self._next_head()
+            message = await self._read_head()
             response_id = message.fields.get(REQUEST_ID, b"")
             if response_id == request_id:
                 return message
             if not response_id:
-                raise self._failed("an answer that names no request")
-            await self._skip(message)
+                raise self._abort_attempt("response without a request id")
+            await self._discard_body(message)
 
-    async def _next_head(self) -> Message:
+    async def _read_head(self) -> Message:
         reader = self._reader
         while True:
             try:
@@ -121,37 +122,37 @@
                     message = reader.next_message()
                 if message is None and reader.message is not None:
                     message = reader.open_message()
-            except MalformedMessageError as bad:
-                raise self._failed(f"no answer: {bad}") from bad
+            except MalformedMessageError as error:
+                raise self._abort_attempt(f"malformed response head: {error}") from error
             if message is not None:
                 return message
-            await self._more_bytes()
+            await self._wait_for_bytes()
 
-    async def _skip(self, message: Message) -> None:
-        """Read a response to another request to its end."""
+    async def _discard_body(self, message: Message) -> None:
+        """Read the response to another request to its end, and discard it."""
         is_complete = not message.is_open
         while not is_complete:
             _, is_complete = await self.read_body()
 
     async def read_body(self) -> tuple[bytes, bool]:
-        """Return more of an open response's body, and whether that was all.
+        """Return the next part of an open response's body, and whether the body is complete.
 
-        Raises AttemptFailedError where the response breaks off.
+        Raises AttemptFailedError if the response breaks off.
         """
         while True:
             try:
                 data, is_complete = self._reader.read_body()
-            except MalformedMessageError as bad:
-                raise self._failed(f"broken answer: {bad}") from bad
+            except MalformedMessageError as error:
+                raise self._abort_attempt(f"malformed response body: {error}") from error
             if data or is_complete:
                 return data, is_complete
             if self._is_lost and self._is_closed_by_peer and self._reader.end_of_input() is not None:
-                return b"", True  # a body without a length lasts until the close
-            await self._more_bytes()
+                return b"", True  # A body without a length ends at an orderly close.
+            await self._wait_for_bytes()
 
-    async def _more_bytes(self) -> None:
+    async def _wait_for_bytes(self) -> None:
         if self._is_lost:
-            raise self._failed("closed" if self._is_closed_by_peer else "reset")
+            raise self._abort_attempt("connection closed" if self._is_closed_by_peer else "connection reset")
         if self._is_paused:
             self._is_paused = False
             self._transport.resume_reading()
@@ -161,31 +162,31 @@
         finally:
             self._waiter = None
 
-    def _failed(self, reason: str) -> AttemptFailedError:
+    def _abort_attempt(self, reason: str) -> AttemptFailedError:
         self.abort()
         return AttemptFailedError(ExecutionState.MAY_HAVE_RUN, Outcome.RESET, reason)
 
     def finish_response(self, message: Message, now: float) -> None:
-        """Note that the response was read to its end: the connection may be kept for a next request.
+        """Record that the response was read completely, and decide whether the connection can be reused.
 
-        Not where the endpoint has answered before it took the whole request: the next one would wait behind
-        the rest of that body for as long as the endpoint does not read it.
+        It cannot if the endpoint responded before it had read the whole request: the next request would be
+        queued behind the rest of that body until the endpoint reads it.
         """
         self._is_busy = False
-        is_clean = message.keep_alive and not self._reader.has_partial_message and self.is_usable
-        is_clean = is_clean and not has_undelivered_bytes(self._transport)
-        self.is_reusable = is_clean
-        if not is_clean:
+        is_reusable = message.keep_alive and not self._reader.has_partial_message and self.is_usable
+        is_reusable = is_reusable and not has_undelivered_bytes(self._transport)
+        self.is_reusable = is_reusable
+        if not is_reusable:
             self.abort()
             return
-        stated = _TIMEOUT.search(message.fields.get(KEEP_ALIVE, b""))
+        timeout = _TIMEOUT.search(message.fields.get(KEEP_ALIVE, b""))
         idle_seconds = (
-            int(stated.group(1)) * IDLE_TIMEOUT_FRACTION if stated is not None else DEFAULT_IDLE_SECONDS
+            int(timeout.group(1)) * IDLE_TIMEOUT_FRACTION if timeout is not None else DEFAULT_IDLE_SECONDS
         )
         self.idle_until = now + idle_seconds
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately, without sending what is buffered."""
         self._is_lost = True
         if self._transport is not None:
             self._transport.abort()
--- a/wheatring/tier/sidecar/endpoint_response.py
+++ b/wheatring/tier/sidecar/endpoint_response.py
@@ -1,4 +1,4 @@
-"""Responses of endpoints: the head of one whose body follows, and a complete one."""
+"""Responses of endpoints: a response whose body is still to be read, and a complete error response."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class EndpointResponse:
-    """The head of an endpoint's response and the connection that brings the rest.
+    """The head of an endpoint's response, and the connection from which its body is read.
 
     `sent_at` is when the attempt began, in seconds of the event loop's clock.
     """
@@ -29,15 +29,15 @@
 
 @dataclass(slots=True)
 class ErrorResponse:
-    """An endpoint's own error response, kept to be passed on unchanged."""
+    """A complete error response of an endpoint, which can be relayed unchanged."""
 
     status: int
-    fields: bytes  # header lines
+    fields: bytes  # encoded header lines
     body: bytes
 
 
 def reported_load(message: Message) -> float | None:
-    """Return the requests at the endpoint, running and queued, as its response reports them."""
+    """Return the number of requests running and queued at the endpoint, if its response reports it."""
     value = message.fields.get(headers.SERVER_LOAD)
     if value is None:
         return None
--- a/wheatring/tier/sidecar/event_stream.py
+++ b/wheatring/tier/sidecar/event_stream.py
@@ -1,4 +1,4 @@
-"""Parses a series of events (text/event-stream, HTML Living Standard 9.2) into events, as they arrive."""
+"""Incremental parser of server-sent events (text/event-stream, HTML Living Standard 9.2)."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One event: its bytes with the blank line behind them, its id where it has one, and its data."""
+    """One event: its raw bytes including the final blank line, its id if it has one, and its data."""
 
     raw: bytes
     event_id: int | None
@@ -15,7 +15,7 @@
 
 
 def _field_value(line: bytes, name: bytes) -> bytes | None:
-    """Return the value of a line of that name; None for other lines."""
+    """Return the value of a line that holds the named field, None for any other line."""
     if not line.startswith(name + b":"):
         return None
     value = line[len(name) + 1 :]
@@ -34,13 +34,13 @@
 
 
 class EventParser:
-    """Bytes in, complete events out. What stands behind the last blank line is kept for later."""
+    """Splits a byte stream into events, and buffers an incomplete event until the rest of it arrives."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Event]:
-        """Return the events that are complete by now."""
+        """Parse more bytes and return the events that they complete."""
         self._buffer += data
         events: list[Event] = []
         while (end := self._first_event_end()) > 0:
@@ -50,7 +50,7 @@
         return events
 
     def _first_event_end(self) -> int:
-        """Return where the first complete event ends, 0 where there is none."""
+        """Return the end offset of the first complete event, or 0 if there is none."""
         ends = [
             position + len(separator)
             for separator in (b"\n\n", b"\r\n\r\n")
@@ -60,5 +60,5 @@
 
     @property
     def remainder(self) -> bytes:
-        """Bytes that make no complete event."""
+        """The buffered bytes of an incomplete event."""
         return bytes(self._buffer)
--- a/wheatring/tier/sidecar/exceptions.py
+++ b/wheatring/tier/sidecar/exceptions.py
@@ -1,4 +1,4 @@
-"""The errors of a sidecar, typed by what is known of the request."""
+"""Exceptions of the sidecar."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 
 
 class ExecutionState(Enum):
-    """Whether an endpoint may have run a request, which decides whether it may be sent again."""
+    """Whether an endpoint has run a request, which decides whether the request may be retried."""
 
-    NOT_RUN = "not run"  # it never reached an endpoint's work, and never will
+    NOT_RUN = "not run"  # The endpoint did not start it and never will.
     MAY_HAVE_RUN = "may have run"
     RAN = "ran"
 
 
 @dataclass(slots=True)
 class AttemptFailedError(Exception):
-    """One attempt at an endpoint has ended without a complete response."""
+    """An attempt ended without a response that can be used."""
 
     execution: ExecutionState
-    outcome: Outcome  # as the balancer counts it
+    outcome: Outcome  # The outcome that is reported to the balancer.
     reason: str
 
 
 @dataclass(slots=True)
 class RequestRejectedError(Exception):
-    """The request ends with a response of the sidecar's own."""
+    """The request is answered with an error response of the sidecar itself."""
 
     status: int
     reason: str
-    retry_after_seconds: float = 0.0  # 0: the response has no Retry-After
+    retry_after_seconds: float = 0.0  # The response has no Retry-After header if this is 0.
 
 
 class ConnectionReturnedError(RuntimeError):
-    """A connection was used or released by a request that had returned it before: a fault of the program."""
+    """A request used or released a connection that it had already returned, which is a bug."""
 
 
 class ResponseStartedError(RuntimeError):
-    """A second head was to be written into a response: a fault of the program."""
+    """A handler tried to write a second head into a response, which is a bug."""
 
 
 class PolicyError(Exception):
-    """A policy file that cannot be used; the text names the file and the key."""
+    """A policy file is unusable; the message names the file and, where possible, the key."""
--- a/wheatring/tier/sidecar/forwarder.py
+++ b/wheatring/tier/sidecar/forwarder.py
@@ -1,4 +1,4 @@
-"""Sends one request to endpoints as the balancer decides, until it has a response."""
+"""Forwards one request to endpoints, as the balancer decides, until an endpoint responds."""
 
 from __future__ import annotations
 
@@ -15,21 +15,22 @@
 from wheatring.tier.sidecar.service_balancer import BalancedRequest, ServiceBalancer
 
 MIN_RETRY_AFTER_SECONDS = 0.05
-STATUS_MISDIRECTED = 421  # the address is another endpoint's now
+STATUS_MISDIRECTED = 421  # The address now belongs to another endpoint.
 
 
 @dataclass(slots=True)
 class Forwarder:
-    """One request on its way to an endpoint.
+    """Makes the attempts for one request.
 
-    `next_response` may be called again after a stream broke off. `close` has to be called at the end.
+    `next_response` may be called again after a stream has broken off. `close` must be called at the end.
 
     Attributes
     ----------
     may_have_run
-        Whether an endpoint may have run the request by now.
+        Whether an endpoint may have run the request.
     error_response
-        The last endpoint's own error, if it had one.
+        The most recent error response of an endpoint; None if there was none, or if a later attempt failed in
+        a way that leaves open whether it ran.
     """
 
     request: OutgoingRequest
@@ -38,7 +39,7 @@
     balanced_request: BalancedRequest = field(init=False)
     may_have_run: bool = False
     error_response: ErrorResponse | None = None
-    _response: EndpointResponse | None = None  # the one whose body is being read
+    _response: EndpointResponse | None = None  # The response whose body is being read.
 
     def __post_init__(self) -> None:
         """Hand the request to the balancer."""
@@ -52,12 +53,12 @@
         return asyncio.get_running_loop().time()
 
     async def next_response(self) -> EndpointResponse:
-        """Return the head of a response that is no error.
+        """Return the head of the first response that is not an error.
 
         Raises
         ------
         RequestRejectedError
-            There will be none. `error_response` is then the endpoint's own error, if it had one.
+            All attempts failed. `error_response` is the endpoint's own error response, if there was one.
         """
         while True:
             action = await self._next_action()
@@ -67,12 +68,14 @@
                     return response
             elif isinstance(action, i.Reject) and not self.may_have_run:
                 retry_after = max(action.retry_after, MIN_RETRY_AFTER_SECONDS)
-                raise RequestRejectedError(503, "no endpoint takes it", retry_after)
+                raise RequestRejectedError(503, "no endpoint accepted the request", retry_after)
             else:
-                raise RequestRejectedError(504 if self._now() >= self.request.deadline else 502, "failed")
+                raise RequestRejectedError(
+                    504 if self._now() >= self.request.deadline else 502, "no attempt succeeded"
+                )
 
     async def _next_action(self) -> i.Action:
-        """Return what the balancer decides next; wait for a backoff, but not beyond the deadline."""
+        """Return the balancer's next action; wait for a backoff, but not beyond the deadline."""
         actions = self.balanced_request.actions
         if not actions.empty():
             return actions.get_nowait()
@@ -83,34 +86,34 @@
             return i.Fail(self.balanced_request.number)
 
     async def _attempt(self, action: i.Send) -> EndpointResponse | None:
-        """Send to one endpoint; return None where that has failed and the balancer knows it."""
+        """Send to one endpoint; return None if that failed, which is then reported to the balancer."""
         self.balanced_request.attempt_count += 1
         sent_at = self._now()
         connection: AcquiredConnection | None = None
         response: EndpointResponse | None = None
-        give_up_at = min(self.request.deadline, sent_at + self._head_timeout(action))
+        attempt_deadline = min(self.request.deadline, sent_at + self._head_timeout(action))
         try:
-            async with asyncio.timeout_at(give_up_at):
+            async with asyncio.timeout_at(attempt_deadline):
                 connection = await self._connect(action.endpoint)
                 data = self.request.encode(action.endpoint, self.request.deadline - self._now())
                 message = await connection.send(data, self.request.request_id)
                 if self.request.route.is_streaming:
                     self.balancer.record_head_latency(self._now() - sent_at)
-                response = await self._classify(
+                response = await self._check_response(
                     EndpointResponse(message, connection, action.endpoint, sent_at)
                 )
-        except AttemptFailedError as failed:
-            self.record_failure(action.endpoint, sent_at, failed)
+        except AttemptFailedError as failure:
+            self.record_failure(action.endpoint, sent_at, failure)
         except TimeoutError:
-            self.record_failure(action.endpoint, sent_at, _timed_out(connection))
+            self.record_failure(action.endpoint, sent_at, _timeout_failure(connection))
         finally:
             if response is None and connection is not None:
-                # The attempt has failed, or the client has gone: closing has the endpoint stop, too.
+                # The attempt failed or the client disconnected; the abort also stops the endpoint.
                 connection.abort()
         return response
 
     def _head_timeout(self, action: i.Send) -> float:
-        """Return how long an attempt may go without a response's head, where it may be repeated (seconds)."""
+        """Return after how many seconds without a response head to retry; infinite if not at all."""
         route = self.request.route
         if route.kind == "safe":
             return action.timeout
@@ -123,12 +126,12 @@
         address = self.balancer.addresses.get(endpoint)
         if address is None:
             raise AttemptFailedError(
-                ExecutionState.NOT_RUN, i.Outcome.CONNECT_FAILED, "not on the list any more"
+                ExecutionState.NOT_RUN, i.Outcome.CONNECT_FAILED, "endpoint is no longer in the endpoint list"
             )
         return await self.connections.acquire(endpoint, address, self.request.deadline - self._now())
 
-    async def _classify(self, response: EndpointResponse) -> EndpointResponse:
-        """Return a response that is to be passed on. Raises AttemptFailedError for any other."""
+    async def _check_response(self, response: EndpointResponse) -> EndpointResponse:
+        """Return a response that may be relayed to the client. Raises AttemptFailedError for any other."""
         message, status = response.message, response.status
         load = reported_load(message)
         if load is not None:
@@ -136,11 +139,13 @@
         if status == STATUS_MISDIRECTED or headers.NOT_EXECUTED in message.fields:
             await self.read_full_body(response)
             response.connection.release(message)
-            raise AttemptFailedError(ExecutionState.NOT_RUN, i.Outcome.REJECTED, f"refused with {status}")
+            raise AttemptFailedError(
+                ExecutionState.NOT_RUN, i.Outcome.REJECTED, f"rejected with status {status}"
+            )
         if headers.SIGNATURE not in message.fields:
-            # Something between the sidecar and the endpoint has answered: whether it ran is unknown.
+            # An intermediary may have sent this response, so it is unknown whether the request ran.
             raise AttemptFailedError(
-                ExecutionState.MAY_HAVE_RUN, i.Outcome.RESET, f"status {status} without a signature"
+                ExecutionState.MAY_HAVE_RUN, i.Outcome.RESET, f"status {status} without a response signature"
             )
         if status >= 500:
             body = await self.read_full_body(response)
@@ -151,9 +156,9 @@
         return response
 
     async def read_full_body(self, response: EndpointResponse) -> bytes:
-        """Return all of a response's body. Raises AttemptFailedError where it breaks off.
+        """Return the complete body of a response. Raises AttemptFailedError if it breaks off.
 
-        The connection stays with the request.
+        The connection is not released.
         """
         chunks = [response.message.body]
         is_complete = not response.message.is_open
@@ -162,35 +167,35 @@
             chunks.append(data)
         return b"".join(chunks)
 
-    def record_failure(self, endpoint: str, sent_at: float, failed: AttemptFailedError) -> None:
-        """Report a failed attempt to the balancer, whose next action follows."""
-        self._end_response()
-        if failed.execution is not ExecutionState.NOT_RUN:
+    def record_failure(self, endpoint: str, sent_at: float, failure: AttemptFailedError) -> None:
+        """Report a failed attempt to the balancer, which then decides on the next action."""
+        self._abort_response()
+        if failure.execution is not ExecutionState.NOT_RUN:
             self.may_have_run = True
-            if failed.execution is ExecutionState.MAY_HAVE_RUN:
-                self.error_response = None  # the error of an earlier attempt is not this one's
+            if failure.execution is ExecutionState.MAY_HAVE_RUN:
+                self.error_response = None  # An earlier attempt's error does not describe this one.
         latency = self._now() - sent_at
-        self.balancer.finish_attempt(self.balanced_request, endpoint, failed.outcome, latency, None)
+        self.balancer.finish_attempt(self.balanced_request, endpoint, failure.outcome, latency, None)
 
     def record_success(self, response: EndpointResponse) -> None:
-        """Report a response that was read to its end."""
+        """Report a response that was read completely, and release its connection."""
         self._response = None
         response.connection.release(response.message)
         now = self._now()
         if self.request.prompt_segments:
-            caches = self.balancer.balancer.prefix_caches
-            caches.record_prefill(now, response.endpoint, self.request.prompt_segments)
+            prefix_caches = self.balancer.balancer.prefix_caches
+            prefix_caches.record_prefill(now, response.endpoint, self.request.prompt_segments)
         self._finish_attempt(response, i.Outcome.SERVED, reported_load(response.message))
 
     def close(self) -> None:
-        """End the request, in whatever state it is."""
-        response = self._end_response()
+        """End the request, whatever its state."""
+        response = self._abort_response()
         if response is not None:
             self._finish_attempt(response, i.Outcome.CANCELLED, None)
         self.balancer.finish_request(self.balanced_request)
 
-    def _end_response(self) -> EndpointResponse | None:
-        """End the connection of the response that is being read, and return that response."""
+    def _abort_response(self) -> EndpointResponse | None:
+        """Abort the connection of the response that is being read, and return that response."""
         response, self._response = self._response, None
         if response is not None:
             response.connection.abort()
@@ -201,8 +206,8 @@
         self.balancer.finish_attempt(self.balanced_request, response.endpoint, outcome, latency, load)
 
 
-def _timed_out(connection: AcquiredConnection | None) -> AttemptFailedError:
-    """Return the failure of an attempt without a response in time."""
+def _timeout_failure(connection: AcquiredConnection | None) -> AttemptFailedError:
+    """Return the failure of an attempt that timed out."""
     if connection is None:
-        return AttemptFailedError(ExecutionState.NOT_RUN, i.Outcome.CONNECT_FAILED, "no answer in time")
-    return AttemptFailedError(ExecutionState.MAY_HAVE_RUN, i.Outcome.TIMED_OUT, "no answer in time")
+        return AttemptFailedError(ExecutionState.NOT_RUN, i.Outcome.CONNECT_FAILED, "connect timed out")
+    return AttemptFailedError(ExecutionState.MAY_HAVE_RUN, i.Outcome.TIMED_OUT, "response timed out")
--- a/wheatring/tier/sidecar/headers.py
+++ b/wheatring/tier/sidecar/headers.py
@@ -1,4 +1,4 @@
-"""The header fields that the sidecar reads and writes, in lower case as the parser gives them."""
+"""Names of the header fields that the sidecar reads and writes, in lower case as the parser returns them."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 def parse_non_negative_int(value: bytes | None) -> int | None:
-    """Return a header's value as a number of 0 or more; None where it is absent or something else."""
+    """Return a header's value as a non-negative integer, or None if it is absent or malformed."""
     if value is None or not value.isdigit() or len(value) > MAX_DIGITS:
         return None
     return int(value)
 
 
 def decode_text(value: bytes | None) -> str:
-    """Return a header's value as text; empty where it is absent."""
+    """Return a header's value as text, or an empty string if it is absent."""
     return value.decode("latin-1") if value else ""
--- a/wheatring/tier/sidecar/plain_requests.py
+++ b/wheatring/tier/sidecar/plain_requests.py
@@ -1,4 +1,4 @@
-"""Answers requests whose response is one body."""
+"""Answers requests whose response is not a stream of events."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from wheatring.tier.sidecar.forwarder import Forwarder
 from wheatring.tier.sidecar.outgoing_request import OutgoingRequest
 
-STREAMING_THRESHOLD_BYTES = 256 * 1024  # of a body; a longer one is passed on before it is complete
+STREAMING_THRESHOLD_BYTES = 256 * 1024  # A larger body is relayed before it is complete.
 
 
 class PlainRequestHandler:
-    """Passes a response on once it is complete, so that a broken one can be had again elsewhere."""
+    """Relays a response once it is complete, so that a request whose response breaks off can be retried."""
 
     def __init__(self, open_forwarder: Callable[[OutgoingRequest, str], Forwarder]) -> None:
-        """Prepare a handler; `open_forwarder` takes a request and its service."""
+        """Initialize the handler; `open_forwarder` is called with a request and the name of its service."""
         self._open_forwarder = open_forwarder
 
     async def serve(self, client: ClientConnection, request: OutgoingRequest, service: str) -> None:
         """Answer one request. Raises RequestRejectedError."""
         forwarder = self._open_forwarder(request, service)
         try:
-            await self._pass_on_first(client, forwarder)
+            await self._relay_first_complete(client, forwarder)
         except RequestRejectedError:
             error = forwarder.error_response
             if error is None:
@@ -35,28 +35,28 @@
         finally:
             forwarder.close()
 
-    async def _pass_on_first(self, client: ClientConnection, forwarder: Forwarder) -> None:
-        """Pass on the first response that is complete. Raises RequestRejectedError."""
+    async def _relay_first_complete(self, client: ClientConnection, forwarder: Forwarder) -> None:
+        """Relay the first complete response. Raises RequestRejectedError."""
         while True:
             response = await forwarder.next_response()
             try:
                 async with asyncio.timeout_at(forwarder.request.deadline):
-                    await self._pass_on(client, forwarder, response)
+                    await self._relay(client, forwarder, response)
                     return
-            except AttemptFailedError as failed:
-                forwarder.record_failure(response.endpoint, response.sent_at, failed)
+            except AttemptFailedError as failure:
+                forwarder.record_failure(response.endpoint, response.sent_at, failure)
             except TimeoutError:
                 if client.is_response_started:
-                    self._break_off(client, "the answer was not whole in time")
+                    self._abort_response(client, "response incomplete at the deadline")
                     return
-                raise RequestRejectedError(504, "the answer was not whole in time") from None
+                raise RequestRejectedError(504, "response incomplete at the deadline") from None
 
-    async def _pass_on(
+    async def _relay(
         self, client: ClientConnection, forwarder: Forwarder, response: EndpointResponse
     ) -> None:
-        """Pass a response on once it is complete, or in chunks where it is large.
+        """Relay a response once it is complete, or in chunks if it is large.
 
-        Raises AttemptFailedError where it has broken off before anything of it was passed on.
+        Raises AttemptFailedError if it breaks off before any part of it was relayed.
         """
         message = response.message
         body = message.body
@@ -68,12 +68,12 @@
             client.send_response(response.status, message.end_to_end_lines(), body)
             forwarder.record_success(response)
         else:
-            await self._pass_on_chunks(client, forwarder, response, body)
+            await self._relay_in_chunks(client, forwarder, response, body)
 
-    async def _pass_on_chunks(
+    async def _relay_in_chunks(
         self, client: ClientConnection, forwarder: Forwarder, response: EndpointResponse, body: bytes
     ) -> None:
-        """Pass a large response on as it comes; `body` is what has come so far."""
+        """Relay a large response as it arrives; `body` is the part received so far."""
         message = response.message
         client.start_response(response.status, message.end_to_end_lines(), message.content_length)
         client.write_body(body)
@@ -83,14 +83,14 @@
                 data, is_complete = await response.connection.read_body()
                 client.write_body(data)
                 await client.drain()
-        except AttemptFailedError as failed:
-            self._break_off(client, repr(failed))
+        except AttemptFailedError as failure:
+            self._abort_response(client, repr(failure))
             return
         client.finish_response()
         forwarder.record_success(response)
 
     @staticmethod
-    def _break_off(client: ClientConnection, reason: str) -> None:
-        """Cut off a response whose head has left: nothing but the rest of its body may follow."""
+    def _abort_response(client: ClientConnection, reason: str) -> None:
+        """Abort a response whose head has been sent, since only the rest of its body may follow."""
         log_event("answer-broken-off", error=reason)
         client.abort_response()
--- a/wheatring/tier/sidecar/process.py
+++ b/wheatring/tier/sidecar/process.py
@@ -1,4 +1,4 @@
-"""The process of one sidecar: follows the control state, serves clients, and says whether it is ready."""
+"""The sidecar process: applies updates from the controllers, serves clients and reports its readiness."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 PRESENCE_INTERVAL_SECONDS = 2.0
 SWEEP_INTERVAL_SECONDS = 0.5
-UNCONFIRMED_CONFIGURATION_SECONDS = 3.0  # after which a configuration that no controller confirms is served
-DRAIN_ACCEPT_SECONDS = 2.6  # from SIGTERM on, in which new connections are still taken
-STOP_MARGIN_SECONDS = 0.7  # before SIGKILL; the process ends then whatever is in flight
+UNCONFIRMED_CONFIGURATION_DELAY_SECONDS = 3.0  # An unconfirmed configuration is served after this delay.
+DRAIN_ACCEPT_SECONDS = 2.6  # New connections are still accepted this long after SIGTERM.
+STOP_MARGIN_SECONDS = 0.7  # The process exits this long before SIGKILL, even with requests in flight.
 STOP_POLL_SECONDS = 0.05
 LISTEN_BACKLOG = 512
 
 
 class SidecarProcess(RoleProcess):
-    """The owner of all state of one sidecar process."""
+    """Owns all state of one sidecar process."""
 
     def __init__(self, settings: Settings, random: Random, policy: SidecarPolicy = DEFAULT_POLICY) -> None:
-        """Build the sidecar; `start` has it listen."""
+        """Build the sidecar; `start` opens its listeners."""
         super().__init__(settings)
         self._policy = policy
         self._random = random
@@ -65,7 +65,7 @@
     # Start and stop
 
     async def start(self) -> None:
-        """Listen and begin to follow the controllers. Raises OSError."""
+        """Open the listeners and subscribe to the controllers. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._started_at = loop.time()
         front, ready = self.settings.listen["front"], self.settings.listen["ready"]
@@ -74,8 +74,8 @@
                 partial(self._accept, handler), address.host, address.port, backlog=LISTEN_BACKLOG
             )
             self._servers.append(server)
-        for work in (self.subscription.run(), self._sweep(), self._watch.run()):
-            self._start_task(work)
+        for coroutine in (self.subscription.run(), self._sweep(), self._watch.run()):
+            self._start_task(coroutine)
 
     def _accept(self, handler: RequestHandler) -> ClientConnection:
         client = ClientConnection(handler, lambda: self._connection_settings, self._clients.discard)
@@ -83,7 +83,7 @@
         return client
 
     async def stop(self) -> None:
-        """Stop being ready, answer all that was read, and end within the grace time."""
+        """Become unready, answer the requests already read, and finish within the grace period."""
         loop = asyncio.get_running_loop()
         draining_since = loop.time()
         self._is_draining = True
@@ -100,7 +100,7 @@
             await asyncio.sleep(STOP_POLL_SECONDS)
         log_event("stopped", seconds=round(loop.time() - draining_since, 2), under_way=self.service.in_flight)
 
-    # What the controllers send
+    # Updates from the controllers
 
     def _presence(self) -> Presence:
         settings, view = self.settings, self.subscription.view
@@ -133,52 +133,52 @@
         )
 
     def _may_apply(self) -> bool:
-        """Whether the configuration may be served.
+        """Whether the configuration may be applied.
 
-        The first one has to come from a controller with a quorum, unless none appears for long: a
-        sidecar that has restarted must not go back to an older configuration.
+        A sidecar that has restarted must not revert to an older configuration. Its first configuration must
+        therefore come from a controller with a quorum, unless no such controller is found for some time.
         """
-        waited = asyncio.get_running_loop().time() - self._started_at
+        waited_seconds = asyncio.get_running_loop().time() - self._started_at
         return (
             self.service.table is not None
             or self.subscription.view.is_fresh
-            or waited > UNCONFIRMED_CONFIGURATION_SECONDS
+            or waited_seconds > UNCONFIRMED_CONFIGURATION_DELAY_SECONDS
         )
 
     def _apply_endpoint_list(self, endpoint_list: EndpointList) -> None:
         table = self.service.table
         assert table is not None
         by_service: dict[str, list[ListedEndpoint]] = {name: [] for name in table.services}
-        usable: set[str] = set()
+        usable_ids: set[str] = set()
         for endpoint in endpoint_list.endpoints:
             if endpoint.draining or endpoint.service not in by_service:
                 continue
             entry = EndpointEntry(endpoint.id, EndpointState.READY, zone=endpoint.zone)
             slots = endpoint.slots or table.services[endpoint.service].slots
             by_service[endpoint.service].append(ListedEndpoint(entry, endpoint.address, slots))
-            usable.add(endpoint.id)
+            usable_ids.add(endpoint.id)
         for name, entries in by_service.items():
-            decisions = self.service.balancers.get(name)
-            if decisions is None:
+            balancer = self.service.balancers.get(name)
+            if balancer is None:
                 seed = self._random.getrandbits(32)
-                decisions = ServiceBalancer(self.settings.zone, seed, self._policy)
-                self.service.balancers[name] = decisions
-            decisions.set_endpoints(entries)
-        self._connections.retain_only(usable)
+                balancer = ServiceBalancer(self.settings.zone, seed, self._policy)
+                self.service.balancers[name] = balancer
+            balancer.set_endpoints(entries)
+        self._connections.retain_only(usable_ids)
         self.service.is_configured.set()
 
     # Readiness
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients may be sent here."""
+        """Whether the sidecar is ready to serve clients."""
         return self.service.table is not None and self._list_version > 0 and not self._is_draining
 
     async def _answer_readiness(
         self, client: ClientConnection, message: Message, _received_at: float
     ) -> None:
-        is_known = message.start_line[1].partition(b"?")[0] == b"/readiness"
-        client.send_response(404 if not is_known else 200 if self.is_ready else 503)
+        is_readiness_path = message.start_line[1].partition(b"?")[0] == b"/readiness"
+        client.send_response(404 if not is_readiness_path else 200 if self.is_ready else 503)
 
     async def _sweep(self) -> None:
         while True:
--- a/wheatring/tier/sidecar/request_service.py
+++ b/wheatring/tier/sidecar/request_service.py
@@ -1,4 +1,4 @@
-"""Serves one request of a client: finds its route and service, and has it answered."""
+"""Answers the requests of clients: finds the route and the service, and delegates to their handler."""
 
 from __future__ import annotations
 
@@ -21,23 +21,23 @@
 from wheatring.tier.turns.conversations import Conversations
 
 CONFIGURATION_RETRY_AFTER_SECONDS = 0.2
-CONFIGURATION_TIMEOUT_SECONDS = 0.8  # that a request waits for the first configuration of a sidecar's life
-UNLOGGED_STATUSES = (402, 404)  # rejections that are the client's own doing
+CONFIGURATION_TIMEOUT_SECONDS = 0.8  # Requests wait this long for the first configuration after a start.
+UNLOGGED_STATUSES = (402, 404)  # These rejections are caused by the client.
 
 
 class RequestService:
-    """The part of a sidecar that answers requests.
+    """Answers the requests of clients.
 
     Attributes
     ----------
     table
-        The routes in force; None before the first configuration.
+        The current route table; None before the first configuration.
     balancers
-        By service.
+        The balancers by name of the service.
     in_flight
-        How many requests are being answered.
+        The number of requests in flight.
     is_configured
-        Set once there are routes and endpoints.
+        Set once the routes and the endpoints are known.
     """
 
     def __init__(
@@ -57,30 +57,30 @@
         self.is_configured = asyncio.Event()
 
     async def handle_request(self, client: ClientConnection, message: Message, received_at: float) -> None:
-        """Answer one request; `received_at` is when its last byte came, by the event loop's clock."""
+        """Answer one request; `received_at` is when its last byte arrived, by the event loop's clock."""
         self.in_flight += 1
         try:
             await self._answer(client, message, received_at)
-        except RequestRejectedError as rejected:
-            self._reject(client, message, rejected)
+        except RequestRejectedError as rejection:
+            self._reject(client, message, rejection)
         finally:
             self.in_flight -= 1
 
-    def _reject(self, client: ClientConnection, message: Message, rejected: RequestRejectedError) -> None:
+    def _reject(self, client: ClientConnection, message: Message, rejection: RequestRejectedError) -> None:
         fields = b"Wheatring-Request-Id: %s\r\n" % message.fields.get(headers.REQUEST_ID, b"")
-        if rejected.retry_after_seconds > 0:
-            fields += b"Retry-After: %.3f\r\n" % rejected.retry_after_seconds
-        client.send_error(rejected.status, fields)
-        if rejected.status not in UNLOGGED_STATUSES:
+        if rejection.retry_after_seconds > 0:
+            fields += b"Retry-After: %.3f\r\n" % rejection.retry_after_seconds
+        client.send_error(rejection.status, fields)
+        if rejection.status not in UNLOGGED_STATUSES:
             request_id = headers.decode_text(message.fields.get(headers.REQUEST_ID))
-            log_event("rejected", request=request_id, status=rejected.status, reason=rejected.reason)
+            log_event("rejected", request=request_id, status=rejection.status, reason=rejection.reason)
 
     async def _answer(self, client: ClientConnection, message: Message, received_at: float) -> None:
         table = await self._wait_for_table()
         path = headers.decode_text(message.start_line[1]).partition("?")[0]
         route = table.find(headers.decode_text(message.fields.get(b"host")), path)
         if route is None:
-            raise RequestRejectedError(404, "no route")
+            raise RequestRejectedError(404, "no matching route")
         request = OutgoingRequest(
             message=message,
             body=message.body,
@@ -92,14 +92,14 @@
         )
         service = table.choose_service(route, self._random)
         if route.is_streaming:
-            known = table.services.get(service)
-            tokens_per_event = known.tokens_per_event if known is not None else 0
+            service_settings = table.services.get(service)
+            tokens_per_event = service_settings.tokens_per_event if service_settings is not None else 0
             await self._streaming.serve(client, request, service, tokens_per_event)
         else:
             await self._plain.serve(client, request, service)
 
     async def _wait_for_table(self) -> RouteTable:
-        """Return the routes; a request right after a start waits for them. Raises RequestRejectedError."""
+        """Return the route table; just after a start, wait for it. Raises RequestRejectedError."""
         if self.table is None or not self.balancers:
             try:
                 async with asyncio.timeout(CONFIGURATION_TIMEOUT_SECONDS):
@@ -114,13 +114,15 @@
     def _open_forwarder(self, request: OutgoingRequest, service: str) -> Forwarder:
         balancer = self.balancers.get(service)
         if balancer is None:
-            raise RequestRejectedError(503, "no endpoint is known", CONFIGURATION_RETRY_AFTER_SECONDS)
+            raise RequestRejectedError(
+                503, "no endpoint list for the service", CONFIGURATION_RETRY_AFTER_SECONDS
+            )
         return Forwarder(request, balancer, self._connections)
 
 
 def _timeout_seconds(message: Message, route: Route) -> float:
-    """Return the time that the client allows, but no more than the route does."""
-    allowed_ms = headers.parse_non_negative_int(message.fields.get(headers.DEADLINE))
-    if allowed_ms is None:
+    """Return the client's own time-out, capped at that of the route."""
+    requested_ms = headers.parse_non_negative_int(message.fields.get(headers.DEADLINE))
+    if requested_ms is None:
         return route.timeout_seconds
-    return min(route.timeout_seconds, allowed_ms / 1000)
+    return min(route.timeout_seconds, requested_ms / 1000)
--- a/wheatring/tier/sidecar/route_table.py
+++ b/wheatring/tier/sidecar/route_table.py
@@ -1,4 +1,4 @@
-"""The route table of one configuration, which a controller has checked before it accepted it."""
+"""The route table of one configuration, which a controller validated before it was accepted."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedService:
-    """A service of a route and its weight among the route's services."""
+    """A service of a route, and its weight in the route's traffic split."""
 
     service: str
     weight: float
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host and path prefix. Durations are seconds."""
+    """The settings for requests to one host and path prefix. Durations are in seconds."""
 
     name: str
     hostname: str
@@ -38,28 +38,28 @@
 
     @property
     def is_streaming(self) -> bool:
-        """Whether responses are series of events."""
+        """Whether responses are streams of events."""
         return self.kind == "streaming"
 
     @property
     def idempotency(self) -> Idempotency:
-        """What running a request twice would do; a stream that can be resumed goes on where it broke off."""
+        """Whether a request may run twice; a resumable stream counts, as it continues where it broke off."""
         is_idempotent = self.kind == "safe" or (self.is_streaming and self.is_resumable)
         return Idempotency.IDEMPOTENT if is_idempotent else Idempotency.NOT_IDEMPOTENT
 
     def service_at(self, position: float) -> str:
-        """Return the service at a position from 0 to 1, of which each has a part as large as its weight."""
-        remaining = position * sum(each.weight for each in self.weighted_services)
-        for each in self.weighted_services:
-            remaining -= each.weight
+        """Return the service at a position from 0 to 1, a range divided in proportion to the weights."""
+        remaining = position * sum(weighted.weight for weighted in self.weighted_services)
+        for weighted in self.weighted_services:
+            remaining -= weighted.weight
             if remaining < 0:
-                return each.service
+                return weighted.service
         return self.weighted_services[-1].service
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long a connection may take for a header or be idle."""
+    """Size limits of client requests, and time-outs of client connections."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * 1024 * 1024
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service; `tokens_per_event` is 0 where its endpoints run no model."""
+    """A service; `tokens_per_event` is 0 if its endpoints run no model."""
 
     name: str
     tokens_per_event: int
@@ -124,10 +124,10 @@
 
 
 class GoldenRatioSequence:
-    """Positions from 0 to 1 that are spread evenly however many of them are taken.
+    """A low-discrepancy sequence: positions from 0 to 1, any number of which are spread evenly.
 
-    They are multiples of the golden ratio (an additive recurrence), so that each service of a split gets its
-    share of few requests too.
+    The positions are an additive recurrence of the golden ratio, so that each service of a traffic split gets
+    its share even of a small number of requests.
     """
 
     STEP = (5**0.5 - 1) / 2
@@ -142,7 +142,7 @@
 
 
 class RouteTable:
-    """All routes of one generation, found by host and longest prefix."""
+    """All routes of one configuration, looked up by host and longest path prefix."""
 
     def __init__(self, configuration: bytes) -> None:
         values = json.loads(configuration)
@@ -156,7 +156,7 @@
             self._by_host.setdefault(route.hostname, []).append(route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of a request, None where there is none; `host` may have a port."""
+        """Return the route of a request, or None if no route matches; `host` may include a port."""
         name = host.lower().partition(":")[0]
         for route in self._by_host.get(name, ()):
             if path.startswith(route.prefix):
@@ -164,7 +164,7 @@
         return None
 
     def choose_service(self, route: Route, random: Random) -> str:
-        """Return the service for the next request of a route, by the weights of its split."""
+        """Return the service for the next request of a route, by the weights of its traffic split."""
         positions = self._positions.get(route.name)
         if positions is None:
             positions = self._positions[route.name] = GoldenRatioSequence(random.random())
--- a/wheatring/tier/sidecar/service_balancer.py
+++ b/wheatring/tier/sidecar/service_balancer.py
@@ -1,4 +1,4 @@
-"""Hosts one balancer for each service, fed with what happens on this sidecar's sockets."""
+"""Connects the balancer of a service to the event loop and to the requests of this sidecar."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 )
 
 MAX_RETRY_AFTER_SECONDS = 1.0
-OVERDUE_VALUE = 0.3  # of a response above its latency target, as a part of its value in time
+OVERDUE_VALUE = 0.3  # Value of a response above its latency target, relative to a timely one.
 
 
 class ListedEndpoint(NamedTuple):
-    """One endpoint of a service as the endpoint list has it."""
+    """An endpoint of a service as given in the endpoint list."""
 
     entry: i.EndpointEntry
     address: str  # host:port
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class BalancedRequest:
-    """One request that the balancer decides on."""
+    """A request that is known to the balancer."""
 
     number: int
     route: Route
@@ -45,9 +45,9 @@
 
 
 class ServiceBalancer:
-    """Hosts the balancer of one service: events in, each request's actions out into its own queue.
+    """Runs the balancer of one service: reports events to it, and queues its actions for each request.
 
-    Latencies and time-outs are seconds.
+    Latencies and time-outs are in seconds.
     """
 
     def __init__(self, zone: str, seed: int, policy: SidecarPolicy) -> None:
@@ -61,7 +61,7 @@
         )
         self.balancer = TierBalancer(settings, seed, policy)
         self.addresses: dict[str, str] = {}
-        self._heads = LatencyEstimate()  # from a send to the head of a stream's response
+        self._head_latency = LatencyEstimate()  # Time from sending a streaming request to its response head.
         self._requests: dict[int, BalancedRequest] = {}
         self._last_number = 0
 
@@ -71,35 +71,38 @@
         return asyncio.get_running_loop().time()
 
     def set_endpoints(self, endpoints: Sequence[ListedEndpoint]) -> None:
-        """Take over the service's endpoints as the endpoint list has them now."""
-        self.addresses = {each.entry.endpoint: each.address for each in endpoints}
-        self.balancer.slots = {each.entry.endpoint: each.slots for each in endpoints}
-        # The first list may hold the endpoints of one zone only, so zones are taken from each list anew.
-        endpoints_by_zone = Counter(each.entry.zone for each in endpoints)
+        """Replace the service's endpoints by those of a new endpoint list."""
+        self.addresses = {listed.entry.endpoint: listed.address for listed in endpoints}
+        self.balancer.slots = {listed.entry.endpoint: listed.slots for listed in endpoints}
+        # The first list may contain the endpoints of one zone only, so each list determines the zones anew.
+        endpoints_by_zone = Counter(listed.entry.zone for listed in endpoints)
         is_balanced = are_zones_balanced(endpoints_by_zone, self.balancer.policy)
         self.balancer.pool.zones = tuple(sorted(endpoints_by_zone)) if is_balanced else ()
         self.balancer.is_zone_local = is_balanced
-        self._feed(i.View(i.ViewKind.FULL, tuple(each.entry for each in endpoints)))
+        self._handle_event(i.View(i.ViewKind.FULL, tuple(listed.entry for listed in endpoints)))
 
     def start_request(
         self, route: Route, timeout_seconds: float, segments: tuple[PromptSegment, ...]
     ) -> BalancedRequest:
-        """Hand a request to the balancer; its first action is in its queue afterwards."""
+        """Hand a request to the balancer, which queues its first action."""
         self._last_number += 1
         request = BalancedRequest(self._last_number, route, segments)
         self._requests[request.number] = request
         balancer = self.balancer
         balancer.max_attempts[route.name] = route.max_attempts
-        known = balancer.classes.get(route.name)
-        is_same = known is not None and (known.latency_target, known.idempotency) == (
+        request_class = balancer.classes.get(route.name)
+        is_unchanged = request_class is not None and (
+            request_class.latency_target,
+            request_class.idempotency,
+        ) == (
             route.latency_target_seconds,
             route.idempotency,
         )
-        if not is_same:
+        if not is_unchanged:
             self._set_request_class(route)
         if segments:
             balancer.prompt_segments[request.number] = segments
-        self._feed(i.NewRequest(request.number, route.name, timeout_seconds))
+        self._handle_event(i.NewRequest(request.number, route.name, timeout_seconds))
         return request
 
     def _set_request_class(self, route: Route) -> None:
@@ -116,61 +119,61 @@
         self.balancer.latencies.setdefault(route.name, LatencyEstimate())
 
     def head_timeout_seconds(self, route: Route) -> float:
-        """Return after how long a silent stream that can be resumed is sent to another endpoint.
+        """Return after how long without a response head a resumable stream is retried at another endpoint.
 
-        Infinite where a retry would not be granted, or too little is known of the usual latency.
+        Infinite if the retry budget is exhausted, or if the usual latency is not known yet.
         """
-        heads = self._heads
-        patience = self.balancer.policy.head_patience
-        is_granted = self.balancer.retry_tokens.allows_retry
-        if not patience or heads.count < MIN_LATENCY_SAMPLES or not is_granted:
+        latency = self._head_latency
+        max_deviations = self.balancer.policy.head_patience
+        is_retry_allowed = self.balancer.retry_tokens.allows_retry
+        if not max_deviations or latency.count < MIN_LATENCY_SAMPLES or not is_retry_allowed:
             return inf
-        return max(route.latency_target_seconds, heads.mean + patience * heads.deviation)
+        return max(route.latency_target_seconds, latency.mean + max_deviations * latency.deviation)
 
     def record_head_latency(self, seconds: float) -> None:
-        """Count how long after its request the head of a stream's response has come."""
-        self._heads.learn(seconds, is_known=True)
+        """Record the time from sending a streaming request to its response head."""
+        self._head_latency.learn(seconds, is_known=True)
 
     def finish_attempt(
         self, request: BalancedRequest, endpoint: str, outcome: i.Outcome, latency: float, load: float | None
     ) -> None:
         """Report the end of an attempt.
 
-        Unless the request was served, its next action is in its queue afterwards.
+        Unless the request was served, the balancer then queues its next action.
 
         Parameters
         ----------
         request, endpoint, outcome
-            The attempt, and how it ended.
+            The request of the attempt, its endpoint, and its outcome.
         latency
-            Since the attempt began.
+            The time since the attempt began.
         load
-            Requests at the endpoint, as its response reports; None where it does not.
+            The number of requests at the endpoint, as reported by its response; None if not reported.
         """
         report = i.LoadReport(in_flight=load) if load is not None else None
         is_served = outcome is i.Outcome.SERVED
         event = i.AttemptEnded(
             request.number, request.attempt_count - 1, outcome, endpoint, latency, is_served, report
         )
-        self._feed(event)
+        self._handle_event(event)
 
     def record_load(self, endpoint: str, load: float) -> None:
-        """Take over the load that an endpoint reports at the head of a response."""
-        known = self.balancer.pool.endpoints.get(endpoint)
-        if known is not None:
-            known.reported_in_flight, known.reported_at = load, self.now
+        """Record the load that an endpoint reports in a response head."""
+        pool_endpoint = self.balancer.pool.endpoints.get(endpoint)
+        if pool_endpoint is not None:
+            pool_endpoint.reported_in_flight, pool_endpoint.reported_at = load, self.now
 
     def finish_request(self, request: BalancedRequest) -> None:
-        """Drop a request that has its response, or whose client has gone."""
-        self._feed(i.RequestAbandoned(request.number))
+        """Remove a request that has been answered or whose client has disconnected."""
+        self._handle_event(i.RequestAbandoned(request.number))
         self._requests.pop(request.number, None)
         self.balancer.prompt_segments.pop(request.number, None)
 
-    def _feed(self, event: i.Event) -> None:
+    def _handle_event(self, event: i.Event) -> None:
         for action in self.balancer.handle(self.now, event):
             if isinstance(action, i.SetTimer):
                 loop = asyncio.get_running_loop()
-                loop.call_later(action.delay, self._feed, i.TimerDue(action.token))
+                loop.call_later(action.delay, self._handle_event, i.TimerDue(action.token))
             elif isinstance(action, i.Send | i.Reject | i.Fail):
                 request = self._requests.get(action.request)
                 if request is not None:
--- a/wheatring/tier/sidecar/streaming_requests.py
+++ b/wheatring/tier/sidecar/streaming_requests.py
@@ -1,4 +1,4 @@
-"""Answers requests whose response is a series of events: turns of programs, and other streams."""
+"""Answers requests whose response is a stream of events: turns of agent programs, and other streams."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 from wheatring.tier.turns.conversations import Conversations, build_prompt_body
 from wheatring.tier.turns.exceptions import TurnNotFoundError
 
-STORE_TIMEOUT_SECONDS = 1.2  # for turns and budgets to be read before a turn begins
-STORE_TIMEOUT_FRACTION = 0.5  # of the time that a turn has, which they may take at most
+STORE_TIMEOUT_SECONDS = 1.2  # Limits reading the conversation and reserving the budget.
+STORE_TIMEOUT_FRACTION = 0.5  # The limit above is capped at this fraction of the remaining time.
 MIN_STORE_TIMEOUT_SECONDS = 0.05
-RECORD_TIMEOUT_SECONDS = 2.5  # for a turn to be recorded once its last event is there
+RECORD_TIMEOUT_SECONDS = 2.5  # Limits recording a turn after its last event.
 MIN_RECORD_TIMEOUT_SECONDS = 0.2
-STORE_RETRY_AFTER_SECONDS = 0.3  # stated where the storage members could not be reached
+STORE_RETRY_AFTER_SECONDS = 0.3  # Sent if the storage replicas could not be reached.
 
 
 class ResponseStream:
-    """One stream from endpoints to a client, resumed at another endpoint where the route allows it."""
+    """Relays one stream to a client, and resumes it at another endpoint if the route allows it."""
 
     def __init__(
         self,
@@ -45,17 +45,17 @@
         self.turn = turn
         self.forwarder = forwarder
 
-    async def pass_on(self) -> bool:
-        """Pass the stream on to its last event; return False where the response was no stream.
+    async def relay(self) -> bool:
+        """Relay the stream up to its last event; return False if the response was no stream.
 
         Raises
         ------
         AttemptFailedError
-            The stream broke off, and the route does not allow to resume it.
+            The stream broke off, and the route does not allow it to be resumed.
         RequestRejectedError
-            No endpoint took the request, or none the rest of it.
+            No endpoint accepted the request, or none could resume the stream.
         TimeoutError
-            The stream was not complete in time.
+            The stream was incomplete at the deadline.
         """
         while True:
             response = await self.forwarder.next_response()
@@ -63,28 +63,28 @@
             try:
                 async with asyncio.timeout_at(self.request.deadline):
                     if is_stream:
-                        await self._copy_events(response)
+                        await self._relay_events(response)
                     else:
-                        await self._copy_body(response)
+                        await self._relay_body(response)
                     break
-            except AttemptFailedError as failed:
-                self.forwarder.record_failure(response.endpoint, response.sent_at, failed)
+            except AttemptFailedError as failure:
+                self.forwarder.record_failure(response.endpoint, response.sent_at, failure)
                 if not self.request.route.is_resumable:
                     raise
         self.forwarder.record_success(response)
         return is_stream
 
-    async def _copy_body(self, response: EndpointResponse) -> None:
-        """Pass on a response that is no stream. Raises AttemptFailedError where it breaks off."""
+    async def _relay_body(self, response: EndpointResponse) -> None:
+        """Relay a response that is no stream. Raises AttemptFailedError if it breaks off."""
         if self.client.is_response_started:
             raise AttemptFailedError(
-                ExecutionState.RAN, Outcome.ERROR, f"status {response.status} for the rest of a stream"
+                ExecutionState.RAN, Outcome.ERROR, f"status {response.status} when resuming a stream"
             )
         body = await self.forwarder.read_full_body(response)
         self.client.send_response(response.status, response.message.end_to_end_lines(), body)
 
-    async def _copy_events(self, response: EndpointResponse) -> None:
-        """Pass events on as they come. Raises AttemptFailedError where the stream breaks off."""
+    async def _relay_events(self, response: EndpointResponse) -> None:
+        """Relay events as they arrive. Raises AttemptFailedError if the stream breaks off."""
         parser = EventParser()
         message = response.message
         if not self.client.is_response_started:
@@ -100,13 +100,13 @@
             data, is_complete = await response.connection.read_body()
         if parser.remainder:
             raise AttemptFailedError(
-                ExecutionState.MAY_HAVE_RUN, Outcome.RESET, "the stream ended within an event"
+                ExecutionState.MAY_HAVE_RUN, Outcome.RESET, "stream ended within an event"
             )
 
     def _write_events(self, events: Sequence[Event]) -> None:
-        """Send events to the client, but those that it has from before the stream was resumed."""
+        """Send events to the client, except those that it received before the stream was resumed."""
         request = self.request
-        passed = []
+        raw_events = []
         last_id = int(request.last_event_id) if request.last_event_id.isdigit() else None
         for event in events:
             if event.event_id is not None:
@@ -114,29 +114,29 @@
                     continue
                 last_id = event.event_id
                 request.last_event_id = b"%d" % event.event_id
-            passed.append(event.raw)
+            raw_events.append(event.raw)
             self.turn.delivered_events += 1
             self.turn.output.append(event.data + b"\n")
-        self.client.write_body(b"".join(passed))
+        self.client.write_body(b"".join(raw_events))
 
-    def end_with_error(self, rejected: RequestRejectedError) -> None:
-        """End a stream that will not be complete: cut it off, or pass on the endpoint's own error.
+    def end_with_error(self, rejection: RequestRejectedError) -> None:
+        """End a stream that cannot be completed: abort it, or relay the endpoint's own error response.
 
-        Raises RequestRejectedError where nothing has been sent and no endpoint has stated an error.
+        Raises RequestRejectedError if nothing has been sent and no endpoint returned an error response.
         """
         error_response = self.forwarder.error_response
         if self.client.is_response_started:
             request_id = headers.decode_text(self.request.request_id)
-            log_event("stream-cut", request=request_id, reason=rejected.reason)
+            log_event("stream-cut", request=request_id, reason=rejection.reason)
             self.client.abort_response()
         elif error_response is not None:
             self.client.send_response(error_response.status, error_response.fields, error_response.body)
         else:
-            raise rejected
+            raise rejection
 
 
 class StreamingRequestHandler:
-    """Reads the conversation, reserves the budget, passes the stream on and records the turn."""
+    """Reads the conversation, reserves the budget, relays the stream and records the turn."""
 
     def __init__(
         self,
@@ -144,7 +144,7 @@
         conversations: Conversations,
         budgets: TokenBudgets,
     ) -> None:
-        """Prepare a handler; `open_forwarder` takes a request and its service."""
+        """Initialize the handler; `open_forwarder` is called with a request and the name of its service."""
         self._open_forwarder = open_forwarder
         self._conversations = conversations
         self._budgets = budgets
@@ -163,14 +163,14 @@
                 self._budgets.settle(turn.program, turn.turn_id, turn.delivered_events * tokens_per_event)
 
     async def _prepare(self, request: OutgoingRequest, turn: TurnInProgress) -> list[Turn]:
-        """Read the conversation and reserve the budget at the same time. Raises RequestRejectedError."""
+        """Read the conversation and reserve the budget concurrently. Raises RequestRejectedError."""
         remaining = request.deadline - asyncio.get_running_loop().time()
-        share = max(remaining * STORE_TIMEOUT_FRACTION, MIN_STORE_TIMEOUT_SECONDS)
-        timeout_seconds = min(STORE_TIMEOUT_SECONDS, share)
+        available_seconds = max(remaining * STORE_TIMEOUT_FRACTION, MIN_STORE_TIMEOUT_SECONDS)
+        timeout_seconds = min(STORE_TIMEOUT_SECONDS, available_seconds)
         results = await asyncio.gather(
             self._read_chain(request, turn, timeout_seconds),
-            self._reserve(turn, timeout_seconds),
-            return_exceptions=True,  # the reservation must have ended before the turn is settled
+            self._reserve_budget(turn, timeout_seconds),
+            return_exceptions=True,  # The reservation must have ended before the turn is settled.
         )
         for result in results:
             if isinstance(result, BaseException):
@@ -189,14 +189,14 @@
         try:
             return await self._conversations.read_chain(turn.previous_turn_id, timeout_seconds)
         except TurnNotFoundError:
-            raise RequestRejectedError(404, f"no such turn: {turn.previous_turn_id}") from None
+            raise RequestRejectedError(404, f"turn not found: {turn.previous_turn_id}") from None
         except QuorumNotReachedError as error:
             raise RequestRejectedError(503, str(error), STORE_RETRY_AFTER_SECONDS) from error
 
-    async def _reserve(self, turn: TurnInProgress, timeout_seconds: float) -> None:
+    async def _reserve_budget(self, turn: TurnInProgress, timeout_seconds: float) -> None:
         if turn.budget is None or not turn.program:
             return
-        turn.is_budget_reserved = True  # from now on, also if the exchange fails halfway
+        turn.is_budget_reserved = True  # A reservation that fails may still count.
         try:
             await self._budgets.reserve(
                 turn.program, turn.turn_id, turn.max_tokens, turn.budget, timeout_seconds
@@ -208,25 +208,25 @@
 
     async def _answer(self, stream: ResponseStream, chain: list[Turn]) -> None:
         try:
-            if await stream.pass_on():
+            if await stream.relay():
                 if stream.request.route.is_retained:
-                    await self._record(stream.request, stream.turn, chain)
+                    await self._record_turn(stream.request, stream.turn, chain)
                 stream.client.finish_response()
         except TimeoutError:
-            stream.end_with_error(RequestRejectedError(504, "the stream was not whole in time"))
+            stream.end_with_error(RequestRejectedError(504, "stream incomplete at the deadline"))
         except QuorumNotReachedError as error:
-            stream.end_with_error(RequestRejectedError(503, f"the turn could not be recorded: {error}"))
-        except AttemptFailedError as failed:
-            stream.end_with_error(RequestRejectedError(502, f"the stream broke off: {failed.reason}"))
-        except RequestRejectedError as rejected:
-            stream.end_with_error(rejected)
+            stream.end_with_error(RequestRejectedError(503, f"turn could not be recorded: {error}"))
+        except AttemptFailedError as failure:
+            stream.end_with_error(RequestRejectedError(502, f"stream broke off: {failure.reason}"))
+        except RequestRejectedError as rejection:
+            stream.end_with_error(rejection)
         finally:
             stream.forwarder.close()
 
-    async def _record(self, request: OutgoingRequest, turn: TurnInProgress, chain: list[Turn]) -> None:
-        """Have the turn on disk before the end of its response leaves. Raises QuorumNotReachedError.
+    async def _record_turn(self, request: OutgoingRequest, turn: TurnInProgress, chain: list[Turn]) -> None:
+        """Store the turn durably before the end of its response is sent. Raises QuorumNotReachedError.
 
-        A client that has seen the end may name the turn as `Previous` at once.
+        A client that has received the end may name the turn as `Previous` immediately.
         """
         record = Turn(
             id=turn.turn_id,
--- a/wheatring/tier/sidecar/tier_balancer.py
+++ b/wheatring/tier/sidecar/tier_balancer.py
@@ -1,8 +1,8 @@
-"""The balancer of one service as the tier runs it.
+"""The tier's extension of the balancer, for one service.
 
-The retry policy is the balancer's own (gRFC A6). What the tier adds: the attempt limit of the route,
-admission by the slots that endpoints say they have, and, for endpoints that run a model, the prefix that they
-have cached.
+The retry policy is that of the base class (gRFC A6). The tier adds a limit on the attempts of each route,
+admission by the number of slots that endpoints report, and, for endpoints that run a model, selection by the
+cached prefix of the prompt.
 """
 
 from __future__ import annotations
@@ -15,35 +15,35 @@
 from wheatring.balancer.endpoint import Endpoint
 from wheatring.tier.sidecar.policy import SidecarPolicy
 from wheatring.tier.sidecar.prefix_placement import (
-    CONVERSATION_SEGMENT,
+    CONVERSATION_SEGMENT_INDEX,
     PrefixCacheTracker,
     PromptSegment,
     home_endpoint,
 )
 
-LOAD_REPORT_TTL_SECONDS = 1.0  # for which an endpoint's own report of its load counts
+LOAD_REPORT_TTL_SECONDS = 1.0
 MAX_ATTEMPTS = 5
-MIN_LATENCY_SAMPLES = 12  # of a route, from which its usual latency is known
+MIN_LATENCY_SAMPLES = 12  # With fewer responses, the usual latency of a route counts as unknown.
 
 
 def are_zones_balanced(endpoints_by_zone: Mapping[str, int], policy: SidecarPolicy) -> bool:
-    """Whether every zone can carry its own traffic: no zone has far less than its share of the endpoints."""
+    """Whether every zone can serve its own traffic: no zone has far less than its share of the endpoints."""
     least = min(endpoints_by_zone.values(), default=0)
     share = sum(endpoints_by_zone.values()) / max(len(endpoints_by_zone), 1)
     return least >= policy.least_in_zone and least >= policy.least_zone_share * share
 
 
 class TierBalancer(Balancer):
-    """The balancer with the tier's limits, and with its knowledge of prefix caches.
+    """A balancer with the tier's limits, which also takes prefix caches into account.
 
     Attributes
     ----------
     max_attempts
-        By route.
+        The maximum number of attempts by name of the route.
     slots
-        By endpoint: how many requests it runs at one time.
+        The number of requests that an endpoint runs concurrently, by endpoint.
     prompt_segments
-        By request.
+        The segments of the prompt by number of the request.
     is_zone_local
         Whether prompts stay in this sidecar's zone.
     """
@@ -58,7 +58,7 @@
         self.is_zone_local = False
 
     def may_retry(self, now: float, request: ActiveRequest, outcome: i.Outcome) -> bool:
-        """Whether a further attempt is allowed: the route limits their number."""
+        """Whether another attempt is allowed; the route limits the number of attempts."""
         if len(request.attempts) >= self.max_attempts.get(request.request_class.name, MAX_ATTEMPTS):
             return False
         return super().may_retry(now, request, outcome)
@@ -70,15 +70,15 @@
     ) -> bool:
         """Whether the usual latency of a class is known.
 
-        Routes come and go while a sidecar runs, so each route counts its own responses.
+        Routes are added and removed while a sidecar runs, so each route counts its own responses.
         """
         estimate = self.latencies.get(request_class.name)
         return estimate is not None and estimate.count >= MIN_LATENCY_SAMPLES
 
     def judge(self, now: float, endpoint: Endpoint, outcome: i.Outcome) -> None:
-        """Eject an endpoint for failures alone.
+        """Eject an endpoint for failures only.
 
-        How long a response takes follows from its length here, so latency counts in the burden only.
+        In the tier, the duration of a response depends on its length, so latency only counts in the burden.
         """
         excess_latency, endpoint.excess_latency = endpoint.excess_latency, 0.0
         super().judge(now, endpoint, outcome)
@@ -86,49 +86,52 @@
             endpoint.excess_latency = excess_latency
 
     def admits(self, now: float, request: ActiveRequest) -> bool:
-        """Whether a request is admitted: always while an endpoint has a free slot."""
+        """Whether a request is admitted, which it always is while an endpoint has a free slot."""
         return super().admits(now, request) or any(
             self.occupancy(now, endpoint) < self.slots.get(endpoint.entry.endpoint, 0)
             for endpoint in self.pool.ready
         )
 
     def occupancy(self, now: float, endpoint: Endpoint) -> float:
-        """Return the requests at an endpoint, by its own report while that is recent, else by this one's."""
+        """Return the number of requests at an endpoint: its recent report, or at least this sidecar's own."""
         if endpoint.reported_at and now - endpoint.reported_at < LOAD_REPORT_TTL_SECONDS:
             return max(endpoint.reported_in_flight, endpoint.in_flight)
         return endpoint.in_flight
 
     def pick(self, now: float, request: ActiveRequest) -> tuple[Endpoint | None, list[Endpoint]]:
-        """Return the endpoint for an attempt, and those that it was chosen from.
+        """Return the endpoint for an attempt, and the endpoints that it was chosen from.
 
-        To the few that the balancer draws come those that cache the longest part of the prompt, and the home
-        of its conversation; the one with the lowest cost is chosen.
+        The candidates are the choice of the base class, the endpoints that cache the longest part of the
+        prompt, and the home endpoint of the conversation. The candidate with the lowest cost is chosen.
         """
-        best, drawn = super().pick(now, request)
+        best, sampled = super().pick(now, request)
         segments = self.prompt_segments.get(request.request_id)
         if best is None or not segments or len(self.pool.ready) < 2:
-            return best, drawn
-        home = self._home(segments) if self.policy.prompt_homes else None
+            return best, sampled
+        home = self._home_endpoint(segments) if self.policy.prompt_homes else None
         candidates = {best.entry.endpoint: best}
-        for endpoint in (*self._caching(now, segments), *([home] if home is not None else [])):
+        for endpoint in (
+            *self._endpoints_caching_prefix(now, segments),
+            *([home] if home is not None else []),
+        ):
             if endpoint not in request.attempts and self._is_usable(now, endpoint):
                 candidates[endpoint.entry.endpoint] = endpoint
 
         def cost(endpoint: Endpoint) -> tuple[float, float]:
-            """Return the cost, and a drawn number for equal ones."""
+            """Return the cost, and a random number that breaks ties."""
             return self._cost(now, endpoint, segments, endpoint is home), self.random.random()
 
         chosen = min(candidates.values(), key=cost)
-        return chosen, list({e.entry.endpoint: e for e in (*drawn, chosen)}.values())
+        return chosen, list({e.entry.endpoint: e for e in (*sampled, chosen)}.values())
 
     def _is_usable(self, now: float, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is healthy, or has its ejection behind it and may be probed."""
+        """Whether an endpoint is healthy, or may be probed because its ejection has ended."""
         if not endpoint.ejections:
             return True
         return not self.ejector.is_ejected(now, endpoint) and endpoint.in_flight < endpoint.probation_limit
 
-    def _home(self, segments: Sequence[PromptSegment]) -> Endpoint | None:
-        """Return the home of a conversation: in this zone, where prompts stay in their zone."""
+    def _home_endpoint(self, segments: Sequence[PromptSegment]) -> Endpoint | None:
+        """Return the home endpoint of a conversation, which is in this zone if prompts stay in their zone."""
         candidates = {e.entry.endpoint: e for e in self.pool.ready if not self._is_remote(e)}
         name = home_endpoint(segments, candidates.keys(), self.policy.sub_agent_spread)
         return candidates[name] if name is not None else None
@@ -136,12 +139,12 @@
     def _is_remote(self, endpoint: Endpoint) -> bool:
         return self.is_zone_local and endpoint.entry.zone != self.settings.zone
 
-    def _caching(self, now: float, segments: Sequence[PromptSegment]) -> list[Endpoint]:
-        """Return the endpoints that cache the last segment of a prompt that any is known to cache."""
+    def _endpoints_caching_prefix(self, now: float, segments: Sequence[PromptSegment]) -> list[Endpoint]:
+        """Return the usable endpoints that cache the last of the prompt's segments cached anywhere."""
         for segment in reversed(segments):
             names = self.prefix_caches.endpoints_caching(now, segment)
-            known = [self.pool.endpoints[name] for name in names if name in self.pool.endpoints]
-            usable = [endpoint for endpoint in known if self._is_usable(now, endpoint)]
+            caching = [self.pool.endpoints[name] for name in names if name in self.pool.endpoints]
+            usable = [endpoint for endpoint in caching if self._is_usable(now, endpoint)]
             if usable:
                 return usable
         return []
@@ -149,15 +152,17 @@
     def _cost(
         self, now: float, endpoint: Endpoint, segments: Sequence[PromptSegment], is_home: bool
     ) -> float:
-        """Return an endpoint's load in full batches, with the tokens to be prefilled counted as load too."""
+        """Return the load in full batches, plus costs of prefill, distance, slowness and failures."""
         policy = self.policy
-        uncached = self.prefix_caches.uncached_tokens(now, endpoint.entry.endpoint, segments)
+        uncached_tokens = self.prefix_caches.uncached_tokens(now, endpoint.entry.endpoint, segments)
         if is_home:
-            # Other sidecars of the zone send the conversation there too, unseen by this one.
-            uncached = min(uncached, sum(s.tokens for s in segments[CONVERSATION_SEGMENT + 1 :]))
+            # Other sidecars of the zone also send this conversation to its home, which is not tracked here.
+            uncached_tokens = min(
+                uncached_tokens, sum(s.tokens for s in segments[CONVERSATION_SEGMENT_INDEX + 1 :])
+            )
         slots = max(self.slots.get(endpoint.entry.endpoint, 1), 1)
         load = self.occupancy(now, endpoint) / slots
-        remote = policy.far_cost if self._is_remote(endpoint) else 0.0
-        burden = max(0.0, self.load.burden(now, endpoint) - 1) * policy.burden_cost
-        failing = policy.failing_cost * self.load.decay(now, endpoint) if endpoint.evidence else 0.0
-        return load + uncached / policy.tokens_per_load + remote + burden + failing
+        remote_cost = policy.far_cost if self._is_remote(endpoint) else 0.0
+        burden_cost = max(0.0, self.load.burden(now, endpoint) - 1) * policy.burden_cost
+        failing_cost = policy.failing_cost * self.load.decay(now, endpoint) if endpoint.evidence else 0.0
+        return load + uncached_tokens / policy.tokens_per_load + remote_cost + burden_cost + failing_cost
--- a/wheatring/tier/sidecar/turn_in_progress.py
+++ b/wheatring/tier/sidecar/turn_in_progress.py
@@ -1,4 +1,4 @@
-"""What a turn of a program brings along in its headers, and what has become of it so far."""
+"""The state of a turn that is being served."""
 
 from __future__ import annotations
 
@@ -14,18 +14,20 @@
 
     Attributes
     ----------
+    program
+        The agent program that sent the turn; empty if the request names none.
     budget
-        The program's tokens over all turns; None where it has no budget.
+        The program's token budget for all its turns; None if it has no budget.
     max_tokens
-        What this turn may generate.
+        The maximum number of tokens that this turn may generate.
     previous_turn_id
-        The turn that this one continues; empty where it begins a conversation.
+        The turn that this one continues; empty if it begins a conversation.
     is_budget_reserved
         Whether a reservation may count against the budget, so that the turn has to be settled.
     delivered_events
-        How many events were passed to the client.
+        The number of events sent to the client.
     output
-        The data of each event, each with a line feed.
+        The data of each delivered event, followed by a line feed.
     """
 
     turn_id: str
@@ -39,7 +41,7 @@
 
 
 def parse_turn(message: Message, request_id: bytes) -> TurnInProgress:
-    """Return what a request says of its turn."""
+    """Parse the turn from the headers of its request."""
     usage = message.fields.get(headers.TOKEN_USAGE, b"").split(b",")
     max_tokens = headers.parse_non_negative_int(usage[1].strip()) if len(usage) > 1 else None
     return TurnInProgress(
--- a/wheatring/tier/turns/__init__.py
+++ b/wheatring/tier/turns/__init__.py
@@ -1,1 +1,1 @@
-"""Turns of agent programs: the conversation behind a turn and the prompt made from it."""
+"""Turns of agent programs: storage of conversations, and the prompts built from them."""
--- a/wheatring/tier/turns/conversations.py
+++ b/wheatring/tier/turns/conversations.py
@@ -1,4 +1,4 @@
-"""Conversations: the turns before a turn, and the prompt that an endpoint is to get for it."""
+"""Conversations: reads and records turns, and builds the prompt that is sent to an endpoint."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class Conversations:
-    """Reads and records turns, from a sidecar. Time-outs are seconds."""
+    """Reads and records turns on behalf of a sidecar. Time-outs are in seconds."""
 
     def __init__(self, store: QuorumClient) -> None:
         self._store = store
         self.cache = TurnCache()
 
     async def read_chain(self, turn_id: str, timeout_seconds: float) -> list[Turn]:
-        """Return a turn and all before it, oldest first.
+        """Return a turn and all its ancestors, oldest first.
 
         Raises
         ------
         TurnNotFoundError
-            There is no such turn.
+            The turn does not exist.
         QuorumNotReachedError
-            Whether there is one, or what was before it, is unknown.
+            It is unknown whether the turn exists, or its ancestors could not be read.
         """
         last = self.cache.get(turn_id)
         if last is None:
@@ -41,24 +41,24 @@
         return turns
 
     async def _read(self, turn_id: str, timeout_seconds: float) -> Turn:
-        found = await self._store.read_conversation(turn_id, (), timeout_seconds)
-        if found is None:
+        turns = await self._store.read_conversation(turn_id, (), timeout_seconds)
+        if turns is None:
             raise TurnNotFoundError(turn_id)
-        for turn in found:
+        for turn in turns:
             self.cache.put(turn)
-        return next(turn for turn in found if turn.id == turn_id)
+        return next(turn for turn in turns if turn.id == turn_id)
 
     async def _read_ancestor(self, turn_id: str, timeout_seconds: float) -> Turn:
-        """Return an ancestor of a turn that exists: that it is not found says nothing of that turn."""
+        """Return an ancestor of an existing turn; if it is not found, the read counts as inconclusive."""
         try:
             return await self._read(turn_id, timeout_seconds)
         except TurnNotFoundError as error:
             raise QuorumNotReachedError(turn_id, f"ancestor {turn_id} was not found") from error
 
     async def record(self, turn: Turn, timeout_seconds: float) -> None:
-        """Have a turn on enough disks; it may be named as `Previous` from then on.
+        """Store a turn at a write quorum, after which requests may name it as `Previous`.
 
-        Raises QuorumNotReachedError: the turn may be found all the same.
+        Raises QuorumNotReachedError; the turn may have been stored nevertheless.
         """
         await self._store.write(turn.id, [StorageRecord(turn=turn)], timeout_seconds)
         self.cache.put(turn)
@@ -67,7 +67,7 @@
 
 
 def build_prompt_body(chain: Sequence[Turn], new_input: bytes) -> bytes:
-    """Return what an endpoint gets: of each turn its input and its events' data, and the new input last."""
+    """Return the request body for an endpoint: input and output of each turn, followed by the new input."""
     parts: list[bytes] = []
     for turn in chain:
         parts += (turn.input, turn.output)
--- a/wheatring/tier/turns/exceptions.py
+++ b/wheatring/tier/turns/exceptions.py
@@ -1,15 +1,15 @@
-"""The errors of conversations."""
+"""Exceptions of conversations."""
 
 from __future__ import annotations
 
 
 class TurnNotFoundError(Exception):
-    """There certainly is no turn of that id.
+    """It is certain that no turn with this id exists.
 
     Attributes
     ----------
     turn_id
-        The id that was looked for.
+        The id that was looked up.
     """
 
     def __init__(self, turn_id: str) -> None:
--- a/wheatring/tier/turns/turn_cache.py
+++ b/wheatring/tier/turns/turn_cache.py
@@ -8,26 +8,26 @@
 
 CACHE_BYTES = 24 * 1024 * 1024
 TURN_OVERHEAD_BYTES = 200
-ANCESTOR_BYTES = 40  # of an id in the list of ancestors
+ANCESTOR_BYTES = 40  # Estimated size of an id in the list of ancestors.
 
 
 class TurnCache:
-    """Turns that were read or written lately. They never change, so a cached one is never stale."""
+    """An LRU cache of turns. Turns are immutable, so a cached turn is never stale."""
 
     def __init__(self, limit_bytes: int = CACHE_BYTES) -> None:
         self._limit_bytes = limit_bytes
-        self._turns: OrderedDict[str, Turn] = OrderedDict()  # the least recently used first
+        self._turns: OrderedDict[str, Turn] = OrderedDict()  # least recently used first
         self._size_bytes = 0
 
     def get(self, turn_id: str) -> Turn | None:
-        """Return a turn by its id; None where it is not cached."""
+        """Return a turn by its id, or None if it is not cached."""
         turn = self._turns.get(turn_id)
         if turn is not None:
             self._turns.move_to_end(turn_id)
         return turn
 
     def put(self, turn: Turn) -> None:
-        """Keep a turn, and drop the least recently used ones above the limit."""
+        """Add a turn, and evict the least recently used ones beyond the size limit."""
         if turn.id in self._turns:
             return
         self._turns[turn.id] = turn
