--- a/tests/tier/sidecar/loopback.py
+++ b/tests/tier/sidecar/loopback.py
@@ -1,4 +1,4 @@
-"""A sidecar's request path between real sockets: scripted endpoints and clients that read raw bytes."""
+"""A sidecar's request path on real loopback sockets, with scripted endpoints and clients."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 SERVICE = "svc"
 HOST = "127.0.0.1"
-HOST_NAME = "x"  # that clients ask for
-READ_TIMEOUT_SECONDS = 10.0  # of a test's client, so that a lost response fails the test
+HOST_NAME = "x"  # The host name in requests and routes.
+READ_TIMEOUT_SECONDS = 10.0  # A client fails the test if the response takes longer.
 
 Script = Callable[["EndpointExchange"], Awaitable[None]]
 
 
 def route(prefix: str, kind: str, **values: Any) -> dict[str, Any]:
-    """Return a route of the one service, as a configuration has it."""
-    common = {"name": prefix, "hostname": HOST_NAME, "pathPrefix": prefix, "backend": SERVICE}
-    return {**common, "routeType": kind, "timeoutMs": 5000, "maxAttempts": 2, **values}
+    """Return a route to the service, in the format of a configuration."""
+    defaults = {"name": prefix, "hostname": HOST_NAME, "pathPrefix": prefix, "backend": SERVICE}
+    return {**defaults, "routeType": kind, "timeoutMs": 5000, "maxAttempts": 2, **values}
 
 
 class EndpointExchange:
-    """One request at an endpoint, and the means to answer it."""
+    """A request at an endpoint, with methods to respond to it."""
 
     def __init__(self, path: str, fields: dict[str, str], writer: asyncio.StreamWriter) -> None:
         self.path = path
@@ -42,7 +42,7 @@
         self.request_id = fields["wheatring-request-id"]
 
     async def start(self, status: int, framing: str) -> None:
-        """Write the head; `framing` is the field that says how the body ends."""
+        """Write the response head; `framing` is the header line that determines the length of the body."""
         self.writer.write(
             f"HTTP/1.1 {status} X\r\nWheatring-Request-Id: {self.request_id}\r\nKeep-Alive: timeout=5\r\n"
             f"Wheatring-Response-Signature: s\r\n{framing}\r\n\r\n".encode()
@@ -50,17 +50,17 @@
         await self.writer.drain()
 
     async def chunk(self, data: bytes) -> None:
-        """Write one chunk; an empty one is the last."""
+        """Write one chunk; an empty chunk ends the body."""
         self.writer.write(b"%x\r\n%s\r\n" % (len(data), data))
         await self.writer.drain()
 
     async def event(self, number: int) -> None:
-        """Write one event that names the request."""
+        """Write one event, whose data starts with the id of the request."""
         await self.chunk(f"id: {number}\ndata: {self.request_id}-{number}\n\n".encode())
 
 
 class LoopbackEndpoint:
-    """Endpoints of the service on loopback, all of which answer by one script."""
+    """The endpoints of the service on loopback, which share one script."""
 
     def __init__(self, script: Script) -> None:
         self._script = script
@@ -84,11 +84,11 @@
 
 
 class LoopbackSidecar:
-    """The request path of a sidecar that listens on loopback."""
+    """The request path of a sidecar with a fixed configuration and endpoint list."""
 
     def __init__(self, routes: Sequence[dict[str, Any]], addresses: Sequence[str]) -> None:
         self.connections = EndpointConnectionPool()
-        unused: Any = None  # no route is retained and no request has a budget
+        unused: Any = None  # No route is retained and no request has a budget.
         self.service = RequestService(self.connections, unused, unused, Random(1))
         configuration = {"generation": 1, "routes": list(routes), "services": [{"name": SERVICE}]}
         self.service.table = RouteTable(json.dumps(configuration).encode())
@@ -102,8 +102,8 @@
 
 
 @asynccontextmanager
-async def listening(handler: RequestHandler) -> AsyncIterator[int]:
-    """Serve clients by a handler; yields the port."""
+async def client_listener(handler: RequestHandler) -> AsyncIterator[int]:
+    """Listen for clients whose requests go to `handler`; yields the port."""
     settings = ConnectionSettings(Limits())
     accept = partial(ClientConnection, handler, lambda: settings, lambda _client: None)
     server = await asyncio.get_running_loop().create_server(accept, HOST, 0)
@@ -112,22 +112,22 @@
 
 
 @asynccontextmanager
-async def running(
+async def running_sidecar(
     routes: Sequence[dict[str, Any]], script: Script, endpoints: int = 1
 ) -> AsyncIterator[tuple[LoopbackSidecar, LoopbackEndpoint]]:
-    """Start endpoints and a sidecar before them."""
+    """Start endpoints and a sidecar that forwards to them."""
     endpoint = LoopbackEndpoint(script)
     servers = [await asyncio.start_server(endpoint.serve, HOST, 0) for _ in range(endpoints)]
     addresses = [f"{HOST}:{server.sockets[0].getsockname()[1]}" for server in servers]
     sidecar = LoopbackSidecar(routes, addresses)
-    async with listening(sidecar.service.handle_request) as sidecar.port:
+    async with client_listener(sidecar.service.handle_request) as sidecar.port:
         yield sidecar, endpoint
     for server in servers:
         server.close()
 
 
-async def exchange(port: int, path: str, request_id: str, deadline_ms: int = 5000) -> bytes:
-    """Send one request, and return all bytes until the sidecar closes the connection or is silent."""
+async def send_request(port: int, path: str, request_id: str, deadline_ms: int = 5000) -> bytes:
+    """Send one request, and return all bytes that arrive until the sidecar closes the connection."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(
         f"GET {path} HTTP/1.1\r\nHost: {HOST_NAME}\r\nConnection: close\r\n"
--- a/tests/tier/sidecar/test_deadlines.py
+++ b/tests/tier/sidecar/test_deadlines.py
@@ -1,4 +1,4 @@
-"""No endpoint is given more time than is left, and no client waits beyond its route's time."""
+"""Endpoints get only the remaining time as their deadline, and every request ends at its own deadline."""
 
 from __future__ import annotations
 
@@ -7,99 +7,103 @@
 
 import pytest
 
-from tests.tier.sidecar.test_request_service import play
-from tests.tier.sidecar_world import Received, SidecarWorld
+from tests.tier.sidecar.test_request_service import run_in_world
+from tests.tier.sidecar_world import ReceivedResponse, SidecarWorld
 
-ROUTE_SECONDS = 2.0  # the time-out of the world's routes
-FINAL_ANSWER_SECONDS = 0.5  # after the time-out, in which an answer has to be there
+ROUTE_TIMEOUT_SECONDS = 2.0  # as in the routes of SidecarWorld
+FINAL_RESPONSE_SECONDS = 0.5  # A final response must arrive within this time after the deadline.
 ROUNDING_SECONDS = 0.002
 WARM_UP_REQUESTS = 60
 NO_HEADERS: dict[str, str] = {}
-BOTH = {"b1": ["ok"], "b2": ["ok"]}
+TWO_ENDPOINTS = {"b1": ["ok"], "b2": ["ok"]}
 
 
-async def timed(
+async def send_timed_request(
     world: SidecarWorld, path: str, headers: Mapping[str, str] = NO_HEADERS
-) -> tuple[Received, float]:
-    """Send a request; return what came, and after how many seconds."""
-    began = world.loop.time()
-    received = await world.request(path, "GET", b"", ident="q", **headers)
-    return received, received.at - began
+) -> tuple[ReceivedResponse, float]:
+    """Send a request; return the response, and its latency in seconds."""
+    started_at = world.loop.time()
+    received = await world.request(path, "GET", b"", request_id="q", **headers)
+    return received, received.received_at - started_at
 
 
-def share_script(world: SidecarWorld, *script: str) -> None:
-    """Have both endpoints answer by one script, whichever is asked first."""
+def set_shared_script(world: SidecarWorld, *script: str) -> None:
+    """Let all endpoints share one script, so that it applies in order of the requests."""
     shared = list(script)
     for endpoint in world.endpoints.values():
         endpoint.script = shared
 
 
-def given_deadlines(world: SidecarWorld) -> list[float]:
-    """Return the seconds that each attempt was given, in the order of the attempts."""
-    runs = [ran for endpoint in world.endpoints.values() for ran in endpoint.ran]
-    return sorted((int(ran.headers[b"wheatring-deadline-ms"]) / 1000 for ran in runs), reverse=True)
+def sent_deadlines(world: SidecarWorld) -> list[float]:
+    """Return the deadline in seconds that each attempt was sent with, in the order of the attempts."""
+    runs = [run for endpoint in world.endpoints.values() for run in endpoint.runs]
+    return sorted((int(run.headers[b"wheatring-deadline-ms"]) / 1000 for run in runs), reverse=True)
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/resume/x"])
-@pytest.mark.parametrize("first", ["silent", "reset", "error"])
-def test_a_later_attempt_is_given_only_what_is_left(tmp_path: Path, path: str, first: str) -> None:
-    async def work(world: SidecarWorld) -> None:
-        usual = "stream:3" if "resume" in path else "ok"
-        share_script(world, usual)
-        for number in range(WARM_UP_REQUESTS):  # silence is told by what is usual
-            await world.request(path, ident=f"w{number}")
+@pytest.mark.parametrize("first_behaviour", ["silent", "reset", "error"])
+def test_retry_is_sent_with_the_remaining_time(tmp_path: Path, path: str, first_behaviour: str) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        usual_behaviour = "stream:3" if "resume" in path else "ok"
+        set_shared_script(world, usual_behaviour)
+        for number in range(WARM_UP_REQUESTS):  # The head time-out requires a known usual latency.
+            await world.request(path, request_id=f"w{number}")
         for endpoint in world.endpoints.values():
-            endpoint.ran.clear()
-        share_script(world, first, usual)
-        began = world.loop.time()
-        received, _ = await timed(world, path, {"Wheatring_Deadline_Ms": "1500"})
+            endpoint.runs.clear()
+        set_shared_script(world, first_behaviour, usual_behaviour)
+        started_at = world.loop.time()
+        received, _ = await send_timed_request(world, path, {"Wheatring_Deadline_Ms": "1500"})
         assert received.status == 200
-        first_given, second_given = given_deadlines(world)
-        assert first_given <= 1.5
-        spent = world.loop.time() - began
-        assert second_given <= 1.5
-        if first == "silent":
-            assert second_given < first_given  # by what the wait for the first one took
-        assert second_given >= 1.5 - spent - ROUNDING_SECONDS
+        first_deadline, second_deadline = sent_deadlines(world)
+        assert first_deadline <= 1.5
+        elapsed = world.loop.time() - started_at
+        assert second_deadline <= 1.5
+        if first_behaviour == "silent":
+            assert second_deadline < first_deadline  # by the time-out of the first attempt
+        assert second_deadline >= 1.5 - elapsed - ROUNDING_SECONDS
 
-    play(tmp_path, BOTH, work)
+    run_in_world(tmp_path, TWO_ENDPOINTS, scenario)
 
 
-def test_the_rest_of_a_stream_is_given_only_what_is_left(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        share_script(world, "cut:20", "stream:30")
-        received, _ = await timed(world, "/resume/x")
-        assert received.whole and len(received.events) == 30
-        first_given, second_given = given_deadlines(world)
-        assert first_given <= ROUTE_SECONDS
-        assert second_given <= ROUTE_SECONDS - 0.2 + ROUNDING_SECONDS  # twenty events at 10 ms
+def test_resumed_stream_is_sent_with_the_remaining_time(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        set_shared_script(world, "cut:20", "stream:30")
+        received, _ = await send_timed_request(world, "/resume/x")
+        assert received.is_complete and len(received.events) == 30
+        first_deadline, second_deadline = sent_deadlines(world)
+        assert first_deadline <= ROUTE_TIMEOUT_SECONDS
+        assert second_deadline <= ROUTE_TIMEOUT_SECONDS - 0.2 + ROUNDING_SECONDS  # twenty events at 10 ms
 
-    play(tmp_path, BOTH, work)
+    run_in_world(tmp_path, TWO_ENDPOINTS, scenario)
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/unsafe/x", "/once/x", "/stream/x", "/resume/x", "/turns/x"])
-@pytest.mark.parametrize("how", ["silent", "slow:60", "stream:100000"])
-@pytest.mark.parametrize("allowed_ms", ["", "700"])
-def test_every_request_ends_soon_after_its_time(tmp_path: Path, path: str, how: str, allowed_ms: str) -> None:
-    async def work(world: SidecarWorld) -> None:
-        share_script(world, how)
-        headers = {"Wheatring_Deadline_Ms": allowed_ms} if allowed_ms else {}
-        received, seconds = await timed(world, path, headers)
-        limit = float(allowed_ms or ROUTE_SECONDS * 1000) / 1000
-        assert seconds <= limit + FINAL_ANSWER_SECONDS
-        assert not (received.status == 200 and received.whole)
-
-    play(tmp_path, BOTH, work)
+@pytest.mark.parametrize("behaviour", ["silent", "slow:60", "stream:100000"])
+@pytest.mark.parametrize("deadline_ms", ["", "700"])
+def test_every_request_ends_shortly_after_its_deadline(
+    tmp_path: Path, path: str, behaviour: str, deadline_ms: str
+) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        set_shared_script(world, behaviour)
+        headers = {"Wheatring_Deadline_Ms": deadline_ms} if deadline_ms else {}
+        received, latency_seconds = await send_timed_request(world, path, headers)
+        limit = float(deadline_ms or ROUTE_TIMEOUT_SECONDS * 1000) / 1000
+        assert latency_seconds <= limit + FINAL_RESPONSE_SECONDS
+        assert not (received.status == 200 and received.is_complete)
+
+    run_in_world(tmp_path, TWO_ENDPOINTS, scenario)
 
 
 @pytest.mark.parametrize("previous", ["", "t-before"])
-def test_a_turn_ends_soon_after_its_time_while_storage_is_silent(tmp_path: Path, previous: str) -> None:
-    async def work(world: SidecarWorld) -> None:
-        share_script(world, "stream:3")
+def test_turn_ends_shortly_after_its_deadline_while_storage_is_unreachable(
+    tmp_path: Path, previous: str
+) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        set_shared_script(world, "stream:3")
         world.cut("e1", ["s1"])
         headers = {"Program": "p", "Budget": "100"} | ({"Previous": previous} if previous else {})
-        received, seconds = await timed(world, "/turns/x", headers)
-        assert seconds <= ROUTE_SECONDS + FINAL_ANSWER_SECONDS
-        assert received.status == 503 or not received.whole
+        received, latency_seconds = await send_timed_request(world, "/turns/x", headers)
+        assert latency_seconds <= ROUTE_TIMEOUT_SECONDS + FINAL_RESPONSE_SECONDS
+        assert received.status == 503 or not received.is_complete
 
-    play(tmp_path, BOTH, work)
+    run_in_world(tmp_path, TWO_ENDPOINTS, scenario)
--- a/tests/tier/sidecar/test_early_responses.py
+++ b/tests/tier/sidecar/test_early_responses.py
@@ -1,4 +1,4 @@
-"""Responses that come before their request was read, and bodies that only the end of a connection ends."""
+"""Responses sent before the request was read, and bodies that are ended by closing the connection."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 import pytest
 
-from tests.tier.sidecar.loopback import HOST, LoopbackSidecar, exchange, listening, route
+from tests.tier.sidecar.loopback import HOST, LoopbackSidecar, client_listener, route, send_request
 from wheatring.tier.sidecar.endpoint_connection import has_undelivered_bytes
 
 SAFE = route("/safe/", "safe", maxAttempts=1)
 UNSAFE = route("/unsafe/", "unsafe", maxAttempts=1)
 BODY_BYTES = 4_000_000
-RECEIVE_BUFFER_BYTES = 16 * 1024  # so that the sidecar still holds most of a body that nobody reads
+RECEIVE_BUFFER_BYTES = 16 * 1024  # Small, so that most of an unread body remains at the sidecar.
 HEAD = "HTTP/1.1 200 X\r\nWheatring-Request-Id: {}\r\nWheatring-Response-Signature: s\r\n"
 WAIT_SECONDS = 5.0
 
@@ -27,7 +27,7 @@
 
 
 async def upload(port: int, request_id: str, body: bytes) -> bytes:
-    """Send a request with a large body; return all that comes until the connection is closed."""
+    """Send a request with a body; return all bytes that arrive until the connection is closed."""
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(
         f"POST /unsafe/x HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {len(body)}\r\n"
@@ -41,34 +41,34 @@
         writer.close()
 
 
-def test_an_endpoint_that_answers_before_it_reads_gets_the_rest_of_that_body_and_nothing_else() -> None:
-    """It holds the connection open, and reads on once two further requests were answered."""
+def test_connection_is_not_reused_after_a_response_before_the_request_body_was_read() -> None:
+    """The endpoint responds early and only reads the rest of the body after two further requests."""
     bodies: dict[str, bytes] = {}
-    is_read_on = asyncio.Event()
-    finished: list[asyncio.Task[None]] = []
+    may_read_body = asyncio.Event()
+    tasks: list[asyncio.Task[None]] = []
 
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while True:
                 _, fields = await read_head(reader)
                 request_id = fields["wheatring-request-id"]
                 writer.write((HEAD.format(request_id) + "Content-Length: 2\r\n\r\nok").encode())
                 if request_id == "early":
-                    await is_read_on.wait()
+                    await may_read_body.wait()
                 bodies[request_id] = await reader.read(int(fields.get("content-length") or 0))
                 while len(bodies[request_id]) < int(fields.get("content-length") or 0):
-                    more = await reader.read(1 << 16)
-                    if not more:
+                    data = await reader.read(1 << 16)
+                    if not data:
                         return
-                    bodies[request_id] += more
+                    bodies[request_id] += data
         except (asyncio.IncompleteReadError, ConnectionError):
             return
         finally:
             writer.close()
 
     async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        task = asyncio.ensure_future(answer(reader, writer))
-        finished.append(task)
+        task = asyncio.ensure_future(serve(reader, writer))
+        tasks.append(task)
         await task
 
     async def run_scenario() -> None:
@@ -76,17 +76,17 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         server = await asyncio.start_server(accept, sock=listener, limit=1 << 14)
         sidecar = LoopbackSidecar([UNSAFE], [f"{HOST}:{server.sockets[0].getsockname()[1]}"])
-        async with listening(sidecar.service.handle_request) as port:
+        async with client_listener(sidecar.service.handle_request) as port:
             early = b"a" * BODY_BYTES
             first = await upload(port, "early", early)
             assert first.endswith(b"\r\n\r\nok")
             for number in range(2):
                 later = b"%d" % number * 1000
                 assert (await upload(port, f"later{number}", later)).endswith(b"\r\n\r\nok")
-            is_read_on.set()
+            may_read_body.set()
             async with asyncio.timeout(WAIT_SECONDS):
-                await asyncio.wait(finished, timeout=1.0)
-            assert early.startswith(bodies["early"])  # whatever came of it is its own
+                await asyncio.wait(tasks, timeout=1.0)
+            assert early.startswith(bodies["early"])  # No bytes of another request follow.
             assert bodies["later0"] == b"0" * 1000 and bodies["later1"] == b"1" * 1000
         server.close()
 
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize(("is_reset", "status"), [(False, b"200"), (True, b"502")])
-def test_a_body_without_a_length_is_complete_only_at_an_orderly_close(is_reset: bool, status: bytes) -> None:
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+def test_body_without_length_is_complete_only_after_orderly_close(is_reset: bool, status: bytes) -> None:
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         _, fields = await read_head(reader)
         writer.write((HEAD.format(fields["wheatring-request-id"]) + "\r\nhalf").encode())
         await writer.drain()
@@ -107,10 +107,10 @@
         writer.close()
 
     async def run_scenario() -> bytes:
-        server = await asyncio.start_server(answer, HOST, 0)
+        server = await asyncio.start_server(respond, HOST, 0)
         sidecar = LoopbackSidecar([SAFE], [f"{HOST}:{server.sockets[0].getsockname()[1]}"])
-        async with listening(sidecar.service.handle_request) as port:
-            raw = await exchange(port, "/safe/x", "q")
+        async with client_listener(sidecar.service.handle_request) as port:
+            raw = await send_request(port, "/safe/x", "q")
         server.close()
         return raw
 
@@ -119,8 +119,8 @@
     assert raw.endswith(b"half") is not is_reset
 
 
-class SilentSystemTransport:
-    """A transport whose system cannot tell what the peer has taken."""
+class UnqueryableTransport:
+    """A transport whose socket does not support the query for unacknowledged bytes."""
 
     def __init__(self, buffered: int, fileno: int) -> None:
         self.buffered = buffered
@@ -129,7 +129,7 @@
     def get_write_buffer_size(self) -> int:
         return self.buffered
 
-    def get_extra_info(self, _name: str) -> SilentSystemTransport:
+    def get_extra_info(self, _name: str) -> UnqueryableTransport:
         return self
 
     def fileno(self) -> int:
@@ -137,9 +137,9 @@
 
 
 @pytest.mark.parametrize(("buffered", "has_bytes"), [(0, False), (1, True)])
-def test_where_the_system_cannot_tell_the_transport_s_own_buffer_decides(
+def test_write_buffer_is_used_where_the_socket_cannot_be_queried(
     buffered: int, has_bytes: bool, tmp_path: Path
 ) -> None:
     with (tmp_path / "no-socket").open("w") as file:
-        assert has_undelivered_bytes(SilentSystemTransport(buffered, file.fileno())) is has_bytes
-    assert has_undelivered_bytes(SilentSystemTransport(buffered, -1)) is has_bytes
+        assert has_undelivered_bytes(UnqueryableTransport(buffered, file.fileno())) is has_bytes
+    assert has_undelivered_bytes(UnqueryableTransport(buffered, -1)) is has_bytes
--- a/tests/tier/sidecar/test_request_service.py
+++ b/tests/tier/sidecar/test_request_service.py
@@ -1,4 +1,4 @@
-"""What clients get and what endpoints run, by the answers of endpoints."""
+"""Responses to clients and requests run by endpoints, for various behaviours of endpoints."""
 
 from __future__ import annotations
 
@@ -25,39 +25,39 @@
 }
 ROUTES = (SAFE, UNSAFE, ONCE, STREAM, RESUMABLE, TURNS)
 
-Play = Callable[[SidecarWorld], Coroutine[Any, Any, None]]
+Scenario = Callable[[SidecarWorld], Coroutine[Any, Any, None]]
 
 
-def play(folder: Path, scripts: dict[str, list[str]], work: Play) -> SidecarWorld:
+def run_in_world(folder: Path, scripts: dict[str, list[str]], scenario: Scenario) -> SidecarWorld:
     world = SidecarWorld(folder, ROUTES, scripts)
 
     async def run_scenario() -> None:
         await world.begin()
-        await work(world)
+        await scenario(world)
 
     world.run(run_scenario)
     return world
 
 
-def test_an_answer_goes_back_unchanged(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        got = await world.request("/safe/x?a=1", ident="q")
-        assert (got.status, got.body, got.whole) == (200, b"ok", True)
-        assert got.headers[b"wheatring-response-signature"] == b"sig-i-b1-q"
-        assert world.endpoints["b1"].ran[0].path == "/safe/x?a=1"
+def test_response_is_relayed_unchanged(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        response = await world.request("/safe/x?a=1", request_id="q")
+        assert (response.status, response.body, response.is_complete) == (200, b"ok", True)
+        assert response.headers[b"wheatring-response-signature"] == b"sig-i-b1-q"
+        assert world.endpoints["b1"].runs[0].path == "/safe/x?a=1"
 
-    play(tmp_path, {"b1": ["ok"]}, work)
+    run_in_world(tmp_path, {"b1": ["ok"]}, scenario)
 
 
-def test_a_request_without_a_route_is_not_found(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
+def test_request_without_matching_route_gets_404(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
         assert (await world.request("/nothing/x")).status == 404
 
-    play(tmp_path, {"b1": ["ok"]}, work)
+    run_in_world(tmp_path, {"b1": ["ok"]}, scenario)
 
 
 CASES = [
-    # path, what the endpoint that is met first does, the client's status, runs at most
+    # path, behaviour of the first endpoint, status of the response, maximum number of runs
     ("/safe/x", "reset", 200, 2),
     ("/safe/x", "error", 200, 2),
     ("/safe/x", "full", 200, 1),
@@ -78,214 +78,218 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "first", "status", "runs"), CASES)
-def test_what_a_client_gets(tmp_path: Path, path: str, first: str, status: int, runs: int) -> None:
-    async def work(world: SidecarWorld) -> None:
-        rest = "stream:3" if "stream" in path else "ok"
-        shared = [first, rest]  # whichever endpoint is asked first
+@pytest.mark.parametrize(("path", "first_behaviour", "status", "max_runs"), CASES)
+def test_response_status_and_number_of_runs(
+    tmp_path: Path, path: str, first_behaviour: str, status: int, max_runs: int
+) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        later_behaviour = "stream:3" if "stream" in path else "ok"
+        shared_script = [first_behaviour, later_behaviour]  # applies in order of the requests
         for endpoint in world.endpoints.values():
-            endpoint.script = shared
-        got = await world.request(path, ident="q")
-        assert got.status == status
-        assert world.runs("q") <= runs
+            endpoint.script = shared_script
+        response = await world.request(path, request_id="q")
+        assert response.status == status
+        assert world.run_count("q") <= max_runs
         if status in (503, 429):
-            assert world.runs("q") == 0
-            assert float(got.headers[b"retry-after"]) > 0
+            assert world.run_count("q") == 0
+            assert float(response.headers[b"retry-after"]) > 0
         if status == 200 and "stream" not in path:
-            assert got.body == b"ok"
+            assert response.body == b"ok"
 
-    play(tmp_path, {"b1": ["ok"], "b2": ["ok"]}, work)
+    run_in_world(tmp_path, {"b1": ["ok"], "b2": ["ok"]}, scenario)
 
 
-def test_an_address_that_is_another_endpoints_now_runs_nothing(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        world.endpoints["b1"].ident = "i-somebody-else"
+def test_endpoint_with_another_id_runs_no_request(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        world.endpoints["b1"].instance_id = "i-somebody-else"
         for number in range(10):
-            got = await world.request("/unsafe/x", ident=f"q{number}")
-            assert got.status == 200
-        assert not world.endpoints["b1"].ran
+            response = await world.request("/unsafe/x", request_id=f"q{number}")
+            assert response.status == 200
+        assert not world.endpoints["b1"].runs
 
-    play(tmp_path, {"b1": ["ok"], "b2": ["ok"]}, work)
+    run_in_world(tmp_path, {"b1": ["ok"], "b2": ["ok"]}, scenario)
 
 
-def test_a_refusal_comes_at_once(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        began = world.loop.time()
-        got = await world.request("/once/x")
-        assert got.status == 503 and got.at - began < 0.1
+def test_rejection_is_immediate(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        started_at = world.loop.time()
+        response = await world.request("/once/x")
+        assert response.status == 503 and response.received_at - started_at < 0.1
 
-    play(tmp_path, {"b1": ["full"]}, work)
+    run_in_world(tmp_path, {"b1": ["full"]}, scenario)
 
 
-def test_an_endpoint_gets_the_remaining_time_as_its_deadline(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
+def test_endpoint_gets_the_remaining_time_as_its_deadline(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
         await world.request("/safe/x", Wheatring_Deadline_Ms="900")
         await world.request("/safe/x", Wheatring_Deadline_Ms="90000")
-        told = [int(ran.headers[b"wheatring-deadline-ms"]) for ran in world.endpoints["b1"].ran]
-        assert 800 < told[0] <= 900
-        assert 1900 < told[1] <= 2000  # the route's timeout
+        deadlines_ms = [int(run.headers[b"wheatring-deadline-ms"]) for run in world.endpoints["b1"].runs]
+        assert 800 < deadlines_ms[0] <= 900
+        assert 1900 < deadlines_ms[1] <= 2000  # the time-out of the route
 
-    play(tmp_path, {"b1": ["ok"]}, work)
+    run_in_world(tmp_path, {"b1": ["ok"]}, scenario)
 
 
-def test_a_stream_is_forwarded_completely(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        got = await world.request("/stream/x", ident="q")
-        assert got.whole and got.events == ["q-1", "q-2", "q-3", "q-4"]
+def test_stream_is_relayed_completely(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        response = await world.request("/stream/x", request_id="q")
+        assert response.is_complete and response.events == ["q-1", "q-2", "q-3", "q-4"]
 
-    play(tmp_path, {"b1": ["stream:4"]}, work)
+    run_in_world(tmp_path, {"b1": ["stream:4"]}, scenario)
 
 
-@pytest.mark.parametrize("how", ["break:2", "cut:2"])
-def test_a_stream_that_breaks_off_does_not_look_complete(tmp_path: Path, how: str) -> None:
-    async def work(world: SidecarWorld) -> None:
-        got = await world.request("/stream/x", ident="q")
-        assert not got.whole and got.events == ["q-1", "q-2"]
-        assert world.runs("q") == 1
+@pytest.mark.parametrize("behaviour", ["break:2", "cut:2"])
+def test_interrupted_stream_does_not_look_complete(tmp_path: Path, behaviour: str) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        response = await world.request("/stream/x", request_id="q")
+        assert not response.is_complete and response.events == ["q-1", "q-2"]
+        assert world.run_count("q") == 1
 
-    play(tmp_path, {"b1": [how], "b2": [how]}, work)
+    run_in_world(tmp_path, {"b1": [behaviour], "b2": [behaviour]}, scenario)
 
 
-@pytest.mark.parametrize("how", ["break:2", "cut:2", "cut:0"])
-def test_a_resumable_stream_goes_on_elsewhere(tmp_path: Path, how: str) -> None:
-    async def work(world: SidecarWorld) -> None:
-        shared = [how, "stream:5"]
+@pytest.mark.parametrize("behaviour", ["break:2", "cut:2", "cut:0"])
+def test_resumable_stream_continues_at_another_endpoint(tmp_path: Path, behaviour: str) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        shared_script = [behaviour, "stream:5"]
         for endpoint in world.endpoints.values():
-            endpoint.script = shared
-        got = await world.request("/resume/x", ident="q")
-        assert got.whole and got.events == [f"q-{n}" for n in range(1, 6)]
+            endpoint.script = shared_script
+        response = await world.request("/resume/x", request_id="q")
+        assert response.is_complete and response.events == [f"q-{n}" for n in range(1, 6)]
 
-    play(tmp_path, {"b1": ["ok"], "b2": ["ok"]}, work)
+    run_in_world(tmp_path, {"b1": ["ok"], "b2": ["ok"]}, scenario)
 
 
-def test_turns_build_on_one_another(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        one = await world.request("/turns/x", "POST", b"[one]", ident="t1")
-        two = await world.request("/turns/x", "POST", b"[two]", ident="t2", Previous="t1")
-        other = await world.request("/turns/x", "POST", b"[other]", ident="t3", Previous="t1")
-        three = await world.request("/turns/x", "POST", b"[three]", ident="t4", Previous="t2")
-        assert all(got.whole for got in (one, two, other, three))
-        bodies = {ran.ident: ran.body for ran in world.endpoints["b1"].ran}
+def test_prompt_contains_the_previous_turns(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        first = await world.request("/turns/x", "POST", b"[one]", request_id="t1")
+        second = await world.request("/turns/x", "POST", b"[two]", request_id="t2", Previous="t1")
+        branch = await world.request("/turns/x", "POST", b"[other]", request_id="t3", Previous="t1")
+        third = await world.request("/turns/x", "POST", b"[three]", request_id="t4", Previous="t2")
+        assert all(response.is_complete for response in (first, second, branch, third))
+        bodies = {run.request_id: run.body for run in world.endpoints["b1"].runs}
         assert bodies["t2"] == b"[one]t1-1\nt1-2\n[two]"
         assert bodies["t3"] == b"[one]t1-1\nt1-2\n[other]"
         assert bodies["t4"] == b"[one]t1-1\nt1-2\n[two]t2-1\nt2-2\n[three]"
-        assert (await world.request("/turns/x", "POST", b"x", ident="t5", Previous="nobody")).status == 404
-        assert world.runs("t5") == 0
+        assert (
+            await world.request("/turns/x", "POST", b"x", request_id="t5", Previous="nobody")
+        ).status == 404
+        assert world.run_count("t5") == 0
 
-    play(tmp_path, {"b1": ["stream:2"]}, work)
+    run_in_world(tmp_path, {"b1": ["stream:2"]}, scenario)
 
 
-def test_a_turn_that_broke_off_cannot_be_built_on(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        got = await world.request("/turns/x", "POST", b"one", ident="t1")
-        assert not got.whole
-        assert (await world.request("/turns/x", "POST", b"two", ident="t2", Previous="t1")).status == 404
+def test_interrupted_turn_cannot_be_continued(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        response = await world.request("/turns/x", "POST", b"one", request_id="t1")
+        assert not response.is_complete
+        assert (await world.request("/turns/x", "POST", b"two", request_id="t2", Previous="t1")).status == 404
 
-    play(tmp_path, {"b1": ["cut:2"]}, work)
+    run_in_world(tmp_path, {"b1": ["cut:2"]}, scenario)
 
 
-def test_a_response_ends_only_once_its_turn_is_on_disk(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        asking = asyncio.create_task(world.request("/turns/x", "POST", b"one", ident="t1"))
+def test_response_is_incomplete_if_its_turn_cannot_be_stored(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        pending_response = asyncio.create_task(world.request("/turns/x", "POST", b"one", request_id="t1"))
         await world.settle(0.02)
         world.kill("s1")
-        got = await asking
-        assert got.status == 200 and not got.whole
+        response = await pending_response
+        assert response.status == 200 and not response.is_complete
 
-    play(tmp_path, {"b1": ["stream:5"]}, work)
+    run_in_world(tmp_path, {"b1": ["stream:5"]}, scenario)
 
 
-def test_without_storage_a_turn_is_refused_before_it_runs(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
+def test_turn_is_rejected_before_it_runs_if_storage_is_unavailable(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
         world.kill("s1")
-        got = await world.request("/turns/x", "POST", b"two", ident="t2", Previous="t1")
-        assert got.status == 503 and world.runs("t2") == 0
-        got = await world.request("/stream/x", "POST", b"x", ident="t3", **BUDGET)
-        assert got.status == 503 and world.runs("t3") == 0
+        response = await world.request("/turns/x", "POST", b"two", request_id="t2", Previous="t1")
+        assert response.status == 503 and world.run_count("t2") == 0
+        response = await world.request("/stream/x", "POST", b"x", request_id="t3", **BUDGET)
+        assert response.status == 503 and world.run_count("t3") == 0
 
-    play(tmp_path, {"b1": ["stream:2"]}, work)
+    run_in_world(tmp_path, {"b1": ["stream:2"]}, scenario)
 
 
 BUDGET = {"Program": "p", "Budget": "100", "Wheatring_Token_Usage": "50,50"}
 
 
-def test_a_budget_is_counted_by_what_was_handed_out(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        for number in range(4):  # 20 tokens each, as the stride says; 50 at the most
-            got = await world.request("/stream/x", "POST", b"x", ident=f"t{number}", **BUDGET)
+def test_budget_counts_delivered_tokens(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        for number in range(4):  # Each turn reserves 50 tokens and delivers 20 (2 events of 10).
+            response = await world.request("/stream/x", "POST", b"x", request_id=f"t{number}", **BUDGET)
             await world.settle(0.3)
-            assert got.status == (200 if number < 3 else 402)
-        assert world.runs("t3") == 0
+            assert response.status == (200 if number < 3 else 402)
+        assert world.run_count("t3") == 0
 
-    play(tmp_path, {"b1": ["stream:2"]}, work)
+    run_in_world(tmp_path, {"b1": ["stream:2"]}, scenario)
 
 
-def test_a_refused_turn_gives_its_reservation_back(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
+def test_rejected_turn_releases_its_reservation(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
         world.endpoints["b1"].script = ["full", "full", "full", "stream:2"]
         for number in range(2):
-            await world.request("/stream/x", "POST", b"x", ident=f"t{number}", **BUDGET)
+            await world.request("/stream/x", "POST", b"x", request_id=f"t{number}", **BUDGET)
             await world.settle(0.3)
-        got = await world.request("/stream/x", "POST", b"x", ident="t9", **BUDGET)
-        assert got.status == 200
+        response = await world.request("/stream/x", "POST", b"x", request_id="t9", **BUDGET)
+        assert response.status == 200
 
-    play(tmp_path, {"b1": ["full"]}, work)
+    run_in_world(tmp_path, {"b1": ["full"]}, scenario)
 
 
-def test_sigterm_answers_what_was_read(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        asking = asyncio.create_task(world.request("/safe/x"))
+def test_sigterm_completes_requests_in_flight(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        pending_response = asyncio.create_task(world.request("/safe/x"))
         await world.settle(0.1)
         host = world.hosts["e1"]
         assert host.incarnation is not None
         stopping = world.run_as(host.incarnation, host.process.stop)
         await world.settle(0.5)
         assert not host.process.is_ready
-        late = await world.request("/unsafe/x")
-        assert late.status == 200 and late.headers[b"connection"] == b"close"
-        got = await asking
-        assert (got.status, got.whole) == (200, True)
+        late_response = await world.request("/unsafe/x")
+        assert late_response.status == 200 and late_response.headers[b"connection"] == b"close"
+        response = await pending_response
+        assert (response.status, response.is_complete) == (200, True)
         await stopping
 
-    play(tmp_path, {"b1": ["slow:1.5", "ok"]}, work)
+    run_in_world(tmp_path, {"b1": ["slow:1.5", "ok"]}, scenario)
 
 
-def test_a_request_waits_no_longer_than_its_route_allows(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
-        began = world.loop.time()
-        got = await world.request("/stream/x", ident="q")
-        assert got.status == 504 and 1.9 < got.at - began < 2.1
+def test_request_gets_504_at_the_time_out_of_its_route(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
+        started_at = world.loop.time()
+        response = await world.request("/stream/x", request_id="q")
+        assert response.status == 504 and 1.9 < response.received_at - started_at < 2.1
 
-    play(tmp_path, {"b1": ["silent"]}, work)
+    run_in_world(tmp_path, {"b1": ["silent"]}, scenario)
 
 
-def test_a_resumable_stream_is_retried_elsewhere_when_its_endpoint_is_silent(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
+def test_resumable_stream_without_a_response_head_is_retried_at_another_endpoint(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
         for _ in range(40):
-            assert (await world.request("/resume/x")).whole
-        silent, well = world.endpoints["b1"], world.endpoints["b2"]
+            assert (await world.request("/resume/x")).is_complete
+        silent, healthy = world.endpoints["b1"], world.endpoints["b2"]
         silent.script = ["silent"]
-        ran_before = len(silent.ran)
+        runs_before = len(silent.runs)
         for number in range(12):
-            began = world.loop.time()
-            got = await world.request("/resume/x", ident=f"late{number}")
-            assert got.whole and len(got.events) == 2
-            assert world.runs(f"late{number}") <= 2
-            assert world.loop.time() - began < 0.5
-        assert len(silent.ran) > ran_before  # it was tried, and left
-        assert len(well.ran) >= 12
+            started_at = world.loop.time()
+            response = await world.request("/resume/x", request_id=f"late{number}")
+            assert response.is_complete and len(response.events) == 2
+            assert world.run_count(f"late{number}") <= 2
+            assert world.loop.time() - started_at < 0.5
+        assert len(silent.runs) > runs_before  # Some requests were sent to the silent endpoint first.
+        assert len(healthy.runs) >= 12
 
-    play(tmp_path, {"b1": ["stream:2"], "b2": ["stream:2"]}, work)
+    run_in_world(tmp_path, {"b1": ["stream:2"], "b2": ["stream:2"]}, scenario)
 
 
-def test_a_stream_that_may_not_be_repeated_waits_for_a_silent_endpoint(tmp_path: Path) -> None:
-    async def work(world: SidecarWorld) -> None:
+def test_non_resumable_stream_is_not_retried_if_its_endpoint_is_silent(tmp_path: Path) -> None:
+    async def scenario(world: SidecarWorld) -> None:
         for _ in range(40):
-            assert (await world.request("/stream/x")).whole
+            assert (await world.request("/stream/x")).is_complete
         world.endpoints["b1"].script = ["silent"]
-        began = world.loop.time()
-        got = await world.request("/stream/x", ident="late")
-        assert got.status == 504 and world.runs("late") == 1
-        assert world.loop.time() - began > 1.9
+        started_at = world.loop.time()
+        response = await world.request("/stream/x", request_id="late")
+        assert response.status == 504 and world.run_count("late") == 1
+        assert world.loop.time() - started_at > 1.9
 
-    play(tmp_path, {"b1": ["stream:2"]}, work)
+    run_in_world(tmp_path, {"b1": ["stream:2"]}, scenario)
--- a/tests/tier/sidecar/test_response_matching.py
+++ b/tests/tier/sidecar/test_response_matching.py
@@ -1,4 +1,4 @@
-"""No answer reaches another's client and nothing runs twice, however badly endpoints and clients behave."""
+"""Stateful test: every client gets only its own response, and no request runs more often than allowed."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from tests.tier.hostile_world import BEHAVIOURS, HostileWorld
 from tests.tier.sidecar.test_request_service import SAFE, UNSAFE
 
-MAX_ATTEMPTS = 3  # of the routes
+MAX_ATTEMPTS = 3  # as in the routes
 
 
 class SidecarMachine(RuleBasedStateMachine):
-    """One sidecar, two endpoints, and clients that come and go."""
+    """A sidecar with two misbehaving endpoints, and clients that connect and disconnect."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
         world.loop.run_until_complete(world.settle(wait))
 
     @rule(how=st.sampled_from(["close", "reset"]), wait=st.sampled_from([0.0, 0.6]))
-    def leave(self, how: str, wait: float) -> None:
+    def disconnect(self, how: str, wait: float) -> None:
         for client in self.world.connections:
             if client.open and client.exchange is not None:
                 self.world.leave(client, how)
@@ -59,7 +59,7 @@
         self.world.loop.run_until_complete(self.world.settle(seconds))
 
     @invariant()
-    def everybody_gets_only_what_is_theirs(self) -> None:
+    def responses_match_their_requests(self) -> None:
         self.world.verify(MAX_ATTEMPTS)
 
 
--- a/tests/tier/sidecar_world.py
+++ b/tests/tier/sidecar_world.py
@@ -1,7 +1,7 @@
-"""Endpoints and clients on the simulated network, around real sidecars.
+"""Simulated endpoints and clients around a real sidecar, on the simulated network.
 
-An endpoint answers as its script says: one behaviour for each request that it reads, the last one for all
-others. It keeps what it ran, so that a test can look for what must not have run, or not twice.
+An endpoint follows a script with one behaviour per request; the last behaviour applies to all further
+requests. It records the requests that it ran, so that tests can check that a request ran once or not at all.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 @dataclass
-class Ran:
-    """A request that an endpoint has started to handle."""
+class EndpointRun:
+    """A request that an endpoint has started to run."""
 
-    ident: str
+    request_id: str
     path: str
     body: bytes
     headers: dict[bytes, bytes]
@@ -35,14 +35,14 @@
 class EndpointStub:
     """One endpoint and its script."""
 
-    name: str  # its host
-    ident: str
+    name: str  # the name of its simulated host
+    instance_id: str
     script: list[str]
-    ran: list[Ran] = field(default_factory=list)
-    read: int = 0
+    runs: list[EndpointRun] = field(default_factory=list)
+    request_count: int = 0
 
     def next_behaviour(self) -> str:
-        self.read += 1
+        self.request_count += 1
         return self.script.pop(0) if len(self.script) > 1 else self.script[0]
 
 
@@ -64,27 +64,34 @@
             loop = asyncio.get_running_loop()
             self.task = loop.create_task(self.answer(message))
 
-    def _head(self, status: int, ident: bytes, more: bytes = b"") -> bytes:
+    def _head(self, status: int, request_id: bytes, extra_fields: bytes = b"") -> bytes:
         return b"HTTP/1.1 %d X\r\nWheatring-Request-Id: %s\r\nKeep-Alive: timeout=5\r\n%s" % (
             status,
-            ident,
-            more,
+            request_id,
+            extra_fields,
         )
 
     async def answer(self, message: Message) -> None:
         endpoint = self.endpoint
-        ident = message.fields.get(b"wheatring-request-id", b"")
+        request_id = message.fields.get(b"wheatring-request-id", b"")
         behaviour, _, argument = endpoint.next_behaviour().partition(":")
         expected = message.fields.get(b"wheatring-expected-instance", b"").decode()
         write = self.transport.write
-        if expected and expected != endpoint.ident:
-            write(self._head(421, ident) + b"Content-Length: 0\r\n\r\n")
+        if expected and expected != endpoint.instance_id:
+            write(self._head(421, request_id) + b"Content-Length: 0\r\n\r\n")
             return
         if behaviour == "full":
-            write(self._head(503, ident, b"Wheatring-Not-Executed: 1\r\n") + b"Content-Length: 0\r\n\r\n")
+            write(
+                self._head(503, request_id, b"Wheatring-Not-Executed: 1\r\n") + b"Content-Length: 0\r\n\r\n"
+            )
             return
-        endpoint.ran.append(Ran(ident.decode(), message.start_line[1].decode(), message.body, message.fields))
-        signature = b"Wheatring-Response-Signature: sig-%s-%s\r\n" % (endpoint.ident.encode(), ident)
+        endpoint.runs.append(
+            EndpointRun(request_id.decode(), message.start_line[1].decode(), message.body, message.fields)
+        )
+        signature = b"Wheatring-Response-Signature: sig-%s-%s\r\n" % (
+            endpoint.instance_id.encode(),
+            request_id,
+        )
         if behaviour == "reset":
             self.transport.abort()
         elif behaviour == "silent":
@@ -92,36 +99,37 @@
         elif behaviour == "noise":
             write(b"what is this\r\n\r\n")
         elif behaviour == "error":
-            write(self._head(500, ident, signature) + b"Content-Length: 5\r\n\r\nsorry")
+            write(self._head(500, request_id, signature) + b"Content-Length: 5\r\n\r\nsorry")
         elif behaviour == "slow":
             await asyncio.sleep(float(argument))
-            write(self._head(200, ident, signature) + b"Content-Length: 2\r\n\r\nok")
+            write(self._head(200, request_id, signature) + b"Content-Length: 2\r\n\r\nok")
         elif behaviour == "late-other":
             write(self._head(200, b"other", signature) + b"Content-Length: 5\r\n\r\nstale")
-            write(self._head(200, ident, signature) + b"Content-Length: 2\r\n\r\nok")
+            write(self._head(200, request_id, signature) + b"Content-Length: 2\r\n\r\nok")
         elif behaviour == "half":
-            write(self._head(200, ident, signature) + b"Content-Length: 10\r\n\r\nhalf")
+            write(self._head(200, request_id, signature) + b"Content-Length: 10\r\n\r\nhalf")
             await asyncio.sleep(0.01)
             self.transport.abort()
         elif behaviour == "ok":
-            write(self._head(200, ident, signature) + b"Content-Length: 2\r\n\r\nok")
+            write(self._head(200, request_id, signature) + b"Content-Length: 2\r\n\r\nok")
         else:
-            await self._stream(message, ident, signature, behaviour, argument)
+            await self._stream(message, request_id, signature, behaviour, argument)
 
     async def _stream(
-        self, message: Message, ident: bytes, signature: bytes, behaviour: str, argument: str
+        self, message: Message, request_id: bytes, signature: bytes, behaviour: str, argument: str
     ) -> None:
         """Stream events.
 
-        `stream:N` sends N events; `break:N` resets within the event behind N, `cut:N` behind N complete ones.
+        `stream:N` sends N events and ends. `break:N` resets the connection within the event after the Nth,
+        `cut:N` after N complete events.
         """
         count = int(argument)
         write = self.transport.write
-        write(self._head(200, ident, signature) + b"Transfer-Encoding: chunked\r\n\r\n")
-        after = int(message.fields.get(b"last-event-id", b"0"))
-        for number in range(after + 1, count + 1):
+        write(self._head(200, request_id, signature) + b"Transfer-Encoding: chunked\r\n\r\n")
+        last_event_id = int(message.fields.get(b"last-event-id", b"0"))
+        for number in range(last_event_id + 1, count + 1):
             await asyncio.sleep(0.01)
-            event = b"id: %d\ndata: %s-%d\n\n" % (number, ident, number)
+            event = b"id: %d\ndata: %s-%d\n\n" % (number, request_id, number)
             write(b"%x\r\n%s\r\n" % (len(event), event))
         if behaviour == "stream":
             write(b"0\r\n\r\n")
@@ -134,14 +142,14 @@
 
 
 @dataclass
-class Received:
-    """What a client received."""
+class ReceivedResponse:
+    """The response as received by a client."""
 
-    status: int = 0  # 0: no answer
+    status: int = 0  # 0 if there was no response
     headers: dict[bytes, bytes] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
-    at: float = 0.0
+    is_complete: bool = False
+    received_at: float = 0.0
 
     @property
     def events(self) -> list[str]:
@@ -149,12 +157,12 @@
         return [line[6:].decode() for line in self.body.split(b"\n") if line.startswith(b"data: ")]
 
 
-class ClientSide(asyncio.Protocol):
-    """One connection of a client, for one request."""
+class ClientConnection(asyncio.Protocol):
+    """The connection of a client, which sends one request."""
 
     def __init__(self) -> None:
         self.reader = MessageParser(responses=True, max_body_bytes=1 << 24, buffered_body_bytes=0)
-        self.received = Received()
+        self.received = ReceivedResponse()
         self.done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self.message: Message | None = None
         self.transport: Any = None
@@ -177,18 +185,18 @@
             if not message.is_open:
                 self.finish(True)
                 return
-        chunk, whole = self.reader.read_body()
-        self.received.body += chunk
-        if whole:
+        data, is_complete = self.reader.read_body()
+        self.received.body += data
+        if is_complete:
             self.finish(True)
 
     def connection_lost(self, _error: Exception | None) -> None:
         self.finish(False)
 
-    def finish(self, whole: bool) -> None:
+    def finish(self, is_complete: bool) -> None:
         if not self.done.done():
-            self.received.whole = whole
-            self.received.at = asyncio.get_running_loop().time()
+            self.received.is_complete = is_complete
+            self.received.received_at = asyncio.get_running_loop().time()
             self.done.set_result(None)
 
 
@@ -203,12 +211,14 @@
         self._last_id = 0
 
     async def begin(self) -> None:
-        """Put endpoints and configuration in place and wait for the sidecar to be ready."""
+        """Start the endpoints, apply a configuration and wait until the sidecar is ready."""
         entries = []
         for endpoint in self.endpoints.values():
             self.run_as(Incarnation(endpoint.name), lambda endpoint=endpoint: self._listen(endpoint))  # type: ignore[misc]
             address = f"{endpoint.name}:{SERVICE_PORT}"
-            entries.append(Endpoint(id=endpoint.ident, service="s", address=address, zone="z1", slots=4))
+            entries.append(
+                Endpoint(id=endpoint.instance_id, service="s", address=address, zone="z1", slots=4)
+            )
         self.platform.endpoints = EndpointList(endpoints=entries)
         routes = [
             {"name": f"r{n}", "hostname": "h", "backend": "s", "timeoutMs": 2000, "targetLatencyMs": 200}
@@ -227,26 +237,30 @@
         loop = asyncio.get_running_loop()
         await loop.create_server(lambda: EndpointConnection(endpoint), endpoint.name, SERVICE_PORT)
 
-    async def request(self, path: str, method: str = "GET", body: bytes = b"", **headers: str) -> Received:
-        """Send a request on a connection of its own and return what comes back."""
+    async def request(
+        self, path: str, method: str = "GET", body: bytes = b"", **headers: str
+    ) -> ReceivedResponse:
+        """Send a request on a new connection and return the response."""
         self._last_id += 1
-        ident = headers.pop("ident", f"q{self._last_id}")
-        lines = [f"{method} {path} HTTP/1.1", "Host: h", f"Wheatring-Request-Id: {ident}"]
+        request_id = headers.pop("request_id", f"q{self._last_id}")
+        lines = [f"{method} {path} HTTP/1.1", "Host: h", f"Wheatring-Request-Id: {request_id}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         if body:
             lines.append(f"Content-Length: {len(body)}")
         data = "\r\n".join([*lines, "", ""]).encode() + body
         CURRENT_INCARNATION.set(Incarnation("client"))
         try:
-            _, client = await self.loop.create_connection(ClientSide, "e1", FRONT_PORT)
+            _, client = await self.loop.create_connection(ClientConnection, "e1", FRONT_PORT)
         except ConnectionRefusedError:
-            return Received()
+            return ReceivedResponse()
         client.transport.write(data)
         await client.done
         client.transport.abort()
-        received: Received = client.received
+        received: ReceivedResponse = client.received
         return received
 
-    def runs(self, ident: str) -> int:
-        """Return how often a request was handled, at all endpoints together."""
-        return sum(ran.ident == ident for endpoint in self.endpoints.values() for ran in endpoint.ran)
+    def run_count(self, request_id: str) -> int:
+        """Return how often all endpoints together ran a request."""
+        return sum(
+            run.request_id == request_id for endpoint in self.endpoints.values() for run in endpoint.runs
+        )
