--- a/tests/tier/sidecar_world.py
+++ b/tests/tier/sidecar_world.py
@@ -201,7 +201,7 @@
 
 
 class SidecarWorld(World):
-    """A system with sidecars, endpoints and clients."""
+    """A world with one sidecar, its endpoints and its clients."""
 
     def __init__(self, folder: Path, routes: Sequence[dict[str, Any]], scripts: dict[str, list[str]]) -> None:
         super().__init__(folder, seed=3, controllers=1, storage=1, losses=0)
--- a/wheatring/tier/sidecar/client_connection.py
+++ b/wheatring/tier/sidecar/client_connection.py
@@ -60,7 +60,7 @@
         self._handler = handler
         self._settings = settings
         self._on_lost = on_lost
-        self._reader = MessageParser(responses=False, max_body_bytes=settings().limits.body_bytes)
+        self._parser = MessageParser(responses=False, max_body_bytes=settings().limits.body_bytes)
         self._transport: Any = None
         self._task: asyncio.Task[None] | None = None
         self._writable = asyncio.Event()
@@ -84,10 +84,10 @@
         if self._is_closed:
             return
         self._received_at = asyncio.get_running_loop().time()
-        had_partial_message = self._reader.has_partial_message
-        self._reader.feed(data)
+        had_partial_message = self._parser.has_partial_message
+        self._parser.feed(data)
         if self._task is not None:
-            if len(self._reader.buffer) > MAX_PIPELINED_BYTES:
+            if len(self._parser.buffer) > MAX_PIPELINED_BYTES:
                 self._transport.pause_reading()
             return
         if not had_partial_message:
@@ -130,12 +130,12 @@
 
     def _start_next_request(self) -> None:
         try:
-            message = self._reader.next_message()
+            message = self._parser.next_message()
         except MalformedMessageError as error:
             self._reject(error.status)
             return
         if message is None:
-            partial_message = self._reader.message
+            partial_message = self._parser.message
             if (
                 partial_message is not None
                 and partial_message.fields.pop(b"expect", b"").lower() == b"100-continue"
@@ -168,14 +168,14 @@
             return
         self._transport.resume_reading()
         self._wait_for_request()
-        if self._reader.has_partial_message:
+        if self._parser.has_partial_message:
             self._start_next_request()
 
     def _wait_for_request(self) -> None:
         self._set_timer(self._settings().limits.idle_timeout_seconds, self.close)
 
     def _on_header_timeout(self) -> None:
-        if self._reader.has_partial_message:
+        if self._parser.has_partial_message:
             self._reject(408)
         else:
             self.close()
@@ -206,7 +206,7 @@
         self._response_state = state
 
     def _connection_field(self) -> bytes:
-        if self._settings().is_closing and not self._reader.has_partial_message:
+        if self._settings().is_closing and not self._parser.has_partial_message:
             self._keep_alive = False
         return b"" if self._keep_alive else b"Connection: close\r\n"
 
--- a/wheatring/tier/sidecar/endpoint_connection.py
+++ b/wheatring/tier/sidecar/endpoint_connection.py
@@ -50,7 +50,7 @@
     def __init__(self, endpoint: str, address: str) -> None:
         self.endpoint = endpoint
         self.address = address
-        self._reader = MessageParser(responses=True, max_body_bytes=MAX_BODY_BYTES, buffered_body_bytes=0)
+        self._parser = MessageParser(responses=True, max_body_bytes=MAX_BODY_BYTES, buffered_body_bytes=0)
         self._transport: Any = None
         self._waiter: asyncio.Future[None] | None = None
         self._is_lost = False
@@ -71,8 +71,8 @@
         if not self._is_busy:
             self.abort()
             return
-        self._reader.feed(data)
-        if len(self._reader.buffer) > HIGH_WATER_BYTES and not self._is_paused:
+        self._parser.feed(data)
+        if len(self._parser.buffer) > HIGH_WATER_BYTES and not self._is_paused:
             self._is_paused = True
             self._transport.pause_reading()
         self._wake()
@@ -114,14 +114,14 @@
             await self._discard_body(message)
 
     async def _read_head(self) -> Message:
-        reader = self._reader
+        parser = self._parser
         while True:
             try:
-                message = reader.next_message()
+                message = parser.next_message()
                 while message is not None and message.start_line[0].startswith(b"1"):
-                    message = reader.next_message()
-                if message is None and reader.message is not None:
-                    message = reader.open_message()
+                    message = parser.next_message()
+                if message is None and parser.message is not None:
+                    message = parser.open_message()
             except MalformedMessageError as error:
                 raise self._abort_attempt(f"malformed response head: {error}") from error
             if message is not None:
@@ -141,12 +141,12 @@
         """
         while True:
             try:
-                data, is_complete = self._reader.read_body()
+                data, is_complete = self._parser.read_body()
             except MalformedMessageError as error:
                 raise self._abort_attempt(f"malformed response body: {error}") from error
             if data or is_complete:
                 return data, is_complete
-            if self._is_lost and self._is_closed_by_peer and self._reader.end_of_input() is not None:
+            if self._is_lost and self._is_closed_by_peer and self._parser.end_of_input() is not None:
                 return b"", True  # A body without a length ends at an orderly close.
             await self._wait_for_bytes()
 
@@ -173,7 +173,7 @@
         queued behind the rest of that body until the endpoint reads it.
         """
         self._is_busy = False
-        is_reusable = message.keep_alive and not self._reader.has_partial_message and self.is_usable
+        is_reusable = message.keep_alive and not self._parser.has_partial_message and self.is_usable
         is_reusable = is_reusable and not has_undelivered_bytes(self._transport)
         self.is_reusable = is_reusable
         if not is_reusable:
--- a/wheatring/tier/sidecar/forwarder.py
+++ b/wheatring/tier/sidecar/forwarder.py
@@ -29,8 +29,8 @@
     may_have_run
         Whether an endpoint may have run the request.
     error_response
-        The most recent error response of an endpoint; None if there was none, or if a later attempt failed in
-        a way that leaves open whether it ran.
+        The most recent error response of an endpoint; None if there was none, or if it is unknown whether a
+        later attempt ran.
     """
 
     request: OutgoingRequest
--- a/wheatring/tier/sidecar/process.py
+++ b/wheatring/tier/sidecar/process.py
@@ -68,8 +68,11 @@
         """Open the listeners and subscribe to the controllers. Raises OSError."""
         loop = asyncio.get_running_loop()
         self._started_at = loop.time()
-        front, ready = self.settings.listen["front"], self.settings.listen["ready"]
-        for address, handler in ((ready, self._answer_readiness), (front, self.service.handle_request)):
+        client_address, readiness_address = self.settings.listen["front"], self.settings.listen["ready"]
+        for address, handler in (
+            (readiness_address, self._answer_readiness),
+            (client_address, self.service.handle_request),
+        ):
             server = await loop.create_server(
                 partial(self._accept, handler), address.host, address.port, backlog=LISTEN_BACKLOG
             )
--- a/wheatring/tier/sidecar/tier_balancer.py
+++ b/wheatring/tier/sidecar/tier_balancer.py
@@ -93,7 +93,7 @@
         )
 
     def occupancy(self, now: float, endpoint: Endpoint) -> float:
-        """Return the number of requests at an endpoint: its recent report, or at least this sidecar's own."""
+        """Return the requests at an endpoint: those of this sidecar, or a higher recent report of its own."""
         if endpoint.reported_at and now - endpoint.reported_at < LOAD_REPORT_TTL_SECONDS:
             return max(endpoint.reported_in_flight, endpoint.in_flight)
         return endpoint.in_flight
@@ -140,7 +140,7 @@
         return self.is_zone_local and endpoint.entry.zone != self.settings.zone
 
     def _endpoints_caching_prefix(self, now: float, segments: Sequence[PromptSegment]) -> list[Endpoint]:
-        """Return the usable endpoints that cache the last of the prompt's segments cached anywhere."""
+        """Return the usable endpoints that cache the segment closest to the end of the prompt."""
         for segment in reversed(segments):
             names = self.prefix_caches.endpoints_caching(now, segment)
             caching = [self.pool.endpoints[name] for name in names if name in self.pool.endpoints]
