--- a/tests/daemon/http1/test_bodies.py
+++ b/tests/daemon/http1/test_bodies.py
@@ -303,7 +303,7 @@
 
 
 def test_a_body_that_comes_too_slowly_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
+    monkeypatch.setattr(caller_lifecycle, "HEAD_TIMEOUT_SECONDS", 0.0)
     monkeypatch.setattr(caller_lifecycle, "MIN_BODY_BYTES_PER_SECOND", 1e12)
     monkeypatch.setattr(caller_lifecycle, "BODY_IDLE_TIMEOUT_SECONDS", 1e9)
     caller = post(make(), len(LARGE))
@@ -450,7 +450,7 @@
     def one(wire: Wire) -> None:
         wire.read()
         # The threads that write answers would keep this process's callers from their requests on a busy
-        # machine, and a caller that connects and sends nothing for HEAD_SECONDS is ended.
+        # machine, and a caller that connects and sends nothing for HEAD_TIMEOUT_SECONDS is ended.
         all_asked.wait(WAIT_LIMIT_SECONDS)
         wire.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % size)
         for _ in range(size // 65536):
--- a/tests/daemon/http1/test_caller_connection.py
+++ b/tests/daemon/http1/test_caller_connection.py
@@ -83,7 +83,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(caller_lifecycle, "MAX_DISCARDED_BYTES", 5)
-    monkeypatch.setattr(caller_lifecycle, "LINGER_SECONDS", 0.3)
+    monkeypatch.setattr(caller_lifecycle, "LINGER_TIMEOUT_SECONDS", 0.3)
     world = make()
     wire = world.caller()
     wire.send(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
@@ -110,9 +110,11 @@
         if not world.run(lambda: connection.close_code):
             wire.send(b"GET /healthz HTTP/1.1\r\n\r\n" * 200)
             world.settle()
-    assert world.run(lambda: connection.close_code) and not connection.is_shut
+    assert world.run(lambda: connection.close_code) and not connection.is_write_shut
     world.run(
-        lambda: connection.enforce_limits(connection.state_since + 2 * caller_lifecycle.LINGER_SECONDS, 20.0)
+        lambda: connection.enforce_limits(
+            connection.state_since + 2 * caller_lifecycle.LINGER_TIMEOUT_SECONDS, 20.0
+        )
     )
     answers = [wire.read()]
     while "connection" not in answers[-1][1]:
@@ -348,7 +350,7 @@
     until(world, lambda: connection.parser.buffer)
     node.answer(200, b"before")
     assert wire.read()[2] == b"before"
-    until(world, lambda: connection.is_awaiting)
+    until(world, lambda: connection.is_reading_request)
     if version == "1.1":
         assert wire.read()[0] == "HTTP/1.1 100 Continue"
     wire.send(b"x" * size)
--- a/tests/daemon/http1/test_endpoint_connection.py
+++ b/tests/daemon/http1/test_endpoint_connection.py
@@ -155,7 +155,7 @@
         wire.send(f"{old[2]}Content-Length: {len(old[1])}\r\n\r\n".encode() + old[1])
         assert world.logged("endpoint-connection") == ["bad-answer"]
         assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-        assert world.sidecar.pool.cautious_until > 0
+        assert world.sidecar.pool.reuse_delay_until > 0
         return
     wire.answer(*old)
     again = node.accept()
@@ -203,7 +203,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Once the next request has left on it, nothing tells a late second answer from that one's own."""
-    monkeypatch.setattr(connection_pool, "REST_SECONDS", 1e9)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1e9)
     world = make()
     caller = world.caller()
     wire = kept_connection(world, caller)
@@ -221,7 +221,7 @@
     assert world.logged("endpoint-connection", 2) == ["unasked-data"] * 2
     other.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
-    monkeypatch.setattr(connection_pool, "REST_SECONDS", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.0)
     world.ask(wire=caller)
     other.read()  # it has rested
     other.answer(200, b"last")
@@ -231,7 +231,7 @@
 def test_a_second_answer_right_behind_the_first_has_connections_rest_as_well(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection_pool, "REST_SECONDS", 1e9)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1e9)
     world = make()
     caller = world.ask()
     wire = world.nodes[0].accept()
@@ -254,7 +254,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch, rested: bool
 ) -> None:
     """Before any second answer was seen, too: it costs nothing. If none has, the one that rested longest."""
-    monkeypatch.setattr(connection_pool, "REST_SECONDS", 1e9)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1e9)
     world = make()
     world.sidecar.pool.idle_timeout = 4e9
     callers, wires = [], []
--- a/tests/daemon/http1/test_requests.py
+++ b/tests/daemon/http1/test_requests.py
@@ -365,7 +365,7 @@
 
 
 def test_a_request_that_never_completes_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
+    monkeypatch.setattr(caller_lifecycle, "HEAD_TIMEOUT_SECONDS", 0.0)
     world = make(0)
     wire = world.caller()
     wire.send(b"GET /menu HTTP/1.1\r\nX-Corr")
@@ -374,7 +374,7 @@
 
 
 def test_a_caller_that_says_nothing_is_let_go(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
+    monkeypatch.setattr(caller_lifecycle, "HEAD_TIMEOUT_SECONDS", 0.0)
     world = make(0)
     assert world.caller().at_end()
     assert world.logged("caller-connection") == ["silent"]
--- a/tests/daemon/http1/test_shutdown.py
+++ b/tests/daemon/http1/test_shutdown.py
@@ -100,7 +100,7 @@
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n"
     if instant == "half":
         wire.send(request[:30])
-        while not world.run(lambda: connection.is_awaiting):
+        while not world.run(lambda: connection.is_reading_request):
             world.settle()
         leave(world)
         wire.send(request[30:])
@@ -153,7 +153,7 @@
     world = make()
     wire = world.caller()
     if why == "silent":
-        monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 1e9)
+        monkeypatch.setattr(caller_lifecycle, "HEAD_TIMEOUT_SECONDS", 1e9)
     else:
         wire.send(HEALTH)
         wire.read()
@@ -164,7 +164,7 @@
         if isinstance(world.sockets, LoopbackSockets):
             wire.send(HEALTH)
         connection.transport.resumeProducing()
-        monkeypatch.setattr(caller_lifecycle, "HEAD_SECONDS", 0.0)
+        monkeypatch.setattr(caller_lifecycle, "HEAD_TIMEOUT_SECONDS", 0.0)
         if why == "full":
             connection.evict()
         else:
@@ -189,4 +189,4 @@
     stopped_at = world.run(world.sidecar.clock.now)
     world.logged("ended")
     if not isinstance(world.sockets, LoopbackSockets):
-        assert world.run(world.sidecar.clock.now) - stopped_at < server.BRIEF_FLUSH_SECONDS + 0.05
+        assert world.run(world.sidecar.clock.now) - stopped_at < server.FINAL_FLUSH_TIMEOUT_SECONDS + 0.05
--- a/tests/daemon/pools/test_pool_set.py
+++ b/tests/daemon/pools/test_pool_set.py
@@ -254,7 +254,9 @@
     assert refused.read()[0].split()[1] == "503"
     world.served("y", 1)
     world.reload(own_list(lists[0].port, lists[1].port) + "[list]\nper_s = 20\n")
-    assert {m.serving.machine_list.asking.pace.second_round_rate for m in world.pools.all()} == {20.0}
+    assert {m.serving.machine_list.request_schedule.pace.second_round_rate for m in world.pools.all()} == {
+        20.0
+    }
     for wire in [*watches, *world.taken.values()]:
         wire.close()
     for each in lists:
--- a/tests/lab/net/test_faults.py
+++ b/tests/lab/net/test_faults.py
@@ -109,11 +109,11 @@
     listener: Any
 
     @property
-    def free_places(self) -> int:
+    def free_slots(self) -> int:
         return 3 - len(self.ends)
 
     def buildProtocol(self, addr: Any) -> Any:  # noqa: N802 - Twisted's name
-        if self.free_places == 1:
+        if self.free_slots == 1:
             self.listener.stopReading()
         return super().buildProtocol(addr)
 
--- a/wheatring/daemon/admin/service.py
+++ b/wheatring/daemon/admin/service.py
@@ -259,7 +259,7 @@
         self.is_open = True
         self.open_server()
         if self.other_processes and self.server.listener is not None:
-            drawn = self.server.listener.direct_to_newcomer()
+            drawn = self.server.listener.direct_to_new_process()
             log.line("upgrade", part="newer", drawn=int(drawn), others=len(self.other_processes))
 
     def share_connections(self) -> None:
--- a/wheatring/daemon/configuration.py
+++ b/wheatring/daemon/configuration.py
@@ -88,7 +88,7 @@
     except ProjectFileError as error:
         log.line("config-not-reloaded", why=str(error), code=error.code)
     else:
-        sidecar.machine_list.asking.pace = list_pace(configuration)
+        sidecar.machine_list.request_schedule.pace = list_pace(configuration)
         log.line("config-reloaded")
 
 
--- a/wheatring/daemon/http1/__init__.py
+++ b/wheatring/daemon/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 of the daemon: callers' connections, connections to endpoints, and discovery's client."""
+"""HTTP/1.1 in the daemon: server for callers, connections to endpoints, and the discovery client."""
--- a/wheatring/daemon/http1/body_sender.py
+++ b/wheatring/daemon/http1/body_sender.py
@@ -1,4 +1,4 @@
-"""Writes a body in transit to a connection, in the framing that its head has stated."""
+"""Streams a body to a connection, in the framing that the head of the message states."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class BodySender:
-    """A pull producer: its transport asks for the next buffer once the last one is out.
+    """A pull producer: the transport requests the next buffer once the previous one has been sent.
 
     Attributes
     ----------
     on_done : Callable[[], None]
-        Called once the last byte has left.
+        Called once the last byte has been sent.
     on_broken : Callable[[], None]
-        Called when the rest of the body will never come.
+        Called when the body is truncated.
     on_last : Callable[[], None]
-        Called just before the last byte is handed over.
+        Called just before the last byte is passed to the transport.
     is_starved : bool
-        The transport waits for data that has not come.
+        The transport has requested data, and none is available yet.
     resume_count : int
-        How often the transport has asked for more: once for the first buffer.
+        Number of requests for data by the transport, including the one for the first buffer.
     """
 
     def __init__(
@@ -50,16 +50,16 @@
 
     @property
     def has_sent(self) -> bool:
-        """Whether all that had been written has left, at least once."""
+        """Whether a written buffer has been sent completely at least once."""
         return self.resume_count > 1
 
     def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Write the next buffer: all before it is out."""
+        """Write the next buffer; all previous output has been sent."""
         self.resume_count += 1
         self.send_next()
 
     def send_next(self) -> None:
-        """Write the next buffer if there is one, or the end of the body."""
+        """Write the next buffer if one is available, or the end of the body."""
         body = self.body
         if self.is_last_written:
             self.transport.unregisterProducer()
@@ -71,7 +71,7 @@
                 self.is_last_written = True
                 self.on_last()
             self.transport.write(data)
-        elif body.is_exhausted:  # not only complete: what a cancelled body still held will never leave
+        elif body.is_exhausted:  # `is_complete` also holds for a cancelled body, whose rest is never sent
             self.is_last_written = True
             self.on_last()
             if self.is_chunked:
@@ -84,13 +84,13 @@
             self.is_starved = True
 
     def resume_if_starved(self) -> None:
-        """Go on if the transport waits: there is more of the body."""
+        """Continue if the transport waits for data, as more of the body is available."""
         if self.is_starved:
             self.is_starved = False
             self.send_next()
 
     def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Leave the body to others: the connection has ended, or the transfer was given up."""
+        """Detach from the body: the connection was closed, or the transfer was cancelled."""
         self.is_starved = False
         if self.body.on_data == self.resume_if_starved:
             self.body.on_data = no_listener
--- a/wheatring/daemon/http1/caller_connection.py
+++ b/wheatring/daemon/http1/caller_connection.py
@@ -1,8 +1,9 @@
-"""One caller's connection: its requests in, its answers out, one after the other.
+"""One caller's connection: reads requests and writes responses, one at a time.
 
-A request larger than what is buffered of one comes in as a body in transit (`upload`). It is submitted once
-that is complete, or once there is no memory for more of it. A large answer goes out as a body in transit
-(`sender`). A connection with either has its `request` until the last byte, as with any other.
+The body of a request that exceeds the buffer limit is received as a stream (`upload`). The request is
+submitted once the body is complete, or as soon as no memory is left to buffer more of it. A large response is
+also sent as a stream (`sender`). In both cases `request` stays set until the last byte of the response has
+been sent.
 """
 
 from __future__ import annotations
@@ -24,23 +25,24 @@
 if TYPE_CHECKING:
     from wheatring.daemon.http1.caller_lifecycle import CallerServer
 
-SERVED, REFUSED = AnswerKind.SERVED, AnswerKind.REFUSED  # looked up once: that of an enum's member is slow
+SERVED, REFUSED = AnswerKind.SERVED, AnswerKind.REFUSED  # bound once, since enum member access is slow
 
-MAX_PENDING_ANSWER_BYTES = 1024 * 1024  # of answers that wait behind one which the system takes no more of
-HANGUP_CHECK_SECONDS = 0.05  # between two checks whether the caller of a paused upload has gone
+# Responses queued while the socket's send buffer is full; beyond this the connection is closed.
+MAX_PENDING_ANSWER_BYTES = 1024 * 1024
+HANGUP_CHECK_SECONDS = 0.05  # interval of the disconnect checks while an upload is paused
 
 
 class CallerConnection(CallerLifecycle):
-    """One caller. It is answered one request at a time, in the order in which they came.
+    """The connection of one caller. Pipelined requests are answered one at a time, in order of arrival.
 
     Attributes
     ----------
     pending_bytes : int
-        Written while the system took no more.
+        Bytes of responses written while the socket's send buffer was full.
     is_checking_hangup : bool
-        The next check whether the caller of a paused upload has gone is scheduled.
+        A check whether the caller of a paused upload has disconnected is scheduled.
     is_http_1_0 : bool
-        The present request is HTTP/1.0.
+        The current request is HTTP/1.0.
     """
 
     def __init__(self, server: CallerServer) -> None:
@@ -52,7 +54,7 @@
     # Requests
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Read on, in the present request or in the next one."""
+        """Parse received data as part of the current request or of the next one."""
         if self.close_code or self.is_flooded:
             self.discard(len(data))
             return
@@ -63,47 +65,48 @@
         elif self.request is None:
             self.read_requests()
         elif len(self.parser.buffer) > MAX_HEAD_BYTES + BUFFERED_BODY_BYTES:
-            # A caller that sends ahead without end must not fill the memory, but its own end must be noticed.
+            # Bounds the memory for pipelined requests. Reading goes on, to detect that the caller
+            # disconnects.
             self.is_flooded, self.keep_alive = True, False
             self.parser.buffer.clear()
         if self.parser.buffer and self.upload is None and self.request is not None:
             self.arrivals.record(len(self.parser.buffer), now)
 
     def read_requests(self) -> None:
-        """Read on, until a request is under way or bytes are missing."""
+        """Parse buffered data until a request is in flight or more data is needed."""
         try:
-            # A caller that has left must not start the next request that it had sent ahead.
+            # A pipelined request must not be started after its caller has disconnected.
             while self.is_connected and self.request is None and not self.close_code:
                 message = self.parser.next_message()
                 if message is None:
                     self.arrivals.clear()
                     break
-                self.is_awaiting = False
+                self.is_reading_request = False
                 self.keep_alive = message.keep_alive
                 self.is_http_1_0 = message.is_http_1_0
                 self.handle(message)
         except MalformedMessageError as error:
             self.reject(error.status, str(error))
             return
-        if self.request is None and self.parser.has_partial_message and not self.is_awaiting:
-            self.is_awaiting = True
+        if self.request is None and self.parser.has_partial_message and not self.is_reading_request:
+            self.is_reading_request = True
             self.state_since = self.server.clock.now()
-        if self.is_awaiting and self.parser.message is not None:
+        if self.is_reading_request and self.parser.message is not None:
             self.confirm_expectation(self.parser.message)
 
     def confirm_expectation(self, message: Message) -> None:
-        """Have the caller send a body for which it waits to be asked (RFC 9110, 10.1.1)."""
+        """Send 100 Continue if the caller expects it before it sends the body (RFC 9110, 10.1.1)."""
         if message.fields.pop(b"expect", b"").lower() == b"100-continue" and not message.is_http_1_0:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def arrival_time(self) -> float:
-        """Return the instant at which the last byte came of the request that has just been read."""
+        """Return the time at which the last byte of the request that was just parsed arrived."""
         if self.arrivals.waiting_bytes:
             return self.arrivals.consume(len(self.parser.buffer), self.last_progress_at)
         return self.last_progress_at
 
     def handle(self, message: Message) -> None:
-        """Answer a health check or a rejected request, and submit any other."""
+        """Answer a health check or an invalid request directly, and submit any other."""
         try:
             if message.start_line[1].partition(b"?")[0] == b"/healthz" and not message.is_open:
                 self._answer_health_check(message)
@@ -112,7 +115,7 @@
         except RequestRejectedError as rejection:
             self._answer_rejection(message, rejection)
             return
-        except Exception as error:  # a request that meets a fault of ours is answered all the same
+        except Exception as error:  # a request that causes an internal error still gets a response
             log.line("request-broken", why=repr(error))
             self.reject(500, "internal error")
             return
@@ -124,7 +127,7 @@
 
     def _answer_health_check(self, message: Message) -> None:
         if message.start_line[0] != b"GET":
-            raise RequestRejectedError(405, "method", b"Allow: GET\r\n")
+            raise RequestRejectedError(405, "method not allowed", b"Allow: GET\r\n")
         status, body = (503, b"away\n") if self.server.is_out_of_service else (200, b"ok\n")
         self.write_answer(encode_response(status, body, close=self.is_last_answer()))
 
@@ -136,24 +139,24 @@
             self.write_answer(encode_response(status, body, header_lines, close=self.is_last_answer()))
 
     def submit(self, request: Request) -> None:
-        """Hand a request over to the exchange, unless its caller has gone.
+        """Submit a request to the exchange, unless its caller has disconnected.
 
-        It may have waited to be accepted or read, on a busy machine, until then.
+        On a busy machine, the caller may have disconnected before its request was accepted or read.
         """
         if self.server.has_hung_up(self.transport):
             self.server.reactor.callLater(0, self.resume_discarding)
             return
         answered = self.server.exchange.submit(request)
-        answered.addCallback(self.answer, request).addErrback(self.handle_fault)
+        answered.addCallback(self.answer, request).addErrback(self.handle_internal_error)
 
     # Large requests
 
     def start_upload(self, message: Message, request: Request) -> None:
-        """Receive the body of a large request, of which the first part has come."""
+        """Start to stream the body of a large request, of which the first part has arrived."""
         content = request.content
         assert isinstance(content, ForwardedRequest) and content.stream is not None
         upload = self.upload = content.stream
-        self.is_awaiting = True
+        self.is_reading_request = True
         self.state_since = self.server.clock.now()
         self.confirm_expectation(message)
         upload.on_space = self.resume
@@ -162,17 +165,17 @@
         self.receive_upload(upload, request)
 
     def receive_upload(self, upload: Body, request: Request) -> None:
-        """Take what else has come of a large request; submit it once it is complete or there is no memory."""
+        """Append received data to the upload; submit the request once complete or out of memory."""
         try:
             data, is_complete = self.parser.read_body()
         except MalformedMessageError as error:
             if self.sender is not None:
-                self.abort("bad-request")  # its answer is under way
+                self.abort("bad-request")  # its response has already been started
             else:
                 self.reject(error.status, str(error))
             return
         if is_complete:
-            self.upload, self.is_awaiting = None, False
+            self.upload, self.is_reading_request = None, False
             upload.on_space = no_listener
             request.deadline = self.arrival_time() + request.time_limit
         else:
@@ -189,17 +192,20 @@
                 self.server.reactor.callLater(HANGUP_CHECK_SECONDS, self.check_hangup)
 
     def check_hangup(self) -> None:
-        """End the connection if the caller of a paused upload has gone: no read would show it."""
+        """Close the connection if the caller of a paused upload has disconnected.
+
+        No read is pending while paused, so the disconnect would go unnoticed.
+        """
         self.is_checking_hangup = self.is_connected and self.is_paused and self.upload is not None
         if self.is_checking_hangup and self.server.has_hung_up(self.transport):
             self.readConnectionLost()
         elif self.is_checking_hangup:
             self.server.reactor.callLater(HANGUP_CHECK_SECONDS, self.check_hangup)
 
-    # Answers
+    # Responses
 
     def answer(self, answer: Answer, request: Request) -> None:
-        """Write the final answer of the present request, and go on to the next one."""
+        """Write the final response to the current request, and continue with the next request."""
         self.cancel_upload(request)
         if self.upload is not None:
             self.resume()
@@ -222,19 +228,20 @@
         self.next_request()
 
     def is_last_answer(self) -> bool:
-        """Return whether the answer that is about to be written is the last on its connection, as it states.
+        """Return whether the next response carries `Connection: close`; updates `keep_alive` accordingly.
 
-        It is if the rest of its request is still to come: that would be taken for the next request. In a
-        shutdown, what has been read of the next request is answered first, or it would be lost with the
-        sending side shut. And a caller that sends on and reads nothing must not fill the memory.
+        It does if the rest of its request has not arrived yet, since that would be parsed as the next
+        request, and if the caller sends requests without reading the responses, to bound memory. During a
+        shutdown, a partially received next request is answered first: it would be lost once the write side is
+        shut down.
         """
-        is_ending = self.server.is_ending and not self.parser.has_partial_message
-        if is_ending or self.upload is not None or self.pending_bytes > MAX_PENDING_ANSWER_BYTES:
+        is_final = self.server.closes_after_response and not self.parser.has_partial_message
+        if is_final or self.upload is not None or self.pending_bytes > MAX_PENDING_ANSWER_BYTES:
             self.keep_alive = False
         return not self.keep_alive
 
     def write_answer(self, data: bytes) -> None:
-        """Write an answer, or the end of one, and end the connection if it is the last."""
+        """Write a response, or the end of one, and close the connection if it is the last one."""
         if not self.is_connected:
             return
         self.state_since = self.server.clock.now()
@@ -243,37 +250,40 @@
         if self.upload is not None:
             self.linger("answered-early")
         elif not self.keep_alive:
-            self.close("stopping" if self.server.is_ending else "caller-asked")
+            self.close("stopping" if self.server.closes_after_response else "caller-asked")
 
     def next_request(self) -> None:
-        """Read on after an answer; in a later turn, if the next request is there already."""
+        """Continue to read after a response; buffered requests are parsed in a later reactor iteration."""
         self.resume()
         if self.parser.has_partial_message:
             self.server.reactor.callLater(0, self.read_requests_later)
 
     def read_requests_later(self) -> None:
-        """Read on, and end the connection after a fault of ours: here no transport does that."""
+        """Parse the next request, and close the connection after an internal error.
+
+        The transport catches only exceptions that are raised in its own callbacks.
+        """
         try:
             self.read_requests()
         except Exception as error:
             log.line("answer-broken", why=repr(error))
-            self.close("internal-error")  # the answer before may not be out yet
+            self.close("internal-error")  # the previous response may not have been sent completely
 
-    def handle_fault(self, failure: Any) -> None:
-        """End the connection after a fault of ours, lest its caller wait for an answer."""
+    def handle_internal_error(self, failure: Any) -> None:
+        """Close the connection after an internal error, so that the caller does not wait for a response."""
         log.line("answer-broken", why=repr(failure.value))
-        if self.request is None:  # the answer was complete before the fault
+        if self.request is None:  # the response was complete before the error
             self.close("internal-error")
         else:
             self.abort("internal-error")
 
-    # Large answers
+    # Large responses
 
     def start_stream(self, message: Message, stream: Body, drill_line: bytes) -> None:
-        """Pass an open answer on.
+        """Stream a response whose body is still being received.
 
-        Without a length it goes in chunks or, to a caller that can't read these, until the close. If it
-        breaks off, the connection is reset, so that the caller can tell.
+        Without a content length it is sent chunked, or delimited by the close to an HTTP/1.0 caller. If the
+        body is truncated, the connection is reset, so that the caller can detect it.
         """
         if not self.is_connected:
             stream.cancel()
@@ -293,19 +303,19 @@
         self.sender = BodySender(self.transport, stream, is_chunked, self.finish_stream, self.abort_stream)
 
     def finish_stream(self) -> None:
-        """Go on to the next request: the last byte of the answer has left."""
+        """Continue with the next request: the last byte of the response has been sent."""
         self.sender = self.request = None
         self.write_answer(b"")
         self.next_request()
 
     def abort_stream(self) -> None:
-        """Reset the connection: the rest of the answer will never come."""
-        self.close_reason = "answer not whole"
+        """Reset the connection: the rest of the response will not arrive."""
+        self.close_reason = "response incomplete"
         self.abort("answer-cut")
 
 
 def _retry_after_line(seconds: float) -> bytes:
-    """Return the line that advises a wait, rounded up to milliseconds; empty for none."""
+    """Return the Retry-After header line, rounded up to milliseconds; empty if there is no delay."""
     if seconds <= 0:
         return b""
     return b"Retry-After: %s\r\n" % (b"%.3f" % (ceil(seconds * 1000) / 1000))
--- a/wheatring/daemon/http1/caller_lifecycle.py
+++ b/wheatring/daemon/http1/caller_lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of one caller's connection: its state, its flow control, its time limits and its end.
+"""The lifecycle of one caller's connection: its state, flow control, time limits and graceful close.
 
-An end is careful. Once `close_code` is set, nothing more is read for a request. The sending side is shut
-behind what is still to be written (`is_shut`), the rest that comes is discarded, and the connection is closed
-once its caller has closed it, or after a time limit. A close at once would be a reset where bytes are unread
-or still come, and what was last written would be lost with it.
+Once `close_code` is set, no further request is read. After all pending output has been sent, the write side
+is shut down (`is_write_shut`), further input is discarded, and the connection is closed once its caller has
+closed it or a time-out has expired. An immediate close would send a reset if input is unread or still
+arrives, and the caller could lose the last response.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     from wheatring.daemon.core.exchange import Exchange
 
     class CallerServer(Protocol):
-        """The server, as far as a connection uses it."""
+        """The part of the server that a connection uses."""
 
         reactor: Any
         clock: Clock
@@ -40,69 +40,68 @@
         is_out_of_service: bool
 
         @property
-        def is_ending(self) -> bool:
-            """Whether each answer is the last one on its connection."""
+        def closes_after_response(self) -> bool:
+            """Whether connections are closed after their next response."""
 
         def add(self, connection: Any) -> None:
-            """Take a new connection."""
+            """Register a new connection."""
 
         def remove(self, connection: Any) -> None:
-            """Forget a connection that has ended."""
+            """Remove a closed connection."""
 
-        def end_after_read(self, connection: Any, code: str) -> None:
-            """End a connection once all has been read that the system holds, if it may still be ended."""
+        def close_after_read(self, connection: Any, code: str) -> None:
+            """Close a connection after the kernel's receive buffer was read, unless a request has arrived."""
 
         def create_request(self, message: Message, arrived_at: float) -> Request:
-            """Return the request that a message asks for. Raises RequestRejectedError."""
+            """Return the request for a parsed message. Raises RequestRejectedError."""
 
 
-# A head must be complete in so long from its first byte or, for the first one, from the connect. Callers may
-# take 2 s for it; one that sends none is due an answer within 3 s.
-HEAD_SECONDS = 2.6
-# A body is to bring another byte in so long, and so many bytes a second from then on: half of what the
-# slowest callers send.
+# Time limit for a request head, from its first byte or, for the first request, from the connect. Callers may
+# take 2 s to send one; a caller that does not must get a response within 3 s.
+HEAD_TIMEOUT_SECONDS = 2.6
+# Longest gap between two reads of a body, and its minimum average rate: half the rate of the slowest callers.
 BODY_IDLE_TIMEOUT_SECONDS = 2.0
 MIN_BODY_BYTES_PER_SECOND = 32 * 1024
-UNREAD_ANSWER_SECONDS = (
-    180.0  # in which a caller is to read a buffer of a large answer: 1 kB/s is fast enough
-)
-STUCK_UPLOAD_SECONDS = 10.0  # in which an endpoint is to take a buffer of a large request
-LINGER_SECONDS = 2.0  # in which a caller may read the last answer, once all of it has left this process
-MAX_DISCARDED_BYTES = 1024 * 1024  # that are read meanwhile; more would only cost time
-# The pause in reading after so much from a caller that has sent too much ahead. Its end shows behind what the
-# system holds, but not behind what has no room there (4 MB at most): that has to be read in 0.1 s.
+# Time in which a caller must read one buffer of a large response; this allows rates down to 1 kB/s.
+UNREAD_ANSWER_TIMEOUT_SECONDS = 180.0
+STALLED_UPLOAD_TIMEOUT_SECONDS = 10.0  # time in which an endpoint must read one buffer of a large request
+LINGER_TIMEOUT_SECONDS = 2.0  # time to read the last response after the write side was shut down
+MAX_DISCARDED_BYTES = 1024 * 1024  # input that is discarded before reading is paused
+# Pause between two reads of MAX_DISCARDED_BYTES from a caller that has pipelined too much. A disconnect is
+# detected behind data in the receive buffer, but not behind data that does not fit into it (at most 4 MB),
+# which has to be read within 0.1 s.
 DISCARD_PAUSE_SECONDS = 0.015
 
 
 @implementer(IHalfCloseableProtocol)
 class CallerLifecycle(Connection):
-    """What of a caller's connection does not depend on what it carries.
+    """The part of a caller's connection that does not depend on the content of requests and responses.
 
     Attributes
     ----------
     request : Request | None
-        The present request, until the last byte of its answer.
+        The current request, until the last byte of its response has been sent.
     keep_alive : bool
-        The present answer is not the last.
+        The connection stays open after the current response.
     upload : Body | None
-        The body of the present request, while it comes.
+        The body of the current request, while it is being received.
     sender : BodySender | None
-        Writes the present answer, while that goes out as a body in transit.
+        Writes the current response, while it is being streamed.
     arrivals : ArrivalTimes
-        Of what waits behind the present request.
-    is_shut : bool
-        The sending side is shut: all that was written is out.
+        Arrival times of the data buffered behind the current request.
+    is_write_shut : bool
+        The write side is shut down: all output has been sent.
     is_flooded : bool
-        Too much was sent ahead: the present answer is the last.
-    is_awaiting : bool
-        A request is awaited and not complete; the first one from the connect on.
+        The caller has pipelined too much: the current response is the last one.
+    is_reading_request : bool
+        A request has begun and is not complete. The first request counts as begun at the connect.
     sent_offset : int
-        How much of the present answer had been taken by the last check.
+        Bytes of the current response that the transport had taken at the last check.
     last_progress_at : float
-        The instant of the last byte from the caller, or of the last check at which it had taken some; or when
-        all had left.
+        Time of the last byte received, of the last check that found progress in sending, or of the shutdown
+        of the write side.
     state_since : float
-        The instant at which the present state began: between requests, or in the middle of one.
+        Time at which the connection became idle or the current request began.
     """
 
     log_event = "caller-connection"
@@ -114,7 +113,7 @@
         self.server = server
         self.request: Request | None = None
         self.keep_alive = True
-        self.is_shut = False
+        self.is_write_shut = False
         self.is_paused = False
         self.is_flooded = False
         self.discarded_bytes = 0
@@ -125,35 +124,35 @@
         self.sent_offset = 0
         self.last_progress_at = 0.0
         self.state_since = server.clock.now()
-        self.is_awaiting = True
+        self.is_reading_request = True
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Take a place at the server."""
+        """Register the connection with the server."""
         super().connectionMade()
         self.server.add(self)
 
     @property
     def state(self) -> CallerState:
-        """What the connection is doing."""
+        """The current state of the connection."""
         return caller_state(
-            is_ending=bool(self.close_code),
-            is_shut=self.is_shut,
+            is_closing=bool(self.close_code),
+            is_write_shut=self.is_write_shut,
             has_request=self.request is not None,
             has_upload=self.upload is not None,
             has_sender=self.sender is not None,
-            is_awaiting=self.is_awaiting,
+            is_reading_request=self.is_reading_request,
         )
 
     # Flow control
 
     def pause(self) -> None:
-        """Read no more for now."""
+        """Pause reading."""
         if not self.is_paused:
             self.is_paused = True
             self.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on; the time for which nothing was read doesn't count against the caller."""
+        """Resume reading; the time limits are extended by the pause."""
         if self.is_paused:
             self.is_paused = False
             if not self.close_code:
@@ -163,7 +162,7 @@
             self.transport.resumeProducing()
 
     def discard(self, size: int) -> None:
-        """Count what was read and discarded; after too much, pause."""
+        """Count discarded input; pause reading above the limit."""
         self.discarded_bytes += size
         if self.discarded_bytes > self.max_discarded_bytes:
             self.pause()
@@ -172,7 +171,7 @@
                 self.server.reactor.callLater(DISCARD_PAUSE_SECONDS, self.resume_discarding)
 
     def resume_discarding(self) -> None:
-        """Read on, unless the caller has gone: what is unread would only delay the notice of that."""
+        """Resume reading, or close the connection if the caller has disconnected behind unread input."""
         if self.close_code or not self.is_connected:
             return
         if self.server.has_hung_up(self.transport):
@@ -180,19 +179,19 @@
         else:
             self.resume()
 
-    # The end
+    # Closing
 
     def reject(self, status: int, reason: str, header_lines: bytes = b"", body: bytes = b"") -> None:
-        """Answer a request that can't be read, and end the connection."""
+        """Answer a request with an error, and close the connection."""
         self.close_reason = reason
         self.withdraw_request()
         self.transport.write(encode_response(status, body, header_lines, close=True))
         self.linger(f"bad-request-{status}")
 
     def linger(self, code: str) -> None:
-        """End the connection in the middle of a request.
+        """Close the connection in the middle of a request.
 
-        Its caller may have to write the rest before it reads the answer.
+        The caller may have to write the rest of the request before it reads the response.
         """
         if self.upload is not None:
             self.max_discarded_bytes = MAX_BODY_BYTES
@@ -202,10 +201,10 @@
         self.resume()
 
     def close(self, code: str) -> None:
-        """End the connection, as the last answer has been written.
+        """Close the connection gracefully, after the last response was written.
 
-        What is read from now on is discarded, so nothing is read until the sending side is shut: a request
-        that was read before would be one that was taken.
+        Reading is paused until the write side is shut down, as input that is read from now on is discarded: a
+        request that was read counts as accepted and must not be dropped.
         """
         if self.is_connected and not self.close_code:
             self.close_code = code
@@ -214,23 +213,23 @@
             self.transport.loseWriteConnection()
 
     def writeConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
-        """Note that the sending side is shut, and read what still comes."""
-        self.is_shut, self.last_progress_at = True, self.server.clock.now()
+        """Record that the write side is shut down, and resume reading to discard input."""
+        self.is_write_shut, self.last_progress_at = True, self.server.clock.now()
         self.resume()
 
     def readConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
-        """End the connection: the caller has ended its sending, as it has left or read its last answer."""
+        """Close the connection: the caller has shut down its write side or closed the connection."""
         self.transport.connectionLost(connectionDone)
 
     def disconnect(self) -> None:
-        """Wait for the caller no longer: one that reads nothing must not keep its connection for ever."""
-        if self.is_shut:
+        """Close without waiting for the caller, so that one that reads nothing can't hold the connection."""
+        if self.is_write_shut:
             self.transport.loseConnection()
         else:
             self.abort(self.close_code)
 
     def withdraw_request(self) -> None:
-        """Give the present request up: it will not become complete, or its caller has gone."""
+        """Cancel the current request: it can't be completed, or its caller has disconnected."""
         if self.request is not None:
             request, self.request = self.request, None
             self.cancel_upload(request)
@@ -238,13 +237,13 @@
                 self.server.exchange.withdraw(request)
 
     def cancel_upload(self, request: Request) -> None:
-        """Release a large request's body: it is never sent again."""
+        """Release the body of a large request, which will not be sent again."""
         content = request.content
         if isinstance(content, ForwardedRequest) and content.stream is not None:
             content.stream.cancel()
 
     def on_ended(self, is_orderly: bool) -> None:  # noqa: ARG002 - Twisted's signature
-        """Clean up. Whatever else fails, nothing may be begun for a caller that has gone."""
+        """Clean up. The request is withdrawn first, so that no new attempt is started for it."""
         try:
             self.withdraw_request()
         finally:
@@ -253,57 +252,57 @@
                 self.sender = None
             self.server.remove(self)
 
-    # Time limits, and ends that others ask for
+    # Time limits, eviction and shutdown
 
-    def enforce_limits(self, now: float, idle_seconds: float) -> None:
-        """End the connection if its caller takes too long for what is awaited of it."""
+    def enforce_limits(self, now: float, idle_timeout: float) -> None:
+        """Close the connection if its caller exceeds the time limit of the current state."""
         match self.state:
             case CallerState.RESTING:
-                if now > self.state_since + idle_seconds:
-                    self.server.end_after_read(self, "idle")
+                if now > self.state_since + idle_timeout:
+                    self.server.close_after_read(self, "idle")
             case CallerState.READING:
                 if self.is_too_slow(now):
-                    self.server.end_after_read(self, "silent")
+                    self.server.close_after_read(self, "silent")
             case CallerState.UPLOADING:
                 if not self.is_paused and self.is_too_slow(now):
-                    self.server.end_after_read(self, "silent")
-                elif self.is_paused and now > self.last_progress_at + STUCK_UPLOAD_SECONDS:
-                    self.reject(503, "no node takes it")
+                    self.server.close_after_read(self, "silent")
+                elif self.is_paused and now > self.last_progress_at + STALLED_UPLOAD_TIMEOUT_SECONDS:
+                    self.reject(503, "request body not accepted by an endpoint in time")
             case CallerState.STREAMING:
                 self._check_progress(now)
-            case CallerState.CLOSING:  # what has not left is kept for as long as an idle connection is kept
-                if now > self.state_since + max(LINGER_SECONDS, idle_seconds):
+            case CallerState.CLOSING:  # unsent output is kept for as long as an idle connection
+                if now > self.state_since + max(LINGER_TIMEOUT_SECONDS, idle_timeout):
                     self.disconnect()
             case CallerState.SHUT:
-                if now > self.last_progress_at + LINGER_SECONDS:
+                if now > self.last_progress_at + LINGER_TIMEOUT_SECONDS:
                     self.disconnect()
 
     def _check_progress(self, now: float) -> None:
         assert self.sender is not None
         if (sent_offset := self.sender.body.taken_offset) > self.sent_offset:
             self.sent_offset, self.last_progress_at = sent_offset, now
-        elif now > self.last_progress_at + UNREAD_ANSWER_SECONDS:
+        elif now > self.last_progress_at + UNREAD_ANSWER_TIMEOUT_SECONDS:
             self.abort("unread")
 
     def is_too_slow(self, now: float) -> bool:
-        """Return whether what is awaited of a request takes too long."""
+        """Return whether the current request is being received too slowly."""
         if self.parser.message is None:
-            return now > self.state_since + HEAD_SECONDS
+            return now > self.state_since + HEAD_TIMEOUT_SECONDS
         if now > self.last_progress_at + BODY_IDLE_TIMEOUT_SECONDS:
             return True
-        spent = now - self.state_since - HEAD_SECONDS
+        spent = now - self.state_since - HEAD_TIMEOUT_SECONDS
         return spent > self.parser.body_bytes / MIN_BODY_BYTES_PER_SECOND
 
     def evict(self) -> None:
-        """Give the place up to a caller that waits for one."""
+        """Close the connection to free its slot for a waiting caller."""
         if self.close_code:
             self.disconnect()
         else:
-            self.server.end_after_read(self, "full")
+            self.server.close_after_read(self, "full")
 
-    def end_unanswered(self, code: str) -> None:
-        """Wait for a request no longer. A caller that is in the middle of one gets an answer."""
+    def close_unanswered(self, code: str) -> None:
+        """Close the connection without a complete request; a partial one is answered with 408."""
         if self.parser.has_partial_message:
-            self.reject(408, "request not whole in time")
+            self.reject(408, "request incomplete at the time limit")
         else:
             self.close(code)
--- a/wheatring/daemon/http1/caller_state.py
+++ b/wheatring/daemon/http1/caller_state.py
@@ -1,17 +1,17 @@
-"""The states of a caller's connection, and the arrival times of what waits on it. It knows no sockets.
+"""The states of a caller's connection, and the arrival times of its buffered input. Independent of sockets.
 
-The state is derived in one place, from what the connection holds. Whoever looks for connections to end goes
-by it: the sweep, the eviction when all places are taken, and the shutdown. What is due, and what ends it:
+The state is derived here only, from the attributes of the connection. The idle sweep, the eviction when all
+slots are in use, and the shutdown use it to decide which connections to close:
 
-| state | due  | ended by |
+| state | owed to the caller | ended by |
 | --- | --- | --- |
-| RESTING | nothing; a request may be on its way | idling, eviction, the shutdown; what came is read first |
-| READING | an answer, if only that it took too long | the same, and its own time limit |
-| UPLOADING | the same; its request may be under way | its own time limit; the shutdown without a successor |
-| BUSY | one complete final answer | that answer, the caller |
-| STREAMING | the rest of the answer, and nothing else | that, its endpoint, the caller |
-| CLOSING | what has been written | that it has left, the caller, a time limit |
-| SHUT | to be read until the caller closes: a reset would destroy what has left | the caller, a time limit |
+| RESTING | nothing; a request may be in transit | idle time-out, eviction, shutdown, after reading input |
+| READING | a response, which may be a time-out error | the same, and the request's time limit |
+| UPLOADING | the same; the request may be in flight | the request's time limit; shutdown without successor |
+| BUSY | one complete final response | that response, the caller |
+| STREAMING | the rest of the response, nothing else | the end of the response, its endpoint, the caller |
+| CLOSING | the output that was written | all output sent, the caller, a time limit |
+| SHUT | reading until the caller closes, as a reset could destroy sent output | the caller, a time limit |
 """
 
 from __future__ import annotations
@@ -21,49 +21,49 @@
 
 
 class CallerState(Enum):
-    """What a caller's connection is doing."""
+    """The state of a caller's connection."""
 
     RESTING = "between requests"
-    READING = "a request is awaited and not complete; the first one from the connect on"
-    UPLOADING = "the body of a large request comes in"
-    BUSY = "a complete request is under way"
-    STREAMING = "a large answer goes out, also before its request is complete"
-    CLOSING = "the last answer goes out; nothing is read"
-    SHUT = "all that was written has left; what is read is discarded"
+    READING = "a request is being received; for the first one, from the connect on"
+    UPLOADING = "the body of a large request is being received"
+    BUSY = "a complete request is in flight"
+    STREAMING = "a large response is being sent, possibly before its request is complete"
+    CLOSING = "the last response is being sent; nothing is read"
+    SHUT = "all output has been sent; input is discarded"
 
 
 def caller_state(
     *,
-    is_ending: bool,
-    is_shut: bool,
+    is_closing: bool,
+    is_write_shut: bool,
     has_request: bool,
     has_upload: bool,
     has_sender: bool,
-    is_awaiting: bool,
+    is_reading_request: bool,
 ) -> CallerState:
-    """Return the state of a connection of which these hold: the first that fits, from the top."""
-    if is_ending:
-        return CallerState.SHUT if is_shut else CallerState.CLOSING
+    """Return the state of a connection. Conditions are checked in order of precedence."""
+    if is_closing:
+        return CallerState.SHUT if is_write_shut else CallerState.CLOSING
     if has_sender:
         return CallerState.STREAMING
     if has_upload:
         return CallerState.UPLOADING
     if has_request:
         return CallerState.BUSY
-    return CallerState.READING if is_awaiting else CallerState.RESTING
+    return CallerState.READING if is_reading_request else CallerState.RESTING
 
 
 class ArrivalTimes:
-    """When the bytes arrived that wait behind a request that is being answered.
+    """Arrival times of the bytes that are buffered behind the current request.
 
-    The time limit of a request that was sent ahead runs from its arrival: it has waited since.
+    The deadline of a pipelined request is computed from its arrival, so that queueing time counts.
 
     Attributes
     ----------
     segments : deque[tuple[int, float]]
-        Sizes in bytes, each with the instant at which it was read, in the order of arrival.
+        Size in bytes and time of each read, in order of arrival.
     waiting_bytes : int
-        The sum of the sizes.
+        Sum of the sizes.
     """
 
     __slots__ = ("segments", "waiting_bytes")
@@ -73,18 +73,18 @@
         self.waiting_bytes = 0
 
     def record(self, size: int, now: float) -> None:
-        """Note that `size` bytes wait by now; those that did not wait before have just been read."""
+        """Record that `size` bytes are buffered at time `now`; the increase has just been read."""
         if size > self.waiting_bytes:
             self.segments.append((size - self.waiting_bytes, now))
             self.waiting_bytes = size
 
     def consume(self, size: int, since: float) -> float:
-        """Note that only `size` bytes wait still.
+        """Record that only `size` bytes are still buffered.
 
         Returns
         -------
         float
-            The instant at which the last byte was read that waits no more; `since`, if none did wait.
+            Time at which the last of the consumed bytes was read; `since` if nothing was consumed.
         """
         while self.waiting_bytes > size:
             part, since = self.segments.popleft()
@@ -95,6 +95,6 @@
         return since
 
     def clear(self) -> None:
-        """Forget what waits: it is half a request, the rest of which comes later."""
+        """Discard all entries: a partial request counts from the arrival of its last byte."""
         self.segments.clear()
         self.waiting_bytes = 0
--- a/wheatring/daemon/http1/connection.py
+++ b/wheatring/daemon/http1/connection.py
@@ -1,4 +1,4 @@
-"""What the connections of all three kinds share: a parser, and one log line when they end."""
+"""Base class of connections to callers, endpoints and discovery: a parser, and one log line at the close."""
 
 from __future__ import annotations
 
@@ -16,96 +16,96 @@
 
 
 class Transport(Protocol):
-    """The part of Twisted's TCP transports that is used here; the names are Twisted's.
+    """The part of Twisted's TCP transports that is used here, under Twisted's names.
 
     Attributes
     ----------
     dataBuffer : bytes
-        What was handed to the system, which has not taken all of it.
+        Output that the kernel has not accepted completely.
     """
 
     dataBuffer: bytes  # noqa: N815 - Twisted's name
 
     def write(self, data: bytes) -> None:
-        """Send data, as soon as the system takes it."""
+        """Send data as soon as the kernel accepts it."""
 
     def loseConnection(self) -> None:  # noqa: N802 - Twisted's name
-        """Close once all that was written is out."""
+        """Close once all output has been sent."""
 
     def abortConnection(self) -> None:  # noqa: N802 - Twisted's name
-        """Reset at once."""
+        """Reset the connection immediately."""
 
     def loseWriteConnection(self) -> None:  # noqa: N802 - Twisted's name
-        """Shut the sending side once all that was written is out."""
+        """Shut down the write side once all output has been sent."""
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802 - Twisted's name
-        """Take the connection as ended."""
+        """Treat the connection as closed."""
 
     def pauseProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Read no more for now."""
+        """Pause reading."""
 
     def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Read on."""
+        """Resume reading."""
 
     def registerProducer(self, producer: object, streaming: bool) -> None:  # noqa: N802 - Twisted's name
-        """Have a producer asked for data whenever all that was written is out."""
+        """Register a producer, which is asked for data whenever all output has been sent."""
 
     def unregisterProducer(self) -> None:  # noqa: N802 - Twisted's name
-        """Ask the producer no more."""
+        """Unregister the producer."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802 - Twisted's name
-        """Send small writes at once."""
+        """Set TCP_NODELAY."""
 
     def getPeer(self) -> Any:  # noqa: N802 - Twisted's name
         """Return the peer's address."""
 
     def fileno(self) -> int:
-        """Return the socket's descriptor."""
+        """Return the file descriptor of the socket."""
 
 
 def has_hung_up(transport: Transport) -> bool:
-    """Return whether the peer has ended its sending or reset the connection, also behind unread bytes."""
+    """Return whether the peer has closed, half-closed or reset the connection, even behind unread data."""
     poller = select.poll()
     poller.register(transport.fileno(), select.POLLRDHUP)
     return bool(poller.poll(0))
 
 
 def has_undelivered_bytes(transport: Transport) -> bool:
-    """Return whether a part of what was written has not reached the peer's system.
+    """Return whether output is still unacknowledged by the peer's kernel.
 
-    With all that it sends, that system acknowledges what had reached it before.
+    Any segment from the peer also acknowledges the data received before, so after a read this is up to date.
     """
-    import termios  # not loaded at the start
+    import termios  # deferred to speed up the start
 
     try:
         unacknowledged = fcntl.ioctl(transport.fileno(), termios.TIOCOUTQ, bytes(4))
-    except OSError:  # not a system that can tell
+    except OSError:  # not supported on this platform
         return False
     return unacknowledged != bytes(4)
 
 
 def call_after_read(reactor: Any, call: Callable[..., object], *args: Any, delay: float = 0.0) -> None:
-    """Schedule a call for when all has been read that the system holds now, or `delay` seconds later.
+    """Schedule a call for after the reactor has read all input that is pending now, or `delay` seconds later.
 
-    The reactor polls all sockets between two turns, but before the first of them it may not have.
+    The reactor polls all sockets between two iterations, but may not have polled them before the next one.
     """
     reactor.callLater(delay, reactor.callLater, 0, call, *args)
 
 
 class Connection(protocol.Protocol):
-    """One TCP connection of the daemon. It leaves exactly one log line when it ends, with the code why.
+    """One TCP connection of the daemon. Its end is logged in exactly one line, with a reason code.
 
     Attributes
     ----------
     log_event : str
-        The event of that line.
+        Event name of that line.
     close_code : str
-        Why this side has ended the connection; "": it has not.
+        Reason code for which this side has closed the connection; "" if it has not.
     close_reason : str
-        What was wrong with what the peer sent, in words.
+        Description of the peer's error, for the log.
     """
 
-    transport: Transport  # type: ignore[assignment]  # Twisted's own type knows nothing of TCP
+    transport: Transport  # type: ignore[assignment]  # Twisted's own type lacks the TCP methods
     log_event = "connection"
 
     def __init__(
@@ -120,26 +120,26 @@
         self.peer = ""  # host:port
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Note the peer."""
+        """Record the address of the peer."""
         self.is_connected = True
         address = self.transport.getPeer()
         self.peer = f"{address.host}:{address.port}"
         self.transport.setTcpNoDelay(True)
 
     def close(self, code: str) -> None:
-        """End the connection once what has been written is out."""
+        """Close the connection once all output has been sent."""
         if self.is_connected and not self.close_code:
             self.close_code = code
             self.transport.loseConnection()
 
     def abort(self, code: str) -> None:
-        """End the connection at once; what has not been sent yet is not sent any more."""
+        """Reset the connection immediately; unsent output is dropped."""
         if self.is_connected:
             self.close_code = self.close_code or code
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
-        """Log the end, and call `on_ended`."""
+        """Log the close, and call `on_ended`."""
         self.is_connected = False
         is_orderly = isinstance(reason.value, ConnectionDone)
         details = {"why": self.close_reason} if self.close_reason else {}
@@ -148,4 +148,4 @@
         self.on_ended(is_orderly)
 
     def on_ended(self, is_orderly: bool) -> None:
-        """Clean up after the connection; `is_orderly`: it was not reset."""
+        """Clean up after the close; `is_orderly` is False if the connection was reset."""
--- a/wheatring/daemon/http1/connection_pool.py
+++ b/wheatring/daemon/http1/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connection pool: idle connections to endpoints, and the connects for new ones."""
+"""The connection pool: idle connections to endpoints, and pending connects."""
 
 from __future__ import annotations
 
@@ -21,19 +21,21 @@
 from wheatring.daemon.http1.connection import has_undelivered_bytes
 from wheatring.daemon.http1.endpoint_connection import EndpointAddress, EndpointConnection
 
-# Some endpoints answer a request a second time, some milliseconds late. On a connection that carries the next
-# request by then, the duplicate would pass for its answer. So a connection that has rested is used first, and
-# once a duplicate was seen, connections are used only after a rest.
-DUPLICATE_ANSWER_SECONDS = 1.0  # after an answer, data is a duplicate of it; later, other noise
-REST_SECONDS = 0.03  # without data after an answer, before the next request
-CAUTION_SECONDS = 60.0  # for which all must rest after the last duplicate
+# Some endpoints send a duplicate response a few milliseconds after the first. If the connection carries the
+# next request by then, the duplicate is mistaken for its response. Connections that have been idle for the
+# reuse delay are therefore preferred, and after a duplicate was seen, the delay is mandatory for some time.
+DUPLICATE_ANSWER_SECONDS = 1.0  # unsolicited data within this time after a response counts as a duplicate
+REUSE_DELAY_SECONDS = 0.03  # idle time without data before a connection is reused
+REUSE_DELAY_PERIOD_SECONDS = 60.0  # time after the last duplicate in which the delay is mandatory
 
-SWEEP_SECONDS = 1.0  # between two checks for connections that have been idle for too long
-IDLE_FRACTION = 0.7  # of the endpoints' own idle time: a request written as that ends would be reset
+SWEEP_SECONDS = 1.0  # interval of the checks for idle connections
+# Part of the endpoints' idle time-out after which this side closes: a request that is sent just as the
+# endpoint closes would be reset.
+IDLE_FRACTION = 0.7
 
 
 def update_ready(ready: set[str], view: View) -> None:
-    """Bring the set of endpoints that may be sent something new up to date with the endpoint list."""
+    """Update the set of endpoints that accept new requests from a view of the endpoint list."""
     if view.kind in (ViewKind.FULL, ViewKind.CACHED):
         ready.clear()
     for entry in view.entries:
@@ -47,7 +49,7 @@
     from typing import Protocol
 
     class PooledConnection(Protocol):
-        """A connection, as far as the table of a pool uses it."""
+        """The part of a connection that a connection table uses."""
 
         address: EndpointAddress
         idle_since: float
@@ -57,18 +59,18 @@
 
 
 class ConnectionTable(Generic[ConnectionT]):
-    """The connections of a pool, and the endpoints that they may be used for.
+    """The connections of a pool, and the endpoints that accept new requests.
 
     Attributes
     ----------
     addresses : dict[str, str]
-        HOST:PORT by endpoint, kept by the endpoint list.
+        HOST:PORT by endpoint, maintained by the endpoint list.
     ready_endpoints : set[str]
-        Those to which something new may be sent, by the last view of the list.
+        Endpoints that accept new requests, by the last view of the endpoint list.
     idle_connections : dict[EndpointAddress, deque[ConnectionT]]
-        By address, the one idle for longest first.
+        By address, longest idle first.
     connections : dict[ConnectionT, None]
-        All connections, in the order in which they came up.
+        All connections, in the order in which they were established.
     """
 
     def __init__(self) -> None:
@@ -78,12 +80,12 @@
         self.connections: dict[ConnectionT, None] = {}
 
     def is_usable(self, address: EndpointAddress) -> bool:
-        """Return whether something new may be sent there."""
+        """Return whether new requests may be sent to an address."""
         is_current = self.addresses.get(address.endpoint) == address.address
         return address.endpoint in self.ready_endpoints and is_current
 
     def remove(self, connection: ConnectionT) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
         idle = self.idle_connections.get(connection.address)
         if idle is not None:
@@ -93,18 +95,18 @@
                 del self.idle_connections[connection.address]
 
     def idle_to(self, endpoint: str) -> list[ConnectionT]:
-        """Return the idle connections to an endpoint at its present address, longest idle first."""
+        """Return the idle connections to the current address of an endpoint, longest idle first."""
         address = EndpointAddress(endpoint, self.addresses.get(endpoint, ""))
         return list(self.idle_connections.get(address, ()))
 
     def oldest_idle(self) -> ConnectionT | None:
-        """Return the connection that has been idle for longest."""
+        """Return the connection that has been idle for the longest time, or None."""
         oldest = (queue[0] for queue in self.idle_connections.values() if queue)
         return min(oldest, key=lambda connection: connection.idle_since, default=None)
 
 
 class _PendingConnect(ClientFactory):
-    """One connect under way for one attempt. Refused or not up by its deadline, it has failed."""
+    """A pending connect for one attempt. It fails if refused or not established by its deadline."""
 
     noisy = False
 
@@ -120,29 +122,29 @@
         self.timer = pool.clock.at(deadline, self.connector.stopConnecting)
 
     def buildProtocol(self, addr: object) -> EndpointConnection:  # noqa: ARG002, N802 - Twisted's signature
-        """Make the connection that has come up."""
+        """Return the protocol for an established connection."""
         self.finish()
         return _NewConnection(self.pool, self.address, self.attempt)
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802 - Twisted's signature
-        """Report the failed connect to its attempt."""
+        """Fail the attempt."""
         self.finish()
         code = "not-up-in-time" if isinstance(reason.value, UserError) else "connect-failed"
         log.line("endpoint-connection", code=code, peer=self.address.address)
         self.pool.exchange.end_attempt(self.attempt, Outcome.CONNECT_FAILED)
 
     def finish(self) -> None:
-        """Remove the connect from those pending, and cancel its timer."""
+        """Remove the connect from the pending ones, and cancel its timer."""
         del self.pool.pending_connects[self]
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
     def cancel(self) -> None:
-        """Leave the connect under way: the connection, once up, is kept for other attempts."""
+        """Let the connect continue: the connection is added to the pool once it is established."""
 
 
 class _NewConnection(EndpointConnection):
-    """A connection made for one attempt, which it carries first if that may still be sent."""
+    """A new connection, which first carries the attempt that it was made for if that may still be sent."""
 
     def __init__(self, pool: ConnectionPool, address: EndpointAddress, attempt: Attempt) -> None:
         super().__init__(pool, address)
@@ -150,7 +152,7 @@
         self.first_attempt = attempt
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Send the attempt that the connection was made for, if it may still be sent."""
+        """Send the first attempt if it may still be sent; otherwise add the connection to the pool."""
         super().connectionMade()
         self.pool.add(self)
         if self.first_attempt.may_be_sent and self.pool.exchange.check_in_time(self.first_attempt):
@@ -160,18 +162,18 @@
 
 
 class ConnectionPool(ConnectionTable[EndpointConnection]):
-    """Starts attempts, and keeps clean connections for the next ones.
+    """Starts attempts, and keeps clean connections for reuse.
 
-    Of the idle connections that have rested, the one used last goes out first.
+    Of the idle connections past the reuse delay, the most recently used one is taken first.
 
     Attributes
     ----------
     connect_timeout, idle_timeout : float
-        Seconds in which a connection must be up, and for which it may be idle.
-    cautious_until : float
-        The instant until which connections are used only after a rest.
+        Time limits in seconds for a connect and for an idle connection.
+    reuse_delay_until : float
+        Time until which the reuse delay is mandatory.
     pending_connects : dict[_PendingConnect, None]
-        The connects under way, in the order in which they began.
+        Pending connects, oldest first.
     """
 
     def __init__(
@@ -185,7 +187,7 @@
         body_memory: BodyMemory,
     ) -> None:
         super().__init__()
-        # A simulated reactor answers this itself.
+        # A simulated reactor provides its own function.
         self.has_undelivered_bytes: Callable[[Any], bool] = getattr(
             reactor, "has_undelivered_bytes", has_undelivered_bytes
         )
@@ -196,7 +198,7 @@
         self.idle_timeout = idle_timeout * IDLE_FRACTION
         self.max_connections = max_connections
         self.body_memory = body_memory
-        self.cautious_until = -inf
+        self.reuse_delay_until = -inf
         self.pending_connects: dict[_PendingConnect, None] = {}
         exchange.start_attempt = self.start_attempt
         exchange.close_idle = self.close_idle
@@ -206,9 +208,9 @@
     # Attempts
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle connection, or begin a connect for it."""
+        """Send an attempt on an idle connection, or start a connect for it."""
         location = self.addresses.get(attempt.endpoint)
-        if location is None:  # the list says no more where the endpoint is
+        if location is None:  # the endpoint is no longer in the list
             self._fail_later(attempt)
             return
         address = EndpointAddress(attempt.endpoint, location)
@@ -223,7 +225,7 @@
             log.line("too-many-connections", most=self.max_connections)
             self._fail_later(attempt)
             return
-        # The end of a connect is never reported within this turn of the reactor.
+        # The result of a connect is never reported within the same reactor iteration.
         self.pending_connects[_PendingConnect(self, attempt, address)] = None
 
     def _fail_later(self, attempt: Attempt) -> None:
@@ -231,10 +233,10 @@
         self.reactor.callLater(0, end)
 
     def take_idle(self, address: EndpointAddress) -> EndpointConnection | None:
-        """Return the connection to use, no more idle, or None.
+        """Take the idle connection to use next out of the pool; return None if there is none.
 
-        That is the one used last of those that have rested; where none has, and none must, the one that has
-        rested longest.
+        This is the most recently used one past the reuse delay. If there is none and the delay is not
+        mandatory, it is the one idle for the longest time.
         """
         idle = self.idle_connections.get(address)
         if not idle:
@@ -245,32 +247,33 @@
         for connection in reversed(idle):
             if not connection.is_connected or connection.close_code:
                 continue
-            has_rested = connection.idle_since <= now - REST_SECONDS
-            if has_rested or now >= self.cautious_until:
+            is_past_reuse_delay = connection.idle_since <= now - REUSE_DELAY_SECONDS
+            if is_past_reuse_delay or now >= self.reuse_delay_until:
                 chosen = connection
-            if has_rested:
+            if is_past_reuse_delay:
                 break
         if chosen is not None:
             idle.remove(chosen)
         return chosen
 
     def note_unsolicited_data(self, connection: EndpointConnection) -> None:
-        """Note data that answers no request."""
+        """Record data that was received without a request."""
         idle_seconds = self.clock.now() - connection.idle_since
         if connection.is_reused and idle_seconds < DUPLICATE_ANSWER_SECONDS:
             self.note_duplicate_answer()
 
     def note_duplicate_answer(self) -> None:
-        """Have all connections rest for some time: a duplicate answer was seen."""
-        self.cautious_until = self.clock.now() + CAUTION_SECONDS
+        """Make the reuse delay mandatory for some time: a duplicate response was received."""
+        self.reuse_delay_until = self.clock.now() + REUSE_DELAY_PERIOD_SECONDS
 
     # The endpoint list
 
     def apply_endpoint_list(self, view: View) -> None:
-        """End the connects and idle connections to endpoints that take nothing new, or have moved.
+        """Cancel connects and close idle connections to endpoints that are draining, removed or have moved.
 
-        What counts is the list at the first byte, not at the decision: a connect may take longer than
-        requests may be sent to a draining endpoint, and its address may be another's by then.
+        The list must be valid when the first byte is sent, not only when the endpoint is chosen: a connect
+        may take longer than the time in which a draining endpoint still accepts requests, and the address may
+        belong to another endpoint by then.
         """
         update_ready(self.ready_endpoints, view)
         for connect in [each for each in self.pending_connects if not self.is_usable(each.address)]:
@@ -283,11 +286,11 @@
     # Connections
 
     def add(self, connection: EndpointConnection) -> None:
-        """Take a connection that has come up."""
+        """Register an established connection."""
         self.connections[connection] = None
 
     def keep_idle(self, connection: EndpointConnection) -> None:
-        """Keep a clean connection for the next attempt, if its endpoint still takes any."""
+        """Add a clean connection to the idle ones; close it if its endpoint no longer accepts requests."""
         if not self.is_usable(connection.address):
             connection.close("endpoint-gone")
             return
@@ -299,7 +302,7 @@
         return len(self.idle_to(endpoint))
 
     def retire_oldest_idle(self) -> bool:
-        """Close the connection that has been idle for longest; return whether there was one."""
+        """Close the connection idle for the longest time; return whether there was one."""
         oldest = self.oldest_idle()
         if oldest is None:
             return False
@@ -317,21 +320,21 @@
             self.retire(connection, "close-idle")
 
     def close(self, code: str = "stopping") -> None:
-        """Reset all connections: no request is left that would need them."""
+        """Reset all connections; no request is in flight any more."""
         if self.sweep_timer.active():
             self.sweep_timer.cancel()
         for connection in list(self.connections):
             connection.abort(code)
 
     def sweep(self) -> None:
-        """Close what has been idle for too long, now and from time to time."""
+        """Close connections that exceed the idle time-out, now and periodically."""
         now = self.clock.now()
         self.sweep_timer = self.clock.at(now + SWEEP_SECONDS, self.sweep)
         for address, idle in list(self.idle_connections.items()):
             self.retire_stale(address, idle, now)
 
     def retire_stale(self, address: EndpointAddress, idle: deque[EndpointConnection], now: float) -> None:
-        """Close the connections that have been idle for too long; all, if their address is out of date."""
+        """Close the connections that exceed the idle time-out, or all of them if the address is outdated."""
         is_gone = self.addresses.get(address.endpoint) != address.address
         while idle and (is_gone or now - idle[0].idle_since > self.idle_timeout):
             self.retire(idle[0], "endpoint-gone" if is_gone else "idle")
--- a/wheatring/daemon/http1/discovery_client.py
+++ b/wheatring/daemon/http1/discovery_client.py
@@ -1,4 +1,4 @@
-"""Calls to discovery, one after another on one connection."""
+"""The client for the discovery service: sequential calls on one connection."""
 
 from __future__ import annotations
 
@@ -16,30 +16,31 @@
 from wheatring.daemon.lifecycle.notification_deadline import CALL_TIMEOUT_SECONDS
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
-# A watch asks discovery to wait so long for a change: it takes few calls a second from all sidecars together.
+# Long-poll time of a watch. It is long because discovery accepts few calls a second from all sidecars
+# together.
 WATCH_WAIT_SECONDS = 50.0
 CONNECT_TIMEOUT_SECONDS = 2.0
-# Without another byte for the first, or in all after the second, an answer that has begun has failed. What it
-# would report counts as reported, and one that stalls would else be waited for as long as a quiet watch.
+# A response that has begun fails after a gap of STALL_SECONDS, or after FULL_LIST_SECONDS in total. The
+# sidecar counts as notified of its content, and would otherwise wait as long as for a watch without changes.
 STALL_SECONDS = 1.0
 FULL_LIST_SECONDS = CALL_TIMEOUT_SECONDS
 
-AnswerCallback = Callable[[Any], None]  # gets what a call brought, not yet decoded; None: the call failed
+AnswerCallback = Callable[[Any], None]  # receives the undecoded response body, or None if the call failed
 
 
 class DiscoveryClient(Protocol):
-    """Makes one call to discovery after another; each ends in one answer or, as None, in a failure.
+    """Makes sequential calls to discovery; each one ends with one callback, with None for a failure.
 
     Attributes
     ----------
     on_answer : AnswerCallback | None
-        Of the present call; None: there is none.
+        Callback of the current call; None if there is none.
     on_connected : Callable[[], None] | None
-        Called each time there is a connection.
+        Called each time a connection has been established.
     answer_began_at : float | None
-        When the answer to the present or the last call began (an instant); None: it has not.
+        Time at which the response to the current or the last call began; None if it has not.
     is_sent : bool
-        The present call has been written to a connection.
+        The current call has been written to a connection.
     """
 
     on_answer: AnswerCallback | None
@@ -48,13 +49,13 @@
     is_sent: bool
 
     def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
-        """Wait `WATCH_WAIT_SECONDS` for changes after a version, or with None ask for the whole list."""
+        """Wait up to `WATCH_WAIT_SECONDS` for changes since a version; None requests the full list."""
 
     def stop(self, code: str) -> None:
-        """Abort the present call: it has failed."""
+        """Abort the current call, which fails."""
 
     def close(self, code: str) -> None:
-        """Close the connection: no further call will be made."""
+        """Close the connection; no further calls follow."""
 
 
 class _DiscoveryConnection(Connection):
@@ -67,16 +68,16 @@
         self.client = client
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Tell the client that the connection is up."""
+        """Notify the client that the connection is established."""
         super().connectionMade()
         self.client.connected(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Parse an answer, and hand it to the client once it is complete."""
+        """Parse a response, and pass it to the client once it is complete."""
         self.parser.feed(data)
         try:
             message = self.parser.next_message()
-            while message is not None and message.start_line[0][:1] == b"1":  # the final answer still comes
+            while message is not None and message.start_line[0][:1] == b"1":  # skips interim responses
                 message = self.parser.next_message()
         except MalformedMessageError as error:
             log.line("bad-list", why=str(error))
@@ -88,7 +89,7 @@
             self.client.note_answer_began()
 
     def on_ended(self, is_orderly: bool) -> None:
-        """Hand over an answer that ends with the connection, or report the failure."""
+        """Pass on a response that is delimited by the close, or report the failure."""
         message = self.parser.end_of_input() if is_orderly else None
         if message is not None:
             self.client.handle_answer(self, message)
@@ -101,9 +102,9 @@
     Attributes
     ----------
     deadline : float
-        The instant by which the present call must be answered.
+        Time by which the current call must be answered.
     answer_deadline : float
-        The same for an answer that has begun.
+        Time by which a response that has begun must be complete.
     """
 
     noisy = False
@@ -124,7 +125,7 @@
         self.timer: Timer | None = None
 
     def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
-        """Make a call, on the present connection or a new one."""
+        """Make a call on the current connection or a new one."""
         self.version, self.on_answer, self.deadline = version, on_answer, deadline
         self.answer_began_at = None
         self.is_sent = False
@@ -136,8 +137,8 @@
             self.connector = self.reactor.connectTCP(*self.address, self, timeout=None)
 
     def note_answer_began(self) -> None:
-        """Bound the time of an answer of which a part has come."""
-        if self.on_answer is None:  # to no call: what follows would be taken for the next one's
+        """Set the time limits of a partially received response."""
+        if self.on_answer is None:  # no call: the rest would be parsed as the response to the next one
             self.stop("not-kept")
             return
         now = self.clock.now()
@@ -146,14 +147,14 @@
             self.deadline = min(self.answer_deadline, now + FULL_LIST_SECONDS)
         self.set_timer(min(self.deadline, now + STALL_SECONDS))
 
-    def set_timer(self, instant: float) -> None:
-        """Have the call fail at an instant, in place of the one set before."""
+    def set_timer(self, expires_at: float) -> None:
+        """Set the time-out of the call, replacing the previous one."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.timer = self.clock.at(instant, self.stop, "late")
+        self.timer = self.clock.at(expires_at, self.stop, "late")
 
     def send(self) -> None:
-        """Write the present call to the connection."""
+        """Write the current call to the connection."""
         assert self.connection is not None
         self.set_timer(self.deadline)
         self.is_sent = True
@@ -165,11 +166,11 @@
         self.connection.transport.write(text.encode("ascii"))
 
     def buildProtocol(self, addr: object) -> _DiscoveryConnection:  # noqa: ARG002, N802 - Twisted's signature
-        """Return the protocol of a connection that has come up."""
+        """Return the protocol for an established connection."""
         return _DiscoveryConnection(self)
 
     def connected(self, connection: _DiscoveryConnection) -> None:
-        """Write the call to a connection that has come up, if it still waits for one."""
+        """Write the current call to an established connection; abort the connection if there is none."""
         self.connection = connection
         if self.on_answer is None:
             connection.abort("given-up")
@@ -179,12 +180,12 @@
             self.on_connected()
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: ARG002, N802 - Twisted's signature
-        """Fail the call: there is no connection."""
+        """Fail the call, as the connect failed."""
         log.line("discovery-connection", code="connect-failed", why=str(reason.value))
         self.finish(None)
 
     def handle_answer(self, connection: _DiscoveryConnection, message: Message) -> None:
-        """End the call with its answer, and close a connection that can't carry another one."""
+        """Complete the call with its response, and close the connection if it can't be reused."""
         if connection is not self.connection:
             return
         if not message.keep_alive or connection.parser.has_partial_message or self.on_answer is None:
@@ -193,13 +194,13 @@
         self.finish(message.body if message.start_line[0] == b"200" else None)
 
     def disconnected(self, connection: _DiscoveryConnection) -> None:
-        """Fail the call if its connection has ended; that of an aborted call says nothing."""
+        """Fail the call if its connection was closed; connections of aborted calls are ignored."""
         if connection is self.connection:
             self.connection = None
             self.finish(None)
 
     def stop(self, code: str) -> None:
-        """Abort the present call: it has failed."""
+        """Abort the current call, which fails."""
         if self.connection is not None:
             connection, self.connection = self.connection, None
             connection.abort(code)
@@ -208,12 +209,12 @@
         self.finish(None)
 
     def close(self, code: str) -> None:
-        """Close the connection, if there is one."""
+        """Close the connection if there is one."""
         if self.connection is not None:
             self.connection.close(code)
 
     def finish(self, answer: bytes | None) -> None:
-        """End the present call, and pass its answer on; None: it has failed."""
+        """End the current call, and pass its response to the callback; None for a failure."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
--- a/wheatring/daemon/http1/endpoint_connection.py
+++ b/wheatring/daemon/http1/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, which carries one attempt at a time over HTTP/1.1."""
+"""A connection to an endpoint, which carries one attempt at a time over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     from wheatring.daemon.core.exchange import Exchange
 
     class ConnectionOwner(Protocol):
-        """The connection pool, as far as a connection uses it."""
+        """The part of the connection pool that a connection uses."""
 
         reactor: Any
         clock: Clock
@@ -32,37 +32,37 @@
 
         @property
         def has_undelivered_bytes(self) -> Any:
-            """Return whether a part of what was written to a transport has not reached the peer's system."""
+            """The function that returns whether a transport's output is still unacknowledged by the peer."""
 
         def is_usable(self, address: EndpointAddress) -> bool:
-            """Return whether something new may be sent there."""
+            """Return whether new requests may be sent to an address."""
 
         def keep_idle(self, connection: Any) -> None:
-            """Keep a clean connection for the next attempt."""
+            """Return a clean connection to the pool."""
 
         def remove(self, connection: Any) -> None:
-            """Forget a connection that has ended."""
+            """Remove a closed connection."""
 
         def note_unsolicited_data(self, connection: Any) -> None:
-            """Note data that answers no request."""
+            """Record data that was received without a request."""
 
         def note_duplicate_answer(self) -> None:
-            """Note a second answer to one request."""
+            """Record a second response to the same request."""
 
 
-SERVED = Outcome.SERVED  # looked up once: the lookup of an enum's member is slow
-ANSWER_STALL_SECONDS = 0.6  # without another byte, after which an answer that has begun counts as malformed
+SERVED = Outcome.SERVED  # bound once, since enum member access is slow
+ANSWER_STALL_SECONDS = 0.6  # longest gap within a response; after a longer one it counts as malformed
 
 
 def is_rejection(message: Message) -> bool:
-    """Return whether the endpoint states that it has not worked on the request."""
+    """Return whether the endpoint states that it has not processed the request."""
     return message.start_line[0] in (b"503", b"504") and message.fields.get(b"x-unprocessed") == b"1"
 
 
 class EndpointAddress(NamedTuple):
     """An endpoint and its HOST:PORT.
 
-    Another endpoint may come to the same address, and must not get the connections of this one.
+    Connections are pooled by both: another endpoint may reuse the address, and must not get old connections.
     """
 
     endpoint: str
@@ -70,24 +70,24 @@
 
 
 class EndpointConnection(Connection):
-    """A connection to an endpoint. It is kept for the next attempt only while clean.
+    """A connection to an endpoint, which is reused only if no data of the last exchange is left on it.
 
-    An answer larger than what is buffered is forwarded as it comes, as a body in transit.
+    A response that exceeds the buffer limit is forwarded as a stream while it is being received.
 
     Attributes
     ----------
     attempt : Attempt | None
-        The attempt that it carries, until its answer.
+        The current attempt, until its response.
     stream : ResponseForwarder | None
-        The answer that is being forwarded.
+        The response that is being forwarded.
     request_sender : RequestSender | None
-        Writes the present or the last request; None before the first.
+        Sends the current or the last request; None before the first.
     head_read_at : float
-        The instant at which the head of an answer was read that is not complete; 0: there is none.
+        Time at which the head of the current, incomplete response was read; 0 if there is none.
     is_premature : bool
-        The present answer began before its request can have arrived.
+        The current response began before its request can have reached the endpoint.
     is_reused : bool
-        The connection has been idle: what comes on it may answer the request before.
+        The connection has carried a request before, so data received on it may be a response to that one.
     """
 
     log_event = "endpoint-connection"
@@ -110,7 +110,7 @@
     # The request
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt's request."""
+        """Send the request of an attempt."""
         self.attempt = attempt
         attempt.cancel = self.cancel_attempt
         request = attempt.request.content
@@ -120,51 +120,51 @@
         self.request_sender.start(request, time_left_ms)
 
     def mark_written(self) -> None:
-        """Count the attempt as one that may have run, unless the connection is seen to end with bytes unsent.
+        """Mark the attempt as possibly executed, unless the connection is later closed with unsent data.
 
-        From here on Twisted hands bytes to the system without a word to this side.
+        From here on, Twisted passes the data to the kernel without further notification.
         """
         if self.attempt is not None:
             self.attempt.is_written = True
 
     def abort_upload(self) -> None:
-        """End the connection: the rest of the request will never come, and nobody waits for this attempt."""
+        """Reset the connection: the request is truncated, and the attempt is no longer needed."""
         self.abort("request-not-whole")
 
     def stop_sending(self) -> None:
-        """Write no more of a large request."""
+        """Stop sending a large request."""
         if self.request_sender is not None:
             self.request_sender.stop()
 
     @property
     def is_flushed(self) -> bool:
-        """Whether the last byte of the present request has left."""
+        """Whether the last byte of the current request was passed to the kernel."""
         return self.request_sender is not None and self.request_sender.is_flushed
 
     @property
     def is_unsent(self) -> bool:
-        """Whether no byte of the present request has left."""
+        """Whether no byte of the current request was passed to the kernel."""
         has_started = self.request_sender is not None and self.request_sender.has_started
         return self.attempt is not None and not has_started
 
     def cancel_attempt(self) -> None:
-        """Stop working on the attempt: to an endpoint, cancelling is closing."""
+        """Cancel the attempt. HTTP/1.1 has no other way to cancel a request than to close the connection."""
         self.attempt = None
         self.stop_sending()
         self.abort("attempt-abandoned")
 
-    # The answer
+    # The response
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Read on in the answer."""
+        """Parse received data as part of the response."""
         if (self.attempt is None and self.stream is None) or (self.is_reused and self.is_unsent):
-            # An answer to no request would be taken for the next one's.
+            # Unsolicited data would be mistaken for the response to the next request.
             self.abort("unasked-data")
             self.pool.note_unsolicited_data(self)
             self.move_attempt()
             return
         if not self.parser.has_partial_message:
-            # A new connection has no request before this one, which may have begun to leave.
+            # On a new connection there is no earlier request that the data could be a response to.
             is_late = self.is_reused and (
                 not self.is_flushed or self.pool.has_undelivered_bytes(self.transport)
             )
@@ -180,14 +180,14 @@
             self.reject_answer(str(error))
             return
         if message is None:
-            # Its length may be wrong: the missing rest would be waited for until the deadline.
+            # The stated length may be wrong, and the missing rest must not be awaited until the deadline.
             if self.parser.has_partial_message:
                 self.start_stall_timer(ANSWER_STALL_SECONDS)
         else:
-            self._take_answer(message)
+            self._handle_answer(message)
 
     def _next_answer(self) -> Message | None:
-        """Return the final answer, complete or due to be forwarded; None while it is neither."""
+        """Return the final response once it is complete or due to be forwarded; None before that."""
         message = self.parser.next_message()
         while message is not None and message.start_line[0][:1] == b"1":
             message = self.parser.next_message()
@@ -195,18 +195,18 @@
             message = self.open_if_due(self.parser.message)
         return message
 
-    def _take_answer(self, message: Message) -> None:
+    def _handle_answer(self, message: Message) -> None:
         if self.is_premature and (self.is_flushed or not is_rejection(message)):
-            # An endpoint starts on a request with its last byte, so this answers the request before.
+            # Endpoints process a request only once it is complete, so this is a response to the previous one.
             self.pool.note_unsolicited_data(self)
-            self.reject_answer("answer before its request")
+            self.reject_answer("response received before the request was sent")
         elif message.is_open:
             self.start_stream(message)
         else:
             self.complete_attempt(message)
 
     def open_if_due(self, message: Message) -> Message | None:
-        """Return the answer that has begun, if it is to be forwarded already."""
+        """Return the incomplete response if it is due to be forwarded."""
         now = self.pool.clock.now()
         if not self.head_read_at:
             self.head_read_at = now
@@ -214,9 +214,9 @@
         return self.parser.open_message() if is_due else None
 
     def start_stall_timer(self, seconds: float) -> None:
-        """Reject the answer if nothing more comes for so long."""
-        instant = self.pool.clock.now() + seconds
-        self.stall_timer = self.pool.clock.at(instant, self.reject_answer, "answer not whole")
+        """Reject the response if no data arrives for `seconds`."""
+        expires_at = self.pool.clock.now() + seconds
+        self.stall_timer = self.pool.clock.at(expires_at, self.reject_answer, "response incomplete")
 
     def stop_stall_timer(self) -> None:
         """Cancel the stall timer."""
@@ -224,15 +224,15 @@
             self.stall_timer.cancel()
 
     def reject_answer(self, reason: str) -> None:
-        """Fail the attempt: what came is no answer, and nothing more on the connection can be trusted."""
+        """Fail the attempt and reset the connection: the response is invalid, so its end can't be found."""
         self.close_reason = reason
         self.abort("bad-answer")
         self.fail_attempt()
 
     def move_attempt(self) -> None:
-        """Have another connection carry the attempt: nothing of its request has left on this one.
+        """Move the attempt to another connection: no byte of its request was sent on this one.
 
-        None does if the endpoint takes nothing new any more.
+        The attempt fails if the endpoint no longer accepts new requests.
         """
         attempt, self.attempt = self.attempt, None
         self.stop_sending()
@@ -242,7 +242,7 @@
             self.pool.exchange.reassign_unsent(attempt)
 
     def fail_attempt(self) -> None:
-        """End the attempt without an answer. Before its last byte left it can't have run."""
+        """Fail the attempt. The request was not executed if its last byte was not sent."""
         self.stop_sending()
         attempt, self.attempt = self.attempt, None
         if (stream := self.detach_stream()) is not None:
@@ -251,10 +251,10 @@
             outcome = Outcome.RESET if self.is_flushed else Outcome.CONNECT_FAILED
             self.pool.exchange.end_attempt(attempt, outcome)
 
-    # Large answers
+    # Large responses
 
     def start_stream(self, message: Message) -> None:
-        """Forward the answer from here on: it ends the attempt, whatever becomes of the rest."""
+        """Start to forward the response, which ends the attempt even if the body turns out incomplete."""
         attempt, self.attempt = self.attempt, None
         assert attempt is not None
         if message.start_line[0] != b"200":
@@ -267,26 +267,26 @@
         stream.start(message.body, attempt.request.deadline)
         self.pool.exchange.end_attempt(attempt, SERVED, message)
         if body.on_data == no_listener:
-            body.cancel()  # its caller has gone
+            body.cancel()  # the caller has disconnected
         else:
             stream.pause_if_full()
 
     def detach_stream(self) -> Body | None:
-        """Return the body of the answer that was being forwarded, and leave it to its reader."""
+        """Detach and return the body that is being forwarded; the reader keeps the data received so far."""
         stream = self.stream
         if stream is None:
             return None
         stream.detach()
         return stream.body
 
-    # Ends
+    # Completion
 
     def complete_attempt(self, message: Message) -> None:
-        """End the attempt with its answer, and keep the connection if it is clean."""
+        """Complete the attempt with its response, and reuse the connection if possible."""
         attempt, self.attempt, self.head_read_at = self.attempt, None, 0.0
         try:
             self.keep_or_close(message.keep_alive)
-        except Exception as error:  # whatever becomes of the connection, the attempt has its answer
+        except Exception as error:  # the attempt is completed even if reuse of the connection fails
             log.line("connection-broken", why=repr(error))
             self.abort("internal-error")
         if attempt is not None:
@@ -298,9 +298,9 @@
                 self.pool.exchange.end_attempt(attempt, Outcome.ERROR)
 
     def keep_or_close(self, keep_alive: bool) -> None:
-        """Keep the connection for the next attempt, or close it if that can't be."""
+        """Return the connection to the pool, or close it if it can't be reused."""
         if not self.is_flushed or self.parser.has_partial_message:
-            # Half a request or a part of some answer is left on it: the next attempt would get the wrong one.
+            # A partial request or response is left on the connection, and would corrupt the next exchange.
             if self.parser.has_partial_message:
                 self.pool.note_duplicate_answer()
             self.stop_sending()
@@ -311,19 +311,19 @@
             self.pool.keep_idle(self)
 
     def on_ended(self, is_orderly: bool) -> None:
-        """Settle what the connection carried."""
+        """Complete, move or fail the attempt that the connection carried."""
         try:
             self.pool.remove(self)
-        except Exception as error:  # what it carried is settled all the same
+        except Exception as error:  # the attempt is settled in any case
             log.line("connection-broken", why=repr(error))
         self.stop_stall_timer()
         message = self.parser.end_of_input() if is_orderly and not self.close_code else None
         if self.is_reused and self.is_unsent and not self.close_code:
-            self.move_attempt()  # the endpoint closed it as this side was about to write
+            self.move_attempt()  # the endpoint closed the idle connection before the request was written
         elif message is None:
             self.fail_attempt()
         elif (stream := self.detach_stream()) is not None:
             stream.put(b"", True)
         else:
             self.complete_attempt(message)
-        self.request_sender = None  # it refers to this connection: the cycle would wait for the collector
+        self.request_sender = None  # breaks a reference cycle, so that no garbage collection is needed
--- a/wheatring/daemon/http1/endpoint_entries.py
+++ b/wheatring/daemon/http1/endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Reads what discovery reports: an endpoint list or the changes of one, and the entries in it."""
+"""Parses responses of discovery: full endpoint lists, changes, and their entries."""
 
 from __future__ import annotations
 
@@ -16,26 +16,27 @@
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.GONE,
 }
-# Unix time that is behind by more, against the monotonic clock, was stepped back; less is drift or rounding.
+# If Unix time lags behind the monotonic clock by more, it was stepped back; less is drift or rounding.
 MIN_CLOCK_STEP_SECONDS = 0.1
 
-READY = EndpointState.READY  # looked up once: the lookup of an enum's member is slow
+READY = EndpointState.READY  # bound once, since enum member access is slow
 
 
 class StartTimes:
-    """When endpoints started, as instants, from the Unix times in milliseconds that discovery reports.
+    """Converts start times of endpoints, reported as Unix times in milliseconds, to monotonic times.
 
-    A time that is reported again keeps its instant: another would pass for a restart. A new one is converted
-    by the clock of this process's start, or by the present one if that was stepped back since: an endpoint
-    that started after the step would else count as older than it is, and as warm before it is.
+    A Unix time that is reported again keeps its monotonic time, since a different one would look like a
+    restart. A new one is converted with the clock offset from the start of this process, or with the current
+    offset if the clock was stepped back since: otherwise an endpoint that started after the step would count
+    as older than it is, and as warmed up too early.
     """
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._known: dict[str, tuple[float, float]] = {}  # Unix time in ms and instant, by endpoint
+        self._known: dict[str, tuple[float, float]] = {}  # Unix time in ms and monotonic time, by endpoint
 
     def instant(self, endpoint: str, unix_ms: float) -> float:
-        """Return the instant of an endpoint's start; 0, which means long ago, stays 0."""
+        """Return the monotonic start time of an endpoint; 0 means long ago, and stays 0."""
         if unix_ms <= 0:
             return 0.0
         known = self._known.get(endpoint)
@@ -50,27 +51,27 @@
         return present if present < at_start - MIN_CLOCK_STEP_SECONDS else at_start
 
     def retain_only(self, endpoints: Container[str]) -> None:
-        """Forget all other endpoints, which are no longer listed."""
+        """Remove all other endpoints, which are no longer listed."""
         self._known = {name: known for name, known in self._known.items() if name in endpoints}
 
 
 def parse_list(data: object, kind: ViewKind | None, start_times: StartTimes) -> tuple[View, dict[str, str]]:
-    """Read a decoded report; without a kind it states its own. Entries that can't be read are left out.
+    """Parse a decoded list, which states its kind itself if `kind` is None. Invalid entries are skipped.
 
     Returns
     -------
     tuple[View, dict[str, str]]
-        The view, and HOST:PORT by endpoint; "" for one that takes no new requests and has none.
+        The view, and HOST:PORT by endpoint; "" if an endpoint that accepts no new requests has no address.
 
     Raises
     ------
     InvalidEndpointListError
-        It is none.
+        The data is not an endpoint list.
     """
     items = data.get("instances") if isinstance(data, dict) else None
     version = data.get("generation") if isinstance(data, dict) else None
     if not isinstance(data, dict) or not isinstance(items, list) or type(version) is not int:
-        raise InvalidEndpointListError("not a list of instances with a generation")
+        raise InvalidEndpointListError("no instances list with an integer generation")
     if kind is None:
         kind = ViewKind.FULL if data.get("reset", False) else ViewKind.DELTA
     entries = []
@@ -78,7 +79,7 @@
     for item in items:
         try:
             entry, location = parse_entry(item, start_times)
-        except (ValueError, OverflowError) as error:  # one bad entry must not cost the others
+        except (ValueError, OverflowError) as error:  # an invalid entry must not affect the others
             log.line("bad-entry", why=str(error))
             continue
         entries.append(entry)
@@ -91,37 +92,37 @@
 def _number(item: Mapping[str, Any], name: str, default: float) -> float:
     value = item.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
-        raise InvalidEndpointListError(f"{name}: not a number: {value!r}")
+        raise InvalidEndpointListError(f"{name}: not a non-negative number: {value!r}")
     return value
 
 
 def parse_entry(item: object, start_times: StartTimes) -> tuple[EndpointEntry, str]:
-    """Read one entry of the list.
+    """Parse one entry of a list.
 
     Returns
     -------
     tuple[EndpointEntry, str]
-        The entry, and the endpoint's HOST:PORT; "" for one that takes no new requests and has none.
+        The entry, and the endpoint's HOST:PORT; "" if it accepts no new requests and has no address.
 
     Raises
     ------
     InvalidEndpointListError, ValueError, OverflowError
-        It can't be read, and takes new requests as far as is known.
+        The entry is invalid, and does not state that the endpoint accepts no new requests.
     """
     if not isinstance(item, dict):
-        raise InvalidEndpointListError("not an object")
+        raise InvalidEndpointListError("entry is not an object")
     name, lifecycle = item.get("instanceId"), item.get("lifecycle")
     if not isinstance(name, str) or not name:
-        raise InvalidEndpointListError(f"instanceId: {name!r}")
+        raise InvalidEndpointListError(f"instanceId: not a non-empty string: {name!r}")
     if not isinstance(lifecycle, str) or lifecycle not in STATES_BY_LIFECYCLE:
-        raise InvalidEndpointListError(f"lifecycle: {lifecycle!r}")
+        raise InvalidEndpointListError(f"lifecycle: unknown value: {lifecycle!r}")
     state = STATES_BY_LIFECYCLE[lifecycle]
     try:
         return _parse_attributes(name, state, item, start_times)
     except (ValueError, OverflowError):
         if state is READY:
             raise
-        return EndpointEntry(name, state), ""  # that it takes nothing new counts in any case
+        return EndpointEntry(name, state), ""  # the state is applied even if other attributes are invalid
 
 
 def _parse_attributes(
--- a/wheatring/daemon/http1/exceptions.py
+++ b/wheatring/daemon/http1/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the HTTP/1.1 side."""
+"""Exceptions of the HTTP/1.1 package."""
 
 from __future__ import annotations
 
 
 class InvalidEndpointListError(ValueError):
-    """An endpoint list, or an entry of one, that can't be read."""
+    """An endpoint list or one of its entries is invalid."""
--- a/wheatring/daemon/http1/listener.py
+++ b/wheatring/daemon/http1/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets for callers, and for two processes of one sidecar at the same address."""
+"""Listening sockets for callers, which two processes of a sidecar may share during a handover."""
 
 from __future__ import annotations
 
@@ -11,46 +11,47 @@
 
 from wheatring.common import log
 
-SO_ATTACH_REUSEPORT_CBPF = 51  # of asm-generic/socket.h; Python has no name for it
-BPF_RETURN = 0x06  # BPF_RET | BPF_K, the classic filter's instruction that returns a constant
-NEWCOMER_INDEX = 1  # of the second process in the group, in the order in which they listened
+SO_ATTACH_REUSEPORT_CBPF = 51  # from asm-generic/socket.h; not in Python's socket module
+BPF_RETURN = 0x06  # BPF_RET | BPF_K, the classic BPF instruction that returns a constant
+NEW_PROCESS_INDEX = 1  # index in the reuseport group, which is ordered by the start of listening
 
 
 class ListenerFactory(Protocol):
-    """What makes the connections, as far as a listener uses it."""
+    """The part of a server factory that a listener uses."""
 
     @property
-    def free_places(self) -> int:
-        """How many more connections it can take."""
+    def free_slots(self) -> int:
+        """Number of further connections that can be accepted."""
 
 
 class Listener(Port):
-    """The callers' listening socket. It accepts no more at once than there are places."""
+    """The listening socket for callers. It never accepts more connections than there are free slots."""
 
     def doRead(self) -> None:  # noqa: N802 - Twisted's name
-        """Accept the connections that wait."""
+        """Accept queued connections."""
         factory: Any = self.factory
-        self.numberAccepts = max(1, min(self.numberAccepts, factory.free_places))
+        self.numberAccepts = max(1, min(self.numberAccepts, factory.free_slots))
         super().doRead()  # type: ignore[no-untyped-call]
 
 
 class SharedListener(Listener):
-    """One of several listening sockets at the same address, each in a process of its own."""
+    """One of several listening sockets at the same address, each in a separate process."""
 
     def createInternetSocket(self) -> socket.socket:  # noqa: N802 - Twisted's name
-        """Create a socket that may share its address."""
-        made: socket.socket = super().createInternetSocket()  # type: ignore[no-untyped-call]
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        return made
-
-    def direct_to_newcomer(self) -> bool:
-        """Have the kernel give all new connections to the second process of two, which is this one.
-
-        The queue of the first runs dry then, so that no connection is lost in it when that process closes its
-        socket. Once a single process is left, the filter's answer names no socket, and the kernel goes by its
-        own rule. Returns False if the kernel does not take the filter: it goes on by hash.
+        """Create a socket with SO_REUSEPORT."""
+        new_socket: socket.socket = super().createInternetSocket()  # type: ignore[no-untyped-call]
+        new_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        return new_socket
+
+    def direct_to_new_process(self) -> bool:
+        """Direct all new connections to this process, the second one of two in the reuseport group.
+
+        The accept queue of the first process can then drain, so that no queued connection is lost when it
+        closes its socket. Once only one process is left, the filter's result is out of range, and the kernel
+        falls back to its default selection. Returns False if the kernel rejects the filter, and keeps
+        selecting by hash.
         """
-        program = array("B", struct.pack("HBBI", BPF_RETURN, 0, 0, NEWCOMER_INDEX))
+        program = array("B", struct.pack("HBBI", BPF_RETURN, 0, 0, NEW_PROCESS_INDEX))
         address, _ = program.buffer_info()
         try:
             self.socket.setsockopt(socket.SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, struct.pack("HP", 1, address))
@@ -68,7 +69,7 @@
 def open_shared_listener(
     port: int, server: ListenerFactory, backlog: int, host: str, reactor: Any
 ) -> Listener:
-    """Listen for callers beside another process at the same address."""
+    """Listen for callers at an address that another process may share."""
     return _open(SharedListener, port, server, backlog, host, reactor)
 
 
--- a/wheatring/daemon/http1/request_builder.py
+++ b/wheatring/daemon/http1/request_builder.py
@@ -1,4 +1,4 @@
-"""Builds the request that a caller's message asks for, and what of it is forwarded to endpoints."""
+"""Builds requests, and the messages that are forwarded to endpoints, from callers' messages."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
     from typing import Protocol
 
     class Route(Protocol):
-        """A route, as far as a request is built by it.
+        """The part of a route that is used to build a request.
 
         Attributes
         ----------
         class_name : bytes
-            The class of its requests; empty: the first segment of the path is.
+            Class of its requests; if empty, the first path segment names the class.
         deadline : float | None
-            Seconds, for a caller that states none.
+            Time limit in seconds if the caller states none.
         """
 
         class_name: bytes
         deadline: float | None
 
         def create_request(self, fields: Mapping[bytes, bytes], **arguments: Any) -> Request:
-            """Return the request, with the pool that it is for."""
+            """Return the request, assigned to a pool."""
 
     Authorizer = Callable[[Mapping[bytes, bytes]], Container[str]]
     Router = Callable[[Message], Route]
@@ -42,7 +42,7 @@
 _DIGITS = re.compile(rb"[0-9]{1,12}")
 _SINGLE_FIELDS = frozenset((b"x-correlation-id", b"x-service-class", b"x-time-left-ms", b"idempotency-key"))
 
-SAFE = Idempotency.IDEMPOTENT  # looked up once: the lookup of an enum's member is slow
+IDEMPOTENT = Idempotency.IDEMPOTENT  # bound once, since enum member access is slow
 
 
 class RequestBuilder:
@@ -58,25 +58,25 @@
     def build(
         self, message: Message, arrived_at: float, authorizer: Authorizer | None, router: Router | None
     ) -> Request:
-        """Return the request that a message asks for, whose last byte came at `arrived_at`.
+        """Return the request for a parsed message, whose last byte arrived at `arrived_at`.
 
         Raises
         ------
         RequestRejectedError
-            It asks for none, or for one that its caller may not send.
+            The message is not a valid request, or its caller may not send it.
         """
         fields = message.fields
         method, target = message.start_line
         rights = None if authorizer is None else authorizer(fields)
         route = None if router is None else router(message)
         if not message.repeated_fields.isdisjoint(_SINGLE_FIELDS):
-            raise RequestRejectedError(400, "a field that may come once came twice")
+            raise RequestRejectedError(400, "repeated single-value header field")
         request_class = self._class_of(fields, target, route)
         if rights is not None and request_class.name not in rights:
-            raise RequestRejectedError(403, "rights", body=b"class not in rights")
-        allowed = b"GET" if request_class.idempotency is SAFE else b"POST"
+            raise RequestRejectedError(403, "class not permitted", body=b"class not in rights")
+        allowed = b"GET" if request_class.idempotency is IDEMPOTENT else b"POST"
         if method != allowed:
-            raise RequestRejectedError(405, "method", b"Allow: %s\r\n" % allowed)
+            raise RequestRejectedError(405, "method not allowed", b"Allow: %s\r\n" % allowed)
         correlation_id = self._correlation_id(fields)
         time_limit = _time_limit(fields, request_class, route)
         head = b"%s %s HTTP/1.1\r\n%s" % (method, target, message.end_to_end_lines(b"x-time-left-ms"))
@@ -92,25 +92,25 @@
 
     def _class_of(self, fields: Mapping[bytes, bytes], target: bytes, route: Route | None) -> RequestClass:
         if target[:1] != b"/":
-            raise RequestRejectedError(404, "path")
+            raise RequestRejectedError(404, "unknown path")
         segment = target[1:].partition(b"?")[0].partition(b"/")[0]
         name = fields.get(b"x-service-class", segment)
         if route is not None and route.class_name:
             name = route.class_name
         elif not segment or name != segment:
-            raise RequestRejectedError(404, "path")
+            raise RequestRejectedError(404, "unknown path")
         request_class = self.classes.get(name.decode("latin-1"))
         if request_class is None:
-            raise RequestRejectedError(404, "class")
+            raise RequestRejectedError(404, "unknown class")
         return request_class
 
     def _correlation_id(self, fields: Mapping[bytes, bytes]) -> str:
         value = fields.get(b"x-correlation-id", b"")
         if not _CORRELATION_ID.fullmatch(value):
-            raise RequestRejectedError(400, "no id")
+            raise RequestRejectedError(400, "missing or invalid X-Correlation-Id")
         correlation_id = value.decode("latin-1")
-        if correlation_id in self.exchange.open_requests:  # endpoints would take the two for one
-            raise RequestRejectedError(409, "id of an open request")
+        if correlation_id in self.exchange.open_requests:  # endpoints would treat both as the same request
+            raise RequestRejectedError(409, "X-Correlation-Id of a request in flight")
         return correlation_id
 
     def _forwarded_request(self, message: Message, head: bytes) -> ForwardedRequest:
@@ -128,11 +128,11 @@
 
 
 def _time_limit(fields: Mapping[bytes, bytes], request_class: RequestClass, route: Route | None) -> float:
-    """Return the seconds that a request may take from its last byte: no more than its class allows."""
+    """Return the time limit of a request in seconds from its last byte, capped by its class."""
     left_ms = fields.get(b"x-time-left-ms")
     if left_ms is not None:
         if not _DIGITS.fullmatch(left_ms):
-            raise RequestRejectedError(400, "bad time")
+            raise RequestRejectedError(400, "invalid X-Time-Left-Ms")
         return min(request_class.deadline, int(left_ms) / 1000)
     if route is not None and route.deadline is not None:
         return min(request_class.deadline, route.deadline)
--- a/wheatring/daemon/http1/request_sender.py
+++ b/wheatring/daemon/http1/request_sender.py
@@ -1,4 +1,4 @@
-"""Writes one request to an endpoint's connection, and tells how much of it has left."""
+"""Sends one request on a connection to an endpoint, and tracks how much of it has been sent."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class RequestSender:
-    """One request on its way out.
+    """Sends one request.
 
-    A small one is written by a pull producer, which its transport calls again once the last byte has left. A
-    large one goes out as a body in transit.
+    A small request is written by a pull producer, which the transport calls again once the last byte has been
+    sent. A large one is streamed.
 
     Attributes
     ----------
     on_written : Callable[[], None]
-        Called just before the last byte is handed over.
+        Called just before the last byte is passed to the transport.
     on_broken : Callable[[], None]
-        Called when the rest of the request will never come.
+        Called when the body of the request is truncated.
     is_flushed : bool
-        The last byte has left.
+        The last byte has been sent.
     body_sender : BodySender | None
-        Writes the body of a large request, until that has left.
+        Streams the body of a large request, until it has been sent.
     """
 
     __slots__ = ("body_sender", "is_flushed", "on_broken", "on_written", "transport", "unwritten")
@@ -44,7 +44,7 @@
         self.body_sender: BodySender | None = None
 
     def start(self, request: ForwardedRequest, remaining_ms: int) -> None:
-        """Write the request, with the time that is left for it in its head."""
+        """Write the request, with the remaining time in its head."""
         head = b"%sX-Time-Left-Ms: %d\r\n\r\n" % (request.head, remaining_ms)
         if request.stream is None:
             self.unwritten = head + request.body
@@ -62,25 +62,25 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether a byte of the request may have left."""
+        """Whether a byte of the request may have been sent."""
         has_sent = self.body_sender is not None and self.body_sender.has_sent
         return self.is_flushed or bool(self.transport.dataBuffer) or has_sent
 
     def mark_flushed(self) -> None:
-        """Note that the last byte of the request has left."""
+        """Record that the last byte of the request has been sent."""
         self.is_flushed = True
         self.body_sender = None
 
     def stop(self) -> None:
-        """Write no more of a large request."""
+        """Stop sending a large request."""
         if self.body_sender is not None:
             self.body_sender.stopProducing()
             self.body_sender = None
 
-    # What a transport calls
+    # Pull producer interface, called by the transport
 
     def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Write a small request, or take note that it is out."""
+        """Write a small request, or record that it has been sent."""
         if self.unwritten:
             data, self.unwritten = self.unwritten, b""
             self.on_written()
@@ -90,4 +90,4 @@
             self.mark_flushed()
 
     def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
-        """Do nothing: the connection has ended first, and settles the attempt itself."""
+        """Do nothing: the connection was closed, and settles the attempt itself."""
--- a/wheatring/daemon/http1/response_forwarder.py
+++ b/wheatring/daemon/http1/response_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards a large answer from its endpoint's connection, no faster than its caller takes it."""
+"""Forwards a large response from an endpoint to its caller, with flow control."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from wheatring.daemon.core.clock import Clock
 
     class ForwardingPool(Protocol):
-        """The pool of a connection, as far as it is used here."""
+        """The part of a connection pool that is used here."""
 
         reactor: Any
         clock: Clock
 
     class ForwardingConnection(Protocol):
-        """The endpoint connection that an answer comes on, as far as it is used here."""
+        """The part of an endpoint connection that is used here."""
 
         parser: MessageParser
         transport: Any
@@ -32,39 +32,39 @@
 
         @property
         def pool(self) -> ForwardingPool:
-            """Its pool."""
+            """The pool of the connection."""
 
         def start_stall_timer(self, seconds: float) -> None:
-            """Reject the answer if nothing more comes for so long."""
+            """Reject the response if no data arrives for `seconds`."""
 
         def stop_stall_timer(self) -> None:
             """Cancel the stall timer."""
 
         def keep_or_close(self, keep_alive: bool) -> None:
-            """Keep the connection for the next attempt, or close it if that can't be."""
+            """Return the connection to the pool, or close it if it can't be reused."""
 
         def reject_answer(self, reason: str) -> None:
-            """Fail the attempt: what came is no answer."""
+            """Fail the attempt and reset the connection."""
 
         def abort(self, code: str) -> None:
-            """End the connection at once."""
+            """Reset the connection immediately."""
 
 
-# Without another byte, after which a forwarded answer counts as malformed. That is long: it can't be had
-# elsewhere any more, and its caller waits for the rest.
+# Longest gap in a forwarded response; after a longer one it counts as malformed. The limit is high because
+# the request can't be retried any more once its caller has received a part of the response.
 STREAM_STALL_SECONDS = 10.0
-# An answer is forwarded before it is complete once it has taken so long and is large, or of unknown length:
-# its first bytes are what its caller waits for.
+# Time after its head at which an incomplete response is forwarded if it is large or of unknown length, so
+# that the caller gets the first bytes early.
 STREAM_AFTER_SECONDS = 0.3
 STREAM_UNKNOWN_LENGTH_AFTER_SECONDS = 0.5
-# Once its caller's time is over, such an answer must have brought so many bytes a second, unless its caller
-# is behind; and how often that is checked. One without end would be forwarded for ever.
+# Minimum average rate of a forwarded response after the deadline of its request, unless the caller reads more
+# slowly, and the interval of the checks. Without it, an endless response would be forwarded forever.
 MIN_ANSWER_BYTES_PER_SECOND = 32 * 1024
 STREAM_CHECK_SECONDS = 0.1
 
 
 def stream_due_at(message: Message, head_read_at: float) -> float:
-    """Return the instant from which an answer that is not complete is forwarded; `inf`: it is awaited."""
+    """Return the time from which an incomplete response is forwarded; `inf` if it must be complete."""
     if message.content_length is None:
         return head_read_at + STREAM_UNKNOWN_LENGTH_AFTER_SECONDS
     if message.content_length > BUFFERED_BODY_BYTES:
@@ -73,16 +73,16 @@
 
 
 class ResponseForwarder:
-    """An answer that its connection forwards as it comes.
+    """A response that is forwarded while it is being received.
 
     Attributes
     ----------
     body : Body
-        The body of the answer, in transit to the caller.
+        Body of the response, which the caller's connection reads.
     keep_alive : bool
-        Whether the connection may be kept after it.
+        Whether the connection may be reused after the response.
     head_read_at : float
-        The instant at which its head was read.
+        Time at which the head of the response was read.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         self.head_read_at = head_read_at
 
     def start(self, data: bytes, caller_deadline: float) -> None:
-        """Begin with what has come by now."""
+        """Start with the data received so far."""
         self.connection.pool.clock.at(caller_deadline, self.check)
         self.body.on_space = self.resume
         self.body.on_cancel = self.abort
@@ -102,7 +102,7 @@
         self.connection.start_stall_timer(STREAM_STALL_SECONDS)
 
     def forward(self) -> None:
-        """Pass on what has come. Raises MalformedMessageError."""
+        """Pass on received data. Raises MalformedMessageError."""
         data, is_complete = self.connection.parser.read_body()
         if is_complete:
             self.detach()
@@ -113,9 +113,10 @@
         self.pause_if_full()
 
     def check(self, end_offset: int = -1) -> None:
-        """Check, once the caller's time is over, that the endpoint goes on with its answer.
+        """Check after the caller's deadline that the endpoint still makes progress.
 
-        If the caller has all that came, and no more has since the last check, the endpoint's end is missing.
+        The response is rejected if it is below the minimum rate, the caller has read all of it, and nothing
+        more was received since the last check.
         """
         if self.connection.stream is not self:
             return
@@ -124,30 +125,30 @@
         expected = MIN_ANSWER_BYTES_PER_SECOND * (pool.clock.now() - self.head_read_at)
         if body.taken_offset == body.end_offset < expected:
             if body.end_offset == end_offset:
-                self.connection.reject_answer("answer not whole in time")
+                self.connection.reject_answer("response too slow after the deadline")
                 return
             delay = 0.0
         call_after_read(pool.reactor, self.check, body.end_offset, delay=delay)
 
     def pause_if_full(self) -> None:
-        """Stop reading while the caller is slower: what waits here is not the endpoint's silence."""
+        """Pause reading while the caller is slower; the stall time-out is suspended meanwhile."""
         if self.connection.stream is self and self.body.is_full:
             self.connection.stop_stall_timer()
             self.connection.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on: the caller has taken enough."""
+        """Resume reading, as the caller has read enough."""
         if self.connection.is_connected and not self.connection.close_code:
             self.connection.start_stall_timer(STREAM_STALL_SECONDS)
             self.connection.transport.resumeProducing()
 
     def detach(self) -> None:
-        """Leave the body to its reader: the connection has no more to do with it."""
+        """Detach the body from the connection; the reader keeps the data received so far."""
         self.connection.stream = None
         self.body.on_space = self.body.on_cancel = no_listener
 
     def abort(self) -> None:
-        """End the connection: nobody takes the answer any more."""
+        """Reset the connection, as the caller has disconnected."""
         self.detach()
         self.connection.stop_stall_timer()
         self.connection.abort("caller-gone")
--- a/wheatring/daemon/http1/server.py
+++ b/wheatring/daemon/http1/server.py
@@ -1,4 +1,4 @@
-"""The server side: the connections of callers, whose requests go to the exchange."""
+"""The server for callers: accepts connections, and submits their requests to the exchange."""
 
 from __future__ import annotations
 
@@ -23,49 +23,51 @@
 if TYPE_CHECKING:
     from wheatring.daemon.http1.request_builder import Authorizer, Router
 
-# The states in which a connection may lose its place to a caller that waits for one.
+# States in which a connection may be evicted in favour of a waiting caller.
 EVICTABLE = frozenset((CallerState.RESTING, CallerState.READING, CallerState.CLOSING, CallerState.SHUT))
-# Nothing has been written for the present request.
+# States in which nothing has been written for the current request.
 UNANSWERED = frozenset((CallerState.RESTING, CallerState.READING, CallerState.UPLOADING))
 
-SWEEP_SECONDS = 0.25  # between two checks for callers that keep a connection for nothing
-IDLE_SECONDS = 20.0  # after which a connection between requests is closed
-IDLE_CROWDED_SECONDS = 2.0  # the same once half of the places are taken: a caller may rely on no more
-# A connection keeps its place so long without a request when all places are taken. A caller that has just
-# connected can write its request in it, and a crowd that sends nothing can't shut the others out.
+SWEEP_SECONDS = 0.25  # interval of the checks for idle and slow connections
+IDLE_TIMEOUT_SECONDS = 20.0  # for a connection between requests
+# The same while more than half of the slots are in use. This is the idle time that callers can rely on.
+CROWDED_IDLE_TIMEOUT_SECONDS = 2.0
+# Time without a request after which a connection may be evicted when all slots are in use: long enough for a
+# new caller to send its request, short enough that many silent connections can't lock out other callers.
 EVICT_AFTER_SECONDS = 0.3
-EVICT_CHECKS = 6  # in that time
-EVICT_FRACTION = 8  # one in so many places is freed at once
-BACKLOG = 511  # callers that may wait to be accepted
-# In a shutdown: within which a caller that has connected begins its request, within which a request that has
-# begun is complete, and within which an answer is read.
-FIRST_BYTE_SECONDS = 0.1
-PARTIAL_REQUEST_SECONDS = 0.3
-FLUSH_SECONDS = 0.5
-BRIEF_FLUSH_SECONDS = 0.1  # the last, once SIGKILL is near
+EVICT_CHECKS_PER_PERIOD = 6  # checks in EVICT_AFTER_SECONDS
+EVICT_DIVISOR = 8  # at most 1/8 of all slots are freed by one check
+BACKLOG = 511  # length of the accept queue
+# Time limits during a shutdown: for a connected caller to begin its request, for a partial request to be
+# completed, and for a response to be read.
+FIRST_BYTE_TIMEOUT_SECONDS = 0.1
+PARTIAL_REQUEST_TIMEOUT_SECONDS = 0.3
+FLUSH_TIMEOUT_SECONDS = 0.5
+FINAL_FLUSH_TIMEOUT_SECONDS = 0.1  # for a response to be read, shortly before SIGKILL is expected
 
 
 class Server(ServerFactory):
-    """The callers' side of one process.
+    """The server for callers of one process.
 
     Attributes
     ----------
     connections : dict[CallerConnection, None]
-        In the order in which they came. In an order of memory's, two runs of one simulated day would differ.
+        In order of arrival. A set is ordered by memory address, which would make simulation runs
+        irreproducible.
     is_out_of_service : bool
-        Callers are sent elsewhere.
-    is_cut_short : bool
-        The open requests have been given up, and nothing more is begun.
+        The health check fails, so that callers use other sidecars.
+    rejects_requests : bool
+        Open requests have been cancelled, and new requests are rejected.
     last_connect_at : float
-        The instant of the last new connection.
+        Time of the last new connection.
     authorizer : Authorizer | None
-        Returns the classes that a request's fields allow; raises RequestRejectedError.
+        Returns the classes that a request's header fields permit; raises RequestRejectedError.
     router : Router | None
         Returns a request's route; raises RequestRejectedError.
     listener : Any
-        The listening socket, while there is one.
+        The listening socket; None if there is none.
     is_full : bool
-        All places are taken, and nobody is accepted.
+        All slots are in use, and accepting is paused.
     """
 
     noisy = False
@@ -79,7 +81,7 @@
         max_connections: int,
         body_memory: BodyMemory,
     ) -> None:
-        # A simulated reactor does both itself; its listener keeps to `free_places` as well.
+        # A simulated reactor provides both; its listener also respects `free_slots`.
         self.open_listener: Callable[..., Any] = getattr(reactor, "open_listener", open_listener)
         self.has_hung_up: Callable[[Any], bool] = getattr(reactor, "has_hung_up", has_hung_up)
         self.reactor = reactor
@@ -92,47 +94,47 @@
         self.connections: dict[CallerConnection, None] = {}
         self.is_stopping = False
         self.is_out_of_service = False
-        self.is_cut_short = False
+        self.rejects_requests = False
         self.last_connect_at = -inf
         self.authorizer: Authorizer | None = None
         self.router: Router | None = None
         self.listener: Any = None
         self.is_full = False
-        self.evict_timer: Timer | None = None  # one at most, or a crowd that comes and goes would start many
+        self.evict_timer: Timer | None = None  # at most one is pending, however often the server fills up
         self.sweep()
 
     def buildProtocol(self, addr: object) -> CallerConnection:  # noqa: ARG002, N802 - Twisted's signature
-        """Return the protocol of a new connection."""
+        """Return the protocol for a new connection."""
         return CallerConnection(self)
 
     def listen(self, host: str, port: int, is_shared: bool = False) -> int:
-        """Listen for callers, beside another process at the same address if `is_shared`; return the port."""
+        """Listen for callers and return the port; `is_shared` allows another process at the same address."""
         open_socket = open_shared_listener if is_shared else self.open_listener
         self.listener = open_socket(port, self, BACKLOG, host, self.reactor)
         bound: int = self.listener.getHost().port
         return bound
 
     @property
-    def is_ending(self) -> bool:
-        """Whether each answer is the last one on its connection."""
+    def closes_after_response(self) -> bool:
+        """Whether connections are closed after their next response."""
         return self.is_stopping or self.is_out_of_service
 
-    # Places
+    # Connection slots
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Have places for so many callers from now on."""
+        """Change the maximum number of connections."""
         self.max_connections = max_connections
         self._resume_accepting()
 
     @property
-    def free_places(self) -> int:
-        """How many more callers may connect."""
+    def free_slots(self) -> int:
+        """Number of further connections that can be accepted."""
         return self.max_connections - len(self.connections)
 
     def add(self, connection: CallerConnection) -> None:
-        """Take a new connection; with the last place, accept no more.
+        """Register a new connection; pause accepting if it takes the last slot.
 
-        Beyond that the process would run out of descriptors. Callers wait in the listener's backlog.
+        The process would run out of file descriptors otherwise. Further callers wait in the accept queue.
         """
         self.connections[connection] = None
         self.last_connect_at = connection.state_since
@@ -143,7 +145,7 @@
                 self.evict()
 
     def remove(self, connection: CallerConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self.connections.pop(connection, None)
         self._resume_accepting()
 
@@ -154,105 +156,106 @@
                 self.listener.startReading()
 
     def evict(self) -> None:
-        """While all places are taken, free those of connections that have had no request for longest."""
+        """Evict the connections without a request for the longest time, as long as all slots are in use."""
         self.evict_timer = None
         if not self.is_full:
             return
         now = self.clock.now()
         candidates = [each for each in self.connections if each.state in EVICTABLE]
         candidates = [each for each in candidates if now > each.state_since + EVICT_AFTER_SECONDS]
-        # Those that only wait for their caller to close go first.
+        # Connections that only wait for the caller to close are evicted first.
         candidates.sort(key=lambda connection: (not connection.close_code, connection.state_since))
-        for connection in candidates[: max(1, self.max_connections // EVICT_FRACTION)]:
+        for connection in candidates[: max(1, self.max_connections // EVICT_DIVISOR)]:
             connection.evict()
-        self.evict_timer = self.clock.at(now + EVICT_AFTER_SECONDS / EVICT_CHECKS, self.evict)
+        self.evict_timer = self.clock.at(now + EVICT_AFTER_SECONDS / EVICT_CHECKS_PER_PERIOD, self.evict)
 
     def sweep(self) -> None:
-        """End connections that are kept for nothing, now and from time to time."""
+        """Close connections that exceed their time limits, now and periodically."""
         now = self.clock.now()
         self.clock.at(now + SWEEP_SECONDS, self.sweep)
         is_crowded = 2 * len(self.connections) > self.max_connections
-        idle_seconds = IDLE_CROWDED_SECONDS if is_crowded else IDLE_SECONDS
+        idle_seconds = CROWDED_IDLE_TIMEOUT_SECONDS if is_crowded else IDLE_TIMEOUT_SECONDS
         for connection in list(self.connections):
             connection.enforce_limits(now, idle_seconds)
 
     # Requests
 
     def create_request(self, message: Message, arrived_at: float) -> Request:
-        """Return the request that a message asks for, whose last byte came at `arrived_at`.
+        """Return the request for a parsed message, whose last byte arrived at `arrived_at`.
 
         Raises
         ------
         RequestRejectedError
-            It asks for none, or none is taken any more.
+            The message is not a valid request, or the process is shutting down.
         """
-        if self.is_cut_short:
+        if self.rejects_requests:
             raise RequestRejectedError(503, "stopping")
         return self.request_builder.build(message, arrived_at, self.authorizer, self.router)
 
-    # Shutdown, and out of service
+    # Shutdown and out of service
 
     def idle_connections(self) -> list[CallerConnection]:
-        """Return the connections between requests, the one idle for longest first."""
+        """Return the connections between requests, longest idle first."""
         idle = [each for each in self.connections if each.state is CallerState.RESTING]
         idle.sort(key=lambda connection: connection.state_since)
         return idle
 
-    def close_idle(self, keep: int, idle_seconds: float = 0.0) -> None:
-        """Close connections between requests until no more than `keep` are left of the present ones.
+    def close_idle(self, keep: int, min_idle_seconds: float = 0.0) -> None:
+        """Close idle connections until at most `keep` of the current ones are left.
 
-        None is closed that has been idle for less than `idle_seconds`, as its caller may send at any moment.
+        Connections that have been idle for less than `min_idle_seconds` are kept, as their callers may be
+        about to send the next request.
         """
         idle = self.idle_connections()
-        before = self.clock.now() - idle_seconds
+        latest_idle_since = self.clock.now() - min_idle_seconds
         for connection in idle[: max(0, len(idle) - keep)]:
-            if connection.state_since <= before:
-                self.end_after_read(connection, "stopping")
+            if connection.state_since <= latest_idle_since:
+                self.close_after_read(connection, "stopping")
 
-    def end_after_read(self, connection: CallerConnection, code: str) -> None:
-        """End a connection once all has been read that the system holds, if it may still be ended then."""
+    def close_after_read(self, connection: CallerConnection, code: str) -> None:
+        """Close a connection after the kernel's receive buffer was read, unless a request has arrived."""
         state_since, is_partial = connection.state_since, connection.parser.has_partial_message
-        call_after_read(self.reactor, self.end_if_unchanged, connection, code, state_since, is_partial)
+        call_after_read(self.reactor, self.close_if_unchanged, connection, code, state_since, is_partial)
 
-    def end_if_unchanged(
+    def close_if_unchanged(
         self, connection: CallerConnection, code: str, state_since: float, is_partial: bool
     ) -> None:
-        """End a connection that has read nothing since, and to which no answer is due."""
+        """Close a connection that has received nothing meanwhile and has no response in progress."""
         is_unchanged = (
             connection.state_since == state_since and connection.parser.has_partial_message == is_partial
         )
         if is_unchanged and connection.state in UNANSWERED:
-            connection.end_unanswered(code)
+            connection.close_unanswered(code)
 
     def stop_listening(self) -> None:
-        """Accept those that wait, and close the listening socket: with it, they would be reset."""
-        listener, before = self.listener, -1
+        """Accept the queued connections, which the close would reset, and close the listening socket."""
+        listener, previous_count = self.listener, -1
         if listener is not None:
-            while before < len(self.connections) < self.max_connections:
-                before = len(self.connections)
+            while previous_count < len(self.connections) < self.max_connections:
+                previous_count = len(self.connections)
                 listener.doRead()
             listener.stopListening()
             self.listener = None
 
-    def close_unanswered(self, is_patient: bool = False, is_final: bool = False) -> None:
-        """Close the connections without a request under way, as no caller can connect any more.
+    def close_unanswered(self, allow_uploads: bool = False, is_final: bool = False) -> None:
+        """Close the connections without a request in flight, after the listening socket was closed.
 
-        Also those of callers that take too long to send a request, unless `is_patient` with large ones, or to
-        read its answer: shorter, if `is_final`.
+        A caller that sends a request or reads a response too slowly is disconnected as well. `allow_uploads`:
+        uploads of large requests are left alone. `is_final`: the time to read a response is shorter.
         """
         now = self.clock.now()
-        flush_seconds = BRIEF_FLUSH_SECONDS if is_final else FLUSH_SECONDS
+        flush_timeout = FINAL_FLUSH_TIMEOUT_SECONDS if is_final else FLUSH_TIMEOUT_SECONDS
         for connection in list(self.connections):
             match connection.state:
                 case CallerState.CLOSING | CallerState.SHUT:
-                    if now > connection.state_since + flush_seconds:
+                    if now > connection.state_since + flush_timeout:
                         connection.disconnect()
                 case CallerState.RESTING:
-                    self.end_after_read(connection, "stopping")
+                    self.close_after_read(connection, "stopping")
                 case CallerState.READING | CallerState.UPLOADING as state:
-                    if is_patient and state is CallerState.UPLOADING:
+                    if allow_uploads and state is CallerState.UPLOADING:
                         continue
                     has_begun = connection.parser.has_partial_message
-                    limit = PARTIAL_REQUEST_SECONDS if has_begun else FIRST_BYTE_SECONDS
+                    limit = PARTIAL_REQUEST_TIMEOUT_SECONDS if has_begun else FIRST_BYTE_TIMEOUT_SECONDS
                     if now > connection.state_since + limit:
-                        self.end_after_read(connection, "stopping")
+                        self.close_after_read(connection, "stopping")
--- a/wheatring/daemon/http1/superseded_calls.py
+++ b/wheatring/daemon/http1/superseded_calls.py
@@ -1,4 +1,4 @@
-"""Calls to discovery whose place another has taken: what discovery wrote on them before that still counts."""
+"""Superseded calls to discovery, whose responses are still applied if they arrive in time."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 def discard(client: DiscoveryClient, code: str) -> None:
-    """Abort a client's call without a report of its end."""
+    """Abort a client's call without running its callback."""
     client.on_answer = None
     client.stop(code)
 
 
 class SupersededCalls:
-    """The calls that have been superseded and are not answered yet.
+    """The superseded calls that have not been answered yet.
 
     Attributes
     ----------
     apply_answer : Callable[[Any, bool], None]
-        Receives an answer that counts, and whether its call was for the whole list.
+        Called with a response, and whether its call requested the full list.
     clients : list[DiscoveryClient]
-        Those that make the calls, oldest first.
+        The clients that make the calls, oldest first.
     """
 
     def __init__(self, apply_answer: Callable[[Any, bool], None]) -> None:
@@ -31,12 +31,12 @@
         self.clients: list[DiscoveryClient] = []
 
     def add(self, client: DiscoveryClient, is_full: bool) -> None:
-        """Take over the answer to a client's call; `is_full`: it was for the whole list."""
+        """Take over the callback of a client's call; `is_full`: the call requested the full list."""
         client.on_answer = partial(self._handle_answer, client, is_full)
         self.clients.append(client)
 
     def _handle_answer(self, client: DiscoveryClient, is_full: bool, answer: Any) -> None:
-        """Take the end of a call. The calls superseded before it know less."""
+        """Apply the response to a call, and discard older calls, whose responses would be outdated."""
         index = self.clients.index(client)
         if answer is None:
             del self.clients[index]
@@ -48,7 +48,7 @@
         self.apply_answer(answer, is_full)
 
     def discard_all(self, code: str) -> None:
-        """Abort all calls."""
+        """Abort all superseded calls."""
         clients, self.clients = self.clients, []
         for client in clients:
             discard(client, code)
--- a/wheatring/daemon/pools/routed_pool.py
+++ b/wheatring/daemon/pools/routed_pool.py
@@ -125,7 +125,7 @@
     def set_pace(self, pace: RequestPace) -> None:
         """Ask for its own list, if it has one, as often as this says."""
         if self.selection is None:
-            self.serving.machine_list.asking.pace = pace
+            self.serving.machine_list.request_schedule.pace = pace
 
     def close(self, code: str) -> None:
         """End it, as it has no requests, or the sidecar ends."""
--- a/wheatring/daemon/shutdown.py
+++ b/wheatring/daemon/shutdown.py
@@ -53,12 +53,12 @@
             server.close_idle(keep, leaving.min_idle_seconds)
         else:
             is_final = now >= leaving.deadline
-            server.close_unanswered(is_patient=leaving.has_successor and not is_final, is_final=is_final)
+            server.close_unanswered(allow_uploads=leaving.has_successor and not is_final, is_final=is_final)
 
     def _cut_short(self, now: float) -> None:
         """Give up the requests that are still open."""
         exchange, leaving = self.sidecar.exchange, self.leaving
         if exchange.open_count:
             log.line("cut-short", open=exchange.open_count, after=now - leaving.started_at)
-            self.sidecar.server.is_cut_short = True
+            self.sidecar.server.rejects_requests = True
             exchange.answer_all(leaving)
--- a/wheatring/lab/net/transports.py
+++ b/wheatring/lab/net/transports.py
@@ -231,5 +231,5 @@
 
     def doRead(self) -> Why:  # noqa: N802 - Twisted's name
         """Accept no more than the factory has places for."""
-        self.numberAccepts = max(1, min(self.numberAccepts, self.factory.free_places))
+        self.numberAccepts = max(1, min(self.numberAccepts, self.factory.free_slots))
         super().doRead()
