--- a/tests/daemon/http1/attempts.py
+++ b/tests/daemon/http1/attempts.py
@@ -1,4 +1,4 @@
-"""What the tests of the endpoint's side share: attempts at an instant that the test forces."""
+"""Helpers for tests of endpoint connections: attempts that are started at a controlled point in time."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 LATE_REQUEST = ForwardedRequest(b"POST /late HTTP/1.1\r\n", b"")
 
 
-def submit(world: World, name: str = "unsafe", dialling: bool = True) -> tuple[Request, list[Answer]]:
-    """Submit a request; to be called in the reactor.
+def submit(world: World, name: str = "unsafe", is_connecting: bool = True) -> tuple[Request, list[Answer]]:
+    """Submit a request; must be called in the reactor.
 
-    When it returns, the connect of the first attempt is under way, or its request has been handed to an idle
-    connection and none of it has left.
+    On return, the connect of the first attempt is pending. With `is_connecting=False`, its request has been
+    passed to an idle connection instead, and no byte of it has been sent.
     """
     request = Request("late", name, world.sidecar.clock.now() + 6, LATE_REQUEST)
     answers: list[Answer] = []
 
-    def answered(answer: Answer) -> None:
+    def on_answer(answer: Answer) -> None:
         answers.append(answer)
         log.line("answered")
 
-    world.sidecar.exchange.submit(request).addCallback(answered)
+    world.sidecar.exchange.submit(request).addCallback(on_answer)
     (attempt,) = request.attempts
-    assert attempt.outcome is None and attempt.is_written is not dialling
+    assert attempt.outcome is None and attempt.is_written is not is_connecting
     return request, answers
 
 
 def apply_list(world: World, *items: dict[str, Any], reset: bool = False) -> None:
-    """Apply this answer of discovery; to be called in the reactor."""
+    """Apply a response of discovery; must be called in the reactor."""
     world.sidecar.machine_list.apply({"generation": 8, "reset": reset, "instances": list(items)}, None)
 
 
 def accept_request(peer: Peer) -> tuple[Wire, str]:
-    """Return the next connection there that carries a request, and its first line; close unused ones."""
+    """Return the next connection that carries a request, and its request line; skip unused ones."""
     while True:
         wire = peer.accept()
         with suppress(EOFError, ConnectionResetError):
@@ -46,7 +46,7 @@
 
 
 def kept_connection(world: World, caller: Wire) -> Wire:
-    """One that has carried a request, and is kept."""
+    """Return an idle connection to the first endpoint, which has carried one request."""
     world.ask(wire=caller)
     wire = world.nodes[0].accept()
     wire.read()
--- a/tests/daemon/http1/test_caller_connection.py
+++ b/tests/daemon/http1/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""The caller's side: whose connection ends when, and what is owed on it then. Each crossing is forced."""
+"""Connections of callers: when they are closed, and which responses must be sent before. Races are forced."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def slow_reader(world: World) -> Wire:
-    """Return a caller most of whose answer waits at the sidecar's end until it reads."""
+    """Return a caller with a small receive buffer, so that most of a response stays at the sidecar."""
     if not isinstance(world.sockets, LoopbackSockets):
         return world.caller()
     sock = socket.socket()
@@ -39,35 +39,35 @@
     return world.wires[-1]
 
 
-def ended(world: World) -> Callable[[], object]:
-    """Whether the sidecar has ended, for its part, the connection that is there now."""
+def closed_by_sidecar(world: World) -> Callable[[], object]:
+    """Return a function that returns whether the sidecar has closed the only connection."""
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     return lambda: connection.close_code
 
 
-def until(world: World, met: Callable[[], object]) -> None:
-    """Let the reactor go on until something is so there."""
+def wait_until(world: World, condition: Callable[[], object]) -> None:
+    """Run the reactor until a condition holds in it."""
     limit = monotonic() + WAIT_LIMIT_SECONDS
-    while not world.run(met):
-        assert monotonic() < limit, "it never came"
+    while not world.run(condition):
+        assert monotonic() < limit, "condition not met in time"
         world.settle()
 
 
-@pytest.mark.parametrize("how", ["asked", "stopping", "old"])
-def test_an_answer_reaches_a_caller_that_goes_on_writing(make: Make, how: str) -> None:
-    """A close over unread bytes, or one after which more come, is a reset: what waits to be sent is gone."""
+@pytest.mark.parametrize("how", ["connection: close", "stopping", "HTTP/1.0"])
+def test_last_response_reaches_a_caller_that_keeps_writing(make: Make, how: str) -> None:
+    """A close with unread or further input would send a reset, and pending output would be lost."""
     world = make()
     wire = slow_reader(world)
-    version = b"HTTP/1.0" if how == "old" else b"HTTP/1.1"
-    close = b"Connection: close\r\n" if how == "asked" else b""
+    version = b"HTTP/1.0" if how == "HTTP/1.0" else b"HTTP/1.1"
+    close = b"Connection: close\r\n" if how == "connection: close" else b""
     wire.send(b"GET /menu %s\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n%s\r\n" % (version, close))
     node = world.nodes[0].accept()
     node.read()
-    over = ended(world)
+    is_closed = closed_by_sidecar(world)
     if how == "stopping":
         world.sidecar.server.is_stopping = True
     node.answer(200, LARGE)
-    until(world, over)
+    wait_until(world, is_closed)
     world.settle()
     wire.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: late\r\n\r\n")
     world.settle()
@@ -76,10 +76,10 @@
     assert wire.at_end()
     wire.close()
     assert len(world.logged("caller-connection")) == 1
-    assert world.sidecar.driver.last_id == 1  # what was read after the last answer went nowhere
+    assert world.sidecar.driver.last_id == 1  # input after the last response was discarded
 
 
-def test_of_what_comes_after_the_last_answer_no_more_than_a_part_is_read(
+def test_input_after_the_last_response_is_read_up_to_a_limit(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(caller_lifecycle, "MAX_DISCARDED_BYTES", 5)
@@ -90,19 +90,19 @@
     assert wire.read()[0] == "HTTP/1.1 200 OK" and wire.at_end()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     wire.send(b"123456")
-    until(world, lambda: connection.is_paused)
+    wait_until(world, lambda: connection.is_paused)
     assert not connection.parser.buffer
-    assert world.logged("caller-connection") == ["caller-asked"]  # and it is let go in its time
+    assert world.logged("caller-connection") == ["caller-asked"]  # closed after the linger time-out
 
 
-def test_one_that_asks_on_and_reads_nothing_is_given_a_last_answer_and_time_to_read(
+def test_caller_that_pipelines_without_reading_gets_a_last_response_and_time_to_read(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its answers must not fill the memory; those that it has are whole, once it reads."""
+    """The memory for responses is bounded, and all responses that were written are complete."""
     monkeypatch.setattr(caller_connection, "MAX_PENDING_ANSWER_BYTES", 10_000)
     world = make()
     wire = slow_reader(world)
-    until(world, lambda: world.sidecar.server.connections)
+    wait_until(world, lambda: world.sidecar.server.connections)
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     transport: Any = connection.transport
     world.run(lambda: transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096))
@@ -123,64 +123,64 @@
     assert {(first, body) for first, _, body in answers} == {("HTTP/1.1 200 OK", b"ok\n")}
 
 
-def test_those_that_are_only_heard_out_take_no_place_from_a_caller(make: Make) -> None:
+def test_lingering_connections_do_not_block_new_callers(make: Make) -> None:
     world = make()
-    most = world.sidecar.server.max_connections
-    for _ in range(most):
+    max_connections = world.sidecar.server.max_connections
+    for _ in range(max_connections):
         wire = world.caller()
         wire.send(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
         wire.read()
     late = world.caller()
     late.send(b"GET /healthz HTTP/1.1\r\n\r\n")
     assert late.read()[0] == "HTTP/1.1 200 OK"
-    assert world.run(lambda: len(world.sidecar.server.connections)) <= most
+    assert world.run(lambda: len(world.sidecar.server.connections)) <= max_connections
 
 
-def test_a_connection_is_in_one_state_after_the_other(make: Make) -> None:
-    """And is ended between requests and in the middle of one, but not in the middle of an answer."""
+def test_connection_passes_through_all_states(make: Make) -> None:
+    """A shutdown closes it between requests and during a request, but not during a response."""
     world = make()
     wire = world.caller()
-    until(world, lambda: world.sidecar.server.connections)
+    wait_until(world, lambda: world.sidecar.server.connections)
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
 
-    def comes_to(state: CallerState) -> None:
-        until(world, lambda: connection.state is state)
+    def expect_state(state: CallerState) -> None:
+        wait_until(world, lambda: connection.state is state)
 
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: a\r\n\r\n"
-    comes_to(CallerState.READING)
+    expect_state(CallerState.READING)
     wire.send(b"GET /healthz HTTP/1.1\r\n\r\n")
-    comes_to(CallerState.RESTING)
+    expect_state(CallerState.RESTING)
     assert wire.read()[0] == "HTTP/1.1 200 OK"
     wire.send(request[:20])
-    comes_to(CallerState.READING)
+    expect_state(CallerState.READING)
     wire.send(request[20:])
-    comes_to(CallerState.BUSY)
+    expect_state(CallerState.BUSY)
     node = world.nodes[0].accept()
     node.read()
     node.send(b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + b"x" * 100_000)
-    comes_to(CallerState.STREAMING)
+    expect_state(CallerState.STREAMING)
     world.run(lambda: world.sidecar.server.close_unanswered(is_final=True))
     node.send(b"x" * 100_000)
     assert wire.read()[2] == b"x" * 200_000
-    comes_to(CallerState.RESTING)
+    expect_state(CallerState.RESTING)
     wire.send(b"POST /order HTTP/1.1\r\nX-Correlation-Id: b\r\nContent-Length: 200000\r\n\r\n")
     wire.send(b"x" * 100_000)
-    comes_to(CallerState.UPLOADING)
+    expect_state(CallerState.UPLOADING)
     wire.send(b"x" * 100_000)
-    comes_to(CallerState.BUSY)
+    expect_state(CallerState.BUSY)
     node.read()
     world.sidecar.server.is_stopping = True
     node.answer(200, b"last")
     assert wire.read()[2] == b"last" and wire.at_end()
-    comes_to(CallerState.SHUT)
+    expect_state(CallerState.SHUT)
 
 
-def test_no_small_write_is_delayed_on_any_connection(make: Make) -> None:
+def test_tcp_nodelay_is_set_on_all_connections(make: Make) -> None:
     world = make()
     watch = world.discovery.accept()
     watch.read()
     world.ask()
-    node = world.nodes[0].accept()  # kept, or it would be closed
+    node = world.nodes[0].accept()  # the reference keeps the connection open
     node.read()
     sidecar = world.sidecar
     watcher: Any = sidecar.machine_list.client
@@ -188,20 +188,20 @@
     assert world.run(lambda: [end.transport.getTcpNoDelay() for end in ends]) == [True] * 3
 
 
-@pytest.mark.parametrize("how", ["end", "reset", "shut"])
-@pytest.mark.parametrize("ahead", [0, 200_000, 3_000_000])
-def test_a_caller_that_leaves_is_heard_however_much_it_has_sent_ahead(
-    make: Make, ahead: int, how: str
+@pytest.mark.parametrize("how", ["close", "reset", "half-close"])
+@pytest.mark.parametrize("pipelined_bytes", [0, 200_000, 3_000_000])
+def test_disconnect_is_detected_behind_any_amount_of_pipelined_input(
+    make: Make, pipelined_bytes: int, how: str
 ) -> None:
-    """Nothing of it begins later: not what waits, and not what waits behind that."""
+    """No pipelined request is started after it, whether already buffered or still unread."""
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
     node.read()
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: ahead\r\n\r\n"
-    wire.send(request * (ahead // len(request) + 1))
-    left = world.run(world.sidecar.clock.now)
-    if how == "shut":
+    wire.send(request * (pipelined_bytes // len(request) + 1))
+    left_at = world.run(world.sidecar.clock.now)
+    if how == "half-close":
         wire.sock.shutdown(socket.SHUT_WR)
     elif how == "reset":
         wire.reset()
@@ -209,52 +209,52 @@
         wire.close()
     world.logged("caller-connection")
     if isinstance(world.sockets, VirtualSockets):
-        assert world.run(world.sidecar.clock.now) - left < 0.1
+        assert world.run(world.sidecar.clock.now) - left_at < 0.1
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
     assert world.sidecar.driver.last_id == 1
 
 
-@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a peer's word is there in the same turn
-@pytest.mark.parametrize("how", ["end", "shut"])
+@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # input is available in the same iteration
+@pytest.mark.parametrize("how", ["close", "half-close"])
 @pytest.mark.parametrize("size", [0, 300_000])
-def test_a_request_whose_caller_had_gone_before_it_was_read_is_sent_nowhere(
+def test_request_of_a_caller_that_disconnected_before_it_was_read_is_not_sent(
     make: Make, how: str, size: int
 ) -> None:
-    """It waited at the door, and so did the word of its caller's end, behind it."""
+    """The request and the disconnect behind it were both pending when the connection was accepted."""
     world = make()
 
-    def crossing() -> None:
+    def request_and_disconnect() -> None:
         wire = world.ask("unsafe", more=f"Content-Length: {size}\r\n")
         wire.send(b"x" * size)
-        if how == "shut":
+        if how == "half-close":
             wire.sock.shutdown(socket.SHUT_WR)
         else:
             wire.close()
 
-    world.run(crossing)
+    world.run(request_and_disconnect)
     assert world.logged("caller-connection") == ["peer-closed"]
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
     assert world.sidecar.driver.last_id == 0
 
 
-def test_a_caller_that_sends_much_ahead_gets_the_present_answer_as_its_last(make: Make) -> None:
+def test_connection_is_closed_after_the_current_response_if_too_much_was_pipelined(make: Make) -> None:
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
     node.read()
     (connection,) = world.sidecar.server.connections
     wire.send(b"x" * 500_000)
-    until(world, lambda: connection.discarded_bytes > 300_000)
+    wait_until(world, lambda: connection.discarded_bytes > 300_000)
     assert not connection.parser.buffer
     node.answer(200, b"here")
     _, fields, body = wire.read()
     assert (fields["connection"], body) == ("close", b"here") and wire.at_end()
 
 
-def test_the_end_of_a_caller_that_has_sent_too_much_is_seen_behind_what_is_unread(
+def test_disconnect_after_too_much_pipelined_input_is_detected_behind_unread_input(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Not once all of that has been read, a part at a time."""
+    """It must not wait until all input has been read in parts."""
     monkeypatch.setattr(caller_lifecycle, "MAX_DISCARDED_BYTES", 5)
     monkeypatch.setattr(caller_lifecycle, "DISCARD_PAUSE_SECONDS", 1e9)
     world = make()
@@ -263,21 +263,21 @@
     node.read()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     wire.send(b"x" * 100_000)
-    until(world, lambda: connection.is_flooded)
+    wait_until(world, lambda: connection.is_flooded)
     wire.send(b"x" * 10)
-    until(world, lambda: connection.is_paused)
+    wait_until(world, lambda: connection.is_paused)
     wire.send(b"x" * 10)
     wire.close()
     world.settle()
-    world.run(lambda: setattr(connection, "resume", None))  # to read on fails
+    world.run(lambda: setattr(connection, "resume", None))  # resuming would raise
     world.run(connection.resume_discarding)
     assert world.logged("caller-connection") == ["peer-closed"]
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
 @pytest.mark.parametrize("others", [1, 3])
-def test_the_time_of_what_is_sent_ahead_runs_from_when_it_came(make: Make, others: int) -> None:
-    """And not from its turn, which comes when the answers before it are out."""
+def test_deadline_of_a_pipelined_request_runs_from_its_arrival(make: Make, others: int) -> None:
+    """It must not run from the time at which the previous responses have been sent."""
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
@@ -285,37 +285,37 @@
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     for n in range(others):
         world.ask(wire=wire, left=4000)
-        while world.run(lambda: len(connection.arrivals.segments)) <= n:  # each has an instant of its own
+        while world.run(lambda: len(connection.arrivals.segments)) <= n:  # each arrives at a different time
             world.settle()
-    came = world.run(world.sidecar.clock.now)
+    arrived_at = world.run(world.sidecar.clock.now)
     passed: list[bool] = []
     world.run(lambda: world.reactor.callLater(0.5, passed.append, True))
-    until(world, lambda: passed)
+    wait_until(world, lambda: passed)
     for _ in range(others):
         node.answer(200, b"before")
         wire.read()
         _, fields, _ = node.read()
         assert int(fields["x-time-left-ms"]) <= 3500
     (request,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
-    assert request.deadline <= came + 4.0
+    assert request.deadline <= arrived_at + 4.0
     node.answer(200, b"last")
     wire.read()
-    world.ask(wire=wire, left=4000)  # this one has its turn as it comes
+    world.ask(wire=wire, left=4000)  # this one is not queued
     node.read()
     (request,) = world.run(lambda: list(world.sidecar.exchange.open_requests.values()))
-    assert request.deadline > came + 4.5
+    assert request.deadline > arrived_at + 4.5
 
 
-def test_one_whose_time_is_up_when_its_turn_comes_is_answered_at_once_and_sent_nowhere(make: Make) -> None:
+def test_pipelined_request_that_expired_in_the_queue_is_rejected_without_an_attempt(make: Make) -> None:
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
     node.read()
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
     world.ask(wire=wire, left=300)
-    until(world, lambda: connection.arrivals.waiting_bytes)
+    wait_until(world, lambda: connection.arrivals.waiting_bytes)
     now = world.run(world.sidecar.clock.now)
-    until(world, lambda: world.sidecar.clock.now() > now + 0.3)
+    wait_until(world, lambda: world.sidecar.clock.now() > now + 0.3)
     node.answer(200, b"first")
     assert wire.read()[2] == b"first"
     assert wire.read()[0].split()[1] in ("502", "503")
@@ -323,23 +323,23 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=40))
-def test_the_arrival_time_of_the_last_consumed_byte_is_known(steps: list[tuple[int, bool]]) -> None:
-    """Against a list of one instant for each byte."""
-    arrivals, plain = ArrivalTimes(), deque[float]()
+def test_arrival_time_of_the_last_consumed_byte_is_returned(steps: list[tuple[int, bool]]) -> None:
+    """Compared with a model that stores one time for each byte."""
+    arrivals, model = ArrivalTimes(), deque[float]()
     for now, (size, reads) in enumerate(steps):
         if reads:
-            taken = [plain.popleft() for _ in range(min(size, len(plain)))]
-            assert arrivals.consume(len(plain), -1.0) == (taken[-1] if taken else -1.0)
+            consumed = [model.popleft() for _ in range(min(size, len(model)))]
+            assert arrivals.consume(len(model), -1.0) == (consumed[-1] if consumed else -1.0)
         else:
-            plain.extend([float(now)] * size)
-            arrivals.record(len(plain), float(now))
-        assert arrivals.waiting_bytes == len(plain)
+            model.extend([float(now)] * size)
+            arrivals.record(len(model), float(now))
+        assert arrivals.waiting_bytes == len(model)
 
 
 @pytest.mark.parametrize("size", [3, 100_000])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_caller_that_expects_100_continue_gets_it_on_its_turn(make: Make, version: str, size: int) -> None:
-    """HTTP/1.0 has no informational answers: its caller would take one for the final one."""
+def test_100_continue_is_sent_after_the_previous_response(make: Make, version: str, size: int) -> None:
+    """HTTP/1.0 has no interim responses: the caller would mistake one for the final response."""
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
@@ -347,10 +347,10 @@
     fields = "X-Correlation-Id: e\r\nExpect: 100-continue\r\n"
     wire.send(f"POST /order HTTP/{version}\r\n{fields}Content-Length: {size}\r\n\r\n".encode())
     (connection,) = world.run(lambda: list(world.sidecar.server.connections))
-    until(world, lambda: connection.parser.buffer)
+    wait_until(world, lambda: connection.parser.buffer)
     node.answer(200, b"before")
     assert wire.read()[2] == b"before"
-    until(world, lambda: connection.is_reading_request)
+    wait_until(world, lambda: connection.is_reading_request)
     if version == "1.1":
         assert wire.read()[0] == "HTTP/1.1 100 Continue"
     wire.send(b"x" * size)
@@ -359,16 +359,16 @@
     assert wire.read()[2] == b"here"
 
 
-def test_a_fault_in_a_callback_of_an_end_leaves_no_request_behind(make: Make) -> None:
+def test_exception_in_the_close_callback_still_withdraws_the_request(make: Make) -> None:
     world = make()
     wire = world.ask()
-    world.run(lambda: setattr(world.sidecar.server, "remove", None))  # to call it fails
+    world.run(lambda: setattr(world.sidecar.server, "remove", None))  # calling it raises
     wire.close()
     world.logged("caller-connection")
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
-def test_a_fault_on_the_way_to_what_was_sent_ahead_ends_the_connection(make: Make) -> None:
+def test_exception_while_parsing_a_pipelined_request_closes_the_connection(make: Make) -> None:
     world = make()
     wire = world.ask(wire=world.ask())
     node = world.nodes[0].accept()
@@ -382,7 +382,7 @@
     assert world.logged("caller-connection") == ["internal-error"]
 
 
-def test_a_fault_right_after_an_answer_does_not_take_it_back(make: Make) -> None:
+def test_exception_after_a_response_does_not_prevent_its_delivery(make: Make) -> None:
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
@@ -395,39 +395,39 @@
     assert world.logged("caller-connection") == ["internal-error"]
 
 
-def test_idle_callers_that_fill_the_descriptors_leave_discovery_its_own(tmp_path: Path) -> None:
-    """And the endpoints: with discovery back, the list is there, and a request goes by it."""
-    old, new, discovery, back, heard = Peer(), Peer(), Peer(), Event(), Event()
+def test_idle_callers_cannot_exhaust_the_descriptors_for_discovery_and_endpoints(tmp_path: Path) -> None:
+    """Once discovery responds again, the list is updated, and a request is sent to the new endpoint."""
+    old, new, discovery, is_available, subscribed = Peer(), Peer(), Peer(), Event(), Event()
 
     def answer(wire: Wire) -> None:
         first, _, _ = wire.read()
-        if not back.is_set():
+        if not is_available.is_set():
             wire.reset()
         elif "index=9&" in first:
-            heard.set()
+            subscribed.set()
             wire.read()
         else:
             wire.answer(200, list_body(9, entry("n1", new), reset=True))
             answer(wire)
 
     discovery.serve(answer)
-    where = f"127.0.0.1:{discovery.port}"
+    discovery_address = f"127.0.0.1:{discovery.port}"
     known = {"generation": 3, "instances": [entry("n0", old)]}
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-    with running_process(tmp_path, "", known=known, discovery=where, limits=limits) as process:
+    with running_process(tmp_path, "", known=known, discovery=discovery_address, limits=limits) as process:
         port = int(wait_for_line(process, "listening").rpartition("=")[2])
         resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (64, 64))
         wait_for_line(process, "list-failed")
         idle = [socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS) for _ in range(100)]
-        wait_for_line(process, "list-failed")  # while they stand
-        back.set()
-        assert heard.wait(WAIT_LIMIT_SECONDS)
+        wait_for_line(process, "list-failed")  # while the idle connections are open
+        is_available.set()
+        assert subscribed.wait(WAIT_LIMIT_SECONDS)
         late = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         late.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n")
         node = new.accept()
         node.read()
-        node.answer(200, b"by the new list")
-        assert late.read()[2] == b"by the new list"
+        node.answer(200, b"from the new endpoint")
+        assert late.read()[2] == b"from the new endpoint"
         process.send_signal(signal.SIGTERM)
         assert process.stdout is not None
         assert not [line for line in process.stdout if "unexpected" in line or "too-many" in line]
@@ -438,12 +438,12 @@
         peer.close()
 
 
-@pytest.mark.parametrize("how", ["end", "reset"])
-def test_a_caller_that_leaves_a_paused_upload_is_heard(make: Make, how: str) -> None:
-    """Nobody takes more of its body, so nothing is read of what it has sent, nor its end behind that."""
+@pytest.mark.parametrize("how", ["close", "reset"])
+def test_disconnect_during_a_paused_upload_is_detected(make: Make, how: str) -> None:
+    """No endpoint reads the body, so nothing more is read from the caller, including its end of stream."""
     world = make()
     world.sidecar.server.body_memory.limit_bytes = 0
-    world.sidecar.exchange.start_attempt = lambda _attempt: None  # waits for its connection
+    world.sidecar.exchange.start_attempt = lambda _attempt: None  # the attempt waits for a connection
     wire = world.ask("order", more="Content-Length: 30000000\r\n")
     while not world.run(lambda: [c for c in world.sidecar.server.connections if c.is_paused]):
         wire.send(b"x" * 10_000)
@@ -451,38 +451,38 @@
         wire.reset()
     else:
         wire.close()
-    left = world.run(world.sidecar.clock.now)
-    assert world.logged("caller-connection") == ["peer-closed"]  # not given up by this side
+    left_at = world.run(world.sidecar.clock.now)
+    assert world.logged("caller-connection") == ["peer-closed"]  # not closed by a time-out of the sidecar
     if isinstance(world.sockets, VirtualSockets):
-        assert world.run(world.sidecar.clock.now) - left < 0.1
+        assert world.run(world.sidecar.clock.now) - left_at < 0.1
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
-@pytest.mark.parametrize("how", ["end", "reset", "stays"])
-def test_a_caller_that_leaves_while_its_request_waits_out_a_back_off_gets_no_retry(
+@pytest.mark.parametrize("how", ["close", "reset", "stay"])
+def test_disconnect_during_the_retry_backoff_cancels_the_retry(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     for name in ("INITIAL_BACKOFF", "MAX_BACKOFF"):
-        monkeypatch.setattr(backoff, name, 0.4)  # parts of the aim: a second at most
+        monkeypatch.setattr(backoff, name, 0.4)  # as a fraction of the latency target: 1 s at most
     world = make()
     wire = world.ask()
     node = world.nodes[0].accept()
     node.read()
     monkeypatch.setattr(world.sidecar.serving.balancer.random, "random", lambda: 0.5)
     node.reset()
-    assert world.logged("endpoint-connection") == ["peer-reset"]  # the back-off has begun
+    assert world.logged("endpoint-connection") == ["peer-reset"]  # the backoff has begun
     if how == "reset":
         wire.reset()
-    elif how == "end":
+    elif how == "close":
         wire.close()
-    if how != "stays":
+    if how != "stay":
         world.logged("caller-connection")
         assert world.run(
             lambda: (world.sidecar.exchange.open_count, len(world.sidecar.driver.open_requests))
         ) == (0, 0)
     passed: list[bool] = []
     world.run(lambda: world.reactor.callLater(1.2, passed.append, True))
-    until(world, lambda: passed)
+    wait_until(world, lambda: passed)
     pool = world.sidecar.pool
-    assert world.run(lambda: len(pool.pending_connects) + len(pool.connections)) == (how == "stays")
+    assert world.run(lambda: len(pool.pending_connects) + len(pool.connections)) == (how == "stay")
     assert world.codes("endpoint-connection") == ["peer-reset"]
--- a/tests/daemon/http1/test_endpoint_connection.py
+++ b/tests/daemon/http1/test_endpoint_connection.py
@@ -1,4 +1,4 @@
-"""Ends on the endpoint's side: connects that come up late, and answers to nothing."""
+"""Connections to endpoints: connects that are established late, unsolicited data, and reuse."""
 
 from __future__ import annotations
 
@@ -20,38 +20,38 @@
 Make = Callable[..., World]
 
 
-@pytest.mark.parametrize("how", ["draining", "deleted", "left out", "moved", "its address another's"])
-def test_a_connect_that_comes_up_after_its_endpoint_was_removed_carries_nothing(make: Make, how: str) -> None:
-    """The first byte counts, not the choice: at once it goes to one that is there by then."""
+@pytest.mark.parametrize("how", ["draining", "deleted", "omitted", "moved", "address reused"])
+def test_connect_established_after_its_endpoint_was_removed_sends_nothing(make: Make, how: str) -> None:
+    """The list must be valid when the first byte is sent; the request goes to another endpoint at once."""
     world = make()
     (old,), spare = world.nodes, Peer(world.sockets)
-    now_at = old if how == "its address another's" else spare
+    target = old if how == "address reused" else spare
 
     def notify_during_connect() -> list[Answer]:
         request, answers = submit(world)
         if how == "draining":
             apply_list(world, entry("n0", old, lifecycle="DRAINING"), entry("x", spare))
-        elif how == "left out":
+        elif how == "omitted":
             apply_list(world, entry("x", spare), reset=True)
         elif how == "moved":
-            apply_list(world, entry("n0", spare, startedAtMs=1))  # as one that was restarted
+            apply_list(world, entry("n0", spare, startedAtMs=1))  # as after a restart
         else:
-            apply_list(world, {"instanceId": "n0", "lifecycle": "DELETED"}, entry("x", now_at))
+            apply_list(world, {"instanceId": "n0", "lifecycle": "DELETED"}, entry("x", target))
         sent = [(attempt.endpoint, attempt.outcome) for attempt in request.attempts]
         assert sent == [("n0", Outcome.CONNECT_FAILED), ("n0" if how == "moved" else "x", None)]
         return answers
 
     answers = world.run(notify_during_connect)
-    wire, first = accept_request(now_at)
+    wire, first = accept_request(target)
     assert first == "POST /late HTTP/1.1"
     wire.answer(200, b"there")
     world.logged("answered")
     assert answers[0].kind is AnswerKind.SERVED
-    assert {c.address.address for c in world.sidecar.pool.connections} == {f"127.0.0.1:{now_at.port}"}
+    assert {c.address.address for c in world.sidecar.pool.connections} == {f"127.0.0.1:{target.port}"}
     spare.close()
 
 
-def test_a_connection_in_use_when_its_endpoint_starts_draining_is_not_kept_for_it(make: Make) -> None:
+def test_connection_in_use_when_its_endpoint_starts_draining_is_closed_after_the_response(make: Make) -> None:
     world = make()
     caller = world.ask()
     wire = world.nodes[0].accept()
@@ -65,39 +65,39 @@
 
 @pytest.mark.parametrize(
     ("how", "code"),
-    [("second answer", "unasked-data"), ("turned away", "unasked-data"), ("end", "peer-closed"),
+    [("duplicate response", "unasked-data"), ("rejection", "unasked-data"), ("close", "peer-closed"),
      ("reset", "peer-reset")],
 )  # fmt: skip
 @pytest.mark.parametrize("name", ["menu", "order", "unsafe"])
-@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a peer's word is there in the same turn
-def test_what_comes_on_a_kept_connection_before_the_next_request_has_left_is_not_its_answer(
+@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # input is available in the same iteration
+def test_data_on_an_idle_connection_before_the_next_request_was_sent_is_not_its_response(
     make: Make, how: str, code: str, name: str
 ) -> None:
-    """The request goes out on another connection, as the same attempt.
+    """The request is sent on another connection, as the same attempt.
 
-    The answer lies in the system's buffer while the request is handed to the connection; nothing has left.
+    The data is pending in the receive buffer while the request is passed to the connection; no byte is sent.
     """
     world = make()
     wire = kept_connection(world, world.caller())
 
     def crossing() -> tuple[Request, list[Answer]]:
-        if how == "second answer":
+        if how == "duplicate response":
             wire.answer(200, b"first")
-        elif how == "turned away":
+        elif how == "rejection":
             wire.answer(503, b"", "X-Unprocessed: 1\r\n")
-        elif how == "end":
+        elif how == "close":
             wire.close()
         else:
             wire.reset()
-        return submit(world, name, dialling=False)
+        return submit(world, name, is_connecting=False)
 
     request, answers = world.run(crossing)
     attempts = request.attempts[:]
     again = world.nodes[0].accept()
     assert again.read()[0] == "POST /late HTTP/1.1"
     assert [attempt.number for attempt in attempts] == [0] and attempts[0].outcome is None
-    if how in ("second answer", "turned away"):
-        assert wire.at_end()  # and it never read the request
+    if how in ("duplicate response", "rejection"):
+        assert wire.at_end()  # without having received the request
     again.answer(200, b"second")
     world.logged("answered")
     assert answers[0].content.body == b"second"  # type: ignore[attr-defined]
@@ -105,16 +105,18 @@
 
 
 @pytest.mark.parametrize("how", ["draining", "moved"])
-@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a peer's word is there in the same turn
-def test_what_a_stale_connection_leaves_does_not_go_to_a_removed_endpoint(make: Make, how: str) -> None:
-    """Its next connect might take longer than sends may go on there."""
+@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # input is available in the same iteration
+def test_attempt_moved_from_a_closed_connection_is_not_sent_to_a_removed_endpoint(
+    make: Make, how: str
+) -> None:
+    """A new connect might take longer than the time in which the endpoint still accepts requests."""
     world = make()
     (old,), spare = world.nodes, Peer(world.sockets)
     wire = kept_connection(world, world.caller())
 
     def crossing() -> list[Attempt]:
         wire.close()
-        request, _ = submit(world, dialling=False)
+        request, _ = submit(world, is_connecting=False)
         if how == "draining":
             apply_list(world, entry("n0", old, lifecycle="DRAINING"), entry("x", spare))
         else:
@@ -131,12 +133,12 @@
     spare.close()
 
 
-@pytest.mark.parametrize("amid", [False, True])
-@pytest.mark.parametrize("old", [(200, b"first", ""), (503, b"", "X-Unprocessed: 1\r\n")])
-def test_an_answer_that_begins_before_the_last_byte_of_its_request_has_left_is_not_its_own(
-    make: Make, old: tuple[int, bytes, str], amid: bool
+@pytest.mark.parametrize("is_split", [False, True])
+@pytest.mark.parametrize("response", [(200, b"first", ""), (503, b"", "X-Unprocessed: 1\r\n")])
+def test_response_that_begins_before_the_request_was_sent_is_rejected(
+    make: Make, response: tuple[int, bytes, str], is_split: bool
 ) -> None:
-    """An endpoint starts on a request with its last byte. If that left by the answer's end, it may run."""
+    """Endpoints process only complete requests. If the last byte was sent meanwhile, it may be executed."""
     world = make()
     (node,), caller = world.nodes, world.caller()
     node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
@@ -144,36 +146,36 @@
     (connection,) = world.sidecar.pool.connections
     sock: Any = connection.transport.socket  # type: ignore[attr-defined]
     world.run(lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096))
-    body = b"x" * 65000  # more than both ends of the connection hold
+    body = b"x" * 65000  # exceeds the socket buffers of both ends
     world.ask("unsafe", wire=caller, more=f"Content-Length: {len(body)}\r\n")
     caller.send(body)
-    wire.buffer = wire.sock.recv(1)  # it has begun to leave
-    if amid:
-        wire.send(b"HTTP/1.1 %d X\r\n" % old[0])
+    wire.buffer = wire.sock.recv(1)  # sending has begun
+    if is_split:
+        wire.send(b"HTTP/1.1 %d X\r\n" % response[0])
         world.settle()
         assert wire.read()[2] == body
-        wire.send(f"{old[2]}Content-Length: {len(old[1])}\r\n\r\n".encode() + old[1])
+        wire.send(f"{response[2]}Content-Length: {len(response[1])}\r\n\r\n".encode() + response[1])
         assert world.logged("endpoint-connection") == ["bad-answer"]
         assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
         assert world.sidecar.pool.reuse_delay_until > 0
         return
-    wire.answer(*old)
+    wire.answer(*response)
     again = node.accept()
     assert again.read()[2] == body
     again.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
-    assert world.codes("endpoint-connection") == ["bad-answer" if old[0] == 200 else "not-clean"]
+    assert world.codes("endpoint-connection") == ["bad-answer" if response[0] == 200 else "not-clean"]
 
 
-@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a system tells what was delivered
-def test_an_answer_that_begins_before_its_request_has_been_delivered_is_not_its_own(make: Make) -> None:
-    """All of it has left, and may still come: an unsafe one has failed."""
+@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # needs the kernel's acknowledgement state
+def test_response_that_begins_before_the_request_was_delivered_is_rejected(make: Make) -> None:
+    """The request was sent completely and may still arrive, so an unsafe one fails."""
     world = make()
     (node,), caller = world.nodes, world.caller()
     node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     wire = kept_connection(world, caller)
     world.ask("unsafe", wire=caller, more="Content-Length: 65000\r\n")
-    caller.send(b"x" * 65000)  # this end's system takes it, and the other's has no room
+    caller.send(b"x" * 65000)  # fits into the send buffer here, but not into the receive buffer
     wire.buffer = wire.sock.recv(1)
     world.settle()
     (connection,) = world.sidecar.pool.connections
@@ -183,10 +185,10 @@
     assert world.logged("endpoint-connection") == ["bad-answer"]
 
 
-def test_a_connection_that_has_stood_idle_for_too_long_is_not_used_though_nobody_has_looked(
+def test_connection_past_the_idle_time_out_is_not_reused_before_the_next_sweep(
     make: Make,
 ) -> None:
-    """Between two looks of the pool: its endpoint may close it at any moment, and a request would be lost."""
+    """The endpoint may close it at any moment, and a request would be lost."""
     world = make()
     caller = world.caller()
     wire = kept_connection(world, caller)
@@ -199,16 +201,16 @@
     assert caller.read()[2] == b"mine"
 
 
-def test_where_second_answers_were_seen_a_connection_rests_before_it_is_used_again(
+def test_reuse_delay_is_mandatory_after_a_duplicate_response(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Once the next request has left on it, nothing tells a late second answer from that one's own."""
+    """After the next request was sent, a late duplicate can't be distinguished from its response."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1e9)
     world = make()
     caller = world.caller()
     wire = kept_connection(world, caller)
     world.ask(wire=caller)
-    wire.read()  # as long as none was seen, at once
+    wire.read()  # reused at once before any duplicate was seen
     wire.answer(200, b"second")
     assert caller.read()[2] == b"second"
     wire.answer(200, b"second")
@@ -217,18 +219,18 @@
     world.ask(wire=caller)
     other = world.nodes[0].accept()
     other.read()
-    wire.answer(200, b"first")  # late, and the request is not on this one
+    wire.answer(200, b"first")  # a late duplicate; the request is not on this connection
     assert world.logged("endpoint-connection", 2) == ["unasked-data"] * 2
     other.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 0.0)
     world.ask(wire=caller)
-    other.read()  # it has rested
+    other.read()  # past the reuse delay
     other.answer(200, b"last")
     assert caller.read()[2] == b"last"
 
 
-def test_a_second_answer_right_behind_the_first_has_connections_rest_as_well(
+def test_duplicate_received_together_with_the_response_enforces_the_reuse_delay(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1e9)
@@ -249,11 +251,11 @@
     wire.close()
 
 
-@pytest.mark.parametrize("rested", [True, False])
-def test_of_several_idle_connections_one_that_has_rested_is_used_first(
-    make: Make, monkeypatch: pytest.MonkeyPatch, rested: bool
+@pytest.mark.parametrize("is_past_delay", [True, False])
+def test_idle_connection_past_the_reuse_delay_is_preferred(
+    make: Make, monkeypatch: pytest.MonkeyPatch, is_past_delay: bool
 ) -> None:
-    """Before any second answer was seen, too: it costs nothing. If none has, the one that rested longest."""
+    """Even if no duplicate was seen. If none is past the delay, the one idle for the longest time is used."""
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1e9)
     world = make()
     world.sidecar.pool.idle_timeout = 4e9
@@ -266,17 +268,17 @@
         wire.answer(200)
         caller.read()
     (idle,) = world.sidecar.pool.idle_connections.values()
-    if rested:
+    if is_past_delay:
         world.run(lambda: setattr(idle[0], "idle_since", -2e9))
     world.ask("unsafe")
     assert wires[0].read()[0] == "POST /unsafe HTTP/1.1"
 
 
 @pytest.mark.parametrize("more", [{"lifecycle": "DRAINING", "zone": "a"}, {"zone": "b"}])
-def test_in_one_of_several_pools_a_connect_to_an_endpoint_that_left_the_pool_carries_nothing(
+def test_connect_to_an_endpoint_that_left_one_of_several_pools_sends_nothing(
     make: Make, tmp_path: Path, more: dict[str, Any]
 ) -> None:
-    """Also where it serves on, at the same address, in another pool."""
+    """Even if the endpoint continues to serve at the same address in another pool."""
     world = PoolsWorld(make(0).sockets, tmp_path, TWO)
 
     def notify_during_connect() -> list[object]:
--- a/tests/daemon/http1/test_endpoint_faults.py
+++ b/tests/daemon/http1/test_endpoint_faults.py
@@ -1,4 +1,4 @@
-"""Faults of our own amid an end on the endpoint's side: attempt and request are settled all the same."""
+"""Internal errors at the end of an attempt: the attempt and its request are settled in any case."""
 
 from __future__ import annotations
 
@@ -18,23 +18,23 @@
 Make = Callable[..., World]
 
 
-def broken(*_values: object, **_more: object) -> None:
+def raise_error(*_arguments: object, **_options: object) -> None:
     raise ZeroDivisionError
 
 
 @pytest.mark.parametrize("how", ["answer", "reset"])
 @pytest.mark.parametrize(
-    ("where", "what"),
+    ("owner", "method"),
     [(ConnectionPool, "keep_idle"), (ConnectionPool, "remove"), (EndpointList, "record_outcome")],
 )
-def test_a_fault_amid_the_end_of_an_attempt_still_settles_it(
-    make: Make, monkeypatch: pytest.MonkeyPatch, where: type, what: str, how: str
+def test_exception_at_the_end_of_an_attempt_still_settles_it(
+    make: Make, monkeypatch: pytest.MonkeyPatch, owner: type, method: str, how: str
 ) -> None:
     world = make()
     caller = world.ask()
     wire = world.nodes[0].accept()
     wire.read()
-    monkeypatch.setattr(where, what, broken)
+    monkeypatch.setattr(owner, method, raise_error)
     if how == "reset":
         wire.reset()
         wire = world.nodes[0].accept()
@@ -45,46 +45,46 @@
     assert "overdue" not in [event for event, _ in world.lines]
 
 
-def test_a_fault_as_an_attempt_is_given_up_still_answers_its_request(
+def test_exception_while_cancelling_an_attempt_still_answers_its_request(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(EndpointConnection, "cancel_attempt", broken)
+    monkeypatch.setattr(EndpointConnection, "cancel_attempt", raise_error)
     world = make()
     caller = world.ask("unsafe", left=100)
-    wire = world.nodes[0].accept()  # which stays open
+    wire = world.nodes[0].accept()  # the reference keeps it open
     wire.read()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert "overdue" not in [event for event, _ in world.lines]
 
 
-def test_a_fault_as_a_connect_is_given_up_keeps_no_answer_back(
+def test_exception_while_cancelling_a_connect_still_delivers_the_answer(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection_pool._PendingConnect, "cancel", broken)
+    monkeypatch.setattr(connection_pool._PendingConnect, "cancel", raise_error)
     world = make()
 
-    def answered_amid() -> list[Answer]:
+    def answer_during_connect() -> list[Answer]:
         request, answers = submit(world)
         world.sidecar.exchange.answer(request, Answer(AnswerKind.FAILED))
         return answers
 
-    assert [answer.kind for answer in world.run(answered_amid)] == [AnswerKind.FAILED]
+    assert [answer.kind for answer in world.run(answer_during_connect)] == [AnswerKind.FAILED]
 
 
-def test_an_attempt_that_broke_as_it_was_written_goes_no_further(
+def test_attempt_that_raised_while_being_written_is_not_sent_further(
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It has been told as one that ended, so nothing of it may come to run after that."""
+    """It was reported as ended, so its request must not be executed afterwards."""
     world = make()
     caller = world.caller()
     wire = kept_connection(world, caller)
-    writes = RequestSender.resumeProducing
+    resume_producing = RequestSender.resumeProducing
 
-    def writes_and_breaks(sender: RequestSender) -> None:
-        writes(sender)
+    def write_and_raise(sender: RequestSender) -> None:
+        resume_producing(sender)
         raise ZeroDivisionError
 
-    monkeypatch.setattr(RequestSender, "resumeProducing", writes_and_breaks)
+    monkeypatch.setattr(RequestSender, "resumeProducing", write_and_raise)
     world.ask("unsafe", wire=caller)
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert wire.at_end()
--- a/tests/daemon/http1/test_list_freshness.py
+++ b/tests/daemon/http1/test_list_freshness.py
@@ -1,4 +1,4 @@
-"""An endpoint list that has grown old: what the endpoints show, and what the sidecar then asks."""
+"""Stale endpoint lists: how a sidecar detects them and requests a new one."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture(autouse=True)
 def shortened_durations() -> Iterator[None]:
-    """Divide the durations of the module by a hundred."""
+    """Divide the time constants by 100."""
     with pytest.MonkeyPatch.context() as patch:
         for name in (
             "SUSPECT_NODE_SECONDS",
@@ -30,7 +30,7 @@
         yield
 
 
-def test_endpoints_that_reject_make_it_reopen_the_watch_and_serve_by_its_answer(make: Make) -> None:
+def test_refused_connects_start_a_replacement_watch_whose_list_is_applied(make: Make) -> None:
     world = make(3)
     old = world.discovery.accept()
     assert old.read()[0].startswith(WATCH)
@@ -38,7 +38,7 @@
         peer.refuse()
     assert world.ask().read()[0].split()[1] == "503"
     new = world.discovery.accept()
-    assert new.read()[0].startswith(WATCH)  # from the version held, and waiting as long
+    assert new.read()[0].startswith(WATCH)  # from the current version, with the same long-poll time
     assert old.at_end()
     node = Peer(world.sockets)
     gone = [{"instanceId": f"n{n}", "lifecycle": "DELETED"} for n in range(3)]
@@ -54,7 +54,7 @@
     node.close()
 
 
-def test_an_ask_that_finds_nobody_leaves_the_old_watch_standing(make: Make) -> None:
+def test_failed_replacement_keeps_the_current_watch(make: Make) -> None:
     world = make(2)
     watch = world.discovery.accept()
     watch.read()
@@ -76,8 +76,8 @@
     node.close()
 
 
-def test_what_the_watch_says_counts_while_a_further_ask_is_on_its_way(make: Make) -> None:
-    """The watch that was laid anew answers when the next ask has begun and is not up yet."""
+def test_response_on_the_watch_is_applied_while_a_replacement_is_connecting(make: Make) -> None:
+    """The response arrives after the next replacement was started, and before it is connected."""
     world = make(2)
     world.discovery.accept().read()
     for peer in world.nodes:
@@ -88,25 +88,25 @@
     lists = world.sidecar.machine_list
     world.sockets.until(lambda: lists.replacement is None)
 
-    def answered_amid() -> None:
+    def respond_during_connect() -> None:
         lists.start_replacement(world.sidecar.clock.now())
         lists.client.finish(list_body(8, entry("x", world.nodes[0])))  # type: ignore[attr-defined]
 
-    world.run(answered_amid)
+    world.run(respond_during_connect)
     assert lists.version == 8 and lists.replacement is None
 
 
-def test_an_empty_list_is_requested_again_in_full(make: Make) -> None:
+def test_full_list_is_requested_if_the_list_is_empty(make: Make) -> None:
     world = make(1)
     old = world.discovery.accept()
     old.read()
     old.answer(200, list_body(8, {"instanceId": "n0", "lifecycle": "DELETED"}))
     assert old.read()[0].startswith("GET /v1/servers?index=8&")
-    whole = world.discovery.accept()
-    assert whole.read()[0] == "GET /v1/servers HTTP/1.1"
+    replacement = world.discovery.accept()
+    assert replacement.read()[0] == "GET /v1/servers HTTP/1.1"
     assert old.at_end()
-    whole.answer(200, list_body(8, entry("n0", world.nodes[0]), reset=True))
-    assert whole.read()[0].startswith("GET /v1/servers?index=8&")
+    replacement.answer(200, list_body(8, entry("n0", world.nodes[0]), reset=True))
+    assert replacement.read()[0].startswith("GET /v1/servers?index=8&")
     caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
@@ -114,24 +114,24 @@
     assert caller.read()[2] == b"there"
 
 
-@pytest.mark.parametrize("ending", ["stalls", "breaks off"])
-def test_an_incomplete_list_is_none_and_is_requested_again(
+@pytest.mark.parametrize("ending", ["stall", "reset"])
+def test_incomplete_list_is_discarded_and_requested_again(
     make: Make, monkeypatch: pytest.MonkeyPatch, ending: str
 ) -> None:
-    if ending == "stalls":
+    if ending == "stall":
         monkeypatch.setattr(discovery_client, "STALL_SECONDS", 0.0)
-        monkeypatch.setattr(freshness, "RENEWAL_SECONDS", 1e9)  # which would come to the same, much later
+        monkeypatch.setattr(freshness, "RENEWAL_SECONDS", 1e9)  # would have the same effect, but much later
     world = make(2)
     watch = world.discovery.accept()
     watch.read()
     gone = list_body(8, {"instanceId": "n0", "lifecycle": "DELETED"})
-    whole = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(gone) + gone
-    watch.send(whole[:-2])
-    if ending == "breaks off":
+    full_response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(gone) + gone
+    watch.send(full_response[:-2])
+    if ending == "reset":
         watch.reset()
     again = world.discovery.accept()
-    assert again.read()[0].startswith(WATCH)  # from the version that it holds: nothing of the half one counts
+    assert again.read()[0].startswith(WATCH)  # from the current version: the incomplete list is not applied
     assert sorted(world.run(lambda: list(world.sidecar.pool.addresses))) == ["n0", "n1"]
-    again.send(whole)
+    again.send(full_response)
     assert again.read()[0].startswith("GET /v1/servers?index=8&wait=50000")
     assert world.run(lambda: list(world.sidecar.pool.addresses)) == ["n1"]
--- a/tests/daemon/http1/test_parser.py
+++ b/tests/daemon/http1/test_parser.py
@@ -1,4 +1,4 @@
-"""The parser reads the same messages however the bytes are cut."""
+"""The HTTP parser, for any segmentation of its input."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, len(REQUESTS)), max_size=12))
-def test_requests_are_read_the_same_however_they_are_cut(cuts: list[int]) -> None:
+def test_requests_are_parsed_identically_for_any_segmentation(cuts: list[int]) -> None:
     reader = MessageParser(responses=False)
     read: list[Message] = []
     edges = [0, *sorted(cuts), len(REQUESTS)]
@@ -32,18 +32,18 @@
     assert not reader.has_partial_message
 
 
-def test_a_response_without_a_length_lasts_until_the_close() -> None:
+def test_response_without_a_length_is_delimited_by_the_close() -> None:
     reader = MessageParser(responses=True)
     reader.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n\r\nab")
-    went_on = reader.next_message()
-    assert went_on and went_on.start_line == (b"100",)
+    interim = reader.next_message()
+    assert interim and interim.start_line == (b"100",)
     assert reader.next_message() is None
     reader.feed(b"c")
     message = reader.end_of_input()
     assert message and (message.body, message.keep_alive) == (b"abc", False)
 
 
-def test_fields_of_the_connection_do_not_travel_on() -> None:
+def test_hop_by_hop_fields_are_not_forwarded() -> None:
     reader = MessageParser(responses=False)
     reader.feed(
         b"GET / HTTP/1.1\r\nA: 1\r\nConnection: Keep-Alive, B\r\nB: 2\r\nKeep-Alive: x\r\n"
--- a/tests/daemon/http1/test_pushed_list.py
+++ b/tests/daemon/http1/test_pushed_list.py
@@ -1,6 +1,6 @@
-"""Lists that are pushed: over HTTP they too come on a watch, which has to be opened.
+"""Pushed endpoint lists: over HTTP they also use a watch, which must be open at all times.
 
-What the agent has counts as notified at once.
+With this kind of discovery, a sidecar counts as notified as soon as its agent has a change.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 def pushed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setitem(SETTINGS, "discovery", "pushed")
     contract: dict[str, Any] = dict(SETTINGS["contract"])
-    del contract["must_ask_in"]  # the pages give it only where discovery is asked
+    del contract["must_ask_in"]  # documented only for discovery on request
     monkeypatch.setitem(SETTINGS, "contract", contract)
 
 
@@ -28,7 +28,7 @@
     return list_body(8, entry(name, peer, lifecycle="DRAINING"))
 
 
-def test_a_watch_is_opened_at_the_start_and_its_answer_is_applied(make: Make) -> None:
+def test_watch_is_opened_at_the_start_and_its_response_is_applied(make: Make) -> None:
     world = make(2)
     watch = world.discovery.accept()
     assert watch.read()[0].startswith("GET /v1/servers?index=7&")
@@ -36,7 +36,7 @@
     assert watch.read()[0].startswith("GET /v1/servers?index=8&")
     caller = world.ask()
     node = world.nodes[1].accept()
-    for n in range(4):  # draws of two would come to the other one in most of these
+    for n in range(4):  # with two endpoints, some would most likely be sent to n0
         caller = world.ask() if n else caller
         node.read()
         node.answer(200, b"n1")
@@ -44,15 +44,15 @@
 
 
 @pytest.mark.parametrize("failures", [1, 6])
-def test_a_watch_that_fails_is_opened_anew_well_within_the_shortest_grace(make: Make, failures: int) -> None:
-    """Six failures in a row: no wait may grow, since what the agent has at its return counts at once."""
+def test_failed_watch_is_reopened_within_the_shortest_grace_period(make: Make, failures: int) -> None:
+    """The delay must not grow with repeated failures, since changes count as notified at once."""
     world = make(1)
     for _ in range(failures):
         wire = world.discovery.accept()
         wire.read()
-        at = world.run(world.sidecar.clock.now)
+        failed_at = world.run(world.sidecar.clock.now)
         wire.answer(503)
     wire = world.discovery.accept()
     wire.read()
-    if hasattr(world.sockets, "net"):  # in virtual time, where a wait is as long as it is asked for
-        assert world.run(world.sidecar.clock.now) - at < 0.45
+    if hasattr(world.sockets, "net"):  # virtual time, in which delays are exact
+        assert world.run(world.sidecar.clock.now) - failed_at < 0.45
--- a/tests/daemon/http1/test_requests.py
+++ b/tests/daemon/http1/test_requests.py
@@ -1,4 +1,4 @@
-"""Stories over loopback sockets: a sidecar amid scripted peers, one for each way to go wrong."""
+"""Requests through a sidecar between scripted callers, endpoints and discovery, with one fault per test."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 Make = Callable[..., World]
 
 
-def test_a_request_passes_unchanged_and_its_connections_are_kept(make: Make) -> None:
+def test_request_is_forwarded_unchanged_and_connections_are_reused(make: Make) -> None:
     world = make()
     caller, body = world.caller(), b"a=1\r\n\r\n\x00\xff"
     node = None
@@ -30,17 +30,17 @@
             + body
         )
         node = node or world.nodes[0].accept()
-        first, fields, came = node.read()
-        assert (first, came) == ("POST /order/5?x=%20y HTTP/1.1", body)
+        first, fields, received_body = node.read()
+        assert (first, received_body) == ("POST /order/5?x=%20y HTTP/1.1", body)
         assert (fields["x-correlation-id"], fields["idempotency-key"]) == (ident, "k-7")
         assert 0 < int(fields["x-time-left-ms"]) <= 4000
         node.answer(200, b"\x01made\r\n", "Content-Type: x/y\r\n")
-        status, fields, came = caller.read()
-        assert (status, fields["content-type"], came) == ("HTTP/1.1 200 OK", "x/y", b"\x01made\r\n")
+        status, fields, received_body = caller.read()
+        assert (status, fields["content-type"], received_body) == ("HTTP/1.1 200 OK", "x/y", b"\x01made\r\n")
     assert world.run(lambda: len(world.sidecar.driver.open_requests)) == 0
 
 
-def test_chunked_bodies_and_pipelined_requests_in_their_order(make: Make) -> None:
+def test_pipelined_requests_with_chunked_bodies_are_answered_in_order(make: Make) -> None:
     world = make()
     caller = world.caller()
     for n in range(2):
@@ -56,27 +56,29 @@
         assert caller.read()[2] == f"r{n}".encode()
 
 
-def test_a_refused_connection_never_ran_so_even_an_unsafe_request_is_retried(make: Make) -> None:
-    world = make(3)  # none of which is tried again at once
+def test_unsafe_request_is_retried_after_a_refused_connect(make: Make) -> None:
+    world = make(3)  # none is retried immediately
     for node in world.nodes:
         node.refuse()
     assert world.ask("unsafe").read()[0] == "HTTP/1.1 503 Service Unavailable"
     assert world.codes("endpoint-connection") == ["connect-failed"] * 3
 
 
-@pytest.mark.parametrize("how", ["reset", "end", "half", "half-chunked", "garbage", "error", "bare-503"])
-def test_what_may_have_run_is_not_retried_where_that_does_harm(make: Make, how: str) -> None:
+@pytest.mark.parametrize(
+    "how", ["reset", "close", "truncated", "truncated-chunked", "malformed", "error", "bare-503"]
+)
+def test_unsafe_request_that_may_have_been_executed_is_not_retried(make: Make, how: str) -> None:
     world = make(2)
     caller = world.ask("unsafe")
     node = world.first()
     node.read()
     if how == "reset":
         node.reset()
-    elif how == "half":
+    elif how == "truncated":
         node.send(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab")
-    elif how == "half-chunked":
+    elif how == "truncated-chunked":
         node.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n")
-    elif how == "garbage":
+    elif how == "malformed":
         node.send(b"HELLO\r\n\r\n")
     elif how == "error":
         node.answer(500)
@@ -84,10 +86,10 @@
         node.answer(503)
     node.close()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-    assert len(world.logged("endpoint-connection")) == 1  # one connection, one line: there was no second
+    assert len(world.logged("endpoint-connection")) == 1  # one line per connection: there was no second one
 
 
-def test_a_connection_broken_before_the_last_byte_left_proves_that_nothing_ran(make: Make) -> None:
+def test_unsafe_request_is_retried_if_the_connection_fails_before_its_last_byte_was_sent(make: Make) -> None:
     world = make()
     world.nodes[0].listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     caller = world.ask("unsafe")
@@ -95,10 +97,10 @@
     node.read()
     node.answer(200, b"ok")
     caller.read()
-    (kept,) = world.sidecar.pool.connections
-    transport: Any = kept.transport
+    (idle,) = world.sidecar.pool.connections
+    transport: Any = idle.transport
     world.run(lambda: transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096))
-    body = b"x" * 65000  # more than both ends of the connection hold
+    body = b"x" * 65000  # exceeds the socket buffers of both ends
     world.ask("unsafe", wire=caller, more=f"Content-Length: {len(body)}\r\n")
     caller.send(body)
     node.sock.recv(1)
@@ -110,25 +112,25 @@
 
 
 @pytest.mark.parametrize(
-    "noise",
+    "response",
     [b"noise", b"HTTP/1.1 200 OK\r\nX: ", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n12345678",
      b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", b"HTTP/1.1 200 OK\r\nX: " + b"x" * 17000],
 )  # fmt: skip
-def test_a_spoilt_answer_on_a_connection_that_stays_open_fails_its_attempt_at_once(
-    make: Make, monkeypatch: pytest.MonkeyPatch, noise: bytes
+def test_invalid_response_on_an_open_connection_fails_the_attempt_at_once(
+    make: Make, monkeypatch: pytest.MonkeyPatch, response: bytes
 ) -> None:
     monkeypatch.setattr(endpoint_connection, "ANSWER_STALL_SECONDS", 0.0)
     world = make()
     caller = world.ask("unsafe")
     node = world.nodes[0].accept()
     node.read()
-    node.send(noise)
+    node.send(response)
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
     assert node.at_end()
     assert world.logged("endpoint-connection") == ["bad-answer"]
 
 
-def test_a_good_answer_with_more_behind_it_is_served_and_its_connection_is_not_used_again(make: Make) -> None:
+def test_response_followed_by_a_duplicate_is_served_and_the_connection_closed(make: Make) -> None:
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
@@ -140,7 +142,7 @@
     assert world.logged("endpoint-connection") == ["not-clean"]
 
 
-def test_a_new_endpoint_at_the_address_of_a_removed_one_gets_a_connection_of_its_own(make: Make) -> None:
+def test_new_endpoint_at_the_address_of_a_removed_one_gets_a_new_connection(make: Make) -> None:
     world = make()
     watch = world.discovery.accept()
     watch.read()
@@ -157,11 +159,11 @@
     fresh.read()
     fresh.answer(200, b"new")
     assert caller.read()[2] == b"new"
-    assert node.at_end()  # and the old one is not kept for nobody
+    assert node.at_end()  # the old connection is closed
     assert world.logged("endpoint-connection") == ["endpoint-gone"]
 
 
-def test_a_request_rejected_unprocessed_is_resent_on_a_kept_connection(make: Make) -> None:
+def test_request_rejected_as_unprocessed_is_retried_on_the_same_connection(make: Make) -> None:
     world = make()
     caller = world.ask("unsafe")
     node = world.nodes[0].accept()
@@ -172,18 +174,18 @@
     assert caller.read()[2] == b"now"
 
 
-def test_a_silent_endpoint_costs_the_request_no_more_than_its_time(make: Make) -> None:
+def test_request_to_an_unresponsive_endpoint_fails_at_its_deadline(make: Make) -> None:
     world = make()
     caller = world.ask("unsafe", left=800)
     node = world.nodes[0].accept()
     node.read()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-    assert node.at_end()  # giving up is closing
+    assert node.at_end()  # a cancelled attempt closes its connection
     assert world.logged("endpoint-connection") == ["attempt-abandoned"]
     assert not world.codes("overdue")
 
 
-def test_a_request_whose_attempt_never_reports_is_answered_all_the_same(make: Make) -> None:
+def test_request_whose_attempt_never_ends_is_answered_by_the_overdue_timer(make: Make) -> None:
     world = make()
     world.sidecar.exchange.start_attempt = lambda _attempt: None
     world.sidecar.exchange._time_out = lambda attempt: None  # type: ignore[method-assign]  # noqa: ARG005 - the method's signature
@@ -191,14 +193,14 @@
     world.logged("overdue")
 
 
-def test_without_an_endpoint_a_request_is_rejected_at_once_with_advice(make: Make) -> None:
+def test_request_without_endpoints_is_rejected_at_once_with_retry_after(make: Make) -> None:
     world = make(0)
     status, fields, _ = world.ask().read()
     assert status == "HTTP/1.1 503 Service Unavailable"
     assert 0 < float(fields["retry-after"]) <= 0.2
 
 
-def test_a_fault_in_the_decisions_fails_the_request_and_no_more(make: Make) -> None:
+def test_exception_in_the_balancer_fails_only_the_current_request(make: Make) -> None:
     world = make()
     balancer = world.sidecar.driver.decision_module
 
@@ -221,23 +223,23 @@
     assert caller.read()[2] == b"ok"
 
 
-def test_a_caller_that_leaves_is_forgotten_and_its_late_answer_reaches_nobody(make: Make) -> None:
+def test_request_of_a_disconnected_caller_is_withdrawn_and_its_response_discarded(make: Make) -> None:
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
     node.read()
     caller.close()
     assert world.logged("caller-connection") == ["peer-closed"]
-    assert world.run(lambda: world.sidecar.exchange.open_count) == 0  # before its attempt has ended
+    assert world.run(lambda: world.sidecar.exchange.open_count) == 0  # while the attempt is still in flight
     node.answer(200, b"for nobody")
     caller = world.ask()
-    node.read()  # the same connection: it was read to its end, so it is clean
+    node.read()  # the same connection, as the late response was read completely
     node.answer(200, b"mine")
     assert caller.read()[2] == b"mine"
     assert world.run(lambda: len(world.sidecar.driver.open_requests)) == 0
 
 
-def test_what_a_caller_sent_ahead_is_not_started_once_it_has_left(make: Make) -> None:
+def test_pipelined_request_is_not_started_after_a_disconnect(make: Make) -> None:
     world = make()
     caller = world.ask(wire=world.ask())
     world.nodes[0].accept().read()
@@ -245,12 +247,12 @@
     (connection,) = world.sidecar.server.connections
     caller.close()
     world.logged("caller-connection")
-    world.run(connection.read_requests)  # as an answer given in the same turn of the reactor would have it
+    world.run(connection.read_requests)  # as after a response in the same reactor iteration
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
     assert world.sidecar.driver.last_id == 1
 
 
-def test_a_request_that_is_over_is_not_written_by_a_connect_still_under_way(make: Make) -> None:
+def test_withdrawn_request_is_not_sent_when_its_connect_completes(make: Make) -> None:
     world = make()
 
     def submit_and_leave() -> None:
@@ -265,12 +267,13 @@
     node = world.nodes[0].accept()
     world.settle()
     caller = world.ask()
-    assert node.read()[0] == "GET /menu HTTP/1.1"  # nothing of the first one, and its connection is kept
+    # The connection made for the first request is reused, and nothing of that request was sent.
+    assert node.read()[0] == "GET /menu HTTP/1.1"
     node.answer(200, b"ok")
     assert caller.read()[2] == b"ok"
 
 
-def test_a_connection_with_unsolicited_data_is_not_used_again(make: Make) -> None:
+def test_connection_with_unsolicited_data_is_not_reused(make: Make) -> None:
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
@@ -286,7 +289,7 @@
     assert caller.read()[2] == b"b"
 
 
-def test_a_second_request_with_the_id_of_an_open_one_is_not_forwarded(make: Make) -> None:
+def test_request_with_the_correlation_id_of_an_open_request_is_rejected(make: Make) -> None:
     world = make()
     first = world.ask()
     node = world.nodes[0].accept()
@@ -297,11 +300,11 @@
     node.answer(200, b"mine")
     assert first.read()[2] == b"mine"
     world.asked -= 1
-    world.ask(wire=second)  # it is free again
+    world.ask(wire=second)  # the id can be used again
     node.read()
 
 
-def test_no_caller_waits_longer_than_its_class_allows(make: Make) -> None:
+def test_time_limit_of_a_request_is_capped_by_its_class(make: Make) -> None:
     world = make()
     world.ask(left=999999999999)
     assert int(world.nodes[0].accept().read()[1]["x-time-left-ms"]) <= 6000
@@ -331,7 +334,9 @@
         (431, f"GET /menu HTTP/1.1\r\n{GOOD}X-Long: {'x' * 17000}"),
     ],
 )
-def test_bad_input_is_answered_and_the_connection_ended(make: Make, status: int, request_text: str) -> None:
+def test_invalid_request_is_answered_with_an_error_and_the_connection_closed(
+    make: Make, status: int, request_text: str
+) -> None:
     world = make()
     caller = world.caller()
     caller.send(request_text.encode())
@@ -341,7 +346,7 @@
     assert world.logged("caller-connection") == [f"bad-request-{status}"]
 
 
-def test_a_caller_still_sending_what_is_too_large_can_read_that_it_is(make: Make) -> None:
+def test_caller_that_still_sends_a_too_large_body_receives_the_error(make: Make) -> None:
     world = make(0)
     caller = world.caller()
     caller.send(f"POST /order HTTP/1.1\r\n{GOOD}Content-Length: 40000000\r\n\r\n".encode())
@@ -350,9 +355,7 @@
     assert caller.read()[0] == "HTTP/1.1 413 Content Too Large"
 
 
-def test_of_a_body_that_is_too_large_no_more_than_a_part_is_read(
-    make: Make, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_only_a_limited_part_of_a_too_large_body_is_read(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(caller_lifecycle, "MAX_DISCARDED_BYTES", 0)
     world = make(0)
     wire = world.caller()
@@ -364,7 +367,9 @@
     assert connection.is_paused and not connection.parser.buffer
 
 
-def test_a_request_that_never_completes_is_given_up(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_head_not_completed_in_time_is_answered_with_408(
+    make: Make, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(caller_lifecycle, "HEAD_TIMEOUT_SECONDS", 0.0)
     world = make(0)
     wire = world.caller()
@@ -373,14 +378,14 @@
     assert wire.at_end()
 
 
-def test_a_caller_that_says_nothing_is_let_go(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_that_sends_nothing_is_disconnected(make: Make, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(caller_lifecycle, "HEAD_TIMEOUT_SECONDS", 0.0)
     world = make(0)
     assert world.caller().at_end()
     assert world.logged("caller-connection") == ["silent"]
 
 
-def test_idle_callers_make_room_for_one_that_asks(make: Make) -> None:
+def test_idle_connections_are_evicted_for_a_new_caller(make: Make) -> None:
     world = make()
     busy = world.ask()
     node = world.nodes[0].accept()
@@ -389,21 +394,20 @@
         world.caller()
     late = world.ask()
     other = world.nodes[0].accept()
-    other.read()  # it had its turn though nobody had left
+    other.read()  # accepted although no caller had disconnected
     assert world.run(lambda: len(world.sidecar.server.connections)) <= world.sidecar.server.max_connections
-    looks = [c for c in world.run(world.reactor.getDelayedCalls) if c.func == world.sidecar.server.evict]
-    assert len(looks) <= 1
-    for wire, asker in ((node, busy), (other, late)):
+    checks = [c for c in world.run(world.reactor.getDelayedCalls) if c.func == world.sidecar.server.evict]
+    assert len(checks) <= 1
+    for wire, caller in ((node, busy), (other, late)):
         wire.answer(200, b"here")
-        assert asker.read()[2] == b"here"
+        assert caller.read()[2] == b"here"
 
 
-def test_few_descriptors_leave_callers_and_endpoints_enough_connections(make: Make) -> None:
+def test_few_descriptors_are_divided_between_callers_and_endpoints(make: Make) -> None:
     world = make(0)
     callers, endpoint_connections = world.sidecar.server.max_connections, world.sidecar.pool.max_connections
-    assert (
-        min(callers, endpoint_connections) > world.config.sockets / 3
-    )  # callers may hold a third for requests
+    # Callers rely on a third of the sockets for requests.
+    assert min(callers, endpoint_connections) > world.config.sockets / 3
     assert callers + endpoint_connections < world.config.sockets - 16
 
 
@@ -413,7 +417,7 @@
      (405, "POST /menu HTTP/1.1"), (405, "PUT /order HTTP/1.1"),
      (405, "POST /healthz HTTP/1.1"), (200, "GET /healthz HTTP/1.1")],
 )  # fmt: skip
-def test_a_wrong_path_or_method_leaves_the_connection_usable(make: Make, status: int, first: str) -> None:
+def test_connection_remains_usable_after_a_wrong_path_or_method(make: Make, status: int, first: str) -> None:
     world = make(0)
     caller = world.caller()
     for _ in range(2):
@@ -421,7 +425,7 @@
         assert caller.read()[0].split()[1] == str(status)
 
 
-def test_the_endpoint_list_is_watched_call_after_call_and_requested_again_when_that_fails(make: Make) -> None:
+def test_endpoint_list_is_watched_continuously_and_the_watch_reopened_after_failures(make: Make) -> None:
     world = make(1)
     watch = world.discovery.accept()
     assert watch.read()[0].startswith("GET /v1/servers?index=7&wait=")
@@ -429,7 +433,7 @@
     bad = [{"instanceId": "x"}, 5, entry("y", peer, startedAtMs="soon"), entry("z", peer, hostPort="z")]
     watch.answer(200, list_body(8, *bad, {"instanceId": "n0", "lifecycle": "DELETED"}))
     assert watch.read()[0].startswith("GET /v1/servers?index=8&wait=")
-    assert world.ask().read()[0].split()[1] == "503"  # nothing is left to send to
+    assert world.ask().read()[0].split()[1] == "503"  # no endpoint is left
     for broken in (b"[]", b"{", b'{"generation":"8","instances":[]}'):
         watch.answer(200, broken)
         assert watch.at_end()
@@ -448,20 +452,20 @@
     assert len(world.codes("list-failed")) == 4 and len(world.codes("bad-entry")) == 4
 
 
-def leave(world: World) -> None:
-    """Tell it to stop. It logs its end, and the process goes on."""
+def begin_shutdown(world: World) -> None:
+    """Begin the shutdown of the sidecar. Its end is logged, and the process continues."""
     world.sidecar.finish = lambda: log.line("ended")  # type: ignore[method-assign]
     world.run(world.sidecar.stop)
 
 
-def test_a_stopping_sidecar_still_accepts_what_arrives_and_closes_between_requests(make: Make) -> None:
+def test_sidecar_accepts_new_callers_and_closes_idle_connections_during_a_shutdown(make: Make) -> None:
     world = make()
     silent, kept, busy = world.caller(), world.caller(), world.ask()
     node = world.nodes[0].accept()
     node.read()
     kept.send(b"GET /healthz HTTP/1.1\r\n\r\n")
     assert "connection" not in kept.read()[1]
-    leave(world)
+    begin_shutdown(world)
     late = world.caller()
     late.send(b"GET /healthz HTTP/1.1\r\n\r\n")
     assert late.read()[1]["connection"] == "close" and late.at_end()
@@ -477,16 +481,17 @@
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
 
 
-def test_a_caller_just_accepted_may_still_ask_when_the_listener_is_closed(make: Make) -> None:
+def test_caller_accepted_just_before_the_listener_closed_can_still_send_a_request(make: Make) -> None:
     world = make()
     if isinstance(world.sockets, LoopbackSockets):
-        pytest.skip("these instants can't be met for certain")
-    leave(world)
+        pytest.skip("the timing can't be controlled on loopback sockets")
+    begin_shutdown(world)
     world.sockets.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.leaving.started_at > 0.41)
     late, silent = world.caller(), world.caller()
     world.sockets.until(lambda: world.sidecar.server.listener is None)
-    shut = world.sidecar.clock.now()
-    world.sockets.until(lambda: world.sidecar.clock.now() > shut + 0.022)  # it has looked again
+    closed_at = world.sidecar.clock.now()
+    # Past the next poll of the shutdown.
+    world.sockets.until(lambda: world.sidecar.clock.now() > closed_at + 0.022)
     world.ask(wire=late)
     world.first().read()
     assert silent.at_end()
@@ -494,8 +499,8 @@
     world.logged("ended")
 
 
-def test_a_request_whose_value_is_below_its_wait_is_given_up_at_once_at_a_stop(make: Make) -> None:
-    """A copy that has answered in a moment until now does not stay for what hangs."""
+def test_requests_that_hang_are_cancelled_early_in_a_shutdown(make: Make) -> None:
+    """A sidecar whose requests were all answered quickly does not wait for one that hangs."""
     world = make()
     caller = world.ask()
     node = world.nodes[0].accept()
@@ -505,21 +510,21 @@
         node.read()
         node.answer(200, b"quick")
         caller.read()
-    hung, unsafe, half = world.ask(), world.ask("unsafe"), world.caller()
+    hung, unsafe, partial = world.ask(), world.ask("unsafe"), world.caller()
     for wire in (node, world.nodes[0].accept()):
         wire.read()
-    half.send(b"GET /menu HTTP/1.1\r\nX-Corr")
-    leave(world)
+    partial.send(b"GET /menu HTTP/1.1\r\nX-Corr")
+    begin_shutdown(world)
     began = world.run(world.sidecar.clock.now)
     assert hung.read()[0].startswith("HTTP/1.1 503") and hung.at_end()
     assert unsafe.read()[0].startswith("HTTP/1.1 502") and unsafe.at_end()
-    assert half.read()[0].startswith("HTTP/1.1 408") and half.at_end()
-    half.close()
+    assert partial.read()[0].startswith("HTTP/1.1 408") and partial.at_end()
+    partial.close()
     world.logged("ended")
     assert world.run(world.sidecar.clock.now) - began < 3.5
 
 
-def test_actions_that_the_decisions_may_take_one_day_are_carried_out(make: Make) -> None:
+def test_actions_that_the_balancer_does_not_use_yet_are_carried_out(make: Make) -> None:
     world = make()
     watch = world.discovery.accept()
     watch.read()
@@ -546,21 +551,23 @@
     assert watch.at_end()
 
 
-@pytest.mark.parametrize("late", [False, True], ids=["by a transport", "by a timer"])
-def test_what_a_callback_raises_is_logged(make: Make, monkeypatch: pytest.MonkeyPatch, late: bool) -> None:
-    """Twisted logs the two in different forms."""
+@pytest.mark.parametrize("in_timer", [False, True], ids=["transport", "timer"])
+def test_exception_in_a_callback_is_logged(
+    make: Make, monkeypatch: pytest.MonkeyPatch, in_timer: bool
+) -> None:
+    """Twisted logs exceptions in transport callbacks and in timers in different formats."""
 
-    def trip(*_: object) -> None:
+    def raise_error(*_: object) -> None:
         raise ZeroDivisionError
 
-    def trips(connection: caller_connection.CallerConnection, _data: bytes) -> None:
-        if late:
-            connection.server.reactor.callLater(0, trip)
+    def fail(connection: caller_connection.CallerConnection, _data: bytes) -> None:
+        if in_timer:
+            connection.server.reactor.callLater(0, raise_error)
         else:
-            trip()
+            raise_error()
 
     world = make()
-    monkeypatch.setattr(caller_connection.CallerConnection, "dataReceived", trips)
+    monkeypatch.setattr(caller_connection.CallerConnection, "dataReceived", fail)
     observer: Any = log.log_twisted_failure
     globalLogPublisher.addObserver(observer)
     try:
--- a/tests/daemon/http1/test_start_times.py
+++ b/tests/daemon/http1/test_start_times.py
@@ -1,4 +1,4 @@
-"""When endpoints started, by a clock that is stepped."""
+"""Start times of endpoints, with steps of the system clock."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from wheatring.daemon.http1.endpoint_entries import StartTimes
 
 EPOCH = 1_700_000_000.0
-UP_SECONDS = 100.0  # for which the process has run
+UP_SECONDS = 100.0  # uptime of the process
 
 
 class Reactor:
@@ -17,7 +17,7 @@
 
 
 class SteppedClock:
-    """A process's clock, and its machine's Unix time."""
+    """A process's clock, and a Unix time that can be stepped."""
 
     def __init__(self) -> None:
         self.step = 0.0
@@ -32,13 +32,13 @@
         return self.clock.now() - self.times.instant(endpoint, unix_ms)
 
 
-def test_an_endpoint_that_starts_after_its_clock_was_stepped_back_is_new() -> None:
+def test_endpoint_started_after_a_backward_step_has_age_zero() -> None:
     machine = SteppedClock()
     machine.step = -3.0
     assert abs(machine.age("e1", machine.unix() * 1000)) < 1e-3
 
 
-def test_a_start_before_the_step_is_no_later_for_being_reported_again() -> None:
+def test_start_reported_before_a_backward_step_keeps_its_time() -> None:
     machine = SteppedClock()
     started = machine.unix() * 1000
     assert abs(machine.age("e1", started)) < 1e-3
@@ -48,7 +48,7 @@
     assert abs(machine.age("e1", started) - 10.0) < 1e-3
 
 
-def test_an_endpoint_that_restarts_or_was_forgotten_has_a_new_instant() -> None:
+def test_restarted_or_removed_endpoint_gets_a_new_start_time() -> None:
     machine = SteppedClock()
     started = machine.unix() * 1000
     machine.age("e1", started)
@@ -61,14 +61,14 @@
     assert abs(machine.age("e2", machine.unix() * 1000)) < 1e-3
 
 
-def test_drift_and_a_step_forward_move_no_start() -> None:
+def test_drift_and_forward_steps_do_not_change_start_times() -> None:
     machine = SteppedClock()
     for step in (-0.05, 0.05, 3.0):
         machine.step = step
         assert machine.times.instant(f"e{step}", EPOCH * 1000) == 0.0
 
 
-def test_a_start_long_ago_stays_long_ago() -> None:
+def test_unix_time_zero_is_converted_to_zero() -> None:
     machine = SteppedClock()
     machine.step = -3.0
     assert machine.times.instant("e1", 0) == 0.0
--- a/wheatring/daemon/http1/endpoint_list.py
+++ b/wheatring/daemon/http1/endpoint_list.py
@@ -83,7 +83,7 @@
         self.address = address
         self.client = self.create_client()
         self.is_watching = False
-        # Delays the first call of a watch until this sidecar's time slot.
+        # Delays the first call of a watch until its scheduled time.
         self.first_call_timer: Timer | None = None
         self.called_at = 0.0
         self.superseded = SupersededCalls(self.apply_superseded)
@@ -119,7 +119,7 @@
             self.subscribe()
 
     def subscribe(self) -> None:
-        """Start a watch unless one is active; the first call is delayed until this sidecar's time slot."""
+        """Start a watch unless one is active; the first call is made at its scheduled time."""
         if not self.is_watching:
             self.is_watching = True
             now = self.clock.now()
