--- a/tests/daemon/http1/test_bodies.py
+++ b/tests/daemon/http1/test_bodies.py
@@ -115,7 +115,7 @@
 ) -> None:
     """A response that has been started can't be retried, so without a limit it would be forwarded forever."""
     monkeypatch.setattr(response_forwarder, "STREAM_UNKNOWN_LENGTH_AFTER_SECONDS", 0.0)
-    monkeypatch.setattr(response_forwarder, "MIN_ANSWER_BYTES_PER_SECOND", 1e9)
+    monkeypatch.setattr(response_forwarder, "MIN_RESPONSE_BYTES_PER_SECOND", 1e9)
     world = make()
     caller = world.ask(left=300)
     node = world.nodes[0].accept()
@@ -142,7 +142,7 @@
         check(stream, end_offset)
 
     monkeypatch.setattr(response_forwarder.ResponseForwarder, "check", recorded_check)
-    monkeypatch.setattr(response_forwarder, "MIN_ANSWER_BYTES_PER_SECOND", 1)
+    monkeypatch.setattr(response_forwarder, "MIN_RESPONSE_BYTES_PER_SECOND", 1)
     world = make()
     caller = world.ask(left=250)  # less than STREAM_AFTER_SECONDS, but enough for a busy machine
     node = world.nodes[0].accept()
--- a/tests/daemon/http1/test_caller_connection.py
+++ b/tests/daemon/http1/test_caller_connection.py
@@ -99,7 +99,7 @@
     make: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The memory for responses is bounded, and all responses that were written are complete."""
-    monkeypatch.setattr(caller_connection, "MAX_PENDING_ANSWER_BYTES", 10_000)
+    monkeypatch.setattr(caller_connection, "MAX_PENDING_RESPONSE_BYTES", 10_000)
     world = make()
     wire = slow_reader(world)
     wait_until(world, lambda: world.sidecar.server.connections)
--- a/tests/daemon/http1/test_endpoint_connection.py
+++ b/tests/daemon/http1/test_endpoint_connection.py
@@ -80,7 +80,7 @@
     world = make()
     wire = kept_connection(world, world.caller())
 
-    def crossing() -> tuple[Request, list[Answer]]:
+    def submit_with_pending_input() -> tuple[Request, list[Answer]]:
         if how == "duplicate response":
             wire.answer(200, b"first")
         elif how == "rejection":
@@ -91,7 +91,7 @@
             wire.reset()
         return submit(world, name, is_connecting=False)
 
-    request, answers = world.run(crossing)
+    request, answers = world.run(submit_with_pending_input)
     attempts = request.attempts[:]
     again = world.nodes[0].accept()
     assert again.read()[0] == "POST /late HTTP/1.1"
@@ -114,7 +114,7 @@
     (old,), spare = world.nodes, Peer(world.sockets)
     wire = kept_connection(world, world.caller())
 
-    def crossing() -> list[Attempt]:
+    def submit_and_update_list() -> list[Attempt]:
         wire.close()
         request, _ = submit(world, is_connecting=False)
         if how == "draining":
@@ -123,7 +123,7 @@
             apply_list(world, entry("n0", spare, startedAtMs=1))
         return request.attempts
 
-    attempts = world.run(crossing)
+    attempts = world.run(submit_and_update_list)
     again, first = accept_request(spare)
     assert first == "POST /late HTTP/1.1"
     sent = [(attempt.endpoint, attempt.outcome) for attempt in attempts]
--- a/tests/daemon/http1/test_endpoint_list.py
+++ b/tests/daemon/http1/test_endpoint_list.py
@@ -48,8 +48,8 @@
     monkeypatch.setattr(log, "line", log.line)
     made: list[World] = []
 
-    def build(nodes: int = 2, kind: type[World] = World) -> World:
-        made.append(kind(VirtualSockets(), nodes))
+    def build(nodes: int = 2, world_type: type[World] = World) -> World:
+        made.append(world_type(VirtualSockets(), nodes))
         return made[-1]
 
     yield build
@@ -71,11 +71,11 @@
     peer = world.nodes[int(name[1:])]
     caller = world.ask()
     wire = peer.accept()
-    for left in reversed(range(requests)):
+    for remaining in reversed(range(requests)):
         wire.read()
         wire.answer(200, name.encode())
         assert caller.read()[2] == name.encode()
-        if left:
+        if remaining:
             world.ask(wire=caller)
 
 
@@ -216,15 +216,15 @@
     """The accept queue of the listener is full. Responses of the old discovery are applied meanwhile."""
     world = make(2)
     monkeypatch.setattr(discovery_client, "CONNECT_TIMEOUT_SECONDS", 0.2)
-    former = world.discovery.accept()
-    read_request_line(former)
+    old_watch = world.discovery.accept()
+    read_request_line(old_watch)
     full = socket.socket()
     full.bind(("127.0.0.1", 0))
     full.listen(0)
     filler = socket.create_connection(full.getsockname())
     world.run(lambda: world.sidecar.machine_list.change_discovery(full.getsockname()))
     world.logged("list-failed", 2)
-    former.answer(200, list_body(9, DRAINS))
+    old_watch.answer(200, list_body(9, DRAINS))
     check_only_endpoint(world, "n1")
     full.accept()[0].close()
     full.settimeout(worlds.WAIT_LIMIT_SECONDS)
@@ -486,7 +486,7 @@
 
 
 def test_sidecar_without_list_and_discovery_repeats_the_call_until_it_succeeds(virtual: Make) -> None:
-    world = virtual(kind=Unlisted)
+    world = virtual(world_type=Unlisted)
     for _ in range(10):
         first = world.discovery.accept()
         assert read_request_line(first) == FULL_LIST
--- a/tests/daemon/http1/test_requests.py
+++ b/tests/daemon/http1/test_requests.py
@@ -119,7 +119,7 @@
 def test_invalid_response_on_an_open_connection_fails_the_attempt_at_once(
     make: Make, monkeypatch: pytest.MonkeyPatch, response: bytes
 ) -> None:
-    monkeypatch.setattr(endpoint_connection, "ANSWER_STALL_SECONDS", 0.0)
+    monkeypatch.setattr(endpoint_connection, "RESPONSE_STALL_SECONDS", 0.0)
     world = make()
     caller = world.ask("unsafe")
     node = world.nodes[0].accept()
--- a/wheatring/daemon/http1/caller_connection.py
+++ b/wheatring/daemon/http1/caller_connection.py
@@ -28,7 +28,7 @@
 SERVED, REFUSED = AnswerKind.SERVED, AnswerKind.REFUSED  # bound once, since enum member access is slow
 
 # Responses queued while the socket's send buffer is full; beyond this the connection is closed.
-MAX_PENDING_ANSWER_BYTES = 1024 * 1024
+MAX_PENDING_RESPONSE_BYTES = 1024 * 1024
 HANGUP_CHECK_SECONDS = 0.05  # interval of the disconnect checks while an upload is paused
 
 
@@ -65,8 +65,7 @@
         elif self.request is None:
             self.read_requests()
         elif len(self.parser.buffer) > MAX_HEAD_BYTES + BUFFERED_BODY_BYTES:
-            # Bounds the memory for pipelined requests. Reading goes on, to detect that the caller
-            # disconnects.
+            # Bounds the memory for pipelined requests, but keeps reading to detect a disconnect.
             self.is_flooded, self.keep_alive = True, False
             self.parser.buffer.clear()
         if self.parser.buffer and self.upload is None and self.request is not None:
@@ -129,14 +128,14 @@
         if message.start_line[0] != b"GET":
             raise RequestRejectedError(405, "method not allowed", b"Allow: GET\r\n")
         status, body = (503, b"away\n") if self.server.is_out_of_service else (200, b"ok\n")
-        self.write_answer(encode_response(status, body, close=self.is_last_answer()))
+        self.write_response(encode_response(status, body, close=self.is_last_response()))
 
     def _answer_rejection(self, message: Message, rejection: RequestRejectedError) -> None:
         status, header_lines, body = rejection.status, rejection.header_lines, rejection.body
         if status == 400 or message.is_open:
             self.reject(status, str(rejection), header_lines, body)
         else:
-            self.write_answer(encode_response(status, body, header_lines, close=self.is_last_answer()))
+            self.write_response(encode_response(status, body, header_lines, close=self.is_last_response()))
 
     def submit(self, request: Request) -> None:
         """Submit a request to the exchange, unless its caller has disconnected.
@@ -146,8 +145,8 @@
         if self.server.has_hung_up(self.transport):
             self.server.reactor.callLater(0, self.resume_discarding)
             return
-        answered = self.server.exchange.submit(request)
-        answered.addCallback(self.answer, request).addErrback(self.handle_internal_error)
+        deferred = self.server.exchange.submit(request)
+        deferred.addCallback(self.answer, request).addErrback(self.handle_internal_error)
 
     # Large requests
 
@@ -209,7 +208,7 @@
         self.cancel_upload(request)
         if self.upload is not None:
             self.resume()
-        close = self.is_last_answer()
+        close = self.is_last_response()
         message = answer.content
         drill_line = b"X-Drill: 1\r\n" if request.is_drill else b""
         if answer.kind is SERVED and isinstance(message, Message) and message.stream is not None:
@@ -219,15 +218,15 @@
         if answer.kind is SERVED:
             assert isinstance(message, Message)
             lines = drill_line + message.end_to_end_lines()
-            self.write_answer(encode_response(200, message.body, lines, close=close))
+            self.write_response(encode_response(200, message.body, lines, close=close))
         elif answer.kind is REFUSED:
             lines = drill_line + _retry_after_line(answer.retry_after)
-            self.write_answer(encode_response(503, header_lines=lines, close=close))
+            self.write_response(encode_response(503, header_lines=lines, close=close))
         else:
-            self.write_answer(encode_response(502, header_lines=drill_line, close=close))
+            self.write_response(encode_response(502, header_lines=drill_line, close=close))
         self.next_request()
 
-    def is_last_answer(self) -> bool:
+    def is_last_response(self) -> bool:
         """Return whether the next response carries `Connection: close`; updates `keep_alive` accordingly.
 
         It does if the rest of its request has not arrived yet, since that would be parsed as the next
@@ -236,11 +235,11 @@
         shut down.
         """
         is_final = self.server.closes_after_response and not self.parser.has_partial_message
-        if is_final or self.upload is not None or self.pending_bytes > MAX_PENDING_ANSWER_BYTES:
+        if is_final or self.upload is not None or self.pending_bytes > MAX_PENDING_RESPONSE_BYTES:
             self.keep_alive = False
         return not self.keep_alive
 
-    def write_answer(self, data: bytes) -> None:
+    def write_response(self, data: bytes) -> None:
         """Write a response, or the end of one, and close the connection if it is the last one."""
         if not self.is_connected:
             return
@@ -305,7 +304,7 @@
     def finish_stream(self) -> None:
         """Continue with the next request: the last byte of the response has been sent."""
         self.sender = self.request = None
-        self.write_answer(b"")
+        self.write_response(b"")
         self.next_request()
 
     def abort_stream(self) -> None:
--- a/wheatring/daemon/http1/caller_lifecycle.py
+++ b/wheatring/daemon/http1/caller_lifecycle.py
@@ -63,10 +63,10 @@
 BODY_IDLE_TIMEOUT_SECONDS = 2.0
 MIN_BODY_BYTES_PER_SECOND = 32 * 1024
 # Time in which a caller must read one buffer of a large response; this allows rates down to 1 kB/s.
-UNREAD_ANSWER_TIMEOUT_SECONDS = 180.0
+UNREAD_RESPONSE_TIMEOUT_SECONDS = 180.0
 STALLED_UPLOAD_TIMEOUT_SECONDS = 10.0  # time in which an endpoint must read one buffer of a large request
 LINGER_TIMEOUT_SECONDS = 2.0  # time to read the last response after the write side was shut down
-MAX_DISCARDED_BYTES = 1024 * 1024  # input that is discarded before reading is paused
+MAX_DISCARDED_BYTES = 1024 * 1024  # discarded input before reading is paused; more would only cost time
 # Pause between two reads of MAX_DISCARDED_BYTES from a caller that has pipelined too much. A disconnect is
 # detected behind data in the receive buffer, but not behind data that does not fit into it (at most 4 MB),
 # which has to be read within 0.1 s.
@@ -281,7 +281,7 @@
         assert self.sender is not None
         if (sent_offset := self.sender.body.taken_offset) > self.sent_offset:
             self.sent_offset, self.last_progress_at = sent_offset, now
-        elif now > self.last_progress_at + UNREAD_ANSWER_TIMEOUT_SECONDS:
+        elif now > self.last_progress_at + UNREAD_RESPONSE_TIMEOUT_SECONDS:
             self.abort("unread")
 
     def is_too_slow(self, now: float) -> bool:
@@ -290,8 +290,8 @@
             return now > self.state_since + HEAD_TIMEOUT_SECONDS
         if now > self.last_progress_at + BODY_IDLE_TIMEOUT_SECONDS:
             return True
-        spent = now - self.state_since - HEAD_TIMEOUT_SECONDS
-        return spent > self.parser.body_bytes / MIN_BODY_BYTES_PER_SECOND
+        body_seconds = now - self.state_since - HEAD_TIMEOUT_SECONDS
+        return body_seconds > self.parser.body_bytes / MIN_BODY_BYTES_PER_SECOND
 
     def evict(self) -> None:
         """Close the connection to free its slot for a waiting caller."""
--- a/wheatring/daemon/http1/connection_pool.py
+++ b/wheatring/daemon/http1/connection_pool.py
@@ -24,7 +24,7 @@
 # Some endpoints send a duplicate response a few milliseconds after the first. If the connection carries the
 # next request by then, the duplicate is mistaken for its response. Connections that have been idle for the
 # reuse delay are therefore preferred, and after a duplicate was seen, the delay is mandatory for some time.
-DUPLICATE_ANSWER_SECONDS = 1.0  # unsolicited data within this time after a response counts as a duplicate
+DUPLICATE_RESPONSE_SECONDS = 1.0  # unsolicited data within this time after a response counts as a duplicate
 REUSE_DELAY_SECONDS = 0.03  # idle time without data before a connection is reused
 REUSE_DELAY_PERIOD_SECONDS = 60.0  # time after the last duplicate in which the delay is mandatory
 
@@ -259,10 +259,10 @@
     def note_unsolicited_data(self, connection: EndpointConnection) -> None:
         """Record data that was received without a request."""
         idle_seconds = self.clock.now() - connection.idle_since
-        if connection.is_reused and idle_seconds < DUPLICATE_ANSWER_SECONDS:
-            self.note_duplicate_answer()
+        if connection.is_reused and idle_seconds < DUPLICATE_RESPONSE_SECONDS:
+            self.note_duplicate_response()
 
-    def note_duplicate_answer(self) -> None:
+    def note_duplicate_response(self) -> None:
         """Make the reuse delay mandatory for some time: a duplicate response was received."""
         self.reuse_delay_until = self.clock.now() + REUSE_DELAY_PERIOD_SECONDS
 
--- a/wheatring/daemon/http1/endpoint_connection.py
+++ b/wheatring/daemon/http1/endpoint_connection.py
@@ -46,12 +46,12 @@
         def note_unsolicited_data(self, connection: Any) -> None:
             """Record data that was received without a request."""
 
-        def note_duplicate_answer(self) -> None:
+        def note_duplicate_response(self) -> None:
             """Record a second response to the same request."""
 
 
 SERVED = Outcome.SERVED  # bound once, since enum member access is slow
-ANSWER_STALL_SECONDS = 0.6  # longest gap within a response; after a longer one it counts as malformed
+RESPONSE_STALL_SECONDS = 0.6  # longest gap within a response; after a longer one it counts as malformed
 
 
 def is_rejection(message: Message) -> bool:
@@ -87,7 +87,7 @@
     is_premature : bool
         The current response began before its request can have reached the endpoint.
     is_reused : bool
-        The connection has carried a request before, so data received on it may be a response to that one.
+        The connection has been idle in the pool, so data received on it may be a late response.
     """
 
     log_event = "endpoint-connection"
@@ -175,18 +175,18 @@
             if self.stream is not None:
                 self.stream.forward()
                 return
-            message = self._next_answer()
+            message = self._next_response()
         except MalformedMessageError as error:
-            self.reject_answer(str(error))
+            self.reject_response(str(error))
             return
         if message is None:
             # The stated length may be wrong, and the missing rest must not be awaited until the deadline.
             if self.parser.has_partial_message:
-                self.start_stall_timer(ANSWER_STALL_SECONDS)
+                self.start_stall_timer(RESPONSE_STALL_SECONDS)
         else:
-            self._handle_answer(message)
+            self._handle_response(message)
 
-    def _next_answer(self) -> Message | None:
+    def _next_response(self) -> Message | None:
         """Return the final response once it is complete or due to be forwarded; None before that."""
         message = self.parser.next_message()
         while message is not None and message.start_line[0][:1] == b"1":
@@ -195,11 +195,11 @@
             message = self.open_if_due(self.parser.message)
         return message
 
-    def _handle_answer(self, message: Message) -> None:
+    def _handle_response(self, message: Message) -> None:
         if self.is_premature and (self.is_flushed or not is_rejection(message)):
             # Endpoints process a request only once it is complete, so this is a response to the previous one.
             self.pool.note_unsolicited_data(self)
-            self.reject_answer("response received before the request was sent")
+            self.reject_response("response received before the request was sent")
         elif message.is_open:
             self.start_stream(message)
         else:
@@ -216,15 +216,15 @@
     def start_stall_timer(self, seconds: float) -> None:
         """Reject the response if no data arrives for `seconds`."""
         expires_at = self.pool.clock.now() + seconds
-        self.stall_timer = self.pool.clock.at(expires_at, self.reject_answer, "response incomplete")
+        self.stall_timer = self.pool.clock.at(expires_at, self.reject_response, "response incomplete")
 
     def stop_stall_timer(self) -> None:
         """Cancel the stall timer."""
         if self.stall_timer is not None and self.stall_timer.active():
             self.stall_timer.cancel()
 
-    def reject_answer(self, reason: str) -> None:
-        """Fail the attempt and reset the connection: the response is invalid, so its end can't be found."""
+    def reject_response(self, reason: str) -> None:
+        """Fail the attempt and reset the connection, as no further data on it can be trusted."""
         self.close_reason = reason
         self.abort("bad-answer")
         self.fail_attempt()
@@ -302,7 +302,7 @@
         if not self.is_flushed or self.parser.has_partial_message:
             # A partial request or response is left on the connection, and would corrupt the next exchange.
             if self.parser.has_partial_message:
-                self.pool.note_duplicate_answer()
+                self.pool.note_duplicate_response()
             self.stop_sending()
             self.abort("not-clean")
         elif not keep_alive:
--- a/wheatring/daemon/http1/endpoint_list.py
+++ b/wheatring/daemon/http1/endpoint_list.py
@@ -152,7 +152,7 @@
     def pause(self) -> None:
         """Stop the watch while another sidecar shares its list; the current call becomes superseded."""
         if self.client.on_answer is not None and self.client.is_sent:
-            self.retire(self.client)
+            self.stop_after_read_time(self.client)
             self.client = self.create_client()
         self.cancel_watch("follows")
 
@@ -195,7 +195,7 @@
         if not self.is_watching or client is not self.client or client.on_answer is not None:
             return
         self.called_at = now = self.clock.now()
-        if self.version is None:  # discovery responds immediately, without a long poll
+        if self.version is None:  # ends soon; the time of the next call is determined by its result
             self.client.call(None, now + self.request_schedule.draw_patience(), self.handle_watch_answer)
             return
         deadline = now + WATCH_WAIT_SECONDS + CALL_SLACK_SECONDS
@@ -228,7 +228,7 @@
         else:
             began_at = None if answer is not None else self.client.answer_began_at
             self.handle_watch_failure("watch-failed", began_at)
-            # Without a list, the balancer retries by itself, with its own random delay.
+            # Not left to the balancer in these cases, as it would add a random delay of its own.
             if self.is_pushed or self.request_schedule.has_list:
                 self.subscribe()
 
@@ -244,7 +244,7 @@
 
     # Superseded calls
 
-    def retire(self, client: DiscoveryClient) -> None:
+    def stop_after_read_time(self, client: DiscoveryClient) -> None:
         """Stop a client after `REPLACED_WATCH_SECONDS`; a response until then is still applied."""
         if client.on_answer is not None:
             self.supersede(client)
@@ -257,8 +257,8 @@
     def apply_superseded(self, answer: Any, is_full: bool) -> None:
         """Apply the response to a superseded call.
 
-        The version stays as it is while the call in flight requests the full list, which must then be applied
-        in full.
+        The version changes only if both the old and the new one are known: the call in flight was made with
+        the old version, or requests the full list.
         """
         version, is_applicable = self.version, False
         try:
@@ -314,7 +314,7 @@
         assert self.replacement is not None
         replaced, self.client, self.replacement = self.client, self.replacement, None
         self.called_at = self.clock.now()
-        self.retire(replaced)
+        self.stop_after_read_time(replaced)
         self.version = version
         self.client.on_connected = None
         self.request_schedule.notification.call_accepted(self.called_at, WATCH_WAIT_SECONDS)
--- a/wheatring/daemon/http1/response_forwarder.py
+++ b/wheatring/daemon/http1/response_forwarder.py
@@ -43,7 +43,7 @@
         def keep_or_close(self, keep_alive: bool) -> None:
             """Return the connection to the pool, or close it if it can't be reused."""
 
-        def reject_answer(self, reason: str) -> None:
+        def reject_response(self, reason: str) -> None:
             """Fail the attempt and reset the connection."""
 
         def abort(self, code: str) -> None:
@@ -59,7 +59,7 @@
 STREAM_UNKNOWN_LENGTH_AFTER_SECONDS = 0.5
 # Minimum average rate of a forwarded response after the deadline of its request, unless the caller reads more
 # slowly, and the interval of the checks. Without it, an endless response would be forwarded forever.
-MIN_ANSWER_BYTES_PER_SECOND = 32 * 1024
+MIN_RESPONSE_BYTES_PER_SECOND = 32 * 1024
 STREAM_CHECK_SECONDS = 0.1
 
 
@@ -94,7 +94,7 @@
         self.head_read_at = head_read_at
 
     def start(self, data: bytes, caller_deadline: float) -> None:
-        """Start with the data received so far."""
+        """Start to forward, with the data received so far."""
         self.connection.pool.clock.at(caller_deadline, self.check)
         self.body.on_space = self.resume
         self.body.on_cancel = self.abort
@@ -122,10 +122,10 @@
             return
         body, pool = self.body, self.connection.pool
         delay = STREAM_CHECK_SECONDS
-        expected = MIN_ANSWER_BYTES_PER_SECOND * (pool.clock.now() - self.head_read_at)
+        expected = MIN_RESPONSE_BYTES_PER_SECOND * (pool.clock.now() - self.head_read_at)
         if body.taken_offset == body.end_offset < expected:
             if body.end_offset == end_offset:
-                self.connection.reject_answer("response too slow after the deadline")
+                self.connection.reject_response("response too slow after the deadline")
                 return
             delay = 0.0
         call_after_read(pool.reactor, self.check, body.end_offset, delay=delay)
--- a/wheatring/daemon/http1/server.py
+++ b/wheatring/daemon/http1/server.py
@@ -111,8 +111,8 @@
         """Listen for callers and return the port; `is_shared` allows another process at the same address."""
         open_socket = open_shared_listener if is_shared else self.open_listener
         self.listener = open_socket(port, self, BACKLOG, host, self.reactor)
-        bound: int = self.listener.getHost().port
-        return bound
+        bound_port: int = self.listener.getHost().port
+        return bound_port
 
     @property
     def closes_after_response(self) -> bool:
@@ -174,9 +174,9 @@
         now = self.clock.now()
         self.clock.at(now + SWEEP_SECONDS, self.sweep)
         is_crowded = 2 * len(self.connections) > self.max_connections
-        idle_seconds = CROWDED_IDLE_TIMEOUT_SECONDS if is_crowded else IDLE_TIMEOUT_SECONDS
+        idle_timeout = CROWDED_IDLE_TIMEOUT_SECONDS if is_crowded else IDLE_TIMEOUT_SECONDS
         for connection in list(self.connections):
-            connection.enforce_limits(now, idle_seconds)
+            connection.enforce_limits(now, idle_timeout)
 
     # Requests
 
