--- a/tests/daemon/core/test_retries.py
+++ b/tests/daemon/core/test_retries.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.conftest import Copy
-from tests.daemon.http1.attempts import kept_connection
+from tests.daemon.http1.attempts import open_idle_connection
 from tests.support.world import World
 from wheatring.balancer import backoff
 from wheatring.balancer import interface as i
@@ -107,7 +107,7 @@
     caller, other = world.ask(name, left=3000), world.caller()
     wire = world.nodes[0].accept()
     wire.read()
-    idle = kept_connection(world, other)
+    idle = open_idle_connection(world, other)
     wire.reset()
     if name == "menu":
         wire = world.nodes[0].accept()
@@ -136,7 +136,7 @@
     caller, other = world.ask("menu"), world.caller()
     first = world.nodes[0].accept()
     first.read()
-    idle = kept_connection(world, other)
+    idle = open_idle_connection(world, other)
     if how == "spoilt":
         first.send(b"noise")
     else:
--- a/tests/daemon/http1/attempts.py
+++ b/tests/daemon/http1/attempts.py
@@ -45,7 +45,7 @@
             return wire, wire.read()[0]
 
 
-def kept_connection(world: World, caller: Wire) -> Wire:
+def open_idle_connection(world: World, caller: Wire) -> Wire:
     """Return an idle connection to the first endpoint, which has carried one request."""
     world.ask(wire=caller)
     wire = world.nodes[0].accept()
--- a/tests/daemon/http1/test_endpoint_connection.py
+++ b/tests/daemon/http1/test_endpoint_connection.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.daemon.http1.attempts import accept_request, apply_list, kept_connection, submit
+from tests.daemon.http1.attempts import accept_request, apply_list, open_idle_connection, submit
 from tests.daemon.pools.pools_world import TWO, PoolsWorld
 from tests.daemon.pools.test_pool_set import submit_routed
 from tests.support.world import Peer, World, entry
@@ -78,7 +78,7 @@
     The data is pending in the receive buffer while the request is passed to the connection; no byte is sent.
     """
     world = make()
-    wire = kept_connection(world, world.caller())
+    wire = open_idle_connection(world, world.caller())
 
     def submit_with_pending_input() -> tuple[Request, list[Answer]]:
         if how == "duplicate response":
@@ -112,7 +112,7 @@
     """A new connect might take longer than the time in which the endpoint still accepts requests."""
     world = make()
     (old,), spare = world.nodes, Peer(world.sockets)
-    wire = kept_connection(world, world.caller())
+    wire = open_idle_connection(world, world.caller())
 
     def submit_and_update_list() -> list[Attempt]:
         wire.close()
@@ -142,7 +142,7 @@
     world = make()
     (node,), caller = world.nodes, world.caller()
     node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    wire = kept_connection(world, caller)
+    wire = open_idle_connection(world, caller)
     (connection,) = world.sidecar.pool.connections
     sock: Any = connection.transport.socket  # type: ignore[attr-defined]
     world.run(lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096))
@@ -173,7 +173,7 @@
     world = make()
     (node,), caller = world.nodes, world.caller()
     node.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    wire = kept_connection(world, caller)
+    wire = open_idle_connection(world, caller)
     world.ask("unsafe", wire=caller, more="Content-Length: 65000\r\n")
     caller.send(b"x" * 65000)  # fits into the send buffer here, but not into the receive buffer
     wire.buffer = wire.sock.recv(1)
@@ -191,7 +191,7 @@
     """The endpoint may close it at any moment, and a request would be lost."""
     world = make()
     caller = world.caller()
-    wire = kept_connection(world, caller)
+    wire = open_idle_connection(world, caller)
     world.sidecar.pool.idle_timeout = -1.0
     world.ask("unsafe", wire=caller)
     other = world.nodes[0].accept()
@@ -208,14 +208,14 @@
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_SECONDS", 1e9)
     world = make()
     caller = world.caller()
-    wire = kept_connection(world, caller)
+    wire = open_idle_connection(world, caller)
     world.ask(wire=caller)
     wire.read()  # reused at once before any duplicate was seen
     wire.answer(200, b"second")
     assert caller.read()[2] == b"second"
     wire.answer(200, b"second")
     assert world.logged("endpoint-connection") == ["unasked-data"]
-    wire = kept_connection(world, caller)
+    wire = open_idle_connection(world, caller)
     world.ask(wire=caller)
     other = world.nodes[0].accept()
     other.read()
@@ -241,7 +241,7 @@
     wire.send(b"HTTP/1.1 200 X\r\nContent-Length: 1\r\n\r\na" * 2)
     assert caller.read()[2] == b"a"
     assert world.logged("endpoint-connection") == ["not-clean"]
-    wire = kept_connection(world, caller)
+    wire = open_idle_connection(world, caller)
     world.ask(wire=caller)
     other = world.nodes[0].accept()
     other.read()
--- a/tests/daemon/http1/test_endpoint_faults.py
+++ b/tests/daemon/http1/test_endpoint_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.daemon.http1.attempts import kept_connection, submit
+from tests.daemon.http1.attempts import open_idle_connection, submit
 from tests.support.world import World
 from wheatring.daemon.core.exchange import Answer, AnswerKind
 from wheatring.daemon.http1 import connection_pool
@@ -77,7 +77,7 @@
     """It was reported as ended, so its request must not be executed afterwards."""
     world = make()
     caller = world.caller()
-    wire = kept_connection(world, caller)
+    wire = open_idle_connection(world, caller)
     resume_producing = RequestSender.resumeProducing
 
     def write_and_raise(sender: RequestSender) -> None:
