--- a/wheatring/daemon/http1/caller_connection.py
+++ b/wheatring/daemon/http1/caller_connection.py
@@ -126,7 +126,7 @@
 
     def _answer_health_check(self, message: Message) -> None:
         if message.start_line[0] != b"GET":
-            raise RequestRejectedError(405, "method not allowed", b"Allow: GET\r\n")
+            raise RequestRejectedError(405, "method", b"Allow: GET\r\n")
         status, body = (503, b"away\n") if self.server.is_out_of_service else (200, b"ok\n")
         self.write_response(encode_response(status, body, close=self.is_last_response()))
 
@@ -309,7 +309,7 @@
 
     def abort_stream(self) -> None:
         """Reset the connection: the rest of the response will not arrive."""
-        self.close_reason = "response incomplete"
+        self.close_reason = "answer not whole"
         self.abort("answer-cut")
 
 
--- a/wheatring/daemon/http1/endpoint_connection.py
+++ b/wheatring/daemon/http1/endpoint_connection.py
@@ -216,7 +216,7 @@
     def start_stall_timer(self, seconds: float) -> None:
         """Reject the response if no data arrives for `seconds`."""
         expires_at = self.pool.clock.now() + seconds
-        self.stall_timer = self.pool.clock.at(expires_at, self.reject_response, "response incomplete")
+        self.stall_timer = self.pool.clock.at(expires_at, self.reject_response, "answer not whole")
 
     def stop_stall_timer(self) -> None:
         """Cancel the stall timer."""
--- a/wheatring/daemon/http1/endpoint_entries.py
+++ b/wheatring/daemon/http1/endpoint_entries.py
@@ -113,9 +113,9 @@
         raise InvalidEndpointListError("entry is not an object")
     name, lifecycle = item.get("instanceId"), item.get("lifecycle")
     if not isinstance(name, str) or not name:
-        raise InvalidEndpointListError(f"instanceId: not a non-empty string: {name!r}")
+        raise InvalidEndpointListError(f"instanceId: {name!r}")
     if not isinstance(lifecycle, str) or lifecycle not in STATES_BY_LIFECYCLE:
-        raise InvalidEndpointListError(f"lifecycle: unknown value: {lifecycle!r}")
+        raise InvalidEndpointListError(f"lifecycle: {lifecycle!r}")
     state = STATES_BY_LIFECYCLE[lifecycle]
     try:
         return _parse_attributes(name, state, item, start_times)
--- a/wheatring/daemon/http1/endpoint_list.py
+++ b/wheatring/daemon/http1/endpoint_list.py
@@ -345,7 +345,7 @@
         """
         try:
             if answer is None:
-                raise InvalidEndpointListError("call to discovery failed")
+                raise InvalidEndpointListError("the call failed")
             self.apply(self.decode(answer), ViewKind.FULL if is_full else None)
         except (ValueError, RecursionError) as error:
             log.line("list-failed", why=str(error))
--- a/wheatring/daemon/http1/request_builder.py
+++ b/wheatring/daemon/http1/request_builder.py
@@ -73,10 +73,10 @@
             raise RequestRejectedError(400, "repeated single-value header field")
         request_class = self._class_of(fields, target, route)
         if rights is not None and request_class.name not in rights:
-            raise RequestRejectedError(403, "class not permitted", body=b"class not in rights")
+            raise RequestRejectedError(403, "rights", body=b"class not in rights")
         allowed = b"GET" if request_class.idempotency is IDEMPOTENT else b"POST"
         if method != allowed:
-            raise RequestRejectedError(405, "method not allowed", b"Allow: %s\r\n" % allowed)
+            raise RequestRejectedError(405, "method", b"Allow: %s\r\n" % allowed)
         correlation_id = self._correlation_id(fields)
         time_limit = _time_limit(fields, request_class, route)
         head = b"%s %s HTTP/1.1\r\n%s" % (method, target, message.end_to_end_lines(b"x-time-left-ms"))
@@ -92,16 +92,16 @@
 
     def _class_of(self, fields: Mapping[bytes, bytes], target: bytes, route: Route | None) -> RequestClass:
         if target[:1] != b"/":
-            raise RequestRejectedError(404, "unknown path")
+            raise RequestRejectedError(404, "path")
         segment = target[1:].partition(b"?")[0].partition(b"/")[0]
         name = fields.get(b"x-service-class", segment)
         if route is not None and route.class_name:
             name = route.class_name
         elif not segment or name != segment:
-            raise RequestRejectedError(404, "unknown path")
+            raise RequestRejectedError(404, "path")
         request_class = self.classes.get(name.decode("latin-1"))
         if request_class is None:
-            raise RequestRejectedError(404, "unknown class")
+            raise RequestRejectedError(404, "class")
         return request_class
 
     def _correlation_id(self, fields: Mapping[bytes, bytes]) -> str:
--- a/wheatring/daemon/http1/response_forwarder.py
+++ b/wheatring/daemon/http1/response_forwarder.py
@@ -125,7 +125,7 @@
         expected = MIN_RESPONSE_BYTES_PER_SECOND * (pool.clock.now() - self.head_read_at)
         if body.taken_offset == body.end_offset < expected:
             if body.end_offset == end_offset:
-                self.connection.reject_response("response too slow after the deadline")
+                self.connection.reject_response("answer not whole in time")
                 return
             delay = 0.0
         call_after_read(pool.reactor, self.check, body.end_offset, delay=delay)
