--- a/tests/tier/test_command_line.py
+++ b/tests/tier/test_command_line.py
@@ -76,7 +76,7 @@
         timeout=20,
     )
     assert ended.returncode == 2
-    assert ended.stderr.startswith(f"wheatring: {path}: is no JSON") and ended.stderr.count("\n") == 1
+    assert ended.stderr.startswith(f"wheatring: {path}: is not valid JSON") and ended.stderr.count("\n") == 1
 
 
 def test_check_tells_what_is_wrong_with_a_configuration(tmp_path: Path) -> None:
--- a/wheatring/tier/__init__.py
+++ b/wheatring/tier/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the serving tier, and the start of its three roles."""
+"""The serving tier: sidecars, controllers and storage replicas, and its command line."""
--- a/wheatring/tier/__main__.py
+++ b/wheatring/tier/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wheatring.tier`: the roles of the tier and the tools around them."""
+"""`python -m wheatring.tier`: the roles of the tier, and its tools."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 
 @main.command(help=run_sidecar.__doc__)
-@click.option("--policy", type=click.Path(exists=True, dir_okay=False), help="figures to decide by, TOML")
+@click.option("--policy", type=click.Path(exists=True, dir_okay=False), help="TOML file of policy parameters")
 def sidecar(policy: str | None) -> None:
-    """Run a sidecar; the help of the command is that of `run_sidecar`."""
+    """Run a sidecar. The help text of the command is the docstring of `run_sidecar`."""
     run_sidecar(policy)
 
 
 @main.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def check(file: str) -> None:
-    """Check a settings file or an operator's configuration; every error is one line with its path."""
+    """Validate a settings file or an operator's configuration; an error is one line with its path."""
     from wheatring.tier.boot_settings.exceptions import SettingsError
     from wheatring.tier.boot_settings.settings import read_settings
     from wheatring.tier.controller.configuration import parse
@@ -45,27 +45,27 @@
         raise click.ClickException(f"{file}: {error}") from error
     except SettingsError as error:
         raise click.ClickException(str(error)) from error
-    click.echo(f"{file}: sound")
+    click.echo(f"{file}: valid")
 
 
 @main.command()
 @click.argument("address")
 def status(address: str) -> None:
-    """Ask a controller (ADDRESS is host:port of its control address) how it and the system are."""
+    """Print the status reported by a controller; ADDRESS is host:port of its control address."""
     import httpx
 
     try:
-        reply = httpx.get(f"http://{address}/status", timeout=2.0, trust_env=False)
-        reply.raise_for_status()
+        response = httpx.get(f"http://{address}/status", timeout=2.0, trust_env=False)
+        response.raise_for_status()
     except httpx.HTTPError as error:
         raise click.ClickException(f"{address}: {error}") from error
-    for name, value in reply.json().items():
+    for name, value in response.json().items():
         click.echo(f"{name}: {value}")
 
 
 @main.command()
 def demo() -> None:
-    """Start a small whole tier on loopback and play a conversation through it."""
+    """Start a small but complete tier on loopback and run a conversation through it."""
     import asyncio
 
     from wheatring.lab.demo.play import DemoFailedError, play
@@ -77,11 +77,11 @@
 
 
 @main.command()
-@click.option("--sidecars", default="30,100,300,1000", help="sizes to measure, by commas")
-@click.option("--turns", default=20.0, help="turns a second, of all sidecars together")
-@click.option("--json", "as_json", is_flag=True, help="for the page's table")
+@click.option("--sidecars", default="30,100,300,1000", help="comma-separated numbers of sidecars to measure")
+@click.option("--turns", default=20.0, help="turns per second, the total of all sidecars")
+@click.option("--json", "as_json", is_flag=True, help="print the result as JSON")
 def scale(sidecars: str, turns: float, as_json: bool) -> None:
-    """Measure how the cost of control grows: real controllers and storage beside hollow sidecars."""
+    """Measure the control-plane cost by number of sidecars, with real controllers and simulated sidecars."""
     import asyncio
 
     from wheatring.lab.scale.measurement import measure, report
@@ -89,9 +89,11 @@
     try:
         sizes = [int(size) for size in sidecars.split(",")]
     except ValueError as error:
-        raise click.ClickException(f"--sidecars: must be whole numbers by commas, is {sidecars!r}") from error
+        raise click.ClickException(
+            f"--sidecars: must be comma-separated integers, got {sidecars!r}"
+        ) from error
     if not sizes or min(sizes) < 1:
-        raise click.ClickException("--sidecars: each must be 1 or more")
+        raise click.ClickException("--sidecars: each number must be at least 1")
     click.echo(report(asyncio.run(measure(sizes, turns)), as_json))
 
 
--- a/wheatring/tier/boot_settings/__init__.py
+++ b/wheatring/tier/boot_settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings that one process of the tier is started with: read, checked and followed."""
+"""The settings file of a tier process: parsing, validation and reloading."""
--- a/wheatring/tier/boot_settings/exceptions.py
+++ b/wheatring/tier/boot_settings/exceptions.py
@@ -1,19 +1,19 @@
-"""The errors of the settings of a process."""
+"""The errors of the settings file."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """The settings cannot be used.
+    """The settings are invalid or cannot be read.
 
     Attributes
     ----------
     source
-        The file, or the variable of the environment that should name it.
+        The file, or the environment variable that should name it.
     key
-        The key that is wrong, its parts joined by dots; empty where the whole source is.
+        The dotted path of the invalid key; empty if the error concerns the whole file.
     fault
-        What is wrong.
+        The description of the error.
     """
 
     def __init__(self, source: str, fault: str, key: str = "") -> None:
--- a/wheatring/tier/boot_settings/settings.py
+++ b/wheatring/tier/boot_settings/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of one process of the tier, named by the environment, read completely and checked.
+"""Parses and validates the settings file of a tier process, whose path is in an environment variable.
 
-Fields that are not known are skipped. A value that is missing or of the wrong kind is reported by one line
-that names the file and the key.
+Unknown fields are ignored. A value that is missing or of the wrong type is reported on one line with the file
+and the key.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
     port: int
 
     def __str__(self) -> str:
-        """Return the form `host:port`, as settings and logs have it."""
+        """Return `host:port`, the form in settings and logs."""
         return f"{self.host}:{self.port}"
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """How many losses at one time the system tolerates."""
+    """The numbers of simultaneous losses that the system tolerates."""
 
     machines: int
     zones: int
@@ -40,13 +40,13 @@
 
     @property
     def losses(self) -> int:
-        """The number of copies of a record, or of voters, that may be lost at one time."""
+        """The number of copies of a record, or of voters, that may be lost simultaneously."""
         return max(self.machines, self.zones, self.regions)
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """Where the endpoint list is read, and how often at most."""
+    """The address of the platform's endpoint list, and the limit of calls to it."""
 
     address: Address
     calls_per_second: float
@@ -54,26 +54,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one process, as the platform has written them.
+    """The settings of a process, written by the platform.
 
     Attributes
     ----------
     path
-        The file that they come from.
+        The path of the settings file.
     node
         The name of the machine.
     listen
-        Addresses to listen at, by their purpose: `control`, `front`, `ready`.
+        Addresses to listen on, by purpose: `control`, `front`, `ready`.
     internal_ports
-        First and last port for what processes of the tier send to each other.
+        First and last port for connections between processes of the tier.
     seeds
-        The addresses of the controllers to begin with.
+        The addresses of the seed controllers.
     bootstrap
         Whether the system is new.
     data_folder
-        Where files are kept; None for a role without any.
+        The directory of the data files; None for a role without any.
     bounds
-        Figures of the contract in force, by name; the name ends in the unit.
+        Limits of the platform's contract, by name; the name ends in the unit.
     """
 
     path: str
@@ -92,7 +92,7 @@
     bounds: dict[str, float]
 
     def bound(self, name: str, default: float) -> float:
-        """Return a figure of the contract in force, in the unit in which its name ends."""
+        """Return a limit of the platform's contract, in the unit in which its name ends."""
         return self.bounds.get(name, default)
 
     @property
@@ -102,52 +102,52 @@
 
     @property
     def drain_seconds(self) -> float:
-        """The time after which a draining endpoint may get nothing new."""
+        """The time after which a draining endpoint may get no new requests."""
         return self.bound("drainMs", 3000.0) / 1000
 
     @property
     def controller_port(self) -> int:
-        """The port at which controllers listen for processes of the tier."""
+        """The port on which controllers listen for processes of the tier."""
         return self.internal_ports[0]
 
     @property
     def storage_port(self) -> int:
-        """The port at which storage replicas listen for processes of the tier."""
+        """The port on which storage replicas listen for processes of the tier."""
         return self.internal_ports[0] + 1
 
 
-class _Reader:
-    """Reads values by their keys, and names the file and the key of each wrong one."""
+class _SettingsReader:
+    """Reads values by key, and reports invalid ones with the file and the key."""
 
     def __init__(self, path: str, values: dict[str, Any]) -> None:
         self.path = path
         self.values = values
 
     def error(self, key: str, fault: str) -> SettingsError:
-        """Return an error for a key, to be raised."""
+        """Return the error for an invalid key, for the caller to raise."""
         return SettingsError(self.path, fault, key)
 
     def value(self, key: str, kind: type | tuple[type, ...], default: Any = ...) -> Any:
-        """Return the value of a key, whose parts are joined by dots. Raises SettingsError.
+        """Return the value at a dotted key. Raises SettingsError.
 
-        A missing value is replaced by the default, and is an error where there is none.
+        A missing value is replaced by the default, and is an error if there is none.
         """
         value: Any = self.values
         for part in key.split("."):
             value = value.get(part) if isinstance(value, dict) else None
         if value is None and default is not ...:
             return default
-        is_wrong = not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool)
-        if is_wrong:
+        is_invalid = not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool)
+        if is_invalid:
             names = kind.__name__ if isinstance(kind, type) else " or ".join(k.__name__ for k in kind)
-            raise self.error(key, "is missing" if value is None else f"must be {names}, is {value!r:.60}")
+            raise self.error(key, "is missing" if value is None else f"must be {names}, got {value!r:.60}")
         return value
 
     def address(self, key: str, text: object) -> Address:
-        """Return the address that a text of this key names. Raises SettingsError."""
+        """Parse the value `text` of the key as `host:port`. Raises SettingsError."""
         host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
         if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-            raise self.error(key, f"must be an address and a port, is {text!r:.60}")
+            raise self.error(key, f"must be an address and a port, got {text!r:.60}")
         return Address(host, int(port))
 
 
@@ -157,21 +157,21 @@
     except OSError as error:
         raise SettingsError(path, str(error.strerror or error)) from error
     except ValueError as error:
-        raise SettingsError(path, f"is no JSON: {error}") from error
+        raise SettingsError(path, f"is not valid JSON: {error}") from error
     if not isinstance(values, dict):
-        raise SettingsError(path, "must hold an object")
+        raise SettingsError(path, "must be a JSON object")
     return values
 
 
-def _internal_ports(reader: _Reader) -> tuple[int, int]:
+def _internal_ports(reader: _SettingsReader) -> tuple[int, int]:
     ports = reader.value("portRange", list)
-    are_ports = len(ports) == 2 and all(type(port) is int and 0 < port <= MAX_PORT for port in ports)
-    if not are_ports or ports[0] >= ports[1]:
-        raise reader.error("portRange", f"must be a first and a last port, is {ports!r:.60}")
+    is_port_pair = len(ports) == 2 and all(type(port) is int and 0 < port <= MAX_PORT for port in ports)
+    if not is_port_pair or ports[0] >= ports[1]:
+        raise reader.error("portRange", f"must be a first and a last port, got {ports!r:.60}")
     return ports[0], ports[1]
 
 
-def _platform(reader: _Reader) -> Platform | None:
+def _platform(reader: _SettingsReader) -> Platform | None:
     if reader.value("cloud", dict, None) is None:
         return None
     address = reader.address("cloud.address", reader.value("cloud.address", str))
@@ -179,8 +179,8 @@
 
 
 def read_settings(path: str) -> Settings:
-    """Read and check a settings file. Raises SettingsError."""
-    reader = _Reader(path, _read_json(path))
+    """Read and validate a settings file. Raises SettingsError."""
+    reader = _SettingsReader(path, _read_json(path))
     listen = reader.value("listen", dict, {})
     bounds = reader.value("bounds", dict, {})
     return Settings(
@@ -206,8 +206,8 @@
 
 
 def settings_path() -> str:
-    """Return the path of the file that the environment names. Raises SettingsError."""
+    """Return the path of the settings file from the environment. Raises SettingsError."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise SettingsError(SETTINGS_VARIABLE, "names no settings file")
+        raise SettingsError(SETTINGS_VARIABLE, "is not set; it must be the path of a settings file")
     return path
--- a/wheatring/tier/controller/__init__.py
+++ b/wheatring/tier/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controllers: they agree on the control state, take the operator's commands and serve subscribers."""
+"""Controllers: replicate the control state, apply the operator's commands and serve subscribers."""
--- a/wheatring/tier/controller/api.py
+++ b/wheatring/tier/controller/api.py
@@ -1,4 +1,4 @@
-"""The operator's API over HTTP. Any controller takes a request; the leader applies it."""
+"""The operator's HTTP API. Any controller accepts a request; the leader applies it."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     return json.dumps({"error": reason}).encode()
 
 
-def _reply(outcome: Outcome) -> OperatorReply:
+def _reply_for(outcome: Outcome) -> OperatorReply:
     match outcome:
         case Accepted(body):
             return OperatorReply(status=200, body=body)
@@ -53,22 +53,22 @@
             return OperatorReply(status=503, body=_error(reason))
 
 
-def _base_of(request: OperatorRequest) -> int:
-    """Return the version that a change builds on. Raises InvalidRequestError."""
+def _base_version(request: OperatorRequest) -> int:
+    """Return the version that the change is based on. Raises InvalidRequestError."""
     if not request.base_revision.isdigit():
         raise InvalidRequestError(400, f"{BASE_HEADER} must be a whole number")
     return int(request.base_revision)
 
 
 class OperatorApi:
-    """Turns the operator's requests into commands, applied here or by the leader."""
+    """Parses the operator's requests into commands, and applies or forwards them."""
 
     def __init__(self, controller: Controller) -> None:
         self._controller = controller
         controller.set_operator_handler(self.apply)
 
     async def handle(self, request: OperatorRequest) -> OperatorReply:
-        """Answer a request of the operator: apply it as the leader, or forward it to the leader."""
+        """Apply an operator's request if this controller leads, otherwise forward it to the leader."""
         try:
             self._command(request)
         except InvalidRequestError as error:
@@ -82,35 +82,35 @@
         try:
             return await controller.forward(address, request)
         except PeerUnreachableError:
-            return OperatorReply(status=503, body=_error("the leader does not answer"))
+            return OperatorReply(status=503, body=_error("the leader did not reply in time"))
 
     async def apply(self, request: OperatorRequest) -> OperatorReply:
-        """Apply a request as the leader."""
+        """Apply a request on the leader."""
         try:
             command = self._command(request)
-            return _reply(await self._controller.submit(command))
+            return _reply_for(await self._controller.submit(command))
         except InvalidRequestError as error:
             return OperatorReply(status=error.status, body=_error(error.reason))
         except NoLeaderError as error:
             return OperatorReply(status=503, body=_error(str(error)))
 
     def _command(self, request: OperatorRequest) -> Command:
-        """Return the command that a request asks for. Raises InvalidRequestError."""
+        """Parse a request into a command. Raises InvalidRequestError."""
         segments = request.path.strip("/").split("/")
         if segments == ["config", "replace"]:
-            return ReplaceConfiguration(_base_of(request), request.body)
+            return ReplaceConfiguration(_base_version(request), request.body)
         if segments == ["config", "update"]:
-            return UpdateConfiguration(_base_of(request), request.body)
+            return UpdateConfiguration(_base_version(request), request.body)
         if segments == ["config", "describe"]:
             return DescribeConfiguration()
         if len(segments) == 3 and segments[0] == RETIRE and segments[2] == START:
-            return StartRetirement(segments[1], self._controller.retirement_needs())
+            return StartRetirement(segments[1], self._controller.min_storage_machines())
         if len(segments) == 3 and segments[0] == RETIRE and segments[2] == DESCRIBE:
             return DescribeRetirement(segments[1])
-        raise InvalidRequestError(404, "no such order")
+        raise InvalidRequestError(404, "no such command")
 
 
-async def _answer(http_request: Request[Any, Any, Any]) -> Response[bytes]:
+async def _handle_http_request(http_request: Request[Any, Any, Any]) -> Response[bytes]:
     operator_api: OperatorApi = http_request.app.state.operator_api
     request = OperatorRequest(
         method=http_request.method,
@@ -124,52 +124,52 @@
 
 @post("/config/replace")
 async def replace_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
-    """Put a complete configuration in place."""
-    return await _answer(request)
+    """Replace the whole configuration."""
+    return await _handle_http_request(request)
 
 
 @post("/config/update")
 async def update_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
-    """Set and remove named items of the configuration."""
-    return await _answer(request)
+    """Upsert and remove named items of the configuration."""
+    return await _handle_http_request(request)
 
 
 @get("/config/describe")
 async def describe_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
-    """Return the newest configuration."""
-    return await _answer(request)
+    """Return the current configuration."""
+    return await _handle_http_request(request)
 
 
 @post("/retire/{node:str}/start")
-async def start_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:  # noqa: ARG001 - of the path
+async def start_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:  # noqa: ARG001 - path parameter
     """Drain a storage machine."""
-    return await _answer(request)
+    return await _handle_http_request(request)
 
 
 @get("/retire/{node:str}/describe")
-async def describe_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:  # noqa: ARG001 - of the path
-    """Return the state of a retirement."""
-    return await _answer(request)
+async def describe_retirement(request: Request[Any, Any, Any], node: str) -> Response[bytes]:  # noqa: ARG001 - path parameter
+    """Return the progress of a storage machine's retirement."""
+    return await _handle_http_request(request)
 
 
 @get("/status")
 async def status(request: Request[Any, Any, Any]) -> dict[str, object]:
-    """Return this controller's own view, for operators and tools."""
+    """Return the status of the system as this controller sees it, for operators and tools."""
     controller: Controller = request.app.state.controller
     return controller.status()
 
 
-class _Server(uvicorn.Server):
-    """A server that leaves the signals to the process."""
+class _EmbeddedServer(uvicorn.Server):
+    """A uvicorn server that leaves signal handling to the process."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Install no handlers: the process has its own."""
+        """Install no signal handlers, since the process has its own."""
         yield
 
 
 def make_server(controller: Controller, address: Address) -> uvicorn.Server:
-    """Return the HTTP server of one controller, to be run inside the process's event loop."""
+    """Return the HTTP server of a controller, to be run on the event loop of the process."""
     handlers = [
         replace_configuration,
         update_configuration,
@@ -198,4 +198,4 @@
         loop="asyncio",
         timeout_graceful_shutdown=2,  # seconds
     )
-    return _Server(config)
+    return _EmbeddedServer(config)
--- a/wheatring/tier/controller/command_queue.py
+++ b/wheatring/tier/controller/command_queue.py
@@ -1,8 +1,8 @@
-"""The queue of commands on the control state, and the one task that works through it.
+"""The queue of commands on the control state, and the task that applies them.
 
-A batch is applied to the newest committed state. If that changes the state, the new state is committed before
-anyone is answered; if not, a quorum has to answer a heartbeat that was sent afterwards. So an answer is never
-taken back.
+A batch is applied to the newest committed state. If it changes the state, the new state is committed before
+any outcome is returned. If it does not, a quorum must acknowledge a heartbeat sent after the batch was
+applied. Either way, an outcome that was returned cannot be undone by a change of leader.
 """
 
 from __future__ import annotations
@@ -16,20 +16,22 @@
 from wheatring.tier.controller.consensus_host import ConsensusHost
 from wheatring.tier.controller.exceptions import NoLeaderError
 
-LEADER_WAIT_SECONDS = 0.7  # for a leader to be known, before a request is answered 503
-COMMIT_TIMEOUT_SECONDS = 2.0  # for a change to be committed, before its outcome is called indeterminate
+# A request is answered with status 503 if no leader is known after this time.
+LEADER_WAIT_SECONDS = 0.7
+# The outcome of a change that is not committed within this time is indeterminate.
+COMMIT_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass(slots=True)
 class QueuedCommand:
-    """A command and the future of its outcome."""
+    """A command and the future for its outcome."""
 
     command: Command
     outcome: asyncio.Future[Outcome]
 
 
 class CommandQueue:
-    """Applies commands on a leader, batch by batch."""
+    """Applies commands on the leader, in batches."""
 
     def __init__(self, host: ConsensusHost) -> None:
         self._host = host
@@ -38,16 +40,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no command waits to be applied."""
+        """Whether no command is pending."""
         return not self._queue
 
     async def submit(self, command: Command) -> Outcome:
-        """Apply a command as the leader and return its outcome, once that is certain.
+        """Apply a command on the leader, and return its outcome once a quorum has confirmed it.
 
         Raises
         ------
         NoLeaderError
-            This controller does not lead, or lost the leadership before the outcome was certain.
+            This controller is not the leader, or lost the leadership before the outcome was confirmed.
         """
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         self._queue.append(QueuedCommand(command, future))
@@ -55,7 +57,7 @@
         return await future
 
     async def run(self) -> None:
-        """Apply commands for as long as the process runs, each batch certain before the next one begins."""
+        """Apply commands until cancelled. Each batch is confirmed before the next one is applied."""
         host = self._host
         while True:
             await self._queued.wait()
@@ -75,7 +77,7 @@
         _reject(batch, NoLeaderError("no leader with a quorum"))
 
     async def _apply_batch(self, batch: list[QueuedCommand]) -> None:
-        """Apply commands to the committed state and deliver their outcomes once that state is certain."""
+        """Apply commands to the committed state, and deliver their outcomes once a quorum confirms it."""
         replica = self._host.replica
         assert replica.committed is not None
         applied = apply_batch(replica.committed.data, [queued.command for queued in batch])
@@ -93,21 +95,21 @@
             if not queued.outcome.done():
                 queued.outcome.set_result(outcome)
 
-    async def _wait_until_confirmed(self, term: int, is_reached: Callable[[], bool]) -> None:
-        """Wait until something is reached in this term. Raises NoLeaderError where that is uncertain."""
+    async def _wait_until_confirmed(self, term: int, condition_holds: Callable[[], bool]) -> None:
+        """Wait until the condition holds in this term. Raises NoLeaderError if that cannot be confirmed."""
         replica = self._host.replica
 
         def is_decided() -> bool:
-            """Return whether the entry is committed, or can't be committed in this term."""
-            return is_reached() or replica.state is not State.LEADER or replica.term != term
+            """Return whether the condition holds, or this replica no longer leads in the term."""
+            return condition_holds() or replica.state is not State.LEADER or replica.term != term
 
         await self._host.wait_until(is_decided, COMMIT_TIMEOUT_SECONDS)
-        if replica.state is not State.LEADER or replica.term != term or not is_reached():
-            raise NoLeaderError("the leadership was lost before the change was certain")
+        if replica.state is not State.LEADER or replica.term != term or not condition_holds():
+            raise NoLeaderError("the leadership was lost before the outcome was confirmed")
 
 
 def _reject(batch: list[QueuedCommand], error: NoLeaderError) -> None:
     for queued in batch:
         if not queued.outcome.done():
             queued.outcome.set_exception(error)
-            queued.outcome.exception()  # retrieved here, since the caller may have gone
+            queued.outcome.exception()  # marked as retrieved, since the caller may be cancelled
--- a/wheatring/tier/controller/commands.py
+++ b/wheatring/tier/controller/commands.py
@@ -1,10 +1,10 @@
-"""The operator's commands on the control state, as functions from one state to the next.
+"""The operator's commands on the control state.
 
-The leader applies each command to the newest committed state. A command returns an outcome, and changes the
-state that it is given where it succeeds; the caller commits the change before it delivers the outcome.
+The leader applies each command to the newest committed state. A command modifies the state in place if it
+succeeds, and returns an outcome; the caller commits the change before it delivers the outcome.
 
-The state does not grow with its history: of replaced configurations and completed retirements it remembers
-only the newest few. The outcome of a retried command that is older than those is indeterminate.
+The state is bounded: only the newest accepted configurations and completed retirements are remembered, to
+recognize retries. The outcome of a retried command that is older than those is indeterminate.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 from wheatring.tier.controller.exceptions import InvalidConfigurationError
 from wheatring.tier.transport.messages_pb2 import ControlState, Retirement
 
-MAX_REMEMBERED_CONFIGURATIONS = 128  # accepted ones, by their digests, so that a retry is accepted again
-MAX_COMPLETED_RETIREMENTS = 32  # that are remembered
+# The digests of this many accepted configurations are kept, so that a retry is recognized.
+MAX_REMEMBERED_CONFIGURATIONS = 128
+MAX_COMPLETED_RETIREMENTS = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The command was accepted, now or before; `body` is the JSON of the answer."""
+    """The command was accepted, now or on an earlier attempt; `body` is the JSON body of the reply."""
 
     body: bytes = b"{}"
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another version is current, or too few machines would be left; `status` is the HTTP status."""
+    """Another version is current, or too few machines would remain; `status` is the HTTP status."""
 
     reason: str
     status: int = 412
@@ -37,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The command can never be accepted."""
+    """The command is invalid, and a retry cannot succeed."""
 
     reason: str
 
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Indeterminate:
-    """Whether the command was accepted is no longer known."""
+    """The command is too old to tell whether it was accepted."""
 
     reason: str
 
@@ -61,18 +62,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceConfiguration:
-    """Put a complete configuration in the place of the version `base`."""
+    """Replace the whole configuration of the version `base`."""
 
     base: int
     body: bytes
 
     @property
     def digest(self) -> bytes:
-        """The identity of the command: a retry has the same one."""
+        """The digest that identifies the command; a retry has the same one."""
         return _digest(b"%d\n%s" % (self.base, self.body))
 
-    def result(self, current: bytes) -> bytes:  # noqa: ARG002 - the one form of both changes
-        """Return the configuration afterwards, which does not depend on the current one."""
+    def result(self, current: bytes) -> bytes:  # noqa: ARG002 - same signature as UpdateConfiguration
+        """Return the new configuration, which does not depend on the current one."""
         return self.body
 
     def apply(self, state: ControlState) -> Outcome:
@@ -82,19 +83,19 @@
 
 @dataclass(frozen=True, slots=True)
 class UpdateConfiguration:
-    """Set and remove named items of the configuration of the version `base`."""
+    """Upsert and remove named items of the configuration of the version `base`."""
 
     base: int
     body: bytes
 
     @property
     def digest(self) -> bytes:
-        """The identity of the command, distinct from that of a replacement with the same body."""
+        """The digest that identifies the command; a replacement with the same body has another one."""
         return _digest(b"update %d\n%s" % (self.base, self.body))
 
     def result(self, current: bytes) -> bytes:
-        """Return the configuration afterwards. Raises InvalidConfigurationError."""
-        # Imported late for cattrs, as in _change_configuration.
+        """Return the new configuration. Raises InvalidConfigurationError."""
+        # Imported here because cattrs slows down the start; see _change_configuration.
         from wheatring.tier.controller.configuration_update import merge
 
         return merge(current, self.body)
@@ -111,13 +112,13 @@
 def _change_configuration(
     state: ControlState, command: ReplaceConfiguration | UpdateConfiguration
 ) -> Outcome:
-    """Accept a retry again, and a change of the current version that leads to a valid one."""
+    """Accept a retry, or a change of the current version whose result is valid."""
     digest = command.digest
     if any(accepted.digest == digest for accepted in state.accepted):
         return Accepted()
     if command.base != state.generation:
         return _outcome_for_stale_base(state, command)
-    # Imported when it is first needed: cattrs takes a tenth of a second, for which no start should wait.
+    # Imported on first use: importing cattrs takes 0.1 s, which would delay the start of the process.
     from wheatring.tier.controller.configuration import parse
 
     try:
@@ -139,48 +140,48 @@
 def _outcome_for_stale_base(
     state: ControlState, command: ReplaceConfiguration | UpdateConfiguration
 ) -> Conflict | Invalid | Indeterminate:
-    """Return the outcome of a change that builds on a version which is not current.
+    """Return the outcome of a change whose base version is not current.
 
-    An accepted change builds on an earlier generation than its own, so a retry of one that is no longer
-    remembered has a base below the newest forgotten generation. What cannot be read was never accepted.
+    The base of an accepted change is always below its own generation, so a retry that is no longer remembered
+    has a base below the newest forgotten generation. A body that cannot be parsed was never accepted.
     """
     if command.base >= state.forgotten_generation:
         return Conflict(f"version {state.generation} is current")
     from wheatring.tier.controller.configuration import parse
     from wheatring.tier.controller.configuration_update import read_update
 
-    read = parse if isinstance(command, ReplaceConfiguration) else read_update
+    parse_body = parse if isinstance(command, ReplaceConfiguration) else read_update
     try:
-        read(command.body)
+        parse_body(command.body)
     except InvalidConfigurationError as error:
         return Invalid(str(error))
-    return Indeterminate(f"version {command.base} was replaced too long ago to know by what")
+    return Indeterminate(f"version {command.base} is too old to tell whether this change was accepted")
 
 
 @dataclass(frozen=True, slots=True)
 class DescribeConfiguration:
-    """Read the newest configuration."""
+    """Read the current configuration."""
 
     def apply(self, state: ControlState) -> Outcome:
-        """Return the configuration; the state stays as it is."""
+        """Return the configuration without changing the state."""
         if not state.generation:
-            return NotFound("no configuration has been taken yet")
+            return NotFound("no configuration has been accepted yet")
         return Accepted(state.configuration)
 
 
 @dataclass(frozen=True, slots=True)
 class StartRetirement:
-    """Drain a storage machine: have others take over its records and its vote."""
+    """Drain a storage machine: move its records and its vote to other machines."""
 
     node: str
-    needed: int  # storage machines that have to remain
+    min_remaining: int  # storage machines that must remain
 
     def apply(self, state: ControlState) -> Outcome:
-        """Note the retirement.
+        """Record the retirement.
 
-        The placement changes later, when the other members have copied what this one stores.
+        The placement changes later, once the other members have copied the records of this one.
         """
-        if _retirement_of(state, self.node) is not None:
+        if _find_retirement(state, self.node) is not None:
             return Accepted()
         members = [m for m in state.placement.next or state.placement.current if not m.lost]
         leaving = [member for member in members if member.node == self.node]
@@ -188,12 +189,12 @@
             return NotFound(f"no storage machine {self.node}")
         retiring = {retirement.replica_id for retirement in state.retirements if not retirement.completed}
         remaining = [m for m in members if m.node != self.node and m.replica_id not in retiring]
-        if len(remaining) < self.needed:
+        if len(remaining) < self.min_remaining:
             return Conflict(
-                f"{len(remaining)} storage machines would be left, {self.needed} are needed", status=409
+                f"{len(remaining)} storage machines would remain, {self.min_remaining} required", status=409
             )
         state.retirements.add(node=self.node, replica_id=leaving[0].replica_id)
-        _drop_oldest_retirements(state)
+        _remove_oldest_retirements(state)
         return Accepted()
 
 
@@ -204,25 +205,25 @@
     node: str
 
     def apply(self, state: ControlState) -> Outcome:
-        """Return the retirement's state; the control state stays as it is."""
-        retirement = _retirement_of(state, self.node)
+        """Return the progress of the retirement without changing the control state."""
+        retirement = _find_retirement(state, self.node)
         if retirement is None:
             return NotFound(f"{self.node} is not being retired")
         return Accepted(b'{"state":"completed"}' if retirement.completed else b'{"state":"running"}')
 
 
-def _drop_oldest_retirements(state: ControlState) -> None:
-    """Keep the retirements in progress and the newest of the completed ones.
+def _remove_oldest_retirements(state: ControlState) -> None:
+    """Keep the retirements in progress and the newest completed ones.
 
-    A command to retire is retried for a few seconds only, so a retry never meets one that is forgotten.
+    A retirement command is retried for a few seconds only, so its retirement is still recorded at each retry.
     """
     completed = [index for index, retirement in enumerate(state.retirements) if retirement.completed]
     for index in reversed(completed[: max(0, len(completed) - MAX_COMPLETED_RETIREMENTS)]):
         del state.retirements[index]
 
 
-def _retirement_of(state: ControlState, node: str) -> Retirement | None:
-    """Return the newest retirement of a node, unless the node has come back with another disk since."""
+def _find_retirement(state: ControlState, node: str) -> Retirement | None:
+    """Return the newest retirement of a node, or None if the node was added again with another disk since."""
     members = {
         member.replica_id
         for member in (*state.placement.current, *state.placement.next)
@@ -242,10 +243,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchResult:
-    """The result of commands that were applied one after the other to one state."""
+    """The result of commands that were applied in order to one state."""
 
     outcomes: tuple[Outcome, ...]
-    new_state: bytes | None  # serialized; None where the commands change nothing
+    new_state: bytes | None  # serialized; None if the commands change nothing
 
 
 def apply_batch(data: bytes, commands: Sequence[Command]) -> BatchResult:
--- a/wheatring/tier/controller/configuration.py
+++ b/wheatring/tier/controller/configuration.py
@@ -1,7 +1,7 @@
-"""The operator's configuration: its typed form, and the checks that it has to pass.
+"""The operator's configuration: its typed form and its validation.
 
-Fields that are not known are skipped, because later platforms may add some. Everything that is known is
-checked for its kind and range; the first fault found is reported with its path.
+Unknown fields are ignored, because later platforms may add some. Known fields are checked for type and range;
+the first fault found is reported with its path.
 """
 
 from __future__ import annotations
@@ -35,37 +35,37 @@
 
 @attrs.frozen
 class Route:
-    """The rules for requests of one host and path prefix.
+    """The rules for requests with one host and path prefix.
 
-    Fields have the names of the operator's keys, because cattrs reports a fault by the path of the field.
-    Durations are in ms, or in s where the name ends in `S`.
+    Fields are named after the operator's keys, because cattrs reports the path of an invalid field.
+    Durations are in ms, or in s if the name ends in `S`.
     """
 
     name: str
     hostname: str
-    pathPrefix: str  # noqa: N815 - the key
-    routeType: RouteType  # noqa: N815 - the key
-    timeoutMs: float  # noqa: N815 - the key
+    pathPrefix: str  # noqa: N815 - operator's key
+    routeType: RouteType  # noqa: N815 - operator's key
+    timeoutMs: float  # noqa: N815 - operator's key
     backend: str | None = None
-    trafficSplit: tuple[SplitPart, ...] | None = None  # noqa: N815 - the key
-    maxAttempts: int = 1  # noqa: N815 - the key
-    targetLatencyMs: float = 0  # noqa: N815 - the key
+    trafficSplit: tuple[SplitPart, ...] | None = None  # noqa: N815 - operator's key
+    maxAttempts: int = 1  # noqa: N815 - operator's key
+    targetLatencyMs: float = 0  # noqa: N815 - operator's key
     priority: int = 0
     retained: bool = False
-    retentionS: float = 0  # noqa: N815 - the key
+    retentionS: float = 0  # noqa: N815 - operator's key
     resumable: bool = False
 
 
 @attrs.frozen
 class Service:
-    """A service whose endpoints the platform lists."""
+    """A service, whose endpoints are in the platform's endpoint list."""
 
     name: str
 
 
 @attrs.frozen
 class Configuration:
-    """A complete configuration, checked."""
+    """A complete configuration."""
 
     generation: int
     routes: tuple[Route, ...]
@@ -73,40 +73,40 @@
     limits: dict[str, float] = attrs.Factory(dict)
 
 
-def _number(value: Any, kind: Any) -> Any:
+def _structure_number(value: Any, kind: Any) -> Any:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise TypeError(f"must be a number, is {value!r:.40}")
+        raise TypeError(f"must be a number, got {value!r:.40}")
     if kind is int and value != int(value):
-        raise TypeError(f"must be a whole number, is {value!r:.40}")
+        raise TypeError(f"must be an integer, got {value!r:.40}")
     return kind(value)
 
 
-def _exactly(value: Any, kind: Any) -> Any:
+def _structure_exact_type(value: Any, kind: Any) -> Any:
     if not isinstance(value, kind):
-        raise TypeError(f"must be {kind.__name__}, is {value!r:.40}")
+        raise TypeError(f"must be {kind.__name__}, got {value!r:.40}")
     return value
 
 
 _CONVERTER = cattrs.Converter()
-_CONVERTER.register_structure_hook(int, _number)
-_CONVERTER.register_structure_hook(float, _number)
-_CONVERTER.register_structure_hook(str, _exactly)
-_CONVERTER.register_structure_hook(bool, _exactly)
+_CONVERTER.register_structure_hook(int, _structure_number)
+_CONVERTER.register_structure_hook(float, _structure_number)
+_CONVERTER.register_structure_hook(str, _structure_exact_type)
+_CONVERTER.register_structure_hook(bool, _structure_exact_type)
 
 
-def _without_repeated_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     values = dict(pairs)
     if len(values) != len(pairs):
-        raise InvalidConfigurationError("a key stands twice in one object")
+        raise InvalidConfigurationError("duplicate key in an object")
     return values
 
 
-def _not_a_number(text: str) -> float:
-    raise InvalidConfigurationError(f"{text} is no number")
+def _reject_constant(text: str) -> float:
+    raise InvalidConfigurationError(f"{text} is not a number")
 
 
 def require(condition: bool, path: str, fault: str) -> None:
-    """Raise InvalidConfigurationError, with the path and the fault, unless a condition holds."""
+    """Raise InvalidConfigurationError with the path and the fault, unless the condition holds."""
     if not condition:
         raise InvalidConfigurationError(f"{path}: {fault}")
 
@@ -125,11 +125,11 @@
 
 
 def read_object(body: bytes) -> dict[str, Any]:
-    """Parse a JSON object that has no key twice. Raises InvalidConfigurationError."""
+    """Parse a JSON object without duplicate keys. Raises InvalidConfigurationError."""
     try:
-        values = json.loads(body, object_pairs_hook=_without_repeated_keys, parse_constant=_not_a_number)
+        values = json.loads(body, object_pairs_hook=_reject_duplicate_keys, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        raise InvalidConfigurationError(f"cannot be read whole: {error}") from error
+        raise InvalidConfigurationError(f"is not valid JSON: {error}") from error
     if not isinstance(values, dict):
         raise InvalidConfigurationError("must be an object")
     return values
@@ -138,17 +138,17 @@
 def _check(configuration: Configuration) -> None:
     require(configuration.generation > 0, "generation", "must be above 0")
     names = [service.name for service in configuration.services]
-    require(len(set(names)) == len(names), "services", "a name stands twice")
+    require(len(set(names)) == len(names), "services", "duplicate name")
     require(all(names), "services", "a name is empty")
     services = set(names)
     route_names = [route.name for route in configuration.routes]
-    require(len(set(route_names)) == len(route_names), "routes", "a name stands twice")
+    require(len(set(route_names)) == len(route_names), "routes", "duplicate name")
     matched: set[tuple[str, str]] = set()
     for number, route in enumerate(configuration.routes):
         path = f"routes[{number}]"
         _check_route(path, route, services)
         match = (route.hostname.lower(), route.pathPrefix)
-        require(match not in matched, path, f"shares host and prefix with another route: {match}")
+        require(match not in matched, path, f"same host and prefix as another route: {match}")
         matched.add(match)
 
 
@@ -161,7 +161,7 @@
     require(route.maxAttempts >= 1, f"{path}.maxAttempts", "must be 1 or more")
     require(route.retentionS >= 0, f"{path}.retentionS", "must not be negative")
     if route.backend is not None or route.trafficSplit is None:
-        require(route.backend is not None, path, "names no service")
+        require(route.backend is not None, path, "has no service")
         require(route.backend in services, f"{path}.backend", f"unknown service {route.backend!r}")
     if route.trafficSplit is not None:
         _check_split(f"{path}.trafficSplit", route.trafficSplit, services)
--- a/wheatring/tier/controller/consensus_host.py
+++ b/wheatring/tier/controller/consensus_host.py
@@ -1,4 +1,4 @@
-"""Runs one consensus replica on an event loop: its timer, its file and its messages."""
+"""Runs a consensus replica on an event loop: its timer, its file and its messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
 from wheatring.tier.transport.client import ClientTable
 from wheatring.tier.transport.messages_pb2 import ConsensusRecord, Envelope, HardState, Member
 
-RECENT_QUORUM_SECONDS = 1.0  # without an answer of a quorum, after which a leader may be deposed already
+# A leader that no quorum has acknowledged for this time may already have been replaced.
+QUORUM_CONTACT_TIMEOUT_SECONDS = 1.0
 
 _ENVELOPE_FIELDS = {
     "VoteRequest": "vote_request",
@@ -26,21 +27,22 @@
     "AppendReply": "append_reply",
     "TimeoutNow": "timeout_now",
 }
-CONSENSUS_MESSAGES = frozenset(_ENVELOPE_FIELDS.values())  # kinds of envelopes that are for the replica
+# The envelope fields that carry messages for the replica.
+CONSENSUS_MESSAGES = frozenset(_ENVELOPE_FIELDS.values())
 
 
 class ConsensusHost:
-    """The owner of a replica, its file and its connections to the other controllers."""
+    """Owns a replica, its file and its connections to the other controllers."""
 
     def __init__(self, settings: Settings, random: Random, on_change: Callable[[], None]) -> None:
-        """Read the file and build the replica.
+        """Read the file and create the replica.
 
         Parameters
         ----------
         settings
             The settings of the process.
         random
-            Draws the replica's time-outs.
+            The source of the replica's randomized time-outs.
         on_change
             Called after every event of the replica.
 
@@ -52,7 +54,7 @@
         self._on_change = on_change
         self._store = ConsensusStore(Path(settings.data_folder or "."))
         seeds = [seed.host for seed in settings.seeds]
-        stored = self._store.open(settings.ip, seeds, settings.bootstrap, self._live_record)
+        stored = self._store.open(settings.ip, seeds, settings.bootstrap, self._current_record)
         me = Member(replica_id=stored.replica_id, node=settings.node, address=settings.ip, zone=settings.zone)
         self.replica = Replica(me, stored.hard_state, stored.entry, random, self.now(), Timing())
         self.replica.restore_soft_state(stored.soft_version, stored.soft_state)
@@ -64,11 +66,11 @@
 
     @staticmethod
     def now() -> float:
-        """Return the steady clock of the event loop, in seconds."""
+        """Return the monotonic clock of the event loop, in seconds."""
         return asyncio.get_running_loop().time()
 
     def start(self) -> None:
-        """Begin to take part in the consensus."""
+        """Start to take part in the consensus."""
         self._arm_timer()
 
     def receive(self, message: Message) -> None:
@@ -77,8 +79,11 @@
 
     @property
     def is_leader_with_quorum(self) -> bool:
-        """Whether this replica is a ready leader that a quorum has answered recently."""
-        return self.replica.is_ready_leader and self.replica.staleness(self.now()) < RECENT_QUORUM_SECONDS
+        """Whether this replica is a ready leader that a quorum has acknowledged recently."""
+        return (
+            self.replica.is_ready_leader
+            and self.replica.staleness(self.now()) < QUORUM_CONTACT_TIMEOUT_SECONDS
+        )
 
     @property
     def committed_position(self) -> Position:
@@ -86,7 +91,7 @@
         committed = self.replica.committed
         return entry_position(committed) if committed is not None else (0, 0)
 
-    def _live_record(self) -> bytes:
+    def _current_record(self) -> bytes:
         replica = self.replica
         hard_state = HardState(term=replica.term, voted_for=replica.voted_for)
         record = ConsensusRecord(
@@ -101,7 +106,7 @@
         due = self.replica.next_deadline()
         if self._timer is not None:
             if self._timer.when() <= due:
-                return  # it fires earlier, and is armed anew then
+                return  # the timer fires earlier, and is then armed again
             self._timer.cancel()
         self._timer = asyncio.get_running_loop().call_at(due, self._tick)
 
@@ -113,7 +118,7 @@
         self._arm_timer()
 
     def apply(self, effects: Effects) -> None:
-        """Carry out effects of the replica, and notify whoever follows its state."""
+        """Perform the effects of the replica, and notify the owner and all waiters."""
         for outgoing in effects.messages:
             self._send(outgoing.to, outgoing.message)
         for write in effects.writes:
@@ -140,9 +145,9 @@
         self.peers.client_for(to.address).send(envelope)
 
     def _persist_endpoint_list(self) -> None:
-        """Write a new endpoint list to the disk.
+        """Write a changed endpoint list to the disk.
 
-        After a loss of power sidecars need one before the platform can be asked.
+        After a power failure, sidecars need an endpoint list before the platform can be queried.
         """
         replica = self.replica
         if replica.soft_state == self._persisted_endpoint_list:
@@ -152,7 +157,7 @@
         self._store.committer.append([record.SerializeToString()])
 
     async def wait_until(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Wait until a condition on the replica holds, at most `seconds`; return whether it does."""
+        """Wait for a condition on the replica for at most `seconds`; return whether it holds."""
         deadline = self.now() + seconds
         while not condition():
             remaining = deadline - self.now()
@@ -167,11 +172,11 @@
         return True
 
     async def wait_for_leader(self, seconds: float) -> None:
-        """Wait until a leader is known, at most `seconds`."""
+        """Wait until a leader is known, for at most `seconds`."""
         await self.wait_until(lambda: self.replica.leader is not None, seconds)
 
     def _notify(self) -> None:
-        """Log a change of role, and wake the owner and all that wait."""
+        """Log a change of role, and notify the owner and all waiters."""
         replica = self.replica
         if replica.soft_version and replica.soft_state:
             self._persist_endpoint_list()
--- a/wheatring/tier/controller/consensus_store.py
+++ b/wheatring/tier/controller/consensus_store.py
@@ -13,12 +13,12 @@
 from wheatring.tier.transport.messages_pb2 import ConsensusRecord, ControlState, Entry, HardState, Member
 
 FILE_NAME = "consensus"
-REWRITE_ABOVE_BYTES = 4 * 1024 * 1024
+COMPACTION_THRESHOLD_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(slots=True)
 class StoredState:
-    """The newest record of each kind that the file contains."""
+    """The newest record of each kind in the file."""
 
     replica_id: str
     hard_state: HardState
@@ -28,12 +28,12 @@
 
 
 def seed_member(address: str) -> Member:
-    """Return the identity of a seed in a new system, the same for all that know its address."""
+    """Return a seed as a member of a new system, with an identity derived from its address."""
     return Member(replica_id=f"seed-{address}", address=address)
 
 
 def first_entry(seeds: Sequence[str]) -> Entry:
-    """Return the entry with which all seeds of a new system start."""
+    """Return the initial entry of all seeds of a new system."""
     ordered = sorted(seeds)
     cluster_id = hashlib.blake2b("\n".join(ordered).encode(), digest_size=8).hexdigest()
     entry = Entry(term=0, index=1, data=ControlState(cluster_id=cluster_id).SerializeToString())
@@ -42,7 +42,7 @@
 
 
 class ConsensusStore:
-    """The owner of the consensus file of one controller."""
+    """Owns the consensus file of a controller."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / FILE_NAME
@@ -50,9 +50,9 @@
         self.committer: Committer
 
     def open(
-        self, address: str, seeds: Sequence[str], bootstrap: bool, live_record: Callable[[], bytes]
+        self, address: str, seeds: Sequence[str], bootstrap: bool, current_record: Callable[[], bytes]
     ) -> StoredState:
-        """Read the file, or start a new one. A damaged file counts as a lost disk.
+        """Read the file, or create it. A damaged file is treated as a lost disk.
 
         Parameters
         ----------
@@ -61,9 +61,9 @@
         seeds
             The IP addresses of the seeds.
         bootstrap
-            Whether the system is new, so that a seed without a file may start from the first entry.
-        live_record
-            Gives the newest state as a record, for a rewrite of the file.
+            Whether the system is new, so that a seed without a file starts from the initial entry.
+        current_record
+            Returns the current state as a record, for the compaction of the file.
 
         Raises
         ------
@@ -87,13 +87,13 @@
         replica_id = stored.replica_id
         self.committer = Committer(
             self._file,
-            lambda: [ConsensusRecord(replica_id=replica_id).SerializeToString(), live_record()],
-            REWRITE_ABOVE_BYTES,
+            lambda: [ConsensusRecord(replica_id=replica_id).SerializeToString(), current_record()],
+            COMPACTION_THRESHOLD_BYTES,
         )
         return stored
 
     def _initialize(self, address: str, seeds: Sequence[str], bootstrap: bool) -> StoredState:
-        """Write a new identity. It is on disk before this replica speaks to another one."""
+        """Write a new identity, synced to the disk before this replica sends its first message."""
         record = ConsensusRecord(replica_id=secrets.token_hex(8))
         if bootstrap and address in seeds:
             record.replica_id = seed_member(address).replica_id
--- a/wheatring/tier/controller/controller.py
+++ b/wheatring/tier/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its consensus host, the command queue, the members it maintains, and its subscribers."""
+"""A controller: its consensus replica, command queue, membership management and subscribers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 from wheatring.tier.consensus.types import State
 from wheatring.tier.controller.command_queue import LEADER_WAIT_SECONDS, CommandQueue
 from wheatring.tier.controller.commands import Command, Outcome
-from wheatring.tier.controller.consensus_host import CONSENSUS_MESSAGES, RECENT_QUORUM_SECONDS, ConsensusHost
+from wheatring.tier.controller.consensus_host import (
+    CONSENSUS_MESSAGES,
+    QUORUM_CONTACT_TIMEOUT_SECONDS,
+    ConsensusHost,
+)
 from wheatring.tier.controller.endpoint_list_poller import EndpointListPoller
 from wheatring.tier.controller.membership_manager import MembershipManager
 from wheatring.tier.discovery.platform_list import EndpointListReader
@@ -20,32 +24,33 @@
 from wheatring.tier.transport.messages_pb2 import Envelope, OperatorReply, OperatorRequest
 from wheatring.tier.transport.server import EnvelopeServer
 
-FORWARD_TIMEOUT_SECONDS = 0.8  # for the leader to answer a request that has come to another controller
-VOTE_HANDOVER_SECONDS = 0.6  # for another replica to be given the vote of one that shuts down
-LEAVE_ANNOUNCE_SECONDS = 0.15  # between two announcements of a shutdown, and for the last one to leave
+FORWARD_TIMEOUT_SECONDS = 0.8  # for the leader's reply to a forwarded request
+VOTE_HANDOVER_SECONDS = 0.6  # a voter that shuts down waits up to this time for another one to replace it
+# The interval of announcements of a shutdown, which is also the time for the last one to be sent.
+LEAVE_ANNOUNCE_SECONDS = 0.15
 
 OperatorHandler = Callable[[OperatorRequest], Awaitable[OperatorReply]]
 
 
 async def _no_handler(_request: OperatorRequest) -> OperatorReply:
-    """Answer a forwarded request before the API is loaded: there is no clear answer yet."""
+    """Reply 503 to a request that is forwarded before the API is loaded."""
     return OperatorReply(status=503)
 
 
 class Controller:
-    """The owner of all state of one controller process."""
+    """Owns all state of a controller process."""
 
     def __init__(self, settings: Settings, random: Random, reader: EndpointListReader | None) -> None:
-        """Read the consensus file and build the parts.
+        """Read the consensus file and create the components.
 
         Parameters
         ----------
         settings
-            The settings of the process; the attribute may be replaced by newer ones.
+            The settings of the process; the attribute is replaced when they are reloaded.
         random
-            Draws election time-outs.
+            The source of randomized election time-outs.
         reader
-            Reads the platform's endpoint list; None where the platform has none.
+            Reads the platform's endpoint list; None if the platform has none.
 
         Raises
         ------
@@ -63,33 +68,33 @@
         self._poller = (
             EndpointListPoller(self.host, reader, settings.drain_seconds) if reader is not None else None
         )
-        self._members = MembershipManager(
+        self._membership = MembershipManager(
             self.host, self.losses, lambda: self.settings, lambda: self.commands.is_empty
         )
         self._operator_handler: OperatorHandler = _no_handler
-        self._replies: set[asyncio.Task[None]] = set()
+        self._reply_tasks: set[asyncio.Task[None]] = set()
         self._tasks: list[asyncio.Task[None]] = []
 
-    # Start and stop
+    # Lifecycle
 
     async def start(self) -> None:
-        """Listen and begin to take part in the consensus. Raises OSError."""
+        """Listen and start to take part in the consensus. Raises OSError."""
         await self.server.listen(self.settings.ip, self.settings.controller_port)
         log_event("controller-started", replica=self.replica.me.replica_id, term=self.replica.term)
-        works = [self.commands.run(), self._members.run(), self._send_heartbeats()]
+        coroutines = [self.commands.run(), self._membership.run(), self._send_heartbeats()]
         if self._poller is not None:
-            works.append(self._poller.run())
-        self._tasks = [asyncio.create_task(work) for work in works]
+            coroutines.append(self._poller.run())
+        self._tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
         self.host.start()
 
     async def stop(self) -> None:
-        """Hand leadership and vote over where another replica can take them, and redirect the subscribers."""
+        """Hand over the leadership and the vote to another replica if possible, and redirect subscribers."""
         if self.replica.state is State.LEADER:
             self.host.apply(self.replica.transfer())
         self.subscribers.stop()
         deadline = self.host.now() + VOTE_HANDOVER_SECONDS
         while self.replica.is_voter and self.host.now() < deadline:
-            self._members.announce_leaving()
+            self._membership.announce_leaving()
             await asyncio.sleep(LEAVE_ANNOUNCE_SECONDS)
         for task in self._tasks:
             task.cancel()
@@ -97,14 +102,14 @@
         self.peers.close()
 
     async def wait_for_leader(self, seconds: float) -> None:
-        """Wait until a leader is known, at most `seconds`."""
+        """Wait until a leader is known, for at most `seconds`."""
         await self.host.wait_for_leader(seconds)
 
     def _publish(self) -> None:
-        """Pass on to the subscribers what an event of the replica has made known."""
+        """Send newly committed state and a new endpoint list to the subscribers."""
         replica = self.replica
         if replica.committed is not None and self.subscribers.publish_state(replica.committed):
-            self._members.wake()
+            self._membership.wake()
         if replica.soft_version and replica.soft_state:
             self.subscribers.publish_list(replica.soft_version, replica.soft_state)
 
@@ -115,33 +120,33 @@
         if kind in CONSENSUS_MESSAGES:
             self.host.receive(getattr(envelope, kind))
         elif kind == "presence":
-            self._members.handle_presence(envelope.presence)
+            self._membership.handle_presence(envelope.presence)
             self.subscribers.update_presence(connection, envelope.presence)
         elif kind == "subscribe":
-            self._members.handle_presence(envelope.subscribe.presence)
+            self._membership.handle_presence(envelope.subscribe.presence)
             self.subscribers.add(connection, envelope.subscribe)
         elif kind == "operator_request":
             reply = asyncio.create_task(self._answer_forwarded(connection, envelope))
-            self._replies.add(reply)
-            reply.add_done_callback(self._replies.discard)
+            self._reply_tasks.add(reply)
+            reply.add_done_callback(self._reply_tasks.discard)
 
-    # The operator's requests
+    # Operator requests
 
     def set_operator_handler(self, handler: OperatorHandler) -> None:
-        """Set what answers requests that other controllers forward to this one as the leader."""
+        """Set the handler of requests that other controllers forward to this one as the leader."""
         self._operator_handler = handler
 
     async def submit(self, command: Command) -> Outcome:
-        """Apply a command by this controller as the leader. Raises NoLeaderError."""
+        """Apply a command on this controller as the leader. Raises NoLeaderError."""
         return await self.commands.submit(command)
 
     async def leader_address(self) -> str:
-        """Return the leader's IP address; empty where none with a quorum is known in time."""
+        """Return the leader's IP address; empty if no leader with a quorum is known in time."""
         replica = self.replica
 
         def is_known() -> bool:
-            """Return whether a leader is known by a recent quorum."""
-            is_recent = replica.staleness(self.host.now()) < RECENT_QUORUM_SECONDS
+            """Return whether a leader is known that had recent contact with a quorum."""
+            is_recent = replica.staleness(self.host.now()) < QUORUM_CONTACT_TIMEOUT_SECONDS
             return is_recent and (replica.state is State.LEADER or replica.leader is not None)
 
         if not await self.host.wait_until(is_known, LEADER_WAIT_SECONDS):
@@ -151,7 +156,7 @@
         return replica.leader.address if replica.leader is not None else ""
 
     async def forward(self, address: str, request: OperatorRequest) -> OperatorReply:
-        """Forward a request to the leader. Raises PeerUnreachableError: the outcome is then indeterminate."""
+        """Forward a request to the leader. Raises PeerUnreachableError if the outcome is indeterminate."""
         envelope = Envelope(operator_request=request)
         reply = await self.peers.client_for(address).call(envelope, FORWARD_TIMEOUT_SECONDS)
         return reply.operator_reply
@@ -160,8 +165,8 @@
         reply = await self._operator_handler(envelope.operator_request)
         connection.send(Envelope(call=envelope.call, reply=True, operator_reply=reply))
 
-    def retirement_needs(self) -> int:
-        """Return the number of storage machines that have to remain after a retirement."""
+    def min_storage_machines(self) -> int:
+        """Return the number of storage machines that must remain after a retirement."""
         return 2 * self.losses + 1
 
     # Subscribers and status
@@ -172,7 +177,7 @@
             self.subscribers.heartbeat()
 
     def status(self) -> dict[str, object]:
-        """Return this controller's own view of the system, for operators and tools."""
+        """Return the status of the system as this controller sees it, for operators and tools."""
         replica = self.replica
         now = self.host.now()
         state = self.subscribers.published.state
--- a/wheatring/tier/controller/endpoint_list_poller.py
+++ b/wheatring/tier/controller/endpoint_list_poller.py
@@ -1,4 +1,4 @@
-"""Polls the platform's endpoint list while this controller leads, and passes it on to the others."""
+"""Polls the platform's endpoint list while this controller leads, and replicates it to the others."""
 
 from __future__ import annotations
 
@@ -10,34 +10,37 @@
 from wheatring.tier.discovery.platform_list import EndpointListReader
 from wheatring.tier.event_log import log_event
 
-POLL_FRACTION_OF_DRAIN = 0.42  # of the time in which sends to a draining endpoint have to end
+# The poll interval as a fraction of the time within which no more requests may go to a draining endpoint.
+POLL_FRACTION_OF_DRAIN = 0.42
 MIN_POLL_SECONDS = 0.3
-RETRY_SECONDS = 0.25  # after a failed read
-LEADERSHIP_POLL_SECONDS = 0.05  # between checks whether this controller leads by now
-MAX_CONSECUTIVE_FAILURES = 3  # after which another controller is to lead, which may reach the platform
+RETRY_SECONDS = 0.25
+LEADERSHIP_POLL_SECONDS = 0.05
+# The leadership is then transferred to another controller, which may be able to reach the platform.
+MAX_CONSECUTIVE_FAILURES = 3
 
 
 class EndpointListPoller:
-    """The only reader of the endpoint list in the system, since it reads on the leader alone."""
+    """Reads the endpoint list on the leader only, so that the platform gets requests from one controller."""
 
     def __init__(self, host: ConsensusHost, reader: EndpointListReader, drain_seconds: float) -> None:
-        """Set the poller up.
+        """Initialize the poller.
 
         Parameters
         ----------
         host
-            The replica that passes the list on, as its soft state.
+            Runs the replica, which replicates the list as its soft state.
         reader
             Reads the list.
         drain_seconds
-            The time in which sends to a draining endpoint have to end; it bounds the age of the list.
+            The time within which no more requests may go to a draining endpoint. It limits the age of the
+            list.
         """
         self._host = host
         self._reader = reader
         self._poll_seconds = max(drain_seconds * POLL_FRACTION_OF_DRAIN, MIN_POLL_SECONDS)
 
     async def run(self) -> None:
-        """Poll whenever this controller leads, for as long as the process runs."""
+        """Poll while this controller leads, until cancelled."""
         host = self._host
         failures = 0
         while True:
@@ -62,6 +65,6 @@
     def _publish(self, data: bytes) -> None:
         replica = self._host.replica
         is_changed = data != replica.soft_state or not replica.soft_version
-        # The leadership may have been lost while the list was read.
+        # The leadership may have been lost during the read.
         if is_changed and replica.state is State.LEADER:
             self._host.apply(replica.set_soft_state(self._host.now(), data))
--- a/wheatring/tier/controller/exceptions.py
+++ b/wheatring/tier/controller/exceptions.py
@@ -4,26 +4,26 @@
 
 
 class ControllerError(Exception):
-    """The root of the controller's errors."""
+    """The base class of the controller's errors."""
 
 
 class InvalidConfigurationError(ControllerError):
-    """An operator's configuration cannot be accepted; the text names the path and the fault."""
+    """An operator's configuration is invalid; the message has the path and the fault."""
 
 
 class NoLeaderError(ControllerError):
-    """A command cannot be applied here and now; whether it was applied before is indeterminate."""
+    """There is no leader, or it lost its leadership; the outcome of the command is then indeterminate."""
 
 
 class InvalidRequestError(ControllerError):
-    """An operator's request that cannot be read as a command.
+    """An operator's request cannot be parsed as a command.
 
     Attributes
     ----------
     status
-        The HTTP status of the answer.
+        The HTTP status of the reply.
     reason
-        The sentence for the operator.
+        The explanation for the operator.
     """
 
     def __init__(self, status: int, reason: str) -> None:
--- a/wheatring/tier/controller/presence_table.py
+++ b/wheatring/tier/controller/presence_table.py
@@ -1,4 +1,4 @@
-"""The newest presence message of each controller and storage replica: who is there, and in what condition."""
+"""The newest presence message of each controller and storage replica."""
 
 from __future__ import annotations
 
@@ -16,34 +16,36 @@
     StorageMember,
 )
 
-FORWARD_INTERVAL_SECONDS = 0.3  # between two unchanged presences of one process sent on to the leader
-PRESENCE_TIMEOUT_SECONDS = 3.0  # after which a presence is not forwarded, and a learner is removed
-EXPIRY_SECONDS = 30.0  # after which a process is forgotten
+# The minimum interval at which an unchanged presence of a process is forwarded to the leader.
+FORWARD_INTERVAL_SECONDS = 0.3
+# An older presence is not forwarded, and its controller is no longer a learner.
+PRESENCE_TIMEOUT_SECONDS = 3.0
+EXPIRY_SECONDS = 30.0  # of the record of a process that sends no presence
 
 
 class PresenceChange(Enum):
-    """What a presence message has brought."""
+    """How a presence message compares with the previous one of its process."""
 
-    NONE = "older than what was known"
-    REFRESH = "the process is still there"
-    CHANGE = "the process is new, complete for another epoch, or about to shut down"
+    NONE = "outdated, or of an irrelevant role"
+    REFRESH = "the process is alive and unchanged"
+    CHANGE = "the process is new, complete for another epoch, or changes whether it is leaving"
 
 
 @dataclass(slots=True)
 class PresenceRecord:
-    """A presence message and when it was received and forwarded."""
+    """A presence message, and the times at which it was received and forwarded."""
 
     presence: Presence
     received_at: float
     forwarded_at: float = NEVER_SECONDS
 
     def age(self, now: float) -> float:
-        """Return the seconds since the process itself sent the message."""
+        """Return the seconds since the process sent the message."""
         return now - self.received_at + self.presence.age_ms / 1000
 
 
-def member_of(presence: Presence) -> Member:
-    """Return a controller as it has described itself."""
+def member_from_presence(presence: Presence) -> Member:
+    """Return the member that a controller's presence message describes."""
     return Member(
         replica_id=presence.replica_id,
         node=presence.node,
@@ -55,20 +57,20 @@
 class PresenceTable:
     """The newest presence of each process, by replica identity.
 
-    Every controller has one. Those that follow forward what they receive to the leader, since a process
-    sends its presence to one controller only. Times are seconds on the steady clock of the event loop.
+    Every controller has one. A process sends its presence to one controller only, so followers forward the
+    presence messages to the leader. Times are seconds on the monotonic clock of the event loop.
     """
 
     def __init__(self) -> None:
         self._records: dict[str, PresenceRecord] = {}
-        self._storage_since: float | None = None
+        self._first_storage_presence_at: float | None = None
 
     def update(self, presence: Presence, now: float) -> PresenceChange:
-        """Take in a presence message, unless a newer one of the process is known."""
+        """Record a presence message, unless a newer one of the process is known."""
         if presence.role not in (ROLE_CONTROLLER, ROLE_STORAGE):
             return PresenceChange.NONE
-        if presence.role == ROLE_STORAGE and self._storage_since is None:
-            self._storage_since = now
+        if presence.role == ROLE_STORAGE and self._first_storage_presence_at is None:
+            self._first_storage_presence_at = now
         known = self._records.get(presence.replica_id)
         sent_at = now - presence.age_ms / 1000
         if known is not None and sent_at <= now - known.age(now):
@@ -88,12 +90,12 @@
         return known.presence if known is not None else None
 
     def expire(self, now: float) -> None:
-        """Forget the processes that have sent nothing for a long time."""
+        """Remove the records of processes that have sent no presence for `EXPIRY_SECONDS`."""
         for replica_id in [i for i, record in self._records.items() if record.age(now) > EXPIRY_SECONDS]:
             del self._records[replica_id]
 
     def due_for_forwarding(self, now: float) -> Iterator[Presence]:
-        """Yield the presences that the leader is to be sent now, each with its age; notes them as sent."""
+        """Yield the presences to forward to the leader now, each with its age, and mark them as forwarded."""
         for record in self._records.values():
             is_forwarded = (
                 record.received_at <= record.forwarded_at
@@ -108,9 +110,9 @@
             yield presence
 
     def controllers(self, now: float) -> dict[str, Member]:
-        """Return the controllers that are there and stay, by identity."""
+        """Return the controllers that are alive and not leaving, by replica identity."""
         return {
-            replica_id: member_of(record.presence)
+            replica_id: member_from_presence(record.presence)
             for replica_id, record in self._records.items()
             if record.presence.role == ROLE_CONTROLLER
             and record.age(now) < PRESENCE_TIMEOUT_SECONDS
@@ -118,7 +120,7 @@
         }
 
     def leaving_controllers(self, now: float) -> set[str]:
-        """Return the nodes whose controllers have announced that they are about to shut down."""
+        """Return the nodes whose controllers are about to shut down."""
         return {
             record.presence.node
             for record in self._records.values()
@@ -127,12 +129,12 @@
             and record.age(now) < PRESENCE_TIMEOUT_SECONDS
         }
 
-    def storage_known_for(self, now: float) -> float:
-        """Return the seconds since the first storage replica was heard from; 0 before that."""
-        return now - self._storage_since if self._storage_since is not None else 0.0
+    def seconds_since_first_storage_replica(self, now: float) -> float:
+        """Return the seconds since the first presence of a storage replica; 0 before that."""
+        return now - self._first_storage_presence_at if self._first_storage_presence_at is not None else 0.0
 
-    def storage(self, now: float) -> dict[str, StorageReport]:
-        """Return the storage replicas by identity; of two at one address, the one heard from last."""
+    def storage_reports(self, now: float) -> dict[str, StorageReport]:
+        """Return the reports of storage replicas by identity, only the newest one of each address."""
         newest: dict[str, StorageReport] = {}
         for replica_id, record in self._records.items():
             presence = record.presence
--- a/wheatring/tier/controller/process.py
+++ b/wheatring/tier/controller/process.py
@@ -1,7 +1,7 @@
-"""The process of one controller: its node and its HTTP server on one event loop.
+"""The controller process: a controller and its HTTP server on one event loop.
 
-The node starts first, and the libraries of the operator's API are loaded by a thread afterwards: after a loss
-of power sidecars wait for a leader, and the operator can wait.
+The controller starts first. The libraries of the operator's API are then imported in a thread, because after
+a power failure sidecars wait for a leader, while the operator's requests are less urgent.
 """
 
 from __future__ import annotations
@@ -17,15 +17,17 @@
 from wheatring.tier.role_process import RoleProcess
 
 SETTINGS_POLL_SECONDS = 0.5
-ELECTION_WAIT_SECONDS = 0.5  # for an election to end, before the libraries are loaded
-SERVER_STOP_SECONDS = 0.1  # for the HTTP server to send the answers that are ready
+# The import of the API libraries waits up to this time for an election to finish.
+ELECTION_WAIT_SECONDS = 0.5
+# The time for the HTTP server to send pending responses on shutdown.
+SERVER_STOP_SECONDS = 0.1
 
 
 class ControllerProcess(RoleProcess):
     """Starts and stops a controller."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
-        """Build the controller. Raises DiskError, and KeyError where no control address is set."""
+        """Create the controller. Raises DiskError, or KeyError if no control address is set."""
         super().__init__(settings)
         platform = settings.platform
         self._reader = (
@@ -33,15 +35,15 @@
         )
         self.controller = Controller(settings, random, self._reader)
         self._address = settings.listen["control"]
-        self._server: Any = None  # a uvicorn.Server, whose library is loaded late
+        self._server: Any = None  # a uvicorn.Server; uvicorn is imported later
 
     async def start(self) -> None:
-        """Listen and take part in the consensus. Raises OSError."""
+        """Start the controller and the background tasks. Raises OSError."""
         await self.controller.start()
-        for work in (self._serve_operator(), self._watch.run(), self._follow_settings()):
-            self._start_task(work)
+        for coroutine in (self._serve_operator_api(), self._watch.run(), self._apply_reloaded_settings()):
+            self._start_task(coroutine)
 
-    async def _serve_operator(self) -> None:
+    async def _serve_operator_api(self) -> None:
         await self.controller.wait_for_leader(ELECTION_WAIT_SECONDS)
         if self._reader is not None:
             await self._reader.prepare()
@@ -50,13 +52,13 @@
         self._server = api.make_server(self.controller, self._address)
         await self._server.serve()
 
-    async def _follow_settings(self) -> None:
+    async def _apply_reloaded_settings(self) -> None:
         while True:
             await asyncio.sleep(SETTINGS_POLL_SECONDS)
             self.controller.settings = self._watch.settings
 
     async def stop(self) -> None:
-        """Hand the leadership over, answer the requests that were read, and end."""
+        """Hand over the leadership, finish the requests in flight and stop."""
         await self.controller.stop()
         if self._server is not None:
             self._server.should_exit = True
--- a/wheatring/tier/controller/storage_membership.py
+++ b/wheatring/tier/controller/storage_membership.py
@@ -1,15 +1,16 @@
-"""Which storage replicas store records: decides on the next placement.
+"""Decides on the next placement: which storage replicas store records.
 
-A change is first a joint phase: the target set stands as `next`, all writes go to both sets, and the members
-of the target set copy what they lack. Once all of them report that they are complete for that epoch, it
-becomes the current set. Until then the current set has everything, so the target may change at any time.
+A change starts with a joint phase: the target set is recorded as `next`, all writes go to both sets, and the
+members of the target set copy the records they lack. Once all of them report that they are complete for that
+epoch, the target set becomes the current set. Until then the current set is complete, so the target may
+change at any time.
 
-Where too few members of the current set are there to copy from, the copies that were made are all there is:
-the target set then becomes current although a member is incomplete, which is marked as lost. It counts
-in the size of the set, and never answers; if it is still there, it is added anew.
+If too few members of the current set remain to copy from, no further copies are possible. The target set then
+becomes current although a member is incomplete, and that member is marked as lost. It counts in the size of
+the set, but never replies; if the replica is alive, it is added again as a new member.
 
-That a report of a complete member may be old does no harm: what it says stays true for as long as the
-member's disk exists, and a disk lost since then is one of those that a set may lack.
+An old report of a complete member is safe to use: it stays true for as long as the member's disk exists, and
+a disk lost since then counts towards the losses that a set tolerates.
 """
 
 from __future__ import annotations
@@ -19,11 +20,16 @@
 
 from wheatring.tier.transport.messages_pb2 import ControlState, Placement, StorageMember
 
-REPLACE_AFTER_SECONDS = 2.0  # unheard, where another replica is available
-LEAVING_NOTICE_SECONDS = 1.0  # for which the announcement of a shutdown counts
-REMOVE_AFTER_SECONDS = 3.0  # unheard, without a successor, where enough others remain
-DECLARE_LOST_AFTER_SECONDS = 8.0  # unheard, where too few others remain to copy from
-BOOTSTRAP_WAIT_SECONDS = 1.5  # after the first storage replica has come, for the others to come
+# Time since the last contact after which a member is replaced by an available replica.
+REPLACE_AFTER_SECONDS = 2.0
+# An announced shutdown is ignored after this time.
+LEAVING_VALIDITY_SECONDS = 1.0
+# Time since the last contact after which a member is removed without a replacement, if enough others remain.
+REMOVE_AFTER_SECONDS = 3.0
+# Time since the last contact after which a member is declared lost, if too few others remain to copy from.
+DECLARE_LOST_AFTER_SECONDS = 8.0
+# A new system waits for this time after the first storage replica for the others to register.
+BOOTSTRAP_WAIT_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,33 +37,33 @@
     """The newest report of a storage replica."""
 
     member: StorageMember
-    complete_epoch: int  # the newest epoch for which it has everything that it should
-    age: float  # seconds since it was sent
+    complete_epoch: int  # the newest epoch for which the replica has all its records
+    age: float  # seconds since the report was sent
     leaving: bool = False  # the replica is about to shut down
 
 
 def _initial_placement(
-    reports: Mapping[str, StorageReport], losses: int, waited_seconds: float
+    reports: Mapping[str, StorageReport], losses: int, bootstrap_seconds: float
 ) -> Placement | None:
     """Return the placement of a new system, or None while replicas are missing.
 
-    Nothing has been written yet, so every replica that is there is complete.
+    Nothing has been written yet, so every replica is complete.
     """
-    wanted = 2 * losses + 1
-    is_waiting = waited_seconds < BOOTSTRAP_WAIT_SECONDS or len(reports) < losses + 1
-    if len(reports) < wanted and is_waiting:
+    target_size = 2 * losses + 1
+    is_waiting = bootstrap_seconds < BOOTSTRAP_WAIT_SECONDS or len(reports) < losses + 1
+    if len(reports) < target_size and is_waiting:
         return None
     members = sorted((r.member for r in reports.values()), key=lambda member: member.replica_id)
     return Placement(epoch=1, current=members)
 
 
 def _target_members(
-    state: ControlState, reports: Mapping[str, StorageReport], losses: int, leader_seconds: float
+    state: ControlState, reports: Mapping[str, StorageReport], losses: int, leadership_seconds: float
 ) -> list[StorageMember]:
-    """Return the members that there should be.
+    """Return the target set.
 
-    Lost members are replaced before the set grows, so that a repair waits for no copy but its own. A member
-    that is being retired stays until enough others are there, also if one of them was lost since.
+    Lost members are replaced before the set grows, so that a repair waits for its own copies only. A member
+    that is being retired stays until enough others are alive, even if one of them was lost in the meantime.
     """
     placement = state.placement
     current = [member for member in placement.current if not member.lost]
@@ -68,15 +74,15 @@
     present = [member for member in current if not _shares_machine_with(member, successors)]
     staying = [member for member in present if member.node not in retiring]
     leaving = [m for m in present if m.node in retiring and not _is_superseded(m, reports)]
-    wanted = min(2 * losses + 1, len(placement.current))
+    target_size = min(2 * losses + 1, len(placement.current))
     alive = sum(_is_alive(member, reports) for member in staying)
-    missing = max(0, wanted - alive - len(successors))
+    missing = max(0, target_size - alive - len(successors))
     joining = successors + (others[:missing] if missing or successors else others)
     target = staying + joining
-    target += leaving[: max(0, wanted - len(target))]
+    target += leaving[: max(0, target_size - len(target))]
     for member in staying:
         report = reports.get(member.replica_id)
-        if len(target) > 2 * losses + 1 and _is_removable(report, bool(joining), leader_seconds):
+        if len(target) > 2 * losses + 1 and _is_removable(report, bool(joining), leadership_seconds):
             target.remove(member)
     return sorted(target, key=lambda member: member.replica_id)
 
@@ -84,7 +90,7 @@
 def _available_members(
     state: ControlState, reports: Mapping[str, StorageReport], current: Sequence[StorageMember]
 ) -> list[StorageMember]:
-    """Return the replicas that are alive, are no members yet, and may become members."""
+    """Return the live replicas that are not members yet and may become members."""
     excluded = {member.replica_id for member in current}
     excluded |= {retirement.replica_id for retirement in state.retirements}
     retiring = _retiring_nodes(state)
@@ -99,45 +105,45 @@
 
 
 def _shares_machine_with(member: StorageMember, members: Sequence[StorageMember]) -> bool:
-    """Tell whether one of these is on the same machine."""
+    """Return whether one of the members is on the same machine as `member`."""
     return any(member.address == other.address or member.node == other.node for other in members)
 
 
 def _retiring_nodes(state: ControlState) -> set[str]:
-    """Return the machines that are being drained: no replica on them stays, whatever its disk."""
+    """Return the machines that are being retired: no replica on them stays, even one with a new disk."""
     return {retirement.node for retirement in state.retirements if not retirement.completed}
 
 
-def _is_removable(report: StorageReport | None, is_replaced: bool, leader_seconds: float) -> bool:
-    """Tell whether a member is gone, or about to shut down."""
-    if report is not None and report.leaving and report.age < LEAVING_NOTICE_SECONDS:
+def _is_removable(report: StorageReport | None, is_replaced: bool, leadership_seconds: float) -> bool:
+    """Return whether a member can be removed, as it is unreachable or about to shut down."""
+    if report is not None and report.leaving and report.age < LEAVING_VALIDITY_SECONDS:
         return True
     limit = REPLACE_AFTER_SECONDS if is_replaced else REMOVE_AFTER_SECONDS
-    return _unheard_seconds(report, leader_seconds) > limit
+    return _seconds_since_contact(report, leadership_seconds) > limit
 
 
-def _unheard_seconds(report: StorageReport | None, leader_seconds: float) -> float:
-    """Return how long a member has not been heard from.
+def _seconds_since_contact(report: StorageReport | None, leadership_seconds: float) -> float:
+    """Return the seconds since the last contact with a member, at most the time of leadership.
 
-    That is never longer than this controller leads: a new leader has not heard from all members yet.
+    A new leader has not received reports from all members yet.
     """
-    return leader_seconds if report is None else min(report.age, leader_seconds)
+    return leadership_seconds if report is None else min(report.age, leadership_seconds)
 
 
-def _ids(members: Sequence[StorageMember]) -> list[str]:
+def _replica_ids(members: Sequence[StorageMember]) -> list[str]:
     return sorted(member.replica_id for member in members)
 
 
-def _present_ids(members: Sequence[StorageMember]) -> list[str]:
-    return _ids([member for member in members if not member.lost])
+def _present_replica_ids(members: Sequence[StorageMember]) -> list[str]:
+    return _replica_ids([member for member in members if not member.lost])
 
 
 def next_placement(
     state: ControlState,
     reports: Mapping[str, StorageReport],
     losses: int,
-    waited_seconds: float,
-    leader_seconds: float,
+    bootstrap_seconds: float,
+    leadership_seconds: float,
 ) -> Placement | None:
     """Decide on the next placement.
 
@@ -148,55 +154,59 @@
     reports
         The newest report of each storage replica, by identity.
     losses
-        How many members may be lost at one time.
-    waited_seconds
-        How long storage replicas have been known.
-    leader_seconds
-        How long this controller has led.
+        The number of simultaneous member losses to tolerate.
+    bootstrap_seconds
+        Seconds since the first storage replica registered.
+    leadership_seconds
+        Seconds for which this controller has led.
 
     Returns
     -------
-    The placement to change to, or None where the present one stays.
+    The placement to change to, or None if the current one stays.
     """
     placement = state.placement
     if not placement.epoch:
-        return _initial_placement(reports, losses, waited_seconds)
-    target = _target_members(state, reports, losses, leader_seconds)
+        return _initial_placement(reports, losses, bootstrap_seconds)
+    target = _target_members(state, reports, losses, leadership_seconds)
     if len(target) < losses + 1:
         return None
     if placement.next:
-        return _next_step_of_change(state, target, reports, losses, leader_seconds)
-    is_short = len(target) < min(2 * losses + 1, len(placement.current))
+        return _continue_change(state, target, reports, losses, leadership_seconds)
+    is_below_target_size = len(target) < min(2 * losses + 1, len(placement.current))
     has_lost = any(member.lost for member in placement.current)
-    if _ids(target) == _present_ids(placement.current) and (is_short or not has_lost):
+    if _replica_ids(target) == _present_replica_ids(placement.current) and (
+        is_below_target_size or not has_lost
+    ):
         return None
     return Placement(epoch=placement.epoch + 1, current=placement.current, next=target)
 
 
-def _next_step_of_change(
+def _continue_change(
     state: ControlState,
     target: Sequence[StorageMember],
     reports: Mapping[str, StorageReport],
     losses: int,
-    leader_seconds: float,
+    leadership_seconds: float,
 ) -> Placement | None:
-    """Decide on a change in progress: it is completed, goes on (None), gets another target, or is aborted."""
+    """Decide on a change in progress: complete it, wait (None), change its target, or abort it."""
     placement = state.placement
     incomplete = [m for m in placement.next if not _is_complete(reports.get(m.replica_id), placement.epoch)]
     if not incomplete:
         return _completed_change(placement, incomplete)
-    if not _has_sources(placement, reports, losses, leader_seconds, DECLARE_LOST_AFTER_SECONDS):
+    if not _has_enough_copy_sources(
+        placement, reports, losses, leadership_seconds, DECLARE_LOST_AFTER_SECONDS
+    ):
         return _completed_change(placement, incomplete) if len(incomplete) <= losses else None
-    if not _has_sources(placement, reports, losses, leader_seconds, REPLACE_AFTER_SECONDS):
-        return None  # another set could not be copied to either, for now
-    is_copying = all(_is_still_copying(member, reports, state) for member in incomplete)
-    if _ids(target) == _ids(placement.next) or is_copying:
+    if not _has_enough_copy_sources(placement, reports, losses, leadership_seconds, REPLACE_AFTER_SECONDS):
+        return None  # another target set could not be copied to either
+    is_copying = all(_is_copying(member, reports, state) for member in incomplete)
+    if _replica_ids(target) == _replica_ids(placement.next) or is_copying:
         return None
-    if _ids(target) != _present_ids(placement.current):
+    if _replica_ids(target) != _present_replica_ids(placement.current):
         return Placement(epoch=placement.epoch + 1, current=placement.current, next=target)
     if all(_is_alive(member, reports) for member in placement.current):
         return Placement(epoch=placement.epoch + 1, current=placement.current)
-    return None  # aborting the change would abandon the copies that were made for those that are gone
+    return None  # an abort would discard the copies that replace the unreachable members
 
 
 def _is_alive(member: StorageMember, reports: Mapping[str, StorageReport]) -> bool:
@@ -204,23 +214,24 @@
     return report is not None and report.age <= REPLACE_AFTER_SECONDS
 
 
-def _has_sources(
+def _has_enough_copy_sources(
     placement: Placement,
     reports: Mapping[str, StorageReport],
     losses: int,
-    leader_seconds: float,
-    max_unheard_seconds: float,
+    leadership_seconds: float,
+    contact_timeout_seconds: float,
 ) -> bool:
-    """Tell whether enough members of the current set remain for a new copy to be complete.
+    """Return whether enough members of the current set remain for a new copy to be complete.
 
-    A member remains if its disk is not known to be lost, and it was heard from within `max_unheard_seconds`.
+    A member remains if its disk is not known to be lost and its last contact is within the time-out.
     """
     remaining = [
         member
         for member in placement.current
         if not member.lost
         and not _is_superseded(member, reports)
-        and _unheard_seconds(reports.get(member.replica_id), leader_seconds) <= max_unheard_seconds
+        and _seconds_since_contact(reports.get(member.replica_id), leadership_seconds)
+        <= contact_timeout_seconds
     ]
     return len(remaining) >= len(placement.current) - losses
 
@@ -228,8 +239,8 @@
 def _completed_change(placement: Placement, lost: Sequence[StorageMember]) -> Placement:
     """Return the placement with the target set as the current one.
 
-    Incomplete members stay in it, marked as lost, so that its quorums are those under which it was
-    written; nobody asks them again, even if they are still there.
+    Incomplete members stay in the set, marked as lost, so that its quorums are those under which records were
+    written. They receive no requests, even if they are alive.
     """
     completed = Placement(epoch=placement.epoch + 1, current=placement.next)
     lost_ids = {member.replica_id for member in lost}
@@ -243,16 +254,14 @@
 
 
 def _is_superseded(member: StorageMember, reports: Mapping[str, StorageReport]) -> bool:
-    """Tell whether another replica has come at a member's address: the member's disk is lost."""
+    """Return whether another replica is at the member's address, so that the member's disk is lost."""
     if member.replica_id in reports:
         return False
     return any(report.member.address == member.address for report in reports.values())
 
 
-def _is_still_copying(
-    member: StorageMember, reports: Mapping[str, StorageReport], state: ControlState
-) -> bool:
-    """Tell whether an incomplete member can be expected to complete its copy."""
+def _is_copying(member: StorageMember, reports: Mapping[str, StorageReport], state: ControlState) -> bool:
+    """Return whether an incomplete member is expected to complete its copy."""
     report = reports.get(member.replica_id)
     if report is None:
         return False
@@ -261,9 +270,9 @@
 
 
 def complete_retirements(state: ControlState, voting_nodes: Collection[str]) -> bool:
-    """Mark the retirements as completed whose machine has no member of the placement and no vote.
+    """Mark retirements as completed if their machine has no member of the placement and no vote.
 
-    Returns whether there were any. The machine counts, whatever disk it has now.
+    Machines are compared by node, so a machine with a new disk counts too. Returns whether any was completed.
     """
     nodes = {member.node for member in (*state.placement.current, *state.placement.next)}
     is_changed = False
--- a/wheatring/tier/controller/voter_selection.py
+++ b/wheatring/tier/controller/voter_selection.py
@@ -1,12 +1,11 @@
-"""Which controllers vote: decides on the next voter set, all changes at once.
+"""Decides on the next voter set of the controllers; one change may replace several voters.
 
-Any change is safe, because consensus makes it through an entry that needs a majority of the old set and of
-the new one. What is decided here is only who is useful as a voter:
+Any change is safe, because the entry that makes it needs a majority of the old set and of the new one. These
+rules select the voters for availability:
 
-- A voter whose disk was lost comes back at its address as another replica, and takes the lost one's place.
-- A voter on a machine that is being retired, or that does not answer, is removed where another replica waits
-  to take its place.
-- Missing voters are added, and those beyond the number that is wanted are removed if they are of no use.
+- A voter whose disk was lost restarts at its address as another replica, and is replaced by that replica.
+- A voter that is unreachable, or on a machine that is being retired, is replaced if there is another replica.
+- Missing voters are added, and unusable voters beyond the target number are removed.
 """
 
 from __future__ import annotations
@@ -22,17 +21,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A replica without a vote, and whether it has the newest entry on disk."""
+    """A replica without a vote, and whether it has synced the newest entry to disk."""
 
     member: Member
     caught_up: bool
 
 
 def next_voters(
-    me: str,
+    leader_id: str,
     voters: Sequence[Member],
     candidates: Sequence[Candidate],
-    unheard_seconds: Mapping[str, float],
+    seconds_since_contact: Mapping[str, float],
     target: int,
     leaving: Collection[str] = (),
 ) -> list[Member] | None:
@@ -40,44 +39,44 @@
 
     Parameters
     ----------
-    me
-        The identity of the leader, which itself is removed only with its machine.
+    leader_id
+        The identity of the leader, which is removed only if its node is leaving.
     voters
-        The present voters.
+        The current voters.
     candidates
         The replicas without a vote.
-    unheard_seconds
-        For each other voter, how long the leader has not heard from it.
+    seconds_since_contact
+        Seconds since the leader's last contact with each other voter.
     target
-        The number of voters wanted.
+        The target number of voters.
     leaving
-        The nodes that are being retired or shut down.
+        The nodes that are being retired or shutting down.
 
     Returns
     -------
-    The voters to change to, or None where the present ones stay.
+    The voters to change to, or None if the current ones stay.
     """
 
-    def is_useful(voter: Member) -> bool:
-        """Tell whether a voter stays on its machine and answers."""
+    def is_usable(voter: Member) -> bool:
+        """Return whether a voter is reachable and not leaving."""
         if voter.node in leaving:
             return False
-        silent_seconds = unheard_seconds.get(voter.replica_id, 0.0)
-        return voter.replica_id == me or silent_seconds <= UNREACHABLE_AFTER_SECONDS
+        silence_seconds = seconds_since_contact.get(voter.replica_id, 0.0)
+        return voter.replica_id == leader_id or silence_seconds <= UNREACHABLE_AFTER_SECONDS
 
     available = _available_members(voters, candidates, leaving)
-    wanted = _with_successors(voters, available)
-    wanted = _with_replacements(wanted, available, target, is_useful)
-    for voter in [voter for voter in wanted if not is_useful(voter)]:
-        if len(wanted) > target:
-            wanted.remove(voter)
-    return wanted if member_ids(wanted) != member_ids(voters) else None
+    selected = _with_successors(voters, available)
+    selected = _with_replacements(selected, available, target, is_usable)
+    for voter in [voter for voter in selected if not is_usable(voter)]:
+        if len(selected) > target:
+            selected.remove(voter)
+    return selected if member_ids(selected) != member_ids(voters) else None
 
 
 def _available_members(
     voters: Sequence[Member], candidates: Sequence[Candidate], leaving: Collection[str]
 ) -> list[Member]:
-    """Return the candidates that may be given a vote, in the order of their identities."""
+    """Return the candidates that may become voters, ordered by identity."""
     voter_ids = member_ids(voters)
     return [
         candidate.member
@@ -89,22 +88,22 @@
 
 
 def _with_successors(voters: Sequence[Member], available: list[Member]) -> list[Member]:
-    """Replace each voter whose disk was lost by the replica that has come at its address.
+    """Replace each voter whose disk was lost by the new replica at its address.
 
-    The replicas that are used up are removed from `available`.
+    The selected replicas are removed from `available`.
     """
-    wanted = []
+    selected = []
     for voter in voters:
         successor = next((member for member in available if member.address == voter.address), None)
         if successor is not None:
             available.remove(successor)
-        wanted.append(successor or voter)
-    return wanted
+        selected.append(successor or voter)
+    return selected
 
 
 def _with_replacements(
-    voters: list[Member], available: list[Member], target: int, is_useful: Callable[[Member], bool]
+    voters: list[Member], available: list[Member], target: int, is_usable: Callable[[Member], bool]
 ) -> list[Member]:
-    """Add replicas for the voters that are missing or useless."""
-    useful = sum(is_useful(voter) for voter in voters)
-    return [*voters, *available[: max(0, target - useful)]]
+    """Add replicas for voters that are missing or unusable."""
+    usable_count = sum(is_usable(voter) for voter in voters)
+    return [*voters, *available[: max(0, target - usable_count)]]
--- a/wheatring/tier/event_log.py
+++ b/wheatring/tier/event_log.py
@@ -1,6 +1,6 @@
-"""The structured log of the tier: one JSON object a line on standard output, each with a code first.
+"""The structured log of the tier: one JSON object per line on standard output, with the event's code.
 
-A line that cannot be written is dropped: a log that nobody reads must not stop the process.
+A line that cannot be written is dropped, because a closed log must not stop the process.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 import picologging
 
 _LOGGER_NAME = "wheatring"
-_process_fields: dict[str, object] = {}  # in every line of this process
+_process_fields: dict[str, object] = {}  # added to every line
 
 
 class _JsonFormatter(picologging.Formatter):
-    """Leaves the message as it is: a finished line."""
+    """Returns the message unchanged, as it is already a complete line."""
 
     def format(self, record: Any) -> str:
         """Return the message."""
@@ -25,7 +25,7 @@
 
 
 def start_logging(node: str) -> None:
-    """Set up the log of this process; each line names its `node`."""
+    """Set up the log of this process; every line has the field `node`."""
     logger = picologging.getLogger(_LOGGER_NAME)
     handler = picologging.StreamHandler(sys.stdout)
     handler.setFormatter(_JsonFormatter())
@@ -35,14 +35,14 @@
 
 
 def log_event(code: str, **fields: object) -> None:
-    """Write one line.
+    """Write one log line.
 
     Parameters
     ----------
     code
-        Names the event; docs/operate/tier/README.md lists the codes.
+        The code of the event; docs/operate/tier/README.md lists the codes.
     fields
-        What the event concerns, and why it came about.
+        Further fields of the line.
     """
     entry = {"at": round(time.time(), 3), "code": code, **_process_fields, **fields}
     picologging.getLogger(_LOGGER_NAME).info(json.dumps(entry, default=str))
--- a/wheatring/tier/role_process.py
+++ b/wheatring/tier/role_process.py
@@ -1,4 +1,4 @@
-"""The base of the three roles' processes (controller, storage, sidecar): settings, tasks, start and stop."""
+"""The base class of the processes of the three roles: settings, background tasks, start and stop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RoleProcess(ABC):
-    """One process of the tier. It owns its background tasks and follows its settings file."""
+    """A process of the tier. It owns its background tasks and reloads its settings file."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -21,22 +21,22 @@
 
     @abstractmethod
     async def start(self) -> None:
-        """Begin to serve. Raises OSError where an address cannot be bound."""
+        """Start to serve. Raises OSError if an address cannot be bound."""
 
     @abstractmethod
     async def stop(self) -> None:
-        """Shut down gracefully, within the grace time of the settings."""
+        """Shut down gracefully, within the grace period of the settings."""
 
     def reload(self) -> None:
-        """Read the settings file again, on SIGHUP."""
+        """Reload the settings file, on SIGHUP."""
         self._watch.reload()
 
     def seed_hosts(self) -> list[str]:
-        """Return the IP addresses of the seed controllers, by the newest settings."""
+        """Return the IP addresses of the seed controllers, from the newest settings."""
         return [seed.host for seed in self._watch.settings.seeds]
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run `work` as a task of this process, which holds it until it has ended."""
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine as a background task, and keep a reference to the task until it is done."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/wheatring/tier/run.py
+++ b/wheatring/tier/run.py
@@ -1,4 +1,4 @@
-"""Runs one process of the tier: settings, signals and the event loop."""
+"""Runs a process of the tier: settings, signals and the event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from wheatring.tier.event_log import log_event, start_logging
 from wheatring.tier.role_process import RoleProcess
 
-STATUS_CANNOT_START = 2  # exit status
+EXIT_CANNOT_START = 2
 
 ProcessFactory = Callable[[Settings, Random], RoleProcess]
 
@@ -25,16 +25,16 @@
     """Serve until SIGTERM or SIGINT; return the exit status."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     try:
         process = make_process(settings, Random())
         loop.add_signal_handler(signal.SIGHUP, process.reload)
         await process.start()
     except (OSError, DiskError, KeyError) as error:
         print(f"wheatring: cannot start: {error}", file=sys.stderr)
-        return STATUS_CANNOT_START
-    gc.freeze()  # what is loaded by now stays; collections need not visit it
+        return EXIT_CANNOT_START
+    gc.freeze()  # modules loaded by now stay in use, so the collector need not traverse them
     await stopping.wait()
     log_event("stopping")
     await process.stop()
@@ -42,17 +42,17 @@
 
 
 def run(make_process: ProcessFactory) -> None:
-    """Run one process until a signal ends it; never returns.
+    """Run a process until SIGTERM or SIGINT; does not return.
 
-    The interpreter is left by `os._exit`, so that no thread of a library can hold the end up.
+    The process exits with `os._exit`, so that no library thread can delay the exit.
     """
-    # Until the handler of the process stands, a SIGHUP would end it.
+    # Before the SIGHUP handler is installed, the signal would terminate the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         settings = read_settings(settings_path())
     except SettingsError as error:
         print(f"wheatring: {error}", file=sys.stderr)
-        sys.exit(STATUS_CANNOT_START)
+        sys.exit(EXIT_CANNOT_START)
     start_logging(settings.node)
     status = asyncio.run(_serve(make_process, settings))
     sys.stdout.flush()
--- a/wheatring/tier/sidecar/process.py
+++ b/wheatring/tier/sidecar/process.py
@@ -141,7 +141,7 @@
         waited = asyncio.get_running_loop().time() - self._started_at
         return (
             self.service.table is not None
-            or self.subscription.view.is_fresh
+            or self.subscription.view.has_been_current
             or waited > UNCONFIRMED_CONFIGURATION_SECONDS
         )
 
--- a/wheatring/tier/start.py
+++ b/wheatring/tier/start.py
@@ -1,4 +1,4 @@
-"""Starts a role without loading the rest of the command line, which takes 0.05 s of each restart."""
+"""Starts a role without importing the rest of the command line, which would add 0.05 s to each restart."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def main() -> None:
-    """Run the role that the only argument names; leave everything else to the command line.
+    """Run the role given as the only argument, or a sidecar with `--policy FILE`.
 
-    A sidecar is started here with `--policy FILE` too.
+    All other arguments are passed to the full command line.
     """
     match sys.argv[1:]:
         case [name] if name in ROLES:
--- a/wheatring/tier/storage/process.py
+++ b/wheatring/tier/storage/process.py
@@ -61,7 +61,7 @@
         loop = asyncio.get_running_loop()
         self._is_stopping = True
         stopping_since = loop.time()
-        self.subscription.announce_now()
+        self.subscription.send_presence()
         while loop.time() - stopping_since < self.settings.grace_seconds - STOP_MARGIN_SECONDS:
             await asyncio.sleep(STOP_POLL_SECONDS)
             if self._is_handed_over(loop.time() - stopping_since):
@@ -100,7 +100,7 @@
             await asyncio.sleep(COMPLETION_POLL_SECONDS)
             if self.repair.complete_epoch != self._announced_epoch:
                 self._announced_epoch = self.repair.complete_epoch
-                self.subscription.announce_now()
+                self.subscription.send_presence()
 
     def _on_envelope(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
         kind = envelope.WhichOneof("body")
--- a/wheatring/tier/subscription/__init__.py
+++ b/wheatring/tier/subscription/__init__.py
@@ -1,1 +1,1 @@
-"""The subscription of sidecars and storage replicas to the control state, which a controller serves."""
+"""The subscription of sidecars and storage replicas to the control state of the controllers."""
--- a/wheatring/tier/subscription/client.py
+++ b/wheatring/tier/subscription/client.py
@@ -1,7 +1,7 @@
-"""The subscriber's side: stays connected to one controller that is in contact with a quorum.
+"""The subscriber: stays connected to one controller that is in contact with a quorum.
 
-A controller that sends nothing, or reports that it has lost the quorum, is left for another one. Nothing
-older than what the subscriber has is ever applied, so it cannot go back within its incarnation.
+The subscriber switches to another controller if the current one stops sending or reports that it has lost the
+quorum. Older state than the subscriber has is never applied, so its view cannot go back until a restart.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 from wheatring.tier.transport.messages_pb2 import Envelope, Member, Placement, Presence, Subscribe, Update
 
 UPDATE_TIMEOUT_SECONDS = 0.8  # a controller sends an update every SUBSCRIBER_HEARTBEAT_SECONDS
-MAX_STALENESS_MS = 900  # a controller that has been without a quorum for longer is not believed to be current
-FIRST_UPDATE_TIMEOUT_SECONDS = 0.5  # after the connection was asked for
-MIN_SUBSCRIPTION_SECONDS = 0.6  # with a stale controller, before the next one is tried
-CHECK_SECONDS = 0.1  # between two checks of the controller, where it reports nothing wrong
+MAX_STALENESS_MS = 900  # a controller without contact with a quorum for longer is considered stale
+FIRST_UPDATE_TIMEOUT_SECONDS = 0.5  # includes the time to connect
+MIN_SUBSCRIPTION_SECONDS = 0.6  # a subscription to a stale controller is kept for at least this time
+CHECK_INTERVAL_SECONDS = 0.1
 
 
 @dataclass(slots=True)
 class ControlView:
-    """The newest control state and endpoint list that a subscriber has."""
+    """The newest control state and endpoint list of a subscriber."""
 
     position: tuple[int, int] = (0, 0)  # term and index
     generation: int = 0
@@ -35,11 +35,11 @@
     controllers: list[Member] = field(default_factory=list)
     soft_version: int = 0
     endpoint_list: bytes = b""
-    is_fresh: bool = False  # was in step, at least once, with a controller that had a quorum
+    has_been_current: bool = False  # received an update from a controller in contact with a quorum
 
 
 class Subscription:
-    """Keeps a view of the control state up to date."""
+    """Keeps a `ControlView` up to date."""
 
     def __init__(
         self,
@@ -51,24 +51,24 @@
         on_change: Callable[[], None],
         random: Random,
     ) -> None:
-        """Set the subscription up.
+        """Initialize the subscription.
 
         Parameters
         ----------
         seeds
-            Gives the IP addresses of the controllers to begin with.
+            Returns the IP addresses of the seed controllers.
         port
             The port of all controllers.
         zone
-            The zone of this process, whose controllers it prefers.
+            The zone of this process. Controllers of the same zone are preferred.
         presence
-            Gives the presence message of this process.
+            Returns the presence message of this process.
         presence_interval_seconds
-            The time between two presence messages.
+            The interval of presence messages.
         on_change
             Called after every change of the view.
         random
-            Chooses among controllers of other zones.
+            The random source for the choice among controllers of other zones.
         """
         self.view = ControlView()
         self._seeds = seeds
@@ -94,7 +94,7 @@
         on_change: Callable[[], None],
         random: Random,
     ) -> Subscription:
-        """Return the subscription of a role's process, with the controllers that its settings name."""
+        """Return the subscription of a role's process, with the controllers of its settings."""
         settings = process.settings
         return cls(
             seeds=process.seed_hosts,
@@ -107,16 +107,16 @@
         )
 
     async def run(self) -> None:
-        """Subscribe to one controller after the other, for as long as the process runs."""
+        """Subscribe to one controller after another, until cancelled."""
         tried: list[str] = []
         while True:
-            host = self._choose(tried)
+            host = self._choose_controller(tried)
             tried.append(host)
-            if await self._follow(host):
+            if await self._subscribe_to(host):
                 tried = [host]
 
-    def _choose(self, tried: list[str]) -> str:
-        """Return the next controller: first one of the own zone, then any that has not just been tried."""
+    def _choose_controller(self, tried: list[str]) -> str:
+        """Return the next controller: one of the same zone if possible, else any not tried recently."""
         near = [member.address for member in self.view.controllers if member.zone == self._zone]
         known = [member.address for member in self.view.controllers]
         hosts = list(dict.fromkeys(near + known + self._seeds()))
@@ -129,8 +129,8 @@
             return untried[0]
         return self._random.choice(untried)
 
-    async def _follow(self, host: str) -> bool:
-        """Subscribe at a controller and follow it while it is usable. Returns whether it was ever current."""
+    async def _subscribe_to(self, host: str) -> bool:
+        """Subscribe to a controller while it is usable. Returns whether it was ever current."""
         loop = asyncio.get_running_loop()
         client = self._client = EnvelopeClient(host, self._port, self._on_envelope)
         self._host = host
@@ -145,7 +145,7 @@
             while True:
                 self._wake.clear()
                 with contextlib.suppress(TimeoutError):
-                    async with asyncio.timeout(CHECK_SECONDS):
+                    async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                         await self._wake.wait()
                 now = loop.time()
                 was_current = was_current or not self._is_stale
@@ -168,7 +168,7 @@
         )
 
     def _is_usable(self, client: EnvelopeClient, started_at: float, now: float) -> bool:
-        """Tell whether the controller followed since `started_at` is up, current, and about to stay."""
+        """Return whether the controller of this subscription is reachable, current and not stopping."""
         has_update = self._updated_at > started_at
         timeout = UPDATE_TIMEOUT_SECONDS if has_update else FIRST_UPDATE_TIMEOUT_SECONDS
         if now - self._updated_at > timeout or not client.is_reachable(started_at, now):
@@ -180,7 +180,7 @@
             self._apply(envelope.update)
 
     def _apply(self, update: Update) -> None:
-        """Take in an update of the controller."""
+        """Apply an update of the controller."""
         self._updated_at = asyncio.get_running_loop().time()
         self._is_stale = update.staleness_ms > MAX_STALENESS_MS
         self._is_stopping = update.stopping
@@ -190,8 +190,8 @@
             view.soft_version = update.soft_version
             view.endpoint_list = update.endpoint_list
             is_changed = True
-        if not self._is_stale and not view.is_fresh:
-            view.is_fresh = is_changed = True
+        if not self._is_stale and not view.has_been_current:
+            view.has_been_current = is_changed = True
             log_event("subscribed", controller=self._host, generation=view.generation)
         if self._is_stale or self._is_stopping:
             self._wake.set()
@@ -199,7 +199,7 @@
             self._on_change()
 
     def _apply_state(self, update: Update) -> bool:
-        """Take in the committed state of an update; return whether it is newer than the view."""
+        """Apply the committed state of an update; return whether it is newer than the view."""
         view = self.view
         position = (update.term, update.index)
         if not update.has_state or position <= view.position:
@@ -212,12 +212,12 @@
             view.configuration = update.configuration
         return True
 
-    def announce_now(self) -> None:
-        """Send the presence of this process to the controller at once."""
+    def send_presence(self) -> None:
+        """Send the presence of this process to the controller immediately."""
         if self._client is not None:
             self._client.send(Envelope(presence=self._presence()))
 
     def adopt_placement(self, placement: Placement) -> None:
-        """Take over a placement that a storage replica has shown, if it is newer than the controller's."""
+        """Adopt a placement received from a storage replica, if it is newer than that of the view."""
         if placement.epoch > self.view.placement.epoch:
             self.view.placement = placement
--- a/wheatring/tier/subscription/server.py
+++ b/wheatring/tier/subscription/server.py
@@ -1,7 +1,7 @@
-"""The controller's side: sends each subscriber the committed state and the endpoint list.
+"""The controller's side of subscriptions: sends the committed state and the endpoint list to subscribers.
 
-Each change is sent once. In between, heartbeats say that the controller is alive and how long it has been
-without a quorum.
+Each change is sent once. Heartbeats between changes show that the controller is alive, and how long it has
+had no contact with a quorum.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
     Update,
 )
 
-SUBSCRIBER_HEARTBEAT_SECONDS = 0.3  # between updates without a change
+SUBSCRIBER_HEARTBEAT_SECONDS = 0.3
 
 
 @dataclass(slots=True)
 class Subscriber:
-    """A subscriber and what it has been sent."""
+    """A subscriber, and the versions of the state that were sent to it."""
 
     connection: EnvelopeConnection
     presence: Presence
@@ -35,8 +35,8 @@
 
 
 @dataclass(slots=True)
-class Published:
-    """The newest committed state that this controller knows, and the newest endpoint list."""
+class PublishedState:
+    """The newest committed state and endpoint list known to this controller."""
 
     position: tuple[int, int] = (0, 0)
     state: ControlState = field(default_factory=ControlState)
@@ -49,16 +49,16 @@
     """All subscribers of one controller, by their connections."""
 
     def __init__(self, staleness: Callable[[], float]) -> None:
-        """Start without subscribers.
+        """Initialize without subscribers.
 
         Parameters
         ----------
         staleness
-            Gives the age in seconds up to which acknowledgements may be unknown to this controller.
+            Returns the seconds for which this controller may have missed newer committed state.
         """
         self._staleness = staleness
         self._subscribers: dict[EnvelopeConnection, Subscriber] = {}
-        self.published = Published()
+        self.published = PublishedState()
         self.is_stopping = False
 
     def presences(self) -> list[Presence]:
@@ -66,7 +66,7 @@
         return [subscriber.presence for subscriber in self._subscribers.values()]
 
     def add(self, connection: EnvelopeConnection, request: Subscribe) -> None:
-        """Add a subscriber, and send it at once what it lacks."""
+        """Add a subscriber, and send it the state that it lacks."""
         subscriber = Subscriber(
             connection=connection,
             presence=request.presence,
@@ -78,17 +78,17 @@
         self._send(subscriber)
 
     def update_presence(self, connection: EnvelopeConnection, presence: Presence) -> None:
-        """Take in a presence message of a subscriber."""
+        """Record a presence message of a subscriber."""
         subscriber = self._subscribers.get(connection)
         if subscriber is not None:
             subscriber.presence = presence
 
     def remove(self, connection: EnvelopeConnection) -> None:
-        """Remove the subscriber of a connection that has ended."""
+        """Remove the subscriber of a closed connection."""
         self._subscribers.pop(connection, None)
 
     def publish_state(self, entry: Entry) -> bool:
-        """Send a committed entry to all subscribers, if it is newer; return whether it is."""
+        """Send a committed entry to all subscribers if it is newer; return whether it is."""
         position = (entry.term, entry.index)
         if position <= self.published.position:
             return False
@@ -99,7 +99,7 @@
         return True
 
     def publish_list(self, version: int, endpoint_list: bytes) -> None:
-        """Send an endpoint list to all subscribers, if it is another one."""
+        """Send an endpoint list to all subscribers if its version differs."""
         if version != self.published.soft_version and endpoint_list:
             self.published.soft_version = version
             self.published.endpoint_list = endpoint_list
@@ -110,7 +110,7 @@
         self._send_to_all()
 
     def stop(self) -> None:
-        """Announce that this controller is about to stop, so that subscribers change to another one."""
+        """Announce that this controller is about to stop, so that subscribers switch to another one."""
         self.is_stopping = True
         self._send_to_all()
 
--- a/wheatring/tier/transport/__init__.py
+++ b/wheatring/tier/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Framing, calls and connections between the processes of the serving tier."""
+"""Connections, framing and remote calls between the processes of the serving tier."""
--- a/wheatring/tier/transport/client.py
+++ b/wheatring/tier/transport/client.py
@@ -1,4 +1,4 @@
-"""The calling side: one lasting connection to one process, made anew whenever it is needed."""
+"""The client side: one persistent connection per peer, reopened on demand."""
 
 from __future__ import annotations
 
@@ -9,27 +9,29 @@
 from wheatring.tier.transport.exceptions import PeerUnreachableError
 from wheatring.tier.transport.messages_pb2 import Envelope
 
-# For the attempts to connect, one after the other: an opening packet that was lost, as by a machine without
-# power, is sent again by the system after a second only. The last one leaves time for a distant peer.
+# The time-outs of consecutive attempts to connect. The kernel retransmits a lost SYN only after a second, so
+# a machine that has just regained power is reached sooner by a new attempt. The last time-out allows for a
+# long round trip.
 CONNECT_ATTEMPT_SECONDS = (0.1, 0.1, 0.3)
 CONNECT_TIMEOUT_SECONDS = sum(CONNECT_ATTEMPT_SECONDS)
-RECONNECT_DELAY_SECONDS = 0.1  # after a failed connect
-INACTIVITY_TIMEOUT_SECONDS = 1.2  # a call waiting for so long with no byte received ends the connection
-MAX_UNSENT_ENVELOPES = 16  # kept while there is no connection and no call waits
+RECONNECT_DELAY_SECONDS = 0.1
+# A call that is pending for this time without any envelope received ends the connection.
+INACTIVITY_TIMEOUT_SECONDS = 1.2
+MAX_UNSENT_ENVELOPES = 16  # queued while there is neither a connection nor a pending call
 
 
 class EnvelopeClient:
     """Sends envelopes to one address, with or without waiting for a reply."""
 
     def __init__(self, host: str, port: int, receive: Callable[[Envelope], None] | None = None) -> None:
-        """Prepare a client; it connects with the first envelope.
+        """Initialize a client; it connects when the first envelope is sent.
 
         Parameters
         ----------
         host, port
-            The peer.
+            The address of the peer.
         receive
-            Called with each envelope that answers no call.
+            Called with each envelope that is not a reply to a call.
         """
         self.host = host
         self.port = port
@@ -38,13 +40,13 @@
         self._connecting: asyncio.Task[None] | None = None
         self._unsent: list[Envelope] = []
         self._pending_calls: dict[int, asyncio.Future[Envelope]] = {}
-        self._last_call = 0
+        self._last_call_number = 0
         self._next_connect_at = 0.0
         self._last_received_at = 0.0
         self._is_closed = False
 
     def send(self, envelope: Envelope) -> None:
-        """Send without a reply. While there is no connection, only the newest few are kept."""
+        """Send without waiting for a reply. Without a connection, only the newest envelopes are queued."""
         if self._connection is not None and self._connection.is_open:
             self._connection.send(envelope)
             return
@@ -56,8 +58,8 @@
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
         """Send and wait for the reply.
 
-        The time-out also shows how long the peer has been silent, so it is not left to the caller's
-        `asyncio.timeout`: a connection on which nothing arrives is ended by it.
+        The time-out is a parameter rather than left to the caller's `asyncio.timeout`, because it also ends a
+        connection on which nothing was received for `INACTIVITY_TIMEOUT_SECONDS`.
 
         Parameters
         ----------
@@ -69,11 +71,11 @@
         Raises
         ------
         PeerUnreachableError
-            No reply came in time, or the connection was lost.
+            No reply was received in time, or the connection was lost.
         """
         loop = asyncio.get_running_loop()
-        self._last_call += 1
-        number = self._last_call
+        self._last_call_number += 1
+        number = self._last_call_number
         envelope.call = number
         reply: asyncio.Future[Envelope] = loop.create_future()
         self._pending_calls[number] = reply
@@ -86,13 +88,13 @@
             self._pending_calls.pop(number, None)
 
     def is_reachable(self, since: float, now: float) -> bool:
-        """Whether the client is connected, or within the time that a connect begun at `since` may take."""
+        """Return whether the client is connected, or still connecting within the time-out from `since`."""
         return self._connection is not None or (
             self._connecting is not None and now - since < CONNECT_TIMEOUT_SECONDS
         )
 
     def close(self) -> None:
-        """End the connection; calls in flight fail."""
+        """Close the connection; pending calls fail."""
         self._is_closed = True
         if self._connecting is not None:
             self._connecting.cancel()
@@ -105,8 +107,8 @@
         if reply is not None and not reply.done():
             reply.set_exception(self._unreachable_error("no reply in time"))
         waited = asyncio.get_running_loop().time() - called_at
-        is_silent = waited >= INACTIVITY_TIMEOUT_SECONDS and self._last_received_at < called_at
-        if is_silent and self._connection is not None:
+        is_peer_silent = waited >= INACTIVITY_TIMEOUT_SECONDS and self._last_received_at < called_at
+        if is_peer_silent and self._connection is not None:
             self._connection.abort()
 
     def _unreachable_error(self, reason: str) -> PeerUnreachableError:
@@ -136,13 +138,15 @@
             connection.send(envelope)
 
     async def _open_connection(self) -> EnvelopeConnection:
-        """Connect, in as many attempts as may be needed. Raises OSError or TimeoutError."""
+        """Connect, with several attempts if necessary. Raises OSError or TimeoutError."""
         loop = asyncio.get_running_loop()
         for number, seconds in enumerate(CONNECT_ATTEMPT_SECONDS, 1):
             try:
                 async with asyncio.timeout(seconds):
                     _, connection = await loop.create_connection(
-                        lambda: EnvelopeConnection(self._on_envelope, self._on_lost), self.host, self.port
+                        lambda: EnvelopeConnection(self._on_envelope, self._on_connection_lost),
+                        self.host,
+                        self.port,
                     )
                 return connection
             except TimeoutError:
@@ -160,8 +164,8 @@
         if reply is not None and not reply.done():
             reply.set_result(envelope)
 
-    def _on_lost(self, connection: EnvelopeConnection) -> None:
-        # The end of a connection that was replaced must not fail the calls on the one after it.
+    def _on_connection_lost(self, connection: EnvelopeConnection) -> None:
+        # The loss of a replaced connection must not fail the calls on the current one.
         if connection is self._connection:
             self._connection = None
             self._fail_pending_calls()
@@ -173,21 +177,21 @@
 
 
 class ClientTable:
-    """One client for each address, kept for as long as the address is in use."""
+    """One client per address, kept while the address is in use."""
 
     def __init__(self, port: int) -> None:
         self._port = port
         self._clients: dict[str, EnvelopeClient] = {}
 
     def client_for(self, host: str) -> EnvelopeClient:
-        """Return the client for an IP address, at the port that all processes of the role share."""
+        """Return the client for an IP address and the port that all processes of the role use."""
         client = self._clients.get(host)
         if client is None:
             client = self._clients[host] = EnvelopeClient(host, self._port)
         return client
 
     def retain_only(self, hosts: set[str]) -> None:
-        """Close the clients for all other addresses."""
+        """Close the clients for all addresses but these."""
         for host in [host for host in self._clients if host not in hosts]:
             self._clients.pop(host).close()
 
--- a/wheatring/tier/transport/connection.py
+++ b/wheatring/tier/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries length-prefixed envelopes."""
+"""A TCP connection that carries length-prefixed envelopes."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 _LENGTH_PREFIX = struct.Struct(">I")
 MAX_FRAME_BYTES = 64 * 1024 * 1024
-UNACKNOWLEDGED_TIMEOUT_MS = 1500  # a peer that acknowledges nothing for so long is taken for dead
-MAX_UNSENT_BYTES = 16 * 1024 * 1024  # a peer that reads nothing is cut off at this backlog
+UNACKNOWLEDGED_TIMEOUT_MS = 1500  # for TCP_USER_TIMEOUT
+MAX_UNSENT_BYTES = 16 * 1024 * 1024  # the connection of a peer that stops reading is closed at this backlog
 
 
 @dataclass(slots=True)
 class TrafficCounters:
-    """Bytes of all envelope connections of this process, for measurements."""
+    """Bytes sent and received on all envelope connections of this process."""
 
     received_bytes: int = 0
     sent_bytes: int = 0
@@ -33,10 +33,10 @@
 
 
 def set_socket_options(sock: socket.socket) -> None:
-    """Send small frames at once, and end a connection whose peer has fallen silent early.
+    """Disable Nagle's algorithm, and detect a peer that stops responding within seconds.
 
-    Without the time-out of unacknowledged data a connection to a machine without power would stay open for
-    minutes, and calls on it would wait.
+    Without the time-out for unacknowledged data, a connection to a machine without power would stay open for
+    minutes, and calls on it would block.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
@@ -47,9 +47,9 @@
 
 
 class EnvelopeConnection(asyncio.Protocol):
-    """Decodes frames as they arrive and encodes those to be sent.
+    """Decodes received frames and encodes those to send.
 
-    `on_lost` is called once, when the connection has ended.
+    `on_lost` is called once, when the connection is closed.
     """
 
     def __init__(self, on_envelope: EnvelopeHandler, on_lost: Callable[[EnvelopeConnection], None]) -> None:
@@ -60,7 +60,7 @@
         self.is_open = False
 
     def connection_made(self, transport: Any) -> None:
-        """Keep the transport and set the options of its socket; the event loop calls this."""
+        """Store the transport and set its socket options; called by the event loop."""
         self._transport = transport
         self.is_open = True
         sock = transport.get_extra_info("socket")
@@ -68,7 +68,7 @@
             set_socket_options(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Decode the frames that are complete and hand each one over."""
+        """Decode complete frames and pass each envelope to the handler; called by the event loop."""
         TRAFFIC.received_bytes += len(data)
         buffer = self._buffer
         buffer += data
@@ -93,12 +93,12 @@
             del buffer[:offset]
 
     def connection_lost(self, error: Exception | None) -> None:  # noqa: ARG002 - asyncio's signature
-        """Report the end of the connection; the event loop calls this."""
+        """Report the end of the connection; called by the event loop."""
         self.is_open = False
         self._on_lost(self)
 
     def send(self, envelope: Envelope) -> None:
-        """Queue one envelope; on a connection that has ended do nothing."""
+        """Queue an envelope; does nothing on a closed connection."""
         if not self.is_open:
             return
         payload = envelope.SerializeToString()
@@ -108,7 +108,7 @@
             self.abort()
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
         if self.is_open:
             self.is_open = False
             self._transport.abort()
--- a/wheatring/tier/transport/exceptions.py
+++ b/wheatring/tier/transport/exceptions.py
@@ -4,14 +4,14 @@
 
 
 class PeerUnreachableError(Exception):
-    """No reply came: the peer may or may not have done what the call asked for.
+    """No reply was received; the peer may or may not have executed the call.
 
     Attributes
     ----------
     peer
         Host and port of the peer.
     reason
-        What ended the wait.
+        Why there is no reply.
     """
 
     def __init__(self, peer: str, reason: str) -> None:
