--- a/tests/tier/controller/test_commands.py
+++ b/tests/tier/controller/test_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the control state: what is accepted, what is rejected, and how a retry is answered."""
+"""Commands on the control state: validation, conflicts, retries and bounded state."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from wheatring.tier.transport.messages_pb2 import ControlState
 
 
-def valid_configuration(generation: int = 7, **changed: Any) -> dict[str, Any]:
+def valid_configuration(generation: int = 7, **overrides: Any) -> dict[str, Any]:
     route = {
         "name": "r1",
         "hostname": "a.example",
@@ -42,7 +42,7 @@
     }
     return {
         "generation": generation,
-        "routes": [route | changed, route | {"name": "r2", "pathPrefix": "/y/"}],
+        "routes": [route | overrides, route | {"name": "r2", "pathPrefix": "/y/"}],
         "services": [{"name": "s", "engine": {"stride": 9}}, {"name": "t"}],
         "limits": {"maxHeaderBytes": 16384},
     }
@@ -52,51 +52,51 @@
     return json.dumps(values).encode()
 
 
-def test_a_valid_configuration_is_accepted() -> None:
+def test_valid_configuration_is_accepted() -> None:
     assert parse(body(valid_configuration())).generation == 7
 
 
-BAD: dict[str, bytes] = {
-    "cut short": body(valid_configuration())[:-20],
+INVALID: dict[str, bytes] = {
+    "truncated": body(valid_configuration())[:-20],
     "unknown service": body(valid_configuration(trafficSplit=None, backend="nobody")),
     "unknown service in a split": body(
         valid_configuration(trafficSplit=[{"backend": "nobody", "weight": 1}])
     ),
-    "same place": body(valid_configuration(pathPrefix="/y/")),
-    "same place in other letters": body(valid_configuration(pathPrefix="/y/", hostname="A.example")),
-    "no weight": body(valid_configuration(trafficSplit=[{"backend": "s", "weight": 0}])),
+    "same host and prefix": body(valid_configuration(pathPrefix="/y/")),
+    "same host in upper case": body(valid_configuration(pathPrefix="/y/", hostname="A.example")),
+    "weights sum to 0": body(valid_configuration(trafficSplit=[{"backend": "s", "weight": 0}])),
     "negative weight": body(
         valid_configuration(trafficSplit=[{"backend": "s", "weight": -1}, {"backend": "t", "weight": 2}])
     ),
-    "no time": body(valid_configuration(timeoutMs=0)),
-    "no service": body(valid_configuration(trafficSplit=None)),
-    "same name": body(valid_configuration(name="r2")),
+    "time-out of 0": body(valid_configuration(timeoutMs=0)),
+    "missing service": body(valid_configuration(trafficSplit=None)),
+    "duplicate name": body(valid_configuration(name="r2")),
     "prefix without slash": body(valid_configuration(pathPrefix="/x")),
-    "a key twice": body(valid_configuration()).replace(
+    "duplicate key": body(valid_configuration()).replace(
         b'"generation": 7', b'"generation": 7, "generation": 8'
     ),
     "not a number": body(valid_configuration()).replace(b"4000", b"NaN"),
-    "a text for a number": body(valid_configuration(timeoutMs="4000")),
-    "truth for a number": body(valid_configuration(timeoutMs=True)),
-    "half a generation": body(valid_configuration() | {"generation": 7.5}),
+    "string for a number": body(valid_configuration(timeoutMs="4000")),
+    "boolean for a number": body(valid_configuration(timeoutMs=True)),
+    "fractional generation": body(valid_configuration() | {"generation": 7.5}),
     "not an object": b"[]",
     "empty": b"",
-    "unknown type": body(valid_configuration(routeType="perhaps")),
-    "broken text": b'{"generation": 7, "x": "\xff"}',
-    "too deep": b"[" * 100_000,
+    "unknown route type": body(valid_configuration(routeType="perhaps")),
+    "invalid UTF-8": b'{"generation": 7, "x": "\xff"}',
+    "nested too deeply": b"[" * 100_000,
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_an_invalid_configuration_is_rejected_and_changes_nothing(name: str) -> None:
+@pytest.mark.parametrize("name", INVALID)
+def test_invalid_configuration_is_rejected_and_leaves_the_state_unchanged(name: str) -> None:
     with pytest.raises(InvalidConfigurationError):
-        parse(BAD[name])
+        parse(INVALID[name])
     state = ControlState()
-    assert isinstance(ReplaceConfiguration(0, BAD[name]).apply(state), Invalid)
+    assert isinstance(ReplaceConfiguration(0, INVALID[name]).apply(state), Invalid)
     assert state == ControlState()
 
 
-def test_two_thousand_changes_leave_the_state_as_small_as_a_few_hundred() -> None:
+def test_state_size_is_bounded_after_two_thousand_changes() -> None:
     state = ControlState()
     sizes = {}
     for number in range(1, 2001):
@@ -107,7 +107,7 @@
     assert sizes[2000] - sizes[1] <= MAX_REMEMBERED_CONFIGURATIONS * 26
 
 
-def test_a_retry_is_never_rejected_however_late_it_comes() -> None:
+def test_retry_is_accepted_or_indeterminate_however_late() -> None:
     state = ControlState()
     commands = []
     for number in range(1, 3 * MAX_REMEMBERED_CONFIGURATIONS):
@@ -118,16 +118,16 @@
     assert all(isinstance(outcome, Indeterminate) for outcome in outcomes[:-MAX_REMEMBERED_CONFIGURATIONS])
 
 
-def test_a_change_that_lost_a_race_is_rejected_as_long_as_that_is_certain() -> None:
+def test_change_with_stale_base_conflicts_while_its_base_is_remembered() -> None:
     state = ControlState()
     assert ReplaceConfiguration(0, body(valid_configuration(1))).apply(state) == Accepted()
     for number in range(2, MAX_REMEMBERED_CONFIGURATIONS):
         assert ReplaceConfiguration(number - 1, body(valid_configuration(number))).apply(state) == Accepted()
-    loser = ReplaceConfiguration(1, body(valid_configuration(2, name="r-other")))
-    assert isinstance(loser.apply(state), Conflict)
+    losing_command = ReplaceConfiguration(1, body(valid_configuration(2, name="r-other")))
+    assert isinstance(losing_command.apply(state), Conflict)
 
 
-def test_the_oldest_completed_retirements_are_forgotten() -> None:
+def test_oldest_completed_retirements_are_removed() -> None:
     state = ControlState()
     for number in range(3 * MAX_COMPLETED_RETIREMENTS):
         member = state.placement.current.add(replica_id=f"r{number}", node=f"s{number}")
@@ -135,13 +135,13 @@
         assert StartRetirement(member.node, 0).apply(state) == Accepted()  # a retry
         state.retirements[-1].completed = True
         del state.placement.current[:]
-        assert StartRetirement(member.node, 0).apply(state) == Accepted()  # once its machine has gone
+        assert StartRetirement(member.node, 0).apply(state) == Accepted()  # after the removal of the machine
     assert len(state.retirements) <= MAX_COMPLETED_RETIREMENTS + 1
     assert state.retirements[-1].node == f"s{3 * MAX_COMPLETED_RETIREMENTS - 1}"
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Any sequence of commands beside a plain list of what was accepted."""
+    """Random sequences of commands, compared with a list of the accepted ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -168,11 +168,11 @@
             self.accepted.append((base, generation, operator))
 
     @rule()
-    def on_top(self) -> None:
+    def increment_generation(self) -> None:
         self.replace(self.current, 2, "a")
 
     @invariant()
-    def the_newest_is_in_force(self) -> None:
+    def newest_accepted_configuration_is_current(self) -> None:
         assert self.state.generation == self.current
         if self.accepted:
             assert json.loads(self.state.configuration)["generation"] == self.current
--- a/tests/tier/controller/test_configuration_update.py
+++ b/tests/tier/controller/test_configuration_update.py
@@ -1,4 +1,4 @@
-"""Updates of the configuration by named items: what they lead to, and what is refused."""
+"""Updates of the configuration by named items: merging, validation, conflicts and retries."""
 
 from __future__ import annotations
 
@@ -27,9 +27,15 @@
 from wheatring.tier.transport.messages_pb2 import ControlState
 
 
-def route(name: str, service: str = "s", **more: Any) -> dict[str, Any]:
-    fixed = {"hostname": "h", "pathPrefix": f"/{name}/", "routeType": "safe", "timeoutMs": 1000, "x": [1.0]}
-    return {"name": name, "backend": service, **fixed, **more}
+def route(name: str, service: str = "s", **fields: Any) -> dict[str, Any]:
+    defaults = {
+        "hostname": "h",
+        "pathPrefix": f"/{name}/",
+        "routeType": "safe",
+        "timeoutMs": 1000,
+        "x": [1.0],
+    }
+    return {"name": name, "backend": service, **defaults, **fields}
 
 
 def configuration(generation: int, *routes: dict[str, Any]) -> dict[str, Any]:
@@ -51,7 +57,7 @@
     return UpdateConfiguration(base, body({"generation": generation, **parts}))
 
 
-def test_items_are_set_in_place_added_at_the_end_and_removed() -> None:
+def test_update_replaces_items_in_place_appends_new_ones_and_removes_others() -> None:
     state = state_with(route("a"), route("b"), route("c"))
     command = update(
         3, 9, upsert={"routes": [route("d"), route("b", "t", timeoutMs=5)]}, remove={"routes": ["a"]}
@@ -62,16 +68,16 @@
     assert state.generation == 9
 
 
-def test_services_are_set_before_routes_are_checked() -> None:
+def test_routes_are_validated_against_the_updated_services() -> None:
     state = state_with(route("a"))
     command = update(3, 4, upsert={"services": [{"name": "u"}], "routes": [route("a", "u")]})
     assert command.apply(state) == Accepted()
-    swap = update(4, 5, remove={"services": ["u", "t"]}, upsert={"routes": [route("a")]})
-    assert swap.apply(state) == Accepted()
+    second_update = update(4, 5, remove={"services": ["u", "t"]}, upsert={"routes": [route("a")]})
+    assert second_update.apply(state) == Accepted()
     assert [service["name"] for service in json.loads(state.configuration)["services"]] == ["s"]
 
 
-def test_lists_that_this_project_does_not_know_are_merged_too() -> None:
+def test_unknown_lists_are_merged() -> None:
     state = ControlState()
     tenants = configuration(3, route("a")) | {"tenants": [{"name": "k", "quota": 1}]}
     assert ReplaceConfiguration(0, body(tenants)).apply(state) == Accepted()
@@ -88,53 +94,53 @@
 
 
 INVALID: dict[str, bytes] = {
-    "cut short": body({"generation": 9, "upsert": {"routes": [route("z")]}})[:-9],
-    "no object": b"[]",
-    "no generation": body({"upsert": {"routes": [route("z")]}}),
-    "an old generation": body({"generation": 3, "upsert": {"routes": [route("z")]}}),
-    "half a generation": body({"generation": 9.5}),
-    "a key twice": b'{"generation": 9, "generation": 10}',
-    "a service that a route names": body({"generation": 9, "remove": {"services": ["s"]}}),
-    "a route to nowhere": body({"generation": 9, "upsert": {"routes": [route("z", "nobody")]}}),
-    "a name set twice": body({"generation": 9, "upsert": {"routes": [route("z"), route("z")]}}),
-    "a name removed twice": body({"generation": 9, "remove": {"routes": ["a", "a"]}}),
-    "set and removed": body(
+    "truncated": body({"generation": 9, "upsert": {"routes": [route("z")]}})[:-9],
+    "not an object": b"[]",
+    "missing generation": body({"upsert": {"routes": [route("z")]}}),
+    "generation not above the current one": body({"generation": 3, "upsert": {"routes": [route("z")]}}),
+    "fractional generation": body({"generation": 9.5}),
+    "duplicate key": b'{"generation": 9, "generation": 10}',
+    "removal of a service in use": body({"generation": 9, "remove": {"services": ["s"]}}),
+    "route to an unknown service": body({"generation": 9, "upsert": {"routes": [route("z", "nobody")]}}),
+    "name upserted twice": body({"generation": 9, "upsert": {"routes": [route("z"), route("z")]}}),
+    "name removed twice": body({"generation": 9, "remove": {"routes": ["a", "a"]}}),
+    "upserted and removed": body(
         {"generation": 9, "upsert": {"routes": [route("a")]}, "remove": {"routes": ["a"]}}
     ),
-    "an unknown name to remove": body({"generation": 9, "remove": {"routes": ["nobody"]}}),
-    "weights of 0": body(
+    "removal of an unknown name": body({"generation": 9, "remove": {"routes": ["nobody"]}}),
+    "weights sum to 0": body(
         {"generation": 9, "upsert": {"routes": [route("a", trafficSplit=[{"backend": "s", "weight": 0}])]}}
     ),
-    "the place of another route": body(
+    "same prefix as another route": body(
         {"generation": 9, "upsert": {"routes": [route("z", pathPrefix="/a/")]}}
     ),
-    "no time": body({"generation": 9, "upsert": {"routes": [route("a", timeoutMs=0)]}}),
-    "an item without a name": body({"generation": 9, "upsert": {"routes": [{"hostname": "h"}]}}),
-    "an item that is none": body({"generation": 9, "upsert": {"routes": ["a"]}}),
-    "no list": body({"generation": 9, "upsert": {"routes": {"a": {}}}}),
-    "no lists": body({"generation": 9, "upsert": [], "remove": []}),
-    "what is no list of items": body({"generation": 9, "upsert": {"limits": [{"name": "n"}]}}),
-    "names that are none": body({"generation": 9, "remove": {"routes": [1]}}),
+    "time-out of 0": body({"generation": 9, "upsert": {"routes": [route("a", timeoutMs=0)]}}),
+    "item without a name": body({"generation": 9, "upsert": {"routes": [{"hostname": "h"}]}}),
+    "item is not an object": body({"generation": 9, "upsert": {"routes": ["a"]}}),
+    "items are not a list": body({"generation": 9, "upsert": {"routes": {"a": {}}}}),
+    "sections are not objects": body({"generation": 9, "upsert": [], "remove": []}),
+    "key is not a list of items": body({"generation": 9, "upsert": {"limits": [{"name": "n"}]}}),
+    "names are not strings": body({"generation": 9, "remove": {"routes": [1]}}),
 }
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_an_invalid_update_is_rejected_and_the_old_configuration_stays(name: str) -> None:
+def test_invalid_update_is_rejected_and_leaves_the_state_unchanged(name: str) -> None:
     state = state_with(route("a"), route("b"))
     before = state.SerializeToString(deterministic=True)
     assert isinstance(UpdateConfiguration(3, INVALID[name]).apply(state), Invalid)
     assert state.SerializeToString(deterministic=True) == before
 
 
-def test_a_command_of_the_other_kind_with_the_same_bytes_is_another_command() -> None:
+def test_replacement_and_update_with_the_same_body_are_different_commands() -> None:
     state = ControlState()
-    both = body(configuration(3) | {"upsert": {"routes": [route("u")]}})
-    assert ReplaceConfiguration(0, both).apply(state) == Accepted()
-    assert isinstance(UpdateConfiguration(0, both).apply(state), Conflict)
-    assert ReplaceConfiguration(0, both).apply(state) == Accepted()
+    shared_body = body(configuration(3) | {"upsert": {"routes": [route("u")]}})
+    assert ReplaceConfiguration(0, shared_body).apply(state) == Accepted()
+    assert isinstance(UpdateConfiguration(0, shared_body).apply(state), Conflict)
+    assert ReplaceConfiguration(0, shared_body).apply(state) == Accepted()
 
 
-def test_a_retry_is_accepted_again_and_applied_once() -> None:
+def test_retry_is_accepted_but_applied_only_once() -> None:
     state = state_with(route("a"))
     command = update(3, 5, upsert={"routes": [route("b")]})
     assert command.apply(state) == Accepted()
@@ -144,7 +150,7 @@
     assert isinstance(replace(command, base=4).apply(state), Conflict)
 
 
-def test_what_cannot_be_read_is_invalid_however_old_its_base_is() -> None:
+def test_unparseable_body_is_invalid_even_with_a_forgotten_base() -> None:
     state = state_with(route("a"))
     for number in range(4, 3 * MAX_REMEMBERED_CONFIGURATIONS):
         assert update(number - 1, number).apply(state) == Accepted()
@@ -153,7 +159,7 @@
     assert isinstance(update(1, 2).apply(state), Indeterminate)
 
 
-def test_two_thousand_updates_of_three_hundred_routes_leave_the_state_as_small() -> None:
+def test_state_size_is_bounded_after_two_thousand_updates() -> None:
     state = state_with(*(route(f"r{number}") for number in range(300)))
     sizes = []
     for number in range(2000):
@@ -164,7 +170,7 @@
 
 
 class Oracle:
-    """A plain picture of the configuration: a map of routes, a list of what was taken."""
+    """A simple model of the configuration: routes by name, and the list of accepted commands."""
 
     def __init__(self, apply: Callable[[Command, ControlState], Outcome]) -> None:
         self.apply = apply
@@ -174,24 +180,24 @@
         self.accepted: list[Command] = []
 
     def command(self, command: ReplaceConfiguration | UpdateConfiguration) -> None:
-        """Apply an command, and compare outcome and configuration with the picture."""
+        """Apply a command, and compare the outcome and the configuration with the model."""
         values = json.loads(command.body)
         outcome = self.apply(command, self.state)
         if command in self.accepted:
             assert outcome == Accepted()
         elif command.base != self.generation:
             assert isinstance(outcome, Conflict)
-        elif not self._fits(command, values):
+        elif not self._is_valid(command, values):
             assert isinstance(outcome, Invalid)
         else:
             assert outcome == Accepted()
-            self._take(command, values)
+            self._apply_to_model(command, values)
         if self.generation:
             read = json.loads(self.state.configuration)
             assert read["generation"] == self.state.generation == self.generation
             assert {r["name"]: r for r in read["routes"]} == self.routes
 
-    def _fits(self, command: Command, values: dict[str, Any]) -> bool:
+    def _is_valid(self, command: Command, values: dict[str, Any]) -> bool:
         if values["generation"] <= self.generation:
             return False
         if isinstance(command, ReplaceConfiguration):
@@ -201,7 +207,7 @@
             r["name"] for r in values["upsert"]["routes"]
         }
 
-    def _take(self, command: Command, values: dict[str, Any]) -> None:
+    def _apply_to_model(self, command: Command, values: dict[str, Any]) -> None:
         self.accepted.append(command)
         self.generation = values["generation"]
         if isinstance(command, ReplaceConfiguration):
@@ -216,18 +222,18 @@
 NAMES = ("a", "b", "c")
 
 
-def drawn_command(
-    base: int, step: int, kind: str, names: list[str], removed: list[str], mark: int
+def random_command(
+    base: int, step: int, kind: str, names: list[str], removed: list[str], marker: int
 ) -> ReplaceConfiguration | UpdateConfiguration:
-    routes = [route(name, mark=mark) for name in dict.fromkeys(names)]
+    routes = [route(name, marker=marker) for name in dict.fromkeys(names)]
     if kind == "replace":
         return ReplaceConfiguration(base, body(configuration(base + step, *routes)))
-    gone = {"routes": list(dict.fromkeys(removed))}
-    return update(base, base + step, upsert={"routes": routes, "services": [{"name": "s"}]}, remove=gone)
+    removals = {"routes": list(dict.fromkeys(removed))}
+    return update(base, base + step, upsert={"routes": routes, "services": [{"name": "s"}]}, remove=removals)
 
 
 class UpdateMachine(RuleBasedStateMachine):
-    """Any sequence of commands beside the plain picture."""
+    """Random sequences of commands, compared with the model."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -235,18 +241,18 @@
         self.sent: list[ReplaceConfiguration | UpdateConfiguration] = []
 
     @rule(
-        back=st.sampled_from((0, 0, 0, 1, 2)),
+        generations_back=st.sampled_from((0, 0, 0, 1, 2)),
         step=st.sampled_from((0, 1, 1, 2, 3)),
         kind=st.sampled_from(("replace", "update", "update")),
         names=st.lists(st.sampled_from(NAMES), max_size=3),
         removed=st.lists(st.sampled_from(NAMES), max_size=2),
-        mark=st.integers(0, 2),
+        marker=st.integers(0, 2),
     )
     def change(
-        self, back: int, step: int, kind: str, names: list[str], removed: list[str], mark: int
+        self, generations_back: int, step: int, kind: str, names: list[str], removed: list[str], marker: int
     ) -> None:
-        base = max(0, self.oracle.generation - back)
-        self.sent.append(drawn_command(base, step, kind, names, removed, mark))
+        base = max(0, self.oracle.generation - generations_back)
+        self.sent.append(random_command(base, step, kind, names, removed, marker))
         self.oracle.command(self.sent[-1])
 
     @rule(number=st.integers(0, 5))
@@ -264,20 +270,20 @@
     return command.apply(state)
 
 
-def _onto_any_base(command: Command, state: ControlState) -> Outcome:
+def _ignoring_base(command: Command, state: ControlState) -> Outcome:
     if isinstance(command, UpdateConfiguration):
         command = replace(command, base=state.generation)
     return command.apply(state)
 
 
-def _applied_twice(command: Command, state: ControlState) -> Outcome:
+def _counting_retries(command: Command, state: ControlState) -> Outcome:
     if isinstance(command, UpdateConfiguration) and any(t.digest == command.digest for t in state.accepted):
         state.generation += 1
     return command.apply(state)
 
 
-@pytest.mark.parametrize("mutant", [_without_history, _onto_any_base, _applied_twice])
-def test_a_mutant_is_found(mutant: Callable[[Command, ControlState], Outcome]) -> None:
+@pytest.mark.parametrize("mutant", [_without_history, _ignoring_base, _counting_retries])
+def test_faulty_implementations_are_detected(mutant: Callable[[Command, ControlState], Outcome]) -> None:
     random = Random(1)
     oracle = Oracle(mutant)
     sent = []
@@ -285,5 +291,5 @@
         for _ in range(300):
             names = random.sample(NAMES, random.randint(0, 2))
             base = max(0, oracle.generation - random.choice((0, 0, 1)))
-            sent.append(drawn_command(base, 1, random.choice(("replace", "update")), names, [], 0))
+            sent.append(random_command(base, 1, random.choice(("replace", "update")), names, [], 0))
             oracle.command(random.choice(sent) if random.random() < 0.3 else sent[-1])
--- a/tests/tier/controller/test_consensus_store.py
+++ b/tests/tier/controller/test_consensus_store.py
@@ -1,4 +1,4 @@
-"""What a controller keeps on its disk, as the version before the clean-up of names wrote it."""
+"""Compatibility of the consensus file with one written by revision c345874."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from wheatring.tier.controller.consensus_store import ConsensusStore
 from wheatring.tier.transport.messages_pb2 import ControlState
 
-WRITTEN_BY_C345874 = Path(__file__).parent / "data" / "consensus"
+FILE_OF_C345874 = Path(__file__).parent / "data" / "consensus"
 SEEDS = ["10.0.0.1", "10.0.0.2", "10.0.0.3"]
 
 
-def test_a_file_of_the_previous_version_is_read_completely(tmp_path: Path) -> None:
-    shutil.copy(WRITTEN_BY_C345874, tmp_path)
+def test_file_of_the_earlier_revision_is_read_completely(tmp_path: Path) -> None:
+    shutil.copy(FILE_OF_C345874, tmp_path)
     loaded = ConsensusStore(tmp_path).open("10.0.0.1", SEEDS, False, bytes)
     assert loaded.replica_id == "seed-10.0.0.1"
     assert (loaded.hard_state.term, loaded.hard_state.voted_for) == (4, "seed-10.0.0.1")
--- a/tests/tier/controller/test_voter_selection.py
+++ b/tests/tier/controller/test_voter_selection.py
@@ -1,4 +1,4 @@
-"""The selection of voters: who is replaced, added and removed."""
+"""The selection of voters: replacements, additions and removals."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return Member(replica_id=f"v{number}", node=f"n{number}", address=f"a{number}")
 
 
-def candidates_of(*numbers: int) -> list[Candidate]:
+def caught_up_candidates(*numbers: int) -> list[Candidate]:
     return [Candidate(voter(number), True) for number in numbers]
 
 
@@ -26,62 +26,79 @@
 THREE = [voter(1), voter(2), voter(3)]
 
 
-def test_a_lost_voter_is_replaced_at_its_address() -> None:
-    fresh = Member(replica_id="new", node="n2", address="a2")
-    changed = next_voters("v1", THREE, [Candidate(fresh, True)], {"v2": 0.3}, 3)
+def test_voter_with_lost_disk_is_replaced_by_new_replica_at_its_address() -> None:
+    successor = Member(replica_id="new", node="n2", address="a2")
+    changed = next_voters("v1", THREE, [Candidate(successor, True)], {"v2": 0.3}, 3)
     assert ids(changed) == {"v1", "v3", "new"}
-    assert next_voters("v1", THREE, [Candidate(fresh, False)], {"v2": 9.0}, 3) is None
+    assert next_voters("v1", THREE, [Candidate(successor, False)], {"v2": 9.0}, 3) is None
 
 
-def test_a_silent_voter_is_replaced_only_where_another_one_waits() -> None:
+def test_unreachable_voter_is_replaced_only_by_an_available_candidate() -> None:
     assert next_voters("v1", THREE, [], {"v2": 9.0}, 3) is None
-    assert ids(next_voters("v1", THREE, candidates_of(4), {"v2": 9.0, "v3": 0.1}, 3)) == {"v1", "v3", "v4"}
-    assert next_voters("v1", THREE, candidates_of(4), {"v2": 0.2, "v3": 0.1}, 3) is None
-
-
-def test_there_is_no_interval_with_fewer_voters_than_wanted() -> None:
-    """The change that replaces a voter never passes through a set in which any further loss stops all."""
-    for silent in ({"v2": 9.0}, {"v2": 9.0, "v3": 9.0}, {}):
-        changed = next_voters("v1", THREE, candidates_of(4, 5), silent, 3, {"n3"} if not silent else ())
+    assert ids(next_voters("v1", THREE, caught_up_candidates(4), {"v2": 9.0, "v3": 0.1}, 3)) == {
+        "v1",
+        "v3",
+        "v4",
+    }
+    assert next_voters("v1", THREE, caught_up_candidates(4), {"v2": 0.2, "v3": 0.1}, 3) is None
+
+
+def test_replacement_never_leaves_fewer_voters_than_the_target() -> None:
+    """A smaller interim set would lose its quorum with one further failure."""
+    for unreachable in ({"v2": 9.0}, {"v2": 9.0, "v3": 9.0}, {}):
+        changed = next_voters(
+            "v1", THREE, caught_up_candidates(4, 5), unreachable, 3, {"n3"} if not unreachable else ()
+        )
         assert changed is not None and len(changed) >= 3
 
 
-def test_a_retired_machine_gives_its_vote_to_another() -> None:
-    assert ids(next_voters("v1", THREE, candidates_of(4), {}, 3, {"n2"})) == {"v1", "v3", "v4"}
-    assert next_voters("v1", THREE, [], {}, 3, {"n2"}) is None  # nobody could take its place
+def test_voter_on_a_retired_machine_is_replaced_or_removed() -> None:
+    assert ids(next_voters("v1", THREE, caught_up_candidates(4), {}, 3, {"n2"})) == {"v1", "v3", "v4"}
+    assert next_voters("v1", THREE, [], {}, 3, {"n2"}) is None  # no replacement is available
     assert ids(next_voters("v1", [*THREE, voter(4)], [], {}, 3, {"n2"})) == {"v1", "v3", "v4"}
 
 
-def test_missing_voters_are_added_at_once() -> None:
-    assert ids(next_voters("v1", THREE, candidates_of(4, 5, 6), {}, 5)) == {"v1", "v2", "v3", "v4", "v5"}
+def test_all_missing_voters_are_added_in_one_change() -> None:
+    assert ids(next_voters("v1", THREE, caught_up_candidates(4, 5, 6), {}, 5)) == {
+        "v1",
+        "v2",
+        "v3",
+        "v4",
+        "v5",
+    }
 
 
 @given(
     count=st.integers(1, 5),
-    fresh=st.sets(st.integers(6, 9)),
-    at=st.sets(st.integers(0, 4)),
-    silent=st.sets(st.integers(0, 4)),
+    new_numbers=st.sets(st.integers(6, 9)),
+    successor_numbers=st.sets(st.integers(0, 4)),
+    unreachable=st.sets(st.integers(0, 4)),
     leaving=st.sets(st.integers(0, 4)),
     target=st.sampled_from([1, 3, 5]),
 )
-def test_a_change_never_takes_a_useful_voter_and_never_shrinks_below_the_target(
-    count: int, fresh: set[int], at: set[int], silent: set[int], leaving: set[int], target: int
+def test_change_keeps_usable_voters_and_does_not_shrink_below_the_target(
+    count: int,
+    new_numbers: set[int],
+    successor_numbers: set[int],
+    unreachable: set[int],
+    leaving: set[int],
+    target: int,
 ) -> None:
     voters = [voter(number) for number in range(count)]
-    candidates = candidates_of(*fresh) + [
+    candidates = caught_up_candidates(*new_numbers) + [
         Candidate(Member(replica_id=f"w{number}", node=f"n{number}", address=f"a{number}"), True)
-        for number in at
+        for number in successor_numbers
     ]
     nodes = {f"n{number}" for number in leaving}
-    unheard = {f"v{number}": 9.0 for number in silent if number}
-    changed = next_voters("v0", voters, candidates, unheard, target, nodes)
+    seconds_since_contact = {f"v{number}": 9.0 for number in unreachable if number}
+    changed = next_voters("v0", voters, candidates, seconds_since_contact, target, nodes)
     if changed is None:
         return
     assert len(ids(changed)) >= min(target, count)
     superseded = {candidate.member.address for candidate in candidates}
     for member in voters:
-        useful = member.replica_id not in unheard and member.node not in nodes
-        if useful and member.address not in superseded:
+        is_usable = member.replica_id not in seconds_since_contact and member.node not in nodes
+        if is_usable and member.address not in superseded:
             assert member in changed
     if "a0" not in superseded and "n0" not in nodes:
         assert voters[0] in changed
--- a/tests/tier/random_scenario.py
+++ b/tests/tier/random_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios drawn from a seed: a busy system and faults that its tolerance covers, one after the other."""
+"""Random scenarios from a seed: a system under load, and a sequence of faults that it tolerates."""
 
 from __future__ import annotations
 
@@ -6,31 +6,31 @@
 
 from tests.tier.scenario import Scenario, Step
 
-RECOVERY_SECONDS = 4.4  # after a fault, for which its machine still counts as lost
+RECOVERY_SECONDS = 4.4  # after the end of a fault, until its machine is replaced or has recovered
 
 
-def _fault(random: Random, host: str, spare: str) -> tuple[list[tuple[float, str]], float]:
-    """Draw a fault of a host; return its events and the seconds for which the machine counts as lost."""
-    length = round(random.uniform(0.2, 4.0), 2)
+def _random_fault(random: Random, host: str, spare: str) -> tuple[list[tuple[float, str]], float]:
+    """Draw a fault of a host; return its events and the seconds for which the machine is unavailable."""
+    duration = round(random.uniform(0.2, 4.0), 2)
     kind = random.choice(("kill", "wipe", "freeze", "cut", "one-way", "full", "stall", "replace"))
     if kind == "replace":
-        return [(0.0, f"remove {host}"), (length, f"add {spare}")], length
+        return [(0.0, f"remove {host}"), (duration, f"add {spare}")], duration
     if kind == "one-way":
-        return [(0.0, f"cut {host} one-way for {length}")], length
-    return [(0.0, f"{kind} {host} for {length}")], length
+        return [(0.0, f"cut {host} one-way for {duration}")], duration
+    return [(0.0, f"{kind} {host} for {duration}")], duration
 
 
-def _split(random: Random, machines: dict[str, list[str]]) -> tuple[list[tuple[float, str]], float]:
-    """Draw a partition into two halves; return its events and its seconds. No machine is lost by it."""
-    length = round(random.uniform(1.0, 4.0), 2)
-    side = random.sample(machines["c"], random.randint(1, 2)) + random.sample(machines["s"], 1)
-    return [(0.0, f"split {','.join(side)} for {length}")], length
+def _random_split(random: Random, machines: dict[str, list[str]]) -> tuple[list[tuple[float, str]], float]:
+    """Draw a partition into two halves; return its events and its duration in seconds."""
+    duration = round(random.uniform(1.0, 4.0), 2)
+    isolated = random.sample(machines["c"], random.randint(1, 2)) + random.sample(machines["s"], 1)
+    return [(0.0, f"split {','.join(isolated)} for {duration}")], duration
 
 
-def _retire(
+def _random_retirement(
     random: Random, machines: dict[str, list[str]], spare: str
 ) -> tuple[list[tuple[float, str]], float]:
-    """Draw the retirement of a storage machine, once another one was added; return as for a fault."""
+    """Draw the retirement of a storage machine that another one replaces; return as for a fault."""
     node = random.choice(machines["s"])
     machines["s"].remove(node)
     machines["s"].append(spare)
@@ -42,10 +42,10 @@
     return events, RECOVERY_SECONDS + 3.0
 
 
-def draw(seed: int, length: float = 30.0) -> Scenario:
-    """Draw a scenario of `length` seconds."""
+def draw(seed: int, duration: float = 30.0) -> Scenario:
+    """Draw a scenario of `duration` seconds from a seed."""
     random = Random(seed)
-    scenario = Scenario(f"drawn-{seed}")
+    scenario = Scenario(f"random-{seed}")
     scenario.header["seed"] = seed
     scenario.header["writers"] = 2
     lines: list[tuple[float, str]] = [
@@ -55,31 +55,35 @@
         (2.2, "describes 60 0.5"),
     ]
     for number in range(60):
-        at = random.uniform(2.0, length)
+        at = random.uniform(2.0, duration)
         writer = random.choice(("w1", "w2"))
         lines.append((at, f"reserve {writer} p{number % 6} t{number} {random.choice((30, 40))} 100"))
     machines = {"c": ["c1", "c2", "c3"], "s": ["s1", "s2", "s3"]}
     at = 4.0
-    added = 3
-    while at < length:
+    last_number = 3
+    while at < duration:
         kind = random.choice("ccss")
         host = random.choice(machines[kind])
-        word = "leader" if kind == "c" and random.random() < 0.5 else host
-        added += 1
-        spare = f"{kind}{added}"
-        events, lost = _fault(random, word, spare)
+        target = "leader" if kind == "c" and random.random() < 0.5 else host
+        last_number += 1
+        spare = f"{kind}{last_number}"
+        events, outage = _random_fault(random, target, spare)
         if events[0][1].startswith("remove"):
             events = [(t, line.replace("remove leader", f"remove {host}")) for t, line in events]
             machines[kind].remove(host)
             machines[kind].append(spare)
         lines += [(at + offset, line) for offset, line in events]
-        at += lost + RECOVERY_SECONDS + random.uniform(0.0, 1.0)
+        at += outage + RECOVERY_SECONDS + random.uniform(0.0, 1.0)
         if random.random() < 0.2:
-            added += 1
-            halves = random.random() < 0.5
-            events, lost = _split(random, machines) if halves else _retire(random, machines, f"s{added}")
+            last_number += 1
+            is_split = random.random() < 0.5
+            events, outage = (
+                _random_split(random, machines)
+                if is_split
+                else _random_retirement(random, machines, f"s{last_number}")
+            )
             lines += [(at + offset, line) for offset, line in events]
-            at += lost + RECOVERY_SECONDS
+            at += outage + RECOVERY_SECONDS
         if random.random() < 0.15:
             lines.append((at, f"kill-all for {random.uniform(0.2, 1.0):.2f}"))
             at += RECOVERY_SECONDS + 1.0
--- a/tests/tier/scenario.py
+++ b/tests/tier/scenario.py
@@ -1,16 +1,16 @@
-"""Scenarios as text: one line an event, played on simulated time.
+"""Scenarios as text, one event per line, played on virtual time.
 
-    controllers 3          the system, before the first event (defaults: 3, 3, 1, 1, 1)
+    controllers 3          headers with the size of the system (defaults: 3, 3, 1, 1, 1)
     storage 3
     losses 1
     writers 1
     seed 1
-    0.5 replace 3          at 0.5 s, put generation 3 on top of the newest acknowledged one
-    1 kill leader for 2    HOST may be leader, a follower (follower), or a name
+    0.5 replace 3          at 0.5 s, replace the newest acknowledged configuration by generation 3
+    1 kill leader for 2    a host is `leader`, `follower` (any) or a name
     ...
 
-Every event runs by itself: one that waits does not hold up the next. Lines that end in `-> WORD` check the
-outcome. After the last event everything is healed and started, and what was acknowledged is read back.
+Events run concurrently: one that waits does not delay the next. A line that ends in `-> WORD` checks the
+outcome. After the last event all faults are undone, and all acknowledged data is read and checked.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One event, at a time in seconds, and its expected outcome."""
+    """An event with its time in seconds and its expected outcome."""
 
     at: float
     words: tuple[str, ...]
@@ -46,7 +46,7 @@
 
 
 def parse(name: str, text: str) -> Scenario:
-    """Read a scenario from its text."""
+    """Parse a scenario from its text."""
     scenario = Scenario(name)
     for line in text.splitlines():
         line = line.partition("#")[0].strip()
@@ -62,38 +62,38 @@
 
 
 class Player:
-    """Plays one scenario."""
+    """Plays a scenario."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         header = scenario.header
         self.scenario = scenario
         self.world = World(folder, header["seed"], header["controllers"], header["storage"], header["losses"])
-        self._after: list[tuple[str, Callable[[], None]]] = []
+        self._pending_undos: list[tuple[str, Callable[[], None]]] = []
 
     def play(self) -> World:
         """Play the scenario and return its world. Raises InvariantViolationError."""
-        self.world.run(self._play)
+        self.world.run(self._run)
         return self.world
 
-    async def _play(self) -> None:
+    async def _run(self) -> None:
         world = self.world
         for number in range(1, self.scenario.header["writers"] + 1):
             world.add_writer(f"w{number}")
         tasks = []
         for step in sorted(self.scenario.steps, key=lambda step: step.at):
             await world.settle(step.at - world.loop.time())
-            tasks.append(asyncio.create_task(self._step(step)))
-        await self._watched(tasks)
+            tasks.append(asyncio.create_task(self._run_step(step)))
+        await self._wait_for_steps(tasks)
         await self._recover()
 
-    async def _watched(self, tasks: list[asyncio.Task[None]]) -> None:
+    async def _wait_for_steps(self, tasks: list[asyncio.Task[None]]) -> None:
         while tasks:
             await self.world.settle(0.1)
             for task in [task for task in tasks if task.done()]:
                 tasks.remove(task)
                 task.result()
 
-    async def _step(self, step: Step) -> None:
+    async def _run_step(self, step: Step) -> None:
         verb, *words = step.words
         action = getattr(self, "do_" + verb.replace("-", "_"))
         outcome = await action(*words)
@@ -102,20 +102,20 @@
             raise InvariantViolationError(f"{self.scenario.name}: {step_line}, was {outcome}")
 
     async def _recover(self) -> None:
-        """End all faults; check that nothing acknowledged is lost, and that commands are accepted again."""
+        """Undo all faults; check that no acknowledged data is lost and that commands are accepted again."""
         world = self.world
-        for _, undo in self._after:
+        for _, undo in self._pending_undos:
             undo()
         for name, host in list(world.hosts.items()):
             if host.incarnation is None and name[0] in "cs":
                 world.start(name)
         await world.settle(RECOVERY_SECONDS)
         if not await world.describe() and world.acknowledged:
-            raise InvariantViolationError("nothing is read back after everything came back")
+            raise InvariantViolationError("the configuration cannot be read after the recovery")
         for turn_id in list(world.recorded):
             if await world.read("w1", turn_id) != "found":
                 raise InvariantViolationError(
-                    f"turn {turn_id} was recorded and cannot be read after everything came back"
+                    f"turn {turn_id} was recorded but cannot be read after the recovery"
                 )
         generation = max([0, *world.acknowledged, *world.indeterminate]) + 10
         while True:
@@ -123,16 +123,18 @@
             if status == 200:
                 break
             if not status:
-                raise InvariantViolationError("no configuration is taken after everything came back")
-            await self._learn_current()
+                raise InvariantViolationError("no configuration is accepted after the recovery")
+            await self._resolve_indeterminate_change()
             generation += 10
         await world.settle(1.0)
         for name, writer in world.writers.items():
             if writer.subscription.view.generation != generation:
-                raise InvariantViolationError(f"{name} has not got generation {generation} a second later")
+                raise InvariantViolationError(
+                    f"{name} did not receive generation {generation} within a second"
+                )
 
-    async def _learn_current(self) -> None:
-        """Find out whether a change without a clear answer is in force."""
+    async def _resolve_indeterminate_change(self) -> None:
+        """Find out whether a change with an indeterminate outcome was applied."""
         world = self.world
         generation = await world.describe()
         if generation in world.indeterminate:
@@ -141,7 +143,7 @@
     # Hosts
 
     def _host(self, word: str) -> str:
-        """Return the name of a host; `leader` and `follower` are those of now."""
+        """Return the name of a host; `leader` and `follower` refer to the current roles."""
         if word == "leader":
             return self.world.leader()
         if word == "follower":
@@ -149,10 +151,10 @@
             return next(name for name in self.world.running("c") if name != leader)
         return word
 
-    async def _for(self, words: tuple[str, ...], undo: Callable[[], None]) -> None:
+    async def _undo_after(self, words: tuple[str, ...], undo: Callable[[], None]) -> None:
         """Undo a fault after `for SECONDS`, or at the end of the scenario."""
         if "for" not in words:
-            self._after.append(("", undo))
+            self._pending_undos.append(("", undo))
             return
         await asyncio.sleep(float(words[words.index("for") + 1]))
         undo()
@@ -164,12 +166,12 @@
     async def do_kill(self, host: str, *words: str) -> None:
         name = self._host(host)
         self.world.kill(name)
-        await self._for(words, lambda: self._start_if_down(name))
+        await self._undo_after(words, lambda: self._start_if_down(name))
 
     async def do_wipe(self, host: str, *words: str) -> None:
         name = self._host(host)
         self.world.kill(name, wipe=True)
-        await self._for(words, lambda: self._start_if_down(name))
+        await self._undo_after(words, lambda: self._start_if_down(name))
 
     async def do_kill_all(self, *words: str) -> None:
         names = self.world.running("c") + self.world.running("s")
@@ -180,45 +182,45 @@
             for name in names:
                 self._start_if_down(name)
 
-        await self._for(words, start_all)
+        await self._undo_after(words, start_all)
 
     async def do_freeze(self, host: str, *words: str) -> None:
         name = self._host(host)
         self.world.freeze(name)
-        await self._for(words, lambda: self.world.thaw(name))
+        await self._undo_after(words, lambda: self.world.thaw(name))
 
     async def do_cut(self, host: str, *words: str) -> None:
         name = self._host(host)
         others = [other for other in self.world.hosts if other != name and other[0] in "cs"]
         self.world.cut(name, others, one_way="one-way" in words)
-        await self._for(words, lambda: self.world.heal(name, others))
+        await self._undo_after(words, lambda: self.world.heal(name, others))
 
     async def do_split(self, names: str, *words: str) -> None:
-        """Partition machines off from all other controllers and storage machines, not from writers."""
+        """Partition machines from all other controllers and storage machines, but not from writers."""
         isolated = [self._host(word) for word in names.split(",")]
         others = [other for other in self.world.hosts if other not in isolated and other[0] in "cs"]
         for name in isolated:
             self.world.cut(name, others)
 
-        def join() -> None:
+        def heal_all() -> None:
             for name in isolated:
                 self.world.heal(name, others)
 
-        await self._for(words, join)
+        await self._undo_after(words, heal_all)
 
     async def do_full(self, host: str, *words: str) -> None:
         incarnation = self.world.hosts[self._host(host)].incarnation
         if incarnation is None:
             return
         incarnation.disk_full = True
-        await self._for(words, lambda: setattr(incarnation, "disk_full", False))
+        await self._undo_after(words, lambda: setattr(incarnation, "disk_full", False))
 
     async def do_stall(self, host: str, *words: str) -> None:
         incarnation = self.world.hosts[self._host(host)].incarnation
         if incarnation is None:
             return
-        before, incarnation.disk_delay = incarnation.disk_delay, 3.0
-        await self._for(words, lambda: setattr(incarnation, "disk_delay", before))
+        previous_delay, incarnation.disk_delay = incarnation.disk_delay, 3.0
+        await self._undo_after(words, lambda: setattr(incarnation, "disk_delay", previous_delay))
 
     async def do_stop(self, name: str, *_words: str) -> None:
         """Stop a process by SIGTERM, then remove its machine."""
@@ -232,7 +234,7 @@
         self.world.start(name)
 
     async def do_remove(self, host: str, *_words: str) -> None:
-        """Remove a machine for ever."""
+        """Remove a machine permanently."""
         name = self._host(host)
         self.world.kill(name, wipe=True)
         del self.world.hosts[name]
@@ -249,7 +251,7 @@
         return await self.world.describe()
 
     async def do_describes(self, count: str, pause: str) -> None:
-        """Read the configuration at each controller, again and again."""
+        """Read the configuration at each controller `count` times."""
         for _ in range(int(count)):
             await self.world.describe_at_each()
             await asyncio.sleep(float(pause))
@@ -287,18 +289,18 @@
             await asyncio.sleep(float(pause))
 
     async def do_replaces(self, first: str, count: str, pause: str) -> None:
-        """Replace the configuration `count` times, one after the other."""
+        """Replace the configuration `count` times in sequence."""
         await self._changes([self.world.replace], int(first), int(count), float(pause))
 
     async def do_changes(self, first: str, count: str, pause: str) -> None:
-        """Change the configuration `count` times, every second time by an update."""
+        """Change the configuration `count` times, alternating replacements and updates."""
         await self._changes([self.world.replace, self.world.update], int(first), int(count), float(pause))
 
-    async def _changes(self, kinds: list[Change], generation: int, count: int, pause: float) -> None:
+    async def _changes(self, operations: list[Change], generation: int, count: int, pause: float) -> None:
         for number in range(count):
-            status = await kinds[number % len(kinds)](generation)
+            status = await operations[number % len(operations)](generation)
             if status != 200:
-                await self._learn_current()
+                await self._resolve_indeterminate_change()
             generation += 3
             await asyncio.sleep(pause)
 
--- a/tests/tier/test_command_line.py
+++ b/tests/tier/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: checked settings, checked configurations, and the small system that `demo` starts."""
+"""The command line: validation of settings and configurations, and the `demo` command."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     "something": "that is not known",
 }
 
-WRONG = [
+INVALID = [
     ("node", None, "node: is missing"),
     ("node", 5, "node: must be str"),
     ("portRange", [5], "portRange: must be a first and a last port"),
@@ -53,44 +53,47 @@
     assert settings.tolerance.losses == 1 and settings.grace_seconds == 8.0 and settings.drain_seconds == 3.0
 
 
-@pytest.mark.parametrize(("key", "value", "what"), WRONG)
+@pytest.mark.parametrize(("key", "value", "expected_error"), INVALID)
 def test_invalid_settings_are_reported_on_one_line_with_file_and_key(
-    tmp_path: Path, key: str, value: object, what: str
+    tmp_path: Path, key: str, value: object, expected_error: str
 ) -> None:
     path = tmp_path / "local.json"
     path.write_text(json.dumps(VALID | {key: value}), encoding="utf-8")
-    with pytest.raises(SettingsError) as told:
+    with pytest.raises(SettingsError) as raised:
         read_settings(str(path))
-    text = str(told.value)
-    assert text.startswith(f"{path}: {what}") and "\n" not in text
+    text = str(raised.value)
+    assert text.startswith(f"{path}: {expected_error}") and "\n" not in text
 
 
-def test_a_role_with_wrong_settings_ends_with_status_2(tmp_path: Path) -> None:
+def test_role_with_invalid_settings_exits_with_status_2(tmp_path: Path) -> None:
     path = tmp_path / "local.json"
     path.write_text("{", encoding="utf-8")
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "wheatring.tier", "storage"],
         env=os.environ | {"WHEATRING_BOOT": str(path)},
         capture_output=True,
         text=True,
         timeout=20,
     )
-    assert ended.returncode == 2
-    assert ended.stderr.startswith(f"wheatring: {path}: is not valid JSON") and ended.stderr.count("\n") == 1
+    assert finished.returncode == 2
+    assert (
+        finished.stderr.startswith(f"wheatring: {path}: is not valid JSON")
+        and finished.stderr.count("\n") == 1
+    )
 
 
-def test_check_tells_what_is_wrong_with_a_configuration(tmp_path: Path) -> None:
+def test_check_reports_the_error_of_a_configuration(tmp_path: Path) -> None:
     path = tmp_path / "configuration.json"
     path.write_text('{"generation": 1, "routes": [{"name": "r"}], "services": []}', encoding="utf-8")
-    told = CliRunner().invoke(main, ["check", str(path)])
-    assert told.exit_code == 1 and "routes" in told.output
+    result = CliRunner().invoke(main, ["check", str(path)])
+    assert result.exit_code == 1 and "routes" in result.output
     path.write_text('{"generation": 1, "routes": [], "services": []}', encoding="utf-8")
     assert CliRunner().invoke(main, ["check", str(path)]).exit_code == 0
 
 
 def test_the_demo_keeps_a_conversation_complete() -> None:
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "wheatring.tier", "demo"], capture_output=True, text=True, timeout=90
     )
-    assert ended.returncode == 0, ended.stderr
-    assert "the conversation was kept whole" in ended.stdout
+    assert finished.returncode == 0, finished.stderr
+    assert "the conversation was kept whole" in finished.stdout
--- a/tests/tier/test_scenarios.py
+++ b/tests/tier/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays the scenario files, and days drawn from seeds."""
+"""Runs the scenario files, and random scenarios from seeds."""
 
 from __future__ import annotations
 
@@ -18,5 +18,5 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 25))
-def test_drawn_day(seed: int, tmp_path: Path) -> None:
+def test_random_scenario(seed: int, tmp_path: Path) -> None:
     Player(draw(seed), tmp_path).play()
--- a/tests/tier/test_tier_smoke.py
+++ b/tests/tier/test_tier_smoke.py
@@ -1,4 +1,4 @@
-"""A calm system takes a configuration, keeps turns and counts budgets."""
+"""Smoke test without faults: configuration, turns and budgets."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from tests.tier.world import World
 
 
-def test_a_calm_system_takes_orders_and_keeps_turns(tmp_path: Path) -> None:
+def test_tier_without_faults_accepts_configurations_turns_and_reservations(tmp_path: Path) -> None:
     world = World(tmp_path, seed=1, controllers=3, storage=3, losses=1)
 
-    async def play() -> None:
+    async def run() -> None:
         await world.settle(1.0)
         world.add_writer("w1")
         assert await world.replace(3) == 200
@@ -24,4 +24,4 @@
         assert await world.reserve("w1", "p", "t1", 60, 100) == "granted"
         assert await world.reserve("w1", "p", "t2", 60, 100) == "spent"
 
-    world.run(play)
+    world.run(run)
--- a/tests/tier/transport/test_client.py
+++ b/tests/tier/transport/test_client.py
@@ -1,4 +1,4 @@
-"""How soon a peer is reached that was silent when the connection was begun."""
+"""Connection attempts to a peer that is unreachable at first."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     connection.send(Envelope(call=envelope.call, reply=True, status_reply=StatusReply(json=b"{}")))
 
 
-def asked(silent_seconds: float, timeout: float) -> float:
-    """Ask a peer whose machine says nothing for so long; returns when the reply has come."""
+def reply_time(cut_seconds: float, timeout: float) -> float:
+    """Call a peer that is unreachable for the first seconds; return the time of the reply."""
     loop = VirtualLoop()
 
-    async def play() -> float:
+    async def run() -> float:
         CURRENT_INCARNATION.set(Incarnation("peer"))
         server = EnvelopeServer(answer)
         await server.listen("peer", PORT)
         CURRENT_INCARNATION.set(Incarnation("caller"))
         loop.network.cut("caller", "peer")
-        loop.call_later(silent_seconds, loop.network.heal, "caller", "peer")
+        loop.call_later(cut_seconds, loop.network.heal, "caller", "peer")
         client = EnvelopeClient("peer", PORT)
         try:
             await client.call(Envelope(status_request=StatusRequest()), timeout)
@@ -38,23 +38,23 @@
             client.close()
         return loop.time()
 
-    return loop.run_until_complete(play())
+    return loop.run_until_complete(run())
 
 
-@pytest.mark.parametrize("silent", [0.01, 0.05, 0.09, 0.15])
-def test_a_machine_that_gets_power_again_is_reached_within_a_tenth_of_a_second(silent: float) -> None:
-    assert asked(silent, 2.0) < silent + 0.1 + 0.02
+@pytest.mark.parametrize("cut_seconds", [0.01, 0.05, 0.09, 0.15])
+def test_machine_that_becomes_reachable_replies_within_100_ms(cut_seconds: float) -> None:
+    assert reply_time(cut_seconds, 2.0) < cut_seconds + 0.1 + 0.02
 
 
-def test_a_machine_that_stays_silent_is_given_up() -> None:
+def test_call_to_unreachable_machine_fails() -> None:
     with pytest.raises(PeerUnreachableError):
-        asked(60.0, 5.0)
+        reply_time(60.0, 5.0)
 
 
-def test_giving_up_takes_as_long_as_all_attempts() -> None:
+def test_connect_fails_after_the_time_outs_of_all_attempts() -> None:
     loop = VirtualLoop()
 
-    async def play() -> float:
+    async def run() -> float:
         CURRENT_INCARNATION.set(Incarnation("caller"))
         loop.network.cut("caller", "peer")
         client = EnvelopeClient("peer", PORT)
@@ -62,13 +62,13 @@
             await client.call(Envelope(status_request=StatusRequest()), 5.0)
         return loop.time()
 
-    assert loop.run_until_complete(play()) == pytest.approx(CONNECT_TIMEOUT_SECONDS)
+    assert loop.run_until_complete(run()) == pytest.approx(CONNECT_TIMEOUT_SECONDS)
 
 
-def test_an_attempt_ends_with_its_client() -> None:
+def test_closing_the_client_cancels_its_connect_attempt() -> None:
     loop = VirtualLoop()
 
-    async def play() -> None:
+    async def run() -> None:
         CURRENT_INCARNATION.set(Incarnation("caller"))
         loop.network.cut("caller", "peer")
         client = EnvelopeClient("peer", PORT)
@@ -78,4 +78,4 @@
         with pytest.raises(PeerUnreachableError):
             await call
 
-    loop.run_until_complete(play())
+    loop.run_until_complete(run())
--- a/tests/tier/transport/test_messages.py
+++ b/tests/tier/transport/test_messages.py
@@ -1,4 +1,4 @@
-"""The internal protocol against bytes that the version before the clean-up of names wrote."""
+"""Compatibility of the internal protocol with messages encoded by revision c345874."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 
 from wheatring.tier.transport import messages_pb2
 
-# By message and, where it has alternatives, the number of the one that is set. Names are those of c345874.
+# Encoded messages by name and, for a message with a oneof, the number of the field that is set.
+# The message names are those of c345874.
 GOLDEN: dict[str, str] = json.loads((Path(__file__).parent / "data" / "messages.json").read_text())
 RENAMED: dict[str, str] = {
     "TakenConfiguration": "AcceptedConfiguration"
-}  # old name of a message: new name; names are not on the wire
+}  # new message names by old name; message names are not on the wire
 
 
 def scalar_value(field: Any) -> Any:
-    """Return a value that follows from the number and the kind of a field alone."""
+    """Return a value derived only from the number and the type of a field."""
     number = field.number
     if field.type == FieldDescriptor.TYPE_STRING:
         return f"text {number}"
@@ -34,12 +35,12 @@
 
 
 def alternatives(message: Message) -> list[int]:
-    """Return the numbers of the fields of which only one can be set."""
+    """Return the numbers of the fields in a oneof."""
     return [field.number for field in message.DESCRIPTOR.fields if field.containing_oneof is not None]
 
 
 def fill(message: Message, alternative: int | None) -> Message:
-    """Set every field of a message and of those within it; of alternatives the one given."""
+    """Set every field of a message and of its submessages; of a oneof only the given field."""
     for field in message.DESCRIPTOR.fields:
         if field.containing_oneof is not None and field.number != alternative:
             continue
@@ -56,14 +57,16 @@
 
 
 @pytest.mark.parametrize("key", GOLDEN)
-def test_a_message_is_encoded_as_by_the_previous_version(key: str) -> None:
+def test_message_has_the_encoding_of_the_earlier_revision(key: str) -> None:
     name, _, number = key.partition("/")
-    kind = getattr(messages_pb2, RENAMED.get(name, name))
+    message_type = getattr(messages_pb2, RENAMED.get(name, name))
     encoded = bytes.fromhex(GOLDEN[key])
-    assert fill(kind(), int(number) if number else None).SerializeToString(deterministic=True) == encoded
-    assert kind.FromString(encoded).SerializeToString(deterministic=True) == encoded
+    assert (
+        fill(message_type(), int(number) if number else None).SerializeToString(deterministic=True) == encoded
+    )
+    assert message_type.FromString(encoded).SerializeToString(deterministic=True) == encoded
 
 
-def test_no_message_of_the_previous_version_is_missing() -> None:
+def test_all_messages_of_the_earlier_revision_exist() -> None:
     names = {RENAMED.get(name, name) for name in (key.partition("/")[0] for key in GOLDEN)}
     assert names <= set(messages_pb2.DESCRIPTOR.message_types_by_name)
--- a/tests/tier/world.py
+++ b/tests/tier/world.py
@@ -1,9 +1,9 @@
-"""A complete tier on simulated time, with an operator and programs, and checks that hold on every run.
+"""A complete tier on virtual time, with an operator and agent programs, and invariants that every run checks.
 
-Controllers, storage replicas and the sidecars' storage client are the real ones.
+Controllers, storage replicas and the sidecars' storage client are the production classes.
 
-Controllers are c1, c2, ...; storage machines s1, s2, ...; readers and writers of turns w1, w2, .... A host's
-name is its address.
+Controllers are named c1, c2, ...; storage machines s1, s2, ...; sidecars e1, e2, ...; clients that read and
+write turns w1, w2, .... The name of a host is also its address.
 """
 
 from __future__ import annotations
@@ -36,17 +36,17 @@
 from wheatring.tier.turns.exceptions import TurnNotFoundError
 
 CONTROL_PORT, INTERNAL_PORT, FRONT_PORT = 8000, 7000, 8100
-OPERATOR_TIMEOUT_SECONDS = 1.0  # that an operator waits for one controller
-APPLY_TIMEOUT_SECONDS = 2.0  # after an acknowledgement, for a configuration to be in force
+OPERATOR_TIMEOUT_SECONDS = 1.0  # for a request to one controller
+APPLY_TIMEOUT_SECONDS = 2.0  # from the acknowledgement of a configuration until it is in use
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant does not hold, or a check of the run fails."""
+    """An invariant is violated, or a check of the run fails."""
 
 
 @dataclass
 class Host:
-    """One machine and the process on it."""
+    """A machine and the process on it."""
 
     name: str
     folder: Path
@@ -58,7 +58,7 @@
 
 @dataclass
 class Writer:
-    """The part of a sidecar that reads and writes turns."""
+    """The part of a sidecar that reads and writes turns and budgets."""
 
     subscription: Subscription
     store: QuorumClient
@@ -69,7 +69,7 @@
 
 @dataclass
 class Platform:
-    """A reader of the platform's endpoint list."""
+    """A simulated platform with an endpoint list."""
 
     endpoints: EndpointList = field(default_factory=EndpointList)
 
@@ -79,7 +79,7 @@
 
 
 def configuration(generation: int) -> bytes:
-    """Return a small valid configuration."""
+    """Return a minimal valid configuration."""
     route = {
         "name": f"r{generation}",
         "hostname": "h",
@@ -92,7 +92,7 @@
 
 
 class World:
-    """The simulated tier and its checks."""
+    """The simulated tier and its invariants."""
 
     def __init__(self, folder: Path, seed: int, controllers: int, storage: int, losses: int) -> None:
         self.loop = VirtualLoop()
@@ -103,11 +103,11 @@
         self.platform = Platform()
         self.seeds = [f"c{n}" for n in range(1, min(controllers, 3) + 1)]
         self.writers: dict[str, Writer] = {}
-        self.acknowledged: dict[int, bytes] = {}  # configurations by generation
+        self.acknowledged: dict[int, bytes] = {}  # configuration by generation
         self.recorded: dict[str, Turn] = {}
         self.granted: dict[str, int] = {}  # tokens by program
         self.budget: dict[str, int] = {}
-        self.updated: dict[int, Any] = {}  # what acknowledged updates have to lead to, by generation
+        self.expected_configurations: dict[int, Any] = {}  # by generation, for updates
         self.indeterminate: set[int] = set()
         for number in range(1, controllers + 1):
             self.add(f"c{number}", bootstrap=True)
@@ -143,19 +143,19 @@
         )
 
     def run_as(
-        self, incarnation: Incarnation, work: Callable[[], Coroutine[Any, Any, Any]]
+        self, incarnation: Incarnation, coroutine_function: Callable[[], Coroutine[Any, Any, Any]]
     ) -> asyncio.Task[Any]:
-        """Run a coroutine as part of a process."""
+        """Run a coroutine in the context of a process."""
         context = contextvars.copy_context()
         context.run(CURRENT_INCARNATION.set, incarnation)
-        return context.run(lambda: self.loop.create_task(work(), context=context))
+        return context.run(lambda: self.loop.create_task(coroutine_function(), context=context))
 
     def start(self, name: str) -> None:
-        """Start a machine's process."""
+        """Start the process of a machine."""
         host = self.hosts[name]
         incarnation = host.incarnation = Incarnation(name)
 
-        async def begin() -> None:
+        async def start_process() -> None:
             random = Random(self.random.getrandbits(32))
             settings = self._settings(host)
             if name.startswith("c"):
@@ -168,10 +168,10 @@
             await host.process.start()
             host.bootstrap = False
 
-        self.run_as(incarnation, begin)
+        self.run_as(incarnation, start_process)
 
     def kill(self, name: str, wipe: bool = False) -> None:
-        """Kill a process; what is not synced is lost, and with `wipe` the disk too."""
+        """Kill a process. Unsynced data is lost, and with `wipe` the whole disk."""
         host = self.hosts[name]
         if host.incarnation is not None:
             host.incarnation.alive = False
@@ -182,19 +182,19 @@
             shutil.rmtree(host.folder, ignore_errors=True)
 
     def freeze(self, name: str) -> None:
-        """Let a process stand still."""
+        """Suspend a process."""
         incarnation = self.hosts[name].incarnation
         if incarnation is not None:
             incarnation.frozen = True
 
     def thaw(self, name: str) -> None:
-        """Let a process that stood still go on."""
+        """Resume a suspended process."""
         incarnation = self.hosts[name].incarnation
         if incarnation is not None:
             incarnation.thaw(self.loop)
 
     def cut(self, name: str, others: list[str], one_way: bool = False) -> None:
-        """Partition a machine off from others, in one direction or both."""
+        """Partition a machine from others, in one direction or both."""
         for other in others:
             self.loop.network.cut(name, other)
             if not one_way:
@@ -207,11 +207,11 @@
             self.loop.network.heal(other, name)
 
     def running(self, prefix: str) -> list[str]:
-        """Return the machines of a class whose processes run."""
+        """Return the machines with a running process whose names begin with the prefix."""
         return [n for n, host in self.hosts.items() if n.startswith(prefix) and host.incarnation is not None]
 
     def leader(self) -> str:
-        """Return the controller that leads in the newest term, by its own view; else any that runs."""
+        """Return the controller that believes it leads in the newest term, or any running one."""
         leading = [
             (host.process.replica.term, name)
             for name, host in self.hosts.items()
@@ -221,12 +221,12 @@
         ]
         return max(leading)[1] if leading else self.running("c")[0]
 
-    # What the operator does
+    # Operator
 
     async def call_operator_api(
         self, method: str, path: str, base: int = 0, body: bytes = b""
     ) -> tuple[int, bytes]:
-        """Try controllers until one answers clearly; status 0 where none does."""
+        """Try controllers until one replies with a status below 500; return status 0 if none does."""
         for attempt in range(12):
             running = self.running("c")
             if running:
@@ -252,13 +252,13 @@
         return reply.status, reply.body
 
     async def replace(self, generation: int) -> int:
-        """Put a configuration on top of the newest acknowledged one."""
+        """Replace the newest acknowledged configuration."""
         base = max(self.acknowledged, default=0)
         body = configuration(generation)
         return await self._change("/config/replace", base, generation, body)
 
     async def update(self, generation: int) -> int:
-        """Update the newest acknowledged configuration: set a route, and remove the first of several."""
+        """Update the newest acknowledged configuration: add a route, and remove the oldest beyond three."""
         base = max(self.acknowledged, default=0)
         current = json.loads(self.acknowledged.get(base, configuration(0)))
         routes = {route["name"]: route for route in current["routes"]}
@@ -272,11 +272,11 @@
         status = await self._change("/config/update", base, generation, json.dumps(changes).encode())
         if status == 200:
             self.acknowledged[generation] = json.dumps(expected).encode()
-            self.updated[generation] = expected
+            self.expected_configurations[generation] = expected
         return status
 
     async def _change(self, path: str, base: int, generation: int, body: bytes) -> int:
-        self.indeterminate.add(generation)  # while it is in flight it may be in force or not
+        self.indeterminate.add(generation)  # until the reply, the change may or may not be applied
         status, _ = await self.call_operator_api("POST", path, base, body)
         if status == 200:
             self.acknowledged[generation] = body
@@ -285,45 +285,49 @@
         return status
 
     async def describe(self) -> int:
-        """Read back; checks that nothing acknowledged is lost. Returns the generation, 0 for no answer."""
+        """Read the configuration and check that it is current; return its generation, or 0."""
         newest = max(self.acknowledged, default=0)
         status, body = await self.call_operator_api("GET", "/config/describe")
         if status != 200:
             return 0
         generation = int(json.loads(body)["generation"])
         if generation < newest:
-            raise InvariantViolationError(f"generation {newest} was acknowledged, {generation} is read back")
-        if generation in self.updated:
-            is_same = json.loads(body) == self.updated[generation]
+            raise InvariantViolationError(
+                f"generation {newest} was acknowledged, but {generation} is current"
+            )
+        if generation in self.expected_configurations:
+            is_same = json.loads(body) == self.expected_configurations[generation]
         else:
             is_same = body == self.acknowledged.get(generation, body)
         if not is_same:
-            raise InvariantViolationError(f"generation {generation} is not what was sent")
+            raise InvariantViolationError(f"generation {generation} differs from what was sent")
         if generation not in self.acknowledged and generation not in self.indeterminate:
-            raise InvariantViolationError(f"generation {generation} is in force and was never accepted")
+            raise InvariantViolationError(f"generation {generation} is current but was never accepted")
         return generation
 
     async def describe_at_each(self) -> None:
-        """Read back at each controller: none shows an older version than was acknowledged before."""
+        """Read the configuration at each controller, and check that none returns an outdated one."""
         newest = max(self.acknowledged, default=0)
         names = self.running("c")
-        replies = [self._call_operator_api_at(name, "GET", "/config/describe", 0, b"") for name in names]
-        for name, (status, body) in zip(names, await asyncio.gather(*replies), strict=True):
+        pending_replies = [
+            self._call_operator_api_at(name, "GET", "/config/describe", 0, b"") for name in names
+        ]
+        for name, (status, body) in zip(names, await asyncio.gather(*pending_replies), strict=True):
             if status == 200 and int(json.loads(body)["generation"]) < newest:
-                raise InvariantViolationError(f"{name} shows {body!r} though {newest} was acknowledged")
+                raise InvariantViolationError(f"{name} returned {body!r} although {newest} was acknowledged")
 
-    # What programs do
+    # Agent programs
 
     def add_writer(self, name: str) -> Writer:
-        """Add a sidecar's client of the storage machines."""
+        """Add a sidecar's storage client."""
         incarnation = Incarnation(name)
         clients = ClientTable(INTERNAL_PORT + 1)
         writer: Writer
 
-        def changed() -> None:
+        def record_generation() -> None:
             view = subscription.view
             if writer.generations and view.generation < writer.generations[-1]:
-                raise InvariantViolationError(f"{name} went back to {view.generation}")
+                raise InvariantViolationError(f"{name} reverted to generation {view.generation}")
             writer.generations.append(view.generation)
 
         subscription = Subscription(
@@ -332,7 +336,7 @@
             zone="z1",
             presence=lambda: Presence(role=ROLE_SIDECAR, replica_id=name, node=name, address=name),
             presence_interval_seconds=2.0,
-            on_change=changed,
+            on_change=record_generation,
             random=Random(self.random.getrandbits(32)),
         )
         store = QuorumClient(
@@ -344,11 +348,13 @@
         self.run_as(incarnation, subscription.run)
         return writer
 
-    async def as_writer(self, name: str, work: Callable[[Writer], Coroutine[Any, Any, Any]]) -> Any:
-        """Run some work as part of a writer."""
+    async def as_writer(
+        self, name: str, coroutine_function: Callable[[Writer], Coroutine[Any, Any, Any]]
+    ) -> Any:
+        """Run a coroutine in the context of a writer."""
         incarnation = self.hosts[name].incarnation
         assert incarnation is not None
-        return await self.run_as(incarnation, lambda: work(self.writers[name]))
+        return await self.run_as(incarnation, lambda: coroutine_function(self.writers[name]))
 
     async def record(self, name: str, turn_id: str, previous: str = "") -> bool:
         """Record a turn after another one; return whether it was acknowledged."""
@@ -363,7 +369,7 @@
         return True
 
     async def read(self, name: str, turn_id: str) -> str:
-        """Read a conversation, past the cache: "found", "none" or "not sure"."""
+        """Read a conversation, bypassing the cache; return "found", "none" or "not sure"."""
         writer = self.writers[name]
         writer.conversations.cache._turns.clear()
         writer.conversations.cache._size_bytes = 0
@@ -374,16 +380,16 @@
         except TurnNotFoundError:
             if turn_id in self.recorded:
                 raise InvariantViolationError(
-                    f"turn {turn_id} was recorded and is said not to exist"
+                    f"turn {turn_id} was recorded but reported as missing"
                 ) from None
             return "none"
         expected = [*self.recorded[turn_id].ancestors, turn_id] if turn_id in self.recorded else None
         if expected is not None and [turn.id for turn in chain] != expected:
-            raise InvariantViolationError(f"turn {turn_id} came with the wrong chain")
+            raise InvariantViolationError(f"turn {turn_id} was returned with the wrong chain")
         return "found"
 
     async def reserve(self, name: str, program: str, turn: str, tokens: int, budget: int) -> str:
-        """Reserve tokens; checks the sum of what was granted. "granted", "spent" or "not sure"."""
+        """Reserve tokens and check the total granted; return "granted", "spent" or "not sure"."""
         try:
             await self.as_writer(name, lambda w: w.budgets.reserve(program, turn, tokens, budget, 2.0))
         except BudgetExceededError:
@@ -397,10 +403,10 @@
             )
         return "granted"
 
-    # Checks
+    # Invariants
 
     def check(self) -> None:
-        """Check what must hold at any moment. Raises InvariantViolationError."""
+        """Check the invariants that hold at any time. Raises InvariantViolationError."""
         leaders: dict[int, str] = {}
         for name, host in self.hosts.items():
             if not name.startswith("c") or host.process is None:
@@ -410,26 +416,28 @@
                 other = leaders.setdefault(replica.term, name)
                 if other != name:
                     raise InvariantViolationError(f"{name} and {other} both lead term {replica.term}")
-        for fault in self.loop.faults:
-            error = fault.get("exception")
+        for exception_context in self.loop.faults:
+            error = exception_context.get("exception")
             if error is not None and not isinstance(error, asyncio.CancelledError):
-                raise InvariantViolationError(f"unexpected: {fault['message']}: {error!r}") from error
+                raise InvariantViolationError(
+                    f"unexpected: {exception_context['message']}: {error!r}"
+                ) from error
 
     async def settle(self, seconds: float) -> None:
-        """Let time pass, checking all the while."""
+        """Let virtual time pass, checking the invariants every 50 ms."""
         end = self.loop.time() + seconds
-        while (left := end - self.loop.time()) > 0:
-            await asyncio.sleep(min(0.05, left))
+        while (remaining_seconds := end - self.loop.time()) > 0:
+            await asyncio.sleep(min(0.05, remaining_seconds))
             self.check()
 
     def open(self) -> None:
-        """Start all machines, on the world's own loop."""
+        """Start all machines on the virtual loop."""
         asyncio.set_event_loop(self.loop)
         for name in list(self.hosts):
             self.start(name)
 
     def close(self) -> None:
-        """End all processes; what they have in flight is dropped."""
+        """Stop all processes and drop their pending tasks."""
         for host in self.hosts.values():
             if host.incarnation is not None:
                 host.incarnation.alive = False
@@ -437,11 +445,11 @@
             task._log_destroy_pending = False  # type: ignore[attr-defined]
         asyncio.set_event_loop(None)
 
-    def run(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Start all machines and run some work to its end."""
+    def run(self, coroutine_function: Callable[[], Coroutine[Any, Any, None]]) -> None:
+        """Start all machines, run a coroutine to completion and check the invariants."""
         try:
             self.open()
-            self.loop.run_until_complete(work())
+            self.loop.run_until_complete(coroutine_function())
             self.check()
         finally:
             self.close()
--- a/wheatring/tier/controller/controller.py
+++ b/wheatring/tier/controller/controller.py
@@ -32,7 +32,7 @@
 OperatorHandler = Callable[[OperatorRequest], Awaitable[OperatorReply]]
 
 
-async def _no_handler(_request: OperatorRequest) -> OperatorReply:
+async def _reply_unavailable(_request: OperatorRequest) -> OperatorReply:
     """Reply 503 to a request that is forwarded before the API is loaded."""
     return OperatorReply(status=503)
 
@@ -71,7 +71,7 @@
         self._membership = MembershipManager(
             self.host, self.losses, lambda: self.settings, lambda: self.commands.is_empty
         )
-        self._operator_handler: OperatorHandler = _no_handler
+        self._operator_handler: OperatorHandler = _reply_unavailable
         self._reply_tasks: set[asyncio.Task[None]] = set()
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -126,7 +126,7 @@
             self._membership.handle_presence(envelope.subscribe.presence)
             self.subscribers.add(connection, envelope.subscribe)
         elif kind == "operator_request":
-            reply = asyncio.create_task(self._answer_forwarded(connection, envelope))
+            reply = asyncio.create_task(self._reply_to_forwarded_request(connection, envelope))
             self._reply_tasks.add(reply)
             reply.add_done_callback(self._reply_tasks.discard)
 
@@ -161,7 +161,7 @@
         reply = await self.peers.client_for(address).call(envelope, FORWARD_TIMEOUT_SECONDS)
         return reply.operator_reply
 
-    async def _answer_forwarded(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
+    async def _reply_to_forwarded_request(self, connection: EnvelopeConnection, envelope: Envelope) -> None:
         reply = await self._operator_handler(envelope.operator_request)
         connection.send(Envelope(call=envelope.call, reply=True, operator_reply=reply))
 
