--- a/tests/tier/hostile_world.py
+++ b/tests/tier/hostile_world.py
@@ -100,22 +100,22 @@
 
     def _write_response(self, behaviour: str, ident: bytes) -> None:
         write = self.transport.write
-        complete = self._complete_response(ident, response_body(ident))
+        response = self._complete_response(ident, response_body(ident))
         if behaviour == "other-first":
-            write(self._complete_response(b"somebody", b"stale") + complete)
+            write(self._complete_response(b"somebody", b"stale") + response)
         elif behaviour == "unnamed-other-first":
-            write(self._complete_response(b"somebody", b"stale", with_id=False) + complete)
+            write(self._complete_response(b"somebody", b"stale", with_id=False) + response)
         elif behaviour == "unnamed":
             write(self._complete_response(ident, response_body(ident), with_id=False))
         elif behaviour == "twice":
-            write(complete + complete)
+            write(response + response)
         elif behaviour == "interim":
-            write(b"HTTP/1.1 103 Early\r\n\r\n" + complete)
+            write(b"HTTP/1.1 103 Early\r\n\r\n" + response)
         elif behaviour == "cut-in-head":
-            write(complete[:40])
+            write(response[:40])
             self.transport.abort()
         elif behaviour == "cut-in-body":
-            write(complete[:-3])
+            write(response[:-3])
             self.transport.abort()
         elif behaviour == "reset":
             self.transport.abort()
@@ -130,7 +130,7 @@
             )
             self.transport.abort()
         else:
-            write(complete)
+            write(response)
 
 
 BEHAVIOURS = (
--- a/wheatring/tier/controller/configuration.py
+++ b/wheatring/tier/controller/configuration.py
@@ -18,7 +18,7 @@
 
 
 class RouteType(Enum):
-    """Which requests of a route may be retried."""
+    """The kind of requests of a route, which decides whether they may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -139,7 +139,7 @@
     require(configuration.generation > 0, "generation", "must be above 0")
     names = [service.name for service in configuration.services]
     require(len(set(names)) == len(names), "services", "duplicate name")
-    require(all(names), "services", "a name is empty")
+    require(all(names), "services", "empty name")
     services = set(names)
     route_names = [route.name for route in configuration.routes]
     require(len(set(route_names)) == len(route_names), "routes", "duplicate name")
--- a/wheatring/tier/controller/endpoint_list_poller.py
+++ b/wheatring/tier/controller/endpoint_list_poller.py
@@ -10,12 +10,13 @@
 from wheatring.tier.discovery.platform_list import EndpointListReader
 from wheatring.tier.event_log import log_event
 
-# The poll interval as a fraction of the time within which no more requests may go to a draining endpoint.
+# The poll interval is this fraction of the drain time, after which a draining endpoint gets no new requests.
 POLL_FRACTION_OF_DRAIN = 0.42
 MIN_POLL_SECONDS = 0.3
 RETRY_SECONDS = 0.25
 LEADERSHIP_POLL_SECONDS = 0.05
-# The leadership is then transferred to another controller, which may be able to reach the platform.
+# After this many failed reads the leadership is transferred to another controller, which may be able to reach
+# the platform.
 MAX_CONSECUTIVE_FAILURES = 3
 
 
@@ -32,8 +33,7 @@
         reader
             Reads the list.
         drain_seconds
-            The time within which no more requests may go to a draining endpoint. It limits the age of the
-            list.
+            The time after which a draining endpoint must get no new requests. It limits the age of the list.
         """
         self._host = host
         self._reader = reader
--- a/wheatring/tier/controller/membership_manager.py
+++ b/wheatring/tier/controller/membership_manager.py
@@ -19,7 +19,7 @@
 # Without contact with a leader for this time, a controller announces itself to all known controllers.
 LEADER_CONTACT_TIMEOUT_SECONDS = 0.4
 # A learner can become a voter only if its last reply is more recent than this.
-LEARNER_REPLY_SECONDS = 1.0
+LEARNER_REPLY_MAX_AGE_SECONDS = 1.0
 
 
 class MembershipManager:
@@ -191,7 +191,8 @@
         candidates = [
             Candidate(learner, replica.progress[i].on_disk == newest)
             for i, learner in replica.learners.items()
-            if i in replica.progress and now - replica.progress[i].last_reply_at < LEARNER_REPLY_SECONDS
+            if i in replica.progress
+            and now - replica.progress[i].last_reply_at < LEARNER_REPLY_MAX_AGE_SECONDS
         ]
         leaving = {retirement.node for retirement in state.retirements if not retirement.completed}
         leaving |= self._presence_table.leaving_controllers(now)
--- a/wheatring/tier/controller/presence_table.py
+++ b/wheatring/tier/controller/presence_table.py
@@ -20,7 +20,8 @@
 FORWARD_INTERVAL_SECONDS = 0.3
 # An older presence is not forwarded, and its controller is no longer a learner.
 PRESENCE_TIMEOUT_SECONDS = 3.0
-EXPIRY_SECONDS = 30.0  # of the record of a process that sends no presence
+# The record of a process is removed after this time without a presence message.
+EXPIRY_SECONDS = 30.0
 
 
 class PresenceChange(Enum):
