--- a/wheatring/tier/__main__.py
+++ b/wheatring/tier/__main__.py
@@ -45,7 +45,7 @@
         raise click.ClickException(f"{file}: {error}") from error
     except SettingsError as error:
         raise click.ClickException(str(error)) from error
-    click.echo(f"{file}: valid")
+    click.echo(f"{file}: sound")
 
 
 @main.command()
--- a/wheatring/tier/controller/api.py
+++ b/wheatring/tier/controller/api.py
@@ -82,7 +82,7 @@
         try:
             return await controller.forward(address, request)
         except PeerUnreachableError:
-            return OperatorReply(status=503, body=_error("the leader did not reply in time"))
+            return OperatorReply(status=503, body=_error("the leader does not answer"))
 
     async def apply(self, request: OperatorRequest) -> OperatorReply:
         """Apply a request on the leader."""
@@ -107,7 +107,7 @@
             return StartRetirement(segments[1], self._controller.min_storage_machines())
         if len(segments) == 3 and segments[0] == RETIRE and segments[2] == DESCRIBE:
             return DescribeRetirement(segments[1])
-        raise InvalidRequestError(404, "no such command")
+        raise InvalidRequestError(404, "no such order")
 
 
 async def _handle_http_request(http_request: Request[Any, Any, Any]) -> Response[bytes]:
--- a/wheatring/tier/controller/command_queue.py
+++ b/wheatring/tier/controller/command_queue.py
@@ -105,7 +105,7 @@
 
         await self._host.wait_until(is_decided, COMMIT_TIMEOUT_SECONDS)
         if replica.state is not State.LEADER or replica.term != term or not condition_holds():
-            raise NoLeaderError("the leadership was lost before the outcome was confirmed")
+            raise NoLeaderError("the leadership was lost before the change was certain")
 
 
 def _reject(batch: list[QueuedCommand], error: NoLeaderError) -> None:
--- a/wheatring/tier/controller/commands.py
+++ b/wheatring/tier/controller/commands.py
@@ -155,7 +155,7 @@
         parse_body(command.body)
     except InvalidConfigurationError as error:
         return Invalid(str(error))
-    return Indeterminate(f"version {command.base} is too old to tell whether this change was accepted")
+    return Indeterminate(f"version {command.base} was replaced too long ago to know by what")
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,7 +165,7 @@
     def apply(self, state: ControlState) -> Outcome:
         """Return the configuration without changing the state."""
         if not state.generation:
-            return NotFound("no configuration has been accepted yet")
+            return NotFound("no configuration has been taken yet")
         return Accepted(state.configuration)
 
 
@@ -191,7 +191,8 @@
         remaining = [m for m in members if m.node != self.node and m.replica_id not in retiring]
         if len(remaining) < self.min_remaining:
             return Conflict(
-                f"{len(remaining)} storage machines would remain, {self.min_remaining} required", status=409
+                f"{len(remaining)} storage machines would be left, {self.min_remaining} are needed",
+                status=409,
             )
         state.retirements.add(node=self.node, replica_id=leaving[0].replica_id)
         _remove_oldest_retirements(state)
--- a/wheatring/tier/controller/configuration.py
+++ b/wheatring/tier/controller/configuration.py
@@ -75,15 +75,15 @@
 
 def _structure_number(value: Any, kind: Any) -> Any:
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise TypeError(f"must be a number, got {value!r:.40}")
+        raise TypeError(f"must be a number, is {value!r:.40}")
     if kind is int and value != int(value):
-        raise TypeError(f"must be an integer, got {value!r:.40}")
+        raise TypeError(f"must be a whole number, is {value!r:.40}")
     return kind(value)
 
 
 def _structure_exact_type(value: Any, kind: Any) -> Any:
     if not isinstance(value, kind):
-        raise TypeError(f"must be {kind.__name__}, got {value!r:.40}")
+        raise TypeError(f"must be {kind.__name__}, is {value!r:.40}")
     return value
 
 
@@ -97,12 +97,12 @@
 def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
     values = dict(pairs)
     if len(values) != len(pairs):
-        raise InvalidConfigurationError("duplicate key in an object")
+        raise InvalidConfigurationError("a key stands twice in one object")
     return values
 
 
 def _reject_constant(text: str) -> float:
-    raise InvalidConfigurationError(f"{text} is not a number")
+    raise InvalidConfigurationError(f"{text} is no number")
 
 
 def require(condition: bool, path: str, fault: str) -> None:
@@ -129,7 +129,7 @@
     try:
         values = json.loads(body, object_pairs_hook=_reject_duplicate_keys, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        raise InvalidConfigurationError(f"is not valid JSON: {error}") from error
+        raise InvalidConfigurationError(f"cannot be read whole: {error}") from error
     if not isinstance(values, dict):
         raise InvalidConfigurationError("must be an object")
     return values
@@ -138,17 +138,17 @@
 def _check(configuration: Configuration) -> None:
     require(configuration.generation > 0, "generation", "must be above 0")
     names = [service.name for service in configuration.services]
-    require(len(set(names)) == len(names), "services", "duplicate name")
-    require(all(names), "services", "empty name")
+    require(len(set(names)) == len(names), "services", "a name stands twice")
+    require(all(names), "services", "a name is empty")
     services = set(names)
     route_names = [route.name for route in configuration.routes]
-    require(len(set(route_names)) == len(route_names), "routes", "duplicate name")
+    require(len(set(route_names)) == len(route_names), "routes", "a name stands twice")
     matched: set[tuple[str, str]] = set()
     for number, route in enumerate(configuration.routes):
         path = f"routes[{number}]"
         _check_route(path, route, services)
         match = (route.hostname.lower(), route.pathPrefix)
-        require(match not in matched, path, f"same host and prefix as another route: {match}")
+        require(match not in matched, path, f"shares host and prefix with another route: {match}")
         matched.add(match)
 
 
@@ -161,7 +161,7 @@
     require(route.maxAttempts >= 1, f"{path}.maxAttempts", "must be 1 or more")
     require(route.retentionS >= 0, f"{path}.retentionS", "must not be negative")
     if route.backend is not None or route.trafficSplit is None:
-        require(route.backend is not None, path, "has no service")
+        require(route.backend is not None, path, "names no service")
         require(route.backend in services, f"{path}.backend", f"unknown service {route.backend!r}")
     if route.trafficSplit is not None:
         _check_split(f"{path}.trafficSplit", route.trafficSplit, services)
--- a/wheatring/tier/controller/configuration_update.py
+++ b/wheatring/tier/controller/configuration_update.py
@@ -41,7 +41,7 @@
     upserts, removals = changes.get(UPSERT, {}), changes.get(REMOVE, {})
     for key in sorted({*upserts, *removals}):
         items = values.get(key, [])
-        require(isinstance(items, list), key, "is not a list of named items")
+        require(isinstance(items, list), key, "is no list of named items")
         values[key] = _merged_items(key, items, upserts.get(key, []), removals.get(key, []))
     values[GENERATION] = changes[GENERATION]
     return json.dumps(values, separators=(",", ":")).encode()
@@ -59,7 +59,7 @@
     for key, items in changes.get(UPSERT, {}).items():
         _require_unique(f"{UPSERT}.{key}", [_item_name(f"{UPSERT}.{key}", item) for item in items])
     for key, names in changes.get(REMOVE, {}).items():
-        require(all(isinstance(name, str) for name in names), f"{REMOVE}.{key}", "must contain names")
+        require(all(isinstance(name, str) for name in names), f"{REMOVE}.{key}", "must hold names")
         _require_unique(f"{REMOVE}.{key}", names)
     return changes
 
@@ -69,8 +69,8 @@
     merged = {_item_name(key, item): item for item in items}
     replacements = {item[NAME]: item for item in upserts}
     for name in removals:
-        require(name in merged, f"{REMOVE}.{key}", f"no item is named {name!r:.80}")
-        require(name not in replacements, f"{REMOVE}.{key}", f"{name!r:.80} is also upserted")
+        require(name in merged, f"{REMOVE}.{key}", f"there is no {name!r:.80}")
+        require(name not in replacements, f"{REMOVE}.{key}", f"{name!r:.80} is set too")
         del merged[name]
     return list((merged | replacements).values())
 
@@ -83,4 +83,4 @@
 
 
 def _require_unique(path: str, names: list[str]) -> None:
-    require(len(set(names)) == len(names), path, "duplicate name")
+    require(len(set(names)) == len(names), path, "a name stands twice")
