--- a/tests/daemon/core/test_retries.py
+++ b/tests/daemon/core/test_retries.py
@@ -1,4 +1,4 @@
-"""Ends after which a request may go out again, or never: by its effect, its window, and what is still out."""
+"""When a request may be retried: by its idempotency, its repeat window, and its attempts in flight."""
 
 from __future__ import annotations
 
@@ -20,11 +20,13 @@
 Make = Callable[..., World]
 
 
-# A key's window
+# The repeat window of keyed requests
 
 
 @pytest.mark.parametrize("name", ["book", "pay", "move"])
-def test_a_retry_of_a_keyed_request_may_begin_only_in_the_rest_of_the_window(copy: Copy, name: str) -> None:
+def test_a_retry_of_a_keyed_request_must_start_within_the_rest_of_the_repeat_window(
+    copy: Copy, name: str
+) -> None:
     window = copy.balancer.classes[name].repeat_window
     first = copy.send(name)
     assert first.start_within == inf
@@ -37,7 +39,7 @@
     assert not copy.balancer.requests  # answered as failed
 
 
-def test_what_never_ran_and_what_is_safe_may_begin_at_any_time(copy: Copy) -> None:
+def test_retries_of_requests_that_never_ran_or_are_idempotent_have_no_start_limit(copy: Copy) -> None:
     for name, outcome in (("read", i.Outcome.RESET), ("book", i.Outcome.REJECTED)):
         first = copy.send(name)
         (action,) = copy.end(first, outcome, after=0.2)
@@ -46,50 +48,50 @@
         assert isinstance(action, i.Send) and action.start_within == inf
 
 
-def crossing(
+def expire_window_at_retry(
     world: World, monkeypatch: pytest.MonkeyPatch, window: float, then: Callable[[], None]
 ) -> list[Attempt]:
-    """End the window of `order` once its retry has been begun, and return the retries.
+    """Advance the clock past the repeat window of `order` when a retry starts; return the retries.
 
-    No byte of the retry can be written by then; `then` is called at that instant.
+    No byte of the retry has been written by then; `then` is called at that instant.
     """
     sidecar = world.sidecar
     classes, exchange, clock = sidecar.serving.balancer.classes, sidecar.exchange, sidecar.clock
     classes["order"] = replace(classes["order"], repeat_window=window)
-    start, now, further = exchange.start_attempt, clock.now, []
+    start, now, retries = exchange.start_attempt, clock.now, []
 
-    def start_and_pass(attempt: Attempt) -> None:
+    def start_and_advance(attempt: Attempt) -> None:
         start(attempt)
         if attempt.number:
-            further.append(attempt)
+            retries.append(attempt)
             clock.now = lambda: now() + window
             then()
 
     monkeypatch.setattr(backoff, "INITIAL_BACKOFF", 0.0)
-    exchange.start_attempt = start_and_pass
-    return further
+    exchange.start_attempt = start_and_advance
+    return retries
 
 
 @pytest.mark.parametrize(
     ("name", "later", "status"), [("order", 1.0, "502"), ("menu", 1.0, "200"), ("menu", 3.1, "503")]
 )
-def test_a_connect_that_comes_up_after_the_window_or_the_time_carries_nothing(
+def test_a_connect_that_completes_after_the_repeat_window_or_deadline_sends_no_request(
     make: Make, monkeypatch: pytest.MonkeyPatch, name: str, later: float, status: str
 ) -> None:
-    """Of 3 s, and a window of 1 for the keyed one: whichever timer that it crosses is still to be called."""
+    """The deadline is 3 s, the window of the keyed request 1 s; the timers have not fired by then."""
     written = status == "200"
     world = make()
-    further = crossing(world, monkeypatch, later, lambda: None)
+    retries = expire_window_at_retry(world, monkeypatch, later, lambda: None)
     caller = world.ask(name, left=3000)
     wire = world.nodes[0].accept()
     wire.read()
     wire.reset()
     if written:
         wire = world.nodes[0].accept()
-        assert int(wire.read()[1]["x-time-left-ms"]) <= 2000  # what is left at the first byte
+        assert int(wire.read()[1]["x-time-left-ms"]) <= 2000  # the time left at the first byte
         wire.answer(200, b"again")
     assert caller.read()[0].split()[1] == status
-    (attempt,) = further
+    (attempt,) = retries
     assert (attempt.is_written, attempt.outcome) == (
         written,
         i.Outcome.SERVED if written else i.Outcome.CONNECT_FAILED,
@@ -97,13 +99,13 @@
 
 
 @pytest.mark.parametrize("name", ["order", "menu"])
-@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a peer's word is there in the same turn
-def test_a_stale_connection_has_a_keyed_request_go_elsewhere_only_inside_the_window(
+@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # sent data is readable at once
+def test_a_keyed_request_on_a_stale_connection_is_reassigned_only_within_its_repeat_window(
     make: Make, monkeypatch: pytest.MonkeyPatch, name: str
 ) -> None:
-    """And one that may go tells what is left by then."""
+    """A reassigned request states the remaining time."""
     world = make()
-    further = crossing(world, monkeypatch, 1.0, lambda: idle.answer(200, b"first"))
+    retries = expire_window_at_retry(world, monkeypatch, 1.0, lambda: idle.answer(200, b"first"))
     caller, other = world.ask(name, left=3000), world.caller()
     wire = world.nodes[0].accept()
     wire.read()
@@ -114,45 +116,45 @@
         assert int(wire.read()[1]["x-time-left-ms"]) <= 2000
         wire.answer(200, b"again")
     assert caller.read()[0].split()[1] == ("200" if name == "menu" else "502")
-    attempt = further[0]
+    attempt = retries[0]
     if name == "menu":
-        assert further == [attempt, attempt]  # begun again, and the same attempt
+        assert retries == [attempt, attempt]  # the same attempt, started twice
     else:
-        assert (len(further), attempt.is_written, attempt.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
+        assert (len(retries), attempt.is_written, attempt.outcome) == (1, False, i.Outcome.CONNECT_FAILED)
     assert idle.at_end()
 
 
-# Never two out
+# At most one attempt in flight
 
 
-@pytest.mark.parametrize("how", ["given up", "spoilt"])
-@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # a reset is there as soon as it was sent
-def test_the_retry_is_written_only_after_the_close_of_the_attempt_before(
+@pytest.mark.parametrize("how", ["timed out", "bad response"])
+@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # a reset arrives as soon as it is sent
+def test_a_retry_is_written_only_after_the_previous_attempts_connection_is_closed(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
-    """It goes out at once, and on a connection that is up: the close must have left the process before."""
+    """The retry uses an idle connection immediately; the close must have been sent before."""
     monkeypatch.setattr(backoff, "INITIAL_BACKOFF", 0.0)
     world = make()
     caller, other = world.ask("menu"), world.caller()
     first = world.nodes[0].accept()
     first.read()
     idle = kept_connection(world, other)
-    if how == "spoilt":
+    if how == "bad response":
         first.send(b"noise")
     else:
-        (job,) = world.sidecar.driver.open_requests.values()
-        world.run(lambda: world.sidecar.exchange._time_out(job.attempts[0]))
+        (request,) = world.sidecar.driver.open_requests.values()
+        world.run(lambda: world.sidecar.exchange._time_out(request.attempts[0]))
     idle.read()
     first.sock.setblocking(False)
-    assert first.at_end()  # at once: while it were open this would raise
+    assert first.at_end()  # raises if the connection is still open
     idle.answer(200, b"ok")
     assert caller.read()[2] == b"ok"
 
 
-# What may have run
+# Attempts that may have run
 
-LENGTH = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
-BROKEN = {
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
+INCOMPLETE_RESPONSES = {
     "reset": (b"", True),
     "end": (b"", False),
     "half a status line": (b"HTTP/1.1 2", False),
@@ -161,21 +163,21 @@
     "no length, reset": (b"HTTP/1.1 200 OK\r\n\r\nhalf of i", True),
     "no length, reset, old": (b"HTTP/1.0 200 OK\r\n\r\nhalf of i", True),
     "no length, nothing, reset": (b"HTTP/1.0 200 OK\r\n\r\n", True),
-    "short, old": (LENGTH.replace(b"1.1", b"1.0") + b"12345678", False),
-    "short": (LENGTH + b"12345678", False),
-    "short, reset": (LENGTH + b"12345678", True),
+    "short, old": (RESPONSE_HEAD.replace(b"1.1", b"1.0") + b"12345678", False),
+    "short": (RESPONSE_HEAD + b"12345678", False),
+    "short, reset": (RESPONSE_HEAD + b"12345678", True),
     "chunk without an end": (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", False),
     "interim, end": (b"HTTP/1.1 102 Processing\r\n\r\n", False),
     "interim, reset": (b"HTTP/1.1 102 Processing\r\n\r\n", True),
     "noise": (b"\x00\xff\r\n\r\n", False),
     "error": (b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", False),
-    "turned away by halves": (b"HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 5\r\n\r\nab", True),
+    "half a rejection, reset": (b"HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nContent-Length: 5\r\n\r\nab", True),
 }
 
 
 @pytest.mark.parametrize("name", ["menu", "order", "unsafe"])
-@pytest.mark.parametrize("how", BROKEN)
-def test_what_ends_after_its_last_byte_may_have_run_whatever_came_of_an_answer(
+@pytest.mark.parametrize("how", INCOMPLETE_RESPONSES)
+def test_an_attempt_that_fails_after_its_last_byte_may_have_run_whatever_was_received(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str, name: str
 ) -> None:
     monkeypatch.setattr(backoff, "INITIAL_BACKOFF", 0.0)
@@ -183,7 +185,7 @@
     caller = world.ask(name)
     wire = world.nodes[0].accept()
     wire.read()
-    data, reset = BROKEN[how]
+    data, reset = INCOMPLETE_RESPONSES[how]
     if data:
         wire.send(data)
     if reset:
@@ -191,9 +193,9 @@
     else:
         wire.close()
     if name != "unsafe":
-        again = world.nodes[0].accept()
-        again.read()
-        again.answer(200, b"again")
+        retry_wire = world.nodes[0].accept()
+        retry_wire.read()
+        retry_wire.answer(200, b"again")
     status, _, body = caller.read()
     assert (status.split()[1], body) == (("502", body) if name == "unsafe" else ("200", b"again"))
     world.settle()
@@ -201,8 +203,10 @@
 
 
 @pytest.mark.parametrize("version", [b"1.0", b"1.1"])
-def test_an_answer_without_a_length_is_complete_at_an_orderly_end(make: Make, version: bytes) -> None:
-    """With interim ones before it, which are no answers, however they are cut."""
+def test_an_answer_without_a_length_is_complete_at_the_end_of_the_connection(
+    make: Make, version: bytes
+) -> None:
+    """Interim responses before it are skipped, however they are split into segments."""
     world = make()
     caller = world.ask("unsafe")
     wire = world.nodes[0].accept()
@@ -222,7 +226,7 @@
 def test_a_reset_after_the_last_byte_is_never_reported_as_not_executed(
     make: Make, size: int, chunked: bool
 ) -> None:
-    """However the request is written, its last byte is known to have left before the reset can be seen."""
+    """The last byte must be recorded as sent before the reset is received, however the request is written."""
     world = make()
     caller, body = world.caller(), b"x" * size
     if chunked:
@@ -244,24 +248,26 @@
 
 
 @pytest.mark.parametrize(("how", "code"), [("reset", "peer-reset"), ("answer", "bad-answer")])
-@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # where a peer's word is there in the same turn
-def test_a_reset_or_an_answer_before_the_first_byte_proves_that_nothing_ran(
+@pytest.mark.parametrize("make", ["loopback"], indirect=True)  # sent data is readable at once
+def test_a_reset_or_an_answer_before_the_first_byte_proves_that_the_request_did_not_run(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str, code: str
 ) -> None:
-    """It is there when the connection is heard to be up, in the turn in which the request is handed to it."""
+    """It arrives with the connection's establishment, in the iteration that assigns the request to it."""
     world = make(3)
-    up, spoken = connection_pool._PendingConnect.buildProtocol, []
+    build_protocol, peers = connection_pool._PendingConnect.buildProtocol, []
 
-    def up_and_spoken_to(dial: connection_pool._PendingConnect, address: object) -> EndpointConnection:
-        monkeypatch.setattr(connection_pool._PendingConnect, "buildProtocol", up)
-        spoken.append(world.nodes[int(dial.address.endpoint[1:])].accept())
+    def build_with_early_data(
+        pending: connection_pool._PendingConnect, address: object
+    ) -> EndpointConnection:
+        monkeypatch.setattr(connection_pool._PendingConnect, "buildProtocol", build_protocol)
+        peers.append(world.nodes[int(pending.address.endpoint[1:])].accept())
         if how == "reset":
-            spoken[0].reset()
+            peers[0].reset()
         else:
-            spoken[0].answer(200, b"nobody's")
-        return up(dial, address)
+            peers[0].answer(200, b"nobody's")
+        return build_protocol(pending, address)
 
-    monkeypatch.setattr(connection_pool._PendingConnect, "buildProtocol", up_and_spoken_to)
+    monkeypatch.setattr(connection_pool._PendingConnect, "buildProtocol", build_with_early_data)
     caller = world.ask("unsafe")
     assert world.logged("endpoint-connection") == [code]
     wire = world.first()
--- a/tests/daemon/http1/test_requests.py
+++ b/tests/daemon/http1/test_requests.py
@@ -529,9 +529,9 @@
     node.answer(200, b"ok")
     caller.read()
     driver = world.sidecar.driver
-    world.run(lambda: driver.carry_out(i.CloseIdle("n0")))
+    world.run(lambda: driver.execute(i.CloseIdle("n0")))
     assert node.at_end()
-    world.run(lambda: driver.carry_out(i.FetchEndpointList()))
+    world.run(lambda: driver.execute(i.FetchEndpointList()))
     fetch = world.discovery.accept()
     assert fetch.read()[0] == "GET /v1/servers HTTP/1.1"
     fetch.answer(200, list_body(8, entry("n0", world.nodes[0]), reset=True))
@@ -539,10 +539,10 @@
     world.ask("unsafe", wire=caller)
     node = world.nodes[0].accept()
     node.read()
-    world.run(lambda: driver.carry_out(i.Cancel(driver.last_id, 0)))
+    world.run(lambda: driver.execute(i.Cancel(driver.last_id, 0)))
     assert node.at_end()
     assert caller.read()[0] == "HTTP/1.1 502 Bad Gateway"
-    world.run(lambda: driver.carry_out(i.Subscribe(False)))
+    world.run(lambda: driver.execute(i.Subscribe(False)))
     assert watch.at_end()
 
 
--- a/tests/daemon/pools/test_pool_set.py
+++ b/tests/daemon/pools/test_pool_set.py
@@ -170,7 +170,7 @@
     later = world.call()
     world.at(1).answer(200, b"new")
     assert later.read()[2] == b"new"
-    assert not leaving.is_closed and leaving in world.pools.leaving
+    assert not leaving.is_closed and leaving in world.pools.draining
     wire.answer(200, b"kept")
     assert caller.read()[2] == b"kept"
     lost.close()
@@ -193,8 +193,8 @@
     world.logged("routes", 2)
     for _ in range(3):
         world.run(world.pools.advance)
-    assert [m.name for m in world.pools.leaving] == ["old"] and not world.run(
-        lambda: world.pools.leaving[0].driver.open_requests
+    assert [m.name for m in world.pools.draining] == ["old"] and not world.run(
+        lambda: world.pools.draining[0].driver.open_requests
     )
     caller.send(body[-500:])
     wire = world.at(0)
--- a/tests/daemon/routes/measure_limits.py
+++ b/tests/daemon/routes/measure_limits.py
@@ -1,6 +1,6 @@
-"""Measure what limits cost: `python -m tests.daemon.routes.measure_limits`.
+"""Measures the cost of limits: `python -m tests.daemon.routes.measure_limits`.
 
-Figures are of this machine, ratios travel.
+Absolute figures depend on the machine; the ratios are comparable between machines.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 NAMES = [f"caller-{number}" for number in range(1000)]
 
 
-def best(call: Callable[[], object], each: int = COUNT) -> float:
-    """Microseconds for one of `each`: the least of five runs."""
-    found = []
+def microseconds(call: Callable[[], object], count: int = COUNT) -> float:
+    """Return the microseconds for one of `count` operations: the minimum of five runs."""
+    durations = []
     for _ in range(5):
-        begun = perf_counter()
+        start = perf_counter()
         call()
-        found.append(perf_counter() - begun)
-    return min(found) / each * 1e6
+        durations.append(perf_counter() - start)
+    return min(durations) / count * 1e6
 
 
 def look_up() -> None:
@@ -47,57 +47,59 @@
         table[NAMES[number % 1000]]
 
 
-def decisions(limits: PoolLimitSettings, route: RouteLimitSettings | None, out: int) -> Callable[[], None]:
-    """Decisions and their ends with so many jobs in flight, ten thousand a second."""
+def decisions(
+    limits: PoolLimitSettings, route: RouteLimitSettings | None, in_flight: int
+) -> Callable[[], None]:
+    """Admit and finish ten thousand requests per second with `in_flight` others in flight."""
     pool, now = PoolLimiter(limits, 0.0, Random(1)), [0.0]
-    gate = None if route is None else RouteLimiter(route, 0.0)
-    held: list[Admission] = []
-    for number in range(out):
-        said = admit(0.0, gate, pool, NAMES[number], "menu-view")
-        if isinstance(said, Admission):
-            held.append(said)
+    limiter = None if route is None else RouteLimiter(route, 0.0)
+    admissions: list[Admission] = []
+    for number in range(in_flight):
+        decision = admit(0.0, limiter, pool, NAMES[number], "menu-view")
+        if isinstance(decision, Admission):
+            admissions.append(decision)
 
     def run() -> None:
         for number in range(COUNT):
             now[0] += 1e-4
-            said = admit(now[0], gate, pool, NAMES[number % 1000], "menu-view")
-            if isinstance(said, Admission):
-                said.start_attempt(now[0])
-                said.finish_attempt()
-                said.finish(now[0], Outcome.SERVED)
+            decision = admit(now[0], limiter, pool, NAMES[number % 1000], "menu-view")
+            if isinstance(decision, Admission):
+                decision.start_attempt(now[0])
+                decision.finish_attempt()
+                decision.finish(now[0], Outcome.SERVED)
 
     return run
 
 
 def main() -> None:
-    worth = (ClassPriority("menu-view", fill=0.8, floor=0.05), ClassPriority("place-order", floor=0.05))
-    whole = PoolLimitSettings(
+    priorities = (ClassPriority("menu-view", fill=0.8, floor=0.05), ClassPriority("place-order", floor=0.05))
+    all_limits = PoolLimitSettings(
         in_flight=500, rate=RateSettings(1e6, 1000), caller=CallerLimitSettings(50, RateSettings(1e4, 100)),
         shares=FairShareSettings(),
-        worth=worth, adaptive=AdaptiveLimitSettings(start=500), claims=AttemptLimitSettings(600, 50),
+        worth=priorities, adaptive=AdaptiveLimitSettings(start=500), claims=AttemptLimitSettings(600, 50),
     )  # fmt: skip
-    of_route = RouteLimitSettings(
+    route_limits = RouteLimitSettings(
         400, RateSettings(1e6, 1000), CallerLimitSettings(50, RateSettings(1e4, 100))
     )
-    base = best(look_up)
-    print(f"dict lookup                          {base:8.3f} us")
-    for name, limits, route, out in (
-        ("take to done, jobs in flight alone", PoolLimitSettings(in_flight=500), None, 0),
-        ("the same, all that can be set", whole, of_route, 0),
-        ("refusal, a full pool", PoolLimitSettings(in_flight=50), None, 50),
+    lookup_cost = microseconds(look_up)
+    print(f"dict lookup                          {lookup_cost:8.3f} us")
+    for name, limits, route, in_flight in (
+        ("admit and finish, in_flight only", PoolLimitSettings(in_flight=500), None, 0),
+        ("the same with all limits", all_limits, route_limits, 0),
+        ("rejection, full pool", PoolLimitSettings(in_flight=50), None, 50),
         (
-            "refusal, all that can be set, full",
+            "rejection with all limits, full pool",
             PoolLimitSettings(in_flight=50, shares=FairShareSettings()),
-            of_route,
+            route_limits,
             50,
         ),
     ):
-        cost = best(decisions(limits, route, out))
-        print(f"{name:36s} {cost:8.3f} us {cost / base:6.0f} lookups")
+        cost = microseconds(decisions(limits, route, in_flight))
+        print(f"{name:36s} {cost:8.3f} us {cost / lookup_cost:6.0f} lookups")
     tiers = TierSelector(2, TierSettings())
     tiers.update(0.0, (Capacity(4, 10), Capacity(10, 10)))
-    cost = best(lambda: [tiers.pick(0.0) for _ in range(COUNT)])
-    print(f"{'a tier for a request':36s} {cost:8.3f} us {cost / base:6.0f} lookups")
+    cost = microseconds(lambda: [tiers.pick(0.0) for _ in range(COUNT)])
+    print(f"{'choice of a tier':36s} {cost:8.3f} us {cost / lookup_cost:6.0f} lookups")
 
     names = [f"10.{number >> 8}.{number & 255}.7" for number in range(10_000)]
     tracemalloc.start()
@@ -105,14 +107,14 @@
     before = tracemalloc.get_traced_memory()[0]
     for name in names:
         callers.record_admission(callers.record_request(name, 1.0), name, 1.0)
-    each = (tracemalloc.get_traced_memory()[0] - before) / len(names)
-    print(f"{'memory for a caller, beside its name':36s} {each:8.0f} B")
+    bytes_per_caller = (tracemalloc.get_traced_memory()[0] - before) / len(names)
+    print(f"{'memory per caller without its name':36s} {bytes_per_caller:8.0f} B")
     tracemalloc.stop()
     for _ in range(3):
         for name in names[:1000]:
             callers.record_admission(callers.record_request(name, 10.0), name, 10.0)
-    cost = best(lambda: callers._compute_level(10.0), 1)
-    print(f"{'the fair level of 1000 callers':36s} {cost:8.0f} us, ten times a second under pressure")
+    cost = microseconds(lambda: callers._compute_level(10.0), 1)
+    print(f"{'fair level of 1000 callers':36s} {cost:8.0f} us, ten times a second under overload")
 
 
 if __name__ == "__main__":
--- a/tests/daemon/routes/measure_table.py
+++ b/tests/daemon/routes/measure_table.py
@@ -1,7 +1,7 @@
-"""Measure how long a lookup in the table takes: `python -m tests.daemon.routes.measure_table`.
+"""Measures the time of a lookup in the routing table: `python -m tests.daemon.routes.measure_table`.
 
-Ratios count, not this machine's clock. Tables of 10 and of 1,000 routes, of each kind that has an index of
-its own, asked for each of their routes.
+For each kind of index, it looks up each route in a table of 10 and one of 1,000 routes. The ratios matter, as
+absolute figures depend on the machine.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 Request = tuple[bytes, bytes, Fields]
 
-ENV = HeaderMatch("X-Env", "live")  # that all want
+ENV = HeaderMatch("X-Env", "live")  # required by all routes
 
 KINDS: dict[str, Callable[[int], tuple[RouteMatch, bytes]]] = {
     "hosts": lambda i: (RouteMatch(host=f"a{i}.example", prefix="/x"), b"/x/soups"),
@@ -32,17 +32,17 @@
 
 
 def routes(kind: str, size: int) -> tuple[list[Route], list[Request]]:
-    made = [KINDS[kind](i) for i in range(size)]
-    asked: list[Request] = [
+    cases = [KINDS[kind](i) for i in range(size)]
+    requests: list[Request] = [
         (b"GET", path, {b"host": b"a%d.example" % i, b"x-who": b"a%d" % i, b"x-env": b"live"})
-        for i, (_, path) in enumerate(made)
+        for i, (_, path) in enumerate(cases)
     ]
-    of = (WeightedPool("menu"),), ClassSource(first_part=True)
-    return [Route(f"r{i}", match, *of) for i, (match, _) in enumerate(made)], asked
+    pools_and_class = (WeightedPool("menu"),), ClassSource(first_part=True)
+    return [Route(f"r{i}", match, *pools_and_class) for i, (match, _) in enumerate(cases)], requests
 
 
 def microseconds(call: Callable[[], object], count: int) -> float:
-    """Return the best of five runs, for each of the `count` lookups in it."""
+    """Return the time per lookup, for `count` lookups per run: the minimum of five runs."""
     best = float("inf")
     for _ in range(5):
         start = perf_counter()
@@ -52,38 +52,39 @@
 
 
 def main() -> None:
-    print("microseconds a look            plain target              as it came")
+    print("microseconds per lookup        normalized target         raw target")
     print("kind             10   1,000 routes  ratio    10   1,000 routes  ratio")
     for kind in KINDS:
-        found: list[float] = []
-        route_calls: list[float] = []
+        find_times: list[float] = []
+        raw_times: list[float] = []
         for size in (10, 1000):
-            made, asked = routes(kind, size)
-            table = RoutingTable(made)
-            plain = [
-                (method, table.normalize(method, target, fields), fields) for method, target, fields in asked
+            table_routes, requests = routes(kind, size)
+            table = RoutingTable(table_routes)
+            normalized = [
+                (method, table.normalize(method, target, fields), fields)
+                for method, target, fields in requests
             ]
-            assert all(table.find(*p) is route for route, p in zip(made, plain, strict=True))
+            assert all(table.find(*p) is route for route, p in zip(table_routes, normalized, strict=True))
             rounds = range(10_000 // size)
-            find, route = table.find, table.resolve
-            found.append(microseconds(lambda: [find(*p) for _ in rounds for p in plain], 10_000))  # noqa: B023
-            route_calls.append(microseconds(lambda: [route(*a) for _ in rounds for a in asked], 10_000))  # noqa: B023
-        columns = [f"{a:6.2f} {b:14.2f} {b / a:6.2f}" for a, b in (found, route_calls)]
+            find, resolve = table.find, table.resolve
+            find_times.append(microseconds(lambda: [find(*p) for _ in rounds for p in normalized], 10_000))  # noqa: B023
+            raw_times.append(microseconds(lambda: [resolve(*r) for _ in rounds for r in requests], 10_000))  # noqa: B023
+        columns = [f"{a:6.2f} {b:14.2f} {b / a:6.2f}" for a, b in (find_times, raw_times)]
         print(f"{kind:12}", *columns)
     for target in (b"/menu-view/soups", b"/menu-view/%41-soups"):
-        form = microseconds(partial(_forms, target, 5000), 5000)
-        print(f"normalising {target.decode()}: {form:.2f}")
+        duration = microseconds(partial(_normalize, target, 5000), 5000)
+        print(f"normalization of {target.decode()}: {duration:.2f}")
     for part in (b"/%2e", b"/a", b"/%41", b"/\\"):
-        form = microseconds(partial(_forms, part * (16000 // len(part)), 1), 1)
-        print(f"the same for 16 KB of {part.decode()}: {form:.0f}")
+        duration = microseconds(partial(_normalize, part * (16000 // len(part)), 1), 1)
+        print(f"the same for 16 KB of {part.decode()}: {duration:.0f}")
     for size in (1, 500):
-        # As large as may be, nothing to sift by that the path lacks, and more states than RE2 may keep.
+        # As large as allowed, without literals to filter by, and with more states than RE2 may cache.
         hostile = ExpressionSet([f"/(a|b)*a(a|b){{{i % 20 + 20}}}(c{i})?" for i in range(size)])
         path = b"/" + b"".join(Random(1).choices((b"a", b"b"), k=1000))
         print(f"{size} hostile expressions, 1 KB: {microseconds(partial(hostile.matching, path), 1):.0f}")
 
 
-def _forms(target: bytes, count: int) -> None:
+def _normalize(target: bytes, count: int) -> None:
     for _ in range(count):
         with suppress(InvalidRequestError):
             normalize_target(b"GET", target, b"a.example", Strictness.LENIENT)
--- a/wheatring/daemon/core/clock.py
+++ b/wheatring/daemon/core/clock.py
@@ -1,4 +1,4 @@
-"""Instants on the monotonic clock, and the one place that turns them into the reactor's delays."""
+"""Instants on the monotonic clock; the only place that converts them to delays of the reactor."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 
 class Timer(Protocol):
-    """A call that is scheduled: Twisted's `IDelayedCall`, as far as it is used."""
+    """A scheduled call: the part of Twisted's `IDelayedCall` that is used."""
 
     def cancel(self) -> None:
-        """Cancel a call that is still to come."""
+        """Cancel the call, which must still be pending."""
 
     def active(self) -> bool:
-        """Return whether the call is still to come."""
+        """Return whether the call is still pending."""
 
 
 class Clock:
     """The clock of one process. Instants are seconds on the reactor's clock.
 
-    The daemon sets that to the monotonic clock, as steps of the system's time must not move deadlines. Both
-    times are passed in, so that a simulation can replace them.
+    The daemon sets the reactor's clock to the monotonic one, as steps of the system time must not move
+    deadlines. Both sources of time are passed in, so that a simulation can replace them.
 
     Attributes
     ----------
     now : Callable[[], float]
-        The present instant.
+        Returns the current instant.
     unix : Callable[[], float]
-        Unix time in seconds, for statements to others; no deadline depends on it.
+        Returns Unix time in seconds, for messages and logs; no deadline depends on it.
     unix_offset : float
-        Seconds to add to an instant for its Unix time. It is taken once, so that equal times stay equal.
+        Seconds to add to an instant for its Unix time. Computed once, so that equal instants stay equal.
     """
 
     def __init__(self, reactor: Any, unix: Callable[[], float] = time.time) -> None:
@@ -40,10 +40,10 @@
         self.unix_offset = unix() - self.now()
 
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Timer:
-        """Schedule a call at an instant; at once, in a later turn of the reactor, if that has passed."""
+        """Schedule a call at an instant; if that has passed, in the next iteration of the reactor."""
         timer: Timer = self.reactor.callLater(max(0.0, instant - self.now()), call, *args)
         return timer
 
     def present_unix_offset(self) -> float:
-        """Return what to add to an instant for its Unix time by now: other if that was stepped since."""
+        """Return the current offset from instants to Unix time, which changes when system time steps."""
         return self.unix() - self.now()
--- a/wheatring/daemon/core/exceptions.py
+++ b/wheatring/daemon/core/exceptions.py
@@ -4,14 +4,14 @@
 
 
 class RequestRejectedError(Exception):
-    """A request is rejected before it is submitted: by the server, a route or an authorizer.
+    """A request is rejected by the server, a route or an authorizer before it is submitted.
 
     Attributes
     ----------
     status : int
-        Why, as an HTTP status code.
+        The HTTP status code of the answer.
     header_lines : bytes
-        Encoded header lines to add to the answer, each with its line end.
+        Encoded header lines to add to the answer, each with its line terminator.
     body : bytes
         The body of the answer.
     """
--- a/wheatring/daemon/core/exchange.py
+++ b/wheatring/daemon/core/exchange.py
@@ -1,7 +1,7 @@
-"""The exchange: the only meeting place of the server side, the client side and the driver.
+"""The exchange: the interface between the server side, the client side and the driver.
 
-It owns each request, its attempts, its deadline and its one final answer. It knows no protocol and decides
-nothing. All deadlines and other instants are seconds on the monotonic clock.
+It owns each request, its attempts, its deadline and its one final answer. It is independent of protocols and
+makes no balancing decisions. All deadlines and other instants are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class AnswerKind(Enum):
-    """What a caller is answered: its request was served, it may try again without harm, or it failed."""
+    """The kind of a final answer. After `REFUSED` the caller can safely retry; `FAILED` may have been run."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
 
 
-# Looked up once, not for each request: the lookup of an enum's member is slow.
+# Bound once, as looking up an enum member for each request is slow.
 SERVED, ANSWER_SERVED = Outcome.SERVED, AnswerKind.SERVED
 
 
@@ -38,9 +38,9 @@
     Attributes
     ----------
     content : object
-        Of a request that was served: the endpoint's answer, in the protocol's own form.
+        The endpoint's answer in the protocol's representation, if the request was served.
     retry_after : float
-        Of a request that was refused: the advice to wait for so many seconds before a retry; 0: none.
+        Seconds to wait before a retry, if the request was refused; 0: no advice.
     """
 
     kind: AnswerKind
@@ -55,25 +55,25 @@
     Attributes
     ----------
     deadline : float
-        The instant by which it must be answered; infinite while its last byte has not come.
+        The instant by which it must be answered; infinite until its last byte is received.
     content : object
-        What is forwarded, in the protocol's own form.
+        What is forwarded, in the protocol's representation.
     is_retry : bool
-        The caller has marked it as a retry.
+        Whether the caller marked it as a retry.
     answered : Deferred[Answer]
-        Fires with the final answer; never, if the caller leaves first.
+        Fires with the final answer; never if the caller disconnects first.
     attempts : list[Attempt]
-        All attempts, in the order of their sends.
+        All attempts, in the order in which they were started.
     accepted_at : float
-        The instant at which it was submitted or, if that came later, its last byte.
+        The instant at which it was submitted or its last byte was received, whichever is later.
     decision_id : int
-        The balancer's number for it; 0: the balancer doesn't know of it.
+        The balancer's number for it; 0 until it is passed to the balancer.
     overdue_timer : Timer | None
-        Guards against a request that nobody answers.
+        Answers the request as failed if it is still unanswered after its deadline.
     is_drill : bool
-        A drill delays or aborts it, which its answer states.
+        Whether a drill delays or aborts it, which its answer states.
     drill_timer : Timer | None
-        The end of the drill's delay.
+        Fires at the end of the drill's delay.
     time_limit : float
         Seconds from its last byte to its deadline.
     """
@@ -101,19 +101,19 @@
     Attributes
     ----------
     number : int
-        From 0, in the order of the request's sends.
+        Its index in the request's attempts.
     deadline : float
-        The instant at which it has timed out.
+        The instant at which it times out.
     is_written : bool
-        Its last byte may have left: from then on the endpoint may have run it.
+        Whether its last byte may have been sent, so that the endpoint may have run it.
     outcome : Outcome | None
-        How it has ended; None while it has not.
+        How it ended; None while it is in flight.
     cancel : Callable[[], None] | None
-        Set by the client side while it works on the attempt: stops that work.
+        Set by the client side while it processes the attempt; aborts it.
     start_before : float
         The instant before which its first byte must be written.
     timeout : float
-        Seconds from the request's last byte to `deadline`, while that byte has not come.
+        Seconds from the request's last byte to `deadline`; used until that byte is received.
     """
 
     request: Request
@@ -135,24 +135,24 @@
 
     @property
     def may_be_sent(self) -> bool:
-        """Whether it may still be written: not once its request is finished."""
+        """Whether it may still be written, which it may not once its request is finished."""
         return self.outcome is None and not self.request.is_finished
 
 
 class Exchange:
-    """The open requests of one process, and the calls between the parts that work on them.
+    """The open requests of one process, and the callbacks between the components that handle them.
 
-    The server submits requests, the driver makes attempts and gives answers, the connection pool reports how
-    attempts end. Each sets its callbacks here.
+    The server submits requests, the driver creates attempts and gives answers, the connection pool reports
+    how attempts end. Each component sets its callbacks here.
 
     Attributes
     ----------
     answer_slack : float
-        Seconds after its deadline at which an unanswered request is answered here.
+        Seconds after its deadline at which an unanswered request is answered as failed.
     open_requests : dict[str, Request]
-        By correlation id, in the order in which they were submitted.
+        Requests by correlation id, in the order in which they were submitted.
     latencies : LatencyHistory
-        How long requests of each class take, for a graceful shutdown.
+        The latencies of each class, used by a graceful shutdown.
     """
 
     def __init__(self, clock: Clock, answer_slack: float) -> None:
@@ -160,9 +160,9 @@
         self.answer_slack = answer_slack
         self.open_requests: dict[str, Request] = {}
         self.latencies = LatencyHistory()
-        # Set by the driver, the connection pool, and whatever stands between them and the exchange.
+        # Set by the driver, the connection pool, and any layer between them and the exchange.
         self.on_request: Callable[[Request], None]
-        self.on_caller_left: Callable[[Request], None]
+        self.on_caller_disconnected: Callable[[Request], None]
         self.on_attempt_ended: Callable[[Attempt], None]
         self.on_committed: Callable[[Request], None]
         self.start_attempt: Callable[[Attempt], None]
@@ -172,26 +172,26 @@
     # The server side
 
     def submit(self, request: Request) -> Deferred[Answer]:
-        """Take a request over; the Deferred fires with its one final answer, unless its caller leaves."""
+        """Submit a request. The Deferred fires with the final answer, unless the caller disconnects."""
         self.open_requests[request.correlation_id] = request
         request.accepted_at = self.clock.now()
         if request.deadline < inf:
-            self._watch_deadline(request)
+            self._start_overdue_timer(request)
         try:
             self.on_request(request)
-        except Exception as error:  # a fault of ours must not leave the caller without an answer
+        except Exception as error:  # an internal error must not leave the caller without an answer
             log.line("exchange-broken", request=request.correlation_id, why=repr(error))
             self.answer(request, Answer(AnswerKind.FAILED))
         return request.answered
 
     def mark_received(self, request: Request) -> None:
-        """Note the last byte of a request that was submitted before it: its time runs from now."""
+        """Record that the last byte of a submitted request is received; its time limit starts now."""
         if request.is_finished:
             return
         now = self.clock.now()
         request.accepted_at = now
         request.deadline = now + request.time_limit
-        self._watch_deadline(request)
+        self._start_overdue_timer(request)
         for attempt in request.attempts:
             if attempt.outcome is None:
                 attempt.started_at = now
@@ -199,29 +199,29 @@
                 attempt.timeout_timer = self.clock.at(attempt.deadline, self._time_out, attempt)
 
     def mark_committed(self, request: Request) -> None:
-        """Note that a part of a request's body is held no more: it can't be sent again."""
+        """Record that part of a request's body is no longer buffered, so it can't be sent again."""
         if not request.is_finished:
             self.on_committed(request)
 
     @property
     def open_count(self) -> int:
-        """The number of requests without an answer."""
+        """The number of unanswered requests."""
         return len(self.open_requests)
 
     def withdraw(self, request: Request) -> None:
-        """Drop a request whose caller has closed its connection: no answer is due."""
+        """Remove a request whose caller has closed its connection, without an answer."""
         if not request.is_finished:
             self._finish(request)
-            self.on_caller_left(request)
+            self.on_caller_disconnected(request)
 
     # The driver's side
 
     def create_attempt(
         self, request: Request, endpoint: str, deadline: float, start_before: float = inf
     ) -> Attempt:
-        """Start an attempt; one for which there is no time, or no request, ends as not sent.
+        """Start an attempt; it ends as not sent if its deadline has passed or its request is finished.
 
-        Its end is reported by `on_attempt_ended`, but for an attempt that is returned as not sent.
+        Its end is reported by `on_attempt_ended`, except for an attempt that is returned as not sent.
         """
         attempts, now = request.attempts, self.clock.now()
         if request.deadline < deadline:
@@ -239,36 +239,36 @@
         return attempt
 
     def answer(self, request: Request, answer: Answer) -> None:
-        """Give the final answer. Only the first counts: a second would be a second answer on the wire."""
+        """Give the final answer. Later calls are ignored, as they would send a second answer on the wire."""
         if not request.is_finished:
             self._finish(request)
             request.answered.callback(answer)
 
     def open_snapshot(self, now: float) -> list[OpenRequest]:
-        """Return the open requests as a graceful shutdown weighs them, in the order of their submission."""
+        """Return the open requests for the decisions of a graceful shutdown, in order of submission."""
         return [
             OpenRequest(request.class_name, now - request.accepted_at, request.deadline - now)
             for request in self.open_requests.values()
         ]
 
-    def answer_all(self, leaving: ShutdownSchedule) -> None:
-        """Answer all open requests, though the balancer would have gone on with them."""
+    def answer_all(self, schedule: ShutdownSchedule) -> None:
+        """Answer all open requests at the end of a graceful shutdown, overriding the balancer."""
         for request in list(self.open_requests.values()):
             may_have_run = any(attempt.may_have_run for attempt in request.attempts)
-            is_refusable = leaving.may_reject(request.class_name, may_have_run)
-            kind = AnswerKind.REFUSED if is_refusable else AnswerKind.FAILED
-            self.answer(request, Answer(kind))  # without advice to wait: another process may be there at once
-            self.on_caller_left(request)
+            is_rejectable = schedule.may_reject(request.class_name, may_have_run)
+            kind = AnswerKind.REFUSED if is_rejectable else AnswerKind.FAILED
+            self.answer(request, Answer(kind))  # no Retry-After: another process may be up already
+            self.on_caller_disconnected(request)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Stop an attempt that has not ended."""
+        """Cancel an attempt that is in flight."""
         if attempt.outcome is None:
             self._stop_attempt(attempt, Outcome.CANCELLED)
 
     # The client side
 
     def end_attempt(self, attempt: Attempt, outcome: Outcome, content: object = None) -> None:
-        """Report the end of an attempt; of several reports the first counts."""
+        """Report the end of an attempt; only the first report counts."""
         if attempt.outcome is not None:
             return
         attempt.outcome = outcome
@@ -286,7 +286,7 @@
         self.on_attempt_ended(attempt)
 
     def reassign_unsent(self, attempt: Attempt) -> None:
-        """Start an attempt anew whose connection has ended before a byte of it had left."""
+        """Restart an attempt whose connection ended before any byte of it was sent."""
         attempt.is_written, attempt.cancel = False, None
         if not attempt.may_be_sent:
             self.end_attempt(attempt, Outcome.NOT_SENT)
@@ -294,10 +294,10 @@
             self._start_attempt(attempt)
 
     def check_in_time(self, attempt: Attempt) -> bool:
-        """Return whether an attempt may be started; end it as never run if it is too late for that.
+        """Return whether an attempt may be started; end it as never run if its time is up.
 
-        To be called at the instant of its first byte: its timer may not have been called though its time is
-        up. While its request still comes, its time has not begun.
+        To be called right before its first byte is written, as its timer may not have fired yet though its
+        time is up. An attempt whose request is still being received has no deadline yet.
         """
         now = self.clock.now()
         is_unlimited = attempt.request.deadline == inf
@@ -308,16 +308,16 @@
 
     # Internal
 
-    def _watch_deadline(self, request: Request) -> None:
+    def _start_overdue_timer(self, request: Request) -> None:
         instant = request.deadline + self.answer_slack
         request.overdue_timer = self.clock.at(instant, self._answer_overdue, request)
 
     def _start_attempt(self, attempt: Attempt) -> None:
         try:
             self.start_attempt(attempt)
-        except Exception as error:  # an attempt that could not be started must not leave its request open
+        except Exception as error:  # a failed start must not leave the request open
             log.line("attempt-broken", why=repr(error))
-            # Nor may a half-started one run after its request was answered as one that never did.
+            # A partly started attempt must not run after its request was answered as never run.
             self._stop_attempt(attempt, Outcome.RESET if attempt.is_written else Outcome.CONNECT_FAILED)
 
     def _stop_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -325,22 +325,22 @@
         if cancel is not None:
             try:
                 cancel()
-            except Exception as error:  # request and attempt are settled all the same
+            except Exception as error:  # the attempt must end in any case
                 log.line("attempt-broken", why=repr(error))
         self.end_attempt(attempt, outcome)
 
     def _time_out(self, attempt: Attempt) -> None:
         attempt.timeout_timer = None
-        # What was never written has never run, however late it is.
+        # An attempt that was never written has never run.
         outcome = Outcome.TIMED_OUT if attempt.is_written else Outcome.CONNECT_FAILED
         self._stop_attempt(attempt, outcome)
 
     def _answer_overdue(self, request: Request) -> None:
-        """Answer a request that nobody has answered, whatever became of its attempts and timers."""
+        """Answer an overdue request, regardless of the state of its attempts and timers."""
         request.overdue_timer = None
         log.line("overdue", job=request.correlation_id)
         self.answer(request, Answer(AnswerKind.FAILED))
-        self.on_caller_left(request)
+        self.on_caller_disconnected(request)
 
     def _finish(self, request: Request) -> None:
         request.is_finished = True
@@ -353,5 +353,5 @@
             request.drill_timer = None
         for attempt in request.attempts:
             if attempt.outcome is None and not attempt.is_written and attempt.cancel is not None:
-                # A connect that is under way must not lead to a send.
+                # A pending connect must not lead to a send.
                 self._stop_attempt(attempt, Outcome.NOT_SENT)
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -48,12 +48,12 @@
     environment = PoolEnvironment(
         reactor=sidecar.reactor,
         clock=sidecar.clock,
-        front=sidecar.exchange,
+        caller_exchange=sidecar.exchange,
         settings=platform.settings,
         seed=platform.seed,
-        plain=sidecar.serving,
+        platform_pool=sidecar.serving,
         budget=ConnectionBudget(max_node_connections),
-        body_room=body_room,
+        body_memory=body_room,
     )
     pools = sidecar.pools = PoolSet(environment, sidecar.server, list_pace(configuration), path)
     pools.start(configuration)
--- a/wheatring/daemon/pools/__init__.py
+++ b/wheatring/daemon/pools/__init__.py
@@ -1,7 +1,8 @@
-"""Several pools of nodes behind one listening socket: which requests go to which, by the configured routes.
+"""Several endpoint pools behind one listening socket; the configured routes choose the pool of each request.
 
-Imported only where the configuration file has routes. `route_tables` makes routes of the file's tables;
-`endpoint_selection` and `connection_budget` decide, the former free of I/O and clocks; `active_route` is one
-route in force, `routed_pool` one pool, `manual_overrides` the operators' orders over all endpoint lists.
-`request_router` sends requests by the routes in force, and `pool_set` changes pools and routes with the file.
+Imported only if the configuration file has routes. `route_tables` builds routes from the file's tables.
+`endpoint_selection` and `connection_budget` make the decisions; the former uses no I/O and no clock.
+`active_route` is one route in force, `routed_pool` one pool, and `manual_overrides` applies the operators'
+overrides to all endpoint lists. `request_router` dispatches requests by the routes in force, and `pool_set`
+reconfigures pools and routes when the file changes.
 """
--- a/wheatring/daemon/pools/active_route.py
+++ b/wheatring/daemon/pools/active_route.py
@@ -1,4 +1,4 @@
-"""A route in force, and the requests that arrive by it. Guards that a request's pool is chosen once."""
+"""A route in force and its requests. Ensures that the pool of a request is chosen once."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True, eq=False, kw_only=True)
 class RoutedRequest(Request):
-    """A request, and the pool that it stays in."""
+    """A request and its pool, which never changes."""
 
     pool: RoutedPool
 
 
 class ActiveRoute:
-    """A route in force, with the pools that it may choose from, by name."""
+    """A route in force, with the pools in force by name."""
 
     def __init__(self, route: Route, pools: Mapping[str, RoutedPool]) -> None:
         self.route = route
@@ -30,5 +30,5 @@
         self.split = split_for(route)
 
     def create_request(self, fields: Mapping[bytes, bytes], **arguments: Any) -> RoutedRequest:
-        """Make a request with these header fields, and choose its pool."""
+        """Create a request with these header fields and choose its pool."""
         return RoutedRequest(pool=self.pools[self.split.pick(fields)], **arguments)
--- a/wheatring/daemon/pools/connection_budget.py
+++ b/wheatring/daemon/pools/connection_budget.py
@@ -1,9 +1,9 @@
-"""Connections to nodes, shared between pools by need: each has some reserved, the rest goes by need.
+"""Connections to endpoints, shared between pools: each has some reserved, the rest is used on demand.
 
-A pool may grow as long as all others keep what they use, and what is reserved for them stays free. So, while
-the total stays, what all use together never exceeds it, and a pool below its reserve can always grow: no
-overloaded pool takes another's last connection. Idle connections above a pool's reserve are closed for those
-that need one.
+A pool may grow as long as the others keep the connections that they use, and their reserves stay free. So,
+while the total is constant, the sum in use never exceeds it, and a pool below its reserve can always grow: an
+overloaded pool can't take another's last connection. Idle connections above a pool's reserve are closed when
+another pool needs one.
 """
 
 from __future__ import annotations
@@ -17,58 +17,58 @@
 
 
 class ConnectionUsage(NamedTuple):
-    """One pool's connections in use, those being made among them, and how many are reserved for it."""
+    """One pool's connections in use, including pending connects, and how many are reserved for it."""
 
     in_use: int
     reserved: int
 
 
 def available(total: int, others: Iterable[ConnectionUsage]) -> int:
-    """Return how many connections a pool may use beside these others."""
+    """Return how many connections a pool may use, given the usage of all other pools."""
     return total - sum([max(other.in_use, other.reserved) for other in others])
 
 
 class ConnectionBudget:
     """The connections of all pools.
 
-    `total` may change while it runs; a lower one is reached as connections end.
+    `total` may change at runtime; a lower total takes effect as connections end.
     """
 
     def __init__(self, total: int) -> None:
         self.total = total
-        self.reserved: dict[BudgetedPool, int] = {}  # by pool, in the order in which they came
+        self.reserved: dict[BudgetedPool, int] = {}  # by pool, in the order of creation
 
     def in_use(self) -> int:
-        """Count the connections of all pools, those being made among them."""
+        """Return the number of connections of all pools, including pending connects."""
         return sum([len(pool.connections) + len(pool.pending_connects) for pool in self.reserved])
 
     def limit_of(self, pool: BudgetedPool) -> int:
-        """Return how many connections a pool may use now."""
+        """Return how many connections a pool may use at present."""
         return available(self.total, [other.usage() for other in self.reserved if other is not pool])
 
     def close_idle_for(self, pool: BudgetedPool) -> bool:
-        """Close the longest idle connection of the pool itself or of one that uses more than its reserve.
+        """Close the longest-idle connection of the pool itself or of one that exceeds its reserve.
 
         Returns
         -------
         bool
-            False where there is none.
+            False if there is no such connection.
         """
-        found: tuple[BudgetedPool, EndpointConnection] | None = None
+        choice: tuple[BudgetedPool, EndpointConnection] | None = None
         for candidate in self.reserved:
             if candidate is not pool and (usage := candidate.usage()).in_use <= usage.reserved:
                 continue
             oldest = candidate.oldest_idle()
-            if oldest is not None and (found is None or oldest.idle_since < found[1].idle_since):
-                found = candidate, oldest
-        if found is None:
+            if oldest is not None and (choice is None or oldest.idle_since < choice[1].idle_since):
+                choice = candidate, oldest
+        if choice is None:
             return False
-        found[0].retire(found[1], "pool-full")
+        choice[0].retire(choice[1], "pool-full")
         return True
 
 
 class BudgetedPool(ConnectionPool):
-    """One pool's connections, as many as the budget allows."""
+    """The connections of one pool, limited by the budget."""
 
     def __init__(self, budget: ConnectionBudget, *arguments: Any) -> None:
         self.budget = budget
@@ -77,20 +77,21 @@
         budget.reserved[self] = 0
 
     def usage(self) -> ConnectionUsage:
-        """Count the connections, but those that are being closed.
+        """Return the connections in use, excluding those that are being closed.
 
-        These are gone within this turn of the reactor or the next; counted, each would have one more closed.
+        These end within this iteration of the reactor or the next; if they were counted, one more idle
+        connection would be closed for each.
         """
         in_use = len(self.connections) - len(self.retired) + len(self.pending_connects)
         return ConnectionUsage(in_use, self.budget.reserved[self])
 
     def retire(self, connection: EndpointConnection, code: str) -> None:
-        """Close a connection that carries nothing."""
+        """Close an idle connection."""
         self.retired.add(connection)
         super().retire(connection, code)
 
     def remove(self, connection: EndpointConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self.retired.discard(connection)
         super().remove(connection)
 
@@ -100,12 +101,12 @@
         super().start_attempt(attempt)
 
     def retire_oldest_idle(self) -> bool:
-        """Close an idle connection of any pool that may lose one; False where there is none."""
+        """Close an idle connection of any pool that can spare one; return False if there is none."""
         return self.budget.close_idle_for(self)
 
-    def leave(self, code: str) -> None:
-        """Close all, and stop all that are being made, as no request needs them any more."""
-        for dial in list(self.pending_connects):
-            dial.connector.stopConnecting()
+    def release(self, code: str) -> None:
+        """Close all connections, abort pending connects and give up the reserve. No request uses the pool."""
+        for pending in list(self.pending_connects):
+            pending.connector.stopConnecting()
         self.close(code)
         del self.budget.reserved[self]
--- a/wheatring/daemon/pools/endpoint_selection.py
+++ b/wheatring/daemon/pools/endpoint_selection.py
@@ -1,7 +1,7 @@
-"""One pool's part of an endpoint list that several pools use. Free of I/O and clocks.
+"""One pool's subset of an endpoint list that several pools share. Uses no I/O and no clock.
 
-Guards that an endpoint which no longer matches is gone from the pool, and that the pool never hears of one
-that never matched.
+Ensures that an endpoint which no longer matches is reported to the pool as gone, and that one which never
+matched is not reported at all.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 
 class EndpointSelection:
-    """Selects the endpoints whose zone, machine kind and cell are those that `table` states."""
+    """Selects the endpoints that match the zone, machine type and cell in `table`."""
 
     def __init__(self, table: PoolTable) -> None:
         self.table = table
-        self.names: set[str] = set()  # of the endpoints in the pool now, draining ones among them
+        self.names: set[str] = set()  # endpoints in the pool, including draining ones
 
     def matches(self, entry: EndpointEntry) -> bool:
-        """Whether an entry of the list belongs to the pool."""
+        """Return whether an entry of the list belongs to the pool."""
         table = self.table
         return (
             (table.zone is None or table.zone == entry.zone)
@@ -31,9 +31,9 @@
         )
 
     def select(self, view: View) -> View:
-        """Return the pool's part of an update of the list.
+        """Return the pool's subset of an update of the list.
 
-        Each update is passed on, even an empty one: that there was an answer, or none, is information too.
+        Every update is passed on, even an empty one, as it also shows whether the call succeeded.
         """
         if view.kind is ViewKind.FAILED:
             return view
--- a/wheatring/daemon/pools/manual_overrides.py
+++ b/wheatring/daemon/pools/manual_overrides.py
@@ -1,4 +1,4 @@
-"""Endpoints that operators have taken out of service, where there are many endpoint lists."""
+"""Endpoints that operators have taken offline, with several endpoint lists."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class AllPoolsOverrides(EndpointOverrides):
-    """The operators' orders over all lists: the platform's, and those that pools have of their own."""
+    """The operators' overrides of all lists: the platform's and those of pools with their own."""
 
     def __init__(self, on_view: Callable[[View], None], pools: PoolSet) -> None:
         super().__init__(on_view)
         self.pools = pools
 
     def knows(self, name: str) -> bool:
-        """Whether any list has, or any order names, this endpoint."""
+        """Return whether an endpoint is listed anywhere, or offline."""
         return super().knows(name) or any(pool.overrides.knows(name) for pool in self.pools.all())
 
-    def set_offline(self, now: float, out: frozenset[str]) -> None:
-        """Take these endpoints out in each list, and no others."""
-        super().set_offline(now, out)
-        self.pools.take_out(now, out)
+    def set_offline(self, now: float, offline: frozenset[str]) -> None:
+        """Set exactly these endpoints offline in all lists."""
+        super().set_offline(now, offline)
+        self.pools.set_offline(now, offline)
--- a/wheatring/daemon/pools/pool_set.py
+++ b/wheatring/daemon/pools/pool_set.py
@@ -1,10 +1,10 @@
-"""All pools of one sidecar, and how pools and routes change while they serve.
+"""All pools of one sidecar, and the reconfiguration of pools and routes while they serve requests.
 
-A change of the file goes: *staged* (new pools are made, and hear their lists; the routes in force stand) ->
-*swapped* (routes, weights and pools at once, when each new pool has its list, or after
-`LIST_WAIT_SECONDS`). Pools that the new file lacks, or defines otherwise, then leave: they are closed when
-they have no requests left. Only `reload` stages, only `advance` swaps and closes. What must never be: routes
-of one file with pools of another.
+A change of the file is first *staged*: new pools are created and receive their lists, while the routes in
+force stay. It is then *swapped in*: routes, weights and pools change atomically once each new pool has its
+list, or after `LIST_WAIT_SECONDS`. Pools that the new file lacks or defines differently then drain: they are
+closed when they have no requests left. Only `reload` stages, only `advance` swaps and closes. Invariant: the
+routes and pools in force are of the same file.
 """
 
 from __future__ import annotations
@@ -23,41 +23,43 @@
 from wheatring.daemon.pools.route_tables import route_from
 from wheatring.daemon.pools.routed_pool import PoolEnvironment, RoutedPool
 
-POLL_SECONDS = 0.1  # between two looks at what is staged and what leaves
-LIST_WAIT_SECONDS = 5.0  # for the lists of new pools, before the routes go to them without
+POLL_SECONDS = 0.1  # between two checks of the staged change and the draining pools
+LIST_WAIT_SECONDS = 5.0  # for the lists of new pools, before the routes are swapped in without them
 
 
 class Server(Protocol):
-    """The callers' side, as far as it is steered and asked here."""
+    """The part of the callers' server that is used here."""
 
     router: Any
     classes: dict[str, Any]
 
     @property
     def connections(self) -> Mapping[Any, None]:
-        """The callers' connections."""
+        """The connections of callers."""
 
 
 class StagedChange:
-    """What a file makes of the pools: those in force that it defines alike are kept.
+    """The pools and routes of a new file; pools in force that it defines identically are kept.
 
-    `until` is when it is swapped in though lists are missing, in monotonic seconds.
+    `swap_deadline` is the instant at which it is swapped in even if lists are missing.
     """
 
-    def __init__(self, configuration: ProjectFile, pools: dict[str, RoutedPool], until: float) -> None:
+    def __init__(
+        self, configuration: ProjectFile, pools: dict[str, RoutedPool], swap_deadline: float
+    ) -> None:
         self.configuration = configuration
         self.pools = pools
-        self.until = until
+        self.swap_deadline = swap_deadline
         self.routes = [route_from(name, table) for name, table in configuration.route.items()]
 
     @property
     def has_lists(self) -> bool:
-        """Whether each of its pools has its endpoint list."""
+        """Whether each of its pools has received its endpoint list."""
         return all(pool.is_ready for pool in self.pools.values())
 
 
 class PoolSet:
-    """The pools in force, staged and leaving. `path` is the configuration file's, for errors."""
+    """The pools in force, staged and draining. `path` names the configuration file in errors."""
 
     def __init__(self, environment: PoolEnvironment, server: Server, pace: RequestPace, path: str) -> None:
         self.environment = environment
@@ -66,51 +68,51 @@
         self.server = server
         self.pace = pace
         self.path = path
-        self.shared_list = EndpointListState()
-        self.taken_out: frozenset[str] = frozenset()  # endpoints, by operators
+        self.platform_list = EndpointListState()
+        self.offline: frozenset[str] = frozenset()  # endpoints that operators have taken offline
         self.pools: dict[str, RoutedPool] = {}  # in force
-        self.router = RequestRouter(self.clock, environment.front)
+        self.router = RequestRouter(self.clock, environment.caller_exchange)
         self.staged: StagedChange | None = None
-        self.leaving: list[RoutedPool] = []
+        self.draining: list[RoutedPool] = []
         self.is_polling = False
         server.router = self.router.route
 
     def all(self) -> list[RoutedPool]:
-        """Return the pools in force, staged and leaving."""
+        """Return the pools in force, staged and draining."""
         staged = self.staged.pools.values() if self.staged is not None else ()
-        return list(dict.fromkeys([*self.pools.values(), *staged, *self.leaving]))
+        return list(dict.fromkeys([*self.pools.values(), *staged, *self.draining]))
 
-    # The one list, and endpoints taken out by operators
+    # The platform's list, and endpoints taken offline by operators
 
     def on_list(self, view: View) -> None:
-        """Hand an update of the one list to all pools."""
-        self.shared_list.view(view)
-        self.environment.plain.driver.feed(view)
+        """Pass an update of the platform's list to all pools."""
+        self.platform_list.view(view)
+        self.environment.platform_pool.driver.feed(view)
         for pool in self.all():
-            pool.on_shared_list(view)
+            pool.on_platform_list(view)
 
-    def take_out(self, now: float, endpoints: frozenset[str]) -> None:
-        """Take these endpoints out, and no others, of the lists that pools have of their own."""
-        self.taken_out = endpoints
+    def set_offline(self, now: float, endpoints: frozenset[str]) -> None:
+        """Set exactly these endpoints offline in the lists that pools have of their own."""
+        self.offline = endpoints
         for pool in self.all():
             pool.overrides.set_offline(now, endpoints)
 
-    def known(self) -> None:
-        """Let pools with lists of their own begin to ask for them: the list as last saved has been read."""
+    def start_own_lists(self) -> None:
+        """Start the pools with lists of their own, once the platform's list is loaded from its cache."""
         for pool in self.pools.values():
             if pool.selection is None:
-                pool.start(self.shared_list)
+                pool.start(self.platform_list)
 
     # The file
 
     def start(self, configuration: ProjectFile) -> None:
-        """Serve by the file with which the sidecar starts; ProjectFileError where it is rejected."""
+        """Apply the file with which the sidecar starts. Raises ProjectFileError if it is rejected."""
         if why := self.rejection(configuration):
             raise ProjectFileError(f"{self.path}: {why}")
         self._swap(self._stage(configuration))
 
     def rejection(self, configuration: ProjectFile) -> str:
-        """Return what of a file contradicts the platform's settings; "" where nothing does."""
+        """Return why a file conflicts with the platform's settings, or "" if it does not."""
         for name, table in configuration.route.items():
             if table.class_name and table.class_name not in self.server.classes:
                 return f"route.{name}.class_name: not a class of the settings, is {table.class_name!r}"
@@ -120,33 +122,33 @@
         return ""
 
     def reload(self, configuration: ProjectFile, pace: RequestPace) -> None:
-        """Put another file in force as soon as its pools have their lists; it must have no `rejection`."""
+        """Put a file in force once its pools have their lists. `rejection` must be empty for it."""
         self.pace = pace
         self._drop_staged()
         staged = self._stage(configuration)
         for pool in staged.pools.values():
             pool.set_pace(pace)
             if self.pools.get(pool.name) is not pool:
-                pool.start(self.shared_list)
+                pool.start(self.platform_list)
         self.advance()
 
     def _stage(self, configuration: ProjectFile) -> StagedChange:
         pools = {}
         for name, table in configuration.pool.items():
             pool = self.pools.get(name)
-            if pool is None or not selects_alike(pool.table, table):
-                pool = self._make(name, table)
+            if pool is None or not selects_same_endpoints(pool.table, table):
+                pool = self._create_pool(name, table)
             pools[name] = pool
         self.staged = StagedChange(configuration, pools, self.clock.now() + LIST_WAIT_SECONDS)
         return self.staged
 
-    def _make(self, name: str, table: PoolTable) -> RoutedPool:
+    def _create_pool(self, name: str, table: PoolTable) -> RoutedPool:
         pool = RoutedPool(name, table, self.environment, self.pace)
-        pool.overrides.set_offline(self.clock.now(), self.taken_out)
+        pool.overrides.set_offline(self.clock.now(), self.offline)
         return pool
 
     def _drop_staged(self) -> None:
-        """Give up a staged change, as a newer file has come before its pools had their lists."""
+        """Discard a staged change that a newer file supersedes."""
         staged, self.staged = self.staged, None
         if staged is not None:
             for pool in staged.pools.values():
@@ -154,13 +156,13 @@
                     pool.close("pool-gone")
 
     def advance(self) -> None:
-        """Swap what is staged and close what leaves, as far as they can be; poll while there is more."""
+        """Swap in the staged change and close idle draining pools, if possible; poll while any remain."""
         staged = self.staged
-        if staged is not None and (self.clock.now() >= staged.until or staged.has_lists):
+        if staged is not None and (self.clock.now() >= staged.swap_deadline or staged.has_lists):
             self._swap(staged)
-        if self.leaving:
+        if self.draining:
             self._close_idle_pools()
-        if (self.staged is not None or self.leaving) and not self.is_polling:
+        if (self.staged is not None or self.draining) and not self.is_polling:
             self.is_polling = True
             self.clock.at(self.clock.now() + POLL_SECONDS, self._poll)
 
@@ -169,39 +171,39 @@
         self.advance()
 
     def _close_idle_pools(self) -> None:
-        """Close the pools that leave and have no requests."""
+        """Close the draining pools that have no requests."""
         requests = [connection.request for connection in self.server.connections]
         busy = {id(request.pool) for request in requests if isinstance(request, RoutedRequest)}
-        for pool in list(self.leaving):
-            # An incomplete request, or an answer that is being sent, is known to its connection alone.
+        for pool in list(self.draining):
+            # Only the caller's connection has an incomplete request or an answer that is being sent.
             if not pool.driver.open_requests and id(pool) not in busy:
-                self.leaving.remove(pool)
+                self.draining.remove(pool)
                 pool.close("pool-gone")
                 log.line("pool-gone", pool=pool.name)
 
     def _swap(self, staged: StagedChange) -> None:
-        """Put a staged change in force; pools that it lacks leave."""
+        """Put a staged change in force; pools that it lacks start draining."""
         self.staged = None
         kept = set(staged.pools.values())
-        gone = [pool for pool in self.pools.values() if pool not in kept]
+        removed = [pool for pool in self.pools.values() if pool not in kept]
         self.router.replace(staged.routes, staged.pools)
         self.pools = staged.pools
-        self.leaving += gone
-        for pool in gone:
+        self.draining += removed
+        for pool in removed:
             self.budget.reserved[pool.connections] = 0
         for name, table in staged.configuration.pool.items():
             self.budget.reserved[self.pools[name].connections] = table.least
         names = ",".join(self.pools)
-        leaving = ",".join([pool.name for pool in gone]) or "-"
-        log.line("routes", routes=len(self.router.routes), pools=names, leaving=leaving)
+        draining = ",".join([pool.name for pool in removed]) or "-"
+        log.line("routes", routes=len(self.router.routes), pools=names, leaving=draining)
 
     def stop(self) -> None:
-        """Close all pools, as the sidecar ends and has no requests."""
+        """Close all pools. The sidecar stops and has no requests."""
         for pool in self.all():
             pool.close("stopping")
 
 
-def selects_alike(first: PoolTable, second: PoolTable) -> bool:
-    """Whether two tables select the same endpoints: then a pool goes on as it is."""
+def selects_same_endpoints(first: PoolTable, second: PoolTable) -> bool:
+    """Return whether two tables select the same endpoints, so that the pool is kept."""
     keys = ("discovery", "zone", "machine", "cell")
     return all(getattr(first, key) == getattr(second, key) for key in keys)
--- a/wheatring/daemon/pools/request_router.py
+++ b/wheatring/daemon/pools/request_router.py
@@ -1,8 +1,8 @@
-"""Sends each request to the pool of its route, by the routes in force.
+"""Dispatches each request to a pool of its route, by the routes in force.
 
-The callers' exchange (the *front*) stays one: identifiers, deadlines and final answers are its own. What it
-reports of a request goes to the driver of that request's pool, which is chosen once, when the request is
-made, and never again: so a retry stays in its pool.
+All pools share the callers' exchange, which owns identifiers, deadlines and final answers. Its callbacks
+for a request go to the driver of that request's pool. The pool is chosen once, when the request is created,
+so a retry stays in its pool.
 """
 
 from __future__ import annotations
@@ -22,22 +22,24 @@
 from wheatring.daemon.routes.exceptions import InvalidRequestError
 from wheatring.daemon.routes.table import RoutingTable
 
-LOG_INTERVAL_SECONDS = 1.0  # between two log lines on requests rejected for one reason
+LOG_INTERVAL_SECONDS = 1.0  # between two log lines on requests rejected for the same reason
 
 
 class RequestRouter:
-    """The routes in force, and the weights by which each chooses among its pools."""
+    """The routes in force, each with its weights for the choice of a pool."""
 
-    def __init__(self, clock: Clock, front: Exchange) -> None:
+    def __init__(self, clock: Clock, exchange: Exchange) -> None:
         self.clock = clock
         self.pools: dict[str, RoutedPool] = {}
         self.routes: dict[str, ActiveRoute] = {}
         self.table = RoutingTable(())
-        self.rejections: dict[str, tuple[float, int]] = {}  # by reason: when to log next, how many since
-        front.on_request = lambda request: pool_of(request).driver.add_request(request)
-        front.on_caller_left = lambda request: pool_of(request).driver.report_caller_disconnected(request)
-        front.on_committed = lambda request: pool_of(request).driver.report_committed(request)
-        front.on_attempt_ended = self.on_attempt_ended
+        self.rejections: dict[str, tuple[float, int]] = {}  # by reason: next log instant, count
+        exchange.on_request = lambda request: pool_of(request).driver.add_request(request)
+        exchange.on_caller_disconnected = lambda request: pool_of(request).driver.report_caller_disconnected(
+            request
+        )
+        exchange.on_committed = lambda request: pool_of(request).driver.report_committed(request)
+        exchange.on_attempt_ended = self.on_attempt_ended
 
     def on_attempt_ended(self, attempt: Attempt) -> None:
         """Report the end of an attempt to the driver of its request's pool."""
@@ -48,8 +50,8 @@
 
         Raises
         ------
-        RequestRejected
-            No route matches it, or its target can be read in more than one way.
+        RequestRejectedError
+            No route matches it, or its target is ambiguous.
         """
         method, target = message.start_line
         try:
@@ -63,17 +65,17 @@
         return self.routes[match.route.name]
 
     def _log_rejection(self, status: int, why: str) -> None:
-        """Log one line a reason and second, with the number: callers must not fill the log."""
+        """Log at most one line per reason and second, with a count, so that callers can't flood the log."""
         now = self.clock.now()
-        due, count = self.rejections.get(why, (now, 0))
+        next_log_at, count = self.rejections.get(why, (now, 0))
         count += 1
-        if now >= due:
+        if now >= next_log_at:
             log.line("not-routed", status=status, why=why, count=count)
-            due, count = now + LOG_INTERVAL_SECONDS, 0
-        self.rejections[why] = due, count
+            next_log_at, count = now + LOG_INTERVAL_SECONDS, 0
+        self.rejections[why] = next_log_at, count
 
     def replace(self, routes: list[Route], pools: dict[str, RoutedPool]) -> None:
-        """Put other routes and pools in force at once; shares that are still due to the pools are kept."""
+        """Replace routes and pools atomically; the deficits of the traffic splits are kept."""
         active = {route.name: ActiveRoute(route, pools) for route in routes}
         for name, new in active.items():
             old = self.routes.get(name)
@@ -84,12 +86,12 @@
         self.pools, self.routes, self.table = pools, active, table
 
     def change_weights(self, name: str, weights: Mapping[str, int]) -> None:
-        """Go by these weights of a route from its next request on, until another change or file.
+        """Set the weights of a route from its next request on, until another change or a reload.
 
         Raises
         ------
         UnknownRouteError, UnknownPoolError, BadWeightsError
-            Nothing is changed.
+            The change is rejected and has no effect.
         """
         route = self.routes.get(name)
         if route is None:
@@ -104,7 +106,7 @@
         log.line("weights", route=name, **{f"pool_{pool}": weight for pool, weight in weights.items()})
 
     def apply_plan_weights(self, name: str, weights: Mapping[str, int]) -> None:
-        """Change weights by the fleet's plan, whose routes and pools the file may lack: this is logged."""
+        """Apply weights of the fleet's plan; a route or pool that the file lacks is logged and skipped."""
         try:
             self.change_weights(name, weights)
         except OperatorError as error:
@@ -112,6 +114,6 @@
 
 
 def pool_of(request: Request) -> RoutedPool:
-    """Return the pool of a request that came by a route."""
+    """Return the pool of a routed request."""
     assert isinstance(request, RoutedRequest)
     return request.pool
--- a/wheatring/daemon/pools/route_tables.py
+++ b/wheatring/daemon/pools/route_tables.py
@@ -1,4 +1,4 @@
-"""Makes routes of the configuration file's tables. Guards that `check` and a start accept the same files."""
+"""Builds routes from the configuration file's tables, for `check` and a start alike."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def route_from(name: str, table: RouteTable) -> Route:
-    """Make a route of its table.
+    """Build a route from its table.
 
     Raises
     ------
     ValueError
-        The table contradicts itself; the text begins with the route and the field.
+        The table is invalid; the text begins with the route and the field.
     """
     match = RouteMatch(
         table.host, table.path, table.prefix, table.expression, table.methods,
@@ -26,7 +26,7 @@
 
 
 def first_invalid_key(configuration: ProjectFile) -> InvalidKey | None:
-    """Return the first key that is rejected, and why: of each route by itself, then of all together."""
+    """Return the first invalid key with its reason: checks each route by itself, then all together."""
     routes = []
     for name, table in configuration.route.items():
         try:
--- a/wheatring/daemon/pools/routed_pool.py
+++ b/wheatring/daemon/pools/routed_pool.py
@@ -1,13 +1,13 @@
-"""One pool of several: where its endpoint list comes from, whether it may get requests, and how it ends.
+"""One of several pools: the source of its endpoint list, its readiness, and its shutdown.
 
-States, moved by `PoolSet` alone, but for `is_ready`, which the list moves:
+States; `PoolSet` makes all transitions, except that the first list update makes a pool ready:
 
-- *made*: it has its parts and hears its list. No request is its own.
-- *ready*: its list was received once. The routes may name it.
-- *leaving*: no route names it; its requests go on, and it still hears which endpoints drain.
-- *closed*: nothing is its own any more: no list, no connection, no timer that starts another.
+- *created*: it receives updates of its list and has no requests.
+- *ready*: its list was received at least once. Routes may refer to it.
+- *draining*: no route refers to it; its requests continue, and it still receives updates of its list.
+- *closed*: it has no list, no connection, and no timer that starts another.
 
-What must never be: a request in a closed pool.
+Invariant: a closed pool has no requests.
 """
 
 from __future__ import annotations
@@ -28,61 +28,61 @@
 from wheatring.daemon.pools.endpoint_selection import EndpointSelection
 from wheatring.daemon.serving_pool import ServingPool
 
-EMPTY_LIST = {"generation": 0, "instances": []}  # of a pool that has just been made
+EMPTY_LIST = {"generation": 0, "instances": []}  # of a pool that has just been created
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolEnvironment:
     """What all pools of one sidecar share.
 
-    `front` is the callers' exchange: identifiers and usual durations are the same for all pools. `plain` is
-    the pool that has the one endpoint list, and gets no requests.
+    `caller_exchange` holds the open requests and latencies of all pools. `platform_pool` is the pool that
+    watches the platform's endpoint list; it gets no requests.
     """
 
     reactor: Any
     clock: Clock
-    front: Exchange
+    caller_exchange: Exchange
     settings: Settings
     seed: int
-    plain: ServingPool
+    platform_pool: ServingPool
     budget: ConnectionBudget
-    body_room: BodyMemory
+    body_memory: BodyMemory
 
 
 class InertBalancer:
-    """Decides nothing any more: a timer of a closed pool must not start the next."""
+    """Replaces the balancer of a closed pool and returns no actions, so that no timer starts the next."""
 
     def handle(self, now: float, event: Event) -> list[Action]:  # noqa: ARG002 - the balancer's signature
         """Return no action."""
         return []
 
 
-class SharedListClient:
-    """The one endpoint list as the driver of a pool knows it.
+class PlatformListClient:
+    """The platform's endpoint list as a pool's driver uses it.
 
-    The plain pool asks for it, and all pools share what makes its entries doubtful.
+    The platform pool fetches it; outcomes of attempts in all pools count for its freshness.
     """
 
-    def __init__(self, plain: ServingPool) -> None:
-        self.plain = plain
+    def __init__(self, platform_pool: ServingPool) -> None:
+        self.platform_pool = platform_pool
 
     def subscribe(self) -> None:
-        """Do nothing: the plain pool decides the same of the list, and watches it."""
+        """Do nothing, as the platform pool watches the list."""
 
     def unsubscribe(self) -> None:
-        """Do nothing: other pools use the list."""
+        """Do nothing, as other pools use the list."""
 
     def fetch(self) -> None:
-        """Ask for the list again."""
-        self.plain.machine_list.fetch()
+        """Fetch the list again."""
+        self.platform_pool.machine_list.fetch()
 
-    def record_outcome(self, now: float, node: str, outcome: Outcome) -> None:
-        """Report how an attempt at a node ended."""
-        self.plain.machine_list.record_outcome(now, node, outcome)
+    def record_outcome(self, now: float, endpoint: str, outcome: Outcome) -> None:
+        """Record the outcome of an attempt at an endpoint."""
+        self.platform_pool.machine_list.record_outcome(now, endpoint, outcome)
 
 
 class RoutedPool:
-    """A pool that the configuration file names."""
+    """A pool of the configuration file."""
 
     def __init__(self, name: str, table: PoolTable, environment: PoolEnvironment, pace: RequestPace) -> None:
         self.name = name
@@ -93,59 +93,59 @@
         assert isinstance(self.pool, BudgetedPool)
         self.connections: BudgetedPool = self.pool
         self.is_ready = self.is_closed = False
-        self.selection: EndpointSelection | None = None  # None: it has a list of its own
-        self.overrides = EndpointOverrides(self.driver.feed)  # over its own list
+        self.selection: EndpointSelection | None = None  # None if it has a list of its own
+        self.overrides = EndpointOverrides(self.driver.feed)  # of its own list
         if table.discovery is None:
             self.selection = EndpointSelection(table)
-            self.driver.endpoint_list = SharedListClient(environment.plain)
-            self.connections.addresses = environment.plain.pool.addresses
+            self.driver.endpoint_list = PlatformListClient(environment.platform_pool)
+            self.connections.addresses = environment.platform_pool.pool.addresses
         else:
             host, _, port = table.discovery.rpartition(":")
             self.serving.list_from((host, int(port)), self.on_own_list)
 
-    def start(self, shared_list: EndpointListState) -> None:
-        """Hear the list from now on."""
+    def start(self, platform_list: EndpointListState) -> None:
+        """Start receiving updates of the list."""
         if self.selection is None:
             self.serving.machine_list.load_cached(EMPTY_LIST)
         else:
-            self.on_shared_list(shared_list.full_view())
+            self.on_platform_list(platform_list.full_view())
 
-    def on_shared_list(self, view: View) -> None:
-        """Take up an update of the one list."""
+    def on_platform_list(self, view: View) -> None:
+        """Apply an update of the platform's list."""
         if self.selection is not None and not self.is_closed:
             self.is_ready = True
             self.driver.feed(self.selection.select(view))
 
     def on_own_list(self, view: View) -> None:
-        """Take up an update of its own list."""
+        """Apply an update of its own list."""
         if view.kind in (ViewKind.FULL, ViewKind.DELTA):
             self.is_ready = True
         self.overrides.view(view)
 
     def set_pace(self, pace: RequestPace) -> None:
-        """Ask for its own list, if it has one, as often as this says."""
+        """Set the pace of requests for its own list, if it has one."""
         if self.selection is None:
             self.serving.machine_list.asking.pace = pace
 
     def close(self, code: str) -> None:
-        """End it, as it has no requests, or the sidecar ends."""
+        """Close the pool. It has no requests, or the sidecar stops."""
         if self.is_closed:
             return
         self.is_closed = True
         if self.selection is None:
             self.serving.machine_list.unsubscribe()
-        self.connections.leave(code)
+        self.connections.release(code)
         self.driver.decision_module = InertBalancer()
 
 
 def _serving_pool(name: str, environment: PoolEnvironment, pace: RequestPace) -> ServingPool:
-    """Make the parts of a pool, with an exchange of its own."""
-    front = environment.front
-    exchange = Exchange(environment.clock, front.answer_slack)
-    exchange.open_requests, exchange.latencies = front.open_requests, front.latencies
-    # Decisions, and the list's timetable, drawn apart from any other pool's.
+    """Create the components of a pool, with an exchange of its own."""
+    caller_exchange = environment.caller_exchange
+    exchange = Exchange(environment.clock, caller_exchange.answer_slack)
+    exchange.open_requests, exchange.latencies = caller_exchange.open_requests, caller_exchange.latencies
+    # Each pool draws random numbers of its own, for decisions and for the schedule of list requests.
     seed = Random(f"{environment.seed}:pool:{name}").getrandbits(63)
     return ServingPool(
         environment.reactor, environment.clock, exchange, environment.settings, seed, 0,
-        environment.body_room, pace, partial(BudgetedPool, environment.budget),
+        environment.body_memory, pace, partial(BudgetedPool, environment.budget),
     )  # fmt: skip
--- a/wheatring/daemon/routes/admission.py
+++ b/wheatring/daemon/routes/admission.py
@@ -1,8 +1,8 @@
-"""Admission control: whether a request is admitted, by a route's limits, then its pool's, all or nothing.
+"""Admission control: admits or rejects a request by the limits of its route and then of its pool.
 
-An admitted request counts in its route, its pool and its caller from `admit` to `Admission.finish`, for all
-its attempts, so a retry needs no capacity of its own. Attempts in flight have a limit of their own, of which
-each request is sure of one.
+An admitted request counts for its route, pool and caller from `admit` to `Admission.finish`, with all its
+attempts, so a retry needs no further capacity. Attempts in flight have a separate limit, but each request can
+always have one.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
     """How a request ended."""
 
     SERVED = "served"
-    REJECTED = "refused"  # by the decisions, or by the endpoints: says nothing of how long a response takes
-    FAILED = "failed"  # with an error
+    REJECTED = "refused"  # by this sidecar or by the endpoints; no sample of the latency
+    FAILED = "failed"  # the response is an error
     DEADLINE_EXCEEDED = "late"
-    CANCELLED = "left"  # its caller has gone
+    CANCELLED = "left"  # its caller disconnected
 
 
 class Rejection:
     """A request that is not admitted.
 
-    `status` is 429 for what the caller has too much of, 503 for what there is too little of; `reason` is a
-    reason code, `retry_after` is in seconds.
+    `status` is 429 if the caller exceeds a limit of its own, 503 if capacity is short; `reason` is a reason
+    code, `retry_after` is in seconds.
     """
 
     __slots__ = ("reason", "retry_after", "status")
@@ -40,7 +40,7 @@
 
 
 class Admission:
-    """A request that was admitted, until `finish`; its attempts still in flight after it stay counted."""
+    """An admitted request, until `finish`. Attempts that are still in flight then stay counted."""
 
     __slots__ = (
         "_attempts", "_caller_name", "_class_state", "_first_attempt_at", "_is_finished", "_pool",
@@ -58,13 +58,13 @@
         self._pool_caller = pool_caller
         self._caller_name = caller_name
         self._attempts = 0  # in flight
-        self._first_attempt_at = now  # of those in flight
+        self._first_attempt_at = now  # start of the first attempt in flight
         self._is_finished = False
 
     def start_attempt(self, now: float) -> bool:
-        """Return whether one more attempt may go out now. If so it counts, up to `finish_attempt`.
+        """Return whether another attempt may start. If so, it is counted until `finish_attempt`.
 
-        A request that is not over and has no attempt in flight may always send one.
+        An unfinished request without an attempt in flight may always start one.
         """
         pool = self._pool
         if self._is_finished:
@@ -80,20 +80,20 @@
         return True
 
     def finish_attempt(self) -> None:
-        """Record that an attempt is no longer in flight, whatever came of it.
+        """Record that an attempt is no longer in flight, with any outcome.
 
-        Raises AlreadyFinishedError where none was.
+        Raises AlreadyFinishedError if none was in flight.
         """
         if not self._attempts:
-            raise AlreadyFinishedError("an attempt has ended that was not in flight")
+            raise AlreadyFinishedError("no attempt of the request is in flight")
         if self._is_finished or self._attempts > 1:
             self._pool.attempts -= 1
         self._attempts -= 1
 
     def finish(self, now: float, outcome: Outcome) -> None:
-        """Record that the request is over. Raises AlreadyFinishedError the second time."""
+        """Record the end of the request. Raises AlreadyFinishedError if called twice."""
         if self._is_finished:
-            raise AlreadyFinishedError("a job is over that was over")
+            raise AlreadyFinishedError("the request is already finished")
         self._is_finished = True
         pool = self._pool
         if not self._attempts:
@@ -118,21 +118,21 @@
 def admit(
     now: float, route: RouteLimiter | None, pool: PoolLimiter, caller: str, class_name: str
 ) -> Admission | Rejection:
-    """Admit a request of a class, or reject it. A rejected one uses up neither capacity nor a rate.
+    """Admit or reject a request. A rejected one uses neither capacity nor tokens of a rate limit.
 
-    The callers' own limits come first, then the route's, then the pool's rate and capacity; the first that is
-    reached is the reason.
+    Limits of the caller are checked first, then those of the route, then the pool's rate and capacity. The
+    first limit that is reached is the reason.
 
     Parameters
     ----------
     now
-        Seconds. An instant before one that was passed in earlier counts as that one.
+        The current instant in seconds. If it is before a previous one, the previous one is used.
     route
         The limits of the request's route, if it has any.
     pool
         The limits of its pool.
     caller
-        Names who asks, and is compared as it is.
+        Identifies the caller; compared literally.
     class_name
         The request's class.
     """
@@ -174,7 +174,7 @@
 
 
 def _check_totals(route: RouteLimiter | None, pool: PoolLimiter) -> Rejection | None:
-    """Check the limits of all callers together."""
+    """Check the limits for all callers together."""
     if route is not None:
         shortage = route.shortage()
         if shortage is not None:
@@ -199,11 +199,11 @@
 
 
 def _pool_rejection(pool: PoolLimiter, status: int, reason: str, wait_seconds: float) -> Rejection:
-    """Reject for what the pool has too little of: all that ask for it are spread together."""
+    """Reject because the pool is short of capacity; Retry-After depends on all recent requests."""
     return Rejection(status, reason, pool.retry_after_seconds(wait_seconds, *pool.recent_counts()))
 
 
 def _caller_rejection(pool: PoolLimiter, reason: str, wait_seconds: float, caller: Caller) -> Rejection:
-    """Reject for what one caller has too much of: its own requests say how far the next ones are spread."""
+    """Reject because of the caller's own limit; Retry-After depends on its recent requests."""
     retry_after = pool.retry_after_seconds(wait_seconds, caller.requests, caller.admissions)
     return Rejection(429, reason, retry_after)
--- a/wheatring/daemon/routes/definitions.py
+++ b/wheatring/daemon/routes/definitions.py
@@ -1,7 +1,7 @@
-"""The definition of a route: its conditions, its pools, its class. Each value checks itself.
+"""The definition of a route: its conditions, pools and class. Each class validates its fields.
 
-The text of each ValueError is one line that begins with the field and says what it takes, with its unit, and
-what it got. Texts are ASCII; paths and hosts are written in their normal form (see `target`).
+The text of each ValueError is one line: the field, the accepted values with their unit, and the actual value.
+Texts are ASCII; paths and hosts are written in their normal form (see `target`).
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 class HeaderMatch:
     """A condition on one header: its exact value, a prefix of it or, with neither, its presence.
 
-    A header that comes more than once has its values joined by a comma and a blank.
+    The values of a repeated header are joined by a comma and a space.
     """
 
-    name: str  # in either case
+    name: str  # case-insensitive
     exact: str = ""
     prefix: str = ""
 
@@ -61,17 +61,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """The conditions of a route: a request must meet all that are stated."""
+    """The conditions of a route; a request must meet all that are set."""
 
-    host: str = ""  # NAME, an address, or *.NAME for what ends in .NAME
+    host: str = ""  # NAME, an address, or *.NAME for hosts that end in .NAME
     path: str = ""  # the exact path
-    prefix: str = ""  # complete segments; a slash at its end says nothing
-    expression: str = ""  # RE2's syntax, for the entire path in its normal form
-    methods: tuple[str, ...] = ()  # any of them
+    prefix: str = ""  # of complete segments; a trailing slash is ignored
+    expression: str = ""  # RE2 syntax; must match the entire normalized path
+    methods: tuple[str, ...] = ()  # any of these; empty: any method
     headers: tuple[HeaderMatch, ...] = ()
 
     def __post_init__(self) -> None:
-        """Check the fields, each by itself and together. Raises ValueError."""
+        """Check each field and their combination. Raises ValueError."""
         if self.host:
             self._check_host()
         paths = [(k, getattr(self, k)) for k in ("path", "prefix", "expression") if getattr(self, k)]
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightedPool:
-    """A pool and its weight among a route's pools; weight 0 gets no requests."""
+    """A pool and its weight among a route's pools; a pool of weight 0 gets no requests."""
 
     pool: str
     weight: int = 1
@@ -125,14 +125,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSource:
-    """Where a request's class is read: fixed, a header's value, or the first segment of the path."""
+    """The source of a request's class: fixed, a header's value, or the first path segment."""
 
     fixed: str = ""
     header: str = ""
     first_part: bool = False
 
     def __post_init__(self) -> None:
-        """Check that one source is stated. Raises ValueError."""
+        """Check that exactly one source is set. Raises ValueError."""
         if bool(self.fixed) + bool(self.header) + bool(self.first_part) != 1:
             raise ValueError("class: not exactly one of fixed, header and first_part")
         if self.fixed:
@@ -143,18 +143,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route: which requests it takes, and what becomes of them."""
+    """One route: its conditions, and how the requests that match them are handled."""
 
     name: str
     match: RouteMatch
     pools: tuple[WeightedPool, ...]
     class_source: ClassSource
-    deadline_seconds: float | None = None  # for callers that give none; None: they have to
-    limits: tuple[str, ...] = ()  # by name
-    split_by: str = ""  # the header whose value keeps a customer in one pool; else requests are counted
+    deadline_seconds: float | None = None  # for callers that set none; None: they must set one
+    limits: tuple[str, ...] = ()  # names of limits
+    split_by: str = ""  # the header that identifies the customer; empty: split by count
 
     def __post_init__(self) -> None:
-        """Check the fields. Raises ValueError, which begins with the route's name."""
+        """Check the fields. Raises ValueError, whose text begins with the route's name."""
         _check_text("route", self.name, _NAME, "a name")
         try:
             self._check_fields()
@@ -177,7 +177,7 @@
             _check_text("split_by", self.split_by, _TOKEN, "a header's name")
 
     def class_of(self, path: bytes, fields: Mapping[bytes, bytes]) -> str:
-        """Return the class of a request with this normal path and these fields; "" where it names none."""
+        """Return the class of a request with this normalized path and these fields, or "" if it has none."""
         source = self.class_source
         if source.first_part:
             return path[1:].partition(b"/")[0].decode()
@@ -186,6 +186,6 @@
         return source.fixed
 
     def deciding_headers(self) -> tuple[str, ...]:
-        """Return the headers, in lower case, that decide anything about a request: none may come twice."""
+        """Return the headers that routing depends on, in lower case. None of them may be repeated."""
         names = [header.name for header in self.match.headers] + [self.class_source.header, self.split_by]
         return tuple(dict.fromkeys(name.lower() for name in names if name))
--- a/wheatring/daemon/routes/explain.py
+++ b/wheatring/daemon/routes/explain.py
@@ -1,4 +1,4 @@
-"""Explains to a person why a request goes where it goes: its route, and why those close to it lost."""
+"""Explains the routing of a request to an operator: the chosen route, and why similar routes lost."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from wheatring.daemon.routes.table import Fields, ResolvedRoute, RoutingTable
 from wheatring.daemon.routes.target import Target
 
-MAX_LOSING_ROUTES = 10  # that are listed besides the one that won
+MAX_LOSING_ROUTES = 10  # listed besides the chosen route
 
-# The parts of a precedence, each up to this index.
+# The criteria of `precedence`, each with the end of its part of the sort key.
 _PRECEDENCE_PARTS = ((2, "host is"), (4, "path is"), (5, "methods are"), (9, "headers are"))
-_DISTANCES = {"host": 3, "path": 3, "methods": 1, "headers": 1}  # by the condition that is not met
+_DISTANCES = {"host": 3, "path": 3, "methods": 1, "headers": 1}  # weight of each condition that is not met
 
 
 @dataclass(frozen=True, slots=True)
 class LosingRoute:
-    """A route that the request does not go to."""
+    """A route that was not chosen."""
 
     route: str
     reason: str  # one sentence
@@ -30,23 +30,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """What becomes of one request. `status` is 0 if a route takes it, else what it is answered with."""
+    """How one request is routed. `status` is 0 if a route takes it, else the HTTP status of the answer."""
 
     status: int
     reason: str  # one sentence
-    host: str = ""  # in normal form, as is the path
+    host: str = ""  # normalized, as is the path
     path: str = ""
     route: str = ""
     pools: tuple[WeightedPool, ...] = ()
-    pool: str = ""  # the one, if the split leaves no choice; else requests are counted
-    class_name: str = ""  # "": the request names none
-    deadline_seconds: float | None = None  # for a caller that gives none
+    pool: str = ""  # if the request determines it; empty if requests are split by count
+    class_name: str = ""  # "" if the request names none
+    deadline_seconds: float | None = None  # for a caller that sets none
     limits: tuple[str, ...] = ()
-    losing_routes: tuple[LosingRoute, ...] = ()  # the closest first
-    omitted_count: int = 0  # losing routes that are not listed
+    losing_routes: tuple[LosingRoute, ...] = ()  # the most similar first
+    omitted_count: int = 0  # number of losing routes that are not listed
 
     def text(self) -> str:
-        """Return lines for a terminal."""
+        """Return the explanation as lines for a terminal."""
         lines = [self.reason]
         if self.route:
             weights = ", ".join(f"{pool.pool} (weight {pool.weight})" for pool in self.pools)
@@ -68,19 +68,21 @@
 def explain(
     table: RoutingTable, method: str, target: str, host: str = "", headers: Mapping[str, str] | None = None
 ) -> Explanation:
-    """Pass one request through the table. Never raises for what a request may be; texts are Latin-1."""
+    """Explain the routing of one request. An invalid request is explained too, without an exception."""
     try:
         fields = {name.lower().encode(): value.encode("latin-1") for name, value in (headers or {}).items()}
         fields[b"host"] = host.encode("latin-1")
-        verb = method.encode("latin-1")
-        resolved = table.resolve(verb, target.encode("latin-1"), fields)
-        normal = resolved.target if resolved else table.normalize(verb, target.encode("latin-1"), fields)
+        method_bytes = method.encode("latin-1")
+        resolved = table.resolve(method_bytes, target.encode("latin-1"), fields)
+        normal = (
+            resolved.target if resolved else table.normalize(method_bytes, target.encode("latin-1"), fields)
+        )
     except UnicodeEncodeError:
         return Explanation(400, "Turned away: a character that no request may hold.")
     except InvalidRequestError as error:
         return Explanation(400, f"Turned away: {error}.")
 
-    losing, omitted_count = _losing_routes(table, resolved, verb, normal, fields)
+    losing, omitted_count = _losing_routes(table, resolved, method_bytes, normal, fields)
     shown = (normal.host.decode(), normal.path.decode())
     if resolved is None:
         return Explanation(
@@ -96,16 +98,16 @@
 def _losing_routes(
     table: RoutingTable, resolved: ResolvedRoute | None, method: bytes, target: Target, fields: Fields
 ) -> tuple[tuple[LosingRoute, ...], int]:
-    """Return the losing routes, the closest first, and how many more there are than are listed."""
+    """Return the losing routes, the most similar first, and the number of those not listed."""
     losing: list[tuple[int, int, Route, list[str]]] = []
     matched = _matching_expressions(table, target.path)
     for position, route in enumerate(table.routes):
         if resolved is not None and route is resolved.route:
             continue
         is_expression_met = route.match.expression in matched
-        found = mismatches(route.match, method, target, fields, is_expression_met)
-        distance = sum(_DISTANCES[mismatch.condition] for mismatch in found)
-        losing.append((distance, position, route, [mismatch.reason for mismatch in found]))
+        unmet = mismatches(route.match, method, target, fields, is_expression_met)
+        distance = sum(_DISTANCES[mismatch.condition] for mismatch in unmet)
+        losing.append((distance, position, route, [mismatch.reason for mismatch in unmet]))
     losing.sort(key=lambda item: item[:2])
     listed = tuple(
         LosingRoute(route.name, _sentence(reasons) if reasons else _reason_to_lose(resolved, route))
@@ -118,12 +120,12 @@
     texts = list(dict.fromkeys(r.match.expression for r in table.routes if r.match.expression))
     if not texts or len(path) > MAX_PATH_BYTES:
         return frozenset()
-    # Each by itself: together they may be more than one host's limit.
+    # Compiled one by one, as together they may exceed the limit of one host.
     return frozenset(text for text in texts if ExpressionSet([text]).matching(path))
 
 
 def _only_pool(route: Route, fields: Fields) -> str:
-    """Return the pool of the request where the split leaves no choice, else ""."""
+    """Return the pool if the request determines it, else ""."""
     active = [pool.pool for pool in route.pools if pool.weight]
     if len(active) == 1:
         return active[0]
@@ -137,11 +139,11 @@
     return text[0].upper() + text[1:] + "."
 
 
-def _reason_to_lose(winner: ResolvedRoute | None, route: Route) -> str:
-    """Return why a route that matches too comes after the winner."""
-    assert winner is not None
-    first, second = precedence(winner.route.match), precedence(route.match)
+def _reason_to_lose(chosen: ResolvedRoute | None, route: Route) -> str:
+    """Return why a route that matches as well comes after the chosen one."""
+    assert chosen is not None
+    first, second = precedence(chosen.route.match), precedence(route.match)
     for end, part in _PRECEDENCE_PARTS:
         if first[:end] != second[:end]:
-            return f"It fits too, but {winner.route.name}'s {part} closer."
-    return f"It fits just as well, but {winner.route.name} comes before it."
+            return f"It fits too, but {chosen.route.name}'s {part} closer."
+    return f"It fits just as well, but {chosen.route.name} comes before it."
--- a/wheatring/daemon/routes/expressions.py
+++ b/wheatring/daemon/routes/expressions.py
@@ -1,9 +1,9 @@
-"""The regular expressions of one host's routes, matched all at once by RE2 in time linear in the path.
+"""The regular expressions of one host's routes, matched together by RE2 in time linear in the path.
 
-One RE2 set would answer in a single pass, but it has no fallback where its states multiply: a thousand loose
-expressions took 0.4 s for a path of 4 KB made for them. So RE2's filter finds the few whose fixed texts occur
-in the path, and only those are run. Linear is still a product, of steps and bytes, about 5 ns each where
-states multiply: so each factor has a limit, and one path costs 0.1 s at the very worst.
+A single RE2 set would need one pass, but it has no fallback if the number of its states explodes: a thousand
+unspecific expressions took 0.4 s for a hostile path of 4 KB. Instead, RE2's filter finds the expressions
+whose literals occur in the path, and only those are run. The time is proportional to program steps times
+bytes, at about 5 ns each if the states explode. Both factors are limited, so a path takes at most 0.1 s.
 """
 
 from __future__ import annotations
@@ -12,21 +12,21 @@
 
 from wheatring.daemon.routes.exceptions import InvalidRequestError
 
-MAX_PROGRAM_STEPS = 256  # of one expression, in RE2's program
-MAX_TOTAL_STEPS = 20 * 1024  # of all expressions of one host
-MAX_PATH_BYTES = 1024  # of a path that expressions are matched against
-MAX_MEMORY_BYTES = 64 * 1024  # for one expression's cache; RE2 is slower, not wrong, once it is used up
+MAX_PROGRAM_STEPS = 256  # of the RE2 program of one expression
+MAX_TOTAL_STEPS = 20 * 1024  # of the RE2 programs of all expressions of one host
+MAX_PATH_BYTES = 1024  # of a path to match expressions against
+MAX_MEMORY_BYTES = 64 * 1024  # of one expression's cache; RE2 is only slower once it is full
 
 
 class ExpressionSet:
-    """Expressions in their order, compiled.
+    """Compiled expressions, in the given order.
 
-    Raises ValueError for one that RE2 does not accept, or that is too large.
+    Raises ValueError for an expression that RE2 rejects or that is too large.
     """
 
-    def __init__(self, texts: Sequence[str]) -> None:
+    def __init__(self, expressions: Sequence[str]) -> None:
         try:
-            import re2  # of the extra `routes`, and only where an expression is used
+            import re2  # in the extra `routes`; imported only if an expression is used
         except ImportError:
             raise ValueError(
                 "expression: needs google-re2, which comes with the extra 'routes': 'wheatring[routes]'"
@@ -38,19 +38,19 @@
         options.encoding = re2.Options.Encoding.LATIN1
         total_steps = 0
         self.filter = re2.Filter()
-        for text in texts:
+        for expression in expressions:
             try:
-                # By itself first: inside our anchors, `a)|(b` would compile.
-                re2.compile(text.encode(), options)
-                anchored = rb"\A(?:%s)\z" % text.encode()
+                # Compile it without anchors first, as `a)|(b` would compile with them.
+                re2.compile(expression.encode(), options)
+                anchored = rb"\A(?:%s)\z" % expression.encode()
                 steps = re2.compile(anchored, options).programsize
                 self.filter.Add(anchored, options)
             except re2.error as error:
                 cause = error.args[0] if error.args else None
                 reason = cause.decode() if isinstance(cause, bytes) else str(error)
-                raise ValueError(f"expression: {reason}: {text!r}") from None
+                raise ValueError(f"expression: {reason}: {expression!r}") from None
             if steps > MAX_PROGRAM_STEPS:
-                raise ValueError(f"expression: {steps} steps, not up to {MAX_PROGRAM_STEPS}: {text!r}")
+                raise ValueError(f"expression: {steps} steps, not up to {MAX_PROGRAM_STEPS}: {expression!r}")
             total_steps += steps
         if total_steps > MAX_TOTAL_STEPS:
             raise ValueError(f"expressions: {total_steps} steps together, not up to {MAX_TOTAL_STEPS}")
@@ -62,7 +62,7 @@
         Raises
         ------
         InvalidRequestError
-            The path is longer than `MAX_PATH_BYTES`. "No match" would hand it to a route that comes later.
+            The path is longer than `MAX_PATH_BYTES`. "No match" would send it to a later route.
         """
         if len(path) > MAX_PATH_BYTES:
             raise InvalidRequestError(f"a path of more than {MAX_PATH_BYTES} bytes where expressions decide")
--- a/wheatring/daemon/routes/limit_settings.py
+++ b/wheatring/daemon/routes/limit_settings.py
@@ -1,8 +1,7 @@
-"""The settings of limits and tiers. Each value checks itself: an error is one line, `key: rule: value`.
+"""The settings of limits and tiers. Each class validates its fields; an error is a line `key: rule: value`.
 
-Fields have the names of the keys that operators set (docs/operate/limits.md). Counts are of requests unless
-something else is named, times are seconds, shares are parts of 1. 0 where a limit may be left out means that
-there is none.
+Fields have the names of the settings keys (docs/operate/limits.md). Counts are numbers of requests unless
+stated otherwise, times are in seconds, shares are between 0 and 1. For an optional limit, 0 means no limit.
 """
 
 from __future__ import annotations
@@ -11,16 +10,16 @@
 from dataclasses import dataclass, field
 from math import inf, isfinite
 
-MAX_COUNT = 1_000_000  # of anything counted
-MAX_SECONDS = 86_400.0  # no time that is set is longer
+MAX_COUNT = 1_000_000
+MAX_SECONDS = 86_400.0
 
 
 def check_number(
     key: str, value: object, unit: str, minimum: float, maximum: float, *, exclusive: bool = False
 ) -> None:
-    """Check that a number is within its range, of which `exclusive` leaves the minimum itself out.
+    """Check that a number is within its range; `exclusive` excludes the minimum.
 
-    Raises ValueError, whose text names key, range, unit and value.
+    Raises ValueError with the key, range, unit and value.
     """
     is_finite = isinstance(value, int | float) and not isinstance(value, bool) and isfinite(value)
     if is_finite and minimum <= value <= maximum and not (exclusive and value == minimum):  # type: ignore[operator]
@@ -31,14 +30,14 @@
 
 
 def check_integer(key: str, value: object, unit: str, minimum: int, maximum: int = MAX_COUNT) -> None:
-    """Check that an integer is within its range. Raises ValueError, which names key, unit and value."""
+    """Check that an integer is within its range. Raises ValueError with the key, range, unit and value."""
     if type(value) is not int or not minimum <= value <= maximum:
         raise ValueError(f"{key}: must be a whole number from {minimum} to {maximum} {unit}: {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class RateSettings:
-    """A rate in requests a second; `burst` of them may come at once after a pause."""
+    """A rate in requests per second, with a token bucket of `burst` requests."""
 
     per_s: float
     burst: int = 1
@@ -51,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerTableSettings:
-    """How many callers have entries of their own.
+    """The size of a caller table.
 
-    A new caller is among the strangers at first, and is known once it has been there for `prove` seconds and
-    has had two requests admitted. A known one stays so until it is idle for `keep` seconds. Strangers have
-    `strangers` entries, and those of `known` that are free.
+    A new caller is a stranger. It becomes known once it has had an entry for `prove` seconds and two admitted
+    requests. A known caller can be evicted after `keep` idle seconds. Strangers may use `strangers` entries
+    and the free ones of `known`.
     """
 
     known: int = 1000
@@ -73,9 +72,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimitSettings:
-    """What one caller may have.
+    """The limits of one caller.
 
-    A caller that found no entry of its own in the table shares one of these with all others of its kind.
+    All callers without an entry of their own in the table share one set of these limits.
     """
 
     in_flight: int = 0
@@ -87,7 +86,7 @@
 
 
 def _check_table_keeps_buckets(caller: CallerLimitSettings | None, table: CallerTableSettings) -> None:
-    """Guard against a caller that is forgotten, and is given its burst anew, before its bucket is full."""
+    """Check that a caller is not evicted, which would reset its bucket, before that is full."""
     if caller is not None and caller.rate is not None:
         fill_seconds = caller.rate.burst / caller.rate.per_s
         check_number("table.keep", table.keep, "seconds (burst / per_s)", fill_seconds, inf)
@@ -97,14 +96,14 @@
 class FairShareSettings:
     """Fair shares between callers.
 
-    Once a pool is full except for the part `room`, only callers under their share are admitted. All strangers
-    together have the weight `strangers`.
+    Once only the share `room` of a pool's limit is free, callers over their fair share are rejected. All
+    strangers together have the weight `strangers`.
     """
 
-    over: float = 1.0  # use is measured over about so many seconds
+    over: float = 1.0  # time constant of the measured usage, in seconds
     room: float = 0.4
     strangers: float = 2.0
-    weight: Mapping[str, float] = field(default_factory=dict)  # by caller; 1 for one that is not named
+    weight: Mapping[str, float] = field(default_factory=dict)  # by caller; 1 for a caller that is not listed
 
     def __post_init__(self) -> None:
         """Check the fields. Raises ValueError."""
@@ -117,10 +116,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassPriority:
-    """A class's priority in its pool.
+    """The priority of a class in its pool.
 
-    It is admitted while the pool is filled to less than the part `fill`, and in any case while it has less
-    than the part `floor` itself, rounded down to whole requests.
+    Its requests are admitted while less than the share `fill` of the pool's limit is in use, and also while
+    the class itself uses less than the share `floor`, rounded down to whole requests.
     """
 
     name: str
@@ -137,19 +136,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AdaptiveLimitSettings:
-    """A limit on requests in flight that follows the knee of the pool's latency.
+    """A limit on requests in flight that follows the knee of the pool's latency curve.
 
-    It falls while requests take longer than `tolerance` times what they take without a queue, and otherwise
-    grows by the part `step` while it is reached.
+    It falls while the latency exceeds `tolerance` times the latency without a queue, and otherwise grows by
+    the share `step` while it is reached.
     """
 
     floor: int = 4
     ceiling: int = 1000
     start: int = 20
-    step: float = 0.1  # of the limit, one request at least, for each window
+    step: float = 0.1  # share of the limit per window, at least one request
     tolerance: float = 2.0
-    samples: int = 50  # responses that make a window; nothing is decided by fewer
-    probe_every: float = 10.0  # under pressure, the latency without a queue is measured again this often
+    samples: int = 50  # responses per window
+    probe_every: float = 10.0  # seconds between measurements of the latency without a queue
 
     def __post_init__(self) -> None:
         """Check the fields. Raises ValueError."""
@@ -164,10 +163,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptLimitSettings:
-    """Attempts in flight at a pool.
+    """Limit on attempts in flight at a pool.
 
-    Each request is sure of one. `reserve` of them are kept from new requests, for hedges and for retries
-    beside an attempt that is not over.
+    Each request can always have one. `reserve` of them are not available to new requests, but only to hedged
+    requests and to retries while another attempt is in flight.
     """
 
     most: int
@@ -181,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryAfterSettings:
-    """Retry-After: at least `least`, at most `most` seconds."""
+    """The range of Retry-After, in seconds."""
 
     least: float = 0.1
     most: float = 2.0
@@ -197,7 +196,7 @@
     """The limits of a route."""
 
     in_flight: int = 0
-    rate: RateSettings | None = None  # of all callers together
+    rate: RateSettings | None = None  # for all callers together
     caller: CallerLimitSettings | None = None
     table: CallerTableSettings = field(default_factory=CallerTableSettings)
 
@@ -212,7 +211,7 @@
     """The limits of a pool."""
 
     in_flight: int = 0
-    rate: RateSettings | None = None  # of all callers together
+    rate: RateSettings | None = None  # for all callers together
     caller: CallerLimitSettings | None = None
     table: CallerTableSettings = field(default_factory=CallerTableSettings)
     shares: FairShareSettings | None = None
@@ -222,7 +221,7 @@
     retry_after: RetryAfterSettings = field(default_factory=RetryAfterSettings)
 
     def __post_init__(self) -> None:
-        """Check the fields, each by itself and together. Raises ValueError."""
+        """Check each field and their combination. Raises ValueError."""
         check_integer("in_flight", self.in_flight, "jobs", 0)
         _check_table_keeps_buckets(self.caller, self.table)
         has_limit = self.in_flight or self.adaptive or self.claims
@@ -243,8 +242,8 @@
 class TierSettings:
     """When a tier of a pool passes part of its load on.
 
-    It is degraded once less than the part `enough` of it has been ready for `fall_after` seconds, and has
-    recovered once `back` or more has been for `rise_after` seconds.
+    It becomes degraded once less than the share `enough` of it has been available for `fall_after` seconds,
+    and recovers once a share of at least `back` has been available for `rise_after` seconds.
     """
 
     enough: float = 0.7
--- a/wheatring/daemon/routes/limiters.py
+++ b/wheatring/daemon/routes/limiters.py
@@ -1,4 +1,4 @@
-"""The counts and limits of one route and of one pool. Whether a request is admitted is in `admission`."""
+"""The counts and limits of one route and of one pool, used by `admission`."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from wheatring.daemon.routes.gcra import NEVER_USED, Gcra
 from wheatring.daemon.routes.limit_settings import ClassPriority, PoolLimitSettings, RouteLimitSettings
 
-FLOOR_KEPT_SECONDS = 2.0  # since a class last asked, in which its floor is kept free for it
-ABOVE_MEAN_ROOM_FACTOR = 1.5  # times the room, to be left by a caller that has had more than the mean
-ADVICE_WINDOW_SECONDS = 2.0  # over which requests and admissions are counted, for Retry-After
+FLOOR_KEPT_SECONDS = 2.0  # after the last request of a class, its floor stays reserved for so long
+ABOVE_MEAN_ROOM_FACTOR = 1.5  # of the room that a caller above the mean must leave free
+ADVICE_WINDOW_SECONDS = 2.0  # time constant of the counts for Retry-After
 
 
 class Shortage(NamedTuple):
     """A limit that is reached."""
 
     reason: str  # a reason code
-    wait_seconds: float  # that pass at least before it can be otherwise
+    wait_seconds: float  # until the limit may no longer be reached
 
 
 class CapacityShortage(NamedTuple):
-    """A pool that has no capacity for a request."""
+    """Why a pool has no capacity for a request."""
 
-    status: int  # of the answer
+    status: int  # HTTP status of the answer
     reason: str  # a reason code
 
 
 class ClassState:
-    """A class in its pool."""
+    """The state of a class in its pool."""
 
     __slots__ = ("in_flight", "last_request_at", "priority")
 
@@ -42,12 +42,12 @@
 
 
 class Limiter:
-    """What a route and a pool have in common."""
+    """The limits and counts that routes and pools have in common."""
 
     __slots__ = ("caller_gcra", "callers", "gcra", "in_flight", "now", "settings", "theoretical_arrival")
 
     def __init__(self, settings: RouteLimitSettings | PoolLimitSettings, now: float) -> None:
-        self.now = now  # never goes back, whatever is passed in
+        self.now = now  # never decreases, even if an earlier instant is passed in
         self.in_flight = 0
         self.theoretical_arrival = NEVER_USED
         self.gcra: Gcra | None = None
@@ -56,7 +56,7 @@
         self._apply_settings(settings)
 
     def _apply_settings(self, settings: RouteLimitSettings | PoolLimitSettings) -> None:
-        """Go by other limits from now on. Requests in flight, buckets and callers stay."""
+        """Apply new limits. Requests in flight, buckets and callers are kept."""
         shares = settings.shares if isinstance(settings, PoolLimitSettings) else None
         gcra = None if settings.rate is None else Gcra(settings.rate)
         if gcra is not None and self.gcra is not None:
@@ -79,7 +79,7 @@
         self.settings = settings
 
     def caller_shortage(self, caller: Caller) -> Shortage | None:
-        """Return which of its own limits a caller has reached."""
+        """Return the limit of its own that a caller has reached, if any."""
         own = self.settings.caller
         if own is None:
             return None
@@ -88,7 +88,7 @@
         return self._rate_shortage(self.caller_gcra, caller.theoretical_arrival, "caller-rate")
 
     def shortage(self) -> Shortage | None:
-        """Return which limit all callers together have reached."""
+        """Return the limit that all callers together have reached, if any."""
         return self._rate_shortage(self.gcra, self.theoretical_arrival, "rate")
 
     def _rate_shortage(self, gcra: Gcra | None, theoretical_arrival: int, reason: str) -> Shortage | None:
@@ -100,7 +100,7 @@
         return Shortage(reason, gcra.wait_seconds(theoretical_arrival, tick))
 
     def record_admission(self, caller: Caller | None, name: str) -> None:
-        """Count a request of the caller of that name as admitted."""
+        """Record an admitted request of the caller `name`."""
         self.in_flight += 1
         if self.gcra is not None:
             self.theoretical_arrival = self.gcra.charge(self.theoretical_arrival, self.gcra.tick(self.now))
@@ -112,7 +112,7 @@
 
 
 class RouteLimiter(Limiter):
-    """The limits of a route and what counts for them."""
+    """The limits and counts of a route."""
 
     __slots__ = ()
 
@@ -120,11 +120,11 @@
         super().__init__(settings, now)
 
     def update_settings(self, settings: RouteLimitSettings) -> None:
-        """Go by other limits from now on."""
+        """Apply new limits."""
         self._apply_settings(settings)
 
     def shortage(self) -> Shortage | None:
-        """Return which limit all callers together have reached."""
+        """Return the limit that all callers together have reached, if any."""
         limit = self.settings.in_flight
         if limit and self.in_flight >= limit:
             return Shortage("in-flight", 0.0)
@@ -132,10 +132,9 @@
 
 
 class PoolLimiter(Limiter):
-    """The limits of a pool and what counts for them.
+    """The limits and counts of a pool.
 
-    `attempts` is the sum of what each request counts for: its attempts in flight, one at least until it is
-    over.
+    `attempts` is the number of attempts in flight; a request without any counts as one until it is finished.
     """
 
     __slots__ = (
@@ -148,14 +147,14 @@
         self.attempts = 0
         self.adaptive: AdaptiveLimit | None = None
         self.classes: dict[str, ClassState] = {}
-        self.other_classes = ClassState(ClassPriority("other"))  # all that have no priority of their own
-        self._recent_requests = self._recent_admissions = 0.0  # counts that fade
+        self.other_classes = ClassState(ClassPriority("other"))  # all classes without a configured priority
+        self._recent_requests = self._recent_admissions = 0.0  # exponentially decaying counts
         self._recent_at = now
         super().__init__(settings, now)
         self.update_settings(settings)
 
     def update_settings(self, settings: PoolLimitSettings) -> None:
-        """Go by other limits from now on. What is in flight and what was learnt stays."""
+        """Apply new limits. Requests in flight and the adaptive limit are kept."""
         self._apply_settings(settings)
         self.pool_settings = settings
         if settings.adaptive is None:
@@ -171,7 +170,7 @@
             self.classes[priority.name] = state
 
     def limit(self) -> int:
-        """Return how many requests may be in flight at present; 0: there is no limit."""
+        """Return the current limit on requests in flight; 0: no limit."""
         limit = self.pool_settings.in_flight
         if self.adaptive is not None and (not limit or self.adaptive.limit < limit):
             limit = self.adaptive.limit
@@ -181,7 +180,7 @@
         return limit
 
     def record_request(self, class_name: str) -> ClassState:
-        """Count a request of a class, and return the class's state."""
+        """Record a request of a class, and return the state of the class."""
         now = self.now
         if now > self._recent_at:
             remaining = exp((self._recent_at - now) / ADVICE_WINDOW_SECONDS)
@@ -194,7 +193,7 @@
         return state
 
     def capacity_shortage(self, state: ClassState, caller: Caller | None) -> CapacityShortage | None:
-        """Return why there is no capacity for a request of that class and caller; None: there is."""
+        """Return why there is no capacity for a request of a class and caller, or None if there is."""
         limit = self.limit()
         if not limit:
             return None
@@ -213,7 +212,7 @@
         return None
 
     def _is_over_share(self, caller: Caller, class_limit: int) -> bool:
-        """Return whether the pool is so full that a caller has to leave the rest to others."""
+        """Return whether the pool is so full that the rest is reserved for callers below their share."""
         shares, in_flight = self.pool_settings.shares, self.in_flight
         if shares is None or in_flight < int((1.0 - ABOVE_MEAN_ROOM_FACTOR * shares.room) * class_limit):
             return False
@@ -225,7 +224,7 @@
         return callers.is_above_mean(caller)
 
     def _reserved_for_others(self, state: ClassState, limit: int) -> int:
-        """Return the requests for which capacity is kept, for the floors of the other classes."""
+        """Return the capacity reserved for the floors of other classes, in requests."""
         reserved = 0
         for other in self.classes.values():
             is_recent = self.now <= other.last_request_at + FLOOR_KEPT_SECONDS
@@ -234,7 +233,7 @@
         return reserved
 
     def record_class_admission(self, state: ClassState, caller: Caller | None, name: str) -> None:
-        """Count a request of a class and of the caller of that name as admitted."""
+        """Record an admitted request of a class and of the caller `name`."""
         self.record_admission(caller, name)
         self._recent_admissions += 1.0
         self.attempts += 1
@@ -243,10 +242,10 @@
             self.adaptive.on_admitted(self.in_flight)
 
     def retry_after_seconds(self, minimum: float, requests: float, admissions: float) -> float:
-        """Draw a Retry-After of `minimum` seconds or more.
+        """Draw a Retry-After of at least `minimum` seconds.
 
-        Guards against requests that were rejected together and come back together: they are spread over the
-        time in which so many are admitted.
+        Requests that are rejected at the same time are spread over the time in which so many are admitted,
+        so that they don't all return at the same time.
         """
         bounds = self.pool_settings.retry_after
         low = max(bounds.least, min(minimum, 0.5 * bounds.most))
@@ -255,5 +254,5 @@
         return low + max(0.0, high - low) * self.random.random()
 
     def recent_counts(self) -> tuple[float, float]:
-        """Return the recent requests and admissions, which fade with time."""
+        """Return the recent requests and admissions, which decay exponentially."""
         return self._recent_requests, self._recent_admissions
--- a/wheatring/daemon/routes/match.py
+++ b/wheatring/daemon/routes/match.py
@@ -1,17 +1,17 @@
-"""The precedence of routes, and whether a request meets a route's conditions.
+"""The precedence of routes, and the check of a request against a route's conditions.
 
-The precedence, stated once. Of all routes whose conditions a request meets, the first in this order gets it:
+Of all routes whose conditions a request meets, the first in this order is chosen:
 
 1. host: an exact one, then `*.NAME`, the longest first, then none;
 2. path: an exact one, then a prefix, the longest first, then an expression, then none;
-3. method: named, then not;
+3. method: stated, then any;
 4. headers: more exact ones first, then more prefixes, then more that need only be present, then the longer
    prefixes, all their lengths added up;
 5. the position in the file.
 
-So the host goes before the path: a path has its meaning within its host only. Expressions have no length
-that says how much they match, so among them what follows decides. An exact host whose routes all fail does
-not end the search: those of `*.NAME` and of no host come next.
+The host takes precedence over the path, as a path has a meaning only within its host. The length of an
+expression does not show how specific it is, so expressions are ordered by the later criteria. If no route of
+an exact host matches, the search continues with the routes of `*.NAME` and of no host.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 
 
 def precedence(match: RouteMatch) -> Precedence:
-    """Return the sort key of a route's conditions: the lower goes first.
+    """Return the sort key of a route's conditions; lower keys come first.
 
-    The position in the file is left to whoever sorts, as sorting is stable.
+    It leaves out the position in the file, as sorting is stable.
     """
     if not match.host:
         host = (2, 0)
@@ -57,7 +57,7 @@
 
 
 def condition_key(match: RouteMatch) -> tuple[object, ...]:
-    """Return a key that is equal for two matches that ask for the same."""
+    """Return a key that is equal for equivalent conditions."""
     headers = frozenset((header.name.lower(), header.exact, header.prefix) for header in match.headers)
     prefix = match.prefix and match.prefix.rstrip("/") + "/"
     return match.host, match.path, prefix, match.expression, frozenset(match.methods), headers
@@ -103,13 +103,13 @@
     method, target, fields
         The request; header names in lower case.
     is_expression_met
-        Whether the expression of these conditions, if there is one, matches the path.
+        Whether the expression in the conditions, if any, matches the path.
     """
-    found = [
+    candidates = [
         Mismatch("host", _host_mismatch(match, target.host.decode())),
         Mismatch("path", _path_mismatch(match, target.path.decode(), is_expression_met)),
     ]
     if match.methods and method.decode("latin-1") not in match.methods:
-        found.append(Mismatch("methods", f"its methods are {', '.join(match.methods)}"))
-    found += [Mismatch("headers", _header_mismatch(header, fields)) for header in match.headers]
-    return tuple(mismatch for mismatch in found if mismatch.reason)
+        candidates.append(Mismatch("methods", f"its methods are {', '.join(match.methods)}"))
+    candidates += [Mismatch("headers", _header_mismatch(header, fields)) for header in match.headers]
+    return tuple(mismatch for mismatch in candidates if mismatch.reason)
--- a/wheatring/daemon/routes/table.py
+++ b/wheatring/daemon/routes/table.py
@@ -1,9 +1,9 @@
-"""The routing table: finds the first route, in the order that `match` states, in nearly constant time.
+"""The routing table: finds the first matching route, in the order defined in `match`, in near-constant time.
 
-By host, then by path, each through a dict; prefixes by one lookup for each known length at a segment's
-border; expressions all at once; and where many routes share host and path, by the value of a header that
-they want. What is scanned linearly is routes that differ by nothing but methods, prefixes of headers or their
-presence.
+Hosts and paths are looked up in dicts. Prefixes take one lookup for each known length that ends at a segment
+boundary, and expressions are matched together. If many routes share host and path, they are indexed by the
+value of a required header. Routes that differ only in methods, prefixes of headers or the presence of headers
+are scanned linearly.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from wheatring.daemon.routes.match import condition_key, precedence
 from wheatring.daemon.routes.target import Strictness, Target, normalize_target
 
-MAX_SCANNED_ROUTES = 8  # of one host and path; more are indexed by the value of a header
+MAX_SCANNED_ROUTES = 8  # of one host and path; more are indexed by a header's value
 
-Fields = Mapping[bytes, bytes]  # by name in lower case
+Fields = Mapping[bytes, bytes]  # by lower-case name
 
 
 class ResolvedRoute(NamedTuple):
-    """The route of a request, and its target in the normal form that was matched."""
+    """The route of a request, and its normalized target."""
 
     route: Route
     target: Target
 
 
 class _Entry:
-    """A route at its position in the order, its conditions after host and path ready for use."""
+    """A route with its position in the order and its precomputed conditions on methods and headers."""
 
     __slots__ = ("header_conditions", "is_unconditional", "methods", "position", "route")
 
@@ -42,11 +42,11 @@
         self.methods = frozenset(method.encode() for method in match.methods)
         exact = [(h.name.lower().encode(), True, h.exact.encode()) for h in match.headers if h.exact]
         prefix = [(h.name.lower().encode(), False, h.prefix.encode()) for h in match.headers if not h.exact]
-        self.header_conditions = tuple(exact + prefix)  # name, whether it is exact, text
+        self.header_conditions = tuple(exact + prefix)  # (name, is exact, value or prefix)
         self.is_unconditional = not self.methods and not self.header_conditions
 
     def matches(self, method: bytes, fields: Fields) -> bool:
-        """Return whether a request of this host and path meets the other conditions."""
+        """Return whether a request that matches host and path meets the other conditions."""
         if self.is_unconditional:
             return True
         if self.methods and method not in self.methods:
@@ -58,15 +58,15 @@
         return True
 
     def exact_headers(self) -> list[tuple[bytes, bytes]]:
-        """Return name and text of the headers that are wanted exactly."""
+        """Return the names and values of the headers with an exact condition."""
         return [(name, text) for name, is_exact, text in self.header_conditions if is_exact]
 
 
 class _EntryIndex:
     """The routes of one host and path.
 
-    Where they are many, those that want a header's exact value are found by it, each under the rarest value
-    that it wants.
+    If there are many, those that require an exact value of a header are indexed by it, each by the required
+    header and value that the fewest routes share.
     """
 
     __slots__ = ("by_header", "scanned")
@@ -87,7 +87,7 @@
                 self.scanned.append(entry)
 
     def find(self, method: bytes, fields: Fields) -> _Entry | None:
-        """Return the first entry that matches."""
+        """Return the first matching entry."""
         best = None
         for entry in self.scanned:
             if entry.matches(method, fields):
@@ -104,7 +104,7 @@
 
 
 def _index_by_path(entries: Sequence[_Entry], kind: str) -> dict[bytes, _EntryIndex]:
-    """Index entries by one kind of path condition, in the order in which their texts come."""
+    """Index entries by one kind of path condition, in the order of first appearance."""
     groups: dict[bytes, list[_Entry]] = {}
     for entry in entries:
         text: str = getattr(entry.route.match, kind)
@@ -138,7 +138,7 @@
         self.any_path = _EntryIndex([e for e, m in with_match if not (m.path or m.prefix or m.expression)])
 
     def find(self, path: bytes, method: bytes, fields: Fields) -> _Entry | None:
-        """Return the first entry that matches. Raises InvalidRequestError for a path that is too long."""
+        """Return the first matching entry. Raises InvalidRequestError if the path is too long."""
         index = self.by_path.get(path)
         best = index.find(method, fields) if index is not None else None
         if best is None and self.by_prefix:
@@ -151,9 +151,9 @@
         return best or self.any_path.find(method, fields)
 
     def _find_by_prefix(self, path: bytes, method: bytes, fields: Fields) -> _Entry | None:
-        """Try the longest prefix first.
+        """Return the first matching entry with the longest matching prefix.
 
-        A path of many segments costs lookups only up to the longest prefix known.
+        The number of lookups depends on the longest known prefix, not on the length of the path.
         """
         end = len(path)
         if end > self.longest_prefix:
@@ -174,7 +174,7 @@
     Parameters
     ----------
     routes
-        In the order of the file. ValueError for two with one name, or with the same conditions.
+        In the order of the file. Raises ValueError if two have the same name or the same conditions.
     strictness
         Which spellings of a target are accepted.
     """
@@ -204,14 +204,14 @@
     def resolve(
         self, method: bytes, target: bytes, fields: Fields, repeated: frozenset[bytes] = frozenset()
     ) -> ResolvedRoute | None:
-        """Return the route of a request as it came; None: it is answered with 404.
+        """Return the route of a received request, or None if it is answered with 404.
 
         Parameters
         ----------
         method, target, fields
             The request line and the header fields.
         repeated
-            The names of header fields that came more than once.
+            The names of repeated header fields.
 
         Raises
         ------
@@ -220,19 +220,19 @@
         """
         normal = self.normalize(method, target, fields)
         if not self.deciding_headers.isdisjoint(repeated):
-            # An endpoint may use the first of them or the last, and the table uses both joined.
+            # An endpoint may use the first or the last value, but the table uses the joined values.
             raise InvalidRequestError("a header more than once that decides about the route")
         route = self.find(method, normal, fields)
         return None if route is None else ResolvedRoute(route, normal)
 
     def normalize(self, method: bytes, target: bytes, fields: Fields) -> Target:
-        """Return the normal form that is matched. Raises InvalidRequestError."""
+        """Return the normal form of a target. Raises InvalidRequestError."""
         return normalize_target(method, target, fields.get(b"host"), self.strictness)
 
     def find(self, method: bytes, target: Target, fields: Fields) -> Route | None:
-        """Return the route of a request whose target is in its normal form.
+        """Return the route of a request with a normalized target.
 
-        Raises InvalidRequestError for a path that is too long where expressions decide.
+        Raises InvalidRequestError if the path is too long to match expressions against.
         """
         host, path = target
         if host:
--- a/wheatring/daemon/routes/target.py
+++ b/wheatring/daemon/routes/target.py
@@ -1,24 +1,24 @@
-r"""Normalization of a request's target, for matching only: what is forwarded stays as it came.
-
-There is one reading, that of the loosest endpoint that decodes once. Of the path: percent escapes are
-decoded, `\` counts as `/`, a segment ends at its first `;`, empty segments and `.` are dropped, `..` removes
-the segment before it, and what is no letter, digit or one of `-._~!$&'()*+,=:@` is written as a percent
-escape in upper case. Of the host: lower case, no port, no final dot. A setting never changes a normal form;
-it only rejects spellings:
-
-- `lenient`: accepts whatever has a normal form. For endpoints that are known to read a path as above.
-- `plain`: besides, nothing that endpoints are known to read differently: no dot segment, no empty segment
-  except the last, no `\`, no `;`, no percent escape of `/ \ ; ? #`, nothing that could be decoded twice, no
-  final dot of a host, and a Host field beside an absolute target only if it names the same host. What is left
-  is read alike by every endpoint that decodes once: percent escapes of other characters, either case in them
-  and in a host, absolute targets.
-- `strict`: the path to the byte, the host up to its port and the target's kind are normal already.
-
-No setting accepts what has no normal form: control characters and NUL, raw or decoded, what is not UTF-8 once
-decoded (overlong forms included), `%` without two digits, raw bytes beyond ASCII, `#`, a path that climbs
-above its root, user information, and hosts that are neither a name, nor four decimal numbers, nor an IPv6
-address in brackets. The query is not read. The case of letters in a path counts, and so does how an accented
-one is composed.
+r"""Normalization of a request's target, for matching only: the forwarded target is unchanged.
+
+There is one interpretation, that of the most lenient endpoint that decodes once. Path: percent escapes are
+decoded, `\` is equivalent to `/`, a segment ends at its first `;`, empty segments and `.` are dropped, `..`
+removes the previous segment, and any character except letters, digits and `-._~!$&'()*+,=:@` is written as an
+upper-case percent escape. Host: lower case, no port, no trailing dot. The strictness never changes a normal
+form; it only rejects spellings:
+
+- `lenient`: accepts any target that has a normal form. For endpoints known to interpret paths as above.
+- `plain`: also rejects targets that endpoints are known to interpret differently: dot segments, empty
+  segments except the last, `\`, `;`, percent escapes of `/ \ ; ? #`, anything that could be decoded twice, a
+  trailing dot of a host, and a Host field that names another host than an absolute target. All endpoints that
+  decode once agree on the rest: percent escapes of other characters, either case in them and in a host,
+  absolute targets.
+- `strict`: accepts a target only if its form, its path byte by byte, and its host apart from the port are
+  normal already.
+
+No strictness accepts a target without a normal form: control characters and NUL, raw or decoded, invalid
+UTF-8 after decoding (including overlong encodings), `%` without two digits, raw non-ASCII bytes, `#`, a path
+that climbs above its root, user information, and hosts other than a name, a dotted IPv4 address or a
+bracketed IPv6 address. The query is ignored. Paths are case-sensitive, and Unicode is not normalized.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 from wheatring.daemon.routes.exceptions import InvalidRequestError
 
 MAX_PORT = 65535
-UNESCAPED_MARKS = "!$&'()*+,=:@"  # not escaped in a segment, besides the unreserved characters
+UNESCAPED_MARKS = "!$&'()*+,=:@"  # not escaped in a segment, in addition to unreserved characters
 
-# No path below is scanned more than once, and each pattern takes one step a byte.
+# Each pattern takes time linear in the path, as it needs no backtracking.
 _NORMAL_PATH = re.compile(rb"(?:/(?!\.{1,2}(?:/|\Z))[-A-Za-z0-9._~!$&'()*+,=:@]++)*+/?")
-_RAW_PATH = re.compile(rb"[\x21\x22\x24-\x7e]*")  # neither #, blanks, controls nor bytes beyond ASCII
+_RAW_PATH = re.compile(rb"[\x21\x22\x24-\x7e]*")  # no #, spaces, control characters or non-ASCII bytes
 _BROKEN_ESCAPE = re.compile(rb"%(?![0-9A-Fa-f]{2})")
 _CONTROL = re.compile(rb"[\x00-\x1f\x7f]")
 _SEPARATOR = re.compile(rb"%(?:2[Ff]|5[Cc]|3[BbFf]|23)|[\\;]")
@@ -50,7 +50,7 @@
 
 
 class Strictness(Enum):
-    """Which spellings of a target are accepted; each is defined in the module's docstring."""
+    """Which spellings of a target are accepted, as defined in the module's docstring."""
 
     STRICT = "strict"
     PLAIN = "plain"
@@ -60,7 +60,7 @@
 class Target(NamedTuple):
     """A target in its normal form."""
 
-    host: bytes  # b"" where the request names none
+    host: bytes  # b"" if the request names none
     path: bytes
 
 
@@ -70,7 +70,7 @@
     Raises
     ------
     InvalidRequestError
-        It has no normal form, or `strictness` rejects how it is spelled.
+        It has no normal form, or `strictness` rejects its spelling.
     """
     path = target.partition(b"?")[0]
     if path[:1] != b"/":
@@ -107,7 +107,7 @@
     Raises
     ------
     InvalidRequestError
-        It has no normal form, or `strictness` rejects how it is spelled.
+        It has no normal form, or `strictness` rejects its spelling.
     """
     if _NORMAL_PATH.fullmatch(raw) and raw:
         return raw
@@ -133,7 +133,7 @@
 
 
 def _reject_ambiguous_path(raw: bytes, decoded: bytes) -> None:
-    """Guard against a path that an endpoint may read otherwise than the routing table does."""
+    """Reject a path that an endpoint may interpret differently than the routing table."""
     if _SEPARATOR.search(raw):
         raise InvalidRequestError("a separator in the path that nodes read differently")
     if _ESCAPE.search(decoded):
@@ -145,7 +145,7 @@
 
 
 def _resolve_segments(decoded: bytes) -> bytes:
-    """Resolve dot segments, drop empty ones and parameters, and escape what is left."""
+    """Resolve dot segments, drop empty segments and parameters, and escape the result."""
     segments: list[bytes] = []
     last = b""
     for part in decoded.replace(b"\\", b"/").split(b"/")[1:]:
@@ -163,12 +163,12 @@
 
 @lru_cache(maxsize=256)
 def normalize_host(raw: bytes, strictness: Strictness = Strictness.LENIENT) -> bytes:
-    """Return the normal form of a Host field or an authority; an empty one stays empty.
+    """Return the normal form of a Host field or an authority; empty if that is empty.
 
     Raises
     ------
     InvalidRequestError
-        It has no normal form, or `strictness` rejects how it is spelled.
+        It has no normal form, or `strictness` rejects its spelling.
     """
     if not raw:
         return raw
@@ -177,7 +177,7 @@
         raise InvalidRequestError("a host that can't be read")
     name = match[1].lower()
     normal = _normalize_ipv6(name[1:-1]) if name[:1] == b"[" else _normalize_name(name, strictness)
-    # A port without digits is a port left out, which only a strict reader minds.
+    # A colon without a port is equivalent to no port; only `STRICT` rejects it.
     if strictness is Strictness.STRICT and (normal != match[1] or match[2] == b":"):
         raise InvalidRequestError("a host that is not in its plain form")
     return normal
@@ -196,7 +196,7 @@
     if not _LABELS.fullmatch(name):
         raise InvalidRequestError("a host that is not a name in its plain form")
     if _NUMBER.fullmatch(name.rpartition(b".")[2]):
-        # Readers of odd numbers take 0x7f.1 and 127.1 for an address.
+        # Some parsers read 0x7f.1 and 127.1 as IPv4 addresses.
         try:
             IPv4Address(name.decode())
         except ValueError:
--- a/wheatring/daemon/routes/tiers.py
+++ b/wheatring/daemon/routes/tiers.py
@@ -1,8 +1,9 @@
-"""Priority tiers within a pool: which of them a request goes to, the primary first.
+"""Priority tiers within a pool: chooses the tier of each request, the primary first.
 
-Load is measured in the size of the first tier that has one. A tier that is not degraded takes all that
-reaches it, if it is no smaller than that; else it takes what the part of it that is ready can serve, and
-passes the rest on. What no tier has capacity for is spread over all of them by what they have.
+The reference for load is the total weight of the first tier that is not empty. A tier that is at least as
+large and not degraded takes the entire load that reaches it. Any other tier takes what its ready part can
+serve and passes the rest on to the next tier. Load beyond the capacity of all tiers is spread over them by
+their capacity.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 
 from wheatring.daemon.routes.limit_settings import TierSettings, check_number
 
-# Of the load, to a degraded tier: so that nothing is passed on and nothing comes back at the same instant.
+# Below 1, so that a degraded tier passes some load on until the transition in which it recovers.
 MAX_DEGRADED_SHARE = 0.95
 ROUNDING_TOLERANCE = 1e-9  # requests
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """A tier at present. Weights of endpoints are added up; an endpoint of weight 0 is sent nothing."""
+    """A tier's current capacity, as sums of endpoint weights. An endpoint of weight 0 gets no requests."""
 
     ready: float  # weight of the endpoints that are ready
     total: float  # weight of all endpoints that are listed
-    answer_ratio: float = 1.0  # of the requests that the ready ones are sent, those that they answer
+    answer_ratio: float = 1.0  # share of requests to ready endpoints that are answered
 
     def __post_init__(self) -> None:
         """Check the fields. Raises ValueError."""
@@ -34,7 +35,7 @@
 
     @property
     def available_ratio(self) -> float:
-        """The part of the tier that serves requests."""
+        """The share of the tier that serves requests."""
         return self.ready * self.answer_ratio / self.total if self.total else 0.0
 
 
@@ -42,10 +43,10 @@
 
 
 class Tier:
-    """One tier of a pool, and whether it is degraded: then it passes part of its load on.
+    """One tier of a pool. While it is degraded it passes part of its load on.
 
-    `crossed_at` is the instant since which it has been beyond the threshold that would change this; infinite
-    while it is not.
+    `crossed_at` is the instant at which its capacity crossed the threshold for the next transition; infinite
+    if it has not.
     """
 
     __slots__ = ("capacity", "credit", "crossed_at", "has_report", "is_degraded", "share")
@@ -54,15 +55,15 @@
         self.capacity = NO_CAPACITY
         self.is_degraded = False
         self.crossed_at = inf
-        self.share = 0.0  # of the requests
-        self.credit = 0.0  # requests that it is due beyond those it has had
-        self.has_report = False  # its capacity has been reported
+        self.share = 0.0  # of the pool's requests
+        self.credit = 0.0  # requests that it is still due by its share
+        self.has_report = False  # whether a capacity has been reported
 
     def update(self, now: float, capacity: Capacity, settings: TierSettings) -> None:
-        """Take in the tier's capacity at an instant."""
+        """Update the tier's capacity."""
         self.capacity = capacity
         if not self.has_report:
-            # Nothing was sent under an earlier state: there is no reason to wait.
+            # No requests were sent in an earlier state, so the first transition needs no delay.
             self.has_report = True
             self.is_degraded = capacity.available_ratio < settings.enough
         if self.is_degraded:
@@ -72,11 +73,11 @@
         self.crossed_at = min(self.crossed_at, now) if is_beyond else inf
 
     def transition_at(self, settings: TierSettings) -> float:
-        """Return the instant at which it becomes degraded, or recovers, if nothing changes."""
+        """Return the instant of the next transition if the capacity does not change."""
         return self.crossed_at + (settings.rise_after if self.is_degraded else settings.fall_after)
 
     def max_share(self, required_weight: float, settings: TierSettings) -> float:
-        """Return the part of the entire load that it can take, of a load that needs so much weight."""
+        """Return the share that it can take of a load that requires this weight."""
         available = self.capacity.ready * self.capacity.answer_ratio
         if not available:
             return 0.0
@@ -86,35 +87,35 @@
 
 
 class TierSelector:
-    """The tiers of one pool, the primary first. Instants must not go back."""
+    """The tiers of one pool, the primary first. Instants must not decrease."""
 
     __slots__ = ("_credit_bound", "next_transition", "settings", "tiers")
 
     def __init__(self, count: int, settings: TierSettings) -> None:
         self.settings = settings
         self.tiers = [Tier() for _ in range(count)]
-        self.next_transition = inf  # when the shares change if nothing is reported
+        self.next_transition = inf  # when the shares change if no capacity does
         self._credit_bound = 1.0 - 1.0 / max(2.0, 2.0 * count - 2.0)
 
     def update(self, now: float, capacities: Sequence[Capacity]) -> None:
-        """Take in the capacities of all tiers at an instant."""
+        """Update the capacities of all tiers."""
         for tier, capacity in zip(self.tiers, capacities, strict=True):
             tier.update(now, capacity, self.settings)
         self._run_transitions(now)
 
     def shares(self, now: float) -> list[float]:
-        """Return the part of the requests that each tier gets. All are 0 where no endpoint is ready."""
+        """Return each tier's share of the requests. All are 0 if no endpoint is ready."""
         if now >= self.next_transition:
             self._run_transitions(now)
         return [tier.share for tier in self.tiers]
 
     def pick(self, now: float) -> int | None:
-        """Return the index of the tier for the next request; None: no tier has an endpoint that is ready.
+        """Return the index of the tier for the next request, or None if no endpoint is ready.
 
-        After any number of requests with the same shares, no tier of two has had more or less than its share
-        by over half a request, and no tier of any number by an entire one (chairman assignment, Tijdeman):
-        each request goes, of those that would not be ahead of their share by it, to the one that would be
-        behind by too much first.
+        Uses Tijdeman's algorithm for the chairman assignment problem: among the tiers that the request would
+        not put too far ahead of their share, it goes to the one that would otherwise fall too far behind
+        first. With constant shares, the count of a tier then deviates from its share by at most half a
+        request with two tiers, and by less than one request with more.
         """
         if now >= self.next_transition:
             self._run_transitions(now)
@@ -137,7 +138,7 @@
     def _run_transitions(self, now: float) -> None:
         settings = self.settings
         for tier in self.tiers:
-            # A tier with nothing left is degraded at once: there is nobody to wait for.
+            # An empty tier is degraded immediately, as it can't serve requests during the delay.
             is_empty = not tier.is_degraded and not tier.capacity.available_ratio
             if now >= tier.transition_at(settings) or is_empty:
                 tier.is_degraded = not tier.is_degraded
@@ -154,7 +155,7 @@
             tier.share = min(rest, tier.max_share(required_weight, settings))
             rest -= tier.share
         if rest > 0.0:
-            # Where endpoints are ready and none answers, they are all there is.
+            # If no ready endpoint answers, requests still go to the ready endpoints.
             weights = [tier.capacity.ready * tier.capacity.answer_ratio for tier in tiers]
             if not sum(weights):
                 weights = [tier.capacity.ready for tier in tiers]
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -168,7 +168,7 @@
             self._start_admin()
         self.machine_list.load_cached(self.platform.known)
         if self.pools is not None:
-            self.pools.known()
+            self.pools.start_own_lists()
         if self.fleet is not None and not self.fleet.is_ready:
             self.fleet.start()
             self._open_with_plan(self.clock.now() + PLAN_WAIT_SECONDS)
