--- a/tests/daemon/http1/test_endpoint_connection.py
+++ b/tests/daemon/http1/test_endpoint_connection.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.daemon.http1.attempts import accept_request, apply_list, kept_connection, submit
-from tests.daemon.pools.pools_world import TWO, PoolsWorld
+from tests.daemon.pools.pools_world import TWO_POOLS, PoolsWorld
 from tests.daemon.pools.test_pool_set import submit_routed
 from tests.support.world import Peer, World, entry
 from wheatring.balancer.interface import Outcome
@@ -277,7 +277,7 @@
     make: Make, tmp_path: Path, more: dict[str, Any]
 ) -> None:
     """Also where it serves on, at the same address, in another pool."""
-    world = PoolsWorld(make(0).sockets, tmp_path, TWO)
+    world = PoolsWorld(make(0).sockets, tmp_path, TWO_POOLS)
 
     def notify_during_connect() -> list[object]:
         world.pools.router.change_weights("all", {"old": 1})
--- a/tests/daemon/pools/pools_world.py
+++ b/tests/daemon/pools/pools_world.py
@@ -1,4 +1,4 @@
-"""A sidecar with several pools, amid scripted peers: nodes by pool, and lists of their own."""
+"""A sidecar with several pools and scripted peers: callers, endpoints and list servers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from wheatring.daemon.configuration import first_invalid_route, reload_configuration
 from wheatring.daemon.pools.pool_set import PoolSet
 
-TWO = """
+TWO_POOLS = """
 [pool.old]
 zone = "a"
 [pool.new]
@@ -21,11 +21,11 @@
 weights = { old = 3, new = 1 }
 """
 T = TypeVar("T")
-TURNS = 20_000  # of the reactor, until something that must come counts as missing
+MAX_ITERATIONS = 20_000  # of the reactor, until an expected condition counts as not met
 
 
 class PoolsWorld(World):
-    """`zones` are those of the nodes n0, n1 and so on, in the platform's list."""
+    """A world with pools. `zones` are those of the endpoints n0, n1 and so on in the platform's list."""
 
     def __init__(
         self,
@@ -33,15 +33,17 @@
         folder: Path,
         text: str,
         zones: str = "ab",
-        **more: Any,
+        **arguments: Any,
     ) -> None:
         self.file = folder / "w.toml"
         self.zones = zones
-        self.taken: dict[int, Wire] = {}
+        self.connections: dict[int, Wire] = {}
         self.file.write_text(text, encoding="utf-8")
-        own = str(self.file)
-        configuration = read(own, first_invalid_route)
-        super().__init__(sockets, len(zones), configuration_path=own, configuration=configuration, **more)
+        path = str(self.file)
+        configuration = read(path, first_invalid_route)
+        super().__init__(
+            sockets, len(zones), configuration_path=path, configuration=configuration, **arguments
+        )
 
     def known(self) -> list[dict[str, Any]]:
         return [entry(f"n{n}", peer, zone=self.zones[n]) for n, peer in enumerate(self.nodes)]
@@ -55,35 +57,35 @@
         self.file.write_text(text, encoding="utf-8")
         self.run(lambda: reload_configuration(self.sidecar))
 
-    def call(self, path: str = "/menu", more: str = "", wire: Wire | None = None) -> Wire:
+    def call(self, path: str = "/menu", headers: str = "", wire: Wire | None = None) -> Wire:
         wire = wire or self.caller()
         self.asked += 1
-        fields = f"X-Correlation-Id: c{self.asked}\r\n{more}"
+        fields = f"X-Correlation-Id: c{self.asked}\r\n{headers}"
         wire.send(f"GET {path} HTTP/1.1\r\nHost: shop\r\n{fields}\r\n".encode())
         return wire
 
-    def met(self, call: Callable[[], T]) -> T:
-        """Return the result of a call in the reactor, once it is true."""
-        for _ in range(TURNS):
-            if found := self.run(call):
-                return found
+    def wait_for(self, call: Callable[[], T]) -> T:
+        """Repeat a call in the reactor until its result is true, and return the result."""
+        for _ in range(MAX_ITERATIONS):
+            if result := self.run(call):
+                return result
             self.settle()
-        raise AssertionError("it never came")
+        raise AssertionError("condition not met within the limit of iterations")
 
-    def busy(self) -> list[str]:
-        """Return the pools that have a request, once one has."""
-        return self.met(lambda: [m.name for m in self.pools.all() if m.driver.open_requests])
+    def pools_with_requests(self) -> list[str]:
+        """Return the names of the pools with a request, once there is one."""
+        return self.wait_for(lambda: [pool.name for pool in self.pools.all() if pool.driver.open_requests])
 
-    def at(self, node: int) -> Wire:
-        """Return the next request at an endpoint, on the connection that it keeps; the test answers it."""
-        if node not in self.taken:
-            self.taken[node] = self.nodes[node].accept()
-        self.taken[node].read()
-        return self.taken[node]
+    def next_request_at(self, node: int) -> Wire:
+        """Read the next request at an endpoint and return its connection, where the test answers it."""
+        if node not in self.connections:
+            self.connections[node] = self.nodes[node].accept()
+        self.connections[node].read()
+        return self.connections[node]
 
-    def served(self, pool: str, node: int, path: str = "/menu") -> None:
-        """One request goes to that pool, and is answered by that node of it."""
+    def assert_served(self, pool: str, node: int, path: str = "/menu") -> None:
+        """Assert that a request goes to a pool and is answered by one of its endpoints."""
         caller = self.call(path)
-        assert self.busy() == [pool]
-        self.at(node).answer(200, pool.encode())
+        assert self.pools_with_requests() == [pool]
+        self.next_request_at(node).answer(200, pool.encode())
         assert caller.read()[2] == pool.encode()
--- a/tests/daemon/pools/test_configuration.py
+++ b/tests/daemon/pools/test_configuration.py
@@ -1,4 +1,4 @@
-"""Pools and routes in the configuration file: refused in one line, and nothing without them."""
+"""Pools and routes in the configuration file: errors on one line, and no imports without them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.daemon.pools.pools_world import TWO
+from tests.daemon.pools.pools_world import TWO_POOLS
 from tests.support.process import running_process, wait_for_line
 from tests.support.world import WAIT_LIMIT_SECONDS
 from wheatring.__main__ import main
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("[pool.a]\n", ":1: pool: needs a [route.NAME]"),
         ("[route.a]\nweights = { a = 1 }\n", ":1: route: needs a [pool.NAME]"),
@@ -38,64 +38,64 @@
         (ROUTE + "[route.s]\nweights = { a = 1 }\n", ":2: route: s: the same conditions as r"),
     ],
 )
-def test_what_can_not_be_used_is_reported_on_one_line_with_file_line_and_key(
-    text: str, said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_invalid_tables_are_reported_on_one_line_with_file_line_and_key(
+    text: str, message: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    where = tmp_path / "w.toml"
-    where.write_text(text, encoding="utf-8")
-    assert main(["check", str(where)]) == 2
+    path = tmp_path / "w.toml"
+    path.write_text(text, encoding="utf-8")
+    assert main(["check", str(path)]) == 2
     out, err = capsys.readouterr()
-    assert out == "" and err.count("\n") == 1 and f"{where}{said}" in err
-    where.write_text(ROUTE, encoding="utf-8")
-    assert main(["check", str(where)]) == 0
+    assert out == "" and err.count("\n") == 1 and f"{path}{message}" in err
+    path.write_text(ROUTE, encoding="utf-8")
+    assert main(["check", str(path)]) == 0
 
 
 @pytest.mark.parametrize(
-    ("text", "arguments", "said"),
+    ("text", "arguments", "message"),
     [
-        (TWO, ("--capture",), "route: not with --capture"),
+        (TWO_POOLS, ("--capture",), "route: not with --capture"),
         (
-            TWO.replace("[route.all]", "[route.all]\nclass_name = 'x'"),
+            TWO_POOLS.replace("[route.all]", "[route.all]\nclass_name = 'x'"),
             (),
             "route.all.class_name: not a class",
         ),
         (
-            TWO.replace('"a"', '"a"\nleast = 9999'),
+            TWO_POOLS.replace('"a"', '"a"\nleast = 9999'),
             (),
             "pool: least: 10003 connections together, and there are",
         ),
     ],
 )
-def test_what_does_not_agree_with_the_platform_file_ends_the_start(
-    text: str, arguments: tuple[str, ...], said: str, tmp_path: Path
+def test_a_conflict_with_the_platform_file_fails_the_start(
+    text: str, arguments: tuple[str, ...], message: str, tmp_path: Path
 ) -> None:
-    where = tmp_path / "w.toml"
-    where.write_text(text, encoding="utf-8")
+    path = tmp_path / "w.toml"
+    path.write_text(text, encoding="utf-8")
     with running_process(
-        tmp_path, "", subprocess.PIPE, arguments=("--config", str(where), *arguments)
+        tmp_path, "", subprocess.PIPE, arguments=("--config", str(path), *arguments)
     ) as process:
         _, err = process.communicate(timeout=WAIT_LIMIT_SECONDS)
-    assert process.returncode == 2 and err == f"wheatring: {where}: {err.partition(f'{where}: ')[2]}"
-    assert said in err and err.count("\n") == 1
+    assert process.returncode == 2 and err == f"wheatring: {path}: {err.partition(f'{path}: ')[2]}"
+    assert message in err and err.count("\n") == 1
 
 
-def loaded(folder: Path, text: str) -> set[str]:
+def loaded_modules(folder: Path, text: str) -> set[str]:
     (folder / "w.toml").write_text(text, encoding="utf-8")
     arguments = ("--config", str(folder / "w.toml"))
     with running_process(folder, "", subprocess.PIPE, "-X", "importtime", arguments=arguments) as process:
         wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
-        _, told = process.communicate(timeout=WAIT_LIMIT_SECONDS)
+        _, stderr = process.communicate(timeout=WAIT_LIMIT_SECONDS)
     assert process.returncode == 0
-    return {line.rpartition("|")[2].strip() for line in told.splitlines()}
+    return {line.rpartition("|")[2].strip() for line in stderr.splitlines()}
 
 
-def test_a_file_without_routes_loads_nothing_of_them(tmp_path: Path) -> None:
-    without, with_them = loaded(tmp_path, "[list]\n"), loaded(tmp_path, TWO)
-    mine = ("wheatring.daemon.routes", "wheatring.daemon.pools")
-    assert not [name for name in without if name.startswith(mine)]
-    new = {name for name in with_them - without if name.startswith("wheatring.")}
-    assert {name for name in new if not name.startswith(mine)} <= {
+def test_a_file_without_routes_imports_no_routing_modules(tmp_path: Path) -> None:
+    without_routes, with_routes = loaded_modules(tmp_path, "[list]\n"), loaded_modules(tmp_path, TWO_POOLS)
+    routing_packages = ("wheatring.daemon.routes", "wheatring.daemon.pools")
+    assert not [name for name in without_routes if name.startswith(routing_packages)]
+    added = {name for name in with_routes - without_routes if name.startswith("wheatring.")}
+    assert {name for name in added if not name.startswith(routing_packages)} <= {
         "wheatring.common.errors", "wheatring.daemon.lifecycle.endpoint_overrides",
     }  # fmt: skip
-    assert "wheatring.daemon.pools.pool_set" in new
+    assert "wheatring.daemon.pools.pool_set" in added
--- a/tests/daemon/pools/test_endpoint_selection.py
+++ b/tests/daemon/pools/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""What pools share and what each hears of the one list, held to their promises against obvious oracles."""
+"""The connection budget and the selection of endpoints, against simple reference implementations."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from wheatring.daemon.pools.connection_budget import ConnectionUsage, available
 from wheatring.daemon.pools.endpoint_selection import EndpointSelection
 
-MINIMUMS = st.lists(st.integers(0, 4), min_size=1, max_size=4)
+RESERVES = st.lists(st.integers(0, 4), min_size=1, max_size=4)
 
 
 @given(
-    MINIMUMS,
+    RESERVES,
     st.integers(0, 4),
     st.lists(st.tuples(st.integers(0, 3), st.sampled_from([True] * 4 + [False])), min_size=20),
 )
-def test_all_hold_no_more_than_there_is_and_each_can_have_its_own(
-    minimums: list[int], more: int, steps: list[tuple[int, bool]]
+def test_the_sum_in_use_stays_within_the_total_and_each_pool_can_reach_its_reserve(
+    reserves: list[int], unreserved: int, steps: list[tuple[int, bool]]
 ) -> None:
-    total, in_use = sum(minimums) + more, [0] * len(minimums)
+    total, in_use = sum(reserves) + unreserved, [0] * len(reserves)
 
-    def may(pool: int) -> int:
+    def allowed(pool: int) -> int:
         others = [
-            ConnectionUsage(*each) for n, each in enumerate(zip(in_use, minimums, strict=True)) if n != pool
+            ConnectionUsage(*usage) for n, usage in enumerate(zip(in_use, reserves, strict=True)) if n != pool
         ]
         return available(total, others)
 
-    for pool, grows in steps:
-        pool %= len(minimums)
-        if grows and in_use[pool] < may(pool):
+    for pool, is_growing in steps:
+        pool %= len(reserves)
+        if is_growing and in_use[pool] < allowed(pool):
             in_use[pool] += 1
-        elif not grows and in_use[pool]:
+        elif not is_growing and in_use[pool]:
             in_use[pool] -= 1
         assert sum(in_use) <= total
-        for n, own in enumerate(minimums):
-            assert in_use[n] >= own or in_use[n] < may(n)
-    if len(minimums) == 1:
-        assert may(0) == total  # nobody else's: all of it
+        for n, reserve in enumerate(reserves):
+            assert in_use[n] >= reserve or in_use[n] < allowed(n)
+    if len(reserves) == 1:
+        assert allowed(0) == total  # a single pool may use the total
 
 
 ENTRIES = st.builds(
@@ -67,8 +67,8 @@
 )
 
 
-def heard(views: list[View]) -> dict[str, EndpointEntry]:
-    """Return the endpoints that follow from views, applied as they say."""
+def listed_endpoints(views: list[View]) -> dict[str, EndpointEntry]:
+    """Return the endpoints listed after applying these views."""
     listed: dict[str, EndpointEntry] = {}
     for view in views:
         if view.kind is ViewKind.FAILED:
@@ -83,21 +83,21 @@
 
 
 @given(VIEWS, TABLES, st.integers(0, 8))
-def test_a_pool_knows_just_the_matching_endpoints_of_the_list_whenever_it_came(
-    views: list[View], table: PoolTable, came: int
+def test_a_pool_has_exactly_the_matching_endpoints_whenever_it_is_created(
+    views: list[View], table: PoolTable, created_at: int
 ) -> None:
-    word, selection = EndpointListState(), EndpointSelection(table)
-    told = []
+    list_state, selection = EndpointListState(), EndpointSelection(table)
+    selected_views = []
     for number, view in enumerate(views):
-        if number == came:
-            told.append(selection.select(word.full_view()))
-        word.view(view)
-        if number >= came:
-            told.append(selection.select(view))
-    if came < len(views):
-        whole = heard(views)
-        fitting = {name: e for name, e in whole.items() if selection.matches(e)}
-        assert heard(told) == fitting and selection.names == set(fitting)
-        entries = [e for view in told if view.kind is not ViewKind.FAILED for e in view.entries]
-        ever = {e.endpoint for e in entries if selection.matches(e)}
-        assert {e.endpoint for e in entries} <= ever  # of who never fitted it hears nothing
+        if number == created_at:
+            selected_views.append(selection.select(list_state.full_view()))
+        list_state.view(view)
+        if number >= created_at:
+            selected_views.append(selection.select(view))
+    if created_at < len(views):
+        all_endpoints = listed_endpoints(views)
+        matching = {name: e for name, e in all_endpoints.items() if selection.matches(e)}
+        assert listed_endpoints(selected_views) == matching and selection.names == set(matching)
+        entries = [e for view in selected_views if view.kind is not ViewKind.FAILED for e in view.entries]
+        ever_matching = {e.endpoint for e in entries if selection.matches(e)}
+        assert {e.endpoint for e in entries} <= ever_matching  # others are never reported
--- a/tests/daemon/routes/test_adaptive_limit.py
+++ b/tests/daemon/routes/test_adaptive_limit.py
@@ -1,4 +1,4 @@
-"""The adaptive limit: it finds the knee, follows it, and is not fooled by a pool that is slow by itself."""
+"""The adaptive limit finds and follows the knee, and tells a higher service time from a queue."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def goodput(world: PoolWorld, load: float, seconds: int, seed: int) -> list[float]:
-    """Jobs served in time, in parts of what the pool can do, second by second under a steady load."""
+    """Return the goodput of each second under a steady load, as a share of the pool's capacity."""
     start = world.time.now()
     world.arrive(load * PEAK, "a", "c", str(seed), start + seconds)
     served = [0]
@@ -29,39 +29,39 @@
 
 
 @pytest.mark.parametrize(("start", "cv"), [(4, 0.01), (20, 1.5), (300, 1.5)])
-def test_it_holds_the_peak_at_three_times_overload_where_none_collapses(start: int, cv: float) -> None:
+def test_it_keeps_peak_goodput_at_three_times_overload_where_no_limit_collapses(
+    start: int, cv: float
+) -> None:
     limits = PoolLimitSettings(adaptive=AdaptiveLimitSettings(start=start))
-    found = [mean(goodput(PoolWorld(limits, seed=seed, cv=cv), 3.0, 12, seed)[5:]) for seed in (1, 2)]
-    assert min(found) > 0.9
-    right = PoolLimitSettings(in_flight=12)
-    assert mean(found) > mean(goodput(PoolWorld(right, cv=cv), 3.0, 8, 1)[2:]) - 0.06
+    rates = [mean(goodput(PoolWorld(limits, seed=seed, cv=cv), 3.0, 12, seed)[5:]) for seed in (1, 2)]
+    assert min(rates) > 0.9
+    best_fixed = PoolLimitSettings(in_flight=12)
+    assert mean(rates) > mean(goodput(PoolWorld(best_fixed, cv=cv), 3.0, 8, 1)[2:]) - 0.06
     assert mean(goodput(PoolWorld(PoolLimitSettings(), cv=cv), 3.0, 8, 1)[4:]) < 0.05
 
 
-def test_it_rejects_nobody_where_there_is_no_pressure() -> None:
+def test_it_rejects_no_request_without_overload() -> None:
     world = PoolWorld(PoolLimitSettings(adaptive=AdaptiveLimitSettings()))
-    world.time.at(world.time.now() + 5, setattr, world, "extra", 0.02)
+    world.time.at(world.time.now() + 5, setattr, world, "extra_latency", 0.02)
     goodput(world, 0.3, 15, 1)
     assert sum(world.rejected.values()) == 0
 
 
 @pytest.mark.parametrize(("at", "extra"), [(5.3, 0.04), (6.1, 0.06)])
-def test_a_latency_that_rises_by_itself_is_learnt_within_the_time_between_probes(
-    at: float, extra: float
-) -> None:
+def test_a_higher_service_time_is_measured_within_one_probe_interval(at: float, extra: float) -> None:
     world = PoolWorld(PoolLimitSettings(adaptive=AdaptiveLimitSettings(probe_every=5.0)))
-    world.time.at(world.time.now() + at, setattr, world, "extra", extra)
-    found = goodput(world, 3.0, 18, 1)
+    world.time.at(world.time.now() + at, setattr, world, "extra_latency", extra)
+    rates = goodput(world, 3.0, 18, 1)
     adaptive = world.pool.adaptive
     assert adaptive is not None and adaptive.base_latency > extra
-    assert mean(found[int(at) + 6 :]) > 0.88
-    # Back to the old latency: the base falls, and the limit with it, to about the knee.
-    world.extra = 0.0
+    assert mean(rates[int(at) + 6 :]) > 0.88
+    # With the former latency, the base and the limit fall again to about the knee.
+    world.extra_latency = 0.0
     assert mean(goodput(world, 3.0, 18, 2)[14:]) > 0.9
     assert adaptive.base_latency < 1.5 * MEAN and adaptive.limit < 3 * CORES
 
 
-def test_half_of_the_cores_lost_halve_the_limit_and_not_what_is_left() -> None:
+def test_losing_half_of_the_cores_halves_the_limit_and_keeps_the_remaining_goodput() -> None:
     world = PoolWorld(PoolLimitSettings(adaptive=AdaptiveLimitSettings()), cv=0.5)
     goodput(world, 3.0, 10, 1)
     adaptive = world.pool.adaptive
@@ -71,7 +71,7 @@
     assert adaptive.limit < 1.8 * CORES
 
 
-def test_fewer_answers_than_a_window_move_nothing_and_no_probe_is_without_end() -> None:
+def test_an_incomplete_window_changes_nothing_and_a_probe_ends_without_responses() -> None:
     adaptive = AdaptiveLimit(AdaptiveLimitSettings(samples=50, probe_every=5.0), 0.0)
     adaptive.on_admitted(20)
     for _ in range(49):
@@ -79,14 +79,14 @@
     assert (adaptive.limit, adaptive.base_latency, adaptive.is_probing) == (20, 0.0, False)
     adaptive.on_response(9.0, 9.0, 19)
     assert adaptive.is_probing and adaptive.limit < 20
-    adaptive.on_rejected(14.1)  # nothing has been answered since
+    adaptive.on_rejected(14.1)  # no response since then
     assert not adaptive.is_probing and adaptive.limit >= 20
 
 
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["took", "away", "answer", "answer", "late"]),
+            st.sampled_from(["admitted", "rejected", "response", "response", "abandoned"]),
             st.floats(0, 2),
             st.integers(0, 120),
             st.floats(0, 100),
@@ -94,21 +94,23 @@
         max_size=300,
     )
 )
-def test_whatever_it_hears_it_stays_within_its_bounds(events: list[tuple[str, float, int, float]]) -> None:
-    law = AdaptiveLimitSettings(floor=3, ceiling=100, start=50, samples=20, probe_every=1.0)
-    adaptive, now = AdaptiveLimit(law, 0.0), 0.0
-    for what, step, out, latency in events:
+def test_any_sequence_of_events_keeps_the_limit_within_its_bounds(
+    events: list[tuple[str, float, int, float]],
+) -> None:
+    settings = AdaptiveLimitSettings(floor=3, ceiling=100, start=50, samples=20, probe_every=1.0)
+    adaptive, now = AdaptiveLimit(settings, 0.0), 0.0
+    for event, step, in_flight, latency in events:
         now += step
         before = adaptive.limit
-        match what:
-            case "took":
-                adaptive.on_admitted(out)
-            case "away":
+        match event:
+            case "admitted":
+                adaptive.on_admitted(in_flight)
+            case "rejected":
                 adaptive.on_rejected(now)
-            case "answer":
-                adaptive.on_response(now, latency, out)
-            case "late":
-                adaptive.on_abandoned(now, latency, out)
+            case "response":
+                adaptive.on_response(now, latency, in_flight)
+            case "abandoned":
+                adaptive.on_abandoned(now, latency, in_flight)
         assert 3 <= adaptive.limit <= 100
-        if not adaptive.is_probing and what == "took":
+        if not adaptive.is_probing and event == "admitted":
             assert adaptive.limit == before
--- a/tests/daemon/routes/test_admission.py
+++ b/tests/daemon/routes/test_admission.py
@@ -202,7 +202,7 @@
     world.arrive(4 * PEAK, "a", crowd, "s", until)
     world.arrive(0.2 * PEAK, "b", other, "s", until)
     world.run(until + 1)
-    share = world.count(world.served, kind=other) / world.count(world.asked, kind=other)
+    share = world.count(world.served, class_name=other) / world.count(world.requested, class_name=other)
     if other == "place-order":
         assert share > 0.99
     else:  # its floor is 3 of 30 requests: a tenth of the capacity, half of its load
--- a/tests/daemon/routes/test_callers.py
+++ b/tests/daemon/routes/test_callers.py
@@ -53,7 +53,7 @@
     admissions = []
     for step in range(30):  # 90 known callers, ten requests per second each
         for number in range(90):
-            decision = admit(0.1 * step, None, limiter, f"honest-{number}", "c")
+            decision = admit(0.1 * step, None, limiter, f"regular-{number}", "c")
             assert isinstance(decision, Admission)
             admissions.append(decision)
     for admission in admissions[:-90]:
@@ -100,13 +100,13 @@
     world = PoolWorld(limits, seed=seed)
     start = world.time.now()
     for number in range(10):
-        world.arrive(load * PEAK / 10, f"honest-{number}", "c", str(seed), start + 16)
+        world.arrive(load * PEAK / 10, f"regular-{number}", "c", str(seed), start + 16)
     world.run(start + 3)
     for caller, rate in noise:
         world.arrive(rate, caller, "c", str(seed), start + 16)
     world.run(start + 17)
-    request_count = sum(n for (caller, _), n in world.asked.items() if caller.startswith("honest"))
-    return sum(n for (caller, _), n in world.served.items() if caller.startswith("honest")) / request_count
+    request_count = sum(n for (caller, _), n in world.requested.items() if caller.startswith("regular"))
+    return sum(n for (caller, _), n in world.served.items() if caller.startswith("regular")) / request_count
 
 
 @pytest.mark.parametrize(
--- a/tests/daemon/routes/test_table.py
+++ b/tests/daemon/routes/test_table.py
@@ -1,4 +1,4 @@
-"""The table against a slow, obvious oracle, and what keeps it quick."""
+"""The routing table against a simple reference implementation, and bounds on its lookups."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 POOLS, CLASS = (WeightedPool("menu"),), ClassSource(first_part=True)
 
 
-def made(*matches: RouteMatch) -> list[Route]:
+def routes_for(*matches: RouteMatch) -> list[Route]:
     return [Route(f"r{i}", match, POOLS, CLASS) for i, match in enumerate(matches)]
 
 
@@ -36,27 +36,29 @@
 ]
 HEADERS += [HeaderMatch("X-Env", prefix="g"), HeaderMatch("X-Who", prefix="g")]
 
-PLACES: st.SearchStrategy[dict[str, str]] = st.one_of(
+PATH_CONDITIONS: st.SearchStrategy[dict[str, str]] = st.one_of(
     st.just({}),
     st.sampled_from(PATHS).map(lambda path: {"path": path}),
     st.sampled_from(PATHS).map(lambda path: {"prefix": path}),
     st.sampled_from(EXPRESSIONS).map(lambda text: {"expression": text}),
 )
 METHODS: st.SearchStrategy[tuple[str, ...]] = st.sampled_from([(), (), ("GET",), ("POST", "GET")])
-CHOSEN = st.lists(st.sampled_from(HEADERS), max_size=2, unique_by=lambda h: h.name.lower()).map(tuple)
+HEADER_CONDITIONS = st.lists(st.sampled_from(HEADERS), max_size=2, unique_by=lambda h: h.name.lower()).map(
+    tuple
+)
 
 
 @st.composite
 def tables(draw: st.DrawFn) -> list[RouteMatch]:
-    """Few hosts and places to a table, or no two of its routes would ever want the same request."""
+    """Draw conditions on few hosts and paths, so that several routes match the same request."""
     hosts = draw(st.lists(st.sampled_from(HOSTS), min_size=1, max_size=3))
-    places = draw(st.lists(PLACES, min_size=1, max_size=4))
+    path_conditions = draw(st.lists(PATH_CONDITIONS, min_size=1, max_size=4))
     matches = [
-        RouteMatch(draw(st.sampled_from(hosts)), methods=draw(METHODS), headers=draw(CHOSEN),
-              **draw(st.sampled_from(places)))
+        RouteMatch(draw(st.sampled_from(hosts)), methods=draw(METHODS), headers=draw(HEADER_CONDITIONS),
+              **draw(st.sampled_from(path_conditions)))
         for _ in range(draw(st.integers(0, 14)))
     ]  # fmt: skip
-    return list({unlike(match): match for match in matches}.values())
+    return list({condition_identity(match): match for match in matches}.values())
 
 
 FIELDS = st.fixed_dictionaries(
@@ -99,37 +101,37 @@
     return True
 
 
-def goes_before(one: RouteMatch, other: RouteMatch) -> bool:
-    """Compare as the page says, one sentence after another. Equal ones keep the file's order."""
+def has_precedence(one: RouteMatch, other: RouteMatch) -> bool:
+    """Compare by the documented rules, one after another. Equal ones keep the file's order."""
 
-    def first(match: RouteMatch) -> list[tuple[bool, int]]:
+    def sort_key(match: RouteMatch) -> list[tuple[bool, int]]:
         exact = sum(1 for h in match.headers if h.exact)
-        begin = [h.prefix for h in match.headers if h.prefix]
-        wild = match.host.startswith("*")
+        prefixes = [h.prefix for h in match.headers if h.prefix]
+        is_wildcard = match.host.startswith("*")
         return [
-            (bool(match.host) and not wild, 0), (wild, len(match.host)),
+            (bool(match.host) and not is_wildcard, 0), (is_wildcard, len(match.host)),
             (bool(match.path), 0), (bool(match.prefix), len(match.prefix.strip("/"))),
             (bool(match.expression), 0),
-            (bool(match.methods), 0), (True, exact), (True, len(begin)),
-            (True, len(match.headers) - exact - len(begin)), (True, len("".join(begin))),
+            (bool(match.methods), 0), (True, exact), (True, len(prefixes)),
+            (True, len(match.headers) - exact - len(prefixes)), (True, len("".join(prefixes))),
         ]  # fmt: skip
 
-    for mine, its in zip(first(one), first(other), strict=True):
-        if mine != its:
-            return mine > its
+    for left, right in zip(sort_key(one), sort_key(other), strict=True):
+        if left != right:
+            return left > right
     return False
 
 
-def oracle(made: list[Route], method: bytes, target: Target, fields: Fields) -> Route | None:
+def reference_find(all_routes: list[Route], method: bytes, target: Target, fields: Fields) -> Route | None:
     best = None
-    for route in made:
-        fits = meets(route.match, method, target, fields)
-        if fits and (best is None or goes_before(route.match, best.match)):
+    for route in all_routes:
+        is_match = meets(route.match, method, target, fields)
+        if is_match and (best is None or has_precedence(route.match, best.match)):
             best = route
     return best
 
 
-def unlike(match: RouteMatch) -> object:
+def condition_identity(match: RouteMatch) -> object:
     headers = frozenset(replace(h, name=h.name.lower()) for h in match.headers)
     return replace(match, prefix=match.prefix and match.prefix.rstrip("/") + "/", headers=()), headers
 
@@ -152,93 +154,95 @@
     [(b"GET", Target(b"", b"/"), {b"x-who": b"gold", b"x-env": b"gold"})], False,
 )  # fmt: skip
 @given(tables(), st.lists(REQUESTS, min_size=4, max_size=12), st.booleans())
-def test_the_table_says_what_the_oracle_says(
-    matches: list[RouteMatch], requests: list[tuple[bytes, Target, Fields]], indexed: bool
+def test_the_table_finds_the_same_route_as_the_reference(
+    matches: list[RouteMatch], requests: list[tuple[bytes, Target, Fields]], is_indexed: bool
 ) -> None:
-    few = table_module.MAX_SCANNED_ROUTES
+    original = table_module.MAX_SCANNED_ROUTES
     table_module.MAX_SCANNED_ROUTES = (
-        0 if indexed else few
-    )  # else tables this small would never look a header up
+        0 if is_indexed else original
+    )  # 0 forces the header index, which small tables don't use
     try:
-        all_of_them = made(*matches)
-        table = RoutingTable(all_of_them)
+        all_routes = routes_for(*matches)
+        table = RoutingTable(all_routes)
         for method, target, fields in requests:
-            best = oracle(all_of_them, method, target, fields)
+            best = reference_find(all_routes, method, target, fields)
             assert table.find(method, target, fields) is best
             if target.path != b"*":
-                told = explain(
+                explanation = explain(
                     table, method.decode(), target.path.decode(), target.host.decode(),
                     {name.decode(): value.decode() for name, value in fields.items()},
                 )  # fmt: skip
-                assert told.route == (best.name if best else "")
-                assert len(told.losing_routes) + told.omitted_count + (best is not None) == len(matches)
+                assert explanation.route == (best.name if best else "")
+                assert len(explanation.losing_routes) + explanation.omitted_count + (best is not None) == len(
+                    matches
+                )
     finally:
-        table_module.MAX_SCANNED_ROUTES = few
+        table_module.MAX_SCANNED_ROUTES = original
 
 
-SPELT = st.lists(st.sampled_from(["/", "a", "b", "%61", "%62", "c", "%C3%A9", "%c3%a9"]), max_size=6)
+PATH_PARTS = st.lists(st.sampled_from(["/", "a", "b", "%61", "%62", "c", "%C3%A9", "%c3%a9"]), max_size=6)
 
 
-@given(tables(), SPELT)
+@given(tables(), PATH_PARTS)
 @example([RouteMatch(path="/a/b"), RouteMatch(prefix="/a")], ["a", "/", "%62"])
-def test_a_spelling_reaches_the_route_of_its_plain_form_or_none(
+def test_a_spelling_reaches_the_route_of_its_normal_form_or_is_rejected(
     matches: list[RouteMatch], parts: list[str]
 ) -> None:
-    spelt = "/" + "".join(parts)
-    all_of_them = made(*matches)
+    path = "/" + "".join(parts)
+    all_routes = routes_for(*matches)
     try:
-        found = RoutingTable(all_of_them).resolve(b"GET", spelt.encode(), {b"host": b"A.B:80"})
+        found = RoutingTable(all_routes).resolve(b"GET", path.encode(), {b"host": b"A.B:80"})
     except InvalidRequestError:
-        assert "//" in spelt
+        assert "//" in path
         return
-    plain = spelt.replace("%61", "a").replace("%62", "b").replace("%c3%a9", "%C3%A9")
-    best = oracle(all_of_them, b"GET", Target(b"a.b", plain.encode()), {})
+    normal = path.replace("%61", "a").replace("%62", "b").replace("%c3%a9", "%C3%A9")
+    best = reference_find(all_routes, b"GET", Target(b"a.b", normal.encode()), {})
     assert (found and found.route) is best
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_lookup_tries_no_more_routes_in_a_table_a_hundred_times_as_long(
+def test_a_lookup_checks_no_more_routes_in_a_table_a_hundred_times_as_large(
     kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tried = 0
+    checked = 0
     matches = table_module._Entry.matches
 
-    def counted(entry: table_module._Entry, method: bytes, fields: Fields) -> bool:
-        nonlocal tried
-        tried += 1
+    def count_and_match(entry: table_module._Entry, method: bytes, fields: Fields) -> bool:
+        nonlocal checked
+        checked += 1
         return matches(entry, method, fields)
 
-    monkeypatch.setattr(table_module._Entry, "matches", counted)
-    spent = []
+    monkeypatch.setattr(table_module._Entry, "matches", count_and_match)
+    checks_per_lookup = []
     for size in (10, 1000):
-        all_of_them, requests = routes(kind, size)
-        table = RoutingTable(all_of_them)
-        tried = 0
-        for route, request in zip(all_of_them, requests, strict=True):
+        all_routes, requests = routes(kind, size)
+        table = RoutingTable(all_routes)
+        checked = 0
+        for route, request in zip(all_routes, requests, strict=True):
             found = table.resolve(*request)
             assert found is not None and found.route is route
-        spent.append(tried / size)
-    assert spent[1] <= spent[0]
+        checks_per_lookup.append(checked / size)
+    assert checks_per_lookup[1] <= checks_per_lookup[0]
 
 
-def test_an_expression_meant_to_blow_up_is_the_linear_engines_and_long_paths_are_not_asked() -> None:
-    """For re, each of these takes longer than the sun has left; none of them is ever given to it."""
+def test_hostile_expressions_are_matched_in_linear_time_and_long_paths_are_rejected() -> None:
+    """With `re`, any of these would take exponential time; it must not be used for them."""
     hostile = ExpressionSet(["/(a*)*b", "/(a|aa)+c", "/(a|b)*a(a|b){40}", "/([a-z]+)+[0-9]"])
     assert type(hostile.filter).__module__.partition(".")[0] == "re2"
     path = b"/" + b"a" * (MAX_PATH_BYTES - 2)
     assert list(hostile.matching(path)) == [2]
     assert list(hostile.matching(path + b"b")) == [0, 2]
-    table = RoutingTable(made(RouteMatch(expression="/a*"), RouteMatch()))
+    table = RoutingTable(routes_for(RouteMatch(expression="/a*"), RouteMatch()))
     with pytest.raises(InvalidRequestError):
         table.resolve(b"GET", path + b"bbb", {})
-    for bad in (r"/(a)\1", "/(?=a)", "/a)|(b", "/((a{30}){30}b){3}", "/(a{30}){30}"):
+    for invalid in (r"/(a)\1", "/(?=a)", "/a)|(b", "/((a{30}){30}b){3}", "/(a{30}){30}"):
         with pytest.raises(ValueError, match="expression: "):
-            ExpressionSet([bad])
+            ExpressionSet([invalid])
     with pytest.raises(ValueError, match="steps together"):
         ExpressionSet([f"/a{i}[a-z]{{200}}" for i in range(200)])
 
 
-def test_what_decides_may_not_come_twice() -> None:
+def test_a_repeated_header_that_routing_depends_on_is_rejected() -> None:
     table = RoutingTable(
         [Route("r", RouteMatch(prefix="/"), POOLS, ClassSource(header="X-Class"), split_by="X-Who")]
     )
@@ -248,7 +252,7 @@
     assert table.resolve(b"GET", b"/", {b"x-other": b"a, b"}, frozenset((b"x-other",)))
 
 
-def test_an_explanation_says_why_the_others_lost() -> None:
+def test_an_explanation_states_why_other_routes_lost() -> None:
     table = RoutingTable(
         [
             Route(
@@ -270,15 +274,21 @@
         ],
         Strictness.PLAIN,
     )
-    told = explain(table, "GET", "/menu-view/%73oups?x", "A.b:80")
-    assert (told.route, told.path, told.class_name) == ("menu", "/menu-view/soups", "menu-view")
-    assert told.losing_routes[0].reason == "It fits too, but menu's host is closer."
-    assert (len(told.losing_routes), told.omitted_count) == (10, 12)
-    assert "pool      by turns: old (weight 9), new (weight 1)" in told.text()
-    whys = {lost.route: lost.reason for lost in explain(table, "POST", "/place-order/1").losing_routes}
-    assert whys["all"] == "It fits too, but orders's path is closer."
-    order = explain(table, "GET", "/place-order/1")
-    assert order.route == "all" and order.losing_routes[0].reason == "Its methods are POST."
+    explanation = explain(table, "GET", "/menu-view/%73oups?x", "A.b:80")
+    assert (explanation.route, explanation.path, explanation.class_name) == (
+        "menu",
+        "/menu-view/soups",
+        "menu-view",
+    )
+    assert explanation.losing_routes[0].reason == "It fits too, but menu's host is closer."
+    assert (len(explanation.losing_routes), explanation.omitted_count) == (10, 12)
+    assert "pool      by turns: old (weight 9), new (weight 1)" in explanation.text()
+    reasons = {
+        losing.route: losing.reason for losing in explain(table, "POST", "/place-order/1").losing_routes
+    }
+    assert reasons["all"] == "It fits too, but orders's path is closer."
+    fallback = explain(table, "GET", "/place-order/1")
+    assert fallback.route == "all" and fallback.losing_routes[0].reason == "Its methods are POST."
     assert explain(table, "GET", "/menu-view/../place-order/1").status == 400
     assert (
         explain(RoutingTable(table.routes[:1]), "GET", "/gold")
@@ -287,7 +297,7 @@
     )
 
 
-BAD = [
+INVALID_VALUES = [
     (lambda: RouteMatch(prefix="/a/../b"), "prefix: not in its plain form, '/b': '/a/../b'"),
     (lambda: RouteMatch(path="/a", prefix="/b"), "prefix: not beside path: '/b'"),
     (lambda: RouteMatch(host="A.b"), "host: a host that is not in its plain form: 'A.b'"),
@@ -302,15 +312,15 @@
         "route r: deadline: not seconds above 0 and up to 3600: 0",
     ),
     (
-        lambda: RoutingTable(made(RouteMatch(prefix="/a"), RouteMatch(prefix="/a/"))),
+        lambda: RoutingTable(routes_for(RouteMatch(prefix="/a"), RouteMatch(prefix="/a/"))),
         "route r1: the same conditions as r0",
     ),
 ]
 
 
-@pytest.mark.parametrize("make, line", BAD, ids=[line for _, line in BAD])
-def test_bad_values_are_named_in_one_line(make: object, line: str) -> None:
+@pytest.mark.parametrize("make, message", INVALID_VALUES, ids=[message for _, message in INVALID_VALUES])
+def test_invalid_values_are_reported_on_one_line(make: object, message: str) -> None:
     assert callable(make)
     with pytest.raises(ValueError) as caught:
         make()
-    assert str(caught.value) == line
+    assert str(caught.value) == message
--- a/tests/daemon/routes/test_target.py
+++ b/tests/daemon/routes/test_target.py
@@ -1,4 +1,4 @@
-"""No spelling of a target reaches another route than its plain form."""
+"""Each spelling of a target reaches the same route as its normal form, or is rejected."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ORDER = (Strictness.STRICT, Strictness.PLAIN, Strictness.LENIENT)
 
-# What paths and attacks on them are made of.
+# Segments of valid and hostile paths.
 PIECES = (
     rb"/ / // . .. a Menu-view %2e %2E%2e %2f %5c \ ;x=1 %3b %41 %7e ~ %C3%A9 %c0%af %25 "
     rb"%252e 2e %3F @ %40 | %00 %"
@@ -21,18 +21,18 @@
 PATHS = st.lists(st.sampled_from(PIECES), max_size=12).map(lambda parts: b"/" + b"".join(parts))
 
 
-def form(path: bytes, spelling: Strictness) -> bytes | None:
+def normalized(path: bytes, strictness: Strictness) -> bytes | None:
     try:
-        return normalize_path(path, spelling)
+        return normalize_path(path, strictness)
     except InvalidRequestError:
         return None
 
 
-def by_the_rfc(path: bytes) -> bytes | None:
-    """Normalise a path as RFC 3986 says word by word.
+def rfc_normalized(path: bytes) -> bytes | None:
+    """Normalize a path literally by RFC 3986.
 
-    2.3 and 6.2.2.2 (decode the unreserved), 6.2.2.1 (percent forms in upper case), and 5.2.4's loop with its
-    buffers. None for what is no percent form.
+    Sections 2.3 and 6.2.2.2 (decode unreserved characters), 6.2.2.1 (percent escapes in upper case) and the
+    loop of 5.2.4. Returns None for an invalid percent escape.
     """
     unreserved = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-._~"
     text, i = b"", 0
@@ -63,30 +63,30 @@
 
 
 @given(PATHS)
-def test_a_normal_form_is_its_own_and_a_stricter_setting_only_rejects_more(path: bytes) -> None:
-    forms = [form(path, spelling) for spelling in ORDER]
-    for stricter, looser in pairwise(forms):
-        assert stricter is None or stricter == looser
+def test_normalization_is_idempotent_and_a_stricter_setting_only_rejects_more(path: bytes) -> None:
+    forms = [normalized(path, strictness) for strictness in ORDER]
+    for stricter, more_lenient in pairwise(forms):
+        assert stricter is None or stricter == more_lenient
     assert forms[0] in (None, path)
     if forms[1] is not None:
-        assert form(forms[1], Strictness.STRICT) == forms[1]
+        assert normalized(forms[1], Strictness.STRICT) == forms[1]
     if forms[2] is not None:
-        assert form(forms[2], Strictness.LENIENT) == forms[2]
+        assert normalized(forms[2], Strictness.LENIENT) == forms[2]
 
 
 @given(PATHS)
-def test_what_is_taken_plainly_is_what_the_rfc_makes_of_it(path: bytes) -> None:
-    """Past the RFC, one plain form is kept of a mark and its percent form, and of what may not stand raw."""
-    plain = form(path, Strictness.PLAIN)
+def test_plain_normalization_agrees_with_rfc_3986(path: bytes) -> None:
+    """Beyond the RFC, `@` and its percent escape have one form, and `|` is escaped."""
+    plain = normalized(path, Strictness.PLAIN)
     if plain is not None:
-        rfc = by_the_rfc(path)
+        rfc = rfc_normalized(path)
         assert rfc is not None and plain == rfc.replace(b"%40", b"@").replace(b"|", b"%7C")
 
 
 @given(PATHS)
-def test_what_is_accepted_is_read_alike_by_endpoints_of_all_habits(path: bytes) -> None:
-    """Nodes that decode once differ in what they do before and after it: to none of them may that matter."""
-    plain = form(path, Strictness.PLAIN)
+def test_accepted_paths_are_interpreted_identically_by_all_kinds_of_endpoints(path: bytes) -> None:
+    """Endpoints differ in the steps before and after decoding, none of which may affect the result."""
+    plain = normalized(path, Strictness.PLAIN)
     if plain is None:
         return
     from urllib.parse import unquote_to_bytes as decode
@@ -97,8 +97,8 @@
             out = out[:-1] if part == b".." else out if part == b"." else [*out, part]
         return b"/".join(out)
 
-    meant = decode(plain)
-    readings = (
+    expected = decode(plain)
+    interpretations = (
         decode(path),
         resolve(decode(path)),
         decode(resolve(path)),
@@ -109,10 +109,10 @@
         decode(decode(path)),
         decode(path).partition(b"?")[0].partition(b"#")[0],
     )
-    assert set(readings) == {meant}
+    assert set(interpretations) == {expected}
 
 
-ATTACKS = [  # and what the loosest setting makes of them; None: nothing
+ATTACKS = [  # with the lenient normal form; None: rejected
     (b"/menu-view/../place-order/x", b"/place-order/x"),
     (b"/menu-view/%2E./place-order/x", b"/place-order/x"),
     (b"/%2e%2e/place-order", None),
@@ -136,26 +136,26 @@
     (b"http://x@a/menu-view", None),
     (b"http:///menu-view", None),
     (b"ftp://a/menu-view", None),
-    (b"http://b/menu-view", b"/menu-view"),  # another host than the Host field's
+    (b"http://b/menu-view", b"/menu-view"),  # not the host of the Host field
 ]
 
 
-@pytest.mark.parametrize("path, loose", ATTACKS, ids=[repr(path) for path, _ in ATTACKS])
-def test_an_attack_is_rejected_and_read_in_one_way_where_it_is_not(path: bytes, loose: bytes | None) -> None:
-    for spelling in ORDER[:2]:
+@pytest.mark.parametrize("path, lenient", ATTACKS, ids=[repr(path) for path, _ in ATTACKS])
+def test_attacks_are_rejected_or_have_one_lenient_normal_form(path: bytes, lenient: bytes | None) -> None:
+    for strictness in ORDER[:2]:
         with pytest.raises(InvalidRequestError):
-            normalize_target(b"GET", path, b"a", spelling)
+            normalize_target(b"GET", path, b"a", strictness)
     try:
-        got = normalize_target(b"GET", path, b"a", Strictness.LENIENT).path
+        result = normalize_target(b"GET", path, b"a", Strictness.LENIENT).path
     except InvalidRequestError:
-        got = None
-    assert got == loose
+        result = None
+    assert result == lenient
 
 
-BAD = (
+INVALID_HOSTS = (
     rb"a.. .a a,b a:70000 a:b 127.1 0x7f000001 1.2.3.4.5 [::1 [fe80::1%25eth0] ::1 a%2eb \xc3 a/b u@a".split()
 )
-HOSTS = [  # the field, its form, and the first setting that takes it
+HOSTS = [  # the field, its normal form, and the strictest setting that accepts it
     (b"a.example", b"a.example", Strictness.STRICT),
     (b"a.example:9000", b"a.example", Strictness.STRICT),
     (b"[::1]:80", b"[::1]", Strictness.STRICT),
@@ -163,21 +163,21 @@
     (b"A.Example:", b"a.example", Strictness.PLAIN),
     (b"[0:0::0:1]", b"[::1]", Strictness.PLAIN),
     (b"A.example.:80", b"a.example", Strictness.LENIENT),
-    *((bad, b"", None) for bad in (*BAD, b"a, b", b"\xc3\xa9.example", b"a" * 64)),
+    *((invalid, b"", None) for invalid in (*INVALID_HOSTS, b"a, b", b"\xc3\xa9.example", b"a" * 64)),
 ]
 
 
-@pytest.mark.parametrize("field, plain, first", HOSTS, ids=[repr(h[0]) for h in HOSTS])
-def test_hosts_have_one_form_as_well(field: bytes, plain: bytes, first: Strictness | None) -> None:
-    for spelling in ORDER:
-        if first is not None and ORDER.index(spelling) >= ORDER.index(first):
-            assert normalize_target(b"GET", b"/", field, spelling) == (plain, b"/")
+@pytest.mark.parametrize("field, normal, strictest", HOSTS, ids=[repr(h[0]) for h in HOSTS])
+def test_hosts_have_one_normal_form(field: bytes, normal: bytes, strictest: Strictness | None) -> None:
+    for strictness in ORDER:
+        if strictest is not None and ORDER.index(strictness) >= ORDER.index(strictest):
+            assert normalize_target(b"GET", b"/", field, strictness) == (normal, b"/")
         else:
             with pytest.raises(InvalidRequestError):
-                normalize_target(b"GET", b"/", field, spelling)
+                normalize_target(b"GET", b"/", field, strictness)
 
 
-def test_absolute_targets_and_the_star() -> None:
+def test_absolute_targets_and_the_asterisk_form() -> None:
     for target in (b"http://A:80", b"HTTPS://a/", b"http://a?x", b"/?//../%zz"):
         assert normalize_target(b"GET", target, b"a:9000", Strictness.PLAIN) == Target(b"a", b"/")
     for target in (b"*", b"http://a"):
