--- a/tests/daemon/core/test_retries.py
+++ b/tests/daemon/core/test_retries.py
@@ -154,7 +154,7 @@
 # Attempts that may have run
 
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"
-INCOMPLETE_RESPONSES = {
+FAILED_RESPONSES = {
     "reset": (b"", True),
     "end": (b"", False),
     "half a status line": (b"HTTP/1.1 2", False),
@@ -176,7 +176,7 @@
 
 
 @pytest.mark.parametrize("name", ["menu", "order", "unsafe"])
-@pytest.mark.parametrize("how", INCOMPLETE_RESPONSES)
+@pytest.mark.parametrize("how", FAILED_RESPONSES)
 def test_an_attempt_that_fails_after_its_last_byte_may_have_run_whatever_was_received(
     make: Make, monkeypatch: pytest.MonkeyPatch, how: str, name: str
 ) -> None:
@@ -185,7 +185,7 @@
     caller = world.ask(name)
     wire = world.nodes[0].accept()
     wire.read()
-    data, reset = INCOMPLETE_RESPONSES[how]
+    data, reset = FAILED_RESPONSES[how]
     if data:
         wire.send(data)
     if reset:
--- a/wheatring/daemon/routes/callers.py
+++ b/wheatring/daemon/routes/callers.py
@@ -15,10 +15,10 @@
 from wheatring.daemon.routes.gcra import NEVER_USED
 from wheatring.daemon.routes.limit_settings import CallerTableSettings, FairShareSettings
 
-MAX_EVICTION_ATTEMPTS = 8  # entries tried before an eviction is given up
+MAX_EVICTION_ATTEMPTS = 8  # entries with requests in flight that are skipped before an eviction fails
 NEGLIGIBLE_REQUESTS = 1e-3  # smaller decayed counts are ignored
 THROUGHPUT_WINDOW_SECONDS = 0.5  # time constant; short, as throughput rises at the onset of overload
-PRESSURE_RATIO = 1.1  # of requests to admissions; a lower ratio would limit callers by chance
+OVERLOAD_RATIO = 1.1  # of requests to admissions; a lower ratio would limit callers by chance
 ABOVE_MEAN_RATIO = 1.02
 MAX_REQUESTS_AHEAD = 4.0  # requests by which a caller may exceed its share
 LEVEL_INTERVAL_SECONDS = 0.1  # between updates of the fair level
@@ -236,8 +236,8 @@
         throughput = self.all_callers.admissions * window / THROUGHPUT_WINDOW_SECONDS
         self._mean_use = inf
         total_demand = sum(requests for requests, _, _ in active)
-        is_overloaded = self.all_callers.requests > PRESSURE_RATIO * self.all_callers.admissions
-        if total_demand <= PRESSURE_RATIO * throughput or not is_overloaded:
+        is_overloaded = self.all_callers.requests > OVERLOAD_RATIO * self.all_callers.admissions
+        if total_demand <= OVERLOAD_RATIO * throughput or not is_overloaded:
             return inf
         level = max_min_level([(requests, weight) for requests, _, weight in active], throughput)
         above = [(admissions, weight) for requests, admissions, weight in active if requests > weight * level]
--- a/wheatring/daemon/routes/explain.py
+++ b/wheatring/daemon/routes/explain.py
@@ -38,7 +38,7 @@
     path: str = ""
     route: str = ""
     pools: tuple[WeightedPool, ...] = ()
-    pool: str = ""  # if the request determines it; empty if requests are split by count
+    pool: str = ""  # the only possible pool; empty if requests are split by count
     class_name: str = ""  # "" if the request names none
     deadline_seconds: float | None = None  # for a caller that sets none
     limits: tuple[str, ...] = ()
@@ -68,7 +68,7 @@
 def explain(
     table: RoutingTable, method: str, target: str, host: str = "", headers: Mapping[str, str] | None = None
 ) -> Explanation:
-    """Explain the routing of one request. An invalid request is explained too, without an exception."""
+    """Explain the routing of one request, also of an invalid one, without raising. Texts are Latin-1."""
     try:
         fields = {name.lower().encode(): value.encode("latin-1") for name, value in (headers or {}).items()}
         fields[b"host"] = host.encode("latin-1")
--- a/wheatring/daemon/routes/limiters.py
+++ b/wheatring/daemon/routes/limiters.py
@@ -13,14 +13,14 @@
 
 FLOOR_KEPT_SECONDS = 2.0  # after the last request of a class, its floor stays reserved for so long
 ABOVE_MEAN_ROOM_FACTOR = 1.5  # of the room that a caller above the mean must leave free
-ADVICE_WINDOW_SECONDS = 2.0  # time constant of the counts for Retry-After
+RETRY_AFTER_WINDOW_SECONDS = 2.0  # time constant of the counts for Retry-After
 
 
 class Shortage(NamedTuple):
     """A limit that is reached."""
 
     reason: str  # a reason code
-    wait_seconds: float  # until the limit may no longer be reached
+    wait_seconds: float  # minimum time until the limit may no longer be reached
 
 
 class CapacityShortage(NamedTuple):
@@ -183,7 +183,7 @@
         """Record a request of a class, and return the state of the class."""
         now = self.now
         if now > self._recent_at:
-            remaining = exp((self._recent_at - now) / ADVICE_WINDOW_SECONDS)
+            remaining = exp((self._recent_at - now) / RETRY_AFTER_WINDOW_SECONDS)
             self._recent_requests *= remaining
             self._recent_admissions *= remaining
             self._recent_at = now
@@ -249,7 +249,7 @@
         """
         bounds = self.pool_settings.retry_after
         low = max(bounds.least, min(minimum, 0.5 * bounds.most))
-        spread = ADVICE_WINDOW_SECONDS * (requests - admissions) / max(1.0, admissions)
+        spread = RETRY_AFTER_WINDOW_SECONDS * (requests - admissions) / max(1.0, admissions)
         high = min(bounds.most, low + max(bounds.least, spread))
         return low + max(0.0, high - low) * self.random.random()
 
