--- a/tests/fleet/lease/builders.py
+++ b/tests/fleet/lease/builders.py
@@ -1,4 +1,4 @@
-"""Acceptors, proposers and messages of one lease with three voters, for the tests beside this module."""
+"""Acceptors, proposers and messages of one lease with three voters, for the tests of this package."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from wheatring.fleet.lease.voters import VoterSet
 
 TIMING = LeaseTiming()
-THREE = VoterSet(("v1", "v2", "v3"))
+VOTERS = VoterSet(("v1", "v2", "v3"))
 LEASE = "duty/0"
 
 
-def acceptor(now: float = -100.0) -> Acceptor:
-    return Acceptor(now, TIMING, THREE, [LEASE])
+def make_acceptor(now: float = -100.0) -> Acceptor:
+    return Acceptor(now, TIMING, VOTERS, [LEASE])
 
 
 def prepare(name: str, number: int = 1, incarnation: int = 1) -> Prepare:
-    return Prepare(LEASE, ProposalNumber(number, name, incarnation), 1, THREE.digest)
+    return Prepare(LEASE, ProposalNumber(number, name, incarnation), 1, VOTERS.digest)
 
 
 def propose(
     name: str, number: int = 1, epoch: int = 5, lease_seconds: float = 3.0, incarnation: int = 1
 ) -> Propose:
-    return Propose(LEASE, ProposalNumber(number, name, incarnation), 1, THREE.digest, epoch, lease_seconds)
+    return Propose(LEASE, ProposalNumber(number, name, incarnation), 1, VOTERS.digest, epoch, lease_seconds)
 
 
-def elected(now: float = 0.0) -> Proposer:
-    proposer = Proposer(LEASE, "a", 1, TIMING, THREE, Random(1))
+def make_elected_proposer(now: float = 0.0) -> Proposer:
+    proposer = Proposer(LEASE, "a", 1, TIMING, VOTERS, Random(1))
     proposer.set_rank(now, 0)
     proposer.tick(now)
     for name in ("v1", "v2"):
--- a/tests/fleet/lease/test_electorate.py
+++ b/tests/fleet/lease/test_electorate.py
@@ -1,4 +1,4 @@
-"""Which member is which voter."""
+"""The mapping of members to voter names."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 ME = MemberInfo("me", "127.0.0.1", 7001, 2)
 
 
-def electorate(*voters: str) -> Electorate:
+def make_electorate(*voters: str) -> Electorate:
     members = Membership(0.0, ME, 1, [], SwimTiming(), Random(1), [])
     return Electorate(members, Acceptor(0.0, LeaseTiming(), VoterSet(voters), []))
 
 
-def test_a_member_votes_under_its_address_or_its_number() -> None:
-    assert electorate("127.0.0.1:7001").is_voter()
-    assert electorate("#2").is_voter()
-    assert not electorate("127.0.0.1:7002", "#3").is_voter()
+def test_member_is_a_voter_by_its_address_or_its_number() -> None:
+    assert make_electorate("127.0.0.1:7001").is_voter()
+    assert make_electorate("#2").is_voter()
+    assert not make_electorate("127.0.0.1:7002", "#3").is_voter()
 
 
-def test_one_that_has_left_votes_no_longer() -> None:
-    leaving = electorate("#2")
-    leaving.members.leave(1.0)
-    assert not leaving.is_voter()
+def test_member_that_has_left_is_not_a_voter() -> None:
+    electorate = make_electorate("#2")
+    electorate.members.leave(1.0)
+    assert not electorate.is_voter()
--- a/tests/fleet/lease/test_recorded_messages.py
+++ b/tests/fleet/lease/test_recorded_messages.py
@@ -1,7 +1,8 @@
-"""The wire format of messages on leases and registers, against bytes that the version of 1 December wrote.
+"""The wire format of lease and register messages, checked against bytes recorded from an earlier version.
 
-Each case is named by the message's tag. Old and new processes work side by side during a rollout, so the new
-code has to decode the recorded bytes to the message that is stated here, and encode that to the same bytes.
+The bytes were recorded on 1 December; each case is named by the message's tag. Old and new versions run side
+by side during a rollout, so the code has to decode the recorded bytes to the message given here, and encode
+that to the same bytes.
 """
 
 from __future__ import annotations
@@ -68,23 +69,23 @@
 }
 
 
-def test_each_recorded_message_is_stated() -> None:
+def test_each_recorded_message_has_a_case() -> None:
     assert RECORDED.keys() == {"lease", "register"}
     assert RECORDED["lease"].keys() == LEASE.keys()
     assert RECORDED["register"].keys() == REGISTER.keys()
 
 
 @pytest.mark.parametrize("case", LEASE)
-def test_a_recorded_message_on_a_lease_is_decoded_and_encoded_alike(case: str) -> None:
+def test_lease_message_round_trips_to_the_recorded_bytes(case: str) -> None:
     recorded = bytes.fromhex(RECORDED["lease"][case])
-    kinds: Any = AcceptorRequest | AcceptorResponse | LeaseReleased | Heartbeat
-    assert msgspec.msgpack.decode(recorded, type=kinds) == LEASE[case]
+    message_types: Any = AcceptorRequest | AcceptorResponse | LeaseReleased | Heartbeat
+    assert msgspec.msgpack.decode(recorded, type=message_types) == LEASE[case]
     assert msgspec.msgpack.encode(LEASE[case]) == recorded
 
 
 @pytest.mark.parametrize("case", REGISTER)
-def test_a_recorded_message_on_a_register_is_decoded_and_encoded_alike(case: str) -> None:
+def test_register_message_round_trips_to_the_recorded_bytes(case: str) -> None:
     recorded = bytes.fromhex(RECORDED["register"][case])
-    kinds: Any = RegisterMessage
-    assert msgspec.msgpack.decode(recorded, type=kinds) == REGISTER[case]
+    message_types: Any = RegisterMessage
+    assert msgspec.msgpack.decode(recorded, type=message_types) == REGISTER[case]
     assert msgspec.msgpack.encode(REGISTER[case]) == recorded
--- a/tests/fleet/lease/test_register_acceptor.py
+++ b/tests/fleet/lease/test_register_acceptor.py
@@ -1,4 +1,4 @@
-"""What an acceptor of a register promises, accepts and answers, alone."""
+"""The acceptor of a register in isolation: promises, accepted entries and responses."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
     return RegisterAccept(acceptor(order).name, epoch, order.voters.digest, entry)
 
 
-def answer(order: OrderRun, message: RegisterPrepare | RegisterAccept) -> AcceptorState:
+def response_to(order: OrderRun, message: RegisterPrepare | RegisterAccept) -> AcceptorState:
     ((address, state),) = acceptor(order).handle_leader_request(order.at, LEADER, message)
     assert address == LEADER and isinstance(state, AcceptorState)
     return state
 
 
-def test_nothing_of_an_epoch_below_the_promised_one_is_accepted() -> None:
+def test_entry_of_an_epoch_below_the_promised_one_is_not_accepted() -> None:
     order = OrderRun(1, ReplicatedRegister)
-    assert answer(order, prepare(order, 5)).promised_epoch == 5
-    state = answer(order, accept(order, 4, b"late"))
+    assert response_to(order, prepare(order, 5)).promised_epoch == 5
+    state = response_to(order, accept(order, 4, b"late"))
     assert (state.promised_epoch, state.entry.number) == (5, 0)
-    assert answer(order, prepare(order, 3)).promised_epoch == 5
+    assert response_to(order, prepare(order, 3)).promised_epoch == 5
 
 
-def test_what_is_accepted_is_reported_to_the_leader_of_a_later_epoch() -> None:
+def test_accepted_entry_is_reported_to_the_leader_of_a_later_epoch() -> None:
     order = OrderRun(1, ReplicatedRegister)
-    assert answer(order, accept(order, 4, b"first")).entry.digest == digest(b"first")
-    state = answer(order, prepare(order, 6))
+    assert response_to(order, accept(order, 4, b"first")).entry.digest == digest(b"first")
+    state = response_to(order, prepare(order, 6))
     assert (state.promised_epoch, state.entry.epoch, state.entry.digest) == (6, 4, digest(b"first"))
 
 
-def test_an_acceptor_that_recovers_promises_and_accepts_nothing() -> None:
+def test_recovering_acceptor_promises_and_accepts_nothing() -> None:
     order = OrderRun(1, ReplicatedRegister)
     acceptor(order).has_recovered = False
-    state = answer(order, accept(order, 4, b"first"))
+    state = response_to(order, accept(order, 4, b"first"))
     assert state.recovering_seconds > 0 and (state.promised_epoch, state.entry.number) == (0, 0)
     assert acceptor(order).accepted.number == 0
 
 
-def test_a_leader_that_goes_by_other_voters_gets_no_answer() -> None:
+def test_leader_with_another_voter_set_gets_no_response() -> None:
     order = OrderRun(1, ReplicatedRegister)
     message = RegisterPrepare(acceptor(order).name, 5, order.voters.digest + 1)
     assert acceptor(order).handle_leader_request(order.at, LEADER, message) == []
--- a/tests/fleet/lease/test_singleton_role.py
+++ b/tests/fleet/lease/test_singleton_role.py
@@ -1,16 +1,16 @@
-"""Singleton roles: holders that do nothing."""
+"""Singleton roles: idle holders."""
 
 from __future__ import annotations
 
 from random import Random
 
-from tests.fleet.lease.builders import LEASE, THREE, TIMING
+from tests.fleet.lease.builders import LEASE, TIMING, VOTERS
 from wheatring.fleet.lease.messages import Accepted, Promise, Release
 from wheatring.fleet.lease.singleton_role import SingletonRole
 
 
-def test_a_holder_that_does_nothing_steps_down_and_is_excluded() -> None:
-    role = SingletonRole("duty", 1, "a", 1, TIMING, THREE, Random(1), idle_seconds=1.0)
+def test_idle_holder_steps_down_and_is_excluded_for_ten_leases() -> None:
+    role = SingletonRole("duty", 1, "a", 1, TIMING, VOTERS, Random(1), idle_seconds=1.0)
     role.set_rank(0, 0)
     proposer = role.proposers[0]
     role.tick(0)
--- a/wheatring/fleet/__init__.py
+++ b/wheatring/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet of sidecars in service: membership, leases, one plan, and what carries them between peers."""
+"""The fleet of sidecars in service: membership, leases, the shared plan, and the transport between peers."""
--- a/wheatring/fleet/lease/acceptor.py
+++ b/wheatring/fleet/lease/acceptor.py
@@ -1,12 +1,12 @@
-"""An acceptor of leases: promises, grants and forgets. All is in memory; after a start it abstains at first.
+"""The acceptor of leases: answers prepare and propose requests from state that is kept in memory only.
 
-Rules that the safety of a lease rests on:
+The acceptor's part of the safety argument:
 
-- a promise is never broken within the life of the process, and what a process has forgotten it can't break,
-  as it abstains for as long as any round that it took part in may last;
-- a grant stands for a complete lease on this clock, from when its round first arrived, and nobody else is
-  promised anything meanwhile;
-- acceptors grant only to those who go by the same voters.
+- A promise is never broken while the process lives. A restarted process has lost its promises, so it
+  abstains for as long as any round in which it may have taken part can last.
+- A grant lasts for a full lease on this process's clock, from the first arrival of its round. Until then no
+  other process gets a promise.
+- Acceptors grant only to proposers that have the same voter set.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Grant(NamedTuple):
-    """A lease as an acceptor has granted it."""
+    """A lease that an acceptor has granted."""
 
     proposal: ProposalNumber
     epoch: int
@@ -39,7 +39,7 @@
 
 
 class _LeaseState:
-    """What the acceptor has promised and granted of one lease."""
+    """What the acceptor has promised and granted for one lease."""
 
     __slots__ = ("epoch", "held_until", "holder", "promised", "round")
 
@@ -48,18 +48,18 @@
         self.holder = NO_PROPOSAL
         self.held_until = 0.0
         self.epoch = 0
-        self.round = 0  # that was granted last
+        self.round = 0  # the round that was granted last
 
 
 class Acceptor:
-    """Grants the leases of all roles' slots; a message on any other lease isn't answered.
+    """Grants the leases of the slots of all roles; requests for unknown leases are ignored.
 
     Parameters
     ----------
     now : float
         Seconds on the clock that leases are measured on.
     leases : collection of str
-        The names of all leases there are.
+        The names of all leases.
     """
 
     def __init__(self, now: float, timing: LeaseTiming, voters: VoterSet, leases: Collection[str]) -> None:
@@ -67,29 +67,29 @@
         self.voters = voters
         self.abstains_until = now + timing.abstain_seconds
         self.leases = {lease: _LeaseState() for lease in leases}
-        self.voters_in_force = 0  # digest of the voters by whom a lease has been granted, as far as was seen
+        self.voters_in_force = 0  # digest of the voter set that granted the last lease whose renewal was seen
 
     def receive(self, now: float, wall: int, message: AcceptorRequest) -> AcceptorResponse | None:
-        """Handle a request and return the answer; None: there is none.
+        """Handle a request and return the response, or None if there is none.
 
         Parameters
         ----------
         now : float
             Seconds on the clock that leases are measured on.
         wall : int
-            Unix time in milliseconds. It orders epochs where all that knew the last one are gone, and
-            decides nothing else.
+            Unix time in milliseconds. Used only as a lower bound for new epochs, so that they still increase
+            when no process remembers the last one.
         message : AcceptorRequest
-            The request, from whichever member.
+            The request of any member.
         """
         state = self.leases.get(message.lease)
         if state is None or message.voters_digest != self.voters.digest:
             if isinstance(message, Release) or state is None:
                 return None
-            return Rejection(*_header(message), "voters", self.timing.lease_seconds)
+            return Rejection(*_response_header(message), "voters", self.timing.lease_seconds)
         match message:
             case Release():
-                # A late one, of a lease that the same process held earlier, must not end this one.
+                # A delayed release of an earlier lease of the same process must not end the current one.
                 if state.holder.process == message.proposal.process and state.holder <= message.proposal:
                     state.held_until = now
                 return None
@@ -99,58 +99,63 @@
                 return self._rejection(now, state, message) or self._accept(now, state, message)
 
     def _rejection(self, now: float, state: _LeaseState, message: Prepare | Propose) -> Rejection | None:
-        """Return why neither a promise nor a grant is given; None: one may be."""
+        """Return the rejection of a request, or None if it may be promised or granted."""
         if now < self.abstains_until:
-            return Rejection(*_header(message), "starting", self.abstains_until - now)
+            return Rejection(*_response_header(message), "starting", self.abstains_until - now)
         if now < state.held_until and state.holder.process != message.proposal.process:
-            left = state.held_until - now
-            return Rejection(*_header(message), "held", left, holder=state.holder, epoch=state.epoch)
+            remaining = state.held_until - now
+            return Rejection(
+                *_response_header(message), "held", remaining, holder=state.holder, epoch=state.epoch
+            )
         if message.proposal < state.promised:
             retry = self.timing.retransmit_seconds
-            return Rejection(*_header(message), "passed", retry, promised_number=state.promised.number)
+            return Rejection(
+                *_response_header(message), "passed", retry, promised_number=state.promised.number
+            )
         return None
 
     def _promise(self, state: _LeaseState, wall: int, message: Prepare) -> Promise:
         state.promised = message.proposal
-        return Promise(*_header(message), max(state.epoch, wall))
+        return Promise(*_response_header(message), max(state.epoch, wall))
 
     def _accept(self, now: float, state: _LeaseState, message: Propose) -> AcceptorResponse:
         if message.lease_seconds > self.timing.lease_seconds:
-            return Rejection(*_header(message), "voters", self.timing.lease_seconds)
+            return Rejection(*_response_header(message), "voters", self.timing.lease_seconds)
         if now >= state.held_until or (state.holder, state.round) != (message.proposal, message.round):
-            # A retransmission is the same grant, and lasts no longer.
+            # A retransmission of the same round does not extend the grant.
             state.held_until = now + self.timing.lease_seconds
         state.promised = state.holder = message.proposal
         state.round = message.round
         state.epoch = max(state.epoch, message.epoch)
         if message.is_renewal:
             self.voters_in_force = message.voters_digest
-        return Accepted(*_header(message))
+        return Accepted(*_response_header(message))
 
-    def owner_of(self, now: float, lease: str) -> Grant | None:
-        """Return the grant by which a lease is held; None: nobody holds it by this acceptor."""
+    def current_grant(self, now: float, lease: str) -> Grant | None:
+        """Return this acceptor's unexpired grant of a lease, or None if there is none."""
         state = self.leases[lease]
         if now >= state.held_until:
             return None
         return Grant(state.holder, state.epoch, state.held_until - now)
 
     def change_voters(self, now: float, voters: VoterSet, adopted_elsewhere: bool = False) -> str:
-        """Go by other voters from now on, and abstain anew: an earlier grant may stand for a lease yet.
+        """Switch to another voter set, and abstain for a lease, as an earlier grant may still be valid.
 
         Parameters
         ----------
         now : float
             Seconds on the clock that leases are measured on.
         voters : VoterSet
-            The voters to go by.
+            The new voter set.
         adopted_elsewhere : bool
-            Another sidecar goes by them already, so it has seen a lease in force by the step before. A
-            sidecar that doesn't vote, or was late, may never see one itself.
+            Whether another sidecar already uses the new voter set, which means that it has seen a lease
+            granted under the previous step. A sidecar that does not vote, or was reloaded late, may never
+            see such a lease itself.
 
         Returns
         -------
         str
-            Why the change is rejected; "": it is made.
+            The reason why the change is rejected, or "" if it was made.
         """
         if voters == self.voters:
             return ""
@@ -162,6 +167,6 @@
         return ""
 
 
-def _header(message: AcceptorRequest) -> tuple[str, ProposalNumber, int]:
-    """Return the fields that an answer repeats of its request."""
+def _response_header(message: AcceptorRequest) -> tuple[str, ProposalNumber, int]:
+    """Return the fields that a response copies from its request."""
     return message.lease, message.proposal, message.round
--- a/wheatring/fleet/lease/acceptor_recovery.py
+++ b/wheatring/fleet/lease/acceptor_recovery.py
@@ -1,4 +1,4 @@
-"""How an acceptor that has started finds out what it may have accepted before. No I/O."""
+"""Recovers the state of a register's acceptor after a restart. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from wheatring.fleet.lease.register_messages import AcceptorState
 from wheatring.fleet.members.messages import MemberInfo
 
-MAX_RECOVERY_LEASES = 4  # lease lengths after which an acceptor answers though it has not heard all others
-MAX_RECOVERY_PEERS = 40  # members that an acceptor which started asks at once
+MAX_RECOVERY_LEASES = 4  # lease lengths after which recovery ends even if some voters have not answered
+MAX_RECOVERY_PEERS = 40  # the most members that a recovering acceptor queries at once
 
 
 class AcceptorRecovery:
-    """Keeps an acceptor silent after a start, until it knows what it may have forgotten.
+    """Keeps an acceptor from answering after a start until it has learned what it may have accepted before.
 
-    That takes a lease's length, and until all other voters have told what they have accepted,
-    `MAX_RECOVERY_LEASES` at most. `known_peers` returns members to ask besides those that this process has
-    heard of; None: they aren't known yet, and it waits until they are.
+    Recovery takes at least one lease, and continues until all other voters have reported their state, but at
+    most for `MAX_RECOVERY_LEASES`. `known_peers` returns members to query in addition to those that
+    membership knows; None means that they are not known yet, and recovery waits for them.
     """
 
     def __init__(
@@ -33,11 +33,11 @@
         self.known_peers: Callable[[], Sequence[MemberInfo] | None] = lambda: ()
         self.has_known_peers = False
         self.started_boot = at.boot
-        self.recovered_from: set[str] = set()  # voters that have told what they accepted, since the start
-        self.due = at.now  # when `tick` has something to do
+        self.recovered_from: set[str] = set()  # voters that have reported their state since the start
+        self.due = at.now  # the time at which `tick` next has work to do
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Let the acceptor answer if enough is known, else ask once more."""
+        """End the recovery if enough voters have answered, otherwise query them again."""
         if self.acceptor.has_recovered or at.now < self.due:
             return []
         timing = self.fleet.timing
@@ -55,13 +55,13 @@
         return self._query_all(sorted(others))
 
     def handle_state(self, names: list[str], message: AcceptorState) -> None:
-        """Take over what another voter has promised and accepted; `names` are the voter's."""
+        """Adopt what another voter has promised and accepted; `names` are the voter's names."""
         if not self.acceptor.has_recovered:
             self.recovered_from.update(names)
-            self.acceptor.note_state(message)
+            self.acceptor.merge_state(message)
 
     def _query_all(self, voters: list[str]) -> list[Outgoing]:
-        """Ask the other voters what they have accepted, and some members what is chosen."""
+        """Query the other voters for their state, and a sample of members for the newest chosen entry."""
         message = self.learner.newest_query(wants_accepted=True)
         peers = self.known_peers()
         self.has_known_peers = peers is not None
--- a/wheatring/fleet/lease/component.py
+++ b/wheatring/fleet/lease/component.py
@@ -1,4 +1,4 @@
-"""What the deciders of one sidecar's part in the fleet have in common: events in, messages out."""
+"""The interface of the sans-I/O components of one sidecar's part in the fleet: events in, messages out."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from wheatring.fleet.members.messages import Address
 
-Outgoing = tuple[Address, Any]  # a message, and the member's address that it goes to
+Outgoing = tuple[Address, Any]  # the destination address and the message
 
 
 class Instant(NamedTuple):
-    """One instant on the clocks there are."""
+    """One point in time, as read from the three clocks."""
 
-    now: float  # monotonic, seconds
-    boot: float  # the same, but goes on while the machine is suspended: leases are measured on it
-    wall: int  # Unix time in milliseconds, for the order of epochs only
+    now: float  # monotonic clock, in seconds
+    boot: float  # boot-time clock, in seconds: also runs during suspend, so leases are measured on it
+    wall: int  # Unix time in milliseconds, used only to order epochs
 
 
 class FleetComponent(Protocol):
-    """A further decider of the same sidecar: membership views, plans, the fleet's clock.
+    """A component of a sidecar's `Fleet`: membership views, plans, the fleet's clock.
 
-    It gets the messages of its `message_types`. Payloads that it wants of others go to
+    It receives the messages of its `message_types`, and requests payloads from other members by
     `Fleet.fetch_requests`.
     """
 
@@ -28,13 +28,13 @@
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do, on the monotonic clock."""
+        """The time at which `tick` next has work to do, on the monotonic clock."""
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Do what is due."""
+        """Run the actions that are due."""
 
     def receive(self, at: Instant, sender: str, address: Address, message: Any, /) -> list[Outgoing]:
-        """Handle a message from a member, and answer to its address."""
+        """Handle a message from a member; responses go to its address."""
 
     def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None, /) -> list[Outgoing]:
-        """Handle a payload that was fetched, for whichever component; None: it wasn't there."""
+        """Handle the result of any component's fetch; `payload` is None if the member did not have it."""
--- a/wheatring/fleet/lease/electorate.py
+++ b/wheatring/fleet/lease/electorate.py
@@ -1,4 +1,4 @@
-"""The voters as one sidecar knows them: which member is which voter, and at which address. No I/O."""
+"""Maps voter names to the members and addresses that one sidecar knows. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Electorate:
-    """Finds the members behind the names of voters, and the names behind members."""
+    """Finds the addresses of voters by their names, and the voter names of members."""
 
     def __init__(self, members: Membership, acceptor: Acceptor) -> None:
         self.members = members
@@ -21,7 +21,7 @@
 
     @property
     def voters(self) -> VoterSet:
-        """The voters that this sidecar goes by."""
+        """The voter set that this sidecar uses."""
         return self.acceptor.voters
 
     def is_voter(self) -> bool:
@@ -31,18 +31,18 @@
         return bool({*self.voters.names} & {*self.voter_names(self.members.me)})
 
     def voter_names(self, member: MemberInfo) -> tuple[str, str]:
-        """Return the names that a member may have among the voters: its address, and its number."""
+        """Return the names under which a member may be a voter: its address and its number."""
         return f"{member.host}:{member.port}", numbered_voter(member.number)
 
     def voter_names_of_sender(self, sender: str) -> tuple[str, ...]:
-        """Return the names that a sender may have among the voters; (): it isn't known yet."""
+        """Return the names under which a sender may be a voter; empty if the sender is unknown."""
         if sender == self.members.me.name:
             return self.voter_names(self.members.me)
         record = self.members.table.records.get(sender)
         return self.voter_names(record.member) if record is not None else ()
 
     def to_voters(self, requests: Sequence[tuple[str, Any]]) -> list[Outgoing]:
-        """Return messages to voters with their addresses. Its own vote takes the same way as all."""
+        """Address messages to voters. This sidecar's own vote is requested by a message, too."""
         out: list[Outgoing] = []
         for name, message in requests:
             address = self._voter_address(name)
@@ -56,7 +56,8 @@
             return host, int(port)
         if name == numbered_voter(self.members.me.number):
             return self.members.me.host, self.members.me.port
-        # Whoever is suspected is asked too: one that hears nothing suspects all others, and is believed.
+        # Suspected members are included: a member that receives nothing suspects all others, and its gossip
+        # spreads these suspicions.
         records = [
             record
             for record in self.members.table.records.values()
--- a/wheatring/fleet/lease/exceptions.py
+++ b/wheatring/fleet/lease/exceptions.py
@@ -4,16 +4,16 @@
 
 
 class LeaseError(ValueError):
-    """The root of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class PayloadTooLargeError(LeaseError):
-    """A payload is larger than one may be.
+    """A payload exceeds the size limit.
 
     Attributes
     ----------
     size_bytes, limit_bytes : int
-        The payload's size, and the largest allowed.
+        The payload's size and the limit.
     """
 
     def __init__(self, size_bytes: int, limit_bytes: int) -> None:
@@ -23,14 +23,14 @@
 
 
 class RegisterNotReadyError(LeaseError):
-    """An entry was proposed where this sidecar doesn't lead the register, or the number isn't the next one.
+    """An entry cannot be proposed now: this sidecar is not a ready leader, or the number is not the next one.
 
     Attributes
     ----------
     register : str
         The register's name.
     number : int or None
-        The number that the entry was to have; None: any.
+        The expected number of the entry; None: any.
     """
 
     def __init__(self, register: str, number: int | None) -> None:
--- a/wheatring/fleet/lease/fencing.py
+++ b/wheatring/fleet/lease/fencing.py
@@ -1,13 +1,13 @@
-"""Fencing tokens: the receiver of a holder's acts rejects those of an older lease than it has seen."""
+"""Fencing tokens: a receiver rejects a holder's actions under an older lease than it has already seen."""
 
 from __future__ import annotations
 
 
 class FencingGuard:
-    """Checks the fencing token, a lease's epoch, of each act that arrives; one for each role and receiver.
+    """Checks the fencing token, a lease's epoch, of each action that arrives.
 
-    An act that was in flight when its lease ended does no harm behind it: either the next holder has acted by
-    then, and it is rejected, or nobody has.
+    There is one guard for each role and receiver. An action that was in flight when its lease ended is
+    harmless: if the next holder has already acted it is rejected, and otherwise it conflicts with nothing.
     """
 
     def __init__(self) -> None:
@@ -15,7 +15,7 @@
         self.rejected_count = 0
 
     def admit(self, token: int) -> bool:
-        """Return whether an act with this token may take effect."""
+        """Return whether an action with this token may take effect."""
         if token < self.highest_token:
             self.rejected_count += 1
             return False
--- a/wheatring/fleet/lease/fleet.py
+++ b/wheatring/fleet/lease/fleet.py
@@ -1,7 +1,7 @@
-"""One sidecar's part in the fleet: member, acceptor of leases, and candidate for singleton roles. No I/O.
+"""One sidecar's part in the fleet: member, acceptor of leases, and candidate for singleton roles.
 
-It knows no sockets and reads no clocks: an `Instant` is given with every event, and what is to be sent is
-returned as addresses and messages.
+Uses no sockets and reads no clocks: each event is passed in with its `Instant`, and outgoing messages are
+returned with their addresses.
 """
 
 from __future__ import annotations
@@ -52,17 +52,17 @@
 
 
 class VoterChange(NamedTuple):
-    """What came of a change of voters: why it is rejected ("": it is made), and what is to be sent."""
+    """The result of a change of voters: the reason for a rejection, or "", and the outgoing messages."""
 
     objection: str
     outgoing: list[Outgoing]
 
 
 class Fleet:
-    """Hands the events of one process to its deciders, and gathers what they return.
+    """Dispatches the events of one process to its components, and collects their outgoing messages.
 
-    `incarnation` tells this process from earlier ones of its name. `heartbeats` and `fetch_requests` are for
-    the caller, who empties them: what the holders of roles have announced, and which payloads are wanted.
+    `incarnation` distinguishes this process from earlier ones of the same name. `heartbeats` collects the
+    announcements of role holders and `fetch_requests` the payloads to fetch; the caller drains both.
     """
 
     def __init__(
@@ -101,16 +101,16 @@
 
     @property
     def voters(self) -> VoterSet:
-        """The voters that this sidecar goes by."""
+        """The voter set that this sidecar uses."""
         return self.acceptor.voters
 
     @property
     def is_leaving(self) -> bool:
-        """Whether it has announced that it leaves."""
+        """Whether this sidecar has announced that it is leaving."""
         return self.members.gossip.has_left
 
     def change_voters(self, at: Instant, voters: VoterSet) -> VoterChange:
-        """Go by other voters, if nothing speaks against it."""
+        """Switch to another voter set, unless the acceptor rejects the change."""
         adopted = {
             record.member.voters_digest for record in self.members.table.records.values() if record.is_present
         }
@@ -124,13 +124,13 @@
     # Events
 
     def seconds_until_due(self, at: Instant) -> float:
-        """Return the seconds until `tick` has something to do."""
+        """Return the seconds until `tick` next has work to do."""
         roles = self.role_manager.seconds_until_due(at)
         components = min((component.due for component in self.components), default=inf) - at.now
         return max(0.0, min(self.members.due - at.now, roles, components))
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Do what is due."""
+        """Run the due actions of membership, roles and components."""
         if self.is_leaving:
             return []
         out: list[Outgoing] = list(self.members.tick(at.now))
@@ -142,17 +142,19 @@
         return out
 
     def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
-        """Handle the answer to a fetch request: the complete payload, or None."""
+        """Handle the result of a fetch request: the complete payload, or None."""
         if payload is not None:
             self.payloads.put(payload)
         out = [
-            sent for component in self.components for sent in component.receive_payload(at, digest, payload)
+            outgoing
+            for component in self.components
+            for outgoing in component.receive_payload(at, digest, payload)
         ]
         self.role_manager.report_changes(at)
         return out
 
     def receive(self, at: Instant, sender: str, address: Address, message: Any) -> list[Outgoing]:
-        """Handle a message whose sender is known to be a member of the fleet."""
+        """Handle a message whose sender has been authenticated as a member of the fleet."""
         out = self._dispatch(at, sender, address, message)
         self.role_manager.handle_facts()
         self.role_manager.report_changes(at)
@@ -174,10 +176,10 @@
                 return list(self.members.receive(at.now, sender, address, message))
             case _:
                 return [
-                    sent
+                    outgoing
                     for component in self.components
                     if isinstance(message, component.message_types)
-                    for sent in component.receive(at, sender, address, message)
+                    for outgoing in component.receive(at, sender, address, message)
                 ]
 
     def _handle_acceptor_request(
@@ -188,15 +190,15 @@
         response = self.acceptor.receive(at.boot, at.wall, message)
         return [(address, response)] if response is not None else []
 
-    def broadcast(self, message: Any, audience: Collection[str] | None = None) -> list[Outgoing]:
-        """Send a message to all members of the tier; see `Relay.broadcast`."""
-        return self._relay.broadcast(message, audience)
+    def broadcast(self, message: Any, recipients: Collection[str] | None = None) -> list[Outgoing]:
+        """Send a message to the members of the tier; see `Relay.broadcast`."""
+        return self._relay.broadcast(message, recipients)
 
     def relay(self, message: Any) -> list[Outgoing]:
-        """Return what the receiver of a broadcast sends on."""
+        """Return the messages with which the receiver of a broadcast relays it."""
         return self._relay.relay(message)
 
     def leave(self, at: Instant) -> list[Outgoing]:
-        """Give all roles back, and announce that it leaves."""
+        """Release the roles, except those held on request, and announce that this sidecar leaves."""
         out = self.role_manager.leave(at)
         return out + list(self.members.leave(at.now))
--- a/wheatring/fleet/lease/join_requester.py
+++ b/wheatring/fleet/lease/join_requester.py
@@ -1,4 +1,4 @@
-"""How a sidecar that isn't in the membership view asks to be admitted. No I/O."""
+"""Requests admission for a sidecar that is not in the membership view. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from wheatring.fleet.lease.view_sender import ViewSender
 from wheatring.fleet.members.view_messages import JoinDeferred, JoinRequest
 
-JOIN_REQUEST_INTERVAL_SECONDS = 1.0  # from one join request of a sidecar to the next
-MAX_DEFERRAL_SECONDS = 10.0  # for which a leader can have it wait
+JOIN_REQUEST_INTERVAL_SECONDS = 1.0  # the mean time between two join requests of a sidecar
+MAX_DEFERRAL_SECONDS = 10.0  # the upper bound for the delay that a leader may request
 
 
 class JoinRequester:
-    """Asks the voters for admission again and again, and waits where a leader defers it.
+    """Requests admission from the voters until it is granted, and waits if a leader defers it.
 
-    `deferral` is the leader's last one, None once this sidecar is a member.
+    `deferral` is the leader's last deferral, None once this sidecar is a member.
     """
 
     def __init__(self, now: float, fleet: Fleet, installer: ViewInstaller, sender: ViewSender) -> None:
@@ -29,11 +29,11 @@
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has work to do."""
         return inf if self.installer.is_member else self.next_request
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Ask the voters, if this sidecar isn't a member and the next request is due."""
+        """Send a join request to the voters, if this sidecar is not a member and the request is due."""
         if self.installer.is_member or at.now < self.next_request:
             return []
         interval = JOIN_REQUEST_INTERVAL_SECONDS * (0.9 + 0.2 * self.fleet.random.random())
@@ -42,7 +42,7 @@
         return self.sender.to_all_voters(request)
 
     def handle_deferral(self, now: float, message: JoinDeferred) -> None:
-        """Wait for as long as a leader says, within bounds."""
+        """Wait for as long as a leader requests, up to `MAX_DEFERRAL_SECONDS`."""
         self.deferral = message
         earliest = now + min(message.retry_after_seconds, MAX_DEFERRAL_SECONDS) + 0.05
         self.next_request = max(self.next_request, earliest)
--- a/wheatring/fleet/lease/membership_views.py
+++ b/wheatring/fleet/lease/membership_views.py
@@ -1,11 +1,12 @@
-"""One sidecar's part in the agreed membership view: monitors others, installs views, leads the next.
+"""One sidecar's part in the agreed membership view: monitors members, installs views, proposes changes.
 
-Which view it stands in is moved only by the register `view` (an entry that is chosen, whose payload is here).
-What it reports of who is silent is evidence; who is removed and admitted is decided by the leader alone, from
-what the observers in the present view reported, and is in force once a majority of the voters accepted it.
+A sidecar installs a view only if the register `view` has chosen the entry and its payload is available.
+Reports of unresponsive members are evidence only: the leader alone decides who is removed and who is
+admitted, from the reports of the observers in the current view. A change takes effect once a majority of the
+voters has accepted it.
 
-What must never hold: two sidecars that stand in views of one number with other members; one that goes back to
-a lower number; one that counts on a view (`is_current`) though no leader has stood by it for
+Safety properties: two views of the same number always have the same members; a sidecar never goes back to a
+lower view number; and it does not consider a view current (`is_current`) that no leader has confirmed for
 `STAMP_VALID_SECONDS`.
 """
 
@@ -41,14 +42,14 @@
 
 
 class MembershipViews:
-    """The fleet's component for membership views, with its `register` as another component beside it."""
+    """The fleet's component for membership views; its `register` is a separate component."""
 
     message_types = get_args(ViewMessage)
 
     def __init__(self, at: Instant, fleet: Fleet) -> None:
         self.fleet = fleet
         self.register = ReplicatedRegister(at, "view", fleet, self._handle_chosen)
-        self.register.leader.audience = lambda: self.view.names
+        self.register.leader.recipients = lambda: self.view.names
         self.installer = ViewInstaller(at, fleet, self._handle_installed)
         self.stamps = LeaderStamps(at.now)
         sender = ViewSender(fleet, self.installer)
@@ -57,49 +58,49 @@
         self.joining = JoinRequester(at.now, fleet, self.installer, sender)
         self.sender = sender
 
-    # What is known
+    # State
 
     @property
     def view(self) -> View:
-        """The view that this sidecar stands in."""
+        """The view that this sidecar has installed."""
         return self.installer.view
 
     @property
     def is_member(self) -> bool:
-        """Whether this very process is a member of the view that it knows."""
+        """Whether this process (name and incarnation) is a member of the installed view."""
         return self.installer.is_member
 
     @property
     def stamp(self) -> LeaderStamp:
-        """The newest stamp of a leader."""
+        """The newest leader stamp known here."""
         return self.stamps.stamp
 
     @property
     def join_deferral(self) -> JoinDeferred | None:
-        """The leader's last answer that this sidecar isn't admitted yet; None once it is a member."""
+        """The leader's last deferral of this sidecar's join request; None once it is a member."""
         return self.joining.deferral
 
     def stamp_age_seconds(self, now: float) -> float:
-        """Return the seconds since a leader surely stood by the newest stamp known here."""
+        """Return an upper bound of the age of the newest stamp known here, in seconds."""
         return self.stamps.age_seconds(now)
 
     def is_current(self, now: float) -> bool:
-        """Return whether it may still count on its view."""
+        """Return whether this sidecar may still rely on its installed view."""
         return self.is_member and self.stamps.is_valid(now) and self.stamp.view <= self.view.number
 
     def isolation(self, now: float) -> Isolation:
-        """Return in which way this member of the view is cut off."""
+        """Return how this member of the view is cut off from the others, if it is."""
         return self.monitor.isolation(now)
 
     # Events
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has work to do."""
         return min(self.monitor.due, self.leader.due, self.joining.due, self.installer.next_fetch_retry)
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Do what is due."""
+        """Run the due actions of monitor, join requester, installer and leader."""
         if self.monitor.note_stall(at.now):
             self.leader.cut_detector.clear_evidence()
         out = self.monitor.tick(at) + self.joining.tick(at)
@@ -108,7 +109,7 @@
         return out + self.leader.tick(at)
 
     def receive(self, at: Instant, sender: str, address: Address, message: ViewMessage) -> list[Outgoing]:
-        """Handle a message on views."""
+        """Handle a message about views."""
         now = at.now
         self.monitor.edge_monitor.last_message = now
         match message:
@@ -131,7 +132,7 @@
         return []
 
     def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
-        """Handle a payload that was fetched; None: it wasn't there."""
+        """Handle the result of a fetch; `payload` is None if the member did not have it."""
         return self.installer.receive_payload(at, digest, payload)
 
     def _handle_chosen(self, at: Instant, entry: Entry, payload: bytes) -> list[Outgoing]:
@@ -143,6 +144,6 @@
             self.joining.deferral = None
         return self.leader.handle_installed(at.now, previous, change)
 
-    def leave(self, at: Instant) -> list[Outgoing]:  # noqa: ARG002 - each event bears its instant
-        """Ask to be removed at once."""
+    def leave(self, at: Instant) -> list[Outgoing]:  # noqa: ARG002 - the same signature as all events
+        """Ask the voters to remove this sidecar immediately."""
         return self.sender.to_all_voters(UnresponsiveReport(self.view.number, ((self.fleet.me.name, 0.0),)))
--- a/wheatring/fleet/lease/messages.py
+++ b/wheatring/fleet/lease/messages.py
@@ -1,6 +1,7 @@
-"""Messages between proposers and acceptors of leases. Durations travel, instants don't: clocks differ.
+"""Messages between proposers and acceptors of leases.
 
-All are encoded as msgpack arrays: their tags and the order of their fields are the wire format.
+They carry durations rather than points in time, because the clocks of the processes differ. All are encoded
+as msgpack arrays: their tags and the order of their fields are the wire format.
 """
 
 from __future__ import annotations
@@ -11,11 +12,11 @@
 
 
 class ProposalNumber(NamedTuple):
-    """The number of a proposal (Paxos' ballot), made unique by the process that proposes."""
+    """The number of a proposal (a ballot in Paxos), made unique by the identity of the proposing process."""
 
     number: int
     proposer: str
-    incarnation: int  # of the proposer's process: one that starts anew is another proposer
+    incarnation: int  # the incarnation of the proposing process: after a restart it is another proposer
 
     @property
     def process(self) -> tuple[str, int]:
@@ -27,9 +28,9 @@
 
 
 class LeaseMessage(Struct, frozen=True, array_like=True, tag_field="w"):
-    """What all messages on a lease are about.
+    """The common fields of all messages about a lease.
 
-    `round` tells answers to one round of a proposal from late ones to an earlier round.
+    `round` distinguishes responses to the current round of a proposal from late ones to an earlier round.
     """
 
     lease: str
@@ -38,9 +39,9 @@
 
 
 class Prepare(LeaseMessage, frozen=True, tag="ask"):
-    """Proposer to acceptor: promise to accept nothing of a lower proposal."""
+    """Proposer to acceptor: promise not to accept a proposal with a lower number."""
 
-    voters_digest: int  # of the voters that the proposer goes by
+    voters_digest: int  # the digest of the proposer's voter set
 
 
 class Propose(LeaseMessage, frozen=True, tag="claim"):
@@ -49,19 +50,19 @@
     voters_digest: int
     epoch: int
     lease_seconds: float
-    is_renewal: bool = False  # a majority has granted it before, and this is to extend it
+    is_renewal: bool = False  # extends a lease that a majority has already granted
 
 
 class Release(LeaseMessage, frozen=True, tag="release"):
-    """Holder to acceptor: the lease is given back."""
+    """Holder to acceptor: the lease is released."""
 
     voters_digest: int
 
 
 class Promise(LeaseMessage, frozen=True, tag="promise"):
-    """Acceptor to proposer: the answer to `Prepare`."""
+    """Acceptor to proposer: the response to `Prepare`."""
 
-    epoch: int  # the highest that the acceptor knows of: a new lease's has to be higher
+    epoch: int  # the highest epoch that the acceptor knows; a new lease needs a higher one
 
 
 class Accepted(LeaseMessage, frozen=True, tag="grant"):
@@ -69,13 +70,13 @@
 
 
 class Rejection(LeaseMessage, frozen=True, tag="refusal"):
-    """Acceptor to proposer: neither promised nor granted."""
+    """Acceptor to proposer: the request was neither promised nor granted."""
 
     reason: Literal["held", "passed", "starting", "voters"]
     retry_after_seconds: float = 0.0
-    promised_number: int = 0  # "passed": the number of the proposal that was promised
-    holder: ProposalNumber = NO_PROPOSAL  # "held": the holder's proposal,
-    epoch: int = 0  # and the epoch of its lease
+    promised_number: int = 0  # for "passed": the number of the proposal that was promised
+    holder: ProposalNumber = NO_PROPOSAL  # for "held": the holder's proposal
+    epoch: int = 0  # for "held": the epoch of the holder's lease
 
 
 AcceptorRequest = Prepare | Propose | Release
@@ -85,7 +86,7 @@
 class LeaseReleased(Struct, frozen=True, array_like=True, tag_field="w", tag="free"):
     """Last holder to the candidates: the lease is free, and `next_holder` is to take it.
 
-    It only says when to ask: whether the lease is free is for the acceptors.
+    This is only a hint when to send a prepare request: the acceptors decide whether the lease is free.
     """
 
     lease: str
@@ -94,12 +95,12 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag_field="w", tag="beat"):
-    """Holder of the role `list` to all members: how new its endpoint list is."""
+    """Holder of the role `list` to all members: the generation and age of its endpoint list."""
 
     role: str
     epoch: int
     sequence: int
     generation: int
-    withdrawn: tuple[str, ...] = ()  # nodes that drain or have left by that list
-    age_seconds: float = 0.0  # since the list had this generation
-    to: tuple[str, ...] = ()  # members to whom the receiver relays it
+    withdrawn: tuple[str, ...] = ()  # nodes that are draining or have left according to that list
+    age_seconds: float = 0.0  # the time since the list reached this generation
+    to: tuple[str, ...] = ()  # members to which the receiver relays the message
--- a/wheatring/fleet/lease/payloads.py
+++ b/wheatring/fleet/lease/payloads.py
@@ -1,4 +1,4 @@
-"""Payloads that digests stand for: a bounded, content-addressed store in memory. No I/O."""
+"""A bounded, content-addressed store of payloads in memory. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 from wheatring.fleet.lease.exceptions import PayloadTooLargeError
 
-MAX_PAYLOAD_BYTES = 256 * 1024  # of one payload
-MAX_STORE_BYTES = 2 * 1024 * 1024  # of all payloads together
+MAX_PAYLOAD_BYTES = 256 * 1024  # the limit for one payload
+MAX_STORE_BYTES = 2 * 1024 * 1024  # the limit for all stored payloads together
 
 
 def digest(payload: bytes) -> bytes:
-    """Return the key of a payload: BLAKE2b (RFC 7693), 16 bytes."""
+    """Return the key of a payload: its BLAKE2b digest (RFC 7693) of 16 bytes."""
     return blake2b(payload, digest_size=16, person=b"wheatring-body").digest()
 
 
 class FetchRequest(NamedTuple):
-    """A payload that is wanted, and the member to ask for it.
+    """A payload to fetch, and the member to fetch it from.
 
-    `Fleet.receive_payload` gets the answer: the complete payload, or None.
+    The caller passes the result to `Fleet.receive_payload`: the complete payload, or None.
     """
 
     address: tuple[str, int]
@@ -28,11 +28,11 @@
 
 
 class PayloadStore:
-    """Payloads by their digests. Where there is no room the oldest that isn't pinned goes first."""
+    """Payloads by digest. When the store is full, the oldest payloads that are not pinned are evicted."""
 
     def __init__(self) -> None:
         self.payloads: OrderedDict[bytes, bytes] = OrderedDict()
-        self.pinned: dict[str, bytes] = {}  # digests that stay, by the purpose that needs them
+        self.pinned: dict[str, bytes] = {}  # digests that are not evicted, by purpose
         self.stored_bytes = 0
 
     def put(self, payload: bytes) -> bytes:
@@ -41,7 +41,7 @@
         Raises
         ------
         PayloadTooLargeError
-            It is larger than `MAX_PAYLOAD_BYTES`.
+            If it is larger than `MAX_PAYLOAD_BYTES`.
         """
         if len(payload) > MAX_PAYLOAD_BYTES:
             raise PayloadTooLargeError(len(payload), MAX_PAYLOAD_BYTES)
@@ -55,7 +55,7 @@
         return key
 
     def _evict(self, newest: bytes) -> None:
-        """Drop the oldest payloads until there is room; pinned ones and `newest` stay."""
+        """Evict the oldest payloads until the store fits its limit; pinned ones and `newest` stay."""
         pinned = set(self.pinned.values())
         for old in list(self.payloads):
             if self.stored_bytes <= MAX_STORE_BYTES:
@@ -64,9 +64,9 @@
                 self.stored_bytes -= len(self.payloads.pop(old))
 
     def get(self, key: bytes) -> bytes | None:
-        """Return the payload of a digest; None: it isn't stored here."""
+        """Return the payload of a digest, or None if it is not stored here."""
         return self.payloads.get(key)
 
     def pin(self, purpose: str, key: bytes) -> None:
-        """Keep this payload from eviction, in place of the one pinned for the same purpose before."""
+        """Protect a payload from eviction, replacing the one pinned for the same purpose before."""
         self.pinned[purpose] = key
--- a/wheatring/fleet/lease/proposer.py
+++ b/wheatring/fleet/lease/proposer.py
@@ -1,13 +1,13 @@
-"""A proposer of one lease: prepares, proposes, holds, releases. No I/O, clock or chance of its own.
+"""The proposer of one lease: prepares, proposes, holds and releases it.
 
-What the safety of a lease rests on, on this side:
+Performs no I/O; the time and the random generator are passed in. The proposer's part of the safety argument:
 
-- a lease runs from the instant that was read before the round's first request was made, so that no stall on
-  the way there or back can make it longer;
-- only answers to this very round of this very proposal count;
-- a round of preparing and the one of proposing after it are over with the lease that began with the
-  preparing: an acceptor that started meanwhile has abstained for that long;
-- a proposer that has been without the lease for an instant prepares anew, and gets a higher epoch.
+- A lease is measured from a clock reading taken before the round's first request was sent, so a delay of the
+  requests or the responses cannot extend it.
+- Only responses to the current round of the current proposal count.
+- A new lease is measured from the start of its prepare round, and the prepare and propose rounds end with it.
+  An acceptor that restarted in the meantime abstains for at least that long.
+- A proposer whose lease has expired, however briefly, runs a new prepare round and gets a higher epoch.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 from wheatring.fleet.lease.timing import LeaseTiming
 from wheatring.fleet.lease.voters import VoterSet
 
-AddressedRequest = tuple[str, AcceptorRequest]  # an acceptor's name among the voters, and what it is sent
+AddressedRequest = tuple[str, AcceptorRequest]  # the acceptor's voter name and the request
 
 
 class ProposerPhase(Enum):
-    """What the round under way is for."""
+    """The phase of the current round."""
 
-    IDLE = "no round is under way"
-    PREPARING = "acceptors are to promise the number of a proposal"
-    PROPOSING = "acceptors are to accept it"
+    IDLE = "no round in progress"
+    PREPARING = "waiting for acceptors to promise the proposal number"
+    PROPOSING = "waiting for acceptors to accept the proposal"
 
 
 class Proposer:
-    """One process's bid for one lease.
+    """The proposer of one process for one lease.
 
-    `rank` is its place among the candidates for the lease: each waits a moment longer than the one before it;
-    None: it is no candidate.
+    `rank` is its position among the candidates for the lease, None if it is not a candidate. Each candidate
+    waits one retransmission interval longer than the one before it.
     """
 
     def __init__(
@@ -58,44 +58,49 @@
         self.voters = voters
         self.random = random
         self.rank: int | None = None
-        self.due = inf  # when `tick` has something to do
+        self.due = inf  # the time at which `tick` next has work to do
         self.proposal = ProposalNumber(0, name, incarnation)
         self.round = 0
-        self.round_started = 0.0  # the instant that this round's lease runs from
+        self.round_started = 0.0  # the time that this round's lease is measured from
         self.phase = ProposerPhase.IDLE
-        self.is_renewing = False  # the round is to extend the lease that it holds
+        self.is_renewing = False  # whether this round extends a lease that is already held
         self.highest_promised = 0  # the highest number that an acceptor has promised to another proposal
-        self.epoch = 0  # of the lease held or proposed,
-        self.highest_epoch = 0  # and the highest that was heard of
-        self.held_until = -inf  # the end of the lease held
-        self.granted_by: dict[str, int] = {}  # acceptors that have promised, or granted, in this round
-        self.rejected_by: dict[str, float] = {}  # those that have rejected, and for how many seconds
-
-    def owns_lease(self, now: float) -> bool:
-        """Return whether it holds the lease."""
+        self.epoch = 0  # the epoch of the lease that is held or proposed
+        self.highest_epoch = 0  # the highest epoch known
+        self.held_until = -inf  # when the held lease expires
+        # Acceptors that promised (with their epoch) or accepted (with 0) in this round.
+        self.granted_by: dict[str, int] = {}
+        self.rejected_by: dict[str, float] = {}  # acceptors that rejected, with the seconds until a retry
+
+    def holds_lease(self, now: float) -> bool:
+        """Return whether this proposer holds the lease."""
         return now < self.held_until
 
     def epoch_to_act(self, now: float) -> int | None:
-        """Return the epoch to act in, which is the fencing token; None: it doesn't hold the lease.
+        """Return the lease's epoch, which is the fencing token, or None if the lease is not held.
 
-        To be asked right before every act, each time with a clock read after all that the act needs was at
-        hand: a stall between the two would let it act after the lease's end.
+        Call this immediately before each action, with a clock reading taken after everything else that the
+        action needs is ready. A stall between the reading and the action could let it run after the lease
+        has expired.
         """
-        return self.epoch if self.owns_lease(now) else None
+        return self.epoch if self.holds_lease(now) else None
 
     # Events
 
     def set_rank(self, now: float, rank: int | None) -> list[AddressedRequest]:
-        """Set its place among the candidates; with None it stops, and gives back what it holds."""
-        was, self.rank = self.rank, rank
+        """Set the rank among the candidates; with None, stop being a candidate and release the lease."""
+        previous, self.rank = self.rank, rank
         if rank is None:
             return self.release(now)
-        if was is None:
+        if previous is None:
             self.due = now + rank * self.timing.retransmit_seconds
         return []
 
     def release(self, now: float) -> list[AddressedRequest]:
-        """Give back what it holds or has proposed. It no longer holds the lease, whoever hears of it."""
+        """Release the lease that is held or proposed.
+
+        The lease ends here immediately, whether or not any acceptor receives the message.
+        """
         self.held_until = -inf
         self.due = inf if self.rank is None else now + self.timing.lease_seconds
         if self.round == 0:
@@ -106,8 +111,8 @@
         return [(voter, message) for voter in self.voters.names]
 
     def note_released(self, now: float, is_next: bool) -> None:
-        """Take note that the lease is free by what somebody says; `is_next`: this proposer is to have it."""
-        if self.rank is None or self.owns_lease(now) or self.phase is not ProposerPhase.IDLE:
+        """Handle a hint that the lease is free; `is_next` says whether this proposer is to take it."""
+        if self.rank is None or self.holds_lease(now) or self.phase is not ProposerPhase.IDLE:
             return
         delay = 0.0
         if not is_next:
@@ -115,32 +120,33 @@
         self.due = min(self.due, now + delay)
 
     def note_epoch(self, epoch: int) -> None:
-        """Take note of an epoch that somebody has seen: the next one has to be higher."""
+        """Record an epoch that another member has seen; the next lease's epoch has to be higher."""
         self.highest_epoch = max(self.highest_epoch, epoch)
 
     def tick(self, now: float) -> list[AddressedRequest]:
-        """Do what is due. Earlier than that it does nothing."""
+        """Retransmit, renew or start a round if that is due; before `due` this does nothing."""
         if now < self.due or self.rank is None:
             return []
         if self.phase is not ProposerPhase.IDLE:
-            # Retransmit to those that have not answered. A renewal goes on as the same round as long as there
-            # is something to renew: each new one would have the acceptors keep the lease for its full length
-            # again, though this process may be heard and hear nothing itself.
+            # Retransmits to the acceptors that have not answered. A renewal stays in the same round as long
+            # as the lease is held: each new round would make the acceptors extend their grants by a full
+            # lease, even if this process can send but receives nothing.
             is_in_time = now < self.round_started + self.timing.round_timeout_seconds
-            if is_in_time or (self.is_renewing and self.owns_lease(now)):
+            if is_in_time or (self.is_renewing and self.holds_lease(now)):
                 return self._send_requests(now)
             self.phase = ProposerPhase.IDLE
-            if not self.owns_lease(now):
-                # Whom nobody answers is cut off, and may still be heard: others are to have their attempt.
+            if not self.holds_lease(now):
+                # Without any response this process is probably cut off, but others may still receive its
+                # requests. A longer delay gives the other candidates a chance to acquire the lease.
                 is_answered = self.granted_by or self.rejected_by
                 self._schedule_retry(now, 0.0 if is_answered else self.timing.lease_seconds / 2)
                 return []
-        if self.owns_lease(now) and self.highest_promised <= self.proposal.number:
+        if self.holds_lease(now) and self.highest_promised <= self.proposal.number:
             return self._propose(now, now)
         return self._prepare(now)
 
     def receive(self, now: float, voter: str, message: AcceptorResponse) -> list[AddressedRequest]:
-        """Handle an acceptor's answer; a late one, or one of a stranger, doesn't count."""
+        """Handle an acceptor's response; late ones and those of non-voters are ignored."""
         if not self._is_awaited(now, voter, message):
             return []
         match message:
@@ -159,12 +165,12 @@
         return []
 
     def _is_awaited(self, now: float, voter: str, message: AcceptorResponse) -> bool:
-        """Return whether this answers the round under way, and in time."""
+        """Return whether this response belongs to the current round and arrived in time."""
         is_this_round = message.proposal == self.proposal and message.round == self.round
         if not is_this_round or voter not in self.voters.names:
             return False
         is_open = self.phase is not ProposerPhase.IDLE
-        return is_open and now < self.round_started + self.timing.owner_seconds
+        return is_open and now < self.round_started + self.timing.holder_seconds
 
     # Rounds
 
@@ -183,11 +189,11 @@
     def _start_round(self, now: float, started: float) -> None:
         self.round += 1
         self.round_started = started
-        self.is_renewing = self.owns_lease(now)
+        self.is_renewing = self.holds_lease(now)
         self.granted_by, self.rejected_by = {}, {}
 
     def _send_requests(self, now: float) -> list[AddressedRequest]:
-        """Send the round's request to all acceptors that have not answered."""
+        """Send the current round's request to all acceptors that have not answered."""
         self.due = now + self.timing.retransmit_seconds
         header, digest = (self.lease, self.proposal, self.round), self.voters.digest
         message: AcceptorRequest = Prepare(*header, digest)
@@ -197,8 +203,8 @@
         return [(voter, message) for voter in self.voters.names if voter not in answered]
 
     def _handle_majority(self, now: float) -> list[AddressedRequest]:
-        if self.is_renewing and not self.owns_lease(now):
-            # Too late: its lease has ended meanwhile, so what comes is another lease, with another epoch.
+        if self.is_renewing and not self.holds_lease(now):
+            # The lease expired before the renewal completed, so it has to be acquired again with a new epoch.
             self.phase = ProposerPhase.IDLE
             self.due = now
             return []
@@ -211,7 +217,7 @@
 
     def _handle_elected(self, now: float) -> None:
         self.phase = ProposerPhase.IDLE
-        self.held_until = self.round_started + self.timing.owner_seconds
+        self.held_until = self.round_started + self.timing.holder_seconds
         self.note_epoch(self.epoch)
         self.due = max(now, self.round_started + self.timing.renew_seconds)
 
@@ -223,7 +229,7 @@
             self.note_epoch(message.epoch)
 
     def _handle_majority_lost(self, now: float) -> None:
-        """End a round that no majority can come of; the next one waits until enough acceptors are free."""
+        """End a round that can no longer reach a majority, and retry once enough acceptors are free."""
         self.phase = ProposerPhase.IDLE
         free = [voter for voter in self.voters.names if voter not in self.rejected_by]
         waits = iter(sorted((seconds, voter) for voter, seconds in self.rejected_by.items()))
--- a/wheatring/fleet/lease/register_learner.py
+++ b/wheatring/fleet/lease/register_learner.py
@@ -1,4 +1,4 @@
-"""The learner of a replicated register: which entry is chosen, and whether its payload is here. No I/O."""
+"""The learner of a replicated register: tracks the chosen entry and fetches its payload. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from wheatring.fleet.lease.register_messages import NO_ENTRY, Entry, EntryChosen, NewestQuery
 from wheatring.fleet.members.messages import Address
 
-FETCH_RETRY_SECONDS = 0.3  # from a payload that wasn't there to the next attempt
-SYNC_INTERVAL_SECONDS = 5.0  # from one query for the newest entry to the next
+FETCH_RETRY_SECONDS = 0.3  # the mean delay before a failed fetch of a payload is retried
+SYNC_INTERVAL_SECONDS = 5.0  # the mean time between two queries for the newest entry
 OnChosen = Callable[[Instant, Entry, bytes], list[Outgoing]]
 
 
 class RegisterLearner:
-    """Learns the newest chosen entry of one register, and applies it once its payload is here.
+    """Learns the newest chosen entry of one register, and applies it once its payload is available.
 
-    `on_chosen` is called with each entry that is applied, and its payload. `chosen` is the newest known,
-    `applied` the newest whose payload is here too. A learner never goes from one chosen entry to one of a
-    lower version.
+    `on_chosen` is called with each applied entry and its payload. `chosen` is the newest chosen entry known,
+    `applied` the newest one whose payload is stored here. A learner never goes back to an entry of a lower
+    version.
     """
 
     def __init__(self, at: Instant, name: str, fleet: Fleet, on_chosen: OnChosen) -> None:
@@ -30,18 +30,19 @@
         self.on_chosen = on_chosen
         self.chosen = self.applied = NO_ENTRY
         self.next_sync = at.now + SYNC_INTERVAL_SECONDS * fleet.random.random()
-        self.last_fetch = -inf  # when a payload was last asked for,
-        self.payload_source: Address = ("", 0)  # and who has that of the newest entry
-        self.next_fetch_retry = inf  # when the next attempt for it is
-        self.pending_relay: EntryChosen | None = None  # relayed once the payload is here for who asks for it
+        self.last_fetch = -inf  # when a payload was last requested
+        self.payload_source: Address = ("", 0)  # the member that has the payload of the newest entry
+        self.next_fetch_retry = inf
+        # Relayed only once the payload is stored here, so that the receivers can fetch it from this member.
+        self.pending_relay: EntryChosen | None = None
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has work to do."""
         return min(self.next_sync, self.next_fetch_retry)
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Ask for what is newer, and fetch again what could not be fetched."""
+        """Query for a newer entry and retry a failed fetch, if these are due."""
         out: list[Outgoing] = []
         if at.now >= self.next_sync:
             out += self._sync(at)
@@ -50,15 +51,15 @@
         return out
 
     def newest_query(self, wants_accepted: bool = False) -> NewestQuery:
-        """Return the query for what is newer than what is applied here."""
+        """Return the query for an entry newer than the one applied here."""
         return NewestQuery(self.name, self.applied.epoch, self.applied.number, wants_accepted)
 
     def chosen_announcement(self) -> EntryChosen:
-        """Return the announcement of the newest applied entry, for one who has not heard of it."""
+        """Return the announcement of the newest applied entry."""
         return EntryChosen(self.name, self.applied.epoch, self.applied)
 
     def learn(self, at: Instant, address: Address, entry: Entry) -> list[Outgoing]:
-        """Take note of an entry that is known chosen, and of who has its payload."""
+        """Record a chosen entry unless a newer one is known; `address` is a member that has its payload."""
         if entry.version < self.chosen.version or self.applied == entry:
             return []
         self.chosen = entry
@@ -68,7 +69,7 @@
         return self._apply_chosen(at)
 
     def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
-        """Handle a fetched payload: apply the chosen entry if this is its."""
+        """Handle the result of a fetch: apply the chosen entry if this is its payload."""
         if digest != self.chosen.digest or self.applied == self.chosen:
             return []
         if payload is not None:
@@ -77,15 +78,15 @@
         return []
 
     def fetch(self, at: Instant, source: Address, entry: Entry) -> None:
-        """Ask a member for an entry's payload."""
+        """Request an entry's payload from a member."""
         self.last_fetch = at.now
         self.fleet.fetch_requests.append(FetchRequest(source, entry.digest))
 
     def _apply_chosen(self, at: Instant) -> list[Outgoing]:
-        """Apply the chosen entry, if its payload is here; else fetch that."""
+        """Apply the chosen entry if its payload is stored here; otherwise fetch the payload."""
         payload = self.fleet.payloads.get(self.chosen.digest)
         if payload is None:
-            self.next_fetch_retry = inf  # until it is known what comes of this
+            self.next_fetch_retry = inf  # no retry until the result of this fetch is known
             self.fetch(at, self.payload_source, self.chosen)
             return []
         self.applied, self.next_fetch_retry = self.chosen, inf
@@ -107,14 +108,15 @@
         return out
 
     def _sync(self, at: Instant) -> list[Outgoing]:
-        """Ask some member for what is newer."""
+        """Ask a random member for a newer entry."""
         self.next_sync = at.now + SYNC_INTERVAL_SECONDS * (0.75 + self.fleet.random.random() / 2)
         return self._query_random_member()
 
     def _retry_fetch(self, at: Instant) -> list[Outgoing]:
         """Fetch again a payload that its source did not have.
 
-        Whoever announces the entry once more has it; who announced it first may have it by now.
+        The source may have it by now. A random member is also asked for the newest entry: if it announces
+        that, it has the payload.
         """
         self._schedule_fetch_retry(at)
         self.fleet.fetch_requests.append(FetchRequest(self.payload_source, self.chosen.digest))
--- a/wheatring/fleet/lease/register_messages.py
+++ b/wheatring/fleet/lease/register_messages.py
@@ -1,4 +1,4 @@
-"""Messages on replicated registers: numbered sequences of entries, kept by the voters, led by one leader.
+"""Messages about replicated registers: numbered sequences of entries, accepted by voters under one leader.
 
 All are encoded as msgpack arrays: their tags and the order of their fields are the wire format.
 """
@@ -11,40 +11,40 @@
 
 
 class Entry(NamedTuple):
-    """One entry of a register. Under one number only one digest is ever chosen."""
+    """One entry of a register. At most one digest is ever chosen for a number."""
 
     number: int
-    epoch: int  # of the leader that proposed it
+    epoch: int  # the epoch of the leader that proposed it
     digest: bytes
-    size_bytes: int = 0  # of the payload that the digest stands for
-    inline_payload: bytes = b""  # the payload itself, where it is small
-    put_at_ms: int = 0  # Unix time by the fleet's clock when it was first proposed; 0: not known
+    size_bytes: int = 0  # the size of the payload
+    inline_payload: bytes = b""  # the payload itself if it is small, else empty
+    put_at_ms: int = 0  # Unix time on the fleet's clock when it was first proposed; 0: unknown
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Epoch and number: of two accepted entries the higher in rank is the one to propose again."""
+        """Epoch and number: a new leader proposes the accepted entry of the highest rank again."""
         return self.epoch, self.number
 
     @property
     def version(self) -> tuple[int, int]:
-        """Number and epoch: of two chosen entries the higher in version is the newer."""
+        """Number and epoch: of two chosen entries, the one with the higher version is newer."""
         return self.number, self.epoch
 
 
 NO_ENTRY = Entry(0, 0, b"")
-RECOVERY_EPOCH = -1  # in the answer to an acceptor that recovers after its start
-MAX_INLINE_BYTES = 900  # of a payload that travels with its entry
+RECOVERY_EPOCH = -1  # the epoch in responses to an acceptor that recovers after a restart
+MAX_INLINE_BYTES = 900  # the largest payload that is sent within its entry
 
 
 class RegisterMessageBase(Struct, frozen=True, array_like=True, tag_field="w"):
-    """What all messages on a register are about."""
+    """The common fields of all messages about a register."""
 
     register: str
     epoch: int
 
 
 class RegisterPrepare(RegisterMessageBase, frozen=True, tag="which"):
-    """Leader to acceptor: promise to accept nothing of a lower epoch, and report what is accepted."""
+    """Leader to acceptor: promise not to accept entries of a lower epoch, and report the accepted entry."""
 
     voters_digest: int
 
@@ -57,29 +57,30 @@
 
 
 class AcceptorState(RegisterMessageBase, frozen=True, tag="kept"):
-    """Acceptor's answer: the entry it has accepted, and the epoch it has promised.
+    """The acceptor's response: the entry that it has accepted and the epoch that it has promised.
 
-    A `promised_epoch` above the asker's says that another one leads. An `epoch` of `RECOVERY_EPOCH`
-    answers an acceptor that recovers after its start.
+    A `promised_epoch` above the requester's epoch means that there is a newer leader. An `epoch` of
+    `RECOVERY_EPOCH` marks the response to an acceptor that recovers after a restart.
     """
 
     entry: Entry
     promised_epoch: int
-    recovering_seconds: float = 0.0  # for which it answers nothing yet, as it has just started
+    # Above 0 if the acceptor is recovering and has promised nothing: retry after this time.
+    recovering_seconds: float = 0.0
 
 
 class EntryChosen(RegisterMessageBase, frozen=True, tag="chosen"):
     """To all members: a majority of the voters has accepted the entry."""
 
     entry: Entry
-    to: tuple[str, ...] = ()  # members to whom the receiver relays it
+    to: tuple[str, ...] = ()  # members to which the receiver relays the message
 
 
 class NewestQuery(RegisterMessageBase, frozen=True, tag="newest"):
-    """To any member: send the newest chosen entry, if it is above `number`."""
+    """To any member: send the newest chosen entry if it is newer than `number` and `epoch`."""
 
     number: int
-    wants_accepted: bool = False  # from an acceptor that recovers: send what is accepted, too
+    wants_accepted: bool = False  # set by a recovering acceptor: also send the acceptor's state
 
 
 RegisterMessage = RegisterPrepare | RegisterAccept | AcceptorState | EntryChosen | NewestQuery
--- a/wheatring/fleet/lease/relay.py
+++ b/wheatring/fleet/lease/relay.py
@@ -1,4 +1,4 @@
-"""Broadcasts to all members of a tier in two hops, so that nobody has many messages to send."""
+"""Broadcasts to all members of a tier in two hops, so that no member has to send many messages."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from wheatring.fleet.lease.component import Outgoing
 from wheatring.fleet.members.membership import Membership
 
-MAX_RELAY_TARGETS = 64  # members to whom one relays a message, at most
+MAX_RELAY_TARGETS = 64  # the most members to which one member relays a message
 
 
 class Relay:
-    """Broadcasts and relays messages that have a field `to`, the members to whom the receiver relays it."""
+    """Broadcasts and relays messages whose field `to` names the members to which the receiver relays them."""
 
     def __init__(self, members: Membership, random: Random) -> None:
         self.members = members
         self.random = random
 
-    def broadcast(self, message: Any, audience: Collection[str] | None = None) -> list[Outgoing]:
-        """Send a message to some members of the tier who relay it to the rest.
+    def broadcast(self, message: Any, recipients: Collection[str] | None = None) -> list[Outgoing]:
+        """Send a message to some members of the tier, which relay it to the rest.
 
-        Who relays to whom is drawn anew each time, so that one who is stopped keeps nobody uninformed for
-        long. `audience`: only these members; None: all.
+        The relays are drawn at random for each broadcast, so that a stopped member does not repeatedly
+        cut off the same members. `recipients` restricts the broadcast to these members; None means all.
         """
         own = self.members.me.name
         others = [member.name for member in self.members.alive_members() if member.name != own]
-        others = [name for name in others if audience is None or name in audience]
+        others = [name for name in others if recipients is None or name in recipients]
         self.random.shuffle(others)
         branches = isqrt(len(others)) or 1
         out: list[Outgoing] = []
@@ -40,9 +40,9 @@
         return out
 
     def relay(self, message: Any) -> list[Outgoing]:
-        """Return what the receiver of a broadcast sends on."""
+        """Return the messages with which the receiver of a broadcast relays it."""
         plain = structs.replace(message, to=())
-        return [sent for name in message.to[:MAX_RELAY_TARGETS] for sent in self._to_member(name, plain)]
+        return [out for name in message.to[:MAX_RELAY_TARGETS] for out in self._to_member(name, plain)]
 
     def _to_member(self, name: str, message: Any) -> list[Outgoing]:
         address = self.members.address(name)
--- a/wheatring/fleet/lease/replicated_register.py
+++ b/wheatring/fleet/lease/replicated_register.py
@@ -1,16 +1,18 @@
 """A replicated register: one numbered sequence of entries, the same for all members of the fleet.
 
-The voters accept entries; the holder of the role `lead` leads and proposes them. What must never hold:
-
-- two digests chosen under one number: an acceptor accepts nothing of an epoch below one that it has promised
-  (`RegisterAcceptor`), and a leader first proposes again the highest that a majority has told
-  (`RegisterLeader`);
-- an entry chosen whose payload nobody has: an acceptor accepts it only once it holds the payload;
-- an acceptor that answers out of what it has forgotten (`AcceptorRecovery`);
-- a sidecar that goes from one chosen entry to one of a lower version (`RegisterLearner`).
-
-Single-decree Paxos (Lamport, "Paxos Made Simple", 2001) for each number, with the epochs of leases for
-proposal numbers. No I/O, clock or chance of its own.
+The holder of the role `lead` proposes entries, and the voters accept them. Safety properties:
+
+- At most one digest is chosen for a number: an acceptor accepts no entry of an epoch below the one that it
+  has promised (`RegisterAcceptor`), and a new leader first proposes the highest entry that a majority has
+  reported again (`RegisterLeader`).
+- The payload of a chosen entry is never lost with its leader: an acceptor accepts an entry only once it has
+  stored the payload.
+- An acceptor that has lost its state in a restart does not answer before it has recovered
+  (`AcceptorRecovery`).
+- A sidecar never goes back from a chosen entry to one of a lower version (`RegisterLearner`).
+
+Single-decree Paxos (Lamport, "Paxos Made Simple", 2001) for each number, with lease epochs as proposal
+numbers. Performs no I/O; the time and the random generator are passed in.
 """
 
 from __future__ import annotations
@@ -37,9 +39,9 @@
 
 
 class ReplicatedRegister:
-    """One sidecar's part in a register: learner, acceptor where it votes, and leader where it holds the role.
+    """One sidecar's part in a register: learner, acceptor if it votes, and leader if it holds the role.
 
-    `on_chosen` is called with each entry that is applied, and its payload.
+    `on_chosen` is called with each applied entry and its payload.
     """
 
     message_types = get_args(RegisterMessage)
@@ -59,27 +61,27 @@
 
     @property
     def chosen(self) -> Entry:
-        """The newest entry known chosen."""
+        """The newest chosen entry known."""
         return self.learner.chosen
 
     @property
     def applied(self) -> Entry:
-        """The newest chosen entry whose payload is here too."""
+        """The newest chosen entry whose payload is stored here."""
         return self.learner.applied
 
     @property
     def epoch(self) -> int | None:
-        """The epoch of the lease by which it leads; None: it doesn't."""
+        """The epoch of the leader's lease, or None if this sidecar does not lead."""
         return self.leader.epoch
 
     @property
     def is_ready(self) -> bool:
-        """Whether it leads, and the next entry may be put."""
+        """Whether this sidecar leads and the next entry may be proposed."""
         return self.leader.is_ready
 
     @property
     def is_settled(self) -> bool:
-        """Whether it leads, nothing is being chosen, and what is chosen is applied."""
+        """Whether this sidecar leads, no entry is being chosen, and the newest chosen one is applied."""
         return self.is_ready and self.applied == self.chosen
 
     def put(self, at: Instant, payload: bytes, number: int | None = None) -> list[Outgoing]:
@@ -88,11 +90,11 @@
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has work to do."""
         return min(self.leader.due, self.learner.due, self.recovery.due)
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Do what is due."""
+        """Run the due steps of recovery, leader and learner."""
         out = self.recovery.tick(at)
         self.leader.update_epoch(at)
         if at.now >= self.leader.next_retransmit:
@@ -103,7 +105,7 @@
         return out
 
     def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
-        """Handle a message on this register; those on others are ignored."""
+        """Handle a message about this register; messages about other registers are ignored."""
         if message.register != self.name:
             return []
         match message:
@@ -117,7 +119,7 @@
                 return self._handle_newest_query(address, message)
 
     def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
-        """Handle a payload that was fetched; None: it wasn't there."""
+        """Handle the result of a fetch; `payload` is None if the member did not have it."""
         return self.learner.receive_payload(at, digest, payload)
 
     def _handle_acceptor_state(
--- a/wheatring/fleet/lease/singleton_role.py
+++ b/wheatring/fleet/lease/singleton_role.py
@@ -1,6 +1,6 @@
 """A singleton role of the fleet: its leases, this sidecar's rank among the candidates, and idle holders.
 
-No I/O: `now` is on the clock that leases are measured on.
+Performs no I/O; `now` is a reading of the clock on which leases are measured.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
 from wheatring.fleet.lease.timing import LeaseTiming
 from wheatring.fleet.lease.voters import VoterSet
 
-IDLE_EXCLUSION_LEASES = 10.0  # lease lengths for which a holder that did nothing is no candidate
+IDLE_EXCLUSION_LEASES = 10.0  # lease lengths for which a holder that was idle is not a candidate
 
 
 class RoleSettings(NamedTuple):
-    """One role as the configuration names it."""
+    """The settings of one role."""
 
     name: str
     slots: int = 1  # how many sidecars may hold it at the same time
     prefers_zone: bool = False  # candidates in the last holder's zone come first
-    idle_seconds: float = inf  # for which it may be held with nothing done
-    on_request: bool = False  # only sidecars that are told to are candidates
-    voters_only: bool = False  # only voters are
+    idle_seconds: float = inf  # how long it may be held without activity
+    on_request: bool = False  # only sidecars that were asked to hold it are candidates
+    voters_only: bool = False  # only voters are candidates
 
 
 class RoleChange(NamedTuple):
-    """A role came to this sidecar, or, with a `reason`, went from it."""
+    """A role that the sidecar gained or, if there is a `reason`, lost."""
 
     role: str
     epoch: int
     reason: str = ""
 
 
-class KnownOwner(NamedTuple):
-    """Who holds or last held a slot of a role, as far as was heard; "" and 0: nobody."""
+class KnownHolder(NamedTuple):
+    """The last known holder of a role's slot and its epoch; "" and 0 if there is none."""
 
     name: str
     epoch: int
@@ -49,10 +49,10 @@
 
 
 class SingletonRole:
-    """One sidecar's bid for one slot of a role.
+    """One sidecar's candidacy for one slot of a role.
 
-    `idle_seconds` is for how long the role may be held without an act; then it is given back, and left to
-    others for a while. Acts are reported by `note_activity`.
+    `idle_seconds` is how long the role may be held without activity. After that it is released, and this
+    sidecar is not a candidate for `IDLE_EXCLUSION_LEASES`. Activity is reported by `note_activity`.
     """
 
     def __init__(
@@ -74,27 +74,30 @@
         ]
         self.rank: int | None = None
         self.held_lease: Proposer | None = None
-        self.last_active = -inf  # when it last acted, or came to hold the role
-        self.excluded_until = -inf  # it is no candidate until then
+        self.last_active = -inf  # when it was last active, or acquired the role
+        self.excluded_until = -inf  # until when it may not be a candidate
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has work to do."""
         idle_at = self.last_active + self.idle_seconds if self.held_lease is not None else inf
         return min(*(proposer.due for proposer in self.proposers), idle_at)
 
     def epoch_to_act(self, now: float) -> int | None:
-        """Return the epoch to act in; None: it may not act. To be asked right before every act."""
+        """Return the epoch to act in, or None; see `Proposer.epoch_to_act`."""
         return self.held_lease.epoch_to_act(now) if self.held_lease is not None else None
 
     def note_activity(self, now: float) -> None:
-        """Take note of an act, or that there was nothing to do and that was checked."""
+        """Record an action of the holder, or a check that found nothing to do."""
         self.last_active = max(self.last_active, now)
 
     # Candidacy
 
     def set_rank(self, now: float, rank: int | None) -> list[AddressedRequest]:
-        """Set its rank among the candidates. A holder stays one, unless it is None: no candidate."""
+        """Set the rank among the candidates; None ends the candidacy and releases a held lease.
+
+        Other ranks do not affect a held lease.
+        """
         if now < self.excluded_until:
             rank = None
         if rank == self.rank:
@@ -109,18 +112,18 @@
         return out
 
     def _rank_for_slot(self, slot: int) -> int | None:
-        """Return its rank for one slot: each candidate is first for one of its own, if there are enough."""
+        """Return the rank for one slot, rotated so that each slot has another first candidate."""
         if self.rank is None:
             return None
         return self.rank + (slot - self.rank) % len(self.proposers)
 
     def step_down(self, now: float, exclusion_seconds: float = 0.0) -> list[AddressedRequest]:
-        """Release what is held, and be no candidate for so many seconds."""
+        """Release the held lease, and stop being a candidate for `exclusion_seconds`."""
         self.excluded_until = max(self.excluded_until, now + exclusion_seconds)
         return self.set_rank(now, None)
 
     def change_voters(self, now: float, voters: VoterSet) -> list[AddressedRequest]:
-        """Go by other voters. What is held was granted by the old ones, and is given back."""
+        """Switch to another voter set. A held lease is released, as the previous voters granted it."""
         out: list[AddressedRequest] = []
         for proposer in self.proposers:
             out += proposer.release(now)
@@ -131,50 +134,51 @@
     # Events
 
     def note_released(self, now: float, lease: str, is_next: bool) -> None:
-        """Take note that a lease is free by what its last holder says."""
+        """Handle the last holder's hint that a lease is free."""
         if self.held_lease is None:
             for proposer in self._proposers_for(lease):
                 proposer.note_released(now, is_next)
 
     def note_epoch(self, lease: str, epoch: int) -> None:
-        """Take note of an epoch that somebody has seen of a lease."""
+        """Record an epoch of a lease that another member has seen."""
         for proposer in self._proposers_for(lease):
             proposer.note_epoch(epoch)
 
     def tick(self, now: float) -> list[AddressedRequest]:
-        """Do what is due, and step down where nothing was done for too long."""
+        """Step down if the role has been idle for too long, otherwise run the proposers' due actions."""
         out: list[AddressedRequest] = []
         is_idle = now >= self.last_active + self.idle_seconds
-        if self.held_lease is not None and is_idle and self.held_lease.owns_lease(now):
+        if self.held_lease is not None and is_idle and self.held_lease.holds_lease(now):
             return self.step_down(now, IDLE_EXCLUSION_LEASES * self.timing.lease_seconds)
         for proposer in self.proposers:
             out += proposer.tick(now)
-        return out + self._update_owned_lease(now)
+        return out + self._update_held_lease(now)
 
     def receive(self, now: float, voter: str, message: AcceptorResponse) -> list[AddressedRequest]:
-        """Handle an acceptor's answer."""
+        """Handle an acceptor's response."""
         out: list[AddressedRequest] = []
         for proposer in self._proposers_for(message.lease):
-            out += proposer.receive(now, voter, message) + self._update_owned_lease(now)
+            out += proposer.receive(now, voter, message) + self._update_held_lease(now)
         return out
 
     def _proposers_for(self, lease: str) -> list[Proposer]:
-        """Return the proposer of a lease, if it is one of this role's."""
+        """Return the proposer of a lease in a list, empty if the lease is not one of this role's."""
         return [proposer for proposer in self.proposers if proposer.lease == lease]
 
-    def _update_owned_lease(self, now: float) -> list[AddressedRequest]:
-        """Note which lease is held: one is enough.
+    def _update_held_lease(self, now: float) -> list[AddressedRequest]:
+        """Update which of the role's leases is held.
 
-        A holder stops bidding for the other slots, and bids for all again when it has lost its lease.
+        A sidecar holds at most one slot: a holder is no candidate for the other slots, and becomes a
+        candidate for all of them again when it has lost its lease.
         """
         out: list[AddressedRequest] = []
-        if self.held_lease is not None and not self.held_lease.owns_lease(now):
+        if self.held_lease is not None and not self.held_lease.holds_lease(now):
             self.held_lease = None
             for slot, proposer in enumerate(self.proposers):
                 out += proposer.set_rank(now, self._rank_for_slot(slot))
         if self.held_lease is not None:
             return out
-        held = [proposer for proposer in self.proposers if proposer.owns_lease(now)]
+        held = [proposer for proposer in self.proposers if proposer.holds_lease(now)]
         if held:
             self.held_lease = held[0]
             self.last_active = now
--- a/wheatring/fleet/lease/view_installer.py
+++ b/wheatring/fleet/lease/view_installer.py
@@ -1,4 +1,4 @@
-"""The membership view that one sidecar stands in, as the register `view` has it chosen. No I/O."""
+"""Installs the membership views that the register `view` has chosen. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from wheatring.fleet.members.view import Rings, View, ViewChange, decode_change, decode_members
 from wheatring.fleet.members.view_messages import ViewMember
 
-OnInstalled = Callable[[Instant, View, ViewChange], list[Outgoing]]  # gets the view before, and its change
+OnInstalled = Callable[[Instant, View, ViewChange], list[Outgoing]]  # gets the previous view and the change
 
 
 class PendingChange(NamedTuple):
-    """A change that is chosen, while the complete view behind it is fetched."""
+    """A chosen change whose complete view is being fetched."""
 
     entry: Entry
     change: ViewChange
 
 
 class ViewInstaller:
-    """Installs each view whose change is chosen, and fetches the complete one where a change was missed.
+    """Installs the view of each chosen change, and fetches the complete view if an earlier change was missed.
 
-    `on_installed` is called after each. `change_count` counts the views with other members that this sidecar
-    has stood in.
+    `on_installed` is called after each installation. `change_count` counts the installed views whose members
+    differed from the previous view's.
     """
 
     def __init__(self, at: Instant, fleet: Fleet, on_installed: OnInstalled) -> None:
@@ -39,18 +39,18 @@
         self.view = View()
         self.rings = Rings(())
         self.self_member = ViewMember(fleet.me, fleet.incarnation)
-        self.changed_at = at.now  # when its members last changed
+        self.changed_at = at.now  # when the view's members last changed
         self.change_count = 0
         self.pending_change: PendingChange | None = None
         self.next_fetch_retry = inf
 
     @property
     def is_member(self) -> bool:
-        """Whether this very process is a member of the view that it knows."""
+        """Whether this process (name and incarnation) is a member of the installed view."""
         return self.view.member(self.fleet.me.name) == self.self_member
 
     def handle_chosen(self, at: Instant, entry: Entry, payload: bytes, source: Address) -> list[Outgoing]:
-        """Install the view of a chosen change; `source` is asked for a missing complete view."""
+        """Install the view of a chosen change; `source` is the member to fetch a missing view from."""
         change = decode_change(payload)
         if change is None:
             return []
@@ -69,7 +69,7 @@
         return []
 
     def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
-        """Handle a fetched payload: install the view if it is the one that is awaited."""
+        """Handle the result of a fetch: install the view if it is the pending one."""
         if self.pending_change is None or self.pending_change.change.after != digest:
             return []
         entry, change = self.pending_change
@@ -79,7 +79,7 @@
         return []
 
     def retry_fetch(self, source: Address) -> None:
-        """Fetch the complete view from some other member, as its source did not have it."""
+        """Fetch the complete view from a random member, because its source did not have it."""
         self.next_fetch_retry = inf
         if self.pending_change is None:
             return
@@ -92,7 +92,7 @@
         self.fleet.fetch_requests.append(FetchRequest(address, self.pending_change.change.after))
 
     def _install(self, at: Instant, view: View, change: ViewChange) -> list[Outgoing]:
-        """Stand in that view from here on."""
+        """Replace the installed view."""
         self.pending_change, self.next_fetch_retry = None, inf
         previous, self.view = self.view, view
         self.fleet.payloads.put(view.payload)
--- a/wheatring/fleet/lease/view_leader.py
+++ b/wheatring/fleet/lease/view_leader.py
@@ -1,4 +1,4 @@
-"""The leader of membership views: who is removed and who is admitted next. No I/O."""
+"""The leader of membership views: decides who is removed and who is admitted. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     ViewMember,
 )
 
-LEADER_CHECK_SECONDS = 0.1  # from one check of the reports by a leader to the next
-INDIRECT_CHECKERS = 8  # members that check once more who may be removed
+LEADER_CHECK_SECONDS = 0.1  # the mean time between two evaluations of the reports by a leader
+INDIRECT_CHECKERS = 8  # members that check a suspected member again before it is removed
 
 
 class ViewLeader:
-    """Decides the next view, where this sidecar holds the leader's role, from what observers reported.
+    """Decides the next view from the observers' reports, if this sidecar holds the leader's role.
 
-    `plan_number` is the newest plan's, for the stamps. `admission_objection` returns why a member that asks
-    to join isn't admitted now; "": it is.
+    `plan_number` is the number of the newest plan, for the stamps. `admission_objection` returns the reason
+    why a member that asks to join is not admitted now, or "" if it is.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has work to do."""
         return self.next_check if self.register.epoch is not None else inf
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Decide from time to time, as long as this sidecar leads."""
+        """Evaluate the reports periodically while this sidecar leads."""
         if at.now < self.due:
             return []
         self.next_check = at.now + LEADER_CHECK_SECONDS * (0.9 + 0.2 * self.fleet.random.random())
@@ -74,7 +74,7 @@
     # Events
 
     def handle_report(self, at: Instant, sender: str, message: UnresponsiveReport) -> list[Outgoing]:
-        """Take note of a member's report, and decide at once if it says that the member leaves."""
+        """Record a member's report, and evaluate immediately if the member reports that it leaves."""
         if sender not in self.installer.view.names:
             return []
         self.cut_detector.add_report(at.now, sender, message.silent)
@@ -84,42 +84,46 @@
     def handle_join_request(
         self, now: float, sender: str, address: Address, message: JoinRequest
     ) -> list[Outgoing]:
-        """Take note of a request for admission."""
+        """Record a join request; a sender that is already a member is sent the view."""
         if message.member.member.name != sender:
             return []
         self.cut_detector.add_join_request(now, message.member)
-        if self.installer.view.member(sender) == message.member:  # it is a member, and has not heard of it
+        if self.installer.view.member(sender) == message.member:
             return [(address, self.register.learner.chosen_announcement())]
         return []
 
     def handle_installed(self, now: float, previous: View, change: ViewChange) -> list[Outgoing]:
-        """Forget the evidence that a view settles, and announce it where a broadcast doesn't reach."""
+        """Drop the evidence on removed and admitted members, and announce the view as a leader."""
         if previous.members != self.installer.view.members:
             self.cut_detector.note_removed(now, change.removed)
             self.cut_detector.note_admitted(change.added)
         return self._announce_to_unknown(previous, change) if self.register.epoch is not None else []
 
     def _announce_to_unknown(self, previous: View, change: ViewChange) -> list[Outgoing]:
-        """Announce the view, as a leader, to those whom a broadcast doesn't reach.
+        """Announce the view, as a leader, to the members that a broadcast does not reach.
 
-        A broadcast goes to the members that this one holds to be alive. Those of the view that it doesn't
-        were admitted just now, or were taken for dead a moment ago; those removed may still hear.
+        A broadcast goes only to members that gossip considers alive. It misses members of the view that have
+        just been admitted or were considered dead until now, and removed members that may still be running.
         """
         records = self.fleet.members.table.records
         unknown = [
-            placed.member
-            for placed in self.installer.view.members
-            if placed.member.name != self.fleet.me.name
-            and ((record := records.get(placed.member.name)) is None or record.state != ALIVE)
+            view_member.member
+            for view_member in self.installer.view.members
+            if view_member.member.name != self.fleet.me.name
+            and ((record := records.get(view_member.member.name)) is None or record.state != ALIVE)
+        ]
+        removed = [
+            view_member.member
+            for view_member in previous.members
+            if view_member.member.name in change.removed
         ]
-        removed = [placed.member for placed in previous.members if placed.member.name in change.removed]
         announcement = self.register.learner.chosen_announcement()
         return [((member.host, member.port), announcement) for member in unknown + removed]
 
     # Decisions
 
     def _leading_epoch(self, at: Instant) -> int | None:
-        """Return the epoch to lead in; None: it doesn't lead, or a change is under way."""
+        """Return the epoch to lead in, or None if this sidecar does not lead or a change is in progress."""
         if not self.register.is_settled or self.installer.pending_change is not None:
             return None
         if self.register.chosen.number != self.installer.view.number:
@@ -128,7 +132,10 @@
         return epoch if epoch == self.register.epoch else None
 
     def lead(self, at: Instant) -> list[Outgoing]:
-        """Decide, if this sidecar leads: renew the stamp, and put the next view where there is reason."""
+        """Renew the stamp and propose the next view if members are to be removed or admitted.
+
+        Does nothing if this sidecar does not lead.
+        """
         epoch = self._leading_epoch(at)
         if epoch is None:
             return []
@@ -140,9 +147,9 @@
         removed = self.cut_detector.members_to_remove(at.now, view, rings)
         admitted, deferred = self.cut_detector.members_to_admit(at.now, view, rings)
         out += [self._defer_penalized(deferral) for deferral in deferred]
-        objections = {placed: why for placed in admitted if (why := self.admission_objection(at, placed))}
-        out += [self._defer(placed, JOIN_REQUEST_INTERVAL_SECONDS, why) for placed, why in objections.items()]
-        admitted = [placed for placed in admitted if placed not in objections]
+        objections = {joiner: why for joiner in admitted if (why := self.admission_objection(at, joiner))}
+        out += [self._defer(joiner, JOIN_REQUEST_INTERVAL_SECONDS, why) for joiner, why in objections.items()]
+        admitted = [joiner for joiner in admitted if joiner not in objections]
         if removed or admitted:
             out += self._put_change(at, admitted, removed)
         return out
@@ -151,19 +158,19 @@
         reason = f"it went out again and again (cost {deferral.penalty:.1f})"
         return self._defer(deferral.member, deferral.wait_seconds, reason)
 
-    def _defer(self, placed: ViewMember, seconds: float, reason: str) -> Outgoing:
-        address = (placed.member.host, placed.member.port)
+    def _defer(self, joiner: ViewMember, seconds: float, reason: str) -> Outgoing:
+        address = (joiner.member.host, joiner.member.port)
         return address, JoinDeferred(self.installer.view.number, seconds, reason)
 
     def _request_indirect_checks(self, now: float) -> list[Outgoing]:
-        """Have some members check those that may have to be removed once more."""
+        """Ask some members to check those that may have to be removed again."""
         new = self.cut_detector.members_to_check(now, self.installer.view, self.installer.rings)
-        # Whoever leads is there: two that are deaf report all, it among them, and nobody may be left to
-        # check.
+        # The leader itself is certainly alive. Two members that receive nothing report all others, including
+        # the leader, and then no member may be left to check it.
         self.cut_detector.note_reached(now, [self.fleet.me.name])
         if not new:
             return []
-        checkers = self._draw_checkers()
+        checkers = self._sample_checkers()
         own = (self.fleet.me.host, self.fleet.me.port)
         out: list[Outgoing] = []
         for chunk in chunks(new, MAX_NAMES_PER_MESSAGE):
@@ -174,20 +181,21 @@
             self.monitor.indirect_checks.start(now, own, self.check_sequence, tuple(chunk))
         return out
 
-    def _draw_checkers(self) -> list[str]:
+    def _sample_checkers(self) -> list[str]:
         others = self.installer.view.names - {self.fleet.me.name}
         checked = self.cut_detector.checked_since.keys()
-        trusted, doubted = sorted(others - checked), sorted(others & checked)
+        trusted, suspected = sorted(others - checked), sorted(others & checked)
         checkers = self.fleet.random.sample(trusted, min(INDIRECT_CHECKERS, len(trusted)))
-        # Where so many are in doubt, some of these check too: one more that reaches nobody does no harm.
+        # If there are too few trusted members, suspected ones check as well: a checker that reaches nobody
+        # does no harm.
         missing = INDIRECT_CHECKERS - len(checkers)
-        return checkers + self.fleet.random.sample(doubted, min(missing, len(doubted)))
+        return checkers + self.fleet.random.sample(suspected, min(missing, len(suspected)))
 
     def _put_change(self, at: Instant, admitted: list[ViewMember], removed: list[str]) -> list[Outgoing]:
         after = self.installer.view.with_changes(0, 0, admitted, removed)
         before_digest, after_digest = digest(self.installer.view.payload), digest(after.payload)
         change = ViewChange(before_digest, after_digest, tuple(admitted), tuple(removed))
-        # Whoever misses a change fetches the complete view, and the voters are to have it before the change
+        # A member that misses a change fetches the complete view, so that has to be stored before the change
         # is chosen.
         self.fleet.payloads.put(after.payload)
         return self.register.put(at, encode_change(change))
--- a/wheatring/fleet/lease/view_monitor.py
+++ b/wheatring/fleet/lease/view_monitor.py
@@ -1,4 +1,4 @@
-"""Health checks between the members of a view, and the leader's stamp that comes with them. No I/O."""
+"""Health checks between the members of a view, which also carry the leader's stamp. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 )
 
 MAX_NAMES_PER_MESSAGE = 60
-MAX_INDIRECT_TARGETS = 720  # indirect checks that may be answered yet
+MAX_INDIRECT_TARGETS = 720  # the most indirect checks whose responses are awaited
 
 
 class ViewMonitor:
-    """Checks the health of this sidecar's subjects in the view, answers checks, and reports silence.
+    """Checks this sidecar's subjects in the view, answers checks, and reports unresponsive subjects.
 
-    Checks also carry the newest stamp of a leader, and show who stands in a newer view.
+    Checks and responses also carry the sender's view number, and responses the newest leader stamp.
     """
 
     def __init__(
@@ -47,20 +47,21 @@
         self.edge_monitor = EdgeMonitor(at.now, fleet.random)
         self.indirect_checks = IndirectChecks()
         self.indirect_targets: dict[int, str] = {}  # names of the members checked indirectly, by sequence
-        self.last_heard_from: dict[str, float] = {}  # subjects that are heard and don't answer: when last
+        self.last_heard_from: dict[str, float] = {}  # when a subject last sent a check since its last answer
 
     def isolation(self, now: float) -> Isolation:
-        """Return in which way this member of the view is cut off."""
+        """Return how this member of the view is cut off from the others, if it is."""
         return self.edge_monitor.isolation(now) if self.installer.is_member else Isolation.NONE
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """The time at which `tick` next has work to do."""
         return min(self.edge_monitor.due, self.indirect_checks.due)
 
     def note_stall(self, now: float) -> bool:
-        """Forgive all the time that this process itself was stopped for; return whether it was."""
-        # By what is always due, and not by what a leader has to do: who comes to lead was not held up.
+        """Return whether this process was stopped; if so, do not count that time against its subjects."""
+        # Measured by the edge monitor, which always has a next due time. The leader's due time would make a
+        # sidecar that has just become leader look stalled.
         late = now - self.edge_monitor.due
         if late <= STALL_SECONDS or not self.installer.change_count:
             return False
@@ -68,7 +69,7 @@
         return True
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Send the checks, notices and reports that are due."""
+        """Send the health checks, missed-check notices and reports that are due."""
         out: list[Outgoing] = []
         for check in self.edge_monitor.due_checks(at.now):
             out += self._health_check(check.name, check.sequence, check.spreads_early)
@@ -85,14 +86,14 @@
         return out
 
     def update_subjects(self, now: float) -> None:
-        """Monitor the subjects of the view that is installed now; gossip probes only where there are none."""
+        """Monitor the subjects of the installed view; gossip probes members only if there are none."""
         is_member = self.installer.is_member
         subjects = self.installer.rings.subjects(self.fleet.me.name) if is_member else []
         self.edge_monitor.set_subjects(now, subjects)
         self.fleet.members.prober.is_probing = not (is_member and self.edge_monitor.subjects)
 
     def _announce_misses(self, at: Instant) -> list[Outgoing]:
-        """Tell the other observers of subjects that were missed, and suspect those missed for longer."""
+        """Notify the other observers of subjects that missed checks; suspect those that missed several."""
         out: list[Outgoing] = []
         notices, self.edge_monitor.miss_notices = self.edge_monitor.miss_notices, []
         for name in notices:
@@ -127,8 +128,8 @@
         response = HealthCheckResponse(message.sequence, *piggyback, number, stamp, age)
         out: list[Outgoing] = [(address, response)]
         if members.table.records.get(sender) is None:
-            # No update about it has come by here: it is asked itself, or voters that started anew together
-            # would know of nobody but each other.
+            # Gossip has not brought an update about the sender, so it is asked directly. Otherwise voters
+            # that restarted together would know only each other.
             out.append((address, SyncRequest(0, (members.gossip.own_update(),))))
         if message.view > self.register.chosen.number:
             out.append((address, self.register.learner.newest_query()))
@@ -137,7 +138,7 @@
     def handle_health_response(
         self, at: Instant, sender: str, address: Address, message: HealthCheckResponse
     ) -> list[Outgoing]:
-        """Handle the answer to a check of this sidecar's."""
+        """Handle the response to a check of this sidecar."""
         now = at.now
         self.fleet.members.gossip.apply_piggyback(now, message)
         if message.sequence in self.indirect_targets:
@@ -153,14 +154,14 @@
         return []
 
     def handle_indirect_request(self, now: float, address: Address, message: IndirectCheckRequest) -> None:
-        """Check for a leader whether these members answer."""
+        """Check on behalf of a leader whether these members answer."""
         names = message.names[:MAX_NAMES_PER_MESSAGE]
         self.indirect_checks.start(now, address, message.sequence, names)
 
     # Indirect checks
 
     def _check_indirectly(self, name: str) -> list[Outgoing]:
-        """Check a member that need not be a subject."""
+        """Send a health check to a member that need not be a subject."""
         self.edge_monitor.sequence += 1
         self.indirect_targets[self.edge_monitor.sequence] = name
         while len(self.indirect_targets) > MAX_INDIRECT_TARGETS:
--- a/wheatring/fleet/lease/view_sender.py
+++ b/wheatring/fleet/lease/view_sender.py
@@ -1,4 +1,4 @@
-"""Addresses messages on views: to one member of the present view, or to all voters. No I/O."""
+"""Addresses messages about views to one member or to all voters. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class ViewSender:
-    """Finds the addresses for messages on views, by gossip first and by the view otherwise."""
+    """Looks up addresses for messages about views, first in gossip and then in the installed view."""
 
     def __init__(self, fleet: Fleet, installer: ViewInstaller) -> None:
         self.fleet = fleet
         self.installer = installer
 
     def to_member(self, name: str, message: ViewMessage) -> list[Outgoing]:
-        """Address a message to a member; [] if it is this one, or isn't known."""
+        """Address a message to a member; empty if that is this sidecar or is unknown."""
         if name == self.fleet.me.name:
             return []
         address = self.fleet.members.address(name)
         if address is None:
-            placed = self.installer.view.member(name)
-            address = (placed.member.host, placed.member.port) if placed is not None else None
+            view_member = self.installer.view.member(name)
+            address = (view_member.member.host, view_member.member.port) if view_member is not None else None
         return [(address, message)] if address is not None else []
 
     def to_all_voters(self, message: ViewMessage) -> list[Outgoing]:
--- a/wheatring/fleet/lease/voters.py
+++ b/wheatring/fleet/lease/voters.py
@@ -1,10 +1,10 @@
-"""The set of voters, and how it changes without two majorities that don't know of each other.
+"""The voter set, and how it changes without ever allowing two disjoint majorities.
 
-A change takes two steps, each given to all sidecars by a reload. In the first the current and the next
-voters are named, and a lease takes a majority of both. In the second only the next ones are. Acceptors grant
-only to proposers that go by the very same names, and an acceptor takes the second step only once it has seen
-a lease in force by the first: then a majority of the old voters has taken the first step, and none of these
-goes back.
+A change takes two steps (joint consensus), each rolled out to all sidecars by a reload. The first step names
+the current and the next voters, and a lease requires a majority of both. The second step names only the next
+ones. Acceptors grant only to proposers with exactly the same voter set. An acceptor takes the second step
+only after it has seen a lease granted under the first: by then a majority of the old voters has taken the
+first step, and none of them returns to the old set.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def numbered_voter(number: int) -> str:
-    """Return the name of a voter that is configured by its sidecar's number."""
+    """Return the name of a voter that is configured by its sidecar number."""
     return f"#{number}"
 
 
@@ -25,45 +25,46 @@
 
 
 class VoterSet(NamedTuple):
-    """Names of voters: the `current` ones, and while they are being changed also the `next` ones."""
+    """Voter names: the `current` ones and, during a change, the `next` ones."""
 
     current: tuple[str, ...]
     next: tuple[str, ...] = ()
 
     @property
     def names(self) -> list[str]:
-        """All names, current and next, sorted."""
+        """All voter names, current and next, sorted."""
         return sorted({*self.current, *self.next})
 
     @property
     def digest(self) -> int:
-        """A digest that is the same for the same names in whatever order; never 0."""
+        """A digest of the voter set that does not depend on the order of the names; never 0."""
         text = "\n".join([*sorted(self.current), "", *sorted(self.next)])
         return 1 + int.from_bytes(blake2b(text.encode(), digest_size=6).digest(), "big")
 
     def has_majority(self, names: Collection[str]) -> bool:
         """Return whether these are a majority of the current voters and, during a change, of the next."""
-        return all(2 * len({*part} & {*names}) > len(part) for part in (self.current, self.next) if part)
+        return all(2 * len({*group} & {*names}) > len(group) for group in (self.current, self.next) if group)
 
     def objection_to(self, other: VoterSet, in_force: int) -> str:
-        """Return why a member with these voters may not change to others.
+        """Return why a member with this voter set may not change to another one.
 
         Parameters
         ----------
         other : VoterSet
-            The voters to change to.
+            The new voter set.
         in_force : int
-            The digest of the voters by whom a lease is known to have been granted.
+            The digest of the voter set under which a lease is known to have been granted.
 
         Returns
         -------
         str
-            A reason for the operator; "": it may.
+            A reason for the operator, or "" if the change is allowed.
         """
         if {*other.current} == {*self.current} and not self.next:
             return ""  # the first step
         if self.next and {*other.current} == {*self.current} and not other.next:
-            return ""  # back from it: both took a majority of these
+            # Reverting the first step is safe because both sets require a majority of the current voters.
+            return ""
         if self.next and {*other.current} == {*self.next} and not other.next:
             if in_force == self.digest:
                 return ""
--- a/wheatring/fleet/peers/fleet_status.py
+++ b/wheatring/fleet/peers/fleet_status.py
@@ -29,7 +29,7 @@
     for name, settings in fleet.role_manager.settings.items():
         role = fleet.roles[name]
         for place in range(settings.slots):
-            holder, epoch = fleet.role_manager.last_known_owner(name, place)
+            holder, epoch = fleet.role_manager.last_known_holder(name, place)
             lease = role.held_lease
             is_here = lease is not None and lease.lease == f"{name}/{place}"
             left = lease.held_until - at.boot if lease is not None and is_here else None
--- a/wheatring/fleet/plan/proposals.py
+++ b/wheatring/fleet/plan/proposals.py
@@ -58,7 +58,7 @@
 
 def find_leader(fleet: Fleet) -> KnownLeader:
     """Return who holds the role `lead`, and where it can be reached."""
-    name, epoch = fleet.role_manager.last_known_owner(LEADER_ROLE)
+    name, epoch = fleet.role_manager.last_known_holder(LEADER_ROLE)
     if name == fleet.me.name:
         return KnownLeader(name, epoch, (fleet.me.host, fleet.me.port))
     return KnownLeader(name, epoch, fleet.members.address(name) if name else None)
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -85,7 +85,7 @@
         """Return messages with the addresses of the voters that they are for."""
         return [((name, 1), message) for name, message in said]
 
-    def broadcast(self, message: Any, audience: Any = None) -> list[tuple[Address, Any]]:  # noqa: ARG002 - the fleet's
+    def broadcast(self, message: Any, recipients: Any = None) -> list[tuple[Address, Any]]:  # noqa: ARG002 - the fleet's
         """Return a message to all other members."""
         return [((name, 1), message) for name in self.order.names if name != self.me.name]
 
--- a/wheatring/lab/leases/model.py
+++ b/wheatring/lab/leases/model.py
@@ -380,10 +380,10 @@
                 after.in_flight |= {item}
                 continue
             proposer = after.proposers[item.target] = copy_decider(after.proposers[item.target])
-            before = proposer.owns_lease(now)
+            before = proposer.holds_lease(now)
             told = proposer.receive(now, item.source, item.content)
             after.in_flight |= {InFlight(item.target, voter, one) for voter, one in told}
-            if proposer.owns_lease(now) and not before:
+            if proposer.holds_lease(now) and not before:
                 text = f"{text}; {item.target} holds term {proposer.epoch}"
             self._check_rules(after, text)
         return text, after
@@ -403,7 +403,7 @@
     def _check_rules(self, state: State, text: str) -> State:
         """Check the rules, after a step of a proposer."""
         now = self.proposer_clock(state)
-        holders = [name for name, proposer in state.proposers.items() if proposer.owns_lease(now)]
+        holders = [name for name, proposer in state.proposers.items() if proposer.holds_lease(now)]
         if len(holders) > 1:
             raise RuleBrokenError(f"{text}: {' and '.join(holders)} hold it at the same time")
         for name in holders:
--- a/wheatring/lab/leases/planted_faults.py
+++ b/wheatring/lab/leases/planted_faults.py
@@ -67,7 +67,7 @@
     """Timing by which a holder's lease is as long as the acceptors', whatever the clocks do."""
 
     @property
-    def owner_seconds(self) -> float:
+    def holder_seconds(self) -> float:
         """The whole lease, without the margin for clock drift."""
         return self.lease_seconds
 
