--- a/wheatring/fleet/lease/payloads.py
+++ b/wheatring/fleet/lease/payloads.py
@@ -57,11 +57,11 @@
     def _evict(self, newest: bytes) -> None:
         """Evict the oldest payloads until the store fits its limit; pinned ones and `newest` stay."""
         pinned = set(self.pinned.values())
-        for old in list(self.payloads):
+        for stored in list(self.payloads):
             if self.stored_bytes <= MAX_STORE_BYTES:
                 break
-            if old != newest and old not in pinned:
-                self.stored_bytes -= len(self.payloads.pop(old))
+            if stored != newest and stored not in pinned:
+                self.stored_bytes -= len(self.payloads.pop(stored))
 
     def get(self, key: bytes) -> bytes | None:
         """Return the payload of a digest, or None if it is not stored here."""
--- a/wheatring/fleet/lease/relay.py
+++ b/wheatring/fleet/lease/relay.py
@@ -41,8 +41,8 @@
 
     def relay(self, message: Any) -> list[Outgoing]:
         """Return the messages with which the receiver of a broadcast relays it."""
-        plain = structs.replace(message, to=())
-        return [out for name in message.to[:MAX_RELAY_TARGETS] for out in self._to_member(name, plain)]
+        relayed = structs.replace(message, to=())
+        return [out for name in message.to[:MAX_RELAY_TARGETS] for out in self._to_member(name, relayed)]
 
     def _to_member(self, name: str, message: Any) -> list[Outgoing]:
         address = self.members.address(name)
--- a/wheatring/fleet/lease/view_leader.py
+++ b/wheatring/fleet/lease/view_leader.py
@@ -164,16 +164,16 @@
 
     def _request_indirect_checks(self, now: float) -> list[Outgoing]:
         """Ask some members to check those that may have to be removed again."""
-        new = self.cut_detector.members_to_check(now, self.installer.view, self.installer.rings)
+        suspects = self.cut_detector.members_to_check(now, self.installer.view, self.installer.rings)
         # The leader itself is certainly alive. Two members that receive nothing report all others, including
         # the leader, and then no member may be left to check it.
         self.cut_detector.note_reached(now, [self.fleet.me.name])
-        if not new:
+        if not suspects:
             return []
         checkers = self._sample_checkers()
         own = (self.fleet.me.host, self.fleet.me.port)
         out: list[Outgoing] = []
-        for chunk in chunks(new, MAX_NAMES_PER_MESSAGE):
+        for chunk in chunks(suspects, MAX_NAMES_PER_MESSAGE):
             self.check_sequence += 1
             request = IndirectCheckRequest(self.installer.view.number, self.check_sequence, tuple(chunk))
             for name in checkers:
--- a/wheatring/fleet/lease/view_monitor.py
+++ b/wheatring/fleet/lease/view_monitor.py
@@ -62,10 +62,10 @@
         """Return whether this process was stopped; if so, do not count that time against its subjects."""
         # Measured by the edge monitor, which always has a next due time. The leader's due time would make a
         # sidecar that has just become leader look stalled.
-        late = now - self.edge_monitor.due
-        if late <= STALL_SECONDS or not self.installer.change_count:
+        delay = now - self.edge_monitor.due
+        if delay <= STALL_SECONDS or not self.installer.change_count:
             return False
-        self.edge_monitor.note_stall(late)
+        self.edge_monitor.note_stall(delay)
         return True
 
     def tick(self, at: Instant) -> list[Outgoing]:
