--- a/tests/daemon/lifecycle/test_descriptor_limit.py
+++ b/tests/daemon/lifecycle/test_descriptor_limit.py
@@ -1,4 +1,4 @@
-"""How two processes of one sidecar share its descriptors."""
+"""How two processes of one sidecar divide its descriptors."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 
 
 @given(st.integers(10, 1000), POLLS)
-def test_two_processes_never_use_more_descriptors_than_one_may(
-    places: int, steps: list[tuple[bool, int, bool]]
+def test_the_limits_of_two_processes_never_exceed_the_total(
+    total: int, polls: list[tuple[bool, int, bool]]
 ) -> None:
-    """The older one lives alone first; each step is one look of either, with some more or less held."""
-    stated, held = [places, 0], [0, 0]
-    for newer, more, stopping in steps:
-        me = int(newer)
-        held[me] = min(stated[me], more)
-        stated[me] = descriptor_limit(places, held[me], newer, stopping and not newer, [stated[1 - me]])
-        assert sum(stated) <= places and held[me] <= stated[me]
-    stated[0] = descriptor_limit(places, 0, False, True, [stated[1]])
-    assert descriptor_limit(places, 0, True, False, [stated[0]]) == places
+    """The older process runs alone first; in each step one of the two updates its limit and its use."""
+    limits, in_use = [total, 0], [0, 0]
+    for is_newest, requested, is_stopping in polls:
+        process = int(is_newest)
+        in_use[process] = min(limits[process], requested)
+        limits[process] = descriptor_limit(
+            total, in_use[process], is_newest, is_stopping and not is_newest, [limits[1 - process]]
+        )
+        assert sum(limits) <= total and in_use[process] <= limits[process]
+    limits[0] = descriptor_limit(total, 0, False, True, [limits[1]])
+    assert descriptor_limit(total, 0, True, False, [limits[0]]) == total
 
 
 def test_an_older_process_keeps_the_descriptors_in_use_and_releases_the_rest() -> None:
--- a/tests/daemon/lifecycle/test_endpoint_overrides.py
+++ b/tests/daemon/lifecycle/test_endpoint_overrides.py
@@ -1,4 +1,4 @@
-"""Operators' overrides of the endpoint list, against a plain statement of them."""
+"""Operators' overrides of the endpoint list, compared with a simple model of them."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 @given(STEPS)
 def test_the_balancer_sees_the_discovered_list_with_the_operators_overrides(steps: list[Any]) -> None:
-    shown_list: dict[str, EndpointEntry] = {}
+    seen: dict[str, EndpointEntry] = {}
     discovered: dict[str, EndpointEntry] = {}
     offline: frozenset[str] = frozenset()
     restored_at: dict[str, float] = {}
 
-    def take(view: View) -> None:
+    def apply(view: View) -> None:
         if view.kind in (ViewKind.FULL, ViewKind.CACHED):
-            shown_list.clear()
+            seen.clear()
         if view.kind is not ViewKind.FAILED:
-            shown_list.update({e.endpoint: e for e in view.entries})
+            seen.update({e.endpoint: e for e in view.entries})
 
-    overrides = EndpointOverrides(take)
+    overrides = EndpointOverrides(apply)
     for now, step in enumerate(steps, 10):
         if isinstance(step, frozenset):
             restored_at.update({name: now for name in offline - step if name in discovered})
             offline = step
             overrides.set_offline(now, offline)
         else:
-            kind, lines = step
-            entries = tuple(EndpointEntry(name, state, started_at=at) for name, state, at in lines)
+            kind, listed = step
+            entries = tuple(EndpointEntry(name, state, started_at=at) for name, state, at in listed)
             if kind in (ViewKind.FULL, ViewKind.CACHED):
                 discovered.clear()
             if kind is not ViewKind.FAILED:
@@ -50,12 +50,12 @@
             restored_at = {name: at for name, at in restored_at.items() if name in discovered}
             overrides.view(View(kind, entries))
         for name, e in discovered.items():
-            shown = shown_list[name]
+            seen_entry = seen[name]
             if name in offline or e.state is not EndpointState.READY:
-                assert shown.state is not EndpointState.READY
+                assert seen_entry.state is not EndpointState.READY
             else:
-                assert shown.state is EndpointState.READY
-                assert shown.started_at == max(e.started_at, restored_at.get(name, 0))
-                assert shown.is_reinstated == (restored_at.get(name, 0) > e.started_at)
-        for name, shown in shown_list.items():
-            assert name in discovered or shown.state is not EndpointState.READY
+                assert seen_entry.state is EndpointState.READY
+                assert seen_entry.started_at == max(e.started_at, restored_at.get(name, 0))
+                assert seen_entry.is_reinstated == (restored_at.get(name, 0) > e.started_at)
+        for name, seen_entry in seen.items():
+            assert name in discovered or seen_entry.state is not EndpointState.READY
--- a/tests/daemon/lifecycle/test_handover.py
+++ b/tests/daemon/lifecycle/test_handover.py
@@ -1,4 +1,4 @@
-"""What two processes of one sidecar hand over by files: operators' orders and descriptor limits."""
+"""The files by which two processes of one sidecar share operators' orders and descriptor limits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         '{"form": 1, "name": "n", "offline": [1], "out": false}', '{"form": 1, "name": "n", "offline": []}',
     ],
 )  # fmt: skip
-def test_a_torn_or_foreign_file_of_orders_is_ignored(text: str, tmp_path: Path) -> None:
+def test_an_invalid_or_foreign_orders_file_is_ignored(text: str, tmp_path: Path) -> None:
     with pytest.raises(OrdersError):
         parse_orders(text, "n")
     folder = HandoverFolder(str(tmp_path), "n", 1)
@@ -29,34 +29,36 @@
     ).offline == {"a", "b"}
 
 
-def test_orders_reach_the_other_process_once_and_completely(tmp_path: Path) -> None:
-    one, two = HandoverFolder(str(tmp_path), "n 1/x", 1), HandoverFolder(str(tmp_path), "n 1/x", 2)
-    one.change(lambda o: OperatorOrders(o.offline | {"a", "ü"}, True), OperatorOrders())
-    assert two.changed_orders() == OperatorOrders(frozenset({"a", "ü"}), True)
-    assert two.changed_orders() is None and one.changed_orders() is None
-    two.change(lambda o: OperatorOrders(o.offline - {"a"}, o.out_of_service), OperatorOrders())
-    assert one.changed_orders() == OperatorOrders(frozenset({"ü"}), True)
+def test_the_other_process_reads_changed_orders_exactly_once(tmp_path: Path) -> None:
+    first, second = HandoverFolder(str(tmp_path), "n 1/x", 1), HandoverFolder(str(tmp_path), "n 1/x", 2)
+    first.change(lambda o: OperatorOrders(o.offline | {"a", "ü"}, True), OperatorOrders())
+    assert second.changed_orders() == OperatorOrders(frozenset({"a", "ü"}), True)
+    assert second.changed_orders() is None and first.changed_orders() is None
+    second.change(lambda o: OperatorOrders(o.offline - {"a"}, o.out_of_service), OperatorOrders())
+    assert first.changed_orders() == OperatorOrders(frozenset({"ü"}), True)
 
 
-def test_only_a_process_that_holds_its_lock_counts_as_alive(tmp_path: Path) -> None:
-    one, two = HandoverFolder(str(tmp_path), "n", 1), HandoverFolder(str(tmp_path), "n", 2)
-    assert one.state_limit(lambda newest, _others: 9 if newest else 0) == (9, [])
-    assert not two.is_only_process()
-    stated, others = two.state_limit(lambda newest, others: others[0] if newest else 0)
-    assert (stated, [other.started_ns for other in others]) == (9, [1])
-    assert one.state_limit(lambda newest, _others: int(newest))[0] == 0  # the older one now
-    os.close(two._own)  # killed: its file stays, its lock does not
-    assert two.own_file.exists()
-    assert one.state_limit(lambda _newest, others: len(others)) == (0, [])
-    assert not two.own_file.exists() and one.is_only_process()
-    one.leave()
-    assert not one.own_file.exists()
+def test_only_a_process_that_holds_its_lock_counts_as_running(tmp_path: Path) -> None:
+    first, second = HandoverFolder(str(tmp_path), "n", 1), HandoverFolder(str(tmp_path), "n", 2)
+    assert first.publish_limit(lambda is_newest, _others: 9 if is_newest else 0) == (9, [])
+    assert not second.is_only_process()
+    own_limit, others = second.publish_limit(lambda is_newest, others: others[0] if is_newest else 0)
+    assert (own_limit, [other.started_ns for other in others]) == (9, [1])
+    assert (
+        first.publish_limit(lambda is_newest, _others: int(is_newest))[0] == 0
+    )  # it is the older process now
+    os.close(second._own_descriptor)  # as when it is killed: its file remains, its lock is released
+    assert second.own_file.exists()
+    assert first.publish_limit(lambda _is_newest, others: len(others)) == (0, [])
+    assert not second.own_file.exists() and first.is_only_process()
+    first.leave()
+    assert not first.own_file.exists()
 
 
-def test_a_process_whose_folder_can_not_be_written_counts_as_alone(tmp_path: Path) -> None:
+def test_a_process_whose_folder_is_not_writable_runs_as_the_only_one(tmp_path: Path) -> None:
     folder = HandoverFolder(str(tmp_path / "none"), "n", 1)
     assert folder.change(lambda o: OperatorOrders(o.offline | {"a"}), OperatorOrders()) == OperatorOrders(
         frozenset("a")
     )
-    assert folder.state_limit(lambda _newest, _others: 7) == (7, [])
+    assert folder.publish_limit(lambda _is_newest, _others: 7) == (7, [])
     assert folder.is_only_process() and folder.changed_orders() is None
--- a/tests/daemon/lifecycle/test_long_outage.py
+++ b/tests/daemon/lifecycle/test_long_outage.py
@@ -1,4 +1,4 @@
-"""An outage of discovery may last: however many calls have failed in a row, the next one is made."""
+"""After any number of consecutive failed calls to discovery, the next one is still made."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from wheatring.common import log
 from wheatring.daemon.lifecycle.freshness import MAX_ASK_INTERVAL_SECONDS, Freshness
 
-FAILED = 1100  # more than the doublings that a float takes
+FAILED_CALLS = 1100  # doubling a float this often overflows
 
 
-def test_after_any_number_of_failed_calls_it_still_asks(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(log, "line", log.line)  # the world sets its own
+def test_a_sidecar_still_calls_discovery_after_many_failed_calls(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(log, "line", log.line)  # restores it after the test, as World replaces it
     world = World(VirtualSockets())
-    for _ in range(FAILED):
+    for _ in range(FAILED_CALLS):
         world.discovery.accept().reset()
     call = world.discovery.accept()
     assert call.read()[0].startswith("GET /v1/servers?index=7&")
@@ -27,11 +27,11 @@
     world.end()
 
 
-def test_after_any_number_of_asks_in_vain_a_suspect_list_is_still_asked_for() -> None:
-    fresh, now = Freshness(1, 0, Random(1), 0.0), 0.0
-    for _ in range(FAILED):  # it names nobody to send to, and no answer brings news
-        fresh.watch_started(now)
-        due = fresh.next_ask_at(now)
+def test_a_suspect_list_is_still_requested_after_many_asks_without_a_change() -> None:
+    freshness, now = Freshness(1, 0, Random(1), 0.0), 0.0
+    for _ in range(FAILED_CALLS):  # the list is empty, and no request brings a change
+        freshness.watch_started(now)
+        due = freshness.next_ask_at(now)
         assert now < due <= now + 2 * MAX_ASK_INTERVAL_SECONDS
         now = due
-        fresh.ask_sent(now)
+        freshness.ask_sent(now)
--- a/wheatring/daemon/admin/service.py
+++ b/wheatring/daemon/admin/service.py
@@ -266,7 +266,7 @@
         """Set how many connections this process may have beside the others."""
         had_successor = self.has_successor
         in_use, stopping = self.connections_in_use(), self.server.is_stopping
-        self.connection_limit, self.other_processes = self.folder.state_limit(
+        self.connection_limit, self.other_processes = self.folder.publish_limit(
             lambda newest, others: descriptor_limit(self.max_connections, in_use, newest, stopping, others)
         )
         self.set_connection_limit(self.connection_limit)
--- a/wheatring/daemon/http1/endpoint_list.py
+++ b/wheatring/daemon/http1/endpoint_list.py
@@ -195,7 +195,7 @@
             return
         self.called_at = now = self.clock.now()
         if self.version is None:  # this call ends soon, and the time of the next one is decided elsewhere
-            self.client.call(None, now + self.asking.draw_patience(), self.handle_watch_answer)
+            self.client.call(None, now + self.asking.draw_timeout(), self.handle_watch_answer)
             return
         deadline = now + WATCH_WAIT_SECONDS + CALL_SLACK_SECONDS
         self.client.call(self.version, deadline, self.handle_watch_answer)
--- a/wheatring/daemon/lifecycle/__init__.py
+++ b/wheatring/daemon/lifecycle/__init__.py
@@ -1,5 +1,6 @@
-"""Start, shutdown, handover and the freshness of the endpoint list: deciders that are handed the time.
+"""Decisions on start, shutdown, handover and the freshness of the endpoint list.
 
-All but `handover`, which reads and writes its files, are pure: no clock, no socket, no file. They may import
-the decision module's messages and what stands below; the core, the protocols and the daemon ask them.
+All modules but `handover`, which reads and writes files, are pure: they use no clock, socket or file, and the
+caller passes the time. They may import the messages of the balancer and the packages below it; the core, the
+protocols and the daemon call them.
 """
--- a/wheatring/daemon/lifecycle/descriptor_limit.py
+++ b/wheatring/daemon/lifecycle/descriptor_limit.py
@@ -1,10 +1,11 @@
-"""How two processes of one sidecar share its file descriptors while both live.
+"""Divides the file descriptors of one sidecar between its processes while more than one runs.
 
-Each states a limit: how many descriptors it may come to use. The older ones go down to half, or to what they
-use; once they stop, to what they use. The newest one takes what all others leave. A limit is stated under a
-lock after the others' have been read, so at no time do all of them together come to more than there are.
+Each process publishes a limit on the descriptors that it may use. An older process lowers its limit to half
+of the total, or to its current use if that is more; once it is stopping, to its current use. The newest
+process takes the remainder. A process publishes its limit under a lock, after reading those of the others,
+so the limits never add up to more than the total.
 
-Pure: numbers in, one number out.
+Pure: no clock, socket or file.
 """
 
 from __future__ import annotations
@@ -15,9 +16,9 @@
 def descriptor_limit(
     total: int, in_use: int, is_newest: bool, is_stopping: bool, other_limits: Iterable[int]
 ) -> int:
-    """Return how many descriptors this process, which uses `in_use` of them, may come to use.
+    """Return the descriptor limit of this process, which currently uses `in_use` descriptors.
 
-    `other_limits` are those that the sidecar's other processes have stated.
+    `other_limits` are the published limits of the sidecar's other processes.
     """
     remaining = max(0, total - sum(other_limits))
     if is_newest:
--- a/wheatring/daemon/lifecycle/endpoint_overrides.py
+++ b/wheatring/daemon/lifecycle/endpoint_overrides.py
@@ -1,10 +1,10 @@
-"""Endpoints that operators have taken offline: their orders, laid over discovery's list.
+"""Applies the operators' offline orders to the endpoint list from discovery.
 
-An endpoint that is offline is passed on as draining, whatever discovery says of it. One that comes back is
-passed on as started at that instant and as reinstated: it was restarted meanwhile, which discovery may
-announce later or never. A start that discovery knows to be later still stands.
+An endpoint that an operator has taken offline is reported as draining, whatever its state in discovery. When
+it is brought back online, it is reported as started at that time and as reinstated: it has been restarted in
+the meantime, which discovery may announce late or never. A later start time from discovery takes precedence.
 
-Pure: instants are handed in; nothing here knows of sockets or files.
+Pure: the caller passes the time; there are no sockets or files here.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class EndpointListState:
-    """The endpoint list as discovery's views have left it, by endpoint."""
+    """The endpoint list, by endpoint, after all views received from discovery."""
 
     def __init__(self) -> None:
         self.entries: dict[str, EndpointEntry] = {}
         self.version = 0
 
     def view(self, view: View) -> None:
-        """Take in a view; one of a failed call changes nothing."""
+        """Apply a view; the view of a failed call changes nothing."""
         if view.kind is ViewKind.FAILED:
             return
         self.version = view.version
@@ -38,12 +38,12 @@
                 self.entries[entry.endpoint] = entry
 
     def full_view(self) -> View:
-        """Return all of it as one view."""
+        """Return the whole list as one view."""
         return View(ViewKind.FULL, tuple(self.entries.values()), self.version)
 
 
 class EndpointOverrides:
-    """Passes views on to `on_view`, with the operators' orders laid over them.
+    """Applies the operators' orders to each view and passes it to `on_view`.
 
     Attributes
     ----------
@@ -52,7 +52,7 @@
     offline : frozenset of str
         The endpoints that operators have taken offline.
     restored_at : dict of str to float
-        When a listed endpoint came back.
+        When each listed endpoint was brought back online.
     """
 
     def __init__(self, on_view: Callable[[View], None]) -> None:
@@ -62,10 +62,10 @@
         self.restored_at: dict[str, float] = {}
 
     def view(self, view: View) -> None:
-        """Take in a view of discovery, and pass it on."""
+        """Record a view from discovery, apply the overrides and pass it on."""
         self.discovered.view(view)
         if view.kind is not ViewKind.FAILED:
-            # One that has gone and comes again is listed with a start of its own.
+            # An endpoint that has left the list and returns is listed with its own start time.
             listed = self.discovered.entries
             self.restored_at = {name: at for name, at in self.restored_at.items() if name in listed}
             if self.offline or self.restored_at:
@@ -73,11 +73,11 @@
         self.on_view(view)
 
     def knows(self, name: str) -> bool:
-        """Whether an endpoint is listed, or offline."""
+        """Whether an endpoint is in the list or has been taken offline."""
         return name in self.discovered.entries or name in self.offline
 
     def set_offline(self, now: float, offline: frozenset[str]) -> None:
-        """Have these endpoints offline from now on, and no others; pass on what that changes."""
+        """Replace the set of offline endpoints, and pass on the entries that change."""
         changed, listed = sorted(self.offline ^ offline), self.discovered.entries
         self.offline = offline
         for name in changed:
@@ -90,7 +90,7 @@
             self.on_view(View(ViewKind.DELTA, entries, self.discovered.version))
 
     def overridden(self, entry: EndpointEntry) -> EndpointEntry:
-        """Return a line of discovery's list as it is passed on."""
+        """Return an entry of the list from discovery with the overrides applied."""
         name = entry.endpoint
         if entry.state is not READY:
             return entry
--- a/wheatring/daemon/lifecycle/handover.py
+++ b/wheatring/daemon/lifecycle/handover.py
@@ -1,12 +1,12 @@
-"""Two processes of one sidecar, a newer and an older one: their files, and all that touches them.
+"""The files that the processes of one sidecar, an older and a newer one, share during an upgrade.
 
-    service-NAME.orders     what the operators have ordered, replaced whole
-    service-NAME.lock       locked for the moment in which orders or limits are changed
-    service-NAME-N.live     one a process, N its start in nanoseconds: its limit of descriptors
+    service-NAME.orders     the operators' orders, replaced atomically
+    service-NAME.lock       locked while orders or limits are changed
+    service-NAME-N.live     one per process that started at N (in nanoseconds): its descriptor limit
 
-A process lives as long as its lock on its file, which the system releases with it: a file that a killed one
-has left says nothing, and is removed. What can't be read or written costs one log line, and the sidecar goes
-on alone.
+A process holds a lock on its own file for as long as it runs, and the system releases it when the process
+ends, so the file of a killed process is recognized and removed. If a file can't be read or written, this is
+logged and the sidecar continues as if it were the only process.
 """
 
 from __future__ import annotations
@@ -26,152 +26,154 @@
 
 
 class OtherProcess(NamedTuple):
-    """Another process of this sidecar that lives: its start, which is its name too, and its limit."""
+    """Another running process of this sidecar: its start, which identifies it, and its descriptor limit."""
 
     started_ns: int  # nanoseconds of the machine's clock
     descriptor_limit: int
 
 
 class HandoverFolder:
-    """What the processes of one sidecar share in a folder.
+    """The folder with the files that the processes of one sidecar share.
 
-    A process is known by its start in nanoseconds: process ids say nothing, each may have a name space of its
-    own.
+    A process is identified by its start time in nanoseconds: process ids are ambiguous, as each process may
+    run in its own PID namespace.
     """
 
-    def __init__(self, folder: str, name: str, since: int) -> None:
+    def __init__(self, folder: str, name: str, started_ns: int) -> None:
         self.folder = Path(folder)
         self.name = name
-        self.started_ns = since
+        self.started_ns = started_ns
         quoted = quote(name, safe="")
         self.orders_file = self.folder / f"service-{quoted}.orders"
         self.lock_file = self.folder / f"service-{quoted}.lock"
-        self.own_file = self.folder / f"service-{quoted}-{since}.live"
-        self._live = re.compile(re.escape(f"service-{quoted}-") + r"([0-9]+)\.live")
-        self._own = -1
-        self._seen: tuple[int, int] | None = None  # which file of orders was read last
-        self._failed = False
+        self.own_file = self.folder / f"service-{quoted}-{started_ns}.live"
+        self._process_file_pattern = re.compile(re.escape(f"service-{quoted}-") + r"([0-9]+)\.live")
+        self._own_descriptor = -1
+        self._orders_version: tuple[int, int] | None = (
+            None  # inode and mtime of the orders file last read or written
+        )
+        self._has_warned = False
 
     # Orders
 
     def changed_orders(self) -> OperatorOrders | None:
-        """Return the orders, where they were replaced since they were last read or written here."""
+        """Return the orders if they were replaced since this process last read or wrote them, else None."""
         try:
-            found = self.orders_file.stat()
-            mark = (found.st_ino, found.st_mtime_ns)
-            if mark == self._seen:
+            status = self.orders_file.stat()
+            version = (status.st_ino, status.st_mtime_ns)
+            if version == self._orders_version:
                 return None
-            self._seen = mark
+            self._orders_version = version
             return parse_orders(self.orders_file.read_text(encoding="utf-8"), self.name)
         except FileNotFoundError:
             return None
-        except (OSError, ValueError) as bad:
-            log.line("orders-unread", why=str(bad), file=self.orders_file)
+        except (OSError, ValueError) as error:
+            log.line("orders-unread", why=str(error), file=self.orders_file)
             return None
 
     def change(
         self, edit: Callable[[OperatorOrders], OperatorOrders], current: OperatorOrders
     ) -> OperatorOrders:
-        """Change what is in force, from the file's orders or, where there are none, the current ones."""
+        """Apply `edit` to the orders in the file, or to `current` if there are none, and store the result."""
         try:
             with self._locked():
-                orders = edit(self._read() or current)
-                self._replace(self.orders_file, orders.to_json(self.name))
-                found = self.orders_file.stat()
-                self._seen = (found.st_ino, found.st_mtime_ns)
+                orders = edit(self._read_orders() or current)
+                self._replace_file(self.orders_file, orders.to_json(self.name))
+                status = self.orders_file.stat()
+                self._orders_version = (status.st_ino, status.st_mtime_ns)
                 return orders
-        except OSError as bad:
-            self._warn(bad)
+        except OSError as error:
+            self._log_failure(error)
             return edit(current)
 
-    def _read(self) -> OperatorOrders | None:
+    def _read_orders(self) -> OperatorOrders | None:
         with suppress(OSError, OrdersError, UnicodeDecodeError):
             return parse_orders(self.orders_file.read_text(encoding="utf-8"), self.name)
         return None
 
-    # Who lives
+    # Running processes
 
-    def state_limit(self, limit: Callable[[bool, list[int]], int]) -> tuple[int, list[OtherProcess]]:
-        """State this process's limit of descriptors, and return it with the other processes that live.
+    def publish_limit(self, limit: Callable[[bool, list[int]], int]) -> tuple[int, list[OtherProcess]]:
+        """Publish this process's descriptor limit; return it and the other running processes.
 
-        `limit` finds it from whether this process is the newest and from the others' limits, under one lock.
+        `limit` computes it, under the lock, from whether this process is the newest and the others' limits.
         """
         try:
             with self._locked():
-                others = self._others()
-                newest = all(other.started_ns < self.started_ns for other in others)
-                stated = limit(newest, [other.descriptor_limit for other in others])
-                self._state(stated)
-                return stated, others
-        except OSError as bad:
-            self._warn(bad)
+                others = self._other_processes()
+                is_newest = all(other.started_ns < self.started_ns for other in others)
+                own_limit = limit(is_newest, [other.descriptor_limit for other in others])
+                self._publish_limit(own_limit)
+                return own_limit, others
+        except OSError as error:
+            self._log_failure(error)
             return limit(True, []), []
 
     def is_only_process(self) -> bool:
-        """Whether no other process seems to be here, so that there is nothing to agree on."""
+        """Whether there is no file of another process, so that the limit needs no coordination."""
         try:
-            return not any(path != self.own_file for path in self._files())
+            return not any(path != self.own_file for path in self._process_files())
         except OSError:
             return True
 
     def leave(self) -> None:
-        """Remove this process's file, as it ends."""
+        """Remove this process's file at its end."""
         with suppress(OSError):
             self.own_file.unlink()
-        if self._own >= 0:
-            os.close(self._own)
-            self._own = -1
+        if self._own_descriptor >= 0:
+            os.close(self._own_descriptor)
+            self._own_descriptor = -1
 
-    def _files(self) -> list[Path]:
-        return sorted(p for p in self.folder.iterdir() if self._live.fullmatch(p.name))
+    def _process_files(self) -> list[Path]:
+        return sorted(p for p in self.folder.iterdir() if self._process_file_pattern.fullmatch(p.name))
 
-    def _others(self) -> list[OtherProcess]:
-        found = []
-        for path in self._files():
+    def _other_processes(self) -> list[OtherProcess]:
+        others = []
+        for path in self._process_files():
             if path == self.own_file:
                 continue
-            file = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
+            descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
             try:
                 with suppress(BlockingIOError):
-                    fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-                    path.unlink()  # its process is gone
+                    fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                    path.unlink()  # its process has ended
                     continue
-                told = json.loads(os.read(file, 4096))
-                match = self._live.fullmatch(path.name)
+                content = json.loads(os.read(descriptor, 4096))
+                match = self._process_file_pattern.fullmatch(path.name)
                 assert match is not None
-                found.append(OtherProcess(int(match[1]), int(told["ceiling"])))
-            except (ValueError, TypeError, KeyError) as bad:
-                log.line("other-unread", why=str(bad), file=path)
+                others.append(OtherProcess(int(match[1]), int(content["ceiling"])))
+            except (ValueError, TypeError, KeyError) as error:
+                log.line("other-unread", why=str(error), file=path)
             finally:
-                os.close(file)
-        return found
+                os.close(descriptor)
+        return others
 
-    def _state(self, descriptor_limit: int) -> None:
-        if self._own < 0:
+    def _publish_limit(self, descriptor_limit: int) -> None:
+        if self._own_descriptor < 0:
             flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
-            self._own = os.open(self.own_file, flags, 0o600)
-            fcntl.flock(self._own, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            self._own_descriptor = os.open(self.own_file, flags, 0o600)
+            fcntl.flock(self._own_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         text = json.dumps({"ceiling": descriptor_limit}).encode()
-        # One write of one length: whoever reads meanwhile, under the lock or not, reads all of it.
-        os.pwrite(self._own, text.ljust(64), 0)
+        # A single write of fixed length, so that a concurrent reader, locked or not, sees all of it.
+        os.pwrite(self._own_descriptor, text.ljust(64), 0)
 
     # Files
 
     @contextmanager
     def _locked(self) -> Iterator[None]:
-        file = os.open(self.lock_file, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        descriptor = os.open(self.lock_file, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(file, fcntl.LOCK_EX)
+            fcntl.flock(descriptor, fcntl.LOCK_EX)
             yield
         finally:
-            os.close(file)
+            os.close(descriptor)
 
-    def _replace(self, path: Path, text: str) -> None:
-        whole = path.with_name(f"{path.name}.{self.started_ns}")
-        whole.write_text(text, encoding="utf-8")
-        whole.replace(path)
+    def _replace_file(self, path: Path, text: str) -> None:
+        temporary = path.with_name(f"{path.name}.{self.started_ns}")
+        temporary.write_text(text, encoding="utf-8")
+        temporary.replace(path)
 
-    def _warn(self, bad: OSError) -> None:
-        if not self._failed:
-            self._failed = True
-            log.line("handover-off", warning=bad.strerror, folder=self.folder)
+    def _log_failure(self, error: OSError) -> None:
+        if not self._has_warned:
+            self._has_warned = True
+            log.line("handover-off", warning=error.strerror, folder=self.folder)
--- a/wheatring/daemon/lifecycle/list_request_schedule.py
+++ b/wheatring/daemon/lifecycle/list_request_schedule.py
@@ -1,34 +1,36 @@
-"""When a sidecar asks for the endpoint list, so that a fleet that starts at once does not overload discovery.
-
-Discovery answers one call after another, for all sidecars, and a call that waits too long for its turn fails.
-No sidecar knows how many calls a second it takes, nor who else is asking: a sidecar knows its number, how
-many there are, and how its own calls ended. So all act by one timetable, in *rounds*. A round gives each
-sidecar one position. Whoever was answered is out; whoever was not takes its position in the next round:
-
-- the first round is short, for a sidecar that starts alone should not wait for a fleet that is not there;
-- the second is so long that `second_round_rate` calls a second are made if all have to ask again, and each
-  further one twice as long. So the fleet comes down on whatever discovery can answer.
-
-A call for the whole list is waited for only so long as its share: of the calls of a round, as many are meant
-to stay as discovery is likely to answer by its end, and the others leave their turns to these. How long each
-stays is drawn from a Pareto distribution, of which any wait, however long the queue, leaves a part over. Were
-all equally patient, all would leave just before their turn, or in it (reneging; Palm 1937).
-
-Rounds are counted from the start, or from a move of discovery. Positions in a round are by number, turned on
-from round to round by the golden section, so that neighbours in one are far apart in the next (additive
-recurrence; Kuipers and Niederreiter 1974).
-
-Who has a list that names an endpoint to send to asks by its notification deadline (`notification_deadline`),
-whatever the queue. At the start it comes after those that have none, as far as that leaves room. Once a call
-has failed it takes no part in the rounds: it asks again within RETRY_WITHIN_SECONDS. The first failure after
-an answer is seen by the whole fleet at the same time, so positions are by number there; from then on each
-keeps its own step, which leaves the fleet as spread out as it is. Only where a call fails in a queue, in a
-fleet larger than discovery is likely to answer meanwhile, do some give way, and spread their next calls over
-the time that the queue is likely to take: it can't be in time for all of them, and in a storm of calls that
-are left it would be for none. After one such failure these are the ones for whom even a fast discovery has no
-turn in time, by number; after the second in a row changes are late in any case, so all do.
-
-Pure: instants in seconds are handed in; nothing here knows of sockets.
+"""Schedules requests for the endpoint list so that a fleet starting together does not overload discovery.
+
+Discovery serves the calls of all sidecars one at a time, and a call that is queued for too long fails. No
+sidecar knows the service rate or which others are calling: it knows only its index, the number of sidecars
+and the results of its own calls. All therefore follow the same schedule of *rounds*, each of which assigns
+one position to every sidecar. A sidecar whose call was answered is finished; the others call again in the
+next round:
+
+- the first round is short, as a sidecar that starts alone should not wait for a fleet that is not there;
+- the second one is long enough for `second_round_rate` calls a second if all sidecars call again, and each
+  further round is twice as long. The call rate thus decreases until discovery can serve it.
+
+The time-out of a call for the full list is random: of the calls of a round, about as many should stay in the
+queue as discovery is likely to serve by the end of the round, and the others should leave it. Time-outs are
+drawn from a Pareto distribution, for which some calls outlast any wait, however long the queue. With equal
+time-outs, all callers would leave just before they are served or while they are (reneging; Palm 1937).
+
+Rounds are counted from the start, or from a move of discovery. The position in a round follows from the
+sidecar's index, rotated by the golden section in each round, so that neighbours in one round are far apart in
+the next (additive recurrence; Kuipers and Niederreiter 1974).
+
+A sidecar whose list contains an endpoint to send to follows its notification deadline
+(`notification_deadline`), regardless of the queue. At the start it calls after the sidecars that have no such
+list, if the deadline leaves room for that. After a failed call it leaves the rounds and retries within
+RETRY_WITHIN_SECONDS. The whole fleet sees the first failure after an answer simultaneously, so that retry is
+spread by index; after that each sidecar keeps its own interval, which preserves the spread. Only if a call
+fails in the queue, in a fleet larger than discovery is likely to serve in that time, do some sidecars back
+off and spread their next calls over the likely duration of the queue: discovery can't serve all of them in
+time, and in a storm of abandoned calls it would serve none. After one such failure, only those back off, by
+index, that even a fast discovery could not serve in time; after the second consecutive one, changes are late
+in any case, so all back off.
+
+Pure: the caller passes the time, in seconds; there are no sockets here.
 """
 
 from __future__ import annotations
@@ -45,23 +47,23 @@
     NotificationDeadline,
 )
 
-REFRESH_RATE = 25.0  # calls a second by those that have a list, which a fast discovery can answer
-MIN_ROUND_SECONDS = 0.25  # that a further round takes at least, doubled from round to round; up to
-MAX_MIN_ROUND_SECONDS = 2.5
-MIN_CALL_RATE = 1.0  # calls a second by all in the longest round
-SPARSE_ROUND = 2  # from this round on, by number from 0, there is room for a second call within it
+REFRESH_RATE = 25.0  # calls a second by sidecars with a list, which a fast discovery can answer
+MIN_ROUND_SECONDS = 0.25  # minimum length of the rounds after the first, doubled in each round ...
+MAX_MIN_ROUND_SECONDS = 2.5  # ... up to this
+MIN_CALL_RATE = 1.0  # calls a second by all sidecars in the longest round
+SPARSE_ROUND = 2  # from this round on, counted from 0, a sidecar may call a second time within a round
 GOLDEN_SECTION = 0.6180339887498949
-MAX_REFRESH_SECONDS = 24.0  # between calls at most of one that has a list and finds a queue
-MAX_DOUBLED_ROUND = 64  # no round is longer for its number from this one on
-QUEUE_SECONDS = 2.0  # in which a call in discovery's queue is likely to have had its turn, or to have failed
-MAX_PATIENCE_SECONDS = 5.0  # after which a call for the full list is given up; no queue is longer
+MAX_REFRESH_SECONDS = 24.0  # longest time between the calls of a sidecar with a list that meets a queue
+MAX_DOUBLED_ROUND = 64  # rounds stop doubling here
+QUEUE_SECONDS = 2.0  # time after which a call in discovery's queue has probably been served or has failed
+MAX_QUEUE_SECONDS = 5.0  # longest time in the queue, so also the longest time-out of a call for the full list
 
 
 class RequestPace(NamedTuple):
-    """How fast a fleet asks. Rates are calls a second of all sidecars together.
+    """The call rates of a fleet, in calls a second of all sidecars together.
 
-    The first two hold for the first round; `second_round_rate` for the one after it, if all have to ask
-    again. `expected_answer_rate` is what discovery is expected to answer while nothing else is known.
+    The first two fields apply to the first round, `second_round_rate` to the second one if all sidecars call
+    again. `expected_answer_rate` is the service rate assumed for discovery, as the actual one is unknown.
     """
 
     first_round_rate: float = 60.0
@@ -74,65 +76,69 @@
 
 
 class ListRequestSchedule:
-    """One sidecar's timetable.
+    """One sidecar's schedule of calls for the endpoint list.
 
     Attributes
     ----------
     pace : RequestPace
-        May be replaced; it holds for what is reckoned from then on.
+        May be replaced at any time; later decisions use the new one.
     notification : NotificationDeadline
-        By when a sidecar that has a list must ask again.
+        The deadline by which a sidecar that has a list must call again.
     position : float
         This sidecar's position among all, from 0 to 1.
     has_list : bool
-        There is a list that names an endpoint to send to.
+        Whether there is a list that contains an endpoint to send to.
     round, started_at, round_started_at : int and float
-        The present round, from 0, and when the first one and the present one began.
+        The current round, from 0, and when the first and the current round began.
     was_answered : bool
-        The last call was answered.
+        Whether the last call was answered.
     has_retried_in_round : bool
-        The second call of a sparse round is used up.
+        Whether the second call of a sparse round has been made.
     not_before : float
-        The instant before which no call is made.
-    queued_failures, slow_calls : int
-        Calls in a row that failed in discovery's queue, and those that hung until they were given up.
+        The earliest time of the next call.
+    queued_failures : int
+        Consecutive calls that failed in discovery's queue.
+    slow_calls : int
+        Consecutive calls that hung until they timed out.
     """
 
     def __init__(
         self,
-        copies: int,
-        number: int,
+        sidecar_count: int,
+        sidecar_index: int,
         within: float,
         random: Random,
         now: float,
         pace: RequestPace = DEFAULT_PACE,
     ) -> None:
-        """Begin the first round of sidecar `number`, from 0, of `copies` that ask.
+        """Begin the first round of sidecar `sidecar_index` (from 0) of `sidecar_count`.
 
-        `within` is the platform's time in seconds in which one that sends must have asked; 0 where lists are
-        pushed.
+        `within` is the time in seconds within which the platform requires a call from a sidecar that sends;
+        0 where lists are pushed.
         """
         self.pace = pace
-        self.copies = copies
+        self.sidecar_count = sidecar_count
         self.notification = NotificationDeadline(within, now)
         self.random = random
-        self.position = (number % copies + random.random()) / copies
-        self.start(now, holds=False)
+        self.position = (sidecar_index % sidecar_count + random.random()) / sidecar_count
+        self.start(now, has_list=False)
 
-    def start(self, now: float, holds: bool) -> None:
-        """Begin the first round. `holds`: there is a list that names an endpoint to send to."""
+    def start(self, now: float, has_list: bool) -> None:
+        """Begin the first round. `has_list`: there is a list that contains an endpoint to send to."""
         self.notification.start(now)
-        self.restart_rounds(now, holds)
+        self.restart_rounds(now, has_list)
 
-    def discovery_moved(self, now: float, holds: bool, out: bool, took: float, waits: bool) -> None:
-        """Take in that discovery is elsewhere. `out`: a call was given up, after `took` seconds."""
-        began = now if was_queued_out(waits, took) else now - took
-        self.notification.discovery_moved(now, began if out else inf)
-        self.restart_rounds(now, holds)
-
-    def restart_rounds(self, now: float, holds: bool) -> None:
-        """Begin the first round again; what counts for the notification deadline stays."""
-        self.has_list = holds
+    def discovery_moved(
+        self, now: float, has_list: bool, was_calling: bool, took: float, can_wait: bool
+    ) -> None:
+        """Record that discovery has moved. `was_calling`: a call was given up, after `took` seconds."""
+        call_began_at = now if was_waiting_for_changes(can_wait, took) else now - took
+        self.notification.discovery_moved(now, call_began_at if was_calling else inf)
+        self.restart_rounds(now, has_list)
+
+    def restart_rounds(self, now: float, has_list: bool) -> None:
+        """Begin again at the first round, without resetting the notification deadline."""
+        self.has_list = has_list
         self.round = 0
         self.started_at = self.round_started_at = now
         self.was_answered = False
@@ -141,123 +147,132 @@
         self.queued_failures = 0
         self.slow_calls = 0
 
-    def round_seconds(self, number: int) -> float:
-        """Return the seconds that a round takes, by its number from 0."""
-        if number == 0:
-            return min(self.pace.first_round_max_seconds, self.copies / self.pace.first_round_rate)
-        most = max(self.copies / MIN_CALL_RATE, MAX_MIN_ROUND_SECONDS)
-        doubled = 2.0 ** (min(number, MAX_DOUBLED_ROUND) - 1)
-        return min(max(self.copies / self.pace.second_round_rate * doubled, _min_round_seconds(number)), most)
+    def round_seconds(self, round_number: int) -> float:
+        """Return the length of a round in seconds, by its number from 0."""
+        if round_number == 0:
+            return min(self.pace.first_round_max_seconds, self.sidecar_count / self.pace.first_round_rate)
+        longest = max(self.sidecar_count / MIN_CALL_RATE, MAX_MIN_ROUND_SECONDS)
+        doubled = 2.0 ** (min(round_number, MAX_DOUBLED_ROUND) - 1)
+        return min(
+            max(self.sidecar_count / self.pace.second_round_rate * doubled, _min_round_seconds(round_number)),
+            longest,
+        )
 
     def next_call_at(self, now: float) -> float:
-        """Return the instant of the next call, not before `now`."""
+        """Return the time of the next call, not before `now`."""
         if self.has_list and self.round:
             return max(now, self.not_before)
         length = self.round_seconds(self.round)
         if not self.has_list:
             at = (self.position + self.round * GOLDEN_SECTION) % 1.0 * length
         else:
-            # In time, and after those that have nothing to go by, if that leaves time to be spread out.
-            room = self.notification.deadline() - self.round_started_at
-            first = length if 2 * length <= room else 0.0
-            at = first + self.position * min(self.copies / REFRESH_RATE, room - first)
+            # Before the deadline, and after the sidecars without a list if that leaves time for the spread.
+            available = self.notification.deadline() - self.round_started_at
+            offset = length if 2 * length <= available else 0.0
+            at = offset + self.position * min(self.sidecar_count / REFRESH_RATE, available - offset)
         return max(now, self.round_started_at + at, self.not_before)
 
-    def draw_patience(self) -> float:
-        """Draw the seconds for which the next call for the full list is waited for."""
+    def draw_timeout(self) -> float:
+        """Draw the time-out of the next call for the full list, in seconds."""
         rate = self.pace.expected_answer_rate
         if self.has_list:
-            share = rate * (RETRY_WITHIN_SECONDS + HANGING_CALL_SECONDS) / self.copies
+            share = rate * (RETRY_WITHIN_SECONDS + HANGING_CALL_SECONDS) / self.sidecar_count
             if share >= 1:
-                # Few ask: a call that hangs must not be waited for, unless all take so long.
+                # Few sidecars call, so a hanging call times out early, unless all calls are that slow.
                 return min(CALL_TIMEOUT_SECONDS, HANGING_CALL_SECONDS * 2.0**self.slow_calls)
             return min(CALL_TIMEOUT_SECONDS, HANGING_CALL_SECONDS * share / (1.0 - self.random.random()))
-        ends = self.round_started_at + self.round_seconds(self.round) + QUEUE_SECONDS
-        share = rate * (ends - self.started_at) / self.copies  # of all, who can have had their turn by then
+        round_end = self.round_started_at + self.round_seconds(self.round) + QUEUE_SECONDS
+        share = (
+            rate * (round_end - self.started_at) / self.sidecar_count
+        )  # of all sidecars, the part served by then
         if share >= 1:
-            return MAX_PATIENCE_SECONDS
-        return min(MAX_PATIENCE_SECONDS, QUEUE_SECONDS * share / (1.0 - self.random.random()))
+            return MAX_QUEUE_SECONDS
+        return min(MAX_QUEUE_SECONDS, QUEUE_SECONDS * share / (1.0 - self.random.random()))
 
     def call_answered(self) -> None:
-        """Take in that a call has been answered."""
+        """Record that a call has been answered."""
         self.was_answered = self.has_list = True
 
     def call_failed(
         self,
         now: float,
         took: float = 0.0,
-        part: float | None = None,
-        taken: bool = True,
-        waits: bool = False,
+        answering_seconds: float | None = None,
+        was_sent: bool = True,
+        can_wait: bool = False,
     ) -> None:
-        """Take in that a call has failed, or was given up.
+        """Record that a call has failed or was given up.
 
         Parameters
         ----------
         took : float
-            Seconds from its begin.
-        part : float or None
-            Seconds since its answer had begun, for which it had had its turn; None: it had not.
-        taken : bool
-            There was a connection, so that discovery has the call.
-        waits : bool
-            It was one that waits for changes.
+            Seconds from its begin to its end.
+        answering_seconds : float or None
+            Seconds since its answer began, at which time it had left the queue; None if no answer began.
+        was_sent : bool
+            Whether there was a connection, so that discovery has received the call.
+        can_wait : bool
+            Whether the call waits for changes.
         """
-        if was_queued_out(waits, took):
-            # It ended as all others did that waited, which is no sign of a queue.
-            self.was_answered, took = True, part or 0.0
+        if was_waiting_for_changes(can_wait, took):
+            # It ended together with all other waiting calls, which does not indicate a queue.
+            self.was_answered, took = True, answering_seconds or 0.0
         self.notification.call_failed(now, now - took)
-        self.slow_calls = min(self.slow_calls + 1, 2) if taken and took >= HANGING_CALL_SECONDS else 0
+        self.slow_calls = min(self.slow_calls + 1, 2) if was_sent and took >= HANGING_CALL_SECONDS else 0
         if self.has_list:
-            self.schedule_refresh(now, stood=taken and took >= QUEUE_SECONDS / 2 and part is None)
+            self.schedule_refresh(
+                now, was_queued=was_sent and took >= QUEUE_SECONDS / 2 and answering_seconds is None
+            )
             return
         if (
             self.round >= SPARSE_ROUND
             and took >= QUEUE_SECONDS / 2
             and not self.has_retried_in_round
-            and part is None
+            and answering_seconds is None
         ):
-            # It was queued, and few are left by now: a chance crowd is no reason to wait for a round that is
-            # longer still. One that was refused at once says nothing of a queue.
+            # The call was queued although few sidecars are still calling, which may be a coincidence: retry
+            # within this round instead of waiting for a longer one. An immediate refusal indicates no queue.
             self.has_retried_in_round = True
             self.not_before = now + self.round_seconds(self.round) / 2
             return
-        self._next_round(now, had_turn=part is not None)
+        self._next_round(now, was_being_answered=answering_seconds is not None)
 
-    def _next_round(self, now: float, had_turn: bool) -> None:
+    def _next_round(self, now: float, was_being_answered: bool) -> None:
         self.has_retried_in_round = False
         ended = self.round_started_at + self.round_seconds(self.round)
-        # One that had its turn saw that the queue is not long: no slower, and rather one round back.
-        self.round = min(self.round, max(1, self.round - 1)) if had_turn else self.round + 1
-        # One that has fallen behind the timetable (a stall, a call that took long) goes by its own.
+        # A call that was being answered shows that the queue is short: go back by one round.
+        self.round = min(self.round, max(1, self.round - 1)) if was_being_answered else self.round + 1
+        # A sidecar that is behind the schedule (a stall, a long call) begins its next round now.
         self.round_started_at = max(ended, now)
         self.not_before = now + _min_round_seconds(self.round) / 2
 
-    def schedule_refresh(self, now: float, stood: bool) -> None:
-        """Set the next call of a sidecar that has a list, once one has failed. `stood`: it was queued."""
-        # After the first failure by number, as all saw it at once; then nearly in step.
-        part = (self.position + GOLDEN_SECTION) % 1.0 if self.was_answered else 1 - self.random.random() / 4
+    def schedule_refresh(self, now: float, was_queued: bool) -> None:
+        """Schedule the retry of a sidecar that has a list. `was_queued`: the call failed in the queue."""
+        # The whole fleet sees the first failure simultaneously, so that retry is spread by index.
+        fraction = (
+            (self.position + GOLDEN_SECTION) % 1.0 if self.was_answered else 1 - self.random.random() / 4
+        )
         self.round = 1 if self.was_answered else min(self.round + 1, MAX_DOUBLED_ROUND)
-        self.queued_failures = self.queued_failures + 1 if stood and not self.was_answered else 0
+        self.queued_failures = self.queued_failures + 1 if was_queued and not self.was_answered else 0
         self.was_answered = False
-        gap = min(self.round_seconds(self.round), self.notification.deadline() - now)
-        queue = min(self.copies / self.pace.expected_answer_rate, MAX_REFRESH_SECONDS)
-        if self.queued_failures and queue > self.notification.retry_interval:
-            # More ask than can be answered in time, so a large fleet gives way: in a storm nobody would be.
-            turn = (self.position + self.round * GOLDEN_SECTION) % 1.0 * self.copies
-            if self.queued_failures > 1 or turn >= REFRESH_RATE * NOTIFIED_AFTER_REACHABLE_SECONDS:
-                gap, draw = queue, self.random.random()
-                part = draw if self.queued_failures < 3 else 1 - draw / 2
-        self.not_before = now + max(gap * part, min(_min_round_seconds(self.round), gap) / 2)
+        interval = min(self.round_seconds(self.round), self.notification.deadline() - now)
+        queue_seconds = min(self.sidecar_count / self.pace.expected_answer_rate, MAX_REFRESH_SECONDS)
+        if self.queued_failures and queue_seconds > self.notification.retry_interval:
+            # Discovery can't answer all in time, so a large fleet backs off: in a storm it would answer none.
+            slot = (self.position + self.round * GOLDEN_SECTION) % 1.0 * self.sidecar_count
+            if self.queued_failures > 1 or slot >= REFRESH_RATE * NOTIFIED_AFTER_REACHABLE_SECONDS:
+                interval, random_number = queue_seconds, self.random.random()
+                fraction = random_number if self.queued_failures < 3 else 1 - random_number / 2
+        self.not_before = now + max(interval * fraction, min(_min_round_seconds(self.round), interval) / 2)
 
 
-def was_queued_out(waits: bool, took: float) -> bool:
-    """Whether a call that ended after so many seconds was out of the queue, and waited for changes.
+def was_waiting_for_changes(can_wait: bool, took: float) -> bool:
+    """Whether a call that ended after `took` seconds had left the queue and was waiting for changes.
 
-    So it would have brought any up to its end. `waits`: it is one that waits for changes.
+    It would then have reported any change up to its end. `can_wait`: the call waits for changes.
     """
-    return waits and took > MAX_PATIENCE_SECONDS
+    return can_wait and took > MAX_QUEUE_SECONDS
 
 
-def _min_round_seconds(number: int) -> float:
-    return min(MIN_ROUND_SECONDS * 2.0 ** min(number, MAX_DOUBLED_ROUND), MAX_MIN_ROUND_SECONDS)
+def _min_round_seconds(round_number: int) -> float:
+    return min(MIN_ROUND_SECONDS * 2.0 ** min(round_number, MAX_DOUBLED_ROUND), MAX_MIN_ROUND_SECONDS)
--- a/wheatring/daemon/lifecycle/operator_orders.py
+++ b/wheatring/daemon/lifecycle/operator_orders.py
@@ -1,6 +1,6 @@
-"""What operators have ordered, as it is written down for the other process of this sidecar.
+"""The operators' orders, and their file format, which is shared between the processes of one sidecar.
 
-Strict both ways: what can't be read is an error with a reason, never half of an order.
+Parsing is strict: a file that is invalid in any part is rejected with a reason, and none of it is applied.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 import json
 from dataclasses import dataclass
 
-FORMAT_VERSION = 1  # of the text; another one is not read
+FORMAT_VERSION = 1  # a file with another version is rejected
 MAX_ENDPOINTS = 10_000
 
 
 class OrdersError(ValueError):
-    """A text that holds no orders; its own says why."""
+    """The text is not a valid file of orders; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     out_of_service: bool = False
 
     def to_json(self, name: str) -> str:
-        """Return the text of these orders for the sidecar of this name."""
+        """Return these orders as JSON, for the sidecar `name`."""
         fields = {
             "form": FORMAT_VERSION,
             "name": name,
@@ -35,20 +35,20 @@
 
 
 def parse_orders(text: str, name: str) -> OperatorOrders:
-    """Return the orders that a text holds for the sidecar of this name. Raises OrdersError."""
+    """Parse the orders of the sidecar `name`. Raises OrdersError."""
     try:
         fields = json.loads(text)
-    except (ValueError, RecursionError) as bad:
-        raise OrdersError(f"not JSON: {bad}") from bad
+    except (ValueError, RecursionError) as error:
+        raise OrdersError(f"not JSON: {error}") from error
     if not isinstance(fields, dict) or fields.get("form") != FORMAT_VERSION:
         raise OrdersError(f"form: must be {FORMAT_VERSION}")
     if fields.get("name") != name:
-        raise OrdersError(f"name: another sidecar's: {fields.get('name')!r}")
-    offline, out = fields.get("offline"), fields.get("out")
+        raise OrdersError(f"name: belongs to another sidecar: {fields.get('name')!r}")
+    offline, out_of_service = fields.get("offline"), fields.get("out")
     if not isinstance(offline, list) or len(offline) > MAX_ENDPOINTS:
         raise OrdersError("offline: not a list of ids")
-    if not all(isinstance(each, str) for each in offline):
+    if not all(isinstance(endpoint, str) for endpoint in offline):
         raise OrdersError("offline: not a list of ids")
-    if not isinstance(out, bool):
-        raise OrdersError(f"out: not true or false: {out!r}")
-    return OperatorOrders(frozenset(offline), out)
+    if not isinstance(out_of_service, bool):
+        raise OrdersError(f"out: not true or false: {out_of_service!r}")
+    return OperatorOrders(frozenset(offline), out_of_service)
--- a/wheatring/daemon/lifecycle/shutdown_schedule.py
+++ b/wheatring/daemon/lifecycle/shutdown_schedule.py
@@ -1,24 +1,25 @@
-"""The schedule of a shutdown: from SIGTERM on, what is still accepted, and until when open requests may run.
-
-The successor starts once this process has ended, so that each moment here is a moment later there. The law:
-
-- Connections are accepted until none has come for `QUIET_SECONDS`, not less than `MIN_ACCEPT_SECONDS` and no
-  longer than `MAX_ACCEPT_SECONDS`.
-- Connections between requests are closed one after another within `CLOSE_IDLE_SECONDS`, the longest idle
-  first: their callers go elsewhere a few at a time. Each answer is the last on its connection.
-- Once none are accepted, all requests go on for as long as the value that they are likely to bring within
-  some time ahead is more than that of being back sooner by that time. A second here costs the value that this
-  sidecar has lately served in one, times the chance that nobody else serves it. Then all that is left is
-  given up at once: one request alone would hold up the end as much as ten.
-- Nothing runs longer than `MARGIN_BEFORE_KILL_SECONDS` before SIGKILL may come, or past its deadline.
-
-Where the successor serves already, nobody waits for this end: all requests run on as long as they may, and
-connections between requests are closed over `CLOSE_IDLE_WITH_SUCCESSOR_SECONDS`, for each that is closed may
-cross a request.
-
-What a request is likely to bring is read off the latest latencies of its class: of those that took longer
-than it has run by now, the part that was answered within that time. One that is older than all of them is
-answered within as long again with a chance of a half.
+"""The schedule of a graceful shutdown: how long connections are accepted and open requests may run.
+
+The successor starts only after this process has ended, so a longer shutdown delays it. From SIGTERM on:
+
+- Connections are accepted until none has arrived for `QUIET_SECONDS`, for at least `MIN_ACCEPT_SECONDS` and
+  at most `MAX_ACCEPT_SECONDS`.
+- Idle connections are closed one after another within `CLOSE_IDLE_SECONDS`, the longest idle first, so that
+  their clients reconnect elsewhere a few at a time. Each response closes its connection.
+- When no more connections are accepted, open requests continue while, for one of several times ahead, the
+  value expected from them within that time exceeds the cost of delaying the successor by it. The cost of a
+  second is the value that this sidecar recently served per second, times the probability that no other
+  sidecar serves it. After that all open requests are given up together, as a single one would delay the end
+  as much as ten.
+- No request runs past its deadline, or past `MARGIN_BEFORE_KILL_SECONDS` before the earliest SIGKILL.
+
+If a successor is already serving, nothing waits for this process to end: all requests continue up to that
+limit, and idle connections are closed over `CLOSE_IDLE_WITH_SUCCESSOR_SECONDS`, as each close may cross a
+request.
+
+The expected value of a request is estimated from the recent latencies of its class: of those longer than the
+current age of the request, the part that ended within the time ahead. A request older than all of them is
+assumed to end within its age again with a probability of one half.
 """
 
 from __future__ import annotations
@@ -30,25 +31,24 @@
 
 from wheatring.balancer.interface import Idempotency, RequestClass
 
-MIN_ACCEPT_SECONDS = 0.42  # after SIGTERM, in which new connections may come; the platform says 0.4
-QUIET_SECONDS = 0.05  # and since the last that came
-MAX_ACCEPT_SECONDS = 0.65  # what is accepted later than 0.7 s may be left to SIGKILL
+MIN_ACCEPT_SECONDS = 0.42  # from SIGTERM; the platform may send new connections for 0.4 s
+QUIET_SECONDS = 0.05  # time since the last new connection
+MAX_ACCEPT_SECONDS = 0.65  # requests accepted later than 0.7 s after SIGTERM may still be open at SIGKILL
 CLOSE_IDLE_SECONDS = 0.2
 CLOSE_IDLE_WITH_SUCCESSOR_SECONDS = 2.0
-MIN_IDLE_SECONDS = 0.3  # with a successor: one that is idle for less is about to bring a request
-KILL_AFTER_DEADLINE_SECONDS = 0.7  # SIGKILL follows the longest deadline after this ...
-MAX_DEADLINE_SECONDS = 3.0  # ... which is taken as this where it is longer
+MIN_IDLE_SECONDS = (
+    0.3  # with a successor: a client that has been idle for less may be about to send a request
+)
+KILL_AFTER_DEADLINE_SECONDS = 0.7  # time from the longest class deadline to SIGKILL
+MAX_DEADLINE_SECONDS = 3.0  # longer class deadlines count as this
 MARGIN_BEFORE_KILL_SECONDS = 0.2
-LATENCIES_KEPT = 64  # latencies of each class that say what is usual
-HORIZONS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # times ahead for which it is reckoned
-UNSERVED_CHANCE = 0.5  # chance that what comes while this copy is away is served by nobody, times the copies
+LATENCIES_KEPT = 64  # recent latencies kept for each class
+HORIZONS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # times ahead for which value and cost are compared
+UNSERVED_CHANCE = 0.5  # probability that a request during the absence is not served, times the sidecars
 
 
 class OpenRequest(NamedTuple):
-    """An open request, as far as the schedule depends on it.
-
-    `age` is seconds since it was accepted, `remaining` seconds to its deadline.
-    """
+    """An open request: its class, the seconds since it was accepted, and the seconds to its deadline."""
 
     class_name: str
     age: float
@@ -56,7 +56,7 @@
 
 
 class LatencyHistory:
-    """The latest served requests of each class: when, and how long they took. Instants never go back."""
+    """The completion times, in order, and latencies of the latest served requests of each class."""
 
     __slots__ = ("recent",)
 
@@ -64,7 +64,7 @@
         self.recent: dict[str, deque[tuple[float, float]]] = {}
 
     def record(self, class_name: str, now: float, latency: float) -> None:
-        """Take in that a request has been served, after so many seconds."""
+        """Record that a request has been served with this latency in seconds."""
         recent = self.recent.get(class_name)
         if recent is None:
             recent = self.recent[class_name] = deque(maxlen=LATENCIES_KEPT)
@@ -75,7 +75,7 @@
         return sorted([latency for _, latency in self.recent.get(class_name, ())])
 
     def rate(self, class_name: str, now: float) -> float:
-        """Return the requests of a class served a second; 0 while too few have been to tell."""
+        """Return the rate of served requests of a class per second; 0 if there are too few to estimate it."""
         recent = self.recent.get(class_name)
         if recent is None or len(recent) < 2 or now <= recent[0][0]:
             return 0.0
@@ -83,7 +83,7 @@
 
 
 def answer_probability(latencies: Sequence[float], age: float, ahead: float) -> float:
-    """Return the chance that a request of this age is answered within the seconds ahead.
+    """Return the probability that a request of this age is answered within the next `ahead` seconds.
 
     `latencies` are sorted.
     """
@@ -97,26 +97,26 @@
 class ShutdownSchedule:
     """One shutdown, from SIGTERM at `started_at`.
 
-    The latency history is not read again later, or what is given up to be back sooner would depend on what
-    the last moments brought.
+    The latency history is read only at the start, so that the decision does not depend on the requests served
+    during the shutdown.
 
     Attributes
     ----------
     has_successor : bool
-        Another process of this sidecar serves already.
+        Whether another process of this sidecar is already serving.
     min_idle_seconds : float
-        For which a connection must have been idle to be closed.
+        The time for which a connection must have been idle to be closed.
     deadline : float
-        The instant at which nothing runs on.
+        The time at which all open requests are given up.
     value_per_second_away : float
-        What a second without this sidecar costs.
+        The value lost per second without this sidecar.
     """
 
     def __init__(
         self,
         started_at: float,
         classes: Iterable[RequestClass],
-        copies: int,
+        sidecar_count: int,
         history: LatencyHistory,
         idle: int = 0,
         has_successor: bool = False,
@@ -124,9 +124,11 @@
         self.started_at = started_at
         self.has_successor = has_successor
         self.min_idle_seconds = MIN_IDLE_SECONDS if has_successor else 0.0
-        self.classes: Mapping[str, RequestClass] = {each.name: each for each in classes}
+        self.classes: Mapping[str, RequestClass] = {
+            request_class.name: request_class for request_class in classes
+        }
         self.idle = idle
-        longest = max([each.deadline for each in self.classes.values()], default=0.0)
+        longest = max([request_class.deadline for request_class in self.classes.values()], default=0.0)
         self.deadline = (
             started_at
             + min(longest, MAX_DEADLINE_SECONDS)
@@ -134,13 +136,19 @@
             - MARGIN_BEFORE_KILL_SECONDS
         )
         self.latencies = {name: history.latencies(name) for name in self.classes}
-        served = sum([each.value * history.rate(name, started_at) for name, each in self.classes.items()])
-        self.value_per_second_away = served * min(1.0, UNSERVED_CHANCE / copies)  # of a second away, in worth
+        served = sum(
+            [
+                request_class.value * history.rate(name, started_at)
+                for name, request_class in self.classes.items()
+            ]
+        )
+        self.value_per_second_away = served * min(1.0, UNSERVED_CHANCE / sidecar_count)
 
     def should_stop_accepting(self, now: float, last_accepted_at: float, is_full: bool) -> bool:
-        """Whether no more connections are to be accepted.
+        """Whether to stop accepting connections.
 
-        `is_full` says that callers may wait to be accepted, who are not rejected.
+        `is_full`: the connection limit is reached, so clients may be waiting in the backlog, and the listener
+        stays open for them.
         """
         since = now - self.started_at
         if is_full:
@@ -150,12 +158,12 @@
         )
 
     def max_idle(self, now: float) -> int:
-        """Return how many connections may still stand between requests."""
+        """Return the number of connections that may still be idle."""
         over = CLOSE_IDLE_WITH_SUCCESSOR_SECONDS if self.has_successor else CLOSE_IDLE_SECONDS
         return int(self.idle * max(0.0, 1 - (now - self.started_at) / over))
 
     def should_continue(self, now: float, requests: Sequence[OpenRequest]) -> bool:
-        """Whether open requests may run on, once no connections are accepted."""
+        """Whether open requests may continue once no more connections are accepted."""
         if not requests or now >= self.deadline:
             return False
         if self.has_successor:
@@ -166,18 +174,22 @@
         )
 
     def expected_value(self, requests: Iterable[OpenRequest], ahead: float) -> float:
-        """Return the value that these requests are likely to bring within the seconds ahead."""
+        """Return the expected value of these requests within the next `ahead` seconds."""
         total = 0.0
         for name, age, left in requests:
-            each = self.classes[name]
+            request_class = self.classes[name]
             latencies = self.latencies[name]
             reach = min(ahead, left)
-            in_time = answer_probability(latencies, age, min(reach, each.latency_target - age))
-            total += each.value * in_time
-            if each.late_value and age + reach > each.latency_target:
-                total += each.value * each.late_value * (answer_probability(latencies, age, reach) - in_time)
+            in_time = answer_probability(latencies, age, min(reach, request_class.latency_target - age))
+            total += request_class.value * in_time
+            if request_class.late_value and age + reach > request_class.latency_target:
+                total += (
+                    request_class.value
+                    * request_class.late_value
+                    * (answer_probability(latencies, age, reach) - in_time)
+                )
         return total
 
     def may_reject(self, class_name: str, may_have_run: bool) -> bool:
-        """Whether what is given up may be rejected, which says that trying again is harmless."""
+        """Whether a request that is given up may be rejected, which tells the client that a retry is safe."""
         return not may_have_run or self.classes[class_name].idempotency is Idempotency.IDEMPOTENT
--- a/wheatring/daemon/lifecycle/watch_delegation.py
+++ b/wheatring/daemon/lifecycle/watch_delegation.py
@@ -1,18 +1,19 @@
-"""Whether a sidecar watches the endpoint list itself, where a leader among the sidecars watches it for all.
+"""Decides whether a sidecar watches the endpoint list itself or relies on the watch of the fleet's leader.
 
-The leader announces each second which generation its list has. As long as it is heard and the own list is as
-new, there is nothing to ask for. A sidecar asks itself
+The leader announces the generation of its list every second. While a sidecar receives these heartbeats and
+its own list is as new, it requests nothing from discovery. It watches the list itself
 
-- while it has no list, or its list is suspect by what endpoints show (`freshness`);
-- when the leader's list is newer: all do, one after another by number, no more a second than the list service
-  is expected to answer;
-- when the leader has not been heard for LEADER_TIMEOUT_SECONDS: one after another within
-  TAKEOVER_SPREAD_SECONDS, so that each has asked within the platform's 10 s since its last notification.
+- while it has no list, or its list is suspect because of failing endpoints (`freshness`);
+- when the leader's list is newer: all sidecars request it, one after another by index, at no more than the
+  rate that discovery is expected to answer;
+- when no heartbeat has arrived for LEADER_TIMEOUT_SECONDS: one sidecar after another within
+  TAKEOVER_SPREAD_SECONDS, so that each has made a request within the platform's limit of 10 s since its last
+  notification.
 
-What the leader says of endpoints that drain or have gone counts at once, as it only makes sidecars send less:
-see `wheatring.fleet.peers.list_sharing`. That there is a new endpoint only its own list tells a sidecar.
+Endpoints that the leader reports as draining or gone are applied immediately, as that only makes sidecars
+send less: see `wheatring.fleet.peers.list_sharing`. Only its own list tells a sidecar of a new endpoint.
 
-Pure: instants in seconds are handed in.
+Pure: the caller passes the time, in seconds.
 """
 
 from __future__ import annotations
@@ -33,42 +34,42 @@
     position : float
         This sidecar's position among all, from 0 to 1.
     spread_seconds : float
-        The time in which all ask once.
+        The time within which each sidecar makes one request.
     leader_heard_at : float
         When the leader had the list that it last announced.
     leader_generation : int or None
-        The generation of that list; None: nothing was heard yet.
+        The generation of that list; None before the first heartbeat.
     behind_since : float
-        Since when it is known that there is a newer list than this sidecar's; inf: none is known.
+        Since when the leader's list has been known to be newer than this sidecar's; inf if it is not.
     """
 
-    def __init__(self, copies: int, number: int) -> None:
-        """Begin for sidecar `number`, from 0, of `copies` that send into the tier."""
-        self.position = number % copies / copies
-        self.spread_seconds = copies / EXPECTED_ANSWER_RATE
+    def __init__(self, sidecar_count: int, sidecar_index: int) -> None:
+        """Initialize for sidecar `sidecar_index` (from 0) of the `sidecar_count` that send to the tier."""
+        self.position = sidecar_index % sidecar_count / sidecar_count
+        self.spread_seconds = sidecar_count / EXPECTED_ANSWER_RATE
         self.leader_heard_at = -inf
         self.leader_generation: int | None = None
         self.behind_since = inf
 
-    def leader_heartbeat(self, now: float, age: float, generation: int, own: int | None) -> None:
-        """Take in that the leader's list had a generation `age` seconds ago, and the own list its own."""
+    def leader_heartbeat(self, now: float, age: float, generation: int, own_generation: int | None) -> None:
+        """Record the generation of the leader's list `age` seconds ago, and compare it with the own one."""
         self.leader_heard_at = max(self.leader_heard_at, now - age)
         self.leader_generation = generation
-        if own is not None and generation > own:
+        if own_generation is not None and generation > own_generation:
             self.behind_since = min(self.behind_since, now)
         else:
             self.behind_since = inf
 
-    def list_changed(self, own: int) -> bool:
-        """Take in a change of the own list; return whether it is as new as the leader's, as far as known."""
-        if self.leader_generation is not None and own < self.leader_generation:
+    def list_changed(self, own_generation: int) -> bool:
+        """Record a change of this sidecar's list; return whether it is as new as the leader's known list."""
+        if self.leader_generation is not None and own_generation < self.leader_generation:
             return False
         self.behind_since = inf
         return True
 
-    def should_watch(self, now: float, own: int | None, doubt: bool) -> bool:
-        """Whether this sidecar is to watch for itself now. `doubt`: its own list is suspect."""
-        if own is None or doubt:
+    def should_watch(self, now: float, own_generation: int | None, is_suspect: bool) -> bool:
+        """Whether this sidecar must watch the list itself now. `is_suspect`: its own list is suspect."""
+        if own_generation is None or is_suspect:
             return True
         takeover_at = self.leader_heard_at + LEADER_TIMEOUT_SECONDS + self.position * TAKEOVER_SPREAD_SECONDS
         return now >= takeover_at or now >= self.behind_since + self.position * self.spread_seconds
