--- a/tests/daemon/http1/test_requests.py
+++ b/tests/daemon/http1/test_requests.py
@@ -482,7 +482,7 @@
     if isinstance(world.sockets, LoopbackSockets):
         pytest.skip("these instants can't be met for certain")
     leave(world)
-    world.sockets.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.leaving.started_at > 0.41)
+    world.sockets.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.schedule.started_at > 0.41)
     late, silent = world.caller(), world.caller()
     world.sockets.until(lambda: world.sidecar.server.listener is None)
     shut = world.sidecar.clock.now()
--- a/tests/daemon/http1/test_shutdown.py
+++ b/tests/daemon/http1/test_shutdown.py
@@ -83,7 +83,7 @@
     node = world.nodes[0].accept()
     node.read()
     leave(world)
-    world.sidecar.shutdown.leaving.deadline = 0.0  # nothing may run on once the door is shut
+    world.sidecar.shutdown.schedule.deadline = 0.0  # nothing may run on once the door is shut
     assert wire.read()[0].startswith("HTTP/1.1 502")  # it may have run
     assert {wire.read()[0][:12] for _ in range(100)} == {"HTTP/1.1 503"}
     assert wire.at_end() and world.sidecar.driver.last_id <= 2
@@ -184,7 +184,7 @@
     node = world.nodes[0].accept()
     node.read()
     leave(world)
-    world.sidecar.shutdown.leaving.deadline = 0.0  # nothing may run on once the door is shut
+    world.sidecar.shutdown.schedule.deadline = 0.0  # nothing may run on once the door is shut
     assert wire.read()[0].startswith("HTTP/1.1 503")  # and it is not closed
     stopped_at = world.run(world.sidecar.clock.now)
     world.logged("ended")
--- a/tests/daemon/system/__init__.py
+++ b/tests/daemon/system/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of whole processes, and of fleets across several packages."""
+"""Tests of complete processes, and of fleets across several packages."""
--- a/tests/daemon/system/membership/fleet.py
+++ b/tests/daemon/system/membership/fleet.py
@@ -1,7 +1,7 @@
-"""The fleet of the scenarios: the deciders of real sidecars, in memory and in virtual time.
+"""The fleet of the scenarios: the decision code of real sidecars, in memory and in virtual time.
 
-At each event of each sidecar it is held to what must never be: one that goes back to a lower number, or two
-that stand in views of one number with other members.
+After each event the fleet checks two invariants: the view number of a sidecar never decreases, and two views
+with the same number have the same members.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.link_state import LinkState
 
-POLL_SECONDS = 0.1  # seconds of virtual time between two looks at whether something is so
+POLL_SECONDS = 0.1  # interval, in virtual time, of checking a condition
 
 
 class ScenarioFleet:
-    """A fleet by names, `n0` and up, of which the first `voters` vote. `them` is whom the last step named."""
+    """Sidecars `n0`, `n1` and so on, the first `voters` of which vote. `last_named` is set by the steps."""
 
     def __init__(self, size: int, voters: int, seed: int) -> None:
         self.cluster = Cluster(
@@ -38,35 +38,35 @@
             SwimTiming(),
             make_components=self.components,
         )
-        self.cluster.after_event = self.after
+        self.cluster.after_event = self.check_invariants
         self.random = Random(seed)
-        self.agreed: dict[str, Agreement] = {}
+        self.agreements: dict[str, Agreement] = {}
         self.voters = [f"n{number}" for number in range(voters)]
-        self.them: list[str] = []
-        self.known: dict[str, View] = {}  # the view in which each process stands
-        self.views: dict[int, View] = {0: View()}  # all that there were, by their numbers
-        self.mark = 0  # the number from which on changes are counted
-        self.broken: list[str] = []
+        self.last_named: list[str] = []
+        self.current_views: dict[str, View] = {}  # the current view of each process
+        self.views: dict[int, View] = {0: View()}  # all views so far, by number
+        self.counted_from = 0  # the view number from which changes are counted
+        self.violations: list[str] = []
 
     def components(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
-        """Build the components of the daemon by the same code."""
-        self.agreed[fleet.me.name] = Agreement(at, fleet)
-        self.known.pop(fleet.me.name, None)
+        """Build the components with the daemon's own code."""
+        self.agreements[fleet.me.name] = Agreement(at, fleet)
+        self.current_views.pop(fleet.me.name, None)
         return fleet.components
 
-    def after(self, node: Node) -> None:
-        view = self.agreed[node.name].views.view
-        was = self.known.get(node.name)
-        if was is view:
+    def check_invariants(self, node: Node) -> None:
+        view = self.agreements[node.name].views.view
+        previous = self.current_views.get(node.name)
+        if previous is view:
             return
-        self.known[node.name] = view
+        self.current_views[node.name] = view
         at = f"{node.name} at {self.cluster.now:.2f} s"
-        if was is not None and view.number < was.number:
-            self.broken.append(f"{at} goes back from {was.number} to {view.number}")
+        if previous is not None and view.number < previous.number:
+            self.violations.append(f"{at} goes back from {previous.number} to {view.number}")
         if self.views.setdefault(view.number, view).members != view.members:
-            self.broken.append(f"{at} stands in {view.number} with other members")
+            self.violations.append(f"{at} stands in {view.number} with other members")
 
-    # Who
+    # Selection
 
     @property
     def running(self) -> list[str]:
@@ -74,27 +74,27 @@
 
     @property
     def leader(self) -> str:
-        """The one that leads in the highest epoch."""
+        """The leader with the highest epoch."""
         leads = [name for name in self.running if self.views_of(name).register.is_ready]
         return max(leads, key=lambda name: self.views_of(name).register.epoch or 0, default="")
 
     def views_of(self, name: str) -> MembershipViews:
-        return self.agreed[name].views
+        return self.agreements[name].views
 
-    def who(self, phrase: str) -> list[str]:
-        """Whom words like "n3 and n4", "2 voters", "4 that do not vote", "the leader", "all others" name."""
-        found = self._who(phrase)
+    def select(self, phrase: str) -> list[str]:
+        """Return the names for "n3 and n4", "2 voters", "4 that do not vote", "the leader", "all others"."""
+        found = self._select(phrase)
         assert found, f"{phrase}: nobody"
         return found
 
-    def _who(self, phrase: str) -> list[str]:
+    def _select(self, phrase: str) -> list[str]:
         names = list(self.cluster.nodes)
         if phrase in ("they", "them", "it"):
-            return self.them
+            return self.last_named
         if phrase == "all":
             return self.running
         if phrase == "all others":
-            return [name for name in self.running if name not in self.them]
+            return [name for name in self.running if name not in self.last_named]
         if phrase == "the leader":
             return [self.leader] if self.leader else []
         if phrase == "all voters":
@@ -111,65 +111,65 @@
         assert {*listed} <= {*names}, f"{phrase}: who is that?"
         return listed
 
-    # What befalls them
+    # Faults
 
-    def each(self, do: Callable[[Node], None], names: list[str]) -> None:
+    def apply(self, action: Callable[[Node], None], names: list[str]) -> None:
         for name in names:
-            do(self.cluster.nodes[name])
+            action(self.cluster.nodes[name])
 
-    def moved(self, node: Node) -> None:
-        """Let a node start at another address."""
+    def change_address(self, node: Node) -> None:
+        """Change the address at which a node starts."""
         del self.cluster.by_address[node.address]
         node.address = (node.address[0], node.address[1] + 1)
         self.cluster.by_address[node.address] = node
 
     def leave(self, node: Node) -> None:
-        """As the daemon does on SIGTERM: it says so, and its process ends."""
+        """Leave as the daemon does on SIGTERM: announce it, then end the process."""
         assert node.fleet is not None
         at = self.cluster.instant(node)
-        self.cluster.send(node, self.agreed[node.name].leave(at))
+        self.cluster.send(node, self.agreements[node.name].leave(at))
         self.cluster.send(node, node.fleet.leave(at))
         self.cluster.kill(node)
 
-    def lose(self, names: list[str], share: float) -> None:
-        """So much of what goes between these and all others is lost, both ways."""
+    def set_loss(self, names: list[str], share: float) -> None:
+        """Drop this share of the messages between these sidecars and all others, in both directions."""
         net = self.cluster.default_link
         self.cluster.isolate(names, LinkState(delay=net.delay, jitter=net.jitter, drop=share))
 
     # Time
 
-    def go(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         self.cluster.run(self.cluster.now + seconds)
-        assert not self.broken, self.broken[:5]
+        assert not self.violations, self.violations[:5]
 
-    def within(self, seconds: float, what: Callable[[], object]) -> float | None:
-        """Let time go until something is so; how long it took, or None: it is not so in good time."""
-        begun = self.cluster.now
-        while not what():
-            if self.cluster.now >= begun + seconds:
+    def wait_for(self, seconds: float, condition: Callable[[], object]) -> float | None:
+        """Run until the condition holds; return the seconds that it took, or None if it timed out."""
+        began_at = self.cluster.now
+        while not condition():
+            if self.cluster.now >= began_at + seconds:
                 return None
-            self.go(POLL_SECONDS)
-        return self.cluster.now - begun
+            self.run(POLL_SECONDS)
+        return self.cluster.now - began_at
 
-    # What is so
+    # State
 
-    def agree(self, names: list[str], members: list[str]) -> bool:
-        """Whether these stand in one view of just those members, and count on it."""
+    def have_agreed(self, names: list[str], members: list[str]) -> bool:
+        """Whether these sidecars have the same current view, with exactly these members."""
         views = [self.views_of(name) for name in names]
-        one = {(view.view.number, view.view.names) for view in views}
+        distinct_views = {(view.view.number, view.view.names) for view in views}
         return (
-            len(one) == 1
-            and next(iter(one))[1] == {*members}
+            len(distinct_views) == 1
+            and next(iter(distinct_views))[1] == {*members}
             and all(view.is_current(self.cluster.now) for view in views)
         )
 
-    def changes(self) -> int:
-        """Count the views with other members than the one before, since counting began anew."""
-        later = [self.views[number] for number in sorted(self.views) if number >= self.mark]
-        return sum(one.members != other.members for one, other in pairwise(later))
+    def change_count(self) -> int:
+        """Return the number of membership changes since `counted_from`."""
+        views = [self.views[number] for number in sorted(self.views) if number >= self.counted_from]
+        return sum(earlier.members != later.members for earlier, later in pairwise(views))
 
-    def standing(self) -> str:
-        """Return every node's view, for the text of a failure."""
+    def describe_views(self) -> str:
+        """Describe the view of each running node, for assertion messages."""
         return "; ".join(
             f"{name} {view.view.number}:{len(view.view.members)}"
             f"{'' if view.is_current(self.cluster.now) else '?'}"
--- a/tests/daemon/system/membership/test_membership.py
+++ b/tests/daemon/system/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""The operators' own cases of who is there: `membership.feature`."""
+"""The operators' acceptance scenarios on fleet membership: `membership.feature`."""
 
 from __future__ import annotations
 
--- a/tests/daemon/system/test_drawn_settings.py
+++ b/tests/daemon/system/test_drawn_settings.py
@@ -1,4 +1,4 @@
-"""Whatever settings the pages allow, a short day by them keeps the four rules, and the file is taken."""
+"""Random valid settings are accepted, and a short simulated day with them breaks none of the four rules."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from wheatring.lab.plan import Plan
 
 DATA = Path(__file__).parent / "data"
-SEEDS = range(1, 11)  # Hypothesis would draw by the constants of whatever modules are loaded
+SEEDS = range(1, 11)  # not Hypothesis, whose draws depend on the constants in the loaded modules
 
 
 def check(day: Day) -> None:
@@ -24,16 +24,16 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("random_type", [Random, ExtremeRandom])
-def test_a_day_by_drawn_settings_keeps_the_rules(
+def test_a_day_with_random_settings_keeps_the_rules(
     tmp_path: Path, random_type: type[Random], seed: int
 ) -> None:
     day = drawn(random_type(seed))
-    told = day.read(tmp_path)
-    assert {one.name for one in told.settings.classes} == {one.name for one in day.plan.classes}
+    config = day.read(tmp_path)
+    assert {each.name for each in config.settings.classes} == {each.name for each in day.plan.classes}
     check(day)
 
 
 @pytest.mark.parametrize("path", sorted(DATA.glob("*.json")), ids=lambda path: path.stem)
-def test_a_recorded_day_that_broke_a_rule_keeps_the_rules(path: Path) -> None:
+def test_a_recorded_day_that_once_broke_a_rule_keeps_the_rules(path: Path) -> None:
     recorded = json.loads(path.read_text(encoding="utf-8"))
     check(Day(msgspec.convert(recorded["plan"], Plan), recorded["beside"]))
--- a/tests/daemon/system/test_process.py
+++ b/tests/daemon/system/test_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: its configuration, its start and its end."""
+"""The program as a process: configuration, start, reload and shutdown."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from wheatring.daemon.config import platform_file
 
 
-def test_on_sigterm_it_answers_what_it_has_accepted_and_then_ends(tmp_path: Path) -> None:
+def test_on_sigterm_accepted_requests_are_answered_before_the_exit(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
     config = write_platform_config(tmp_path, known=known, discovery=f"127.0.0.1:{discovery.port}")
@@ -33,15 +33,15 @@
         text=True,
     ) as process:
         assert process.stdout is not None
-        words = dict(pair.split("=") for pair in process.stdout.readline().split()[1:])
-        assert words["name"] == "n2"
-        caller = Wire(socket.create_connection(("127.0.0.1", int(words["port"])), WAIT_LIMIT_SECONDS))
+        log_fields = dict(pair.split("=") for pair in process.stdout.readline().split()[1:])
+        assert log_fields["name"] == "n2"
+        caller = Wire(socket.create_connection(("127.0.0.1", int(log_fields["port"])), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /healthz HTTP/1.1\r\n\r\n")
         assert caller.read()[0] == "HTTP/1.1 200 OK"
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n")
         wire = node.accept()
         wire.read()
-        watch = discovery.accept()  # kept: it would be closed with the last word of it
+        watch = discovery.accept()  # keeps a reference, without which the socket would be closed
         assert watch.read()[0].startswith("GET /v1/servers?index=3&")
         process.send_signal(signal.SIGTERM)
         while not process.stdout.readline().startswith("stopping"):
@@ -62,23 +62,23 @@
     discovery.close()
 
 
-def test_on_sigterm_it_gives_up_what_hangs_and_ends(tmp_path: Path) -> None:
+def test_on_sigterm_a_hanging_request_is_given_up_before_the_exit(tmp_path: Path) -> None:
     node, discovery = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
     with running_process(tmp_path, "", known=known, discovery=f"127.0.0.1:{discovery.port}") as process:
         port = int(wait_for_line(process, "listening").rpartition("=")[2])
         wires = [Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS)) for _ in range(5)]
-        called: list[Wire] = []
+        attempts: list[Wire] = []
         for n, wire in enumerate(wires):
             wire.send(f"GET /menu HTTP/1.1\r\nX-Correlation-Id: c{n}\r\n\r\n".encode())
-            called = called or [node.accept()]
-            called[0].read()
-            if wire is not wires[-1]:  # that one hangs
-                called[0].answer(200, b"quick")
+            attempts = attempts or [node.accept()]
+            attempts[0].read()
+            if wire is not wires[-1]:  # the last request hangs
+                attempts[0].answer(200, b"quick")
                 wire.read()
         process.send_signal(signal.SIGTERM)
-        _, left, after = wait_for_line(process, "cut-short").split()
-        assert left == "open=1" and float(after.partition("=")[2]) < 3.0  # 3.5 s is the last moment
+        _, open_field, after_field = wait_for_line(process, "cut-short").split()
+        assert open_field == "open=1" and float(after_field.partition("=")[2]) < 3.0  # the limit is 3.5 s
         first, fields, _ = wires[-1].read()
         assert (first.split()[1], fields["connection"]) == ("503", "close") and wires[-1].at_end()
         assert all(wire.at_end() for wire in wires)
@@ -87,7 +87,7 @@
     discovery.close()
 
 
-def test_its_start_waits_for_nothing_that_only_commands_need(tmp_path: Path) -> None:
+def test_the_start_imports_no_modules_that_only_commands_need(tmp_path: Path) -> None:
     with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime", capture=True) as process:
         wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
@@ -98,18 +98,18 @@
     assert names.isdisjoint({"argparse", "http.client", "wheatring.commands", "wheatring.lab"})
 
 
-def test_simple_arguments_mean_what_the_parser_makes_of_them() -> None:
-    for words in product(("--capture", "--operators", "x", "--config", "lab", "--operators=x"), repeat=3):
+def test_simple_arguments_are_parsed_as_by_the_full_parser() -> None:
+    for arguments in product(("--capture", "--operators", "x", "--config", "lab", "--operators=x"), repeat=3):
         for length in range(4):
-            parsed = parse_simple(words[:length])
+            parsed = parse_simple(arguments[:length])
             if parsed is not None:
-                args = commands.build_parser().parse_args(words[:length])
+                args = commands.build_parser().parse_args(arguments[:length])
                 assert parsed == (getattr(args, "operators", None), args.capture, args.config)
                 assert args.call is None
     assert parse_simple(("--operators", "x", "--capture", "--config", "y")) == ("x", True, "y")
 
 
-def test_a_module_that_is_put_off_loads_at_its_first_use() -> None:
+def test_a_deferred_module_loads_at_its_first_use() -> None:
     lazy_imports.defer(("wsgiref.util",))
     import wsgiref.util
 
@@ -118,7 +118,7 @@
     assert type(wsgiref.util) is type(socket)
 
 
-def test_on_sighup_it_moves_to_the_new_discovery_and_survives_a_broken_file(tmp_path: Path) -> None:
+def test_on_sighup_it_switches_to_the_new_discovery_and_ignores_an_invalid_file(tmp_path: Path) -> None:
     old, new = Peer(), Peer()
     file = write_platform_config(tmp_path, discovery="127.0.0.1:9")
     with subprocess.Popen(
@@ -139,7 +139,7 @@
         moved = new.accept()
         assert moved.read()[0] == "GET /v1/servers HTTP/1.1"
         assert watch.at_end()
-        process.send_signal(signal.SIGHUP)  # nothing new: the call that is under way goes on
+        process.send_signal(signal.SIGHUP)  # an unchanged file: the pending call continues
         next(line for line in process.stdout if line.startswith("reloaded"))
         moved.answer(200, list_body(2, reset=True))
         assert moved.read()[0].startswith("GET /v1/servers?index=2&")
@@ -173,7 +173,7 @@
         ("peers_total", {"settings": {**SETTINGS, "peers_total": "many"}}),
     ],
 )
-def test_a_wrong_configuration_ends_it_with_one_line_that_names_the_key(
+def test_an_invalid_configuration_ends_the_start_with_one_line_that_names_the_key(
     key: str, changes: dict[str, Any], tmp_path: Path, monkeypatch: pytest.MonkeyPatch,
     capsys: pytest.CaptureFixture[str],
 ) -> None:  # fmt: skip
@@ -184,7 +184,7 @@
     assert f"{key}:" in err or f"setting {key}" in err
 
 
-def test_the_environment_stands_over_the_file_and_names_keep_their_units(tmp_path: Path) -> None:
+def test_environment_variables_override_the_file_and_units_are_converted(tmp_path: Path) -> None:
     config = write_platform_config(tmp_path)
     read = platform_file.read({"LB_CONFIG": str(config), "LB_LISTEN": "127.0.0.2:81"})
     assert (read.listen, read.discovery) == (("127.0.0.2", 81), ("127.0.0.1", 9))
--- a/tests/daemon/system/test_reload.py
+++ b/tests/daemon/system/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP on a real process: what can't be used changes nothing, and what is under way goes on."""
+"""SIGHUP on a real process: an invalid file changes nothing, and requests in flight continue."""
 
 from __future__ import annotations
 
@@ -17,12 +17,15 @@
 from tests.support.process import platform_config, running_process, wait_for_line
 from tests.support.world import SETTINGS, WAIT_LIMIT_SECONDS, Peer, Wire, entry, list_body
 
-HOUR = 3_600_000_000
-PATIENT = {**SETTINGS, "classes": [{**one, "deadline": HOUR} for one in SETTINGS["classes"]]}
+HOUR_US = 3_600_000_000
+LONG_DEADLINE_SETTINGS = {
+    **SETTINGS,
+    "classes": [{**each, "deadline": HOUR_US} for each in SETTINGS["classes"]],
+}
 
 
 class Running:
-    """A process with one request under way at its node, and a watch at its discovery."""
+    """A process with one request in flight at its node, and a watch at its discovery."""
 
     def __init__(self, process: subprocess.Popen[str], file: Path, old: Peer, node: Peer) -> None:
         self.process, self.file, self.old, self.node = process, file, old, node
@@ -31,11 +34,11 @@
         self.watch = old.accept()
         self.watch.read()
         self.first = self.ask("unsafe")
-        self.held = node.accept()
-        self.held.read()
-        self.after = self.ask("menu")  # all later ones come on these connections
+        self.pending_attempt = node.accept()
+        self.pending_attempt.read()
+        self.after = self.ask("menu")  # all later requests use these connections
         self.other = node.accept()
-        self.serve()
+        self.serve_next()
 
     def ask(self, name: str, wire: Wire | None = None) -> Wire:
         wire = wire or Wire(socket.create_connection(("127.0.0.1", self.port), WAIT_LIMIT_SECONDS))
@@ -43,31 +46,31 @@
         wire.send(f"{verb} /{name} HTTP/1.1\r\nX-Correlation-Id: {os.urandom(8).hex()}\r\n\r\n".encode())
         return wire
 
-    def serve(self) -> None:
+    def serve_next(self) -> None:
         self.other.read()
         self.other.answer(200, b"after")
         assert self.after.read()[2] == b"after"
 
-    def hup(self) -> str:
-        """Send SIGHUP and return what the process logs of the file."""
+    def reload(self) -> str:
+        """Send SIGHUP, and return the log line on the platform's file."""
         self.process.send_signal(signal.SIGHUP)
         assert self.process.stdout is not None
-        return next(one for one in self.process.stdout if one.startswith(("reloaded", "not-reloaded")))
+        return next(each for each in self.process.stdout if each.startswith(("reloaded", "not-reloaded")))
 
-    def put(self, **changes: Any) -> None:
-        """In the file discovery is elsewhere from now on."""
-        there = {"settings": PATIENT, "discovery": f"127.0.0.1:{self.wrong.port}"}
-        self.file.write_text(json.dumps(platform_config(**{**there, **changes})), encoding="utf-8")
+    def write_file(self, **changes: Any) -> None:
+        """Write the file, with another discovery address by default."""
+        defaults = {"settings": LONG_DEADLINE_SETTINGS, "discovery": f"127.0.0.1:{self.wrong.port}"}
+        self.file.write_text(json.dumps(platform_config(**{**defaults, **changes})), encoding="utf-8")
 
-    def moves(self) -> None:
-        """Good settings are taken, and what has been under way all the time is answered."""
-        self.put(discovery=f"127.0.0.1:{self.new.port}")
-        assert self.hup().startswith("reloaded")
+    def check_valid_reload(self) -> None:
+        """Check that a valid file is applied and that the request in flight is still answered."""
+        self.write_file(discovery=f"127.0.0.1:{self.new.port}")
+        assert self.reload().startswith("reloaded")
         moved = self.new.accept()
         assert moved.read()[0] == "GET /v1/servers HTTP/1.1"
         moved.answer(200, list_body(9, entry("n0", self.node), reset=True))
         assert self.watch.at_end() and moved.read()[0].startswith("GET /v1/servers?index=9&")
-        self.held.answer(200, b"first")
+        self.pending_attempt.answer(200, b"first")
         assert self.first.read()[2] == b"first"
         self.process.send_signal(signal.SIGTERM)
         assert self.process.wait(WAIT_LIMIT_SECONDS) == 0
@@ -77,69 +80,78 @@
 def running(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[Running]:
     old, node = Peer(), Peer()
     known = {"generation": 3, "instances": [entry("n0", node)]}
-    monkeypatch.setenv("LB_DISCOVERY", f"127.0.0.1:{old.port}")  # which the file stands over from then on
-    with running_process(tmp_path, "", known=known, settings=PATIENT) as process:
-        here = Running(process, tmp_path / "c.json", old, node)
-        yield here
-    for peer in (old, node, here.new, here.wrong):
+    # From the first reload on, the file takes precedence over this variable.
+    monkeypatch.setenv("LB_DISCOVERY", f"127.0.0.1:{old.port}")
+    with running_process(tmp_path, "", known=known, settings=LONG_DEADLINE_SETTINGS) as process:
+        fixture = Running(process, tmp_path / "c.json", old, node)
+        yield fixture
+    for peer in (old, node, fixture.new, fixture.wrong):
         peer.close()
 
 
-def cut(here: Running) -> None:
-    here.put()
-    text = here.file.read_text(encoding="utf-8")
-    here.file.write_text(text[: len(text) // 2], encoding="utf-8")
+def truncated(fixture: Running) -> None:
+    fixture.write_file()
+    text = fixture.file.read_text(encoding="utf-8")
+    fixture.file.write_text(text[: len(text) // 2], encoding="utf-8")
 
 
-def vanished(here: Running) -> None:
-    here.file.unlink()
+def missing(fixture: Running) -> None:
+    fixture.file.unlink()
 
 
-def a_folder(here: Running) -> None:
-    """Not to be read, by whomever."""
-    here.file.unlink()
-    here.file.mkdir()
+def directory(fixture: Running) -> None:
+    """Replace the file by a directory, which no user can read."""
+    fixture.file.unlink()
+    fixture.file.mkdir()
 
 
-def nested(here: Running) -> None:
-    here.put(listen=DEEP)
+def nested(fixture: Running) -> None:
+    fixture.write_file(listen=DEEP)
 
 
-def bad_key(here: Running) -> None:
-    """And discovery elsewhere."""
-    here.put(settings={**PATIENT, "slot_no": 1})
+def bad_key(fixture: Running) -> None:
+    """Write an unknown key together with another discovery address."""
+    fixture.write_file(settings={**LONG_DEADLINE_SETTINGS, "slot_no": 1})
 
 
-def no_address(here: Running) -> None:
-    here.put(discovery="")
+def no_address(fixture: Running) -> None:
+    fixture.write_file(discovery="")
 
 
-BAD: dict[Callable[[Running], None], str] = {
-    cut: "LB_CONFIG: not JSON", vanished: "LB_CONFIG: No such file", a_folder: "LB_CONFIG: Is a directory",
+INVALID_FILES: dict[Callable[[Running], None], str] = {
+    truncated: "LB_CONFIG: not JSON", missing: "LB_CONFIG: No such file",
+    directory: "LB_CONFIG: Is a directory",
     nested: "listen:", bad_key: "slot_no:", no_address: "discovery:",
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("spoil", BAD, ids=lambda spoil: spoil.__name__)
-def test_what_can_not_be_used_changes_nothing(spoil: Callable[[Running], None], running: Running) -> None:
-    spoil(running)
-    said = running.hup()
-    assert said.startswith("not-reloaded") and BAD[spoil] in said and "code=config-" in said
+@pytest.mark.parametrize("invalidate", INVALID_FILES, ids=lambda invalidate: invalidate.__name__)
+def test_an_invalid_file_changes_nothing(invalidate: Callable[[Running], None], running: Running) -> None:
+    invalidate(running)
+    log_line = running.reload()
+    assert (
+        log_line.startswith("not-reloaded")
+        and INVALID_FILES[invalidate] in log_line
+        and "code=config-" in log_line
+    )
     running.ask("menu", running.after)
-    running.serve()
-    running.watch.answer(200, list_body(4))  # had it moved, its next call would go elsewhere
+    running.serve_next()
+    running.watch.answer(200, list_body(4))  # had discovery changed, the next call would go elsewhere
     assert running.watch.read()[0].startswith("GET /v1/servers?index=4&")
     if running.file.is_dir():
         running.file.rmdir()
-    running.moves()
+    running.check_valid_reload()
 
 
-def test_a_class_that_is_left_out_is_served_until_the_next_start(running: Running) -> None:
-    """Also the request of it that is under way."""
+def test_a_removed_class_is_served_until_the_next_start(running: Running) -> None:
+    """A request of the class that is in flight is answered as well."""
     for name in ("unsafe", "menu"):
-        left = [one for one in PATIENT["classes"] if one["name"] != name]
-        running.put(settings={**PATIENT, "classes": left}, discovery=f"127.0.0.1:{running.old.port}")
-        assert running.hup().startswith("reloaded")
+        remaining = [each for each in LONG_DEADLINE_SETTINGS["classes"] if each["name"] != name]
+        running.write_file(
+            settings={**LONG_DEADLINE_SETTINGS, "classes": remaining},
+            discovery=f"127.0.0.1:{running.old.port}",
+        )
+        assert running.reload().startswith("reloaded")
         running.ask("menu", running.after)
-        running.serve()
-    running.moves()
+        running.serve_next()
+    running.check_valid_reload()
--- a/wheatring/__init__.py
+++ b/wheatring/__init__.py
@@ -1,8 +1,8 @@
-"""A load balancer in two programs.
+"""A load balancer, in two programs.
 
-One is a sidecar that stands beside each caller of a tier (`wheatring.daemon`). The other is a serving tier
-for agent programs: sidecars, controllers and storage replicas (`wheatring.tier`). Both decide by the module
-in `wheatring.balancer`.
+One is a sidecar that runs next to each caller of a tier (`wheatring.daemon`). The other is a serving tier for
+agent programs: sidecars, controllers and storage replicas (`wheatring.tier`). Both use the load-balancing
+decisions of `wheatring.balancer`.
 """
 
 __version__ = "0.1.0"
--- a/wheatring/__main__.py
+++ b/wheatring/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m wheatring`: serves, or runs the command that is named."""
+"""`python -m wheatring`: runs a sidecar or the given command."""
 
 from __future__ import annotations
 
@@ -8,25 +8,24 @@
 from wheatring.daemon import operator_properties, serving
 
 
-def parse_simple(words: Sequence[str]) -> tuple[str | None, bool, str | None] | None:
-    """Read the arguments of a sidecar that serves, where they are written plainly.
+def parse_simple(arguments: Sequence[str]) -> tuple[str | None, bool, str | None] | None:
+    """Parse simple arguments of a sidecar without importing argparse, which would delay each start.
 
     Returns
     -------
     tuple[str | None, bool, str | None] | None
-        The path of the operators' file, whether to capture, and the path of the project's own file; a class
-        of its own would cost each start its compilation. None: it takes the parser, whose import a sidecar
-        that restarts should not wait for.
+        The path of the operators' file, whether to capture, and the path of the project's configuration file
+        (not a named tuple, whose class would be compiled at each start). None if the full parser is needed.
     """
-    operators_path, capture, configuration_path, rest = None, False, None, list(words)
-    while rest:
-        word = rest.pop(0)
-        if word == "--capture":
+    operators_path, capture, configuration_path, remaining = None, False, None, list(arguments)
+    while remaining:
+        argument = remaining.pop(0)
+        if argument == "--capture":
             capture = True
-        elif word == "--operators" and rest and not rest[0].startswith("-"):
-            operators_path = rest.pop(0)
-        elif word == "--config" and rest and not rest[0].startswith("-"):
-            configuration_path = rest.pop(0)
+        elif argument == "--operators" and remaining and not remaining[0].startswith("-"):
+            operators_path = remaining.pop(0)
+        elif argument == "--config" and remaining and not remaining[0].startswith("-"):
+            configuration_path = remaining.pop(0)
         else:
             return None
     return operators_path, capture, configuration_path
@@ -34,14 +33,14 @@
 
 def main(argv: Sequence[str] | None = None) -> int:
     """Run the program; return its exit status."""
-    words = sys.argv[1:] if argv is None else argv
-    simple = parse_simple(words)
+    arguments = sys.argv[1:] if argv is None else argv
+    simple = parse_simple(arguments)
     if simple is not None:
         operators_path, capture, configuration_path = simple
         return serving.serve(operator_properties.find(operators_path), capture, configuration_path)
     from wheatring import commands
 
-    args = commands.build_parser().parse_args(words)
+    args = commands.build_parser().parse_args(arguments)
     if args.call is None:
         return serving.serve(commands.operator_file_path(args), args.capture, args.config)
     return commands.run(args)
--- a/wheatring/daemon/__init__.py
+++ b/wheatring/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: one real sidecar, wired from its parts, and what happens to it while it runs."""
+"""The sidecar process: assembly, start, reload, operators' calls and graceful shutdown."""
--- a/wheatring/daemon/admin/__init__.py
+++ b/wheatring/daemon/admin/__init__.py
@@ -1,7 +1,7 @@
-"""The operators' calls of one sidecar: an HTTP server of their own and a table of calls.
+"""The admin API of one sidecar: an HTTP server for operators' calls, separate from the callers' server.
 
-`server` reads a call, `dispatch` finds what it asks for, `service` carries it out in this process and passes
-it on to another process of the same sidecar. What is decided about drains and endpoints is in
-`wheatring.daemon.lifecycle`. Imported only where the configuration names a `control` address. The controllers
-of the serving tier are another program: `wheatring.tier.controller`.
+`server` parses a call, `dispatch` routes it, and `service` carries it out in this process and, through shared
+files, in other processes of the same sidecar. The decisions on drains and endpoints are in
+`wheatring.daemon.lifecycle`. Imported only if the configuration contains a `control` address. The controllers
+of the serving tier are a separate program: `wheatring.tier.controller`.
 """
--- a/wheatring/daemon/admin/dispatch.py
+++ b/wheatring/daemon/admin/dispatch.py
@@ -1,4 +1,4 @@
-"""The table of the operators' calls: method and path in, status and one line out. It knows no sockets."""
+"""Routes operators' calls from method and path to an operation and its reply. Uses no sockets."""
 
 from __future__ import annotations
 
@@ -7,57 +7,57 @@
 from urllib.parse import unquote
 
 ROOT = "control"  # the first segment of all paths
-MAX_PLAN_BYTES = 262_144  # of a body, where there is a plan to offer
+MAX_PLAN_BYTES = 262_144  # limit of the request body if the sidecar accepts plans
 MAX_FORMAT_DIGITS = 3
 
 
 class Operations(Protocol):
-    """Carries out what is called. True: it is in force."""
+    """Carries out the calls. Operations that return True are in force."""
 
     def is_ready(self) -> bool:
-        """Return whether callers are let in."""
+        """Return whether callers' connections are accepted."""
 
     def take_offline(self, endpoint: str) -> bool:
-        """Send an endpoint nothing new. False: none has that id."""
+        """Stop sending new requests to an endpoint. False: there is no such endpoint."""
 
     def bring_online(self, endpoint: str) -> bool:
-        """Send an endpoint requests again. False: none has that id."""
+        """Resume sending requests to an endpoint. False: there is no such endpoint."""
 
     def take_out_of_service(self) -> bool:
-        """Drain this sidecar. False: it has to wait for its turn."""
+        """Drain this sidecar. False: it must wait until other sidecars are back in service."""
 
     def return_to_service(self) -> bool:
         """End the drain of this sidecar."""
 
     def retry_seconds(self) -> float:
-        """Return the seconds after which to ask again for what is not in force yet; 0: not known."""
+        """Return the seconds after which to retry a call that is not in force yet; 0 if unknown."""
 
     def roles_status(self) -> str | None:
-        """Return the fleet as this sidecar knows it, as JSON. None: it has none."""
+        """Return the fleet's state as known to this sidecar, as JSON. None: there is no fleet."""
 
     def release_role(self, role: str) -> bool | None:
         """Release the lease of a role. False: it is not held here. None: there is no such role."""
 
     def plan_status(self) -> str | None:
-        """Return the fleet's plan as this sidecar knows it, as JSON. None: it has none."""
+        """Return the fleet's plan as known to this sidecar, as JSON. None: there is no plan."""
 
     def offer_plan(self, body: bytes) -> tuple[int, str]:
-        """Offer a plan to the fleet, and return the answer's status and its line."""
+        """Offer a plan to the fleet; return the reply's status and line."""
 
     def set_format_floor(self, minimum: int) -> tuple[int, str]:
-        """Set the lowest plan format that members have to read, and return status and line."""
+        """Set the lowest plan format that members must support; return the reply's status and line."""
 
 
 class Reply(NamedTuple):
-    """What a call is answered."""
+    """The reply to a call: the HTTP status and a one-line body."""
 
     status: int
     line: str
-    allow: str = ""  # of a 405: the methods that there are
+    allow: str = ""  # the allowed methods, with status 405
 
 
 def dispatch(operations: Operations, method: bytes, target: bytes, body: bytes = b"") -> Reply:
-    """Carry a call out. An unreadable path is one that does not exist."""
+    """Carry out a call. A malformed path is answered like an unknown one."""
     segments = target.partition(b"?")[0].decode("latin-1").split("/")
     match segments:
         case ["", root, "endpoints", endpoint, "offline"] if root == ROOT:
--- a/wheatring/daemon/admin/server.py
+++ b/wheatring/daemon/admin/server.py
@@ -1,8 +1,8 @@
-"""The HTTP/1.1 server of the operators' calls: one call to a connection, answered as soon as it is complete.
+"""The HTTP/1.1 server for operators' calls: one call per connection, answered as soon as it is complete.
 
-It shares nothing with the callers' server but the parser: its connections are its own, so a crowd at one
-takes none at the other. A client that sends nothing, or half a call, is dropped for the next one once all
-connections are taken.
+It shares only the parser with the callers' server. Its connections have a limit of their own, so that an
+overload of one server does not affect the other. When the limit is reached, a new connection replaces the
+oldest one, so that clients that send nothing or an incomplete call can't block other clients.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from wheatring.daemon.core.clock import Clock, Timer
 
 MAX_CONNECTIONS = 24
-# Accepted at one event at most. All that came with them is read before the next event, so a complete call is
-# answered long before so many have come behind it that it would have to make room.
+# Limit of connections accepted per event. Their data is read before the next event, so a complete call is
+# answered long before its connection can become the oldest and be dropped.
 ACCEPTS_PER_EVENT = 4
-CALL_TIMEOUT_SECONDS = 6.0  # after which an incomplete call is ended, though there is room
-REPLY_TIMEOUT_SECONDS = 1.0  # in which a client has to read its answer
-MAX_BODY_BYTES = 1024  # where no call needs a body
+CALL_TIMEOUT_SECONDS = 6.0  # for receiving the complete call
+REPLY_TIMEOUT_SECONDS = 1.0  # for the client to read the reply
+MAX_BODY_BYTES = 1024  # limit of the request body if no call needs one
 MAX_LOGGED_PATH = 120  # characters
 BACKLOG = 256
 REASONS = {200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
@@ -33,7 +33,7 @@
 
 
 def encode_reply(reply: Reply) -> bytes:
-    """Return a reply as it is sent."""
+    """Return a reply as an HTTP response."""
     body = f"{reply.line}\n"
     allow = f"Allow: {reply.allow}\r\n" if reply.allow else ""
     head = f"HTTP/1.1 {reply.status} {REASONS[reply.status]}\r\nContent-Type: text/plain\r\n{allow}"
@@ -48,11 +48,11 @@
     def __init__(self, server: AdminServer) -> None:
         self.server = server
         self.reader = MessageParser(responses=False, max_body_bytes=server.max_body_bytes)
-        self.end_code = ""  # why it ended, for the log
+        self.end_code = ""  # the reason for its end, for the log
         self.timeout: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Start the time in which the call has to come."""
+        """Start the time-out of the call."""
         self.transport.setTcpNoDelay(True)
         clock = self.server.clock
         self.timeout = clock.at(clock.now() + CALL_TIMEOUT_SECONDS, self.abort, "silent")
@@ -61,7 +61,7 @@
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         """Answer the call once it is complete."""
         if self.end_code:
-            return  # answered: what else the client sends is ignored
+            return  # the call has been answered, and further data is ignored
         self.reader.feed(data)
         try:
             message = self.reader.next_message()
@@ -73,7 +73,7 @@
             self.reply(self.server.handle(method, target, message.body))
 
     def reply(self, reply: Reply) -> None:
-        """Answer the call, and leave the client some time to read that."""
+        """Send the reply, and start the time-out for the client to read it."""
         self.end_code = f"answered-{reply.status}"
         self.transport.write(encode_reply(reply))
         self.transport.loseConnection()
@@ -82,7 +82,7 @@
         self.timeout = clock.at(clock.now() + REPLY_TIMEOUT_SECONDS, self.abort, "unread")
 
     def abort(self, code: str) -> None:
-        """Drop the connection. `code` says why, unless the call has been answered."""
+        """Abort the connection. `code` is logged as the reason, unless the call has been answered."""
         self.end_code = self.end_code or code
         self.transport.abortConnection()
 
@@ -94,7 +94,7 @@
         self,
         reason: Failure = protocol.connectionDone,  # noqa: ARG002 - Twisted's signature
     ) -> None:
-        """Make room for another connection, and log the end of this one."""
+        """Remove the connection and log its end."""
         self._cancel_timeout()
         self.server.remove(self)
         log.line("control-connection", code=self.end_code or "peer-closed")
@@ -108,7 +108,7 @@
 
 
 class AdminServer(protocol.ServerFactory):
-    """The server of one sidecar's operators: its listening socket and its connections."""
+    """The admin server of one sidecar: its listening socket and its connections."""
 
     noisy = False
 
@@ -121,7 +121,7 @@
         self.port: Any = None
 
     def listen(self, host: str, port: int) -> int:
-        """Listen, and return the port: 0 asks for any."""
+        """Listen, and return the port; port 0 selects a free one."""
         listener: Any = _Listener
         self.port = listener(port, self, BACKLOG, host, self.reactor)
         self.port.startListening()
@@ -129,27 +129,27 @@
         return bound
 
     def buildProtocol(self, addr: object) -> AdminConnection:  # noqa: N802, ARG002 - Twisted's signature
-        """Make the protocol of a connection that was accepted."""
+        """Return the protocol of an accepted connection."""
         return AdminConnection(self)
 
     def add(self, connection: AdminConnection) -> None:
-        """Take a connection in, and drop the oldest one where there are too many."""
+        """Add a connection, and abort the oldest one if the limit is exceeded."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             oldest = next(iter(self.connections))
-            # Its end is reported only after this event, and the next new one must find another to drop.
+            # connectionLost is called only after this event; the next accepted one must drop another one.
             del self.connections[oldest]
             oldest.abort("crowded")
 
     def remove(self, connection: AdminConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.connections.pop(connection, None)
 
     def handle(self, method: bytes, target: bytes, body: bytes) -> Reply:
-        """Carry a call out, and log it."""
+        """Carry out a call, and log it."""
         try:
             reply = dispatch(self.operations, method, target, body)
-        except Exception as error:  # a defect of ours: the operator is answered, and it is logged
+        except Exception as error:  # a bug in this program: log it and still answer the operator
             log.line("control-broken", why=repr(error))
             reply = Reply(500, "internal error")
         path = target[:MAX_LOGGED_PATH].decode("latin-1")
@@ -157,7 +157,7 @@
         return reply
 
     def close(self) -> None:
-        """Accept no more calls; those that are complete have been answered."""
+        """Stop listening and abort all connections; complete calls have already been answered."""
         if self.port is not None:
             self.port.stopListening()
             self.port = None
--- a/wheatring/daemon/admin/service.py
+++ b/wheatring/daemon/admin/service.py
@@ -1,7 +1,7 @@
-"""Carries out the operators' calls, in this process and by shared files in another one of the same sidecar.
+"""Carries out operators' calls in this process and, through shared files, in others of the same sidecar.
 
-It connects the decisions of `wheatring.daemon.lifecycle` to what they steer: the endpoint list that the
-balancer sees, the connections of callers, and the connections that all processes of the sidecar may have.
+Applies the decisions of `wheatring.daemon.lifecycle` to the endpoint list of the balancer, to the callers'
+connections, and to the connection limits of all processes of the sidecar.
 """
 
 from __future__ import annotations
@@ -18,30 +18,30 @@
 from wheatring.daemon.lifecycle.handover import HandoverFolder, OtherProcess
 from wheatring.daemon.lifecycle.operator_orders import OperatorOrders
 
-POLL_INTERVAL_SECONDS = 0.1  # between two looks at the shared files; the rules on drains leave 2.5 s
-CLOSE_INTERVAL_SECONDS = 0.05  # between two rounds of closing connections in a drain
-# A new process serves once it has this part of the connections, or after so many seconds in any case: an
-# older process that hangs must not keep the new one out.
+POLL_INTERVAL_SECONDS = 0.1  # interval of reading the shared files; the rules on drains allow 2.5 s
+CLOSE_INTERVAL_SECONDS = 0.05  # interval of closing idle connections during a drain
+# A new process serves once its limit is this share of the connections, or after MAX_OPEN_DELAY_SECONDS in any
+# case: an older process that hangs must not prevent the new one from serving.
 MIN_CONNECTION_SHARE = 0.25
 MAX_OPEN_DELAY_SECONDS = 2.0
 
 
 class CallerServer(Protocol):
-    """What is steered of the server that callers connect to."""
+    """The part of the callers' server that operators' calls use."""
 
-    is_out_of_service: bool  # callers are told to go elsewhere
+    is_out_of_service: bool  # health checks fail, and each response closes its connection
     listener: Any
     is_stopping: bool
 
     def idle_connections(self) -> list[Any]:
-        """Return the connections that are open."""
+        """Return the idle connections, the longest idle first."""
 
     def close_idle(self, keep: int, idle_seconds: float) -> None:
-        """Close idle connections down to `keep`, of those that were idle for `idle_seconds`."""
+        """Close connections that have been idle for `idle_seconds`, until `keep` idle ones are left."""
 
 
 class RoleOperations(Protocol):
-    """The fleet's singleton roles, as far as operators ask for them."""
+    """The operators' calls on the fleet's singleton roles and on turns to be out of service."""
 
     @property
     def status(self) -> Callable[[], dict[str, Any]]:
@@ -53,28 +53,28 @@
 
     @property
     def request_turn(self) -> Callable[[], float]:
-        """Ask for a turn to be out of service: the seconds to wait for it; 0: this sidecar has it."""
+        """Request a turn to be out of service; returns the seconds to wait, or 0 if it is granted."""
 
     @property
     def return_turn(self) -> Callable[[], None]:
-        """Give the turn back."""
+        """Release the turn."""
 
 
 class PlanOperations(Protocol):
-    """The fleet's plan, as far as operators ask for it."""
+    """The operators' calls on the fleet's plan."""
 
     def status(self) -> dict[str, Any]:
         """Describe the plan."""
 
     def offer(self, body: bytes) -> tuple[int, str]:
-        """Offer a plan to the fleet, and return the answer's status and its line."""
+        """Offer a plan to the fleet; return the reply's status and line."""
 
     def set_format_floor(self, minimum: int) -> tuple[int, str]:
-        """Set the lowest plan format that members have to read, and return status and line."""
+        """Set the lowest plan format that members must support; return the reply's status and line."""
 
 
 class AdminService:
-    """Puts into force what operators call. Implements `dispatch.Operations`.
+    """Carries out operators' calls. Implements `dispatch.Operations`.
 
     Parameters
     ----------
@@ -83,17 +83,17 @@
     folder
         The files that all processes of this sidecar share.
     overrides
-        What operators have ordered of endpoints, applied to each endpoint list.
+        Applies the operators' orders on endpoints to each endpoint list.
     server
         The server that callers connect to.
     max_connections
-        Of all processes of this sidecar together.
+        The connection limit of all processes of this sidecar together.
     connections_in_use
-        Returns how many connections this process has now.
+        Returns the number of connections of this process.
     set_connection_limit
-        Sets how many this process may have from now on.
+        Sets the connection limit of this process.
     open_server
-        Lets callers in.
+        Starts to accept callers' connections.
     """
 
     def __init__(
@@ -124,48 +124,48 @@
         self.is_stopped = False
         self.roles: RoleOperations | None = None
         self.plans: PlanOperations | None = None
-        self.turn_wait_seconds = 0.0  # as the last call for a turn was answered
+        self.turn_wait_seconds = 0.0  # from the reply to the last request for a turn
 
     def start(self) -> None:
-        """Put the orders of before into force.
+        """Apply the stored orders.
 
-        Called before the first endpoint list is read, so that no endpoint that is offline is ever sent to.
+        Called before the first endpoint list is read, so that no request goes to an endpoint that is offline.
         """
         self.share_connections()
         if (orders := self.folder.changed_orders()) is not None:
             self.apply(orders)
 
     def serve(self) -> None:
-        """Let callers in as soon as there are connections for them. Called once there is an endpoint list."""
+        """Open the server as soon as the connection limit permits. Called once there is an endpoint list."""
         self.poll()
 
     def stop(self) -> None:
-        """Leave the files that the processes share."""
+        """Remove this process from the shared files."""
         self.is_stopped = True
         self.folder.leave()
 
     # Calls
 
     def is_ready(self) -> bool:
-        """Return whether callers are let in."""
+        """Return whether callers' connections are accepted."""
         return self.server.listener is not None and not self.server.is_stopping
 
     def take_offline(self, endpoint: str) -> bool:
-        """Send an endpoint nothing new. False: none has that id."""
+        """Stop sending new requests to an endpoint. False: there is no such endpoint."""
         if not self.overrides.knows(endpoint):
             return False
         self.change_orders(lambda orders: OperatorOrders(orders.offline | {endpoint}, orders.out_of_service))
         return True
 
     def bring_online(self, endpoint: str) -> bool:
-        """Send an endpoint requests again. False: none has that id."""
+        """Resume sending requests to an endpoint. False: there is no such endpoint."""
         if not self.overrides.knows(endpoint):
             return False
         self.change_orders(lambda orders: OperatorOrders(orders.offline - {endpoint}, orders.out_of_service))
         return True
 
     def take_out_of_service(self) -> bool:
-        """Drain this sidecar. False: it has to wait for its turn."""
+        """Drain this sidecar. False: it must wait until other sidecars are back in service."""
         if self.roles is None or self.orders.out_of_service:
             self.turn_wait_seconds = 0.0
         else:
@@ -183,11 +183,11 @@
         return True
 
     def retry_seconds(self) -> float:
-        """Return the seconds after which to ask again for what is not in force yet; 0: not known."""
+        """Return the seconds after which to retry a call that is not in force yet; 0 if unknown."""
         return self.turn_wait_seconds
 
     def roles_status(self) -> str | None:
-        """Return the fleet as this sidecar knows it, as JSON. None: it has none."""
+        """Return the fleet's state as known to this sidecar, as JSON. None: there is no fleet."""
         return None if self.roles is None else json.dumps(self.roles.status())
 
     def release_role(self, role: str) -> bool | None:
@@ -195,33 +195,33 @@
         return None if self.roles is None else self.roles.release(role)
 
     def plan_status(self) -> str | None:
-        """Return the fleet's plan as this sidecar knows it, as JSON. None: it has none."""
+        """Return the fleet's plan as known to this sidecar, as JSON. None: there is no plan."""
         return None if self.plans is None else json.dumps(self.plans.status())
 
     def offer_plan(self, body: bytes) -> tuple[int, str]:
-        """Offer a plan to the fleet, and return the answer's status and its line."""
+        """Offer a plan to the fleet; return the reply's status and line."""
         return (404, "no plan") if self.plans is None else self.plans.offer(body)
 
     def set_format_floor(self, minimum: int) -> tuple[int, str]:
-        """Set the lowest plan format that members have to read, and return status and line."""
+        """Set the lowest plan format that members must support; return the reply's status and line."""
         return (404, "no plan") if self.plans is None else self.plans.set_format_floor(minimum)
 
     # Orders in force
 
     def change_orders(self, edit: Callable[[OperatorOrders], OperatorOrders]) -> None:
-        """Change the orders in the shared files, and put them into force in this process."""
+        """Change the orders in the shared file, and apply them in this process."""
         self.apply(self.folder.change(edit, self.orders))
 
     def apply(self, orders: OperatorOrders) -> None:
-        """Put orders into force in this process, and log what they change."""
-        now, before = self.clock.now(), self.orders
+        """Apply orders in this process, and log the changes."""
+        now, previous = self.clock.now(), self.orders
         self.orders = orders
-        changed = sorted(before.offline ^ orders.offline)
+        changed = sorted(previous.offline ^ orders.offline)
         if changed:
             self.overrides.set_offline(now, orders.offline)
         for endpoint in changed:
             log.line("endpoint", node=endpoint, offline=int(endpoint in orders.offline))
-        if orders.out_of_service != before.out_of_service:
+        if orders.out_of_service != previous.out_of_service:
             self.server.is_out_of_service = orders.out_of_service
             log.line("service", out=int(orders.out_of_service))
             self.drain = Drain(now, len(self.server.idle_connections())) if orders.out_of_service else None
@@ -229,7 +229,7 @@
                 self._close_idle_connections(self.drain)
 
     def _close_idle_connections(self, drain: Drain) -> None:
-        """Close connections as the drain goes on, for as long as it is the one in force."""
+        """Close idle connections repeatedly until the drain ends or is replaced."""
         if drain is self.drain and not self.is_stopped and not self.server.is_stopping:
             self.server.close_idle(drain.max_idle(self.clock.now()), MIN_IDLE_SECONDS)
             self.clock.at(self.clock.now() + CLOSE_INTERVAL_SECONDS, self._close_idle_connections, drain)
@@ -242,7 +242,7 @@
         return any(other.started_ns > self.folder.started_ns for other in self.other_processes)
 
     def poll(self) -> None:
-        """Take up what other processes wrote to the shared files, and open the server once possible."""
+        """Apply changes of the shared files periodically, and open the server once possible."""
         if self.is_stopped:
             return
         self.clock.at(self.clock.now() + POLL_INTERVAL_SECONDS, self.poll)
@@ -259,15 +259,17 @@
         self.is_open = True
         self.open_server()
         if self.other_processes and self.server.listener is not None:
-            drawn = self.server.listener.direct_to_newcomer()
-            log.line("upgrade", part="newer", drawn=int(drawn), others=len(self.other_processes))
+            is_directed = self.server.listener.direct_to_newcomer()
+            log.line("upgrade", part="newer", drawn=int(is_directed), others=len(self.other_processes))
 
     def share_connections(self) -> None:
-        """Set how many connections this process may have beside the others."""
+        """Update the connection limits of this process and the others."""
         had_successor = self.has_successor
-        in_use, stopping = self.connections_in_use(), self.server.is_stopping
+        in_use, is_stopping = self.connections_in_use(), self.server.is_stopping
         self.connection_limit, self.other_processes = self.folder.publish_limit(
-            lambda newest, others: descriptor_limit(self.max_connections, in_use, newest, stopping, others)
+            lambda is_newest, other_limits: descriptor_limit(
+                self.max_connections, in_use, is_newest, is_stopping, other_limits
+            )
         )
         self.set_connection_limit(self.connection_limit)
         if self.has_successor and not had_successor:
--- a/wheatring/daemon/configuration.py
+++ b/wheatring/daemon/configuration.py
@@ -1,6 +1,6 @@
-"""Reads the files of one sidecar: the project's own one at the start, and all of them again at SIGHUP.
+"""Reads the project's configuration file at the start, and reloads all files of a sidecar on SIGHUP.
 
-A file that can't be used changes nothing of what it is for.
+If a file can't be read or is invalid, the settings that it contains stay as they are.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from wheatring.daemon.config import platform_file
 from wheatring.daemon.config.exceptions import PlatformFileError, ProjectFileError, RestartRequiredError
 
-if TYPE_CHECKING:  # imported only where there is a file
+if TYPE_CHECKING:  # imported at run time only if there is a configuration file
     from wheatring.daemon.config.project_file import InvalidKey, ProjectFile
     from wheatring.daemon.interface import SidecarParts
     from wheatring.daemon.lifecycle.list_request_schedule import RequestPace
 
 
 def read_configuration(path: str | None) -> ProjectFile | None:
-    """Read the configuration file; None where there is none.
+    """Read the project's configuration file; return None if `path` is None.
 
     Raises
     ------
     ProjectFileError
-        It can't be used.
+        The file can't be read or is invalid.
     """
     if path is None:
         return None
@@ -36,7 +36,7 @@
 
 
 def first_invalid_route(configuration: ProjectFile) -> InvalidKey | None:
-    """Return the first key of a route that the routing table rejects, and why; None where there is none."""
+    """Return the first route key that the routing table rejects, with the reason; None if there is none."""
     if not configuration.route:
         return None
     from wheatring.daemon.pools.route_tables import first_invalid_key
@@ -45,7 +45,7 @@
 
 
 def list_pace(configuration: ProjectFile) -> RequestPace:
-    """Return how often the endpoint list may be asked for, as the file says."""
+    """Return the rates of requests for the endpoint list from the file."""
     from wheatring.daemon.lifecycle.list_request_schedule import RequestPace
 
     asking = configuration.list
@@ -53,19 +53,19 @@
 
 
 def temporary_folder() -> str:
-    """Return the folder that the platform gives, the same for two processes of one sidecar."""
+    """Return the platform's temporary folder, which the processes of one sidecar share."""
     return os.environ.get("TMPDIR") or "/tmp"
 
 
 def reload_all(sidecar: SidecarParts, environment: Mapping[str, str], operators_path: str | None) -> None:
-    """Read the operators', the project's and the platform's file again, in this order."""
+    """Reload the operators', the project's and the platform's file, in this order."""
     reload_operators(sidecar, operators_path)
     reload_configuration(sidecar)
     reload_platform(sidecar, environment)
 
 
 def reload_operators(sidecar: SidecarParts, path: str | None) -> None:
-    """Read the operators' file again."""
+    """Reload the operators' file."""
     try:
         properties = operator_properties.read(path)
     except operator_properties.OperatorFileError as error:
@@ -79,7 +79,7 @@
 
 
 def reload_configuration(sidecar: SidecarParts) -> None:
-    """Read the project's own file again, where there is one."""
+    """Reload the project's configuration file, if there is one."""
     try:
         configuration = read_configuration(sidecar.configuration_path)
         if configuration is None:
@@ -93,24 +93,28 @@
 
 
 def _reload_features(sidecar: SidecarParts, configuration: ProjectFile) -> None:
-    """Let pools and fleet take up the file; ProjectFileError where they take up nothing of it."""
+    """Apply the file to the pools and the fleet, or raise ProjectFileError with nothing applied."""
     pools = sidecar.pools
     if (pools is None) != (not configuration.route):
-        raise RestartRequiredError("route: routes are taken up, and given up, by a start only")
-    if pools is not None and (why := pools.rejection(configuration)):  # before the fleet has changed anything
+        raise RestartRequiredError(
+            "route: adding the first route or removing the last one requires a restart"
+        )
+    if pools is not None and (
+        why := pools.rejection(configuration)
+    ):  # checked before the fleet applies anything
         raise ProjectFileError(why)
     if sidecar.fleet is not None:
         from wheatring.fleet.peers.reload import reload_fleet
 
         reload_fleet(sidecar.fleet, configuration)
     elif configuration.fleet is not None:
-        raise RestartRequiredError("fleet: is taken up by a start only")
+        raise RestartRequiredError("fleet: adding it requires a restart")
     if pools is not None:
         pools.reload(configuration, list_pace(configuration))
 
 
 def reload_platform(sidecar: SidecarParts, environment: Mapping[str, str]) -> None:
-    """Read the platform's file again: of it, only the address of discovery changes without a restart."""
+    """Reload the platform's file, of which only the address of discovery is applied without a restart."""
     try:
         platform = platform_file.read(environment, is_reload=True)
     except PlatformFileError as error:
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -1,8 +1,8 @@
-"""The optional parts of a sidecar.
+"""The optional features of a sidecar.
 
-Each function adds one: it imports the part, so that a sidecar without it loads nothing of it, sets it in the
-sidecar, and registers its end in `Sidecar.cleanup`. Those that stand between the endpoint list and its
-receiver return the new receiver.
+Each function adds one feature: it imports the feature's modules, so that a sidecar without it does not load
+them, stores the feature in the sidecar, and registers its cleanup in `Sidecar.cleanup`. Functions that insert
+a feature between the endpoint list and its receiver return the new receiver.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from wheatring.daemon.config.exceptions import ProjectFileError
 from wheatring.daemon.configuration import list_pace, temporary_folder
 
-if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
+if TYPE_CHECKING:  # modules of a feature are imported at run time only if it is enabled
     from wheatring.balancer.interface import View
     from wheatring.common.body import BodyMemory
     from wheatring.daemon.config.project_file import ProjectFile
@@ -26,15 +26,15 @@
     sidecar: SidecarParts,
     configuration: ProjectFile,
     max_node_connections: int,
-    body_room: BodyMemory,
+    body_memory: BodyMemory,
     capture: bool,
 ) -> OnView:
-    """Serve by several pools, and routes to them. The one endpoint list goes to all that use it.
+    """Add several pools and the routes to them. Pools without a list of their own share the endpoint list.
 
     Raises
     ------
     ProjectFileError
-        The routes don't go with the rest.
+        The routes can't be combined with the other options.
     """
     from wheatring.daemon.pools.connection_budget import ConnectionBudget
     from wheatring.daemon.pools.pool_set import PoolSet
@@ -53,7 +53,7 @@
         seed=platform.seed,
         plain=sidecar.serving,
         budget=ConnectionBudget(max_node_connections),
-        body_room=body_room,
+        body_room=body_memory,
     )
     pools = sidecar.pools = PoolSet(environment, sidecar.server, list_pace(configuration), path)
     pools.start(configuration)
@@ -62,7 +62,7 @@
 
 
 def add_admin(sidecar: SidecarParts, on_view: OnView) -> OnView:
-    """Let operators call this sidecar; what discovery says of endpoints passes what they have ordered."""
+    """Add the operators' calls, and apply their orders to the endpoint list from discovery."""
     from wheatring.daemon.admin.server import AdminServer
     from wheatring.daemon.admin.service import AdminService
     from wheatring.daemon.lifecycle.endpoint_overrides import EndpointOverrides
@@ -86,7 +86,7 @@
 
 
 def add_audit(sidecar: SidecarParts) -> None:
-    """Keep the audit log."""
+    """Add the audit log."""
     from wheatring.daemon.ops.audit import Audit
 
     sidecar.audit = Audit(sidecar.platform.name, sidecar.clock, sidecar.first_operators.audit.file)
@@ -94,7 +94,7 @@
 
 
 def add_fleet(sidecar: SidecarParts, configuration: ProjectFile, on_view: OnView) -> OnView:
-    """Exchange messages with the other sidecars, and carry out the duties that this one acquires."""
+    """Add the exchange of messages with the other sidecars, and the roles that this one may acquire."""
     from wheatring.daemon.admin.dispatch import MAX_PLAN_BYTES
     from wheatring.fleet.peers.assembly import build_fleet
     from wheatring.fleet.peers.operator_calls import PlanCalls, role_calls
@@ -114,7 +114,7 @@
 
 
 def add_capture(sidecar: SidecarParts) -> None:
-    """Record all decisions, with what they were made from."""
+    """Add the recording of all decisions and their inputs."""
     from wheatring.daemon.ops.capture import record
     from wheatring.daemon.ops.capture.ring import CaptureRing
 
--- a/wheatring/daemon/interface.py
+++ b/wheatring/daemon/interface.py
@@ -1,4 +1,4 @@
-"""The parts of a sidecar as its features, its reload and its shutdown use them; for types alone."""
+"""The protocol of a sidecar's parts for its features, reload and shutdown; used only for type annotations."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class SidecarParts(Protocol):
-    """What `wheatring.daemon.sidecar.Sidecar` offers to the modules that it is made of."""
+    """The interface of `wheatring.daemon.sidecar.Sidecar` for the modules that extend it."""
 
     reactor: Any
     clock: Clock
@@ -50,19 +50,19 @@
     pools: PoolSet | None
 
     def connections_in_use(self) -> int:
-        """Count the connections to callers and nodes, those being made among them."""
+        """Return the number of connections to callers and nodes, including pending connects."""
 
     def set_connection_limit(self, connections: int) -> None:
-        """Have at most so many connections, as another process of this sidecar has the rest."""
+        """Limit the connections of this process, as other processes of the sidecar use the rest."""
 
     def listen(self) -> None:
-        """Let callers in."""
+        """Start to accept callers' connections."""
 
     def record(self, event: str, actor: str) -> None:
-        """Write an event to the audit log, if there is one."""
+        """Write an event to the audit log if it is enabled."""
 
     def apply_operators(self, operators: OperatorProperties) -> None:
-        """Put into effect what the operators may change while it serves."""
+        """Apply the operators' properties that may change at run time."""
 
     def finish(self) -> None:
-        """End all parts, and the process with them."""
+        """Stop all parts and then the process."""
--- a/wheatring/daemon/lazy_imports.py
+++ b/wheatring/daemon/lazy_imports.py
@@ -1,4 +1,4 @@
-"""Defers the import of modules that what the service path imports uses, but the service path itself never.
+"""Defers loading of modules that dependencies import but that serving requests does not need.
 
 They are loaded at their first use.
 """
@@ -11,8 +11,8 @@
 from types import ModuleType
 from typing import Any
 
-# Twisted, or what it imports, passes them on as names of its own: HTTP clients and mail, TLS, child
-# processes, datagrams, Unix sockets. A feature that does use one has it from its first use.
+# Twisted or its dependencies import these, for HTTP clients and mail, TLS, child processes, datagrams and
+# Unix sockets. A feature that uses one of them loads it at the first use.
 DEFERRED = (
     "asyncio.sslproto", "asyncio.staggered", "http.cookiejar", "locale", "pickle", "ssl", "textwrap",
     "twisted.internet.process", "twisted.internet.ssl", "twisted.internet.udp", "twisted.internet.unix",
@@ -20,10 +20,10 @@
 
 
 class DeferredModule(ModuleType):
-    """A module of which nothing has been used yet; the first use makes it an ordinary one."""
+    """A module that is loaded at its first attribute access, from which on it is an ordinary module."""
 
     def __getattr__(self, name: str) -> object:
-        """Load the module, and return what is used of it."""
+        """Load the module, and return its attribute."""
         spec, loader = self.__spec__, self.__dict__.pop("deferred_loader")
         assert spec is not None
         self.__class__ = ModuleType  # type: ignore[assignment]  # an ordinary one from now on
@@ -33,13 +33,13 @@
 
 
 class _Loader:
-    """Makes a module and leaves its execution to the first use. `loader` is the real one."""
+    """Creates a module whose execution is deferred to the first use. `loader` is the actual loader."""
 
     def __init__(self, loader: Any) -> None:
         self.loader = loader
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """Leave the creation to the import system, which gives an ordinary module its attributes."""
+        """Return None, so that the import system creates an ordinary module."""
 
     def exec_module(self, module: ModuleType) -> None:
         """Defer the module's execution until an attribute is used."""
@@ -60,10 +60,10 @@
         """Return a spec with a deferring loader for a listed module, else None."""
         spec = PathFinder.find_spec(name, path) if name in self.names else None
         if spec is not None and spec.loader is not None:
-            spec.loader = _Loader(spec.loader)  # type: ignore[assignment]  # all that the import needs of one
+            spec.loader = _Loader(spec.loader)  # type: ignore[assignment]  # has all methods that the import system calls
         return spec
 
 
 def defer(names: tuple[str, ...] = DEFERRED) -> None:
-    """Let imports of these modules, from now on, load them at their first use only."""
+    """Defer the loading of these modules, when they are imported from now on, to their first use."""
     sys.meta_path.insert(0, _Finder(names))
--- a/wheatring/daemon/serving.py
+++ b/wheatring/daemon/serving.py
@@ -1,4 +1,4 @@
-"""The process of one sidecar: reads its files, handles signals, runs the reactor."""
+"""The process of one sidecar: reads the configuration, handles signals and runs the reactor."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def serve(operators_path: str | None, capture: bool, configuration_path: str | None = None) -> int:
-    """Serve until a signal ends it.
+    """Serve until a signal stops the process.
 
     Returns
     -------
     int
-        The exit status, where it could not start. Else the process ends here.
+        The exit status if the start failed. Otherwise the process exits here.
     """
-    gc.disable()  # nearly all that a start makes stays, and many may start on one machine at once
+    gc.disable()  # most objects created at the start stay; saves CPU when many sidecars start together
     try:
         sidecar = start_sidecar(operators_path, capture, configuration_path)
     finally:
@@ -37,15 +37,15 @@
     sidecar.reactor.run(installSignalHandlers=False)
     sys.stdout.flush()
     sys.stderr.flush()
-    # The next process starts once this one is gone, and all that the interpreter would take apart is too.
+    # Skips the interpreter's teardown, as the next process starts only after this one has ended.
     os._exit(sidecar.exit_status)
 
 
 def start_sidecar(
     operators_path: str | None, capture: bool, configuration_path: str | None
 ) -> Sidecar | None:
-    """Start a sidecar that listens and handles signals; None where it can't, which is reported on stderr."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload, it must not end us
+    """Start a sidecar that listens and handles signals; on failure, report it on stderr and return None."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # must not end the process before the reload handler is set
     try:
         configuration = read_configuration(configuration_path)
         platform = platform_file.read(os.environ)
@@ -55,16 +55,16 @@
         return None
     log.set_non_blocking()
     lazy_imports.defer()
-    reactor = _prepared_reactor()
+    reactor = _configured_reactor()
     try:
         sidecar = Sidecar(
             reactor, platform, operators, capture, configuration_path=configuration_path,
             configuration=configuration,
         )  # fmt: skip
-    except ProjectFileError as error:  # the key file that the project's own file names
+    except ProjectFileError as error:  # for example, an unusable key file
         print(f"wheatring: {error}", file=sys.stderr)
         return None
-    # Before it logs that it listens, from when on all of these may come.
+    # Set before the sidecar logs that it is listening, as signals may arrive from then on.
     _handle_signals(sidecar, operators_path)
     from twisted.internet.error import CannotListenError
 
@@ -76,13 +76,13 @@
     return sidecar
 
 
-def _prepared_reactor() -> Any:
-    """Import Twisted's reactor; set its clock and its log."""
+def _configured_reactor() -> Any:
+    """Import Twisted's reactor, and configure its clock and log."""
     from twisted.internet import reactor as installed
     from twisted.logger import globalLogBeginner
 
-    reactor: Any = installed  # Twisted's own type lacks half of its methods
-    reactor.seconds = time.monotonic  # or a step of the system's time would hold up or hurry all timers
+    reactor: Any = installed  # the type in Twisted lacks many of the methods
+    reactor.seconds = time.monotonic  # else a step of the system clock would delay or hasten all timers
     observers: Any = [log.log_twisted_failure]
     globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False)
     return reactor
--- a/wheatring/daemon/serving_pool.py
+++ b/wheatring/daemon/serving_pool.py
@@ -1,8 +1,8 @@
-"""One pool that serves: its balancer, driver, connections to nodes, and endpoint list.
+"""One pool of endpoints: its balancer, driver, connections to nodes and endpoint list.
 
-The plain daemon has exactly one. Guards that the parts of one pool know each other and nothing of another's:
-what is decided, connected, listed and doubted here stays here. Driver and connections register with the
-exchange that they are given, so no two pools may have the same one.
+A sidecar without routes has exactly one. The parts of a pool are isolated from those of other pools: they
+share no decisions, connections, lists or suspicions. The driver and the connections register with the
+exchange that they are given, so each pool needs an exchange of its own.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
     Parameters
     ----------
     seed : int
-        The balancer's; the list's timetables draw from seeds that begin with its text.
+        The seed of the balancer; the seeds of the list request schedules begin with its text.
     max_connections : int
-        To nodes, at once.
-    body_room : Room
+        The limit of simultaneous connections to nodes.
+    body_memory : BodyMemory
         The memory for bodies, shared by all pools.
-    pace : Pace
-        How often the endpoint list may be asked for.
-    connections : Callable[..., Pool]
-        Makes the connections to nodes.
+    pace : RequestPace
+        The rates of requests for the endpoint list.
+    connections : Callable[..., ConnectionPool]
+        Creates the pool of connections to nodes.
     """
 
     __slots__ = ("asking", "balancer", "clock", "driver", "freshness", "machine_list", "pool", "reactor")
@@ -49,7 +49,7 @@
         settings: Settings,
         seed: int,
         max_connections: int,
-        body_room: BodyMemory,
+        body_memory: BodyMemory,
         pace: RequestPace = DEFAULT_PACE,
         connections: Callable[..., ConnectionPool] = ConnectionPool,
     ) -> None:
@@ -59,20 +59,26 @@
         self.balancer = Balancer(settings, seed)
         self.driver = Driver(self.balancer, exchange, clock)
         self.pool = connections(
-            reactor, clock, exchange, limits.connect_timeout, limits.idle_timeout, max_connections, body_room
+            reactor,
+            clock,
+            exchange,
+            limits.connect_timeout,
+            limits.idle_timeout,
+            max_connections,
+            body_memory,
         )
         self.asking, self.freshness = list_schedules(settings, seed, clock.now(), pace)
         self.machine_list: EndpointList
 
     def list_from(self, discovery: tuple[str, int], on_view: Callable[[View], None]) -> EndpointList:
-        """Make its endpoint list's client.
+        """Create the client of its endpoint list.
 
         Parameters
         ----------
         discovery : tuple[str, int]
-            Host and port of the service that answers it.
+            Host and port of the discovery service.
         on_view : Callable[[View], None]
-            Receives each update, and hands it to the driver.
+            Receives each update and passes it to the driver.
         """
         self.machine_list = EndpointList(
             self.reactor, self.clock, discovery, self.pool.addresses, on_view, self.freshness, self.asking,
--- a/wheatring/daemon/shutdown.py
+++ b/wheatring/daemon/shutdown.py
@@ -1,4 +1,4 @@
-"""The graceful shutdown of one sidecar: what has arrived is answered, as far as that is worth its time."""
+"""The graceful shutdown of one sidecar: answers pending requests as long as `ShutdownSchedule` allows."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 if TYPE_CHECKING:
     from wheatring.daemon.interface import SidecarParts
 
-SHUTDOWN_POLL_SECONDS = 0.02  # between two looks at what is still to be done before the process ends
+SHUTDOWN_POLL_SECONDS = 0.02
 
 
 class GracefulShutdown:
-    """Runs from the stop signal to the end of the process. `leaving` decides, this carries out."""
+    """Carries out the shutdown by `schedule`, from the stop signal to the end of the process."""
 
     def __init__(self, sidecar: SidecarParts) -> None:
         self.sidecar = sidecar
         admin = sidecar.admin_service
         settings = sidecar.platform.settings
-        self.leaving = ShutdownSchedule(
+        self.schedule = ShutdownSchedule(
             sidecar.clock.now(),
             settings.classes,
             settings.balancer_count,
@@ -30,35 +30,35 @@
         )
 
     def run(self) -> None:
-        """Do what is due by now, and again after a moment, until nothing is open."""
-        sidecar, leaving, server = self.sidecar, self.leaving, self.sidecar.server
+        """Carry out the due steps, and repeat periodically until all connections are closed."""
+        sidecar, schedule, server = self.sidecar, self.schedule, self.sidecar.server
         now = sidecar.clock.now()
         if server.listener is None:
             self._close_connections(now)
-            if not leaving.should_continue(now, sidecar.exchange.open_snapshot(now)):
+            if not schedule.should_continue(now, sidecar.exchange.open_snapshot(now)):
                 self._cut_short(now)
                 if not server.connections:
                     sidecar.finish()
                     return
-        elif leaving.should_stop_accepting(now, server.last_connect_at, server.is_full):
+        elif schedule.should_stop_accepting(now, server.last_connect_at, server.is_full):
             server.stop_listening()
         else:
-            server.close_idle(leaving.max_idle(now), leaving.min_idle_seconds)
+            server.close_idle(schedule.max_idle(now), schedule.min_idle_seconds)
         sidecar.clock.at(now + SHUTDOWN_POLL_SECONDS, self.run)
 
     def _close_connections(self, now: float) -> None:
-        """Close callers' connections between requests, all of them once the time is up."""
-        leaving, server = self.leaving, self.sidecar.server
-        if keep := leaving.max_idle(now):
-            server.close_idle(keep, leaving.min_idle_seconds)
+        """Close idle connections of callers, and all unanswered ones once none may stay idle."""
+        schedule, server = self.schedule, self.sidecar.server
+        if keep := schedule.max_idle(now):
+            server.close_idle(keep, schedule.min_idle_seconds)
         else:
-            is_final = now >= leaving.deadline
-            server.close_unanswered(is_patient=leaving.has_successor and not is_final, is_final=is_final)
+            is_final = now >= schedule.deadline
+            server.close_unanswered(is_patient=schedule.has_successor and not is_final, is_final=is_final)
 
     def _cut_short(self, now: float) -> None:
         """Give up the requests that are still open."""
-        exchange, leaving = self.sidecar.exchange, self.leaving
+        exchange, schedule = self.sidecar.exchange, self.schedule
         if exchange.open_count:
-            log.line("cut-short", open=exchange.open_count, after=now - leaving.started_at)
+            log.line("cut-short", open=exchange.open_count, after=now - schedule.started_at)
             self.sidecar.server.is_cut_short = True
-            exchange.answer_all(leaving)
+            exchange.answer_all(schedule)
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -1,4 +1,4 @@
-"""One real sidecar: wires the parts, starts them, and stops them."""
+"""One sidecar: creates, starts and stops its parts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wheatring.daemon.operator_properties import OperatorProperties
 from wheatring.daemon.shutdown import GracefulShutdown
 
-if TYPE_CHECKING:  # what belongs to a feature is imported once that is turned on
+if TYPE_CHECKING:  # modules of a feature are imported at run time only if it is enabled
     from wheatring.balancer.interface import View
     from wheatring.common.body import BodyMemory
     from wheatring.daemon.admin.server import AdminServer
@@ -28,34 +28,34 @@
     from wheatring.fleet.peers.list_sharing import ListSharing
 
 RESERVED_DESCRIPTORS = 24  # for the log, the reactor, listening sockets, the configuration, discovery calls
-ADMIN_DESCRIPTORS = 32  # and for operators' calls with their socket, and files that two processes share
-NODE_CONNECTION_SHARE = 0.4  # of the rest, for nodes: callers' requests may hold a third, and others are idle
-PLAN_WAIT_SECONDS = 6.0  # for the fleet's plan, before callers are let in without it
-PLAN_POLL_SECONDS = 0.02  # between two looks whether it has come
+ADMIN_DESCRIPTORS = 32  # for operators' calls, their listening socket, and the files shared between processes
+NODE_CONNECTION_SHARE = 0.4  # connections for nodes: requests in flight may use a third, and others are idle
+PLAN_WAIT_SECONDS = 6.0  # time-out for the fleet's plan, after which the sidecar serves without it
+PLAN_POLL_SECONDS = 0.02
 
 
 class Sidecar:
-    """All parts of one sidecar, wired on a reactor.
+    """All parts of one sidecar, connected to a reactor.
 
     Parameters
     ----------
     reactor : Any
-        Gives monotonic time, in seconds, and all sockets.
+        Provides monotonic time, in seconds, and sockets.
     platform : platform_file.PlatformConfig
-        What the platform says: settings, addresses, limits.
+        The platform's settings, addresses and limits.
     operators : OperatorProperties
-        What the operators' file says at the start.
+        The properties from the operators' file at the start.
     capture : bool
         Whether to record all decisions.
     unix : Callable[[], float]
-        Reads Unix time, in seconds.
+        Returns Unix time, in seconds.
     configuration_path, configuration : str | None, ProjectFile | None
-        The project's own file, if there is one, and its content.
+        The project's configuration file, if there is one, and its content.
 
     Raises
     ------
     ProjectFileError
-        The project's own file, or one that it names, can't be used.
+        The project's configuration file, or a file that it refers to, can't be used.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
         self.reactor = reactor
         self.platform = platform
         self.configuration_path = configuration_path
-        self.operators = OperatorProperties()  # those in effect
+        self.operators = OperatorProperties()  # the properties in effect
         self.first_operators = operators
         self.clock = Clock(reactor, unix)
         self.exit_status = 0
-        self.cleanup = ExitStack()  # the ends of optional parts, last added first
+        self.cleanup = ExitStack()  # stops the optional parts, in reverse order
         self.admin_service: AdminService | None = None
         self.admin_server: AdminServer | None = None
         self.ring: CaptureRing | None = None
@@ -86,8 +86,8 @@
         self.fleet: FleetRuntime | None = None
         self.list_sharing: ListSharing | None = None
         self.pools: PoolSet | None = None
-        body_room, node_connections = self._wire_core(configuration)
-        on_view = self._add_features(configuration, node_connections, body_room, capture)
+        body_memory, node_connections = self._wire_core(configuration)
+        on_view = self._add_features(configuration, node_connections, body_memory, capture)
         self.machine_list = self.serving.list_from(platform.discovery, on_view)
         if capture:
             from wheatring.daemon.features import add_capture
@@ -101,7 +101,7 @@
             self.list_sharing.start(self.machine_list)
 
     def _wire_core(self, configuration: ProjectFile | None) -> tuple[BodyMemory, int]:
-        """Make the parts that every sidecar has; return the room for bodies and the node connections."""
+        """Create the mandatory parts; return the memory for bodies and the limit of node connections."""
         from wheatring.common.body import body_memory_for
         from wheatring.daemon.core.exchange import Exchange
         from wheatring.daemon.http1.server import Server
@@ -110,34 +110,34 @@
         platform, settings = self.platform, self.platform.settings
         has_admin = platform.control is not None
         self.exchange = Exchange(self.clock, settings.contract.answer_grace)
-        body_room = body_memory_for(platform.memory_mb, 2 if has_admin else 1)
+        body_memory = body_memory_for(platform.memory_mb, 2 if has_admin else 1)
         reserved = RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if has_admin else 0)
         self.connection_limit = platform.sockets - reserved
         node_connections = int(self.connection_limit * NODE_CONNECTION_SHARE)
         pace = () if configuration is None else (list_pace(configuration),)
         self.serving = ServingPool(
-            self.reactor, self.clock, self.exchange, settings, platform.seed, node_connections, body_room,
+            self.reactor, self.clock, self.exchange, settings, platform.seed, node_connections, body_memory,
             *pace,
         )  # fmt: skip
         self.driver = self.serving.driver
         self.pool = self.serving.pool
         caller_connections = self.connection_limit - node_connections
         self.server = Server(
-            self.reactor, self.clock, self.exchange, settings.classes, caller_connections, body_room
+            self.reactor, self.clock, self.exchange, settings.classes, caller_connections, body_memory
         )
-        return body_room, node_connections
+        return body_memory, node_connections
 
     def _add_features(
-        self, configuration: ProjectFile | None, node_connections: int, body_room: BodyMemory, capture: bool
+        self, configuration: ProjectFile | None, node_connections: int, body_memory: BodyMemory, capture: bool
     ) -> Callable[[View], None]:
-        """Add the optional parts through which the endpoint list passes; return its first receiver."""
+        """Add the features through which the endpoint list passes; return its first receiver."""
         on_view: Callable[[View], None] = self.driver.feed
         if configuration is None and self.platform.control is None:
             return on_view
         from wheatring.daemon import features
 
         if configuration is not None and configuration.route:
-            on_view = features.add_pools(self, configuration, node_connections, body_room, capture)
+            on_view = features.add_pools(self, configuration, node_connections, body_memory, capture)
         if self.platform.control is not None:
             on_view = features.add_admin(self, on_view)
         if configuration is not None and configuration.fleet is not None:
@@ -147,14 +147,14 @@
     # Connections
 
     def connections_in_use(self) -> int:
-        """Count the connections to callers and nodes, those being made among them."""
+        """Return the number of connections to callers and nodes, including pending connects."""
         to_nodes = len(self.pool.connections) + len(self.pool.pending_connects)
         if self.pools is not None:
             to_nodes += self.pools.budget.in_use()
         return len(self.server.connections) + to_nodes
 
     def set_connection_limit(self, connections: int) -> None:
-        """Have at most so many connections, as another process of this sidecar has the rest."""
+        """Limit the connections of this process, as other processes of the sidecar use the rest."""
         self.pool.max_connections = int(connections * NODE_CONNECTION_SHARE)
         if self.pools is not None:
             self.pools.budget.total = self.pool.max_connections
@@ -163,7 +163,7 @@
     # Start
 
     def start(self) -> None:
-        """Start all parts; callers are let in once the list, and the weights if any, are known."""
+        """Start all parts; callers' connections are accepted once the list and any plan weights are known."""
         if self.admin_service is not None:
             self._start_admin()
         self.machine_list.load_cached(self.platform.known)
@@ -198,9 +198,9 @@
             self.listen()
 
     def _open_with_plan(self, until: float) -> None:
-        """Let callers in once the fleet's weights are known, or at monotonic `until` by the file's.
+        """Accept callers once the fleet's plan is known, or at monotonic `until` with the file's weights.
 
-        A sidecar that starts within a window of the plan has its weights before it takes a request.
+        A sidecar that starts during a window of the plan thus applies its weights to all requests.
         """
         assert self.fleet is not None
         now = self.clock.now()
@@ -210,16 +210,17 @@
             self.clock.at(now + PLAN_POLL_SECONDS, self._open_with_plan, until)
 
     def listen(self) -> None:
-        """Let callers in."""
+        """Start to accept callers' connections."""
         from twisted.internet.error import CannotListenError
 
-        host, number = self.platform.listen
+        host, requested_port = self.platform.listen
         try:
-            port = self.server.listen(host, number, is_shared=self.admin_service is not None)
+            port = self.server.listen(host, requested_port, is_shared=self.admin_service is not None)
         except CannotListenError as error:
             if not self.reactor.running:
                 raise
-            # A new process waits for its connections first. It must not stay, deaf, beside one that serves.
+            # A new process waits for its share of the connections before it listens. If it then can't listen,
+            # it exits, as it must not keep running beside the process that serves.
             print(f"wheatring: listen: {error}", file=sys.stderr)
             self.exit_status = 2
             self.reactor.stop()
@@ -229,12 +230,12 @@
     # While it runs
 
     def record(self, event: str, actor: str) -> None:
-        """Write an event to the audit log, if there is one."""
+        """Write an event to the audit log if it is enabled."""
         if self.audit is not None:
             self.audit.record(event, actor)
 
     def apply_operators(self, operators: OperatorProperties) -> None:
-        """Put into effect what the operators may change while it serves."""
+        """Apply the operators' properties that may change at run time."""
         if self.audit is not None:
             self.audit.record_key_changes(self.operators, operators)
         if self.drills is None and operators.drill != self.operators.drill:
@@ -254,11 +255,11 @@
         self.operators = operators
 
     def reload(self, environment: Mapping[str, str], operators_path: str | None) -> None:
-        """Read all files again, and put into effect what may change while it serves."""
+        """Reload all files, and apply the settings that may change at run time."""
         reload_all(self, environment, operators_path)
 
     def stop(self) -> None:
-        """Answer what has come and what still arrives, as far as that is worth its time, then exit."""
+        """Begin the graceful shutdown, which ends the process."""
         if not self.server.is_stopping:
             log.line("stopping", open=self.exchange.open_count)
             self.record("stop", "platform")
@@ -269,9 +270,9 @@
             self.shutdown.run()
 
     def finish(self) -> None:
-        """End all parts, and the process with them."""
+        """Stop all parts and then the process."""
         self.machine_list.unsubscribe()
         self.pool.close()
         self.cleanup.close()
         log.line("stopped")
-        self.clock.at(self.clock.now(), self.reactor.stop)  # once these connections have had their lines
+        self.clock.at(self.clock.now(), self.reactor.stop)  # after the closed connections have been logged
