--- a/tests/daemon/system/drawn_settings.py
+++ b/tests/daemon/system/drawn_settings.py
@@ -79,7 +79,7 @@
 SETTINGS = platform.sidecar_settings
 
 
-def drawn(random: Random) -> Day:
+def draw_day(random: Random) -> Day:
     """Draw settings within the documented limits. Times are whole milliseconds."""
 
     def log_uniform(low: float, high: float) -> float:
@@ -90,10 +90,10 @@
 
     def name() -> str:
         """Draw a new name that starts with a letter."""
-        drawn = random.choice(LETTERS) + "".join(random.choices(LETTERS + ".-_", k=random.randint(0, 30)))
-        drawn += f".{len(used_names)}" if drawn in used_names else ""
-        used_names.add(drawn)
-        return drawn
+        new_name = random.choice(LETTERS) + "".join(random.choices(LETTERS + ".-_", k=random.randint(0, 30)))
+        new_name += f".{len(used_names)}" if new_name in used_names else ""
+        used_names.add(new_name)
+        return new_name
 
     def coin_flip() -> bool:
         return random.random() < 0.5
@@ -184,7 +184,7 @@
     args = parser.parse_args()
     breached_days, totals = 0, Counter[str]()
     for seed in range(args.first, args.first + args.days):
-        day = drawn(Random(seed))
+        day = draw_day(Random(seed))
         if args.trace is None:
             outcome = day.play(args.grain)
         else:
--- a/tests/daemon/system/membership/conftest.py
+++ b/tests/daemon/system/membership/conftest.py
@@ -33,9 +33,9 @@
 
 @pytest.fixture
 def scenario(request: pytest.FixtureRequest) -> Iterator[Scenario]:
-    found = Scenario(request.node.name)
-    yield found
-    assert not found.fleet.violations, found.fleet.violations[:5]
+    state = Scenario(request.node.name)
+    yield state
+    assert not state.fleet.violations, state.fleet.violations[:5]
 
 
 # Given
@@ -168,8 +168,10 @@
     fleet = scenario.fleet
     allowed = {"no": 0, "one": 1}.get(count) if not count.isdigit() else int(count)
     assert allowed is not None
-    found = fleet.change_count()
-    assert found <= allowed if most else found == allowed, f"{found} changes: {fleet.describe_views()}"
+    change_count = fleet.change_count()
+    assert change_count <= allowed if most else change_count == allowed, (
+        f"{change_count} changes: {fleet.describe_views()}"
+    )
     fleet.counted_from = max(fleet.views)
 
 
--- a/tests/daemon/system/membership/fleet.py
+++ b/tests/daemon/system/membership/fleet.py
@@ -43,7 +43,7 @@
         self.agreements: dict[str, Agreement] = {}
         self.voters = [f"n{number}" for number in range(voters)]
         self.last_named: list[str] = []
-        self.current_views: dict[str, View] = {}  # the current view of each process
+        self.current_views: dict[str, View] = {}  # by process
         self.views: dict[int, View] = {0: View()}  # all views so far, by number
         self.counted_from = 0  # the view number from which changes are counted
         self.violations: list[str] = []
@@ -62,9 +62,9 @@
         self.current_views[node.name] = view
         at = f"{node.name} at {self.cluster.now:.2f} s"
         if previous is not None and view.number < previous.number:
-            self.violations.append(f"{at} goes back from {previous.number} to {view.number}")
+            self.violations.append(f"{at} replaces view {previous.number} by the older view {view.number}")
         if self.views.setdefault(view.number, view).members != view.members:
-            self.violations.append(f"{at} stands in {view.number} with other members")
+            self.violations.append(f"{at} is in view {view.number} with other members")
 
     # Selection
 
@@ -75,17 +75,17 @@
     @property
     def leader(self) -> str:
         """The leader with the highest epoch."""
-        leads = [name for name in self.running if self.views_of(name).register.is_ready]
-        return max(leads, key=lambda name: self.views_of(name).register.epoch or 0, default="")
+        leaders = [name for name in self.running if self.views_of(name).register.is_ready]
+        return max(leaders, key=lambda name: self.views_of(name).register.epoch or 0, default="")
 
     def views_of(self, name: str) -> MembershipViews:
         return self.agreements[name].views
 
     def select(self, phrase: str) -> list[str]:
         """Return the names for "n3 and n4", "2 voters", "4 that do not vote", "the leader", "all others"."""
-        found = self._select(phrase)
-        assert found, f"{phrase}: nobody"
-        return found
+        selected = self._select(phrase)
+        assert selected, f"{phrase}: nobody"
+        return selected
 
     def _select(self, phrase: str) -> list[str]:
         names = list(self.cluster.nodes)
@@ -102,14 +102,14 @@
         if match := re.fullmatch(r"the observers of (\w+)", phrase):
             return self.views_of(self.leader).installer.rings.observers(match[1])
         if match := re.fullmatch(r"(\d+) voters?( besides the leader)?", phrase):
-            some = [name for name in self.voters if not match[2] or name != self.leader]
-            return sorted(self.random.sample(some, int(match[1])))
+            candidates = [name for name in self.voters if not match[2] or name != self.leader]
+            return sorted(self.random.sample(candidates, int(match[1])))
         if match := re.fullmatch(r"(\d+) that (?:does|do) not vote", phrase):
-            rest = [name for name in names if name not in self.voters]
-            return sorted(self.random.sample(rest, int(match[1])))
-        listed = re.split(r", | and ", phrase)
-        assert {*listed} <= {*names}, f"{phrase}: who is that?"
-        return listed
+            candidates = [name for name in names if name not in self.voters]
+            return sorted(self.random.sample(candidates, int(match[1])))
+        selected = re.split(r", | and ", phrase)
+        assert {*selected} <= {*names}, f"{phrase}: who is that?"
+        return selected
 
     # Faults
 
--- a/tests/daemon/system/test_drawn_settings.py
+++ b/tests/daemon/system/test_drawn_settings.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from tests.daemon.system.drawn_settings import Day, ExtremeRandom, drawn
+from tests.daemon.system.drawn_settings import Day, ExtremeRandom, draw_day
 from wheatring.lab.plan import Plan
 
 DATA = Path(__file__).parent / "data"
@@ -27,7 +27,7 @@
 def test_a_day_with_random_settings_keeps_the_rules(
     tmp_path: Path, random_type: type[Random], seed: int
 ) -> None:
-    day = drawn(random_type(seed))
+    day = draw_day(random_type(seed))
     config = day.read(tmp_path)
     assert {each.name for each in config.settings.classes} == {each.name for each in day.plan.classes}
     check(day)
--- a/tests/daemon/system/test_reload.py
+++ b/tests/daemon/system/test_reload.py
@@ -20,7 +20,7 @@
 HOUR_US = 3_600_000_000
 LONG_DEADLINE_SETTINGS = {
     **SETTINGS,
-    "classes": [{**each, "deadline": HOUR_US} for each in SETTINGS["classes"]],
+    "classes": [{**settings, "deadline": HOUR_US} for settings in SETTINGS["classes"]],
 }
 
 
@@ -29,15 +29,15 @@
 
     def __init__(self, process: subprocess.Popen[str], file: Path, old: Peer, node: Peer) -> None:
         self.process, self.file, self.old, self.node = process, file, old, node
-        self.new, self.wrong = Peer(), Peer()
+        self.new, self.unused = Peer(), Peer()
         self.port = int(wait_for_line(process, "listening").rpartition("=")[2])
         self.watch = old.accept()
         self.watch.read()
-        self.first = self.ask("unsafe")
+        self.pending_caller = self.ask("unsafe")
         self.pending_attempt = node.accept()
         self.pending_attempt.read()
-        self.after = self.ask("menu")  # all later requests use these connections
-        self.other = node.accept()
+        self.caller = self.ask("menu")  # all later requests use these connections
+        self.node_connection = node.accept()
         self.serve_next()
 
     def ask(self, name: str, wire: Wire | None = None) -> Wire:
@@ -47,31 +47,31 @@
         return wire
 
     def serve_next(self) -> None:
-        self.other.read()
-        self.other.answer(200, b"after")
-        assert self.after.read()[2] == b"after"
+        self.node_connection.read()
+        self.node_connection.answer(200, b"after")
+        assert self.caller.read()[2] == b"after"
 
     def reload(self) -> str:
         """Send SIGHUP, and return the log line on the platform's file."""
         self.process.send_signal(signal.SIGHUP)
         assert self.process.stdout is not None
-        return next(each for each in self.process.stdout if each.startswith(("reloaded", "not-reloaded")))
+        return next(line for line in self.process.stdout if line.startswith(("reloaded", "not-reloaded")))
 
     def write_file(self, **changes: Any) -> None:
         """Write the file, with another discovery address by default."""
-        defaults = {"settings": LONG_DEADLINE_SETTINGS, "discovery": f"127.0.0.1:{self.wrong.port}"}
+        defaults = {"settings": LONG_DEADLINE_SETTINGS, "discovery": f"127.0.0.1:{self.unused.port}"}
         self.file.write_text(json.dumps(platform_config(**{**defaults, **changes})), encoding="utf-8")
 
     def check_valid_reload(self) -> None:
         """Check that a valid file is applied and that the request in flight is still answered."""
         self.write_file(discovery=f"127.0.0.1:{self.new.port}")
         assert self.reload().startswith("reloaded")
-        moved = self.new.accept()
-        assert moved.read()[0] == "GET /v1/servers HTTP/1.1"
-        moved.answer(200, list_body(9, entry("n0", self.node), reset=True))
-        assert self.watch.at_end() and moved.read()[0].startswith("GET /v1/servers?index=9&")
+        new_watch = self.new.accept()
+        assert new_watch.read()[0] == "GET /v1/servers HTTP/1.1"
+        new_watch.answer(200, list_body(9, entry("n0", self.node), reset=True))
+        assert self.watch.at_end() and new_watch.read()[0].startswith("GET /v1/servers?index=9&")
         self.pending_attempt.answer(200, b"first")
-        assert self.first.read()[2] == b"first"
+        assert self.pending_caller.read()[2] == b"first"
         self.process.send_signal(signal.SIGTERM)
         assert self.process.wait(WAIT_LIMIT_SECONDS) == 0
 
@@ -85,7 +85,7 @@
     with running_process(tmp_path, "", known=known, settings=LONG_DEADLINE_SETTINGS) as process:
         fixture = Running(process, tmp_path / "c.json", old, node)
         yield fixture
-    for peer in (old, node, fixture.new, fixture.wrong):
+    for peer in (old, node, fixture.new, fixture.unused):
         peer.close()
 
 
@@ -134,7 +134,7 @@
         and INVALID_FILES[invalidate] in log_line
         and "code=config-" in log_line
     )
-    running.ask("menu", running.after)
+    running.ask("menu", running.caller)
     running.serve_next()
     running.watch.answer(200, list_body(4))  # had discovery changed, the next call would go elsewhere
     assert running.watch.read()[0].startswith("GET /v1/servers?index=4&")
@@ -152,6 +152,6 @@
             discovery=f"127.0.0.1:{running.old.port}",
         )
         assert running.reload().startswith("reloaded")
-        running.ask("menu", running.after)
+        running.ask("menu", running.caller)
         running.serve_next()
     running.check_valid_reload()
--- a/wheatring/daemon/configuration.py
+++ b/wheatring/daemon/configuration.py
@@ -99,9 +99,7 @@
         raise RestartRequiredError(
             "route: adding the first route or removing the last one requires a restart"
         )
-    if pools is not None and (
-        why := pools.rejection(configuration)
-    ):  # checked before the fleet applies anything
+    if pools is not None and (why := pools.rejection(configuration)):  # before the fleet applies it
         raise ProjectFileError(why)
     if sidecar.fleet is not None:
         from wheatring.fleet.peers.reload import reload_fleet
--- a/wheatring/daemon/lifecycle/shutdown_schedule.py
+++ b/wheatring/daemon/lifecycle/shutdown_schedule.py
@@ -36,9 +36,7 @@
 MAX_ACCEPT_SECONDS = 0.65  # requests accepted later than 0.7 s after SIGTERM may still be open at SIGKILL
 CLOSE_IDLE_SECONDS = 0.2
 CLOSE_IDLE_WITH_SUCCESSOR_SECONDS = 2.0
-MIN_IDLE_SECONDS = (
-    0.3  # with a successor: a client that has been idle for less may be about to send a request
-)
+MIN_IDLE_SECONDS = 0.3  # with a successor: a client idle for less may be about to send a request
 KILL_AFTER_DEADLINE_SECONDS = 0.7  # time from the longest class deadline to SIGKILL
 MAX_DEADLINE_SECONDS = 3.0  # longer class deadlines count as this
 MARGIN_BEFORE_KILL_SECONDS = 0.2
