--- a/tests/daemon/http1/test_requests.py
+++ b/tests/daemon/http1/test_requests.py
@@ -486,7 +486,7 @@
     if isinstance(world.sockets, LoopbackSockets):
         pytest.skip("the timing can't be controlled on loopback sockets")
     begin_shutdown(world)
-    world.sockets.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.leaving.started_at > 0.41)
+    world.sockets.until(lambda: world.sidecar.clock.now() - world.sidecar.shutdown.schedule.started_at > 0.41)
     late, silent = world.caller(), world.caller()
     world.sockets.until(lambda: world.sidecar.server.listener is None)
     closed_at = world.sidecar.clock.now()
--- a/tests/daemon/http1/test_shutdown.py
+++ b/tests/daemon/http1/test_shutdown.py
@@ -83,7 +83,7 @@
     node = world.nodes[0].accept()
     node.read()
     begin_shutdown(world)
-    world.sidecar.shutdown.leaving.deadline = 0.0  # no request may continue after accepting has stopped
+    world.sidecar.shutdown.schedule.deadline = 0.0  # no request may continue after accepting has stopped
     assert wire.read()[0].startswith("HTTP/1.1 502")  # it may have been executed
     assert {wire.read()[0][:12] for _ in range(100)} == {"HTTP/1.1 503"}
     assert wire.at_end() and world.sidecar.driver.last_id <= 2
@@ -184,7 +184,7 @@
     node = world.nodes[0].accept()
     node.read()
     begin_shutdown(world)
-    world.sidecar.shutdown.leaving.deadline = 0.0  # no request may continue after accepting has stopped
+    world.sidecar.shutdown.schedule.deadline = 0.0  # no request may continue after accepting has stopped
     assert wire.read()[0].startswith("HTTP/1.1 503")  # the caller does not close its connection
     stopped_at = world.run(world.sidecar.clock.now)
     world.logged("ended")
--- a/tests/daemon/pools/test_pool_set.py
+++ b/tests/daemon/pools/test_pool_set.py
@@ -267,7 +267,9 @@
     assert rejected.read()[0].split()[1] == "503"
     world.assert_served("y", 1)
     world.reload(own_lists(lists[0].port, lists[1].port) + "[list]\nper_s = 20\n")
-    assert {pool.serving.machine_list.request_schedule.pace.second_round_rate for pool in world.pools.all()} == {20.0}
+    assert {
+        pool.serving.machine_list.request_schedule.pace.second_round_rate for pool in world.pools.all()
+    } == {20.0}
     for wire in [*watches, *world.connections.values()]:
         wire.close()
     for peer in lists:
--- a/wheatring/daemon/http1/endpoint_list.py
+++ b/wheatring/daemon/http1/endpoint_list.py
@@ -196,7 +196,7 @@
             return
         self.called_at = now = self.clock.now()
         if self.version is None:  # ends soon; the time of the next call is determined by its result
-            self.client.call(None, now + self.request_schedule.draw_patience(), self.handle_watch_answer)
+            self.client.call(None, now + self.request_schedule.draw_timeout(), self.handle_watch_answer)
             return
         deadline = now + WATCH_WAIT_SECONDS + CALL_SLACK_SECONDS
         self.client.call(self.version, deadline, self.handle_watch_answer)
