--- a/tests/fleet/peers/test_recorded_frames.py
+++ b/tests/fleet/peers/test_recorded_frames.py
@@ -1,4 +1,4 @@
-"""The wire format between sidecars, against frames recorded from the version of 1 December."""
+"""The wire format of datagrams and body transfers, against frames recorded on 1 December."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("has_key", [True, False])
-def test_a_recorded_datagram_is_encoded_and_decoded_alike(has_key: bool) -> None:
+def test_a_datagram_matches_its_recorded_bytes(has_key: bool) -> None:
     keys = (KEY,) if has_key else ()
     sender, receiver = codec("a", *keys), codec("b", *keys)
     recorded = [each for each in RECORDED["datagrams"] if each["sealed_with_key"] == has_key]
@@ -48,26 +48,28 @@
         assert sender.encode(message) == data
 
 
-def test_a_recorded_body_request_is_encoded_and_answered_alike() -> None:
+def test_a_body_request_and_its_reply_match_the_recorded_bytes() -> None:
     request = bytes.fromhex(RECORDED["body_request"])
     encoded = codec("a", KEY, messages=BodyRequest).encode(BodyRequest(digest(BODY)))
     assert _REQUEST_HEAD.pack(len(encoded)) + encoded == request
     receiver = codec("b", KEY, messages=BodyRequest)
-    transfers = BodyTransfers(None, Clock(_Reactor()), receiver, {digest(BODY): BODY}.get, lambda *_: None)
+    transfers = BodyTransfers(
+        None, Clock(_ReactorStub()), receiver, {digest(BODY): BODY}.get, lambda *_: None
+    )
     sender = transfers.buildProtocol(None)
-    sender.transport = _Transport()
+    sender.transport = _TransportStub()
     sender.connectionMade()
     sender.dataReceived(request)
     assert sender.transport.written == bytes.fromhex(RECORDED["body_reply"])
 
 
-def test_a_recorded_reply_has_its_head_and_body() -> None:
+def test_a_recorded_body_reply_has_the_expected_head_and_body() -> None:
     reply = bytes.fromhex(RECORDED["body_reply"])
     assert _REPLY_HEAD.unpack_from(reply) == (1, len(BODY)) and reply[_REPLY_HEAD.size :] == BODY
     assert _REPLY_HEAD.pack(0, 0) == bytes.fromhex(RECORDED["no_body_reply"])
 
 
-class _Reactor:
+class _ReactorStub:
     def seconds(self) -> float:
         return 0.0
 
@@ -75,7 +77,7 @@
         return None
 
 
-class _Transport:
+class _TransportStub:
     def __init__(self) -> None:
         self.written = b""
 
@@ -89,4 +91,4 @@
         return
 
     def abortConnection(self) -> None:  # noqa: N802 - Twisted's name
-        raise AssertionError("it was rejected")
+        raise AssertionError("the request was rejected")
--- a/wheatring/fleet/members/cut_detector.py
+++ b/wheatring/fleet/members/cut_detector.py
@@ -1,11 +1,11 @@
-"""Which reports make one change of the view: watermarks, one cut for many failures, and who is admitted.
+"""Decides which reports lead to a view change: watermarks, one cut for many failures, and admissions.
 
-The leader's part; every voter listens, so that the next leader knows as much. No I/O; `now` is monotonic, in
-seconds. After Rapid's multi-process cut detection (Suresh et al., 2018).
+The leader acts on it. Every voter collects the same reports, so that a new leader has them too. No I/O; `now`
+is monotonic, in seconds. Based on Rapid's multi-process cut detection (Suresh et al., 2018).
 
-What must never hold: a member is removed that fewer than `HIGH_WATERMARK` of its observers miss; one is
-removed while another is unsure, before `UNSURE_WAIT_SECONDS` are over, or nearly down, before
-`NEARLY_DOWN_WAIT_SECONDS` are; one is removed that an indirect check has reached.
+Invariants: a member is removed only if at least `HIGH_WATERMARK` of its observers report it as silent. It is
+not removed while another member's state is uncertain, for up to `UNCERTAIN_WAIT_SECONDS`, or while another
+one is nearly down, for up to `NEARLY_DOWN_WAIT_SECONDS`. It is never removed if an indirect check reached it.
 """
 
 from __future__ import annotations
@@ -19,36 +19,43 @@
 from wheatring.fleet.members.view import Rings, View
 from wheatring.fleet.members.view_messages import ViewMember
 
-REPORT_VALID_SECONDS = 3.5  # for which a report counts
-HIGH_WATERMARK, LOW_WATERMARK = 5 / 6, 1 / 3  # parts of the observers that make a member down, or unsure
-UNSURE_WAIT_SECONDS = 2.0  # for which who is down waits for who is unsure,
-NEARLY_DOWN_WAIT_SECONDS = 4.0  # and for whom as many miss, but not for long enough yet
-INDIRECT_CHECK_AFTER_SECONDS = 4.0  # of silence, from which on a member is checked indirectly
-INDIRECT_CHECK_SECONDS = 1.0  # for the indirect check
-REACHED_VALID_SECONDS = 8.0  # for which it counts that an indirect check reached a member
-JOIN_QUIET_SECONDS = 0.3  # without a join request, after which all that asked are admitted,
-JOIN_GATHER_SECONDS = 2.5  # and since the first request, at the latest
-JOIN_HOLD_SECONDS = 10.0  # since the first, for which they wait for those about to be removed
-MAX_NAMES = 4000  # members that something is kept of
+REPORT_VALID_SECONDS = 3.5
+# Fractions of a member's observers that have to report it: it is down from the high watermark on, and its
+# state is uncertain from the low one on.
+HIGH_WATERMARK, LOW_WATERMARK = 5 / 6, 1 / 3
+# Removals are delayed up to this long while other members are uncertain.
+UNCERTAIN_WAIT_SECONDS = 2.0
+# Removals are delayed up to this long while enough observers report another member, but for too short a time.
+NEARLY_DOWN_WAIT_SECONDS = 4.0
+INDIRECT_CHECK_AFTER_SECONDS = 4.0  # silence after which the indirect check starts
+INDIRECT_CHECK_SECONDS = 1.0  # duration of the indirect check
+REACHED_VALID_SECONDS = 8.0  # validity of a successful indirect check
+# Join requests are batched: all are admitted after this long without a further request,
+JOIN_QUIET_SECONDS = 0.3
+# or at the latest this long after the first request.
+JOIN_GATHER_SECONDS = 2.5
+# Pending removals delay admissions up to this long after the first request.
+JOIN_HOLD_SECONDS = 10.0
+MAX_TRACKED_MEMBERS = 4000  # bounds the stored reports and the stored join requests
 
 
 class SuspectedMembers(NamedTuple):
-    """The members that observers miss."""
+    """The members that their observers report as silent."""
 
     down: frozenset[str]
-    unsure: frozenset[str]  # neither down nor surely alive
+    uncertain: frozenset[str]  # above the low watermark, but not down
 
 
 class Deferral(NamedTuple):
-    """A member that isn't admitted yet."""
+    """A join request that is deferred because the member was removed repeatedly."""
 
     member: ViewMember
     wait_seconds: float
-    penalty: float  # of its removals
+    penalty: float  # see `RejoinPenalties`
 
 
 class Admissions(NamedTuple):
-    """Who is admitted now, all in one change, and who has to wait."""
+    """The members to admit now, in one view change, and the deferred join requests."""
 
     admitted: list[ViewMember]
     deferred: list[Deferral]
@@ -60,19 +67,19 @@
 
 
 class CutDetector:
-    """Collects what observers report and who asks to join, and says which changes come of it."""
+    """Collects reports of observers and join requests, and derives removals and admissions from them."""
 
     def __init__(self) -> None:
         self.reports: dict[str, _Report] = {}
         self.join_requests: dict[str, tuple[float, ViewMember]] = {}
         self.first_join_request = self.last_join_request = -inf
-        self.reached: dict[str, float] = {}  # by an indirect check of whomever, and when
-        self.checked_since: dict[str, float] = {}  # since when a member has been checked indirectly
-        self.waiting_since = inf  # since when somebody is down and waits for others
+        self.reached: dict[str, float] = {}  # time of the last successful indirect check, by member
+        self.checked_since: dict[str, float] = {}  # start of the indirect check, by member
+        self.waiting_since = inf  # start of the current delay of removals
         self.rejoin_penalties = RejoinPenalties()
 
     def clear_evidence(self) -> None:
-        """Forget all evidence after a stop of this process: of a time without messages nothing counts."""
+        """Discard all evidence after a pause of this process, which has missed the messages of that time."""
         self.reports.clear()
         self.checked_since.clear()
         self.reached.clear()
@@ -81,33 +88,33 @@
     # Evidence
 
     def add_report(self, now: float, observer: str, silent: Iterable[tuple[str, float]]) -> None:
-        """Take an observer's report: its silent subjects, and for how many seconds."""
-        if observer in self.reports or len(self.reports) < MAX_NAMES:
+        """Store an observer's report: its silent subjects, each with the seconds of its silence."""
+        if observer in self.reports or len(self.reports) < MAX_TRACKED_MEMBERS:
             self.reports[observer] = _Report(now, dict(silent))
 
-    def add_join_request(self, now: float, placed: ViewMember) -> None:
-        """Take the request of a process to join."""
-        name = placed.member.name
+    def add_join_request(self, now: float, view_member: ViewMember) -> None:
+        """Store a join request."""
+        name = view_member.member.name
         if name not in self.join_requests:
-            if len(self.join_requests) >= MAX_NAMES:
+            if len(self.join_requests) >= MAX_TRACKED_MEMBERS:
                 return
             if not self.join_requests:
                 self.first_join_request = now
             self.last_join_request = now
-        self.join_requests[name] = (now, placed)
+        self.join_requests[name] = (now, view_member)
 
     def note_reached(self, now: float, names: Iterable[str]) -> None:
-        """Take note of members that an indirect check has reached."""
+        """Record the members that an indirect check has reached."""
         for name in names:
             if name in self.checked_since:
                 self.reached[name] = now
 
-    def note_admitted(self, placed: Iterable[ViewMember]) -> None:
-        """Forget the evidence about earlier processes of members that a change has admitted.
+    def note_admitted(self, view_member: Iterable[ViewMember]) -> None:
+        """Discard the evidence about previous incarnations of members that a change has admitted.
 
-        One that left and came back at once would else be removed again.
+        Otherwise a member that left and rejoined at once would be removed again.
         """
-        names = {each.member.name for each in placed}
+        names = {each.member.name for each in view_member}
         self.reports = {
             observer: report._replace(
                 silent={name: seconds for name, seconds in report.silent.items() if name not in names}
@@ -117,77 +124,80 @@
         }
 
     def note_removed(self, now: float, names: Iterable[str]) -> None:
-        """Count a removal against the members that a change has removed."""
+        """Add a rejoin penalty to the members that a change has removed."""
         self.rejoin_penalties.add(now, names)
 
     # Watermarks
 
-    def _is_reported(self, now: float, name: str, observer: str, min_unanswered: float) -> bool:
+    def _is_reported(self, now: float, name: str, observer: str, min_silence_seconds: float) -> bool:
         """Return whether an observer's report counts against a member."""
         report = self.reports.get(observer)
         if report is None or now - report.received > REPORT_VALID_SECONDS:
             return False
         silence = report.silent.get(name)
-        return silence is not None and silence + now - report.received >= min_unanswered
+        return silence is not None and silence + now - report.received >= min_silence_seconds
 
     def _is_leaving(self, now: float, name: str) -> bool:
-        """Return whether a member has reported itself, as one that leaves does."""
+        """Return whether a member has announced that it leaves, which it does by reporting itself."""
         return self._is_reported(now, name, name, 0.0)
 
     def suspected_members(
-        self, now: float, view: View, rings: Rings, min_unanswered: float = DOWN_AFTER_SECONDS
+        self, now: float, view: View, rings: Rings, min_silence_seconds: float = DOWN_AFTER_SECONDS
     ) -> SuspectedMembers:
-        """Return who is down, and who is unsure, by silences of `min_unanswered` seconds."""
+        """Return the members that are down and those that are uncertain.
+
+        Only silences of at least `min_silence_seconds` count.
+        """
         named = {name for report in self.reports.values() for name in report.silent} & view.names
         reported_by = {
             name: [
                 observer
                 for observer in rings.observers(name)
-                if self._is_reported(now, name, observer, min_unanswered)
+                if self._is_reported(now, name, observer, min_silence_seconds)
             ]
             for name in sorted(named)
         }
-        doubted = self._doubted(reported_by, rings)
+        doubtful = self._doubtful_members(reported_by, rings)
         down: set[str] = set()
-        unsure: set[str] = set()
-        for name in sorted(doubted):
-            observers = [observer for observer in rings.observers(name) if observer not in doubted]
-            votes = [observer for observer in reported_by[name] if observer not in doubted]
-            # Of one with no observer left, the indirect check alone decides.
+        uncertain: set[str] = set()
+        for name in sorted(doubtful):
+            observers = [observer for observer in rings.observers(name) if observer not in doubtful]
+            votes = [observer for observer in reported_by[name] if observer not in doubtful]
+            # If no observer is left, the indirect check alone decides.
             is_down = self._is_leaving(now, name) or len(votes) >= ceil(HIGH_WATERMARK * len(observers))
-            (down if is_down else unsure).add(name)
-        for name in sorted({subject for observer in doubted for subject in rings.subjects(observer)}):
-            if name not in doubted and doubted.issuperset(rings.observers(name)):
-                down.add(name)  # nobody is left who could miss it
+            (down if is_down else uncertain).add(name)
+        for name in sorted({subject for observer in doubtful for subject in rings.subjects(observer)}):
+            if name not in doubtful and doubtful.issuperset(rings.observers(name)):
+                down.add(name)  # no observer is left that could report it
         down |= {name for name in self.reports if name in view.names and self._is_leaving(now, name)}
-        return SuspectedMembers(frozenset(down), frozenset(unsure - down))
+        return SuspectedMembers(frozenset(down), frozenset(uncertain - down))
 
-    def _doubted(self, reported_by: dict[str, list[str]], rings: Rings) -> set[str]:
+    def _doubtful_members(self, reported_by: dict[str, list[str]], rings: Rings) -> set[str]:
         """Return the members above the low watermark.
 
-        Observers that are themselves in doubt don't count: whoever is left decides. So one doubt may bring
-        the next, until no more come.
+        Observers that are above it themselves don't count, so one such member can bring others above the
+        watermark; this repeats until no member is added.
         """
-        doubted: set[str] = set()
+        doubtful: set[str] = set()
         while new := {
             name
-            for name in reported_by.keys() - doubted
-            if self._is_doubtful(reported_by[name], rings, name, doubted)
+            for name in reported_by.keys() - doubtful
+            if self._is_doubtful(reported_by[name], rings, name, doubtful)
         }:
-            doubted |= new
-        return doubted
+            doubtful |= new
+        return doubtful
 
-    def _is_doubtful(self, reported_by: list[str], rings: Rings, name: str, doubted: set[str]) -> bool:
-        observers = [observer for observer in rings.observers(name) if observer not in doubted]
-        votes = [observer for observer in reported_by if observer not in doubted]
+    def _is_doubtful(self, reported_by: list[str], rings: Rings, name: str, doubtful: set[str]) -> bool:
+        observers = [observer for observer in rings.observers(name) if observer not in doubtful]
+        votes = [observer for observer in reported_by if observer not in doubtful]
         return bool(reported_by) and len(votes) >= ceil(LOW_WATERMARK * len(observers))
 
     # Removals
 
     def members_to_check(self, now: float, view: View, rings: Rings) -> list[str]:
-        """Return who is to be checked indirectly from now on, as it may have to be removed."""
+        """Return the members whose indirect check starts now, as they may have to be removed."""
         likely = self.suspected_members(now, view, rings, INDIRECT_CHECK_AFTER_SECONDS).down
-        # That one was reached does not count for ever: it may have failed since, and is checked anew.
+        # A successful check expires, as the member may have failed since; it is then checked again.
         expired = {name for name, at in self.reached.items() if now - at > REACHED_VALID_SECONDS}
         self.checked_since = {name: at for name, at in self.checked_since.items() if name not in expired}
         new = sorted(likely - self.checked_since.keys())
@@ -196,22 +206,22 @@
         return new
 
     def members_to_remove(self, now: float, view: View, rings: Rings) -> list[str]:
-        """Return who is removed now, all in one change; [] as long as somebody's case isn't clear."""
+        """Return the members to remove now, in one view change; [] while the removals are delayed."""
         suspected = self.suspected_members(now, view, rings)
         down = {name for name in suspected.down if self._is_removable(now, name)}
         if not down:
             self.waiting_since = inf
             return []
         self.waiting_since = min(self.waiting_since, now)
-        # Who is about to be down, or was not checked indirectly yet, isn't clear either.
+        # Members that are nearly down, or whose indirect check hasn't finished, are undecided too.
         early = self.suspected_members(now, view, rings, INDIRECT_CHECK_AFTER_SECONDS)
         reported = self.suspected_members(now, view, rings, REPORT_AFTER_SECONDS)
         decided = down | self.reached.keys()
         nearly_down = (suspected.down | reported.down) - decided
-        unclear = nearly_down | (suspected.unsure | early.unsure) - decided
-        # Those who died together are not missed for equally long: each is checked in a turn of its own, and
-        # observers that were stopped give all the time that they missed.
-        wait = UNSURE_WAIT_SECONDS if unclear else 0.0
+        undecided = nearly_down | (suspected.uncertain | early.uncertain) - decided
+        # Members that failed together have been silent for different times: each is checked on its own
+        # schedule, and observers that were paused subtract the pause.
+        wait = UNCERTAIN_WAIT_SECONDS if undecided else 0.0
         if nearly_down:
             wait = NEARLY_DOWN_WAIT_SECONDS
         if now < self.waiting_since + wait:
@@ -219,48 +229,48 @@
         return sorted(down)
 
     def _is_removable(self, now: float, name: str) -> bool:
-        """Return whether a member that is down may be removed: it leaves, or was checked in vain."""
+        """Return whether a member that is down may be removed: it leaves, or its indirect check failed."""
         if self._is_leaving(now, name):
             return True
         checked_for = now - self.checked_since.get(name, inf)
         return name not in self.reached and checked_for >= INDIRECT_CHECK_SECONDS
 
     def _is_removal_pending(self, now: float, view: View, rings: Rings) -> bool:
-        """Return whether somebody is about to be removed."""
+        """Return whether a member is about to be removed."""
         reported = self.suspected_members(now, view, rings, REPORT_AFTER_SECONDS)
         return bool(reported.down - self.reached.keys())
 
     # Admissions
 
     def members_to_admit(self, now: float, view: View, rings: Rings) -> Admissions:
-        """Return who is admitted now, all in one change, and who has to wait.
+        """Return the members to admit now, in one view change, and the deferred requests.
 
-        A change gives subjects new observers, who begin anew: so nobody is admitted while somebody is about
-        to be removed, for `JOIN_HOLD_SECONDS` at most.
+        A view change assigns new observers, which start without any evidence. So admissions wait while a
+        member is about to be removed, for `JOIN_HOLD_SECONDS` at most.
         """
         self.join_requests = {
-            name: (at, placed)
-            for name, (at, placed) in self.join_requests.items()
-            if now - at <= REPORT_VALID_SECONDS and view.member(name) != placed
+            name: (at, view_member)
+            for name, (at, view_member) in self.join_requests.items()
+            if now - at <= REPORT_VALID_SECONDS and view.member(name) != view_member
         }
         admitted: list[ViewMember] = []
         deferred: list[Deferral] = []
         for name in sorted(self.join_requests):
-            _, placed = self.join_requests[name]
+            _, view_member = self.join_requests[name]
             wait = self.rejoin_penalties.rejoin_wait_seconds(now, name)
             if wait > 0:
-                deferred.append(Deferral(placed, wait, self.rejoin_penalties.penalty(now, name)))
+                deferred.append(Deferral(view_member, wait, self.rejoin_penalties.penalty(now, name)))
             else:
-                admitted.append(placed)
+                admitted.append(view_member)
         if not admitted or self._is_admission_paused(now, view, rings):
             return Admissions([], deferred)
         self.first_join_request = self.last_join_request = -inf
-        for placed in admitted:
-            del self.join_requests[placed.member.name]
+        for view_member in admitted:
+            del self.join_requests[view_member.member.name]
         return Admissions(admitted, deferred)
 
     def _is_admission_paused(self, now: float, view: View, rings: Rings) -> bool:
-        """Return whether more join requests, or a removal, are awaited first."""
+        """Return whether admissions still wait for more join requests or for a removal."""
         is_quiet = now >= self.last_join_request + JOIN_QUIET_SECONDS
         if not is_quiet and now < self.first_join_request + JOIN_GATHER_SECONDS:
             return True
@@ -270,6 +280,6 @@
 
 
 def chunks(names: list[str], size: int) -> Iterator[list[str]]:
-    """Split names into lists of `size` at most."""
+    """Split names into lists of at most `size`."""
     for start in range(0, len(names), size):
         yield names[start : start + size]
--- a/wheatring/fleet/members/edge_monitor.py
+++ b/wheatring/fleet/members/edge_monitor.py
@@ -1,11 +1,11 @@
-"""One member monitors its subjects in a view, and itself. No I/O; `now` is monotonic, in seconds.
+"""Health checks of one member's subjects in a view. No I/O; `now` is monotonic, in seconds.
 
-What counts is an answer to a health check. Silence begins with the first check that isn't answered, so that a
-stop shorter than what is allowed is over before any observer's patience is. A member that was stopped itself
-gives all its subjects the time that it missed, and one whom nobody answers reports nobody.
+Only answers to health checks count. Silence is measured from the first unanswered check, so no observer
+reports a subject for a pause shorter than the tolerated one. A member that was itself paused extends the
+deadlines of all its subjects by the pause, and a member that gets no answers at all reports nobody.
 
-After Rapid's monitoring edges (Suresh et al., 2018): a member's subjects are those it checks, its observers
-those that check it.
+Based on Rapid's monitoring edges (Suresh et al., 2018): a member's subjects are the members that it checks,
+its observers are the members that check it.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 from random import Random
 from typing import NamedTuple
 
-CHECK_INTERVAL_SECONDS = 4.0  # from one check of a subject to the next, as long as it answers
-RETRY_INTERVAL_SECONDS = 0.5  # until it is checked again where it doesn't,
-FIRST_RETRY_SECONDS = 0.25  # and until that is done for the first time
-CHECKS_BEFORE_NOTICE = 2  # the last of these shows that the first was missed: other observers are told
-CHECKS_BEFORE_SUSPICION = 5  # the last of these makes it a suspect: of what is lost, few are
-EARLY_CHECK_SECONDS = 0.5  # within which all others are checked then: failures seldom come alone
-DOWN_AFTER_SECONDS = 5.5  # of silence: a stop of 5 s removes nobody
-REPORT_AFTER_SECONDS = 2.5  # of silence, from which on the voters are told
+CHECK_INTERVAL_SECONDS = 4.0  # between two checks of a subject that answers
+RETRY_INTERVAL_SECONDS = 0.5  # between two retries of a check
+FIRST_RETRY_SECONDS = 0.25  # between the first unanswered check and its first retry
+CHECKS_BEFORE_NOTICE = 2  # sending this check means that the first was missed: other observers are notified
+# Sending this check makes the subject a suspect. Few losses of single datagrams last as long.
+CHECKS_BEFORE_SUSPICION = 5
+EARLY_CHECK_SECONDS = 0.5  # early checks are spread over this time
+DOWN_AFTER_SECONDS = 5.5  # silence; a pause of 5 s must not remove a member
+REPORT_AFTER_SECONDS = 2.5  # silence after which the voters get a report
 MIN_MISSED_CHECKS = 6
-REPORT_INTERVAL_SECONDS = 1.0  # from one report to the next while there is something to report
-ISOLATED_AFTER_SECONDS = 3.0  # without an answer, or a message, from anybody
-STALL_SECONDS = 1.0  # by which a tick is late that tells of a stop of this process
-MAX_PENDING = 16  # checks of one subject that may be answered yet
+REPORT_INTERVAL_SECONDS = 1.0  # between two reports while there is something to report
+ISOLATED_AFTER_SECONDS = 3.0  # time without any answer, or any message, from other members
+STALL_SECONDS = 1.0  # a tick that is this late shows that the process was paused
+MAX_PENDING = 16  # unanswered checks kept per subject
 
 
 class Isolation(StrEnum):
-    """In which way a member is cut off from the others; the values stand in answers and in the log."""
+    """How a member is cut off from the others. The values appear in status answers and in the log."""
 
     NONE = ""
-    MUTE = "mute"  # it hears and isn't heard
-    DEAF = "deaf"  # it hears nothing
+    MUTE = "mute"  # it receives messages, but its own don't get through
+    DEAF = "deaf"  # it receives nothing
 
 
 class MonitoredSubject:
-    """What is known of one subject."""
+    """The monitoring state of one subject."""
 
     __slots__ = (
         "due",
@@ -52,13 +53,13 @@
     )
 
     def __init__(self, due: float) -> None:
-        self.due = due  # of the next check
-        self.silent_since = inf  # the first check that was not answered
-        self.missed_checks = 0  # since then
+        self.due = due  # time of the next check
+        self.silent_since = inf  # time of the first unanswered check
+        self.missed_checks = 0  # checks sent since the last answer
         self.is_notice_sent = False
-        self.is_early = True  # the next check is not in its turn
-        self.spreads_early = False  # that check tells it to check its own subjects early
-        self.pending: dict[int, float] = {}  # checks that may be answered yet, and when they were sent
+        self.is_early = True  # whether the next check is off the regular schedule
+        self.spreads_early = False  # whether that check asks the subject to check its own subjects early
+        self.pending: dict[int, float] = {}  # send times of unanswered checks, by sequence number
 
 
 class DueCheck(NamedTuple):
@@ -66,14 +67,14 @@
 
     name: str
     sequence: int
-    spreads_early: bool  # the subject is to check its own subjects early, too
+    spreads_early: bool  # asks the subject to check its own subjects early, too
 
 
 class EdgeMonitor:
-    """Decides whom to check when, and who is silent.
+    """Schedules the health checks of the subjects, and determines which of them are silent.
 
-    `miss_notices` are subjects whose other observers are to be told, `new_suspects` those to be suspected;
-    the caller empties both.
+    `miss_notices` are subjects whose other observers have to be notified, `new_suspects` those to be
+    suspected; the caller empties both.
     """
 
     def __init__(self, now: float, random: Random) -> None:
@@ -85,11 +86,11 @@
         self.last_report: tuple[tuple[str, float], ...] = ()
         self.miss_notices: list[str] = []
         self.new_suspects: list[str] = []
-        self.next_self_check = now  # when it may check once more whether it is itself that isn't heard
-        self.checked_early_at = -inf  # when all were last checked early
+        self.next_self_check = now  # earliest time of the next check for own isolation
+        self.checked_early_at = -inf  # when all subjects were last checked early
 
     def set_subjects(self, now: float, names: list[str]) -> None:
-        """Monitor these from now on. What is known of those monitored before is kept."""
+        """Replace the monitored subjects; those that stay keep their state."""
         self.subjects = {
             name: self.subjects.get(name)
             or MonitoredSubject(now + EARLY_CHECK_SECONDS * self.random.random())
@@ -98,12 +99,12 @@
 
     @property
     def due(self) -> float:
-        """When there is a check or a report to send."""
+        """Time of the next check or report to send."""
         checks = min((subject.due for subject in self.subjects.values()), default=inf)
         return min(checks, self.next_report)
 
     def note_stall(self, stall_seconds: float) -> None:
-        """Forgive the time for which this process was stopped."""
+        """Extend all deadlines by the time for which this process was paused."""
         self.last_answer += stall_seconds
         self.last_message += stall_seconds
         for subject in self.subjects.values():
@@ -115,16 +116,16 @@
 
     def due_checks(self, now: float) -> list[DueCheck]:
         """Return the checks to send now."""
-        out = []
+        checks = []
         for name, subject in self.subjects.items():
             if now < subject.due:
                 continue
             self.sequence += 1
-            out.append(DueCheck(name, self.sequence, subject.spreads_early))
+            checks.append(DueCheck(name, self.sequence, subject.spreads_early))
             self._note_check_sent(now, name, subject)
         if self.miss_notices:
             self.check_all_early(now, True)
-        return out
+        return checks
 
     def _note_check_sent(self, now: float, name: str, subject: MonitoredSubject) -> None:
         subject.pending[self.sequence] = now
@@ -142,17 +143,18 @@
             self.new_suspects.append(name)
 
     def check_early(self, now: float, name: str) -> None:
-        """Check a subject early, as another observer misses it."""
+        """Check a subject early, as it does not answer another observer."""
         if (subject := self.subjects.get(name)) is not None and not subject.missed_checks:
             subject.due = min(subject.due, now)
-            subject.is_notice_sent = subject.is_early = True  # the others have been told
+            subject.is_notice_sent = subject.is_early = True  # the other observers know already
         self.check_all_early(now, True)
 
     def check_all_early(self, now: float, spreads: bool) -> None:
-        """Check all subjects early: where one is missed, others may be.
+        """Check all subjects early, as failures are often correlated.
 
-        Those that died together are to be found at one time, for one cut, and not only by those who share a
-        subject with it: with `spreads` those that are checked check early too, one step far.
+        Members that failed together have to be detected together, so that one cut removes them, also by
+        observers that share no subject with this one. With `spreads` the checked members check their own
+        subjects early too; those don't spread it further.
         """
         if now < self.checked_early_at + CHECK_INTERVAL_SECONDS:
             return
@@ -163,20 +165,20 @@
                 subject.is_early, subject.spreads_early = True, spreads
 
     def receive_response(self, now: float, name: str, sequence: int) -> float | None:
-        """Handle an answer; return when its check was sent, or None: it answers no check of this one's."""
+        """Handle an answer; return when its check was sent, or None if it matches no pending check."""
         subject = self.subjects.get(name)
         if subject is None or sequence not in subject.pending:
             return None
         sent = subject.pending.pop(sequence)
         self.last_answer = now
         if any(name == reported for reported, _ in self.last_report):
-            self.next_report = now  # what was reported is over, and is taken back before it counts for more
+            self.next_report = now  # withdraw the previous report at once
         subject.silent_since, subject.missed_checks, subject.is_notice_sent = inf, 0, False
         subject.pending = {number: at for number, at in subject.pending.items() if at > sent}
-        # Those who check early check together. Their next turns are drawn apart again, else all of its
-        # observers would leave a member unchecked for the same seconds.
-        spread = self.random.random()
-        factor = 0.1 + 0.9 * spread if subject.is_early else 0.75 + spread / 2
+        # Observers that check early check simultaneously. Their next checks are spread out again: otherwise
+        # a member would stay unchecked by all its observers for the same seconds.
+        jitter = self.random.random()
+        factor = 0.1 + 0.9 * jitter if subject.is_early else 0.75 + jitter / 2
         subject.due = now + CHECK_INTERVAL_SECONDS * factor
         subject.is_early = subject.spreads_early = False
         return sent
@@ -184,7 +186,7 @@
     # Silence
 
     def silent_subjects(self, now: float) -> tuple[tuple[str, float], ...]:
-        """Return the subjects that don't answer, and for how many seconds; nobody, where nobody answers."""
+        """Return the silent subjects, each with its seconds of silence; none if this member is isolated."""
         if self.is_isolated(now):
             return ()
         return tuple(
@@ -195,7 +197,7 @@
         )
 
     def due_report(self, now: float) -> tuple[tuple[str, float], ...] | None:
-        """Return what the voters are to be told now; None: nothing."""
+        """Return the report to send to the voters now; None if there is nothing to send."""
         if now < self.next_report:
             return None
         self.next_report = now + REPORT_INTERVAL_SECONDS * (0.9 + 0.2 * self.random.random())
@@ -203,18 +205,18 @@
         return self.last_report if self.last_report or previous else None
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether it is rather this member that isn't reached.
+        """Return whether this member is cut off itself, rather than its subjects having failed.
 
-        Nobody has answered it for a while, though more than one was asked.
+        It is if no subject has answered for `ISOLATED_AFTER_SECONDS`, though it has more than one.
         """
         if len(self.subjects) < 2 or now - self.last_answer < ISOLATED_AFTER_SECONDS:
             return False
         return all(subject.missed_checks for subject in self.subjects.values())
 
     def should_check_observers(self, now: float) -> bool:
-        """Return whether it has to ask others than its subjects if it is heard.
+        """Return whether this member has to check its observers, to find out whether it is isolated.
 
-        None of its subjects answers, and all of them may have failed.
+        It has to if none of its subjects answers, as all of them may have failed.
         """
         is_early = now - self.last_answer < ISOLATED_AFTER_SECONDS / 2
         if now < self.next_self_check or is_early or len(self.subjects) < 2:
@@ -225,7 +227,7 @@
         return True
 
     def isolation(self, now: float) -> Isolation:
-        """Return in which way this member is cut off."""
+        """Return how this member is cut off from the others."""
         if not self.is_isolated(now):
             return Isolation.NONE
         return Isolation.MUTE if now - self.last_message < ISOLATED_AFTER_SECONDS else Isolation.DEAF
--- a/wheatring/fleet/members/facts.py
+++ b/wheatring/fleet/members/facts.py
@@ -1,4 +1,4 @@
-"""Facts that all members are to know: the newest of each key, passed on a limited number of times."""
+"""Key-value facts spread by gossip: the newest version of each key, sent a limited number of times."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from wheatring.fleet.members.messages import Fact
 
-PIGGYBACK_BYTES = 200  # of facts in one datagram
+PIGGYBACK_BYTES = 200  # for facts in one datagram
 MAX_VALUE_BYTES = 120
 
 
 class FactStore:
-    """The facts known to one member. Only those of the given keys are kept, whoever sends others."""
+    """The facts known to one member. Facts with keys other than the given ones are rejected."""
 
     def __init__(self, keys: Collection[str]) -> None:
         self.keys = frozenset(keys)
         self.facts: dict[str, Fact] = {}
-        self.transmissions: dict[str, int] = {}  # of those still passed on: how often they were
+        self.transmissions: dict[str, int] = {}  # how often a fact was sent, for those still to be sent
 
     def apply(self, fact: Fact) -> bool:
-        """Keep a fact if it is newer than what was known; return whether it was."""
+        """Store a fact if it is newer than the stored version; return whether it was stored."""
         known = self.facts.get(fact.key)
         if fact.key not in self.keys or len(fact.value) > MAX_VALUE_BYTES:
             return False
@@ -30,11 +30,11 @@
         return True
 
     def restart_transmission(self) -> None:
-        """Pass all facts on anew, as a member has started that knows none."""
+        """Send all facts again, as a newly started member knows none."""
         self.transmissions = dict.fromkeys(self.facts, 0)
 
     def next_batch(self, transmit_limit: int) -> tuple[Fact, ...]:
-        """Return the facts that go along with one message, those sent least often first."""
+        """Return the facts to piggyback on one message, those sent least often first."""
         batch, room = [], PIGGYBACK_BYTES
         for key in sorted(self.transmissions, key=lambda key: (self.transmissions[key], key)):
             room -= self.facts[key].encoded_bytes
@@ -47,5 +47,5 @@
         return tuple(batch)
 
     def all_facts(self) -> tuple[Fact, ...]:
-        """Return all facts, by key."""
+        """Return all facts, sorted by key."""
         return tuple(self.facts[key] for key in sorted(self.facts))
--- a/wheatring/fleet/members/gossip_state.py
+++ b/wheatring/fleet/members/gossip_state.py
@@ -1,4 +1,4 @@
-"""What one member knows of all others by gossip, and what it passes on. No I/O; `now` is monotonic."""
+"""One member's state of the gossip protocol: what it knows and what it sends. No I/O; `now` is monotonic."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class GossipState:
-    """Applies updates and facts that come with messages, and says what goes along with its own.
+    """Applies the updates and facts of received messages, and provides those to piggyback on its own.
 
-    `changed_names` holds members whose state has changed since the caller last emptied it, `new_facts` the
-    facts that came. Facts are kept of the given keys only.
+    `changed_names` holds the members whose state has changed since the caller last emptied it, `new_facts`
+    the facts received since then. Only facts with the given keys are kept.
     """
 
     def __init__(
@@ -50,10 +50,10 @@
         self.suspects: set[str] = set()
         self.updates.add(self.own_update())
 
-    # What is known
+    # Known members
 
     def statuses(self, now: float) -> list[MemberStatus]:
-        """Return the state of all members, this one among them, by number and name."""
+        """Return the state of all members, including this one, sorted by tier, number and name."""
         round_seconds = self.timing.probe_interval_seconds * (len(self.table.records) + 1)
         statuses = [MemberStatus(self.me, LEFT if self.has_left else ALIVE, 0.0, 1.0)]
         for record in self.table.records.values():
@@ -64,7 +64,7 @@
         )
 
     def alive_members(self) -> list[MemberInfo]:
-        """Return those of this tier held to be alive, this one among them unless it has left."""
+        """Return the members of this tier that are alive, including this one unless it has left."""
         members = [record.member for record in self.table.records.values() if record.state == ALIVE]
         if not self.has_left:
             members.append(self.me)
@@ -72,14 +72,14 @@
         return sorted(same_tier, key=lambda member: (member.number, member.name))
 
     def address(self, name: str) -> Address | None:
-        """Return a member's address; None: it isn't known, or this one's own."""
+        """Return a member's address; None if it is unknown or this member itself."""
         record = self.table.records.get(name)
         return record.address if record is not None else None
 
-    # What comes with messages
+    # Received messages
 
     def apply_piggyback(self, now: float, message: GossipMessage) -> None:
-        """Apply the updates and facts that came along with a message."""
+        """Apply the updates and facts piggybacked on a message."""
         limit = self._transmit_limit()
         for update in message.updates:
             if not self._apply(now, update):
@@ -87,18 +87,18 @@
         self.new_facts += [fact for fact in message.facts if self.facts.apply(fact)]
 
     def note_answer(self, now: float, name: str) -> None:
-        """Take note that a member has answered this one, in whatever message."""
+        """Record that a member has answered this one, with a message of any type."""
         if (record := self.table.records.get(name)) is not None:
             record.last_answer = now
 
     def suspect(self, now: float, name: str) -> None:
-        """Suspect a member, as it doesn't answer this one."""
+        """Suspect a member that does not answer this one."""
         record = self.table.records.get(name)
         if record is not None and record.is_present:
             self._apply(now, MemberUpdate(record.member, record.incarnation, SUSPECT, self.me.name))
 
     def _apply(self, now: float, update: MemberUpdate) -> bool:
-        """Apply an update; return whether it said anything that counts."""
+        """Apply an update; return whether it changed anything."""
         name = update.member.name
         if name == self.me.name:
             return self._refute(update)
@@ -121,9 +121,9 @@
         return True
 
     def _refute(self, update: MemberUpdate) -> bool:
-        """Refute what is said of this member, by a higher incarnation; return whether it had to be."""
-        is_own = update.incarnation == self.incarnation and update.state == ALIVE
-        if update.incarnation < self.incarnation or is_own:
+        """Refute an update about this member with a higher incarnation; return whether that was needed."""
+        is_current = update.incarnation == self.incarnation and update.state == ALIVE
+        if update.incarnation < self.incarnation or is_current:
             return False
         self.health.degrade()
         self.incarnation = update.incarnation + 1
@@ -131,30 +131,30 @@
         return True
 
     def extend_suspicions(self, seconds: float) -> None:
-        """Give all suspects so much more time to refute."""
+        """Extend the time that all suspects have to refute."""
         for name in self.suspects:
             self.table.records[name].suspicion_ends += seconds
 
     @property
     def next_expiry(self) -> float:
-        """When the first suspicion ends."""
+        """Time at which the first suspicion expires."""
         return min((self.table.records[name].suspicion_ends for name in self.suspects), default=inf)
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare those dead that have not refuted in time."""
+        """Declare suspects dead that have not refuted in time."""
         for name in sorted(self.suspects):
             record = self.table.records[name]
             if now >= record.suspicion_ends:
                 self._apply(now, MemberUpdate(record.member, record.incarnation, DEAD, self.me.name))
 
-    # What goes along with messages
+    # Sent messages
 
     def piggyback(
         self, record: MemberRecord | None = None
     ) -> tuple[tuple[MemberUpdate, ...], tuple[Fact, ...]]:
-        """Return the updates and facts to go along with a message.
+        """Return the updates and facts to piggyback on a message.
 
-        `record`: the receiver's. One that is suspected is told so first, so that it can refute.
+        `record` is the receiver's. A suspected receiver gets the update about itself first, to refute it.
         """
         first = [record.as_update(self.me.name)] if record is not None and record.state != ALIVE else []
         limit = self._transmit_limit()
@@ -164,22 +164,22 @@
         return self.timing.transmit_limit(len(self.table.records) + 1)
 
     def publish(self, fact: Fact) -> None:
-        """Have all members know a fact. One that isn't newer than what is known isn't passed on."""
+        """Spread a fact to all members, unless a version at least as new is known."""
         self.facts.apply(fact)
 
     def own_update(self) -> MemberUpdate:
-        """Return the update on this member itself."""
+        """Return the update about this member itself."""
         return MemberUpdate(self.me, self.incarnation)
 
     def update_identity(self, me: MemberInfo) -> None:
-        """Take note that this member's description of itself has changed, and pass that on."""
+        """Replace this member's description of itself, and spread the change."""
         self.me = me
         self.incarnation += 1
         self.updates.add(self.own_update())
 
 
 def _confidence(record: MemberRecord, now: float, round_seconds: float) -> float:
-    """Return how well a record's state is founded; see `MemberStatus`."""
+    """Return the confidence in a record's state; see `MemberStatus`."""
     if record.state == ALIVE:
         return 1.0 if now - record.last_answer <= 2 * round_seconds else 0.5
     if record.state == SUSPECT:
--- a/wheatring/fleet/members/indirect_checks.py
+++ b/wheatring/fleet/members/indirect_checks.py
@@ -1,4 +1,4 @@
-"""Indirect health checks for a leader: whom to check, how often, and which leader to tell. No I/O."""
+"""Indirect health checks on behalf of a leader: which members to check, and where to report. No I/O."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 from wheatring.fleet.members.messages import Address
 
-ATTEMPTS = 3  # how often each member is checked,
-ATTEMPT_INTERVAL_SECONDS = 0.3  # the time between these,
-ANSWER_WAIT_SECONDS = 2.0  # and after the last, for which an answer is still passed on
-MAX_CHECKS = 8  # under way at once
+ATTEMPTS = 3  # health checks per member
+ATTEMPT_INTERVAL_SECONDS = 0.3
+ANSWER_WAIT_SECONDS = 2.0  # after the last attempt; later answers are not reported
+MAX_CHECKS = 8  # concurrent requests of leaders
 
 
 class _IndirectCheck(NamedTuple):
@@ -22,25 +22,25 @@
 
 
 class CheckRequester(NamedTuple):
-    """A leader that is to be told of an answer, and the sequence number of its request."""
+    """A leader to report an answer to, and the sequence number of its request."""
 
     leader: Address
     sequence: int
 
 
 class IndirectChecks:
-    """The checks of possibly failed members that leaders have asked this sidecar for."""
+    """The checks of suspected members that leaders have requested from this sidecar."""
 
     def __init__(self) -> None:
         self.active: list[_IndirectCheck] = []
 
     @property
     def due(self) -> float:
-        """When `due_checks` has something to do, or a check is over."""
+        """Time of the next attempt or of the end of a check."""
         return min((check.due for check in self.active), default=inf)
 
     def start(self, now: float, leader: Address, sequence: int, names: tuple[str, ...]) -> None:
-        """Start one more check. Beyond `MAX_CHECKS` it is dropped, as others check too."""
+        """Start a check. Beyond `MAX_CHECKS` it is dropped, as the leader asks other members too."""
         if len(self.active) < MAX_CHECKS:
             self.active.append(_IndirectCheck(leader, sequence, names, ATTEMPTS, now))
 
@@ -57,7 +57,7 @@
         return names
 
     def note_reached(self, name: str) -> list[CheckRequester]:
-        """Take note of an answer; return which leaders to tell, each once, and their request's sequence."""
+        """Record an answer; return the leaders to report it to, once for each request."""
         requesters = []
         for index, check in enumerate(self.active):
             if name in check.names:
--- a/wheatring/fleet/members/local_health.py
+++ b/wheatring/fleet/members/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health: how far a member should distrust what it finds, as it may be slow itself."""
+"""Lifeguard's local health: a measure of whether this member may be slow itself."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class LocalHealth:
-    """A score that is 0 in good health. Probes take, and give others, `score + 1` times as long."""
+    """A score that is 0 in good health. Probe intervals and time-outs are multiplied by `score + 1`."""
 
     def __init__(self) -> None:
         self.score = 0
 
     def degrade(self) -> None:
-        """Count a sign that this member is slow itself."""
+        """Raise the score after a sign that this member is slow itself."""
         self.score = min(MAX_SCORE, self.score + 1)
 
     def recover(self) -> None:
-        """Count a sign that it isn't."""
+        """Lower the score after a sign that this member is not slow."""
         self.score = max(0, self.score - 1)
 
     def scaled(self, seconds: float) -> float:
-        """Return a time-out or an interval, stretched by the score."""
+        """Return a time-out or an interval scaled by the score."""
         return seconds * (self.score + 1)
--- a/wheatring/fleet/members/member_table.py
+++ b/wheatring/fleet/members/member_table.py
@@ -1,4 +1,4 @@
-"""What is known of each member, and what an update changes. Bounded, whatever is received."""
+"""The records of all known members, and how updates change them. The table's size is bounded."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from wheatring.fleet.members.messages import ALIVE, DEAD, LEFT, SUSPECT, MemberInfo, MemberUpdate
 
 MAX_MEMBERS = 4000
-MAX_SOURCES = 8  # members noted that suspect one
+MAX_SOURCES = 8  # recorded sources of one suspicion
 
 
 class MemberRecord:
-    """What is known of one other member."""
+    """The state of one other member."""
 
     __slots__ = ("incarnation", "last_answer", "member", "since", "sources", "state", "suspicion_ends")
 
@@ -19,14 +19,14 @@
         self.member = member
         self.incarnation = incarnation
         self.state = state
-        self.since = now  # of its state
-        self.last_answer = -1e9  # when it last answered this very member
-        self.sources: set[str] = set()  # suspect: the members that suspect it
-        self.suspicion_ends = 0.0  # suspect: until when it may refute
+        self.since = now  # time of the last state change
+        self.last_answer = -1e9  # when it last answered this member directly
+        self.sources: set[str] = set()  # the members that suspect it, if it is suspected
+        self.suspicion_ends = 0.0  # when the suspicion expires, if it is suspected
 
     @property
     def is_present(self) -> bool:
-        """Whether it is alive, or at most suspected."""
+        """Whether it is alive or suspected."""
         return self.state in (ALIVE, SUSPECT)
 
     @property
@@ -35,16 +35,16 @@
         return self.member.host, self.member.port
 
     def as_update(self, source: str = "") -> MemberUpdate:
-        """Return the record as an update to pass on."""
+        """Return the record as an update to send."""
         return MemberUpdate(self.member, self.incarnation, self.state, source)
 
 
 class MemberStatus(NamedTuple):
-    """A member's state as operators see it.
+    """A member's state as shown to operators.
 
-    `confidence`, 0 to 1, is how well the state is founded. Alive: 1 where it has answered this member within
-    a round of probes, 0.5 where that is hearsay. Suspect: the part of its time to refute that is gone. Left
-    and dead: 1.
+    `confidence`, from 0 to 1, is the confidence in the state. Alive: 1 if it has recently answered this
+    member directly, 0.5 if the state is known by gossip only. Suspect: the fraction of its time to refute
+    that has elapsed. Left and dead: 1.
     """
 
     member: MemberInfo
@@ -54,10 +54,10 @@
 
 
 class AppliedUpdate(NamedTuple):
-    """What an update has changed."""
+    """The effect of an update."""
 
     record: MemberRecord
-    is_state_change: bool  # else it only confirms a suspicion
+    is_state_change: bool  # False: it only confirms a suspicion
     is_new_incarnation: bool
 
 
@@ -66,14 +66,14 @@
 
     def __init__(self) -> None:
         self.records: dict[str, MemberRecord] = {}
-        self.dropped_updates = 0  # on members beyond the bound
+        self.dropped_updates = 0  # updates about members beyond the bound
 
     def present_count(self) -> int:
-        """Return how many others are alive or suspected."""
+        """Return the number of other members that are alive or suspected."""
         return sum(record.is_present for record in self.records.values())
 
     def apply(self, now: float, update: MemberUpdate) -> AppliedUpdate | None:
-        """Apply an update; return what it changed, or None: it says nothing that counts."""
+        """Apply an update; return its effect, or None if it has none."""
         record = self.records.get(update.member.name)
         if record is None:
             return self._add(now, update)
@@ -89,7 +89,7 @@
     def _add(self, now: float, update: MemberUpdate) -> AppliedUpdate | None:
         is_full = len(self.records) >= MAX_MEMBERS
         if update.state == DEAD or is_full:
-            # One that was never heard of and is dead need not be known.
+            # A dead member without a record needs none.
             self.dropped_updates += is_full
             return None
         record = MemberRecord(update.member, update.incarnation, update.state, now)
@@ -99,7 +99,7 @@
         return AppliedUpdate(record, is_state_change=True, is_new_incarnation=True)
 
     def _confirm(self, record: MemberRecord, update: MemberUpdate) -> AppliedUpdate | None:
-        """Note one more member that suspects it."""
+        """Record a further source of a suspicion."""
         if not update.state == record.state == SUSPECT:
             return None
         if update.source in record.sources or len(record.sources) >= MAX_SOURCES:
@@ -119,7 +119,7 @@
         return AppliedUpdate(record, True, is_new_incarnation)
 
     def reclaim(self, now: float, after: float) -> None:
-        """Forget members that have been dead or gone for more than `after` seconds."""
+        """Delete members that died or left more than `after` seconds ago."""
         for name, record in list(self.records.items()):
             if not record.is_present and now - record.since > after:
                 del self.records[name]
--- a/wheatring/fleet/members/membership.py
+++ b/wheatring/fleet/members/membership.py
@@ -1,8 +1,8 @@
-"""One member's part in the fleet's membership: probes, gossip, joining, exchanges and leaving. No I/O.
+"""The SWIM protocol of one member: probes, gossip, joining, state exchanges and leaving. No I/O.
 
-`now` is in seconds of the monotonic clock. Messages go to addresses, (host, port). A member's traffic does
-not grow with their number: one probe a period, what others ask of it, and an exchange of all that is known,
-which is the rarer the more members there are.
+`now` is in seconds of the monotonic clock. Messages are sent to addresses, (host, port). A member's traffic
+does not grow with the number of members: it sends one probe per period, answers requests, and exchanges its
+full state with another member at an interval that grows with the number of members.
 """
 
 from __future__ import annotations
@@ -30,15 +30,15 @@
 from wheatring.fleet.members.timing import SwimTiming
 from wheatring.fleet.members.update_queue import batches
 
-MAX_LEAVE_NOTICES = 6  # members that are told when one leaves
-MAX_SYNC_UPDATES = 10  # of members that aren't present, in one request
+MAX_LEAVE_NOTICES = 6  # members notified directly when this one leaves
+MAX_SYNC_UPDATES = 10  # updates about absent members in one request
 MAX_JOIN_RETRY_SECONDS = 16.0
 
 
 class Membership:
-    """One member, from joining by the seeds to leaving.
+    """One member, from joining through the seeds to leaving.
 
-    `gossip` is what it knows of the others and passes on, `prober` detects who fails.
+    `gossip` holds its state of the other members and spreads updates; `prober` detects failures.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         keys: Collection[str] = (),
     ) -> None:
         self.seeds = [seed for seed in seeds if seed != (me.host, me.port)]
-        # The draws are in this order: the delay of the join, of the first probe, and of the first exchange.
+        # The order of the random draws is fixed: delays of the join, the first probe, the first exchange.
         delay = min(me.number / timing.joins_per_second, timing.max_join_delay_seconds * random.random())
         self.timing = timing
         self.random = random
@@ -70,29 +70,29 @@
         return self.gossip.me
 
     def alive_members(self) -> list[MemberInfo]:
-        """Return those of this tier held to be alive; see `GossipState.alive_members`."""
+        """Return the members of this tier that are alive; see `GossipState.alive_members`."""
         return self.gossip.alive_members()
 
     def address(self, name: str) -> Address | None:
-        """Return a member's address; None: it isn't known, or this one's own."""
+        """Return a member's address; None if it is unknown or this member itself."""
         return self.gossip.address(name)
 
     # Time
 
     @property
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """Time of the next action of `tick`."""
         if self.gossip.has_left:
             return inf
         return min(self.prober.due, self.next_join, self.next_sync, self.gossip.next_expiry)
 
     def tick(self, now: float) -> list[OutgoingSwim]:
-        """Do what is due."""
+        """Perform all actions that are due."""
         if self.gossip.has_left:
             return []
-        late = now - self.due
-        if late > self.timing.probe_interval_seconds:
-            self.prober.compensate_stall(now, late)
+        stall_seconds = now - self.due
+        if stall_seconds > self.timing.probe_interval_seconds:
+            self.prober.compensate_stall(now, stall_seconds)
         out = self.prober.expire_indirect_probes(now)
         out += self.prober.request_indirect_probes(now)
         self.gossip.expire_suspicions(now)
@@ -108,7 +108,7 @@
     # Messages
 
     def receive(self, now: float, sender: str, address: Address, message: SwimMessage) -> list[OutgoingSwim]:
-        """Handle a message from a member, and answer to its address."""
+        """Handle a message from a member; return the messages to send."""
         if self.gossip.has_left:
             return []
         self.gossip.apply_piggyback(now, message)
@@ -132,16 +132,17 @@
 
     def _handle_sync_response(self, now: float) -> None:
         if not self.has_joined:
-            # Once more when all who start along with it have joined: updates on so many take long.
-            again = now + self.timing.max_join_delay_seconds * (1 + self.random.random())
-            self.next_sync = min(self.next_sync, again)
+            # Exchange once more after all members that start simultaneously have joined: spreading that
+            # many updates by gossip takes long.
+            second_sync = now + self.timing.max_join_delay_seconds * (1 + self.random.random())
+            self.next_sync = min(self.next_sync, second_sync)
         self.has_joined = True
         self.next_join = inf
 
-    # Joining, exchanging, leaving
+    # Joining, state exchanges, leaving
 
     def _send_join(self, now: float) -> list[OutgoingSwim]:
-        """Ask one seed after the other, ever more rarely."""
+        """Send a join request to the next seed, with exponential backoff."""
         self.join_attempts += 1
         interval = min(MAX_JOIN_RETRY_SECONDS, 2.0 ** min(self.join_attempts, 4))
         self.next_join = now + interval * (0.5 + self.random.random() / 2)
@@ -149,15 +150,16 @@
         return [(seed, SyncRequest(0, (self.gossip.own_update(),)))]
 
     def _send_sync(self, now: float) -> list[OutgoingSwim]:
-        """Exchange all that is known with any member.
+        """Exchange the full state with a random member.
 
-        The dead and the seeds are among them: so two partitions that lost each other meet again.
+        Dead members and the seeds may be chosen too, so that a healed partition merges again.
         """
-        # Often at first: updates on many who start at once are long in reaching all.
-        longest = self.timing.sync_interval_seconds(len(self.table.records) + 1)
+        # The first exchanges are frequent: when many members start simultaneously, gossip takes long to
+        # spread all updates.
+        steady_interval = self.timing.sync_interval_seconds(len(self.table.records) + 1)
         self.sync_count += 1
-        ramp = self.timing.max_join_delay_seconds * 2.0 ** min(self.sync_count, 20) / 2
-        self.next_sync = now + min(longest, ramp) * (0.75 + self.random.random() / 2)
+        startup_interval = self.timing.max_join_delay_seconds * 2.0 ** min(self.sync_count, 20) / 2
+        self.next_sync = now + min(steady_interval, startup_interval) * (0.75 + self.random.random() / 2)
         records = [self.table.records[name] for name in sorted(self.table.records)]
         addresses = [record.address for record in records if record.state != LEFT]
         addresses += [seed for seed in self.seeds if seed not in addresses]
@@ -168,13 +170,13 @@
         return [(self.random.choice(addresses), SyncRequest(0, updates))]
 
     def _state_batches(self) -> Iterator[tuple[MemberUpdate, ...]]:
-        """Split all that is known into batches that each fit one datagram."""
+        """Split the full state into batches that each fit one datagram."""
         all_batches = batches(record.as_update(self.me.name) for record in self.table.records.values())
         yield (self.gossip.own_update(), *next(all_batches))
         yield from all_batches
 
-    def leave(self, now: float) -> list[OutgoingSwim]:  # noqa: ARG002 - each event bears its instant
-        """Announce that it leaves, to a few members who pass that on."""
+    def leave(self, now: float) -> list[OutgoingSwim]:  # noqa: ARG002 - every event is passed its time
+        """Announce to a few members, which spread it by gossip, that this one leaves."""
         self.gossip.has_left = True
         names = sorted(name for name, record in self.table.records.items() if record.state == ALIVE)
         chosen = self.random.sample(names, min(MAX_LEAVE_NOTICES, len(names)))
--- a/wheatring/fleet/members/messages.py
+++ b/wheatring/fleet/members/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the gossip protocol between members. Every message carries updates and facts along.
+"""Messages of the gossip protocol between members. Updates and facts are piggybacked on every message.
 
 All are encoded as msgpack arrays: their tags and the order of their fields are the wire format.
 """
@@ -10,43 +10,43 @@
 from msgspec import Struct
 
 Address = tuple[str, int]  # host and port
-ALIVE, SUSPECT, DEAD, LEFT = range(4)  # as they travel; of one incarnation the higher overrules
+ALIVE, SUSPECT, DEAD, LEFT = range(4)  # wire values; within one incarnation the higher one overrides
 STATES = ("alive", "suspect", "dead", "left")
 
 
 class MemberInfo(NamedTuple):
-    """One sidecar, as it describes itself."""
+    """A sidecar's description of itself."""
 
     name: str
     host: str
     port: int
-    number: int = 0  # of the sidecar in its tier
+    number: int = 0  # index of the sidecar in its tier
     tier: int = 0
     zone: str = ""
-    voters_digest: int = 0  # of the voters that it goes by
+    voters_digest: int = 0  # digest of the voter set that it uses
 
 
 class MemberUpdate(NamedTuple):
-    """A statement on a member's state, passed on by gossip.
+    """A member's state, spread by gossip.
 
-    A higher incarnation, which only the member itself makes, overrules a lower one; of the same, left and
-    dead overrule suspect, and suspect overrules alive.
+    A higher incarnation, which only the member itself creates, overrides a lower one. Within the same
+    incarnation, left and dead override suspect, and suspect overrides alive.
     """
 
     member: MemberInfo
     incarnation: int
     state: int = ALIVE
-    source: str = ""  # suspect: the member that suspects it
+    source: str = ""  # the member that suspects it, if it is suspected
 
     @property
     def encoded_bytes(self) -> int:
-        """Bytes that it takes in a message, estimated high."""
+        """Upper estimate of its size in a message."""
         member = self.member
         return 40 + len(member.name) + len(member.host) + len(member.zone) + len(self.source)
 
 
 class Fact(NamedTuple):
-    """A small value that all members are to know. Of one key the highest version holds."""
+    """A small value spread to all members. The highest version of a key is the valid one."""
 
     key: str
     version: int
@@ -54,12 +54,12 @@
 
     @property
     def encoded_bytes(self) -> int:
-        """Bytes that it takes in a message, estimated high."""
+        """Upper estimate of its size in a message."""
         return 12 + len(self.key) + len(self.value)
 
 
 class GossipMessage(Struct, frozen=True, array_like=True, tag_field="w"):
-    """What all messages carry: the sequence number that answers repeat, and what is passed on by gossip."""
+    """The common fields: a sequence number, which the answer repeats, and the piggybacked gossip."""
 
     sequence: int
     updates: tuple[MemberUpdate, ...] = ()
@@ -75,7 +75,7 @@
 
 
 class PingRequest(GossipMessage, frozen=True, tag="indirect"):
-    """Probe the target for the sender: answer an `Ack` if it answers, a `Nack` if it doesn't in time."""
+    """Asks the receiver to probe a target, and to answer with an `Ack`, or a `Nack` after a time-out."""
 
     target: str = ""
 
@@ -85,7 +85,7 @@
 
 
 class SyncRequest(GossipMessage, frozen=True, tag="join"):
-    """Send all that is known: from a member that joins, and between members from time to time."""
+    """Asks for the full state: sent by joining members, and periodically between members."""
 
 
 class SyncResponse(GossipMessage, frozen=True, tag="known"):
--- a/wheatring/fleet/members/prober.py
+++ b/wheatring/fleet/members/prober.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detection: probes members in turn, asks others to probe, answers their requests. No I/O."""
+"""SWIM's failure detection: direct probes, and indirect ones requested from or by other members. No I/O."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from wheatring.fleet.members.timing import SwimTiming
 
 OutgoingSwim = tuple[Address, SwimMessage]
-MAX_INDIRECT_PROBES = 64  # probes for others at once
-NOBODY_TO_ASK = -1  # in place of a probe's number of helpers: there was none
+MAX_INDIRECT_PROBES = 64  # concurrent probes on behalf of other members
+NO_HELPERS = -1  # `indirect_requested` of a probe if there was no member to ask
 
 
 class _Probe:
-    """The probe under way."""
+    """The probe in progress."""
 
     __slots__ = ("indirect_requested", "is_answered", "nacks", "name", "sequence", "started")
 
@@ -35,23 +35,23 @@
         self.name = name
         self.started = started
         self.is_answered = False
-        self.indirect_requested = 0  # members that were asked to probe, too
+        self.indirect_requested = 0  # number of members asked for an indirect probe
         self.nacks = 0
 
 
 class _IndirectProbe(NamedTuple):
-    """A probe for another member."""
+    """A probe on behalf of another member."""
 
     requester: Address
-    sequence: int  # of the request
-    until: float
+    sequence: int  # of the requester's message
+    expires_at: float
 
 
 class Prober:
-    """Probes one member a period, so that its traffic doesn't grow with their number.
+    """Probes one member per period, so that the traffic does not grow with the number of members.
 
-    A member that was stopped itself (its own `tick` came late) takes back the probe under way, gives all
-    suspects the time that it missed, and probes more slowly until it has been answered again.
+    After a pause of this process, detected by a late `tick`, the prober abandons the probe in progress,
+    extends all suspicions by the pause, and probes more slowly until it has been answered again.
     """
 
     def __init__(self, now: float, gossip: GossipState, timing: SwimTiming, random: Random) -> None:
@@ -61,12 +61,12 @@
         self.sequence = 0
         self.probe_order: list[str] = []
         self.probe: _Probe | None = None
-        self.indirect_probes: dict[int, _IndirectProbe] = {}  # by the sequence number of the probe
+        self.indirect_probes: dict[int, _IndirectProbe] = {}  # by sequence number of the probe
         self.next_probe = now + timing.probe_interval_seconds * random.random()
-        self.is_probing = True  # False: those who monitor each other in an agreed view do it instead
+        self.is_probing = True  # False: health checks in an agreed view replace the probes
 
     def compensate_stall(self, now: float, stall_seconds: float) -> None:
-        """Forgive the time for which this process was stopped."""
+        """Extend all deadlines by the time for which this process was paused."""
         self.probe = None
         self.indirect_probes.clear()
         self.gossip.health.degrade()
@@ -75,16 +75,16 @@
 
     @property
     def due(self) -> float:
-        """When a probe is to be started, helped or answered for."""
+        """Time of the next probe, request for indirect probes, or negative answer."""
         probe = self.probe
-        help_at = inf
+        indirect_due = inf
         if probe is not None and not probe.is_answered and not probe.indirect_requested:
-            help_at = probe.started + self.gossip.health.scaled(self.timing.probe_timeout_seconds)
-        until = min((probe.until for probe in self.indirect_probes.values()), default=inf)
-        return min(self.next_probe, help_at, until)
+            indirect_due = probe.started + self.gossip.health.scaled(self.timing.probe_timeout_seconds)
+        expiry = min((probe.expires_at for probe in self.indirect_probes.values()), default=inf)
+        return min(self.next_probe, indirect_due, expiry)
 
     def start_probe(self, now: float) -> list[OutgoingSwim]:
-        """Probe the next member in turn."""
+        """Probe the next member of the round."""
         self.next_probe = now + self.gossip.health.scaled(self.timing.probe_interval_seconds)
         self.gossip.table.reclaim(now, self.timing.reclaim_seconds)
         name = self._next_probe_target()
@@ -96,7 +96,7 @@
         return [(record.address, Ping(self.sequence, *self.gossip.piggyback(record)))]
 
     def _next_probe_target(self) -> str | None:
-        """Return each in turn, in an order that is drawn anew for each round."""
+        """Return the next target, round-robin over all present members in a new random order per round."""
         while True:
             if not self.probe_order:
                 self.probe_order = sorted(
@@ -111,7 +111,7 @@
                 return name
 
     def request_indirect_probes(self, now: float) -> list[OutgoingSwim]:
-        """Ask others to probe a member that has not answered in time."""
+        """Ask other members to probe a target that has not answered in time."""
         probe = self.probe
         if probe is None or probe.is_answered or probe.indirect_requested:
             return []
@@ -123,7 +123,7 @@
             if record.state == ALIVE and name != probe.name
         )
         helpers = self.random.sample(others, min(self.timing.indirect_probes, len(others)))
-        probe.indirect_requested = len(helpers) or NOBODY_TO_ASK
+        probe.indirect_requested = len(helpers) or NO_HELPERS
         out: list[OutgoingSwim] = []
         for name in helpers:
             request = PingRequest(probe.sequence, *self.gossip.piggyback(), probe.name)
@@ -131,17 +131,17 @@
         return out
 
     def finish_probe(self, now: float) -> None:
-        """End the probe under way; a member that was not answered suspects the target."""
+        """End the probe in progress; suspect its target if it has not answered."""
         probe, self.probe = self.probe, None
         if probe is None or probe.is_answered:
             return
         if probe.indirect_requested <= 0 or probe.nacks < probe.indirect_requested:
-            self.gossip.health.degrade()  # nobody helped, or they were not heard either: it may be this one
+            self.gossip.health.degrade()  # no helper, or no answer from it: the fault may be local
         self.gossip.suspect(now, probe.name)
 
     def expire_indirect_probes(self, now: float) -> list[OutgoingSwim]:
-        """Answer the requests of others whose target did not answer in time."""
-        expired = [sequence for sequence, probe in self.indirect_probes.items() if now >= probe.until]
+        """Send a `Nack` for each indirect probe whose target did not answer in time."""
+        expired = [sequence for sequence, probe in self.indirect_probes.items() if now >= probe.expires_at]
         out: list[OutgoingSwim] = []
         for sequence in expired:
             probe = self.indirect_probes.pop(sequence)
@@ -151,14 +151,14 @@
     # Messages
 
     def handle_ping(self, address: Address, message: Ping, record: MemberRecord | None) -> list[OutgoingSwim]:
-        """Answer a probe; `record` is the sender's, if it is known."""
+        """Answer a probe; `record` is the sender's, or None if it is unknown."""
         out: list[OutgoingSwim] = [(address, Ack(message.sequence, *self.gossip.piggyback(record)))]
-        if record is None:  # no update about it has come by here: it is asked itself
+        if record is None:  # no update about the sender has arrived yet: ask for its state
             out.append((address, SyncRequest(0, (self.gossip.own_update(),))))
         return out
 
     def handle_ack(self, now: float, sender: str, sequence: int) -> list[OutgoingSwim]:
-        """Take note of an answer, and pass it on if the probe was for another member."""
+        """Record an answer, and forward it if the probe was on behalf of another member."""
         self.gossip.note_answer(now, sender)
         if self.probe is not None and self.probe.sequence == sequence and not self.probe.is_answered:
             self.probe.is_answered = True
@@ -169,16 +169,16 @@
         return []
 
     def handle_nack(self, message: Nack) -> None:
-        """Take note that a helper was not answered either."""
+        """Record that a helper's indirect probe was not answered either."""
         if self.probe is not None and self.probe.sequence == message.sequence:
             self.probe.nacks += 1
 
     def handle_ping_request(self, now: float, address: Address, message: PingRequest) -> list[OutgoingSwim]:
-        """Probe a member for another one."""
+        """Probe a member on behalf of another one."""
         record = self.gossip.table.records.get(message.target)
         if record is None or len(self.indirect_probes) >= MAX_INDIRECT_PROBES:
             return []
         self.sequence += 1
-        until = now + self.timing.probe_timeout_seconds
-        self.indirect_probes[self.sequence] = _IndirectProbe(address, message.sequence, until)
+        expires_at = now + self.timing.probe_timeout_seconds
+        self.indirect_probes[self.sequence] = _IndirectProbe(address, message.sequence, expires_at)
         return [(record.address, Ping(self.sequence, *self.gossip.piggyback(record)))]
--- a/wheatring/fleet/members/timing.py
+++ b/wheatring/fleet/members/timing.py
@@ -1,4 +1,4 @@
-"""How often members probe each other, and how long a silent one may be suspected. All times in seconds."""
+"""Timing parameters of SWIM: probes, suspicions and state exchanges. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
     """The parameters of SWIM with Lifeguard's dynamic suspicion."""
 
     probe_interval_seconds: float = 1.0
-    probe_timeout_seconds: float = 0.3  # after it others are asked to probe
-    indirect_probes: int = 3  # how many others are asked
-    suspicion_multiplier: float = 4.0  # of the shortest time that a suspect has
-    max_suspicion_multiplier: float = 6.0  # of that, while nobody else suspects it
-    confirmations: int = 2  # suspicions by others that bring it down to the shortest
-    retransmit_multiplier: float = 4.0  # of how often an update is passed on
-    reclaim_seconds: float = 120.0  # after which a member that left or died is forgotten
-    sync_seconds: float = 20.0  # between two exchanges of all that is known, in a small fleet,
-    sync_seconds_per_member: float = 0.2  # and in a large one for each member, so that the cost is bounded
-    joins_per_second: float = 60.0  # where all start at once, members that join in a second,
-    max_join_delay_seconds: float = 3.0  # and how long that delays one at most
+    probe_timeout_seconds: float = 0.3  # then indirect probes are requested
+    indirect_probes: int = 3  # members asked for an indirect probe
+    suspicion_multiplier: float = 4.0  # for the shortest time that a suspect has to refute
+    max_suspicion_multiplier: float = 6.0  # for the longest, relative to the shortest
+    confirmations: int = 2  # further suspecting members that reduce it to the shortest
+    retransmit_multiplier: float = 4.0  # for the number of times that an update is sent
+    reclaim_seconds: float = 120.0  # after which a member that left or died is deleted
+    sync_seconds: float = 20.0  # between two exchanges of the full state, in a small fleet
+    sync_seconds_per_member: float = 0.2  # the same in a large one, so that the cost is bounded
+    joins_per_second: float = 60.0  # spreads the joins of members that start simultaneously
+    max_join_delay_seconds: float = 3.0  # limits the delay by `joins_per_second`
 
     def min_suspicion_seconds(self, members: int) -> float:
-        """Return the shortest time that a suspect has to refute, in a fleet of so many members."""
+        """Return the shortest time that a suspect has to refute."""
         return self.suspicion_multiplier * max(1.0, log10(max(1, members))) * self.probe_interval_seconds
 
     def suspicion_seconds(self, members: int, confirmed_by: int) -> float:
@@ -32,9 +32,9 @@
         Parameters
         ----------
         members : int
-            How many members the fleet has.
+            Number of members in the fleet.
         confirmed_by : int
-            How many others suspect it too: the more, the less time it has.
+            Number of further members that suspect it: the more, the shorter the time.
         """
         shortest = self.min_suspicion_seconds(members)
         needed = min(self.confirmations, max(0, members - 2))
@@ -44,9 +44,9 @@
         return longest - (longest - shortest) * log(confirmed_by + 1) / log(needed + 1)
 
     def transmit_limit(self, members: int) -> int:
-        """Return how often one member passes an update on."""
+        """Return how often a member sends an update."""
         return ceil(self.retransmit_multiplier * log10(members + 1)) + 1
 
     def sync_interval_seconds(self, members: int) -> float:
-        """Return the time between two exchanges of all that is known."""
+        """Return the time between two exchanges of the full state."""
         return max(self.sync_seconds, self.sync_seconds_per_member * members)
--- a/wheatring/fleet/members/update_queue.py
+++ b/wheatring/fleet/members/update_queue.py
@@ -1,4 +1,4 @@
-"""Member updates that are still passed on: those sent least often first, each a limited number of times."""
+"""Queue of member updates to gossip: those sent least often first, each a limited number of times."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from wheatring.fleet.members.messages import MemberUpdate
 
-PIGGYBACK_BYTES = 900  # of updates in one datagram
+PIGGYBACK_BYTES = 900  # for updates in one datagram
 MAX_SCANNED_UPDATES = 40  # updates considered for one message
-MAX_UPDATES = 500  # kept at once: of more, those sent most often are dropped
+MAX_UPDATES = 500  # queued; beyond it those sent most often are dropped
 
 
 def batches(updates: Iterable[MemberUpdate]) -> Iterator[tuple[MemberUpdate, ...]]:
-    """Split updates into batches that each fit one datagram; there is one at least."""
+    """Split updates into batches that each fit one datagram; there is at least one."""
     batch: list[MemberUpdate] = []
     room = PIGGYBACK_BYTES
     for update in updates:
@@ -26,23 +26,23 @@
 
 
 class UpdateQueue:
-    """The updates that one member passes on, the newest of each member.
+    """The updates that one member gossips, the newest about each member.
 
-    `by_transmissions[n]` holds those that were sent n times, in the order in which they got there: so what
-    goes along with a message is found without considering all of them.
+    `by_transmissions[n]` holds the updates that were sent n times, oldest first, so that a batch is found
+    without scanning or sorting all updates.
     """
 
     def __init__(self) -> None:
-        self.transmissions: dict[str, int] = {}  # by the member's name
+        self.transmissions: dict[str, int] = {}  # by name of the member
         self.by_transmissions: list[dict[str, MemberUpdate]] = [{}]
 
     @property
     def pending(self) -> dict[str, MemberUpdate]:
-        """All updates, by the name of their member."""
+        """All queued updates, by name of the member."""
         return {name: self.by_transmissions[count][name] for name, count in self.transmissions.items()}
 
     def add(self, update: MemberUpdate) -> None:
-        """Add an update, in place of an earlier one on the same member."""
+        """Queue an update; it replaces an earlier one about the same member."""
         name = update.member.name
         self._drop(name)
         self.transmissions[name] = 0
@@ -55,7 +55,7 @@
             del self.by_transmissions[self.transmissions.pop(name)][name]
 
     def _note_transmission(self, name: str, transmit_limit: int) -> None:
-        """Count one more transmission, and drop the update when it has had its limit."""
+        """Count a transmission; drop the update once it has reached the limit."""
         count = self.transmissions[name] + 1
         update = self.by_transmissions[count - 1].pop(name)
         if count >= transmit_limit:
@@ -67,9 +67,9 @@
         self.by_transmissions[count][name] = update
 
     def note_duplicate(self, update: MemberUpdate, transmit_limit: int) -> None:
-        """Count an update that somebody else sent too as transmitted once more.
+        """Count an update that was also received from another member as one more transmission.
 
-        So updates that all know by now aren't passed on for long ("feedback" and "counter" of Demers et al.,
+        This ends the gossip of widely known updates sooner ("feedback" and "counter" of Demers et al.,
         "Epidemic Algorithms for Replicated Database Maintenance", 1987).
         """
         name = update.member.name
@@ -82,7 +82,7 @@
     def next_batch(
         self, transmit_limit: int, first: Collection[MemberUpdate] = ()
     ) -> tuple[MemberUpdate, ...]:
-        """Return the updates that go along with one message; `first` go in any case."""
+        """Return the updates to piggyback on one message, starting with all of `first`."""
         room = PIGGYBACK_BYTES - sum(update.encoded_bytes for update in first)
         batch = list(first)
         queued = chain.from_iterable(level.values() for level in self.by_transmissions)
--- a/wheatring/fleet/members/view.py
+++ b/wheatring/fleet/members/view.py
@@ -1,8 +1,8 @@
-"""A view: the numbered set of members that all agree on, how it changes, and who observes whom in it.
+"""Membership views: the numbered, agreed set of members, its changes, and its monitoring topology.
 
-Rings: on each of `RING_COUNT` all members stand in the order of a hash of the ring and their names, and each
-observes the one behind it. So everybody knows all edges, and a change moves only the edges beside those
-admitted or removed. After Rapid (Suresh et al., 2018).
+On each of `RING_COUNT` rings the members are sorted by a hash of the ring and their names, and each member
+observes its successor. So all members can compute all edges, and a change of the view affects only the edges
+next to the members admitted or removed. Based on Rapid (Suresh et al., 2018).
 """
 
 from __future__ import annotations
@@ -20,9 +20,10 @@
 
 
 class ViewChange(msgspec.Struct, frozen=True, array_like=True):
-    """What makes a view of the one before: the payload of an entry of the register `view`.
+    """The difference between a view and the previous one: the payload of an entry of the register `view`.
 
-    `before` and `after` are the digests of the encoded members. The order of the fields is the wire format.
+    `before` and `after` are the digests of the encoded members of both. The order of the fields is the wire
+    format.
     """
 
     before: bytes
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True)
 class View:
-    """A membership view. `members` are in the order of their names; `epoch` is that of the last leader."""
+    """A membership view. `members` are sorted by name; `epoch` is that of the leader that changed it last."""
 
     number: int = 0
     epoch: int = 0
@@ -47,12 +48,12 @@
 
     @cached_property
     def payload(self) -> bytes:
-        """The encoded members, of which a change has the digests."""
+        """The encoded members; `ViewChange` has digests of them."""
         return _encoder.encode(self.members)
 
     @cached_property
     def _by_name(self) -> dict[str, ViewMember]:
-        return {placed.member.name: placed for placed in self.members}
+        return {view_member.member.name: view_member for view_member in self.members}
 
     @cached_property
     def names(self) -> frozenset[str]:
@@ -66,10 +67,12 @@
     def with_changes(
         self, number: int, epoch: int, added: Iterable[ViewMember], removed: Iterable[str]
     ) -> View:
-        """Return the view with this number that a change makes of this one."""
+        """Return a new view with these changes applied."""
         removed_names = {*removed}
-        members = {name: placed for name, placed in self._by_name.items() if name not in removed_names}
-        members.update((placed.member.name, placed) for placed in added)
+        members = {
+            name: view_member for name, view_member in self._by_name.items() if name not in removed_names
+        }
+        members.update((view_member.member.name, view_member) for view_member in added)
         return View(number, epoch, tuple(members[name] for name in sorted(members)))
 
 
@@ -79,7 +82,7 @@
 
 
 def decode_change(payload: bytes) -> ViewChange | None:
-    """Decode an entry's payload; None: it is no change."""
+    """Decode an entry's payload; None if it isn't a valid change."""
     try:
         return _change.decode(payload)
     except msgspec.DecodeError:
@@ -87,7 +90,7 @@
 
 
 def decode_members(payload: bytes) -> tuple[ViewMember, ...] | None:
-    """Decode the payload of a complete view; None: it is none."""
+    """Decode the payload of a complete view; None if it isn't valid."""
     try:
         return _members.decode(payload)
     except msgspec.DecodeError:
@@ -100,7 +103,7 @@
 
 
 class Rings:
-    """Who observes whom in one view."""
+    """The observers and subjects of all members of one view."""
 
     def __init__(self, names: Iterable[str]) -> None:
         self.subjects_by_observer: dict[str, list[str]] = {}
@@ -108,15 +111,15 @@
         ordered = sorted(names)
         for ring in range(RING_COUNT):
             order = sorted(ordered, key=lambda name: _ring_position(ring, name))
-            for name, other in zip(order, order[1:] + order[:1], strict=True):
-                if name != other and other not in self.subjects_by_observer.setdefault(name, []):
-                    self.subjects_by_observer[name].append(other)
-                    self.observers_by_subject.setdefault(other, []).append(name)
+            for name, successor in zip(order, order[1:] + order[:1], strict=True):
+                if name != successor and successor not in self.subjects_by_observer.setdefault(name, []):
+                    self.subjects_by_observer[name].append(successor)
+                    self.observers_by_subject.setdefault(successor, []).append(name)
 
     def subjects(self, name: str) -> list[str]:
-        """Return those that a member observes."""
+        """Return the members that a member observes."""
         return self.subjects_by_observer.get(name, [])
 
     def observers(self, name: str) -> list[str]:
-        """Return those that observe a member."""
+        """Return the members that observe a member."""
         return self.observers_by_subject.get(name, [])
--- a/wheatring/fleet/members/view_messages.py
+++ b/wheatring/fleet/members/view_messages.py
@@ -1,7 +1,7 @@
-"""Messages on the membership view, which is agreed, numbered and the same for all members.
+"""Messages about the membership view, which is agreed, numbered and the same for all members.
 
 See docs/design/fleet-agrees.md. All are encoded as msgpack arrays: their tags and the order of their fields
-are the wire format. `view` is the number of the view that the sender stands in; 0: none.
+are the wire format. `view` is the number of the sender's view; 0 if it is in none.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 
 
 class ViewMember(NamedTuple):
-    """A member of a view. The incarnation tells its process from earlier ones of its name."""
+    """A member of a view. The incarnation distinguishes processes of the same name."""
 
     member: MemberInfo
     incarnation: int
 
 
 class LeaderStamp(NamedTuple):
-    """A leader's statement that it stood by these entries, made once a second."""
+    """A leader's confirmation, once a second, that these entries are the newest."""
 
     epoch: int  # of the leader
-    sequence: int  # among the stamps of this epoch
-    view: int = 0  # the number of the view then,
-    plan: int = 0  # and of the plan
+    sequence: int  # of the stamp within its epoch
+    view: int = 0  # number of the view
+    plan: int = 0  # number of the plan
 
     @property
     def order(self) -> tuple[int, int]:
-        """Epoch and sequence: the higher of two stamps is the newer."""
+        """Epoch and sequence number; the newer of two stamps has the higher value."""
         return self.epoch, self.sequence
 
 
 class HealthCheck(GossipMessage, frozen=True, tag="look"):
-    """Observer to subject: answer. `check_early`: somebody is missed, check your own subjects now."""
+    """Observer to subject: asks for an answer; `check_early` asks it to check its own subjects early."""
 
     view: int = 0
     check_early: bool = False
 
 
 class HealthCheckResponse(GossipMessage, frozen=True, tag="here"):
-    """The answer to a check, with the newest stamp known and how old that is at most."""
+    """The answer to a check, with the newest known stamp and an upper bound of its age."""
 
     view: int = 0
     stamp: LeaderStamp = LeaderStamp(0, 0)
@@ -50,48 +50,48 @@
 
 
 class ViewMessageBase(Struct, frozen=True, array_like=True, tag_field="w"):
-    """What the other messages on views have in common."""
+    """The common fields of the other messages about views."""
 
     view: int
 
 
 class MissedCheck(ViewMessageBase, frozen=True, tag="miss"):
-    """To a subject's other observers: it does not answer the sender; check it now."""
+    """To a subject's other observers: it does not answer the sender; they check it now."""
 
     name: str
 
 
 class UnresponsiveReport(ViewMessageBase, frozen=True, tag="report"):
-    """Observer to the voters: its subjects that do not answer, and for how many seconds.
+    """Observer to the voters: its subjects that do not answer, each with the seconds of its silence.
 
-    With the sender's own name it says that the sender leaves.
+    A report with the sender's own name announces that the sender leaves.
     """
 
     silent: tuple[tuple[str, float], ...] = ()
 
 
 class JoinRequest(ViewMessageBase, frozen=True, tag="knock"):
-    """To the voters: admit this member."""
+    """To the voters: asks to admit this member."""
 
     member: ViewMember
 
 
 class JoinDeferred(ViewMessageBase, frozen=True, tag="wait"):
-    """Leader to one that asked to join: not yet, and why."""
+    """Leader to a joining process: its request is deferred, for this reason."""
 
     retry_after_seconds: float
     reason: str
 
 
 class IndirectCheckRequest(ViewMessageBase, frozen=True, tag="doubt"):
-    """Leader to some members: check whether these answer, before they are removed."""
+    """Leader to some members: asks them to check these members before their removal."""
 
     sequence: int
     names: tuple[str, ...]
 
 
 class IndirectCheckResult(ViewMessageBase, frozen=True, tag="reached"):
-    """The answer to the leader: these have answered."""
+    """Answer to the leader: these members have answered the check."""
 
     sequence: int
     names: tuple[str, ...]
--- a/wheatring/fleet/peers/__init__.py
+++ b/wheatring/fleet/peers/__init__.py
@@ -1,6 +1,6 @@
-"""The sockets between the sidecars of one fleet, and the objects that run the fleet's deciders on them.
+"""The process side of a fleet: sockets between the sidecars, and the runtime of the fleet's protocols.
 
-Imported only where the configuration file has a `[fleet]` table. Nothing is decided here: `lease`, `members`,
-`plan`, `skew` and `schedule` decide, free of I/O, and this package gives them datagrams, streams, clocks and
-roles to work on.
+Imported only if the configuration file has a `[fleet]` table. The protocol logic is in `lease`, `members`,
+`plan`, `skew` and `schedule`, which do no I/O. This package provides them with datagrams, streams, clocks and
+role workers.
 """
--- a/wheatring/fleet/peers/agreement.py
+++ b/wheatring/fleet/peers/agreement.py
@@ -1,4 +1,4 @@
-"""Puts together the deciders of what a fleet agrees on: the same for the daemon and for the virtual fleet.
+"""Assembles the components of agreed views and plans, for the daemon and for simulated fleets alike.
 
 Imported only with `[fleet] view = true`. No I/O.
 """
@@ -17,16 +17,16 @@
 from wheatring.fleet.peers.options import PlanOptions
 from wheatring.fleet.peers.status_values import shown_age
 
-if TYPE_CHECKING:  # what belongs to plans is imported with them
+if TYPE_CHECKING:  # at run time, modules of plans are imported only if plans are enabled
     from wheatring.fleet.peers.plan_coordinator import PlanCoordinator
 
 LEADER_SETTINGS = RoleSettings(LEADER_ROLE, voters_only=True)
 VIEW_MESSAGES: Any = FleetMessage | RegisterMessage | ViewMessage
-UNREACHED_SECONDS = 3.0  # without an answer, after which a watched member is listed as not answering
+HEARD_RECENTLY_SECONDS = 3.0  # a monitored member that was heard from within this time is listed as `deaf`
 
 
 def messages_with_plans() -> Any:
-    """Return the union of all message types, those of plans among them."""
+    """Return the union of all message types, including those of plans."""
     from wheatring.fleet.plan.messages import AnyPlanMessage
     from wheatring.fleet.schedule.messages import AnyScheduleMessage
     from wheatring.fleet.skew.messages import AnySkewMessage
@@ -35,9 +35,9 @@
 
 
 class Agreement:
-    """One sidecar's share in what the fleet agrees on: the view of its members, and its plan if there is one.
+    """One sidecar's part in the agreed membership view and, if plans are enabled, the fleet's plan.
 
-    It adds its deciders to those of `fleet`.
+    It adds its components to those of `fleet`.
     """
 
     def __init__(self, at: Instant, fleet: Fleet, plan: PlanOptions | None = None) -> None:
@@ -47,22 +47,22 @@
             from wheatring.fleet.peers.plan_coordinator import PlanCoordinator
 
             self.plan = PlanCoordinator(at, fleet, self.views, plan)
-        fleet.components += self.deciders
+        fleet.components += self.components
 
     @property
-    def deciders(self) -> list[FleetComponent]:
-        """The deciders, in the order in which they receive events."""
-        of_plan = [] if self.plan is None else self.plan.deciders
-        return [self.views, self.views.register, *of_plan]
+    def components(self) -> list[FleetComponent]:
+        """The components, in the order in which they receive events."""
+        plan_components = [] if self.plan is None else self.plan.components
+        return [self.views, self.views.register, *plan_components]
 
     def leave(self, at: Instant) -> list[Outgoing]:
         """Announce that this sidecar leaves the view."""
         return self.views.leave(at)
 
     def status(self, now: float) -> dict[str, Any]:
-        """Describe the view for `GET /control/duties`."""
+        """Return the view's status for `GET /control/duties`."""
         views = self.views
-        age, wait = views.stamp_age_seconds(now), views.join_deferral
+        age, deferral = views.stamp_age_seconds(now), views.join_deferral
         return {
             "number": views.view.number,
             "epoch": views.view.epoch,
@@ -76,12 +76,12 @@
             "leads": views.register.is_ready,
             "side": views.isolation(now),
             "waits": None
-            if wait is None or views.is_member
-            else [round(wait.retry_after_seconds, 1), wait.reason],
+            if deferral is None or views.is_member
+            else [round(deferral.retry_after_seconds, 1), deferral.reason],
             "deaf": sorted(
                 name
                 for name, subject in views.monitor.edge_monitor.subjects.items()
                 if subject.missed_checks > 2
-                and now - views.monitor.last_heard_from.get(name, -1e9) < UNREACHED_SECONDS
+                and now - views.monitor.last_heard_from.get(name, -1e9) < HEARD_RECENTLY_SECONDS
             ),
         }
--- a/wheatring/fleet/peers/assembly.py
+++ b/wheatring/fleet/peers/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a sidecar's share in the fleet from what the platform and the configuration file say."""
+"""Builds a sidecar's fleet runtime from the platform's settings and the configuration file."""
 
 from __future__ import annotations
 
@@ -31,19 +31,21 @@
     on_view: Callable[[View], None],
     set_weights: SetWeights | None = None,
 ) -> tuple[FleetRuntime, ListSharing | None]:
-    """Build the fleet's runtime, which joins the fleet with `FleetRuntime.start`.
+    """Build the fleet's runtime, and the endpoint list sharing if a role is configured for it.
+
+    The runtime joins the fleet with `FleetRuntime.start`.
 
     Parameters
     ----------
     on_view : Callable[[View], None]
-        Receives the endpoint list, where sharing it is a role.
+        Called with each update of the endpoint list, if sharing it is a role.
     set_weights : SetWeights | None
-        Receives each route's weights by the fleet's plan.
+        Called with a route and its weights when the fleet's plan changes them.
 
     Raises
     ------
     ProjectFileError
-        The key file can't be used.
+        The key file is not usable.
     """
     random = Random(f"{platform.seed}:fleet")
     runtime = FleetRuntime(reactor, clock, fleet_options(platform, configuration, set_weights), random)
@@ -67,7 +69,7 @@
     configuration: project_file.ProjectFile,
     set_weights: SetWeights | None,
 ) -> FleetOptions:
-    """Gather what the files say of this sidecar's place in the fleet. Raises KeyFileError."""
+    """Derive this sidecar's fleet options from the files; raise KeyFileError if the keys are not usable."""
     fleet = configuration.fleet
     assert fleet is not None
     voters = voters_of(fleet)
@@ -98,10 +100,10 @@
 
 
 def plan_options(plan: project_file.PlanTable, set_weights: SetWeights | None) -> PlanOptions:
-    """Gather what the file says of the fleet's plan; ProjectFileError where the first plan can't be used."""
+    """Derive the plan options from the file; raise ProjectFileError if the first plan is not usable."""
 
     def write_log(event: str, fields: dict[str, Any]) -> None:
-        """Write an event of the plan to the log."""
+        """Log an event of the plan."""
         log.line(event, **fields)
 
     formats = None if plan.formats is None else tuple(plan.formats)
@@ -112,17 +114,17 @@
 def role_worker(
     reactor: Any, clock: Clock, runtime: FleetRuntime, name: str, table: project_file.RoleTable
 ) -> RoleWorker:
-    """Build the worker of a role other than `list`."""
+    """Build the worker of a role, except for endpoint list sharing."""
     if table.call is None:
         return PassiveWorker()
     return HttpRoleWorker(reactor, clock, runtime, name, address.parse(table.call), table.path, table.every)
 
 
 def voters_of(fleet: project_file.FleetTable) -> VoterSet:
-    """Read the voters, and those of a change under way, from the file's table."""
+    """Return the voters, and those of a change in progress, from the file's table."""
 
     def names(value: int | list[str] | None) -> tuple[str, ...]:
-        """Return the voters that a setting names or counts."""
+        """Return the voters that a setting names, or the first ones if it is a number."""
         if isinstance(value, int):
             return first_voters(value)
         return tuple(value or ())
--- a/wheatring/fleet/peers/body_transfer.py
+++ b/wheatring/fleet/peers/body_transfer.py
@@ -1,11 +1,11 @@
-"""Transfers bodies between sidecars, over TCP on the address and port that the datagrams go to.
+"""Transfers bodies between sidecars, over TCP on the address and port of the datagrams.
 
     requester   2 bytes length, then an authenticated `BodyRequest`
-    sender      1 byte: 1 the body follows, 0 it has none; then 4 bytes length, and the body
+    sender      1 byte: 1 if the body follows, 0 if it is not available; then 4 bytes length, and the body
 
-The digest that is requested verifies that the body received is the right one and complete. A connection
-transfers one body. Requests are authenticated by a codec of their own: its sequence numbers are apart from
-those of the datagrams, so a request that queues for a connection is not taken for a replayed datagram.
+The requested digest verifies that the received body is correct and complete. A connection transfers one body.
+Requests are authenticated by a separate codec with its own sequence numbers, so that a request that was
+queued for a connection is not rejected as a replayed datagram.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 from wheatring.fleet.peers.exceptions import DatagramRejectedError
 
 TRANSFER_TIMEOUT_SECONDS = 5.0  # for one body
-MAX_SENDERS, MAX_REQUESTERS = 12, 4  # connections at once, by direction
-MAX_QUEUED = 16  # fetches that wait for a connection; more are left to their callers' next try
+MAX_SENDERS, MAX_REQUESTERS = 12, 4  # concurrent connections, by direction
+MAX_QUEUED = 16  # fetches waiting for a connection; further ones are dropped, their callers retry
 _REQUEST_HEAD, _REPLY_HEAD = Packed(">H"), Packed(">BI")
 
 
 class BodyRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="want"):
-    """Asks a member for the body that a digest stands for."""
+    """Asks a member for the body with this digest."""
 
     digest: bytes
 
 
 class _BodyConnection(protocol.Protocol):
-    """One end of a transfer, aborted when it exceeds `TRANSFER_TIMEOUT_SECONDS`."""
+    """One end of a transfer, aborted after `TRANSFER_TIMEOUT_SECONDS`."""
 
     transport: Any
 
@@ -49,13 +49,13 @@
         self.timeout: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Limit the time of the transfer."""
+        """Start the transfer's time-out."""
         self.transport.setTcpNoDelay(True)
         clock = self.transfers.clock
         self.timeout = clock.at(clock.now() + TRANSFER_TIMEOUT_SECONDS, self.transport.abortConnection)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's
-        """Cancel the time limit."""
+        """Cancel the time-out."""
         if self.timeout is not None and self.timeout.active():
             self.timeout.cancel()
 
@@ -64,7 +64,7 @@
     """The accepting end: reads one request, writes one reply."""
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Accept the sender, unless there are too many."""
+        """Register the sender, or abort the connection beyond `MAX_SENDERS`."""
         if len(self.transfers.senders) >= MAX_SENDERS:
             self.transport.abortConnection()
             return
@@ -72,7 +72,7 @@
         super().connectionMade()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Read the request, and send the body that it asks for."""
+        """Read the request, and send the requested body."""
         self.buffer += data
         if len(self.buffer) < _REQUEST_HEAD.size:
             return
@@ -88,7 +88,7 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
-        """Forget the sender."""
+        """Unregister the sender."""
         super().connectionLost(reason)
         self.transfers.senders.discard(self)
 
@@ -108,7 +108,7 @@
         self.transport.write(_REQUEST_HEAD.pack(len(request)) + request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Read the body, and check its digest."""
+        """Read the body, and verify its digest."""
         self.buffer += data
         if len(self.buffer) < _REPLY_HEAD.size:
             return
@@ -128,14 +128,14 @@
 
 
 class BodyTransfers(protocol.ServerFactory):
-    """Sends bodies that other sidecars request, and fetches those that this one lacks.
+    """Sends bodies that other sidecars request, and fetches bodies from them.
 
     Parameters
     ----------
     body_of : Callable[[bytes], bytes | None]
-        Returns the body of a digest; None where this sidecar doesn't have it.
+        Returns the body with a digest; None if this sidecar doesn't have it.
     on_fetched : Callable[[bytes, bytes | None], object]
-        Called once a fetch with its digest, and the body or None.
+        Called once per fetch with its digest, and the body, or None if the fetch failed.
     """
 
     noisy = False
@@ -155,25 +155,25 @@
         self.on_fetched = on_fetched
         self.senders: set[_BodySender] = set()
         self.fetching: dict[bytes, FetchRequest] = {}  # by digest
-        self.queued: dict[bytes, FetchRequest] = {}  # by digest, in the order in which they came
+        self.queued: dict[bytes, FetchRequest] = {}  # by digest, oldest first
         self.port: Any = None
         self.host = ""
         self.is_closed = False
         self.fetched_bytes = self.sent_bytes = 0
 
     def buildProtocol(self, addr: object) -> _BodySender:  # noqa: N802, ARG002 - Twisted's name and argument
-        """Make the accepting end of a new connection."""
+        """Create the accepting end of a new connection."""
         return _BodySender(self)
 
     def listen(self, host: str, port: int) -> None:
-        """Accept requests; CannotListenError where the port is taken."""
+        """Accept requests; raise CannotListenError if the port is in use."""
         self.host = host
         self.port = self.reactor.listenTCP(port, self, interface=host)
 
-    def requested_body(self, sealed_request: bytes) -> bytes | None:
-        """Return the body that a request asks for; None where it fails its check or there is no body."""
+    def requested_body(self, encoded_request: bytes) -> bytes | None:
+        """Return the requested body; None if the request is rejected or the body is not available."""
         try:
-            _, request = self.codec.decode(self.clock.now(), sealed_request)
+            _, request = self.codec.decode(self.clock.now(), encoded_request)
         except DatagramRejectedError as rejected:
             log.line("peer-dropped", cause=rejected.cause, peer="stream", so_far=1)
             return None
@@ -182,7 +182,7 @@
         return body
 
     def fetch(self, fetch: FetchRequest) -> None:
-        """Fetch a body, now or once a connection is free; a fetch under way is not started twice."""
+        """Fetch a body, now or once a connection is free, unless a fetch of it is in progress already."""
         if self.is_closed or fetch.digest in self.fetching or fetch.digest in self.queued:
             return
         if len(self.fetching) >= MAX_REQUESTERS:
@@ -197,7 +197,7 @@
         connected.addErrback(lambda _: self.finish(fetch, None))
 
     def finish(self, fetch: FetchRequest, body: bytes | None) -> None:
-        """Report what a fetch brought, and start the next one queued."""
+        """Report the result of a fetch, and start the next queued one."""
         if self.fetching.pop(fetch.digest, None) is None or self.is_closed:
             return
         self.fetched_bytes += len(body or b"")
@@ -206,7 +206,7 @@
         self.on_fetched(fetch.digest, body)
 
     def close(self) -> None:
-        """Stop listening and abort what is being sent; no fetch is reported any more."""
+        """Stop listening and abort all senders; results of fetches are no longer reported."""
         self.is_closed = True
         if self.port is not None:
             self.port.stopListening()
--- a/wheatring/fleet/peers/compiled_plan.py
+++ b/wheatring/fleet/peers/compiled_plan.py
@@ -1,7 +1,7 @@
-"""A plan compiled by this program's rules: the route of a request, weights at an instant, edges of windows.
+"""A compiled plan: routes of requests, weights at an instant, and the opening and closing times of windows.
 
-Made of a plan's routes (`plan/`, `routes/`) and its calendar (`schedule/`): the same that serves requests is
-what the compatibility check tries before a plan is committed. No I/O.
+It combines a plan's routes (`plan/`, `routes/`) and its windows (`schedule/`). The compatibility check tests
+a plan with the code that serves requests, before the plan is committed. No I/O.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 def compile_plan(body: bytes) -> tuple[Plan, CompiledPlan]:
-    """Read a plan and compile it.
+    """Parse a plan and compile it.
 
     Raises
     ------
     errors.OperatorError
-        It can't be read, or its parts contradict one another.
+        The plan can't be read, or its parts are inconsistent.
     """
     plan = parse_plan(body)
     routes = compile_routes(plan)
@@ -36,7 +36,7 @@
 
 
 class CompiledPlan:
-    """A `skew.trials.PlanEvaluator`: answers the compatibility check's trials."""
+    """Evaluates the trials of the compatibility check; implements `skew.trials.PlanEvaluator`."""
 
     def __init__(self, compiled: CompiledRoutes) -> None:
         self.table = compiled.table
@@ -44,7 +44,7 @@
         self.timetable = Timetable(compiled.plan)
 
     def route(self, trial: Trial) -> Answer:
-        """Return the route that a trial's request takes, with its weights at the trial's instant."""
+        """Return the route that matches a trial's request, with its weights at the trial's time."""
         fields = {name.lower().encode(): value.encode() for name, value in trial.headers.items()}
         if trial.host:
             fields[b"host"] = trial.host.encode()
@@ -68,9 +68,9 @@
         return self.timetable.weights(route, at)
 
     def zone(self, name: str) -> tzinfo:
-        """Return a time zone by its IANA name, with the rules that windows go by."""
+        """Return a time zone by its IANA name, with the rules that windows use."""
         return zones.load_zone(name)
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:
-        """Return when a window opens, closes or steps within these instants, ascending, in Unix seconds."""
+        """Return when a window opens, closes or steps between two instants, ascending, in Unix seconds."""
         return self.timetable.marks(window, after, before)
--- a/wheatring/fleet/peers/datagram_codec.py
+++ b/wheatring/fleet/peers/datagram_codec.py
@@ -5,9 +5,9 @@
     16 bytes  keyed BLAKE2b (RFC 7693) over all that follows
     rest      MessagePack: fleet, sender, the sender's start, sequence number, message
 
-Each start of a process numbers its datagrams anew, so a replayed one is recognized. After a restart of the
-receiver an old one may be accepted once more: it can only repeat what its sender once sent, and leases and
-membership tolerate messages that arrive late or twice.
+Each process numbers its datagrams from its start on, so that a replayed one is detected. After a restart of
+the receiver an old datagram may be accepted once more. This is harmless: it only repeats a genuine message,
+and leases and membership tolerate delayed and duplicate messages.
 """
 
 from __future__ import annotations
@@ -27,11 +27,10 @@
 FORMAT_VERSION = 1
 MAC_BYTES = 16
 MAX_DATAGRAM_BYTES = 1400  # one packet on any common link
-REPLAY_WINDOW = 256  # datagrams of one sender that may overtake one another
-MAX_SENDERS = 4000  # whose replay windows are kept; the least recently heard is forgotten first
-CLOCK_SET_BACK_SECONDS = (
-    5.0  # of silence after which an earlier start is accepted: the sender's clock was set back
-)
+REPLAY_WINDOW = 256  # sequence numbers; a datagram reordered by more is rejected
+MAX_SENDERS = 4000  # stored replay windows; the least recently used one is evicted first
+# After this much silence of a sender an earlier start is accepted: its clock was probably set back.
+CLOCK_SET_BACK_SECONDS = 5.0
 
 
 Messages = TypeVar("Messages")
@@ -51,15 +50,15 @@
 
 
 class TaggedMessage(Struct, array_like=True, frozen=True):
-    """The tag of a message of any type, known to this program or not."""
+    """Decodes only the tag of a message, also of an unknown type."""
 
     tag: str
 
 
 class _ReplayWindow:
-    """Which sequence numbers of one sender's process have been received.
+    """The sequence numbers received from one process of a sender.
 
-    `bits` has one bit a number below and including `highest`; `received_at` is in monotonic seconds.
+    `bits` has one bit for each number up to `highest`; `received_at` is in monotonic seconds.
     """
 
     __slots__ = ("bits", "highest", "received_at", "start")
@@ -72,14 +71,14 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """A message of an authenticated datagram, and its sender's name."""
+    """The message of an authenticated datagram, and its sender's name."""
 
     sender: str
     message: Any
 
 
 class DatagramCodec:
-    """Encodes the datagrams of one process of a fleet, and decodes those of the others.
+    """Encodes the datagrams of one process of a fleet, and decodes those of other processes.
 
     Parameters
     ----------
@@ -88,8 +87,8 @@
     start : int
         The incarnation of this process: Unix time of its start in ms.
     keys : Sequence[bytes]
-        The first key authenticates what is sent, any of them what is received. None: datagrams carry no MAC,
-        and those that carry one are rejected.
+        Sent datagrams are authenticated with the first key, received ones with any of them. If empty,
+        datagrams carry no MAC, and those that carry one are rejected.
     messages : Any
         The union of message types that this program knows.
     """
@@ -102,7 +101,7 @@
         self.start = start
         self.keys = keys
         self.seq = 0
-        self.senders: OrderedDict[str, _ReplayWindow] = OrderedDict()  # least recently heard first
+        self.senders: OrderedDict[str, _ReplayWindow] = OrderedDict()  # least recently used first
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder: Any = msgspec.msgpack.Decoder(Frame[messages])
         self.tag_decoder: Any = msgspec.msgpack.Decoder(Frame[TaggedMessage])
@@ -114,7 +113,7 @@
         Raises
         ------
         DatagramRejectedError
-            It would be larger than `MAX_DATAGRAM_BYTES`. Its sequence number is used up.
+            It would be larger than `MAX_DATAGRAM_BYTES`. The sequence number is consumed nevertheless.
         """
         self.seq += 1
         body = self.encoder.encode(Frame(self.fleet, self.name, self.start, self.seq, message))
@@ -124,12 +123,12 @@
         return bytes((FORMAT_VERSION, len(mac))) + mac + body
 
     def decode(self, now: float, data: bytes) -> ReceivedMessage:
-        """Check a datagram received at monotonic `now`, in seconds, and return what it carries.
+        """Verify a datagram received at monotonic `now`, in seconds, and return its message.
 
         Raises
         ------
         DatagramRejectedError
-            It fails a check.
+            The datagram fails a check.
         """
         body = self._authenticated_body(data)
         try:
@@ -157,7 +156,7 @@
         return body
 
     def _decode_failure(self, body: bytes) -> str:
-        """Tell a message of a newer program, which is nobody's fault, from a malformed one."""
+        """Return the cause: an unknown message type, as a newer program may send it, or a malformed frame."""
         try:
             tag = self.tag_decoder.decode(body).message.tag
         except (msgspec.DecodeError, RecursionError):
@@ -168,7 +167,7 @@
         return blake2b(body, digest_size=MAC_BYTES, key=key, person=b"wheatring").digest()
 
     def _check_replay(self, now: float, frame: Frame[Any]) -> None:
-        """Record the frame's sequence number; raise DatagramRejectedError where it was received before."""
+        """Record the frame's sequence number; raise DatagramRejectedError if it was received before."""
         window = self.senders.get(frame.sender)
         if window is None or (window.start != frame.start and self._supersedes(now, window, frame.start)):
             if window is None and len(self.senders) >= MAX_SENDERS:
--- a/wheatring/fleet/peers/datagram_socket.py
+++ b/wheatring/fleet/peers/datagram_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket of one sidecar, and its counts."""
+"""The UDP socket of one sidecar, and its counters."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from wheatring.fleet.peers.datagram_codec import DatagramCodec
 from wheatring.fleet.peers.exceptions import DatagramRejectedError
 
-LOG_INTERVAL_SECONDS = 60.0  # between two log lines of one cause
+LOG_INTERVAL_SECONDS = 60.0  # between two log lines for the same cause
 
 
 class DatagramSocket(protocol.DatagramProtocol):
-    """Sends and receives the datagrams of one sidecar; counts them, and those dropped by cause.
+    """Sends and receives the datagrams of one sidecar. Counts them, and the dropped ones by cause.
 
-    `on_message` is called with each message accepted: its sender's name, its source address, the message.
+    `on_message` is called for each accepted message, with the sender's name, the source address and the
+    message.
     """
 
     transport: Any
@@ -31,12 +32,12 @@
         self.clock = clock
         self.codec = codec
         self.on_message = on_message
-        self.dropped: Counter[str] = Counter()  # datagrams, by cause
+        self.dropped: Counter[str] = Counter()  # number of datagrams by cause
         self.logged_at: dict[str, float] = {}  # monotonic seconds of the last log line, by cause
         self.sent = self.sent_bytes = self.received = self.received_bytes = 0
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:  # noqa: N802 - Twisted's name
-        """Decode a datagram and hand its message on, or count why not."""
+        """Decode a datagram and deliver its message, or count the cause of its rejection."""
         try:
             sender, message = self.codec.decode(self.clock.now(), data)
         except DatagramRejectedError as rejected:
@@ -47,7 +48,7 @@
         self.on_message(sender, addr, message)
 
     def drop(self, cause: str, peer: str) -> None:
-        """Count a datagram that is dropped; log it unless one of the same cause was logged a moment ago."""
+        """Count a dropped datagram; log it at most once per `LOG_INTERVAL_SECONDS` and cause."""
         self.dropped[cause] += 1
         now = self.clock.now()
         if now - self.logged_at.get(cause, -LOG_INTERVAL_SECONDS) >= LOG_INTERVAL_SECONDS:
@@ -55,7 +56,7 @@
             log.line("peer-dropped", cause=cause, peer=peer, so_far=self.dropped[cause])
 
     def send(self, address: Address, message: Any) -> None:
-        """Send a message, unless the socket is closed or the message too large: senders expect losses."""
+        """Send a message; drop it if the socket is closed or the message too large, as a network may."""
         if self.transport is None:
             return
         try:
@@ -67,8 +68,8 @@
         self.sent_bytes += len(data)
         try:
             self.transport.write(data, address)
-        except OSError as error:  # no network, or a full buffer: the same to the receiver as a lost datagram
+        except OSError as error:  # no network or a full buffer; treated like a lost datagram
             self.drop("unsent", f"{address[0]}:{address[1]}: {error.strerror}")
 
     def connectionRefused(self) -> None:  # noqa: N802 - Twisted's name
-        """Ignore that a peer's port is closed: the membership finds that out by itself."""
+        """Ignore that a peer's port is closed: failure detection notices the peer's silence."""
--- a/wheatring/fleet/peers/exceptions.py
+++ b/wheatring/fleet/peers/exceptions.py
@@ -9,7 +9,7 @@
     Attributes
     ----------
     cause : str
-        The reason code in the log and in the counts: `too-large`, `version`, `key`, `form`, `unknown-word`,
+        The reason code in the log and in the counters: `too-large`, `version`, `key`, `form`, `unknown-word`,
         `fleet`, `name`, `old-start` or `replayed`.
     """
 
--- a/wheatring/fleet/peers/fleet_runtime.py
+++ b/wheatring/fleet/peers/fleet_runtime.py
@@ -1,4 +1,4 @@
-"""Runs the fleet's deciders of one sidecar on the reactor: gives them sockets, clocks and role workers."""
+"""Runs one sidecar's fleet components on the reactor, with sockets, timers and role workers."""
 
 from __future__ import annotations
 
@@ -27,29 +27,30 @@
 from wheatring.fleet.peers.role_workers import RoleWorker
 from wheatring.fleet.peers.status_values import OperatorAnswer
 
-if TYPE_CHECKING:  # what belongs to agreed views is imported with them
+if TYPE_CHECKING:  # at run time, modules of agreed views are imported only if views are enabled
     from wheatring.daemon.config.project_file import ProjectFile
     from wheatring.fleet.peers.agreement import Agreement
     from wheatring.fleet.peers.body_transfer import BodyTransfers
 
-PORT_RETRY_SECONDS = 0.1  # until the next try to bind the port, which an older process of this name may have
-MIN_TIMER_SECONDS = 0.001  # between two calls of the deciders' clockwork
+PORT_RETRY_SECONDS = 0.1  # between attempts to bind the port, which a previous process may still use
+MIN_TIMER_SECONDS = 0.001  # between two ticks
 NOT_JOINED = "not in the fleet yet"
 
 
 def boot_clock() -> float:
-    """Read the clock that goes on while the machine is suspended, in seconds.
+    """Return the time of the monotonic clock that includes suspension of the machine, in seconds.
 
-    Leases are measured on it: a sidecar that wakes must know that its lease has ended.
+    Leases are measured with it, so that a sidecar detects after a suspension that its lease has expired.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class FleetRuntime:
-    """One sidecar's membership, votes and roles, from its start to its end.
+    """One sidecar's membership, votes and roles, from start to shutdown.
 
-    Messages and instants go to the decider (`lease.fleet.Fleet`); what that returns is carried out here.
-    `workers` carry out the roles, by their names; `started_with` is the configuration file of the start.
+    It passes messages and timer events to `lease.fleet.Fleet`, and executes the actions that this returns.
+    `workers` are the workers of the roles, by role; `started_with` is the configuration file as read at the
+    start.
     """
 
     def __init__(
@@ -69,14 +70,14 @@
         self.timing = options.timing
         self.start_ms = round(clock.unix() * 1000)
         self.transfers: BodyTransfers | None = None
-        self.agreement: Agreement | None = None  # once it has its port
+        self.agreement: Agreement | None = None  # set once the port is bound
         self.make_agreement: Callable[[Instant, Fleet], Agreement] | None = None
         messages: Any = self._prepare_agreement() if options.view else FleetMessage
         self.codec = DatagramCodec(options.fleet, self.me.name, self.start_ms, options.keys, messages)
         self.socket = DatagramSocket(clock, self.codec, self.on_message)
         self.workers: Mapping[str, RoleWorker] = {}
         self.started_with: ProjectFile | None = None
-        self.fleet: Fleet | None = None  # once it has its port
+        self.fleet: Fleet | None = None  # set once the port is bound
         self.port: Any = None
         self.timer: Timer | None = None
         self.is_closed = False
@@ -84,7 +85,7 @@
         self.change_log = ChangeLog()
 
     def _prepare_agreement(self) -> Any:
-        """Make what agreed views and plans need; return the messages that it knows by them."""
+        """Set up agreed views and, if configured, plans; return the union of known message types."""
         from wheatring.fleet.peers.agreement import VIEW_MESSAGES, Agreement, messages_with_plans
         from wheatring.fleet.peers.body_transfer import BodyRequest, BodyTransfers
 
@@ -106,10 +107,10 @@
     # Start and end
 
     def start(self) -> None:
-        """Bind the port, and be a member from then on; as long as the port is taken, try again.
+        """Bind the port, then join the fleet; retry while the port is in use.
 
-        While another process has the port, name and vote are that one's: two at a time would be two voters
-        of one name that know nothing of each other.
+        The process that has the port owns the sidecar's name and vote. Otherwise two processes could vote
+        independently under the same name.
         """
         from twisted.internet.error import CannotListenError
 
@@ -118,11 +119,11 @@
         try:
             self._bind()
         except CannotListenError as error:
-            self._retry(error)
+            self._retry_bind(error)
             return
-        where = self.port.getHost()
+        bound = self.port.getHost()
         if not self.me.port:
-            self.me = self.me._replace(port=where.port)
+            self.me = self.me._replace(port=bound.port)
         options, at = self.options, self.instant()
         self.fleet = Fleet(
             at, self.me, self.start_ms, options.seeds, options.voters, options.roles, options.timing,
@@ -131,13 +132,13 @@
         if self.make_agreement is not None:
             self.agreement = self.make_agreement(at, self.fleet)
         log.line(
-            "fleet-listening", host=where.host, port=where.port, votes=int(self.fleet.electorate.is_voter())
+            "fleet-listening", host=bound.host, port=bound.port, votes=int(self.fleet.electorate.is_voter())
         )
         self.timer = None
         self.tick()
 
     def _bind(self) -> None:
-        """Bind the port for datagrams, and for streams too where there are any."""
+        """Bind the UDP port, and the same TCP port if bodies are transferred."""
         from twisted.internet.error import CannotListenError
 
         host, number = self.options.listen
@@ -146,22 +147,22 @@
         )
         if self.transfers is None:
             return
-        where = self.port.getHost()
+        bound = self.port.getHost()
         try:
-            self.transfers.listen(where.host, where.port)
-        except CannotListenError:  # another process has the TCP half of the port
+            self.transfers.listen(bound.host, bound.port)
+        except CannotListenError:  # another process uses the TCP port
             self.port.stopListening()
             self.port = None
             raise
 
-    def _retry(self, error: Exception) -> None:
+    def _retry_bind(self, error: Exception) -> None:
         if not self.has_logged_wait:
             self.has_logged_wait = True
             log.line("fleet-waits", why=str(error))
         self.timer = self.clock.at(self.clock.now() + PORT_RETRY_SECONDS, self.start)
 
     def leave(self) -> None:
-        """Give all roles back, announce the leave, and release the port."""
+        """Release all roles, announce the departure, and release the port."""
         if self.is_closed:
             return
         if self.fleet is not None:
@@ -171,7 +172,7 @@
         self.close()
 
     def close(self) -> None:
-        """Release the port and stop the workers, with nothing said to the others."""
+        """Release the port and stop the workers, without notifying other sidecars."""
         self.is_closed = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
@@ -186,28 +187,28 @@
     # Bodies
 
     def body_of(self, digest: bytes) -> bytes | None:
-        """Return the body of a digest, for another sidecar; None: it isn't known here."""
+        """Return the body with a digest, for another sidecar; None if it is unknown."""
         return None if self.fleet is None else self.fleet.payloads.get(digest)
 
     def on_body_fetched(self, digest: bytes, body: bytes | None) -> None:
-        """Hand a body that was fetched, or None for a failed fetch, to the decider."""
+        """Pass a fetched body, or None for a failed fetch, to the fleet's components."""
         if self.fleet is not None and not self.is_closed:
             self.dispatch(self.fleet.receive_payload(self.instant(), digest, body))
 
-    # Events, and what the decider returns for them
+    # Events, and the resulting actions
 
     def tick(self) -> None:
-        """Let the decider do what is due by now."""
+        """Run all actions that are due."""
         if self.fleet is not None and not self.is_closed:
             self.dispatch(self.fleet.tick(self.instant()))
 
     def on_message(self, sender: str, address: Address, message: Any) -> None:
-        """Hand a message of another sidecar to the decider."""
+        """Handle a message from another sidecar."""
         if self.fleet is not None and not self.is_closed:
             self.dispatch(self.fleet.receive(self.instant(), sender, address, message))
 
     def dispatch(self, outgoing: list[Outgoing]) -> None:
-        """Send messages, carry out what else the decider wants, and set the timer for what is due next."""
+        """Send messages, execute the other requested actions, and set the timer for the next tick."""
         fleet = self.fleet
         assert fleet is not None
         self._send(fleet, outgoing)
@@ -229,7 +230,7 @@
         self._set_timer(fleet)
 
     def _send(self, fleet: Fleet, outgoing: list[Outgoing]) -> None:
-        """Send messages; those to itself go to the decider at once, and take no socket."""
+        """Send messages; those to this sidecar itself are handled at once, without the socket."""
         own = (self.me.host, self.me.port)
         queue = deque(outgoing)
         while queue:
@@ -258,18 +259,18 @@
     # Roles, for their workers
 
     def active_epoch(self, role: str) -> int | None:
-        """Return the epoch to act in, asked for right before each action; None: the role isn't held here."""
+        """Return the epoch to act in, to be read before each action; None if the role isn't held here."""
         if self.fleet is None or self.is_closed:
             return None
         return self.fleet.roles[role].epoch_to_act(self.boot())
 
     def record_action(self, role: str) -> None:
-        """Note that a role's work was done now."""
+        """Record that the role's work was done now."""
         if self.fleet is not None:
             self.fleet.roles[role].note_activity(self.boot())
 
     def on_newer_epoch(self, role: str, epoch: int) -> None:
-        """Give a role back, as a receiver has seen this higher epoch, and compete for a still higher one."""
+        """Release a role, as a receiver has seen a higher epoch; compete for the role with a newer one."""
         fleet = self.fleet
         if fleet is None or self.is_closed:
             return
@@ -282,18 +283,18 @@
         if self.fleet is not None and not self.is_closed:
             self.dispatch(self.fleet.broadcast(heartbeat))
 
-    # Requests of operators and of the configuration
+    # Requests of operators and configuration changes
 
     def offer_plan(self, body: bytes) -> OperatorAnswer:
         """Propose a plan to the fleet."""
         if self.agreement is None or self.agreement.plan is None:
             return OperatorAnswer(503, {"what": NOT_JOINED})
         answer = self.agreement.plan.offer(self.instant(), body)
-        self.dispatch([])  # the proposal is due now
+        self.dispatch([])  # reset the timer: the proposal is due now
         return answer
 
     def set_format_floor(self, min_format: int) -> OperatorAnswer:
-        """Set the lowest plan format that members have to read."""
+        """Set the minimum plan format that members have to support."""
         if self.agreement is None or self.agreement.plan is None:
             return OperatorAnswer(503, {"what": NOT_JOINED})
         http_status, answer, outgoing = self.agreement.plan.set_format_floor(self.instant(), min_format)
@@ -302,32 +303,32 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it is known by which weights to serve: the fleet's, or with good reason the file's."""
+        """Whether the weights to serve with are known: the fleet's, or the file's if the fleet has none."""
         if self.make_agreement is None or self.options.plan is None:
             return True
         plan = None if self.agreement is None else self.agreement.plan
-        return plan is not None and plan.edges.is_ready
+        return plan is not None and plan.weight_schedule.is_ready
 
     def plan_status(self) -> dict[str, Any]:
-        """Describe the fleet's plan for `GET /control/plan`."""
+        """Return the status of the fleet's plan for `GET /control/plan`."""
         if self.agreement is None or self.agreement.plan is None:
             return {"waits": NOT_JOINED}
         return self.agreement.plan.status(self.instant())
 
     def release_role(self, role: str) -> bool:
-        """Give a role back, and be no candidate for it for a while; False: it isn't held here."""
+        """Release a role, and don't compete for it for a while; return False if it isn't held here."""
         if self.fleet is None or self.is_closed or self.active_epoch(role) is None:
             return False
         self.dispatch(self.fleet.role_manager.release(self.instant(), role))
         return True
 
     def set_wanted(self, role: str, is_wanted: bool) -> None:
-        """Become a candidate for a role that is held on request only, or stop being one."""
+        """Start or stop competing for a role that is held only on request."""
         if self.fleet is not None and not self.is_closed:
             self.dispatch(self.fleet.role_manager.request(self.instant(), role, is_wanted))
 
     def change_voters(self, voters: VoterSet) -> str:
-        """Go by other voters from now on; return why not, or "" where it does."""
+        """Change the voter set; return the reason for a refusal, or "" on success."""
         if self.fleet is None or self.is_closed:
             return "it is not in the fleet yet"
         why, outgoing = self.fleet.change_voters(self.instant(), voters)
@@ -335,7 +336,7 @@
         return why
 
     def status(self) -> dict[str, Any]:
-        """Describe all that is known, for `GET /control/duties`."""
+        """Return this sidecar's state of the fleet for `GET /control/duties`."""
         fleet, at = self.fleet, self.instant()
         if fleet is None:
             return {"name": self.me.name, "waits": "its port is taken"}
--- a/wheatring/fleet/peers/fleet_status.py
+++ b/wheatring/fleet/peers/fleet_status.py
@@ -1,4 +1,4 @@
-"""What one sidecar knows of its fleet, for `GET /control/duties`."""
+"""One sidecar's state of its fleet, for `GET /control/duties`."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def member_rows(fleet: Fleet, at: Instant) -> list[dict[str, Any]]:
-    """Describe each member of the fleet; `for_s` are the seconds since its state last changed."""
+    """Return a row for each member of the fleet; `for_s` is the time since its last state change."""
     return [
         {
-            "name": seen.member.name, "state": STATES[seen.state], "for_s": round(at.now - seen.since, 1),
-            "sure": round(seen.confidence, 2), "number": seen.member.number, "tier": seen.member.tier,
-            "zone": seen.member.zone, "address": f"{seen.member.host}:{seen.member.port}",
-            "same_voters": seen.member.voters_digest == fleet.voters.digest,
+            "name": row.member.name, "state": STATES[row.state], "for_s": round(at.now - row.since, 1),
+            "sure": round(row.confidence, 2), "number": row.member.number, "tier": row.member.tier,
+            "zone": row.member.zone, "address": f"{row.member.host}:{row.member.port}",
+            "same_voters": row.member.voters_digest == fleet.voters.digest,
         }
-        for seen in fleet.members.gossip.statuses(at.now)
+        for row in fleet.members.gossip.statuses(at.now)
     ]  # fmt: skip
 
 
 def role_rows(fleet: Fleet, at: Instant) -> list[dict[str, Any]]:
-    """Describe each place of each role; `left_s` are the seconds until the lease held here ends."""
+    """Return a row for each place of each role; `left_s` is the remaining time of a lease held here."""
     rows = []
     for name, settings in fleet.role_manager.settings.items():
         role = fleet.roles[name]
@@ -43,7 +43,7 @@
 
 
 def datagram_counts(socket: DatagramSocket) -> dict[str, Any]:
-    """Give the counts of a socket since its start."""
+    """Return the counters of a socket since its start."""
     return {
         "sent": socket.sent, "sent_bytes": socket.sent_bytes,
         "taken": socket.received, "taken_bytes": socket.received_bytes, "dropped": dict(socket.dropped),
--- a/wheatring/fleet/peers/list_sharing.py
+++ b/wheatring/fleet/peers/list_sharing.py
@@ -1,7 +1,7 @@
-"""The role `list`: its holder watches the endpoint list for all sidecars, the others follow.
+"""The role `list`: its holder watches the endpoint list on behalf of all sidecars, the others follow.
 
-What the holder announces of nodes that drain or have gone is laid over the own list until that is as new.
-Nothing that it announces makes a sidecar send to a node: only its own list can name one.
+The holder announces nodes that are draining or removed. Followers apply these as overrides to their own list
+until that is as new. An announcement can never add a node: sidecars only send to nodes of their own list.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from wheatring.daemon.lifecycle.watch_delegation import WatchDelegation
 from wheatring.fleet.lease.messages import Heartbeat
 
-HEARTBEAT_INTERVAL_SECONDS = 1.0  # of the holder
-WATCH_CHECK_SECONDS = 0.25  # between two checks whether to watch
-MAX_REPORTED_NODES = 20  # in one heartbeat: of more, the others hear by their own lists
-REPORTED_FOR_SECONDS = 60.0  # after a node began to drain or was gone
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+WATCH_CHECK_SECONDS = 0.25  # between two evaluations of `ListSharing.should_watch`
+MAX_REPORTED_NODES = 20  # in one heartbeat; followers learn of further ones from their own lists
+REPORTED_FOR_SECONDS = 60.0  # time for which a draining or removed node is announced
 
 
 class EndpointList(Protocol):
-    """The endpoint list's client, as far as it is steered here."""
+    """The part of the endpoint list's client that list sharing controls."""
 
     version: int | None
     is_watching: bool
@@ -31,56 +31,56 @@
     freshness: Any
 
     def subscribe(self) -> None:
-        """Watch the list, unless it is watched already."""
+        """Start watching the list, unless it is watched already."""
 
     def pause(self) -> None:
-        """Watch it no more, and keep what is known."""
+        """Stop watching the list, and keep the current one."""
 
 
-class ListRoleWorker(Protocol):
-    """The fleet, as the holder of the role asks and uses it."""
+class ListRoleHolder(Protocol):
+    """The part of the fleet's runtime that list sharing uses."""
 
     def active_epoch(self, role: str) -> int | None:
-        """Return the epoch to act in; None: this sidecar doesn't hold the role."""
+        """Return the epoch to act in; None if this sidecar doesn't hold the role."""
 
     def record_action(self, role: str) -> None:
-        """Note that the role's work was done now."""
+        """Record that the role's work was done now."""
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Send a heartbeat to all sidecars of the tier."""
 
 
 class ListSharing:
-    """Decides whether this sidecar watches the endpoint list, and merges its holder's heartbeats.
+    """Decides whether this sidecar watches the endpoint list, and applies the holder's heartbeats.
 
-    It stands between the list's client, which calls `on_list`, and `on_view`.
+    The list's client calls `on_list` with its updates, which are passed on to `on_view` with the overrides.
     """
 
     def __init__(
         self,
         clock: Clock,
-        fleet: ListRoleWorker,
+        fleet: ListRoleHolder,
         role: str,
-        copies: int,
-        number: int,
+        sidecar_count: int,
+        sidecar_index: int,
         on_view: Callable[[View], None],
     ) -> None:
         self.clock = clock
         self.fleet = fleet
         self.role = role
-        self.following = WatchDelegation(copies, number)
-        self.overlay = EndpointOverrides(on_view)
+        self.delegation = WatchDelegation(sidecar_count, sidecar_index)
+        self.overrides = EndpointOverrides(on_view)
         self.endpoint_list: EndpointList | None = None
-        self.withdrawn: dict[str, float] = {}  # nodes that drain or have gone by the own list, and since when
-        self.held_back: frozenset[str] = frozenset()  # those of the holder, laid over the own list
-        self.epoch: int | None = None  # in which this sidecar holds the role
-        self.seq = 0  # of the last heartbeat
-        self.newest_heard = (0, 0)  # epoch and sequence number of the newest heartbeat received
+        self.withdrawn: dict[str, float] = {}  # since when the own list has a node as draining or removed
+        self.held_back: frozenset[str] = frozenset()  # nodes announced by the holder, applied as overrides
+        self.epoch: int | None = None  # epoch in which this sidecar holds the role
+        self.seq = 0  # sequence number of the last heartbeat sent
+        self.newest_heartbeat = (0, 0)  # epoch and sequence number of the newest heartbeat received
         self.timer: Timer | None = None
         self.is_stopped = False
 
     def start(self, endpoint_list: EndpointList) -> None:
-        """Steer this list from now on."""
+        """Take control of watching this list."""
         self.endpoint_list = endpoint_list
         endpoint_list.should_continue = self.should_watch
         self.check_watch()
@@ -88,13 +88,13 @@
     # The own list
 
     def on_list(self, view: View) -> None:
-        """Take up an update of the own list, and pass it on."""
+        """Apply an update of the own list, and pass it on."""
         now = self.clock.now()
         if view.kind is not ViewKind.FAILED:
             self._record_withdrawn(now, view)
-        self.overlay.view(view)
-        if view.kind is not ViewKind.FAILED and self.following.list_changed(view.version):
-            self.hold_back(frozenset())
+        self.overrides.view(view)
+        if view.kind is not ViewKind.FAILED and self.delegation.list_changed(view.version):
+            self.set_held_back(frozenset())
 
     def _record_withdrawn(self, now: float, view: View) -> None:
         if view.kind is not ViewKind.DELTA:
@@ -106,18 +106,18 @@
                 self.withdrawn.setdefault(entry.endpoint, now)
 
     def should_watch(self) -> bool:
-        """Whether this sidecar is to watch the list itself."""
+        """Return whether this sidecar has to watch the list itself."""
         endpoint_list = self.endpoint_list
         assert endpoint_list is not None
         now = self.clock.now()
         endpoint_list.freshness.update(now)
         is_suspect = endpoint_list.freshness.suspect_since is not None
-        return self.epoch is not None or self.following.should_watch(now, endpoint_list.version, is_suspect)
+        return self.epoch is not None or self.delegation.should_watch(now, endpoint_list.version, is_suspect)
 
     def check_watch(self) -> None:
-        """Start or end the watch as `should_watch` says, and check again.
+        """Start or stop the watch according to `should_watch`, and schedule the next check.
 
-        What was written by now on a watch that is being ended still counts.
+        Updates that were received before the watch stops are still applied.
         """
         if self.is_stopped or self.endpoint_list is None:
             return
@@ -130,20 +130,20 @@
     # As the holder
 
     def on_epoch_changed(self, epoch: int | None) -> None:
-        """Begin to announce, as this sidecar has acquired the role, or end."""
+        """Start sending heartbeats when the role is acquired, and stop when it is lost."""
         self.epoch = epoch
         if epoch is not None:
             self.seq = 0
             self.send_heartbeat(epoch)
 
     def send_heartbeat(self, epoch: int) -> None:
-        """Announce the own list's version and nodes gone, each second as long as this epoch lasts."""
+        """Announce the own list's version and withdrawn nodes, each second while the epoch lasts."""
         if self.is_stopped or epoch != self.epoch or self.fleet.active_epoch(self.role) != epoch:
             return
         now = self.clock.now()
         self.clock.at(now + HEARTBEAT_INTERVAL_SECONDS, self.send_heartbeat, epoch)
         endpoint_list = self.endpoint_list
-        # Without a list, or after its watch has failed, there is nothing to announce: then the others watch.
+        # Without a list, or with a failed watch, nothing is announced, so that the followers watch.
         if endpoint_list is None or endpoint_list.version is None or not endpoint_list.is_watching:
             return
         self.withdrawn = {name: at for name, at in self.withdrawn.items() if now - at < REPORTED_FOR_SECONDS}
@@ -156,38 +156,38 @@
     # As a follower
 
     def on_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take up a heartbeat of the holder, unless a newer one was received."""
-        order = (heartbeat.epoch, heartbeat.sequence)
-        if self.is_stopped or self.endpoint_list is None or order <= self.newest_heard:
+        """Apply a heartbeat of the holder, unless a newer one was received."""
+        received = (heartbeat.epoch, heartbeat.sequence)
+        if self.is_stopped or self.endpoint_list is None or received <= self.newest_heartbeat:
             return
-        self.newest_heard = order
+        self.newest_heartbeat = received
         own = self.endpoint_list.version
-        self.following.leader_heartbeat(self.clock.now(), heartbeat.age_seconds, heartbeat.generation, own)
+        self.delegation.leader_heartbeat(self.clock.now(), heartbeat.age_seconds, heartbeat.generation, own)
         is_newer = own is not None and heartbeat.generation > own
-        self.hold_back(frozenset(heartbeat.withdrawn if is_newer else ()))
+        self.set_held_back(frozenset(heartbeat.withdrawn if is_newer else ()))
 
-    def hold_back(self, nodes: frozenset[str]) -> None:
-        """Show these nodes as draining, and no others, whatever the own list says of them."""
+    def set_held_back(self, nodes: frozenset[str]) -> None:
+        """Replace the nodes that are treated as draining, whatever their state in the own list."""
         if nodes == self.held_back:
             return
         added = sorted(nodes - self.held_back)
         self.held_back = nodes
         if added:
-            log.line("list-held-back", nodes=",".join(added), generation=self.following.leader_generation)
-        self.overlay.set_offline(self.clock.now(), nodes)
+            log.line("list-held-back", nodes=",".join(added), generation=self.delegation.leader_generation)
+        self.overrides.set_offline(self.clock.now(), nodes)
 
     def status(self) -> dict[str, Any]:
-        """Describe the state for `GET /control/duties`."""
+        """Return the status for `GET /control/duties`."""
         endpoint_list = self.endpoint_list
         return {
             "generation": endpoint_list.version if endpoint_list is not None else None,
             "watches": endpoint_list is not None and endpoint_list.is_watching,
-            "told": self.following.leader_generation,
+            "told": self.delegation.leader_generation,
             "held_back": sorted(self.held_back),
         }
 
     def stop(self) -> None:
-        """End for good."""
+        """Stop permanently."""
         self.is_stopped = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
--- a/wheatring/fleet/peers/options.py
+++ b/wheatring/fleet/peers/options.py
@@ -1,4 +1,4 @@
-"""What one sidecar is configured to be in its fleet."""
+"""The configuration of one sidecar's fleet runtime."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class PlanOptions(NamedTuple):
-    """What a sidecar that follows the fleet's plan needs besides.
+    """Options of a sidecar that follows the fleet's plan.
 
-    `formats` are the plan formats that it is restricted to; None: all that the program knows. `set_weights`
-    is called with each route's weights by pool as they come into force, `log` with an event and its fields.
-    `first_plan` is proposed by a voter where the fleet has no plan yet; b"": none.
+    `formats` are the supported plan formats; None for all that the program knows. `set_weights` is called
+    with a route and its weights by pool when they come into force, `log` with an event and its fields. A
+    voter proposes `first_plan` if the fleet has no plan yet, unless it is empty.
     """
 
     formats: tuple[int, ...] | None
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetOptions:
-    """One sidecar's place in its fleet, as the configuration states it.
+    """One sidecar's configuration in its fleet.
 
-    `listen` is the address of its sockets, `me` has the one that others reach it by. With `view` it takes
-    part in agreed views; with `plan` it follows the fleet's plan too.
+    `listen` is the address that its sockets are bound to; `me` has the address that other sidecars send to.
+    With `view` it takes part in agreed views; with `plan` it also follows the fleet's plan.
     """
 
     fleet: str
--- a/wheatring/fleet/peers/plan_coordinator.py
+++ b/wheatring/fleet/peers/plan_coordinator.py
@@ -1,6 +1,6 @@
-"""The fleet's plan at one sidecar: proposed, checked, committed, and in force by the fleet's time.
+"""Coordinates the fleet's plan at one sidecar: proposal, compatibility check, commit, scheduled weights.
 
-Decides nothing itself: it hands the results of one decider to the next. Imported only with `[plan]`. No I/O.
+It has no logic of its own beyond passing results between components. Imported only with `[plan]`. No I/O.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 from wheatring.fleet.skew.capabilities import local_capabilities
 from wheatring.fleet.skew.checker import CompatibilityChecker
 
-EXCLUSION_LEASES = 10.0  # lease lengths for which one that is unfit to lead is no candidate
+EXCLUSION_LEASES = 10.0  # lease lengths for which a sidecar that stepped down is no candidate
 FIRST_PLAN_RETRY_SECONDS = 5.0
-MAX_REASONS_SHOWN = 50  # of a compatibility check, in the status
-MAX_REASONS_OF_REJECTION = 2  # that a member which isn't admitted is told
+MAX_REASONS_SHOWN = 50  # reasons of a compatibility check in the status
+MAX_REJECTION_REASONS = 2  # reasons sent to a member whose admission is refused
 
 
-class MinimumChange(NamedTuple):
-    """The answer to an operator who sets the minimum format, and the messages to send for it."""
+class MinimumFormatAnswer(NamedTuple):
+    """The answer to an operator's change of the minimum format, and the messages to send."""
 
     http_status: int
     body: dict[str, Any]  # as JSON
@@ -43,9 +43,10 @@
 
 
 class PlanCoordinator:
-    """A decider of the fleet among others: it wakes for the plan's edges (instants at which weights change).
+    """A fleet component whose `tick` is due whenever the plan's weights change.
 
-    It is where plans meet the sidecar: weights in force and what is to be logged go to `options`.
+    It connects plans with the sidecar: changed weights and log events are passed to the callbacks of
+    `options`.
     """
 
     message_types: tuple[type, ...] = ()
@@ -56,43 +57,43 @@
         self.set_weights = options.set_weights
         self.log = options.log
         self.plans = PlanAgent(at, fleet, views, on_commit=self._handle_committed)
-        self.floors = ReplicatedRegister(at, "floor", fleet, self._handle_minimum)
+        self.minimum_format_register = ReplicatedRegister(at, "floor", fleet, self._handle_minimum_format)
         capabilities = local_capabilities(options.formats)
         self.skew = CompatibilityChecker(
             fleet, capabilities, compile_plan, self._is_view_settled, self._is_plan_settled
         )
         self.plans.leader.check = self.skew
         self.time = FleetClock(at, fleet)
-        self.edges = WeightSchedule(at.now)
+        self.weight_schedule = WeightSchedule(at.now)
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
-        self.next_edge = at.now
-        views.leader.admission_objection = self._admits
-        # What a leader commits carries the instant by the fleet's time, so that all put it in force together.
-        self.plans.register.leader.timestamp_ms = self._commit_instant
+        self.next_weight_change = at.now
+        views.leader.admission_objection = self._admission_objection
+        # Entries committed by a leader carry the fleet's time, so that all members apply them simultaneously.
+        self.plans.register.leader.timestamp_ms = self._commit_timestamp_ms
 
     @property
-    def deciders(self) -> list[FleetComponent]:
-        """The deciders of plans, in the order in which they receive events."""
-        return [self.time, self.skew, self.plans, self.plans.register, self.floors, self]
+    def components(self) -> list[FleetComponent]:
+        """The components of plans, in the order in which they receive events."""
+        return [self.time, self.skew, self.plans, self.plans.register, self.minimum_format_register, self]
 
-    # Between the deciders
+    # Callbacks between components
 
     def _is_view_settled(self) -> bool:
         return self.views.register.is_settled and self.views.installer.pending_change is None
 
     def _is_plan_settled(self) -> bool:
-        return self.plans.register.is_settled and self.floors.is_settled
+        return self.plans.register.is_settled and self.minimum_format_register.is_settled
 
-    def _admits(self, at: Instant, placed: ViewMember) -> str:
-        reasons = self.skew.admission_refusals(at, placed)[:MAX_REASONS_OF_REJECTION]
+    def _admission_objection(self, at: Instant, view_member: ViewMember) -> str:
+        reasons = self.skew.admission_refusals(at, view_member)[:MAX_REJECTION_REASONS]
         return "; ".join(f"{reason.code}: {reason.what}. {reason.do}" for reason in reasons)
 
-    def _commit_instant(self, at: Instant) -> int:
+    def _commit_timestamp_ms(self, at: Instant) -> int:
         reading = self.time.now(at)
         return round(reading.unix * 1000) if reading.is_sure else 0
 
-    def _handle_minimum(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - a callback's
+    def _handle_minimum_format(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - callback signature
         self.skew.minimum_committed(body)
         self.log("plan-floor", {"format": self.skew.minimum_format})
         return []
@@ -103,37 +104,37 @@
         self.skew.plan_committed(committed.plan, body)
         when = self.plans.register.applied.put_at_ms
         since = when / 1000 if when else None
-        self.edges.plan_committed(at.now, committed.version, Timetable(committed.plan), since)
-        self.next_edge = at.now
+        self.weight_schedule.plan_committed(at.now, committed.version, Timetable(committed.plan), since)
+        self.next_weight_change = at.now
         fields = {"number": committed.version, "epoch": committed.epoch, "digest": committed.digest.hex()}
         self.log("plan", {**fields, "format": committed.plan.format})
         return []
 
     def confirmed_age(self, now: float) -> float:
-        """Return the seconds since the own plan was surely the newest one.
+        """Return the seconds since the own plan was last confirmed to be the newest one.
 
-        Infinite where there is a newer one, or it isn't known.
+        Infinite if a newer plan exists, or if the own one was never confirmed.
         """
         register = self.plans.register
         if register.applied != register.chosen or self.views.stamp.plan > register.applied.number:
             return inf
         return self.views.stamp_age_seconds(now)
 
-    # The decider
+    # FleetComponent
 
     @property
     def due(self) -> float:
-        """When the next edge is, in monotonic seconds."""
-        return self.next_edge
+        """Time of the next change of weights, in monotonic seconds."""
+        return self.next_weight_change
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Put weights in force that are due, and propose the first plan if there is none."""
-        self._note_unreadable()
+        """Apply weight changes that are due, and propose the first plan if the fleet has none."""
+        self._report_unreadable_plan()
         if self.first_plan and at.now >= self.next_proposal:
             self._propose_first(at)
-        outgoing = self._give_up_lead_if_unfit(at)
-        update = self.edges.update(at.now, self.time.now(at), self.confirmed_age(at.now))
-        self.next_edge = update.due
+        outgoing = self._step_down_if_incompatible(at)
+        update = self.weight_schedule.update(at.now, self.time.now(at), self.confirmed_age(at.now))
+        self.next_weight_change = update.due
         for event in [*self.time.events, *update.events]:
             self.log(event.event, event.fields)
         self.time.events.clear()
@@ -141,24 +142,24 @@
             self.set_weights(route, weights)
         return outgoing
 
-    def _note_unreadable(self) -> None:
-        """Report a committed plan that this program can't read."""
-        unread = self.plans.unreadable
-        if unread is not None and not self.skew.unreadable:
+    def _report_unreadable_plan(self) -> None:
+        """Log a committed plan that this program can't read, and pass it to the compatibility check."""
+        unreadable = self.plans.unreadable
+        if unreadable is not None and not self.skew.unreadable:
             self.skew.plan_committed(None, self.fleet.payloads.get(self.plans.register.applied.digest) or b"")
-            self.log("plan-unread", {"code": unread.code, "why": unread.what})
+            self.log("plan-unread", {"code": unreadable.code, "why": unreadable.what})
 
-    def _give_up_lead_if_unfit(self, at: Instant) -> list[Outgoing]:
-        """Leave the lead to another voter in the view, if there is one, where the plan can't be read here.
+    def _step_down_if_incompatible(self, at: Instant) -> list[Outgoing]:
+        """Step down as leader if this program is incompatible with the plan and the view has another voter.
 
-        A leader that can't read what is committed admits nobody to the view.
+        A leader that can't read the committed plan would admit no members to the view.
         """
         if self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot) is None or not self.skew.own_refusals():
             return []
         voters = {*self.fleet.voters.names}
         own = self.fleet.me.name
-        others = [member.member for member in self.views.view.members if member.member.name != own]
-        if not any({*self.fleet.electorate.voter_names(who)} & voters for who in others):
+        others = [each.member for each in self.views.view.members if each.member.name != own]
+        if not any({*self.fleet.electorate.voter_names(member)} & voters for member in others):
             return []
         self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
         return self.fleet.role_manager.release(at, LEADER_ROLE, EXCLUSION_LEASES)
@@ -169,16 +170,16 @@
             self.first_plan = b""
         elif self.fleet.electorate.is_voter() and self.views.is_current(at.now):
             http_status, answer = self.offer(at, self.first_plan)
-            if http_status == 400:  # rejected by this very program: another try won't help
+            if http_status == 400:  # rejected by this program itself: a retry can't succeed
                 self.first_plan = b""
                 self.log("plan-not-offered", answer)
 
-    def receive(self, at: Instant, sender: str, address: Address, message: Any) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
-        """Do nothing: no message is for this decider."""
+    def receive(self, at: Instant, sender: str, address: Address, message: Any) -> list[Outgoing]:  # noqa: ARG002 - protocol signature
+        """Do nothing: this component has no messages."""
         return []
 
-    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
-        """Do nothing: this decider wants no bodies."""
+    def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - protocol signature
+        """Do nothing: this component fetches no bodies."""
         return []
 
     # Requests of operators
@@ -186,34 +187,34 @@
     def offer(self, at: Instant, body: bytes) -> OperatorAnswer:
         """Propose a plan to the fleet."""
         try:
-            compile_plan(body)  # what all would reject is rejected before it is sent
+            compile_plan(body)  # reject an invalid plan before it is sent
             proposal = self.plans.propose(at, body)
         except OperatorError as error:
             http_status = 409 if error.code == "plan-push-under-way" else 400
             return OperatorAnswer(http_status, error_body(error))
         return OperatorAnswer(202, {"push": proposal.proposal_id, "state": proposal.state})
 
-    def set_format_floor(self, at: Instant, min_format: int) -> MinimumChange:
-        """Set the lowest plan format that members have to read; only at the sidecar that leads."""
+    def set_format_floor(self, at: Instant, min_format: int) -> MinimumFormatAnswer:
+        """Set the minimum plan format that members have to support; only the leader accepts this."""
         try:
             payload = self.skew.prepare_minimum(at, min_format, self.views.view)
-            outgoing = self.floors.put(at, payload)
+            outgoing = self.minimum_format_register.put(at, payload)
         except OperatorError as error:
-            return MinimumChange(409, error_body(error), [])
+            return MinimumFormatAnswer(409, error_body(error), [])
         except ValueError as error:
             body = {"code": "not-ready", "what": str(error), "do": "Ask again in a second"}
-            return MinimumChange(503, body, [])
-        return MinimumChange(202, {"floor": min_format}, outgoing)
+            return MinimumFormatAnswer(503, body, [])
+        return MinimumFormatAnswer(202, {"floor": min_format}, outgoing)
 
     def status(self, at: Instant) -> dict[str, Any]:
-        """Describe the plan for `GET /control/plan`."""
-        reading, edges = self.time.now(at), self.edges
+        """Return the plan's status for `GET /control/plan`."""
+        reading, weight_schedule = self.time.now(at), self.weight_schedule
         verdict = self.skew.verdict(at.now)
         return {
             **self.plans.status(at.now),
-            "in_force": edges.plan_version,
-            "weights": edges.weights,
-            "windows": sorted({window for window, _ in edges.entered}),
+            "in_force": weight_schedule.plan_version,
+            "weights": weight_schedule.weights,
+            "windows": sorted({window for window, _ in weight_schedule.entered}),
             "time": {
                 "unix": round(reading.unix, 3), "sure": reading.is_sure,
                 "uncertain_s": None if reading.uncertainty == inf else round(reading.uncertainty, 4),
@@ -230,5 +231,5 @@
 
 
 def error_body(error: OperatorError) -> dict[str, Any]:
-    """Describe an operator's error as the JSON body of an answer."""
+    """Return an operator error as the JSON body of an answer."""
     return {"code": error.code, "what": error.what, "do": error.do}
--- a/wheatring/fleet/peers/reload.py
+++ b/wheatring/fleet/peers/reload.py
@@ -1,4 +1,4 @@
-"""Puts a configuration file that was read again into effect at a fleet that runs."""
+"""Applies a reloaded configuration file to the running fleet runtime."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from wheatring.fleet.peers.assembly import voters_of
 from wheatring.fleet.peers.fleet_runtime import FleetRuntime
 
-RELOADABLE_KEYS = frozenset({"voters", "voters_next", "key_file"})  # of the table `[fleet]`
+RELOADABLE_KEYS = frozenset({"voters", "voters_next", "key_file"})  # keys of the table `[fleet]`
 
 
 def reload_fleet(runtime: FleetRuntime, configuration: project_file.ProjectFile) -> None:
-    """Put the file's voters and keys into effect, or nothing of it.
+    """Apply the file's voters and keys, or neither of them.
 
     Raises
     ------
     RestartRequiredError
-        Something else of the fleet has changed.
+        Another setting of the fleet has changed.
     VotersInForceError
-        The fleet can't go by these voters now.
+        The fleet can't change to these voters now.
     KeyFileError
-        The key file can't be used.
+        The key file is not usable.
     """
     fleet = configuration.fleet
     if fleet is None:
@@ -39,7 +39,7 @@
 
 
 def restart_reason(before: project_file.ProjectFile, after: project_file.ProjectFile) -> str:
-    """Name the first key that has changed and takes effect by a restart only; "" where there is none."""
+    """Return why a restart is required, with the first changed key; "" if none is required."""
     assert before.fleet is not None and after.fleet is not None
     old, new = structs.asdict(before.fleet), structs.asdict(after.fleet)
     for key in sorted(old.keys() - RELOADABLE_KEYS):
--- a/wheatring/fleet/peers/role_workers.py
+++ b/wheatring/fleet/peers/role_workers.py
@@ -1,14 +1,14 @@
-"""The work of a role: HTTP calls to an address that the configuration names, by one sidecar at a time.
+"""Workers of roles. `HttpRoleWorker` calls a configured address over HTTP while this sidecar holds the role.
 
-A role is a singleton: the file has a table `[duty.NAME]` for each, and the calls keep that word.
+A role is configured as a table `[duty.NAME]`, and is called a duty in HTTP headers and in the log. A call:
 
     POST PATH HTTP/1.1
     Duty: NAME
     Duty-Holder: NAME OF THE SIDECAR
     Duty-Epoch: EPOCH
 
-The epoch is a fencing token: the server that is called keeps the highest one it has received, and answers
-409, with that one in `Duty-Epoch`, to a call with a lower one.
+The epoch is a fencing token: the server stores the highest one it has received, and answers a call with a
+lower one with status 409 and the highest one in `Duty-Epoch`.
 """
 
 from __future__ import annotations
@@ -25,57 +25,57 @@
 from wheatring.common.http_parser import MessageParser
 from wheatring.daemon.core.clock import Clock, Timer
 
-CALL_TIMEOUT_SECONDS = 2.0  # for one call, and for its connection before that
-MAX_ANSWER_BYTES = 16_384  # of an answer's body
-MAX_EPOCH_DIGITS = 18  # of an answer's header that are read: the rest can't be an epoch of this fleet
+CALL_TIMEOUT_SECONDS = 2.0  # for the connection attempt, and again for the call
+MAX_ANSWER_BYTES = 16_384  # body of an answer
+MAX_EPOCH_DIGITS = 18  # further digits in an answer's header are ignored; no epoch is as large
 
 
 class RoleHolder(Protocol):
-    """The fleet, as a worker asks it whether this sidecar holds a role."""
+    """The part of the fleet's runtime that role workers use."""
 
     @property
     def name(self) -> str:
         """The name of this sidecar in the fleet."""
 
     def active_epoch(self, role: str) -> int | None:
-        """Return the epoch to act in, asked for right before each action; None: the role isn't held here."""
+        """Return the epoch to act in, to be read before each action; None if the role isn't held here."""
 
     def record_action(self, role: str) -> None:
-        """Note that the role's work was done now: a holder that does nothing gives the role back."""
+        """Record that the role's work was done now; a holder without activity releases the role."""
 
     def on_newer_epoch(self, role: str, epoch: int) -> None:
-        """Give the role back, as a receiver has seen this higher epoch."""
+        """Release the role, as a receiver has seen this higher epoch."""
 
 
 class RoleWorker(Protocol):
-    """Whatever carries a role out while this sidecar holds it."""
+    """Does the work of a role while this sidecar holds it."""
 
     def on_epoch_changed(self, epoch: int | None) -> None:
-        """Begin to work in this epoch, as this sidecar has acquired the role; None: end, as it is lost."""
+        """Start working in the epoch in which the role was acquired; stop if None, as the role is lost."""
 
     def stop(self) -> None:
-        """End for good."""
+        """Stop permanently."""
 
 
 class _Call(protocol.Protocol):
-    """One call on a connection of its own."""
+    """One call, on its own connection."""
 
     transport: Any
 
     def __init__(self, worker: HttpRoleWorker) -> None:
         self.worker = worker
-        self.reader = MessageParser(responses=True, max_body_bytes=MAX_ANSWER_BYTES)
+        self.parser = MessageParser(responses=True, max_body_bytes=MAX_ANSWER_BYTES)
         self.is_answered = False
         self.timeout: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Limit the time of the call, and send it."""
+        """Start the time-out, and send the call."""
         self.transport.setTcpNoDelay(True)
         worker = self.worker
         self.timeout = worker.clock.at(
             worker.clock.now() + CALL_TIMEOUT_SECONDS, self.transport.abortConnection
         )
-        # Now, and not when the call was due: connecting may have taken longer than the lease lasts.
+        # Read after connecting, which may take longer than the remaining lease.
         epoch = worker.holder.active_epoch(worker.role)
         if epoch is None:
             self.transport.abortConnection()
@@ -88,12 +88,12 @@
         self.transport.write(head.encode("latin-1"))
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Read the answer, and report its status once."""
+        """Parse the answer, and report its status once."""
         if self.is_answered:
             return
-        self.reader.feed(data)
+        self.parser.feed(data)
         try:
-            message = self.reader.next_message()
+            message = self.parser.next_message()
         except MalformedMessageError as error:
             self.is_answered = True
             log.line("duty-call", duty=self.worker.role, code="bad-answer", why=str(error))
@@ -105,14 +105,14 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's
-        """Cancel the time limit, and report the end of the call."""
+        """Cancel the time-out, and report the end of the call."""
         if self.timeout is not None and self.timeout.active():
             self.timeout.cancel()
         self.worker.on_call_ended(self)
 
 
 class HttpRoleWorker:
-    """Calls `address` at `path` each `interval` seconds while the role is held here, one call at a time."""
+    """Calls `path` at `address` every `interval` seconds while the role is held here, one call at a time."""
 
     def __init__(
         self,
@@ -136,7 +136,7 @@
         self.is_stopped = False
 
     def on_epoch_changed(self, epoch: int | None) -> None:
-        """Begin to call, or end."""
+        """Start or stop calling."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
@@ -144,7 +144,7 @@
             self.run_due(self.clock.now())
 
     def run_due(self, due: float) -> None:
-        """Make the call that is due at this monotonic instant, unless one is under way; schedule the next."""
+        """Make the call due at this monotonic time, unless one is in progress, and schedule the next."""
         if self.is_stopped or self.holder.active_epoch(self.role) is None:
             return
         next_due = max(due + self.interval, self.clock.now())
@@ -156,17 +156,17 @@
             connected.addErrback(self.on_connect_failed, self.call)
 
     def on_connect_failed(self, failure: Failure, call: _Call) -> None:
-        """Log a call that found no server."""
+        """Log a call whose connection failed."""
         log.line("duty-call", duty=self.role, code="connect-failed", why=str(failure.value))
         self.on_call_ended(call)
 
     def on_call_ended(self, call: _Call) -> None:
-        """Let the next call be made."""
+        """Allow the next call."""
         if self.call is call:
             self.call = None
 
     def on_answer(self, status: int, epoch: bytes) -> None:
-        """Act on an answer's status and its header `Duty-Epoch`."""
+        """Handle an answer's status and its header `Duty-Epoch`."""
         if status == 409 and epoch.isdigit():
             newer = int(epoch[:MAX_EPOCH_DIGITS])
             log.line("duty-call", duty=self.role, code="outdated", epoch=newer)
@@ -177,7 +177,7 @@
             log.line("duty-call", duty=self.role, code=f"answered-{status}")
 
     def stop(self) -> None:
-        """End for good, with the call under way."""
+        """Stop permanently, and abort the call in progress."""
         self.is_stopped = True
         self.on_epoch_changed(None)
         if self.call is not None and self.call.transport is not None:
@@ -185,7 +185,7 @@
 
 
 class PassiveWorker:
-    """The worker of a role that others carry out: this sidecar only holds it."""
+    """The worker of a role whose work is done elsewhere; this sidecar only holds it."""
 
     def on_epoch_changed(self, epoch: int | None) -> None:
         """Do nothing."""
--- a/wheatring/fleet/peers/status_values.py
+++ b/wheatring/fleet/peers/status_values.py
@@ -1,10 +1,10 @@
-"""Answers to operators, and how ages are shown in them."""
+"""Answers to operators, and the format of ages in them."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-NEVER_SECONDS = 1e6  # an age above it stands for "never"
+NEVER_SECONDS = 1e6  # a larger age means "never"
 
 
 class OperatorAnswer(NamedTuple):
@@ -15,5 +15,5 @@
 
 
 def shown_age(seconds: float) -> float | None:
-    """Round an age to tenths of a second; None for what was never confirmed."""
+    """Round an age to tenths of a second; return None for "never"."""
     return None if seconds > NEVER_SECONDS else round(seconds, 1)
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -129,14 +129,14 @@
     """Return the components of a member with `CutsWithoutWaiting`."""
     agreed = Agreement(at, fleet)
     agreed.views.leader.cut_detector = CutsWithoutWaiting()
-    return agreed.deciders
+    return agreed.components
 
 
 def make_ignores_reachability(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     """Return the components of a member with `IgnoresReachability`."""
     agreed = Agreement(at, fleet)
     agreed.views.leader.cut_detector = IgnoresReachability()
-    return agreed.deciders
+    return agreed.components
 
 
 def make_ages_stamp_on_arrival(at: Instant, fleet: Fleet) -> list[FleetComponent]:
--- a/wheatring/lab/agreement/view_fleet.py
+++ b/wheatring/lab/agreement/view_fleet.py
@@ -22,7 +22,7 @@
 
 def make_agreement(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     """Return the components of a member that agrees on views."""
-    return Agreement(at, fleet).deciders
+    return Agreement(at, fleet).components
 
 
 def make_cluster(
