--- a/tests/fleet/members/test_membership.py
+++ b/tests/fleet/members/test_membership.py
@@ -81,7 +81,7 @@
     assert set(states(cluster, "n4")) == {LEFT}
 
 
-def test_a_member_paused_for_long_declares_nobody_dead_and_rejoins() -> None:
+def test_a_member_paused_for_long_declares_no_other_dead_and_rejoins() -> None:
     cluster = fleet(16)
     cluster.run(10)
     node = cluster.nodes["n3"]
--- a/wheatring/fleet/members/cut_detector.py
+++ b/wheatring/fleet/members/cut_detector.py
@@ -5,7 +5,7 @@
 
 Invariants: a member is removed only if at least `HIGH_WATERMARK` of its observers report it as silent. It is
 not removed while another member's state is uncertain, for up to `UNCERTAIN_WAIT_SECONDS`, or while another
-one is nearly down, for up to `NEARLY_DOWN_WAIT_SECONDS`. It is never removed if an indirect check reached it.
+one is nearly down, for up to `NEARLY_DOWN_WAIT_SECONDS`. It is not removed if an indirect check reached it.
 """
 
 from __future__ import annotations
@@ -30,12 +30,10 @@
 INDIRECT_CHECK_AFTER_SECONDS = 4.0  # silence after which the indirect check starts
 INDIRECT_CHECK_SECONDS = 1.0  # duration of the indirect check
 REACHED_VALID_SECONDS = 8.0  # validity of a successful indirect check
-# Join requests are batched: all are admitted after this long without a further request,
+# Join requests are batched. A batch ends when there was no further request for this long.
 JOIN_QUIET_SECONDS = 0.3
-# or at the latest this long after the first request.
-JOIN_GATHER_SECONDS = 2.5
-# Pending removals delay admissions up to this long after the first request.
-JOIN_HOLD_SECONDS = 10.0
+JOIN_GATHER_SECONDS = 2.5  # longest duration of a batch
+JOIN_HOLD_SECONDS = 10.0  # longest delay of a batch by pending removals, from its first request on
 MAX_TRACKED_MEMBERS = 4000  # bounds the stored reports and the stored join requests
 
 
@@ -109,12 +107,12 @@
             if name in self.checked_since:
                 self.reached[name] = now
 
-    def note_admitted(self, view_member: Iterable[ViewMember]) -> None:
+    def note_admitted(self, view_members: Iterable[ViewMember]) -> None:
         """Discard the evidence about previous incarnations of members that a change has admitted.
 
         Otherwise a member that left and rejoined at once would be removed again.
         """
-        names = {each.member.name for each in view_member}
+        names = {each.member.name for each in view_members}
         self.reports = {
             observer: report._replace(
                 silent={name: seconds for name, seconds in report.silent.items() if name not in names}
@@ -157,39 +155,41 @@
             ]
             for name in sorted(named)
         }
-        doubtful = self._doubtful_members(reported_by, rings)
+        suspects = self._members_above_low_watermark(reported_by, rings)
         down: set[str] = set()
         uncertain: set[str] = set()
-        for name in sorted(doubtful):
-            observers = [observer for observer in rings.observers(name) if observer not in doubtful]
-            votes = [observer for observer in reported_by[name] if observer not in doubtful]
+        for name in sorted(suspects):
+            observers = [observer for observer in rings.observers(name) if observer not in suspects]
+            votes = [observer for observer in reported_by[name] if observer not in suspects]
             # If no observer is left, the indirect check alone decides.
             is_down = self._is_leaving(now, name) or len(votes) >= ceil(HIGH_WATERMARK * len(observers))
             (down if is_down else uncertain).add(name)
-        for name in sorted({subject for observer in doubtful for subject in rings.subjects(observer)}):
-            if name not in doubtful and doubtful.issuperset(rings.observers(name)):
+        for name in sorted({subject for observer in suspects for subject in rings.subjects(observer)}):
+            if name not in suspects and suspects.issuperset(rings.observers(name)):
                 down.add(name)  # no observer is left that could report it
         down |= {name for name in self.reports if name in view.names and self._is_leaving(now, name)}
         return SuspectedMembers(frozenset(down), frozenset(uncertain - down))
 
-    def _doubtful_members(self, reported_by: dict[str, list[str]], rings: Rings) -> set[str]:
+    def _members_above_low_watermark(self, reported_by: dict[str, list[str]], rings: Rings) -> set[str]:
         """Return the members above the low watermark.
 
-        Observers that are above it themselves don't count, so one such member can bring others above the
-        watermark; this repeats until no member is added.
+        Observers that are suspects themselves don't count, which can bring further members above the
+        watermark. So this repeats until no suspect is added.
         """
-        doubtful: set[str] = set()
+        suspects: set[str] = set()
         while new := {
             name
-            for name in reported_by.keys() - doubtful
-            if self._is_doubtful(reported_by[name], rings, name, doubtful)
+            for name in reported_by.keys() - suspects
+            if self._is_above_low_watermark(reported_by[name], rings, name, suspects)
         }:
-            doubtful |= new
-        return doubtful
-
-    def _is_doubtful(self, reported_by: list[str], rings: Rings, name: str, doubtful: set[str]) -> bool:
-        observers = [observer for observer in rings.observers(name) if observer not in doubtful]
-        votes = [observer for observer in reported_by if observer not in doubtful]
+            suspects |= new
+        return suspects
+
+    def _is_above_low_watermark(
+        self, reported_by: list[str], rings: Rings, name: str, suspects: set[str]
+    ) -> bool:
+        observers = [observer for observer in rings.observers(name) if observer not in suspects]
+        votes = [observer for observer in reported_by if observer not in suspects]
         return bool(reported_by) and len(votes) >= ceil(LOW_WATERMARK * len(observers))
 
     # Removals
--- a/wheatring/fleet/members/edge_monitor.py
+++ b/wheatring/fleet/members/edge_monitor.py
@@ -1,8 +1,8 @@
 """Health checks of one member's subjects in a view. No I/O; `now` is monotonic, in seconds.
 
-Only answers to health checks count. Silence is measured from the first unanswered check, so no observer
-reports a subject for a pause shorter than the tolerated one. A member that was itself paused extends the
-deadlines of all its subjects by the pause, and a member that gets no answers at all reports nobody.
+Only answers to health checks count. Silence is measured from the first unanswered check, so a
+pause shorter than `DOWN_AFTER_SECONDS` ends before any observer's time-out. A member that was itself paused
+extends the deadlines of all its subjects by the pause. A member without any answers reports no subjects.
 
 Based on Rapid's monitoring edges (Suresh et al., 2018): a member's subjects are the members that it checks,
 its observers are the members that check it.
@@ -19,7 +19,7 @@
 RETRY_INTERVAL_SECONDS = 0.5  # between two retries of a check
 FIRST_RETRY_SECONDS = 0.25  # between the first unanswered check and its first retry
 CHECKS_BEFORE_NOTICE = 2  # sending this check means that the first was missed: other observers are notified
-# Sending this check makes the subject a suspect. Few losses of single datagrams last as long.
+# Sending this check makes the subject a suspect. Random datagram loss seldom affects as many.
 CHECKS_BEFORE_SUSPICION = 5
 EARLY_CHECK_SECONDS = 0.5  # early checks are spread over this time
 DOWN_AFTER_SECONDS = 5.5  # silence; a pause of 5 s must not remove a member
--- a/wheatring/fleet/peers/list_sharing.py
+++ b/wheatring/fleet/peers/list_sharing.py
@@ -71,7 +71,7 @@
         self.delegation = WatchDelegation(sidecar_count, sidecar_index)
         self.overrides = EndpointOverrides(on_view)
         self.endpoint_list: EndpointList | None = None
-        self.withdrawn: dict[str, float] = {}  # since when the own list has a node as draining or removed
+        self.withdrawn: dict[str, float] = {}  # when a node began to drain or was removed, by name
         self.held_back: frozenset[str] = frozenset()  # nodes announced by the holder, applied as overrides
         self.epoch: int | None = None  # epoch in which this sidecar holds the role
         self.seq = 0  # sequence number of the last heartbeat sent
--- a/wheatring/fleet/peers/plan_coordinator.py
+++ b/wheatring/fleet/peers/plan_coordinator.py
@@ -63,7 +63,7 @@
             fleet, capabilities, compile_plan, self._is_view_settled, self._is_plan_settled
         )
         self.plans.leader.check = self.skew
-        self.time = FleetClock(at, fleet)
+        self.fleet_clock = FleetClock(at, fleet)
         self.weight_schedule = WeightSchedule(at.now)
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
@@ -75,7 +75,14 @@
     @property
     def components(self) -> list[FleetComponent]:
         """The components of plans, in the order in which they receive events."""
-        return [self.time, self.skew, self.plans, self.plans.register, self.minimum_format_register, self]
+        return [
+            self.fleet_clock,
+            self.skew,
+            self.plans,
+            self.plans.register,
+            self.minimum_format_register,
+            self,
+        ]
 
     # Callbacks between components
 
@@ -90,7 +97,7 @@
         return "; ".join(f"{reason.code}: {reason.what}. {reason.do}" for reason in reasons)
 
     def _commit_timestamp_ms(self, at: Instant) -> int:
-        reading = self.time.now(at)
+        reading = self.fleet_clock.now(at)
         return round(reading.unix * 1000) if reading.is_sure else 0
 
     def _handle_minimum_format(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - callback signature
@@ -133,11 +140,11 @@
         if self.first_plan and at.now >= self.next_proposal:
             self._propose_first(at)
         outgoing = self._step_down_if_incompatible(at)
-        update = self.weight_schedule.update(at.now, self.time.now(at), self.confirmed_age(at.now))
+        update = self.weight_schedule.update(at.now, self.fleet_clock.now(at), self.confirmed_age(at.now))
         self.next_weight_change = update.due
-        for event in [*self.time.events, *update.events]:
+        for event in [*self.fleet_clock.events, *update.events]:
             self.log(event.event, event.fields)
-        self.time.events.clear()
+        self.fleet_clock.events.clear()
         for route, weights in update.changed.items():
             self.set_weights(route, weights)
         return outgoing
@@ -208,7 +215,7 @@
 
     def status(self, at: Instant) -> dict[str, Any]:
         """Return the plan's status for `GET /control/plan`."""
-        reading, weight_schedule = self.time.now(at), self.weight_schedule
+        reading, weight_schedule = self.fleet_clock.now(at), self.weight_schedule
         verdict = self.skew.verdict(at.now)
         return {
             **self.plans.status(at.now),
