--- a/tests/fleet/plan/test_messages.py
+++ b/tests/fleet/plan/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages and plan files as the previous version wrote them are read, and written the same."""
+"""Wire and file compatibility: recorded messages and plans are decoded and encoded unchanged."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 
 def test_the_answers_to_the_trials_of_a_recorded_plan_have_the_recorded_digest() -> None:
-    """Members of both versions compare them."""
+    """Members of different versions compare these digests."""
     answers = AnswerChain(*compile_plan((DATA / "recorded_plan.json").read_bytes()), 20_700)
     assert answers.advance(10**6)
     assert (answers.count, answers.result.hex()) == (215, "2a30d0085e00deca2cc431f30a27cf9e")
--- a/tests/fleet/plan/test_parser.py
+++ b/tests/fleet/plan/test_parser.py
@@ -1,4 +1,4 @@
-"""A plan's document: what is read, what is refused and by which words, and what old bodies mean for ever."""
+"""Parsing of plan documents: accepted bodies, errors, and compatibility with recorded bodies."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     "start": "2026-01-01T02:00:00", "length": 3600,
 }  # fmt: skip
 
-# As programs of the time wrote them. They must be read for ever, and mean what they meant.
-FIRST = b'{"format":1,"title":"one","routes":[{"name":"a","weights":{"blue":1}}]}'
-SECOND = (
+# Bodies as written by the programs that introduced each format; they must keep their meaning.
+FORMAT_1_BODY = b'{"format":1,"title":"one","routes":[{"name":"a","weights":{"blue":1}}]}'
+FORMAT_2_BODY = (
     b'{"format":2,"routes":[{"name":"a","match":{"host":"x.example"},"weights":{"blue":1,"green":0}}],"windows":'
     b'[{"name":"w","route":"a","weights":{"green":3},"start":"2026-03-29T02:30:00","length":600,'
     b'"rrule":"FREQ=DAILY","zone":"Europe/Berlin","when_cut":"hold"}]}'
 )
-THIRD = SECOND.replace(b'"format":2', b'"format":3').replace(
+FORMAT_3_BODY = FORMAT_2_BODY.replace(b'"format":2', b'"format":3').replace(
     b'"when_cut"', b'"ramp":{"steps":4,"every":30},"when_cut"'
 )
 
@@ -38,18 +38,20 @@
     return json.dumps({"format": 3, "routes": [ROUTE], "windows": [WINDOW], **parts}).encode()
 
 
-def refused(body: bytes) -> tuple[str, str]:
-    with pytest.raises(OperatorError) as told:
+def rejection(body: bytes) -> tuple[str, str]:
+    with pytest.raises(OperatorError) as error:
         compile_routes(parse_plan(body))
-    assert told.value.do and "\n" not in str(told.value)
-    return told.value.code, told.value.what
+    assert error.value.do and "\n" not in str(error.value)
+    return error.value.code, error.value.what
 
 
-def test_bodies_of_each_format_are_read_and_mean_what_they_meant() -> None:
-    one, two, three = (compile_routes(parse_plan(body)) for body in (FIRST, SECOND, THIRD))
+def test_recorded_bodies_of_each_format_keep_their_meaning() -> None:
+    one, two, three = (
+        compile_routes(parse_plan(body)) for body in (FORMAT_1_BODY, FORMAT_2_BODY, FORMAT_3_BODY)
+    )
     assert (one.plan.format, one.plan.title, one.windows) == (1, "one", {})
-    found = one.table.resolve(b"GET", b"/any/thing", {})
-    assert found is not None and found.route.class_of(b"/any/thing", {}) == "any"
+    match = one.table.resolve(b"GET", b"/any/thing", {})
+    assert match is not None and match.route.class_of(b"/any/thing", {}) == "any"
     assert [(w.pool, w.weight) for w in two.routes["a"].pools] == [("blue", 1), ("green", 0)]
     (window,) = two.windows["a"]
     assert (window.zone, window.when_cut, window.ramp) == ("Europe/Berlin", "hold", None)
@@ -74,7 +76,11 @@
         (b" " * (MAX_PAYLOAD_BYTES + 1), "too-large", f"{MAX_PAYLOAD_BYTES + 1} bytes"),
         (document(format=4), "format-unknown", "format: 4, and this program reads 1 to 3"),
         (document(format=1), "format-too-low", "windows: is of format 2"),
-        (THIRD.replace(b'"format":3', b'"format":2'), "format-too-low", "windows[0].ramp: is of format 3"),
+        (
+            FORMAT_3_BODY.replace(b'"format":3', b'"format":2'),
+            "format-too-low",
+            "windows[0].ramp: is of format 3",
+        ),
         (document(format=2, routes=[{**ROUTE, "split_by": "x"}]), "format-too-low", "routes[0].split_by"),
         (document(routes=[{**ROUTE, "weights": {"blue": 0}}]), "weights-empty", "routes[0].weights"),
         (document(windows=[{**WINDOW, "weights": {}}]), "weights-empty", "windows[0].weights"),
@@ -86,9 +92,9 @@
     ],
     ids=range(24),
 )  # fmt: skip
-def test_what_is_refused_names_its_key(body: bytes, code: str, what: str) -> None:
-    told = refused(body)
-    assert told[0] == f"plan-{code}" and told[1].startswith(what), told
+def test_a_rejection_names_the_invalid_key(body: bytes, code: str, what: str) -> None:
+    error = rejection(body)
+    assert error[0] == f"plan-{code}" and error[1].startswith(what), error
 
 
 NAME = st.from_regex(r"[A-Za-z0-9][A-Za-z0-9._-]{0,8}", fullmatch=True)
@@ -120,28 +126,30 @@
 
 @settings(max_examples=60, deadline=None)
 @given(plans())
-def test_what_is_written_is_read_as_it_was(plan: Plan) -> None:
+def test_an_encoded_plan_is_decoded_to_the_same_plan(plan: Plan) -> None:
     body = encode_plan(plan)
     assert parse_plan(body) == plan and encode_plan(parse_plan(body)) == body
-    found = compile_routes(plan)
-    assert {*found.routes} == {route.name for route in plan.routes}
-    assert sum(map(len, found.windows.values())) == len(plan.windows)
+    compiled = compile_routes(plan)
+    assert {*compiled.routes} == {route.name for route in plan.routes}
+    assert sum(map(len, compiled.windows.values())) == len(plan.windows)
 
 
 @settings(max_examples=150, deadline=None)
-@given(st.integers(0, len(THIRD) - 1), st.binary(max_size=4), st.integers(0, 6))
-def test_a_broken_body_is_rejected_in_one_line_or_read_completely(at: int, put: bytes, cut: int) -> None:
-    body = THIRD[:at] + put + THIRD[at + cut :]
+@given(st.integers(0, len(FORMAT_3_BODY) - 1), st.binary(max_size=4), st.integers(0, 6))
+def test_a_broken_body_is_rejected_in_one_line_or_read_completely(
+    at: int, inserted: bytes, removed: int
+) -> None:
+    body = FORMAT_3_BODY[:at] + inserted + FORMAT_3_BODY[at + removed :]
     try:
         plan = parse_plan(body)
         compile_routes(plan)
-    except OperatorError as told:
-        assert told.code and "\n" not in str(told) and len(str(told)) < 600
+    except OperatorError as error:
+        assert error.code and "\n" not in str(error) and len(str(error)) < 600
     else:
         assert parse_plan(encode_plan(plan)) == plan
 
 
-def test_each_refusal_has_a_code_and_says_what_to_do() -> None:
+def test_each_error_has_a_code_and_advice() -> None:
     own = [kind for kind in kinds() if kind.__module__ == errors.__name__]
     assert len(own) == len({kind.code for kind in own}) >= 19
     assert all(kind.code.startswith("plan-") and kind.do.endswith(".") for kind in own)
--- a/tests/fleet/schedule/calendar_plans.py
+++ b/tests/fleet/schedule/calendar_plans.py
@@ -1,4 +1,4 @@
-"""Windows and plans that the tests of the calendar have in common."""
+"""Windows and plans shared by the tests of the calendar."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 BASE = {"a": 90, "b": 10}
 
 
-def window(name: str = "w", **more: Any) -> PlanWindow:
-    given = {"route": "r", "weights": {"b": 1}, "start": "2026-12-02T10:00:00", "length": 3600.0, **more}
-    return PlanWindow(name=name, **given)
+def window(name: str = "w", **fields: Any) -> PlanWindow:
+    values = {"route": "r", "weights": {"b": 1}, "start": "2026-12-02T10:00:00", "length": 3600.0, **fields}
+    return PlanWindow(name=name, **values)
 
 
 def plan(*windows: PlanWindow) -> Plan:
--- a/tests/fleet/schedule/test_fleet_clock.py
+++ b/tests/fleet/schedule/test_fleet_clock.py
@@ -1,4 +1,4 @@
-"""The fleet's time, and that all enter a window at one instant of it, in virtual time."""
+"""The fleet clock in simulated fleets: its accuracy, and the simultaneous entering of windows."""
 
 from __future__ import annotations
 
@@ -46,11 +46,11 @@
 
 @dataclass
 class Watcher:
-    """A piece that goes by `Edges`, and writes down when its weights changed, and all times told."""
+    """Records changes of weights, and checks that the reported time never goes back."""
 
     cluster: Cluster
     time: FleetClock
-    edges: WeightSchedule
+    schedule: WeightSchedule
     due: float
     message_types: tuple[type, ...] = ()
     changes: list[tuple[float, bool]] = field(default_factory=list)
@@ -60,13 +60,13 @@
         reading = self.time.now(at)
         assert reading.unix >= self.last.unix
         self.last = reading
-        look = self.edges.update(at.now, reading, 0.0)
-        if "r" in look.changed:
-            self.changes.append((self.cluster.now, "b" in look.changed["r"]))
-        self.due = look.due
+        update = self.schedule.update(at.now, reading, 0.0)
+        if "r" in update.changed:
+            self.changes.append((self.cluster.now, "b" in update.changed["r"]))
+        self.due = update.due
         return []
 
-    def receive(self, at: Instant, sender: str, address: Address, word: object) -> list[Outgoing]:  # noqa: ARG002 - the protocol's signature
+    def receive(self, at: Instant, sender: str, address: Address, message: object) -> list[Outgoing]:  # noqa: ARG002 - the protocol's signature
         return []
 
     def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:  # noqa: ARG002 - the protocol's signature
@@ -74,7 +74,7 @@
 
 
 class World:
-    """Sidecars whose time and weights are watched; the first three vote."""
+    """Sidecars with recorded time and weights; the first three are voters."""
 
     def __init__(self, size: int, link: LinkState | None = None, opens: float = OPENS) -> None:
         self.cluster = Cluster(
@@ -84,7 +84,7 @@
             [],
             LeaseTiming(),
             SwimTiming(),
-            make_components=self.pieces,
+            make_components=self.make_components,
         )
         self.table = Timetable(plan(opens))
         if link is not None:
@@ -93,10 +93,10 @@
         for node in self.cluster.nodes.values():
             self.cluster.schedule(self.cluster.random.random(), self.cluster.start, node)
 
-    def pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
-        time, edges = FleetClock(at, fleet), WeightSchedule(at.now)
-        edges.plan_committed(at.now, 1, self.table, None)
-        self.watchers[fleet.me.name] = watcher = Watcher(self.cluster, time, edges, at.now)
+    def make_components(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
+        time, schedule = FleetClock(at, fleet), WeightSchedule(at.now)
+        schedule.plan_committed(at.now, 1, self.table, None)
+        self.watchers[fleet.me.name] = watcher = Watcher(self.cluster, time, schedule, at.now)
         return [time, watcher]
 
     def node(self, name: str) -> Node:
@@ -108,9 +108,9 @@
     def error(self, name: str) -> float:
         return self.reading(name).unix - TRUE - self.cluster.now
 
-    def holds(self, untils: Iterable[float], names: Iterable[str] = ()) -> None:
-        """Until each of these, what is told is sure and as right as it says: by these names, or by all."""
-        for until in untils:
+    def assert_accurate(self, instants: Iterable[float], names: Iterable[str] = ()) -> None:
+        """Check at each instant that the time of these members (or of all) is sure and accurate."""
+        for until in instants:
             self.cluster.run(until)
             for name in names or self.watchers:
                 assert self.reading(name).is_sure and abs(self.error(name)) <= self.reading(name).uncertainty
@@ -122,30 +122,30 @@
         return [at for one in self.watchers.values() for at, inside in one.changes if inside]
 
     def left(self) -> list[float]:
-        """When each changed to the base weights again, the start apart."""
+        """Return when members returned to the base weights, without the start."""
         changes = [change for one in self.watchers.values() for change in one.changes]
         return [at for at, inside in changes if not inside and at > 10]
 
 
 @pytest.mark.parametrize("wall", [3_600_000, -3_600_000])
-def test_a_voters_clock_that_is_an_hour_off_or_steps_by_one_is_outvoted(wall: int) -> None:
+def test_one_voter_clock_that_is_an_hour_off_or_steps_is_outvoted(wall: int) -> None:
     world = World(5)
-    world.node("n4").wall_offset_ms = wall  # no voter: its own wall clock decides nothing
+    world.node("n4").wall_offset_ms = wall  # not a voter: its wall clock has no effect
     world.node("n1").wall_offset_ms = wall
-    world.holds(range(20, 60, 4))
+    world.assert_accurate(range(20, 60, 4))
     world.node("n1").wall_offset_ms = 0
-    world.holds(range(60, 100, 4))
+    world.assert_accurate(range(60, 100, 4))
     world.node("n0").wall_offset_ms = wall
-    world.holds(range(100, 140, 4))
+    world.assert_accurate(range(100, 140, 4))
     assert max(abs(world.error(name)) for name in world.watchers) < 0.03
 
 
-def test_where_no_majority_meets_all_go_on_with_what_they_had_until_it_is_unsure() -> None:
+def test_without_a_majority_the_last_fix_is_used_until_it_is_unsure() -> None:
     world = World(4)
-    world.cluster.run(400)  # the rates are measured
+    world.cluster.run(400)  # until the rates are measured
     world.node("n0").wall_offset_ms = 3_600_000
     world.node("n1").wall_offset_ms = -3_600_000
-    world.holds([600])
+    world.assert_accurate([600])
     assert all("time-voters-differ" in world.lines(name) for name in world.watchers)
     world.cluster.run(1150)
     for name in world.watchers:
@@ -153,13 +153,14 @@
         assert abs(world.error(name)) < 0.1
 
 
-def test_fast_and_slow_clocks_tell_the_time_within_what_they_say_and_learn_their_rate() -> None:
+def test_fast_and_slow_clocks_stay_within_the_stated_uncertainty_and_measure_their_rate() -> None:
     world = World(6)
     world.node("n3").clock_drift, world.node("n4").clock_drift = 0.01, -0.01
-    world.node("n0").clock_drift = 0.009  # a voter's monotonic clock; what it tells is its wall clock
-    world.holds(range(10, 700, 7))
+    world.node("n0").clock_drift = 0.009  # a voter's monotonic clock; its answers contain its wall clock
+    world.assert_accurate(range(10, 700, 7))
     world.cluster.isolate(["n3", "n4"], PARTITIONED)
-    world.holds([1300], ["n3", "n4"])  # ten minutes by its own clock, which alone would be 6 s off by now
+    # Ten minutes without voters: at the unmeasured rate the clocks would be 6 s off.
+    world.assert_accurate([1300], ["n3", "n4"])
 
 
 def test_delays_that_differ_by_direction_and_losses_stay_within_the_stated_uncertainty() -> None:
@@ -173,15 +174,15 @@
         for name in world.watchers:
             readings.append(world.reading(name))
             assert abs(world.error(name)) <= readings[-1].uncertainty
-    # Three answers in ten are lost both ways: now and then the last ones are a little too old.
+    # 30 % of the messages are lost in each direction, so the last answers are sometimes too old.
     assert sum(reading.is_sure for reading in readings) >= 0.95 * len(readings)
 
 
-def test_links_that_become_slow_for_a_while_leave_a_quick_answer_standing() -> None:
+def test_a_fix_from_fast_answers_is_kept_while_links_are_slow() -> None:
     world = World(5)
     world.cluster.run(300)
     world.cluster.default_link = LinkState(delay=1.0)
-    world.holds([350])
+    world.assert_accurate([350])
 
 
 def test_answers_of_dead_voters_make_no_majority() -> None:
@@ -193,24 +194,24 @@
     assert world.watchers["n3"].time.fixed_at < 100 and not world.reading("n3").is_sure
 
 
-def test_a_third_that_is_stopped_and_goes_on() -> None:
+def test_stopped_members_enter_the_window_with_the_first_fix_after_they_resume() -> None:
     world = World(9)
     world.cluster.run(40)
     stopped = ["n1", "n5", "n6"]
     for name in stopped:
         world.cluster.stop(world.node(name))
-    world.holds([118], sorted({*world.watchers} - {*stopped}))
+    world.assert_accurate([118], sorted({*world.watchers} - {*stopped}))
     world.cluster.run(123)
     for name in stopped:
         world.cluster.resume(world.node(name))
-    world.holds([140])
+    world.assert_accurate([140])
     at = sorted(world.entered())
     assert at[5] - at[0] < 0.05 and all(123 <= late < 123.3 for late in at[6:])  # with the first fix
     assert max(world.left()) - min(world.left()) < 0.05
 
 
-def test_voters_clocks_that_are_put_right_backwards_never_take_the_time_back() -> None:
-    """`Watcher.tick` looks at every time that is told. Half the pace until it is met, unsure meanwhile."""
+def test_the_time_never_goes_back_when_voters_clocks_are_set_back() -> None:
+    """`Watcher.tick` checks every reported time. The clock slews at half speed and is unsure meanwhile."""
     world = World(4)
     world.cluster.run(60)
     for name in ("n0", "n1", "n2"):
@@ -219,35 +220,35 @@
     for tenth in range(600, 800):
         world.cluster.run(tenth / 10)
         sure.append(world.reading("n3").is_sure)
-    assert 25 < sure.count(False) < 40 and sure[-1]  # 2 s at half the pace, less the bound
+    assert 25 < sure.count(False) < 40 and sure[-1]  # 2 s at half speed, minus the allowed uncertainty
     assert "time-moved" in world.lines("n3") and abs(world.error("n3") + 2.0) < 0.03
 
 
-def test_a_suspended_machine_is_seen_and_trusts_no_answer_to_what_it_asked_before() -> None:
+def test_a_suspension_is_detected_and_pending_requests_are_dropped() -> None:
     world = World(4)
     world.cluster.run(60)
     time, at = world.watchers["n3"].time, world.cluster.instant(world.node("n3"))
     before = time.now(at)
     time.pending[time.seq] = PendingRequest(at.now, {"#0"})
-    woken = Instant(at.now, at.boot + 7200, at.wall)
-    reading = time.now(woken)
+    resumed = Instant(at.now, at.boot + 7200, at.wall)
+    reading = time.now(resumed)
     assert abs(reading.unix - before.unix - 7200) < 1 and 72 < reading.uncertainty < 74
     assert not time.pending and time.due <= at.now and time.events[-1].event == "time-suspended"
 
 
 @pytest.mark.parametrize(("size", "delay", "target"), [(200, 0.0005, 0.05), (60, 0.1, 0.15)])
-def test_all_enter_and_leave_within_the_target(size: int, delay: float, target: float) -> None:
-    """Every other one is delayed on the way there only, the others on the way back: the worst there is."""
+def test_all_members_enter_and_leave_within_the_target(size: int, delay: float, target: float) -> None:
+    """Half of the links are slow in one direction and half in the other, the worst case for the spread."""
     world = World(size, LinkState(delay=0.0005, jitter=0.0005), opens=14.0)
     voters = ["n0", "n1", "n2"]
     slow = LinkState(delay=delay, jitter=delay / 10)
     for number, node in enumerate(world.cluster.nodes.values()):
         node.clock_drift = (number % 5 - 2) * 0.0001
         node.wall_offset_ms = (number * 7919) % 20_001 - 10_000 if number > 2 else number * 8 - 8
-        there, back = ([node.name], voters) if number % 2 else (voters, [node.name])
-        world.cluster.set_link(there, back, slow)
+        forward, backward = ([node.name], voters) if number % 2 else (voters, [node.name])
+        world.cluster.set_link(forward, backward, slow)
     world.cluster.run(13.5)
-    assert all(one.edges.is_ready for one in world.watchers.values()) and not world.entered()
+    assert all(one.schedule.is_ready for one in world.watchers.values()) and not world.entered()
     world.cluster.run(19.5)
     assert len(world.entered()) == len(world.left()) == size
     for found, wanted in ((world.entered(), 14.0), (world.left(), 19.0)):
@@ -259,32 +260,32 @@
 
 
 @given(st.lists(st.tuples(ends, ends), min_size=3, max_size=7), ends, st.data())
-def test_the_majority_interval_holds_what_a_majority_of_the_intervals_holds(
+def test_the_majority_interval_contains_the_true_time_of_a_majority(
     drawn: list[tuple[float, float]], true: float, data: st.DataObject
 ) -> None:
-    """However the others lie: as long as a majority of the spans hold the true time, so does what is met."""
+    """If a majority of the intervals contains the true time, so does the result."""
     count = len(drawn)
-    right = data.draw(st.integers(count // 2 + 1, count))
+    correct_count = data.draw(st.integers(count // 2 + 1, count))
     spans = {
         f"#{n}": TimeInterval(0.0, min(a, true), max(a, true))
-        if n < right
+        if n < correct_count
         else TimeInterval(0.0, min(a, b), max(a, b))
         for n, (a, b) in enumerate(drawn)
     }
-    met = majority_interval(spans, VoterSet(tuple(spans)))
-    assert met is not None and met[0] <= true <= met[1]
+    agreed = majority_interval(spans, VoterSet(tuple(spans)))
+    assert agreed is not None and agreed[0] <= true <= agreed[1]
 
 
 def test_the_messages_are_distinguished_from_all_others_and_an_additional_field_is_skipped() -> None:
     decoder = msgspec.msgpack.Decoder(VIEW_MESSAGES | AnyScheduleMessage)
-    for word in (TimeRequest(7), TimeResponse(7, 1.5, 0.025)):
-        assert decoder.decode(msgspec.msgpack.encode(word)) == word
+    for message in (TimeRequest(7), TimeResponse(7, 1.5, 0.025)):
+        assert decoder.decode(msgspec.msgpack.encode(message)) == message
     assert decoder.decode(msgspec.msgpack.encode(["time", 7, 1.5, 0.025, "new"])) == TimeResponse(
         7, 1.5, 0.025
     )
 
 
-def test_no_majority_or_only_one_of_two_sets_of_voters_agrees_on_nothing() -> None:
+def test_no_agreement_without_a_majority_of_each_set_of_voters() -> None:
     near, far = TimeInterval(0.0, 0.0, 1.0), TimeInterval(0.0, 3600.0, 3601.0)
     assert majority_interval({"#0": near, "#1": far}, VoterSet(("#0", "#1", "#2"))) is None
     assert majority_interval({}, VoterSet(("#0",))) is None
--- a/tests/fleet/schedule/test_messages.py
+++ b/tests/fleet/schedule/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages on the fleet's time as the previous version wrote them are read, and written the same."""
+"""Wire compatibility: recorded messages of the fleet clock are decoded and encoded unchanged."""
 
 from __future__ import annotations
 
--- a/tests/fleet/schedule/test_timetable.py
+++ b/tests/fleet/schedule/test_timetable.py
@@ -1,4 +1,4 @@
-"""The timetable, against a slow oracle."""
+"""Weights of the timetable, in part compared with a slow reference implementation."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from wheatring.fleet.schedule.windows import openings
 
 
-def test_a_step_takes_its_share_of_the_sum_whatever_the_unit_of_the_weights() -> None:
+def test_blend_gives_shares_independent_of_the_scale_of_the_weights() -> None:
     assert blend({"a": 90, "b": 10}, {"c": 2}, 1, 2) == {"a": 9, "b": 1, "c": 10}
     assert blend({"a": 1}, {"b": 1}, 1, 3) == {"a": 2, "b": 1}
     rounded = blend({"a": 999_983, "b": 999_979}, {"b": 3, "c": 999_961}, 1, 7)
     assert sum(rounded.values()) == 1_000_000 and rounded["c"] == 142_857
 
 
-def test_a_ramp_shows_what_lies_below_by_what_is_left_of_it() -> None:
+def test_a_ramp_blends_with_the_changing_weights_of_lower_windows() -> None:
     ramp = window("top", priority=1, weights={"c": 1}, length=100.0, ramp=Ramp(steps=2, every=10.0))
     below = window("low", start="2026-12-02T10:00:05", weights={"b": 1}, length=90.0)
     at = unix("2026-12-02T10:00")
@@ -36,7 +36,7 @@
     ]
 
 
-def test_windows_of_other_priorities_may_overlap_and_the_highest_counts() -> None:
+def test_of_overlapping_windows_the_highest_priority_applies() -> None:
     both = plan(window(), window("v", priority=2, weights={"c": 1}, length=60.0))
     validate_windows(both)
     noon = unix("2026-12-02T10:00")
@@ -46,8 +46,8 @@
     assert table.next_change(noon) == noon + 60 and table.next_change(noon + 1e6) == inf
 
 
-def slow(one: Plan, at: float) -> dict[str, float]:
-    """Shares at an instant: each window by itself, the highest last, as a fraction of the whole."""
+def reference_shares(one: Plan, at: float) -> dict[str, float]:
+    """Return the shares at an instant, computed window by window with the highest priority last."""
     shares = {name: weight / 100 for name, weight in BASE.items()}
     for w in sorted(one.windows, key=lambda w: w.priority):
         for o in openings(w, at - w.length - 1, at + 1):
@@ -78,7 +78,7 @@
 
 @settings(max_examples=15, deadline=None)
 @given(st.lists(drawn, min_size=1, max_size=4, unique_by=lambda w: w.name), st.integers(0, 59))
-def test_the_timetable_second_by_second_is_what_the_oracle_says(drawn: list[PlanWindow], minute: int) -> None:
+def test_the_timetable_equals_the_reference_in_every_second(drawn: list[PlanWindow], minute: int) -> None:
     validate_windows(one := plan(*drawn))
     table = Timetable(one)
     begin = unix("2026-12-02T23:00") + 60 * minute
@@ -90,7 +90,7 @@
         weights = table.weights("r", at)
         assert weights == now
         if second % 11 == 0 or at in edges:
-            wanted = slow(one, at)
+            wanted = reference_shares(one, at)
             total = sum(weights.values())
             for name in wanted:
                 assert abs(weights.get(name, 0) / total - wanted[name]) < 5e-6
--- a/tests/fleet/schedule/test_validation.py
+++ b/tests/fleet/schedule/test_validation.py
@@ -1,4 +1,4 @@
-"""Which windows are refused."""
+"""Rejection of invalid windows."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from wheatring.fleet.schedule import errors
 from wheatring.fleet.schedule.validation import validate_windows
 
-REFUSED: list[tuple[type[errors.WindowError], list[PlanWindow]]] = [
+REJECTED: list[tuple[type[errors.WindowError], list[PlanWindow]]] = [
     (errors.WindowRouteUnknownError, [window(route="x")]),
     (errors.WindowNameDuplicateError, [window(), window()]),
     (errors.WindowWeightsEmptyError, [window(weights={"a": 0})]),
@@ -45,11 +45,13 @@
     "FREQ=FORTNIGHTLY", "FREQ=MONTHLY;BYDAY=53SU", "FREQ=YEARLY;BYMONTH=6;BYDAY=6MO",
     "FREQ=YEARLY;BYWEEKNO=9", "FREQ=HOURLY;BYHOUR=5",
 ):  # fmt: skip
-    REFUSED.append((errors.WindowRuleUnreadableError, [window(rrule=text)]))
+    REJECTED.append((errors.WindowRuleUnreadableError, [window(rrule=text)]))
 
 
-@pytest.mark.parametrize(("kind", "windows"), REFUSED)
-def test_what_is_refused_and_why(kind: type[errors.WindowError], windows: list[PlanWindow]) -> None:
-    with pytest.raises(errors.WindowError) as told:
+@pytest.mark.parametrize(("kind", "windows"), REJECTED)
+def test_an_invalid_window_raises_its_error(
+    kind: type[errors.WindowError], windows: list[PlanWindow]
+) -> None:
+    with pytest.raises(errors.WindowError) as error:
         validate_windows(plan(*windows))
-    assert type(told.value) is kind and "\n" not in str(told.value) and windows[0].name in str(told.value)
+    assert type(error.value) is kind and "\n" not in str(error.value) and windows[0].name in str(error.value)
--- a/tests/fleet/schedule/test_windows.py
+++ b/tests/fleet/schedule/test_windows.py
@@ -1,4 +1,4 @@
-"""When windows open."""
+"""Openings of windows, in particular around clock changes."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 from wheatring.fleet.schedule.windows import openings
 
 
-def test_a_repeated_half_past_one_is_the_first_of_the_two() -> None:
+def test_a_local_time_that_occurs_twice_opens_at_the_first_one() -> None:
     night = window(start="2026-10-23T01:30:00", **NIGHTLY)
     assert opens(night, "2026-10-24", "2026-10-27") == ["10-24T00:30", "10-25T00:30", "10-26T01:30"]
 
 
-def test_a_skipped_half_past_one_is_read_with_the_offset_before_the_gap() -> None:
+def test_a_skipped_local_time_uses_the_offset_before_the_gap() -> None:
     night = window(start="2026-03-01T01:30:00", **NIGHTLY)
     assert opens(night, "2026-03-28", "2026-03-31") == ["03-28T01:30", "03-29T01:30", "03-30T00:30"]
 
 
-def test_an_hour_that_is_skipped_opens_once_and_not_twice() -> None:
+def test_an_hourly_window_opens_once_for_a_skipped_hour() -> None:
     hourly = window(start="2026-03-29T00:00:00", length=60.0, zone="Europe/Dublin", rrule="FREQ=HOURLY")
     assert opens(hourly, "2026-03-29", "2026-03-29T03") == ["03-29T00:00", "03-29T01:00", "03-29T02:00"]
     validate_windows(plan(hourly))
 
 
-def test_two_that_a_change_of_the_clocks_puts_out_of_order_open_in_order() -> None:
+def test_openings_that_a_clock_change_reorders_are_sorted_by_instant() -> None:
     rule = "FREQ=DAILY;BYHOUR=2;BYMINUTE=15,30"  # 02:00 to 02:30 is skipped
     two = window(start="2026-10-01T02:15:00", length=60.0, zone="Australia/Lord_Howe", rrule=rule)
     assert opens(two, "2026-10-03T12:00", "2026-10-04T12:00") == ["10-03T15:30", "10-03T15:45"]
 
 
-def test_a_position_in_the_week_is_counted_from_its_begin_however_far_from_the_start() -> None:
+def test_bysetpos_counts_from_the_start_of_the_week_far_from_the_first_opening() -> None:
     fourth = window(rrule="FREQ=WEEKLY;BYDAY=MO,TU,WE,TH,FR,SA;BYSETPOS=4")  # from a Wednesday on
     assert opens(fourth, "2026-12-11T12:00", "2026-12-18T12:00") == ["12-17T10:00"]
 
 
-def test_length_is_real_seconds_through_a_change_of_the_clocks() -> None:
+def test_length_is_elapsed_time_across_a_clock_change() -> None:
     table = Timetable(plan(window(start="2026-10-25T00:30:00", length=7200.0, zone="Europe/Dublin")))
     begin = unix("2026-10-24T23:30")
     assert [(e.at, e.weights) for e in table.changes(begin - 1, begin + 9000)] == [
@@ -52,13 +52,13 @@
     ]
 
 
-def test_midnight_in_three_zones() -> None:
+def test_local_midnight_in_three_zones() -> None:
     for zone, first in (("Asia/Kathmandu", "18:15"), ("America/St_Johns", "03:30"), ("UTC", "00:00")):
         one = window(start="2026-01-05T00:00:00", zone=zone, rrule="FREQ=WEEKLY;BYDAY=MO")
         assert [at[-5:] for at in opens(one, "2026-01-04", "2026-01-11")] == [first]
 
 
-def test_a_window_of_one_second_and_two_that_touch() -> None:
+def test_adjacent_windows_do_not_overlap() -> None:
     noon, later = unix("2026-12-02T10:00"), window("v", start="2026-12-02T10:00:01", weights={"c": 1})
     table = Timetable(both := plan(window(length=1.0), later))
     validate_windows(both)
@@ -75,8 +75,10 @@
 
 @settings(max_examples=150, deadline=None)
 @given(RULES, ZONES, NEAR, st.integers(0, 2000), st.integers(0, 86_399))
-def test_openings_are_all_that_the_rule_names(rule: str, zone: str, near: str, ago: int, sec: int) -> None:
-    """The oracle: the rule from its very start, by the library alone, each local time by the two offsets."""
+def test_openings_equal_all_occurrences_of_the_rule(
+    rule: str, zone: str, near: str, ago: int, sec: int
+) -> None:
+    """The oracle evaluates the rule from its start with `dateutil` and converts each local time."""
     start = (datetime(2026, 10, 25) - timedelta(days=ago) + timedelta(seconds=sec)).replace(microsecond=0)
     one = window(start=start.isoformat(), zone=zone, rrule=rule)
     after = unix(near)
--- a/tests/fleet/skew/generated_plans.py
+++ b/tests/fleet/skew/generated_plans.py
@@ -1,4 +1,4 @@
-"""Generated plans, and what the tests of this room have in common."""
+"""Strategies for generated plans, and helpers shared by the tests of version skew."""
 
 from __future__ import annotations
 
@@ -67,8 +67,8 @@
 )
 
 
-def answered(plan: Plan, ruled: ToyEvaluator) -> AnswerChain:
-    answers = AnswerChain(plan, ruled, DAY)
+def evaluate_all(plan: Plan, evaluator: ToyEvaluator) -> AnswerChain:
+    answers = AnswerChain(plan, evaluator, DAY)
     while not answers.advance(7):
         pass
     return answers
--- a/tests/fleet/skew/test_capability_table.py
+++ b/tests/fleet/skew/test_capability_table.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the capabilities of processes."""
+"""The leader's table of processes' capabilities."""
 
 from __future__ import annotations
 
@@ -9,26 +9,28 @@
 from wheatring.fleet.skew.capability_table import LEGACY_AFTER_SECONDS, MAX_PROCESSES, CapabilityTable
 
 
-def test_what_is_known_of_processes_is_bounded_and_of_one_start_only() -> None:
-    book = CapabilityTable()
-    one = ViewMember(MemberInfo("n1", "127.0.0.1", 1), 5)
+def test_the_table_is_bounded_and_keyed_by_incarnation() -> None:
+    table = CapabilityTable()
+    member = ViewMember(MemberInfo("n1", "127.0.0.1", 1), 5)
     assert (
-        book.capabilities_of(0.0, one) is None
-        and book.requests_due(0.0) == [one]
-        and book.requests_due(0.1) == []
+        table.capabilities_of(0.0, member) is None
+        and table.requests_due(0.0) == [member]
+        and table.requests_due(0.1) == []
     )
-    assert book.capabilities_of(LEGACY_AFTER_SECONDS - 0.1, one) is None and book.requests_due(
+    assert table.capabilities_of(LEGACY_AFTER_SECONDS - 0.1, member) is None and table.requests_due(
         LEGACY_AFTER_SECONDS - 0.1
-    ) == [one]
+    ) == [member]
     assert (
-        book.capabilities_of(LEGACY_AFTER_SECONDS, one) == LEGACY_CAPABILITIES
-    )  # it goes on knocking, and has not these words
-    book.record("n1", 5, ALL)
+        table.capabilities_of(LEGACY_AFTER_SECONDS, member) == LEGACY_CAPABILITIES
+    )  # it keeps trying to join and does not know these messages
+    table.record("n1", 5, ALL)
     assert (
-        book.capabilities_of(LEGACY_AFTER_SECONDS, one) == ALL
-        and book.capabilities_of(LEGACY_AFTER_SECONDS, one._replace(incarnation=6)) is None
+        table.capabilities_of(LEGACY_AFTER_SECONDS, member) == ALL
+        and table.capabilities_of(LEGACY_AFTER_SECONDS, member._replace(incarnation=6)) is None
     )
-    assert book.requests_due(3 * LEGACY_AFTER_SECONDS) == [] and not book.pending  # it knocks no more
+    assert (
+        table.requests_due(3 * LEGACY_AFTER_SECONDS) == [] and not table.pending
+    )  # it has stopped trying to join
     for number in range(MAX_PROCESSES + 10):
-        book.record(f"m{number}", 1, ALL)
-    assert len(book.known) == MAX_PROCESSES and ("n1", 5) not in book.known
+        table.record(f"m{number}", 1, ALL)
+    assert len(table.known) == MAX_PROCESSES and ("n1", 5) not in table.known
--- a/tests/fleet/skew/test_messages.py
+++ b/tests/fleet/skew/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages of a compatibility check as the previous version wrote them are read, and written the same."""
+"""Wire compatibility: recorded messages of a compatibility check are decoded and encoded unchanged."""
 
 from __future__ import annotations
 
@@ -71,8 +71,8 @@
 
 def test_a_message_of_a_later_program_is_read_for_its_known_fields() -> None:
     decoder: msgspec.msgpack.Decoder[AnySkewMessage] = msgspec.msgpack.Decoder(AnySkewMessage)
-    own = msgspec.msgpack.decode(msgspec.msgpack.encode(CapabilityResponse(7, 5, CAPABILITIES)))
-    own[-1].append("what comes after the versions")
-    assert decoder.decode(msgspec.msgpack.encode([*own, "and after the abilities"])) == CapabilityResponse(
+    fields = msgspec.msgpack.decode(msgspec.msgpack.encode(CapabilityResponse(7, 5, CAPABILITIES)))
+    fields[-1].append("an additional capability")
+    assert decoder.decode(msgspec.msgpack.encode([*fields, "an additional field"])) == CapabilityResponse(
         7, 5, CAPABILITIES
     )
--- a/tests/fleet/skew/test_minimum_format.py
+++ b/tests/fleet/skew/test_minimum_format.py
@@ -1,4 +1,4 @@
-"""The fleet's minimum format, and who is admitted to the view."""
+"""Changes of the fleet's minimum format, and admission to the view."""
 
 from __future__ import annotations
 
@@ -24,24 +24,24 @@
 from wheatring.fleet.skew.requirements import Requirements
 
 
-def test_the_floor_rises_only_where_all_read_it_and_falls_only_where_no_plan_needs_it() -> None:
+def test_the_minimum_is_raised_only_if_all_read_it_and_lowered_only_if_no_plan_needs_it() -> None:
     known = [("n1", ALL), ("n2", LEGACY_CAPABILITIES)]
     with pytest.raises(MinimumNotMetError, match=r"floor 2 is not read by 1 of 2: n2 \(1\)"):
         change_minimum(2, 1, None, known)
     assert decode_minimum(change_minimum(3, 1, None, known[:1])) == 3
-    settled = Requirements(format=2, written=2)
+    committed = Requirements(format=2, written=2)
     with pytest.raises(MinimumInUseError):
-        change_minimum(1, 3, settled, known[:1])
-    assert decode_minimum(change_minimum(2, 3, settled, known[:1])) == 2
+        change_minimum(1, 3, committed, known[:1])
+    assert decode_minimum(change_minimum(2, 3, committed, known[:1])) == 2
     with pytest.raises(MinimumUnknownError):
         change_minimum(NEWEST_FORMAT + 1, 1, None, [])
     assert decode_minimum(b"\xc1") is None and decode_minimum(encode_minimum(2)) == 2
 
 
-def test_a_member_that_may_not_join_learns_by_which_rule() -> None:
-    settled = Requirements(format=3, written=3, features=frozenset({"ramps"}))
-    assert admission_refusals(ALL, 3, settled) == []
-    codes = [why.code for why in admission_refusals(LEGACY_CAPABILITIES, 2, settled, "n9")]
+def test_an_admission_refusal_lists_all_unmet_rules() -> None:
+    committed = Requirements(format=3, written=3, features=frozenset({"ramps"}))
+    assert admission_refusals(ALL, 3, committed) == []
+    codes = [reason.code for reason in admission_refusals(LEGACY_CAPABILITIES, 2, committed, "n9")]
     assert codes == ["below-floor", "unreadable-format", "unable"]
     newer = msgspec.structs.replace(ALL, formats=((2, 3),))
     assert "Raise the floor" in admission_refusals(newer, 1, None)[0].do
--- a/tests/fleet/skew/test_trials.py
+++ b/tests/fleet/skew/test_trials.py
@@ -8,7 +8,7 @@
 from datetime import UTC, datetime
 from itertools import islice
 
-from tests.fleet.skew.generated_plans import DAY, WEIGHTS, answered
+from tests.fleet.skew.generated_plans import DAY, WEIGHTS, evaluate_all
 from wheatring.fleet.plan.document import (
     Plan,
     PlanMatch,
@@ -20,35 +20,35 @@
 from wheatring.lab.agreement.plan_driver import ToyEvaluator, encode_body
 
 
-def test_prefixes_are_tried_at_their_borders_and_windows_at_theirs() -> None:
+def test_trials_cover_the_boundaries_of_prefixes_and_windows() -> None:
     match = PlanMatch(prefix="/a", methods=("PUT",))
     route = PlanRoute(name="one", match=match, weights=WEIGHTS, split_by="customer")
     window = PlanWindow(name="w", route="one", weights={"b": 1}, start="2026-10-25T01:30:00", length=60,
                         zone="Europe/Dublin")  # fmt: skip
     plan = Plan(format=2, routes=(route,), windows=(window,))
-    found = list(generate_cases(plan, ToyEvaluator(plan), DAY))
-    requests = [one.trial for one in found if one.trial is not None]
+    cases = list(generate_cases(plan, ToyEvaluator(plan), DAY))
+    requests = [case.trial for case in cases if case.trial is not None]
     assert {"/a", "/a/", "/ax", "/a/x"} <= {trial.target for trial in requests}
     assert {"PUT", "GET"} == {trial.method for trial in requests}
     assert len({trial.headers.get("customer") for trial in requests}) == 5
-    instants = {one.at for one in found if one.trial is None}
-    both = [datetime(2026, 10, 25, hour, 30, tzinfo=UTC).timestamp() for hour in (0, 1)]  # 01:30 comes twice
+    instants = {case.at for case in cases if case.trial is None}
+    both = [datetime(2026, 10, 25, hour, 30, tzinfo=UTC).timestamp() for hour in (0, 1)]  # 01:30 occurs twice
     change = datetime(2026, 10, 25, 1, tzinfo=UTC).timestamp()
     spring = datetime(2027, 3, 28, 1, tzinfo=UTC).timestamp()
     edges = [*both, both[0] + 60, change, spring]
-    assert {at + apart for at in edges for apart in (-1, 0, 1)} <= instants
+    assert {at + offset for at in edges for offset in (-1, 0, 1)} <= instants
 
 
-def test_a_program_with_another_calendar_answers_otherwise() -> None:
-    class Late(ToyEvaluator):
+def test_a_different_calendar_changes_the_digest() -> None:
+    class SevenSecondEdges(ToyEvaluator):
         def edges(self, window: str, after: float, before: float) -> Sequence[float]:  # noqa: ARG002 - the protocol's signature
             return [after + 7]
 
-    class Later(ToyEvaluator):
+    class EightSecondEdges(ToyEvaluator):
         def edges(self, window: str, after: float, before: float) -> Sequence[float]:  # noqa: ARG002 - the protocol's signature
             return [after + 8]
 
-    class Heavy(ToyEvaluator):
+    class OtherWeights(ToyEvaluator):
         def weights(self, route: str, at: float) -> Mapping[str, int]:  # noqa: ARG002 - the protocol's signature
             return {"blue": int(at == change)}
 
@@ -56,11 +56,14 @@
                         zone="Europe/Paris")  # fmt: skip
     plan = Plan(format=2, routes=(PlanRoute(name="one", weights=WEIGHTS),), windows=(window,))
     change = clock_changes(ToyEvaluator(plan).zone("Europe/Paris"), DAY)[0]
-    results = {answered(plan, kind(plan)).result for kind in (ToyEvaluator, Late, Later, Heavy)}
+    results = {
+        evaluate_all(plan, kind(plan)).result
+        for kind in (ToyEvaluator, SevenSecondEdges, EightSecondEdges, OtherWeights)
+    }
     assert len(results) == 4
 
 
-def test_trials_are_bounded_and_alike_in_any_process() -> None:
+def test_trials_are_bounded_and_identical_in_every_process() -> None:
     route = PlanRoute(name="r", match=PlanMatch(prefix="/a"), weights=WEIGHTS)
     window = PlanWindow(name="w", route="r", weights=WEIGHTS, start="2026-10-25T01:30:00", length=60,
                         rrule="FREQ=DAILY", zone="Europe/Dublin")  # fmt: skip
@@ -75,15 +78,15 @@
         "answers.advance(10**6)\n"
         "print(answers.count, answers.result.hex())"
     )
-    told = set()
+    outputs = set()
     for seed in ("1", "2"):
         env = {"PYTHONHASHSEED": seed, "PYTHONPATH": ":".join(sys.path)}
         call = [sys.executable, "-c", code, str(DAY)]
-        told.add(
+        outputs.add(
             subprocess.run(call, input=encode_body(plan), check=True, capture_output=True, env=env).stdout
         )
-    own = answered(plan, ToyEvaluator(plan))
-    assert told == {f"{own.count} {own.result.hex()}\n".encode()} and own.count > 100
+    expected = evaluate_all(plan, ToyEvaluator(plan))
+    assert outputs == {f"{expected.count} {expected.result.hex()}\n".encode()} and expected.count > 100
     assert (
         describe_case(next(islice(generate_cases(plan, ToyEvaluator(plan), DAY), 1, None)))
         == "GET /a/x host=any.test"
--- a/wheatring/fleet/peers/compiled_plan.py
+++ b/wheatring/fleet/peers/compiled_plan.py
@@ -73,4 +73,4 @@
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:
         """Return when a window opens, closes or steps within these instants, ascending, in Unix seconds."""
-        return self.timetable.marks(window, after, before)
+        return self.timetable.edges(window, after, before)
--- a/wheatring/fleet/plan/__init__.py
+++ b/wheatring/fleet/plan/__init__.py
@@ -1,5 +1,5 @@
-"""The fleet's one versioned plan: its document, and the rollout that replicates and commits it.
+"""The fleet's versioned plan: its document, and the rollout that replicates and commits it.
 
-A plan is proposed at any sidecar, rolled out by the leader and committed through the register `plan`. Does no
-I/O; imported only where the operator's file has a `[plan]` section.
+Any sidecar accepts a proposal; the leader rolls it out and commits it through the register `plan`. The
+package does no I/O and is imported only if the operator's file has a `[plan]` section.
 """
--- a/wheatring/fleet/plan/agent.py
+++ b/wheatring/fleet/plan/agent.py
@@ -1,12 +1,12 @@
-"""One sidecar's part in the fleet's plan: applies committed plans, stores those rolled out, proposes, leads.
+"""A sidecar's plan component: applies committed plans, stores bodies, proposes plans and leads rollouts.
 
-Which plan is applied is changed by the register `plan` alone: by an entry that is committed and whose body is
-here and can be read. What must never happen:
+The plan in use changes only when the register `plan` commits an entry whose body is available and readable.
+Invariants:
 
-- a plan is applied that is not the register's, not complete, or of a lower version than the one before;
-- a body is reported as stored (`PlanStored`) and not kept.
+- an applied plan is complete, committed by the register, and newer than the one before;
+- a body that was confirmed as stored (`PlanStored`) is kept.
 
-Does no I/O, and has no clock or randomness of its own.
+Does no I/O; time and randomness are passed in.
 """
 
 from __future__ import annotations
@@ -40,18 +40,17 @@
 from wheatring.fleet.plan.rollout import reason_from
 from wheatring.fleet.plan.status import committed_status, leader_status, proposal_status, reason_records
 
-STEP_SECONDS = 0.1  # from one step of a rollout to the next, at the leader
-IDLE_SECONDS = 0.5  # between ticks without a rollout
+STEP_SECONDS = 0.1  # interval of a rollout's steps at the leader
+IDLE_SECONDS = 0.5  # interval of ticks without a rollout
 MAX_COMPILED_BODIES = 4
 
 CommitCallback = Callable[[Instant, CommittedPlan], list[Outgoing]]
 
 
 class PlanAgent:
-    """A `lease.component.FleetComponent`, with its `register` as another one beside it.
+    """A `lease.component.FleetComponent`; its `register` is a separate component.
 
-    `on_commit` is called with each plan that is applied from then on: complete, and newer than the one
-    before. `leader.check` may be set before the first tick.
+    `on_commit` is called with each newly applied plan. `leader.check` may be set before the first tick.
     """
 
     message_types = get_args(AnyPlanMessage)
@@ -72,71 +71,71 @@
         self.leader = RolloutLeader(fleet, views, self.register, check)
         self.proposals = ProposalLog(fleet, views, self.register)
         self.current: CommittedPlan | None = None
-        self.compiled: CompiledRoutes | None = None  # of the current one
+        self.compiled: CompiledRoutes | None = None  # the current plan, compiled
         self.unreadable: Reason | None = None  # why the newest committed plan is not applied
         self.compiled_bodies: OrderedDict[bytes, CompiledRoutes | OperatorError] = OrderedDict()
-        self.store_request: tuple[StorePlan, Address] | None = None  # the newest, and the leader's address
-        self.next = self.next_ask = at.now
+        self.store_request: tuple[StorePlan, Address] | None = (
+            None  # the newest request and the leader's address
+        )
+        self.next_tick_at = self.next_query_at = at.now
 
     def propose(self, at: Instant, body: bytes) -> Proposal:
-        """Propose a plan.
-
-        It is sent with the next tick, which is due at once.
+        """Propose a plan; the next tick, which becomes due immediately, sends it.
 
         Raises
         ------
         OperatorError
-            The plan is refused right here.
+            The plan is rejected before it is sent.
         """
         proposal = self.proposals.propose(at, body)
-        self.next = at.now
+        self.next_tick_at = at.now
         return proposal
 
     # Time
 
     @property
     def due(self) -> float:
-        """When the next tick has something to do, on the monotonic clock."""
-        return self.next
+        """When the next tick is due, on the monotonic clock."""
+        return self.next_tick_at
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Advance the rollout that is led here, and send what is due."""
+        """Advance the rollout led by this sidecar and send the messages that are due."""
         self.views.leader.plan_number = self.register.chosen.number
         out = self.leader.step(at) + self.proposals.messages_due(at)
-        self.next = at.now + (STEP_SECONDS if self.leader.rollout is not None else IDLE_SECONDS)
-        if self.views.stamp.plan > self.register.chosen.number and at.now >= self.next_ask:
-            self.next_ask = at.now + RESEND_SECONDS
-            out += self._ask_for_newest()
+        self.next_tick_at = at.now + (STEP_SECONDS if self.leader.rollout is not None else IDLE_SECONDS)
+        if self.views.stamp.plan > self.register.chosen.number and at.now >= self.next_query_at:
+            self.next_query_at = at.now + RESEND_SECONDS
+            out += self._query_newest()
         return out
 
     def _known_members(self) -> list[MemberInfo] | None:
-        """Return whom a voter that has restarted asks for what it has forgotten; None if not known yet.
+        """Return the members from which a restarted voter recovers its state; None if they are not known yet.
 
-        Voters that restart together know only each other at first. That they are in a view again they have
-        from the other members, so the view names these.
+        Voters that restart simultaneously know only each other at first. They re-enter a view through the
+        other members, so the view then contains them.
         """
         view = self.views.view
-        return [placed.member for placed in view.members] if view.number else None
+        return [view_member.member for view_member in view.members] if view.number else None
 
-    def _ask_for_newest(self) -> list[Outgoing]:
-        """Ask for a plan that a stamp names and that was missed here: the leader, and one other member."""
+    def _query_newest(self) -> list[Outgoing]:
+        """Query the leader and a random member for a newer plan that is named in a leader stamp."""
         me = self.fleet.me.name
-        others = [who for who in self.fleet.members.alive_members() if who.name != me]
-        asked = [(who.host, who.port) for who in [self.fleet.random.choice(others)]] if others else []
+        others = [member for member in self.fleet.members.alive_members() if member.name != me]
+        addresses = [(peer.host, peer.port) for peer in [self.fleet.random.choice(others)]] if others else []
         leader = find_leader(self.fleet)
         if leader.name != me and leader.address is not None:
-            asked.append(leader.address)
-        return [(address, self.register.learner.newest_query()) for address in dict.fromkeys(asked)]
+            addresses.append(leader.address)
+        return [(address, self.register.learner.newest_query()) for address in dict.fromkeys(addresses)]
 
     # Messages
 
     def receive(self, at: Instant, sender: str, address: Address, message: AnyPlanMessage) -> list[Outgoing]:
-        """Handle a message, as the leader or as a member."""
+        """Handle a message to the leader or to a member."""
         match message:
             case ProposePlan():
                 out = self.leader.handle_proposal(at, sender, address, message)
                 if self.leader.rollout is not None:
-                    self.next = min(self.next, at.now + STEP_SECONDS)
+                    self.next_tick_at = min(self.next_tick_at, at.now + STEP_SECONDS)
                 return out
             case RolloutStatus():
                 self.proposals.handle_status(message)
@@ -148,7 +147,7 @@
 
     def _handle_store_request(self, address: Address, message: StorePlan) -> list[Outgoing]:
         if self.store_request is not None and message.epoch < self.store_request[0].epoch:
-            return []  # of a leader that another one has followed
+            return []  # from a leader of an earlier term
         self.store_request = (message, address)
         if self.fleet.payloads.get(message.digest) is not None:
             return self._report_stored(message, address)
@@ -156,55 +155,55 @@
         return []
 
     def receive_payload(self, _at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
-        """Report a body that has arrived to the leader that wants it stored."""
+        """Confirm a fetched body to the leader that asked for it."""
         if body is None or self.store_request is None or self.store_request[0].digest != digest:
-            return []  # the leader asks again
+            return []  # the leader sends its request again
         return self._report_stored(*self.store_request)
 
     def _report_stored(self, message: StorePlan, address: Address) -> list[Outgoing]:
-        """Keep the body and tell the leader whether it can be read here."""
+        """Pin the body and report to the leader whether this program can read it."""
         body = self.fleet.payloads.get(message.digest)
         if body is None:
             return []
         self.fleet.payloads.pin("plan/held", message.digest)
-        found = self._compile(message.digest, body)
+        compiled = self._compile(message.digest, body)
         texts = ("", "", "")
-        if isinstance(found, OperatorError):
-            texts = (found.code, truncate(found.what), truncate(found.do))
+        if isinstance(compiled, OperatorError):
+            texts = (compiled.code, truncate(compiled.what), truncate(compiled.do))
         return [(address, PlanStored(message.digest, message.epoch, self.fleet.incarnation, *texts))]
 
     def _compile(self, digest: bytes, body: bytes) -> CompiledRoutes | OperatorError:
-        """Return a compiled body, or the error that it can't be compiled for, from the cache if possible."""
-        found = self.compiled_bodies.get(digest)
-        if found is None:
+        """Return the compiled body or the error that compiling it raised; results are cached."""
+        compiled = self.compiled_bodies.get(digest)
+        if compiled is None:
             try:
-                found = compile_routes(parse_plan(body))
+                compiled = compile_routes(parse_plan(body))
             except OperatorError as error:
-                found = error
-            self.compiled_bodies[digest] = found
+                compiled = error
+            self.compiled_bodies[digest] = compiled
             while len(self.compiled_bodies) > MAX_COMPILED_BODIES:
                 self.compiled_bodies.popitem(last=False)
-        return found
+        return compiled
 
-    # What is committed
+    # Commits
 
     def _entry_committed(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
-        """Apply a committed plan; called by the register once the body is here too."""
+        """Apply a committed plan; called by the register once its body is available."""
         out = self.leader.entry_committed(entry)
         self.proposals.entry_committed(entry)
-        found = self._compile(entry.digest, body)
-        if isinstance(found, OperatorError):  # committed by members with newer programs
-            self.unreadable = reason_from(found, self.fleet.me.name)
+        compiled = self._compile(entry.digest, body)
+        if isinstance(compiled, OperatorError):  # the members that accepted it run newer programs
+            self.unreadable = reason_from(compiled, self.fleet.me.name)
             return out
-        before, self.unreadable = self.current, None
-        self.current = CommittedPlan(entry.number, entry.epoch, entry.digest, found.plan)
-        self.compiled = found
-        if before is None or (before.version, before.digest) != (entry.number, entry.digest):
+        previous, self.unreadable = self.current, None
+        self.current = CommittedPlan(entry.number, entry.epoch, entry.digest, compiled.plan)
+        self.compiled = compiled
+        if previous is None or (previous.version, previous.digest) != (entry.number, entry.digest):
             out += self.on_commit(at, self.current)
         return out
 
     def status(self, now: float) -> dict[str, Any]:
-        """Return the rollout's part of `GET /control/plan`; `now` is monotonic seconds."""
+        """Return the rollout's part of `GET /control/plan`; `now` is in monotonic seconds."""
         is_newest = self.views.stamp.plan <= self.register.applied.number
         return {
             **committed_status(self.current),
--- a/wheatring/fleet/plan/compatibility.py
+++ b/wheatring/fleet/plan/compatibility.py
@@ -1,7 +1,7 @@
 """The interface between a rollout and its compatibility check, which `skew.checker` implements.
 
-A verdict belongs to one body and one view. If the view changes before the plan is committed, new members are
-checked too; members that have already answered are not asked again.
+A verdict holds for one plan body and one view. If the view changes before the plan is committed, the new
+members are checked as well; members that have already answered are not asked again.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 
 
 class CheckStage(Enum):
-    """How far a compatibility check is. The values are part of `GET /control/plan`."""
+    """The stage of a compatibility check. The values appear in `GET /control/plan`."""
 
-    SURVEYING = "surveyed"  # members are asked for their capabilities
-    TESTING = "tried"  # members compile the plan and answer its trials
-    COMPATIBLE = "yes"  # every member of the verdict's view
+    SURVEYING = "surveyed"  # collecting the members' capabilities
+    TESTING = "tried"  # members compile the plan and evaluate its trials
+    COMPATIBLE = "yes"  # all members of the verdict's view can apply the plan
     INCOMPATIBLE = "no"
 
 
 class Reason(NamedTuple):
     """Why a plan is rejected or not committed yet.
 
-    `member` is "" where the plan itself is meant; `code`, `what` and `do` are those of an error: its code,
-    what happened, and what an operator can do. The names are keys of `GET /control/plan`.
+    `member` is the member at fault, "" if the fault is in the plan itself. `code`, `what` and `do` come from
+    an `OperatorError`: its code, what happened, and what an operator can do. The field names are keys of `GET
+    /control/plan`.
     """
 
     member: str
@@ -37,7 +38,7 @@
 
 
 class Verdict(NamedTuple):
-    """The result so far: `answered` of `members` have finished the present stage, in view `view_number`."""
+    """The result so far: `answered` of `members` in view `view_number` have finished the current stage."""
 
     stage: CheckStage
     view_number: int
@@ -47,19 +48,19 @@
 
 
 class CompatibilityCheck(Protocol):
-    """Checks one plan at a time against all members, at the sidecar that leads.
+    """Checks one plan at a time against all members; runs at the leader.
 
-    Its messages to members go out with its own ticks: it is also a component of the fleet.
+    The implementation is also a fleet component and sends its messages to members in its own ticks.
     """
 
     def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
-        """Start a new check of the body with this digest."""
+        """Start a new check of the plan body with this digest."""
 
     def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
-        """Continue the check with the members of another view."""
+        """Continue the check with the members of a new view."""
 
     def verdict(self, now: float) -> Verdict:
         """Return the result so far, at `now` on the monotonic clock."""
 
     def stop_check(self) -> None:
-        """Forget the check: the plan is committed or its rollout is over."""
+        """Discard the check once the plan is committed or its rollout has ended."""
--- a/wheatring/fleet/plan/compiler.py
+++ b/wheatring/fleet/plan/compiler.py
@@ -1,4 +1,4 @@
-"""From a plan's document to routes and windows that are consistent with one another."""
+"""Compiles a plan's document into a routing table and checks its windows against the routes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class CompiledRoutes(NamedTuple):
-    """A plan ready to be applied; `windows` by the name of their route, in the order of the document."""
+    """A compiled plan; `windows` are grouped by the name of their route, in document order."""
 
     plan: Plan
     table: RoutingTable
@@ -28,14 +28,14 @@
 
 
 def compile_routes(plan: Plan) -> CompiledRoutes:
-    """Compile a plan's routes, and check its windows against them.
+    """Compile a plan's routes and check its windows against them.
 
     Raises
     ------
     PlanUnreadableError, PlanWeightsEmptyError, PlanRoutesClashError, PlanWindowsClashError
-        A part of the plan has no meaning, or two parts contradict each other.
+        A part of the plan is invalid, or two parts conflict.
     PlanWindowUnknownRouteError, PlanWindowUnknownPoolError
-        A window refers to what the plan does not have.
+        A window refers to a route or a pool that does not exist.
     """
     routes: dict[str, Route] = {}
     for index, route in enumerate(plan.routes):
@@ -75,9 +75,9 @@
 
 
 def _group_windows(plan: Plan, routes: dict[str, Route]) -> dict[str, tuple[PlanWindow, ...]]:
-    """Return the windows by route; each has a name of its own, a known route, and pools of that route."""
+    """Return the windows by route; check that names are unique and that routes and pools exist."""
     names: set[str] = set()
-    found: dict[str, tuple[PlanWindow, ...]] = {}
+    by_route: dict[str, tuple[PlanWindow, ...]] = {}
     for index, window in enumerate(plan.windows):
         where = f"windows[{index}]"
         if window.name in names:
@@ -91,5 +91,5 @@
             raise PlanWindowUnknownPoolError(f"{where}.weights.{unknown[0]}: no pool of route {route.name}")
         if not any(window.weights.values()):
             raise PlanWeightsEmptyError(f"{where}.weights: window {window.name} has no weight above 0")
-        found[window.route] = (*found.get(window.route, ()), window)
-    return found
+        by_route[window.route] = (*by_route.get(window.route, ()), window)
+    return by_route
--- a/wheatring/fleet/plan/document.py
+++ b/wheatring/fleet/plan/document.py
@@ -1,11 +1,11 @@
-"""The plan's document, as its JSON body spells it.
+"""The schema of a plan's JSON body.
 
-A body is JSON, `lease.payloads.MAX_PAYLOAD_BYTES` at most. Version and epoch are not in it: they belong to
-the register's entry, whose digest is that of the body's bytes. Three formats exist: 1 has fixed weights, 2
-adds windows, 3 adds ramps and splits by customer. What a plan requires of a member is computed from the
-document (`skew.requirements`) and never taken from its `format` key alone.
+A body has at most `lease.payloads.MAX_PAYLOAD_BYTES`. It does not contain its version and epoch: these belong
+to the register entry, which refers to the body by the digest of its bytes. There are three formats: 1 has
+fixed weights, 2 adds windows, 3 adds ramps and splits by customer. The requirements of a plan on a member are
+computed from the whole document (`skew.requirements`), not from its `format` key alone.
 
-Field names are the JSON keys of stored plans and don't change.
+The field names are the JSON keys of stored plans and must not change.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
 
 class DocumentPart(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True, omit_defaults=True):
-    """Base of all parts of a document: immutable, strict when read, defaults left out when written."""
+    """Base of all parts of a document: immutable, rejects unknown keys, omits defaults when encoded."""
 
 
 class PlanHeader(DocumentPart, frozen=True, kw_only=True):
-    """A condition on one request header: an exact value or a prefix of it."""
+    """A condition on one request header: its exact value or a prefix of its value."""
 
     name: _Text
     exact: _Text = ""
@@ -34,7 +34,7 @@
 
 
 class PlanMatch(DocumentPart, frozen=True, kw_only=True):
-    """The conditions of a route, with the meaning that `routes` gives them."""
+    """The conditions of a route, as `wheatring.daemon.routes` defines them."""
 
     host: _Text = ""
     path: _Text = ""
@@ -45,10 +45,10 @@
 
 
 class PlanRoute(DocumentPart, frozen=True, kw_only=True):
-    """A route with its weights by pool.
+    """A route and the weights of its pools.
 
-    `class_name` is a fixed request class; "" takes the first segment of the path. `deadline` is in seconds.
-    `split_by` (format 3) names the header whose value keeps a customer in one pool.
+    `class_name` is a fixed request class; if it is "", the class is the first segment of the path. `deadline`
+    is in seconds. `split_by` (format 3) names the request header whose value assigns a customer to one pool.
     """
 
     name: _Name
@@ -60,19 +60,20 @@
 
 
 class Ramp(DocumentPart, frozen=True, kw_only=True):
-    """Format 3: equal steps, `every` seconds apart, from the weights below to the window's, and back."""
+    """Format 3: a change to a window's weights and back in equal steps, `every` seconds apart."""
 
     steps: Annotated[int, Meta(ge=2, le=100)]
     every: Annotated[float, Meta(ge=0.1, le=3600)]
 
 
 class PlanWindow(DocumentPart, frozen=True, kw_only=True):
-    """Format 2: a calendar window with weights of its own.
+    """Format 2: a calendar window during which a route has other weights.
 
-    `start` is local time in `zone`, `length` is in seconds, `rrule` is an RFC 5545 rule ("" opens once) and
-    `except_` lists starts that are left out. Of the windows open at one instant the highest priority counts.
-    `when_cut` says what a sidecar does that is partitioned from the fleet: `follow` its calendar, or `hold`,
-    which enters only windows of a plan that was confirmed shortly before (`schedule.activation`).
+    `start` is a local time in `zone`, `length` is in seconds, `rrule` is an RFC 5545 rule ("" for a window
+    that opens once) and `except_` lists starts that are skipped. If several windows are open, the one with
+    the highest priority applies. `when_cut` is the policy of a sidecar that is partitioned from the fleet:
+    `follow` enters the window by the calendar; `hold` enters it only if the plan was confirmed as the newest
+    one shortly before the opening (`schedule.activation`).
     """
 
     name: _Name
@@ -89,9 +90,9 @@
 
 
 class Trial(DocumentPart, frozen=True, kw_only=True):
-    """A request that every member has to route alike before the plan is committed.
+    """A sample request that every member must route identically before the plan is committed.
 
-    `at` is the instant at which it is evaluated, in Unix seconds; None is outside all windows.
+    `at` is the instant for which it is evaluated, in Unix seconds; None means outside all windows.
     """
 
     method: _Text = "GET"
@@ -102,7 +103,7 @@
 
 
 class Plan(DocumentPart, frozen=True, kw_only=True):
-    """The whole document."""
+    """A complete plan document."""
 
     format: Annotated[int, Meta(ge=OLDEST_FORMAT, le=NEWEST_FORMAT)]
     title: Annotated[str, Meta(max_length=200)] = ""
@@ -112,7 +113,7 @@
 
 
 class CommittedPlan(NamedTuple):
-    """An entry of the register `plan` together with its document: what a sidecar applies."""
+    """A committed entry of the register `plan` and its parsed document."""
 
     version: int
     epoch: int
--- a/wheatring/fleet/plan/errors.py
+++ b/wheatring/fleet/plan/errors.py
@@ -1,6 +1,6 @@
-"""Why a plan is refused or its rollout fails, each with the code and the advice that operators get.
+"""The errors for which a plan is rejected or its rollout fails, with their codes and advice to operators.
 
-Codes and sentences are part of the operators' interface (`docs/operate/errors.md`) and don't change.
+Codes and texts are part of the operators' interface (`docs/operate/errors.md`) and must not change.
 """
 
 from __future__ import annotations
@@ -9,35 +9,35 @@
 
 
 class PlanUnreadableError(OperatorError):
-    """The body is no JSON, or a key of it is unknown, of the wrong type or out of its bounds."""
+    """The body is not JSON, or one of its keys is unknown, has the wrong type or is out of range."""
 
     code = "plan-unreadable"
     do = "Correct the key that is named and push again."
 
 
 class PlanTooLargeError(OperatorError):
-    """The body has more bytes than any sidecar stores."""
+    """The body exceeds the size limit of all sidecars."""
 
     code = "plan-too-large"
     do = "Leave out routes, windows or trials until it fits."
 
 
 class PlanFormatUnknownError(OperatorError):
-    """The document's format is older or newer than those that this program reads."""
+    """The document's format is not supported by this program."""
 
     code = "plan-format-unknown"
     do = "Write it in a format that all sidecars read, or bring the older ones up to date first."
 
 
 class PlanFormatTooLowError(OperatorError):
-    """The document uses a key that came with a later format than the one it states."""
+    """The document uses a key of a later format than the one that it declares."""
 
     code = "plan-format-too-low"
     do = "State the format that the key needs, or leave the key out."
 
 
 class PlanRoutesClashError(OperatorError):
-    """Two routes have one name or the same conditions."""
+    """Two routes have the same name or the same conditions."""
 
     code = "plan-routes-clash"
     do = "Give each route a name and conditions of its own."
@@ -51,35 +51,35 @@
 
 
 class PlanWindowUnknownRouteError(OperatorError):
-    """A window names a route that the plan doesn't have."""
+    """A window refers to a route that is not in the plan."""
 
     code = "plan-window-unknown-route"
     do = "Name a route of the same plan in the window."
 
 
 class PlanWindowUnknownPoolError(OperatorError):
-    """A window names a pool that its route doesn't have."""
+    """A window refers to a pool that its route does not have."""
 
     code = "plan-window-unknown-pool"
     do = "Name only pools that the window's route has; one that is to get nothing else there has weight 0."
 
 
 class PlanWindowsClashError(OperatorError):
-    """Two windows have one name."""
+    """Two windows have the same name."""
 
     code = "plan-windows-clash"
     do = "Give each window a name of its own."
 
 
 class PlanRolloutInProgressError(OperatorError):
-    """Another rollout is in progress, or too many proposals of this sidecar are pending."""
+    """Another rollout is in progress, or this sidecar has too many pending proposals."""
 
     code = "plan-push-under-way"
     do = "Wait until that one is settled or refused, then look at the plan and push again."
 
 
 class PlanOvertakenError(OperatorError):
-    """A newer version was committed than the one that the proposal is based on."""
+    """A newer version has been committed since the one on which the proposal is based."""
 
     code = "plan-overtaken"
     do = "Look at the plan that is settled now, and push again if yours is to take its place."
@@ -93,7 +93,7 @@
 
 
 class PlanNotStoredError(OperatorError):
-    """A member has not reported that it has stored the body."""
+    """A member has not confirmed that it stored the body."""
 
     code = "plan-not-whole"
     do = "Look at the sidecars named, take out or bring back those that are gone, and push again."
@@ -121,21 +121,21 @@
 
 
 class PlanNoViewError(OperatorError):
-    """The sidecar is in no view, or the leader does not count on its view."""
+    """The sidecar is in no view, or the leader cannot be certain that its view is current."""
 
     code = "plan-no-view"
     do = "Wait until this sidecar stands in a view (`fleet show`), or push at one that does."
 
 
 class PlanNotCommittedError(OperatorError):
-    """The voters have not committed the plan in the time that they should need."""
+    """The voters did not commit the plan within the time limit."""
 
     code = "plan-not-kept"
     do = "It may settle yet; bring back a majority of the voters and look again."
 
 
 class PlanLeaderLostError(OperatorError):
-    """No leader has said how the rollout of a proposal ended."""
+    """No leader reported the outcome of a proposal's rollout in time."""
 
     code = "plan-leader-lost"
     do = "Look at the plan's number first, as it may have been settled; push again if it was not."
--- a/wheatring/fleet/plan/leader.py
+++ b/wheatring/fleet/plan/leader.py
@@ -1,24 +1,25 @@
-"""The leader's side of a rollout: from a proposal to a committed plan.
+"""The leader's side of a rollout, from a proposal to a committed plan.
 
-A rollout lives in one term of the role `lead`; with the term all of this is lost. `RolloutLeader` alone moves
-its state, in its steps and by what the register commits:
+The state of a rollout exists only during one term of the role `lead` and is dropped at its end. Only
+`RolloutLeader` changes it, in its steps and on commits of the register:
 
-    PROPOSED    the body is fetched from the proposer; complete and readable  -> SURVEYING
-    SURVEYING   members report their capabilities and store the body          -> TESTING
-    TESTING     every member has answered the trials alike                    -> COMMITTING
-    COMMITTING  put to the voters: it can no longer be withdrawn              -> COMMITTED
-    REJECTED    from any state before COMMITTING: for a reason, or by timeout
+    PROPOSED    the leader fetches and parses the body                  -> SURVEYING
+    SURVEYING   members report their capabilities and store the body    -> TESTING
+    TESTING     members evaluate the trials; all answers must be equal  -> COMMITTING
+    COMMITTING  sent to the voters; it can no longer be withdrawn       -> COMMITTED
+    REJECTED    from any state before COMMITTING, on an error or a time-out
 
-The compatibility check decides how far SURVEYING and TESTING are. If the view changes, TESTING may become
-SURVEYING again for the new members; the time limits go on. What must never happen:
+The compatibility check decides the transitions from SURVEYING and TESTING. If the view changes, a rollout may
+go back from TESTING to SURVEYING for the new members; its time limits are not restarted. Invariants:
 
-- a plan is put by a verdict on another view than the present one, or while the next view is being committed;
-- a plan is put before every member of the view, as the very process that is in it, has reported that it has
-  stored the body and can read it: silence is not consent;
-- two rollouts run at a time, or one goes on past the term it began in;
-- a plan replaces one that its proposer did not know of.
+- a plan is sent to the voters only with a verdict on the current view, and not while a new view is being
+  committed;
+- it is sent only after every member of the view, with the incarnation listed there, has confirmed that it
+  stored the body and can read it; a member that does not answer blocks the rollout;
+- at most one rollout is in progress, and it does not outlive the term in which it began;
+- a plan does not replace a version that its proposer did not know.
 
-Does no I/O, and has no clock or randomness of its own.
+Does no I/O; time and randomness are passed in.
 """
 
 from __future__ import annotations
@@ -61,14 +62,14 @@
     RolloutState.TESTING: 20.0,
     RolloutState.COMMITTING: 10.0,
 }
-MAX_OUTCOMES = 64  # ended proposals whose outcome is kept, for proposers that ask again
+MAX_OUTCOMES = 64  # number of finished proposals kept to answer repeated requests
 
 
 class RolloutLeader:
     """Leads one rollout at a time while this sidecar holds the role `lead`.
 
-    Without a `check` (None) a member is compatible once it has stored and parsed the plan, and no trials are
-    evaluated.
+    If `check` is None, no trials are evaluated, and a member is compatible once it has stored and parsed the
+    plan.
     """
 
     def __init__(
@@ -82,12 +83,12 @@
         self.views = views
         self.register = register
         self.check = check
-        self.epoch: int | None = None  # of the term that all this belongs to
+        self.epoch: int | None = None  # the term to which the state below belongs
         self.rollout: Rollout | None = None
         self.outcomes: OrderedDict[ProposalKey, RolloutStatus] = OrderedDict()
 
     def is_leading(self, at: Instant) -> bool:
-        """Whether this sidecar leads at this instant; what was begun in another term is dropped here."""
+        """Whether this sidecar leads now; drops the state of an earlier term."""
         epoch = self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot)
         if epoch != self.epoch:
             if self.rollout is not None and self.check is not None:
@@ -101,9 +102,9 @@
     def handle_proposal(
         self, at: Instant, sender: str, address: Address, message: ProposePlan
     ) -> list[Outgoing]:
-        """Start a rollout, or answer how far the one in progress is or why none is started.
+        """Start a rollout, or report the state of the one in progress or the reason for a rejection.
 
-        The same proposal arrives again and again until it is answered, so every answer can be repeated.
+        Proposers resend a proposal until it is answered, so handling it is idempotent.
         """
         if not self.is_leading(at) or message.epoch != self.epoch:
             return []
@@ -120,11 +121,11 @@
             what = f"the push of {title!r} from {rollout.proposer} is {rollout.state}"
             return self._reject(key, address, message, PlanRolloutInProgressError(what))
         if not self.register.is_ready:
-            return []  # the voters may have committed this very plan; it is proposed again
+            return []  # the voters may already have committed this plan; the proposer sends it again
         return self._start(at, key, address, message)
 
     def _start(self, at: Instant, key: ProposalKey, address: Address, message: ProposePlan) -> list[Outgoing]:
-        """Start the rollout of a proposal that is based on the committed version."""
+        """Start the rollout of a proposal if it is valid and based on the committed version."""
         committed = self.register.chosen
         if message.base_version > committed.number:
             return [(address, self.register.learner.newest_query())]
@@ -144,7 +145,7 @@
         return [(address, self._status(self.rollout, message.proposal_id, []))]
 
     def handle_stored(self, at: Instant, sender: str, message: PlanStored) -> None:
-        """Note that a member's process has stored the body, or why it can't read it."""
+        """Record that a member has stored the body, or why it cannot read it."""
         rollout = self.rollout
         if not self.is_leading(at) or rollout is None:
             return
@@ -168,7 +169,7 @@
     # Steps
 
     def step(self, at: Instant) -> list[Outgoing]:
-        """Move the rollout on as far as its state, its time limit and the members' answers allow."""
+        """Advance the rollout according to its state, its deadline and the members' answers."""
         if not self.is_leading(at) or (rollout := self.rollout) is None:
             return []
         if rollout.state == RolloutState.COMMITTING:
@@ -180,14 +181,14 @@
     def _finish_if_overtaken(self, rollout: Rollout) -> list[Outgoing]:
         """Finish a rollout whose commit the register does not report.
 
-        The voters have committed it, but meanwhile a member reported a plan of a higher version, which all
-        voters had forgotten. Both are committed, and every sidecar applies the higher one.
+        This happens if the voters commit the plan, but a member meanwhile reports a higher committed version
+        that all voters had lost. Both versions are committed, and every sidecar applies the higher one.
         """
         overtaken = self.register.is_ready and self.register.chosen.number > rollout.version
         return self._finish(RolloutState.COMMITTED) if overtaken else []
 
     def _prepare(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
-        """Fetch and parse the body, then begin to survey the members of the view."""
+        """Fetch and parse the body, then start the survey of the view's members."""
         body = self.fleet.payloads.get(rollout.digest)
         if body is None:
             return self._fetch(at, rollout)
@@ -212,7 +213,7 @@
         return self.check.start_check(at, rollout.digest, rollout.plan, rollout.view)
 
     def _fetch(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
-        """Ask the proposer for the body, again and again until the time is over."""
+        """Request the body from the proposer, with retries until the deadline."""
         if at.now >= rollout.deadline:
             seconds = STATE_TIMEOUT_SECONDS[RolloutState.PROPOSED]
             what = f"the body did not come from {rollout.proposer} within {seconds:g} s"
@@ -223,7 +224,7 @@
         return []
 
     def _advance_check(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
-        """Follow the view and the compatibility check; put the plan once every member is ready for it."""
+        """Track the view and the compatibility check; commit the plan once every member is ready."""
         out: list[Outgoing] = []
         if self.views.view.number != rollout.view.number:
             out = self._follow_view(at, rollout)
@@ -249,9 +250,9 @@
         return self.check.view_changed(at, rollout.view) if self.check is not None else []
 
     def _member_rejections(self, rollout: Rollout) -> list[Reason]:
-        """Return why the members themselves end the rollout: too many left, or some can't read the plan."""
+        """Return why the rollout must end: too many members left, or some cannot read the plan."""
         lost = explain_lost_members(rollout, self.missing_members(rollout))
-        keys = [process_key(placed) for placed in rollout.view.members]
+        keys = [process_key(view_member) for view_member in rollout.view.members]
         return lost or [rollout.rejections[key] for key in keys if key in rollout.rejections]
 
     def _check_verdict(self, at: Instant, rollout: Rollout) -> Verdict:
@@ -262,7 +263,7 @@
         return Verdict(stage, rollout.view.number, members - missing, members)
 
     def _update_state(self, at: Instant, rollout: Rollout) -> None:
-        """Set the state that the verdict implies; each state's time limit starts only once."""
+        """Set the state implied by the verdict; the time limit of a state starts only once."""
         is_surveying = rollout.verdict.stage is CheckStage.SURVEYING
         state = RolloutState.SURVEYING if is_surveying else RolloutState.TESTING
         if state == RolloutState.TESTING and rollout.state == RolloutState.SURVEYING:
@@ -272,8 +273,12 @@
         rollout.state = state
 
     def missing_members(self, rollout: Rollout) -> list[ViewMember]:
-        """Return the members of the view that have not reported that they have stored the body."""
-        return [placed for placed in rollout.view.members if process_key(placed) not in rollout.stored_by]
+        """Return the members of the view that have not confirmed that they stored the body."""
+        return [
+            view_member
+            for view_member in rollout.view.members
+            if process_key(view_member) not in rollout.stored_by
+        ]
 
     def _may_commit(self, at: Instant, rollout: Rollout) -> bool:
         verdict, views = rollout.verdict, self.views
@@ -281,7 +286,7 @@
             return False
         if self.missing_members(rollout):
             return False
-        # A view that is being committed may be in force before the plan is: its new members were not asked.
+        # A view that is being committed may take effect before the plan, and its new members are not checked.
         is_newest = views.register.is_ready and views.register.applied.number == views.view.number
         return (
             is_newest
@@ -291,9 +296,9 @@
         )
 
     def _commit(self, at: Instant, rollout: Rollout) -> list[Outgoing]:
-        """Put the plan to the voters as the next version."""
+        """Send the plan to the voters as the next version."""
         body = self.fleet.payloads.get(rollout.digest)
-        assert body is not None  # kept since it was parsed
+        assert body is not None  # pinned when it was parsed
         rollout.version = self.register.chosen.number + 1
         rollout.state = RolloutState.COMMITTING
         rollout.deadline = at.now + STATE_TIMEOUT_SECONDS[RolloutState.COMMITTING]
@@ -302,7 +307,7 @@
     # Answers to proposers
 
     def pending_reasons(self, rollout: Rollout, now: float) -> list[Reason]:
-        """Return why the rollout is not committed yet, at `now` on the monotonic clock."""
+        """Return why the rollout is not committed yet; `now` is in monotonic seconds."""
         if rollout.state != RolloutState.COMMITTING:
             return explain_pending(rollout, self.missing_members(rollout))
         if now < rollout.deadline:
@@ -313,7 +318,7 @@
     def _reject(
         self, key: ProposalKey, address: Address, message: ProposePlan, error: OperatorError
     ) -> list[Outgoing]:
-        """Answer that no rollout is started for a proposal."""
+        """Reject a proposal without starting a rollout."""
         groups, omitted = pack_reasons([reason_from(error)])
         status = RolloutStatus(
             message.digest,
@@ -326,7 +331,7 @@
         return self._answer(key, address, status)
 
     def _answer(self, key: ProposalKey, address: Address, status: RolloutStatus) -> list[Outgoing]:
-        """Answer a proposal for good, and remember the answer for when it is repeated."""
+        """Send the final answer to a proposal, and keep it in case the proposal is repeated."""
         self.outcomes[key] = status
         while len(self.outcomes) > MAX_OUTCOMES:
             self.outcomes.popitem(last=False)
@@ -343,7 +348,7 @@
         )
 
     def _finish(self, state: RolloutState, reasons: list[Reason] | None = None) -> list[Outgoing]:
-        """End the rollout in a final state and tell everyone who proposed its plan."""
+        """End the rollout in a final state and notify all its proposers."""
         rollout, self.rollout = self.rollout, None
         assert rollout is not None
         rollout.state = state
--- a/wheatring/fleet/plan/messages.py
+++ b/wheatring/fleet/plan/messages.py
@@ -1,8 +1,8 @@
-"""The messages of a rollout, and how reasons are packed into them.
+"""The messages of a rollout, and the packing of reasons into them.
 
-A body never travels in a message: it is fetched by its digest. A message fits into one datagram, so reasons
-are grouped by text, each with the members it is about, as far as there is room. The structs are encoded as
-arrays: tags and the order of fields are the wire format.
+Messages do not carry plan bodies, which are fetched by digest. A message must fit into one datagram, so
+reasons with the same text are grouped, and reasons that do not fit are only counted. The structs are encoded
+as arrays: the tags and the order of the fields are the wire format.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from wheatring.fleet.members.messages import Address
 from wheatring.fleet.plan.compatibility import Reason
 
-MAX_REASONS_BYTES = 800  # of all reasons in one message, estimated from above
-MAX_TEXT_BYTES = 240  # of one text in a reason
+MAX_REASONS_BYTES = 800  # upper bound on the encoded reasons of one message
+MAX_TEXT_BYTES = 240  # limit on each text of a reason
 
 
 class RolloutState(StrEnum):
-    """How far a rollout is. The values travel in messages and stand in `GET /control/plan`."""
+    """The state of a rollout. The values are sent in messages and appear in `GET /control/plan`."""
 
-    PROPOSED = "offered"  # the leader fetches the body from the sidecar that proposed it
-    SURVEYING = "surveyed"  # members are asked for their capabilities, and fetch the body
-    TESTING = "tried"  # members compile the body and answer its trials
-    COMMITTING = "putting"  # put to the voters: it can no longer be withdrawn
+    PROPOSED = "offered"  # the leader fetches the body from the proposer
+    SURVEYING = "surveyed"  # members report their capabilities and fetch the body
+    TESTING = "tried"  # members compile the body and evaluate its trials
+    COMMITTING = "putting"  # sent to the voters; it can no longer be withdrawn
     COMMITTED = "settled"
     REJECTED = "refused"
-    UNKNOWN = "lost"  # no leader has said how it ended
+    UNKNOWN = "lost"  # no leader has reported the outcome
 
 
 FINAL_STATES = (RolloutState.COMMITTED, RolloutState.REJECTED, RolloutState.UNKNOWN)
 
 
 class GroupedReason(NamedTuple):
-    """Reasons that differ in the member only."""
+    """Reasons with the same texts, and the members that they concern."""
 
     code: str
     what: str
@@ -45,16 +45,16 @@
 
 
 class PlanMessage(Struct, frozen=True, array_like=True, tag_field="w"):
-    """Base of all messages of a rollout: they name the body by its digest."""
+    """Base of all messages of a rollout; `digest` identifies the plan body."""
 
     digest: bytes
 
 
 class ProposePlan(PlanMessage, frozen=True, tag="plan-offer"):
-    """To the leader, repeated until answered: roll out this plan.
+    """Asks the leader to roll out a plan; resent until it is answered.
 
-    `base_version` is the newest version known where it was proposed. `epoch` is that of the leader it is
-    addressed to, so that a delayed message starts nothing at the next leader.
+    `base_version` is the newest committed version that the proposer knows. `epoch` is that of the addressed
+    leader, so that a delayed message cannot start a rollout in a later term.
     """
 
     epoch: int
@@ -64,10 +64,11 @@
 
 
 class RolloutStatus(PlanMessage, frozen=True, tag="plan-pushed"):
-    """From the leader to the proposer: how far the rollout is.
+    """The leader's report to the proposer on a rollout.
 
-    `state` is a `RolloutState`, or one that a later program has added. `version` is set once it is committed;
-    `stored` of `members` members hold the body; `omitted` reasons did not fit into the message.
+    `state` is a `RolloutState`, or a state added by a later version of the program. `version` is set once the
+    plan is committed; `stored` of `members` members have the body; `omitted` reasons did not fit into the
+    message.
     """
 
     epoch: int
@@ -81,16 +82,16 @@
 
 
 class StorePlan(PlanMessage, frozen=True, tag="plan-hold"):
-    """From the leader of that epoch: fetch the body from `source`, parse it, keep it, and report that."""
+    """The leader's request to a member: fetch the body from `source`, parse it, store it, and confirm."""
 
     epoch: int
     source: Address
 
 
 class PlanStored(PlanMessage, frozen=True, tag="plan-holds"):
-    """From a member to the leader: the body is stored and readable, or (`code`) can't be read here.
+    """A member's reply to `StorePlan`: the body is stored and readable, or an error (`code`) says why not.
 
-    `incarnation` tells this process from earlier ones of its name.
+    `incarnation` distinguishes this process from earlier ones with the same name.
     """
 
     epoch: int
@@ -104,12 +105,12 @@
 
 
 def truncate(text: str) -> str:
-    """Return as much of a text as a message takes, cut at a character."""
+    """Return the text cut at a character boundary to at most `MAX_TEXT_BYTES` in UTF-8."""
     return text.encode("utf-8", "replace")[:MAX_TEXT_BYTES].decode("utf-8", "ignore")
 
 
 def pack_reasons(reasons: Iterable[Reason]) -> tuple[tuple[GroupedReason, ...], int]:
-    """Group reasons by text for a message; return the groups and the number of reasons left out."""
+    """Group reasons by text for a message; return the groups and the number of omitted reasons."""
     groups: dict[tuple[str, str, str], list[str]] = {}
     free, omitted = MAX_REASONS_BYTES, 0
     for reason in reasons:
@@ -125,7 +126,7 @@
 
 
 def unpack_reasons(groups: Iterable[GroupedReason]) -> tuple[Reason, ...]:
-    """Return one reason for each member of each group."""
+    """Return the reasons of all groups, one for each member."""
     return tuple(
         Reason(member, group.code, group.what, group.do) for group in groups for member in group.members
     )
--- a/wheatring/fleet/plan/parser.py
+++ b/wheatring/fleet/plan/parser.py
@@ -1,8 +1,8 @@
-"""From a body's bytes to a plan's document, strictly, and back.
+"""Strict decoding of a plan's body into its document, and its encoding.
 
-Nothing half understood is ever proposed: each refusal is one line that names the key. Formats only add keys
-so far, so one parser reads all of them and holds each to its own keys; a body that was written in format 1
-stays readable. Recurrence rules and time zones are judged where they are used (`schedule`).
+A body that is not understood completely is rejected with one line that names the key. So far every format
+only adds keys, so one parser reads all formats, checks that a document uses no key of a later format than its
+own, and still reads bodies of format 1. Recurrence rules and time zones are validated by `schedule`.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
     PlanUnreadableError,
 )
 
-MAX_QUOTED_CHARACTERS = 200  # of a document that an error repeats
+MAX_QUOTED_CHARACTERS = 200  # limit on quotations from the document in an error
 
 
 class _FormatHeader(Struct):
-    """The key by which the rest of a document is judged; read first, as a later format has other keys."""
+    """The format of a document; decoded first, because an unsupported format may have unknown keys."""
 
     format: int
 
 
 class _DuplicateKeyError(ValueError):
-    """A key stands twice in one JSON object, which a JSON parser would pass over."""
+    """A JSON object repeats a key, which a JSON parser would accept."""
 
 
 _header_decoder: msgspec.json.Decoder[_FormatHeader] = msgspec.json.Decoder(_FormatHeader)
@@ -41,7 +41,7 @@
 
 
 def encode_plan(plan: Plan) -> bytes:
-    """Return the canonical body of a plan: keys in the order of the structs, pools by name, no defaults."""
+    """Return the canonical body of a plan: keys in struct order, pools sorted by name, no defaults."""
     return msgspec.json.encode(plan, order="deterministic")
 
 
@@ -51,7 +51,7 @@
     Raises
     ------
     PlanTooLargeError, PlanUnreadableError, PlanFormatUnknownError, PlanFormatTooLowError
-        The body is refused; the error names the key.
+        The body is rejected; the error names the key.
     """
     if len(body) > MAX_PAYLOAD_BYTES:
         raise PlanTooLargeError(f"{len(body)} bytes, {MAX_PAYLOAD_BYTES} at most")
@@ -75,22 +75,22 @@
 
 
 def _object_with_unique_keys(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    found: dict[str, Any] = {}
+    unique: dict[str, Any] = {}
     for key, value in pairs:
-        if key in found:
+        if key in unique:
             raise _DuplicateKeyError(key)
-        found[key] = value
-    return found
+        unique[key] = value
+    return unique
 
 
 def quote(text: str) -> str:
-    """Return a text of a document on one line, and no longer than an error may be."""
+    """Return a text from a document on one line, truncated to the length allowed in an error."""
     text = text if text.isprintable() else repr(text)
     return text if len(text) <= MAX_QUOTED_CHARACTERS else f"{text[:MAX_QUOTED_CHARACTERS]}..."
 
 
 def _needed_format(plan: Plan) -> tuple[int, str]:
-    """Return the lowest format that has all keys of a plan, and the first key that needs it."""
+    """Return the lowest format that supports all keys of a plan, and the first key that requires it."""
     for index, route in enumerate(plan.routes):
         if route.split_by:
             return 3, f"routes[{index}].split_by"
@@ -101,9 +101,9 @@
 
 
 def _describe_validation_error(body: bytes, error: str) -> str:
-    """Return one line on what msgspec found, with the path of the key.
+    """Return msgspec's validation error as one line with the path of the key.
 
-    msgspec doesn't name the keys of maps: the wrong one is searched for.
+    msgspec does not report keys of maps, so the invalid one is searched for.
     """
     what, _, path = error.partition(" - at `")
     is_about_key = path.startswith("key` in ")
@@ -118,10 +118,10 @@
 
 
 def _find_in_map(document: Any, path: str, what: str) -> tuple[str, str]:
-    """Return the path of the invalid value in the map at `path`, and what is wrong with it."""
+    """Return the path of the invalid value in the map at `path`, and its error."""
     value = document
-    for step in re.findall(r"[^.\[\]]+", path):
-        value = value[int(step)] if isinstance(value, list) else value[step]
+    for key in re.findall(r"[^.\[\]]+", path):
+        value = value[int(key)] if isinstance(value, list) else value[key]
     value_type: Any = str if path.endswith("headers") else Weight
     for key, item in value.items():
         try:
--- a/wheatring/fleet/plan/proposals.py
+++ b/wheatring/fleet/plan/proposals.py
@@ -1,13 +1,13 @@
-"""The plans that were proposed at this sidecar, until it is known how their rollouts ended.
+"""The plans that were proposed at this sidecar, and the outcomes of their rollouts.
 
-A proposal changes by the leader's messages, by what the register commits, or by its timeout:
+The state of a proposal changes on a leader's message, on a commit of the register, or on a time-out:
 
-    PROPOSED .. COMMITTING  as the leader says; sent again to whoever leads by then
-    COMMITTED               the register has this very body, or the leader says so
-    REJECTED                the leader of the newest term that was asked says so
-    UNKNOWN                 no leader said how it ended within the timeout: it may be committed yet
+    PROPOSED .. COMMITTING  as reported by the leader; the proposal is resent to the current leader
+    COMMITTED               the register committed this body, or the leader reported it
+    REJECTED                reported by the leader of the newest term that the proposal was sent to
+    UNKNOWN                 no leader reported an outcome in time; the plan may still be committed
 
-A rejection is never believed of a leader after whom another one was asked.
+A rejection from a leader is ignored once the proposal has been sent to a leader of a later term.
 """
 
 from __future__ import annotations
@@ -42,14 +42,14 @@
 from wheatring.fleet.plan.parser import parse_plan
 from wheatring.fleet.plan.rollout import reason_from
 
-RESEND_SECONDS = 1.0  # until a proposal that is not final is sent again; spread by a tenth either way
-PROPOSAL_TIMEOUT_SECONDS = 60.0  # from the proposal until its outcome counts as unknown
-MAX_PENDING_PROPOSALS = 4  # of one sidecar
-MAX_PROPOSALS = 16  # whose outcome is remembered, pending ones among them
+RESEND_SECONDS = 1.0  # interval of resends of a pending proposal, +/- 10 %
+PROPOSAL_TIMEOUT_SECONDS = 60.0  # the outcome of a pending proposal is unknown after this time
+MAX_PENDING_PROPOSALS = 4  # limit on pending proposals of one sidecar
+MAX_PROPOSALS = 16  # limit on kept proposals, including pending ones
 
 
 class KnownLeader(NamedTuple):
-    """Who leads as far as is known here; `address` is None where it is not known."""
+    """The last known leader; `address` is None if it is not known."""
 
     name: str
     epoch: int
@@ -57,7 +57,7 @@
 
 
 def find_leader(fleet: Fleet) -> KnownLeader:
-    """Return who holds the role `lead`, and where it can be reached."""
+    """Return the last known owner of the role `lead`, and its address."""
     name, epoch = fleet.role_manager.last_known_owner(LEADER_ROLE)
     if name == fleet.me.name:
         return KnownLeader(name, epoch, (fleet.me.host, fleet.me.port))
@@ -66,9 +66,10 @@
 
 @dataclass
 class Proposal:
-    """A plan that was proposed here, as far as its rollout is known: `stored` of `members` hold it.
+    """A plan that was proposed here, and the last reported state of its rollout.
 
-    Instants are monotonic seconds. `state` is a `RolloutState`, or one that a later program has added.
+    `stored` of `members` members have the body. Instants are monotonic seconds. `state` is a `RolloutState`,
+    or a state added by a later version of the program.
     """
 
     proposal_id: int
@@ -83,17 +84,17 @@
     stored: int = 0
     members: int = 0
     reasons: tuple[Reason, ...] = ()
-    omitted: int = 0  # reasons that only the leader knows
-    leader_epoch: int = 0  # of the newest leader that it was sent to
+    omitted: int = 0  # number of reasons that did not fit into the leader's message
+    leader_epoch: int = 0  # epoch of the newest leader to which it was sent
 
     @property
     def is_final(self) -> bool:
-        """Whether its outcome is known, or no longer waited for."""
+        """Whether the outcome is known or the proposal has timed out."""
         return self.state in FINAL_STATES
 
 
 class ProposalLog:
-    """The proposals of one sidecar, by their numbers, the oldest first."""
+    """The proposals of one sidecar by proposal id, oldest first."""
 
     def __init__(self, fleet: Fleet, views: MembershipViews, register: ReplicatedRegister) -> None:
         self.fleet = fleet
@@ -102,12 +103,12 @@
         self.entries: OrderedDict[int, Proposal] = OrderedDict()
 
     def propose(self, at: Instant, body: bytes) -> Proposal:
-        """Add a proposal that is sent at once.
+        """Validate a plan and add a proposal, which is due to be sent immediately.
 
         Raises
         ------
         OperatorError
-            The plan is refused here: it can't be read, this sidecar is in no view, or too many are pending.
+            The plan is invalid, this sidecar is in no view, or too many proposals are pending.
         """
         if len(body) > MAX_PAYLOAD_BYTES:
             raise PlanTooLargeError(f"{len(body)} bytes, {MAX_PAYLOAD_BYTES} at most")
@@ -135,7 +136,7 @@
             del self.entries[oldest]
 
     def messages_due(self, at: Instant) -> list[Outgoing]:
-        """Return the proposals to send now to whoever leads; those past their timeout end here."""
+        """Return the proposals to send to the leader now; mark those that have timed out as UNKNOWN."""
         out: list[Outgoing] = []
         for proposal in self.entries.values():
             if proposal.is_final or at.now < proposal.next_send_at:
@@ -165,7 +166,7 @@
         return [(leader.address, message)]
 
     def handle_status(self, message: RolloutStatus) -> None:
-        """Take over what a leader says, unless another leader was asked since or the outcome is known."""
+        """Apply a leader's report, unless it is from an earlier term or the outcome is already known."""
         proposal = self.entries.get(message.proposal_id)
         if proposal is None or proposal.is_final or proposal.digest != message.digest:
             return
@@ -177,7 +178,7 @@
         self._set_state(proposal, message.state)
 
     def entry_committed(self, entry: Entry) -> None:
-        """Mark proposals of this very body as committed."""
+        """Mark pending proposals of the committed body as committed."""
         for proposal in self.entries.values():
             if proposal.digest != entry.digest or proposal.is_final:
                 continue
@@ -192,5 +193,5 @@
 
 
 def _retention_key(proposal_id: int) -> str:
-    """Return under which name the body of a proposal is kept."""
+    """Return the key under which the body of a proposal is pinned."""
     return f"plan/offer/{proposal_id}"
--- a/wheatring/fleet/plan/rollout.py
+++ b/wheatring/fleet/plan/rollout.py
@@ -1,4 +1,4 @@
-"""The leader's state of the one rollout in progress. Changed by `plan.leader` alone."""
+"""The leader's state of the rollout in progress. Only `plan.leader` changes it."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 from wheatring.fleet.plan.document import Plan
 from wheatring.fleet.plan.messages import RolloutState
 
-ProcessKey = tuple[str, int]  # a member's process: its name, and its incarnation
-ProposalKey = tuple[str, int]  # a proposal: the sidecar that made it, and its number there
+ProcessKey = tuple[str, int]  # identifies a member's process: name and incarnation
+ProposalKey = tuple[str, int]  # identifies a proposal: the proposer's name and its proposal id
 
 
 @dataclass
 class Rollout:
-    """One plan on its way to all members. Instants are monotonic seconds of the leader's clock."""
+    """The rollout of one plan to all members. Instants are monotonic seconds of the leader's clock."""
 
     digest: bytes
-    source: Address  # of the sidecar that proposed it first
+    source: Address  # address of the first proposer, which has the body
     proposer: str
     started_at: float
-    deadline: float  # of the present state
-    initial_view: View  # at the first survey
-    view: View  # whose members are asked now
+    deadline: float  # deadline of the current state
+    initial_view: View  # the view at the start of the first survey
+    view: View  # the view whose members are checked now
     state: RolloutState = RolloutState.PROPOSED
-    plan: Plan | None = None  # once the body is here and parsed
+    plan: Plan | None = None  # None until the body is fetched and parsed
     view_changes: int = 0
-    was_testing: bool = False  # the time limit for testing counts from the first time only
-    version: int = 0  # once it is put to the voters
+    was_testing: bool = False  # the time limit of TESTING starts only once
+    version: int = 0  # 0 until it is sent to the voters
     fetched_at: float = -inf
-    proposals: dict[ProposalKey, Address] = field(default_factory=dict)  # whom to tell how it ends
+    proposals: dict[ProposalKey, Address] = field(default_factory=dict)  # proposers to notify of the outcome
     stored_by: set[ProcessKey] = field(default_factory=set)
     requested_at: dict[ProcessKey, float] = field(default_factory=dict)
-    rejections: dict[ProcessKey, Reason] = field(default_factory=dict)  # of members that can't read it
+    rejections: dict[ProcessKey, Reason] = field(default_factory=dict)  # members that cannot read it
     verdict: Verdict = field(default_factory=lambda: Verdict(CheckStage.SURVEYING, 0))
 
     @property
@@ -46,11 +46,11 @@
         return self.plan.title if self.plan is not None else ""
 
 
-def process_key(placed: ViewMember) -> ProcessKey:
-    """Return the key of a member's process, which a restarted member does not share with the earlier one."""
-    return placed.member.name, placed.incarnation
+def process_key(view_member: ViewMember) -> ProcessKey:
+    """Return the key of a member's process; it differs after a restart of the member."""
+    return view_member.member.name, view_member.incarnation
 
 
 def reason_from(error: OperatorError, member: str = "") -> Reason:
-    """Return an error as a reason about one member ("": about the plan)."""
+    """Return an error as a reason concerning one member, or the plan itself if `member` is ""."""
     return Reason(member, error.code, error.what, error.do)
--- a/wheatring/fleet/plan/status.py
+++ b/wheatring/fleet/plan/status.py
@@ -1,4 +1,4 @@
-"""The rollout's part of `GET /control/plan`. The keys are those of the operators' pages."""
+"""The rollout's part of `GET /control/plan`. The keys are documented for operators and must not change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def committed_status(committed: CommittedPlan | None) -> dict[str, Any]:
-    """Return the committed plan that this sidecar applies; zeros and "" where there is none."""
+    """Return the committed plan that this sidecar applies; zeros and "" if there is none."""
     return {
         "number": committed.version if committed is not None else 0,
         "epoch": committed.epoch if committed is not None else 0,
@@ -23,11 +23,11 @@
 
 
 def leader_status(leader: RolloutLeader, now: float) -> dict[str, Any] | None:
-    """Return the rollout that this sidecar leads, None if there is none; `now` is monotonic seconds."""
+    """Return the rollout that this sidecar leads, or None; `now` is in monotonic seconds."""
     rollout = leader.rollout
     if rollout is None:
         return None
-    missing = {placed.member.name for placed in leader.missing_members(rollout)}
+    missing = {view_member.member.name for view_member in leader.missing_members(rollout)}
     return {
         "digest": rollout.digest.hex(),
         "title": rollout.title,
@@ -36,13 +36,13 @@
         "for_s": round(now - rollout.started_at, 1),
         "view": rollout.view.number,
         "members": len(rollout.view.members),
-        "holds": sorted({placed.member.name for placed in rollout.view.members} - missing),
+        "holds": sorted({view_member.member.name for view_member in rollout.view.members} - missing),
         "reasons": reason_records(leader.pending_reasons(rollout, now)),
     }
 
 
 def proposal_status(proposal: Proposal, now: float) -> dict[str, Any]:
-    """Return one plan that was proposed here; `now` is monotonic seconds."""
+    """Return one plan that was proposed here; `now` is in monotonic seconds."""
     return {
         "id": proposal.proposal_id,
         "digest": proposal.digest.hex(),
--- a/wheatring/fleet/schedule/events.py
+++ b/wheatring/fleet/schedule/events.py
@@ -1,4 +1,4 @@
-"""What the deciders of this package want logged: they log nothing themselves."""
+"""Log events of this package, which the caller writes to the log."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LogEvent(NamedTuple):
-    """One line of the log: `event` in lower case with hyphens, `fields` by name, seconds in those in `_s`."""
+    """A log line: `event` in lower case with hyphens; names of `fields` in seconds end in `_s`."""
 
     event: str
     fields: dict[str, Any]
--- a/wheatring/fleet/schedule/messages.py
+++ b/wheatring/fleet/schedule/messages.py
@@ -1,6 +1,6 @@
-"""The messages by which a sidecar reads the voters' clocks.
+"""The messages with which a sidecar reads the voters' clocks.
 
-They are encoded as arrays: tags and the order of fields are the wire format.
+They are encoded as arrays: the tags and the order of the fields are the wire format.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 
 
 class TimeRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="ask-time"):
-    """To a voter: report the time on your clock."""
+    """Asks a voter for its wall-clock time."""
 
     seq: int
 
 
 class TimeResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="time"):
-    """From a voter: Unix seconds on its clock as it was asked, right to `spread` seconds either way."""
+    """A voter's wall-clock time in Unix seconds at the request, accurate to +/- `spread` seconds."""
 
     seq: int
     unix: float
--- a/wheatring/fleet/schedule/recurrence.py
+++ b/wheatring/fleet/schedule/recurrence.py
@@ -1,8 +1,8 @@
-"""Recurrence rules, RFC 5545 3.3.10, parsed strictly and evaluated at a bounded cost.
+"""Recurrence rules (RFC 5545 3.3.10), parsed strictly and evaluated at a bounded cost.
 
-`dateutil.rrule` knows which days a rule names, but it accepts more than the RFC and searches to the year 9999
-for a rule that names none. Here only what RFC 5545 allows is let through, each part within its range, and the
-days that are looked at are counted.
+`dateutil.rrule` computes the occurrences of a rule, but it accepts more than the RFC, and it searches until
+the year 9999 for a rule without occurrences. This module accepts only rules that RFC 5545 allows, checks the
+range of each part, and limits the number of days that are searched.
 """
 
 from __future__ import annotations
@@ -20,46 +20,46 @@
     WindowRuleUnreadableError,
 )
 
-MAX_OPENINGS_PER_DAY = 96  # of one window: one in a quarter of an hour
+MAX_OPENINGS_PER_DAY = 96  # limit for one window: one opening every 15 minutes
 MAX_COUNT = 1000
-MAX_LIST_VALUES = 96  # of one part
-DAYS = ("MO", "TU", "WE", "TH", "FR", "SA", "SU")
+MAX_LIST_VALUES = 96  # limit for one part of a rule
+WEEKDAYS = ("MO", "TU", "WE", "TH", "FR", "SA", "SU")
 FREQUENCIES = {"YEARLY": YEARLY, "MONTHLY": MONTHLY, "WEEKLY": WEEKLY, "DAILY": DAILY, "HOURLY": HOURLY}
 
-_Unreadable = Callable[[str], WindowRuleUnreadableError]  # makes the error, with the window's name in it
+_Unreadable = Callable[[str], WindowRuleUnreadableError]  # creates the error with the window's name
 
 
 class _ListPart(NamedTuple):
-    """A part that lists numbers; with `from_end`, those below 0 count from the end."""
+    """A part whose value is a list of numbers; with `from_end`, negative numbers count from the end."""
 
     minimum: int
     maximum: int
     from_end: bool
-    frequencies: tuple[str, ...]  # that it goes with
+    frequencies: tuple[str, ...]  # the frequencies that allow this part
 
 
-# RFC 5545 takes BYYEARDAY also with HOURLY, and BYHOUR and BYSETPOS; such a rule can be had with YEARLY or
+# RFC 5545 also allows BYYEARDAY, BYHOUR and BYSETPOS with HOURLY; such a rule can be written with YEARLY or
 # DAILY and BYHOUR.
-_DATED = ("YEARLY", "MONTHLY", "DAILY", "HOURLY")
-_DAYS = ("YEARLY", "MONTHLY", "WEEKLY", "DAILY")
+_MONTH_DAY_FREQUENCIES = ("YEARLY", "MONTHLY", "DAILY", "HOURLY")
+_DAILY_OR_LONGER = ("YEARLY", "MONTHLY", "WEEKLY", "DAILY")
 _LIST_PARTS = {
     "BYMONTH": _ListPart(1, 12, False, tuple(FREQUENCIES)),
     "BYWEEKNO": _ListPart(1, 53, True, ("YEARLY",)),
     "BYYEARDAY": _ListPart(1, 366, True, ("YEARLY",)),
-    "BYMONTHDAY": _ListPart(1, 31, True, _DATED),
-    "BYHOUR": _ListPart(0, 23, False, _DAYS),
+    "BYMONTHDAY": _ListPart(1, 31, True, _MONTH_DAY_FREQUENCIES),
+    "BYHOUR": _ListPart(0, 23, False, _DAILY_OR_LONGER),
     "BYMINUTE": _ListPart(0, 59, False, tuple(FREQUENCIES)),
     "BYSECOND": _ListPart(0, 59, False, tuple(FREQUENCIES)),
-    "BYSETPOS": _ListPart(1, 366, True, _DAYS),
+    "BYSETPOS": _ListPart(1, 366, True, _DAILY_OR_LONGER),
 }
 
 
 class SearchLimitError(Exception):
-    """As many days were looked at as may be, and no more are."""
+    """The search for occurrences reached its limit of days."""
 
 
 class _CountingSet(tuple[int, ...]):
-    """A set of months or weekdays that `rrule` asks once for each day, so that days can be counted."""
+    """A set of months or weekdays that counts lookups; `rrule` makes one for each day that it searches."""
 
     remaining: int = 0
 
@@ -73,8 +73,8 @@
 class RecurrenceRule(NamedTuple):
     """A parsed rule.
 
-    `parts` are the arguments of `rrule`, `count_limit` is its COUNT, `until_unix` its UNTIL in Unix seconds,
-    and `openings_per_day` an upper bound.
+    `parts` are keyword arguments for `rrule`, `count_limit` is the COUNT, `until_unix` is the UNTIL in Unix
+    seconds, and `openings_per_day` is an upper bound.
     """
 
     frequency: str
@@ -85,65 +85,66 @@
     openings_per_day: int
 
     def occurrences(self, start: datetime, after: datetime, before: datetime) -> Iterator[datetime]:
-        """Yield the local times that the rule names from a `start` on: all after `after`, maybe some before.
+        """Yield the local times of the rule from `start` on: all after `after`, and possibly earlier ones.
 
-        A `start` that the rule does not name itself is none of them.
+        `start` itself is included only if it is an occurrence of the rule.
 
         Raises
         ------
         SearchLimitError
-            As many days were looked at as there are up to `before` and some; a year is looked at whole.
+            The search reached its limit, which covers the time up to `before` and a reserve, as `rrule`
+            always searches whole years.
         """
         if self.count_limit is None and after > start:
             start = self._later_start(start, after)
-        found = rrule(
+        occurrences = rrule(
             FREQUENCIES[self.frequency],
             dtstart=start,
             interval=self.interval,
             count=self.count_limit,
             **self.parts,
         )
-        # `rrule` asks for months first, and where there are none, for weekdays, but for a week of the year.
-        if found._bymonth:
-            found._bymonth = counting = _CountingSet(found._bymonth)
+        # `rrule` first tests each day's month or, without months, its weekday (except for BYWEEKNO).
+        if occurrences._bymonth:
+            occurrences._bymonth = counting = _CountingSet(occurrences._bymonth)
         else:
-            found._byweekday = counting = _CountingSet(found._byweekday or range(7))
+            occurrences._byweekday = counting = _CountingSet(occurrences._byweekday or range(7))
         days = max(0, (before - start).days) + 2 * 366
         counting.remaining = 24 * days if self.frequency == "HOURLY" else days
-        yield from found
+        yield from occurrences
 
     def _later_start(self, start: datetime, after: datetime) -> datetime:
-        """Return a start that is later by whole intervals, so that the distant past is not searched.
+        """Return `start` advanced by whole intervals, so that the distant past is not searched.
 
-        What `rrule` takes from the start (month, day, weekday, time) stays the same but for the hour of an
-        hourly rule, which is none of it. One interval is kept before, as positions in the week of the start
-        itself are counted from the start.
+        The values that `rrule` takes from the start (month, day, weekday, time) do not change, except for the
+        hour of an hourly rule, which `rrule` does not use. One more interval is kept before `after`, because
+        positions within the week of the start are counted from the start.
         """
         unit_hours = {"WEEKLY": 7 * 24, "DAILY": 24, "HOURLY": 1}.get(self.frequency)
         if unit_hours is not None:
-            whole = timedelta(hours=unit_hours * self.interval)
-            return start + max(0, (after - start) // whole - 1) * whole
+            period = timedelta(hours=unit_hours * self.interval)
+            return start + max(0, (after - start) // period - 1) * period
         if start.day > 28:
-            return start  # which not all months have
+            return start  # not all months have this day
         months = self.interval * (12 if self.frequency == "YEARLY" else 1)
-        past = 12 * (after.year - start.year) + after.month - start.month
-        year, month = divmod(12 * start.year + start.month - 1 + max(0, past // months - 1) * months, 12)
+        elapsed = 12 * (after.year - start.year) + after.month - start.month
+        year, month = divmod(12 * start.year + start.month - 1 + max(0, elapsed // months - 1) * months, 12)
         return start.replace(year=year, month=month + 1)
 
 
 def parse_rule(where: str, text: str, start: datetime) -> RecurrenceRule:
-    """Parse a rule of a window that starts at local time `start`.
+    """Parse the rule of a window that starts at local time `start`.
 
-    `where` names the window in errors.
+    `where` identifies the window in errors.
 
     Raises
     ------
     WindowRuleUnreadableError, WindowRuleTooOftenError, WindowRuleTooLongError
-        The rule is refused.
+        The rule is rejected.
     """
 
     def unreadable(what: str) -> WindowRuleUnreadableError:
-        """Return the error that names the rule."""
+        """Return an error that identifies the window."""
         return WindowRuleUnreadableError(f"{where}: rrule: {what}")
 
     pairs = _split(unreadable, text)
@@ -163,7 +164,7 @@
     rule = RecurrenceRule(frequency, parts, interval, count, until, openings)
     try:
         rrule(FREQUENCIES[frequency], dtstart=start, interval=interval, **parts)
-    except ValueError as error:  # hours that no interval ever comes to
+    except ValueError as error:  # BYHOUR values that the interval never reaches
         raise unreadable(str(error)) from None
     return rule
 
@@ -188,17 +189,17 @@
 
 
 def _parse_parts(unreadable: _Unreadable, frequency: str, pairs: dict[str, str]) -> dict[str, Any]:
-    """Return the arguments for `rrule` from WKST and the BY parts, which are taken out of `pairs`."""
+    """Return the keyword arguments for `rrule` from WKST and the BY parts in `pairs`."""
     parts: dict[str, Any] = {}
     if "WKST" in pairs:
         week_start = pairs.pop("WKST")
-        if week_start not in DAYS:
-            raise unreadable(f"WKST={week_start[:20]!r}, may be {', '.join(DAYS)}")
-        parts["wkst"] = DAYS.index(week_start)
+        if week_start not in WEEKDAYS:
+            raise unreadable(f"WKST={week_start[:20]!r}, may be {', '.join(WEEKDAYS)}")
+        parts["wkst"] = WEEKDAYS.index(week_start)
     if "BYDAY" in pairs:
         parts["byweekday"] = _parse_days(unreadable, pairs.pop("BYDAY"), frequency, pairs)
     elif "BYWEEKNO" in pairs:
-        raise unreadable("BYWEEKNO goes with BYDAY only")  # `rrule` would take all seven days
+        raise unreadable("BYWEEKNO goes with BYDAY only")  # `rrule` would select all seven days
     for key, value in pairs.items():
         if key not in _LIST_PARTS:
             raise unreadable(f"{key[:20]!r} is no part")
@@ -227,11 +228,11 @@
 def _parse_list(unreadable: _Unreadable, key: str, text: str) -> tuple[int, ...]:
     minimum, maximum, from_end, _ = _LIST_PARTS[key]
     lowest = -maximum if from_end else minimum
-    found = {_parse_number(unreadable, key, item, lowest, maximum) for item in text.split(",")}
-    if (from_end and 0 in found) or len(found) > MAX_LIST_VALUES:
+    values = {_parse_number(unreadable, key, item, lowest, maximum) for item in text.split(",")}
+    if (from_end and 0 in values) or len(values) > MAX_LIST_VALUES:
         what = f"counts from {minimum}, {MAX_LIST_VALUES} values are the most"
         raise unreadable(f"{key}={text[:20]}, {what}")
-    return tuple(sorted(found))
+    return tuple(sorted(values))
 
 
 def _parse_days(unreadable: _Unreadable, text: str, frequency: str, pairs: dict[str, str]) -> tuple[Any, ...]:
@@ -241,14 +242,14 @@
         maximum = min(maximum, 5 if "BYWEEKNO" not in pairs else 0)
     for item in text.split(","):
         match = re.fullmatch(r"([+-]?\d{1,2})?([A-Z]{2})", item)
-        if match is None or match[2] not in DAYS:
+        if match is None or match[2] not in WEEKDAYS:
             raise unreadable(f"BYDAY={item[:20]!r} is no weekday")
         if match[1] and not 1 <= abs(int(match[1])) <= maximum:
             what = "goes with FREQ=MONTHLY, 1 to 5, or YEARLY, 1 to 53, without BYWEEKNO"
             raise unreadable(f"BYDAY={item}: {what}")
-        days.append(weekday(DAYS.index(match[2]), int(match[1]) if match[1] else None))
+        days.append(weekday(WEEKDAYS.index(match[2]), int(match[1]) if match[1] else None))
     if len({day.n is None for day in days}) > 1:
-        # `rrule` would take what is in both.
+        # `rrule` would select only the days in both.
         raise unreadable("BYDAY: with numbers and without is two rules")
     return tuple(days)
 
--- a/wheatring/fleet/schedule/timetable.py
+++ b/wheatring/fleet/schedule/timetable.py
@@ -1,12 +1,13 @@
-"""Which weights a route has at which instant: a pure function of the plan, so the same at every sidecar.
+"""The weights of a route at each instant: a pure function of the plan, so identical at every sidecar.
 
-Layers: the route's own weights lie below; each open window lies above those of lower priority. While a window
-ramps, its share of the whole is k of n steps and the rest is what lies below *at that instant*, so that a
-change below shows through in proportion. Ramps are within the window: step 1 of n is at its opening, the last
-`n - 1` steps of `every` before its close lead back, and at its close it is gone.
+Weights are layered: the route's base weights are the lowest layer, and open windows are stacked on it by
+priority. During a ramp, a window has k of n steps of the total share, and the rest goes to the layers below
+*at that instant*, so that a change below shows in proportion. Ramps lie within the window: step 1 of n is at
+its opening, the last `n - 1` intervals of `every` seconds before its close lead back, and from its close on
+the window has no share.
 
-Steps are cached by days of Unix time, each computed when it is first asked for, and found by bisection.
-Instants are whole microseconds inside, so that no rounding puts two sidecars on two sides of a step.
+Steps are computed on demand for whole days of Unix time, cached, and looked up by bisection. Internally
+instants are integers in microseconds, so that rounding cannot put two sidecars on different sides of a step.
 """
 
 from __future__ import annotations
@@ -20,16 +21,16 @@
 from wheatring.fleet.schedule.windows import MICROSECONDS, Window
 
 DAY_MICROSECONDS = 86_400 * MICROSECONDS
-MAX_DAYS = 16  # whose steps are cached
-LOOKAHEAD_SECONDS = 2 * 86_400.0  # of `next_change`
-WEIGHT_PARTS = 1_000_000  # of the whole, to which blended weights are rounded where they are not exact
+MAX_DAYS = 16  # number of days with cached steps
+LOOKAHEAD_SECONDS = 2 * 86_400.0  # limit of `next_change`
+WEIGHT_PARTS = 1_000_000  # sum of blended weights if the exact ones are larger
 
 Weights = dict[str, int]
-OpeningKey = tuple[str, float]  # an opening: the window's name, and when it opens, Unix seconds
+OpeningKey = tuple[str, float]  # window name, and its opening in Unix seconds
 
 
 class OpenWindow(NamedTuple):
-    """A window that is open, by its opening, in Unix seconds. `hold` is its `when_cut`."""
+    """One opening of a window, in Unix seconds; `hold` is set if its `when_cut` is `hold`."""
 
     window: str
     opens: float
@@ -38,7 +39,7 @@
 
 
 class WeightStep(NamedTuple):
-    """From `at` (Unix seconds) on a route has these weights, by the windows in `open`, the lowest first."""
+    """A route's weights from `at` (Unix seconds) on; `open` are the open windows, lowest priority first."""
 
     at: float
     route: str
@@ -47,17 +48,17 @@
 
 
 class _DaySteps(NamedTuple):
-    """The steps of a route in one day, and where they start, Unix microseconds."""
+    """The steps of a route in one day, and their starts in Unix microseconds."""
 
     starts: list[int]
     steps: list[WeightStep]
 
 
 def blend(base: Mapping[str, int], overlay: Mapping[str, int], part: int, of: int) -> Weights:
-    """Return weights by which `part` of `of` of the whole goes by `overlay` and the rest by `base`.
+    """Return weights that give the share `part / of` to `overlay` and the rest to `base`.
 
-    The sums of the two need not be equal. Exact in the smallest whole numbers, or rounded to `WEIGHT_PARTS`
-    where these are larger: the largest remainders are rounded up, of equal ones the first by name.
+    The sums of the two may differ. The result is exact and in the smallest integers; if their sum exceeds
+    `WEIGHT_PARTS`, it is rounded to that sum by largest remainders, ties by name.
     """
     base_sum, overlay_sum = sum(base.values()), sum(overlay.values())
     names = [*base, *(name for name in overlay if name not in base)]
@@ -76,101 +77,111 @@
 
 
 class Timetable:
-    """The weights of a plan that `validation.validate_windows` has accepted."""
+    """The weights of a plan that `validation.validate_windows` accepted."""
 
     def __init__(self, plan: Plan) -> None:
         self.base: dict[str, Weights] = {route.name: dict(route.weights) for route in plan.routes}
         self.windows: dict[str, Window] = {window.name: Window(window) for window in plan.windows}
-        self.routes: dict[str, list[Window]] = {}  # those that have windows
+        self.routes: dict[str, list[Window]] = {}  # windows by route; only routes with windows
         for window in self.windows.values():
-            self.routes.setdefault(window.plan.route, []).append(window)
+            self.routes.setdefault(window.definition.route, []).append(window)
         self.days: dict[int, dict[str, _DaySteps]] = {}
 
     # Queries, in Unix seconds
 
-    def weights(self, route: str, at: float, without: frozenset[OpeningKey] = frozenset()) -> Weights:
-        """Return weights by pool at an instant, as if the openings in `without` were not there.
+    def weights(self, route: str, at: float, excluded: frozenset[OpeningKey] = frozenset()) -> Weights:
+        """Return the weights by pool at an instant, ignoring the openings in `excluded`.
 
         Raises
         ------
         KeyError
-            There is no such route.
+            The route does not exist.
         """
         if route not in self.routes:
             return self.base[route]
         step = self.step(route, at)
-        if without and not without.isdisjoint((opened.window, opened.opens) for opened in step.open):
-            remaining = [opened for opened in step.open if (opened.window, opened.opens) not in without]
+        if excluded and not excluded.isdisjoint(
+            (open_window.window, open_window.opens) for open_window in step.open
+        ):
+            remaining = [
+                open_window
+                for open_window in step.open
+                if (open_window.window, open_window.opens) not in excluded
+            ]
             return self._layer_weights(route, _to_microseconds(step.at), remaining)
         return step.weights
 
     def step(self, route: str, at: float) -> WeightStep:
-        """Return the step that an instant is in, of a route that has windows.
+        """Return the step that contains an instant; the route must have windows.
 
-        A day begins a new step, so its `at` may be the beginning of a day.
+        Each day begins a new step, so the step's `at` may be the start of the day.
         """
         instant = _to_microseconds(at)
         starts, steps = self._day(instant // DAY_MICROSECONDS)[route]
         return steps[bisect_right(starts, instant) - 1]
 
     def changes(self, after: float, before: float) -> Iterator[WeightStep]:
-        """Yield all changes of weights after `after` and before `before`, in order of time and route."""
+        """Yield all changes of weights after `after` and before `before`, sorted by time and route."""
         first, last = _to_microseconds(after), _to_microseconds(before)
         current = {route: self.step(route, after).weights for route in self.routes}
         for day in range(first // DAY_MICROSECONDS, (last - 1) // DAY_MICROSECONDS + 1):
-            found = [
+            day_changes = [
                 (start, step)
                 for starts, steps in self._day(day).values()
                 for start, step in zip(starts, steps, strict=True)
                 if first < start < last
             ]
-            for _, step in sorted(found, key=lambda item: (item[0], item[1].route)):
+            for _, step in sorted(day_changes, key=lambda item: (item[0], item[1].route)):
                 if step.weights != current[step.route]:
                     current[step.route] = step.weights
                     yield step
 
     def next_change(self, at: float) -> float:
-        """Return the next instant after `at` at which weights change, infinite beyond the lookahead."""
+        """Return the next instant after `at` at which weights change; infinite if beyond the lookahead."""
         return next((step.at for step in self.changes(at, at + LOOKAHEAD_SECONDS)), inf)
 
-    def next_mark(self, at: float) -> float:
-        """Return the next instant after `at` at which anything may change, also below an open window.
+    def next_edge(self, at: float) -> float:
+        """Return the next instant after `at` at which any layer may change, or the next day's start.
 
-        Whoever leaves a window out has to look again then; the next day's beginning at the latest.
+        Callers that exclude an open window must evaluate the weights again then.
         """
         instant = _to_microseconds(at)
         day = instant // DAY_MICROSECONDS
-        marks = [(day + 1) * DAY_MICROSECONDS]
+        edges = [(day + 1) * DAY_MICROSECONDS]
         for starts, _ in self._day(day).values():
-            marks += starts[bisect_right(starts, instant) :][:1]
-        return min(marks) / MICROSECONDS
+            edges += starts[bisect_right(starts, instant) :][:1]
+        return min(edges) / MICROSECONDS
 
-    def marks(self, window: str, after: float, before: float) -> list[float]:
-        """Return when a window opens, closes or steps in that interval, ascending."""
-        found = self.windows[window]
+    def edges(self, window: str, after: float, before: float) -> list[float]:
+        """Return when a window opens, closes or steps in an interval, ascending."""
+        parsed_window = self.windows[window]
         first, last = _to_microseconds(after), _to_microseconds(before)
-        marks: set[int] = set()
-        for opening in found.openings((first - found.length) // MICROSECONDS, -(-last // MICROSECONDS)):
-            hold = found.plan.when_cut == "hold"
-            opened = OpenWindow(window, opening.opens / MICROSECONDS, opening.closes / MICROSECONDS, hold)
-            marks.update(self._marks(opened))
-        return [mark / MICROSECONDS for mark in sorted(marks) if first <= mark < last]
+        edges: set[int] = set()
+        for opening in parsed_window.openings(
+            (first - parsed_window.length) // MICROSECONDS, -(-last // MICROSECONDS)
+        ):
+            hold = parsed_window.definition.when_cut == "hold"
+            open_window = OpenWindow(
+                window, opening.opens / MICROSECONDS, opening.closes / MICROSECONDS, hold
+            )
+            edges.update(self._edges(open_window))
+        return [edge / MICROSECONDS for edge in sorted(edges) if first <= edge < last]
 
     # Computation, in Unix microseconds
 
     def _day(self, day: int) -> dict[str, _DaySteps]:
-        found = self.days.get(day)
-        if found is None:
+        day_steps = self.days.get(day)
+        if day_steps is None:
             while len(self.days) >= MAX_DAYS:
                 del self.days[next(iter(self.days))]
             day_start = day * DAY_MICROSECONDS
-            found = self.days[day] = {route: self._day_steps(route, day_start) for route in self.routes}
-        return found
+            day_steps = self.days[day] = {route: self._day_steps(route, day_start) for route in self.routes}
+        return day_steps
 
     def _openings(self, route: str, after: int, before: int) -> list[OpenWindow]:
-        """Return openings with an instant from `after` to just before `before`, the lowest priority first."""
-        found = [
-            (window.plan.priority, opening.opens, window.plan.name, opening.closes)
+        """Return the openings that overlap the interval from `after` to `before`, lowest priority first."""
+        overlapping = [
+            (window.definition.priority, opening.opens, window.definition.name, opening.closes)
             for window in self.routes[route]
             for opening in window.cached_openings(
                 (after - window.length) // MICROSECONDS, -(-before // MICROSECONDS)
@@ -182,52 +193,54 @@
                 name,
                 opens / MICROSECONDS,
                 closes / MICROSECONDS,
-                self.windows[name].plan.when_cut == "hold",
+                self.windows[name].definition.when_cut == "hold",
             )
-            for _, opens, name, closes in sorted(found)
+            for _, opens, name, closes in sorted(overlapping)
         ]
 
     def _day_steps(self, route: str, day_start: int) -> _DaySteps:
         day_end = day_start + DAY_MICROSECONDS
         openings = self._openings(route, day_start, day_end)
-        marks = {day_start}
+        edges = {day_start}
         for opening in openings:
-            marks.update(mark for mark in self._marks(opening) if day_start < mark < day_end)
-        starts = sorted(marks)
+            edges.update(edge for edge in self._edges(opening) if day_start < edge < day_end)
+        starts = sorted(edges)
         steps: list[WeightStep] = []
         for start in starts:
-            opened = tuple(
+            open_windows = tuple(
                 opening
                 for opening in openings
                 if _to_microseconds(opening.opens) <= start < _to_microseconds(opening.closes)
             )
-            weights = self._layer_weights(route, start, opened)
-            steps.append(WeightStep(start / MICROSECONDS, route, weights, opened))
+            weights = self._layer_weights(route, start, open_windows)
+            steps.append(WeightStep(start / MICROSECONDS, route, weights, open_windows))
         return _DaySteps(starts, steps)
 
-    def _marks(self, opening: OpenWindow) -> list[int]:
-        """Return all instants at which an opening changes anything."""
+    def _edges(self, opening: OpenWindow) -> list[int]:
+        """Return all instants at which an opening opens, closes or steps."""
         opens, closes = _to_microseconds(opening.opens), _to_microseconds(opening.closes)
-        marks = [opens, closes]
-        ramp = self.windows[opening.window].plan.ramp
+        edges = [opens, closes]
+        ramp = self.windows[opening.window].definition.ramp
         if ramp is not None:
             every = _to_microseconds(ramp.every)
-            marks += [opens + k * every for k in range(1, ramp.steps)]
-            marks += [closes - k * every for k in range(1, ramp.steps)]
-        return marks
+            edges += [opens + k * every for k in range(1, ramp.steps)]
+            edges += [closes - k * every for k in range(1, ramp.steps)]
+        return edges
 
-    def _layer_weights(self, route: str, instant: int, opened: Sequence[OpenWindow]) -> Weights:
-        """Return the weights at an instant with these windows, each blended over those before it."""
+    def _layer_weights(self, route: str, instant: int, open_windows: Sequence[OpenWindow]) -> Weights:
+        """Return the weights at an instant with these windows, each blended over the previous ones."""
         weights = self.base[route]
-        for opening in opened:
-            plan = self.windows[opening.window].plan
+        for opening in open_windows:
+            definition = self.windows[opening.window].definition
             level, of = 1, 1
-            if plan.ramp is not None:
-                every, of = _to_microseconds(plan.ramp.every), plan.ramp.steps
+            if definition.ramp is not None:
+                every, of = _to_microseconds(definition.ramp.every), definition.ramp.steps
                 steps_in = (instant - _to_microseconds(opening.opens)) // every + 1
                 steps_out = -(-(_to_microseconds(opening.closes) - instant) // every)
                 level = min(of, steps_in, steps_out)
-            weights = dict(plan.weights) if level == of else blend(weights, plan.weights, level, of)
+            weights = (
+                dict(definition.weights) if level == of else blend(weights, definition.weights, level, of)
+            )
         return weights
 
 
--- a/wheatring/fleet/schedule/zones.py
+++ b/wheatring/fleet/schedule/zones.py
@@ -1,7 +1,7 @@
-"""Time zones by the pinned `tzdata`, never by the machine's tables: all sidecars have one calendar.
+"""Time zones from the pinned `tzdata` package, so that all sidecars use the same calendar.
 
-They are read straight from the package, so that the process's search path (`zoneinfo.TZPATH`) is left as it
-is for everything else.
+The system's database is not used. The files are read directly from the package, which leaves the process's
+search path (`zoneinfo.TZPATH`) unchanged for other code.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
     Raises
     ------
     KeyError
-        There is no zone of that name.
+        There is no zone with that name.
     """
-    if name not in zone_names():  # also keeps a name like ../x from being read as a path
+    if name not in zone_names():  # also rejects names like ../x, which would escape the package
         raise KeyError(name)
     with (files("tzdata") / "zoneinfo").joinpath(*name.split("/")).open("rb") as file:
         return ZoneInfo.from_file(file, key=name)
@@ -38,8 +38,8 @@
 def to_unix(local: datetime, zone: ZoneInfo) -> int:
     """Return the Unix second of a local time.
 
-    A time that a clock change repeats is the first of the two, one that it skips is read with the offset
-    before the gap (RFC 5545, 3.3.5): that is what `fold` 0 means (PEP 495).
+    A local time that occurs twice is the first of the two, and one that a clock change skips uses the offset
+    before the gap (RFC 5545, 3.3.5). `fold` 0 means exactly this (PEP 495).
     """
     offset = local.replace(tzinfo=zone, fold=0).utcoffset()
     assert offset is not None
@@ -47,5 +47,5 @@
 
 
 def to_local(unix: float, zone: ZoneInfo) -> datetime:
-    """Return the local time of an instant in Unix seconds, as a datetime without a zone."""
+    """Return the local time of an instant in Unix seconds as a naive datetime."""
     return datetime.fromtimestamp(unix, zone).replace(tzinfo=None, fold=0)
--- a/wheatring/fleet/skew/__init__.py
+++ b/wheatring/fleet/skew/__init__.py
@@ -1,5 +1,5 @@
-"""Version skew: whether every member of the view can read a plan and means the same by it.
+"""Version skew: checks that every member of the view can read a plan and interprets it identically.
 
-The compatibility check of a rollout, and the minimum format that a member has to read to enter the view. Does
-no I/O; imported only where the operator's file has a `[plan]` section.
+Contains the compatibility check of a rollout and the minimum plan format required to enter the view. Does no
+I/O; imported only if the operator's file has a `[plan]` section.
 """
--- a/wheatring/fleet/skew/capabilities.py
+++ b/wheatring/fleet/skew/capabilities.py
@@ -1,4 +1,4 @@
-"""What one process can read of a plan: its capabilities, computed from what is installed."""
+"""The plan capabilities of one process, computed from the program and the installed libraries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wheatring.fleet.plan.document import NEWEST_FORMAT, OLDEST_FORMAT
 from wheatring.fleet.skew.errors import FormatsUnknownError
 
-# What a plan may use besides fixed weights by host, path and method, and the format that each came with.
+# The format that introduced each feature of a plan beyond fixed weights by host, path and method.
 FEATURE_FORMATS = {
     "expressions": 1,
     "headers": 1,
@@ -20,22 +20,23 @@
     "ramps": 3,
     "split_by": 3,
 }
-# The libraries that a feature needs; a process without one of them lacks the feature.
+# Libraries required by a feature; a process without one of them lacks the feature.
 FEATURE_LIBRARIES = {
     "expressions": ("google-re2",),
     "split_by": ("xxhash",),
     "windows": ("tzdata",),
     "rrule": ("tzdata", "python-dateutil"),
 }
-RE2, TZDATA = "re2", "tzdata"  # rule sets whose meaning may differ from version to version
+RE2, TZDATA = "re2", "tzdata"  # rule sets that may behave differently from version to version
 MAX_ROUTES, MAX_WINDOWS, MAX_EXPRESSIONS = 10_000, 2000, 1000
 
 
 class Capabilities(Struct, frozen=True, array_like=True):
-    """What one process can read; sent between members, so the order of fields is the wire format.
+    """The capabilities of one process; sent between members, so the order of the fields is the wire format.
 
-    `formats` are ranges, first and last. `routes`, `windows` and `expressions` are counts and `bytes` the
-    size of a body: the most that it accepts. `versions` are (name, version) of the rule sets it has.
+    `formats` are ranges, each a first and a last format. `routes`, `windows` and `expressions` are the
+    maximum counts and `bytes` is the maximum body size. `versions` are pairs of a rule set's name and its
+    version.
     """
 
     formats: tuple[tuple[int, int], ...] = ()
@@ -47,20 +48,20 @@
     versions: tuple[tuple[str, str], ...] = ()
 
     def can_read(self, format: int) -> bool:
-        """Whether this process reads plans of a format."""
+        """Whether this process supports plans of a format."""
         return any(first <= format <= last for first, last in self.formats)
 
     def version_of(self, name: str) -> str:
-        """Return the version of a rule set; "" where the process has none."""
+        """Return the version of a rule set, or "" if it is not installed."""
         return dict(self.versions).get(name, "")
 
 
-# Of a program from before these messages: it does not answer them, and reads format 1 alone.
+# Assumed for programs that predate these messages and do not answer them: they read format 1 only.
 LEGACY_CAPABILITIES = Capabilities(((1, 1),), frozenset(), 10_000, 2000, 1000, 256 * 1024)
 
 
 def describe_formats(formats: Sequence[tuple[int, int]]) -> str:
-    """Return ranges of formats for an operator: "1 to 3", "2", "none"."""
+    """Return ranges of formats as text for an operator, such as "1 to 3", "2" or "none"."""
     parts = [f"{first}" if first == last else f"{first} to {last}" for first, last in formats]
     return ", ".join(parts) or "none"
 
@@ -68,7 +69,7 @@
 def describe_version_differences(
     rules: frozenset[str], capabilities: Capabilities, others: Capabilities
 ) -> str:
-    """Return which of these rule sets have other versions at the two, for an operator; "" if none has."""
+    """Return the differing versions of these rule sets as text for an operator; "" if there are none."""
     pairs = [(name, capabilities.version_of(name), others.version_of(name)) for name in sorted(rules)]
     return ", ".join(
         f"{name} {version or 'none'} instead of {other or 'none'}"
@@ -78,8 +79,8 @@
 
 
 def installed_version(name: str) -> str:
-    """Return the version of an installed library; "" if it is not installed."""
-    from importlib.metadata import PackageNotFoundError, version  # only where plans are turned on
+    """Return the version of an installed library, or "" if it is not installed."""
+    from importlib.metadata import PackageNotFoundError, version  # imported only if plans are enabled
 
     try:
         return version(name)
@@ -95,21 +96,21 @@
     size: int = MAX_PAYLOAD_BYTES,
     version: Callable[[str], str] = installed_version,
 ) -> Capabilities:
-    """Return the capabilities of this program with what is installed.
+    """Return the capabilities of this program with the installed libraries.
 
     Parameters
     ----------
     formats
-        The formats that it is restricted to (`[plan] formats`, for a member beside a canary); None is all.
+        The formats to which it is restricted (`[plan] formats`, for example beside a canary); None for all.
     size
-        Bytes of the largest body that it accepts.
+        Maximum size of a body in bytes.
     version
-        Gives the installed version of a library by its name, "" for none.
+        Returns the installed version of a library by its name, or "".
 
     Raises
     ------
     FormatsUnknownError
-        No format is left, or one is not known.
+        The list is empty or contains an unknown format.
     """
     readable = _readable_formats(formats)
     installed = {name: version(name) for names in FEATURE_LIBRARIES.values() for name in names}
@@ -126,7 +127,7 @@
         windows,
         expressions,
         size,
-        tuple((rule, found) for rule, found in versions if found),
+        tuple((rule, rule_version) for rule, rule_version in versions if rule_version),
     )
 
 
@@ -142,7 +143,7 @@
 
 
 def _readable_formats(formats: Sequence[int] | None) -> list[int]:
-    """Return the formats that this program reads, restricted to some or not, in ascending order."""
+    """Return the formats that this program reads after the restriction, in ascending order."""
     known = range(OLDEST_FORMAT, NEWEST_FORMAT + 1)
     readable = sorted({*known} if formats is None else {*formats})
     if not readable or not {*readable} <= {*known}:
--- a/wheatring/fleet/skew/checker.py
+++ b/wheatring/fleet/skew/checker.py
@@ -1,17 +1,17 @@
-"""The compatibility check: holds a plan back until every member of the view reads it and means the same.
+"""The compatibility check: blocks a plan until every member of the view reads and interprets it identically.
 
-It is made of a member's side (`participant`), the leader's side of one check (`coordinator`) and the
-admission to the view (`minimum_format`). What compiles a plan is passed in. Two things must never happen
-together:
+It combines the member's side (`participant`), the leader's side of one check (`coordinator`) and the
+admission to the view (`minimum_format`). The function that compiles plans is passed in. A race between a plan
+and a new member is excluded from both directions:
 
-- a plan is put while another view is being committed: `verdict` says COMPATIBLE only while `is_view_stable`,
-  and whoever puts the plan does it in the same event, for the view that the verdict names;
-- a process is admitted while another plan is being committed: `admission_refusals` admits nobody unless
+- no plan is sent to the voters while a view is being committed: `verdict` returns COMPATIBLE only while
+  `is_view_stable`, and the caller must commit the plan in the same event, for the view of the verdict;
+- no process is admitted while a plan is being committed: `admission_refusals` admits a process only while
   `is_plan_stable`.
 
-Both registers are led by one sidecar. As both conditions are checked there, no order of events leaves a
-member in the view that can't read the committed plan. A register is stable while this sidecar leads it, it is
-ready, and its newest entry is the one that is committed.
+One sidecar leads both registers and checks both conditions, so in no order of events does a member that
+cannot read the committed plan end up in the view. A register is stable while this sidecar leads it, it is
+ready, and its newest entry is committed.
 """
 
 from __future__ import annotations
@@ -64,11 +64,11 @@
     Parameters
     ----------
     capabilities
-        Those of this process (`capabilities.local_capabilities`).
+        The capabilities of this process (`capabilities.local_capabilities`).
     compile_plan
         Parses and compiles a body.
     is_view_stable, is_plan_stable
-        Whether the registers of views and of plans are stable here, see above.
+        Whether the registers of views and of plans are stable (see the module docstring).
     """
 
     message_types = (*get_args(AnySkewMessage), JoinRequest)
@@ -86,23 +86,23 @@
         self.participant = CheckParticipant(fleet, capabilities, compile_plan)
         self.is_view_stable, self.is_plan_stable = is_view_stable, is_plan_stable
         self.coordinator: CheckCoordinator | None = None
-        self.refused: Verdict | None = None  # a check that ended before any member was asked
+        self.early_verdict: Verdict | None = None  # verdict of a check that failed before it asked a member
         self.next_step = inf
         self.capability_table = CapabilityTable()
         self.minimum_format = OLDEST_FORMAT
         self.committed: Requirements | None = None
-        self.unreadable = ""  # what is committed, if this program can't read it
+        self.unreadable = ""  # describes the committed plan if this program cannot read it
 
     # The check of one plan
 
     def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:
-        """Start to ask the members of a view about a plan."""
+        """Start a check of a plan with the members of a view."""
         self.stop_check()
         body = self.fleet.payloads.get(digest)
         if body is None:
             reason = refusal("", BodyMissingError, f"{digest.hex()} is not here")
             stage = CheckStage.INCOMPATIBLE
-            self.refused = Verdict(stage, view.number, 0, len(view.members), (reason,))
+            self.early_verdict = Verdict(stage, view.number, 0, len(view.members), (reason,))
             return []
         day = at.wall // (1000 * DAY_SECONDS)
         check_id = 1 + self.fleet.random.getrandbits(62)
@@ -111,31 +111,31 @@
         return self._step(at)
 
     def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
-        """Continue the check with the members of another view."""
+        """Continue the check with the members of a new view."""
         if self.coordinator is None:
             return []
         self.coordinator.view_changed(at.now, view)
         return self._step(at)
 
     def verdict(self, now: float) -> Verdict:
-        """Return the result so far; before any check that nobody is compatible."""
+        """Return the result so far, or INCOMPATIBLE if no check was started."""
         if self.coordinator is not None:
             return self.coordinator.verdict(now, self.is_view_stable())
-        return self.refused or Verdict(CheckStage.INCOMPATIBLE, 0)
+        return self.early_verdict or Verdict(CheckStage.INCOMPATIBLE, 0)
 
     def stop_check(self) -> None:
-        """Forget the check in progress, if there is one."""
-        self.coordinator = self.refused = None
+        """Discard the check in progress, if there is one."""
+        self.coordinator = self.early_verdict = None
 
     # Time
 
     @property
     def due(self) -> float:
-        """When the next tick has something to do, on the monotonic clock."""
+        """When the next tick is due, on the monotonic clock."""
         return min(self.next_step, self.participant.due)
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Advance the member's side, and the leader's where a check is in progress."""
+        """Advance the member's side, and the leader's side if a check is in progress."""
         out = self.participant.tick(at)
         return out + self._step(at) if at.now >= self.next_step else out
 
@@ -143,8 +143,8 @@
         out: list[Outgoing] = []
         if self.coordinator is not None:
             out += self.coordinator.step(at.now)
-        for placed in self.capability_table.requests_due(at.now):
-            out.append(((placed.member.host, placed.member.port), CapabilityRequest(0)))
+        for view_member in self.capability_table.requests_due(at.now):
+            out.append(((view_member.member.host, view_member.member.port), CapabilityRequest(0)))
         stages = (CheckStage.SURVEYING, CheckStage.TESTING)
         is_checking = self.coordinator is not None and self.coordinator.stage in stages
         self.next_step = at.now + STEP_SECONDS if is_checking or self.capability_table.pending else inf
@@ -155,10 +155,10 @@
     def receive(
         self, at: Instant, sender: str, address: Address, message: AnySkewMessage | JoinRequest
     ) -> list[Outgoing]:
-        """Handle a message, as the leader or as a member."""
+        """Handle a message to the leader or to a member."""
         match message:
             case JoinRequest():
-                # Asked at once, so that the answer is there when those that want to enter are admitted.
+                # Request its capabilities now, so that they are known when joining processes are admitted.
                 is_own = message.member.member.name == sender
                 if is_own and self.is_plan_stable() and self.admission_refusals(at, message.member):
                     return self._step(at)
@@ -174,45 +174,48 @@
         return []
 
     def _record(self, sender: str, message: CapabilityResponse) -> None:
-        """Take over the capabilities of a process that was asked for them."""
+        """Record the capabilities of a process if they were requested."""
         key = (sender, message.incarnation)
         is_checked = self.coordinator is not None and key in self.coordinator.members
         if is_checked or key in self.capability_table.pending:
             self.capability_table.record(sender, message.incarnation, message.capabilities)
 
     def receive_payload(self, at: Instant, digest: bytes, body: bytes | None) -> list[Outgoing]:
-        """Compile a body that has arrived, where its trials are wanted."""
-        return self.participant.body(at, digest, body)
+        """Compile a fetched body if its trials were requested."""
+        return self.participant.handle_body(at, digest, body)
 
-    # What is committed, and admission to the view
+    # Commits, and admission to the view
 
     def plan_committed(self, plan: Plan | None, body: bytes) -> None:
-        """Take over what the register `plan` has committed; None is a plan this program can't read."""
+        """Apply a commit of the register `plan`; `plan` is None if this program cannot read it."""
         self.committed = requirements_of(plan, body) if plan is not None else None
         self.unreadable = "" if plan is not None else f"a plan of {len(body)} bytes"
 
     def minimum_committed(self, body: bytes) -> None:
-        """Take over an entry that the register `floor` has committed."""
+        """Apply a commit of the register `floor`."""
         minimum = decode_minimum(body)
         if minimum is not None:
             self.minimum_format = minimum
 
     def prepare_minimum(self, at: Instant, format: int, view: View) -> bytes:
-        """Return the body of the entry that moves the minimum format, for the leader to put.
+        """Return the body of the register entry that changes the minimum format, for the leader to commit.
 
         Raises
         ------
         MinimumNotLeadingError
             This sidecar does not lead, or an entry is being committed.
         MinimumUnknownError, MinimumInUseError, MinimumNotMetError
-            The format is refused.
+            The format is rejected.
         CapabilitiesUnknownError
-            Members are still being asked for their capabilities.
+            The capabilities of some members are not known yet.
         """
         if not (self.is_view_stable() and self.is_plan_stable()):
             raise MinimumNotLeadingError(f"floor {format} asked of {self.fleet.me.name}")
         table = self.capability_table
-        pairs = [(placed.member.name, table.capabilities_of(at.now, placed)) for placed in view.members]
+        pairs = [
+            (view_member.member.name, table.capabilities_of(at.now, view_member))
+            for view_member in view.members
+        ]
         unknown = [name for name, capabilities in pairs if capabilities is None]
         if unknown:
             self.next_step = at.now
@@ -221,7 +224,7 @@
         return change_minimum(format, self.minimum_format, self.committed, known)
 
     def own_refusals(self) -> tuple[Reason, ...]:
-        """Return why this process itself is not fit for the view; it should not lead then."""
+        """Return why this process itself may not be in the view; if there is a reason, it should not lead."""
         name = self.fleet.me.name
         if self.unreadable:
             what = f"it can't read what is settled, {self.unreadable}"
@@ -229,9 +232,9 @@
         capabilities = self.participant.capabilities
         return tuple(admission_refusals(capabilities, self.minimum_format, self.committed, name))
 
-    def admission_refusals(self, at: Instant, placed: ViewMember) -> tuple[Reason, ...]:
-        """Return why a process is not admitted to the view now, () if it is; asked at the leader."""
-        name = placed.member.name
+    def admission_refusals(self, at: Instant, view_member: ViewMember) -> tuple[Reason, ...]:
+        """Return why the leader does not admit a process to the view now, or () if it does."""
+        name = view_member.member.name
         if self.unreadable:
             what = f"{self.fleet.me.name} can't read {self.unreadable}"
             return (refusal(name, CommittedPlanUnreadableError, what),)
@@ -239,7 +242,7 @@
             return (refusal(name, CapabilitiesUnknownError, "another plan is being chosen"),)
         if self.committed is None and self.minimum_format == OLDEST_FORMAT:
             return ()
-        capabilities = self.capability_table.capabilities_of(at.now, placed)
+        capabilities = self.capability_table.capabilities_of(at.now, view_member)
         if capabilities is None:
             self.next_step = min(self.next_step, at.now)
             return (refusal(name, CapabilitiesUnknownError, "it has not told yet what it can"),)
--- a/wheatring/fleet/skew/errors.py
+++ b/wheatring/fleet/skew/errors.py
@@ -1,6 +1,6 @@
-"""Why a plan or a minimum format is refused because a member can't read it or means something else by it.
+"""The errors for which a plan or a minimum format is rejected because of a member's capabilities or answers.
 
-Codes and sentences are part of the operators' interface (`docs/operate/errors.md`) and don't change.
+Codes and texts are part of the operators' interface (`docs/operate/errors.md`) and must not change.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class FormatUnreadableError(OperatorError):
-    """A member doesn't read the format that the plan is written in."""
+    """A member does not support the plan's format."""
 
     code = "unreadable-format"
     do = "Upgrade the sidecar that is named, or push the plan in a format that all of them read."
@@ -51,7 +51,7 @@
 
 
 class MemberSilentError(OperatorError):
-    """A member has not answered in the time of the stage."""
+    """A member did not answer within the time limit of the stage."""
 
     code = "silent"
     do = "See why it does not answer (stopped, cut off, or a program without plans), and push again."
@@ -65,49 +65,49 @@
 
 
 class AnswersDifferError(OperatorError):
-    """A member answers the trials differently from most others."""
+    """A member's answers to the trials differ from those of the largest group of members."""
 
     code = "disagrees"
     do = "Bring the sidecar to the program and the libraries of the rest, and push again."
 
 
 class BodyMissingError(OperatorError):
-    """The leader doesn't have the body that it is to check."""
+    """The leader does not have the body that it must check."""
 
     code = "no-body"
     do = "Push again; the leader no longer holds the bytes that it was to judge."
 
 
 class MinimumNotMetError(OperatorError):
-    """A process or a member doesn't read the fleet's minimum format."""
+    """A process or a member does not support the fleet's minimum format."""
 
     code = "below-floor"
     do = "Upgrade the sidecar that is named to a program that reads the floor, or lower the floor."
 
 
 class MinimumInUseError(OperatorError):
-    """The committed plan needs a higher format than the new minimum."""
+    """The committed plan requires a higher format than the new minimum."""
 
     code = "floor-in-use"
     do = "Push a plan that does without the format first, then lower the floor."
 
 
 class MinimumUnknownError(OperatorError):
-    """The format that is to be the minimum is not known to this program."""
+    """The requested minimum format is not known to this program."""
 
     code = "floor-unknown"
     do = "Name a format that this program knows."
 
 
 class MinimumNotLeadingError(OperatorError):
-    """The minimum was to be moved at a sidecar that does not lead, or not yet."""
+    """A change of the minimum was requested at a sidecar that does not lead, or is not ready to."""
 
     code = "floor-not-leading"
     do = "Ask the sidecar that leads, once its last entry is chosen."
 
 
 class CommittedPlanUnreadableError(OperatorError):
-    """The committed plan can't be read by this program."""
+    """The committed plan cannot be read by this program."""
 
     code = "settled-unreadable"
     do = "Upgrade this sidecar; until then it lets nobody in and should not lead."
@@ -121,7 +121,7 @@
 
 
 class FormatsUnknownError(OperatorError):
-    """The operator's file restricts this sidecar to formats that the program doesn't know."""
+    """The operator's file restricts this sidecar to formats that this program does not know."""
 
     code = "formats-unknown"
     do = "Name formats that this program knows, or leave [plan] formats out."
--- a/wheatring/fleet/skew/messages.py
+++ b/wheatring/fleet/skew/messages.py
@@ -1,7 +1,7 @@
 """The messages of a compatibility check between the leader and the members.
 
-A program from before these messages does not answer them; it counts as one with `LEGACY_CAPABILITIES`. The
-structs are encoded as arrays: tags and the order of fields are the wire format.
+A program that predates these messages does not answer them and is assumed to have `LEGACY_CAPABILITIES`. The
+structs are encoded as arrays: the tags and the order of the fields are the wire format.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class CapabilityRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="survey"):
-    """From the leader: report your capabilities.
+    """The leader's request for the capabilities of a process.
 
-    `check_id` is drawn anew for each check, and 0 where a process asks to enter the view. `digest` and
-    `size_bytes` are those of the plan that is checked.
+    `check_id` is random for each check; it is 0 if the request is for admission to the view. `digest` and
+    `size_bytes` are those of the plan under check.
     """
 
     check_id: int
@@ -24,7 +24,7 @@
 
 
 class CapabilityResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="able"):
-    """From a member; `incarnation` tells its process from earlier ones of its name."""
+    """A member's reply; `incarnation` distinguishes its process from earlier ones with the same name."""
 
     check_id: int
     incarnation: int
@@ -32,9 +32,9 @@
 
 
 class TrialRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="try"):
-    """From the leader: fetch the body, compile it, and answer its trials.
+    """The leader's request to a member: fetch and compile the body, and evaluate its trials.
 
-    `day` is the Unix day from which on the trials look at the calendar: the leader's, the same for all.
+    `day` is the first Unix day that the calendar trials cover; the leader chooses it for all members.
     """
 
     check_id: int
@@ -44,7 +44,7 @@
 
 
 class TrialResult(Struct, frozen=True, array_like=True, tag_field="w", tag="tried"):
-    """From a member: the digest of all `count` trials with their answers, or why there is none (`error`)."""
+    """A member's reply: the digest of all `count` trials with their answers, or an `error`."""
 
     check_id: int
     incarnation: int
@@ -54,14 +54,14 @@
 
 
 class AnswerRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="show"):
-    """From the leader: the digest of your first `prefix_length` trials, and the last of these."""
+    """The leader's request for the digest of the first `prefix_length` trials, and for the last of these."""
 
     check_id: int
     prefix_length: int
 
 
 class AnswerResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="shown"):
-    """From a member: that digest, and what the last trial asks and its answer as a person reads them."""
+    """A member's reply: that digest, and the last trial and its answer in readable form."""
 
     check_id: int
     incarnation: int
@@ -72,9 +72,9 @@
 
 
 class FactsRequest(Struct, frozen=True, array_like=True, tag_field="w", tag="show-facts"):
-    """From the leader: the digest of the facts of your first `prefix_length` trials; 0: of all.
+    """The leader's request for the digest of the facts of the first `prefix_length` trials; 0 means all.
 
-    Programs of before don't know this message and do not answer it.
+    Programs that predate this message do not answer it.
     """
 
     check_id: int
@@ -82,7 +82,7 @@
 
 
 class FactsResponse(Struct, frozen=True, array_like=True, tag_field="w", tag="shown-facts"):
-    """From a member: that digest, and of a prefix the last trial and its answer as a person reads them."""
+    """A member's reply: that digest and, for a prefix, the last trial and its answer in readable form."""
 
     check_id: int
     incarnation: int
--- a/wheatring/fleet/skew/minimum_format.py
+++ b/wheatring/fleet/skew/minimum_format.py
@@ -1,12 +1,12 @@
-"""The fleet's minimum format, and the admission of processes to the view.
+"""The fleet's minimum plan format, and the admission of processes to the view.
 
-The minimum is the lowest format that is still needed: every member reads it, and a process that starts with
-less is told what it lacks. It is an entry of the register `floor`, so that it is the same for all members and
-outlives a leader. It moves by an operator's call alone: up once all members of the view read the new one,
-down while no committed plan needs it.
+Every member must be able to read the minimum format; a process that cannot is not admitted and is told what
+it lacks. The minimum is stored in the register `floor`, so it is the same for all members and survives a
+change of leader. Only an operator's call changes it: it can be raised if all members of the view read the new
+format, and lowered if the committed plan does not need a higher one.
 
-What must never happen: a process is admitted that can't read the committed plan. While the leader does not
-know what is committed (another entry is being put, or it can't read the plan itself) it admits nobody.
+Invariant: no process is admitted that cannot read the committed plan. While the leader does not know what is
+committed (another entry is being committed, or it cannot read the plan itself) it admits no process.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 )
 from wheatring.fleet.skew.requirements import Requirements, refusal, unmet_requirements
 
-MAX_NAMED = 20  # members that one error names
+MAX_NAMED = 20  # limit on the members listed in one error
 
 
 class MinimumFormat(msgspec.Struct, frozen=True, array_like=True):
@@ -40,12 +40,12 @@
 
 
 def encode_minimum(format: int) -> bytes:
-    """Return the body of an entry that sets the minimum."""
+    """Return the body of a register entry that sets the minimum."""
     return _encoder.encode(MinimumFormat(format))
 
 
 def decode_minimum(body: bytes) -> int | None:
-    """Return the format that an entry sets; None if the body is not of that kind."""
+    """Return the format that an entry sets, or None if the body cannot be decoded."""
     try:
         return _decoder.decode(body).format
     except msgspec.DecodeError:
@@ -55,9 +55,9 @@
 def admission_refusals(
     capabilities: Capabilities, minimum: int, committed: Requirements | None, member: str = ""
 ) -> list[Reason]:
-    """Return why a process with these capabilities may not enter the view; [] if it may.
+    """Return why a process with these capabilities may not enter the view, or [] if it may.
 
-    `committed` are the requirements of the committed plan, None while there is none.
+    `committed` are the requirements of the committed plan, or None if there is no plan.
     """
     reasons: list[Reason] = []
     if not capabilities.can_read(minimum):
@@ -76,18 +76,18 @@
 def change_minimum(
     format: int, minimum: int, committed: Requirements | None, known: Sequence[tuple[str, Capabilities]]
 ) -> bytes:
-    """Return the body of the entry that moves the minimum to `format`.
+    """Return the body of the register entry that changes the minimum to `format`.
 
     `known` are the names and capabilities of all members of the view.
 
     Raises
     ------
     MinimumUnknownError
-        This program doesn't know the format.
+        This program does not know the format.
     MinimumInUseError
-        The committed plan needs a higher one.
+        The committed plan requires a higher format.
     MinimumNotMetError
-        A member doesn't read it.
+        A member does not support the format.
     """
     if not OLDEST_FORMAT <= format <= NEWEST_FORMAT:
         formats = f"{OLDEST_FORMAT} to {NEWEST_FORMAT}"
@@ -106,7 +106,7 @@
 
 
 def capabilities_unknown(names: Sequence[str]) -> CapabilitiesUnknownError:
-    """Return the error that these members have not reported their capabilities yet."""
+    """Return the error for members that have not reported their capabilities yet."""
     return CapabilitiesUnknownError(f"{len(names)} have not told yet what they can: {_list_names(names)}")
 
 
--- a/wheatring/fleet/skew/requirements.py
+++ b/wheatring/fleet/skew/requirements.py
@@ -1,7 +1,7 @@
-"""What a plan requires of a member, and which of it a member lacks.
+"""The requirements of a plan on a member, and those that a member does not meet.
 
-Requirements are computed from the document and its bytes, never taken from what the document says of itself;
-more in a plan never requires less.
+Requirements are computed from the content and the size of the document, not taken from its declarations.
+Adding routes or windows to a plan never lowers its requirements.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 
 
 class Requirements(NamedTuple):
-    """What one plan requires.
+    """The requirements of one plan.
 
-    `format` is the lowest in which the same could be said, `written` the one in which it is. `routes`,
-    `windows` and `expressions` are counts, `bytes` the size of the body. `rules` are the rule sets that have
-    to mean the same at every member.
+    `format` is the lowest format that can express the plan, `written` the format in which it is written.
+    `routes`, `windows` and `expressions` are counts, and `bytes` is the size of the body. `rules` are the
+    rule sets (such as the time zone database) that must be equivalent at every member.
     """
 
     format: int = OLDEST_FORMAT
@@ -48,7 +48,7 @@
 
 
 def requirements_of(plan: Plan, body: bytes) -> Requirements:
-    """Return what a plan requires, whose bytes are `body`."""
+    """Return the requirements of a plan and its encoded body."""
     features = {name for route in plan.routes for name in _route_features(route)}
     features |= {name for window in plan.windows for name in _window_features(window)}
     lowest = max((FEATURE_FORMATS[name] for name in features), default=OLDEST_FORMAT)
@@ -78,14 +78,14 @@
 
 
 def refusal(member: str, error: type[OperatorError], what: str, do: str = "") -> Reason:
-    """Return a reason with the code of an error, about one member ("": the plan itself)."""
+    """Return a reason with the code of an error, concerning one member or, if "", the plan itself."""
     return Reason(member, error.code, what, do or error.do)
 
 
 def unmet_requirements(
     requirements: Requirements, capabilities: Capabilities, member: str = ""
 ) -> list[Reason]:
-    """Return what a member with these capabilities lacks for a plan; [] if and only if it lacks nothing."""
+    """Return a reason for each requirement that these capabilities do not meet; [] if all are met."""
     reasons: list[Reason] = []
     if not capabilities.can_read(requirements.written):
         reads = describe_formats(capabilities.formats)
--- a/wheatring/fleet/skew/trials.py
+++ b/wheatring/fleet/skew/trials.py
@@ -1,14 +1,15 @@
-"""The trials of a plan: requests and instants that every member has to answer alike before it is committed.
-
-They guard against two programs that read the same bytes and mean different things. The plan's own trials come
-first, then those generated from it: the bounds of each route's conditions, the edges of each window, and the
-clock changes of its zone. They follow from the plan, the day and the rule sets alone. Where rule sets differ
-(another tzdata), so that other edges are asked about, the digests differ too, as they should.
-
-The answers are chained: the digest of the first n answers is equal only if all n are, so the first difference
-is found by bisection. There are two chains. That of sentences is all that earlier programs compare, so their
-spelling is a wire format and stays. That of facts (a code, names and numbers, no text that was written for a
-person) decides where sentences differ and all members have it.
+"""The trials of a plan: requests and instants that all members must evaluate identically before its commit.
+
+They detect programs that read the same bytes but interpret them differently. The plan's own trials come
+first, followed by trials generated from it: boundary cases of each route's conditions, the edges of each
+window, and the clock changes of its zone. They are a function of the plan, the day and the rule sets only. If
+members have different rule sets (another tzdata), they generate different edges, and the digests differ as
+intended.
+
+The answers are hashed in a chain: the digest of the first n answers is equal only if all n are, so the first
+difference can be found by bisection. There are two chains. The chain of sentences (readable text) is the only
+one that earlier programs compare, so its wording is part of the wire format and must not change. The chain of
+facts (a code, names and numbers without readable text) decides if sentences differ and all members report it.
 """
 
 from __future__ import annotations
@@ -26,17 +27,17 @@
 
 from wheatring.fleet.plan.document import Plan, PlanMatch, PlanRoute, PlanWindow, Trial
 
-MAX_REQUESTS, MAX_INSTANTS = 20_000, 6000  # generated from one plan
-INSTANT_COST = 10  # requests that take as long to answer as one instant
-MAX_EDGES = 32  # of one window
-HORIZON_DAYS = 400  # of the calendar: each clock change of a year is among them
-REPEAT_DAYS = 8  # on each of which a window that repeats is asked about, whatever its rule
+MAX_REQUESTS, MAX_INSTANTS = 20_000, 6000  # maximum numbers of generated trials of one plan
+INSTANT_COST = 10  # evaluating an instant takes as long as this many requests
+MAX_EDGES = 32  # limit on the edges of one window in an interval
+HORIZON_DAYS = 400  # calendar range of the trials; it covers all clock changes of a year
+REPEAT_DAYS = 8  # a recurring window is evaluated on each of these days, whether it opens or not
 DAY_SECONDS = 86_400
 DIGEST_BYTES = 16
 
 
 class AnswerCode(Enum):
-    """What becomes of a request, or that weights were asked for. The values are part of the facts."""
+    """The outcome of a request, or the marker of an answer with weights. The values are part of the facts."""
 
     ROUTED = "routed"
     NO_ROUTE = "no-route"
@@ -47,8 +48,9 @@
 class Answer(NamedTuple):
     """The answer to one trial.
 
-    `weights` are pairs of a pool and its weight, by name. `pool` is the one that a customer is sent to, where
-    the route is split by customer. `reason` says for a person why a request is rejected; it is no fact.
+    `weights` are pairs of a pool and its weight, sorted by name. `pool` is the pool assigned to the customer
+    if the route is split by customer. `reason` is readable text on why a request is rejected; it is not a
+    fact.
     """
 
     code: AnswerCode
@@ -59,23 +61,23 @@
 
 
 class PlanEvaluator(Protocol):
-    """A compiled plan, with the answers that would serve traffic."""
+    """A compiled plan; answers by the same rules as for real traffic."""
 
     def route(self, trial: Trial) -> Answer:
-        """Return the route that a request takes and its weights at `trial.at`, or why it is rejected."""
+        """Return the route of a request and its weights at `trial.at`; raise ValueError to reject it."""
 
     def weights(self, route: str, at: float) -> Mapping[str, int]:
-        """Return a route's weights by pool at an instant, Unix seconds."""
+        """Return a route's weights by pool at an instant in Unix seconds."""
 
     def zone(self, name: str) -> tzinfo:
-        """Return a time zone by the rules that the windows go by."""
+        """Return a time zone from the database that the windows use."""
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:
-        """Return when a window opens, closes or steps in that interval, ascending, Unix seconds."""
+        """Return when a window opens, closes or steps in an interval, ascending, in Unix seconds."""
 
 
 class TrialCase(NamedTuple):
-    """One question: a request (`trial`), or else the weights of a route at an instant, Unix seconds."""
+    """A request (`trial`), or the question for the weights of `route` at the instant `at`, Unix seconds."""
 
     trial: Trial | None
     route: str = ""
@@ -86,7 +88,7 @@
 
 
 def _hosts(match: PlanMatch) -> list[str]:
-    """Return hosts that meet the condition, the plainest first, and hosts that just don't."""
+    """Return hosts that match the condition, simplest first, and hosts that narrowly do not match."""
     if not match.host:
         return ["any.test"]
     if match.host.startswith("*."):
@@ -95,12 +97,12 @@
 
 
 def _paths(match: PlanMatch) -> list[str]:
-    """Return paths that just meet the condition, the plainest first, and paths that just don't."""
+    """Return paths that narrowly match the condition, simplest first, and paths that narrowly do not."""
     if match.prefix:
         bare = match.prefix.rstrip("/")
         return [bare + "/x", bare or "/", bare + "/", bare + "x", bare[:-1] or "/"]
     if match.expression:
-        # What stands before the first character that has a special meaning in an expression.
+        # The literal text before the first character with a special meaning in an expression.
         bare = "/" + re.split(r"[^A-Za-z0-9_/~-]", match.expression, maxsplit=1)[0].lstrip("/")
         return [bare + end for end in ("", "0", "a", "/", "/a", "/0/a")]
     if match.path and match.path != "*":
@@ -109,12 +111,12 @@
 
 
 def _headers(match: PlanMatch) -> dict[str, str]:
-    """Return headers that meet all conditions."""
+    """Return headers that match all conditions."""
     return {header.name: header.exact or header.prefix + "x" for header in match.headers}
 
 
 def _route_trials(route: PlanRoute) -> list[Trial]:
-    """Return the requests for a route; the first one meets all of its conditions."""
+    """Return the trial requests for a route; the first one matches all of its conditions."""
     match = route.match
     hosts, paths, headers = _hosts(match), _paths(match), _headers(match)
     method = match.methods[0] if match.methods else "GET"
@@ -139,7 +141,7 @@
 
 @lru_cache(maxsize=64)
 def clock_changes(zone: tzinfo, day: int, days: int = HORIZON_DAYS) -> tuple[int, ...]:
-    """Return when the clocks of a zone change within so many days from a Unix day on, Unix seconds."""
+    """Return the clock changes of a zone within `days` days from Unix day `day`, in Unix seconds."""
 
     def offset(at: int) -> timedelta | None:
         """Return the zone's offset from UTC at an instant."""
@@ -158,7 +160,7 @@
 
 
 def _possible_openings(window: PlanWindow, zone: tzinfo, day: int) -> Iterator[float]:
-    """Yield when a window might open by the hour of its start; whether it does is what is asked."""
+    """Yield instants at which a window may open: its start's time of day on all candidate days."""
     start = datetime.fromisoformat(window.start)
     days = [start]
     if window.rrule:
@@ -169,12 +171,12 @@
             days += [local + timedelta(days=number) for number in (-1, 0, 1)]
     for date in days:
         opening = datetime.combine(date.date(), start.time(), zone)
-        for fold in (0, 1):  # both times of an hour that comes twice
+        for fold in (0, 1):  # both instants of a local time that occurs twice
             yield opening.replace(fold=fold).timestamp()
 
 
 def _window_instants(window: PlanWindow, evaluator: PlanEvaluator, day: int, limit: int) -> list[float]:
-    """Return instants around a window's edges and its zone's clock changes, ascending, `limit` at most."""
+    """Return at most `limit` instants around a window's edges and its zone's clock changes, ascending."""
     after, before = day * DAY_SECONDS, (day + HORIZON_DAYS) * DAY_SECONDS
     zone = evaluator.zone(window.zone)
     openings = list(_possible_openings(window, zone, day))
@@ -184,25 +186,25 @@
     edges |= {*evaluator.edges(window.name, after, before)[:MAX_EDGES]}
     instants = sorted({at + offset for at in edges for offset in (-1, 0, 1)})
     step = max(1, -(-len(instants) // limit))
-    if step % 3 == 0:  # else only the instants one second before the edges would be left
+    if step % 3 == 0:  # a multiple of 3 would select only the instants one second before each edge
         step += 1
     return instants[::step]
 
 
 def generate_cases(plan: Plan, evaluator: PlanEvaluator, day: int) -> Iterator[TrialCase]:
-    """Yield all trials of a plan in their order, 27,000 at most.
+    """Yield all trials of a plan in a fixed order, 27,000 at most.
 
-    `day` is the Unix day from which on the calendar is looked at.
+    `day` is the first Unix day that the calendar trials cover.
     """
     for trial in plan.trials:
         yield TrialCase(trial)
-    each = max(1, MAX_REQUESTS // max(1, len(plan.routes)))
+    limit = max(1, MAX_REQUESTS // max(1, len(plan.routes)))
     for route in plan.routes:
-        for trial in _route_trials(route)[:each]:
+        for trial in _route_trials(route)[:limit]:
             yield TrialCase(trial)
-    each = max(1, MAX_INSTANTS // max(1, len(plan.windows)))
+    limit = max(1, MAX_INSTANTS // max(1, len(plan.windows)))
     for window in plan.windows:
-        for at in _window_instants(window, evaluator, day, each):
+        for at in _window_instants(window, evaluator, day, limit):
             yield TrialCase(None, window.route, at)
 
 
@@ -210,7 +212,7 @@
 
 
 def describe_case(case: TrialCase) -> str:
-    """Return what is asked, as a person reads it; part of the digests that members compare."""
+    """Return the readable form of a case; part of the digests that members compare."""
     if case.trial is None:
         return f"the weights of route {case.route} at {format_instant(case.at)}"
     trial = case.trial
@@ -220,23 +222,23 @@
 
 
 def format_instant(at: float) -> str:
-    """Return an instant, Unix seconds, in ISO 8601 with a Z."""
+    """Return an instant in Unix seconds as ISO 8601 text in UTC, with the suffix Z."""
     return datetime.fromtimestamp(at, UTC).isoformat().replace("+00:00", "Z")
 
 
 def evaluate(case: TrialCase, evaluator: PlanEvaluator) -> Answer:
-    """Return the answer to a question."""
+    """Return the answer to a case."""
     if case.trial is not None:
         try:
             return evaluator.route(case.trial)
-        except ValueError as error:  # a request that is rejected has an answer too
+        except ValueError as error:  # a rejection is an answer too
             return Answer(AnswerCode.REJECTED, reason=str(error))
     weights = evaluator.weights(case.route, case.at)
     return Answer(AnswerCode.WEIGHTS, case.route, tuple(sorted(weights.items())))
 
 
 def describe_answer(answer: Answer) -> str:
-    """Return an answer as a person reads it; part of the digests that members compare."""
+    """Return the readable form of an answer; part of the digests that members compare."""
     match answer.code:
         case AnswerCode.REJECTED:
             return f"turned away: {answer.reason}"
@@ -251,15 +253,15 @@
 
 
 def encode_facts(case: TrialCase, answer: Answer) -> bytes:
-    """Return a question and its answer without any text for a person; part of the digests of facts."""
+    """Return a case and its answer encoded without readable text; part of the digests of facts."""
     trial = case.trial
     if trial is None:
-        question: tuple[object, ...] = (case.route, float(case.at))
+        encoded_case: tuple[object, ...] = (case.route, float(case.at))
     else:
         at = None if trial.at is None else float(trial.at)
-        question = (trial.method, trial.target, trial.host, sorted(trial.headers.items()), at)
+        encoded_case = (trial.method, trial.target, trial.host, sorted(trial.headers.items()), at)
     facts = (answer.code.value, answer.route, answer.weights, answer.pool)
-    return msgspec.msgpack.encode((question, facts))
+    return msgspec.msgpack.encode((encoded_case, facts))
 
 
 def _extend(chain: bytearray, content: bytes, person: bytes) -> None:
@@ -272,19 +274,19 @@
 
 
 class AnswerChain:
-    """The answers to all trials of one plan, worked out a few at a time so that nothing else is delayed."""
+    """The answers to all trials of one plan, computed in small batches so as not to block the event loop."""
 
     def __init__(self, plan: Plan, evaluator: PlanEvaluator, day: int) -> None:
         self.plan = plan
         self.evaluator = evaluator
         self.day = day
         self.remaining: Iterator[TrialCase] | None = generate_cases(plan, evaluator, day)
-        self.sentences = bytearray(DIGEST_BYTES)  # the digests of the first 0, 1, 2, ... answers
+        self.sentences = bytearray(DIGEST_BYTES)  # concatenated digests of the first 0, 1, 2, ... answers
         self.facts = bytearray(DIGEST_BYTES)
 
     @property
     def count(self) -> int:
-        """How many trials are answered so far."""
+        """The number of trials answered so far."""
         return len(self.sentences) // DIGEST_BYTES - 1
 
     @property
@@ -301,7 +303,7 @@
         return _prefix(self.facts, length)
 
     def advance(self, budget: int) -> bool:
-        """Answer so many requests, or instants that cost as much; return whether all trials are answered."""
+        """Evaluate trials up to a cost of `budget` requests; return whether all trials are answered."""
         while self.remaining is not None and budget > 0:
             case = next(self.remaining, None)
             if case is None:
@@ -314,7 +316,7 @@
             budget -= INSTANT_COST if case.trial is None else 1
         return self.remaining is None
 
-    def show(self, index: int) -> tuple[str, str]:
-        """Return what one trial asks, counted from 0, and its answer."""
+    def describe_trial(self, index: int) -> tuple[str, str]:
+        """Return the readable form of the trial at an index, counted from 0, and of its answer."""
         case = next(islice(generate_cases(self.plan, self.evaluator, self.day), index, None))
         return describe_case(case), describe_answer(evaluate(case, self.evaluator))
