--- a/tests/fleet/skew/test_capability_table.py
+++ b/tests/fleet/skew/test_capability_table.py
@@ -20,17 +20,15 @@
     assert table.capabilities_of(LEGACY_AFTER_SECONDS - 0.1, member) is None and table.requests_due(
         LEGACY_AFTER_SECONDS - 0.1
     ) == [member]
-    assert (
-        table.capabilities_of(LEGACY_AFTER_SECONDS, member) == LEGACY_CAPABILITIES
-    )  # it keeps trying to join and does not know these messages
+    # The process keeps trying to join and does not answer.
+    assert table.capabilities_of(LEGACY_AFTER_SECONDS, member) == LEGACY_CAPABILITIES
     table.record("n1", 5, ALL)
     assert (
         table.capabilities_of(LEGACY_AFTER_SECONDS, member) == ALL
         and table.capabilities_of(LEGACY_AFTER_SECONDS, member._replace(incarnation=6)) is None
     )
-    assert (
-        table.requests_due(3 * LEGACY_AFTER_SECONDS) == [] and not table.pending
-    )  # it has stopped trying to join
+    # The process has stopped trying to join.
+    assert table.requests_due(3 * LEGACY_AFTER_SECONDS) == [] and not table.pending
     for number in range(MAX_PROCESSES + 10):
         table.record(f"m{number}", 1, ALL)
     assert len(table.known) == MAX_PROCESSES and ("n1", 5) not in table.known
--- a/wheatring/fleet/plan/agent.py
+++ b/wheatring/fleet/plan/agent.py
@@ -74,9 +74,7 @@
         self.compiled: CompiledRoutes | None = None  # the current plan, compiled
         self.unreadable: Reason | None = None  # why the newest committed plan is not applied
         self.compiled_bodies: OrderedDict[bytes, CompiledRoutes | OperatorError] = OrderedDict()
-        self.store_request: tuple[StorePlan, Address] | None = (
-            None  # the newest request and the leader's address
-        )
+        self.store_request: tuple[StorePlan, Address] | None = None  # newest request, and its sender
         self.next_tick_at = self.next_query_at = at.now
 
     def propose(self, at: Instant, body: bytes) -> Proposal:
--- a/wheatring/fleet/skew/coordinator.py
+++ b/wheatring/fleet/skew/coordinator.py
@@ -105,7 +105,7 @@
         self.facts_deadline = inf
         self.compares_facts = False
         self.failed_since = inf  # time of the first failed survey or compilation
-        self.reasons: tuple[Reason, ...] = ()  # result of the final stage
+        self.reasons: tuple[Reason, ...] = ()  # reasons of the final stage
         self.view_changed(now, view)
 
     def view_changed(self, now: float, view: View) -> None:
