--- a/wheatring/fleet/peers/compiled_plan.py
+++ b/wheatring/fleet/peers/compiled_plan.py
@@ -72,5 +72,5 @@
         return zones.load_zone(name)
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:
-        """Return when a window opens, closes or steps between two instants, ascending, in Unix seconds."""
-        return self.timetable.marks(window, after, before)
+        """Return when a window opens, closes or steps within these instants, ascending, in Unix seconds."""
+        return self.timetable.edges(window, after, before)
