--- a/tests/daemon/http1/test_caller_connection.py
+++ b/tests/daemon/http1/test_caller_connection.py
@@ -426,8 +426,8 @@
         late.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c\r\nX-Time-Left-Ms: 6000\r\n\r\n")
         node = new.accept()
         node.read()
-        node.answer(200, b"from the new endpoint")
-        assert late.read()[2] == b"from the new endpoint"
+        node.answer(200, b"by the new list")
+        assert late.read()[2] == b"by the new list"
         process.send_signal(signal.SIGTERM)
         assert process.stdout is not None
         assert not [line for line in process.stdout if "unexpected" in line or "too-many" in line]
--- a/tests/tier/hostile_world.py
+++ b/tests/tier/hostile_world.py
@@ -268,5 +268,5 @@
             )
             ended_at = execution.ended_at if execution.ended_at is not None else self.loop.time()
             assert ended_at <= exchange.disconnected_at + CANCEL_GRACE_SECONDS, (
-                f"{exchange.ident} was not cancelled"
+                f"execution of {exchange.ident} was not cancelled"
             )
--- a/wheatring/tier/sidecar/endpoint_connection.py
+++ b/wheatring/tier/sidecar/endpoint_connection.py
@@ -152,7 +152,7 @@
 
     async def _wait_for_bytes(self) -> None:
         if self._is_lost:
-            raise self._abort_attempt("connection closed" if self._is_closed_by_peer else "connection reset")
+            raise self._abort_attempt("closed" if self._is_closed_by_peer else "reset")
         if self._is_paused:
             self._is_paused = False
             self._transport.resume_reading()
--- a/wheatring/tier/sidecar/forwarder.py
+++ b/wheatring/tier/sidecar/forwarder.py
@@ -70,9 +70,7 @@
                 retry_after = max(action.retry_after, MIN_RETRY_AFTER_SECONDS)
                 raise RequestRejectedError(503, "no endpoint accepted the request", retry_after)
             else:
-                raise RequestRejectedError(
-                    504 if self._now() >= self.request.deadline else 502, "no attempt succeeded"
-                )
+                raise RequestRejectedError(504 if self._now() >= self.request.deadline else 502, "failed")
 
     async def _next_action(self) -> i.Action:
         """Return the balancer's next action; wait for a backoff, but not beyond the deadline."""
--- a/wheatring/tier/sidecar/request_service.py
+++ b/wheatring/tier/sidecar/request_service.py
@@ -80,7 +80,7 @@
         path = headers.decode_text(message.start_line[1]).partition("?")[0]
         route = table.find(headers.decode_text(message.fields.get(b"host")), path)
         if route is None:
-            raise RequestRejectedError(404, "no matching route")
+            raise RequestRejectedError(404, "no route")
         request = OutgoingRequest(
             message=message,
             body=message.body,
