--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,4 +1,4 @@
-"""A toy deployment to try the sidecar with: discovery on port 8500, and two endpoints behind it.
+"""A toy deployment to try the sidecar: a discovery service on port 8500, and two endpoints.
 
     python3 example/toy_server.py
 
@@ -20,12 +20,12 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Answers over connections that stay open."""
+    """Answers requests over persistent connections."""
 
     protocol_version = "HTTP/1.1"
 
     def respond(self, status: int, body: bytes) -> None:
-        """Send a whole response."""
+        """Send a complete response."""
         self.send_response(status)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
@@ -36,10 +36,10 @@
     """Answers with the endpoint list."""
 
     def do_GET(self) -> None:
-        """Answer with the list, after the wait where the caller has it already."""
+        """Answer with the list, or after the requested wait if the caller already has it."""
         query = parse_qs(urlsplit(self.path).query)
         changed = query.get("index") != [str(GENERATION)]
-        if not changed:  # a watch: this list never changes, so it waits to its end
+        if not changed:  # a watch: as the list never changes, it waits for the full time
             time.sleep(int(query.get("wait", ["0"])[0]) / 1000)
         instances = [
             {"instanceId": name, "hostPort": f"{HOST}:{port}", "lifecycle": "SERVING", "startedAtMs": 0}
@@ -55,7 +55,7 @@
     request_count = 0
 
     def do_GET(self) -> None:
-        """Answer with a line on the request; the second endpoint fails every third one."""
+        """Answer with a line on the request; the second endpoint fails every third request."""
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         port = self.connection.getsockname()[1]
         Endpoint.request_count += 1
--- a/tests/common/__init__.py
+++ b/tests/common/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what both programs share."""
+"""Tests of the modules that both programs share."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared set-ups of the tests: settings, a copy with its endpoints, and its events in short."""
+"""Shared fixtures: request classes, a balancer copy with its endpoints, and short forms of its events."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from wheatring.daemon.operator_properties import OperatorProperties
 from wheatring.lab.live import fleet_rig
 
-# No verdict by the machine's speed: what a test costs is told by --durations.
+# No test fails for the machine's speed; --durations shows the slow ones.
 settings.register_profile("counts", deadline=None)
 settings.load_profile("counts")
 
@@ -68,36 +68,36 @@
 )
 
 
-# What these set up for all of their tests takes a minute: one worker has them all. All other tests go to
-# whichever worker is free.
-TOGETHER = ("tests/lab/live/test_cold_start.py",)
+# The set-up that all tests of such a file share takes a minute, so one worker runs the whole file. All other
+# tests go to any free worker.
+ONE_WORKER_FILES = ("tests/lab/live/test_cold_start.py",)
 
 
-# These start a tier on the same fixed ports: one worker has them, one after the other.
+# These start a tier on the same fixed ports, so one worker runs them one after the other.
 FIXED_PORTS = (
     "tests/rollout/test_mixed_versions.py::test_a_tier_of_both_versions_keeps_a_conversation",
     "tests/tier/test_command_line.py::test_the_demo_keeps_a_conversation_complete",
 )
 
 
-class Scheduling(LoadScopeScheduling):  # type: ignore[misc]  # it has no types
+class WorkerScheduling(LoadScopeScheduling):  # type: ignore[misc]  # it has no types
     def _split_scope(self, nodeid: str) -> str:
         if nodeid in FIXED_PORTS:
             return FIXED_PORTS[0]
         file = nodeid.partition("::")[0]
-        return file if file in TOGETHER else nodeid
+        return file if file in ONE_WORKER_FILES else nodeid
 
 
 @pytest.hookimpl(optionalhook=True)
 def pytest_xdist_make_scheduler(config: pytest.Config, log: Producer) -> LoadScopeScheduling:
-    return Scheduling(config, log)
+    return WorkerScheduling(config, log)
 
 
 def pytest_configure() -> None:
-    """Give the fleets of each worker addresses of their own.
+    """Give the fleets of each worker their own addresses.
 
-    A sidecar of a fleet needs both protocols of a port of which it was given one, so no two fleets that are
-    played at the same time share addresses.
+    A fleet's sidecar gets a free port for one protocol and uses it for TCP and UDP, so fleets that run at the
+    same time must not share addresses.
     """
     fleet_rig.ADDRESS_SUFFIX = 1 + int(os.environ.get("PYTEST_XDIST_WORKER", "gw0")[2:])
 
@@ -111,14 +111,14 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print each test of KNOWN-RED.txt that was run, and what came of it."""
+    """Print the result of each test of KNOWN-RED.txt that was run."""
     for kind, result in (("xfailed", "failed as known"), ("xpassed", "passed this time")):
         for report in terminalreporter.getreports(kind):
             terminalreporter.write_line(f"KNOWN-RED {result}: {report.nodeid}")
 
 
 class Copy:
-    """A balancer copy under test: its clock, and the state that the outside would keep for it."""
+    """A balancer copy under test, with its clock and its request numbers."""
 
     def __init__(self, seed: int = 1, **changes: Any) -> None:
         changes.setdefault("classes", (SAFE, KEYED, CELL, ZONE, UNSAFE))
@@ -155,7 +155,7 @@
         return self.do(event, after)
 
     def serve(self, count: int, name: str = "read", latency: float = 0.1) -> None:
-        """Answer requests one after the other, so that the copy has its estimates and its tokens."""
+        """Serve requests one after the other, so that the copy has estimates and retry tokens."""
         for _ in range(count):
             self.end(self.send(name), i.Outcome.SERVED, after=latency, is_request_over=True)
 
@@ -166,9 +166,9 @@
 
 @pytest.fixture
 def copy() -> Copy:
-    made = Copy()
-    made.view(*entries("a", "b", "c", "d"))
-    return made
+    balancer_copy = Copy()
+    balancer_copy.view(*entries("a", "b", "c", "d"))
+    return balancer_copy
 
 
 @pytest.fixture(scope="session")
@@ -183,7 +183,7 @@
 
 @pytest.fixture(params=["loopback", "virtual"])
 def make(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[Callable[..., World]]:
-    """Build worlds: a test that asks for this holds on loopback and in virtual time."""
+    """Return a factory of worlds; a test that uses it runs on loopback and in virtual time."""
     make_sockets: Callable[[], LoopbackSockets | VirtualSockets] = VirtualSockets
     if request.param == "loopback":
         request.getfixturevalue("running")
--- a/tests/daemon/config/test_platform_file.py
+++ b/tests/daemon/config/test_platform_file.py
@@ -1,4 +1,4 @@
-"""Settings that can't be served: one line that names the key, whatever stands in its place, and status 2."""
+"""Invalid settings of the platform: the start ends with one line that names the key, and status 2."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from wheatring.daemon.config import platform_file
 from wheatring.daemon.config.exceptions import PlatformFileError
 
-HUGE = 10**400  # a whole number that no float holds
-DEEP: Any = []  # as deep as JSON is read
+HUGE = 10**400  # an integer beyond the range of floats
+DEEP: Any = []  # nested as deep as the JSON reader accepts
 for _ in range(900):
     DEEP = [DEEP]
-HALF = "\ud800"  # of a pair of surrogates
-# All that the platform's page names. That nothing more is read of the settings is held below.
+LONE_SURROGATE = "\ud800"
+# All keys that the platform's page names. A test below checks that no other settings are read.
 COMPLETE: dict[str, Any] = platform_config(control="127.0.0.1:0", settings={
     "classes": [
         {"name": "menu", "slo": 2500000, "deadline": 6000000, "value": 1.0, "late_worth": 0.25,
@@ -51,30 +51,30 @@
     "step": 5000, "discovery": "on_request", "weight_source": "none", "worth_by": "request",
     "over_share_worth": 0.1,
 })  # fmt: skip
-Place = tuple[str | int, ...]
+KeyPath = tuple[str | int, ...]
 
 
-def places(value: Any, place: Place = ()) -> Iterator[tuple[Place, Any]]:
-    """Each key with what stands there, those that hold others too."""
-    if place:
-        yield place, value
+def key_paths(value: Any, key_path: KeyPath = ()) -> Iterator[tuple[KeyPath, Any]]:
+    """Yield the path and the value of each key, including keys of objects and lists."""
+    if key_path:
+        yield key_path, value
     if isinstance(value, dict) or (isinstance(value, list) and value and isinstance(value[0], dict)):
         for key, inner in value.items() if isinstance(value, dict) else enumerate(value):
-            yield from places(inner, (*place, key))
+            yield from key_paths(inner, (*key_path, key))
 
 
-KEYS = {".".join(map(str, place)): (place, value) for place, value in places(COMPLETE)}
-for name in ("limits.cores", "known.reset"):  # nothing goes by them
+KEYS = {".".join(map(str, key_path)): (key_path, value) for key_path, value in key_paths(COMPLETE)}
+for name in ("limits.cores", "known.reset"):  # not used by the sidecar
     del KEYS[name]
 NUMBERS = [float("nan"), float("inf"), -float("inf"), HUGE, -1, -0.5, "x", "", "1", [], [1], {"a": 1}, True]
 NUMBERS += [DEEP]
-BAD: dict[type, list[Any]] = {
+WRONG_TYPES: dict[type, list[Any]] = {
     int: NUMBERS, float: NUMBERS, bool: [0, 1, "x", "true", [], {"a": True}, DEEP],
-    str: [5, True, HALF, [], ["x"], {"a": "x"}, DEEP], dict: ["x", 5, True, [], [1], DEEP],
-    list: ["x", 5, True, {"a": 1}, [5], [HALF], [[]], DEEP],
+    str: [5, True, LONE_SURROGATE, [], ["x"], {"a": "x"}, DEEP], dict: ["x", 5, True, [], [1], DEEP],
+    list: ["x", 5, True, {"a": 1}, [5], [LONE_SURROGATE], [[]], DEEP],
 }  # fmt: skip
-# What is of its type and yet can't be. A line that names another key at fault names that one.
-MORE: dict[str, list[Any]] = {
+# Invalid values of the right type, listed under the key that the error names.
+INVALID_VALUES: dict[str, list[Any]] = {
     "name": ["", "a\nb"], "seed": ["", "xyz", *NUMBERS[:3]], "discovery": ["", "here", "a:99999", ":80"],
     "listen": ["here", "a:99999", "a\nb:80", "..:80", f"{'a' * 64}:80", "\u00e9:80"], "control": ["", "here"],
     "limits.sockets": [0, 63, 64.5], "limits.memory_mb": [0], "known": [{}, {"instances": []}],
@@ -91,11 +91,12 @@
     "settings.peers_total": [0, 1 << 63], "settings.slot_no": [2], "settings.discovery": ["", "on request"],
     "settings.prices.waste": [1e300],
 }  # fmt: skip
-LINES = [[5], [HALF], [[]], DEEP]  # of the list held: each line that can't be read is left out
+# Invalid entries of the initial endpoint list are skipped, not reported.
+SKIPPED_INSTANCES = [[5], [LONE_SURROGATE], [[]], DEEP]
 
 
 def reported(data: object, folder: Path, capsys: pytest.CaptureFixture[str]) -> str:
-    """Return the line with which a start ends."""
+    """Return the error line of a start with this configuration."""
     (folder / "c.json").write_text(json.dumps(data), encoding="utf-8")
     assert main([]) == 2
     out, err = capsys.readouterr()
@@ -103,65 +104,65 @@
     return err
 
 
-def changed(place: Place, value: object) -> Any:
+def with_value(key_path: KeyPath, value: object) -> Any:
     data = copy.deepcopy(COMPLETE)
     inner: Any = data
-    for key in place[:-1]:
+    for key in key_path[:-1]:
         inner = inner[key]
-    inner[place[-1]] = value
+    inner[key_path[-1]] = value
     return data
 
 
 @pytest.fixture(autouse=True)
-def reported_there(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def taken(*_: object) -> None:
-        raise AssertionError("it would serve")
+def start_only_reports(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    def fail(*_: object) -> None:
+        raise AssertionError("the configuration was accepted")
 
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "c.json"))
-    monkeypatch.setattr(serving, "Sidecar", taken)
+    monkeypatch.setattr(serving, "Sidecar", fail)
     monkeypatch.setattr(log, "set_non_blocking", lambda: None)
     monkeypatch.setattr(lazy_imports, "defer", lambda: None)
 
 
 @pytest.mark.parametrize("name", KEYS)
-def test_whatever_can_not_be_served_is_reported_by_its_key(
+def test_an_invalid_value_is_reported_with_its_key(
     name: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    place, good = KEYS[name]
-    key = [step for step in place if isinstance(step, str)][-1]
-    for value in [*BAD[type(good)], *MORE.get(name, [])]:
-        if (name, value) == ("seed", 5) or (name == "known.instances" and value in LINES):
+    key_path, valid = KEYS[name]
+    key = [step for step in key_path if isinstance(step, str)][-1]
+    for value in [*WRONG_TYPES[type(valid)], *INVALID_VALUES.get(name, [])]:
+        if (name, value) == ("seed", 5) or (name == "known.instances" and value in SKIPPED_INSTANCES):
             continue
-        assert key in reported(changed(place, value), tmp_path, capsys).replace("LB_CONFIG", "")
+        assert key in reported(with_value(key_path, value), tmp_path, capsys).replace("LB_CONFIG", "")
 
 
 @pytest.mark.parametrize("name", KEYS)
 def test_a_missing_key_is_reported_or_has_a_default(name: str, tmp_path: Path) -> None:
-    place, _ = KEYS[name]
-    (tmp_path / "c.json").write_text(json.dumps(changed(place, None)), encoding="utf-8")
+    key_path, _ = KEYS[name]
+    (tmp_path / "c.json").write_text(json.dumps(with_value(key_path, None)), encoding="utf-8")
     try:
         platform_file.read(os.environ)
-    except PlatformFileError as bad:
-        assert [step for step in place if isinstance(step, str)][-1] in str(bad)
+    except PlatformFileError as error:
+        assert [step for step in key_path if isinstance(step, str)][-1] in str(error)
 
 
-def test_nothing_is_read_of_the_settings_that_is_not_tried_here(monkeypatch: pytest.MonkeyPatch) -> None:
-    asked: set[str] = set()
+def test_all_settings_that_are_read_are_tested_here(monkeypatch: pytest.MonkeyPatch) -> None:
+    read_paths: set[str] = set()
 
-    def asking(way: Any) -> Any:
-        def ask(has: Any, path: str, *how: Any) -> Any:
-            asked.add(path)
-            return way(has, path, *how)
+    def recording(method: Any) -> Any:
+        def record(settings: Any, path: str, *arguments: Any) -> Any:
+            read_paths.add(path)
+            return method(settings, path, *arguments)
 
-        return ask
+        return record
 
-    for way in ("get", "require"):
-        monkeypatch.setattr(JsonSettings, way, asking(getattr(JsonSettings, way)))
+    for name in ("get", "require"):
+        monkeypatch.setattr(JsonSettings, name, recording(getattr(JsonSettings, name)))
     platform_file.read_settings(COMPLETE["settings"])
-    tried = {name.removeprefix("settings.") for name in KEYS}
-    one = re.compile(r"\.\d+\.")  # of several
-    read = {one.sub(".", path) for path in asked if not path.endswith(".count")}
-    assert read - {one.sub(".", path) for path in tried} == set() and len(read) > 50
+    tested = {name.removeprefix("settings.") for name in KEYS}
+    index = re.compile(r"\.\d+\.")
+    read = {index.sub(".", path) for path in read_paths if not path.endswith(".count")}
+    assert read - {index.sub(".", path) for path in tested} == set() and len(read) > 50
 
 
 def test_a_duplicate_key_is_reported(tmp_path: Path) -> None:
@@ -171,14 +172,16 @@
         platform_file.read(os.environ)
 
 
-def test_a_name_breaks_no_line_and_hides_no_key(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    data = changed(("settings", "classes", 0, "name"), "a\nb\u2028" * 500)
+def test_a_long_name_with_line_breaks_does_not_hide_the_key(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    data = with_value(("settings", "classes", 0, "name"), "a\nb\u2028" * 500)
     data["settings"]["classes"][0]["slo"] = 0
     assert "slo: must be above 0" in reported(data, tmp_path, capsys)
 
 
-def test_an_unknown_key_is_ignored_whatever_its_value(tmp_path: Path) -> None:
-    odd = {"new": DEEP, "newer": {"a": float("nan"), "": HALF}, "newest": HUGE}
-    data = {**COMPLETE, **odd, "settings": {**COMPLETE["settings"], **odd}}
+def test_an_unknown_key_is_ignored_with_any_value(tmp_path: Path) -> None:
+    unknown = {"new": DEEP, "newer": {"a": float("nan"), "": LONE_SURROGATE}, "newest": HUGE}
+    data = {**COMPLETE, **unknown, "settings": {**COMPLETE["settings"], **unknown}}
     (tmp_path / "c.json").write_text(json.dumps(data), encoding="utf-8")
     assert platform_file.read(os.environ).settings == platform_file.read_settings(COMPLETE["settings"])
--- a/tests/daemon/config/test_project_file.py
+++ b/tests/daemon/config/test_project_file.py
@@ -1,4 +1,4 @@
-"""The configuration file: what it may say, how it is refused, and that unnamed it is nothing."""
+"""The project's configuration file: its keys, the reports of errors, and starts without one."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "error"),
     [
         ("[list]\n\nper_s = 0\n", ":3: list.per_s: expected `float` > 0.0, is 0"),
         (
@@ -46,26 +46,26 @@
         ("[list\n", ": not TOML: "),
     ],
 )
-def test_what_can_not_be_used_is_reported_on_one_line_with_file_line_and_key(
-    text: str, said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_an_invalid_file_is_reported_on_one_line_with_file_line_and_key(
+    text: str, error: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    where = tmp_path / "w.toml"
-    where.write_text(text, encoding="utf-8")
-    assert main(["check", str(where)]) == 2
+    path = tmp_path / "w.toml"
+    path.write_text(text, encoding="utf-8")
+    assert main(["check", str(path)]) == 2
     out, err = capsys.readouterr()
-    assert out == "" and err.count("\n") == 1 and f"{where}{said}" in err
-    assert main(["--config", str(where)]) == 2
-    assert f"{where}{said}" in capsys.readouterr().err
+    assert out == "" and err.count("\n") == 1 and f"{path}{error}" in err
+    assert main(["--config", str(path)]) == 2
+    assert f"{path}{error}" in capsys.readouterr().err
 
 
-def test_a_good_file_is_ok_and_an_absent_one_is_named(
+def test_a_valid_file_is_ok_and_a_missing_one_is_named(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    where = tmp_path / "w.toml"
-    where.write_text("[list]\nper_s = 30\n", encoding="utf-8")
-    assert main(["check", str(where)]) == 0
-    assert capsys.readouterr().out == f"{where}: ok\n"
-    assert project_file.read(str(where)).list.per_s == 30
+    path = tmp_path / "w.toml"
+    path.write_text("[list]\nper_s = 30\n", encoding="utf-8")
+    assert main(["check", str(path)]) == 0
+    assert capsys.readouterr().out == f"{path}: ok\n"
+    assert project_file.read(str(path)).list.per_s == 30
     assert main(["check", str(tmp_path / "none.toml")]) == 2
     assert "none.toml: can't be read: No such file" in capsys.readouterr().err
 
@@ -82,48 +82,50 @@
     }
     for title, table in tables.items():
         part = page.split(f"## `{title}`")[1].split("\n## ")[0]
-        told = dict(re.findall(r"^\| `(\w+)` \| [^|]* \| ([^|]+) \|", part, re.MULTILINE))
-        assert list(told) == [one.name for one in structs.fields(table)]
-        for one in structs.fields(table):
-            if isinstance(one.default, (bool, int, float)):
-                shown = str(one.default).lower() if isinstance(one.default, bool) else f"{one.default:g}"
-                assert told[one.name] == f"`{shown}`", one.name
+        defaults = dict(re.findall(r"^\| `(\w+)` \| [^|]* \| ([^|]+) \|", part, re.MULTILINE))
+        assert list(defaults) == [field.name for field in structs.fields(table)]
+        for field in structs.fields(table):
+            if isinstance(field.default, (bool, int, float)):
+                shown = (
+                    str(field.default).lower() if isinstance(field.default, bool) else f"{field.default:g}"
+                )
+                assert defaults[field.name] == f"`{shown}`", field.name
 
 
 def test_sighup_reloads_the_file_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
-    where = tmp_path / "w.toml"
-    where.write_text("[list]\nper_s = 20\n", encoding="utf-8")
-    with running_process(tmp_path, "", arguments=("--config", str(where))) as process:
+    path = tmp_path / "w.toml"
+    path.write_text("[list]\nper_s = 20\n", encoding="utf-8")
+    with running_process(tmp_path, "", arguments=("--config", str(path))) as process:
         wait_for_line(process, "listening")
-        where.write_text("[list]\nper_s = -1\n", encoding="utf-8")
+        path.write_text("[list]\nper_s = -1\n", encoding="utf-8")
         process.send_signal(signal.SIGHUP)
         assert "list.per_s" in wait_for_line(process, "config-not-reloaded")
-        where.write_text("[list]\nper_s = 21\n", encoding="utf-8")
+        path.write_text("[list]\nper_s = 21\n", encoding="utf-8")
         process.send_signal(signal.SIGHUP)
         wait_for_line(process, "config-reloaded")
         process.send_signal(signal.SIGTERM)
 
 
-def test_without_it_nothing_of_it_is_loaded(tmp_path: Path) -> None:
+def test_without_the_option_its_modules_are_not_imported(tmp_path: Path) -> None:
     with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime") as process:
         wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
-        _, told = process.communicate()
-    names = {line.rpartition("|")[2].strip() for line in told.splitlines()}
+        _, import_times = process.communicate()
+    names = {line.rpartition("|")[2].strip() for line in import_times.splitlines()}
     assert "wheatring.daemon.config" in names
     assert names.isdisjoint({"wheatring.daemon.config.project_file", "msgspec", "tomllib"})
     assert not [name for name in names if name.startswith(("wheatring.fleet.peers", "wheatring.fleet.lease"))]
 
 
-def test_the_pace_that_it_says_is_the_one_that_is_kept() -> None:
+def test_the_request_pace_is_applied_and_has_the_list_table_s_defaults() -> None:
     from random import Random
 
     from wheatring.daemon.lifecycle.list_request_schedule import ListRequestSchedule, RequestPace
 
-    slow = ListRequestSchedule(
+    schedule = ListRequestSchedule(
         100, 50, 10.0, Random(1), 0.0, RequestPace(first_round_rate=10.0, first_round_max_seconds=60.0)
     )
-    assert slow.round_seconds(0) == 10.0 and slow.round_seconds(1) == 100 / 13
+    assert schedule.round_seconds(0) == 10.0 and schedule.round_seconds(1) == 100 / 13
     assert msgspec.structs.asdict(project_file.ListTable()) == {
         "first_per_s": RequestPace().first_round_rate, "first_longest": RequestPace().first_round_max_seconds,
         "per_s": RequestPace().second_round_rate, "likely_per_s": RequestPace().expected_answer_rate,
--- a/tests/daemon/http1/test_bodies.py
+++ b/tests/daemon/http1/test_bodies.py
@@ -42,14 +42,14 @@
 def head(wire: Wire) -> str:
     """Return the head of the next message, without its body."""
     while b"\r\n\r\n" not in wire.buffer:
-        wire._more()
+        wire._receive()
     text, _, wire.buffer = wire.buffer.partition(b"\r\n\r\n")
     return text.decode().lower()
 
 
 def body(wire: Wire, size: int) -> bytes:
     while len(wire.buffer) < size:
-        wire._more()
+        wire._receive()
     data, wire.buffer = wire.buffer[:size], wire.buffer[size:]
     return data
 
@@ -59,7 +59,7 @@
     whole = b""
     while True:
         while b"\r\n" not in wire.buffer:
-            wire._more()
+            wire._receive()
         size, _, wire.buffer = wire.buffer.partition(b"\r\n")
         piece = body(wire, int(size, 16) + 2)[:-2]
         if not piece:
--- a/tests/daemon/ops/test_capture.py
+++ b/tests/daemon/ops/test_capture.py
@@ -1,4 +1,4 @@
-"""Captures: what a sidecar records, the ring it goes to, and the replay through the command line."""
+"""Captures: what a sidecar records, the ring of files, and the replay on the command line."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
 )
 
 
-def opened(folder: Path, files: int = 4, kb: int = 192) -> ring.CaptureRing:
+def open_ring(folder: Path, files: int = 4, kb: int = 192) -> ring.CaptureRing:
     return ring.CaptureRing(str(folder), "n/3", files, kb * 1024, Clock(Reactor()))
 
 
-def play(to: ring.CaptureRing, seed: int, count: int) -> None:
-    """Record a start of the balancer amid events of every kind that a sidecar has, drawn by the seed."""
+def play(target: ring.CaptureRing, seed: int, count: int) -> None:
+    """Record a start of the balancer with random events of all kinds that a sidecar has."""
     draw, now = Random(seed), 100.0
     for line in record.header("n/3", seed, 1_700_000_000.25, SETTINGS):
-        to.write(line)
+        target.write(line)
     balancer = Balancer(read_settings(SETTINGS), seed)
-    recorder = record.Recorder(balancer, 1_700_000_000.25, to.write, "c/{}".format, lambda _node: 2)
+    recorder = record.Recorder(balancer, 1_700_000_000.25, target.write, "c/{}".format, lambda _node: 2)
     nodes = ["-", "a b", "c:1/2", "d,e", "f%", "g\ud800", "g\ud801", "h"]
     out: list[tuple[i.Send, int]] = []
     timers: list[int] = []
     sent: dict[int, int] = {}
-    kept = (i.ViewKind.CACHED, i.ViewKind.FULL)
+    successful = (i.ViewKind.CACHED, i.ViewKind.FULL)
 
     def view(kind: i.ViewKind) -> i.View:
         states = [i.EndpointState.READY] * draw.choice([0, 4, 4]) + [i.EndpointState.DRAINING]
@@ -69,27 +69,27 @@
                 case i.SetTimer(token):
                     timers.append(token)
         now += draw.expovariate(100.0)
-        what = draw.random()
-        if what < 0.4:
+        choice = draw.random()
+        if choice < 0.4:
             name = draw.choice(["menu", "order", "unsafe", "un known"])
-            event = i.NewRequest(number, name, draw.random() * 6, is_client_retry=what < 0.1)
-        elif what < 0.85 and out:
+            event = i.NewRequest(number, name, draw.random() * 6, is_client_retry=choice < 0.1)
+        elif choice < 0.85 and out:
             send, attempt = out.pop(draw.randrange(len(out)))
-            report = i.LoadReport(in_flight=draw.random()) if what < 0.6 else None
-            how = draw.choice([i.Outcome.SERVED, *i.Outcome])
-            served, latency = how is i.Outcome.SERVED, draw.random()
-            event = i.AttemptEnded(send.request, attempt, how, send.endpoint, latency, served, report)
-        elif what < 0.95 and timers:
+            report = i.LoadReport(in_flight=draw.random()) if choice < 0.6 else None
+            outcome = draw.choice([i.Outcome.SERVED, *i.Outcome])
+            served, latency = outcome is i.Outcome.SERVED, draw.random()
+            event = i.AttemptEnded(send.request, attempt, outcome, send.endpoint, latency, served, report)
+        elif choice < 0.95 and timers:
             event = i.TimerDue(timers.pop())
-        elif what < 0.98:
+        elif choice < 0.98:
             event = i.RequestAbandoned(draw.randrange(number))
         else:
-            event = view(draw.choice([*kept, i.ViewKind.DELTA, i.ViewKind.FAILED]))
-    to.close()
+            event = view(draw.choice([*successful, i.ViewKind.DELTA, i.ViewKind.FAILED]))
+    target.close()
     assert set(recorder.requests) == set(balancer.requests)
 
 
-def replayed(folder: Path, capsys: pytest.CaptureFixture[str]) -> tuple[int, list[str]]:
+def replay_folder(folder: Path, capsys: pytest.CaptureFixture[str]) -> tuple[int, list[str]]:
     status = main(["capture", "replay", str(folder)])
     return status, capsys.readouterr().out.splitlines()
 
@@ -98,12 +98,12 @@
     return [line for path in sorted(folder.iterdir()) for line in path.read_text("ascii").splitlines()]
 
 
-def test_an_unchanged_module_decides_the_same_again(
+def test_an_unchanged_module_replays_without_a_difference(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     for seed in (1, 2, 3):
-        play(opened(tmp_path, 40), seed, 3000)
-    status, out = replayed(tmp_path, capsys)
+        play(open_ring(tmp_path, 40), seed, 3000)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 0 and len(out) == 1
     assert re.fullmatch(r"n/3: \d{4,} lines of 3 starts compared, 0 differ", out[0])
     lines = lines_in(tmp_path)
@@ -127,7 +127,7 @@
 def test_a_decision_that_differs_is_reported(
     pick: str, old: str | None, new: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    play(opened(tmp_path), 1, 1000)
+    play(open_ring(tmp_path), 1, 1000)
     (path,) = tmp_path.iterdir()
     lines = path.read_text("ascii").splitlines()
     at = next(n for n, line in enumerate(lines) if n > 50 and re.fullmatch(pick, line))
@@ -136,58 +136,58 @@
     lines[at : at + 1] = [before] * 2 if new == "double" else [] if old is None else [lines[at]]
     at += new == "double"
     path.write_text("\n".join(lines) + "\n", "ascii")
-    status, out = replayed(tmp_path, capsys)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 1 and out[-1].endswith(" 1 differ")
     assert f"{path.name}:{at + 1} differs" in out[0]
     assert out[1] == ("  recorded nothing" if old is None else f"  recorded {lines[at]}")
     assert out[2].split()[2:4] == ([] if new == "double" else before.split()[1:3])
 
 
-def test_the_requests_in_flight_are_nothing_that_the_balancer_decides(
+def test_idle_connections_are_not_compared_as_the_balancer_does_not_know_them(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    play(opened(tmp_path), 1, 500)
+    play(open_ring(tmp_path), 1, 500)
     (path,) = tmp_path.iterdir()
     path.write_text(path.read_text("ascii").replace("/2/", "/9/"), "ascii")
-    assert replayed(tmp_path, capsys)[0] == 0
+    assert replay_folder(tmp_path, capsys)[0] == 0
 
 
-def test_where_the_header_was_overwritten_replay_says_so_and_goes_on_from_the_next(
+def test_an_overwritten_header_is_reported_and_replay_continues_at_the_next_start(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    play(opened(tmp_path, 3, 8), 1, 2000)
-    status, out = replayed(tmp_path, capsys)
+    play(open_ring(tmp_path, 3, 8), 1, 2000)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 1 and "the header has been overwritten" in out[0]
     assert out[1] == "n/3: 0 lines of 0 starts compared, 0 differ"
-    play(opened(tmp_path, 3, 8), 2, 50)
-    status, out = replayed(tmp_path, capsys)
+    play(open_ring(tmp_path, 3, 8), 2, 50)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 0 and "the header has been overwritten" in out[0]
     assert re.fullmatch(r"n/3: [1-9]\d* lines of 1 start compared, 0 differ", out[1])
 
 
-def with_os(monkeypatch: pytest.MonkeyPatch, **changes: object) -> None:
-    theirs = {name: getattr(os, name) for name in dir(os)}
-    monkeypatch.setattr(ring, "os", SimpleNamespace(**{**theirs, **changes}))
+def patch_os(monkeypatch: pytest.MonkeyPatch, **changes: object) -> None:
+    originals = {name: getattr(os, name) for name in dir(os)}
+    monkeypatch.setattr(ring, "os", SimpleNamespace(**{**originals, **changes}))
 
 
 def size_of(folder: Path) -> int:
     return sum(path.stat().st_size for path in folder.iterdir())
 
 
-def test_the_ring_stays_in_its_size_and_splits_no_line(
+def test_the_ring_never_exceeds_its_size_and_splits_no_line(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     sizes: list[int] = []
 
-    def looked(path: str | Path, flags: int, mode: int = 0o777) -> int:
-        made = os.open(path, flags, mode)
+    def open_and_measure(path: str | Path, flags: int, mode: int = 0o777) -> int:
+        descriptor = os.open(path, flags, mode)
         if flags & os.O_CREAT:
-            sizes.append(size_of(tmp_path) + 2048)  # as large as it may get before the next one is opened
-        return made
+            sizes.append(size_of(tmp_path) + 2048)  # the size once the new file is full
+        return descriptor
 
-    with_os(monkeypatch, open=looked)
+    patch_os(monkeypatch, open=open_and_measure)
     for start in range(4):
-        to = opened(tmp_path, 3, 2)
+        to = open_ring(tmp_path, 3, 2)
         for number in range(300):
             to.write(f"t {start} {number} {'x' * (number % 90)}")
         to.close()
@@ -198,9 +198,9 @@
     assert [path.name[:13] for path in tmp_path.iterdir()] == ["capture-n%2F3"] * 3
 
 
-def test_a_ring_that_is_told_to_hold_less_holds_less(tmp_path: Path) -> None:
+def test_a_ring_with_a_smaller_limit_deletes_older_files(tmp_path: Path) -> None:
     for files, kb in ((2, 8), (3, 2), (9, 1), (2, 50)):
-        to = opened(tmp_path, files, kb)
+        to = open_ring(tmp_path, files, kb)
         assert size_of(tmp_path) <= files * kb * 1024
         for number in range(2000):
             to.write(f"t {number}")
@@ -208,67 +208,64 @@
         assert size_of(tmp_path) <= files * kb * 1024 and len(list(tmp_path.iterdir())) <= files
 
 
-def test_a_new_start_goes_on_in_the_newest_file_also_after_half_a_line(
+def test_a_new_start_appends_to_the_newest_file_also_after_an_incomplete_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    play(opened(tmp_path), 1, 300)
+    play(open_ring(tmp_path), 1, 300)
     (path,) = tmp_path.iterdir()
-    whole = path.read_bytes()
-    path.write_bytes(whole[:-3])
-    play(opened(tmp_path), 2, 300)
-    assert list(tmp_path.iterdir()) == [path] and path.read_bytes().startswith(whole[:-3] + b"!\n")
-    status, out = replayed(tmp_path, capsys)
+    complete = path.read_bytes()
+    path.write_bytes(complete[:-3])
+    play(open_ring(tmp_path), 2, 300)
+    assert list(tmp_path.iterdir()) == [path] and path.read_bytes().startswith(complete[:-3] + b"!\n")
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 0 and "can't be replayed up to the next start" in out[0]
     assert out[-1].endswith("2 starts compared, 0 differ")
 
 
-def test_a_start_that_was_killed_before_its_last_lines_differs_in_nothing(
+def test_a_record_that_lacks_its_last_lines_replays_without_a_difference(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    play(opened(tmp_path), 1, 300)
+    play(open_ring(tmp_path), 1, 300)
     (path,) = tmp_path.iterdir()
     lines = path.read_bytes().splitlines(keepends=True)
     last = max(n for n, line in enumerate(lines) if line.startswith(b"d "))
     path.write_bytes(b"".join(lines[:last]))
-    status, out = replayed(tmp_path, capsys)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 0 and "ends 1 lines early" in out[0]
 
 
-def test_what_fits_no_file_is_left_out_and_reported(
+def test_a_line_longer_than_a_file_is_left_out_and_reported(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    play(
-        ring.CaptureRing(str(tmp_path), "n3", 400, 500, Clock(Reactor())), 1, 100
-    )  # the settings alone take more
+    # The line of the settings is longer than 500 bytes.
+    play(ring.CaptureRing(str(tmp_path), "n3", 400, 500, Clock(Reactor())), 1, 100)
     lines = lines_in(tmp_path)
     assert lines[0].startswith("h ") and re.fullmatch(r"x \d{3}", lines[1])
     assert max(path.stat().st_size for path in tmp_path.iterdir()) <= 500
-    status, out = replayed(tmp_path, capsys)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 1 and "can't be replayed" in out[0] and out[-1].endswith("0 starts compared, 0 differ")
 
 
-def test_a_file_that_lacks_ends_what_can_be_replayed(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
-    play(opened(tmp_path, 40, 8), 1, 1000)
+def test_replay_ends_at_a_missing_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    play(open_ring(tmp_path, 40, 8), 1, 1000)
     sorted(tmp_path.iterdir())[2].unlink()
-    status, out = replayed(tmp_path, capsys)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 0 and "can't be replayed" in out[0] and out[-1].endswith("1 start compared, 0 differ")
 
 
-def test_an_empty_folder_is_no_capture(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert replayed(tmp_path, capsys) == (1, [f"there is no capture in {tmp_path}"])
+def test_an_empty_folder_is_reported(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    assert replay_folder(tmp_path, capsys) == (1, [f"there is no capture in {tmp_path}"])
     assert main(["capture", "replay", str(tmp_path / "none")]) == 2
 
 
 def flush(world: World) -> None:
-    made = world.sidecar.ring
-    assert made is not None
-    world.run(made.flush)
+    sidecar_ring = world.sidecar.ring
+    assert sidecar_ring is not None
+    world.run(sidecar_ring.flush)
 
 
 @pytest.mark.parametrize("when", ["first", "later"])
-def test_a_folder_that_can_t_be_written_is_one_warning_and_it_serves(
+def test_an_unwritable_folder_is_reported_once_and_requests_are_served(
     when: str, make: Make, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder = tmp_path if when == "later" else tmp_path / "none"
@@ -278,7 +275,7 @@
     def full(_file: int, _data: bytes) -> int:
         raise OSError(errno.ENOSPC, "full")
 
-    with_os(monkeypatch, write=full)
+    patch_os(monkeypatch, write=full)
     for _ in range(3):
         caller = world.ask()
         node = world.first()
@@ -289,7 +286,7 @@
     assert [event for event, _ in world.lines].count("capture-off") == 1
 
 
-def test_a_sidecar_s_own_record_replays(
+def test_a_sidecar_s_record_replays_without_a_difference(
     make: Make, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     world = make(2, operator_properties.parse(f"capture.dir = {tmp_path}"), True)
@@ -305,7 +302,7 @@
         node.answer(status, b"ok", more)
     assert caller.read()[2] == b"ok"
     left = world.ask("order")
-    node.read()  # one whose caller had gone before it was read would be sent nowhere
+    node.read()  # a request whose caller disconnects before it is read would not be sent
     left.close()
     world.logged("caller-connection")
     flush(world)
@@ -315,11 +312,11 @@
     assert decisions[0][2:4] == ["c1", "menu"] and int(decisions[0][4]) <= 6000
     assert {line[2] for line in decisions} == {"c1", "c2"} and "timer" in decisions[1]
     assert "odd%3A%201%2F2:0/0/-" in decisions[0] and "odd%3A%201%2F2:0/1/-" in decisions[-1]
-    status, out = replayed(tmp_path, capsys)
+    status, out = replay_folder(tmp_path, capsys)
     assert status == 0 and out[-1].startswith("test: ") and out[-1].endswith("1 start compared, 0 differ")
 
 
-def test_a_killed_process_s_record_replays_in_another_whatever_the_hash_seed(tmp_path: Path) -> None:
+def test_a_killed_process_s_record_replays_independent_of_the_hash_seed(tmp_path: Path) -> None:
     config = write_platform_config(tmp_path, name="n3", discovery="127.0.0.1:9")
     (tmp_path / "tmp").mkdir()
     environment = {**os.environ, "LB_CONFIG": str(config), "TMPDIR": str(tmp_path / "tmp")}
@@ -336,9 +333,9 @@
             caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
             caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
             assert caller.read()[0] == "HTTP/1.1 503 Service Unavailable"
-            far = time.monotonic() + WAIT_LIMIT_SECONDS
-            while sum(line.startswith("d ") for line in lines_in(tmp_path / "tmp")) < seed:  # it writes soon
-                assert time.monotonic() < far
+            give_up_at = time.monotonic() + WAIT_LIMIT_SECONDS
+            while sum(line.startswith("d ") for line in lines_in(tmp_path / "tmp")) < seed:  # not flushed yet
+                assert time.monotonic() < give_up_at
             process.kill()
             caller.close()
     lines = lines_in(tmp_path / "tmp")
@@ -350,7 +347,7 @@
     assert done.returncode == 0 and done.stdout.endswith("2 starts compared, 0 differ\n"), done
 
 
-def test_what_came_last_before_the_stop_is_in_the_record(tmp_path: Path) -> None:
+def test_the_last_event_before_the_stop_is_recorded(tmp_path: Path) -> None:
     node, folder = Peer(), tmp_path / "kept"
     folder.mkdir()
     known = {"generation": 3, "instances": [entry("n0", node)]}
@@ -361,9 +358,9 @@
         wire = node.accept()
         wire.read()
         process.send_signal(signal.SIGTERM)
-        far = time.monotonic() + WAIT_LIMIT_SECONDS
-        with pytest.raises(ConnectionRefusedError):  # it only waits for this answer now
-            while time.monotonic() < far:
+        give_up_at = time.monotonic() + WAIT_LIMIT_SECONDS
+        with pytest.raises(ConnectionRefusedError):  # it only waits for the last response now
+            while time.monotonic() < give_up_at:
                 socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS).close()
         wire.answer(200, b"ok")
         assert caller.read()[2] == b"ok"
--- a/tests/daemon/ops/test_drills.py
+++ b/tests/daemon/ops/test_drills.py
@@ -1,4 +1,4 @@
-"""Drills over loopback sockets, and their plans through the command line."""
+"""Drills over loopback and virtual sockets, and the signing of plans on the command line."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 Make = Callable[..., World]
 KEY = "00ff" * 16
 PLAN = "class=menu;from=1000;until=900000000000000"
-LONG = "drill.share = 100\ndrill.delay.ms = 100000"
+LONG_DELAY = "drill.share = 100\ndrill.delay.ms = 100000"
 
 
 def settings(more: str, plan: str = PLAN) -> operator_properties.OperatorProperties:
@@ -30,7 +30,7 @@
     return operator_properties.OperatorProperties(replace(drill, plan=drills.sign_plan(drill)))
 
 
-def served(node: Wire, caller: Wire) -> dict[str, str]:
+def serve(node: Wire, caller: Wire) -> dict[str, str]:
     node.read()
     node.answer(200, b"ok")
     first, fields, _ = caller.read()
@@ -38,12 +38,13 @@
     return fields
 
 
-def test_an_aborted_share_is_exact_marked_counted_and_one_class_s(make: Make) -> None:
+def test_an_exact_share_of_one_class_is_aborted_marked_and_counted(make: Make) -> None:
     world = make(1, settings("drill.share = 30\ndrill.abort = true"))
     caller = world.caller()
     node = None
     for n in range(1, 21):
-        world.run(lambda: world.sidecar.apply_operators(world.sidecar.operators))  # nothing new: it goes on
+        # Unchanged settings don't reset the share.
+        world.run(lambda: world.sidecar.apply_operators(world.sidecar.operators))
         world.ask("menu", caller)
         if n * 30 // 100 > (n - 1) * 30 // 100:
             first, fields, _ = caller.read()
@@ -51,26 +52,26 @@
             assert (fields["x-drill"], fields["retry-after"]) == ("1", "0.200")
         else:
             node = node or world.nodes[0].accept()
-            assert "x-drill" not in served(node, caller)
+            assert "x-drill" not in serve(node, caller)
     assert node is not None
     for _ in range(10):
-        assert "x-drill" not in served(node, world.ask("order", caller))
+        assert "x-drill" not in serve(node, world.ask("order", caller))
     lines = [values for event, values in world.lines if event == "drill"]
     assert [(v["drill"], v["drill_requests_total"]) for v in lines] == [(1, n) for n in range(1, 7)]
     assert lines[0]["job"] == "c4"
     world.run(lambda: world.sidecar.apply_operators(operator_properties.OperatorProperties()))
     for _ in range(10):
-        assert "x-drill" not in served(node, world.ask("menu", caller))
+        assert "x-drill" not in serve(node, world.ask("menu", caller))
 
 
-def test_a_delayed_request_is_kept_by_the_exchange_then_served_and_marked(make: Make) -> None:
+def test_a_delayed_request_is_served_and_marked(make: Make) -> None:
     world = make(1, settings("drill.share = 100\ndrill.delay.ms = 1"))
     caller = world.ask()
-    assert served(world.nodes[0].accept(), caller)["x-drill"] == "1"
+    assert serve(world.nodes[0].accept(), caller)["x-drill"] == "1"
 
 
-def test_a_delay_is_cut_to_the_time_left_and_an_abort_comes_after_it(make: Make) -> None:
-    world = make(1, settings(f"{LONG}\ndrill.abort = true"))
+def test_a_delay_is_limited_to_the_remaining_time_and_an_abort_follows_it(make: Make) -> None:
+    world = make(1, settings(f"{LONG_DELAY}\ndrill.abort = true"))
     first, fields, _ = world.ask(left=400).read()
     assert (first, fields["x-drill"]) == ("HTTP/1.1 503 Service Unavailable", "1")
     (line,) = [values for event, values in world.lines if event == "drill"]
@@ -78,10 +79,10 @@
     assert "overdue" not in [event for event, _ in world.lines]
 
 
-def test_the_id_of_a_delayed_request_is_in_use_and_a_caller_that_leaves_ends_it(make: Make) -> None:
-    world = make(1, settings(LONG))
-    seen: list[object] = []
-    world.run(lambda: setattr(world.sidecar.driver, "feed", seen.append))
+def test_the_id_of_a_delayed_request_is_in_use_and_its_caller_s_disconnect_cancels_it(make: Make) -> None:
+    world = make(1, settings(LONG_DELAY))
+    events: list[object] = []
+    world.run(lambda: setattr(world.sidecar.driver, "feed", events.append))
     caller = world.ask()
     world.logged("drill")
     world.asked -= 1
@@ -91,7 +92,7 @@
     assert world.run(lambda: world.sidecar.exchange.open_count) == 0
     release = world.sidecar.drills.release if world.sidecar.drills else None
     assert release not in [call.func for call in world.run(world.reactor.getDelayedCalls)]
-    assert seen == []  # the module never heard of it
+    assert events == []  # the balancer received no event
 
 
 def test_a_delayed_request_is_answered_after_sigterm(make: Make) -> None:
@@ -100,29 +101,29 @@
     world.logged("drill")
     world.sidecar.server.is_stopping = True
     world.run(world.sidecar.server.close_unanswered)
-    assert served(world.nodes[0].accept(), caller)["x-drill"] == "1"
+    assert serve(world.nodes[0].accept(), caller)["x-drill"] == "1"
     assert caller.at_end()
 
 
-def test_the_window_holds_its_first_millisecond_and_not_its_last(make: Make) -> None:
+def test_the_window_includes_its_begin_and_excludes_its_end(make: Make) -> None:
     world = make(1, settings("drill.share = 100\ndrill.abort = true", "class=menu;from=5000;until=5100"))
-    made = world.sidecar.drills
-    assert made is not None
+    sidecar_drills = world.sidecar.drills
+    assert sidecar_drills is not None
 
     def at(ms: float) -> bool:
         world.sidecar.clock.unix = lambda: ms / 1000
-        return made.update_running()
+        return sidecar_drills.update_running()
 
     assert [world.run(partial(at, ms)) for ms in (4999.9, 5000, 5099.9, 5100)] == [False, True, True, False]
     caller = world.caller()
     world.ask("menu", caller)
-    assert "x-drill" not in served(world.nodes[0].accept(), caller)
+    assert "x-drill" not in serve(world.nodes[0].accept(), caller)
     world.run(partial(at, 5000))
     assert world.ask("menu", caller).read()[1]["x-drill"] == "1"
-    world.run(made.check)
+    world.run(sidecar_drills.check)
     world.sidecar.clock.unix = lambda: 5.1
-    world.logged("drill-over", 2)  # though nobody asks for anything
-    for more in ("drill.share = 50", "drill.share = 60"):  # one drill ends where the next one takes its place
+    world.logged("drill-over", 2)  # although there are no requests
+    for more in ("drill.share = 50", "drill.share = 60"):  # new settings end one drill and begin the next
         world.run(lambda more=more: world.sidecar.apply_operators(settings(f"drill.abort = true\n{more}")))  # type: ignore[misc]
     events = [event for event, _ in world.lines if event.startswith("drill-")]
     assert events == [*["drill-on", "drill-over"] * 3, "drill-on"]
@@ -142,7 +143,7 @@
         ("drill.delay.ms, drill.abort: neither is set", {"abort": False}),
     ],
 )
-def test_a_plan_that_can_t_be_used_is_a_warning_and_no_drill(
+def test_an_invalid_plan_is_a_warning_and_starts_no_drill(
     make: Make, warning: str, change: dict[str, object]
 ) -> None:
     drill = replace(settings("drill.share = 100\ndrill.abort = true").drill, **change)  # type: ignore[arg-type]
@@ -153,10 +154,10 @@
     world = make(1, operator_properties.OperatorProperties(drill))
     assert [v["warning"] for event, v in world.lines if event == "drill-off"] == [warning]
     caller = world.ask()
-    assert "x-drill" not in served(world.nodes[0].accept(), caller)
+    assert "x-drill" not in serve(world.nodes[0].accept(), caller)
 
 
-def test_the_command_line_signs_what_a_sidecar_then_takes(
+def test_a_sidecar_accepts_a_plan_that_the_command_line_signed(
     make: Make, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "o"
@@ -175,10 +176,10 @@
     assert world.ask().read()[1]["x-drill"] == "1"
 
 
-def test_a_process_says_what_its_drills_came_to(tmp_path: Path) -> None:
-    asked = settings("drill.share = 100").drill
-    told = f"drill.key = {KEY}\ndrill.plan = {asked.plan}\ndrill.share = 100\ndrill.abort = true\n"
-    with running_process(tmp_path, f"{told}audit.on = true\n", subprocess.PIPE) as process:
+def test_a_process_logs_the_total_of_its_drills(tmp_path: Path) -> None:
+    drill = settings("drill.share = 100").drill
+    properties = f"drill.key = {KEY}\ndrill.plan = {drill.plan}\ndrill.share = 100\ndrill.abort = true\n"
+    with running_process(tmp_path, f"{properties}audit.on = true\n", subprocess.PIPE) as process:
         port = int(wait_for_line(process, "listening").rpartition("=")[2])
         caller = Wire(socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS))
         caller.send(b"GET /menu HTTP/1.1\r\nX-Correlation-Id: c1\r\n\r\n")
--- a/tests/daemon/ops/test_stored_files.py
+++ b/tests/daemon/ops/test_stored_files.py
@@ -1,4 +1,4 @@
-"""What a sidecar of version c345874 recorded in two starts amid three nodes is read as it read it."""
+"""Files that a sidecar of version c345874 recorded in two starts, with three nodes, stay readable."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
     assert capsys.readouterr().out.splitlines()[0] == "ok"
 
 
-def test_one_that_was_changed_does_not(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_modified_audit_log_of_the_previous_version_is_invalid(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     changed = (DATA / "audit.log").read_bytes().replace(b"change=replaced", b"change=added")
     (tmp_path / "audit.log").write_bytes(changed)
     assert main(["audit", "verify", str(tmp_path / "audit.log")]) == 1
--- a/tests/daemon/test_operator_properties.py
+++ b/tests/daemon/test_operator_properties.py
@@ -1,4 +1,4 @@
-"""The operators' file: read, checked, and read again, through the command line."""
+"""The operators' file: reading, validation and reload."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         ("capture.file.kb", "capture.file.kb = much"),
     ],
 )
-def test_a_wrong_file_ends_it_with_one_line_that_names_the_key(
+def test_an_invalid_file_ends_the_program_with_one_line_that_names_the_key(
     key: str, text: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "o").write_text(text, encoding="utf-8")
@@ -51,14 +51,14 @@
 
 
 @pytest.mark.parametrize("kind", ["missing", "not-utf-8"])
-def test_a_file_that_was_named_must_be_readable(kind: str, tmp_path: Path) -> None:
+def test_a_named_file_must_be_readable(kind: str, tmp_path: Path) -> None:
     if kind == "not-utf-8":
         (tmp_path / "o").write_bytes(b"\xff\xfe")
     with pytest.raises(operator_properties.OperatorFileError, match="--operators: "):
         operator_properties.read(str(tmp_path / "o"))
 
 
-def test_the_default_file_is_read_where_none_is_named_and_need_not_be_there(
+def test_the_default_file_is_optional_and_used_if_none_is_named(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -83,18 +83,20 @@
     assert operator_properties.parse(
         "capture.files=11\ncapture.dir=/x"
     ).capture == operator_properties.Capture(11, 196608, "/x")
-    held = operator_properties.parse(f"tokens.key.k1={SECRET}\ntokens.issue.kid = k1\ntokens.skew.s = 5")
-    assert held.tokens == operator_properties.Tokens({"k1": key}, "k1", 5)
-    read = operator_properties.OperatorProperties(read.drill, tokens=held.tokens)
+    with_token = operator_properties.parse(
+        f"tokens.key.k1={SECRET}\ntokens.issue.kid = k1\ntokens.skew.s = 5"
+    )
+    assert with_token.tokens == operator_properties.Tokens({"k1": key}, "k1", 5)
+    read = operator_properties.OperatorProperties(read.drill, tokens=with_token.tokens)
     assert SECRET not in repr(read) and repr(key) not in repr(read)
 
 
-def test_the_file_in_the_repository_turns_nothing_on() -> None:
+def test_the_file_in_the_repository_enables_no_feature() -> None:
     file = Path(__file__).parents[2] / operator_properties.DEFAULT_PATH
     assert operator_properties.read(str(file)) == operator_properties.OperatorProperties()
 
 
-def test_nothing_of_a_feature_that_is_off_is_imported(tmp_path: Path) -> None:
+def test_features_that_are_off_are_not_imported(tmp_path: Path) -> None:
     with running_process(tmp_path, "", subprocess.PIPE, "-X", "importtime") as process:
         wait_for_line(process, "listening")
         process.send_signal(signal.SIGTERM)
@@ -104,7 +106,7 @@
     assert not any(name.startswith("wheatring.daemon.ops") for name in imported)
 
 
-def test_on_sighup_it_survives_a_broken_file(tmp_path: Path) -> None:
+def test_an_invalid_file_on_sighup_does_not_end_the_process(tmp_path: Path) -> None:
     with running_process(tmp_path, "# nothing\n") as process:
         wait_for_line(process, "listening")
         (tmp_path / "o").write_text("what.is = this", encoding="utf-8")
--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what the sidecars in service agree on, by package."""
+"""Tests of the fleet's membership, leases, views and plan, by package."""
--- a/tests/mutation/__main__.py
+++ b/tests/mutation/__main__.py
@@ -1,9 +1,9 @@
-"""Breaks each guard of some packages in scratch copies, and lists those that no test notices.
+"""Mutates each guard of some packages in scratch copies, and lists the mutants that no test detects.
 
     python -m tests.mutation --scratch FOLDER --workers 4 storage consensus
 
-Each mutant is met by the tests of its own package first, and by the further folders only if it survives them.
-A run that takes longer than `--timeout` counts as noticed. Nothing in this repository is changed.
+Each mutant is run against the tests of its own package first, and against the further folders only if it
+survives them. A run that exceeds `--timeout` counts as detected. Nothing in this repository is changed.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     return [Case(path.relative_to(ROOT), mutant) for path in paths for mutant in mutants(path.read_text())]
 
 
-def _is_noticed(copy: Path, folders: Sequence[str], timeout_seconds: float) -> bool:
+def _is_detected(copy: Path, folders: Sequence[str], timeout_seconds: float) -> bool:
     command = [sys.executable, "-m", "pytest", "-x", "-q", "-p", "no:cacheprovider", *folders]
     environment = {**os.environ, "PYTHONPATH": str(copy), "PYTHONDONTWRITEBYTECODE": "1"}
     try:
@@ -47,27 +47,29 @@
     return run.returncode != 0
 
 
-def _play(case: Case, copies: SimpleQueue[Path], further: Sequence[str], timeout_seconds: float) -> bool:
-    """Return whether a test notices the mutant."""
+def _run(case: Case, copies: SimpleQueue[Path], further: Sequence[str], timeout_seconds: float) -> bool:
+    """Return whether a test detects the mutant."""
     copy = copies.get()
     target = copy / case.path
     original = target.read_text()
     try:
         target.write_text(case.mutant.source)
         own = str(Path("tests", *case.path.parts[1:-1]))
-        return any(_is_noticed(copy, folders, timeout_seconds) for folders in ([own], further) if folders)
+        return any(_is_detected(copy, folders, timeout_seconds) for folders in ([own], further) if folders)
     finally:
         target.write_text(original)
         copies.put(copy)
 
 
 def main() -> int:
-    """Run the search that the command line asks for; the exit status is 1 if a mutant survives."""
-    parser = argparse.ArgumentParser(description="List the guards that no test holds.")
+    """Run the mutants; the exit status is 1 if one survives."""
+    parser = argparse.ArgumentParser(description="List mutated guards that no test detects.")
     parser.add_argument("packages", nargs="+")
     parser.add_argument("--scratch", type=Path, required=True, help="folder for the copies")
     parser.add_argument("--workers", type=int, default=2)
-    parser.add_argument("--further", nargs="*", default=[], help="folders of tests for what survives its own")
+    parser.add_argument(
+        "--further", nargs="*", default=[], help="folders of tests for mutants that survive their own"
+    )
     parser.add_argument("--timeout", type=float, default=120.0, help="seconds (default: %(default)s)")
     args = parser.parse_args()
     copies: SimpleQueue[Path] = SimpleQueue()
@@ -82,9 +84,9 @@
     cases = _cases(args.packages)
     survivors = 0
     with ThreadPoolExecutor(args.workers) as pool:
-        noticed = pool.map(lambda case: _play(case, copies, args.further, args.timeout), cases)
-        for case, is_noticed in zip(cases, noticed, strict=True):
-            if not is_noticed:
+        detected = pool.map(lambda case: _run(case, copies, args.further, args.timeout), cases)
+        for case, is_detected in zip(cases, detected, strict=True):
+            if not is_detected:
                 survivors += 1
                 print(f"{case.path}:{case.mutant.line}: {case.mutant.what}", flush=True)
     print(f"{len(cases)} guards broken, {len(cases) - survivors} noticed, {survivors} not")
--- a/tests/mutation/guards.py
+++ b/tests/mutation/guards.py
@@ -1,6 +1,6 @@
-"""The guards of a module, and its source with one of them broken.
+"""The guards of a module, and its source with one of them mutated.
 
-A guard is a comparison (turned into its opposite), an operand of `and` or `or` (dropped) or an `if` without
+A guard is a comparison (mutated to its opposite), an operand of `and` or `or` (dropped) or an `if` without
 `else` that leaves its block (never entered).
 """
 
@@ -26,7 +26,7 @@
 
 
 class Mutant(NamedTuple):
-    """A module's source with one guard broken."""
+    """A module's source with one guard mutated."""
 
     line: int
     what: str
@@ -34,7 +34,7 @@
 
 
 class _Change(NamedTuple):
-    node_index: int  # of the node, in the order of `ast.walk`
+    node_index: int  # in the order of `ast.walk`
     what: str
     replacement: ast.AST
 
@@ -49,11 +49,11 @@
             rest = [value for other, value in enumerate(node.values) if other != position]
             dropped = ast.BoolOp(node.op, rest) if len(rest) > 1 else rest[0]
             yield _Change(index, f"operand {position + 1} dropped", dropped)
-    elif isinstance(node, ast.If) and not node.orelse and _leaves(node.body[-1]):
+    elif isinstance(node, ast.If) and not node.orelse and _leaves_block(node.body[-1]):
         yield _Change(index, "never", ast.If(ast.Constant(False), node.body, []))
 
 
-def _leaves(statement: ast.stmt) -> bool:
+def _leaves_block(statement: ast.stmt) -> bool:
     return isinstance(statement, ast.Return | ast.Raise | ast.Continue | ast.Break)
 
 
@@ -67,7 +67,7 @@
 
 
 def mutants(source: str) -> Iterator[Mutant]:
-    """Yield the source with each guard broken, one at a time."""
+    """Yield the source with each guard mutated, one at a time."""
     count = len(list(ast.walk(ast.parse(source))))
     for index in range(count):
         nodes = list(ast.walk(ast.parse(source)))
--- a/tests/repository/test_builds.py
+++ b/tests/repository/test_builds.py
@@ -1,4 +1,4 @@
-"""Both builds install wheels alone, and list the system packages that they need."""
+"""Both builds install only wheels, and list the system packages that they need."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     return [line.strip() for line in text.splitlines() if line.startswith("\t")]
 
 
-def test_every_install_of_the_builds_refuses_what_has_no_wheel() -> None:
-    """Without a wheel a build would need a compiler, which no list of packages names."""
+def test_every_install_of_the_builds_accepts_only_wheels() -> None:
+    """A package without a wheel would need a compiler, which the lists of system packages don't contain."""
     installs = [line for line in build_lines() if "pip install" in line]
     assert len(installs) >= 4
     assert [line for line in installs if ONLY_WHEELS not in line] == []
--- a/tests/repository/test_commits.py
+++ b/tests/repository/test_commits.py
@@ -1,4 +1,4 @@
-"""Each commit since the rule has a short title and says in its body what was done and why."""
+"""Each commit has a short title and a body, from the commit on that introduced this rule."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from tests.rollout.previous import is_known
 
 ROOT = Path(__file__).parents[2]
-SINCE = "15e8ef23159e"  # the last commit that the rule does not apply to
+SINCE = "15e8ef23159e"  # the last commit before the rule
 MAX_TITLE = 90  # characters
 MIN_BODY = 12  # words
-RECORD = "\x1e"
+RECORD_SEPARATOR = "\x1e"
 
 
 def commits() -> list[tuple[str, str, str]]:
     """Return the abbreviated hash, the title and the body of each commit that the rule applies to."""
-    command = ["git", "log", "--no-merges", f"--format=%h%n%s%n%b{RECORD}", f"{SINCE}..HEAD"]
-    told = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
+    command = ["git", "log", "--no-merges", f"--format=%h%n%s%n%b{RECORD_SEPARATOR}", f"{SINCE}..HEAD"]
+    log = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
     found = []
-    for record in filter(str.strip, told.split(RECORD)):
+    for record in filter(str.strip, log.split(RECORD_SEPARATOR)):
         name, title, body = record.lstrip("\n").split("\n", 2)
         found.append((name, title, body))
     return found
--- a/tests/repository/test_documentation.py
+++ b/tests/repository/test_documentation.py
@@ -1,4 +1,4 @@
-"""The glossary and the page on the architecture name code that is there."""
+"""Checks that code named in the glossary and on the page on the architecture exists."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("name", code_names())
-def test_a_name_in_the_glossary_is_in_the_code(name: str) -> None:
+def test_a_name_in_the_glossary_exists_in_the_code(name: str) -> None:
     assert exists(name)
 
 
@@ -46,21 +46,21 @@
 
 
 def pages() -> list[Path]:
-    """Return the pages on the code as it is; accounts of past work name files as they were."""
+    """Return the pages on the present code; others also name files of the past."""
     docs = ROOT / "docs"
     return [docs / "architecture.md", docs / "glossary.md", *sorted((docs / "design").rglob("*.md"))]
 
 
 @pytest.mark.parametrize("page", pages(), ids=lambda page: page.name)
-def test_a_path_on_a_page_is_in_the_project(page: Path) -> None:
-    named = PATH.findall(page.read_text(encoding="utf-8"))
+def test_a_path_on_a_page_exists_in_the_project(page: Path) -> None:
+    paths = PATH.findall(page.read_text(encoding="utf-8"))
     tops = (ROOT, ROOT / "wheatring", ROOT / "tests")
-    missing = [path for path in named if not any(list(top.glob(path.rstrip("/"))) for top in tops)]
+    missing = [path for path in paths if not any(list(top.glob(path.rstrip("/"))) for top in tops)]
     assert missing == []
 
 
 @pytest.mark.parametrize("contract", ["programs", "sidecar-in-service", "serving-tier"])
-def test_the_layers_on_the_page_are_those_that_imports_are_held_to(contract: str) -> None:
+def test_the_layers_on_the_page_are_those_that_the_linter_checks(contract: str) -> None:
     text = (ROOT / "docs" / "architecture.md").read_text(encoding="utf-8")
     _, found, rest = text.partition(f"Contract `{contract}`:\n\n```text\n")
     assert found
--- a/tests/repository/test_guard_mutation.py
+++ b/tests/repository/test_guard_mutation.py
@@ -1,4 +1,4 @@
-"""The search for guards that no test holds breaks each guard once, and nothing else."""
+"""The mutation of guards changes each guard once, and nothing else."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 """
 
 
-def test_each_guard_is_broken_once() -> None:
+def test_each_guard_is_mutated_once() -> None:
     found = {(mutant.line, mutant.what): mutant.source for mutant in mutants(SOURCE)}
     assert sorted(found) == [
         (3, "a is None [opposite]"),
@@ -30,5 +30,5 @@
     assert "a < b and b == 3" in found[5, "b != 3 [opposite]"]
 
 
-def test_what_leaves_no_block_is_no_guard() -> None:
+def test_an_if_that_does_not_leave_its_block_is_not_mutated() -> None:
     assert not [*mutants("if a:\n    b = 1\nelse:\n    b = 2\n")]
--- a/tests/repository/test_known_red.py
+++ b/tests/repository/test_known_red.py
@@ -1,4 +1,4 @@
-"""What `KNOWN-RED.txt` may hold."""
+"""The entries of `KNOWN-RED.txt`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support import known_red
 
 
-def test_each_line_names_a_test_that_is_there() -> None:
+def test_each_line_names_an_existing_test() -> None:
     for test in known_red.entries():
         file, _, name = test.partition("::")
         assert f"def {name}(" in (known_red.FILE.parent / file).read_text(encoding="utf-8")
--- a/tests/repository/test_no_deployment_names.py
+++ b/tests/repository/test_no_deployment_names.py
@@ -1,4 +1,4 @@
-"""Nothing that decides or serves knows a deployment by its names: they come from the settings alone."""
+"""The code that decides and serves contains no names of deployments, which only settings may contain."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-# The operators' own, as their papers have them. Common words of these (stock, basket, browse) are left out.
+# Names of the operators' deployment, without common words (stock, basket, browse).
 DEPLOYMENT_NAMES = {
     "menu-view",
     "place-order",
@@ -21,7 +21,7 @@
 
 
 def names() -> set[str]:
-    """Classes, tiers, kinds and zones of our own deployments."""
+    """Return the names of classes, tiers, kinds and zones of our deployments."""
     found = set(DEPLOYMENT_NAMES)
     for path in (ROOT / "deploy" / "sites").rglob("*.toml"):
         site = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -31,15 +31,16 @@
     return found
 
 
-def test_no_class_tier_kind_or_zone_is_known_by_name() -> None:
-    """The lab and its commands are left out.
+def test_the_code_contains_no_class_tier_kind_or_zone_name() -> None:
+    """The lab and its commands are excluded.
 
-    The service path never imports them, and their load and bench have an example's class by default.
+    The service path never imports them, and their load generator and benchmark use an example's class by
+    default.
     """
     files = list((ROOT / "wheatring").rglob("*.py"))
     files = [path for path in files if "lab" not in path.parts and not path.name.startswith("lab")]
     files += [ROOT / "deploy" / "balancer.toml", ROOT / "deploy" / "operator.properties"]
-    common = {"quote", "chart", "tariff"}  # words of one deployment that are words of the language too
+    common = {"quote", "chart", "tariff"}  # names in one deployment that are also common words
     any_of = "|".join(re.escape(name) for name in sorted(names() - common))
     word = re.compile(rf"(?<![\w.-])(?:{any_of})(?![\w-])")
     found = [(path.name, word.findall(path.read_text(encoding="utf-8"))) for path in files]
--- a/tests/rollout/previous.py
+++ b/tests/rollout/previous.py
@@ -1,4 +1,4 @@
-"""The program as it was before its names were changed, taken from the project's own history."""
+"""The program's version before its names were changed, taken from the repository's history."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def is_known() -> bool:
-    """Whether this checkout has the history that the previous program is taken from."""
+    """Return whether this checkout's history contains the previous version."""
     found = subprocess.run(
         ["git", "cat-file", "-e", f"{PREVIOUS}^{{commit}}"], cwd=ROOT, capture_output=True, check=False
     )
@@ -20,14 +20,14 @@
 
 
 def unpack(folder: Path) -> Path:
-    """Write the previous program's packages below a folder; returns it."""
-    packed = subprocess.run(
+    """Extract the previous version's packages to a folder, and return it."""
+    archive_bytes = subprocess.run(
         ["git", "archive", "--format=tar", PREVIOUS, "wheatring", "lapisway"],
         cwd=ROOT,
         capture_output=True,
         check=True,
     ).stdout
     folder.mkdir(parents=True, exist_ok=True)
-    with tarfile.open(fileobj=io.BytesIO(packed)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(archive_bytes)) as archive:
         archive.extractall(folder, filter="data")
     return folder
--- a/tests/rollout/test_mixed_versions.py
+++ b/tests/rollout/test_mixed_versions.py
@@ -1,4 +1,4 @@
-"""Processes of the previous program and of this one side by side, as during a rollout."""
+"""Processes of the previous and of the present version side by side, as during a rollout."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 MEMBERS = ("d0", "d1", "d2", "d3", "d4")
 TERM_SECONDS = 1.0
 
-# The folder that the tests run in would come before PYTHONPATH; compiled files show what was imported.
+# Without PYTHONSAFEPATH the working directory precedes PYTHONPATH; compiled files show what was imported.
 PREVIOUS_FIRST = {"PYTHONSAFEPATH": "1", "PYTHONDONTWRITEBYTECODE": ""}
 
 pytestmark = pytest.mark.skipif(not is_known(), reason="this checkout has no history")
@@ -32,14 +32,14 @@
 
 
 def has_run(previous: Path) -> bool:
-    """Whether a process has imported the previous program, whose decision module had a package of its own."""
+    """Return whether a process has imported the previous version, by its decision module's own package."""
     return (previous / "lapisway" / "__pycache__").is_dir()
 
 
 def test_a_tier_of_both_versions_keeps_a_conversation(
     previous: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """Each turn goes through the other sidecar than the one before, and a replica is killed half way."""
+    """Turns alternate between the sidecars, and a replica is killed halfway."""
     started: dict[str, bool] = {}
 
     class MixedTier(LocalTier):
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the tests of several packages share: worlds, processes, and an event loop in virtual time."""
+"""Helpers for the tests of several packages: worlds, processes, and an event loop in virtual time."""
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,6 +1,6 @@
-"""Tests that fail for a fault that is known and not mended yet: `KNOWN-RED.txt` at the root names them.
+"""Tests that fail for a known fault that is not fixed yet, as listed in `KNOWN-RED.txt` at the root.
 
-They run with the others and are printed with their result; a run is not failed by them alone.
+They run with the others and their results are printed; they alone don't fail a run.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def entries() -> dict[str, str]:
-    """Return the cause and the issue of each test that is listed.
+    """Return the cause and the issue of each listed test.
 
     Raises
     ------
@@ -30,5 +30,5 @@
 
 
 def node_without_case(node_id: str) -> str:
-    """Return a test's id without the case that it is run with."""
+    """Return a test's id without its parameters."""
     return node_id.partition("[")[0]
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -1,4 +1,4 @@
-"""Start the program as a process, and read its log."""
+"""Runs the program as a process, and reads its log."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def platform_config(**changes: Any) -> dict[str, Any]:
-    """Return a valid configuration in the platform's form, with these keys changed."""
+    """Return a valid platform configuration with these keys changed."""
     valid = {
         "name": "n1", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
@@ -25,7 +25,7 @@
 
 
 def write_platform_config(folder: Path, **changes: Any) -> Path:
-    """Write a valid configuration with these keys changed into a folder, and return its file."""
+    """Write a valid platform configuration with these keys changed to a folder, and return its path."""
     file = folder / "c.json"
     file.write_text(json.dumps(platform_config(**changes)), encoding="utf-8")
     return file
@@ -41,7 +41,7 @@
     arguments: tuple[str, ...] = (),
     **changes: Any,
 ) -> Iterator[subprocess.Popen[str]]:
-    """Run the program with this text as its operators' file; it is killed at the end."""
+    """Run the program with this text as its operators' file; kill it at the end."""
     config = write_platform_config(tmp_path, **{"name": "n 3", **changes})
     (tmp_path / "o").write_text(operators, encoding="utf-8")
     with subprocess.Popen(
@@ -56,7 +56,7 @@
         try:
             yield process
         finally:
-            process.kill()  # or a test that fails would wait for it
+            process.kill()  # otherwise a failing test would wait for it
 
 
 def wait_for_line(process: subprocess.Popen[str], event: str) -> str:
--- a/tests/support/virtual_loop.py
+++ b/tests/support/virtual_loop.py
@@ -1,8 +1,8 @@
 """An asyncio event loop on simulated time, with a simulated network and disk threads.
 
 Nothing sleeps: when no callback is due, the clock jumps to the next timer. Connections are pairs of in-memory
-transports whose bytes arrive after a delay, unless the link between two hosts is cut. What runs in an
-executor is called at once and its result delivered after the disk's delay.
+transports whose bytes arrive after a delay, unless the link between two hosts is cut. Calls in an executor
+run after the disk's delay.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 from wheatring.tier.durable.exceptions import DiskError
 
-DEFAULT_DELAY_SECONDS = 0.001  # seconds one link
-DISK_DELAY_SECONDS = 0.0005  # seconds for a write and its sync
-ARRIVAL_STEP_SECONDS = 1e-9  # seconds, at least, between two arrivals on one connection
-SYN_RETRY_SECONDS = 1.0  # seconds after which the system tries an unanswered connect again
+DEFAULT_DELAY_SECONDS = 0.001  # of a link, in one direction
+DISK_DELAY_SECONDS = 0.0005  # of a write and its sync
+ARRIVAL_STEP_SECONDS = 1e-9  # minimum between two arrivals on one connection
+SYN_RETRY_SECONDS = 1.0  # after which the system retries an unanswered connect
 
 
 class _JumpingSelector(selectors.BaseSelector):
-    """Waits for nothing: what the loop would wait for is added to its clock."""
+    """Never blocks: the time that the loop would wait for is added to its clock."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -38,7 +38,7 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("everything waits, and nothing will ever happen")
+            raise RuntimeError("deadlock: all tasks wait and no timer is pending")
         self.now += max(timeout, 0.0)
         return []
 
@@ -47,7 +47,7 @@
 
 
 class Incarnation:
-    """One incarnation of a host's process: what it schedules runs only while it is alive and not frozen."""
+    """One incarnation of a host's process: its callbacks run only while it is alive and not frozen."""
 
     def __init__(self, host: str) -> None:
         self.host = host
@@ -66,7 +66,7 @@
         call(*args)
 
     def thaw(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Let the process go on: everything that has come due meanwhile runs next, in its order."""
+        """Resume the process: callbacks that became due while it was frozen run next, in order."""
         self.frozen = False
         delayed, self._delayed = self._delayed, []
         for call, args, context in delayed:
@@ -82,16 +82,16 @@
     """One loop for a whole simulated system."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._jumping_selector = _JumpingSelector()
+        super().__init__(self._jumping_selector)
         self.network = Network(self)
-        self.faults: list[dict[str, Any]] = []  # what tasks and callbacks have raised unseen
+        self.faults: list[dict[str, Any]] = []  # unhandled exceptions of tasks and callbacks
         self.set_exception_handler(lambda _loop, context: self.faults.append(context))
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._jumping_selector.now
 
-    def _guarded(
+    def _bind_to_incarnation(
         self, callback: Callable[..., object], args: tuple[Any, ...], context: contextvars.Context | None
     ) -> tuple[Callable[..., object], tuple[Any, ...], contextvars.Context]:
         context = contextvars.copy_context() if context is None else context
@@ -103,15 +103,15 @@
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> asyncio.Handle:
         if self.is_closed():
             return asyncio.Handle(callback, args, self, context)
-        call, given, ctx = self._guarded(callback, args, context)
-        return super().call_soon(call, *given, context=ctx)
+        call, call_args, ctx = self._bind_to_incarnation(callback, args, context)
+        return super().call_soon(call, *call_args, context=ctx)
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> asyncio.TimerHandle:
-        call, given, ctx = self._guarded(callback, args, context)
-        return super().call_at(when, call, *given, context=ctx)
+        call, call_args, ctx = self._bind_to_incarnation(callback, args, context)
+        return super().call_at(when, call, *call_args, context=ctx)
 
     def run_in_executor(self, _executor: Any, func: Any, *args: Any) -> asyncio.Future[Any]:
-        """Run work of the disk's thread; what is not done when the process ends is never done."""
+        """Run a call of the disk's thread, which is lost if the process ends before."""
         future = self.create_future()
         incarnation = CURRENT_INCARNATION.get()
 
@@ -171,8 +171,8 @@
             self._paused = []
 
     def resume_reading(self) -> None:
-        waiting, self._paused = self._paused, None
-        for data in waiting or ():
+        held_back, self._paused = self._paused, None
+        for data in held_back or ():
             self.received(data)
 
     def close(self) -> None:
@@ -195,7 +195,7 @@
             self.protocol.data_received(data)
 
     def ended(self, reset: bool) -> None:
-        """Note that the other end has closed."""
+        """Handle the close of the other end."""
         if self.closed:
             return
         if not reset and not self._ending and self.protocol.eof_received():
@@ -225,31 +225,31 @@
 
 
 class Network:
-    """Hosts, the links between them, and who listens where."""
+    """Hosts, the links between them, and their servers."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
         self.servers: dict[tuple[str, int], VirtualServer] = {}
         self.transports: set[VirtualTransport] = set()
-        self.cuts: set[tuple[str, str]] = set()  # from host, to host: bytes do not pass
+        self.cuts: set[tuple[str, str]] = set()  # (source, target) links that pass no bytes
         self.delay: Callable[[str, str], float] = lambda _source, _target: DEFAULT_DELAY_SECONDS
         self._last_arrival: dict[VirtualTransport, float] = {}
         self._delayed: dict[tuple[str, str], list[tuple[VirtualTransport, Callable[[], None]]]] = {}
 
-    # Ways
+    # Links
 
     def cut(self, source: str, target: str) -> None:
-        """Delay bytes from one host to another until the partition ends."""
+        """Hold back bytes from one host to another until the link is healed."""
         self.cuts.add((source, target))
 
     def heal(self, source: str, target: str) -> None:
-        """End a partition: what was delayed arrives."""
+        """Restore a link: bytes that were held back arrive."""
         self.cuts.discard((source, target))
         for transport, arrive in self._delayed.pop((source, target), []):
             self._arrive((source, target), transport, arrive)
 
     def kill(self, host: str) -> None:
-        """End all connections of a host: its peers get resets, and it receives nothing more."""
+        """End all connections of a host: its peers get resets, and it receives no more data."""
         for address in [address for address in self.servers if address[0] == host]:
             del self.servers[address]
         for transport in [t for t in self.transports if t.host == host]:
@@ -259,7 +259,7 @@
 
     # Bytes
 
-    def _later(self, source: VirtualTransport, target: VirtualTransport, call: Callable[[], None]) -> None:
+    def _send(self, source: VirtualTransport, target: VirtualTransport, call: Callable[[], None]) -> None:
         if self.loop.is_closed():
             return
         link = (source.host, target.host)
@@ -269,30 +269,30 @@
         self._arrive(link, target, call)
 
     def _arrive(self, link: tuple[str, str], target: VirtualTransport, call: Callable[[], None]) -> None:
-        """Bytes of one connection keep their order; the loop does not keep that of equal times."""
+        """Schedule an arrival after the previous one, as the loop does not keep the order of equal times."""
         due = self.loop.time() + self.delay(*link)
         due = max(due, self._last_arrival.get(target, 0.0) + ARRIVAL_STEP_SECONDS)
         self._last_arrival[target] = due
         self.loop.call_at(due, call, context=target.context)
 
     def deliver(self, source: VirtualTransport, target: VirtualTransport, data: bytes) -> None:
-        """Bytes on their link."""
-        self._later(source, target, lambda: target.received(data))
+        """Send bytes over a link."""
+        self._send(source, target, lambda: target.received(data))
 
     def finish(self, source: VirtualTransport, target: VirtualTransport, reset: bool = False) -> None:
-        """End a connection on its link."""
-        self._later(source, target, lambda: target.ended(reset))
+        """Send the end of a connection over its link."""
+        self._send(source, target, lambda: target.ended(reset))
 
     # Connections
 
     def listen(self, factory: Callable[[], Any], host: str, port: int) -> VirtualServer:
-        """As the loop's `create_server`."""
+        """Listen, as the loop's `create_server`."""
         server = VirtualServer(self, (host, port), factory)
         self.servers[(host, port)] = server
         return server
 
     async def connect(self, factory: Callable[[], Any], host: str, port: int) -> tuple[Any, Any]:
-        """As the loop's `create_connection`, from the host whose incarnation this is."""
+        """Connect, as the loop's `create_connection`, from the host of the current incarnation."""
         incarnation = CURRENT_INCARNATION.get()
         source = incarnation.host if incarnation is not None else "outside"
         while (source, host) in self.cuts or (host, source) in self.cuts:
--- a/tests/support/virtual_sockets.py
+++ b/tests/support/virtual_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets in virtual time: those of the lab, with calls that let time pass until they can return."""
+"""The lab's sockets in virtual time, with blocking calls that advance the time until they can return."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         self.close = socket.close
 
     def settimeout(self, seconds: float) -> None:
-        """Each call has the same far limit."""
+        """Do nothing: all calls have the same limit."""
 
     def recv(self, size: int) -> bytes:
         self.sockets.until(self.socket.readable)
@@ -47,7 +47,7 @@
 
 
 class VirtualSockets:
-    """A sidecar and its peers, two programs on one host. What falls on one instant comes in a drawn order."""
+    """A sidecar and its peers, two processes on one host. Simultaneous events come in a random order."""
 
     def __init__(self) -> None:
         self.time = VirtualTime(ties=Random(1))
@@ -57,13 +57,13 @@
         self.unix = self.reactor.unix
 
     def run(self, call: Callable[[], T]) -> T:
-        done: T = self.reactor.run(call)
-        return done
+        result: T = self.reactor.run(call)
+        return result
 
-    def until(self, met: Callable[[], object]) -> None:
+    def until(self, condition: Callable[[], object]) -> None:
         limit = self.time.now() + WAIT_LIMIT_SECONDS
-        while not met():
-            assert self.time.step(limit), "it never came"
+        while not condition():
+            assert self.time.step(limit), "condition not met within the limit"
 
     def settle(self) -> None:
         self.time.run(self.time.now() + 0.01)
@@ -75,7 +75,7 @@
         return BlockingSocket(self, socket)
 
     def refuse(self, listener: Any) -> Any:
-        """Close a listener: in this network a closed port is not given out again."""
+        """Close a listener; this network never assigns a closed port again."""
         listener.close()
         return listener
 
@@ -88,7 +88,7 @@
         return BlockingSocket(self, socket)
 
     def ready(self, listeners: list[Any]) -> int:
-        """Which of them somebody waits at, once somebody does."""
+        """Wait for a connection; return the index of the listener that has one."""
         self.until(lambda: any(listener.socket.queue for listener in listeners))
         return [bool(listener.socket.queue) for listener in listeners].index(True)
 
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -1,8 +1,8 @@
-"""A sidecar amid peers that follow a script, on real sockets or on virtual ones.
+"""A sidecar with scripted peers, on real or on virtual sockets.
 
-On `LoopbackSockets` the reactor runs in a thread of its own, and peers and callers are plain sockets that the
-test reads and writes. On `VirtualSockets` all of it runs in virtual time, which goes on while the test waits.
-Every wait has one limit, which is met only if the test fails.
+With `LoopbackSockets` the reactor runs in its own thread, and peers and callers are plain sockets that the
+test reads and writes. With `VirtualSockets` everything runs in virtual time, which advances while the test
+waits. All waits have the same limit, which is reached only if the test fails.
 """
 
 from __future__ import annotations
@@ -53,21 +53,21 @@
 
 
 class LoopbackSockets:
-    """The installed reactor, and sockets of the system."""
+    """The installed reactor, and sockets of the operating system."""
 
     reactor = reactor
     unix = staticmethod(time.time)
 
     def __init__(self) -> None:
-        self.changed = threading.Condition()  # something may be so now that was not
+        self.changed = threading.Condition()  # notified when an awaited condition may have become true
 
     def run(self, call: Callable[[], T]) -> T:
-        done: T = blockingCallFromThread(self.reactor, call)
-        return done
+        result: T = blockingCallFromThread(self.reactor, call)
+        return result
 
-    def until(self, met: Callable[[], object]) -> None:
+    def until(self, condition: Callable[[], object]) -> None:
         with self.changed:
-            assert self.changed.wait_for(met, WAIT_LIMIT_SECONDS), "it never came"
+            assert self.changed.wait_for(condition, WAIT_LIMIT_SECONDS), "condition not met within the limit"
 
     def settle(self) -> None:
         self.run(lambda: None)
@@ -77,10 +77,10 @@
         return socket.create_server(("127.0.0.1", 0))
 
     def refuse(self, listener: Any) -> Any:
-        """Close a listener that nobody has connected to, and keep its port from being given to anybody else.
+        """Close a listener without connections, and reserve its port.
 
-        A closed port is free for any test that runs at the same time and binds the next one: connections that
-        are to be refused would then be taken by that test's peer.
+        A closed port may be assigned to a test that runs at the same time, whose peer would then accept the
+        connections that have to be refused.
         """
         address = listener.getsockname()
         listener.close()
@@ -92,16 +92,16 @@
         return socket.create_connection(("127.0.0.1", port), WAIT_LIMIT_SECONDS)
 
     def ready(self, listeners: list[Any]) -> int:
-        """Which of them somebody waits at, once somebody does."""
-        with selectors.DefaultSelector() as ready:
+        """Wait for a connection; return the index of the listener that has one."""
+        with selectors.DefaultSelector() as selector:
             for listener in listeners:
-                ready.register(listener, selectors.EVENT_READ)
-            ((key, _), *_) = ready.select(WAIT_LIMIT_SECONDS)
+                selector.register(listener, selectors.EVENT_READ)
+            ((key, _), *_) = selector.select(WAIT_LIMIT_SECONDS)
         return listeners.index(key.fileobj)
 
 
 class Wire:
-    """One end of a connection, which the test reads and writes."""
+    """One end of a connection that the test reads and writes."""
 
     def __init__(self, sock: Any) -> None:
         sock.settimeout(WAIT_LIMIT_SECONDS)
@@ -114,24 +114,24 @@
     def read(self) -> tuple[str, dict[str, str], bytes]:
         """Return the next message: first line, fields, body."""
         while b"\r\n\r\n" not in self.buffer:
-            self._more()
+            self._receive()
         head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
         first, *lines = head.decode("latin-1").split("\r\n")
         fields = {name.lower(): value for name, value in (line.split(": ", 1) for line in lines)}
         length = int(fields.get("content-length", 0))
         while len(self.buffer) < length:
-            self._more()
+            self._receive()
         body, self.buffer = self.buffer[:length], self.buffer[length:]
         return first, fields, body
 
-    def _more(self) -> None:
+    def _receive(self) -> None:
         data = self.sock.recv(65536)
         if not data:
             raise EOFError
         self.buffer += data
 
     def at_end(self) -> bool:
-        """Wait for the end; return whether the other side has closed with nothing left to read."""
+        """Wait for the peer's close; return whether there was no unread data before it."""
         try:
             return not self.buffer and self.sock.recv(1) == b""
         except ConnectionResetError:
@@ -149,7 +149,7 @@
 
 
 class Peer:
-    """A listening peer: an endpoint or discovery."""
+    """A listening peer: an endpoint or the discovery service."""
 
     def __init__(self, sockets: LoopbackSockets | VirtualSockets | None = None) -> None:
         self.sockets = sockets or LoopbackSockets()
@@ -160,23 +160,23 @@
     def accept(self) -> Wire:
         return Wire(self.listener.accept()[0])
 
-    def serve(self, one: Callable[[Wire], None]) -> None:
-        """Give each connection a thread of its own, until this is closed; `one` ends with its peer."""
+    def serve(self, handle: Callable[[Wire], None]) -> None:
+        """Call `handle` for each connection in a thread of its own, until this peer is closed."""
 
-        def each(wire: Wire) -> None:
+        def handle_and_close(wire: Wire) -> None:
             with suppress(OSError, EOFError):
-                one(wire)
+                handle(wire)
             wire.close()
 
-        def all_of_them() -> None:
+        def accept_all() -> None:
             with suppress(OSError):
                 while True:
-                    threading.Thread(target=each, args=(self.accept(),), daemon=True).start()
+                    threading.Thread(target=handle_and_close, args=(self.accept(),), daemon=True).start()
 
-        threading.Thread(target=all_of_them, daemon=True).start()
+        threading.Thread(target=accept_all, daemon=True).start()
 
     def refuse(self) -> None:
-        """Refuse all connections from now on; nobody has connected so far."""
+        """Refuse all connections from now on; there are none yet."""
         self.listener = self.sockets.refuse(self.listener)
 
     def close(self) -> None:
@@ -184,12 +184,12 @@
 
 
 def entry(name: str, peer: Peer, **more: Any) -> dict[str, Any]:
-    where = f"127.0.0.1:{peer.port}"
-    return {"instanceId": name, "hostPort": where, "lifecycle": "SERVING", "startedAtMs": 0, **more}
+    host_port = f"127.0.0.1:{peer.port}"
+    return {"instanceId": name, "hostPort": host_port, "lifecycle": "SERVING", "startedAtMs": 0, **more}
 
 
 class World:
-    """A sidecar with so many endpoints, and a discovery that the test may answer for."""
+    """A sidecar with a number of endpoints, and a discovery service that the test may script."""
 
     def __init__(
         self,
@@ -234,14 +234,14 @@
                 self.sockets.changed.notify_all()
 
     def run(self, call: Callable[[], T]) -> T:
-        """Call something in the reactor and wait for what it returns."""
+        """Run a call in the reactor and return its result."""
         return self.sockets.run(call)
 
     def codes(self, event: str) -> list[object]:
         return [values.get("code") for name, values in list(self.lines) if name == event]
 
     def logged(self, event: str, count: int = 1) -> list[object]:
-        """Wait until the log has so many lines of an event; their codes."""
+        """Wait until the log has this many lines of an event, and return their codes."""
         self.sockets.until(lambda: sum(e == event for e, _ in self.lines) >= count)
         return self.codes(event)
 
@@ -251,7 +251,7 @@
         return wire
 
     def ask(self, name: str = "menu", wire: Wire | None = None, left: int = 6000, more: str = "") -> Wire:
-        """Send one request; GET for menu, POST for the others."""
+        """Send one request: GET for the class `menu`, POST for others."""
         wire = wire or self.caller()
         method = "GET" if name == "menu" else "POST"
         self.asked += 1
@@ -261,11 +261,11 @@
         return wire
 
     def settle(self) -> None:
-        """Let the reactor take what the sockets hold by now: that comes between any two calls into it."""
+        """Let the reactor process all data that the sockets have received so far."""
         self.sockets.settle()
 
     def first(self) -> Wire:
-        """Return the next connection to whichever endpoint is tried."""
+        """Return the next connection to any endpoint."""
         return self.nodes[self.sockets.ready([peer.listener for peer in self.nodes])].accept()
 
     def end(self) -> None:
@@ -281,7 +281,7 @@
                 connection.abort("test")
 
         self.run(stop)
-        self.settle()  # their log lines come before the next world's
+        self.settle()  # so that their log lines are not mixed with the next world's
         for wire in self.wires:
             wire.close()
         for peer in [*self.nodes, self.discovery]:
@@ -289,10 +289,10 @@
 
 
 def keep_scripted_peers(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Prepare for worlds: no scripted peer is given up, and the log is put back at the end of the test.
+    """Keep scripted peers from being given up, and restore the log at the end of the test.
 
-    On a busy machine a peer that has answered quickly once would soon be given up. Each world sets a log line
-    of its own.
+    On a busy machine the balancer would soon give up a peer that has once answered quickly. Each world
+    replaces `log.line`.
     """
     monkeypatch.setattr(balancer, "PATIENCE_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -118,13 +118,13 @@
 Prepare = Callable[[argparse.Namespace], Callable[[], int]]
 
 
-def _command(commands: Commands, name: str, prepare: Prepare, what: str) -> argparse.ArgumentParser:
-    parser = commands.add_parser(name, help=what, description=what)
-    parser.set_defaults(call=lambda args: _guarded(prepare, args))
+def _command(commands: Commands, name: str, prepare: Prepare, description: str) -> argparse.ArgumentParser:
+    parser = commands.add_parser(name, help=description, description=description)
+    parser.set_defaults(call=lambda args: _run_guarded(prepare, args))
     return parser
 
 
-def _guarded(prepare: Prepare, args: argparse.Namespace) -> int:
+def _run_guarded(prepare: Prepare, args: argparse.Namespace) -> int:
     try:
         from wheatring.lab.live.process import ProcessError
 
@@ -148,12 +148,12 @@
     print(text, file=sys.stderr, flush=True)
 
 
-def _written(found: Any, lines: Iterable[str], file: Path | None) -> None:
+def _write_result(result: Any, lines: Iterable[str], file: Path | None) -> None:
     """Write a result to the file, if one is given, and print its summary."""
     import msgspec
 
     if file is not None:
-        file.write_bytes(msgspec.json.format(msgspec.json.encode(found), indent=1) + b"\n")
+        file.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1) + b"\n")
     print("\n".join(lines))
 
 
@@ -164,18 +164,18 @@
 
     found = load(args.scenario)
     plan = draw(found, args.seed)
-    never = scale.unplayable_kinds(plan)
-    if never and not args.leave_out:
-        raise ValueError(f"{found.where}: can't be played on loopback: {', '.join(never)} (--leave-out)")
-    plan = scale.scaled(scale.without_kinds(plan, never), args.scale)
+    unplayable = scale.unplayable_kinds(plan)
+    if unplayable and not args.leave_out:
+        raise ValueError(f"{found.where}: can't be played on loopback: {', '.join(unplayable)} (--leave-out)")
+    plan = scale.scaled(scale.without_kinds(plan, unplayable), args.scale)
 
     def run() -> int:
         """Play the plan and print its outcome."""
         from wheatring.lab.live.play import play, shown
 
         outcome = play(plan, _progress)
-        outcome.left_out = list(never)
-        _written(outcome, shown(outcome), args.json)
+        outcome.left_out = list(unplayable)
+        _write_result(outcome, shown(outcome), args.json)
         return 1 if outcome.breach_count else 0
 
     return run
@@ -189,9 +189,9 @@
 
     sets = [*args.set, *([f"front.sidecars={args.sidecars}"] if args.sidecars is not None else [])]
     plan = draw(run_builder.load_scenario(args.scenario, settings.single(sets, [])), args.seed)
-    never = scale.unplayable_kinds(plan)
-    if never:
-        raise ValueError(f"{args.scenario}: can't be played on loopback: {', '.join(never)}")
+    unplayable = scale.unplayable_kinds(plan)
+    if unplayable:
+        raise ValueError(f"{args.scenario}: can't be played on loopback: {', '.join(unplayable)}")
     live_only = dict.fromkeys(event.kind for event in plan.events if event.kind in LIVE_ONLY)
     if args.virtual and live_only:
         raise ValueError(f"{args.scenario}: can't be played in virtual time: {', '.join(live_only)}")
@@ -211,9 +211,9 @@
             list_acquisition.check_resources(needed)
             live = play(plan, _progress, with_links=True)
             outcome, lines = live, list(shown(live))
-        _written(outcome, [*lines, *list_acquisition.shown(plan, outcome)], args.json)
-        kept = all(kept for kept, _ in list_acquisition.judged(plan, outcome))
-        return 0 if kept and not outcome.breach_count else 1
+        _write_result(outcome, [*lines, *list_acquisition.shown(plan, outcome)], args.json)
+        is_passed = all(is_passed for is_passed, _ in list_acquisition.judged(plan, outcome))
+        return 0 if is_passed and not outcome.breach_count else 1
 
     return run
 
@@ -225,20 +225,20 @@
 
     for name in ("rounds", "scale", "body"):
         _positive(f"--{name}", getattr(args, name))
-    chosen = cores.chosen(args.cores) if args.cores else None
-    plain = bench.Sizes()
+    chosen_cores = cores.chosen(args.cores) if args.cores else None
+    defaults = bench.Sizes()
     sizes = bench.Sizes(
         rounds=args.rounds,
-        many=plain.many * args.scale,
-        one=plain.one * args.scale,
-        open=plain.open * args.scale,
+        many=defaults.many * args.scale,
+        one=defaults.one * args.scale,
+        open=defaults.open * args.scale,
         body=args.body,
     )
 
     def run() -> int:
         """Run the benchmark and print its table."""
-        report = bench.run(chosen or cores.idlest(), sizes, _progress)
-        _written(report, table.shown(report), args.json)
+        report = bench.run(chosen_cores or cores.idlest(), sizes, _progress)
+        _write_result(report, table.shown(report), args.json)
         return 0
 
     return run
@@ -274,7 +274,7 @@
         """Generate the load and print its result."""
         with Process("load", module("wheatring.lab.live.generator_process")) as process:
             result = play(process, load)
-        _written(result, shown(result), args.json)
+        _write_result(result, shown(result), args.json)
         return 0 if result.valid else 1
 
     return run
