--- a/tests/daemon/ops/test_capture.py
+++ b/tests/daemon/ops/test_capture.py
@@ -187,10 +187,10 @@
 
     patch_os(monkeypatch, open=open_and_measure)
     for start in range(4):
-        to = open_ring(tmp_path, 3, 2)
+        capture_ring = open_ring(tmp_path, 3, 2)
         for number in range(300):
-            to.write(f"t {start} {number} {'x' * (number % 90)}")
-        to.close()
+            capture_ring.write(f"t {start} {number} {'x' * (number % 90)}")
+        capture_ring.close()
         assert size_of(tmp_path) <= 3 * 2048
     assert len(sizes) > 20 and max(sizes) <= 3 * 2048
     lines = lines_in(tmp_path)
@@ -200,11 +200,11 @@
 
 def test_a_ring_with_a_smaller_limit_deletes_older_files(tmp_path: Path) -> None:
     for files, kb in ((2, 8), (3, 2), (9, 1), (2, 50)):
-        to = open_ring(tmp_path, files, kb)
+        capture_ring = open_ring(tmp_path, files, kb)
         assert size_of(tmp_path) <= files * kb * 1024
         for number in range(2000):
-            to.write(f"t {number}")
-        to.close()
+            capture_ring.write(f"t {number}")
+        capture_ring.close()
         assert size_of(tmp_path) <= files * kb * 1024 and len(list(tmp_path.iterdir())) <= files
 
 
--- a/wheatring/commands/lab_study.py
+++ b/wheatring/commands/lab_study.py
@@ -105,7 +105,7 @@
     report.set_defaults(call=reports_errors(_report))
 
 
-def _runs_in_order(args: argparse.Namespace, choices: list[Settings], build: Build) -> list[RunSpec]:
+def _runs_in_order(args: argparse.Namespace, settings_list: list[Settings], build: Build) -> list[RunSpec]:
     """Return the runs ordered by seed, so that a stopped sweep has covered all scenarios and settings."""
     from wheatring.lab.study import StudyError, run_builder
     from wheatring.lab.study.runs import seeds_of
@@ -119,7 +119,7 @@
     lists = [
         run_builder.make_run_specs(name, seeds, grains, settings, build)
         for name in dict.fromkeys(args.scenarios)
-        for settings in choices
+        for settings in settings_list
     ]
     return [
         spec
@@ -143,18 +143,18 @@
     from wheatring.lab.study import settings, store, sweep
     from wheatring.lab.study.runs import build_at
 
-    choices = [settings.with_fault(each, args.plant) for each in settings.varied(args.set, args.patch)]
-    specs = _runs_in_order(args, choices, build_at())
+    settings_list = [settings.with_fault(each, args.plant) for each in settings.varied(args.set, args.patch)]
+    specs = _runs_in_order(args, settings_list, build_at())
     args.store.parent.mkdir(parents=True, exist_ok=True)
-    with store.opened(args.store) as kept:
-        swept = sweep.play(
-            specs, kept, args.run, workers=args.workers, limit=args.limit, fail_fast=args.fail_fast
+    with store.opened(args.store) as results:
+        sweep_result = sweep.play(
+            specs, results, args.run, workers=args.workers, limit=args.limit, fail_fast=args.fail_fast
         )
     if args.json:
-        print(msgspec.json.encode(sweep.summary(swept)).decode())
+        print(msgspec.json.encode(sweep.summary(sweep_result)).decode())
     else:
-        sweep.show(swept, _console())
-    return swept.status
+        sweep.show(sweep_result, _console())
+    return sweep_result.status
 
 
 def _compare(args: argparse.Namespace) -> int:
@@ -165,25 +165,25 @@
 
     sides, labels = [], []
     for side in ("a", "b"):
-        own = vars(args)
-        plain = settings.single(args.set + own[f"set_{side}"], args.patch + own[f"patch_{side}"])
-        chosen = settings.with_fault(plain, args.plant)
-        folder = own[f"build_{side}"]
+        options = vars(args)
+        overrides = settings.single(args.set + options[f"set_{side}"], args.patch + options[f"patch_{side}"])
+        chosen = settings.with_fault(overrides, args.plant)
+        folder = options[f"build_{side}"]
         sides.append(_runs_in_order(args, [chosen], build_at(folder or HERE)))
         labels.append(chosen.label() + (f", build {folder}" if folder else ""))
     names = list(dict.fromkeys(["g", "service", *args.figure]))
     args.store.parent.mkdir(parents=True, exist_ok=True)
-    with store.opened(args.store) as kept:
+    with store.opened(args.store) as results:
         both = [spec for pair in zip(*sides, strict=True) for spec in pair]
-        swept = sweep.play(both, kept, args.run, workers=args.workers, limit=args.limit)
-        found = compare.compared(kept, sides[0], sides[1], names, (labels[0], labels[1]))
+        sweep_result = sweep.play(both, results, args.run, workers=args.workers, limit=args.limit)
+        comparison = compare.compared(results, sides[0], sides[1], names, (labels[0], labels[1]))
     if args.json:
-        print(msgspec.json.encode(found).decode())
+        print(msgspec.json.encode(comparison).decode())
     else:
         console = _console()
-        compare.show(found, console)
-        sweep.show_lost(swept, console)
-    return 130 if swept.stopped else 0
+        compare.show(comparison, console)
+        sweep.show_lost(sweep_result, console)
+    return 130 if sweep_result.stopped else 0
 
 
 def _report(args: argparse.Namespace) -> int:
@@ -204,12 +204,12 @@
         text = day.of_run(outcome, "")
     else:
         chosen = settings.single(args.set, args.patch).text() if args.set or args.patch else None
-        with store.opened(args.file, new=False) as kept:
-            rows = kept.rows(args.scenario, args.grain, chosen, args.build, args.seed)
+        with store.opened(args.file, new=False) as results:
+            rows = results.rows(args.scenario, args.grain, chosen, args.build, args.seed)
             if not rows:
                 raise StudyError(f"{args.file}: no such run is there")
             if len(rows) == 1 and rows[0].state == "done":
-                text = day.of_run(kept.outcome(rows[0]), replay_of(rows[0]))
+                text = day.of_run(results.outcome(rows[0]), replay_of(rows[0]))
             else:
                 names = dict.fromkeys(row.scenario for row in rows)
                 text = several.of_set(rows, f"{len(rows)} runs of {', '.join(names)}")
--- a/wheatring/common/errors.py
+++ b/wheatring/common/errors.py
@@ -49,9 +49,9 @@
         return self.what
 
 
-def kinds(of: type[OperatorError] = OperatorError) -> list[type[OperatorError]]:
+def kinds(base: type[OperatorError] = OperatorError) -> list[type[OperatorError]]:
     """Return all kinds that have a code and whose modules are imported, sorted by code."""
-    found = [kind for subclass in of.__subclasses__() for kind in kinds(subclass)]
-    if of.code:
-        found.append(of)
+    found = [kind for subclass in base.__subclasses__() for kind in kinds(subclass)]
+    if base.code:
+        found.append(base)
     return sorted(found, key=lambda kind: kind.code)
--- a/wheatring/daemon/config/platform_file.py
+++ b/wheatring/daemon/config/platform_file.py
@@ -99,15 +99,15 @@
 
 
 def _load(environment: Mapping[str, str]) -> dict[str, Any]:
-    where = environment.get("LB_CONFIG")
-    if not where:
+    path = environment.get("LB_CONFIG")
+    if not path:
         raise PlatformFileUnreadableError("LB_CONFIG: not set")
     try:
-        data = json.loads(Path(where).read_text(encoding="utf-8"), object_pairs_hook=_reject_repeated_keys)
+        data = json.loads(Path(path).read_text(encoding="utf-8"), object_pairs_hook=_reject_repeated_keys)
     except PlatformFileError:
         raise
     except OSError as error:
-        raise PlatformFileUnreadableError(f"LB_CONFIG: {error.strerror}: {where}") from error
+        raise PlatformFileUnreadableError(f"LB_CONFIG: {error.strerror}: {path}") from error
     except (ValueError, RecursionError) as error:
         raise PlatformFileUnreadableError(f"LB_CONFIG: not JSON: {error}") from error
     if not isinstance(data, dict):
@@ -117,12 +117,12 @@
 
 def _reject_repeated_keys(pairs: list[tuple[str, object]]) -> dict[str, object]:
     """Return the pairs as an object; reject repeated keys, whose intended value is unclear."""
-    found = dict(pairs)
-    if len(found) < len(pairs):
+    values = dict(pairs)
+    if len(values) < len(pairs):
         names = [name for name, _ in pairs]
         repeated = next(name for name in names if names.count(name) > 1)
         raise PlatformFileError(f"{repeated}: stands there twice")
-    return found
+    return values
 
 
 def _read_name(name: object) -> str:
--- a/wheatring/daemon/config/project_file.py
+++ b/wheatring/daemon/config/project_file.py
@@ -165,22 +165,22 @@
     except tomllib.TOMLDecodeError as error:
         raise ProjectFileUnreadableError(f"{path}: not TOML: {error}") from None
     try:
-        found = msgspec.convert(values, ProjectFile)
+        config = msgspec.convert(values, ProjectFile)
     except msgspec.ValidationError as error:
         raise ProjectFileError(_validation_line(path, text, values, str(error))) from None
-    invalid = _check_fleet(found) or _check_pools(found) or (check_further and check_further(found))
+    invalid = _check_fleet(config) or _check_pools(config) or (check_further and check_further(config))
     if invalid:
         key, reason = invalid
         table, _, last = key.rpartition(".")
         number = _line_of(text, table, last) or _line_of(text, "", key) or _line_of(text, "", table)
         raise ProjectFileError(f"{path}:{number}: {key}: {reason}" if number else f"{path}: {key}: {reason}")
-    rates = found.list
+    rates = config.list
     if rates.per_s > rates.first_per_s:
         number = _line_of(text, "list", "per_s") or _line_of(text, "list", "first_per_s")
         raise ProjectFileError(
             f"{path}:{number}: list.per_s: must not be over list.first_per_s, is {rates.per_s:g}"
         )
-    return found
+    return config
 
 
 def _read_text(path: str) -> str:
@@ -192,14 +192,14 @@
         raise ProjectFileUnreadableError(f"{path}: not UTF-8") from None
 
 
-def _check_fleet(found: ProjectFile) -> InvalidKey | None:
+def _check_fleet(config: ProjectFile) -> InvalidKey | None:
     """Return the first invalid or inconsistent key of `[fleet]`, of a duty or of the plan."""
-    fleet = found.fleet
-    if found.plan is not None and (fleet is None or not fleet.view):
+    fleet = config.fleet
+    if config.plan is not None and (fleet is None or not fleet.view):
         return InvalidKey("plan", "needs a [fleet] with view = true")
     if fleet is None:
-        return InvalidKey("duty", "needs a [fleet]") if found.duty else None
-    return _check_voters(fleet) or _check_fleet_addresses(fleet) or _check_duties(found.duty)
+        return InvalidKey("duty", "needs a [fleet]") if config.duty else None
+    return _check_voters(fleet) or _check_fleet_addresses(fleet) or _check_duties(config.duty)
 
 
 def _check_voters(fleet: FleetTable) -> InvalidKey | None:
@@ -241,16 +241,16 @@
     return None
 
 
-def _check_pools(found: ProjectFile) -> InvalidKey | None:
+def _check_pools(config: ProjectFile) -> InvalidKey | None:
     """Return the first invalid or inconsistent key of a pool or a route."""
-    if bool(found.pool) != bool(found.route):
-        kind, other = ("pool", "route") if found.pool else ("route", "pool")
+    if bool(config.pool) != bool(config.route):
+        kind, other = ("pool", "route") if config.pool else ("route", "pool")
         return InvalidKey(kind, f"needs a [{other}.NAME]")
-    for kind, tables in (("pool", found.pool), ("route", found.route)):
+    for kind, tables in (("pool", config.pool), ("route", config.route)):
         for name in tables:
             if not NAME.fullmatch(name):
                 return InvalidKey(f"{kind}.{name}", NAME_RULE)
-    for name, pool in found.pool.items():
+    for name, pool in config.pool.items():
         for key in ("zone", "machine", "cell"):
             if pool.discovery is not None and getattr(pool, key) is not None:
                 reason = "selects from the platform's list, so it can't be combined with discovery"
@@ -258,8 +258,8 @@
         if pool.discovery is not None and not 1 <= int(pool.discovery.rpartition(":")[2]) <= MAX_PORT:
             reason = f"not a port that can be called, is {pool.discovery!r}"
             return InvalidKey(f"pool.{name}.discovery", reason)
-    for name, route in found.route.items():
-        unknown = next((pool for pool in route.weights if pool not in found.pool), None)
+    for name, route in config.route.items():
+        unknown = next((pool for pool in route.weights if pool not in config.pool), None)
         if unknown is not None:
             return InvalidKey(f"route.{name}.weights", f"there is no [pool.{unknown}]")
         if not any(route.weights.values()):
