--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -294,7 +294,7 @@
     On a busy machine the balancer would soon give up a peer that has once answered quickly. Each world
     replaces `log.line`.
     """
-    monkeypatch.setattr(balancer, "PATIENCE_DEVIATIONS", 1e9)
+    monkeypatch.setattr(balancer, "ATTEMPT_TIMEOUT_DEVIATIONS", 1e9)
     monkeypatch.setattr(log, "line", log.line)
 
 
