--- a/tests/lab/net/environments.py
+++ b/tests/lab/net/environments.py
@@ -20,7 +20,7 @@
 
 
 class LoopbackEnvironment:
-    """Loopback, on the installed reactor, which runs in a thread of its own."""
+    """Loopback, on the installed reactor, which runs in its own thread."""
 
     here: Any = installed
     there: Any = installed
@@ -30,19 +30,19 @@
         done: T = blockingCallFromThread(installed, call)
         return done
 
-    def wait_until(self, met: Callable[[], object]) -> None:
-        """Let things happen until the condition is met."""
+    def wait_until(self, condition: Callable[[], object]) -> None:
+        """Run the reactor until the condition is met."""
         limit = self.here.seconds() + WAIT_LIMIT_SECONDS
-        while not self.run(met):
-            assert self.here.seconds() < limit, "it never came"
+        while not self.run(condition):
+            assert self.here.seconds() < limit, "the condition was not met in time"
 
     def settle(self, log: list[Any], passes: int = 12) -> None:
-        """Let things happen until no more does."""
-        quiet = 0
-        while quiet < passes:
+        """Run the reactor until no more events are logged."""
+        idle_passes = 0
+        while idle_passes < passes:
             before = len(log)
             self.run(lambda: None)
-            quiet = quiet + 1 if len(log) == before else 0
+            idle_passes = idle_passes + 1 if len(log) == before else 0
 
 
 class VirtualEnvironment:
@@ -57,10 +57,10 @@
         done: T = self.here.run(call)
         return done
 
-    def wait_until(self, met: Callable[[], object]) -> None:
+    def wait_until(self, condition: Callable[[], object]) -> None:
         limit = self.time.now() + WAIT_LIMIT_SECONDS
-        while not met():
-            assert self.time.step(limit), "it never came"
+        while not condition():
+            assert self.time.step(limit), "the condition was not met in time"
 
     def settle(self, _log: list[Any], _passes: int = 0) -> None:
         self.time.run(self.time.now() + 1.0)
@@ -77,22 +77,22 @@
     def __init__(self, name: str, log: list[Any]) -> None:
         self.name = name
         self.log = log
-        self.got = b""
+        self.received = b""
         self.over = False
 
-    def note(self, *what: object) -> None:
+    def log_event(self, *what: object) -> None:
         self.log.append((self.name, *what))
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        self.note("made")
-        self.transport.setTcpNoDelay(True)  # else real sockets hold small writes back for a while
+        self.log_event("made")
+        self.transport.setTcpNoDelay(True)  # otherwise Nagle's algorithm delays small writes on real sockets
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        self.got += data
-        self.note("data after the end" if self.over else "data", data)
+        self.received += data
+        self.log_event("data after the end" if self.over else "data", data)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
-        self.note("lost again" if self.over else "lost", type(reason.value).__name__)
+        self.log_event("lost again" if self.over else "lost", type(reason.value).__name__)
         self.over = True
         self.transport.write(b"too late")
 
@@ -100,14 +100,14 @@
 @implementer(interfaces.IHalfCloseableProtocol)
 class HalfEnd(End):
     def readConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
-        self.note("read side over")
+        self.log_event("read side over")
 
     def writeConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
-        self.note("write side over")
+        self.log_event("write side over")
 
 
 class Factory(protocol.ClientFactory, protocol.ServerFactory):
-    """Builds one end after another with `build`, and keeps them."""
+    """Creates an end for each connection with `build`, and keeps them all."""
 
     noisy = False
 
@@ -131,7 +131,7 @@
 
 
 def events_of(log: list[Any], name: str) -> list[Any]:
-    """Return the events that one end saw, consecutive bytes as one."""
+    """Return the events of one end, with consecutive received bytes merged."""
     found: list[Any] = []
     for who, *what in log:
         if who == name:
@@ -143,7 +143,7 @@
 
 
 class Pair:
-    """Two ends of one connection, client and server."""
+    """The client and server ends of a connection."""
 
     def __init__(
         self, environment: Environment, client: Callable[..., Any] = End, server: Callable[..., Any] = End
@@ -172,12 +172,12 @@
         return self.servers.ends[0]
 
     def do(self, call: Callable[[], object]) -> None:
-        """Call in the reactor, and let it have its effect."""
+        """Make a call in the reactor, and wait for its effects."""
         self.environment.run(call)
         self.environment.settle(self.log)
 
     def close_and_list_events(self) -> tuple[list[Any], list[Any]]:
-        """Close both ends and return the events that they saw."""
+        """Close both ends, and return the events of each before that."""
 
         def close() -> None:
             self.port.stopListening()
--- a/tests/lab/net/test_environments.py
+++ b/tests/lab/net/test_environments.py
@@ -1,4 +1,4 @@
-"""The same protocols on loopback and on the lab's network: both must tell them the same."""
+"""The same protocols produce the same events on loopback and on the simulated network."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Pull:
-    """A pull producer of so many pieces."""
+    """A pull producer of a given number of pieces."""
 
     def __init__(self, end: End, pieces: int) -> None:
         self.end = end
         self.pieces = pieces
 
     def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
-        self.end.note("pulled", self.pieces)
+        self.end.log_event("pulled", self.pieces)
         if self.pieces:
             self.pieces -= 1
             self.end.transport.write(b"piece")
@@ -35,7 +35,7 @@
             self.end.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
-        self.end.note("stopped producing")
+        self.end.log_event("stopped producing")
 
 
 class Push:
@@ -43,23 +43,23 @@
         self.end = end
 
     def pauseProducing(self) -> None:  # noqa: N802 - Twisted's name
-        self.end.note("pause")
+        self.end.log_event("pause")
 
     def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
-        self.end.note("resume")
+        self.end.log_event("resume")
         self.end.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802 - Twisted's name
-        self.end.note("stopped producing")
+        self.end.log_event("stopped producing")
 
 
 def step(end: End, what: str) -> None:
-    """One thing that an end can do, all of it in one turn."""
+    """Perform the actions of a script's entry, joined by "+", in one iteration of the reactor."""
     transport = end.transport
     for word in what.split("+"):
         if word == "write":
             transport.write(b"abc")
-        elif word == "much":
+        elif word == "large":
             transport.write(b"m" * 40_000)
         elif word == "pull" and transport.producer is None:
             transport.registerProducer(Pull(end, 1), False)
@@ -77,7 +77,7 @@
     "pause": "pauseProducing", "resume": "resumeProducing",
 }  # fmt: skip
 STEPS = [
-    "write", "much", "close", "abort", "half", "pause", "pause", "resume", "write+close", "write+abort",
+    "write", "large", "close", "abort", "half", "pause", "pause", "resume", "write+close", "write+abort",
     "write+half", "pull", "push", "write+pause", "half+close", "close+abort",
 ]  # fmt: skip
 Script = list[tuple[str, str]]
@@ -92,7 +92,7 @@
 
 @pytest.mark.parametrize("seed", range(40))
 @pytest.mark.usefixtures("running")
-def test_random_scripts_end_alike_on_both(seed: int) -> None:
+def test_random_scripts_produce_the_same_events_in_both_environments(seed: int) -> None:
     random = Random(seed)
     for _ in range(8):
         kinds = (random.choice((End, HalfEnd)), random.choice((End, HalfEnd)))
@@ -106,13 +106,15 @@
 EACH_ENVIRONMENT = pytest.mark.parametrize(
     "make_environment", [LoopbackEnvironment, VirtualEnvironment, partial(VirtualEnvironment, ties=True)]
 )
-Make = Callable[[], Environment]
+EnvironmentFactory = Callable[[], Environment]
 
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_what_was_written_before_an_abort_is_read_and_then_the_reset(make_environment: Make) -> None:
-    script = [("server", "pause"), ("client", "much"), ("client", "abort"), ("server", "resume")]
+def test_bytes_written_before_an_abort_are_received_before_the_reset(
+    make_environment: EnvironmentFactory,
+) -> None:
+    script = [("server", "pause"), ("client", "large"), ("client", "abort"), ("server", "resume")]
     client, server = play(make_environment(), script, (End, End))
     assert client == [
         ["made"],
@@ -124,7 +126,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_closing_over_unread_bytes_is_a_reset(make_environment: Make) -> None:
+def test_closing_with_unread_bytes_sends_a_reset(make_environment: EnvironmentFactory) -> None:
     script = [
         ("client", "pause"),
         ("server", "pause"),
@@ -137,7 +139,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_connection_half_closed_in_each_direction_is_closed_for_both(make_environment: Make) -> None:
+def test_a_connection_half_closed_in_both_directions_is_closed(make_environment: EnvironmentFactory) -> None:
     script = [("client", "write+half"), ("server", "write"), ("server", "half"), ("client", "close")]
     client, server = play(make_environment(), script, (HalfEnd, HalfEnd))
     assert client[:4] == [["made"], ["write side over"], ["data", b"abc"], ["read side over"]]
@@ -147,8 +149,8 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_pull_producer_is_asked_once_more_each_time_that_the_kernel_has_taken_all(
-    make_environment: Make,
+def test_a_pull_producer_is_resumed_when_the_socket_has_accepted_all_bytes(
+    make_environment: EnvironmentFactory,
 ) -> None:
     pair = Pair(make_environment())
     pair.do(lambda: pair.server.transport.registerProducer(Pull(pair.server, 3), False))
@@ -159,14 +161,16 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_pull_producer_waits_while_its_peer_reads_nothing(make_environment: Make) -> None:
+def test_a_pull_producer_is_not_resumed_while_its_peer_does_not_read(
+    make_environment: EnvironmentFactory,
+) -> None:
     pair = Pair(make_environment())
     body = b"x" * 8_000_000
     client, server = pair.client, pair.server
 
     class Large(Pull):
         def resumeProducing(self) -> None:  # noqa: N802 - Twisted's name
-            self.end.note("pulled")
+            self.end.log_event("pulled")
             if self.pieces:
                 self.pieces = 0
                 self.end.transport.write(body)
@@ -177,14 +181,14 @@
     pair.do(lambda: server.transport.registerProducer(Large(server, 1), False))
     assert pair.log.count(("server", "pulled")) == 1
     pair.environment.run(client.transport.resumeProducing)
-    pair.environment.wait_until(lambda: len(client.got) == len(body))
+    pair.environment.wait_until(lambda: len(client.received) == len(body))
     assert pair.log.count(("server", "pulled")) == 2
     pair.close_and_list_events()
 
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_failed_connects_say_why_and_may_be_repeated(make_environment: Make) -> None:
+def test_failed_connects_report_the_reason_and_may_be_retried(make_environment: EnvironmentFactory) -> None:
     pair = Pair(make_environment())
     pair.do(pair.port.stopListening)
     connector = pair.connect()
@@ -204,7 +208,9 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_connection_in_the_backlog_of_a_closing_listener_is_reset(make_environment: Make) -> None:
+def test_a_connection_in_the_backlog_of_a_closing_listener_is_reset(
+    make_environment: EnvironmentFactory,
+) -> None:
     pair = Pair(make_environment())
     pair.do(pair.port.stopReading)
     pair.connect()
@@ -223,7 +229,9 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_what_arrives_before_the_listener_accepts_is_there_when_it_does(make_environment: Make) -> None:
+def test_bytes_received_before_a_connection_is_accepted_are_delivered_afterwards(
+    make_environment: EnvironmentFactory,
+) -> None:
     pair = Pair(make_environment())
     pair.do(pair.port.stopReading)
     pair.connect()
@@ -241,7 +249,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_fault_in_a_protocol_ends_its_connection_and_no_more(make_environment: Make) -> None:
+def test_an_exception_in_a_protocol_closes_only_its_connection(make_environment: EnvironmentFactory) -> None:
     class Broken(End):
         def dataReceived(self, data: bytes) -> None:  # noqa: ARG002, N802 - Twisted's signature
             raise ZeroDivisionError
@@ -253,7 +261,7 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_a_factory_that_builds_nothing_closes_the_connection(make_environment: Make) -> None:
+def test_a_factory_that_builds_nothing_closes_the_connection(make_environment: EnvironmentFactory) -> None:
     pair = Pair(make_environment())
     pair.servers.build = lambda _name, _log: None
     pair.connect()
@@ -264,21 +272,21 @@
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_what_was_written_for_a_later_turn_is_not_sent_by_one_that_aborts_first(
-    make_environment: Make,
+def test_bytes_buffered_for_a_later_iteration_are_dropped_by_an_abort_before_it(
+    make_environment: EnvironmentFactory,
 ) -> None:
-    class Hasty(End):
+    class AbortsAfterWrite(End):
         def dataReceived(self, data: bytes) -> None:  # noqa: ARG002, N802 - Twisted's signature
             self.transport.write(b"a reply")
             self.transport.reactor.callLater(0, self.transport.abortConnection)
 
-    client, server = play(make_environment(), [("client", "write")], (End, Hasty))
+    client, server = play(make_environment(), [("client", "write")], (End, AbortsAfterWrite))
     assert client[1] == ["lost", "ConnectionLost"] and server == [["made"], ["lost", "ConnectionAborted"]]
 
 
 @EACH_ENVIRONMENT
 @pytest.mark.usefixtures("running")
-def test_addresses_are_those_of_both_ends(make_environment: Make) -> None:
+def test_host_and_peer_addresses_match_at_both_ends(make_environment: EnvironmentFactory) -> None:
     pair = Pair(make_environment())
     client, server = pair.client.transport, pair.server.transport
     assert client.getPeer() == server.getHost() == pair.address
--- a/tests/lab/net/test_time.py
+++ b/tests/lab/net/test_time.py
@@ -1,4 +1,4 @@
-"""Virtual time and the calls of processes, against simple models of both."""
+"""Virtual time and the scheduled calls of processes, checked against simple models."""
 
 from __future__ import annotations
 
@@ -18,66 +18,66 @@
 from wheatring.lab.net.time import StuckError
 
 DELAYS = st.sampled_from([-1.0, 0.0, 0.0, 0.01, 0.03125, 0.03125, 0.0625, 0.5, 3.0])
-# Calls as a tree: each is made after its delay, cancels one that was asked for before, and asks for others.
+# A tree of calls: each is made after its delay, cancels an earlier one, and schedules its children.
 CALLS: Any = st.recursive(
-    st.builds(lambda delay, drop: (delay, drop, []), DELAYS, st.integers(0, 12)),
+    st.builds(lambda delay, cancelled: (delay, cancelled, []), DELAYS, st.integers(0, 12)),
     lambda children: st.tuples(DELAYS, st.integers(0, 12), st.lists(children, max_size=4)),
     max_leaves=25,
 )
 
 
 class Tree:
-    """Plays a tree of calls, and keeps what was made when and by whom."""
+    """Schedules a tree of calls, and records when and in which order they are made."""
 
     def __init__(self, time: VirtualTime) -> None:
         self.time = time
-        self.asked: list[tuple[float, int]] = []  # for when, and by which
+        self.scheduled: list[tuple[float, int]] = []  # the instant and the number of the scheduling call
         self.events: list[Event] = []
         self.made: list[int] = []
 
-    def ask(self, call: Any, parent: int) -> None:
-        delay, drop, children = call
-        number = len(self.asked)
+    def schedule(self, call: Any, parent: int) -> None:
+        delay, cancelled, children = call
+        number = len(self.scheduled)
         instant = self.time.now() + delay
-        self.asked.append((max(instant, self.time.now()), parent))
-        self.events.append(self.time.at(instant, self.make, number, drop, children))
+        self.scheduled.append((max(instant, self.time.now()), parent))
+        self.events.append(self.time.at(instant, self.make, number, cancelled, children))
 
-    def make(self, number: int, drop: int, children: Any) -> None:
-        assert self.time.now() == self.asked[number][0] and not self.events[number].active()
+    def make(self, number: int, cancelled: int, children: Any) -> None:
+        assert self.time.now() == self.scheduled[number][0] and not self.events[number].active()
         self.made.append(number)
-        if drop < len(self.events) and self.events[drop].active():
-            self.events[drop].cancel()
-            self.asked[drop] = (inf, -1)
+        if cancelled < len(self.events) and self.events[cancelled].active():
+            self.events[cancelled].cancel()
+            self.scheduled[cancelled] = (inf, -1)
         for call in children:
-            self.ask(call, number)
+            self.schedule(call, number)
 
 
 @given(st.lists(CALLS, max_size=6), st.booleans(), st.booleans())
 @example([(0.0625, 12, []), (0.03125, 12, [(0.03125, 12, [])])], False, False)
-def test_calls_come_at_their_instant_in_the_order_asked_for_or_drawn(
+def test_calls_are_made_at_their_instant_in_scheduled_or_shuffled_order(
     calls: Any, shuffled: bool, stepped: bool
 ) -> None:
     tree = Tree(VirtualTime(ties=Random(1) if shuffled else None))
     for call in calls:
-        tree.ask(call, -1)
+        tree.schedule(call, -1)
     if stepped:
         while tree.time.step():
             pass
     else:
         tree.time.run(1001.0)
         tree.time.run(2000.0)
-    order = [(instant, number) for number, (instant, _) in enumerate(tree.asked) if instant < inf]
+    order = [(instant, number) for number, (instant, _) in enumerate(tree.scheduled) if instant < inf]
     if shuffled:
         assert sorted(tree.made) == sorted(number for _, number in order)
-        assert [tree.asked[n][0] for n in tree.made] == sorted(instant for instant, _ in order)
+        assert [tree.scheduled[n][0] for n in tree.made] == sorted(instant for instant, _ in order)
         place = {number: n for n, number in enumerate(tree.made)}
-        assert all(place[n] > place.get(tree.asked[n][1], -1) for n in tree.made)
+        assert all(place[n] > place.get(tree.scheduled[n][1], -1) for n in tree.made)
     else:
         assert tree.made == [number for _, number in sorted(order)]
     assert tree.time.events == len(tree.made) and not tree.time.pending()
 
 
-def test_an_order_drawn_is_drawn_from_all_and_the_same_for_a_seed() -> None:
+def test_shuffled_order_reaches_all_permutations_and_depends_only_on_the_seed() -> None:
     def order(seed: int) -> tuple[int, ...]:
         made: list[int] = []
         time = VirtualTime(ties=Random(seed))
@@ -91,7 +91,9 @@
     assert orders == [order(seed) for seed in range(200)]
 
 
-def test_an_instant_without_end_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_endless_events_at_one_instant_raise_an_error_naming_the_last_call(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(VirtualTime, "MAX_EVENTS_AT_INSTANT", 1000)
     monkeypatch.setattr(VirtualTime, "CHECK_INTERVAL_EVENTS", 100)
     environment = VirtualEnvironment()
@@ -104,7 +106,7 @@
         environment.time.run(1002.0)
 
 
-def test_what_an_event_raises_comes_out_and_time_can_go_on() -> None:
+def test_an_exception_of_an_event_propagates_and_the_clock_can_continue() -> None:
     made: list[int] = []
     time = VirtualTime()
     time.at(1001.0, int, "x")
@@ -117,10 +119,12 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["call", "cancel", "reset", "delay", "run"]), st.integers(0, 5),
                           st.sampled_from([0.0, 0.25, 1.0, 2.5]))))  # fmt: skip
-def test_calls_put_off_are_cancelled_and_moved_as_by_twisted(script: list[tuple[str, int, float]]) -> None:
+def test_delayed_calls_are_cancelled_and_rescheduled_as_by_twisted(
+    script: list[tuple[str, int, float]],
+) -> None:
     environment, clock = VirtualEnvironment(), Clock()
-    ours: list[Any] = []
-    theirs: list[Any] = []
+    lab_calls: list[Any] = []
+    twisted_calls: list[Any] = []
 
     def play(calls: list[Any], reactor: Any, made: list[Any], pass_time: Any) -> list[Any]:
         events: list[Any] = []
@@ -143,17 +147,17 @@
     made_here: list[Any] = []
     made_there: list[Any] = []
     events = play(
-        ours,
+        lab_calls,
         environment.here,
         made_here,
         lambda seconds: environment.time.run(environment.time.now() + seconds),
     )
     clock.rightNow = start
-    assert events == play(theirs, clock, made_there, lambda s: clock.pump([0.0] + [0.25] * int(s * 4)))
+    assert events == play(twisted_calls, clock, made_there, lambda s: clock.pump([0.0] + [0.25] * int(s * 4)))
     assert sorted(made_here) == sorted(made_there)
 
 
-def test_nothing_of_a_dead_process_is_ever_run_not_even_in_the_turn_in_which_it_died() -> None:
+def test_no_call_of_a_killed_process_runs_even_in_the_same_iteration() -> None:
     environment = VirtualEnvironment()
     made: list[Any] = []
     process = environment.here
@@ -167,7 +171,7 @@
     assert environment.time.running is None and not process.alive
 
 
-def test_nothing_more_is_read_once_the_first_of_two_readers_has_killed_their_process() -> None:
+def test_no_socket_is_read_after_another_reader_has_killed_the_process() -> None:
     class Killer(End):
         def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
             super().dataReceived(data)
--- a/tests/lab/wire/http_peers.py
+++ b/tests/lab/wire/http_peers.py
@@ -152,7 +152,7 @@
         self.clients, self.sidecar, self.node = [self.net.process(f"p{n}", f"127.0.0.{n}") for n in (1, 2, 3)]
         self.origins = CorrelationTable(Random(2))
         self.machine = Machine(book, cap)
-        full = partial(self.net.full, "127.0.0.3", 80)
+        full = partial(self.net.set_full, "127.0.0.3", 80)
         network = NodeNetwork("at {}".format, lambda _host: 0.002, full)
         rest = (self.time, Random(3), self.origins, FORMS, book, network)
         self.peer = NodeServer(self.machine, TIER, *rest)
--- a/tests/support/virtual_sockets.py
+++ b/tests/support/virtual_sockets.py
@@ -94,5 +94,5 @@
 
     def _socket(self) -> Socket:
         socket = Socket(self.test_process)
-        self.test_process.opened(socket)
+        self.test_process.add_descriptor(socket)
         return socket
--- a/wheatring/lab/net/__init__.py
+++ b/wheatring/lab/net/__init__.py
@@ -1,8 +1,9 @@
-"""Virtual time, processes, sockets and links: what real sidecars and Twisted protocols run on, unchanged.
+"""A simulated network in virtual time, on which real sidecars and Twisted protocols run unchanged.
 
-`VirtualTime` is the one clock, `Network` the hosts and what lies between them, `Process` the reactor of one
-program on one host. Twisted's own TCP transports run here on sockets that behave as a kernel's. It may import
-Twisted and `plan` and `timers` of the lab, and nothing else of the project.
+`VirtualTime` is the clock and scheduler, `Network` holds the hosts and the links between them, and `Process`
+is the reactor of one program on one host. Twisted's own TCP transports run on simulated sockets with a
+kernel's semantics. The package may import Twisted and the lab's `plan` and `timers`, and nothing else of the
+project.
 """
 
 from wheatring.lab.net.network import Network
--- a/wheatring/lab/net/links.py
+++ b/wheatring/lab/net/links.py
@@ -1,4 +1,4 @@
-"""What lies between two hosts: the delay of one direction, and one direction of one connection."""
+"""Links between two hosts, and streams: one direction of one TCP connection."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 from wheatring.lab.net.time import VirtualTime
 
-RESEND_SECONDS = 0.2  # seconds until what got lost is sent again, doubled each time ...
-MAX_RESEND_SECONDS = 120.0  # ... up to this
+RETRANSMIT_SECONDS = 0.2  # initial retransmission time-out, doubled with each retransmission
+MAX_RETRANSMIT_SECONDS = 120.0
 
 
-def resend_instant(first: float, healed: float) -> float:
-    """Return when something lost at `first` is sent again with success, on a link that heals at `healed`."""
-    wait = RESEND_SECONDS
-    instant = first + wait
-    while instant < healed:
-        wait = min(2 * wait, MAX_RESEND_SECONDS)
+def retransmit_instant(lost_at: float, healed_at: float) -> float:
+    """Return when data lost at `lost_at` is first retransmitted after the link has healed, at `healed_at`."""
+    wait = RETRANSMIT_SECONDS
+    instant = lost_at + wait
+    while instant < healed_at:
+        wait = min(2 * wait, MAX_RETRANSMIT_SECONDS)
         instant += wait
     return instant
 
 
 class Link:
-    """The link from one host to another.
+    """The link from one host to another, in one direction.
 
-    A delay is a floor and an exponential part above it: the mean and the coefficient of variation are as
-    asked for, and as on a real network nothing is much faster, but some is much slower.
+    A delay is a minimum plus an exponentially distributed part, with the mean and the coefficient of
+    variation given. As on a real network, no packet is much faster than the mean, but some are much slower.
     """
 
     __slots__ = (
@@ -38,9 +38,9 @@
         "factor",
         "jitter",
         "mean",
-        "silent",
+        "partitioned",
         "source",
-        "stalled",
+        "stalled_streams",
         "target",
     )
 
@@ -50,66 +50,66 @@
         self.mean = mean
         self.jitter = jitter
         self._random = random.random
-        self.silent = False  # nothing comes through
-        self.stalled: list[Stream[Any]] = []  # to go on once something does again
-        self.slow(1.0)
+        self.partitioned = False  # all packets are lost
+        self.stalled_streams: list[Stream[Any]] = []  # streams to resume when the link heals
+        self.set_delay_factor(1.0)
 
-    def slow(self, factor: float) -> None:
-        """Make the delays `factor` times as long as planned."""
+    def set_delay_factor(self, factor: float) -> None:
+        """Multiply the planned delays by `factor`."""
         self.factor = factor
         self._floor = self.mean * factor * (1 - self.jitter)
         self._spread = self.mean * factor * self.jitter
 
     def delay(self) -> float:
-        """Seconds, drawn anew each time."""
+        """Draw the delay of one packet, in seconds."""
         return self._floor - self._spread * log(1.0 - self._random())
 
     def resume(self) -> None:
-        """Let the streams go on that waited for the link to heal."""
-        stalled, self.stalled = self.stalled, []
-        for stream in stalled:
+        """Resume the streams that have held data or credits while packets were lost."""
+        stalled_streams, self.stalled_streams = self.stalled_streams, []
+        for stream in stalled_streams:
             stream.resume()
 
 
-# What passes in one direction beside bytes.
-OPEN = 1  # the last part of the handshake
+# Control packets of a stream.
+OPEN = 1  # the final ACK of the handshake
 FIN = 2
 RST = 3
 
 
 class TimedProcess(Protocol):
-    """The process of an end, which has a clock."""
+    """The process that owns an end of a connection, as far as a stream uses it."""
 
     time: VirtualTime
 
 
 class StreamEnd(Protocol):
-    """An end of a connection, as far as what carries its bytes uses it; see `sockets.Socket`."""
+    """An end of a connection, as far as a stream uses it; see `sockets.Socket`."""
 
     watcher: Any
     closed: bool
-    is_deaf: bool
+    is_read_shut: bool
     chunks: deque[tuple[bytes, float]]
-    out: Any  # the stream that leaves this end
+    outgoing: Any  # the stream that this end sends
 
     @property
     def process(self) -> TimedProcess:
-        """The process that it is of."""
+        """The process that owns this end."""
 
     def wake(self) -> None:
-        """Have whoever waits for this end look at it."""
+        """Notify the watcher that the state has changed."""
 
     def receive_control(self, what: object) -> None:
-        """Take a control packet."""
+        """Handle a control packet."""
 
     def reset_by_late_bytes(self) -> None:
-        """Answer bytes with a reset that came after this end had said that it reads no more."""
+        """Answer bytes that arrive after this end has shut down reading with a reset."""
 
-    def timed_out(self) -> None:
-        """End the connection by a time-out."""
+    def handle_timeout(self) -> None:
+        """Fail the connection with a time-out."""
 
     def end_handshake(self) -> None:
-        """Note that its handshake is over, in whatever way."""
+        """Remove the connection from the count of handshakes under way, whatever the outcome."""
 
 
 EndT = TypeVar("EndT", bound=StreamEnd)
@@ -118,180 +118,190 @@
 class Stream(Generic[EndT]):
     """One direction of one connection.
 
-    `used` bytes of its window are in flight, unread, or read without the sender knowing of it yet.
+    `used` is the number of bytes of the window that are in flight, unread, or read but not yet reported to
+    the sender.
     """
 
     __slots__ = (
-        "_armed", "_credits", "_held", "_held_since", "_last", "_owed", "_owed_since", "_waiting", "back",
-        "flight", "give_up", "link", "over", "read", "segment", "source", "target", "time", "used", "window",
+        "_armed", "_credits", "_held", "_held_since", "_last_arrival", "_unreported", "_unreported_since",
+        "_wakeup_wanted", "backward_link", "flight", "give_up_seconds", "link", "over", "read", "segment",
+        "source", "target", "time", "used", "window",
     )  # fmt: skip
 
     def __init__(
-        self, ends: tuple[EndT, EndT], link: Link, back: Link, window: int, segment: int, give_up: float
+        self,
+        ends: tuple[EndT, EndT],
+        link: Link,
+        backward_link: Link,
+        window: int,
+        segment: int,
+        give_up_seconds: float,
     ) -> None:
         self.time: VirtualTime = ends[0].process.time
         self.link = link
-        self.back = back
+        self.backward_link = backward_link
         self.source, self.target = ends
         self.window = window
         self.segment = segment
-        self.give_up = give_up  # seconds that the sender goes on sending again
+        self.give_up_seconds = give_up_seconds  # the sender stops retransmitting after this time
         self.used = 0
-        self.read = 0  # bytes that the receiver has read in all
+        self.read = 0  # total bytes that the receiver has read
         self.flight: deque[tuple[bytes | int, float]] = deque()
-        self.over = False  # a reset is on the way: nothing more follows
-        self._last = 0.0  # no arrival comes before this one
-        self._credits: deque[tuple[float, int]] = deque()  # when the sender learns of how many bytes read
-        self._held: list[tuple[bytes | int, float]] = []  # sent while nothing comes through
+        self.over = False  # a reset has been sent; nothing is sent after it
+        self._last_arrival = 0.0  # packets arrive in order: none before this instant
+        self._credits: deque[tuple[float, int]] = deque()  # instant of each window update and its bytes
+        self._held: list[tuple[bytes | int, float]] = []  # sent while the link loses packets
         self._held_since = 0.0
-        self._owed = 0  # bytes read while the sender could not be told
-        self._owed_since = 0.0
-        self._waiting = False  # the sender wants to know when it may write
-        self._armed = False
+        self._unreported = 0  # bytes read whose window update is lost so far
+        self._unreported_since = 0.0
+        self._wakeup_wanted = False  # the sender waits until it can write
+        self._armed = False  # a check of whether it can is scheduled
 
-    # The sender's side
+    # Sender
 
-    def room(self) -> int:
-        """Bytes that can be sent now."""
+    def free_window(self) -> int:
+        """Return the number of bytes that can be sent now."""
         credits, now = self._credits, self.time.instant
         while credits and credits[0][0] <= now:
             self.used -= credits.popleft()[1]
         return self.window - self.used
 
     def writable(self) -> bool:
-        """As a kernel has it: a third of the window is free."""
-        return self.used * 3 <= self.window * 2 or self.room() * 3 >= self.window
+        """Return whether a third of the window is free, the criterion of the Linux kernel."""
+        return self.used * 3 <= self.window * 2 or self.free_window() * 3 >= self.window
 
     def send(self, data: bytes) -> int:
-        """Take as many bytes as there is room for, and say how many."""
+        """Send as many bytes as the window has room for, and return how many."""
         size = len(data)
-        if size > self.window - self.used and size > self.room():
+        if size > self.window - self.used and size > self.free_window():
             size = self.window - self.used
             if size <= 0:
                 raise BlockingIOError(EWOULDBLOCK, "the window is full")
             data = data[:size]
         self.used += size
         if size <= self.segment:
-            self.put(data)
+            self.transmit(data)
         else:
             for start in range(0, size, self.segment):
-                self.put(data[start : start + self.segment])
+                self.transmit(data[start : start + self.segment])
         return size
 
-    def put(self, item: bytes | int) -> None:
-        """Send bytes or a control packet; while the link is silent, hold them."""
+    def transmit(self, item: bytes | int) -> None:
+        """Transmit bytes or a control packet; while the link loses packets, hold them."""
         time = self.time
         now = time.instant
         if self.over:
             return
-        if self.link.silent:
+        if self.link.partitioned:
             self._hold(item, now)
             return
         arrival = now + self.link.delay()
-        if arrival < self._last:
-            arrival = self._last
-        self._last = arrival
+        if arrival < self._last_arrival:
+            arrival = self._last_arrival
+        self._last_arrival = arrival
         self.flight.append((item, now))
-        time.post(arrival, self.arrive)
+        time.post(arrival, self.deliver)
 
     def reset(self) -> None:
-        """Reset the connection: what is in flight still arrives, and then the reset.
+        """Reset the connection: data in flight still arrives before the reset.
 
-        One that is lost is not sent again, but bytes from the other end bring about another.
+        A lost reset is not retransmitted, but further bytes from the peer cause another one.
         """
         if not self.over:
-            self.lose()
-            if not self.link.silent:
-                self.put(RST)
+            self.discard_held()
+            if not self.link.partitioned:
+                self.transmit(RST)
                 self.over = True
 
-    def wait(self) -> None:
-        """Wake the sender once there is room."""
-        self._waiting = True
-        self._arm()
+    def request_wakeup(self) -> None:
+        """Wake the sender when it can write again."""
+        self._wakeup_wanted = True
+        self._arm_wakeup()
 
-    def _arm(self) -> None:
+    def _arm_wakeup(self) -> None:
         if self._credits and not self._armed:
             self._armed = True
-            self.time.post(self._credits[0][0], self._opened)
+            self.time.post(self._credits[0][0], self._wake_if_writable)
 
-    def _opened(self) -> None:
+    def _wake_if_writable(self) -> None:
         self._armed = False
-        if self._waiting:
+        if self._wakeup_wanted:
             if self.writable():
-                self._waiting = False
+                self._wakeup_wanted = False
                 self.source.wake()
             else:
-                self._arm()
+                self._arm_wakeup()
 
-    # The receiver's side
+    # Receiver
 
-    def arrive(self) -> None:
-        """Deliver what was sent first and has not arrived."""
+    def deliver(self) -> None:
+        """Deliver the oldest item in flight."""
         item, sent = self.flight.popleft()
         target = self.target
         if type(item) is not bytes:
             target.receive_control(item)
-        elif not target.is_deaf:
+        elif not target.is_read_shut:
             target.chunks.append((item, sent))
             watcher = target.watcher
             if watcher is not None and watcher.reading and not watcher.queued:
                 watcher.reactor.serve(watcher)
         elif target.closed:
-            target.out.reset()
+            target.outgoing.reset()
         else:
             target.reset_by_late_bytes()
 
-    def freed(self, size: int) -> None:
-        """Note that the receiver has read so many bytes."""
+    def report_read(self, size: int) -> None:
+        """Count bytes that the receiver has read, and send the window update."""
         self.read += size
         now = self.time.instant
-        if self.back.silent:
-            if not self._owed:
-                self._owed_since = now
-                self.back.stalled.append(self)
-            self._owed += size
+        if self.backward_link.partitioned:
+            if not self._unreported:
+                self._unreported_since = now
+                self.backward_link.stalled_streams.append(self)
+            self._unreported += size
             return
-        self._credit(now + self.back.mean * self.back.factor, size)
+        self._add_credit(now + self.backward_link.mean * self.backward_link.factor, size)
 
-    def _credit(self, instant: float, size: int) -> None:
+    def _add_credit(self, instant: float, size: int) -> None:
         credits = self._credits
         if credits and credits[-1][0] > instant:
             instant = credits[-1][0]
         credits.append((instant, size))
-        if self._waiting:
-            self._arm()
+        if self._wakeup_wanted:
+            self._arm_wakeup()
 
-    # While nothing comes through
+    # While the link loses packets
 
     def _hold(self, item: bytes | int, now: float) -> None:
         if not self._held:
             self._held_since = now
-            self.link.stalled.append(self)
-            if self.give_up != inf:
-                self.time.at(now + self.give_up, self._tired, now)
+            self.link.stalled_streams.append(self)
+            if self.give_up_seconds != inf:
+                self.time.at(now + self.give_up_seconds, self._time_out, now)
         self._held.append((item, now))
 
     def resume(self) -> None:
-        """Send what waited for the link to heal, at the instant at which TCP would next try."""
+        """Send what was held until the link healed, at the instant of TCP's next retransmission."""
         now = self.time.instant
-        if self._held and not self.link.silent:
-            again = resend_instant(self._held_since, now) + self.link.delay()
-            self._last = max(self._last, again)
+        if self._held and not self.link.partitioned:
+            arrival = retransmit_instant(self._held_since, now) + self.link.delay()
+            self._last_arrival = max(self._last_arrival, arrival)
             for held in self._held:
                 self.flight.append(held)
-                self.time.post(self._last, self.arrive)
+                self.time.post(self._last_arrival, self.deliver)
             self._held = []
-        if self._owed and not self.back.silent:
-            self._credit(resend_instant(self._owed_since, now) + self.back.mean, self._owed)
-            self._owed = 0
+        if self._unreported and not self.backward_link.partitioned:
+            self._add_credit(
+                retransmit_instant(self._unreported_since, now) + self.backward_link.mean, self._unreported
+            )
+            self._unreported = 0
 
-    def _tired(self, since: float) -> None:
+    def _time_out(self, since: float) -> None:
         if self._held and self._held_since == since:
-            self.source.timed_out()
+            self.source.handle_timeout()
 
-    def lose(self) -> None:
-        """Nothing that waits for the way to heal is sent any more."""
+    def discard_held(self) -> None:
+        """Discard what is held until the link heals."""
         if self._held:
             if self._held[0][0] == OPEN:
                 self.target.end_handshake()
--- a/wheatring/lab/net/network.py
+++ b/wheatring/lab/net/network.py
@@ -1,6 +1,6 @@
-"""The hosts, the ways between them, and the faults that befall both.
+"""Simulated hosts, the links between them, and the faults of both.
 
-A fault is told to nobody: programs see what TCP would let them see, late, or never.
+Programs are not notified of faults: they observe only what TCP would let them observe.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from wheatring.lab.net.time import VirtualTime
 from wheatring.lab.plan import NetPlan
 
-FIRST_PORT, LAST_PORT = 32768, 60999  # that a host gives out itself
+FIRST_PORT, LAST_PORT = 32768, 60999  # the range of ephemeral ports, as on Linux
 
 
 class Host:
-    """One machine: its listening sockets, its clock and its ways to others."""
+    """One machine: its listening sockets, its clock and its links to other hosts."""
 
     def __init__(self, network: Network, name: str) -> None:
         self.network = network
@@ -29,16 +29,17 @@
         self.processes: list[Process] = []
         self.listeners: dict[int, Socket] = {}
         self.clock_offset = 0.0
-        self.vanished = False
-        self.refusing: set[int] = set()  # ports; these are looked up, never gone through
-        self.full: set[int] = set()
+        self.isolated = False
+        self.refusing: set[int] = set()  # ports; never iterated, as the order of a set is not deterministic
+        self.full: set[int] = set()  # ports whose accept queue counts as full
         self.connect_delays: dict[int, float] = {}  # seconds by port
-        self.on_refused: dict[int, Callable[[str], None]] = {}  # by port: told whose connect it was
+        # By port: called with the name of the connecting host.
+        self.on_refused: dict[int, Callable[[str], None]] = {}
         self.links: dict[str, Link] = {}
         self._port = FIRST_PORT - 1
 
     def free_port(self) -> int:
-        """Return a port that nobody listens at."""
+        """Return a port without a listener."""
         while True:
             self._port = self._port + 1 if self._port < LAST_PORT else FIRST_PORT
             if self._port not in self.listeners:
@@ -48,15 +49,15 @@
         """Return the link to another host, or to itself."""
         link = self.links.get(other.name)
         if link is None:
-            link = self.links[other.name] = self.network.lay(self, other)
+            link = self.links[other.name] = self.network.create_link(self, other)
         return link
 
 
 class Network:
     """The hosts, the links between them, and their faults.
 
-    `zone_of` gives a host's zone, "" for one of the clients'. Unix time is `epoch` at the start of time. A
-    connection whose bytes find no way for `give_up` seconds ends by a time-out.
+    `zone_of` returns a host's zone, or "" for a host of the clients. `epoch` is the Unix time at the start of
+    virtual time. A connection whose data is lost for `give_up_seconds` ends with a time-out.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
         random: Random,
         zone_of: Callable[[str], str] = lambda _host: "room",
         epoch: float = 0.0,
-        give_up: float = inf,
+        give_up_seconds: float = inf,
     ) -> None:
         if not 0 <= plan.jitter <= 1:
             raise ValueError(f"net.jitter: {plan.jitter} is not in 0..1")
@@ -74,7 +75,7 @@
         self.plan = plan
         self.zone_of = zone_of
         self.epoch = epoch
-        self.give_up = give_up
+        self.give_up_seconds = give_up_seconds
         self.hosts: dict[str, Host] = {}
         self._seed = random.getrandbits(64)
         self._cuts: list[tuple[tuple[str, ...], tuple[str, ...], bool]] = []
@@ -89,13 +90,13 @@
         return process
 
     def host(self, name: str) -> Host:
-        """Return a host by name; it is made on its first mention."""
+        """Return a host by name, and create it on first use."""
         host = self.hosts.get(name)
         if host is None:
             host = self.hosts[name] = Host(self, name)
         return host
 
-    def lay(self, source: SocketHost, target: SocketHost) -> Link:
+    def create_link(self, source: SocketHost, target: SocketHost) -> Link:
         """Return a new link from one host to another."""
         plan = self.plan
         if source is not target and "" in (source.zone, target.zone):
@@ -104,69 +105,69 @@
             mean = plan.same if source.zone == target.zone else plan.cross
         names = (source.name, target.name)
         link = Link(*names, mean, plan.jitter, Random(f"{self._seed}:{source.name}>{target.name}"))
-        link.silent = self._is_cut(source, target)
-        link.slow(self._factor(source, target))
+        link.partitioned = self._is_cut(source, target)
+        link.set_delay_factor(self._factor(source, target))
         return link
 
     # Faults of one port
 
-    def refuse(self, host: str, port: int, on: bool) -> None:
-        """Have connects to a port refused; connections that are up go on."""
-        _switch(self.host(host).refusing, port, on)
+    def set_refusing(self, host: str, port: int, on: bool) -> None:
+        """Refuse connects to a port; established connections are not affected."""
+        _set_port_fault(self.host(host).refusing, port, on)
 
-    def full(self, host: str, port: int, on: bool) -> None:
-        """Have a port's accept queue count as full: connects hang."""
-        _switch(self.host(host).full, port, on)
+    def set_full(self, host: str, port: int, on: bool) -> None:
+        """Treat a port's accept queue as full: SYNs are dropped, and connects hang."""
+        _set_port_fault(self.host(host).full, port, on)
 
     def delay_connects(self, host: str, port: int, seconds: float) -> None:
-        """Have connects to a port come up so many seconds later; 0 ends it."""
+        """Delay connects to a port; 0 seconds ends the fault."""
         self.host(host).connect_delays[port] = seconds
 
-    # Faults of hosts and of the ways between them. No names stand for all hosts; each reaches itself always.
+    # Faults of hosts and links. An empty sequence means all hosts; a host always reaches itself.
 
-    def vanish(self, host: str) -> None:
-        """Silence both ways: connects hang, connections say nothing."""
-        self.host(host).vanished = True
-        self._rewire()
+    def isolate(self, host: str) -> None:
+        """Lose all packets to and from a host: connects hang, and connections receive nothing."""
+        self.host(host).isolated = True
+        self._update_links()
 
-    def back(self, host: str) -> None:
-        """Have a vanished host answer again.
+    def reconnect(self, host: str) -> None:
+        """Connect an isolated host again.
 
-        It knows nothing of the connections that it had: they are reset.
+        The host has lost the state of its connections, which are reset.
         """
         there = self.host(host)
-        there.vanished = False
-        healed = self._rewire()
-        for end in self._ends(there, healed):
-            end.out.target.out.lose()
-            end.out.reset()
-            end.over(ECONNRESET)
+        there.isolated = False
+        healed = self._update_links()
+        for end in self._connection_ends(there, healed):
+            end.outgoing.target.outgoing.discard_held()
+            end.outgoing.reset()
+            end.fail(ECONNRESET)
         for link in healed:
             link.resume()
 
     def cut(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
-        """Lose what goes from `hosts` to `others`, and the other way too unless `one_way`.
+        """Lose packets from `hosts` to `others`, and in the reverse direction too unless `one_way`.
 
-        TCP sends it again, so that it arrives some time after `heal`, which takes the same arguments.
+        TCP retransmits, so that the data arrives some time after `heal`, which takes the same arguments.
         """
         self._cuts.append((tuple(hosts), tuple(others), one_way))
-        self._rewire()
+        self._update_links()
 
     def heal(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
-        """End a cut."""
+        """End the partition that `cut` started with the same arguments."""
         self._cuts.remove((tuple(hosts), tuple(others), one_way))
-        for link in self._rewire():
+        for link in self._update_links():
             link.resume()
 
     def slow(self, hosts: Sequence[str], others: Sequence[str], factor: float) -> None:
-        """Delays between them, both ways, are `factor` times as long; 1 ends it."""
+        """Multiply the delays between the hosts, in both directions, by `factor`; 1 ends the fault."""
         self._slow.pop((tuple(hosts), tuple(others)), None)
         if factor != 1.0:
             self._slow[tuple(hosts), tuple(others)] = factor
-        self._rewire()
+        self._update_links()
 
     def step_clock(self, hosts: Sequence[str], seconds: float) -> None:
-        """Unix time jumps there; virtual time knows nothing of it."""
+        """Step the Unix time of hosts, or of all hosts if none are given; virtual time is not affected."""
         if not hosts:
             self.clock_offset += seconds
         for name in hosts:
@@ -176,8 +177,8 @@
         if source is target:
             return False
         here, there = source.name, target.name
-        return (source.vanished or target.vanished) or any(
-            _between(hosts, others, here, there) or (not one_way and _between(hosts, others, there, here))
+        return (source.isolated or target.isolated) or any(
+            _matches(hosts, others, here, there) or (not one_way and _matches(hosts, others, there, here))
             for hosts, others, one_way in self._cuts
         )
 
@@ -185,41 +186,41 @@
         factor = 1.0
         if source is not target:
             here, there = source.name, target.name
-            for (hosts, others), times in self._slow.items():
-                if _between(hosts, others, here, there) or _between(hosts, others, there, here):
-                    factor *= times
+            for (hosts, others), pair_factor in self._slow.items():
+                if _matches(hosts, others, here, there) or _matches(hosts, others, there, here):
+                    factor *= pair_factor
         return factor
 
-    def _rewire(self) -> list[Link]:
-        """Put the faults into effect, and return the links that are up again."""
+    def _update_links(self) -> list[Link]:
+        """Apply the faults to all links, and return the links that have healed."""
         healed = []
         for source in self.hosts.values():
             for name, link in source.links.items():
                 target = self.hosts[name]
-                silent = self._is_cut(source, target)
-                if link.silent and not silent:
+                partitioned = self._is_cut(source, target)
+                if link.partitioned and not partitioned:
                     healed.append(link)
-                link.silent = silent
-                link.slow(self._factor(source, target))
+                link.partitioned = partitioned
+                link.set_delay_factor(self._factor(source, target))
         return healed
 
-    def _ends(self, there: Host, healed: list[Link]) -> list[Socket]:
-        """Return the host's ends of connections, those among them that no program holds any more."""
+    def _connection_ends(self, there: Host, healed: list[Link]) -> list[Socket]:
+        """Return the host's ends of connections, including those whose process has ended."""
         ends: dict[Socket, None] = {}
         for process in there.processes:
             for socket in process.descriptors:
                 ends.update(dict.fromkeys([socket, *socket.queue]))
         for link in healed:
-            for stream in link.stalled:
+            for stream in link.stalled_streams:
                 ends.update(dict.fromkeys((stream.source, stream.target)))
         return [end for end in ends if end.state == CONNECTED and end.process.host is there]
 
 
-def _between(hosts: tuple[str, ...], others: tuple[str, ...], source: str, target: str) -> bool:
+def _matches(hosts: tuple[str, ...], others: tuple[str, ...], source: str, target: str) -> bool:
     return (not hosts or source in hosts) and (not others or target in others)
 
 
-def _switch(ports: set[int], port: int, on: bool) -> None:
+def _set_port_fault(ports: set[int], port: int, on: bool) -> None:
     if on:
         ports.add(port)
     else:
--- a/wheatring/lab/net/process.py
+++ b/wheatring/lab/net/process.py
@@ -1,4 +1,4 @@
-"""One program on one host: the reactor that its code runs on."""
+"""The simulated reactor of one program on one host."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from wheatring.lab.net.time import Event, VirtualTime
 from wheatring.lab.net.transports import Connector, LimitedPort, Port, log_failure
 
-lost: Any = failure.Failure(CONNECTION_LOST)  # type: ignore[no-untyped-call]
+connection_lost: Any = failure.Failure(CONNECTION_LOST)  # type: ignore[no-untyped-call]
 
-WAITING, SOON, CALLED, CANCELLED = range(4)
+WAITING, DUE, CALLED, CANCELLED = range(4)
 
 
 class ProcessHost(SocketHost, Protocol):
-    """The host of a process; see `network.Host`."""
+    """The host of a process, as far as the process uses it; see `network.Host`."""
 
     clock_offset: float
     processes: list[Process]
 
 
 class ProcessNetwork(SocketNetwork, Protocol):
-    """The network of a process; see `network.Network`."""
+    """The network of a process, as far as the process uses it; see `network.Network`."""
 
     time: VirtualTime
     epoch: float
     clock_offset: float
 
 
-class Delayed:
-    """What `callLater` returns: Twisted's IDelayedCall."""
+class DelayedCall:
+    """A call scheduled with `callLater`; implements Twisted's IDelayedCall."""
 
     __slots__ = ("args", "event", "func", "kw", "process", "state", "time")
 
@@ -50,7 +50,7 @@
         self.func = func
         self.args = args
         self.kw = kw
-        self.state = SOON
+        self.state = DUE
         self.event: Event | None = None
 
     def getTime(self) -> float:  # noqa: N802 - Twisted's name
@@ -70,12 +70,12 @@
         self.func = self.args = self.kw = None
 
     def reset(self, secondsFromNow: float) -> None:  # noqa: N803 - Twisted's name
-        """Put the call off to so many seconds from now."""
+        """Reschedule the call to `secondsFromNow` after the present instant."""
         self._check()
         self._move(self.process.seconds() + secondsFromNow)
 
     def delay(self, secondsLater: float) -> None:  # noqa: N803 - Twisted's name
-        """Put the call off by so many seconds."""
+        """Postpone the call by `secondsLater`."""
         self._check()
         self._move(self.time + secondsLater)
 
@@ -88,15 +88,15 @@
     def _move(self, instant: float) -> None:
         if self.event is not None:
             self.event.cancel()
-        elif self in self.process.soon:
-            self.process.soon.remove(self)
+        elif self in self.process.due_queue:
+            self.process.due_queue.remove(self)
         self.time = instant
-        self.process.put(self)
+        self.process.schedule(self)
 
 
-def waiting(time: VirtualTime) -> dict[Process, list[Delayed]]:
-    """Return the calls that are to come later, by process, in their order."""
-    found: dict[Process, list[Delayed]] = {}
+def scheduled_calls(time: VirtualTime) -> dict[Process, list[DelayedCall]]:
+    """Return the calls scheduled for later instants, by process, in the order in which they are due."""
+    found: dict[Process, list[DelayedCall]] = {}
     for event in time.pending():
         call = event[0]
         process = getattr(call, "__self__", None)
@@ -106,9 +106,9 @@
 
 
 class OpenResources(NamedTuple):
-    """What a process has not ended itself."""
+    """The timers, listening sockets and connections that a process has open."""
 
-    timers: list[Delayed]
+    timers: list[DelayedCall]
     ports: list[Socket]
     connections: list[Socket]
 
@@ -117,10 +117,10 @@
 class Process(_DisconnectSelectableMixin):
     """The reactor of one program on one host.
 
-    It runs what is due in turns, as a reactor: scheduled calls, then sockets that are ready. No call of one
-    that is dead is ever run. An exception in a callback goes to Twisted's log, as on any reactor.
+    Each iteration runs the scheduled calls that are due, then serves the sockets that are ready. Nothing runs
+    after the process has ended. An exception in a callback goes to Twisted's log, as on any reactor.
 
-    `descriptors` are the sockets that it holds, in the order in which they were opened.
+    `descriptors` are the open sockets, in the order in which they were opened.
     """
 
     def __init__(self, network: ProcessNetwork, host: ProcessHost, name: str) -> None:
@@ -131,16 +131,17 @@
         self.seconds = network.time.now
         self.alive = True
         self.stopping = False
-        self.on_stop: Callable[[], None] | None = None  # called as it stops, while all that is left is there
+        # Called on a graceful shutdown, before the sockets and timers are closed.
+        self.on_stop: Callable[[], None] | None = None
         self.descriptors: dict[Socket, None] = {}
-        self.most = 0  # descriptors at any time so far
-        self.number = count(3).__next__
-        self.soon: list[Delayed] = []
+        self.max_descriptors = 0  # highest number of open descriptors so far
+        self.next_descriptor = count(3).__next__
+        self.due_queue: list[DelayedCall] = []
         self._ready: list[Any] = []
-        self._turning = False
+        self._turn_scheduled = False
 
     def unix(self) -> float:
-        """Unix time in seconds, as the host's clock tells it."""
+        """Return the Unix time in seconds by the host's clock."""
         network = self.network
         offset = network.epoch + network.clock_offset + self.host.clock_offset
         return self.time.instant - self.time.start + offset
@@ -152,54 +153,56 @@
         handshake.start_connect(socket)
 
     def complete_handshake(self, socket: Socket) -> None:
-        """Take the last packet of a handshake at the listening side."""
+        """Handle the final ACK of a handshake at the listening side."""
         handshake.complete_handshake(socket)
 
     # Calls
 
-    def callLater(self, delay: float, callable: Callable[..., Any], *args: object, **kw: object) -> Delayed:  # noqa: N802 - Twisted's name
+    def callLater(  # noqa: N802 - Twisted's name
+        self, delay: float, callable: Callable[..., Any], *args: object, **kw: object
+    ) -> DelayedCall:
         """Schedule a call."""
         assert delay >= 0, f"{delay} is not greater than or equal to 0 seconds"
-        delayed = Delayed(self, self.time.instant + delay, callable, args, kw)
+        delayed = DelayedCall(self, self.time.instant + delay, callable, args, kw)
         if delay > 0:
             delayed.state = WAITING
-            delayed.event = self.time.at(delayed.time, self._due, delayed)
+            delayed.event = self.time.at(delayed.time, self._make_call, delayed)
         else:
-            self.put(delayed)
+            self.schedule(delayed)
         return delayed
 
     def callFromThread(self, callable: Callable[..., Any], *args: object, **kw: object) -> None:  # noqa: N802 - Twisted's name
-        """Schedule a call for the next turn."""
+        """Schedule a call for the next iteration."""
         self.callLater(0, callable, *args, **kw)
 
-    def put(self, delayed: Delayed) -> None:
-        """Take a scheduled call."""
+    def schedule(self, delayed: DelayedCall) -> None:
+        """Schedule a call at its instant, or in the next iteration if that has come."""
         if delayed.time > self.time.instant:
             delayed.state = WAITING
-            delayed.event = self.time.at(delayed.time, self._due, delayed)
+            delayed.event = self.time.at(delayed.time, self._make_call, delayed)
         else:
-            delayed.state = SOON
+            delayed.state = DUE
             delayed.event = None
-            self.soon.append(delayed)
-            self._turn_soon()
+            self.due_queue.append(delayed)
+            self._schedule_turn()
 
-    def getDelayedCalls(self) -> list[Delayed]:  # noqa: N802 - Twisted's name
-        """Those not yet called, in their order."""
-        return self.due_soon() + waiting(self.time).get(self, [])
+    def getDelayedCalls(self) -> list[DelayedCall]:  # noqa: N802 - Twisted's name
+        """Return the calls not made yet, in the order in which they are due."""
+        return self.due_calls() + scheduled_calls(self.time).get(self, [])
 
-    def due_soon(self) -> list[Delayed]:
-        """Those that its next turn will make."""
-        return [d for d in self.soon if d.state == SOON]
+    def due_calls(self) -> list[DelayedCall]:
+        """Return the calls that the next iteration makes."""
+        return [d for d in self.due_queue if d.state == DUE]
 
     def run(self, call: Callable[..., Any], *args: object) -> Any:
-        """Call from outside, as this process: what it raises is raised."""
+        """Make a call as this process from outside the reactor; exceptions propagate."""
         before, self.time.running = self.time.running, self
         try:
             return call(*args)
         finally:
             self.time.running = before
 
-    def _due(self, delayed: Delayed) -> None:
+    def _make_call(self, delayed: DelayedCall) -> None:
         if not self.alive:
             return
         self.time.running = self
@@ -212,20 +215,20 @@
             log_failure()
         self.time.running = None
 
-    # Turns
+    # Iterations
 
-    def _turn_soon(self) -> None:
-        if not self._turning:
-            self._turning = True
+    def _schedule_turn(self) -> None:
+        if not self._turn_scheduled:
+            self._turn_scheduled = True
             self.time.post(self.time.instant, self._turn)
 
     def _turn(self) -> None:
-        self._turning = False
-        if self.soon:
-            soon, self.soon = self.soon, []
-            for delayed in soon:
-                if delayed.state == SOON:
-                    self._due(delayed)
+        self._turn_scheduled = False
+        if self.due_queue:
+            due_queue, self.due_queue = self.due_queue, []
+            for delayed in due_queue:
+                if delayed.state == DUE:
+                    self._make_call(delayed)
         if self._ready:
             ready, self._ready = self._ready, []
             for watcher in ready:
@@ -234,16 +237,16 @@
                     self.serve(watcher)
 
     def queue(self, watcher: Any) -> None:
-        """Serve a transport or port in the next turn."""
+        """Serve a transport or port in the next iteration."""
         if not watcher.queued:
             watcher.queued = True
             self._ready.append(watcher)
-            if not self._turning:
-                self._turning = True
+            if not self._turn_scheduled:
+                self._turn_scheduled = True
                 self.time.post(self.time.instant, self._turn)
 
     def serve(self, watcher: Any) -> None:
-        """Let a transport or port do what its socket is ready for: as Twisted's epoll reactor does."""
+        """Have a transport or port read and write as its socket is ready, as Twisted's epoll reactor does."""
         reading, writing = watcher.reading, watcher.writing
         if not (reading or writing):
             return
@@ -253,7 +256,7 @@
         time.running = self
         can_read = reading and (bool(socket.chunks) or socket.eof or socket.broken or bool(socket.queue))
         can_write = writing and socket.writable()
-        if not can_read and (socket.broken or (socket.eof and socket.hung())):
+        if not can_read and (socket.broken or (socket.eof and socket.is_hung_up())):
             why = CONNECTION_LOST
         else:
             try:
@@ -271,28 +274,28 @@
         if watcher.reading and (socket.chunks or socket.eof or socket.broken or socket.queue):
             self.queue(watcher)
         elif watcher.writing and not watcher.queued:
-            self.want(watcher)
+            self.serve_when_writable(watcher)
         time.running = None
 
-    def want(self, watcher: Any) -> None:
-        """Serve a transport once it can write."""
+    def serve_when_writable(self, watcher: Any) -> None:
+        """Serve a transport when its socket is writable."""
         socket = watcher.socket
         if socket.writable():
-            if not watcher.queued:  # as `queue` does
+            if not watcher.queued:  # the body of `queue`, inlined for speed
                 watcher.queued = True
                 self._ready.append(watcher)
-                if not self._turning:
-                    self._turning = True
+                if not self._turn_scheduled:
+                    self._turn_scheduled = True
                     self.time.post(self.time.instant, self._turn)
         elif socket.state == CONNECTED:
-            socket.out.wait()
+            socket.outgoing.request_wakeup()
 
     def removeReader(self, watcher: Any) -> None:  # noqa: N802 - Twisted's name
-        """Wait no longer for a transport to be readable."""
+        """Stop scheduled_calls for a transport to be readable."""
         watcher.reading = False
 
     def removeWriter(self, watcher: Any) -> None:  # noqa: N802 - Twisted's name
-        """Wait no longer for a transport to be writable."""
+        """Stop scheduled_calls for a transport to be writable."""
         watcher.writing = False
 
     # TCP
@@ -311,52 +314,52 @@
         return connector
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:  # noqa: N802 - Twisted's name
-        """Listen at a port."""
+        """Listen on a port."""
         listening = Port(port, factory, backlog, interface, self)
         listening.startListening()
         return listening
 
     def open_listener(self, port: int, factory: Any, backlog: int, host: str, reactor: Any) -> LimitedPort:
-        """Listen as `http1.listener.open_listener` does: no more is accepted in one go than it has places."""
+        """Listen as `http1.listener.open_listener` does: accept no more than the factory has slots for."""
         listener = LimitedPort(port, factory, backlog, host, reactor)
         listener.startListening()
         return listener
 
     def has_hung_up(self, transport: Any) -> bool:
-        """Answer as `http1.connection.has_hung_up`."""
+        """Stand in for `http1.connection.has_hung_up`."""
         return bool(transport.socket.eof or transport.socket.broken)
 
     def has_undelivered_bytes(self, transport: Any) -> bool:  # noqa: ARG002 - Twisted's signature
-        """Answer as `http1.connection.has_undelivered_bytes` where a system can't tell."""
+        """Stand in for `http1.connection.has_undelivered_bytes` on a system that can't tell."""
         return False
 
     def resolve(self, name: str, timeout: object = ()) -> Deferred[str]:  # noqa: ARG002 - Twisted's signature
-        """Fail: hosts have no names here."""
-        return fail(DNSLookupError(f"{name}: hosts have no names here"))
+        """Fail, as hosts of the simulated network have no names."""
+        return fail(DNSLookupError(f"{name}: the simulated network has no name resolution"))
 
     # Descriptors
 
-    def opened(self, socket: Socket) -> None:
-        """Count a socket that was opened."""
+    def add_descriptor(self, socket: Socket) -> None:
+        """Add a socket to the open descriptors."""
         self.descriptors[socket] = None
-        if len(self.descriptors) > self.most:
-            self.most = len(self.descriptors)
+        if len(self.descriptors) > self.max_descriptors:
+            self.max_descriptors = len(self.descriptors)
 
-    def shut(self, socket: Socket) -> None:
-        """Forget a socket that was closed."""
+    def remove_descriptor(self, socket: Socket) -> None:
+        """Remove a closed socket from the open descriptors."""
         self.descriptors.pop(socket, None)
 
     def open_resources(self) -> OpenResources:
-        """Return the present timers, listening sockets and connections, open or under way."""
+        """Return the timers, listening sockets and connections, including those being established."""
         ports = [s for s in self.descriptors if s.state == LISTENING]
         return OpenResources(
             self.getDelayedCalls(), ports, [s for s in self.descriptors if s.state != LISTENING]
         )
 
-    # Its end
+    # Shutdown
 
     def stop(self) -> None:
-        """End in an orderly way, in a later turn."""
+        """Shut down gracefully, in a later iteration."""
         if not self.stopping and self.alive:
             self.stopping = True
             self.callLater(0, self._stop)
@@ -368,20 +371,20 @@
             watcher = socket.watcher
             if self.alive and watcher is not None and (watcher.reading or watcher.writing):
                 try:
-                    watcher.connectionLost(lost)
+                    watcher.connectionLost(connection_lost)
                 except Exception:
                     log_failure()
         self.kill()
 
     def kill(self) -> None:
-        """End as by SIGKILL: the kernel closes its sockets.
+        """End as by SIGKILL: the kernel closes all sockets.
 
-        To a peer that is a FIN, or a reset where bytes were unread; what was sent is delivered first, and
-        what the peer sends later is answered with a reset.
+        A peer receives the bytes sent before, then a FIN, or a reset if bytes were unread. Bytes that the
+        peer sends later are answered with a reset.
         """
         if self.alive:
             self.alive = False
-            self.soon.clear()
+            self.due_queue.clear()
             self._ready.clear()
             for socket in list(self.descriptors):
                 socket.close()
--- a/wheatring/lab/net/sockets.py
+++ b/wheatring/lab/net/sockets.py
@@ -1,6 +1,6 @@
-"""Sockets as a kernel has them: what its calls return, when one is readable or writable, FIN and RST.
+"""Simulated TCP sockets with a kernel's semantics: readiness, errors, FIN and RST.
 
-The calls are those of `socket.socket` in non-blocking mode, with the same errors.
+The methods are those of `socket.socket` in non-blocking mode, with the same errors.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class SocketHost(Protocol):
-    """The host of a socket; see `network.Host`."""
+    """The host of a socket, as far as the socket uses it; see `network.Host`."""
 
     name: str
     zone: str
-    vanished: bool
+    isolated: bool
     listeners: dict[int, Socket]
     refusing: set[int]
     full: set[int]
@@ -35,51 +35,51 @@
     on_refused: dict[int, Callable[[str], None]]
 
     def free_port(self) -> int:
-        """Return a port that nobody listens at."""
+        """Return a port without a listener."""
 
     def link(self, other: SocketHost) -> Link:
         """Return the link to another host, or to itself."""
 
 
 class SocketNetwork(Protocol):
-    """The network of a socket; see `network.Network`."""
+    """The network of a socket, as far as the socket uses it; see `network.Network`."""
 
     plan: NetPlan
-    give_up: float
+    give_up_seconds: float
 
     def host(self, name: str) -> SocketHost:
         """Return a host by name."""
 
 
 class SocketProcess(Protocol):
-    """The process of a socket; see `process.Process`."""
+    """The process of a socket, as far as the socket uses it; see `process.Process`."""
 
     time: VirtualTime
-    number: Callable[[], int]
+    next_descriptor: Callable[[], int]
 
     @property
     def host(self) -> SocketHost:
-        """The host that it runs on."""
+        """The host that the process runs on."""
 
     @property
     def network(self) -> SocketNetwork:
         """The network of its host."""
 
-    def opened(self, socket: Socket) -> None:
-        """Take a socket among those that it holds."""
+    def add_descriptor(self, socket: Socket) -> None:
+        """Add a socket to the open descriptors."""
 
-    def shut(self, socket: Socket) -> None:
-        """Forget a socket that it has closed."""
+    def remove_descriptor(self, socket: Socket) -> None:
+        """Remove a closed socket from the open descriptors."""
 
     def start_connect(self, socket: Socket) -> None:
         """Begin the handshake of a socket that connects."""
 
     def complete_handshake(self, socket: Socket) -> None:
-        """Take the last packet of a handshake at the listening side."""
+        """Handle the final ACK of a handshake at the listening side."""
 
 
 class Socket:
-    """One TCP socket of a process. `watcher` is the Twisted transport or port that waits for it, if any."""
+    """A TCP socket of a process. `watcher` is the Twisted transport or port that waits for it, if any."""
 
     __slots__ = (
         "_fin_sent",
@@ -92,11 +92,11 @@
         "eof",
         "error",
         "half_open",
-        "into",
-        "is_deaf",
+        "incoming",
+        "is_read_shut",
         "listener",
         "local",
-        "out",
+        "outgoing",
         "process",
         "queue",
         "remote",
@@ -105,8 +105,8 @@
         "watcher",
     )  # fmt: skip
 
-    out: Stream[Socket]
-    into: Stream[Socket]
+    outgoing: Stream[Socket]
+    incoming: Stream[Socket]
 
     def __init__(self, process: SocketProcess) -> None:
         self.process = process
@@ -115,39 +115,41 @@
         self.local: Address = (process.host.name, 0)
         self.remote: Address | None = None
         self.closed = False
-        self.is_deaf = False  # bytes that arrive are answered with a reset
+        self.is_read_shut = False  # bytes that arrive are answered with a reset
         self.eof = False  # the peer's FIN has arrived
-        self.broken = False  # it was reset or has timed out, or its connect failed
-        self.error = 0  # why, until a call has told it
+        self.broken = False  # reset or timed out, or the connect failed
+        self.error = 0  # errno of that, until a call has reported it
         self.sent_at = 0.0
-        self.chunks: deque[tuple[bytes, float]] = deque()  # unread, each with the instant of its sending
+        self.chunks: deque[tuple[bytes, float]] = (
+            deque()
+        )  # unread, each with the instant at which it was sent
         self.backlog = 0
-        self.queue: deque[Socket] = deque()  # connections that wait to be accepted
-        self.half_open = 0  # and those whose handshake is under way
-        self.listener: Socket | None = None  # the listening socket of one whose handshake is under way
+        self.queue: deque[Socket] = deque()  # connections waiting to be accepted
+        self.half_open = 0  # number of connections whose handshake is under way
+        self.listener: Socket | None = None  # at the accepting end, while the handshake is under way
         self._fin_sent = False
         self._options: dict[tuple[int, int], Any] = {}
-        self._number = process.number()
+        self._number = process.next_descriptor()
 
-    # What a kernel tells of it
+    # Readiness
 
     def readable(self) -> bool:
         """Return whether a call to read or accept would not block."""
         return bool(self.chunks or self.queue) or self.eof or self.broken
 
     def writable(self) -> bool:
-        """Return whether a call to send would not block, as a kernel has it."""
+        """Return whether the kernel would report the socket as writable."""
         if self.state != CONNECTED or self.broken or self._fin_sent:
             return self.broken or self._fin_sent
-        out = self.out
-        return out.used * 3 <= out.window * 2 or out.writable()
+        outgoing = self.outgoing
+        return outgoing.used * 3 <= outgoing.window * 2 or outgoing.writable()
 
-    def hung(self) -> bool:
+    def is_hung_up(self) -> bool:
         """Return whether the connection is over in both directions."""
         return self.broken or (self.eof and self._fin_sent)
 
     def wake(self) -> None:
-        """Something has changed: whoever waits for it may have work."""
+        """Notify the watcher that the state has changed."""
         watcher = self.watcher
         if watcher is not None and (watcher.reading or watcher.writing) and not watcher.queued:
             watcher.reactor.serve(watcher)
@@ -155,14 +157,14 @@
     # Calls
 
     def fileno(self) -> int:
-        """Return the descriptor's number; -1 once closed."""
+        """Return the descriptor number; -1 when closed."""
         return -1 if self.closed else self._number
 
     def setblocking(self, blocking: bool) -> None:
-        """Do nothing: it never blocks."""
+        """Do nothing: calls never block."""
 
     def getsockname(self) -> Address:
-        """Return the own address."""
+        """Return the local address."""
         return self.local
 
     def getpeername(self) -> Address:
@@ -172,20 +174,20 @@
         return self.remote
 
     def setsockopt(self, level: int, option: int, value: Any) -> None:
-        """Set an option; SO_SNDBUF is the whole window of what this end sends."""
+        """Set an option; SO_SNDBUF sets the window of the outgoing stream."""
         self._options[level, option] = value
         if (level, option) == (socket.SOL_SOCKET, socket.SO_SNDBUF) and self.state == CONNECTED:
-            self.out.window = value
+            self.outgoing.window = value
 
     def getsockopt(self, level: int, option: int) -> Any:
-        """Return an option; SO_ERROR is cleared by that."""
+        """Return an option; reading SO_ERROR clears it."""
         if (level, option) == (socket.SOL_SOCKET, socket.SO_ERROR):
             error, self.error = self.error, 0
             return error
         return self._options.get((level, option), 0)
 
     def bind(self, address: Address) -> None:
-        """Take an address of the host."""
+        """Bind to an address of the host; port 0 picks a free port."""
         host, port = address
         if host not in ("", "0.0.0.0", self.process.host.name):
             raise _error(errno.EADDRNOTAVAIL)
@@ -194,35 +196,35 @@
         self.local = (self.process.host.name, port or self.process.host.free_port())
 
     def listen(self, backlog: int) -> None:
-        """Listen at the address."""
+        """Listen on the bound address."""
         self.backlog = backlog
         self.state = LISTENING
         self.process.host.listeners[self.local[1]] = self
 
     def accept(self) -> tuple[Socket, Address]:
-        """Return the connection that has waited longest, and its peer's address."""
+        """Return the oldest connection of the accept queue, and its peer's address."""
         if not self.queue:
-            raise BlockingIOError(errno.EWOULDBLOCK, "nobody waits")
+            raise BlockingIOError(errno.EWOULDBLOCK, "no connection to accept")
         accepted = self.queue.popleft()
-        self.process.opened(accepted)
+        self.process.add_descriptor(accepted)
         assert accepted.remote is not None
         return accepted, accepted.remote
 
-    def child(self, client: Socket) -> Socket:
-        """Return the host's end of a new connection; it has no descriptor until it is accepted."""
+    def create_accepted(self, client: Socket) -> Socket:
+        """Return the server end of a new connection; it has no descriptor until it is accepted."""
         server = Socket(self.process)
         server.local, server.remote = self.local, client.local
         server.listener = self
         return server
 
     def end_handshake(self) -> None:
-        """Note that its handshake is over, in whatever way."""
+        """Remove the connection from the listener's count of handshakes, whatever the outcome."""
         if self.listener is not None:
             self.listener.half_open -= 1
             self.listener = None
 
     def connect_ex(self, address: Address) -> int:
-        """Begin a connect, or return how it stands."""
+        """Begin a connect, or return the errno of its state."""
         if self.state == NEW:
             if not self.local[1]:
                 self.local = (self.local[0], self.process.host.free_port())
@@ -241,13 +243,13 @@
         )
 
     def recv(self, size: int) -> bytes:
-        """Return what has arrived, `size` bytes at most; empty at the end."""
+        """Return the bytes received, at most `size`; b"" at the end of the stream."""
         chunks = self.chunks
         if chunks:
             data, self.sent_at = chunks.popleft()
             if chunks or len(data) > size:
-                data = self._more(data, size)
-            self.into.freed(len(data))
+                data = self._read_more(data, size)
+            self.incoming.report_read(len(data))
             return data
         if self.eof:
             return b""
@@ -257,7 +259,7 @@
             return b""
         raise BlockingIOError(errno.EWOULDBLOCK, "nothing to read")
 
-    def _more(self, data: bytes, size: int) -> bytes:
+    def _read_more(self, data: bytes, size: int) -> bytes:
         while self.chunks and len(data) < size:
             data += self.chunks.popleft()[0]
         if len(data) > size:
@@ -266,93 +268,93 @@
         return data
 
     def send(self, data: bytes) -> int:
-        """Take as many bytes as the window has room for, and return how many."""
+        """Send as many bytes as the window has room for, and return how many."""
         if self.error:
             raise _error(self.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR))
         if self.broken or self._fin_sent:
             raise _error(errno.EPIPE)
         if self.state != CONNECTED:
             raise _error(errno.ENOTCONN)
-        return self.out.send(data)
+        return self.outgoing.send(data)
 
     def shutdown(self, how: int) -> None:
-        """End the sending, the reading or both."""
+        """Shut down sending, reading or both."""
         if self.state != CONNECTED or self.broken:
             raise _error(errno.ENOTCONN)
         if how != socket.SHUT_WR:
-            self.is_deaf = True
+            self.is_read_shut = True
         if how != socket.SHUT_RD and not self._fin_sent:
             self._fin_sent = True
-            self.out.put(FIN)
+            self.outgoing.transmit(FIN)
 
     def close(self) -> None:
         """Close the socket.
 
-        Unread bytes, or SO_LINGER with no time, make it a reset; else what was sent and a FIN go out.
+        Unread bytes, or SO_LINGER with a time of 0, cause a reset; otherwise a FIN follows the bytes sent.
         """
         if self.closed:
             return
         self.closed = True
         self.watcher = None
-        self.process.shut(self)
+        self.process.remove_descriptor(self)
         if self.state == LISTENING:
             del self.process.host.listeners[self.local[1]]
             for waiting in self.queue:
-                waiting.drop()
+                waiting.close_connection()
         elif self.state == CONNECTED:
-            self.drop(self._orderly())
+            self.close_connection(self._is_graceful())
 
-    def drop(self, orderly: bool = False) -> None:
-        """End this end of the connection, in good order or by a reset."""
-        self.closed = self.is_deaf = True
+    def close_connection(self, graceful: bool = False) -> None:
+        """Close this end of the connection, by a FIN where `graceful`, otherwise by a reset."""
+        self.closed = self.is_read_shut = True
         if not self.broken:
-            if self.chunks or not orderly:
-                self.out.reset()
+            if self.chunks or not graceful:
+                self.outgoing.reset()
             elif not self._fin_sent:
                 self._fin_sent = True
-                self.out.put(FIN)
+                self.outgoing.transmit(FIN)
         self.chunks.clear()
 
-    def _orderly(self) -> bool:
+    def _is_graceful(self) -> bool:
         linger = self._options.get((socket.SOL_SOCKET, socket.SO_LINGER))
         return linger is None or struct.unpack("ii", linger) != (1, 0)
 
-    # What arrives
+    # Incoming packets
 
     def receive_control(self, what: object) -> None:
-        """Take a control packet: the end of the handshake, a FIN or a reset."""
+        """Handle a control packet: the final ACK of the handshake, a FIN or a reset."""
         if what == RST:
-            self.over(errno.EPIPE if self.eof else errno.ECONNRESET)
+            self.fail(errno.EPIPE if self.eof else errno.ECONNRESET)
         elif what == FIN:
             self.eof = True
             self.wake()
         elif what == OPEN:
             self.process.complete_handshake(self)
 
-    def over(self, error: int) -> None:
-        """End the connection without a FIN, by a reset or a time-out."""
+    def fail(self, error: int) -> None:
+        """Fail the connection with an errno, on a reset, a refusal or a time-out."""
         if not self.broken:
             self.broken = True
             if self.state == CONNECTED:
-                self.out.lose()
-                self.out.over = True
+                self.outgoing.discard_held()
+                self.outgoing.over = True
             if not self.closed:
                 self.error = error
                 self.wake()
 
     def reset_by_late_bytes(self) -> None:
-        """Answer bytes with a reset that came after this end had said that it reads no more."""
-        self.out.reset()
-        self.over(errno.ECONNRESET)
+        """Answer bytes that arrive after this end has shut down reading with a reset."""
+        self.outgoing.reset()
+        self.fail(errno.ECONNRESET)
 
-    def refused(self) -> None:
-        """Fail the connect: it was refused."""
+    def handle_refused(self) -> None:
+        """Fail the connect as refused."""
         if self.state == CONNECTING:
-            self.over(errno.ECONNREFUSED)
+            self.fail(errno.ECONNREFUSED)
 
-    def timed_out(self) -> None:
-        """End the connection or its connect by a time-out."""
-        self.over(errno.ETIMEDOUT)
+    def handle_timeout(self) -> None:
+        """Fail the connection or the connect with a time-out."""
+        self.fail(errno.ETIMEDOUT)
 
 
 def _error(number: int) -> OSError:
--- a/wheatring/lab/net/time.py
+++ b/wheatring/lab/net/time.py
@@ -1,7 +1,7 @@
-"""Virtual time: what is to come by its instant, played one after another.
+"""The scheduler of virtual time: runs events in the order of their instants.
 
-The instants just ahead are in a heap. What is further off lies by slots of time until its slot is near: most
-timers are cancelled before, and cost next to nothing.
+Instants of the near future are in a heap. Later events are kept unsorted in slots of time and move to the
+heap when their slot comes: most timers are cancelled before that, and so cost almost nothing.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from random import Random
 from typing import Any, ClassVar
 
-SLOTS = 16  # a second: a power of two, or equal instants could fall on both sides of a slot's end
+SLOTS_PER_SECOND = 16  # a power of two, as otherwise rounding could put equal instants into different slots
 
 
 class Event(list[Any]):
-    """A call to come and its arguments."""
+    """A scheduled call: the callable and its arguments."""
 
     __slots__ = ()
 
@@ -32,17 +32,17 @@
 
 
 class StuckError(RuntimeError):
-    """An instant that does not end."""
+    """Events follow each other without end at one instant."""
 
 
 class VirtualTime:
     """The clock of a simulation. It satisfies `Timers`.
 
-    What falls on one instant comes in the order in which it was asked for or, with `ties`, in an order drawn
-    from it; never before what asked for it.
+    Events of one instant run in the order in which they were scheduled or, with `ties`, in a random order
+    drawn from it. An event never runs before the one that scheduled it.
 
-    `instant` is the present one, `running` the process whose code runs, `events` how many were played. What
-    an event raises comes out of `run` and `step`, which can go on from there.
+    `instant` is the present instant, `running` the process whose code runs, and `events` the number of events
+    run so far. An exception of an event propagates from `run` and `step`, which may be called again.
     """
 
     __slots__ = (
@@ -54,7 +54,7 @@
         "_horizon",
         "_next",
         "_playing",
-        "_seen",
+        "_seen_instant",
         "_slots",
         "_ties",
         "events",
@@ -63,8 +63,8 @@
         "start",
     )  # fmt: skip
 
-    MAX_EVENTS_AT_INSTANT: ClassVar[int] = 1_000_000  # events without time passing
-    CHECK_INTERVAL_EVENTS: ClassVar[int] = 50_000  # events between looks at that
+    MAX_EVENTS_AT_INSTANT: ClassVar[int] = 1_000_000  # limit of events without time passing
+    CHECK_INTERVAL_EVENTS: ClassVar[int] = 50_000  # number of events between checks of that limit
 
     def __init__(self, start: float = 1000.0, ties: Random | None = None) -> None:
         self.start = start
@@ -72,29 +72,29 @@
         self.running: object = None
         self.events = 0
         # Each entry is an Event, or a bare call that is never cancelled.
-        self._buckets: dict[float, list[Any]] = {}  # what comes at the instants just ahead ...
-        self._heap: list[float] = []  # ... and these instants, all before the horizon
+        self._buckets: dict[float, list[Any]] = {}  # events by instant, up to the horizon
+        self._heap: list[float] = []  # the instants of the buckets
         self._horizon = start
-        self._far: dict[int, list[tuple[float, Any]]] = {}  # the rest, by slot
-        self._slots: list[int] = []  # a heap
-        self._playing: list[Any] = []  # what comes at this one
+        self._far: dict[int, list[tuple[float, Any]]] = {}  # instants and events after the horizon, by slot
+        self._slots: list[int] = []  # a heap of the slots in use
+        self._playing: list[Any] = []  # events of the present instant
         self._next: Iterator[Any] = iter(self._playing)
         self._ties = None if ties is None else ties.randrange
         self._check_at = self.CHECK_INTERVAL_EVENTS
-        self._checks_at_instant = 0  # in a row that found this instant
-        self._seen = start
+        self._checks_at_instant = 0  # consecutive checks at the same instant
+        self._seen_instant = start
 
     def now(self) -> float:
         """Return the present instant."""
         return self.instant
 
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Event:
-        """Call at an instant, at once where that has passed, but never from within this call."""
+        """Schedule a call at an instant, or now if that has passed; it is never made from within `at`."""
         event = Event((call, args))
-        if instant > self.instant:  # as `post` and `_put_off` do, without a call of either
+        if instant > self.instant:  # the bodies of `post` and `_post_far`, inlined for speed
             if instant >= self._horizon:
                 if instant < inf:
-                    slot = int(instant * SLOTS)
+                    slot = int(instant * SLOTS_PER_SECOND)
                     entries = self._far.get(slot)
                     if entries is None:
                         self._far[slot] = [(instant, event)]
@@ -111,14 +111,14 @@
             bucket = self._playing
         bucket.append(event)
         if self._ties is not None:
-            self._mix(bucket)
+            self._shuffle_last(bucket)
         return event
 
     def post(self, instant: float, call: Callable[[], object] | Event) -> None:
-        """As `at`, for what has no arguments and is never cancelled."""
+        """Schedule a call without arguments that is never cancelled; see `at`."""
         if instant > self.instant:
             if instant >= self._horizon:
-                self._put_off(instant, call)
+                self._post_far(instant, call)
                 return
             bucket = self._buckets.get(instant)
             if bucket is None:
@@ -129,30 +129,30 @@
             bucket = self._playing
         bucket.append(call)
         if self._ties is not None:
-            self._mix(bucket)
+            self._shuffle_last(bucket)
 
     def run(self, until: float) -> None:
-        """Play all that comes up to an instant and at it; then it is that instant."""
-        heap, buckets, kind = self._heap, self._buckets, Event
-        events, look_at = self.events, self._check_at
+        """Run all events up to and including the instant `until`, and advance the clock to it."""
+        heap, buckets, event_class = self._heap, self._buckets, Event
+        events, next_check = self.events, self._check_at
         try:
             while True:
                 for event in self._next:
                     events += 1
-                    if event.__class__ is kind:
+                    if event.__class__ is event_class:
                         call, args = event
                         if call is None:
                             events -= 1
                             continue
                         event[0] = None
-                        if events >= look_at:
-                            look_at = self._check_progress(call, events)
+                        if events >= next_check:
+                            next_check = self._check_progress(call, events)
                         call(*args)
                     else:
-                        if events >= look_at:
-                            look_at = self._check_progress(event, events)
+                        if events >= next_check:
+                            next_check = self._check_progress(event, events)
                         event()
-                if heap and heap[0] <= until:  # as `_advance` does, which is most of what is done here
+                if heap and heap[0] <= until:  # the common case of `_advance`, inlined for speed
                     self.instant = instant = heappop(heap)
                     self._playing = playing = buckets.pop(instant)
                     self._next = iter(playing)
@@ -163,7 +163,7 @@
             self.events = events
 
     def step(self, until: float = inf) -> bool:
-        """Play the next event if there is one by then; False, and time stands still, if there is none."""
+        """Run the next event up to `until`; return False, without advancing the clock, if there is none."""
         while True:
             for event in self._next:
                 call, args = event if event.__class__ is Event else (event, ())
@@ -180,7 +180,7 @@
                 return False
 
     def pending(self) -> list[Event]:
-        """Return all that is to come and was asked for by `at`, in its order."""
+        """Return the pending events scheduled with `at`, in the order in which they are due."""
         rest = self._playing[len(self._playing) - length_hint(self._next) :]
         for instant in sorted(self._heap):
             rest += self._buckets[instant]
@@ -188,9 +188,9 @@
             rest += [event for _, event in sorted(self._far[slot], key=lambda entry: entry[0])]
         return [event for event in rest if event.__class__ is Event and event[0] is not None]
 
-    def _put_off(self, instant: float, call: Any) -> None:
+    def _post_far(self, instant: float, call: Any) -> None:
         if instant < inf:
-            slot = int(instant * SLOTS)
+            slot = int(instant * SLOTS_PER_SECOND)
             entries = self._far.get(slot)
             if entries is None:
                 self._far[slot] = [(instant, call)]
@@ -199,15 +199,15 @@
                 entries.append((instant, call))
 
     def _advance(self, until: float) -> bool:
-        """Go to the next instant at which anything comes, if that is not after `until`."""
+        """Advance to the next instant that has events, and return True, unless it is after `until`."""
         heap = self._heap
         while not heap:
-            if not self._slots or self._slots[0] > until * SLOTS:
+            if not self._slots or self._slots[0] > until * SLOTS_PER_SECOND:
                 self._playing = []
                 self._next = iter(self._playing)
                 return False
             slot = heappop(self._slots)
-            self._horizon = (slot + 1) / SLOTS
+            self._horizon = (slot + 1) / SLOTS_PER_SECOND
             for instant, event in self._far.pop(slot):
                 if event.__class__ is not Event or event[0] is not None:
                     self.post(instant, event)
@@ -220,8 +220,8 @@
         self._next = iter(playing)
         return True
 
-    def _mix(self, bucket: list[Any]) -> None:
-        """Give the last entry its place among those that are not played yet."""
+    def _shuffle_last(self, bucket: list[Any]) -> None:
+        """Swap the last entry with a random one of those that have not run yet."""
         assert self._ties is not None
         last = len(bucket) - 1
         first = len(bucket) - length_hint(self._next) if bucket is self._playing else 0
@@ -229,15 +229,15 @@
         bucket[place], bucket[last] = bucket[last], bucket[place]
 
     def _check_progress(self, call: Any, events: int) -> int:
-        """Raise StuckError at an instant without end; return the number of events at which to check again."""
+        """Raise StuckError if time no longer passes; return the number of events at which to check again."""
         self._check_at = events + self.CHECK_INTERVAL_EVENTS
-        self._checks_at_instant = self._checks_at_instant + 1 if self.instant == self._seen else 0
-        self._seen = self.instant
+        self._checks_at_instant = self._checks_at_instant + 1 if self.instant == self._seen_instant else 0
+        self._seen_instant = self.instant
         if self._checks_at_instant * self.CHECK_INTERVAL_EVENTS >= self.MAX_EVENTS_AT_INSTANT:
             name = getattr(call, "__qualname__", type(call).__name__)
-            whose = getattr(getattr(call, "__self__", None), "name", "")
+            owner = getattr(getattr(call, "__self__", None), "name", "")
             raise StuckError(
                 f"{self.MAX_EVENTS_AT_INSTANT} events at {self.instant:.6f} s without time passing,"
-                f" the last one {name}{whose and f' of {whose}'}"
+                f" the last one {name}{owner and f' of {owner}'}"
             )
         return self._check_at
--- a/wheatring/lab/net/transports.py
+++ b/wheatring/lab/net/transports.py
@@ -1,7 +1,7 @@
-"""Twisted's own TCP transports and ports on sockets of ours.
+"""Twisted's own TCP transports and ports, on simulated sockets.
 
-Only what touches a reactor's descriptors, a real socket or Twisted's log is replaced. Producers, closing and
-the order of callbacks are Twisted's.
+Only the code that touches a reactor's descriptors, a real socket or Twisted's log is replaced. Producers,
+closing and the order of callbacks are Twisted's.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 
 from wheatring.lab.net.sockets import Socket
 
-cannot_listen: Any = error.CannotListenError  # Twisted's own type says nothing of its arguments
+cannot_listen: Any = error.CannotListenError  # Twisted's annotations lack its arguments
 log_failure: Any = log.err
-Why = Any  # None, or the exception for which a transport ends
+DisconnectReason = Any  # None, or the exception that ends the transport
 
 
 class SocketWatcher:
-    """What waits for its socket to be readable or writable, as its process serves it."""
+    """Base of transports and ports: waits for its socket to be readable or writable."""
 
     reactor: Any
     socket: Any
     reading = False
     writing = False
-    queued = False  # for the next turn
+    queued = False  # whether it is served in the next iteration of the reactor
 
     def startReading(self) -> None:  # noqa: N802 - Twisted's name
-        """Wait for the socket to be readable."""
+        """Start waiting for the socket to be readable."""
         if not self.reading:
             socket = self.socket
             socket.watcher = self
@@ -40,23 +40,23 @@
                 self.reactor.queue(self)
 
     def stopReading(self) -> None:  # noqa: N802 - Twisted's name
-        """Wait for that no longer."""
+        """Stop waiting for the socket to be readable."""
         self.reading = False
 
     def startWriting(self) -> None:  # noqa: N802 - Twisted's name
-        """Wait for the socket to be writable."""
+        """Start waiting for the socket to be writable."""
         if not self.writing:
             self.socket.watcher = self
             self.writing = True
-            self.reactor.want(self)
+            self.reactor.serve_when_writable(self)
 
     def stopWriting(self) -> None:  # noqa: N802 - Twisted's name
-        """Wait for that no longer."""
+        """Stop waiting for the socket to be writable."""
         self.writing = False
 
 
 class Transport(SocketWatcher):
-    """What both ends of a connection share."""
+    """Base of the transports of both ends of a connection."""
 
     connected: Any
     dataBuffer: bytes  # noqa: N815 - Twisted's name
@@ -75,17 +75,17 @@
 
     @property
     def sent_at(self) -> float:
-        """When the peer sent the first of the bytes that `dataReceived` has got last."""
+        """The instant at which the peer sent the first byte of the last `dataReceived`."""
         sent: float = self.socket.sent_at
         return sent
 
     @property
     def peer_read(self) -> Callable[[], int]:
-        """Tells how many bytes the peer's program has read by then, also once the connection has ended."""
-        return partial(getattr, self.socket.out, "read")
+        """A callable that returns how many bytes the peer has read, also after the connection has ended."""
+        return partial(getattr, self.socket.outgoing, "read")
 
     def write(self, data: bytes) -> None:
-        """Send data, as soon as the socket takes it."""
+        """Send data as soon as the socket accepts it."""
         if data.__class__ is not bytes and not isinstance(data, bytes):
             raise TypeError("Data must be bytes")
         if data and self.connected and not self._writeDisconnected:
@@ -99,8 +99,8 @@
     def _maybePauseProducer(self) -> None:  # noqa: N802 - Twisted's name
         super()._maybePauseProducer()  # type: ignore[misc]
 
-    def doRead(self) -> Why:  # noqa: N802 - Twisted's name
-        """As Twisted's, in one call less."""
+    def doRead(self) -> DisconnectReason:  # noqa: N802 - Twisted's name
+        """Read as Twisted's `doRead` does, with one call less."""
         try:
             data = self.socket.recv(self.bufferSize)
         except BlockingIOError:
@@ -112,8 +112,8 @@
         self.protocol.dataReceived(data)
         return None
 
-    def doWrite(self) -> Why:  # noqa: N802 - Twisted's name
-        """As Twisted's, but for the detours of what is left over from an earlier write or is to end."""
+    def doWrite(self) -> DisconnectReason:  # noqa: N802 - Twisted's name
+        """Write as Twisted's `doWrite` does, with a fast path if nothing is left over or closing."""
         waiting = self._tempDataBuffer
         ending = self.disconnecting or self._writeDisconnecting
         if ending or self.dataBuffer or self._tempDataLen > self.SEND_LIMIT:
@@ -135,7 +135,7 @@
         return None
 
     def writeSomeData(self, data: Any) -> Any:  # noqa: N802 - Twisted's name
-        """Hand data to the socket, and return how many bytes it took."""
+        """Write data to the socket, and return how many bytes it accepted."""
         if len(data) > self.SEND_LIMIT:
             data = data[: self.SEND_LIMIT]
         try:
@@ -147,11 +147,11 @@
 
 
 class Server(Transport, tcp.Server):
-    """The end of a connection that was accepted."""
+    """The accepting end of a connection."""
 
 
 class Client(Transport, tcp.Client):
-    """The end of a connection that was asked for."""
+    """The connecting end of a connection."""
 
     connector: Any
 
@@ -159,7 +159,7 @@
         """Return a new socket of the process."""
         process = self.connector.reactor
         socket = Socket(process)
-        process.opened(socket)
+        process.add_descriptor(socket)
         return socket
 
 
@@ -167,7 +167,7 @@
 
 
 class Connector(tcp.Connector):
-    """Connects by transports of this package."""
+    """Connects with the transports of this package."""
 
     def _makeTransport(self) -> Any:  # noqa: N802 - Twisted's name
         return make_client(self.host, self.port, self.bindAddress, self, self.reactor)
@@ -181,13 +181,13 @@
     interface: str
 
     def startListening(self) -> None:  # noqa: N802 - Twisted's name
-        """Listen at the port."""
+        """Start listening on the port."""
         socket = Socket(self.reactor)
         try:
             socket.bind((self.interface, self.port or 0))
         except OSError as bad:
             raise cannot_listen(self.interface, self.port, bad) from bad
-        self.reactor.opened(socket)
+        self.reactor.add_descriptor(socket)
         socket.listen(self.backlog)
         self._realPortNumber = socket.local[1]
         self.factory.doStart()
@@ -197,8 +197,8 @@
         self.numberAccepts = 100
         self.startReading()
 
-    def doRead(self) -> Why:  # noqa: N802 - Twisted's name
-        """Accept the connections that wait, as Twisted's port does."""
+    def doRead(self) -> DisconnectReason:  # noqa: N802 - Twisted's name
+        """Accept the waiting connections, as Twisted's port does."""
         try:
             accepted = 0
             while accepted < self.numberAccepts:
@@ -223,13 +223,13 @@
             log_failure()
 
     def _logConnectionLostMsg(self) -> None:  # noqa: N802 - Twisted's name
-        """Ports come and go too often here for a line each."""
+        """Log nothing: simulated ports open and close too often for a line each."""
 
 
 class LimitedPort(Port):
-    """Accepts no more in one go than its factory has room for."""
+    """A port that accepts no more connections at once than its factory has free slots."""
 
-    def doRead(self) -> Why:  # noqa: N802 - Twisted's name
-        """Accept no more than the factory has places for."""
+    def doRead(self) -> DisconnectReason:  # noqa: N802 - Twisted's name
+        """Accept at most as many connections as the factory has free slots."""
         self.numberAccepts = max(1, min(self.numberAccepts, self.factory.free_slots))
         super().doRead()
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -16,7 +16,7 @@
 from wheatring.lab.models.received_attempt import NextTierCall
 from wheatring.lab.models.traffic import call_work_samplers
 from wheatring.lab.net.network import Network
-from wheatring.lab.net.process import Delayed, Process, waiting
+from wheatring.lab.net.process import DelayedCall, Process, scheduled_calls
 from wheatring.lab.plan import EventPlan, NodePlan
 from wheatring.lab.wire.discovery_server import DiscoveryServer
 from wheatring.lab.wire.node_server import NodeNetwork, NodeServer
@@ -125,10 +125,10 @@
             NodeNetwork(
                 self.sidecar_of,
                 lambda host: self.round_trip(node.host, host),
-                lambda full: self.net.full(node.host, PORT, full),
+                lambda full: self.net.set_full(node.host, PORT, full),
             ),
         )
-        self.net.full(node.host, PORT, False)
+        self.net.set_full(node.host, PORT, False)
         process.listenTCP(PORT, server, LISTEN_BACKLOG, node.host)
         if node.name in self.hosts:
             self.clients[node.name] = self.create_client(process, node.host)
@@ -171,7 +171,7 @@
     def forget_sidecar(self, name: str) -> Process:
         """Remove a sidecar whose process ends, and return the process."""
         process, _ = self.sidecars.pop(name)
-        self.max_sockets[name] = max(self.max_sockets.get(name, 0), process.most)
+        self.max_sockets[name] = max(self.max_sockets.get(name, 0), process.max_descriptors)
         return process
 
     def sidecar_stop(self, name: str) -> None:
@@ -201,7 +201,7 @@
             host = self.world.nodes[name].host
             faults = self.world.machines[name].faults
             if event.kind == "refuse":
-                self.net.refuse(host, PORT, faults.refuses_connections)
+                self.net.set_refusing(host, PORT, faults.refuses_connections)
             elif event.kind == "late_connects":
                 self.net.delay_connects(host, PORT, faults.connect_delay)
             elif event.kind == "conn_cap" and name in self.servers:
@@ -216,12 +216,12 @@
     def isolate_node(self, node: NodePlan) -> None:
         """Cut a node's hosts off: nothing reaches them or leaves them."""
         for host in self.hosts_of(node):
-            self.net.vanish(host)
+            self.net.isolate(host)
 
     def reconnect_node(self, node: NodePlan) -> None:
         """Connect a node's hosts again; their connections are reset."""
         for host in self.hosts_of(node):
-            self.net.back(host)
+            self.net.reconnect(host)
 
     def hosts_of(self, node: NodePlan) -> list[str]:
         """Return the hosts of a node and of its own sidecar, if it has one."""
@@ -241,15 +241,15 @@
     def leftovers(self) -> dict[str, dict[str, int]]:
         """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
         found = {name: Counter(most_sockets=most) for name, most in self.max_sockets.items()}
-        later = waiting(self.time)
+        later = scheduled_calls(self.time)
         for name, (process, sidecar) in self.sidecars.items():
             counts = found.setdefault(name, Counter())
-            counts["most_sockets"] = max(counts["most_sockets"], process.most)
-            counts.update(count_leftovers(sidecar, [*process.due_soon(), *later.get(process, ())]))
+            counts["most_sockets"] = max(counts["most_sockets"], process.max_descriptors)
+            counts.update(count_leftovers(sidecar, [*process.due_calls(), *later.get(process, ())]))
         return {name: dict(counts) for name, counts in found.items()}
 
 
-def count_leftovers(sidecar: Sidecar, timers: Sequence[Delayed]) -> Counter[str]:
+def count_leftovers(sidecar: Sidecar, timers: Sequence[DelayedCall]) -> Counter[str]:
     """Count what an idle sidecar should not have; `timers` are all that it waits for."""
     counts = Counter(jobs=max(sidecar.exchange.open_count, len(sidecar.driver.open_requests)))
     counts["claims"] = sum(each.attempt is not None for each in sidecar.pool.connections)
