--- a/tests/lab/direct/direct_world.py
+++ b/tests/lab/direct/direct_world.py
@@ -1,4 +1,4 @@
-"""What the tests of the direct grain share: a sidecar amid a node and a discovery with a script."""
+"""Shared fixtures of the tests of the direct environment: a sidecar with a scripted node and discovery."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class Time(VirtualTime):
-    """Virtual time, played in spans of it."""
+    """Virtual time that is advanced by durations."""
 
     __slots__ = ()
 
     def play(self, seconds: float = inf) -> None:
-        """Play so much time, or all that is to come."""
+        """Run the events of the next `seconds`, or all events."""
         if seconds < inf:
             self.run(self.instant + seconds)
         else:
@@ -40,13 +40,13 @@
     """Stands in for the event recorder: keeps each call as (method, values...)."""
 
     def __init__(self) -> None:
-        self.lines: list[tuple[object, ...]] = []
+        self.calls: list[tuple[object, ...]] = []
 
     def __getattr__(self, what: str) -> Callable[..., Any]:
-        return lambda *values, **more: self.lines.append((what, *values, *more.values()))
+        return lambda *values, **more: self.calls.append((what, *values, *more.values()))
 
     def all(self, what: str) -> list[tuple[object, ...]]:
-        return [line[1:] for line in self.lines if line[0] == what]
+        return [line[1:] for line in self.calls if line[0] == what]
 
 
 class MachineFaults:
@@ -54,8 +54,8 @@
     connect_delay = 0.0
 
 
-class Script:
-    """A node's machine, which holds its attempts until the story replies, or replies `at_once`."""
+class ScriptedMachine:
+    """A node's machine that holds attempts until the test replies, unless `immediate_outcome` is set."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -63,8 +63,8 @@
         self.is_full = False
         self.connections = 0
         self.attempts: list[ReceivedAttempt] = []
-        self.gone: list[ReceivedAttempt] = []
-        self.at_once: AttemptOutcome | None = None
+        self.abandoned: list[ReceivedAttempt] = []
+        self.immediate_outcome: AttemptOutcome | None = None
         self._faults = MachineFaults()
 
     @property
@@ -82,11 +82,11 @@
 
     def receive(self, attempt: ReceivedAttempt) -> None:
         self.attempts.append(attempt)
-        if self.at_once is not None:
-            attempt.reply(self.at_once, "stamp")
+        if self.immediate_outcome is not None:
+            attempt.reply(self.immediate_outcome, "stamp")
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
-        self.gone.append(attempt)
+        self.abandoned.append(attempt)
 
 
 class ListRequest:
@@ -103,7 +103,7 @@
 
 
 class Registry:
-    """Discovery, which answers when the story does."""
+    """Discovery, whose requests the test answers."""
 
     def __init__(self) -> None:
         self.calls: list[ListRequest] = []
@@ -120,20 +120,20 @@
 
 
 class World:
-    """One sidecar "s" on "h" with the node "n" on "m", a caller on "c" and discovery on "d"."""
+    """A sidecar "s" on host "h", a node "n" on "m", a caller on "c" and discovery on "d"."""
 
     def __init__(self, attempts: int = 1, handshake_rtts: float = 0.0, idle: float = 30.0) -> None:
         self.time = Time()
-        self.book: Any = CallRecorder()
-        book = self.book
+        self.recorder: Any = CallRecorder()
+        recorder = self.recorder
         net = NetPlan(same=LINK, cross=LINK, client=LINK, jitter=0.0)
         self.links = DirectLinks(net, {}, self.time, Random(1))
-        self.machine = Script("n")
+        self.machine = ScriptedMachine("n")
         self.tier = TierPlan(name="t", work=1.0, handshake_rtts=handshake_rtts, conn_idle=idle)
-        self.node = DirectNode(self.machine, "m", self.tier, self.time, self.links, book)
+        self.node = DirectNode(self.machine, "m", self.tier, self.time, self.links, recorder)
         self.nodes = {"m:1": self.node}
         self.registry = Registry()
-        self.way = DirectSidecarClient(self.time, self.links, book, {"s": ("c", "h")})
+        self.client = DirectSidecarClient(self.time, self.links, recorder, {"s": ("c", "h")})
         classes = tuple(
             RequestClass(e.value, 1.0, 2.0, 1.0, 1.0, idempotency=e, repeat_window=10.0) for e in EFFECTS
         )
@@ -155,10 +155,10 @@
             "s",
             "h",
             SidecarConfig(self.settings, 7, known),
-            SidecarNetwork(self.links, self.nodes, self.registry, ("d", 1), self.way),
+            SidecarNetwork(self.links, self.nodes, self.registry, ("d", 1), self.client),
             time=self.time,
             unix=lambda: 0.0,
-            recorder=self.book,
+            recorder=self.recorder,
         )
         ended = sidecar.exchange.on_attempt_ended
 
@@ -174,8 +174,10 @@
     def listed(**more: object) -> dict[str, object]:
         return {"instanceId": "n", "hostPort": "m:1", "lifecycle": "SERVING", "startedAtMs": 0, **more}
 
-    def ask(self, ident: str = "a", index: int = 0, left: float = 2.0) -> DirectRequest:
-        return self.way.send("s", ident, index, left, "", False, lambda *end: self.replies.append(end))
+    def send(self, ident: str = "a", index: int = 0, time_left: float = 2.0) -> DirectRequest:
+        return self.client.send(
+            "s", ident, index, time_left, "", False, lambda *end: self.replies.append(end)
+        )
 
     def outcomes(self) -> list[Outcome | None]:
         return [attempt.outcome for attempt in self.attempts]
--- a/tests/lab/wire/http_peers.py
+++ b/tests/lab/wire/http_peers.py
@@ -1,4 +1,4 @@
-"""What the tests of discovery and of the models' HTTP peers share."""
+"""Shared fixtures of the tests of the HTTP peers: callers, nodes and discovery."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from wheatring.lab.wire.sidecar_client import SidecarClient
 
 SAFE, KEYED = 0, 1
-FORMS = RequestFormat(
+REQUEST_FORMAT = RequestFormat(
     [ClassPlan(name="read", share=1, work=0.1), ClassPlan(name="buy", share=1, work=0.1, effect="keyed")]
 )
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -33,7 +33,7 @@
 
 
 class EventLog:
-    """Stands in for the event recorder: keeps each call and its time. Notes are listed by what they note."""
+    """Stands in for the event recorder: keeps each call and its instant. A note is listed by its own name."""
 
     def __init__(self, timers: Any) -> None:
         self.timers = timers
@@ -58,27 +58,27 @@
         return [entry for entry in self.log if entry[0] in kinds]
 
     def timed(self, kind: str) -> list[tuple[Any, ...]]:
-        """Entries of one kind, with their instants in its place."""
+        """Return the entries of one kind, each with its instant in place of the kind."""
         return [(at, *e[1:]) for at, e in zip(self.instants, self.log, strict=True) if e[0] == kind]
 
 
 class Machine:
-    """Stands in for a node's model. Its verdict is set by the story; None: it hangs."""
+    """Stands in for a node's model. The test sets the outcome of its attempts; None leaves them pending."""
 
     name = "n1"
 
-    def __init__(self, book: Any, cap: int) -> None:
-        self.book = book
-        self.cap = cap
+    def __init__(self, recorder: Any, capacity: int) -> None:
+        self.recorder = recorder
+        self.capacity = capacity
         self.open = 0
-        self.verdict: AttemptOutcome | None = AttemptOutcome.SERVED
+        self.outcome: AttemptOutcome | None = AttemptOutcome.SERVED
         self.attempts: list[ReceivedAttempt] = []
 
     malformed_share = 0.0
 
     @property
     def is_full(self) -> bool:
-        return self.open >= self.cap
+        return self.open >= self.capacity
 
     def connect(self) -> float | None:
         self.open += not self.is_full
@@ -89,22 +89,22 @@
 
     def receive(self, attempt: ReceivedAttempt) -> None:
         self.attempts.append(attempt)
-        if self.verdict is not None:
-            self.book.ended(self.name, attempt.ident)
-            attempt.reply(self.verdict, f"stamp-{attempt.ident}")
+        if self.outcome is not None:
+            self.recorder.ended(self.name, attempt.ident)
+            attempt.reply(self.outcome, f"stamp-{attempt.ident}")
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
         attempt.is_abandoned = True
-        self.book.ended(self.name, attempt.ident)
+        self.recorder.ended(self.name, attempt.ident)
 
 
-class Scripted(Protocol):
-    """A peer whose story says what it does with what comes."""
+class ScriptedPeer(Protocol):
+    """A peer that calls `on_data` for each piece of data received."""
 
     transport: Any = None
 
-    def __init__(self, got: Callable[[Scripted], None], first: bytes = b"") -> None:
-        self.got = got
+    def __init__(self, on_data: Callable[[ScriptedPeer], None], first: bytes = b"") -> None:
+        self.on_data = on_data
         self.first = first
         self.reads = True
         self.data = b""
@@ -118,86 +118,95 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
         self.data += data
-        self.got(self)
+        self.on_data(self)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - Twisted's name
         self.why = reason.type
 
 
-def says(data: bytes, then: str = "") -> Callable[[Scripted], None]:
-    """Return a step that writes these bytes, and may end the connection by a call of its transport."""
+def reply_with(data: bytes, then: str = "") -> Callable[[ScriptedPeer], None]:
+    """Return a step that writes bytes, and may then call the method `then` of the transport."""
 
-    def got(line: Scripted) -> None:
-        line.transport.write(data)
+    def on_data(connection: ScriptedPeer) -> None:
+        connection.transport.write(data)
         if then:
-            getattr(line.transport, then)()
+            getattr(connection.transport, then)()
 
-    return got
+    return on_data
 
 
-def factory(made: Any, build: Callable[[Any], Protocol]) -> Any:
-    made.noisy = False
-    made.buildProtocol = build
-    return made
+def factory(target: Any, build: Callable[[Any], Protocol]) -> Any:
+    target.noisy = False
+    target.buildProtocol = build
+    return target
 
 
-class Field:
-    """One virtual network: clients at 127.0.0.1, a scripted sidecar at .2, a node and discovery at .3."""
+class PeerNetwork:
+    """A simulated network: clients at 127.0.0.1, a scripted sidecar at .2, a node and discovery at .3."""
 
-    def __init__(self, cap: int = 100, most: int = 0) -> None:
+    def __init__(self, capacity: int = 100, max_connections: int = 0) -> None:
         self.time = VirtualTime()
-        self.book = EventLog(self.time)
-        book: Any = self.book
+        self.recorder = EventLog(self.time)
+        recorder: Any = self.recorder
         self.net = Network(self.time, NetPlan(same=0.001, jitter=0.0), Random(1))
         self.clients, self.sidecar, self.node = [self.net.process(f"p{n}", f"127.0.0.{n}") for n in (1, 2, 3)]
         self.origins = CorrelationTable(Random(2))
-        self.machine = Machine(book, cap)
+        self.machine = Machine(recorder, capacity)
         full = partial(self.net.set_full, "127.0.0.3", 80)
         network = NodeNetwork("at {}".format, lambda _host: 0.002, full)
-        rest = (self.time, Random(3), self.origins, FORMS, book, network)
-        self.peer = NodeServer(self.machine, TIER, *rest)
-        self.node.listenTCP(80, self.peer)
+        rest = (self.time, Random(3), self.origins, REQUEST_FORMAT, recorder, network)
+        self.node_server = NodeServer(self.machine, TIER, *rest)
+        self.node.listenTCP(80, self.node_server)
         plan = DiscoveryPlan(period=0.5, spread=0.0, lines_per_s=1000.0, call_lines=9.0)
-        self.registry = Registry(plan, self.time, self.node.unix, Random(4), book)
+        self.registry = Registry(plan, self.time, self.node.unix, Random(4), recorder)
         self.registry.register(RegisteredNode("n1", "127.0.0.3:80", "room", "fast", 2))
-        DiscoveryServer(self.registry, book, "at {}".format, partial(self.node.listenTCP, 90))
-        self.lines: list[Scripted] = []
+        DiscoveryServer(self.registry, recorder, "at {}".format, partial(self.node.listenTCP, 90))
+        self.connections: list[ScriptedPeer] = []
         where = {"s": ("127.0.0.2", 80), "nobody": ("127.0.0.2", 81)}
-        self.caller = SidecarClient(
-            self.clients, self.time, book, FORMS, where.__getitem__, max_connections=most
+        self.client = SidecarClient(
+            self.clients,
+            self.time,
+            recorder,
+            REQUEST_FORMAT,
+            where.__getitem__,
+            max_connections=max_connections,
         )
         self.ends: list[tuple[str, float]] = []
-        self.book.clear()
+        self.recorder.clear()
 
-    def serve(self, *steps: Callable[[Scripted], None], reads: bool = True) -> None:
-        """Let a script stand in for the sidecar.
+    def serve(self, *steps: Callable[[ScriptedPeer], None], reads: bool = True) -> None:
+        """Listen as the sidecar, with a scripted peer for each connection.
 
-        The steps are taken when something has come on its first, second, ... connection; the last one on all
-        further connections.
+        The steps handle the data received on the first, second, ... connection; the last step handles that of
+        all further connections.
         """
 
-        def build(_addr: object) -> Scripted:
-            self.lines.append(Scripted(steps[min(len(self.lines), len(steps) - 1)]))
-            self.lines[-1].reads = reads
-            return self.lines[-1]
+        def build(_addr: object) -> ScriptedPeer:
+            self.connections.append(ScriptedPeer(steps[min(len(self.connections), len(steps) - 1)]))
+            self.connections[-1].reads = reads
+            return self.connections[-1]
 
         self.sidecar.listenTCP(80, factory(Factory(), build))
 
-    def ask(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> PendingRequest:
+    def send(self, sidecar: str = "s", index: int = SAFE, key: str = "", run: float = 0.0) -> PendingRequest:
         ident = self.origins.new(OriginalRequest(1, index, 0.1, key))
-        asked = self.caller.send(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
+        request = self.client.send(sidecar, ident, index, 4.0, key, False, lambda *end: self.ends.append(end))
         self.run(run)
-        return asked
+        return request
 
-    def form(self, index: int = SAFE, key: str = "") -> bytes:
-        return FORMS.encode(index, self.origins.new(OriginalRequest(1, index, 0.1, key)), 480, key, False)
+    def encode_request(self, index: int = SAFE, key: str = "") -> bytes:
+        return REQUEST_FORMAT.encode(
+            index, self.origins.new(OriginalRequest(1, index, 0.1, key)), 480, key, False
+        )
 
-    def dial(self, data: bytes = b"", port: int = 80, run: float = 1.0) -> Scripted:
-        """Dial the node, or discovery, on a scripted connection of the sidecar that writes this first."""
-        line = Scripted(lambda _line: None, data)
-        self.sidecar.connectTCP("127.0.0.3", port, factory(ClientFactory(), lambda _addr: line), timeout=None)
+    def connect(self, data: bytes = b"", port: int = 80, run: float = 1.0) -> ScriptedPeer:
+        """Connect to the node or discovery from the sidecar's host, and send `data`."""
+        connection = ScriptedPeer(lambda _connection: None, data)
+        self.sidecar.connectTCP(
+            "127.0.0.3", port, factory(ClientFactory(), lambda _addr: connection), timeout=None
+        )
         self.run(run)
-        return line
+        return connection
 
     def run(self, seconds: float = 1.0) -> None:
         if seconds:
@@ -206,7 +215,7 @@
 
 @pytest.fixture
 def no_errors() -> Iterator[None]:
-    """Fail on what a callback raises: it ends in Twisted's log, where nobody would see it."""
+    """Fail the test if a callback raises: such exceptions otherwise only appear in Twisted's log."""
     errors: list[Any] = []
 
     def observe(event: Any) -> None:
--- a/tests/lab/wire/test_http.py
+++ b/tests/lab/wire/test_http.py
@@ -1,4 +1,4 @@
-"""The parser reads the same messages however the bytes are cut, and reports what is not plainly right."""
+"""The lab's parser yields the same messages for any split of the bytes, and rejects malformed ones."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     b"T: 1\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"
     b"HTTP/1.1 200 OK\r\n\r\nto the end"
 )
-CUT = [
+PARSED = [
     (200, b"\r\n\r\n", True),
     (503, b"", False),
     (200, b"a\r\n0123456789", True),
@@ -38,7 +38,7 @@
 ]
 
 
-def cut(pieces: list[bytes], responses: bool = True) -> list[Message]:
+def parse(pieces: list[bytes], responses: bool = True) -> list[Message]:
     parser, messages = PeerMessageParser(responses=responses), []
     for piece in pieces:
         message = parser.feed(piece)
@@ -46,31 +46,31 @@
             messages.append(message)
             message = parser.next_message()
     message = parser.finish()
-    assert message is not None or not parser.is_mid_message, "half a message"
+    assert message is not None or not parser.is_mid_message, "incomplete message"
     return messages + ([message] if message else [])
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(st.lists(st.integers(0, len(MESSAGES)), max_size=8))
-def test_messages_are_cut_the_same_wherever_the_bytes_are(cuts: list[int]) -> None:
+def test_messages_are_the_same_for_any_split_of_the_bytes(cuts: list[int]) -> None:
     edges = [0, *sorted(cuts), len(MESSAGES)]
     for pieces in (
         [MESSAGES[a:b] for a, b in pairwise(edges)],
         [MESSAGES[:1], MESSAGES[1:]],
         [bytes([byte]) for byte in MESSAGES],
     ):
-        assert [(m.status, m.body, m.keep_alive) for m in cut(pieces)] == CUT
-    assert cut([MESSAGES])[0].fields == {b"content-length": b"4", b"x-a": b"b c"}
+        assert [(m.status, m.body, m.keep_alive) for m in parse(pieces)] == PARSED
+    assert parse([MESSAGES])[0].fields == {b"content-length": b"4", b"x-a": b"b c"}
 
 
-def test_requests_are_cut_at_every_byte() -> None:
-    forms = RequestFormat((ClassPlan(name="buy", share=1, work=0.1, effect="keyed"),))
-    data = forms.encode(0, "00ff", 480, KEY, True)
-    for place in range(len(data) + 1):
-        (message,) = cut([data[:place], data[place:]], responses=False)
+def test_requests_may_be_split_at_every_byte() -> None:
+    request_format = RequestFormat((ClassPlan(name="buy", share=1, work=0.1, effect="keyed"),))
+    data = request_format.encode(0, "00ff", 480, KEY, True)
+    for split in range(len(data) + 1):
+        (message,) = parse([data[:split], data[split:]], responses=False)
         assert (message.method, message.fields[b"x-time-left-ms"]) == (b"POST", b"480")
-        assert forms.matches(message, b"00ff", OriginalRequest(1, 0, 0.1, KEY))
-        assert not forms.matches(message, b"00ff", OriginalRequest(1, 0, 0.1, "other"))
+        assert request_format.matches(message, b"00ff", OriginalRequest(1, 0, 0.1, KEY))
+        assert not request_format.matches(message, b"00ff", OriginalRequest(1, 0, 0.1, "other"))
 
 
 @pytest.mark.parametrize(
@@ -87,18 +87,18 @@
         b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc0\r\n",
     ],
 )  # fmt: skip
-def test_what_is_not_plainly_right_is_reported(head: bytes) -> None:
+def test_malformed_requests_are_rejected(head: bytes) -> None:
     with pytest.raises(PeerMalformedMessageError):
-        cut([head + b"\r\n"], responses=False)
+        parse([head + b"\r\n"], responses=False)
 
 
-def test_no_spoilt_answer_can_be_read_by_either_parser() -> None:
+def test_malformed_responses_are_rejected_by_both_parsers() -> None:
     forms = set()
     for seed in range(60):
         data, _ = malformed_response(Random(seed))
         forms.add(data[:40] if data[:1] == b"H" else b"noise")
         with pytest.raises((PeerMalformedMessageError, AssertionError)):
-            cut([data])
+            parse([data])
         reader = MessageParser(responses=True)
         reader.feed(data)
         with suppress(MalformedMessageError):
--- a/tests/lab/world/test_sidecar_lifecycle.py
+++ b/tests/lab/world/test_sidecar_lifecycle.py
@@ -1,4 +1,4 @@
-"""A sidecar's life on the lab's network, from its start to its end on SIGTERM: nothing of it is left."""
+"""A sidecar on the simulated network releases all its resources when it ends on SIGTERM."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from wheatring.lab.wire.environment import WireEnvironment
 
 
-def a_life(seed: int, stop: float, load_until: float, *events: EventPlan) -> Plan:
-    """SIGTERM to the only sidecar of the front at `stop`; first tries come until `load_until`."""
+def shutdown_plan(seed: int, stop: float, load_until: float, *events: EventPlan) -> Plan:
+    """Return a plan with a SIGTERM to the only front sidecar at `stop`; requests start until `load_until`."""
     end = EventPlan(at=stop, kind="sidecar_restart", extra=2.9, length=20.0, sidecars=("front-1",))
     return msgspec.structs.replace(
         draw(load("small"), seed), length=load_until, tail=4.0, events=(*events, end)
@@ -26,13 +26,15 @@
 
 
 @pytest.mark.parametrize(("stop", "until"), [(2.0, 4.0), (4.6, 2.0)], ids=["under load", "idle"])
-@pytest.mark.parametrize("events", [(), (HANG, RESETS)], ids=["", "with troubles"])
-def test_a_sidecar_that_ends_leaves_nothing(stop: float, until: float, events: tuple[EventPlan, ...]) -> None:
+@pytest.mark.parametrize("events", [(), (HANG, RESETS)], ids=["", "with faults"])
+def test_a_sidecar_that_ends_releases_all_resources(
+    stop: float, until: float, events: tuple[EventPlan, ...]
+) -> None:
     for seed in range(1, 6):
-        made = make_world(a_life(seed, stop, until, *events), "wire")
-        environment = made.environment
+        world = make_world(shutdown_plan(seed, stop, until, *events), "wire")
+        environment = world.environment
         assert isinstance(environment, WireEnvironment)
-        outcome = made.play()
+        outcome = world.play()
         assert outcome.breaches == []
         assert [what for _, what in outcome.happened if "front-1" in what] == [
             "sidecar front-1 is told to stop", "sidecar front-1 ends"
@@ -43,12 +45,12 @@
         assert not any(counts.values()), counts
         assert not environment.net.host(environment.hosts["front-1"]).processes
         assert not environment.net.host(environment.hosts["front-1"]).listeners
-        # And its peers know of its end: no node holds a connection of it.
+        # No node still holds a connection of the sidecar.
         assert not [
             s for s in sockets(environment) if s.remote and s.remote[0] == environment.hosts["front-1"]
         ]
 
 
 def sockets(environment: WireEnvironment) -> list[Socket]:
-    """All that programs hold."""
+    """Return the open sockets of all processes."""
     return [s for host in environment.net.hosts.values() for p in host.processes for s in p.descriptors]
--- a/tests/lab/world/test_world.py
+++ b/tests/lab/world/test_world.py
@@ -1,4 +1,4 @@
-"""The world as a whole: the same day twice is the same to the byte, and both grains tell the same story."""
+"""Runs of whole worlds: they are deterministic, and both grains have nearly the same outcome."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 GRAINS = ("wire", "exchange")
 
-# Every scenario, cut down to what shows the order of events: less of the load, few of the sidecars, and only
-# the start, but of two in which all kinds of trouble come soon.
-TRACED = """
+# Every scenario with fewer sidecars and a lower rate, cut to its first seconds. Two scenarios keep their
+# length, as all kinds of faults occur in them.
+TRACE_SCRIPT = """
 import sys
 import msgspec
 from wheatring.lab.scenario.plan_builder import draw
@@ -44,7 +44,7 @@
 
 def traces(grain: str, hash_seed: int, scenarios: list[str]) -> str:
     return subprocess.run(
-        [sys.executable, "-c", TRACED, grain, *scenarios],
+        [sys.executable, "-c", TRACE_SCRIPT, grain, *scenarios],
         env={**os.environ, "PYTHONHASHSEED": str(hash_seed)},
         stdout=subprocess.PIPE,
         text=True,
@@ -53,14 +53,14 @@
 
 
 @pytest.mark.parametrize("grain", GRAINS)
-def test_a_day_is_the_same_to_the_byte_whatever_the_hash_seed(grain: str) -> None:
-    big = ["ten-times", "thousand"]  # a process of their own: they take as long as all others
+def test_traces_do_not_depend_on_the_hash_seed(grain: str) -> None:
+    big = ["ten-times", "thousand"]  # in a separate process, as they take as long as all others together
     rest = [name for name in names() if name not in big]
     with ThreadPoolExecutor(4) as pool:
-        once, other = (
+        first_runs, second_runs = (
             [pool.submit(traces, grain, seed, part) for part in (big, rest)] for seed in (1, 77_777)
         )
-        for one, two in zip(once, other, strict=True):
+        for one, two in zip(first_runs, second_runs, strict=True):
             assert one.result() == two.result()
 
 
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("grain", GRAINS)
-def test_everything_in_eight_seconds_keeps_the_rules(grain: str) -> None:
+def test_the_small_scenario_has_no_breaches(grain: str) -> None:
     for seed in range(1, 5):
         outcome = play(small(seed), grain)
         assert outcome.breaches == [], outcome.breaches[0]
@@ -80,7 +80,7 @@
 
 
 def test_both_grains_have_nearly_the_same_outcome() -> None:
-    """Not to the letter, for bytes take their time; but neither may be kinder than the other."""
+    """Outcomes differ slightly, as only grain `wire` transfers bytes, but not in favour of either."""
     wire, exchange = ([play(small(seed), grain) for seed in range(1, 7)] for grain in GRAINS)
     for one, other in zip(wire, exchange, strict=True):
         assert one.requests == other.requests
@@ -99,19 +99,19 @@
 def test_a_trace_may_be_filtered_to_one_request_and_its_attempts() -> None:
     import io
 
-    whole, cut = io.StringIO(), io.StringIO()
+    whole, filtered = io.StringIO(), io.StringIO()
     play(small(1), "exchange", Tracing(whole))
     lines = whole.getvalue().splitlines()
     ident = next(line for line in lines if " taken " in line).split("ident=")[1].split()[0]
-    play(small(1), "exchange", Tracing(cut, (ident,)))
-    kin = cut.getvalue().splitlines()
-    assert 5 < len(kin) < 60
-    assert set(kin) < set(lines)
-    assert any(line.split(" ")[1] == "settled" for line in kin)
+    play(small(1), "exchange", Tracing(filtered, (ident,)))
+    filtered_lines = filtered.getvalue().splitlines()
+    assert 5 < len(filtered_lines) < 60
+    assert set(filtered_lines) < set(lines)
+    assert any(line.split(" ")[1] == "settled" for line in filtered_lines)
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=[fault.name for fault in FAULTS])
-def test_each_fault_can_still_be_planted_and_is_gone_afterwards(fault: object) -> None:
+def test_each_fault_can_be_planted_and_is_removed_afterwards(fault: object) -> None:
     assert fault in FAULTS
     before = play(small(1, length=1.0), "exchange", Tracing()).trace_hash
     with planted(fault):
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("grain", GRAINS)
-def test_a_sidecar_that_is_started_late_finds_its_callers_waiting(grain: str) -> None:
+def test_a_sidecar_that_starts_late_serves_from_its_start(grain: str) -> None:
     plan = small(1, events=(), length=4.0)
     (front,) = plan.sidecars
     outcome = play(
@@ -140,8 +140,8 @@
     assert served[0] == 0 and served[3] > 0 and outcome.breaches == []
 
 
-def test_what_another_thread_logs_is_no_part_of_the_day() -> None:
-    """A reactor of real sidecars may run in the same process, as in the tests of the suite."""
+def test_log_entries_of_other_threads_are_ignored() -> None:
+    """A reactor with real sidecars may run in another thread, as it does in this test suite."""
     is_over = threading.Event()
     count = 0
 
--- a/wheatring/lab/direct/__init__.py
+++ b/wheatring/lab/direct/__init__.py
@@ -1,6 +1,6 @@
-"""The grain `exchange`: sidecars without bytes, by direct calls.
+"""Grain `exchange`: sidecars simulated by direct calls, without sockets or bytes.
 
-The service's own core and decisions meet the models in requests and attempts; only what carries these is
-other code. It may import the core, the decisions, the endpoint list, the daemon's figures, and the lab's
-seams and models. Nothing here opens a socket, and no connection leaves a line in the log.
+The service's own core and balancer run unchanged; only the transport of requests and attempts is replaced.
+The package may import the core, the balancer, the endpoint list, the daemon's constants, and the lab's
+interfaces and models. Nothing here opens a socket, and connections are not logged.
 """
--- a/wheatring/lab/direct/clock.py
+++ b/wheatring/lab/direct/clock.py
@@ -9,20 +9,20 @@
 
 
 class DirectClock(Clock):
-    """The core's clock on the world's timers; it calls nothing more once its process has ended."""
+    """The core's clock, in virtual time. No scheduled call is made after its process has ended."""
 
     def __init__(self, time: PlayedTime, unix: Callable[[], float]) -> None:
         self.time = time
         self.now = time.now
         self.unix = unix
         self.unix_offset = unix() - self.now()
-        self.over = False
+        self.has_ended = False
 
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Timer:
         """Schedule a call at an instant."""
         return self.time.at(instant, self.run, call, args)
 
     def run(self, call: Callable[..., object], args: tuple[object, ...]) -> None:
-        """Make a call that is due, unless the process has ended."""
-        if not self.over:
+        """Make a due call, unless the process has ended."""
+        if not self.has_ended:
             call(*args)
--- a/wheatring/lab/direct/connection_pool.py
+++ b/wheatring/lab/direct/connection_pool.py
@@ -1,6 +1,6 @@
-"""The client side without bytes: attempts on a pool of kept connections to nodes.
+"""The pool of a sidecar's connections to nodes, simulated without bytes.
 
-It keeps to the rules of the HTTP client's pool, and gives the outcomes that this would give.
+It follows the rules of the HTTP client's pool, and ends attempts with the same outcomes.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from wheatring.lab.event_recorder import EventRecorder
 from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 
-# Looked up once: an enum takes its time.
+# Bound as globals because looking up enum members is slow.
 SERVED, CONNECT_FAILED, RESET = Outcome.SERVED, Outcome.CONNECT_FAILED, Outcome.RESET
 ATTEMPT_SERVED, ATTEMPT_REJECTED, ATTEMPT_RESET = (
     AttemptOutcome.SERVED,
     AttemptOutcome.REJECTED,
     AttemptOutcome.RESET,
 )
-# Of answers that leave a clean connection; any other can't be read.
+# Outcomes after which the connection can be reused; any other response is malformed.
 OUTCOMES = {
     AttemptOutcome.SERVED: SERVED,
     AttemptOutcome.REJECTED: Outcome.REJECTED,
@@ -37,10 +37,11 @@
 
 
 class DirectConnection:
-    """One connection to a node, both ends of it, with one attempt on it at a time.
+    """Both ends of a connection to a node, with one attempt at a time.
 
-    `is_alive`, `attempt` and what is about it are the sidecar's, to which events come a link's delay after
-    they happened; `received`, `has_begun`, `handshake`, `node_idle` and `reply_arrival` are the node's.
+    `received`, `has_begun`, `handshake_seconds`, `node_idle_since` and `reply_arrival` are the state of the
+    node's end, the other attributes that of the sidecar's. Each end learns of the other's events a link delay
+    later.
     """
 
     __slots__ = (
@@ -49,14 +50,14 @@
         "attempt",
         "backward",
         "connect_timer",
-        "first",
+        "first_attempt",
         "forward",
-        "handshake",
+        "handshake_seconds",
         "has_begun",
         "idle_since",
         "is_alive",
         "node",
-        "node_idle",
+        "node_idle_since",
         "pool",
         "received",
         "reply_arrival",
@@ -65,71 +66,71 @@
     def __init__(self, pool: DirectConnectionPool, address: EndpointAddress, attempt: Attempt) -> None:
         self.pool = pool
         self.address = address
-        self.node: DirectNode  # who took it at that address
-        there = address.address.rpartition(":")[0]
-        self.forward = pool.links.link(pool.host, there)
-        self.backward = pool.links.link(there, pool.host)
-        self.first: Attempt | None = attempt  # for which it is made
-        self.connect_timer: Timer | None = None  # while it comes up
+        self.node: DirectNode  # the node that has accepted the connection
+        node_host = address.address.rpartition(":")[0]
+        self.forward = pool.links.link(pool.host, node_host)
+        self.backward = pool.links.link(node_host, pool.host)
+        self.first_attempt: Attempt | None = attempt  # the attempt for which it is opened
+        self.connect_timer: Timer | None = None  # runs while the connect is under way
         self.attempt: Attempt | None = None
         self.is_alive = False
         self.idle_since = 0.0
-        self.arrival = 0.0  # of what was last sent on it
+        self.arrival = 0.0  # instant at which the data last sent arrives
         self.received: ReceivedAttempt | None = None
-        self.has_begun = False  # the received attempt is at the machine
-        self.handshake = 0.0  # seconds that it still costs the first request
-        self.node_idle = 0.0
+        self.has_begun = False  # the machine has received the attempt
+        self.handshake_seconds = 0.0  # seconds by which the handshake delays the first request
+        self.node_idle_since = 0.0
         self.reply_arrival = 0.0
 
-    # Coming up
+    # Connecting
 
     def connect(self) -> None:
         """Send the connect, with a time-out."""
-        pool, attempt = self.pool, self.first
+        pool, attempt = self.pool, self.first_attempt
         assert attempt is not None
-        attempt.cancel = self.keep_on
-        by = min(attempt.deadline, attempt.start_before, pool.clock.now() + pool.connect_time)
-        self.connect_timer = pool.clock.at(by, self.fail_connect)
+        attempt.cancel = self.ignore_cancel
+        connect_deadline = min(attempt.deadline, attempt.start_before, pool.clock.now() + pool.connect_time)
+        self.connect_timer = pool.clock.at(connect_deadline, self.fail_connect)
         self.forward.send(0.0, self.handle_connect)
 
     def handle_connect(self) -> None:
-        """Hand the connect that has arrived to whoever is at that address by now."""
+        """Pass the connect to the node that listens at the address when it arrives."""
         node = self.pool.nodes.get(self.address.address)
         if node is None:
-            self.backward.send(0.0, self.refused)
+            self.backward.send(0.0, self.handle_refused)
         else:
             self.node = node
             node.handle_connect(self)
 
-    def keep_on(self) -> None:
-        """Do nothing for an attempt cancelled early: the connection, once up, is kept for others."""
+    def ignore_cancel(self) -> None:
+        """Do nothing for an attempt cancelled while connecting: the connection is kept for others."""
 
-    def refused(self) -> None:
-        """Fail the connect, if it is still under way."""
-        if self.connect_timer is not None and not self.pool.clock.over:
+    def handle_refused(self) -> None:
+        """Fail the connect if it is still under way."""
+        if self.connect_timer is not None and not self.pool.clock.has_ended:
             self.connect_timer.cancel()
             self.fail_connect()
 
     def fail_connect(self) -> None:
-        """End the attempt, as its connect was refused or timed out."""
-        attempt, self.first, self.connect_timer = self.first, None, None
+        """End the attempt because its connect was refused or timed out."""
+        attempt, self.first_attempt, self.connect_timer = self.first_attempt, None, None
         del self.pool.connecting[self]
         assert attempt is not None
         self.pool.recorder.note("unconnected", sidecar=self.pool.name)
         self.pool.exchange.end_attempt(attempt, CONNECT_FAILED)
 
-    def accepted(self) -> None:
+    def handle_accepted(self) -> None:
         """Send the first attempt on the connection, or keep it for others."""
         pool = self.pool
-        if self.connect_timer is None or pool.clock.over:
-            self.hang_up()  # it was given up meanwhile
+        if self.connect_timer is None or pool.clock.has_ended:
+            self.hang_up()  # the connect has failed meanwhile
             return
         self.connect_timer.cancel()
         self.connect_timer = None
         del pool.connecting[self]
         pool.connections[self] = None
         self.is_alive = True
-        attempt, self.first = self.first, None
+        attempt, self.first_attempt = self.first_attempt, None
         assert attempt is not None
         if attempt.may_be_sent and pool.exchange.check_in_time(attempt):
             self.send(attempt)
@@ -139,19 +140,20 @@
     # Attempts
 
     def send(self, attempt: Attempt) -> None:
-        """Write an attempt's request: from here on it may have run."""
+        """Send an attempt's request. From now on the node may have processed it."""
         pool = self.pool
         self.attempt = attempt
         attempt.cancel = self.drop
         attempt.is_written = True
         now = pool.time.instant
-        left = int((attempt.deadline - now) * 1000) / 1000 or 0.001  # as the wire states it
+        # Truncated to milliseconds, as in the HTTP header.
+        time_left = int((attempt.deadline - now) * 1000) / 1000 or 0.001
         pool.recorder.sending(pool.name, self.node.name, now)
-        received = ReceivedAttempt(attempt.request.correlation_id, pool.name, left, now, self.reply)
-        self.arrival = self.forward.send(self.arrival, self.node.request, self, received)
+        received = ReceivedAttempt(attempt.request.correlation_id, pool.name, time_left, now, self.reply)
+        self.arrival = self.forward.send(self.arrival, self.node.receive_request, self, received)
 
     def reply(self, attempt_outcome: AttemptOutcome, stamp: str) -> None:
-        """At the node: answer the received attempt, or reset the connection."""
+        """At the node: reply to the received attempt, or reset the connection."""
         node = self.node
         received, self.received = self.received, None
         if received is None:
@@ -162,13 +164,13 @@
             return
         if attempt_outcome is ATTEMPT_REJECTED:
             node.recorder.turned_away(node.name, received.ident)
-        self.node_idle = node.time.instant
-        self.reply_arrival = self.backward.send(self.reply_arrival, self.answered, attempt_outcome, stamp)
+        self.node_idle_since = node.time.instant
+        self.reply_arrival = self.backward.send(self.reply_arrival, self.handle_reply, attempt_outcome, stamp)
 
-    def answered(self, attempt_outcome: AttemptOutcome, stamp: str) -> None:
+    def handle_reply(self, attempt_outcome: AttemptOutcome, stamp: str) -> None:
         """End the attempt with the node's outcome."""
         attempt = self.attempt
-        if attempt is None or self.pool.clock.over:
+        if attempt is None or self.pool.clock.has_ended:
             return
         self.attempt = None
         if attempt_outcome is ATTEMPT_SERVED:
@@ -182,10 +184,10 @@
         self.close()
         self.pool.exchange.end_attempt(attempt, RESET)
 
-    # Its end
+    # Closing
 
     def drop(self) -> None:
-        """Stop working on the attempt: to a node, abandoning is closing."""
+        """Abandon the attempt by closing the connection."""
         self.attempt = None
         self.close()
 
@@ -197,15 +199,15 @@
             self.hang_up()
 
     def hang_up(self) -> None:
-        """Have the node's end close a link's delay later."""
+        """Close the node's end a link delay later."""
         self.forward.send(self.arrival, self.node.drop, self)
 
-    def ended(self) -> None:
-        """Handle at the sidecar that the node's end has closed."""
-        if self.connect_timer is not None and not self.pool.clock.over:
-            self.connect_timer.cancel()  # it ended before it was heard to be up
+    def handle_node_close(self) -> None:
+        """At the sidecar: handle the close of the node's end."""
+        if self.connect_timer is not None and not self.pool.clock.has_ended:
+            self.connect_timer.cancel()  # the node closed it before the sidecar learned of its acceptance
             self.fail_connect()
-        elif self.is_alive and not self.pool.clock.over:
+        elif self.is_alive and not self.pool.clock.has_ended:
             self.is_alive = False
             self.pool.remove(self)
             attempt, self.attempt = self.attempt, None
@@ -214,7 +216,7 @@
 
 
 class ConnectionLimits(NamedTuple):
-    """What holds for a sidecar's connections to nodes; `max_connections` counts those under way too."""
+    """Limits of a sidecar's connections to nodes; `max_connections` includes connects under way."""
 
     connect_seconds: float
     idle_seconds: float
@@ -222,17 +224,17 @@
 
 
 class DirectConnectionPool(ConnectionTable[DirectConnection]):
-    """Starts attempts, and keeps clean connections for the next ones; the one used last is reused first.
+    """Starts attempts, and keeps reusable connections; the most recently used one is reused first.
 
     Parameters
     ----------
     nodes
-        Who listens, or did last, at each address as the endpoint list gives it (host:port).
+        The node that listens, or last listened, at each address (host:port) of the endpoint list.
     """
 
     def __init__(
         self,
-        place: SidecarLinks,
+        sidecar_links: SidecarLinks,
         nodes: Mapping[str, DirectNode],
         clock: DirectClock,
         exchange: Exchange,
@@ -240,7 +242,7 @@
         limits: ConnectionLimits,
     ) -> None:
         super().__init__()
-        self.name, self.host, self.links = place
+        self.name, self.host, self.links = sidecar_links
         self.nodes = nodes
         self.clock = clock
         self.time = clock.time
@@ -249,7 +251,7 @@
         self.connect_time = limits.connect_seconds
         self.idle_timeout = limits.idle_seconds * IDLE_FRACTION
         self.max_connections = limits.max_connections
-        self.connecting: dict[DirectConnection, None] = {}  # under way, in the order in which they began
+        self.connecting: dict[DirectConnection, None] = {}  # connects under way, oldest first
         exchange.start_attempt = self.start
         exchange.close_idle = self.close_idle
         exchange.on_endpoint_list = self.apply_list
@@ -257,12 +259,12 @@
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt on an idle connection or a new one."""
-        location = self.addresses.get(attempt.endpoint)
-        if location is None:
-            # The list no longer says where the node is.
+        host_port = self.addresses.get(attempt.endpoint)
+        if host_port is None:
+            # The endpoint list no longer has the node's address.
             self.clock.at(self.clock.now(), self.exchange.end_attempt, attempt, CONNECT_FAILED)
             return
-        address = EndpointAddress(attempt.endpoint, location)
+        address = EndpointAddress(attempt.endpoint, host_port)
         idle = self.idle_connections.get(address)
         if idle:
             idle.pop().send(attempt)
@@ -281,7 +283,7 @@
         for connection in [
             connection for connection in self.connecting if not self.is_usable(connection.address)
         ]:
-            connection.refused()
+            connection.handle_refused()
         for address, idle in list(self.idle_connections.items()):
             if not self.is_usable(address):
                 for connection in list(idle):
@@ -312,13 +314,13 @@
             connection.close()
 
     def reset(self) -> None:
-        """Reset all connections, as the host is back and no node knows of them any more."""
+        """Reset all connections because nodes have lost them while the host was isolated."""
         for connection in list(self.connections):
             connection.hang_up()
-            connection.ended()
+            connection.handle_node_close()
 
     def close(self) -> None:
-        """Close all connections, as the process ends."""
+        """Close all connections because the process ends."""
         for connection in list(self.connections):
             connection.attempt = None
             connection.close()
@@ -328,6 +330,6 @@
         now = self.clock.now()
         self.clock.at(now + SWEEP_SECONDS, self.sweep)
         for address, idle in list(self.idle_connections.items()):
-            gone = self.addresses.get(address.endpoint) != address.address
-            while idle and (gone or now - idle[0].idle_since > self.idle_timeout):
+            is_unlisted = self.addresses.get(address.endpoint) != address.address
+            while idle and (is_unlisted or now - idle[0].idle_since > self.idle_timeout):
                 idle[0].close()
--- a/wheatring/lab/direct/endpoint_list.py
+++ b/wheatring/lab/direct/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's client without bytes: the service's own endpoint list, on the registry's model."""
+"""The service's own endpoint list, with a discovery client that calls the registry's model directly."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 class Pending(Protocol):
-    """A list request that discovery has."""
+    """A list request that discovery has received."""
 
-    is_broken_off: bool  # its reply had begun when it failed
+    is_broken_off: bool  # it failed after the start of its response
 
     def cancel(self) -> None:
-        """Cancel the request, as its connection has been closed; one that has ended stays so."""
+        """Cancel the request because its connection was closed; does nothing if it has ended."""
 
 
 class Registry(Protocol):
@@ -46,7 +46,7 @@
         wait
             The seconds that the request may wait for a newer version.
         on_reply
-            Called with the reply, or None where the request fails; never from within this method.
+            Called with the reply, or None if the request fails; never from within this method.
         """
 
 
@@ -58,12 +58,12 @@
     def __init__(self, index: int | None, deadline: float) -> None:
         self.index = index
         self.deadline = deadline
-        self.pending: Pending | None = None  # once discovery has it
-        self.is_over = False  # for the sidecar
+        self.pending: Pending | None = None  # set when discovery has received it
+        self.is_over = False  # at the sidecar's end
 
 
 class DirectDiscoveryClient:
-    """One connection to discovery, and the calls on it, one after another."""
+    """A connection to discovery, with one call at a time."""
 
     def __init__(self, owner: DirectEndpointList) -> None:
         self.owner = owner
@@ -77,16 +77,16 @@
         self.timer: Timer | None = None
 
     def call(self, version: int | None, deadline: float, on_answer: AnswerCallback) -> None:
-        """Send a call, after a connect where the connection is not up."""
+        """Send a call, after connecting if the connection is not up."""
         self.on_answer, self.answer_began_at, self.is_sent = on_answer, None, self.is_up
         clock = self.owner.clock
         call = self.pending_call = _Call(version, deadline)
         if self.is_up:
             self.set_deadline(deadline)
-            self.send_to_discovery(self.arrive, call)
+            self.send_to_discovery(self.receive_call, call)
         else:
             self.set_deadline(min(deadline, clock.now() + CONNECT_TIMEOUT_SECONDS))
-            self.send_to_discovery(self.accept, call)
+            self.send_to_discovery(self.accept_connect, call)
 
     def set_deadline(self, instant: float) -> None:
         """Set the instant at which the call times out."""
@@ -95,38 +95,38 @@
         self.timer = self.owner.clock.at(instant, self.stop, "late")
 
     def send_to_discovery(self, step: Callable[[_Call], None], call: _Call) -> None:
-        """Have a step of the call happen at discovery, a link's delay later."""
+        """Run a step of the call at discovery, a link delay later."""
         self.owner.links.link(self.owner.host, self.discovery_host).send(0.0, step, call)
 
     def send_to_sidecar(self, step: Callable[..., None], *args: object) -> None:
-        """Have a step of the call happen at the sidecar, a link's delay later."""
+        """Run a step of the call at the sidecar, a link delay later."""
         self.owner.links.link(self.discovery_host, self.owner.host).send(0.0, step, *args)
 
-    # The steps of a call, at discovery and back here
+    # Steps of a call, at discovery and at the sidecar
 
-    def accept(self, call: _Call) -> None:
+    def accept_connect(self, call: _Call) -> None:
         """At discovery: accept the connect."""
-        self.send_to_sidecar(self.connected, call)
+        self.send_to_sidecar(self.handle_connected, call)
 
-    def connected(self, call: _Call) -> None:
-        """At the sidecar: send the call on the connection that is up."""
+    def handle_connected(self, call: _Call) -> None:
+        """At the sidecar: send the call on the established connection."""
         if not call.is_over:
             self.is_up = self.is_sent = True
             self.set_deadline(call.deadline)
-            self.send_to_discovery(self.arrive, call)
+            self.send_to_discovery(self.receive_call, call)
             if self.on_connected is not None:
                 self.on_connected()
 
-    def arrive(self, call: _Call) -> None:
-        """At discovery: hand the call to the registry."""
+    def receive_call(self, call: _Call) -> None:
+        """At discovery: pass the call to the registry."""
         if not call.is_over:
             wait = 0.0 if call.index is None else WATCH_WAIT_SECONDS
             registry, name = self.owner.registry, self.owner.name
             call.pending = registry.request_list(
-                name, call.index, wait, partial(self.send_to_sidecar, self.answered, call)
+                name, call.index, wait, partial(self.send_to_sidecar, self.handle_answer, call)
             )
 
-    def answered(self, call: _Call, answer: Any) -> None:
+    def handle_answer(self, call: _Call, answer: Any) -> None:
         """At the sidecar: end the call with the answer."""
         if not call.is_over:
             self.is_up = answer is not None
@@ -134,7 +134,7 @@
                 self.answer_began_at = self.owner.clock.now()
             self.end(answer)
 
-    # Ends
+    # Closing
 
     def stop(self, code: str) -> None:  # noqa: ARG002 - DiscoveryClient's signature
         """Close the connection, and end the call without an answer."""
@@ -146,7 +146,7 @@
         self.is_up = False
 
     def hang_up(self) -> None:
-        """Close the connection; discovery learns of it a link's delay later."""
+        """Close the connection; discovery cancels the request a link delay later."""
         self.is_up = False
         call = self.pending_call
         if call is not None and not call.is_over:
@@ -162,17 +162,17 @@
         if self.pending_call is not None:
             self.pending_call.is_over = True
             self.pending_call = None
-        done, self.on_answer = self.on_answer, None
-        if done is not None:
-            done(answer)
+        on_answer, self.on_answer = self.on_answer, None
+        if on_answer is not None:
+            on_answer(answer)
 
 
 class DirectEndpointList(EndpointList):
-    """The endpoint list of one sidecar; all but the calls themselves is the service's own."""
+    """The endpoint list of a sidecar: the service's own, except for the client of discovery."""
 
     def __init__(
         self,
-        place: SidecarLinks,
+        sidecar_links: SidecarLinks,
         clock: DirectClock,
         discovery: tuple[str, int],
         registry: Registry,
@@ -183,20 +183,20 @@
         pushed: bool,
     ) -> None:
         self.clock: DirectClock
-        self.name, self.host, self.links = place
+        self.name, self.host, self.links = sidecar_links
         self.registry = registry
         super().__init__(None, clock, discovery, addresses, on_view, freshness, request_schedule, pushed)
 
     def create_client(self) -> DiscoveryClient:
-        """Return a client for the next calls."""
+        """Return a new client of discovery."""
         return DirectDiscoveryClient(self)
 
     def decode(self, answer: Any) -> object:
-        """Return the answer as its JSON is read."""
+        """Return the answer in the form of its decoded JSON."""
         return list_reply_json(answer)
 
     def kill(self) -> None:
-        """Close all calls in flight, as the process has ended, without any callback."""
+        """Close all calls in flight without callbacks because the process has ended."""
         for caller in (self.client, self.replacement, *self.superseded.clients):
             if isinstance(caller, DirectDiscoveryClient):
                 caller.hang_up()
--- a/wheatring/lab/direct/environment.py
+++ b/wheatring/lab/direct/environment.py
@@ -1,4 +1,4 @@
-"""The environment of the grain `exchange`: the service's core and decisions by direct calls."""
+"""The environment of grain `exchange`: the service's core and balancer, run by direct calls."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class DirectEnvironment:
-    """The `Environment` of the exchange grain: nodes, sidecars and discovery as plain objects."""
+    """The `Environment` of grain `exchange`: nodes, sidecars and discovery as plain objects."""
 
     def __init__(self, world: World) -> None:
         plan = world.plan
@@ -31,29 +31,31 @@
         self.time = world.time
         self.links = DirectLinks(plan.net, zones(plan), world.time, world.random("net"))
         self.hosts = sidecar_hosts(plan)
-        most = plan.clients.connections
+        max_connections = plan.clients.connections
         callers = {node.name: node.host for node in plan.nodes}
         self.client_transport = DirectSidecarClient(
             world.time,
             self.links,
             world.checker,
             {name: (callers.get(name, CLIENTS), host) for name, host in self.hosts.items()},
-            dict.fromkeys((each.name for each in plan.sidecars), most) if most else None,
+            dict.fromkeys((each.name for each in plan.sidecars), max_connections)
+            if max_connections
+            else None,
         )
         self.nodes: dict[str, DirectNode] = {}
-        self.listening: dict[str, DirectNode] = {}  # by address: a successor may come to that of one gone
+        self.listening: dict[str, DirectNode] = {}  # by address, which a new node may take over
         self.sidecars: dict[str, DirectSidecar] = {}
-        self.clock_steps: dict[str, float] = {}  # of hosts' clocks; "" for all of them
+        self.clock_steps: dict[str, float] = {}  # seconds by host; "" for all hosts
         self.registry: Registry
 
     def open_discovery(self, registry: Registry) -> None:
-        """Have sidecars reach the registry."""
+        """Connect sidecars to the registry."""
         self.registry = registry
 
     # Nodes
 
     def downstream_client(self, node: NodePlan) -> NextTierCall:
-        """Return the node's calls through its own sidecar."""
+        """Return the client by which a node calls the next tier through its own sidecar."""
         return NextTierClient(
             node.name,
             lambda: self.client_transport,
@@ -63,7 +65,7 @@
         )
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
-        """Have a node accept connections at its address."""
+        """Start a node's server at its address."""
         if node.name not in self.nodes:
             tier = self.world.plan.tiers[node.tier]
             self.nodes[node.name] = DirectNode(
@@ -73,16 +75,16 @@
 
     def node_down(self, node: str) -> None:
         """End a node's process: its connections are reset."""
-        self.nodes[node].down()
+        self.nodes[node].reset_connections()
 
     # Sidecars
 
     def sidecar_up(self, name: str, config: PlatformConfig, on_exit: Callable[[], None]) -> None:
-        """Start a sidecar's process; `on_exit` is called once, when it has ended by itself."""
+        """Start a sidecar's process; `on_exit` is called once, when it has exited without being killed."""
         host = self.hosts[name]
 
         def on_end(killed: bool) -> None:
-            """Forget the sidecar, and report an end of its own."""
+            """Remove the sidecar, and report its exit unless it was killed."""
             del self.sidecars[name]
             if not killed:
                 on_exit()
@@ -104,7 +106,7 @@
         self.sidecars[name].terminate()
 
     def sidecar_kill(self, name: str) -> None:
-        """Kill a sidecar's process at once."""
+        """Kill a sidecar's process."""
         self.sidecars[name].kill()
 
     def unix(self, host: str) -> float:
@@ -122,7 +124,7 @@
         self.apply_fault(event, False)
 
     def apply_fault(self, event: EventPlan, on: bool) -> None:
-        """Apply a fault to the links or the clocks, or take it away; the world applies faults of machines."""
+        """Start or end a fault of the links or the clocks; the world applies faults of machines."""
         if event.kind == "partition":
             (self.links.cut if on else self.links.heal)(event.hosts, event.others, event.one_way)
         elif event.kind == "latency":
@@ -132,15 +134,15 @@
                 self.clock_steps[host] = self.clock_steps.get(host, 0.0) + (event.size if on else -event.size)
 
     def isolate_node(self, node: NodePlan) -> None:
-        """Cut a node's hosts off: nothing reaches them or leaves them."""
+        """Isolate a node's hosts from the network."""
         for host in self.hosts_of(node):
-            self.links.vanish(host)
+            self.links.isolate(host)
 
     def reconnect_node(self, node: NodePlan) -> None:
         """Connect a node's hosts again; their connections are reset."""
         for host in self.hosts_of(node):
-            self.links.back(host)
-        self.nodes[node.name].down()
+            self.links.reconnect(host)
+        self.nodes[node.name].reset_connections()
         if node.name in self.sidecars:
             self.sidecars[node.name].reset()
 
@@ -152,19 +154,21 @@
         """Return the seconds by which the clocks of all hosts together have been stepped."""
         return self.clock_steps.get("", 0.0)
 
-    # What is seen of the sidecars
+    # Observation of the sidecars
 
     def active_sidecar(self) -> str:
-        """Return "": in this grain it is not known whose code runs."""
+        """Return "", as this grain does not track whose code is running."""
         return ""
 
     def leftovers(self) -> dict[str, dict[str, int]]:
-        """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
+        """Return, by sidecar and kind, the counts of resources that an idle sidecar should have released."""
         found = {}
         for name, sidecar in self.sidecars.items():
-            jobs = max(sidecar.exchange.open_count, len(sidecar.driver.open_requests), len(sidecar.in_flight))
+            open_requests = max(
+                sidecar.exchange.open_count, len(sidecar.driver.open_requests), len(sidecar.in_flight)
+            )
             found[name] = {
-                "jobs": jobs,
+                "jobs": open_requests,
                 "claims": sum(connection.attempt is not None for connection in sidecar.pool.connections),
             }
         return found
--- a/wheatring/lab/direct/links.py
+++ b/wheatring/lab/direct/links.py
@@ -1,7 +1,7 @@
-"""The network without bytes: delays, partitions and slow links between hosts.
+"""A network without bytes: delays, partitions and slow links between hosts.
 
-What is sent from one host to another arrives late, or after a partition is healed. The faults are those
-of the lab's network, by the same names, and so is the distribution of the delays.
+Messages arrive after the delay of their link, or after a partition has healed. The faults, their names and
+the distribution of the delays are those of the simulated network `lab.net`.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 from wheatring.lab.plan import NetPlan
 from wheatring.lab.timers import PlayedTime
 
-RETRANSMIT_SECONDS = 0.2  # until what was lost is sent again, doubled each time
-MAX_RETRANSMIT_SECONDS = 120.0  # at most
+RETRANSMIT_SECONDS = 0.2  # initial retransmission time-out, doubled with each retransmission
+MAX_RETRANSMIT_SECONDS = 120.0
 
 
 class Link(Protocol):
-    """The path from one host to another."""
+    """The link from one host to another."""
 
     def send(self, earliest: float, call: Callable[..., object], *args: Any) -> float:
-        """Make a call when what is sent now arrives, not before the instant `earliest`.
+        """Make a call when a message sent now arrives, not before the instant `earliest`.
 
         Parameters
         ----------
         earliest
-            The instant at which what was sent earlier arrives.
+            The instant at which earlier messages have arrived.
 
         Returns
         -------
         float
-            The instant of the arrival, or `earliest` while that is not known.
+            The instant of arrival, or `earliest` if that is not known yet.
         """
 
 
 class Links(Protocol):
-    """The paths between all hosts, which are given by name."""
+    """The links between all hosts, given by name."""
 
     def link(self, source: str, target: str) -> Link:
-        """Return the path from one host to another."""
+        """Return the link from one host to another."""
 
     def delay(self, source: str, target: str) -> float:
         """Return the seconds that a message sent now takes one way."""
 
     def reachable(self, source: str, target: str) -> bool:
-        """Return whether a message sent now arrives without being sent again."""
+        """Return whether a message sent now arrives without a retransmission."""
 
 
 class SidecarLinks(NamedTuple):
-    """One sidecar's place on the links."""
+    """A sidecar's name and host, and the links of its network."""
 
     name: str
     host: str
@@ -59,9 +59,9 @@
 
 
 class DirectLink:
-    """A path whose delay is a minimum and an exponential part; what is sent into a partition waits."""
+    """A link with a minimum delay plus an exponential part; messages wait until a partition has healed."""
 
-    __slots__ = ("cut", "delayed", "draw", "floor", "since", "spread", "time")
+    __slots__ = ("cut", "delayed", "draw", "floor", "held_since", "spread", "time")
 
     def __init__(self, time: PlayedTime, draw: Callable[[], float]) -> None:
         self.time = time
@@ -69,14 +69,14 @@
         self.floor = 0.0
         self.spread = 0.0
         self.cut = False
-        self.since = 0.0  # of what has been delayed longest
+        self.held_since = 0.0  # when the oldest delayed message was sent
         self.delayed: list[tuple[Callable[..., object], tuple[Any, ...]]] = []
 
     def send(self, earliest: float, call: Callable[..., object], *args: Any) -> float:
-        """Make a call when what is sent now arrives; see `Link.send`."""
+        """Make a call when a message sent now arrives; see `Link.send`."""
         if self.cut:
             if not self.delayed:
-                self.since = self.time.instant
+                self.held_since = self.time.instant
             self.delayed.append((call, args))
             return earliest
         time = self.time
@@ -87,20 +87,20 @@
         return arrival
 
     def resume(self) -> None:
-        """Deliver what waited, once the partition is healed, when TCP would next retransmit."""
+        """Deliver the delayed messages at TCP's next retransmission after the partition has healed."""
         now = self.time.instant
         wait = RETRANSMIT_SECONDS
-        again = self.since + wait
-        while again < now:
+        arrival = self.held_since + wait
+        while arrival < now:
             wait = min(2 * wait, MAX_RETRANSMIT_SECONDS)
-            again += wait
+            arrival += wait
         delayed, self.delayed = self.delayed, []
         for call, args in delayed:
-            self.time.at(again + self.floor, call, *args)
+            self.time.at(arrival + self.floor, call, *args)
 
 
 class DirectLinks:
-    """Links by the plan's delays; a host that has no zone in `zones` is the clients'."""
+    """Links with the plan's delays. A host without a zone in `zones` belongs to the clients."""
 
     def __init__(self, plan: NetPlan, zones: Mapping[str, str], time: PlayedTime, random: Random) -> None:
         self.plan = plan
@@ -108,12 +108,12 @@
         self.time = time
         self.draw = random.random
         self.links: dict[tuple[str, str], DirectLink] = {}
-        self.vanished: list[str] = []
+        self.isolated: list[str] = []
         self.cuts: list[tuple[tuple[str, ...], tuple[str, ...], bool]] = []
         self.slowed: dict[tuple[tuple[str, ...], tuple[str, ...]], float] = {}
 
     def link(self, source: str, target: str) -> DirectLink:
-        """Return the path from one host to another."""
+        """Return the link from one host to another."""
         link = self.links.get((source, target))
         if link is None:
             link = self.links[source, target] = DirectLink(self.time, self.draw)
@@ -126,36 +126,36 @@
         return link.floor - link.spread * log(1.0 - self.draw())
 
     def reachable(self, source: str, target: str) -> bool:
-        """Return whether a message sent now arrives without being sent again."""
+        """Return whether a message sent now arrives without a retransmission."""
         return not self.link(source, target).cut
 
-    # Faults. No names stand for all hosts; a host always reaches itself.
+    # Faults. An empty sequence means all hosts; a host always reaches itself.
 
-    def vanish(self, host: str) -> None:
-        """Cut a host off: nothing reaches it or leaves it."""
-        self.vanished.append(host)
+    def isolate(self, host: str) -> None:
+        """Lose all messages to and from a host."""
+        self.isolated.append(host)
         self._update_all()
 
-    def back(self, host: str) -> None:
-        """Connect a host again; the owners of its connections have to reset them."""
-        self.vanished.remove(host)
+    def reconnect(self, host: str) -> None:
+        """Connect an isolated host again; the owners of its connections have to reset them."""
+        self.isolated.remove(host)
         self._update_all()
 
     def cut(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
-        """Partition the network: what `hosts` send to `others` waits until after `heal`.
+        """Partition the network: messages from `hosts` to `others` wait until after `heal`.
 
-        Unless `one_way`, what `others` send to `hosts` waits too. `heal` takes the same arguments.
+        Unless `one_way`, messages in the reverse direction wait too. `heal` takes the same arguments.
         """
         self.cuts.append((tuple(hosts), tuple(others), one_way))
         self._update_all()
 
     def heal(self, hosts: Sequence[str], others: Sequence[str], one_way: bool = False) -> None:
-        """Heal the partition that `cut` made with the same arguments."""
+        """End the partition that `cut` started with the same arguments."""
         self.cuts.remove((tuple(hosts), tuple(others), one_way))
         self._update_all()
 
     def slow(self, hosts: Sequence[str], others: Sequence[str], factor: float) -> None:
-        """Multiply the delays between the hosts, both ways, by `factor`; 1 ends it."""
+        """Multiply the delays between the hosts, in both directions, by `factor`; 1 ends the fault."""
         self.slowed.pop((tuple(hosts), tuple(others)), None)
         if factor != 1.0:
             self.slowed[tuple(hosts), tuple(others)] = factor
@@ -177,14 +177,14 @@
         link.cut = False
         if source != target:
             for (hosts, others), factor in self.slowed.items():
-                if _between(hosts, others, source, target) or _between(hosts, others, target, source):
+                if _matches(hosts, others, source, target) or _matches(hosts, others, target, source):
                     mean *= factor
             link.cut = (
-                source in self.vanished
-                or target in self.vanished
+                source in self.isolated
+                or target in self.isolated
                 or any(
-                    _between(hosts, others, source, target)
-                    or (not one_way and _between(hosts, others, target, source))
+                    _matches(hosts, others, source, target)
+                    or (not one_way and _matches(hosts, others, target, source))
                     for hosts, others, one_way in self.cuts
                 )
             )
@@ -192,5 +192,5 @@
         link.spread = mean * self.plan.jitter
 
 
-def _between(hosts: tuple[str, ...], others: tuple[str, ...], source: str, target: str) -> bool:
+def _matches(hosts: tuple[str, ...], others: tuple[str, ...], source: str, target: str) -> bool:
     return (not hosts or source in hosts) and (not others or target in others)
--- a/wheatring/lab/direct/node.py
+++ b/wheatring/lab/direct/node.py
@@ -1,4 +1,4 @@
-"""A node's end of the connections of the grain `exchange`."""
+"""The node's end of connections in grain `exchange`."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 class Machine(Protocol):
     """The part of a node's model that its server uses.
 
-    It replies by `attempt.reply`, also from within `receive`, and records all that becomes of an attempt,
+    It replies with `attempt.reply`, possibly from within `receive`, and records all events of an attempt
     except its arrival and its rejection.
     """
 
@@ -42,11 +42,11 @@
         """Process a request."""
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
-        """Handle that a request's connection was closed before its response."""
+        """Handle the close of a connection before its request was answered."""
 
 
 class ConnectingSidecar(Protocol):
-    """The sidecar's pool that a connection is of."""
+    """The sidecar's connection pool, as far as the node's end uses it."""
 
     host: str
 
@@ -56,8 +56,8 @@
 
     received: ReceivedAttempt | None
     has_begun: bool
-    handshake: float
-    node_idle: float
+    handshake_seconds: float
+    node_idle_since: float
     reply_arrival: float
     backward: Link
 
@@ -65,18 +65,18 @@
     def pool(self) -> ConnectingSidecar:
         """The pool at the sidecar's end."""
 
-    def refused(self) -> None:
-        """Fail the connect, if it is still under way."""
+    def handle_refused(self) -> None:
+        """Fail the connect if it is still under way."""
 
-    def accepted(self) -> None:
+    def handle_accepted(self) -> None:
         """Bring the connection up at the sidecar's end."""
 
-    def ended(self) -> None:
+    def handle_node_close(self) -> None:
         """Close the sidecar's end."""
 
 
 class DirectNode:
-    """The server of one machine; `down` is called when its process has ended or its host is back."""
+    """The server of a machine. Its connections are reset when its process ends or its host is reconnected."""
 
     def __init__(
         self,
@@ -95,12 +95,12 @@
         self.recorder = recorder
         self.round_trips = tier.handshake_rtts
         self.idle_seconds = tier.conn_idle
-        self.connections: dict[NodeConnection, None] = {}  # accepted, in the order in which they came
+        self.connections: dict[NodeConnection, None] = {}  # in the order in which they were accepted
 
     # Connects
 
     def handle_connect(self, connection: NodeConnection) -> None:
-        """Handle a connect that has arrived, late where a fault delays connects."""
+        """Handle an incoming connect, after a delay if a fault requires it."""
         delay = self.machine.faults.connect_delay
         if delay > 0 and self.machine.running:
             self.time.at(self.time.instant + delay, self.accept, connection)
@@ -108,49 +108,51 @@
             self.accept(connection)
 
     def accept(self, connection: NodeConnection) -> None:
-        """Accept or refuse a connect, or leave it unanswered where the table of connections is full."""
+        """Accept or refuse a connect, or leave it unanswered if the connection table is full."""
         machine = self.machine
         if not machine.running or machine.faults.refuses_connections:
-            connection.backward.send(0.0, connection.refused)
+            connection.backward.send(0.0, connection.handle_refused)
             return
         wait = machine.connect()
-        if wait is None:  # its table is full: the connect gets no answer
+        if wait is None:  # the connection table is full
             return
         now = self.time.instant
         client_host = connection.pool.host
         round_trip = self.links.delay(client_host, self.host) + self.links.delay(self.host, client_host)
-        connection.handshake = wait + self.round_trips * round_trip
-        connection.node_idle = now
+        connection.handshake_seconds = wait + self.round_trips * round_trip
+        connection.node_idle_since = now
         self.connections[connection] = None
         self.time.at(now + self.idle_seconds, self.check_idle, connection)
-        connection.reply_arrival = connection.backward.send(0.0, connection.accepted)
+        connection.reply_arrival = connection.backward.send(0.0, connection.handle_accepted)
 
     # Requests
 
-    def request(self, connection: NodeConnection, attempt: ReceivedAttempt) -> None:
-        """Handle the last byte of a request, unless its connection has been closed on this side."""
+    def receive_request(self, connection: NodeConnection, attempt: ReceivedAttempt) -> None:
+        """Handle a received request, unless this side has closed the connection."""
         if connection not in self.connections:
             return
         connection.received = attempt
-        sent, attempt.arrived_at = attempt.arrived_at, self.time.instant
-        self.recorder.arrived(attempt.sidecar, self.name, attempt.ident, sent)
-        if connection.handshake > 0:
-            self.time.at(attempt.arrived_at + connection.handshake, self.start_attempt, connection, attempt)
-            connection.handshake = 0.0
+        sent_at, attempt.arrived_at = attempt.arrived_at, self.time.instant
+        self.recorder.arrived(attempt.sidecar, self.name, attempt.ident, sent_at)
+        if connection.handshake_seconds > 0:
+            self.time.at(
+                attempt.arrived_at + connection.handshake_seconds, self.start_attempt, connection, attempt
+            )
+            connection.handshake_seconds = 0.0
         else:
             connection.has_begun = True
             self.machine.receive(attempt)
 
     def start_attempt(self, connection: NodeConnection, attempt: ReceivedAttempt) -> None:
-        """Start the attempt, as the handshake is over."""
+        """Start the attempt after the delay of the handshake."""
         if connection.received is attempt:
             connection.has_begun = True
             self.machine.receive(attempt)
 
-    # Ends
+    # Closing
 
     def drop(self, connection: NodeConnection) -> None:
-        """Remove this end of a connection, for whatever reason."""
+        """Remove this end of a connection, and abandon its attempt."""
         if connection not in self.connections:
             return
         del self.connections[connection]
@@ -166,24 +168,24 @@
     def close(self, connection: NodeConnection) -> None:
         """Close a connection from this side."""
         self.drop(connection)
-        connection.backward.send(connection.reply_arrival, connection.ended)
+        connection.backward.send(connection.reply_arrival, connection.handle_node_close)
 
-    def down(self) -> None:
+    def reset_connections(self) -> None:
         """Reset all connections."""
         for connection in list(self.connections):
             self.close(connection)
 
     def check_idle(self, connection: NodeConnection) -> None:
-        """Close a connection that has been idle for too long."""
+        """Close a connection whose idle time-out has expired."""
         if connection not in self.connections:
             return
         now = self.time.instant
-        due = (
+        deadline = (
             now + self.idle_seconds
             if connection.received is not None
-            else connection.node_idle + self.idle_seconds
+            else connection.node_idle_since + self.idle_seconds
         )
-        if due <= now:
+        if deadline <= now:
             self.close(connection)
         else:
-            self.time.at(due, self.check_idle, connection)
+            self.time.at(deadline, self.check_idle, connection)
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar process without bytes: the service's core and decisions, wired as the daemon wires them."""
+"""A sidecar process without sockets: the service's core and balancer, wired as in the daemon."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 class SidecarConfig(NamedTuple):
-    """What one process of a sidecar is started with.
+    """The configuration of a sidecar's process.
 
     Attributes
     ----------
     settings
-        Its settings, as read.
+        The parsed settings.
     seed
         The seed of its random numbers.
     known
-        The last known endpoint list, in the platform's form.
+        The last known endpoint list, in the platform file's format.
     sockets
-        Descriptors that the process may have open.
+        The limit of open descriptors of the process.
     """
 
     settings: Settings
@@ -49,37 +49,37 @@
 
     @property
     def free_sockets(self) -> int:
-        """Descriptors for connections."""
+        """Number of descriptors available for connections."""
         return self.sockets - RESERVED_DESCRIPTORS
 
     @property
     def max_node_connections(self) -> int:
-        """Connections to nodes that may be open at once."""
+        """Limit of open connections to nodes."""
         return int(self.free_sockets * NODE_CONNECTION_SHARE)
 
     @property
     def max_callers(self) -> int:
-        """Callers that are served at once; more wait in the backlog."""
+        """Limit of callers served at once; further ones wait in the backlog."""
         return self.free_sockets - self.max_node_connections
 
 
 class SidecarNetwork(NamedTuple):
-    """What a sidecar reaches, and who reaches it."""
+    """The peers of a sidecar, and the links to them."""
 
     links: Links
     nodes: Mapping[str, DirectNode]  # by address
     registry: Registry
     discovery: tuple[str, int]  # host and port
-    client: DirectSidecarClient  # the callers
+    client: DirectSidecarClient  # of the callers
 
 
 class DirectSidecar:
-    """One process of a sidecar, from its start to its end; a restart is another one.
+    """One process of a sidecar; a restart creates another.
 
     Parameters
     ----------
     unix
-        Gives its host's Unix time in seconds.
+        Returns its host's Unix time in seconds.
     on_end
         Called with whether it was killed, once the process has ended.
     """
@@ -110,13 +110,13 @@
         self.endpoint_list = self._create_endpoint_list(config, network)
         self.driver.endpoint_list = self.endpoint_list
         self.classes = settings.classes
-        self.copies = settings.balancer_count
-        self.last_arrival_at = -inf  # the last request
+        self.balancer_count = settings.balancer_count
+        self.last_arrival_at = -inf  # when the last request arrived
         self.max_in_flight = config.max_callers
-        # Accepted and not answered, in the order of arrival.
+        # Requests accepted and not answered, oldest first.
         self.in_flight: dict[DirectRequest, None] = {}
         self.backlog: deque[DirectRequest] = deque()
-        self.is_open = False  # it takes requests
+        self.is_open = False  # it accepts requests
         self.is_stopping = False
 
     def _create_pool(self, config: SidecarConfig, network: SidecarNetwork) -> DirectConnectionPool:
@@ -146,7 +146,7 @@
         )
 
     def start(self) -> None:
-        """Start to listen."""
+        """Start to accept requests."""
         self.endpoint_list.load_cached(self.known)
         self.is_open = True
         self.client.running[self.name] = self
@@ -154,8 +154,8 @@
 
     # Requests
 
-    def take(self, request: DirectRequest) -> None:
-        """Accept a request that has arrived, or have it wait in the backlog."""
+    def accept(self, request: DirectRequest) -> None:
+        """Accept a request, or queue it in the backlog if the limit of requests is reached."""
         self.last_arrival_at = self.clock.now()
         if len(self.in_flight) >= self.max_in_flight:
             self.backlog.append(request)
@@ -163,7 +163,7 @@
         cls = self.classes[request.index]
         time_left = request.time_left
         if cls.deadline < time_left:
-            time_left = cls.deadline  # no caller waits longer than its class
+            time_left = cls.deadline  # a caller's deadline is at most that of its class
         answered: Any = request
         core_request = request.core_request = Request(
             request.ident, cls.name, self.clock.time.instant + time_left, request, request.repeat, answered
@@ -179,9 +179,9 @@
 
     def abandon(self, request: DirectRequest) -> None:
         """Withdraw a request whose caller has closed its connection."""
-        if self.clock.over:
+        if self.clock.has_ended:
             return
-        if request.core_request is None:  # answered, or never read
+        if request.core_request is None:  # answered, or still in the backlog
             if request in self.backlog:
                 self.backlog.remove(request)
             return
@@ -190,30 +190,30 @@
         self.finish(request)
 
     def schedule_admission(self) -> None:
-        """Admit from the backlog, though not from within the end of the last request."""
+        """Schedule the admission from the backlog, so that it doesn't run within the end of a request."""
         self.clock.at(self.clock.now(), self.admit)
 
     def admit(self) -> None:
         """Accept requests of the backlog while there is capacity."""
         while self.backlog and len(self.in_flight) < self.max_in_flight:
-            self.take(self.backlog.popleft())
+            self.accept(self.backlog.popleft())
 
     def reset(self) -> None:
-        """Reset all connections, as the host is back and no peer knows of them any more."""
+        """Reset all connections because peers have lost them while the host was isolated."""
         for request in [*self.in_flight, *self.backlog]:
-            request.cut_off()
+            request.reset_connection()
             self.abandon(request)
         self.pool.reset()
 
-    # Its end
+    # Shutdown
 
     def terminate(self) -> None:
-        """Shut down on SIGTERM: answer what has come and still arrives, as the daemon does, then end."""
-        if not self.is_stopping and not self.clock.over:
+        """Shut down gracefully on SIGTERM: answer requests in flight and those still arriving, then end."""
+        if not self.is_stopping and not self.clock.has_ended:
             self.is_stopping = True
             self.recorder.sidecar_stopping(self.name)
             now = self.clock.now()
-            self.shutdown = ShutdownSchedule(now, self.classes, self.copies, self.exchange.latencies)
+            self.shutdown = ShutdownSchedule(now, self.classes, self.balancer_count, self.exchange.latencies)
             self.poll_shutdown()
 
     def poll_shutdown(self) -> None:
@@ -231,8 +231,8 @@
         self.clock.at(now + SHUTDOWN_POLL_SECONDS, self.poll_shutdown)
 
     def kill(self) -> None:
-        """End the process at once."""
-        if not self.clock.over:
+        """End the process immediately, as by SIGKILL."""
+        if not self.clock.has_ended:
             self.endpoint_list.kill()
             self.end(killed=True)
 
@@ -240,12 +240,12 @@
         """Close all connections, and report the end of the process."""
         self.is_open = False
         self.pool.close()
-        self.clock.over = True
+        self.clock.has_ended = True
         if self.client.running.get(self.name) is self:
             del self.client.running[self.name]
         self.recorder.sidecar_down(self.name, killed)
         for request in [*self.in_flight, *self.backlog]:
-            request.cut_off()
+            request.reset_connection()
         self.in_flight.clear()
         self.backlog.clear()
         self.on_end(killed)
--- a/wheatring/lab/direct/sidecar_client.py
+++ b/wheatring/lab/direct/sidecar_client.py
@@ -1,4 +1,4 @@
-"""Clients of sidecars without bytes: requests and answers each take a link's delay."""
+"""The client of sidecars without bytes: each request and each answer takes the delay of a link."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from wheatring.lab.models.request_transport import ResponseCallback
 from wheatring.lab.timers import PlayedTime
 
-SERVED, REFUSED = AnswerKind.SERVED, AnswerKind.REFUSED  # looked up once: an enum takes its time
+# Bound as globals because looking up enum members is slow.
+SERVED, REFUSED = AnswerKind.SERVED, AnswerKind.REFUSED
 
 
 class ListeningSidecar(Protocol):
-    """The process of a sidecar, as far as its callers meet it."""
+    """The process of a sidecar, as far as its callers use it."""
 
-    is_open: bool  # it takes requests
+    is_open: bool  # it accepts requests
 
-    def take(self, request: DirectRequest) -> None:
-        """Accept a request that has arrived, or have it wait in the backlog."""
+    def accept(self, request: DirectRequest) -> None:
+        """Accept a request, or queue it in the backlog if the limit of requests is reached."""
 
     def finish(self, request: DirectRequest) -> None:
         """Remove a request that has been answered."""
@@ -32,9 +33,9 @@
 
 
 class DirectRequest:
-    """One request in flight.
+    """A request in flight.
 
-    It is the content of the exchange's request (`core_request`), and its `callback` gets the answer of that.
+    It is the content of the core's request (`core_request`), whose answer is passed to `callback`.
     """
 
     __slots__ = (
@@ -57,44 +58,45 @@
     )  # fmt: skip
 
     def __init__(
-        self, client: DirectSidecarClient, sidecar: str, ident: str, index: int, until: float, key: str,
-        repeat: bool, done: ResponseCallback,
+        self, client: DirectSidecarClient, sidecar: str, ident: str, index: int, caller_deadline: float,
+        key: str, repeat: bool, done: ResponseCallback,
     ) -> None:  # fmt: skip
         self.client = client
         self.sidecar = sidecar
         self.ident = ident
         self.index = index
-        self.caller_deadline = until
+        self.caller_deadline = caller_deadline
         self.key = key
         self.repeat = repeat
         self.done = done
         self.forward, self.backward = client.links[sidecar]
         self.is_over = False
-        self.process: ListeningSidecar | None = None  # that has taken it
+        self.process: ListeningSidecar | None = None  # the process that has accepted it
         self.core_request: Request | None = None
 
     def send(self) -> None:
         """Send the request."""
         now = self.client.time.instant
-        self.time_left = max(1, int((self.caller_deadline - now) * 1000)) / 1000  # as the wire states it
+        # Truncated to milliseconds, as in the HTTP header.
+        self.time_left = max(1, int((self.caller_deadline - now) * 1000)) / 1000
         self.deadline = now + self.time_left
-        self.arrival = self.forward.send(0.0, self.arrive)
+        self.arrival = self.forward.send(0.0, self.handle_arrival)
 
-    def arrive(self) -> None:
-        """At the sidecar: have it take the request, where it listens."""
+    def handle_arrival(self) -> None:
+        """At the sidecar: accept the request if the process is listening."""
         if self.is_over:
             return
         client = self.client
         process = client.running.get(self.sidecar)
         if process is None or not process.is_open:
-            self.backward.send(0.0, self.unreached)
+            self.backward.send(0.0, self.handle_unreached)
             return
         self.process = process
         client.recorder.taken(self.sidecar, self.ident, self.index, self.key, self.deadline)
-        process.take(self)
+        process.accept(self)
 
-    def unreached(self) -> None:
-        """End the request, as no sidecar listens."""
+    def handle_unreached(self) -> None:
+        """End the request because no sidecar is listening."""
         if not self.is_over:
             self.end()
             self.done("unreached", 0.0)
@@ -107,33 +109,35 @@
 
     def callback(self, answer: Answer) -> None:
         """At the sidecar: send the answer."""
-        if self.core_request is None:  # to a caller that has left: the server finds no connection then
+        if self.core_request is None:  # the caller has abandoned it
             return
         self.core_request = None
         process = self.process
         assert process is not None
         process.finish(self)
         if not self.is_over:
-            self.backward.send(0.0, self.answered, answer, self.client.time.instant)
+            self.backward.send(0.0, self.handle_answer, answer, self.client.time.instant)
 
-    def answered(self, answer: Answer, written: float) -> None:
+    def handle_answer(self, answer: Answer, sent_at: float) -> None:
         """End the request with the sidecar's answer."""
         if self.is_over:
             return
         self.end()
-        final = answer.kind
-        kind: ResponseKind = "served" if final is SERVED else "refused" if final is REFUSED else "failed"
-        stamp = str(answer.content) if final is SERVED else ""
-        advice = ceil(answer.retry_after * 1000) / 1000 if answer.retry_after > 0 else 0.0
-        self.client.recorder.answered(self.sidecar, self.ident, kind, stamp, advice, written)
-        self.done(kind, advice)
-
-    def cut_off(self) -> None:
-        """At the sidecar: have the connection end without an answer."""
+        answer_kind = answer.kind
+        kind: ResponseKind = (
+            "served" if answer_kind is SERVED else "refused" if answer_kind is REFUSED else "failed"
+        )
+        stamp = str(answer.content) if answer_kind is SERVED else ""
+        retry_after = ceil(answer.retry_after * 1000) / 1000 if answer.retry_after > 0 else 0.0
+        self.client.recorder.answered(self.sidecar, self.ident, kind, stamp, retry_after, sent_at)
+        self.done(kind, retry_after)
+
+    def reset_connection(self) -> None:
+        """At the sidecar: reset the connection without an answer."""
         if not self.is_over:
-            self.backward.send(0.0, self.lost)
+            self.backward.send(0.0, self.handle_reset)
 
-    def lost(self) -> None:
+    def handle_reset(self) -> None:
         """End the request as lost."""
         if not self.is_over:
             self.end()
@@ -141,12 +145,12 @@
             self.done("lost", 0.0)
 
     def abandon(self) -> None:
-        """Abandon the request; the sidecar learns of it a link's delay later."""
+        """Abandon the request; the sidecar withdraws it a link delay later."""
         if self.is_over:
             return
         self.end()
         process, client = self.process, self.client
-        if process is None:  # it has not arrived, and will not
+        if process is None:  # it has not arrived, and is dropped on arrival
             return
         client.recorder.left(self.sidecar, self.ident)
         self.forward.send(self.arrival, process.abandon, self)
@@ -158,9 +162,9 @@
     Parameters
     ----------
     hosts
-        For each sidecar, its callers' host and its own.
+        By sidecar, its callers' host and its own.
     max_connections
-        For some sidecars, the connections that their callers open at once at most.
+        Limits of open connections to sidecars, by sidecar; others have none.
     """
 
     def __init__(
@@ -174,7 +178,8 @@
         self.time = time
         self.recorder = recorder
         self.links = {
-            name: (links.link(here, there), links.link(there, here)) for name, (here, there) in hosts.items()
+            name: (links.link(caller_host, sidecar_host), links.link(sidecar_host, caller_host))
+            for name, (caller_host, sidecar_host) in hosts.items()
         }
         self.running: dict[str, ListeningSidecar] = {}
         self.max_connections = max_connections
@@ -203,7 +208,7 @@
         return request
 
     def send_waiting(self, sidecar: str) -> None:
-        """Send the requests that wait, while there are connections for them."""
+        """Send waiting requests while connections are available."""
         assert self.max_connections is not None
         waiting = self.waiting[sidecar]
         while waiting and self.open_counts[sidecar] < self.max_connections[sidecar]:
@@ -212,7 +217,7 @@
             request.send()
 
     def release(self, request: DirectRequest) -> None:
-        """Release a request's connection, or its position among those that wait for one."""
+        """Release a request's connection, or remove the request from those waiting for one."""
         waiting = self.waiting.get(request.sidecar)
         if waiting is None:
             return
--- a/wheatring/lab/wire/discovery_server.py
+++ b/wheatring/lab/wire/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery's HTTP/1.1 server, with responses in JSON."""
+"""Discovery's HTTP/1.1 server, which responds in JSON."""
 
 from __future__ import annotations
 
@@ -18,52 +18,52 @@
 from wheatring.lab.wire.http import MalformedMessageError, Message, MessageParser
 
 UNAVAILABLE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
-BREAK_OFF_SECONDS = 0.01  # seconds from the head of an answer that breaks off to its reset
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
+BREAK_OFF_SECONDS = 0.01  # from the head of a truncated response to the reset of its connection
 BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 NOT_FOUND = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
 
 
 class BadListRequestError(ValueError):
-    """A list request that can't be answered; the text says why."""
+    """A list request that is not valid; the text gives the reason."""
 
 
 class ListQuery(NamedTuple):
-    """What a request for the list asks for."""
+    """The parameters of a request for the endpoint list."""
 
-    known_version: int | None  # that the caller has; None: it wants the complete list
-    wait: float  # seconds that it may wait for a newer version
+    known_version: int | None  # the version that the caller has; None requests the complete list
+    wait: float  # seconds that the request may wait for a newer version
 
 
 def parse_list_request(target: bytes) -> ListQuery:
-    """Parse the target of a request for the list.
+    """Parse the target of a request for the endpoint list.
 
     Raises
     ------
     BadListRequestError
-        The path or the query is not discovery's.
+        The path or the query is not one of discovery's API.
     """
     path, _, query = target.partition(b"?")
     if path != b"/v1/servers":
-        raise BadListRequestError("no such path")
+        raise BadListRequestError("unknown path")
     values: dict[bytes, int] = {}
-    for part in query.split(b"&") if query else []:
-        name, _, value = part.partition(b"=")
+    for parameter in query.split(b"&") if query else []:
+        name, _, value = parameter.partition(b"=")
         if name not in (b"index", b"wait") or name in values or not value.isdigit() or len(value) > 15:
-            raise BadListRequestError(f"query: {part.decode('latin-1')}")
+            raise BadListRequestError(f"bad query parameter: {parameter.decode('latin-1')}")
         values[name] = int(value)
     if b"wait" in values and b"index" not in values:
-        raise BadListRequestError("a wait for nothing")
+        raise BadListRequestError("wait without index")
     return ListQuery(values.get(b"index"), values.get(b"wait", 0) / 1000)
 
 
-def encode_list(answer: ListReply, address: Callable[[RegisteredNode], str] = registered_address) -> bytes:
-    """Return the body of a response."""
-    return msgspec.json.encode(list_reply_json(answer, address))
+def encode_list(reply: ListReply, address: Callable[[RegisteredNode], str] = registered_address) -> bytes:
+    """Encode a reply as the body of a response."""
+    return msgspec.json.encode(list_reply_json(reply, address))
 
 
 class _Connection(protocol.Protocol):
-    """One connection, kept from request to request."""
+    """A persistent connection of a sidecar."""
 
     transport: Any
 
@@ -81,17 +81,17 @@
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Parse what has come, and pass a complete request on to the registry."""
+        """Parse bytes received, and pass a complete request to the registry."""
         if self.is_over:
             return
         try:
             message = self.parser.feed(data)
             if message is not None and (self.request is not None or self.parser.is_mid_message):
-                raise MalformedMessageError("a call before the last one's answer")
+                raise MalformedMessageError("request received before the previous one was answered")
             if message is not None:
                 self._handle(message)
-        except (MalformedMessageError, BadListRequestError) as bad:
-            self.server.recorder.note("bad-call", sidecar=self.sidecar, why=str(bad))
+        except (MalformedMessageError, BadListRequestError) as error:
+            self.server.recorder.note("bad-call", sidecar=self.sidecar, why=str(error))
             self._cancel_request()
             self._write(BAD_REQUEST, False)
 
@@ -101,17 +101,17 @@
             return
         index, wait = parse_list_request(message.target)
         self.keep_alive = message.keep_alive
-        self.request = self.server.registry.request_list(self.sidecar, index, wait, self._answered)
+        self.request = self.server.registry.request_list(self.sidecar, index, wait, self._send_reply)
 
-    def _answered(self, answer: ListReply | None) -> None:
+    def _send_reply(self, reply: ListReply | None) -> None:
         request, self.request = self.request, None
-        if answer is not None:
-            data = encode_list(answer, self.server.address)
-            self._write(HEAD % len(data) + data, self.keep_alive)
+        if reply is not None:
+            data = encode_list(reply, self.server.address)
+            self._write(RESPONSE_HEAD % len(data) + data, self.keep_alive)
         elif request is not None and request.is_broken_off and not self.is_over:
             self.is_over = True
-            self.transport.write(HEAD % 1000)
-            # A reset at once would take the head along, unsent.
+            self.transport.write(RESPONSE_HEAD % 1000)
+            # An immediate reset would discard the head before it is sent.
             timers = self.server.registry.timers
             timers.at(timers.now() + BREAK_OFF_SECONDS, self.transport.abortConnection)
         else:
@@ -131,29 +131,29 @@
             request.cancel()
 
     def reset(self) -> None:
-        """Reset the connection, as discovery is down."""
+        """Reset the connection because discovery is down."""
         self.is_over = True
         self._cancel_request()
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
-        """Cancel the request that waits, and remove the connection."""
+        """Cancel the pending request, and remove the connection."""
         self.is_over = True
         self.server.connections.pop(self, None)
         self._cancel_request()
 
 
 class DiscoveryServer(ServerFactory):
-    """The listening side of the registry; while the registry is down, its port is closed.
+    """The server of the registry. While the registry is down, its port is closed.
 
     Parameters
     ----------
     sidecar_of
-        Gives the sidecar that connects from a host.
+        Returns the sidecar that connects from a host.
     listen
-        Opens the port for a factory.
+        Opens the listening port for a factory.
     address
-        Gives where sidecars find a node, where that is not the address that the registry has.
+        Returns the address at which sidecars reach a node, if it differs from the registered one.
     """
 
     noisy = False
@@ -181,7 +181,7 @@
         return _Connection(self, self.sidecar_of(addr.host))
 
     def close(self) -> None:
-        """Close the port and all connections for good."""
+        """Close the port and all connections permanently."""
         self.registry.on_down.remove(self._set_down)
         self._set_down(True)
 
--- a/wheatring/lab/wire/environment.py
+++ b/wheatring/lab/wire/environment.py
@@ -1,4 +1,4 @@
-"""The environment of the grain `wire`: real sidecars on simulated sockets."""
+"""The environment of grain `wire`: real sidecars on simulated sockets."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 NO_OPERATORS = OperatorProperties()
 LISTEN_BACKLOG = 511
-# What a sidecar that has nothing to do still waits for.
+# The periodic calls that an idle sidecar has scheduled.
 PERIODIC_CALLS = frozenset(
     (
         "Server.sweep", "Server.evict", "ConnectionPool.sweep", "HttpDiscoveryClient.stop",
@@ -45,7 +45,7 @@
 
 
 class WireEnvironment:
-    """The `Environment` of the wire grain: processes of a simulated network."""
+    """The `Environment` of grain `wire`: processes on a simulated network."""
 
     def __init__(self, world: World) -> None:
         plan = world.plan
@@ -57,7 +57,7 @@
             world.time, plan.net, world.random("net"), lambda host: self.zones.get(host, ""), plan.epoch
         )
         self.hosts = sidecar_hosts(plan)
-        # A successor may come to the address of a sidecar that is gone.
+        # The sidecar last started on each host; the address of one that has ended may be reused.
         self.sidecar_by_host: dict[str, str] = {}
         self.request_format = RequestFormat(plan.classes)
         self.client_transport = self.create_client(
@@ -67,12 +67,12 @@
         self.servers: dict[str, NodeServer] = {}
         self.clients: dict[str, SidecarClient] = {}  # of nodes
         self.sidecars: dict[str, tuple[Process, Sidecar]] = {}
-        self.max_sockets: dict[str, int] = {}  # sockets that a sidecar's processes held at most
-        # By sidecar, what its process still held when it ended by itself.
+        self.max_sockets: dict[str, int] = {}  # highest number of open sockets, by sidecar
+        # By sidecar, counts of what its process still held when it exited.
         self.leftovers_at_exit: dict[str, Counter[str]] = {}
 
     def create_client(self, process: Process, host: str, max_connections: int = 0) -> SidecarClient:
-        """Return a client of sidecars that runs in the process; `max_connections` 0 is no limit."""
+        """Return a client of sidecars that runs in the process; 0 for `max_connections` means no limit."""
         return SidecarClient(
             process, self.time, self.recorder, self.request_format, self.address_of, host, max_connections
         )
@@ -86,7 +86,7 @@
         return self.sidecar_by_host.get(host, "")
 
     def open_discovery(self, registry: Registry) -> None:
-        """Have discovery listen."""
+        """Start discovery's server."""
         host, port = DISCOVERY
         process = self.net.process("discovery", host)
         self.net.host(host).on_refused[port] = lambda caller: registry.connection_refused(
@@ -102,7 +102,7 @@
     # Nodes
 
     def downstream_client(self, node: NodePlan) -> NextTierCall:
-        """Return the node's calls through its own sidecar."""
+        """Return the client by which a node calls the next tier through its own sidecar."""
         return NextTierClient(
             node.name,
             lambda: self.clients.get(node.name),
@@ -112,7 +112,7 @@
         )
 
     def node_up(self, node: NodePlan, machine: Machine) -> None:
-        """Start a node's process and have it listen."""
+        """Start a node's process and its server."""
         process = self.processes[node.name] = self.net.process(f"node {node.name}", node.host)
         server = self.servers[node.name] = NodeServer(
             machine,
@@ -134,11 +134,11 @@
             self.clients[node.name] = self.create_client(process, node.host)
 
     def node_down(self, node: str) -> None:
-        """End a node's process: connections are reset, new ones refused."""
+        """End a node's process: its connections are reset, and new ones refused."""
         self.clients.pop(node, None)
         process, server = self.processes.pop(node), self.servers.pop(node)
         server.reset()
-        # Its resets are on their way at this instant's end; what dies before that closes in good order.
+        # The resets are sent later in this instant; a process killed before that would close with FINs.
         self.time.at(self.time.now(), process.kill)
 
     def round_trip(self, here: str, there: str) -> float:
@@ -149,12 +149,12 @@
     # Sidecars
 
     def sidecar_up(self, name: str, config: PlatformConfig, on_exit: Callable[[], None]) -> None:
-        """Start a sidecar's process; `on_exit` is called once, when it has ended by itself."""
+        """Start a sidecar's process; `on_exit` is called once, when it has exited without being killed."""
         process = self.net.process(name, self.hosts[name])
         self.sidecar_by_host[self.hosts[name]] = name
 
-        def stopped() -> None:
-            """Record what the process still holds, and report its end."""
+        def handle_exit() -> None:
+            """Count what the process still holds, and report its exit."""
             counts = self.leftovers_at_exit.setdefault(name, Counter())
             counts.update(count_leftovers(sidecar, process.open_resources().timers))
             counts["descriptors"] += len(process.descriptors)
@@ -162,14 +162,14 @@
             self.recorder.sidecar_down(name, False)
             on_exit()
 
-        process.on_stop = stopped
+        process.on_stop = handle_exit
         sidecar = process.run(Sidecar, process, config, NO_OPERATORS, False, process.unix)
         self.sidecars[name] = (process, sidecar)
         process.run(sidecar.start)
         self.recorder.sidecar_up(name)
 
     def forget_sidecar(self, name: str) -> Process:
-        """Remove a sidecar whose process ends, and return the process."""
+        """Remove a sidecar whose process ends, and return that process."""
         process, _ = self.sidecars.pop(name)
         self.max_sockets[name] = max(self.max_sockets.get(name, 0), process.max_descriptors)
         return process
@@ -181,7 +181,7 @@
         process.callFromThread(sidecar.stop)
 
     def sidecar_kill(self, name: str) -> None:
-        """Kill a sidecar's process at once."""
+        """Kill a sidecar's process."""
         self.forget_sidecar(name).kill()
         self.recorder.sidecar_down(name, True)
 
@@ -196,7 +196,7 @@
         self.apply_fault(event, False)
 
     def apply_fault(self, event: EventPlan, on: bool) -> None:
-        """Apply a fault to the network or the clocks, or take it away."""
+        """Start or end a fault of the network or the clocks."""
         for name in event.nodes:
             host = self.world.nodes[name].host
             faults = self.world.machines[name].faults
@@ -214,7 +214,7 @@
             self.net.step_clock(event.hosts, event.size if on else -event.size)
 
     def isolate_node(self, node: NodePlan) -> None:
-        """Cut a node's hosts off: nothing reaches them or leaves them."""
+        """Isolate a node's hosts from the network."""
         for host in self.hosts_of(node):
             self.net.isolate(host)
 
@@ -231,26 +231,26 @@
         """Return the seconds by which the clocks of all hosts together have been stepped."""
         return self.net.clock_offset
 
-    # What is seen of the sidecars
+    # Observation of the sidecars
 
     def active_sidecar(self) -> str:
-        """Return the sidecar whose code runs now, or ""."""
+        """Return the sidecar whose code is running, or ""."""
         running = self.time.running
         return running.name if isinstance(running, Process) else ""
 
     def leftovers(self) -> dict[str, dict[str, int]]:
-        """Return, by sidecar, the counts by kind of what an idle sidecar should not have."""
-        found = {name: Counter(most_sockets=most) for name, most in self.max_sockets.items()}
-        later = scheduled_calls(self.time)
+        """Return, by sidecar and kind, the counts of resources that an idle sidecar should have released."""
+        found = {name: Counter(most_sockets=max_sockets) for name, max_sockets in self.max_sockets.items()}
+        scheduled = scheduled_calls(self.time)
         for name, (process, sidecar) in self.sidecars.items():
             counts = found.setdefault(name, Counter())
             counts["most_sockets"] = max(counts["most_sockets"], process.max_descriptors)
-            counts.update(count_leftovers(sidecar, [*process.due_calls(), *later.get(process, ())]))
+            counts.update(count_leftovers(sidecar, [*process.due_calls(), *scheduled.get(process, ())]))
         return {name: dict(counts) for name, counts in found.items()}
 
 
 def count_leftovers(sidecar: Sidecar, timers: Sequence[DelayedCall]) -> Counter[str]:
-    """Count what an idle sidecar should not have; `timers` are all that it waits for."""
+    """Count resources that an idle sidecar should have released; `timers` are its scheduled calls."""
     counts = Counter(jobs=max(sidecar.exchange.open_count, len(sidecar.driver.open_requests)))
     counts["claims"] = sum(each.attempt is not None for each in sidecar.pool.connections)
     counts["connections"] = sum(each.request is not None for each in sidecar.server.connections)
--- a/wheatring/lab/wire/node_server.py
+++ b/wheatring/lab/wire/node_server.py
@@ -1,4 +1,4 @@
-"""A node's HTTP/1.1 server, which sidecars connect to."""
+"""A node's HTTP/1.1 server, to which sidecars connect."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 class NodeModel(Protocol):
     """The part of a machine's model that its server uses.
 
-    The model records what becomes of an attempt, except its arrival and its rejection, which the server
+    The model records the events of an attempt, except its arrival and its rejection, which the server
     records.
     """
 
@@ -35,11 +35,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether its table of connections is full: it would not accept another one."""
+        """Whether the connection table is full, so that no further connection is accepted."""
 
     @property
     def malformed_share(self) -> float:
-        """Share of its responses that are malformed at present; as many good ones have trailing bytes."""
+        """Share of responses that are malformed at present; an equal share has trailing bytes."""
 
     def connect(self) -> float | None:
         """Accept a connection: return the seconds until it is ready, or None where it is not accepted."""
@@ -51,42 +51,42 @@
         """Process a request."""
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
-        """Handle that a request's connection was closed before its response."""
+        """Handle the close of a connection before its request was answered."""
 
 
 def malformed_response(random: Random) -> tuple[bytes, bool]:
-    """Return a response that can't be parsed, and whether the connection closes after it."""
-    form = random.randrange(6)
-    ends = random.random() < 0.5
-    if form == 0:
-        return random.randbytes(200), ends
-    if form == 1:
-        return b"HTTP/1.1 200 OK\r\nX-Pad: " + b"a" * 24_000, ends
-    if form == 2:
-        return b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\nhalf an answer", ends
-    if form == 3:
-        return b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on", ends
-    if form == 4:
-        return b"HTTP/1.1 200 OK\r\nContent-Length: -14\r\n\r\nless than none", ends
-    return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nno chunk\r\n0\r\n\r\n", ends
+    """Draw a malformed response, and whether the connection is closed after it."""
+    kind = random.randrange(6)
+    closes = random.random() < 0.5
+    if kind == 0:
+        return random.randbytes(200), closes
+    if kind == 1:
+        return b"HTTP/1.1 200 OK\r\nX-Pad: " + b"a" * 24_000, closes
+    if kind == 2:
+        return b"HTTP/1.1 200 OK\r\nContent-Length: 64\r\n\r\nhalf an answer", closes
+    if kind == 3:
+        return b"HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nand so on", closes
+    if kind == 4:
+        return b"HTTP/1.1 200 OK\r\nContent-Length: -14\r\n\r\nless than none", closes
+    return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nno chunk\r\n0\r\n\r\n", closes
 
 
 class NodeConnection(protocol.Protocol):
-    """One connection of a sidecar, with one request on it at a time."""
+    """A connection from a sidecar, with one request at a time."""
 
     transport: Any
 
     def __init__(self, server: NodeServer, sidecar: str, delay: float) -> None:
         self.server = server
         self.sidecar = sidecar
-        self.handshake_delay = delay  # of the first request, for the handshake
+        self.handshake_delay = delay  # seconds by which the handshake delays the first request
         self.parser = MessageParser(responses=False)
         self.attempt: ReceivedAttempt | None = None
-        self.has_begun = False  # the attempt is at the machine
+        self.has_begun = False  # the machine has received the attempt
         self.keep_alive = True
-        self.is_over = False  # this side has ended it
+        self.is_over = False  # closed by this side, or lost
         self.idle_since = 0.0
-        self.sent_at = 0.0  # when the first byte of the request left the sidecar, as far as that can be told
+        self.sent_at = 0.0  # when the first byte of the request was sent, or received where that is unknown
         self.timer: Timer | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
@@ -98,33 +98,33 @@
         self.timer = server.timers.at(self.idle_since + server.idle_seconds, self._check_idle)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Parse what has come, and hand a complete request to the machine."""
+        """Parse bytes received, and pass a complete request to the machine."""
         if self.is_over:
             return
         server, parser = self.server, self.parser
         if self.attempt is not None:
-            # Two requests at once on one connection: it can't be told which one an answer is for.
+            # Without pipelining, two requests at once make the response ambiguous.
             server.recorder.note("second-request", node=server.node.name, sidecar=self.sidecar)
             self._abort()
             return
         if not parser.is_mid_message:
-            at: float | None = getattr(self.transport, "sent_at", None)
-            self.sent_at = server.timers.now() if at is None else at
+            sent_at: float | None = getattr(self.transport, "sent_at", None)
+            self.sent_at = server.timers.now() if sent_at is None else sent_at
             server.recorder.sending(self.sidecar, server.node.name, self.sent_at)
         try:
             message = parser.feed(data)
-        except MalformedMessageError as bad:
-            self._reject(str(bad), "")
+        except MalformedMessageError as error:
+            self._reject(str(error), "")
             return
         if message is None:
             return
         if parser.is_mid_message:
             self._reject("more than one request", "")
             return
-        self._take(message)
+        self._handle_request(message)
 
     def _reject(self, reason: str, ident: str) -> None:
-        """Answer 400 to a request that no caller has written so, and close."""
+        """Answer 400 to a request that no caller has sent in this form, and close."""
         server = self.server
         server.recorder.note(
             "bad-request", node=server.node.name, sidecar=self.sidecar, ident=ident, why=reason
@@ -132,28 +132,28 @@
         self._write(BAD_REQUEST)
         self._close()
 
-    def _take(self, message: Message) -> None:
+    def _handle_request(self, message: Message) -> None:
         server, fields = self.server, message.fields
-        name = fields.get(b"x-correlation-id")
-        if name is None:
+        raw_id = fields.get(b"x-correlation-id")
+        if raw_id is None:
             self._write(NOT_FOUND)
             return
-        ident = name.decode("latin-1")
+        ident = raw_id.decode("latin-1")
         origin = server.origins.by_id.get(ident)
         if origin is None:
-            self._reject("unknown id", ident)
+            self._reject("unknown correlation id", ident)
             return
-        if not server.request_format.matches(message, name, origin):
-            self._reject("changed on its way", ident)
+        if not server.request_format.matches(message, raw_id, origin):
+            self._reject("altered in transit", ident)
             return
-        left = fields.get(b"x-time-left-ms", b"0")
-        if not left.isdigit() or len(left) > 12:
-            self._reject("time left", ident)
+        time_left = fields.get(b"x-time-left-ms", b"0")
+        if not time_left.isdigit() or len(time_left) > 12:
+            self._reject("invalid X-Time-Left-Ms", ident)
             return
         self.keep_alive = message.keep_alive
         node = server.node
         now = server.timers.now()
-        attempt = self.attempt = ReceivedAttempt(ident, self.sidecar, int(left) / 1000, now, self._reply)
+        attempt = self.attempt = ReceivedAttempt(ident, self.sidecar, int(time_left) / 1000, now, self._reply)
         server.recorder.arrived(self.sidecar, node.name, ident, self.sent_at)
         if self.handshake_delay > 0:
             server.timers.at(now + self.handshake_delay, self._start_attempt, attempt)
@@ -163,7 +163,7 @@
             node.receive(attempt)
 
     def _start_attempt(self, attempt: ReceivedAttempt) -> None:
-        """Start the attempt, as the handshake is over."""
+        """Start the attempt after the delay of the handshake."""
         if attempt is self.attempt and not self.is_over:
             self.has_begun = True
             self.server.node.receive(attempt)
@@ -176,11 +176,11 @@
         self.has_begun = False
         if outcome is AttemptOutcome.SERVED:
             body = stamp.encode("latin-1")
-            answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+            response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
             malformed_share = self.server.node.malformed_share
             if malformed_share and self.server.random.random() < malformed_share:
-                answer += answer  # good, with more behind it than belongs to it
-            self._write(answer)
+                response += response  # a valid response followed by trailing bytes
+            self._write(response)
         elif outcome is AttemptOutcome.ERROR:
             self._write(SERVER_ERROR)
         elif outcome is AttemptOutcome.REJECTED:
@@ -189,9 +189,9 @@
         elif outcome is AttemptOutcome.RESET:
             self._abort()
         else:
-            data, ends = malformed_response(self.server.random)
+            data, closes = malformed_response(self.server.random)
             self._write(data)
-            if ends:
+            if closes:
                 self._close()
         if not self.keep_alive:
             self._close()
@@ -212,25 +212,27 @@
             self.transport.abortConnection()
 
     def reset(self) -> None:
-        """Reset the connection, as the node's process has ended."""
+        """Reset the connection because the node's process has ended."""
         self._abort()
         self.unregister()
 
     def _check_idle(self) -> None:
-        """Close the connection if it has been idle for too long."""
+        """Close the connection if its idle time-out has expired."""
         server = self.server
         now = server.timers.now()
         self.timer = None
         if self.is_over:
             return
-        due = self.idle_since + server.idle_seconds if self.attempt is None else now + server.idle_seconds
-        if due <= now:
+        deadline = (
+            self.idle_since + server.idle_seconds if self.attempt is None else now + server.idle_seconds
+        )
+        if deadline <= now:
             self._close()
         else:
-            self.timer = server.timers.at(due, self._check_idle)
+            self.timer = server.timers.at(deadline, self._check_idle)
 
     def _abandon_attempt(self) -> None:
-        """Abandon the attempt: no response can reach the sidecar any more."""
+        """Abandon the attempt, as its response can no longer reach the sidecar."""
         attempt, self.attempt = self.attempt, None
         if attempt is None:
             return
@@ -241,7 +243,7 @@
             self.server.recorder.ended(self.server.node.name, attempt.ident)
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name and signature
-        # A sidecar that only ends its sending has abandoned the attempt as well: Twisted then closes both.
+        # A half-close by the sidecar abandons the attempt as well: Twisted then closes both directions.
         """Abandon the attempt, and remove the connection from its server."""
         self.is_over = True
         self._abandon_attempt()
@@ -256,17 +258,17 @@
 
 
 class NodeNetwork(NamedTuple):
-    """What a node's server knows of its network.
+    """The functions of the network that a node's server uses.
 
     Attributes
     ----------
     sidecar_of
-        Gives the sidecar that connects from a host.
+        Returns the sidecar that connects from a host.
     round_trip
-        Gives the seconds that a round trip to a host takes at present.
+        Returns the present round-trip time to a host, in seconds.
     on_full
-        Called when the table of connections becomes full and when it is full no more, so that a network can
-        leave connects unanswered.
+        Called with whether the connection table is full when that changes, so that a network can leave
+        connects unanswered.
     """
 
     sidecar_of: Callable[[str], str]
@@ -275,11 +277,11 @@
 
 
 class NodeServer(ServerFactory):
-    """The listening side of one node.
+    """The server of one node.
 
     Notes
     -----
-    A request that no caller has written so gets 400, and a note `bad-request` in the recorder.
+    A request that no caller has sent in this form is answered with 400 and recorded as `bad-request`.
     """
 
     noisy = False
@@ -304,11 +306,11 @@
         self.network = network
         self.idle_seconds = tier.conn_idle
         self.handshake_rtts = tier.handshake_rtts
-        self.connections: dict[NodeConnection, None] = {}  # in the order in which they came
+        self.connections: dict[NodeConnection, None] = {}  # in the order in which they were accepted
         self.is_full = False
 
     def buildProtocol(self, addr: Any) -> NodeConnection | None:  # noqa: N802 - Twisted's name
-        """Return a connection, or None, which closes it, where the machine does not accept it."""
+        """Return a connection, or None to close it if the machine does not accept it."""
         wait = self.node.connect()
         self.update_full()
         if wait is None:
@@ -320,7 +322,7 @@
         )
 
     def update_full(self) -> None:
-        """Report a change of whether the table of connections is full."""
+        """Call `on_full` if the connection table has become full or is full no longer."""
         is_full = self.node.is_full
         if is_full != self.is_full:
             self.is_full = is_full
@@ -335,6 +337,6 @@
             self.update_full()
 
     def reset(self) -> None:
-        """Reset all connections, as the node's process has ended."""
+        """Reset all connections because the node's process has ended."""
         for connection in list(self.connections):
             connection.reset()
--- a/wheatring/lab/wire/sidecar_client.py
+++ b/wheatring/lab/wire/sidecar_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 clients of sidecars: the clients' own, and those of nodes that call the next tier."""
+"""HTTP/1.1 clients of sidecars, for the simulated clients and for nodes that call the next tier."""
 
 from __future__ import annotations
 
@@ -46,8 +46,8 @@
         self.key = key
         self.repeat = repeat
         self.done = done
-        self.connection: _Connection | None = None  # it is written on that connection
-        self.connect_attempt: _ConnectAttempt | None = None  # a connect is under way for it
+        self.connection: _Connection | None = None  # the connection on which it was sent
+        self.connect_attempt: _ConnectAttempt | None = None  # the connect made for it
         self.is_resent = False
         self.is_over = False
 
@@ -58,14 +58,14 @@
             self.pool.abandon(self)
 
     def end(self, kind: Any, retry_after: float = 0.0) -> None:
-        """Report the end of the request, once."""
+        """Report the outcome of the request, once."""
         if not self.is_over:
             self.is_over = True
             self.done(kind, retry_after)
 
 
 class _Connection(protocol.Protocol):
-    """One connection to a sidecar, with one request on it at a time; `first` is the one it was made for."""
+    """A connection to a sidecar, opened for the request `first`, with one request at a time."""
 
     transport: Any
 
@@ -74,15 +74,15 @@
         self.first = first
         self.parser = MessageParser(responses=True)
         self.request: _PendingRequest | None = None
-        self.is_reused = False  # it had stood idle before the request came on it
-        self.has_received = False  # something of the answer has come
-        self.is_over = False  # this side has ended it
-        self.began: float | None = None  # when the answer's first byte left the sidecar, where that is told
-        self.written = 0  # bytes
+        self.is_reused = False  # it has carried an earlier request
+        self.has_received = False  # part of the response has been received
+        self.is_over = False  # closed by this side, or lost
+        self.response_sent_at: float | None = None  # when the response's first byte was sent, if known
+        self.written = 0  # total bytes
         self.peer_read: Callable[[], int] | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Send the request that the connection was made for."""
+        """Send the request for which the connection was opened."""
         self.transport.setTcpNoDelay(True)
         self.peer_read = getattr(self.transport, "peer_read", None)
         self.send(self.first)
@@ -91,20 +91,20 @@
         """Send a request."""
         pool = self.pool
         now = pool.client.timers.now()
-        left_ms = max(1, int((request.deadline - now) * 1000))
+        time_left_ms = max(1, int((request.deadline - now) * 1000))
         self.request = request
         self.has_received = False
         request.connection = self
         data = pool.client.request_format.encode(
-            request.index, request.ident, left_ms, request.key, request.repeat
+            request.index, request.ident, time_left_ms, request.key, request.repeat
         )
         self.written += len(data)
         self.transport.write(data)
-        deadline = now + left_ms / 1000
+        deadline = now + time_left_ms / 1000
         pool.client.recorder.taken(pool.sidecar, request.ident, request.index, request.key, deadline)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Parse what has come, and handle a complete response."""
+        """Parse bytes received, and handle a complete response."""
         if self.is_over:
             return
         if self.request is None:
@@ -113,7 +113,7 @@
             return
         if not self.has_received:
             self.has_received = True
-            self.began = getattr(self.transport, "sent_at", None)
+            self.response_sent_at = getattr(self.transport, "sent_at", None)
         try:
             message = self.parser.feed(data)
             while message is not None and message.status < 200:
@@ -136,14 +136,14 @@
             stamp = message.body.decode("latin-1")
         elif message.status in (429, 503):
             kind = "refused"
-            advice = message.fields.get(b"retry-after")
-            if advice is not None:
-                if not _SECONDS.fullmatch(advice):
+            retry_after_value = message.fields.get(b"retry-after")
+            if retry_after_value is not None:
+                if not _SECONDS.fullmatch(retry_after_value):
                     self.reject_response("Retry-After")
                     return
-                wait = float(advice)
+                wait = float(retry_after_value)
         self.request = request.connection = None
-        recorder.answered(pool.sidecar, request.ident, kind, stamp, wait, self.began)
+        recorder.answered(pool.sidecar, request.ident, kind, stamp, wait, self.response_sent_at)
         if self.parser.is_mid_message:
             recorder.note("unasked-data", sidecar=pool.sidecar, data=b"")
             self.end()
@@ -154,7 +154,7 @@
         request.end(kind, wait)
 
     def reject_response(self, why: str) -> None:
-        """End the request as lost, as its response can't be parsed."""
+        """End the request as lost because its response is malformed."""
         request, self.request = self.request, None
         self.end()
         if request is not None:
@@ -163,33 +163,33 @@
             request.end("lost")
 
     def end(self) -> None:
-        """Close the connection: to a sidecar, its caller has left."""
+        """Close the connection, which abandons a request in flight."""
         if not self.is_over:
             self.is_over = True
             self.pool.remove(self)
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = protocol.connectionDone) -> None:  # noqa: N802 - Twisted's name
-        """End the request, or send it again where the sidecar has not read it."""
-        orderly = isinstance(reason.value, ConnectionDone)
+        """End the request, or resend it once if the sidecar has not read it."""
+        graceful = isinstance(reason.value, ConnectionDone)
         was_over, self.is_over = self.is_over, True
         if not was_over:
             self.pool.remove(self)
         request = self.request
         if request is None:
             return
-        message = self.parser.finish() if orderly else None
+        message = self.parser.finish() if graceful else None
         if message is not None:
             self.handle_response(message)
             return
         self.request = request.connection = None
         pool, recorder = self.pool, self.pool.client.recorder
         if self.has_received or not self.is_unread():
-            why = "closed" if orderly else "reset"
+            ending = "closed" if graceful else "reset"
             recorder.lost(
                 pool.sidecar,
                 request.ident,
-                f"{why} in mid-answer" if self.has_received else f"{why} unanswered",
+                f"{ending} in mid-answer" if self.has_received else f"{ending} unanswered",
             )
             request.end("lost")
             return
@@ -203,8 +203,8 @@
     def is_unread(self) -> bool:
         """Return whether the sidecar ended the connection before it read the request.
 
-        A simulated network knows. On a real one it is assumed of a reused connection that ended without a
-        byte.
+        A simulated network can tell. On a real one it is assumed if a reused connection ended before any byte
+        of the response.
         """
         if self.peer_read is None:
             return self.is_reused
@@ -212,7 +212,7 @@
 
 
 class _ConnectAttempt(ClientFactory):
-    """One connect under way for one request."""
+    """A connect under way for a request."""
 
     noisy = False
 
@@ -223,7 +223,7 @@
         self.connector: Any = None
 
     def buildProtocol(self, addr: object) -> _Connection | None:  # noqa: N802, ARG002 - Twisted's name and signature
-        """Return the connection, or None, which closes it, where the request has ended meanwhile."""
+        """Return the connection, or None to close it if the request has ended meanwhile."""
         request, self.request = self.request, None
         if request is None:
             return None
@@ -238,8 +238,8 @@
             self.pool.connection_closed()
             request.end("unreached")
 
-    def give_up(self) -> None:
-        """Cancel the connect, as its request has been left."""
+    def cancel(self) -> None:
+        """Cancel the connect because its request was abandoned."""
         self.request = None
         self.pool.connection_closed()
         if self.connector is not None:
@@ -247,17 +247,17 @@
 
 
 class _ConnectionPool:
-    """The connections from one caller's host to one sidecar; the one used last is reused first."""
+    """The connections from a caller's host to a sidecar; the most recently used one is reused first."""
 
     def __init__(self, client: SidecarClient, sidecar: str) -> None:
         self.client = client
         self.sidecar = sidecar
         self.idle: list[_Connection] = []
-        self.open_count = 0  # connections, and connects under way
-        self.waiting: deque[_PendingRequest] = deque()  # for one of them, where there may be no more
+        self.open_count = 0  # open connections and connects under way
+        self.waiting: deque[_PendingRequest] = deque()  # requests waiting for a connection
 
     def submit(self, request: _PendingRequest) -> None:
-        """Send a request on an idle connection or a new one, or have it wait for one."""
+        """Send a request on an idle or a new connection, or queue it if the limit is reached."""
         if self.idle:
             connection = self.idle.pop()
             connection.is_reused = True
@@ -277,7 +277,7 @@
         attempt.connector = client.reactor.connectTCP(host, port, attempt, timeout=None, bindAddress=source)
 
     def release(self, connection: _Connection) -> None:
-        """Have a connection carry the next request, or stand idle."""
+        """Send the next waiting request on a connection, or add the connection to the idle ones."""
         if self.waiting:
             connection.is_reused = True
             connection.send(self.waiting.popleft())
@@ -291,13 +291,13 @@
         self.connection_closed()
 
     def connection_closed(self) -> None:
-        """Count a connection less, and open one for the next request that waits."""
+        """Decrement the count of connections, and open one for the next waiting request."""
         self.open_count -= 1
         if self.waiting and self.open_count < self.client.max_connections:
             self.connect(self.waiting.popleft())
 
     def abandon(self, request: _PendingRequest) -> None:
-        """Abandon a request: its connection is closed."""
+        """Abandon a request and close its connection."""
         connection = request.connection
         if connection is not None:
             connection.request = request.connection = None
@@ -305,22 +305,22 @@
             connection.end()
         elif request.connect_attempt is not None:
             attempt, request.connect_attempt = request.connect_attempt, None
-            attempt.give_up()
+            attempt.cancel()
         elif request in self.waiting:
             self.waiting.remove(request)
 
 
 class SidecarClient:
-    """The client of all sidecars for the callers of one process: the `RequestTransport` of grain `wire`.
+    """Client of all sidecars for the callers in one process: the `RequestTransport` of grain `wire`.
 
     Parameters
     ----------
     address_of
-        Gives a sidecar's host and port.
+        Returns a sidecar's host and port.
     host
-        The address that connections come from; "" for the reactor's choice.
+        The source address of connections; "" for the reactor's default.
     max_connections
-        The connections open at once to one sidecar; 0 for no limit.
+        Limit of open connections to one sidecar; 0 for no limit.
     """
 
     def __init__(
--- a/wheatring/lab/world/__init__.py
+++ b/wheatring/lab/world/__init__.py
@@ -1,6 +1,6 @@
-"""The world: a plan and a grain, put together and played.
+"""The simulated world: a plan, run at one grain.
 
-`world.py` wires the models, the invariant checker and the environment; `events.py` injects the events of the
-plan; `sidecar_slots.py` starts and ends sidecars. An environment is one grain's way to attach the models to
-the real parts of the sidecar. May import all of the lab, and the sidecar's parts.
+`world.py` connects the models, the invariant checker and the environment; `events.py` injects the events of
+the plan; `sidecar_slots.py` starts and stops sidecars. An environment connects the models to the sidecar's
+own code at one grain. The package may import all of the lab, and the sidecar's packages.
 """
--- a/wheatring/lab/world/events.py
+++ b/wheatring/lab/world/events.py
@@ -1,6 +1,6 @@
 """Injects the events of a plan: faults and lifecycles of nodes, sidecars, discovery and the network.
 
-The load's own events are in the traffic, which reads them from the plan.
+Events of the load are handled by the traffic model, which reads them from the plan.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
     "discovery_lies": "lies",
     "discovery_breaks": "breaks",
 }
-# Recorded by their own events.
+# Kinds of events whose effects are recorded on their own.
 LIFECYCLE_EVENTS = frozenset(("kill", "start", "sidecar_kill", "sidecar_restart"))
 NETWORK_FAULTS = frozenset(("partition", "latency", "clock_step"))
 
 
 class NodeController(Protocol):
-    """The lifecycles of nodes, as the world leads them."""
+    """Starts, drains and stops nodes, and isolates their machines."""
 
     def start(self, node: str) -> None:
         """Start the process of a node."""
 
     def drain(self, node: str) -> None:
-        """Have a node take nothing new."""
+        """Drain a node: it accepts no new requests."""
 
     def stop(self, node: str) -> None:
         """End the process of a node."""
 
     def isolate(self, node: str) -> None:
-        """Have the machine of a node fall silent."""
+        """Isolate the machine of a node from the network."""
 
     def reconnect(self, node: str) -> None:
-        """Have the machine of a node answer again."""
+        """Connect the machine of a node to the network again."""
 
 
 class FaultInjector(Protocol):
-    """The faults of the network and of the clocks."""
+    """Injects faults of the network and of the clocks."""
 
     def start_fault(self, event: EventPlan) -> None:
         """Inject the fault of an event."""
@@ -59,30 +59,30 @@
 
 
 class SidecarController(Protocol):
-    """The slots of sidecars."""
+    """Starts and stops the sidecars of slots."""
 
     @property
     def by_name(self) -> Mapping[str, Any]:
         """The slots by name."""
 
     def kill(self, slot: Any, restart_delay: float) -> None:
-        """Kill a sidecar, and start it anew after `restart_delay` seconds, if that is not 0."""
+        """Kill a sidecar, and restart it after `restart_delay` seconds, if that is not 0."""
 
     def restart(self, slot: Any, stop_timeout: float, restart_delay: float) -> None:
-        """Stop a sidecar, kill it after `stop_timeout`, and start it anew `restart_delay` after its end.
+        """Stop a sidecar, kill it after `stop_timeout`, and restart it `restart_delay` after its end.
 
-        Both are seconds.
+        Both are in seconds.
         """
 
     def set_paused(self, slot: Any, paused: bool) -> None:
-        """Stop its process where it is, or have it go on. In real time only."""
+        """Pause or resume the process, as by SIGSTOP and SIGCONT. In real time only."""
 
     def move_discovery(self) -> None:
-        """Discovery is at another address, and all are told. In real time only."""
+        """Move discovery to another address, and notify all sidecars. In real time only."""
 
 
 class EventScheduler:
-    """Injects the events of a plan. `on_event` is called with each start and end, for the figures."""
+    """Injects the events of a plan. `on_event` is called with a description of each start and end."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         machines: dict[str, Machine],
         registry: Registry,
         slots: SidecarController,
-        lifecycles: NodeController,
+        node_controller: NodeController,
         on_event: Callable[[str], None],
     ) -> None:
         self.timers = timers
@@ -99,22 +99,21 @@
         self.machines = machines
         self.registry = registry
         self.slots = slots
-        self.lifecycles = lifecycles
+        self.node_controller = node_controller
         self.on_event = on_event
-        # By event: what ends a fault of discovery that is on.
+        # By event, the call that ends an active fault of discovery.
         self.end_discovery_fault: dict[EventPlan, Callable[[], None]] = {}
 
     def schedule(self, day: float, events: tuple[EventPlan, ...]) -> None:
-        """Schedule the events of a day that starts at an instant."""
+        """Schedule the events of a simulated day that starts at the instant `day`."""
         for event in events:
             self.timers.at(day + event.at, self.start_event, event)
 
     def start_event(self, event: EventPlan) -> None:
         """Start an event."""
-        own = [
-            name for name in event.sidecars if name in self.machines
-        ]  # of their kills there is no other record
-        if event.kind not in LIFECYCLE_EVENTS or (event.kind == "sidecar_kill" and own):
+        # Kills of the nodes' own sidecars are not recorded elsewhere.
+        node_sidecars = [name for name in event.sidecars if name in self.machines]
+        if event.kind not in LIFECYCLE_EVENTS or (event.kind == "sidecar_kill" and node_sidecars):
             self.on_event(describe(event))
         if event.kind in ("drain", "kill", "start"):
             for node in event.nodes:
@@ -131,7 +130,7 @@
                 self.timers.at(self.timers.now() + event.length, self.end_event, event)
 
     def end_event(self, event: EventPlan) -> None:
-        """End an event that lasts."""
+        """End an event that has a length."""
         self.on_event(f"{event.kind} ends")
         self.apply_fault(event, False)
 
@@ -143,7 +142,7 @@
                 (faults.begin if on else faults.end)(event)
         elif event.kind == "vanish":
             for node in event.nodes:
-                (self.lifecycles.isolate if on else self.lifecycles.reconnect)(node)
+                (self.node_controller.isolate if on else self.node_controller.reconnect)(node)
         elif event.kind == "stall":
             for name in event.sidecars:
                 self.slots.set_paused(self.slots.by_name[name], on)
@@ -160,25 +159,25 @@
             (self.faults.start_fault if on else self.faults.end_fault)(event)
 
     def apply_lifecycle_event(self, event: EventPlan, node: str) -> None:
-        """Start a node, or have it end and be followed by itself or another."""
+        """Start, kill or drain a node, and schedule the start of its replacement."""
         if event.kind == "start":
-            self.lifecycles.start(node)
+            self.node_controller.start(node)
         elif event.kind == "kill":
             self.stop_node(event, node)
         else:
-            self.lifecycles.drain(node)
+            self.node_controller.drain(node)
             self.timers.at(self.timers.now() + event.extra, self.stop_node, event, node)
 
     def stop_node(self, event: EventPlan, node: str) -> None:
-        """End a node, and start the one that follows it."""
-        self.lifecycles.stop(node)
-        follower = event.replaced_by or (node if event.length else "")
-        if follower:
-            self.timers.at(self.timers.now() + event.length, self.lifecycles.start, follower)
+        """Stop a node, and schedule the start of its replacement."""
+        self.node_controller.stop(node)
+        replacement = event.replaced_by or (node if event.length else "")
+        if replacement:
+            self.timers.at(self.timers.now() + event.length, self.node_controller.start, replacement)
 
 
 def describe(event: EventPlan) -> str:
-    """Return one line on an event, for people."""
-    whom = event.nodes or event.sidecars or event.hosts
-    names = ", ".join(whom[:3]) + (f" and {len(whom) - 3} more" if len(whom) > 3 else "")
+    """Return a one-line description of an event."""
+    targets = event.nodes or event.sidecars or event.hosts
+    names = ", ".join(targets[:3]) + (f" and {len(targets) - 3} more" if len(targets) > 3 else "")
     return " ".join(part for part in (event.kind, names and f"at {names}") if part)
--- a/wheatring/lab/world/sidecar_slots.py
+++ b/wheatring/lab/world/sidecar_slots.py
@@ -1,4 +1,4 @@
-"""The slots of sidecars: each has one name and address over all of its starts."""
+"""Slots of sidecars: a slot keeps its name and address across restarts."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class SidecarSlot:
-    """The slot of one sidecar: its settings at each start, and its starts and ends.
+    """The slot of a sidecar: its configuration, and the state of its process.
 
-    `endpoint_list_of` gives the newest endpoint list of its tier, in discovery's form.
+    `endpoint_list_of` returns the newest endpoint list of a tier, in discovery's format.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         host: str,
         tier: int,
         number: int,
-        copies: int,
+        sidecar_count: int,
         endpoint_list_of: Callable[[int], dict[str, Any]],
     ) -> None:
         self.name = name
@@ -34,17 +34,17 @@
         self.tier = tier
         self.endpoint_list_of = endpoint_list_of
         self.limits = plan.limits
-        self.given_settings = sidecar_settings(plan, tier, number, copies)
+        self.given_settings = sidecar_settings(plan, tier, number, sidecar_count)
         self.settings = read_settings(self.given_settings)
         self.random = Random(f"{plan.seed}:sidecar:{name}")
         self.start_time = plan.sidecar_start
         self.running = False
         self.stopping = False
-        self.restart_delay = 0.0  # seconds from its end to its next start; 0: it has none
+        self.restart_delay = 0.0  # seconds from its end to its restart; 0: no restart
         self.timer: Timer | None = None  # for its next scheduled start, kill or end
 
     def config(self) -> PlatformConfig:
-        """Return the configuration of its next start, with a seed of its own."""
+        """Return the configuration of the next start, with a new seed."""
         return PlatformConfig(
             name=self.name,
             listen=(self.host, PORT),
@@ -57,13 +57,13 @@
         )
 
     def draw_startup_seconds(self) -> float:
-        """Draw the seconds from the start of its process until it listens."""
+        """Draw the seconds from the start of the process until it listens."""
         min_seconds, max_seconds = self.start_time
         return min_seconds + (max_seconds - min_seconds) * self.random.random()
 
 
 class SidecarSlots:
-    """Starts and ends sidecars, and calls whoever follows that. The environment records it."""
+    """Starts and stops sidecars, and reports that to its callbacks. The environment records it."""
 
     def __init__(
         self,
@@ -79,19 +79,19 @@
         self.by_name: dict[str, SidecarSlot] = {}
 
     def up(self, slot: SidecarSlot) -> None:
-        """Have a sidecar listen from now on."""
+        """Bring a sidecar up: it listens from now on."""
         slot.timer = None
         slot.running, slot.stopping = True, False
         self.environment.sidecar_up(slot.name, slot.config(), lambda: self.on_ended(slot))
         self.on_up(slot)
 
     def start(self, slot: SidecarSlot, after: float) -> None:
-        """Start a process `after` seconds from now, instead of whatever else was scheduled for it."""
+        """Start a process `after` seconds from now, and cancel any other scheduled start or kill."""
         self.cancel_timer(slot)
         slot.timer = self.timers.at(self.timers.now() + after + slot.draw_startup_seconds(), self.up, slot)
 
     def kill(self, slot: SidecarSlot, restart_delay: float) -> None:
-        """Kill it outright, and start it anew after `restart_delay` seconds, if that is not 0."""
+        """Kill a sidecar, and restart it after `restart_delay` seconds, if that is not 0."""
         slot.restart_delay = restart_delay
         if slot.running:
             self.environment.sidecar_kill(slot.name)
@@ -102,7 +102,7 @@
                 self.start(slot, restart_delay)
 
     def restart(self, slot: SidecarSlot, stop_timeout: float, restart_delay: float) -> None:
-        """Send SIGTERM, SIGKILL after `stop_timeout` seconds; start anew `restart_delay` after its end."""
+        """Send SIGTERM, SIGKILL after `stop_timeout` seconds; restart `restart_delay` after the end."""
         if not slot.running or slot.stopping:
             return
         slot.stopping, slot.restart_delay = True, restart_delay
@@ -111,15 +111,15 @@
         self.environment.sidecar_stop(slot.name)
 
     def set_paused(self, slot: SidecarSlot, paused: bool) -> None:  # noqa: ARG002 - the interface
-        """Refuse to stop a process where it is: there is none in virtual time."""
-        raise ValueError(f"{slot.name}: no process that could be stopped")
+        """Raise ValueError, as there are no processes to pause in virtual time."""
+        raise ValueError(f"{slot.name}: can't pause a process in virtual time")
 
     def move_discovery(self) -> None:
-        """Refuse to move discovery: there is no process to notify in virtual time."""
-        raise ValueError("no process that could be told of a move")
+        """Raise ValueError, as there are no processes to notify in virtual time."""
+        raise ValueError("can't move discovery in virtual time")
 
     def on_ended(self, slot: SidecarSlot) -> None:
-        """Note that a sidecar has ended, and start it anew where that is scheduled."""
+        """Handle the end of a sidecar's process, and schedule its restart if there is one."""
         self.cancel_timer(slot)
         slot.running = slot.stopping = False
         self.on_down(slot)
@@ -127,7 +127,7 @@
             self.start(slot, slot.restart_delay)
 
     def cancel_timer(self, slot: SidecarSlot) -> None:
-        """Cancel whatever is scheduled for a slot."""
+        """Cancel the scheduled start or kill of a slot."""
         if slot.timer is not None and slot.timer.active():
             slot.timer.cancel()
         slot.timer = None
--- a/wheatring/lab/world/world.py
+++ b/wheatring/lab/world/world.py
@@ -1,4 +1,4 @@
-"""A world: the plan's models, wired to each other and to an environment, and played from start to end."""
+"""A world: the models of a plan, connected to each other and to an environment, and run to the end."""
 
 from __future__ import annotations
 
@@ -31,19 +31,19 @@
 from wheatring.lab.world.events import EventScheduler
 from wheatring.lab.world.sidecar_slots import SidecarSlot, SidecarSlots
 
-START = 1000.0  # the clock at which the world begins
-LEAD_SECONDS = 2.0  # seconds from then until the day does: sidecars have started and have their lists
-# Entries of the log that tell of a fault of the sidecar's own: none of them may ever come.
+START = 1000.0  # the instant at which the simulation begins
+LEAD_SECONDS = 2.0  # from START to the start of the day, so that sidecars have started and have their lists
+# Log codes that report a fault of the sidecar itself, which must never occur.
 SIDECAR_FAULT_CODES = frozenset(
     ("overdue", "unexpected", "exchange-broken", "attempt-broken", "request-broken", "answer-broken",
      "decision-broken", "action-broken", "not-carried-out")
 )  # fmt: skip
-GC_THRESHOLD = 50_000  # objects made and not freed again after which the collector looks at them
-SETTLE_SECONDS = 2.0  # seconds after the tail in which what was answered late has gone
+GC_THRESHOLD = 50_000  # net allocations between collections of the youngest generation
+SETTLE_SECONDS = 2.0  # after the tail, for late answers and the closing of their connections
 
 
 class Tracing(NamedTuple):
-    """A trace that is wanted: written to a file or only hashed, cut down to some requests or whole."""
+    """Options of a trace: its file, or None to only hash it, and the requests to which it is limited."""
 
     file: TextIO | None = None
     of: Sequence[str] = ()
@@ -51,10 +51,10 @@
 
 @contextmanager
 def infrequent_garbage_collection() -> Iterator[None]:
-    """Have the garbage collector look at new objects only, and seldom.
+    """Run the garbage collector rarely, and only on new objects.
 
-    While a day is played little is left in cycles, and what exists before it exists until its end: the
-    collector would look through all of it again and again, and find nothing.
+    A simulated day leaves little in reference cycles, and objects that exist before it live until its end:
+    traversing them again and again would find nothing to free.
     """
     before, idle = gc.get_threshold(), gc.get_freeze_count() == 0
     if idle:
@@ -69,14 +69,14 @@
 
 
 def check_playable(plan: Plan) -> None:
-    """Raise ValueError if a plan has events that need real processes."""
+    """Raise ValueError if a plan has events that require real processes."""
     kinds = sorted({event.kind for event in plan.events if event.kind in LIVE_ONLY})
     if kinds:
         raise ValueError(f"{plan.scenario}: can't be played in virtual time: {', '.join(kinds)}")
 
 
 class World:
-    """One plan at one grain, on the environment that is made for it. `play` may be called once."""
+    """A plan at one grain, with the environment from `make_environment`. `play` may be called once."""
 
     def __init__(
         self,
@@ -138,14 +138,14 @@
         )
 
     def random(self, name: str) -> Random:
-        """Return random numbers that depend on the plan's seed and a name alone."""
+        """Return a random generator that depends only on the plan's seed and a name."""
         return Random(f"{self.plan.seed}:{name}")
 
     def unix_time(self) -> float:
-        """Return Unix time as discovery and the machines read it."""
+        """Return the Unix time by the clocks of discovery and the machines."""
         return self.plan.epoch + self.time.now() - START + self.environment.clock_step()
 
-    # Its parts
+    # Construction
 
     def add_machines(self) -> None:
         """Add the machines of all nodes."""
@@ -168,7 +168,7 @@
         machine.on_crash = lambda: self.on_node_overloaded(node.name)
 
     def add_slots(self) -> None:
-        """Add the slots of the front's sidecars and of the nodes' own."""
+        """Add the slots of the front's sidecars and of the nodes' own sidecars."""
         plan = self.plan
         for number, sidecar in enumerate(plan.sidecars):
             self.add_slot(sidecar.name, sidecar.host, 0, number, len(plan.sidecars))
@@ -177,38 +177,38 @@
             for number, node in enumerate(callers):
                 self.add_slot(node.name, node.side_host, tier + 1, number, len(callers))
 
-    def add_slot(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
+    def add_slot(self, name: str, host: str, tier: int, number: int, sidecar_count: int) -> None:
         """Add the slot of one sidecar."""
         self.slots.by_name[name] = SidecarSlot(
-            self.plan, name, host, tier, number, copies, self.initial_endpoint_list
+            self.plan, name, host, tier, number, sidecar_count, self.initial_endpoint_list
         )
         self.registry.assign_tier(name, tier)
 
     def initial_endpoint_list(self, tier: int) -> dict[str, Any]:
-        """Return the endpoint list of a tier with which a sidecar starts, in discovery's form."""
+        """Return the endpoint list of a tier with which a sidecar starts, in discovery's format."""
         return list_reply_json(self.registry.initial_list(tier, self.plan.held))
 
-    # Sidecars come and go
+    # Lifecycles of sidecars
 
     def on_sidecar_up(self, slot: SidecarSlot) -> None:
-        """Note that a sidecar has started."""
+        """Notify the front load balancer of the start of a sidecar."""
         if slot.name not in self.nodes:
             self.front.sidecar_up(slot.name)
 
     def on_sidecar_stopping(self, slot: SidecarSlot) -> None:
-        """Note that a sidecar was told to stop."""
+        """Notify the front load balancer that a sidecar was sent SIGTERM."""
         if slot.name not in self.nodes:
             self.front.sidecar_stopping(slot.name)
 
     def on_sidecar_down(self, slot: SidecarSlot) -> None:
-        """Note that a sidecar has ended."""
+        """Notify the front load balancer of the end of a sidecar."""
         if slot.name not in self.nodes:
             self.front.sidecar_down(slot.name)
 
     # Lifecycles of nodes
 
     def start(self, name: str, cold: bool = True) -> None:
-        """Start the process of a node, cold or as if it had run for long."""
+        """Start the process of a node, either cold or warmed up."""
         node, machine = self.nodes[name], self.machines[name]
         if machine.running:
             return
@@ -220,7 +220,7 @@
                 self.slots.start(self.slots.by_name[name], 0.0)
 
     def drain(self, name: str) -> None:
-        """Have a node take nothing new."""
+        """Drain a node: it accepts no new requests."""
         if self.machines[name].running:
             self.machines[name].drain()
             self.registry.node_draining(name)
@@ -232,23 +232,23 @@
             self.on_node_ended(name)
 
     def on_node_ended(self, name: str) -> None:
-        """Note that a node's process has ended, and end its sidecar."""
+        """Handle the end of a node's process, and kill its sidecar."""
         self.environment.node_down(name)
         self.registry.node_ended(name)
         if name in self.slots.by_name:
             self.slots.kill(self.slots.by_name[name], 0.0)
 
     def on_node_overloaded(self, name: str) -> None:
-        """Note that a cold node was pushed over: its process has ended and stays so."""
+        """Handle the crash of a cold node by overload; it is not restarted."""
         self.on_node_ended(name)
 
     def isolate(self, name: str) -> None:
-        """Have the machine of a node fall silent."""
+        """Isolate the machine of a node from the network."""
         self.environment.isolate_node(self.nodes[name])
         self.registry.node_vanished(name)
 
     def reconnect(self, name: str) -> None:
-        """Have the machine of a node answer again."""
+        """Connect the machine of a node to the network again."""
         self.environment.reconnect_node(self.nodes[name])
         machine = self.machines[name]
         if machine.running:
@@ -257,7 +257,7 @@
     # The day
 
     def play(self) -> Outcome:
-        """Play the day to its end, and return its outcome."""
+        """Run the simulated day to its end, and return its outcome."""
         plan = self.plan
         began = process_time.perf_counter()
         for node in plan.nodes:
@@ -265,10 +265,10 @@
             self.registry.register(RegisteredNode.from_plan(plan, node, address), node.up)
             if node.up:
                 self.start(node.name, cold=False)
-        late = {sidecar.name: sidecar.start for sidecar in plan.sidecars if sidecar.start > 0}
+        late_starts = {sidecar.name: sidecar.start for sidecar in plan.sidecars if sidecar.start > 0}
         for slot in self.slots.by_name.values():
-            if slot.name in late:
-                self.time.at(self.day_start + late[slot.name], self.slots.start, slot, 0.0)
+            if slot.name in late_starts:
+                self.time.at(self.day_start + late_starts[slot.name], self.slots.start, slot, 0.0)
             elif slot.name not in self.nodes or self.nodes[slot.name].up:
                 self.time.at(START, self.slots.up, slot)
         self.event_scheduler.schedule(self.day_start, plan.events)
@@ -287,10 +287,10 @@
         return outcome
 
     def on_failure_logged(self, event: Mapping[str, Any]) -> None:
-        """Take in an exception that a callback has raised, from Twisted's log.
+        """Handle an exception of a callback, reported by Twisted's log.
 
-        A sidecar's is a breach. One of the lab's own ends the day, or what the models no longer do would be
-        taken for what the sidecars did.
+        An exception of a sidecar is a breach. One of the lab's own code ends the day, as otherwise the
+        failure of a model would be attributed to the sidecars.
         """
         failure = event.get("log_failure") or event.get("failure")
         if failure is None or get_ident() != self.thread:
@@ -300,14 +300,14 @@
         else:
             self.time.at(self.time.now(), self.abort, failure.value)
 
-    def abort(self, why: BaseException) -> None:
-        """End the day by an exception."""
-        raise why
+    def abort(self, error: BaseException) -> None:
+        """End the day with an exception."""
+        raise error
 
     def on_log_entry(self, event: str, values: Mapping[str, object]) -> None:
-        """Take in a line that a sidecar logs.
+        """Handle a log entry of a sidecar.
 
-        Not one of another thread, in which a program may run real sidecars beside this day.
+        Entries of other threads are ignored, as the program may run real sidecars there meanwhile.
         """
         if get_ident() != self.thread:
             return
