--- a/tests/lab/direct/direct_world.py
+++ b/tests/lab/direct/direct_world.py
@@ -40,13 +40,13 @@
     """Stands in for the event recorder: keeps each call as (method, values...)."""
 
     def __init__(self) -> None:
-        self.calls: list[tuple[object, ...]] = []
+        self.lines: list[tuple[object, ...]] = []
 
     def __getattr__(self, what: str) -> Callable[..., Any]:
-        return lambda *values, **more: self.calls.append((what, *values, *more.values()))
+        return lambda *values, **more: self.lines.append((what, *values, *more.values()))
 
     def all(self, what: str) -> list[tuple[object, ...]]:
-        return [line[1:] for line in self.calls if line[0] == what]
+        return [line[1:] for line in self.lines if line[0] == what]
 
 
 class MachineFaults:
--- a/tests/lab/wire/test_http_peers.py
+++ b/tests/lab/wire/test_http_peers.py
@@ -375,14 +375,14 @@
 def test_discovery_resets_when_down_hangs_when_silent_and_fails_late_calls_when_slow() -> None:
     network = PeerNetwork()
     watch = network.connect(get("/v1/servers?index=1&wait=20000"), 90)
-    over = network.registry.begin_fault("down")
+    end_fault = network.registry.begin_fault("down")
     network.run()
     assert watch.why is ConnectionLost and not watch.data
     assert network.connect(port=90).transport is None
-    over()
-    over = network.registry.begin_fault("silent")
+    end_fault()
+    end_fault = network.registry.begin_fault("silent")
     quiet = network.connect(get("/v1/servers"), 90)
-    over()
+    end_fault()
     network.registry.begin_fault("slow", 150.0)  # 1.5 s per call, and a call fails after 2 s in the queue
     connections = [network.connect(get("/v1/servers"), 90, run=0.01) for _ in range(3)]
     network.run(20.0)
