--- a/tests/fleet/plan/test_agent.py
+++ b/tests/fleet/plan/test_agent.py
@@ -34,7 +34,7 @@
     size: int = 6, seed: int = 1, stage_seconds: float | None = None, **options: object
 ) -> PlanFleet:
     """Return a fleet that has converged to one view and has a leader."""
-    fleet = PlanFleet(seed, size, judged=stage_seconds, **options)  # type: ignore[arg-type]
+    fleet = PlanFleet(seed, size, stage_seconds=stage_seconds, **options)  # type: ignore[arg-type]
     assert fleet.run_until(lambda: fleet.has_converged() and fleet.leader())
     return fleet
 
@@ -147,7 +147,7 @@
 
 def test_a_verdict_is_not_valid_for_the_next_view() -> None:
     """The joining member lacks capabilities; it joins while a stopped member delays the rollout."""
-    fleet = make_fleet(7, stage_seconds=0.2, late=1, unable={"n6"})
+    fleet = make_fleet(7, stage_seconds=0.2, late=1, incompatible={"n6"})
     before = fleet.plans["n0"].views.view.number
     fleet.cluster.stop(fleet.cluster.nodes["n5"])
     proposal = fleet.propose("n4", body_of("first"))
--- a/tests/fleet/skew/test_checker.py
+++ b/tests/fleet/skew/test_checker.py
@@ -15,7 +15,7 @@
 from wheatring.fleet.skew.capability_table import LEGACY_AFTER_SECONDS
 from wheatring.fleet.skew.checker import CompatibilityChecker
 from wheatring.lab.agreement.plan_driver import PlanDriver, ToyEvaluator, draw_plan
-from wheatring.lab.agreement.skew_days import Day, OpenGate, OutlivesItsView, SilentIsYes
+from wheatring.lab.agreement.skew_days import AdmitsEveryMember, Day, SilenceIsConsent, VerdictOutlivesView
 from wheatring.lab.live.links.link_state import LinkState
 
 NEWER, OLDER = local_capabilities(version=str), local_capabilities([1], version=str)
@@ -103,7 +103,7 @@
     assert fleet.propose_and_run(1) == "settled"
 
 
-@pytest.mark.parametrize("checker_type", [CompatibilityChecker, SilentIsYes])
+@pytest.mark.parametrize("checker_type", [CompatibilityChecker, SilenceIsConsent])
 def test_a_member_that_does_not_answer_is_named_in_the_rejection(
     checker_type: type[CompatibilityChecker],
 ) -> None:
@@ -121,11 +121,11 @@
     fleet = Fleet()
     leader = fleet.leader()
     fleet.propose(plan(1))
-    while leader.skew.verdict(fleet.cluster.now).stage is CheckStage.SURVEYING:
+    while leader.checker.verdict(fleet.cluster.now).stage is CheckStage.SURVEYING:
         fleet.run_for(0.005)
     fleet.cluster.stop(fleet.cluster.nodes["n6"])
     fleet.run_for(4.0)
-    verdict = leader.skew.verdict(fleet.cluster.now)
+    verdict = leader.checker.verdict(fleet.cluster.now)
     assert (verdict.stage, verdict.answered, verdict.members) == (CheckStage.TESTING, 6, 7)
     assert [(reason.member, reason.code) for reason in verdict.reasons] == [("n6", "silent")]
     fleet.cluster.resume(fleet.cluster.nodes["n6"])
@@ -138,7 +138,7 @@
 
     def evaluate_differently(body: bytes) -> tuple[Plan, ToyEvaluator]:
         made = msgspec.json.decode(body, type=Plan)
-        return made, ToyEvaluator(made, odd=True)
+        return made, ToyEvaluator(made, ignores_segments=True)
 
     fleet.compiles["n5"] = evaluate_differently
     fleet.start("n5", msgspec.structs.replace(NEWER, versions=(("re2", "1"), ("tzdata", "2020.1"))))
@@ -190,7 +190,7 @@
 def test_an_older_member_that_joins_during_the_check_causes_a_rejection() -> None:
     fleet = join_during_rollout(OLDER)
     assert fleet.newest is None and {name for name, _ in fleet.rejection_codes()} == {"n6"}
-    assert join_during_rollout(OLDER, OutlivesItsView).breaches
+    assert join_during_rollout(OLDER, VerdictOutlivesView).breaches
 
 
 def test_a_process_that_cannot_read_the_committed_plan_is_not_admitted_and_gets_the_reason() -> None:
@@ -208,7 +208,7 @@
 
 
 def test_without_the_admission_check_an_incompatible_process_joins() -> None:
-    fleet = Fleet("n6", checker_type=OpenGate)
+    fleet = Fleet("n6", checker_type=AdmitsEveryMember)
     assert fleet.propose_and_run(3) == "settled"
     fleet.start("n6", OLDER)
     fleet.run_for(5.0)
@@ -242,29 +242,29 @@
 def test_a_leader_that_cannot_read_the_committed_plan_admits_no_process() -> None:
     fleet = Fleet()
     leader = fleet.leader()
-    leader.skew.plan_committed(None, b"x" * 9)
+    leader.checker.plan_committed(None, b"x" * 9)
     at = fleet.cluster.instant(fleet.cluster.nodes["n0"])
     view_member = fleet.view.members[-1]
-    assert [reason.code for reason in leader.skew.admission_refusals(at, view_member)] == [
+    assert [reason.code for reason in leader.checker.admission_refusals(at, view_member)] == [
         "settled-unreadable"
     ]
-    assert [reason.code for reason in leader.skew.own_refusals()] == ["settled-unreadable"]
+    assert [reason.code for reason in leader.checker.own_refusals()] == ["settled-unreadable"]
 
 
 def test_no_admission_during_a_plan_commit_and_no_plan_during_a_view_commit() -> None:
     fleet = Fleet()
-    skew = fleet.leader().skew
+    checker = fleet.leader().checker
     at = fleet.cluster.instant(fleet.cluster.nodes["n0"])
     view_member = fleet.view.members[-1]
-    assert skew.admission_refusals(at, view_member) == ()
-    skew.is_plan_stable = lambda: False
-    assert [reason.code for reason in skew.admission_refusals(at, view_member)] == ["unsurveyed"]
-    skew.is_view_stable = lambda: False
+    assert checker.admission_refusals(at, view_member) == ()
+    checker.is_plan_stable = lambda: False
+    assert [reason.code for reason in checker.admission_refusals(at, view_member)] == ["unsurveyed"]
+    checker.is_view_stable = lambda: False
     fleet.propose(plan(1))
     fleet.run_for(2.0)
-    assert skew.verdict(fleet.cluster.now).stage is CheckStage.TESTING and fleet.newest is None
-    skew.is_view_stable = lambda: True
-    assert skew.verdict(fleet.cluster.now).stage is CheckStage.COMPATIBLE
+    assert checker.verdict(fleet.cluster.now).stage is CheckStage.TESTING and fleet.newest is None
+    checker.is_view_stable = lambda: True
+    assert checker.verdict(fleet.cluster.now).stage is CheckStage.COMPATIBLE
 
 
 def test_a_check_succeeds_with_a_third_of_all_messages_lost() -> None:
@@ -279,7 +279,7 @@
         fleet.move_minimum(format)
         fleet.run_for(1.0)
     assert fleet.counts["floor: unsurveyed"] == fleet.counts["floor: below-floor"] == 1
-    assert {driver.skew.minimum_format for name, driver in fleet.drivers.items() if name != "n6"} == {2}
+    assert {driver.checker.minimum_format for name, driver in fleet.drivers.items() if name != "n6"} == {2}
     fleet.start("n6", OLDER)
     fleet.run_for(5.0)
     deferral = fleet.drivers["n6"].views.join_deferral
--- a/tests/lab/model_checker/test_consensus_mutants.py
+++ b/tests/lab/model_checker/test_consensus_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the consensus deciders: the walks find each of them."""
+"""Random walks find each mutant of the consensus replica."""
 
 from __future__ import annotations
 
@@ -10,5 +10,5 @@
 
 
 @pytest.mark.parametrize("mutant", QUICK, ids=lambda mutant: mutant.name)
-def test_a_mutant_is_found(mutant: Mutant) -> None:
+def test_random_walks_find_a_consensus_mutant(mutant: Mutant) -> None:
     assert find_violation(mutant, 3000).violation
--- a/tests/lab/model_checker/test_search.py
+++ b/tests/lab/model_checker/test_search.py
@@ -1,4 +1,4 @@
-"""Searches of the real deciders of consensus: no invariant is violated."""
+"""Searches and random walks of the real consensus replica violate no invariant."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("start", START_STATES)
-def test_no_order_of_three_steps_violates_an_invariant(start: str) -> None:
+def test_no_sequence_of_three_steps_violates_an_invariant(start: str) -> None:
     result = search_exhaustively(Rules(), start, 3, 20_000)
     assert not result.violation, result.trace
     assert result.states > 200
--- a/tests/lab/model_checker/test_storage_model.py
+++ b/tests/lab/model_checker/test_storage_model.py
@@ -1,4 +1,4 @@
-"""Random walks through the storage model: no invariant is violated."""
+"""Random walks through the storage model violate no invariant."""
 
 from __future__ import annotations
 
--- a/tests/lab/model_checker/test_storage_mutants.py
+++ b/tests/lab/model_checker/test_storage_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the storage replicas: the walks, or a scenario, find each of them."""
+"""Random walks, or a scenario, find each mutant of the storage replicas."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 @pytest.mark.parametrize("mutant", STORAGE_MUTANTS, ids=lambda mutant: mutant.name)
-def test_a_storage_mutant_is_found(mutant: Mutant) -> None:
+def test_a_walk_or_scenario_finds_a_storage_mutant(mutant: Mutant) -> None:
     assert find_violation(mutant, 3000).violation
 
 
-def test_a_fence_on_disk_keeps_a_writer_of_an_older_epoch_out() -> None:
+def test_a_durable_fence_rejects_writes_of_an_older_epoch_after_a_restart() -> None:
     assert not restart_during_retirement(StorageRules()).violation
--- a/tests/lab/model_checker/test_trace.py
+++ b/tests/lab/model_checker/test_trace.py
@@ -1,4 +1,4 @@
-"""The replay of traces, and how the trace of a violation is minimized."""
+"""Replay and minimization of traces."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 @pytest.mark.parametrize("file", TRACES, ids=lambda file: file.stem)
-def test_a_trace_ends_as_it_says(file: Path) -> None:
+def test_a_replayed_trace_violates_an_invariant_only_if_expected(file: Path) -> None:
     trace = parse(file.read_text(encoding="utf-8"))
     _, violation = play(trace.actions, Rules())
-    assert bool(violation) == trace.breaks, violation
+    assert bool(violation) == trace.expects_violation, violation
 
 
-def test_the_vote_of_a_wiped_voter_loses_a_change_where_voters_change_in_one_step() -> None:
+def test_the_vote_of_a_wiped_voter_loses_a_change_if_voters_change_in_one_step() -> None:
     text = (Path(__file__).parent / "traces" / "vote-of-a-wiped-voter.txt").read_text(encoding="utf-8")
     actions = parse(text).actions
     assert play(actions, Rules(make_replica=SingleStepVoterChange))[1]
 
 
-def test_a_trace_is_minimized_to_what_violates_the_invariant() -> None:
+def test_a_minimized_trace_has_only_actions_that_the_violation_needs() -> None:
     rules = Rules(make_replica=SingleStepVoterChange)
     result = find_violation(Mutant("one step", rules), 200)
     shortest = minimize(result.trace, rules)
--- a/wheatring/lab/agreement/plan_days.py
+++ b/wheatring/lab/agreement/plan_days.py
@@ -1,8 +1,9 @@
-"""Drawn days of a fleet that agrees on one plan, and planted faults of its leader that they have to find.
+"""Random days of a fleet that agrees on one plan, and planted faults of its leader that the days must detect.
 
-The same seed gives the same day. Faults are aimed at rollouts: they begin within seconds of one. On every
-third day all voters restart at once and nothing else goes down; on the others no two voters do within
-`VOTER_RESTART_GAP_SECONDS`: the register does not promise to remember what all voters have forgotten.
+The same seed gives the same day. Faults begin within seconds of a rollout. On every third day all voters
+restart at once and no other process is killed; on the other days two voters never restart within
+`VOTER_RESTART_GAP_SECONDS`, because the register does not guarantee to keep an entry that all voters have
+forgotten.
 """
 
 from __future__ import annotations
@@ -24,30 +25,28 @@
 from wheatring.lab.leases.cluster import PARTITIONED, Node
 from wheatring.lab.live.links.link_state import LinkState
 
-FLEET_SIZE, LATE_MEMBERS = 7, 2  # members, and of them those that start only with a fault
-FIRST_PROPOSAL_SECONDS = 15.0  # from the start
-LAST_PROPOSAL_SECONDS = 45.0  # from the start
-QUIET_SECONDS = 25.0  # from the last proposal to the end of the day, at least
-MAX_WAIT_SECONDS = 70.0  # from there to the end, when all proposals are final
-VOTER_RESTART_GAP_SECONDS = (
-    16.0  # between the restarts of two voters: longer than one abstains after its start
-)
+FLEET_SIZE, LATE_MEMBERS = 7, 2  # all members, and those of them that are started by a fault only
+FIRST_PROPOSAL_SECONDS = 15.0  # from the start of the day
+LAST_PROPOSAL_SECONDS = 45.0  # from the start of the day
+QUIET_SECONDS = 25.0  # minimum time from the last proposal to the end of the day
+MAX_WAIT_SECONDS = 70.0  # maximum time from the last proposal until all proposals are final
+VOTER_RESTART_GAP_SECONDS = 16.0  # longer than a voter abstains after its start
 KINDS = ("kill", "kill", "stall", "stall", "cut", "lossy", "late", "join", "unheard", "slow", "slow", "slow")
 
 
 class Fault(NamedTuple):
-    """One fault; "lead" among its nodes is whoever leads by then."""
+    """One fault; "lead" among its nodes stands for the leader at that time."""
 
     at: float
     kind: str
     length: float
-    nodes: tuple[str, ...]  # "lead" is whoever leads by then
+    nodes: tuple[str, ...]
 
 
 def draw_day(seed: int) -> tuple[list[float], list[Fault]]:
-    """Draw when plans are proposed, and the faults of a day."""
+    """Draw the times at which plans are proposed, and the faults of a day."""
     random = Random(f"{seed}:plan")
-    offers = sorted(
+    proposal_times = sorted(
         FIRST_PROPOSAL_SECONDS + random.random() * (LAST_PROPOSAL_SECONDS - FIRST_PROPOSAL_SECONDS - 5)
         for _ in range(random.randint(2, 4))
     )
@@ -57,7 +56,7 @@
         kind = random.choice(KINDS)
         if seed % 3 == 0 and kind == "kill":
             kind = "voters"
-        at = random.choice(offers) + random.choice([-0.5, 0.2, 0.6, 1.0, 1.5, 3.0]) * random.random()
+        at = random.choice(proposal_times) + random.choice([-0.5, 0.2, 0.6, 1.0, 1.5, 3.0]) * random.random()
         length = min(
             LAST_PROPOSAL_SECONDS + 5 - at, random.choice([0.5, 1.0, 2.0, 4.0, 12.0, 35.0]) * random.random()
         )
@@ -65,44 +64,44 @@
         if random.random() < 0.4:
             nodes[0] = "lead"
         if kind == "slow":
-            at = random.choice(offers) + 0.2 * random.random()
+            at = random.choice(proposal_times) + 0.2 * random.random()
         if kind == "join":
             nodes = [f"n{FLEET_SIZE - 1 - random.randrange(LATE_MEMBERS)}"]
         faults.append(Fault(at, kind, length, tuple(dict.fromkeys(nodes))))
-    return offers, sorted(faults)
+    return proposal_times, sorted(faults)
 
 
 class Day:
-    """One day. Half of the days have a check, by which one late member can apply no plan."""
+    """One day. On most days the leader checks compatibility, and one late member can apply no plan."""
 
-    def __init__(self, seed: int, makes: type[RolloutLeader] = RolloutLeader) -> None:
+    def __init__(self, seed: int, leader_type: type[RolloutLeader] = RolloutLeader) -> None:
         self.random = Random(f"{seed}:day")
-        judged = 0.1 + 0.5 * self.random.random() if self.random.random() < 0.6 else None
-        unable = {f"n{FLEET_SIZE - 1}"} if judged is not None else set()
-        self.fleet = PlanFleet(seed, FLEET_SIZE, makes, judged, unable, LATE_MEMBERS)
+        stage_seconds = 0.1 + 0.5 * self.random.random() if self.random.random() < 0.6 else None
+        incompatible = {f"n{FLEET_SIZE - 1}"} if stage_seconds is not None else set()
+        self.fleet = PlanFleet(seed, FLEET_SIZE, leader_type, stage_seconds, incompatible, LATE_MEMBERS)
         self.restarted_at = dict.fromkeys((f"n{number}" for number in range(VOTERS)), -inf)
-        offers, faults = draw_day(seed)
-        for number, at in enumerate(offers):
+        proposal_times, faults = draw_day(seed)
+        for number, at in enumerate(proposal_times):
             self.fleet.cluster.schedule(at, self.propose, f"{seed}-{number}")
         for fault in faults:
             self.fleet.cluster.schedule(fault.at, self.inject, fault)
         self.fleet.cluster.schedule(LAST_PROPOSAL_SECONDS + 5, self.repair)
 
     def run(self) -> Outcome:
-        """Play the day, and some time in which all proposals have to end."""
+        """Simulate the day, and then some time in which all proposals must become final."""
         self.fleet.cluster.run(LAST_PROPOSAL_SECONDS + QUIET_SECONDS)
         self.fleet.run_until(self.fleet.is_over, MAX_WAIT_SECONDS - QUIET_SECONDS)
         self.fleet.check_end()
         return self.fleet.outcome
 
     def propose(self, title: str) -> None:
-        """Propose at one member, or at two: the same plan, or another."""
+        """Propose a plan at one member, or at two members the same plan or different ones."""
         alive = self.fleet.alive()
         nodes = self.random.sample(alive, min(len(alive), self.random.choice([1, 1, 2])))
         for number, node in enumerate(nodes):
-            other = number and self.random.random() < 0.6
-            body = body_of(f"{title}{'-b' if other else ''}", 3000 if len(title) % 2 else 0)
-            with suppress(OperatorError):  # it is in no view at that moment
+            is_other = number and self.random.random() < 0.6
+            body = body_of(f"{title}{'-b' if is_other else ''}", 3000 if len(title) % 2 else 0)
+            with suppress(OperatorError):  # raised while the member is in no view
                 self.fleet.propose(node.name, body)
 
     # Faults
@@ -110,9 +109,9 @@
     def inject(self, fault: Fault) -> None:
         """Begin a fault, and schedule its end."""
         cluster = self.fleet.cluster
-        lead = self.fleet.leader() or "n0"
-        names = [lead if name == "lead" else name for name in fault.nodes]
-        over = cluster.now + max(0.05, fault.length)
+        leader = self.fleet.leader() or "n0"
+        names = [leader if name == "lead" else name for name in fault.nodes]
+        end_at = cluster.now + max(0.05, fault.length)
         nodes = [cluster.nodes[name] for name in dict.fromkeys(names)]
         match fault.kind:
             case "join":
@@ -128,39 +127,39 @@
                     if node.name not in self.restarted_at or cluster.now > VOTER_RESTART_GAP_SECONDS + max(
                         self.restarted_at.values()
                     ):
-                        self.kill(node, over)
+                        self.kill(node, end_at)
             case "stall" | "slow":
-                if fault.kind == "slow":  # a new member enters while the others wait for this one
-                    over = cluster.now + 4.5
+                if fault.kind == "slow":  # a new member joins while the others wait for this one
+                    end_at = cluster.now + 4.5
                     cluster.schedule(cluster.now + 0.2, cluster.start, cluster.nodes[f"n{FLEET_SIZE - 1}"])
                 for node in nodes:
                     cluster.stop(node)
-                    cluster.schedule(over, cluster.resume, node)
+                    cluster.schedule(end_at, cluster.resume, node)
             case "cut":
                 cluster.isolate([node.name for node in nodes], PARTITIONED)
-                cluster.schedule(over, cluster.heal)
+                cluster.schedule(end_at, cluster.heal)
             case "unheard":
                 others = [name for name in cluster.nodes if name not in names]
                 cluster.set_link(names, others, PARTITIONED)
-                cluster.schedule(over, cluster.heal)
+                cluster.schedule(end_at, cluster.heal)
             case "late":
                 slow = LinkState(delay=1.5, jitter=1.0, duplicate=0.3, reorder=0.3)
                 cluster.isolate([node.name for node in nodes], slow)
-                cluster.schedule(over, cluster.heal)
+                cluster.schedule(end_at, cluster.heal)
             case "lossy":
-                bad = LinkState(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
-                cluster.set_link(list(cluster.nodes), list(cluster.nodes), bad)
-                cluster.schedule(over, cluster.heal)
+                lossy = LinkState(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1)
+                cluster.set_link(list(cluster.nodes), list(cluster.nodes), lossy)
+                cluster.schedule(end_at, cluster.heal)
 
-    def kill(self, node: Node, back: float) -> None:
-        """Kill a node, and start it again at `back`."""
+    def kill(self, node: Node, restart_at: float) -> None:
+        """Kill a node, and start it again at `restart_at`."""
         cluster = self.fleet.cluster
         if node.fleet is None:
             return
         if node.name in self.restarted_at:
-            self.restarted_at[node.name] = back
+            self.restarted_at[node.name] = restart_at
         cluster.kill(node)
-        cluster.schedule(back, cluster.start, node)
+        cluster.schedule(restart_at, cluster.start, node)
 
     def repair(self) -> None:
         """End all faults."""
@@ -170,54 +169,54 @@
             cluster.resume(node)
 
 
-def play(seed: int, makes: type[RolloutLeader] = RolloutLeader) -> Outcome:
-    """Play one day."""
-    return Day(seed, makes).run()
+def play(seed: int, leader_type: type[RolloutLeader] = RolloutLeader) -> Outcome:
+    """Simulate one day."""
+    return Day(seed, leader_type).run()
 
 
 # Planted faults
 
 
-class OutlivedVerdict(RolloutLeader):
-    """Applies a verdict, whatever becomes of the view that it belongs to."""
+class VerdictOutlivesView(RolloutLeader):
+    """Applies a verdict even after the view has changed to which it belongs."""
 
-    def _check_verdict(self, at: Instant, push: Rollout) -> Verdict:
-        if push.verdict.stage is CheckStage.COMPATIBLE:
-            return push.verdict._replace(view_number=self.views.view.number)
-        return super()._check_verdict(at, push)
+    def _check_verdict(self, at: Instant, rollout: Rollout) -> Verdict:
+        if rollout.verdict.stage is CheckStage.COMPATIBLE:
+            return rollout.verdict._replace(view_number=self.views.view.number)
+        return super()._check_verdict(at, rollout)
 
 
 class SilenceIsConsent(RolloutLeader):
-    """Counts a member as having stored the plan that was asked twice and said nothing."""
+    """Assumes that a member that was asked has stored the plan, even if it does not answer."""
 
-    def missing_members(self, push: Rollout) -> list[ViewMember]:
-        """Leave out members that were asked more than a moment ago."""
+    def missing_members(self, rollout: Rollout) -> list[ViewMember]:
+        """Leave out the members that were asked."""
         return [
-            p
-            for p in super().missing_members(push)
-            if push.requested_at.get((p.member.name, p.incarnation), inf) == inf
+            missing
+            for missing in super().missing_members(rollout)
+            if rollout.requested_at.get((missing.member.name, missing.incarnation), inf) == inf
         ]
 
 
 class MajorityIsEnough(RolloutLeader):
-    """Puts a plan once a majority of the view has stored it."""
+    """Commits a plan once a majority of the view has stored it."""
 
-    def missing_members(self, push: Rollout) -> list[ViewMember]:
+    def missing_members(self, rollout: Rollout) -> list[ViewMember]:
         """Return no member once a majority has stored the plan."""
-        missing = super().missing_members(push)
-        return missing if 2 * len(missing) >= len(push.view.members) else []
+        missing = super().missing_members(rollout)
+        return missing if 2 * len(missing) >= len(rollout.view.members) else []
 
 
 PLANTED_FAULTS = (
-    ("a verdict that outlives its view", OutlivedVerdict),
-    ("a silent one that is taken for yes", SilenceIsConsent),
-    ("a leader that puts before all hold", MajorityIsEnough),
+    ("a verdict that outlives its view", VerdictOutlivesView),
+    ("a member without an answer that counts as consenting", SilenceIsConsent),
+    ("a leader that commits before all members have stored the plan", MajorityIsEnough),
 )
-MAX_DAYS_TO_FIND = 60  # in which a planted fault has to be found
+MAX_DAYS_TO_FIND = 60  # within which a planted fault must be found
 
 
 def find_fault(number: int) -> tuple[int, str]:
-    """Return the first day in which a planted fault is found, and its breach; (0, "") if in none."""
+    """Return the first day that detects a planted fault, and the breach; (0, "") if none does."""
     for seed in range(1, MAX_DAYS_TO_FIND + 1):
         if breaches := play(seed, PLANTED_FAULTS[number][1]).breaches:
             return seed, breaches[0]
@@ -225,14 +224,14 @@
 
 
 def report(days: int, workers: int, fail: Callable[[], object]) -> Iterator[str]:
-    """Yield what is found, line by line; `fail` is called for each line that is not as it has to be."""
+    """Yield the report line by line; `fail` is called for each undetected fault and each breach."""
     with ProcessPoolExecutor(workers) as pool:
         found = pool.map(find_fault, range(len(PLANTED_FAULTS)))
         played = list(pool.map(play, range(1, days + 1), chunksize=5))
-        for (what, _), (seed, breach) in zip(PLANTED_FAULTS, found, strict=True):
+        for (description, _), (seed, breach) in zip(PLANTED_FAULTS, found, strict=True):
             if not seed:
                 fail()
-            yield f"found: {what}; day {seed}, {breach}" if seed else f"NOT FOUND: {what}"
+            yield f"found: {description}; day {seed}, {breach}" if seed else f"NOT FOUND: {description}"
         breaches = [(day.seed, breach) for day in played for breach in day.breaches]
         yield (
             f"{len(played)} drawn days: {sum(day.committed for day in played)} plans settled, "
--- a/wheatring/lab/agreement/plan_driver.py
+++ b/wheatring/lab/agreement/plan_driver.py
@@ -1,6 +1,7 @@
-"""A minimal leader of rollouts; the deciders of views, registers and compatibility are the real ones.
+"""A minimal rollout leader; the code for views, registers and compatibility checks is the real one.
 
-It guards nothing itself: it starts the check, tells it of views, and puts the plan, as the real leader does.
+It starts the check, reports new views to it, and commits the plan, as the real leader does, but it has no
+safeguards of its own.
 """
 
 from __future__ import annotations
@@ -31,37 +32,37 @@
 from wheatring.fleet.skew.requirements import requirements_of, unmet_requirements
 from wheatring.fleet.skew.trials import Answer, AnswerCode
 
-STEP_SECONDS = 0.1  # from one check of the verdict to the next
+POLL_SECONDS = 0.1  # between two checks of the verdict
 
 
-class Journal(Protocol):
-    """Where it is noted what happened."""
+class Recorder(Protocol):
+    """Records the events of the drivers."""
 
     counts: Counter[str]
     rejections: tuple[Reason, ...]
 
     def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None:
-        """Note a committed plan."""
+        """Record a committed plan."""
 
     def minimum_committed(self, entry: Entry, format: int) -> None:
-        """Note a committed minimum format."""
+        """Record a committed minimum format."""
 
 
 class ToyEvaluator:
-    """A plan as the lab compiles it: a request takes the route whose prefix is that of its path.
+    """A simple evaluator of a plan: a request takes the first route whose prefix matches its path.
 
-    An `odd` program matches prefixes without regard to segments.
+    With `ignores_segments`, a prefix may also end within a path segment.
     """
 
-    def __init__(self, plan: Plan, odd: bool = False) -> None:
+    def __init__(self, plan: Plan, ignores_segments: bool = False) -> None:
         self.plan = plan
-        self.odd = odd
+        self.ignores_segments = ignores_segments
 
     def route(self, trial: Trial) -> Answer:
-        """Return the route that a request takes, by its name alone."""
-        path = trial.target if self.odd else trial.target + "/"
+        """Return the name of the route that a request takes."""
+        path = trial.target if self.ignores_segments else trial.target + "/"
         for route in self.plan.routes:
-            if path.startswith(route.match.prefix + ("" if self.odd else "/")):
+            if path.startswith(route.match.prefix + ("" if self.ignores_segments else "/")):
                 return Answer(AnswerCode.ROUTED, route.name)
         return Answer(AnswerCode.ROUTED, "none")
 
@@ -70,21 +71,21 @@
         return ZoneInfo(name)
 
     def weights(self, route: str, at: float) -> Mapping[str, int]:  # noqa: ARG002 - the protocol's
-        """Return the weights of a route, the same at all times."""
+        """Return the weights of a route, which are the same at all times."""
         return next(one.weights for one in self.plan.routes if one.name == route)
 
     def edges(self, window: str, after: float, before: float) -> Sequence[float]:  # noqa: ARG002 - the protocol's
-        """Return no edges."""
+        """Return no edges: windows are ignored."""
         return ()
 
 
 def encode_body(plan: Plan) -> bytes:
-    """Return the body of a plan."""
+    """Return the encoded body of a plan."""
     return msgspec.json.encode(plan)
 
 
 def compile_body(body: bytes) -> tuple[Plan, ToyEvaluator]:
-    """Return the plan that a body spells, and its evaluator."""
+    """Decode a plan, and return it with its evaluator."""
     plan = msgspec.json.decode(body, type=Plan)
     return plan, ToyEvaluator(plan)
 
@@ -97,54 +98,57 @@
     def __init__(
         self,
         at: Instant,
-        journal: Journal,
+        recorder: Recorder,
         fleet: Fleet,
-        abilities: Capabilities,
-        skew: type[CompatibilityChecker],
-        compiles: CompilePlan,
+        capabilities: Capabilities,
+        checker_type: type[CompatibilityChecker],
+        compile_plan: CompilePlan,
     ) -> None:
-        self.journal, self.fleet, self.abilities = journal, fleet, abilities
+        self.recorder, self.fleet, self.capabilities = recorder, fleet, capabilities
         self.views = MembershipViews(at, fleet)
         self.register = ReplicatedRegister(at, "plan", fleet, self._entry_committed)
-        self.floors = ReplicatedRegister(at, "floor", fleet, self._minimum_committed)
-        stills = RegistersStable(self.views.register), RegistersStable(self.register, self.floors)
-        self.skew = skew(fleet, abilities, compiles, *stills)
-        self.views.leader.admission_objection = self._admits
+        self.minimum_register = ReplicatedRegister(at, "floor", fleet, self._minimum_committed)
+        stability = (
+            RegistersStable(self.views.register),
+            RegistersStable(self.register, self.minimum_register),
+        )
+        self.checker = checker_type(fleet, capabilities, compile_plan, *stability)
+        self.views.leader.admission_objection = self._admission_objection
         self.proposed_body: bytes | None = None
         self.checked_view = View()
         self.due = at.now
 
     @property
-    def pieces(self) -> list[FleetComponent]:
+    def components(self) -> list[FleetComponent]:
         """The components of this member, in the order in which they receive events."""
-        return [self.views, self.views.register, self.register, self.floors, self.skew, self]
+        return [self.views, self.views.register, self.register, self.minimum_register, self.checker, self]
 
-    def _admits(self, at: Instant, placed: ViewMember) -> str:
-        why = self.skew.admission_refusals(at, placed)
-        self.journal.counts.update(f"shut out: {one.code}" for one in why)
-        return why[0].what if why else ""
+    def _admission_objection(self, at: Instant, view_member: ViewMember) -> str:
+        refusals = self.checker.admission_refusals(at, view_member)
+        self.recorder.counts.update(f"shut out: {refusal.code}" for refusal in refusals)
+        return refusals[0].what if refusals else ""
 
     def _entry_committed(self, _at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
         plan = msgspec.json.decode(body, type=Plan)
-        blind = unmet_requirements(requirements_of(plan, body), self.abilities)
-        self.skew.plan_committed(None if blind else plan, body)
-        self.journal.plan_committed(entry, plan, body)
+        unmet = unmet_requirements(requirements_of(plan, body), self.capabilities)
+        self.checker.plan_committed(None if unmet else plan, body)
+        self.recorder.plan_committed(entry, plan, body)
         return []
 
     def _minimum_committed(self, _at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:
-        self.skew.minimum_committed(body)
-        self.journal.minimum_committed(entry, self.skew.minimum_format)
+        self.checker.minimum_committed(body)
+        self.recorder.minimum_committed(entry, self.checker.minimum_format)
         return []
 
     def move_minimum(self, at: Instant, format: int) -> list[Outgoing]:
-        """Put an entry that moves the minimum format, unless it is refused."""
+        """Propose an entry that changes the minimum format, unless it is refused."""
         try:
-            body = self.skew.prepare_minimum(at, format, self.views.view)
-        except OperatorError as bad:
-            self.journal.counts[f"floor: {bad.code}"] += 1
+            body = self.checker.prepare_minimum(at, format, self.views.view)
+        except OperatorError as error:
+            self.recorder.counts[f"floor: {error.code}"] += 1
             return []
-        self.journal.counts["floor: put"] += 1
-        return self.floors.put(at, body)
+        self.recorder.counts["floor: put"] += 1
+        return self.minimum_register.put(at, body)
 
     def is_leading(self, at: Instant) -> bool:
         """Whether this member leads and its register is ready."""
@@ -155,13 +159,15 @@
         """Start the check of a plan."""
         self.proposed_body = encode_body(plan)
         self.checked_view = self.views.view
-        return self.skew.start_check(at, self.fleet.payloads.put(self.proposed_body), plan, self.checked_view)
+        return self.checker.start_check(
+            at, self.fleet.payloads.put(self.proposed_body), plan, self.checked_view
+        )
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Follow the check, and put the plan once it is compatible."""
-        self.due = at.now + STEP_SECONDS
-        if self.is_leading(at) and self.skew.own_refusals():  # it could admit nobody
-            self.journal.counts["stepped back"] += 1
+        """Poll the check, and commit the plan once all members are compatible."""
+        self.due = at.now + POLL_SECONDS
+        if self.is_leading(at) and self.checker.own_refusals():  # as leader it could admit no member
+            self.recorder.counts["stepped back"] += 1
             return self.fleet.role_manager.release(at, LEADER_ROLE, 10.0)
         if self.proposed_body is None:
             return []
@@ -170,47 +176,51 @@
         out: list[Outgoing] = []
         if self.views.view.number != self.checked_view.number:
             self.checked_view = self.views.view
-            out += self.skew.view_changed(at, self.checked_view)
-        verdict = self.skew.verdict(at.now)
+            out += self.checker.view_changed(at, self.checked_view)
+        verdict = self.checker.verdict(at.now)
         if verdict.stage is CheckStage.INCOMPATIBLE:
-            self.journal.rejections += verdict.reasons
-            return out + self._end("refused: " + " ".join(sorted({why.code for why in verdict.reasons})))
-        now_ = verdict.stage is CheckStage.COMPATIBLE and verdict.view_number == self.views.view.number
-        if now_ and self.views.is_current(at.now) and self.register.applied == self.register.chosen:
+            self.recorder.rejections += verdict.reasons
+            return out + self._end(
+                "refused: " + " ".join(sorted({reason.code for reason in verdict.reasons}))
+            )
+        is_compatible = (
+            verdict.stage is CheckStage.COMPATIBLE and verdict.view_number == self.views.view.number
+        )
+        if is_compatible and self.views.is_current(at.now) and self.register.applied == self.register.chosen:
             out += self.register.put(at, self.proposed_body)
             return out + self._end("put")
         return out
 
-    def _end(self, what: str) -> list[Outgoing]:
-        self.journal.counts[what] += 1
+    def _end(self, outcome: str) -> list[Outgoing]:
+        self.recorder.counts[outcome] += 1
         self.proposed_body = None
-        self.skew.stop_check()
+        self.checker.stop_check()
         return []
 
     def receive(
         self, _at: Instant, _sender: str, _address: tuple[str, int], _message: object
     ) -> list[Outgoing]:
-        """Ignore messages: none is for this component."""
+        """Ignore messages: this component receives none."""
         return []
 
     def receive_payload(self, _at: Instant, _digest: bytes, _body: bytes | None) -> list[Outgoing]:
-        """Ignore bodies: this component wants none."""
+        """Ignore payloads: this component fetches none."""
         return []
 
 
 class RegistersStable:
-    """Whether this member leads these registers, and no entry of theirs is being committed."""
+    """Tells whether this member leads these registers and none of their entries is being committed."""
 
     def __init__(self, *registers: ReplicatedRegister) -> None:
         self.registers = registers
 
     def __call__(self) -> bool:
-        """Return whether they are."""
+        """Return whether the registers are stable."""
         return all(register.is_ready and register.applied == register.chosen for register in self.registers)
 
 
 def draw_plan(random: Random, format: int = 0) -> Plan:
-    """Draw a plan of this format or any (0), with a feature that came with it."""
+    """Draw a plan of this format, or of any (0), with a feature that the format introduced."""
     format = format or random.choice((1, 1, 2, 3))
     weights = {"blue": random.randrange(1, 1000), "green": 1}
     matches = [(f"r{number}", PlanMatch(prefix=f"/r{number}")) for number in range(3)]
--- a/wheatring/lab/agreement/plan_fleet.py
+++ b/wheatring/lab/agreement/plan_fleet.py
@@ -28,14 +28,14 @@
 from wheatring.lab.leases.cluster import Cluster, Node
 
 VOTERS = 3
-TERMS = LeaseTiming()
+TIMING = LeaseTiming()
 
 
 def body_of(title: str, size: int = 0) -> bytes:
-    """Return the body of a plan of that title, and of `size` bytes at least."""
+    """Return the body of a plan with this title, of at least `size` bytes."""
     routes = [PlanRoute(name="all", weights={"blue": 1})]
-    each = len(encode_plan(Plan(format=1, routes=(_route(0),)))) - 20
-    routes += [_route(number) for number in range(size // each + 1 if size else 0)]
+    route_bytes = len(encode_plan(Plan(format=1, routes=(_route(0),)))) - 20
+    routes += [_route(number) for number in range(size // route_bytes + 1 if size else 0)]
     return encode_plan(Plan(format=1, title=title, routes=tuple(routes)))
 
 
@@ -45,82 +45,81 @@
 
 
 class ScriptedCheck:
-    """A compatibility check that asks no member.
+    """A compatibility check that asks no member: its verdicts and the duration of its stages are given."""
 
-    It knows who is incompatible, and takes a while for each stage.
-    """
-
-    def __init__(self, unable: set[str], each: float) -> None:
-        self.incompatible = unable
-        self.stage_seconds = each
+    def __init__(self, incompatible: set[str], stage_seconds: float) -> None:
+        self.incompatible = incompatible
+        self.stage_seconds = stage_seconds
         self.view = View()
         self.started_at = inf
         self.stops = 0
 
     def start_check(self, at: Instant, digest: bytes, plan: Plan, view: View) -> list[Outgoing]:  # noqa: ARG002 - the protocol's
-        """Start anew."""
+        """Start a check."""
         self.started_at, self.view = at.now, view
         return []
 
     def view_changed(self, at: Instant, view: View) -> list[Outgoing]:
-        """Start anew for another view."""
+        """Restart the check for a new view."""
         return self.start_check(at, b"", Plan(format=1, routes=()), view)
 
     def verdict(self, now: float) -> Verdict:
-        """Return a verdict by the time since the start."""
+        """Return the verdict, which depends on the time since the start."""
         stage = int((now - self.started_at) / self.stage_seconds) if now >= self.started_at else 0
-        of, number = len(self.view.members), self.view.number
+        size, number = len(self.view.members), self.view.number
         if stage < 2:
-            return Verdict((CheckStage.SURVEYING, CheckStage.TESTING)[stage], number, 0, of)
+            return Verdict((CheckStage.SURVEYING, CheckStage.TESTING)[stage], number, 0, size)
         names = sorted(self.incompatible & self.view.names)
-        no = tuple(Reason(name, "unable", "is not able", "-") for name in names)
-        return Verdict(CheckStage.INCOMPATIBLE if no else CheckStage.COMPATIBLE, number, of, of, no)
+        reasons = tuple(Reason(name, "unable", "is not able", "-") for name in names)
+        return Verdict(
+            CheckStage.INCOMPATIBLE if reasons else CheckStage.COMPATIBLE, number, size, size, reasons
+        )
 
     def stop_check(self) -> None:
-        """Note that the check is over."""
+        """Stop the check, and count the call."""
         self.started_at = inf
         self.stops += 1
 
 
 class Outcome(Struct):
-    """What happened on a day, or in a story.
-
-    Plans that were committed, proposals that were rejected or whose outcome is unknown, and how often a
-    member applied a plan.
-    """
+    """The result of a day, or of a scripted test."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
-    committed: int = 0  # entries of the register
-    rejected: int = 0  # proposals
-    unknown: int = 0
-    applied: int = 0  # how often a member applied a plan
+    committed: int = 0  # committed entries of the register
+    rejected: int = 0  # rejected proposals
+    unknown: int = 0  # proposals with an unknown outcome
+    applied: int = 0  # times that a member applied a plan
 
 
 class PlanFleet:
     """A fleet and its invariants.
 
-    With `judged` (seconds of each stage) the leaders have a scripted check, by which `unable` members can't
-    apply any plan; None is no check. `late` members are not started.
+    With `stage_seconds` the leaders have a scripted check with stages of that length, by which `incompatible`
+    members can't apply any plan; None is no check. The last `late` members are not started.
     """
 
     def __init__(
         self,
         seed: int,
         size: int,
-        makes: type[RolloutLeader] = RolloutLeader,
-        judged: float | None = None,
-        unable: set[str] | None = None,
+        leader_type: type[RolloutLeader] = RolloutLeader,
+        stage_seconds: float | None = None,
+        incompatible: set[str] | None = None,
         late: int = 0,
     ) -> None:
-        self.leader_type, self.stage_seconds, self.incompatible = makes, judged, unable or set()
+        self.leader_type, self.stage_seconds, self.incompatible = (
+            leader_type,
+            stage_seconds,
+            incompatible or set(),
+        )
         self.plans: dict[str, PlanAgent] = {}
         self.outcome = Outcome(seed)
         self.applied: dict[str, list[CommittedPlan]] = {}  # by process
         self.current: dict[str, CommittedPlan] = {}
-        self.bodies: dict[bytes, bytes] = {}  # all that were proposed, by digest
-        self.stored: set[tuple[str, int, bytes]] = set()  # which processes have had which body
-        self.accepted: dict[tuple[int, int, bytes], set[str]] = {}  # which voters have accepted an entry
+        self.bodies: dict[bytes, bytes] = {}  # proposed bodies by digest
+        self.stored: set[tuple[str, int, bytes]] = set()  # name, incarnation, digest of a body once stored
+        self.accepted: dict[tuple[int, int, bytes], set[str]] = {}  # voters that have accepted an entry
         self.chosen: dict[int, bytes] = {}
         self.proposed: list[tuple[str, int, Proposal]] = []
         self.put: set[tuple[str, int, int]] = set()
@@ -129,51 +128,51 @@
             size,
             VoterSet(first_voters(VOTERS)),
             [LEADER_SETTINGS],
-            TERMS,
+            TIMING,
             SwimTiming(),
             zones=2,
-            make_components=self._pieces,
+            make_components=self._make_components,
         )
         self.cluster.after_event = self.check_after
         for node in list(self.cluster.nodes.values())[: size - late]:
             self.cluster.schedule(self.cluster.random.random(), self.cluster.start, node)
 
-    def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
+    def _make_components(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
         name = fleet.me.name
         views = MembershipViews(at, fleet)
-        judge = (
+        check = (
             ScriptedCheck(self.incompatible, self.stage_seconds) if self.stage_seconds is not None else None
         )
-        key = f"{name}/{fleet.incarnation}"
+        process = f"{name}/{fleet.incarnation}"
 
-        def taken(_at: Instant, settled: CommittedPlan) -> list[Outgoing]:
-            """Record the committed plan that a member has taken."""
-            self._taken(name, key, settled)
+        def apply(_at: Instant, committed: CommittedPlan) -> list[Outgoing]:
+            """Record the committed plan that a member applies."""
+            self._record_applied(name, process, committed)
             return []
 
-        plans = PlanAgent(at, fleet, views, judge, taken)
-        plans.leader = self.leader_type(fleet, views, plans.register, judge)
-        self.plans[name] = plans
+        agent = PlanAgent(at, fleet, views, check, apply)
+        agent.leader = self.leader_type(fleet, views, agent.register, check)
+        self.plans[name] = agent
         self.current.pop(name, None)
-        return [views, views.register, plans, plans.register]
+        return [views, views.register, agent, agent.register]
 
-    # Running it
+    # Running the fleet
 
     def alive(self) -> list[Node]:
-        """Return the nodes that run."""
+        """Return the nodes whose processes run and are not stopped."""
         return [
             node for node in self.cluster.nodes.values() if node.fleet is not None and not node.is_stopped
         ]
 
-    def run_until(self, so: Callable[[], Any], timeout_seconds: float = 60.0) -> bool:
-        """Run until a condition holds; return whether it does."""
+    def run_until(self, condition: Callable[[], Any], timeout_seconds: float = 60.0) -> bool:
+        """Run until a condition holds or the time is out; return whether it holds."""
         end = self.cluster.now + timeout_seconds
-        while self.cluster.now < end and not so():
+        while self.cluster.now < end and not condition():
             self.cluster.run(self.cluster.now + 0.1)
-        return bool(so())
+        return bool(condition())
 
     def has_converged(self) -> bool:
-        """Whether all running members are in one view of exactly these, and rely on it."""
+        """Whether all running members are in a view of exactly these members and treat it as current."""
         alive = self.alive()
         names = {node.name for node in alive}
         return all(
@@ -183,107 +182,111 @@
         )
 
     def leader(self) -> str:
-        """Return the member that leads and may put a plan, "" if there is none at the moment."""
+        """Return the member that leads and may commit a plan, "" if there is none."""
         for node in self.alive():
             if self.plans[node.name].register.is_ready and self.is_leading(node):
                 return node.name
         return ""
 
     def is_leading(self, node: Node) -> bool:
-        """Whether a node leads by its lease."""
+        """Whether a node holds the leader's lease."""
         assert node.fleet is not None
         return node.fleet.roles[LEADER_ROLE].epoch_to_act(self.cluster.instant(node).boot) is not None
 
     def propose(self, name: str, body: bytes) -> Proposal:
         """Propose a plan at a member."""
-        node, plans = self.cluster.nodes[name], self.plans[name]
+        node, agent = self.cluster.nodes[name], self.plans[name]
         assert node.fleet is not None
         self.bodies[digest(body)] = body
-        push = plans.propose(self.cluster.instant(node), body)
-        self.proposed.append((name, node.starts, push))
+        proposal = agent.propose(self.cluster.instant(node), body)
+        self.proposed.append((name, node.starts, proposal))
         self.cluster.schedule_tick(node)
-        return push
+        return proposal
 
     # Invariants
 
-    def _breach(self, what: str) -> None:
-        self.outcome.breaches.append(f"{self.cluster.now:.3f} s: {what}")
+    def _breach(self, message: str) -> None:
+        self.outcome.breaches.append(f"{self.cluster.now:.3f} s: {message}")
 
     def check_after(self, node: Node) -> None:
         """Check the invariants of one node; called after each of its events."""
         assert node.fleet is not None
-        plans = self.plans[node.name]
-        for key in self.bodies:
-            if node.fleet.payloads.get(key) is not None:
-                self.stored.add((node.name, node.fleet.incarnation, key))
-        if node.number < VOTERS and plans.register.acceptor.accepted.number:
-            entry = plans.register.acceptor.accepted
+        agent = self.plans[node.name]
+        for body_digest in self.bodies:
+            if node.fleet.payloads.get(body_digest) is not None:
+                self.stored.add((node.name, node.fleet.incarnation, body_digest))
+        if node.number < VOTERS and agent.register.acceptor.accepted.number:
+            entry = agent.register.acceptor.accepted
             voters = self.accepted.setdefault((entry.number, entry.epoch, entry.digest), set())
             voters.add(node.name)
             if 2 * len(voters) > VOTERS:
-                self._is_chosen(entry.number, entry.digest)
-        push = plans.leader.rollout
-        if push is not None and push.state == RolloutState.COMMITTING and self.is_leading(node):
-            assert plans.leader.epoch is not None
-            if (key3 := (node.name, plans.leader.epoch, push.version)) not in self.put:
-                self.put.add(key3)
-                self._is_put(node, plans.views.view, push.digest)
-        if plans.current is not None and plans.current is not self.current.get(node.name):
-            self._goes_by(node, plans.current)
-
-    def _is_chosen(self, number: int, key: bytes) -> None:
-        if self.chosen.setdefault(number, key) != key:
+                self._record_chosen(entry.number, entry.digest)
+        rollout = agent.leader.rollout
+        if rollout is not None and rollout.state == RolloutState.COMMITTING and self.is_leading(node):
+            assert agent.leader.epoch is not None
+            if (put := (node.name, agent.leader.epoch, rollout.version)) not in self.put:
+                self.put.add(put)
+                self._check_put(node, agent.views.view, rollout.digest)
+        if agent.current is not None and agent.current is not self.current.get(node.name):
+            self._check_current(node, agent.current)
+
+    def _record_chosen(self, number: int, body_digest: bytes) -> None:
+        if self.chosen.setdefault(number, body_digest) != body_digest:
             self._breach(f"number {number} has two bodies")
         self.outcome.committed = len(self.chosen)
 
-    def _is_put(self, node: Node, view: View, key: bytes) -> None:
-        for placed in view.members:
-            if (placed.member.name, placed.incarnation, key) not in self.stored:
-                self._breach(f"{node.name} puts a plan that {placed.member.name} never held")
-            if placed.member.name in self.incompatible and self.stage_seconds is not None:
-                self._breach(f"{node.name} puts a plan that {placed.member.name} is not able to go by")
+    def _check_put(self, node: Node, view: View, body_digest: bytes) -> None:
+        for view_member in view.members:
+            if (view_member.member.name, view_member.incarnation, body_digest) not in self.stored:
+                self._breach(f"{node.name} puts a plan that {view_member.member.name} never held")
+            if view_member.member.name in self.incompatible and self.stage_seconds is not None:
+                self._breach(f"{node.name} puts a plan that {view_member.member.name} is not able to go by")
 
-    def _goes_by(self, node: Node, settled: CommittedPlan) -> None:
+    def _check_current(self, node: Node, current: CommittedPlan) -> None:
         assert node.fleet is not None
-        was = self.current.get(node.name)
-        if was is not None and (settled.version, settled.epoch) <= (was.version, was.epoch):
-            self._breach(f"{node.name} goes from {was.version} of {was.epoch} to {settled.version}")
-        self.current[node.name] = settled
-        body = node.fleet.payloads.get(settled.digest)
-        if body is None or digest(body) != settled.digest or parse_plan(body) != settled.plan:
-            self._breach(f"{node.name} goes by plan {settled.version} and does not have it whole")
-        if self.chosen.get(settled.version) != settled.digest:
-            self._breach(f"{node.name} goes by plan {settled.version}, which was not chosen")
-
-    def _taken(self, name: str, process: str, settled: CommittedPlan) -> None:
-        before = self.applied.setdefault(process, [])
-        if before and settled.version <= before[-1].version:
-            self._breach(f"{name} takes {settled.version} after {before[-1].version}")
-        before.append(settled)
+        previous = self.current.get(node.name)
+        if previous is not None and (current.version, current.epoch) <= (previous.version, previous.epoch):
+            self._breach(f"{node.name} goes from {previous.version} of {previous.epoch} to {current.version}")
+        self.current[node.name] = current
+        body = node.fleet.payloads.get(current.digest)
+        if body is None or digest(body) != current.digest or parse_plan(body) != current.plan:
+            self._breach(f"{node.name} goes by plan {current.version} and does not have it whole")
+        if self.chosen.get(current.version) != current.digest:
+            self._breach(f"{node.name} goes by plan {current.version}, which was not chosen")
+
+    def _record_applied(self, name: str, process: str, committed: CommittedPlan) -> None:
+        applied = self.applied.setdefault(process, [])
+        if applied and committed.version <= applied[-1].version:
+            self._breach(f"{name} takes {committed.version} after {applied[-1].version}")
+        applied.append(committed)
         self.outcome.applied += 1
 
     def is_over(self) -> bool:
-        """Whether all proposals are final, as far as any process is left that could know."""
+        """Whether all proposals are final, except those of processes that no longer run."""
         return all(
-            push.state in FINAL_STATES
+            proposal.state in FINAL_STATES
             or (node := self.cluster.nodes[name]).fleet is None
             or node.starts != starts
-            for name, starts, push in self.proposed
+            for name, starts, proposal in self.proposed
         )
 
     def check_end(self) -> None:
-        """Check what must hold once all faults are long over."""
-        settled = {*self.chosen.values()}
-        offered: dict[bytes, int] = {}
-        for _, _, push in self.proposed:
-            offered[push.digest] = offered.get(push.digest, 0) + 1
-        for name, _, push in self.proposed:
-            self.outcome.rejected += push.state == RolloutState.REJECTED
-            self.outcome.unknown += push.state == "lost"
-            if push.state == RolloutState.COMMITTED and push.digest not in settled:
-                self._breach(f"{name} tells {push.title} as settled, and it was not")
-            if push.state == RolloutState.REJECTED and push.digest in settled and offered[push.digest] == 1:
-                self._breach(f"{name} tells {push.title} as refused, and it was settled")
+        """Check the invariants that must hold some time after the last fault."""
+        committed = {*self.chosen.values()}
+        proposal_counts: dict[bytes, int] = {}
+        for _, _, proposal in self.proposed:
+            proposal_counts[proposal.digest] = proposal_counts.get(proposal.digest, 0) + 1
+        for name, _, proposal in self.proposed:
+            self.outcome.rejected += proposal.state == RolloutState.REJECTED
+            self.outcome.unknown += proposal.state == "lost"
+            if proposal.state == RolloutState.COMMITTED and proposal.digest not in committed:
+                self._breach(f"{name} tells {proposal.title} as settled, and it was not")
+            if (
+                proposal.state == RolloutState.REJECTED
+                and proposal.digest in committed
+                and proposal_counts[proposal.digest] == 1
+            ):
+                self._breach(f"{name} tells {proposal.title} as refused, and it was settled")
         if not self.is_over():
             self._breach("it is not told what came of a push")
         newest = max(self.chosen, default=0)
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the register and in views, each of which the drawn orders or days have to find."""
+"""Planted faults of the register and of views, each of which the random orders or days must detect."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from wheatring.fleet.peers.agreement import Agreement
 from wheatring.lab.agreement import view_days
 from wheatring.lab.agreement.register_orders import MakeRegister
-from wheatring.lab.agreement.view_fleet import MakePieces as FleetMakes
+from wheatring.lab.agreement.view_fleet import MakeComponents as MakeViewComponents
 
 
 class ForgetsPromise(ReplicatedRegister):
@@ -41,38 +41,38 @@
 
 
 class SkipsFoundEntry(ReplicatedRegister):
-    """A leader that does not put the entry again that it has found."""
+    """A leader that does not propose again the entry that it has found."""
 
     def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
-        """Be ready as soon as a majority has told what it has accepted."""
-        was = self.leader.phase
+        """Become ready as soon as a majority has answered the prepare request."""
+        before = self.leader.phase
         out = super().receive(at, sender, address, message)
-        if was is Phase.PREPARING and self.leader.phase is Phase.ACCEPTING:
+        if before is Phase.PREPARING and self.leader.phase is Phase.ACCEPTING:
             self.leader.phase, self.leader.next_retransmit = Phase.READY, inf
             return []
         return out
 
 
 class AnswersAfterRestart(ReplicatedRegister):
-    """A voter that answers at once after a restart."""
+    """A voter that does not abstain after a restart."""
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Skip the silence after a start."""
+        """Skip the abstention after a start."""
         self.acceptor.has_recovered = True
         return super().tick(at)
 
     def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
-        """Skip the silence after a start."""
+        """Skip the abstention after a start."""
         if isinstance(message, RegisterPrepare | RegisterAccept):
             self.acceptor.has_recovered = True
         return super().receive(at, sender, address, message)
 
 
-class GoesBack(ReplicatedRegister):
-    """A member that applies whatever entry it heard of last."""
+class RevertsToOlderEntry(ReplicatedRegister):
+    """A member that applies the entry it was last notified of, even an older one."""
 
     def receive(self, at: Instant, sender: str, address: Address, message: RegisterMessage) -> list[Outgoing]:
-        """Forget what is committed before an entry is taken over."""
+        """Forget the committed entry before another one is learned."""
         if isinstance(message, EntryChosen):
             self.learner.chosen = NO_ENTRY
         return super().receive(at, sender, address, message)
@@ -86,10 +86,10 @@
 
 
 REGISTER_FAULTS = (
-    RegisterFault("a voter that takes an epoch lower than it promised", ForgetsPromise),
-    RegisterFault("a leader that does not put again what it found", SkipsFoundEntry),
-    RegisterFault("a voter that does not sleep after a start", AnswersAfterRestart),
-    RegisterFault("a sidecar that goes back to an entry before", GoesBack),
+    RegisterFault("a voter that accepts a lower epoch than it promised", ForgetsPromise),
+    RegisterFault("a leader that does not propose the entry it found again", SkipsFoundEntry),
+    RegisterFault("a voter that does not abstain after a start", AnswersAfterRestart),
+    RegisterFault("a member that reverts to an older entry", RevertsToOlderEntry),
 )
 
 
@@ -97,7 +97,7 @@
 
 
 class CutsWithoutWaiting(CutDetector):
-    """Removes a member that is down while others are still uncertain."""
+    """Removes a failed member while the state of others is still uncertain."""
 
     def members_to_remove(self, now: float, view: View, rings: Rings) -> list[str]:
         """Skip the wait for uncertain members."""
@@ -106,7 +106,7 @@
 
 
 class IgnoresReachability(CutDetector):
-    """Ignores reports that a member to be removed was reached."""
+    """Ignores reports that a member about to be removed was reached."""
 
     def note_reached(self, now: float, names: Any) -> None:
         """Ignore the report."""
@@ -117,7 +117,7 @@
     """Counts a stamp's age from its arrival instead of from when it was made."""
 
     def receive(self, at: Instant, sender: str, address: Address, message: ViewMessage) -> list[Outgoing]:
-        """Count a stamp that a message brought from now on."""
+        """Count the age of a received stamp from now on."""
         before = self.stamp.order
         out = super().receive(at, sender, address, message)
         if isinstance(message, HealthCheckResponse) and self.stamp.order != before:
@@ -127,16 +127,16 @@
 
 def make_cuts_without_waiting(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     """Return the components of a member with `CutsWithoutWaiting`."""
-    agreed = Agreement(at, fleet)
-    agreed.views.leader.cut_detector = CutsWithoutWaiting()
-    return agreed.components
+    agreement = Agreement(at, fleet)
+    agreement.views.leader.cut_detector = CutsWithoutWaiting()
+    return agreement.components
 
 
 def make_ignores_reachability(at: Instant, fleet: Fleet) -> list[FleetComponent]:
     """Return the components of a member with `IgnoresReachability`."""
-    agreed = Agreement(at, fleet)
-    agreed.views.leader.cut_detector = IgnoresReachability()
-    return agreed.components
+    agreement = Agreement(at, fleet)
+    agreement.views.leader.cut_detector = IgnoresReachability()
+    return agreement.components
 
 
 def make_ages_stamp_on_arrival(at: Instant, fleet: Fleet) -> list[FleetComponent]:
@@ -146,15 +146,15 @@
 
 
 class ViewFault(NamedTuple):
-    """A planted fault of views, and the kind of days that are to find it."""
+    """A planted fault of views, and the kind of days that must detect it."""
 
     description: str
-    make_pieces: FleetMakes
-    kind: view_days.Kind  # the days that are to find it
+    make_components: MakeViewComponents
+    kind: view_days.Kind
 
 
 VIEW_FAULTS = (
-    ViewFault("a cut with no wait between the low and the high mark", make_cuts_without_waiting, "together"),
-    ViewFault("a cut with no second look", make_ignores_reachability, "half"),
-    ViewFault("a stamp whose age is counted on arrival", make_ages_stamp_on_arrival, "late"),
+    ViewFault("a removal while the state of others is uncertain", make_cuts_without_waiting, "together"),
+    ViewFault("a removal of a member that was reached", make_ignores_reachability, "half"),
+    ViewFault("a stamp whose age counts from its arrival", make_ages_stamp_on_arrival, "late"),
 )
--- a/wheatring/lab/agreement/register_orders.py
+++ b/wheatring/lab/agreement/register_orders.py
@@ -1,8 +1,8 @@
-"""The register alone, in drawn orders of all its messages: late, lost, twice, across terms.
+"""The replicated register under random orders of its messages: delayed, lost, duplicated, across terms.
 
-The real register runs on a fake of the rest of a member. One leader is in office at a time, as the leases
-have it; but its messages may arrive at any time, terms later too. A voter restarts only while all others are
-awake: that is what the register promises to survive. The same seed gives the same order.
+The real register runs on a fake of the rest of a member. There is at most one leader at a time, as the leases
+guarantee, but its messages may arrive at any time, even terms later. A voter restarts only while all voters
+have recovered: that is what the register guarantees to survive. The same seed gives the same order.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 STEPS = 500
 STEP_SECONDS = 0.05
-INITIAL_UPTIME_SECONDS = 100.0  # of all processes at the beginning
-DUPLICATE_CHANCE, RESTART_CHANCE, PUT_CHANCE = 0.05, 0.012, 0.3  # of a message, and of a step
-# Chances of which one is drawn for each order.
-LOSS_CHANCES = (0.1, 0.3)  # that a message is lost
-CHOSEN_LOSS_CHANCES = (0.1, 0.9)  # that one about a committed entry is lost
-DELAY_CHANCES = (0.05, 0.4)  # that a message is delayed
-TERM_END_CHANCES = (0.02, 0.05)  # that a term ends in a step
-MAX_DELAY_SECONDS = 8.0  # of a late message
+INITIAL_UPTIME_SECONDS = 100.0
+DUPLICATE_CHANCE, RESTART_CHANCE, PUT_CHANCE = 0.05, 0.012, 0.3  # per message, per step and per step
+# One of each of these probabilities is drawn for an order.
+LOSS_CHANCES = (0.1, 0.3)  # per message
+CHOSEN_LOSS_CHANCES = (0.1, 0.9)  # per message about a committed entry
+DELAY_CHANCES = (0.05, 0.4)  # per message
+TERM_END_CHANCES = (0.02, 0.05)  # per step
+MAX_DELAY_SECONDS = 8.0
 
 MakeRegister = Callable[..., ReplicatedRegister]
 
 
 class InFlight(NamedTuple):
-    """A message that may arrive from some time on."""
+    """A message in flight, which may arrive at `arrives_at` or later."""
 
     arrives_at: float
     source: str
@@ -45,7 +45,7 @@
 
 
 class FakeFleet:
-    """What a register needs of its member."""
+    """The parts of a member that a register uses."""
 
     def __init__(self, name: str, order: OrderRun) -> None:
         self.order = order
@@ -73,17 +73,17 @@
         """Whether this member is one of the voters."""
         return self.me.name in self.voters.names
 
-    def voter_names(self, who: MemberInfo) -> tuple[str, ...]:
-        """Return the names of a member among the voters."""
-        return (who.name,)
+    def voter_names(self, member: MemberInfo) -> tuple[str, ...]:
+        """Return the names by which a member may be a voter."""
+        return (member.name,)
 
     def voter_names_of_sender(self, sender: str) -> tuple[str, ...]:
-        """Return the names of a sender among the voters."""
+        """Return the names by which a sender may be a voter."""
         return (sender,)
 
-    def to_voters(self, said: list[tuple[str, Any]]) -> list[tuple[Address, Any]]:
-        """Return messages with the addresses of the voters that they are for."""
-        return [((name, 1), message) for name, message in said]
+    def to_voters(self, messages: list[tuple[str, Any]]) -> list[tuple[Address, Any]]:
+        """Return messages to voters, with the voters' addresses."""
+        return [((name, 1), message) for name, message in messages]
 
     def broadcast(self, message: Any, recipients: Any = None) -> list[tuple[Address, Any]]:  # noqa: ARG002 - the fleet's
         """Return a message to all other members."""
@@ -95,21 +95,21 @@
 
 
 class OrderResult(NamedTuple):
-    """What happened in one order; `committed` entries are those that some member came to know of."""
+    """The result of one order."""
 
     seed: int
-    chosen: int  # entries that some member came to know as committed
+    chosen: int  # entries that a member has learned as committed
     terms: int
     restarts: int
     breach: str  # "" if there is none
 
 
 class OrderRun:
-    """Three voters and one that only follows; any of the four may lead."""
+    """One order of messages between three voters and a member without a vote; any of the four may lead."""
 
-    def __init__(self, seed: int, makes: MakeRegister) -> None:
+    def __init__(self, seed: int, make_register: MakeRegister) -> None:
         self.seed = seed
-        self.make_register = makes
+        self.make_register = make_register
         self.random = Random(f"{seed}:order")
         self.loss_chance, self.chosen_loss_chance, self.delay_chance, self.term_end_chance = (
             self.random.choice(each)
@@ -120,7 +120,7 @@
         self.now = 0.0
         self.leader, self.epoch = "", 0
         self.messages: list[InFlight] = []
-        self.digests: dict[int, bytes] = {}  # of the committed entries, by number
+        self.digests: dict[int, bytes] = {}  # digests of committed entries, by number
         self.positions: dict[str, tuple[int, int]] = dict.fromkeys(self.names, (0, 0))
         self.restarts = 0
         self.breach = ""
@@ -135,23 +135,23 @@
 
     @property
     def at(self) -> Instant:
-        """The instant, on all clocks."""
+        """The current time, which is the same on all clocks."""
         return Instant(self.now, self.now, 0)
 
     def start(self, name: str) -> None:
-        """Start a process, which has forgotten everything."""
+        """Start a process without any state."""
         fleet: Any = FakeFleet(name, self)
         self.fleets[name] = fleet
         self.registers[name] = self.make_register(self.at, "view", fleet, lambda _at, _entry, _body: [])
         self.positions[name] = (0, 0)
 
     def run(self) -> OrderResult:
-        """Play the order to its end, or to the first breach."""
+        """Run the order to its end, or to the first breach."""
         terms = 0
         for _ in range(STEPS):
             self.now += STEP_SECONDS
             terms += self.change_term()
-            if self.random.random() < RESTART_CHANCE and self.are_voters_awake():
+            if self.random.random() < RESTART_CHANCE and self.have_voters_recovered():
                 self.restarts += 1
                 self.start(self.random.choice(self.voters.names))
             for name in self.names:
@@ -166,14 +166,14 @@
                 break
         return OrderResult(self.seed, len(self.digests), terms, self.restarts, self.breach)
 
-    def are_voters_awake(self) -> bool:
-        """Whether all voters answer, none of them being in its silence after a start."""
+    def have_voters_recovered(self) -> bool:
+        """Whether all voters answer, i.e. none still abstains after a start."""
         return all(self.registers[name].acceptor.has_recovered for name in self.voters.names)
 
     def change_term(self) -> int:
-        """End or begin a term now and then; return 1 where one begins.
+        """End or begin a term with some probability; return 1 if one begins, else 0.
 
-        Terms end at any time; the next one begins some steps later, with a higher epoch.
+        The next term begins some steps after the end of the last one, with a higher epoch.
         """
         if self.leader:
             if self.random.random() < self.term_end_chance:
@@ -186,20 +186,20 @@
 
     def deliver(self) -> None:
         """Deliver about half of the messages that may arrive, in any order."""
-        arriving = [sent for sent in self.messages if sent.arrives_at <= self.now]
-        self.messages = [sent for sent in self.messages if sent.arrives_at > self.now]
+        arriving = [message for message in self.messages if message.arrives_at <= self.now]
+        self.messages = [message for message in self.messages if message.arrives_at > self.now]
         self.random.shuffle(arriving)
         for _ in range(self.random.randint(0, len(arriving))):
-            sent = arriving.pop()
+            message = arriving.pop()
             if self.random.random() < DUPLICATE_CHANCE:
                 again_at = self.now + MAX_DELAY_SECONDS * self.random.random()
-                self.messages.append(sent._replace(arrives_at=again_at))
-            register, address = self.registers[sent.target], (sent.source, 1)
-            self.send(sent.target, register.receive(self.at, sent.source, address, sent.message))
+                self.messages.append(message._replace(arrives_at=again_at))
+            register, address = self.registers[message.target], (message.source, 1)
+            self.send(message.target, register.receive(self.at, message.source, address, message.message))
         self.messages += arriving
 
     def send(self, name: str, out: list[Any]) -> None:
-        """Queue messages of a member, with losses and delays, and give it the bodies that it wants."""
+        """Queue a member's messages, with losses and delays, and answer its payload fetches."""
         for address, message in out:
             is_chosen = isinstance(message, EntryChosen)
             if self.random.random() < (self.chosen_loss_chance if is_chosen else self.loss_chance):
@@ -219,17 +219,17 @@
         self.check_position(name, self.registers[name].chosen)
 
     def check_position(self, name: str, entry: Entry) -> None:
-        """Check that a committed entry is the only one of its number, and none goes back."""
+        """Check that a number has only one committed entry, and that no member reverts to an older one."""
         if not entry.number:
             return
-        when = f"{self.now - INITIAL_UPTIME_SECONDS:.2f} s: {name}"
+        prefix = f"{self.now - INITIAL_UPTIME_SECONDS:.2f} s: {name}"
         if self.digests.setdefault(entry.number, entry.digest) != entry.digest:
-            self.breach = self.breach or f"{when} knows another entry {entry.number}"
+            self.breach = self.breach or f"{prefix} knows another entry {entry.number}"
         if (entry.number, entry.epoch) < self.positions[name]:
-            self.breach = self.breach or f"{when} goes back to {entry.number}"
+            self.breach = self.breach or f"{prefix} goes back to {entry.number}"
         self.positions[name] = (entry.number, entry.epoch)
 
 
-def run_order(seed: int, makes: MakeRegister = ReplicatedRegister) -> OrderResult:
-    """Play one order."""
-    return OrderRun(seed, makes).run()
+def run_order(seed: int, make_register: MakeRegister = ReplicatedRegister) -> OrderResult:
+    """Run one order."""
+    return OrderRun(seed, make_register).run()
--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -1,10 +1,10 @@
-"""Drawn days of rollouts in a fleet of older and newer programs: no member may be in a plan it can't read.
+"""Random days of rollouts in a fleet of mixed versions: no member of a view may be unable to read the plan.
 
-The deciders of views, register and compatibility are the real ones; `plan_driver` leads the rollouts. A day
-draws plans with more or less requirements, members that stop and come back as older or newer programs or as
-one from before these messages, stalls, loss and partitions. After every event, by the newest view and plan
-committed anywhere: each process in that view must lack nothing for that plan. `FAULTS` are planted to show
-that breaches are found.
+The code for views, registers and compatibility checks is the real one; `plan_driver` leads the rollouts. A
+day has plans with few and many requirements, members that restart as older or newer versions or as one
+without compatibility messages, stalls, loss and partitions. After every event, each process in the newest
+committed view must meet all requirements of the newest committed plan. `FAULTS` are planted to show that
+breaches are detected.
 """
 
 from __future__ import annotations
@@ -36,127 +36,136 @@
 from wheatring.lab.live.links.link_state import LinkState
 
 VOTERS = 3
-Programs = dict[
-    tuple[str, int], Capabilities | None
-]  # of each process; None is a program from before these messages
+# Capabilities by name and incarnation; None is a version without compatibility messages.
+Programs = dict[tuple[str, int], Capabilities | None]
 
 
 class Day:
-    """A fleet for a while: `counts` of what happened, `breaches` of the invariant."""
+    """One day: its fleet, `counts` of events, and `breaches` of the invariant."""
 
     def __init__(
-        self, seed: int, size: int = 7, skew: type[CompatibilityChecker] = CompatibilityChecker
+        self, seed: int, size: int = 7, checker_type: type[CompatibilityChecker] = CompatibilityChecker
     ) -> None:
         self.random = Random(f"skew:{seed}")
         voters = VoterSet(first_voters(VOTERS))
         self.cluster = Cluster(
-            seed, size, voters, [LEADER_SETTINGS], LeaseTiming(), SwimTiming(), make_components=self._pieces
+            seed,
+            size,
+            voters,
+            [LEADER_SETTINGS],
+            LeaseTiming(),
+            SwimTiming(),
+            make_components=self._make_components,
         )
-        self.cluster.after_event = self._after
-        self.skew = skew
+        self.cluster.after_event = self._check_view
+        self.checker_type = checker_type
         self.programs: Programs = {}
         self.next_capabilities: dict[str, Capabilities | None] = {}
-        self.compiles: dict[str, CompilePlan] = {}  # of members that compile differently
+        self.compiles: dict[str, CompilePlan] = {}  # for members that compile plans differently
         self.drivers: dict[str, PlanDriver] = {}
         self.counts: Counter[str] = Counter()
         self.rejections: tuple[Reason, ...] = ()
         self.breaches: list[str] = []
-        self.voter_restarted_at = 0.0  # when a voter was last restarted
+        self.voter_restarted_at = 0.0
         self.view = View()
         self.newest: tuple[Entry, Plan, bytes] | None = None
-        self.minimum = (0, 1)  # the newest entry: its number, and its format
-        newer, middle, old = (local_capabilities(range(1, last), version=str) for last in (4, 3, 2))
-        self.kinds: tuple[Capabilities | None, ...] = (newer, newer, middle, old, None)
+        self.minimum = (0, 1)  # number and format of the newest entry
+        newest, middle, oldest = (local_capabilities(range(1, last), version=str) for last in (4, 3, 2))
+        self.kinds: tuple[Capabilities | None, ...] = (newest, newest, middle, oldest, None)
         for node in self.cluster.nodes.values():
-            self.next_capabilities[node.name] = newer
+            self.next_capabilities[node.name] = newest
             self.cluster.schedule(self.cluster.random.random(), self.cluster.start, node)
 
-    def _pieces(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
-        abilities = self.next_capabilities[fleet.me.name]
-        self.programs[fleet.me.name, fleet.incarnation] = abilities
+    def _make_components(self, at: Instant, fleet: Fleet) -> list[FleetComponent]:
+        capabilities = self.next_capabilities[fleet.me.name]
+        self.programs[fleet.me.name, fleet.incarnation] = capabilities
         self.drivers.pop(fleet.me.name, None)
-        if abilities is None:
+        if capabilities is None:
             views = MembershipViews(at, fleet)
             return [views, views.register]
-        pusher = self.drivers[fleet.me.name] = PlanDriver(
-            at, self, fleet, abilities, self.skew, self.compiles.get(fleet.me.name, compile_body)
+        driver = self.drivers[fleet.me.name] = PlanDriver(
+            at, self, fleet, capabilities, self.checker_type, self.compiles.get(fleet.me.name, compile_body)
         )
-        return pusher.pieces
+        return driver.components
 
     # Invariants
 
     def plan_committed(self, entry: Entry, plan: Plan, body: bytes) -> None:
-        """Note a committed plan."""
+        """Record a committed plan, and check the invariant."""
         if self.newest is None or entry.number > self.newest[0].number:
             self.newest = (entry, plan, body)
             self.counts["settled"] += 1
             self.check()
 
     def minimum_committed(self, entry: Entry, format: int) -> None:
-        """Note a committed minimum format."""
+        """Record a committed minimum format, and check the invariant."""
         if entry.number > self.minimum[0]:
             self.minimum = (entry.number, format)
             self.check()
 
-    def _after(self, node: Node) -> None:
-        pusher = self.drivers.get(node.name)
-        if pusher is not None and pusher.views.view.number > self.view.number:
-            self.view = pusher.views.view
+    def _check_view(self, node: Node) -> None:
+        driver = self.drivers.get(node.name)
+        if driver is not None and driver.views.view.number > self.view.number:
+            self.view = driver.views.view
             self.check()
 
     def check(self) -> None:
         """Check that each process in the newest view can read the newest plan."""
         needed = requirements_of(*self.newest[1:]) if self.newest is not None else None
-        for placed in self.view.members:
-            name = placed.member.name
+        for view_member in self.view.members:
+            name = view_member.member.name
             fleet = self.cluster.nodes[name].fleet
-            if fleet is None or fleet.incarnation != placed.incarnation:
+            if fleet is None or fleet.incarnation != view_member.incarnation:
                 continue
-            can = self.programs[name, placed.incarnation] or LEGACY_CAPABILITIES
-            why = [one.what for one in unmet_requirements(needed, can, name)] if needed is not None else []
-            if not can.can_read(self.minimum[1]):
-                why.append(f"it does not read the floor, {self.minimum[1]}")
-            for what in why:
-                self.breaches.append(f"{self.cluster.now:.2f} s: {name} in view {self.view.number}: {what}")
+            available = self.programs[name, view_member.incarnation] or LEGACY_CAPABILITIES
+            unmet = (
+                [one.what for one in unmet_requirements(needed, available, name)]
+                if needed is not None
+                else []
+            )
+            if not available.can_read(self.minimum[1]):
+                unmet.append(f"it does not read the floor, {self.minimum[1]}")
+            for reason in unmet:
+                self.breaches.append(f"{self.cluster.now:.2f} s: {name} in view {self.view.number}: {reason}")
 
     # Events
 
     def propose(self, plan: Plan) -> None:
-        """Start a rollout at whoever leads, unless one is in progress."""
-        self._at_leader(lambda at, pusher: [] if pusher.proposed_body else pusher.propose(at, plan))
+        """Start a rollout at the leader, unless one is in progress there."""
+        self._at_leader(lambda at, driver: [] if driver.proposed_body else driver.propose(at, plan))
 
     def move_minimum(self, format: int) -> None:
-        """Move the minimum format at whoever leads."""
-        self._at_leader(lambda at, pusher: pusher.move_minimum(at, format))
+        """Change the minimum format at the leader."""
+        self._at_leader(lambda at, driver: driver.move_minimum(at, format))
 
-    def _at_leader(self, do: Callable[[Instant, PlanDriver], list[Outgoing]]) -> None:
-        for name, pusher in self.drivers.items():
+    def _at_leader(self, call: Callable[[Instant, PlanDriver], list[Outgoing]]) -> None:
+        for name, driver in self.drivers.items():
             node = self.cluster.nodes[name]
             at = self.cluster.instant(node)
-            if node.fleet is not pusher.fleet or node.is_stopped:
+            if node.fleet is not driver.fleet or node.is_stopped:
                 continue
-            if pusher.is_leading(at) and pusher.views.view.members:
-                self.cluster.send(node, do(at, pusher))
+            if driver.is_leading(at) and driver.views.view.members:
+                self.cluster.send(node, call(at, driver))
                 return
 
-    def restart(self, name: str, abilities: Capabilities | None, downtime_seconds: float = 0.2) -> None:
-        """Restart a member with other capabilities, `downtime_seconds` later."""
+    def restart(self, name: str, capabilities: Capabilities | None, downtime_seconds: float = 0.2) -> None:
+        """Kill a member, and start it with other capabilities `downtime_seconds` later."""
         node = self.cluster.nodes[name]
         self.cluster.kill(node)
-        self.next_capabilities[name] = abilities
+        self.next_capabilities[name] = capabilities
         self.cluster.schedule(self.cluster.now + downtime_seconds, self.cluster.start, node)
 
     def act(self) -> None:
         """Inject one drawn event."""
         random, cluster = self.random, self.cluster
         others = list(cluster.nodes)[VOTERS:]
-        one = random.choice(others)
+        member = random.choice(others)
         match random.choices(range(9), (8, 3, 1, 1, 1, 1, 2, 8, 2))[0]:
             case 0:
                 self.propose(draw_plan(random))
             case 1:
-                self.restart(one, random.choice(self.kinds), random.choice((0.2, 3.0, 12.0)))
-            case 2:  # a voter, and never two within the time in which one learns what it has forgotten
+                self.restart(member, random.choice(self.kinds), random.choice((0.2, 3.0, 12.0)))
+            case 2:  # restarts a voter, unless an earlier one may still be recovering its state
                 if not self.counts["voter"] or cluster.now - self.voter_restarted_at > 20:
                     self.voter_restarted_at = cluster.now
                     self.counts["voter"] += 1
@@ -170,35 +179,38 @@
                     delay=0.0005, jitter=0.0005, drop=random.choice((0.0, 0.1, 0.3))
                 )
             case 5:
-                cluster.isolate([one], LinkState(forward=False))
+                cluster.isolate([member], LinkState(forward=False))
             case 6:
                 cluster.heal()
             case 7:
-                self.admit_member(one)
+                self.admit_member(member)
             case 8:
                 self.move_minimum(random.choice((1, 1, 2, 3)))
 
     def admit_member(self, name: str) -> None:
-        """Let a stopped member, if any, enter while a plan is rolled out and another is slow to answer."""
+        """Let a member join while a plan is rolled out and another member is slow to answer.
+
+        If no member is down, kill `name` instead, so that it can join later.
+        """
         cluster, random = self.cluster, self.random
         cluster.default_link = LinkState(delay=0.0005, jitter=0.0005)
-        out = [node for node in cluster.nodes.values() if node.fleet is None]
-        if not out:
+        down = [node for node in cluster.nodes.values() if node.fleet is None]
+        if not down:
             cluster.kill(cluster.nodes[name])
         elif self.newest is not None and requirements_of(*self.newest[1:]).format > 1:
-            self.propose(draw_plan(random, 1))  # so that older programs may enter at all
-        elif out[0].name not in self.view.names:
-            self.next_capabilities[out[0].name] = random.choice(self.kinds[1:])
-            cluster.start(out[0])
-            slow = cluster.nodes[random.choice([other for other in cluster.nodes if other != out[0].name])]
+            self.propose(draw_plan(random, 1))  # older versions may join only under a plan of format 1
+        elif down[0].name not in self.view.names:
+            self.next_capabilities[down[0].name] = random.choice(self.kinds[1:])
+            cluster.start(down[0])
+            slow = cluster.nodes[random.choice([other for other in cluster.nodes if other != down[0].name])]
             at = cluster.now + random.random()
             cluster.schedule(at - 0.05, cluster.stop, slow)
             cluster.schedule(at, self.propose, draw_plan(random, random.choice((2, 3))))
             cluster.schedule(at + 2.0, cluster.resume, slow)
 
-    def play(self, seconds: float, quiet: float = 6.0) -> None:
-        """Play for so many seconds, or to the first breach."""
-        self.cluster.run(quiet)
+    def play(self, seconds: float, settle_seconds: float = 6.0) -> None:
+        """Simulate this many seconds, or up to the first breach."""
+        self.cluster.run(settle_seconds)
         while self.cluster.now < seconds and not self.breaches:
             self.act()
             self.cluster.run(self.cluster.now + self.random.expovariate(0.5))
@@ -207,69 +219,69 @@
 # Planted faults
 
 
-class _OutlivesItsView(CheckCoordinator):
+class _VerdictOutlivesView(CheckCoordinator):
     def view_changed(self, now: float, view: View) -> None:
-        """Keep the members of the earlier view: the planted fault."""
+        """Keep only the members of the earlier view."""
         before = dict(self.members)
         super().view_changed(now, view)
         if before:
             self.members = {key: one for key, one in self.members.items() if key in before}
 
 
-class _SilentIsYes(CheckCoordinator):
+class _SilenceIsConsent(CheckCoordinator):
     def step(self, now: float) -> list[Outgoing]:
-        """Count a silent member as agreeing: the planted fault."""
-        alike = next((one.result for one in self.members.values() if one.result is not None), None)
+        """Treat a member that does not answer as one that agrees."""
+        agreed = next((one.result for one in self.members.values() if one.result is not None), None)
         for one in self.members.values():
             if self._is_pending(one) and now >= one.asked_at + 2.0:
                 if one.capabilities is None:
                     one.capabilities = Capabilities()
-                elif alike is not None:
-                    one.result = TrialResult(self.check_id, 0, alike.result, alike.count)
+                elif agreed is not None:
+                    one.result = TrialResult(self.check_id, 0, agreed.result, agreed.count)
         return super().step(now)
 
 
-class OutlivesItsView(CompatibilityChecker):
+class VerdictOutlivesView(CompatibilityChecker):
     """A verdict that outlives its view."""
 
-    coordinator_type = _OutlivesItsView
+    coordinator_type = _VerdictOutlivesView
 
 
-class SilentIsYes(CompatibilityChecker):
-    """One that does not answer is taken for able, and for alike."""
+class SilenceIsConsent(CompatibilityChecker):
+    """A member without an answer that counts as compatible."""
 
-    coordinator_type = _SilentIsYes
+    coordinator_type = _SilenceIsConsent
 
 
-class OpenGate(CompatibilityChecker):
-    """Whoever knocks comes in."""
+class AdmitsEveryMember(CompatibilityChecker):
+    """A leader that admits every member."""
 
-    def admission_refusals(self, at: Instant, placed: ViewMember) -> tuple[Reason, ...]:  # noqa: ARG002 - the checker's
-        """Refuse nobody."""
+    def admission_refusals(self, at: Instant, view_member: ViewMember) -> tuple[Reason, ...]:  # noqa: ARG002 - the checker's
+        """Refuse no member."""
         return ()
 
 
-FAULTS: tuple[type[CompatibilityChecker], ...] = (OutlivesItsView, SilentIsYes, OpenGate)
+FAULTS: tuple[type[CompatibilityChecker], ...] = (VerdictOutlivesView, SilenceIsConsent, AdmitsEveryMember)
 
 
 def report(days: int, seconds: float = 60.0, seed: int = 0) -> Iterator[tuple[bool, str]]:
-    """Play days as they are, then days with each planted fault; yield whether all is well, and a line."""
+    """Simulate days without and then with each planted fault; yield whether a check passed, and its line."""
     played = [Day(number) for number in range(seed, seed + days)]
     for day in played:
         day.play(seconds)
     counts = sum((day.counts for day in played), Counter())
-    told = ", ".join(f"{what} {count}" for what, count in sorted(counts.items()))
-    yield bool(counts["settled"]), f"{days} days of {seconds:g} s: {told}"
+    totals = ", ".join(f"{event} {count}" for event, count in sorted(counts.items()))
+    yield bool(counts["settled"]), f"{days} days of {seconds:g} s: {totals}"
     for day in played:
         for breach in day.breaches[:1]:
             yield False, f"breach: {breach}"
     for fault in FAULTS:
-        what = " ".join((fault.__doc__ or "").split())
+        description = " ".join((fault.__doc__ or "").split())
         for number in range(seed, seed + max(20, days)):
-            day = Day(number, skew=fault)
+            day = Day(number, checker_type=fault)
             day.play(seconds)
             if day.breaches:
-                yield True, f"found after {number - seed + 1} days: {what} {day.breaches[0]}"
+                yield True, f"found after {number - seed + 1} days: {description} {day.breaches[0]}"
                 break
         else:
-            yield False, f"not found: {what}"
+            yield False, f"not found: {description}"
--- a/wheatring/lab/agreement/view_cases.py
+++ b/wheatring/lab/agreement/view_cases.py
@@ -1,7 +1,7 @@
-"""Single faults injected into a virtual fleet that agrees on views, and what is measured of each.
+"""Measures how a simulated fleet that agrees on views responds to single faults.
 
 A case begins when the fleet has been in one complete view for a while. `agreement_share` is the share of the
-time from the fault on in which all healthy members are in the same view, sampled ten times a second.
+time since the fault during which all healthy members are in the same view, sampled ten times a second.
 """
 
 from __future__ import annotations
@@ -19,53 +19,44 @@
 
 
 class Measurement(NamedTuple):
-    """What one case showed.
-
-    `converged_seconds` are from the fault (its end, where it has one) to the expected view, -1 for never;
-    `removals` and `admissions` count view changes; `wrongly_removed` counts members; `spread_seconds` is the
-    longest time from a change's first member to its last; `datagrams` and `bytes_sent` are what one member
-    sends a second; `cpu_seconds` are of CPU time for each second of the fleet.
-    """
+    """The measurement of one case."""
 
     case: str
     size: int
     seed: int
-    converged_seconds: float  # from the fault (its end, where it has one) to the expected view; -1 is never
-    removals: int  # view changes that removed a member, from the fault on
-    admissions: int  # view changes that admitted a member
-    wrongly_removed: int  # members that were removed and should have stayed
+    converged_seconds: float  # from the fault (or its end, if it ends) to the expected view; -1 if never
+    removals: int  # view changes that removed a member, since the fault
+    admissions: int  # view changes that admitted a member, since the fault
+    wrongly_removed: int  # members that were removed although the fault does not justify it
     agreement_share: float
-    spread_seconds: float  # from a change's first member to its last, at most
-    datagrams: float  # that a member sends a second
-    bytes_sent: float
-    cpu_seconds: float  # of CPU time, for one second of the fleet
+    spread_seconds: float  # maximum time from the first member to install a view to the last one
+    datagrams: float  # sent by a member per second
+    bytes_sent: float  # by a member per second
+    cpu_seconds: float  # CPU time per simulated second
 
 
 class CaseRun:
-    """A fleet and its observer while one case is played.
-
-    `removed` are the members that are to be removed from the view, `fault_end` is when the fault ends.
-    """
+    """The fleet of one case, and its observer."""
 
     def __init__(self, size: int, seed: int, voters: int = 3) -> None:
         self.fleet: Cluster = make_cluster(seed, size, voters)
         self.observer = ViewObserver(self.fleet)
         self.names = list(self.fleet.nodes)
-        self.removed: set[str] = set()  # members that should be removed
+        self.removed: set[str] = set()  # members that should be removed from the view
         self.random = self.fleet.random
-        self.fault_end = 0.0  # when the fault ends
+        self.fault_end = 0.0
         for node in self.fleet.nodes.values():
             self.fleet.schedule(self.random.random(), self.fleet.start, node)
 
     def kill(self, names: list[str]) -> None:
-        """Stop these members for good."""
+        """Kill these members, which are not restarted."""
         for name in names:
             self.fleet.kill(self.fleet.nodes[name])
             self.observer.excluded.add(name)
             self.removed.add(name)
 
     def stop(self, names: list[str], seconds: float) -> None:
-        """Suspend these members for so many seconds."""
+        """Suspend these members for `seconds`."""
         for name in names:
             self.fleet.stop(self.fleet.nodes[name])
         self.observer.delayed |= {*names}
@@ -89,19 +80,19 @@
     def leader(self) -> str:
         """Return the member that leads the register of views, or the first one."""
         for node in self.fleet.nodes.values():
-            found = views_of(node)
-            if found is not None and found.register.is_ready:
+            views = views_of(node)
+            if views is not None and views.register.is_ready:
                 return node.name
         return self.names[0]
 
-    def sample_half(self, but: str) -> list[str]:
-        """Draw half of the members other than `but`."""
-        others = [name for name in self.names if name != but]
+    def sample_half(self, excluded: str) -> list[str]:
+        """Draw half of the members other than `excluded`."""
+        others = [name for name in self.names if name != excluded]
         return sorted(self.random.sample(others, len(others) // 2))
 
 
 def _no_fault(run: CaseRun) -> None:
-    """Nothing."""
+    """Inject no fault."""
 
 
 def _kill_member(run: CaseRun) -> None:
@@ -130,11 +121,11 @@
 
 
 def _cut_edge(run: CaseRun) -> None:
-    """From one to one of its subjects."""
+    """Cut the link from a member to one of the members that it monitors."""
     member = run.sample_member()
-    found = views_of(run.fleet.nodes[member])
-    assert found is not None
-    run.fleet.set_link([member], [run.random.choice(found.installer.rings.subjects(member))], PARTITIONED)
+    views = views_of(run.fleet.nodes[member])
+    assert views is not None
+    run.fleet.set_link([member], [run.random.choice(views.installer.rings.subjects(member))], PARTITIONED)
 
 
 def _cut_from_half(run: CaseRun) -> None:
@@ -157,7 +148,7 @@
 
 
 def _partition_voters(run: CaseRun) -> None:
-    """Five voters apart 2, 2 and 1: the others are with the first two. Nobody has a majority."""
+    """Split five voters 2, 2 and 1, all other members being with the first two: no side has a majority."""
     sides = [["n0", "n1", *run.names[5:]], ["n2", "n3"], ["n4"]]
     for side in sides:
         run.fleet.isolate(side, PARTITIONED)
@@ -166,7 +157,7 @@
 
 
 def _change_address(run: CaseRun) -> None:
-    """One comes back under its name at another address."""
+    """Restart a member at another address, under the same name."""
     name = run.random.choice(run.names[5:])
     node = run.fleet.nodes[name]
     run.fleet.kill(node)
@@ -177,7 +168,7 @@
 
 
 def _double_fleet(run: CaseRun) -> None:
-    """As many more come within a second, while a third of those who were there die."""
+    """Start as many members again within a second, while a third of the present ones are killed."""
     from wheatring.lab.leases.cluster import Node
 
     size = len(run.names)
@@ -210,61 +201,63 @@
 
 
 def measure(case: str, size: int, seed: int, span: float = SPAN_SECONDS) -> Measurement:
-    """Play one case and measure it."""
+    """Run one case and measure it."""
     run = CaseRun(size, seed, 5 if case == "voters-apart" else 3)
-    fleet, follow = run.fleet, run.observer
+    fleet, observer = run.fleet, run.observer
     fleet.run(SETTLE_SECONDS)
-    follow.clear()
+    observer.clear()
     for node in fleet.nodes.values():
         node.sent = node.sent_bytes = 0
-    began, cpu = fleet.now, process_time()
+    started_at, cpu_start = fleet.now, process_time()
     CASES[case](run)
-    fleet.run(max(run.fault_end, began))
-    want = set(run.names) - run.removed
-    took = follow.run_until_converged(want, span) if case != "moves" else _moved(run, span)
-    fleet.run(max(fleet.now, began + span))
-    seconds = fleet.now - began
+    fleet.run(max(run.fault_end, started_at))
+    expected = set(run.names) - run.removed
+    converged = (
+        observer.run_until_converged(expected, span) if case != "moves" else _run_until_moved(run, span)
+    )
+    fleet.run(max(fleet.now, started_at + span))
+    seconds = fleet.now - started_at
     nodes = [node for node in fleet.nodes.values() if node.name not in run.removed]
-    outs = [move for move in follow.changes if move.removed]
-    stopped_long = case == "pause-15"
-    wrong = 0 if stopped_long else sum(len(move.removed - run.removed) for move in outs)
+    removals = [change for change in observer.changes if change.removed]
+    is_removal_expected = case == "pause-15"
+    wrong = 0 if is_removal_expected else sum(len(change.removed - run.removed) for change in removals)
     return Measurement(
         case,
         size,
         seed,
-        took,
-        len(outs),
-        sum(bool(move.added) for move in follow.changes),
+        converged,
+        len(removals),
+        sum(bool(change.added) for change in observer.changes),
         wrong,
-        follow.agreement_share,
-        max((move.last_seen - move.first_seen for move in follow.changes), default=0.0),
+        observer.agreement_share,
+        max((change.last_seen - change.first_seen for change in observer.changes), default=0.0),
         sum(node.sent for node in nodes) / seconds / len(nodes),
         sum(node.sent_bytes for node in nodes) / seconds / len(nodes),
-        (process_time() - cpu) / seconds,
+        (process_time() - cpu_start) / seconds,
     )
 
 
-def _moved(run: CaseRun, span: float) -> float:
-    """Seconds until all know the one that came back by its new place."""
-    began = run.fleet.now
-    while run.fleet.now - began < span:
-        found = [views_of(node) for node in run.observer.healthy()]
+def _run_until_moved(run: CaseRun, span: float) -> float:
+    """Run until all members are in a view with the member's new address; return the seconds, -1 if never."""
+    started_at = run.fleet.now
+    while run.fleet.now - started_at < span:
+        all_views = [views_of(node) for node in run.observer.healthy()]
         if (
-            all(one is not None and one.is_member for one in found)
+            all(views is not None and views.is_member for views in all_views)
             and run.observer.changes
-            and len({one.view.number for one in found if one is not None}) == 1
+            and len({views.view.number for views in all_views if views is not None}) == 1
         ):
-            return run.fleet.now - began
+            return run.fleet.now - started_at
         run.fleet.run(run.fleet.now + 0.1)
     return -1.0
 
 
-def format_measurement(measured: Measurement) -> str:
+def format_measurement(result: Measurement) -> str:
     """Return a measurement as a line of the report."""
     return (
-        f"{measured.case:13} {measured.size:5} {measured.seed:3}  took {measured.converged_seconds:5.1f} s  "
-        f"out {measured.removals} in {measured.admissions} wrong {measured.wrongly_removed}  "
-        f"alike {measured.agreement_share:.3f}  last after {measured.spread_seconds:.2f} s  "
-        f"{measured.datagrams:.2f} datagrams {measured.bytes_sent:.0f} B a second  "
-        f"{1000 * measured.cpu_seconds:.0f} ms CPU a second"
+        f"{result.case:13} {result.size:5} {result.seed:3}  took {result.converged_seconds:5.1f} s  "
+        f"out {result.removals} in {result.admissions} wrong {result.wrongly_removed}  "
+        f"alike {result.agreement_share:.3f}  last after {result.spread_seconds:.2f} s  "
+        f"{result.datagrams:.2f} datagrams {result.bytes_sent:.0f} B a second  "
+        f"{1000 * result.cpu_seconds:.0f} ms CPU a second"
     )
--- a/wheatring/lab/demo/model_server.py
+++ b/wheatring/lab/demo/model_server.py
@@ -1,4 +1,4 @@
-"""A stub of an endpoint that runs a model: it answers each prompt with a few events that name its length."""
+"""A stub of a model endpoint: it answers each prompt with a few events that state the prompt's length."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ModelServer:
-    """One endpoint, which serves a request at a time on each connection."""
+    """One endpoint; each connection serves one request at a time."""
 
     def __init__(self, endpoint_id: str, host: str, port: int) -> None:
         self.endpoint_id = endpoint_id
@@ -19,7 +19,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, self.host, self.port)
 
     def close(self) -> None:
--- a/wheatring/lab/demo/play.py
+++ b/wheatring/lab/demo/play.py
@@ -1,4 +1,4 @@
-"""Plays a conversation through three controllers, three storage replicas, two sidecars and two endpoints."""
+"""Runs a conversation through three controllers, three storage replicas, two sidecars and two endpoints."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from wheatring.lab.scale.platform_stub import PlatformStub
 
 FRONT_PORT, ENDPOINT_PORT = 28149, 28080
-START_TIMEOUT_SECONDS = 15.0  # for the first configuration, and for each turn to be served
+START_TIMEOUT_SECONDS = 15.0  # for the configuration to be accepted, and for each turn to be served
 RETRY_SECONDS = 0.2
 CALL_TIMEOUT_SECONDS = 5.0
 TURNS = 4
@@ -78,7 +78,7 @@
         except httpx.HTTPError:
             pass
         await asyncio.sleep(RETRY_SECONDS)
-    raise DemoFailedError("no controller has taken the configuration")
+    raise DemoFailedError("no controller accepted the configuration in time")
 
 
 async def _turn(client: httpx.AsyncClient, sidecar: str, number: int) -> list[str]:
@@ -106,7 +106,7 @@
 
 
 async def play() -> None:
-    """Play the demonstration. Raises DemoFailedError."""
+    """Run the demonstration. Raises DemoFailedError."""
     servers = _endpoints()
     platform = PlatformStub(0)
     platform.entries.extend(_entries(servers))
--- a/wheatring/lab/leases/__init__.py
+++ b/wheatring/lab/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Checks of leases and membership: a model checker, drawn days of a virtual fleet, and measurements."""
+"""Checks of leases and membership: a model checker, random days of a simulated fleet, and measurements."""
--- a/wheatring/lab/leases/check.py
+++ b/wheatring/lab/leases/check.py
@@ -1,6 +1,6 @@
-"""All that the deciders of leases are held to: orders of events, planted faults, drawn days, handovers.
+"""All checks of leases: exhaustive searches, planted faults, random days and handovers.
 
-Work is shared out over processes.
+The work is distributed over processes.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 HANDOVER_SEEDS = 100
 MAX_SHOWN_BREACHES = 20
 MAX_RELEASE_HANDOVER_SECONDS = 0.3
-MAX_HANDOVER_LEASES = 1.5  # where the holder is lost in another way
+MAX_HANDOVER_LEASES = 1.5  # in lease lengths, if the holder is lost without a release
 
 
 def _search_bounds(max_states: int, number: int) -> SearchResult:
@@ -36,7 +36,7 @@
 
 def _search_planted(max_states: int, number: int) -> SearchResult:
     planted = PLANTED_FAULTS[number]
-    return search(Model(planted.bounds, planted.deciders), max_states)
+    return search(Model(planted.bounds, planted.implementation), max_states)
 
 
 def _play_days(first: int, count: int) -> list[days.Day]:
@@ -46,28 +46,28 @@
 def report_lines(
     days_count: int, max_states: int, processes: int, on_failure: Callable[[], object]
 ) -> Iterator[str]:
-    """Run all checks and return their report, line by line.
+    """Run all checks and yield their report, line by line.
 
     Parameters
     ----------
     days_count : int
-        How many drawn days to play.
+        Number of random days to simulate.
     max_states : int
-        How many states of a model are searched at most.
+        Maximum number of states to search in each model.
     processes : int
-        How many processes share the work.
+        Number of worker processes.
     on_failure : callable
-        Called for each thing that is not as it has to be.
+        Called for each failed check.
     """
     with ProcessPoolExecutor(processes) as pool:
         planted = pool.map(partial(_search_planted, max_states), range(len(PLANTED_FAULTS)))
         firsts = range(1, days_count + 1, DAYS_PER_TASK)
         played = pool.map(_play_days, firsts, [DAYS_PER_TASK] * len(firsts))
-        sound = pool.map(partial(_search_bounds, max_states), range(len(BOUNDS)))
+        searches = pool.map(partial(_search_bounds, max_states), range(len(BOUNDS)))
         yield from _planted_lines(planted, on_failure)
-        yield from _day_lines([day for part in played for day in part], on_failure)
+        yield from _day_lines([day for batch in played for day in batch], on_failure)
         yield from _handover_lines(pool, on_failure)
-        yield from _search_lines(sound, on_failure)
+        yield from _search_lines(searches, on_failure)
 
 
 def _planted_lines(results: Iterator[SearchResult], on_failure: Callable[[], object]) -> Iterator[str]:
@@ -108,14 +108,14 @@
 def _handover_lines(pool: ProcessPoolExecutor, on_failure: Callable[[], object]) -> Iterator[str]:
     for kind in LOSS_KINDS:
         measured = list(pool.map(partial(handover, kind=kind), range(1, HANDOVER_SEEDS + 1)))
-        took = sorted(each.seconds_to_next for each in measured)
+        durations = sorted(each.seconds_to_next for each in measured)
         gap = min(each.gap_seconds for each in measured)
         bound = MAX_HANDOVER_LEASES * days.TIMING.lease_seconds
         if kind == "release":
             bound = MAX_RELEASE_HANDOVER_SECONDS
-        if took[-1] > bound or gap <= 0:
+        if durations[-1] > bound or gap <= 0:
             on_failure()
         yield (
-            f"holder lost by {kind}, {HANDOVER_SEEDS} seeds: the next after {took[50]:.2f} s (median), "
-            f"{took[-1]:.2f} (most; {bound:g}), {gap * 1000:.0f} ms after the last term's end at least"
+            f"holder lost by {kind}, {HANDOVER_SEEDS} seeds: the next after {durations[50]:.2f} s (median), "
+            f"{durations[-1]:.2f} (most; {bound:g}), {gap * 1000:.0f} ms after the last term's end at least"
         )
--- a/wheatring/lab/leases/cluster.py
+++ b/wheatring/lab/leases/cluster.py
@@ -1,4 +1,4 @@
-"""A fleet in virtual time: the deciders of many sidecars, the network between them, and faults of both."""
+"""A fleet in virtual time: the real protocol code of many sidecars, a simulated network, and their faults."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 from wheatring.lab.live.links.link_state import LinkState, datagram
 
 START_UNIX_MS = 1_700_000_000_000  # Unix time, ms, at which days begin
-FETCH_TIMEOUT_SECONDS = 2.0  # after which a payload that does not come is given up
+FETCH_TIMEOUT_SECONDS = 2.0  # for a payload fetched from another node
 
 
 class Node:
-    """One sidecar's host: its clocks, and the process that runs there, if one does."""
+    """One sidecar's host: its clocks, and its process while one runs."""
 
     def __init__(self, name: str, address: Address, number: int, zone: str) -> None:
         self.name = name
         self.address = address
         self.number = number
         self.zone = zone
-        self.clock_drift = 0.0  # as a part of 1; above 0 its clocks run fast
-        self.wall_offset_ms = 0  # by which its Unix time is ahead
+        self.clock_drift = 0.0  # as a fraction; above 0 its clocks run fast
+        self.wall_offset_ms = 0  # its wall clock minus the true time
         self.starts = 0
         self.fleet: Fleet | None = None
         self.is_stopped = False
-        self.deferred: list[tuple[str, Any]] = []  # messages that came while it was stopped
-        self.tick_number = 0  # the number of the tick that is to come
+        self.deferred: list[tuple[str, Any]] = []  # messages that arrived while it was stopped
+        self.tick_number = 0  # number of the tick that is scheduled; earlier ones are ignored
         self.sent = self.sent_bytes = 0
 
 
 class Cluster:
     """A fleet in virtual time.
 
-    `on_role_change` is called with each role gained or lost, right as it happens, and `after_event` after
-    each event of a process. `make_components` makes the further deciders of a process, `size_of` gives a
-    message's bytes.
+    `on_role_change` is called for each role gained or lost, as it happens, and `after_event` after each event
+    of a process. `make_components` returns the additional components of a process, `size_of` the size of a
+    message in bytes.
     """
 
     def __init__(
@@ -96,9 +96,9 @@
         self.now = until
 
     def instant(self, node: Node) -> Instant:
-        """Return now by a node's clocks."""
-        own = self.now * (1 + node.clock_drift)
-        return Instant(own, own, START_UNIX_MS + round(self.now * 1000) + node.wall_offset_ms)
+        """Return the current time on a node's clocks."""
+        local = self.now * (1 + node.clock_drift)
+        return Instant(local, local, START_UNIX_MS + round(self.now * 1000) + node.wall_offset_ms)
 
     # Processes
 
@@ -108,11 +108,11 @@
             return
         node.starts += 1
         at = self.instant(node)
-        who = MemberInfo(node.name, *node.address, node.number, 0, node.zone, self.voters.digest)
+        member = MemberInfo(node.name, *node.address, node.number, 0, node.zone, self.voters.digest)
         random = Random(f"{self.random.random()}:{node.name}")
         node.fleet = Fleet(
             at,
-            who,
+            member,
             at.wall,
             self.seeds,
             self.voters,
@@ -136,7 +136,7 @@
         node.is_stopped = node.fleet is not None
 
     def resume(self, node: Node) -> None:
-        """Let a stopped process go on; whatever lay in its socket is received first."""
+        """Resume a stopped process; it first receives the messages that arrived meanwhile."""
         if not node.is_stopped:
             return
         node.is_stopped = False
@@ -146,20 +146,20 @@
         self.tick(node, node.tick_number)
 
     def schedule_tick(self, node: Node) -> None:
-        """Schedule the next tick of a node's process, in place of the one scheduled before."""
+        """Schedule the next tick of a node's process; it replaces the one scheduled before."""
         assert node.fleet is not None
         node.tick_number += 1
         wait = node.fleet.seconds_until_due(self.instant(node)) / (1 + node.clock_drift)
         self.schedule(self.now + max(wait, 0.0005), self.tick, node, node.tick_number)
 
-    def tick(self, node: Node, wake: int) -> None:
-        """Let a process do what is due, unless another tick was scheduled since."""
-        if node.fleet is None or node.is_stopped or wake != node.tick_number:
+    def tick(self, node: Node, number: int) -> None:
+        """Run a tick of a process, unless another one has been scheduled since."""
+        if node.fleet is None or node.is_stopped or number != node.tick_number:
             return
         self.send(node, node.fleet.tick(self.instant(node)))
 
     def send(self, node: Node, out: list[Outgoing]) -> None:
-        """Send what a process returned, and report what changed; called after each of its events."""
+        """Send the messages that a process returned, and report its changes; called after each event."""
         assert node.fleet is not None
         for address, message in out:
             target = self.by_address.get(address)
@@ -184,27 +184,27 @@
             self.after_event(node)
             self.schedule_tick(node)
 
-    # Bodies
+    # Payloads
 
     def fetch_payload(self, node: Node, start: int, fetch: FetchRequest) -> None:
-        """Let one node ask another for a payload over a connection.
+        """Let one node fetch a payload from another over a connection.
 
-        A partition in either direction keeps the connection from coming up.
+        A partition in either direction prevents the connection.
         """
         other = self.by_address.get(fetch.address)
         body = None
         if other is not None and other.fleet is not None and not other.is_stopped:
             pairs = ((node.name, other.name), (other.name, node.name))
-            both = [self.links.get(pair, self.default_link) for pair in pairs]
-            if all(state.forward for state in both):
+            links = [self.links.get(pair, self.default_link) for pair in pairs]
+            if all(state.forward for state in links):
                 body = other.fleet.payloads.get(fetch.digest)
-                late = sum(state.delay + state.jitter * self.random.random() for state in both)
-                self.schedule(self.now + late, self.deliver_payload, node, start, fetch, body)
+                latency = sum(state.delay + state.jitter * self.random.random() for state in links)
+                self.schedule(self.now + latency, self.deliver_payload, node, start, fetch, body)
                 return
         self.schedule(self.now + FETCH_TIMEOUT_SECONDS, self.deliver_payload, node, start, fetch, None)
 
     def deliver_payload(self, node: Node, start: int, fetch: FetchRequest, body: bytes | None) -> None:
-        """Deliver the answer to a fetch; a process that has started since doesn't get it."""
+        """Deliver the response to a fetch, unless the process has been restarted since."""
         if node.fleet is None or node.starts != start:
             return
         if node.is_stopped:
@@ -213,7 +213,7 @@
         self.send(node, node.fleet.receive_payload(self.instant(node), fetch.digest, body))
 
     def deliver(self, node: Node, sender: str, message: Any) -> None:
-        """Deliver a message; a stopped process finds it when it goes on."""
+        """Deliver a message; a stopped process receives it when it resumes."""
         if node.fleet is None:
             return
         if node.is_stopped:
@@ -226,8 +226,8 @@
         """Let a process handle a message."""
         if node.fleet is None:
             return
-        where = self.nodes[sender].address
-        self.send(node, node.fleet.receive(self.instant(node), sender, where, message))
+        address = self.nodes[sender].address
+        self.send(node, node.fleet.receive(self.instant(node), sender, address, message))
 
     # Links
 
@@ -245,7 +245,7 @@
         self.set_link(others, names, state)
 
     def heal(self) -> None:
-        """Set all links back to the default."""
+        """Reset all links to the default."""
         self.links.clear()
 
 
--- a/wheatring/lab/leases/days.py
+++ b/wheatring/lab/leases/days.py
@@ -1,6 +1,6 @@
-"""Drawn days of a fleet with one role: its faults, and what must hold at every instant.
+"""Random days of a fleet with one role: faults are injected, and invariants are checked as they may break.
 
-A seed gives a day, and the same day again.
+The same seed gives the same day.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from wheatring.lab.live.links.link_state import LinkState
 
 ROLE = "duty"
-DAY_SECONDS = 60.0  # seconds
+DAY_SECONDS = 60.0
 TIMING = LeaseTiming()
-ACT_INTERVAL_SECONDS = 0.2  # seconds between two acts of a holder
+ACT_INTERVAL_SECONDS = 0.2  # between two fenced requests ("acts") of a holder
 HOUR_MS = 3_600_000
 
 
 class Fault(NamedTuple):
-    """One fault of a drawn day."""
+    """One fault of a random day."""
 
     at: float
     kind: str
@@ -36,19 +36,21 @@
 
 
 class Day(Struct):
-    """What came of one day."""
+    """The result of one day."""
 
     seed: int
     breaches: list[str] = field(default_factory=list)
     lease_count: int = 0
     admitted_acts: int = 0
-    rejected_acts: int = 0  # acts that the receiver rejected, as their lease was over
-    held_seconds: float = 0.0  # seconds in which somebody held the duty
-    handovers: list[float] = field(default_factory=list)  # s, after a kill or stall of the holder
+    rejected_acts: int = 0  # acts of outdated epochs
+    held_seconds: float = 0.0  # time during which a node held the role
+    handovers: list[float] = field(
+        default_factory=list
+    )  # seconds from the loss of a holder to the next lease
 
 
 def draw_faults(seed: int, size: int) -> list[Fault]:
-    """Draw the faults of a day. Everything is over 12 s before its end."""
+    """Draw the faults of a day. All of them end at least 12 s before the day does."""
     random = Random(f"{seed}:faults")
     names = [f"n{number}" for number in range(size)]
     faults = []
@@ -61,7 +63,7 @@
         at = 5 + random.random() * (DAY_SECONDS - 20)
         nodes = random.sample(names, random.choice([1, 1, 1, 2, size // 2]))
         if random.random() < 0.5:
-            nodes[0] = "holder"  # whoever it is by then
+            nodes[0] = "holder"  # the node that holds the role when the fault begins
         faults.append(
             Fault(at, kind, min(length, DAY_SECONDS - 12 - at), tuple(dict.fromkeys(nodes)), random.random())
         )
@@ -69,7 +71,7 @@
 
 
 class DayRun:
-    """One day of a fleet with one role, its faults, and the rules that it is held to."""
+    """One day of a fleet with one role, its faults, and its invariants."""
 
     def __init__(self, seed: int, size: int = 5, voters: int = 3) -> None:
         self.random = Random(f"{seed}:day")
@@ -80,7 +82,7 @@
         self.cluster.on_role_change = self.on_role_change
         self.day = Day(seed)
         self.guard = FencingGuard()
-        self.holders: set[str] = set()  # who has gained the role, and was not seen to lose it
+        self.holders: set[str] = set()  # nodes that have gained the role and not reported its loss
         self.last_epoch = 0  # of the newest lease
         self.lost_at: float | None = None  # when the holder was killed or stopped
         for node in self.cluster.nodes.values():
@@ -91,7 +93,7 @@
             self.cluster.schedule(fault.at, self.inject, fault)
 
     def run(self) -> Day:
-        """Play the day."""
+        """Simulate the day."""
         self.cluster.run(DAY_SECONDS)
         return self.day
 
@@ -103,23 +105,23 @@
         holder = next((name for name in sorted(self.holders) if self.owns_lease(cluster.nodes[name])), "n0")
         names = tuple(dict.fromkeys(holder if name == "holder" else name for name in fault.nodes))
         others = [name for name in cluster.nodes if name not in names]
-        over = cluster.now + max(0.0, fault.duration)
+        end_at = cluster.now + max(0.0, fault.duration)
         match fault.kind:
             case "kill" | "again" | "voters":
                 if fault.kind == "voters":
                     names = tuple(list(cluster.nodes)[:3])
                 for name in names:
-                    self._kill_until(name, over, is_repeated=fault.kind == "again")
+                    self._kill_until(name, end_at, is_repeated=fault.kind == "again")
             case "stall":
                 for name in names:
-                    self._stop_until(cluster.nodes[name], over)
+                    self._stop_until(cluster.nodes[name], end_at)
             case "cut" | "split":
                 cluster.isolate(names, PARTITIONED)
-                cluster.schedule(over, cluster.heal)
+                cluster.schedule(end_at, cluster.heal)
             case "one-way":
-                froms, tos = (names, others) if fault.size < 0.5 else (others, names)
-                cluster.set_link(froms, tos, PARTITIONED)
-                cluster.schedule(over, cluster.heal)
+                sources, targets = (names, others) if fault.size < 0.5 else (others, names)
+                cluster.set_link(sources, targets, PARTITIONED)
+                cluster.schedule(end_at, cluster.heal)
             case "late":
                 state = LinkState(
                     delay=3 * TIMING.lease_seconds * fault.size,
@@ -128,31 +130,31 @@
                     reorder=0.5,
                 )
                 cluster.set_link(names, others, state)
-                cluster.schedule(over, cluster.heal)
+                cluster.schedule(end_at, cluster.heal)
             case "lossy":
                 cluster.isolate(names, LinkState(delay=0.001, drop=0.3, duplicate=0.1, reorder=0.1))
-                cluster.schedule(over, cluster.heal)
+                cluster.schedule(end_at, cluster.heal)
             case "wall":
-                # One is behind; see the design note.
+                # One node's wall clock falls behind; see the design note.
                 cluster.nodes["n0"].wall_offset_ms = -round(HOUR_MS * fault.size)
             case "release":
                 node = cluster.nodes[holder]
                 if node.fleet is not None and not node.is_stopped:
                     cluster.send(node, node.fleet.role_manager.release(cluster.instant(node), ROLE))
 
-    def _kill_until(self, name: str, over: float, is_repeated: bool) -> None:
+    def _kill_until(self, name: str, end_at: float, is_repeated: bool) -> None:
         node = self.cluster.nodes[name]
         self.kill(name)
-        self.cluster.schedule(over, self.cluster.start, node)
+        self.cluster.schedule(end_at, self.cluster.start, node)
         if is_repeated:
-            self.cluster.schedule(over + 1.0, self.kill, name)
-            self.cluster.schedule(over + 1.5, self.cluster.start, node)
+            self.cluster.schedule(end_at + 1.0, self.kill, name)
+            self.cluster.schedule(end_at + 1.5, self.cluster.start, node)
 
-    def _stop_until(self, node: Node, over: float) -> None:
+    def _stop_until(self, node: Node, end_at: float) -> None:
         if self.owns_lease(node):
             self.lost_at = self.cluster.now
         self.cluster.stop(node)
-        self.cluster.schedule(over, self.cluster.resume, node)
+        self.cluster.schedule(end_at, self.cluster.resume, node)
 
     def kill(self, name: str) -> None:
         """Kill a node's process."""
@@ -162,16 +164,16 @@
         self.holders.discard(name)
         self.cluster.kill(node)
 
-    # Rules
+    # Invariants
 
     def owns_lease(self, node: Node) -> bool:
-        """Return whether a node holds the role at this true instant, by the very clock it would read."""
+        """Return whether a node holds the role now, by its own clock."""
         if node.fleet is None:
             return False
         return node.fleet.roles[ROLE].epoch_to_act(self.cluster.instant(node).boot) is not None
 
     def on_role_change(self, node: Node, change: RoleChange) -> None:
-        """Check the rules as a node gains or loses the role."""
+        """Check the invariants as a node gains or loses the role."""
         now, day = self.cluster.now, self.day
         assert node.fleet is not None
         if change.reason:
@@ -191,10 +193,10 @@
         self.act(node, node.starts)
 
     def act(self, node: Node, start: int) -> None:
-        """Act as the holder, again and again while the role is held.
+        """Act as the holder, and repeat it at intervals while the role is held.
 
-        Each act takes a while to arrive, and one that is stopped in the middle of it goes on when the process
-        does.
+        An act is sent a few milliseconds later. If the process is stopped by then, the act is sent when the
+        process resumes, even if the lease has expired.
         """
         if node.fleet is None or node.starts != start:
             return
@@ -211,19 +213,19 @@
         self.cluster.schedule(self.cluster.now + ACT_INTERVAL_SECONDS, self.act, node, start)
 
     def send_act(self, node: Node, start: int, epoch: int) -> None:
-        """Send an act; some are long on their way."""
+        """Send an act; some arrive only seconds later."""
         if node.fleet is None or node.starts != start:
             return
         if node.is_stopped:
             self.cluster.schedule(self.cluster.now + 0.05, self.send_act, node, start, epoch)
             return
-        slow = self.random.random() < 0.05
+        is_slow = self.random.random() < 0.05
         self.cluster.schedule(
-            self.cluster.now + (self.random.random() * 9 if slow else 0.001), self.admit_act, epoch
+            self.cluster.now + (self.random.random() * 9 if is_slow else 0.001), self.admit_act, epoch
         )
 
     def admit_act(self, epoch: int) -> None:
-        """Let an act arrive at the receiver, which checks its fencing token."""
+        """Deliver an act to the receiver, which checks its fencing token."""
         before = self.guard.highest_token
         if not self.guard.admit(epoch):
             self.day.rejected_acts += 1
@@ -234,5 +236,5 @@
 
 
 def play(seed: int) -> Day:
-    """Play one day: five sidecars, three of them voters."""
+    """Simulate one day of five sidecars, three of which are voters."""
     return DayRun(seed).run()
--- a/wheatring/lab/leases/handover.py
+++ b/wheatring/lab/leases/handover.py
@@ -1,4 +1,4 @@
-"""How long it takes until the next member holds a role, in a fleet to which nothing else happens."""
+"""Measures the time until the next member holds a role, in a fleet without other faults."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 LossKind = Literal["kill", "stall", "cut", "deaf", "unheard", "release"]
 LOSS_KINDS: tuple[LossKind, ...] = ("kill", "stall", "cut", "deaf", "unheard", "release")
 ROLE = "duty"
-LOST_AFTER_SECONDS = 12.0  # when the holder is lost, at the earliest
+EARLIEST_LOSS_SECONDS = 12.0
 
 
 class Handover(NamedTuple):
-    """One measured handover, in seconds; infinite where nobody followed."""
+    """One measured handover, in seconds; infinite if no member took over."""
 
-    seconds_to_next: float  # from the holder's loss to the next lease
-    gap_seconds: float  # from the end of its lease to the next
+    seconds_to_next: float  # from the loss of the holder to the next lease
+    gap_seconds: float  # from the end of the last lease to the next one
 
 
 def handover(seed: int, kind: LossKind, size: int = 5, timing: LeaseTiming | None = None) -> Handover:
-    """Lose the holder of a role in one way, and measure when the next one holds it."""
+    """Make the holder of a role fail in one way, and measure the time until the next one holds it."""
     timing = timing or LeaseTiming()
     random = Random(f"{seed}:handover")
     cluster = Cluster(
@@ -43,20 +43,20 @@
     for node in cluster.nodes.values():
         node.clock_drift = timing.max_clock_drift * (2 * random.random() - 1)
         cluster.schedule(random.random(), cluster.start, node)
-    at = LOST_AFTER_SECONDS + 3 * timing.lease_seconds * random.random()
-    cluster.run(at)
-    lease_ends = _lose(cluster, cluster.nodes[gains[-1][0]], kind)
-    count = len(gains)
-    cluster.run(at + 5 * timing.lease_seconds)
-    next_at = gains[count][1] if len(gains) > count else inf
-    return Handover(next_at - at, next_at - lease_ends)
+    lost_at = EARLIEST_LOSS_SECONDS + 3 * timing.lease_seconds * random.random()
+    cluster.run(lost_at)
+    lease_ends = _fail_holder(cluster, cluster.nodes[gains[-1][0]], kind)
+    gain_count = len(gains)
+    cluster.run(lost_at + 5 * timing.lease_seconds)
+    next_at = gains[gain_count][1] if len(gains) > gain_count else inf
+    return Handover(next_at - lost_at, next_at - lease_ends)
 
 
-def _lose(cluster: Cluster, holder: Node, kind: LossKind) -> float:
-    """Lose the holder in this way; return when its lease ends."""
+def _fail_holder(cluster: Cluster, holder: Node, kind: LossKind) -> float:
+    """Make the holder fail in this way; return when its lease ends."""
     assert holder.fleet is not None
-    held = holder.fleet.roles[ROLE].held_lease
-    lease_ends = held.held_until / (1 + holder.clock_drift) if held is not None else cluster.now
+    lease = holder.fleet.roles[ROLE].held_lease
+    lease_ends = lease.held_until / (1 + holder.clock_drift) if lease is not None else cluster.now
     match kind:
         case "kill":
             cluster.kill(holder)
--- a/wheatring/lab/leases/membership.py
+++ b/wheatring/lab/leases/membership.py
@@ -1,4 +1,4 @@
-"""What the membership does and costs in a large fleet, in virtual time."""
+"""Measures the membership protocol in a large fleet, in virtual time: joins, traffic, failure detection."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from wheatring.lab.leases.cluster import Cluster, Node
 from wheatring.lab.live.links.link_state import LinkState
 
-FRAME_BYTES = 50  # of a datagram besides its message
-JOINED_AFTER_SECONDS = 40.0  # from the start until it is measured
+FRAME_BYTES = 50  # of a datagram, without its message
+JOINED_AFTER_SECONDS = 40.0  # from the start of the fleet to the first measurement
 FAILURE_AT_SECONDS = 60.0
 OBSERVATION_SECONDS = 60.0
 
@@ -33,7 +33,7 @@
 
 
 def start_fleet(seed: int, size: int, loss: float = 0.0) -> Cluster:
-    """Start all members of a fleet within a second; `loss` is the part of datagrams that is lost."""
+    """Start all members of a fleet within a second; `loss` is the fraction of datagrams that are lost."""
     cluster = Cluster(
         seed, size, VoterSet(first_voters(3)), [], LeaseTiming(), SwimTiming(), size_of=datagram_bytes
     )
@@ -44,42 +44,44 @@
     return cluster
 
 
-def _states(cluster: Cluster, state: int) -> int:
-    """Return in how many members' tables somebody who is alive is held to be in this state."""
-    here = {node.name for node in cluster.nodes.values() if node.fleet is not None}
+def _count_records(cluster: Cluster, state: int) -> int:
+    """Return how many records of running members, over all members' tables, have this state."""
+    running = {node.name for node in cluster.nodes.values() if node.fleet is not None}
     return sum(
-        row.state == state and name in here
+        record.state == state and name in running
         for node in cluster.nodes.values()
         if node.fleet is not None
-        for name, row in node.fleet.members.table.records.items()
+        for name, record in node.fleet.members.table.records.items()
     )
 
 
-def _known(cluster: Cluster, failed: set[str]) -> float:
-    """Return the part of all tables in which those who have failed are held to be dead."""
-    views = [node.fleet.members.table.records for node in cluster.nodes.values() if node.fleet is not None]
-    right = sum(name not in rows or rows[name].state == DEAD for rows in views for name in failed)
-    return right / max(1, len(views) * len(failed))
+def _detected_share(cluster: Cluster, failed: set[str]) -> float:
+    """Return the share of all members' tables that list the failed members as dead or not at all."""
+    tables = [node.fleet.members.table.records for node in cluster.nodes.values() if node.fleet is not None]
+    detected = sum(
+        name not in records or records[name].state == DEAD for records in tables for name in failed
+    )
+    return detected / max(1, len(tables) * len(failed))
 
 
 def membership_costs(seed: int, size: int) -> Iterator[str]:
-    """Measure joining, what a member sends, and how the dead are found; return the report's lines."""
+    """Measure joins, the traffic of a member, and failure detection; yield the report's lines."""
     cluster = start_fleet(seed, size)
     cluster.run(JOINED_AFTER_SECONDS)
     nodes = list(cluster.nodes.values())
-    knows = [len(node.fleet.members.alive_members()) for node in nodes if node.fleet is not None]
+    known_counts = [len(node.fleet.members.alive_members()) for node in nodes if node.fleet is not None]
     yield (
         f"{size} members that start within a second: "
-        f"after {JOINED_AFTER_SECONDS:g} s each knows {min(knows)} at least"
+        f"after {JOINED_AFTER_SECONDS:g} s each knows {min(known_counts)} at least"
     )
     for node in nodes:
         node.sent = node.sent_bytes = 0
     cluster.run(FAILURE_AT_SECONDS)
     seconds = FAILURE_AT_SECONDS - JOINED_AFTER_SECONDS
-    sent, told = [n.sent / seconds for n in nodes], [n.sent_bytes / seconds for n in nodes]
+    sent, sent_bytes = [n.sent / seconds for n in nodes], [n.sent_bytes / seconds for n in nodes]
     yield (
-        f"a member sends {sum(sent) / size:.2f} datagrams and {sum(told) / size:.0f} bytes a second "
-        f"({max(sent):.2f} and {max(told):.0f} at most)"
+        f"a member sends {sum(sent) / size:.2f} datagrams and {sum(sent_bytes) / size:.0f} bytes a second "
+        f"({max(sent):.2f} and {max(sent_bytes):.0f} at most)"
     )
     failed = {node.name for node in cluster.random.sample(nodes[5:], max(1, size // 100))}
     for name in sorted(failed):
@@ -87,14 +89,14 @@
     half = complete = 0.0
     while not complete and cluster.now < FAILURE_AT_SECONDS + 120:
         cluster.run(cluster.now + 1)
-        part = _known(cluster, failed)
-        half = half or (cluster.now - FAILURE_AT_SECONDS if part >= 0.5 else 0.0)
-        complete = cluster.now - FAILURE_AT_SECONDS if part == 1 else 0.0
+        share = _detected_share(cluster, failed)
+        half = half or (cluster.now - FAILURE_AT_SECONDS if share >= 0.5 else 0.0)
+        complete = cluster.now - FAILURE_AT_SECONDS if share == 1 else 0.0
     yield f"{len(failed)} dead: in half of all views after {half:.0f} s, in all after {complete:.0f} s"
 
 
 def false_suspicions(seed: int, size: int, loss: float, stalled: float) -> Iterator[str]:
-    """Measure how often somebody who is alive is suspected, or taken for dead."""
+    """Measure how often a running member is suspected or declared dead."""
     cluster = start_fleet(seed, size, loss)
     cluster.run(JOINED_AFTER_SECONDS)
     counted = {SUSPECT: 0, DEAD: 0, ALIVE: 0}
@@ -109,22 +111,28 @@
         cluster.schedule(at + 5.0, cluster.resume, node)
     cluster.run(JOINED_AFTER_SECONDS + OBSERVATION_SECONDS)
     hours = OBSERVATION_SECONDS / 3600
-    what = f"{loss:.0%} lost" if loss else f"{len(stopped)} of them stopped for 5 s"
+    fault = f"{loss:.0%} lost" if loss else f"{len(stopped)} of them stopped for 5 s"
     yield (
-        f"{size} members, {what}, {OBSERVATION_SECONDS:g} s: {counted[SUSPECT]} suspected who were there "
+        f"{size} members, {fault}, {OBSERVATION_SECONDS:g} s: {counted[SUSPECT]} suspected who were there "
         f"({counted[SUSPECT] / hours / size:.1f} an hour for each), {counted[DEAD]} taken for dead; "
-        f"{_states(cluster, DEAD)} views hold one for dead who is there at the end"
+        f"{_count_records(cluster, DEAD)} views hold one for dead who is there at the end"
     )
 
 
-def _count_suspicions(cluster: Cluster, node: Node, learn: Any, counted: dict[int, int]) -> Any:
-    def counts(now: float, rumour: Any) -> Any:
-        """Count the member's own suspicions among what it learns."""
-        found = learn(now, rumour)
-        own = rumour.state in (SUSPECT, DEAD) and rumour.source == node.name
-        there = cluster.nodes[rumour.member.name]
-        if own and found is not None and found[1] and there.fleet is not None and not there.is_stopped:
-            counted[rumour.state] += 1
-        return found
-
-    return counts
+def _count_suspicions(cluster: Cluster, node: Node, apply: Any, counted: dict[int, int]) -> Any:
+    def apply_and_count(now: float, update: Any) -> Any:
+        """Apply an update, and count it if it is the member's own suspicion of a running member."""
+        applied = apply(now, update)
+        is_own = update.state in (SUSPECT, DEAD) and update.source == node.name
+        target = cluster.nodes[update.member.name]
+        if (
+            is_own
+            and applied is not None
+            and applied[1]
+            and target.fleet is not None
+            and not target.is_stopped
+        ):
+            counted[update.state] += 1
+        return applied
+
+    return apply_and_count
--- a/wheatring/lab/leases/model.py
+++ b/wheatring/lab/leases/model.py
@@ -1,20 +1,20 @@
-"""A few acceptors and proposers, the real deciders, and one step at a time of all that can happen to them.
-
-Time goes in integral ticks; each process's clock runs at a rate of its own. Within an instant messages go in
-waves: all that was sent in one wave arrives in the next, at each acceptor in any order, and is answered.
-Faults are charged against a budget, one for each
-
-- message that does not arrive in its wave: from then on it may arrive at any time, or never;
-- message that arrives twice, the second time at any time, or never;
-- answer that is late, in the same way;
-- process that is stopped: until it goes on, some instant later, messages for it lie waiting;
-- process that is killed and starts anew. An acceptor may be stopped or killed between any two messages, a
-  proposer between any two waves;
-- act that is under way while time goes on;
-- lease that is given back.
-
-So a budget of 2 stands for all combinations of two of these. States that differ only by which acceptor is
-which are one.
+"""A model of a few real acceptors and proposers: all their states, and all steps between them.
+
+Time advances in whole ticks; each process's clock runs at its own rate. Within an instant, messages are
+delivered in waves: all messages sent in one wave arrive in the next, at each acceptor in any order, and are
+answered. Each of the following faults is charged against a budget:
+
+- a message does not arrive in its wave: from then on it may arrive at any time, or never;
+- a message arrives twice, the second time at any time, or never;
+- a response is late, in the same way;
+- a process is stopped: messages for it wait until it resumes, at some later instant;
+- a process is killed and restarted. An acceptor may be stopped or killed between any two messages, a proposer
+  between any two waves;
+- an act is in flight while time advances;
+- a lease is released.
+
+A budget of 2 therefore covers all combinations of two of these faults. States that differ only by a
+permutation of the acceptors are treated as one.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from wheatring.fleet.lease.voters import VoterSet
 
 LEASE = "duty/0"
-UPTIME_TICKS = 100.0  # ticks that the voters have been up for at the start
+UPTIME_TICKS = 100.0  # uptime of the voters at the start
 
 
 class Bounds(NamedTuple):
-    """What is searched. Drifts are parts of 1 by which a process's clock runs fast."""
+    """The bounds of a search. A drift is the fraction by which a process's clock runs fast."""
 
     ticks: int = 14
     faults: int = 2
@@ -44,9 +44,7 @@
     acceptors: int = 3
     proposer_drift: float = 0.0
     acceptor_drift: float = 0.0
-    starts_together: bool = (
-        False  # all ask at the same instant at first; else one about a tick after the other
-    )
+    starts_together: bool = False  # whether all first propose at the same instant, not a tick apart
 
     def describe(self) -> str:
         """Return the bounds in words, for the report."""
@@ -56,16 +54,16 @@
         )
 
 
-class NoChance:
-    """Stands in for chance: the model itself chooses who is late."""
+class NoRandomness:
+    """Replaces the random generator: the model itself chooses which messages are late."""
 
     def random(self) -> float:
         """Return no delay."""
         return 0.0
 
 
-class Deciders(NamedTuple):
-    """The deciders that are checked: the real ones, or some with a fault planted."""
+class Implementation(NamedTuple):
+    """The code under test: the real classes, or some with a planted fault."""
 
     timing: LeaseTiming = LeaseTiming(lease_seconds=6.0, max_clock_drift=0.1)
     acceptor: type[Acceptor] = Acceptor
@@ -74,7 +72,7 @@
 
 
 class InFlight(NamedTuple):
-    """Something on its way: a message, or an act with its epoch and whether its sender held the lease."""
+    """A message in flight, or an act: its epoch, and whether its sender held the lease."""
 
     source: str
     target: str
@@ -83,88 +81,86 @@
 
 
 RESOURCE = "resource"
-RANK_STEP = 5  # ranks between one proposer and the next: about a tick, so that they seldom ask at once
+RANK_STEP = 5  # ranks between two proposers: about a tick, so that they seldom propose simultaneously
 
 
 class State:
-    """One state of all processes, of what is on its way, and of the faults charged so far."""
+    """One state: the processes, the messages in flight, and the faults charged so far."""
 
     __slots__ = ("acceptors", "elected", "faults", "guard", "in_flight", "proposers", "stopped", "time")
 
-    def __init__(self, makes: Deciders, bounds: Bounds) -> None:
+    def __init__(self, implementation: Implementation, bounds: Bounds) -> None:
         self.time = 0
         self.faults = 0
         names = [f"v{number + 1}" for number in range(bounds.acceptors)]
         voters = VoterSet(tuple(names))
         self.acceptors = {
-            name: makes.acceptor(-UPTIME_TICKS, makes.timing, voters, [LEASE]) for name in names
+            name: implementation.acceptor(-UPTIME_TICKS, implementation.timing, voters, [LEASE])
+            for name in names
         }
-        still: Any = NoChance()
+        random: Any = NoRandomness()
         self.proposers = {
-            name: makes.proposer(LEASE, name, 1, makes.timing, voters, still)
+            name: implementation.proposer(LEASE, name, 1, implementation.timing, voters, random)
             for name in "abc"[: bounds.proposers]
         }
         for number, proposer in enumerate(self.proposers.values()):
             proposer.set_rank(0.0, 0 if bounds.starts_together else number * RANK_STEP)
         self.in_flight: frozenset[InFlight] = frozenset()
         self.stopped: frozenset[str] = frozenset()
-        self.guard = makes.guard()
-        self.elected = (0, "", 0)  # the last term's epoch, whose it was, and of which start
+        self.guard = implementation.guard()
+        self.elected = (0, "", 0)  # epoch, holder and holder's incarnation of the last lease
 
     def fork(self) -> State:
-        """Return a copy that shares all deciders: whoever changes one copies it first."""
+        """Return a copy that shares all processes; a step copies a process before it changes it."""
         other = copy.copy(self)
         other.acceptors = dict(self.acceptors)
         other.proposers = dict(self.proposers)
         return other
 
     def key(self) -> tuple[Any, ...]:
-        """Return a value that is the same for states from which the same can follow.
-
-        Which acceptor is which makes no difference.
-        """
+        """Return a value that is equal for states that are equal up to a permutation of the acceptors."""
         acts = []
-        of: dict[str, list[Any]] = {name: [] for name in self.acceptors}
+        in_flight_of: dict[str, list[Any]] = {name: [] for name in self.acceptors}
         for item in self.in_flight:
             if item.target == RESOURCE:
                 acts.append(item)
-            elif item.target in of:
-                of[item.target].append((item.source, item.content, item.is_late))
+            elif item.target in in_flight_of:
+                in_flight_of[item.target].append((item.source, item.content, item.is_late))
             else:
-                of[item.source].append((item.target, item.content, item.is_late))
+                in_flight_of[item.source].append((item.target, item.content, item.is_late))
         voters = []
-        for name, v in self.acceptors.items():
-            place = v.leases[LEASE]
+        for name, acceptor in self.acceptors.items():
+            lease = acceptor.leases[LEASE]
             answers = tuple(
-                (c.granted_by.get(name, -1), c.rejected_by.get(name, -1)) for c in self.proposers.values()
+                (p.granted_by.get(name, -1), p.rejected_by.get(name, -1)) for p in self.proposers.values()
             )
-            voters.append((v.abstains_until, place.promised, place.holder, place.held_until, place.epoch,
-                           place.round, name in self.stopped, answers,
-                           hash(frozenset(of[name]))))  # fmt: skip
+            voters.append((acceptor.abstains_until, lease.promised, lease.holder, lease.held_until, lease.epoch,
+                           lease.round, name in self.stopped, answers,
+                           hash(frozenset(in_flight_of[name]))))  # fmt: skip
         voters.sort()
         proposers = tuple(
-            (c.incarnation, c.due, c.proposal, c.round, c.round_started, c.phase,
-             c.is_renewing, c.highest_promised, c.epoch, c.highest_epoch, c.held_until, name in self.stopped)
-            for name, c in self.proposers.items()
+            (p.incarnation, p.due, p.proposal, p.round, p.round_started, p.phase,
+             p.is_renewing, p.highest_promised, p.epoch, p.highest_epoch, p.held_until, name in self.stopped)
+            for name, p in self.proposers.items()
         )  # fmt: skip
         return (self.time, self.faults, frozenset(acts), self.elected,
                 self.guard.highest_token, tuple(voters), proposers)  # fmt: skip
 
 
 class RuleBrokenError(Exception):
-    """A rule does not hold in a state; the text says which."""
+    """A rule does not hold in a state; the message names it."""
 
 
 class Model:
-    """All steps from one state to the next, within bounds."""
+    """The steps from each state to the next, within bounds."""
 
-    def __init__(self, bounds: Bounds, deciders: Deciders | None = None) -> None:
+    def __init__(self, bounds: Bounds, implementation: Implementation | None = None) -> None:
         self.bounds = bounds
-        self.deciders = deciders or Deciders()
+        self.implementation = implementation or Implementation()
 
     def start(self) -> State:
         """Return the first state."""
-        return State(self.deciders, self.bounds)
+        return State(self.implementation, self.bounds)
 
     # Clocks
 
@@ -179,19 +175,20 @@
     # Steps
 
     def steps(self, state: State) -> Iterator[tuple[str, State]]:
-        """Return all that can happen next: in words, and the state after it.
+        """Yield each step that is possible next, as its description and the state after it.
 
         Raises
         ------
         RuleBrokenError
             A step breaks a rule.
         """
-        now, left = self.proposer_clock(state), self.bounds.faults - state.faults
+        now, faults_left = self.proposer_clock(state), self.bounds.faults - state.faults
         for item in sorted(
-            (w for w in state.in_flight if w.is_late and w.target not in state.stopped), key=_sort_key
+            (item for item in state.in_flight if item.is_late and item.target not in state.stopped),
+            key=_sort_key,
         ):
             yield self._deliver_late(state, item)
-        due = [n for n, c in state.proposers.items() if c.due <= now and n not in state.stopped]
+        due = [n for n, p in state.proposers.items() if p.due <= now and n not in state.stopped]
         if due:
             yield from self._with_process_faults(self._tick(state, due))
             return
@@ -204,9 +201,9 @@
             epoch = proposer.epoch_to_act(now)
             if epoch is None or name in state.stopped:
                 continue
-            if left and not any(item.target == RESOURCE for item in state.in_flight):
+            if faults_left and not any(item.target == RESOURCE for item in state.in_flight):
                 yield self._act(state, name, late=True)
-            if left:
+            if faults_left:
                 yield self._release(state, name)
             if epoch != state.guard.highest_token:
                 yield self._act(state, name)
@@ -217,27 +214,27 @@
             yield from self._start_instant((f"--- {after.time}", after))
 
     def _with_process_faults(self, step: tuple[str, State]) -> Iterator[tuple[str, State]]:
-        """Return a step, and the same where a proposer is stopped or killed right after it."""
+        """Yield a step, and its variants in which a proposer is stopped or killed right after it."""
         yield step
         text, state = step
         if state.faults < self.bounds.faults:
             for name in sorted(state.proposers.keys() - state.stopped):
-                for again, after in (self._stop(state, name), self._restart(state, name)):
-                    yield f"{text}; {again}", after
+                for fault, after in (self._stop(state, name), self._restart(state, name)):
+                    yield f"{text}; {fault}", after
 
     def _start_instant(self, step: tuple[str, State], after: str = "") -> Iterator[tuple[str, State]]:
-        """Return an instant's start: any process may be stopped or killed, and stopped ones may go on."""
+        """Yield the start of an instant: processes may be stopped or killed, and stopped ones may resume."""
         yield step
         text, state = step
         for name in sorted([*state.acceptors, *state.proposers]):
             if name <= after:
-                continue  # each set of them once
+                continue  # yields each combination once
             if name in state.stopped:
-                again, other = self._resume(state, name)
-                yield from self._start_instant((f"{text}; {again}", other), name)
+                change, other = self._resume(state, name)
+                yield from self._start_instant((f"{text}; {change}", other), name)
             elif state.faults < self.bounds.faults:
-                for again, other in (self._stop(state, name), self._restart(state, name)):
-                    yield from self._start_instant((f"{text}; {again}", other), name)
+                for change, other in (self._stop(state, name), self._restart(state, name)):
+                    yield from self._start_instant((f"{text}; {change}", other), name)
 
     def _stop(self, state: State, name: str) -> tuple[str, State]:
         after = state.fork()
@@ -257,26 +254,28 @@
         if name in state.acceptors:
             after.acceptors[name] = self._new_acceptor(state, name)
         else:
-            was = state.proposers[name]
-            new = after.proposers[name] = self.deciders.proposer(
-                LEASE, name, was.incarnation + 1, self.deciders.timing, was.voters, was.random
+            old = state.proposers[name]
+            new = after.proposers[name] = self.implementation.proposer(
+                LEASE, name, old.incarnation + 1, self.implementation.timing, old.voters, old.random
             )
             new.set_rank(self.proposer_clock(state), 0)
         return f"{name} is killed and starts anew", after
 
     def _new_acceptor(self, state: State, name: str) -> Acceptor:
         voters = state.acceptors[name].voters
-        return self.deciders.acceptor(self.acceptor_clock(state), self.deciders.timing, voters, [LEASE])
+        return self.implementation.acceptor(
+            self.acceptor_clock(state), self.implementation.timing, voters, [LEASE]
+        )
 
     def _tick(self, state: State, names: list[str]) -> tuple[str, State]:
         after = state.fork()
-        said = []
+        descriptions = []
         for name in names:
-            proposer = after.proposers[name] = copy_decider(state.proposers[name])
-            told = proposer.tick(self.proposer_clock(state))
-            after.in_flight |= {InFlight(name, voter, item) for voter, item in told}
-            said.append(f"{name}: {_describe(told[0][1]) if told else 'waits'}")
-        text = ", ".join(said)
+            proposer = after.proposers[name] = copy_process(state.proposers[name])
+            requests = proposer.tick(self.proposer_clock(state))
+            after.in_flight |= {InFlight(name, voter, item) for voter, item in requests}
+            descriptions.append(f"{name}: {_describe(requests[0][1]) if requests else 'waits'}")
+        text = ", ".join(descriptions)
         return text, self._check_rules(after, text)
 
     def _act(self, state: State, name: str, late: bool = False) -> tuple[str, State]:
@@ -292,20 +291,20 @@
     def _release(self, state: State, name: str) -> tuple[str, State]:
         after = state.fork()
         after.faults += 1
-        proposer = after.proposers[name] = copy_decider(state.proposers[name])
-        told = proposer.release(self.proposer_clock(state))
-        after.in_flight |= {InFlight(name, voter, item) for voter, item in told}
+        proposer = after.proposers[name] = copy_process(state.proposers[name])
+        requests = proposer.release(self.proposer_clock(state))
+        after.in_flight |= {InFlight(name, voter, item) for voter, item in requests}
         return f"{name} gives it back", after
 
     def _deliver_late(self, state: State, item: InFlight) -> tuple[str, State]:
-        """Deliver something that was late. What it brings about is sent in the next wave."""
+        """Deliver a late message or act; the messages that it causes are sent in the next wave."""
         after = state.fork()
         after.in_flight -= {item}
         if item.target == RESOURCE:
             return self._admit_act(after, item)
         text = f"late: {item.target} hears {item.source}: {_describe(item.content)}"
         if item.target in state.acceptors:
-            voter = after.acceptors[item.target] = copy_decider(state.acceptors[item.target])
+            voter = after.acceptors[item.target] = copy_process(state.acceptors[item.target])
             answer = voter.receive(self.acceptor_clock(state), state.time, item.content)
             if answer is not None:
                 after.in_flight |= {InFlight(item.target, item.source, answer)}
@@ -313,127 +312,131 @@
         return self._deliver_to_proposers(after, [item], text)
 
     def _deliver_wave(self, state: State, fresh: list[InFlight]) -> Iterator[tuple[str, State]]:
-        """Deliver all that has been sent, in any order, with the answers; less what is charged as a fault."""
+        """Deliver a wave of messages in any order, with their answers, except for messages hit by a fault."""
         base = state.fork()
         base.in_flight = state.in_flight.difference(fresh)
         answers = [item for item in fresh if item.target in state.proposers]
-        runs: list[tuple[State, list[str], list[InFlight]]] = [(base, [], answers)]
+        outcomes: list[tuple[State, list[str], list[InFlight]]] = [(base, [], answers)]
         for name in state.acceptors:
             items = sorted((item for item in fresh if item.target == name), key=_sort_key)
             if items:
-                runs = [
-                    (after, text + more, heard + further)
-                    for before, text, heard in runs
-                    for after, more, further in self._deliver_to_acceptor(before, name, items)
+                outcomes = [
+                    (after, trace + more_trace, answers + more_answers)
+                    for before, trace, answers in outcomes
+                    for after, more_trace, more_answers in self._deliver_to_acceptor(before, name, items)
                 ]
-        for after, text, heard in runs:
-            yield self._deliver_to_proposers(after, sorted(heard, key=_sort_key), "; ".join(text))
+        for after, trace, answers in outcomes:
+            yield self._deliver_to_proposers(after, sorted(answers, key=_sort_key), "; ".join(trace))
 
     def _deliver_to_acceptor(
         self, state: State, name: str, items: list[InFlight]
     ) -> Iterator[tuple[State, list[str], list[InFlight]]]:
-        """Return what one acceptor may make of a wave's messages: state, trace and answers."""
+        """Yield the possible outcomes of a wave's messages at one acceptor: state, trace and answers."""
         if not items:
             yield state, [], []
             return
-        left = self.bounds.faults - state.faults
+        faults_left = self.bounds.faults - state.faults
         if name in state.stopped:
             after = state.fork()
             after.in_flight |= set(items)
             yield after, [], []
             return
-        if len(items) <= left:  # the rest is late
+        if len(items) <= faults_left:  # all of these messages are late
             after = state.fork()
             after.faults += len(items)
             after.in_flight |= {item._replace(is_late=True) for item in items}
-            yield after, [f"{name} does not hear {w.source}: {_describe(w.content)}" for w in items], []
+            yield (
+                after,
+                [f"{name} does not hear {item.source}: {_describe(item.content)}" for item in items],
+                [],
+            )
         for item in items:
             rest = [other for other in items if other is not item]
             after = state.fork()
-            voter = after.acceptors[name] = copy_decider(state.acceptors[name])
+            voter = after.acceptors[name] = copy_process(state.acceptors[name])
             answer = voter.receive(self.acceptor_clock(state), state.time, item.content)
             text = f"{name} hears {item.source}: {_describe(item.content)}"
-            back = [InFlight(name, item.source, answer)] if answer is not None else []
+            answers = [InFlight(name, item.source, answer)] if answer is not None else []
             if answer is not None:
                 text += f", answers {_describe(answer)}"
-            ways = [(after, text, back)]
-            if left:
-                twice, late = after.fork(), after.fork()
-                twice.faults += 1
-                twice.in_flight |= {item._replace(is_late=True)}
-                ways.append((twice, f"{text} (and will again)", back))
+            outcomes = [(after, text, answers)]
+            if faults_left:
+                duplicated, late = after.fork(), after.fork()
+                duplicated.faults += 1
+                duplicated.in_flight |= {item._replace(is_late=True)}
+                outcomes.append((duplicated, f"{text} (and will again)", answers))
                 late.faults += 1
-                late.in_flight |= {one._replace(is_late=True) for one in back}
-                if back:
-                    ways.append((late, f"{text}, which is late", []))
-                for again, other in (self._stop(after, name), self._restart(after, name)):
-                    ways.append((other, f"{text}; {again}", back))
-            for way, said, heard in ways:
-                for last, more, further in self._deliver_to_acceptor(way, name, rest):
-                    yield last, [said, *more], heard + further
+                late.in_flight |= {one._replace(is_late=True) for one in answers}
+                if answers:
+                    outcomes.append((late, f"{text}, which is late", []))
+                for fault, other in (self._stop(after, name), self._restart(after, name)):
+                    outcomes.append((other, f"{text}; {fault}", answers))
+            for outcome, step, step_answers in outcomes:
+                for last, more_trace, more_answers in self._deliver_to_acceptor(outcome, name, rest):
+                    yield last, [step, *more_trace], step_answers + more_answers
 
     def _deliver_to_proposers(self, after: State, items: list[InFlight], text: str) -> tuple[str, State]:
-        """Deliver answers to proposers; one that is stopped finds them when it goes on."""
+        """Deliver answers to proposers; a stopped one receives them when it resumes."""
         now = self.proposer_clock(after)
         for item in items:
             if item.target in after.stopped:
                 after.in_flight |= {item}
                 continue
-            proposer = after.proposers[item.target] = copy_decider(after.proposers[item.target])
-            before = proposer.holds_lease(now)
-            told = proposer.receive(now, item.source, item.content)
-            after.in_flight |= {InFlight(item.target, voter, one) for voter, one in told}
-            if proposer.holds_lease(now) and not before:
+            proposer = after.proposers[item.target] = copy_process(after.proposers[item.target])
+            held_before = proposer.holds_lease(now)
+            requests = proposer.receive(now, item.source, item.content)
+            after.in_flight |= {InFlight(item.target, voter, one) for voter, one in requests}
+            if proposer.holds_lease(now) and not held_before:
                 text = f"{text}; {item.target} holds term {proposer.epoch}"
             self._check_rules(after, text)
         return text, after
 
     def _admit_act(self, after: State, item: InFlight) -> tuple[str, State]:
-        epoch, in_office = item.content
+        epoch, was_held = item.content
         before = after.guard.highest_token
         after.guard = copy.copy(after.guard)
         text = f"the act of {item.source} in term {epoch} arrives"
         if after.guard.admit(epoch):
-            if not in_office:
+            if not was_held:
                 raise RuleBrokenError(f"{text}: it was begun out of office, and is let in")
             if epoch < before:
                 raise RuleBrokenError(f"{text} after one of term {before}, and is let in")
         return text, after
 
     def _check_rules(self, state: State, text: str) -> State:
-        """Check the rules, after a step of a proposer."""
+        """Check the rules after a step of a proposer."""
         now = self.proposer_clock(state)
         holders = [name for name, proposer in state.proposers.items() if proposer.holds_lease(now)]
         if len(holders) > 1:
             raise RuleBrokenError(f"{text}: {' and '.join(holders)} hold it at the same time")
         for name in holders:
             proposer = state.proposers[name]
-            term = (proposer.epoch, name, proposer.incarnation)
-            if term == state.elected:
+            lease = (proposer.epoch, name, proposer.incarnation)
+            if lease == state.elected:
                 continue
             if proposer.epoch <= state.elected[0]:
                 raise RuleBrokenError(f"{text}: term {proposer.epoch} after term {state.elected[0]}")
-            state.elected = term
+            state.elected = lease
         return state
 
 
-def copy_decider(decider: Any) -> Any:
-    """Return a copy that shares nothing which either of the two changes."""
-    other = copy.copy(decider)
-    if isinstance(decider, Acceptor):
-        other.leases = {lease: copy.copy(state) for lease, state in decider.leases.items()}
+def copy_process(process: Any) -> Any:
+    """Return a copy of an acceptor or a proposer that shares no mutable state with it."""
+    other = copy.copy(process)
+    if isinstance(process, Acceptor):
+        other.leases = {lease: copy.copy(state) for lease, state in process.leases.items()}
     else:
-        other.granted_by = dict(decider.granted_by)
-        other.rejected_by = dict(decider.rejected_by)
+        other.granted_by = dict(process.granted_by)
+        other.rejected_by = dict(process.rejected_by)
     return other
 
 
 def _describe(item: Any) -> str:
     values = structs.asdict(item)
-    shown = f"{type(item).__name__.lower()} {item.proposal.proposer}{item.proposal.number}"
+    text = f"{type(item).__name__.lower()} {item.proposal.proposer}{item.proposal.number}"
     if "epoch" in values and item.epoch:
-        shown += f" term {item.epoch}"
-    return f"{shown} {values['reason']}" if "reason" in values else shown
+        text += f" term {item.epoch}"
+    return f"{text} {values['reason']}" if "reason" in values else text
 
 
 def _sort_key(item: InFlight) -> tuple[Any, ...]:
--- a/wheatring/lab/leases/search.py
+++ b/wheatring/lab/leases/search.py
@@ -1,4 +1,4 @@
-"""Searches all states of a model, and returns the shortest trace to a broken rule."""
+"""Searches all states of a model for the shortest trace to a broken rule."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 
 class SearchResult(NamedTuple):
-    """What a search has found."""
+    """The result of a search."""
 
     state_count: int
     depth: int  # steps
     seconds: float
-    is_complete: bool  # all states were searched
-    trace: list[str]  # the shortest trace to a broken rule, and which; empty: none is broken
+    is_complete: bool  # whether all states were searched
+    trace: list[str]  # the shortest trace to a broken rule, and the rule; empty if none is broken
 
 
 def search(model: Model, max_states: int) -> SearchResult:
     """Search breadth first, up to `max_states` states.
 
-    States are known by a hash of 64 bits: of 10 million, two are taken for one with a chance of 3 in a
+    States are identified by a 64-bit hash: among 10 million states, the chance that two collide is 3 in a
     million.
     """
-    began = time.monotonic()
+    started_at = time.monotonic()
     first = model.start()
     seen = {hash(first.key())}
-    came_from: dict[int, tuple[int, str]] = {}
+    predecessors: dict[int, tuple[int, str]] = {}
     layer: list[tuple[int, Any]] = [(hash(first.key()), first)]
     depth = 0
     while layer:
@@ -40,23 +40,23 @@
                 except StopIteration:
                     break
                 except RuleBrokenError as broken:
-                    trace = [*_trace(came_from, key), str(broken)]
-                    return SearchResult(len(seen), depth + 1, time.monotonic() - began, False, trace)
+                    trace = [*_trace(predecessors, key), str(broken)]
+                    return SearchResult(len(seen), depth + 1, time.monotonic() - started_at, False, trace)
                 new = hash(after.key())
                 if new not in seen:
                     seen.add(new)
-                    came_from[new] = (key, step)
+                    predecessors[new] = (key, step)
                     following.append((new, after))
                 if len(seen) > max_states:
-                    return SearchResult(len(seen), depth, time.monotonic() - began, False, [])
+                    return SearchResult(len(seen), depth, time.monotonic() - started_at, False, [])
         layer = following
         depth += 1
-    return SearchResult(len(seen), depth, time.monotonic() - began, True, [])
+    return SearchResult(len(seen), depth, time.monotonic() - started_at, True, [])
 
 
-def _trace(came_from: dict[int, tuple[int, str]], key: int) -> list[str]:
+def _trace(predecessors: dict[int, tuple[int, str]], key: int) -> list[str]:
     steps = []
-    while key in came_from:
-        key, step = came_from[key]
+    while key in predecessors:
+        key, step = predecessors[key]
         steps.append(step)
     return steps[::-1]
--- a/wheatring/lab/model_checker/consensus_model.py
+++ b/wheatring/lab/model_checker/consensus_model.py
@@ -1,8 +1,7 @@
-"""Controllers whose events come in any order, with operators who change the configuration and read it back.
+"""A model of controllers whose events occur in any order, and of operators that change and read the state.
 
-Machines may be delayed, crashed, wiped and partitioned off; operators retry their commands. An action is one
-line (`tick A`, `deliver A B VoteReply`, `wipe C`), so a trace through the states is a text that can be
-replayed (`trace`).
+Machines may be delayed, crashed, wiped and partitioned; operators retry their commands. An action is one line
+of text (`tick A`, `deliver A B VoteReply`, `wipe C`), so a trace can be stored and replayed (`trace`).
 """
 
 from __future__ import annotations
@@ -32,28 +31,28 @@
 from wheatring.tier.controller.voter_selection import Candidate, next_voters
 from wheatring.tier.transport.messages_pb2 import Entry, HardState
 
-MAX_IN_FLIGHT = 24  # messages; the oldest one is lost beyond them
-UNHEARD_SECONDS = 9.0  # for which a voter that is to be replaced has not been heard from
-MAX_CLAIM_STALENESS_SECONDS = 1.0  # up to which a controller's configuration is believed to be current
+MAX_IN_FLIGHT = 24  # messages; above this number the oldest ones are lost
+SILENT_VOTER_SECONDS = 9.0  # silence reported for a voter that should be replaced
+MAX_CLAIM_STALENESS_SECONDS = 1.0  # below this staleness a controller treats its configuration as current
 
 
 @dataclass(frozen=True, slots=True)
 class PendingCommand:
-    """A command whose operator waits at a leader for a certain outcome."""
+    """A command that a leader has received and not yet answered."""
 
     machine: str
     incarnation: int
     term: int
-    position: Position | None  # of the entry that has to be committed, or None where nothing has changed
-    round: int  # that a quorum has to answer, where nothing has changed
+    position: Position | None  # the entry that must be committed; None if the command changes nothing
+    round: int  # the round that a quorum must answer if the command changes nothing
     change: Acknowledged | None
-    read: int | None = None  # the generation that a read will return; -1 for a rejected retry
-    min_generation: int = 0  # acknowledged before the read started
+    read: int | None = None  # the generation that a read returns; -1 for a rejected retry
+    min_generation: int = 0  # the newest generation acknowledged before the read started
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What a search may do, and which code it drives; a flag that is not its default is a mutant."""
+    """The options of a search and the code under test; a flag that differs from its default is a mutant."""
 
     names: tuple[str, ...] = ("A", "B", "C")
     make_replica: ReplicaFactory = Replica
@@ -69,9 +68,9 @@
 
 
 def commands_on(base: int, operator: int) -> list[ReplaceConfiguration | UpdateConfiguration]:
-    """Return a replacement by one operator and an update by another one, on the same version.
+    """Return a replacement and an update by two operators, both based on the same version.
 
-    Each kind comes first in turn.
+    Which of them comes first alternates with the version.
     """
     replacement = ReplaceConfiguration(base, body_of(base + 1, operator))
     update = UpdateConfiguration(
@@ -81,7 +80,7 @@
 
 
 class Model:
-    """One state of the modelled system, and the steps out of it."""
+    """One state of the modelled system, and the steps that lead out of it."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
@@ -97,15 +96,15 @@
 
     def clone(self) -> Model:
         """Return an independent copy."""
-        twin = object.__new__(Model)
-        twin.rules, twin.now = self.rules, self.now
-        twin.history = self.history.clone()
-        twin.in_flight, twin.pending_commands = list(self.in_flight), list(self.pending_commands)
-        twin.machines = {name: machine.clone() for name, machine in self.machines.items()}
-        return twin
+        copied = object.__new__(Model)
+        copied.rules, copied.now = self.rules, self.now
+        copied.history = self.history.clone()
+        copied.in_flight, copied.pending_commands = list(self.in_flight), list(self.pending_commands)
+        copied.machines = {name: machine.clone() for name, machine in self.machines.items()}
+        return copied
 
     def key(self) -> int:
-        """Return a key that distinguishes states, but for the numbers of rounds and replies."""
+        """Return a key for this state; round and reply numbers do not affect it."""
         machines = tuple(self._machine_key(machine) for machine in self.machines.values())
         in_flight = tuple(sorted((f.source, f.target, f.kind, f.data) for f in self.in_flight))
         acknowledged = tuple(change.digest for change in self.history.acknowledged)
@@ -137,12 +136,12 @@
 
         Returns
         -------
-        False where the step is not possible in this state.
+        False if the step is not possible in this state.
 
         Raises
         ------
         InvariantViolationError
-            The state behind the step violates an invariant.
+            The state after the step violates an invariant.
         """
         verb, *arguments = action.split()
         step = getattr(self, f"_do_{verb}")
@@ -152,7 +151,7 @@
         return True
 
     def actions(self) -> Iterator[str]:
-        """Yield all steps out of this state."""
+        """Yield all steps that may be possible in this state."""
         counts: dict[tuple[str, str, str], int] = {}
         for message in self.in_flight:
             connection = (message.source, message.target, message.kind)
@@ -185,7 +184,7 @@
         return max(leading, key=lambda machine: machine.replica.term, default=None)
 
     def may_wipe(self) -> bool:
-        """Tell whether the tolerance covers another lost disk: those lost before have been replaced."""
+        """Return whether the fault tolerance covers another lost disk, as all earlier ones are replaced."""
         leader = self.leader()
         if leader is None or not leader.replica.can_propose or len(leader.replica.voters) < 3:
             return False
@@ -195,7 +194,7 @@
         synced = [m for m in self.machines.values() if entry_position(m.disk.entry) == newest]
         return voters <= alive and {machine.disk.replica_id for machine in synced} >= voters
 
-    def _carry_out(self, machine: SimulatedMachine, effects: Effects) -> bool:
+    def _apply_effects(self, machine: SimulatedMachine, effects: Effects) -> bool:
         for outgoing in effects.messages:
             data = outgoing.message.SerializeToString()
             self.in_flight.append(InFlightMessage(machine.name, outgoing.to.address, outgoing.message, data))
@@ -204,13 +203,13 @@
         return True
 
     def _do_tick(self, name: str) -> bool:
-        """Fire the timer of a machine; time is as late as that for all."""
+        """Fire the timer of a machine; the time of all machines advances to its deadline."""
         machine = self.machines[name]
         self.now = max(self.now, machine.replica.next_deadline())
-        return self._carry_out(machine, machine.replica.tick(self.now))
+        return self._apply_effects(machine, machine.replica.tick(self.now))
 
     def _do_elapse(self, seconds: str) -> bool:
-        """Let time pass without any timer."""
+        """Advance the time without firing a timer."""
         self.now += float(seconds)
         return True
 
@@ -225,18 +224,18 @@
         if message is None:
             return False
         self.in_flight.remove(message)
-        return self._arrive(message)
+        return self._receive(message)
 
     def _do_duplicate(self, *arguments: str) -> bool:
-        """Deliver a message that will arrive once more."""
+        """Deliver a message and keep it in flight, so that it may arrive again."""
         message = self._find_message(arguments)
-        return message is not None and self._arrive(message)
+        return message is not None and self._receive(message)
 
-    def _arrive(self, message: InFlightMessage) -> bool:
+    def _receive(self, message: InFlightMessage) -> bool:
         machine = self.machines.get(message.target)
         if machine is None:
             return True
-        return self._carry_out(machine, machine.replica.receive(self.now, message.message))
+        return self._apply_effects(machine, machine.replica.receive(self.now, message.message))
 
     def _do_drop(self, *arguments: str) -> bool:
         message = self._find_message(arguments)
@@ -245,21 +244,21 @@
         return message is not None
 
     def _do_hush(self) -> bool:
-        """Lose all messages on their way."""
+        """Drop all messages in flight."""
         self.in_flight.clear()
         return True
 
     def _do_sync(self, name: str) -> bool:
-        """Complete the oldest write."""
+        """Complete the oldest pending write."""
         machine = self.machines[name]
         if not machine.pending:
             return False
         write = machine.pending.pop(0)
-        machine.disk.keep(write.record)
-        return self._carry_out(machine, machine.replica.write_completed(self.now, write))
+        machine.disk.store(write.record)
+        return self._apply_effects(machine, machine.replica.write_completed(self.now, write))
 
     def _do_fail(self, name: str) -> bool:
-        """Let the oldest write fail."""
+        """Fail the oldest pending write."""
         machine = self.machines[name]
         if not machine.pending:
             return False
@@ -267,12 +266,12 @@
         return True
 
     def _do_crash(self, name: str) -> bool:
-        """Let a machine lose power and come back; what was on its way to it may still arrive."""
+        """Restart a machine after a power loss; messages in flight to it may still arrive."""
         self.machines[name] = self.machines[name].restarted(self.now)
         return True
 
     def _do_wipe(self, name: str) -> bool:
-        """Let a machine lose power and its disk."""
+        """Restart a machine after a power loss, with a new disk."""
         if not self.may_wipe():
             return False
         machine = self.machines[name]
@@ -283,10 +282,10 @@
         self.machines[name] = wiped
         return True
 
-    # Commands of operators, and the controllers' own maintenance
+    # Operator commands and the controllers' own maintenance
 
     def _do_change(self, name: str) -> bool:
-        """Let two operators change the newest version at once; one of them wins."""
+        """Submit concurrent changes of the newest version by two operators; one of them is accepted."""
         machine = self.machines[name]
         replica = machine.replica
         if not replica.can_propose or replica.committed is None:
@@ -305,7 +304,7 @@
         self.pending_commands.append(
             PendingCommand(name, machine.incarnation, replica.term, position, 0, change)
         )
-        return self._carry_out(machine, effects)
+        return self._apply_effects(machine, effects)
 
     def _do_repeat(self, name: str) -> bool:
         """Retry the newest acknowledged command."""
@@ -316,14 +315,12 @@
         command = self.history.acknowledged[-1].command
         applied = apply_batch(replica.committed.data, [command])
         if applied.new_state is not None:
-            return False  # accepted anew by a leader that can no longer commit it
+            return False  # only a leader that can no longer commit accepts the command again
         if not isinstance(applied.outcomes[0], Accepted | Indeterminate):
             number, effects = replica.confirm_leadership(self.now)
-            pending_commands = PendingCommand(
-                name, machine.incarnation, replica.term, None, number, None, -1, 0
-            )
-            self.pending_commands.append(pending_commands)
-            return self._carry_out(machine, effects)
+            pending = PendingCommand(name, machine.incarnation, replica.term, None, number, None, -1, 0)
+            self.pending_commands.append(pending)
+            return self._apply_effects(machine, effects)
         return True
 
     def _do_read(self, name: str) -> bool:
@@ -334,17 +331,17 @@
         generation = generation_of(replica.committed.data)
         min_generation = self.history.newest_acknowledged
         if not self.rules.reads_need_round:
-            self.history.saw_read(generation, min_generation)
+            self.history.record_read(generation, min_generation)
             return True
         number, effects = replica.confirm_leadership(self.now)
-        pending_commands = PendingCommand(
+        pending = PendingCommand(
             name, machine.incarnation, replica.term, None, number, None, generation, min_generation
         )
-        self.pending_commands.append(pending_commands)
-        return self._carry_out(machine, effects)
+        self.pending_commands.append(pending)
+        return self._apply_effects(machine, effects)
 
     def _do_members(self, name: str, silent: str = "") -> bool:
-        """Maintain the voters on a leader; one machine may have been silent for long."""
+        """Run a leader's voter maintenance; `silent` names a machine that has long been unreachable."""
         machine = self.machines[name]
         replica = machine.replica
         if replica.state is not State.LEADER:
@@ -363,19 +360,21 @@
             for i, member in learners.items()
             if i in replica.progress
         ]
-        unheard = {voter.replica_id: UNHEARD_SECONDS for voter in replica.voters if voter.address == silent}
+        silences = {
+            voter.replica_id: SILENT_VOTER_SECONDS for voter in replica.voters if voter.address == silent
+        }
         wanted = next_voters(
-            replica.me.replica_id, replica.voters, candidates, unheard, 2 * self.rules.losses + 1
+            replica.me.replica_id, replica.voters, candidates, silences, 2 * self.rules.losses + 1
         )
         if wanted is None or all(voter.replica_id != replica.me.replica_id for voter in wanted):
             return False
         _, effects = replica.propose(self.now, replica.entry.data, wanted)
-        return self._carry_out(machine, effects)
+        return self._apply_effects(machine, effects)
 
     def _do_transfer(self, name: str) -> bool:
         machine = self.machines[name]
         effects = machine.replica.transfer()
-        return bool(effects.messages) and self._carry_out(machine, effects)
+        return bool(effects.messages) and self._apply_effects(machine, effects)
 
     # Checks
 
@@ -383,38 +382,40 @@
         for name, machine in self.machines.items():
             replica = machine.replica
             if replica.state is State.LEADER:
-                self.history.saw_leader(replica.term, replica.me.replica_id)
+                self.history.record_leader(replica.term, replica.me.replica_id)
             if replica.committed is not None:
-                self.history.saw_committed(replica.committed)
+                self.history.record_committed(replica.committed)
                 self._check_freshness(name, replica)
         self._answer_operators()
 
     def _check_freshness(self, name: str, replica: Replica) -> None:
-        silence = replica.staleness(self.now)
-        if replica.committed is not None and silence < MAX_CLAIM_STALENESS_SECONDS:
-            self.history.saw_freshness_claim(name, generation_of(replica.committed.data), self.now - silence)
+        staleness = replica.staleness(self.now)
+        if replica.committed is not None and staleness < MAX_CLAIM_STALENESS_SECONDS:
+            self.history.record_freshness_claim(
+                name, generation_of(replica.committed.data), self.now - staleness
+            )
 
     def _answer_operators(self) -> None:
-        """Answer the commands that are certain; drop those that cannot become certain any more."""
-        uncertain = []
+        """Answer the commands whose outcome is decided; drop those whose leader restarted or was deposed."""
+        undecided = []
         for pending in self.pending_commands:
             machine = self.machines[pending.machine]
             replica = machine.replica
             is_leader = replica.state is State.LEADER and replica.term == pending.term
             if machine.incarnation != pending.incarnation or not is_leader:
                 continue
-            if not self._is_certain(pending, replica):
-                uncertain.append(pending)
+            if not self._is_decided(pending, replica):
+                undecided.append(pending)
             elif pending.change is not None:
-                self.history.saw_acknowledged(replace(pending.change, at=self.now))
+                self.history.record_acknowledged(replace(pending.change, at=self.now))
             elif pending.read is not None and pending.read < 0:
                 raise InvariantViolationError("a repeat of an acknowledged order is refused")
             elif pending.read is not None:
-                self.history.saw_read(pending.read, pending.min_generation)
-        self.pending_commands = uncertain
+                self.history.record_read(pending.read, pending.min_generation)
+        self.pending_commands = undecided
 
     @staticmethod
-    def _is_certain(pending: PendingCommand, replica: Replica) -> bool:
+    def _is_decided(pending: PendingCommand, replica: Replica) -> bool:
         if pending.position is None:
             return replica.confirmed_round >= pending.round
         return replica.committed is not None and entry_position(replica.committed) >= pending.position
--- a/wheatring/lab/model_checker/consensus_mutants.py
+++ b/wheatring/lab/model_checker/consensus_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the consensus deciders: faults that a search has to find."""
+"""Mutants of the consensus replica: planted faults that random walks must find."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
     VoteRequest,
 )
 
-FIND_LENGTH = 500  # steps of a walk
-SHORT_LENGTH = 20
+LONG_WALK_STEPS = 500
+SHORT_WALK_STEPS = 20
 
 
 class SingleStepVoterChange(Replica):
-    """Lets the new voters decide alone from the first entry on."""
+    """Changes the voters in one step, without an entry that needs majorities of the old and the new ones."""
 
     def propose(
         self, now: float, data: bytes, voters: Iterable[Member] | None = None
     ) -> tuple[Position, Effects]:
-        """Propose an entry without the old set."""
+        """Propose an entry without the old voters."""
         position, effects = super().propose(now, data, voters)
         finish_change(self.entry)
         for write in effects.writes:
@@ -65,13 +65,13 @@
 
 
 class CommitsOlderTerms(Replica):
-    """Takes the entry that it found as committed once a quorum has it, and adds none of its own."""
+    """Commits the entry of an older term once a quorum has it, without proposing one in its own term."""
 
     def _become_leader(self, now: float, effects: Effects) -> None:
-        found = self.entry
+        inherited = self.entry
         super()._become_leader(now, effects)
-        if found.index > 1:
-            self.entry = found
+        if inherited.index > 1:
+            self.entry = inherited
             self._submitted_position = self.synced_position
             self.committed = None
             effects.writes[:] = [write for write in effects.writes if write.position is None]
@@ -89,22 +89,22 @@
 
     @property
     def is_ready_leader(self) -> bool:
-        """Whether the entry that was found counts as committed."""
+        """Whether the entry of the older term counts as committed."""
         return self.state is State.LEADER and self.committed is self.entry
 
 
 class OverlappingVoterChanges(Replica):
-    """Starts a voter change while another one is in progress, each without the old set."""
+    """Starts a voter change while another one is in progress, both without the old voters."""
 
     @property
     def can_propose(self) -> bool:
-        """Whether this replica leads at all."""
+        """Whether this replica is a leader with a committed entry."""
         return self.state is State.LEADER and self.committed is not None
 
     def propose(
         self, now: float, data: bytes, voters: Iterable[Member] | None = None
     ) -> tuple[Position, Effects]:
-        """Propose on top of an entry that is not committed, and without the old set."""
+        """Propose on top of an uncommitted entry, and without the old voters."""
         entry = self._next_entry()
         entry.data = data
         if voters is not None:
@@ -117,7 +117,7 @@
 
 
 class AcceptsStaleReplies(Replica):
-    """Takes replies to an earlier leadership, or an earlier incarnation, as replies to this one."""
+    """Treats replies to an earlier term or incarnation as replies to the current one."""
 
     def _handle_append_reply(self, now: float, reply: AppendReply, effects: Effects) -> None:
         current = AppendReply()
@@ -130,10 +130,10 @@
 
 
 class FreshnessFromLastMessage(Replica):
-    """Takes the arrival of any message of a leader for contact with a quorum."""
+    """Treats any message from a leader as proof of contact with a quorum."""
 
     def staleness(self, now: float) -> float:
-        """Return the seconds since the leader's last message was received."""
+        """Return the seconds since the leader's last message arrived."""
         if self.state is State.LEADER:
             return now - self.confirmed_at
         return now - self.leader_contact_at
@@ -149,7 +149,7 @@
 
 
 class VotesForOlderEntries(Replica):
-    """Ignores how new a candidate's entry is."""
+    """Grants votes without checking how new the candidate's entry is."""
 
     def _handle_vote_request(self, now: float, request: VoteRequest, effects: Effects) -> None:
         forged = VoteRequest()
@@ -160,50 +160,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """A fault, the rules that contain it, and where walks find it."""
+    """A planted fault, the rules that enable it, and the start state of the walks that find it."""
 
     name: str
     rules: Rules
-    start: str = ""  # where the walks that find it start; "" for an empty system
+    start: str = ""  # one of the START_STATES; "" for an empty system
 
 
-def _with(make_replica: ReplicaFactory) -> Rules:
+def _rules_with(make_replica: ReplicaFactory) -> Rules:
     return Rules(make_replica=make_replica)
 
 
 CONSENSUS_MUTANTS = (
-    Mutant("a lost voter replaced in one step", _with(SingleStepVoterChange)),
-    Mutant("a vote told before its sync", _with(VotesBeforeSync), "two candidates"),
-    Mutant("an entry counted before its sync", _with(AcknowledgesBeforeSync)),
-    Mutant("a commit of an older term's entry", _with(CommitsOlderTerms)),
-    Mutant("a read without a round", Rules(reads_need_round=False)),
-    Mutant("a wiped seed under its old name", Rules(wipe_keeps_identity=True)),
-    Mutant("two changes of voters at once", _with(OverlappingVoterChanges)),
-    Mutant("a repeat refused after a change of leader", Rules(history_is_replicated=False)),
-    Mutant("a reply of an earlier leadership counted", _with(AcceptsStaleReplies)),
-    Mutant("freshness counted from the leader's last word", _with(FreshnessFromLastMessage)),
-    Mutant("a vote forgotten by a restart", _with(ForgetsVote), "two candidates"),
-    Mutant("a vote for an older entry", _with(VotesForOlderEntries)),
+    Mutant("a lost voter replaced in one step", _rules_with(SingleStepVoterChange)),
+    Mutant("a vote sent before its sync", _rules_with(VotesBeforeSync), "two candidates"),
+    Mutant("an entry acknowledged before its sync", _rules_with(AcknowledgesBeforeSync)),
+    Mutant("a commit of an older term's entry", _rules_with(CommitsOlderTerms)),
+    Mutant("a read without a confirmation round", Rules(reads_need_round=False)),
+    Mutant("a wiped seed that keeps its identity", Rules(wipe_keeps_identity=True)),
+    Mutant("two concurrent voter changes", _rules_with(OverlappingVoterChanges)),
+    Mutant("a retry rejected after a leader change", Rules(history_is_replicated=False)),
+    Mutant("a reply of an earlier term counted", _rules_with(AcceptsStaleReplies)),
+    Mutant("freshness counted from the leader's last message", _rules_with(FreshnessFromLastMessage)),
+    Mutant("a vote forgotten on restart", _rules_with(ForgetsVote), "two candidates"),
+    Mutant("a vote for a candidate with an older entry", _rules_with(VotesForOlderEntries)),
 )
 
 
 def find_violation(mutant: Mutant, walks: int, first_seed: int = 0) -> SearchResult:
     """Walk until an invariant is violated.
 
-    The walks start from an empty system, or are short ones from where the mutant shows.
+    Walks are long and start from an empty system, or short and start from the mutant's start state.
 
     Parameters
     ----------
     mutant
         The fault.
     walks
-        The number of long walks at most, or of as many steps in short ones.
+        The maximum number of long walks; short walks take the same number of steps in total.
     first_seed
         Added to the seed of each walk.
     """
     result = SearchResult()
-    length = SHORT_LENGTH if mutant.start else FIND_LENGTH
-    count = walks * (FIND_LENGTH // SHORT_LENGTH) if mutant.start else walks
+    length = SHORT_WALK_STEPS if mutant.start else LONG_WALK_STEPS
+    count = walks * (LONG_WALK_STEPS // SHORT_WALK_STEPS) if mutant.start else walks
     for number in range(1, count + 1):
         result.add(random_walk(mutant.rules, first_seed + number, length, mutant.start))
         if result.violation:
