--- a/wheatring/lab/model_checker/invariants.py
+++ b/wheatring/lab/model_checker/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of the control side, checked after every step (docs/design/control-safety.md)."""
+"""The invariants of the control plane, checked after every step (docs/design/control-safety.md)."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from wheatring.tier.controller.commands import ReplaceConfiguration, UpdateConfiguration
 from wheatring.tier.transport.messages_pb2 import ControlState, Entry, Member
 
-MAX_STATE_BYTES = 8192  # of the small configurations that the models use
+MAX_STATE_BYTES = 8192  # far above the size of the small configurations that the models use
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """A change of the configuration that was acknowledged to its operator, at a time in seconds."""
+    """A configuration change that was acknowledged to its operator at `at` (seconds)."""
 
     position: Position
     command: ReplaceConfiguration | UpdateConfiguration
@@ -29,9 +29,9 @@
 
 @dataclass(slots=True)
 class History:
-    """The leaders, commits and acknowledgements seen so far.
+    """The leaders, commits and acknowledgements recorded so far.
 
-    Each method raises InvariantViolationError where what it is given contradicts that.
+    The `record_` methods raise InvariantViolationError if the new event contradicts the earlier ones.
     """
 
     leaders: dict[int, str] = field(default_factory=dict)
@@ -47,17 +47,17 @@
 
     @property
     def newest_acknowledged(self) -> int:
-        """The newest acknowledged generation; 0 where there is none."""
+        """The newest acknowledged generation; 0 if there is none."""
         return self.acknowledged[-1].generation if self.acknowledged else 0
 
-    def saw_leader(self, term: int, replica_id: str) -> None:
-        """Note that a replica leads a term."""
+    def record_leader(self, term: int, replica_id: str) -> None:
+        """Record the leader of a term."""
         other = self.leaders.setdefault(term, replica_id)
         if other != replica_id:
             raise InvariantViolationError(f"{other} and {replica_id} both lead term {term}")
 
-    def saw_committed(self, entry: Entry) -> None:
-        """Note that a replica takes an entry as committed."""
+    def record_committed(self, entry: Entry) -> None:
+        """Record an entry that a replica treats as committed."""
         position = entry_position(entry)
         known = self.committed.get(position)
         if known is not None:
@@ -88,15 +88,15 @@
             raise InvariantViolationError("majorities of entries in sequence need not overlap")
 
     def _check_acknowledged(self, entry: Entry, position: Position) -> None:
-        """Check that a committed entry has every change that was acknowledged at an earlier position."""
+        """Check that a committed entry contains the changes acknowledged up to its position."""
         earlier = [change for change in self.acknowledged if change.position <= position]
         if earlier and not has_change(entry.data, earlier[-1].digest):
             raise InvariantViolationError(
                 f"the acknowledged generation {earlier[-1].generation} is lost at {position}"
             )
 
-    def saw_acknowledged(self, change: Acknowledged) -> None:
-        """Note that a change is acknowledged to its operator."""
+    def record_acknowledged(self, change: Acknowledged) -> None:
+        """Record a change that is acknowledged to its operator."""
         for other in self.acknowledged:
             if other.digest == change.digest:
                 return
@@ -113,15 +113,15 @@
         self.acknowledged.append(change)
         self.acknowledged.sort(key=lambda change: change.position)
 
-    def saw_read(self, generation: int, min_generation: int) -> None:
-        """Note that an operator reads a generation; `min_generation` was acknowledged before it asked."""
+    def record_read(self, generation: int, min_generation: int) -> None:
+        """Record the generation that an operator reads; `min_generation` was acknowledged before the read."""
         if generation < min_generation:
             raise InvariantViolationError(
                 f"generation {generation} is read, {min_generation} was acknowledged before"
             )
 
-    def saw_freshness_claim(self, name: str, generation: int, since: float) -> None:
-        """Note that a replica claims to know all that was acknowledged before `since` (seconds)."""
+    def record_freshness_claim(self, name: str, generation: int, since: float) -> None:
+        """Record a replica's claim to know every change acknowledged before `since` (seconds)."""
         min_generation = max(
             (change.generation for change in self.acknowledged if change.at < since), default=0
         )
@@ -143,16 +143,16 @@
 
 
 def has_change(data: bytes, digest: bytes) -> bool:
-    """Tell whether a change is part of the history of a serialized control state."""
+    """Return whether a change is in the history of a serialized control state."""
     return digest in _state(data)[1]
 
 
 def overlap(before: Entry, after: Entry) -> bool:
-    """Tell whether every quorum of one entry shares a replica with every quorum of the other."""
+    """Return whether every quorum of one entry shares a replica with every quorum of the other."""
     return _overlap(_voter_ids(before), _voter_ids(after))
 
 
-VoterSets = tuple[tuple[str, ...], tuple[str, ...]]  # identities of the voters and of the old voters
+VoterSets = tuple[tuple[str, ...], tuple[str, ...]]  # replica IDs of the voters and of the old voters
 
 
 def _voter_ids(entry: Entry) -> VoterSets:
--- a/wheatring/lab/model_checker/runner.py
+++ b/wheatring/lab/model_checker/runner.py
@@ -1,4 +1,4 @@
-"""The whole check of the control side: exhaustive searches, random walks, and mutants of both models.
+"""The complete check of the control plane: exhaustive searches, random walks, and mutants of both models.
 
 The work is distributed over processes.
 """
@@ -23,12 +23,12 @@
 WALK_LENGTH = 500  # steps
 STORAGE_WALKS_PER_TASK = 100
 MAX_MUTANT_WALKS = 3000
-MAX_STATES = 400_000  # of one exhaustive search
-THREE, FIVE = Rules(), Rules(names=("A", "B", "C", "D", "E"), losses=2)
+MAX_STATES = 400_000  # per exhaustive search
+THREE_REPLICAS, FIVE_REPLICAS = Rules(), Rules(names=("A", "B", "C", "D", "E"), losses=2)
 
 
 def _search(start: str, depth: int) -> SearchResult:
-    return search_exhaustively(THREE, start, depth, MAX_STATES)
+    return search_exhaustively(THREE_REPLICAS, start, depth, MAX_STATES)
 
 
 def _walks(rules: Rules, first_seed: int) -> SearchResult:
@@ -64,11 +64,11 @@
     Parameters
     ----------
     depth
-        The number of steps of the exhaustive searches.
+        The depth of the exhaustive searches, in steps.
     walks
         The number of random walks of each kind.
     processes
-        How many processes share the work.
+        The number of worker processes.
     fail
         Called for each violated invariant.
     """
@@ -77,8 +77,8 @@
         seeds = range(0, walks, WALKS_PER_TASK)
         storage_seeds = range(0, walks, STORAGE_WALKS_PER_TASK)
         groups = {
-            "walks, 3 replicas": [pool.submit(_walks, THREE, seed) for seed in seeds],
-            "walks, 5 replicas": [pool.submit(_walks, FIVE, seed) for seed in seeds],
+            "walks, 3 replicas": [pool.submit(_walks, THREE_REPLICAS, seed) for seed in seeds],
+            "walks, 5 replicas": [pool.submit(_walks, FIVE_REPLICAS, seed) for seed in seeds],
             "storage walks, 1 loss": [pool.submit(_storage_walks, 1, seed) for seed in storage_seeds],
             "storage walks, 2 losses": [pool.submit(_storage_walks, 2, seed) for seed in storage_seeds],
         }
@@ -97,7 +97,7 @@
     Parameters
     ----------
     processes
-        How many processes share the work.
+        The number of worker processes.
     fail
         Called for each mutant that is not found.
     """
--- a/wheatring/lab/model_checker/search.py
+++ b/wheatring/lab/model_checker/search.py
@@ -1,4 +1,4 @@
-"""Searches for violated invariants: through every order of events up to a depth, and along random walks."""
+"""Searches for violated invariants: in every order of events up to a depth, and along random walks."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from wheatring.lab.model_checker.trace import minimize, play
 from wheatring.tier.consensus.types import State, entry_position
 
-SETTLE_SECONDS = 8.0  # of simulated time, in which the system has to recover once faults have ended
-MAX_DELIVERIES_PER_TIMER = 400  # messages in a row without a timer
+SETTLE_SECONDS = 8.0  # simulated time within which the system must recover once faults have ended
+MAX_STEPS_PER_TIMER = 400
 
 
 @dataclass(slots=True)
@@ -25,11 +25,13 @@
     seconds: float = 0.0
     violation: str = ""
     trace: list[str] = field(default_factory=list)
-    steps: Counter[str] = field(default_factory=Counter)  # taken, by their verb
-    reached: Counter[str] = field(default_factory=Counter)  # situations worth reaching
+    steps: Counter[str] = field(default_factory=Counter)  # by verb
+    reached: Counter[str] = field(
+        default_factory=Counter
+    )  # steps that ended in a rare situation, by its name
 
     def add(self, other: SearchResult) -> None:
-        """Add the result of another search; the first violation stays."""
+        """Add the result of another search; the first violation is kept."""
         self.states += other.states
         self.seconds += other.seconds
         self.steps += other.steps
@@ -38,7 +40,7 @@
             self.violation, self.trace = other.violation, other.trace
 
 
-# Where exhaustive searches start, by what has happened to a system at rest whose leader is A.
+# Start states of exhaustive searches: the actions that lead to each from a settled system whose leader is A.
 START_STATES: dict[str, tuple[str, ...]] = {
     "at rest": (),
     "a change under way": ("change A",),
@@ -89,7 +91,7 @@
 
 
 def settled_model(rules: Rules) -> Model:
-    """Return a system at rest with a leader, and a change that all replicas have."""
+    """Return a system with a leader, a change that all replicas have stored, and nothing in flight."""
     model = Model(rules)
     settle(model)
     leader = model.leader()
@@ -117,22 +119,22 @@
 
 
 def search_exhaustively(rules: Rules, start: str, depth: int, max_states: int) -> SearchResult:
-    """Take every trace of `depth` steps from a start state.
+    """Try every sequence of `depth` steps from a start state.
 
     Parameters
     ----------
     rules
-        What the search may do, and which code it drives.
+        The options of the search and the code under test.
     start
         The name of one of the START_STATES.
     depth
         The number of steps.
     max_states
-        The number of states at which the search goes no deeper.
+        The number of states after which the search is cut short.
 
     Returns
     -------
-    What was found. The trace of a violation begins at the start state.
+    The result; the trace of a violation begins at the start state.
     """
     started_at = time.monotonic()
     result = SearchResult()
@@ -158,22 +160,22 @@
     """Take every step out of a state; return the states that were not seen before."""
     following: Layer = []
     for action in list(model.actions()):
-        twin = model.clone()
+        successor = model.clone()
         try:
-            if not twin.apply(action):
+            if not successor.apply(action):
                 continue
         except InvariantViolationError as violation:
             result.violation, result.trace = str(violation), [*trace, action]
             break
         result.steps[action.partition(" ")[0]] += 1
-        key = twin.key()
+        key = successor.key()
         if key not in seen:
             seen.add(key)
-            following.append((twin, (*trace, action)))
+            following.append((successor, (*trace, action)))
     return following
 
 
-WEIGHTS = {
+ACTION_WEIGHTS = {
     "deliver": 60,
     "sync": 30,
     "tick": 12,
@@ -188,7 +190,7 @@
     "members": 5,
     "transfer": 0.6,
 }
-CONTESTED = WEIGHTS | {"tick": 40, "crash": 12, "sync": 60, "drop": 1}
+CONTESTED_WEIGHTS = ACTION_WEIGHTS | {"tick": 40, "crash": 12, "sync": 60, "drop": 1}
 
 
 def random_walk(rules: Rules, seed: int, length: int, start: str = "") -> SearchResult:
@@ -197,14 +199,14 @@
     Parameters
     ----------
     rules
-        What the walk may do, and which code it drives.
+        The options of the walk and the code under test.
     seed
-        Decides all that is drawn.
+        The seed of the random generator.
     length
         The number of steps.
     start
-        The name of one of the START_STATES, from which the walk only tries many short orders of events. ""
-        for an empty system: everything works again after the walk, and the system has to recover.
+        The name of one of the START_STATES, or "" for an empty system. Only a walk from an empty system also
+        checks that the system recovers once all faults have ended.
     """
     random = Random(seed)
     model = start_state(rules, start) if start else Model(rules)
@@ -232,18 +234,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Conditions:
-    """The faults that last for a while.
+    """Faults that last for several steps.
 
     Attributes
     ----------
     partitioned
-        Machines that are partitioned off from the others.
+        Machines that are partitioned from the others.
     frozen
-        Machines that stand still.
+        Machines that are suspended.
     in_order
-        The probability that the next event is the one that comes by itself.
+        The probability that the next step is the one that a run without faults would take.
     is_contested
-        Whether time-outs and restarts come as often as messages.
+        Whether time-outs and restarts are about as frequent as messages.
     """
 
     partitioned: frozenset[str] = frozenset()
@@ -252,7 +254,7 @@
     is_contested: bool = False
 
     def blocks(self, action: str) -> bool:
-        """Tell whether an action has to wait."""
+        """Return whether these faults prevent an action."""
         verb, *arguments = action.split()
         if verb in ("deliver", "duplicate"):
             source, target = arguments[:2]
@@ -279,11 +281,11 @@
 
 def _draw_action(model: Model, random: Random, conditions: Conditions) -> str:
     if random.random() < conditions.in_order:
-        action = _next_orderly_action(model, conditions)
+        action = _next_fault_free_action(model, conditions)
         if action:
             return action
     actions = [action for action in model.actions() if not conditions.blocks(action)]
-    table = CONTESTED if conditions.is_contested else WEIGHTS
+    table = CONTESTED_WEIGHTS if conditions.is_contested else ACTION_WEIGHTS
     weights = [table[action.partition(" ")[0]] for action in actions]
     if not actions:
         return "elapse 0.1"
@@ -291,7 +293,7 @@
 
 
 def _count_situations(model: Model, result: SearchResult) -> None:
-    """Count the situations worth reaching, so that a walk that misses them shows."""
+    """Count rare situations, so that the report shows whether the walks reach them."""
     leaders = [m for m in model.machines.values() if m.replica.state is State.LEADER]
     if len(leaders) > 1:
         result.reached["two leaders of different terms"] += 1
@@ -304,7 +306,7 @@
 
 
 def settle(model: Model, seconds: float = SETTLE_SECONDS) -> None:
-    """Let time pass without faults: every message arrives at once, every write succeeds.
+    """Run without faults for a time: every message arrives at once, every write succeeds.
 
     Raises
     ------
@@ -313,21 +315,21 @@
     """
     end = model.now + seconds
     while model.now < end:
-        for _ in range(MAX_DELIVERIES_PER_TIMER):
-            action = _next_orderly_action(model)
+        for _ in range(MAX_STEPS_PER_TIMER):
+            action = _next_fault_free_action(model)
             if not action:
                 break
             model.apply(action)
         leader = model.leader()
         if leader is not None:
             model.apply(f"members {leader.name}")
-        if not _next_orderly_action(model):
-            due = min(model.machines.values(), key=lambda machine: machine.replica.next_deadline())
-            model.apply(f"tick {due.name}")
+        if not _next_fault_free_action(model):
+            earliest = min(model.machines.values(), key=lambda machine: machine.replica.next_deadline())
+            model.apply(f"tick {earliest.name}")
 
 
-def _next_orderly_action(model: Model, conditions: Conditions = NO_FAULTS) -> str:
-    """Return the next event that comes by itself; "" where all machines wait for a timer."""
+def _next_fault_free_action(model: Model, conditions: Conditions = NO_FAULTS) -> str:
+    """Return the next delivery or sync of a run without faults; "" if all machines wait for a timer."""
     for message in model.in_flight:
         action = f"deliver {message.source} {message.target} {message.kind} 1"
         if not conditions.blocks(action):
@@ -341,7 +343,7 @@
 def _check_recovery(model: Model) -> None:
     """Check that the system recovers without faults.
 
-    There is a leader that all follow, every replica is up to date and votes, and a change is committed.
+    There must be a leader, every replica must be an up-to-date voter, and a change must be committed.
     """
     settle(model)
     leader = model.leader()
@@ -360,8 +362,8 @@
 
 
 def shortest_trace(result: SearchResult, rules: Rules) -> list[str]:
-    """Return the trace of a violation without the steps that it does not need.
+    """Return the trace of a violation, without the steps that it does not need.
 
-    A violation that shows only when the system has to recover is not replayed; its trace stays as it is.
+    A violation found by the recovery check cannot be replayed; its trace is returned unchanged.
     """
     return minimize(result.trace, rules) if play(result.trace, rules)[1] else result.trace
--- a/wheatring/lab/model_checker/simulated_machine.py
+++ b/wheatring/lab/model_checker/simulated_machine.py
@@ -1,4 +1,4 @@
-"""One controller of the model: a real replica with a disk that keeps only what was synced."""
+"""One controller of the model: a real replica, and a disk that keeps only synced records."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from wheatring.tier.consensus.types import Message, Timing, Write
 from wheatring.tier.transport.messages_pb2 import ConsensusRecord, Entry, HardState, Member
 
-REPLY_NUMBERS_PER_INCARNATION = 1 << 20  # between the first reply numbers of two incarnations
+REPLY_NUMBERS_PER_INCARNATION = 1 << 20
 
 
 class DeterministicRandom(Random):
-    """A source without any randomness, since the search chooses when a timer fires."""
+    """A generator without randomness: the search itself chooses when a timer fires."""
 
     def __init__(self, incarnation: int) -> None:
         super().__init__(0)
@@ -31,14 +31,14 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What remains after a loss of power."""
+    """The state that survives a power loss."""
 
     replica_id: str
     hard_state: HardState
     entry: Entry
 
-    def keep(self, record: ConsensusRecord) -> None:
-        """Store a record that was synced."""
+    def store(self, record: ConsensusRecord) -> None:
+        """Store a synced record."""
         if record.HasField("hard_state"):
             self.hard_state = record.hard_state
         if record.HasField("entry"):
@@ -47,10 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlightMessage:
-    """A message on its way; it may arrive late, twice, out of order or never."""
+    """A message in flight; it may arrive late, twice, out of order or never."""
 
     source: str
-    target: str  # the machine, whose replica may have become another one meanwhile
+    target: str  # name of the machine; its replica may have been replaced since
     message: Message
     data: bytes
 
@@ -78,18 +78,18 @@
     def with_disk(
         cls, name: str, disk: Disk, make_replica: ReplicaFactory, incarnation: int, now: float
     ) -> SimulatedMachine:
-        """Return a machine that starts from what is on its disk."""
+        """Return a machine that starts from the state on its disk."""
         member = Member(replica_id=disk.replica_id, address=name, node=name)
         random = DeterministicRandom(incarnation)
         replica = make_replica(member, disk.hard_state, disk.entry, random, now, Timing())
         return cls(name, disk, replica, make_replica, incarnation)
 
     def restarted(self, now: float) -> SimulatedMachine:
-        """Return the machine after a loss of power."""
+        """Return the machine after a power loss and a restart."""
         return self.with_disk(self.name, replace(self.disk), self.make_replica, self.incarnation + 1, now)
 
     def wiped(self, replica_id: str, entry: Entry, now: float) -> SimulatedMachine:
-        """Return the machine after the loss of its disk, with a new one that has `entry`."""
+        """Return the machine after a restart with a new disk that holds `entry`."""
         disk = Disk(replica_id, HardState(), entry)
         return self.with_disk(self.name, disk, self.make_replica, self.incarnation + 1, now)
 
--- a/wheatring/lab/model_checker/storage_model.py
+++ b/wheatring/lab/model_checker/storage_model.py
@@ -1,9 +1,9 @@
-"""Storage replicas under placements that change, with writers and readers who may know any of them.
+"""A model of storage replicas under changing placements, with clients that may know any of the placements.
 
-The deciders are the real ones: `next_placement`, `place_key`, `RecordTable`, `can_skip_copy` and
-`copy_sources_required`. What stands between them (the fence, the sync before an acknowledgement, the copy)
-follows `storage/replica.py` and `storage/repair.py`. The placements themselves are agreed on, as the
-consensus model shows: here they only follow each other.
+The decisions are made by the real code: `next_placement`, `place_key`, `RecordTable`, `can_skip_copy` and
+`copy_sources_required`. The steps in between (the fence, the sync before an acknowledgement, the copy) are
+modelled after `storage/replica.py` and `storage/repair.py`. Agreement on a placement is checked by the
+consensus model; here placements form a simple sequence.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 )
 
 WALK_LENGTH = 260  # steps
-OLD_REPORT_SECONDS = 5.0  # the age of a report of a member that is silent, and may come back
+OLD_REPORT_SECONDS = 5.0  # age of the last report of a member that is silent and may return
 RETENTION_MS = 1_000_000_000
 SPARE_MACHINES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class StorageRules:
-    """What a walk drives; a flag that is off is a mutant."""
+    """The options of a walk; a flag that is off is a mutant."""
 
     losses: int = 1
     absence_needs_quorum: bool = True
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class SimulatedStore:
-    """One storage machine and the disk that it has now."""
+    """One storage machine with its current disk."""
 
     name: str
     replica_id: str
@@ -56,7 +56,7 @@
     fence: int = 0
     synced_fence: int = 0
     complete_epoch: int = 0
-    placement: Placement = field(default_factory=Placement)  # the newest that it knows
+    placement: Placement = field(default_factory=Placement)  # the newest one that it knows
     copied_epoch: int = 0  # the epoch of the copy in progress
     copied_from: set[str] = field(default_factory=set)
 
@@ -64,12 +64,12 @@
         """Return the store as a member of a placement."""
         return StorageMember(replica_id=self.replica_id, node=self.name, address=self.name, zone=self.name)
 
-    def refuses(self, epoch: int) -> bool:
-        """Tell whether a request of this epoch is too old."""
+    def rejects(self, epoch: int) -> bool:
+        """Return whether a request of this epoch is rejected as outdated."""
         return epoch < max(self.fence, self.placement.epoch)
 
-    def take(self, record: StorageRecord) -> None:
-        """Add a record, which a loss of power removes until it is synced."""
+    def append(self, record: StorageRecord) -> None:
+        """Add a record; until it is synced, a power loss removes it."""
         if self.table.apply(record, 0.0):
             self.unsynced.append(record)
 
@@ -85,14 +85,14 @@
 
     turn: str
     placement: Placement
-    writes: bool
-    at: KeyPlacement
+    is_write: bool
+    key_placement: KeyPlacement
     replied: set[str] = field(default_factory=set)
-    was_acknowledged: bool = False  # the turn was acknowledged before this read began
+    was_acknowledged: bool = False  # the turn was acknowledged before this operation started
 
 
 class StorageModel:
-    """One state of the modelled storage, and the steps out of it."""
+    """One state of the modelled storage, and the steps that lead out of it."""
 
     def __init__(self, rules: StorageRules, random: Random) -> None:
         self.rules = rules
@@ -102,10 +102,10 @@
         self.acknowledged: set[str] = set()
         self.losses_seen = 0
         self.state = ControlState()
-        self.start_with(2 * rules.losses + 1 + random.randint(0, 1))
+        self.reset(2 * rules.losses + 1 + random.randint(0, 1))
 
-    def start_with(self, machines: int) -> None:
-        """Start anew with this number of machines and without records."""
+    def reset(self, machines: int) -> None:
+        """Reset the model to this number of machines without records."""
         self.stores = {f"s{n}": SimulatedStore(f"s{n}", f"s{n}-1") for n in range(1, machines + 1)}
         self.spares = [f"s{machines + n}" for n in range(1, SPARE_MACHINES + 1)]
         first = Placement(epoch=1, current=[store.member() for store in self.stores.values()])
@@ -116,16 +116,16 @@
         }
 
     @property
-    def placement_now(self) -> Placement:
-        """The newest placement, as an object that does not change any more."""
+    def newest_placement(self) -> Placement:
+        """The newest placement, as an object that is never modified."""
         return self.placements[-1]
 
     @property
     def placement(self) -> Placement:
-        """The newest placement, as part of the state."""
+        """The newest placement, as the mutable part of the control state."""
         return self.state.placement
 
-    # Steps, drawn by their names
+    # Steps, each looked up by its name
 
     def step(self) -> str:
         """Take one random step and return its name. Raises InvariantViolationError."""
@@ -137,87 +137,89 @@
         return self.random.choice(list(self.stores.values()))
 
     def _learn(self) -> None:
-        """Let a store learn a placement, the newest or the one before it."""
+        """Send the newest placement, or the one before it, to a store."""
         store = self._any_store()
         learned = self.random.choice(self.placements[-2:])
         if learned.epoch > store.placement.epoch:
             store.placement = learned
 
-    def _known_to_client(self) -> Placement:
+    def _draw_client_placement(self) -> Placement:
         oldest = 3 if self.random.random() < 0.5 else 1
         return self.random.choice(self.placements[-oldest:])
 
     def _write(self) -> None:
         self.number += 1
-        self._start_operation(f"t{self.number}", writes=True)
+        self._start_operation(f"t{self.number}", is_write=True)
 
     def _read(self) -> None:
         if self.acknowledged and self.random.random() < 0.8:
             turn = self.random.choice(sorted(self.acknowledged))
         else:
             turn = f"t{self.random.randint(1, self.number + 1)}"
-        self._start_operation(turn, writes=False)
+        self._start_operation(turn, is_write=False)
 
-    def _start_operation(self, turn: str, writes: bool) -> None:
-        known = self._known_to_client()
-        at = place_key(turn, known, self.rules.losses)
-        operation = Operation(turn, known, writes, at, was_acknowledged=turn in self.acknowledged)
+    def _start_operation(self, turn: str, is_write: bool) -> None:
+        placement = self._draw_client_placement()
+        key_placement = place_key(turn, placement, self.rules.losses)
+        operation = Operation(
+            turn, placement, is_write, key_placement, was_acknowledged=turn in self.acknowledged
+        )
         self.operations.append(operation)
         del self.operations[:-12]
 
     def _ask(self) -> None:
-        """Deliver a request of an operation to a member, and its reply."""
+        """Deliver a request of an operation to a member, and the member's reply."""
         if not self.operations:
             return
         operation = self.random.choice(self.operations)
-        member = self.random.choice(operation.at.members)
+        member = self.random.choice(operation.key_placement.members)
         store = self.stores.get(member.address)
         if store is not None and store.replica_id == member.replica_id:
-            self.ask(operation, store)
+            self.deliver_request(operation, store)
 
-    def ask(self, operation: Operation, store: SimulatedStore) -> None:
-        """Let a store answer an operation, or refuse it because of its epoch."""
-        if store.refuses(operation.placement.epoch):
+    def deliver_request(self, operation: Operation, store: SimulatedStore) -> None:
+        """Deliver a request to a store, which answers it or rejects its epoch."""
+        if store.rejects(operation.placement.epoch):
             return
-        if operation.writes:
-            self._ask_to_write(operation, store)
+        if operation.is_write:
+            self._deliver_write(operation, store)
         else:
-            self._ask_to_read(operation, store)
+            self._deliver_read(operation, store)
 
-    def _ask_to_write(self, operation: Operation, store: SimulatedStore) -> None:
+    def _deliver_write(self, operation: Operation, store: SimulatedStore) -> None:
         turn = Turn(id=operation.turn, retention_ms=RETENTION_MS)
-        store.take(StorageRecord(turn=turn))
+        store.append(StorageRecord(turn=turn))
         if self.rules.acknowledged_after_sync:
             store.sync()
         operation.replied.add(store.replica_id)
-        if operation.at.has_write_quorum(operation.replied):
+        if operation.key_placement.has_write_quorum(operation.replied):
             self.acknowledged.add(operation.turn)
-            self._end(operation)
+            self._remove_operation(operation)
             self._check_copies(operation)
 
-    def _ask_to_read(self, operation: Operation, store: SimulatedStore) -> None:
+    def _deliver_read(self, operation: Operation, store: SimulatedStore) -> None:
         if store.table.turn(operation.turn) is not None:
-            self._end(operation)
+            self._remove_operation(operation)
             return
         operation.replied.add(store.replica_id)
         if self._is_absent(operation):
-            self._end(operation)
+            self._remove_operation(operation)
             if operation.was_acknowledged:
                 raise InvariantViolationError(
                     f"turn {operation.turn} was acknowledged and is said not to exist"
                 )
 
-    def _end(self, operation: Operation) -> None:
+    def _remove_operation(self, operation: Operation) -> None:
         self.operations = [other for other in self.operations if other is not operation]
 
     def _is_absent(self, operation: Operation) -> bool:
         replied = operation.replied
         if not self.rules.absence_needs_quorum:
             return bool(replied)
-        return operation.at.has_read_quorum(replied)
+        return operation.key_placement.has_read_quorum(replied)
 
     def _check_copies(self, operation: Operation) -> None:
-        """Check that every member that has acknowledged a turn has it on disk, unless that was lost."""
+        """Check that every member that has acknowledged a turn has it on disk, unless it lost its disk."""
         for store in self.stores.values():
             has_acknowledged = store.replica_id in operation.replied
             if has_acknowledged and not any(record.turn.id == operation.turn for record in store.synced):
@@ -228,10 +230,10 @@
     # Repair
 
     def _follow(self) -> None:
-        self.follow(self._any_store())
+        self.repair(self._any_store())
 
-    def follow(self, store: SimulatedStore) -> None:
-        """Let a store take the next step that the newest placement it knows asks for."""
+    def repair(self, store: SimulatedStore) -> None:
+        """Take a store's next step towards the newest placement that it knows."""
         placement = store.placement
         is_member = any(member.replica_id == store.replica_id for member in placement.next)
         if not is_member or store.complete_epoch >= placement.epoch:
@@ -260,7 +262,7 @@
             store.synced_fence = epoch
 
     def _copy(self, store: SimulatedStore, source: StorageMember, placement: Placement) -> bool:
-        """Copy all that a source has for this store; the source fences older epochs before it answers."""
+        """Copy this store's records from a source, which fences older epochs before it answers."""
         other = self.stores.get(source.address)
         if other is None or other.replica_id != source.replica_id or placement.epoch < other.placement.epoch:
             return False
@@ -272,7 +274,7 @@
             record = StorageRecord.FromString(payload)
             chosen = replicas_for(record.turn.id, placement.next, copies)
             if any(member.replica_id == store.replica_id for member in chosen):
-                store.take(record)
+                store.append(record)
         store.sync()
         return True
 
@@ -282,13 +284,13 @@
         self.report(self._any_store())
 
     def report(self, store: SimulatedStore) -> None:
-        """Let the leader receive a report, which supersedes that of another replica at the address."""
+        """Deliver a store's report to the leader; it replaces that of an earlier replica at the address."""
         for replica_id in [i for i, r in self.reports.items() if r.member.address == store.name]:
             del self.reports[replica_id]
         self.reports[store.replica_id] = StorageReport(store.member(), store.complete_epoch, 0.1)
 
     def _age_reports(self) -> None:
-        """Let some reports become old."""
+        """Age some of the reports."""
         for replica_id, report in list(self.reports.items()):
             if self.random.random() < 0.3:
                 self.reports[replica_id] = StorageReport(
@@ -299,7 +301,7 @@
         self.decide()
 
     def decide(self) -> None:
-        """Let the leader change the placement, if there is something to change."""
+        """Let the leader change the placement if a change is due."""
         reported = self.reports
         if not self.rules.change_needs_complete_members and self.placement.next:
             reported = {
@@ -310,7 +312,7 @@
         if placement is None:
             return
         if not all(member.lost or self._is_present(member) for member in placement.next):
-            return  # the newcomer was lost before the change was decided; another report will come
+            return  # a new member was lost before this decision; the replica after it will report
         self.state.placement.CopyFrom(placement)
         self.placements.append(placement)
 
@@ -324,17 +326,17 @@
         self.crash(self._any_store())
 
     def crash(self, store: SimulatedStore) -> None:
-        """Let a store lose power and come back without what was not synced."""
-        fresh = SimulatedStore(
+        """Restart a store after a power loss, without its unsynced records."""
+        restarted = SimulatedStore(
             store.name, store.replica_id, synced=store.synced, complete_epoch=store.complete_epoch
         )
-        fresh.fence = fresh.synced_fence = store.synced_fence
-        for record in fresh.synced:
-            fresh.table.apply(record, 0.0)
-        self.stores[store.name] = fresh
+        restarted.fence = restarted.synced_fence = store.synced_fence
+        for record in restarted.synced:
+            restarted.table.apply(record, 0.0)
+        self.stores[store.name] = restarted
 
     def _wipe(self) -> None:
-        """Let a store lose its disk, where those lost before have been replaced."""
+        """Replace a store's disk by an empty one, unless too many lost disks are still to be replaced."""
         if not self._may_lose_disk():
             return
         store = self._any_store()
@@ -347,7 +349,7 @@
         return sum(not self._is_replaced(store) for store in wiped) < self.rules.losses
 
     def _is_replaced(self, store: SimulatedStore) -> bool:
-        """Tell whether a store with a new disk is a member of a set whose copies are complete."""
+        """Return whether a store with a new disk is a member of a set whose copies are complete."""
         placement = self.placement
         if not placement.next:
             return any(m.replica_id == store.replica_id and not m.lost for m in placement.current)
@@ -364,16 +366,16 @@
             self.stores[name] = SimulatedStore(name, f"{name}-1")
 
     def _retire(self) -> None:
-        """Let an operator retire a machine."""
+        """Start the retirement of a machine."""
         store = self._any_store()
         StartRetirement(store.name, 2 * self.rules.losses + 1).apply(self.state)
 
     def _complete(self) -> None:
-        """Let the leader mark drained machines as retired."""
+        """Mark drained machines as retired."""
         complete_retirements(self.state, ())
 
     def _decommission(self) -> None:
-        """Remove a machine that was drained."""
+        """Remove a retired machine."""
         drained = [r.node for r in self.state.retirements if r.completed and r.node in self.stores]
         if drained:
             del self.stores[drained[0]]
@@ -421,7 +423,7 @@
 
 
 def random_walk(rules: StorageRules, seed: int) -> SearchResult:
-    """Take one random walk, and check the recovery behind it."""
+    """Take one random walk, and check the recovery after it."""
     result = SearchResult()
     model = StorageModel(rules, Random(seed))
     try:
--- a/wheatring/lab/model_checker/storage_mutants.py
+++ b/wheatring/lab/model_checker/storage_mutants.py
@@ -1,4 +1,4 @@
-"""Mutants of the storage replicas: faults that a walk has to find."""
+"""Mutants of the storage replicas: planted faults that a walk or a scenario must find."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """A fault, the rules that contain it, and what brings it about."""
+    """A planted fault, the rules that enable it, and the scenario that shows it."""
 
     name: str
     rules: StorageRules
-    scenario: Callable[[StorageRules], SearchResult] | None = None  # None where random walks do
+    scenario: Callable[[StorageRules], SearchResult] | None = None  # None if random walks find it
 
 
 def restart_during_retirement(rules: StorageRules) -> SearchResult:
     """Restart fenced machines while another one is retired.
 
-    One of four machines is retired. Once the copies are made, two that were fenced lose power, and a writer
-    that knows of no change yet writes to them.
+    One of four machines is retired. Once its records are copied, two of the fenced machines are restarted,
+    and a writer that still knows the old placement writes to them.
     """
     model = StorageModel(rules, Random(0))
-    model.start_with(4)
+    model.reset(4)
     key = next(f"t{n}" for n in range(100) if _is_placed_on(model, f"t{n}", {"s1", "s2", "s3"}))
-    writer = Operation(key, model.placement_now, True, place_key(key, model.placement_now, 1))
+    writer = Operation(key, model.newest_placement, True, place_key(key, model.newest_placement, 1))
     StartRetirement("s1", 3).apply(model.state)
     model.decide()
     for _ in range(40):
         for store in list(model.stores.values()):
-            store.placement = model.placement_now
-            model.follow(store)
+            store.placement = model.newest_placement
+            model.repair(store)
             model.report(store)
     for name in ("s1", "s2"):
         model.crash(model.stores[name])
-        model.ask(writer, model.stores[name])
+        model.deliver_request(writer, model.stores[name])
     result = SearchResult(states=1)
     try:
         model.check_recovery()
@@ -51,14 +51,14 @@
 
 
 def _is_placed_on(model: StorageModel, key: str, names: set[str]) -> bool:
-    return {member.node for member in place_key(key, model.placement_now, 1).members} == names
+    return {member.node for member in place_key(key, model.newest_placement, 1).members} == names
 
 
 STORAGE_MUTANTS = (
-    Mutant("'no such turn' from a member that is not whole", StorageRules(absence_needs_quorum=False)),
+    Mutant("'no such turn' from an incomplete member", StorageRules(absence_needs_quorum=False)),
     Mutant("a fence that is not on disk", StorageRules(fence_is_durable=False), restart_during_retirement),
     Mutant(
-        "a placement committed before its members are whole",
+        "a placement committed before its members are complete",
         StorageRules(change_needs_complete_members=False),
     ),
     Mutant("a turn acknowledged before its sync", StorageRules(acknowledged_after_sync=False)),
@@ -66,7 +66,7 @@
 
 
 def find_violation(mutant: Mutant, walks: int) -> SearchResult:
-    """Play the mutant's scenario, or walk until an invariant is violated, `walks` times at most."""
+    """Run the mutant's scenario, or up to `walks` random walks, until an invariant is violated."""
     if mutant.scenario is not None:
         return mutant.scenario(mutant.rules)
     result = SearchResult()
--- a/wheatring/lab/model_checker/trace.py
+++ b/wheatring/lab/model_checker/trace.py
@@ -1,7 +1,6 @@
-"""Traces through the states as text: one action a line, which the tests and the command replay.
+"""Traces as text, one action a line, which can be replayed.
 
-A line may have a comment behind `#`, and `-> broken` as the last line says that the trace has to end in a
-violated invariant.
+A `#` starts a comment. The line `-> broken` at the end means that the trace must violate an invariant.
 """
 
 from __future__ import annotations
@@ -15,31 +14,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """Actions, and whether an invariant is to be violated by them."""
+    """Actions, and whether they are expected to violate an invariant."""
 
     actions: tuple[str, ...]
-    breaks: bool = False
+    expects_violation: bool = False
 
 
 def parse(text: str) -> Trace:
-    """Read a trace from its text."""
+    """Parse the text of a trace."""
     actions = []
-    breaks = False
+    expects_violation = False
     for line in text.splitlines():
         action = line.partition("#")[0].strip()
         if action == "-> broken":
-            breaks = True
+            expects_violation = True
         elif action:
             actions.append(action)
-    return Trace(tuple(actions), breaks)
+    return Trace(tuple(actions), expects_violation)
 
 
 def play(actions: Sequence[str], rules: Rules) -> tuple[Model, str]:
-    """Take the steps that are possible.
+    """Replay actions, skipping those that are not possible.
 
     Returns
     -------
-    The last state, and the invariant that is violated, "" for none.
+    The last state, and the violated invariant, "" for none.
     """
     model = Model(rules)
     for action in actions:
@@ -51,7 +50,7 @@
 
 
 def minimize(actions: Sequence[str], rules: Rules) -> list[str]:
-    """Remove actions, many at a time at first, for as long as an invariant is still violated."""
+    """Remove actions, in ever smaller chunks, as long as an invariant is still violated."""
     shortest = list(actions)
     size = max(1, len(shortest) // 2)
     while True:
--- a/wheatring/lab/scale/hollow_sidecars.py
+++ b/wheatring/lab/scale/hollow_sidecars.py
@@ -2,9 +2,8 @@
 
     python -m wheatring.lab.scale.hollow_sidecars SETTINGS COUNT TURNS_PER_SECOND
 
-writes one JSON object a line: `{"generation": G, "at": T}` once the last of its sidecars has a configuration
-in force (T in seconds of the machine's steady clock), and at its end, on SIGTERM, what it has received and
-done.
+prints one JSON object a line: `{"generation": G, "at": T}` once all its sidecars have applied a configuration
+(T in seconds of the monotonic clock), the bytes received so far on SIGUSR1, and a summary on SIGTERM.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 from wheatring.tier.transport.messages_pb2 import ROLE_SIDECAR, Presence, Turn
 from wheatring.tier.turns.conversations import Conversations
 
-INPUT_BYTES, OUTPUT_BYTES = 4300, 640  # of a turn, as the small sites have them
+INPUT_BYTES, OUTPUT_BYTES = 4300, 640  # per turn, as at small sites
 TURNS_PER_PROGRAM = 11
 TOKENS_PER_TURN = 72
 BUDGET_TOKENS = 10**9
@@ -36,7 +35,7 @@
 
 
 class HollowSidecar:
-    """One sidecar without clients."""
+    """The control connections of one sidecar that serves no clients."""
 
     def __init__(self, settings: Settings, name: str, random: Random, process: HollowProcess) -> None:
         self.generation = 0
@@ -47,7 +46,7 @@
             zone=settings.zone,
             presence=lambda: Presence(role=ROLE_SIDECAR, replica_id=name, node=name, address="127.0.0.1"),
             presence_interval_seconds=2.0,
-            on_change=self._changed,
+            on_change=self._on_change,
             random=random,
         )
         self.store = QuorumClient(
@@ -58,7 +57,7 @@
             self.subscription.adopt_placement,
         )
 
-    def _changed(self) -> None:
+    def _on_change(self) -> None:
         generation = self.subscription.view.generation
         if generation > self.generation:
             self.generation = generation
@@ -79,7 +78,7 @@
         self.sidecars = [HollowSidecar(settings, f"hollow-{n}", self._random, self) for n in range(count)]
 
     def report_applied(self) -> None:
-        """Print the newest generation that all sidecars have, when it has changed."""
+        """Print the newest generation that all sidecars have applied, if it is a new one."""
         applied = min(sidecar.generation for sidecar in self.sidecars)
         if applied > self._reported_generation:
             self._reported_generation = applied
@@ -92,9 +91,9 @@
         loop.add_signal_handler(signal.SIGTERM, stopping.set)
         loop.add_signal_handler(signal.SIGUSR1, self._report_received)
         for sidecar in self.sidecars:
-            self._hold(loop.create_task(sidecar.subscription.run()))
+            self._track(loop.create_task(sidecar.subscription.run()))
         if self._turns_per_second > 0:
-            self._hold(loop.create_task(self._programs()))
+            self._track(loop.create_task(self._start_programs()))
         await stopping.wait()
         durations = sorted(self.turn_seconds)
         summary = {
@@ -111,21 +110,21 @@
     def _report_received() -> None:
         print(json.dumps({"received": TRAFFIC.received_bytes}), flush=True)
 
-    def _hold(self, task: asyncio.Task[None]) -> None:
+    def _track(self, task: asyncio.Task[None]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _programs(self) -> None:
-        """Start programs at the rate that gives the wanted turns per second."""
+    async def _start_programs(self) -> None:
+        """Start programs at the rate that results in the configured turns per second."""
         number = 0
         while True:
             await asyncio.sleep(TURNS_PER_PROGRAM / self._turns_per_second)
             number += 1
             sidecar = self.sidecars[number % len(self.sidecars)]
             if sidecar.subscription.view.placement.epoch:
-                self._hold(asyncio.get_running_loop().create_task(self._program(sidecar, number)))
+                self._track(asyncio.get_running_loop().create_task(self._run_program(sidecar, number)))
 
-    async def _program(self, sidecar: HollowSidecar, number: int) -> None:
+    async def _run_program(self, sidecar: HollowSidecar, number: int) -> None:
         """Run a conversation of several turns, each reserved, recorded and settled."""
         conversations, budgets = Conversations(sidecar.store), TokenBudgets(sidecar.store)
         program = f"{id(self)}-{number}"
--- a/wheatring/lab/scale/linear_fit.py
+++ b/wheatring/lab/scale/linear_fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with the standard errors of their slopes."""
+"""Least-squares lines through measured points, with the standard errors of their slopes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def fit(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """Fit a line by least squares. Through two points there is no standard error; it is 0 then."""
+    """Fit a line by least squares. With two points, the standard error is reported as 0."""
     points = list(zip(sizes, values, strict=True))
     count = len(points)
     mean_size, mean_value = sum(sizes) / count, sum(values) / count
--- a/wheatring/lab/scale/local_tier.py
+++ b/wheatring/lab/scale/local_tier.py
@@ -1,4 +1,4 @@
-"""A tier of real processes on loopback: settings files, starts, and the resources that each has used."""
+"""A tier of real processes on loopback: their settings files, their starts, and their resource usage."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ProcessUsage:
-    """The processor time that a process has used so far, and the memory that it has now."""
+    """The CPU time that a process has used so far, and its resident memory."""
 
     cpu_seconds: float
     memory_mb: float
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class RunningProcess:
-    """A process of the tier that was started here."""
+    """A process of the tier."""
 
     name: str
     role: str
@@ -139,7 +139,7 @@
         return [process_usage(running.process.pid) for running in self.processes(role)]
 
     def stop(self, running: RunningProcess, signal_number: signal.Signals = signal.SIGTERM) -> list[str]:
-        """End a process by a signal; return the lines of its output that nobody has read."""
+        """Stop a process by a signal; return the unread lines of its output."""
         running.process.send_signal(signal_number)
         try:
             output, _ = running.process.communicate(timeout=STOP_TIMEOUT_SECONDS)
--- a/wheatring/lab/scale/measurement.py
+++ b/wheatring/lab/scale/measurement.py
@@ -1,4 +1,4 @@
-"""The scale measurement: for each number of sidecars the same steps, and lines through what they cost."""
+"""The scale measurement: the same steps for each number of sidecars, and a line fitted to each cost."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 IDLE_SECONDS = 5.0
 SETTLE_SECONDS = 1.5  # after a start, before anything is measured
 TURN_SECONDS = 6.0
-CHANGES = 10  # of the configuration, measured together
+CHANGES = 10  # configuration changes, measured together
 HOLLOW_PER_PROCESS = 125
 CONFIGURE_TIMEOUT_SECONDS = 15.0  # for a controller to accept a configuration
 RETRY_SECONDS = 0.05
 CALL_TIMEOUT_SECONDS = 1.5
-RESTART_SECONDS = 2.0  # for a controller that was started again to catch up
+RESTART_SECONDS = 2.0  # for a restarted controller to catch up
 ENDPOINTS = 1200
 ROUTES = 60
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """The cost at one size. Processor time is in ms of one core, memory in MB, traffic in KB.
+    """The costs at one size. CPU time is in ms of one core, memory in MB, traffic in KB.
 
     The names of the fields are keys of the JSON report.
     """
 
     sidecars: int
-    controller_idle_ms: float  # of the controller that used most, per second
+    controller_idle_ms: float  # of the busiest controller, per second
     controller_change_ms: float  # of all controllers, per change
     controller_mb: float
     hollow_idle_kb: float  # received by one sidecar, per second
-    hollow_change_kb: float  # and per change
+    hollow_change_kb: float  # received by one sidecar, per change
     hollow_idle_ms: float  # of one sidecar, per second
-    apply_ms: float  # from the command to the last sidecar, the slowest change
-    apply_after_kill_ms: float  # the same after the leader was killed, the election included
-    resync_ms: float  # for a third of the sidecars, started again, to have everything
+    apply_ms: float  # until the last sidecar has applied a change; the slowest of all changes
+    apply_after_kill_ms: float  # the same after the leader was killed, including the election
+    resync_ms: float  # until a third of the sidecars, restarted, have the configuration
     storage_turn_ms: float  # of all storage replicas, per turn
     storage_turn_kb: float  # sent and received by sidecars, per turn
     turn_p50_ms: float
@@ -55,7 +55,7 @@
 
 
 def configuration(generation: int) -> bytes:
-    """Return a configuration of a usual size."""
+    """Return a configuration of a typical size."""
     routes = [
         {
             "name": f"route-{number}",
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceUse:
-    """What the processes have used during a span of time."""
+    """The resources that the processes used during `seconds`."""
 
     seconds: float
     busiest_controller_ms: float
@@ -98,7 +98,7 @@
         self._hollow: list[RunningProcess] = []
 
     async def measure(self) -> Point:
-        """Start the tier, measure, and end it."""
+        """Start the tier, measure it, and stop it."""
         try:
             self.tier.start()
             await self._configure()
@@ -146,18 +146,18 @@
         )
 
     async def _measure_during(self, work: Callable[[], Coroutine[Any, Any, None]]) -> ResourceUse:
-        """Return what the processes use while some work is done."""
+        """Return the resources that the processes use during some work."""
         controllers, hollow = self.tier.usage("controller"), self.tier.usage("hollow")
         received = sum([await self._received(h) for h in self._hollow])
         started_at = time.monotonic()
         await work()
         seconds = time.monotonic() - started_at
-        controller_ms = _processor_ms(controllers, self.tier.usage("controller"))
+        controller_ms = _cpu_ms(controllers, self.tier.usage("controller"))
         return ResourceUse(
             seconds=seconds,
             busiest_controller_ms=max(controller_ms),
             controllers_ms=sum(controller_ms),
-            hollow_ms=sum(_processor_ms(hollow, self.tier.usage("hollow"))),
+            hollow_ms=sum(_cpu_ms(hollow, self.tier.usage("hollow"))),
             received_kb=(sum([await self._received(h) for h in self._hollow]) - received) / 1024,
         )
 
@@ -169,17 +169,17 @@
         self._slowest_change_seconds = max([await self._change() for _ in range(CHANGES)])
 
     async def _measure_turns(self) -> tuple[float, dict[str, float]]:
-        """Measure the storage replicas while programs take turns.
+        """Measure the storage replicas while programs record turns.
 
         Returns
         -------
-        The replicas' processor time in ms, and the summary that the programs print at their end.
+        The replicas' CPU time in ms, and the summary that the programs print when they stop.
         """
         programs = self.tier.start_hollow(0, 1, self._turns_per_second)
         await asyncio.sleep(SETTLE_SECONDS)
         before = self.tier.usage("storage")
         await asyncio.sleep(TURN_SECONDS)
-        storage_ms = sum(_processor_ms(before, self.tier.usage("storage")))
+        storage_ms = sum(_cpu_ms(before, self.tier.usage("storage")))
         summary: dict[str, float] = json.loads(self.tier.stop(programs)[-1])
         return storage_ms, summary
 
@@ -190,7 +190,7 @@
         return report["received"]
 
     async def _configure(self) -> None:
-        """Put the next configuration in place, by whichever controller accepts it."""
+        """Submit the next configuration to one controller after another, until one accepts it."""
         base, self._generation = self._generation, self._generation + 1
         deadline = time.monotonic() + CONFIGURE_TIMEOUT_SECONDS
         async with httpx.AsyncClient(trust_env=False, timeout=CALL_TIMEOUT_SECONDS) as client:
@@ -207,7 +207,7 @@
                     if reply.status_code == httpx.codes.OK:
                         return
                 await asyncio.sleep(RETRY_SECONDS)
-        raise TimeoutError("no controller has taken the configuration")
+        raise TimeoutError("no controller accepted the configuration in time")
 
     async def _wait_until_applied(self, since: float) -> float:
         """Wait until all hollow sidecars have the newest configuration; return the seconds since `since`."""
@@ -230,7 +230,7 @@
         return await self._wait_until_applied(started_at)
 
     async def _change_after_kill(self) -> float:
-        """Kill the leader and change the configuration at once; return the seconds until all have it."""
+        """Kill the leader and change the configuration immediately; return the seconds until all have it."""
         leader = await self._leader()
         number = int(leader.name.rpartition("-")[2])
         self.tier.stop(leader, signal.SIGKILL)
@@ -251,10 +251,10 @@
                     if reply.json()["state"] == "leader":
                         return running
                 await asyncio.sleep(0.1)
-        raise TimeoutError("nobody leads")
+        raise TimeoutError("no controller became the leader in time")
 
     async def _resync(self) -> float:
-        """Kill and restart a third of the sidecars; return the seconds until they have everything."""
+        """Kill and restart a third of the sidecars; return the seconds until they have the configuration."""
         killed = self._hollow[: max(1, len(self._hollow) // 3)]
         counts = {}
         for hollow in killed:
@@ -269,13 +269,13 @@
         return await self._wait_until_applied(started_at)
 
 
-def _processor_ms(before: Sequence[ProcessUsage], after: Sequence[ProcessUsage]) -> list[float]:
-    """Return the processor time that each process has used in between, in ms."""
+def _cpu_ms(before: Sequence[ProcessUsage], after: Sequence[ProcessUsage]) -> list[float]:
+    """Return the CPU time of each process between two measurements, in ms."""
     return [(b.cpu_seconds - a.cpu_seconds) * 1000 for a, b in zip(before, after, strict=True)]
 
 
 def _next_report(hollow: RunningProcess, key: str) -> dict[str, float]:
-    """Return the next line of a process that has `key`. Raises RuntimeError once the process has ended."""
+    """Return the next report of a process that has `key`. Raises RuntimeError once the process has ended."""
     stdout = hollow.process.stdout
     assert stdout is not None
     while line := stdout.readline():
@@ -314,7 +314,7 @@
     sizes
         Numbers of sidecars.
     turns_per_second
-        Turns of all sidecars together, while storage is measured.
+        Rate of turns while storage is measured.
     """
     platform = PlatformStub(ENDPOINTS)
     await platform.start()
--- a/wheatring/lab/scale/platform_stub.py
+++ b/wheatring/lab/scale/platform_stub.py
@@ -11,7 +11,7 @@
 
 
 class PlatformStub:
-    """Serves a list of `endpoints` made-up endpoints as the platform does."""
+    """Serves a generated list of endpoints through the platform's API."""
 
     def __init__(self, endpoints: int) -> None:
         self.entries = [
@@ -30,7 +30,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", PLATFORM_PORT)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
