--- a/wheatring/lab/agreement/skew_days.py
+++ b/wheatring/lab/agreement/skew_days.py
@@ -156,7 +156,7 @@
         self.cluster.schedule(self.cluster.now + downtime_seconds, self.cluster.start, node)
 
     def act(self) -> None:
-        """Inject one drawn event."""
+        """Inject one random event."""
         random, cluster = self.random, self.cluster
         others = list(cluster.nodes)[VOTERS:]
         member = random.choice(others)
--- a/wheatring/lab/leases/membership.py
+++ b/wheatring/lab/leases/membership.py
@@ -56,7 +56,7 @@
 
 
 def _detected_share(cluster: Cluster, failed: set[str]) -> float:
-    """Return the share of all members' tables that list the failed members as dead or not at all."""
+    """Return the share of failed members' records, over all tables, that are marked dead or removed."""
     tables = [node.fleet.members.table.records for node in cluster.nodes.values() if node.fleet is not None]
     detected = sum(
         name not in records or records[name].state == DEAD for records in tables for name in failed
--- a/wheatring/lab/leases/model.py
+++ b/wheatring/lab/leases/model.py
@@ -134,8 +134,8 @@
             answers = tuple(
                 (p.granted_by.get(name, -1), p.rejected_by.get(name, -1)) for p in self.proposers.values()
             )
-            voters.append((acceptor.abstains_until, lease.promised, lease.holder, lease.held_until, lease.epoch,
-                           lease.round, name in self.stopped, answers,
+            voters.append((acceptor.abstains_until, lease.promised, lease.holder, lease.held_until,
+                           lease.epoch, lease.round, name in self.stopped, answers,
                            hash(frozenset(in_flight_of[name]))))  # fmt: skip
         voters.sort()
         proposers = tuple(
--- a/wheatring/lab/leases/planted_faults.py
+++ b/wheatring/lab/leases/planted_faults.py
@@ -19,7 +19,7 @@
     """An acceptor that does not abstain after a start."""
 
     def receive(self, now: float, wall: int, message: AcceptorRequest) -> AcceptorResponse | None:
-        """Answer at once."""
+        """Answer without abstaining."""
         self.abstains_until = -inf
         return super().receive(now, wall, message)
 
