--- a/tests/daemon/http1/attempts.py
+++ b/tests/daemon/http1/attempts.py
@@ -34,7 +34,7 @@
 
 def apply_list(world: World, *items: dict[str, Any], reset: bool = False) -> None:
     """Apply a response of discovery; must be called in the reactor."""
-    world.sidecar.machine_list.apply({"generation": 8, "reset": reset, "instances": list(items)}, None)
+    world.sidecar.endpoint_list.apply({"generation": 8, "reset": reset, "instances": list(items)}, None)
 
 
 def accept_request(peer: Peer) -> tuple[Wire, str]:
--- a/tests/daemon/http1/test_caller_connection.py
+++ b/tests/daemon/http1/test_caller_connection.py
@@ -149,7 +149,7 @@
     request = b"GET /menu HTTP/1.1\r\nX-Correlation-Id: a\r\n\r\n"
     expect_state(CallerState.READING)
     wire.send(b"GET /healthz HTTP/1.1\r\n\r\n")
-    expect_state(CallerState.RESTING)
+    expect_state(CallerState.IDLE)
     assert wire.read()[0] == "HTTP/1.1 200 OK"
     wire.send(request[:20])
     expect_state(CallerState.READING)
@@ -162,7 +162,7 @@
     world.run(lambda: world.sidecar.server.close_unanswered(is_final=True))
     node.send(b"x" * 100_000)
     assert wire.read()[2] == b"x" * 200_000
-    expect_state(CallerState.RESTING)
+    expect_state(CallerState.IDLE)
     wire.send(b"POST /order HTTP/1.1\r\nX-Correlation-Id: b\r\nContent-Length: 200000\r\n\r\n")
     wire.send(b"x" * 100_000)
     expect_state(CallerState.UPLOADING)
@@ -183,7 +183,7 @@
     node = world.nodes[0].accept()  # the reference keeps the connection open
     node.read()
     sidecar = world.sidecar
-    watcher: Any = sidecar.machine_list.client
+    watcher: Any = sidecar.endpoint_list.client
     ends: list[Any] = [watcher.connection, *sidecar.server.connections, *sidecar.pool.connections]
     assert world.run(lambda: [end.transport.getTcpNoDelay() for end in ends]) == [True] * 3
 
--- a/tests/daemon/http1/test_endpoint_list.py
+++ b/tests/daemon/http1/test_endpoint_list.py
@@ -180,7 +180,7 @@
     time.run(now(world) + 20.0)
     began, new = now(world), [Peer(world.sockets) for _ in range(12)]
     for peer in new:
-        world.run(partial(world.sidecar.machine_list.change_discovery, ("127.0.0.1", peer.port)))
+        world.run(partial(world.sidecar.endpoint_list.change_discovery, ("127.0.0.1", peer.port)))
         time.run(now(world) + 0.9)
         if peer.listener.socket.queue:
             break
@@ -222,7 +222,7 @@
     full.bind(("127.0.0.1", 0))
     full.listen(0)
     filler = socket.create_connection(full.getsockname())
-    world.run(lambda: world.sidecar.machine_list.change_discovery(full.getsockname()))
+    world.run(lambda: world.sidecar.endpoint_list.change_discovery(full.getsockname()))
     world.logged("list-failed", 2)
     old_watch.answer(200, list_body(9, DRAINS))
     check_only_endpoint(world, "n1")
@@ -251,7 +251,7 @@
     def respond_and_move() -> None:
         watch.answer(200, update)
         for port in (1, new.port)[-moves:]:
-            world.sidecar.machine_list.change_discovery(("127.0.0.1", port))
+            world.sidecar.endpoint_list.change_discovery(("127.0.0.1", port))
 
     world.run(respond_and_move)
     first = new.accept()
@@ -268,7 +268,7 @@
     watch = world.discovery.accept()
     read_request_line(watch)
     new = Peer(world.sockets)
-    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.endpoint_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
     assert read_request_line(first) == FULL_LIST
 
@@ -285,7 +285,7 @@
     world = make(2)
     watch = world.discovery.accept()
     read_request_line(watch)
-    lists = world.sidecar.machine_list
+    lists = world.sidecar.endpoint_list
     second, third = Peer(world.sockets), Peer(world.sockets)
     world.run(lambda: lists.change_discovery(("127.0.0.1", second.port)))
     pending = second.accept()
@@ -328,18 +328,18 @@
     world.sockets.time.run(now(world) + 24.0)  # type: ignore[union-attr]
     read_request_line(world.discovery.accept())
     assert watch.at_end()
-    assert world.run(lambda: world.sidecar.machine_list.superseded.clients) == []
+    assert world.run(lambda: world.sidecar.endpoint_list.superseded.clients) == []
 
 
 def test_response_on_a_watch_paused_for_list_sharing_is_applied(virtual: Make) -> None:
     world = virtual()
     watch = world.discovery.accept()
     read_request_line(watch)
-    world.run(world.sidecar.machine_list.pause)
+    world.run(world.sidecar.endpoint_list.pause)
     watch.answer(200, list_body(9, DRAINS))
     assert watch.at_end()
     check_only_endpoint(world, "n1")
-    lists = world.sidecar.machine_list
+    lists = world.sidecar.endpoint_list
     assert world.run(lambda: (lists.version, lists.is_watching)) == (9, False)
 
 
@@ -349,7 +349,7 @@
     read_request_line(watch)
     watch.answer(200, list_body(8))
     time: Any = world.sockets.time  # type: ignore[union-attr]
-    lists = world.sidecar.machine_list
+    lists = world.sidecar.endpoint_list
     while lists.version == 7:
         time.run(now(world) + 0.001)
     assert lists.client.on_answer is None  # the next call has not been made yet
@@ -364,20 +364,20 @@
 def test_full_list_requested_from_the_old_discovery_is_not_applied_after_a_move(make: Make) -> None:
     world = make(2)
     read_request_line(world.discovery.accept())
-    world.run(world.sidecar.machine_list.fetch)
+    world.run(world.sidecar.endpoint_list.fetch)
     fetch = world.discovery.accept()
     assert read_request_line(fetch) == FULL_LIST
     new = Peer(world.sockets)
 
     def respond_and_move() -> None:
         fetch.answer(200, list_body(90, reset=True))
-        world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port))
+        world.sidecar.endpoint_list.change_discovery(("127.0.0.1", new.port))
 
     world.run(respond_and_move)
     first = new.accept()
     assert read_request_line(first) == FULL_LIST
     assert fetch.at_end()
-    assert world.run(lambda: world.sidecar.machine_list.version) is None
+    assert world.run(lambda: world.sidecar.endpoint_list.version) is None
     assert sorted(world.run(lambda: list(world.sidecar.pool.addresses))) == ["n0", "n1"]
     new.close()
 
@@ -527,7 +527,7 @@
         assert now(world) - failed < 0.3
     new = Peer(world.sockets)
     began = now(world)
-    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.endpoint_list.change_discovery(("127.0.0.1", new.port)))
     assert read_request_line(new.accept()) == FULL_LIST
     assert now(world) - began < 0.3
     watch.answer(200, list_body(9, DRAINS))
@@ -548,7 +548,7 @@
     world = make(2)
     watch = world.discovery.accept()
     read_request_line(watch)
-    lists = world.sidecar.machine_list
+    lists = world.sidecar.endpoint_list
     callback = getattr(lists, part)
     world.run(lambda: setattr(lists, part, raise_error))
     if ending == "list":
@@ -579,7 +579,7 @@
     read_request_line(world.discovery.accept())
     new = Peer(world.sockets)
     before = now(world)
-    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.endpoint_list.change_discovery(("127.0.0.1", new.port)))
     # A large fleet spreads its calls further after the third one.
     for patience in (0.0, 2.0, 4.0, 4.75, 4.75)[: 5 if sidecars == 1 else 3]:
         first = new.accept()
@@ -600,7 +600,7 @@
     world = virtual()
     read_request_line(world.discovery.accept())
     new = Peer(world.sockets)
-    world.run(lambda: world.sidecar.machine_list.change_discovery(("127.0.0.1", new.port)))
+    world.run(lambda: world.sidecar.endpoint_list.change_discovery(("127.0.0.1", new.port)))
     first = new.accept()
     assert read_request_line(first) == FULL_LIST
     began = now(world)
@@ -624,7 +624,7 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(log, "line", log.line)
         world = World(VirtualSockets(), 2)
-        lists, discovery = world.sidecar.machine_list, world.discovery
+        lists, discovery = world.sidecar.endpoint_list, world.discovery
         watch = discovery.accept()
         read_request_line(watch)
         peers = [discovery]
--- a/tests/daemon/http1/test_list_freshness.py
+++ b/tests/daemon/http1/test_list_freshness.py
@@ -19,7 +19,7 @@
     """Divide the time constants by 100."""
     with pytest.MonkeyPatch.context() as patch:
         for name in (
-            "SUSPECT_NODE_SECONDS",
+            "SUSPECT_ENDPOINT_SECONDS",
             "MAX_EMPTY_SECONDS",
             "MIN_ASK_INTERVAL_SECONDS",
             "MAX_ASK_INTERVAL_SECONDS",
@@ -85,7 +85,7 @@
     world.ask().read()
     watch = world.discovery.accept()
     watch.read()
-    lists = world.sidecar.machine_list
+    lists = world.sidecar.endpoint_list
     world.sockets.until(lambda: lists.replacement is None)
 
     def respond_during_connect() -> None:
--- a/tests/daemon/lifecycle/test_freshness.py
+++ b/tests/daemon/lifecycle/test_freshness.py
@@ -17,7 +17,7 @@
     MAX_EMPTY_SECONDS,
     MIN_ASK_INTERVAL_SECONDS,
     RENEWAL_SECONDS,
-    SUSPECT_NODE_SECONDS,
+    SUSPECT_ENDPOINT_SECONDS,
     SUSPICION_MEMORY_SECONDS,
     Freshness,
 )
@@ -79,10 +79,10 @@
             assert not tracker.attempt_ended(now, node, random.choice(NO_EVIDENCE))
             assert not tracker.attempt_ended(now, "unlisted", Outcome.CONNECT_FAILED)
         due, suspicion = tracker.next_ask_at(now), reference.suspicion(now)
-        assert (tracker.suspect_since is not None) == (suspicion >= SUSPECT_NODE_SECONDS - 1e-9) or abs(
-            suspicion - SUSPECT_NODE_SECONDS
+        assert (tracker.suspect_since is not None) == (suspicion >= SUSPECT_ENDPOINT_SECONDS - 1e-9) or abs(
+            suspicion - SUSPECT_ENDPOINT_SECONDS
         ) < 1e-6
-        if suspicion >= SUSPECT_NODE_SECONDS + 1e-6 and now > 200.0:
+        if suspicion >= SUSPECT_ENDPOINT_SECONDS + 1e-6 and now > 200.0:
             suspect_count += 1
             assert due <= now + freshness.MIN_SPREAD_SECONDS
         tracker.watch_started(min(now, 150.0))  # the watch began long ago
@@ -117,7 +117,7 @@
 
 def test_asks_keep_the_minimum_interval_and_back_off_while_they_bring_no_change() -> None:
     without_changes, with_changes = asks(watching(1, 0), 300.0), asks(watching(1, 0), 300.0, 0.5)
-    assert without_changes[0] < 10.0 + SUSPECT_NODE_SECONDS / 12 + freshness.MIN_SPREAD_SECONDS + 0.1
+    assert without_changes[0] < 10.0 + SUSPECT_ENDPOINT_SECONDS / 12 + freshness.MIN_SPREAD_SECONDS + 0.1
     for asked_at in (without_changes, with_changes):
         assert all(b - a >= MIN_ASK_INTERVAL_SECONDS for a, b in pairwise(asked_at))
     gaps = [b - a for a, b in pairwise(without_changes)]
@@ -151,7 +151,11 @@
     for n in range(12):
         tracker.attempt_ended(10.0, f"n{n}", Outcome.CONNECT_FAILED)
     at = tracker.next_ask_at(10.0)
-    assert 10.0 + SUSPECT_NODE_SECONDS / 12 + 3.5 < at < 10.0 + SUSPECT_NODE_SECONDS / 12 + 100 / MAX_ASK_RATE
+    assert (
+        10.0 + SUSPECT_ENDPOINT_SECONDS / 12 + 3.5
+        < at
+        < 10.0 + SUSPECT_ENDPOINT_SECONDS / 12 + 100 / MAX_ASK_RATE
+    )
     assert tracker.next_ask_at(at) <= at
 
 
--- a/tests/daemon/lifecycle/test_shutdown_schedule.py
+++ b/tests/daemon/lifecycle/test_shutdown_schedule.py
@@ -78,7 +78,7 @@
                 / (sigterm_at - served_at[0])
                 * min(1.0, UNSERVED_CHANCE / sidecar_count)
             )
-    assert isclose(schedule.value_per_second_away, cost)
+    assert isclose(schedule.lost_value_per_second, cost)
     value = dict.fromkeys(HORIZONS_SECONDS, 0.0)
     for request in requests:
         request_class = next(c for c in CLASSES if c.name == request.class_name)
--- a/tests/daemon/pools/test_pool_set.py
+++ b/tests/daemon/pools/test_pool_set.py
@@ -268,7 +268,7 @@
     world.assert_served("y", 1)
     world.reload(own_lists(lists[0].port, lists[1].port) + "[list]\nper_s = 20\n")
     assert {
-        pool.serving.machine_list.request_schedule.pace.second_round_rate for pool in world.pools.all()
+        pool.serving.endpoint_list.request_schedule.pace.second_round_rate for pool in world.pools.all()
     } == {20.0}
     for wire in [*watches, *world.connections.values()]:
         wire.close()
@@ -412,7 +412,7 @@
     assert all(pool.is_closed for pool in discarded) and len(discarded) == 2
     for pool in discarded:
         world.run(partial(pool.driver.feed, i.TimerDue(0)))
-    assert not any(pool.serving.machine_list.is_watching for pool in discarded)
+    assert not any(pool.serving.endpoint_list.is_watching for pool in discarded)
     world.assert_served("old", 0)
     monkeypatch.setattr(pool_set, "LIST_WAIT_SECONDS", 0.1)
     world.reload(own_lists(unreachable.port, unreachable.port))
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -274,9 +274,9 @@
             if self.sidecar.server.listener is not None:
                 self.sidecar.server.listener.stopListening()
             self.sidecar.cleanup.close()
-            self.sidecar.machine_list.on_view = lambda _view: None
-            self.sidecar.machine_list.subscribe = lambda: None  # type: ignore[method-assign]
-            self.sidecar.machine_list.unsubscribe()
+            self.sidecar.endpoint_list.on_view = lambda _view: None
+            self.sidecar.endpoint_list.subscribe = lambda: None  # type: ignore[method-assign]
+            self.sidecar.endpoint_list.unsubscribe()
             for connection in [*self.sidecar.server.connections, *self.sidecar.pool.connections]:
                 connection.abort("test")
 
--- a/wheatring/common/body.py
+++ b/wheatring/common/body.py
@@ -21,7 +21,7 @@
 # The fraction of the process's memory for bodies; the buffers on both sides of a body need the rest.
 USABLE_FRACTION = 0.8
 PROCESS_BASE_MB = 24.0  # a process without bodies takes 19 to 21 MB; the rest is a margin
-MINIMUM_MB = 1.0
+MIN_BODY_MEMORY_MB = 1.0
 
 
 def no_listener() -> None:
@@ -193,4 +193,4 @@
 def body_memory_for(memory_mb: int, processes: int) -> BodyMemory:
     """Return the memory for the bodies of one of several processes that share `memory_mb`."""
     available_mb = memory_mb * USABLE_FRACTION / processes - PROCESS_BASE_MB
-    return BodyMemory(int(max(available_mb, MINIMUM_MB) * 1024 * 1024))
+    return BodyMemory(int(max(available_mb, MIN_BODY_MEMORY_MB) * 1024 * 1024))
--- a/wheatring/daemon/admin/dispatch.py
+++ b/wheatring/daemon/admin/dispatch.py
@@ -12,7 +12,7 @@
 
 
 class Operations(Protocol):
-    """Carries out the calls. Operations that return True are in force."""
+    """Carries out the calls. An operation that returns True has taken effect."""
 
     def is_ready(self) -> bool:
         """Return whether callers' connections are accepted."""
@@ -30,7 +30,7 @@
         """End the drain of this sidecar."""
 
     def retry_seconds(self) -> float:
-        """Return the seconds after which to retry a call that is not in force yet; 0 if unknown."""
+        """Return the seconds after which to retry a call that has not taken effect yet; 0 if unknown."""
 
     def roles_status(self) -> str | None:
         """Return the fleet's state as known to this sidecar, as JSON. None: there is no fleet."""
--- a/wheatring/daemon/admin/service.py
+++ b/wheatring/daemon/admin/service.py
@@ -36,8 +36,8 @@
     def idle_connections(self) -> list[Any]:
         """Return the idle connections, the longest idle first."""
 
-    def close_idle(self, keep: int, idle_seconds: float) -> None:
-        """Close connections that have been idle for `idle_seconds`, until `keep` idle ones are left."""
+    def close_idle(self, keep: int, min_idle_seconds: float) -> None:
+        """Close connections idle for at least `min_idle_seconds`, until `keep` idle ones are left."""
 
 
 class RoleOperations(Protocol):
@@ -183,7 +183,7 @@
         return True
 
     def retry_seconds(self) -> float:
-        """Return the seconds after which to retry a call that is not in force yet; 0 if unknown."""
+        """Return the seconds after which to retry a call that has not taken effect yet; 0 if unknown."""
         return self.turn_wait_seconds
 
     def roles_status(self) -> str | None:
--- a/wheatring/daemon/config/platform_file.py
+++ b/wheatring/daemon/config/platform_file.py
@@ -26,7 +26,7 @@
 GENERATION_LIMIT = 1 << 63
 MIN_TIMEOUT_SECONDS = 1e-3
 
-# The keys of settings that the decision module has other names for, so that errors name the key.
+# The keys of settings for which the balancer uses other names, so that errors name the key.
 KEYS_BY_FIELD = {
     "latency_target": "slo", "repeat_window": "memory_span", "quota_per_second": "allowance_per_s",
     "streams_per_connection": "streams_per_conn", "balancer_count": "peers_total",
@@ -47,7 +47,7 @@
     settings: Settings
     given: Mapping[str, object]  # the settings as written in the file
     memory_mb: int = DEFAULT_MEMORY_MB
-    control: tuple[str, int] | None = None  # the address of the control interface; None: there is none
+    control: tuple[str, int] | None = None  # the address of the admin API; None: there is none
 
 
 def read(environment: Mapping[str, str], *, is_reload: bool = False) -> PlatformConfig:
@@ -185,7 +185,7 @@
 
 
 def _rules(settings: Settings) -> Iterator[tuple[str, bool, str]]:
-    """Yield the rules that the decision module does not check itself: key, whether it is valid, and rule."""
+    """Yield the rules that the balancer does not check itself: key, whether it is valid, and rule."""
     limits, contract, goal = settings.limits, settings.contract, settings.goal
     count = settings.balancer_count
     yield "slot_no", settings.balancer_index < count, f"be below peers_total, which is {count}"
--- a/wheatring/daemon/configuration.py
+++ b/wheatring/daemon/configuration.py
@@ -1,6 +1,6 @@
 """Reads the project's configuration file at the start, and reloads all files of a sidecar on SIGHUP.
 
-If a file can't be read or is invalid, the settings that it contains stay as they are.
+If a file can't be read or is invalid, the settings of its last valid version stay in force.
 """
 
 from __future__ import annotations
@@ -48,8 +48,8 @@
     """Return the rates of requests for the endpoint list from the file."""
     from wheatring.daemon.lifecycle.list_request_schedule import RequestPace
 
-    asking = configuration.list
-    return RequestPace(asking.first_per_s, asking.first_longest, asking.per_s, asking.likely_per_s)
+    table = configuration.list
+    return RequestPace(table.first_per_s, table.first_longest, table.per_s, table.likely_per_s)
 
 
 def temporary_folder() -> str:
@@ -88,7 +88,7 @@
     except ProjectFileError as error:
         log.line("config-not-reloaded", why=str(error), code=error.code)
     else:
-        sidecar.machine_list.request_schedule.pace = list_pace(configuration)
+        sidecar.endpoint_list.request_schedule.pace = list_pace(configuration)
         log.line("config-reloaded")
 
 
@@ -121,4 +121,4 @@
     sidecar.record("config", "platform")
     log.line("reloaded", discovery=":".join(map(str, platform.discovery)))
     if not sidecar.server.is_stopping:
-        sidecar.machine_list.change_discovery(platform.discovery)
+        sidecar.endpoint_list.change_discovery(platform.discovery)
--- a/wheatring/daemon/core/driver.py
+++ b/wheatring/daemon/core/driver.py
@@ -128,7 +128,8 @@
         """Pass an event to the balancer and execute the resulting actions."""
         request = self.open_requests.get(getattr(event, "request", 0))
         if event.__class__ is i.View:
-            # Abort connects to endpoints that accept no new requests first, as the decision may rely on it.
+            # Connects to endpoints that accept no new requests are aborted before the decision, which may
+            # rely on it.
             self.exchange.on_endpoint_list(event)
         try:
             actions = self.decision_module.handle(self.clock.now(), event)
--- a/wheatring/daemon/features.py
+++ b/wheatring/daemon/features.py
@@ -25,7 +25,7 @@
 def add_pools(
     sidecar: SidecarParts,
     configuration: ProjectFile,
-    max_node_connections: int,
+    max_endpoint_connections: int,
     body_memory: BodyMemory,
     capture: bool,
 ) -> OnView:
@@ -52,7 +52,7 @@
         settings=platform.settings,
         seed=platform.seed,
         platform_pool=sidecar.serving,
-        budget=ConnectionBudget(max_node_connections),
+        budget=ConnectionBudget(max_endpoint_connections),
         body_memory=body_memory,
     )
     pools = sidecar.pools = PoolSet(environment, sidecar.server, list_pace(configuration), path)
--- a/wheatring/daemon/http1/caller_lifecycle.py
+++ b/wheatring/daemon/http1/caller_lifecycle.py
@@ -257,7 +257,7 @@
     def enforce_limits(self, now: float, idle_timeout: float) -> None:
         """Close the connection if its caller exceeds the time limit of the current state."""
         match self.state:
-            case CallerState.RESTING:
+            case CallerState.IDLE:
                 if now > self.state_since + idle_timeout:
                     self.server.close_after_read(self, "idle")
             case CallerState.READING:
--- a/wheatring/daemon/http1/caller_state.py
+++ b/wheatring/daemon/http1/caller_state.py
@@ -5,7 +5,7 @@
 
 | state | owed to the caller | ended by |
 | --- | --- | --- |
-| RESTING | nothing; a request may be in transit | idle time-out, eviction, shutdown, after reading input |
+| IDLE | nothing; a request may be in transit | idle time-out, eviction or shutdown, if no input is pending |
 | READING | a response, which may be a time-out error | the same, and the request's time limit |
 | UPLOADING | the same; the request may be in flight | the request's time limit; shutdown without successor |
 | BUSY | one complete final response | that response, the caller |
@@ -23,7 +23,7 @@
 class CallerState(Enum):
     """The state of a caller's connection."""
 
-    RESTING = "between requests"
+    IDLE = "between requests"
     READING = "a request is being received; for the first one, from the connect on"
     UPLOADING = "the body of a large request is being received"
     BUSY = "a complete request is in flight"
@@ -50,7 +50,7 @@
         return CallerState.UPLOADING
     if has_request:
         return CallerState.BUSY
-    return CallerState.READING if is_reading_request else CallerState.RESTING
+    return CallerState.READING if is_reading_request else CallerState.IDLE
 
 
 class ArrivalTimes:
--- a/wheatring/daemon/http1/server.py
+++ b/wheatring/daemon/http1/server.py
@@ -24,9 +24,9 @@
     from wheatring.daemon.http1.request_builder import Authorizer, Router
 
 # States in which a connection may be evicted in favour of a waiting caller.
-EVICTABLE = frozenset((CallerState.RESTING, CallerState.READING, CallerState.CLOSING, CallerState.SHUT))
+EVICTABLE = frozenset((CallerState.IDLE, CallerState.READING, CallerState.CLOSING, CallerState.SHUT))
 # States in which nothing has been written for the current request.
-UNANSWERED = frozenset((CallerState.RESTING, CallerState.READING, CallerState.UPLOADING))
+UNANSWERED = frozenset((CallerState.IDLE, CallerState.READING, CallerState.UPLOADING))
 
 SWEEP_SECONDS = 0.25  # interval of the checks for idle and slow connections
 IDLE_TIMEOUT_SECONDS = 20.0  # for a connection between requests
@@ -196,7 +196,7 @@
 
     def idle_connections(self) -> list[CallerConnection]:
         """Return the connections between requests, longest idle first."""
-        idle = [each for each in self.connections if each.state is CallerState.RESTING]
+        idle = [each for each in self.connections if each.state is CallerState.IDLE]
         idle.sort(key=lambda connection: connection.state_since)
         return idle
 
@@ -250,7 +250,7 @@
                 case CallerState.CLOSING | CallerState.SHUT:
                     if now > connection.state_since + flush_timeout:
                         connection.disconnect()
-                case CallerState.RESTING:
+                case CallerState.IDLE:
                     self.close_after_read(connection, "stopping")
                 case CallerState.READING | CallerState.UPLOADING as state:
                     if allow_uploads and state is CallerState.UPLOADING:
--- a/wheatring/daemon/interface.py
+++ b/wheatring/daemon/interface.py
@@ -39,7 +39,7 @@
     server: Server
     serving: ServingPool
     pool: ConnectionPool
-    machine_list: EndpointList
+    endpoint_list: EndpointList
     connection_limit: int
     admin_service: AdminService | None
     admin_server: AdminServer | None
@@ -50,7 +50,7 @@
     pools: PoolSet | None
 
     def connections_in_use(self) -> int:
-        """Return the number of connections to callers and nodes, including pending connects."""
+        """Return the number of connections to callers and endpoints, including pending connects."""
 
     def set_connection_limit(self, connections: int) -> None:
         """Limit the connections of this process, as other processes of the sidecar use the rest."""
--- a/wheatring/daemon/lazy_imports.py
+++ b/wheatring/daemon/lazy_imports.py
@@ -1,4 +1,4 @@
-"""Defers loading of modules that dependencies import but that serving requests does not need.
+"""Defers the loading of modules that dependencies import but that are not needed to serve requests.
 
 They are loaded at their first use.
 """
--- a/wheatring/daemon/lifecycle/drain.py
+++ b/wheatring/daemon/lifecycle/drain.py
@@ -1,12 +1,12 @@
-"""Draining: a sidecar that is out of service closes its client connections but keeps running.
+"""Draining: a sidecar that is out of service closes its callers' connections but keeps running.
 
 The load balancer in front checks the health ten times a second and opens no new connections from 0.2 s after
-a negative answer; clients continue to use their open connections. 4 s after the call, no connection may be
+a negative answer; callers continue to use their open connections. 4 s after the call, no connection may be
 idle or have carried a request within the last 2 s. Therefore, in seconds since the call:
 
 - from 0 on, each response closes its connection;
 - from CLOSING_FROM_SECONDS to CLOSED_BY_SECONDS, idle connections are closed at an even rate, the longest
-  idle first: if all were closed simultaneously, their clients would all reconnect elsewhere simultaneously;
+  idle first: if all were closed simultaneously, their callers would all reconnect elsewhere simultaneously;
 - after that, every idle connection is closed.
 
 Pure: the caller passes the time.
@@ -16,7 +16,7 @@
 
 CLOSING_FROM_SECONDS = 0.35
 CLOSED_BY_SECONDS = 1.7
-MIN_IDLE_SECONDS = 0.3  # a client that has been idle for less may be about to send its next request
+MIN_IDLE_SECONDS = 0.3  # a caller that has been idle for less may be about to send its next request
 
 
 class Drain:
--- a/wheatring/daemon/lifecycle/freshness.py
+++ b/wheatring/daemon/lifecycle/freshness.py
@@ -3,10 +3,10 @@
 A watch on discovery is silent while nothing changes, and also when discovery is no longer there. The
 behaviour of the endpoints distinguishes the two cases: a listed endpoint that refuses connects, resets
 connections or rejects every request is *suspected* until it answers or until the list reports a change of it.
-Each suspected endpoint adds one node-second of suspicion per second, counted from its fault or from the last
-change of the list, whichever is later. The list is suspect
+Each suspected endpoint adds one endpoint-second of suspicion per second, counted from its fault or from the
+last change of the list, whichever is later. The list is suspect
 
-- once the suspicion adds up to SUSPECT_NODE_SECONDS: one endpoint for that long, or several for less; or
+- once the suspicion adds up to SUSPECT_ENDPOINT_SECONDS: one endpoint for that long, or several for less; or
 - once it has contained no serving endpoint for MAX_EMPTY_SECONDS.
 
 A suspect list is requested again. These requests ("asks") are spread over the sidecars by index and are at
@@ -15,8 +15,8 @@
 interval and spread grow with the number of sidecars. A watch that has been silent for RENEWAL_SECONDS is
 renewed even without suspicion, somewhat later in a large fleet: discovery may need a slot for each waiting
 call, and renewals alone would then keep it busy. The notification deadline takes precedence over all of this:
-a request that did not reach discovery is retried as soon as any failed call, and a watch is renewed before
-its wait is over.
+a request that did not reach discovery is retried as soon as after any failed call, and a watch is renewed
+before its wait is over.
 
 Pure: the caller passes the time, in seconds; there are no sockets here.
 """
@@ -31,14 +31,15 @@
 from wheatring.daemon.lifecycle.list_request_schedule import DEFAULT_PACE, ListRequestSchedule, RequestPace
 from wheatring.daemon.lifecycle.notification_deadline import HANGING_CALL_SECONDS, NotificationDeadline
 
-SUSPECT_NODE_SECONDS = 6.0  # node-seconds of suspicion
+SUSPECT_ENDPOINT_SECONDS = 6.0  # endpoint-seconds of suspicion
 MAX_EMPTY_SECONDS = 1.0
 MIN_ASK_INTERVAL_SECONDS = 4.0
 MAX_ASK_INTERVAL_SECONDS = 32.0
 MAX_ASK_RATE = 25.0  # requests a second by all sidecars of the tier
 MIN_SPREAD_SECONDS = 1.0  # minimum time over which the sidecars' first requests are spread
-RENEWAL_SECONDS = 25.0  # longer in a large fleet, to keep it to EXPECTED_ANSWER_RATE renewals a second
-MAX_RENEWAL_SECONDS = 39.0  # plus its spread less than the wait of a watch, whose end costs an answer as well
+RENEWAL_SECONDS = 25.0  # a large fleet waits longer, for at most EXPECTED_ANSWER_RATE renewals a second
+# With the spread of a quarter it is less than the wait of a watch, whose end costs an answer as well.
+MAX_RENEWAL_SECONDS = 39.0
 EXPECTED_ANSWER_RATE = 4.0  # calls a second that discovery is expected to answer
 CHANGE_AFTER_ASK_SECONDS = 2.0  # a change within this time after a request is attributed to the request
 SUSPICION_MEMORY_SECONDS = 60.0  # an endpoint's faults are forgotten after this time without another one
@@ -178,7 +179,7 @@
             for suspicion in self.suspicions.values()
             if suspicion.suspect_since < inf
         ]
-        at = (SUSPECT_NODE_SECONDS + sum(suspected_from)) / len(suspected_from) if suspected_from else inf
+        at = (SUSPECT_ENDPOINT_SECONDS + sum(suspected_from)) / len(suspected_from) if suspected_from else inf
         return at if self.serving else min(at, self.changed_at + MAX_EMPTY_SECONDS)
 
     def update(self, now: float) -> None:
--- a/wheatring/daemon/lifecycle/list_request_schedule.py
+++ b/wheatring/daemon/lifecycle/list_request_schedule.py
@@ -206,7 +206,7 @@
         Parameters
         ----------
         took : float
-            Seconds from its begin to its end.
+            Seconds from its start to its end.
         answering_seconds : float or None
             Seconds since its answer began, at which time it had left the queue; None if no answer began.
         was_sent : bool
--- a/wheatring/daemon/lifecycle/shutdown_schedule.py
+++ b/wheatring/daemon/lifecycle/shutdown_schedule.py
@@ -5,7 +5,7 @@
 - Connections are accepted until none has arrived for `QUIET_SECONDS`, for at least `MIN_ACCEPT_SECONDS` and
   at most `MAX_ACCEPT_SECONDS`.
 - Idle connections are closed one after another within `CLOSE_IDLE_SECONDS`, the longest idle first, so that
-  their clients reconnect elsewhere a few at a time. Each response closes its connection.
+  their callers reconnect elsewhere a few at a time. Each response closes its connection.
 - When no more connections are accepted, open requests continue while, for one of several times ahead, the
   value expected from them within that time exceeds the cost of delaying the successor by it. The cost of a
   second is the value that this sidecar recently served per second, times the probability that no other
@@ -36,13 +36,14 @@
 MAX_ACCEPT_SECONDS = 0.65  # requests accepted later than 0.7 s after SIGTERM may still be open at SIGKILL
 CLOSE_IDLE_SECONDS = 0.2
 CLOSE_IDLE_WITH_SUCCESSOR_SECONDS = 2.0
-MIN_IDLE_SECONDS = 0.3  # with a successor: a client idle for less may be about to send a request
+MIN_IDLE_SECONDS = 0.3  # with a successor: a caller idle for less may be about to send a request
 KILL_AFTER_DEADLINE_SECONDS = 0.7  # time from the longest class deadline to SIGKILL
 MAX_DEADLINE_SECONDS = 3.0  # longer class deadlines count as this
 MARGIN_BEFORE_KILL_SECONDS = 0.2
 LATENCIES_KEPT = 64  # recent latencies kept for each class
 HORIZONS_SECONDS = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # times ahead for which value and cost are compared
-UNSERVED_CHANCE = 0.5  # probability that a request during the absence is not served, times the sidecars
+# Probability that a request during this sidecar's absence is not served, times the number of sidecars.
+UNSERVED_CHANCE = 0.5
 
 
 class OpenRequest(NamedTuple):
@@ -100,13 +101,15 @@
 
     Attributes
     ----------
+    idle : int
+        The number of idle connections at the start.
     has_successor : bool
         Whether another process of this sidecar is already serving.
     min_idle_seconds : float
         The time for which a connection must have been idle to be closed.
     deadline : float
         The time at which all open requests are given up.
-    value_per_second_away : float
+    lost_value_per_second : float
         The value lost per second without this sidecar.
     """
 
@@ -140,12 +143,12 @@
                 for name, request_class in self.classes.items()
             ]
         )
-        self.value_per_second_away = served * min(1.0, UNSERVED_CHANCE / sidecar_count)
+        self.lost_value_per_second = served * min(1.0, UNSERVED_CHANCE / sidecar_count)
 
     def should_stop_accepting(self, now: float, last_accepted_at: float, is_full: bool) -> bool:
         """Whether to stop accepting connections.
 
-        `is_full`: the connection limit is reached, so clients may be waiting in the backlog, and the listener
+        `is_full`: the connection limit is reached, so callers may be waiting in the backlog, and the listener
         stays open for them.
         """
         since = now - self.started_at
@@ -167,7 +170,7 @@
         if self.has_successor:
             return True
         return any(
-            self.expected_value(requests, ahead) > self.value_per_second_away * ahead
+            self.expected_value(requests, ahead) > self.lost_value_per_second * ahead
             for ahead in HORIZONS_SECONDS
         )
 
@@ -189,5 +192,5 @@
         return total
 
     def may_reject(self, class_name: str, may_have_run: bool) -> bool:
-        """Whether a request that is given up may be rejected, which tells the client that a retry is safe."""
+        """Whether a request that is given up may be rejected, which tells the caller that a retry is safe."""
         return not may_have_run or self.classes[class_name].idempotency is Idempotency.IDEMPOTENT
--- a/wheatring/daemon/lifecycle/watch_delegation.py
+++ b/wheatring/daemon/lifecycle/watch_delegation.py
@@ -1,7 +1,8 @@
 """Decides whether a sidecar watches the endpoint list itself or relies on the watch of the fleet's leader.
 
-The leader announces the generation of its list every second. While a sidecar receives these heartbeats and
-its own list is as new, it requests nothing from discovery. It watches the list itself
+The leader announces the generation of its list (the version that discovery states) every second. While a
+sidecar receives these heartbeats and its own list is as new, it requests nothing from discovery. It watches
+the list itself
 
 - while it has no list, or its list is suspect because of failing endpoints (`freshness`);
 - when the leader's list is newer: all sidecars request it, one after another by index, at no more than the
--- a/wheatring/daemon/ops/audit.py
+++ b/wheatring/daemon/ops/audit.py
@@ -25,7 +25,7 @@
 RETRY_SECONDS = 0.05  # between writes while standard error is not read
 
 UNDETECTED_NOTE = (
-    "note: lines lost from the end of any start, and starts lost whole, can't be seen from the rest"
+    "note: lines lost from the end of a start, and starts lost completely, can't be seen from the rest"
 )
 
 _LINE = re.compile(
@@ -107,7 +107,7 @@
             try:
                 if os.write(file, data) < len(data):
                     os.write(file, b"\n")  # the next line must not continue an incomplete one
-                    raise OSError(0, "not written whole")
+                    raise OSError(0, "only part of the line was written")
             finally:
                 os.close(file)
         except OSError as error:
@@ -168,7 +168,7 @@
             continue
         found = True
         match = _LINE.fullmatch(line)
-        fault = "not a whole audit line"
+        fault = "not a complete audit line"
         if match is not None:
             fields, seq, ms, name, prev, line_hash = match.groups()
             if chained_hash(prev.decode(), fields.decode("latin-1")).encode() != line_hash:
@@ -178,7 +178,7 @@
                 starts.add((name, ms))
                 is_chained = prev.decode() == _initial_hash(name.decode("latin-1"), int(ms))
                 fault = (
-                    "a start told twice"
+                    "a start recorded twice"
                     if is_repeated
                     else ""
                     if is_chained
--- a/wheatring/daemon/ops/capture/__init__.py
+++ b/wheatring/daemon/ops/capture/__init__.py
@@ -1,1 +1,1 @@
-"""Captures of the decision module's inputs and decisions in a ring of files, and their replay."""
+"""Captures of the balancer's inputs and decisions in a ring of files, and their replay."""
--- a/wheatring/daemon/ops/capture/record.py
+++ b/wheatring/daemon/ops/capture/record.py
@@ -1,19 +1,19 @@
-"""Records the decision module's inputs and decisions as lines. Replay generates its lines with the same code.
+"""Records the balancer's inputs and decisions as lines. Replay generates its lines with the same code.
 
     h NAME seed=SEED                                     the process started
-    s OFFSET SETTINGS                                    Unix time minus the module's clock, and its settings
+    s OFFSET SETTINGS                                    Unix time minus the balancer's time, and settings
     v MS NOW KIND VERSION ENTRY...                       an endpoint list from discovery
-    r MS NOW NUMBER ID CLASS LEFT REPEAT                 a request, with the module's number for it
+    r MS NOW NUMBER ID CLASS LEFT REPEAT                 a request, with the balancer's number for it
     o MS NOW NUMBER ATTEMPT OUTCOME NODE LATENCY CLOSED REPORT    an attempt ended
     g MS NOW NUMBER                                      a caller abandoned its request
     m MS NOW NUMBER                                      a request can't be retried any more
     t MS NOW TOKEN                                       a timer is due
     d MS ID CLASS LEFT-MS CANDIDATE... CHOSEN ACTION     a decision on a request
     a ACTION                                             any other action
-    c ERROR                                              the module raised an exception on the event before
+    c ERROR                                              the balancer raised an error on the previous event
     x BYTES                                              a line was left out, as it exceeds a file's size
 
-MS is Unix time for human readers, NOW the exact time of the module's clock. A CANDIDATE is
+MS is Unix time for human readers, NOW the exact time of the balancer's clock. A CANDIDATE is
 ID:BUSY/IDLE/REPORT. Words are quoted as in URLs; the empty word is `-`.
 """
 
@@ -46,9 +46,9 @@
         quote_token(entry.zone),
         quote_token(entry.machine_type),
     )
-    owed = ("owed",) if entry.is_reinstated else ()
+    reinstated = ("owed",) if entry.is_reinstated else ()
     return ",".join(
-        (*words, f"{entry.cell}", _format_number(entry.rating), _format_number(entry.started_at), *owed)
+        (*words, f"{entry.cell}", _format_number(entry.rating), _format_number(entry.started_at), *reinstated)
     )
 
 
@@ -84,7 +84,7 @@
         self.write = write
         self.request_id = request_id
         self.idle_count = idle_count
-        self.requests: dict[int, _RecordedRequest] = {}  # by number, while the module tracks them
+        self.requests: dict[int, _RecordedRequest] = {}  # by number, while the balancer tracks them
 
     def handle(self, now: float, event: i.Event) -> list[i.Action]:
         """Forward an event to the balancer, and record it and the resulting actions."""
--- a/wheatring/daemon/ops/capture/replay.py
+++ b/wheatring/daemon/ops/capture/replay.py
@@ -1,4 +1,4 @@
-"""Replays captured events in the decision module and reports each decision that differs."""
+"""Replays captured events in a balancer and reports each decision that differs."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from wheatring.daemon.ops.capture.record import REPORT_FIELDS, Recorder
 from wheatring.daemon.ops.capture.ring import CUT_MARK, files_in
 
-_IDLE = re.compile(r"(:[0-9]+)/[^/ ]*/")  # idle connections in the pool, which the module does not know
+_IDLE = re.compile(r"(:[0-9]+)/[^/ ]*/")  # idle connections in the pool, which the balancer does not know
 
 
 def _parse_token(text: str) -> str:
@@ -28,10 +28,10 @@
 
 
 def _parse_entry(text: str) -> i.EndpointEntry:
-    name, state, zone, kind, cell, rating, started, *owed = text.split(",")
+    name, state, zone, kind, cell, rating, started, *reinstated = text.split(",")
     return i.EndpointEntry(
         _parse_token(name), i.EndpointState(state), _parse_token(zone), _parse_token(kind), int(cell),
-        float(rating), float(started), owed == ["owed"],
+        float(rating), float(started), reinstated == ["owed"],
     )  # fmt: skip
 
 
@@ -64,7 +64,7 @@
     last = files[0][0] - 1
     for number, path in files:
         if number != last + 1:
-            yield path.name, "x a file lacks before this one"
+            yield path.name, "x a file is missing before this one"
         last = number
         with path.open(encoding="ascii", errors="replace", newline="\n") as file:
             for count, line in enumerate(file, 1):
@@ -125,7 +125,7 @@
         elif kind in ("d", "a", "c"):
             self.compare(position, line)
         elif kind == "x":
-            self.stop(position, "something was left out here")
+            self.stop(position, "a line or file is missing here")
         else:
             self.expect_no_more(position)
             self.feed(kind, parts)
@@ -182,9 +182,7 @@
 
     def stop(self, position: str, reason: str) -> None:
         """Stop replaying up to the next start."""
-        self.write_line(
-            f"{self.name}: {position}: {reason}; what follows can't be replayed up to the next start"
-        )
+        self.write_line(f"{self.name}: {position}: {reason}; lines can't be replayed up to the next start")
         self.recorder = self.seed = None
         self.expected_lines.clear()
 
@@ -195,7 +193,7 @@
                 f"{self.name}: the header has been overwritten: {self.skipped} lines can't be replayed"
             )
         elif self.skipped:
-            self.write_line(f"{self.name}: {self.skipped} lines were passed over")
+            self.write_line(f"{self.name}: {self.skipped} lines were skipped")
         self.skipped = 0
 
 
--- a/wheatring/daemon/ops/drills.py
+++ b/wheatring/daemon/ops/drills.py
@@ -20,7 +20,7 @@
 from wheatring.daemon.core.exchange import Answer, AnswerKind, Exchange, Request
 from wheatring.daemon.operator_properties import PARTS_PER_PERCENT, Drill, OperatorFileError
 
-# A delay ends this long before the request's deadline, or with a quarter of its remaining time left.
+# A delay ends this long before the request's deadline, or a quarter of the remaining time if that is less.
 DEADLINE_MARGIN_SECONDS = 0.25
 CHECK_SECONDS = 5.0  # longest interval between checks of the system clock, which may be set
 
--- a/wheatring/daemon/pools/manual_overrides.py
+++ b/wheatring/daemon/pools/manual_overrides.py
@@ -1,4 +1,4 @@
-"""Endpoints that operators have taken offline, with several endpoint lists."""
+"""Applies the operators' offline orders to several endpoint lists."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AllPoolsOverrides(EndpointOverrides):
-    """The operators' overrides of all lists: the platform's and those of pools with their own."""
+    """Applies the operators' overrides to all lists: the platform's and the pools' own."""
 
     def __init__(self, on_view: Callable[[View], None], pools: PoolSet) -> None:
         super().__init__(on_view)
--- a/wheatring/daemon/pools/pool_set.py
+++ b/wheatring/daemon/pools/pool_set.py
@@ -3,8 +3,8 @@
 A change of the file is first *staged*: new pools are created and receive their lists, while the routes in
 force stay. It is then *swapped in*: routes, weights and pools change atomically once each new pool has its
 list, or after `LIST_WAIT_SECONDS`. Pools that the new file lacks or defines differently then drain: they are
-closed when they have no requests left. Only `reload` stages, only `advance` swaps and closes. Invariant: the
-routes and pools in force are of the same file.
+closed when they have no requests left. After `start`, only `reload` stages, and only `advance` swaps and
+closes drained pools. Invariant: the routes and pools in force are of the same file.
 """
 
 from __future__ import annotations
--- a/wheatring/daemon/pools/routed_pool.py
+++ b/wheatring/daemon/pools/routed_pool.py
@@ -74,11 +74,11 @@
 
     def fetch(self) -> None:
         """Fetch the list again."""
-        self.platform_pool.machine_list.fetch()
+        self.platform_pool.endpoint_list.fetch()
 
     def record_outcome(self, now: float, endpoint: str, outcome: Outcome) -> None:
         """Record the outcome of an attempt at an endpoint."""
-        self.platform_pool.machine_list.record_outcome(now, endpoint, outcome)
+        self.platform_pool.endpoint_list.record_outcome(now, endpoint, outcome)
 
 
 class RoutedPool:
@@ -106,7 +106,7 @@
     def start(self, platform_list: EndpointListState) -> None:
         """Start receiving updates of the list."""
         if self.selection is None:
-            self.serving.machine_list.load_cached(EMPTY_LIST)
+            self.serving.endpoint_list.load_cached(EMPTY_LIST)
         else:
             self.on_platform_list(platform_list.full_view())
 
@@ -125,7 +125,7 @@
     def set_pace(self, pace: RequestPace) -> None:
         """Set the pace of requests for its own list, if it has one."""
         if self.selection is None:
-            self.serving.machine_list.request_schedule.pace = pace
+            self.serving.endpoint_list.request_schedule.pace = pace
 
     def close(self, code: str) -> None:
         """Close the pool. It has no requests, or the sidecar stops."""
@@ -133,7 +133,7 @@
             return
         self.is_closed = True
         if self.selection is None:
-            self.serving.machine_list.unsubscribe()
+            self.serving.endpoint_list.unsubscribe()
         self.connections.release(code)
         self.driver.decision_module = InertBalancer()
 
--- a/wheatring/daemon/routes/adaptive_limit.py
+++ b/wheatring/daemon/routes/adaptive_limit.py
@@ -19,12 +19,13 @@
 
 BASELINE_TOLERANCE_RATIO = 1.2  # a latency within this factor of the base counts as the base
 BASELINE_TOLERANCE_STEPS = 3.0  # steps up per window while the latency counts as the base
-QUEUE_BELOW_LIMIT_RATIO = 4.0  # of the base; a queue has built up below the limit, which is far too high
-QUEUE_RATIO = 0.8  # half the limit reducing the latency below this ratio proves a queue
+# A latency above this multiple of the base proves a queue even below the limit, which is then far too high.
+QUEUE_BELOW_LIMIT_RATIO = 4.0
+QUEUE_RATIO = 0.8  # halving the limit proves a queue if it reduces the latency below this ratio
 MIN_WINDOW_FACTOR = 0.5  # lower bound of the factor that one window applies to the limit
-PROBE_FALL_RATIO = 0.5  # a limit that windows reduced below this ratio is probed at once
+PROBE_FALL_RATIO = 0.5  # windows that reduce the limit below this ratio of its maximum cause a probe
 MAX_PROBE_TIME_SHARE = 0.05  # share of time spent on probes that confirm the base
-MIN_PROBE_GAP_SHARE = 0.1  # of `probe_every`, the minimum interval between probes
+MIN_PROBE_GAP_SHARE = 0.1  # minimum interval before such a probe, as a share of `probe_every`
 MIN_LATENCY_SECONDS = 1e-6  # lower bound, for the logarithm
 NOT_COUNTED_YET = -1  # value of `_responses_to_skip`
 
--- a/wheatring/daemon/routes/callers.py
+++ b/wheatring/daemon/routes/callers.py
@@ -19,7 +19,7 @@
 NEGLIGIBLE_REQUESTS = 1e-3  # smaller decayed counts are ignored
 THROUGHPUT_WINDOW_SECONDS = 0.5  # time constant; short, as throughput rises at the onset of overload
 OVERLOAD_RATIO = 1.1  # of requests to admissions; a lower ratio would limit callers by chance
-ABOVE_MEAN_RATIO = 1.02
+ABOVE_MEAN_RATIO = 1.02  # of a caller's admissions to the mean
 MAX_REQUESTS_AHEAD = 4.0  # requests by which a caller may exceed its share
 LEVEL_INTERVAL_SECONDS = 0.1  # between updates of the fair level
 
--- a/wheatring/daemon/routes/limiters.py
+++ b/wheatring/daemon/routes/limiters.py
@@ -11,8 +11,8 @@
 from wheatring.daemon.routes.gcra import NEVER_USED, Gcra
 from wheatring.daemon.routes.limit_settings import ClassPriority, PoolLimitSettings, RouteLimitSettings
 
-FLOOR_KEPT_SECONDS = 2.0  # after the last request of a class, its floor stays reserved for so long
-ABOVE_MEAN_ROOM_FACTOR = 1.5  # of the room that a caller above the mean must leave free
+FLOOR_KEPT_SECONDS = 2.0  # time for which a class's floor stays reserved after its last request
+ABOVE_MEAN_ROOM_FACTOR = 1.5  # a caller above the mean must leave this multiple of `shares.room` free
 RETRY_AFTER_WINDOW_SECONDS = 2.0  # time constant of the counts for Retry-After
 
 
--- a/wheatring/daemon/serving.py
+++ b/wheatring/daemon/serving.py
@@ -25,7 +25,7 @@
     Returns
     -------
     int
-        The exit status if the start failed. Otherwise the process exits here.
+        The exit status if the start failed. Otherwise the function does not return: it ends the process.
     """
     gc.disable()  # most objects created at the start stay; saves CPU when many sidecars start together
     try:
--- a/wheatring/daemon/serving_pool.py
+++ b/wheatring/daemon/serving_pool.py
@@ -1,4 +1,4 @@
-"""One pool of endpoints: its balancer, driver, connections to nodes and endpoint list.
+"""One pool of endpoints: its balancer, driver, connections to endpoints and endpoint list.
 
 A sidecar without routes has exactly one. The parts of a pool are isolated from those of other pools: they
 share no decisions, connections, lists or suspicions. The driver and the connections register with the
@@ -28,18 +28,20 @@
     Parameters
     ----------
     seed : int
-        The seed of the balancer; the seeds of the list request schedules begin with its text.
+        The seed of the balancer; the seeds of `list_schedules` are derived from it.
     max_connections : int
-        The limit of simultaneous connections to nodes.
+        The limit of simultaneous connections to endpoints.
     body_memory : BodyMemory
         The memory for bodies, shared by all pools.
     pace : RequestPace
         The rates of requests for the endpoint list.
     connections : Callable[..., ConnectionPool]
-        Creates the pool of connections to nodes.
+        Creates the pool of connections to endpoints.
     """
 
-    __slots__ = ("asking", "balancer", "clock", "driver", "freshness", "machine_list", "pool", "reactor")
+    __slots__ = (
+        "balancer", "clock", "driver", "endpoint_list", "freshness", "pool", "reactor", "request_schedule",
+    )  # fmt: skip
 
     def __init__(
         self,
@@ -67,8 +69,8 @@
             max_connections,
             body_memory,
         )
-        self.asking, self.freshness = list_schedules(settings, seed, clock.now(), pace)
-        self.machine_list: EndpointList
+        self.request_schedule, self.freshness = list_schedules(settings, seed, clock.now(), pace)
+        self.endpoint_list: EndpointList
 
     def list_from(self, discovery: tuple[str, int], on_view: Callable[[View], None]) -> EndpointList:
         """Create the client of its endpoint list.
@@ -80,9 +82,9 @@
         on_view : Callable[[View], None]
             Receives each update and passes it to the driver.
         """
-        self.machine_list = EndpointList(
-            self.reactor, self.clock, discovery, self.pool.addresses, on_view, self.freshness, self.asking,
-            is_pushed=not self.balancer.settings.must_subscribe,
+        self.endpoint_list = EndpointList(
+            self.reactor, self.clock, discovery, self.pool.addresses, on_view, self.freshness,
+            self.request_schedule, is_pushed=not self.balancer.settings.must_subscribe,
         )  # fmt: skip
-        self.driver.endpoint_list = self.machine_list
-        return self.machine_list
+        self.driver.endpoint_list = self.endpoint_list
+        return self.endpoint_list
--- a/wheatring/daemon/sidecar.py
+++ b/wheatring/daemon/sidecar.py
@@ -29,7 +29,8 @@
 
 RESERVED_DESCRIPTORS = 24  # for the log, the reactor, listening sockets, the configuration, discovery calls
 ADMIN_DESCRIPTORS = 32  # for operators' calls, their listening socket, and the files shared between processes
-NODE_CONNECTION_SHARE = 0.4  # connections for nodes: requests in flight may use a third, and others are idle
+# Share of the connections that may go to endpoints: a third for requests in flight, the rest for idle ones.
+ENDPOINT_CONNECTION_SHARE = 0.4
 PLAN_WAIT_SECONDS = 6.0  # time-out for the fleet's plan, after which the sidecar serves without it
 PLAN_POLL_SECONDS = 0.02
 
@@ -86,9 +87,9 @@
         self.fleet: FleetRuntime | None = None
         self.list_sharing: ListSharing | None = None
         self.pools: PoolSet | None = None
-        body_memory, node_connections = self._wire_core(configuration)
-        on_view = self._add_features(configuration, node_connections, body_memory, capture)
-        self.machine_list = self.serving.list_from(platform.discovery, on_view)
+        body_memory, endpoint_connections = self._wire_core(configuration)
+        on_view = self._add_features(configuration, endpoint_connections, body_memory, capture)
+        self.endpoint_list = self.serving.list_from(platform.discovery, on_view)
         if capture:
             from wheatring.daemon.features import add_capture
 
@@ -98,10 +99,10 @@
 
             add_audit(self)
         if self.list_sharing is not None:
-            self.list_sharing.start(self.machine_list)
+            self.list_sharing.start(self.endpoint_list)
 
     def _wire_core(self, configuration: ProjectFile | None) -> tuple[BodyMemory, int]:
-        """Create the mandatory parts; return the memory for bodies and the limit of node connections."""
+        """Create the mandatory parts; return the body memory and the limit of endpoint connections."""
         from wheatring.common.body import body_memory_for
         from wheatring.daemon.core.exchange import Exchange
         from wheatring.daemon.http1.server import Server
@@ -113,22 +114,26 @@
         body_memory = body_memory_for(platform.memory_mb, 2 if has_admin else 1)
         reserved = RESERVED_DESCRIPTORS + (ADMIN_DESCRIPTORS if has_admin else 0)
         self.connection_limit = platform.sockets - reserved
-        node_connections = int(self.connection_limit * NODE_CONNECTION_SHARE)
+        endpoint_connections = int(self.connection_limit * ENDPOINT_CONNECTION_SHARE)
         pace = () if configuration is None else (list_pace(configuration),)
         self.serving = ServingPool(
-            self.reactor, self.clock, self.exchange, settings, platform.seed, node_connections, body_memory,
-            *pace,
+            self.reactor, self.clock, self.exchange, settings, platform.seed, endpoint_connections,
+            body_memory, *pace,
         )  # fmt: skip
         self.driver = self.serving.driver
         self.pool = self.serving.pool
-        caller_connections = self.connection_limit - node_connections
+        caller_connections = self.connection_limit - endpoint_connections
         self.server = Server(
             self.reactor, self.clock, self.exchange, settings.classes, caller_connections, body_memory
         )
-        return body_memory, node_connections
+        return body_memory, endpoint_connections
 
     def _add_features(
-        self, configuration: ProjectFile | None, node_connections: int, body_memory: BodyMemory, capture: bool
+        self,
+        configuration: ProjectFile | None,
+        endpoint_connections: int,
+        body_memory: BodyMemory,
+        capture: bool,
     ) -> Callable[[View], None]:
         """Add the features through which the endpoint list passes; return its first receiver."""
         on_view: Callable[[View], None] = self.driver.feed
@@ -137,7 +142,7 @@
         from wheatring.daemon import features
 
         if configuration is not None and configuration.route:
-            on_view = features.add_pools(self, configuration, node_connections, body_memory, capture)
+            on_view = features.add_pools(self, configuration, endpoint_connections, body_memory, capture)
         if self.platform.control is not None:
             on_view = features.add_admin(self, on_view)
         if configuration is not None and configuration.fleet is not None:
@@ -147,15 +152,15 @@
     # Connections
 
     def connections_in_use(self) -> int:
-        """Return the number of connections to callers and nodes, including pending connects."""
-        to_nodes = len(self.pool.connections) + len(self.pool.pending_connects)
+        """Return the number of connections to callers and endpoints, including pending connects."""
+        to_endpoints = len(self.pool.connections) + len(self.pool.pending_connects)
         if self.pools is not None:
-            to_nodes += self.pools.budget.in_use()
-        return len(self.server.connections) + to_nodes
+            to_endpoints += self.pools.budget.in_use()
+        return len(self.server.connections) + to_endpoints
 
     def set_connection_limit(self, connections: int) -> None:
         """Limit the connections of this process, as other processes of the sidecar use the rest."""
-        self.pool.max_connections = int(connections * NODE_CONNECTION_SHARE)
+        self.pool.max_connections = int(connections * ENDPOINT_CONNECTION_SHARE)
         if self.pools is not None:
             self.pools.budget.total = self.pool.max_connections
         self.server.set_max_connections(connections - self.pool.max_connections)
@@ -166,7 +171,7 @@
         """Start all parts; callers' connections are accepted once the list and any plan weights are known."""
         if self.admin_service is not None:
             self._start_admin()
-        self.machine_list.load_cached(self.platform.known)
+        self.endpoint_list.load_cached(self.platform.known)
         if self.pools is not None:
             self.pools.start_own_lists()
         if self.fleet is not None and not self.fleet.is_ready:
@@ -271,7 +276,7 @@
 
     def finish(self) -> None:
         """Stop all parts and then the process."""
-        self.machine_list.unsubscribe()
+        self.endpoint_list.unsubscribe()
         self.pool.close()
         self.cleanup.close()
         log.line("stopped")
--- a/wheatring/lab/direct/sidecar.py
+++ b/wheatring/lab/direct/sidecar.py
@@ -14,7 +14,7 @@
 from wheatring.daemon.lifecycle.freshness import list_schedules
 from wheatring.daemon.lifecycle.shutdown_schedule import ShutdownSchedule
 from wheatring.daemon.shutdown import SHUTDOWN_POLL_SECONDS
-from wheatring.daemon.sidecar import NODE_CONNECTION_SHARE, RESERVED_DESCRIPTORS
+from wheatring.daemon.sidecar import ENDPOINT_CONNECTION_SHARE, RESERVED_DESCRIPTORS
 from wheatring.lab.direct.clock import DirectClock
 from wheatring.lab.direct.connection_pool import ConnectionLimits, DirectConnectionPool
 from wheatring.lab.direct.endpoint_list import DirectEndpointList, Registry
@@ -55,7 +55,7 @@
     @property
     def max_node_connections(self) -> int:
         """Limit of open connections to nodes."""
-        return int(self.free_sockets * NODE_CONNECTION_SHARE)
+        return int(self.free_sockets * ENDPOINT_CONNECTION_SHARE)
 
     @property
     def max_callers(self) -> int:
--- a/wheatring/lab/planted_faults.py
+++ b/wheatring/lab/planted_faults.py
@@ -142,9 +142,9 @@
         "closed-with-jobs",
         "once stopping, it closes connections whose callers wait for answers",
         "wheatring.daemon.http1.server:Server.close_unanswered",
-        "case CallerState.RESTING:",
+        "case CallerState.IDLE:",
         'case CallerState.BUSY:\n                connection.close("stopping")\n'
-        "            case CallerState.RESTING:",
+        "            case CallerState.IDLE:",
         "faults",
         ON_SOCKETS,
     ),
