--- a/tests/lab/scenario/scenario_text.py
+++ b/tests/lab/scenario/scenario_text.py
@@ -1,4 +1,4 @@
-"""What the tests of scenarios share: a small good text, and what makes a plan unsound."""
+"""Fixtures for tests of scenarios: a small valid text, and a consistency check of plans."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from wheatring.lab.plan import EventPlan, Plan
 from wheatring.lab.scenario.fault_messages import labels
 
-# Each table once, as little as it needs.
-GOOD = """
+# Each required table with only its required keys.
+VALID_TEXT = """
 title = "Good"
 what = "For tests."
 tail = 6
@@ -46,74 +46,77 @@
 """
 
 
-def _down(event: EventPlan) -> float:
-    """Return when a node that this takes down is up again."""
+def _up_again_at(event: EventPlan) -> float:
+    """Return the instant at which a node that the event takes down is up again."""
     if event.kind not in ("drain", "kill", "vanish") or event.replaced_by:
         return inf
     leaving = event.extra if event.kind == "drain" else 0.0
     return event.at + leaving + (event.length or inf)
 
 
-def unsound(plan: Plan) -> list[str]:
-    """Return the faults of a plan: what none may have, whatever the seed."""
-    bad: list[str] = []
+def plan_faults(plan: Plan) -> list[str]:
+    """Return the faults of a plan, which must have none for any seed."""
+    faults: list[str] = []
     nodes = {node.name: node for node in plan.nodes}
-    fronts = {one.name: one for one in plan.sidecars}
-    own = {node.name for node in plan.nodes if node.tier < len(plan.tiers) - 1}
-    hosts = {node.host for node in plan.nodes} | {one.host for one in plan.sidecars}
+    fronts = {sidecar.name: sidecar for sidecar in plan.sidecars}
+    nodes_with_sidecar = {node.name for node in plan.nodes if node.tier < len(plan.tiers) - 1}
+    hosts = {node.host for node in plan.nodes} | {sidecar.host for sidecar in plan.sidecars}
     hosts |= {node.side_host for node in plan.nodes if node.tier < len(plan.tiers) - 1}
     if len(nodes) < len(plan.nodes) or len(fronts) < len(plan.sidecars) or nodes.keys() & fronts.keys():
-        bad.append("a name twice")
+        faults.append("duplicate name")
     if len({node.host for node in plan.nodes if node.up}) < sum(node.up for node in plan.nodes):
-        bad.append("an address twice")
+        faults.append("duplicate address")
     for node in plan.nodes:
         if not 0 <= node.kind < len(plan.tiers[node.tier].kinds) or node.speed <= 0:
-            bad.append(f"{node.name}: kind or speed")
-    up = {node.name: 0.0 if node.up else inf for node in plan.nodes}  # from when on it runs
-    held: dict[str, float] = {}  # addresses of what is replaced, until when
+            faults.append(f"{node.name}: kind or speed")
+    up = {node.name: 0.0 if node.up else inf for node in plan.nodes}  # instant from which each node runs
+    address_in_use_until: dict[str, float] = {}  # addresses of replaced nodes, with the end of their use
     sidecar_up: dict[str, float] = {}
-    last = 0.0
+    previous_at = 0.0
     for event in plan.events:
-        if not last <= event.at < plan.length + plan.tail:
-            bad.append(f"{event.kind} at {event.at}: out of order, or of the day")
-        last = event.at
+        if not previous_at <= event.at < plan.length + plan.tail:
+            faults.append(f"{event.kind} at {event.at}: out of order or outside the day")
+        previous_at = event.at
         for name in event.nodes:
             if name not in nodes:
-                bad.append(f"{event.kind}: no node {name}")
+                faults.append(f"{event.kind}: no node {name}")
             elif event.kind == "start":
                 if up[name] != inf:
-                    bad.append(f"start of {name}, which runs")
+                    faults.append(f"start of {name}, which runs")
                 up[name] = event.at
             elif up[name] > event.at:
-                bad.append(f"{event.kind} of {name} at {event.at}, which does not run")
+                faults.append(f"{event.kind} of {name} at {event.at}, which does not run")
             elif event.kind in ("drain", "kill", "vanish"):
-                up[name] = _down(event)
-                held[nodes[name].host] = event.at + event.extra
+                up[name] = _up_again_at(event)
+                address_in_use_until[nodes[name].host] = event.at + event.extra
         if event.replaced_by:
-            new = nodes[event.replaced_by]
-            if new.up or up[new.name] != inf or len(event.nodes) != 1 or not event.length:
-                bad.append(f"{event.nodes} replaced by {new.name}")
-            up[new.name] = event.at + event.extra + event.length
-            if new.tier != nodes[event.nodes[0]].tier or held.get(new.host, 0.0) >= up[new.name]:
-                bad.append(f"{new.name} stands in another tier, or where another still runs")
+            replacement = nodes[event.replaced_by]
+            if replacement.up or up[replacement.name] != inf or len(event.nodes) != 1 or not event.length:
+                faults.append(f"{event.nodes} replaced by {replacement.name}")
+            up[replacement.name] = event.at + event.extra + event.length
+            if (
+                replacement.tier != nodes[event.nodes[0]].tier
+                or address_in_use_until.get(replacement.host, 0.0) >= up[replacement.name]
+            ):
+                faults.append(f"{replacement.name} is in another tier, or has an address that is in use")
         for name in event.sidecars:
-            if name not in fronts and name not in own:
-                bad.append(f"{event.kind}: no sidecar {name}")
+            if name not in fronts and name not in nodes_with_sidecar:
+                faults.append(f"{event.kind}: no sidecar {name}")
             elif sidecar_up.get(name, 0.0) > event.at or up.get(name, 0.0) > event.at:
-                bad.append(f"{event.kind} of {name}'s sidecar, which does not run")
+                faults.append(f"{event.kind} of {name}'s sidecar, which does not run")
             sidecar_up[name] = event.at + event.extra + event.length
         if not hosts.issuperset(event.hosts) or not hosts.issuperset(event.others):
-            bad.append(f"{event.kind}: no such host")
+            faults.append(f"{event.kind}: no such host")
         if (event.kind in ("partition", "latency")) != bool(event.hosts and event.others):
-            bad.append(f"{event.kind}: {len(event.hosts)} hosts, {len(event.others)} others")
-    never = [name for name, at in up.items() if at == inf and not nodes[name].up]
-    gone = {name for event in plan.events for name in event.nodes if event.kind != "start"}
-    bad += [f"{name} is never started" for name in never if name not in gone]
-    return bad
+            faults.append(f"{event.kind}: {len(event.hosts)} hosts, {len(event.others)} others")
+    never_started = [name for name, at in up.items() if at == inf and not nodes[name].up]
+    affected = {name for event in plan.events for name in event.nodes if event.kind != "start"}
+    faults += [f"{name} is never started" for name in never_started if name not in affected]
+    return faults
 
 
 def toml(value: object, top: bool = True) -> str:
-    """Plain values as TOML, on one line for each key at the top."""
+    """Return plain values as TOML, with one line for each top-level key."""
     if isinstance(value, dict):
         pairs = [f"{key} = {toml(inner, False)}" for key, inner in value.items()]
         return "\n".join(pairs) if top else "{" + ", ".join(pairs) + "}"
@@ -122,8 +125,8 @@
     return json.dumps(value).replace("NaN", "nan").replace("Infinity", "inf")
 
 
-def put(raw: Any, path: str, value: object) -> None:
-    """Set, or with ... take out, what stands at a path in which entries go by their label."""
+def set_at_path(raw: Any, path: str, value: object) -> None:
+    """Set the value at a path, whose steps are keys and labels of entries. `...` removes the key."""
     *outer, key = path.split(".")
     for step in outer:
         raw = raw[labels(raw).index(step)] if isinstance(raw, list) else raw.setdefault(step, {})
--- a/tests/lab/scenario/test_draw.py
+++ b/tests/lab/scenario/test_draw.py
@@ -1,4 +1,4 @@
-"""Random draws: within their ranges, independent of each other, the same anywhere; and sound events."""
+"""Tests of random draws (in range, independent of each other, reproducible) and of expanded events."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.lab.scenario.scenario_text import GOOD, toml, unsound
+from tests.lab.scenario.scenario_text import VALID_TEXT, plan_faults, toml
 from wheatring.__main__ import main
 from wheatring.lab.plan import Plan
 from wheatring.lab.scenario.capacity import summary
@@ -28,14 +28,14 @@
 BASE = msgspec.to_builtins(load("base").scenario)
 
 
-def planned(*events: dict[str, Any], seed: int = 1, near: int = 3, **more: object) -> Plan:
-    good = GOOD.replace("nodes = 3", f"nodes = {near}")
-    text = f"{toml(more)}\n{good}" + "".join(f"\n[[event]]\n{toml(event)}\n" for event in events)
+def draw_plan(*events: dict[str, Any], seed: int = 1, near: int = 3, **top_level: object) -> Plan:
+    good = VALID_TEXT.replace("nodes = 3", f"nodes = {near}")
+    text = f"{toml(top_level)}\n{good}" + "".join(f"\n[[event]]\n{toml(event)}\n" for event in events)
     return draw(parse(text, "good", "good.toml"), seed)
 
 
 def leaves(value: object, path: str = "") -> Iterator[tuple[str, object]]:
-    """Each plain value with its path."""
+    """Yield each scalar value with its path."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from leaves(inner, f"{path}.{key}")
@@ -47,7 +47,7 @@
 
 
 def ranges(value: Any, path: str = "") -> Iterator[tuple[str, list[Any]]]:
-    """Yield the keys of the base that are drawn, with the ranges that they are drawn from."""
+    """Yield the paths of drawn keys with their ranges or choices."""
     if isinstance(value, dict):
         for key, inner in value.items():
             yield from ranges(inner, f"{path}.{key}" if path else key)
@@ -58,9 +58,9 @@
         yield path, list(value)
 
 
-DRAWN = list(ranges(BASE))
-# Where a key stands in the plan under another name than its own; all else of the plan must stay.
-ELSEWHERE = {
+DRAWN_KEYS = list(ranges(BASE))
+# Fields of the plan that a key affects, where their name differs from the key's; no others may change.
+AFFECTED_FIELDS = {
     "sidecars": r"sidecars", "notice": r"front_notice|discovery\.notice", "swing": r"traffic\.shape",
     "humps": r"traffic\.shape", "shape": r"traffic\.shape", "cell_size": r"nodes\.\d+\.cell",
     "speed": r"nodes\.\d+\.speed", "speed_cv": r"nodes\.\d+\.speed", "nodes": r"nodes", "times": r"nodes",
@@ -69,7 +69,10 @@
 
 
 def leaves_with(path: str, value: object) -> dict[str, object]:
-    """Return the leaves of a day of the base with one key set, on which only a few figures depend."""
+    """Return the leaves of a plan of the scenario `base` with one key set.
+
+    Traffic and the speed of discovery have fixed values, as their defaults depend on many keys.
+    """
     raw: dict[str, Any] = {"title": "t", "what": "w", "extends": "base"}
     raw |= {"traffic": {"rate": 100, "shape": "bursty"}, "discovery": {"lines_per_s": 300}}
     inner = raw
@@ -88,17 +91,17 @@
 
 def test_changing_a_key_changes_no_other_draw() -> None:
     before = leaves_with("title", "t")
-    moving = 0
-    for path, choices in DRAWN:
+    changed_keys = 0
+    for path, choices in DRAWN_KEYS:
         if path in ("traffic.load", "traffic.shape", "discovery.capacity"):
             continue
         after = leaves_with(path, choices[0])
         key = path.rpartition(".")[2]
-        own = re.compile(rf"\.({ELSEWHERE.get(key, rf'.*{key}')})\b")
-        moved = [leaf for leaf in before.keys() | after.keys() if before.get(leaf) != after.get(leaf)]
-        assert [leaf for leaf in sorted(moved) if not own.match(leaf)] == [], path
-        moving += bool(moved)
-    assert moving > 80
+        affected = re.compile(rf"\.({AFFECTED_FIELDS.get(key, rf'.*{key}')})\b")
+        changed = [leaf for leaf in before.keys() | after.keys() if before.get(leaf) != after.get(leaf)]
+        assert [leaf for leaf in sorted(changed) if not affected.match(leaf)] == [], path
+        changed_keys += bool(changed)
+    assert changed_keys > 80
 
 
 def test_an_additional_event_changes_no_other_event() -> None:
@@ -113,37 +116,39 @@
     }
     kill = {"kind": "kill", "tier": "near", "count": 1, "at": [20, 25], "length": [1, 2]}
     load = {"kind": "load", "at": [1, 20], "size": [1, 2]}
-    alone = planned(flap, kill)
-    both = planned(load, flap, kill)
+    alone = draw_plan(flap, kill)
+    both = draw_plan(load, flap, kill)
     assert [event for event in both.events if event.kind != "load"] == list(alone.events)
 
 
 @settings(derandomize=True)
 @given(st.floats(-1e6, 1e6), st.floats(-1e6, 1e6), st.integers(), st.text(max_size=20))
-def test_a_number_lies_in_its_range(one: float, other: float, seed: int, path: str) -> None:
+def test_a_drawn_number_is_in_its_range(one: float, other: float, seed: int, path: str) -> None:
     low, high = sorted((one, other))
     assert low <= PlanSampler(seed).number(path, (low, high)) <= high
 
 
 @settings(derandomize=True)
 @given(st.integers(0, 3000), st.lists(st.floats(0.01, 10), min_size=1, max_size=6))
-def test_apportioned_parts_add_up_and_are_near_their_share(total: int, shares: list[float]) -> None:
+def test_apportioned_parts_add_up_and_differ_from_their_share_by_less_than_one(
+    total: int, shares: list[float]
+) -> None:
     parts = apportion(total, shares)
     assert sum(parts) == total
     assert all(abs(part - total * s / sum(shares)) < 1 for part, s in zip(parts, shares, strict=True))
 
 
-def test_days_differ_and_keep_within_what_is_said() -> None:
+def test_plans_of_different_seeds_cover_the_ranges_of_the_scenario() -> None:
     plans = [draw(load("base"), seed) for seed in range(60)]
     nodes = [sum(node.tier == 0 for node in plan.nodes) for plan in plans]
     assert set(nodes) == {10, 11, 12, 13, 14}
     assert {len(plan.sidecars) for plan in plans} == {1, 2}
     assert {plan.clients.backoff for plan in plans} == {"none", "fixed", "exp"}
     assert {plan.passes_deadline for plan in plans} == {True, False}
-    assert 20 <= sum(plan.tiers[0].choke is not None for plan in plans) <= 50  # six in ten
+    assert 20 <= sum(plan.tiers[0].choke is not None for plan in plans) <= 50  # the share is 0.6
     calls = sorted(plan.tiers[2].calls for plan in plans)
     assert 1.5 <= calls[0] < 1.6 and 2.4 < calls[-1] <= 2.5
-    assert all(len({tier.conn_cap for tier in plan.tiers}) == 3 for plan in plans)  # each path its own draw
+    assert all(len({tier.conn_cap for tier in plan.tiers}) == 3 for plan in plans)  # separate draws by path
     for plan in plans:
         visits = plan.tiers[1].calls * plan.tiers[2].calls
         assert summary(plan).tiers[2].calls == pytest.approx(plan.traffic.rate * visits)
@@ -154,26 +159,26 @@
 
 
 @pytest.mark.parametrize("points", [None, [[0, 3], [0.5, 0], [0.75, 1]]])
-def test_the_rate_is_the_mean_of_the_day(points: list[list[float]] | None) -> None:
-    said = f"points = {points}" if points else 'shape = "bursty"\nswing = 0.9'
-    found = parse(GOOD.replace("rate = 20", f"rate = 20\n{said}"), "good", "good.toml")
+def test_the_shape_of_the_traffic_has_a_mean_of_one(points: list[list[float]] | None) -> None:
+    traffic = f"points = {points}" if points else 'shape = "bursty"\nswing = 0.9'
+    scenario = parse(VALID_TEXT.replace("rate = 20", f"rate = 20\n{traffic}"), "good", "good.toml")
     for seed in range(5):
-        plan = draw(found, seed)
+        plan = draw(scenario, seed)
         shape = [*plan.traffic.shape, (plan.length, plan.traffic.shape[-1][1])]
         area = sum((one + other) / 2 * (to - at) for (at, one), (to, other) in pairwise(shape))
         assert area / plan.length == pytest.approx(1)
 
 
-def test_the_same_day_comes_out_anywhere_to_the_byte(tmp_path: Path) -> None:
+def test_a_plan_is_byte_identical_across_processes_and_hash_seeds(tmp_path: Path) -> None:
     assert main(["lab", "plan", "faults", "--seed", "7", "--json", str(tmp_path / "here")]) == 0
-    here = (tmp_path / "here").read_bytes()
-    assert msgspec.json.decode(here, type=Plan) == draw(load("faults"), 7)
+    expected = (tmp_path / "here").read_bytes()
+    assert msgspec.json.decode(expected, type=Plan) == draw(load("faults"), 7)
     for hashing in ("1", "2"):
-        there = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "wheatring", "lab", "plan", "faults", "--seed", "7", "--json", "-"],
             env=os.environ | {"PYTHONHASHSEED": hashing}, capture_output=True, check=True,
         )  # fmt: skip
-        assert there.stdout == here
+        assert result.stdout == expected
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -186,40 +191,40 @@
     kill=st.floats(0, 40),
     times=st.integers(1, 4),
 )
-def test_releases_and_kills_at_once_give_sound_plans(
+def test_overlapping_releases_and_kills_give_consistent_plans(
     seed: int, lead: float, gap: float, step: float, same: float, kill: float, times: int
 ) -> None:
     release = {"kind": "release", "tier": "far", "at": 1, "lead": lead, "gap": gap, "step": step}
     restart = {"kind": "restart", "tier": "near", "count": 2, "at": 2, "lead": lead, "gap": gap, "step": step}
-    away = {"kind": "kill", "tier": "far", "count": 2, "at": kill, "length": 1, "replaced": True}
+    kill_replaced = {"kind": "kill", "tier": "far", "count": 2, "at": kill, "length": 1, "replaced": True}
     again = {"every": 5, "times": times}
-    gone = {"kind": "vanish", "tier": "far", "count": 1, "at": kill / 2, "length": gap} | again
+    vanish = {"kind": "vanish", "tier": "far", "count": 1, "at": kill / 2, "length": gap} | again
     flap = {"kind": "hang", "tier": "far", "count": 2, "at": 0, "length": 1} | again
     crash = {"kind": "sidecar_kill", "tier": "near", "part": 0.3, "at": kill, "length": 1, "anew": True}
     sidecars = {"kind": "rolling_sidecars", "tier": "near", "at": 3, "lead": lead, "gap": gap, "step": step}
     try:
-        plan = planned(
-            release | {"same_address": same}, restart, away | again | {"anew": True, "same_address": same},
-            flap, gone | {"every": gap + 5}, sidecars, sidecars | {"at": 6, "name": "more"},
-            crash | again, seed=seed, length=110, near=12,
+        plan = draw_plan(
+            release | {"same_address": same}, restart,
+            kill_replaced | again | {"anew": True, "same_address": same}, flap, vanish | {"every": gap + 5},
+            sidecars, sidecars | {"at": 6, "name": "more"}, crash | again, seed=seed, length=110, near=12,
         )  # fmt: skip
-    except ScenarioError as bad:
-        assert "nothing that it could strike runs then" in str(bad)
+    except ScenarioError as error:
+        assert "no possible target runs at that time" in str(error)
         return
-    assert unsound(plan) == []
+    assert plan_faults(plan) == []
     nodes = {node.name: node for node in plan.nodes}
     new = [event.replaced_by for event in plan.events if event.replaced_by]
     assert len(new) == len(set(new))
     for event in plan.events:
         if event.replaced_by:
             old = nodes[event.nodes[0]]
-            alike = nodes[event.replaced_by]
-            assert (alike.kind, alike.cell, alike.zone) == (old.kind, old.cell, old.zone)
-            assert same == 0.5 or (alike.host == old.host) == bool(same)
+            replacement = nodes[event.replaced_by]
+            assert (replacement.kind, replacement.cell, replacement.zone) == (old.kind, old.cell, old.zone)
+            assert same == 0.5 or (replacement.host == old.host) == bool(same)
 
 
-def test_a_release_takes_each_machine_once_and_in_turn() -> None:
-    plan = planned({"kind": "release", "tier": "far", "at": 2, "lead": 3, "gap": 0.5, "step": 4})
+def test_a_release_replaces_each_machine_once_in_sequence() -> None:
+    plan = draw_plan({"kind": "release", "tier": "far", "at": 2, "lead": 3, "gap": 0.5, "step": 4})
     assert [(event.at, event.extra, event.length) for event in plan.events] == [
         (2 + 4 * place, 3, 0.5) for place in range(6)
     ]
@@ -227,22 +232,22 @@
     assert [event.replaced_by for event in plan.events] == [f"{e.nodes[0]}.2" for e in plan.events]
 
 
-def test_a_flap_hits_the_same_nodes_and_a_new_one_hits_others() -> None:
+def test_repetitions_affect_the_same_nodes_unless_the_event_has_anew() -> None:
     flap = {"kind": "hang", "tier": "far", "count": 1, "at": 1, "length": 1, "every": 3, "times": 15}
-    assert len({event.nodes for event in planned(flap).events}) == 1
-    assert len({event.nodes for event in planned(flap | {"anew": True}).events}) > 3
+    assert len({event.nodes for event in draw_plan(flap).events}) == 1
+    assert len({event.nodes for event in draw_plan(flap | {"anew": True}).events}) > 3
 
 
-def test_an_ended_node_is_not_hit_by_another_fault() -> None:
+def test_an_event_does_not_affect_a_node_that_has_ended() -> None:
     kill = {"kind": "kill", "nodes": ["near-1"], "at": 1}
     with pytest.raises(ScenarioError, match=r"^good.toml: event.slow.nodes: near-1 does not run at 2 s, is "):
-        planned(kill, {"kind": "slow", "nodes": ["near-1", "near-2"], "at": 2, "size": 2})
+        draw_plan(kill, {"kind": "slow", "nodes": ["near-1", "near-2"], "at": 2, "size": 2})
     part = {"kind": "slow", "tier": "near", "part": 1, "at": 2, "size": 2}
-    assert set(planned(kill, part).events[1].nodes) == {"near-2", "near-3"}
+    assert set(draw_plan(kill, part).events[1].nodes) == {"near-2", "near-3"}
 
 
-def test_links_and_clocks_name_the_hosts_that_are_meant() -> None:
-    plan = planned(
+def test_link_and_clock_events_have_the_hosts_of_their_targets() -> None:
+    plan = draw_plan(
         {"kind": "partition", "nodes": ["far-2"], "at": 1, "callers": 2, "one_way": True},
         {"kind": "latency", "tier": "near", "part": 1, "at": 2, "size": 3},
         {"kind": "clock_step", "at": 3, "size": -1},
@@ -261,8 +266,8 @@
 
 
 @pytest.mark.parametrize("name", names())
-def test_each_scenario_of_the_library_draws_sound_plans(name: str) -> None:
-    found = load(name)
+def test_each_scenario_of_the_library_draws_consistent_plans(name: str) -> None:
+    scenario = load(name)
     large = name in ("thousand", "ten-times")
     for seed in range(2 if large else 50):
-        assert unsound(draw(found, seed)) == []
+        assert plan_faults(draw(scenario, seed)) == []
--- a/tests/lab/scenario/test_load.py
+++ b/tests/lab/scenario/test_load.py
@@ -1,4 +1,4 @@
-"""What a scenario's text may say: each key is checked, and what is wrong is named by its path."""
+"""Tests of loading: each key is validated, and faults are reported with the path of the key."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import pytest
 from msgspec import inspect
 
-from tests.lab.scenario.scenario_text import GOOD, put, toml
+from tests.lab.scenario.scenario_text import VALID_TEXT, set_at_path, toml
 from wheatring.__main__ import main
 from wheatring.lab.scenario.event_forms import EVENT_FORMS, SELECTORS
 from wheatring.lab.scenario.load import LoadedScenario, ScenarioError, load, parse
@@ -23,9 +23,9 @@
 SLOW = {"kind": "slow", "tier": "far", "count": 1, "at": 5, "size": 2, "length": 1}
 
 
-def good(*events: dict[str, Any]) -> dict[str, Any]:
-    """Return the values of the valid text, with each table in them."""
-    raw = tomllib.loads(GOOD)
+def valid_tables(*events: dict[str, Any]) -> dict[str, Any]:
+    """Return the tables of the valid text, with a choke and events."""
+    raw = tomllib.loads(VALID_TEXT)
     raw["tier"][0]["choke"] = dict(CHOKE)
     raw["event"] = copy.deepcopy(list(events)) or [dict(SLOW)]
     return raw
@@ -34,36 +34,36 @@
 def faults(raw: dict[str, Any]) -> list[str]:
     try:
         parse(toml(raw), "bad", "bad.toml")
-    except ScenarioError as bad:
-        return str(bad).split("\n")
+    except ScenarioError as error:
+        return str(error).split("\n")
     return []
 
 
 def tables(kind: inspect.Type, path: str, raw: Any) -> Iterator[tuple[str, inspect.StructType]]:
-    """Each table of the schema once, with the path of one in the good text."""
+    """Yield each table of the schema with the path of an instance in the valid text."""
     if isinstance(kind, inspect.StructType):
         yield path, kind
         for field in kind.fields:
             yield from tables(field.type, f"{path}.{field.encode_name}" if path else field.encode_name, raw)
     elif isinstance(kind, inspect.UnionType):
-        for one in kind.types:
-            yield from tables(one, path, raw)
+        for member in kind.types:
+            yield from tables(member, path, raw)
     elif isinstance(kind, inspect.VarTupleType):
         name = {"class": "ask", "tier": "near", "tier.near.kind": "any", "event": "slow"}.get(path)
         yield from tables(kind.item_type, f"{path}.{name}", raw)
 
 
-def spoilt(field: inspect.Field) -> Iterator[object]:
-    """Yield values that a key may not have. `...` stands for none at all."""
+def invalid_values(field: inspect.Field) -> Iterator[object]:
+    """Yield invalid values of a key. `...` stands for a missing key."""
     if field.required:
         yield ...
     kinds = field.type.types if isinstance(field.type, inspect.UnionType) else (field.type,)
     yield "A word!" if any(isinstance(kind, inspect.StructType) for kind in kinds) else {"a": 1}
     for kind in kinds:
         if isinstance(kind, inspect.FloatType | inspect.IntType):
-            least = kind.gt if kind.ge is None else kind.ge - 1
-            assert kind.le is not None and least is not None
-            yield from (least, kind.le + 1, True, "1", [kind.le], [kind.le, kind.le + 1])
+            minimum = kind.gt if kind.ge is None else kind.ge - 1
+            assert kind.le is not None and minimum is not None
+            yield from (minimum, kind.le + 1, True, "1", [kind.le], [kind.le, kind.le + 1])
             if len(kinds) > 1:
                 yield [kind.le, kind.le - 0.5 if isinstance(kind, inspect.FloatType) else 64]
         elif isinstance(kind, inspect.LiteralType):
@@ -74,29 +74,29 @@
             yield "A word!"
 
 
-TABLES = list(tables(inspect.type_info(Scenario), "", good()))
+TABLES = list(tables(inspect.type_info(Scenario), "", valid_tables()))
 
 
 @pytest.mark.parametrize(("at", "table"), TABLES, ids=[path for path, _ in TABLES])
-def test_each_key_is_checked_and_named(at: str, table: inspect.StructType) -> None:
-    """For every key of the schema: what it may not have is told with its path and the value."""
+def test_each_invalid_value_is_reported_with_its_path(at: str, table: inspect.StructType) -> None:
+    """Each invalid value of each key gives one fault, with the path of the key and the value."""
     prefix = f"{at}." if at else ""
-    bad: list[tuple[str, object]] = [(f"{prefix}zzz", value) for value in (1, {"a": 1})]
+    cases: list[tuple[str, object]] = [(f"{prefix}zzz", value) for value in (1, {"a": 1})]
     for field in table.fields:
         path = prefix + field.encode_name
-        bad += [(path, value) for value in spoilt(field)]
-    wrong = []
-    for path, value in bad:
-        raw = good()
-        put(raw, path, value)
-        named = re.sub(r"^event\.slow\.", r"event.[\\w-]+.", path)  # a kind that is spoilt is no label
+        cases += [(path, value) for value in invalid_values(field)]
+    unexpected = []
+    for path, value in cases:
+        raw = valid_tables()
+        set_at_path(raw, path, value)
+        named = re.sub(r"^event\.slow\.", r"event.[\\w-]+.", path)  # an invalid kind is not used as the label
         if path.endswith(".name"):
             named = r"[\w.]+\.[^.]+\.name"
-        told = faults(raw)
+        reported = faults(raw)
         tail = "missing" if value is ... else r".*, is .+"
-        if len(told) != 1 or not re.fullmatch(rf"bad\.toml: {named}: {tail}", told[0]):
-            wrong.append((path, value, told))
-    assert wrong == []
+        if len(reported) != 1 or not re.fullmatch(rf"bad\.toml: {named}: {tail}", reported[0]):
+            unexpected.append((path, value, reported))
+    assert unexpected == []
 
 
 @pytest.mark.parametrize(
@@ -134,14 +134,14 @@
         ("tier.near.work", [0.1, float("inf")], ""),
     ],
 )
-def test_contradictory_parts_are_reported(path: str, value: object, named: str) -> None:
-    raw = good()
-    put(raw, "tier.far.kind.fast.cold", 5)
-    put(raw, "tier.far.kind.fast.cold_from", 0.5)
+def test_contradictory_keys_are_reported(path: str, value: object, named: str) -> None:
+    raw = valid_tables()
+    set_at_path(raw, "tier.far.kind.fast.cold", 5)
+    set_at_path(raw, "tier.far.kind.fast.cold_from", 0.5)
     assert faults(raw) == []
-    put(raw, path, value)
-    told = faults(raw)
-    assert [line.split(": ")[1] for line in told] == [named or path]
+    set_at_path(raw, path, value)
+    reported = faults(raw)
+    assert [line.split(": ")[1] for line in reported] == [named or path]
 
 
 @pytest.mark.parametrize(
@@ -181,28 +181,32 @@
         ({"kind": "clock_step", "tier": "far", "at": 1, "size": 1}, "tier"),
     ],
 )
-def test_what_an_event_says_must_make_sense(event: dict[str, Any], key: str) -> None:
-    told = faults(good(event))
-    assert [line.split(": ")[1] for line in told] == [f"event.{event['kind']}.{key}"]
+def test_invalid_combinations_of_keys_of_an_event_are_reported(event: dict[str, Any], key: str) -> None:
+    reported = faults(valid_tables(event))
+    assert [line.split(": ")[1] for line in reported] == [f"event.{event['kind']}.{key}"]
 
 
-def test_each_kind_names_the_keys_that_it_needs() -> None:
+def test_each_missing_required_key_of_an_event_is_reported() -> None:
     for kind, form in EVENT_FORMS.items():
-        least = {"kind": kind, "at": 1} | ({} if form.target == "none" else {"tier": "near"})
-        if SELECTORS[form.target] and not form.strikes_all:
-            least["count"] = 1
-        given = least | {key: max(1.0, form.size[0]) if form.size[1] > 1 else 0.5 for key in form.required}
-        assert faults(good(given)) == []
+        minimum = {"kind": kind, "at": 1} | ({} if form.target == "none" else {"tier": "near"})
+        if SELECTORS[form.target] and not form.selects_all:
+            minimum["count"] = 1
+        complete = minimum | {
+            key: max(1.0, form.size[0]) if form.size[1] > 1 else 0.5 for key in form.required
+        }
+        assert faults(valid_tables(complete)) == []
         for key in form.required:
-            left = {name: value for name, value in given.items() if name != key}
-            assert faults(good(left)) == [f"bad.toml: event.{kind}.{key}: missing: {kind} needs it"]
+            incomplete = {name: value for name, value in complete.items() if name != key}
+            assert faults(valid_tables(incomplete)) == [
+                f"bad.toml: event.{kind}.{key}: missing: {kind} needs it"
+            ]
 
 
-def test_states_of_discovery_may_not_overlap_and_all_errors_are_reported() -> None:
+def test_overlapping_discovery_events_are_reported_together_with_other_faults() -> None:
     down = {"kind": "discovery_down", "at": [5, 8], "length": 4}
     silent = {"kind": "discovery_silent", "at": 11, "length": 4}
     late = {"kind": "discovery_down", "name": "late", "at": 15, "length": 4}
-    raw = good(down, silent, late)
+    raw = valid_tables(down, silent, late)
     assert faults(raw) == ["bad.toml: event.discovery_silent.at: overlaps event.discovery_down, is 11.0"]
     raw["goal"] = {"whole": 1}
     assert len(faults(raw)) == 2
@@ -243,10 +247,10 @@
     assert out == "" and err.startswith(f"{path}: ") and err.count("\n") == 1
 
 
-def test_check_reports_on_each_file_and_finds_what_only_a_draw_shows(
+def test_check_reports_each_file_and_faults_that_depend_on_the_draw(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    raw = good(
+    raw = valid_tables(
         {"kind": "kill", "tier": "near", "count": [1, 3], "at": 1}, {**SLOW, "tier": "near", "count": 3}
     )
     (tmp_path / "some.toml").write_text(toml(raw), encoding="utf-8")
@@ -256,5 +260,5 @@
     out, err = capsys.readouterr()
     assert out == "calm: ok\n"
     first, second = err.splitlines()
-    assert re.fullmatch(r".*some\.toml: seed \d+: event\.slow\.at: nothing .*, is 5\.0", first)
+    assert re.fullmatch(r".*some\.toml: seed \d+: event\.slow\.at: no possible target .*, is 5\.0", first)
     assert second.startswith("nobody: no scenario of the library")
--- a/tests/lab/scenario/test_operators_page.py
+++ b/tests/lab/scenario/test_operators_page.py
@@ -1,4 +1,4 @@
-"""The operators' page names what the schema has, no more and no less, with the same defaults."""
+"""The operators' page must list exactly the keys of the schema, with the same defaults."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
             yield [cell.strip() for cell in line.split("|")[1:-1]]
 
 
-def said(field: structs.FieldInfo) -> str:
+def expected_default(field: structs.FieldInfo) -> str:
     if field.required:
         return "needed"
     value = field.default
@@ -52,52 +52,54 @@
 
 
 @pytest.mark.parametrize("heading", TABLES)
-def test_each_table_names_each_key_with_its_default(heading: str) -> None:
-    told = [(cells[0].strip("`"), cells[2]) for cells in rows(heading)]
+def test_each_table_lists_each_key_with_its_default(heading: str) -> None:
+    documented = [(cells[0].strip("`"), cells[2]) for cells in rows(heading)]
     fields = structs.fields(TABLES[heading])
-    assert sorted(told) == sorted((field.encode_name, said(field)) for field in fields)
+    assert sorted(documented) == sorted((field.encode_name, expected_default(field)) for field in fields)
 
 
-def test_each_kind_of_event_names_its_keys() -> None:
+def test_each_kind_of_event_is_listed_with_its_keys() -> None:
     def key_values(may: str) -> dict[str, float | bool]:
         pairs = re.findall(r"`(\w+)` = (\S+?)(?:,|$)", may)
         return {key: tomllib.loads(f"v = {value}")["v"] for key, value in pairs}
 
-    told = {}
+    documented = {}
     for kind, needs, may, _ in rows("`[[event]]`", "kind"):
-        told[kind.strip("`")] = (tuple(re.findall(r"`(\w+)`", needs)), key_values(may))
-    assert told == {kind: (form.required, dict(form.optional)) for kind, form in EVENT_FORMS.items()}
+        documented[kind.strip("`")] = (tuple(re.findall(r"`(\w+)`", needs)), key_values(may))
+    assert documented == {kind: (form.required, dict(form.optional)) for kind, form in EVENT_FORMS.items()}
 
 
-def test_a_key_has_the_default_that_the_plan_has() -> None:
+def test_defaults_of_the_schema_and_of_the_plan_are_equal() -> None:
     pairs: dict[type[msgspec.Struct], type[msgspec.Struct]] = {
         schema.Class: plan.ClassPlan, schema.Kind: plan.KindPlan, schema.Choke: plan.ChokePlan,
         schema.Tier: plan.TierPlan, schema.Net: plan.NetPlan, schema.Traffic: plan.TrafficPlan,
         schema.Clients: plan.ClientPlan, schema.Discovery: plan.DiscoveryPlan, schema.Rules: plan.RulesPlan,
         schema.Limits: plan.LimitsPlan, schema.Goal: plan.GoalPlan, schema.Scenario: plan.Plan,
     }  # fmt: skip
-    for here, there in pairs.items():
-        defaults = {field.name: field.default for field in structs.fields(there) if not field.required}
-        for field in structs.fields(here):
+    for schema_type, plan_type in pairs.items():
+        defaults = {field.name: field.default for field in structs.fields(plan_type) if not field.required}
+        for field in structs.fields(schema_type):
             if isinstance(field.default, int | float | str) and field.name in defaults and not field.required:
-                differ = (here, field.name) == (schema.Traffic, "shape")  # a word here, points there
-                assert differ or field.default == defaults[field.name], f"{here.__name__}.{field.name}"
+                differs = (schema_type, field.name) == (schema.Traffic, "shape")  # a name, or points
+                assert differs or field.default == defaults[field.name], (
+                    f"{schema_type.__name__}.{field.name}"
+                )
 
 
-def test_each_kind_of_the_plan_can_be_written() -> None:
+def test_each_kind_of_event_of_the_plan_is_available_in_scenarios() -> None:
     (kinds,) = (field.type for field in structs.fields(plan.EventPlan) if field.name == "kind")
     planned = inspect.type_info(kinds)
     assert isinstance(planned, inspect.LiteralType)
-    several = {"discovery_cut", "release", "restart", "rolling_sidecars", "all_sidecars"}
-    assert set(planned.values) == set(EVENT_FORMS) - several
+    expanded_kinds = {"discovery_cut", "release", "restart", "rolling_sidecars", "all_sidecars"}
+    assert set(planned.values) == set(EVENT_FORMS) - expanded_kinds
 
 
-def test_the_example_of_the_page_is_a_good_one() -> None:
+def test_the_example_of_the_page_is_valid() -> None:
     (text,) = re.findall(r"```toml\n(.*?)```", PAGE, re.DOTALL)
     assert parse(text, "example", "lab.md").scenario.tiers[2].calls == 2
 
 
-def test_the_library_is_listed_and_large_enough(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_library_is_listed_and_has_the_expected_scenarios(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["lab", "list"]) == 0
     out = capsys.readouterr().out
     assert re.findall(r"^([\w-]+): ", out, re.MULTILINE) == names()
--- a/tests/lab/test_mutation_testing.py
+++ b/tests/lab/test_mutation_testing.py
@@ -1,4 +1,4 @@
-"""Every planted fault is found, and one that is missed fails the search."""
+"""Mutation testing must detect every planted fault, and fail if one is missed."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     assert status == 0
 
 
-def test_one_fault_in_twelve_that_is_missed_fails_the_search() -> None:
+def test_one_undetected_fault_gives_a_failure_status() -> None:
     lines: list[str] = []
     found = {fault.name: mutation_testing.FaultRun(fault.name, 1, "r", "w") for fault in FAULTS[1:]}
     with (
--- a/wheatring/lab/__init__.py
+++ b/wheatring/lab/__init__.py
@@ -1,12 +1,12 @@
-"""The lab: the systems that a sidecar serves, in one process, in virtual time, with faults from a seed.
+"""The lab: a deterministic simulation of the systems around the sidecars, with fault injection from a seed.
 
-It plays scenarios against the real parts of the sidecar, checks the rules at each event and measures. It may
-import everything below it; nothing but its own commands imports it.
+It runs scenarios in one process, in virtual time, against the real parts of the sidecar, checks invariants
+at each event and measures. It may import all layers below it; only its own commands import it.
 
-A scenario (ranges, TOML) and a seed are drawn to a plan (`plan.py`: nothing is left to chance but what models
-draw from random numbers named after them). A world is built from the plan in one of two grains: `wire`, in
-which every byte passes the parsers, and `exchange`, in which requests and attempts reach the models without
-bytes. Models (`models/`) know neither sockets nor the sidecar; `wire/` and `direct/` attach them to it, and
-`net/` is virtual time and network. All report events by `event_recorder.py` to the invariant checker
-(`rules/`).
+A plan (`plan.py`) is drawn from a scenario (TOML with ranges) and a seed. Further random values come only
+from generators of the models, each seeded by its name. A world is built from the plan at one of two grains:
+`wire`, at which every byte passes the parsers, and `exchange`, at which requests and attempts reach the
+models without serialisation. Models (`models/`) know neither sockets nor the sidecar; `wire/` and `direct/`
+attach them to it, and `net/` has virtual time and the simulated network. All report events through
+`event_recorder.py` to the invariant checker (`rules/`).
 """
--- a/wheatring/lab/correlation.py
+++ b/wheatring/lab/correlation.py
@@ -1,18 +1,18 @@
-"""The first try behind each request in the world. Only the models use it: no sidecar may ever see it."""
+"""The first try behind each request in the world. Only models use it; it is not available to sidecars."""
 
 from __future__ import annotations
 
 from collections import deque
 from random import Random
 
-MAX_REMEMBERED_IDS = 400_000  # over five minutes at the operators' load
+MAX_IDS = 400_000  # the ids of more than five minutes at the operators' load
 
 
 class OriginalRequest:
-    """One first try of a client, shared by its retries; or one call of a node for it, of a size of its own.
+    """A first try of a client, shared by its retries, or a node's call for it, which has its own size.
 
-    `size` is its work in seconds on a standard core, `key` the first try's idempotency key ("" where its
-    class is safe).
+    `size` is the work in seconds on a standard core, `key` the first try's idempotency key ("" if its class
+    is safe).
     """
 
     __slots__ = ("class_index", "first", "key", "size")
@@ -27,8 +27,8 @@
 class CorrelationTable:
     """The original requests by correlation id.
 
-    Each try and each call of a node has an id of its own. The oldest ids are dropped, long after their
-    requests have ended.
+    Each try and each call of a node has a separate id. The oldest ids are evicted, long after their requests
+    have ended.
     """
 
     def __init__(self, random: Random) -> None:
@@ -37,11 +37,11 @@
         self.order: deque[str] = deque()
 
     def new(self, origin: OriginalRequest) -> str:
-        """Draw an id for a request of an origin, and record it."""
+        """Draw an id for a request, and record its origin."""
         ident = f"{self.random.getrandbits(64):016x}"
         self.by_id[ident] = origin
         self.order.append(ident)
-        if len(self.order) > MAX_REMEMBERED_IDS:
+        if len(self.order) > MAX_IDS:
             del self.by_id[self.order.popleft()]
         return ident
 
--- a/wheatring/lab/models/attempt_execution.py
+++ b/wheatring/lab/models/attempt_execution.py
@@ -1,4 +1,4 @@
-"""The state of one attempt while a machine has it in flight."""
+"""The state of an attempt in flight at a machine."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     origin
         The first try behind it.
     work
-        The work that it takes.
+        The work of the attempt.
     """
 
     __slots__ = (
@@ -27,10 +27,10 @@
     def __init__(self, attempt: ReceivedAttempt, origin: OriginalRequest, work: float) -> None:
         self.attempt = attempt
         self.origin = origin
-        self.current_work = 0.0  # that the cores have, with the virtual finish time that they gave for it
-        self.virtual_finish = 0.0
-        self.remaining_work = work  # that the cores have not had yet
+        self.current_work = 0.0  # the piece of work that the cores are processing
+        self.virtual_finish = 0.0  # virtual finish time of this piece
+        self.remaining_work = work  # work not yet passed to the cores
         self.done_work = 0.0
-        self.calls_left = 0  # to the next tier, still to be made
+        self.calls_left = 0  # calls to the next tier that have not been made yet
         self.ends_in_reset = False
         self.is_over = False
--- a/wheatring/lab/models/attempt_executor.py
+++ b/wheatring/lab/models/attempt_executor.py
@@ -1,7 +1,7 @@
-"""What a machine does with attempts, from their acceptance to their outcome.
+"""Execution of attempts by a machine, from their acceptance to their outcome.
 
-An attempt waits for a slot, has one half of its work done, makes its calls to the next tier one after
-another, and has the other half done; without calls its work is one piece. The slot is kept meanwhile.
+An attempt waits for a slot, does half of its work, makes its calls to the next tier one after another, and
+does the other half; without calls its work is one piece. It keeps the slot until its end.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from wheatring.lab.models.received_attempt import AttemptOutcome, ReceivedAttempt
 from wheatring.lab.models.service_rate import ServiceRate
 
-SERVED = AttemptOutcome.SERVED  # looked up once: an enum takes its time
-MIN_CALL_TIME = 0.001  # seconds: with less left, an attempt makes no more calls and fails
+SERVED = AttemptOutcome.SERVED  # a module constant, as the lookup of an enum member is slow
+MIN_CALL_TIME = 0.001  # seconds left for a call; an attempt with less left fails
 
 
 class AttemptExecutor:
@@ -30,16 +30,16 @@
     spec
         The figures of the machine.
     services
-        The parts of the world that it uses.
+        The parts of the world that the machine uses.
 
     Attributes
     ----------
     in_flight
-        The attempts in flight, in the order in which they came.
+        The attempts in flight, in the order of arrival.
     busy_slots
         The number of attempts that have a slot.
     is_draining
-        The machine accepts nothing new.
+        The machine rejects new attempts.
     """
 
     def __init__(self, spec: MachineSpec, services: MachineServices) -> None:
@@ -50,7 +50,7 @@
         self.random = services.random
         self.recorder = services.recorder
         self.call_next_tier = services.call_next_tier
-        # Effects are those of requests at the first tier.
+        # Only attempts at the first tier have effects.
         self.deduplicator = services.deduplicator if spec.node.tier == 0 else None
         mean_calls = spec.mean_calls if services.call_next_tier is not None else 0.0
         self._certain_calls = int(mean_calls)
@@ -69,13 +69,13 @@
 
     @property
     def queue_length(self) -> int:
-        """The number of attempts that wait for a slot."""
+        """The number of attempts queued for a slot."""
         return len(self._queue)
 
     # Acceptance
 
     def create(self, attempt: ReceivedAttempt, origin: OriginalRequest) -> AttemptExecution:
-        """Return the execution of an attempt, whose work is drawn."""
+        """Return the execution of an attempt, and draw its work."""
         work = origin.size * self.spec.tier.work
         sigma = self._noise_sigmas[origin.class_index]
         if sigma > 0.0:
@@ -83,7 +83,7 @@
         return AttemptExecution(attempt, origin, work)
 
     def submit(self, execution: AttemptExecution) -> None:
-        """Accept or reject an attempt, or put that off while the machine is stalled."""
+        """Accept or reject an attempt; while the machine is stalled, defer that."""
         if self.service_rate.is_stalled:
             self.in_flight[execution.attempt] = execution
             self._deferred.append(partial(self._admit, execution))
@@ -97,20 +97,20 @@
             self.recorder.ended(self.name, attempt.ident)
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
-        """Handle that the caller has closed its connection. The work goes on, for nobody."""
+        """Handle the caller's disconnect. The work continues."""
         if attempt in self.in_flight and not attempt.is_abandoned:
             attempt.is_abandoned = True
             self.recorder.ended(self.name, attempt.ident)
 
     def discard_all(self) -> None:
-        """Forget all attempts without a reply, as the process has ended; record the work done for them."""
+        """Discard all attempts without a reply as the process ends, and record the work done for them."""
         for execution in self.in_flight.values():
             execution.is_over = True
-            begun = 0.0
+            partial_work = 0.0
             if execution.current_work:
-                begun = execution.current_work - self.cpu.remaining(execution.virtual_finish)
+                partial_work = execution.current_work - self.cpu.remaining(execution.virtual_finish)
             ident = execution.attempt.ident
-            self.recorder.worked(self.name, ident, execution.done_work + begun)
+            self.recorder.worked(self.name, ident, execution.done_work + partial_work)
             if not execution.attempt.is_abandoned:
                 self.recorder.ended(self.name, ident)
         self.in_flight.clear()
@@ -148,15 +148,15 @@
         if self._extra_call_chance > 0.0 and self.random.random() < self._extra_call_chance:
             execution.calls_left += 1
         work = execution.remaining_work
-        self._work(execution, 0.5 * work if execution.calls_left or execution.ends_in_reset else work)
+        self._run_work(execution, 0.5 * work if execution.calls_left or execution.ends_in_reset else work)
 
-    def _work(self, execution: AttemptExecution, work: float) -> None:
+    def _run_work(self, execution: AttemptExecution, work: float) -> None:
         execution.current_work = work
         execution.remaining_work -= work
         execution.virtual_finish = self.cpu.add(work, execution)
 
     def _on_work_done(self, execution: AttemptExecution) -> None:
-        """Handle that the cores have done the work that they had of an attempt."""
+        """Handle the end of a piece of an attempt's work."""
         if execution.is_over:
             return
         execution.done_work += execution.current_work
@@ -166,7 +166,7 @@
         elif execution.calls_left:
             self._call(execution)
         elif execution.remaining_work > 0.0:
-            self._work(execution, execution.remaining_work)
+            self._run_work(execution, execution.remaining_work)
         else:
             self._finish(execution, self._draw_outcome())
 
@@ -191,7 +191,7 @@
             self.call_next_tier(attempt, time_left, partial(self._on_call_end, execution))
 
     def _on_call_end(self, execution: AttemptExecution, is_served: bool) -> None:
-        """Handle the end of a call that was made for an attempt, which may be over."""
+        """Handle the end of a call of an attempt, which may be over."""
         if execution.is_over:
             return
         if self.service_rate.is_stalled:
@@ -201,10 +201,10 @@
         elif execution.calls_left:
             self._call(execution)
         else:
-            self._work(execution, execution.remaining_work)
+            self._run_work(execution, execution.remaining_work)
 
     def _finish(self, execution: AttemptExecution, outcome: AttemptOutcome) -> None:
-        """Give the slot to the next attempt, then reply: the reply may bring something new."""
+        """Give the slot to the next attempt before the reply, which may cause a new attempt."""
         self.busy_slots -= 1
         if self._queue:
             self._start(self._queue.popleft())
@@ -219,7 +219,7 @@
         recorder.worked(name, attempt.ident, execution.done_work)
         if not attempt.is_abandoned:
             stamp = recorder.made(name, attempt.ident) if outcome is SERVED else ""
-            # Recorded first: a reply may bring the next attempt of this request from within this call.
+            # Recorded before the reply, which may cause the next attempt of this request synchronously.
             recorder.ended(name, attempt.ident)
             attempt.reply(outcome, stamp)
 
@@ -229,6 +229,6 @@
         self.recorder.choked(self.name)
 
     def _on_resumed(self) -> None:
-        """Handle what came while the machine was stalled. That may end the process, or stall it anew."""
+        """Handle events deferred during a stall, until the process ends or the machine stalls again."""
         while self._deferred and not self.service_rate.is_stalled:
             self._deferred.popleft()()
--- a/wheatring/lab/models/clients.py
+++ b/wheatring/lab/models/clients.py
@@ -1,4 +1,4 @@
-"""The clients: each first try becomes one or more tries, and ends once."""
+"""The clients: each first try is followed by retries, and ends once."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from wheatring.lab.plan import Plan
 from wheatring.lab.timers import Timer, Timers
 
-MIN_TRY_TIME = 0.001  # seconds: with less left there is no further try, as the wire could not state the time
+MIN_TRY_TIME = 0.001  # seconds left for a retry; the wire format can't express less
 
-# How a first try ends whose last try ended so.
+# The end of a first try by the outcome of its last try.
 FIRST_TRY_ENDS: dict[RequestOutcome, FirstTryEnd] = {
     "served": "served",
     "refused": "refused",
@@ -33,8 +33,8 @@
 class Clients:
     """All clients of the day.
 
-    What one of them does is drawn at its arrival, so that two runs of a plan with other sidecars differ in
-    the sidecars' answers alone.
+    The behaviour of a client is drawn at its arrival, so that two runs of a plan with different sidecars
+    differ only in the sidecars' answers.
 
     Parameters
     ----------
@@ -73,26 +73,26 @@
         self.front = front
         self.transport = transport
         self.traffic = Traffic(plan, timers, self.arrive)
-        self.open_count = 0  # first tries that have not ended
+        self.open_count = 0  # number of first tries that have not ended
 
     def start(self) -> None:
         """Start the day now."""
         self.traffic.start()
 
     def arrive(self, origin: OriginalRequest) -> None:
-        """Have a client make a first try."""
+        """Start a first try."""
         self.open_count += 1
         self.recorder.asked(origin.first, origin.class_index)
         _FirstTry(self, origin).start_try()
 
     def draw_jitter(self) -> list[float]:
-        """Draw the factors on the backoffs of one client, by retry."""
+        """Draw the jitter factors on the backoffs of one client, by retry."""
         if self.plan.backoff != "exp":
             return []
         return [0.5 + self.random.random() for _ in range(self.plan.retries)]
 
     def draw_patience(self) -> list[float]:
-        """Draw the parts of each try's time after which one client gives up; 1: it does not give up early."""
+        """Draw the share of each try's time after which one client gives up, 1 if it does not."""
         draw = self.random.random
         if not self.plan.impatient:
             return []
@@ -128,7 +128,7 @@
     def start_try(self) -> None:
         """Make the next try.
 
-        It has a part of the time left while there may be a further one, else all of it.
+        Its time-out is a share of the time left if a further retry is allowed, otherwise all of it.
         """
         clients, plan, origin = self.clients, self.clients.plan, self.origin
         now = self.try_started_at = clients.timers.now()
@@ -142,7 +142,7 @@
         if sidecar is None:
             self.retry_or_settle("unreached", 0.0)
             return
-        # Before the request is sent, so that what comes at that very instant comes too late.
+        # Set before the request is sent, so that an answer at the instant of the time-out is too late.
         if patience < 1:
             self.timer = clients.timers.at(now + (end - now) * patience, self.give_up)
         else:
@@ -158,7 +158,7 @@
         )
 
     def on_response(self, number: int, outcome: RequestOutcome, retry_after: float) -> None:
-        """Handle the outcome of a try, unless that has timed out."""
+        """Handle the outcome of a try, unless the try has timed out."""
         if self.pending is None or number != self.tries:
             return
         if self.timer is not None:
@@ -171,7 +171,7 @@
             self.retry_or_settle(outcome, retry_after)
 
     def on_timeout(self) -> None:
-        """Retry as the try has timed out; keep its connection for a late answer."""
+        """Handle the time-out of a try: retry, and keep its connection open for a late answer."""
         pending, self.pending = self.pending, None
         timers = self.clients.timers
         if pending is not None:
@@ -180,7 +180,7 @@
         self.retry_or_settle(None, 0.0)
 
     def give_up(self) -> None:
-        """Abandon the try early, for good."""
+        """Abandon the try early, without a retry."""
         self.timer = None
         pending, self.pending = self.pending, None
         if pending is not None:
@@ -188,14 +188,14 @@
         self.settle("left")
 
     def retry_or_settle(self, outcome: RequestOutcome | None, retry_after: float) -> None:
-        """Retry, if the client may and has the time, else end the first try.
+        """Retry if the client may and has time left, otherwise end the first try.
 
         Parameters
         ----------
         outcome
             The outcome of the last try; None if it timed out.
         retry_after
-            Seconds after which the sidecar asked to retry.
+            The answer's Retry-After in seconds, 0 for none.
         """
         clients = self.clients
         if outcome != "refused" and outcome != "unreached" and self.may_have_run_since is None:
@@ -226,7 +226,7 @@
         return wait
 
     def may_repeat_at(self, at: float) -> bool:
-        """Return whether the class allows a retry at an instant, as an earlier try may have run."""
+        """Return whether the class allows a retry at an instant although an earlier try may have run."""
         effect = self.class_plan.effect
         if self.may_have_run_since is None or effect == "safe":
             return True
--- a/wheatring/lab/models/cpu.py
+++ b/wheatring/lab/models/cpu.py
@@ -1,8 +1,8 @@
-"""The cores of a machine, which serve all that want them at the same rate (processor sharing).
+"""The cores of a machine, which serve all runnable requests at the same rate (processor sharing).
 
-A virtual clock advances at the rate at which each request is worked on. A request is done when that clock has
-advanced by the request's work, however the rate has changed meanwhile. So requests are in one heap by their
-virtual finish time, and a change of the rate touches none of them. One timer is pending at most.
+A virtual clock advances at the rate at which each request is processed. A request is done when this clock has
+advanced by the request's work. So requests are in one heap by their virtual finish time, and a change of the
+rate changes no entry. At most one timer is pending.
 
 Instants are seconds; work is in seconds on a standard core.
 """
@@ -17,13 +17,13 @@
 from wheatring.lab.timers import Timer, Timers
 
 T = TypeVar("T")
-ROUNDING_TOLERANCE = 1e-9  # work: a request with less left over is done
+ROUNDING_TOLERANCE = 1e-9  # a request with less work left is done
 
 
 class Cpu(Generic[T]):
     """The cores of one machine; each of n runnable requests gets min(1, cores / n) * speed * factor.
 
-    Handshakes and the like want cores too, but nobody is notified of their end: they are added as None.
+    Work without a request, such as a handshake, is added as None; its end is not reported.
 
     Parameters
     ----------
@@ -41,9 +41,9 @@
     on_runnable_changed
         Called with the number of runnable requests whenever it has changed.
     factor
-        The part of the capacity that is available; 0: the cores stand still.
+        The share of the capacity that is available; 0 if the cores are stalled.
     ramp
-        The slow start of the present process; None once it is over.
+        The slow start of the present process; None after its end.
     """
 
     __slots__ = (
@@ -60,11 +60,11 @@
         self.on_runnable_changed: Callable[[int], object] | None = None
         self.factor = 1.0
         self.ramp: CapacityRamp | None = None
-        self._heap: list[tuple[float, int, T | None]] = []  # by virtual finish time and order of arrival
+        self._heap: list[tuple[float, int, T | None]] = []  # (virtual finish time, order of arrival, request)
         self._sequence = 0
         self._virtual_time = 0.0  # at the last update
         self._updated_at = timers.now()
-        self._rate = speed  # of the virtual clock, in work for each second of full capacity
+        self._rate = speed  # of the virtual clock: work for each second of full capacity
         self._work_done = 0.0
         self._timer: Timer | None = None
         self._due = 0.0  # the instant of the timer
@@ -72,25 +72,25 @@
 
     @property
     def runnable(self) -> int:
-        """The number of requests that want a core."""
+        """The number of runnable requests."""
         return len(self._heap)
 
     def add(self, work: float, item: T | None) -> float:
-        """Begin to work on a request, and return its virtual finish time, which `remaining` takes."""
+        """Start a request, and return its virtual finish time, which is the argument of `remaining`."""
         self._advance()
         finish = self._virtual_time + work
         self._sequence += 1
         heappush(self._heap, (finish, self._sequence, item))
         if not self._is_firing:
-            self._changed()
+            self._handle_runnable_change()
         return finish
 
     def remaining(self, finish: float) -> float:
-        """Return the work left to do for a request that is not done yet, by its virtual finish time."""
-        return max(0.0, finish - self._virtual_time - self._gain(self.now()))
+        """Return the work left for a request that is not done yet, by its virtual finish time."""
+        return max(0.0, finish - self._virtual_time - self._virtual_time_gain(self.now()))
 
     def set_factor(self, factor: float) -> None:
-        """Set the part of the capacity that is available from now on; 0: the cores stand still."""
+        """Set the share of the capacity that is available from now on; 0 stalls the cores."""
         if factor != self.factor:
             self._advance()
             self.factor = factor
@@ -98,23 +98,23 @@
                 self._reschedule()
 
     def restart(self, ramp: CapacityRamp | None) -> None:
-        """Forget all requests, as a new process starts, with slow start if there is a ramp."""
+        """Discard all requests when a process starts or ends; with a ramp, the process has slow start."""
         self._advance()
         self._heap.clear()
         self.ramp = ramp
-        self._changed()
+        self._handle_runnable_change()
 
     def unhindered_capacity(self) -> float:
-        """Return what all cores can do at present, in work a second, hindered by slow start alone."""
+        """Return the present capacity of all cores, in work a second, reduced only by slow start."""
         share = 1.0 if self.ramp is None else self.ramp.share_at(self.now())
         return self.cores * self.speed * share
 
     def work_done(self) -> float:
-        """Return the work done for all requests since the cores were created."""
-        return self._work_done + self._gain(self.now()) * len(self._heap)
+        """Return the total work done since the cores were created."""
+        return self._work_done + self._virtual_time_gain(self.now()) * len(self._heap)
 
-    def _gain(self, now: float) -> float:
-        """Return by how much the virtual clock has advanced since the last update."""
+    def _virtual_time_gain(self, now: float) -> float:
+        """Return the advance of the virtual clock since the last update."""
         if not self._heap:
             return 0.0
         if self.ramp is None:
@@ -122,28 +122,28 @@
         return self.ramp.capacity_between(self._updated_at, now) * self._rate
 
     def _advance(self) -> None:
-        """Bring the virtual clock up to the present."""
+        """Advance the virtual clock to the present instant."""
         now = self.now()
         if now <= self._updated_at:
             return
         if self._heap:
-            gain = self._gain(now)
+            gain = self._virtual_time_gain(now)
             self._virtual_time += gain
             self._work_done += gain * len(self._heap)
         else:
-            self._virtual_time = 0.0  # small floats are more precise
+            self._virtual_time = 0.0  # small floats have a finer resolution
         self._updated_at = now
         if self.ramp is not None and now >= self.ramp.end:
             self.ramp = None
 
-    def _changed(self) -> None:
+    def _handle_runnable_change(self) -> None:
         """Handle a change of the runnable requests."""
         if self.on_runnable_changed is not None:
             self.on_runnable_changed(len(self._heap))
         self._reschedule()
 
     def _reschedule(self) -> None:
-        """Compute the rate anew, and set the timer for the next request to finish."""
+        """Recompute the rate, and set the timer for the next request to finish."""
         heap = self._heap
         runnable = len(heap)
         rate = self.speed * self.factor
@@ -155,7 +155,7 @@
         due = self._instant_of(heap[0][0])
         timer = self._timer
         if timer is not None:
-            # A timer that fires early sets the next one: cheaper than to move it with each arrival.
+            # A timer that fires early sets the next one, which costs less than moving it at each arrival.
             if self._due <= due:
                 return
             timer.cancel()
@@ -163,10 +163,12 @@
         self._timer = self.timers.at(due, self._fire)
 
     def _instant_of(self, virtual_time: float) -> float:
-        """Return the instant at which the virtual clock will have reached a time if the rate stays."""
-        need = (virtual_time - self._virtual_time) / self._rate
+        """Return the instant at which the virtual clock reaches a time if the rate does not change."""
+        needed = (virtual_time - self._virtual_time) / self._rate
         return (
-            self._updated_at + need if self.ramp is None else self.ramp.instant_after(self._updated_at, need)
+            self._updated_at + needed
+            if self.ramp is None
+            else self.ramp.instant_after(self._updated_at, needed)
         )
 
     def _fire(self) -> None:
@@ -181,13 +183,13 @@
             for item in finished:
                 on_done(item)
             self._is_firing = False
-        self._changed()
+        self._handle_runnable_change()
 
     def _pop_finished(self) -> list[T]:
-        heap, now, reach = self._heap, self._updated_at, self._virtual_time + ROUNDING_TOLERANCE
+        heap, now, finished_until = self._heap, self._updated_at, self._virtual_time + ROUNDING_TOLERANCE
         finished: list[T] = []
-        # The second test guards against a clock so coarse that a timer for the rest would be due at once.
-        while heap and (heap[0][0] <= reach or self._instant_of(heap[0][0]) <= now):
+        # The second condition is for a coarse clock, on which a timer for the rest would be due immediately.
+        while heap and (heap[0][0] <= finished_until or self._instant_of(heap[0][0]) <= now):
             item = heappop(heap)[2]
             if item is not None:
                 finished.append(item)
--- a/wheatring/lab/models/deduplication.py
+++ b/wheatring/lab/models/deduplication.py
@@ -1,4 +1,4 @@
-"""Deduplication of effects: the nodes of a tier run a request's effect once for each idempotency key."""
+"""Deduplication of effects: the nodes of a tier apply an effect once for each idempotency key."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class EffectDeduplicator:
-    """The idempotency keys of a tier, shared by its nodes, each of which sees the effects of all at once.
+    """The idempotency keys of a tier, shared by its nodes without delay.
 
-    A duplicate of a key within the window of its class, which begins with the attempt that had the effect,
-    has no effect. Its work is done all the same.
+    A duplicate of a key has no effect within the window of its class, which begins with the attempt that had
+    the effect. The work of a duplicate is still done.
     """
 
     def __init__(self, timers: Timers, classes: Sequence[ClassPlan], recorder: EventRecorder) -> None:
         self.timers = timers
         self.classes = classes
         self.recorder = recorder
-        self.effect_instants: list[dict[str, float]] = [{} for _ in classes]  # by class: by key
+        self.effect_instants: list[dict[str, float]] = [{} for _ in classes]  # by class and key
 
     def attempt_started(self, node: str, ident: str, origin: OriginalRequest) -> None:
         """Record the effect of an attempt that starts to run, unless it is a duplicate."""
@@ -36,7 +36,7 @@
         """Record the key of an attempt; return False if it is a duplicate."""
         now = self.timers.now()
         instants = self.effect_instants[origin.class_index]
-        # In order of time: a key is only ever added, at the present, once its old entry has been removed.
+        # Entries are in order of time: a key is added at the present, after its old entry was removed.
         while instants and (oldest := next(iter(instants))) and now - instants[oldest] >= window:
             del instants[oldest]
         if origin.key in instants:
--- a/wheatring/lab/models/discovery.py
+++ b/wheatring/lab/models/discovery.py
@@ -1,6 +1,6 @@
-"""The discovery service of all sidecars.
+"""Model of the discovery service of all sidecars.
 
-It learns of changes with a delay, replies to one request at a time, and has faults of its own.
+It learns of changes with a delay, replies to one request at a time, and has its own faults.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from wheatring.lab.plan import DiscoveryPlan, Held
 from wheatring.lab.timers import Timers
 
-MAX_WAIT = 60.0  # seconds that a list request may wait at most
+MAX_WAIT = 60.0  # seconds that a list request may wait for a newer version
 
 DiscoveryFault = Literal["down", "silent", "slow", "stale", "lies", "breaks"]
 
@@ -32,17 +32,17 @@
     Parameters
     ----------
     plan
-        Its delays and its speed.
+        The delays and the speed of the service.
     timers
         The clock.
     unix
-        Gives the present Unix time in seconds.
+        Returns the present Unix time in seconds.
     random
         Draws delays and the effects of faults.
     recorder
-        Records what discovery knows and what it replies.
+        Records the known states of nodes and the replies.
     kept_versions
-        How many versions back changes are available.
+        Number of past versions since which changes are available.
 
     Attributes
     ----------
@@ -50,9 +50,9 @@
         Called with True when the service goes down, before the open requests fail, and with False when it is
         back.
     statuses
-        What the service knows of the nodes.
+        The states of the nodes as the service knows them.
     open_requests
-        The requests that have not ended, in the order in which they came.
+        The requests that have not ended, in the order of arrival.
     """
 
     def __init__(
@@ -74,41 +74,41 @@
         self.on_down: list[Callable[[bool], None]] = []
         self.open_requests: dict[ListRequest, None] = {}
         self._tiers: dict[str, int] = {}  # by sidecar
-        self._queue = ReplyQueue(plan, timers, random, recorder, self._check_news, self._end)
-        self._down_count = 0  # faults present
+        self._queue = ReplyQueue(plan, timers, random, recorder, self._queue_if_news, self._end)
+        self._down_count = 0  # number of present faults of this kind
         self._silent_count = 0
 
     # Changes of nodes
 
     def assign_tier(self, sidecar: str, tier: int) -> None:
-        """Set the tier whose list a sidecar gets; one without a tier gets the first one's."""
+        """Set the tier whose list a sidecar receives; the default is the first tier."""
         self._tiers[sidecar] = tier
 
     def register(self, node: RegisteredNode, is_up: bool = True) -> None:
-        """Add a node at the start of the day. One that is not up is listed once it has been started."""
+        """Add a node at the start of the day. A node that is not up is listed after it is started."""
         self.statuses.register(node, is_up)
 
     def node_started(self, name: str, started: float) -> None:
-        """Take in that a node's process has started, or that its machine is reachable again.
+        """Handle the start of a node's process, or its machine's becoming reachable again.
 
-        `started` is the instant of the process's start, in either case.
+        In both cases `started` is the instant of the process's start.
         """
         self.statuses.node_started(name, started)
 
     def node_draining(self, name: str) -> None:
-        """Take in that a node is draining."""
+        """Handle the start of a node's drain."""
         self.statuses.node_draining(name)
 
     def node_ended(self, name: str) -> None:
-        """Take in that a node's process has ended."""
+        """Handle the end of a node's process."""
         self.statuses.node_ended(name)
 
     def node_vanished(self, name: str) -> None:
-        """Take in that a node's machine is unreachable."""
+        """Handle that a node's machine has become unreachable."""
         self.statuses.node_vanished(name)
 
     def initial_list(self, tier: int, which: Held) -> ListReply:
-        """Return the list with which a sidecar of a tier starts: the present one, the first one, or none."""
+        """Return a sidecar's list at its start: the present one, the first one, or an empty one."""
         if which == "none":
             return ListReply(0, True, ())
         history = self.statuses.history(tier)
@@ -130,13 +130,13 @@
         Parameters
         ----------
         sidecar
-            The sidecar that asks.
+            The sidecar that makes the request.
         known_version
-            The version that it has, of which it wants the changes; None for the complete list.
+            The version since which it requests the changes; None for the complete list.
         wait
             Seconds that the request may wait for a newer version, MAX_WAIT at most.
         on_reply
-            Called with the reply, never from within this method.
+            Called with the reply, never synchronously.
         """
         now = self.timers.now()
         wait = min(max(0.0, wait), MAX_WAIT)
@@ -154,7 +154,7 @@
         return request
 
     def connection_refused(self, sidecar: str) -> None:
-        """Record that a connection of a sidecar was refused, or ended at once: a request that has failed."""
+        """Record a refused or immediately closed connection of a sidecar as a failed request."""
         self.recorder.asking(sidecar, 0.0)
         self.recorder.unheard(sidecar, True)
 
@@ -165,13 +165,13 @@
         for version in range(request.reached_version + 1, history.version + 1):
             self._propagate(request, version)
         if self.plan.watch_turns and request.known_version is not None:
-            request.has_entered = False
+            request.has_been_accepted = False
             self._queue.enqueue(request)
         else:
-            self._check_news(request)
+            self._queue_if_news(request)
 
     def _close(self, request: ListRequest, failed: bool = False) -> None:
-        """End a request, and record that; the sidecar is notified elsewhere."""
+        """End a request and record its end, without a notification of the sidecar."""
         request.is_over = True
         request.set_timer(None)
         del self.open_requests[request]
@@ -180,14 +180,14 @@
         self.recorder.unheard(request.sidecar, failed)
 
     def _end(self, request: ListRequest, reply: ListReply | None) -> None:
-        """End a request with a reply, or with None as it has failed, unless it is over."""
+        """End a request, unless it is over, with a reply or with None if it has failed."""
         if not request.is_over:
             if reply is not None:
                 self.recorder.brought(request.sidecar)
             self._close(request, reply is None)
             request.on_reply(reply)
 
-    # What is known reaches the requests that wait
+    # Propagation of new versions to waiting requests
 
     def _handle_publication(self, history: EndpointListHistory) -> None:
         for request in list(self.open_requests):
@@ -195,20 +195,20 @@
                 self._propagate(request, history.version)
 
     def _propagate(self, request: ListRequest, version: int) -> None:
-        """Have a version reach a request, after the request's lag."""
+        """Propagate a version to a request, after the request's lag."""
         if request.propagation_lag:
             at = request.history.published_at(version) + request.propagation_lag
-            self.timers.at(at, self._reach, request, version)
+            self.timers.at(at, self._apply_version, request, version)
         else:
-            self._reach(request, version)
+            self._apply_version(request, version)
 
-    def _reach(self, request: ListRequest, version: int) -> None:
+    def _apply_version(self, request: ListRequest, version: int) -> None:
         if not request.is_over:
             request.reached_version = max(request.reached_version, version)
-            self._check_news(request)
+            self._queue_if_news(request)
 
-    def _check_news(self, request: ListRequest) -> None:
-        """Queue a waiting request that is to be replied to; the others wait on."""
+    def _queue_if_news(self, request: ListRequest) -> None:
+        """Queue a waiting request for a reply if there is news for it."""
         if request.stage is not RequestStage.WAITING:
             return
         if request.has_news(self.timers.now()):
@@ -224,10 +224,10 @@
         Parameters
         ----------
         fault
-            down: requests fail, connections are refused. silent: requests that are open, or come meanwhile,
-            are never answered. slow: each request takes `size` times as long. stale: only what is known now
-            is reported. lies: the share `size` of the running nodes is reported as gone, others by turns.
-            breaks: the share `size` of the replies ends in a reset after its head.
+            down: requests fail, connections are refused. silent: requests that are open or arrive during the
+            fault are never answered. slow: each request takes `size` times as long. stale: replies have only
+            the present versions. lies: the share `size` of the running nodes is reported as gone, different
+            nodes in each period. breaks: the share `size` of the replies ends in a reset after its head.
         size
             The figure of the fault.
 
@@ -257,7 +257,7 @@
         requests = list(self.open_requests)
         for request in requests:
             request.stage = RequestStage.UNANSWERED
-            if not self._down_count:  # else its end is due already
+            if not self._down_count:  # otherwise its end is already scheduled
                 request.set_timer(None)
         return requests
 
@@ -290,4 +290,4 @@
     def _end_stale(self) -> None:
         self.statuses.unfreeze()
         for request in list(self.open_requests):
-            self._check_news(request)
+            self._queue_if_news(request)
--- a/wheatring/lab/models/endpoint_list_history.py
+++ b/wheatring/lab/models/endpoint_list_history.py
@@ -1,4 +1,4 @@
-"""The endpoint list of one tier as discovery knows it, with its history: what each version of it said."""
+"""The endpoint list of one tier at the discovery service, with its past versions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from wheatring.lab.event_recorder import NodeState
 from wheatring.lab.plan import NodePlan, Plan
 
-# Versions back to which changes are available; a sidecar with an older one gets the complete list.
+# Number of past versions since which changes are available; with an older one, a sidecar gets the full list.
 KEPT_VERSIONS = 256
 
 
@@ -21,12 +21,15 @@
     zone: str = ""
     kind: str = ""
     cell: int = 0
-    started: float = 0.0  # the instant of its start; 0: long ago
-    tier: int = 0  # on whose list it is
+    started: float = 0.0  # instant of its start; 0 if long ago
+    tier: int = 0  # tier whose list has it
 
     @classmethod
     def from_plan(cls, plan: Plan, node: NodePlan, address: str = "") -> RegisteredNode:
-        """Return a node of a plan as it is registered; `address` is "" where each sidecar has its own."""
+        """Return the registration of a node of a plan.
+
+        `address` is "" if each sidecar has its own address for the node.
+        """
         kind = plan.tiers[node.tier].kinds[node.kind].name
         return cls(node.name, address, node.zone, kind, node.cell, tier=node.tier)
 
@@ -36,27 +39,27 @@
 
     node: RegisteredNode
     state: NodeState
-    started: float  # the instant of its last start; 0: long ago
-    started_ms: int  # the same in Unix milliseconds; 0: long ago
+    started: float  # instant of its last start; 0 if long ago
+    started_ms: int  # the same instant in Unix milliseconds; 0 if long ago
 
 
 class EndpointListHistory:
     """The versions of one endpoint list.
 
-    Version 1 is what was listed at the start; each publication that changes anything makes the next.
+    Version 1 is the list at the start of the day; each publication that changes an entry adds a version.
 
     Parameters
     ----------
     kept_versions
-        How many versions back changes are available.
+        Number of past versions since which changes are available.
     """
 
     def __init__(self, kept_versions: int = KEPT_VERSIONS) -> None:
         self.kept_versions = kept_versions
         self.version = 1
-        self.frozen_version: int | None = None  # no newer version is visible while it is set
-        self.publication_instants: list[float] = [float("-inf")]  # of each version
-        # By node: the versions that changed its entry, in rising order, with the entry.
+        self.frozen_version: int | None = None  # during a freeze: the newest visible version
+        self.publication_instants: list[float] = [float("-inf")]  # by version
+        # By node: the versions that changed its entry, in ascending order, with the new entry.
         self.entry_versions: dict[str, list[tuple[int, EndpointEntry]]] = {}
 
     @property
@@ -65,7 +68,7 @@
         return max(1, self.version - self.kept_versions)
 
     def register(self, node: RegisteredNode) -> None:
-        """Add a node by name and address, not listed yet."""
+        """Add a node that is not listed yet."""
         self.entry_versions[node.name] = []
 
     def add_initial(self, entry: EndpointEntry) -> None:
@@ -73,16 +76,16 @@
         self.entry_versions[entry.node.name].append((1, entry))
 
     def publish(self, now: float, entries: Iterable[EndpointEntry]) -> list[EndpointEntry]:
-        """Publish entries as one new version, and return those that differ from what was listed.
+        """Publish entries as one new version, and return those that have changed.
 
-        If none of them differs, there is no new version.
+        If none has changed, there is no new version.
         """
         changed = []
         for entry in entries:
-            past = self.entry_versions[entry.node.name]
-            if (past and past[-1][1] == entry) or (not past and entry.state == "gone"):
+            versions = self.entry_versions[entry.node.name]
+            if (versions and versions[-1][1] == entry) or (not versions and entry.state == "gone"):
                 continue
-            past.append((self.version + 1, entry))
+            versions.append((self.version + 1, entry))
             changed.append(entry)
         if changed:
             self.version += 1
@@ -98,7 +101,7 @@
         return bisect_right(self.publication_instants, instant)
 
     def visible_version(self, reached_version: int) -> int:
-        """Return what a request gets that a version has reached: an older version during a freeze."""
+        """Return the version for a request that a version has reached; during a freeze it may be older."""
         if self.frozen_version is None:
             return reached_version
         return min(reached_version, self.frozen_version)
@@ -108,11 +111,11 @@
         return self.entry_versions[name][-1][1]
 
     def entries(self, version: int) -> list[EndpointEntry]:
-        """Return the entries of all nodes that had been listed by a version, also of those that are gone."""
+        """Return the entries of all nodes at a version, including nodes that are gone."""
         return [entry for _, entry in self._entries_at(version)]
 
     def changes(self, since_version: int, version: int) -> list[EndpointEntry]:
-        """Return the entries of a version that were changed after an earlier one."""
+        """Return the entries at a version that have changed since an earlier version."""
         return [entry for changed, entry in self._entries_at(version) if changed > since_version]
 
     def has_changes_since(self, version: int) -> bool:
@@ -120,9 +123,9 @@
         return self.oldest_version <= version <= self.version
 
     def _entries_at(self, version: int) -> Iterable[tuple[int, EndpointEntry]]:
-        """Give each node's entry at a version, with the version that changed it."""
-        for past in self.entry_versions.values():
-            for changed, entry in reversed(past):
+        """Yield each node's entry at a version, with the version that changed it last."""
+        for versions in self.entry_versions.values():
+            for changed, entry in reversed(versions):
                 if changed <= version:
                     yield changed, entry
                     break
--- a/wheatring/lab/models/endpoint_list_json.py
+++ b/wheatring/lab/models/endpoint_list_json.py
@@ -1,4 +1,4 @@
-"""The JSON form of discovery's replies, the same for simulated and for real sidecars."""
+"""The JSON encoding of discovery's replies, for simulated and for real sidecars."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 def list_reply_json(
     reply: ListReply, address_of: Callable[[RegisteredNode], str] = registered_address
 ) -> dict[str, Any]:
-    """Return a reply as the JSON values that discovery sends.
+    """Return a reply as JSON values.
 
     Parameters
     ----------
     reply
         The reply.
     address_of
-        Gives the address (HOST:PORT) at which the receiver finds a node.
+        Returns the address (HOST:PORT) of a node for the receiver.
     """
     return {
         "generation": reply.generation,
--- a/wheatring/lab/models/front_load_balancer.py
+++ b/wheatring/lab/models/front_load_balancer.py
@@ -1,4 +1,4 @@
-"""The clients' load balancer: spreads requests evenly over the sidecars that it considers to be up."""
+"""The clients' load balancer, which spreads requests uniformly over the sidecars that it considers up."""
 
 from __future__ import annotations
 
@@ -6,49 +6,49 @@
 
 from wheatring.lab.timers import Timers
 
-# Seconds from a sidecar's SIGTERM for which new connections still come to it: drawn between the two.
+# Bounds of the seconds from a sidecar's SIGTERM until it gets no new connections.
 DRAIN_DELAY_RANGE = (0.2, 0.4)
 
 
 class FrontLoadBalancer:
     """Admits a sidecar once it is up, and removes it some time after its end.
 
-    A request that is sent to a dead sidecar which has not been removed yet finds nobody.
+    A request to a dead sidecar that has not been removed yet fails to connect.
 
     Parameters
     ----------
     timers
         The clock.
     random
-        Draws the sidecar of each request, and the delays after a SIGTERM.
+        Draws the sidecar of each request and the delays after a SIGTERM.
     detection_delay
-        Seconds until the end of a sidecar is noticed.
+        Seconds until the end of a sidecar is detected.
     """
 
     def __init__(self, timers: Timers, random: Random, detection_delay: float) -> None:
         self.timers = timers
         self.random = random
         self.detection_delay = detection_delay
-        self.admitted: list[str] = []  # in the order in which they came
+        self.admitted: list[str] = []  # in the order of admission
         self.start_counts: dict[str, int] = {}  # by sidecar
 
     def sidecar_up(self, sidecar: str) -> None:
-        """Admit a sidecar, which has passed its health check."""
+        """Admit a sidecar that has passed its health check."""
         self.start_counts[sidecar] = self.start_counts.get(sidecar, 0) + 1
         if sidecar not in self.admitted:
             self.admitted.append(sidecar)
 
     def sidecar_stopping(self, sidecar: str) -> None:
-        """Remove a sidecar that is shutting down; that takes effect a moment later."""
-        least, most = DRAIN_DELAY_RANGE
-        self._remove_after(least + (most - least) * self.random.random(), sidecar)
+        """Remove a sidecar that is shutting down, after a drawn delay."""
+        minimum, maximum = DRAIN_DELAY_RANGE
+        self._remove_after(minimum + (maximum - minimum) * self.random.random(), sidecar)
 
     def sidecar_down(self, sidecar: str) -> None:
-        """Remove a sidecar that has ended, once that is noticed."""
+        """Remove a sidecar that has ended, after the detection delay."""
         self._remove_after(self.detection_delay, sidecar)
 
     def pick(self) -> str | None:
-        """Return the sidecar for one request, or None while none is admitted."""
+        """Return the sidecar for one request, or None if none is admitted."""
         admitted = self.admitted
         if not admitted:
             return None
--- a/wheatring/lab/models/list_request.py
+++ b/wheatring/lab/models/list_request.py
@@ -1,4 +1,4 @@
-"""One request for the endpoint list at discovery, and the reply to it."""
+"""A request for the endpoint list to the discovery service, and its reply."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 
 
 class ListReply(NamedTuple):
-    """A reply of discovery: the complete list without nodes that are gone (`reset`), or what has changed."""
+    """A reply: the complete list without nodes that are gone (`reset`), or the changed entries."""
 
     generation: int
     reset: bool
     entries: tuple[EndpointEntry, ...]
 
 
-ListReplyCallback = Callable[[ListReply | None], None]  # None: the request has failed
+ListReplyCallback = Callable[[ListReply | None], None]  # None if the request has failed
 
 
 class RequestStage(Enum):
-    """How far a list request has come."""
+    """The stage of processing of a list request."""
 
-    WAITING = "waiting"  # for something newer than what the sidecar knows
+    WAITING = "waiting"  # waits for a version newer than the sidecar's
     QUEUED = "queued"
-    SERVED = "served"  # its reply, or its entry into the queue, is being worked on
-    UNANSWERED = "unanswered"  # discovery is down or silent: no reply will come
+    SERVED = "served"  # its reply, or the start of its wait, is being processed
+    UNANSWERED = "unanswered"  # discovery is down or silent and will not reply
 
 
 class ListRequest:
-    """A sidecar's request for the endpoint list. It ends once: its callback is called, or it is cancelled.
+    """A sidecar's request for the endpoint list. It ends by a call of its callback or by `cancel`.
 
     Parameters
     ----------
     sidecar
         The sidecar's name.
     history
-        The endpoint list that is asked for.
+        The requested endpoint list.
     known_version
-        The version that the sidecar has; None if it wants the complete list.
+        The version that the sidecar has; None if it requests the complete list.
     deadline
         The instant until which the request may wait for a newer version.
     on_reply
@@ -50,7 +50,7 @@
     """
 
     __slots__ = (
-        "deadline", "has_entered", "history", "is_broken_off", "is_over", "known_version", "on_cancel",
+        "deadline", "has_been_accepted", "history", "is_broken_off", "is_over", "known_version", "on_cancel",
         "on_reply", "propagation_lag", "reached_version", "sidecar", "stage", "timer",
     )  # fmt: skip
 
@@ -69,30 +69,30 @@
         self.deadline = deadline
         self.on_reply = on_reply
         self.on_cancel = on_cancel
-        self.propagation_lag = 0.0  # seconds by which what discovery knows reaches this request later
+        self.propagation_lag = 0.0  # seconds from the publication of a version until it reaches the request
         self.reached_version = 0  # the newest version that has reached the request
         self.stage = RequestStage.WAITING
         self.timer: Timer | None = None
         self.is_over = False
-        self.has_entered = True  # false while it waits for the turn that a watch takes to come in
-        self.is_broken_off = False  # its reply has begun, and ends in a reset
+        self.has_been_accepted = True  # false while a watch is in the queue for its acceptance
+        self.is_broken_off = False  # its reply was reset after the head
 
     def cancel(self) -> None:
-        """Cancel the request, as the sidecar has closed the connection.
+        """Cancel the request after the sidecar has closed the connection.
 
-        A turn that has begun is not given back.
+        Discovery still completes the work on a request that is being served.
         """
         if not self.is_over:
             self.on_cancel(self)
 
     def set_timer(self, timer: Timer | None) -> None:
-        """Replace the request's timer, and cancel the one before."""
+        """Replace the request's timer, and cancel the previous one."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = timer
 
     def has_news(self, now: float) -> bool:
-        """Return whether the request gets a reply now: there is something newer, or its wait is over."""
+        """Return whether the request gets a reply now: there is a newer version, or its wait has ended."""
         known, history = self.known_version, self.history
         return (
             known is None
--- a/wheatring/lab/models/machine.py
+++ b/wheatring/lab/models/machine.py
@@ -1,4 +1,4 @@
-"""A node's machine: its process, its connections, and the attempts that it receives."""
+"""The machine of a node: its process, its connections, and the attempts that it receives."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Machine:
-    """One node's machine and its process, which does not run before `start`.
+    """The machine of one node and its process, which does not run before `start`.
 
-    It knows no sockets: a server passes on connections and attempts. The machine records all that becomes
-    of an attempt, except its arrival and its rejection, which the server records. Instants and durations are
+    It has no sockets: a server passes connections and attempts to it. The machine records all events of an
+    attempt, except its arrival and its rejection, which the server records. Instants and durations are
     seconds; work is in seconds on a standard core.
 
     Parameters
@@ -23,18 +23,18 @@
     spec
         The figures of the machine.
     services
-        The parts of the world that it uses.
+        The parts of the world that the machine uses.
 
     Attributes
     ----------
     on_crash
-        Called when the process has crashed by overload: its connections are to be reset, and it stays down.
+        Called after the process has crashed by overload: the server resets its connections.
     running
         Whether a process runs.
     has_crashed
         Whether the last process has crashed.
     started_at
-        The instant at which the process was started; 0: long ago.
+        The instant at which the process was started; 0 if long ago.
     faults
         The faults of the machine.
     """
@@ -58,7 +58,7 @@
     # The process
 
     def start(self, slow_start: bool) -> None:
-        """Start a process, unless one runs; without slow start it counts as running for long."""
+        """Start the process, unless it runs; without slow start it is considered started long ago."""
         if self.running:
             return
         now = self.timers.now()
@@ -74,11 +74,11 @@
         self.recorder.node_up(self.name, self._cpu.unhindered_capacity)
 
     def drain(self) -> None:
-        """Accept nothing new from now on, and finish what is in flight."""
+        """Reject new attempts from now on, and finish those in flight."""
         self._executor.is_draining = True
 
     def stop(self) -> None:
-        """End the process at once, with all its attempts.
+        """End the process immediately, with all its attempts.
 
         The server resets the connections, and still calls `disconnect` for each.
         """
@@ -105,8 +105,8 @@
         Returns
         -------
         float | None
-            The seconds that the first request loses to the handshake beside the round trips. None if the
-            connection is not accepted; `disconnect` is not called for it then.
+            Seconds of the handshake in addition to the round trips. None if the connection is not accepted;
+            `disconnect` must not be called for it then.
         """
         if not self.running or not self._service_rate.connect():
             return None
@@ -117,7 +117,7 @@
         return self._service_rate.duration_of(work)
 
     def disconnect(self) -> None:
-        """Release an accepted connection, which has ended in whatever way."""
+        """Release an accepted connection that has ended."""
         self._service_rate.disconnect()
 
     @property
@@ -127,13 +127,13 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the table of connections is full: it would not accept another one."""
+        """Whether the connection table is full, so that no connection is accepted."""
         return self._service_rate.is_full
 
     # Attempts
 
     def receive(self, attempt: ReceivedAttempt) -> None:
-        """Process an attempt. The reply may come from within this call."""
+        """Process an attempt. The reply may be made synchronously."""
         if not self.running:
             self.recorder.ended(self.name, attempt.ident)
             return
@@ -151,11 +151,11 @@
             self._executor.submit(execution)
 
     def abandon(self, attempt: ReceivedAttempt) -> None:
-        """Handle that the caller of an attempt has closed its connection. The work goes on, for nobody."""
+        """Handle the disconnect of an attempt's caller. The work continues."""
         self._executor.abandon(attempt)
 
     def _is_overloaded_by(self, work: float) -> bool:
-        """Return whether an attempt with this work overloads the process, which is possible in slow start."""
+        """Return whether an attempt with this work overloads the process, which requires slow start."""
         if self._overload is None:
             return False
         ramp, now = self._cpu.ramp, self.timers.now()
@@ -178,7 +178,7 @@
 
     @property
     def queue_length(self) -> int:
-        """The number of attempts that wait for a slot."""
+        """The number of attempts queued for a slot."""
         return self._executor.queue_length
 
     @property
@@ -188,9 +188,9 @@
 
     @property
     def work_done(self) -> float:
-        """Work done since the machine was created, also for handshakes."""
+        """Work done since the machine was created, including handshakes."""
         return self._cpu.work_done()
 
     def capacity(self) -> float:
-        """Return what the machine can do at present with all that slows it down, in work a second."""
+        """Return the present capacity with all reductions, in work a second."""
         return self._cpu.unhindered_capacity() * self._cpu.factor if self.running else 0.0
--- a/wheatring/lab/models/machine_faults.py
+++ b/wheatring/lab/models/machine_faults.py
@@ -1,6 +1,6 @@
-"""The faults of a machine that a plan's events inject. They may overlap, also with others of their kind.
+"""Faults of a machine, injected by events of a plan. Faults may overlap, including faults of one kind.
 
-Faults belong to the machine: they outlive its process.
+Faults belong to the machine and outlive its process.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 
 class NoisyNeighbour:
-    """Another program on the machine that takes a share of its capacity, on and off.
+    """Another program on the machine that takes a share of its capacity, in phases that are on and off.
 
-    Each phase is drawn between half and one and a half times the mean; the first one is on.
+    Each phase is drawn between 0.5 and 1.5 times the mean; the first one is on.
 
     Parameters
     ----------
@@ -32,9 +32,10 @@
     random
         Draws the phases.
     event
-        The event: `size` is the share taken, `extra` the mean length of a phase in seconds, 0 for ever.
+        The event: `size` is the share taken, `extra` the mean length of a phase in seconds, 0
+        for a phase without an end.
     on_change
-        Called when the program turns on or off.
+        Called at the end of each phase.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         self._schedule_toggle()
 
     def stop(self) -> None:
-        """End the program for good."""
+        """Stop the program permanently."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
@@ -66,7 +67,7 @@
 
 
 class MachineFaults:
-    """The faults of one machine at present, and their joint effect.
+    """The present faults of one machine, and their combined effect.
 
     Parameters
     ----------
@@ -75,28 +76,28 @@
     random
         Draws the phases of noisy neighbours.
     on_change
-        Called whenever the joint effect may have changed.
+        Called whenever the combined effect may have changed.
 
     Attributes
     ----------
     capacity_factor
-        The part of the machine's capacity that is left.
+        The share of the machine's capacity that is available.
     error_share
-        The share of requests that fail at once.
+        The share of requests that fail immediately.
     malformed_share
         The share of responses that can't be parsed.
     reset_share
         The share of requests that end in a reset.
     max_connections
-        The number of connections that the machine accepts at most.
+        The maximum number of connections.
     connect_delay
-        Seconds by which a connection comes up late.
+        Seconds by which the establishment of a connection is delayed.
     is_hung
-        The machine works on nothing and says nothing.
+        The machine processes nothing and sends nothing.
     refuses_connections
-        It accepts no new connections.
+        The machine accepts no new connections.
     is_unreachable
-        Nothing reaches it or leaves it.
+        No traffic reaches the machine or leaves it.
     """
 
     def __init__(self, timers: Timers, random: Random, on_change: Callable[[], object]) -> None:
@@ -132,8 +133,8 @@
         """
         self._events.remove(event)
         if event.kind == "neighbour":
-            position = next(i for i, each in enumerate(self._neighbours) if each.event == event)
-            self._neighbours.pop(position).stop()
+            index = next(i for i, each in enumerate(self._neighbours) if each.event == event)
+            self._neighbours.pop(index).stop()
         self._change()
 
     def _change(self) -> None:
@@ -141,12 +142,12 @@
         self.on_change()
 
     def _update(self) -> None:
-        """Compute the joint effect anew, so that no rounding errors are left behind by faults that ended."""
+        """Recompute the combined effect from all faults, so that ended faults leave no rounding errors."""
         sizes: dict[EventKind, list[float]] = {}
         for event in self._events:
             sizes.setdefault(event.kind, []).append(event.size)
-        free = prod(1.0 - each.event.size for each in self._neighbours if each.is_on)
-        self.capacity_factor = max(0.0, free) / prod(sizes.get("slow", ()))
+        remaining_share = prod(1.0 - each.event.size for each in self._neighbours if each.is_on)
+        self.capacity_factor = max(0.0, remaining_share) / prod(sizes.get("slow", ()))
         self.error_share = _union(sizes.get("fast_errors", ()))
         self.malformed_share = _union(sizes.get("spoilt", ()))
         self.reset_share = _union(sizes.get("resets", ()))
--- a/wheatring/lab/models/machine_spec.py
+++ b/wheatring/lab/models/machine_spec.py
@@ -1,4 +1,4 @@
-"""What a machine is made of: its figures from the plan, and the parts of the world that it uses."""
+"""Parameters of a machine: its figures from the plan, and the parts of the world that it uses."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
     Attributes
     ----------
     node
-        The node.
+        The node of the machine.
     tier
-        Its tier.
+        The tier of the node.
     classes
         The classes of requests.
     mean_calls
@@ -31,7 +31,7 @@
     rules
         The thresholds of an overload in slow start.
     passes_deadline
-        Whether calls to the next tier carry the time that the caller of the node has left.
+        Whether calls to the next tier carry the remaining time of the node's caller.
     """
 
     node: NodePlan
@@ -69,15 +69,15 @@
     timers
         The clock.
     random
-        Draws all that is random at the machine.
+        Draws all random values of the machine.
     correlation_table
-        Gives the first try behind an attempt.
+        Returns the first try behind an attempt.
     recorder
-        Records what becomes of attempts.
+        Records the events of attempts.
     call_next_tier
         Makes a call to the next tier; None on the last tier.
     deduplicator
-        The deduplication of effects, which are those of the first tier; None records no effects.
+        The deduplication of effects, used on the first tier only; None records no effects.
     """
 
     timers: Timers
--- a/wheatring/lab/models/next_tier.py
+++ b/wheatring/lab/models/next_tier.py
@@ -1,4 +1,4 @@
-"""A node's calls to the next tier, through the node's own sidecar."""
+"""Calls of a node to the next tier, through the node's sidecar."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class NextTierClient:
-    """Makes one node's calls; an instance is a `received_attempt.NextTierCall`.
+    """Makes the calls of one node; an instance is a `received_attempt.NextTierCall`.
 
-    A call is a request of its own: it has the first try, the class and the key of the attempt that it is made
-    for, and an amount of work that is drawn anew. A call that is out of time has failed for the node, which
-    keeps the connection for LATE_ANSWER_WAIT more, so that the rules see a late answer.
+    A call is a separate request: it has the first try, the class and the key of its attempt, and its own draw
+    of the work. A call that times out fails for the node, which keeps the connection open for
+    LATE_ANSWER_WAIT, so that the rules observe a late answer.
 
     Parameters
     ----------
     name
-        The node's name, which its sidecar bears too.
+        The name of the node and of its sidecar.
     find_transport
-        Gives the transport to the sidecar of the node's present process, None while it has none.
+        Returns the transport to the sidecar of the node's present process, None if there is none.
     correlation_table
         Records the origin of each call.
     work_samplers
@@ -75,7 +75,7 @@
         self.timers = timers
         self.on_end: Callable[[bool], None] | None = on_end
         self.pending: PendingRequest | None = None
-        self.timer: Timer | None = None  # of the deadline, then of the wait for a late answer
+        self.timer: Timer | None = None  # for the deadline, then for the wait for a late answer
 
     def on_response(self, outcome: RequestOutcome, _retry_after: float) -> None:
         """End the call with its outcome."""
@@ -85,7 +85,7 @@
         self._end(outcome == "served")
 
     def on_timeout(self) -> None:
-        """Fail the call, and keep its connection for a late answer."""
+        """Fail the call, and keep its connection open for a late answer."""
         assert self.pending is not None
         self.timer = self.timers.at(self.timers.now() + LATE_ANSWER_WAIT, self.pending.abandon)
         self._end(False)
--- a/wheatring/lab/models/node_status_table.py
+++ b/wheatring/lab/models/node_status_table.py
@@ -1,6 +1,6 @@
-"""What discovery knows of the nodes: their statuses, each known with a delay, and false ones.
+"""The statuses of nodes as discovery knows them, with delays and false reports.
 
-All of it becomes versions of endpoint lists.
+Changes of statuses become versions of endpoint lists.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from wheatring.lab.plan import DiscoveryPlan
 from wheatring.lab.timers import Timer, Timers
 
-FALSE_REPORT_PERIOD = 3.0  # seconds after which false reports name other nodes
+FALSE_REPORT_PERIOD = 3.0  # seconds after which false reports change to other nodes
 
 
 class _StatusUpdate(NamedTuple):
-    number: int  # counted over all updates, by when they happened
+    number: int  # sequence number over all updates, in the order of the changes
     name: str
     state: NodeState
     started: float
@@ -34,8 +34,8 @@
 class NodeStatusTable:
     """The statuses of all nodes. Changes are passed in at the instant they happen.
 
-    The recorder gets what discovery knows: false reports too, and what becomes known while the lists are
-    frozen only when that is over.
+    The recorder receives the statuses that are listed, including false reports. Statuses that become known
+    during a freeze of the lists are recorded at its end.
 
     Parameters
     ----------
@@ -44,15 +44,15 @@
     timers
         The clock.
     unix
-        Gives the present Unix time in seconds.
+        Returns the present Unix time in seconds.
     random
         Draws the phase of publications and the nodes of false reports.
     recorder
-        Records what discovery knows.
+        Records the listed statuses.
     on_publication
         Called with each list that has a new version.
     kept_versions
-        How many versions back changes are available.
+        Number of past versions since which changes are available.
     """
 
     def __init__(
@@ -74,14 +74,14 @@
         self.kept_versions = kept_versions
         self.phase = random.uniform(0, plan.period)
         self.histories: dict[int, EndpointListHistory] = {}  # by tier
-        # By node: instant and Unix milliseconds of its last start, known or not.
+        # By node: instant and Unix milliseconds of its last start, even if discovery does not know of it yet.
         self.last_starts: dict[str, tuple[float, int]] = {}
         self.known: dict[str, EndpointEntry] = {}  # by node
-        self.due: dict[float, list[_StatusUpdate]] = {}  # by the instant at which they become known
-        self.newest_known: dict[str, int] = {}  # by node: the number of the newest update that is known
+        self.due: dict[float, list[_StatusUpdate]] = {}  # updates by the instant at which they become known
+        self.newest_known: dict[str, int] = {}  # by node: number of the newest known update
         self.update_count = 0
         self.freeze_count = 0
-        self.unrecorded: dict[str, None] = {}  # nodes whose changes the recorder gets after the freeze
+        self.unrecorded: dict[str, None] = {}  # nodes whose changes are recorded after the freeze
         self.false_reports: list[FalseReports] = []
 
     def history(self, tier: int) -> EndpointListHistory:
@@ -94,7 +94,7 @@
     # Changes of nodes
 
     def register(self, node: RegisteredNode, is_up: bool) -> None:
-        """Add a node at the start of the day; it is listed from the start if it is up."""
+        """Add a node at the start of the day. It is listed from the start if it is up."""
         history = self.history(node.tier)
         history.register(node)
         started = self.last_starts[node.name] = (node.started, self._unix_ms(node.started))
@@ -104,27 +104,27 @@
             self.recorder.known(node.name, "ready", node.started)
 
     def node_started(self, name: str, started: float) -> None:
-        """Take in that a node's process has started, or that its machine is reachable again."""
+        """Handle the start of a node's process, or its machine's becoming reachable again."""
         self.last_starts[name] = (started, self._unix_ms(started))
         self._schedule_update(name, "ready", self.plan.add)
 
     def node_draining(self, name: str) -> None:
-        """Take in that a node is draining."""
+        """Handle the start of a node's drain."""
         self._schedule_update(name, "draining", self.plan.notice)
 
     def node_ended(self, name: str) -> None:
-        """Take in that a node's process has ended."""
+        """Handle the end of a node's process."""
         self._schedule_update(name, "gone", self.plan.notice)
 
     def node_vanished(self, name: str) -> None:
-        """Take in that a node's machine is unreachable."""
+        """Handle that a node's machine has become unreachable."""
         self._schedule_update(name, "gone", self.plan.silent_notice)
 
     def _unix_ms(self, instant: float) -> int:
         return round((self.unix() + instant - self.timers.now()) * 1000) if instant > 0 else 0
 
     def _schedule_update(self, name: str, state: NodeState, delay: float) -> None:
-        """Have a status become known after a delay, at the next publication."""
+        """Schedule a status to become known at the first publication after a delay."""
         self.update_count += 1
         period, at = self.plan.period, self.timers.now() + delay
         if period > 0:
@@ -138,7 +138,7 @@
     def _apply_updates(self, at: float) -> None:
         names = []
         for update in self.due.pop(at):
-            # Of a node that is back, an older end that takes longer to be noticed is no longer news.
+            # An end that is detected late must not override a later start of the node.
             if update.number > self.newest_known.get(update.name, 0):
                 self.newest_known[update.name] = update.number
                 node = self.known[update.name].node
@@ -147,7 +147,7 @@
         self.publish(names)
 
     def publish(self, names: list[str]) -> None:
-        """Publish the statuses of some nodes, as they are known or as they are falsely reported."""
+        """Publish the known or falsely reported statuses of nodes."""
         now = self.timers.now()
         by_tier: dict[int, dict[str, EndpointEntry]] = {}
         for name in names:
@@ -169,7 +169,7 @@
     # Faults
 
     def freeze(self) -> None:
-        """Report nothing newer than what is listed now, until all freezes have ended."""
+        """Freeze the lists at their present versions until all freezes have ended."""
         if not self.freeze_count:
             for history in self.histories.values():
                 history.frozen_version = history.version
@@ -189,28 +189,28 @@
 
 
 class FalseReports:
-    """Reports some of the running nodes as gone, others by turns, until it is ended.
+    """Reports some of the running nodes as gone, different ones in each period, until `end`.
 
     Parameters
     ----------
     table
         The table whose nodes are reported.
     share
-        The share of each tier's running nodes that is reported, at least one of them.
+        The share of each tier's running nodes that is reported; at least one node is.
     """
 
     def __init__(self, table: NodeStatusTable, share: float) -> None:
         self.table = table
         self.share = share
-        self.names: dict[str, None] = {}  # of the nodes that are reported now
+        self.names: dict[str, None] = {}  # the nodes that are reported now
         self.timer: Timer | None = None
         table.false_reports.append(self)
         self.choose()
 
     def choose(self) -> None:
-        """Choose the nodes of the next period, if possible others than before."""
+        """Choose the nodes of the next period, if possible different ones from the last period."""
         table = self.table
-        before, self.names = self.names, {}
+        previous, self.names = self.names, {}
         for tier in table.histories:
             ready = [
                 name
@@ -218,14 +218,14 @@
                 if entry.state == "ready" and entry.node.tier == tier
             ]
             count = min(len(ready), max(1, round(self.share * len(ready))))
-            others = [name for name in ready if name not in before]
+            others = [name for name in ready if name not in previous]
             chosen = table.random.sample(others if len(others) >= count else ready, count)
             self.names.update(dict.fromkeys(chosen))
         self.timer = table.timers.at(table.timers.now() + FALSE_REPORT_PERIOD, self.choose)
-        table.publish([*before, *self.names])
+        table.publish([*previous, *self.names])
 
     def end(self) -> None:
-        """End the reports: the nodes are listed as they are known."""
+        """End the reports, and list the nodes with their known statuses."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.table.false_reports.remove(self)
--- a/wheatring/lab/models/overload_choke.py
+++ b/wheatring/lab/models/overload_choke.py
@@ -1,4 +1,4 @@
-"""An overloaded machine turns slow and stays so until it is mostly idle (a metastable failure)."""
+"""Model of a metastable failure: an overloaded machine becomes slow until it is mostly idle."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from wheatring.lab.plan import ChokePlan
 from wheatring.lab.timers import Timer, Timers
 
-IDLE_SAMPLES = 8  # samples of the cores' busy time within the time for which a machine must be mostly idle
+IDLE_SAMPLES = 8  # samples of the cores' busy time within the period `rest` of the plan
 
 
 class OverloadChoke:
-    """Decides when a machine is choked: slow, after it has had too many attempts in flight for some time.
+    """Decides when a machine is choked (slow), which happens after too many attempts in flight for a time.
 
-    It recovers when its cores have been mostly idle for some time, or when it has been slow for long enough.
-    An attempt that waits for the next tier is in flight too.
+    It recovers when its cores have been mostly idle for some time, or after a maximum time. Attempts that
+    wait for the next tier are in flight too.
 
     Parameters
     ----------
@@ -39,18 +39,18 @@
         self._in_flight = 0
         self._utilisation = 0.0  # share of the cores in use
         self._updated_at = 0.0
-        self._busy_time = 0.0  # seconds of all cores until then
-        self._busy_samples: deque[float] = deque(maxlen=IDLE_SAMPLES + 1)  # of the busy time, while slow
-        self._timer: Timer | None = None  # of the choke, or, while slow, of the next sample
+        self._busy_time = 0.0  # integral of the utilisation until `_updated_at`, in seconds
+        self._busy_samples: deque[float] = deque(maxlen=IDLE_SAMPLES + 1)  # of the busy time, only while slow
+        self._timer: Timer | None = None  # for the start of the choke or, while slow, for the next sample
         self._recovery_timer: Timer | None = None
 
     @property
     def capacity_factor(self) -> float:
-        """The part of the machine's capacity that is left."""
+        """The share of the machine's capacity that is available."""
         return 1.0 / self.plan.slower if self.is_slow else 1.0
 
     def update(self, in_flight: int, runnable: int) -> None:
-        """Take in the present number of attempts in flight, and of those that want a core."""
+        """Update the number of attempts in flight and the number of runnable ones."""
         self._add_busy_time()
         self._in_flight = in_flight
         self._utilisation = runnable / self.cores if runnable < self.cores else 1.0
@@ -64,7 +64,7 @@
             self._timer = self.timers.at(self._updated_at + self.plan.over, self._toggle)
 
     def reset(self) -> None:
-        """Forget everything, as the process has ended: a new one is not slow."""
+        """Reset the state at the end of the process; a new process is not slow."""
         self._cancel_timers()
         self.is_slow = False
         self._in_flight, self._utilisation = 0, 0.0
@@ -93,7 +93,7 @@
         self.on_change()
 
     def _sample(self) -> None:
-        """Sample the busy time, and recover if the machine has been mostly idle."""
+        """Sample the busy time, and end the choke if the machine has been mostly idle."""
         self._add_busy_time()
         samples, plan = self._busy_samples, self.plan
         samples.append(self._busy_time)
--- a/wheatring/lab/models/pauses.py
+++ b/wheatring/lab/models/pauses.py
@@ -1,4 +1,4 @@
-"""Pauses in which a machine does nothing, as a garbage collector makes them."""
+"""Pauses in which a machine processes nothing, such as those of a garbage collector."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ProcessingPauses:
-    """Pauses of one machine at random instants, longer the busier it is.
+    """Pauses of one machine at random instants, whose length rises with the utilisation.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     random
         Draws gaps and lengths.
     utilisation
-        Gives the share of the machine's cores in use.
+        Returns the share of the machine's cores in use.
     on_change
         Called whenever `is_paused` has changed.
     """
@@ -43,11 +43,11 @@
         self._timer: Timer | None = None
 
     def start(self) -> None:
-        """Begin, as the process has started."""
+        """Start the pauses when the process starts."""
         self._schedule_pause()
 
     def stop(self) -> None:
-        """End, as the process has."""
+        """Stop the pauses when the process ends."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = None
--- a/wheatring/lab/models/received_attempt.py
+++ b/wheatring/lab/models/received_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt as a node receives it, and its outcome: what passes between a node's server and its model."""
+"""An attempt as a node receives it, and its outcome: the interface of a node's server and its model."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 
 
 class AttemptOutcome(Enum):
-    """What a node does with an attempt. A node that hangs gives no outcome."""
+    """The outcome of an attempt at a node. A node that hangs produces no outcome."""
 
     SERVED = "served"
     ERROR = "error"  # it may have run
-    REJECTED = "rejected"  # never ran: the node is full or draining, or the request is over already
+    REJECTED = "rejected"  # it has not run: the node is full or draining, or the request is over already
     RESET = "reset"  # the connection is reset; it may have run
-    MALFORMED = "malformed"  # the response can't be parsed; it has run
+    MALFORMED = "malformed"  # it has run; the response can't be parsed
 
 
 class ReceivedAttempt:
-    """One attempt at a node, from the arrival of its last byte on.
+    """One attempt at a node, created at the arrival of its last byte.
 
     Parameters
     ----------
     ident
         The request's correlation id.
     sidecar
-        The sidecar that sent it.
+        The sidecar that sent the attempt.
     time_left
-        Seconds that the caller said it will wait, 0 where it did not say.
+        Seconds for which the caller waits, according to the request; 0 if it does not say.
     arrived_at
-        The instant of its arrival.
+        The instant of arrival.
     reply
-        Called at most once, with the outcome and the stamp that the body of a served response bears.
+        Called at most once, with the outcome and the stamp in the body of a served response.
     """
 
     __slots__ = ("arrived_at", "ident", "is_abandoned", "reply", "sidecar", "time_left")
@@ -48,9 +48,9 @@
         self.time_left = time_left
         self.arrived_at = arrived_at
         self.reply = reply
-        self.is_abandoned = False  # the caller has closed the connection: nobody receives a reply
+        self.is_abandoned = False  # the caller has disconnected, and gets no reply
 
 
-# A node's call to the next tier, made for an attempt: (attempt, seconds left, callback). The callback is
+# Makes a node's call to the next tier for an attempt: (attempt, seconds left, callback). The callback is
 # called once, with whether the call was served.
 NextTierCall = Callable[[ReceivedAttempt, float, Callable[[bool], None]], None]
--- a/wheatring/lab/models/reply_queue.py
+++ b/wheatring/lab/models/reply_queue.py
@@ -1,4 +1,4 @@
-"""The queue of list requests at discovery, which works on one of them at a time."""
+"""The queue of list requests at discovery, which processes one of them at a time."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class ReplyQueue:
-    """Replies to list requests in the order in which they were queued.
+    """Replies to list requests in FIFO order.
 
-    A request that waits in the queue for longer than the plan's time-out fails.
+    A request fails if it is in the queue for longer than the plan's time-out.
 
     Parameters
     ----------
@@ -26,13 +26,13 @@
     timers
         The clock.
     random
-        Draws the replies that are broken off.
+        Draws the replies that are reset.
     recorder
-        Records what is reported to whom.
-    on_entered
-        Called with a watch that has had the turn which it takes to come in, and waits now.
+        Records the reported entries.
+    on_accepted
+        Called with a watch that has been accepted and now waits for news.
     on_end
-        Called with a request and its reply, or None as it has failed; the request may be over already.
+        Called with a request and its reply, or None if it has failed; the request may be over already.
 
     Attributes
     ----------
@@ -48,19 +48,19 @@
         timers: Timers,
         random: Random,
         recorder: EventRecorder,
-        on_entered: Callable[[ListRequest], None],
+        on_accepted: Callable[[ListRequest], None],
         on_end: Callable[[ListRequest, ListReply | None], None],
     ) -> None:
         self.plan = plan
         self.timers = timers
         self.random = random
         self.recorder = recorder
-        self.on_entered = on_entered
+        self.on_accepted = on_accepted
         self.on_end = on_end
         self.slow_factors: list[float] = []
         self.break_off_shares: list[float] = []
         self._queue: deque[ListRequest] = deque()
-        self._turn: Timer | None = None  # the end of the work on one request
+        self._work_timer: Timer | None = None  # for the end of the work on the request that is being served
 
     def enqueue(self, request: ListRequest) -> None:
         """Add a request."""
@@ -74,43 +74,43 @@
         self._queue.remove(request)
 
     def clear(self) -> None:
-        """Remove all requests, also the one that is worked on."""
-        if self._turn is not None:
-            self._turn.cancel()
-            self._turn = None
+        """Remove all requests, including the one that is being served."""
+        if self._work_timer is not None:
+            self._work_timer.cancel()
+            self._work_timer = None
         self._queue.clear()
 
     def _start_next(self) -> None:
-        """Start to work on the request at the head of the queue, unless one is worked on."""
-        if not self._queue or self._turn is not None:
+        """Start to serve the request at the head of the queue, unless one is being served."""
+        if not self._queue or self._work_timer is not None:
             return
         request = self._queue.popleft()
         request.stage = RequestStage.SERVED
         request.set_timer(None)
-        if not request.has_entered:
-            self._turn = self._after_work(0, self._enter, request)
+        if not request.has_been_accepted:
+            self._work_timer = self._after_work(0, self._accept_watch, request)
             return
         reply, reported = _reply_to(request)
         self.recorder.note("list_turn", sidecar=request.sidecar, lines=len(reply.entries))
-        self._turn = self._after_work(len(reply.entries), self._finish, request, reply, reported)
+        self._work_timer = self._after_work(len(reply.entries), self._finish, request, reply, reported)
 
     def _after_work(self, entries: int, call: Callable[..., None], *args: object) -> Timer:
-        """Schedule a call for when a request with that many entries in its reply has been worked on."""
+        """Schedule a call after the time that a reply with this number of entries takes."""
         seconds = (self.plan.call_lines + entries) / self.plan.lines_per_s * prod(self.slow_factors)
         return self.timers.at(self.timers.now() + seconds, call, *args)
 
-    def _enter(self, request: ListRequest) -> None:
-        """Let a watch wait for news, as it has had its turn."""
-        self._turn = None
+    def _accept_watch(self, request: ListRequest) -> None:
+        """Accept a watch, which now waits for news."""
+        self._work_timer = None
         if not request.is_over:
-            request.has_entered = True
+            request.has_been_accepted = True
             request.stage = RequestStage.WAITING
-            self.on_entered(request)
+            self.on_accepted(request)
         self._start_next()
 
     def _finish(self, request: ListRequest, reply: ListReply, reported: list[EndpointEntry]) -> None:
-        """End a request with its reply, or break that off, and go on to the next one."""
-        self._turn = None
+        """End a request with its reply, or reset the reply, and start the next request."""
+        self._work_timer = None
         if not request.is_over:
             if any(self.random.random() < share for share in self.break_off_shares):
                 request.is_broken_off = True
@@ -123,14 +123,14 @@
 
 
 def complete_reply(version: int, entries: list[EndpointEntry]) -> ListReply:
-    """Return the reply with a complete list, in which nodes that are gone are missing."""
+    """Return the reply with the complete list, without nodes that are gone."""
     return ListReply(version, True, tuple([entry for entry in entries if entry.state != "gone"]))
 
 
 def _reply_to(request: ListRequest) -> tuple[ListReply, list[EndpointEntry]]:
     """Return the reply to a request, and the entries that it reports.
 
-    A complete list reports the nodes that are missing in it as gone.
+    The reply with the complete list reports its missing nodes as gone.
     """
     history, known = request.history, request.known_version
     version = history.visible_version(request.reached_version)
--- a/wheatring/lab/models/request_transport.py
+++ b/wheatring/lab/models/request_transport.py
@@ -1,4 +1,4 @@
-"""Interface by which clients, and nodes that call the next tier, send requests to sidecars."""
+"""Interface for requests to sidecars, from clients and from nodes that call the next tier."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 from typing import Literal, Protocol
 
 # Seconds past a request's deadline for which its caller keeps the connection open. An answer is then too late
-# for the caller, but the rules grant the sidecar a moment, and on a closed connection it could not be seen.
+# for the caller, but the rules grant the sidecar a grace period, and need the connection to see the answer.
 LATE_ANSWER_WAIT = 0.1
 
-# unreached: no connection to the sidecar came up, or it ended before the request was taken; nothing is owed.
-# lost: the request was taken, and no complete answer came.
+# unreached: the connection to the sidecar failed, or ended before the request was accepted; the rules expect
+# no answer. lost: the request was accepted, and no complete answer arrived.
 RequestOutcome = Literal["served", "refused", "failed", "unreached", "lost"]
 ResponseCallback = Callable[[RequestOutcome, float], None]  # (outcome, Retry-After in seconds or 0)
 
 
 class PendingRequest(Protocol):
-    """A request in flight. It ends once: its callback is called, or it is abandoned."""
+    """A request in flight. It ends either with a call of its callback or by `abandon`."""
 
     def abandon(self) -> None:
         """Close the connection; the callback is no longer called."""
 
 
 class RequestTransport(Protocol):
-    """Carries requests to sidecars, and records which are taken, answered, lost or abandoned."""
+    """Sends requests to sidecars, and records which are accepted, answered, lost or abandoned."""
 
     def send(
         self,
@@ -46,12 +46,12 @@
         index
             The index of the request's class in the plan.
         time_left
-            Seconds that the caller will wait. The caller abandons the request itself once they are over: the
-            transport has no time-out.
+            Seconds that the caller will wait. The transport has no time-out: the caller abandons the request
+            after this time.
         key
             The idempotency key, "" for none.
         is_marked_retry
-            Whether the request says that it is a retry.
+            Whether the request is marked as a retry.
         on_response
-            Called with the outcome, never from within this method.
+            Called with the outcome, never synchronously.
         """
--- a/wheatring/lab/models/service_rate.py
+++ b/wheatring/lab/models/service_rate.py
@@ -1,4 +1,4 @@
-"""The rate at which a machine works at present: all that slows it down, in one factor."""
+"""The present service rate of a machine: one factor that combines all reductions of its capacity."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class ServiceRate:
-    """Sets the factor of a machine's cores by its faults, choke, thrashing, pauses and connections.
+    """Sets the factor of a machine's cores from its faults, choke, thrashing, pauses and connections.
 
-    Slow start is not among them: the cores have it of themselves.
+    Slow start is not included, as the cores apply it themselves.
 
     Parameters
     ----------
@@ -25,22 +25,22 @@
     kind, tier
         The kind of machine, and its tier.
     random
-        Seeds the streams of faults and pauses.
+        Seeds the generators of faults and pauses.
     cpu
         The cores.
     in_flight
-        The machine's attempts in flight, of which only the number matters.
+        The machine's attempts in flight; only their number is used.
     on_choked
         Called when the machine becomes choked.
     on_resumed
-        Called whenever something that made the machine stall may have ended.
+        Called whenever a stall may have ended.
 
     Attributes
     ----------
     is_stalled
-        The machine works on nothing and says nothing: it hangs or pauses.
+        The machine processes nothing and sends nothing, because of a hang or a pause.
     factor
-        The part of the capacity that there is while the machine is not stalled.
+        The share of the capacity that is available while the machine is not stalled.
     faults
         The machine's faults.
     connections
@@ -68,7 +68,7 @@
         self.connections = 0
         self.is_stalled = False
         self.factor = 1.0
-        # Streams of their own: when these happen must not depend on how many attempts there have been.
+        # Separate generators: the instants of faults and pauses must not depend on the number of attempts.
         self.faults = MachineFaults(timers, Random(random.getrandbits(64)), self.handle_stall_change)
         pauses = Random(random.getrandbits(64))
         self.pauses: ProcessingPauses | None = None
@@ -80,13 +80,13 @@
             cpu.on_runnable_changed = lambda runnable: choke.update(len(in_flight), runnable)
 
     def start(self) -> None:
-        """Begin, as the process has started."""
+        """Start the pauses when the process starts."""
         if self.pauses is not None:
             self.pauses.start()
         self.update()
 
     def stop(self) -> None:
-        """End pauses and choke with the process; faults outlive it."""
+        """Stop pauses and choke when the process ends; faults outlive it."""
         if self.pauses is not None:
             self.pauses.stop()
         if self.choke is not None:
@@ -96,7 +96,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the table of connections is full."""
+        """Whether the connection table is full."""
         return self.connections >= min(self.max_connections, self.faults.max_connections)
 
     def connect(self) -> bool:
@@ -116,21 +116,21 @@
         if self.connection_tax > 0.0:
             self.update()
 
-    # The rate
+    # Service rate
 
     def duration_of(self, work: float) -> float:
-        """Return the seconds that some work takes if nothing changes; stalls are left out."""
+        """Return the seconds that work takes at the present rate, without stalls."""
         rate = self.cpu.speed * self.factor * min(1.0, self.cpu.cores / max(1, self.cpu.runnable))
         return work / rate if rate > 0.0 else 0.0
 
     def handle_stall_change(self) -> None:
-        """Take in that something which makes the machine stall may have begun or ended."""
+        """Handle the possible start or end of a stall."""
         self.update()
         if not self.is_stalled:
             self.on_resumed()
 
     def update(self) -> None:
-        """Compute the factor anew, as one of the figures behind it has changed."""
+        """Recompute the factor after a change of one of its inputs."""
         kind, factor = self.kind, self.faults.capacity_factor
         if self.choke is not None:
             factor *= self.choke.capacity_factor
--- a/wheatring/lab/models/slow_start.py
+++ b/wheatring/lab/models/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of a new process: how its capacity rises, and how much work overloads it. Pure arithmetic.
+"""Slow start of a new process: the ramp of its capacity, and the detection of overload. No timers, no I/O.
 
 Instants and durations are seconds; work is in seconds on a standard core.
 """
@@ -12,16 +12,16 @@
 
 
 class CapacityRamp:
-    """A capacity that rises evenly from a share of the full capacity to all of it.
+    """A capacity that rises linearly from a share of the full capacity to all of it.
 
     Parameters
     ----------
     start
         The instant at which the process started.
     initial_share
-        The share of the full capacity that it started with.
+        The share of the full capacity at the start.
     length
-        Seconds until it has all of it, greater than 0.
+        Seconds until the full capacity is reached, greater than 0.
     """
 
     __slots__ = ("end", "initial_share", "slope", "start")
@@ -41,7 +41,7 @@
     def capacity_between(self, since: float, now: float) -> float:
         """Return the capacity between two instants, in seconds of full capacity.
 
-        Neither is before the start.
+        Both instants must be at or after the start.
         """
         if since >= self.end:
             return now - since
@@ -58,18 +58,18 @@
             return self.end + (amount - ramp_capacity)
         share = self.share_at(since)
         root = sqrt(share * share + 2.0 * self.slope * amount)
-        # This form of the solution stays exact where the slope is next to nothing.
+        # This form of the solution is numerically stable for a slope close to 0.
         return since + 2.0 * amount / (share + root) if amount > 0.0 else since
 
 
 class OverloadDetector:
     """Decides whether the work offered to a process in slow start overloads it.
 
-    It does if the work offered within the window, without its largest item, is more than a multiple of what
-    the process can do in a window at its present capacity. Leaving out the largest item allows for chance:
-    amounts of work vary widely and no sidecar knows them, so no single request may overload a process.
+    It does if the work offered within the window, without its largest item, exceeds a multiple of the work
+    that the process can do in a window at its present capacity. The largest item is left out because amounts
+    of work vary widely and no sidecar knows them, so no single request may overload a process.
 
-    Machines crash by it, and the rules judge the sidecars by it.
+    Both the crash of machines and the rule for sidecars use it.
     """
 
     __slots__ = ("largest_offers", "multiple", "offers", "total_work", "window")
@@ -78,20 +78,22 @@
         self.multiple = rules.fall_multiple
         self.window = rules.fall_for
         self.offers: deque[tuple[float, float]] = deque()  # (instant, work)
-        self.largest_offers: deque[tuple[float, float]] = deque()  # falling: each the largest of all since it
+        self.largest_offers: deque[tuple[float, float]] = (
+            deque()
+        )  # monotonic queue for the maximum, descending
         self.total_work = 0.0  # of the offers in the window
 
     def offer(self, now: float, work: float, capacity: float) -> bool:
-        """Record work that is offered, and return whether it overloads the process.
+        """Record offered work, and return whether it overloads the process.
 
         Parameters
         ----------
         now
-            The instant. The window reaches back from it, its far end excluded.
+            The present instant, at which the window ends. The start of the window is excluded.
         work
-            The work offered.
+            The offered work.
         capacity
-            What the process can do at present, in work a second.
+            The present capacity of the process, in work a second.
         """
         offers, largest = self.offers, self.largest_offers
         offers.append((now, work))
--- a/wheatring/lab/models/traffic.py
+++ b/wheatring/lab/models/traffic.py
@@ -1,4 +1,4 @@
-"""Open-loop arrivals of first tries: they come as the plan says, whatever becomes of those before them."""
+"""Open-loop arrivals of first tries, which do not depend on the outcome of earlier ones."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from wheatring.lab.plan import ClassPlan, NodePlan, Plan
 from wheatring.lab.timers import Timers
 
-Sampler = Callable[[], float]  # draws one figure
-Shape = tuple[tuple[float, float], ...]  # knots (instant, factor on the rate), linear between
+Sampler = Callable[[], float]  # draws one value
+Shape = tuple[tuple[float, float], ...]  # knots (instant, factor on the rate), with linear interpolation
 
 
 class RateSegment(NamedTuple):
-    """A span of the day within which the rate of arrivals (a second) is linear."""
+    """A part of the day in which the rate of arrivals (a second) is linear."""
 
     start: float  # seconds from the day's start
     end: float
@@ -27,7 +27,7 @@
 
 
 def lognormal_sampler(random: Random, mean: float, cv: float) -> Sampler:
-    """Return a sampler of a lognormal distribution by its mean and coefficient of variation."""
+    """Return a sampler of the lognormal distribution with a mean and a coefficient of variation."""
     if not cv:
         return lambda: mean
     variance = log(1 + cv * cv)
@@ -36,7 +36,7 @@
 
 
 def pareto_sampler(random: Random, mean: float, cv: float) -> Sampler:
-    """Return a sampler of a Pareto distribution by its mean and coefficient of variation."""
+    """Return a sampler of the Pareto distribution with a mean and a coefficient of variation."""
     if not cv:
         return lambda: mean
     alpha = 1 + sqrt(1 + 1 / (cv * cv))
@@ -58,7 +58,7 @@
 
 
 def rate_segments(plan: Plan) -> list[RateSegment]:
-    """Return the rate of arrivals over the day, without its bursts."""
+    """Return the rate of arrivals over the day, without bursts."""
     shape = plan.traffic.shape or ((0.0, 1.0),)
     loads = [
         (e.at, e.at + e.length if e.length > 0 else inf, e.size) for e in plan.events if e.kind == "load"
@@ -77,7 +77,7 @@
 
 
 def _factor_at(shape: Shape, at: float) -> float:
-    """Return the factor of a shape at an instant; where two knots share it, the later one's."""
+    """Return the factor of a shape at an instant. If two knots have this instant, the later one applies."""
     n = bisect_right(shape, at, key=lambda knot: knot[0])
     if not n or n == len(shape):
         return shape[n - 1 if n else 0][1]
@@ -88,7 +88,7 @@
 class Traffic:
     """Generates the first tries of a day, numbered from 1.
 
-    It looks one arrival ahead, and draws from streams of its own that depend on the plan's seed alone.
+    It draws one arrival ahead, from its own generators, which depend only on the plan's seed.
 
     Parameters
     ----------
@@ -97,7 +97,7 @@
     timers
         The clock.
     on_arrival
-        Called with the origin of each first try at the instant of its arrival.
+        Called with each first try at the instant of its arrival.
     """
 
     def __init__(self, plan: Plan, timers: Timers, on_arrival: Callable[[OriginalRequest], None]) -> None:
@@ -115,7 +115,7 @@
         self._segment_index = 0
         self._position = 0.0  # the instant up to which arrivals have been drawn, in seconds of the day
         self._burst_factor = self._draw_burst_factor()
-        self._burst_count = 1  # drawn so far
+        self._burst_count = 1  # number of burst factors drawn so far
         self._day_start = 0.0
         self._arrival_count = 0
 
@@ -146,11 +146,11 @@
         return OriginalRequest(number, index, work, key)
 
     def _draw_arrival(self) -> float | None:
-        """Draw the next arrival, in seconds of the day: where the integral of the rate has reached a draw.
+        """Draw the next arrival, in seconds of the day, or return None if there is none before its end.
 
-        Returns None if there is none before the day's end.
+        The arrival is the instant at which the integral of the rate reaches an exponential draw.
         """
-        need = self._arrival_random.expovariate(1.0)
+        needed = self._arrival_random.expovariate(1.0)
         while self._segment_index < len(self._segments):
             segment = self._segments[self._segment_index]
             slope = (segment.end_rate - segment.start_rate) / (segment.end - segment.start)
@@ -159,12 +159,12 @@
             rate = (segment.start_rate + slope * (start - segment.start)) * self._burst_factor
             slope *= self._burst_factor
             length = until - start
-            expected = (rate + slope * length / 2) * length  # arrivals until then
-            if need < expected:
-                root = sqrt(max(0.0, rate * rate + 2 * slope * need))
-                self._position = min(until, start + 2 * need / (rate + root))
+            expected = (rate + slope * length / 2) * length  # expected arrivals within `length`
+            if needed < expected:
+                root = sqrt(max(0.0, rate * rate + 2 * slope * needed))
+                self._position = min(until, start + 2 * needed / (rate + root))
                 return self._position
-            need -= expected
+            needed -= expected
             self._position = until
             if until >= burst_end:
                 self._burst_factor = self._draw_burst_factor()
--- a/wheatring/lab/mutation_testing.py
+++ b/wheatring/lab/mutation_testing.py
@@ -1,4 +1,4 @@
-"""Search for the planted faults: each is run seed by seed until a rule is breached."""
+"""Mutation testing: runs each planted fault with one seed after another until a rule is breached."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FaultRun(NamedTuple):
-    """Result of one run with a planted fault, or with none: its first breach, "" where there was none."""
+    """Result of one run with or without a planted fault: its first breach, "" if there was none."""
 
     name: str
     seed: int
@@ -25,7 +25,7 @@
 
 
 def run_with_fault(fault: Fault | None, scenario: str, seed: int, grain: str) -> FaultRun:
-    """Play one day with a fault planted. A world that raises has detected the fault as well."""
+    """Play one day with a planted fault. An exception raised by the world counts as detection."""
     from wheatring.lab.play import play
     from wheatring.lab.scenario.load import load
     from wheatring.lab.scenario.plan_builder import draw
@@ -45,31 +45,31 @@
 def run_mutation_tests(
     names: Sequence[str], seeds: Sequence[int], grain: str, workers: int, say: Callable[[str], object]
 ) -> int:
-    """Search for faults in parallel and report each result by `say`.
+    """Run the mutation tests in parallel, and report each result with `say`.
 
     Parameters
     ----------
     names
-        Names of the faults; all faults of the grain if empty.
+        The names of the faults; if empty, all faults of the grain.
     seeds
-        Seeds to try for each fault, in this order.
+        The seeds to try for each fault, in this order.
     grain
         The grain of the runs, `wire` or `exchange`.
     workers
-        Count of worker processes.
+        The number of worker processes.
     say
         Prints one line.
 
     Returns
     -------
     int
-        The exit status: 0 if every fault is found, and the code without a fault shows no breach on the seeds
-        that detected one.
+        The exit status: 0 if every fault was detected, and the unmodified code has no breach on the detecting
+        seeds.
 
     Raises
     ------
     StudyError
-        If a name is not that of a fault at this grain.
+        If there is no fault of a given name at this grain.
     """
     known = {fault.name: fault for fault in FAULTS if grain in fault.grains}
     for name in names:
@@ -90,10 +90,10 @@
     grain: str,
     say: Callable[[str], object],
 ) -> dict[str, FaultRun]:
-    """Run each fault with one seed after the other until detected; return the detecting runs by name."""
+    """Run each fault with one seed after another until it is detected. Return the detecting runs by name."""
     by_name = {fault.name: fault for fault in wanted}
     found: dict[str, FaultRun] = {}
-    running: dict[Future[FaultRun], int] = {}  # to the count of earlier seeds
+    running: dict[Future[FaultRun], int] = {}  # number of seeds tried before, by run
     for fault in wanted:
         running[pool.submit(run_with_fault, fault, fault.scenario, seeds[0], grain)] = 0
     while running:
@@ -112,10 +112,10 @@
 def _run_clean(
     pool: ProcessPoolExecutor, known: dict[str, Fault], found: dict[str, FaultRun], grain: str
 ) -> list[FaultRun]:
-    """Run the detecting days without a fault: a breach that shows there too has detected nothing."""
-    needed = sorted({(known[name].scenario, run.seed) for name, run in found.items()})
-    days = zip(*needed, strict=True) if needed else ((), ())
-    return list(pool.map(run_with_fault, [None] * len(needed), *days, [grain] * len(needed)))
+    """Run the detecting days without a fault; a breach there means that the fault was not the cause."""
+    detecting_days = sorted({(known[name].scenario, run.seed) for name, run in found.items()})
+    days = zip(*detecting_days, strict=True) if detecting_days else ((), ())
+    return list(pool.map(run_with_fault, [None] * len(detecting_days), *days, [grain] * len(detecting_days)))
 
 
 def _verdict(
@@ -131,6 +131,6 @@
     breached = [run for run in clean if run.rule]
     for run in breached:
         say(f"{CLEAN}: seed {run.seed}, {run.rule}: {run.what}")
-    say(f"{wall_seconds:.0f} s; the code as it stands broke a rule on {len(breached)} of {len(clean)} seeds")
+    say(f"{wall_seconds:.0f} s; the unmodified code breached a rule on {len(breached)} of {len(clean)} seeds")
     say(f"found {len(found)} of {len(wanted)}")
     return 0 if len(found) == len(wanted) and not breached else 1
--- a/wheatring/lab/outcome.py
+++ b/wheatring/lab/outcome.py
@@ -1,4 +1,4 @@
-"""Results of one run of a world: plain values, written as JSON, stored by experiments, plotted by reports."""
+"""Results of one run of a world, encoded as JSON, stored by experiments and plotted by reports."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
     rule: str  # answer, duplicate, drain, cold, served, bounds, leftover, fault
     at: float  # seconds from the start of the day
-    what: str  # one sentence
-    ident: str = ""  # of the request at fault
+    what: str  # description in one sentence
+    ident: str = ""  # correlation id of the request
     sidecar: str = ""
     node: str = ""
 
 
 class SecondFigures(Struct):
-    """Figures of one second of the day. A first try belongs to the second in which it was asked."""
+    """Figures of one second of the day. A first try is counted in the second of its arrival."""
 
     asked: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
-    failed: int = 0  # answers of failure, and those that ran out of time or left
-    worth: float = 0.0  # asked for
-    earned: float = 0.0
+    failed: int = 0  # failure answers, time-outs and disconnects of clients
+    worth: float = 0.0  # value of the first tries
+    earned: float = 0.0  # value of the answers
     tries: int = 0
-    attempts: int = 0  # at all tiers, by the second in which they arrived
-    turned_away: int = 0
-    unconnected: int = 0  # connects of sidecars that failed
+    attempts: int = 0  # attempts at all tiers, by the second of their arrival
+    turned_away: int = 0  # attempts rejected by nodes
+    unconnected: int = 0  # failed connects of sidecars
     p50_ms: float = 0.0
     p99_ms: float = 0.0
 
@@ -43,7 +43,7 @@
     late: int = 0
     refused: int = 0
     failed: int = 0
-    earned: float = 0.0  # part of its worth
+    earned: float = 0.0  # share of the value
     p50_ms: float = 0.0
     p99_ms: float = 0.0
 
@@ -51,18 +51,22 @@
 class DiscoveryCallFigures(Struct):
     """Figures of the calls to discovery.
 
-    Seconds are those of the day; calls before its start count in the first second.
+    Calls before the start of the day are counted in its first second.
     """
 
     calls: int = 0
-    asks: int = 0  # of these, by sidecars that had no answer since their start or since a call failed
-    brought: int = 0  # answers, whether or not they held anything new
-    failed: int = 0  # ended by discovery without an answer, or not taken
-    given_up: int = 0  # asks that the sidecar did not wait for any longer
-    asked: list[int] = field(default_factory=list)  # asks by second
+    asks: int = 0  # calls by sidecars without a reply since their start or since a failed call
+    brought: int = 0  # complete replies, with or without news
+    failed: int = 0  # calls that were refused, or ended by discovery without a reply
+    given_up: int = 0  # calls counted in `asks` that the sidecar abandoned
+    asked: list[int] = field(default_factory=list)  # number of `asks` by second
     failed_by_second: list[int] = field(default_factory=list)
-    started: dict[str, float] = field(default_factory=dict)  # by sidecar: its last start, 0 before the day
-    first: dict[str, float] = field(default_factory=dict)  # by sidecar: s from its last start to an answer
+    started: dict[str, float] = field(
+        default_factory=dict
+    )  # by sidecar: instant of its last start, 0 if before the day
+    first: dict[str, float] = field(
+        default_factory=dict
+    )  # by sidecar: seconds from its last start to a reply
 
 
 class Outcome(Struct):
@@ -71,24 +75,24 @@
     scenario: str
     seed: int
     grain: str  # wire or exchange
-    requests: int  # first tries
-    service: float  # worth earned over worth asked for
-    g: float  # the goal's figure, prices taken off
+    requests: int  # number of first tries
+    service: float  # earned value as a share of the value of all first tries
+    g: float  # goal figure after deductions
     whole: float
-    worst_window: float  # least service of ten seconds in a row
+    worst_window: float  # lowest service in ten consecutive seconds
     worst_class: float
-    waste: float  # work for no answer over work offered
+    waste: float  # work without an answer as a share of the offered work
     simulated_s: float
     wall_s: float
     breaches: list[Breach] = field(default_factory=list)
-    breach_count: int = 0  # all of them; the list keeps the first hundred
+    breach_count: int = 0  # number of all breaches; the list has the first hundred
     classes: list[ClassFigures] = field(default_factory=list)
     seconds: list[SecondFigures] = field(default_factory=list)
     attempts_by_tier: list[int] = field(default_factory=list)
-    attempts_each: float = 0.0  # attempts at the first tier for each try taken there
+    attempts_each: float = 0.0  # attempts at the first tier for each accepted try
     node_work: dict[str, float] = field(default_factory=dict)  # work done, by node
-    latency: str = ""  # of the first tries that were served, in ms: an encoded HdrHistogram
-    happened: list[tuple[float, str]] = field(default_factory=list)  # seconds from the start, and what
-    counts: dict[str, float] = field(default_factory=dict)  # further counts by name
+    latency: str = ""  # latency of served first tries in ms, as an encoded HdrHistogram
+    happened: list[tuple[float, str]] = field(default_factory=list)  # (seconds from the start, event)
+    counts: dict[str, float] = field(default_factory=dict)  # other counts by name
     lists: DiscoveryCallFigures = field(default_factory=DiscoveryCallFigures)
-    trace_hash: str = ""  # of the whole trace, where one was kept
+    trace_hash: str = ""  # hash of the trace if one was recorded
--- a/wheatring/lab/planted_faults.py
+++ b/wheatring/lab/planted_faults.py
@@ -1,7 +1,7 @@
-"""Faults planted in the sidecar's own code, one at a time, to test that the lab detects them.
+"""Faults (mutations) that are planted in the sidecar's code one at a time, to test that the lab detects them.
 
-Each replaces one piece of the source of one function. If the source no longer contains that piece exactly
-once, planting raises `FaultMismatchError`: a fault that is not there proves nothing.
+Each replaces one piece of the source of one function. If the source does not contain that piece exactly once,
+planting raises `FaultMismatchError`, as a run without the fault would prove nothing.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
     Attributes
     ----------
     name
-        Name of the fault in commands and reports.
+        The name of the fault in commands and reports.
     what
-        The faulty behaviour, in one clause.
+        The faulty behaviour.
     where
         The function, as MODULE:CLASS.FUNCTION or MODULE:FUNCTION.
     old, new
         The piece of source that is replaced, and its replacement.
     scenario
-        A scenario that can show the fault.
+        A scenario in which the fault can be detected.
     grains
-        The grains at which it can show.
+        The grains at which the fault can be detected.
     """
 
     name: str
@@ -43,30 +43,30 @@
     grains: tuple[str, ...] = ("wire", "exchange")
 
 
-ON_SOCKETS = ("wire",)  # for code that only the wire grain runs
+WIRE_ONLY = ("wire",)  # for code that only the wire grain runs
 
 FAULTS = (
     Fault(
         "written-when-over",
-        "a connect that comes up late writes its attempt though the request is over",
+        "a connection established late sends its attempt although the request is over",
         "wheatring.daemon.http1.connection_pool:_NewConnection.connectionMade",
         "if self.first_attempt.may_be_sent and self.pool.exchange.check_in_time(self.first_attempt):",
         "if True:",
         "faults",
-        ON_SOCKETS,
+        WIRE_ONLY,
     ),
     Fault(
         "kept-unclean",
-        "a connection with bytes left on it is kept for the next attempt",
+        "a connection with unread or unsent bytes is reused for the next attempt",
         "wheatring.daemon.http1.endpoint_connection:EndpointConnection.keep_or_close",
         "if not self.is_flushed or self.parser.has_partial_message:",
         "if False:",
         "faults",
-        ON_SOCKETS,
+        WIRE_ONLY,
     ),
     Fault(
         "drain-ignored",
-        "a draining node goes on getting new requests",
+        "a draining node still gets new requests",
         "wheatring.balancer.endpoint_pool:EndpointPool.update",
         "if entry.state is not EndpointState.READY:",
         "if entry.state is EndpointState.GONE:",
@@ -74,7 +74,7 @@
     ),
     Fault(
         "answer-lost",
-        "a request whose attempt has timed out is not notified of it",
+        "a request is not notified that its attempt has timed out",
         "wheatring.daemon.core.exchange:Exchange._time_out",
         "self._stop_attempt(attempt, outcome)",
         "pass",
@@ -82,7 +82,7 @@
     ),
     Fault(
         "timer-kept",
-        "the timer against overdue requests is not cancelled when a request is answered",
+        "the overdue timer of a request is not cancelled when the request is answered",
         "wheatring.daemon.core.exchange:Exchange._finish",
         "request.overdue_timer.cancel()",
         "pass",
@@ -90,7 +90,7 @@
     ),
     Fault(
         "unsafe-repeated",
-        "what may have run is sent again though that does harm",
+        "a non-idempotent request that may have run is retried",
         "wheatring.balancer.active_request:ActiveRequest.repeatable_until",
         "if idempotency is IDEMPOTENT:",
         "if True:",
@@ -98,16 +98,16 @@
     ),
     Fault(
         "reset-never-ran",
-        "a connection that breaks after the request's last byte counts as proof that nothing ran",
+        "a reset after the request's last byte is treated as proof that the attempt has not run",
         "wheatring.daemon.http1.endpoint_connection:EndpointConnection.fail_attempt",
         "Outcome.RESET if self.is_flushed else Outcome.CONNECT_FAILED",
         "Outcome.CONNECT_FAILED",
         "faults",
-        ON_SOCKETS,
+        WIRE_ONLY,
     ),
     Fault(
         "cold-as-warm",
-        "a cold node gets its even share at once",
+        "a node gets its full share of requests without slow start",
         "wheatring.balancer.slow_start:SlowStart.capacity",
         "if started_at <= 0 or age >= contract.warm_up:",
         "if True:",
@@ -115,7 +115,7 @@
     ),
     Fault(
         "caller-kept",
-        "the request of a caller that has disconnected stays open",
+        "the request of a caller that has disconnected is not ended",
         "wheatring.daemon.core.exchange:Exchange.withdraw",
         "self._finish(request)",
         "pass",
@@ -123,16 +123,16 @@
     ),
     Fault(
         "half-answer-served",
-        "an answer that ends before its length is passed on as whole",
+        "an answer shorter than its declared length is forwarded as complete",
         "wheatring.common.http_parser:MessageParser.end_of_input",
         "if self.state is not _UNTIL_CLOSE:",
         "if self.message is None:",
         "faults",
-        ON_SOCKETS,
+        WIRE_ONLY,
     ),
     Fault(
         "watch-not-renewed",
-        "a watch that has failed is not begun again",
+        "a watch that has failed is not started again",
         "wheatring.daemon.http1.endpoint_list:EndpointList.cancel_watch",
         "self.is_watching = False",
         'self.is_watching = code == "watch-failed"',
@@ -140,19 +140,19 @@
     ),
     Fault(
         "closed-with-jobs",
-        "once stopping, it closes connections whose callers wait for answers",
+        "a stopping sidecar closes connections of callers that wait for answers",
         "wheatring.daemon.http1.server:Server.close_unanswered",
         "case CallerState.RESTING:",
         'case CallerState.BUSY:\n                connection.close("stopping")\n'
         "            case CallerState.RESTING:",
         "faults",
-        ON_SOCKETS,
+        WIRE_ONLY,
     ),
 )
 
 
 class FaultMismatchError(ValueError):
-    """The source of the function has changed, so the fault can't be planted."""
+    """The fault can't be planted, as the source of the function has changed."""
 
 
 @contextmanager
@@ -181,13 +181,13 @@
 def _changed(fault: Fault, function: Any, scope: dict[str, Any]) -> Any:
     text = textwrap.dedent(inspect.getsource(function))
     if text.count(fault.old) != 1:
-        raise FaultMismatchError(f"{fault.name}: {fault.where} no longer holds {fault.old!r} once")
+        raise FaultMismatchError(f"{fault.name}: {fault.where} does not contain {fault.old!r} exactly once")
     changed = text.replace(fault.old, fault.new)
     ast.parse(changed)
     namespace: dict[str, Any] = {}
     exec(compile(changed, f"<fault {fault.name}>", "exec"), scope, namespace)
     (result,) = namespace.values()
-    if function.__closure__ is not None:  # it calls super(): keep the cell with its class
+    if function.__closure__ is not None:  # it calls super(), which needs the cell with the class
         result = type(result)(
             _with_class(changed, fault), scope, result.__name__, result.__defaults__, function.__closure__
         )
--- a/wheatring/lab/play.py
+++ b/wheatring/lab/play.py
@@ -1,4 +1,4 @@
-"""Plays a plan in virtual time at a grain. The grains are named here, above the world and environments."""
+"""Plays a plan in virtual time at a grain. The grains are defined here, above the world and environments."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def make_world(plan: Plan, grain: str, tracing: Tracing | None = None) -> World:
-    """Build the world of a plan, which may be played once.
+    """Build the world of a plan. A world may be played only once.
 
     Raises
     ------
--- a/wheatring/lab/scenario/__init__.py
+++ b/wheatring/lab/scenario/__init__.py
@@ -1,4 +1,4 @@
-"""Scenarios: TOML to checked ranges (`load`), ranges and a seed to a plan (`draw`), and a library of them.
+"""Scenarios: `load` reads and validates TOML, and `plan_builder` draws a plan from it.
 
-It may import `plan` of the lab, and nothing else of the project.
+The package may import the lab's `plan`, and nothing else of the project.
 """
--- a/wheatring/lab/scenario/capacity.py
+++ b/wheatring/lab/scenario/capacity.py
@@ -1,4 +1,4 @@
-"""What a plan's machines can do, what is asked of them, and the numbers that a person wants of a plan."""
+"""The capacity of a plan's machines, the expected load on them, and a summary of a plan."""
 
 from __future__ import annotations
 
@@ -11,35 +11,37 @@
 
 
 class TierSummary(Struct, frozen=True):
-    """The numbers of one tier."""
+    """Figures of one tier."""
 
     name: str
-    nodes: int  # that run at the start
-    later: int  # that are started on the way
-    capacity: float  # of those at the start, all warm, in work (seconds on a standard core) a second
-    offered: float  # work a second, without retries and on the mean of the day
-    calls: float  # a second
+    nodes: int  # nodes that run from the start
+    later: int  # nodes that are started during the day
+    capacity: (
+        float  # of the nodes that run from the start, all warm: work (seconds on a standard core) a second
+    )
+    offered: float  # mean work a second over the day, without retries
+    calls: float  # calls a second
 
     @property
     def load(self) -> float:
-        """The part of the capacity that is asked for."""
+        """The offered work as a share of the capacity."""
         return self.offered / self.capacity
 
 
 class Summary(Struct, frozen=True):
-    """The numbers of one plan."""
+    """Figures of one plan."""
 
     scenario: str
     seed: int
     length: float
-    rate: float  # first tries a second, on the mean of the day
-    requests: int  # first tries to expect
-    sidecars: int  # of the front
+    rate: float  # mean first tries a second over the day
+    requests: int  # expected number of first tries
+    sidecars: int  # number of the front's sidecars
     tiers: tuple[TierSummary, ...]
-    events: dict[str, int]  # by kind
+    events: dict[str, int]  # number of events by kind
 
     def lines(self) -> list[str]:
-        """Return lines for a person."""
+        """Return the summary as lines of text."""
         lines = [
             f"{self.scenario}, seed {self.seed}: {self.length:g} s, {self.rate:.1f} requests a second "
             f"(about {self.requests} in all), {self.sidecars} sidecars in front"
@@ -55,32 +57,35 @@
 
 
 def capacity(nodes: Iterable[NodePlan], tiers: Sequence[TierPlan]) -> list[float]:
-    """Return the work a second of each tier's machines that run at the start, warm and with no pauses."""
-    total = [0.0] * len(tiers)
+    """Return the capacity of each tier's machines that run from the start, warm and without pauses.
+
+    The unit is work a second.
+    """
+    totals = [0.0] * len(tiers)
     for node in nodes:
         if node.up:
-            total[node.tier] += node.speed * tiers[node.tier].kinds[node.kind].cores
-    return total
+            totals[node.tier] += node.speed * tiers[node.tier].kinds[node.kind].cores
+    return totals
 
 
 def visits(tiers: Sequence[TierPlan]) -> list[float]:
-    """Return the visits to each tier for one first try that is served at once."""
-    made: list[float] = []
+    """Return the mean number of calls to each tier for one first try that is served without a retry."""
+    counts: list[float] = []
     for tier in tiers:
-        made.append((made[-1] if made else 1.0) * tier.calls)
-    return made
+        counts.append((counts[-1] if counts else 1.0) * tier.calls)
+    return counts
 
 
 def demand(classes: Sequence[ClassPlan], tiers: Sequence[TierPlan]) -> list[float]:
-    """Return the work that one first try asks of each tier on the mean, in seconds on a standard core."""
+    """Return the mean work of one first try at each tier, in seconds on a standard core."""
     mean = sum(one.share * one.work for one in classes) / sum(one.share for one in classes)
     return [mean * tier.work * times for tier, times in zip(tiers, visits(tiers), strict=True)]
 
 
 def summary(plan: Plan) -> Summary:
-    """Return the numbers that a person wants of a plan."""
-    able = capacity(plan.nodes, plan.tiers)
-    asked = demand(plan.classes, plan.tiers)
+    """Return the summary of a plan."""
+    capacities = capacity(plan.nodes, plan.tiers)
+    demands = demand(plan.classes, plan.tiers)
     calls = visits(plan.tiers)
     now = Counter(node.tier for node in plan.nodes if node.up)
     later = Counter(node.tier for node in plan.nodes if not node.up)
@@ -94,9 +99,14 @@
         sidecars=len(plan.sidecars),
         tiers=tuple(
             TierSummary(
-                tier.name, now[place], later[place], able[place], rate * asked[place], rate * calls[place]
+                tier.name,
+                now[index],
+                later[index],
+                capacities[index],
+                rate * demands[index],
+                rate * calls[index],
             )
-            for place, tier in enumerate(plan.tiers)
+            for index, tier in enumerate(plan.tiers)
         ),
         events=dict(Counter(event.kind for event in plan.events)),
     )
--- a/wheatring/lab/scenario/fault_messages.py
+++ b/wheatring/lab/scenario/fault_messages.py
@@ -1,4 +1,4 @@
-"""Faults in a scenario, described in the terms of its file: by path, and with what was expected there."""
+"""Faults in a scenario file, with the path of the key and the expected value."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class Fault(NamedTuple):
-    """A fault: the path to a key, what is wrong there, and the value, if there is one."""
+    """A fault: the path of a key, the problem, and the value if there is one."""
 
     path: str
-    what: str
+    problem: str
     value: object = _ABSENT
 
     def __str__(self) -> str:
-        """Return the fault as a line."""
-        text = f"{self.path}: {self.what}" if self.path else self.what
+        """Return the fault as one line of text."""
+        text = f"{self.path}: {self.problem}" if self.path else self.problem
         return text if self.value is _ABSENT else f"{text}, is {short_text(self.value)}"
 
 
 class ContradictionError(ValueError):
-    """What was drawn contradicts itself."""
+    """The drawn values contradict each other."""
 
     def __init__(self, fault: Fault) -> None:
         self.fault = fault
@@ -41,45 +41,48 @@
 
 
 def short_text(value: object) -> str:
-    """Return a value on little space, about as TOML would write it."""
+    """Return a value as JSON, cut to MAX_VALUE_CHARACTERS."""
     text = json.dumps(value, default=str, ensure_ascii=False)
     return text if len(text) <= MAX_VALUE_CHARACTERS else f"{text[:MAX_VALUE_CHARACTERS]}..."
 
 
 def labels(entries: Sequence[object]) -> list[str]:
-    """Return what entries of an array go by: their name, else their kind, else their number from 1 on."""
+    """Return the labels of an array's entries: their name, else their kind, else their number from 1.
+
+    Repeated labels get a number from the second on.
+    """
     seen: Counter[str] = Counter()
-    made: list[str] = []
+    result: list[str] = []
     for number, entry in enumerate(entries, 1):
         fields = entry if isinstance(entry, dict) else {}
         name, kind = fields.get("name"), fields.get("kind")
         if isinstance(name, str) and name:
-            made.append(name)
+            result.append(name)
             continue
         label = kind if isinstance(kind, str) and kind else str(number)
         seen[label] += 1
-        made.append(label if seen[label] == 1 else f"{label}-{seen[label]}")
-    return made
+        result.append(label if seen[label] == 1 else f"{label}-{seen[label]}")
+    return result
 
 
 def fault_from(message: str, raw: object) -> Fault:
-    """Return the fault that a message of msgspec on a value is about."""
+    """Return the fault that a msgspec message about a value describes."""
     match = _MSGSPEC_MESSAGE.fullmatch(message)
     assert match is not None
     path: list[str] = []
     value: Any = raw
     kind = _scenario_type()
-    for key, place in _STEP.findall(match["at"] or ""):
+    for key, index in _STEP.findall(match["at"] or ""):
         if key:
             path.append(key)
             value = value[key]
             kind = _field(kind, key)
         else:
             if not isinstance(_item(kind), inspect.StructType):
-                break  # part of a plain list: the key's whole value tells more
-            path.append(labels(value)[int(place)])
+                break  # an element of a plain list: the message shows the whole list
+            path.append(labels(value)[int(index)])
             kind = _item(kind)
-            value = value[int(place)]
+            value = value[int(index)]
     named = re.search(r"(unknown|required) field `(.*)`", match["what"])
     if named:
         path.append(named[2])
@@ -114,7 +117,7 @@
 
 
 def expected(kind: inspect.Type) -> str:
-    """Return what a value of the schema must be, in words."""
+    """Return a description of the values that a type of the schema allows."""
     if isinstance(kind, inspect.UnionType):
         return " or ".join(expected(each) for each in kind.types if not isinstance(each, inspect.NoneType))
     if isinstance(kind, inspect.FloatType | inspect.IntType):
@@ -136,5 +139,9 @@
             return "a range of two"
         if isinstance(kind.item_type, inspect.TupleType):
             return "a list of [part of the day, factor] pairs, of numbers from 0 on"
-        return "a list of texts" if isinstance(kind.item_type, inspect.StrType) else "a list of such"
+        return (
+            "a list of texts"
+            if isinstance(kind.item_type, inspect.StrType)
+            else "a list of values of one type"
+        )
     return "a table"
--- a/wheatring/lab/scenario/fleet.py
+++ b/wheatring/lab/scenario/fleet.py
@@ -1,4 +1,4 @@
-"""The machines of a day: the first ones, those that come in their place, and from when on each runs."""
+"""The machines of a day: initial machines, added ones and replacements, and when each is available."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from wheatring.lab.scenario.sampler import PlanSampler, apportion
 from wheatring.lab.scenario.schema import Scenario
 
-_SETTLE_SECONDS = 0.05  # after its return, for which a machine is left alone
-_FIRST_NET = 16  # the first tier's addresses are in 127.16.0.0/16, the next one's in the net after it
-_MAX_MACHINES = 250 * 256  # addresses of a net that are used
+_SETTLE_SECONDS = 0.05  # no event affects a machine for this long after its start
+_FIRST_NET = 16  # the first tier is in 127.16.0.0/16, the second one in 127.17.0.0/16, and so on
+_MAX_MACHINES = 250 * 256  # the number of addresses used in one net
 
 
 def _host(net: int, number: int) -> str:
@@ -20,37 +20,43 @@
 
 
 class Fleet:
-    """`free` and `sidecar_free` say from when on one runs with nothing planned that takes it down again."""
+    """The machines and sidecars of a day while its events are expanded.
+
+    `available_from` and `sidecar_available_from` have, by name, the instant from which a machine or a sidecar
+    runs and no event expanded so far takes it down.
+    """
 
     def __init__(self, sampler: PlanSampler, scenario: Scenario) -> None:
         self.sampler = sampler
         self.scenario = scenario
         self.nodes: dict[str, NodePlan] = {}
-        self.tiers: list[list[str]] = []  # names of its machines, in the order in which they are planned
-        self.free: dict[str, float] = {}
-        self.sidecar_free: dict[str, float] = {}
-        self._start_up = high(scenario.sidecar_start) + _SETTLE_SECONDS
+        self.tiers: list[
+            list[str]
+        ] = []  # by tier: names of its machines, in the order in which they were added
+        self.available_from: dict[str, float] = {}
+        self.sidecar_available_from: dict[str, float] = {}
+        self._startup_seconds = high(scenario.sidecar_start) + _SETTLE_SECONDS
         self._cells: list[int] = []
-        self._speeds: list[list[tuple[float, float]]] = []  # mean and cv of each kind
+        self._speeds: list[list[tuple[float, float]]] = []  # by tier and kind: mean and cv of the speed
         self._shares: list[list[float]] = []
-        self.sidecars = self._front()
+        self.sidecars = self._create_front_sidecars()
         self._front_hosts = {one.name: one.host for one in self.sidecars}
         for tier in range(len(scenario.tiers)):
-            self._first(tier)
+            self._add_initial_machines(tier)
 
-    def _front(self) -> tuple[SidecarPlan, ...]:
+    def _create_front_sidecars(self) -> tuple[SidecarPlan, ...]:
         front, zones = self.scenario.front, self.scenario.zones
-        made = []
+        sidecars = []
         for number in range(self.sampler.integer("front.sidecars", front.sidecars)):
             name = f"{FRONT}-{number + 1}"
             start = self.sampler.number(f"front.starts:{name}", front.starts)
             zone = zones[number % len(zones)]
-            made.append(SidecarPlan(name=name, host=_host(1, number), zone=zone, start=start))
-            self.sidecar_free[name] = start + self._start_up
-        return tuple(made)
+            sidecars.append(SidecarPlan(name=name, host=_host(1, number), zone=zone, start=start))
+            self.sidecar_available_from[name] = start + self._startup_seconds
+        return tuple(sidecars)
 
-    def _first(self, tier: int) -> None:
-        """Add a tier's machines that run from the start on."""
+    def _add_initial_machines(self, tier: int) -> None:
+        """Add a tier's machines that run from the start."""
         given, sampler = self.scenario.tiers[tier], self.sampler
         path = f"tier.{given.name}"
         if given.nodes is not None:
@@ -70,93 +76,103 @@
         names = [f"{given.name}-{number}" for number in range(1, size + 1)]
         parts = apportion(size, self._shares[tier])
         kind_of = [kind for kind, number in enumerate(parts) for _ in range(number)]
-        # Kinds are assigned in a drawn order, so that a name says nothing about the machine.
-        dealt_to = dict(zip(sampler.order(f"{path}.kinds", names), kind_of, strict=True))
+        # Kinds are assigned in a random order, so that a name reveals nothing about the machine.
+        kind_by_name = dict(zip(sampler.order(f"{path}.kinds", names), kind_of, strict=True))
         random = sampler.random(f"{path}.speeds")
         for name in names:
-            self._add(tier, name, dealt_to[name], random.gauss(0.0, 1.0), 0.0)
+            self._add_machine(tier, name, kind_by_name[name], random.gauss(0.0, 1.0), 0.0)
 
-    def _add(
+    def _add_machine(
         self,
         tier: int,
         name: str,
         kind: int,
         normal: float,
         start: float,
-        like: NodePlan | None = None,
+        replaced: NodePlan | None = None,
         host: str = "",
     ) -> None:
-        """Add a machine that runs from the start on, or is started at an instant in the place of `like`.
+        """Add a machine that runs from the start, or is started later as a replacement of `replaced`.
 
-        `normal` is the draw of its speed, from the standard normal distribution.
+        `normal` is the draw for its speed from the standard normal distribution.
         """
         number = len(self.tiers[tier])
         mean, cv = self._speeds[tier][kind]
         sigma = sqrt(log(1 + cv * cv))
         zones = self.scenario.zones
         if number >= _MAX_MACHINES:
-            raise ContradictionError(Fault(f"tier.{self.scenario.tiers[tier].name}", "runs out of addresses"))
+            raise ContradictionError(
+                Fault(f"tier.{self.scenario.tiers[tier].name}", "has more machines than addresses")
+            )
         self.nodes[name] = NodePlan(
             name=name,
             tier=tier,
             kind=kind,
             speed=float(f"{mean * exp(sigma * normal - sigma * sigma / 2):.6g}"),
             host=host or _host(_FIRST_NET + tier, number),
-            cell=like.cell if like else number // self._cells[tier],
-            zone=like.zone if like else zones[number % len(zones)],
+            cell=replaced.cell if replaced else number // self._cells[tier],
+            zone=replaced.zone if replaced else zones[number % len(zones)],
             up=start == 0.0,
         )
         self.tiers[tier].append(name)
         self.restart(name, start)
 
-    def _normal(self, tier: int, name: str) -> float:
+    def _draw_speed_normal(self, tier: int, name: str) -> float:
         return self.sampler.random(f"tier.{self.scenario.tiers[tier].name}.speed:{name}").gauss(0.0, 1.0)
 
-    def add_successor(self, name: str, start: float, same_address: bool) -> str:
-        """Add a machine in the place of one that ends, of its kind, and return its name."""
-        like = self.nodes[name]
-        place, _, generation = name.partition(".")
-        new = f"{place}.{int(generation or 1) + 1}"
-        normal = self._normal(like.tier, new)
-        self._add(like.tier, new, like.kind, normal, start, like, like.host if same_address else "")
-        self.free[name] = self.sidecar_free[name] = inf
-        return new
-
-    def add_newcomer(self, tier: int, start: float) -> str:
+    def add_replacement(self, name: str, start: float, same_address: bool) -> str:
+        """Add a machine of the same kind that replaces one that ends, and return its name."""
+        replaced = self.nodes[name]
+        base_name, _, generation = name.partition(".")
+        new_name = f"{base_name}.{int(generation or 1) + 1}"
+        normal = self._draw_speed_normal(replaced.tier, new_name)
+        self._add_machine(
+            replaced.tier,
+            new_name,
+            replaced.kind,
+            normal,
+            start,
+            replaced,
+            replaced.host if same_address else "",
+        )
+        self.available_from[name] = self.sidecar_available_from[name] = inf
+        return new_name
+
+    def add_node(self, tier: int, start: float) -> str:
         """Add a machine to a tier, and return its name."""
         given = self.scenario.tiers[tier]
         name = f"{given.name}-{1 + sum('.' not in other for other in self.tiers[tier])}"
         kinds = range(len(given.kinds))
         random = self.sampler.random(f"tier.{given.name}.kind:{name}")
         kind = random.choices(kinds, self._shares[tier])[0]
-        self._add(tier, name, kind, self._normal(tier, name), start)
+        self._add_machine(tier, name, kind, self._draw_speed_normal(tier, name), start)
         return name
 
     def restart(self, name: str, start: float) -> None:
-        """Let a machine start, or start again, at an instant; infinite: never."""
-        self.free[name] = start + _SETTLE_SECONDS if start else 0.0
-        self.sidecar_free[name] = start + self._start_up
+        """Record that a machine starts or restarts at an instant; an infinite instant means never."""
+        self.available_from[name] = start + _SETTLE_SECONDS if start else 0.0
+        self.sidecar_available_from[name] = start + self._startup_seconds
 
     def restart_sidecar(self, name: str, start: float) -> None:
-        """Let a sidecar start, or start again, at an instant."""
-        self.sidecar_free[name] = start + self._start_up
+        """Record that a sidecar starts or restarts at an instant."""
+        self.sidecar_available_from[name] = start + self._startup_seconds
 
     def running(self, tier: int, at: float) -> list[str]:
         """Return a tier's machines that run at an instant."""
-        return [name for name in self.tiers[tier] if self.free[name] <= at]
+        return [name for name in self.tiers[tier] if self.available_from[name] <= at]
 
     def sidecars_running(self, tier: int | None, at: float) -> list[str]:
-        """Return the front's sidecars that run at an instant, or a tier's machines whose own does."""
+        """Return the front's sidecars that run at an instant, or a tier's machines whose sidecar runs."""
         names = [one.name for one in self.sidecars] if tier is None else self.running(tier, at)
-        return [name for name in names if self.sidecar_free[name] <= at]
+        return [name for name in names if self.sidecar_available_from[name] <= at]
 
     def side_host(self, name: str) -> str:
-        """Return the host of a sidecar, by its name: of the front, or a machine's own."""
+        """Return the host of a sidecar of the front or of a machine."""
         node = self.nodes.get(name)
         return self._front_hosts[name] if node is None else node.side_host
 
     def hosts(self, name: str) -> tuple[str, ...]:
-        """Return the hosts of a machine and its own sidecar, if it has one, or of a sidecar of the front."""
+        """Return the hosts of a machine and its sidecar, if it has one, or of a sidecar of the front."""
         node = self.nodes.get(name)
         if node is None:
             return (self._front_hosts[name],)
--- a/wheatring/lab/scenario/load.py
+++ b/wheatring/lab/scenario/load.py
@@ -1,7 +1,8 @@
-"""Read a scenario: TOML, laid over the one that it extends, decoded to `schema`, and checked.
+"""Loads scenarios: parses TOML, merges it with the scenario that it extends, decodes and validates it.
 
-What can't be used is a `ScenarioError`: one line a fault, `FILE: path.to.key: what is wrong, is VALUE`. In
-paths, entries of arrays go by their name, events without one by their kind, numbered from the second on.
+A scenario that is not valid raises `ScenarioError`, one line for each fault: `FILE: path.to.key: problem, is
+VALUE`. In paths, entries of arrays are identified by their name, and events without a name by their kind,
+numbered from the second on.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 _LIBRARY = resources.files("wheatring.lab.scenario") / "library"
 
-# Keys that say the same thing in different ways: one that is laid over the other takes its place.
+# Keys that exclude each other: an overriding scenario that has one of them removes the others.
 _ALTERNATIVES: Mapping[str, tuple[tuple[str, ...], ...]] = {
     "tier": (("nodes", "times"),),
     "traffic": (("rate", "load"), ("shape", "points")),
@@ -33,7 +34,7 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that can't be used. The text has a line for each fault."""
+    """A scenario is not valid. The text has a line for each fault."""
 
     def __init__(self, where: str, faults: Iterable[fault_messages.Fault]) -> None:
         self.faults = tuple(faults)
@@ -41,7 +42,7 @@
 
 
 class LoadedScenario(NamedTuple):
-    """A scenario that is sound, by its name, and the file's name for messages."""
+    """A valid scenario with its name, and the name of its file in messages."""
 
     name: str
     where: str
@@ -50,28 +51,28 @@
 
 def names() -> list[str]:
     """Return the names of the scenarios of the library."""
-    return _named(_LIBRARY)
+    return _scenario_names(_LIBRARY)
 
 
 def fleet_names() -> list[str]:
-    """Return the names of those of hundreds of processes, for `lab fleet`."""
-    return _named(_LIBRARY / "fleet")
+    """Return the names of the library's scenarios for `lab fleet`, which have hundreds of processes."""
+    return _scenario_names(_LIBRARY / "fleet")
 
 
-def _named(folder: Traversable) -> list[str]:
+def _scenario_names(folder: Traversable) -> list[str]:
     return sorted(entry.name[:-5] for entry in folder.iterdir() if entry.name.endswith(".toml"))
 
 
 def _content(name: str) -> str | None:
-    """Return the text of a scenario of the library; None: there is none of that name."""
-    for folder, there in ((_LIBRARY, names()), (_LIBRARY / "fleet", fleet_names())):
-        if name in there:
+    """Return the text of a scenario of the library, None if there is none of that name."""
+    for folder, available in ((_LIBRARY, names()), (_LIBRARY / "fleet", fleet_names())):
+        if name in available:
             return (folder / f"{name}.toml").read_text(encoding="utf-8")
     return None
 
 
 def load(where: str | Path) -> LoadedScenario:
-    """Load a scenario of the library by name, or one of a file: what has a suffix or a folder is a file.
+    """Load a scenario of the library by name, or a file, which has a suffix or a directory in its path.
 
     Raises ScenarioError.
     """
@@ -79,11 +80,11 @@
 
 
 class ScenarioTables(NamedTuple):
-    """The tables of a scenario, laid over those of what it extends, and not checked yet."""
+    """The tables of a scenario, merged with those that it extends, and not validated yet."""
 
     raw: Raw
     name: str
-    where: str  # what messages call it
+    where: str  # name of the file in messages
 
 
 def load_tables(where: str | Path) -> ScenarioTables:
@@ -104,19 +105,19 @@
 
 
 def parse(text: str, name: str, where: str) -> LoadedScenario:
-    """Return the scenario that a text describes. `where` is what messages call it. Raises ScenarioError."""
+    """Return the scenario of a TOML text. Messages name its file as `where`. Raises ScenarioError."""
     return check_tables(*_tables_of(text, name, where))
 
 
 def _tables_of(text: str, name: str, where: str) -> ScenarioTables:
     try:
-        return ScenarioTables(_extended(text, where), name, where)
+        return ScenarioTables(_with_base(text, where), name, where)
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError(where, [fault_messages.Fault("", f"not TOML: {error}")]) from None
 
 
 def check_tables(raw: Raw, name: str, where: str) -> LoadedScenario:
-    """Return the scenario that tables describe. Raises ScenarioError."""
+    """Return the scenario of merged tables. Raises ScenarioError."""
     try:
         found = msgspec.convert(raw, Scenario)
     except msgspec.ValidationError as error:
@@ -127,10 +128,10 @@
     return LoadedScenario(name, where, found)
 
 
-def _extended(text: str, where: str) -> Raw:
-    """Return a text's tables, laid over those of what it extends."""
+def _with_base(text: str, where: str) -> Raw:
+    """Return the tables of a text, merged with those of the scenario that it extends."""
     raw = tomllib.loads(text)
-    faults = [fault_messages.Fault(path, "must be finite", value) for path, value in _infinite(raw)]
+    faults = [fault_messages.Fault(path, "must be finite", value) for path, value in _non_finite_values(raw)]
     if faults:
         raise ScenarioError(where, faults)
     base = raw.get("extends")
@@ -143,29 +144,29 @@
     content = _content(base)
     if content is None:
         raise ScenarioError(where, [fault_messages.Fault("extends", "no scenario of the library", base)])
-    base_tables = _extended(content, f"{base}.toml")
+    base_tables = _with_base(content, f"{base}.toml")
     base_tables.pop("without", None)
     removed = raw.get("without", [])
     for path in removed if isinstance(removed, list) else []:
         if not isinstance(path, str) or not _remove(base_tables, path):
             raise ScenarioError(where, [fault_messages.Fault("without", f"{base} has no such table", path)])
-    return _merged(base_tables, raw, "")
+    return _merge_tables(base_tables, raw, "")
 
 
-def _infinite(value: object, path: str = "") -> Iterator[tuple[str, object]]:
+def _non_finite_values(value: object, path: str = "") -> Iterator[tuple[str, object]]:
     if isinstance(value, float) and not math.isfinite(value):
         yield path, value
     elif isinstance(value, dict):
         for key, inner in value.items():
-            yield from _infinite(inner, f"{path}.{key}" if path else key)
+            yield from _non_finite_values(inner, f"{path}.{key}" if path else key)
     elif isinstance(value, list):
         labels = fault_messages.labels(value)
         for label, inner in zip(labels, value, strict=True):
-            yield from _infinite(inner, f"{path}.{label}" if isinstance(inner, dict) else path)
+            yield from _non_finite_values(inner, f"{path}.{label}" if isinstance(inner, dict) else path)
 
 
 def _remove(raw: Raw, path: str) -> bool:
-    """Take out `table`, or the entry of an array of tables that is named by `array.name`."""
+    """Remove `table`, or the entry `array.name` of an array of tables. Return whether it existed."""
     table, _, name = path.partition(".")
     if not name:
         return raw.pop(table, None) is not None
@@ -176,18 +177,18 @@
     return True
 
 
-def _merged(base: Raw, over: Raw, at: str) -> Raw:
+def _merge_tables(base: Raw, override: Raw, at: str) -> Raw:
     merged = dict(base)
     for keys in _ALTERNATIVES.get(at, ()):
-        if any(key in over for key in keys):
+        if any(key in override for key in keys):
             for key in keys:
                 merged.pop(key, None)
-    for key, value in over.items():
+    for key, value in override.items():
         existing = base.get(key)
         if isinstance(value, dict) and isinstance(existing, dict):
-            merged[key] = _merged(existing, value, key)
-        elif _tables(value) and _tables(existing):
-            merged[key] = _merged_entries(base[key], value, key)
+            merged[key] = _merge_tables(existing, value, key)
+        elif _is_array_of_tables(value) and _is_array_of_tables(existing):
+            merged[key] = _merge_entries(base[key], value, key)
         else:
             merged[key] = value
     return merged
@@ -196,7 +197,7 @@
 def with_override(raw: Raw, path: str, value: object) -> Raw:
     """Return the tables with one key set, by its path as in messages.
 
-    Raises KeyError where it leads to no table.
+    Raises KeyError if a table of the path does not exist.
     """
     return _set(raw, path.split("."), value, "")
 
@@ -204,33 +205,33 @@
 def _set(raw: Raw, steps: list[str], value: object, at: str) -> Raw:
     key, *rest = steps
     if not rest:
-        return _merged(raw, {key: value}, at)
+        return _merge_tables(raw, {key: value}, at)
     existing = raw.get(key, {})
-    if _tables(existing) and len(rest) > 1:
+    if _is_array_of_tables(existing) and len(rest) > 1:
         labels = fault_messages.labels(existing)
         if rest[0] not in labels:
             raise KeyError(rest[0])
-        place = labels.index(rest[0])
-        entry = _set(existing[place], rest[1:], value, key)
-        return {**raw, key: [*existing[:place], entry, *existing[place + 1 :]]}
+        index = labels.index(rest[0])
+        entry = _set(existing[index], rest[1:], value, key)
+        return {**raw, key: [*existing[:index], entry, *existing[index + 1 :]]}
     if not isinstance(existing, dict):
         raise KeyError(key)
     return {**raw, key: _set(existing, rest, value, key)}
 
 
-def _tables(value: object) -> bool:
+def _is_array_of_tables(value: object) -> bool:
     return isinstance(value, list) and bool(value) and all(isinstance(entry, dict) for entry in value)
 
 
-def _merged_entries(base: list[Raw], over: list[Raw], at: str) -> list[Raw]:
-    """Lay entries of the same name over each other, and add all others."""
+def _merge_entries(base: list[Raw], override: list[Raw], at: str) -> list[Raw]:
+    """Merge entries of the same name, and append all others."""
     merged = list(base)
-    places = {entry["name"]: place for place, entry in enumerate(base) if isinstance(entry.get("name"), str)}
-    for entry in over:
+    indexes = {entry["name"]: index for index, entry in enumerate(base) if isinstance(entry.get("name"), str)}
+    for entry in override:
         name = entry.get("name")
-        place = places.pop(name, None) if isinstance(name, str) else None
-        if place is None:
+        index = indexes.pop(name, None) if isinstance(name, str) else None
+        if index is None:
             merged.append(entry)
         else:
-            merged[place] = _merged(merged[place], entry, at)
+            merged[index] = _merge_tables(merged[index], entry, at)
     return merged
