--- a/wheatring/lab/scenario/plan_builder.py
+++ b/wheatring/lab/scenario/plan_builder.py
@@ -1,4 +1,4 @@
-"""A scenario and a seed to a plan. The same text and seed give the same plan, to the byte."""
+"""Draws a plan from a scenario and a seed. The same text and seed give the same plan, byte for byte."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 __all__ = ["Summary", "draw", "summary"]
 
-_DISCOVERY_CAPACITY = 4.0  # where the scenario does not say
+_DEFAULT_DISCOVERY_CAPACITY = 4.0  # times the load of one list request by each sidecar within `ask_within`
 
 
 def draw(found: LoadedScenario, seed: int) -> Plan:
-    """Draw the day of that seed. Raises ScenarioError for a draw that contradicts itself."""
+    """Draw the plan of a seed. Raises ScenarioError if the drawn values contradict each other."""
     try:
         return _PlanBuilder(found.scenario, PlanSampler(seed)).build(found.name)
     except ContradictionError as error:
@@ -48,16 +48,16 @@
         self.sampler = sampler
 
     def build(self, name: str) -> Plan:
-        """Sample the whole plan."""
+        """Draw the whole plan."""
         given, sampler = self.scenario, self.sampler
         length, tail = sampler.number("length", given.length), sampler.number("tail", given.tail)
         classes = tuple(sampler.struct(ClassPlan, f"class.{one.name}", one) for one in given.classes)
         tiers = tuple(map(self._tier, given.tiers))
         fleet = Fleet(sampler, given)
         first = tuple(fleet.nodes.values())
-        asked = demand(classes, tiers)
-        rate = min(able / work for able, work in zip(capacity(first, tiers), asked, strict=True))
-        events = Expansion(sampler, given, fleet, length + tail).made
+        demands = demand(classes, tiers)
+        rate = min(available / work for available, work in zip(capacity(first, tiers), demands, strict=True))
+        events = Expansion(sampler, given, fleet, length + tail).events
         start = given.sidecar_start
         return Plan(
             scenario=name,
@@ -106,19 +106,19 @@
         if given is None:
             return None
         share = self.sampler.number(f"{path}.share", given.share)
-        there = self.sampler.random(f"{path}.there").random() < share
-        return self.sampler.struct(ChokePlan, path, given) if there else None
+        is_present = self.sampler.random(f"{path}.there").random() < share
+        return self.sampler.struct(ChokePlan, path, given) if is_present else None
 
     def _traffic(self, given: Traffic, max_rate: float, length: float) -> TrafficPlan:
-        """`max_rate`: first tries a second that use up the tier that runs out first."""
+        """Draw the traffic. `max_rate` is the rate of first tries that saturates the scarcest tier."""
         sampler = self.sampler
         if given.rate is not None:
             rate = sampler.number("traffic.rate", given.rate)
         else:
             rate = float(f"{sampler.number('traffic.load', given.load or 0.0) * max_rate:.6g}")
         points = list(given.points) if given.points is not None else self._shape(given)
-        lasting = [*points, (1.0, points[-1][1])]  # the last factor stays
-        mean = sum((one + other) / 2 * (to - at) for (at, one), (to, other) in pairwise(lasting))
+        points_to_end = [*points, (1.0, points[-1][1])]  # the last factor holds until the end of the day
+        mean = sum((one + other) / 2 * (to - at) for (at, one), (to, other) in pairwise(points_to_end))
         return TrafficPlan(
             rate=rate,
             shape=tuple((round(at * length, 6), float(f"{factor / mean:.9g}")) for at, factor in points),
@@ -127,13 +127,13 @@
         )
 
     def _shape(self, given: Traffic) -> list[tuple[float, float]]:
-        """Points (part of the day, factor) of a shape that is given by a word."""
+        """Return the points (part of the day, factor) of a shape that is given by name."""
         sampler = self.sampler
-        word = sampler.choice("traffic.shape", given.shape)
+        shape = sampler.choice("traffic.shape", given.shape)
         swing = sampler.number("traffic.swing", given.swing)
-        if word == "ramp":
+        if shape == "ramp":
             return [(0.0, 1.0 - swing), (1.0, 1.0 + swing)]
-        if word == "steady":
+        if shape == "steady":
             return [(0.0, 1.0)]
         humps = sampler.integer("traffic.humps", given.humps)
         points = [(0.0, 1.0 - swing)]
@@ -145,15 +145,20 @@
 
     def _discovery(self, fleet: Fleet) -> DiscoveryPlan:
         given, sampler = self.scenario.discovery, self.sampler
-        call = sampler.number("discovery.call_lines", given.call_lines)
+        lines_per_call = sampler.number("discovery.call_lines", given.call_lines)
         if given.lines_per_s is not None:
-            lines = sampler.number("discovery.lines_per_s", given.lines_per_s)
+            lines_per_s = sampler.number("discovery.lines_per_s", given.lines_per_s)
         else:
-            callers = [len(fleet.sidecars), *map(len, fleet.tiers[:-1])]
+            caller_counts = [len(fleet.sidecars), *map(len, fleet.tiers[:-1])]
             call_lines = sum(
-                number * (call + len(tier)) for number, tier in zip(callers, fleet.tiers, strict=True)
+                number * (lines_per_call + len(tier))
+                for number, tier in zip(caller_counts, fleet.tiers, strict=True)
             )
-            times = sampler.number("discovery.capacity", given.capacity or _DISCOVERY_CAPACITY)
-            within = sampler.number("rules.ask_within", self.scenario.rules.ask_within)
-            lines = float(f"{times * call_lines / within:.6g}")
-        return sampler.struct(DiscoveryPlan, "discovery", given, call_lines=call, lines_per_s=lines)
+            capacity_factor = sampler.number(
+                "discovery.capacity", given.capacity or _DEFAULT_DISCOVERY_CAPACITY
+            )
+            ask_within = sampler.number("rules.ask_within", self.scenario.rules.ask_within)
+            lines_per_s = float(f"{capacity_factor * call_lines / ask_within:.6g}")
+        return sampler.struct(
+            DiscoveryPlan, "discovery", given, call_lines=lines_per_call, lines_per_s=lines_per_s
+        )
--- a/wheatring/lab/scenario/schema.py
+++ b/wheatring/lab/scenario/schema.py
@@ -1,8 +1,8 @@
-"""What a scenario may say: typed, with bounds. `docs/operate/lab.md` tells each key's unit and meaning.
+"""The schema of scenario files: types and bounds. `docs/operate/lab.md` gives each key's unit and meaning.
 
-Times are seconds, sizes of work seconds on a standard core, shares parts of 1. A number may be a range
-`(low, high)`, drawn evenly; a word or a switch may be a choice among several. Where a key stands in the plan
-under the same name, the default is the plan's. How the parts must agree with each other: `checks.py`.
+Times are seconds, amounts of work seconds on a standard core, shares fractions of 1. A number may be a range
+`(low, high)` from which a value is drawn uniformly; a word or a switch may be a list of choices. A key that
+the plan has under the same name has the plan's default. `checks.py` checks the constraints between keys.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 Name = Annotated[str, Meta(pattern="^[a-z][a-z0-9-]{0,39}$")]
 Text = Annotated[str, Meta(min_length=1, max_length=400)]
 
-_Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
+_NonNegative = Annotated[float, Meta(ge=0.0, le=1e9)]
 _Positive = Annotated[float, Meta(gt=0.0, le=1e9)]
-_Part = Annotated[float, Meta(ge=0.0, le=1.0)]
-_Some = Annotated[float, Meta(gt=0.0, le=1.0)]
+_Share = Annotated[float, Meta(ge=0.0, le=1.0)]
+_PositiveShare = Annotated[float, Meta(gt=0.0, le=1.0)]
 _Instant = Annotated[float, Meta(ge=0.0, le=86_400.0)]
-_Span = Annotated[float, Meta(gt=0.0, le=86_400.0)]
+_Duration = Annotated[float, Meta(gt=0.0, le=86_400.0)]
 _Factor = Annotated[float, Meta(ge=1.0, le=1e9)]
 _Signed = Annotated[float, Meta(ge=-1e9, le=1e9)]
-_Count = Annotated[int, Meta(ge=0, le=1_000_000)]
-_Several = Annotated[int, Meta(ge=1, le=1_000_000)]
+_NonNegativeInteger = Annotated[int, Meta(ge=0, le=1_000_000)]
+_PositiveInteger = Annotated[int, Meta(ge=1, le=1_000_000)]
 _Sockets = Annotated[int, Meta(ge=64, le=1_000_000)]
 _Bytes = Annotated[int, Meta(ge=1, le=1 << 30)]
 
-# msgspec 0.23 corrupts memory on a bounded number in a union with a tuple of fixed length, so ranges are
-# tuples of any length that is bounded to two.
-_PAIR = Meta(min_length=2, max_length=2)
-
-Amount = _Amount | Annotated[tuple[_Amount, ...], _PAIR]
-Positive = _Positive | Annotated[tuple[_Positive, ...], _PAIR]
-Part = _Part | Annotated[tuple[_Part, ...], _PAIR]
-Some = _Some | Annotated[tuple[_Some, ...], _PAIR]  # a part that is not none
-Instant = _Instant | Annotated[tuple[_Instant, ...], _PAIR]  # or a time that may be none
-Span = _Span | Annotated[tuple[_Span, ...], _PAIR]  # a time that is not none
-Factor = _Factor | Annotated[tuple[_Factor, ...], _PAIR]
-Signed = _Signed | Annotated[tuple[_Signed, ...], _PAIR]
-Count = _Count | Annotated[tuple[_Count, ...], _PAIR]
-Several = _Several | Annotated[tuple[_Several, ...], _PAIR]
-Sockets = _Sockets | Annotated[tuple[_Sockets, ...], _PAIR]
-Bytes = _Bytes | Annotated[tuple[_Bytes, ...], _PAIR]
+# msgspec 0.23 corrupts memory on a bounded number in a union with a tuple of fixed length, so a range is a
+# tuple of variable length whose length is bounded to two.
+_RANGE_LENGTH = Meta(min_length=2, max_length=2)
+
+NonNegative = _NonNegative | Annotated[tuple[_NonNegative, ...], _RANGE_LENGTH]
+Positive = _Positive | Annotated[tuple[_Positive, ...], _RANGE_LENGTH]
+Share = _Share | Annotated[tuple[_Share, ...], _RANGE_LENGTH]
+PositiveShare = _PositiveShare | Annotated[tuple[_PositiveShare, ...], _RANGE_LENGTH]
+Instant = _Instant | Annotated[tuple[_Instant, ...], _RANGE_LENGTH]
+Duration = _Duration | Annotated[tuple[_Duration, ...], _RANGE_LENGTH]
+Factor = _Factor | Annotated[tuple[_Factor, ...], _RANGE_LENGTH]
+Signed = _Signed | Annotated[tuple[_Signed, ...], _RANGE_LENGTH]
+NonNegativeInteger = _NonNegativeInteger | Annotated[tuple[_NonNegativeInteger, ...], _RANGE_LENGTH]
+PositiveInteger = _PositiveInteger | Annotated[tuple[_PositiveInteger, ...], _RANGE_LENGTH]
+Sockets = _Sockets | Annotated[tuple[_Sockets, ...], _RANGE_LENGTH]
+Bytes = _Bytes | Annotated[tuple[_Bytes, ...], _RANGE_LENGTH]
 Switch = bool | Annotated[tuple[bool, ...], Meta(min_length=1)]
 
 _Dist = Literal["lognormal", "pareto", "fixed"]
@@ -62,13 +62,13 @@
     "discovery_silent", "discovery_slow", "discovery_stale", "discovery_lies", "discovery_breaks",
     "discovery_move", "discovery_cut", "stall", "partition", "latency",
     "clock_step", "load",
-    # of several steps each
+    # expanded to several events of the plan
     "release", "restart", "rolling_sidecars", "all_sidecars",
 ]  # fmt: skip
 
 
 class Table(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The base of all tables of a scenario: read strictly, and not changed."""
+    """Base of all tables of a scenario: immutable; unknown keys are errors."""
 
 
 class Class(Table, frozen=True, kw_only=True):
@@ -78,14 +78,14 @@
     share: Positive
     work: Positive
     dist: Dist = "lognormal"
-    cv: Amount = 1.5
-    attempt_noise: Amount = 0.0
-    aim: Span = 2.5
-    deadline: Span = 6.0
+    cv: NonNegative = 1.5
+    attempt_noise: NonNegative = 0.0
+    aim: Duration = 2.5
+    deadline: Duration = 6.0
     worth: Positive = 1.0
-    late_worth: Part = 0.0
+    late_worth: Share = 0.0
     effect: Effect = "safe"
-    window: Span = 10.0
+    window: Duration = 10.0
 
 
 class Kind(Table, frozen=True, kw_only=True):
@@ -93,57 +93,57 @@
 
     name: Name
     share: Positive = 1.0
-    cores: Several = 2
+    cores: PositiveInteger = 2
     speed: Positive = 1.0
-    speed_cv: Part = 0.0
+    speed_cv: Share = 0.0
     slots_per_core: Positive = 16.0
-    queue_per_core: Amount = 2.0
-    thrash: Amount = 0.0
+    queue_per_core: NonNegative = 2.0
+    thrash: NonNegative = 0.0
     knee_per_core: Positive = 1e9
-    cold_from: Some = 1.0
+    cold_from: PositiveShare = 1.0
     cold: Instant = 0.0
     pause_every: Instant = 0.0
     pause: Instant = 0.0
-    pause_grow: Amount = 0.0
-    error_rate: Part = 0.0
+    pause_grow: NonNegative = 0.0
+    error_rate: Share = 0.0
 
 
 class Choke(Table, frozen=True, kw_only=True):
-    """`[tier.choke]`: machines that slow down under too much work."""
+    """`[tier.choke]`: machines that become slow when they are overloaded."""
 
-    share: Part = 1.0
+    share: Share = 1.0
     at: Positive
-    over: Span
+    over: Duration
     slower: Factor
-    rest: Span
-    below: Part
-    most: Span
-    price: Part = 0.0
+    rest: Duration
+    below: Share
+    most: Duration
+    price: Share = 0.0
 
 
 class Tier(Table, frozen=True, kw_only=True):
-    """`[[tier]]`: a tier of machines that serve together."""
+    """`[[tier]]`: a tier of machines."""
 
     name: Name
-    nodes: Several | None = None
+    nodes: PositiveInteger | None = None
     times: Positive | None = None
     work: Positive
     calls: Positive = 1.0
-    cell_size: Several = 8
+    cell_size: PositiveInteger = 8
     kinds: Annotated[tuple[Kind, ...], Meta(min_length=1)] = field(name="kind")
     choke: Choke | None = None
-    handshake_rtts: Amount = 2.0
-    handshake_work: Amount = 0.004
-    conn_idle: Span = 30.0
-    connect_timeout: Span = 0.25
+    handshake_rtts: NonNegative = 2.0
+    handshake_work: NonNegative = 0.004
+    conn_idle: Duration = 30.0
+    connect_timeout: Duration = 0.25
     conn_cap: Positive = 600.0
-    conn_tax: Part = 0.0
+    conn_tax: Share = 0.0
 
 
 class Front(Table, frozen=True, kw_only=True):
-    """`[front]`: the sidecars that clients call."""
+    """`[front]`: the front's sidecars, to which clients send requests."""
 
-    sidecars: Several = 1
+    sidecars: PositiveInteger = 1
     starts: Instant = 0.0
     notice: Instant = 2.0
     held: Held = "now"
@@ -156,52 +156,52 @@
     same: Instant = 0.0002
     cross: Instant = 0.001
     client: Instant = 0.0007
-    jitter: Part = 0.1
+    jitter: Share = 0.1
     window: Bytes = 262_144
     segment: Bytes = 65_536
     shuffle: Switch = False
 
 
 class Traffic(Table, frozen=True, kw_only=True):
-    """`[traffic]`: how many requests come, and when."""
+    """`[traffic]`: the rate of arrivals over the day."""
 
     rate: Positive | None = None
     load: Positive | None = None
     shape: Shape = "steady"
-    swing: Part = 0.3
-    humps: Several = 3
-    points: Annotated[tuple[tuple[_Part, _Amount], ...], Meta(min_length=1)] | None = None
-    burst_cv: Amount = 0.0
-    burst: Span = 0.1
+    swing: Share = 0.3
+    humps: PositiveInteger = 3
+    points: Annotated[tuple[tuple[_Share, _NonNegative], ...], Meta(min_length=1)] | None = None
+    burst_cv: NonNegative = 0.0
+    burst: Duration = 0.1
 
 
 class Clients(Table, frozen=True, kw_only=True):
-    """`[clients]`: what clients do with what they are answered."""
+    """`[clients]`: how clients retry, back off and give up."""
 
-    retries: Count = 0
-    try_share: Some = 1.0
+    retries: NonNegativeInteger = 0
+    try_share: PositiveShare = 1.0
     backoff: Backoff = "none"
     backoff_base: Instant = 0.1
-    honour: Part = 1.0
+    honour: Share = 1.0
     max_retry_after: Instant = 2.0
-    impatient: Part = 0.0
+    impatient: Share = 0.0
     marks_retry: Switch = False
-    connections: Count = 0
+    connections: NonNegativeInteger = 0
 
 
 class Discovery(Table, frozen=True, kw_only=True):
-    """`[discovery]`: the service that lists machines."""
+    """`[discovery]`: the discovery service."""
 
     must_ask: Switch = True
     notice: Instant = 1.0
     silent_notice: Instant = 8.0
     add: Instant = 1.0
-    period: Span = 0.5
+    period: Duration = 0.5
     spread: Instant = 0.2
     lines_per_s: Positive | None = None
     capacity: Positive | None = None
-    call_lines: Amount = 30.0
-    timeout: Span = 2.0
+    call_lines: NonNegative = 30.0
+    timeout: Duration = 2.0
     watch_turns: Switch = False
 
 
@@ -210,53 +210,53 @@
 
     grace: Instant = 0.02
     drain_grace: Instant = 2.5
-    ask_within: Span = 10.0
-    told_within: Span = 6.0
-    cold_from: Some = 0.13
-    cold: Span = 24.0
+    ask_within: Duration = 10.0
+    told_within: Duration = 6.0
+    cold_from: PositiveShare = 0.13
+    cold: Duration = 24.0
     fall_multiple: Positive = 2.5
-    fall_for: Span = 1.0
+    fall_for: Duration = 1.0
 
 
 class Limits(Table, frozen=True, kw_only=True):
-    """`[limits]`: the bounds of one sidecar."""
+    """`[limits]`: the limits of one sidecar."""
 
-    max_attempts: Several = 5
+    max_attempts: PositiveInteger = 5
     max_retry_after: Instant = 2.0
     retry_after: Switch = True
     cancel: Switch = True
     second_copies: Switch = True
-    max_open: Several = 20_000
+    max_open: PositiveInteger = 20_000
     sockets: Sockets = 1024
-    memory_mb: Several = 192
+    memory_mb: PositiveInteger = 192
 
 
 class Goal(Table, frozen=True, kw_only=True):
-    """`[goal]`: how the figure of a run is made."""
+    """`[goal]`: the weights of the goal figure of a run."""
 
-    whole: Part = 0.6
-    worst_window: Part = 0.2
-    worst_class: Part = 0.2
-    waste: Part = 0.04
-    late_fail: Part = 0.031
+    whole: Share = 0.6
+    worst_window: Share = 0.2
+    worst_class: Share = 0.2
+    waste: Share = 0.04
+    late_fail: Share = 0.031
 
 
 class Check(Table, frozen=True, kw_only=True):
-    """`[check]`: what a live run is held to."""
+    """`[check]`: the conditions that a live run must meet."""
 
     held_half: _Factor | None = None
     held_most: _Factor | None = None
     held_all: _Factor | None = None
-    failed_each: _Amount | None = None
+    failed_each: _NonNegative | None = None
     asked_most: _Positive | None = None
     after: _Instant = 0.0
-    service: _Part | None = None
+    service: _Share | None = None
 
 
 class Event(Table, frozen=True, kw_only=True):
-    """`[[event]]`: a fault or a change; `event_forms` tells which keys go with which kind.
+    """`[[event]]`: a fault or another event. `event_forms` lists the keys of each kind.
 
-    What is None was not given.
+    Keys that the scenario does not give are None.
     """
 
     kind: EventKind
@@ -266,20 +266,20 @@
     size: Signed | None = None
     extra: Instant | None = None
     tier: Name | None = None
-    part: Some | None = None
-    count: Several | None = None
+    part: PositiveShare | None = None
+    count: PositiveInteger | None = None
     nodes: Annotated[tuple[str, ...], Meta(min_length=1)] | None = None
     sidecars: Annotated[tuple[str, ...], Meta(min_length=1)] | None = None
-    callers: Count | None = None
+    callers: NonNegativeInteger | None = None
     one_way: Switch | None = None
     replaced: Switch | None = None
-    same_address: Part | None = None
+    same_address: Share | None = None
     lead: Instant | None = None
     gap: Instant | None = None
     step: Instant | None = None
     spread: Instant | None = None
-    every: Span | None = None
-    times: Several | None = None
+    every: Duration | None = None
+    times: PositiveInteger | None = None
     anew: Switch | None = None
 
 
@@ -290,7 +290,7 @@
     what: Text
     extends: Name | None = None
     without: tuple[str, ...] = ()
-    length: Span = 60.0
+    length: Duration = 60.0
     tail: Instant = 6.0
     epoch: Annotated[float, Meta(ge=0.0, le=1e10)] = 1_733_900_000.0
     passes_deadline: Switch = True
--- a/wheatring/lab/settings.py
+++ b/wheatring/lab/settings.py
@@ -1,4 +1,4 @@
-"""The `settings` that a sidecar of a planned day is configured with, in the platform's form and units."""
+"""The `settings` in the configuration of a plan's sidecars, in the platform's format and units."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
     return {"whole": goal.whole, "worst_class": goal.worst_class, "worst_window": goal.worst_window}
 
 
-def _limits(limits: LimitsPlan, sends_to: TierPlan) -> dict[str, Any]:
+def _limits(limits: LimitsPlan, target_tier: TierPlan) -> dict[str, Any]:
     return {
-        "dial_timeout": _microseconds(sends_to.connect_timeout),
-        "keepalive": _microseconds(sends_to.conn_idle),
+        "dial_timeout": _microseconds(target_tier.connect_timeout),
+        "keepalive": _microseconds(target_tier.conn_idle),
         "max_attempts": limits.max_attempts,
         "max_retry_after": _microseconds(limits.max_retry_after),
         "retry_after": limits.retry_after,
@@ -71,7 +71,7 @@
     number
         Index of the sidecar among the replicas that send to that tier.
     copies
-        Count of these replicas. The settings state the share of them that the plan lets a sidecar count.
+        Count of these replicas. The plan's factor `counted` is applied to it in the settings.
     """
     counted_replicas = max(1, round(copies * plan.counted))
     zones = sorted({node.zone for node in plan.nodes if node.tier == tier})
--- a/wheatring/lab/simulator_day.py
+++ b/wheatring/lab/simulator_day.py
@@ -1,7 +1,7 @@
-"""Conversion of a day drawn by the operators' simulator (JSON, times in microseconds) to a plan.
+"""Converts a day of the operators' simulator (JSON, times in microseconds) to a plan.
 
-Used for calibration: with the same nodes, load and faults in both, results of the simulator and of the lab
-can be compared by day. `plan_from_day` lists the parts of the format that the lab has no model for.
+Used for calibration: the simulator and the lab run the same nodes, load and faults, so that their results can
+be compared by day. `plan_from_day` lists the parts of the format for which the lab has no model.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
     TrafficPlan,
 )
 
-MICROSECOND = 1e-6  # in seconds
+MICROSECOND = 1e-6  # seconds
 
 
 class SimulatorDayError(ValueError):
-    """A file does not contain a day of the simulator; the text names the file."""
+    """A file does not contain a day of the simulator. The text has the file's name."""
 
 
 def play_file(grain: str, file: Path) -> Outcome:
@@ -53,7 +53,9 @@
         day = msgspec.json.decode(file.read_bytes())
         plan = plan_from_day(day, int(day["noise"]) % 1_000_000)
     except (msgspec.DecodeError, KeyError, TypeError, ValueError) as error:
-        raise SimulatorDayError(f"{file}: no drawn day: {type(error).__name__}: {error}") from error
+        raise SimulatorDayError(
+            f"{file}: not a day of the simulator: {type(error).__name__}: {error}"
+        ) from error
     return play(plan, grain)
 
 
@@ -120,7 +122,7 @@
 
 
 def _rate(day: dict[str, Any]) -> float:
-    """Return the first tries a second: the load is a share of the capacity of the scarcest tier."""
+    """Return the rate of first tries a second. The load is a share of the capacity of the scarcest tier."""
     classes = day["classes"]
     total_work = sum(each["share"] * each["work"] for each in classes)
     mean_work = total_work / sum(each["share"] for each in classes) * MICROSECOND
@@ -153,7 +155,7 @@
 
 
 def _sidecars(day: dict[str, Any]) -> tuple[SidecarPlan, ...]:
-    """Return the sidecars of the front that are up from the start of the day."""
+    """Return the front's sidecars that are up from the start of the day."""
     fronts = [balancer for balancer in day["balancers"] if balancer["on"] is None]
     return tuple(
         SidecarPlan(
@@ -259,8 +261,8 @@
 def plan_from_day(day: dict[str, Any], seed: int) -> Plan:
     """Return the plan of a day of the simulator.
 
-    Left out are fronts that start during the day, the skew of zones, tenants, keys, load reports, probes and
-    hints of work.
+    Not converted: fronts that start during the day, zone skew, tenants, keys, load reports, probes and work
+    hints.
 
     Raises
     ------
--- a/wheatring/lab/timers.py
+++ b/wheatring/lab/timers.py
@@ -1,4 +1,4 @@
-"""Interfaces of time for the models. Virtual time implements them, and so does `core.clock.Clock`."""
+"""Clock and timer interfaces of the models, implemented by virtual time and by `core.clock.Clock`."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class Timer(Protocol):
-    """One scheduled call."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Cancel the call. Not allowed once the call is due."""
+        """Cancel the call. Not allowed after the call is due."""
 
     def active(self) -> bool:
-        """Return whether the call is still to come."""
+        """Return whether the call is pending."""
         ...
 
 
 class Timers(Protocol):
-    """A clock and its scheduler. Instants are seconds on one clock that only moves forward."""
+    """A monotonic clock and its scheduler. Instants are seconds."""
 
     def now(self) -> float:
         """Return the present instant."""
@@ -27,12 +27,12 @@
     def at(self, instant: float, call: Callable[..., object], *args: object) -> Timer:
         """Schedule a call for an instant.
 
-        If the instant has passed, the call is made at once, but never from within this method.
+        If the instant has passed, the call is made as soon as possible, but never synchronously.
         """
 
 
 class PlayedTime(Timers, Protocol):
-    """Virtual time, with the present instant as a plain attribute."""
+    """Virtual time, with the present instant as an attribute."""
 
     @property
     def instant(self) -> float:
