--- a/wheatring/lab/models/slow_start.py
+++ b/wheatring/lab/models/slow_start.py
@@ -78,9 +78,7 @@
         self.multiple = rules.fall_multiple
         self.window = rules.fall_for
         self.offers: deque[tuple[float, float]] = deque()  # (instant, work)
-        self.largest_offers: deque[tuple[float, float]] = (
-            deque()
-        )  # monotonic queue for the maximum, descending
+        self.largest_offers: deque[tuple[float, float]] = deque()  # descending: each is the maximum since it
         self.total_work = 0.0  # of the offers in the window
 
     def offer(self, now: float, work: float, capacity: float) -> bool:
--- a/wheatring/lab/outcome.py
+++ b/wheatring/lab/outcome.py
@@ -61,12 +61,9 @@
     given_up: int = 0  # calls counted in `asks` that the sidecar abandoned
     asked: list[int] = field(default_factory=list)  # number of `asks` by second
     failed_by_second: list[int] = field(default_factory=list)
-    started: dict[str, float] = field(
-        default_factory=dict
-    )  # by sidecar: instant of its last start, 0 if before the day
-    first: dict[str, float] = field(
-        default_factory=dict
-    )  # by sidecar: seconds from its last start to a reply
+    # By sidecar: instant of its last start (0 if before the day), and seconds from it to the first reply.
+    started: dict[str, float] = field(default_factory=dict)
+    first: dict[str, float] = field(default_factory=dict)
 
 
 class Outcome(Struct):
--- a/wheatring/lab/plan.py
+++ b/wheatring/lab/plan.py
@@ -126,9 +126,7 @@
     """Open-loop arrivals of first tries."""
 
     rate: float  # mean arrivals a second over the day
-    shape: tuple[tuple[float, float], ...] = (
-        (0.0, 1.0),
-    )  # (instant, factor on the rate), interpolated linearly
+    shape: tuple[tuple[float, float], ...] = ((0.0, 1.0),)  # (instant, factor on the rate), linear between
     burst_cv: float = 0.0  # cv of a random factor on the rate
     burst: float = 0.1  # seconds between draws of this factor
 
@@ -159,9 +157,7 @@
     lines_per_s: float = 200.0  # list entries written a second, over all calls
     call_lines: float = 30.0  # fixed cost of a call, in list entries
     timeout: float = 2.0  # maximum time of a call in the queue, after which it fails
-    watch_turns: bool = (
-        False  # a call that waits for a change is queued both at its arrival and for its reply
-    )
+    watch_turns: bool = False  # a call that waits for a change is queued at its arrival and for its reply
 
 
 class RulesPlan(PlanPart, frozen=True, kw_only=True):
@@ -170,7 +166,7 @@
     grace: float = 0.02  # time past the deadline in which a final answer is accepted; 0.05 more on sockets
     drain_grace: float = 2.5
     ask_within: float = 10.0
-    told_within: float = 6.0  # time after which a sidecar is considered to know a change in discovery
+    told_within: float = 6.0  # time after which a sidecar must know a change in discovery, received or not
     cold_from: float = 0.13
     cold: float = 24.0
     fall_multiple: float = 2.5
@@ -193,15 +189,11 @@
 class CheckPlan(PlanPart, frozen=True, kw_only=True):
     """Conditions on a fleet's day in addition to the rules, checked by `lab fleet`; None is no condition."""
 
-    held_half: float | None = (
-        None  # time until half of the sidecars have a list, in multiples of the shortest possible
-    )
+    held_half: float | None = None  # time until half of the sidecars have a list, over the shortest possible
     held_most: float | None = None  # the same for 95 % of the sidecars
     held_all: float | None = None  # the same for all sidecars
     failed_each: float | None = None  # maximum number of failed calls for each complete reply
-    asked_most: float | None = (
-        None  # maximum requests in any second after the third, over discovery's capacity
-    )
+    asked_most: float | None = None  # requests in any second after the third, over discovery's capacity
     after: float = 0.0  # second of the day from which `asked_most` is checked
     service: float | None = None  # minimum share of the value
 
--- a/wheatring/lab/scenario/fleet.py
+++ b/wheatring/lab/scenario/fleet.py
@@ -30,9 +30,7 @@
         self.sampler = sampler
         self.scenario = scenario
         self.nodes: dict[str, NodePlan] = {}
-        self.tiers: list[
-            list[str]
-        ] = []  # by tier: names of its machines, in the order in which they were added
+        self.tiers: list[list[str]] = []  # by tier: names of its machines, in the order of addition
         self.available_from: dict[str, float] = {}
         self.sidecar_available_from: dict[str, float] = {}
         self._startup_seconds = high(scenario.sidecar_start) + _SETTLE_SECONDS
