--- a/tests/lab/live/test_bench.py
+++ b/tests/lab/live/test_bench.py
@@ -15,7 +15,7 @@
 
 from wheatring.lab.live import cores
 from wheatring.lab.live.bench import run, table
-from wheatring.lab.live.process import HOME, Process, ProcessError, module
+from wheatring.lab.live.process import PROJECT_ROOT, Process, ProcessError, module
 from wheatring.lab.live.sidecar import Sidecar, configuration, settings
 from wheatring.lab.live.watch import Watch
 
@@ -67,7 +67,7 @@
 def test_no_process_outlives_the_one_that_started_it(end: str, tmp_path: Path) -> None:
     with subprocess.Popen(
         [sys.executable, "-c", VICTIM, end],
-        env={**os.environ, "PYTHONPATH": HOME, "TMPDIR": str(tmp_path)},
+        env={**os.environ, "PYTHONPATH": PROJECT_ROOT, "TMPDIR": str(tmp_path)},
         stdout=subprocess.PIPE,
         stderr=subprocess.DEVNULL,
         text=True,
--- a/tests/lab/live/test_play.py
+++ b/tests/lab/live/test_play.py
@@ -16,7 +16,7 @@
 from wheatring.commands import lab_live
 from wheatring.lab.live import scale
 from wheatring.lab.live.play import LAB, LiveOutcome
-from wheatring.lab.live.process import HOME
+from wheatring.lab.live.process import PROJECT_ROOT
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.scenario.load import load, names
 from wheatring.lab.scenario.plan_builder import draw
@@ -155,7 +155,7 @@
     (tmp_path / "day.toml").write_text(day, encoding="utf-8")
     return subprocess.Popen(
         [sys.executable, "-c", COMMAND, "live", str(tmp_path / "day.toml"), *words],
-        env={**os.environ, "PYTHONPATH": HOME, "TMPDIR": str(tmp_path)},
+        env={**os.environ, "PYTHONPATH": PROJECT_ROOT, "TMPDIR": str(tmp_path)},
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
--- a/tests/rollout/test_mixed_versions.py
+++ b/tests/rollout/test_mixed_versions.py
@@ -63,7 +63,7 @@
     with FleetRig(tmp_path, len(MEMBERS), TERM_SECONDS, fleet={"view": "true"}) as rig:
         rig.start_all([name for name in MEMBERS if name not in PREVIOUS_IN_FLEET])
         with monkeypatch.context() as patched:
-            patched.setattr(process, "HOME", str(previous))
+            patched.setattr(process, "PROJECT_ROOT", str(previous))
             for name, value in PREVIOUS_FIRST.items():
                 patched.setenv(name, value)
             for name in PREVIOUS_IN_FLEET:
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -156,7 +156,7 @@
         config = configuration(
             name, f"{member.host}:0", self.discovery, said, member.number + 1, **more
         )  # fmt: skip
-        process = Sidecar(self.folder, config, on_line=line, own=own)
+        process = Sidecar(self.folder, config, on_line=line, toml_file=own)
         member.process = process
         member.starts.append(process)
         by = time.monotonic() + WAIT_SECONDS
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -83,13 +83,13 @@
         self.plan = plan
         self.say = say
         self.clock = clock = Clock(reactor)
-        self.origins = CorrelationTable(self.random("ids"))
+        self.correlation_table = CorrelationTable(self.random("ids"))
         self.checker = InvariantChecker(
             structs.replace(plan, net=LINKS),
             "live",
             clock.now,
             float("inf"),
-            first_request_of=self.origins.first,
+            first_request_of=self.correlation_table.first,
         )
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
@@ -97,8 +97,8 @@
         needs_links = with_links or any(event.kind in LINK_EVENTS for event in plan.events)
         self.links = make_links(plan) if needs_links else None
         self.nodes = Nodes(
-            reactor, plan, clock, self.origins, self.checker, self.registry,
-            lambda name: self.slots.where(name), self.links,
+            reactor, plan, clock, self.correlation_table, self.checker, self.registry,
+            lambda name: self.slots.caller_address(name), self.links,
         )  # fmt: skip
         self.slots = SidecarSlots(
             reactor, plan, clock, self.checker, self.registry,
@@ -117,10 +117,12 @@
     def _create_clients(self) -> Clients:
         plan, clock = self.plan, self.clock
         transport = SidecarClient(
-            self.reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.where, CLIENTS,
-            plan.clients.connections,
+            self.reactor, clock, self.checker, RequestFormat(plan.classes), self.slots.caller_address,
+            CLIENTS, plan.clients.connections,
         )  # fmt: skip
-        return Clients(plan, clock, self.random("clients"), self.origins, self.checker, self.front, transport)
+        return Clients(
+            plan, clock, self.random("clients"), self.correlation_table, self.checker, self.front, transport
+        )
 
     def _create_event_scheduler(self) -> EventScheduler:
         return EventScheduler(
--- a/wheatring/lab/live/process.py
+++ b/wheatring/lab/live/process.py
@@ -1,4 +1,4 @@
-"""Processes of the lab: they die with the one that started them, and are read line by line."""
+"""Child processes of the lab: they end with their parent, and their output is read line by line."""
 
 from __future__ import annotations
 
@@ -17,44 +17,48 @@
 import wheatring
 
 DIE_WITH_PARENT = str(Path(__file__).with_name("die_with_parent.py"))
-HOME = str(Path(wheatring.__file__).parents[1])  # where this wheatring lies: its processes must run the same
-# Until a killed process has ended. On a busy machine the kernel has been seen to take over 2 s for it.
+# The root of this checkout: child processes must import the same `wheatring` package.
+PROJECT_ROOT = str(Path(wheatring.__file__).parents[1])
+# Time for a killed process to exit. On a busy machine the kernel has taken more than 2 s for it.
 KILL_TIMEOUT_SECONDS = 30.0
 
 
 class ProcessError(RuntimeError):
-    """A process didn't do what it was started for; the text is one line that names it."""
+    """A process failed or did not respond in time; the message is one line with the process's name."""
 
 
 def module(name: str, *arguments: str) -> list[str]:
-    """Return the command that runs a module with this interpreter."""
+    """Return the command line that runs a module with this interpreter."""
     return [sys.executable, "-m", name, *arguments]
 
 
 class ContextManaged:
-    """Ends with its `with` block, however that is left."""
+    """Base of context managers that call `end` on exit."""
 
     def __enter__(self) -> Self:
-        """Begin the block."""
+        """Enter the `with` block."""
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, value: BaseException | None, where: TracebackType | None
+        self,
+        exc_type: type[BaseException] | None,
+        exc_value: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
-        """End with the block."""
+        """Call `end`, whether or not the block raised an exception."""
         self.end()
 
     def end(self) -> None:
-        """End it."""
+        """Release all resources."""
         raise NotImplementedError
 
 
 class Process(ContextManaged):
-    """One process. It ends, killed if need be, with `end`, with the `with` block, or with this process.
+    """A child process. It is killed by `end`, at the end of the `with` block, and when this process exits.
 
-    Its standard output is read by a thread of its own, so that it never waits for a reader; `on_line` is
-    called there, and `on_end` once it has ended. What it writes to standard error goes to `stderr`, this
-    process's own by default.
+    A dedicated thread reads its standard output, so that the child never blocks on a full pipe. That thread
+    calls `on_line` for each line, and `on_end` once the process has exited. `stderr` is the descriptor for
+    the child's standard error; by default the child inherits this process's.
     """
 
     def __init__(
@@ -68,12 +72,12 @@
         stderr: int | None = None,
     ) -> None:
         self.name = name
-        self.lines: list[str] = []  # of its standard output
+        self.lines: list[str] = []  # lines read from its standard output
         self.on_line = on_line
         self.on_end = on_end
         self.changed = threading.Condition()
         self.closed = False
-        path = os.pathsep.join(filter(None, (HOME, os.environ.get("PYTHONPATH", ""))))
+        path = os.pathsep.join(filter(None, (PROJECT_ROOT, os.environ.get("PYTHONPATH", ""))))
         self.popen = subprocess.Popen(
             [sys.executable, "-ES", DIE_WITH_PARENT, str(os.getpid()), *command],
             env={**os.environ, "PYTHONPATH": path, **(environment or {})},
@@ -109,53 +113,53 @@
             self.on_end()
 
     def write_line(self, line: str) -> None:
-        """Write a line to its standard input. ProcessError if it has ended."""
+        """Write a line to its standard input. Raises ProcessError if the process has exited."""
         assert self.popen.stdin is not None
         try:
             self.popen.stdin.write(line + "\n")
             self.popen.stdin.flush()
-        except OSError as bad:
-            raise ProcessError(f"{self.name}: has ended with status {self.popen.poll()}") from bad
+        except OSError as error:
+            raise ProcessError(f"{self.name}: has ended with status {self.popen.poll()}") from error
 
-    def wait_for_line(self, start: str, by: float, after: int = 0) -> str:
-        """Wait until it has written a line that starts so, after the first `after` lines.
+    def wait_for_line(self, prefix: str, deadline: float, after: int = 0) -> str:
+        """Wait for an output line that starts with `prefix`, ignoring the first `after` lines.
 
         Raises
         ------
         ProcessError
-            None comes until `by`, in monotonic seconds, or before the process ends.
+            There is no such line by `deadline` (monotonic seconds), or the process exits first.
         """
         with self.changed:
             while True:
                 for line in self.lines[after:]:
-                    if line.startswith(start):
+                    if line.startswith(prefix):
                         return line
                 after = max(after, len(self.lines))
                 if self.closed:
-                    raise ProcessError(f"{self.name}: ended before it said {start!r}")
-                if not self.changed.wait(by - time.monotonic()):
-                    raise ProcessError(f"{self.name}: has not said {start!r} in time")
+                    raise ProcessError(f"{self.name}: ended before it said {prefix!r}")
+                if not self.changed.wait(deadline - time.monotonic()):
+                    raise ProcessError(f"{self.name}: wrote no line that starts with {prefix!r} in time")
 
     @property
     def is_running(self) -> bool:
-        """Whether it runs."""
+        """Whether the process is running."""
         return self.popen.poll() is None
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, if it still runs."""
-        self.popen.send_signal(number)
+    def send(self, signum: signal.Signals) -> None:
+        """Send a signal, if the process is still running."""
+        self.popen.send_signal(signum)
 
-    def wait(self, by: float) -> int:
-        """Wait for its exit status until `by`, in monotonic seconds. ProcessError if it still runs then."""
+    def wait(self, deadline: float) -> int:
+        """Wait for the exit status. ProcessError if there is none by `deadline` (monotonic seconds)."""
         try:
-            return self.popen.wait(max(0.0, by - time.monotonic()))
+            return self.popen.wait(max(0.0, deadline - time.monotonic()))
         except subprocess.TimeoutExpired:
-            raise ProcessError(f"{self.name}: has not ended in time") from None
+            raise ProcessError(f"{self.name}: did not exit in time") from None
 
     def end(self) -> None:
-        """Kill it if it still runs, and release it."""
+        """Kill the process if it is still running, and close its standard input."""
         self.popen.kill()
         self.wait(time.monotonic() + KILL_TIMEOUT_SECONDS)
         assert self.popen.stdin is not None
-        with suppress(OSError):  # it had left something unread
+        with suppress(OSError):  # buffered input that the process never read can't be flushed
             self.popen.stdin.close()
--- a/wheatring/lab/live/sidecar.py
+++ b/wheatring/lab/live/sidecar.py
@@ -1,4 +1,4 @@
-"""A real sidecar, started as a user starts it: a configuration in a file, and `python -m wheatring`."""
+"""A real sidecar, started as a user starts it: `python -m wheatring` with a configuration file."""
 
 from __future__ import annotations
 
@@ -10,15 +10,17 @@
 
 from wheatring.lab.live.process import Process, module
 
-US = 1_000_000
-START_TIMEOUT_SECONDS = 20.0  # seconds in which it must listen, on a machine that is busy with other things
+US = 1_000_000  # microseconds in a second
+START_TIMEOUT_SECONDS = 20.0  # until it must listen; generous, as the machine may be busy
 
 
 def settings(
-    classes: list[dict[str, Any]], tiers: tuple[str, ...] = ("tier",), **more: Mapping[str, Any] | int | str
+    classes: list[dict[str, Any]],
+    tiers: tuple[str, ...] = ("tier",),
+    **overrides: Mapping[str, Any] | int | str,
 ) -> dict[str, Any]:
-    """Return settings with the figures of the project's own example; `more` replaces parts, by key."""
-    plain: dict[str, Any] = {
+    """Return settings with the values of the project's example; `overrides` replaces top-level keys."""
+    defaults: dict[str, Any] = {
         "classes": classes,
         "contract": {
             "grace_to_answer": 50_000, "stop_sending_within": 2_500_000, "must_ask_in": 10_000_000,
@@ -30,25 +32,25 @@
         },
         "discovery": "on_request", "peers_total": 1, "slot_no": 0, "tier": 0, "tiers": list(tiers),
     }  # fmt: skip
-    return {**plain, **more}
+    return {**defaults, **overrides}
 
 
 def configuration(
-    name: str, listen: str, discovery: str, settings: Mapping[str, Any], seed: int, **more: Any
+    name: str, listen: str, discovery: str, settings: Mapping[str, Any], seed: int, **overrides: Any
 ) -> dict[str, Any]:
-    """Return the content of LB_CONFIG's file; addresses are HOST:PORT. `more` replaces parts, by key."""
-    plain = {
+    """Return the content of LB_CONFIG's file; addresses are HOST:PORT, `overrides` replace top-level keys."""
+    defaults = {
         "name": name, "listen": listen, "discovery": discovery, "seed": f"{seed:016x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings,
     }  # fmt: skip
-    return {**plain, **more}
+    return {**defaults, **overrides}
 
 
 class Sidecar(Process):
-    """One start of a sidecar.
+    """One process of a sidecar.
 
-    Its files, rewritten at each start, are in `folder` under its name; `own` is the project's own
-    configuration file, if it is to have one.
+    Its files are in `folder`, are named after it and are rewritten at each start. `toml_file` is the
+    optional configuration file in this project's own TOML format.
     """
 
     def __init__(
@@ -60,30 +62,30 @@
         capture: bool = False,
         on_line: Callable[[str], None] | None = None,
         on_end: Callable[[], None] | None = None,
-        own: Path | None = None,
+        toml_file: Path | None = None,
     ) -> None:
         name = str(config["name"])
         self.file = folder / f"{name}.json"
         self.write(config)
-        # Its own, so that none is read from the folder in which the lab happens to run.
-        mine = folder / f"{name}.properties"
-        mine.write_text(operators, encoding="utf-8")
-        arguments = ["--operators", str(mine), *["--capture"] * capture]
-        if own is not None:
-            arguments += ["--config", str(own)]
+        # An explicit operators' file, so that the sidecar reads none from the current directory.
+        operators_file = folder / f"{name}.properties"
+        operators_file.write_text(operators, encoding="utf-8")
+        arguments = ["--operators", str(operators_file), *["--capture"] * capture]
+        if toml_file is not None:
+            arguments += ["--config", str(toml_file)]
         environment = {"LB_CONFIG": str(self.file)}
-        if own is not None:
+        if toml_file is not None:
             environment["TMPDIR"] = str(folder)
         super().__init__(name, module("wheatring", *arguments), environment, cpus, on_line, on_end)
 
     def write(self, config: Mapping[str, Any]) -> None:
-        """Write its configuration, which it reads at its start and on SIGHUP."""
+        """Write the configuration file, which the sidecar reads at startup and on SIGHUP."""
         self.file.write_text(json.dumps(config), encoding="utf-8")
 
-    def port(self, by: float | None = None) -> int:
-        """Wait until it listens, until `by` in monotonic seconds, and return its port; else ProcessError."""
+    def port(self, deadline: float | None = None) -> int:
+        """Wait until it listens and return its port. ProcessError after `deadline` (monotonic seconds)."""
         line = self.wait_for_line(
-            "listening ", time.monotonic() + START_TIMEOUT_SECONDS if by is None else by
+            "listening ", time.monotonic() + START_TIMEOUT_SECONDS if deadline is None else deadline
         )
         return port_in(line)
 
--- a/wheatring/lab/live/sidecar_slots.py
+++ b/wheatring/lab/live/sidecar_slots.py
@@ -1,4 +1,4 @@
-"""The places of sidecars: each has one name and address over all of its starts, which are processes."""
+"""Sidecar slots: a slot keeps its name and address over all restarts of its process."""
 
 from __future__ import annotations
 
@@ -23,46 +23,48 @@
 from wheatring.lab.world.environment import CLIENTS, DISCOVERY, sidecar_hosts
 from wheatring.lab.world.world import SIDECAR_FAULT_CODES
 
-LIST_LINKS = ("list", "list-moved")  # discovery, as links name it, before and after it has moved
-# Lines of a sidecar's log that are reported to the checker: what it could not reach, and faults of its own.
+# The names of discovery in link names, before and after its move.
+LIST_LINKS = ("list", "list-moved")
+# Prefixes of a sidecar's log lines that are reported to the checker: connection failures and faults.
 CONNECT_FAILED_LINES = ("endpoint-connection code=connect-failed", "endpoint-connection code=not-up-in-time")
 LIST_REFUSED_LINE = "discovery-connection code=connect-failed"
-FAULT_LINES = tuple(f"{word} " for word in sorted(SIDECAR_FAULT_CODES))
+FAULT_LINES = tuple(f"{code} " for code in sorted(SIDECAR_FAULT_CODES))
 
 
 class _Launch:
-    """A process that is being started, and what waits until it is."""
+    """A process that is being started, and the calls deferred until it is known."""
 
     def __init__(self) -> None:
         self.process: Sidecar | None = None
-        self.waiting: list[Callable[[], None]] = []
+        self.deferred_calls: list[Callable[[], None]] = []
 
 
 class SidecarSlot:
-    """One sidecar's place.
+    """The name, address and current process of one sidecar.
 
-    `list_server` is discovery's port for this sidecar alone, so that it is known who asks.
+    `list_server` is a discovery server for this sidecar only: its port identifies the caller.
     """
 
-    def __init__(self, name: str, host: str, tier: int, number: int, copies: int) -> None:
+    def __init__(self, name: str, host: str, tier: int, number: int, tier_size: int) -> None:
         self.name = name
         self.host = host
         self.tier = tier
         self.number = number
-        self.copies = copies
-        self.port = 0  # once it has listened for the first time, kept
+        self.tier_size = tier_size
+        self.port = 0  # set when it first listens, and reused by later starts
         self.list_server: DiscoveryServer | None = None
         self.list_port = 0
-        self.moves = self.notified_moves = 0  # of discovery, so far; and when it was last notified
+        # How often discovery has moved, and how many of these moves the sidecar has been notified of.
+        self.moves = self.notified_moves = 0
         self.process: Sidecar | None = None
-        self.launch: _Launch | None = None  # it is being started
+        self.launch: _Launch | None = None  # set while it is being started
         self.up = self.stopping = False
-        self.restart_delay = 0.0  # seconds from its end to its next start; 0: it has none
+        self.restart_delay = 0.0  # seconds from its exit to its next start; 0: it is not restarted
         self.timer: Timer | None = None
 
 
 class _RelayedPort:
-    """A port of ours that a link leads to."""
+    """A listening port of this process that is reached by a link."""
 
     def __init__(self, port: Any, close: Callable[[], None]) -> None:
         self.port = port
@@ -75,15 +77,15 @@
 
 
 def _list_link(name: str, moves: int) -> str:
-    """Name the link by which a sidecar asks for the list: another one after each move of discovery."""
+    """Return the name of a sidecar's link to discovery, which changes when discovery moves."""
     return f"{name}>{LIST_LINKS[min(moves, len(LIST_LINKS) - 1)]}"
 
 
 class SidecarSlots:
-    """Starts and ends sidecars, and reports to the record of the run and to whoever else wants to know.
+    """Starts and stops sidecars, and reports their state to the checker and to callbacks.
 
-    `on_up` is called once one listens, `on_stopping` when it is stopped, `on_down` when it has ended,
-    `on_failed` when it did so before it listened.
+    `on_up` is called once a sidecar listens, `on_stopping` when it is told to stop, `on_down` when its
+    process has exited, and `on_failed` if that exits before it listens.
     """
 
     def __init__(
@@ -114,9 +116,9 @@
         self.by_name: dict[str, SidecarSlot] = {}
         self.processes: list[Sidecar] = []
         hosts = sidecar_hosts(plan)
-        copies = len(plan.sidecars)
+        tier_size = len(plan.sidecars)
         for number, sidecar in enumerate(plan.sidecars):
-            self._add(SidecarSlot(sidecar.name, sidecar.host, 0, number, copies))
+            self._add(SidecarSlot(sidecar.name, sidecar.host, 0, number, tier_size))
         for tier in range(len(plan.tiers) - 1):
             callers = [node for node in plan.nodes if node.tier == tier]
             for number, node in enumerate(callers):
@@ -126,22 +128,22 @@
         self.by_name[slot.name] = slot
         self.registry.assign_tier(slot.name, slot.tier)
 
-    def where(self, name: str) -> tuple[str, int]:
-        """Return where callers find a sidecar; for one that never listened, a port where nobody does."""
+    def caller_address(self, name: str) -> tuple[str, int]:
+        """Return the address for callers of a sidecar; until it listens, connects to it are refused."""
         slot = self.by_name[name]
         if self.links is not None and slot.tier == 0:
             return self.links.address(f"{CLIENTS}>{name}")
         return slot.host, slot.port
 
     def configuration(self, slot: SidecarSlot) -> dict[str, Any]:
-        """Make the configuration of a sidecar's next start, with the list that it has then."""
+        """Return the configuration for a sidecar's next start, including its initial endpoint list."""
         limits = self.plan.limits
         slot.notified_moves = slot.moves
         return configuration(
             slot.name,
             f"{slot.host}:{slot.port}",
             self.discovery(slot),
-            sidecar_settings(self.plan, slot.tier, slot.number, slot.copies),
+            sidecar_settings(self.plan, slot.tier, slot.number, slot.tier_size),
             Random(f"{self.plan.seed}:sidecar:{slot.name}").getrandbits(64),
             limits={"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
             known=list_reply_json(
@@ -150,14 +152,14 @@
         )
 
     def discovery(self, slot: SidecarSlot) -> str:
-        """Return where a sidecar finds discovery, as HOST:PORT."""
+        """Return discovery's address for a sidecar, as HOST:PORT."""
         host, port = DISCOVERY[0], slot.list_port
         if self.links is not None:
             host, port = self.links.address(_list_link(slot.name, slot.moves))
         return f"{host}:{port}"
 
     def start(self, slot: SidecarSlot) -> None:
-        """Start a sidecar's process, unless one runs; what else was planned for it is cancelled."""
+        """Start a sidecar's process unless one is running; a pending stop or start is cancelled."""
         self._cancel_timer(slot)
         if slot.process is not None or slot.launch is not None:
             return
@@ -165,25 +167,25 @@
             self._serve_list(slot)
         launch = slot.launch = _Launch()
 
-        def line(text: str) -> None:
-            """Pass a line of the sidecar's log on to the reactor's thread, if it matters."""
+        def on_line(text: str) -> None:
+            """Pass the relevant lines of the sidecar's log on to the reactor's thread."""
             if text.startswith(("listening ", LIST_REFUSED_LINE, *CONNECT_FAILED_LINES, *FAULT_LINES)):
                 self.reactor.callFromThread(
                     self._when_launched, launch, lambda: self._on_line(slot, launch, text)
                 )
 
-        def end() -> None:
-            """Report the end of the process to the reactor's thread."""
-            self.reactor.callFromThread(self._when_launched, launch, lambda: self._ended(slot, launch))
+        def on_end() -> None:
+            """Report the exit of the process to the reactor's thread."""
+            self.reactor.callFromThread(self._when_launched, launch, lambda: self._on_exit(slot, launch))
 
-        def make(config: dict[str, Any]) -> None:
-            """Start the process, in a thread of its own."""
-            process = Sidecar(self.folder, config, on_line=line, on_end=end)
+        def start_process(config: dict[str, Any]) -> None:
+            """Start the process, in a thread of the pool."""
+            process = Sidecar(self.folder, config, on_line=on_line, on_end=on_end)
             self.processes.append(process)
             self.reactor.callFromThread(self._launched, slot, launch, process)
 
-        # In a thread: hundreds are started at once, and each takes the kernel and the new process a while.
-        self.reactor.callInThread(make, self.configuration(slot))
+        # In a thread pool: hundreds may be started at once, and starting a process blocks.
+        self.reactor.callInThread(start_process, self.configuration(slot))
 
     def _launched(self, slot: SidecarSlot, launch: _Launch, process: Sidecar) -> None:
         launch.process = process
@@ -191,14 +193,14 @@
             slot.launch, slot.process = None, process
             self.watch.add(slot.name, process.pid, time.monotonic())
         else:
-            process.send(signal.SIGKILL)  # it was called off meanwhile
-        for call in launch.waiting:
+            process.send(signal.SIGKILL)  # the start was cancelled in the meantime
+        for call in launch.deferred_calls:
             call()
 
     def _when_launched(self, launch: _Launch, call: Callable[[], None]) -> None:
-        """Call at once, or once the process is known here: what it says may arrive before."""
+        """Call now, or once `_launched` has recorded the process, as its output may be read before that."""
         if launch.process is None:
-            launch.waiting.append(call)
+            launch.deferred_calls.append(call)
         else:
             call()
 
@@ -219,7 +221,7 @@
         return _RelayedPort(port, partial(self.links.close, [link]))
 
     def move_discovery(self) -> None:
-        """Move discovery to another address; what was open at the old one ends."""
+        """Move discovery to another address; connections to the old one are closed."""
         for slot in self.by_name.values():
             if slot.list_server is None:
                 continue
@@ -229,16 +231,17 @@
             self._notify_move(slot)
 
     def _notify_move(self, slot: SidecarSlot) -> None:
-        """Have a sidecar read where discovery is, unless it knows.
+        """Notify a sidecar of discovery's new address, unless it already has it.
 
-        One that doesn't listen yet is notified once it does: until it handles SIGHUP it would end by it.
+        A sidecar that does not listen yet is notified once it does: before it has installed its handler,
+        SIGHUP would terminate it.
         """
         if slot.up and slot.process is not None and slot.notified_moves != slot.moves:
             slot.process.write(self.configuration(slot))
             slot.process.send(signal.SIGHUP)
 
     def set_paused(self, slot: SidecarSlot, paused: bool) -> None:
-        """Pause a sidecar's process, or let it go on."""
+        """Pause or resume a sidecar's process."""
         if slot.process is not None:
             slot.process.send(signal.SIGSTOP if paused else signal.SIGCONT)
 
@@ -261,17 +264,17 @@
             self.checker.fault(slot.name, text)
 
     def kill(self, slot: SidecarSlot, restart_delay: float) -> None:
-        """Kill a sidecar outright, and start it again after `restart_delay` seconds, if that isn't 0."""
+        """Kill a sidecar with SIGKILL, and start it again after `restart_delay` seconds unless that is 0."""
         slot.restart_delay = restart_delay
         slot.launch = None
         if slot.process is not None:
             slot.process.send(signal.SIGKILL)
-            self._ended_now(slot, True)
+            self._record_exit(slot, True)
         else:
             self._schedule_start(slot)
 
     def restart(self, slot: SidecarSlot, stop_timeout: float, restart_delay: float) -> None:
-        """Stop it, kill it after `stop_timeout` seconds, and start it `restart_delay` after its end."""
+        """Stop a sidecar, kill it after `stop_timeout` s, and start it `restart_delay` s after its exit."""
         if not slot.up or slot.stopping or slot.process is None:
             return
         slot.stopping, slot.restart_delay = True, restart_delay
@@ -280,12 +283,12 @@
         slot.timer = self.clock.at(self.clock.now() + stop_timeout, self.kill, slot, restart_delay)
         slot.process.send(signal.SIGTERM)
 
-    def _ended(self, slot: SidecarSlot, launch: _Launch) -> None:
-        """Note that a process has ended by itself, unless it was killed and that is known."""
+    def _on_exit(self, slot: SidecarSlot, launch: _Launch) -> None:
+        """Record that a process has exited, unless `kill` has recorded it already."""
         if slot.process is launch.process:
-            self._ended_now(slot, False)
+            self._record_exit(slot, False)
 
-    def _ended_now(self, slot: SidecarSlot, killed: bool) -> None:
+    def _record_exit(self, slot: SidecarSlot, killed: bool) -> None:
         was_up = slot.up
         if self.links is not None and slot.tier == 0:
             self.links.close([f"{CLIENTS}>{slot.name}"])
@@ -310,7 +313,7 @@
         slot.timer = None
 
     def end(self) -> None:
-        """End all processes, for good."""
+        """Kill all processes and release them; they are not restarted."""
         for process in self.processes:
             process.send(signal.SIGKILL)
         for process in self.processes:
