--- a/tests/lab/live/test_bench.py
+++ b/tests/lab/live/test_bench.py
@@ -53,8 +53,8 @@
 import os, signal, sys, time
 from pathlib import Path
 from wheatring.lab.live.bench import run
-from wheatring.lab.live.cores import idlest
-with run.started(idlest(), run.Sizes()) as bench:
+from wheatring.lab.live.cores import least_busy_cores
+with run.started(least_busy_cores(), run.Sizes()) as bench:
     processes = [bench.upstream, bench.generator, *bench.targets.values()]
     print(*(process.pid for process in processes), flush=True)
     if sys.argv[1] == "crash":
@@ -108,7 +108,7 @@
 def test_the_benchmark_measures_all_by_turns_and_gives_ratios() -> None:
     sizes = run.Sizes(rounds=2, many=0.06, one=0.04, open=0.06, warm=0.02, late_ms=1e6)
     said: list[str] = []
-    report = run.run(cores.idlest(), sizes, said.append)
+    report = run.run(cores.least_busy_cores(), sizes, said.append)
     again = msgspec.json.decode(msgspec.json.encode(report), type=run.Report)
     assert again == report and len(said) == 2
     for turn in report.rounds:
@@ -125,5 +125,5 @@
         if name != run.SUBJECT:
             ratios = [turn[run.SUBJECT].rss_mb / turn[name].rss_mb for turn in report.rounds]
             assert report.ratios[name]["rss_mb"].median == pytest.approx(sum(ratios) / 2)
-    text = "\n".join(table.shown(report))
+    text = "\n".join(table.summary_lines(report))
     assert all(title in text for _, title, _ in table.ROWS)
--- a/tests/lab/live/test_cold_start.py
+++ b/tests/lab/live/test_cold_start.py
@@ -14,7 +14,7 @@
 import pytest
 
 from wheatring.__main__ import main
-from wheatring.lab.live.list_acquisition import judged
+from wheatring.lab.live.list_acquisition import check_bounds
 from wheatring.lab.live.play import LiveOutcome
 from wheatring.lab.play import play
 from wheatring.lab.scenario.load import fleet_names, load
@@ -150,7 +150,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_two_hundred_that_hold_a_wrong_list_learn_of_it_with_few_calls_in_vain(seed: int) -> None:
     plan = draw(load("cold-release"), seed)
-    assert [what for kept, what in judged(plan, play(plan, "exchange")) if not kept] == []
+    assert [what for kept, what in check_bounds(plan, play(plan, "exchange")) if not kept] == []
 
 
 @pytest.mark.parametrize("held", ["none", "now"])
--- a/wheatring/commands/lab_live.py
+++ b/wheatring/commands/lab_live.py
@@ -143,11 +143,11 @@
 
     def run() -> int:
         """Play the plan and print its outcome."""
-        from wheatring.lab.live.play import play, shown
+        from wheatring.lab.live.play import play, summary_lines
 
         outcome = play(plan, _progress)
         outcome.left_out = list(never)
-        _written(outcome, shown(outcome), args.json)
+        _written(outcome, summary_lines(outcome), args.json)
         return 1 if outcome.breach_count else 0
 
     return run
@@ -176,15 +176,15 @@
             outcome: Outcome = play_virtual(plan, "exchange")
             lines = [f"{outcome.scenario}, seed {outcome.seed}, in virtual time"]
         else:
-            from wheatring.lab.live.play import play, relay_count, shown
+            from wheatring.lab.live.play import play, relay_count, summary_lines
 
             needed = list_acquisition.requirements(plan, relay_count(plan))
-            _progress(needed.shown())
+            _progress(needed.summary())
             list_acquisition.check_resources(needed)
             live = play(plan, _progress, with_links=True)
-            outcome, lines = live, list(shown(live))
-        _written(outcome, [*lines, *list_acquisition.shown(plan, outcome)], args.json)
-        kept = all(kept for kept, _ in list_acquisition.judged(plan, outcome))
+            outcome, lines = live, list(summary_lines(live))
+        _written(outcome, [*lines, *list_acquisition.summary_lines(plan, outcome)], args.json)
+        kept = all(kept for kept, _ in list_acquisition.check_bounds(plan, outcome))
         return 0 if kept and not outcome.breach_count else 1
 
     return run
@@ -197,7 +197,7 @@
 
     for name in ("rounds", "scale", "body"):
         _positive(f"--{name}", getattr(args, name))
-    chosen = cores.chosen(args.cores) if args.cores else None
+    chosen = cores.parse_cores(args.cores) if args.cores else None
     plain = bench.Sizes()
     sizes = bench.Sizes(
         rounds=args.rounds,
@@ -209,15 +209,15 @@
 
     def run() -> int:
         """Run the benchmark and print its table."""
-        report = bench.run(chosen or cores.idlest(), sizes, _progress)
-        _written(report, table.shown(report), args.json)
+        report = bench.run(chosen or cores.least_busy_cores(), sizes, _progress)
+        _written(report, table.summary_lines(report), args.json)
         return 0
 
     return run
 
 
 def _load(args: argparse.Namespace) -> Callable[[], int]:
-    from wheatring.lab.live.load import Ask, Load, play, shown
+    from wheatring.lab.live.load import Ask, Load, play, summary_lines
     from wheatring.lab.live.process import Process, module
 
     for name in ("rate", "connections", "seconds", "patience"):
@@ -246,7 +246,7 @@
         """Generate the load and print its result."""
         with Process("load", module("wheatring.lab.live.generator_process")) as process:
             result = play(process, load)
-        _written(result, shown(result), args.json)
+        _written(result, summary_lines(result), args.json)
         return 0 if result.valid else 1
 
     return run
--- a/wheatring/lab/live/bench/table.py
+++ b/wheatring/lab/live/bench/table.py
@@ -19,7 +19,7 @@
 MAX_DOUBTS_SHOWN = 12
 
 
-def shown(report: Report) -> Iterator[str]:
+def summary_lines(report: Report) -> Iterator[str]:
     """Yield the report's lines: medians over the rounds, and the sidecar's ratios with their spread."""
     about = report.about
     yield (
--- a/wheatring/lab/live/command_loop.py
+++ b/wheatring/lab/live/command_loop.py
@@ -1,4 +1,4 @@
-"""The inside of a helper process: commands are lines on standard input, answers lines on standard output."""
+"""Main loop of a helper process: commands are lines on standard input, replies lines on standard output."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 WriteLine = Callable[[bytes], None]
 
 
-def serve(reactor: Any, obey: Callable[[bytes, WriteLine], object]) -> None:
-    """Hand each line to `obey`, with a function that writes a line back, until standard input is closed."""
+def serve(reactor: Any, handle: Callable[[bytes, WriteLine], object]) -> None:
+    """Call `handle` with each line and a function to write a reply, until standard input is closed."""
     from twisted.internet import stdio
     from twisted.protocols.basic import LineReceiver
 
     class Commands(LineReceiver):
-        """The lines of standard input."""
+        """Reads commands from standard input."""
 
         delimiter = b"\n"
         MAX_LENGTH = 1 << 24
 
         def lineReceived(self, line: bytes) -> None:  # noqa: N802 - Twisted's name
-            """Carry out one command."""
-            obey(line, self.sendLine)
+            """Handle one command."""
+            handle(line, self.sendLine)
 
         def connectionLost(self, reason: object = None) -> None:  # noqa: N802, ARG002 - Twisted's
-            """Stop the reactor at the end of the input."""
+            """Stop the reactor at the end of standard input."""
             if reactor.running:
                 reactor.stop()
 
--- a/wheatring/lab/live/cores.py
+++ b/wheatring/lab/live/cores.py
@@ -1,4 +1,4 @@
-"""Chooses the cores for what is measured, its load and its upstream."""
+"""Chooses the CPU cores for the measured process, the load generator and the upstream."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from wheatring.lab.live import watch
 
-MEASURE_SECONDS = 0.3  # seconds for which cores are looked at
+MEASURE_SECONDS = 0.3  # period over which the load of the cores is measured
 
 
 class Cores(NamedTuple):
-    """One core for each; the same one twice where there are too few."""
+    """One core for each process; cores repeat if fewer than three are available."""
 
     measured: int
     load: int
@@ -21,36 +21,36 @@
 
     @property
     def shared(self) -> bool:
-        """Whether there were too few: figures from here say little."""
+        """Whether processes share a core, so that the figures are not meaningful."""
         return len(set(self)) < 3
 
 
-def chosen(text: str) -> Cores:
-    """Read three cores: measured, load, upstream. ValueError if they can't be used."""
+def parse_cores(text: str) -> Cores:
+    """Parse three core numbers: measured, load, upstream. ValueError if they can't be used."""
     try:
         numbers = [int(part) for part in text.split(",")]
     except ValueError:
         numbers = []
-    mine = sorted(os.sched_getaffinity(0))
-    if len(numbers) != 3 or not set(numbers) <= set(mine):
-        raise ValueError(f"--cores: not three of the cores {','.join(map(str, mine))}: {text!r}")
+    available = sorted(os.sched_getaffinity(0))
+    if len(numbers) != 3 or not set(numbers) <= set(available):
+        raise ValueError(f"--cores: not three of the cores {','.join(map(str, available))}: {text!r}")
     return Cores(*numbers)
 
 
-def idlest() -> Cores:
-    """Choose the three least busy cores that this process may use, the least busy for what is measured."""
-    mine = sorted(os.sched_getaffinity(0))
-    before = {core: watch.core_busy(core) for core in mine}
+def least_busy_cores() -> Cores:
+    """Choose the three least busy cores available; the measured process gets the least busy one."""
+    available = sorted(os.sched_getaffinity(0))
+    before = {core: watch.core_busy_seconds(core) for core in available}
     time.sleep(MEASURE_SECONDS)
-    # What is measured and its load should not share a core's two halves: siblings come last.
+    # Hyper-threads of one physical core should not be used together, so further siblings sort last.
     seen: set[str] = set()
-    second = {}
-    for core in mine:
+    is_further_sibling = {}
+    for core in available:
         siblings = _siblings(core)
-        second[core] = siblings in seen
+        is_further_sibling[core] = siblings in seen
         seen.add(siblings)
-    mine.sort(key=lambda core: (second[core], watch.core_busy(core) - before[core]))
-    return Cores(*(mine * 3)[:3])
+    available.sort(key=lambda core: (is_further_sibling[core], watch.core_busy_seconds(core) - before[core]))
+    return Cores(*(available * 3)[:3])
 
 
 def _siblings(core: int) -> str:
--- a/wheatring/lab/live/die_with_parent.py
+++ b/wheatring/lab/live/die_with_parent.py
@@ -1,7 +1,8 @@
-"""Runs a command that ends when its parent does: `python leash.py PARENT COMMAND...`, by path, no package.
+"""Runs a command that is killed when its parent exits: `python die_with_parent.py PARENT_PID COMMAND...`.
 
-Parents that are killed outright can't end what they started, so the kernel is asked to. The command keeps
-this process's id, so that signals to it reach the command.
+It is run by its path, without importing the package. A parent that gets SIGKILL can't end its children, so
+the kernel does it (PR_SET_PDEATHSIG). The command replaces this process by exec and keeps its process id, so
+that signals reach it.
 """
 
 import ctypes
@@ -13,12 +14,12 @@
 
 
 def main() -> None:
-    """Ask the kernel to be killed with the parent, and run the command."""
+    """Set the parent-death signal, and exec the command."""
     parent, command = int(sys.argv[1]), sys.argv[2:]
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0) != 0:
         sys.exit(f"prctl: {os.strerror(ctypes.get_errno())}")
-    if os.getppid() != parent:  # it had ended before the kernel was asked
+    if os.getppid() != parent:  # the parent exited before prctl took effect
         sys.exit(1)
     os.execvp(command[0], command)
 
--- a/wheatring/lab/live/generator.py
+++ b/wheatring/lab/live/generator.py
@@ -285,7 +285,7 @@
         self.watch = watch.Watch(now)
         self.watch.add_all(self.load.watch, now)
         self.cpu = time.process_time()
-        self.busy = {core: watch.core_busy(core) for core in self.load.cores}
+        self.busy = {core: watch.core_busy_seconds(core) for core in self.load.cores}
         self.since = now
         self.second(0)
 
@@ -307,7 +307,7 @@
         self.rows[-1].connections = len(self.connections)
         self.watch.sample(now)
         self.cpu_share = (time.process_time() - self.cpu) / (now - self.since)
-        self.busy = {core: watch.core_busy(core) - before for core, before in self.busy.items()}
+        self.busy = {core: watch.core_busy_seconds(core) - before for core, before in self.busy.items()}
         self.closing = True
         self.finish()
 
@@ -322,7 +322,7 @@
 
     def result(self) -> Result:
         """Sum up the result."""
-        result = tally.summed(self.load, self.rows, self.cpu_share)
+        result = tally.summarize(self.load, self.rows, self.cpu_share)
         result.warmed = self.warmed.asked
         result.timed_out, result.resent = self.timed_out, self.resent
         result.per_s = self.done_in_time / self.load.length
--- a/wheatring/lab/live/generator_process.py
+++ b/wheatring/lab/live/generator_process.py
@@ -2,7 +2,7 @@
 
     python -m wheatring.lab.live.generator_process
 
-reads one `Load` a line (JSON) on standard input, plays it, and writes one `Result` a line on standard output.
+reads lines with a `Load` (JSON) from standard input, plays each, and writes a line with its `Result`.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
     reactor: Any = installed
     reactor.seconds = time.monotonic
-    gc.disable()  # a collection would be a lateness of ours; what a load makes is freed by count
+    gc.disable()  # a collection would delay requests; the objects of a load are freed by reference counting
 
-    def obey(line: bytes, say: command_loop.WriteLine) -> None:
+    def handle(line: bytes, write_line: command_loop.WriteLine) -> None:
         """Play the load of one line."""
 
         def report(result: Result) -> None:
             """Write the result, and collect garbage between two loads."""
-            say(msgspec.json.encode(result))
+            write_line(msgspec.json.encode(result))
             gc.collect()
 
         Generator(reactor, msgspec.json.decode(line, type=Load), report)
 
-    command_loop.serve(reactor, obey)
+    command_loop.serve(reactor, handle)
     return 0
 
 
--- a/wheatring/lab/live/list_acquisition.py
+++ b/wheatring/lab/live/list_acquisition.py
@@ -1,6 +1,6 @@
-"""A day on which a large fleet starts without a list: what it needs of the machine, and what is measured.
+"""Measures how a large fleet that starts without an endpoint list acquires it, and estimates the resources.
 
-The figures are made of an outcome, so that a day in virtual time is judged as one with real processes.
+All figures are computed from an outcome, so that they apply to virtual time and real processes alike.
 """
 
 from __future__ import annotations
@@ -14,38 +14,40 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.plan import Plan
 
-SIDECAR_MB = 21.0  # memory that a sidecar's process takes, and what the run keeps for it
+SIDECAR_MB = 21.0  # memory of a sidecar's process and of the lab's own data for it
 RELAY_MB = 60.0
 LAB_MB = 250.0
-STARTING_SECONDS = 3.0  # seconds after the last start in which asks are not judged
-THREADS_PER_PROCESS = 3  # of the run for each process, and the process itself
+STARTING_SECONDS = 3.0  # after the last start, for which the request rate is not checked
+THREADS_PER_PROCESS = 3  # process ids used per child process: the process and the lab's threads for it
 
 
 class Requirements(NamedTuple):
-    """What a day takes of the machine, at most."""
+    """Upper bounds on the resources that a run needs."""
 
     processes: int
     memory_mb: float
 
-    def shown(self) -> str:
-        """Describe it in words."""
+    def summary(self) -> str:
+        """Describe the requirements in a phrase."""
         return f"needs {self.processes} processes and {self.memory_mb:.0f} MB of memory"
 
 
 def requirements(plan: Plan, relays: int) -> Requirements:
-    """Estimate what a day takes, at most."""
+    """Estimate the resources that a plan needs, at most."""
     sidecars = len(plan.sidecars) + sum(n.tier + 1 < len(plan.tiers) for n in plan.nodes)
     return Requirements(sidecars + relays, sidecars * SIDECAR_MB + relays * RELAY_MB + LAB_MB)
 
 
 def check_resources(needed: Requirements) -> None:
-    """Raise ProcessError, with one line, where this machine lacks the memory or the processes."""
+    """Raise ProcessError if this machine lacks the memory or the process ids."""
     free = _available_mb()
     if needed.memory_mb > free:
-        raise ProcessError(f"{needed.shown()}, and {free:.0f} MB are free: fewer --sidecars need less")
+        raise ProcessError(f"{needed.summary()}, and {free:.0f} MB are free: fewer --sidecars need less")
     free_processes = int(Path("/proc/sys/kernel/pid_max").read_text()) - len(list(Path("/proc").iterdir()))
     if needed.processes * THREADS_PER_PROCESS > free_processes:
-        raise ProcessError(f"{needed.shown()}, and there is room for {free_processes // THREADS_PER_PROCESS}")
+        raise ProcessError(
+            f"{needed.summary()}, and there is room for {free_processes // THREADS_PER_PROCESS}"
+        )
 
 
 def _available_mb() -> float:
@@ -53,11 +55,11 @@
         name, _, value = line.partition(":")
         if name == "MemAvailable":
             return int(value.split()[0]) / 1024
-    raise ProcessError("/proc/meminfo tells no free memory")
+    raise ProcessError("/proc/meminfo has no MemAvailable line")
 
 
 class BoundCheck(NamedTuple):
-    """Whether a bound of the plan is kept, and the figures in words."""
+    """Whether a bound of the plan is kept, with the figures as text."""
 
     is_kept: bool
     text: str
@@ -66,17 +68,17 @@
 class AcquisitionTimes(NamedTuple):
     """How the fleet acquired its list.
 
-    Times are seconds of the day; infinite where so many never had a list.
+    Times are in seconds; infinite if that part of the fleet never had a list.
     """
 
     sidecars: int
-    minimum: float  # the least time in which discovery can write all of them a list
+    minimum: float  # the shortest time in which discovery can send all of them a list
     half: float
     p95: float
     all: float
     failed_each: float
-    per_s: float  # calls that discovery can answer a second
-    peak_requests: int  # in the busiest second that is judged
+    per_s: float  # calls per second that discovery can answer
+    peak_requests: int  # in the busiest second that is checked
     starting: float  # seconds from the first start to the last
 
 
@@ -86,33 +88,33 @@
     sidecars = len(plan.sidecars)
     lines = sum(node.tier == 0 and node.up for node in plan.nodes)
     per_s = plan.discovery.lines_per_s / (plan.discovery.call_lines + lines)
-    front = {sidecar.name for sidecar in plan.sidecars}
-    first = sorted(at for name, at in lists.first.items() if name in front)
+    front_sidecars = {sidecar.name for sidecar in plan.sidecars}
+    first = sorted(at for name, at in lists.first.items() if name in front_sidecars)
 
     def seconds_until(part: float) -> float:
-        """Return the seconds until this part of the sidecars had a list."""
-        place = ceil(part * sidecars) - 1
-        return first[place] if place < len(first) else inf
+        """Return the time until this share of the sidecars had a list."""
+        index = ceil(part * sidecars) - 1
+        return first[index] if index < len(first) else inf
 
-    # Real processes take a while to start, on a machine that has so many of them to start at once.
-    up = max([at for name, at in lists.started.items() if name in front], default=0.0)
-    start = ceil(max(up + STARTING_SECONDS, plan.check.after))
+    # Real processes take a while to start when many are started at once.
+    last_start = max([at for name, at in lists.started.items() if name in front_sidecars], default=0.0)
+    start = ceil(max(last_start + STARTING_SECONDS, plan.check.after))
     return AcquisitionTimes(
         sidecars, sidecars / per_s, seconds_until(0.5), seconds_until(0.95), seconds_until(1.0),
         lists.failed / max(1, lists.brought), per_s, max(lists.asked[start:], default=0),
-        up - min([at for name, at in lists.started.items() if name in front], default=0.0),
+        last_start - min([at for name, at in lists.started.items() if name in front_sidecars], default=0.0),
     )  # fmt: skip
 
 
-def judged(plan: Plan, outcome: Outcome) -> Iterator[BoundCheck]:
-    """Check each bound that the plan states."""
+def check_bounds(plan: Plan, outcome: Outcome) -> Iterator[BoundCheck]:
+    """Check each bound that the plan specifies."""
     check, found = plan.check, acquisition_times(plan, outcome)
     for name, at in (("half", found.half), ("most", found.p95), ("all", found.all)):
-        wanted = getattr(check, f"held_{name}")
-        if wanted is not None:
+        bound = getattr(check, f"held_{name}")
+        if bound is not None:
             times = at / found.minimum
-            text = f"held_{name}: {at:.1f} s, {times:.2f} times the least ({wanted:g})"
-            yield BoundCheck(times <= wanted, text)
+            text = f"held_{name}: {at:.1f} s, {times:.2f} times the least ({bound:g})"
+            yield BoundCheck(times <= bound, text)
     if check.failed_each is not None:
         text = f"failed_each: {found.failed_each:.3f} for each list brought ({check.failed_each:g})"
         yield BoundCheck(found.failed_each <= check.failed_each, text)
@@ -128,8 +130,8 @@
         yield BoundCheck(outcome.service >= check.service, text)
 
 
-def shown(plan: Plan, outcome: Outcome) -> Iterator[str]:
-    """Describe the acquisition in a few lines."""
+def summary_lines(plan: Plan, outcome: Outcome) -> Iterator[str]:
+    """Describe the acquisition in a few lines of text."""
     found, lists = acquisition_times(plan, outcome), outcome.lists
     yield f"the sidecars took {found.starting:.1f} s to start; times are each one's own from there"
     yield (
@@ -141,5 +143,5 @@
         f"{lists.given_up} given up; {max(lists.asked, default=0)} asks in a second at most, "
         f"{found.peak_requests} of those judged"
     )
-    for kept, what in judged(plan, outcome):
+    for kept, what in check_bounds(plan, outcome):
         yield f"{'kept' if kept else 'NOT KEPT'}  {what}"
--- a/wheatring/lab/live/list_service.py
+++ b/wheatring/lab/live/list_service.py
@@ -1,6 +1,6 @@
-"""A stand-in for the list service, in threads: it answers one call after another, and counts them.
+"""A threaded stub of the list service, which answers one call after another and counts the calls.
 
-It answers what the sidecar's client asks: `GET /v1/servers`, with `index` and `wait` for what is newer.
+It supports the sidecar's calls: `GET /v1/servers`, with `index` and `wait` to watch for changes.
 """
 
 from __future__ import annotations
@@ -16,23 +16,24 @@
 
 from wheatring.lab.live.stub_server import Handler, StubServer
 
-CLOSED_CHECK_SECONDS = 0.5  # seconds between two looks at whether who waits is still there
+CLOSED_CHECK_SECONDS = 0.5  # interval of the checks whether a waiting client has disconnected
 
 
 class ListServiceStub(StubServer):
-    """Answers at most `answers_per_second`, one call after another."""
+    """Answers calls one after another, at most `answers_per_second` of them."""
 
-    def __init__(self, per_s: float) -> None:
-        self.answers_per_second = per_s
+    def __init__(self, answers_per_second: float) -> None:
+        self.answers_per_second = answers_per_second
         self.lock = threading.Lock()
         self.changed = threading.Condition(self.lock)
-        self.turn = threading.Lock()
+        self.answer_lock = threading.Lock()
         self.generation = 1
-        self.lines: dict[str, tuple[int, dict[str, Any]]] = {}  # by name: the generation that it is of
+        # Entries by name, each with the generation of its last change.
+        self.entries: dict[str, tuple[int, dict[str, Any]]] = {}
         self.calls = 0
-        self.answers: list[float] = []  # when each was given
-        self.over = False
-        register = self
+        self.answers: list[float] = []  # the time of each answer, in monotonic seconds
+        self.stopping = False
+        service = self
 
         class Calls(Handler):
             """Answers the calls of sidecars."""
@@ -40,10 +41,10 @@
             protocol_version = "HTTP/1.1"
 
             def do_GET(self) -> None:  # noqa: N802 - the library's name
-                """Answer one call, at once or after a wait for a change."""
-                asked = parse_qs(urlsplit(self.path).query)
-                index = int(asked["index"][0]) if "index" in asked else None
-                body = register.answer(index, float(asked.get("wait", ["0"])[0]) / 1000, self.is_disconnected)
+                """Answer one call, immediately or after waiting for a change."""
+                query = parse_qs(urlsplit(self.path).query)
+                index = int(query["index"][0]) if "index" in query else None
+                body = service.answer(index, float(query.get("wait", ["0"])[0]) / 1000, self.is_disconnected)
                 if body is None:
                     self.close_connection = True
                     return
@@ -53,7 +54,7 @@
                 self.wfile.write(body)
 
             def is_disconnected(self) -> bool:
-                """Whoever asked has closed the connection."""
+                """Return whether the client has closed the connection."""
                 readable, _, _ = select.select([self.connection], [], [], 0)
                 try:
                     return bool(readable) and self.connection.recv(1, socket.MSG_PEEK) == b""
@@ -63,42 +64,44 @@
         self.serve(Calls)
 
     def set_instance(self, name: str, lifecycle: str, port: int) -> float:
-        """Put a line on the list; return the instant at which it changed."""
+        """Add or update an entry of the list; return the time of the change."""
         with self.changed:
             self.generation += 1
-            line = {
+            entry = {
                 "instanceId": name, "lifecycle": lifecycle, "hostPort": f"127.0.0.1:{port}", "zone": "z",
                 "startedAtMs": 0,
             }  # fmt: skip
-            self.lines[name] = (self.generation, line)
+            self.entries[name] = (self.generation, entry)
             self.changed.notify_all()
             return time.monotonic()
 
     def answer(self, index: int | None, wait: float, is_disconnected: Callable[[], bool]) -> bytes | None:
-        """Answer a call; None where the caller is gone, and takes no turn."""
+        """Answer a call. Returns None if the client has disconnected, which uses no capacity."""
         with self.changed:
             self.calls += 1
-            by = time.monotonic() + wait
-            while index is not None and not self.over and self.generation <= index:
-                left = by - time.monotonic()
-                if left <= 0:
+            deadline = time.monotonic() + wait
+            while index is not None and not self.stopping and self.generation <= index:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0:
                     break
-                self.changed.wait(min(left, CLOSED_CHECK_SECONDS))
+                self.changed.wait(min(remaining, CLOSED_CHECK_SECONDS))
                 if is_disconnected():
                     return None
-        with self.turn:  # one after another, and each takes its time
+        with self.answer_lock:  # one answer at a time, to limit the rate
             if is_disconnected():
                 return None
             time.sleep(1 / self.answers_per_second)
         with self.lock:
             self.answers.append(time.monotonic())
-            lines = [line for made, line in self.lines.values() if index is None or made > index]
-            view = {"generation": self.generation, "reset": index is None, "instances": lines}
-            return json.dumps(view).encode()
+            entries = [
+                entry for changed_at, entry in self.entries.values() if index is None or changed_at > index
+            ]
+            reply = {"generation": self.generation, "reset": index is None, "instances": entries}
+            return json.dumps(reply).encode()
 
     def end(self) -> None:
-        """Let callers that wait go, and stop."""
+        """Release waiting callers, and stop the server."""
         with self.changed:
-            self.over = True
+            self.stopping = True
             self.changed.notify_all()
         super().end()
--- a/wheatring/lab/live/load.py
+++ b/wheatring/lab/live/load.py
@@ -1,4 +1,4 @@
-"""The load generator's messages: what it is to do, and the result. Its process is `generator_process`."""
+"""Messages to and from the load generator: the load and its result. Its process is `generator_process`."""
 
 from __future__ import annotations
 
@@ -13,69 +13,69 @@
 from wheatring.lab.live.process import Process
 from wheatring.lab.live.watch import Watched
 
-REPORT_TIMEOUT_SECONDS = 20.0  # for the generator's process to start and to report, on a machine that is busy
+REPORT_TIMEOUT_SECONDS = 20.0  # for the generator's process to start and report, on a busy machine
 
 
 class Ask(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """One kind of request."""
 
-    name: str  # its class
-    share: float = 1.0  # of the requests, by weight
+    name: str  # service class
+    share: float = 1.0  # relative weight among the kinds of requests
     method: str = "GET"
-    path: str = ""  # /NAME where none is given
-    keyed: bool = False  # bears an Idempotency-Key
-    body: int = 0  # bytes
+    path: str = ""  # default: /NAME
+    keyed: bool = False  # sends an Idempotency-Key
+    body: int = 0  # size in bytes
 
 
 class Load(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A stretch of load on one server. Times are seconds."""
+    """A load to put on one server. Times are in seconds."""
 
     host: str
     port: int
     mode: Literal["open", "closed"] = "open"
-    rate: float = 0.0  # open: planned requests a second
+    rate: float = 0.0  # open loop: planned requests per second
     arrivals: Literal["poisson", "constant"] = "poisson"
-    connections: int = 64  # open: at most so many at once; closed: so many, each asks again once answered
-    warm: float = 0.5  # what is asked in this time first does not count
-    length: float = 5.0  # and what is asked in this time after it does
-    patience: float = 6.0  # from a request's intended instant, until it is given up
-    late_ms: float = 1.0  # the generator was the limit if it was itself later than this for 1 in 100
-    busy: float = 0.95  # closed: or if it needed more of its core than this
+    connections: int = 64  # open loop: the maximum; closed loop: the number of clients
+    warm: float = 0.5  # requests of this initial period are not counted
+    length: float = 5.0  # the measured period, after the warm-up
+    patience: float = 6.0  # time-out of a request, from its scheduled time
+    late_ms: float = 1.0  # the result is invalid if the generator's own p99 lateness exceeds this
+    busy: float = 0.95  # closed loop: or if its CPU use exceeds this share of a core
     seed: int = 1
     asks: tuple[Ask, ...] = (Ask(name="menu-view"),)
-    watch: dict[str, int] = field(default_factory=dict)  # processes to watch, by name
-    cores: tuple[int, ...] = ()  # cores whose busy time to measure
+    watch: dict[str, int] = field(default_factory=dict)  # PIDs of the processes to watch, by name
+    cores: tuple[int, ...] = ()  # cores of which to measure the busy time
 
 
 class Counts(Struct):
-    """How requests ended; they add up to those asked."""
+    """Requests by how they ended; the total is the number of requests sent."""
 
     served: int = 0  # 200
     refused: int = 0  # 429, 503
     failed: int = 0  # any other status
-    lost: int = 0  # written, and no whole answer came while it was waited for
-    unreached: int = 0  # no connection was to be had for it while it was waited for
+    lost: int = 0  # sent, but no complete response arrived before the time-out
+    unreached: int = 0  # no connection was available before the time-out
 
     @property
     def total(self) -> int:
-        """Count the requests, however they ended."""
+        """The number of requests, however they ended."""
         return self.served + self.refused + self.failed + self.lost + self.unreached
 
 
 class Row(Struct):
-    """One second, by the instants at which its requests were meant to be sent."""
+    """The requests that were scheduled for one second."""
 
     second: int
     asked: int
     counts: Counts
-    p50_ms: float  # of the served, from the intended instant; 0 where there is none
+    p50_ms: float  # latency of served requests from their scheduled time; 0 if none was served
     p99_ms: float
-    late_ms: float  # the most that the generator itself was late
-    connections: int  # open at the second's end
+    late_ms: float  # the generator's own maximum lateness
+    connections: int  # open at the end of the second
 
 
 class Result(Struct):
-    """Latency is that of the served, in ms, from the instant at which a request was meant to be sent."""
+    """The result of a load. Latencies are in ms, of served requests, from their scheduled time."""
 
     mode: str
     asked: int  # after the warm-up
@@ -89,21 +89,21 @@
     late_p50_ms: float  # the generator's own lateness
     late_p99_ms: float
     late_most_ms: float
-    cpu: float  # of one core, that the generator needed
-    valid: bool  # False: the generator was the limit, and the figures say nothing of the server
-    why: str  # what was wrong then
+    cpu: float  # share of a core that the generator used
+    valid: bool  # False: the generator was the bottleneck, so the figures do not describe the server
+    why: str  # the reason, if not valid
     latency: str  # an encoded HdrHistogram, in microseconds
-    per_s: float = 0.0  # served within the time that counts, a second of it
-    warmed: int = 0  # asked before, not counted
-    timed_out: int = 0  # of all that were lost or unreached: those that were given up
-    resent: int = 0  # written again, as a kept connection ended under them
+    per_s: float = 0.0  # rate of requests served in the measured period
+    warmed: int = 0  # requests of the warm-up, not counted
+    timed_out: int = 0  # requests among the lost and unreached that timed out
+    resent: int = 0  # sent again because an idle connection was closed by the server
     rows: list[Row] = field(default_factory=list)
     watched: list[Watched] = field(default_factory=list)
     cores_busy: dict[int, float] = field(default_factory=dict)  # seconds, by core
 
 
 def arrivals(load: Load, random: Random) -> list[float]:
-    """Draw the planned instants of an open load, in seconds from its start, warm-up included."""
+    """Draw the scheduled times of an open-loop load, in seconds from its start, warm-up included."""
     end = load.warm + load.length
     if load.arrivals == "constant":
         return [n / load.rate for n in range(int(end * load.rate))]
@@ -116,15 +116,15 @@
 
 
 def play(process: Process, load: Load) -> Result:
-    """Have the generator's process play one load. ProcessError if it gives no result."""
+    """Have the generator's process play one load. ProcessError if it reports no result in time."""
     after = len(process.lines)
     process.write_line(msgspec.json.encode(load).decode())
-    by = time.monotonic() + load.warm + load.length + load.patience + REPORT_TIMEOUT_SECONDS
-    return msgspec.json.decode(process.wait_for_line("{", by, after), type=Result)
+    deadline = time.monotonic() + load.warm + load.length + load.patience + REPORT_TIMEOUT_SECONDS
+    return msgspec.json.decode(process.wait_for_line("{", deadline, after), type=Result)
 
 
-def shown(result: Result) -> Iterator[str]:
-    """Describe a result in a few lines."""
+def summary_lines(result: Result) -> Iterator[str]:
+    """Describe a result in a few lines of text."""
     counts = result.counts
     yield (
         f"{result.asked} asked: {counts.served} served, {counts.refused} refused, {counts.failed} failed, "
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -1,6 +1,6 @@
-"""A plan played on loopback, in real time: real sidecars, and all that they serve in this process.
+"""Plays a plan on loopback in real time, with real sidecars; all else runs in this process.
 
-It may be done once in a process, as it runs the reactor.
+A process can play only one plan, as the reactor can't be restarted.
 """
 
 from __future__ import annotations
@@ -43,45 +43,46 @@
 from wheatring.lab.world.environment import CLIENTS, DISCOVERY, sidecar_hosts
 from wheatring.lab.world.events import EventScheduler
 
-LEAD_SECONDS = 0.5  # seconds from when all sidecars listen until the day begins
-SETTLE_SECONDS = 0.5  # seconds past the tail
-START_TIMEOUT_SECONDS = 20.0  # seconds in which all sidecars must listen, and for each of them so many more
+LEAD_SECONDS = 0.5  # from the time that all sidecars listen to the start of the day
+SETTLE_SECONDS = 0.5  # from the end of the tail to the end of the run
+# All sidecars must listen within a fixed time plus a time for totals of them.
+START_TIMEOUT_SECONDS = 20.0
 START_TIMEOUT_EACH_SECONDS = 0.5
-SPARE_DESCRIPTORS = 200  # descriptors beside listeners and connections
-TICK_SECONDS = 0.02  # seconds between looks at how late this process is
-MAX_LATE_MS = 20.0  # ms
-MAX_BREACHES_SHOWN = 10  # shown
-LAB = "lab"
-# What links are held to need at most: this process reads what has come only in its turn.
+SPARE_DESCRIPTORS = 200  # for files, pipes and relays, beside listeners and connections
+TICK_SECONDS = 0.02  # interval of the measurements of this process's lateness
+MAX_LATE_MS = 20.0
+MAX_BREACHES_SHOWN = 10
+LAB = "lab"  # the name of this process among those watched
+# Network delays that the checker allows for: this process may read what has arrived with some delay.
 LINKS = NetPlan(same=0.002, cross=0.002, client=0.002, jitter=1.0)
-SIDECARS_PER_RELAY = 50  # sidecars whose links one relay carries, while there are fewer than
+SIDECARS_PER_RELAY = 50  # exceeded once there are MAX_RELAYS relays
 MAX_RELAYS = 6
 
 
 class LiveOutcome(Outcome):
-    """An outcome as any other, and what was seen of the processes.
+    """An outcome with measurements of the processes.
 
-    The lab's own is `lab`: it plays nodes, discovery and clients, and where it was late (`late_ms`, p99),
-    latencies and breaches say little.
+    This process is named `lab` and runs nodes, discovery and clients. Where it was late itself (`late_ms`,
+    p99), latencies and breaches are not meaningful.
     """
 
     watched: list[Watched] = field(default_factory=list)
     late_ms: float = 0.0
     late_most_ms: float = 0.0
-    left_out: list[str] = field(default_factory=list)  # kinds of events that were not played
+    left_out: list[str] = field(default_factory=list)  # kinds of events that were left out
 
 
 class Play:
-    """One plan, played with real processes. `say` gets a line now and then."""
+    """Plays one plan with real processes. `report_progress` gets lines of text."""
 
     def __init__(
-        self, plan: Plan, folder: Path, say: Callable[[str], None], with_links: bool = False
+        self, plan: Plan, folder: Path, report_progress: Callable[[str], None], with_links: bool = False
     ) -> None:
         reactor: Any = installed  # Twisted's own type lacks half of its methods
         reactor.seconds = time.monotonic
         self.reactor = reactor
         self.plan = plan
-        self.say = say
+        self.report_progress = report_progress
         self.clock = clock = Clock(reactor)
         self.correlation_table = CorrelationTable(self.random("ids"))
         self.checker = InvariantChecker(
@@ -95,7 +96,7 @@
         self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
         self.watch = Watch(clock.now())
         needs_links = with_links or any(event.kind in LINK_EVENTS for event in plan.events)
-        self.links = make_links(plan) if needs_links else None
+        self.links = create_link_controller(plan) if needs_links else None
         self.nodes = Nodes(
             reactor, plan, clock, self.correlation_table, self.checker, self.registry,
             lambda name: self.slots.caller_address(name), self.links,
@@ -110,7 +111,7 @@
         self.event_scheduler = self._create_event_scheduler()
         self.lateness = array("d")
         self.day_started_at = 0.0
-        self.fault: BaseException | None = None
+        self.error: BaseException | None = None
         self.outcome: LiveOutcome | None = None
         self.is_over = False
 
@@ -136,20 +137,20 @@
         )
 
     def random(self, name: str) -> Random:
-        """Make the random numbers of one part, by its name and the plan's seed."""
+        """Return a component's random number generator, seeded by its name and the plan's seed."""
         return Random(f"{self.plan.seed}:{name}")
 
     # The day
 
     def run(self) -> LiveOutcome:
-        """Play the whole day.
+        """Play the complete day.
 
         Raises
         ------
         ProcessError
-            A sidecar doesn't start.
+            A sidecar fails to start.
         KeyboardInterrupt
-            It is interrupted.
+            The run was interrupted.
         """
         observers: Any = [self.on_log_entry]
         globalLogBeginner.beginLoggingTo(observers, redirectStandardIO=False, discardBuffer=True)
@@ -157,39 +158,39 @@
         try:
             raise_descriptor_limit(self.plan)
             if self.links is not None:
-                self.links.reserve(links_of(self.plan))
+                self.links.reserve(link_names(self.plan))
             self.reactor.run()
         finally:
             self.slots.end()
             if self.links is not None:
                 self.links.end()
-        if self.fault is not None:
-            raise self.fault
+        if self.error is not None:
+            raise self.error
         if self.outcome is None:
             raise KeyboardInterrupt
         return self.outcome
 
     def start_processes(self) -> None:
-        """Start what runs from the start."""
+        """Start the nodes and sidecars that the plan has up from the beginning."""
         for node in self.plan.nodes:
             self.nodes.add(node.name)
         nodes = [node.name for node in self.plan.nodes if node.up]
         names = [sidecar.name for sidecar in self.plan.sidecars if sidecar.start == 0]
         names += [name for name in nodes if name in self.slots.by_name]
-        self.say(f"{len(nodes)} nodes, {len(names)} sidecars from the start on")
+        self.report_progress(f"{len(nodes)} nodes, {len(names)} sidecars from the start on")
         if not names:
             self.starting = self.clock.at(self.clock.now(), self.start_day)
             return
-        by = self.clock.now() + START_TIMEOUT_SECONDS + START_TIMEOUT_EACH_SECONDS * len(names)
-        self.starting = self.clock.at(by, self.lifecycles.on_start_timeout)
+        deadline = self.clock.now() + START_TIMEOUT_SECONDS + START_TIMEOUT_EACH_SECONDS * len(names)
+        self.starting = self.clock.at(deadline, self.lifecycles.on_start_timeout)
         self.lifecycles.start_all(names)
 
     def start_day(self) -> None:
-        """Begin the day in a moment, as all sidecars listen."""
+        """Schedule the start of the day, now that all sidecars listen."""
         if self.starting.active():
             self.starting.cancel()
         gc.collect()
-        gc.freeze()  # what lasts all day need not be looked through again and again
+        gc.freeze()  # keeps the collector from scanning long-lived objects again and again
         self.day_started_at = day = self.clock.now() + LEAD_SECONDS
         self.clock.at(day, self.on_day_start)
 
@@ -208,83 +209,84 @@
         self.clock.at(now + plan.length + plan.tail + SETTLE_SECONDS, self.stop)
         self.clock.at(now + 1, self.sample_processes, 2)
         self.measure_lateness(now)
-        self.say(f"the day begins, and takes {plan.length + plan.tail + SETTLE_SECONDS:.0f} s")
+        self.report_progress(f"the day begins, and takes {plan.length + plan.tail + SETTLE_SECONDS:.0f} s")
 
     def sample_processes(self, number: int) -> None:
-        """Sample the processes, each second."""
+        """Sample the processes; called every second."""
         self.watch.sample(self.clock.now())
         self.clock.at(self.day_started_at + number, self.sample_processes, number + 1)
 
     def measure_lateness(self, due: float) -> None:
-        """Measure how late this process is."""
+        """Record how late the reactor called this timer."""
         now = self.clock.now()
         self.lateness.append(now - due)
         self.clock.at(now + TICK_SECONDS, self.measure_lateness, now + TICK_SECONDS)
 
-    def stop(self, fault: BaseException | None = None) -> None:
-        """End the day, by its time or because of a fault."""
-        self.fault = self.fault or fault
+    def stop(self, error: BaseException | None = None) -> None:
+        """End the run, at its planned end or because of an error."""
+        self.error = self.error or error
         if not self.is_over:
             self.is_over = True
-            if fault is None:
+            if error is None:
                 self.watch.sample(self.clock.now())
-                # Now: as the reactor stops, it ends connections, which is nobody's breach.
+                # Before the reactor stops, which closes connections: that must not count as a breach.
                 self.outcome = self.create_outcome()
             self.reactor.stop()
 
     def on_log_entry(self, event: Mapping[str, Any]) -> None:
-        """Stop on a fault of the lab's own that would go unseen in the reactor's log."""
+        """Stop on an exception in the lab itself, which the reactor would only log."""
         failure = event.get("log_failure")
         if failure is not None:
             self.stop(failure.value)
 
-    # What came of it
+    # Outcome
 
     def create_outcome(self) -> LiveOutcome:
-        """Gather the outcome."""
+        """Create the outcome from the checker's results and the measurements."""
         held = {
-            name: {"most_sockets": row.peak_descriptors}
-            for name, row in self.watch.watched.items()
+            name: {"most_sockets": process.peak_descriptors}
+            for name, process in self.watch.watched.items()
             if name in self.slots.by_name
         }
-        found = self.checker.finish(self.clock.now() - self.day_started_at, held)
+        result = self.checker.finish(self.clock.now() - self.day_started_at, held)
         outcome = LiveOutcome(
-            **structs.asdict(found),
+            **structs.asdict(result),
             watched=list(self.watch.watched.values()),
             late_ms=tally.percentile_ms(array("d", sorted(self.lateness)), 0.99),
             late_most_ms=max(self.lateness, default=0.0) * 1000,
         )
-        return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)  # a copy: the checker still writes
+        # A copy, as the checker still modifies its results.
+        return msgspec.convert(msgspec.to_builtins(outcome), LiveOutcome)
 
 
 def relay_count(plan: Plan) -> int:
-    """Return how many relays carry a plan's links."""
+    """Return the number of relays for a plan's links."""
     return min(MAX_RELAYS, -(-len(sidecar_hosts(plan)) // SIDECARS_PER_RELAY))
 
 
-def make_links(plan: Plan) -> LinkController:
-    """Make the links between a plan's processes; they are yet to be reserved."""
+def create_link_controller(plan: Plan) -> LinkController:
+    """Return a controller for the links between a plan's processes; no ports are reserved yet."""
     hosts = sidecar_hosts(plan)
     hosts |= {node.host: node.host for node in plan.nodes}
     hosts |= {CLIENTS: CLIENTS, **dict.fromkeys(LIST_LINKS, DISCOVERY[0])}
     return LinkController(plan.seed, hosts, plan.net, relay_count(plan))
 
 
-def links_of(plan: Plan) -> Iterator[str]:
-    """Name all links that the day may need."""
+def link_names(plan: Plan) -> Iterator[str]:
+    """Yield the names of all links that the plan may need."""
     lists = LIST_LINKS if any(event.kind == "discovery_move" for event in plan.events) else LIST_LINKS[:1]
     callers = [[sidecar.name for sidecar in plan.sidecars]]
     callers += [[n.name for n in plan.nodes if n.tier == tier] for tier in range(len(plan.tiers) - 1)]
     for tier, names in enumerate(callers):
         hosts = dict.fromkeys(node.host for node in plan.nodes if node.tier == tier)
         for name in names:
-            yield from (f"{name}>{there}" for there in (*lists, *hosts))
+            yield from (f"{name}>{target}" for target in (*lists, *hosts))
             if tier == 0:
                 yield f"{CLIENTS}>{name}"
 
 
 def raise_descriptor_limit(plan: Plan) -> None:
-    """Raise this process's limit of descriptors as far as the plan needs; ProcessError if it can't be."""
+    """Raise this process's limit of open descriptors as the plan requires. ProcessError if that fails."""
     listeners = connections = 0
     callers = [len(plan.sidecars)]
     callers += [sum(n.tier == tier for n in plan.nodes) for tier in range(len(plan.tiers) - 1)]
@@ -295,52 +297,51 @@
     need = listeners + connections + SPARE_DESCRIPTORS
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and need > hard:
-        raise ProcessError(
-            f"needs some {need} descriptors and may have {hard}: a smaller --scale needs fewer"
-        )
+        raise ProcessError(f"needs about {need} descriptors, but the limit is {hard}: use a smaller --scale")
     if soft < need:
         resource.setrlimit(resource.RLIMIT_NOFILE, (need, hard))
 
 
-def play(plan: Plan, say: Callable[[str], None], with_links: bool = False) -> LiveOutcome:
-    """Play a plan, with links between its processes if it needs them or `with_links` says so.
+def play(plan: Plan, report_progress: Callable[[str], None], with_links: bool = False) -> LiveOutcome:
+    """Play a plan, with links between its processes if its events need them or `with_links` is set.
 
-    However it ends, all its processes have ended then.
+    All child processes have ended when this returns or raises.
 
     Raises
     ------
     ProcessError
-        It can't be played.
+        A process fails, or the descriptor limit is too low.
     """
     with TemporaryDirectory() as folder:
-        return Play(plan, Path(folder), say, with_links).run()
+        return Play(plan, Path(folder), report_progress, with_links).run()
 
 
-def shown(outcome: LiveOutcome) -> Iterator[str]:
-    """Describe an outcome in a few lines."""
+def summary_lines(outcome: LiveOutcome) -> Iterator[str]:
+    """Describe an outcome in a few lines of text."""
     yield (
         f"{outcome.scenario}, seed {outcome.seed}: {outcome.requests} requests in "
         f"{outcome.simulated_s:.0f} s, service {outcome.service:.3f}, G {outcome.g:.3f}"
     )
-    for each in outcome.classes:
+    for totals in outcome.classes:
         yield (
-            f"{each.name}: {each.asked} asked, {each.in_time} in time, {each.late} late, "
-            f"{each.refused} refused, {each.failed} failed; "
-            f"p50 {each.p50_ms:.0f} ms, p99 {each.p99_ms:.0f} ms"
+            f"{totals.name}: {totals.asked} asked, {totals.in_time} in time, {totals.late} late, "
+            f"{totals.refused} refused, {totals.failed} failed; "
+            f"p50 {totals.p50_ms:.0f} ms, p99 {totals.p99_ms:.0f} ms"
         )
     yield f"{outcome.breach_count} breaches of the rules"
     yield from (
-        f"  {each.at:.2f} s, {each.rule}: {each.what}" for each in outcome.breaches[:MAX_BREACHES_SHOWN]
+        f"  {breach.at:.2f} s, {breach.rule}: {breach.what}"
+        for breach in outcome.breaches[:MAX_BREACHES_SHOWN]
     )
-    sidecars = [row for row in outcome.watched if row.looks and row.name != LAB]
+    sidecars = [process for process in outcome.watched if process.looks and process.name != LAB]
     if sidecars:
-        cpu = [row.cpu_s / outcome.simulated_s for row in sidecars]
+        cpu = [process.cpu_s / outcome.simulated_s for process in sidecars]
         yield (
             f"{len(sidecars)} sidecars: CPU {max(cpu):.3f} of a core at most, {sum(cpu):.3f} together; "
-            f"{max(row.peak_mb for row in sidecars):.0f} MB and "
-            f"{max(row.peak_descriptors for row in sidecars)} descriptors at most"
+            f"{max(process.peak_mb for process in sidecars):.0f} MB and "
+            f"{max(process.peak_descriptors for process in sidecars)} descriptors at most"
         )
-    lab = sum(row.cpu_s for row in outcome.watched if row.name == LAB) / outcome.simulated_s
+    lab = sum(process.cpu_s for process in outcome.watched if process.name == LAB) / outcome.simulated_s
     yield (
         f"the lab's own process: CPU {lab:.3f} of a core, {outcome.late_ms:.1f} ms late at p99, "
         f"{outcome.late_most_ms:.0f} at most"
--- a/wheatring/lab/live/tally.py
+++ b/wheatring/lab/live/tally.py
@@ -1,4 +1,4 @@
-"""The load generator's counts: by second while it plays, summed up once it is over."""
+"""The load generator's counters: one tally per second, summed up at the end."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from wheatring.lab.live.load import Counts, Load, Result, Row
 
-LONGEST_US = 120_000_000
+MAX_LATENCY_US = 120_000_000
 
 
 class Tally:
-    """What is counted in one second, or in the warm-up."""
+    """Counters of one second, or of the warm-up."""
 
     __slots__ = ("asked", "connections", "counts", "late", "latencies")
 
@@ -25,40 +25,40 @@
 
 
 def percentile_ms(values: array[float], share: float) -> float:
-    """Return the value, in ms, below which that share lies of sorted values in seconds; 0 without any."""
+    """Return a percentile, in ms, of sorted values in seconds; 0 if there are none."""
     return values[min(len(values) - 1, int(len(values) * share))] * 1000 if values else 0.0
 
 
-def summed(load: Load, tallies: list[Tally], cpu: float) -> Result:
-    """Sum up the counts; `cpu` is the share of its core that the generator needed."""
-    histogram = HdrHistogram(1, LONGEST_US, 3)
+def summarize(load: Load, tallies: list[Tally], cpu: float) -> Result:
+    """Sum up the tallies; `cpu` is the share of its core that the generator used."""
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     counts = Counts()
     late = array("d")
     rows = []
     for number, tally in enumerate(tallies):
-        took = array("d", sorted(tally.latencies))
-        for value in took:
-            histogram.record_value(max(1, min(LONGEST_US, int(value * 1e6))))
+        latencies = array("d", sorted(tally.latencies))
+        for value in latencies:
+            histogram.record_value(max(1, min(MAX_LATENCY_US, int(value * 1e6))))
         for name in Counts.__struct_fields__:
             setattr(counts, name, getattr(counts, name) + getattr(tally.counts, name))
         late.extend(tally.late)
         rows.append(
             Row(
-                number, tally.asked, tally.counts, percentile_ms(took, 0.5), percentile_ms(took, 0.99),
-                max(tally.late, default=0.0) * 1000, tally.connections,
+                number, tally.asked, tally.counts, percentile_ms(latencies, 0.5),
+                percentile_ms(latencies, 0.99), max(tally.late, default=0.0) * 1000, tally.connections,
             )
         )  # fmt: skip
     late = array("d", sorted(late))
 
     def ms(percent: float) -> float:
-        """Return a percentile in ms; 0 if nothing was served."""
+        """Return a latency percentile in ms; 0 if nothing was served."""
         return float(histogram.get_value_at_percentile(percent)) / 1000 if counts.served else 0.0
 
-    wrong = []
+    problems = []
     if percentile_ms(late, 0.99) > load.late_ms:
-        wrong.append(f"the generator itself was late: p99 {percentile_ms(late, 0.99):.2f} ms")
+        problems.append(f"the generator itself was late: p99 {percentile_ms(late, 0.99):.2f} ms")
     if load.mode == "closed" and cpu > load.busy:
-        wrong.append(f"the generator needed {cpu:.2f} of its core")
+        problems.append(f"the generator needed {cpu:.2f} of its core")
     return Result(
         mode=load.mode,
         asked=sum(row.asked for row in rows),
@@ -68,8 +68,8 @@
         late_p50_ms=percentile_ms(late, 0.5), late_p99_ms=percentile_ms(late, 0.99),
         late_most_ms=percentile_ms(late, 1.0),
         cpu=cpu,
-        valid=not wrong,
-        why="; ".join(wrong),
+        valid=not problems,
+        why="; ".join(problems),
         latency=histogram.encode().decode(),
         rows=rows,
     )  # fmt: skip
--- a/wheatring/lab/live/watch.py
+++ b/wheatring/lab/live/watch.py
@@ -1,4 +1,4 @@
-"""Samples processes from outside: CPU, memory and descriptors, as /proc has them."""
+"""Samples the CPU time, memory and descriptors of processes from /proc."""
 
 from __future__ import annotations
 
@@ -14,67 +14,67 @@
 
 
 class Sample(Struct):
-    """One process in one span of time, mostly a second."""
+    """Measurements of one process over one interval, usually a second."""
 
-    at: float  # the span's end, in seconds from the start
-    cpu: float  # of one core, over the span
-    rss_mb: float  # at its end
-    descriptors: int  # at its end
+    at: float  # end of the interval, in seconds from the start
+    cpu: float  # share of one core, over the interval
+    rss_mb: float  # at the end of the interval
+    descriptors: int  # likewise
 
 
 class Watched(Struct):
-    """One process, over all of its starts."""
+    """Measurements of one process, over all of its restarts."""
 
     name: str
-    cpu_s: float = 0.0  # over all spans
+    cpu_s: float = 0.0  # over all intervals
     peak_mb: float = 0.0
     peak_descriptors: int = 0
     looks: list[Sample] = field(default_factory=list)
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the CPU time that a process has used, threads included; OSError if there is none of that id."""
+    """Return the CPU time of a process and its threads. OSError if there is no such process."""
     with Path(f"/proc/{pid}/stat").open("rb") as file:
-        # Its name comes in brackets, and may hold anything.
+        # The name is in parentheses and may contain any characters, including spaces and parentheses.
         fields = file.read().rpartition(b")")[2].split()
     return (int(fields[11]) + int(fields[12])) * CPU_TICK_SECONDS
 
 
 def rss_mb(pid: int) -> float:
-    """Return the resident memory of a process, in MiB; OSError if there is none of that id."""
+    """Return the resident memory of a process in MiB. OSError if there is no such process."""
     with Path(f"/proc/{pid}/statm").open("rb") as file:
         return int(file.read().split()[1]) * PAGE_MB
 
 
-def core_busy(cpu: int) -> float:
-    """Return the seconds that a core has been busy with anything since the machine's start."""
+def core_busy_seconds(cpu: int) -> float:
+    """Return the seconds for which a core has been busy since boot."""
     with Path("/proc/stat").open("rb") as file:
         for line in file:
-            word, *fields = line.split()
-            if word == b"cpu%d" % cpu:
+            label, *fields = line.split()
+            if label == b"cpu%d" % cpu:
                 user, nice, system, _, _, irq, softirq, steal = map(int, fields[:8])
                 return (user + nice + system + irq + softirq + steal) * CPU_TICK_SECONDS
     raise ProcessLookupError(f"no core {cpu}")
 
 
 class _Reading(NamedTuple):
-    """The last reading of a process."""
+    """The previous reading of a process."""
 
     pid: int
     at: float
-    cpu_s: float  # CPU time used until then
+    cpu_s: float  # CPU time used by then
 
 
 class Watch:
-    """Samples processes whenever asked to. One that has ended is left out from then on."""
+    """Samples a set of processes on request; processes that have ended are dropped from the set."""
 
     def __init__(self, now: float) -> None:
-        self.began = now
+        self.started_at = now
         self.watched: dict[str, Watched] = {}
         self.readings: dict[str, _Reading] = {}  # by name
 
     def add(self, name: str, pid: int, now: float) -> None:
-        """Watch a process from now on; a name that was watched before goes on in the same row."""
+        """Watch a process from now on. A restarted process continues the measurements of its name."""
         self.watched.setdefault(name, Watched(name))
         try:
             self.readings[name] = _Reading(pid, now, cpu_seconds(pid))
@@ -82,19 +82,19 @@
             self.readings.pop(name, None)
 
     def restart(self, now: float) -> None:
-        """Count from now on, and drop what was sampled before."""
-        self.began = now
+        """Drop all measurements, and measure from now on."""
+        self.started_at = now
         for name, reading in list(self.readings.items()):
             del self.watched[name]
             self.add(name, reading.pid, now)
 
     def add_all(self, pids: Mapping[str, int], now: float) -> None:
-        """Watch processes by name from now on."""
+        """Watch several processes, given by name, from now on."""
         for name, pid in pids.items():
             self.add(name, pid, now)
 
     def sample(self, now: float) -> None:
-        """Sample all processes that still run."""
+        """Sample all watched processes that are still running."""
         for name, (pid, since, before) in list(self.readings.items()):
             try:
                 cpu, rss = cpu_seconds(pid), rss_mb(pid)
@@ -104,7 +104,7 @@
                 continue
             row = self.watched[name]
             share = (cpu - before) / (now - since) if now > since else 0.0
-            row.looks.append(Sample(now - self.began, share, rss, descriptors))
+            row.looks.append(Sample(now - self.started_at, share, rss, descriptors))
             row.cpu_s += cpu - before
             row.peak_mb = max(row.peak_mb, rss)
             row.peak_descriptors = max(row.peak_descriptors, descriptors)
