--- a/wheatring/lab/live/client_connection.py
+++ b/wheatring/lab/live/client_connection.py
@@ -1,7 +1,7 @@
-"""One kept connection of the load generator, on the reactor as a descriptor of its own.
+"""A persistent connection of the load generator, registered with the reactor as a plain descriptor.
 
-What is sent goes to the kernel at once: with the reactor's own transports it would wait for the next turn,
-and the generator's time would count as the server's.
+Requests are written to the socket immediately. A Twisted transport would write them in the next iteration of
+the reactor, and this delay of the generator would be attributed to the server.
 """
 
 from __future__ import annotations
@@ -14,34 +14,36 @@
 from wheatring.common.http_parser import MessageParser
 
 MAX_READ_BYTES = 262_144
-MAX_CACHED_HEADS = 256  # heads remembered; a server that makes each one anew is read the long way
+MAX_CACHED_HEADS = 256  # response heads remembered; others are parsed in full
 
 
 class Owner(Protocol):
-    """Whoever uses the connections."""
+    """Receives the events of connections."""
 
-    def up(self, connection: ClientConnection) -> None:
-        """Use a connection that is established now."""
+    def on_connected(self, connection: ClientConnection) -> None:
+        """Handle a connection that has been established."""
 
-    def answered(self, connection: ClientConnection, status: bytes) -> None:
-        """Take the status of a complete answer; the connection can be used again if it is still `alive`."""
+    def on_response(self, connection: ClientConnection, status: bytes) -> None:
+        """Handle a complete response; the connection can be reused if it is still `alive`."""
 
-    def ended(self, connection: ClientConnection) -> None:
-        """Take note of an end that isn't by `close`; `up_once` says whether it was ever established."""
+    def on_closed(self, connection: ClientConnection) -> None:
+        """Handle an end other than by `close`; `was_established` tells whether it was ever established."""
 
 
 class ClientConnection:
     """Carries one request at a time."""
 
-    def __init__(self, reactor: Any, owner: Owner, address: tuple[str, int], heads: dict[bytes, Any]) -> None:
+    def __init__(
+        self, reactor: Any, owner: Owner, address: tuple[str, int], known_heads: dict[bytes, Any]
+    ) -> None:
         self.reactor = reactor
         self.owner = owner
-        self.heads = heads  # by the bytes of a head: status, and length of what follows
+        self.known_heads = known_heads  # status and body length by the bytes of a response head
         self.alive = False
-        self.up_once = False
-        self.carried = 0  # answers
-        self.request: Any = None  # what its owner has it carry
-        self.first: Any = None  # what it was made for, where that may go on no other
+        self.was_established = False
+        self.response_count = 0  # responses received so far
+        self.request: Any = None  # the request in flight, set by the owner
+        self.dedicated_request: Any = None  # the request that the connection was opened for, if any
         self.unsent = b""
         self.reader = MessageParser(responses=True)
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -49,66 +51,66 @@
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         error = self.sock.connect_ex(address)
         if error not in (0, errno.EINPROGRESS):
-            reactor.callLater(0, self._over)
+            reactor.callLater(0, self._close_and_notify)
         else:
             reactor.addWriter(self)
 
-    def ask(self, data: bytes) -> None:
+    def send_request(self, data: bytes) -> None:
         """Write a request."""
         try:
             sent = self.sock.send(data)
         except BlockingIOError:
             sent = 0
-        except OSError:  # its end is told by the reactor
+        except OSError:  # the reactor reports the end of the connection
             return
         if sent < len(data):
             self.unsent = data[sent:]
             self.reactor.addWriter(self)
 
     def close(self) -> None:
-        """End it at once; its owner hears no more of it."""
+        """Close the connection immediately, without notifying the owner."""
         self.alive = False
         if self.sock.fileno() >= 0:
             self.reactor.removeReader(self)
             self.reactor.removeWriter(self)
             self.sock.close()
 
-    def _over(self) -> None:
+    def _close_and_notify(self) -> None:
         if self.sock.fileno() >= 0:
             self.close()
-            self.owner.ended(self)
+            self.owner.on_closed(self)
 
-    # What the reactor calls
+    # Called by the reactor
 
     def fileno(self) -> int:
-        """Return its descriptor, for the reactor."""
+        """Return the descriptor of the socket."""
         return self.sock.fileno()
 
     def logPrefix(self) -> str:  # noqa: N802 - Twisted's name
-        """Return its name in the reactor's log."""
-        return "line"
+        """Return the prefix for the reactor's log."""
+        return "connection"
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802, ARG002 - Twisted's
-        """End it, as the reactor does."""
-        self._over()
+        """Handle the reactor's report that the connection is lost."""
+        self._close_and_notify()
 
     def doWrite(self) -> None:  # noqa: N802 - Twisted's name
-        """Take note that it is established, or write what is left to write."""
-        if not self.up_once:
+        """Finish the connect, or write the unsent rest of a request."""
+        if not self.was_established:
             if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                self._over()
+                self._close_and_notify()
                 return
             self.reactor.removeWriter(self)
             self.reactor.addReader(self)
-            self.alive = self.up_once = True
-            self.owner.up(self)
+            self.alive = self.was_established = True
+            self.owner.on_connected(self)
             return
         data, self.unsent = self.unsent, b""
         self.reactor.removeWriter(self)
-        self.ask(data)
+        self.send_request(data)
 
     def doRead(self) -> None:  # noqa: N802 - Twisted's name
-        """Read what has come."""
+        """Read a response or a part of it."""
         try:
             data = self.sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
@@ -119,23 +121,23 @@
             message = self.reader.end_of_input()
             if message is not None:
                 self.alive = False
-                self.owner.answered(self, message.start_line[0])
-            self._over()
+                self.owner.on_response(self, message.start_line[0])
+            self._close_and_notify()
             return
-        if self.request is None:  # an answer to nothing would be taken for the next request's
-            self._over()
+        if self.request is None:  # unsolicited data would be taken for the response to the next request
+            self._close_and_notify()
             return
         if not self.reader.has_partial_message:
-            end = data.find(b"\r\n\r\n") + 4
-            known = self.heads.get(data[:end])
-            if known is not None and len(data) == end + known[1]:
-                self.carried += 1
-                self.owner.answered(self, known[0])
+            head_end = data.find(b"\r\n\r\n") + 4
+            cached = self.known_heads.get(data[:head_end])
+            if cached is not None and len(data) == head_end + cached[1]:
+                self.response_count += 1
+                self.owner.on_response(self, cached[0])
                 return
         self._read(data)
 
     def _read(self, data: bytes) -> None:
-        """Parse heads seen for the first time, and answers that come in parts."""
+        """Parse a response with an unknown head, or one that arrives in parts."""
         reader = self.reader
         reader.feed(data)
         try:
@@ -143,21 +145,21 @@
             while message is not None and message.start_line[0][:1] == b"1":
                 message = reader.next_message()
         except MalformedMessageError:
-            self._over()
+            self._close_and_notify()
             return
         if message is None:
             return
         status = message.start_line[0]
-        clean = message.keep_alive and not reader.has_partial_message
-        whole = data.find(b"\r\n\r\n") + 4
-        if clean and b"content-length" in message.fields and len(data) == whole + len(message.body):
-            if len(self.heads) >= MAX_CACHED_HEADS:
-                self.heads.clear()
-            self.heads[data[:whole]] = (status, len(message.body))
-        self.carried += 1
-        if clean:
-            self.owner.answered(self, status)
+        is_reusable = message.keep_alive and not reader.has_partial_message
+        head_end = data.find(b"\r\n\r\n") + 4
+        if is_reusable and b"content-length" in message.fields and len(data) == head_end + len(message.body):
+            if len(self.known_heads) >= MAX_CACHED_HEADS:
+                self.known_heads.clear()
+            self.known_heads[data[:head_end]] = (status, len(message.body))
+        self.response_count += 1
+        if is_reusable:
+            self.owner.on_response(self, status)
         else:
             self.alive = False
-            self.owner.answered(self, status)
-            self._over()
+            self.owner.on_response(self, status)
+            self._close_and_notify()
--- a/wheatring/lab/live/links/__init__.py
+++ b/wheatring/lab/live/links/__init__.py
@@ -1,6 +1,6 @@
-"""Links: what lies between two processes of a live run, and can be broken while it carries bytes.
+"""Links between the processes of a live run, which inject network faults into their traffic.
 
-A link is named `FROM>TO` by who connects and whom to. It has a port of its own at a relay, which carries what
-comes there on to the other end. Relays are processes of their own (`relay`); the run tells them by lines of
-JSON what each of their links does (`link_state`). `link_controller` is the run's side of it.
+A link is named `FROM>TO`, after the party that connects and its target. It has a port of its own at a relay,
+which forwards connections to the target. Relays are separate processes (`relay`); the run controls the state
+of their links (`link_state`) by lines of JSON. `link_controller` is the run's side of this.
 """
--- a/wheatring/lab/live/links/datagrams.py
+++ b/wheatring/lab/live/links/datagrams.py
@@ -1,8 +1,8 @@
-"""Datagrams between parties: each has one port at the relay, by which all others reach it.
+"""Datagrams between parties, each of which has one port at the relay by which all others reach it.
 
-Who sends is known by where its datagrams come from, so each party's own address is announced to the relay,
-and again when it has restarted. What a port receives leaves from the sender's port: the address that others
-know.
+The relay identifies the sender by the source address, so it has to know each party's own address, also the
+new one after a restart. A datagram is forwarded from the sender's port at the relay, which is the address of
+the sender that the other parties know.
 """
 
 from __future__ import annotations
@@ -20,60 +20,60 @@
 
 
 class Switch:
-    """All ports of one relay, and the state of each link between them."""
+    """All datagram ports of a relay, and the states of the links between them."""
 
     def __init__(self, reactor: Any, random: Random) -> None:
         self.reactor = reactor
         self.random = random
         self.ports: dict[str, DatagramPort] = {}
-        self.at: dict[Address, DatagramPort] = {}  # by the party's own address
-        self.states: dict[tuple[str, str], LinkState] = {}  # of links that are not plain
-        self.taken = self.passed = 0
+        self.by_address: dict[Address, DatagramPort] = {}  # by the own address of its party
+        self.states: dict[tuple[str, str], LinkState] = {}  # of links with a fault
+        self.received_count = self.forwarded_count = 0
 
     def open(self, party: str, host: str) -> int:
-        """Open a party's port, for datagrams and connections; return its number."""
+        """Open a party's port for datagrams and connections; return the port number."""
         endpoint = self.ports[party] = DatagramPort(self, party, host)
         StreamPort(self, party, host, endpoint.port)
         return endpoint.port
 
     def set_targets(self, party: str, target: Address) -> None:
-        """Let a party's port lead to the party's own address."""
+        """Set the own address of a party, to which its port forwards."""
         endpoint = self.ports[party]
-        self.at.pop(endpoint.target, None)
+        self.by_address.pop(endpoint.target, None)
         endpoint.target = target
-        self.at[target] = endpoint
+        self.by_address[target] = endpoint
 
     def set(self, source: str, target: str, state: LinkState) -> None:
-        """Put the link from one party to another in a state."""
+        """Set the state of the link from one party to another."""
         if state == NO_FAULT:
             self.states.pop((source, target), None)
         else:
             self.states[source, target] = state
 
-    def came(self, endpoint: DatagramPort, data: bytes, source: Address) -> None:
-        """Pass a datagram on as its link's state says: not at all, once or twice, now or later."""
-        self.taken += 1
-        sender = self.at.get(source)
+    def receive(self, endpoint: DatagramPort, data: bytes, source: Address) -> None:
+        """Forward a datagram as its link's state demands: not at all, once or twice, now or later."""
+        self.received_count += 1
+        sender = self.by_address.get(source)
         if sender is None:
-            return  # nobody's, or of a process that is gone
+            return  # an unknown sender, or a process that has ended
         now = time.monotonic()
         for due in datagram(
             now, self.states.get((sender.party, endpoint.party), NO_FAULT), True, self.random
         ):
             if due > now:
-                self.reactor.callLater(due - now, self.leave, sender, endpoint, data)
+                self.reactor.callLater(due - now, self.forward, sender, endpoint, data)
             else:
-                self.leave(sender, endpoint, data)
+                self.forward(sender, endpoint, data)
 
-    def leave(self, sender: DatagramPort, endpoint: DatagramPort, data: bytes) -> None:
-        """Send a datagram on to its receiver, from the sender's port."""
+    def forward(self, sender: DatagramPort, endpoint: DatagramPort, data: bytes) -> None:
+        """Send a datagram to its receiver, from the sender's port."""
         if endpoint.target[1] and sender.transport is not None:
-            self.passed += 1
+            self.forwarded_count += 1
             sender.transport.write(data, endpoint.target)
 
 
 class DatagramPort(DatagramProtocol):
-    """One party's port for datagrams."""
+    """The datagram port of one party."""
 
     transport: Any
 
@@ -86,5 +86,5 @@
         self.port: int = self.listening.getHost().port
 
     def datagramReceived(self, data: bytes, addr: Address) -> None:  # noqa: N802 - Twisted's name
-        """Hand a datagram to the switch."""
-        self.switch.came(self, data, addr)
+        """Pass a datagram to the switch."""
+        self.switch.receive(self, data, addr)
--- a/wheatring/lab/live/links/link_controller.py
+++ b/wheatring/lab/live/links/link_controller.py
@@ -1,4 +1,4 @@
-"""The run's side of the links: which there are, their faults, and the relays that carry them."""
+"""The run's side of the links: their ports, their faults, and the relay processes that carry them."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 from wheatring.lab.live.process import Process, module
 from wheatring.lab.plan import EventPlan, NetPlan
 
-ANSWER_TIMEOUT_SECONDS = 30.0  # seconds in which a relay answers, on a machine that is busy
+ANSWER_TIMEOUT_SECONDS = 30.0  # for a relay's answer; generous, as the machine may be busy
 Answer = TypeVar("Answer")
 MAX_LINKS_PER_ORDER = 500  # links reserved by one order
 
 
 class LinkController:
-    """Links by name, `FROM>TO`.
+    """Controls links by their names, `FROM>TO`.
 
-    `hosts` gives the address of each party: who connects has its ports there, and events name them by it.
-    Which relay carries a link depends on who connects.
+    `hosts` has the address of each party. The ports of a link are on the host of the connecting party, and
+    events refer to parties by host. All links of a connecting party are carried by the same relay.
     """
 
     def __init__(self, seed: int, hosts: Mapping[str, str], net: NetPlan, relays: int) -> None:
@@ -34,7 +34,7 @@
         self.relay_of: dict[str, int] = {}  # the relay of each link
         self.ports: dict[str, int] = {}
         self.active_faults: list[EventPlan] = []
-        self.states: dict[str, LinkState] = {}  # where not plain
+        self.states: dict[str, LinkState] = {}  # of links whose state has been changed
         try:
             for number in range(relays):
                 command = module("wheatring.lab.live.links.relay", str(seed))
@@ -46,12 +46,12 @@
     # Links
 
     def reserve(self, links: Iterable[str]) -> None:
-        """Reserve ports, which refuse connects until they lead somewhere.
+        """Reserve ports for links; they refuse connects until they have targets.
 
         Raises
         ------
         ProcessError
-            A relay doesn't answer.
+            A relay does not answer in time.
         """
         self._reserve(links, "reserve")
 
@@ -59,8 +59,8 @@
         relay_of: dict[str, int] = {}
         shares: list[list[str]] = [[] for _ in self.relays]
         for link in links:
-            who = link.partition(">")[0]
-            number = self.relay_of[link] = relay_of.setdefault(who, len(relay_of) % len(self.relays))
+            source = link.partition(">")[0]
+            number = self.relay_of[link] = relay_of.setdefault(source, len(relay_of) % len(self.relays))
             shares[number].append(link)
         for relay, share in zip(self.relays, shares, strict=True):
             for start in range(0, len(share), MAX_LINKS_PER_ORDER):
@@ -71,52 +71,52 @@
     # Datagrams: one port for each party, all at the first relay
 
     def reserve_datagrams(self, parties: Iterable[str]) -> None:
-        """Reserve ports by which these parties are reached.
+        """Reserve the datagram ports of parties.
 
-        Where each is itself is announced by `lead`, by its name, and again when that has changed.
+        The own address of each party has to be set with `set_targets`, also after each change.
         """
         assert len(self.relays) == 1
         self._reserve(parties, "datagrams")
 
-    def datagrams(self, froms: Iterable[str], tos: Iterable[str], state: LinkState) -> None:
-        """Put the links for datagrams from these to those in a state, one way."""
-        links = [f"{one}>{other}" for one in froms for other in tos if one != other]
+    def datagrams(self, sources: Iterable[str], destinations: Iterable[str], state: LinkState) -> None:
+        """Set the state of the datagram links from some parties to others, in this direction only."""
+        links = [f"{one}>{other}" for one in sources for other in destinations if one != other]
         for start in range(0, len(links), MAX_LINKS_PER_ORDER):
             order = Order("set-datagrams", links=links[start : start + MAX_LINKS_PER_ORDER], state=state)
             self._send_order(self.relays[0], order)
 
     def address(self, link: str) -> tuple[str, int]:
-        """Return where who connects finds the other end."""
+        """Return the address to connect to for a link."""
         return self.hosts[link.partition(">")[0]], self.ports[link]
 
     def set_targets(self, targets: Mapping[str, tuple[str, int]]) -> None:
-        """Let these links lead to targets, and take connects."""
+        """Set the targets of links, and accept connects to them."""
         for relay, part in self._by_relay(targets):
             self._send_order(relay, Order("open", targets={link: targets[link] for link in part}))
 
     def close(self, links: Iterable[str]) -> None:
-        """Let links refuse connects; what is open goes on."""
+        """Refuse new connects to links; open connections are kept."""
         for relay, part in self._by_relay(links):
             self._send_order(relay, Order("close", links=part))
 
     def stats(self) -> list[Stats]:
-        """Return what each relay has carried; all orders before are carried out then."""
+        """Return the statistics of each relay; all earlier orders have been carried out by then."""
         return [self._request(relay, Order("stats"), Stats) for relay in self.relays]
 
     def end(self) -> None:
-        """End the relays."""
+        """End the relay processes."""
         for relay in self.relays:
             relay.end()
 
     # Faults
 
     def start_fault(self, event: EventPlan) -> None:
-        """Begin a fault."""
+        """Start a fault."""
         self.active_faults.append(event)
         self._apply(event)
 
     def end_fault(self, event: EventPlan, reset: bool = False) -> None:
-        """End a fault; `reset`: what was open is reset, as by a machine that knows of it no more."""
+        """End a fault. With `reset` its connections are reset, as by a restarted machine."""
         self.active_faults.remove(event)
         touched = self._apply(event)
         if reset:
@@ -124,7 +124,7 @@
                 self._send_order(relay, Order("reset", links=part))
 
     def _apply(self, event: EventPlan) -> list[str]:
-        """Order the states of the links that an event concerns; return their names."""
+        """Update the states of the links that an event affects; return the names of these links."""
         touched = []
         changed: dict[LinkState, list[str]] = {}
         for link in self.relay_of:
@@ -143,20 +143,20 @@
         return touched
 
     def _faulted_state(self, event: EventPlan, link: str, state: LinkState) -> LinkState:
-        """Return what an event makes of a link that is in some state."""
+        """Return the state of a link after applying an event to a given state."""
         one, other = (self.hosts[name] for name in link.split(">"))
-        cut = partial(structs.replace, state, connects=False)
+        cut_off = partial(structs.replace, state, connects=False)
         match event.kind:
             case "vanish":
-                return cut(forward=False, backward=False) if {one, other} & set(event.hosts) else state
+                return cut_off(forward=False, backward=False) if {one, other} & set(event.hosts) else state
             case "late_connects":
-                return cut() if other in event.hosts else state
+                return cut_off() if other in event.hosts else state
             case "partition":
-                # One way: what goes from `hosts` to `others` is lost, whoever made the connection.
+                # One way: data from `hosts` to `others` is lost, whichever side opened the connection.
                 if one in event.hosts and other in event.others:
-                    return cut(forward=False, backward=state.backward and event.one_way)
+                    return cut_off(forward=False, backward=state.backward and event.one_way)
                 if other in event.hosts and one in event.others:
-                    return cut(backward=False, forward=state.forward and event.one_way)
+                    return cut_off(backward=False, forward=state.forward and event.one_way)
             case "latency":
                 for hosts, others in ((event.hosts, event.others), (event.others, event.hosts)):
                     if one in hosts and other in others:
@@ -176,8 +176,8 @@
     def _send_order(self, relay: Process, order: Order) -> None:
         relay.write_line(msgspec.json.encode(order).decode())
 
-    def _request(self, relay: Process, order: Order, kind: type[Answer]) -> Answer:
+    def _request(self, relay: Process, order: Order, answer_type: type[Answer]) -> Answer:
         after = len(relay.lines)
         self._send_order(relay, order)
-        by = time.monotonic() + ANSWER_TIMEOUT_SECONDS
-        return msgspec.json.decode(relay.wait_for_line("{", by, after), type=kind)
+        deadline = time.monotonic() + ANSWER_TIMEOUT_SECONDS
+        return msgspec.json.decode(relay.wait_for_line("{", deadline, after), type=answer_type)
--- a/wheatring/lab/live/links/pipe.py
+++ b/wheatring/lab/live/links/pipe.py
@@ -1,4 +1,4 @@
-"""A link that carries connections: a port, and for each connection that comes another one to its target."""
+"""A link for connections: a port that opens a connection to its target for each one that it accepts."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 from wheatring.lab.live.links.link_state import MAX_BUFFERED_BYTES, NO_FAULT, DelayLine, LinkState
 
 BACKLOG = 511
-ACCEPTS_PER_TURN = 20  # connections that are accepted in one turn
-FILLERS = 3  # connects of our own that fill a port's queue, so that the kernel answers no further ones
+ACCEPTS_PER_READ = 20  # maximum number of connections accepted in one reactor iteration
+FILLERS = 3  # connects to the own port that fill its accept queue, so that the kernel ignores further ones
 
 
 @implementer(IHalfCloseableProtocol)
 class End(Protocol):
-    """One of the two connections of a pipe: the near one came, the far one was made for it."""
+    """One connection of a pair: the near one was accepted, the far one was opened to the target."""
 
     transport: Any
 
-    def __init__(self, pipe: ConnectionPair, near: bool) -> None:
-        self.pipe = pipe
+    def __init__(self, pair: ConnectionPair, near: bool) -> None:
+        self.pair = pair
         self.near = near
-        self.delay_line = DelayLine(pipe.link_port.random)  # of what came in here
+        self.delay_line = DelayLine(pair.link_port.random)  # delays the data received here
         self.timer: Any = None
         self.paused = False
-        self.reset = False  # how it ended
-        self.gone = False
-        self.read_over = self.write_over = False  # nothing more comes from there, or goes there
-        self.up = False
+        self.reset = False  # whether it ended with a reset
+        self.is_lost = False
+        self.read_closed = self.write_closed = False  # half-closed for reading, and for writing
+        self.is_connected = False
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Tell the pipe that this end is up."""
-        self.up = True
+        """Notify the pair that this end is connected."""
+        self.is_connected = True
         self.transport.setTcpNoDelay(True)
-        self.pipe.came_up(self)
+        self.pair.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Pass bytes on, at once or as the link's state says."""
-        pipe = self.pipe
-        state = pipe.link_port.state
-        if state is NO_FAULT and not self.delay_line.queue and pipe.is_complete:
-            pipe.other(self).transport.write(data)
+        """Forward data, immediately or as the link's state demands."""
+        pair = self.pair
+        state = pair.link_port.state
+        if state is NO_FAULT and not self.delay_line.queue and pair.is_complete:
+            pair.other(self).transport.write(data)
             return
         self.delay_line.put(time.monotonic(), data, state)
         if self.delay_line.buffered_bytes > MAX_BUFFERED_BYTES and not self.paused:
@@ -57,158 +57,158 @@
         self.flush()
 
     def flush(self) -> None:
-        """Pass on what has arrived at the other end by now, and the rest when it does."""
-        pipe = self.pipe
-        if not pipe.is_complete or pipe.over or not pipe.link_port.state.passes(self.near):
+        """Forward the data that is due, and schedule the rest."""
+        pair = self.pair
+        if not pair.is_complete or pair.is_closed or not pair.link_port.state.passes(self.near):
             return
         data = self.delay_line.take(time.monotonic())
-        other = pipe.other(self)
+        other = pair.other(self)
         if data:
             other.transport.write(data)
-        if self.paused and self.delay_line.buffered_bytes <= MAX_BUFFERED_BYTES // 2 and not self.gone:
+        if self.paused and self.delay_line.buffered_bytes <= MAX_BUFFERED_BYTES // 2 and not self.is_lost:
             self.paused = False
             self.transport.resumeProducing()
         due = self.delay_line.next
         if due is None:
-            if self.gone:
-                pipe.end(other, self.reset)
-            elif self.read_over and not other.write_over:
-                other.write_over = True
+            if self.is_lost:
+                pair.close_end(other, self.reset)
+            elif self.read_closed and not other.write_closed:
+                other.write_closed = True
                 other.transport.unregisterProducer()
                 other.transport.loseWriteConnection()
-                other.settle()
-                self.settle()
+                other.close_if_done()
+                self.close_if_done()
         elif self.timer is None or not self.timer.active():
             wait = max(0.0, due - time.monotonic())
-            self.timer = pipe.link_port.reactor.callLater(wait, self.flush)
+            self.timer = pair.link_port.reactor.callLater(wait, self.flush)
 
     def readConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
-        """Pass on that nothing more comes from here."""
-        self.read_over = True
+        """Forward the half-close of this end once its data is delivered."""
+        self.read_closed = True
         self.flush()
 
     def writeConnectionLost(self) -> None:  # noqa: N802 - Twisted's name
-        """Do nothing: what comes the other way goes on."""
+        """Do nothing: data of the other direction is still delivered."""
         pass
 
-    def settle(self) -> None:
-        """Close once both directions are over."""
-        if self.read_over and self.write_over and not self.gone:
+    def close_if_done(self) -> None:
+        """Close the connection once both directions are closed."""
+        if self.read_closed and self.write_closed and not self.is_lost:
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802 - Twisted's name
-        """Pass on that this end has ended, and how."""
-        self.gone = True
+        """Record that this end is closed, and whether by a reset."""
+        self.is_lost = True
         self.reset = not isinstance(reason.value, ConnectionDone)
-        self.pipe.lost(self)
+        self.pair.on_lost(self)
 
 
 class ConnectionPair:
-    """A connection that came to a port, and the one that was made for it."""
+    """An accepted connection, and the one to the target that was opened for it."""
 
     def __init__(self, link_port: LinkPort) -> None:
         self.link_port = link_port
         self.near = End(self, near=True)
         self.far = End(self, near=False)
-        self.is_complete = False  # both are up
-        self.over = False
+        self.is_complete = False  # both ends are connected
+        self.is_closed = False
 
     def other(self, end: End) -> End:
         """Return the other end."""
         return self.far if end.near else self.near
 
-    def came_up(self, end: End) -> None:
-        """Connect to the target for the near end; join both once the far end is up."""
+    def on_connected(self, end: End) -> None:
+        """Open the far end for a near one; join both once the far end is connected."""
         link_port = self.link_port
-        link_port.pipes[self] = None
+        link_port.pairs[self] = None
         if end.near:
-            link_port.taken += 1
-            link_port.reactor.connectTCP(*link_port.target, _Dial(self), timeout=None)
+            link_port.accepted_count += 1
+            link_port.reactor.connectTCP(*link_port.target, _FarEndFactory(self), timeout=None)
             return
         self.is_complete = True
-        if self.over or (self.near.gone and self.near.reset):
+        if self.is_closed or (self.near.is_lost and self.near.reset):
             end.transport.abortConnection()
             return
-        # Each is read only as fast as the other takes it.
+        # Backpressure: each end is read only as fast as the other can write.
         for end in (self.near, self.far):
-            if not end.gone and not end.write_over:
+            if not end.is_lost and not end.write_closed:
                 end.transport.registerProducer(self.other(end).transport, True)
         self.near.flush()
 
-    def unreachable(self) -> None:
-        """Reset the near end, as the target can't be reached."""
-        self.over = True
+    def on_connect_failed(self) -> None:
+        """Reset the near end, as the connect to the target failed."""
+        self.is_closed = True
         self.near.transport.abortConnection()
 
-    def lost(self, end: End) -> None:
-        """Take note that an end is gone."""
-        if self.over or not self.is_complete:
-            if self.near.gone and (self.over or not self.far.up):
-                self.link_port.pipes.pop(self, None)
+    def on_lost(self, end: End) -> None:
+        """Handle the loss of an end."""
+        if self.is_closed or not self.is_complete:
+            if self.near.is_lost and (self.is_closed or not self.far.is_connected):
+                self.link_port.pairs.pop(self, None)
             return
         end.flush()
 
-    def end(self, end: End, reset: bool) -> None:
-        """End this end, as the news that the other one is gone has arrived."""
-        self.over = True
-        self.link_port.pipes.pop(self, None)
-        if not end.gone:
+    def close_end(self, end: End, reset: bool) -> None:
+        """Close or reset an end after the other one has ended and its data is delivered."""
+        self.is_closed = True
+        self.link_port.pairs.pop(self, None)
+        if not end.is_lost:
             end.transport.unregisterProducer()
             if reset:
                 end.transport.abortConnection()
             else:
                 end.transport.loseConnection()
 
-    def cut_off(self) -> None:
+    def abort(self) -> None:
         """Reset both ends."""
-        self.over = True
-        self.link_port.pipes.pop(self, None)
+        self.is_closed = True
+        self.link_port.pairs.pop(self, None)
         for end in (self.near, self.far):
-            if end.up and not end.gone:
+            if end.is_connected and not end.is_lost:
                 end.transport.abortConnection()
 
 
-class _Dial(ClientFactory):
+class _FarEndFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, pipe: ConnectionPair) -> None:
-        self.pipe = pipe
+    def __init__(self, pair: ConnectionPair) -> None:
+        self.pair = pair
 
     def buildProtocol(self, addr: object) -> End:  # noqa: N802, ARG002 - Twisted's name
-        """Return the far end of the pipe."""
-        return self.pipe.far
+        """Return the far end of the pair."""
+        return self.pair.far
 
     def clientConnectionFailed(self, connector: object, reason: Failure) -> None:  # noqa: N802, ARG002 - Twisted's name
         """Reset the near end."""
-        self.pipe.unreachable()
+        self.pair.on_connect_failed()
 
 
-def _bound(host: str) -> socket.socket:
-    """Bind a socket to a port of the kernel's choice, by its number.
+def _bind_socket(host: str) -> socket.socket:
+    """Return a socket bound explicitly to a port that the kernel has chosen before.
 
-    The kernel takes back a port that wasn't asked for by number once the socket no longer listens.
+    With an implicitly chosen port (bind to port 0) the kernel releases it once the socket stops listening.
     """
-    with socket.socket() as first:
-        first.bind((host, 0))
-        port = first.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        port = probe.getsockname()[1]
     bound = socket.socket()
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     bound.setblocking(False)
     try:
         bound.bind((host, port))
-    except OSError:  # somebody else was given it in between
+    except OSError:  # another process got the port in the meantime
         bound.close()
-        return _bound(host)
+        return _bind_socket(host)
     return bound
 
 
 @implementer(IReadDescriptor)
 class LinkPort(ServerFactory):
-    """Where a link's connections come in.
+    """Accepts the connections of a link.
 
-    Its port is the kernel's choice, and bound all the time, so that nobody else gets it while it is
-    closed. It listens and accepts itself: what the reactor's own ports offer takes a turn to end, and can't
-    leave connects hanging.
+    The kernel chooses the port, which stays bound, so that no other process gets it while it is closed.
+    Listening and accepting are done here rather than by a port of the reactor, as such a port stops only in
+    the next reactor iteration and can't leave connects hanging.
     """
 
     noisy = False
@@ -218,82 +218,82 @@
         self.host = host
         self.random = random
         self.target: tuple[str, int] = (host, 0)
-        self.bound = _bound(host)
+        self.bound = _bind_socket(host)
         self.port: int = self.bound.getsockname()[1]
         self.state = NO_FAULT
         self.is_open = False
-        self.pipes: dict[ConnectionPair, None] = {}
-        self.taken = 0  # connections so far
+        self.pairs: dict[ConnectionPair, None] = {}
+        self.accepted_count = 0  # connections accepted so far
         self.fillers: list[socket.socket] = []
-        self.own: set[tuple[str, int]] = set()  # addresses of these
+        self.filler_addresses: set[tuple[str, int]] = set()  # their local addresses
 
     def buildProtocol(self, addr: Any) -> End:  # noqa: N802, ARG002 - Twisted's name
-        """Make the near end of a pipe."""
+        """Create a pair, and return its near end."""
         return ConnectionPair(self).near
 
-    # What the reactor asks of it
+    # Called by the reactor
 
     def fileno(self) -> int:
-        """Return its descriptor, for the reactor."""
+        """Return the descriptor of the socket."""
         return self.bound.fileno()
 
     def doRead(self) -> None:  # noqa: N802 - Twisted's name
         """Accept connections."""
-        for _ in range(ACCEPTS_PER_TURN):
+        for _ in range(ACCEPTS_PER_READ):
             try:
-                came, address = self.bound.accept()
-            except OSError:  # nobody waits any more
+                accepted, address = self.bound.accept()
+            except OSError:  # the accept queue is empty
                 return
-            with came:
-                if address in self.own:
-                    self.own.discard(address)  # its port may be a caller's next time
+            with accepted:
+                if address in self.filler_addresses:
+                    self.filler_addresses.discard(address)  # a client may get the same local port later
                 else:
-                    came.setblocking(False)
-                    self.reactor.adoptStreamConnection(came.fileno(), socket.AF_INET, self)
+                    accepted.setblocking(False)
+                    self.reactor.adoptStreamConnection(accepted.fileno(), socket.AF_INET, self)
 
     def connectionLost(self, reason: Failure) -> None:  # noqa: N802 - Twisted's name
-        """Do nothing: the reactor ends."""
+        """Do nothing: the reactor is stopping."""
 
     def logPrefix(self) -> str:  # noqa: N802 - Twisted's name
-        """Return its name in the reactor's log."""
+        """Return the prefix for the reactor's log."""
         return "link port"
 
-    # Its state
+    # State
 
     def open(self) -> None:
-        """Take connects."""
+        """Accept connects."""
         if not self.is_open:
             self.is_open = True
-            self._turn()
+            self._apply_connects()
 
     def close(self) -> None:
-        """Refuse connects; what is open goes on."""
+        """Refuse connects; open connections are kept."""
         if self.is_open:
             self.is_open = False
             self.reactor.removeReader(self)
-            self._unfill()
-            self.own.clear()
-            self.bound.shutdown(socket.SHUT_RDWR)  # it listens no more, and stays bound
+            self._close_fillers()
+            self.filler_addresses.clear()
+            self.bound.shutdown(socket.SHUT_RDWR)  # stops listening; the socket stays bound
 
     def set(self, state: LinkState) -> None:
-        """Put the link in a state."""
+        """Set the state of the link."""
         before, self.state = self.state, NO_FAULT if state == NO_FAULT else state
         if self.is_open and before.connects != state.connects:
-            self._turn()
-        for pipe in list(self.pipes):
-            pipe.near.flush()
-            pipe.far.flush()
+            self._apply_connects()
+        for pair in list(self.pairs):
+            pair.near.flush()
+            pair.far.flush()
 
-    def _turn(self) -> None:
-        """Accept connects, or leave them hanging.
+    def _apply_connects(self) -> None:
+        """Accept connects or leave them hanging, as the state demands.
 
-        With its queue full of connections that nobody accepts the kernel drops what further ones send, and
-        who connects hears nothing, as from a machine cut off.
+        With a full accept queue the kernel drops further SYNs, so that clients get no answer, as from a
+        machine that is cut off.
         """
         if self.state.connects:
             self.bound.listen(BACKLOG)
             self.reactor.addReader(self)
-            self._unfill()
+            self._close_fillers()
             return
         self.reactor.removeReader(self)
         self.bound.listen(0)
@@ -301,15 +301,15 @@
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((self.host, self.port))
-            self.own.add(filler.getsockname())
+            self.filler_addresses.add(filler.getsockname())
             self.fillers.append(filler)
 
-    def _unfill(self) -> None:
+    def _close_fillers(self) -> None:
         for filler in self.fillers:
             filler.close()
         self.fillers.clear()
 
     def reset(self) -> None:
         """Reset all connections."""
-        for pipe in list(self.pipes):
-            pipe.cut_off()
+        for pair in list(self.pairs):
+            pair.abort()
--- a/wheatring/lab/live/links/relay.py
+++ b/wheatring/lab/live/links/relay.py
@@ -1,8 +1,9 @@
-"""A relay's process: carries links, and puts them in the states that it is ordered to.
+"""A relay process, which carries links and sets their states as ordered.
 
     python -m wheatring.lab.live.links.relay SEED
 
-reads one `Order` a line (JSON) on standard input. To `reserve` and `stats` it answers with one line of JSON.
+reads lines with an `Order` (JSON) from standard input. It answers `reserve`, `datagrams` and `stats` with a
+line of JSON.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 class Order(Struct, forbid_unknown_fields=True):
     """One order.
 
-    reserve: `ports` are links and the hosts of their ports; answered with the number of each. datagrams: the
-    same, of parties. open: `targets` are links, or parties, and where they lead. close: refuse connects. set,
-    set-datagrams: the state from now on. reset: what is open.
+    reserve: reserve ports for links on the hosts in `ports`; answered with the port numbers. datagrams: the
+    same for parties. open: set the addresses in `targets` for links or parties. close: refuse connects. set,
+    set-datagrams: set the state of `links`. reset: reset connections. stats: answered with `Stats`.
     """
 
     do: Literal["reserve", "datagrams", "open", "close", "set", "set-datagrams", "reset", "stats"]
@@ -38,15 +39,15 @@
 
 
 class Stats(Struct):
-    """What a relay has carried, and the CPU time for it."""
+    """Traffic and CPU time of a relay."""
 
     cpu_s: float
-    open: int  # pipes
-    taken: int  # connections and datagrams so far
+    open: int  # open pairs of connections
+    taken: int  # connections and datagrams received so far
 
 
 class Relay:
-    """The links that one process carries."""
+    """The links of one relay process."""
 
     def __init__(self, reactor: Any, seed: str) -> None:
         self.reactor = reactor
@@ -54,8 +55,8 @@
         self.ports: dict[str, LinkPort] = {}
         self.datagrams = Switch(reactor, Random(f"{seed}:datagrams"))
 
-    def obey(self, order: Order) -> bytes | None:
-        """Carry out one order; return the answer, where it has one."""
+    def execute(self, order: Order) -> bytes | None:
+        """Carry out an order; return its answer, if it has one."""
         match order.do:
             case "reserve":
                 return self.reserve(order.ports)
@@ -77,27 +78,27 @@
                     self.ports[link].set(order.state)
             case "set-datagrams":
                 for link in order.links:
-                    one, _, other = link.partition(">")
-                    self.datagrams.set(one, other, order.state)
+                    source, _, destination = link.partition(">")
+                    self.datagrams.set(source, destination, order.state)
             case "reset":
                 for link in order.links:
                     self.ports[link].reset()
             case "stats":
-                open_ones = sum(len(link_port.pipes) for link_port in self.ports.values())
-                taken = sum(link_port.taken for link_port in self.ports.values())
-                taken += self.datagrams.taken
-                return msgspec.json.encode(Stats(time.process_time(), open_ones, taken))
+                open_pairs = sum(len(link_port.pairs) for link_port in self.ports.values())
+                taken = sum(link_port.accepted_count for link_port in self.ports.values())
+                taken += self.datagrams.received_count
+                return msgspec.json.encode(Stats(time.process_time(), open_pairs, taken))
         return None
 
     def reserve(self, ports: dict[str, str]) -> bytes:
-        """Reserve ports; return their numbers as JSON."""
+        """Reserve ports for links; return their numbers as JSON."""
         for link, host in ports.items():
             self.ports[link] = LinkPort(self.reactor, host, Random(f"{self.seed}:{link}"))
         return msgspec.json.encode({link: self.ports[link].port for link in ports})
 
 
 def main() -> int:
-    """Obey orders on standard input."""
+    """Carry out the orders from standard input."""
     from twisted.internet import reactor as installed
 
     reactor: Any = installed
@@ -106,13 +107,13 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     relay = Relay(reactor, sys.argv[1])
 
-    def obey(line: bytes, say: command_loop.WriteLine) -> None:
-        """Carry out one order, and write its answer."""
-        answer = relay.obey(msgspec.json.decode(line, type=Order))
+    def handle(line: bytes, write_line: command_loop.WriteLine) -> None:
+        """Carry out an order, and write its answer."""
+        answer = relay.execute(msgspec.json.decode(line, type=Order))
         if answer is not None:
-            say(answer)
+            write_line(answer)
 
-    command_loop.serve(reactor, obey)
+    command_loop.serve(reactor, handle)
     return 0
 
 
--- a/wheatring/lab/live/links/streams.py
+++ b/wheatring/lab/live/links/streams.py
@@ -1,7 +1,7 @@
-"""Connections between the parties that datagrams go between: to the same ports, and by the same links.
+"""Connections between the parties of the datagram links, on the same port numbers and with the same states.
 
-Who connects is known by its host. What a link loses or cuts holds a connection's bytes back, as TCP would
-send them again later; what it delays comes late.
+The connecting party is identified by its host. While a link is cut, the bytes of its connections are held
+back, as TCP would retransmit them; delays apply as for datagrams.
 """
 
 from __future__ import annotations
@@ -14,40 +14,40 @@
 
 from wheatring.lab.live.links.link_state import NO_FAULT, DelayLine
 
-BLOCKED_CHECK_SECONDS = 0.05  # between looks at whether buffered bytes may go on
-FLUSH_SECONDS = 0.002  # between looks at what has arrived
+BLOCKED_CHECK_SECONDS = 0.05  # interval of the checks whether a cut link delivers again
+FLUSH_SECONDS = 0.002  # interval of the checks for data that is due
 
 
-class _End(Protocol):
-    """One of two connections that belong together: what comes here leaves by the other."""
+class _StreamEnd(Protocol):
+    """One connection of a pair; data received here is written to the other one."""
 
     transport: Any
 
-    def __init__(self, endpoint: StreamPort, way: tuple[str, str]) -> None:
-        self.endpoint = endpoint
-        self.way = way  # the link that what comes here takes
-        self.other: _End | None = None
-        self.delay_line = DelayLine(endpoint.switch.random)
-        self.ended = False
+    def __init__(self, stream_port: StreamPort, link: tuple[str, str]) -> None:
+        self.stream_port = stream_port
+        self.link = link  # source and destination of the data received here
+        self.other: _StreamEnd | None = None
+        self.delay_line = DelayLine(stream_port.switch.random)
+        self.is_closed = False
         self.timer: Any = None
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Buffer the bytes for as long as the link's state says."""
-        self.delay_line.put(time.monotonic(), data, self.endpoint.switch.states.get(self.way, NO_FAULT))
+        """Delay data as the link's state demands."""
+        self.delay_line.put(time.monotonic(), data, self.stream_port.switch.states.get(self.link, NO_FAULT))
         self.flush()
 
     def flush(self) -> None:
-        """Write what has arrived to the other end, unless the link is cut."""
-        other, switch = self.other, self.endpoint.switch
-        passes = switch.states.get(self.way, NO_FAULT).forward
+        """Write the data that is due to the other end, unless the link is cut."""
+        other, switch = self.other, self.stream_port.switch
+        passes = switch.states.get(self.link, NO_FAULT).forward
         if other is not None and other.transport is not None and passes:
             data = self.delay_line.take(time.monotonic())
             if data:
                 other.transport.write(data)
-            if self.ended and self.delay_line.next is None:
+            if self.is_closed and self.delay_line.next is None:
                 other.transport.loseConnection()
                 return
-        if (self.delay_line.next is not None or self.ended) and (
+        if (self.delay_line.next is not None or self.is_closed) and (
             self.timer is None or not self.timer.active()
         ):
             self.timer = switch.reactor.callLater(
@@ -55,32 +55,32 @@
             )
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:  # noqa: N802, ARG002 - Twisted's name
-        """End the other connection once all bytes are written to it."""
-        self.ended = True
-        if self.other is not None and self.other.ended:
+        """Close the other connection once all data is written to it."""
+        self.is_closed = True
+        if self.other is not None and self.other.is_closed:
             if self.timer is not None and self.timer.active():
                 self.timer.cancel()
             return
         self.flush()
 
 
-class _Made(_End):
+class _FarEnd(_StreamEnd):
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Write what the other end has sent meanwhile."""
+        """Write the data that the other end has received so far."""
         if self.other is not None:
             self.other.flush()
 
 
-class _Dial(ClientFactory):
+class _FarEndFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, near: _End) -> None:
+    def __init__(self, near: _StreamEnd) -> None:
         self.near = near
 
     def buildProtocol(self, addr: object) -> Protocol:  # noqa: N802, ARG002 - Twisted's name
-        """Make the far end, and join it with the near one."""
-        endpoint, (one, other) = self.near.endpoint, self.near.way
-        far = _Made(endpoint, (other, one))
+        """Create the far end, and join it with the near one."""
+        stream_port, (source, other) = self.near.stream_port, self.near.link
+        far = _FarEnd(stream_port, (other, source))
         far.other, self.near.other = self.near, far
         return far
 
@@ -91,7 +91,7 @@
 
 
 class StreamPort(ServerFactory):
-    """Accepts connections beside a party's port for datagrams; `switch` is that of the datagrams."""
+    """Accepts connections on the port number of a party's datagram port; `switch` is a `datagrams.Switch`."""
 
     noisy = False
 
@@ -101,12 +101,12 @@
         switch.reactor.listenTCP(port, self, interface=host)
 
     def buildProtocol(self, addr: Any) -> Protocol | None:  # noqa: N802 - Twisted's name
-        """Accept a connection of a known party, and connect to this one."""
+        """Accept a connection from a known party, and open one to this port's party."""
         target = self.switch.ports[self.party].target
         sender = next((d.party for d in self.switch.ports.values() if d.host == addr.host), None)
         if sender is None or not target[1]:
             return None
-        near = _End(self, (sender, self.party))
-        # From whose host it comes is to be seen at the other end too.
-        self.switch.reactor.connectTCP(*target, _Dial(near), timeout=None)
+        near = _StreamEnd(self, (sender, self.party))
+        # The other end sees the relay's own source address, not the host of the sender.
+        self.switch.reactor.connectTCP(*target, _FarEndFactory(near), timeout=None)
         return near
