--- a/tests/lab/live/test_bench.py
+++ b/tests/lab/live/test_bench.py
@@ -54,7 +54,7 @@
 from pathlib import Path
 from wheatring.lab.live.bench import run
 from wheatring.lab.live.cores import least_busy_cores
-with run.started(least_busy_cores(), run.Sizes()) as bench:
+with run.running_bench(least_busy_cores(), run.Sizes()) as bench:
     processes = [bench.upstream, bench.generator, *bench.targets.values()]
     print(*(process.pid for process in processes), flush=True)
     if sys.argv[1] == "crash":
--- a/wheatring/lab/live/bench/__init__.py
+++ b/wheatring/lab/live/bench/__init__.py
@@ -1,5 +1,5 @@
-"""The benchmark: the sidecar beside a bare relay and a plain reverse proxy, on one core each, in one run.
+"""The benchmark: compares the sidecar with a bare relay and a plain reverse proxy on the same core.
 
-`upstream`, `relay` and `web` are small programs, `run` starts and measures them, `table` shows the result.
-Only ratios travel from machine to machine.
+`upstream`, `relay` and `web` are small programs, `run` starts and measures them, `table` formats the report.
+Only ratios can be compared between machines.
 """
--- a/wheatring/lab/live/bench/relay.py
+++ b/wheatring/lab/live/bench/relay.py
@@ -20,7 +20,7 @@
 
 
 class RelayConnection(Protocol):
-    """One connection of a relayed pair; keeps what arrives before the other is up."""
+    """One connection of a relayed pair; buffers data until the other one is established."""
 
     transport: Transport  # type: ignore[assignment]
 
@@ -29,11 +29,11 @@
         self.pending: list[bytes] = []
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Send small writes at once."""
+        """Disable Nagle's algorithm."""
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 - Twisted's name
-        """Forward bytes, or keep them until the other connection is up."""
+        """Forward data, or buffer it until the other connection is established."""
         if self.other is None:
             self.pending.append(data)
         else:
@@ -58,7 +58,7 @@
     """The connection to the upstream."""
 
     def connectionMade(self) -> None:  # noqa: N802 - Twisted's name
-        """Join the pair, and forward what the client has sent so far."""
+        """Join the pair, and forward the data that the client has sent so far."""
         super().connectionMade()
         assert self.other is not None
         self.other.other = self
@@ -66,7 +66,7 @@
 
 
 class UpstreamFactory(ClientFactory):
-    """Makes the connection to the upstream for one client connection."""
+    """Creates the upstream connection for one client connection."""
 
     noisy = False
 
@@ -87,7 +87,7 @@
 
 
 def main() -> None:
-    """Run the relay until the process is ended."""
+    """Run the relay until the process is terminated."""
     port = reactor.listenTCP(0, ServerFactory.forProtocol(ClientSide), interface=sys.argv[1], backlog=511)
     print(f"listening port={port.getHost().port}", flush=True)
     reactor.run()
--- a/wheatring/lab/live/bench/run.py
+++ b/wheatring/lab/live/bench/run.py
@@ -1,4 +1,4 @@
-"""Starts the targets, measures them in turn, and compares their figures."""
+"""Starts the targets of the benchmark, measures them in turn, and compares the results."""
 
 from __future__ import annotations
 
@@ -34,41 +34,42 @@
     "web": "reverse proxy on twisted.web: kept connections, no access log",
     "sidecar": "the sidecar",
 }
-MANY = 16  # connections
-MAX_FOREIGN_SHARE = 0.05  # of the measured core that other programs may use before a figure is doubtful
+MANY_CONNECTIONS = 16
+# A result is doubtful if other programs use more than this share of the measured core.
+MAX_FOREIGN_SHARE = 0.05
 
 
 class Sizes(Struct, frozen=True, kw_only=True):
-    """How long each stretch is, in seconds, and how many rounds there are."""
+    """The durations of the loads in seconds, and the number of rounds."""
 
     rounds: int = 5
     many: float = 2.0
     one: float = 1.5
     open: float = 2.5
     warm: float = 0.5
-    body: int = 128  # bytes of each answer
-    late_ms: float = 0.5  # bound on the generator's own lateness, p99
+    body: int = 128  # size of each response in bytes
+    late_ms: float = 0.5  # limit of the generator's own p99 lateness
 
 
 class Measure(Struct):
-    """Figures of one target in one round.
+    """Results of one target in one round.
 
-    Latencies are in ms; `one` is one connection, `open` an open loop at half the sidecar's rate.
+    Latencies are in ms; `one` is with one connection, `open` with an open loop at half the sidecar's rate.
     """
 
-    per_s: float  # at 16 connections
-    cpu_us: float  # of the target's, for each request there
+    per_s: float  # requests per second with 16 connections
+    cpu_us: float  # CPU time of the target per request, with 16 connections
     one_p50: float
     one_p99: float
     open_p50: float
     open_p99: float
-    open_per_s: float  # served there within the time
+    open_per_s: float  # requests per second served in the open loop
     rss_mb: float
-    wrong: list[str] = field(default_factory=list)  # why figures of this round are not valid
+    wrong: list[str] = field(default_factory=list)  # reasons why results of this round are not valid
 
 
 class Figure(Struct):
-    """A figure over all rounds."""
+    """Statistics of a result over all rounds."""
 
     median: float
     low: float
@@ -76,18 +77,18 @@
 
 
 class Report(Struct):
-    """The result of a benchmark, as it is written."""
+    """The report of a benchmark, as it is written to a file."""
 
     about: dict[str, str]
     sizes: Sizes
     cores: tuple[int, int, int]  # measured, load, upstream
-    open_rate: float  # requests a second
-    direct_per_s: float  # the upstream alone, at 16 connections
-    direct_cpu: float  # of its core, that the upstream needed for that
-    direct_limit: str  # what was the limit there
+    open_rate: float  # requests per second of the open loop
+    direct_per_s: float  # the upstream without a target, with 16 connections
+    direct_cpu: float  # share of its core that the upstream used for that
+    direct_limit: str  # the bottleneck in that measurement
     rounds: list[dict[str, Measure]]
     figures: dict[str, dict[str, Figure]]  # by target, by field of Measure
-    ratios: dict[str, dict[str, Figure]]  # the sidecar's over another's, from both figures of a round
+    ratios: dict[str, dict[str, Figure]]  # ratio of the sidecar's result to another target's, per round
     wrong: list[str]
 
 
@@ -95,7 +96,7 @@
 
 
 class Bench:
-    """All processes of the benchmark, up and ready."""
+    """The running processes of the benchmark."""
 
     def __init__(self, stack: ExitStack, folder: Path, cores: Cores, sizes: Sizes) -> None:
         self.cores = cores
@@ -106,11 +107,11 @@
             return stack.enter_context(Process(name, module(*arguments), cpus=(core,)))
 
         def port(line: str, name: str = "port") -> int:
-            """Return a port by its name in a line."""
+            """Return a port from a line, by its name."""
             return int(dict(pair.split("=") for pair in line.split()[1:])[name])
 
         def listening_line(process: Process) -> str:
-            """Wait for the line with a process's ports."""
+            """Wait for the line with the ports of a process."""
             return process.wait_for_line("listening ", time.monotonic() + START_TIMEOUT_SECONDS)
 
         self.upstream = start("upstream", cores.upstream, f"{BENCH_PACKAGE}.upstream", HOST, str(sizes.body))
@@ -144,31 +145,33 @@
         return self.load(self.targets[name], self.ports[name], length, mode="closed", connections=connections)
 
     def direct(self) -> Result:
-        """Measure the upstream without a target before it."""
-        return self.load(self.upstream, self.node, self.sizes.one, mode="closed", connections=MANY)
+        """Measure the upstream without a target in front of it."""
+        return self.load(
+            self.upstream, self.node, self.sizes.one, mode="closed", connections=MANY_CONNECTIONS
+        )
 
     def measure(self, name: str, rate: float) -> Measure:
-        """Measure a target for one round, its open loop at `rate` requests a second."""
+        """Measure a target for one round, with `rate` requests per second in the open loop."""
         sizes, target = self.sizes, self.targets[name]
-        many = self.closed(name, MANY, sizes.many)
+        many = self.closed(name, MANY_CONNECTIONS, sizes.many)
         one = self.closed(name, 1, sizes.one)
         opened = self.load(target, self.ports[name], sizes.open, mode="open", rate=rate)
         wrong = []
-        for what, result in (("16 connections", many), ("1 connection", one), ("open", opened)):
-            wrong += [f"{name}, {what}: {doubt}" for doubt in self.doubts(result)]
-        (seen,) = many.watched
-        done = many.per_s * sizes.many
+        for load_name, result in (("16 connections", many), ("1 connection", one), ("open", opened)):
+            wrong += [f"{name}, {load_name}: {doubt}" for doubt in self.doubts(result)]
+        (watched_target,) = many.watched
+        request_count = many.per_s * sizes.many
         return Measure(
             per_s=many.per_s,
-            cpu_us=seen.cpu_s / done * 1e6 if done else 0.0,
+            cpu_us=watched_target.cpu_s / request_count * 1e6 if request_count else 0.0,
             one_p50=one.p50_ms, one_p99=one.p99_ms,
             open_p50=opened.p50_ms, open_p99=opened.p99_ms, open_per_s=opened.per_s,
-            rss_mb=seen.peak_mb,
+            rss_mb=watched_target.peak_mb,
             wrong=wrong,
         )  # fmt: skip
 
     def doubts(self, result: Result) -> Iterator[str]:
-        """Yield the reasons why the figures of one load are doubtful."""
+        """Yield the reasons why the results of a load are doubtful."""
         if not result.valid:
             yield result.why
         counts = result.counts
@@ -177,43 +180,46 @@
                 f"{counts.total - counts.served} of {counts.total} not served (refused {counts.refused}, "
                 f"failed {counts.failed}, lost {counts.lost}, unreached {counts.unreached})"
             )
-        (seen,) = result.watched
-        took = sum(result.cores_busy.values()) - seen.cpu_s
-        span = seen.looks[-1].at if seen.looks else 0.0
-        if span and took > max(MAX_FOREIGN_SHARE * span, 0.05):
-            yield f"other programs took {took / span:.2f} of the measured core"
+        (watched_target,) = result.watched
+        foreign_seconds = sum(result.cores_busy.values()) - watched_target.cpu_s
+        measured_seconds = watched_target.looks[-1].at if watched_target.looks else 0.0
+        if measured_seconds and foreign_seconds > max(MAX_FOREIGN_SHARE * measured_seconds, 0.05):
+            yield f"other programs took {foreign_seconds / measured_seconds:.2f} of the measured core"
 
 
 @contextmanager
-def started(cores: Cores, sizes: Sizes) -> Iterator[Bench]:
-    """Start the benchmark's processes; all have ended when the block is left.
+def running_bench(cores: Cores, sizes: Sizes) -> Iterator[Bench]:
+    """Start the processes of the benchmark, and end them when the block is left.
 
     Raises
     ------
     ProcessError
-        If a process fails.
+        A process fails.
     """
     with TemporaryDirectory() as folder, ExitStack() as stack:
         yield Bench(stack, Path(folder), cores, sizes)
 
 
-def run(cores: Cores, sizes: Sizes, say: Callable[[str], None]) -> Report:
-    """Run the complete benchmark, and report each round by `say`.
+def run(cores: Cores, sizes: Sizes, report_progress: Callable[[str], None]) -> Report:
+    """Run the complete benchmark, and call `report_progress` after each round.
 
     Raises
     ------
     ProcessError
-        If a process fails.
+        A process fails.
     """
     wrong = ["too few cores: the measured process shares its own"] if cores.shared else []
-    with started(cores, sizes) as bench:
+    with running_bench(cores, sizes) as bench:
         direct = bench.direct()
-        rate = max(1.0, bench.closed(SUBJECT, MANY, sizes.many).per_s / 2)
+        rate = max(1.0, bench.closed(SUBJECT, MANY_CONNECTIONS, sizes.many).per_s / 2)
         rounds = []
         for number in range(sizes.rounds):
             rounds.append({name: bench.measure(name, rate) for name in TARGETS})
             rates = ", ".join(f"{name} {measure.per_s:,.0f}" for name, measure in rounds[-1].items())
-            say(f"round {number + 1} of {sizes.rounds}: requests a second at {MANY} connections: {rates}")
+            report_progress(
+                f"round {number + 1} of {sizes.rounds}: requests a second at {MANY_CONNECTIONS} connections: "
+                f"{rates}"
+            )
             wrong += [
                 f"round {number + 1}, {text}" for measure in rounds[-1].values() for text in measure.wrong
             ]
@@ -252,7 +258,7 @@
 
 
 def about() -> dict[str, str]:
-    """Return the versions and the machine that the figures depend on."""
+    """Return the versions and the properties of the machine that affect the results."""
     model = ""
     with Path("/proc/cpuinfo").open(encoding="utf-8", errors="replace") as file:
         for line in file:
--- a/wheatring/lab/live/bench/table.py
+++ b/wheatring/lab/live/bench/table.py
@@ -1,4 +1,4 @@
-"""The benchmark's report as a short text."""
+"""Formats the benchmark's report as a short table."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def summary_lines(report: Report) -> Iterator[str]:
-    """Yield the report's lines: medians over the rounds, and the sidecar's ratios with their spread."""
+    """Yield the lines of the table: medians over the rounds, and the sidecar's ratios with their range."""
     about = report.about
     yield (
         f"wheatring {about['version']}, Python {about['python']}, Twisted {about['twisted']}, "
@@ -33,16 +33,16 @@
     )
     yield ""
     others = [name for name in TARGETS if name != SUBJECT]
-    heads = [*TARGETS, *(f"{SUBJECT}/{name} (spread)" for name in others)]
+    columns = [*TARGETS, *(f"{SUBJECT}/{name} (spread)" for name in others)]
     yield (
         f"{'':38}"
-        + "".join(f"{head:>11}" for head in heads[: len(TARGETS)])
-        + "".join(f"{head:>26}" for head in heads[len(TARGETS) :])
+        + "".join(f"{column:>11}" for column in columns[: len(TARGETS)])
+        + "".join(f"{column:>26}" for column in columns[len(TARGETS) :])
     )
-    for key, title, form in ROWS:
+    for key, title, number_format in ROWS:
         line = f"{title:38}"
         for name in TARGETS:
-            line += f"{form.format(report.figures[name][key].median):>11}"
+            line += f"{number_format.format(report.figures[name][key].median):>11}"
         for name in others:
             line += f"{_ratio(report.ratios[name][key]):>26}"
         yield line
--- a/wheatring/lab/live/bench/web.py
+++ b/wheatring/lab/live/bench/web.py
@@ -1,10 +1,10 @@
-"""A reverse proxy as one would write it with `twisted.web`: a resource, an agent, persistent connections.
+"""A typical reverse proxy with `twisted.web`: a resource, an agent, persistent connections.
 
     python -m wheatring.lab.live.bench.web HOST UPSTREAM_HOST UPSTREAM_PORT
 
-prints `listening port=PORT`. `twisted.web.proxy.ReverseProxyResource` would be shorter but makes a new
-connection for each request, which says more of connects than of proxying. It keeps no access log, as the
-sidecar keeps none.
+prints `listening port=PORT`. `twisted.web.proxy.ReverseProxyResource` would be shorter but opens a new
+connection for each request, which would mostly measure connects. There is no access log, as the sidecar
+has none.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
         self.upstream = upstream
 
     def render(self, request: Any) -> int:
-        """Start to forward a request."""
+        """Forward a request asynchronously."""
         headers = forwarded_headers(request.requestHeaders)
         self.agent.request(request.method, self.upstream + request.uri, headers).addCallback(
             self.forward_response, request
@@ -70,7 +70,7 @@
         request.finish()
 
     def fail(self, failure: object, request: Any) -> None:  # noqa: ARG002 - Twisted's signature
-        """Answer 502 if the upstream has failed."""
+        """Respond with 502 if the upstream fails."""
         request.setResponseCode(502)
         request.finish()
 
@@ -81,12 +81,12 @@
     noisy = False
 
     def log(self, request: object) -> None:
-        """Write nothing, so that no line is formatted either."""
+        """Do nothing, which also saves formatting the line."""
 
 
 def main() -> None:
-    """Run the proxy until the process is ended."""
-    warnings.simplefilter("ignore", DeprecationWarning)  # of the agent's about itself, at each answer
+    """Run the proxy until the process is terminated."""
+    warnings.simplefilter("ignore", DeprecationWarning)  # the agent emits one for each response
     pool = HTTPConnectionPool(reactor, persistent=True)  # type: ignore[no-untyped-call]
     pool.maxPersistentPerHost = 64
     upstream = f"http://{sys.argv[2]}:{sys.argv[3]}".encode()
--- a/wheatring/lab/live/fleet_rig.py
+++ b/wheatring/lab/live/fleet_rig.py
@@ -1,6 +1,7 @@
-"""A fleet of real sidecar processes for tests and trials: their datagrams on links, and a target for calls.
+"""A fleet of real sidecar processes for tests and experiments, with links that can be broken.
 
-Members are named `d0` to `dN`; the first three vote. One singleton role, `probe`, calls the target.
+Members are named `d0`, `d1` and so on; the first three are voters. The holder of one singleton role, `probe`,
+calls a target that records the calls.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 ROLE = "probe"
 SEVERED = LinkState(forward=False)
-WAIT_SECONDS = 60.0  # seconds within which whatever is waited for must have come, on a machine that is busy
+WAIT_SECONDS = 60.0  # default time-out of waits; generous, as the machine may be busy
 RECORDED_EVENTS = (
     "duty-held", "duty-over", "member", "fleet-listening", "unexpected", "peer-dropped", "list-held-back",
     "view", "view-standing", "plan", "plan-in-force", "plan-floor", "plan-unread", "window-entered",
     "window-left", "window-not-entered", "time-sure", "time-unsure",
 )  # fmt: skip
-MAX_PARALLEL_STARTS = 16  # processes started side by side
-# The last part of all addresses: rigs that run at the same time each have their own.
+MAX_PARALLEL_STARTS = 16  # processes started at the same time
+# The last byte of all addresses; rigs that run at the same time need different ones.
 ADDRESS_SUFFIX = 1
 CLASSES = [{"name": "a", "slo": 1_000_000, "deadline": 2_000_000, "value": 1.0, "effect": "pure"}]
 
@@ -38,19 +39,19 @@
 class LogLine(NamedTuple):
     """A line of a member's log."""
 
-    at: float  # when it was read, in monotonic seconds
+    at: float  # monotonic time at which it was read
     text: str
 
 
 class AdminReply(NamedTuple):
-    """The answer to an operator's call."""
+    """The response to a call of the admin API."""
 
     status: int
     text: str
 
 
 class RigMember:
-    """One member's name and address, over all of its starts."""
+    """The name, address and processes of one member, over all of its restarts."""
 
     def __init__(self, name: str, host: str, number: int) -> None:
         self.name = name
@@ -58,29 +59,29 @@
         self.number = number
         self.process: Sidecar | None = None
         self.starts: list[Sidecar] = []
-        self.events: list[LogLine] = []  # lines of its log on the fleet
+        self.events: list[LogLine] = []  # log lines with one of RECORDED_EVENTS
         self.relay_port = 0
         self.admin_port = 0
 
 
 class FleetRig(ContextManaged):
-    """Starts members, breaks links and processes, and reads what the members say.
+    """Starts members, injects faults into links and processes, and reads the members' logs.
 
     Parameters
     ----------
     folder : Path
-        For the files of all members.
+        Directory for the files of all members.
     size : int
-        How many members.
+        Number of members.
     term : float
-        Of leases, in seconds.
+        Duration of leases, in seconds.
     duty, fleet, plan : dict[str, str] | None
-        Keys of the tables `[duty.probe]`, `[fleet]` and `[plan]`, as TOML values, over the rig's own. Without
-        `plan` there is no such table; `member_plans` may add keys for one member.
+        Keys of the tables `[duty.probe]`, `[fleet]` and `[plan]`, as TOML values, which override
+        the defaults. Without `plan` there is no such table; `member_plans` may add keys for one member.
     control : Collection[int]
-        Numbers of the members that operators can call.
+        Numbers of the members with an admin API.
     seed : int
-        Of the links.
+        Seed of the links.
     discovery : str
         HOST:PORT of the list service.
     """
@@ -118,7 +119,7 @@
         self.pool = ThreadPoolExecutor(MAX_PARALLEL_STARTS)
 
     def end(self) -> None:
-        """Kill all processes, and release what they used."""
+        """Kill all processes, and release all resources."""
         for member in self.members.values():
             for process in member.starts:
                 process.send(signal.SIGKILL)
@@ -132,41 +133,45 @@
     # Processes
 
     def start_all(self, names: Iterable[str] | None = None) -> None:
-        """Start these members, all by default, and wait until each has its port."""
+        """Start members, all by default, and wait until each listens."""
         self.links.reserve_datagrams(self.members)
         for member in self.members.values():
             member.relay_port = self.links.ports[member.name]
         list(self.pool.map(self.start, list(names or self.members)))
 
     def start(self, name: str) -> None:
-        """Start one member, and have others reach it once it listens."""
+        """Start one member, and set the target of its link once it listens."""
         member = self.members[name]
-        own = self.write_configuration(member)
+        toml_file = self.write_configuration(member)
 
-        def line(text: str) -> None:
+        def on_line(text: str) -> None:
             """Record a line of a member's log, if it is one of the recorded events."""
-            word = text.partition(" ")[0]
-            if word in RECORDED_EVENTS:
+            code = text.partition(" ")[0]
+            if code in RECORDED_EVENTS:
                 member.events.append(LogLine(time.monotonic(), text))
 
-        more: dict[str, Any] = {"known": {"generation": 1, "reset": True, "instances": []}}
+        overrides: dict[str, Any] = {"known": {"generation": 1, "reset": True, "instances": []}}
         if member.number in self.admin_numbers:
-            more["control"] = "127.0.0.1:0"
-        said = settings(CLASSES, peers_total=len(self.members), slot_no=member.number)
+            overrides["control"] = "127.0.0.1:0"
+        sidecar_settings = settings(CLASSES, peers_total=len(self.members), slot_no=member.number)
         config = configuration(
-            name, f"{member.host}:0", self.discovery, said, member.number + 1, **more
+            name, f"{member.host}:0", self.discovery, sidecar_settings, member.number + 1, **overrides
         )  # fmt: skip
-        process = Sidecar(self.folder, config, on_line=line, toml_file=own)
+        process = Sidecar(self.folder, config, on_line=on_line, toml_file=toml_file)
         member.process = process
         member.starts.append(process)
-        by = time.monotonic() + WAIT_SECONDS
+        deadline = time.monotonic() + WAIT_SECONDS
         if member.number in self.admin_numbers:
-            member.admin_port = int(process.wait_for_line("control-listening", by).rpartition("port=")[2])
-        words = dict(pair.split("=") for pair in process.wait_for_line("fleet-listening", by).split()[1:])
-        self.links.set_targets({name: (words["host"], int(words["port"]))})
+            member.admin_port = int(
+                process.wait_for_line("control-listening", deadline).rpartition("port=")[2]
+            )
+        fields = dict(
+            pair.split("=") for pair in process.wait_for_line("fleet-listening", deadline).split()[1:]
+        )
+        self.links.set_targets({name: (fields["host"], int(fields["port"]))})
 
     def write_configuration(self, member: RigMember) -> Path:
-        """Write the configuration file of a member's next start, or of a reload."""
+        """Write a member's configuration file, for its next start or a reload."""
         seeds = ", ".join(f'"{m.host}:{m.relay_port}"' for m in list(self.members.values())[:3])
         fleet = {
             "name": '"band"', "listen": f'"{member.host}:0"',
@@ -182,116 +187,124 @@
         if self.plan_table is not None:
             keys = {**self.plan_table, **self.member_plans.get(member.name, {})}
             text += "[plan]\n" + "".join(f"{key} = {value}\n" for key, value in keys.items())
-        own = self.folder / f"{member.name}.toml"
-        own.write_text(text, encoding="utf-8")
-        return own
+        toml_file = self.folder / f"{member.name}.toml"
+        toml_file.write_text(text, encoding="utf-8")
+        return toml_file
 
     def signal(self, number: signal.Signals, *names: str) -> None:
-        """Send a signal to members that run."""
+        """Send a signal to members that are running."""
         for name in names:
             process = self.members[name].process
             if process is not None:
                 process.send(number)
 
     def kill(self, *names: str) -> None:
-        """Kill members outright."""
+        """Kill members with SIGKILL."""
         self.signal(signal.SIGKILL, *names)
 
     def pause(self, *names: str) -> None:
-        """Stop members where they are, until `resume`."""
+        """Pause members with SIGSTOP, until `resume`."""
         self.signal(signal.SIGSTOP, *names)
 
     def resume(self, *names: str) -> None:
-        """Let paused members go on."""
+        """Resume paused members."""
         self.signal(signal.SIGCONT, *names)
 
     # Links
 
-    def set_links(self, froms: Iterable[str], tos: Iterable[str], state: LinkState = SEVERED) -> None:
-        """Put links from some members to others in a state; by default all on them is lost."""
-        self.links.datagrams(list(froms), list(tos), state)
-        self.links.stats()  # answered in order: it is done
+    def set_links(
+        self, sources: Iterable[str], destinations: Iterable[str], state: LinkState = SEVERED
+    ) -> None:
+        """Set the state of the links from some members to others; by default all datagrams are lost."""
+        self.links.datagrams(list(sources), list(destinations), state)
+        self.links.stats()  # orders are handled in sequence, so it is done now
 
     def isolate(self, *names: str) -> None:
-        """Cut members off from all others, both ways."""
+        """Cut members off from all others, in both directions."""
         others = [name for name in self.members if name not in names]
         self.set_links(names, others)
         self.set_links(others, names)
 
     def heal(self) -> None:
-        """Put all links back in order."""
+        """Remove the faults of all links."""
         self.set_links(self.members, self.members, NO_FAULT)
 
-    # What is seen
+    # Observation
 
     def admin_call(self, name: str, method: str, path: str, body: bytes | None = None) -> AdminReply:
-        """Make an operator's call at a member."""
-        line = http.client.HTTPConnection("127.0.0.1", self.members[name].admin_port, timeout=WAIT_SECONDS)
+        """Make a call to the admin API of a member."""
+        connection = http.client.HTTPConnection(
+            "127.0.0.1", self.members[name].admin_port, timeout=WAIT_SECONDS
+        )
         try:
-            line.request(method, f"/control/{path}", body)
-            answer = line.getresponse()
-            return AdminReply(answer.status, answer.read().decode())
+            connection.request(method, f"/control/{path}", body)
+            response = connection.getresponse()
+            return AdminReply(response.status, response.read().decode())
         except OSError as error:
             process = self.members[name].process
             status = None if process is None else process.popen.poll()
             error.add_note(f"{name}: the call to {path} failed; exit status of its process: {status}")
             raise
         finally:
-            line.close()
+            connection.close()
 
     def status(self, name: str) -> dict[str, Any]:
-        """Return a member's answer to `GET /control/duties`."""
-        found: dict[str, Any] = json.loads(self.admin_call(name, "GET", "duties").text)
-        return found
+        """Return a member's response to `GET /control/duties`."""
+        result: dict[str, Any] = json.loads(self.admin_call(name, "GET", "duties").text)
+        return result
 
-    def wait_until(self, what: Callable[[], Any], why: str, patience: float = WAIT_SECONDS) -> Any:
-        """Wait until a condition holds, and return what it returned.
+    def wait_until(
+        self, condition: Callable[[], Any], description: str, timeout: float = WAIT_SECONDS
+    ) -> Any:
+        """Wait until a condition returns a true value, and return that.
 
         Raises
         ------
         ProcessError
-            It doesn't hold within `patience` seconds; the text begins with `why`.
+            It does not hold within `timeout` seconds; the message starts with `description`.
         """
-        by = time.monotonic() + patience
+        deadline = time.monotonic() + timeout
         while True:
-            found = what()
-            if found:
-                return found
-            if time.monotonic() > by:
-                raise ProcessError(f"{why}: not within {patience:.0f} s")
+            result = condition()
+            if result:
+                return result
+            if time.monotonic() > deadline:
+                raise ProcessError(f"{description}: not within {timeout:.0f} s")
             time.sleep(0.01)
 
     def accepted_calls(self) -> list[RoleCall]:
-        """Return the calls that the target has accepted, as they came."""
-        return [act for act in self.target.snapshot() if act.is_accepted]
+        """Return the calls that the target has accepted, in order of arrival."""
+        return [call for call in self.target.snapshot() if call.is_accepted]
 
     def next_holder(self, besides: str = "", since: float = 0.0) -> RoleCall:
-        """Wait for the first accepted call after a monotonic instant by another member than `besides`."""
-        found: RoleCall = self.wait_until(
-            lambda: next((a for a in self.accepted_calls() if a.holder != besides and a.at > since), None),
-            f"an act by another than {besides!r}",
+        """Wait for the first accepted call after a monotonic time by a member other than `besides`."""
+        result: RoleCall = self.wait_until(
+            lambda: next(
+                (call for call in self.accepted_calls() if call.holder != besides and call.at > since), None
+            ),
+            f"a call by a member other than {besides!r}",
         )
-        return found
+        return result
 
     def role_events(self, name: str) -> list[LogLine]:
-        """Return a member's log lines on its role."""
+        """Return a member's log lines about its role."""
         return [event for event in self.members[name].events if event.text.startswith("duty-")]
 
 
-def fencing_violations(acts: list[RoleCall]) -> list[str]:
-    """List what must never be in a record of calls.
+def fencing_violations(calls: list[RoleCall]) -> list[str]:
+    """Return the violations of fencing in a record of calls.
 
-    That is one epoch of two holders, or an older epoch accepted after a newer one.
+    These are an epoch with two holders, and an older epoch accepted after a newer one.
     """
-    wrong = []
-    whose: dict[int, str] = {}
+    violations = []
+    holder_by_epoch: dict[int, str] = {}
     highest = 0
-    for act in acts:
-        if not act.is_accepted:
+    for call in calls:
+        if not call.is_accepted:
             continue
-        if whose.setdefault(act.epoch, act.holder) != act.holder:
-            wrong.append(f"term {act.epoch} of {whose[act.epoch]} and {act.holder}")
-        if act.epoch < highest:
-            wrong.append(f"an act of term {act.epoch} after one of {highest}")
-        highest = max(highest, act.epoch)
-    return wrong
+        if holder_by_epoch.setdefault(call.epoch, call.holder) != call.holder:
+            violations.append(f"term {call.epoch} of {holder_by_epoch[call.epoch]} and {call.holder}")
+        if call.epoch < highest:
+            violations.append(f"an act of term {call.epoch} after one of {highest}")
+        highest = max(highest, call.epoch)
+    return violations
--- a/wheatring/lab/live/role_call_target.py
+++ b/wheatring/lab/live/role_call_target.py
@@ -1,4 +1,4 @@
-"""The target of a singleton role's calls: a stand-in that rejects older epochs, and records every call."""
+"""A stub target for a singleton role's calls, which rejects stale epochs and records every call."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RoleCall(NamedTuple):
-    """One call; `at`: monotonic seconds when it arrived."""
+    """One call; `at` is the monotonic time of its arrival."""
 
     at: float
     epoch: int
@@ -20,21 +20,21 @@
 
 
 class RoleCallTarget(StubServer):
-    """Listens on loopback, in threads of its own. `status` is the answer to whatever it accepts."""
+    """Listens on loopback, in threads of its own. `status` is the HTTP status for accepted calls."""
 
     def __init__(self) -> None:
         self.calls: list[RoleCall] = []
         self.lock = threading.Lock()
         self.fence = FencingGuard()
         self.status = 200
-        resource = self
+        target = self
 
         class Calls(Handler):
-            """Answers the calls of the role's holders."""
+            """Answers the calls of role holders."""
 
             def do_POST(self) -> None:  # noqa: N802 - the library's name
-                """Answer one call, with the highest epoch so far."""
-                status, epoch = resource.receive(self.headers)
+                """Answer a call with the highest epoch so far."""
+                status, epoch = target.receive(self.headers)
                 self.send_response(status)
                 self.send_header("Duty-Epoch", str(epoch))
                 self.send_header("Content-Length", "0")
@@ -43,14 +43,14 @@
         self.serve(Calls)
 
     def receive(self, headers: Any) -> tuple[int, int]:
-        """Accept or reject a call; return the status, and the highest epoch."""
+        """Accept or reject a call; return the HTTP status and the highest epoch."""
         with self.lock:
             epoch = int(headers["Duty-Epoch"])
-            let_in = self.fence.admit(epoch)
-            self.calls.append(RoleCall(time.monotonic(), epoch, headers["Duty-Holder"], let_in))
-            return (self.status if let_in else 409), self.fence.highest_token
+            is_accepted = self.fence.admit(epoch)
+            self.calls.append(RoleCall(time.monotonic(), epoch, headers["Duty-Holder"], is_accepted))
+            return (self.status if is_accepted else 409), self.fence.highest_token
 
     def snapshot(self) -> list[RoleCall]:
-        """Return the calls so far."""
+        """Return a copy of the calls so far."""
         with self.lock:
             return list(self.calls)
--- a/wheatring/lab/live/singleton_role_cases.py
+++ b/wheatring/lab/live/singleton_role_cases.py
@@ -1,4 +1,4 @@
-"""Cases for a fleet whose members hold a singleton role, and what is measured of each."""
+"""Fault cases for a fleet with a singleton role, and their measurements."""
 
 from __future__ import annotations
 
@@ -13,101 +13,104 @@
 from wheatring.lab.live.links.link_state import LinkState
 from wheatring.lab.live.list_service import ListServiceStub
 
-LIST_ANSWERS_PER_SECOND = 5.0  # answers a second of the list service
-WARM_SECONDS = 30.0  # seconds in which calls for the list are counted
-COUNTING_SECONDS = 20.0  # seconds in which datagrams are counted
-SETTLE_TERMS = 2.0  # terms between two cases
+LIST_ANSWERS_PER_SECOND = 5.0  # capacity of the list service
+WARM_SECONDS = 30.0  # period over which calls to the list service are counted
+COUNTING_SECONDS = 20.0  # period over which datagrams are counted
+SETTLE_TERMS = 2.0  # pause between two cases, in terms
 
 
 class Measurement(NamedTuple):
-    """What a case has found, in words; `is_kept`: what has to hold does."""
+    """The result of a case as text; `is_kept` tells whether its bound is kept."""
 
     is_kept: bool
     what: str
 
 
-def _followed(rig: FleetRig, first: str, since: float, bound: float, how: str) -> Measurement:
-    """Another one has acted since, when, and how long after the last act of the one before."""
-    following = rig.next_holder(first, since)
-    own = [act.at for act in rig.accepted_calls() if act.holder == first]
-    last = max((at for at in own if at < following.at), default=since)
-    took, apart = following.at - since, following.at - last
-    after = [at for at in own if at > following.at]
+def _measure_takeover(
+    rig: FleetRig, holder: str, since: float, bound: float, description: str
+) -> Measurement:
+    """Measure when the next holder acts, and how long after the last call of the previous holder."""
+    successor = rig.next_holder(holder, since)
+    own_calls = [call.at for call in rig.accepted_calls() if call.holder == holder]
+    last = max((at for at in own_calls if at < successor.at), default=since)
+    elapsed, gap = successor.at - since, successor.at - last
+    after = [at for at in own_calls if at > successor.at]
     return Measurement(
-        took <= bound and not after,
-        f"{how}: the next acts after {took:.2f} s ({bound:g}), {apart * 1000:.0f} ms after the last act",
+        elapsed <= bound and not after,
+        f"{description}: the next acts after {elapsed:.2f} s ({bound:g}), "
+        f"{gap * 1000:.0f} ms after the last act",
     )
 
 
-def _holder(rig: FleetRig, random: Random) -> str:
-    """Whoever holds the role, at some instant of its term."""
+def _wait_for_holder(rig: FleetRig, random: Random) -> str:
+    """Return the holder of the role at a random point of its term."""
     name = rig.next_holder(since=time.monotonic()).holder
     time.sleep(random.random() * rig.term)
     return name
 
 
-def _lost(
-    rig: FleetRig, random: Random, how: str, lose: Callable[[str], None]
+def _measure_loss(
+    rig: FleetRig, random: Random, description: str, lose: Callable[[str], None]
 ) -> tuple[str, float, Measurement]:
-    """Let the holder lose the role: who, when, and how it was followed."""
-    first = _holder(rig, random)
+    """Make the holder lose the role; return its name, the time, and the measurement of its succession."""
+    holder = _wait_for_holder(rig, random)
     since = time.monotonic()
-    lose(first)
-    return first, since, _followed(rig, first, since, 1.5 * rig.term, how)
+    lose(holder)
+    return holder, since, _measure_takeover(rig, holder, since, 1.5 * rig.term, description)
 
 
 def kill(rig: FleetRig, random: Random) -> Measurement:
     """Kill the holder."""
-    first, _, found = _lost(rig, random, "killed", rig.kill)
-    rig.start(first)
-    return found
+    holder, _, measured = _measure_loss(rig, random, "killed", rig.kill)
+    rig.start(holder)
+    return measured
 
 
 def stop(rig: FleetRig, random: Random) -> Measurement:
     """Pause the holder for ten terms."""
-    first, since, found = _lost(rig, random, "stopped", rig.pause)
+    holder, since, measured = _measure_loss(rig, random, "stopped", rig.pause)
     time.sleep(max(0.0, since + 10 * rig.term - time.monotonic()))
-    rig.resume(first)
-    return found
+    rig.resume(holder)
+    return measured
 
 
-def _cut(rig: FleetRig, random: Random, there: bool, back: bool, how: str) -> Measurement:
-    def lose(first: str) -> None:
-        """Cut the links of the first lease holder."""
-        others = [name for name in rig.members if name != first]
-        if there:
-            rig.set_links([first], others)
-        if back:
-            rig.set_links(others, [first])
+def _cut(rig: FleetRig, random: Random, outbound: bool, inbound: bool, description: str) -> Measurement:
+    def lose(holder: str) -> None:
+        """Cut the links of the holder."""
+        others = [name for name in rig.members if name != holder]
+        if outbound:
+            rig.set_links([holder], others)
+        if inbound:
+            rig.set_links(others, [holder])
 
-    _, _, found = _lost(rig, random, how, lose)
+    _, _, measured = _measure_loss(rig, random, description, lose)
     rig.heal()
-    return found
+    return measured
 
 
 def cut(rig: FleetRig, random: Random) -> Measurement:
-    """Cut the holder off, both ways."""
+    """Cut the holder off in both directions."""
     return _cut(rig, random, True, True, "cut off")
 
 
 def unheard(rig: FleetRig, random: Random) -> Measurement:
-    """Let the holder receive, but not be heard."""
+    """Drop the datagrams that the holder sends."""
     return _cut(rig, random, True, False, "hears and is not heard")
 
 
 def deaf(rig: FleetRig, random: Random) -> Measurement:
-    """Let the holder be heard, but not receive."""
+    """Drop the datagrams that the holder should receive."""
     return _cut(rig, random, False, True, "is heard and does not hear")
 
 
 def release(rig: FleetRig, random: Random) -> Measurement:
-    """Have the holder release the role by an operator's call."""
-    first = _holder(rig, random)
+    """Make the holder release the role with a call to its admin API."""
+    holder = _wait_for_holder(rig, random)
     since = time.monotonic()
-    status, said = rig.admin_call(first, "POST", "duties/probe/release")
+    status, reply = rig.admin_call(holder, "POST", "duties/probe/release")
     if status != 200:
-        return Measurement(False, f"released: {said.strip()}")
-    return _followed(rig, first, since, 0.3, "released")
+        return Measurement(False, f"released: {reply.strip()}")
+    return _measure_takeover(rig, holder, since, 0.3, "released")
 
 
 def voters(rig: FleetRig, random: Random) -> Measurement:  # noqa: ARG001 - one signature for all cases
@@ -117,18 +120,19 @@
     since = time.monotonic()
     for name in ("d0", "d1", "d2"):
         rig.start(name)
-    up = time.monotonic()
-    following = rig.wait_until(
-        lambda: next((a for a in rig.accepted_calls() if a.epoch > before.epoch), None), "a new term"
+    started_at = time.monotonic()
+    successor = rig.wait_until(
+        lambda: next((call for call in rig.accepted_calls() if call.epoch > before.epoch), None), "a new term"
     )
     return Measurement(
         True,
-        f"all voters killed: back after {up - since:.1f} s, a new term {following.at - up:.1f} s later",
+        f"all voters killed: back after {started_at - since:.1f} s, "
+        f"a new term {successor.at - started_at:.1f} s later",
     )
 
 
 def split(rig: FleetRig, random: Random) -> Measurement:  # noqa: ARG001 - one signature for all cases
-    """Put each voter with a part of the others in a partition of its own."""
+    """Put each voter in a partition of its own, with a third of the other members."""
     parts: list[list[str]] = [[], [], []]
     for number, name in enumerate(rig.members):
         parts[number % 3].append(name)
@@ -140,21 +144,23 @@
     acted = len(rig.accepted_calls()) - before
     rig.heal()
     since = time.monotonic()
-    took = rig.next_holder(since=since).at - since
-    return Measurement(not acted, f"voters 1, 1, 1: {acted} acts while apart; the first {took:.2f} s after")
+    elapsed = rig.next_holder(since=since).at - since
+    return Measurement(
+        not acted, f"voters 1, 1, 1: {acted} acts while apart; the first {elapsed:.2f} s after"
+    )
 
 
 def late(rig: FleetRig, random: Random) -> Measurement:  # noqa: ARG001 - one signature for all cases
-    """Lose messages, duplicate them, and delay them by up to three terms."""
+    """Drop, duplicate and reorder messages, and delay them by up to three terms."""
     names = list(rig.members)
     state = LinkState(delay=0.001, jitter=3 * rig.term, duplicate=0.5, drop=0.3, reorder=0.5)
     rig.set_links(names[:5], names[:5], state)
     time.sleep(8 * rig.term)
     rig.heal()
     since = time.monotonic()
-    took = rig.next_holder(since=since).at - since
+    elapsed = rig.next_holder(since=since).at - since
     return Measurement(
-        True, f"words late by three terms among the first five; the next act {took:.2f} s after"
+        True, f"words late by three terms among the first five; the next act {elapsed:.2f} s after"
     )
 
 
@@ -169,7 +175,7 @@
 
 
 def membership(rig: FleetRig) -> Iterator[Measurement]:
-    """Measure how long until all know each other, and what it costs a member."""
+    """Measure the time until all members know each other, and the traffic and memory of a member."""
     since = time.monotonic()
     size = len(rig.members)
     rig.wait_until(
@@ -180,30 +186,34 @@
     time.sleep(COUNTING_SECONDS)
     after = [rig.status(name)["datagrams"] for name in ("d3", "d4")]
     for key in ("sent", "sent_bytes", "taken", "taken_bytes"):
-        each = [(a[key] - b[key]) / COUNTING_SECONDS for a, b in zip(after, before, strict=True)]
-        yield Measurement(True, f"{key} a second: {min(each):.1f} to {max(each):.1f}")
+        rates = [
+            (later[key] - earlier[key]) / COUNTING_SECONDS
+            for later, earlier in zip(after, before, strict=True)
+        ]
+        yield Measurement(True, f"{key} a second: {min(rates):.1f} to {max(rates):.1f}")
     memory = [_resident_mb(m.process.pid) for m in rig.members.values() if m.process is not None]
     yield Measurement(True, f"memory of a process: {min(memory):.1f} to {max(memory):.1f} MB")
 
 
 def silent_loss(rig: FleetRig) -> Iterator[Measurement]:
-    """Kill a third of the members, and wait until one of the others knows it."""
-    gone = [name for number, name in enumerate(rig.members) if number >= 5 and number % 3 == 0]
+    """Kill a third of the members, and wait until one of the others has noticed all of the failures."""
+    killed = [name for number, name in enumerate(rig.members) if number >= 5 and number % 3 == 0]
     since = time.monotonic()
-    rig.kill(*gone)
-    left = len(rig.members) - len(gone)
-
-    def known() -> bool:
-        """Return whether a member counts those that have gone as dead."""
-        seen = [m for m in rig.status("d4")["members"] if m["name"] in gone]
-        return not [m for m in seen if m["state"] in ("alive", "suspect")]
-
-    rig.wait_until(known, "their death is known", 300.0)
-    took = time.monotonic() - since
-    wrong = left - _alive(rig, "d4")
-    yield Measurement(True, f"{len(gone)} left without a word: one member knows all after {took:.1f} s")
+    rig.kill(*killed)
+    remaining = len(rig.members) - len(killed)
+
+    def has_noticed() -> bool:
+        """Return whether a member has declared all killed members dead."""
+        members = [m for m in rig.status("d4")["members"] if m["name"] in killed]
+        return not [m for m in members if m["state"] in ("alive", "suspect")]
+
+    rig.wait_until(has_noticed, "their death is known", 300.0)
+    elapsed = time.monotonic() - since
+    miscounted = remaining - _alive(rig, "d4")
+    yield Measurement(True, f"{len(killed)} left without a word: one member knows all after {elapsed:.1f} s")
     yield Measurement(
-        wrong <= left // 20, f"{wrong} of the {left} that are there are not held to be alive then"
+        miscounted <= remaining // 20,
+        f"{miscounted} of the {remaining} that are there are not held to be alive then",
     )
 
 
@@ -213,70 +223,74 @@
 
 
 def lists(size: int, seed: int, term: float, shared: bool) -> Iterator[Measurement]:
-    """Measure what the list service is asked, cold and warm, and how old the lists of sidecars are.
+    """Measure the calls to the list service, cold and warm, and the age of the sidecars' lists.
 
-    With `shared` one of them watches the list for all.
+    With `shared` one member watches the list for all others.
     """
-    how = "one watches for all" if shared else "each watches for itself"
-    register = ListServiceStub(LIST_ANSWERS_PER_SECOND)
+    description = "one watches for all" if shared else "each watches for itself"
+    list_service = ListServiceStub(LIST_ANSWERS_PER_SECOND)
     duty = {"work": '"list"' if shared else '"none"', "call": "", "every": ""}
     try:
         for number in range(10):
-            register.set_instance(f"n{number}", "SERVING", 9)
+            list_service.set_instance(f"n{number}", "SERVING", 9)
         with (
             TemporaryDirectory() as folder,
-            FleetRig(Path(folder), size, term, duty, seed=seed, discovery=register.address) as rig,
+            FleetRig(Path(folder), size, term, duty, seed=seed, discovery=list_service.address) as rig,
         ):
             rig.start_all()
             since = time.monotonic()
-            patience = 30 + 4 * size / LIST_ANSWERS_PER_SECOND
-            rig.wait_until(lambda: len(register.answers) >= size, "all have the list", patience)
+            timeout = 30 + 4 * size / LIST_ANSWERS_PER_SECOND
+            rig.wait_until(lambda: len(list_service.answers) >= size, "all have the list", timeout)
             cold = time.monotonic() - since
-            yield Measurement(True, f"{how}: {size} lists after {cold:.1f} s, {register.calls} calls")
+            yield Measurement(
+                True, f"{description}: {size} lists after {cold:.1f} s, {list_service.calls} calls"
+            )
             time.sleep(WARM_SECONDS)
-            calls, answers = register.calls, len(register.answers)
+            calls, answers = list_service.calls, len(list_service.answers)
             time.sleep(WARM_SECONDS)
             yield Measurement(
                 True,
-                f"{how}, warm, {WARM_SECONDS:g} s: {register.calls - calls} calls, "
-                f"{len(register.answers) - answers} answers",
+                f"{description}, warm, {WARM_SECONDS:g} s: {list_service.calls - calls} calls, "
+                f"{len(list_service.answers) - answers} answers",
+            )
+            calls, answers = list_service.calls, len(list_service.answers)
+            at = list_service.set_instance("n1", "DRAINING", 9)
+            expected = size if not shared else round(0.99 * size)
+            rig.wait_until(lambda: len(list_service.answers) - answers >= expected, "all ask", timeout)
+            change_seconds = list_service.answers[answers + expected - 1] - at
+            yield Measurement(
+                True, f"{description}: a change is in all own lists after {change_seconds:.1f} s"
             )
-            calls, answers = register.calls, len(register.answers)
-            at = register.set_instance("n1", "DRAINING", 9)
-            most = size if not shared else round(0.99 * size)
-            rig.wait_until(lambda: len(register.answers) - answers >= most, "all ask", patience)
-            own = register.answers[answers + most - 1] - at
-            yield Measurement(True, f"{how}: a change is in all own lists after {own:.1f} s")
             if shared:
-                yield _held_back(rig, at)
+                yield _measure_hold_back(rig, at)
     finally:
-        register.end()
+        list_service.end()
 
 
-def _held_back(rig: FleetRig, at: float) -> Measurement:
-    """When those who had not the new list yet stopped sending to the node."""
-    found = sorted(
+def _measure_hold_back(rig: FleetRig, at: float) -> Measurement:
+    """Measure when members without the new list stopped sending requests to the node."""
+    delays = sorted(
         event[0] - at
         for member in rig.members.values()
         for event in member.events
         if event[1].startswith("list-held-back") and event[0] > at
     )
-    if not found:
+    if not delays:
         return Measurement(False, "nobody held the node back")
     return Measurement(
-        found[-1] <= 2.5 + 1.0,
-        f"{len(found)} held it back meanwhile, after {found[len(found) // 2]:.2f} s (median), "
-        f"{found[-1]:.2f} (last)",
+        delays[-1] <= 2.5 + 1.0,
+        f"{len(delays)} held it back meanwhile, after {delays[len(delays) // 2]:.2f} s (median), "
+        f"{delays[-1]:.2f} (last)",
     )
 
 
 def play(cases: list[str], size: int, seed: int, term: float) -> Iterator[Measurement]:
-    """Start a fleet, and play cases one after the other.
+    """Start a fleet, and run cases one after the other.
 
     Raises
     ------
     ProcessError
-        Something doesn't come in time.
+        A condition does not hold in time.
     """
     random = Random(f"{seed}:duties")
     with TemporaryDirectory() as folder, FleetRig(Path(folder), size, term, seed=seed) as rig:
@@ -289,12 +303,13 @@
             time.sleep(SETTLE_TERMS * term)
         if size >= 9:
             yield from silent_loss(rig)
-        acts = rig.target.snapshot()
-        wrong = fencing_violations(acts)
-        let_in = [act for act in acts if act.is_accepted]
-        refused = len(acts) - len(let_in)
-        terms = len({act.epoch for act in let_in})
+        calls = rig.target.snapshot()
+        violations = fencing_violations(calls)
+        accepted = [call for call in calls if call.is_accepted]
+        refused = len(calls) - len(accepted)
+        term_count = len({call.epoch for call in accepted})
         yield Measurement(
-            not wrong,
-            f"{len(let_in)} acts in {terms} terms, {refused} refused, {len(wrong)} breaches {wrong[:3]}",
+            not violations,
+            f"{len(accepted)} acts in {term_count} terms, {refused} refused, "
+            f"{len(violations)} breaches {violations[:3]}",
         )
