--- a/tests/lab/live/test_bench.py
+++ b/tests/lab/live/test_bench.py
@@ -1,4 +1,4 @@
-"""Watching, processes that end with their parent, and the benchmark's harness: its structure, never speed."""
+"""Process measurements, processes that end with their parent, and the structure of the benchmark's report."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 WAIT_LIMIT_SECONDS = 30.0
 
 
-def test_a_watch_of_itself_sees_its_own_work_and_descriptors() -> None:
+def test_a_watch_measures_cpu_time_memory_and_descriptors() -> None:
     watch = Watch(time.monotonic())
     watch.add("me", os.getpid(), time.monotonic())
     watch.sample(time.monotonic())
-    until = time.process_time() + 0.2
-    while time.process_time() < until:
+    deadline = time.process_time() + 0.2
+    while time.process_time() < deadline:
         pass
     with Path(os.devnull).open() as _:
         watch.sample(time.monotonic())
-    me = watch.watched["me"]
-    before, after = me.looks
+    own = watch.watched["me"]
+    before, after = own.looks
     assert after.descriptors == before.descriptors + 1
-    assert me.cpu_s >= 0.15 and after.cpu > 0
-    assert me.peak_mb > 5
+    assert own.cpu_s >= 0.15 and after.cpu > 0
+    assert own.peak_mb > 5
 
 
-def test_an_ended_process_is_left_out_and_continues_its_row_when_restarted() -> None:
+def test_an_ended_process_is_not_sampled_and_its_measurements_continue_after_a_restart() -> None:
     watch = Watch(0.0)
     for at in (1.0, 3.0):
         with Process("upstream", module(f"{run.BENCH_PACKAGE}.upstream", run.HOST, "1")) as process:
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize("end", ["crash", "SIGINT", "SIGKILL"])
-def test_no_process_outlives_the_one_that_started_it(end: str, tmp_path: Path) -> None:
+def test_child_processes_end_with_their_parent(end: str, tmp_path: Path) -> None:
     with subprocess.Popen(
         [sys.executable, "-c", VICTIM, end],
         env={**os.environ, "PYTHONPATH": PROJECT_ROOT, "TMPDIR": str(tmp_path)},
@@ -73,28 +73,27 @@
         text=True,
     ) as victim:
         assert victim.stdout is not None
-        ends = []
+        pidfds = []
         for pid in map(int, victim.stdout.readline().split()):
             try:
-                ends.append(os.pidfd_open(pid))
-            except ProcessLookupError:  # it has ended already
+                pidfds.append(os.pidfd_open(pid))
+            except ProcessLookupError:  # it has already exited
                 assert end == "crash"
-        assert ends or end == "crash"
+        assert pidfds or end == "crash"
         if end != "crash":
             victim.send_signal(signal.Signals[end])
         assert victim.wait(WAIT_LIMIT_SECONDS) != 0
-    for descriptor in ends:
-        assert select.select([descriptor], [], [], WAIT_LIMIT_SECONDS)[
-            0
-        ]  # readable once its process has ended
+    for descriptor in pidfds:
+        # The descriptor becomes readable when its process has exited.
+        assert select.select([descriptor], [], [], WAIT_LIMIT_SECONDS)[0]
         os.close(descriptor)
 
 
-def test_a_sidecar_is_started_reloaded_and_stopped_as_a_user_does_it(tmp_path: Path) -> None:
-    told = configuration("s1", "127.0.0.1:0", "127.0.0.1:9", settings([run.CLASS]), 1)
-    with Sidecar(tmp_path, told) as sidecar:
+def test_a_sidecar_is_started_reloaded_and_stopped(tmp_path: Path) -> None:
+    config = configuration("s1", "127.0.0.1:0", "127.0.0.1:9", settings([run.CLASS]), 1)
+    with Sidecar(tmp_path, config) as sidecar:
         assert sidecar.port() > 0
-        sidecar.write({**told, "settings": None})
+        sidecar.write({**config, "settings": None})
         sidecar.send(signal.SIGHUP)
         assert "settings: missing" in sidecar.wait_for_line(
             "not-reloaded", time.monotonic() + WAIT_LIMIT_SECONDS
@@ -105,25 +104,27 @@
             sidecar.wait_for_line("reloaded", time.monotonic() + WAIT_LIMIT_SECONDS)
 
 
-def test_the_benchmark_measures_all_by_turns_and_gives_ratios() -> None:
+def test_the_benchmark_measures_all_targets_in_each_round_and_reports_ratios() -> None:
     sizes = run.Sizes(rounds=2, many=0.06, one=0.04, open=0.06, warm=0.02, late_ms=1e6)
-    said: list[str] = []
-    report = run.run(cores.least_busy_cores(), sizes, said.append)
-    again = msgspec.json.decode(msgspec.json.encode(report), type=run.Report)
-    assert again == report and len(said) == 2
-    for turn in report.rounds:
-        assert list(turn) == list(run.TARGETS)
-        for measure in turn.values():
+    progress: list[str] = []
+    report = run.run(cores.least_busy_cores(), sizes, progress.append)
+    decoded = msgspec.json.decode(msgspec.json.encode(report), type=run.Report)
+    assert decoded == report and len(progress) == 2
+    for bench_round in report.rounds:
+        assert list(bench_round) == list(run.TARGETS)
+        for measure in bench_round.values():
             assert measure.one_p50 <= measure.one_p99 and measure.open_p50 <= measure.open_p99
             assert measure.rss_mb > 5
     assert report.open_rate >= 1 and report.direct_limit in ("the generator", "neither", "it")
     for name in run.TARGETS:
-        values = [turn[name].per_s for turn in report.rounds]
+        values = [bench_round[name].per_s for bench_round in report.rounds]
         figure = report.figures[name]["per_s"]
         assert (figure.low, figure.high) == (min(values), max(values))
         assert figure.median == pytest.approx(sum(values) / 2)
         if name != run.SUBJECT:
-            ratios = [turn[run.SUBJECT].rss_mb / turn[name].rss_mb for turn in report.rounds]
+            ratios = [
+                bench_round[run.SUBJECT].rss_mb / bench_round[name].rss_mb for bench_round in report.rounds
+            ]
             assert report.ratios[name]["rss_mb"].median == pytest.approx(sum(ratios) / 2)
     text = "\n".join(table.summary_lines(report))
     assert all(title in text for _, title, _ in table.ROWS)
--- a/tests/lab/live/test_load.py
+++ b/tests/lab/live/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator's accounts, against servers that follow a script."""
+"""The load generator's counters, with scripted servers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from wheatring.lab.live.load import Ask, Load, Result, play
 from wheatring.lab.live.process import Process, module
 
-Script = Callable[[Wire, str], bool]  # answers a request of that id; False: the connection is over
+Script = Callable[[Wire, str], bool]  # answers the request with an id; False closes the connection
 
 
 @pytest.fixture(scope="module")
@@ -27,10 +27,10 @@
 
 @contextmanager
 def serving(script: Script) -> Iterator[int]:
-    """Run a server with a thread for each connection; yield its port."""
+    """Run a server with one thread per connection; yield its port."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=100)
 
-    def carry(wire: Wire) -> None:
+    def serve_connection(wire: Wire) -> None:
         try:
             while script(wire, wire.read()[1]["x-correlation-id"]):
                 pass
@@ -38,15 +38,15 @@
         except (OSError, EOFError):
             wire.close()
 
-    def take() -> None:
+    def accept_connections() -> None:
         try:
             while True:
                 wire = Wire(listener.accept()[0])
-                threading.Thread(target=carry, args=(wire,), daemon=True).start()
+                threading.Thread(target=serve_connection, args=(wire,), daemon=True).start()
         except OSError:
             return
 
-    threading.Thread(target=take, daemon=True).start()
+    threading.Thread(target=accept_connections, daemon=True).start()
     try:
         yield int(listener.getsockname()[1])
     finally:
@@ -54,21 +54,21 @@
         listener.close()
 
 
-def adds_up(result: Result) -> None:
+def assert_counts_add_up(result: Result) -> None:
     assert result.counts.total == result.asked
     assert sum(row.asked for row in result.rows) == result.asked
     assert all(row.counts.total == row.asked for row in result.rows)
 
 
-def test_latency_counts_from_the_planned_instant_however_long_a_request_waits(generator: Process) -> None:
+def test_latency_is_measured_from_the_scheduled_time(generator: Process) -> None:
     stalled = threading.Lock()
     received: list[str] = []
 
-    def script(wire: Wire, ident: str) -> bool:
+    def script(wire: Wire, request_id: str) -> bool:
         with stalled:
             if not received:
-                time.sleep(0.5)  # it is slow, once
-            received.append(ident)
+                time.sleep(0.5)  # the first response is slow
+            received.append(request_id)
         wire.answer(200, b"ok")
         return True
 
@@ -78,15 +78,15 @@
             patience=30.0, late_ms=1e6,
         )  # fmt: skip
         result = play(generator, load)
-    adds_up(result)
+    assert_counts_add_up(result)
     assert result.counts.served == len(received) == 10
-    # Planned each 0.05 s, none was answered before 0.5 s: they took 0.5, 0.45 ... 0.05 s at the least.
+    # Scheduled every 0.05 s and answered after 0.5 s at the earliest: at least 0.5, 0.45 ... 0.05 s each.
     assert result.mean_ms >= 270
     assert result.most_ms >= 495
     assert result.valid
 
 
-def test_a_generator_that_was_late_itself_calls_its_figures_invalid(generator: Process) -> None:
+def test_a_result_is_invalid_if_the_generator_itself_was_late(generator: Process) -> None:
     def script(wire: Wire, _ident: str) -> bool:
         wire.answer()
         return True
@@ -97,24 +97,28 @@
 
 
 @pytest.mark.parametrize("mode", ["open", "closed"])
-def test_each_request_is_counted_once_by_how_it_ended(mode: str, generator: Process) -> None:
+def test_each_request_is_counted_once_by_its_result(mode: str, generator: Process) -> None:
     random, lock = Random(5), threading.Lock()
-    ends: dict[str, list[str]] = {}
+    endings: dict[str, list[str]] = {}
     kept: set[Wire] = set()
 
-    def script(wire: Wire, ident: str) -> bool:
+    def script(wire: Wire, request_id: str) -> bool:
         with lock:
-            how = random.choice(["served", "served", "served", "refused", "failed", "last", "lost", "noise"])
-            ends.setdefault(ident, []).append(f"{how} later" if wire in kept and how == "lost" else how)
+            ending = random.choice(
+                ["served", "served", "served", "refused", "failed", "last", "lost", "noise"]
+            )
+            endings.setdefault(request_id, []).append(
+                f"{ending} later" if wire in kept and ending == "lost" else ending
+            )
             kept.add(wire)
-        if how == "lost":
+        if ending == "lost":
             return False
-        if how == "noise":
+        if ending == "noise":
             wire.send(b"HTTP/9 never\r\n\r\n")
             return True
-        status = {"served": 200, "last": 200, "refused": 503, "failed": 500}[how]
-        wire.answer(status, b"x" * 40, "Connection: close\r\n" if how == "last" else "")
-        return how != "last"
+        status = {"served": 200, "last": 200, "refused": 503, "failed": 500}[ending]
+        wire.answer(status, b"x" * 40, "Connection: close\r\n" if ending == "last" else "")
+        return ending != "last"
 
     with serving(script) as port:
         load = Load(
@@ -123,38 +127,42 @@
             asks=(Ask(name="a"), Ask(name="b", method="POST", keyed=True, body=9)),
         )  # fmt: skip
         result = play(generator, load)
-    adds_up(result)
-    assert len(ends) == result.asked > 10
-    word = {"last": "served", "noise": "lost"}
-    assert not any(hows[-1] == "lost later" for hows in ends.values())
-    seen = Counter(word.get(hows[-1], hows[-1]) for hows in ends.values())
+    assert_counts_add_up(result)
+    assert len(endings) == result.asked > 10
+    counted_as = {"last": "served", "noise": "lost"}
+    assert not any(endings_of_one[-1] == "lost later" for endings_of_one in endings.values())
+    seen = Counter(
+        counted_as.get(endings_of_one[-1], endings_of_one[-1]) for endings_of_one in endings.values()
+    )
     counts = result.counts
     assert (counts.served, counts.refused, counts.failed, counts.lost) == (
         seen["served"], seen["refused"], seen["failed"], seen["lost"],
     )  # fmt: skip
-    # Written again at most once each, and only where a kept connection ended without a word.
-    again = [hows for hows in ends.values() if len(hows) > 1]
-    assert result.resent == len(again) and all(hows[0] == "lost later" and len(hows) == 2 for hows in again)
+    # Resent at most once each, and only if a reused connection was closed without a response.
+    resent = [endings_of_one for endings_of_one in endings.values() if len(endings_of_one) > 1]
+    assert result.resent == len(resent) and all(
+        endings_of_one[0] == "lost later" and len(endings_of_one) == 2 for endings_of_one in resent
+    )
 
 
-def test_what_is_never_answered_is_given_up_at_its_deadline(generator: Process) -> None:
-    over = threading.Event()
+def test_unanswered_requests_time_out_at_their_deadlines(generator: Process) -> None:
+    stopped = threading.Event()
 
     def script(_wire: Wire, _ident: str) -> bool:
-        over.wait(20.0)
+        stopped.wait(20.0)
         return False
 
     with serving(script) as port:
         load = Load(host="127.0.0.1", port=port, rate=40.0, connections=2, warm=0.1, length=0.3, patience=0.3)
         result = play(generator, load)
-        over.set()
-    adds_up(result)
+        stopped.set()
+    assert_counts_add_up(result)
     assert result.counts.lost > 0
     assert result.counts.lost + result.counts.unreached == result.asked
     assert result.timed_out == result.asked + result.warmed
 
 
-def test_where_nobody_listens_all_are_unreached(generator: Process) -> None:
+def test_all_requests_are_unreached_if_no_server_listens(generator: Process) -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         port = taken.getsockname()[1]
@@ -164,5 +172,5 @@
                 connections=3, warm=0.1, length=0.2,
             )  # fmt: skip
             result = play(generator, load)
-            adds_up(result)
+            assert_counts_add_up(result)
             assert result.asked == result.counts.unreached > 0 == result.per_s
--- a/tests/lab/live/test_membership_views.py
+++ b/tests/lab/live/test_membership_views.py
@@ -1,4 +1,4 @@
-"""Agreed views of real processes: five to eight sidecars on links, whatever is done to them."""
+"""Agreed membership views of real processes: six sidecars, with faults of processes and links."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 @pytest.fixture
 def rig(tmp_path: Path) -> Iterator[FleetRig]:
-    with FleetRig(tmp_path, SIZE, TERM, fleet={"view": "true"}, control=range(SIZE)) as made:
-        made.start_all()
-        agree(made, made.members)
-        yield made
-        assert not [e for m in made.members.values() for e in m.events if e[1].startswith("unexpected")]
+    with FleetRig(tmp_path, SIZE, TERM, fleet={"view": "true"}, control=range(SIZE)) as created:
+        created.start_all()
+        agree(created, created.members)
+        yield created
+        assert not [e for m in created.members.values() for e in m.events if e[1].startswith("unexpected")]
 
 
 def views(rig: FleetRig, names: Any) -> dict[str, dict[str, Any]]:
@@ -30,15 +30,15 @@
 
 
 def agree(rig: FleetRig, names: Any) -> int:
-    """Wait until all of these stand in one view of just these, and count on it; its number."""
+    """Wait until members agree on a current view of exactly these members; return its number."""
 
-    def so() -> int:
+    def agreed_number() -> int:
         seen = views(rig, names)
-        alike = len({one["number"] for one in seen.values()}) == 1
-        whole = all(one["names"] == sorted(names) and one["sure"] for one in seen.values())
-        return int(next(iter(seen.values()))["number"]) if alike and whole else 0
+        same_number = len({one["number"] for one in seen.values()}) == 1
+        is_complete = all(one["names"] == sorted(names) and one["sure"] for one in seen.values())
+        return int(next(iter(seen.values()))["number"]) if same_number and is_complete else 0
 
-    found: int = rig.wait_until(so, f"one view of {' '.join(names)}")
+    found: int = rig.wait_until(agreed_number, f"one view of {' '.join(names)}")
     return found
 
 
@@ -68,7 +68,7 @@
     before = agree(rig, rig.members)
     rig.isolate("d5")
     agree(rig, without(rig, "d5"))
-    rig.wait_until(lambda: not views(rig, ["d5"])["d5"]["sure"], "it knows")
+    rig.wait_until(lambda: not views(rig, ["d5"])["d5"]["sure"], "it knows that its view is stale")
     old = views(rig, ["d5"])["d5"]
     assert old["number"] == before and old["members"] == SIZE
     rig.heal()
@@ -83,7 +83,7 @@
     assert agree(rig, without(rig, "d5")) == before + 1
 
 
-def test_one_bad_link_removes_nobody(rig: FleetRig) -> None:
+def test_a_broken_link_does_not_remove_members(rig: FleetRig) -> None:
     before = agree(rig, rig.members)
     rig.set_links(["d3"], ["d4"])
     rig.set_links(["d4"], ["d5"])
@@ -92,14 +92,14 @@
     agree(rig, rig.members)
 
 
-def test_a_leader_that_was_stopped_for_ten_terms_leads_nothing_when_it_goes_on(rig: FleetRig) -> None:
+def test_a_leader_paused_during_view_changes_does_not_lead_when_it_resumes(rig: FleetRig) -> None:
     leader = next(name for name, one in views(rig, rig.members).items() if one["leads"])
-    rest = without(rig, leader)
+    others = without(rig, leader)
     rig.pause(leader)
-    out = agree(rig, rest)
-    rig.kill("d5")  # a change that it knows nothing of
-    after = agree(rig, [name for name in rest if name != "d5"])
-    assert after > out
+    without_leader = agree(rig, others)
+    rig.kill("d5")  # a change that the paused leader misses
+    without_both = agree(rig, [name for name in others if name != "d5"])
+    assert without_both > without_leader
     rig.resume(leader)
     agree(rig, without(rig, "d5"))
     numbers = [view_entries(rig, name) for name in without(rig, "d5")]
@@ -112,18 +112,21 @@
     assert all(len(sizes) == 1 for sizes in by_number.values())
 
 
-def test_a_minority_of_voters_changes_nothing_and_all_meet_again(rig: FleetRig) -> None:
+def test_partitions_without_a_majority_of_voters_keep_the_view_and_recover(rig: FleetRig) -> None:
     before = agree(rig, rig.members)
     parts = (["d0", "d3"], ["d1", "d4"], ["d2", "d5"])
     for part in parts:
         rig.isolate(*part)
-    rig.wait_until(lambda: not any(one["sure"] for one in views(rig, rig.members).values()), "all know it")
+    rig.wait_until(
+        lambda: not any(one["sure"] for one in views(rig, rig.members).values()),
+        "all know that their views are stale",
+    )
     assert {one["number"] for one in views(rig, rig.members).values()} == {before}
     rig.heal()
     agree(rig, rig.members)
 
 
-def test_all_voters_that_start_anew_go_on_from_what_the_others_know(rig: FleetRig) -> None:
+def test_restarted_voters_continue_with_the_view_number_of_the_other_members(rig: FleetRig) -> None:
     before = agree(rig, rig.members)
     rig.kill("d0", "d1", "d2")
     for name in ("d0", "d1", "d2"):
--- a/tests/lab/live/test_play.py
+++ b/tests/lab/live/test_play.py
@@ -1,4 +1,4 @@
-"""A day on loopback with real sidecars: what it gives, what it refuses, and that nothing of it is left."""
+"""A run on loopback with real sidecars: its outcome, refused plans, and cleanup of processes."""
 
 from __future__ import annotations
 
@@ -147,11 +147,11 @@
 args = top.parse_args()
 sys.exit(args.call(args))
 """
-# Without its events, some of which end sidecars on their own, and too long to be over on a busy machine.
+# Without events, some of which end sidecars; long enough not to finish before the signal on a busy machine.
 LONG_CALM_DAY = DAY.partition("[[event]]")[0].replace("length = 2", "length = 60")
 
 
-def begin(tmp_path: Path, *words: str, day: str = DAY) -> subprocess.Popen[str]:
+def start_run(tmp_path: Path, *words: str, day: str = DAY) -> subprocess.Popen[str]:
     (tmp_path / "day.toml").write_text(day, encoding="utf-8")
     return subprocess.Popen(
         [sys.executable, "-c", COMMAND, "live", str(tmp_path / "day.toml"), *words],
@@ -163,26 +163,26 @@
 
 
 def sidecars(tmp_path: Path) -> list[int]:
-    """Return the processes that were started with a file in that folder, but for the play itself."""
+    """Return the process ids of sidecars that were started with a file in a folder."""
     found = []
     for entry in Path("/proc").iterdir():
         try:
             words = (entry / "cmdline").read_bytes().split(b"\0") if entry.name.isdigit() else []
-        except OSError:  # it has ended meanwhile
+        except OSError:  # the process has exited in the meantime
             continue
         if b"--operators" in words and any(word.startswith(bytes(tmp_path)) for word in words):
             found.append(int(entry.name))
     return found
 
 
-def test_a_day_of_faults_gives_an_outcome_as_in_virtual_time_and_leaves_nothing(tmp_path: Path) -> None:
-    with begin(tmp_path, "--json", str(tmp_path / "outcome")) as process:
+def test_a_run_with_faults_has_an_outcome_as_in_virtual_time_and_leaves_no_processes(tmp_path: Path) -> None:
+    with start_run(tmp_path, "--json", str(tmp_path / "outcome")) as process:
         out, err = process.communicate(timeout=WAIT_LIMIT_SECONDS)
-        assert process.returncode in (0, 1), err  # on a busy machine what comes late may look like a breach
+        assert process.returncode in (0, 1), err  # on a busy machine delays may be reported as breaches
     assert not sidecars(tmp_path)
-    told = (tmp_path / "outcome").read_bytes()
-    outcome = msgspec.json.decode(told, type=LiveOutcome)
-    assert msgspec.json.decode(told, type=Outcome).requests == outcome.requests
+    outcome_json = (tmp_path / "outcome").read_bytes()
+    outcome = msgspec.json.decode(outcome_json, type=LiveOutcome)
+    assert msgspec.json.decode(outcome_json, type=Outcome).requests == outcome.requests
     assert outcome.grain == "live" and outcome.requests > 20
     ends = [each.in_time + each.late + each.refused + each.failed for each in outcome.classes]
     assert sum(ends) == outcome.requests == sum(second.asked for second in outcome.seconds)
@@ -199,8 +199,8 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGKILL])
-def test_no_sidecar_outlives_a_day_that_is_broken_off(number: signal.Signals, tmp_path: Path) -> None:
-    with begin(tmp_path, day=LONG_CALM_DAY) as process:
+def test_all_sidecars_end_when_a_run_is_interrupted(number: signal.Signals, tmp_path: Path) -> None:
+    with start_run(tmp_path, day=LONG_CALM_DAY) as process:
         assert process.stderr is not None
         for line in process.stderr:
             if line.startswith("the day begins"):
@@ -211,53 +211,52 @@
         process.communicate(timeout=WAIT_LIMIT_SECONDS)
         assert process.returncode == (130 if number == signal.SIGINT else -number)
     for descriptor in started:
-        assert select.select([descriptor], [], [], WAIT_LIMIT_SECONDS)[
-            0
-        ]  # readable once its process has ended
+        # The descriptor becomes readable when its process has exited.
+        assert select.select([descriptor], [], [], WAIT_LIMIT_SECONDS)[0]
         os.close(descriptor)
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "message"),
     [
         (["clock-steps"], "clock-steps.toml: can't be played on loopback: clock_step"),
         (["calm", "--scale", "0"], "scale: must be above 0"),
     ],
 )
-def test_what_can_not_be_played_is_refused_by_name_before_anything_starts(
-    words: list[str], said: str, capsys: pytest.CaptureFixture[str]
+def test_an_unplayable_scenario_is_refused_before_any_process_starts(
+    words: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     top = argparse.ArgumentParser()
     lab_live.add(top.add_subparsers())
     args = top.parse_args(["live", *words])
     assert args.call(args) == 2
     out, err = capsys.readouterr()
-    assert out == "" and err.count("\n") == 1 and said in err
+    assert out == "" and err.count("\n") == 1 and message in err
 
 
-@pytest.mark.parametrize("part", [0.1, 0.34, 0.8])
+@pytest.mark.parametrize("scale_factor", [0.1, 0.34, 0.8])
 @pytest.mark.parametrize("name", names())
-def test_a_day_scaled_down_is_complete_and_as_loaded(name: str, part: float) -> None:
+def test_a_scaled_plan_is_consistent_and_keeps_the_load_per_capacity(name: str, scale_factor: float) -> None:
     for seed in range(1, 6):
         plan = draw(load(name), seed)
-        small = scale.scaled(plan, part)
-        there = {node.name: node for node in small.nodes}
-        front = {told.name for told in small.sidecars}
+        small = scale.scaled(plan, scale_factor)
+        remaining = {node.name: node for node in small.nodes}
+        front = {sidecar.name for sidecar in small.sidecars}
         assert front and len(front) <= len(plan.sidecars)
-        able = []
+        capacity_ratios = []
         for tier in range(len(plan.tiers)):
             cores = [0.0, 0.0]
-            for place, whole in enumerate((plan, small)):
-                nodes = [node for node in whole.nodes if node.tier == tier and node.up]
+            for index, each_plan in enumerate((plan, small)):
+                nodes = [node for node in each_plan.nodes if node.tier == tier and node.up]
                 assert nodes
-                cores[place] = sum(n.speed * plan.tiers[tier].kinds[n.kind].cores for n in nodes)
-            able.append(cores[1] / cores[0])
-        assert small.traffic.rate == pytest.approx(plan.traffic.rate * min(able))
+                cores[index] = sum(n.speed * plan.tiers[tier].kinds[n.kind].cores for n in nodes)
+            capacity_ratios.append(cores[1] / cores[0])
+        assert small.traffic.rate == pytest.approx(plan.traffic.rate * min(capacity_ratios))
         for event in small.events:
-            assert set(event.nodes) <= set(there)
-            assert set(event.sidecars) <= front | set(there)
-            assert not event.replaced_by or event.replaced_by in there
+            assert set(event.nodes) <= set(remaining)
+            assert set(event.sidecars) <= front | set(remaining)
+            assert not event.replaced_by or event.replaced_by in remaining
         for before in plan.events:
             if before.kind in ("slow", "hang", "fast_errors") and before.nodes:
                 after = next(e for e in small.events if (e.kind, e.at) == (before.kind, before.at))
-                assert 1 <= len(after.nodes) <= max(1, round(part * len(before.nodes)))
+                assert 1 <= len(after.nodes) <= max(1, round(scale_factor * len(before.nodes)))
--- a/tests/lab/live/test_view_cases.py
+++ b/tests/lab/live/test_view_cases.py
@@ -1,4 +1,4 @@
-"""What `lab duties` reads off the logs of members that agree, and how `fleet show` tells it."""
+"""Measurements of `lab duties` from the logs of members with agreed views, and the output of `fleet show`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def rig(**events: list[tuple[float, int, int]]) -> Any:
-    """Members whose logs say, so many seconds ago, in which view of how many they came to stand."""
+    """Return a rig whose members' logs have views: (time relative to now, number, size)."""
     now = time.monotonic()
     members = {
         name: SimpleNamespace(
@@ -22,20 +22,20 @@
     return SimpleNamespace(members=members, wait_until=lambda what, _why, _patience: what())
 
 
-def test_views_are_alike_while_all_stand_in_the_same() -> None:
-    made = rig(a=[(-100, 1, 3), (-6, 2, 2)], b=[(-100, 1, 3), (-4, 2, 2)])
-    judge = ViewHistory(made, time.monotonic() - 10)
-    assert judge.number == 1
-    assert abs(judge.share_with_same_view(["a", "b"]) - 0.8) < 0.01
-    assert [(one.number, one.members) for one in judge.changes(["a", "b"])] == [(2, 2)]
-    assert abs(judge.wait_for_same_view(["a", "b"], 2) - 6) < 0.1
-    assert judge.wait_for_same_view(["a", "b"], 3) < 0  # it has not come, and is waited for
+def test_the_share_of_time_with_the_same_view_is_measured() -> None:
+    created = rig(a=[(-100, 1, 3), (-6, 2, 2)], b=[(-100, 1, 3), (-4, 2, 2)])
+    history = ViewHistory(created, time.monotonic() - 10)
+    assert history.number == 1
+    assert abs(history.share_with_same_view(["a", "b"]) - 0.8) < 0.01
+    assert [(one.number, one.members) for one in history.changes(["a", "b"])] == [(2, 2)]
+    assert abs(history.wait_for_same_view(["a", "b"], 2) - 6) < 0.1
+    assert history.wait_for_same_view(["a", "b"], 3) < 0  # negative: there is no such view yet
 
 
-def test_a_change_counts_once_however_many_stand_in_it() -> None:
-    made = rig(a=[(-5, 4, 9), (-3, 5, 8), (-1, 6, 9)], b=[(-2, 5, 8)])
-    assert [one.number for one in ViewHistory(made, time.monotonic() - 4).changes(["a", "b"])] == [5, 6]
-    assert view_entries(made, "b")[0].is_inside
+def test_a_view_change_is_counted_once_for_all_members() -> None:
+    created = rig(a=[(-5, 4, 9), (-3, 5, 8), (-1, 6, 9)], b=[(-2, 5, 8)])
+    assert [one.number for one in ViewHistory(created, time.monotonic() - 4).changes(["a", "b"])] == [5, 6]
+    assert view_entries(created, "b")[0].is_inside
 
 
 def test_a_view_is_printed_on_one_line() -> None:
