--- a/tests/lab/rules/checker_driver.py
+++ b/tests/lab/rules/checker_driver.py
@@ -1,6 +1,6 @@
-"""An invariant checker on a clock of its own, with short methods for its events.
+"""Drives an invariant checker on a simulated clock, with short methods for its events.
 
-The last tier of its plan has no nodes.
+The last tier of the plan has no nodes.
 """
 
 from __future__ import annotations
@@ -56,45 +56,49 @@
 
 
 class CheckerDriver:
-    def __init__(self, plan: Plan | None = None, trace: Trace | None = None, family: Any = None) -> None:
+    def __init__(
+        self, plan: Plan | None = None, trace: Trace | None = None, first_request_of: Any = None
+    ) -> None:
         self.time = START
         self.plan = plan or make_plan()
-        self.book = InvariantChecker(self.plan, "exchange", lambda: self.time, START, trace, family)
+        self.checker = InvariantChecker(
+            self.plan, "exchange", lambda: self.time, START, trace, first_request_of
+        )
         for sidecar in ("lb", "front0"):
-            self.book.sidecar_up(sidecar)
+            self.checker.sidecar_up(sidecar)
         for node in self.plan.nodes:
-            self.book.known(node.name, "ready", 0.0)
+            self.checker.known(node.name, "ready", 0.0)
 
     def at(self, time: float) -> CheckerDriver:
-        """Go to a time since the start."""
+        """Set the clock to a time since the start."""
         self.time = START + time
         return self
 
     def take(self, ident: str = "r", index: int = SAFE, deadline: float = 6.0) -> None:
-        """`deadline`: as a time since the start."""
-        self.book.taken("lb", ident, index, f"key-{ident}", START + deadline)
+        """Record a taken request; `deadline` counts from the start."""
+        self.checker.taken("lb", ident, index, f"key-{ident}", START + deadline)
 
     def answer(self, ident: str = "r", kind: Any = "failed", stamp: str = "", **more: Any) -> None:
-        self.book.answered("lb", ident, kind, stamp, 0.0, **more)
+        self.checker.answered("lb", ident, kind, stamp, 0.0, **more)
 
     def send(self, node: str = "front0", ident: str = "r", sent: float | None = None) -> None:
-        """Let an attempt arrive now; `sent`: as a time since the start, else now."""
+        """Let an attempt arrive now; `sent` counts from the start and defaults to now."""
         at = self.time if sent is None else START + sent
-        self.book.sending("lb", node, at)
-        self.book.arrived("lb", node, ident, at)
+        self.checker.sending("lb", node, at)
+        self.checker.arrived("lb", node, ident, at)
 
     def reject(self, node: str = "front0", ident: str = "r") -> None:
-        self.book.turned_away(node, ident)
-        self.book.ended(node, ident)
+        self.checker.turned_away(node, ident)
+        self.checker.ended(node, ident)
 
     def serve(self, node: str = "front0", ident: str = "r") -> None:
-        stamp = self.book.made(node, ident)
-        self.book.ended(node, ident)
+        stamp = self.checker.made(node, ident)
+        self.checker.ended(node, ident)
         self.answer(ident, "served", stamp)
 
     def finish(self, **open_counts: int) -> Outcome:
-        return self.book.finish(1.0, {"lb": open_counts})
+        return self.checker.finish(1.0, {"lb": open_counts})
 
-    def broken(self, **open_counts: int) -> set[str]:
-        """Return the rules that were broken by the end of the day."""
+    def broken_rules(self, **open_counts: int) -> set[str]:
+        """Finish the day and return the rules that were broken."""
         return {breach.rule for breach in self.finish(**open_counts).breaches}
--- a/tests/lab/rules/test_figures.py
+++ b/tests/lab/rules/test_figures.py
@@ -1,4 +1,4 @@
-"""The figures against a slow and obvious reckoning."""
+"""The figures, compared with a slow and simple computation."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_figures_are_what_a_slow_computation_gives(seed: int) -> None:
+def test_figures_equal_a_simple_computation(seed: int) -> None:
     day, driver = make_day(seed), CheckerDriver()
     classes = driver.plan.classes
     events = sorted(
@@ -38,9 +38,9 @@
     for at, what, number in events:
         driver.at(at)
         if what == 0:
-            driver.book.asked(number, day[number][1])
+            driver.checker.asked(number, day[number][1])
         else:
-            driver.book.settled(number, day[number][3], 1)  # type: ignore[arg-type]
+            driver.checker.settled(number, day[number][3], 1)  # type: ignore[arg-type]
     driver.at(36.5)
     outcome = driver.finish()
 
@@ -84,9 +84,9 @@
         assert each.p50_ms == pytest.approx(times[ceil(len(times) / 2) - 1], rel=0.002, abs=1)
 
 
-def test_what_is_not_settled_has_failed() -> None:
+def test_first_tries_open_at_the_end_count_as_failed() -> None:
     driver = CheckerDriver()
-    driver.book.asked(1, 0)
+    driver.checker.asked(1, 0)
     outcome = driver.at(3).finish()
     assert (outcome.requests, outcome.seconds[0].failed, outcome.whole) == (1, 1, 0.0)
     assert outcome.g == pytest.approx(-0.031)
@@ -95,55 +95,55 @@
 def call(
     driver: CheckerDriver, sidecar: str, node: str, ident: str, work: float, served: bool = True
 ) -> None:
-    """Work for one attempt, told when it is over; then the answer."""
-    driver.book.worked(node, ident, work)
-    stamp = driver.book.made(node, ident)
-    driver.book.ended(node, ident)
+    """Record the work and the end of an attempt, then the answer unless `served` is False."""
+    driver.checker.worked(node, ident, work)
+    stamp = driver.checker.made(node, ident)
+    driver.checker.ended(node, ident)
     if served:
-        driver.book.answered(sidecar, ident, "served", stamp, 0.0)
+        driver.checker.answered(sidecar, ident, "served", stamp, 0.0)
 
 
-def test_work_is_wasted_that_serves_no_answer_of_a_client() -> None:
-    """A client's request runs twice at the front; each visit calls the next tier, one of them twice over."""
-    firsts = {"r": 1, "c1": 1, "c2": 1}
-    driver = CheckerDriver(family=firsts.get)
-    book: Any = driver.book
-    book.asked(1, 0)
+def test_work_without_an_answer_to_the_client_counts_as_waste() -> None:
+    """A request runs twice at the front; both attempts call the next tier, one of them with a retry."""
+    first_tries = {"r": 1, "c1": 1, "c2": 1}
+    driver = CheckerDriver(first_request_of=first_tries.get)
+    checker: Any = driver.checker
+    checker.asked(1, 0)
     driver.take()
     driver.send("front0")
     driver.send("front1")
     for sidecar, node, ident in (
         ("front0", "stock0", "c1"), ("front0", "stock0", "c1"), ("front1", "stock2", "c2"),
     ):  # fmt: skip
-        if ident not in book.requests:
-            book.taken(sidecar, ident, 0, "", START + 6)
-        book.arrived(sidecar, node, ident)
+        if ident not in checker.requests:
+            checker.taken(sidecar, ident, 0, "", START + 6)
+        checker.arrived(sidecar, node, ident)
     call(driver, "front0", "stock0", "c1", 1.0)
-    call(driver, "front0", "stock0", "c1", 10.0, served=False)  # nobody waits for it any more
+    call(driver, "front0", "stock0", "c1", 10.0, served=False)  # its caller has already been answered
     call(driver, "front1", "stock2", "c2", 100.0)
     call(driver, "lb", "front0", "r", 1000.0)
     call(driver, "lb", "front1", "r", 10000.0, served=False)
-    book.settled(1, "served", 1)
+    checker.settled(1, "served", 1)
     outcome = driver.finish()
     assert outcome.counts["work_useful"] == 1001.0
-    # What one request of the first class asks for: 0.2 s times a visit's 0.4, two calls' 0.6 and six' 0.1.
+    # Work of a request of the first class: 0.2 s times 0.4 at the front, 0.6 for 2 calls, 0.1 for 6 calls.
     assert outcome.waste == pytest.approx(10110.0 / (0.2 * (0.4 + 2 * 0.6 + 6 * 0.1)))
     assert outcome.g == pytest.approx(1 - 0.04 * outcome.waste)
     assert outcome.node_work["stock2"] == 100.0 and outcome.attempts_by_tier == [2, 3, 0]
     assert outcome.attempts_each == 2.0
 
 
-def test_choked_machines_cost_their_share_of_the_tier() -> None:
+def test_choked_nodes_cost_their_share_of_the_tier() -> None:
     choke = ChokePlan(at=3, over=2, slower=3, rest=3, below=0.5, most=20, price=0.06)
     plan = make_plan()
     front = structs.replace(plan.tiers[0], choke=choke)
     driver = CheckerDriver(structs.replace(plan, tiers=(front, *plan.tiers[1:])))
     for node in ("front1", "front1", "stock0"):
-        driver.book.choked(node)
+        driver.checker.choked(node)
     assert driver.finish().g == pytest.approx(1 - 0.06 / 3)
 
 
-def test_tries_without_an_attempt_that_end_late_are_counted() -> None:
+def test_tries_refused_late_without_an_attempt_are_counted() -> None:
     driver = CheckerDriver()
     for ident, at, attempts in (("a", 2.9, 0), ("b", 3.1, 0), ("c", 3.1, 1)):
         driver.at(0).take(ident, 1)
--- a/tests/lab/study/fake_runner.py
+++ b/tests/lab/study/fake_runner.py
@@ -1,4 +1,4 @@
-"""Stands in for a run of the world: outcomes by a formula from the seed, and faults on demand."""
+"""A fake run: computes outcomes by a formula from the seed, and fails on demand."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from wheatring.lab.study.runs import Build, RunSpec, build_at, hashed
 from wheatring.lab.study.settings import Settings, value_of
 
-HERE = build_at()
+BUILD = build_at()
 RUN = "tests.lab.study.fake_runner:play"
 
 
 def run_spec(
     seed: int, settings: Settings | None = None, scenario: str = "calm", build: Build | None = None
 ) -> RunSpec:
-    return RunSpec(scenario, hashed(scenario), "", seed, "wire", settings or Settings(), build or HERE)
+    return RunSpec(scenario, hashed(scenario), "", seed, "wire", settings or Settings(), build or BUILD)
 
 
 def settings_with(**sets: object) -> Settings:
@@ -31,8 +31,10 @@
 def play(spec: RunSpec) -> Outcome:
     """Return an outcome by a formula from the seed and the settings.
 
-    Settings: `gain` is added to g, `noise` is what sides of a pair do not share; `die`, `hang`, `raise`,
-    `broken` and `odd` name the one seed that does it; `log` is a file that each run adds its seed to.
+    Settings: `gain` is added to g; `noise` is the standard deviation of the part of g that differs between
+    the sides of a pair. `die`, `hang`, `raise`, `broken` (a breach) and `odd` (NaN figures) each name the
+    seed of the run with this fault. `log` is a file to which each run appends its seed, `pid` a file for the
+    process id of the run that hangs.
     """
     sets = {name: value_of(value) for name, value in spec.settings.sets}
     if "log" in sets:
@@ -50,34 +52,40 @@
 
 
 def outcome(spec: RunSpec, sets: dict[str, object]) -> Outcome:
-    shared, own = Random(f"{spec.scenario}:{spec.seed}"), Random(f"{spec.seed}:{spec.settings.text()}")
+    shared, individual = Random(f"{spec.scenario}:{spec.seed}"), Random(f"{spec.seed}:{spec.settings.text()}")
     noise, gain = float(str(sets.get("noise", 0.0))), float(str(sets.get("gain", 0.0)))
     if sets.get("odd") == spec.seed:
         gain = float("nan")
-    g = 0.7 + shared.gauss(0.0, 0.1) + own.gauss(0.0, noise) + gain + (latency_estimate.LEARNING_RATE - 0.2)
+    g = (
+        0.7
+        + shared.gauss(0.0, 0.1)
+        + individual.gauss(0.0, noise)
+        + gain
+        + (latency_estimate.LEARNING_RATE - 0.2)
+    )
     seconds = [_second(shared, 20 <= at < 30) for at in range(60)]
-    held = HdrHistogram(1, 60_000, 3)
+    histogram = HdrHistogram(1, 60_000, 3)
     for _ in range(200):
-        held.record_value(max(1, round(shared.lognormvariate(6.0, 0.6))))
-    found = [Breach("drain", 21.5, "a claim <went> to n1 late", "x1", "s1", "n1")]
-    broken = found if sets.get("broken") == spec.seed else []
+        histogram.record_value(max(1, round(shared.lognormvariate(6.0, 0.6))))
+    breaches = [Breach("drain", 21.5, "a claim <went> to n1 late", "x1", "s1", "n1")]
+    reported = breaches if sets.get("broken") == spec.seed else []
     return Outcome(
         scenario=spec.scenario, seed=spec.seed, grain=spec.grain, requests=sum(s.asked for s in seconds),
         service=g + 0.01, g=g, whole=g, worst_window=g - 0.2, worst_class=g - 0.1, waste=0.05,
-        simulated_s=66.0, wall_s=0.01, breaches=broken, breach_count=len(broken),
+        simulated_s=66.0, wall_s=0.01, breaches=reported, breach_count=len(reported),
         classes=[ClassFigures("menu-view", 100, 90, 5, 3, 2, 0.9, 300.0, 1900.0)], seconds=seconds,
         attempts_by_tier=[13_000, 20_000, 40_000], attempts_each=1.08,
         node_work={f"{tier}-{n}": shared.uniform(8, 20) for tier in ("front", "stock") for n in range(12)},
-        latency=held.encode().decode(), happened=[(20.0, "slow <n3> by 4"), (30.0, "n3 is well again")],
+        latency=histogram.encode().decode(), happened=[(20.0, "slow <n3> by 4"), (30.0, "n3 is well again")],
         counts={"choked": float(spec.seed % 3)},
     )  # fmt: skip
 
 
-def _second(drawn: Random, troubled: bool) -> SecondFigures:
-    asked = drawn.randint(180, 230)
-    late, refused, failed = (drawn.randint(0, 40 if troubled else 3) for _ in range(3))
+def _second(random: Random, degraded: bool) -> SecondFigures:
+    asked = random.randint(180, 230)
+    late, refused, failed = (random.randint(0, 40 if degraded else 3) for _ in range(3))
     return SecondFigures(
         asked, asked - late - refused - failed, late, refused, failed, asked * 2.0, asked * 1.8,
-        asked + refused, asked * 6 + 40 * troubled, 9 * troubled, int(troubled),
-        380.0, 4000.0 if troubled else 1900.0,
+        asked + refused, asked * 6 + 40 * degraded, 9 * degraded, int(degraded),
+        380.0, 4000.0 if degraded else 1900.0,
     )  # fmt: skip
--- a/tests/lab/study/test_commands.py
+++ b/tests/lab/study/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands, from the command line to the store, with a run that stands in for the world's."""
+"""The commands, from the command line to the store, with a fake run."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 import pytest
 
-from tests.lab.study.fake_runner import HERE, RUN
+from tests.lab.study.fake_runner import BUILD, RUN
 from wheatring import commands
 from wheatring.lab.scenario.load import ScenarioError, check_tables, load, load_tables, with_override
 from wheatring.lab.study import store
 from wheatring.lab.study.run_builder import make_run_specs, scenario_of
 from wheatring.lab.study.settings import Settings
 
-POLICY = "wheatring.balancer.latency_estimate"
+ESTIMATE_MODULE = "wheatring.balancer.latency_estimate"
 
 
 @pytest.fixture(autouse=True)
-def place(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def working_directory(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.chdir(tmp_path)
 
 
@@ -35,8 +35,8 @@
     assert lab(*sweep, "--json") == 0
     first, second = json.loads(capsys.readouterr().out)
     assert (first["runs"], second["settings"]) == (3, "--set clients.retries=2")
-    with store.opened(Path("found/lab.sqlite")) as kept:
-        before = kept.rows()
+    with store.open_store(Path("found/lab.sqlite")) as results:
+        before = results.rows()
         assert [(row.seed, row.settings[-1]) for row in before] == [(n, k) for k in "02" for n in (1, 2, 3)]
     assert lab(*sweep) == 0
     assert "clients.retries=2" in capsys.readouterr().out
@@ -52,7 +52,10 @@
 @pytest.mark.parametrize(
     ("words", "why"),
     [
-        (["--patch", f"{POLICY}:LERN=1"], f"--patch {POLICY}:LERN: {POLICY} has no LERN"),
+        (
+            ["--patch", f"{ESTIMATE_MODULE}:LERN=1"],
+            f"--patch {ESTIMATE_MODULE}:LERN: {ESTIMATE_MODULE} has no LERN",
+        ),
         (["--set", "clients.retry=1"], "calm.toml: clients.retry: "),
         (["--set", "clients.retries=many"], "calm.toml: clients.retries: "),
         (["--set", "tier.nave.calls=2"], "calm.toml: --set tier.nave.calls: there is no nave"),
@@ -61,7 +64,7 @@
         (["--workers", "0"], "--workers 0: must be"),
     ],
 )
-def test_an_impossible_argument_is_reported_on_one_line(
+def test_an_invalid_argument_is_reported_on_one_line(
     words: list[str], why: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     args = commands.build_parser().parse_args(["lab", "sweep", "calm", *words])
@@ -70,16 +73,16 @@
     assert out == "" and why in err and err.count("\n") == 1
 
 
-def test_two_builds_are_compared_each_with_its_own_code(
+def test_each_of_two_compared_builds_runs_its_own_code(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The stand-in's g follows a constant of the policy, which the other checkout has 0.05 higher."""
-    root = Path(HERE.folder)
+    """The fake run's g contains a constant of the balancer, which is 0.05 higher in the other checkout."""
+    root = Path(BUILD.folder)
     other = tmp_path / "other"
     shutil.copytree(root / "wheatring", other / "wheatring", ignore=shutil.ignore_patterns("__pycache__"))
-    policy = other / "wheatring" / "balancer" / "latency_estimate.py"
-    policy.write_text(policy.read_text().replace("\nLEARNING_RATE = 0.2 ", "\nLEARNING_RATE = 0.25 "))
-    monkeypatch.chdir(root)  # this checkout must not come first in the other's processes
+    module = other / "wheatring" / "balancer" / "latency_estimate.py"
+    module.write_text(module.read_text().replace("\nLEARNING_RATE = 0.2 ", "\nLEARNING_RATE = 0.25 "))
+    monkeypatch.chdir(root)  # this checkout must not shadow the other one in its workers
     store = str(tmp_path / "runs.sqlite")
     words = ("compare", "calm", "--seeds", "1-4", "--figure", "latency.99", "--store", store)
     assert lab(*words, "--build-b", str(other), "--json") == 0
@@ -95,9 +98,9 @@
     assert "no checkout of the project" in capsys.readouterr().err
 
 
-def test_settings_stand_over_the_scenario_and_leave_its_hash() -> None:
-    (spec,) = make_run_specs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), HERE)
-    (plain,) = make_run_specs("three-tiers", [1], ["wire"], Settings(), HERE)
+def test_settings_override_the_scenario_but_not_its_hash() -> None:
+    (spec,) = make_run_specs("three-tiers", [1], ["wire"], Settings((("clients.retries", "2"),)), BUILD)
+    (plain,) = make_run_specs("three-tiers", [1], ["wire"], Settings(), BUILD)
     assert spec.text_hash == plain.text_hash and scenario_of(plain).scenario == load("three-tiers").scenario
     assert scenario_of(spec).scenario.clients.retries == 2
 
@@ -105,13 +108,13 @@
     last = raw["tier"][-1]["name"]
     changed = check_tables(with_override(raw, f"tier.{last}.nodes", 7), name, where).scenario
     assert changed.tiers[-1].nodes == 7 and changed.tiers[-1].times is None
-    paced = check_tables(with_override(raw, "traffic.rate", 50), name, where).scenario
-    assert (paced.traffic.rate, paced.traffic.load) == (50, None)
+    with_rate = check_tables(with_override(raw, "traffic.rate", 50), name, where).scenario
+    assert (with_rate.traffic.rate, with_rate.traffic.load) == (50, None)
     with pytest.raises(ScenarioError):
         check_tables(with_override(raw, "trafic.rate", 50), name, where)
 
 
-def test_the_cost_of_a_day_is_reported(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_pace_command_reports_the_cost_of_a_day(capsys: pytest.CaptureFixture[str]) -> None:
     assert lab("pace", "small", "--grain", "exchange", "--seconds", "0.5") == 0
     first, *_, last = capsys.readouterr().out.splitlines()
     assert first.startswith("small, seed 1, exchange: ") and " us of CPU a call, " in last
--- a/wheatring/commands/lab_study.py
+++ b/wheatring/commands/lab_study.py
@@ -136,10 +136,10 @@
     from wheatring.lab.study import settings, store, sweep
     from wheatring.lab.study.runs import build_at
 
-    choices = [settings.with_fault(each, args.plant) for each in settings.varied(args.set, args.patch)]
+    choices = [settings.with_fault(each, args.plant) for each in settings.combinations(args.set, args.patch)]
     specs = _runs_in_order(args, choices, build_at())
     args.store.parent.mkdir(parents=True, exist_ok=True)
-    with store.opened(args.store) as kept:
+    with store.open_store(args.store) as kept:
         swept = sweep.play(
             specs, kept, args.run, workers=args.workers, limit=args.limit, fail_fast=args.fail_fast
         )
@@ -154,7 +154,7 @@
     import msgspec
 
     from wheatring.lab.study import compare, settings, store, sweep
-    from wheatring.lab.study.runs import HERE, build_at
+    from wheatring.lab.study.runs import CHECKOUT, build_at
 
     sides, labels = [], []
     for side in ("a", "b"):
@@ -162,14 +162,14 @@
         plain = settings.single(args.set + own[f"set_{side}"], args.patch + own[f"patch_{side}"])
         chosen = settings.with_fault(plain, args.plant)
         folder = own[f"build_{side}"]
-        sides.append(_runs_in_order(args, [chosen], build_at(folder or HERE)))
+        sides.append(_runs_in_order(args, [chosen], build_at(folder or CHECKOUT)))
         labels.append(chosen.label() + (f", build {folder}" if folder else ""))
     names = list(dict.fromkeys(["g", "service", *args.figure]))
     args.store.parent.mkdir(parents=True, exist_ok=True)
-    with store.opened(args.store) as kept:
+    with store.open_store(args.store) as kept:
         both = [spec for pair in zip(*sides, strict=True) for spec in pair]
         swept = sweep.play(both, kept, args.run, workers=args.workers, limit=args.limit)
-        found = compare.compared(kept, sides[0], sides[1], names, (labels[0], labels[1]))
+        found = compare.compare_runs(kept, sides[0], sides[1], names, (labels[0], labels[1]))
     if args.json:
         print(msgspec.json.encode(found).decode())
     else:
@@ -194,17 +194,17 @@
             outcome = msgspec.json.decode(args.file.read_bytes(), type=Outcome)
         except msgspec.DecodeError as error:
             raise StudyError(f"{args.file}: neither a store nor an outcome: {error}") from error
-        text = day.of_run(outcome, "")
+        text = day.run_page(outcome, "")
     else:
         chosen = settings.single(args.set, args.patch).text() if args.set or args.patch else None
-        with store.opened(args.file, new=False) as kept:
+        with store.open_store(args.file, new=False) as kept:
             rows = kept.rows(args.scenario, args.grain, chosen, args.build, args.seed)
             if not rows:
                 raise StudyError(f"{args.file}: no such run is there")
             if len(rows) == 1 and rows[0].state == "done":
-                text = day.of_run(kept.outcome(rows[0]), replay_of(rows[0]))
+                text = day.run_page(kept.outcome(rows[0]), replay_of(rows[0]))
             else:
                 names = dict.fromkeys(row.scenario for row in rows)
-                text = several.of_set(rows, f"{len(rows)} runs of {', '.join(names)}")
+                text = several.run_set_page(rows, f"{len(rows)} runs of {', '.join(names)}")
     args.output.write_text(text, encoding="utf-8")
     return 0
--- a/wheatring/lab/rules/__init__.py
+++ b/wheatring/lab/rules/__init__.py
@@ -1,9 +1,10 @@
-"""The invariant checker of the lab: each event is held to the rules as it is noted, and figures are kept.
+"""The lab's invariant checker: checks each recorded event against the rules, and computes the figures.
 
 `InvariantChecker` implements the lab's `EventRecorder`; `Trace` writes or hashes every event. Each rule has a
-module of its own: `answers` (the first, and what is served), `duplicates` (the second), `drains` (the third),
-`warm_up` (the fourth), `bounds`; `links` says what the rules allow for links. May import the lab's `plan`,
-`event_recorder` and `outcome`, of the models only the pure `cold`, and nothing of attachments or the sidecar.
+module of its own: `answers` (the first rule, and the origin of served answers), `duplicates` (the second),
+`drains` (the third), `warm_up` (the fourth) and `bounds`. `links` computes the link delays and partitions for
+which the rules make allowance. This package may import the lab's `plan`, `event_recorder` and `outcome`, of
+the models only the pure `slow_start`, and nothing of attachments or the sidecar.
 """
 
 from wheatring.lab.rules.breaches import MisuseError
--- a/wheatring/lab/rules/answers.py
+++ b/wheatring/lab/rules/answers.py
@@ -1,10 +1,10 @@
-"""The first rule, and what is served: whether the end of a request is what its sidecar owed it.
+"""The first rule: each request gets one final answer in time, and a served answer comes from a node.
 
-A request is owed one final answer by its deadline and the grace, in which the share of links is. Its caller
-is there until then: one that leaves earlier is owed nothing. What a killed sidecar had in flight is excused,
-but not what it had taken more than 0.7 s after SIGTERM: it should have stopped listening by then. What a
-sidecar that ends by itself has not answered is lost. A partition between both sides excuses what it may have
-delayed.
+A sidecar must answer a request by its deadline plus a grace, which covers link delays. If the caller leaves
+earlier, no answer is required. Requests in flight at a killed sidecar are excused, except those that it took
+more than 0.7 s after SIGTERM: it should have stopped listening by then. Requests that a sidecar has not
+answered when it exits on its own are lost. A partition between sidecar and caller excuses the answers that it
+may have delayed.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from wheatring.lab.rules.links import Links
 from wheatring.lab.rules.requests import Attempt, Request
 
-ARRIVAL_AFTER_STOP_SECONDS = 0.7  # seconds after SIGTERM in which requests may still come
-ROUNDING_SECONDS = 1e-9  # what sums of instants may be off by
+ARRIVAL_AFTER_STOP_SECONDS = 0.7  # how long after SIGTERM a sidecar may still accept requests
+ROUNDING_SECONDS = 1e-9  # rounding error of sums of times
 
 
 class Answers:
-    """Judges each end of a request against what its sidecar owed it. Times are seconds."""
+    """Checks how each request ended at its sidecar. Times are in seconds."""
 
     def __init__(self, grace: float, links: Links, breaches: Breaches) -> None:
         self.grace = grace
@@ -26,32 +26,32 @@
         self.breaches = breaches
 
     def check_late(self, request: Request, at: float) -> None:
-        """Judge an answer at an instant past the deadline of its request."""
+        """Check an answer written after the deadline of its request."""
         if at > request.deadline + self.grace + ROUNDING_SECONDS and not self._is_excused(request):
-            over = at - request.deadline
-            self._add_breach(request, f"{request.sidecar} answered {over:.3f} s after the deadline.")
+            delay = at - request.deadline
+            self._add_breach(request, f"{request.sidecar} answered {delay:.3f} s after the deadline.")
 
     def check_unanswered(self, request: Request, at: float) -> None:
-        """Judge a request without an answer at an instant: its caller gave up or its sidecar ended."""
-        due = request.deadline + self.grace - ROUNDING_SECONDS
-        if at >= due and not request.is_excused and not self._is_excused(request):
+        """Check a request still unanswered at time `at`, when its caller gave up or its sidecar ended."""
+        due_at = request.deadline + self.grace - ROUNDING_SECONDS
+        if at >= due_at and not request.is_excused and not self._is_excused(request):
             what = f"{request.sidecar} had given no answer {self.grace} s after the deadline."
             self._add_breach(request, what)
 
     def check_lost(self, request: Request, why: str) -> None:
-        """Judge a request that its sidecar lost after it had taken it."""
+        """Check a request that its sidecar lost after taking it."""
         if request.is_excused or self._was_cut(request.sidecar, request.taken_at, self.breaches.now()):
             return
         self._add_breach(request, f"{request.sidecar} lost a request that it had taken: {why}.")
 
     def check_dropped(self, request: Request) -> None:
-        """Judge a connection closed as if between requests, though an attempt shows that one was read."""
+        """Report a connection closed as if idle, though an attempt shows that a request was read from it."""
         if not request.is_excused:
             what = f"{request.sidecar} had read the request, and closed its connection unanswered."
             self._add_breach(request, what)
 
     def find_attempt(self, request: Request, stamp: str) -> Attempt | None:
-        """Return the attempt that made the answer; without one, the answer is a breach."""
+        """Return the attempt that made the answer; report a breach and return None if there is none."""
         for attempt in request.attempts:
             if attempt.stamp == stamp and stamp:
                 return attempt
--- a/wheatring/lab/rules/bounds.py
+++ b/wheatring/lab/rules/bounds.py
@@ -1,9 +1,10 @@
-"""The bounds of one sidecar: what it holds at most, and that nothing is left over.
+"""Resource bounds of a sidecar: the limit on its descriptors, and no leftovers at the end of the day.
 
-The world counts, for each sidecar that still runs at the end, by name. `most_sockets` is the most descriptors
-that it held at any time. Every other name is something that should be gone: `jobs`, `claims`, `timers` beyond
-its own periodic ones, `connections` with a request on them. A sidecar that has taken requests whose time is
-not over at the end still has them, and their attempts, in hand: of that one nothing is left over.
+For each sidecar still running at the end, the world reports counts by name. `most_sockets` is the peak number
+of open descriptors. Every other name counts something that should have been released: `jobs`, `claims`,
+`timers` other than the periodic ones, `connections` that carry a request. A sidecar with requests whose
+deadline and grace have not passed by the end is exempt, because these requests and their attempts are still
+in flight.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 from wheatring.lab.rules.breaches import Breaches
 
 
-def judge(
+def check_bounds(
     leftovers: Mapping[str, Mapping[str, int]], limits: LimitsPlan, busy: set[str], breaches: Breaches
 ) -> None:
-    """`busy`: the sidecars with requests whose time is not over."""
+    """Check the reported counts; `busy` are the sidecars with requests that may still be in flight."""
     for sidecar in sorted(leftovers):
         counts = leftovers[sidecar]
         for name in sorted(counts):
--- a/wheatring/lab/rules/breaches.py
+++ b/wheatring/lab/rules/breaches.py
@@ -1,4 +1,4 @@
-"""Breaches as they are found: all are counted, the first hundred kept."""
+"""Records breaches of rules: counts all of them and keeps the first hundred."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class MisuseError(Exception):
-    """An event was recorded that can't happen: the fault is of the lab, not of the sidecar."""
+    """An impossible event was recorded, which is a bug of the lab and not of the sidecar."""
 
 
 class Breaches:
-    """The breaches found so far. Instants are seconds of the world."""
+    """The breaches found so far. Times are seconds on the world's clock."""
 
     def __init__(self, now: Callable[[], float], start: float, trace: Trace | None) -> None:
         self.now = now
@@ -27,7 +27,7 @@
         self.kept: list[Breach] = []
 
     def add(self, rule: str, what: str, *, ident: str = "", sidecar: str = "", node: str = "") -> int:
-        """Add a breach found now; return its index in the list, or -1 where it is not kept."""
+        """Add a breach at the current time; return its index in the list, or -1 if it is not kept."""
         at = round(self.now() - self.start, 9)
         self.count += 1
         if self.trace is not None:
@@ -37,6 +37,6 @@
         self.kept.append(Breach(rule, at, what, ident, sidecar, node))
         return len(self.kept) - 1
 
-    def name(self, place: int, ident: str) -> None:
-        """Name the request at fault, known only later, of the breach at an index."""
-        self.kept[place] = structs.replace(self.kept[place], ident=ident)
+    def set_ident(self, index: int, ident: str) -> None:
+        """Set the request of the breach at an index, for a request identified only after the breach."""
+        self.kept[index] = structs.replace(self.kept[index], ident=ident)
--- a/wheatring/lab/rules/discovery_calls.py
+++ b/wheatring/lab/rules/discovery_calls.py
@@ -1,4 +1,4 @@
-"""What the sidecars' calls cost discovery, and when each sidecar has its list."""
+"""Counts the sidecars' calls to discovery, and measures when each sidecar gets its first list."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class DiscoveryCalls:
-    """Counts calls by second. `since` gives the seconds from the start of the day to an instant."""
+    """Counts calls by second. `day_seconds` converts a time to seconds since the start of the day."""
 
-    def __init__(self, since: Callable[[float], float]) -> None:
-        self.since = since
+    def __init__(self, day_seconds: Callable[[float], float]) -> None:
+        self.day_seconds = day_seconds
         self.figures = DiscoveryCallFigures()
-        self.open_calls: dict[str, int] = {}  # calls by sidecar that are open
-        self.started_at: dict[str, float] = {}  # when each did, the last time
-        self.answered: set[str] = set()  # sidecars whose last call that ended by itself was answered
+        self.open_calls: dict[str, int] = {}  # by sidecar
+        self.started_at: dict[str, float] = {}  # last start of each sidecar
+        self.answered: set[str] = set()  # sidecars whose last finished call was answered
 
     def record_call(self, sidecar: str, at: float) -> None:
-        """Note a call of a sidecar to discovery."""
+        """Record a call of a sidecar to discovery."""
         self.figures.calls += 1
         self.open_calls[sidecar] = self.open_calls.get(sidecar, 0) + 1
         if sidecar not in self.answered:
@@ -26,22 +26,22 @@
             self._count(self.figures.asked, at)
 
     def record_answer(self, sidecar: str, at: float) -> None:
-        """Note that discovery has answered a call of a sidecar."""
+        """Record that discovery has answered a call of a sidecar."""
         self.figures.brought += 1
         self.figures.first.setdefault(sidecar, round(at - self.started_at.get(sidecar, at), 3))
         self.open_calls[sidecar] = 0
         self.answered.add(sidecar)
 
-    def up(self, sidecar: str, at: float) -> None:
-        """Note that a sidecar has started without a list."""
+    def sidecar_up(self, sidecar: str, at: float) -> None:
+        """Record that a sidecar has started without a list."""
         self.started_at[sidecar] = at
-        self.figures.started[sidecar] = round(max(0.0, self.since(at)), 3)
+        self.figures.started[sidecar] = round(max(0.0, self.day_seconds(at)), 3)
         self.figures.first.pop(sidecar, None)
         self.open_calls.pop(sidecar, None)
         self.answered.discard(sidecar)
 
     def record_end(self, sidecar: str, failed: bool, at: float) -> None:
-        """Note that a call has ended, perhaps by a failure."""
+        """Record that a call has ended without an answer; `failed` if it failed."""
         if failed:
             self.figures.failed += 1
             self.answered.discard(sidecar)
@@ -50,7 +50,7 @@
             self.figures.given_up += 1
         self.open_calls[sidecar] = 0
 
-    def _count(self, rows: list[int], at: float) -> None:
-        second = max(0, int(self.since(at)))
-        rows.extend([0] * (second + 1 - len(rows)))
-        rows[second] += 1
+    def _count(self, counts: list[int], at: float) -> None:
+        second = max(0, int(self.day_seconds(at)))
+        counts.extend([0] * (second + 1 - len(counts)))
+        counts[second] += 1
--- a/wheatring/lab/rules/drains.py
+++ b/wheatring/lab/rules/drains.py
@@ -1,12 +1,14 @@
-"""The third rule: what each sidecar knows of each node, or is presumed to know, and since when.
+"""The third rule: tracks which state of each node every sidecar knows, or is presumed to know.
 
-A change is presumed to be known, sent or not:
+The rule forbids attempts to a node that the sidecar knows to be draining or gone. A sidecar is presumed to
+know a change, whether discovery has sent it or not:
 
-- within a call that may wait, 2 s after that wait ends; within another, `told_within` after both were there;
-- without a call, `ask_within` after the last one, four times as long where that one failed.
+- during a long-polling call, 2 s after the end of its wait;
+- during a call without a wait, `told_within` after the later of the call and the change;
+- without an open call, `ask_within` after the last call ended, or four times that if it failed.
 
-A call that ends without a change leaves it to the next call. Where changes reach a sidecar out of order, the
-older one has no effect.
+If a call ends without the change, the presumption depends on the next call. If changes reach a sidecar out of
+order, the older one has no effect.
 """
 
 from __future__ import annotations
@@ -19,11 +21,11 @@
 
 AFTER_WAIT_SECONDS = 2.0
 AFTER_FAILURE_FACTOR = 4
-MAX_KEPT_CHANGES = 16  # changes of one node that are remembered
+MAX_KEPT_CHANGES = 16  # per node
 
 
 class Change:
-    """One change of a node's state that discovery knows. `sequence` numbers all of them."""
+    """A change of a node's state that discovery knows, numbered by `sequence` over all nodes."""
 
     __slots__ = ("known_at", "sequence", "started_at", "state")
 
@@ -35,19 +37,19 @@
 
 
 class ListCall(NamedTuple):
-    """A call of a sidecar to discovery that is open."""
+    """An open call of a sidecar to discovery."""
 
     since: float
-    wait: float  # seconds that it may wait for a change
+    wait: float  # longest wait for a change, in seconds
 
     @property
     def until(self) -> float:
-        """When its wait is over."""
+        """The time at which the wait ends."""
         return self.since + self.wait
 
 
 class SidecarKnowledge:
-    """What one sidecar has been notified of since its start."""
+    """Changes that a sidecar has been notified of, or is presumed to know, since its start."""
 
     __slots__ = (
         "calls",
@@ -60,17 +62,17 @@
     )
 
     def __init__(self, at: float) -> None:
-        self.calls: list[ListCall] = []  # open ones
-        self.idle_since = at  # without a call since then
-        self.last_call_failed = False  # the last call
+        self.calls: list[ListCall] = []
+        self.idle_since = at  # end of the last call
+        self.last_call_failed = False
         self.pending: dict[str, list[Change]] = {}  # by node
-        self.newest: dict[str, Change] = {}  # the newest change of which it was notified, by node
-        self.presumed: dict[str, Change] = {}  # the newest presumed to be known, by node
-        self.unavailable_since: dict[str, float] = {}  # by node that it knows to be draining or gone
+        self.newest: dict[str, Change] = {}  # newest known or presumed change, by node
+        self.presumed: dict[str, Change] = {}  # newest presumed change, by node
+        self.unavailable_since: dict[str, float] = {}  # by node known to be draining or gone
 
 
 class Drains:
-    """Keeps what each sidecar knows of each node. Instants are seconds of the world."""
+    """Tracks the node states known to each sidecar. Times are seconds on the world's clock."""
 
     def __init__(self, plan: Plan, links: Links) -> None:
         self.links = links
@@ -80,15 +82,15 @@
         self.sends_to = {sidecar.name: 0 for sidecar in plan.sidecars}
         self.sends_to.update({node.name: node.tier + 1 for node in plan.nodes})
         self.knowledge_by_sidecar: dict[str, SidecarKnowledge] = {}
-        self.changes: dict[str, list[Change]] = {}  # by node, the oldest first
+        self.changes: dict[str, list[Change]] = {}  # by node, oldest first
         self.change_count = 0
-        self.ever_unavailable: dict[str, None] = {}  # nodes that were ever known to be draining or gone
-        self.late_count = 0  # changes that a sidecar was notified of after it was presumed to know them
+        self.ever_unavailable: dict[str, None] = {}  # nodes that were draining or gone at any time
+        self.late_count = 0  # notifications sent after the change was presumed known
 
     # Sidecars
 
     def sidecar_up(self, sidecar: str, at: float) -> None:
-        """Note that a sidecar has started, and knows nothing yet."""
+        """Record that a sidecar has started without knowledge of the nodes."""
         knowledge = self.knowledge_by_sidecar[sidecar] = SidecarKnowledge(at)
         tier = self.sends_to.get(sidecar)
         for node, changes in self.changes.items():
@@ -96,28 +98,28 @@
                 knowledge.pending[node] = [changes[-1]]
 
     def sidecar_down(self, sidecar: str) -> None:
-        """Note that a sidecar has ended."""
+        """Record that a sidecar has ended."""
         self.knowledge_by_sidecar.pop(sidecar, None)
 
     def record_call(self, sidecar: str, wait: float, at: float) -> None:
-        """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
+        """Record a call of a sidecar to discovery that may wait for `wait` seconds."""
         knowledge = self.knowledge_of(sidecar, at)
         self._apply_due_changes(knowledge, at)
         knowledge.calls.append(ListCall(at, wait))
 
     def record_call_end(self, sidecar: str, failed: bool, at: float) -> None:
-        """Note that a call ended without a change, perhaps by a failure."""
+        """Record that a call ended without a change; `failed` if it failed."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None or not knowledge.calls:
-            return  # the call of a process that has ended
+            return  # the calling process has ended
         self._apply_due_changes(knowledge, at)
-        # Which one it is nobody says. The one that waits less is over sooner.
+        # The event does not identify the call; assume the one with the earliest end of its wait.
         knowledge.calls.remove(min(knowledge.calls, key=lambda call: call.until))
         knowledge.idle_since = at
         knowledge.last_call_failed = failed
 
     def knowledge_of(self, sidecar: str, at: float) -> SidecarKnowledge:
-        """Return the knowledge of a sidecar, which is started where it is not known."""
+        """Return the knowledge of a sidecar; an unknown sidecar is recorded as started."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None:
             self.sidecar_up(sidecar, at)
@@ -127,7 +129,7 @@
     # Changes
 
     def record_state(self, node: str, state: NodeState, started: float, at: float) -> None:
-        """Note that discovery knows a new state of a node."""
+        """Record that discovery knows a new state of a node."""
         self.change_count += 1
         change = Change(self.change_count, at, state, started)
         changes = self.changes.setdefault(node, [])
@@ -145,7 +147,7 @@
     def record_notification(
         self, sidecar: str, node: str, state: NodeState, started: float, at: float
     ) -> None:
-        """Note that discovery has sent a state of a node to a sidecar."""
+        """Record that discovery has sent a state of a node to a sidecar."""
         knowledge = self.knowledge_of(sidecar, at)
         self._apply_due_changes_of(knowledge, node, at)
         change = None
@@ -153,7 +155,7 @@
             if each.state == state and each.started_at == started:
                 change = each
                 break
-        if change is None:  # discovery tells what it never knew: news all the same
+        if change is None:  # a state that was never recorded as known to discovery still counts
             self.change_count += 1
             change = Change(self.change_count, at, state, started)
         newest = knowledge.newest.get(node)
@@ -163,12 +165,12 @@
             return
         pending = knowledge.pending.get(node)
         if pending is not None:
-            left = [each for each in pending if each.sequence > change.sequence]
-            if left:
-                knowledge.pending[node] = left
+            later = [each for each in pending if each.sequence > change.sequence]
+            if later:
+                knowledge.pending[node] = later
             else:
                 del knowledge.pending[node]
-        # What was written into a cut has not arrived: it is presumed known as if never written.
+        # A notification sent into a partition does not arrive: only the presumed time applies.
         cut = self.links.was_cut(sidecar, ELSEWHERE, at, at)
         self._apply_change(knowledge, node, change, self._presumed_known_at(knowledge, change) if cut else at)
 
@@ -180,23 +182,23 @@
             self.ever_unavailable[node] = None
             knowledge.unavailable_since.setdefault(node, at)
 
-    # What a sidecar is presumed to know
+    # Presumed knowledge
 
     def _presumed_known_at(self, knowledge: SidecarKnowledge, change: Change) -> float:
-        """Return when a change will be presumed known, if the sidecar goes on calling as it does."""
+        """Return when a change is presumed known, given the open calls or the end of the last one."""
         rules = self.rules
         if not self.must_ask:
             return change.known_at + rules.told_within
         if not knowledge.calls:
-            times = AFTER_FAILURE_FACTOR if knowledge.last_call_failed else 1
-            return max(change.known_at, knowledge.idle_since) + times * rules.ask_within
-        last = 0.0
+            factor = AFTER_FAILURE_FACTOR if knowledge.last_call_failed else 1
+            return max(change.known_at, knowledge.idle_since) + factor * rules.ask_within
+        latest = 0.0
         for call in knowledge.calls:
             if call.wait > 0 and change.known_at <= call.until:
-                last = max(last, call.until + AFTER_WAIT_SECONDS)
+                latest = max(latest, call.until + AFTER_WAIT_SECONDS)
             else:
-                last = max(last, max(change.known_at, call.since) + rules.told_within)
-        return last
+                latest = max(latest, max(change.known_at, call.since) + rules.told_within)
+        return latest
 
     def _apply_due_changes(self, knowledge: SidecarKnowledge, at: float) -> None:
         for node in list(knowledge.pending):
@@ -213,10 +215,10 @@
         if pending is not None:
             del knowledge.pending[node]
 
-    # What the rules ask
+    # Queries of the checker
 
     def unavailable_since(self, sidecar: str, node: str, at: float) -> float | None:
-        """Since when the sidecar knows, at an instant, that the node drains or is gone; None: it does not."""
+        """Return since when the sidecar knows at time `at` that the node is draining or gone, or None."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None:
             return None
@@ -225,7 +227,7 @@
         return knowledge.unavailable_since.get(node)
 
     def is_notified(self, sidecar: str, node: str, since: float, at: float) -> bool:
-        """Whether the sidecar knows, at an instant, that the node runs by a change known after `since`."""
+        """Return whether the sidecar knows at time `at` of a change to ready made at `since` or later."""
         knowledge = self.knowledge_by_sidecar.get(sidecar)
         if knowledge is None:
             return False
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -1,7 +1,7 @@
-"""The figures of service: kept second by second while a day is played, made one figure at its end.
+"""Service figures: accumulated per second while a day is played, and combined into `g` at its end.
 
-A first try belongs to the second in which it was asked. It earns its worth when it is served within its aim,
-`late_worth` of it when served later, and nothing else.
+A first try belongs to the second in which the client made it. It earns its worth if it is served within its
+aim, the share `late_worth` of it if it is served later, and nothing otherwise.
 """
 
 from __future__ import annotations
@@ -15,51 +15,51 @@
 from wheatring.lab.outcome import ClassFigures, Outcome, SecondFigures
 from wheatring.lab.plan import Plan
 
-WINDOW_SECONDS = 10  # seconds in a row, of which the worst counts
+WINDOW_SECONDS = 10  # length of the windows of which the worst counts
 MAX_LATENCY_MS = 60_000
 
 
 def percentile(times: list[float], share: float) -> float:
-    """Return the smallest of the sorted times that `share` of them do not exceed; 0 without any."""
+    """Return the nearest-rank percentile of the sorted times, 0 if there are none; `share` is 0 to 1."""
     return times[max(0, ceil(share * len(times)) - 1)] if times else 0.0
 
 
 def histogram() -> Any:  # the library has no types
-    """Return an empty histogram of times in ms."""
+    """Return an empty histogram of latencies in ms."""
     return HdrHistogram(1, MAX_LATENCY_MS, 3)
 
 
-class OpenAttempt(NamedTuple):
-    """A client's first attempt that is not settled yet."""
+class OpenTry(NamedTuple):
+    """A client's first try that is not settled yet."""
 
     class_index: int
     started_at: float
-    second: int  # of the day
+    second: int  # second of the day
 
 
 class Figures:
-    """The figures of a day. `start` is the instant at which it begins; instants only rise."""
+    """The figures of a day that begins at `start`. Times passed in never decrease."""
 
     def __init__(self, plan: Plan, start: float) -> None:
         self.plan = plan
         self.start = start
         self.seconds: list[SecondFigures] = [SecondFigures()]
         self.current = self.seconds[0]
-        self.current_number = 0  # of the present second
+        self.current_number = 0  # index of the current second
         self.current_end = start + 1.0
         self.classes = [ClassFigures(each.name) for each in plan.classes]
         self.earned_by_class = [0.0 for _ in plan.classes]
         self.earned_late = 0.0
-        self.late_unserved_value = 0.0  # worth that was left unserved after its aim
-        self.open_attempts: dict[int, OpenAttempt] = {}
-        self.latencies_ms: dict[int, list[float]] = {}  # ms, by second
+        self.late_unserved_value = 0.0  # worth of tries that ended unserved after their aim
+        self.open_tries: dict[int, OpenTry] = {}
+        self.latencies_ms: dict[int, list[float]] = {}  # by second
         self.horizon = int(max([each.deadline for each in plan.classes], default=0.0)) + 2
-        self.latency_counts: list[dict[int, int]] = [{} for _ in plan.classes]  # whole ms, by class
+        self.latency_counts: list[dict[int, int]] = [{} for _ in plan.classes]  # by class, then by whole ms
 
     # While the day is played
 
     def second(self, at: float) -> SecondFigures:
-        """Return the figures of the current second, which moves on with the instants."""
+        """Return the figures of the second that contains `at`, the new current second."""
         if at >= self.current_end:
             number = self.current_number = max(self.current_number + 1, int(at - self.start))
             while len(self.seconds) <= number:
@@ -71,22 +71,22 @@
         return self.current
 
     def asked(self, first: int, index: int, at: float) -> None:
-        """Note a first try `first` of the class at an index."""
+        """Record the first try `first` of the class at an index."""
         second = self.second(at)
         figures = self.classes[index]
-        self.open_attempts[first] = OpenAttempt(index, at, self.current_number)
+        self.open_tries[first] = OpenTry(index, at, self.current_number)
         second.asked += 1
         second.worth += self.plan.classes[index].worth
         figures.asked += 1
 
     def settled(self, first: int, end: FirstTryEnd, at: float) -> None:
-        """Note the end of a first try."""
-        index, since, number = self.open_attempts.pop(first)
+        """Record the end of a first try."""
+        index, since, number = self.open_tries.pop(first)
         second, figures, plan = self.seconds[number], self.classes[index], self.plan.classes[index]
-        took = at - since
+        latency = at - since
         if end == "served":
             earned = plan.worth
-            if took <= plan.aim:
+            if latency <= plan.aim:
                 second.in_time += 1
                 figures.in_time += 1
             else:
@@ -99,10 +99,10 @@
             times = self.latencies_ms.get(number)
             if times is None:
                 times = self.latencies_ms[number] = []
-            times.append(took * 1000)
-            whole = round(took * 1000)
+            times.append(latency * 1000)
+            rounded_ms = round(latency * 1000)
             counts = self.latency_counts[index]
-            counts[whole] = counts.get(whole, 0) + 1
+            counts[rounded_ms] = counts.get(rounded_ms, 0) + 1
             return
         if end == "refused":
             second.refused += 1
@@ -110,11 +110,11 @@
         else:
             second.failed += 1
             figures.failed += 1
-        if took > plan.aim:
+        if latency > plan.aim:
             self.late_unserved_value += plan.worth
 
     def _compute_percentiles(self, number: int) -> None:
-        """Compute the latencies of a second for which no more answers can come."""
+        """Compute the latency percentiles of a second that can get no more answers."""
         times = sorted(self.latencies_ms.pop(number))
         second = self.seconds[number]
         second.p50_ms = round(percentile(times, 0.5), 3)
@@ -123,17 +123,17 @@
     # At its end
 
     def finish(self, at: float) -> None:
-        """End the day: first tries that are still open count as timed out."""
+        """End the day; first tries that are still open count as timed out."""
         self.second(at)
-        for first in list(self.open_attempts):
+        for first in list(self.open_tries):
             self.settled(first, "timeout", at)
         for number in list(self.latencies_ms):
             self._compute_percentiles(number)
 
     def worst_window(self) -> float:
-        """Return the lowest service of ten seconds in a row in which first tries arrive."""
-        whole = int(self.plan.length + 1e-9)
-        seconds = self.seconds[: max(whole, 1)]
+        """Return the lowest service over ten consecutive seconds with first tries."""
+        length = int(self.plan.length + 1e-9)
+        seconds = self.seconds[: max(length, 1)]
         worst = 1.0
         for since in range(max(1, len(seconds) - WINDOW_SECONDS + 1)):
             window = seconds[since : since + WINDOW_SECONDS]
@@ -143,7 +143,7 @@
         return worst
 
     def asked_work(self) -> float:
-        """Return the work that was asked for, by the classes' means and the tiers' shares."""
+        """Return the work requested, by the mean work of the classes and the shares of the tiers."""
         share = calls = 0.0
         for number, tier in enumerate(self.plan.tiers):
             calls = calls * tier.calls if number else 1.0
@@ -155,18 +155,18 @@
     def outcome(self, grain: str, at: float, wall_s: float, waste: float, choke_price: float) -> Outcome:
         """Return the figures of a finished day.
 
-        `waste` is the work for no answer over the work asked for, `choke_price` what choked machines take
-        off G.
+        `waste` is the ratio of useless to requested work, `choke_price` the deduction from `g` for choked
+        nodes.
         """
         plan, goal = self.plan, self.plan.goal
         worth = sum([second.worth for second in self.seconds])
         whole = sum([second.earned for second in self.seconds]) / worth if worth > 0 else 1.0
-        worst_class, every = 1.0, histogram()
+        worst_class, overall = 1.0, histogram()
         for index, figures in enumerate(self.classes):
             times = histogram()
             for ms, count in self.latency_counts[index].items():
                 times.record_value(min(MAX_LATENCY_MS, max(1, ms)), count)
-            every.add(times)
+            overall.add(times)
             figures.p50_ms = float(times.get_value_at_percentile(50))
             figures.p99_ms = float(times.get_value_at_percentile(99))
             asked = figures.asked * plan.classes[index].worth
@@ -178,7 +178,7 @@
         g -= waste * goal.waste + choke_price
         if worth > 0:
             g -= goal.late_fail * self.late_unserved_value / worth
-        encoded = every.encode()
+        encoded = overall.encode()
         return Outcome(
             scenario=plan.scenario,
             seed=plan.seed,
--- a/wheatring/lab/rules/invariant_checker.py
+++ b/wheatring/lab/rules/invariant_checker.py
@@ -1,27 +1,29 @@
-"""Holds each event of a day to the rules, and keeps the figures.
+"""Checks each event of a day against the rules, and computes the figures.
 
-What `Outcome.counts` tells, by name:
+The names in `Outcome.counts`:
 
 | name | counts |
 | --- | --- |
-| `taken` | requests taken by sidecars, calls of nodes among them |
-| `tries` | of these, tries of clients |
-| `answered`, `refused`, `failed` | answers that served, refused and failed, at all tiers |
-| `lost`, `untaken`, `left`, `forgiven` | other ends of requests; the last is what killed sidecars held |
-| `unsent_late` | tries refused or failed past half of their time, or not answered, without an attempt |
+| `taken` | requests taken by sidecars, including calls of nodes |
+| `tries` | the tries of clients among these |
+| `answered`, `refused`, `failed` | served, refused and failed answers at all tiers |
+| `lost`, `untaken`, `left` | requests with another end |
+| `forgiven` | requests excused because their sidecar was killed |
+| `unsent_late` | tries without an attempt, refused or failed after half of their time, or never answered |
 | `unsent_late_worth` | their worth |
-| `held_back` | what they would cost: 0.3 of that, as a part of all worth asked for; not taken off `g` |
-| `attempts`, `turned_away` | attempts that arrived, and of these what never ran |
-| `sends`, `drains_checked` | first bytes sent, and of these to nodes that ever drained or were gone |
+| `held_back` | 0.3 of that worth as a share of all worth requested; not deducted from `g` |
+| `attempts`, `turned_away` | attempts that arrived, and those of them that never ran |
+| `sends`, `drains_checked` | first bytes sent, and those of them to nodes that were ever draining or gone |
 | `effects` | runs that had an effect |
 | `list_calls` | calls that reached discovery |
-| `told_late` | changes that a sidecar was told after they counted as told |
-| `cold_starts`, `cold_over` | starts that were watched, and how many of these were pushed over, by whomever |
-| `worth_asked`, `worth_in_time`, `worth_late` | sums of worth: asked for, earned in time, earned late |
-| `work_asked`, `work_done`, `work_useful` | seconds on a standard core: by the classes' means, done, of use |
-| `front_gap` | seconds in which each sidecar of the front was down, or told to stop 0.4 s ago or earlier |
-| any other | notes of that name: `unconnected` are failed connects of sidecars, `list_turn` turns that \
-discovery gave to calls |
+| `told_late` | changes that a sidecar was notified of after it was presumed to know them |
+| `cold_starts`, `cold_over` | watched starts, and those of them that ended in an overload, from any sender |
+| `worth_asked`, `worth_in_time`, `worth_late` | sums of worth: requested, earned in time, earned late |
+| `work_asked`, `work_done`, `work_useful` | work in seconds on a standard core: requested (by the classes' \
+means), done, useful |
+| `front_gap` | seconds in which all front sidecars were down or had been sent SIGTERM 0.4 s ago or earlier |
+| any other | notes of that name: `unconnected` counts failed connects of sidecars, `list_turn` the queued \
+calls that discovery began to serve |
 """
 
 from __future__ import annotations
@@ -41,15 +43,14 @@
 from wheatring.lab.rules.trace import FirstRequestLookup, Trace, text
 from wheatring.lab.rules.warm_up import WarmUps
 
-UNSENT_PENALTY_SHARE = 0.3  # of its worth, for a try answered late or never without an attempt
+UNSENT_PENALTY_SHARE = 0.3  # share of the worth of a try that ended late or never without an attempt
 
 
 class InvariantChecker(RequestChecker):
-    """Implements `EventRecorder`. `now` gives the world's instants, of which `start` is the day's first.
+    """Implements `EventRecorder`. `now` returns the world's time, `start` is the start of the day.
 
-    `first_request_of` gives the client's first attempt behind a request, by which work is traced from calls
-    up to the client's answer (`work_accounting.py`). What can't have happened raises `MisuseError`: the
-    fault is then of the lab.
+    `first_request_of` returns the client's first try behind a request, which links the work of calls to the
+    client's answer (`work_accounting.py`). An impossible event raises `MisuseError`: it is a bug of the lab.
     """
 
     def __init__(
@@ -65,20 +66,20 @@
         self.grain = grain
         self.drains = Drains(plan, self.links)
         self.kinds = {each.name: plan.tiers[each.tier].kinds[each.kind] for each in plan.nodes}
-        self.stopping_since: dict[str, float] = {}  # sidecars, since SIGTERM
+        self.stopping_since: dict[str, float] = {}  # time of SIGTERM, by sidecar
         self.warm_ups = WarmUps(plan.rules, self.drains, self.breaches)
-        self.degraded_nodes: dict[str, None] = {}
+        self.choked_nodes: dict[str, None] = {}
         self.send_count = self.checked_send_count = self.excused_count = self.list_call_count = 0
         self.notes: dict[str, float] = {}
         self.timeline: list[tuple[float, str]] = []
-        self.overloaded_node = ""  # the node that has just been pushed over
+        self.overloaded_node = ""  # the node that has just been overloaded
         self.front_outage = FrontOutage(self.front, start)
         self.discovery_calls = DiscoveryCalls(self.day_seconds)
 
     def start_day(self, at: float) -> None:
-        """Start the day only now, for a world whose start takes an unknown time.
+        """Set the start of the day, for a world that needs an unknown time to start up.
 
-        All that was noted before must have been noted with a `start` yet to come.
+        Until then `start` must lie in the future for all recorded events.
         """
         figures = self.figures
         self.start = self.breaches.start = self.links.start = figures.start = self.front_outage.start = at
@@ -87,20 +88,20 @@
             self.trace.start = at
 
     def record_event(self, what: str) -> None:
-        """Add an event to the list of what happened in the day."""
+        """Add an entry to the timeline of the day."""
         self.timeline.append((self.day_seconds(self.now()), what))
 
     # Clients
 
     def asked(self, first: int, index: int) -> None:
-        """Note that a client makes a first try of the class at an index."""
+        """Record that a client makes a first try of the class at an index."""
         at = self.now()
         self.figures.asked(first, index, at)
         if self.trace is not None:
             self.trace.line(at, "", f"asked first={first} index={index}", first)
 
     def settled(self, first: int, end: FirstTryEnd, tries: int) -> None:
-        """Note the end of a first try, after a number of tries."""
+        """Record the end of a first try, after a number of tries."""
         at = self.now()
         self.figures.settled(first, end, at)
         if self.trace is not None:
@@ -109,10 +110,10 @@
     # Sidecars
 
     def sidecar_up(self, sidecar: str) -> None:
-        """Note that a sidecar has started."""
+        """Record that a sidecar has started."""
         at = self.now()
         self.down_sidecars.discard(sidecar)
-        self.discovery_calls.up(sidecar, at)
+        self.discovery_calls.sidecar_up(sidecar, at)
         if sidecar in self.front:
             self.front_outage.up(sidecar, at)
         self.stopping_since.pop(sidecar, None)
@@ -123,7 +124,7 @@
             self.trace.line(at, "", f"sidecar_up sidecar={sidecar}")
 
     def sidecar_stopping(self, sidecar: str) -> None:
-        """Note that a sidecar was sent SIGTERM."""
+        """Record that a sidecar was sent SIGTERM."""
         at = self.now()
         self.stopping_since[sidecar] = at
         if sidecar in self.front:
@@ -133,27 +134,27 @@
             self.trace.line(at, "", f"sidecar_stopping sidecar={sidecar}")
 
     def sidecar_down(self, sidecar: str, killed: bool) -> None:
-        """Note that a sidecar's process has ended, and judge what it owed."""
+        """Record that a sidecar's process has ended, and check its open requests."""
         at = self.now()
-        told = self.stopping_since.get(sidecar)
-        held = self.open_requests.get(sidecar, {})
+        stopping_at = self.stopping_since.get(sidecar)
+        open_requests = self.open_requests.get(sidecar, {})
         if self.trace is not None:
             self.trace.line(at, "", f"sidecar_down sidecar={sidecar} killed={killed}")
         if sidecar in self.front or not killed:
             self.record_event(f"sidecar {sidecar} {'is killed' if killed else 'ends'}")
-        if not killed and told is None:
+        if not killed and stopping_at is None:
             what = f"{sidecar} ended by itself, and nobody had told it to."
             self.breaches.add("answer", what, sidecar=sidecar)
-        last = float("inf") if told is None else told + ARRIVAL_AFTER_STOP_SECONDS
-        for request in held.values():
+        last_arrival = float("inf") if stopping_at is None else stopping_at + ARRIVAL_AFTER_STOP_SECONDS
+        for request in open_requests.values():
             self.answers.check_unanswered(request, at)
-            # What is not excused is judged by the next event of its caller: it may turn out as untaken.
+            # Other requests are checked at their caller's next event, which may report them as untaken.
             if at > request.deadline + self.grace:
-                request.is_excused = True  # it has been judged
-            elif killed and request.taken_at <= last:
+                request.is_excused = True  # already checked above
+            elif killed and request.taken_at <= last_arrival:
                 request.is_excused = True
                 self.excused_count += 1
-        held.clear()
+        open_requests.clear()
         self.down_sidecars.add(sidecar)
         self.last_down_at[sidecar] = at
         if sidecar in self.front:
@@ -163,7 +164,7 @@
     # Attempts
 
     def sending(self, sidecar: str, node: str, at: float) -> None:
-        """Note that a sidecar sent the first byte of an attempt at an instant."""
+        """Record that a sidecar sent the first byte of an attempt at time `at`."""
         self.send_count += 1
         if node in self.drains.ever_unavailable:
             self._check_drain(sidecar, node, at)
@@ -173,18 +174,21 @@
 
     def _check_drain(self, sidecar: str, node: str, at: float) -> None:
         self.checked_send_count += 1
-        off = self.drains.unavailable_since(sidecar, node, at)
-        if off is not None and at > off + self.plan.rules.drain_grace + SOCKET_TOLERANCE_SECONDS:
-            after = at - off
-            what = f"{sidecar} sent to {node} {after:.3f} s after it knew that it drains or is gone."
-            place = self.breaches.add("drain", what, sidecar=sidecar, node=node)
-            if place >= 0:
-                self.unnamed_drain_breaches[sidecar, node, at] = place
+        unavailable_since = self.drains.unavailable_since(sidecar, node, at)
+        if (
+            unavailable_since is not None
+            and at > unavailable_since + self.plan.rules.drain_grace + SOCKET_TOLERANCE_SECONDS
+        ):
+            delay = at - unavailable_since
+            what = f"{sidecar} sent to {node} {delay:.3f} s after it knew that it drains or is gone."
+            index = self.breaches.add("drain", what, sidecar=sidecar, node=node)
+            if index >= 0:
+                self.unnamed_drain_breaches[sidecar, node, at] = index
 
     # Nodes and discovery
 
     def node_up(self, node: str, capacity: Callable[[], float]) -> None:
-        """Note that a node has started, with the capacity that `capacity` gives."""
+        """Record that a node has started; `capacity` returns its current capacity."""
         at = self.now()
         self.warm_ups.watched.pop(node, None)
         if at > self.start:
@@ -194,7 +198,7 @@
             self.trace.line(at, "", f"node_up node={node}")
 
     def node_down(self, node: str) -> None:
-        """Note that a node has ended."""
+        """Record that a node has ended."""
         at = self.now()
         self.warm_ups.watched.pop(node, None)
         self.work.node_down(node)
@@ -205,28 +209,28 @@
             self.trace.line(at, "", f"node_down node={node}")
 
     def offered(self, node: str, sidecar: str, work: float) -> None:
-        """Note work (seconds on a standard core) that a sidecar sent to a node."""
+        """Record work (seconds on a standard core) that a sidecar sent to a node."""
         if node in self.warm_ups.watched:
             self.warm_ups.record_offer(node, sidecar, work, self.now())
         if self.trace is not None:
             self.trace.line(self.now(), "", f"offered node={node} sidecar={sidecar} work={work!r}")
 
     def choked(self, node: str) -> None:
-        """Note that a node is choked."""
-        self.degraded_nodes[node] = None
+        """Record that a node is choked."""
+        self.choked_nodes[node] = None
         self.record_event(f"node {node} chokes")
         if self.trace is not None:
             self.trace.line(self.now(), "", f"choked node={node}")
 
     def known(self, node: str, state: NodeState, started: float) -> None:
-        """Note that discovery knows a new state of a node."""
+        """Record that discovery knows a new state of a node."""
         at = self.now()
         self.drains.record_state(node, state, started, at)
         if self.trace is not None:
             self.trace.line(at, "", f"known node={node} state={state} started={started!r}")
 
     def told(self, sidecar: str, node: str, state: NodeState, started: float) -> None:
-        """Note that discovery has sent a state of a node to a sidecar."""
+        """Record that discovery has sent a state of a node to a sidecar."""
         at = self.now()
         self.drains.record_notification(sidecar, node, state, started, at)
         if self.trace is not None:
@@ -234,7 +238,7 @@
             self.trace.line(at, "", line)
 
     def asking(self, sidecar: str, wait: float) -> None:
-        """Note a call of a sidecar to discovery that may wait for `wait` seconds."""
+        """Record a call of a sidecar to discovery that may wait for `wait` seconds."""
         at = self.now()
         self.list_call_count += 1
         self.discovery_calls.record_call(sidecar, at)
@@ -243,21 +247,21 @@
             self.trace.line(at, "", f"asking sidecar={sidecar} wait={wait!r}")
 
     def brought(self, sidecar: str) -> None:
-        """Note that discovery has answered a call of a sidecar."""
+        """Record that discovery has answered a call of a sidecar."""
         self.discovery_calls.record_answer(sidecar, self.now())
 
     def unheard(self, sidecar: str, failed: bool = False) -> None:
-        """Note that a call ended without a change, perhaps by a failure."""
+        """Record that a call ended without a change; `failed` if it failed."""
         at = self.now()
         self.discovery_calls.record_end(sidecar, failed, at)
         self.drains.record_call_end(sidecar, failed, at)
         if self.trace is not None:
             self.trace.line(at, "", f"unheard sidecar={sidecar} failed={failed}")
 
-    # All
+    # Other events
 
     def note(self, what: str, **values: object) -> None:
-        """Count an event that concerns no rule, and trace its values."""
+        """Count an event that no rule checks, and trace its values."""
         self.notes[what] = self.notes.get(what, 0) + 1
         if what == "unconnected":
             self.figures.second(self.now()).unconnected += 1
@@ -269,13 +273,13 @@
             self.trace.line(self.now(), str(values.get("ident", "")), f"{what} {pairs}")
 
     def fault(self, sidecar: str, line: str) -> None:
-        """Note a line of the sidecar's log that reports a fault of its own."""
+        """Record a log line in which a sidecar reports an internal fault."""
         self.breaches.add("fault", f"{sidecar} logged: {line}", sidecar=sidecar)
 
-    # The end
+    # End of the day
 
     def finish(self, wall_s: float, leftovers: Mapping[str, Mapping[str, int]]) -> Outcome:
-        """Judge what is still open, and reckon. The day is over: nothing may be told afterwards."""
+        """Check all open requests, and compute the outcome; no event may be recorded afterwards."""
         at = self.now()
         for request in self.requests.values():
             if not request.end:
@@ -291,7 +295,7 @@
                         attempt.ended_at = at
                         self.duplicates.check_overlap(request, attempt)
         busy = {request.sidecar for request in self.requests.values() if at <= request.deadline + self.grace}
-        bounds.judge(leftovers, self.plan.limits, busy, self.breaches)
+        bounds.check_bounds(leftovers, self.plan.limits, busy, self.breaches)
         figures = self.figures
         figures.finish(at)
         asked_work = figures.asked_work()
@@ -315,7 +319,7 @@
         for number, tier in enumerate(self.plan.tiers):
             nodes = [node.name for node in self.plan.nodes if node.tier == number]
             if tier.choke is not None and nodes:
-                price += tier.choke.price * len([n for n in nodes if n in self.degraded_nodes]) / len(nodes)
+                price += tier.choke.price * len([n for n in nodes if n in self.choked_nodes]) / len(nodes)
         return price
 
     def _counts(self, asked_work: float) -> dict[str, float]:
@@ -340,7 +344,7 @@
             "sends": self.send_count,
             "drains_checked": self.checked_send_count,
             "effects": self.effect_count,
-            "front_gap": round(self.front_outage.gap, 6),
+            "front_gap": round(self.front_outage.total_seconds, 6),
             "list_calls": self.list_call_count,
             "told_late": self.drains.late_count,
             "cold_starts": self.warm_ups.start_count,
--- a/wheatring/lab/rules/links.py
+++ b/wheatring/lab/rules/links.py
@@ -1,4 +1,4 @@
-"""How long what one side has done may stay unknown to the other: what the rules allow for links."""
+"""Upper bounds on delays and partitions of links, for which the rules make allowance."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from wheatring.lab.plan import EventPlan, Plan
 
-READ_SECONDS = 0.001  # between the arrival of bytes and their reading, at most
-ELSEWHERE = ""  # where clients and discovery are: no event names their hosts
-RESEND_SECONDS = 0.5  # what is sent again has arrived so long after the double length of a cut, at most
+READ_SECONDS = 0.001  # longest time from the arrival of bytes to their reading
+ELSEWHERE = ""  # endpoint of clients and discovery, whose hosts no event names
+RESEND_SECONDS = 0.5  # longest delivery of a retransmission, counted from twice the length of a cut
 
 
 class Span(NamedTuple):
-    """A time in which a link may be disturbed; instants are seconds of the world."""
+    """A period in which a link may be disturbed, in seconds on the world's clock."""
 
     start: float
     end: float
@@ -21,31 +21,31 @@
 class Links:
     """The delays and cuts of the plan's links.
 
-    A usual delay is the mean of the slowest link with 25 times its spread, lengthened by whatever latency is
-    planned. Ends are names: nodes, each with its own sidecar, the front's sidecars, and ELSEWHERE. What was
-    sent while a cut was on may arrive long after it has healed (TCP waits up to as long again before it tries
-    anew), or never: nobody is expected to have read it.
+    `usual_delay` is the mean delay of the slowest link plus 25 times its jitter, `max_delay` the same under
+    the planned latency events. Endpoints are names: nodes (each with its own sidecar), the front's sidecars
+    and ELSEWHERE. Bytes sent during a cut may arrive long after it has healed, because TCP's retransmission
+    time-out grows to the length of the cut, or never; no endpoint is expected to have read them.
     """
 
     def __init__(self, plan: Plan, start: float) -> None:
         net = plan.net
-        longer = max([1.0, *(event.size for event in plan.events if event.kind == "latency")])
+        factor = max([1.0, *(event.size for event in plan.events if event.kind == "latency")])
         self.usual_delay = max(net.same, net.cross, net.client) * (1 + 25 * net.jitter) + READ_SECONDS
-        self.max_delay = (self.usual_delay - READ_SECONDS) * longer + READ_SECONDS
+        self.max_delay = (self.usual_delay - READ_SECONDS) * factor + READ_SECONDS
         self.start = start
         self.hosts: dict[str, tuple[str, ...]] = {each.name: (each.host,) for each in plan.sidecars}
         self.front = frozenset(self.hosts)
         self.hosts.update({each.name: (each.host, each.side_host) for each in plan.nodes})
         self.cut_events = [event for event in plan.events if event.kind in ("partition", "vanish")]
         self.latency_events = [event for event in plan.events if event.kind == "latency"]
-        self.cut_spans: dict[tuple[str, str], list[Span]] = {}  # by both ends
+        self.cut_spans: dict[tuple[str, str], list[Span]] = {}  # by both endpoints
 
     def caller_of(self, sidecar: str) -> str:
-        """Return the end of the callers of a sidecar: clients, or the node that it belongs to."""
+        """Return the endpoint of a sidecar's callers: ELSEWHERE for clients, or the sidecar's own node."""
         return ELSEWHERE if sidecar in self.front else sidecar
 
     def was_cut(self, end: str, other: str, since: float, until: float) -> bool:
-        """Whether two ends may have been cut off from each other at any time between two instants."""
+        """Return whether two endpoints may have been partitioned at any time from `since` to `until`."""
         if not self.cut_events:
             return False
         spans = self.cut_spans.get((end, other))
@@ -55,7 +55,7 @@
         return any(span.start <= until and since <= span.end for span in spans)
 
     def delivery_seconds(self, end: str, other: str, at: float) -> float:
-        """Seconds in which what left one end for the other at an instant has been read there."""
+        """Return the longest time until bytes sent at `at` from one endpoint are read at the other."""
         for event in self.latency_events:
             span = self._span(event)
             if span.start <= at <= span.end and self._concerns(event, end, other):
@@ -63,9 +63,9 @@
         return self.usual_delay
 
     def _span(self, cut: EventPlan) -> Span:
-        begun = self.start + cut.at
-        ended = begun + 2 * cut.length + RESEND_SECONDS if cut.length > 0 else float("inf")
-        return Span(begun - self.max_delay, ended)
+        begin = self.start + cut.at
+        end = begin + 2 * cut.length + RESEND_SECONDS if cut.length > 0 else float("inf")
+        return Span(begin - self.max_delay, end)
 
     def _concerns(self, cut: EventPlan, end: str, other: str) -> bool:
         if cut.kind == "vanish":
@@ -77,5 +77,5 @@
 
 
 def _includes(hosts: tuple[str, ...], named: tuple[str, ...]) -> bool:
-    """Whether any of the hosts is named; no names stand for all."""
+    """Return whether any of the hosts is named; an empty `named` matches all hosts."""
     return not named or any(host in named for host in hosts)
--- a/wheatring/lab/rules/request_checker.py
+++ b/wheatring/lab/rules/request_checker.py
@@ -1,4 +1,4 @@
-"""The part of the invariant checker for requests and their attempts, the most frequent events."""
+"""The part of the invariant checker for events of requests and their attempts, the most frequent ones."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from wheatring.lab.rules.trace import FirstRequestLookup, Trace, text
 from wheatring.lab.rules.work_accounting import WorkAccounting
 
-REQUEST_MEMORY_SECONDS = 10.0  # for which a request that is over is remembered, for what is on its way
+REQUEST_MEMORY_SECONDS = 10.0  # how long an ended request is kept, for attempts still on their way
 
 
 class RequestChecker:
-    """Holds the events of requests and attempts to the rules."""
+    """Checks the events of requests and attempts against the rules."""
 
     def __init__(
         self,
@@ -41,16 +41,16 @@
         self.duplicates = Duplicates(plan, self.links, self.breaches)
         self.figures = Figures(plan, start)
         self.max_open = plan.limits.max_open
-        self.forbids_hedging = not plan.limits.second_copies  # an attempt must be
+        self.forbids_hedging = not plan.limits.second_copies
         self.front = {each.name for each in plan.sidecars}
         self.work = WorkAccounting(plan, self.front, first_request_of)
         self.tier_of = {each.name: each.tier for each in plan.nodes}
         self.requests: dict[str, Request] = {}
-        self.open_requests: dict[str, dict[str, Request]] = {}  # by sidecar: what it has taken and owes
-        self.ended_requests: deque[Request] = deque()  # the oldest first
-        self.down_sidecars: set[str] = set()  # sidecars whose process has ended
-        self.last_down_at: dict[str, float] = {}  # the last end of its process
-        # Indices of breaches whose request is not known yet, by sidecar, node and instant of sending.
+        self.open_requests: dict[str, dict[str, Request]] = {}  # unanswered requests, by sidecar
+        self.ended_requests: deque[Request] = deque()  # oldest first
+        self.down_sidecars: set[str] = set()
+        self.last_down_at: dict[str, float] = {}  # last end of the process, by sidecar
+        # Indices of breaches whose request is not known yet, by sidecar, node and time of sending.
         self.unnamed_drain_breaches: dict[tuple[str, str, float], int] = {}
         self.response_count = 0
         # Counts
@@ -61,18 +61,18 @@
         self.unsent_count = 0
         self.unsent_value = 0.0
 
-    def day_seconds(self, instant: float) -> float:
-        """As a time since the start of the day."""
-        return round(instant - self.start, 9)
+    def day_seconds(self, at: float) -> float:
+        """Return the seconds from the start of the day to `at`."""
+        return round(at - self.start, 9)
 
     # Requests
 
     def taken(self, sidecar: str, ident: str, index: int, key: str, deadline: float) -> None:
-        """Note that a sidecar has taken a request with an absolute deadline (seconds)."""
+        """Record that a sidecar has taken a request; `deadline` is on the world's clock."""
         at = self.now()
-        requests, held = self.requests, self.open_requests.get(sidecar)
-        if held is None:
-            held = self.open_requests[sidecar] = {}
+        requests, open_requests = self.requests, self.open_requests.get(sidecar)
+        if open_requests is None:
+            open_requests = self.open_requests[sidecar] = {}
         request = Request(ident, sidecar, index, at, deadline)
         if ident in requests:
             self._check_retaken(request, requests[ident])
@@ -80,50 +80,50 @@
         if sidecar in self.down_sidecars:
             request.is_excused = True
         else:
-            held[ident] = request
-            if len(held) > self.max_open:
-                what = f"{sidecar} has {len(held)} requests open, and may have {self.max_open}."
+            open_requests[ident] = request
+            if len(open_requests) > self.max_open:
+                what = f"{sidecar} has {len(open_requests)} requests open, and may have {self.max_open}."
                 self.breaches.add("bounds", what, ident=ident, sidecar=sidecar)
         self.taken_count += 1
         if sidecar in self.front:
             self.client_attempt_count += 1
             figures = self.figures
             (figures.current if at < figures.current_end else figures.second(at)).tries += 1
-        over = self.ended_requests
-        if over and over[0].ended_at < at - REQUEST_MEMORY_SECONDS:
+        ended = self.ended_requests
+        if ended and ended[0].ended_at < at - REQUEST_MEMORY_SECONDS:
             self._forget(at - REQUEST_MEMORY_SECONDS)
         if self.trace is not None:
-            more = f"index={index} key={key} deadline={self.day_seconds(deadline)!r}"
-            self.trace.line(at, ident, f"taken sidecar={sidecar} ident={ident} {more}")
+            details = f"index={index} key={key} deadline={self.day_seconds(deadline)!r}"
+            self.trace.line(at, ident, f"taken sidecar={sidecar} ident={ident} {details}")
 
     def _check_retaken(self, request: Request, before: Request) -> None:
-        """Check that a request is taken again only where its caller had to send it elsewhere."""
+        """Check that a request is taken again only if its caller had to send it to another sidecar."""
         if before.end != "unknown" and not (before.is_excused and not before.end):
             raise MisuseError(f"{request.ident}: taken again ({before.end or 'still open'})")
-        for attempt in before.attempts:  # these are no attempts of who has it now
+        for attempt in before.attempts:  # they don't belong to the sidecar that has the request now
             attempt.rejected = True
         request.attempts, request.attempts_in_flight = before.attempts, before.attempts_in_flight
 
     def _forget(self, until: float) -> None:
-        over, requests = self.ended_requests, self.requests
-        while over and over[0].ended_at < until:
-            request = over.popleft()
+        ended, requests = self.ended_requests, self.requests
+        while ended and ended[0].ended_at < until:
+            request = ended.popleft()
             if request.attempts_in_flight:
-                request.is_expired = True  # until the last of it has ended
+                request.is_expired = True  # removed when its last attempt ends
             elif requests.get(request.ident) is request:
                 del requests[request.ident]
 
-    def _end_request(self, sidecar: str, ident: str, how: RequestEnd, at: float) -> Request:
-        """Note that a request that was taken is over; return it."""
+    def _end_request(self, sidecar: str, ident: str, end: RequestEnd, at: float) -> Request:
+        """Record the end of a request that was taken; return the request."""
         request = self.requests.get(ident)
         if request is None or request.end or request.sidecar != sidecar:
             state = "not taken" if request is None else request.end or f"taken by {request.sidecar}"
-            raise MisuseError(f"{ident} at {sidecar}: {how} after it was {state}")
-        request.end = how
+            raise MisuseError(f"{ident} at {sidecar}: {end} after it was {state}")
+        request.end = end
         request.ended_at = at
         self.ended_requests.append(request)
         self.open_requests[sidecar].pop(ident, None)
-        self.end_counts[how] += 1
+        self.end_counts[end] += 1
         return request
 
     def answered(
@@ -135,7 +135,7 @@
         retry_after: float,
         written: float | None = None,
     ) -> None:
-        """Note the answer of a sidecar, written at an instant that may be unknown."""
+        """Record an answer of a sidecar; `written` is the time at which it was written, if known."""
         at = self.now()
         request = self._end_request(sidecar, ident, kind, at)
         if written is not None:
@@ -162,7 +162,7 @@
             self.unsent_value += self.plan.classes[request.class_index].worth
 
     def lost(self, sidecar: str, ident: str, why: str) -> None:
-        """Note that a sidecar has lost a request that it had taken."""
+        """Record that a sidecar has lost a request that it had taken."""
         at = self.now()
         request = self._end_request(sidecar, ident, "lost", at)
         self.answers.check_lost(request, why)
@@ -171,7 +171,7 @@
             self.trace.line(at, ident, f"lost sidecar={sidecar} ident={ident} why={text(why)}")
 
     def untaken(self, sidecar: str, ident: str) -> None:
-        """Note that a request turns out never to have been taken."""
+        """Record that a request turned out never to have been taken."""
         at = self.now()
         request = self._end_request(sidecar, ident, "unknown", at)
         if not request.is_excused and request.attempts:
@@ -180,7 +180,7 @@
             self.trace.line(at, ident, f"untaken sidecar={sidecar} ident={ident}")
 
     def left(self, sidecar: str, ident: str) -> None:
-        """Note that the caller of a request has left."""
+        """Record that the caller of a request has left."""
         at = self.now()
         request = self._end_request(sidecar, ident, "left", at)
         if at >= request.deadline:
@@ -192,7 +192,7 @@
     # Attempts
 
     def arrived(self, sidecar: str, node: str, ident: str, sent: float | None = None) -> None:
-        """Note that an attempt has arrived completely at a node, sent at an instant that may be unknown."""
+        """Record that an attempt has arrived completely at a node; `sent` is when it was sent, if known."""
         at = self.now()
         request = self.requests.get(ident)
         if request is None:
@@ -200,7 +200,7 @@
             request.end, request.ended_at = "unknown", at
             request.is_excused = (
                 sent is not None and sent < at - REQUEST_MEMORY_SECONDS
-            )  # it may have been over since
+            )  # its request may have ended and been removed
             self.ended_requests.append(request)
         attempt = Attempt(node, at - self.links.max_delay if sent is None else sent, at)
         request.attempts.append(attempt)
@@ -210,9 +210,9 @@
         elif request.end or len(request.attempts) > 1:
             self.duplicates.check_arrival(request, attempt)
         if self.unnamed_drain_breaches:
-            place = self.unnamed_drain_breaches.pop((sidecar, node, attempt.sent_at), None)
-            if place is not None:
-                self.breaches.name(place, ident)
+            index = self.unnamed_drain_breaches.pop((sidecar, node, attempt.sent_at), None)
+            if index is not None:
+                self.breaches.set_ident(index, ident)
         figures = self.figures
         (figures.current if at < figures.current_end else figures.second(at)).attempts += 1
         self.attempts_by_tier[self.tier_of[node]] += 1
@@ -224,23 +224,23 @@
             self.trace.line(at, ident, f"{line} sent={self.day_seconds(attempt.sent_at)!r}")
 
     def _check_owner(self, sidecar: str, request: Request, attempt: Attempt) -> None:
-        """Judge an attempt of a sidecar without the request: lawful where its process has ended."""
+        """Check an attempt of a sidecar without the request: valid only if its process has ended."""
         attempt.rejected = True
         if self.last_down_at.get(sidecar, self.start - 1.0) < attempt.sent_at:
             what = f"{sidecar} sent a request that is held by {request.sidecar}."
             self.breaches.add("duplicate", what, ident=request.ident, sidecar=sidecar, node=attempt.node)
 
     def _attempt_in_flight(self, node: str, ident: str, what: str) -> Attempt:
-        """Return the attempt at a node; of several in flight the oldest."""
+        """Return the oldest attempt in flight at a node."""
         request = self.requests.get(ident)
         if request is not None:
             for attempt in request.attempts:
                 if attempt.in_flight and attempt.node == node:
                     return attempt
-        raise MisuseError(f"{ident} at {node}: {what} without an attempt that is out")
+        raise MisuseError(f"{ident} at {node}: {what} without an attempt in flight")
 
     def turned_away(self, node: str, ident: str) -> None:
-        """Note that a node has turned an attempt away before it ran."""
+        """Record that a node has turned an attempt away before it ran."""
         request = self.requests.get(ident)
         for attempt in reversed(request.attempts if request is not None else ()):
             if attempt.node == node and not attempt.rejected and not attempt.stamp:
@@ -255,7 +255,7 @@
             self.trace.line(at, ident, f"turned_away node={node} ident={ident}")
 
     def made(self, node: str, ident: str) -> str:
-        """Note that a node has made an answer; return the stamp that identifies it."""
+        """Record that a node has made an answer; return the stamp that identifies it."""
         self.response_count += 1
         stamp = f"{self.response_count:x}-{ident}"
         request = self.requests.get(ident)
@@ -268,30 +268,30 @@
         return stamp
 
     def effect(self, node: str, ident: str, key: str) -> None:
-        """Note that running an attempt had an effect."""
+        """Record that running an attempt had an effect."""
         self.effect_count += 1
         at, request = self.now(), self.requests.get(ident)
         if key:
-            known = request is not None and request.end != "unknown"
-            plan = self.plan.classes[request.class_index] if request is not None and known else None
+            is_known = request is not None and request.end != "unknown"
+            plan = self.plan.classes[request.class_index] if request is not None and is_known else None
             self.duplicates.check_effect(node, ident, key, plan, at)
         if self.trace is not None:
             self.trace.line(at, ident, f"effect node={node} ident={ident} key={key}")
 
     def worked(self, node: str, ident: str, work: float) -> None:
-        """Note the work (seconds on a standard core) that a node has done for an attempt."""
+        """Record the work (seconds on a standard core) that a node has done for an attempt."""
         self.work.record_work(node, self.requests.get(ident), work)
         if self.trace is not None:
             self.trace.line(self.now(), ident, f"worked node={node} ident={ident} work={work!r}")
 
     def ended(self, node: str, ident: str) -> None:
-        """Note that nothing of an attempt is in flight any more."""
+        """Record that an attempt is no longer in flight."""
         request = self.requests.get(ident)
         attempt = request.attempts[0] if request is not None and request.attempts else None
         if request is None or attempt is None or not attempt.in_flight or attempt.node != node:
             attempt = self._attempt_in_flight(node, ident, "ended")
             request = self.requests[ident]
-        if len(request.attempts) > 1:  # of several at one node the one that has its reply
+        if len(request.attempts) > 1:  # of several at one node, choose the one with a reply
             for each in request.attempts:
                 if each.in_flight and each.node == node and (each.rejected or each.stamp):
                     attempt = each
--- a/wheatring/lab/rules/requests.py
+++ b/wheatring/lab/rules/requests.py
@@ -1,10 +1,10 @@
-"""State of a request and its attempts, kept until it is over and nothing of it is in flight."""
+"""State of a request and its attempts, kept until it has ended and no attempt is in flight."""
 
 from __future__ import annotations
 
 from typing import Literal
 
-# How a request ended, "" while it is open. unknown: its caller withdrew it, or it was never seen to be taken.
+# How a request ended, "" while it is open. unknown: the caller withdrew it, or no event reported it as taken.
 RequestEnd = Literal["", "served", "refused", "failed", "lost", "left", "unknown"]
 
 
@@ -30,15 +30,15 @@
         self.arrived_at = arrived_at
         self.in_flight = True
         self.ended_at = 0.0
-        self.rejected = False  # it never ran
-        self.stamp = ""  # of the answer that it made
-        self.work_recorded = False  # the work done for itself
-        self.work = 0.0  # done for it, with that of the calls that served it
-        self.parent: Attempt | None = None  # the attempt at the tier above whose answer needed this one
+        self.rejected = False  # turned away before it ran
+        self.stamp = ""  # identifies the answer that it made
+        self.work_recorded = False  # whether its own work has been reported
+        self.work = 0.0  # its own work and that of the calls whose answers it used
+        self.parent: Attempt | None = None  # the attempt at the tier above that used this answer
 
 
 class Request:
-    """One request that a sidecar has taken: an attempt of a client or a call of a node."""
+    """One request that a sidecar has taken: a try of a client or a call of a node."""
 
     __slots__ = (
         "attempts",
@@ -63,10 +63,10 @@
         self.attempts: list[Attempt] = []
         self.attempts_in_flight = 0
         self.end: RequestEnd = ""
-        self.ended_at = 0.0  # for its sidecar, as early as that is known
-        self.is_excused = False  # its sidecar was killed: nothing is owed
-        self.is_expired = False  # over for so long that it is forgotten once nothing is in flight
+        self.ended_at = 0.0  # earliest known time of its end, seen from its sidecar
+        self.is_excused = False  # its sidecar was killed, so that no answer is required
+        self.is_expired = False  # to be removed as soon as no attempt is in flight
 
     def may_have_run(self) -> bool:
-        """Whether an attempt may have run."""
+        """Return whether any attempt may have run."""
         return any(not attempt.rejected for attempt in self.attempts)
--- a/wheatring/lab/rules/warm_up.py
+++ b/wheatring/lab/rules/warm_up.py
@@ -1,8 +1,8 @@
-"""The fourth rule: the work sent to a node that is warming up.
+"""The fourth rule: a node that is warming up must not be overloaded.
 
-Nodes are overloaded by `OverloadDetector`, and the rule judges by it. More than it allows is a breach if
-two thirds of the work came from sidecars that had been notified of the start. Each start is watched until
-the node is warm or has been overloaded.
+`OverloadDetector` decides whether a node is overloaded, both for the simulated node and for this rule. An
+overload is a breach if at least two thirds of the work came from sidecars that had been notified of the
+node's start. Each start is watched until the node is warm or has been overloaded.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 class Offer(NamedTuple):
-    """Work that was sent to a node that is warming up."""
+    """Work sent to a node that is warming up."""
 
     at: float
     work: float  # seconds on a standard core
-    is_notified: bool  # its sidecar had been notified of the node's start
+    is_notified: bool  # whether its sidecar had been notified of the node's start
 
 
 class WarmUp:
-    """One node that is warming up; `offers` are those of the window."""
+    """One node that is warming up; `offers` holds the work sent within the window."""
 
     __slots__ = ("capacity", "offers", "overload", "since", "until")
 
@@ -47,7 +47,7 @@
 
 
 class WarmUps:
-    """Judges the load of all nodes that are warming up."""
+    """Checks the load of all nodes that are warming up."""
 
     def __init__(self, rules: RulesPlan, drains: Drains, breaches: Breaches) -> None:
         self.rules = rules
@@ -55,30 +55,31 @@
         self.breaches = breaches
         self.watched: dict[str, WarmUp] = {}  # by node
         self.start_count = 0
-        self.overload_count = 0  # that were pushed over, by whomever
+        self.overload_count = 0  # watched starts that ended in an overload, from any sender
 
     def node_up(self, node: str, kind: KindPlan, capacity: Callable[[], float], at: float) -> None:
-        """Note that a node has started at an instant, with the capacity that `capacity` gives."""
+        """Record that a node has started at time `at`; `capacity` returns its current capacity."""
         if kind.cold > 0 and kind.cold_from < 1:
             self.start_count += 1
             self.watched[node] = WarmUp(self.rules, capacity, at, at + kind.cold)
 
     def record_offer(self, node: str, sidecar: str, work: float, at: float) -> None:
-        """Note work (seconds on a standard core) for a node that is watched."""
-        start, window = self.watched[node], self.rules.fall_for
-        if at >= start.until:
+        """Record work (seconds on a standard core) for a watched node."""
+        warm_up, window = self.watched[node], self.rules.fall_for
+        if at >= warm_up.until:
             del self.watched[node]
             return
-        capacity, offers = start.capacity(), start.offers
-        offers.append(Offer(at, work, self.drains.is_notified(sidecar, node, start.since, at)))
+        capacity, offers = warm_up.capacity(), warm_up.offers
+        offers.append(Offer(at, work, self.drains.is_notified(sidecar, node, warm_up.since, at)))
         while offers[0].at <= at - window:
             offers.popleft()
-        if start.overload.offer(at, work, capacity):
+        if warm_up.overload.offer(at, work, capacity):
             del self.watched[node]
             self.overload_count += 1
-            if start.is_caused_by_notified():
-                what = f"{node} was sent {start.overload.total_work:.3f} s of work within {window} s,"
+            if warm_up.is_caused_by_notified():
+                what = f"{node} was sent {warm_up.overload.total_work:.3f} s of work within {window} s,"
                 what += (
-                    f" {at - start.since:.1f} s after its start, when it could do {capacity:.3f} s a second."
+                    f" {at - warm_up.since:.1f} s after its start,"
+                    f" when it could do {capacity:.3f} s a second."
                 )
                 self.breaches.add("cold", what, sidecar=sidecar, node=node)
--- a/wheatring/lab/study/__init__.py
+++ b/wheatring/lab/study/__init__.py
@@ -1,12 +1,12 @@
-"""Experiments: many runs of the lab, kept, compared and drawn.
+"""Experiments: plays many runs of the lab, stores and compares their outcomes, and makes reports.
 
-A run is a function of its spec (scenario, seed, grain, settings, build) that gives an outcome; it is named as
-`module:function` and handed in, and played in processes of its own. May import the lab's outcome and
-scenarios, and, through the name of the run alone, its world; nothing of the sidecar.
+A run is a function that maps a spec (scenario, seed, grain, settings, build) to an outcome. Callers pass it
+by name as `module:function`, and worker processes play it. This package may import the lab's outcome and
+scenarios, but the lab's world only through the name of the run, and nothing of the sidecar.
 """
 
 from __future__ import annotations
 
 
 class StudyError(ValueError):
-    """An experiment that can't be made; the text is one line that names what is at fault."""
+    """An experiment that can't be run; the text is one line that names the cause."""
--- a/wheatring/lab/study/compare.py
+++ b/wheatring/lab/study/compare.py
@@ -1,4 +1,4 @@
-"""Two sides, A and B, paired by scenario, seed and grain: what differs, and how surely."""
+"""Compares two sides, A and B, paired by scenario, seed and grain, with confidence intervals."""
 
 from __future__ import annotations
 
@@ -23,29 +23,29 @@
 
 
 class Difference(Struct):
-    """Of one figure, B less A, over the pairs."""
+    """The difference B - A of one figure over all pairs."""
 
     figure: str
-    a: float  # mean
-    b: float
-    mean: float  # of the differences
-    low: float | None  # interval of the mean; None for a single pair
+    a: float  # mean of A
+    b: float  # mean of B
+    mean: float  # mean of the differences
+    low: float | None  # confidence interval of the mean; None for a single pair
     high: float | None
-    better: int  # pairs in which B is better; where neither can be called better: in which B is more
+    better: int  # pairs in which B is better, or greater if the figure has no better direction
     worse: int
     equal: int
-    pairs_needed: int | None  # to tell a difference of that size; None: there is none
+    pairs_needed: int | None  # to detect a difference of that size; None if there is no difference
     verdict: str
 
 
 class Comparison(Struct):
-    """What a comparison of two sides found."""
+    """The result of comparing two sides."""
 
     a: str
     b: str
     pairs: int
-    unpaired: int  # asked for, but at least one side is not there
-    looks: list[int]  # numbers of pairs with which this comparison has been looked at, this time among them
+    unpaired: int  # requested pairs of which a run is missing
+    looks: list[int]  # pairs at each look at this comparison, including this one
     level: float
     power: float
     breaches_a: int
@@ -54,21 +54,21 @@
 
 
 def difference(name: str, pairs: Sequence[tuple[float, float]], seed: int) -> Difference:
-    """Return the difference of one figure over pairs of its values; `seed` is of the resampling."""
+    """Return the difference of one figure over pairs of its values; `seed` is the seed of the resampling."""
     deltas = [b - a for a, b in pairs]
     mean = stats.fmean(deltas)
     interval = stats.bootstrap(deltas, seed, LEVEL)
     sign = better(name)
     gains = sum(delta * (sign or 1) > 0 for delta in deltas)
     losses = sum(delta * (sign or 1) < 0 for delta in deltas)
-    known = isfinite(interval.low)
+    is_bounded = isfinite(interval.low)
     return Difference(
         figure=name,
         a=stats.fmean(a for a, _ in pairs),
         b=stats.fmean(b for _, b in pairs),
         mean=mean,
-        low=interval.low if known else None,
-        high=interval.high if known else None,
+        low=interval.low if is_bounded else None,
+        high=interval.high if is_bounded else None,
         better=gains,
         worse=losses,
         equal=len(deltas) - gains - losses,
@@ -87,13 +87,13 @@
     return "B is better" if mean * sign > 0 else "B is worse"
 
 
-def compared(
+def compare_runs(
     store: Store, a: Sequence[RunSpec], b: Sequence[RunSpec], names: Sequence[str], labels: tuple[str, str],
     seed: int = 1,
 ) -> Comparison:  # fmt: skip
-    """Compare what the store holds: the runs of `a` and `b` are pairs, in the same order.
+    """Compare stored runs; `a` and `b` are paired by their order.
 
-    Raises StudyError where the sides are the same, or no pair is there.
+    Raises StudyError if the sides are the same, or if no pair is complete.
     """
     rows = {row.key(): row for row in store.rows() if row.state == "done"}
     if all(one.key() == other.key() for one, other in zip(a, b, strict=True)):
@@ -125,7 +125,7 @@
 
 
 def _identity(a: Sequence[RunSpec], b: Sequence[RunSpec]) -> str:
-    """Return what names a comparison: the same for the same two sides, whatever the seeds."""
+    """Return a hash that identifies the two sides regardless of the seeds."""
     sides = [sorted({str((*spec.key()[:2], *spec.key()[3:])) for spec in side}) for side in (a, b)]
     return hashlib.sha256(repr(sides).encode()).hexdigest()[:16]
 
@@ -161,7 +161,7 @@
 
 
 def notes(found: Comparison) -> list[str]:
-    """Return what keeps a reader from believing more than the figures say."""
+    """Return notes on the limits of the figures, such as repeated looks and many figures."""
     lines = [f"for {found.power:.0%}: pairs with which a difference of that size shows with that probability"]
     if any(not better(line.figure) for line in found.differences):
         lines.append("* neither more nor less of it is better by itself: pairs in which B is more, and less")
--- a/wheatring/lab/study/figures.py
+++ b/wheatring/lab/study/figures.py
@@ -10,7 +10,7 @@
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.study import StudyError
 
-# More of all others is neither better nor worse by itself.
+# Other figures have no better direction.
 MORE_IS_BETTER = ("g", "service", "whole", "worst_window", "worst_class", "earned", "in_time")
 LESS_IS_BETTER = (
     "waste",
@@ -26,7 +26,7 @@
 
 
 def better(name: str) -> int:
-    """Return 1 where more is better, -1 where less is, 0 where it can't be said."""
+    """Return 1 if more of the figure is better, -1 if less is, 0 if it has no better direction."""
     parts = name.split(".")
     last = parts[0] if parts[0] == "latency" else parts[-1]
     if parts[0] == "counts":
@@ -35,7 +35,7 @@
 
 
 def percentile(outcome: Outcome, share: float) -> float:
-    """Return a percentile of the latency in ms, of the first tries that were served; 0 where none was."""
+    """Return a percentile of the latency of served first tries in ms, 0 if none was served."""
     if not outcome.latency:
         return 0.0
     return float(HdrHistogram.decode(outcome.latency).get_value_at_percentile(share))
@@ -54,7 +54,7 @@
             return float(outcome.counts.get(rest, 0.0))
         value: object = msgspec.to_builtins(getattr(outcome, head))
         if head == "classes":
-            # A class's name may have dots of its own.
+            # A class's name may contain dots.
             rest, _, last = rest.rpartition(".")
             value = next(item for item in msgspec.to_builtins(outcome.classes) if item["name"] == rest)[last]
         elif head == "node_work":
@@ -71,7 +71,7 @@
 
 
 def _names(outcome: Outcome) -> str:
-    plain: Mapping[str, object] = msgspec.to_builtins(outcome)
-    numbers = [name for name, value in plain.items() if isinstance(value, int | float)]
+    fields: Mapping[str, object] = msgspec.to_builtins(outcome)
+    numbers = [name for name, value in fields.items() if isinstance(value, int | float)]
     classes = [f"classes.{item.name}.p99_ms" for item in outcome.classes[:1]]
     return "known are " + ", ".join([*numbers, *classes, "latency.99", "counts.NAME"])
--- a/wheatring/lab/study/played.py
+++ b/wheatring/lab/study/played.py
@@ -1,7 +1,8 @@
-"""The run that experiments play: a scenario with its settings, drawn by the seed, in the lab's world.
+"""The run that experiments play: a scenario with its settings, drawn from the seed, in the lab's world.
 
-Only workers import it, once their patches are in place. Its name and that of `play` are sent to workers of
-other builds, so they stay; so do the fields of `Hello`, `RunSpec` and `RunResult`.
+Only workers import this module, after they have applied their patches. The names of this module and of `play`
+are sent to workers of other builds, so they must not change; nor must the fields of `Hello`, `RunSpec` and
+`RunResult`.
 """
 
 from __future__ import annotations
@@ -23,5 +24,5 @@
 
 
 def play_traced(spec: RunSpec, file: TextIO | None, of: Sequence[str]) -> Outcome:
-    """Play a run with a trace, into a file or only hashed; `of` names the requests that it is cut down to."""
+    """Play a run with a trace, written to a file or only hashed; `of` restricts it to these requests."""
     return lab.play(draw(scenario_of(spec), spec.seed), spec.grain, Tracing(file, of))
--- a/wheatring/lab/study/pool.py
+++ b/wheatring/lab/study/pool.py
@@ -1,4 +1,4 @@
-"""Worker processes: each run in one, so that a run that dies or hangs costs nothing but itself."""
+"""Plays runs in worker processes, so that a run that crashes or hangs does not affect the others."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 from wheatring.lab.study.settings import Pairs
 from wheatring.lab.study.worker import Hello, framed
 
-MAX_RUNS_PER_WORKER = 25  # after which a worker is replaced: what a run leaks must not add up
-START_TIMEOUT_SECONDS = 60.0  # in which a worker must have started
-END_TIMEOUT_SECONDS = 2.0  # in which it must have ended, before it is killed
+MAX_RUNS_PER_WORKER = 25  # a worker is then replaced, so that leaks of runs don't accumulate
+START_TIMEOUT_SECONDS = 60.0
+END_TIMEOUT_SECONDS = 2.0  # a worker that has not ended by then is killed
 
-# Each worker begins with its patches and keeps them: undone again, they would live on in what was imported.
+# A worker keeps its patches until it ends: modules that imported patched values would retain them after a
+# revert.
 WorkerKind = tuple[Build, Pairs]
 
 
@@ -35,7 +36,7 @@
         self.kind = kind
         self.process = process
         self.errors = errors
-        self.played = 0
+        self.run_count = 0
 
     async def ask(self, message: object) -> bytes:
         """Send a message to the worker, and return its answer."""
@@ -49,8 +50,8 @@
             raise _WorkerDiedError from None
 
     async def play(self, spec: RunSpec, limit: float) -> RunResult:
-        """Play a run within a wall time."""
-        self.played += 1
+        """Play a run; `limit` is its wall time in seconds."""
+        self.run_count += 1
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + limit):
                 return msgspec.msgpack.decode(await self.ask(spec), type=RunResult)
@@ -60,9 +61,9 @@
             return RunResult("died", why=await self.end())
 
     async def end(self) -> str:
-        """End the process, if it has not ended; returns how it did."""
-        # A worker ends with its input. It is not killed outright: that would take the status of one that has
-        # just died from whoever waits for it.
+        """End the process if it is still running, and return how it ended."""
+        # A worker ends when its input closes. An immediate kill could replace the exit status of a worker
+        # that is just crashing.
         assert self.process.stdin is not None
         self.process.stdin.close()
         try:
@@ -83,14 +84,14 @@
 
 async def _start_worker(kind: WorkerKind, run: str) -> _Worker:
     build, patches = kind
-    # -P: else the folder that this was called in would come before the build's.
+    # Without -P, the current directory would precede the build's folder in the module search path.
     paths = [build.folder, *(path for path in sys.path if path)]
-    errors = tempfile.TemporaryFile()  # noqa: SIM115 - closed as the worker ends
+    errors = tempfile.TemporaryFile()  # noqa: SIM115 - closed when the worker ends
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-P", "-m", "wheatring.lab.study.worker",
         stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=errors,
         env={**os.environ, "PYTHONPATH": os.pathsep.join(paths)},
-        process_group=0,  # Ctrl-C is for the pool alone, which ends its workers
+        process_group=0,  # Ctrl-C reaches only the pool, which ends its workers
     )  # fmt: skip
     worker = _Worker(kind, process, errors)
     try:
@@ -109,7 +110,7 @@
 
 async def _check_kinds(kinds: Iterable[WorkerKind], run: str) -> None:
     async def check(kind: WorkerKind) -> None:
-        """Start a worker of this kind, and end it."""
+        """Start a worker of this kind and end it again."""
         await (await _start_worker(kind, run)).end()
 
     for error in await asyncio.gather(*(check(kind) for kind in kinds), return_exceptions=True):
@@ -118,26 +119,30 @@
 
 
 class _StopPlayingError(Exception):
-    """No more runs are wanted."""
+    """The caller asked to stop playing."""
 
 
 class _Pool:
     def __init__(
-        self, specs: Iterable[RunSpec], run: str, limit: float, ended: Callable[[RunSpec, RunResult], bool]
+        self,
+        specs: Iterable[RunSpec],
+        run: str,
+        limit: float,
+        on_result: Callable[[RunSpec, RunResult], bool],
     ):
         self.waiting: dict[WorkerKind, deque[RunSpec]] = {}
         for spec in specs:
             self.waiting.setdefault((spec.build, spec.settings.patches), deque()).append(spec)
         self.run = run
         self.limit = limit
-        self.ended = ended
+        self.on_result = on_result
         self.slots: dict[int, WorkerKind | None] = {}
 
     def next(self, slot: int) -> RunSpec | None:
-        """Return a spec of the slot's own kind, else of the kind with most waiting for each slot on it."""
+        """Return a spec of the slot's current kind, else of the kind with the most waiting runs per slot."""
         kind = self.slots.get(slot)
         if kind is None or not self.waiting[kind]:
-            playing = [other for place, other in self.slots.items() if place != slot]
+            playing = [other for other_slot, other in self.slots.items() if other_slot != slot]
             kind = max(
                 self.waiting,
                 key=lambda kind: len(self.waiting[kind]) / (1 + playing.count(kind)),
@@ -149,28 +154,28 @@
         return self.waiting[kind].popleft()
 
     async def play(self, slot: int) -> None:
-        """Play runs in one slot until none is left."""
+        """Play runs in one slot until none is waiting."""
         worker: _Worker | None = None
         try:
             while (spec := self.next(slot)) is not None:
                 kind = (spec.build, spec.settings.patches)
-                if worker is not None and (worker.kind != kind or worker.played >= MAX_RUNS_PER_WORKER):
+                if worker is not None and (worker.kind != kind or worker.run_count >= MAX_RUNS_PER_WORKER):
                     await worker.end()
                     worker = None
                 if worker is None:
                     worker = await _start_worker(kind, self.run)
-                ended = await worker.play(spec, self.limit)
-                if ended.state in ("died", "hung"):
+                result = await worker.play(spec, self.limit)
+                if result.state in ("died", "hung"):
                     await worker.end()
                     worker = None
-                if self.ended(spec, ended):
+                if self.on_result(spec, result):
                     raise _StopPlayingError
         finally:
             if worker is not None:
                 await worker.end()
 
-    async def all(self, workers: int) -> None:
-        """Play all runs in so many slots."""
+    async def play_all(self, workers: int) -> None:
+        """Play all runs in `workers` slots."""
         slots = [asyncio.create_task(self.play(slot)) for slot in range(workers)]
         try:
             done, _ = await asyncio.wait(slots, return_when=asyncio.FIRST_EXCEPTION)
@@ -185,31 +190,36 @@
 
 
 def play(
-    specs: list[RunSpec], run: str, workers: int, limit: float, ended: Callable[[RunSpec, RunResult], bool]
+    specs: list[RunSpec],
+    run: str,
+    workers: int,
+    limit: float,
+    on_result: Callable[[RunSpec, RunResult], bool],
 ) -> None:
-    """Play all, reporting each to `ended` as it ends; where that returns True, end at once.
+    """Play all runs, passing each result to `on_result`; stop immediately if it returns True.
 
     Parameters
     ----------
     specs
-        What to play.
+        Specs of the runs.
     run
-        The run, as module:function.
+        Name of the run, as module:function.
     workers
-        Processes at most.
+        Maximum number of processes.
     limit
-        Seconds of wall time for one run.
-    ended
-        What it raises ends the pool, as KeyboardInterrupt does.
+        Wall time for one run in seconds.
+    on_result
+        Called with each spec and its result. An exception that it raises ends the pool, as KeyboardInterrupt
+        does.
 
     Raises
     ------
     StudyError
-        A worker can't start: a patch that names nothing, a broken build.
+        A worker can't start, for example because of an unknown patch or a broken build.
     """
     if not specs:
         return
     kinds = dict.fromkeys((spec.build, spec.settings.patches) for spec in specs)
-    if len(kinds) > 1:  # so that a bad patch is told before anything has been played
+    if len(kinds) > 1:  # reports a bad patch before any run is played
         asyncio.run(_check_kinds(kinds, run))
-    asyncio.run(_Pool(specs, run, limit, ended).all(min(workers, len(specs))))
+    asyncio.run(_Pool(specs, run, limit, on_result).play_all(min(workers, len(specs))))
--- a/wheatring/lab/study/report/__init__.py
+++ b/wheatring/lab/study/report/__init__.py
@@ -1,4 +1,4 @@
-"""Reports: one page of HTML for a run or for a set of them, which refers to no file or address.
+"""Reports: a self-contained HTML page, without external references, for one run or a set of runs.
 
-`plots` draws, `page` writes HTML, `day` and `several` say what is on a page.
+`plots` draws the SVG plots, `page` writes HTML, `day` and `several` define the contents of the pages.
 """
--- a/wheatring/lab/study/report/day.py
+++ b/wheatring/lab/study/report/day.py
@@ -9,40 +9,40 @@
 
 from wheatring.lab.outcome import Outcome, SecondFigures
 from wheatring.lab.study.report import page, plots
-from wheatring.lab.study.report.plots import AMBER, BLUE, GREY, RED, Marks, Series
+from wheatring.lab.study.report.plots import AMBER, BLUE, GREY, RED, EventMarks, Series
 
-POINTS = 300  # of a plot over time: longer days are drawn in steps of several seconds
+MAX_POINTS = 300  # of a plot over time; longer days are drawn in steps of several seconds
 
 Count = Callable[[SecondFigures], float]
 
 
 class _Steps:
-    """The seconds of a day, so many together that a plot stays readable."""
+    """The seconds of a day, grouped into steps so that a plot has at most `MAX_POINTS` points."""
 
     def __init__(self, seconds: Sequence[SecondFigures]) -> None:
-        self.step = max(1, -(-len(seconds) // POINTS))
+        self.step = max(1, -(-len(seconds) // MAX_POINTS))
         self.parts = [seconds[begin : begin + self.step] for begin in range(0, len(seconds), self.step)]
 
     def sum(self, count: Count) -> list[float]:
-        """Return what there is in each step."""
+        """Return the total of each step."""
         return [float(sum(map(count, part))) for part in self.parts]
 
     def rate(self, count: Count) -> list[float]:
-        """Return what there is a second, on the mean of each step."""
+        """Return the mean per second of each step."""
         return [sum(map(count, part)) / len(part) for part in self.parts]
 
     def worst(self, count: Count) -> list[float]:
-        """Return the highest of each step."""
+        """Return the maximum of each step."""
         return [max(map(count, part)) for part in self.parts]
 
     def share(self, count: Count, total: Count) -> list[float]:
-        """Return the part of a total in each step; not a number where there is no total."""
+        """Return the share of a total in each step, NaN if the total is 0."""
         pairs = zip(self.sum(count), self.sum(total), strict=True)
         return [part / whole if whole else float("nan") for part, whole in pairs]
 
 
-def of_run(outcome: Outcome, replay: str) -> str:
-    """Return the page. `replay` is the command that plays it again, "" where that is not known."""
+def run_page(outcome: Outcome, replay: str) -> str:
+    """Return the page of a run. `replay` is the command that replays it, "" if unknown."""
     parts: list[str] = []
     if outcome.breaches:
         parts.append(page.section(f"Breaches ({_breaches(outcome)})", _breach_table(outcome)))
@@ -126,11 +126,11 @@
         self.steps = _Steps(self.seconds)
         self.length = float(len(self.seconds))
         instants = [at for at, _ in outcome.happened if 0 <= at <= self.length]
-        self.marks = Marks(instants, self.length)
+        self.marks = EventMarks(instants, self.length)
 
     def all(self) -> Iterable[str]:
         """Yield the plots in the order of the page."""
-        yield self._endings()
+        yield self._request_ends()
         yield self._latency()
         yield self._attempts()
         yield self._attempts_each()
@@ -145,11 +145,11 @@
         log: bool = False,
         level: tuple[float, str] | None = None,
     ) -> str:
-        """Return a figure of values over time, in the unit `label`; `level` is a further line across."""
-        plot = plots.lines(series, self.steps.step, self.length, self.marks, label, log=log, level=level)
+        """Return a figure of values over time in the unit `label`; `level` is a labelled horizontal line."""
+        plot = plots.line_plot(series, self.steps.step, self.length, self.marks, label, log=log, level=level)
         return page.figure(title, plot, caption)
 
-    def _endings(self) -> str:
+    def _request_ends(self) -> str:
         steps = self.steps
         by = "second" if steps.step == 1 else f"{steps.step} seconds"
         note = " Numbers above point to the list of what happened." if self.marks.instants else ""
@@ -163,7 +163,7 @@
             )
         ]  # fmt: skip
         return page.figure(
-            "How requests ended", plots.stacked(shares, steps.step, self.length, self.marks),
+            "How requests ended", plots.stacked_areas(shares, steps.step, self.length, self.marks),
             f"Share of the first tries of each {by}, by the second in which they were asked.{note}",
         )  # fmt: skip
 
@@ -225,7 +225,9 @@
     if count:
         yield page.figure(
             "Latency by percentile",
-            plots.percentiles(lambda share: float(histogram.get_value_at_percentile(share)), float(count)),
+            plots.percentile_plot(
+                lambda share: float(histogram.get_value_at_percentile(share)), float(count)
+            ),
             f"Of all {count:,} first tries that were served. The scale widens towards the slowest.",
         )
 
@@ -234,13 +236,13 @@
     if not outcome.node_work:
         return
     yield page.figure(
-        "Load by node", plots.bars(_by_sort(outcome.node_work), "work done (s)"),
+        "Load by node", plots.bar_plot(_grouped_by_name(outcome.node_work), "work done (s)"),
         "Seconds of work on a standard core, the busiest first; dashed: the mean of the group.",
     )  # fmt: skip
 
 
-def _by_sort(work: dict[str, float]) -> list[tuple[str, list[tuple[str, float]]]]:
-    """Nodes whose names differ in their last numbers alone stand together; all, if that sorts nothing."""
+def _grouped_by_name(work: dict[str, float]) -> list[tuple[str, list[tuple[str, float]]]]:
+    """Group nodes whose names differ only in trailing numbers; more than 4 groups become one."""
     found: dict[str, list[tuple[str, float]]] = {}
     for name, value in work.items():
         found.setdefault(re.sub(r"([-_.]?[0-9]+)+$", "", name) or "nodes", []).append((name, value))
--- a/wheatring/lab/study/report/page.py
+++ b/wheatring/lab/study/report/page.py
@@ -1,4 +1,4 @@
-"""HTML: a page, its tables and its figures. What is handed in as text is escaped here."""
+"""Writes pages, tables and figures as HTML. Escapes all texts that callers pass in."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class Code(str):
-    """A cell that is a command."""
+    """A table cell that shows a command."""
 
 
-def shown(value: Cell) -> str:
-    """Return a cell's text."""
+def format_cell(value: Cell) -> str:
+    """Return the text of a cell."""
     if value is None:
         return "-"
     if isinstance(value, float):
@@ -42,11 +42,11 @@
     if isinstance(value, Code):
         return f"<td><code>{escape(value)}</code></td>"
     kind = "" if isinstance(value, str) else ' class="n"'
-    return f"<td{kind}>{escape(shown(value))}</td>"
+    return f"<td{kind}>{escape(format_cell(value))}</td>"
 
 
 def table(head: Sequence[str], rows: Iterable[Sequence[Cell]]) -> str:
-    """Return a table. A column is set to the right where its first cell is a number."""
+    """Return a table. A column is right-aligned if its first cell is not a string."""
     lines = [*rows]
     first = lines[0] if lines else ()
     right = [not isinstance(value, str) for value in first] or [False] * len(head)
@@ -76,7 +76,7 @@
 
 
 def page(title: str, summary: str, parts: Iterable[str], *, bad: bool = False) -> str:
-    """Return a complete page; `bad` marks its summary."""
+    """Return a complete page; `bad` highlights its summary."""
     name = escape(title)
     kind = "line bad" if bad else "line"
     return (
--- a/wheatring/lab/study/report/several.py
+++ b/wheatring/lab/study/report/several.py
@@ -1,4 +1,4 @@
-"""The page of a set of runs, as a store holds them."""
+"""The page of a set of stored runs."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from wheatring.lab.study.store import Row
 from wheatring.lab.study.sweep import first_breaches, replay_of
 
-WORST = 20  # runs that are listed
+MAX_WORST_RUNS = 20
 
 Group = tuple[str, ...]
 
 
-def of_set(rows: Sequence[Row], title: str) -> str:
-    """Return the page of a set of runs, at least one."""
+def run_set_page(rows: Sequence[Row], title: str) -> str:
+    """Return the page of a non-empty set of runs."""
     done = [row for row in rows if row.g is not None]
     lost = [row for row in rows if row.state != "done"]
     breaches = sum(row.breaches or 0 for row in done)
@@ -24,12 +24,12 @@
     if breaches:
         parts.append(page.section("Breaches", _breaches(done)))
     if done:
-        groups = _named(done)
+        groups = _named_groups(done)
         parts.append(page.section("Figures", _table(groups)))
         parts.append(
             page.figure(
                 "G by scenario",
-                plots.strips([(name, [row.g or 0.0 for row in group]) for name, group in groups], "G"),
+                plots.strip_plot([(name, [row.g or 0.0 for row in group]) for name, group in groups], "G"),
                 "Each dot is a run; the line is the middle half, the bar its median.",
             )
         )
@@ -50,14 +50,14 @@
     return f"{len(done):,} runs: {figures}{kept}{missing}."
 
 
-def _named(rows: Iterable[Row]) -> list[tuple[str, list[Row]]]:
-    """Group runs by scenario, grain, settings and build; names say only what differs, the scenario first."""
+def _named_groups(rows: Iterable[Row]) -> list[tuple[str, list[Row]]]:
+    """Group runs by scenario, grain, settings and build, named by the scenario and the parts that differ."""
     found: dict[Group, list[Row]] = {}
     for row in rows:
         group = (row.scenario, row.grain, row.settings, f"build {row.build}", f"text {row.scenario_hash}")
         found.setdefault(group, []).append(row)
-    varying = [len({group[place] for group in found}) > 1 for place in range(5)]
-    # The text says more than the name only where one name stands for several.
+    varying = [len({group[index] for group in found}) > 1 for index in range(5)]
+    # The hash of the text is shown only if several texts share a scenario name.
     varying[4] = len({(group[0], group[4]) for group in found}) > len({group[0] for group in found})
 
     def name(group: Group) -> str:
@@ -97,7 +97,7 @@
 
 
 def _worst(rows: Sequence[Row]) -> str:
-    ordered = sorted(rows, key=lambda row: (row.g or 0.0, row.key()))[:WORST]
+    ordered = sorted(rows, key=lambda row: (row.g or 0.0, row.key()))[:MAX_WORST_RUNS]
     lines = [
         (row.g, row.service, row.breaches, row.scenario, row.seed, page.Code(replay_of(row)))
         for row in ordered
--- a/wheatring/lab/study/run_builder.py
+++ b/wheatring/lab/study/run_builder.py
@@ -23,9 +23,9 @@
 def make_run_specs(
     scenario: str, seeds: list[int], grains: list[str], settings: Settings, build: Build
 ) -> list[RunSpec]:
-    """Return the runs of one scenario, by its name or its file, seed by seed.
+    """Return the runs of one scenario, given by name or file, ordered by seed.
 
-    Raises ScenarioError where it or a setting can't be used; the first seed is drawn to tell.
+    Raises ScenarioError if the scenario or a setting is invalid, which is checked by drawing the first seed.
     """
     raw, name, where = load_tables(scenario)
     text_hash = hashed(_text(raw))
@@ -41,9 +41,9 @@
 
 
 def load_scenario(scenario: str, settings: Settings) -> LoadedScenario:
-    """Return a scenario by its name or its file, with settings laid over it.
+    """Return a scenario, given by name or file, with the settings applied.
 
-    Raises ScenarioError if it can't be used.
+    Raises ScenarioError if the scenario or a setting is invalid.
     """
     raw, name, where = load_tables(scenario)
     return check_tables(_with_settings(raw, where, settings), name, where)
--- a/wheatring/lab/study/runs.py
+++ b/wheatring/lab/study/runs.py
@@ -18,22 +18,22 @@
 
 GRAINS = ("wire", "exchange")
 
-# died: its process ended; hung: it passed the wall limit; broken: it raised.
+# died: its process ended; hung: it exceeded the wall time limit; broken: it raised an exception.
 State = Literal["done", "died", "hung", "broken"]
 
-HERE = Path(__file__).resolve().parents[3]  # this checkout
-UNHASHED = ("wheatring/lab/study/", "wheatring/lab/live/", "wheatring/commands/")  # no run depends on these
+CHECKOUT = Path(__file__).resolve().parents[3]  # root of this checkout
+UNHASHED_FOLDERS = ("wheatring/lab/study/", "wheatring/lab/live/", "wheatring/commands/")  # not used by runs
 
 
 class Build(Struct, frozen=True):
-    """A checkout of the project, and what its sources hash to."""
+    """A checkout of the project, and the hash of its sources."""
 
     folder: str
     ident: str
 
 
 class RunKey(NamedTuple):
-    """What the store keeps a run by."""
+    """The key of a run in the store."""
 
     scenario: str
     scenario_hash: str
@@ -44,25 +44,25 @@
 
 
 class RunSpec(Struct, frozen=True):
-    """A run to be played. Its key is all but the folder of the build and the source."""
+    """A run to be played. Its key is everything except the build's folder and the source."""
 
-    scenario: str  # its name, or its file
-    text_hash: str  # of its text, without the settings
-    source: str  # its tables with them, as JSON
+    scenario: str  # name or file
+    text_hash: str  # hash of the scenario without the settings
+    source: str  # the scenario's tables with the settings, as JSON
     seed: int
     grain: str
     settings: Settings
     build: Build
 
     def key(self) -> RunKey:
-        """Return what the store keeps the run by."""
+        """Return the key of the run in the store."""
         return RunKey(
             self.scenario, self.text_hash, self.seed, self.grain, self.build.ident, self.settings.text()
         )
 
 
 class RunResult(Struct):
-    """How a run ended. `outcome` is JSON as the run gave it, empty unless it is done; `why` says more."""
+    """How a run ended. `outcome` is the run's JSON, empty unless done; `why` is the reason of a failure."""
 
     state: State
     outcome: bytes = b""
@@ -77,24 +77,24 @@
     return hashlib.sha256(text.encode()).hexdigest()[:12]
 
 
-def build_at(folder: Path = HERE) -> Build:
-    """Return the checkout in a folder. Raises StudyError where there is no project."""
+def build_at(folder: Path = CHECKOUT) -> Build:
+    """Return the build of the checkout in a folder. Raises StudyError if there is none."""
     root = folder.resolve()
     total = hashlib.sha256()
     if not (root / "wheatring" / "lab").is_dir():
         raise StudyError(f"{folder}: no checkout of the project with a lab")
-    for package in ("lapisway", "wheatring"):  # the decision module of builds before it moved into wheatring
+    for package in ("lapisway", "wheatring"):  # lapisway: the decision module of older builds
         for file in sorted((root / package).rglob("*.py")):
             name = file.relative_to(root).as_posix()
-            if not name.startswith(UNHASHED):
+            if not name.startswith(UNHASHED_FOLDERS):
                 total.update(f"{name}\0".encode() + file.read_bytes() + b"\0")
     return Build(folder=str(root), ident=total.hexdigest()[:12])
 
 
 def seeds_of(text: str) -> list[int]:
-    """Return the seeds that `1-100`, `7` or `1,2,9-12` names, in that order, none twice.
+    """Return the seeds in a text such as `1-100`, `7` or `1,2,9-12`, in that order, without duplicates.
 
-    Raises StudyError for another text.
+    Raises StudyError if the text has another form.
     """
     found: dict[int, None] = {}
     for part in text.split(","):
@@ -106,13 +106,13 @@
 
 
 def replay(scenario: str, seed: int, grain: str, settings: str) -> str:
-    """Return the command that plays a run again; `settings` as in the key."""
+    """Return the command that replays a run; `settings` is the text in its key."""
     line = shlex.join(["wheatring", "lab", "run", scenario, "--seed", str(seed), "--grain", grain])
     return f"{line} {settings}".rstrip()
 
 
-def function(name: str) -> Run:
-    """Return the run that is named as module:function."""
+def load_run(name: str) -> Run:
+    """Return the run with the name `module:function`."""
     where, _, attribute = name.partition(":")
     run: Run = getattr(import_module(where), attribute)
     return run
--- a/wheatring/lab/study/settings.py
+++ b/wheatring/lab/study/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a run: overrides of scenario keys, and of constants of the sidecar's modules."""
+"""Settings of a run: overrides of scenario keys and of module constants."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from wheatring.lab.planted_faults import FAULTS, planted
 from wheatring.lab.study import StudyError
 
-PACKAGES = ("wheatring",)  # a patch reaches nothing else
+PACKAGES = ("wheatring",)  # the packages whose modules may be patched
 
-_planted = ExitStack()  # for the life of the process
+_planted = ExitStack()  # never closed: planted faults stay until the process ends
 
-PLANT = "plant"  # in place of a module's constant where a fault is planted instead
+PLANT = "plant"  # marks a patch that plants a fault instead of setting a constant
 
 Pairs = tuple[tuple[str, str], ...]
 
 
 class Settings(Struct, frozen=True):
-    """Names and values as they were written, in the names' order. Equal settings are equal texts."""
+    """Names and values as given, sorted by name, so that equal settings have equal texts."""
 
-    sets: Pairs = ()  # scenario key, value
-    patches: Pairs = ()  # module:NAME, value; or PLANT, a planted fault's name
+    sets: Pairs = ()  # (scenario key, value)
+    patches: Pairs = ()  # (module:NAME, value) or (PLANT, name of the fault)
 
     def options(self) -> list[str]:
-        """Return the options of the command line that give them."""
+        """Return the command line options for these settings."""
         found: list[str] = []
         for option, pairs in (("--set", self.sets), ("--patch", self.patches)):
             for name, value in pairs:
@@ -38,11 +38,11 @@
         return found
 
     def text(self) -> str:
-        """Return the options as one line."""
+        """Return the options as one shell-quoted line."""
         return shlex.join(self.options())
 
     def label(self) -> str:
-        """Return a name for people."""
+        """Return a label for display."""
         return ", ".join(f"{name}={value}" for name, value in self.sets + self.patches) or "as it is"
 
 
@@ -60,8 +60,8 @@
     return found
 
 
-def varied(sets: Iterable[str], patches: Iterable[str]) -> list[Settings]:
-    """Return all settings that the options ask for: a name given several times takes each of its values."""
+def combinations(sets: Iterable[str], patches: Iterable[str]) -> list[Settings]:
+    """Return all combinations of the options; a name given several times takes each of its values."""
     set_names, patch_names = _grouped("--set", sets), _grouped("--patch", patches)
     choices = [
         [(kind, name, value) for value in values]
@@ -78,15 +78,15 @@
 
 
 def single(sets: Sequence[str], patches: Sequence[str]) -> Settings:
-    """Return the one settings that the options ask for. Raises StudyError where a name is given twice."""
-    found = varied(sets, patches)
+    """Return the settings given by the options. Raises StudyError if a name is given twice."""
+    found = combinations(sets, patches)
     if len(found) > 1:
         raise StudyError("--set, --patch: a name is given twice")
     return found[0]
 
 
 def value_of(text: str) -> object:
-    """Read a value as in TOML; bare words are text."""
+    """Parse a TOML value; any other text is returned as it is."""
     try:
         return tomllib.loads(f"value = {text}")["value"]
     except tomllib.TOMLDecodeError:
@@ -94,7 +94,10 @@
 
 
 def with_fault(settings: Settings, name: str) -> Settings:
-    """Add a fault of `lab.planted_faults`, where one is named. Raises StudyError."""
+    """Add the fault of that name from `lab.planted_faults`; none if `name` is empty.
+
+    Raises StudyError for an unknown name.
+    """
     if not name:
         return settings
     if name not in [fault.name for fault in FAULTS]:
@@ -104,11 +107,11 @@
 
 
 def apply(patches: Pairs) -> None:
-    """Set the constants in this process, for good, before anything else has read them.
+    """Set the constants permanently in this process, before any other module has read them.
 
-    Planted faults stay as well. What a module derives from a constant as it is imported (defaults of
-    arguments, further constants of the same module) keeps the old value; what other modules import by name
-    afterwards has the new one.
+    Planted faults are permanent as well. Values that a module derives from a constant during its import
+    (default arguments, further constants) keep the old value. Modules that import the constant by name
+    afterwards get the new value.
     """
     for name, text in patches:
         if name == PLANT:
@@ -125,10 +128,10 @@
             raise StudyError(f"--patch {name}: there is no module {where}") from None
         if constant not in vars(module):
             raise StudyError(f"--patch {name}: {where} has no {constant}")
-        setattr(module, constant, _fitting(name, vars(module)[constant], value_of(text)))
+        setattr(module, constant, _converted(name, vars(module)[constant], value_of(text)))
 
 
-def _fitting(name: str, old: object, new: object) -> object:
+def _converted(name: str, old: object, new: object) -> object:
     if type(old) not in (bool, int, float, str):
         raise StudyError(f"--patch {name}: is neither a number, a text nor a truth value")
     if type(old) is float and type(new) is int:
--- a/wheatring/lab/study/stats.py
+++ b/wheatring/lab/study/stats.py
@@ -1,4 +1,4 @@
-"""Medians, bootstrap intervals and power. Pure: random numbers come from the seed that is handed in."""
+"""Medians, bootstrap intervals and statistical power. Deterministic: callers pass the random seed."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 __all__ = ["Interval", "bootstrap", "fmean", "median", "pairs_needed", "spread"]
 
 RESAMPLES = 10_000
-MAX_NUMBERS_AT_ONCE = 1_000_000  # that are drawn, for the memory they take
+MAX_NUMBERS_PER_BATCH = 1_000_000  # bounds the memory of the resampling
 
 _NORMAL = NormalDist()
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """An interval of numbers, its ends included."""
+    """A closed interval."""
 
     low: float
     high: float
 
     def contains(self, value: float) -> bool:
-        """Return whether a value lies in it."""
+        """Return whether a value lies in the interval."""
         return self.low <= value <= self.high
 
 
 def spread(values: Sequence[float]) -> float:
-    """Return the standard deviation of what the values were drawn from; 0 for fewer than two."""
+    """Return the sample standard deviation, 0 for fewer than two values."""
     return stdev(values) if len(values) > 1 else 0.0
 
 
 def student(share: float, freedom: int) -> float:
-    """Return a quantile of Student's t, by its expansion about the normal one.
+    """Return a quantile of Student's t distribution, by its expansion about the normal quantile.
 
-    It is good to 1 % from 3 degrees of freedom on.
+    The error is below 1 % from 3 degrees of freedom on.
     """
     z = _NORMAL.inv_cdf(share)
     z2 = z * z
@@ -51,26 +51,26 @@
 
 
 def bootstrap(values: Sequence[float], seed: int, level: float = 0.95) -> Interval:
-    """Return the interval of the mean of what the values were drawn from, by resampling.
+    """Return the bootstrap confidence interval of the population mean.
 
-    Percentiles of resampled means are too narrow for few values (their spread is that of the n values, not of
-    n - 1 degrees of freedom); they are taken further out by as much as Student's t is wider than the normal.
-    The interval of one value reaches over all numbers.
+    Percentiles of resampled means give too narrow an interval for few values, because their variance divides
+    by n instead of n - 1. The percentiles are therefore moved outwards by the ratio of the quantile of
+    Student's t to the normal one. The interval of a single value is unbounded.
     """
     count = len(values)
     if not count:
         raise ValueError("no values")
     if count == 1:
         return Interval(float("-inf"), float("inf"))
-    wide = student(0.5 + level / 2, count - 1) * sqrt(count / (count - 1))
-    tail = _NORMAL.cdf(-wide)
-    drawn = numpy.random.Generator(numpy.random.PCG64(seed))
+    quantile = student(0.5 + level / 2, count - 1) * sqrt(count / (count - 1))
+    tail = _NORMAL.cdf(-quantile)
+    generator = numpy.random.Generator(numpy.random.PCG64(seed))
     given = numpy.asarray(values, dtype=numpy.float64)
-    at_once = max(1, MAX_NUMBERS_AT_ONCE // count)
+    batch = max(1, MAX_NUMBERS_PER_BATCH // count)
     means = numpy.concatenate(
         [
-            given[drawn.integers(0, count, (min(at_once, RESAMPLES - done), count))].mean(axis=1)
-            for done in range(0, RESAMPLES, at_once)
+            given[generator.integers(0, count, (min(batch, RESAMPLES - done), count))].mean(axis=1)
+            for done in range(0, RESAMPLES, batch)
         ]
     )
     low, high = numpy.quantile(means, (tail, 1 - tail))
@@ -78,12 +78,13 @@
 
 
 def pairs_needed(difference: float, deviation: float, power: float = 0.8, level: float = 0.95) -> int | None:
-    """Return the pairs with which a mean difference of that size is told from none with this probability.
+    """Return the number of pairs that detects a mean difference of that size with probability `power`.
 
-    `deviation` is that of single differences. None where no number would do: there is no difference.
+    `deviation` is the standard deviation of the single differences. None if the difference is 0, which no
+    number of pairs could detect.
     """
     if difference == 0:
         return None
     z = _NORMAL.inv_cdf(0.5 + level / 2)
     effect = (z + _NORMAL.inv_cdf(power)) * deviation / difference
-    return max(2, ceil(effect * effect + z * z / 2))  # the second term: the deviation has to be told as well
+    return max(2, ceil(effect * effect + z * z / 2))  # the second term: the deviation is estimated as well
--- a/wheatring/lab/study/store.py
+++ b/wheatring/lab/study/store.py
@@ -1,4 +1,4 @@
-"""Results, kept in one SQLite file: a row a run, so that an experiment can be stopped and gone on with."""
+"""Stores results in an SQLite file with one row per run, so that a stopped experiment can be resumed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from wheatring.lab.study import StudyError
 from wheatring.lab.study.runs import RunKey, RunResult, RunSpec
 
-VERSION = 1  # of the tables below; kept as the file's user_version
+VERSION = 1  # version of the tables below, stored as the file's user_version
 
 TABLES = """
 CREATE TABLE runs (
@@ -34,7 +34,7 @@
 
 
 class Row(NamedTuple):
-    """A run as it is kept, without its outcome. Figures are None unless it is done."""
+    """A stored run without its outcome. Figures are None unless it is done."""
 
     scenario: str
     scenario_hash: str
@@ -49,54 +49,54 @@
     waste: float | None
     requests: int | None
     breaches: int | None
-    rules: str | None  # broken ones, in the order of their first breach, with spaces between
+    rules: str | None  # broken rules in the order of their first breach, separated by spaces
     wall_s: float | None
 
     def key(self) -> RunKey:
-        """Return what the run is kept by."""
+        """Return the key of the run."""
         return RunKey(*self[:6])
 
 
 FIELDS = ", ".join(Row._fields)
 
 
-def encoded(outcome: Outcome) -> bytes:
-    """Return an outcome as it is kept."""
+def encode_outcome(outcome: Outcome) -> bytes:
+    """Return an outcome in its stored form."""
     return msgspec.json.encode(outcome)
 
 
 class Store:
-    """A file of results. Each method is atomic: what it wrote outlives the death of the process."""
+    """A file of results. Each method is one transaction, so that its data survive a crash of the process."""
 
-    def __init__(self, link: sqlite3.Connection) -> None:
-        self.link = link
+    def __init__(self, connection: sqlite3.Connection) -> None:
+        self.connection = connection
 
-    def keep(self, spec: RunSpec, ended: RunResult) -> Row:
-        """Keep a run. One without an outcome, or whose figures are no numbers, is kept as broken."""
+    def save(self, spec: RunSpec, result: RunResult) -> Row:
+        """Store a run. A run whose outcome is missing or invalid is stored as broken."""
         key = spec.key()
-        if ended.state == "done":
+        if result.state == "done":
             try:
-                got = msgspec.json.decode(ended.outcome, type=Outcome)
+                got = msgspec.json.decode(result.outcome, type=Outcome)
             except msgspec.ValidationError as error:
-                return self.keep(spec, RunResult("broken", why=f"no outcome: {error}"))
+                return self.save(spec, RunResult("broken", why=f"no outcome: {error}"))
             rules = " ".join(dict.fromkeys(breach.rule for breach in got.breaches))
             breaches = max(got.breach_count, len(got.breaches))
             row = Row(
                 *key, "done", "", got.g, got.service, got.waste, got.requests, breaches, rules, got.wall_s
             )
         else:
-            row = Row(*key, ended.state, ended.why, None, None, None, None, None, None, None)
-        marks = ", ".join("?" * (len(row) + 1))
-        with self.link:
-            self.link.execute(
-                f"INSERT OR REPLACE INTO runs ({FIELDS}, outcome) VALUES ({marks})",
-                (*row, ended.outcome or None),
+            row = Row(*key, result.state, result.why, None, None, None, None, None, None, None)
+        placeholders = ", ".join("?" * (len(row) + 1))
+        with self.connection:
+            self.connection.execute(
+                f"INSERT OR REPLACE INTO runs ({FIELDS}, outcome) VALUES ({placeholders})",
+                (*row, result.outcome or None),
             )
         return row
 
     def rows(self, scenario: str = "", grain: str = "", settings: str | None = None, build: str = "",
              seed: int | None = None) -> list[Row]:  # fmt: skip
-        """Return all rows that fit, in the order of scenario, grain, settings, build and seed."""
+        """Return all matching rows, sorted by scenario, grain, settings, build and seed."""
         wanted = {
             "scenario": scenario or None, "grain": grain or None, "settings": settings,
             "build": build or None, "seed": seed,
@@ -104,7 +104,7 @@
         given = {name: value for name, value in wanted.items() if value is not None}
         where = " AND ".join(f"{name} = ?" for name in given) or "1"
         order = "scenario, scenario_hash, grain, settings, build, seed"
-        found = self.link.execute(
+        found = self.connection.execute(
             f"SELECT {FIELDS} FROM runs WHERE {where} ORDER BY {order}", [*given.values()]
         )
         return [Row(*row) for row in found]
@@ -115,45 +115,45 @@
 
     def blob(self, row: Row) -> bytes:
         """Return the outcome of a run that is done, as JSON."""
-        (found,) = self.link.execute(
+        (found,) = self.connection.execute(
             "SELECT outcome FROM runs WHERE scenario = ? AND scenario_hash = ? AND seed = ? AND grain = ?"
             " AND build = ? AND settings = ?", row.key(),
         ).fetchone()  # fmt: skip
         return bytes(found)
 
     def record_look(self, comparison: str, pairs: int) -> list[int]:
-        """Record a look at a comparison with so many pairs, and return all looks so far."""
-        with self.link:
-            self.link.execute("INSERT OR IGNORE INTO looks VALUES (?, ?)", (comparison, pairs))
-        found = self.link.execute(
+        """Record a look at a comparison with that many pairs, and return the pairs of all looks so far."""
+        with self.connection:
+            self.connection.execute("INSERT OR IGNORE INTO looks VALUES (?, ?)", (comparison, pairs))
+        found = self.connection.execute(
             "SELECT pairs FROM looks WHERE comparison = ? ORDER BY pairs", (comparison,)
         )
         return [count for (count,) in found]
 
 
 @contextmanager
-def opened(file: Path, *, new: bool = True) -> Iterator[Store]:
-    """Open the store in that file, made if it is `new` and not there. Raises StudyError if it is no store."""
+def open_store(file: Path, *, new: bool = True) -> Iterator[Store]:
+    """Open the store in a file, created if missing and `new`. Raises StudyError if it is no store."""
     if not new and not file.is_file():
         raise StudyError(f"{file}: no such file")
     try:
-        link = sqlite3.connect(
+        connection = sqlite3.connect(
             file, timeout=60.0
-        )  # for the lock, should another experiment write at the moment
+        )  # seconds to wait for the lock while another experiment writes
     except sqlite3.Error as error:
         raise StudyError(f"{file}: {error}") from error
     try:
         try:
-            (version,) = link.execute("PRAGMA user_version").fetchone()
-            if version == 0 and not link.execute("SELECT 1 FROM sqlite_master").fetchone():
-                link.executescript(f"BEGIN; {TABLES} PRAGMA user_version = {VERSION}; COMMIT;")
+            (version,) = connection.execute("PRAGMA user_version").fetchone()
+            if version == 0 and not connection.execute("SELECT 1 FROM sqlite_master").fetchone():
+                connection.executescript(f"BEGIN; {TABLES} PRAGMA user_version = {VERSION}; COMMIT;")
                 version = VERSION
-            link.execute("PRAGMA journal_mode = WAL")
-            link.execute("PRAGMA synchronous = NORMAL")
+            connection.execute("PRAGMA journal_mode = WAL")
+            connection.execute("PRAGMA synchronous = NORMAL")
         except sqlite3.DatabaseError as error:
             raise StudyError(f"{file}: {error}") from error
         if version != VERSION:
             raise StudyError(f"{file}: its tables are of version {version}, not {VERSION}")
-        yield Store(link)
+        yield Store(connection)
     finally:
-        link.close()
+        connection.close()
--- a/wheatring/lab/study/sweep.py
+++ b/wheatring/lab/study/sweep.py
@@ -1,4 +1,4 @@
-"""A sweep: every seed of every scenario in every grain with all settings, over all cores."""
+"""A sweep: plays all seeds of the scenarios in all grains and settings, in parallel."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 
 @dataclass(slots=True)
-class Swept:
-    """What there is of the specs that were asked for, those of earlier sweeps among them."""
+class SweepResult:
+    """The stored runs of the requested specs, including those of earlier sweeps."""
 
     asked: int
     rows: list[Row] = field(default_factory=list)  # in the order of the specs
-    played: int = 0  # by this sweep
+    played: int = 0  # runs played by this sweep
     stopped: bool = False  # by Ctrl-C
 
     @property
     def breaches(self) -> int:
-        """The breaches of rules in all runs."""
+        """The number of breaches in all runs."""
         return sum(row.breaches or 0 for row in self.rows)
 
     @property
     def status(self) -> int:
-        """The status of the command: 1 if a rule was broken or a run did not end, 130 if it was stopped."""
+        """The exit status: 1 for a breach or a run that is not done, 130 after Ctrl-C, else 0."""
         if self.breaches or any(row.state != "done" for row in self.rows):
             return 1
         return 130 if self.stopped else 0
@@ -46,15 +46,15 @@
 def play(
     specs: list[RunSpec], store: Store, run: str, *, workers: int, limit: float, fail_fast: bool = False,
     console: Console | None = None,
-) -> Swept:  # fmt: skip
-    """Play what the store does not have yet; runs that had not come to their end are played again.
+) -> SweepResult:  # fmt: skip
+    """Play the runs that are not stored as done yet, including those that died, hung or failed before.
 
-    `run` is module:function, `limit` seconds of wall time for each run. Raises StudyError.
+    `run` is module:function, `limit` the wall time of each run in seconds. Raises StudyError.
     """
     kept = {row.key(): row for row in store.rows()}
     wanted = {spec.key(): spec for spec in specs}
     left = [spec for key, spec in wanted.items() if key not in kept or kept[key].state != "done"]
-    swept = Swept(asked=len(wanted))
+    swept = SweepResult(asked=len(wanted))
     if fail_fast and any(kept[key].breaches for key in wanted if key in kept):
         left = []
     with _progress(console) as progress:
@@ -63,20 +63,20 @@
         lost = 0
         task = progress.add_task("", total=len(left), rate="", breaches=breaches, lost=lost)
 
-        def ended(spec: RunSpec, how: RunResult) -> bool:
-            """Store the result of a run; return whether the sweep has to end."""
+        def on_result(spec: RunSpec, result: RunResult) -> bool:
+            """Store the result of a run; return whether to stop the sweep."""
             nonlocal breaches, lost
-            row = kept[spec.key()] = store.keep(spec, how)
+            row = kept[spec.key()] = store.save(spec, result)
             swept.played += 1
             breaches += row.breaches or 0
             lost += row.state != "done"
-            taken = progress.tasks[0].elapsed or 0.0
-            rate = f"{swept.played / taken:.2f} runs/s" if taken else ""
+            elapsed = progress.tasks[0].elapsed or 0.0
+            rate = f"{swept.played / elapsed:.2f} runs/s" if elapsed else ""
             progress.update(task, advance=1, rate=rate, breaches=breaches, lost=lost)
             return fail_fast and bool(row.breaches)
 
         try:
-            pool.play(left, run, workers, limit, ended)
+            pool.play(left, run, workers, limit, on_result)
         except KeyboardInterrupt:
             swept.stopped = True
     swept.rows = [kept[key] for key in wanted if key in kept]
@@ -93,11 +93,11 @@
     )  # fmt: skip
 
 
-Group = tuple[str, str, str, str]  # scenario, its hash, grain, settings
+Group = tuple[str, str, str, str]  # scenario, scenario hash, grain, settings
 
 
 def grouped(rows: Iterable[Row]) -> dict[Group, list[Row]]:
-    """Return the runs by scenario, grain and settings."""
+    """Return the runs grouped by scenario, grain and settings."""
     found: dict[Group, list[Row]] = {}
     for row in rows:
         found.setdefault((row.scenario, row.scenario_hash, row.grain, row.settings), []).append(row)
@@ -105,7 +105,7 @@
 
 
 def first_breaches(rows: Iterable[Row]) -> dict[str, Row]:
-    """Return by rule the first run that broke it."""
+    """Return the first run that broke each rule, by rule."""
     found: dict[str, Row] = {}
     for row in rows:
         for rule in (row.rules or "").split():
@@ -114,12 +114,12 @@
 
 
 def replay_of(row: Row) -> str:
-    """Return the command that plays a run again."""
+    """Return the command that replays a run."""
     return replay(row.scenario, row.seed, row.grain, row.settings)
 
 
-def summary(swept: Swept) -> list[dict[str, object]]:
-    """Return by scenario, grain and settings what the table shows, as plain values."""
+def summary(swept: SweepResult) -> list[dict[str, object]]:
+    """Return the figures of the table, one dict for each scenario, grain and settings."""
     found: list[dict[str, object]] = []
     for (scenario, hashed, grain, settings), rows in grouped(swept.rows).items():
         done = [row for row in rows if row.g is not None and row.service is not None]
@@ -138,8 +138,8 @@
     return found
 
 
-def show(swept: Swept, console: Console) -> None:
-    """Print the table, then a line on how to play each kind of breach and each lost run again."""
+def show(swept: SweepResult, console: Console) -> None:
+    """Print the table, then the commands that replay the first breach of each rule and the lost runs."""
     lines = summary(swept)
     for settings in dict.fromkeys(str(line["settings"]) for line in lines):
         if len(lines) > 1 and settings:
@@ -148,10 +148,10 @@
     for rule, row in first_breaches(swept.rows).items():
         console.print(f"[red]{rule}[/] broken first by: {replay_of(row)}", soft_wrap=True, highlight=False)
     show_lost(swept, console)
-    here = sum(row.state == "done" for row in swept.rows)
-    if here < swept.asked:
+    done = sum(row.state == "done" for row in swept.rows)
+    if done < swept.asked:
         why = "stopped: " if swept.stopped else ""
-        console.print(f"{why}{here} of {swept.asked} runs are there; the same command goes on with the rest")
+        console.print(f"{why}{done} of {swept.asked} runs are there; the same command goes on with the rest")
 
 
 def _table(lines: Iterable[dict[str, object]]) -> Table:
@@ -169,8 +169,8 @@
     return table
 
 
-def show_lost(swept: Swept, console: Console) -> None:
-    """Print the runs that did not come to their end."""
+def show_lost(swept: SweepResult, console: Console) -> None:
+    """Print the runs that are not done."""
     lost = [row for row in swept.rows if row.state != "done"]
     for row in lost[:10]:
         console.print(f"[red]{row.state}[/] ", end="")
--- a/wheatring/lab/study/worker.py
+++ b/wheatring/lab/study/worker.py
@@ -1,7 +1,7 @@
 """A process that plays runs for a pool, one after another: messages on standard input and output.
 
-The first message says how to begin (`Hello`) and is answered with what is wrong, "" for nothing; each further
-one is a run's spec and is answered with how it ended. All are msgpack behind their length in four bytes.
+The first message is a `Hello`, answered with an error text, "" if there is no error. Each further message is
+the spec of a run, answered with its result. All messages are msgpack, prefixed by their length in four bytes.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from msgspec import Struct
 
 from wheatring.lab.study import StudyError
-from wheatring.lab.study.runs import RunResult, RunSpec, function
+from wheatring.lab.study.runs import RunResult, RunSpec, load_run
 from wheatring.lab.study.settings import Pairs, apply
 
 
@@ -29,7 +29,7 @@
 
 
 def framed(message: object) -> bytes:
-    """Return a message as it is sent: msgpack behind its length in four bytes."""
+    """Return a message in msgpack, prefixed by its length in four bytes."""
     body = msgspec.msgpack.encode(message)
     return len(body).to_bytes(4, "big") + body
 
@@ -37,14 +37,14 @@
 def _read(source: BinaryIO, messages: queue.SimpleQueue[bytes]) -> None:
     while (head := source.read(4)) and len(head) == 4:
         messages.put(source.read(int.from_bytes(head, "big")))
-    # Guards against workers that outlive a pool that was killed: nobody waits for the run that is on.
+    # The input also ends if the pool was killed: exit at once, as nobody waits for the current run.
     os._exit(0)
 
 
 def _load(hello: Hello) -> str:
     try:
-        apply(hello.patches)  # first, so that all that is imported from here on sees them
-        function(hello.run)
+        apply(hello.patches)  # first, so that modules imported later see them
+        load_run(hello.run)
     except StudyError as error:
         return str(error)
     except (ImportError, AttributeError) as error:
@@ -54,35 +54,35 @@
 
 def _play(name: str, spec: RunSpec) -> RunResult:
     try:
-        return RunResult("done", msgspec.json.encode(function(name)(spec)))
+        return RunResult("done", msgspec.json.encode(load_run(name)(spec)))
     except Exception as error:
-        step = error.__traceback__
-        while step is not None and step.tb_next is not None:
-            step = step.tb_next
-        where = f"{Path(step.tb_frame.f_code.co_filename).name}:{step.tb_lineno}: " if step else ""
+        frame = error.__traceback__
+        while frame is not None and frame.tb_next is not None:
+            frame = frame.tb_next
+        where = f"{Path(frame.tb_frame.f_code.co_filename).name}:{frame.tb_lineno}: " if frame else ""
         return RunResult("broken", why=f"{where}{type(error).__name__}: {error}".splitlines()[0])
 
 
 def main() -> None:
-    """Play the runs that come on standard input until it ends."""
-    # What a run prints must not get between the messages.
+    """Play the runs received on standard input until it ends."""
+    # Output printed by a run must not mix with the messages.
     out = os.fdopen(os.dup(1), "wb")
-    nothing = os.open(os.devnull, os.O_WRONLY)
-    os.dup2(nothing, 1)
+    null = os.open(os.devnull, os.O_WRONLY)
+    os.dup2(null, 1)
     messages: queue.SimpleQueue[bytes] = queue.SimpleQueue()
     threading.Thread(target=_read, args=(sys.stdin.buffer, messages), daemon=True).start()
 
-    def say(message: object) -> None:
+    def send(message: object) -> None:
         """Write one message."""
         out.write(framed(message))
         out.flush()
 
     hello = msgspec.msgpack.decode(messages.get(), type=Hello)
     fault = _load(hello)
-    say(fault)
+    send(fault)
     while not fault:
-        say(_play(hello.run, msgspec.msgpack.decode(messages.get(), type=RunSpec)))
-    os._exit(0)  # an orderly end would wait for the thread that reads
+        send(_play(hello.run, msgspec.msgpack.decode(messages.get(), type=RunSpec)))
+    os._exit(0)  # a regular exit would wait for the reader thread
 
 
 if __name__ == "__main__":
