--- a/tests/lab/rules/checker_driver.py
+++ b/tests/lab/rules/checker_driver.py
@@ -57,13 +57,11 @@
 
 class CheckerDriver:
     def __init__(
-        self, plan: Plan | None = None, trace: Trace | None = None, first_request_of: Any = None
+        self, plan: Plan | None = None, trace: Trace | None = None, first_try_of: Any = None
     ) -> None:
         self.time = START
         self.plan = plan or make_plan()
-        self.checker = InvariantChecker(
-            self.plan, "exchange", lambda: self.time, START, trace, first_request_of
-        )
+        self.checker = InvariantChecker(self.plan, "exchange", lambda: self.time, START, trace, first_try_of)
         for sidecar in ("lb", "front0"):
             self.checker.sidecar_up(sidecar)
         for node in self.plan.nodes:
--- a/tests/lab/rules/test_figures.py
+++ b/tests/lab/rules/test_figures.py
@@ -106,7 +106,7 @@
 def test_work_without_an_answer_to_the_client_counts_as_waste() -> None:
     """A request runs twice at the front; both attempts call the next tier, one of them with a retry."""
     first_tries = {"r": 1, "c1": 1, "c2": 1}
-    driver = CheckerDriver(first_request_of=first_tries.get)
+    driver = CheckerDriver(first_try_of=first_tries.get)
     checker: Any = driver.checker
     checker.asked(1, 0)
     driver.take()
--- a/tests/lab/rules/test_random_histories.py
+++ b/tests/lab/rules/test_random_histories.py
@@ -61,10 +61,8 @@
 
 def test_a_trace_of_one_request_contains_all_requests_of_the_same_first_try() -> None:
     file = StringIO()
-    first_request_of = {"r": 1, "call": 1, "other": 2}.get
-    driver = CheckerDriver(
-        trace=Trace(START, file, ["call"], first_request_of), first_request_of=first_request_of
-    )
+    first_try_of = {"r": 1, "call": 1, "other": 2}.get
+    driver = CheckerDriver(trace=Trace(START, file, ["call"], first_try_of), first_try_of=first_try_of)
     driver.checker.asked(1, 0)
     driver.checker.asked(2, 0)
     for sidecar, node, ident in (
--- a/tests/lab/rules/test_rules.py
+++ b/tests/lab/rules/test_rules.py
@@ -105,7 +105,7 @@
     driver.answer()
 
 
-# Partitions between the front's sidecar and a node, and between another host and all hosts.
+# Partitions between the front's sidecar and a node, and between the sidecar of front1 and all hosts.
 CUTS = tuple(
     EventPlan(at=1.0, kind="partition", length=9.0, hosts=(host,), others=others)
     for host, others in (("127.1.0.1", ("127.0.0.0",)), ("127.100.0.1", ()))
--- a/tests/lab/study/fake_runner.py
+++ b/tests/lab/study/fake_runner.py
@@ -11,7 +11,7 @@
 
 from wheatring.balancer import latency_estimate
 from wheatring.lab.outcome import Breach, ClassFigures, Outcome, SecondFigures
-from wheatring.lab.study.runs import Build, RunSpec, build_at, hashed
+from wheatring.lab.study.runs import Build, RunSpec, build_at, short_hash
 from wheatring.lab.study.settings import Settings, value_of
 
 BUILD = build_at()
@@ -21,7 +21,7 @@
 def run_spec(
     seed: int, settings: Settings | None = None, scenario: str = "calm", build: Build | None = None
 ) -> RunSpec:
-    return RunSpec(scenario, hashed(scenario), "", seed, "wire", settings or Settings(), build or BUILD)
+    return RunSpec(scenario, short_hash(scenario), "", seed, "wire", settings or Settings(), build or BUILD)
 
 
 def settings_with(**sets: object) -> Settings:
--- a/tests/lab/study/test_compare.py
+++ b/tests/lab/study/test_compare.py
@@ -18,14 +18,14 @@
     assert [stats.pairs_needed(size, 1.0) for size in (0.2, 0.5, 0.8)] == [199, 34, 15]
     assert stats.pairs_needed(0.0, 1.0) is None and stats.pairs_needed(-0.5, 1.0) == 34
     for freedom, value in ((4, 2.776), (9, 2.262), (30, 2.042), (1000, 1.962)):
-        assert stats.student(0.975, freedom) == pytest.approx(value, rel=0.01)
+        assert stats.student_t_quantile(0.975, freedom) == pytest.approx(value, rel=0.01)
 
 
 def test_the_bootstrap_interval_matches_the_closed_form_for_normal_values() -> None:
     random = Random("normal")
     values = [random.gauss(3.0, 2.0) for _ in range(400)]
     interval = stats.bootstrap(values, 1)
-    half = 1.96 * stats.spread(values) / sqrt(400)
+    half = 1.96 * stats.standard_deviation(values) / sqrt(400)
     assert interval.low == pytest.approx(stats.fmean(values) - half, abs=0.03)
     assert interval.high == pytest.approx(stats.fmean(values) + half, abs=0.03)
     assert stats.bootstrap(values, 1) == interval != stats.bootstrap(values, 2)
--- a/wheatring/lab/live/play.py
+++ b/wheatring/lab/live/play.py
@@ -89,7 +89,7 @@
             "live",
             clock.now,
             float("inf"),
-            first_request_of=self.origins.first,
+            first_try_of=self.origins.first,
         )
         self.registry = Registry(plan.discovery, clock, time.time, self.random("discovery"), self.checker)
         self.front = FrontLoadBalancer(clock, self.random("front"), plan.front_notice)
--- a/wheatring/lab/rules/answers.py
+++ b/wheatring/lab/rules/answers.py
@@ -26,7 +26,7 @@
         self.breaches = breaches
 
     def check_late(self, request: Request, at: float) -> None:
-        """Check an answer written after the deadline of its request."""
+        """Check an answer that came after the deadline of its request."""
         if at > request.deadline + self.grace + ROUNDING_SECONDS and not self._is_excused(request):
             delay = at - request.deadline
             self._add_breach(request, f"{request.sidecar} answered {delay:.3f} s after the deadline.")
--- a/wheatring/lab/rules/duplicates.py
+++ b/wheatring/lab/rules/duplicates.py
@@ -92,7 +92,7 @@
                 self._check_order(request, attempt, other)
 
     def _check_order(self, request: Request, earlier: Attempt, later: Attempt) -> None:
-        """Check that `earlier` had ended before `later` was sent; skip them if sent in reverse order."""
+        """Check that `earlier` had ended before `later` was sent, unless they were sent in reverse order."""
         if earlier.sent_at > later.sent_at:
             return
         until = earlier.ended_at
--- a/wheatring/lab/rules/figures.py
+++ b/wheatring/lab/rules/figures.py
@@ -50,7 +50,7 @@
         self.classes = [ClassFigures(each.name) for each in plan.classes]
         self.earned_by_class = [0.0 for _ in plan.classes]
         self.earned_late = 0.0
-        self.late_unserved_value = 0.0  # worth of tries that ended unserved after their aim
+        self.late_unserved_worth = 0.0  # worth of tries that ended unserved after their aim
         self.open_tries: dict[int, OpenTry] = {}
         self.latencies_ms: dict[int, list[float]] = {}  # by second
         self.horizon = int(max([each.deadline for each in plan.classes], default=0.0)) + 2
@@ -111,7 +111,7 @@
             second.failed += 1
             figures.failed += 1
         if latency > plan.aim:
-            self.late_unserved_value += plan.worth
+            self.late_unserved_worth += plan.worth
 
     def _compute_percentiles(self, number: int) -> None:
         """Compute the latency percentiles of a second that can get no more answers."""
@@ -177,7 +177,7 @@
         g = goal.whole * whole + goal.worst_window * worst_window + goal.worst_class * worst_class
         g -= waste * goal.waste + choke_price
         if worth > 0:
-            g -= goal.late_fail * self.late_unserved_value / worth
+            g -= goal.late_fail * self.late_unserved_worth / worth
         encoded = overall.encode()
         return Outcome(
             scenario=plan.scenario,
--- a/wheatring/lab/rules/invariant_checker.py
+++ b/wheatring/lab/rules/invariant_checker.py
@@ -40,7 +40,7 @@
 from wheatring.lab.rules.duplicates import SOCKET_TOLERANCE_SECONDS
 from wheatring.lab.rules.front_outage import FrontOutage
 from wheatring.lab.rules.request_checker import RequestChecker
-from wheatring.lab.rules.trace import FirstRequestLookup, Trace, text
+from wheatring.lab.rules.trace import FirstTryLookup, Trace, text
 from wheatring.lab.rules.warm_up import WarmUps
 
 UNSENT_PENALTY_SHARE = 0.3  # share of the worth of a try that ended late or never without an attempt
@@ -49,7 +49,7 @@
 class InvariantChecker(RequestChecker):
     """Implements `EventRecorder`. `now` returns the world's time, `start` is the start of the day.
 
-    `first_request_of` returns the client's first try behind a request, which links the work of calls to the
+    `first_try_of` returns the client's first try behind a request, which links the work of calls to the
     client's answer (`work_accounting.py`). An impossible event raises `MisuseError`: it is a bug of the lab.
     """
 
@@ -60,9 +60,9 @@
         now: Callable[[], float],
         start: float,
         trace: Trace | None = None,
-        first_request_of: FirstRequestLookup | None = None,
+        first_try_of: FirstTryLookup | None = None,
     ) -> None:
-        super().__init__(plan, now, start, trace, first_request_of)
+        super().__init__(plan, now, start, trace, first_try_of)
         self.grain = grain
         self.drains = Drains(plan, self.links)
         self.kinds = {each.name: plan.tiers[each.tier].kinds[each.kind] for each in plan.nodes}
@@ -183,7 +183,7 @@
             what = f"{sidecar} sent to {node} {delay:.3f} s after it knew that it drains or is gone."
             index = self.breaches.add("drain", what, sidecar=sidecar, node=node)
             if index >= 0:
-                self.unnamed_drain_breaches[sidecar, node, at] = index
+                self.unidentified_drain_breaches[sidecar, node, at] = index
 
     # Nodes and discovery
 
@@ -305,8 +305,8 @@
         outcome.breaches = self.breaches.kept
         outcome.breach_count = self.breaches.count
         outcome.attempts_by_tier = self.attempts_by_tier
-        if self.attempts_by_tier and self.client_attempt_count:
-            outcome.attempts_each = self.attempts_by_tier[0] / self.client_attempt_count
+        if self.attempts_by_tier and self.client_try_count:
+            outcome.attempts_each = self.attempts_by_tier[0] / self.client_try_count
         outcome.node_work = self.work.by_node
         outcome.happened = self.timeline
         outcome.lists = self.discovery_calls.figures
@@ -328,7 +328,7 @@
         worth = sum([second.worth for second in figures.seconds])
         return {
             "taken": self.taken_count,
-            "tries": self.client_attempt_count,
+            "tries": self.client_try_count,
             "answered": ends["served"],
             "refused": ends["refused"],
             "failed": ends["failed"],
@@ -337,8 +337,8 @@
             "left": ends["left"],
             "forgiven": self.excused_count,
             "unsent_late": self.unsent_count,
-            "unsent_late_worth": self.unsent_value,
-            "held_back": UNSENT_PENALTY_SHARE * self.unsent_value / worth if worth > 0 else 0.0,
+            "unsent_late_worth": self.unsent_worth,
+            "held_back": UNSENT_PENALTY_SHARE * self.unsent_worth / worth if worth > 0 else 0.0,
             "attempts": sum(self.attempts_by_tier),
             "turned_away": self.rejected_count,
             "sends": self.send_count,
--- a/wheatring/lab/rules/links.py
+++ b/wheatring/lab/rules/links.py
@@ -8,7 +8,7 @@
 
 READ_SECONDS = 0.001  # longest time from the arrival of bytes to their reading
 ELSEWHERE = ""  # endpoint of clients and discovery, whose hosts no event names
-RESEND_SECONDS = 0.5  # longest delivery of a retransmission, counted from twice the length of a cut
+RESEND_SECONDS = 0.5  # longest delivery of a retransmission, after twice the length of the cut
 
 
 class Span(NamedTuple):
@@ -44,35 +44,35 @@
         """Return the endpoint of a sidecar's callers: ELSEWHERE for clients, or the sidecar's own node."""
         return ELSEWHERE if sidecar in self.front else sidecar
 
-    def was_cut(self, end: str, other: str, since: float, until: float) -> bool:
+    def was_cut(self, endpoint: str, other: str, since: float, until: float) -> bool:
         """Return whether two endpoints may have been partitioned at any time from `since` to `until`."""
         if not self.cut_events:
             return False
-        spans = self.cut_spans.get((end, other))
+        spans = self.cut_spans.get((endpoint, other))
         if spans is None:
-            spans = [self._span(cut) for cut in self.cut_events if self._concerns(cut, end, other)]
-            self.cut_spans[end, other] = spans
+            spans = [self._span(cut) for cut in self.cut_events if self._concerns(cut, endpoint, other)]
+            self.cut_spans[endpoint, other] = spans
         return any(span.start <= until and since <= span.end for span in spans)
 
-    def delivery_seconds(self, end: str, other: str, at: float) -> float:
+    def delivery_seconds(self, endpoint: str, other: str, at: float) -> float:
         """Return the longest time until bytes sent at `at` from one endpoint are read at the other."""
         for event in self.latency_events:
             span = self._span(event)
-            if span.start <= at <= span.end and self._concerns(event, end, other):
+            if span.start <= at <= span.end and self._concerns(event, endpoint, other):
                 return self.max_delay
         return self.usual_delay
 
-    def _span(self, cut: EventPlan) -> Span:
-        begin = self.start + cut.at
-        end = begin + 2 * cut.length + RESEND_SECONDS if cut.length > 0 else float("inf")
+    def _span(self, event: EventPlan) -> Span:
+        begin = self.start + event.at
+        end = begin + 2 * event.length + RESEND_SECONDS if event.length > 0 else float("inf")
         return Span(begin - self.max_delay, end)
 
-    def _concerns(self, cut: EventPlan, end: str, other: str) -> bool:
-        if cut.kind == "vanish":
-            return end in cut.nodes or other in cut.nodes
-        here, there = self.hosts.get(end, ()), self.hosts.get(other, ())
-        return (_includes(here, cut.hosts) and _includes(there, cut.others)) or (
-            _includes(here, cut.others) and _includes(there, cut.hosts)
+    def _concerns(self, event: EventPlan, endpoint: str, other: str) -> bool:
+        if event.kind == "vanish":
+            return endpoint in event.nodes or other in event.nodes
+        here, there = self.hosts.get(endpoint, ()), self.hosts.get(other, ())
+        return (_includes(here, event.hosts) and _includes(there, event.others)) or (
+            _includes(here, event.others) and _includes(there, event.hosts)
         )
 
 
--- a/wheatring/lab/rules/request_checker.py
+++ b/wheatring/lab/rules/request_checker.py
@@ -13,7 +13,7 @@
 from wheatring.lab.rules.figures import Figures
 from wheatring.lab.rules.links import Links
 from wheatring.lab.rules.requests import Attempt, Request, RequestEnd
-from wheatring.lab.rules.trace import FirstRequestLookup, Trace, text
+from wheatring.lab.rules.trace import FirstTryLookup, Trace, text
 from wheatring.lab.rules.work_accounting import WorkAccounting
 
 REQUEST_MEMORY_SECONDS = 10.0  # how long an ended request is kept, for attempts still on their way
@@ -28,7 +28,7 @@
         now: Callable[[], float],
         start: float,
         trace: Trace | None,
-        first_request_of: FirstRequestLookup | None,
+        first_try_of: FirstTryLookup | None,
     ) -> None:
         self.plan = plan
         self.now = now
@@ -43,7 +43,7 @@
         self.max_open = plan.limits.max_open
         self.forbids_hedging = not plan.limits.second_copies
         self.front = {each.name for each in plan.sidecars}
-        self.work = WorkAccounting(plan, self.front, first_request_of)
+        self.work = WorkAccounting(plan, self.front, first_try_of)
         self.tier_of = {each.name: each.tier for each in plan.nodes}
         self.requests: dict[str, Request] = {}
         self.open_requests: dict[str, dict[str, Request]] = {}  # unanswered requests, by sidecar
@@ -51,15 +51,15 @@
         self.down_sidecars: set[str] = set()
         self.last_down_at: dict[str, float] = {}  # last end of the process, by sidecar
         # Indices of breaches whose request is not known yet, by sidecar, node and time of sending.
-        self.unnamed_drain_breaches: dict[tuple[str, str, float], int] = {}
+        self.unidentified_drain_breaches: dict[tuple[str, str, float], int] = {}
         self.response_count = 0
         # Counts
         self.attempts_by_tier = [0 for _ in plan.tiers]
         self.end_counts = {"served": 0, "refused": 0, "failed": 0, "lost": 0, "left": 0, "unknown": 0}
-        self.taken_count = self.client_attempt_count = 0
+        self.taken_count = self.client_try_count = 0
         self.rejected_count = self.effect_count = 0
         self.unsent_count = 0
-        self.unsent_value = 0.0
+        self.unsent_worth = 0.0
 
     def day_seconds(self, at: float) -> float:
         """Return the seconds from the start of the day to `at`."""
@@ -86,25 +86,25 @@
                 self.breaches.add("bounds", what, ident=ident, sidecar=sidecar)
         self.taken_count += 1
         if sidecar in self.front:
-            self.client_attempt_count += 1
+            self.client_try_count += 1
             figures = self.figures
             (figures.current if at < figures.current_end else figures.second(at)).tries += 1
         ended = self.ended_requests
         if ended and ended[0].ended_at < at - REQUEST_MEMORY_SECONDS:
-            self._forget(at - REQUEST_MEMORY_SECONDS)
+            self._evict_ended(at - REQUEST_MEMORY_SECONDS)
         if self.trace is not None:
             details = f"index={index} key={key} deadline={self.day_seconds(deadline)!r}"
             self.trace.line(at, ident, f"taken sidecar={sidecar} ident={ident} {details}")
 
-    def _check_retaken(self, request: Request, before: Request) -> None:
+    def _check_retaken(self, request: Request, previous: Request) -> None:
         """Check that a request is taken again only if its caller had to send it to another sidecar."""
-        if before.end != "unknown" and not (before.is_excused and not before.end):
-            raise MisuseError(f"{request.ident}: taken again ({before.end or 'still open'})")
-        for attempt in before.attempts:  # they don't belong to the sidecar that has the request now
+        if previous.end != "unknown" and not (previous.is_excused and not previous.end):
+            raise MisuseError(f"{request.ident}: taken again ({previous.end or 'still open'})")
+        for attempt in previous.attempts:  # they don't belong to the sidecar that has the request now
             attempt.rejected = True
-        request.attempts, request.attempts_in_flight = before.attempts, before.attempts_in_flight
+        request.attempts, request.attempts_in_flight = previous.attempts, previous.attempts_in_flight
 
-    def _forget(self, until: float) -> None:
+    def _evict_ended(self, until: float) -> None:
         ended, requests = self.ended_requests, self.requests
         while ended and ended[0].ended_at < until:
             request = ended.popleft()
@@ -159,7 +159,7 @@
     def _record_unsent(self, request: Request) -> None:
         if request.sidecar in self.front and not request.attempts and not request.is_excused:
             self.unsent_count += 1
-            self.unsent_value += self.plan.classes[request.class_index].worth
+            self.unsent_worth += self.plan.classes[request.class_index].worth
 
     def lost(self, sidecar: str, ident: str, why: str) -> None:
         """Record that a sidecar has lost a request that it had taken."""
@@ -209,8 +209,8 @@
             self._check_owner(sidecar, request, attempt)
         elif request.end or len(request.attempts) > 1:
             self.duplicates.check_arrival(request, attempt)
-        if self.unnamed_drain_breaches:
-            index = self.unnamed_drain_breaches.pop((sidecar, node, attempt.sent_at), None)
+        if self.unidentified_drain_breaches:
+            index = self.unidentified_drain_breaches.pop((sidecar, node, attempt.sent_at), None)
             if index is not None:
                 self.breaches.set_ident(index, ident)
         figures = self.figures
--- a/wheatring/lab/rules/trace.py
+++ b/wheatring/lab/rules/trace.py
@@ -19,7 +19,7 @@
 MAX_PENDING_LINES = 2_000  # buffered lines per first try
 
 # Maps a request's ident to the number of its client's first try, or None if that is unknown.
-FirstRequestLookup = Callable[[str], int | None]
+FirstTryLookup = Callable[[str], int | None]
 
 
 def text(value: object) -> str:
@@ -30,7 +30,7 @@
 class Trace:
     """Hashes all lines, and writes them to a file if there is one.
 
-    With `idents`, only lines of these requests are written; with `first_request_of` as well, those of all
+    With `idents`, only lines of these requests are written; with `first_try_of` as well, those of all
     retries and calls that come from the same first try. Lines that belong to no request are then omitted.
     """
 
@@ -39,12 +39,12 @@
         start: float,
         file: TextIO | None = None,
         idents: Iterable[str] = (),
-        first_request_of: FirstRequestLookup | None = None,
+        first_try_of: FirstTryLookup | None = None,
     ) -> None:
         self.start = start
         self.file = file
         self.idents = frozenset(idents)
-        self.first_request_of = first_request_of
+        self.first_try_of = first_try_of
         self.traced_first_tries: dict[int, None] = {}  # first tries of the requests in `idents`
         # Lines by first try, written if one of its requests turns out to be in `idents`.
         self.pending_lines: OrderedDict[int, list[str]] = OrderedDict()
@@ -62,14 +62,14 @@
         if not self.idents:
             self.file.write(line)
             return
-        if first is None and ident and self.first_request_of is not None:
-            first = self.first_request_of(ident)
+        if first is None and ident and self.first_try_of is not None:
+            first = self.first_try_of(ident)
         if ident in self.idents and first is not None and first not in self.traced_first_tries:
             self.traced_first_tries[first] = None
             self.file.writelines(self.pending_lines.pop(first, ()))
         if ident in self.idents or first in self.traced_first_tries:
             self.file.write(line)
-        elif first is not None and self.first_request_of is not None:
+        elif first is not None and self.first_try_of is not None:
             lines = self.pending_lines.get(first)
             if lines is None:
                 if len(self.pending_lines) >= MAX_PENDING_FIRST_TRIES:
--- a/wheatring/lab/rules/work_accounting.py
+++ b/wheatring/lab/rules/work_accounting.py
@@ -4,7 +4,7 @@
 
 from wheatring.lab.plan import Plan
 from wheatring.lab.rules.requests import Attempt, Request
-from wheatring.lab.rules.trace import FirstRequestLookup
+from wheatring.lab.rules.trace import FirstTryLookup
 
 ROOT = Attempt("", 0.0, 0.0)  # represents the client, the root of the call tree
 
@@ -14,14 +14,14 @@
 
     An attempt's work is useful if its answer reached its caller and, through all calling attempts, the
     client. The work of a call is credited to its parent, the attempt that made the call: the attempt of the
-    same first try, as found by `first_request_of`, at the node whose sidecar was called. Without
-    `first_request_of`, all work of a served call counts as useful.
+    same first try, as found by `first_try_of`, at the node whose sidecar was called. Without
+    `first_try_of`, all work of a served call counts as useful.
     """
 
-    def __init__(self, plan: Plan, front: set[str], first_request_of: FirstRequestLookup | None) -> None:
+    def __init__(self, plan: Plan, front: set[str], first_try_of: FirstTryLookup | None) -> None:
         last_tier = len(plan.tiers) - 1
         self.front = front
-        self.first_request_of = first_request_of
+        self.first_try_of = first_try_of
         # Attempts that may call the next tier, by node and then by first try.
         self.attempts_by_first: dict[str, dict[int, Attempt]] = {
             each.name: {} for each in plan.nodes if each.tier < last_tier
@@ -32,15 +32,15 @@
 
     def begin_attempt(self, ident: str, attempt: Attempt) -> None:
         """Record the arrival of an attempt that may call the next tier."""
-        first = self.first_request_of(ident) if self.first_request_of is not None else None
+        first = self.first_try_of(ident) if self.first_try_of is not None else None
         if first is not None:
             self.attempts_by_first[attempt.node][first] = attempt
 
     def record_answer(self, request: Request, attempt: Attempt) -> None:
         """Record that an attempt made the answer that the request's caller received."""
         parent: Attempt | None = ROOT
-        if request.sidecar not in self.front and self.first_request_of is not None:
-            first = self.first_request_of(request.ident)
+        if request.sidecar not in self.front and self.first_try_of is not None:
+            first = self.first_try_of(request.ident)
             attempts = self.attempts_by_first.get(request.sidecar, {})
             parent = attempts.get(first) if first is not None else None
         if parent is not None and parent is not attempt and attempt.parent is None:
--- a/wheatring/lab/study/compare.py
+++ b/wheatring/lab/study/compare.py
@@ -12,7 +12,7 @@
 
 from wheatring.lab.outcome import Outcome
 from wheatring.lab.study import StudyError, stats
-from wheatring.lab.study.figures import better, figure
+from wheatring.lab.study.figures import better_direction, figure
 from wheatring.lab.study.runs import RunKey, RunSpec
 from wheatring.lab.study.store import Row, Store
 
@@ -58,7 +58,7 @@
     deltas = [b - a for a, b in pairs]
     mean = stats.fmean(deltas)
     interval = stats.bootstrap(deltas, seed, LEVEL)
-    sign = better(name)
+    sign = better_direction(name)
     gains = sum(delta * (sign or 1) > 0 for delta in deltas)
     losses = sum(delta * (sign or 1) < 0 for delta in deltas)
     is_bounded = isfinite(interval.low)
@@ -72,7 +72,7 @@
         better=gains,
         worse=losses,
         equal=len(deltas) - gains - losses,
-        pairs_needed=stats.pairs_needed(mean, stats.spread(deltas), POWER, LEVEL)
+        pairs_needed=stats.pairs_needed(mean, stats.standard_deviation(deltas), POWER, LEVEL)
         if len(deltas) > 1
         else None,
         verdict=_verdict(interval, mean, sign),
@@ -149,7 +149,7 @@
     table.add_column("so", min_width=6)
     for line in found.differences:
         interval = "-" if line.low is None or line.high is None else f"{line.low:+.3g} to {line.high:+.3g}"
-        unclear = "" if better(line.figure) else "*"
+        unclear = "" if better_direction(line.figure) else "*"
         needed = "-" if line.pairs_needed is None else f"{line.pairs_needed:,}"
         table.add_row(
             line.figure, f"{line.a:.4g}", f"{line.b:.4g}", f"{line.mean:+.3g}", interval,
@@ -163,7 +163,7 @@
 def notes(found: Comparison) -> list[str]:
     """Return notes on the limits of the figures, such as repeated looks and many figures."""
     lines = [f"for {found.power:.0%}: pairs with which a difference of that size shows with that probability"]
-    if any(not better(line.figure) for line in found.differences):
+    if any(not better_direction(line.figure) for line in found.differences):
         lines.append("* neither more nor less of it is better by itself: pairs in which B is more, and less")
     miss = 1 - found.level
     if len(found.looks) > 1:
--- a/wheatring/lab/study/figures.py
+++ b/wheatring/lab/study/figures.py
@@ -25,7 +25,7 @@
 )
 
 
-def better(name: str) -> int:
+def better_direction(name: str) -> int:
     """Return 1 if more of the figure is better, -1 if less is, 0 if it has no better direction."""
     parts = name.split(".")
     last = parts[0] if parts[0] == "latency" else parts[-1]
--- a/wheatring/lab/study/pool.py
+++ b/wheatring/lab/study/pool.py
@@ -16,7 +16,7 @@
 from wheatring.lab.study import StudyError
 from wheatring.lab.study.runs import Build, RunResult, RunSpec
 from wheatring.lab.study.settings import Pairs
-from wheatring.lab.study.worker import Hello, framed
+from wheatring.lab.study.worker import Hello, encode_message
 
 MAX_RUNS_PER_WORKER = 25  # a worker is then replaced, so that leaks of runs don't accumulate
 START_TIMEOUT_SECONDS = 60.0
@@ -42,7 +42,7 @@
         """Send a message to the worker, and return its answer."""
         assert self.process.stdin is not None and self.process.stdout is not None
         try:
-            self.process.stdin.write(framed(message))
+            self.process.stdin.write(encode_message(message))
             await self.process.stdin.drain()
             head = await self.process.stdout.readexactly(4)
             return await self.process.stdout.readexactly(int.from_bytes(head, "big"))
--- a/wheatring/lab/study/report/day.py
+++ b/wheatring/lab/study/report/day.py
@@ -125,8 +125,8 @@
         self.seconds = outcome.seconds
         self.steps = _Steps(self.seconds)
         self.length = float(len(self.seconds))
-        instants = [at for at, _ in outcome.happened if 0 <= at <= self.length]
-        self.marks = EventMarks(instants, self.length)
+        times = [at for at, _ in outcome.happened if 0 <= at <= self.length]
+        self.marks = EventMarks(times, self.length)
 
     def all(self) -> Iterable[str]:
         """Yield the plots in the order of the page."""
@@ -152,7 +152,7 @@
     def _request_ends(self) -> str:
         steps = self.steps
         by = "second" if steps.step == 1 else f"{steps.step} seconds"
-        note = " Numbers above point to the list of what happened." if self.marks.instants else ""
+        note = " Numbers above point to the list of what happened." if self.marks.times else ""
         shares = [
             Series(name, colour, steps.share(count, lambda second: second.asked))
             for name, colour, count in (
--- a/wheatring/lab/study/report/plots.py
+++ b/wheatring/lab/study/report/plots.py
@@ -75,16 +75,16 @@
 
 @dataclass(slots=True)
 class EventMarks:
-    """EventMarks events by their number in the page's list of events; events close together share a label."""
+    """Marks events by their number in the page's list of events; events close together share a label."""
 
-    instants: Sequence[float] = ()
+    times: Sequence[float] = ()
     length: float = 1.0
     groups: list[tuple[float, str]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Group events that are close together."""
         first, begin = 0, float("-inf")
-        for number, at in enumerate(sorted(self.instants), 1):
+        for number, at in enumerate(sorted(self.times), 1):
             if at - begin < self.length / 18:
                 self.groups[-1] = (begin, f"{first}-{number}")
             else:
@@ -93,7 +93,7 @@
 
     def draw(self, axes: Axes) -> None:
         """Draw the marks."""
-        for at in self.instants if len(self.instants) <= MAX_MARK_LINES else [at for at, _ in self.groups]:
+        for at in self.times if len(self.times) <= MAX_MARK_LINES else [at for at, _ in self.groups]:
             axes.axvline(at, color=DARK, linewidth=0.7, alpha=0.35, linestyle=(0, (4, 3)))
         for at, text in self.groups:
             axes.annotate(
--- a/wheatring/lab/study/run_builder.py
+++ b/wheatring/lab/study/run_builder.py
@@ -16,7 +16,7 @@
     with_override,
 )
 from wheatring.lab.scenario.plan_builder import draw
-from wheatring.lab.study.runs import Build, RunSpec, hashed
+from wheatring.lab.study.runs import Build, RunSpec, short_hash
 from wheatring.lab.study.settings import Settings, value_of
 
 
@@ -28,7 +28,7 @@
     Raises ScenarioError if the scenario or a setting is invalid, which is checked by drawing the first seed.
     """
     raw, name, where = load_tables(scenario)
-    text_hash = hashed(_text(raw))
+    text_hash = short_hash(_text(raw))
     raw = _with_settings(raw, where, settings)
     for seed in seeds[:1]:
         draw(check_tables(raw, name, where), seed)
--- a/wheatring/lab/study/runs.py
+++ b/wheatring/lab/study/runs.py
@@ -72,7 +72,7 @@
 Run = Callable[[RunSpec], Outcome]
 
 
-def hashed(text: str) -> str:
+def short_hash(text: str) -> str:
     """Return the first 12 digits of a text's hash."""
     return hashlib.sha256(text.encode()).hexdigest()[:12]
 
--- a/wheatring/lab/study/stats.py
+++ b/wheatring/lab/study/stats.py
@@ -9,7 +9,7 @@
 
 import numpy
 
-__all__ = ["Interval", "bootstrap", "fmean", "median", "pairs_needed", "spread"]
+__all__ = ["Interval", "bootstrap", "fmean", "median", "pairs_needed", "standard_deviation"]
 
 RESAMPLES = 10_000
 MAX_NUMBERS_PER_BATCH = 1_000_000  # bounds the memory of the resampling
@@ -29,12 +29,12 @@
         return self.low <= value <= self.high
 
 
-def spread(values: Sequence[float]) -> float:
+def standard_deviation(values: Sequence[float]) -> float:
     """Return the sample standard deviation, 0 for fewer than two values."""
     return stdev(values) if len(values) > 1 else 0.0
 
 
-def student(share: float, freedom: int) -> float:
+def student_t_quantile(share: float, freedom: int) -> float:
     """Return a quantile of Student's t distribution, by its expansion about the normal quantile.
 
     The error is below 1 % from 3 degrees of freedom on.
@@ -62,7 +62,7 @@
         raise ValueError("no values")
     if count == 1:
         return Interval(float("-inf"), float("inf"))
-    quantile = student(0.5 + level / 2, count - 1) * sqrt(count / (count - 1))
+    quantile = student_t_quantile(0.5 + level / 2, count - 1) * sqrt(count / (count - 1))
     tail = _NORMAL.cdf(-quantile)
     generator = numpy.random.Generator(numpy.random.PCG64(seed))
     given = numpy.asarray(values, dtype=numpy.float64)
--- a/wheatring/lab/study/store.py
+++ b/wheatring/lab/study/store.py
@@ -137,9 +137,7 @@
     if not new and not file.is_file():
         raise StudyError(f"{file}: no such file")
     try:
-        connection = sqlite3.connect(
-            file, timeout=60.0
-        )  # seconds to wait for the lock while another experiment writes
+        connection = sqlite3.connect(file, timeout=60.0)  # s to wait while another experiment writes
     except sqlite3.Error as error:
         raise StudyError(f"{file}: {error}") from error
     try:
--- a/wheatring/lab/study/sweep.py
+++ b/wheatring/lab/study/sweep.py
@@ -51,22 +51,22 @@
 
     `run` is module:function, `limit` the wall time of each run in seconds. Raises StudyError.
     """
-    kept = {row.key(): row for row in store.rows()}
-    wanted = {spec.key(): spec for spec in specs}
-    left = [spec for key, spec in wanted.items() if key not in kept or kept[key].state != "done"]
-    swept = SweepResult(asked=len(wanted))
-    if fail_fast and any(kept[key].breaches for key in wanted if key in kept):
-        left = []
+    stored = {row.key(): row for row in store.rows()}
+    requested = {spec.key(): spec for spec in specs}
+    remaining = [spec for key, spec in requested.items() if key not in stored or stored[key].state != "done"]
+    swept = SweepResult(asked=len(requested))
+    if fail_fast and any(stored[key].breaches for key in requested if key in stored):
+        remaining = []
     with _progress(console) as progress:
-        before = [kept[key] for key in wanted if key in kept and kept[key].state == "done"]
+        before = [stored[key] for key in requested if key in stored and stored[key].state == "done"]
         breaches = sum(row.breaches or 0 for row in before)
         lost = 0
-        task = progress.add_task("", total=len(left), rate="", breaches=breaches, lost=lost)
+        task = progress.add_task("", total=len(remaining), rate="", breaches=breaches, lost=lost)
 
         def on_result(spec: RunSpec, result: RunResult) -> bool:
             """Store the result of a run; return whether to stop the sweep."""
             nonlocal breaches, lost
-            row = kept[spec.key()] = store.save(spec, result)
+            row = stored[spec.key()] = store.save(spec, result)
             swept.played += 1
             breaches += row.breaches or 0
             lost += row.state != "done"
@@ -76,10 +76,10 @@
             return fail_fast and bool(row.breaches)
 
         try:
-            pool.play(left, run, workers, limit, on_result)
+            pool.play(remaining, run, workers, limit, on_result)
         except KeyboardInterrupt:
             swept.stopped = True
-    swept.rows = [kept[key] for key in wanted if key in kept]
+    swept.rows = [stored[key] for key in requested if key in stored]
     return swept
 
 
@@ -121,13 +121,13 @@
 def summary(swept: SweepResult) -> list[dict[str, object]]:
     """Return the figures of the table, one dict for each scenario, grain and settings."""
     found: list[dict[str, object]] = []
-    for (scenario, hashed, grain, settings), rows in grouped(swept.rows).items():
+    for (scenario, scenario_hash, grain, settings), rows in grouped(swept.rows).items():
         done = [row for row in rows if row.g is not None and row.service is not None]
         g = [row.g for row in done if row.g is not None]
         service = [row.service for row in done if row.service is not None]
         worst = min(done, key=lambda row: (row.g, row.seed), default=None)
         found.append({
-            "scenario": scenario, "scenario_hash": hashed, "grain": grain, "settings": settings,
+            "scenario": scenario, "scenario_hash": scenario_hash, "grain": grain, "settings": settings,
             "runs": len(done), "lost": len(rows) - len(done),
             "median_g": stats.median(g) if g else None, "worst_g": worst.g if worst else None,
             "worst_seed": worst.seed if worst else None,
@@ -164,7 +164,7 @@
         table.add_row(
             str(line["scenario"]), str(line["grain"]), str(line["runs"]), _figure(line["median_g"]),
             f"{_figure(line['worst_g'])} ({line['worst_seed']})", _figure(line["median_service"]),
-            _alarm(line["breaches"]), _alarm(line["lost"]), f"{line['wall_s']:.1f}",
+            _highlight_nonzero(line["breaches"]), _highlight_nonzero(line["lost"]), f"{line['wall_s']:.1f}",
         )  # fmt: skip
     return table
 
@@ -183,5 +183,5 @@
     return f"{value:.3f}" if isinstance(value, float) else "-"
 
 
-def _alarm(value: object) -> str:
+def _highlight_nonzero(value: object) -> str:
     return f"[bold red]{value}[/]" if value else "0"
--- a/wheatring/lab/study/worker.py
+++ b/wheatring/lab/study/worker.py
@@ -28,7 +28,7 @@
     patches: Pairs
 
 
-def framed(message: object) -> bytes:
+def encode_message(message: object) -> bytes:
     """Return a message in msgpack, prefixed by its length in four bytes."""
     body = msgspec.msgpack.encode(message)
     return len(body).to_bytes(4, "big") + body
@@ -74,7 +74,7 @@
 
     def send(message: object) -> None:
         """Write one message."""
-        out.write(framed(message))
+        out.write(encode_message(message))
         out.flush()
 
     hello = msgspec.msgpack.decode(messages.get(), type=Hello)
