--- a/wheatring/daemon/lifecycle/freshness.py
+++ b/wheatring/daemon/lifecycle/freshness.py
@@ -116,19 +116,19 @@
 
     # Events
 
-    def attempt_ended(self, now: float, node: str, outcome: Outcome) -> bool:
+    def attempt_ended(self, now: float, endpoint: str, outcome: Outcome) -> bool:
         """Record the outcome of an attempt; return whether its endpoint has become suspected."""
         if outcome is SERVED or outcome is ERROR:
-            if self.suspicions and self.suspicions.pop(node, None) is not None:
+            if self.suspicions and self.suspicions.pop(endpoint, None) is not None:
                 self.update(now)
             return False
         weight = FAULT_WEIGHTS.get(outcome)
         # Ignored: slow and cancelled attempts, and endpoints that are not serving according to the list.
-        if weight is None or node not in self.serving:
+        if weight is None or endpoint not in self.serving:
             return False
-        suspicion = self.suspicions.get(node)
+        suspicion = self.suspicions.get(endpoint)
         if suspicion is None or now - suspicion.last_fault_at > SUSPICION_MEMORY_SECONDS:
-            suspicion = self.suspicions[node] = _Suspicion()
+            suspicion = self.suspicions[endpoint] = _Suspicion()
         suspicion.last_fault_at = now
         suspicion.weight += weight
         if suspicion.weight < 1 or suspicion.suspect_since < inf:
