--- a/wheatring/balancer/admission.py
+++ b/wheatring/balancer/admission.py
@@ -22,12 +22,12 @@
 # Latency ratios are multiples of the unloaded latency.
 UNCONGESTED_LATENCY_RATIO = 1.5  # Below this ratio everything is admitted.
 SATURATED_LATENCY_RATIO = 1.8  # Above this ratio more attempts in flight don't raise the throughput.
-IN_FLIGHT_PER_BEST_RATE = 1.5  # Attempts in flight per unit of the best rate (`AdmissionControl.best_rate`).
+IN_FLIGHT_PER_PEAK_THROUGHPUT = 1.5  # Attempts in flight per unit of `AdmissionControl.peak_throughput`.
 IN_FLIGHT_SLACK = 3.0  # Additional attempts in flight per endpoint, over all balancers.
 MIN_LIMIT_FRACTION = 0.9  # Fraction of the limit that stays admitted under saturation.
 # A balancer may exceed its even share by this many standard deviations, as the sum over all varies less.
 SHARE_DEVIATIONS = 2.0
-BEST_RATE_DECAY_SECONDS = 30.0  # Time constant.
+PEAK_THROUGHPUT_DECAY_SECONDS = 30.0  # Time constant.
 MIN_IN_FLIGHT = 20  # Over all balancers; the latency ratio of fewer attempts is too noisy.
 
 
@@ -41,7 +41,7 @@
     in_flight, capacity : float
         Attempts in flight, and capacity in warm endpoints, averaged over about one second like the
         throughput.
-    best_rate : float
+    peak_throughput : float
         Recent maximum of the throughput per warm endpoint.
     updated_at : float
         When these were last updated.
@@ -64,7 +64,7 @@
         self.throughput = throughput
         self.in_flight = 0.0
         self.capacity = 0.0
-        self.best_rate = 0.0
+        self.peak_throughput = 0.0
         self.updated_at = 0.0
 
     def admits(
@@ -79,21 +79,23 @@
         usable = self._usable_endpoints(now)
         capacity = self.slow_start.total_capacity(now, usable) or 1.0
         in_flight = self._in_flight_of_active(now, usable, request_class.latency_target)
-        rate = self._update(now, in_flight, capacity)
-        congestion = self.in_flight / rate if rate else 0.0  # latency ratio, by Little's law
+        throughput = self._update(now, in_flight, capacity)
+        latency_ratio = self.in_flight / throughput if throughput else 0.0  # by Little's law
         balancers = self.settings.balancer_count
         surplus = SHARE_DEVIATIONS * sqrt(in_flight) * (1 - 1 / balancers)
         in_flight = min(in_flight, max(self.in_flight, in_flight - surplus))
-        if in_flight * balancers < MIN_IN_FLIGHT or congestion < UNCONGESTED_LATENCY_RATIO:
+        if in_flight * balancers < MIN_IN_FLIGHT or latency_ratio < UNCONGESTED_LATENCY_RATIO:
             return True
         if not is_latency_known(now, request_class):
             return True
         fraction = self._slack_fraction(request_class)
-        limit = capacity * (IN_FLIGHT_PER_BEST_RATE * self.best_rate + IN_FLIGHT_SLACK / balancers * fraction)
-        return in_flight <= limit * max(MIN_LIMIT_FRACTION, min(1.0, SATURATED_LATENCY_RATIO / congestion))
+        limit = capacity * (
+            IN_FLIGHT_PER_PEAK_THROUGHPUT * self.peak_throughput + IN_FLIGHT_SLACK / balancers * fraction
+        )
+        return in_flight <= limit * max(MIN_LIMIT_FRACTION, min(1.0, SATURATED_LATENCY_RATIO / latency_ratio))
 
     def _usable_endpoints(self, now: float) -> list[Endpoint]:
-        """Return the endpoints that are not ejected, or all if most are unhealthy: the cause is load then."""
+        """Return the endpoints that are not ejected, or all if most are unhealthy (a sign of overload)."""
         ready, ejector = self.pool.ready, self.ejector
         if ejector.is_majority_unhealthy():
             return ready
@@ -116,11 +118,13 @@
         elapsed, self.updated_at = min(now - self.updated_at, 1.0), now
         weight = exp(-elapsed)
         self.in_flight = self.in_flight * weight + in_flight * elapsed
-        rate = self.throughput.rate(now)
-        # The rate is an average over the last second, so it is divided by the capacity of that time.
+        throughput = self.throughput.rate(now)
+        # The throughput is an average over the last second, so it is divided by the capacity of that time.
         self.capacity = max(capacity, self.capacity * weight + capacity * elapsed)
-        self.best_rate = max(self.best_rate * exp(-elapsed / BEST_RATE_DECAY_SECONDS), rate / self.capacity)
-        return rate
+        self.peak_throughput = max(
+            self.peak_throughput * exp(-elapsed / PEAK_THROUGHPUT_DECAY_SECONDS), throughput / self.capacity
+        )
+        return throughput
 
     def _slack_fraction(self, request_class: RequestClass) -> float:
         """Return the fraction of the slack that a class may use, by its value relative to the highest one."""
--- a/wheatring/balancer/endpoint_load.py
+++ b/wheatring/balancer/endpoint_load.py
@@ -13,7 +13,7 @@
 MAX_OUTCOMES = 6.0  # Limit of the sum of outcomes, so that recent ones dominate under high traffic.
 FAILURE_WEIGHT = 4.0  # An endpoint that always fails counts as 1 + this many times as loaded.
 MAX_ACCEPTABLE_MULTIPLIER = 4.0  # More endpoints are drawn while all usable ones reach this multiplier.
-TOLERATED_MISSING_ANSWERS = 4.0  # Overdue responses that count as average slowness.
+TOLERATED_MISSING_RESPONSES = 4.0  # An endpoint with this many overdue responses counts as average.
 AVERAGE_WEIGHT = 0.05  # Weight of a new observation in the averages over all endpoints.
 
 
@@ -24,7 +24,7 @@
     ----------
     latency : LatencyEstimate
         Latency estimate over all classes.
-    mean_slowness : float
+    mean_latency_ratio : float
         Mean latency over all endpoints, in multiples of the class's unloaded latency.
     mean_reported : float
         Mean of the requests in flight that endpoints report.
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         self.latency = LatencyEstimate()
-        self.mean_slowness = 1.0
+        self.mean_latency_ratio = 1.0
         self.mean_reported = 0.0
 
     def decay(self, now: float, endpoint: Endpoint) -> float:
@@ -61,7 +61,7 @@
         """Record the latency of an attempt. Both arguments are in seconds."""
         excess = min(latency / unloaded_latency, MAX_ACCEPTABLE_MULTIPLIER) - 1
         endpoint.excess_latency += excess
-        self.mean_slowness += AVERAGE_WEIGHT * (1 + excess - self.mean_slowness)
+        self.mean_latency_ratio += AVERAGE_WEIGHT * (1 + excess - self.mean_latency_ratio)
 
     def multiplier(self, now: float, endpoint: Endpoint) -> float:
         """Return the factor by which an endpoint's attempts in flight are multiplied in a comparison.
@@ -69,12 +69,12 @@
         It grows if the endpoint is slow, fails, doesn't respond, or reports more load than others.
         """
         decay = exp((endpoint.updated_at - now) / DECAY_SECONDS)
-        mean_slowness = self.mean_slowness
+        mean_ratio = self.mean_latency_ratio
         outcomes = endpoint.outcomes * decay + PRIOR_OUTCOMES
-        slowness = 1 + (endpoint.excess_latency * decay + PRIOR_OUTCOMES * (mean_slowness - 1)) / outcomes
+        slowness = 1 + (endpoint.excess_latency * decay + PRIOR_OUTCOMES * (mean_ratio - 1)) / outcomes
         # Expected number of responses since the last one.
         missing = (now - endpoint.progressed_at) * endpoint.in_flight / (self.latency.mean or inf)
-        slowness = max(slowness / mean_slowness, missing / TOLERATED_MISSING_ANSWERS)
+        slowness = max(slowness / mean_ratio, missing / TOLERATED_MISSING_RESPONSES)
         mean = reported = self.mean_reported
         if endpoint.reported_at:  # The weight of a report decays, so that an old one counts as the mean.
             reported += (endpoint.reported_in_flight - mean) * exp(endpoint.reported_at - now)
--- a/wheatring/balancer/endpoint_pool.py
+++ b/wheatring/balancer/endpoint_pool.py
@@ -36,7 +36,8 @@
     subset : dict of str to Endpoint
         Union of `local` and `remote`. Other endpoints get no requests while they warm up.
     capacity : float
-        Capacity of the local endpoints at the last update, in warm endpoints.
+        Capacity of the local endpoints at the last update, in warm endpoints; at least 1, and at least two
+        thirds of their number.
     progressed_at : float
         When any ready endpoint last made progress.
     reinstated : list of tuple of float and Endpoint
@@ -117,9 +118,9 @@
         keeps_zone = scaled_count >= len(self.ready) > len(in_zone)
         self.local = self._subset_of(in_zone if keeps_zone else self.ready)
         self.remote = self._subset_of(self.ready) if keeps_zone else []
-        # The slow start advances by one slot for each attempt to each warm endpoint. If most endpoints are
-        # cold, their number divided by 1.5 is used instead: each is sent at most 1.5 times the even share, so
-        # that a fleet that restarts simultaneously is not overloaded.
+        # The slow start advances by one slot while each warm endpoint is sent one attempt. If most endpoints
+        # are cold, their capacity is taken as the number of local endpoints divided by 1.5: each is then sent
+        # at most 1.5 times the even share, so that a fleet that restarts simultaneously is not overloaded.
         warm = sum([self.slow_start.capacity(now, endpoint) for endpoint in self.local])
         self.capacity = max(warm, len(self.local) / 1.5, 1.0)
         previous = self.subset
--- a/wheatring/balancer/selection.py
+++ b/wheatring/balancer/selection.py
@@ -69,7 +69,7 @@
         return best, list(seen.values())
 
     def _draw_batches(self, request: ActiveRequest) -> Iterable[list[Endpoint]]:
-        """Draw batches of endpoints, from larger sets in turn; the last batch is drawn from all of them."""
+        """Draw batches of endpoints from successively larger sets; the last one is drawn from all of them."""
         pool = self.pool
         first = request.first_run_endpoint
         scope = self._repeat_scope(request, first) if first is not None else None
--- a/wheatring/balancer/slow_start.py
+++ b/wheatring/balancer/slow_start.py
@@ -60,7 +60,7 @@
         self.credit = max(self.credit - step, 0.0)
 
     def record_served(self, now: float, endpoint: Endpoint, subset_size: int) -> None:
-        """Add credit for an answer, as the fraction of a slot that it would be at a warm endpoint."""
+        """Add credit for an answer; at an endpoint that warms up, it counts as 1/capacity answers."""
         served_share = 1 / self.capacity(now, endpoint) / max(subset_size, 1)
         self.credit = min(MAX_CREDIT, self.credit + MAX_CREDIT * served_share)
 
--- a/wheatring/tier/consensus/replication.py
+++ b/wheatring/tier/consensus/replication.py
@@ -161,10 +161,10 @@
         self._record_quorum_contact(request, commit)
 
     def _accept_entry(self, now: float, request: AppendRequest, effects: Effects) -> None:
-        """Accept the leader's entry if it is newer, and reply; if the entry is written, after its sync."""
+        """Accept the leader's entry if it is newer, and reply: after the sync if it is written, else now."""
         position = entry_position(request.entry)
         is_newer = position > entry_position(self.entry)
-        # The same entry again after its write has failed here: only another write can acknowledge it.
+        # The leader has sent the same entry again after its write failed here, so another write is needed.
         is_rewrite_needed = (
             position == entry_position(self.entry)
             and max(self.synced_position, self._submitted_position) < position
@@ -271,7 +271,7 @@
                 self._become_follower(now, None)  # the committed change has removed its own vote
 
     def _leave_joint(self, now: float, effects: Effects) -> None:
-        """Append the entry that ends a committed voter change: from it on, only the new set votes."""
+        """Append the entry that ends a committed voter change, after which only the new set votes."""
         entry = self._next_entry()
         finish_change(entry)
         self._append_entry(now, entry, effects)
--- a/wheatring/tier/consensus/state.py
+++ b/wheatring/tier/consensus/state.py
@@ -98,7 +98,7 @@
         return entry_position(self.committed) if self.committed is not None else (0, 0)
 
     def staleness(self, now: float) -> float:
-        """Return how stale this replica may be: entries acknowledged longer ago, in seconds, are known here.
+        """Return the maximum staleness in seconds: entries acknowledged longer ago than that are known here.
 
         A leader measures from the start of the newest round that a quorum has answered. A follower measures
         from its last proven contact with such a leader, minus the age of that leader's round.
--- a/wheatring/tier/controller/api.py
+++ b/wheatring/tier/controller/api.py
@@ -53,8 +53,8 @@
             return OperatorReply(status=503, body=_error(reason))
 
 
-def _base_version(request: OperatorRequest) -> int:
-    """Return the version that the change is based on. Raises InvalidRequestError."""
+def _base_generation(request: OperatorRequest) -> int:
+    """Return the generation that the change is based on. Raises InvalidRequestError."""
     if not request.base_revision.isdigit():
         raise InvalidRequestError(400, f"{BASE_HEADER} must be a whole number")
     return int(request.base_revision)
@@ -98,9 +98,9 @@
         """Parse a request into a command. Raises InvalidRequestError."""
         segments = request.path.strip("/").split("/")
         if segments == ["config", "replace"]:
-            return ReplaceConfiguration(_base_version(request), request.body)
+            return ReplaceConfiguration(_base_generation(request), request.body)
         if segments == ["config", "update"]:
-            return UpdateConfiguration(_base_version(request), request.body)
+            return UpdateConfiguration(_base_generation(request), request.body)
         if segments == ["config", "describe"]:
             return DescribeConfiguration()
         if len(segments) == 3 and segments[0] == RETIRE and segments[2] == START:
--- a/wheatring/tier/controller/commands.py
+++ b/wheatring/tier/controller/commands.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """Another version is current, or too few machines would remain; `status` is the HTTP status."""
+    """Another generation is current, or too few machines would remain; `status` is the HTTP status."""
 
     reason: str
     status: int = 412
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplaceConfiguration:
-    """Replace the whole configuration of the version `base`."""
+    """Replace the whole configuration of generation `base`."""
 
     base: int
     body: bytes
@@ -77,13 +77,13 @@
         return self.body
 
     def apply(self, state: ControlState) -> Outcome:
-        """Replace the configuration if `base` is the current version."""
+        """Replace the configuration if `base` is the current generation."""
         return _change_configuration(state, self)
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateConfiguration:
-    """Upsert and remove named items of the configuration of the version `base`."""
+    """Upsert and remove named items of the configuration of generation `base`."""
 
     base: int
     body: bytes
@@ -101,7 +101,7 @@
         return merge(current, self.body)
 
     def apply(self, state: ControlState) -> Outcome:
-        """Update the configuration if `base` is the current version."""
+        """Update the configuration if `base` is the current generation."""
         return _change_configuration(state, self)
 
 
@@ -112,7 +112,7 @@
 def _change_configuration(
     state: ControlState, command: ReplaceConfiguration | UpdateConfiguration
 ) -> Outcome:
-    """Accept a retry, or a change of the current version whose result is valid."""
+    """Accept a retry, or a change of the current generation whose result is valid."""
     digest = command.digest
     if any(accepted.digest == digest for accepted in state.accepted):
         return Accepted()
@@ -140,7 +140,7 @@
 def _outcome_for_stale_base(
     state: ControlState, command: ReplaceConfiguration | UpdateConfiguration
 ) -> Conflict | Invalid | Indeterminate:
-    """Return the outcome of a change whose base version is not current.
+    """Return the outcome of a change whose base generation is not current.
 
     The base of an accepted change is always below its own generation, so a retry that is no longer remembered
     has a base below the newest forgotten generation. A body that cannot be parsed was never accepted.
@@ -184,17 +184,17 @@
         if _find_retirement(state, self.node) is not None:
             return Accepted()
         members = [m for m in state.placement.next or state.placement.current if not m.lost]
-        leaving = [member for member in members if member.node == self.node]
-        if not leaving:
+        members_on_node = [member for member in members if member.node == self.node]
+        if not members_on_node:
             return NotFound(f"no storage machine {self.node}")
-        retiring = {retirement.replica_id for retirement in state.retirements if not retirement.completed}
-        remaining = [m for m in members if m.node != self.node and m.replica_id not in retiring]
+        retiring_ids = {retirement.replica_id for retirement in state.retirements if not retirement.completed}
+        remaining = [m for m in members if m.node != self.node and m.replica_id not in retiring_ids]
         if len(remaining) < self.min_remaining:
             return Conflict(
                 f"{len(remaining)} storage machines would be left, {self.min_remaining} are needed",
                 status=409,
             )
-        state.retirements.add(node=self.node, replica_id=leaving[0].replica_id)
+        state.retirements.add(node=self.node, replica_id=members_on_node[0].replica_id)
         _remove_oldest_retirements(state)
         return Accepted()
 
--- a/wheatring/tier/controller/membership_manager.py
+++ b/wheatring/tier/controller/membership_manager.py
@@ -39,7 +39,7 @@
         host
             Runs the replica that proposes changes, and has the connections to the other controllers.
         losses
-            The number of simultaneous machine losses to tolerate.
+            The number of simultaneous losses of voters, or of storage members, to tolerate.
         settings
             Returns the current settings.
         is_queue_empty
@@ -83,7 +83,7 @@
             if self._replica.state is State.LEADER:
                 self._update_learners(now)
                 if self._replica.can_propose and self._is_queue_empty():
-                    self._propose_members(now)
+                    self._propose_next_change(now)
             await self._wait_for_change()
 
     async def _wait_for_change(self) -> None:
@@ -146,7 +146,7 @@
         if learners.keys() != replica.learners.keys():
             replica.set_learners(learners)
 
-    def _propose_members(self, now: float) -> None:
+    def _propose_next_change(self, now: float) -> None:
         """Propose the next change of voters, placement or retirements, if there is one."""
         replica = self._replica
         assert replica.committed is not None
--- a/wheatring/tier/controller/storage_membership.py
+++ b/wheatring/tier/controller/storage_membership.py
@@ -67,19 +67,19 @@
     """
     placement = state.placement
     current = [member for member in placement.current if not member.lost]
-    retiring = _retiring_nodes(state)
+    retiring_nodes = _retiring_nodes(state)
     available = _available_members(state, reports, current)
     successors = [member for member in available if _shares_machine_with(member, placement.current)]
     others = [member for member in available if member not in successors]
     present = [member for member in current if not _shares_machine_with(member, successors)]
-    staying = [member for member in present if member.node not in retiring]
-    leaving = [m for m in present if m.node in retiring and not _is_superseded(m, reports)]
+    staying = [member for member in present if member.node not in retiring_nodes]
+    retiring_members = [m for m in present if m.node in retiring_nodes and not _is_superseded(m, reports)]
     target_size = min(2 * losses + 1, len(placement.current))
     alive = sum(_is_alive(member, reports) for member in staying)
     missing = max(0, target_size - alive - len(successors))
     joining = successors + (others[:missing] if missing or successors else others)
     target = staying + joining
-    target += leaving[: max(0, target_size - len(target))]
+    target += retiring_members[: max(0, target_size - len(target))]
     for member in staying:
         report = reports.get(member.replica_id)
         if len(target) > 2 * losses + 1 and _is_removable(report, bool(joining), leadership_seconds):
--- a/wheatring/tier/placement/key_placement.py
+++ b/wheatring/tier/placement/key_placement.py
@@ -23,13 +23,13 @@
     read: int
 
 
-def quorum_sizes(members: int, losses: int) -> QuorumSizes:
-    """Return the sizes for a set of members of which `losses` may be lost simultaneously.
+def quorum_sizes(member_count: int, losses: int) -> QuorumSizes:
+    """Return the sizes for a set of this many members, of which `losses` may be lost simultaneously.
 
     A write is acknowledged once it is on `losses + 1` disks. The read quorum of a read that finds nothing
     overlaps with the write quorum of every acknowledged write.
     """
-    copies = min(members, 2 * losses + 1)
+    copies = min(member_count, 2 * losses + 1)
     write = losses + 1
     return QuorumSizes(copies=copies, write=write, read=max(1, copies - write + 1))
 
--- a/wheatring/tier/sidecar/forwarder.py
+++ b/wheatring/tier/sidecar/forwarder.py
@@ -53,12 +53,13 @@
         return asyncio.get_running_loop().time()
 
     async def next_response(self) -> EndpointResponse:
-        """Return the head of the first response that is not an error.
+        """Return the head of the first response that may be relayed to the client.
 
         Raises
         ------
         RequestRejectedError
-            All attempts failed. `error_response` is the endpoint's own error response, if there was one.
+            The balancer makes no further attempt. `error_response` is an endpoint's own error response, if
+            there was one.
         """
         while True:
             action = await self._next_action()
@@ -84,7 +85,7 @@
             return i.Fail(self.balanced_request.number)
 
     async def _attempt(self, action: i.Send) -> EndpointResponse | None:
-        """Send to one endpoint; return None if that failed, which is then reported to the balancer."""
+        """Send to one endpoint; on failure, report it to the balancer and return None."""
         self.balanced_request.attempt_count += 1
         sent_at = self._now()
         connection: AcquiredConnection | None = None
@@ -111,7 +112,7 @@
         return response
 
     def _head_timeout(self, action: i.Send) -> float:
-        """Return after how many seconds without a response head to retry; infinite if not at all."""
+        """Return the time-out for the response head in seconds; infinite if only the deadline applies."""
         route = self.request.route
         if route.kind == "safe":
             return action.timeout
--- a/wheatring/tier/sidecar/policy.py
+++ b/wheatring/tier/sidecar/policy.py
@@ -30,7 +30,7 @@
         The minimum number of endpoints in every zone, absolute and as a fraction of the mean of all zones.
         Below either of them, prompts may go to any zone.
     burden_cost
-        The cost of each unit by which an endpoint is slower than usual.
+        The cost of each unit by which an endpoint's load multiplier (`EndpointLoad.multiplier`) exceeds 1.
     failing_cost
         The cost of an endpoint that has failed since its last success; decays within seconds.
     head_patience
--- a/wheatring/tier/sidecar/tier_balancer.py
+++ b/wheatring/tier/sidecar/tier_balancer.py
@@ -45,7 +45,7 @@
     prompt_segments
         The segments of the prompt by number of the request.
     is_zone_local
-        Whether prompts stay in this sidecar's zone.
+        Whether endpoints in other zones cost more for prompts, and homes are in this sidecar's zone.
     """
 
     def __init__(self, settings: i.Settings, seed: int, policy: SidecarPolicy) -> None:
@@ -93,7 +93,7 @@
         )
 
     def occupancy(self, now: float, endpoint: Endpoint) -> float:
-        """Return the requests at an endpoint: those of this sidecar, or a higher recent report of its own."""
+        """Return the requests at an endpoint: its recent report, or this sidecar's attempts if more."""
         if endpoint.reported_at and now - endpoint.reported_at < LOAD_REPORT_TTL_SECONDS:
             return max(endpoint.reported_in_flight, endpoint.in_flight)
         return endpoint.in_flight
@@ -131,7 +131,7 @@
         return not self.ejector.is_ejected(now, endpoint) and endpoint.in_flight < endpoint.probation_limit
 
     def _home_endpoint(self, segments: Sequence[PromptSegment]) -> Endpoint | None:
-        """Return the home endpoint of a conversation, which is in this zone if prompts stay in their zone."""
+        """Return the home endpoint of a conversation, which is in this zone if `is_zone_local` is set."""
         candidates = {e.entry.endpoint: e for e in self.pool.ready if not self._is_remote(e)}
         name = home_endpoint(segments, candidates.keys(), self.policy.sub_agent_spread)
         return candidates[name] if name is not None else None
@@ -152,7 +152,7 @@
     def _cost(
         self, now: float, endpoint: Endpoint, segments: Sequence[PromptSegment], is_home: bool
     ) -> float:
-        """Return the load in full batches, plus costs of prefill, distance, slowness and failures."""
+        """Return the load in full batches, plus the costs of prefill, distance, burden and failures."""
         policy = self.policy
         uncached_tokens = self.prefix_caches.uncached_tokens(now, endpoint.entry.endpoint, segments)
         if is_home:
--- a/wheatring/tier/storage/process.py
+++ b/wheatring/tier/storage/process.py
@@ -20,7 +20,7 @@
 PRESENCE_INTERVAL_SECONDS = 0.4
 EXPIRY_INTERVAL_SECONDS = 5.0
 COMPLETION_POLL_SECONDS = 0.05
-STOP_MARGIN_SECONDS = 1.5  # end of the grace period, left for closing before SIGKILL
+STOP_MARGIN_SECONDS = 1.5  # part of the grace period that is reserved for closing before SIGKILL
 STOP_POLL_SECONDS = 0.05
 TAKEOVER_TIMEOUT_SECONDS = 0.5  # wait for a takeover to start; after that none is expected
 
--- a/wheatring/tier/storage/quorum_client.py
+++ b/wheatring/tier/storage/quorum_client.py
@@ -52,7 +52,7 @@
         clients
             The connections to storage members.
         losses
-            The number of simultaneous disk losses to tolerate.
+            The number of simultaneous member losses to tolerate.
         zone
             The zone of the caller; members of this zone are called first.
         placement
--- a/wheatring/tier/storage/quorum_exchange.py
+++ b/wheatring/tier/storage/quorum_exchange.py
@@ -25,7 +25,7 @@
 )
 
 HEDGE_DELAY_SECONDS = 0.03  # wait without any reply before one more member is called
-CALL_TIMEOUT_SECONDS = 1.0  # for the reply of one member
+CALL_TIMEOUT_SECONDS = 1.0  # time-out for the reply of one member
 
 
 class Replies:
--- a/wheatring/tier/storage/replica.py
+++ b/wheatring/tier/storage/replica.py
@@ -62,7 +62,7 @@
         folder
             The folder of the file.
         losses
-            The number of simultaneous disk losses to tolerate.
+            The number of simultaneous member losses to tolerate.
         clock
             Returns monotonic seconds.
         """
--- a/wheatring/tier/transport/client.py
+++ b/wheatring/tier/transport/client.py
@@ -15,7 +15,7 @@
 CONNECT_ATTEMPT_SECONDS = (0.1, 0.1, 0.3)
 CONNECT_TIMEOUT_SECONDS = sum(CONNECT_ATTEMPT_SECONDS)
 RECONNECT_DELAY_SECONDS = 0.1
-# A call that is pending for this time without any envelope received ends the connection.
+# A call that times out after at least this time closes the connection if no envelope was received meanwhile.
 INACTIVITY_TIMEOUT_SECONDS = 1.2
 MAX_UNSENT_ENVELOPES = 16  # queued while there is neither a connection nor a pending call
 
@@ -58,8 +58,8 @@
     async def call(self, envelope: Envelope, timeout: float) -> Envelope:
         """Send and wait for the reply.
 
-        The time-out is a parameter rather than left to the caller's `asyncio.timeout`, because it also ends a
-        connection on which nothing was received for `INACTIVITY_TIMEOUT_SECONDS`.
+        The time-out is a parameter rather than left to the caller's `asyncio.timeout`, because it may also
+        close the connection (see `INACTIVITY_TIMEOUT_SECONDS`).
 
         Parameters
         ----------
