--- a/tests/fleet/lease/test_singleton_role.py
+++ b/tests/fleet/lease/test_singleton_role.py
@@ -19,7 +19,7 @@
     for name in ("v1", "v2"):
         role.receive(0, name, Accepted(LEASE, proposer.proposal, proposer.round))
     assert role.epoch_to_act(0.1) is not None
-    role.note_activity(1.0)
+    role.record_activity(1.0)
     assert not [message for _, message in role.tick(1.9) if isinstance(message, Release)]
     assert [message for _, message in role.tick(2.0) if isinstance(message, Release)]
     assert role.epoch_to_act(2.0) is None
--- a/tests/fleet/members/test_cut_detector.py
+++ b/tests/fleet/members/test_cut_detector.py
@@ -64,7 +64,7 @@
     for now in range(20):
         report_silence(detector, now, "n03")
         assert cut(detector, now) == []
-        detector.note_reached(now, ["n03"])
+        detector.record_reached(now, ["n03"])
 
 
 def test_a_member_that_fails_after_it_was_reached_is_removed_after_another_indirect_check() -> None:
@@ -74,7 +74,7 @@
         report_silence(detector, now, "n03")
         removed_at += [now for _ in cut(detector, now)]
         if now == 0:
-            detector.note_reached(now, ["n03"])
+            detector.record_reached(now, ["n03"])
     assert REACHED_VALID_SECONDS < removed_at[0] <= REACHED_VALID_SECONDS + 2 + INDIRECT_CHECK_SECONDS
 
 
@@ -227,7 +227,7 @@
     for gap in gaps:
         before = detector.rejoin_penalties.penalty(now + gap, "n03")
         now += gap
-        detector.note_removed(now, ["n03"])
+        detector.penalize_removed(now, ["n03"])
         assert detector.rejoin_penalties.penalty(now, "n03") == pytest.approx(before + 1)
         assert detector.rejoin_penalties.rejoin_wait_seconds(now, "n03") <= MAX_REJOIN_WAIT_SECONDS + 1e-9
     penalty = detector.rejoin_penalties.penalty(now, "n03")
--- a/tests/fleet/peers/test_datagram_codec.py
+++ b/tests/fleet/peers/test_datagram_codec.py
@@ -11,7 +11,7 @@
 from wheatring.fleet.peers.datagram_codec import (
     CLOCK_SET_BACK_SECONDS,
     MAX_DATAGRAM_BYTES,
-    MAX_SENDERS,
+    MAX_REPLAY_WINDOWS,
     REPLAY_WINDOW,
     DatagramCodec,
 )
@@ -80,9 +80,9 @@
     with pytest.raises(DatagramRejectedError, match="too-large"):
         codec("a").encode(SyncResponse(0, updates))
     receiver = codec("b")
-    for number in range(MAX_SENDERS + 5):
+    for number in range(MAX_REPLAY_WINDOWS + 5):
         receiver.decode(0.0, codec(f"a{number}").encode(Ping(1)))
-    assert len(receiver.senders) == MAX_SENDERS
+    assert len(receiver.senders) == MAX_REPLAY_WINDOWS
 
 
 @settings(max_examples=300, deadline=None)
--- a/wheatring/fleet/lease/membership_views.py
+++ b/wheatring/fleet/lease/membership_views.py
@@ -101,7 +101,7 @@
 
     def tick(self, at: Instant) -> list[Outgoing]:
         """Run the due actions of monitor, join requester, installer and leader."""
-        if self.monitor.note_stall(at.now):
+        if self.monitor.compensate_stall(at.now):
             self.leader.cut_detector.clear_evidence()
         out = self.monitor.tick(at) + self.joining.tick(at)
         if at.now >= self.installer.next_fetch_retry:
@@ -128,7 +128,7 @@
             case IndirectCheckRequest():
                 self.monitor.handle_indirect_request(now, address, message)
             case IndirectCheckResult():
-                self.leader.cut_detector.note_reached(now, message.names)
+                self.leader.cut_detector.record_reached(now, message.names)
         return []
 
     def receive_payload(self, at: Instant, digest: bytes, payload: bytes | None) -> list[Outgoing]:
--- a/wheatring/fleet/lease/proposer.py
+++ b/wheatring/fleet/lease/proposer.py
@@ -5,8 +5,8 @@
 - A lease is measured from a clock reading taken before the round's first request was sent, so a delay of the
   requests or the responses cannot extend it.
 - Only responses to the current round of the current proposal count.
-- A new lease is measured from the start of its prepare round, and the prepare and propose rounds end with it.
-  An acceptor that restarted in the meantime abstains for at least that long.
+- A new lease is measured from the start of its prepare round, and responses that arrive after its end are
+  ignored. An acceptor that restarted in the meantime abstains for at least that long.
 - A proposer whose lease has expired, however briefly, runs a new prepare round and gets a higher epoch.
 """
 
@@ -110,7 +110,7 @@
         message = Release(self.lease, self.proposal, self.round, self.voters.digest)
         return [(voter, message) for voter in self.voters.names]
 
-    def note_released(self, now: float, is_next: bool) -> None:
+    def handle_released(self, now: float, is_next: bool) -> None:
         """Handle a hint that the lease is free; `is_next` says whether this proposer is to take it."""
         if self.rank is None or self.holds_lease(now) or self.phase is not ProposerPhase.IDLE:
             return
@@ -119,7 +119,7 @@
             delay = (self.rank + 1 + self.random.random() / 2) * self.timing.retransmit_seconds
         self.due = min(self.due, now + delay)
 
-    def note_epoch(self, epoch: int) -> None:
+    def record_epoch(self, epoch: int) -> None:
         """Record an epoch that another member has seen; the next lease's epoch has to be higher."""
         self.highest_epoch = max(self.highest_epoch, epoch)
 
@@ -212,13 +212,13 @@
             if not self.is_renewing:
                 self.epoch = max(self.highest_epoch, *self.granted_by.values()) + 1
             return self._propose(now, self.round_started)
-        self._handle_elected(now)
+        self._handle_lease_granted(now)
         return []
 
-    def _handle_elected(self, now: float) -> None:
+    def _handle_lease_granted(self, now: float) -> None:
         self.phase = ProposerPhase.IDLE
         self.held_until = self.round_started + self.timing.holder_seconds
-        self.note_epoch(self.epoch)
+        self.record_epoch(self.epoch)
         self.due = max(now, self.round_started + self.timing.renew_seconds)
 
     def _handle_rejection(self, voter: str, message: Rejection) -> None:
@@ -226,7 +226,7 @@
         if message.reason == "passed":
             self.highest_promised = max(self.highest_promised, message.promised_number)
         elif message.reason == "held":
-            self.note_epoch(message.epoch)
+            self.record_epoch(message.epoch)
 
     def _handle_majority_lost(self, now: float) -> None:
         """End a round that can no longer reach a majority, and retry once enough acceptors are free."""
--- a/wheatring/fleet/lease/register_acceptor.py
+++ b/wheatring/fleet/lease/register_acceptor.py
@@ -33,7 +33,7 @@
         self.accepted = NO_ENTRY
         self.has_recovered = False
 
-    def note_applied(self, entry: Entry) -> None:
+    def record_applied(self, entry: Entry) -> None:
         """Record an applied entry as accepted.
 
         If all acceptors restart together, they may each learn a chosen entry from other members although
--- a/wheatring/fleet/lease/register_learner.py
+++ b/wheatring/fleet/lease/register_learner.py
@@ -115,8 +115,8 @@
     def _retry_fetch(self, at: Instant) -> list[Outgoing]:
         """Fetch again a payload that its source did not have.
 
-        The source may have it by now. A random member is also asked for the newest entry: if it announces
-        that, it has the payload.
+        The source may have it by now. A random member is also asked for the newest entry: a member that
+        announces an entry has its payload.
         """
         self._schedule_fetch_retry(at)
         self.fleet.fetch_requests.append(FetchRequest(self.payload_source, self.chosen.digest))
--- a/wheatring/fleet/lease/register_messages.py
+++ b/wheatring/fleet/lease/register_messages.py
@@ -22,7 +22,7 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Epoch and number: a new leader proposes the accepted entry of the highest rank again."""
+        """Epoch and number: a new leader proposes again the accepted entry of the highest rank."""
         return self.epoch, self.number
 
     @property
--- a/wheatring/fleet/lease/replicated_register.py
+++ b/wheatring/fleet/lease/replicated_register.py
@@ -3,8 +3,8 @@
 The holder of the role `lead` proposes entries, and the voters accept them. Safety properties:
 
 - At most one digest is chosen for a number: an acceptor accepts no entry of an epoch below the one that it
-  has promised (`RegisterAcceptor`), and a new leader first proposes the highest entry that a majority has
-  reported again (`RegisterLeader`).
+  has promised (`RegisterAcceptor`), and a new leader first proposes again the highest entry that a majority
+  has reported (`RegisterLeader`).
 - The payload of a chosen entry is never lost with its leader: an acceptor accepts an entry only once it has
   stored the payload.
 - An acceptor that has lost its state in a restart does not answer before it has recovered
@@ -56,7 +56,7 @@
         self.leader = RegisterLeader(name, fleet, self.learner)
 
     def _handle_applied(self, at: Instant, entry: Entry, payload: bytes) -> list[Outgoing]:
-        self.acceptor.note_applied(entry)
+        self.acceptor.record_applied(entry)
         return self.on_chosen(at, entry, payload)
 
     @property
@@ -80,7 +80,7 @@
         return self.leader.is_ready
 
     @property
-    def is_settled(self) -> bool:
+    def is_stable(self) -> bool:
         """Whether this sidecar leads, no entry is being chosen, and the newest chosen one is applied."""
         return self.is_ready and self.applied == self.chosen
 
--- a/wheatring/fleet/lease/role_manager.py
+++ b/wheatring/fleet/lease/role_manager.py
@@ -89,14 +89,14 @@
     def handle_released(self, at: Instant, message: LeaseReleased) -> None:
         """Handle the last holder's hint that a lease is free."""
         if (role := self._role_of_lease(message.lease)) is not None:
-            role.note_epoch(message.lease, message.epoch)
-            role.note_released(at.boot, message.lease, message.next_holder == self.members.me.name)
+            role.record_epoch(message.lease, message.epoch)
+            role.handle_released(at.boot, message.lease, message.next_holder == self.members.me.name)
 
     def handle_facts(self) -> None:
         """Record the lease epochs that were received by gossip."""
         for fact in self.members.gossip.new_facts:
             if (role := self._role_of_lease(fact.key)) is not None:
-                role.note_epoch(fact.key, fact.version)
+                role.record_epoch(fact.key, fact.version)
         self.members.gossip.new_facts.clear()
 
     def change_voters(self, at: Instant, voters: VoterSet) -> list[Outgoing]:
--- a/wheatring/fleet/lease/singleton_role.py
+++ b/wheatring/fleet/lease/singleton_role.py
@@ -52,7 +52,7 @@
     """One sidecar's candidacy for one slot of a role.
 
     `idle_seconds` is how long the role may be held without activity. After that it is released, and this
-    sidecar is not a candidate for `IDLE_EXCLUSION_LEASES`. Activity is reported by `note_activity`.
+    sidecar is not a candidate for `IDLE_EXCLUSION_LEASES`. Activity is reported by `record_activity`.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         """Return the epoch to act in, or None; see `Proposer.epoch_to_act`."""
         return self.held_lease.epoch_to_act(now) if self.held_lease is not None else None
 
-    def note_activity(self, now: float) -> None:
+    def record_activity(self, now: float) -> None:
         """Record an action of the holder, or a check that found nothing to do."""
         self.last_active = max(self.last_active, now)
 
@@ -133,16 +133,16 @@
 
     # Events
 
-    def note_released(self, now: float, lease: str, is_next: bool) -> None:
+    def handle_released(self, now: float, lease: str, is_next: bool) -> None:
         """Handle the last holder's hint that a lease is free."""
         if self.held_lease is None:
             for proposer in self._proposers_for(lease):
-                proposer.note_released(now, is_next)
+                proposer.handle_released(now, is_next)
 
-    def note_epoch(self, lease: str, epoch: int) -> None:
+    def record_epoch(self, lease: str, epoch: int) -> None:
         """Record an epoch of a lease that another member has seen."""
         for proposer in self._proposers_for(lease):
-            proposer.note_epoch(epoch)
+            proposer.record_epoch(epoch)
 
     def tick(self, now: float) -> list[AddressedRequest]:
         """Step down if the role has been idle for too long, otherwise run the proposers' due actions."""
--- a/wheatring/fleet/lease/view_leader.py
+++ b/wheatring/fleet/lease/view_leader.py
@@ -95,8 +95,8 @@
     def handle_installed(self, now: float, previous: View, change: ViewChange) -> list[Outgoing]:
         """Drop the evidence on removed and admitted members, and announce the view as a leader."""
         if previous.members != self.installer.view.members:
-            self.cut_detector.note_removed(now, change.removed)
-            self.cut_detector.note_admitted(change.added)
+            self.cut_detector.penalize_removed(now, change.removed)
+            self.cut_detector.discard_evidence_about(change.added)
         return self._announce_to_unknown(previous, change) if self.register.epoch is not None else []
 
     def _announce_to_unknown(self, previous: View, change: ViewChange) -> list[Outgoing]:
@@ -124,7 +124,7 @@
 
     def _leading_epoch(self, at: Instant) -> int | None:
         """Return the epoch to lead in, or None if this sidecar does not lead or a change is in progress."""
-        if not self.register.is_settled or self.installer.pending_change is not None:
+        if not self.register.is_stable or self.installer.pending_change is not None:
             return None
         if self.register.chosen.number != self.installer.view.number:
             return None
@@ -163,11 +163,11 @@
         return address, JoinDeferred(self.installer.view.number, seconds, reason)
 
     def _request_indirect_checks(self, now: float) -> list[Outgoing]:
-        """Ask some members to check those that may have to be removed again."""
+        """Ask some members to check again those that may have to be removed."""
         suspects = self.cut_detector.members_to_check(now, self.installer.view, self.installer.rings)
         # The leader itself is certainly alive. Two members that receive nothing report all others, including
         # the leader, and then no member may be left to check it.
-        self.cut_detector.note_reached(now, [self.fleet.me.name])
+        self.cut_detector.record_reached(now, [self.fleet.me.name])
         if not suspects:
             return []
         checkers = self._sample_checkers()
--- a/wheatring/fleet/lease/view_monitor.py
+++ b/wheatring/fleet/lease/view_monitor.py
@@ -47,7 +47,8 @@
         self.edge_monitor = EdgeMonitor(at.now, fleet.random)
         self.indirect_checks = IndirectChecks()
         self.indirect_targets: dict[int, str] = {}  # names of the members checked indirectly, by sequence
-        self.last_heard_from: dict[str, float] = {}  # when a subject last sent a check since its last answer
+        # When each subject last checked this sidecar; its entry is deleted when it answers a check.
+        self.last_heard_from: dict[str, float] = {}
 
     def isolation(self, now: float) -> Isolation:
         """Return how this member of the view is cut off from the others, if it is."""
@@ -58,14 +59,14 @@
         """The time at which `tick` next has work to do."""
         return min(self.edge_monitor.due, self.indirect_checks.due)
 
-    def note_stall(self, now: float) -> bool:
-        """Return whether this process was stopped; if so, do not count that time against its subjects."""
+    def compensate_stall(self, now: float) -> bool:
+        """Extend the subjects' deadlines if this process was paused; return whether it was."""
         # Measured by the edge monitor, which always has a next due time. The leader's due time would make a
         # sidecar that has just become leader look stalled.
         delay = now - self.edge_monitor.due
         if delay <= STALL_SECONDS or not self.installer.change_count:
             return False
-        self.edge_monitor.note_stall(delay)
+        self.edge_monitor.compensate_stall(delay)
         return True
 
     def tick(self, at: Instant) -> list[Outgoing]:
@@ -147,7 +148,7 @@
         if sent is None:
             return []
         self.last_heard_from.pop(sender, None)
-        self.fleet.members.gossip.note_answer(now, sender)
+        self.fleet.members.gossip.record_answer(now, sender)
         self.stamps.learn(message, sent)
         if max(message.view, message.stamp.view) > self.register.chosen.number:
             return [(address, self.register.learner.newest_query())]
@@ -174,5 +175,5 @@
         self.edge_monitor.last_answer = now
         return [
             (leader, IndirectCheckResult(self.installer.view.number, number, (name,)))
-            for leader, number in self.indirect_checks.note_reached(name)
+            for leader, number in self.indirect_checks.record_reached(name)
         ]
--- a/wheatring/fleet/members/cut_detector.py
+++ b/wheatring/fleet/members/cut_detector.py
@@ -101,13 +101,13 @@
             self.last_join_request = now
         self.join_requests[name] = (now, view_member)
 
-    def note_reached(self, now: float, names: Iterable[str]) -> None:
+    def record_reached(self, now: float, names: Iterable[str]) -> None:
         """Record the members that an indirect check has reached."""
         for name in names:
             if name in self.checked_since:
                 self.reached[name] = now
 
-    def note_admitted(self, view_members: Iterable[ViewMember]) -> None:
+    def discard_evidence_about(self, view_members: Iterable[ViewMember]) -> None:
         """Discard the evidence about previous incarnations of members that a change has admitted.
 
         Otherwise a member that left and rejoined at once would be removed again.
@@ -121,7 +121,7 @@
             if observer not in names
         }
 
-    def note_removed(self, now: float, names: Iterable[str]) -> None:
+    def penalize_removed(self, now: float, names: Iterable[str]) -> None:
         """Add a rejoin penalty to the members that a change has removed."""
         self.rejoin_penalties.add(now, names)
 
--- a/wheatring/fleet/members/edge_monitor.py
+++ b/wheatring/fleet/members/edge_monitor.py
@@ -1,8 +1,8 @@
 """Health checks of one member's subjects in a view. No I/O; `now` is monotonic, in seconds.
 
-Only answers to health checks count. Silence is measured from the first unanswered check, so a
-pause shorter than `DOWN_AFTER_SECONDS` ends before any observer's time-out. A member that was itself paused
-extends the deadlines of all its subjects by the pause. A member without any answers reports no subjects.
+Only answers to health checks count. Silence is measured from the first unanswered check, so a pause shorter
+than `DOWN_AFTER_SECONDS` ends before any observer's time-out. A member that was itself paused extends the
+deadlines of all its subjects by the pause. A member that gets no answers at all reports no subjects.
 
 Based on Rapid's monitoring edges (Suresh et al., 2018): a member's subjects are the members that it checks,
 its observers are the members that check it.
@@ -15,17 +15,18 @@
 from random import Random
 from typing import NamedTuple
 
-CHECK_INTERVAL_SECONDS = 4.0  # between two checks of a subject that answers
-RETRY_INTERVAL_SECONDS = 0.5  # between two retries of a check
-FIRST_RETRY_SECONDS = 0.25  # between the first unanswered check and its first retry
+CHECK_INTERVAL_SECONDS = 4.0  # the mean time between two checks of a subject that answers
+RETRY_INTERVAL_SECONDS = 0.5  # the time between two retries of a check
+FIRST_RETRY_SECONDS = 0.25  # the time between the first unanswered check and its first retry
 CHECKS_BEFORE_NOTICE = 2  # sending this check means that the first was missed: other observers are notified
 # Sending this check makes the subject a suspect. Random datagram loss seldom affects as many.
 CHECKS_BEFORE_SUSPICION = 5
 EARLY_CHECK_SECONDS = 0.5  # early checks are spread over this time
 DOWN_AFTER_SECONDS = 5.5  # silence; a pause of 5 s must not remove a member
 REPORT_AFTER_SECONDS = 2.5  # silence after which the voters get a report
+# A silent subject is reported only if its next check would be at least the sixth without an answer.
 MIN_MISSED_CHECKS = 6
-REPORT_INTERVAL_SECONDS = 1.0  # between two reports while there is something to report
+REPORT_INTERVAL_SECONDS = 1.0  # the mean time between two reports while there is something to report
 ISOLATED_AFTER_SECONDS = 3.0  # time without any answer, or any message, from other members
 STALL_SECONDS = 1.0  # a tick that is this late shows that the process was paused
 MAX_PENDING = 16  # unanswered checks kept per subject
@@ -103,7 +104,7 @@
         checks = min((subject.due for subject in self.subjects.values()), default=inf)
         return min(checks, self.next_report)
 
-    def note_stall(self, stall_seconds: float) -> None:
+    def compensate_stall(self, stall_seconds: float) -> None:
         """Extend all deadlines by the time for which this process was paused."""
         self.last_answer += stall_seconds
         self.last_message += stall_seconds
@@ -122,12 +123,12 @@
                 continue
             self.sequence += 1
             checks.append(DueCheck(name, self.sequence, subject.spreads_early))
-            self._note_check_sent(now, name, subject)
+            self._record_check_sent(now, name, subject)
         if self.miss_notices:
             self.check_all_early(now, True)
         return checks
 
-    def _note_check_sent(self, now: float, name: str, subject: MonitoredSubject) -> None:
+    def _record_check_sent(self, now: float, name: str, subject: MonitoredSubject) -> None:
         subject.pending[self.sequence] = now
         if len(subject.pending) > MAX_PENDING:
             del subject.pending[min(subject.pending)]
--- a/wheatring/fleet/members/facts.py
+++ b/wheatring/fleet/members/facts.py
@@ -6,7 +6,7 @@
 
 from wheatring.fleet.members.messages import Fact
 
-PIGGYBACK_BYTES = 200  # for facts in one datagram
+PIGGYBACK_BYTES = 200  # the limit for the facts in one datagram
 MAX_VALUE_BYTES = 120
 
 
--- a/wheatring/fleet/members/gossip_state.py
+++ b/wheatring/fleet/members/gossip_state.py
@@ -83,10 +83,10 @@
         limit = self._transmit_limit()
         for update in message.updates:
             if not self._apply(now, update):
-                self.updates.note_duplicate(update, limit)
+                self.updates.count_duplicate(update, limit)
         self.new_facts += [fact for fact in message.facts if self.facts.apply(fact)]
 
-    def note_answer(self, now: float, name: str) -> None:
+    def record_answer(self, now: float, name: str) -> None:
         """Record that a member has answered this one, with a message of any type."""
         if (record := self.table.records.get(name)) is not None:
             record.last_answer = now
--- a/wheatring/fleet/members/indirect_checks.py
+++ b/wheatring/fleet/members/indirect_checks.py
@@ -9,8 +9,8 @@
 
 ATTEMPTS = 3  # health checks per member
 ATTEMPT_INTERVAL_SECONDS = 0.3
-ANSWER_WAIT_SECONDS = 2.0  # after the last attempt; later answers are not reported
-MAX_CHECKS = 8  # concurrent requests of leaders
+ANSWER_WAIT_SECONDS = 2.0  # answers that arrive later than this after the last attempt are not reported
+MAX_CHECKS = 8  # the most requests of leaders handled at the same time
 
 
 class _IndirectCheck(NamedTuple):
@@ -56,7 +56,7 @@
                 self.active[index] = check._replace(remaining_attempts=left, due=due)
         return names
 
-    def note_reached(self, name: str) -> list[CheckRequester]:
+    def record_reached(self, name: str) -> list[CheckRequester]:
         """Record an answer; return the leaders to report it to, once for each request."""
         requesters = []
         for index, check in enumerate(self.active):
--- a/wheatring/fleet/members/prober.py
+++ b/wheatring/fleet/members/prober.py
@@ -43,7 +43,7 @@
     """A probe on behalf of another member."""
 
     requester: Address
-    sequence: int  # of the requester's message
+    sequence: int  # the sequence number of the requester's message
     expires_at: float
 
 
@@ -159,7 +159,7 @@
 
     def handle_ack(self, now: float, sender: str, sequence: int) -> list[OutgoingSwim]:
         """Record an answer, and forward it if the probe was on behalf of another member."""
-        self.gossip.note_answer(now, sender)
+        self.gossip.record_answer(now, sender)
         if self.probe is not None and self.probe.sequence == sequence and not self.probe.is_answered:
             self.probe.is_answered = True
             self.gossip.health.recover()
--- a/wheatring/fleet/members/timing.py
+++ b/wheatring/fleet/members/timing.py
@@ -10,17 +10,17 @@
     """The parameters of SWIM with Lifeguard's dynamic suspicion."""
 
     probe_interval_seconds: float = 1.0
-    probe_timeout_seconds: float = 0.3  # then indirect probes are requested
+    probe_timeout_seconds: float = 0.3  # the time until indirect probes are requested
     indirect_probes: int = 3  # members asked for an indirect probe
-    suspicion_multiplier: float = 4.0  # for the shortest time that a suspect has to refute
-    max_suspicion_multiplier: float = 6.0  # for the longest, relative to the shortest
-    confirmations: int = 2  # further suspecting members that reduce it to the shortest
-    retransmit_multiplier: float = 4.0  # for the number of times that an update is sent
-    reclaim_seconds: float = 120.0  # after which a member that left or died is deleted
-    sync_seconds: float = 20.0  # between two exchanges of the full state, in a small fleet
-    sync_seconds_per_member: float = 0.2  # the same in a large one, so that the cost is bounded
+    suspicion_multiplier: float = 4.0  # factor of the shortest time that a suspect has to refute
+    max_suspicion_multiplier: float = 6.0  # the longest time to refute, relative to the shortest
+    confirmations: int = 2  # further suspecting members that reduce the time to the shortest
+    retransmit_multiplier: float = 4.0  # factor of the number of times that an update is sent
+    reclaim_seconds: float = 120.0  # a member that left or died is deleted after this time
+    sync_seconds: float = 20.0  # the time between two exchanges of the full state in a small fleet
+    sync_seconds_per_member: float = 0.2  # the same in a large fleet, so that the cost is bounded
     joins_per_second: float = 60.0  # spreads the joins of members that start simultaneously
-    max_join_delay_seconds: float = 3.0  # limits the delay by `joins_per_second`
+    max_join_delay_seconds: float = 3.0  # upper bound of the delay that `joins_per_second` causes
 
     def min_suspicion_seconds(self, members: int) -> float:
         """Return the shortest time that a suspect has to refute."""
--- a/wheatring/fleet/members/update_queue.py
+++ b/wheatring/fleet/members/update_queue.py
@@ -7,9 +7,9 @@
 
 from wheatring.fleet.members.messages import MemberUpdate
 
-PIGGYBACK_BYTES = 900  # for updates in one datagram
+PIGGYBACK_BYTES = 900  # the limit for the updates in one datagram
 MAX_SCANNED_UPDATES = 40  # updates considered for one message
-MAX_UPDATES = 500  # queued; beyond it those sent most often are dropped
+MAX_UPDATES = 500  # the limit of the queue; beyond it, the update sent most often is dropped
 
 
 def batches(updates: Iterable[MemberUpdate]) -> Iterator[tuple[MemberUpdate, ...]]:
@@ -54,7 +54,7 @@
         if name in self.transmissions:
             del self.by_transmissions[self.transmissions.pop(name)][name]
 
-    def _note_transmission(self, name: str, transmit_limit: int) -> None:
+    def _count_transmission(self, name: str, transmit_limit: int) -> None:
         """Count a transmission; drop the update once it has reached the limit."""
         count = self.transmissions[name] + 1
         update = self.by_transmissions[count - 1].pop(name)
@@ -66,7 +66,7 @@
         self.transmissions[name] = count
         self.by_transmissions[count][name] = update
 
-    def note_duplicate(self, update: MemberUpdate, transmit_limit: int) -> None:
+    def count_duplicate(self, update: MemberUpdate, transmit_limit: int) -> None:
         """Count an update that was also received from another member as one more transmission.
 
         This ends the gossip of widely known updates sooner ("feedback" and "counter" of Demers et al.,
@@ -77,7 +77,7 @@
             return
         own = self.by_transmissions[self.transmissions[name]][name]
         if (own.incarnation, own.state) == (update.incarnation, update.state):
-            self._note_transmission(name, transmit_limit)
+            self._count_transmission(name, transmit_limit)
 
     def next_batch(
         self, transmit_limit: int, first: Collection[MemberUpdate] = ()
@@ -94,5 +94,5 @@
                 break
             batch.append(update)
         for update in batch[len(first) :]:
-            self._note_transmission(update.member.name, transmit_limit)
+            self._count_transmission(update.member.name, transmit_limit)
         return tuple(batch)
--- a/wheatring/fleet/members/view.py
+++ b/wheatring/fleet/members/view.py
@@ -34,8 +34,10 @@
 
 
 _encoder = msgspec.msgpack.Encoder()
-_change: msgspec.msgpack.Decoder[ViewChange] = msgspec.msgpack.Decoder(ViewChange)
-_members: msgspec.msgpack.Decoder[tuple[ViewMember, ...]] = msgspec.msgpack.Decoder(tuple[ViewMember, ...])
+_change_decoder: msgspec.msgpack.Decoder[ViewChange] = msgspec.msgpack.Decoder(ViewChange)
+_members_decoder: msgspec.msgpack.Decoder[tuple[ViewMember, ...]] = msgspec.msgpack.Decoder(
+    tuple[ViewMember, ...]
+)
 
 
 @dataclass(frozen=True)
@@ -84,7 +86,7 @@
 def decode_change(payload: bytes) -> ViewChange | None:
     """Decode an entry's payload; None if it isn't a valid change."""
     try:
-        return _change.decode(payload)
+        return _change_decoder.decode(payload)
     except msgspec.DecodeError:
         return None
 
@@ -92,7 +94,7 @@
 def decode_members(payload: bytes) -> tuple[ViewMember, ...] | None:
     """Decode the payload of a complete view; None if it isn't valid."""
     try:
-        return _members.decode(payload)
+        return _members_decoder.decode(payload)
     except msgspec.DecodeError:
         return None
 
--- a/wheatring/fleet/members/view_messages.py
+++ b/wheatring/fleet/members/view_messages.py
@@ -23,10 +23,10 @@
 class LeaderStamp(NamedTuple):
     """A leader's confirmation, once a second, that these entries are the newest."""
 
-    epoch: int  # of the leader
-    sequence: int  # of the stamp within its epoch
-    view: int = 0  # number of the view
-    plan: int = 0  # number of the plan
+    epoch: int  # the epoch of the leader's lease
+    sequence: int  # the number of the stamp within its epoch
+    view: int = 0  # the number of the view
+    plan: int = 0  # the number of the plan
 
     @property
     def order(self) -> tuple[int, int]:
@@ -56,7 +56,7 @@
 
 
 class MissedCheck(ViewMessageBase, frozen=True, tag="miss"):
-    """To a subject's other observers: it does not answer the sender; they check it now."""
+    """To a subject's other observers: the subject does not answer the sender; they check it now."""
 
     name: str
 
@@ -84,7 +84,7 @@
 
 
 class IndirectCheckRequest(ViewMessageBase, frozen=True, tag="doubt"):
-    """Leader to some members: asks them to check these members before their removal."""
+    """Leader to some members: asks them to check whether these members answer, before they are removed."""
 
     sequence: int
     names: tuple[str, ...]
--- a/wheatring/fleet/peers/agreement.py
+++ b/wheatring/fleet/peers/agreement.py
@@ -22,7 +22,8 @@
 
 LEADER_SETTINGS = RoleSettings(LEADER_ROLE, voters_only=True)
 VIEW_MESSAGES: Any = FleetMessage | RegisterMessage | ViewMessage
-HEARD_RECENTLY_SECONDS = 3.0  # a monitored member that was heard from within this time is listed as `deaf`
+# A subject that does not answer, but sent a check itself within this time, is listed as `deaf`.
+HEARD_RECENTLY_SECONDS = 3.0
 
 
 def messages_with_plans() -> Any:
--- a/wheatring/fleet/peers/body_transfer.py
+++ b/wheatring/fleet/peers/body_transfer.py
@@ -1,5 +1,7 @@
 """Transfers bodies between sidecars, over TCP on the address and port of the datagrams.
 
+A body is a payload of `lease.payloads`, such as a plan or a complete membership view.
+
     requester   2 bytes length, then an authenticated `BodyRequest`
     sender      1 byte: 1 if the body follows, 0 if it is not available; then 4 bytes length, and the body
 
@@ -26,7 +28,7 @@
 from wheatring.fleet.peers.datagram_codec import MAX_DATAGRAM_BYTES, DatagramCodec
 from wheatring.fleet.peers.exceptions import DatagramRejectedError
 
-TRANSFER_TIMEOUT_SECONDS = 5.0  # for one body
+TRANSFER_TIMEOUT_SECONDS = 5.0  # the time-out of the transfer of one body
 MAX_SENDERS, MAX_REQUESTERS = 12, 4  # concurrent connections, by direction
 MAX_QUEUED = 16  # fetches waiting for a connection; further ones are dropped, their callers retry
 _REQUEST_HEAD, _REPLY_HEAD = Packed(">H"), Packed(">BI")
--- a/wheatring/fleet/peers/datagram_codec.py
+++ b/wheatring/fleet/peers/datagram_codec.py
@@ -28,7 +28,7 @@
 MAC_BYTES = 16
 MAX_DATAGRAM_BYTES = 1400  # one packet on any common link
 REPLAY_WINDOW = 256  # sequence numbers; a datagram reordered by more is rejected
-MAX_SENDERS = 4000  # stored replay windows; the least recently used one is evicted first
+MAX_REPLAY_WINDOWS = 4000  # one window per sender; the least recently used one is evicted first
 # After this much silence of a sender an earlier start is accepted: its clock was probably set back.
 CLOCK_SET_BACK_SECONDS = 5.0
 
@@ -170,7 +170,7 @@
         """Record the frame's sequence number; raise DatagramRejectedError if it was received before."""
         window = self.senders.get(frame.sender)
         if window is None or (window.start != frame.start and self._supersedes(now, window, frame.start)):
-            if window is None and len(self.senders) >= MAX_SENDERS:
+            if window is None and len(self.senders) >= MAX_REPLAY_WINDOWS:
                 self.senders.popitem(last=False)
             window = self.senders[frame.sender] = _ReplayWindow(frame.start)
         elif window.start != frame.start:
--- a/wheatring/fleet/peers/datagram_socket.py
+++ b/wheatring/fleet/peers/datagram_socket.py
@@ -14,7 +14,7 @@
 from wheatring.fleet.peers.datagram_codec import DatagramCodec
 from wheatring.fleet.peers.exceptions import DatagramRejectedError
 
-LOG_INTERVAL_SECONDS = 60.0  # between two log lines for the same cause
+LOG_INTERVAL_SECONDS = 60.0  # the minimum time between two log lines for the same cause
 
 
 class DatagramSocket(protocol.DatagramProtocol):
--- a/wheatring/fleet/peers/fleet_runtime.py
+++ b/wheatring/fleet/peers/fleet_runtime.py
@@ -32,8 +32,8 @@
     from wheatring.fleet.peers.agreement import Agreement
     from wheatring.fleet.peers.body_transfer import BodyTransfers
 
-PORT_RETRY_SECONDS = 0.1  # between attempts to bind the port, which a previous process may still use
-MIN_TIMER_SECONDS = 0.001  # between two ticks
+PORT_RETRY_SECONDS = 0.1  # interval of attempts to bind the port, which a previous process may still use
+MIN_TIMER_SECONDS = 0.001  # the minimum time between two ticks
 NOT_JOINED = "not in the fleet yet"
 
 
@@ -264,18 +264,18 @@
             return None
         return self.fleet.roles[role].epoch_to_act(self.boot())
 
-    def record_action(self, role: str) -> None:
+    def record_activity(self, role: str) -> None:
         """Record that the role's work was done now."""
         if self.fleet is not None:
-            self.fleet.roles[role].note_activity(self.boot())
+            self.fleet.roles[role].record_activity(self.boot())
 
     def on_newer_epoch(self, role: str, epoch: int) -> None:
-        """Release a role, as a receiver has seen a higher epoch; compete for the role with a newer one."""
+        """Release a role, as a receiver has seen this higher epoch; the next lease's epoch is above it."""
         fleet = self.fleet
         if fleet is None or self.is_closed:
             return
         for proposer in fleet.roles[role].proposers:
-            proposer.note_epoch(epoch)
+            proposer.record_epoch(epoch)
         self.dispatch(fleet.role_manager.release(self.instant(), role, 0.0))
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
--- a/wheatring/fleet/peers/fleet_status.py
+++ b/wheatring/fleet/peers/fleet_status.py
@@ -24,18 +24,18 @@
 
 
 def role_rows(fleet: Fleet, at: Instant) -> list[dict[str, Any]]:
-    """Return a row for each place of each role; `left_s` is the remaining time of a lease held here."""
+    """Return a row for each slot of each role; `left_s` is the remaining time of a lease held here."""
     rows = []
     for name, settings in fleet.role_manager.settings.items():
         role = fleet.roles[name]
-        for place in range(settings.slots):
-            holder, epoch = fleet.role_manager.last_known_holder(name, place)
+        for slot in range(settings.slots):
+            holder, epoch = fleet.role_manager.last_known_holder(name, slot)
             lease = role.held_lease
-            is_here = lease is not None and lease.lease == f"{name}/{place}"
+            is_here = lease is not None and lease.lease == f"{name}/{slot}"
             left = lease.held_until - at.boot if lease is not None and is_here else None
             rows.append(
                 {
-                    "duty": name, "place": place, "holder": holder, "epoch": epoch, "here": is_here,
+                    "duty": name, "place": slot, "holder": holder, "epoch": epoch, "here": is_here,
                     "left_s": None if left is None else round(left, 2), "rank": role.rank,
                 }
             )  # fmt: skip
--- a/wheatring/fleet/peers/list_sharing.py
+++ b/wheatring/fleet/peers/list_sharing.py
@@ -17,9 +17,9 @@
 from wheatring.fleet.lease.messages import Heartbeat
 
 HEARTBEAT_INTERVAL_SECONDS = 1.0
-WATCH_CHECK_SECONDS = 0.25  # between two evaluations of `ListSharing.should_watch`
-MAX_REPORTED_NODES = 20  # in one heartbeat; followers learn of further ones from their own lists
-REPORTED_FOR_SECONDS = 60.0  # time for which a draining or removed node is announced
+WATCH_CHECK_SECONDS = 0.25  # interval of the evaluations of `ListSharing.should_watch`
+MAX_REPORTED_NODES = 20  # per heartbeat; followers learn of further nodes from their own lists
+REPORTED_FOR_SECONDS = 60.0  # the time for which a draining or removed node is announced
 
 
 class EndpointList(Protocol):
@@ -43,7 +43,7 @@
     def active_epoch(self, role: str) -> int | None:
         """Return the epoch to act in; None if this sidecar doesn't hold the role."""
 
-    def record_action(self, role: str) -> None:
+    def record_activity(self, role: str) -> None:
         """Record that the role's work was done now."""
 
     def send_heartbeat(self, heartbeat: Heartbeat) -> None:
@@ -150,7 +150,7 @@
         newest_first = sorted(self.withdrawn, key=lambda name: (-self.withdrawn[name], name))
         nodes = tuple(newest_first[:MAX_REPORTED_NODES])
         self.seq += 1
-        self.fleet.record_action(self.role)
+        self.fleet.record_activity(self.role)
         self.fleet.send_heartbeat(Heartbeat(self.role, epoch, self.seq, endpoint_list.version, nodes))
 
     # As a follower
--- a/wheatring/fleet/peers/plan_coordinator.py
+++ b/wheatring/fleet/peers/plan_coordinator.py
@@ -1,6 +1,7 @@
 """Coordinates the fleet's plan at one sidecar: proposal, compatibility check, commit, scheduled weights.
 
-It has no logic of its own beyond passing results between components. Imported only with `[plan]`. No I/O.
+It mostly passes results between components; its own decisions are when to propose the first plan and when to
+step down as leader. Imported only with `[plan]`. No I/O.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class PlanCoordinator:
-    """A fleet component whose `tick` is due whenever the plan's weights change.
+    """A fleet component whose `tick` is due whenever the weights in force have to be updated.
 
     It connects plans with the sidecar: changed weights and log events are passed to the callbacks of
     `options`.
@@ -60,14 +61,14 @@
         self.minimum_format_register = ReplicatedRegister(at, "floor", fleet, self._handle_minimum_format)
         capabilities = local_capabilities(options.formats)
         self.skew = CompatibilityChecker(
-            fleet, capabilities, compile_plan, self._is_view_settled, self._is_plan_settled
+            fleet, capabilities, compile_plan, self._is_view_stable, self._is_plan_stable
         )
         self.plans.leader.check = self.skew
         self.fleet_clock = FleetClock(at, fleet)
         self.weight_schedule = WeightSchedule(at.now)
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
-        self.next_weight_change = at.now
+        self.next_weight_update = at.now
         views.leader.admission_objection = self._admission_objection
         # Entries committed by a leader carry the fleet's time, so that all members apply them simultaneously.
         self.plans.register.leader.timestamp_ms = self._commit_timestamp_ms
@@ -86,11 +87,11 @@
 
     # Callbacks between components
 
-    def _is_view_settled(self) -> bool:
-        return self.views.register.is_settled and self.views.installer.pending_change is None
+    def _is_view_stable(self) -> bool:
+        return self.views.register.is_stable and self.views.installer.pending_change is None
 
-    def _is_plan_settled(self) -> bool:
-        return self.plans.register.is_settled and self.minimum_format_register.is_settled
+    def _is_plan_stable(self) -> bool:
+        return self.plans.register.is_stable and self.minimum_format_register.is_stable
 
     def _admission_objection(self, at: Instant, view_member: ViewMember) -> str:
         reasons = self.skew.admission_refusals(at, view_member)[:MAX_REJECTION_REASONS]
@@ -112,7 +113,7 @@
         when = self.plans.register.applied.put_at_ms
         since = when / 1000 if when else None
         self.weight_schedule.plan_committed(at.now, committed.version, Timetable(committed.plan), since)
-        self.next_weight_change = at.now
+        self.next_weight_update = at.now
         fields = {"number": committed.version, "epoch": committed.epoch, "digest": committed.digest.hex()}
         self.log("plan", {**fields, "format": committed.plan.format})
         return []
@@ -131,17 +132,17 @@
 
     @property
     def due(self) -> float:
-        """Time of the next change of weights, in monotonic seconds."""
-        return self.next_weight_change
+        """Time of the next update of the weights, in monotonic seconds."""
+        return self.next_weight_update
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Apply weight changes that are due, and propose the first plan if the fleet has none."""
+        """Update the weights in force, and propose the first plan if the fleet has none."""
         self._report_unreadable_plan()
         if self.first_plan and at.now >= self.next_proposal:
             self._propose_first(at)
         outgoing = self._step_down_if_incompatible(at)
         update = self.weight_schedule.update(at.now, self.fleet_clock.now(at), self.confirmed_age(at.now))
-        self.next_weight_change = update.due
+        self.next_weight_update = update.due
         for event in [*self.fleet_clock.events, *update.events]:
             self.log(event.event, event.fields)
         self.fleet_clock.events.clear()
--- a/wheatring/fleet/peers/role_workers.py
+++ b/wheatring/fleet/peers/role_workers.py
@@ -25,7 +25,7 @@
 from wheatring.common.http_parser import MessageParser
 from wheatring.daemon.core.clock import Clock, Timer
 
-CALL_TIMEOUT_SECONDS = 2.0  # for the connection attempt, and again for the call
+CALL_TIMEOUT_SECONDS = 2.0  # applies to the connection attempt, and again to the call
 MAX_ANSWER_BYTES = 16_384  # body of an answer
 MAX_EPOCH_DIGITS = 18  # further digits in an answer's header are ignored; no epoch is as large
 
@@ -40,7 +40,7 @@
     def active_epoch(self, role: str) -> int | None:
         """Return the epoch to act in, to be read before each action; None if the role isn't held here."""
 
-    def record_action(self, role: str) -> None:
+    def record_activity(self, role: str) -> None:
         """Record that the role's work was done now; a holder without activity releases the role."""
 
     def on_newer_epoch(self, role: str, epoch: int) -> None:
@@ -172,7 +172,7 @@
             log.line("duty-call", duty=self.role, code="outdated", epoch=newer)
             self.holder.on_newer_epoch(self.role, newer)
         elif status < 300:
-            self.holder.record_action(self.role)
+            self.holder.record_activity(self.role)
         else:
             log.line("duty-call", duty=self.role, code=f"answered-{status}")
 
--- a/wheatring/fleet/plan/errors.py
+++ b/wheatring/fleet/plan/errors.py
@@ -16,7 +16,7 @@
 
 
 class PlanTooLargeError(OperatorError):
-    """The body exceeds the size limit of all sidecars."""
+    """The body exceeds the size limit, which is the same at all sidecars."""
 
     code = "plan-too-large"
     do = "Leave out routes, windows or trials until it fits."
--- a/wheatring/fleet/plan/proposals.py
+++ b/wheatring/fleet/plan/proposals.py
@@ -127,10 +127,10 @@
             proposal_id, digest, plan.title, len(body), base_version, proposed_at=at.now, next_send_at=at.now
         )
         self.entries[proposal_id] = proposal
-        self._forget_oldest()
+        self._evict_oldest()
         return proposal
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self.entries) > MAX_PROPOSALS:
             oldest = next(key for key, proposal in self.entries.items() if proposal.is_final)
             del self.entries[oldest]
--- a/wheatring/fleet/schedule/recurrence.py
+++ b/wheatring/fleet/schedule/recurrence.py
@@ -58,8 +58,8 @@
     """The search for occurrences reached its limit of days."""
 
 
-class _CountingSet(tuple[int, ...]):
-    """A set of months or weekdays that counts lookups; `rrule` makes one for each day that it searches."""
+class _LimitedTuple(tuple[int, ...]):
+    """Months or weekdays with a limit on lookups: `rrule` makes one for each day that it searches."""
 
     remaining: int = 0
 
@@ -106,11 +106,11 @@
         )
         # `rrule` first tests each day's month or, without months, its weekday (except for BYWEEKNO).
         if occurrences._bymonth:
-            occurrences._bymonth = counting = _CountingSet(occurrences._bymonth)
+            occurrences._bymonth = limited = _LimitedTuple(occurrences._bymonth)
         else:
-            occurrences._byweekday = counting = _CountingSet(occurrences._byweekday or range(7))
+            occurrences._byweekday = limited = _LimitedTuple(occurrences._byweekday or range(7))
         days = max(0, (before - start).days) + 2 * 366
-        counting.remaining = 24 * days if self.frequency == "HOURLY" else days
+        limited.remaining = 24 * days if self.frequency == "HOURLY" else days
         yield from occurrences
 
     def _later_start(self, start: datetime, after: datetime) -> datetime:
--- a/wheatring/fleet/skew/capabilities.py
+++ b/wheatring/fleet/skew/capabilities.py
@@ -56,7 +56,8 @@
         return dict(self.versions).get(name, "")
 
 
-# Assumed for programs that predate these messages and do not answer them: they read format 1 only.
+# Assumed for programs that predate the messages in `skew.messages` and do not answer them: they read format 1
+# only.
 LEGACY_CAPABILITIES = Capabilities(((1, 1),), frozenset(), 10_000, 2000, 1000, 256 * 1024)
 
 
--- a/wheatring/fleet/skew/capability_table.py
+++ b/wheatring/fleet/skew/capability_table.py
@@ -42,7 +42,7 @@
         """Return the capabilities of a process; if they are unknown, schedule a request and return None.
 
         A process that keeps trying to enter the view but has not answered for `LEGACY_AFTER_SECONDS` is taken
-        for a program without these messages, which reads format 1 only.
+        for a program that predates `CapabilityRequest` and reads format 1 only.
         """
         key = (view_member.member.name, view_member.incarnation)
         if key in self.known:
--- a/wheatring/fleet/skew/checker.py
+++ b/wheatring/fleet/skew/checker.py
@@ -187,7 +187,7 @@
     # Commits, and admission to the view
 
     def plan_committed(self, plan: Plan | None, body: bytes) -> None:
-        """Apply a commit of the register `plan`; `plan` is None if this program cannot read it."""
+        """Apply a commit of the register `plan`; the argument is None if this program cannot read it."""
         self.committed = requirements_of(plan, body) if plan is not None else None
         self.unreadable = "" if plan is not None else f"a plan of {len(body)} bytes"
 
--- a/wheatring/fleet/skew/errors.py
+++ b/wheatring/fleet/skew/errors.py
@@ -121,7 +121,7 @@
 
 
 class FormatsUnknownError(OperatorError):
-    """The operator's file restricts this sidecar to formats that this program does not know."""
+    """The configuration file restricts this sidecar to formats that this program does not know."""
 
     code = "formats-unknown"
     do = "Name formats that this program knows, or leave [plan] formats out."
--- a/wheatring/fleet/skew/minimum_format.py
+++ b/wheatring/fleet/skew/minimum_format.py
@@ -1,9 +1,9 @@
 """The fleet's minimum plan format, and the admission of processes to the view.
 
-Every member must be able to read the minimum format; a process that cannot is not admitted and is told what
-it lacks. The minimum is stored in the register `floor`, so it is the same for all members and survives a
-change of leader. Only an operator's call changes it: it can be raised if all members of the view read the new
-format, and lowered if the committed plan does not need a higher one.
+Every member must be able to read the minimum format; a process that cannot is not admitted, and the
+reasons are sent to it. The minimum is stored in the register `floor`, so it is the same for all members and
+survives a change of leader. Only an operator's call changes it: it can be raised if all members of the view
+read the new format, and lowered if the committed plan does not need a higher one.
 
 Invariant: no process is admitted that cannot read the committed plan. While the leader does not know what is
 committed (another entry is being committed, or it cannot read the plan itself) it admits no process.
--- a/wheatring/fleet/skew/trials.py
+++ b/wheatring/fleet/skew/trials.py
@@ -31,7 +31,7 @@
 INSTANT_COST = 10  # evaluating an instant takes as long as this many requests
 MAX_EDGES = 32  # limit on the edges of one window in an interval
 HORIZON_DAYS = 400  # calendar range of the trials; it covers all clock changes of a year
-REPEAT_DAYS = 8  # a recurring window is evaluated on each of these days, whether it opens or not
+REPEAT_DAYS = 8  # a recurring window is evaluated on each of the first 8 days, whether it opens or not
 DAY_SECONDS = 86_400
 DIGEST_BYTES = 16
 
--- a/wheatring/lab/agreement/planted_faults.py
+++ b/wheatring/lab/agreement/planted_faults.py
@@ -108,7 +108,7 @@
 class IgnoresReachability(CutDetector):
     """Ignores reports that a member about to be removed was reached."""
 
-    def note_reached(self, now: float, names: Any) -> None:
+    def record_reached(self, now: float, names: Any) -> None:
         """Ignore the report."""
         pass
 
