--- a/tests/fleet/peers/test_plan_coordinator.py
+++ b/tests/fleet/peers/test_plan_coordinator.py
@@ -141,7 +141,7 @@
 
     while set_minimum(2) != 202:  # the members' capabilities have to be collected first
         assert fleet.cluster.now < 60
-    assert {fleet.coordinator(name).skew.minimum_format for name in fleet.agreements} == {2}
+    assert {fleet.coordinator(name).checker.minimum_format for name in fleet.agreements} == {2}
     assert set_minimum(1) == 409
     fleet.restart("n5", (1,))
     fleet.cluster.run(fleet.cluster.now + 20)
--- a/wheatring/fleet/peers/plan_coordinator.py
+++ b/wheatring/fleet/peers/plan_coordinator.py
@@ -60,10 +60,10 @@
         self.plans = PlanAgent(at, fleet, views, on_commit=self._handle_committed)
         self.minimum_format_register = ReplicatedRegister(at, "floor", fleet, self._handle_minimum_format)
         capabilities = local_capabilities(options.formats)
-        self.skew = CompatibilityChecker(
+        self.checker = CompatibilityChecker(
             fleet, capabilities, compile_plan, self._is_view_stable, self._is_plan_stable
         )
-        self.plans.leader.check = self.skew
+        self.plans.leader.check = self.checker
         self.fleet_clock = FleetClock(at, fleet)
         self.weight_schedule = WeightSchedule(at.now)
         self.first_plan = options.first_plan
@@ -78,7 +78,7 @@
         """The components of plans, in the order in which they receive events."""
         return [
             self.fleet_clock,
-            self.skew,
+            self.checker,
             self.plans,
             self.plans.register,
             self.minimum_format_register,
@@ -94,7 +94,7 @@
         return self.plans.register.is_stable and self.minimum_format_register.is_stable
 
     def _admission_objection(self, at: Instant, view_member: ViewMember) -> str:
-        reasons = self.skew.admission_refusals(at, view_member)[:MAX_REJECTION_REASONS]
+        reasons = self.checker.admission_refusals(at, view_member)[:MAX_REJECTION_REASONS]
         return "; ".join(f"{reason.code}: {reason.what}. {reason.do}" for reason in reasons)
 
     def _commit_timestamp_ms(self, at: Instant) -> int:
@@ -102,14 +102,14 @@
         return round(reading.unix * 1000) if reading.is_sure else 0
 
     def _handle_minimum_format(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - callback signature
-        self.skew.minimum_committed(body)
-        self.log("plan-floor", {"format": self.skew.minimum_format})
+        self.checker.minimum_committed(body)
+        self.log("plan-floor", {"format": self.checker.minimum_format})
         return []
 
     def _handle_committed(self, at: Instant, committed: CommittedPlan) -> list[Outgoing]:
         body = self.fleet.payloads.get(committed.digest)
         assert body is not None
-        self.skew.plan_committed(committed.plan, body)
+        self.checker.plan_committed(committed.plan, body)
         when = self.plans.register.applied.put_at_ms
         since = when / 1000 if when else None
         self.weight_schedule.plan_committed(at.now, committed.version, Timetable(committed.plan), since)
@@ -153,8 +153,10 @@
     def _report_unreadable_plan(self) -> None:
         """Log a committed plan that this program can't read, and pass it to the compatibility check."""
         unreadable = self.plans.unreadable
-        if unreadable is not None and not self.skew.unreadable:
-            self.skew.plan_committed(None, self.fleet.payloads.get(self.plans.register.applied.digest) or b"")
+        if unreadable is not None and not self.checker.unreadable:
+            self.checker.plan_committed(
+                None, self.fleet.payloads.get(self.plans.register.applied.digest) or b""
+            )
             self.log("plan-unread", {"code": unreadable.code, "why": unreadable.what})
 
     def _step_down_if_incompatible(self, at: Instant) -> list[Outgoing]:
@@ -162,14 +164,14 @@
 
         A leader that can't read the committed plan would admit no members to the view.
         """
-        if self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot) is None or not self.skew.own_refusals():
+        if self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot) is None or not self.checker.own_refusals():
             return []
         voters = {*self.fleet.voters.names}
         own = self.fleet.me.name
         others = [each.member for each in self.views.view.members if each.member.name != own]
         if not any({*self.fleet.electorate.voter_names(member)} & voters for member in others):
             return []
-        self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
+        self.log("plan-lead-left", {"why": self.checker.own_refusals()[0].what})
         return self.fleet.role_manager.release(at, LEADER_ROLE, EXCLUSION_LEASES)
 
     def _propose_first(self, at: Instant) -> None:
@@ -205,7 +207,7 @@
     def set_format_floor(self, at: Instant, min_format: int) -> MinimumFormatAnswer:
         """Set the minimum plan format that members have to support; only the leader accepts this."""
         try:
-            payload = self.skew.prepare_minimum(at, min_format, self.views.view)
+            payload = self.checker.prepare_minimum(at, min_format, self.views.view)
             outgoing = self.minimum_format_register.put(at, payload)
         except OperatorError as error:
             return MinimumFormatAnswer(409, error_body(error), [])
@@ -217,7 +219,7 @@
     def status(self, at: Instant) -> dict[str, Any]:
         """Return the plan's status for `GET /control/plan`."""
         reading, weight_schedule = self.fleet_clock.now(at), self.weight_schedule
-        verdict = self.skew.verdict(at.now)
+        verdict = self.checker.verdict(at.now)
         return {
             **self.plans.status(at.now),
             "in_force": weight_schedule.plan_version,
@@ -228,8 +230,8 @@
                 "uncertain_s": None if reading.uncertainty == inf else round(reading.uncertainty, 4),
             },
             "confirmed_s": shown_age(self.confirmed_age(at.now)),
-            "floor": self.skew.minimum_format,
-            "unfit": [reason._asdict() for reason in self.skew.own_refusals()],
+            "floor": self.checker.minimum_format,
+            "unfit": [reason._asdict() for reason in self.checker.own_refusals()],
             "judged": {
                 "stage": verdict.stage.value, "view": verdict.view_number, "answered": verdict.answered,
                 "of": verdict.members,
--- a/wheatring/fleet/schedule/activation.py
+++ b/wheatring/fleet/schedule/activation.py
@@ -79,15 +79,15 @@
         if version > max([self.plan_version, *(queued.version for queued in self.queue)]):
             self.queue.append(_QueuedPlan(version, table, since, now))
 
-    def update(self, now: float, time: Reading, age: float) -> ScheduleUpdate:
+    def update(self, now: float, time: Reading, confirmed_age: float) -> ScheduleUpdate:
         """Update the weights to the present time.
 
-        `age` is the number of seconds since this sidecar's newest plan was last confirmed to be the fleet's
+        `confirmed_age` is the number of seconds since this sidecar's newest plan was last confirmed to be the fleet's
         newest; infinite if it never was, or if there is a newer one.
         """
         events: list[LogEvent] = []
         self._switch_plan(now, time, events)
-        wanted = self._wanted_weights(now, time, age, events)
+        wanted = self._wanted_weights(now, time, confirmed_age, events)
         changed = {route: weights for route, weights in wanted.items() if self.weights.get(route) != weights}
         self.weights = wanted
         return ScheduleUpdate(changed, now + self._wait_seconds(time), events)
@@ -129,7 +129,7 @@
     # Weights
 
     def _wanted_weights(
-        self, now: float, time: Reading, age: float, events: list[LogEvent]
+        self, now: float, time: Reading, confirmed_age: float, events: list[LogEvent]
     ) -> dict[str, Weights]:
         """Return the weights of all routes at this time; enter and leave windows."""
         if self.table is None or not (time.is_sure or self.follows_calendar):
@@ -141,7 +141,7 @@
             excluded: list[OpeningKey] = []
             for open_window in table.step(route, time.unix).open:
                 key = open_window.window, open_window.opens
-                if key in self.entered or self._try_enter(open_window, key, time, age, events):
+                if key in self.entered or self._try_enter(open_window, key, time, confirmed_age, events):
                     entered[key] = open_window
                 else:
                     excluded.append(key)
@@ -168,14 +168,19 @@
         return dict(self.table.base) if self.is_ready and self.table is not None else {}
 
     def _try_enter(
-        self, open_window: OpenWindow, key: OpeningKey, time: Reading, age: float, events: list[LogEvent]
+        self,
+        open_window: OpenWindow,
+        key: OpeningKey,
+        time: Reading,
+        confirmed_age: float,
+        events: list[LogEvent],
     ) -> bool:
         """Return whether a window may be entered; log the entry, or once the reason against it."""
         fields = {"window": open_window.window, "plan": self.plan_version}
         reason = ""
         if not time.is_sure:
             reason = "the time is unsure"
-        elif open_window.hold and not time.unix - age >= open_window.opens - CONFIRMATION_SECONDS:
+        elif open_window.hold and not time.unix - confirmed_age >= open_window.opens - CONFIRMATION_SECONDS:
             reason = "the plan is not confirmed"
         if not reason:
             self.not_entered.pop(key, None)
