--- a/wheatring/fleet/schedule/activation.py
+++ b/wheatring/fleet/schedule/activation.py
@@ -82,8 +82,8 @@
     def update(self, now: float, time: Reading, confirmed_age: float) -> ScheduleUpdate:
         """Update the weights to the present time.
 
-        `confirmed_age` is the number of seconds since this sidecar's newest plan was last confirmed to be the fleet's
-        newest; infinite if it never was, or if there is a newer one.
+        `confirmed_age` is the number of seconds since this sidecar's newest plan was last confirmed to be the
+        fleet's newest; infinite if it never was, or if there is a newer one.
         """
         events: list[LogEvent] = []
         self._switch_plan(now, time, events)
