--- a/wheatring/fleet/peers/plan_coordinator.py
+++ b/wheatring/fleet/peers/plan_coordinator.py
@@ -1,6 +1,7 @@
 """Coordinates the fleet's plan at one sidecar: proposal, compatibility check, commit, scheduled weights.
 
-It has no logic of its own beyond passing results between components. Imported only with `[plan]`. No I/O.
+It mostly passes results between components; its own decisions are when to propose the first plan and when to
+step down as leader. Imported only with `[plan]`. No I/O.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class PlanCoordinator:
-    """A fleet component whose `tick` is due whenever the plan's weights change.
+    """A fleet component whose `tick` is due whenever the weights in force have to be updated.
 
     It connects plans with the sidecar: changed weights and log events are passed to the callbacks of
     `options`.
@@ -59,15 +60,15 @@
         self.plans = PlanAgent(at, fleet, views, on_commit=self._handle_committed)
         self.minimum_format_register = ReplicatedRegister(at, "floor", fleet, self._handle_minimum_format)
         capabilities = local_capabilities(options.formats)
-        self.skew = CompatibilityChecker(
-            fleet, capabilities, compile_plan, self._is_view_settled, self._is_plan_settled
+        self.checker = CompatibilityChecker(
+            fleet, capabilities, compile_plan, self._is_view_stable, self._is_plan_stable
         )
-        self.plans.leader.check = self.skew
+        self.plans.leader.check = self.checker
         self.fleet_clock = FleetClock(at, fleet)
         self.weight_schedule = WeightSchedule(at.now)
         self.first_plan = options.first_plan
         self.next_proposal = at.now + FIRST_PLAN_RETRY_SECONDS
-        self.next_weight_change = at.now
+        self.next_weight_update = at.now
         views.leader.admission_objection = self._admission_objection
         # Entries committed by a leader carry the fleet's time, so that all members apply them simultaneously.
         self.plans.register.leader.timestamp_ms = self._commit_timestamp_ms
@@ -77,7 +78,7 @@
         """The components of plans, in the order in which they receive events."""
         return [
             self.fleet_clock,
-            self.skew,
+            self.checker,
             self.plans,
             self.plans.register,
             self.minimum_format_register,
@@ -86,14 +87,14 @@
 
     # Callbacks between components
 
-    def _is_view_settled(self) -> bool:
-        return self.views.register.is_settled and self.views.installer.pending_change is None
+    def _is_view_stable(self) -> bool:
+        return self.views.register.is_stable and self.views.installer.pending_change is None
 
-    def _is_plan_settled(self) -> bool:
-        return self.plans.register.is_settled and self.minimum_format_register.is_settled
+    def _is_plan_stable(self) -> bool:
+        return self.plans.register.is_stable and self.minimum_format_register.is_stable
 
     def _admission_objection(self, at: Instant, view_member: ViewMember) -> str:
-        reasons = self.skew.admission_refusals(at, view_member)[:MAX_REJECTION_REASONS]
+        reasons = self.checker.admission_refusals(at, view_member)[:MAX_REJECTION_REASONS]
         return "; ".join(f"{reason.code}: {reason.what}. {reason.do}" for reason in reasons)
 
     def _commit_timestamp_ms(self, at: Instant) -> int:
@@ -101,18 +102,18 @@
         return round(reading.unix * 1000) if reading.is_sure else 0
 
     def _handle_minimum_format(self, at: Instant, entry: Entry, body: bytes) -> list[Outgoing]:  # noqa: ARG002 - callback signature
-        self.skew.minimum_committed(body)
-        self.log("plan-floor", {"format": self.skew.minimum_format})
+        self.checker.minimum_committed(body)
+        self.log("plan-floor", {"format": self.checker.minimum_format})
         return []
 
     def _handle_committed(self, at: Instant, committed: CommittedPlan) -> list[Outgoing]:
         body = self.fleet.payloads.get(committed.digest)
         assert body is not None
-        self.skew.plan_committed(committed.plan, body)
+        self.checker.plan_committed(committed.plan, body)
         when = self.plans.register.applied.put_at_ms
         since = when / 1000 if when else None
         self.weight_schedule.plan_committed(at.now, committed.version, Timetable(committed.plan), since)
-        self.next_weight_change = at.now
+        self.next_weight_update = at.now
         fields = {"number": committed.version, "epoch": committed.epoch, "digest": committed.digest.hex()}
         self.log("plan", {**fields, "format": committed.plan.format})
         return []
@@ -131,17 +132,17 @@
 
     @property
     def due(self) -> float:
-        """Time of the next change of weights, in monotonic seconds."""
-        return self.next_weight_change
+        """Time of the next update of the weights, in monotonic seconds."""
+        return self.next_weight_update
 
     def tick(self, at: Instant) -> list[Outgoing]:
-        """Apply weight changes that are due, and propose the first plan if the fleet has none."""
+        """Update the weights in force, and propose the first plan if the fleet has none."""
         self._report_unreadable_plan()
         if self.first_plan and at.now >= self.next_proposal:
             self._propose_first(at)
         outgoing = self._step_down_if_incompatible(at)
         update = self.weight_schedule.update(at.now, self.fleet_clock.now(at), self.confirmed_age(at.now))
-        self.next_weight_change = update.due
+        self.next_weight_update = update.due
         for event in [*self.fleet_clock.events, *update.events]:
             self.log(event.event, event.fields)
         self.fleet_clock.events.clear()
@@ -152,8 +153,10 @@
     def _report_unreadable_plan(self) -> None:
         """Log a committed plan that this program can't read, and pass it to the compatibility check."""
         unreadable = self.plans.unreadable
-        if unreadable is not None and not self.skew.unreadable:
-            self.skew.plan_committed(None, self.fleet.payloads.get(self.plans.register.applied.digest) or b"")
+        if unreadable is not None and not self.checker.unreadable:
+            self.checker.plan_committed(
+                None, self.fleet.payloads.get(self.plans.register.applied.digest) or b""
+            )
             self.log("plan-unread", {"code": unreadable.code, "why": unreadable.what})
 
     def _step_down_if_incompatible(self, at: Instant) -> list[Outgoing]:
@@ -161,14 +164,14 @@
 
         A leader that can't read the committed plan would admit no members to the view.
         """
-        if self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot) is None or not self.skew.own_refusals():
+        if self.fleet.roles[LEADER_ROLE].epoch_to_act(at.boot) is None or not self.checker.own_refusals():
             return []
         voters = {*self.fleet.voters.names}
         own = self.fleet.me.name
         others = [each.member for each in self.views.view.members if each.member.name != own]
         if not any({*self.fleet.electorate.voter_names(member)} & voters for member in others):
             return []
-        self.log("plan-lead-left", {"why": self.skew.own_refusals()[0].what})
+        self.log("plan-lead-left", {"why": self.checker.own_refusals()[0].what})
         return self.fleet.role_manager.release(at, LEADER_ROLE, EXCLUSION_LEASES)
 
     def _propose_first(self, at: Instant) -> None:
@@ -204,7 +207,7 @@
     def set_format_floor(self, at: Instant, min_format: int) -> MinimumFormatAnswer:
         """Set the minimum plan format that members have to support; only the leader accepts this."""
         try:
-            payload = self.skew.prepare_minimum(at, min_format, self.views.view)
+            payload = self.checker.prepare_minimum(at, min_format, self.views.view)
             outgoing = self.minimum_format_register.put(at, payload)
         except OperatorError as error:
             return MinimumFormatAnswer(409, error_body(error), [])
@@ -216,7 +219,7 @@
     def status(self, at: Instant) -> dict[str, Any]:
         """Return the plan's status for `GET /control/plan`."""
         reading, weight_schedule = self.fleet_clock.now(at), self.weight_schedule
-        verdict = self.skew.verdict(at.now)
+        verdict = self.checker.verdict(at.now)
         return {
             **self.plans.status(at.now),
             "in_force": weight_schedule.plan_version,
@@ -227,8 +230,8 @@
                 "uncertain_s": None if reading.uncertainty == inf else round(reading.uncertainty, 4),
             },
             "confirmed_s": shown_age(self.confirmed_age(at.now)),
-            "floor": self.skew.minimum_format,
-            "unfit": [reason._asdict() for reason in self.skew.own_refusals()],
+            "floor": self.checker.minimum_format,
+            "unfit": [reason._asdict() for reason in self.checker.own_refusals()],
             "judged": {
                 "stage": verdict.stage.value, "view": verdict.view_number, "answered": verdict.answered,
                 "of": verdict.members,
