--- a/wheatring/daemon/ops/audit.py
+++ b/wheatring/daemon/ops/audit.py
@@ -107,7 +107,7 @@
             try:
                 if os.write(file, data) < len(data):
                     os.write(file, b"\n")  # the next line must not continue an incomplete one
-                    raise OSError(0, "only part of the line was written")
+                    raise OSError(0, "not written whole")
             finally:
                 os.close(file)
         except OSError as error:
